--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -9,7 +9,7 @@
 /// What a client waits for at most before it gives up on a host.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-pub struct Counter {
+pub struct BlockingClient {
     pub socket: TcpStream,
     pub conn: InitiatorConn,
     scratch: Vec<u8>,
@@ -23,23 +23,23 @@
     pub sense: Option<Sense>,
     pub data: Vec<u8>,
     /// Tenths of a second.
-    pub come_back: u16,
+    pub retry_after: u16,
 }
 
-impl Counter {
+impl BlockingClient {
     /// Logs in; `target` none for discovery. Errors in words: no connection, refused, closed.
-    pub fn open(address: SocketAddr, target: Option<&str>, index: u32) -> Result<Counter, String> {
+    pub fn open(address: SocketAddr, target: Option<&str>, index: u32) -> Result<BlockingClient, String> {
         let socket = TcpStream::connect(address).map_err(|e| e.to_string())?;
         let _ = socket.set_nodelay(true);
         socket.set_read_timeout(Some(PATIENCE)).map_err(|e| e.to_string())?;
         let name = format!("iqn.2026-12.example.lab:client{index}");
         let conn = InitiatorConn::new(&name, target, [0x80, 0, 0, 0, 0, 0], &Wishes::default());
-        let mut counter = Counter { socket, conn, scratch: vec![0; 128 * 1024], tag: 1 << 20 };
-        while !counter.conn.logged_in() {
-            counter.exchange()?;
+        let mut client = BlockingClient { socket, conn, scratch: vec![0; 128 * 1024], tag: 1 << 20 };
+        while !client.conn.logged_in() {
+            client.exchange()?;
         }
-        counter.conn.came();
-        Ok(counter)
+        client.conn.came();
+        Ok(client)
     }
 
     pub fn flush(&mut self) -> Result<(), String> {
@@ -60,7 +60,7 @@
     }
 
     /// The next thing that comes.
-    pub fn came(&mut self) -> Result<Came, String> {
+    pub fn next_event(&mut self) -> Result<Came, String> {
         loop {
             if let Some(came) = self.conn.came() {
                 return Ok(came);
@@ -70,16 +70,22 @@
     }
 
     /// One command and its answer.
-    pub fn ask(&mut self, lun: u32, cdb: &[u8; 16], room: usize, write: Vec<u8>) -> Result<Answer, String> {
+    pub fn execute(
+        &mut self,
+        lun: u32,
+        cdb: &[u8; 16],
+        room: usize,
+        write: Vec<u8>,
+    ) -> Result<Answer, String> {
         self.tag += 1;
         let wanted = self.tag;
         if !self.conn.command(wanted, lun, cdb, room, write.into()) {
             return Err("the command window is closed".into());
         }
         loop {
-            match self.came()? {
-                Came::Answer { tag, status, sense, data, come_back } if tag == wanted => {
-                    return Ok(Answer { status, sense, data, come_back });
+            match self.next_event()? {
+                Came::Answer { tag, status, sense, data, come_back: retry_after } if tag == wanted => {
+                    return Ok(Answer { status, sense, data, retry_after });
                 }
                 Came::Rejected { tag, reason } if tag == wanted => {
                     return Err(format!("rejected, reason {reason}"));
--- a/crates/gateway/src/map.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -1,5 +1,5 @@
 //! The connection to the catalog, and what this host knows of the tree.
-use crate::lines::{Lines, Read};
+use crate::json_lines::{Lines, Read};
 use mallowseam_cow::Millis;
 use mallowseam_cow::cache::Cache;
 use mallowseam_cow::tree::LayerId;
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,5 +1,8 @@
 //! The command line of `mallowseam`.
-use crate::control::{self, Status};
+mod fleet;
+mod plan;
+
+use crate::control_socket::{self, Status};
 use crate::shares;
 use clap::{Parser, Subcommand, ValueEnum};
 use mallowseam_settings::Site;
@@ -91,7 +94,7 @@
     /// Read a configuration and name all its problems
     Check { file: PathBuf },
     /// Show the view that a running host has of its fleet
-    Fleet(crate::fleet::Options),
+    Fleet(fleet::Options),
     /// Tell what a running host is doing
     Status {
         #[command(flatten)]
@@ -325,14 +328,15 @@
         }
         What::Catalog { file, die_at, log, json } => {
             start_log(log, json);
-            load(&file)
-                .and_then(|site| crate::catalog::run(site, die_at).map_err(|e| (FAILED, e.to_string())))
+            load(&file).and_then(|site| {
+                crate::snapshot_catalog::run(site, die_at).map_err(|e| (FAILED, e.to_string()))
+            })
         }
         What::Control { file, log, json } => {
             start_log(log, json);
-            load(&file).and_then(|site| crate::tariffs::run(&site).map_err(|e| (FAILED, e.to_string())))
+            load(&file).and_then(|site| crate::plan_service::run(&site).map_err(|e| (FAILED, e.to_string())))
         }
-        What::Plan { what } => crate::plan_cli::run(what).map(|text| println!("{text}")),
+        What::Plan { what } => crate::cli::plan::run(what).map(|text| println!("{text}")),
         What::Shares { what } => {
             let ended = match what {
                 Shares::WorkOut { file, seconds, seed } => {
@@ -376,10 +380,10 @@
                 return finish(
                     match &what {
                         Snapshot::Export { file, snapshot, to } => load(file).and_then(|site| {
-                            crate::archive::export(&site, snapshot, to).map_err(|e| (FAILED, e))
+                            crate::snapshot_archive::export(&site, snapshot, to).map_err(|e| (FAILED, e))
                         }),
                         Snapshot::Import { file, from, name } => load(file).and_then(|site| {
-                            crate::archive::import(&site, from, name).map_err(|e| (FAILED, e))
+                            crate::snapshot_archive::import(&site, from, name).map_err(|e| (FAILED, e))
                         }),
                         _ => Ok(String::new()),
                     }
@@ -412,7 +416,7 @@
                 site.groups.len()
             );
         }),
-        What::Fleet(options) => crate::fleet::run(&options).map_err(|e| (FAILED, e)),
+        What::Fleet(options) => fleet::run(&options).map_err(|e| (FAILED, e)),
         What::Status { at, json } => tell(&at, "status").and_then(|text| {
             if json {
                 println!("{text}");
@@ -463,7 +467,7 @@
     line: &str,
 ) -> Result<String, (u8, String)> {
     let path = control_path(file, section, of)?;
-    control::ask(&path, line).map_err(|e| (FAILED, e.to_string()))
+    control_socket::ask(&path, line).map_err(|e| (FAILED, e.to_string()))
 }
 
 fn tell(at: &At, what: &str) -> Result<String, (u8, String)> {
@@ -472,7 +476,7 @@
         (None, Some(file)) => control_path(file, "host", |site| site.host.control)?,
         (None, None) => unreachable!("clap asks for one of them"),
     };
-    control::ask(&path, what).map_err(|e| (FAILED, format!("{}: {e}", path.display())))
+    control_socket::ask(&path, what).map_err(|e| (FAILED, format!("{}: {e}", path.display())))
 }
 
 fn start_log(level: Level, json: bool) {
--- a/crates/gateway/src/plan_cli.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -1,12 +1,12 @@
 //! `mallowseam plan`: what an operator asks of the control service.
 use crate::cli::{self, BAD_FILE, By, FAILED, PlanWhat};
-use crate::tariffs::Asked;
+use crate::plan_service::PlanRequest;
 use mallowseam_plans::state::{Change, Plan, State};
 use std::path::Path;
 
 /// Asks the control service; its answer. Errors: code and words.
 pub(crate) fn run(what: PlanWhat) -> Result<String, (u8, String)> {
-    let set = |change, expected, by: By| Asked::Set {
+    let set = |change, expected, by: By| PlanRequest::Set {
         change,
         expected,
         author: by.author,
@@ -17,7 +17,7 @@
     let (file, asked) = match what {
         PlanWhat::Set { file, plan, figures, expected, by } => {
             // What is not named stays as it stands, so the change is made for the version it was read from.
-            let state: State = serde_json::from_str(&ask(&file, &Asked::Show { version: expected })?)
+            let state: State = serde_json::from_str(&ask(&file, &PlanRequest::Show { version: expected })?)
                 .map_err(|e| (FAILED, format!("the service's answer: {e}")))?;
             let mut stands = state.plans.get(&plan).cloned().unwrap_or(Plan {
                 weight: 1_000,
@@ -35,21 +35,21 @@
             (file, set(Change::Volume { name: volume, plan }, None, by))
         }
         PlanWhat::Drop { file, plan, by } => (file, set(Change::PlanGone { name: plan }, None, by)),
-        PlanWhat::Show { file, version } => (file, Asked::Show { version }),
-        PlanWhat::History { file, from, most } => (file, Asked::History { from, most }),
-        PlanWhat::Diff { file, one, other } => (file, Asked::Diff { one, other }),
+        PlanWhat::Show { file, version } => (file, PlanRequest::Show { version }),
+        PlanWhat::History { file, from, most } => (file, PlanRequest::History { from, most }),
+        PlanWhat::Diff { file, one, other } => (file, PlanRequest::Diff { one, other }),
         PlanWhat::Undo { file, version, by } => {
             let By { author, reason, dry_run: dry, wait } = by;
-            (file, Asked::Undo { version, author, reason, dry, wait })
+            (file, PlanRequest::Undo { version, author, reason, dry, wait })
         }
-        PlanWhat::Hosts { file } => (file, Asked::Hosts),
-        PlanWhat::Gone { file, host } => (file, Asked::Gone { host }),
-        PlanWhat::Replay { file } => (file, Asked::Replay),
+        PlanWhat::Hosts { file } => (file, PlanRequest::Hosts),
+        PlanWhat::Gone { file, host } => (file, PlanRequest::Gone { host }),
+        PlanWhat::Replay { file } => (file, PlanRequest::Replay),
     };
     ask(&file, &asked)
 }
 
-fn ask(file: &Path, asked: &Asked) -> Result<String, (u8, String)> {
+fn ask(file: &Path, asked: &PlanRequest) -> Result<String, (u8, String)> {
     let line = serde_json::to_string(asked).expect("plain");
     cli::ask(file, "tariffs", |site| site.tariffs?.control, &line)
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -1,7 +1,7 @@
 //! Connections of clients.
 use crate::clock::millis;
 use crate::slots::Slots;
-use crate::wire::{self, Tried};
+use crate::socket_io::{self, Tried};
 use mallowseam_conduct::door::{Care, Door, Shut, Standing};
 use mallowseam_iscsi::login::{Admit, Refusal, Who};
 use mallowseam_iscsi::target::{Came, TargetConn, TargetTerms};
@@ -111,7 +111,7 @@
         if !client.readable || !self.door.reads(waiting) {
             return false;
         }
-        match wire::read(&mut client.socket, scratch) {
+        match socket_io::read(&mut client.socket, scratch) {
             Tried::Blocked => client.readable = false,
             Tried::Read(n) => {
                 self.door.heard(at as usize, millis(now));
@@ -153,7 +153,7 @@
     fn flush_one(&mut self, at: u32, now: Tick) {
         let Some(client) = self.all.get_mut(at) else { return };
         client.dirty = false;
-        match wire::write(&mut client.socket, client.conn.out()) {
+        match socket_io::write(&mut client.socket, client.conn.out()) {
             Ok(0) => {}
             Ok(_) => self.door.wrote(at as usize, millis(now)),
             Err(why) => return self.close(at, &why),
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -1,5 +1,5 @@
 //! The control socket: one line in, one JSON object out.
-use crate::figures::Answers;
+use crate::metrics::Answers;
 use crate::slots::Slots;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,5 +1,5 @@
 //! What clients ask of each volume, as running hosts tell it, recorded a line each and interval by interval.
-use crate::control::{Status, ask};
+use crate::control_socket::{Status, ask};
 use mallowseam_settings::lines::{Args, Problems, words};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,15 +1,15 @@
 //! The block I/Os in hand: what came from which client, what is out at which node. Carries out what the
 //! scheduler decides; what comes of it is told to the scheduler once its call is over.
-mod mapped;
-mod unit;
+mod local_commands;
+mod mapped_volumes;
 
-use crate::clients::Clients;
+use crate::catalog_client::Map;
+use crate::client_connections::Clients;
 use crate::clock::{down, millis, up};
-use crate::figures::{Figures, GroupFigures, NodeFigures, VolumeFigures};
-use crate::map::Map;
-use crate::nodes::{self, Nodes, Order};
+use crate::metrics::{Figures, GroupFigures, NodeFigures, VolumeFigures};
+use crate::node_connections::{self, Nodes, Order};
+use crate::scheduler_config::layout;
 use crate::slots::Slots;
-use crate::terms::layout;
 use mallowseam_conduct::parts::{End, Extent, Layout, Part, Whole};
 use mallowseam_cow::cache::{Look, TELL_AGAIN};
 use mallowseam_cow::copies::{self, Copies};
@@ -334,7 +334,7 @@
         }
     }
 
-    fn submit_ended(&mut self, node: usize, result: nodes::Result) {
+    fn submit_ended(&mut self, node: usize, result: node_connections::Result) {
         let at = result.tag & (PLACES as u32 - 1);
         let Some(io) = self.ios.get_mut(at) else { return };
         if io.out.as_ref().is_none_or(|o| o.tag != result.tag) {
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The connection to the node list service, and the copy of the list kept for the next start.
 use crate::clock::millis;
-use crate::wire::{self, Tried};
+use crate::socket_io::{self, Tried};
 use mallowseam_conduct::lines::ListCall;
 use mallowseam_nodelist::{Condition, Entry, Heard, Register, Update};
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
@@ -141,7 +141,7 @@
         self.flush();
         while self.readable {
             let Some(socket) = &mut self.socket else { return };
-            match wire::read(socket, scratch) {
+            match socket_io::read(socket, scratch) {
                 Tried::Blocked => self.readable = false,
                 Tried::Read(n) => {
                     let mut heard = Vec::new();
@@ -158,7 +158,7 @@
 
     fn flush(&mut self) {
         let Some(socket) = &mut self.socket else { return };
-        if let Err(why) = wire::push(socket, &mut self.asked) {
+        if let Err(why) = socket_io::push(socket, &mut self.asked) {
             self.fail(&why);
         }
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -1,14 +1,14 @@
 //! The event loop: one thread, every decision the scheduler's or a conduct module's.
-use crate::clients::Clients;
+use crate::catalog_client::Map;
+use crate::client_connections::Clients;
 use crate::clock::{Clock, millis, span};
-use crate::control::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
-use crate::desk::Desk;
-use crate::follow::Follow;
-use crate::list::List;
-use crate::map::Map;
-use crate::nodes::Nodes;
-use crate::opening::{Failure, control, failure, listen, signals};
-use crate::terms;
+use crate::control_socket::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
+use crate::dispatcher::Desk;
+use crate::endpoint_list::List;
+use crate::node_connections::Nodes;
+use crate::plan_replication::Follow;
+use crate::scheduler_config;
+use crate::startup::{Failure, control, failure, listen, signals};
 use mallowseam_conduct::door::Door;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
@@ -36,7 +36,7 @@
 /// Ticks between two counts of what clients ask.
 const COUNT: Tick = 2_500;
 const CALLERS: usize = 7;
-const NODES: usize = CALLERS + control::MOST;
+const NODES: usize = CALLERS + control_socket::MOST;
 /// Bytes read from a socket in one go; each ready socket has its turn.
 const SCRATCH: usize = 128 * 1024;
 /// Ticks between two looks at how connections stand: fine enough for times of seconds.
@@ -146,7 +146,7 @@
         let clock = Clock::start();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
         Ok(Gateway {
-            scheduler: Scheduler::new(&terms::terms(&site), seed, clock.now()),
+            scheduler: Scheduler::new(&scheduler_config::scheduler_terms(&site), seed, clock.now()),
             desk: Desk::new(&site, clients, nodes, map),
             list,
             follow,
@@ -395,7 +395,8 @@
     /// What is to be taken up of a state of plans. Error: a volume of this host that has no plan in it.
     fn of_state(&self, state: &mallowseam_plans::state::State) -> Result<change::Taken, String> {
         let mut wanted = self.site.clone();
-        wanted.plans = state.plans.iter().map(|(name, p)| terms::from_figures(name, p)).collect();
+        wanted.plans =
+            state.plans.iter().map(|(name, p)| scheduler_config::configured_plan(name, p)).collect();
         for v in &mut wanted.volumes {
             let plan = state.volumes.get(&v.name);
             let at = plan.and_then(|name| wanted.plans.iter().position(|p| p.name == *name));
@@ -410,7 +411,7 @@
             volume.plan = *plan;
         }
         let changed = self.desk.planned(&taken.of);
-        self.scheduler.planned(self.desk.now, &terms::plans(&self.site), &changed);
+        self.scheduler.planned(self.desk.now, &scheduler_config::plans(&self.site), &changed);
         taken.told.iter().for_each(|what| tracing::info!(what, "plans taken up"));
     }
 
@@ -498,7 +499,7 @@
             weight: p.weight,
         };
         let group =
-            |(g, f): (&mallowseam_settings::site::Group, &crate::figures::GroupFigures)| GroupStatus {
+            |(g, f): (&mallowseam_settings::site::Group, &crate::metrics::GroupFigures)| GroupStatus {
                 name: g.name.clone(),
                 taken: f.answers.taken,
                 ended: f.answers.ended,
@@ -508,7 +509,7 @@
                 median_ms: f.waits.value_at_quantile(0.5) as f64 / MICROS,
                 p99_ms: f.waits.value_at_quantile(0.99) as f64 / MICROS,
             };
-        let node = |(i, n): (usize, &crate::nodes::Node)| {
+        let node = |(i, n): (usize, &crate::node_connections::Node)| {
             let (view, f) = (self.scheduler.view(desk.now, NodeId(i as u32)), &desk.figures.nodes[i]);
             let view = view.unwrap_or_default();
             NodeStatus {
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -1,7 +1,7 @@
 //! Connections that speak one JSON object a line: one side of one, and a service's side of many.
-use crate::opening::{Failure, listen};
 use crate::slots::Slots;
-use crate::wire::{self, Tried};
+use crate::socket_io::{self, Tried};
+use crate::startup::{Failure, listen};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Poll, Registry, Token};
 use serde::Serialize;
@@ -48,7 +48,7 @@
 
     /// Writes what waits, as far as the socket takes it. Error: the connection is over.
     pub fn push(&mut self) -> Result<(), String> {
-        wire::push(&mut self.socket, &mut self.out)
+        socket_io::push(&mut self.socket, &mut self.out)
     }
 
     /// Reads once; `longest` is what a line may have.
@@ -59,7 +59,7 @@
                 mebi => format!("a line past {mebi} MiB"),
             });
         }
-        match wire::read(&mut self.socket, scratch) {
+        match socket_io::read(&mut self.socket, scratch) {
             Tried::Blocked => Read::Blocked,
             Tried::Over(why) => Read::Over(why),
             Tried::Read(n) => {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,33 +1,31 @@
 //! One host: clients speak iSCSI to it, it submits to storage nodes, and `mallowseam-scheduler` decides all that
 //! happens to a block I/O in between. One thread, sockets on `mio`.
-mod archive;
-mod catalog;
+pub mod blocking_client;
+mod catalog_client;
 pub mod cli;
-pub mod client;
-pub mod clients;
-mod control;
+pub mod client_connections;
+mod control_socket;
 mod demand;
-mod desk;
-mod figures;
-mod fleet;
-mod follow;
-mod lines;
-mod list;
-mod map;
-mod nodes;
-mod opening;
-mod plan_cli;
-mod run;
+mod dispatcher;
+mod endpoint_list;
+mod event_loop;
+mod json_lines;
+mod metrics;
+mod node_connections;
+mod plan_replication;
+mod plan_service;
+mod scheduler_config;
 mod shares;
-mod tariffs;
-mod terms;
+mod snapshot_archive;
+mod snapshot_catalog;
+pub mod socket_io;
+mod startup;
 mod verify;
-pub mod wire;
 
 pub use mallowseam_sockets::{clock, slots};
 
-pub use control::{Status, ask};
-pub use opening::Failure;
-pub use run::run;
-pub use tariffs::Asked;
-pub use terms::to_figures;
+pub use control_socket::{Status, ask};
+pub use event_loop::run;
+pub use plan_service::PlanRequest;
+pub use scheduler_config::replicated_plan;
+pub use startup::Failure;
--- a/crates/gateway/src/nodes.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -1,7 +1,7 @@
 //! Connections to the storage nodes. A submit goes out on the node's one connection, which is opened when a
 //! submit first asks for it; submits wait for its login in a queue that their own time-outs bound.
 use crate::clock::millis;
-use crate::wire::{self, Tried};
+use crate::socket_io::{self, Tried};
 use mallowseam_conduct::lines::Line;
 use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
 use mallowseam_iscsi::params::Wishes;
@@ -199,7 +199,7 @@
     pub fn read(&mut self, at: usize, scratch: &mut [u8], now: Tick) -> bool {
         let node = &mut self.all[at];
         let Some(link) = node.link.as_mut().filter(|_| node.readable) else { return false };
-        match wire::read(&mut link.socket, scratch) {
+        match socket_io::read(&mut link.socket, scratch) {
             Tried::Blocked => node.readable = false,
             Tried::Read(n) => {
                 let received = link.conn.receive(&scratch[..n]);
@@ -261,7 +261,7 @@
         while let Some(at) = self.dirty.pop() {
             self.all[at].dirty = false;
             if let Some(link) = &mut self.all[at].link
-                && let Err(why) = wire::write(&mut link.socket, link.conn.out())
+                && let Err(why) = socket_io::write(&mut link.socket, link.conn.out())
             {
                 self.fail_line(at, &why);
             }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -1,6 +1,6 @@
 //! The connection to the control service of plans, and the copy of its plans kept for a start without it.
-use crate::lines::{Lines, Read};
-use crate::list::replace;
+use crate::endpoint_list::replace;
+use crate::json_lines::{Lines, Read};
 use mallowseam_plans::member::{Heard, Member};
 use mallowseam_plans::state::State;
 use mallowseam_plans::trail::Trail;
--- a/crates/gateway/src/tariffs.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -1,9 +1,9 @@
 //! The control service of plans: keeps the trail, streams versions to hosts, deals what they lend.
 use crate::clock::{Clock, millis};
-use crate::control::{self, Control};
-use crate::lines::{Bounds, Peer, Peers};
-use crate::opening::{self, Failure, failure, signals};
-use crate::terms;
+use crate::control_socket::{self, Control};
+use crate::json_lines::{Bounds, Peer, Peers};
+use crate::scheduler_config;
+use crate::startup::{self, Failure, failure, signals};
 use mallowseam_plans::deal::{ASK, GRANT, Pool};
 use mallowseam_plans::force::{Hosts, Waits};
 use mallowseam_plans::state::{Change, Plan, State};
@@ -22,7 +22,7 @@
 const CONTROL: Token = Token(1);
 const SIGNALS: Token = Token(2);
 const CALLERS: usize = 3;
-const MEMBERS: usize = CALLERS + control::MOST;
+const MEMBERS: usize = CALLERS + control_socket::MOST;
 /// Longest line of a host, and bytes that may wait for one: a host that takes nothing is dropped.
 const BOUNDS: Bounds = Bounds { longest: 1 << 20, waiting: 32 << 20 };
 /// Lines sent to a host that comes back, at most; one that lacks more gets the whole state.
@@ -77,16 +77,16 @@
         let settings = site.tariffs.clone().ok_or_else(|| Failure::new("no section tariffs".into()))?;
         let address = settings.listen.expect("checked");
         let peers = Peers::open(address, poll, LISTENER, MEMBERS, BOUNDS)?;
-        let control = opening::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
+        let control = startup::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
         let said = |e: mallowseam_trail::Fault| Failure::new(format!("{}: {e}", settings.store.display()));
         let mut store = Store::open(&settings.store).map_err(said)?;
         let fresh = store.trail().state.version == 0;
         if fresh {
             // The first versions are what the configuration says.
-            let plans = site
-                .plans
-                .iter()
-                .map(|p| Change::Plan { name: p.name.clone(), figures: terms::to_figures(p) });
+            let plans = site.plans.iter().map(|p| Change::Plan {
+                name: p.name.clone(),
+                figures: scheduler_config::replicated_plan(p),
+            });
             let of = |v: &mallowseam_settings::site::Volume| Change::Volume {
                 name: v.name.clone(),
                 plan: site.plans[v.plan].name.clone(),
@@ -268,7 +268,7 @@
             self.stops = true;
             return Ok(Some("stopping".into()));
         }
-        let asked: Asked = match serde_json::from_str(line) {
+        let asked: PlanRequest = match serde_json::from_str(line) {
             Ok(asked) => asked,
             Err(e) => return Ok(Some(format!("error: {e}"))),
         };
@@ -279,14 +279,14 @@
         })
     }
 
-    fn asked_for(&mut self, caller: u32, asked: Asked) -> Result<Option<String>, Why> {
+    fn asked_for(&mut self, caller: u32, asked: PlanRequest) -> Result<Option<String>, Why> {
         let read = |e: mallowseam_trail::Fault| Why::Said(e.to_string());
         let at = |version: u64| {
             let found = self.store.at(version).map_err(read)?;
             found.ok_or_else(|| Why::Said(format!("no version {version}")))
         };
         match asked {
-            Asked::Set { change, expected, author, reason, dry, wait } => {
+            PlanRequest::Set { change, expected, author, reason, dry, wait } => {
                 let trail = self.store.trail();
                 let expected = expected.unwrap_or(trail.state.version);
                 let text = trail.propose(expected, &author, &reason, wall(), change.clone());
@@ -307,32 +307,32 @@
                 self.waits.push((caller, line.version, self.now + WAIT_MOST));
                 Ok(None)
             }
-            Asked::Undo { version, author, reason, dry, wait } => {
+            PlanRequest::Undo { version, author, reason, dry, wait } => {
                 let line = self.store.lines(version, 1).map_err(read)?.pop();
                 let line: Line = line
                     .and_then(|text| serde_json::from_str(&text).ok())
                     .ok_or_else(|| Why::Said(format!("no version {version}")))?;
                 let change = at(version - 1)?.state.undo(&line.change);
-                self.asked_for(caller, Asked::Set { change, expected: None, author, reason, dry, wait })
+                self.asked_for(caller, PlanRequest::Set { change, expected: None, author, reason, dry, wait })
             }
-            Asked::Show { version } => {
+            PlanRequest::Show { version } => {
                 let state = match version {
                     Some(version) => at(version)?.state,
                     None => self.store.trail().state.clone(),
                 };
                 Ok(Some(serde_json::to_string(&state).expect("plain")))
             }
-            Asked::History { from, most } => {
+            PlanRequest::History { from, most } => {
                 let lines = self.store.lines(from, most.min(10_000)).map_err(read)?;
                 Ok(Some(lines.join("\n")))
             }
-            Asked::Diff { one, other } => {
+            PlanRequest::Diff { one, other } => {
                 let changes = at(one)?.state.diff(&at(other)?.state);
                 let text: Vec<String> =
                     changes.iter().map(|c| serde_json::to_string(c).expect("plain")).collect();
                 Ok(Some(if text.is_empty() { "no difference".into() } else { text.join("\n") }))
             }
-            Asked::Hosts => {
+            PlanRequest::Hosts => {
                 let (newest, now) = (self.version(), self.now);
                 let waits = self.hosts.waits(newest, now);
                 let everywhere = self.hosts.everywhere(newest, now);
@@ -344,7 +344,7 @@
                 }
                 Ok(Some(text))
             }
-            Asked::Gone { host } => {
+            PlanRequest::Gone { host } => {
                 if self.hosts.gone(&host, self.now) {
                     self.store.member(&host, false).map_err(|e| Why::Store(e.to_string()))?;
                     Ok(Some(format!("{host} is taken for gone")))
@@ -352,7 +352,7 @@
                     Err(Why::Said(format!("`{host}`: unknown, or heard of in the last seconds")))
                 }
             }
-            Asked::Replay => {
+            PlanRequest::Replay => {
                 let lines = self.store.replay().map_err(read)?;
                 Ok(Some(format!("trail replays: {lines} of {}", self.version())))
             }
@@ -368,7 +368,7 @@
 /// What an operator asks.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Asked {
+pub enum PlanRequest {
     Set {
         change: Change,
         /// The version it was made for; none: whatever stands.
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -5,7 +5,7 @@
 use mallowseam_settings::Site;
 use mallowseam_settings::site::{self, Direction};
 
-pub fn terms(site: &Site) -> Terms {
+pub fn scheduler_terms(site: &Site) -> Terms {
     let fleet = &site.fleet;
     let group = |g: &site::Group| IoGroup {
         effect: match g.effect {
@@ -84,7 +84,7 @@
 }
 
 /// A plan's figures in thousandths, as the control service keeps them.
-pub fn to_figures(p: &site::Plan) -> mallowseam_plans::state::Plan {
+pub fn replicated_plan(p: &site::Plan) -> mallowseam_plans::state::Plan {
     let thousandths = |n: f64| (n * 1000.0).round().clamp(0.0, mallowseam_plans::state::MOST as f64) as u64;
     mallowseam_plans::state::Plan {
         usual: thousandths(p.usual),
@@ -96,7 +96,7 @@
     }
 }
 
-pub fn from_figures(name: &str, p: &mallowseam_plans::state::Plan) -> site::Plan {
+pub fn configured_plan(name: &str, p: &mallowseam_plans::state::Plan) -> site::Plan {
     let whole = |n: u64| n as f64 / 1000.0;
     site::Plan {
         name: name.to_owned(),
--- a/crates/gateway/src/shares.rs
+++ b/crates/gateway/src/shares.rs
@@ -1,6 +1,6 @@
 //! `mallowseam shares`: problems and placements as files, and what is worked out told.
 use crate::demand;
-use crate::list::replace;
+use crate::endpoint_list::replace;
 use mallowseam_settings::edit::Share;
 use mallowseam_settings::lines::{Args, At, Problems, words};
 use mallowseam_settings::{change, edit};
--- a/crates/gateway/src/archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -1,6 +1,6 @@
 //! Snapshots to files and back, through a host as any client reads and writes.
-use crate::client::Counter;
-use crate::control;
+use crate::blocking_client::BlockingClient;
+use crate::control_socket;
 use mallowseam_archive::{Head, Next, Reader, Writer};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, status};
@@ -19,13 +19,13 @@
 fn tree(site: &Site) -> Result<Tree, String> {
     let control = site.catalog.as_ref().and_then(|c| c.control.clone());
     let path = control.ok_or("no `control` in section catalog")?;
-    let text = control::ask(&path, "tree").map_err(|e| format!("{}: {e}", path.display()))?;
+    let text = control_socket::ask(&path, "tree").map_err(|e| format!("{}: {e}", path.display()))?;
     serde_json::from_str(&text).map_err(|e| format!("the catalog's answer: {e}"))
 }
 
 /// A unit as a client sees it.
 struct Unit {
-    client: Counter,
+    client: BlockingClient,
     lun: u32,
     block: u64,
     /// Blocks of an extent, and extents.
@@ -45,7 +45,7 @@
         };
         let volume = site.volumes.iter().find(|v| v.mapped).ok_or("no mapped volume")?;
         let address = site.host.listen.expect("checked");
-        let client = Counter::open(address, Some(&site.host.target), std::process::id())
+        let client = BlockingClient::open(address, Some(&site.host.target), std::process::id())
             .map_err(|e| format!("{address}: {e}"))?;
         Ok(Unit { client, lun, block: volume.block_size.into(), extent, extents })
     }
@@ -55,7 +55,7 @@
         let mut last = String::new();
         for _ in 0..TRIES {
             let room = if write { 0 } else { bytes as usize };
-            let answer = self.client.ask(self.lun, &cdb, room, data.to_vec())?;
+            let answer = self.client.execute(self.lun, &cdb, room, data.to_vec())?;
             match answer.status {
                 status::GOOD => return Ok(answer.data),
                 status::BUSY | status::TASK_SET_FULL => {}
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,9 +1,9 @@
 //! The catalog's process: keeps the tree, tells hosts of its changes, has nodes close and give back.
 use crate::clock::{Clock, millis, span};
-use crate::control::{self, Control};
-use crate::lines::{Bounds, Peer, Peers};
-use crate::nodes::{Nodes, Order};
-use crate::opening::{self, Failure, failure, signals};
+use crate::control_socket::{self, Control};
+use crate::json_lines::{Bounds, Peer, Peers};
+use crate::node_connections::{Nodes, Order};
+use crate::startup::{self, Failure, failure, signals};
 use mallowseam_catalog::Catalog;
 use mallowseam_cow::cache::{layer_of, settle};
 use mallowseam_cow::cut::{Cut, Failed, Turn, leave};
@@ -24,7 +24,7 @@
 const CONTROL: Token = Token(1);
 const SIGNALS: Token = Token(2);
 const CALLERS: usize = 3;
-const NODES: usize = CALLERS + control::MOST;
+const NODES: usize = CALLERS + control_socket::MOST;
 const SCRATCH: usize = 64 * 1024;
 /// Longest line of a host, and bytes that may wait for one: a host that takes nothing is dropped.
 const BOUNDS: Bounds = Bounds { longest: 64 * 1024, waiting: 128 << 20 };
@@ -115,7 +115,7 @@
         let address = settings.listen.expect("checked");
         let hosts_from = NODES + site.nodes.len();
         let hosts = Peers::open(address, poll, LISTENER, hosts_from, BOUNDS)?;
-        let control = opening::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
+        let control = startup::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
         let catalog = Catalog::open(&settings.store)
             .map_err(|e| Failure::new(format!("{}: {e}", settings.store.display())))?;
         let initiator = format!("{}:catalog", site.host.target);
--- a/crates/gateway/src/opening.rs
+++ b/crates/gateway/src/startup.rs
@@ -1,5 +1,5 @@
 //! What each of this program's processes opens at its start: listeners, control sockets, signals.
-use crate::control::Control;
+use crate::control_socket::Control;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Interest, Poll, Registry, Token};
 use std::fmt;
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,5 +1,5 @@
 //! Walks catalog and nodes and counts references: every place of the tree, and every block that nodes hold.
-use crate::client::Counter;
+use crate::blocking_client::BlockingClient;
 use mallowseam_catalog::Catalog;
 use mallowseam_cow::tree::{LayerId, Place, Tree};
 use mallowseam_iscsi::scsi::{self, status};
@@ -40,7 +40,7 @@
     }
     for (n, node) in site.nodes.iter().enumerate() {
         let address = node.address.expect("checked");
-        let mut client = Counter::open(address, Some(&node.target), std::process::id())
+        let mut client = BlockingClient::open(address, Some(&node.target), std::process::id())
             .map_err(|e| format!("{}: {e}", node.name))?;
         let wanted = wanted.remove(&(n as u32)).unwrap_or_default();
         // Layers that are gone may have left something as well: all that were ever made are asked for.
@@ -57,7 +57,7 @@
                     let run = (u64::from(number) * settings.extent, settings.extent as u32);
                     let (cdb, data) = scsi::unmap(&[run]);
                     let answer =
-                        client.ask(layer, &cdb, 0, data).map_err(|e| format!("{}: {e}", node.name))?;
+                        client.execute(layer, &cdb, 0, data).map_err(|e| format!("{}: {e}", node.name))?;
                     if answer.status != status::GOOD {
                         found.faults.push(format!("{}: does not give place {number} back", node.name));
                     }
@@ -73,12 +73,12 @@
 }
 
 /// Numbers of the places that a node holds anything of.
-fn held(client: &mut Counter, layer: LayerId, extent: u64) -> Result<BTreeSet<u32>, String> {
+fn held(client: &mut BlockingClient, layer: LayerId, extent: u64) -> Result<BTreeSet<u32>, String> {
     let mut numbers = BTreeSet::new();
     let mut from = 0;
     loop {
         let cdb = scsi::get_lba_status(from, ROOM);
-        let answer = client.ask(layer, &cdb, ROOM as usize, Vec::new())?;
+        let answer = client.execute(layer, &cdb, ROOM as usize, Vec::new())?;
         let runs = Some(answer.data).filter(|_| answer.status == status::GOOD);
         let runs =
             runs.as_deref().and_then(scsi::read_lba_status).ok_or("no sound answer to GET LBA STATUS")?;
--- a/crates/gateway/tests/pinned/scsi.rs
+++ b/crates/gateway/tests/pinned/scsi.rs
@@ -1,6 +1,6 @@
 //! What a host answers to SCSI commands without asking a node, and while no node can be reached.
 use crate::harness::{Process, Transcript, addresses, assert_pinned, wait_for_control};
-use mallowseam_gateway::client::Counter;
+use mallowseam_gateway::blocking_client::BlockingClient;
 use mallowseam_iscsi::scsi::rw16;
 use std::fs;
 
@@ -35,15 +35,15 @@
     fs::write(&conf, text).expect("a file");
     let _process = Process::start(&["run", conf.to_str().expect("text"), "--log", "error"]);
     wait_for_control(&control);
-    let mut client = Counter::open(address(0), Some("iqn.t:gateway"), 1).expect("a login");
+    let mut client = BlockingClient::open(address(0), Some("iqn.t:gateway"), 1).expect("a login");
     let mut t = Transcript::default();
     let mut ask = |what: &str, lun: u32, cdb: [u8; 16], room: usize, data: Vec<u8>| {
-        let answer = client.ask(lun, &cdb, room, data).expect("an answer");
+        let answer = client.execute(lun, &cdb, room, data).expect("an answer");
         let sense = answer.sense.map_or("none".to_owned(), |sense| hex(&sense.bytes()));
         let text = format!(
             "status {} sense {sense} retry after {} data {}",
             answer.status,
-            answer.come_back,
+            answer.retry_after,
             hex(&answer.data)
         );
         t.add(&format!("{what}, LUN {lun}:"), &text);
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,6 +1,6 @@
 //! Clients at a node directly, beside clients through a host to the same node, in turn within one run.
 use crate::block;
-use crate::counter::Counter;
+use crate::blocking_client::BlockingClient;
 use crate::node::{Model, Node};
 use crate::rehearse::Program;
 use crate::trace::Trace;
@@ -101,7 +101,7 @@
     let before = resident(host.0.id())?;
     let mut idle = Vec::new();
     for i in 0..options.idle {
-        idle.push(Counter::open(host_at, Some(GATEWAY), 1000 + i)?);
+        idle.push(BlockingClient::open(host_at, Some(GATEWAY), 1000 + i)?);
     }
     let after = resident(host.0.id())?;
     let turned: u64 = many.1.iter().chain(&single.1).map(|p| p.turned).sum();
@@ -197,7 +197,7 @@
     seconds: u64,
     seed: u64,
 ) -> Result<Phase, String> {
-    let mut counter = Counter::open(address, Some(target), index)?;
+    let mut client = BlockingClient::open(address, Some(target), index)?;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut sent: Vec<Option<Instant>> = vec![None; depth];
     let mut waits = Histogram::new_with_bounds(1, 60_000_000_000, 3).map_err(|e| e.to_string())?;
@@ -207,21 +207,21 @@
     loop {
         let over = began.elapsed() >= span;
         for (tag, place) in sent.iter_mut().enumerate() {
-            if place.is_none() && !over && counter.conn.may_send() {
+            if place.is_none() && !over && client.conn.may_send() {
                 let lba = rng.random_range(0..VOLUME_BLOCKS / u64::from(BLOCKS)) * u64::from(BLOCKS);
                 let write = rng.random::<f64>() < 0.3;
                 let data = if write { block::write(count + 1, lba, BLOCKS) } else { Vec::new() };
                 let room = if write { 0 } else { BLOCKS as usize * block::SIZE };
                 let cdb = scsi::rw16(write, lba, BLOCKS, 0);
-                counter.conn.command(tag as u32, 0, &cdb, room, data.into());
+                client.conn.command(tag as u32, 0, &cdb, room, data.into());
                 *place = Some(Instant::now());
             }
         }
         if over && sent.iter().all(Option::is_none) {
             break;
         }
-        counter.exchange()?;
-        while let Some(came) = counter.conn.came() {
+        client.exchange()?;
+        while let Some(came) = client.conn.came() {
             let Came::Answer { tag, status: code, .. } = came else { continue };
             if let Some(at) = sent[tag as usize].take() {
                 if code == status::GOOD {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -18,4 +18,4 @@
 pub mod trace;
 pub mod view;
 
-pub use mallowseam_gateway::client as counter;
+pub use mallowseam_gateway::blocking_client;
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -3,7 +3,7 @@
 use crate::block;
 use crate::trace::{Micros, Trace, What};
 use mallowseam_conduct::door::Door;
-use mallowseam_gateway::clients::Clients;
+use mallowseam_gateway::client_connections::Clients;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{self, Command, Sense, Unit, status};
 use mallowseam_iscsi::target::{Came, TargetTerms};
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -1,14 +1,14 @@
 //! Plays a script: real hosts as processes, stand-ins round them, trouble as written, then the audit.
 use crate::audit::{self, InForce, Places, Verdict};
 use crate::block;
-use crate::counter::Counter;
+use crate::blocking_client::BlockingClient;
 use crate::listd::{self, Listd, Word as ListWord};
 use crate::load::{self, Load, Word as LoadWord};
 use crate::node::{Fault, Node};
 use crate::script::{Event, Scene, Trouble, Which};
 use crate::trace::{Micros, Seen, Trace, What};
 use mallowseam_cow::tree::Tree;
-use mallowseam_gateway::Asked as Ask;
+use mallowseam_gateway::PlanRequest as Ask;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_nodelist::Condition;
@@ -73,7 +73,7 @@
 /// Figures of a plan with its limit and burst times so many.
 fn figures(plan: mallowseam_settings::site::Plan, times: f64) -> Plan {
     let (limit, limit_burst) = ((plan.limit * times).max(plan.reserve), plan.limit_burst * times);
-    mallowseam_gateway::to_figures(&mallowseam_settings::site::Plan { limit, limit_burst, ..plan })
+    mallowseam_gateway::replicated_plan(&mallowseam_settings::site::Plan { limit, limit_burst, ..plan })
 }
 
 /// Changes of limits over a day, as the seed draws them.
@@ -607,7 +607,7 @@
         let tree = mallowseam_gateway::ask(&sock, "tree").map_err(|e| e.to_string());
         let tree: Result<Tree, String> =
             tree.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()));
-        let mut client = match Counter::open(self.host_addresses[0], Some(TARGET), 900) {
+        let mut client = match BlockingClient::open(self.host_addresses[0], Some(TARGET), 900) {
             Ok(client) => client,
             Err(e) => {
                 self.unclean.push(format!("reading back: {e}"));
@@ -671,7 +671,7 @@
                 let cdb = mallowseam_iscsi::scsi::rw16(true, lba, 8, audit::COPY_MARK);
                 let mut answer = Err(String::new());
                 for _ in 0..20 {
-                    answer = client.ask(*unit, &cdb, 0, block::write(id, lba, 8)).map(|a| a.status);
+                    answer = client.execute(*unit, &cdb, 0, block::write(id, lba, 8)).map(|a| a.status);
                     if answer == Ok(0) {
                         wanted[lba as usize..lba as usize + 8].fill(Some(id));
                         break;
@@ -794,7 +794,7 @@
 const CLONE_IDS: u64 = 1 << 48;
 
 /// Which write each block of a unit shows. Turned away, it tries again for a while.
-fn read_unit(client: &mut Counter, unit: u32, blocks: u64) -> Result<Vec<Option<u64>>, String> {
+fn read_unit(client: &mut BlockingClient, unit: u32, blocks: u64) -> Result<Vec<Option<u64>>, String> {
     let mut out = Vec::new();
     let mut lba = 0;
     while lba < blocks {
@@ -803,7 +803,7 @@
         let mut last = String::new();
         let mut found = None;
         for _ in 0..50 {
-            let answer = client.ask(unit, &cdb, count as usize * block::SIZE, Vec::new())?;
+            let answer = client.execute(unit, &cdb, count as usize * block::SIZE, Vec::new())?;
             if answer.status == 0 {
                 found = Some(answer.data);
                 break;
--- a/crates/lab/src/snapbench.rs
+++ b/crates/lab/src/snapbench.rs
@@ -2,7 +2,7 @@
 //! the catalog at sizes that need no sockets.
 use crate::bench::{Running, median};
 use crate::block;
-use crate::counter::Counter;
+use crate::blocking_client::BlockingClient;
 use crate::node::{Model, Node};
 use crate::rehearse::Program;
 use crate::trace::Trace;
@@ -137,7 +137,7 @@
 fn sockets(options: &Options, program: &Program, out: &mut String) -> Result<(), String> {
     let rig = Rig::start(options, program)?;
     let control = rig.control();
-    let mut counter = Counter::open(rig.host_at, Some(TARGET), 1)?;
+    let mut client = BlockingClient::open(rig.host_at, Some(TARGET), 1)?;
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     writeln!(
         out,
@@ -152,20 +152,20 @@
     for wanted in &options.snapshots {
         // Every extent has its place, and between two snapshots one of them is written.
         for extent in 0..EXTENTS {
-            one(&mut counter, extent * EXTENT)?;
+            one(&mut client, extent * EXTENT)?;
         }
         while taken < *wanted {
             snapshot(&control, taken)?;
             taken += 1;
-            one(&mut counter, rng.random_range(0..EXTENTS) * EXTENT)?;
+            one(&mut client, rng.random_range(0..EXTENTS) * EXTENT)?;
         }
         for extent in 0..EXTENTS {
-            one(&mut counter, extent * EXTENT)?;
+            one(&mut client, extent * EXTENT)?;
         }
         let stop = AtomicBool::new(true);
         let cuts = Mutex::new(Vec::new());
-        let still = drive(&mut counter, options, true, &mut rng, &Instant::now())?;
-        let reads = drive(&mut counter, options, false, &mut rng, &Instant::now())?;
+        let still = drive(&mut client, options, true, &mut rng, &Instant::now())?;
+        let reads = drive(&mut client, options, false, &mut rng, &Instant::now())?;
         stop.store(false, Ordering::Relaxed);
         let began = Instant::now();
         let cut = std::thread::scope(|scope| -> Result<Vec<Gone>, String> {
@@ -180,7 +180,7 @@
                 }
                 Ok(())
             });
-            let gone = drive(&mut counter, options, true, &mut rng, &began);
+            let gone = drive(&mut client, options, true, &mut rng, &began);
             stop.store(true, Ordering::Relaxed);
             cutter.join().map_err(|_| "the cutter failed")??;
             gone
@@ -221,14 +221,14 @@
     Ok(())
 }
 
-fn one(counter: &mut Counter, lba: u64) -> Result<(), String> {
-    let answer = counter.ask(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))?;
+fn one(client: &mut BlockingClient, lba: u64) -> Result<(), String> {
+    let answer = client.execute(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))?;
     if answer.status == status::GOOD { Ok(()) } else { Err(format!("a write came back {:?}", answer.sense)) }
 }
 
 /// Keeps so many writes, or reads, under way for the seconds of a phase.
 fn drive(
-    counter: &mut Counter,
+    client: &mut BlockingClient,
     options: &Options,
     write: bool,
     rng: &mut Pcg64Mcg,
@@ -239,22 +239,22 @@
     loop {
         let over = began.elapsed() >= Duration::from_secs(options.seconds);
         for (tag, place) in out.iter_mut().enumerate() {
-            if place.is_none() && !over && counter.conn.may_send() {
+            if place.is_none() && !over && client.conn.may_send() {
                 let lba = rng.random_range(0..EXTENT * EXTENTS / u64::from(BLOCKS)) * u64::from(BLOCKS);
                 let (data, room) = if write {
                     (block::write(2, lba, BLOCKS), 0)
                 } else {
                     (Vec::new(), BLOCKS as usize * block::SIZE)
                 };
-                counter.conn.command(tag as u32, 0, &scsi::rw16(write, lba, BLOCKS, 0), room, data.into());
+                client.conn.command(tag as u32, 0, &scsi::rw16(write, lba, BLOCKS, 0), room, data.into());
                 *place = Some((began.elapsed(), lba / EXTENT));
             }
         }
         if over && out.iter().all(Option::is_none) {
             return Ok(gone);
         }
-        counter.exchange()?;
-        while let Some(came) = counter.conn.came() {
+        client.exchange()?;
+        while let Some(came) = client.conn.came() {
             let Came::Answer { tag, status: code, .. } = came else { continue };
             if code != status::GOOD {
                 return Err("a command was turned away".into());
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -1,7 +1,7 @@
 //! The ordinary path allocates nothing beyond data buffers: counted on the host's own thread.
 use mallowseam_gateway::ask;
 use mallowseam_iscsi::scsi::{self, status};
-use mallowseam_lab::counter::Counter;
+use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_lab::node::{Model, Node};
 use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
@@ -31,14 +31,14 @@
         counted.count_total
     });
     let mut client = loop {
-        match Counter::open(address(0), Some("iqn.t:g"), 1) {
+        match BlockingClient::open(address(0), Some("iqn.t:g"), 1) {
             Ok(client) => break client,
             Err(_) => std::thread::sleep(Duration::from_millis(10)),
         }
     };
     for i in 0..ios {
         let (room, data) = if write { (0, vec![1; 4096]) } else { (4096, vec![]) };
-        let answer = client.ask(0, &scsi::rw16(write, i % 8 * 8, 8, 0), room, data).expect("an answer");
+        let answer = client.execute(0, &scsi::rw16(write, i % 8 * 8, 8, 0), room, data).expect("an answer");
         assert_eq!(answer.status, status::GOOD);
     }
     client.conn.logout();
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -6,7 +6,7 @@
 use mallowseam_iscsi::pdu::{Bhs, flag, op};
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
-use mallowseam_lab::counter::Counter;
+use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_lab::node::{Fault, Model, Node};
 use mallowseam_lab::trace::Trace;
 use nix::sys::signal::{Signal, kill};
@@ -80,8 +80,8 @@
         Status::read(&ask(&self.control(), "status").expect("a status")).expect("sound")
     }
 
-    fn client(&self, n: u32) -> Counter {
-        Counter::open(self.at, Some(TARGET), n).expect("a login")
+    fn client(&self, n: u32) -> BlockingClient {
+        BlockingClient::open(self.at, Some(TARGET), n).expect("a login")
     }
 
     /// Asks until what is told fits; a host takes a moment for what came in on another socket.
@@ -127,14 +127,14 @@
     child
 }
 
-fn write(client: &mut Counter, id: u64, lba: u64, blocks: u32) -> u8 {
+fn write(client: &mut BlockingClient, id: u64, lba: u64, blocks: u32) -> u8 {
     let cdb = scsi::rw16(true, lba, blocks, 0);
-    client.ask(0, &cdb, 0, block::write(id, lba, blocks)).expect("an answer").status
+    client.execute(0, &cdb, 0, block::write(id, lba, blocks)).expect("an answer").status
 }
 
-fn read(client: &mut Counter, lba: u64, blocks: u32) -> Vec<Option<u64>> {
+fn read(client: &mut BlockingClient, lba: u64, blocks: u32) -> Vec<Option<u64>> {
     let room = blocks as usize * 512;
-    let answer = client.ask(0, &scsi::rw16(false, lba, blocks, 0), room, vec![]).expect("an answer");
+    let answer = client.execute(0, &scsi::rw16(false, lba, blocks, 0), room, vec![]).expect("an answer");
     assert_eq!(answer.status, status::GOOD);
     let shown = answer.data.chunks(512).enumerate();
     shown.map(|(i, b)| block::read(b, lba + i as u64)).collect()
@@ -162,24 +162,24 @@
 #[test]
 fn a_client_learns_what_units_there_are_and_what_they_hold() {
     let rig = Rig::new(10.0);
-    let mut found = Counter::open(rig.at, None, 1).expect("discovery");
+    let mut found = BlockingClient::open(rig.at, None, 1).expect("discovery");
     found.conn.text(b"SendTargets=All\0");
-    let Ok(Came::Text(text)) = found.came() else { panic!("a list of targets") };
+    let Ok(Came::Text(text)) = found.next_event() else { panic!("a list of targets") };
     assert!(String::from_utf8_lossy(&text).starts_with(&format!("TargetName={TARGET}\0")));
 
     let mut client = rig.client(1);
     let mut cdb = [0; 16];
     (cdb[0], cdb[9]) = (0xa0, 64);
-    let luns = client.ask(0, &cdb, 64, vec![]).expect("luns").data;
+    let luns = client.execute(0, &cdb, 64, vec![]).expect("luns").data;
     assert_eq!((luns.len(), luns[3], luns[9], luns[17]), (24, 16, 0, 7));
     let mut cdb = [0; 16];
     (cdb[0], cdb[1], cdb[13]) = (0x9e, 0x10, 32);
-    let capacity = client.ask(0, &cdb, 32, vec![]).expect("capacity").data;
+    let capacity = client.execute(0, &cdb, 32, vec![]).expect("capacity").data;
     assert_eq!(capacity[..8], (BLOCKS - 1).to_be_bytes());
     let mut cdb = [0; 16];
     (cdb[0], cdb[4]) = (0x12, 36);
-    assert_eq!(client.ask(0, &cdb, 36, vec![]).expect("inquiry").data[0], 0);
-    assert_eq!(client.ask(3, &cdb, 36, vec![]).expect("no unit").data[0], 0x7f);
+    assert_eq!(client.execute(0, &cdb, 36, vec![]).expect("inquiry").data[0], 0);
+    assert_eq!(client.execute(3, &cdb, 36, vec![]).expect("no unit").data[0], 0x7f);
 }
 
 #[test]
@@ -187,7 +187,7 @@
     let rig = Rig::new(10.0);
     let mut client = rig.client(1);
     let mut refused = |lun, cdb: [u8; 16], room, data| {
-        let answer = client.ask(lun, &cdb, room, data).expect("an answer");
+        let answer = client.execute(lun, &cdb, room, data).expect("an answer");
         assert_eq!(answer.status, status::CHECK_CONDITION);
         answer.sense.expect("sense")
     };
@@ -208,7 +208,7 @@
     rig.nodes[0].fault(Fault::Silent(true));
     let began = Instant::now();
     let cdb = scsi::rw16(true, 0, 8, 0);
-    let answer = client.ask(0, &cdb, 0, block::write(2, 0, 8)).expect("an answer");
+    let answer = client.execute(0, &cdb, 0, block::write(2, 0, 8)).expect("an answer");
     assert_eq!((answer.status, answer.sense), (status::CHECK_CONDITION, Some(Sense::UNKNOWN_OUTCOME)));
     assert!(began.elapsed() < Duration::from_millis(1_250), "{:?}", began.elapsed());
     assert_eq!(read(&mut client, 9_000, 4), [Some(0); 4]);
@@ -236,7 +236,7 @@
     let began = Instant::now();
     // What is held for the silent node is given up at its goal of 1 s, by a wake-up and by nothing else.
     for _ in 1..40 {
-        let Ok(Came::Answer { status: code, .. }) = client.came() else { panic!("an answer") };
+        let Ok(Came::Answer { status: code, .. }) = client.next_event() else { panic!("an answer") };
         assert_ne!(code, status::GOOD);
     }
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
@@ -250,7 +250,7 @@
     client.flush().expect("sent");
     rig.wait_for("the read is out", |s| s.nodes[0].submits == 1 && s.nodes[0].connected);
     rig.nodes[0].fault(Fault::Reset);
-    let Ok(Came::Answer { status: code, .. }) = client.came() else { panic!("an answer") };
+    let Ok(Came::Answer { status: code, .. }) = client.next_event() else { panic!("an answer") };
     assert_eq!(code, status::GOOD);
     assert_eq!(rig.status().nodes[0].reset, 1);
 }
@@ -272,7 +272,7 @@
     }
     let mut whole = 0;
     while whole < 48 {
-        if let Came::Answer { status: code, data, .. } = deaf.came().expect("an answer") {
+        if let Came::Answer { status: code, data, .. } = deaf.next_event().expect("an answer") {
             assert_eq!((code, data.len()), (status::GOOD, 1 << 20));
             whole += 1;
         }
@@ -333,7 +333,7 @@
     let mut first = rig.client(1);
     let mut second = rig.client(1);
     assert_eq!(read(&mut second, 0, 1), [Some(0)]);
-    assert!(first.came().is_err(), "the old connection is closed");
+    assert!(first.next_event().is_err(), "the old connection is closed");
     assert_eq!(half.read(&mut [0; 8]).expect("closed"), 0);
 }
 
@@ -345,14 +345,14 @@
     client.flush().expect("sent");
     rig.wait_for("the read is out", |s| s.nodes[0].submits == 1);
     assert_eq!(ask(&rig.control(), "drain").expect("told"), "draining");
-    let refused = Counter::open(rig.at, Some(TARGET), 2).err().expect("refused");
+    let refused = BlockingClient::open(rig.at, Some(TARGET), 2).err().expect("refused");
     assert!(refused.contains("0301"), "{refused}");
     assert_eq!(ask(&rig.control(), "undrain").expect("told"), "open");
     rig.client(3);
     kill(Pid::from_raw(rig.host.id() as i32), Signal::SIGTERM).expect("a signal");
     let mut answered = false;
     loop {
-        match client.came() {
+        match client.next_event() {
             Ok(Came::Answer { status: code, .. }) => answered = code == status::GOOD,
             Ok(Came::AskedOut) if answered => client.conn.logout(),
             Ok(Came::AskedOut | Came::LoggedOut) => {}
--- a/crates/lab/tests/snapshots.rs
+++ b/crates/lab/tests/snapshots.rs
@@ -2,7 +2,7 @@
 use mallowseam_gateway::ask;
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
-use mallowseam_lab::counter::{Answer, Counter};
+use mallowseam_lab::blocking_client::{Answer, BlockingClient};
 use mallowseam_lab::node::{Fault, Model, Node};
 use mallowseam_lab::trace::Trace;
 use rand::{RngExt, SeedableRng};
@@ -155,8 +155,8 @@
         layers.values().map(|l| l["places"].as_object().map_or(0, |p| p.len())).sum()
     }
 
-    fn client(&self, host: usize) -> Counter {
-        Counter::open(self.at[host], Some(TARGET), host as u32).expect("a login")
+    fn client(&self, host: usize) -> BlockingClient {
+        BlockingClient::open(self.at[host], Some(TARGET), host as u32).expect("a login")
     }
 }
 
@@ -169,19 +169,21 @@
     }
 }
 
-fn write(client: &mut Counter, lun: u32, id: u64, lba: u64, blocks: u32) -> Answer {
-    client.ask(lun, &scsi::rw16(true, lba, blocks, 0), 0, block::write(id, lba, blocks)).expect("an answer")
+fn write(client: &mut BlockingClient, lun: u32, id: u64, lba: u64, blocks: u32) -> Answer {
+    client
+        .execute(lun, &scsi::rw16(true, lba, blocks, 0), 0, block::write(id, lba, blocks))
+        .expect("an answer")
 }
 
-fn put(client: &mut Counter, lun: u32, id: u64, lba: u64, blocks: u32) {
+fn put(client: &mut BlockingClient, lun: u32, id: u64, lba: u64, blocks: u32) {
     let answer = write(client, lun, id, lba, blocks);
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
 }
 
 /// Which write each block shows.
-fn show(client: &mut Counter, lun: u32, lba: u64, blocks: u32) -> Vec<u64> {
+fn show(client: &mut BlockingClient, lun: u32, lba: u64, blocks: u32) -> Vec<u64> {
     let room = blocks as usize * 512;
-    let answer = client.ask(lun, &scsi::rw16(false, lba, blocks, 0), room, vec![]).expect("an answer");
+    let answer = client.execute(lun, &scsi::rw16(false, lba, blocks, 0), room, vec![]).expect("an answer");
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
     let shown = answer.data.chunks(512).enumerate();
     shown.map(|(i, b)| block::read(b, lba + i as u64).expect("a whole write")).collect()
@@ -397,9 +399,9 @@
     assert!(code == 0 && text.contains("places 7, of which hold data 7; leaked 0; faults 0"), "{text}");
     // What a host that died halfway through a copy leaves behind.
     let node = rig.nodes_at[1];
-    let mut straight = Counter::open(node, Some("iqn.t:node1"), 9).expect("a login");
+    let mut straight = BlockingClient::open(node, Some("iqn.t:node1"), 9).expect("a login");
     let cdb = scsi::rw16(true, 900 * EXTENT, 8, 0);
-    assert_eq!(straight.ask(1025, &cdb, 0, vec![7; 4096]).expect("an answer").status, status::GOOD);
+    assert_eq!(straight.execute(1025, &cdb, 0, vec![7; 4096]).expect("an answer").status, status::GOOD);
     let (code, text) = rig.run(&["verify"], &[]);
     assert!(code == 1 && text.contains("leaked: layer 1025, place 900 at node1"), "{text}");
     assert_eq!(rig.run(&["verify", "--mend"], &[]).0, 0);
@@ -446,8 +448,9 @@
     for (lun, id) in [(0, 4), (one, 5), (two, 6)] {
         put(&mut client, lun, id, 0, 8);
     }
-    let firsts =
-        |client: &mut Counter, lun| -> Vec<u64> { show(client, lun, 0, 24).into_iter().step_by(8).collect() };
+    let firsts = |client: &mut BlockingClient, lun| -> Vec<u64> {
+        show(client, lun, 0, 24).into_iter().step_by(8).collect()
+    };
     assert_eq!(firsts(&mut client, kept), [1, 2, 3]);
     assert_eq!(firsts(&mut client, two), [6, 2, 3]);
     assert_eq!(firsts(&mut client, one), [5, 2, 0]);
@@ -467,7 +470,7 @@
         for (area, [acked, begun]) in stands.iter().enumerate() {
             let (at, over) = (rig.at[area], &over);
             scope.spawn(move || {
-                let mut client = Counter::open(at, Some(TARGET), 20 + area as u32).expect("a login");
+                let mut client = BlockingClient::open(at, Some(TARGET), 20 + area as u32).expect("a login");
                 let mut id = 0;
                 while !over.load(order) {
                     id += 2;
@@ -516,16 +519,17 @@
     let mut client = rig.client(0);
     let mut stands = [0u64; 64];
     let mut id = 0;
-    let mut write_at = |rig: &mut Rig, client: &mut Counter, lun: u32, stands: &mut [u64; 64], lba: u64| {
-        id += 1;
-        let began = Instant::now();
-        // Shed while the catalog is away: nothing was sent, and it is safe to try again.
-        while write(client, lun, id, lba, 8).status != status::GOOD {
-            assert!(began.elapsed() < Duration::from_secs(20), "step {step}: write {id} never ends");
-            rig.revive();
-        }
-        stands[lba as usize..lba as usize + 8].fill(id);
-    };
+    let mut write_at =
+        |rig: &mut Rig, client: &mut BlockingClient, lun: u32, stands: &mut [u64; 64], lba: u64| {
+            id += 1;
+            let began = Instant::now();
+            // Shed while the catalog is away: nothing was sent, and it is safe to try again.
+            while write(client, lun, id, lba, 8).status != status::GOOD {
+                assert!(began.elapsed() < Duration::from_secs(20), "step {step}: write {id} never ends");
+                rig.revive();
+            }
+            stands[lba as usize..lba as usize + 8].fill(id);
+        };
     // What an operator does whose command came to nothing: looks whether it is there, and asks again.
     let told = |rig: &mut Rig, line: &str, there: &str, not: bool| loop {
         match rig.tell(line) {
@@ -594,8 +598,8 @@
     rig.deaths > 0
 }
 
-fn show_or_none(client: &mut Counter, lun: u32) -> Option<Vec<u64>> {
-    let answer = client.ask(lun, &scsi::rw16(false, 0, 64, 0), 64 * 512, vec![]).expect("an answer");
+fn show_or_none(client: &mut BlockingClient, lun: u32) -> Option<Vec<u64>> {
+    let answer = client.execute(lun, &scsi::rw16(false, 0, 64, 0), 64 * 512, vec![]).expect("an answer");
     let whole = |(i, b): (usize, &[u8])| block::read(b, i as u64).expect("a whole write");
     (answer.status == status::GOOD).then(|| answer.data.chunks(512).enumerate().map(whole).collect())
 }
--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -2,7 +2,7 @@
 use mallowseam_gateway::{Status, ask};
 use mallowseam_iscsi::scsi;
 use mallowseam_lab::block;
-use mallowseam_lab::counter::Counter;
+use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_lab::node::{Model, Node};
 use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
@@ -122,11 +122,11 @@
 }
 
 /// Asks for more than an even part for a while.
-fn through(client: &mut Counter, seconds: u64) {
+fn through(client: &mut BlockingClient, seconds: u64) {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(seconds) {
         let cdb = scsi::rw16(true, 0, 8, 0);
-        client.ask(0, &cdb, 0, block::write(1, 0, 8)).expect("an answer");
+        client.execute(0, &cdb, 0, block::write(1, 0, 8)).expect("an answer");
     }
 }
 
@@ -164,7 +164,7 @@
         let counter = |n: u32| {
             let (at, stop) = (rig.at[host], stop.clone());
             std::thread::spawn(move || {
-                let mut client = Counter::open(at, Some(TARGET), n).expect("a login");
+                let mut client = BlockingClient::open(at, Some(TARGET), n).expect("a login");
                 while !stop.load(Ordering::Relaxed) {
                     through(&mut client, 1);
                 }
