--- /dev/null
+++ b/crates/connection-policy/src/client_connection.rs
@@ -0,0 +1,179 @@
+//! Lifecycle of a client's connection that carries one request at a time: its timeouts, and which connection is
+//! evicted when there are too many. Requests themselves are the scheduler's once it has taken them.
+use crate::Millis;
+use crate::graceful_shutdown::GracefulShutdown;
+
+/// Milliseconds from connecting to the first complete request, and from a later request's first byte to its
+/// last. Clients send a request at once; the platform allows 3 s before a connection that does not hears of it.
+pub const REQUEST_TIMEOUT: Millis = 2_000;
+/// Milliseconds within which a client takes its whole response.
+pub const RESPONSE_TIMEOUT: Millis = 4_000;
+/// Milliseconds after which a connection without a request may be closed (platform's rule); it is closed when
+/// others need its place.
+pub const EVICTABLE_AFTER_IDLE: Millis = 2_000;
+/// Milliseconds after which an idle connection is closed in any case: past any client's pause.
+pub const IDLE_TIMEOUT: Millis = 30_000;
+/// Milliseconds for which the result of a poll is taken as current. A client's disconnect must be noticed within
+/// 100 ms (platform's rule), also while the loop is busy; this is a third of it.
+pub const POLL_RESULT_LIFETIME: Millis = 30;
+/// Milliseconds for which a closed connection is read on, so that the error sent on it reaches the client.
+pub const LINGER_TIMEOUT: Millis = 500;
+/// Bytes that a closed connection may still send before it is cut off.
+pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// Milliseconds before the next request is read behind a rejected one, doubled by each further one: a client
+/// that comes back at once costs little.
+pub const REJECTION_BACKOFF: Millis = 50;
+/// Longest backoff, in milliseconds.
+pub const MAX_REJECTION_BACKOFF: Millis = 1_600;
+/// Rejections after which the backoff is not doubled any more. Keeps the shift within the type.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+
+/// What a connection is occupied with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Phase {
+    /// Nothing has been received yet.
+    AwaitingFirstRequest,
+    /// A request has begun and is incomplete.
+    ReceivingRequest,
+    /// The scheduler has its request.
+    InFlight,
+    /// Its response is not fully written.
+    SendingResponse,
+    /// Nothing since its last response.
+    Idle,
+    /// It is finished; what it still sends is read and discarded.
+    Lingering,
+}
+
+/// What the periodic check asks the host to do with a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TimeoutAction {
+    /// Nothing is due.
+    Nothing,
+    /// Its request took too long: respond with an error, then close.
+    RejectLateRequest,
+    /// Close it.
+    Close,
+}
+
+/// Order of eviction; the first variant goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    Lingering,
+    LongIdle,
+    /// A new connection most likely has a request on its way, so it outlives the long idle.
+    AwaitingFirstRequest,
+    /// One that was just served may not send another request.
+    RecentlyIdle,
+}
+
+/// The state of one client connection.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientConnection {
+    phase: Phase,
+    phase_began: Millis,
+    consecutive_rejections: u32,
+    read_after: Millis,
+    discarded_bytes: usize,
+}
+
+impl ClientConnection {
+    /// A connection accepted at `now`.
+    pub fn new(now: Millis) -> Self {
+        ClientConnection {
+            phase: Phase::AwaitingFirstRequest,
+            phase_began: now,
+            consecutive_rejections: 0,
+            read_after: 0,
+            discarded_bytes: 0,
+        }
+    }
+
+    /// What it is occupied with.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// It enters a phase.
+    pub fn enter_phase(&mut self, phase: Phase, now: Millis) {
+        // A first request that comes in pieces has its time from connecting on.
+        let continues = phase == Phase::ReceivingRequest
+            && matches!(self.phase, Phase::AwaitingFirstRequest | Phase::ReceivingRequest);
+        self.phase = phase;
+        if !continues {
+            self.phase_began = now;
+        }
+    }
+
+    /// A request was rejected; the next one is read after a backoff.
+    pub fn request_rejected(&mut self, now: Millis) {
+        let doublings = self.consecutive_rejections.min(MAX_BACKOFF_DOUBLINGS);
+        self.read_after = now + (REJECTION_BACKOFF << doublings).min(MAX_REJECTION_BACKOFF);
+        self.consecutive_rejections += 1;
+    }
+
+    /// A request was accepted, which resets the backoff.
+    pub fn request_accepted(&mut self) {
+        self.consecutive_rejections = 0;
+    }
+
+    /// Whether its next request is read now.
+    pub fn may_read(&self, now: Millis) -> bool {
+        let awaits_request =
+            matches!(self.phase, Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle);
+        now >= self.read_after && awaits_request
+    }
+
+    /// Bytes were received behind its end and discarded. True: it has sent enough to be cut off.
+    pub fn bytes_discarded(&mut self, bytes: usize) -> bool {
+        self.discarded_bytes += bytes;
+        self.discarded_bytes >= MAX_DISCARDED_BYTES
+    }
+
+    /// The periodic check: what is due for it now. `shutdown`: the host's graceful shutdown, once it has begun.
+    pub fn check_timeouts(&self, now: Millis, shutdown: Option<GracefulShutdown>) -> TimeoutAction {
+        let age = now.saturating_sub(self.phase_began);
+        let rejects_clients = shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
+        match self.phase {
+            Phase::AwaitingFirstRequest if age >= REQUEST_TIMEOUT || rejects_clients => TimeoutAction::Close,
+            Phase::ReceivingRequest if age >= REQUEST_TIMEOUT => TimeoutAction::RejectLateRequest,
+            Phase::SendingResponse if age >= RESPONSE_TIMEOUT => TimeoutAction::Close,
+            Phase::Idle if age >= IDLE_TIMEOUT || rejects_clients => TimeoutAction::Close,
+            Phase::Lingering if age >= LINGER_TIMEOUT => TimeoutAction::Close,
+            _ => TimeoutAction::Nothing,
+        }
+    }
+
+    /// Its order of eviction, the longest in its phase first. None: it is not evicted.
+    fn eviction_key(&self, now: Millis) -> Option<(EvictionRank, Millis)> {
+        let age = now.saturating_sub(self.phase_began);
+        let rank = match self.phase {
+            Phase::Lingering => EvictionRank::Lingering,
+            Phase::Idle if age >= EVICTABLE_AFTER_IDLE => EvictionRank::LongIdle,
+            Phase::AwaitingFirstRequest => EvictionRank::AwaitingFirstRequest,
+            Phase::Idle => EvictionRank::RecentlyIdle,
+            Phase::ReceivingRequest | Phase::InFlight | Phase::SendingResponse => return None,
+        };
+        Some((rank, self.phase_began))
+    }
+}
+
+/// Whether the result of a poll is too old to tell that a client is still connected. `since_poll`: milliseconds
+/// since the poll returned.
+pub fn poll_result_is_stale(since_poll: Millis) -> bool {
+    since_poll > POLL_RESULT_LIFETIME
+}
+
+/// Which connection is evicted for a new one: one that is finished, then the longest idle of those idle for
+/// long, then the one that has waited longest for its first request, then the longest idle. Clients that send
+/// nothing, or stay after one request, so evict each other.
+///
+/// `connections`: index and state of those that were checked and had nothing to read. None: nothing may be
+/// evicted, and the new connection is closed at once.
+pub fn eviction_candidate<'a>(
+    connections: impl Iterator<Item = (u32, &'a ClientConnection)>,
+    now: Millis,
+) -> Option<u32> {
+    let ranked = connections.filter_map(|(index, state)| Some((state.eviction_key(now)?, index)));
+    ranked.min().map(|(_, index)| index)
+}
--- /dev/null
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -0,0 +1,60 @@
+//! Graceful shutdown: a host that was asked to end admits block I/Os for as long as their answers can be out
+//! before it is killed. A host that ends sooner leaves its clients without one until it is started anew.
+use crate::Millis;
+
+/// Milliseconds for which a host stopped by an operator still admits clients. The platform counts what comes
+/// later than 0.7 s as the host's own loss should it stay unanswered.
+pub const OPERATOR_GRACE: Millis = 650;
+/// After SIGTERM the platform sends SIGKILL no sooner than the longest deadline, counted as this at most, and
+/// [`KILL_DELAY`]. Milliseconds.
+pub const MAX_COUNTED_DEADLINE: Millis = 3_000;
+/// Milliseconds from the end of the longest deadline to SIGKILL.
+pub const KILL_DELAY: Millis = 700;
+/// Milliseconds before SIGKILL by which the last answer is out: a busy machine's way to the client.
+pub const KILL_MARGIN: Millis = 60;
+
+/// A graceful shutdown that has begun.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GracefulShutdown {
+    admits_until: Millis,
+    answer_deadline: Option<Millis>,
+}
+
+impl GracefulShutdown {
+    /// Requested at `now` by the platform (SIGTERM), which kills after a while. `longest_deadline`: of any
+    /// block I/O. `longest_objective`: the longest latency objective; a client that has less time left than
+    /// that is better served by a closed connection, on which it goes to another host.
+    pub fn by_platform(now: Millis, longest_deadline: Millis, longest_objective: Millis) -> Self {
+        let answer_deadline = now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+        GracefulShutdown {
+            admits_until: answer_deadline - longest_objective.min(longest_deadline),
+            answer_deadline: Some(answer_deadline),
+        }
+    }
+
+    /// Requested at `now` by an operator (SIGINT): nobody kills, and somebody waits for the end.
+    pub fn by_operator(now: Millis) -> Self {
+        GracefulShutdown { admits_until: now + OPERATOR_GRACE, answer_deadline: None }
+    }
+
+    /// Whether clients are still admitted, and responses are not yet the last on their connections.
+    pub fn admits_clients(&self, now: Millis) -> bool {
+        now < self.admits_until
+    }
+
+    /// By when whatever is admitted must be answered. None: within its own deadline.
+    pub fn answer_deadline(&self) -> Option<Millis> {
+        self.answer_deadline
+    }
+
+    /// Whether a block I/O that the host cannot wait for any longer may be retried without harm: any attempt
+    /// that was made of it may have run.
+    pub fn is_safe_to_retry(attempts: u32) -> bool {
+        attempts == 0
+    }
+
+    /// Whether the host may end, with this many clients connected.
+    pub fn is_complete(&self, now: Millis, clients: usize) -> bool {
+        !self.admits_clients(now) && clients == 0
+    }
+}
--- /dev/null
+++ b/crates/connection-policy/tests/node_connection.rs
@@ -0,0 +1,46 @@
+//! Opening and closing of connections to nodes.
+use mallowseam_connection_policy::node_connection::{
+    ABORT_TIMEOUT, CloseReason, LOGIN_TIMEOUT, NodeConnection,
+};
+
+fn ready_connection() -> NodeConnection {
+    let mut connection = NodeConnection::default();
+    connection.open_if_closed(0);
+    connection.login_finished();
+    connection
+}
+
+#[test]
+fn hanging_connect_is_given_up_and_reopened_by_the_next_attempt() {
+    let mut connection = NodeConnection::default();
+    assert!(connection.open_if_closed(10) && !connection.open_if_closed(11));
+    assert_eq!(connection.check_timeouts(10 + LOGIN_TIMEOUT - 1, 1), None);
+    assert_eq!(connection.check_timeouts(10 + LOGIN_TIMEOUT, 1), Some(CloseReason::LoginTimeout));
+    connection.closed();
+    assert!(connection.open_if_closed(2_000));
+    connection.login_finished();
+    assert_eq!(connection.check_timeouts(9_000, 1), None);
+}
+
+#[test]
+fn node_that_leaves_aborts_unanswered_loses_its_connection_and_slow_node_does_not() {
+    let mut connection = ready_connection();
+    assert_eq!(connection.check_timeouts(100_000, 30), None);
+    connection.abort_sent(100);
+    connection.abort_sent(200);
+    connection.abort_answered(900);
+    assert_eq!(connection.check_timeouts(900 + ABORT_TIMEOUT - 1, 1), None);
+    assert_eq!(connection.check_timeouts(900 + ABORT_TIMEOUT, 1), Some(CloseReason::AbortTimeout));
+    connection.abort_answered(1_000);
+    assert_eq!(connection.check_timeouts(100_000, 1), None);
+}
+
+#[test]
+fn connection_of_a_removed_node_is_closed_once_nothing_is_in_flight() {
+    let mut connection = ready_connection();
+    connection.set_node_removed(true);
+    assert_eq!(connection.check_timeouts(1, 1), None);
+    assert_eq!(connection.check_timeouts(1, 0), Some(CloseReason::NodeRemoved));
+    connection.set_node_removed(false);
+    assert_eq!(connection.check_timeouts(1, 0), None);
+}
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -2,7 +2,9 @@
 use crate::clock::millis;
 use crate::slots::Slots;
 use crate::wire::{self, Tried};
-use mallowseam_conduct::door::{Care, Door, Shut, Standing};
+use mallowseam_connection_policy::admission::{
+    AdmissionController, ConnectionState, LoginRejection, TimeoutAction,
+};
 use mallowseam_iscsi::login::{Admit, Refusal, Who};
 use mallowseam_iscsi::target::{Came, TargetConn, TargetTerms};
 use mallowseam_scheduler::host::Tick;
@@ -24,7 +26,7 @@
 
 pub struct Clients {
     pub all: Slots<Client>,
-    pub door: Door,
+    pub admission: AdmissionController,
     terms: Rc<TargetTerms>,
     registry: Registry,
     first_token: usize,
@@ -34,32 +36,38 @@
     replaced: Vec<u32>,
 }
 
-/// Hands a login to the door.
-struct Doorman<'a> {
-    door: &'a mut Door,
+/// Passes a login to the admission controller.
+struct LoginAdmission<'a> {
+    admission: &'a mut AdmissionController,
     at: usize,
     replaced: &'a mut Vec<u32>,
 }
 
-impl Admit for Doorman<'_> {
+impl Admit for LoginAdmission<'_> {
     fn admit(&mut self, who: &Who) -> Result<u16, Refusal> {
-        let entry = self.door.login(self.at, &who.initiator, who.target.as_deref(), who.isid, who.tsih);
-        let entry = entry.map_err(|shut| match shut {
-            Shut::NoSuchTarget => Refusal::NOT_FOUND,
-            Shut::NoSession => Refusal::NO_SESSION,
-            Shut::Draining => Refusal::UNAVAILABLE,
-            Shut::Full => Refusal::OUT_OF_RESOURCES,
+        let session =
+            self.admission.login(self.at, &who.initiator, who.target.as_deref(), who.isid, who.tsih);
+        let session = session.map_err(|rejection| match rejection {
+            LoginRejection::NoSuchTarget => Refusal::NOT_FOUND,
+            LoginRejection::NoSuchSession => Refusal::NO_SESSION,
+            LoginRejection::Draining => Refusal::UNAVAILABLE,
+            LoginRejection::OutOfResources => Refusal::OUT_OF_RESOURCES,
         })?;
-        self.replaced.extend(entry.replaces.map(|at| at as u32));
-        Ok(entry.handle)
+        self.replaced.extend(session.replaces.map(|at| at as u32));
+        Ok(session.handle)
     }
 }
 
 impl Clients {
-    pub fn new(door: Door, terms: Rc<TargetTerms>, registry: Registry, first: usize) -> Self {
+    pub fn new(
+        admission: AdmissionController,
+        terms: Rc<TargetTerms>,
+        registry: Registry,
+        first: usize,
+    ) -> Self {
         Clients {
             all: Slots::default(),
-            door,
+            admission,
             terms,
             registry,
             first_token: first,
@@ -73,14 +81,14 @@
         let _ = socket.set_nodelay(true);
         let conn = TargetConn::new(Rc::clone(&self.terms));
         let at = self.all.next();
-        if !self.door.opened(at as usize, millis(now)) {
+        if !self.admission.admit_connection(at as usize, millis(now)) {
             tracing::warn!(%peer, "connection turned away: no room");
             return;
         }
         let token = Token(self.first_token + at as usize);
         if let Err(e) = self.registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE) {
             tracing::warn!(%peer, error = %e, "connection turned away");
-            self.door.closed(at as usize);
+            self.admission.connection_closed(at as usize);
             return;
         }
         let client = Client {
@@ -108,16 +116,19 @@
     pub fn read(&mut self, at: u32, scratch: &mut [u8], now: Tick) -> bool {
         let Some(client) = self.all.get_mut(at) else { return false };
         let waiting = client.conn.out().waiting().len();
-        if !client.readable || !self.door.reads(waiting) {
+        if !client.readable || !self.admission.may_read(waiting) {
             return false;
         }
         match wire::read(&mut client.socket, scratch) {
             Tried::Blocked => client.readable = false,
             Tried::Read(n) => {
-                self.door.heard(at as usize, millis(now));
-                let mut doorman =
-                    Doorman { door: &mut self.door, at: at as usize, replaced: &mut self.replaced };
-                let received = client.conn.receive(&scratch[..n], &mut doorman);
+                self.admission.bytes_received(at as usize, millis(now));
+                let mut login_admission = LoginAdmission {
+                    admission: &mut self.admission,
+                    at: at as usize,
+                    replaced: &mut self.replaced,
+                };
+                let received = client.conn.receive(&scratch[..n], &mut login_admission);
                 self.mark(at);
                 match received {
                     Ok(()) => return true,
@@ -155,7 +166,7 @@
         client.dirty = false;
         match wire::write(&mut client.socket, client.conn.out()) {
             Ok(0) => {}
-            Ok(_) => self.door.wrote(at as usize, millis(now)),
+            Ok(_) => self.admission.bytes_sent(at as usize, millis(now)),
             Err(why) => return self.close(at, &why),
         }
         if client.conn.closing() && client.conn.out().waiting().is_empty() {
@@ -169,7 +180,7 @@
             self.flush_one(at, now);
             if let Some(client) = self.all.get_mut(at)
                 && client.readable
-                && self.door.reads(client.conn.out().waiting().len())
+                && self.admission.may_read(client.conn.out().waiting().len())
             {
                 again.push(at);
             }
@@ -179,7 +190,7 @@
     pub fn close(&mut self, at: u32, why: &str) {
         if let Some(mut client) = self.all.take(at) {
             let _ = self.registry.deregister(&mut client.socket);
-            self.door.closed(at as usize);
+            self.admission.connection_closed(at as usize);
             tracing::info!(peer = %client.peer, name = client.name, why, "client connection closed");
             self.closed.push((at, client.commands));
         }
@@ -204,28 +215,28 @@
     pub fn care(&mut self, now: Tick) {
         for at in self.all.indices() {
             let Some(client) = self.all.get_mut(at) else { continue };
-            let standing = Standing {
-                midway: client.conn.midway(),
-                waiting: client.conn.out().waiting().len(),
-                in_hand: client.conn.in_hand(),
+            let state = ConnectionState {
+                pdu_incomplete: client.conn.midway(),
+                unsent_bytes: client.conn.out().waiting().len(),
+                in_flight: client.conn.in_hand(),
             };
-            match self.door.care(at as usize, millis(now), standing) {
-                Care::Nothing => {}
-                Care::Ping => {
+            match self.admission.check_timeouts(at as usize, millis(now), state) {
+                TimeoutAction::Nothing => {}
+                TimeoutAction::Ping => {
                     client.conn.ping();
                     self.mark(at);
                 }
-                Care::End(why) => self.close(at, why.words()),
+                TimeoutAction::Close(reason) => self.close(at, reason.as_str()),
             }
         }
     }
 
-    /// Closes the door and asks every client to log out.
+    /// Begins to drain and asks every client to log out.
     pub fn drain(&mut self, now: Tick) -> bool {
-        if !self.door.drain(millis(now)) {
+        if !self.admission.start_draining(millis(now)) {
             return false;
         }
-        let within = self.door.leave_within();
+        let within = self.admission.logout_seconds();
         for at in self.all.indices() {
             if let Some(client) = self.all.get_mut(at).filter(|c| c.conn.logged_in()) {
                 client.conn.ask_logout(within);
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -10,7 +10,8 @@
 use crate::nodes::{self, Nodes, Order};
 use crate::slots::Slots;
 use crate::terms::layout;
-use mallowseam_conduct::parts::{End, Extent, Layout, Part, Whole};
+use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
+use mallowseam_connection_policy::request_splitting::{Extent, SubRequest, VolumeLayout};
 use mallowseam_cow::cache::{Look, TELL_AGAIN};
 use mallowseam_cow::copies::{self, Copies};
 use mallowseam_cow::pieces::{Go, Pieces};
@@ -45,7 +46,7 @@
     blocks: u64,
     block_size: u32,
     hosts: u32,
-    layout: Layout,
+    layout: VolumeLayout,
     /// The branch whose extents it shows, where the catalog says where its blocks lie.
     branch: Option<Rc<str>>,
 }
@@ -89,7 +90,7 @@
 struct Command {
     client: u32,
     task: u32,
-    whole: Whole,
+    progress: CommandProgress,
     /// Its block I/Os: the first of a chain, and how many still have a place.
     first: u32,
     alive: u32,
@@ -123,7 +124,7 @@
     copies: Option<(LayerId, u32)>,
     /// Comes back from the scheduler to be looked up again.
     returns: bool,
-    part: Part,
+    part: SubRequest,
     taken: Tick,
     handed: bool,
     submits: u32,
@@ -149,7 +150,7 @@
     timers: BinaryHeap<Reverse<(Tick, u32)>>,
     ended: VecDeque<(BioId, Outcome)>,
     gone: VecDeque<BioId>,
-    parts: Vec<Part>,
+    parts: Vec<SubRequest>,
     pub map: Option<Map>,
     extent: u64,
     copy_group: usize,
@@ -272,8 +273,8 @@
 
     /// The client of a command is not there for an answer any more.
     fn leave(&mut self, at: u32) {
-        let Some(command) = self.commands.get_mut(at).filter(|c| !c.whole.answered()) else { return };
-        command.whole.gone();
+        let Some(command) = self.commands.get_mut(at).filter(|c| !c.progress.is_answered()) else { return };
+        command.progress.client_disconnected();
         command.client = NONE;
         self.figures.commands.left += 1;
         self.let_go(at);
@@ -369,7 +370,7 @@
     /// A block I/O has ended.
     fn done(&mut self, at: u32, mut data: Vec<u8>) {
         let io = self.ios.get(at).expect("in hand");
-        let group = io.part.group as usize;
+        let group = io.part.class as usize;
         let figures = &mut self.figures.groups[group];
         figures.answers.ended += 1;
         if io.copies.is_none() {
@@ -382,7 +383,7 @@
         if io.copies.is_some() {
             return self.copied(at, data);
         }
-        let (from, bytes) = (io.part.from as usize, io.part.blocks as usize);
+        let (from, bytes) = (io.part.offset as usize, io.part.blocks as usize);
         let (command_at, place) = (io.command, io.place);
         let Some(command) = self.commands.get_mut(command_at) else { return };
         if let Some((layer, _)) = place {
@@ -393,7 +394,7 @@
             command.read[from..from + bytes].copy_from_slice(&data);
             data = Vec::new();
         }
-        self.part_over(command_at, End::Ended, &data);
+        self.part_over(command_at, RequestOutcome::Completed, &data);
     }
 
     /// A submit is over: its outcome is told to the scheduler after the present call.
@@ -401,11 +402,11 @@
         let Some(io) = self.ios.get_mut(at) else { return };
         let Some(out) = io.out.take() else { return };
         self.figures.nodes[out.node as usize].count(ending);
-        if self.groups[io.part.group as usize].side_effecting
+        if self.groups[io.part.class as usize].side_effecting
             && matches!(ending, Ending::Busy | Ending::NoConnect | Ending::Moot)
             && let Some(command) = self.commands.get_mut(io.command)
         {
-            command.whole.not_run();
+            command.progress.attempt_did_not_run();
         }
         let outcome = Outcome {
             ending,
@@ -445,34 +446,34 @@
     }
 
     /// A part of a command is over; the client gets its answer if this decides it.
-    fn part_over(&mut self, at: u32, end: End, data: &[u8]) {
+    fn part_over(&mut self, at: u32, end: RequestOutcome, data: &[u8]) {
         let Some(command) = self.commands.get_mut(at) else { return };
-        let Some(answer) = command.whole.over(end) else { return };
+        let Some(answer) = command.progress.sub_request_finished(end) else { return };
         let (client, task) = (command.client, command.task);
         let read = std::mem::take(&mut command.read);
         let counts = &mut self.figures.commands;
         match answer {
-            End::Ended => counts.ended += 1,
-            End::Shed(_) => counts.shed += 1,
-            End::Failed => counts.failed += 1,
+            RequestOutcome::Completed => counts.ended += 1,
+            RequestOutcome::Shed { .. } => counts.shed += 1,
+            RequestOutcome::Failed => counts.failed += 1,
         }
         if let Some(c) = self.clients.all.get_mut(client) {
             c.commands.retain(|t| t.0 != task);
         }
         if let Some(conn) = self.clients.answer(client) {
             match answer {
-                End::Ended if read.is_empty() => conn.good(task, data),
-                End::Ended => conn.good(task, &read),
-                End::Shed(after) => {
+                RequestOutcome::Completed if read.is_empty() => conn.good(task, data),
+                RequestOutcome::Completed => conn.good(task, &read),
+                RequestOutcome::Shed { retry_after: after } => {
                     let tenths = (after + COME_BACK - 1) / COME_BACK;
                     conn.other(task, status::BUSY, None, tenths.clamp(0, 0x3fef) as u16);
                 }
-                End::Failed => {
+                RequestOutcome::Failed => {
                     conn.other(task, status::CHECK_CONDITION, Some(Sense::UNKNOWN_OUTCOME), 0);
                 }
             }
         }
-        if answer != End::Ended {
+        if answer != RequestOutcome::Completed {
             self.let_go(at);
         }
     }
@@ -515,11 +516,13 @@
             return self.good(client, task, &[]);
         }
         let mut parts = std::mem::take(&mut self.parts);
-        if !volume.layout.cut(write, lba, blocks, &mut parts) {
+        if volume.layout.split(write, lba, blocks, &mut parts).is_err() {
             self.parts = parts;
             return self.refuse(client, task, Sense::OUT_OF_RANGE);
         }
-        if !self.clients.door.takes(crate::clock::millis(self.now)) || self.ios.len() + parts.len() > PLACES {
+        if !self.clients.admission.admits_commands(crate::clock::millis(self.now))
+            || self.ios.len() + parts.len() > PLACES
+        {
             // Never taken, so trying again is harmless.
             self.parts = parts;
             if let Some(conn) = self.clients.answer(client) {
@@ -532,7 +535,7 @@
         let command = self.commands.put(Command {
             client,
             task,
-            whole: Whole::of(parts.len() as u32),
+            progress: CommandProgress::new(parts.len() as u32),
             first: NONE,
             alive: parts.len() as u32,
             write,
@@ -574,7 +577,7 @@
             next = io.next;
             self.seq += 1;
             io.seq = self.seq;
-            if self.commands.get(command).is_some_and(|c| c.whole.answered()) {
+            if self.commands.get(command).is_some_and(|c| c.progress.is_answered()) {
                 // An earlier part has decided the answer: the scheduler never hears of this one.
                 self.forget(at);
             } else if io.branch.is_some() {
@@ -591,7 +594,7 @@
         io.handed = true;
         let part = io.part;
         let volume = &self.volumes[io.vol];
-        let key = part.key.map(|key| KeyId(self.keys.enter(&(io.lun, key))));
+        let key = part.ordering_key.map(|key| KeyId(self.keys.enter(&(io.lun, key))));
         let bytes = u64::from(part.blocks) * u64::from(volume.block_size);
         let shard = match (io.place, io.copies) {
             (Some((_, place)), _) => Some(self.shards[place.node as usize]),
@@ -601,16 +604,16 @@
         };
         let bio = Bio {
             id: BioId(at),
-            group: part.group,
+            group: part.class,
             plan: volume.plan,
             vol: VolId(io.vol as u32),
             key,
-            hard_limit: io.taken + self.groups[part.group as usize].hard_limit,
+            hard_limit: io.taken + self.groups[part.class as usize].hard_limit,
             units: bytes.div_ceil(self.unit) as f64,
             shard,
             hosts: volume.hosts,
         };
-        self.figures.groups[part.group as usize].answers.taken += 1;
+        self.figures.groups[part.class as usize].answers.taken += 1;
         if io.copies.is_none() {
             self.figures.volumes[io.vol].asked += bio.units;
         }
@@ -647,13 +650,13 @@
         }
     }
 
-    fn give_up(&mut self, bio: BioId, end: End) {
+    fn give_up(&mut self, bio: BioId, end: RequestOutcome) {
         let Some(io) = self.ios.get_mut(bio.0).filter(|io| !io.answered) else { return };
         // A copy that is given up has no client: its place is given back with its state as it is.
         io.answered = io.copies.is_none();
-        let answers = &mut self.figures.groups[io.part.group as usize].answers;
+        let answers = &mut self.figures.groups[io.part.class as usize].answers;
         match end {
-            End::Shed(_) => answers.shed += 1,
+            RequestOutcome::Shed { .. } => answers.shed += 1,
             _ => answers.failed += 1,
         }
         let command = io.command;
@@ -662,10 +665,10 @@
 }
 
 /// Extents of a mapped volume, each its own shard until it is looked up.
-fn mapped(site: &Site, v: &site::Volume, extent: u64) -> Layout {
+fn mapped(site: &Site, v: &site::Volume, extent: u64) -> VolumeLayout {
     let count = v.blocks / extent.max(1);
-    let one = |i| Extent { first: i * extent, blocks: extent, shard: i as u32, node_first: 0 };
-    Layout { extents: (0..count).map(one).collect(), rules: layout(site, v).rules }
+    let one = |i| Extent { first_block: i * extent, blocks: extent, shard: i as u32, first_node_block: 0 };
+    VolumeLayout { extents: (0..count).map(one).collect(), rules: layout(site, v).rules }
 }
 
 impl Host for Desk {
@@ -682,11 +685,11 @@
         let (part, vol, copies) = (io.part, io.vol, io.copies);
         let mut place = io.place;
         let block_size = self.volumes[vol].block_size as usize;
-        let (from, len) = (part.from as usize * block_size, part.blocks as usize * block_size);
+        let (from, len) = (part.offset as usize * block_size, part.blocks as usize * block_size);
         let (write, mark, data) = match (self.commands.get_mut(io.command), copies) {
             (Some(command), _) => {
-                if self.groups[part.group as usize].side_effecting {
-                    command.whole.sent();
+                if self.groups[part.class as usize].side_effecting {
+                    command.progress.attempt_sent();
                 }
                 let data = if command.write { command.data.piece(from, len) } else { Payload::default() };
                 (command.write, command.mark, data)
@@ -730,11 +733,11 @@
     }
 
     fn shed(&mut self, bio: BioId, come_back: Tick) {
-        self.give_up(bio, End::Shed(come_back));
+        self.give_up(bio, RequestOutcome::Shed { retry_after: come_back });
     }
 
     fn fail(&mut self, bio: BioId) {
-        self.give_up(bio, End::Failed);
+        self.give_up(bio, RequestOutcome::Failed);
     }
 
     fn wake(&mut self, after: Tick) {
--- a/crates/gateway/src/desk/mapped.rs
+++ b/crates/gateway/src/desk/mapped.rs
@@ -101,7 +101,7 @@
                 let bytes = io.part.blocks as usize * self.volumes[vol].block_size as usize;
                 let io = self.ios.get_mut(at).expect("in hand");
                 io.answered = true;
-                self.figures.groups[io.part.group as usize].answers.taken += 1;
+                self.figures.groups[io.part.class as usize].answers.taken += 1;
                 self.done(at, vec![0; bytes]);
                 self.forget(at);
                 true
@@ -113,7 +113,7 @@
             }
             Look::Later | Look::Unsure => false,
             Look::NoSuchBranch => {
-                self.give_up(BioId(at), End::Failed);
+                self.give_up(BioId(at), RequestOutcome::Failed);
                 self.forget(at);
                 true
             }
@@ -149,7 +149,7 @@
                 false
             }
             Go::Never => {
-                self.give_up(BioId(at), End::Failed);
+                self.give_up(BioId(at), RequestOutcome::Failed);
                 self.forget(at);
                 false
             }
@@ -172,7 +172,7 @@
         let (ios, commands) = (&self.ios, &self.commands);
         let holds = |layer: LayerId, branch: &str| {
             let several =
-                |at: u32| commands.get(at).filter(|c| c.write && c.parts > 1 && !c.whole.answered());
+                |at: u32| commands.get(at).filter(|c| c.write && c.parts > 1 && !c.progress.is_answered());
             ios.iter().any(|(_, io)| {
                 let here = io.branch.as_deref() == Some(branch);
                 let under_way = io.place.is_some_and(|p| p.0 == layer) && !io.answered;
@@ -204,9 +204,9 @@
             if io.answered {
                 self.forget(at);
                 moved = true;
-            } else if self.now >= io.taken + self.groups[io.part.group as usize].goal {
+            } else if self.now >= io.taken + self.groups[io.part.class as usize].goal {
                 // Past its goal: the answer at once. It has not been sent, so trying again is harmless.
-                self.give_up(BioId(at), End::Shed(0));
+                self.give_up(BioId(at), RequestOutcome::Shed { retry_after: 0 });
                 self.forget(at);
                 moved = true;
             } else if behind.contains(&here) || !self.go(scheduler, at) {
@@ -279,8 +279,14 @@
         let copy = &self.copying[&to];
         let reading = copy.state == Copying::Reading;
         let blocks = if reading || copy.from.is_some() { self.extent as u32 } else { 1 };
-        let part =
-            Part { from: 0, blocks, shard: to.1, node_lba: 0, group: self.copy_group as u16, key: None };
+        let part = SubRequest {
+            offset: 0,
+            blocks,
+            shard: to.1,
+            node_lba: 0,
+            class: self.copy_group as u16,
+            ordering_key: None,
+        };
         self.seq += 1;
         let io = Io {
             command: NONE,
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,7 +1,7 @@
 //! The connection to the node list service, and the copy of the list kept for the next start.
 use crate::clock::millis;
 use crate::wire::{self, Tried};
-use mallowseam_conduct::lines::ListCall;
+use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
 use mallowseam_nodelist::{Condition, Entry, Heard, Register, Update};
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
 use mallowseam_settings::site;
@@ -33,7 +33,7 @@
     readable: bool,
     asked: Vec<u8>,
     register: Register,
-    call: ListCall,
+    request: EndpointListRequest,
     news: VecDeque<(ListForm, Vec<Listed>)>,
 }
 
@@ -65,7 +65,7 @@
             readable: false,
             asked: Vec::new(),
             register: Register::default(),
-            call: ListCall::default(),
+            request: EndpointListRequest::default(),
             news: VecDeque::new(),
         }
     }
@@ -108,7 +108,7 @@
     /// Asks for the list and its changes.
     pub fn watch(&mut self, now: Tick) {
         let Some(address) = self.address else { return };
-        self.call.asked(millis(now));
+        self.request.sent(millis(now));
         if self.socket.is_none() {
             match TcpStream::connect(address) {
                 Ok(mut socket) => {
@@ -132,7 +132,7 @@
         if let Some(mut socket) = self.socket.take() {
             let _ = self.registry.deregister(&mut socket);
         }
-        self.call.over();
+        self.request.finished();
         self.news.push_back((ListForm::Failed, Vec::new()));
     }
 
@@ -167,12 +167,12 @@
         match heard {
             Heard::Nothing => {}
             Heard::Missed => {
-                self.call.asked(millis(now));
+                self.request.sent(millis(now));
                 self.asked.extend_from_slice(format!("all {}\n", self.host).as_bytes());
                 self.flush();
             }
             Heard::News(update) => {
-                self.call.over();
+                self.request.finished();
                 let form = if update.whole { ListForm::Whole } else { ListForm::Changes };
                 self.tell(form, update, now);
                 self.keep();
@@ -236,7 +236,7 @@
 
     /// A call that the service does not answer has failed.
     pub fn care(&mut self, now: Tick) {
-        if self.call.failed(millis(now)) {
+        if self.request.has_timed_out(millis(now)) {
             self.fail("no answer in time");
         }
     }
--- a/crates/gateway/src/nodes.rs
+++ b/crates/gateway/src/nodes.rs
@@ -2,7 +2,7 @@
 //! submit first asks for it; submits wait for its login in a queue that their own time-outs bound.
 use crate::clock::millis;
 use crate::wire::{self, Tried};
-use mallowseam_conduct::lines::Line;
+use mallowseam_connection_policy::node_connection::NodeConnection;
 use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{Sense, status};
@@ -43,7 +43,7 @@
     address: SocketAddr,
     target: String,
     lun: u32,
-    pub line: Line,
+    pub connection: NodeConnection,
     link: Option<Link>,
     queue: VecDeque<Order>,
     dirty: bool,
@@ -73,7 +73,7 @@
             address: n.address.expect("checked"),
             target: n.target.clone(),
             lun: n.lun.into(),
-            line: Line::default(),
+            connection: NodeConnection::default(),
             link: None,
             queue: VecDeque::new(),
             dirty: false,
@@ -107,8 +107,8 @@
     pub fn submit(&mut self, at: usize, order: Order, now: Tick) {
         let tag = order.tag;
         let node = &mut self.all[at];
-        if node.line.is_up() {
-            let link = node.link.as_mut().expect("a line that is up has a link");
+        if node.connection.is_ready() {
+            let link = node.link.as_mut().expect("a connection that is ready has a link");
             let Order { cdb, room, data, lun, .. } = order;
             if link.conn.command(tag, lun.unwrap_or(node.lun), &cdb, room, data) {
                 self.mark(at);
@@ -119,7 +119,7 @@
             return;
         }
         node.queue.push_back(order);
-        if node.line.wanted(millis(now))
+        if node.connection.open_if_closed(millis(now))
             && let Err(why) = self.open(at)
         {
             self.fail_line(at, &why);
@@ -158,7 +158,7 @@
         }
         if let Some(link) = &mut node.link {
             link.conn.abort(tag);
-            node.line.aborted(millis(now));
+            node.connection.abort_sent(millis(now));
             self.mark(at);
         }
         false
@@ -167,7 +167,7 @@
     /// Drops a connection: what was sent on it may have run, what was not has not.
     pub fn drop_line(&mut self, at: usize) {
         let node = &mut self.all[at];
-        node.line.down();
+        node.connection.closed();
         for order in std::mem::take(&mut node.queue) {
             self.results.push_back((
                 at,
@@ -219,7 +219,7 @@
             match came {
                 Came::LoggedIn => {
                     tracing::info!(node = self.all[at].name, "connected");
-                    self.all[at].line.up();
+                    self.all[at].connection.login_finished();
                     for order in std::mem::take(&mut self.all[at].queue) {
                         self.submit(at, order, now);
                     }
@@ -240,7 +240,7 @@
                     tracing::warn!(node = self.all[at].name, reason, "command rejected");
                     self.end(at, tag, Ending::Error, Vec::new());
                 }
-                Came::Gone { .. } => self.all[at].line.abort_answered(millis(now)),
+                Came::Gone { .. } => self.all[at].connection.abort_answered(millis(now)),
                 Came::AskedOut => {
                     if let Some(link) = &mut self.all[at].link {
                         link.conn.logout();
@@ -273,8 +273,8 @@
         for at in 0..self.all.len() {
             let node = &self.all[at];
             let out = node.link.as_ref().map_or(0, |l| l.conn.in_hand());
-            if let Some(why) = node.line.care(millis(now), out) {
-                self.fail_line(at, why.words());
+            if let Some(reason) = node.connection.check_timeouts(millis(now), out) {
+                self.fail_line(at, reason.as_str());
             }
         }
     }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! The event loop: one thread, every decision the scheduler's or a conduct module's.
+//! The event loop: one thread, every decision the scheduler's or a connection policy's.
 use crate::clients::Clients;
 use crate::clock::{Clock, millis, span};
 use crate::control::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
@@ -9,7 +9,7 @@
 use crate::nodes::Nodes;
 use crate::opening::{Failure, control, failure, listen, signals};
 use crate::terms;
-use mallowseam_conduct::door::Door;
+use mallowseam_connection_policy::admission::AdmissionController;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
 use mallowseam_iscsi::frame::Digests;
@@ -120,8 +120,8 @@
             names: vec![site.host.target.clone()],
             address: bound.to_string(),
         });
-        let door = Door::new(&site.host.target, site.host.connections as usize);
-        let clients = Clients::new(door, targets, registry()?, NODES + site.nodes.len());
+        let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
+        let clients = Clients::new(admission, targets, registry()?, NODES + site.nodes.len());
         let initiator = format!("{}:{}", site.host.target, site.host.name);
         let nodes = Nodes::new(&site.nodes, initiator, wishes, registry()?, NODES);
         let map = match &site.catalog {
@@ -188,7 +188,7 @@
 
     /// Told to stop and nobody is left, or told twice.
     fn over(&self) -> bool {
-        let empty = self.desk.clients.door.count() == 0 && self.desk.in_hand() == 0;
+        let empty = self.desk.clients.admission.connection_count() == 0 && self.desk.in_hand() == 0;
         self.stops > 1 || self.stops == 1 && empty
     }
 
@@ -417,7 +417,9 @@
     fn hear_list(&mut self) {
         while let Some((form, listed)) = self.list.news() {
             for l in &listed {
-                self.desk.nodes.all[l.node.0 as usize].line.listed(l.state == NodeState::Left);
+                self.desk.nodes.all[l.node.0 as usize]
+                    .connection
+                    .set_node_removed(l.state == NodeState::Left);
             }
             let now = self.desk.now;
             self.scheduler.listed(&mut self.desk, now, form, &listed);
@@ -450,7 +452,7 @@
             "drain" => if self.drain("operator") { "draining" } else { "draining already" }.into(),
             "undrain" if self.stops > 0 => "error: the host is stopping".into(),
             "undrain" => {
-                self.desk.clients.door.undrain();
+                self.desk.clients.admission.stop_draining();
                 tracing::info!("open to logins");
                 "open".into()
             }
@@ -513,7 +515,7 @@
             let view = view.unwrap_or_default();
             NodeStatus {
                 name: n.name.clone(),
-                connected: n.line.is_up(),
+                connected: n.connection.is_ready(),
                 open: view.open,
                 cold: view.cold,
                 out: view.out,
@@ -534,8 +536,8 @@
         Status {
             host: self.site.host.name.clone(),
             up_seconds: millis(desk.now) as f64 / 1000.0,
-            draining: desk.clients.door.draining(),
-            connections: desk.clients.door.count(),
+            draining: desk.clients.admission.is_draining(),
+            connections: desk.clients.admission.connection_count(),
             in_hand: desk.in_hand(),
             buffer_bytes: desk.clients.held(),
             list_epoch,
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -1,6 +1,6 @@
 //! From the configuration to the scheduler's terms and the volumes' layouts.
 use crate::clock::{down, up};
-use mallowseam_conduct::parts::{Extent, Layout, Rule};
+use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
 use mallowseam_settings::Site;
 use mallowseam_settings::site::{self, Direction};
@@ -62,22 +62,22 @@
     site.plans.iter().map(plan).collect()
 }
 
-pub fn layout(site: &Site, volume: &site::Volume) -> Layout {
+pub fn layout(site: &Site, volume: &site::Volume) -> VolumeLayout {
     let extent = |e: &site::Extent| Extent {
-        first: e.first,
+        first_block: e.first,
         blocks: e.blocks,
         shard: site.nodes[e.node].shard,
-        node_first: e.node_first,
+        first_node_block: e.node_first,
     };
-    let rule = |r: &site::Rule| Rule {
-        reads: r.direction != Direction::Write,
-        writes: r.direction != Direction::Read,
-        first: r.first,
-        last: r.last,
-        group: r.group as u16,
-        key: r.key,
+    let rule = |r: &site::Rule| ClassRule {
+        matches_reads: r.direction != Direction::Write,
+        matches_writes: r.direction != Direction::Read,
+        first_block: r.first,
+        last_block: r.last,
+        class: r.group as u16,
+        blocks_per_key: r.key,
     };
-    Layout {
+    VolumeLayout {
         extents: volume.extents.iter().map(extent).collect(),
         rules: volume.rules.iter().map(rule).collect(),
     }
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -3,7 +3,7 @@
 use crate::fleet::turns::{Handled, Mood, Turns};
 use crate::plots;
 use crate::trace::Micros;
-use mallowseam_conduct::watch::Watch;
+use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_scheduler::host::*;
 use mallowseam_scheduler::scheduler::Scheduler;
 use rand::{RngExt, SeedableRng};
@@ -245,7 +245,7 @@
             self.hosts[host as usize].call = Some(call);
             let way = WAY + self.rng.random_range(0..WAY);
             self.after(way, Event::Arrives(host, call));
-            self.after(Watch::new(0).fails_at() * 1_000, Event::GivesUp(host, call));
+            self.after(WatchLiveness::new(0).fails_at() * 1_000, Event::GivesUp(host, call));
         }
     }
 }
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -2,7 +2,7 @@
 //! turns away, starts cold and falls over when pushed. It fails in the ways a script asks for.
 use crate::block;
 use crate::trace::{Micros, Trace, What};
-use mallowseam_conduct::door::Door;
+use mallowseam_connection_policy::admission::AdmissionController;
 use mallowseam_gateway::clients::Clients;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{self, Command, Sense, Unit, status};
@@ -202,7 +202,7 @@
         address: address.to_string(),
     };
     let registry = poll.registry().try_clone().expect("a registry");
-    Clients::new(Door::new(target, 256), Rc::new(terms), registry, FIRST)
+    Clients::new(AdmissionController::new(target, 256), Rc::new(terms), registry, FIRST)
 }
 
 struct Item {
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -1,7 +1,8 @@
 //! Connections of clients: requests are read off them one at a time, and answers written.
 use crate::{MESSAGE, take_front, tidy};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::{self, Care, Doing, Guest, Leaving};
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection::{self, ClientConnection, Phase, TimeoutAction};
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_http1::{Fault, RequestHead, RequestReader, Whole};
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
@@ -18,7 +19,7 @@
 
 struct Client {
     socket: TcpStream,
-    guest: Guest,
+    state: ClientConnection,
     /// What has come and is not yet done with; a request in hand stands at its front.
     buffer: Vec<u8>,
     reader: RequestReader,
@@ -41,7 +42,8 @@
 
     /// Whether more of a request has come that was not read yet.
     fn may_ask(&mut self) -> bool {
-        if !matches!(self.guest.doing(), Doing::Silent | Doing::Midway | Doing::Idle) {
+        if !matches!(self.state.phase(), Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle)
+        {
             return false;
         }
         self.readable |= matches!(self.socket.peek(&mut [0]), Ok(n) if n > 0);
@@ -74,7 +76,7 @@
     bytes: usize,
     bytes_most: usize,
     /// Since when the host is to end.
-    pub leaving: Option<Leaving>,
+    pub leaving: Option<GracefulShutdown>,
     /// Those with more to read or to look at.
     pub turns: VecDeque<u32>,
     pub counts: Counts,
@@ -138,7 +140,8 @@
         while self.full() {
             // One with something to read has not been looked at yet: it may just have sent its request.
             let looked = self.all.iter().filter(|(_, c)| !c.queued && !c.readable);
-            let Some(at) = front::gives_way(looked.map(|(at, c)| (at, &c.guest)), now) else {
+            let Some(at) = client_connection::eviction_candidate(looked.map(|(at, c)| (at, &c.state)), now)
+            else {
                 self.counts.turned_off += 1;
                 return;
             };
@@ -155,7 +158,7 @@
         }
         self.all.put(Client {
             socket,
-            guest: Guest::new(now),
+            state: ClientConnection::new(now),
             buffer: Vec::new(),
             reader: RequestReader::default(),
             whole: None,
@@ -207,12 +210,12 @@
     pub fn turn(&mut self, at: u32, scratch: &mut [u8], now: Millis) -> Came {
         let Some(client) = self.all.get_mut(at) else { return Came::Nothing };
         client.queued = false;
-        if client.guest.doing() == Doing::Lingers {
+        if client.state.phase() == Phase::Lingering {
             self.drop_rest(at, scratch);
             return Came::Nothing;
         }
         // While it rests, or has something in hand, what it sends waits in the socket.
-        if !client.guest.reads(now) {
+        if !client.state.may_read(now) {
             return Came::Nothing;
         }
         let before = client.bytes();
@@ -243,8 +246,8 @@
     fn read(client: &mut Client, scratch: &mut [u8], now: Millis) -> Result<bool, Option<Fault>> {
         loop {
             if !client.buffer.is_empty() {
-                if client.guest.doing() != Doing::Midway {
-                    client.guest.turns(Doing::Midway, now);
+                if client.state.phase() != Phase::ReceivingRequest {
+                    client.state.enter_phase(Phase::ReceivingRequest, now);
                 }
                 client.whole = client.reader.advance(&mut client.buffer, MESSAGE).map_err(Some)?;
                 if client.whole.is_some() {
@@ -277,7 +280,7 @@
         let Some(client) = self.all.get_mut(at) else { return };
         while client.readable {
             match wire::read(&mut client.socket, scratch) {
-                Tried::Read(count) if client.guest.dropped(count) => return self.close(at),
+                Tried::Read(count) if client.state.bytes_discarded(count) => return self.close(at),
                 Tried::Read(_) => {}
                 Tried::Blocked => client.readable = false,
                 Tried::Over(_) => return self.close(at),
@@ -302,8 +305,8 @@
     pub fn taken(&mut self, at: u32, bio: BioId, now: Millis) {
         if let Some(client) = self.all.get_mut(at) {
             client.bio = Some(bio);
-            client.guest.right();
-            client.guest.turns(Doing::InHand, now);
+            client.state.request_accepted();
+            client.state.enter_phase(Phase::InFlight, now);
         }
     }
 
@@ -311,7 +314,7 @@
     pub fn wrong(&mut self, at: u32, status: u16, words: &str, now: Millis) {
         self.counts.wrong += 1;
         if let Some(client) = self.all.get_mut(at) {
-            client.guest.wrong(now);
+            client.state.request_rejected(now);
         }
         self.answer(at, status, words.as_bytes(), 0, now);
     }
@@ -345,7 +348,7 @@
     ) {
         let Some(client) = self.all.get_mut(at) else { return };
         let before = client.bytes();
-        let ends = self.leaving.is_some_and(|l| !l.lets_in(now));
+        let ends = self.leaving.is_some_and(|l| !l.admits_clients(now));
         client.last |= ends || client.left || client.reader.closes();
         answer::write(&mut client.out.small, status, body, come_back, client.last);
         put(&mut client.out);
@@ -354,7 +357,7 @@
         }
         client.reader.next();
         client.bio = None;
-        client.guest.turns(Doing::Answered, now);
+        client.state.enter_phase(Phase::SendingResponse, now);
         self.bytes = self.bytes + client.bytes() - before;
         self.flush(at, now);
     }
@@ -382,16 +385,16 @@
         if pushed.is_err() {
             return self.close(at);
         }
-        if !client.out.is_empty() || client.guest.doing() != Doing::Answered {
+        if !client.out.is_empty() || client.state.phase() != Phase::SendingResponse {
             return;
         }
         if client.last {
             if client.socket.shutdown(Shutdown::Write).is_err() {
                 return self.close(at);
             }
-            client.guest.turns(Doing::Lingers, now);
+            client.state.enter_phase(Phase::Lingering, now);
         } else {
-            client.guest.turns(Doing::Idle, now);
+            client.state.enter_phase(Phase::Idle, now);
         }
         self.queue(at);
     }
@@ -400,24 +403,24 @@
     pub fn look(&mut self, now: Millis) {
         for at in 0..self.all.places() {
             let Some(client) = self.all.get_mut(at) else { continue };
-            match client.guest.care(now, self.leaving) {
+            match client.state.check_timeouts(now, self.leaving) {
                 // What stands in its socket is looked at first: it may be a whole request.
-                Care::Close | Care::Late if client.queued => {}
-                Care::Close | Care::Late if client.may_ask() => self.queue(at),
-                Care::Close => self.close(at),
-                Care::Late => self.end(at, 408, "the request is late", now),
-                Care::Nothing
-                    if client.guest.reads(now) && (client.readable || !client.buffer.is_empty()) =>
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.queued => {}
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.may_ask() => self.queue(at),
+                TimeoutAction::Close => self.close(at),
+                TimeoutAction::RejectLateRequest => self.end(at, 408, "the request is late", now),
+                TimeoutAction::Nothing
+                    if client.state.may_read(now) && (client.readable || !client.buffer.is_empty()) =>
                 {
                     self.queue(at);
                 }
-                Care::Nothing => {}
+                TimeoutAction::Nothing => {}
             }
         }
     }
 
     /// How many connections do what: for the log.
-    pub fn doing(&self, what: Doing) -> usize {
-        self.all.iter().filter(|(_, c)| c.guest.doing() == what).count()
+    pub fn doing(&self, phase: Phase) -> usize {
+        self.all.iter().filter(|(_, c)| c.state.phase() == phase).count()
     }
 }
--- a/crates/platform-host/src/desk.rs
+++ b/crates/platform-host/src/desk.rs
@@ -1,8 +1,9 @@
 //! What is in hand: carries out what the scheduler asks, and tells it what came of it.
 use crate::clients::Clients;
 use crate::nodes::{Came, Good, Nodes, Ready};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::{self, Leaving};
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection;
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_platform::answer;
 use mallowseam_platform::list::{Health, News};
 use mallowseam_platform::names::{Names, Shut};
@@ -138,7 +139,7 @@
 
     /// Whether clients may have left unseen for so long that nothing may begin for them without a look.
     fn polled_long_ago(&self) -> bool {
-        front::looks_again(millis(self.now - self.polled))
+        client_connection::poll_result_is_stale(millis(self.now - self.polled))
     }
 
     /// A submit of which no last byte has gone is taken back with its client, whether or not the settings allow to
@@ -155,7 +156,7 @@
     pub fn close_all(&mut self, scheduler: &mut Scheduler) {
         for at in self.held.indices() {
             let Some(held) = self.held.get(at).filter(|h| h.client.is_some()) else { continue };
-            let harmless = Leaving::harmless(held.submits);
+            let harmless = GracefulShutdown::is_safe_to_retry(held.submits);
             self.take_back(BioId(at));
             if harmless {
                 self.shed(BioId(at), 0)
@@ -292,7 +293,7 @@
         let most = self.named.terms.max_submits;
         // Told to end, a host has all its answers out before it is killed; what it still holds by then is over, as
         // latency goals are.
-        let by = self.clients.leaving.and_then(|l| l.answers_by());
+        let by = self.clients.leaving.and_then(|l| l.answer_deadline());
         let limit = by.map_or(limit, |by| limit.min(ticks(by) - now));
         let looks = self.polled_long_ago();
         let Some(held) = self.held.get_mut(bio.0) else { return };
--- a/crates/platform-host/src/desk/tests.rs
+++ b/crates/platform-host/src/desk/tests.rs
@@ -1,6 +1,6 @@
 //! Clients that leave while the poll's last word of them is old: the poll is this story's own hand.
 use super::*;
-use mallowseam_conduct::parting::Keep;
+use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mio::net::TcpStream;
 use mio::{Poll, Token};
 use std::io::Write;
@@ -35,7 +35,7 @@
         let named = mallowseam_platform::settings::read(SETTINGS).expect("sound settings");
         let (listener, front) = (listen(), listen());
         let clients = Clients::new(registry(), |at| Token(2 * at as usize), 64, 1 << 20);
-        let keep = Keep::new(15_000, millis(now));
+        let keep = KeepAlivePolicy::new(15_000, millis(now));
         let nodes = Nodes::new(registry(), |at| Token(2 * at as usize + 1), 64, 1 << 20, 2_500, keep);
         let mut scheduler = Scheduler::new(&named.terms, 7, now);
         let mut desk = Desk::new(now, named, clients, nodes);
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,7 +1,7 @@
 //! A call to the node list service: a watch from a version on.
 use crate::{MESSAGE, tidy};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::watch::Watch;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_http1::{AnswerHead, Bounds, Chunks, Framing};
 use mallowseam_platform::list::{self, Entry, Front, News};
 use mallowseam_sockets::wire::{self, Tried};
@@ -26,7 +26,7 @@
     out: Vec<u8>,
     buffer: Vec<u8>,
     stage: Stage,
-    pub watch: Watch,
+    pub watch: WatchLiveness,
 }
 
 /// What a call came to.
@@ -53,7 +53,7 @@
         registry.register(&mut socket, token, interest).map_err(|e| e.to_string())?;
         let mut out = Vec::new();
         list::watch(&mut out, address, since);
-        let (buffer, stage, watch) = (Vec::new(), Stage::Head, Watch::new(now));
+        let (buffer, stage, watch) = (Vec::new(), Stage::Head, WatchLiveness::new(now));
         Ok(Call { socket, address, since, out, buffer, stage, watch })
     }
 
@@ -106,7 +106,7 @@
             let (len, framing, ahead) = (head.len, head.framing, head.ahead());
             drop(self.buffer.drain(..len));
             if !ahead {
-                self.watch.answered();
+                self.watch.response_started();
                 self.stage = match framing {
                     Framing::Chunked => Stage::Lines(Chunks::new(0)),
                     Framing::Length(len) => Stage::Length(len),
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -1,5 +1,5 @@
 //! The real host on the users' platform: one thread and one loop on `mio`. Clients and nodes speak HTTP/1.1;
-//! every decision on a block I/O is the scheduler's, every one on a connection `mallowseam-conduct`'s.
+//! every decision on a block I/O is the scheduler's, every one on a connection `mallowseam-connection-policy`'s.
 //!
 //! - `run`: the loop, signals, the configuration.
 //! - `desk`: what is in hand; carries out what the scheduler asks.
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -1,6 +1,6 @@
 //! Connections to nodes: one submit at a time on each, kept and used again.
 use crate::{ANSWER, tidy};
-use mallowseam_conduct::parting::{self, Fit, Keep};
+use mallowseam_connection_policy::keep_alive::{self, KeepAlivePolicy, Reusability};
 use mallowseam_http1::{AnswerHead, AnswerReader, Whole};
 use mallowseam_platform::answer::{self, Said};
 use mallowseam_platform::request;
@@ -102,7 +102,7 @@
     bytes: usize,
     bytes_most: usize,
     connect_within: Tick,
-    keep: Keep,
+    keep_alive: KeepAlivePolicy,
     serial: u64,
     timers: BinaryHeap<Reverse<(Tick, u32, u64)>>,
 }
@@ -129,7 +129,7 @@
         most: usize,
         bytes_most: usize,
         connect_within: Tick,
-        keep: Keep,
+        keep_alive: KeepAlivePolicy,
     ) -> Self {
         Nodes {
             all: Vec::new(),
@@ -140,7 +140,7 @@
             bytes: 0,
             bytes_most,
             connect_within,
-            keep,
+            keep_alive,
             serial: 0,
             timers: BinaryHeap::new(),
         }
@@ -217,12 +217,12 @@
 
     /// An idle connection to a node that may carry a submit: alive, and with nothing unasked on it.
     fn idle(&mut self, at: NodeId, now: Tick) -> Option<u32> {
-        let keep = self.keep.now(millis(now));
+        let keep = self.keep_alive.idle_timeout(millis(now));
         loop {
             let node = self.node(at)?;
             let idle =
                 node.idle.iter().map(|l| millis(now - self.lines.get(*l).map_or(now, |l| l.idle_since)));
-            let chosen = parting::choose(idle, keep)?;
+            let chosen = keep_alive::select_idle_connection(idle, keep)?;
             let line = node.idle[chosen];
             let mut byte = [0; 1];
             let read = self.lines.get_mut(line).map(|l| wire::read(&mut l.socket, &mut byte));
@@ -417,7 +417,7 @@
                     let unheard = line.used && line.buffer.is_empty();
                     if let Some(carried) = line.carried.filter(|_| unheard) {
                         let idle = millis(carried.since - line.idle_since);
-                        self.keep.broke(idle, millis(now - carried.since), millis(now));
+                        self.keep_alive.connection_lost(idle, millis(now - carried.since), millis(now));
                     }
                     self.close(place);
                     return Ready::Came(came(cut_off));
@@ -456,11 +456,11 @@
             self.close(place);
             return Ready::Came(came(Ending::NoConnect));
         }
-        let kept = parting::kept_behind(said.ending == Ending::Busy);
+        let kept = keep_alive::keep_after_response(said.ending == Ending::Busy);
         let close = head.close || !kept || line.buffer.len() > whole.end || !line.written();
         let (node, fresh) = (line.node, !line.used);
         if !kept && fresh {
-            self.keep.crowded(millis(now));
+            self.keep_alive.new_connection_rejected(millis(now));
         }
         let came = Came { said: Some(said), ..came(said.ending) };
         if let Some(node) = self.node_mut(node) {
@@ -570,7 +570,7 @@
 
     /// For how long idle connections are kept as of now.
     pub fn kept(&mut self, now: Tick) -> u64 {
-        self.keep.now(millis(now))
+        self.keep_alive.idle_timeout(millis(now))
     }
 
     /// Gives up idle connections before their nodes do.
@@ -579,7 +579,7 @@
         for place in 0..self.lines.places() {
             let idle =
                 self.lines.get(place).filter(|l| l.carried.is_none()).map(|l| millis(now - l.idle_since));
-            if idle.is_some_and(|idle| parting::fit(idle, keep) == Fit::TooOld) {
+            if idle.is_some_and(|idle| keep_alive::reusability(idle, keep) == Reusability::Expired) {
                 self.close(place);
             }
         }
--- a/crates/platform-host/src/run.rs
+++ b/crates/platform-host/src/run.rs
@@ -3,9 +3,11 @@
 use crate::desk::Desk;
 use crate::discovery::{Call, Heard};
 use crate::nodes::Nodes;
-use mallowseam_conduct::front::{Doing, Leaving};
-use mallowseam_conduct::parting::{self, Keep};
-use mallowseam_conduct::watch::Pair;
+use mallowseam_connection_policy::client_connection::Phase;
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
+use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
+use mallowseam_connection_policy::resource_budget::ResourceBudget;
+use mallowseam_connection_policy::watch_slots::WatchSlots;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
 use mallowseam_platform::config::{self, Config};
@@ -76,7 +78,7 @@
     int: UnixStream,
     hup: UnixStream,
     calls: [Option<Call>; 2],
-    pair: Pair,
+    watch_slots: WatchSlots,
     /// Its part in the fleet's view, where the configuration names one, and whether that has more to read.
     part: Option<Box<Part>>,
     part_more: bool,
@@ -85,7 +87,7 @@
     counted_by: SocketAddr,
     told: bool,
     /// The host is to end.
-    leaving: Option<Leaving>,
+    leaving: Option<GracefulShutdown>,
     scratch: Vec<u8>,
     looked: Tick,
     logged: Tick,
@@ -147,7 +149,7 @@
         let listening = failure(format!("listen {}", config.listen));
         let mut listener = listener::listen(config.listen).map_err(listening)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(failure("poll"))?;
-        let parting = parting::part(config.sockets, config.memory_mb);
+        let budget = ResourceBudget::new(config.sockets, config.memory_mb);
         let clock = Clock::of_day();
         let now = clock.now();
         let mut named = config.named.clone();
@@ -156,13 +158,13 @@
         named.terms.word_by_half = true;
         let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
         let part = config.place.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
-        let keep = Keep::new(millis(named.idle_close), millis(now));
-        let clients = Clients::new(registry()?, client_token, parting.clients, parting.client_bytes);
+        let keep = KeepAlivePolicy::new(millis(named.idle_close), millis(now));
+        let clients = Clients::new(registry()?, client_token, budget.client_connections, budget.client_bytes);
         let nodes = Nodes::new(
             registry()?,
             line_token,
-            parting.nodes,
-            parting.node_bytes,
+            budget.node_connections,
+            budget.node_bytes,
             named.connect_within,
             keep,
         );
@@ -170,8 +172,8 @@
             host = config.name,
             listen = %config.listen,
             discovery = %config.discovery,
-            clients = parting.clients,
-            nodes = parting.nodes,
+            clients = budget.client_connections,
+            nodes = budget.node_connections,
             cores = config.cores,
             idle_close_ms = millis(config.named.idle_close),
             connect_within_ms = millis(config.named.connect_within),
@@ -192,7 +194,7 @@
             int,
             hup,
             calls: [None, None],
-            pair: Pair::default(),
+            watch_slots: WatchSlots::default(),
             part,
             part_more: false,
             seq: None,
@@ -227,13 +229,13 @@
     }
 
     /// By when all has to be answered, once it is told to end.
-    fn answers_by(&self) -> Option<Tick> {
-        self.leaving.and_then(|l| l.answers_by()).map(ticks)
+    fn answer_deadline(&self) -> Option<Tick> {
+        self.leaving.and_then(|l| l.answer_deadline()).map(ticks)
     }
 
     fn over(&self) -> bool {
         let clients = self.desk.clients.len();
-        self.leaving.is_some_and(|l| l.over(millis(self.desk.now), clients))
+        self.leaving.is_some_and(|l| l.is_complete(millis(self.desk.now), clients))
     }
 
     fn wait(&self) -> std::time::Duration {
@@ -241,7 +243,7 @@
             return std::time::Duration::ZERO;
         }
         let mut due = self.looked + LOOK;
-        let by = self.answers_by().filter(|by| *by > self.desk.now);
+        let by = self.answer_deadline().filter(|by| *by > self.desk.now);
         for at in [self.desk.wake_at, self.desk.nodes.next_timer(), by].into_iter().flatten() {
             due = due.min(at);
         }
@@ -271,9 +273,11 @@
                     let named = &self.desk.named;
                     let goal = named.terms.groups.iter().map(|g| g.goal).max().unwrap_or(0);
                     let (longest, goal) = (millis(named.longest), millis(goal));
-                    self.leave(Leaving::platform(millis(self.desk.now), longest, goal));
+                    self.leave(GracefulShutdown::by_platform(millis(self.desk.now), longest, goal));
+                }
+                INT if drain(&mut self.int) => {
+                    self.leave(GracefulShutdown::by_operator(millis(self.desk.now)))
                 }
-                INT if drain(&mut self.int) => self.leave(Leaving::by_hand(millis(self.desk.now))),
                 LISTENER => self.accepting = true,
                 _ => {}
             }
@@ -333,7 +337,7 @@
         self.tick();
         self.desk.overdue(&mut self.scheduler);
         self.desk.woken(&mut self.scheduler);
-        if self.answers_by().is_some_and(|by| by <= self.desk.now) && self.desk.in_hand() > 0 {
+        if self.answer_deadline().is_some_and(|by| by <= self.desk.now) && self.desk.in_hand() > 0 {
             self.desk.close_all(&mut self.scheduler);
         }
         // A watch begins with all that was missed, the whole list where that is called for.
@@ -352,7 +356,7 @@
         self.desk.nodes.look(self.desk.now);
         for at in 0..CALLS.len() {
             let Some(call) = &mut self.calls[at] else { continue };
-            if !call.watch.fails(now) {
+            if !call.watch.check_failure(now) {
                 continue;
             }
             if !call.up() {
@@ -361,14 +365,14 @@
             }
             tracing::warn!(address = %call.address(), "the list service says nothing");
             // A call without a word takes a place in the service's queue; a watch that had one takes none.
-            if !call.watch.stands() {
+            if !call.watch.is_established() {
                 self.end(at);
             }
-            if self.pair.is_last(at) {
+            if self.watch_slots.is_latest(at) {
                 self.desk.list_failed(&mut self.scheduler, ListForm::Silent);
             }
         }
-        if self.leaving.is_some_and(|l| !l.lets_in(now)) {
+        if self.leaving.is_some_and(|l| !l.admits_clients(now)) {
             self.shut();
         }
         if self.desk.now >= self.logged + TELL {
@@ -414,7 +418,7 @@
         }
     }
 
-    fn leave(&mut self, leaving: Leaving) {
+    fn leave(&mut self, leaving: GracefulShutdown) {
         if self.leaving.is_none() {
             tracing::info!(clients = self.desk.clients.len(), in_hand = self.desk.in_hand(), "told to end");
             self.leaving = Some(leaving);
@@ -468,8 +472,8 @@
 
     /// Calls the list service anew. A call that still stands is listened to until the new one has spoken.
     fn call(&mut self) {
-        let last = self.calls.iter().enumerate().any(|(at, c)| c.is_some() && self.pair.is_last(at));
-        let at = self.pair.next(last);
+        let last = self.calls.iter().enumerate().any(|(at, c)| c.is_some() && self.watch_slots.is_latest(at));
+        let at = self.watch_slots.next_slot(last);
         self.end(at);
         let (address, now) = (self.config.discovery, millis(self.desk.now));
         // Another service counts by itself: where it stands says nothing of what this one has told.
@@ -493,7 +497,7 @@
         tracing::warn!(why, address = %self.config.discovery, "the list service failed");
         self.end(at);
         // One that another was called beside has been told as silent before.
-        if self.pair.is_last(at) {
+        if self.watch_slots.is_latest(at) {
             self.desk.list_failed(&mut self.scheduler, ListForm::Failed);
         }
     }
@@ -523,8 +527,8 @@
     /// A whole line has come on a call: the one made before it has no more to say.
     fn spoke(&mut self, at: usize) {
         let now = millis(self.desk.now);
-        let first = self.calls[at].as_mut().is_some_and(|c| c.watch.heard(now));
-        if let Some(other) = self.pair.spoke(at) {
+        let first = self.calls[at].as_mut().is_some_and(|c| c.watch.event_received(now));
+        if let Some(other) = self.watch_slots.superseded_by(at) {
             self.end(other);
         }
         if first {
@@ -565,8 +569,8 @@
         let clients = &desk.clients;
         tracing::info!(
             clients = clients.len(),
-            silent = clients.doing(Doing::Silent),
-            idle = clients.doing(Doing::Idle),
+            silent = clients.doing(Phase::AwaitingFirstRequest),
+            idle = clients.doing(Phase::Idle),
             bytes = clients.bytes() + desk.nodes.bytes(),
             counts = ?clients.counts,
             bios = ?desk.counts,
