--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,5 +1,5 @@
 //! The catalog's process: keeps the tree, tells hosts of its changes, has nodes close and give back.
-use crate::clock::{Clock, millis, span};
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
 use crate::control::{self, Control};
 use crate::lines::{Bounds, Peer, Peers};
 use crate::nodes::{Nodes, Order};
@@ -91,7 +91,7 @@
     service.die_at = die_at;
     let mut events = Events::with_capacity(256);
     while !service.stops {
-        let wait = span((service.looked + LOOK - service.clock.now()).max(0));
+        let wait = ticks_to_duration((service.looked + LOOK - service.clock.now()).max(0));
         if let Err(e) = poll.poll(&mut events, Some(wait))
             && e.kind() != ErrorKind::Interrupted
         {
@@ -120,7 +120,7 @@
             .map_err(|e| Failure::new(format!("{}: {e}", settings.store.display())))?;
         let initiator = format!("{}:catalog", site.host.target);
         let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry()?, NODES);
-        let clock = Clock::start();
+        let clock = Clock::from_zero();
         let now = clock.now();
         let fresh = catalog.tree().version == 0;
         tracing::info!(listen = %address, version = catalog.tree().version, "catalog starts");
@@ -129,7 +129,7 @@
             now,
             free: Free::of(catalog.tree()),
             catalog,
-            leases: Leases::new(millis(now), fresh),
+            leases: Leases::new(ticks_to_millis(now), fresh),
             hosts,
             nodes,
             control,
@@ -226,7 +226,7 @@
     }
 
     fn heard(&mut self, at: u32, word: ToCatalog) {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         let Some(host) = self.hosts.get_mut(at) else { return };
         match word {
             ToCatalog::Hello { host: name, have } => {
@@ -324,7 +324,7 @@
     }
 
     fn begin_cut(&mut self, caller: u32, branch: &str, name: &str) -> Result<(), String> {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         let begun = Cut::begin(self.next(), branch, name, self.leases.holding(now), now);
         let (change, cut) = begun.map_err(|f| self.why(&f))?;
         self.propose(change).map_err(|r| r.to_string())?;
@@ -343,7 +343,7 @@
 
     /// What is due after the events of one poll.
     fn round(&mut self) -> Result<(), Failure> {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         self.node_ends();
         for (version, layer, extent) in std::mem::take(&mut self.opening) {
             if self.leases.counts(version, now) {
@@ -500,7 +500,7 @@
                 self.free.done((layer, extent));
                 let _ = self.propose(Change::Freed { layer, extents: vec![extent] });
             }
-            Asked::GiveBack(layer, extent) => self.free.failed((layer, extent), millis(self.now)),
+            Asked::GiveBack(layer, extent) => self.free.failed((layer, extent), ticks_to_millis(self.now)),
             Asked::Close(..) | Asked::Drop => {}
         }
     }
@@ -584,7 +584,7 @@
         let refused = |r: mallowseam_cow::tree::Refused| r.to_string();
         match words.as_slice() {
             ["snapshot", branch, name] => {
-                if self.leases.knows_all(millis(self.now)) {
+                if self.leases.knows_all(ticks_to_millis(self.now)) {
                     self.begin_cut(caller, branch, name)?;
                 } else {
                     self.waits.push((caller, Waits::Begin((*branch).to_owned(), (*name).to_owned())));
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,7 +1,7 @@
 //! Connections of clients.
-use crate::clock::millis;
-use crate::slots::Slots;
-use crate::wire::{self, Tried};
+use crate::clock::ticks_to_millis;
+use crate::slab::Slab;
+use crate::wire::{self, ReadOutcome};
 use mallowseam_connection_policy::admission::{
     AdmissionController, ConnectionState, LoginRejection, TimeoutAction,
 };
@@ -25,7 +25,7 @@
 }
 
 pub struct Clients {
-    pub all: Slots<Client>,
+    pub all: Slab<Client>,
     pub admission: AdmissionController,
     terms: Rc<TargetTerms>,
     registry: Registry,
@@ -66,7 +66,7 @@
         first: usize,
     ) -> Self {
         Clients {
-            all: Slots::default(),
+            all: Slab::default(),
             admission,
             terms,
             registry,
@@ -80,8 +80,8 @@
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
         let conn = TargetConn::new(Rc::clone(&self.terms));
-        let at = self.all.next();
-        if !self.admission.admit_connection(at as usize, millis(now)) {
+        let at = self.all.next_index();
+        if !self.admission.admit_connection(at as usize, ticks_to_millis(now)) {
             tracing::warn!(%peer, "connection turned away: no room");
             return;
         }
@@ -100,7 +100,7 @@
             readable: false,
             commands: Vec::new(),
         };
-        self.all.put(client);
+        self.all.insert(client);
         tracing::debug!(%peer, client = at, "connection opened");
     }
 
@@ -120,9 +120,9 @@
             return false;
         }
         match wire::read(&mut client.socket, scratch) {
-            Tried::Blocked => client.readable = false,
-            Tried::Read(n) => {
-                self.admission.bytes_received(at as usize, millis(now));
+            ReadOutcome::WouldBlock => client.readable = false,
+            ReadOutcome::Read(n) => {
+                self.admission.bytes_received(at as usize, ticks_to_millis(now));
                 let mut login_admission = LoginAdmission {
                     admission: &mut self.admission,
                     at: at as usize,
@@ -138,7 +138,7 @@
                     }
                 }
             }
-            Tried::Over(why) => self.close(at, &why),
+            ReadOutcome::Closed(why) => self.close(at, &why.to_string()),
         }
         false
     }
@@ -166,8 +166,8 @@
         client.dirty = false;
         match wire::write(&mut client.socket, client.conn.out()) {
             Ok(0) => {}
-            Ok(_) => self.admission.bytes_sent(at as usize, millis(now)),
-            Err(why) => return self.close(at, &why),
+            Ok(_) => self.admission.bytes_sent(at as usize, ticks_to_millis(now)),
+            Err(why) => return self.close(at, &why.to_string()),
         }
         if client.conn.closing() && client.conn.out().waiting().is_empty() {
             self.close(at, "logged out");
@@ -188,7 +188,7 @@
     }
 
     pub fn close(&mut self, at: u32, why: &str) {
-        if let Some(mut client) = self.all.take(at) {
+        if let Some(mut client) = self.all.remove(at) {
             let _ = self.registry.deregister(&mut client.socket);
             self.admission.connection_closed(at as usize);
             tracing::info!(peer = %client.peer, name = client.name, why, "client connection closed");
@@ -220,7 +220,7 @@
                 unsent_bytes: client.conn.out().waiting().len(),
                 in_flight: client.conn.in_hand(),
             };
-            match self.admission.check_timeouts(at as usize, millis(now), state) {
+            match self.admission.check_timeouts(at as usize, ticks_to_millis(now), state) {
                 TimeoutAction::Nothing => {}
                 TimeoutAction::Ping => {
                     client.conn.ping();
@@ -233,7 +233,7 @@
 
     /// Begins to drain and asks every client to log out.
     pub fn drain(&mut self, now: Tick) -> bool {
-        if !self.admission.start_draining(millis(now)) {
+        if !self.admission.start_draining(ticks_to_millis(now)) {
             return false;
         }
         let within = self.admission.logout_seconds();
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,6 +1,6 @@
 //! The control socket: one line in, one JSON object out.
 use crate::figures::Answers;
-use crate::slots::Slots;
+use crate::slab::Slab;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 use serde::{Deserialize, Serialize};
@@ -201,7 +201,7 @@
 pub struct Control {
     listener: UnixListener,
     path: PathBuf,
-    callers: Slots<Caller>,
+    callers: Slab<Caller>,
     registry: Registry,
     first: usize,
 }
@@ -219,7 +219,7 @@
         let mut listener = UnixListener::bind(path)?;
         std::fs::set_permissions(path, std::os::unix::fs::PermissionsExt::from_mode(0o600))?;
         registry.register(&mut listener, own, Interest::READABLE)?;
-        Ok(Control { listener, path: path.to_owned(), callers: Slots::default(), registry, first })
+        Ok(Control { listener, path: path.to_owned(), callers: Slab::default(), registry, first })
     }
 
     pub fn accept(&mut self) {
@@ -228,10 +228,10 @@
                 let _ = socket.write(format!("error: too many callers{WHOLE}").as_bytes());
                 continue;
             }
-            let token = Token(self.first + self.callers.next() as usize);
+            let token = Token(self.first + self.callers.next_index() as usize);
             let interest = Interest::READABLE | Interest::WRITABLE;
             if self.registry.register(&mut socket, token, interest).is_ok() {
-                self.callers.put(Caller { socket, line: Vec::new(), answer: Vec::new() });
+                self.callers.insert(Caller { socket, line: Vec::new(), answer: Vec::new() });
             }
         }
     }
@@ -285,7 +285,7 @@
     }
 
     fn close(&mut self, at: u32) {
-        if let Some(mut caller) = self.callers.take(at) {
+        if let Some(mut caller) = self.callers.remove(at) {
             let _ = self.registry.deregister(&mut caller.socket);
         }
     }
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -4,11 +4,11 @@
 mod unit;
 
 use crate::clients::Clients;
-use crate::clock::{down, millis, up};
+use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor, ticks_to_millis};
 use crate::figures::{Figures, GroupFigures, NodeFigures, VolumeFigures};
 use crate::map::Map;
 use crate::nodes::{self, Nodes, Order};
-use crate::slots::Slots;
+use crate::slab::Slab;
 use crate::terms::layout;
 use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
 use mallowseam_connection_policy::request_splitting::{Extent, SubRequest, VolumeLayout};
@@ -143,9 +143,9 @@
     groups: Vec<Group>,
     unit: u64,
     longest: u64,
-    ios: Slots<Io>,
+    ios: Slab<Io>,
     turns: Vec<u32>,
-    commands: Slots<Command>,
+    commands: Slab<Command>,
     keys: Door<(u32, u64)>,
     timers: BinaryHeap<Reverse<(Tick, u32)>>,
     ended: VecDeque<(BioId, Outcome)>,
@@ -194,8 +194,8 @@
             branch: v.mapped.then(|| v.name.as_str().into()),
         };
         let group = |g: &site::Group| Group {
-            hard_limit: down(g.hard_limit),
-            goal: up(g.goal),
+            hard_limit: ticks_from_micros_floor(g.hard_limit),
+            goal: ticks_from_micros_ceil(g.goal),
             side_effecting: g.effect == site::Effect::SideEffecting,
         };
         Desk {
@@ -214,9 +214,9 @@
             groups: site.groups.iter().map(group).collect(),
             unit: site.fleet.unit,
             longest: site.host.longest,
-            ios: Slots::default(),
+            ios: Slab::default(),
             turns: Vec::new(),
-            commands: Slots::default(),
+            commands: Slab::default(),
             keys: Door::default(),
             timers: BinaryHeap::new(),
             ended: VecDeque::new(),
@@ -520,7 +520,7 @@
             self.parts = parts;
             return self.refuse(client, task, Sense::OUT_OF_RANGE);
         }
-        if !self.clients.admission.admits_commands(crate::clock::millis(self.now))
+        if !self.clients.admission.admits_commands(crate::clock::ticks_to_millis(self.now))
             || self.ios.len() + parts.len() > PLACES
         {
             // Never taken, so trying again is harmless.
@@ -532,7 +532,7 @@
         }
         self.figures.commands.taken += 1;
         let read = if !write && parts.len() > 1 { vec![0; bytes as usize] } else { Vec::new() };
-        let command = self.commands.put(Command {
+        let command = self.commands.insert(Command {
             client,
             task,
             progress: CommandProgress::new(parts.len() as u32),
@@ -551,7 +551,7 @@
         }
         let mut first = NONE;
         for part in parts.iter().rev() {
-            first = self.ios.put(Io {
+            first = self.ios.insert(Io {
                 command,
                 next: first,
                 vol,
@@ -623,17 +623,17 @@
 
     /// A block I/O gives back its place, and its command with the last one.
     fn forget(&mut self, at: u32) {
-        let Some(io) = self.ios.take(at) else { return };
+        let Some(io) = self.ios.remove(at) else { return };
         if let Some(copy) = io.copies.and_then(|c| self.copying.get_mut(&c))
             && matches!(copy.state, Copying::Reading | Copying::Writing)
             && !io.answered
         {
-            copy.state = Copying::Resting(millis(self.now) + copies::AGAIN);
+            copy.state = Copying::Resting(ticks_to_millis(self.now) + copies::AGAIN);
         }
         if let Some(command) = self.commands.get_mut(io.command) {
             command.alive -= 1;
             if command.alive == 0 {
-                self.commands.take(io.command);
+                self.commands.remove(io.command);
             }
         }
     }
--- a/crates/gateway/src/desk/mapped.rs
+++ b/crates/gateway/src/desk/mapped.rs
@@ -86,7 +86,7 @@
         let io = self.ios.get(at).expect("in hand");
         let (write, extent, vol) = (self.is_write(io), io.part.shard, io.vol);
         let Some(map) = &mut self.map else { return false };
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         match map.cache.look(io.branch.as_deref().unwrap_or_default(), extent, write, now) {
             Look::At(layer, place) => {
                 if write && !self.may_follow(at, layer, now) {
@@ -193,7 +193,7 @@
         if self.map.is_none() || self.looked.0 == news && self.now < self.looked.1 {
             return false;
         }
-        self.looked = (news, self.now + up(copies::AGAIN * 1000));
+        self.looked = (news, self.now + ticks_from_micros_ceil(copies::AGAIN * 1000));
         self.tend_copies();
         self.tend_cuts();
         let mut behind: Vec<(u32, u32)> = Vec::new();
@@ -245,7 +245,7 @@
 
     /// Begins to copy an extent to a new place, unless that is under way.
     pub(super) fn copy(&mut self, to: (LayerId, u32), vol: usize, from: Option<(LayerId, Place)>) {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         let Some(map) = &mut self.map else { return };
         let again = match self.copying.get(&to).map(|c| &c.state) {
             None => false,
@@ -305,7 +305,7 @@
             out: None,
             answered: false,
         };
-        let at = self.ios.put(io);
+        let at = self.ios.insert(io);
         self.fresh.push_back(at);
     }
 
@@ -321,7 +321,7 @@
                 self.copy_step(to);
             }
             (Copying::Writing, Some((_, place))) => {
-                copy.state = Copying::Told(place, millis(self.now));
+                copy.state = Copying::Told(place, ticks_to_millis(self.now));
                 self.copies.ended_well();
                 self.tell_place(to, place);
             }
@@ -337,7 +337,7 @@
 
     /// Copies that are settled are over; places not heard of are told again.
     pub(super) fn tend_copies(&mut self) {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         let Some(tree) = self.map.as_ref().and_then(|m| m.cache.tree()) else { return };
         let settled = |(layer, extent): &(LayerId, u32)| {
             tree.layers.get(layer).is_none_or(|l| l.frozen || l.places.contains_key(extent))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -24,7 +24,7 @@
 mod verify;
 pub mod wire;
 
-pub use mallowseam_sockets::{clock, slots};
+pub use mallowseam_sockets::{clock, slab};
 
 pub use control::{Status, ask};
 pub use opening::Failure;
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/lines.rs
@@ -1,7 +1,7 @@
 //! Connections that speak one JSON object a line: one side of one, and a service's side of many.
 use crate::opening::{Failure, listen};
-use crate::slots::Slots;
-use crate::wire::{self, Tried};
+use crate::slab::Slab;
+use crate::wire::{self, ReadOutcome};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Poll, Registry, Token};
 use serde::Serialize;
@@ -48,7 +48,7 @@
 
     /// Writes what waits, as far as the socket takes it. Error: the connection is over.
     pub fn push(&mut self) -> Result<(), String> {
-        wire::push(&mut self.socket, &mut self.out)
+        wire::write_buffer(&mut self.socket, &mut self.out).map_err(|error| error.to_string())
     }
 
     /// Reads once; `longest` is what a line may have.
@@ -60,9 +60,9 @@
             });
         }
         match wire::read(&mut self.socket, scratch) {
-            Tried::Blocked => Read::Blocked,
-            Tried::Over(why) => Read::Over(why),
-            Tried::Read(n) => {
+            ReadOutcome::WouldBlock => Read::Blocked,
+            ReadOutcome::Closed(why) => Read::Over(why.to_string()),
+            ReadOutcome::Read(n) => {
                 let mut lines = Vec::new();
                 let mut rest = &scratch[..n];
                 while let Some(end) = rest.iter().position(|b| *b == b'\n') {
@@ -100,7 +100,7 @@
     registry: Registry,
     first: usize,
     bounds: Bounds,
-    all: Slots<Peer<T>>,
+    all: Slab<Peer<T>>,
 }
 
 impl<T: Default> Peers<T> {
@@ -113,15 +113,15 @@
         bounds: Bounds,
     ) -> Result<Self, Failure> {
         let (listener, registry) = listen(address, poll, own)?;
-        Ok(Peers { listener, registry, first, bounds, all: Slots::default() })
+        Ok(Peers { listener, registry, first, bounds, all: Slab::default() })
     }
 
     pub fn accept(&mut self) {
         while let Ok((socket, peer)) = self.listener.accept() {
-            let token = Token(self.first + self.all.next() as usize);
+            let token = Token(self.first + self.all.next_index() as usize);
             if let Ok(lines) = Lines::over(socket, &self.registry, token) {
                 tracing::info!(%peer, "host connected");
-                self.all.put(Peer { lines, name: String::new(), about: T::default() });
+                self.all.insert(Peer { lines, name: String::new(), about: T::default() });
             }
         }
     }
@@ -148,7 +148,7 @@
     }
 
     pub fn lose(&mut self, at: u32, why: &str) {
-        if let Some(peer) = self.all.take(at) {
+        if let Some(peer) = self.all.remove(at) {
             tracing::info!(host = peer.name, why, "host connection closed");
             peer.lines.end(&self.registry);
         }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,6 +1,6 @@
 //! The connection to the node list service, and the copy of the list kept for the next start.
-use crate::clock::millis;
-use crate::wire::{self, Tried};
+use crate::clock::ticks_to_millis;
+use crate::wire::{self, ReadOutcome};
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
 use mallowseam_nodelist::{Condition, Entry, Heard, Register, Update};
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
@@ -108,7 +108,7 @@
     /// Asks for the list and its changes.
     pub fn watch(&mut self, now: Tick) {
         let Some(address) = self.address else { return };
-        self.request.sent(millis(now));
+        self.request.sent(ticks_to_millis(now));
         if self.socket.is_none() {
             match TcpStream::connect(address) {
                 Ok(mut socket) => {
@@ -142,8 +142,8 @@
         while self.readable {
             let Some(socket) = &mut self.socket else { return };
             match wire::read(socket, scratch) {
-                Tried::Blocked => self.readable = false,
-                Tried::Read(n) => {
+                ReadOutcome::WouldBlock => self.readable = false,
+                ReadOutcome::Read(n) => {
                     let mut heard = Vec::new();
                     let received = self.register.receive(&scratch[..n], |h| heard.push(h));
                     heard.into_iter().for_each(|h| self.heard(h, now));
@@ -151,15 +151,15 @@
                         return self.fail(&wrong.to_string());
                     }
                 }
-                Tried::Over(why) => return self.fail(&why),
+                ReadOutcome::Closed(why) => return self.fail(&why.to_string()),
             }
         }
     }
 
     fn flush(&mut self) {
         let Some(socket) = &mut self.socket else { return };
-        if let Err(why) = wire::push(socket, &mut self.asked) {
-            self.fail(&why);
+        if let Err(why) = wire::write_buffer(socket, &mut self.asked) {
+            self.fail(&why.to_string());
         }
     }
 
@@ -167,7 +167,7 @@
         match heard {
             Heard::Nothing => {}
             Heard::Missed => {
-                self.request.sent(millis(now));
+                self.request.sent(ticks_to_millis(now));
                 self.asked.extend_from_slice(format!("all {}\n", self.host).as_bytes());
                 self.flush();
             }
@@ -236,7 +236,7 @@
 
     /// A call that the service does not answer has failed.
     pub fn care(&mut self, now: Tick) {
-        if self.request.has_timed_out(millis(now)) {
+        if self.request.has_timed_out(ticks_to_millis(now)) {
             self.fail("no answer in time");
         }
     }
--- a/crates/gateway/src/nodes.rs
+++ b/crates/gateway/src/nodes.rs
@@ -1,7 +1,7 @@
 //! Connections to the storage nodes. A submit goes out on the node's one connection, which is opened when a
 //! submit first asks for it; submits wait for its login in a queue that their own time-outs bound.
-use crate::clock::millis;
-use crate::wire::{self, Tried};
+use crate::clock::ticks_to_millis;
+use crate::wire::{self, ReadOutcome};
 use mallowseam_connection_policy::node_connection::NodeConnection;
 use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
 use mallowseam_iscsi::params::Wishes;
@@ -119,7 +119,7 @@
             return;
         }
         node.queue.push_back(order);
-        if node.connection.open_if_closed(millis(now))
+        if node.connection.open_if_closed(ticks_to_millis(now))
             && let Err(why) = self.open(at)
         {
             self.fail_line(at, &why);
@@ -158,7 +158,7 @@
         }
         if let Some(link) = &mut node.link {
             link.conn.abort(tag);
-            node.connection.abort_sent(millis(now));
+            node.connection.abort_sent(ticks_to_millis(now));
             self.mark(at);
         }
         false
@@ -200,8 +200,8 @@
         let node = &mut self.all[at];
         let Some(link) = node.link.as_mut().filter(|_| node.readable) else { return false };
         match wire::read(&mut link.socket, scratch) {
-            Tried::Blocked => node.readable = false,
-            Tried::Read(n) => {
+            ReadOutcome::WouldBlock => node.readable = false,
+            ReadOutcome::Read(n) => {
                 let received = link.conn.receive(&scratch[..n]);
                 self.came(at, now);
                 match received {
@@ -209,7 +209,7 @@
                     Err(fault) => self.fail_line(at, &fault.0),
                 }
             }
-            Tried::Over(why) => self.fail_line(at, &why),
+            ReadOutcome::Closed(why) => self.fail_line(at, &why.to_string()),
         }
         false
     }
@@ -240,7 +240,7 @@
                     tracing::warn!(node = self.all[at].name, reason, "command rejected");
                     self.end(at, tag, Ending::Error, Vec::new());
                 }
-                Came::Gone { .. } => self.all[at].connection.abort_answered(millis(now)),
+                Came::Gone { .. } => self.all[at].connection.abort_answered(ticks_to_millis(now)),
                 Came::AskedOut => {
                     if let Some(link) = &mut self.all[at].link {
                         link.conn.logout();
@@ -263,7 +263,7 @@
             if let Some(link) = &mut self.all[at].link
                 && let Err(why) = wire::write(&mut link.socket, link.conn.out())
             {
-                self.fail_line(at, &why);
+                self.fail_line(at, &why.to_string());
             }
         }
     }
@@ -273,7 +273,7 @@
         for at in 0..self.all.len() {
             let node = &self.all[at];
             let out = node.link.as_ref().map_or(0, |l| l.conn.in_hand());
-            if let Some(reason) = node.connection.check_timeouts(millis(now), out) {
+            if let Some(reason) = node.connection.check_timeouts(ticks_to_millis(now), out) {
                 self.fail_line(at, reason.as_str());
             }
         }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,6 +1,6 @@
 //! The event loop: one thread, every decision the scheduler's or a connection policy's.
 use crate::clients::Clients;
-use crate::clock::{Clock, millis, span};
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
 use crate::control::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
 use crate::desk::Desk;
 use crate::follow::Follow;
@@ -143,7 +143,7 @@
         let part =
             site.host.place.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
-        let clock = Clock::start();
+        let clock = Clock::from_zero();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
         Ok(Gateway {
             scheduler: Scheduler::new(&terms::terms(&site), seed, clock.now()),
@@ -200,7 +200,7 @@
         for at in [self.desk.wake_at, self.desk.next_timer(), self.desk.next_look()].into_iter().flatten() {
             due = due.min(at);
         }
-        let due = span(due - self.clock.now());
+        let due = ticks_to_duration(due - self.clock.now());
         Some(self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due()))))
     }
 
@@ -216,7 +216,7 @@
             }
             MAP => {
                 if let Some(map) = &mut self.desk.map {
-                    let more = map.ready(readable, &mut self.scratch, millis(now));
+                    let more = map.ready(readable, &mut self.scratch, ticks_to_millis(now));
                     if more && !self.turns.contains(&Turn::Map) {
                         self.turns.push_back(Turn::Map);
                     }
@@ -225,7 +225,7 @@
             }
             FOLLOW => {
                 if let Some(follow) = &mut self.follow
-                    && follow.ready(&mut self.scratch, &self.wanted, millis(now))
+                    && follow.ready(&mut self.scratch, &self.wanted, ticks_to_millis(now))
                 {
                     self.take_up_next();
                 }
@@ -292,7 +292,7 @@
                 }
                 Some(Turn::Map) => {
                     if let Some(map) = &mut self.desk.map
-                        && map.ready(false, &mut self.scratch, millis(now))
+                        && map.ready(false, &mut self.scratch, ticks_to_millis(now))
                     {
                         self.turns.push_back(Turn::Map);
                     }
@@ -329,7 +329,7 @@
         self.tend_follow();
         self.tell_part();
         if let Some(map) = &mut self.desk.map {
-            map.tend(millis(self.desk.now));
+            map.tend(ticks_to_millis(self.desk.now));
         }
         self.desk.nodes.flush();
         let mut again = Vec::new();
@@ -370,9 +370,9 @@
                 *before = f.asked;
             }
             self.counted.0 = now;
-            follow.tend(millis(now), rand::rng().next_u64() % 1_000);
+            follow.tend(ticks_to_millis(now), rand::rng().next_u64() % 1_000);
         }
-        let parts = follow.member.parts(millis(now)).zip(&mut self.parts);
+        let parts = follow.member.parts(ticks_to_millis(now)).zip(&mut self.parts);
         for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
             *kept = part;
             self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
@@ -386,7 +386,7 @@
         let taken = self.of_state(state).map(|taken| self.put(taken));
         let Some(follow) = &mut self.follow else { return };
         match taken {
-            Ok(()) => follow.acts_on(millis(self.desk.now)),
+            Ok(()) => follow.acts_on(ticks_to_millis(self.desk.now)),
             Err(why) => follow.against(&why),
         }
         self.tend_follow();
@@ -535,7 +535,7 @@
         };
         Status {
             host: self.site.host.name.clone(),
-            up_seconds: millis(desk.now) as f64 / 1000.0,
+            up_seconds: ticks_to_millis(desk.now) as f64 / 1000.0,
             draining: desk.clients.admission.is_draining(),
             connections: desk.clients.admission.connection_count(),
             in_hand: desk.in_hand(),
--- a/crates/gateway/src/tariffs.rs
+++ b/crates/gateway/src/tariffs.rs
@@ -1,5 +1,5 @@
 //! The control service of plans: keeps the trail, streams versions to hosts, deals what they lend.
-use crate::clock::{Clock, millis};
+use crate::clock::{Clock, ticks_to_millis};
 use crate::control::{self, Control};
 use crate::lines::{Bounds, Peer, Peers};
 use crate::opening::{self, Failure, failure, signals};
@@ -62,7 +62,7 @@
         {
             return Err(Failure::new(format!("poll: {e}")));
         }
-        service.now = millis(service.clock.now());
+        service.now = ticks_to_millis(service.clock.now());
         for event in events.iter() {
             service.ready(event.token())?;
         }
@@ -98,8 +98,8 @@
                 store.keep(&line).map_err(said)?;
             }
         }
-        let clock = Clock::start();
-        let now = millis(clock.now());
+        let clock = Clock::from_zero();
+        let now = ticks_to_millis(clock.now());
         let mut hosts = Hosts::default();
         store.members().map_err(said)?.iter().for_each(|host| hosts.heard(host, now));
         tracing::info!(listen = %address, version = store.trail().state.version, "control service starts");
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -1,5 +1,5 @@
 //! From the configuration to the scheduler's terms and the volumes' layouts.
-use crate::clock::{down, up};
+use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
 use mallowseam_settings::Site;
@@ -12,7 +12,7 @@
             site::Effect::Idempotent => Effect::Idempotent,
             site::Effect::SideEffecting => Effect::SideEffecting,
         },
-        goal: down(g.goal),
+        goal: ticks_from_micros_floor(g.goal),
         late_share: g.late_share,
         gain: g.gain,
         ordered: g.ordered,
@@ -30,7 +30,7 @@
         counts_others: false,
         may_cancel: true,
         may_name_return: fleet.come_back > 0,
-        longest_return: down(fleet.come_back),
+        longest_return: ticks_from_micros_floor(fleet.come_back),
         max_submits: fleet.submits,
         list_on_request: site.host.node_list.is_some(),
         ask_turn: None,
@@ -39,13 +39,13 @@
         word_by_half: false,
         cold_bears: fleet.cold_bears,
         cold_from: fleet.cold_from,
-        cold_span: up(fleet.cold_span),
-        fall_span: up(fleet.fall_span),
+        cold_span: ticks_from_micros_ceil(fleet.cold_span),
+        fall_span: ticks_from_micros_ceil(fleet.fall_span),
         fall_multiple: fleet.fall_multiple,
-        order_rest: up(fleet.order_rest),
+        order_rest: ticks_from_micros_ceil(fleet.order_rest),
         budget_free: fleet.further_free,
         budget_share: fleet.further_part,
-        budget_span: up(fleet.further_span),
+        budget_span: ticks_from_micros_ceil(fleet.further_span),
         ..Terms::default()
     }
 }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -1,14 +1,15 @@
 //! What waits for an iSCSI connection goes out as far as its socket takes it.
 use mallowseam_iscsi::frame::Outgoing;
-pub use mallowseam_sockets::wire::{Tried, push, read, send};
+use mallowseam_sockets::nonblocking::{self, ConnectionError};
+pub use mallowseam_sockets::nonblocking::{ReadOutcome, read, write_buffer};
 use std::io::Write;
 
 /// Writes what waits; how many bytes went, or why the socket is over.
-pub fn write(socket: &mut impl Write, out: &mut Outgoing) -> Result<usize, String> {
+pub fn write(socket: &mut impl Write, out: &mut Outgoing) -> Result<usize, ConnectionError> {
     let mut all = 0;
     while !out.waiting().is_empty() {
         let wanted = out.waiting().len();
-        let sent = send(socket, out.waiting()).map_err(|(_, why)| why)?;
+        let sent = nonblocking::write(socket, out.waiting()).map_err(|error| error.source)?;
         out.wrote(sent);
         all += sent;
         if sent < wanted {
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -16,8 +16,8 @@
 use crate::audit::SLACK;
 use crate::trace::Micros;
 use mallowseam_http1::{AnswerHead, AnswerReader, Bounds, RequestHead, RequestReader};
-use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::slab::Slab;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use rand::SeedableRng;
@@ -129,7 +129,7 @@
     start: Instant,
     unix_ms: i64,
     doors: Vec<Door>,
-    conns: Slots<Conn>,
+    conns: Slab<Conn>,
     serial: u64,
     links: Links,
     due: BinaryHeap<Reverse<(Micros, Due)>>,
@@ -144,7 +144,7 @@
     pub stores: Vec<Store<CallId>>,
     pub callers: Callers,
     asking: bool,
-    again: Slots<Op>,
+    again: Slab<Op>,
     ready: Vec<Option<bool>>,
     stalled: Vec<bool>,
     idle: BTreeMap<u32, Vec<u32>>,
@@ -176,7 +176,7 @@
             start: Instant::now(),
             unix_ms: unix.as_millis() as i64,
             doors: Vec::new(),
-            conns: Slots::default(),
+            conns: Slab::default(),
             serial: 0,
             links: Links::new(scene.zones),
             due: BinaryHeap::new(),
@@ -189,7 +189,7 @@
             stores: Vec::new(),
             callers: Callers::new(scene.wants.clone(), scene.hosts, shards, &mut rng),
             asking: false,
-            again: Slots::default(),
+            again: Slab::default(),
             ready: vec![None; scene.hosts as usize],
             stalled: vec![false; scene.hosts as usize],
             idle: BTreeMap::new(),
@@ -332,9 +332,9 @@
 
     fn enter(&mut self, host: u32, mut socket: TcpStream, carries: Carries) -> u32 {
         self.serial += 1;
-        let token = Token(2 * self.conns.next() as usize + 1);
+        let token = Token(2 * self.conns.next_index() as usize + 1);
         let _ = self.poll.registry().register(&mut socket, token, Interest::READABLE | Interest::WRITABLE);
-        self.conns.put(Conn {
+        self.conns.insert(Conn {
             host,
             socket,
             carries,
@@ -384,7 +384,7 @@
                 Out::Reset => return self.close(at, true),
                 Out::End | Out::Nothing => moved = false,
             }
-            if wire::push(&mut conn.socket, &mut conn.out).is_err() {
+            if nonblocking::write_buffer(&mut conn.socket, &mut conn.out).is_err() {
                 return self.close(at, false);
             }
             match conn.inward.take(now, &inward) {
@@ -422,10 +422,12 @@
                 conn.blocked = true;
                 return;
             }
-            match wire::read(&mut conn.socket, &mut self.scratch) {
-                Tried::Read(count) => conn.inward.push(now, &self.scratch[..count], &fault, &mut self.rng),
-                Tried::Blocked => return self.pump(at),
-                Tried::Over(_) => {
+            match nonblocking::read(&mut conn.socket, &mut self.scratch) {
+                ReadOutcome::Read(count) => {
+                    conn.inward.push(now, &self.scratch[..count], &fault, &mut self.rng)
+                }
+                ReadOutcome::WouldBlock => return self.pump(at),
+                ReadOutcome::Closed(_) => {
                     conn.inward.end(now, &fault, &mut self.rng);
                     return self.pump(at);
                 }
@@ -435,7 +437,7 @@
 
     /// A connection is over: by the host, or because a party or the way ends it.
     fn close(&mut self, at: u32, reset: bool) {
-        let Some(mut conn) = self.conns.take(at) else { return };
+        let Some(mut conn) = self.conns.remove(at) else { return };
         let _ = self.poll.registry().deregister(&mut conn.socket);
         if reset {
             let _ = SockRef::from(&conn.socket).set_linger(Some(Duration::ZERO));
@@ -541,7 +543,7 @@
                 }
                 Due::Over(at, question) => self.over(at, question),
                 Due::Again(place) => {
-                    if let Some(op) = self.again.take(place as u32).filter(|_| self.asking) {
+                    if let Some(op) = self.again.remove(place as u32).filter(|_| self.asking) {
                         self.ask(op);
                     }
                 }
--- a/crates/lab/src/fleet/world/clients.rs
+++ b/crates/lab/src/fleet/world/clients.rs
@@ -61,7 +61,7 @@
     pub(super) fn again(&mut self, op: &Op, named: Option<Micros>) {
         let now = self.now();
         if let Some((at, op)) = self.callers.again(now, op, named, &mut self.rng).filter(|_| self.asking) {
-            let place = self.again.put(op);
+            let place = self.again.insert(op);
             self.due.push(Reverse((at, Due::Again(place as usize))));
         }
     }
--- a/crates/lab/src/fleet/world/ways.rs
+++ b/crates/lab/src/fleet/world/ways.rs
@@ -52,7 +52,7 @@
 pub struct Ways {
     sockets: Vec<UdpSocket>,
     eye: Option<UdpSocket>,
-    pub(super) under_way: Slots<Datagram>,
+    pub(super) under_way: Slab<Datagram>,
     looking: BTreeMap<u32, Looking>,
     /// The last look at each host, and what all looks showed.
     pub last: BTreeMap<u32, Viewed>,
@@ -124,7 +124,7 @@
         for _ in 0..times {
             let spread = if fault.spread > 0 { self.rng.random_range(0..=fault.spread) } else { 0 };
             let at = self.now() + fault.delay + spread;
-            let place = self.ways_udp.under_way.put(Datagram { to, from, bytes: bytes.to_vec() });
+            let place = self.ways_udp.under_way.insert(Datagram { to, from, bytes: bytes.to_vec() });
             match fault.delay + spread {
                 0 => self.arrives(place),
                 _ => self.due.push(Reverse((at, Due::Datagram(place)))),
@@ -133,7 +133,7 @@
     }
 
     pub(super) fn arrives(&mut self, place: u32) {
-        let Some(Datagram { to, from, bytes }) = self.ways_udp.under_way.take(place) else { return };
+        let Some(Datagram { to, from, bytes }) = self.ways_udp.under_way.remove(place) else { return };
         self.ways_udp.passed += 1;
         let to = self.addresses.fleet(to);
         if let Some(socket) = self.ways_udp.sockets.get(from as usize) {
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -6,8 +6,9 @@
 use mallowseam_http1::{Fault, RequestHead, RequestReader, Whole};
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
-use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Parcel, Tried};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::outgoing_message::OutgoingMessage;
+use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
@@ -25,7 +26,7 @@
     reader: RequestReader,
     whole: Option<Whole>,
     bio: Option<BioId>,
-    out: Parcel,
+    out: OutgoingMessage,
     /// The poll has told of it; the socket may have more to read; its client has ended its side; nothing follows the
     /// answer in `out`.
     told: bool,
@@ -68,7 +69,7 @@
 }
 
 pub struct Clients {
-    all: Slots<Client>,
+    all: Slab<Client>,
     registry: Registry,
     token: fn(u32) -> Token,
     most: usize,
@@ -105,7 +106,7 @@
 impl Clients {
     pub fn new(registry: Registry, token: fn(u32) -> Token, most: usize, bytes_most: usize) -> Self {
         Clients {
-            all: Slots::default(),
+            all: Slab::default(),
             registry,
             token,
             most,
@@ -151,19 +152,19 @@
             }
         }
         let _ = socket.set_nodelay(true);
-        let at = self.all.next();
+        let at = self.all.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.registry.register(&mut socket, (self.token)(at), interest).is_err() {
             return;
         }
-        self.all.put(Client {
+        self.all.insert(Client {
             socket,
             state: ClientConnection::new(now),
             buffer: Vec::new(),
             reader: RequestReader::default(),
             whole: None,
             bio: None,
-            out: Parcel::default(),
+            out: OutgoingMessage::default(),
             told: false,
             readable: true,
             left: false,
@@ -174,7 +175,7 @@
     }
 
     fn close(&mut self, at: u32) {
-        if let Some(mut client) = self.all.take(at) {
+        if let Some(mut client) = self.all.remove(at) {
             self.bytes -= client.bytes();
             let _ = self.registry.deregister(&mut client.socket);
         }
@@ -254,23 +255,23 @@
                     return Ok(true);
                 }
                 if client.reader.expects() {
-                    client.out.small.extend_from_slice(answer::GO_ON);
-                    client.out.push(&mut client.socket).map_err(|_| None)?;
+                    client.out.head.extend_from_slice(answer::GO_ON);
+                    client.out.write_to(&mut client.socket).map_err(|_| None)?;
                 }
             }
             if !client.readable {
                 return Ok(false);
             }
             let room = (MESSAGE.buffer() - client.buffer.len()).min(scratch.len());
-            match wire::read(&mut client.socket, &mut scratch[..room]) {
-                Tried::Read(count) => {
+            match nonblocking::read(&mut client.socket, &mut scratch[..room]) {
+                ReadOutcome::Read(count) => {
                     client.buffer.extend_from_slice(&scratch[..count]);
                     // Less than there was room for: nothing more has come, and what does is told anew. The end
                     // of a client's side is told once.
                     client.readable = count == room || client.left;
                 }
-                Tried::Blocked => client.readable = false,
-                Tried::Over(_) => return Err(None),
+                ReadOutcome::WouldBlock => client.readable = false,
+                ReadOutcome::Closed(_) => return Err(None),
             }
         }
     }
@@ -279,11 +280,11 @@
     fn drop_rest(&mut self, at: u32, scratch: &mut [u8]) {
         let Some(client) = self.all.get_mut(at) else { return };
         while client.readable {
-            match wire::read(&mut client.socket, scratch) {
-                Tried::Read(count) if client.state.bytes_discarded(count) => return self.close(at),
-                Tried::Read(_) => {}
-                Tried::Blocked => client.readable = false,
-                Tried::Over(_) => return self.close(at),
+            match nonblocking::read(&mut client.socket, scratch) {
+                ReadOutcome::Read(count) if client.state.bytes_discarded(count) => return self.close(at),
+                ReadOutcome::Read(_) => {}
+                ReadOutcome::WouldBlock => client.readable = false,
+                ReadOutcome::Closed(_) => return self.close(at),
             }
         }
     }
@@ -321,7 +322,7 @@
 
     /// The answer to the whole request of a connection.
     pub fn answer(&mut self, at: u32, status: u16, body: &[u8], come_back: u64, now: Millis) {
-        self.answer_with(at, status, body.len(), come_back, now, |out| out.small.extend_from_slice(body));
+        self.answer_with(at, status, body.len(), come_back, now, |out| out.head.extend_from_slice(body));
     }
 
     /// The same, and the last one on its connection.
@@ -334,7 +335,7 @@
 
     /// The same with a body that stands in a buffer, which is handed on.
     pub fn hand_on(&mut self, at: u32, buffer: Vec<u8>, from: usize, to: usize, now: Millis) {
-        self.answer_with(at, 200, to - from, 0, now, |out| out.put(buffer, from, to));
+        self.answer_with(at, 200, to - from, 0, now, |out| out.set_body(buffer, from, to));
     }
 
     fn answer_with(
@@ -344,13 +345,13 @@
         body: usize,
         come_back: u64,
         now: Millis,
-        put: impl FnOnce(&mut Parcel),
+        put: impl FnOnce(&mut OutgoingMessage),
     ) {
         let Some(client) = self.all.get_mut(at) else { return };
         let before = client.bytes();
         let ends = self.leaving.is_some_and(|l| !l.admits_clients(now));
         client.last |= ends || client.left || client.reader.closes();
-        answer::write(&mut client.out.small, status, body, come_back, client.last);
+        answer::write(&mut client.out.head, status, body, come_back, client.last);
         put(&mut client.out);
         if let Some(whole) = client.whole.take() {
             take_front(&mut client.buffer, whole.end);
@@ -377,9 +378,9 @@
     fn flush(&mut self, at: u32, now: Millis) {
         let Some(client) = self.all.get_mut(at) else { return };
         let before = client.bytes();
-        let pushed = client.out.push(&mut client.socket);
+        let pushed = client.out.write_to(&mut client.socket);
         if client.out.is_empty() {
-            tidy(&mut client.out.small);
+            tidy(&mut client.out.head);
         }
         self.bytes = self.bytes + client.bytes() - before;
         if pushed.is_err() {
@@ -401,7 +402,7 @@
 
     /// Looks at how all connections stand.
     pub fn look(&mut self, now: Millis) {
-        for at in 0..self.all.places() {
+        for at in 0..self.all.index_bound() {
             let Some(client) = self.all.get_mut(at) else { continue };
             match client.state.check_timeouts(now, self.leaving) {
                 // What stands in its socket is looked at first: it may be a whole request.
--- a/crates/platform-host/src/desk.rs
+++ b/crates/platform-host/src/desk.rs
@@ -11,8 +11,8 @@
 use mallowseam_platform::settings::Named;
 use mallowseam_scheduler::host::*;
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_sockets::clock::{millis, ticks};
-use mallowseam_sockets::slots::Slots;
+use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
+use mallowseam_sockets::slab::Slab;
 use std::collections::VecDeque;
 
 #[cfg(test)]
@@ -51,7 +51,7 @@
     pub nodes: Nodes,
     pub names: Names,
     pub counts: Counts,
-    held: Slots<Held>,
+    held: Slab<Held>,
     came: VecDeque<Came>,
     pub wake_at: Option<Tick>,
     /// The scheduler wants the list service called.
@@ -70,7 +70,7 @@
             nodes,
             names: Names::default(),
             counts: Counts::default(),
-            held: Slots::default(),
+            held: Slab::default(),
             came: VecDeque::new(),
             wake_at: None,
             wants_watch: false,
@@ -79,7 +79,7 @@
     }
 
     fn millis(&self) -> Millis {
-        millis(self.now)
+        ticks_to_millis(self.now)
     }
 
     pub fn in_hand(&self) -> usize {
@@ -103,14 +103,14 @@
                 self.clients.answer(at, answer::SHED, b"", 0, now);
             }
             Ok(Asked::Block(block)) => {
-                let id = BioId(self.held.next());
+                let id = BioId(self.held.next_index());
                 let bio = match self.names.take(id, &block, self.now, &self.named) {
                     Ok(bio) => bio,
                     Err(Shut::InHand) => return self.clients.wrong(at, 409, "this id is in hand", now),
                     Err(Shut::Full) => return self.clients.wrong(at, answer::SHED, "no room", now),
                 };
                 let (id, client, hard_limit) = (block.id, Some(at), bio.hard_limit);
-                self.held.put(Held { id, client, submits: 0, line: None, hard_limit });
+                self.held.insert(Held { id, client, submits: 0, line: None, hard_limit });
                 self.counts.taken += 1;
                 self.clients.taken(at, bio.id, now);
                 let now = self.now;
@@ -139,7 +139,7 @@
 
     /// Whether clients may have left unseen for so long that nothing may begin for them without a look.
     fn polled_long_ago(&self) -> bool {
-        client_connection::poll_result_is_stale(millis(self.now - self.polled))
+        client_connection::poll_result_is_stale(ticks_to_millis(self.now - self.polled))
     }
 
     /// A submit of which no last byte has gone is taken back with its client, whether or not the settings allow to
@@ -183,7 +183,7 @@
     fn pass_on(&mut self, good: &Good) {
         let client = self.held.get_mut(good.came.bio.0).and_then(|h| h.client.take());
         if let Some(at) = client {
-            let now = millis(self.now);
+            let now = ticks_to_millis(self.now);
             // Clients that do not read their answers may have left no room for this one.
             if !self.clients.has_room(self.nodes.body(good).len()) {
                 self.counts.failed += 1;
@@ -281,7 +281,7 @@
     fn final_answer(&mut self, bio: BioId, status: u16, come_back: Tick) -> bool {
         let client = self.held.get_mut(bio.0).and_then(|h| h.client.take());
         if let Some(at) = client {
-            self.clients.answer(at, status, b"", millis(come_back), self.millis());
+            self.clients.answer(at, status, b"", ticks_to_millis(come_back), self.millis());
         }
         client.is_some()
     }
@@ -294,7 +294,7 @@
         // Told to end, a host has all its answers out before it is killed; what it still holds by then is over, as
         // latency goals are.
         let by = self.clients.leaving.and_then(|l| l.answer_deadline());
-        let limit = by.map_or(limit, |by| limit.min(ticks(by) - now));
+        let limit = by.map_or(limit, |by| limit.min(ticks_from_millis(by) - now));
         let looks = self.polled_long_ago();
         let Some(held) = self.held.get_mut(bio.0) else { return };
         if let Some(at) = held.client.filter(|at| looks && self.clients.left(*at, true)) {
@@ -309,7 +309,7 @@
             // Over, past its limit, or one submit too many.
             None => Err(Ending::Moot),
             Some((head, body)) => {
-                let wait = millis(limit).max(1);
+                let wait = ticks_to_millis(limit).max(1);
                 self.nodes.submit(bio, node, now, limit, |out| request::write(out, &head, body, wait))
             }
         };
@@ -361,7 +361,7 @@
     fn tell_peers(&mut self, _bytes: &[u8]) {}
 
     fn release_bio(&mut self, bio: BioId) {
-        if let Some(held) = self.held.take(bio.0) {
+        if let Some(held) = self.held.remove(bio.0) {
             self.names.release_bio(&held.id);
         }
     }
--- a/crates/platform-host/src/desk/tests.rs
+++ b/crates/platform-host/src/desk/tests.rs
@@ -35,7 +35,7 @@
         let named = mallowseam_platform::settings::read(SETTINGS).expect("sound settings");
         let (listener, front) = (listen(), listen());
         let clients = Clients::new(registry(), |at| Token(2 * at as usize), 64, 1 << 20);
-        let keep = KeepAlivePolicy::new(15_000, millis(now));
+        let keep = KeepAlivePolicy::new(15_000, ticks_to_millis(now));
         let nodes = Nodes::new(registry(), |at| Token(2 * at as usize + 1), 64, 1 << 20, 2_500, keep);
         let mut scheduler = Scheduler::new(&named.terms, 7, now);
         let mut desk = Desk::new(now, named, clients, nodes);
@@ -59,7 +59,7 @@
         client.write_all(text.as_bytes()).expect("open");
         until("its request comes", || matches!(socket.peek(&mut [0; 1_024]), Ok(n) if n == text.len()));
         socket.set_nonblocking(true).expect("a socket");
-        let now = millis(self.desk.now);
+        let now = ticks_to_millis(self.desk.now);
         self.desk.clients.enter(TcpStream::from_std(socket), now);
         let at = *self.desk.clients.turns.back().expect("its turn");
         if polled {
@@ -69,7 +69,7 @@
     }
 
     fn asks(&mut self, at: u32) {
-        let now = millis(self.desk.now);
+        let now = ticks_to_millis(self.desk.now);
         let came = self.desk.clients.turn(at, &mut [0; 4_096], now);
         assert!(matches!(came, crate::clients::Came::Request));
         self.desk.asked(&mut self.scheduler, at, true);
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -4,7 +4,7 @@
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_http1::{AnswerHead, Bounds, Chunks, Framing};
 use mallowseam_platform::list::{self, Entry, Front, News};
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::net::SocketAddr;
@@ -78,18 +78,18 @@
             }
             return;
         }
-        if let Err(why) = wire::push(&mut self.socket, &mut self.out) {
-            return heard(Heard::Failed(why));
+        if let Err(why) = nonblocking::write_buffer(&mut self.socket, &mut self.out) {
+            return heard(Heard::Failed(why.to_string()));
         }
         loop {
-            let count = match wire::read(&mut self.socket, scratch) {
-                Tried::Read(count) => count,
-                Tried::Blocked => return,
-                Tried::Over(why) => return heard(Heard::Failed(why)),
+            let count = match nonblocking::read(&mut self.socket, scratch) {
+                ReadOutcome::Read(count) => count,
+                ReadOutcome::WouldBlock => return,
+                ReadOutcome::Closed(why) => return heard(Heard::Failed(why.to_string())),
             };
             self.buffer.extend_from_slice(&scratch[..count]);
             if let Err(why) = self.steps(heard) {
-                return heard(Heard::Failed(why));
+                return heard(Heard::Failed(why.to_string()));
             }
         }
     }
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -5,9 +5,9 @@
 use mallowseam_platform::answer::{self, Said};
 use mallowseam_platform::request;
 use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
-use mallowseam_sockets::clock::millis;
-use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::clock::ticks_to_millis;
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::cmp::Reverse;
@@ -94,7 +94,7 @@
 
 pub struct Nodes {
     all: Vec<Option<Node>>,
-    lines: Slots<Line>,
+    lines: Slab<Line>,
     registry: Registry,
     token: fn(u32) -> Token,
     most: usize,
@@ -133,7 +133,7 @@
     ) -> Self {
         Nodes {
             all: Vec::new(),
-            lines: Slots::default(),
+            lines: Slab::default(),
             registry,
             token,
             most,
@@ -196,7 +196,7 @@
 
     /// Submits that wait for a connection to a node that takes nothing new: they were never sent.
     pub fn call_back(&mut self, at: NodeId, came: &mut impl FnMut(Came)) {
-        for line in 0..self.lines.places() {
+        for line in 0..self.lines.index_bound() {
             let waits = self.lines.get(line).is_some_and(|l| l.node == at && !l.up);
             if waits && let Some(carried) = self.close(line) {
                 came(carried.came(at, Ending::Moot));
@@ -205,7 +205,7 @@
     }
 
     fn close(&mut self, at: u32) -> Option<Carried> {
-        let mut line = self.lines.take(at)?;
+        let mut line = self.lines.remove(at)?;
         self.bytes -= line.buffer.capacity();
         let _ = self.registry.deregister(&mut line.socket);
         if let Some(node) = self.node_mut(line.node) {
@@ -217,16 +217,18 @@
 
     /// An idle connection to a node that may carry a submit: alive, and with nothing unasked on it.
     fn idle(&mut self, at: NodeId, now: Tick) -> Option<u32> {
-        let keep = self.keep_alive.idle_timeout(millis(now));
+        let keep = self.keep_alive.idle_timeout(ticks_to_millis(now));
         loop {
             let node = self.node(at)?;
-            let idle =
-                node.idle.iter().map(|l| millis(now - self.lines.get(*l).map_or(now, |l| l.idle_since)));
+            let idle = node
+                .idle
+                .iter()
+                .map(|l| ticks_to_millis(now - self.lines.get(*l).map_or(now, |l| l.idle_since)));
             let chosen = keep_alive::select_idle_connection(idle, keep)?;
             let line = node.idle[chosen];
             let mut byte = [0; 1];
-            let read = self.lines.get_mut(line).map(|l| wire::read(&mut l.socket, &mut byte));
-            if let Some(Tried::Blocked) = read {
+            let read = self.lines.get_mut(line).map(|l| nonblocking::read(&mut l.socket, &mut byte));
+            if let Some(ReadOutcome::WouldBlock) = read {
                 self.node_mut(at)?.idle.remove(chosen);
                 return Some(line);
             }
@@ -244,10 +246,10 @@
         let dial = self.node(at).and_then(|n| n.dial).ok_or(Ending::Moot)?;
         let mut socket = TcpStream::connect(dial).map_err(|_| Ending::NoConnect)?;
         let _ = socket.set_nodelay(true);
-        let place = self.lines.next();
+        let place = self.lines.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, (self.token)(place), interest).map_err(|_| Ending::Moot)?;
-        self.lines.put(Line {
+        self.lines.insert(Line {
             socket,
             node: at,
             up: false,
@@ -313,9 +315,9 @@
             return None;
         }
         let node = line.node;
-        let (sent, fault) = match wire::send(&mut line.socket, &line.out[line.sent..]) {
+        let (sent, fault) = match nonblocking::write(&mut line.socket, &line.out[line.sent..]) {
             Ok(sent) => (sent, false),
-            Err((sent, _)) => (sent, true),
+            Err(error) => (error.written, true),
         };
         line.sent += sent;
         let whole = line.sent == line.out.len();
@@ -354,7 +356,7 @@
         let Some(carried) = line.carried else {
             // Bytes unasked, or the end: either way it is of no more use.
             let mut byte = [0; 1];
-            if !matches!(wire::read(&mut line.socket, &mut byte), Tried::Blocked) {
+            if !matches!(nonblocking::read(&mut line.socket, &mut byte), ReadOutcome::WouldBlock) {
                 self.close(place);
             }
             return Ready::Nothing;
@@ -371,13 +373,13 @@
                 return Ready::Nothing;
             }
             // What a node says before it was asked is no answer to anything.
-            if !matches!(wire::read(&mut line.socket, &mut [0]), Tried::Blocked) {
+            if !matches!(nonblocking::read(&mut line.socket, &mut [0]), ReadOutcome::WouldBlock) {
                 self.close(place);
                 return Ready::Came(came(Ending::NoConnect));
             }
             line.up = true;
             // What waited for its connection has less time left than it was written with.
-            request::write_wait(&mut line.out, millis(carried.limit_at - now).max(1));
+            request::write_wait(&mut line.out, ticks_to_millis(carried.limit_at - now).max(1));
         }
         if line.sent < line.out.len()
             && let Some(came) = self.push(place, Ending::NoConnect)
@@ -405,24 +407,28 @@
             let lacks = line.reader.lacks(had).filter(|l| *l > 0);
             let room = lacks.unwrap_or(FIRST).min(ANSWER.buffer() + 1 - had.min(ANSWER.buffer()));
             let room = room.min(scratch.len());
-            let tried = wire::read(&mut line.socket, &mut scratch[..room]);
-            if let Tried::Read(count) = tried {
+            let tried = nonblocking::read(&mut line.socket, &mut scratch[..room]);
+            if let ReadOutcome::Read(count) = tried {
                 line.buffer.reserve_exact(lacks.unwrap_or(0));
                 line.buffer.extend_from_slice(&scratch[..count]);
             }
             self.bytes = self.bytes + line.buffer.capacity() - capacity;
             let count = match tried {
-                Tried::Blocked => return Ready::Nothing,
-                Tried::Over(_) => {
+                ReadOutcome::WouldBlock => return Ready::Nothing,
+                ReadOutcome::Closed(_) => {
                     let unheard = line.used && line.buffer.is_empty();
                     if let Some(carried) = line.carried.filter(|_| unheard) {
-                        let idle = millis(carried.since - line.idle_since);
-                        self.keep_alive.connection_lost(idle, millis(now - carried.since), millis(now));
+                        let idle = ticks_to_millis(carried.since - line.idle_since);
+                        self.keep_alive.connection_lost(
+                            idle,
+                            ticks_to_millis(now - carried.since),
+                            ticks_to_millis(now),
+                        );
                     }
                     self.close(place);
                     return Ready::Came(came(cut_off));
                 }
-                Tried::Read(count) => count,
+                ReadOutcome::Read(count) => count,
             };
             // Less than there was room for: nothing more has come, and what does is told anew.
             let drained = count < room && !ended;
@@ -460,7 +466,7 @@
         let close = head.close || !kept || line.buffer.len() > whole.end || !line.written();
         let (node, fresh) = (line.node, !line.used);
         if !kept && fresh {
-            self.keep_alive.new_connection_rejected(millis(now));
+            self.keep_alive.new_connection_rejected(ticks_to_millis(now));
         }
         let came = Came { said: Some(said), ..came(said.ending) };
         if let Some(node) = self.node_mut(node) {
@@ -570,15 +576,18 @@
 
     /// For how long idle connections are kept as of now.
     pub fn kept(&mut self, now: Tick) -> u64 {
-        self.keep_alive.idle_timeout(millis(now))
+        self.keep_alive.idle_timeout(ticks_to_millis(now))
     }
 
     /// Gives up idle connections before their nodes do.
     pub fn look(&mut self, now: Tick) {
         let keep = self.kept(now);
-        for place in 0..self.lines.places() {
-            let idle =
-                self.lines.get(place).filter(|l| l.carried.is_none()).map(|l| millis(now - l.idle_since));
+        for place in 0..self.lines.index_bound() {
+            let idle = self
+                .lines
+                .get(place)
+                .filter(|l| l.carried.is_none())
+                .map(|l| ticks_to_millis(now - l.idle_since));
             if idle.is_some_and(|idle| keep_alive::reusability(idle, keep) == Reusability::Expired) {
                 self.close(place);
             }
--- a/crates/platform-host/src/run.rs
+++ b/crates/platform-host/src/run.rs
@@ -15,7 +15,8 @@
 use mallowseam_platform::settings::Named;
 use mallowseam_scheduler::host::{Host, ListForm, NodeId, Terms, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_sockets::clock::{Clock, Looks, millis, span, ticks};
+use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
+use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_duration, ticks_to_millis};
 use mallowseam_sockets::{descriptors, listener, signals};
 use mio::net::{TcpListener, TcpStream, UnixStream};
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -68,7 +69,7 @@
     path: PathBuf,
     config: Config,
     clock: Clock,
-    looks: Looks,
+    arrivals: ArrivalEstimator,
     scheduler: Scheduler,
     desk: Desk,
     registry: Registry,
@@ -103,9 +104,9 @@
 /// of the list service, where somebody says so.
 pub fn run(path: &Path, list_turn: Option<u64>) -> Result<(), Failure> {
     let mut config = load(path)?;
-    config.named.terms.ask_turn = list_turn.map(ticks);
+    config.named.terms.ask_turn = list_turn.map(ticks_from_millis);
     // Parted by what the configuration says, it would run short of them where nothing may be turned away.
-    let given = descriptors::given(config.sockets).map_err(failure("descriptors"))?;
+    let given = descriptors::raise_limit(config.sockets).map_err(failure("descriptors"))?;
     if given < config.sockets {
         let wanted = config.sockets;
         return Err(Failure(format!("limits.sockets: {wanted}, where the system gives {given} descriptors")));
@@ -120,7 +121,7 @@
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(failure("poll")(e)),
             _ => {}
         }
-        host.desk.heard = host.looks.heard(from, host.clock.now());
+        host.desk.heard = host.arrivals.estimate(from, host.clock.now());
         host.round(&events);
     }
     if let Some(part) = &mut host.part {
@@ -150,7 +151,7 @@
         let mut listener = listener::listen(config.listen).map_err(listening)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(failure("poll"))?;
         let budget = ResourceBudget::new(config.sockets, config.memory_mb);
-        let clock = Clock::of_day();
+        let clock = Clock::from_unix_epoch();
         let now = clock.now();
         let mut named = config.named.clone();
         // On the platform the list is always asked for, and a late word on what was never tried costs three tenths.
@@ -158,7 +159,7 @@
         named.terms.word_by_half = true;
         let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
         let part = config.place.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
-        let keep = KeepAlivePolicy::new(millis(named.idle_close), millis(now));
+        let keep = KeepAlivePolicy::new(ticks_to_millis(named.idle_close), ticks_to_millis(now));
         let clients = Clients::new(registry()?, client_token, budget.client_connections, budget.client_bytes);
         let nodes = Nodes::new(
             registry()?,
@@ -175,12 +176,12 @@
             clients = budget.client_connections,
             nodes = budget.node_connections,
             cores = config.cores,
-            idle_close_ms = millis(config.named.idle_close),
-            connect_within_ms = millis(config.named.connect_within),
+            idle_close_ms = ticks_to_millis(config.named.idle_close),
+            connect_within_ms = ticks_to_millis(config.named.connect_within),
             memory_mb = config.memory_mb,
             known = config.known.as_ref().map_or(0, |k| k.entries.len()),
             list_pushed = config.named.terms.list_pushed,
-            ask_within_ms = millis(config.named.terms.ask_within),
+            ask_within_ms = ticks_to_millis(config.named.terms.ask_within),
             "host starts"
         );
         Ok(Platform {
@@ -204,7 +205,7 @@
             scratch: vec![0; SCRATCH],
             looked: now,
             logged: now,
-            looks: Looks::new(now),
+            arrivals: ArrivalEstimator::new(now),
             clock,
             config,
         })
@@ -230,12 +231,12 @@
 
     /// By when all has to be answered, once it is told to end.
     fn answer_deadline(&self) -> Option<Tick> {
-        self.leaving.and_then(|l| l.answer_deadline()).map(ticks)
+        self.leaving.and_then(|l| l.answer_deadline()).map(ticks_from_millis)
     }
 
     fn over(&self) -> bool {
         let clients = self.desk.clients.len();
-        self.leaving.is_some_and(|l| l.is_complete(millis(self.desk.now), clients))
+        self.leaving.is_some_and(|l| l.is_complete(ticks_to_millis(self.desk.now), clients))
     }
 
     fn wait(&self) -> std::time::Duration {
@@ -247,7 +248,7 @@
         for at in [self.desk.wake_at, self.desk.nodes.next_timer(), by].into_iter().flatten() {
             due = due.min(at);
         }
-        let due = span(due - self.clock.now());
+        let due = ticks_to_duration(due - self.clock.now());
         self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due())))
     }
 
@@ -272,11 +273,11 @@
                 TERM if drain(&mut self.term) => {
                     let named = &self.desk.named;
                     let goal = named.terms.groups.iter().map(|g| g.goal).max().unwrap_or(0);
-                    let (longest, goal) = (millis(named.longest), millis(goal));
-                    self.leave(GracefulShutdown::by_platform(millis(self.desk.now), longest, goal));
+                    let (longest, goal) = (ticks_to_millis(named.longest), ticks_to_millis(goal));
+                    self.leave(GracefulShutdown::by_platform(ticks_to_millis(self.desk.now), longest, goal));
                 }
                 INT if drain(&mut self.int) => {
-                    self.leave(GracefulShutdown::by_operator(millis(self.desk.now)))
+                    self.leave(GracefulShutdown::by_operator(ticks_to_millis(self.desk.now)))
                 }
                 LISTENER => self.accepting = true,
                 _ => {}
@@ -312,7 +313,7 @@
             if token >= CALLERS && (token - CALLERS).is_multiple_of(2) && ended == left {
                 self.tick();
                 let at = ((token - CALLERS) / 2) as u32;
-                let now = millis(self.desk.now);
+                let now = ticks_to_millis(self.desk.now);
                 if let Some(bio) = self.desk.clients.ready(at, event.is_readable(), ended, now) {
                     self.desk.left(&mut self.scheduler, bio);
                 }
@@ -325,7 +326,7 @@
         for _ in 0..self.desk.clients.turns.len().min(most) {
             let Some(at) = self.desk.clients.turns.pop_front() else { break };
             self.tick();
-            match self.desk.clients.turn(at, &mut self.scratch, millis(self.desk.now)) {
+            match self.desk.clients.turn(at, &mut self.scratch, ticks_to_millis(self.desk.now)) {
                 Came::Request => self.desk.asked(&mut self.scheduler, at, self.told),
                 Came::Nothing => {}
             }
@@ -351,7 +352,7 @@
     }
 
     fn look(&mut self) {
-        let now = millis(self.desk.now);
+        let now = ticks_to_millis(self.desk.now);
         self.desk.clients.look(now);
         self.desk.nodes.look(self.desk.now);
         for at in 0..CALLS.len() {
@@ -405,7 +406,7 @@
         if self.desk.clients.full() {
             self.turns(usize::MAX);
         }
-        self.desk.clients.enter(socket, millis(self.desk.now));
+        self.desk.clients.enter(socket, ticks_to_millis(self.desk.now));
     }
 
     /// The listener is closed once nothing waits at it.
@@ -475,7 +476,7 @@
         let last = self.calls.iter().enumerate().any(|(at, c)| c.is_some() && self.watch_slots.is_latest(at));
         let at = self.watch_slots.next_slot(last);
         self.end(at);
-        let (address, now) = (self.config.discovery, millis(self.desk.now));
+        let (address, now) = (self.config.discovery, ticks_to_millis(self.desk.now));
         // Another service counts by itself: where it stands says nothing of what this one has told.
         if address != self.counted_by {
             (self.seq, self.counted_by) = (None, address);
@@ -526,7 +527,7 @@
 
     /// A whole line has come on a call: the one made before it has no more to say.
     fn spoke(&mut self, at: usize) {
-        let now = millis(self.desk.now);
+        let now = ticks_to_millis(self.desk.now);
         let first = self.calls[at].as_mut().is_some_and(|c| c.watch.event_received(now));
         if let Some(other) = self.watch_slots.superseded_by(at) {
             self.end(other);
--- /dev/null
+++ b/crates/sockets/src/arrival_estimator.rs
@@ -0,0 +1,25 @@
+//! When the events that a poll returns arrived. A loop that is kept from running would otherwise take its own
+//! lateness for that of others.
+use mallowseam_scheduler::host::Tick;
+
+/// A poll that lasted longer than this many ticks slept until something arrived.
+const SLEEP_THRESHOLD: Tick = 1;
+
+/// Estimates arrival times from the times of polls.
+pub struct ArrivalEstimator {
+    last_poll: Tick,
+}
+
+impl ArrivalEstimator {
+    /// An estimator for a loop that begins to poll at `now`.
+    pub fn new(now: Tick) -> Self {
+        ArrivalEstimator { last_poll: now }
+    }
+
+    /// When the events of the poll that lasted from `began` to `returned` arrived: where the poll slept, when it
+    /// returned; else at some time since the last poll, of which half way is the best guess.
+    pub fn estimate(&mut self, began: Tick, returned: Tick) -> Tick {
+        let last_poll = std::mem::replace(&mut self.last_poll, returned);
+        if returned - began > SLEEP_THRESHOLD { returned } else { last_poll + (returned - last_poll) / 2 }
+    }
+}
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -1,81 +1,60 @@
-//! The host's clock: ticks of a tenth of a millisecond, from its start or from the Unix epoch.
+//! The host's clock: ticks of a tenth of a millisecond, and their conversion.
 use mallowseam_scheduler::host::Tick;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const MICROS: u64 = 100; // microseconds in a tick
+/// Microseconds in a tick.
+const MICROS_PER_TICK: u64 = 100;
 
-/// When it was started, and the tick of that moment.
-pub struct Clock(Instant, Tick);
+/// A clock that never goes back.
+pub struct Clock {
+    started: Instant,
+    first_tick: Tick,
+}
 
 impl Clock {
-    pub fn start() -> Self {
-        Clock(Instant::now(), 0)
+    /// A clock that counts from 0.
+    pub fn from_zero() -> Self {
+        Clock { started: Instant::now(), first_tick: 0 }
     }
 
-    /// Ticks since the epoch by the system's clock at the start, steady from there: for a host that is told
-    /// times of day, also ones before its own start.
-    pub fn of_day() -> Self {
-        let day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock(Instant::now(), (day.as_micros() as u64 / MICROS) as Tick)
+    /// A clock that counts from the Unix epoch, by the system's clock now and steadily from there: for a host
+    /// that is told times of day, also ones before its own start.
+    pub fn from_unix_epoch() -> Self {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started: Instant::now(), first_tick: whole_ticks(since_epoch) }
     }
 
+    /// The present tick.
     pub fn now(&self) -> Tick {
-        self.1 + (self.0.elapsed().as_micros() as u64 / MICROS) as Tick
-    }
-}
-
-/// When a loop looked at its sockets.
-pub struct Looks(Tick);
-
-/// A poll that took longer than this slept until something came.
-const SLEPT: Tick = 1;
-
-impl Looks {
-    pub fn new(now: Tick) -> Self {
-        Looks(now)
-    }
-
-    /// When what a poll found was there, the poll having lasted from one time to another: on waking where it slept;
-    /// else it had come since the last look, and half way to that is the best guess. A loop that is kept from
-    /// running would otherwise take its own lateness for that of others.
-    pub fn heard(&mut self, from: Tick, to: Tick) -> Tick {
-        let last = std::mem::replace(&mut self.0, to);
-        if to - from > SLEPT { to } else { last + (to - last) / 2 }
+        self.first_tick + whole_ticks(self.started.elapsed())
     }
 }
 
-/// A deadline in microseconds as ticks, rounded down.
-pub fn down(micros: u64) -> Tick {
-    (micros / MICROS) as Tick
+fn whole_ticks(span: Duration) -> Tick {
+    (span.as_micros() as u64 / MICROS_PER_TICK) as Tick
 }
 
-/// A wait in microseconds as ticks, rounded up.
-pub fn up(micros: u64) -> Tick {
-    micros.div_ceil(MICROS) as Tick
+/// Microseconds as ticks, rounded down: for deadlines.
+pub fn ticks_from_micros_floor(micros: u64) -> Tick {
+    (micros / MICROS_PER_TICK) as Tick
 }
 
-pub fn millis(ticks: Tick) -> u64 {
-    (ticks.max(0) as u64) * MICROS / 1000
+/// Microseconds as ticks, rounded up: for waits.
+pub fn ticks_from_micros_ceil(micros: u64) -> Tick {
+    micros.div_ceil(MICROS_PER_TICK) as Tick
 }
 
-/// A time in milliseconds as ticks.
-pub fn ticks(millis: u64) -> Tick {
-    (millis * 1000 / MICROS) as Tick
+/// Milliseconds as ticks.
+pub fn ticks_from_millis(millis: u64) -> Tick {
+    (millis * 1000 / MICROS_PER_TICK) as Tick
 }
 
-pub fn span(ticks: Tick) -> Duration {
-    Duration::from_micros(ticks.max(0) as u64 * MICROS)
+/// Ticks as milliseconds, rounded down; negative ticks as 0.
+pub fn ticks_to_millis(ticks: Tick) -> u64 {
+    (ticks.max(0) as u64) * MICROS_PER_TICK / 1000
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_wakes_a_loop_came_then_and_what_waited_for_it_came_before() {
-        let mut looks = Looks::new(1_000);
-        assert_eq!(looks.heard(1_010, 1_500), 1_500, "it slept");
-        assert_eq!(looks.heard(2_500, 2_500), 2_000, "it was busy, or kept from running, for a hundred ms");
-        assert_eq!(looks.heard(2_502, 2_502), 2_501);
-    }
+/// Ticks as a duration; negative ticks as 0.
+pub fn ticks_to_duration(ticks: Tick) -> Duration {
+    Duration::from_micros(ticks.max(0) as u64 * MICROS_PER_TICK)
 }
--- a/crates/sockets/src/descriptors.rs
+++ b/crates/sockets/src/descriptors.rs
@@ -1,12 +1,13 @@
-//! How many descriptors the system gives this process.
+//! The limit of descriptors that the system grants this process.
 use nix::sys::resource::{Resource, getrlimit, setrlimit};
+use std::io;
 
-/// The number of descriptors that this process may have open, raised towards what is wanted as far as the system's
-/// hard limit lets it.
+/// Raises the number of descriptors that this process may have open towards `wanted`, as far as the system's hard
+/// limit allows; the resulting limit, which may be lower or higher than `wanted`.
 ///
 /// # Errors
-/// What the system says where it does not tell its limit.
-pub fn given(wanted: u64) -> std::io::Result<u64> {
+/// The system's error where it does not tell its limit.
+pub fn raise_limit(wanted: u64) -> io::Result<u64> {
     let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE)?;
     let raised = wanted.min(hard);
     if soft < raised && setrlimit(Resource::RLIMIT_NOFILE, raised, hard).is_ok() {
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,14 +1,20 @@
-//! What every host of this repository needs of its loop.
+//! What the event loop of every host in this repository needs.
 //!
-//! - `slots`: places by small index, used again once they are free.
-//! - `clock`: ticks of a tenth of a millisecond.
-//! - `descriptors`: how many the system gives.
-//! - `signals`: signals as something to read.
-//! - `listener`: a listener with a long queue.
-//! - `wire`: bytes between a socket and a buffer, without blocking.
+//! - [`slab`]: a table whose entries have small, reused indices.
+//! - [`clock`]: ticks of a tenth of a millisecond.
+//! - [`arrival_estimator`]: when the events that a poll returns arrived.
+//! - [`descriptors`]: the process's limit of descriptors.
+//! - [`signals`]: signals as something to read.
+//! - [`listener`]: a listener with a long queue.
+//! - [`nonblocking`]: reads and writes that do not block.
+//! - [`outgoing_message`]: a message that is written piece by piece.
+#![warn(missing_docs)]
+
+pub mod arrival_estimator;
 pub mod clock;
 pub mod descriptors;
 pub mod listener;
+pub mod nonblocking;
+pub mod outgoing_message;
 pub mod signals;
-pub mod slots;
-pub mod wire;
+pub mod slab;
--- a/crates/sockets/src/signals.rs
+++ b/crates/sockets/src/signals.rs
@@ -1,16 +1,19 @@
-//! Signals as something to read, beside all else that a poll waits for.
+//! Signals as something to read, beside all else that a poll waits for (the self-pipe trick).
 use mio::net::UnixStream;
 use mio::{Interest, Poll, Token};
 use std::io;
 
-/// A byte comes for each of these signals.
+/// A stream, registered with `poll` under `token`, on which a byte arrives for each of these signals.
+///
+/// # Errors
+/// The system's error where a stream or a handler cannot be had.
 pub fn pipe(poll: &Poll, token: Token, signals: &[i32]) -> io::Result<UnixStream> {
-    let (mine, theirs) = std::os::unix::net::UnixStream::pair()?;
-    mine.set_nonblocking(true)?;
+    let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
+    receiver.set_nonblocking(true)?;
     for signal in signals {
-        signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
+        signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
     }
-    let mut mine = UnixStream::from_std(mine);
-    poll.registry().register(&mut mine, token, Interest::READABLE)?;
-    Ok(mine)
+    let mut receiver = UnixStream::from_std(receiver);
+    poll.registry().register(&mut receiver, token, Interest::READABLE)?;
+    Ok(receiver)
 }
--- a/crates/sockets/tests/pinned_decisions.rs
+++ b/crates/sockets/tests/pinned_decisions.rs
@@ -1,37 +1,39 @@
-//! Slots, clock figures and partial reads and writes over seeded streams, compared with recorded values.
+//! Indices of a slab, conversion of times, and partial reads and writes over seeded streams, compared with recorded values.
 mod support;
 
-use mallowseam_sockets::clock::{self, Looks};
-use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Parcel, Tried};
+use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
+use mallowseam_sockets::clock;
+use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
+use mallowseam_sockets::outgoing_message::OutgoingMessage;
+use mallowseam_sockets::slab::Slab;
 use std::io::{Error, ErrorKind, IoSlice, Read, Write};
 use support::{Digest, SeededRng, assert_pinned};
 
 #[test]
-fn slots_are_given_out_in_the_recorded_order() {
-    assert_pinned(&SLOTS, |rng, digest| {
-        let mut slots: Slots<u64> = Slots::default();
+fn indices_are_given_out_in_the_recorded_order() {
+    assert_pinned(&INDICES, |rng, digest| {
+        let mut slab: Slab<u64> = Slab::default();
         for event in 0..4_000 {
             let index = rng.below(40) as u32;
             match rng.below(8) {
                 0..=2 => {
-                    digest.add(u64::from(slots.next()));
-                    digest.add(u64::from(slots.put(event)));
+                    digest.add(u64::from(slab.next_index()));
+                    digest.add(u64::from(slab.insert(event)));
                 }
-                3..=5 => digest.add_option(slots.take(index)),
-                6 => digest.add_option(slots.get(index).copied()),
+                3..=5 => digest.add_option(slab.remove(index)),
+                6 => digest.add_option(slab.get(index).copied()),
                 _ => {
-                    if let Some(value) = slots.get_mut(index) {
+                    if let Some(value) = slab.get_mut(index) {
                         *value += 10_000;
                     }
                 }
             }
-            digest.add(slots.len() as u64);
-            digest.add(u64::from(slots.is_empty()));
-            digest.add(u64::from(slots.places()));
+            digest.add(slab.len() as u64);
+            digest.add(u64::from(slab.is_empty()));
+            digest.add(u64::from(slab.index_bound()));
             if rng.one_in(16) {
-                slots.indices().iter().for_each(|index| digest.add(u64::from(*index)));
-                slots.iter().for_each(|(index, value)| digest.add(u64::from(index) ^ *value));
+                slab.indices().iter().for_each(|index| digest.add(u64::from(*index)));
+                slab.iter().for_each(|(index, value)| digest.add(u64::from(index) ^ *value));
             }
         }
     });
@@ -43,28 +45,28 @@
         for _ in 0..1_000 {
             let bound = rng.pick(&[1_000, 1_000_000, 1 << 40]);
             let (figure, ticks) = (rng.below(bound), rng.below(bound) as i64 - 300);
-            digest.add(clock::down(figure) as u64);
-            digest.add(clock::up(figure) as u64);
-            digest.add(clock::ticks(figure) as u64);
-            digest.add(clock::millis(ticks));
-            digest.add(clock::span(ticks).as_nanos() as u64);
+            digest.add(clock::ticks_from_micros_floor(figure) as u64);
+            digest.add(clock::ticks_from_micros_ceil(figure) as u64);
+            digest.add(clock::ticks_from_millis(figure) as u64);
+            digest.add(clock::ticks_to_millis(ticks));
+            digest.add(clock::ticks_to_duration(ticks).as_nanos() as u64);
         }
         let mut now = 1_000;
-        let mut looks = Looks::new(now);
+        let mut estimator = ArrivalEstimator::new(now);
         for _ in 0..1_000 {
             let asked = now + rng.below(20) as i64;
             now = asked + rng.pick(&[0, 0, 1, 2, 3, 50]);
-            digest.add(looks.heard(asked, now) as u64);
+            digest.add(estimator.estimate(asked, now) as u64);
         }
     });
 }
 
 #[test]
 fn a_clock_counts_ticks_of_a_tenth_of_a_millisecond_from_its_start_or_from_the_epoch() {
-    let (steady, of_day) = (clock::Clock::start(), clock::Clock::of_day());
+    let (steady, from_epoch) = (clock::Clock::from_zero(), clock::Clock::from_unix_epoch());
     assert!((0..600_000).contains(&steady.now()));
     let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    assert!((epoch.as_millis() as i64 * 10 - of_day.now()).abs() < 600_000);
+    assert!((epoch.as_millis() as i64 * 10 - from_epoch.now()).abs() < 600_000);
 }
 
 /// A socket that moves a few bytes at a time, and now and then blocks, is interrupted or fails.
@@ -123,40 +125,45 @@
     let (from, small) = (rng.below(20) as usize, rng.below(10) as usize);
     let mut socket = ScriptedSocket { rng, moved: Vec::new() };
 
-    match wire::read(&mut socket, &mut [0; 16]) {
-        Tried::Blocked => digest.add(1),
-        Tried::Read(count) => digest.add(100 + count as u64),
-        Tried::Over(why) => digest.add_bytes(why.as_bytes()),
+    match nonblocking::read(&mut socket, &mut [0; 16]) {
+        ReadOutcome::WouldBlock => digest.add(1),
+        ReadOutcome::Read(count) => digest.add(100 + count as u64),
+        ReadOutcome::Closed(error) => digest.add_bytes(error.to_string().as_bytes()),
     }
-    match wire::send(&mut socket, bytes) {
+    match nonblocking::write(&mut socket, bytes) {
         Ok(count) => digest.add(count as u64),
-        Err((count, why)) => {
-            digest.add(count as u64);
-            digest.add_bytes(why.as_bytes());
+        Err(error) => {
+            digest.add(error.written as u64);
+            digest.add_bytes(error.source.to_string().as_bytes());
         }
     }
     let mut buffer = bytes.to_vec();
     for _ in 0..3 {
-        digest.add_bytes(wire::push(&mut socket, &mut buffer).err().unwrap_or_default().as_bytes());
+        add_error(digest, nonblocking::write_buffer(&mut socket, &mut buffer));
         digest.add(buffer.len() as u64);
     }
-    let mut parcel = Parcel::default();
+    let mut message = OutgoingMessage::default();
     for _ in 0..2 {
-        parcel.small.extend_from_slice(&bytes[..small.min(bytes.len())]);
-        parcel.put(bytes.to_vec(), from.min(bytes.len()), bytes.len());
-        digest.add(u64::from(parcel.capacity() >= bytes.len()));
+        message.head.extend_from_slice(&bytes[..small.min(bytes.len())]);
+        message.set_body(bytes.to_vec(), from.min(bytes.len()), bytes.len());
+        digest.add(u64::from(message.capacity() >= bytes.len()));
         let mut tries = 0;
-        while !parcel.is_empty() && tries < 50 {
-            digest.add_bytes(parcel.push(&mut socket).err().unwrap_or_default().as_bytes());
+        while !message.is_empty() && tries < 50 {
+            add_error(digest, message.write_to(&mut socket));
             tries += 1;
         }
         digest.add(tries);
-        digest.add(u64::from(parcel.is_empty()));
+        digest.add(u64::from(message.is_empty()));
     }
     digest.add_bytes(&socket.moved);
 }
 
-const SLOTS: [u64; 20] = [
+fn add_error(digest: &mut Digest, result: Result<(), ConnectionError>) {
+    let text = result.err().map(|error| error.to_string()).unwrap_or_default();
+    digest.add_bytes(text.as_bytes());
+}
+
+const INDICES: [u64; 20] = [
     0xda58_70f9_050c_0d75,
     0x3367_c5b5_eec8_8477,
     0xe867_607a_f227_a332,
