--- /dev/null
+++ b/crates/platform-host/tests/support/mod.rs
@@ -0,0 +1,340 @@
+//! A host on a thread of its own between raw sockets: a storage node, the discovery service and clients that compare
+//! bytes.
+#![allow(dead_code, reason = "each test binary uses its own part")]
+use std::fmt::Write as _;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU8, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+use tracing::field::{Field, Visit};
+use tracing::span::{Attributes, Id, Record};
+use tracing::{Event, Metadata, Subscriber};
+
+/// Bound of every wait: far above any time that a test needs.
+const PATIENCE: Duration = Duration::from_secs(10);
+
+/// Settings as the platform writes them: a read class (`look`) and a write class (`book`).
+pub const SETTINGS: &str = r#"{"balancers": 1, "localities": ["a"], "registry_mode": "on_request",
+  "profiles": [
+    {"name": "look", "aim_us": 300000, "deadline_us": 1000000, "repeat": "idempotent", "worth": 3.0},
+    {"name": "book", "aim_us": 300000, "deadline_us": 2000000, "repeat": "at_most_once", "worth": 3.0}],
+  "service_levels": [{"name": "gold", "floor_rate": 900.0, "usual_rate": 900.0, "limit": 0.0, "weight": 1.0, "worth_factor": 1.0}],
+  "extra": {"class_writes": [false, true], "largest": 8, "mean_units": 1.0, "within_share": 0.5, "spare_worth": 0.1},
+  "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after_us": 1000000, "idle_close_us": 30000000, "connect_timeout_us": 250000},
+  "rules": {"drain_grace_us": 250000, "ask_within_us": 10000000}}"#;
+
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !holds() {
+        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+        thread::sleep(Duration::from_millis(2));
+    }
+}
+
+/// A loopback address that is this process's alone.
+fn own_address() -> Ipv4Addr {
+    static NEXT: AtomicU8 = AtomicU8::new(1);
+    let pid = std::process::id();
+    Ipv4Addr::new(127, 210 + (pid >> 8) as u8 % 40, pid as u8, NEXT.fetch_add(1, Ordering::Relaxed))
+}
+
+pub fn listen() -> TcpListener {
+    TcpListener::bind((own_address(), 0)).expect("a loopback address")
+}
+
+/// An address with a free port, for the host to listen on.
+fn free_address() -> SocketAddr {
+    listen().local_addr().expect("bound")
+}
+
+pub fn accept(listener: &TcpListener) -> TcpStream {
+    listener.set_nonblocking(true).expect("a socket");
+    let mut accepted = None;
+    wait_until("a connection of the host", || {
+        accepted = listener.accept().ok();
+        accepted.is_some()
+    });
+    let (socket, _) = accepted.expect("waited for");
+    socket.set_nonblocking(false).expect("a socket");
+    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket
+}
+
+/// Where the body of a message begins.
+fn head_end(text: &str) -> Option<usize> {
+    text.find("\r\n\r\n").map(|end| end + 4)
+}
+
+fn content_length(head: &str) -> usize {
+    let value = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+    value.map_or(0, |value| value.parse().expect("a number"))
+}
+
+/// Reads one message whose body has a length, or none.
+pub fn read_message(socket: &mut TcpStream) -> String {
+    let mut bytes = Vec::new();
+    let mut byte = [0; 1];
+    loop {
+        let text = String::from_utf8_lossy(&bytes);
+        if let Some(end) = head_end(&text)
+            && bytes.len() >= end + content_length(&text[..end])
+        {
+            return text.into_owned();
+        }
+        match socket.read(&mut byte) {
+            Ok(0) => return text.into_owned(),
+            Ok(_) => bytes.push(byte[0]),
+            Err(e) => panic!("{e} after {text:?}"),
+        }
+    }
+}
+
+/// Reads what comes until the other side closes.
+pub fn read_to_close(socket: &mut TcpStream) -> String {
+    let mut bytes = Vec::new();
+    let mut buffer = [0; 4_096];
+    loop {
+        match socket.read(&mut buffer) {
+            Ok(0) => break,
+            Ok(count) => bytes.extend_from_slice(&buffer[..count]),
+            Err(e) if e.kind() == ErrorKind::ConnectionReset => break,
+            Err(e) => panic!("{e} after {:?}", String::from_utf8_lossy(&bytes)),
+        }
+    }
+    String::from_utf8_lossy(&bytes).into_owned()
+}
+
+/// A storage node: keeps every request as it came, and answers each with the next of its answers, or well.
+pub struct Node {
+    pub address: SocketAddr,
+    requests: Arc<Mutex<Vec<String>>>,
+    answers: Arc<Mutex<Vec<&'static str>>>,
+}
+
+impl Node {
+    pub fn new() -> Self {
+        let listener = listen();
+        let address = listener.local_addr().expect("bound");
+        let (requests, answers) = (Arc::<Mutex<Vec<String>>>::default(), Arc::<Mutex<Vec<&str>>>::default());
+        let (seen, next) = (requests.clone(), answers.clone());
+        thread::spawn(move || {
+            for socket in listener.incoming().flatten() {
+                let (seen, next) = (seen.clone(), next.clone());
+                thread::spawn(move || serve(socket, &seen, &next));
+            }
+        });
+        Node { address, requests, answers }
+    }
+
+    pub fn answers_next(&self, answer: &'static str) {
+        self.answers.lock().expect("sound").push(answer);
+    }
+
+    /// The requests that have come, with the figure of the wait in each replaced by `*`.
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().expect("sound").iter().map(|text| without_wait(text)).collect()
+    }
+
+    pub fn entry(&self) -> String {
+        let dial = self.address;
+        format!(
+            r#"{{"host":"s-0","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}"#
+        )
+    }
+}
+
+/// How long the host waits is what is left of a time that passes: between 1 and 900 ms here.
+fn without_wait(text: &str) -> String {
+    const NAME: &str = "X-Timeout-Ms: ";
+    let from = text.find(NAME).expect("a wait") + NAME.len();
+    let to = from + text[from..].find("\r\n").expect("its end");
+    let wait: u64 = text[from..to].parse().expect("whole milliseconds");
+    assert!((1..=900).contains(&wait), "{wait} ms");
+    format!("{}*{}", &text[..from], &text[to..])
+}
+
+fn serve(mut socket: TcpStream, seen: &Mutex<Vec<String>>, next: &Mutex<Vec<&'static str>>) {
+    loop {
+        let request = read_message(&mut socket);
+        if head_end(&request).is_none() {
+            return;
+        }
+        seen.lock().expect("sound").push(request);
+        let set = next.lock().expect("sound").pop();
+        let answer = set.unwrap_or("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Iops-Used: 3.5\r\n\r\ndata");
+        if answer.is_empty() {
+            continue;
+        }
+        if socket.write_all(answer.as_bytes()).is_err() {
+            return;
+        }
+    }
+}
+
+/// A log line: its message, and its fields in their order.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LogLine {
+    pub level: String,
+    pub message: String,
+    pub fields: Vec<(String, String)>,
+}
+
+impl LogLine {
+    pub fn field(&self, name: &str) -> &str {
+        let field = self.fields.iter().find(|(n, _)| n == name);
+        field.map_or_else(|| panic!("no {name} in {self:?}"), |(_, value)| value)
+    }
+
+    pub fn names(&self) -> Vec<&str> {
+        self.fields.iter().map(|(name, _)| name.as_str()).collect()
+    }
+}
+
+#[derive(Clone, Default)]
+pub struct Log(Arc<Mutex<Vec<LogLine>>>);
+
+impl Log {
+    pub fn lines(&self) -> Vec<LogLine> {
+        self.0.lock().expect("sound").clone()
+    }
+
+    /// Waits for a line with this message; the first of them.
+    pub fn line(&self, message: &str) -> LogLine {
+        let mut found = None;
+        wait_until(message, || {
+            found = self.lines().into_iter().find(|line| line.message == message);
+            found.is_some()
+        });
+        found.expect("waited for")
+    }
+}
+
+struct Fields<'l>(&'l mut LogLine);
+
+impl Visit for Fields<'_> {
+    fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
+        let mut text = String::new();
+        write!(text, "{value:?}").expect("writing to memory");
+        if field.name() == "message" {
+            self.0.message = text;
+        } else {
+            self.0.fields.push((field.name().to_owned(), text));
+        }
+    }
+
+    fn record_str(&mut self, field: &Field, value: &str) {
+        self.record_debug(field, &format_args!("{value}"));
+    }
+}
+
+impl Subscriber for Log {
+    fn enabled(&self, _: &Metadata<'_>) -> bool {
+        true
+    }
+
+    fn new_span(&self, _: &Attributes<'_>) -> Id {
+        Id::from_u64(1)
+    }
+
+    fn record(&self, _: &Id, _: &Record<'_>) {}
+
+    fn record_follows_from(&self, _: &Id, _: &Id) {}
+
+    fn event(&self, event: &Event<'_>) {
+        let level = event.metadata().level().to_string();
+        let mut line = LogLine { level, message: String::new(), fields: Vec::new() };
+        event.record(&mut Fields(&mut line));
+        self.0.lock().expect("sound").push(line);
+    }
+
+    fn enter(&self, _: &Id) {}
+
+    fn exit(&self, _: &Id) {}
+}
+
+/// A host that runs on a thread of this process until the process ends, or a signal ends it.
+pub struct Host {
+    pub address: SocketAddr,
+    pub log: Log,
+    pub thread: JoinHandle<Result<(), String>>,
+    directory: tempfile::TempDir,
+}
+
+/// The configuration of a host; `known`: the list that it has at its start.
+pub fn config(listen: SocketAddr, discovery: SocketAddr, known: Option<&str>) -> String {
+    let known = known.map_or(String::new(), |list| format!(r#""known":{list},"#));
+    format!(
+        r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+            "limits":{{"cores":1.0,"memory_mb":16,"sockets":256}},{known}"settings":{SETTINGS}}}"#
+    )
+}
+
+impl Host {
+    /// A host that calls this discovery service, and knows this list at its start.
+    pub fn new(discovery: SocketAddr, known: Option<&str>) -> Self {
+        let address = free_address();
+        let directory = tempfile::tempdir().expect("a directory");
+        let path = directory.path().join("config.json");
+        std::fs::write(&path, config(address, discovery, known)).expect("a file");
+        let log = Log::default();
+        let own = log.clone();
+        let thread = thread::spawn(move || {
+            tracing::subscriber::with_default(own, || {
+                mallowseam_platform_host::run(&path, None).map_err(|e| e.to_string())
+            })
+        });
+        log.line("host starts");
+        Host { address, log, thread, directory }
+    }
+
+    pub fn write_config(&self, text: &str) {
+        std::fs::write(self.directory.path().join("config.json"), text).expect("a file");
+    }
+
+    pub fn connect(&self) -> TcpStream {
+        let socket = TcpStream::connect(self.address).expect("the host listens");
+        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        socket.set_nodelay(true).expect("a socket");
+        socket
+    }
+
+    /// The answer to a request on a connection of its own, which the host leaves open.
+    pub fn answer(&self, request: &str) -> String {
+        let mut socket = self.connect();
+        socket.write_all(request.as_bytes()).expect("open");
+        read_message(&mut socket)
+    }
+
+    /// All that comes behind a request until the host closes the connection.
+    pub fn answer_and_close(&self, request: &str) -> String {
+        let mut socket = self.connect();
+        socket.write_all(request.as_bytes()).expect("open");
+        read_to_close(&mut socket)
+    }
+}
+
+/// A host that knows one node, and the node.
+pub fn host_with_node() -> (Host, Node, TcpListener) {
+    let (node, discovery) = (Node::new(), listen());
+    let known = format!(r#"{{"seq":41,"whole":true,"hosts":[{}]}}"#, node.entry());
+    let host = Host::new(discovery.local_addr().expect("bound"), Some(&known));
+    (host, node, discovery)
+}
+
+pub fn read_request(id: &str) -> String {
+    format!(
+        "GET /look/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\n\
+         X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 900\r\n\
+         X-Placement: units=1,shard=0,hosts=1\r\n\r\n"
+    )
+}
+
+pub fn write_request(id: &str) -> String {
+    format!(
+        "PUT /book/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\n\
+         X-Priority-Class: book\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 900\r\n\
+         X-Placement: units=1,shard=0,hosts=1\r\nContent-Length: 4\r\n\r\nbody"
+    )
+}
