--- /dev/null
+++ b/crates/fleet-udp/tests/pinned_view.rs
@@ -0,0 +1,154 @@
+//! Pins what operators see of a host's view, and the exchange by which it is asked for, as recorded at 01f3988.
+use mallowseam_fleet::State;
+use mallowseam_fleet::wire::{self, Look, MOST, Message, Shown};
+use mallowseam_fleet::word::{Facts, Life, Name, Word, Zone};
+use mallowseam_fleet_udp::ask::{View, view};
+use std::net::{SocketAddr, UdpSocket};
+use std::time::Duration;
+
+fn name(text: &str) -> Name {
+    Name::try_from(text).expect("short")
+}
+
+fn shown(host: &str, state: State, heard: Option<u64>) -> Shown {
+    let word = Word {
+        name: name(host),
+        generation: 70_000,
+        incarnation: 3,
+        life: Life::Alive,
+        address: "10.1.2.3:7400".parse().expect("an address"),
+        zone: Zone::try_from("east").expect("short"),
+        facts: Facts { list: 12, plans: 4 },
+        // In the future, so that the time that it is up is zero at whatever time this runs.
+        started: 9_999_999_999_999,
+    };
+    Shown { word, state, heard }
+}
+
+fn sample() -> View {
+    View {
+        own: "host-a".into(),
+        alone: true,
+        displaced: true,
+        sum: 0xabcd,
+        members: vec![
+            shown("host-c", State::Unreachable, None),
+            shown("host-a", State::Alive, Some(0)),
+            shown("host-b", State::Suspect, Some(12_345)),
+            shown("host-d", State::Alive, Some(99)),
+        ],
+    }
+}
+
+#[test]
+fn the_table_and_the_json_keep_their_text() {
+    let view = sample();
+    assert_eq!(view.counts(), "2 alive, 1 suspect, 1 unreachable");
+    assert_eq!(
+        view.table().lines().collect::<Vec<_>>(),
+        vec![
+            "member              state        zone      address                   list   plans     up s  heard s",
+            "host-a              alive        east      10.1.2.3:7400               12       4        0      0.0",
+            "host-b              suspect      east      10.1.2.3:7400               12       4        0     12.3",
+            "host-c              unreachable  east      10.1.2.3:7400               12       4        0        -",
+            "host-d              alive        east      10.1.2.3:7400               12       4        0      0.1",
+            "as host-a sees it: 2 alive, 1 suspect, 1 unreachable; hears from nobody; another process has its name; view 000000000000abcd"
+        ]
+    );
+    assert_eq!(
+        View { alone: false, displaced: false, ..sample() }.table().lines().last(),
+        Some("as host-a sees it: 2 alive, 1 suspect, 1 unreachable; view 000000000000abcd")
+    );
+    assert_eq!(
+        view.json().to_string(),
+        "{\"alone\":true,\"displaced\":true,\"members\":[{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":null,\"incarnation\":3,\"list\":12,\"name\":\"host-c\",\"plans\":4,\"started\":9999999999999,\"state\":\"unreachable\",\"zone\":\"east\"},{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":0,\"incarnation\":3,\"list\":12,\"name\":\"host-a\",\"plans\":4,\"started\":9999999999999,\"state\":\"alive\",\"zone\":\"east\"},{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":12345,\"incarnation\":3,\"list\":12,\"name\":\"host-b\",\"plans\":4,\"started\":9999999999999,\"state\":\"suspect\",\"zone\":\"east\"},{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":99,\"incarnation\":3,\"list\":12,\"name\":\"host-d\",\"plans\":4,\"started\":9999999999999,\"state\":\"alive\",\"zone\":\"east\"}],\"own\":\"host-a\",\"view\":\"000000000000abcd\"}"
+    );
+}
+
+#[test]
+fn changes_and_differences_keep_their_text() {
+    let (before, mut after) = (sample(), sample());
+    after.own = "host-b".into();
+    after.members.remove(3);
+    after.members[0].state = State::Left;
+    after.members[1].word.incarnation = 4;
+    after.members.push(shown("host-e", State::Joining, None));
+    assert_eq!(
+        after.changes(&before),
+        vec!["host-c: unreachable -> left", "host-e: unknown -> joining", "host-d: alive -> forgotten"]
+    );
+    assert_eq!(
+        before.differs(&after),
+        vec![
+            "host-a: host-a has it alive (generation 70000, word 3), host-b has it alive (generation 70000, word 4)",
+            "host-c: host-a has it unreachable (generation 70000, word 3), host-b has it left (generation 70000, word 3)",
+            "host-d: host-a has it alive (generation 70000, word 3), host-b has it unknown",
+            "host-e: host-a has it unknown, host-b has it joining (generation 70000, word 3)"
+        ]
+    );
+    assert!(before.differs(&before).is_empty());
+}
+
+fn answer(socket: &UdpSocket, page: Look, to: SocketAddr) {
+    let mut buffer = [0; MOST];
+    let bytes = wire::write("any", &Message::Looked(page), &mut buffer).expect("it fits");
+    socket.send_to(bytes, to).expect("sent");
+}
+
+fn server() -> (UdpSocket, SocketAddr) {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    socket.set_read_timeout(Some(Duration::from_secs(10))).expect("a bound");
+    let address = socket.local_addr().expect("bound");
+    (socket, address)
+}
+
+#[test]
+fn a_view_of_several_pages_is_asked_for_page_by_page() {
+    let (socket, address) = server();
+    let asked = std::thread::spawn(move || view(address));
+    let mut questions = Vec::new();
+    for n in 0..3u64 {
+        let mut buffer = [0; 2 * MOST];
+        let (len, from) = socket.recv_from(&mut buffer).expect("a question");
+        questions.push(buffer[..len].to_vec());
+        let page = Look {
+            own: name("host-a"),
+            alone: n == 2,
+            displaced: n != 2,
+            sum: n,
+            members: heapless::Vec::from_iter([shown(&format!("h{n}"), State::Alive, None)]),
+            next: Some([10, 20, 20][n as usize]),
+        };
+        answer(&socket, page, from);
+    }
+    let found = asked.join().expect("no panic").expect("a view");
+    assert_eq!(questions, vec![wire::look(0).to_vec(), wire::look(10).to_vec(), wire::look(20).to_vec()]);
+    assert_eq!((found.own.as_str(), found.alone, found.displaced, found.sum), ("host-a", true, false, 2));
+    assert_eq!(
+        found.members.iter().map(|m| m.word.name.as_str()).collect::<Vec<_>>(),
+        vec!["h0", "h1", "h2"]
+    );
+}
+
+#[test]
+fn a_question_is_asked_four_times_and_the_error_keeps_its_text() {
+    let (socket, address) = server();
+    let asked = std::thread::spawn(move || view(address));
+    for _ in 0..4 {
+        let mut buffer = [0; 2 * MOST];
+        let (_, from) = socket.recv_from(&mut buffer).expect("a question");
+        socket.send_to(b"no view", from).expect("sent");
+    }
+    let error = asked.join().expect("no panic").expect_err("no view");
+    assert_eq!(error.to_string(), "no view of this version of the program");
+    socket.set_nonblocking(true).expect("set");
+    assert!(socket.recv_from(&mut [0; 2 * MOST]).is_err(), "not asked a fifth time");
+}
+
+#[test]
+fn a_host_that_says_nothing_is_a_time_out() {
+    let (socket, address) = server();
+    let error = view(address).expect_err("no answer");
+    assert_eq!(error.to_string(), "timed out");
+    drop(socket);
+}
