--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -86,7 +86,7 @@
         let io = self.ios.get(at).expect("in hand");
         let (write, extent, vol) = (self.is_write(io), io.part.shard, io.vol);
         let Some(map) = &mut self.map else { return false };
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         match map.cache.look(io.branch.as_deref().unwrap_or_default(), extent, write, now) {
             Look::At(layer, place) => {
                 if write && !self.may_follow(at, layer, now) {
@@ -101,7 +101,7 @@
                 let bytes = io.part.blocks as usize * self.volumes[vol].block_size as usize;
                 let io = self.ios.get_mut(at).expect("in hand");
                 io.answered = true;
-                self.figures.groups[io.part.group as usize].answers.taken += 1;
+                self.figures.groups[io.part.class as usize].answers.taken += 1;
                 self.done(at, vec![0; bytes]);
                 self.forget(at);
                 true
@@ -113,7 +113,7 @@
             }
             Look::Later | Look::Unsure => false,
             Look::NoSuchBranch => {
-                self.give_up(BioId(at), End::Failed);
+                self.give_up(BioId(at), RequestOutcome::Failed);
                 self.forget(at);
                 true
             }
@@ -149,7 +149,7 @@
                 false
             }
             Go::Never => {
-                self.give_up(BioId(at), End::Failed);
+                self.give_up(BioId(at), RequestOutcome::Failed);
                 self.forget(at);
                 false
             }
@@ -172,7 +172,7 @@
         let (ios, commands) = (&self.ios, &self.commands);
         let holds = |layer: LayerId, branch: &str| {
             let several =
-                |at: u32| commands.get(at).filter(|c| c.write && c.parts > 1 && !c.whole.answered());
+                |at: u32| commands.get(at).filter(|c| c.write && c.parts > 1 && !c.progress.is_answered());
             ios.iter().any(|(_, io)| {
                 let here = io.branch.as_deref() == Some(branch);
                 let under_way = io.place.is_some_and(|p| p.0 == layer) && !io.answered;
@@ -193,7 +193,7 @@
         if self.map.is_none() || self.looked.0 == news && self.now < self.looked.1 {
             return false;
         }
-        self.looked = (news, self.now + up(copies::AGAIN * 1000));
+        self.looked = (news, self.now + ticks_from_micros_ceil(copies::AGAIN * 1000));
         self.tend_copies();
         self.tend_cuts();
         let mut behind: Vec<(u32, u32)> = Vec::new();
@@ -204,9 +204,9 @@
             if io.answered {
                 self.forget(at);
                 moved = true;
-            } else if self.now >= io.taken + self.groups[io.part.group as usize].goal {
+            } else if self.now >= io.taken + self.groups[io.part.class as usize].goal {
                 // Past its goal: the answer at once. It has not been sent, so trying again is harmless.
-                self.give_up(BioId(at), End::Shed(0));
+                self.give_up(BioId(at), RequestOutcome::Shed { retry_after: 0 });
                 self.forget(at);
                 moved = true;
             } else if behind.contains(&here) || !self.go(scheduler, at) {
@@ -245,7 +245,7 @@
 
     /// Begins to copy an extent to a new place, unless that is under way.
     pub(super) fn copy(&mut self, to: (LayerId, u32), vol: usize, from: Option<(LayerId, Place)>) {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         let Some(map) = &mut self.map else { return };
         let again = match self.copying.get(&to).map(|c| &c.state) {
             None => false,
@@ -279,8 +279,14 @@
         let copy = &self.copying[&to];
         let reading = copy.state == Copying::Reading;
         let blocks = if reading || copy.from.is_some() { self.extent as u32 } else { 1 };
-        let part =
-            Part { from: 0, blocks, shard: to.1, node_lba: 0, group: self.copy_group as u16, key: None };
+        let part = SubRequest {
+            offset: 0,
+            blocks,
+            shard: to.1,
+            node_lba: 0,
+            class: self.copy_group as u16,
+            ordering_key: None,
+        };
         self.seq += 1;
         let io = Io {
             command: NONE,
@@ -299,7 +305,7 @@
             out: None,
             answered: false,
         };
-        let at = self.ios.put(io);
+        let at = self.ios.insert(io);
         self.fresh.push_back(at);
     }
 
@@ -315,7 +321,7 @@
                 self.copy_step(to);
             }
             (Copying::Writing, Some((_, place))) => {
-                copy.state = Copying::Told(place, millis(self.now));
+                copy.state = Copying::Told(place, ticks_to_millis(self.now));
                 self.copies.ended_well();
                 self.tell_place(to, place);
             }
@@ -331,7 +337,7 @@
 
     /// Copies that are settled are over; places not heard of are told again.
     pub(super) fn tend_copies(&mut self) {
-        let now = millis(self.now);
+        let now = ticks_to_millis(self.now);
         let Some(tree) = self.map.as_ref().and_then(|m| m.cache.tree()) else { return };
         let settled = |(layer, extent): &(LayerId, u32)| {
             tree.layers.get(layer).is_none_or(|l| l.frozen || l.places.contains_key(extent))
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -1,7 +1,7 @@
-//! The event loop: one thread, every decision the scheduler's or a conduct module's.
+//! The event loop: one thread, every decision the scheduler's or a connection policy's.
 use crate::catalog_client::Map;
 use crate::client_connections::Clients;
-use crate::clock::{Clock, millis, span};
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
 use crate::control_socket::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
 use crate::dispatcher::Desk;
 use crate::endpoint_list::List;
@@ -9,7 +9,7 @@
 use crate::plan_replication::Follow;
 use crate::scheduler_config;
 use crate::startup::{Failure, control, failure, listen, signals};
-use mallowseam_conduct::door::Door;
+use mallowseam_connection_policy::admission::AdmissionController;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
 use mallowseam_iscsi::frame::Digests;
@@ -120,8 +120,8 @@
             names: vec![site.host.target.clone()],
             address: bound.to_string(),
         });
-        let door = Door::new(&site.host.target, site.host.connections as usize);
-        let clients = Clients::new(door, targets, registry()?, NODES + site.nodes.len());
+        let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
+        let clients = Clients::new(admission, targets, registry()?, NODES + site.nodes.len());
         let initiator = format!("{}:{}", site.host.target, site.host.name);
         let nodes = Nodes::new(&site.nodes, initiator, wishes, registry()?, NODES);
         let map = match &site.catalog {
@@ -143,7 +143,7 @@
         let part =
             site.host.place.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
-        let clock = Clock::start();
+        let clock = Clock::from_zero();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
         Ok(Gateway {
             scheduler: Scheduler::new(&scheduler_config::scheduler_terms(&site), seed, clock.now()),
@@ -188,7 +188,7 @@
 
     /// Told to stop and nobody is left, or told twice.
     fn over(&self) -> bool {
-        let empty = self.desk.clients.door.count() == 0 && self.desk.in_hand() == 0;
+        let empty = self.desk.clients.admission.connection_count() == 0 && self.desk.in_hand() == 0;
         self.stops > 1 || self.stops == 1 && empty
     }
 
@@ -200,7 +200,7 @@
         for at in [self.desk.wake_at, self.desk.next_timer(), self.desk.next_look()].into_iter().flatten() {
             due = due.min(at);
         }
-        let due = span(due - self.clock.now());
+        let due = ticks_to_duration(due - self.clock.now());
         Some(self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due()))))
     }
 
@@ -216,7 +216,7 @@
             }
             MAP => {
                 if let Some(map) = &mut self.desk.map {
-                    let more = map.ready(readable, &mut self.scratch, millis(now));
+                    let more = map.ready(readable, &mut self.scratch, ticks_to_millis(now));
                     if more && !self.turns.contains(&Turn::Map) {
                         self.turns.push_back(Turn::Map);
                     }
@@ -225,7 +225,7 @@
             }
             FOLLOW => {
                 if let Some(follow) = &mut self.follow
-                    && follow.ready(&mut self.scratch, &self.wanted, millis(now))
+                    && follow.ready(&mut self.scratch, &self.wanted, ticks_to_millis(now))
                 {
                     self.take_up_next();
                 }
@@ -292,7 +292,7 @@
                 }
                 Some(Turn::Map) => {
                     if let Some(map) = &mut self.desk.map
-                        && map.ready(false, &mut self.scratch, millis(now))
+                        && map.ready(false, &mut self.scratch, ticks_to_millis(now))
                     {
                         self.turns.push_back(Turn::Map);
                     }
@@ -329,7 +329,7 @@
         self.tend_follow();
         self.tell_part();
         if let Some(map) = &mut self.desk.map {
-            map.tend(millis(self.desk.now));
+            map.tend(ticks_to_millis(self.desk.now));
         }
         self.desk.nodes.flush();
         let mut again = Vec::new();
@@ -370,9 +370,9 @@
                 *before = f.asked;
             }
             self.counted.0 = now;
-            follow.tend(millis(now), rand::rng().next_u64() % 1_000);
+            follow.tend(ticks_to_millis(now), rand::rng().next_u64() % 1_000);
         }
-        let parts = follow.member.parts(millis(now)).zip(&mut self.parts);
+        let parts = follow.member.parts(ticks_to_millis(now)).zip(&mut self.parts);
         for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
             *kept = part;
             self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
@@ -386,7 +386,7 @@
         let taken = self.of_state(state).map(|taken| self.put(taken));
         let Some(follow) = &mut self.follow else { return };
         match taken {
-            Ok(()) => follow.acts_on(millis(self.desk.now)),
+            Ok(()) => follow.acts_on(ticks_to_millis(self.desk.now)),
             Err(why) => follow.against(&why),
         }
         self.tend_follow();
@@ -418,7 +418,9 @@
     fn hear_list(&mut self) {
         while let Some((form, listed)) = self.list.news() {
             for l in &listed {
-                self.desk.nodes.all[l.node.0 as usize].line.listed(l.state == NodeState::Left);
+                self.desk.nodes.all[l.node.0 as usize]
+                    .connection
+                    .set_node_removed(l.state == NodeState::Left);
             }
             let now = self.desk.now;
             self.scheduler.listed(&mut self.desk, now, form, &listed);
@@ -451,7 +453,7 @@
             "drain" => if self.drain("operator") { "draining" } else { "draining already" }.into(),
             "undrain" if self.stops > 0 => "error: the host is stopping".into(),
             "undrain" => {
-                self.desk.clients.door.undrain();
+                self.desk.clients.admission.stop_draining();
                 tracing::info!("open to logins");
                 "open".into()
             }
@@ -514,7 +516,7 @@
             let view = view.unwrap_or_default();
             NodeStatus {
                 name: n.name.clone(),
-                connected: n.line.is_up(),
+                connected: n.connection.is_ready(),
                 open: view.open,
                 cold: view.cold,
                 out: view.out,
@@ -534,9 +536,9 @@
         };
         Status {
             host: self.site.host.name.clone(),
-            up_seconds: millis(desk.now) as f64 / 1000.0,
-            draining: desk.clients.door.draining(),
-            connections: desk.clients.door.count(),
+            up_seconds: ticks_to_millis(desk.now) as f64 / 1000.0,
+            draining: desk.clients.admission.is_draining(),
+            connections: desk.clients.admission.connection_count(),
             in_hand: desk.in_hand(),
             buffer_bytes: desk.clients.held(),
             list_epoch,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -22,7 +22,7 @@
 mod startup;
 mod verify;
 
-pub use mallowseam_sockets::{clock, slots};
+pub use mallowseam_sockets::{clock, slab};
 
 pub use control_socket::{Status, ask};
 pub use event_loop::run;
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -1,6 +1,6 @@
 //! From the configuration to the scheduler's terms and the volumes' layouts.
-use crate::clock::{down, up};
-use mallowseam_conduct::parts::{Extent, Layout, Rule};
+use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
+use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
 use mallowseam_settings::Site;
 use mallowseam_settings::site::{self, Direction};
@@ -12,7 +12,7 @@
             site::Effect::Idempotent => Effect::Idempotent,
             site::Effect::SideEffecting => Effect::SideEffecting,
         },
-        goal: down(g.goal),
+        goal: ticks_from_micros_floor(g.goal),
         late_share: g.late_share,
         gain: g.gain,
         ordered: g.ordered,
@@ -30,7 +30,7 @@
         counts_others: false,
         may_cancel: true,
         may_name_return: fleet.come_back > 0,
-        longest_return: down(fleet.come_back),
+        longest_return: ticks_from_micros_floor(fleet.come_back),
         max_submits: fleet.submits,
         list_on_request: site.host.node_list.is_some(),
         ask_turn: None,
@@ -39,13 +39,13 @@
         word_by_half: false,
         cold_bears: fleet.cold_bears,
         cold_from: fleet.cold_from,
-        cold_span: up(fleet.cold_span),
-        fall_span: up(fleet.fall_span),
+        cold_span: ticks_from_micros_ceil(fleet.cold_span),
+        fall_span: ticks_from_micros_ceil(fleet.fall_span),
         fall_multiple: fleet.fall_multiple,
-        order_rest: up(fleet.order_rest),
+        order_rest: ticks_from_micros_ceil(fleet.order_rest),
         budget_free: fleet.further_free,
         budget_share: fleet.further_part,
-        budget_span: up(fleet.further_span),
+        budget_span: ticks_from_micros_ceil(fleet.further_span),
         ..Terms::default()
     }
 }
@@ -62,22 +62,22 @@
     site.plans.iter().map(plan).collect()
 }
 
-pub fn layout(site: &Site, volume: &site::Volume) -> Layout {
+pub fn layout(site: &Site, volume: &site::Volume) -> VolumeLayout {
     let extent = |e: &site::Extent| Extent {
-        first: e.first,
+        first_block: e.first,
         blocks: e.blocks,
         shard: site.nodes[e.node].shard,
-        node_first: e.node_first,
+        first_node_block: e.node_first,
     };
-    let rule = |r: &site::Rule| Rule {
-        reads: r.direction != Direction::Write,
-        writes: r.direction != Direction::Read,
-        first: r.first,
-        last: r.last,
-        group: r.group as u16,
-        key: r.key,
+    let rule = |r: &site::Rule| ClassRule {
+        matches_reads: r.direction != Direction::Write,
+        matches_writes: r.direction != Direction::Read,
+        first_block: r.first,
+        last_block: r.last,
+        class: r.group as u16,
+        blocks_per_key: r.key,
     };
-    Layout {
+    VolumeLayout {
         extents: volume.extents.iter().map(extent).collect(),
         rules: volume.rules.iter().map(rule).collect(),
     }
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,10 +1,10 @@
 //! A call to the node list service: a watch from a version on.
 use crate::{MESSAGE, tidy};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::watch::Watch;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_http1::{AnswerHead, Bounds, Chunks, Framing};
 use mallowseam_platform::list::{self, Entry, Front, News};
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     out: Vec<u8>,
     buffer: Vec<u8>,
     stage: Stage,
-    pub watch: Watch,
+    pub watch: WatchLiveness,
 }
 
 /// What a call came to.
@@ -53,7 +53,7 @@
         registry.register(&mut socket, token, interest).map_err(|e| e.to_string())?;
         let mut out = Vec::new();
         list::watch(&mut out, address, since);
-        let (buffer, stage, watch) = (Vec::new(), Stage::Head, Watch::new(now));
+        let (buffer, stage, watch) = (Vec::new(), Stage::Head, WatchLiveness::new(now));
         Ok(Call { socket, address, since, out, buffer, stage, watch })
     }
 
@@ -78,18 +78,18 @@
             }
             return;
         }
-        if let Err(why) = wire::push(&mut self.socket, &mut self.out) {
-            return heard(Heard::Failed(why));
+        if let Err(why) = nonblocking::write_buffer(&mut self.socket, &mut self.out) {
+            return heard(Heard::Failed(why.to_string()));
         }
         loop {
-            let count = match wire::read(&mut self.socket, scratch) {
-                Tried::Read(count) => count,
-                Tried::Blocked => return,
-                Tried::Over(why) => return heard(Heard::Failed(why)),
+            let count = match nonblocking::read(&mut self.socket, scratch) {
+                ReadOutcome::Read(count) => count,
+                ReadOutcome::WouldBlock => return,
+                ReadOutcome::Closed(why) => return heard(Heard::Failed(why.to_string())),
             };
             self.buffer.extend_from_slice(&scratch[..count]);
             if let Err(why) = self.steps(heard) {
-                return heard(Heard::Failed(why));
+                return heard(Heard::Failed(why.to_string()));
             }
         }
     }
@@ -106,7 +106,7 @@
             let (len, framing, ahead) = (head.len, head.framing, head.ahead());
             drop(self.buffer.drain(..len));
             if !ahead {
-                self.watch.answered();
+                self.watch.response_started();
                 self.stage = match framing {
                     Framing::Chunked => Stage::Lines(Chunks::new(0)),
                     Framing::Length(len) => Stage::Length(len),
--- a/crates/platform-host/src/run.rs
+++ b/crates/platform-host/src/run.rs
@@ -3,9 +3,11 @@
 use crate::desk::Desk;
 use crate::discovery::{Call, Heard};
 use crate::nodes::Nodes;
-use mallowseam_conduct::front::{Doing, Leaving};
-use mallowseam_conduct::parting::{self, Keep};
-use mallowseam_conduct::watch::Pair;
+use mallowseam_connection_policy::client_connection::Phase;
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
+use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
+use mallowseam_connection_policy::resource_budget::ResourceBudget;
+use mallowseam_connection_policy::watch_slots::WatchSlots;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
 use mallowseam_platform::config::{self, Config};
@@ -13,7 +15,8 @@
 use mallowseam_platform::settings::Named;
 use mallowseam_scheduler::host::{Host, ListForm, NodeId, Terms, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_sockets::clock::{Clock, Looks, millis, span, ticks};
+use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
+use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_duration, ticks_to_millis};
 use mallowseam_sockets::{descriptors, listener, signals};
 use mio::net::{TcpListener, TcpStream, UnixStream};
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -66,7 +69,7 @@
     path: PathBuf,
     config: Config,
     clock: Clock,
-    looks: Looks,
+    arrivals: ArrivalEstimator,
     scheduler: Scheduler,
     desk: Desk,
     registry: Registry,
@@ -76,7 +79,7 @@
     int: UnixStream,
     hup: UnixStream,
     calls: [Option<Call>; 2],
-    pair: Pair,
+    watch_slots: WatchSlots,
     /// Its part in the fleet's view, where the configuration names one, and whether that has more to read.
     part: Option<Box<Part>>,
     part_more: bool,
@@ -85,7 +88,7 @@
     counted_by: SocketAddr,
     told: bool,
     /// The host is to end.
-    leaving: Option<Leaving>,
+    leaving: Option<GracefulShutdown>,
     scratch: Vec<u8>,
     looked: Tick,
     logged: Tick,
@@ -101,9 +104,9 @@
 /// of the list service, where somebody says so.
 pub fn run(path: &Path, list_turn: Option<u64>) -> Result<(), Failure> {
     let mut config = load(path)?;
-    config.named.terms.ask_turn = list_turn.map(ticks);
+    config.named.terms.ask_turn = list_turn.map(ticks_from_millis);
     // Parted by what the configuration says, it would run short of them where nothing may be turned away.
-    let given = descriptors::given(config.sockets).map_err(failure("descriptors"))?;
+    let given = descriptors::raise_limit(config.sockets).map_err(failure("descriptors"))?;
     if given < config.sockets {
         let wanted = config.sockets;
         return Err(Failure(format!("limits.sockets: {wanted}, where the system gives {given} descriptors")));
@@ -118,7 +121,7 @@
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(failure("poll")(e)),
             _ => {}
         }
-        host.desk.heard = host.looks.heard(from, host.clock.now());
+        host.desk.heard = host.arrivals.estimate(from, host.clock.now());
         host.round(&events);
     }
     if let Some(part) = &mut host.part {
@@ -147,8 +150,8 @@
         let listening = failure(format!("listen {}", config.listen));
         let mut listener = listener::listen(config.listen).map_err(listening)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(failure("poll"))?;
-        let parting = parting::part(config.sockets, config.memory_mb);
-        let clock = Clock::of_day();
+        let budget = ResourceBudget::new(config.sockets, config.memory_mb);
+        let clock = Clock::from_unix_epoch();
         let now = clock.now();
         let mut named = config.named.clone();
         // On the platform the list is always asked for, and a late word on what was never tried costs three tenths.
@@ -156,13 +159,13 @@
         named.terms.word_by_half = true;
         let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
         let part = config.place.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
-        let keep = Keep::new(millis(named.idle_close), millis(now));
-        let clients = Clients::new(registry()?, client_token, parting.clients, parting.client_bytes);
+        let keep = KeepAlivePolicy::new(ticks_to_millis(named.idle_close), ticks_to_millis(now));
+        let clients = Clients::new(registry()?, client_token, budget.client_connections, budget.client_bytes);
         let nodes = Nodes::new(
             registry()?,
             line_token,
-            parting.nodes,
-            parting.node_bytes,
+            budget.node_connections,
+            budget.node_bytes,
             named.connect_within,
             keep,
         );
@@ -170,15 +173,15 @@
             host = config.name,
             listen = %config.listen,
             discovery = %config.discovery,
-            clients = parting.clients,
-            nodes = parting.nodes,
+            clients = budget.client_connections,
+            nodes = budget.node_connections,
             cores = config.cores,
-            idle_close_ms = millis(config.named.idle_close),
-            connect_within_ms = millis(config.named.connect_within),
+            idle_close_ms = ticks_to_millis(config.named.idle_close),
+            connect_within_ms = ticks_to_millis(config.named.connect_within),
             memory_mb = config.memory_mb,
             known = config.known.as_ref().map_or(0, |k| k.entries.len()),
             list_pushed = config.named.terms.list_pushed,
-            ask_within_ms = millis(config.named.terms.ask_within),
+            ask_within_ms = ticks_to_millis(config.named.terms.ask_within),
             "host starts"
         );
         Ok(Platform {
@@ -192,7 +195,7 @@
             int,
             hup,
             calls: [None, None],
-            pair: Pair::default(),
+            watch_slots: WatchSlots::default(),
             part,
             part_more: false,
             seq: None,
@@ -202,7 +205,7 @@
             scratch: vec![0; SCRATCH],
             looked: now,
             logged: now,
-            looks: Looks::new(now),
+            arrivals: ArrivalEstimator::new(now),
             clock,
             config,
         })
@@ -227,13 +230,13 @@
     }
 
     /// By when all has to be answered, once it is told to end.
-    fn answers_by(&self) -> Option<Tick> {
-        self.leaving.and_then(|l| l.answers_by()).map(ticks)
+    fn answer_deadline(&self) -> Option<Tick> {
+        self.leaving.and_then(|l| l.answer_deadline()).map(ticks_from_millis)
     }
 
     fn over(&self) -> bool {
         let clients = self.desk.clients.len();
-        self.leaving.is_some_and(|l| l.over(millis(self.desk.now), clients))
+        self.leaving.is_some_and(|l| l.is_complete(ticks_to_millis(self.desk.now), clients))
     }
 
     fn wait(&self) -> std::time::Duration {
@@ -241,11 +244,11 @@
             return std::time::Duration::ZERO;
         }
         let mut due = self.looked + LOOK;
-        let by = self.answers_by().filter(|by| *by > self.desk.now);
+        let by = self.answer_deadline().filter(|by| *by > self.desk.now);
         for at in [self.desk.wake_at, self.desk.nodes.next_timer(), by].into_iter().flatten() {
             due = due.min(at);
         }
-        let due = span(due - self.clock.now());
+        let due = ticks_to_duration(due - self.clock.now());
         self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due())))
     }
 
@@ -270,10 +273,12 @@
                 TERM if drain(&mut self.term) => {
                     let named = &self.desk.named;
                     let goal = named.terms.groups.iter().map(|g| g.goal).max().unwrap_or(0);
-                    let (longest, goal) = (millis(named.longest), millis(goal));
-                    self.leave(Leaving::platform(millis(self.desk.now), longest, goal));
+                    let (longest, goal) = (ticks_to_millis(named.longest), ticks_to_millis(goal));
+                    self.leave(GracefulShutdown::by_platform(ticks_to_millis(self.desk.now), longest, goal));
+                }
+                INT if drain(&mut self.int) => {
+                    self.leave(GracefulShutdown::by_operator(ticks_to_millis(self.desk.now)))
                 }
-                INT if drain(&mut self.int) => self.leave(Leaving::by_hand(millis(self.desk.now))),
                 LISTENER => self.accepting = true,
                 _ => {}
             }
@@ -308,7 +313,7 @@
             if token >= CALLERS && (token - CALLERS).is_multiple_of(2) && ended == left {
                 self.tick();
                 let at = ((token - CALLERS) / 2) as u32;
-                let now = millis(self.desk.now);
+                let now = ticks_to_millis(self.desk.now);
                 if let Some(bio) = self.desk.clients.ready(at, event.is_readable(), ended, now) {
                     self.desk.left(&mut self.scheduler, bio);
                 }
@@ -321,7 +326,7 @@
         for _ in 0..self.desk.clients.turns.len().min(most) {
             let Some(at) = self.desk.clients.turns.pop_front() else { break };
             self.tick();
-            match self.desk.clients.turn(at, &mut self.scratch, millis(self.desk.now)) {
+            match self.desk.clients.turn(at, &mut self.scratch, ticks_to_millis(self.desk.now)) {
                 Came::Request => self.desk.asked(&mut self.scheduler, at, self.told),
                 Came::Nothing => {}
             }
@@ -333,7 +338,7 @@
         self.tick();
         self.desk.overdue(&mut self.scheduler);
         self.desk.woken(&mut self.scheduler);
-        if self.answers_by().is_some_and(|by| by <= self.desk.now) && self.desk.in_hand() > 0 {
+        if self.answer_deadline().is_some_and(|by| by <= self.desk.now) && self.desk.in_hand() > 0 {
             self.desk.close_all(&mut self.scheduler);
         }
         // A watch begins with all that was missed, the whole list where that is called for.
@@ -347,12 +352,12 @@
     }
 
     fn look(&mut self) {
-        let now = millis(self.desk.now);
+        let now = ticks_to_millis(self.desk.now);
         self.desk.clients.look(now);
         self.desk.nodes.look(self.desk.now);
         for at in 0..CALLS.len() {
             let Some(call) = &mut self.calls[at] else { continue };
-            if !call.watch.fails(now) {
+            if !call.watch.check_failure(now) {
                 continue;
             }
             if !call.up() {
@@ -361,14 +366,14 @@
             }
             tracing::warn!(address = %call.address(), "the list service says nothing");
             // A call without a word takes a place in the service's queue; a watch that had one takes none.
-            if !call.watch.stands() {
+            if !call.watch.is_established() {
                 self.end(at);
             }
-            if self.pair.is_last(at) {
+            if self.watch_slots.is_latest(at) {
                 self.desk.list_failed(&mut self.scheduler, ListForm::Silent);
             }
         }
-        if self.leaving.is_some_and(|l| !l.lets_in(now)) {
+        if self.leaving.is_some_and(|l| !l.admits_clients(now)) {
             self.shut();
         }
         if self.desk.now >= self.logged + TELL {
@@ -401,7 +406,7 @@
         if self.desk.clients.full() {
             self.turns(usize::MAX);
         }
-        self.desk.clients.enter(socket, millis(self.desk.now));
+        self.desk.clients.enter(socket, ticks_to_millis(self.desk.now));
     }
 
     /// The listener is closed once nothing waits at it.
@@ -414,7 +419,7 @@
         }
     }
 
-    fn leave(&mut self, leaving: Leaving) {
+    fn leave(&mut self, leaving: GracefulShutdown) {
         if self.leaving.is_none() {
             tracing::info!(clients = self.desk.clients.len(), in_hand = self.desk.in_hand(), "told to end");
             self.leaving = Some(leaving);
@@ -468,10 +473,10 @@
 
     /// Calls the list service anew. A call that still stands is listened to until the new one has spoken.
     fn call(&mut self) {
-        let last = self.calls.iter().enumerate().any(|(at, c)| c.is_some() && self.pair.is_last(at));
-        let at = self.pair.next(last);
+        let last = self.calls.iter().enumerate().any(|(at, c)| c.is_some() && self.watch_slots.is_latest(at));
+        let at = self.watch_slots.next_slot(last);
         self.end(at);
-        let (address, now) = (self.config.discovery, millis(self.desk.now));
+        let (address, now) = (self.config.discovery, ticks_to_millis(self.desk.now));
         // Another service counts by itself: where it stands says nothing of what this one has told.
         if address != self.counted_by {
             (self.seq, self.counted_by) = (None, address);
@@ -493,7 +498,7 @@
         tracing::warn!(why, address = %self.config.discovery, "the list service failed");
         self.end(at);
         // One that another was called beside has been told as silent before.
-        if self.pair.is_last(at) {
+        if self.watch_slots.is_latest(at) {
             self.desk.list_failed(&mut self.scheduler, ListForm::Failed);
         }
     }
@@ -522,9 +527,9 @@
 
     /// A whole line has come on a call: the one made before it has no more to say.
     fn spoke(&mut self, at: usize) {
-        let now = millis(self.desk.now);
-        let first = self.calls[at].as_mut().is_some_and(|c| c.watch.heard(now));
-        if let Some(other) = self.pair.spoke(at) {
+        let now = ticks_to_millis(self.desk.now);
+        let first = self.calls[at].as_mut().is_some_and(|c| c.watch.event_received(now));
+        if let Some(other) = self.watch_slots.superseded_by(at) {
             self.end(other);
         }
         if first {
@@ -565,8 +570,8 @@
         let clients = &desk.clients;
         tracing::info!(
             clients = clients.len(),
-            silent = clients.doing(Doing::Silent),
-            idle = clients.doing(Doing::Idle),
+            silent = clients.doing(Phase::AwaitingFirstRequest),
+            idle = clients.doing(Phase::Idle),
             bytes = clients.bytes() + desk.nodes.bytes(),
             counts = ?clients.counts,
             bios = ?desk.counts,
