--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -1,40 +1,79 @@
-//! A client with a blocking socket: for exports and imports, for the lab's bench and for tests.
+//! An iSCSI client on a blocking socket: for exports, imports and verification, for benchmarks and tests.
 use mallowseam_iscsi::initiator::{Came, InitiatorConn};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::Sense;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// What a client waits for at most before it gives up on a host.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a read from the socket may take.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Bytes read from the socket at once.
+const READ_BUFFER: usize = 128 * 1024;
+/// Initiator session id of every client (RFC 7143, 11.12.5): random format, zero.
+const ISID: [u8; 6] = [0x80, 0, 0, 0, 0, 0];
+/// The first task tags are left to callers that build commands themselves.
+const FIRST_TAG: u32 = 1 << 20;
 
+/// Why a session cannot be opened or a command gets no answer.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientError {
+    /// The connection failed, or nothing came within twenty seconds.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The target closed the connection.
+    #[error("connection closed")]
+    Closed,
+    /// What the target sent breaks the protocol, or it refused the login.
+    #[error("{0}")]
+    Protocol(String),
+    /// The target's command window is closed.
+    #[error("the command window is closed")]
+    WindowClosed,
+    /// The target rejected the command's PDU.
+    #[error("rejected, reason {reason}")]
+    Rejected {
+        /// Reason code (RFC 7143, 11.17.1).
+        reason: u8,
+    },
+}
+
+/// A session of one connection, logged in.
 pub struct BlockingClient {
+    /// The connection's socket.
     pub socket: TcpStream,
+    /// The protocol's state.
     pub conn: InitiatorConn,
-    scratch: Vec<u8>,
-    tag: u32,
+    read_buffer: Vec<u8>,
+    last_tag: u32,
 }
 
 /// How a command came out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
+    /// SCSI status code.
     pub status: u8,
+    /// Sense data that came with CHECK CONDITION.
     pub sense: Option<Sense>,
+    /// Data of a read.
     pub data: Vec<u8>,
-    /// Tenths of a second.
+    /// Time after which to retry, in tenths of a second (RFC 7144); 0 for none.
     pub retry_after: u16,
 }
 
 impl BlockingClient {
-    /// Logs in; `target` none for discovery. Errors in words: no connection, refused, closed.
-    pub fn open(address: SocketAddr, target: Option<&str>, index: u32) -> Result<BlockingClient, String> {
-        let socket = TcpStream::connect(address).map_err(|e| e.to_string())?;
+    /// Connects and logs in; without a target to a discovery session. `index` makes the initiator's name.
+    ///
+    /// # Errors
+    /// The connection cannot be opened, or the login is refused.
+    pub fn open(address: SocketAddr, target: Option<&str>, index: u32) -> Result<Self, ClientError> {
+        let socket = TcpStream::connect(address)?;
         let _ = socket.set_nodelay(true);
-        socket.set_read_timeout(Some(PATIENCE)).map_err(|e| e.to_string())?;
+        socket.set_read_timeout(Some(READ_TIMEOUT))?;
         let name = format!("iqn.2026-12.example.lab:client{index}");
-        let conn = InitiatorConn::new(&name, target, [0x80, 0, 0, 0, 0, 0], &Wishes::default());
-        let mut client = BlockingClient { socket, conn, scratch: vec![0; 128 * 1024], tag: 1 << 20 };
+        let conn = InitiatorConn::new(&name, target, ISID, &Wishes::default());
+        let read_buffer = vec![0; READ_BUFFER];
+        let mut client = BlockingClient { socket, conn, read_buffer, last_tag: FIRST_TAG };
         while !client.conn.logged_in() {
             client.exchange()?;
         }
@@ -42,53 +81,66 @@
         Ok(client)
     }
 
-    pub fn flush(&mut self) -> Result<(), String> {
+    /// Writes all that waits to be sent.
+    ///
+    /// # Errors
+    /// The connection failed.
+    pub fn flush(&mut self) -> Result<(), ClientError> {
         let waiting = self.conn.out().waiting().len();
-        self.socket.write_all(self.conn.out().waiting()).map_err(|e| e.to_string())?;
+        self.socket.write_all(self.conn.out().waiting())?;
         self.conn.out().wrote(waiting);
         Ok(())
     }
 
-    /// Writes all that waits, then reads once.
-    pub fn exchange(&mut self) -> Result<(), String> {
+    /// Writes all that waits to be sent, then reads once.
+    ///
+    /// # Errors
+    /// The connection failed or was closed, or the target breaks the protocol.
+    pub fn exchange(&mut self) -> Result<(), ClientError> {
         self.flush()?;
-        let n = self.socket.read(&mut self.scratch).map_err(|e| e.to_string())?;
-        if n == 0 {
-            return Err("connection closed".into());
+        let len = self.socket.read(&mut self.read_buffer)?;
+        if len == 0 {
+            return Err(ClientError::Closed);
         }
-        self.conn.receive(&self.scratch[..n]).map_err(|e| e.0)
+        self.conn.receive(&self.read_buffer[..len]).map_err(|fault| ClientError::Protocol(fault.0))
     }
 
-    /// The next thing that comes.
-    pub fn next_event(&mut self) -> Result<Came, String> {
+    /// Waits for the next event of the session.
+    ///
+    /// # Errors
+    /// As `exchange`.
+    pub fn next_event(&mut self) -> Result<Came, ClientError> {
         loop {
-            if let Some(came) = self.conn.came() {
-                return Ok(came);
+            if let Some(event) = self.conn.came() {
+                return Ok(event);
             }
             self.exchange()?;
         }
     }
 
-    /// One command and its answer.
+    /// Sends one command and waits for its answer. `room` is how many bytes may come, `data` what is written.
+    ///
+    /// # Errors
+    /// As `exchange`; also where the target rejects the command's PDU or its command window is closed.
     pub fn execute(
         &mut self,
         lun: u32,
         cdb: &[u8; 16],
         room: usize,
-        write: Vec<u8>,
-    ) -> Result<Answer, String> {
-        self.tag += 1;
-        let wanted = self.tag;
-        if !self.conn.command(wanted, lun, cdb, room, write.into()) {
-            return Err("the command window is closed".into());
+        data: Vec<u8>,
+    ) -> Result<Answer, ClientError> {
+        self.last_tag += 1;
+        let own_tag = self.last_tag;
+        if !self.conn.command(own_tag, lun, cdb, room, data.into()) {
+            return Err(ClientError::WindowClosed);
         }
         loop {
             match self.next_event()? {
-                Came::Answer { tag, status, sense, data, come_back: retry_after } if tag == wanted => {
+                Came::Answer { tag, status, sense, data, come_back: retry_after } if tag == own_tag => {
                     return Ok(Answer { status, sense, data, retry_after });
                 }
-                Came::Rejected { tag, reason } if tag == wanted => {
-                    return Err(format!("rejected, reason {reason}"));
+                Came::Rejected { tag, reason } if tag == own_tag => {
+                    return Err(ClientError::Rejected { reason });
                 }
                 _ => {}
             }
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -1,191 +1,220 @@
-//! The connection to the catalog, and what this host knows of the tree.
-use crate::json_lines::{Lines, Read};
+//! The connection to the snapshot catalog, and what this host knows of the tree.
+use crate::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_cow::Millis;
-use mallowseam_cow::cache::Cache;
+use mallowseam_cow::cache::{Cache, NUMBERS};
+use mallowseam_cow::cut;
 use mallowseam_cow::tree::LayerId;
 use mallowseam_cow::words::{ToCatalog, ToHost};
 use mio::{Registry, Token};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Longest line from the catalog: a whole tree without its places, of some hundred thousand layers and names. A
-/// longer one ends the connection.
-const LINE_MOST: usize = 32 << 20;
+/// Longest line of the catalog in bytes: a whole tree without its places, of some hundred thousand layers and
+/// names. A longer one ends the connection.
+const MAX_LINE: usize = 32 << 20;
 /// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in pieces.
-const READS: usize = 4;
+const READS_PER_TURN: usize = 4;
 
-pub struct Map {
+/// A layer of which the catalog wants to hear that no write of several parts lies half in it.
+pub(crate) struct ClearRequest {
+    pub(crate) layer: LayerId,
+    pub(crate) branch: String,
+}
+
+/// The catalog's answer to whether a write with parts in a layer may be completed.
+pub(crate) struct LeaveAnswer {
+    pub(crate) layer: LayerId,
+    pub(crate) granted: bool,
+}
+
+/// The connection to the catalog and the cached tree.
+pub(crate) struct CatalogClient {
     host: String,
     address: SocketAddr,
     registry: Registry,
     token: Token,
-    lines: Option<Lines>,
+    connection: Option<LineConnection>,
     readable: bool,
-    connect_at: Millis,
-    pub cache: Cache,
-    /// Counts up with everything that may let a waiting block I/O go on.
-    pub news: u64,
-    /// Layers that the catalog wants to hear are clear, with their branch; and its words about leave.
-    pub owed: Vec<(LayerId, String)>,
-    pub leaves: Vec<(LayerId, bool)>,
-    /// Branches with a pending cut, and until when that holds writes of several parts back at most.
-    held: BTreeMap<String, Millis>,
-    asked: BTreeMap<LayerId, Millis>,
+    /// No attempt to connect before this time.
+    next_connect: Millis,
+    /// The tree as this host knows it, and its lease.
+    pub(crate) cache: Cache,
+    /// Counts up with every message that may let a waiting block I/O go on.
+    pub(crate) revision: u64,
+    /// Layers that the catalog waits to hear are clear.
+    pub(crate) clear_requests: Vec<ClearRequest>,
+    /// Answers that the dispatcher has not taken yet.
+    pub(crate) leave_answers: Vec<LeaveAnswer>,
+    /// Branches with a pending cut, and until when that holds back writes of several parts at most.
+    pending_cuts: BTreeMap<String, Millis>,
+    /// When numbers of a layer were last requested.
+    numbers_requested: BTreeMap<LayerId, Millis>,
 }
 
-impl Map {
-    pub fn new(host: &str, address: SocketAddr, registry: Registry, token: Token) -> Self {
-        Map {
+impl CatalogClient {
+    /// The client of a host; it connects at the first `on_timer`.
+    pub(crate) fn new(host: &str, address: SocketAddr, registry: Registry, token: Token) -> Self {
+        CatalogClient {
             host: host.to_owned(),
             address,
             registry,
             token,
-            lines: None,
+            connection: None,
             readable: false,
-            connect_at: 0,
+            next_connect: 0,
             cache: Cache::default(),
-            news: 0,
-            owed: Vec::new(),
-            leaves: Vec::new(),
-            held: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            revision: 0,
+            clear_requests: Vec::new(),
+            leave_answers: Vec::new(),
+            pending_cuts: BTreeMap::new(),
+            numbers_requested: BTreeMap::new(),
         }
     }
 
-    pub fn say(&mut self, word: &ToCatalog) {
-        if let Some(lines) = &mut self.lines {
-            lines.say(word);
+    /// Queues a message.
+    pub(crate) fn send(&mut self, message: &ToCatalog) {
+        if let Some(connection) = &mut self.connection {
+            connection.send(message);
         }
     }
 
     /// Whether a cut of a branch is pending.
-    pub fn holds(&self, branch: &str, now: Millis) -> bool {
-        self.held.get(branch).is_some_and(|until| now < *until)
+    pub(crate) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
+        self.pending_cuts.get(branch).is_some_and(|until| now < *until)
     }
 
-    /// Connects, renews, and writes what waits.
-    pub fn tend(&mut self, now: Millis) {
-        if self.lines.is_none() && now >= self.connect_at {
-            self.connect_at = now + Cache::CONNECT_AGAIN;
-            match Lines::connect(self.address, &self.registry, self.token) {
-                Ok(lines) => {
-                    self.lines = Some(lines);
-                    self.asked.clear();
+    /// Connects and renews the lease where that is due, and writes what is queued.
+    pub(crate) fn on_timer(&mut self, now: Millis) {
+        if self.connection.is_none() && now >= self.next_connect {
+            self.next_connect = now + Cache::CONNECT_AGAIN;
+            match LineConnection::connect(self.address, &self.registry, self.token) {
+                Ok(connection) => {
+                    self.connection = Some(connection);
+                    self.numbers_requested.clear();
                     let (host, have) = (self.host.clone(), self.cache.have());
-                    self.say(&ToCatalog::Hello { host, have });
+                    self.send(&ToCatalog::Hello { host, have });
                 }
-                Err(e) => tracing::debug!(error = %e, "catalog"),
+                Err(e) => tracing::debug!(error = %e, "snapshot catalog not reachable"),
             }
         }
-        if self.lines.is_some() && self.cache.renews(now) {
+        if self.connection.is_some() && self.cache.renews(now) {
             let seen = self.cache.version().unwrap_or(0);
-            self.say(&ToCatalog::Renew { sent: now, seen });
+            self.send(&ToCatalog::Renew { sent: now, seen });
         }
         self.flush();
     }
 
-    /// Asks for numbers of a layer while few are left.
-    pub fn want_numbers(&mut self, layer: LayerId, now: Millis) {
-        let again = self.asked.get(&layer).is_none_or(|at| now >= at + Cache::CONNECT_AGAIN);
-        if self.cache.short(layer) && again {
-            self.asked.insert(layer, now);
-            self.say(&ToCatalog::Numbers { layer, count: mallowseam_cow::cache::NUMBERS });
+    /// Requests place numbers of a layer while few are left.
+    pub(crate) fn request_numbers(&mut self, layer: LayerId, now: Millis) {
+        let due = self.numbers_requested.get(&layer).is_none_or(|last| now >= last + Cache::CONNECT_AGAIN);
+        if self.cache.short(layer) && due {
+            self.numbers_requested.insert(layer, now);
+            self.send(&ToCatalog::Numbers { layer, count: NUMBERS });
         }
     }
 
-    pub fn flush(&mut self) {
-        if let Some(Err(why)) = self.lines.as_mut().map(Lines::push) {
-            self.lose(&why);
+    fn flush(&mut self) {
+        if let Some(Err(reason)) = self.connection.as_mut().map(LineConnection::flush) {
+            self.disconnect(&reason);
         }
     }
 
-    fn lose(&mut self, why: &str) {
-        if let Some(lines) = self.lines.take() {
-            lines.end(&self.registry);
-            tracing::warn!(why, "catalog connection lost");
+    fn disconnect(&mut self, reason: &Disconnect) {
+        if let Some(connection) = self.connection.take() {
+            connection.close(&self.registry);
+            tracing::warn!(%reason, "snapshot catalog connection lost");
         }
         self.cache.lost();
     }
 
     /// Reads what has come, and writes. True: there is more to read.
-    pub fn ready(&mut self, readable: bool, scratch: &mut [u8], now: Millis) -> bool {
+    pub(crate) fn on_ready(&mut self, readable: bool, buffer: &mut [u8], now: Millis) -> bool {
         self.readable |= readable;
         self.flush();
-        for _ in 0..READS {
+        for _ in 0..READS_PER_TURN {
             if !self.readable {
                 break;
             }
-            let Some(lines) = &mut self.lines else {
-                self.readable = false;
-                break;
-            };
-            match lines.read(scratch, LINE_MOST) {
-                Read::Blocked => self.readable = false,
-                Read::Over(why) => self.lose(&why),
-                Read::Lines(whole) => {
-                    for line in whole {
-                        // What came on a connection that is given up counts no more.
-                        if self.lines.is_none() {
-                            break;
-                        }
-                        match serde_json::from_slice(&line) {
-                            Ok(word) => self.heard(word, now),
-                            Err(e) => self.lose(&e.to_string()),
-                        }
+            self.read(buffer, now);
+        }
+        self.flush();
+        self.readable
+    }
+
+    fn read(&mut self, buffer: &mut [u8], now: Millis) {
+        let Some(connection) = &mut self.connection else {
+            self.readable = false;
+            return;
+        };
+        match connection.read(buffer, MAX_LINE) {
+            LineRead::WouldBlock => self.readable = false,
+            LineRead::Closed(reason) => self.disconnect(&reason),
+            LineRead::Lines(lines) => {
+                for line in lines {
+                    // What came on a connection that is given up counts no more.
+                    if self.connection.is_none() {
+                        break;
+                    }
+                    match serde_json::from_slice(&line) {
+                        Ok(message) => self.on_message(message, now),
+                        Err(e) => self.disconnect(&e.into()),
                     }
                 }
             }
         }
-        self.flush();
-        self.readable
     }
 
-    /// Something was missed: a new connection opens with the whole tree.
-    fn doubt(&mut self) {
+    /// A message does not follow from the known tree: a new connection begins with the whole tree.
+    fn resynchronize(&mut self) {
         self.cache.doubt();
-        self.lose("what the catalog says does not follow what is known");
+        self.disconnect(&Disconnect::TreeOutOfSequence);
     }
 
-    fn heard(&mut self, word: ToHost, now: Millis) {
-        self.news += 1;
-        match word {
+    fn on_message(&mut self, message: ToHost, now: Millis) {
+        self.revision += 1;
+        match message {
             ToHost::Whole { catalog, tree } => self.cache.coming(catalog, *tree),
             ToHost::Part { layer, lies } => {
                 if !self.cache.part(layer, &lies) {
-                    self.doubt();
-                }
-            }
-            ToHost::Filled if !self.cache.filled() => self.doubt(),
-            ToHost::Filled | ToHost::Going => {
-                let version = self.cache.version().unwrap_or(0);
-                tracing::info!(version, "catalog read");
-                self.cache.lost();
-                if self.cache.renews(now) {
-                    self.say(&ToCatalog::Renew { sent: now, seen: version });
+                    self.resynchronize();
                 }
-                self.say(&ToCatalog::Seen { version });
             }
+            ToHost::Filled if !self.cache.filled() => self.resynchronize(),
+            ToHost::Filled | ToHost::Going => self.on_tree_complete(now),
             ToHost::Changed { version, change } => {
                 if self.cache.changed(version, &change) {
-                    self.say(&ToCatalog::Seen { version });
+                    self.send(&ToCatalog::Seen { version });
                 } else {
-                    self.doubt();
+                    self.resynchronize();
                 }
             }
             ToHost::Lease { sent, span } => self.cache.granted(sent, span),
             ToHost::Numbers { layer, first, count } => {
-                self.asked.remove(&layer);
+                self.numbers_requested.remove(&layer);
                 self.cache.given(layer, first, count);
             }
             ToHost::NotPlaced { .. } => {}
-            ToHost::Over { branch } => drop(self.held.remove(&branch)),
+            ToHost::Over { branch } => drop(self.pending_cuts.remove(&branch)),
             ToHost::AskClear { layer, branch } => {
-                self.held.insert(branch.clone(), now + mallowseam_cow::cut::WITHIN);
-                if !self.owed.iter().any(|o| o.0 == layer) {
-                    self.owed.push((layer, branch));
+                self.pending_cuts.insert(branch.clone(), now + cut::WITHIN);
+                if !self.clear_requests.iter().any(|request| request.layer == layer) {
+                    self.clear_requests.push(ClearRequest { layer, branch });
                 }
             }
-            ToHost::Leave { layer, given } => self.leaves.push((layer, given)),
+            ToHost::Leave { layer, given } => {
+                self.leave_answers.push(LeaveAnswer { layer, granted: given });
+            }
+        }
+    }
+
+    /// The tree of a new connection is complete: the lease is renewed by it.
+    fn on_tree_complete(&mut self, now: Millis) {
+        let version = self.cache.version().unwrap_or(0);
+        tracing::info!(version, "snapshot catalog synchronized");
+        self.cache.lost();
+        if self.cache.renews(now) {
+            self.send(&ToCatalog::Renew { sent: now, seen: version });
         }
+        self.send(&ToCatalog::Seen { version });
     }
 }
--- /dev/null
+++ b/crates/gateway/src/cli/control.rs
@@ -0,0 +1,105 @@
+//! Subcommands that ask a running process over its control socket.
+use super::error::CommandError;
+use crate::control_socket;
+use crate::demand;
+use crate::error::read_configuration;
+use crate::status::Status;
+use mallowseam_settings::Site;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+// Without a doc comment: clap would take it for the help of the subcommand.
+#[derive(clap::Args)]
+#[group(required = true, multiple = false)]
+pub(super) struct ControlTarget {
+    /// The host's configuration file, which names its control socket
+    file: Option<PathBuf>,
+    /// The control socket itself
+    #[arg(long)]
+    control: Option<PathBuf>,
+}
+
+impl ControlTarget {
+    fn socket(&self) -> Result<PathBuf, CommandError> {
+        match (&self.control, &self.file) {
+            (Some(socket), _) => Ok(socket.clone()),
+            (None, Some(file)) => host_socket(file),
+            (None, None) => unreachable!("clap requires one of them"),
+        }
+    }
+
+    /// Sends a request to the host.
+    pub(super) fn ask(&self, request: &str) -> Result<String, CommandError> {
+        let socket = self.socket()?;
+        control_socket::ask(&socket, request).map_err(|source| CommandError::RequestAt { socket, source })
+    }
+}
+
+/// A process that has a control socket.
+#[derive(Clone, Copy)]
+pub(super) enum Service {
+    Host,
+    SnapshotCatalog,
+    Plans,
+}
+
+impl Service {
+    /// The section of the configuration that names the socket.
+    fn section(self) -> &'static str {
+        match self {
+            Service::Host => "host",
+            Service::SnapshotCatalog => "catalog",
+            Service::Plans => "tariffs",
+        }
+    }
+
+    fn socket(self, site: Site) -> Option<PathBuf> {
+        match self {
+            Service::Host => site.host.control,
+            Service::SnapshotCatalog => site.catalog?.control,
+            Service::Plans => site.tariffs?.control,
+        }
+    }
+}
+
+/// The control socket that a configuration names for a process.
+fn socket_of(file: &Path, service: Service) -> Result<PathBuf, CommandError> {
+    service
+        .socket(read_configuration(file)?)
+        .ok_or_else(|| CommandError::NoControlSocket { file: file.to_owned(), section: service.section() })
+}
+
+fn host_socket(file: &Path) -> Result<PathBuf, CommandError> {
+    socket_of(file, Service::Host)
+}
+
+/// Sends a request to the process whose control socket a configuration names.
+pub(super) fn ask(file: &Path, service: Service, request: &str) -> Result<String, CommandError> {
+    Ok(control_socket::ask(&socket_of(file, service)?, request)?)
+}
+
+/// `mallowseam status`
+pub(super) fn print_status(target: &ControlTarget, json: bool) -> Result<(), CommandError> {
+    let text = target.ask("status")?;
+    if json {
+        println!("{text}");
+    } else {
+        let status = Status::from_json(&text);
+        print!("{}", status.map_err(|source| CommandError::Answer { from: "host", source })?);
+    }
+    Ok(())
+}
+
+/// `mallowseam demand`
+pub(super) fn record_demand(files: &[PathBuf], every: u64, count: u64) -> Result<(), CommandError> {
+    let sockets = files.iter().map(|file| host_socket(file)).collect::<Result<Vec<_>, _>>()?;
+    let interval = Duration::from_secs(every.max(1));
+    demand::record(&sockets, interval, count, &mut |line| println!("{line}"));
+    Ok(())
+}
+
+/// `mallowseam reload`
+pub(super) fn reload(file: &Path) -> Result<String, CommandError> {
+    let absolute = std::path::absolute(file).map_err(CommandError::CurrentDirectory)?;
+    ask(file, Service::Host, &format!("plans {}", absolute.display()))
+}
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -1,14 +1,15 @@
-//! `mallowseam fleet`: the view that running hosts have of their fleet.
+//! `mallowseam fleet`: the membership of the fleet as running hosts see it.
 use clap::Args;
 use mallowseam_fleet_udp::ask::{View, view};
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Pause between two looks.
-const EVERY: Duration = Duration::from_millis(500);
+/// Pause between two polls of a watched host.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
-pub(crate) struct Options {
+pub(super) struct Options {
     /// Where a host listens for its fleet; with --agree several
     #[arg(required = true)]
     hosts: Vec<SocketAddr>,
@@ -22,52 +23,66 @@
     #[arg(long)]
     agree: bool,
     /// With --watch: end after so many looks, half a second apart (0: never)
-    #[arg(long, default_value_t = 0, requires = "watch")]
-    looks: u64,
+    #[arg(long = "looks", value_name = "LOOKS", default_value_t = 0, requires = "watch")]
+    polls: u64,
 }
 
-fn ask(host: SocketAddr) -> Result<View, String> {
-    view(host).map_err(|e| format!("{host}: {e}"))
+/// Why the membership could not be shown, or is not the same everywhere.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum FleetError {
+    #[error("{host}: {source}")]
+    Query { host: SocketAddr, source: io::Error },
+    #[error("several hosts are asked with --agree alone")]
+    SeveralHosts,
+    #[error("{differ} of {all} views differ from the first")]
+    Disagreement { differ: usize, all: usize },
 }
 
-pub(crate) fn run(options: &Options) -> Result<(), String> {
+fn query(host: SocketAddr) -> Result<View, FleetError> {
+    view(host).map_err(|source| FleetError::Query { host, source })
+}
+
+/// Prints what the options ask for.
+pub(super) fn execute(options: &Options) -> Result<(), FleetError> {
     if options.agree {
-        return agree(&options.hosts);
+        return compare(&options.hosts);
     }
-    let [host] = options.hosts[..] else { return Err("several hosts are asked with --agree alone".into()) };
-    let first = ask(host)?;
+    let [host] = options.hosts[..] else { return Err(FleetError::SeveralHosts) };
+    let first = query(host)?;
     match (options.json, options.watch) {
         (true, _) => println!("{}", first.json()),
         (_, false) => print!("{}", first.table()),
-        (_, true) => watch(host, first, options.looks),
+        (_, true) => watch(host, first, options.polls),
     }
     Ok(())
 }
 
-fn watch(host: SocketAddr, mut last: View, looks: u64) {
+/// Prints changes as they are seen; `polls` is 0 for no end.
+fn watch(host: SocketAddr, mut last: View, polls: u64) {
     println!("as {} sees it: {}", last.own, last.counts());
-    let mut looked = 0;
-    while looks == 0 || looked < looks {
-        std::thread::sleep(EVERY);
-        looked += 1;
-        match ask(host) {
-            Ok(now) => {
-                now.changes(&last).iter().for_each(|c| println!("{c}"));
-                last = now;
+    let mut polled = 0;
+    while polls == 0 || polled < polls {
+        std::thread::sleep(POLL_INTERVAL);
+        polled += 1;
+        match query(host) {
+            Ok(view) => {
+                view.changes(&last).iter().for_each(|change| println!("{change}"));
+                last = view;
             }
-            Err(why) => println!("{why}"),
+            Err(e) => println!("{e}"),
         }
     }
 }
 
-fn agree(hosts: &[SocketAddr]) -> Result<(), String> {
-    let views: Vec<View> = hosts.iter().map(|h| ask(*h)).collect::<Result<_, _>>()?;
+/// Prints where the views of hosts differ from that of the first.
+fn compare(hosts: &[SocketAddr]) -> Result<(), FleetError> {
+    let views: Vec<View> = hosts.iter().map(|host| query(*host)).collect::<Result<_, _>>()?;
     let mut differ = 0;
     for other in &views[1..] {
         let lines = views[0].differs(other);
         differ += usize::from(!lines.is_empty());
-        lines.iter().for_each(|l| println!("{l}"));
+        lines.iter().for_each(|line| println!("{line}"));
     }
     println!("{} hosts asked, {} see what {} sees", views.len(), views.len() - differ, views[0].own);
-    if differ == 0 { Ok(()) } else { Err(format!("{differ} of {} views differ from the first", views.len())) }
+    if differ == 0 { Ok(()) } else { Err(FleetError::Disagreement { differ, all: views.len() }) }
 }
--- /dev/null
+++ b/crates/gateway/src/cli/process.rs
@@ -0,0 +1,85 @@
+//! Subcommands that run a process in the foreground, and the check of their configuration.
+use super::error::CommandError;
+use crate::error::read_configuration;
+use clap::ValueEnum;
+use std::path::{Path, PathBuf};
+
+/// Environment variable that names the configuration of a host of the users' platform.
+const PLATFORM_CONFIGURATION: &str = "GW_CONFIG";
+
+#[derive(Clone, Copy, ValueEnum)]
+enum Level {
+    Error,
+    Warn,
+    Info,
+    Debug,
+}
+
+// Without a doc comment: clap would take it for the help of the subcommand.
+#[derive(clap::Args)]
+pub(super) struct LogOptions {
+    #[arg(long = "log", value_name = "LOG", value_enum, default_value = "info")]
+    level: Level,
+    /// Log lines as JSON objects
+    #[arg(long)]
+    json: bool,
+}
+
+impl LogOptions {
+    /// Sends log lines to standard error.
+    fn start(&self) {
+        let level = match self.level {
+            Level::Error => tracing::Level::ERROR,
+            Level::Warn => tracing::Level::WARN,
+            Level::Info => tracing::Level::INFO,
+            Level::Debug => tracing::Level::DEBUG,
+        };
+        let log =
+            tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_target(false);
+        if self.json {
+            log.json().init();
+        } else {
+            log.with_ansi(false).init();
+        }
+    }
+}
+
+/// `mallowseam run`
+pub(super) fn run_host(file: &Path, log: &LogOptions) -> Result<(), CommandError> {
+    log.start();
+    Ok(crate::run(read_configuration(file)?)?)
+}
+
+/// `mallowseam host`
+pub(super) fn run_platform_host(json: bool, list_turn: Option<u16>) -> Result<(), CommandError> {
+    LogOptions { level: Level::Info, json }.start();
+    let path = std::env::var_os(PLATFORM_CONFIGURATION).map(PathBuf::from);
+    let path = path.ok_or(CommandError::NoConfiguration)?;
+    mallowseam_platform_host::run(&path, list_turn.map(u64::from)).map_err(CommandError::PlatformHost)
+}
+
+/// `mallowseam catalog`
+pub(super) fn run_catalog(file: &Path, die_at: Option<u64>, log: &LogOptions) -> Result<(), CommandError> {
+    log.start();
+    Ok(crate::snapshot_catalog::run(read_configuration(file)?, die_at)?)
+}
+
+/// `mallowseam control`
+pub(super) fn run_plan_service(file: &Path, log: &LogOptions) -> Result<(), CommandError> {
+    log.start();
+    Ok(crate::plan_service::run(&read_configuration(file)?)?)
+}
+
+/// `mallowseam check`
+pub(super) fn check(file: &Path) -> Result<String, CommandError> {
+    let site = read_configuration(file)?;
+    Ok(format!(
+        "{}: sound; host {}, {} volumes on {} nodes, {} plans, {} groups",
+        file.display(),
+        site.host.name,
+        site.volumes.len(),
+        site.nodes.len(),
+        site.plans.len(),
+        site.groups.len()
+    ))
+}
--- /dev/null
+++ b/crates/gateway/src/cli/verify.rs
@@ -0,0 +1,26 @@
+//! `mallowseam verify`: prints what the walk over the snapshot catalog and the nodes has found.
+use super::error::CommandError;
+use crate::error::read_configuration;
+use crate::verify;
+use std::path::Path;
+
+/// Walks the catalog's store and all nodes; with `reclaim`, unmaps what nothing refers to.
+pub(super) fn execute(file: &Path, reclaim: bool) -> Result<(), CommandError> {
+    let site = read_configuration(file)?;
+    let findings = verify::run(&site, reclaim)?;
+    findings.faults.iter().for_each(|fault| println!("fault: {fault}"));
+    let label = if reclaim { "given back" } else { "leaked" };
+    for (layer, place) in &findings.leaked {
+        let node = &site.nodes[place.node as usize].name;
+        println!("{label}: layer {layer}, place {} at {node}", place.number);
+    }
+    println!(
+        "places {}, of which hold data {}; leaked {}; faults {}",
+        findings.places,
+        findings.places_with_data,
+        findings.leaked.len(),
+        findings.faults.len()
+    );
+    let sound = findings.faults.is_empty() && (reclaim || findings.leaked.is_empty());
+    if sound { Ok(()) } else { Err(CommandError::Unsound) }
+}
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -1,9 +1,9 @@
 //! Connections of clients.
 use crate::clock::ticks_to_millis;
 use crate::slab::Slab;
-use crate::socket_io::{self, ReadOutcome};
+use crate::socket_io::{self, ConnectionError, ReadOutcome};
 use mallowseam_connection_policy::admission::{
-    AdmissionController, ConnectionState, LoginRejection, TimeoutAction,
+    AdmissionController, CloseReason, ConnectionState, LoginRejection, TimeoutAction,
 };
 use mallowseam_iscsi::login::{Admit, Refusal, Who};
 use mallowseam_iscsi::target::{Came, TargetConn, TargetTerms};
@@ -13,240 +13,306 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-pub struct Client {
+/// Index of a client's connection.
+pub type ClientId = u32;
+
+/// A command of a client that was not answered yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InFlightCommand {
+    /// The initiator task tag.
+    pub task: u32,
+    /// Index of the command in the dispatcher.
+    pub command: u32,
+}
+
+/// Why the connection of a client was closed.
+#[derive(Debug, thiserror::Error)]
+enum Disconnect {
+    #[error(transparent)]
+    Socket(#[from] ConnectionError),
+    #[error("{0}")]
+    Protocol(String),
+    #[error("logged out")]
+    LoggedOut,
+    #[error("the same client has logged in again")]
+    Replaced,
+    #[error("{}", .0.as_str())]
+    Timeout(CloseReason),
+}
+
+struct Client {
     socket: TcpStream,
-    pub peer: SocketAddr,
-    pub name: String,
+    peer: SocketAddr,
+    /// The initiator's name; empty before the login.
+    name: String,
     conn: TargetConn,
+    /// It is among those to be flushed.
     dirty: bool,
     readable: bool,
-    /// Commands in hand: their places at the desk, by task.
-    pub commands: Vec<(u32, u32)>,
+    commands: Vec<InFlightCommand>,
 }
 
+/// The connections of all clients.
 pub struct Clients {
-    pub all: Slab<Client>,
+    all: Slab<Client>,
+    /// Decides who may connect, log in and send commands.
     pub admission: AdmissionController,
     terms: Rc<TargetTerms>,
     registry: Registry,
     first_token: usize,
-    dirty: Vec<u32>,
-    closed: Vec<(u32, Vec<(u32, u32)>)>,
+    /// Clients with something to write.
+    dirty: Vec<ClientId>,
+    /// Commands in flight on connections that have closed.
+    abandoned: Vec<Vec<InFlightCommand>>,
     /// Connections that another one has taken over.
-    replaced: Vec<u32>,
+    replaced: Vec<ClientId>,
 }
 
 /// Passes a login to the admission controller.
 struct LoginAdmission<'a> {
     admission: &'a mut AdmissionController,
-    at: usize,
-    replaced: &'a mut Vec<u32>,
+    client: ClientId,
+    replaced: &'a mut Vec<ClientId>,
 }
 
 impl Admit for LoginAdmission<'_> {
     fn admit(&mut self, who: &Who) -> Result<u16, Refusal> {
-        let session =
-            self.admission.login(self.at, &who.initiator, who.target.as_deref(), who.isid, who.tsih);
+        let index = self.client as usize;
+        let session = self.admission.login(index, &who.initiator, who.target.as_deref(), who.isid, who.tsih);
         let session = session.map_err(|rejection| match rejection {
             LoginRejection::NoSuchTarget => Refusal::NOT_FOUND,
             LoginRejection::NoSuchSession => Refusal::NO_SESSION,
             LoginRejection::Draining => Refusal::UNAVAILABLE,
             LoginRejection::OutOfResources => Refusal::OUT_OF_RESOURCES,
         })?;
-        self.replaced.extend(session.replaces.map(|at| at as u32));
+        self.replaced.extend(session.replaces.map(|index| index as ClientId));
         Ok(session.handle)
     }
 }
 
 impl Clients {
+    /// No clients; their connections get tokens from `first_token` on.
     pub fn new(
         admission: AdmissionController,
         terms: Rc<TargetTerms>,
         registry: Registry,
-        first: usize,
+        first_token: usize,
     ) -> Self {
         Clients {
             all: Slab::default(),
             admission,
             terms,
             registry,
-            first_token: first,
+            first_token,
             dirty: Vec::new(),
-            closed: Vec::new(),
+            abandoned: Vec::new(),
             replaced: Vec::new(),
         }
     }
 
+    /// Takes a connection that was accepted, if there is room for it.
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
         let conn = TargetConn::new(Rc::clone(&self.terms));
-        let at = self.all.next_index();
-        if !self.admission.admit_connection(at as usize, ticks_to_millis(now)) {
-            tracing::warn!(%peer, "connection turned away: no room");
+        let id = self.all.next_index();
+        if !self.admission.admit_connection(id as usize, ticks_to_millis(now)) {
+            tracing::warn!(%peer, "connection rejected: too many connections");
             return;
         }
-        let token = Token(self.first_token + at as usize);
+        let token = Token(self.first_token + id as usize);
         if let Err(e) = self.registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE) {
-            tracing::warn!(%peer, error = %e, "connection turned away");
-            self.admission.connection_closed(at as usize);
+            tracing::warn!(%peer, error = %e, "connection rejected");
+            self.admission.connection_closed(id as usize);
             return;
         }
-        let client = Client {
-            socket,
-            peer,
-            name: String::new(),
-            conn,
-            dirty: false,
-            readable: false,
-            commands: Vec::new(),
-        };
-        self.all.insert(client);
-        tracing::debug!(%peer, client = at, "connection opened");
-    }
-
-    /// The socket has something to say. True: there may be more to read.
-    pub fn ready(&mut self, at: u32, readable: bool, scratch: &mut [u8], now: Tick) -> bool {
-        if let Some(client) = self.all.get_mut(at) {
+        let name = String::new();
+        let commands = Vec::new();
+        self.all.insert(Client { socket, peer, name, conn, dirty: false, readable: false, commands });
+        tracing::debug!(%peer, client = id, "connection opened");
+    }
+
+    /// Whether a connection is open.
+    pub fn is_open(&self, id: ClientId) -> bool {
+        self.all.get(id).is_some()
+    }
+
+    /// A client's socket is ready. True: there may be more to read.
+    pub fn on_ready(&mut self, id: ClientId, readable: bool, buffer: &mut [u8], now: Tick) -> bool {
+        if let Some(client) = self.all.get_mut(id) {
             client.readable |= readable;
-            self.mark(at);
+            self.mark_dirty(id);
         }
-        self.read(at, scratch, now)
+        self.read(id, buffer, now)
     }
 
-    pub fn read(&mut self, at: u32, scratch: &mut [u8], now: Tick) -> bool {
-        let Some(client) = self.all.get_mut(at) else { return false };
-        let waiting = client.conn.out().waiting().len();
-        if !client.readable || !self.admission.may_read(waiting) {
+    /// Reads once, unless the client has to read its answers first. True: there may be more to read.
+    pub fn read(&mut self, id: ClientId, buffer: &mut [u8], now: Tick) -> bool {
+        let Some(client) = self.all.get_mut(id) else { return false };
+        let unsent = client.conn.out().waiting().len();
+        if !client.readable || !self.admission.may_read(unsent) {
             return false;
         }
-        match socket_io::read(&mut client.socket, scratch) {
+        match socket_io::read(&mut client.socket, buffer) {
             ReadOutcome::WouldBlock => client.readable = false,
-            ReadOutcome::Read(n) => {
-                self.admission.bytes_received(at as usize, ticks_to_millis(now));
-                let mut login_admission = LoginAdmission {
-                    admission: &mut self.admission,
-                    at: at as usize,
-                    replaced: &mut self.replaced,
-                };
-                let received = client.conn.receive(&scratch[..n], &mut login_admission);
-                self.mark(at);
+            ReadOutcome::Read(len) => {
+                self.admission.bytes_received(id as usize, ticks_to_millis(now));
+                let (admission, replaced) = (&mut self.admission, &mut self.replaced);
+                let mut login = LoginAdmission { admission, client: id, replaced };
+                let received = client.conn.receive(&buffer[..len], &mut login);
+                self.mark_dirty(id);
                 match received {
                     Ok(()) => return true,
                     Err(fault) => {
-                        self.flush_one(at, now);
-                        self.close(at, &fault.0);
+                        self.flush_client(id, now);
+                        self.close(id, &Disconnect::Protocol(fault.0));
                     }
                 }
             }
-            ReadOutcome::Closed(why) => self.close(at, &why.to_string()),
+            ReadOutcome::Closed(e) => self.close(id, &e.into()),
         }
         false
     }
 
-    pub fn came(&mut self, at: u32) -> Option<Came> {
-        self.all.get_mut(at)?.conn.came()
+    /// The next event of a client's session.
+    pub fn next_event(&mut self, id: ClientId) -> Option<Came> {
+        self.all.get_mut(id)?.conn.came()
+    }
+
+    /// A client has logged in. The connection that it has taken over is closed.
+    pub fn on_login(&mut self, id: ClientId, name: String) {
+        if let Some(client) = self.all.get_mut(id) {
+            client.name = name;
+            tracing::info!(peer = %client.peer, name = client.name, "client logged in");
+        }
+        self.close_replaced();
+    }
+
+    /// A command of a client is in flight.
+    pub fn add_command(&mut self, id: ClientId, command: InFlightCommand) {
+        if let Some(client) = self.all.get_mut(id) {
+            client.commands.push(command);
+        }
+    }
+
+    /// A command of a client was answered.
+    pub fn remove_command(&mut self, id: ClientId, task: u32) {
+        if let Some(client) = self.all.get_mut(id) {
+            client.commands.retain(|command| command.task != task);
+        }
+    }
+
+    /// A client has aborted a command: takes it off those in flight.
+    pub fn abort_command(&mut self, id: ClientId, task: u32) -> Option<InFlightCommand> {
+        let commands = &mut self.all.get_mut(id)?.commands;
+        let position = commands.iter().position(|command| command.task == task)?;
+        Some(commands.swap_remove(position))
     }
 
-    /// The connection to answer on; what is put there is written at the end of the round.
-    pub fn answer(&mut self, at: u32) -> Option<&mut TargetConn> {
-        self.mark(at);
-        self.all.get_mut(at).map(|c| &mut c.conn)
+    /// The session to answer in; what is put there is written by the next flush.
+    pub fn session_mut(&mut self, id: ClientId) -> Option<&mut TargetConn> {
+        self.mark_dirty(id);
+        self.all.get_mut(id).map(|client| &mut client.conn)
     }
 
-    fn mark(&mut self, at: u32) {
-        if let Some(client) = self.all.get_mut(at)
+    fn mark_dirty(&mut self, id: ClientId) {
+        if let Some(client) = self.all.get_mut(id)
             && !std::mem::replace(&mut client.dirty, true)
         {
-            self.dirty.push(at);
+            self.dirty.push(id);
         }
     }
 
-    fn flush_one(&mut self, at: u32, now: Tick) {
-        let Some(client) = self.all.get_mut(at) else { return };
+    fn flush_client(&mut self, id: ClientId, now: Tick) {
+        let Some(client) = self.all.get_mut(id) else { return };
         client.dirty = false;
         match socket_io::write(&mut client.socket, client.conn.out()) {
             Ok(0) => {}
-            Ok(_) => self.admission.bytes_sent(at as usize, ticks_to_millis(now)),
-            Err(why) => return self.close(at, &why.to_string()),
+            Ok(_) => self.admission.bytes_sent(id as usize, ticks_to_millis(now)),
+            Err(e) => return self.close(id, &e.into()),
         }
         if client.conn.closing() && client.conn.out().waiting().is_empty() {
-            self.close(at, "logged out");
+            self.close(id, &Disconnect::LoggedOut);
         }
     }
 
-    /// Writes what waits. Clients that have taken enough to be read from again are put in `again`.
-    pub fn flush(&mut self, now: Tick, again: &mut Vec<u32>) {
-        while let Some(at) = self.dirty.pop() {
-            self.flush_one(at, now);
-            if let Some(client) = self.all.get_mut(at)
+    /// Writes what waits. Returns the clients that have read enough of it to be read from again.
+    pub fn flush(&mut self, now: Tick) -> Vec<ClientId> {
+        let mut resumed = Vec::new();
+        while let Some(id) = self.dirty.pop() {
+            self.flush_client(id, now);
+            if let Some(client) = self.all.get_mut(id)
                 && client.readable
                 && self.admission.may_read(client.conn.out().waiting().len())
             {
-                again.push(at);
+                resumed.push(id);
             }
         }
+        resumed
     }
 
-    pub fn close(&mut self, at: u32, why: &str) {
-        if let Some(mut client) = self.all.remove(at) {
+    fn close(&mut self, id: ClientId, reason: &Disconnect) {
+        if let Some(mut client) = self.all.remove(id) {
             let _ = self.registry.deregister(&mut client.socket);
-            self.admission.connection_closed(at as usize);
-            tracing::info!(peer = %client.peer, name = client.name, why, "client connection closed");
-            self.closed.push((at, client.commands));
+            self.admission.connection_closed(id as usize);
+            tracing::info!(peer = %client.peer, name = client.name, %reason, "client connection closed");
+            self.abandoned.push(client.commands);
         }
     }
 
-    /// Connections taken over by a new login are closed.
+    /// Closes connections that a new login has taken over.
     pub fn close_replaced(&mut self) {
-        while let Some(at) = self.replaced.pop() {
-            self.close(at, "the same client has logged in again");
+        while let Some(id) = self.replaced.pop() {
+            self.close(id, &Disconnect::Replaced);
         }
     }
 
-    /// Commands that were in hand on a connection that has closed.
-    pub fn left(&mut self) -> Option<Vec<(u32, u32)>> {
-        self.closed.pop().map(|c| c.1)
+    /// The commands that were in flight on the next connection that has closed.
+    pub fn next_abandoned(&mut self) -> Option<Vec<InFlightCommand>> {
+        self.abandoned.pop()
     }
 
+    /// Whether no closed connection was left to be taken by `next_abandoned`.
     pub fn is_quiet(&self) -> bool {
-        self.closed.is_empty()
+        self.abandoned.is_empty()
     }
 
-    pub fn care(&mut self, now: Tick) {
-        for at in self.all.indices() {
-            let Some(client) = self.all.get_mut(at) else { continue };
+    /// Pings silent clients and closes connections that have timed out.
+    pub fn on_timer(&mut self, now: Tick) {
+        for id in self.all.indices() {
+            let Some(client) = self.all.get_mut(id) else { continue };
             let state = ConnectionState {
                 pdu_incomplete: client.conn.midway(),
                 unsent_bytes: client.conn.out().waiting().len(),
                 in_flight: client.conn.in_hand(),
             };
-            match self.admission.check_timeouts(at as usize, ticks_to_millis(now), state) {
+            match self.admission.check_timeouts(id as usize, ticks_to_millis(now), state) {
                 TimeoutAction::Nothing => {}
                 TimeoutAction::Ping => {
                     client.conn.ping();
-                    self.mark(at);
+                    self.mark_dirty(id);
                 }
-                TimeoutAction::Close(reason) => self.close(at, reason.as_str()),
+                TimeoutAction::Close(reason) => self.close(id, &Disconnect::Timeout(reason)),
             }
         }
     }
 
-    /// Begins to drain and asks every client to log out.
+    /// Closes the host to new logins and asks every client to log out. False: that was done before.
     pub fn drain(&mut self, now: Tick) -> bool {
         if !self.admission.start_draining(ticks_to_millis(now)) {
             return false;
         }
         let within = self.admission.logout_seconds();
-        for at in self.all.indices() {
-            if let Some(client) = self.all.get_mut(at).filter(|c| c.conn.logged_in()) {
+        for id in self.all.indices() {
+            if let Some(client) = self.all.get_mut(id).filter(|client| client.conn.logged_in()) {
                 client.conn.ask_logout(within);
-                self.mark(at);
+                self.mark_dirty(id);
             }
         }
         true
     }
 
-    pub fn held(&self) -> usize {
-        self.all.iter().map(|(_, c)| c.conn.held()).sum()
+    /// Bytes buffered for all clients.
+    pub fn buffered_bytes(&self) -> usize {
+        self.all.iter().map(|(_, client)| client.conn.held()).sum()
     }
 }
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,37 +1,47 @@
-//! What clients ask of each volume, as running hosts tell it, recorded a line each and interval by interval.
-use crate::control_socket::{Status, ask};
+//! What clients request of each volume, polled from running hosts and recorded interval by interval.
+use crate::control_socket::ask;
+use crate::error::{FileError, read_text};
+use crate::status::Status;
 use mallowseam_settings::lines::{Args, Problems, words};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Units a second of each volume over one interval, over all hosts that were asked.
-pub type Interval = BTreeMap<String, f64>;
+/// Requested units a second of each volume over one interval, over all hosts that were polled.
+pub(crate) type Interval = BTreeMap<String, f64>;
 
-/// Asks hosts again and again, and tells each interval as lines `at SECONDS VOLUME asked R ended R` (units a
-/// second, to a thousandth). A host that does not answer, or has started anew, is left out of that interval and
-/// named in a comment. Ends after `count` intervals; 0: never.
-pub fn record(controls: &[PathBuf], every: Duration, count: u64, tell: &mut dyn FnMut(&str)) {
+/// Units a second of one volume, over all hosts.
+#[derive(Default)]
+struct Rates {
+    requested: f64,
+    completed: f64,
+}
+
+/// Polls hosts and tells each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, to a
+/// thousandth). A host that does not answer, or has restarted, is left out of that interval and named in a
+/// comment. Ends after `count` intervals; 0: never.
+pub(crate) fn record(
+    control_sockets: &[PathBuf],
+    every: Duration,
+    count: u64,
+    write_line: &mut dyn FnMut(&str),
+) {
     let began = Instant::now();
-    let mut before: Vec<Option<Status>> = vec![None; controls.len()];
+    let mut last: Vec<Option<Status>> = vec![None; control_sockets.len()];
     let mut interval = 0;
     loop {
-        let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-        for (control, before) in controls.iter().zip(&mut before) {
-            let now =
-                ask(control, "status").and_then(|text| Status::read(&text).map_err(std::io::Error::other));
-            let now = now.inspect_err(|e| tell(&format!("# {}: {e}", control.display()))).ok();
-            if let (Some(old), Some(new)) = (before.as_ref(), now.as_ref()) {
-                add(&mut sums, old, new, tell);
+        let mut rates: BTreeMap<String, Rates> = BTreeMap::new();
+        for (socket, last) in control_sockets.iter().zip(&mut last) {
+            let status = poll(socket, write_line);
+            if let (Some(old), Some(new)) = (last.as_ref(), status.as_ref()) {
+                add_rates(&mut rates, old, new, write_line);
             }
-            *before = now;
+            *last = status;
         }
         if interval > 0 {
-            for (volume, (asked, ended)) in &sums {
-                tell(&format!(
-                    "at {} {volume} asked {asked:.3}/s ended {ended:.3}/s",
-                    began.elapsed().as_secs()
-                ));
+            for (volume, Rates { requested, completed }) in &rates {
+                let seconds = began.elapsed().as_secs();
+                write_line(&format!("at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"));
             }
         }
         if count > 0 && interval == count {
@@ -43,49 +53,66 @@
     }
 }
 
-fn add(sums: &mut BTreeMap<String, (f64, f64)>, old: &Status, new: &Status, tell: &mut dyn FnMut(&str)) {
-    let span = new.up_seconds - old.up_seconds;
-    if span <= 0.0 {
-        return tell(&format!("# {}: has started anew", new.host));
+/// Asks a host for its status. A failure is told as a comment.
+fn poll(socket: &Path, write_line: &mut dyn FnMut(&str)) -> Option<Status> {
+    let status = match ask(socket, "status") {
+        Ok(text) => Status::from_json(&text).map_err(|e| e.to_string()),
+        Err(e) => Err(e.to_string()),
+    };
+    status.inspect_err(|e| write_line(&format!("# {}: {e}", socket.display()))).ok()
+}
+
+fn add_rates(
+    rates: &mut BTreeMap<String, Rates>,
+    old: &Status,
+    new: &Status,
+    write_line: &mut dyn FnMut(&str),
+) {
+    let seconds = new.up_seconds - old.up_seconds;
+    if seconds <= 0.0 {
+        return write_line(&format!("# {}: has started anew", new.host));
     }
-    for (a, b) in old.volumes.iter().zip(&new.volumes) {
-        let sum = sums.entry(b.name.clone()).or_default();
-        sum.0 += (b.asked_units - a.asked_units) / span;
-        sum.1 += (b.ended_units - a.ended_units) / span;
+    for (before, after) in old.volumes.iter().zip(&new.volumes) {
+        let rate = rates.entry(after.name.clone()).or_default();
+        rate.requested += (after.requested_units - before.requested_units) / seconds;
+        rate.completed += (after.completed_units - before.completed_units) / seconds;
     }
 }
 
-/// Reads a record. Errors: all that is wrong in it.
-pub fn read(file: &Path) -> Result<Vec<Interval>, String> {
-    let name = file.display().to_string();
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let mut problems = Problems::new(&name);
-    let mut all: Vec<(u64, Interval)> = Vec::new();
-    for (i, line) in text.lines().enumerate() {
-        let words = words(i + 1, line, &mut problems);
+/// Reads a record.
+pub(crate) fn read(file: &Path) -> Result<Vec<Interval>, FileError> {
+    let text = read_text(file)?;
+    let mut problems = Problems::new(&file.display().to_string());
+    let mut intervals: Vec<(u64, Interval)> = Vec::new();
+    for (index, line) in text.lines().enumerate() {
+        let words = words(index + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
         if first.text != "at" {
             problems.add(first.at, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
             continue;
         }
         let mut args = Args::new(&words, &mut problems);
-        let at = args.whole("seconds", 0, u64::MAX);
-        let volume = args.name("the name of a volume");
-        args.value("asked", |w| (w == "asked").then_some(()));
-        let asked = args.rate("units a second");
-        args.value("ended", |w| (w == "ended").then_some(()));
-        args.rate("units a second");
-        args.end();
-        if let (Some(at), Some(volume), Some(asked)) = (at, volume, asked) {
-            if all.last().is_none_or(|l| l.0 != at) {
-                all.push((at, Interval::new()));
-            }
-            all.last_mut().expect("just put").1.insert(volume.text, asked);
+        let Some((seconds, volume, requested)) = read_line(&mut args) else { continue };
+        if intervals.last().is_none_or(|(last, _)| *last != seconds) {
+            intervals.push((seconds, Interval::new()));
         }
+        intervals.last_mut().expect("just pushed").1.insert(volume, requested);
     }
     if problems.is_empty() {
-        Ok(all.into_iter().map(|a| a.1).collect())
+        Ok(intervals.into_iter().map(|(_, interval)| interval).collect())
     } else {
-        Err(problems.sorted().to_string())
+        Err(FileError::Malformed(problems.sorted()))
     }
 }
+
+/// Seconds, volume and requested units a second of a line. All its words are checked.
+fn read_line(args: &mut Args) -> Option<(u64, String, f64)> {
+    let seconds = args.whole("seconds", 0, u64::MAX);
+    let volume = args.name("the name of a volume");
+    args.value("asked", |word| (word == "asked").then_some(()));
+    let requested = args.rate("units a second");
+    args.value("ended", |word| (word == "ended").then_some(()));
+    args.rate("units a second");
+    args.end();
+    Some((seconds?, volume?.text, requested?))
+}
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -3,15 +3,15 @@
 mod local_commands;
 mod mapped_volumes;
 
-use crate::catalog_client::Map;
-use crate::client_connections::Clients;
+use crate::catalog_client::CatalogClient;
+use crate::client_connections::{Clients, InFlightCommand};
 use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor, ticks_to_millis};
-use crate::metrics::{Figures, GroupFigures, NodeFigures, VolumeFigures};
-use crate::node_connections::{self, Nodes, Order};
-use crate::scheduler_config::layout;
+use crate::metrics::Metrics;
+use crate::node_connections::{AttemptResult, NodeRequest, Nodes};
+use crate::scheduler_config::{mapped_layout, volume_layout};
 use crate::slab::Slab;
 use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
-use mallowseam_connection_policy::request_splitting::{Extent, SubRequest, VolumeLayout};
+use mallowseam_connection_policy::request_splitting::{SubRequest, VolumeLayout};
 use mallowseam_cow::cache::{Look, TELL_AGAIN};
 use mallowseam_cow::copies::{self, Copies};
 use mallowseam_cow::pieces::{Go, Pieces};
@@ -132,13 +132,13 @@
     answered: bool,
 }
 
-pub struct Desk {
+pub(crate) struct Dispatcher {
     pub now: Tick,
     pub clients: Clients,
     pub nodes: Nodes,
-    pub figures: Figures,
-    pub wake_at: Option<Tick>,
-    pub wants_list: bool,
+    pub metrics: Metrics,
+    pub wakeup_at: Option<Tick>,
+    pub endpoint_list_requested: bool,
     volumes: Vec<Volume>,
     groups: Vec<Group>,
     unit: u64,
@@ -151,7 +151,7 @@
     ended: VecDeque<(BioId, Outcome)>,
     gone: VecDeque<BioId>,
     parts: Vec<SubRequest>,
-    pub map: Option<Map>,
+    pub catalog: Option<CatalogClient>,
     extent: u64,
     copy_group: usize,
     submits: u32,
@@ -167,9 +167,9 @@
     fresh: VecDeque<u32>,
 }
 
-impl Desk {
+impl Dispatcher {
     /// Volumes have these plans from now on; the scheduler's handles of those that have another one.
-    pub fn planned(&mut self, of: &[usize]) -> Vec<(VolId, u16)> {
+    pub fn apply_plans(&mut self, of: &[usize]) -> Vec<(VolId, u16)> {
         let mut changed = Vec::new();
         for (at, (volume, plan)) in self.volumes.iter_mut().zip(of).enumerate() {
             let plan = *plan as u16;
@@ -181,7 +181,7 @@
         changed
     }
 
-    pub fn new(site: &Site, clients: Clients, nodes: Nodes, map: Option<Map>) -> Self {
+    pub fn new(site: &Site, clients: Clients, nodes: Nodes, catalog_client: Option<CatalogClient>) -> Self {
         let catalog = site.catalog.clone().unwrap_or_default();
         let volume = |v: &site::Volume| Volume {
             name: v.name.clone(),
@@ -190,7 +190,7 @@
             blocks: v.blocks,
             block_size: v.block_size,
             hosts: v.hosts,
-            layout: if v.mapped { mapped(site, v, catalog.extent) } else { layout(site, v) },
+            layout: if v.mapped { mapped_layout(v, catalog.extent) } else { volume_layout(site, v) },
             branch: v.mapped.then(|| v.name.as_str().into()),
         };
         let group = |g: &site::Group| Group {
@@ -198,18 +198,13 @@
             goal: ticks_from_micros_ceil(g.goal),
             side_effecting: g.effect == site::Effect::SideEffecting,
         };
-        Desk {
+        Dispatcher {
             now: 0,
             clients,
             nodes,
-            figures: Figures {
-                groups: site.groups.iter().map(|_| GroupFigures::default()).collect(),
-                nodes: vec![NodeFigures::default(); site.nodes.len()],
-                volumes: vec![VolumeFigures::default(); site.volumes.len()],
-                ..Figures::default()
-            },
-            wake_at: None,
-            wants_list: false,
+            metrics: Metrics::new(site.groups.len(), site.nodes.len(), site.volumes.len()),
+            wakeup_at: None,
+            endpoint_list_requested: false,
             volumes: site.volumes.iter().map(volume).collect(),
             groups: site.groups.iter().map(group).collect(),
             unit: site.fleet.unit,
@@ -222,7 +217,7 @@
             ended: VecDeque::new(),
             gone: VecDeque::new(),
             parts: Vec::new(),
-            map,
+            catalog: catalog_client,
             extent: catalog.extent,
             copy_group: catalog.copies,
             submits: site.fleet.submits,
@@ -239,33 +234,28 @@
     }
 
     /// Block I/Os in hand.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.ios.len()
     }
 
     /// When the next submit runs out of time.
-    pub fn next_timer(&self) -> Option<Tick> {
+    pub fn next_attempt_timeout(&self) -> Option<Tick> {
         self.timers.peek().map(|t| t.0.0)
     }
 
     /// Takes what came from a client.
-    pub fn came(&mut self, scheduler: &mut Scheduler, client: u32, came: Came) {
+    pub fn on_client_event(&mut self, scheduler: &mut Scheduler, client: u32, came: Came) {
         match came {
             Came::LoggedIn(who) => {
-                if let Some(c) = self.clients.all.get_mut(client) {
-                    c.name = who.initiator;
-                    tracing::info!(peer = %c.peer, name = c.name, "client logged in");
-                }
-                self.clients.close_replaced();
+                self.clients.on_login(client, who.initiator);
             }
             Came::Command { task, lun, cdb, room, data } => {
                 self.command(scheduler, client, task, lun, &cdb, room, data);
             }
             Came::Aborted { task } => {
-                let Some(c) = self.clients.all.get_mut(client) else { return };
-                let Some(at) = c.commands.iter().position(|t| t.0 == task) else { return };
-                let (_, command) = c.commands.swap_remove(at);
-                self.leave(command);
+                if let Some(aborted) = self.clients.abort_command(client, task) {
+                    self.leave(aborted.command);
+                }
             }
             Came::Logout | Came::Alive => {}
         }
@@ -276,7 +266,7 @@
         let Some(command) = self.commands.get_mut(at).filter(|c| !c.progress.is_answered()) else { return };
         command.progress.client_disconnected();
         command.client = NONE;
-        self.figures.commands.left += 1;
+        self.metrics.commands.abandoned += 1;
         self.let_go(at);
     }
 
@@ -298,9 +288,9 @@
 
     /// The time that the scheduler asked for has come. Nothing else wakes it: it names each time once, and would take
     /// a call past the time that is set here for that one, and wait for the next in vain.
-    pub fn woken(&mut self, scheduler: &mut Scheduler) {
-        if self.wake_at.is_some_and(|at| at <= self.now) {
-            self.wake_at = None;
+    pub fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
+        if self.wakeup_at.is_some_and(|at| at <= self.now) {
+            self.wakeup_at = None;
             let now = self.now;
             scheduler.woken(self, now);
             self.settle(scheduler);
@@ -311,13 +301,13 @@
     pub fn settle(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
         loop {
-            while let Some(commands) = self.clients.left() {
-                for (_, command) in commands {
-                    self.leave(command);
+            while let Some(commands) = self.clients.next_abandoned() {
+                for abandoned in commands {
+                    self.leave(abandoned.command);
                 }
             }
-            if let Some((node, result)) = self.nodes.ended() {
-                self.submit_ended(node, result);
+            if let Some(result) = self.nodes.next_result() {
+                self.submit_ended(result);
             }
             // Who has left goes first: what is taken back behind a write that was turned away must not be sent
             // when that one makes room.
@@ -335,13 +325,13 @@
         }
     }
 
-    fn submit_ended(&mut self, node: usize, result: node_connections::Result) {
+    fn submit_ended(&mut self, result: AttemptResult) {
         let at = result.tag & (PLACES as u32 - 1);
         let Some(io) = self.ios.get_mut(at) else { return };
         if io.out.as_ref().is_none_or(|o| o.tag != result.tag) {
             return;
         }
-        if result.closed && io.branch.is_some() {
+        if result.write_protected && io.branch.is_some() {
             return self.turned_away(at);
         }
         let (block_size, write) = match self.commands.get(io.command) {
@@ -349,14 +339,14 @@
             None => (self.volumes[io.vol].block_size as usize, self.writes_copy(at)),
         };
         let io = self.ios.get_mut(at).expect("just seen");
-        let mut ending = if result.closed { Ending::Error } else { result.ending };
+        let mut ending = if result.write_protected { Ending::Error } else { result.ending };
         let bytes = io.part.blocks as usize * block_size;
         if ending == Ending::Done && !write && result.data.len() != bytes {
             tracing::warn!(
-                node = self.nodes.all[node].name,
+                node = self.nodes.name(result.node),
                 bytes,
-                came = result.data.len(),
-                "read came back short"
+                received = result.data.len(),
+                "short read"
             );
             ending = Ending::Error;
         }
@@ -371,15 +361,15 @@
     fn done(&mut self, at: u32, mut data: Vec<u8>) {
         let io = self.ios.get(at).expect("in hand");
         let group = io.part.class as usize;
-        let figures = &mut self.figures.groups[group];
-        figures.answers.ended += 1;
+        let figures = &mut self.metrics.classes[group];
+        figures.counts.completed += 1;
         if io.copies.is_none() {
             let bytes = u64::from(io.part.blocks) * u64::from(self.volumes[io.vol].block_size);
-            self.figures.volumes[io.vol].ended += bytes.div_ceil(self.unit) as f64;
+            self.metrics.volumes[io.vol].completed += bytes.div_ceil(self.unit) as f64;
         }
         let wait = self.now - io.taken;
         figures.late += u64::from(wait > self.groups[group].goal);
-        figures.waits.saturating_record(wait.max(0) as u64 * 100);
+        figures.latencies.saturating_record(wait.max(0) as u64 * 100);
         if io.copies.is_some() {
             return self.copied(at, data);
         }
@@ -401,7 +391,7 @@
     fn tell(&mut self, at: u32, ending: Ending) {
         let Some(io) = self.ios.get_mut(at) else { return };
         let Some(out) = io.out.take() else { return };
-        self.figures.nodes[out.node as usize].count(ending);
+        self.metrics.nodes[out.node as usize].count(ending);
         if self.groups[io.part.class as usize].side_effecting
             && matches!(ending, Ending::Busy | Ending::NoConnect | Ending::Moot)
             && let Some(command) = self.commands.get_mut(io.command)
@@ -421,7 +411,7 @@
     }
 
     /// Submits out of time are given up.
-    pub fn run_timers(&mut self) {
+    pub fn expire_attempts(&mut self) {
         while let Some(&Reverse((at, tag))) = self.timers.peek() {
             if at > self.now {
                 break;
@@ -451,16 +441,14 @@
         let Some(answer) = command.progress.sub_request_finished(end) else { return };
         let (client, task) = (command.client, command.task);
         let read = std::mem::take(&mut command.read);
-        let counts = &mut self.figures.commands;
+        let counts = &mut self.metrics.commands;
         match answer {
-            RequestOutcome::Completed => counts.ended += 1,
+            RequestOutcome::Completed => counts.completed += 1,
             RequestOutcome::Shed { .. } => counts.shed += 1,
             RequestOutcome::Failed => counts.failed += 1,
         }
-        if let Some(c) = self.clients.all.get_mut(client) {
-            c.commands.retain(|t| t.0 != task);
-        }
-        if let Some(conn) = self.clients.answer(client) {
+        self.clients.remove_command(client, task);
+        if let Some(conn) = self.clients.session_mut(client) {
             match answer {
                 RequestOutcome::Completed if read.is_empty() => conn.good(task, data),
                 RequestOutcome::Completed => conn.good(task, &read),
@@ -525,12 +513,12 @@
         {
             // Never taken, so trying again is harmless.
             self.parts = parts;
-            if let Some(conn) = self.clients.answer(client) {
+            if let Some(conn) = self.clients.session_mut(client) {
                 conn.other(task, status::TASK_SET_FULL, None, 0);
             }
             return;
         }
-        self.figures.commands.taken += 1;
+        self.metrics.commands.admitted += 1;
         let read = if !write && parts.len() > 1 { vec![0; bytes as usize] } else { Vec::new() };
         let command = self.commands.insert(Command {
             client,
@@ -546,9 +534,7 @@
             data: data.into(),
             read,
         });
-        if let Some(c) = self.clients.all.get_mut(client) {
-            c.commands.push((task, command));
-        }
+        self.clients.add_command(client, InFlightCommand { task, command });
         let mut first = NONE;
         for part in parts.iter().rev() {
             first = self.ios.insert(Io {
@@ -613,9 +599,9 @@
             shard,
             hosts: volume.hosts,
         };
-        self.figures.groups[part.class as usize].answers.taken += 1;
+        self.metrics.classes[part.class as usize].counts.admitted += 1;
         if io.copies.is_none() {
-            self.figures.volumes[io.vol].asked += bio.units;
+            self.metrics.volumes[io.vol].requested += bio.units;
         }
         let now = self.now;
         scheduler.take(self, now, bio);
@@ -639,13 +625,13 @@
     }
 
     fn good(&mut self, client: u32, task: u32, data: &[u8]) {
-        if let Some(conn) = self.clients.answer(client) {
+        if let Some(conn) = self.clients.session_mut(client) {
             conn.good(task, data);
         }
     }
 
     fn refuse(&mut self, client: u32, task: u32, sense: Sense) {
-        if let Some(conn) = self.clients.answer(client) {
+        if let Some(conn) = self.clients.session_mut(client) {
             conn.other(task, status::CHECK_CONDITION, Some(sense), 0);
         }
     }
@@ -654,7 +640,7 @@
         let Some(io) = self.ios.get_mut(bio.0).filter(|io| !io.answered) else { return };
         // A copy that is given up has no client: its place is given back with its state as it is.
         io.answered = io.copies.is_none();
-        let answers = &mut self.figures.groups[io.part.class as usize].answers;
+        let answers = &mut self.metrics.classes[io.part.class as usize].counts;
         match end {
             RequestOutcome::Shed { .. } => answers.shed += 1,
             _ => answers.failed += 1,
@@ -664,14 +650,7 @@
     }
 }
 
-/// Extents of a mapped volume, each its own shard until it is looked up.
-fn mapped(site: &Site, v: &site::Volume, extent: u64) -> VolumeLayout {
-    let count = v.blocks / extent.max(1);
-    let one = |i| Extent { first_block: i * extent, blocks: extent, shard: i as u32, first_node_block: 0 };
-    VolumeLayout { extents: (0..count).map(one).collect(), rules: layout(site, v).rules }
-}
-
-impl Host for Desk {
+impl Host for Dispatcher {
     fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
         let io = self.ios.get_mut(bio.0).expect("in hand");
         if self.turns.len() <= bio.0 as usize {
@@ -713,14 +692,14 @@
             Some((layer, place)) => (Some(layer), u64::from(place.number) * self.extent + part.node_lba),
             None => (None, part.node_lba),
         };
-        let order = Order {
+        let order = NodeRequest {
             tag,
             lun,
             cdb: scsi::rw16(write, lba, part.blocks, mark),
             room: if write { 0 } else { len },
             data,
         };
-        self.figures.nodes[node.0 as usize].submits += 1;
+        self.metrics.nodes[node.0 as usize].attempts += 1;
         self.timers.push(Reverse((self.now + limit.max(0), tag)));
         self.nodes.submit(node.0 as usize, order, self.now);
     }
@@ -742,17 +721,17 @@
 
     fn wake(&mut self, after: Tick) {
         let at = self.now + after;
-        self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
+        self.wakeup_at = Some(self.wakeup_at.map_or(at, |w| w.min(at)));
     }
 
     fn probe(&mut self, _node: NodeId) {}
 
     fn watch_list(&mut self) {
-        self.wants_list = true;
+        self.endpoint_list_requested = true;
     }
 
     fn fetch_list(&mut self) {
-        self.wants_list = true;
+        self.endpoint_list_requested = true;
     }
 
     fn tell_peers(&mut self, _bytes: &[u8]) {}
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -1,7 +1,7 @@
 //! What the host answers itself: a unit says what it is, and nothing goes to a node.
 use super::*;
 
-impl Desk {
+impl Dispatcher {
     /// What the host answers itself.
     pub(super) fn own(
         &mut self,
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -1,8 +1,9 @@
 //! Mapped volumes: where a block I/O goes is looked up, and waited for; extents are copied before their first
 //! write.
 use super::*;
+use crate::catalog_client::{ClearRequest, LeaveAnswer};
 
-impl Desk {
+impl Dispatcher {
     /// The unit of a LUN.
     pub(super) fn unit(&mut self, lun: u32) -> Option<Seen> {
         if let Some(vol) = self.volumes.iter().position(|v| v.lun == lun) {
@@ -15,7 +16,7 @@
 
     /// Snapshots and clones of mapped volumes, when the tree has changed.
     pub(super) fn learn_units(&mut self) {
-        let Some(tree) = self.map.as_ref().and_then(|m| m.cache.tree()) else { return };
+        let Some(tree) = self.catalog.as_ref().and_then(|m| m.cache.tree()) else { return };
         if tree.version == self.units_of {
             return;
         }
@@ -85,7 +86,7 @@
     pub(super) fn go(&mut self, scheduler: &mut Scheduler, at: u32) -> bool {
         let io = self.ios.get(at).expect("in hand");
         let (write, extent, vol) = (self.is_write(io), io.part.shard, io.vol);
-        let Some(map) = &mut self.map else { return false };
+        let Some(map) = &mut self.catalog else { return false };
         let now = ticks_to_millis(self.now);
         match map.cache.look(io.branch.as_deref().unwrap_or_default(), extent, write, now) {
             Look::At(layer, place) => {
@@ -101,13 +102,13 @@
                 let bytes = io.part.blocks as usize * self.volumes[vol].block_size as usize;
                 let io = self.ios.get_mut(at).expect("in hand");
                 io.answered = true;
-                self.figures.groups[io.part.class as usize].answers.taken += 1;
+                self.metrics.classes[io.part.class as usize].counts.admitted += 1;
                 self.done(at, vec![0; bytes]);
                 self.forget(at);
                 true
             }
             Look::Copy { into, from } => {
-                map.want_numbers(into, now);
+                map.request_numbers(into, now);
                 self.copy((into, extent), vol, from);
                 false
             }
@@ -125,7 +126,10 @@
         let Some(io) = self.ios.get(at) else { return false };
         let command_at = io.command;
         let Some(command) = self.commands.get(command_at).filter(|c| c.parts > 1) else { return true };
-        let held = self.map.as_ref().is_some_and(|m| m.holds(io.branch.as_deref().unwrap_or_default(), now));
+        let held = self
+            .catalog
+            .as_ref()
+            .is_some_and(|m| m.has_pending_cut(io.branch.as_deref().unwrap_or_default(), now));
         let (mut elsewhere, mut begun) = (false, command.pieces.begun_by(LayerId::MAX));
         let mut next = command.first;
         while let Some(other) = self.ios.get(next).filter(|o| o.command == command_at) {
@@ -143,8 +147,8 @@
             Go::Now => true,
             Go::Wait => false,
             Go::Ask(older) => {
-                if let Some(map) = &mut self.map {
-                    map.say(&ToCatalog::Leave { layer: older });
+                if let Some(map) = &mut self.catalog {
+                    map.send(&ToCatalog::Leave { layer: older });
                 }
                 false
             }
@@ -158,15 +162,15 @@
 
     /// Takes the catalog's words about leave, and says of which layers this host is clear.
     fn tend_cuts(&mut self) {
-        let Some(map) = &mut self.map else { return };
-        for (layer, given) in std::mem::take(&mut map.leaves) {
+        let Some(map) = &mut self.catalog else { return };
+        for LeaveAnswer { layer, granted: given } in std::mem::take(&mut map.leave_answers) {
             for at in self.commands.indices() {
                 if let Some(command) = self.commands.get_mut(at) {
                     command.pieces.heard(layer, given);
                 }
             }
         }
-        if map.owed.is_empty() {
+        if map.clear_requests.is_empty() {
             return;
         }
         let (ios, commands) = (&self.ios, &self.commands);
@@ -179,18 +183,19 @@
                 here && several(io.command).is_some_and(|c| under_way || c.pieces.begun_by(layer))
             })
         };
-        let clear: Vec<LayerId> =
-            map.owed.iter().filter(|(layer, branch)| !holds(*layer, branch)).map(|o| o.0).collect();
-        map.owed.retain(|o| !clear.contains(&o.0));
-        for layer in clear {
-            map.say(&ToCatalog::Clear { layer });
+        let requests = std::mem::take(&mut map.clear_requests);
+        let (held, clear): (Vec<ClearRequest>, Vec<ClearRequest>) =
+            requests.into_iter().partition(|request| holds(request.layer, &request.branch));
+        map.clear_requests = held;
+        for ClearRequest { layer, .. } in clear {
+            map.send(&ToCatalog::Clear { layer });
         }
     }
 
     /// Looks again at all that wait, when there is news or time has passed. True if anything has moved.
     pub(super) fn look_again(&mut self, scheduler: &mut Scheduler) -> bool {
-        let news = self.map.as_ref().map_or(0, |m| m.news);
-        if self.map.is_none() || self.looked.0 == news && self.now < self.looked.1 {
+        let news = self.catalog.as_ref().map_or(0, |m| m.revision);
+        if self.catalog.is_none() || self.looked.0 == news && self.now < self.looked.1 {
             return false;
         }
         self.looked = (news, self.now + ticks_from_micros_ceil(copies::AGAIN * 1000));
@@ -223,8 +228,8 @@
     }
 
     /// When those that wait are to be looked at next.
-    pub fn next_look(&self) -> Option<Tick> {
-        let owed = self.map.as_ref().is_some_and(|m| !m.owed.is_empty());
+    pub fn next_lookup(&self) -> Option<Tick> {
+        let owed = self.catalog.as_ref().is_some_and(|m| !m.clear_requests.is_empty());
         (owed || !self.waiting.is_empty()).then_some(self.looked.1)
     }
 
@@ -246,7 +251,7 @@
     /// Begins to copy an extent to a new place, unless that is under way.
     pub(super) fn copy(&mut self, to: (LayerId, u32), vol: usize, from: Option<(LayerId, Place)>) {
         let now = ticks_to_millis(self.now);
-        let Some(map) = &mut self.map else { return };
+        let Some(map) = &mut self.catalog else { return };
         let again = match self.copying.get(&to).map(|c| &c.state) {
             None => false,
             Some(Copying::Resting(until)) if now >= *until => true,
@@ -330,15 +335,15 @@
     }
 
     pub(super) fn tell_place(&mut self, to: (LayerId, u32), place: Place) {
-        if let Some(map) = &mut self.map {
-            map.say(&ToCatalog::Placed { layer: to.0, extent: to.1, place });
+        if let Some(map) = &mut self.catalog {
+            map.send(&ToCatalog::Placed { layer: to.0, extent: to.1, place });
         }
     }
 
     /// Copies that are settled are over; places not heard of are told again.
     pub(super) fn tend_copies(&mut self) {
         let now = ticks_to_millis(self.now);
-        let Some(tree) = self.map.as_ref().and_then(|m| m.cache.tree()) else { return };
+        let Some(tree) = self.catalog.as_ref().and_then(|m| m.cache.tree()) else { return };
         let settled = |(layer, extent): &(LayerId, u32)| {
             tree.layers.get(layer).is_none_or(|l| l.frozen || l.places.contains_key(extent))
         };
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The connection to the node list service, and the copy of the list kept for the next start.
+//! The client of the endpoint list service, and the cached copy of the list for the next start.
+use crate::atomic_file;
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ReadOutcome};
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
@@ -9,242 +10,251 @@
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
-const TICKS: Tick = 10; // ticks in a millisecond
+/// Ticks in a millisecond.
+const TICKS_PER_MILLI: Tick = 10;
 
-/// A node as the configuration names it, and when its present run began by this host's clock.
-struct Known {
+/// A node of the configuration, with its present run as this host knows it.
+struct KnownNode {
     name: String,
     zone: u32,
     shard: u32,
+    /// Tells one run of the node's process from another; 0 for one long past.
     born: u64,
-    came_up: Tick,
+    /// When that run began, by this host's clock.
+    up_since: Tick,
 }
 
-pub struct List {
+/// A list, or the changes since the last one, as the scheduler takes it.
+pub(crate) struct ListUpdate {
+    pub(crate) form: ListForm,
+    pub(crate) nodes: Vec<Listed>,
+}
+
+/// The connection to the endpoint list service and what it has told.
+pub(crate) struct EndpointList {
     host: String,
+    /// None: the nodes are those of the configuration.
     address: Option<SocketAddr>,
-    kept: Option<PathBuf>,
-    known: Vec<Known>,
+    cache_file: Option<PathBuf>,
+    nodes: Vec<KnownNode>,
     registry: Registry,
     token: Token,
     socket: Option<TcpStream>,
     readable: bool,
-    asked: Vec<u8>,
+    unsent: Vec<u8>,
     register: Register,
     request: EndpointListRequest,
-    news: VecDeque<(ListForm, Vec<Listed>)>,
+    updates: VecDeque<ListUpdate>,
 }
 
-impl List {
-    pub fn new(host: &site::Host, nodes: &[site::Node], registry: Registry, token: Token) -> Self {
-        let mut zones: Vec<&str> = Vec::new();
-        let mut known = Vec::new();
-        for n in nodes {
-            let zone = zones.iter().position(|z| *z == n.zone).unwrap_or_else(|| {
-                zones.push(&n.zone);
-                zones.len() - 1
-            });
-            known.push(Known {
-                name: n.name.clone(),
-                zone: zone as u32,
-                shard: n.shard,
-                born: 0,
-                came_up: 0,
-            });
-        }
-        List {
+/// Nodes as the configuration has them, their zones numbered in the order in which they are named.
+fn known_nodes(nodes: &[site::Node]) -> Vec<KnownNode> {
+    let mut zones: Vec<&str> = Vec::new();
+    let mut known = Vec::new();
+    for node in nodes {
+        let zone = zones.iter().position(|zone| *zone == node.zone).unwrap_or_else(|| {
+            zones.push(&node.zone);
+            zones.len() - 1
+        });
+        let (name, zone) = (node.name.clone(), zone as u32);
+        known.push(KnownNode { name, zone, shard: node.shard, born: 0, up_since: 0 });
+    }
+    known
+}
+
+impl EndpointList {
+    /// The client of a host; it does not connect yet.
+    pub(crate) fn new(host: &site::Host, nodes: &[site::Node], registry: Registry, token: Token) -> Self {
+        EndpointList {
             host: host.name.clone(),
             address: host.node_list,
-            kept: host.kept_list.clone(),
-            known,
+            cache_file: host.kept_list.clone(),
+            nodes: known_nodes(nodes),
             registry,
             token,
             socket: None,
             readable: false,
-            asked: Vec::new(),
+            unsent: Vec::new(),
             register: Register::default(),
             request: EndpointListRequest::default(),
-            news: VecDeque::new(),
+            updates: VecDeque::new(),
         }
     }
 
-    /// What is known before the service has been asked: the kept copy, or all nodes where there is no service.
-    pub fn start(&mut self, now: Tick) {
+    /// Queues what is known before the service has answered: the cached list, or all nodes of the configuration
+    /// where there is no service.
+    pub(crate) fn start(&mut self, now: Tick) {
         if self.address.is_none() {
-            let listed = |(i, k): (usize, &Known)| Listed {
-                node: NodeId(i as u32),
-                zone: k.zone,
-                shard: k.shard,
+            let listed = |(index, node): (usize, &KnownNode)| Listed {
+                node: NodeId(index as u32),
+                zone: node.zone,
+                shard: node.shard,
                 state: NodeState::Active,
                 came_up: 0,
             };
-            let all = self.known.iter().enumerate().map(listed).collect();
-            self.news.push_back((ListForm::Whole, all));
+            let nodes = self.nodes.iter().enumerate().map(listed).collect();
+            self.updates.push_back(ListUpdate { form: ListForm::Whole, nodes });
             return;
         }
-        let Some(path) = &self.kept else { return };
-        match std::fs::read_to_string(path).map_err(|e| e.to_string()) {
+        self.restore_cache(now);
+    }
+
+    fn restore_cache(&mut self, now: Tick) {
+        let Some(path) = &self.cache_file else { return };
+        match std::fs::read_to_string(path) {
             Ok(text) => match self.register.restore(&text) {
                 Ok(update) => {
-                    tracing::info!(nodes = update.entries.len(), "kept node list read");
-                    self.tell(ListForm::Kept, update, now);
+                    tracing::info!(nodes = update.entries.len(), "cached endpoint list loaded");
+                    self.queue(ListForm::Kept, update, now);
                 }
-                Err(wrong) => tracing::warn!(%wrong, "kept node list is not used"),
+                Err(e) => tracing::warn!(error = %e, "cached endpoint list not used"),
             },
-            Err(why) => tracing::info!(why, "no kept node list"),
+            Err(e) => tracing::info!(error = %e, "no cached endpoint list"),
         }
     }
 
-    pub fn news(&mut self) -> Option<(ListForm, Vec<Listed>)> {
-        self.news.pop_front()
+    /// The next update that the scheduler has not taken yet.
+    pub(crate) fn next_update(&mut self) -> Option<ListUpdate> {
+        self.updates.pop_front()
     }
 
-    pub fn known(&self) -> (u64, u64) {
+    /// Epoch and version of the list.
+    pub(crate) fn version(&self) -> (u64, u64) {
         self.register.version()
     }
 
-    /// Asks for the list and its changes.
-    pub fn watch(&mut self, now: Tick) {
+    /// Requests the list and its changes, on a new connection if there is none.
+    pub(crate) fn watch(&mut self, now: Tick) {
         let Some(address) = self.address else { return };
         self.request.sent(ticks_to_millis(now));
-        if self.socket.is_none() {
-            match TcpStream::connect(address) {
-                Ok(mut socket) => {
-                    let interest = Interest::READABLE | Interest::WRITABLE;
-                    if let Err(e) = self.registry.register(&mut socket, self.token, interest) {
-                        return self.fail(&e.to_string());
-                    }
-                    self.register.reconnected();
-                    (self.socket, self.readable) = (Some(socket), false);
-                    self.asked.clear();
-                }
-                Err(e) => return self.fail(&e.to_string()),
-            }
+        if self.socket.is_none()
+            && let Err(e) = self.connect(address)
+        {
+            return self.fail(&e.to_string());
         }
-        self.asked.extend_from_slice(format!("watch {}\n", self.host).as_bytes());
+        self.unsent.extend_from_slice(format!("watch {}\n", self.host).as_bytes());
         self.flush();
     }
 
-    fn fail(&mut self, why: &str) {
-        tracing::warn!(why, "node list service");
+    fn connect(&mut self, address: SocketAddr) -> std::io::Result<()> {
+        let mut socket = TcpStream::connect(address)?;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.registry.register(&mut socket, self.token, interest)?;
+        self.register.reconnected();
+        (self.socket, self.readable) = (Some(socket), false);
+        self.unsent.clear();
+        Ok(())
+    }
+
+    /// Closes the connection; the scheduler hears that its request has failed.
+    fn fail(&mut self, reason: &str) {
+        tracing::warn!(reason, "endpoint list request failed");
         if let Some(mut socket) = self.socket.take() {
             let _ = self.registry.deregister(&mut socket);
         }
         self.request.finished();
-        self.news.push_back((ListForm::Failed, Vec::new()));
+        self.updates.push_back(ListUpdate { form: ListForm::Failed, nodes: Vec::new() });
     }
 
-    pub fn ready(&mut self, readable: bool, scratch: &mut [u8], now: Tick) {
+    /// Writes and reads as far as the socket lets it.
+    pub(crate) fn on_ready(&mut self, readable: bool, buffer: &mut [u8], now: Tick) {
         self.readable |= readable;
         self.flush();
         while self.readable {
             let Some(socket) = &mut self.socket else { return };
-            match socket_io::read(socket, scratch) {
+            match socket_io::read(socket, buffer) {
                 ReadOutcome::WouldBlock => self.readable = false,
-                ReadOutcome::Read(n) => {
-                    let mut heard = Vec::new();
-                    let received = self.register.receive(&scratch[..n], |h| heard.push(h));
-                    heard.into_iter().for_each(|h| self.heard(h, now));
+                ReadOutcome::Read(len) => {
+                    let mut events = Vec::new();
+                    let received = self.register.receive(&buffer[..len], |event| events.push(event));
+                    events.into_iter().for_each(|event| self.on_watch_event(event, now));
                     if let Err(wrong) = received {
                         return self.fail(&wrong.to_string());
                     }
                 }
-                ReadOutcome::Closed(why) => return self.fail(&why.to_string()),
+                ReadOutcome::Closed(reason) => return self.fail(&reason.to_string()),
             }
         }
     }
 
     fn flush(&mut self) {
         let Some(socket) = &mut self.socket else { return };
-        if let Err(why) = socket_io::write_buffer(socket, &mut self.asked) {
-            self.fail(&why.to_string());
+        if let Err(reason) = socket_io::write_buffer(socket, &mut self.unsent) {
+            self.fail(&reason.to_string());
         }
     }
 
-    fn heard(&mut self, heard: Heard, now: Tick) {
-        match heard {
+    fn on_watch_event(&mut self, event: Heard, now: Tick) {
+        match event {
             Heard::Nothing => {}
             Heard::Missed => {
                 self.request.sent(ticks_to_millis(now));
-                self.asked.extend_from_slice(format!("all {}\n", self.host).as_bytes());
+                self.unsent.extend_from_slice(format!("all {}\n", self.host).as_bytes());
                 self.flush();
             }
             Heard::News(update) => {
                 self.request.finished();
                 let form = if update.whole { ListForm::Whole } else { ListForm::Changes };
-                self.tell(form, update, now);
-                self.keep();
+                self.queue(form, update, now);
+                self.write_cache();
             }
         }
     }
 
-    fn tell(&mut self, form: ListForm, update: Update, now: Tick) {
-        let mut listed = Vec::new();
+    fn queue(&mut self, form: ListForm, update: Update, now: Tick) {
+        let mut nodes = Vec::new();
         for entry in &update.entries {
-            match self.listed(entry, now) {
-                Some(l) => {
-                    tracing::info!(
-                        node = entry.name,
-                        state = entry.condition.word(),
-                        age = entry.age,
-                        "listed"
-                    );
-                    listed.push(l);
-                }
-                None => {
-                    tracing::warn!(node = entry.name, "the list names a node that the configuration lacks")
-                }
+            let (node, state) = (&entry.name, entry.condition.word());
+            if let Some(listed) = self.listed(entry, now) {
+                tracing::info!(node, state, age = entry.age, "endpoint updated");
+                nodes.push(listed);
+            } else {
+                tracing::warn!(node, "endpoint list names a node that the configuration lacks");
             }
         }
-        self.news.push_back((form, listed));
+        self.updates.push_back(ListUpdate { form, nodes });
     }
 
+    /// An entry of the list as the scheduler takes it; none: the configuration lacks its node.
     fn listed(&mut self, entry: &Entry, now: Tick) -> Option<Listed> {
-        let i = self.known.iter().position(|k| k.name == entry.name)?;
-        let known = &mut self.known[i];
-        // News take a while: of one run, the earliest start that was told is the truest. It never moves up,
-        // which would look like another start.
-        let began = (now - entry.age as Tick * TICKS).max(1);
+        let index = self.nodes.iter().position(|node| node.name == entry.name)?;
+        let node = &mut self.nodes[index];
+        // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It never
+        // moves up, which would look like a restart.
+        let began = (now - entry.age as Tick * TICKS_PER_MILLI).max(1);
         if entry.born == 0 {
-            (known.born, known.came_up) = (0, 0);
-        } else if entry.born != known.born {
-            (known.born, known.came_up) = (entry.born, began);
+            (node.born, node.up_since) = (0, 0);
+        } else if entry.born != node.born {
+            (node.born, node.up_since) = (entry.born, began);
         } else {
-            known.came_up = known.came_up.min(began);
+            node.up_since = node.up_since.min(began);
         }
         Some(Listed {
-            node: NodeId(i as u32),
-            zone: known.zone,
-            shard: known.shard,
+            node: NodeId(index as u32),
+            zone: node.zone,
+            shard: node.shard,
             state: match entry.condition {
                 Condition::Active => NodeState::Active,
                 Condition::Leaving => NodeState::Leaving,
                 Condition::Left => NodeState::Left,
             },
-            came_up: known.came_up,
+            came_up: node.up_since,
         })
     }
 
-    fn keep(&self) {
-        let Some(path) = &self.kept else { return };
-        if let Err(e) = replace(path, self.register.keep().as_bytes()) {
-            tracing::warn!(path = %path.display(), error = %e, "node list not kept");
+    fn write_cache(&self) {
+        let Some(path) = &self.cache_file else { return };
+        if let Err(e) = atomic_file::replace(path, self.register.keep().as_bytes()) {
+            tracing::warn!(path = %path.display(), error = %e, "endpoint list not cached");
         }
     }
 
-    /// A call that the service does not answer has failed.
-    pub fn care(&mut self, now: Tick) {
+    /// Fails a request that the service has not answered in time.
+    pub(crate) fn on_timer(&mut self, now: Tick) {
         if self.request.has_timed_out(ticks_to_millis(now)) {
             self.fail("no answer in time");
         }
     }
 }
-
-/// Puts a file in place whole, or leaves the old one.
-pub(crate) fn replace(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
-    let fresh = path.with_extension("new");
-    std::fs::write(&fresh, bytes)?;
-    std::fs::rename(&fresh, path)
-}
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -1,14 +1,21 @@
-//! The event loop: one thread, every decision the scheduler's or a connection policy's.
-use crate::catalog_client::Map;
-use crate::client_connections::Clients;
+//! The event loop of a host: one thread, every decision the scheduler's or a connection policy's.
+//!
+//! - `operator`: requests on the control socket, and the status.
+//! - `plans`: replicated plans, quotas, and plans reloaded from the configuration.
+mod operator;
+mod plans;
+
+use crate::catalog_client::CatalogClient;
+use crate::client_connections::{ClientId, Clients};
 use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
-use crate::control_socket::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
-use crate::dispatcher::Desk;
-use crate::endpoint_list::List;
-use crate::node_connections::Nodes;
-use crate::plan_replication::Follow;
+use crate::control_socket::{self, ConnectionId, ControlSocket};
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list::EndpointList;
+use crate::error::Error;
+use crate::node_connections::{NodeIndex, Nodes};
+use crate::plan_replication::PlanReplication;
 use crate::scheduler_config;
-use crate::startup::{Failure, control, failure, listen, signals};
+use crate::startup;
 use mallowseam_connection_policy::admission::AdmissionController;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
@@ -16,538 +23,396 @@
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::target::TargetTerms;
 use mallowseam_plans::Units;
-use mallowseam_scheduler::host::{Host, NodeId, NodeState, Tick, VolId};
+use mallowseam_scheduler::host::{Host, NodeState, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_settings::{Site, change};
+use mallowseam_settings::Site;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Events, Poll, Token};
 use rand::Rng;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read};
+use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 const LISTENER: Token = Token(0);
 const CONTROL: Token = Token(1);
-const LIST: Token = Token(2);
+const ENDPOINT_LIST: Token = Token(2);
 const SIGNALS: Token = Token(3);
-const MAP: Token = Token(4);
-const FOLLOW: Token = Token(5);
-const FLEET: Token = Token(6);
-/// Ticks between two counts of what clients ask.
-const COUNT: Tick = 2_500;
-const CALLERS: usize = 7;
-const NODES: usize = CALLERS + control_socket::MOST;
+const CATALOG: Token = Token(4);
+const PLANS: Token = Token(5);
+const MEMBERSHIP: Token = Token(6);
+/// First token of connections to the control socket.
+const FIRST_CALLER: usize = 7;
+/// First token of connections to nodes; those of clients follow.
+const FIRST_NODE: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
 /// Bytes read from a socket in one go; each ready socket has its turn.
-const SCRATCH: usize = 128 * 1024;
-/// Ticks between two looks at how connections stand: fine enough for times of seconds.
-const LOOK: Tick = 1_000;
-const MICROS: f64 = 1_000.0; // microseconds in a millisecond
+const READ_BUFFER: usize = 128 * 1024;
+const MAX_EVENTS: usize = 1024;
+/// Ticks between two periodic checks of the connections: fine enough for times of seconds.
+const CHECK_PERIOD: Tick = 1_000;
 
-/// Whose turn it is to be read from.
+/// A socket that may have more to read than one turn took.
 #[derive(Clone, Copy, PartialEq)]
-enum Turn {
-    Map,
-    Client(u32),
-    Node(usize),
+enum PendingRead {
+    Catalog,
+    Client(ClientId),
+    Node(NodeIndex),
 }
 
-struct Gateway {
+struct HostProcess {
     site: Site,
     clock: Clock,
     scheduler: Scheduler,
-    desk: Desk,
-    list: List,
-    follow: Option<Follow>,
-    /// Its part in the fleet's view, where the configuration names one, and whether that has more to read.
-    part: Option<Box<Part>>,
-    part_more: bool,
-    /// The parts of limits that the scheduler keeps to, by volume.
-    parts: Vec<Option<Units>>,
-    /// What clients asked of each volume in the last span, a second; and the counts it began with.
-    wanted: Vec<Units>,
-    counted: (Tick, Vec<f64>),
+    dispatcher: Dispatcher,
+    endpoint_list: EndpointList,
+    plan_replication: Option<PlanReplication>,
+    /// Its part in the fleet's membership, where the configuration has one, and whether that has more to read.
+    membership: Option<Box<Part>>,
+    membership_readable: bool,
+    /// The quotas that the scheduler keeps to, by volume.
+    quotas: Vec<Option<Units>>,
+    demand: plans::DemandMeter,
     listener: TcpListener,
     accepting: bool,
-    control: Option<Control>,
+    control: Option<ControlSocket>,
     signals: UnixStream,
-    stops: u32,
-    turns: VecDeque<Turn>,
-    scratch: Vec<u8>,
-    looked: Tick,
+    /// How often it was told to stop.
+    stop_requests: u32,
+    pending_reads: VecDeque<PendingRead>,
+    read_buffer: Vec<u8>,
+    last_check: Tick,
 }
 
-/// Runs a host until it is told to stop. Errors: an address or path that cannot be had.
-pub fn run(site: Site) -> Result<(), Failure> {
-    let mut poll = Poll::new().map_err(failure("poll".into()))?;
-    let mut gateway = Gateway::open(site, &poll)?;
-    let mut events = Events::with_capacity(1024);
-    gateway.start();
-    while !gateway.over() {
-        let wait = gateway.wait();
-        if let Err(e) = poll.poll(&mut events, wait)
+/// Runs a host until it is told to stop.
+///
+/// # Errors
+/// An address or path of the configuration cannot be had.
+pub fn run(site: Site) -> Result<(), Error> {
+    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut host = HostProcess::open(site, &poll)?;
+    let mut events = Events::with_capacity(MAX_EVENTS);
+    host.start();
+    while !host.is_finished() {
+        let timeout = host.poll_timeout();
+        if let Err(e) = poll.poll(&mut events, timeout)
             && e.kind() != ErrorKind::Interrupted
         {
-            return Err(Failure::new(format!("poll: {e}")));
+            return Err(Error::Poll(e));
         }
-        gateway.desk.now = gateway.clock.now();
-        // Time first: a host that was stopped must not take what has come since for late.
-        gateway.part.iter_mut().for_each(|p| p.tick());
+        host.dispatcher.now = host.clock.now();
+        // Time first: a host that was suspended must not take what has come since for late.
+        host.membership.iter_mut().for_each(|membership| membership.tick());
         for event in events.iter() {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
-            gateway.ready(event.token(), readable);
+            host.on_event(event.token(), readable);
         }
-        gateway.round();
+        host.after_events();
     }
-    gateway.part.iter_mut().for_each(|p| p.leave(true));
-    tracing::info!("host ends");
+    host.membership.iter_mut().for_each(|membership| membership.leave(true));
+    tracing::info!("host stopped");
     Ok(())
 }
 
-impl Gateway {
-    fn open(site: Site, poll: &Poll) -> Result<Self, Failure> {
-        let registry = || poll.registry().try_clone().map_err(failure("poll".into()));
-        let address = site.host.listen.expect("checked");
-        let (listener, _) = listen(address, poll, LISTENER)?;
-        let bound = listener.local_addr().map_err(failure(format!("listen {address}")))?;
-        let control = control(site.host.control.as_deref(), poll, CONTROL, CALLERS)?;
-        let signals = signals(poll, SIGNALS).map_err(failure("signals".into()))?;
-        let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
-        let wishes = Wishes { digests, ..Wishes::default() };
-        let targets = Rc::new(TargetTerms {
-            wishes,
-            window: site.host.window,
-            longest: site.host.longest as usize,
-            names: vec![site.host.target.clone()],
-            address: bound.to_string(),
-        });
-        let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
-        let clients = Clients::new(admission, targets, registry()?, NODES + site.nodes.len());
-        let initiator = format!("{}:{}", site.host.target, site.host.name);
-        let nodes = Nodes::new(&site.nodes, initiator, wishes, registry()?, NODES);
-        let map = match &site.catalog {
-            Some(c) if site.volumes.iter().any(|v| v.mapped) => {
-                Some(Map::new(&site.host.name, c.listen.expect("checked"), registry()?, MAP))
-            }
-            _ => None,
-        };
-        let list = List::new(&site.host, &site.nodes, registry()?, LIST);
-        let follow = match site.host.follow {
-            Some(address) => {
-                let volumes = site.volumes.iter().map(|v| (v.name.clone(), v.hosts)).collect();
-                let kept = site.host.kept_plans.clone();
-                Some(Follow::new(&site.host.name, address, kept, volumes, registry()?, FOLLOW, 0))
-            }
-            None => None,
-        };
-        let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
-        let part =
-            site.host.place.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
+/// What every session is negotiated with.
+fn session_wishes(site: &Site) -> Wishes {
+    let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
+    Wishes { digests, ..Wishes::default() }
+}
+
+fn open_clients(site: &Site, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
+    let terms = Rc::new(TargetTerms {
+        wishes: session_wishes(site),
+        window: site.host.window,
+        longest: site.host.longest as usize,
+        names: vec![site.host.target.clone()],
+        address: bound.to_string(),
+    });
+    let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
+    let first_token = FIRST_NODE + site.nodes.len();
+    Ok(Clients::new(admission, terms, startup::registry(poll)?, first_token))
+}
+
+fn open_nodes(site: &Site, poll: &Poll) -> Result<Nodes, Error> {
+    let initiator = format!("{}:{}", site.host.target, site.host.name);
+    let registry = startup::registry(poll)?;
+    Ok(Nodes::new(&site.nodes, initiator, session_wishes(site), registry, FIRST_NODE))
+}
+
+/// The catalog's client, where the site has a catalog and a volume of the host is mapped.
+fn open_catalog_client(site: &Site, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
+    let Some(catalog) = &site.catalog else { return Ok(None) };
+    if !site.volumes.iter().any(|volume| volume.mapped) {
+        return Ok(None);
+    }
+    let address = catalog.listen.expect("a checked configuration names it");
+    Ok(Some(CatalogClient::new(&site.host.name, address, startup::registry(poll)?, CATALOG)))
+}
+
+/// The replica of the plans, where the configuration names a plan service.
+fn open_plan_replication(site: &Site, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
+    let Some(address) = site.host.follow else { return Ok(None) };
+    let volumes = site.volumes.iter().map(|volume| (volume.name.clone(), volume.hosts)).collect();
+    let cache_file = site.host.kept_plans.clone();
+    let registry = startup::registry(poll)?;
+    Ok(Some(PlanReplication::new(&site.host.name, address, cache_file, volumes, registry, PLANS)))
+}
+
+fn open_membership(site: &Site, poll: &Poll) -> Result<Option<Box<Part>>, Error> {
+    let Some(place) = site.host.place.clone() else { return Ok(None) };
+    let opened = Part::open(poll.registry(), MEMBERSHIP, place);
+    opened.map(|part| Some(Box::new(part))).map_err(Error::Membership)
+}
+
+impl HostProcess {
+    fn open(site: Site, poll: &Poll) -> Result<Self, Error> {
+        let address = site.host.listen.expect("a checked configuration names it");
+        let (listener, _) = startup::listen(address, poll, LISTENER)?;
+        let bound = listener.local_addr().map_err(|source| Error::Listen { address, source })?;
+        let control = startup::control_socket(site.host.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let signals = startup::signals(poll, SIGNALS)?;
+        let clients = open_clients(&site, bound, poll)?;
+        let nodes = open_nodes(&site, poll)?;
+        let catalog = open_catalog_client(&site, poll)?;
+        let registry = startup::registry(poll)?;
+        let endpoint_list = EndpointList::new(&site.host, &site.nodes, registry, ENDPOINT_LIST);
+        let plan_replication = open_plan_replication(&site, poll)?;
+        let membership = open_membership(&site, poll)?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
         let clock = Clock::from_zero();
-        tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
-        Ok(Gateway {
+        tracing::info!(host = site.host.name, listen = %bound, seed, "host started");
+        let volumes = site.volumes.len();
+        Ok(HostProcess {
             scheduler: Scheduler::new(&scheduler_config::scheduler_terms(&site), seed, clock.now()),
-            desk: Desk::new(&site, clients, nodes, map),
-            list,
-            follow,
-            part,
-            part_more: false,
-            parts: vec![None; site.volumes.len()],
-            wanted: vec![0; site.volumes.len()],
-            counted: (0, vec![0.0; site.volumes.len()]),
+            dispatcher: Dispatcher::new(&site, clients, nodes, catalog),
+            endpoint_list,
+            plan_replication,
+            membership,
+            membership_readable: false,
+            quotas: vec![None; volumes],
+            demand: plans::DemandMeter::new(volumes),
             listener,
             accepting: false,
             control,
             signals,
-            stops: 0,
-            turns: VecDeque::new(),
-            scratch: vec![0; SCRATCH],
-            looked: 0,
+            stop_requests: 0,
+            pending_reads: VecDeque::new(),
+            read_buffer: vec![0; READ_BUFFER],
+            last_check: 0,
             clock,
             site,
         })
     }
 
     fn start(&mut self) {
-        self.desk.now = self.clock.now();
-        // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the list and its windows
-        // from here on.
-        self.desk.wake(0);
-        self.desk.woken(&mut self.scheduler);
-        self.list.start(self.desk.now);
-        self.hear_list();
-        // Plans that were kept count until the service says otherwise.
-        let kept = self.follow.as_ref().map(|f| f.member.state()).filter(|s| s.version > 0);
-        match kept.map(|state| self.of_state(state)) {
-            Some(Ok(taken)) => self.put(taken),
-            Some(Err(why)) => tracing::warn!(why, "kept plans are not used"),
-            None => {}
-        }
-        self.round();
+        self.dispatcher.now = self.clock.now();
+        // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the endpoint list and
+        // its windows from here on.
+        self.dispatcher.wake(0);
+        self.dispatcher.on_wakeup(&mut self.scheduler);
+        self.endpoint_list.start(self.dispatcher.now);
+        self.apply_endpoint_updates();
+        self.apply_cached_plans();
+        self.after_events();
     }
 
-    /// Told to stop and nobody is left, or told twice.
-    fn over(&self) -> bool {
-        let empty = self.desk.clients.admission.connection_count() == 0 && self.desk.in_hand() == 0;
-        self.stops > 1 || self.stops == 1 && empty
+    /// Told to stop and nothing is left to be done, or told twice.
+    fn is_finished(&self) -> bool {
+        let idle =
+            self.dispatcher.clients.admission.connection_count() == 0 && self.dispatcher.in_flight() == 0;
+        self.stop_requests > 1 || self.stop_requests == 1 && idle
     }
 
-    fn wait(&self) -> Option<std::time::Duration> {
-        if !self.turns.is_empty() || self.part_more {
-            return Some(std::time::Duration::ZERO);
-        }
-        let mut due = self.looked + LOOK;
-        for at in [self.desk.wake_at, self.desk.next_timer(), self.desk.next_look()].into_iter().flatten() {
-            due = due.min(at);
+    fn poll_timeout(&self) -> Option<Duration> {
+        if !self.pending_reads.is_empty() || self.membership_readable {
+            return Some(Duration::ZERO);
         }
+        let dispatcher = &self.dispatcher;
+        let timers = [dispatcher.wakeup_at, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
+        let due = timers.into_iter().flatten().fold(self.last_check + CHECK_PERIOD, Tick::min);
         let due = ticks_to_duration(due - self.clock.now());
-        Some(self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due()))))
+        let membership_due = self.membership.as_ref().map(|part| Duration::from_millis(part.due()));
+        Some(membership_due.map_or(due, |other| due.min(other)))
     }
 
-    fn ready(&mut self, token: Token, readable: bool) {
-        let now = self.desk.now;
+    fn on_event(&mut self, token: Token, readable: bool) {
         match token {
             LISTENER => self.accepting = true,
-            FLEET => self.part_more = true,
+            MEMBERSHIP => self.membership_readable = true,
             CONTROL => {
                 if let Some(control) = &mut self.control {
                     control.accept();
                 }
             }
-            MAP => {
-                if let Some(map) = &mut self.desk.map {
-                    let more = map.ready(readable, &mut self.scratch, ticks_to_millis(now));
-                    if more && !self.turns.contains(&Turn::Map) {
-                        self.turns.push_back(Turn::Map);
-                    }
-                }
-                self.desk.settle(&mut self.scheduler);
-            }
-            FOLLOW => {
-                if let Some(follow) = &mut self.follow
-                    && follow.ready(&mut self.scratch, &self.wanted, ticks_to_millis(now))
-                {
-                    self.take_up_next();
-                }
+            CATALOG => self.read_catalog(readable),
+            PLANS => self.read_plans(),
+            ENDPOINT_LIST => {
+                self.endpoint_list.on_ready(readable, &mut self.read_buffer, self.dispatcher.now);
             }
-            LIST => self.list.ready(readable, &mut self.scratch, now),
-            SIGNALS => {
-                let mut bytes = [0; 16];
-                while let Ok(n) = self.signals.read(&mut bytes) {
-                    if n == 0 {
-                        break;
-                    }
-                    self.stops += n as u32;
-                    self.drain("signal");
-                }
-            }
-            Token(t) if t < NODES => {
-                let at = (t - CALLERS) as u32;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.ready(at)) {
-                    let answer = self.told(&line);
+            SIGNALS => self.read_signals(),
+            Token(token) if token < FIRST_NODE => {
+                let caller = (token - FIRST_CALLER) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
+                    let answer = self.on_request(&line);
                     if let Some(control) = &mut self.control {
-                        control.answer(at, &answer);
+                        control.answer(caller, &answer);
                     }
                 }
             }
-            Token(t) if t < NODES + self.desk.nodes.all.len() => {
-                let at = t - NODES;
-                if self.desk.nodes.ready(at, readable, &mut self.scratch, now) {
-                    self.turns.push_back(Turn::Node(at));
-                }
-                self.desk.settle(&mut self.scheduler);
+            Token(token) if token < FIRST_NODE + self.dispatcher.nodes.len() => {
+                let (node, now) = (token - FIRST_NODE, self.dispatcher.now);
+                let more = self.dispatcher.nodes.on_ready(node, readable, &mut self.read_buffer, now);
+                self.after_node_read(node, more);
             }
-            Token(t) => {
-                let at = (t - NODES - self.desk.nodes.all.len()) as u32;
-                let more = self.desk.clients.ready(at, readable, &mut self.scratch, now);
-                self.client_came(at, more);
+            Token(token) => {
+                let client = (token - FIRST_NODE - self.dispatcher.nodes.len()) as ClientId;
+                let now = self.dispatcher.now;
+                let more = self.dispatcher.clients.on_ready(client, readable, &mut self.read_buffer, now);
+                self.after_client_read(client, more);
             }
         }
     }
 
-    fn client_came(&mut self, at: u32, more: bool) {
-        if more && !self.turns.contains(&Turn::Client(at)) {
-            self.turns.push_back(Turn::Client(at));
+    fn read_signals(&mut self) {
+        let mut bytes = [0; 16];
+        while let Ok(count) = self.signals.read(&mut bytes) {
+            if count == 0 {
+                break;
+            }
+            self.stop_requests += count as u32;
+            self.drain("signal");
         }
-        while let Some(came) = self.desk.clients.came(at) {
-            self.desk.came(&mut self.scheduler, at, came);
+    }
+
+    /// Queues a socket for another read, unless it is queued.
+    fn read_again(&mut self, read: PendingRead) {
+        if !self.pending_reads.contains(&read) {
+            self.pending_reads.push_back(read);
+        }
+    }
+
+    fn read_catalog(&mut self, readable: bool) {
+        let now = ticks_to_millis(self.dispatcher.now);
+        if let Some(catalog) = &mut self.dispatcher.catalog
+            && catalog.on_ready(readable, &mut self.read_buffer, now)
+        {
+            self.read_again(PendingRead::Catalog);
         }
-        self.desk.settle(&mut self.scheduler);
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    fn after_node_read(&mut self, node: NodeIndex, more: bool) {
+        if more {
+            self.pending_reads.push_back(PendingRead::Node(node));
+        }
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    fn after_client_read(&mut self, client: ClientId, more: bool) {
+        if more {
+            self.read_again(PendingRead::Client(client));
+        }
+        while let Some(event) = self.dispatcher.clients.next_event(client) {
+            self.dispatcher.on_client_event(&mut self.scheduler, client, event);
+        }
+        self.dispatcher.settle(&mut self.scheduler);
     }
 
     /// What is due after the events of one poll.
-    fn round(&mut self) {
+    fn after_events(&mut self) {
         if self.accepting {
             self.accept();
         }
-        // Each socket with more to read has one turn a round.
-        for _ in 0..self.turns.len() {
-            let now = self.desk.now;
-            match self.turns.pop_front() {
-                Some(Turn::Node(at)) => {
-                    if self.desk.nodes.read(at, &mut self.scratch, now) {
-                        self.turns.push_back(Turn::Node(at));
-                    }
-                    self.desk.settle(&mut self.scheduler);
-                }
-                Some(Turn::Map) => {
-                    if let Some(map) = &mut self.desk.map
-                        && map.ready(false, &mut self.scratch, ticks_to_millis(now))
-                    {
-                        self.turns.push_back(Turn::Map);
-                    }
-                    self.desk.settle(&mut self.scheduler);
+        self.resume_reads();
+        if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
+            self.membership_readable = membership.heard();
+        }
+        self.apply_endpoint_updates();
+        self.run_timers();
+        self.tend_quotas();
+        self.publish_facts();
+        if let Some(catalog) = &mut self.dispatcher.catalog {
+            catalog.on_timer(ticks_to_millis(self.dispatcher.now));
+        }
+        self.dispatcher.nodes.flush();
+        for client in self.dispatcher.clients.flush(self.dispatcher.now) {
+            self.read_again(PendingRead::Client(client));
+        }
+        // A connection that failed while it was written to has ended attempts.
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    /// Each socket with more to read has one turn.
+    fn resume_reads(&mut self) {
+        for _ in 0..self.pending_reads.len() {
+            let now = self.dispatcher.now;
+            match self.pending_reads.pop_front() {
+                Some(PendingRead::Node(node)) => {
+                    let more = self.dispatcher.nodes.read(node, &mut self.read_buffer, now);
+                    self.after_node_read(node, more);
                 }
-                Some(Turn::Client(at)) => {
-                    let more = self.desk.clients.read(at, &mut self.scratch, now);
-                    self.client_came(at, more);
+                Some(PendingRead::Catalog) => self.read_catalog(false),
+                Some(PendingRead::Client(client)) => {
+                    let more = self.dispatcher.clients.read(client, &mut self.read_buffer, now);
+                    self.after_client_read(client, more);
                 }
                 None => break,
             }
         }
-        if let Some(part) = self.part.as_mut().filter(|_| self.part_more) {
-            self.part_more = part.heard();
-        }
-        self.hear_list();
-        self.desk.now = self.clock.now();
-        self.desk.run_timers();
-        self.desk.settle(&mut self.scheduler);
-        self.desk.woken(&mut self.scheduler);
-        if std::mem::take(&mut self.desk.wants_list) {
-            self.list.watch(self.desk.now);
-            self.hear_list();
+    }
+
+    fn run_timers(&mut self) {
+        self.dispatcher.now = self.clock.now();
+        self.dispatcher.expire_attempts();
+        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.on_wakeup(&mut self.scheduler);
+        if std::mem::take(&mut self.dispatcher.endpoint_list_requested) {
+            self.endpoint_list.watch(self.dispatcher.now);
+            self.apply_endpoint_updates();
         }
-        if self.desk.now >= self.looked + LOOK {
-            self.looked = self.desk.now;
-            self.desk.clients.care(self.desk.now);
-            self.desk.nodes.care(self.desk.now);
-            self.list.care(self.desk.now);
+        let now = self.dispatcher.now;
+        if now >= self.last_check + CHECK_PERIOD {
+            self.last_check = now;
+            self.dispatcher.clients.on_timer(now);
+            self.dispatcher.nodes.on_timer(now);
+            self.endpoint_list.on_timer(now);
             self.accepting = true;
-            self.hear_list();
-            self.desk.settle(&mut self.scheduler);
-        }
-        self.tend_follow();
-        self.tell_part();
-        if let Some(map) = &mut self.desk.map {
-            map.tend(ticks_to_millis(self.desk.now));
-        }
-        self.desk.nodes.flush();
-        let mut again = Vec::new();
-        self.desk.clients.flush(self.desk.now, &mut again);
-        for at in again {
-            if !self.turns.contains(&Turn::Client(at)) {
-                self.turns.push_back(Turn::Client(at));
-            }
+            self.apply_endpoint_updates();
+            self.dispatcher.settle(&mut self.scheduler);
         }
-        // A connection that failed while it was written to has ended submits.
-        self.desk.settle(&mut self.scheduler);
     }
 
     fn accept(&mut self) {
         self.accepting = false;
         loop {
             match self.listener.accept() {
-                Ok((socket, peer)) => self.desk.clients.accept(socket, peer, self.desk.now),
+                Ok((socket, peer)) => self.dispatcher.clients.accept(socket, peer, self.dispatcher.now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
-                    tracing::warn!(error = %e, "accept");
+                    tracing::warn!(error = %e, "accept failed");
                     return;
                 }
             }
         }
     }
 
-    /// Counts what clients ask, and has the scheduler keep to the parts of limits that are this host's now.
-    fn tend_follow(&mut self) {
-        let Some(follow) = &mut self.follow else { return };
-        let now = self.desk.now;
-        if now >= self.counted.0 + COUNT {
-            let span = (now - self.counted.0) as f64 / 10_000.0;
-            let counts = self.desk.figures.volumes.iter().zip(&mut self.counted.1);
-            for (wanted, (f, before)) in self.wanted.iter_mut().zip(counts) {
-                *wanted = ((f.asked - *before) / span * 1000.0) as Units;
-                *before = f.asked;
-            }
-            self.counted.0 = now;
-            follow.tend(ticks_to_millis(now), rand::rng().next_u64() % 1_000);
-        }
-        let parts = follow.member.parts(ticks_to_millis(now)).zip(&mut self.parts);
-        for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
-            *kept = part;
-            self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
-        }
-    }
-
-    /// Takes up the state that the control service has sent, or says why not.
-    fn take_up_next(&mut self) {
-        let Some(follow) = &self.follow else { return };
-        let Some(state) = follow.member.next() else { return };
-        let taken = self.of_state(state).map(|taken| self.put(taken));
-        let Some(follow) = &mut self.follow else { return };
-        match taken {
-            Ok(()) => follow.acts_on(ticks_to_millis(self.desk.now)),
-            Err(why) => follow.against(&why),
-        }
-        self.tend_follow();
-    }
-
-    /// What is to be taken up of a state of plans. Error: a volume of this host that has no plan in it.
-    fn of_state(&self, state: &mallowseam_plans::state::State) -> Result<change::Taken, String> {
-        let mut wanted = self.site.clone();
-        wanted.plans =
-            state.plans.iter().map(|(name, p)| scheduler_config::configured_plan(name, p)).collect();
-        for v in &mut wanted.volumes {
-            let plan = state.volumes.get(&v.name);
-            let at = plan.and_then(|name| wanted.plans.iter().position(|p| p.name == *name));
-            v.plan = at.ok_or_else(|| format!("volume {} has no plan", v.name))?;
-        }
-        change::taken(&self.site, &wanted).map_err(|against| against.join("; "))
-    }
-
-    fn put(&mut self, taken: change::Taken) {
-        self.site.plans = taken.plans;
-        for (volume, plan) in self.site.volumes.iter_mut().zip(&taken.of) {
-            volume.plan = *plan;
-        }
-        let changed = self.desk.planned(&taken.of);
-        self.scheduler.planned(self.desk.now, &scheduler_config::plans(&self.site), &changed);
-        taken.told.iter().for_each(|what| tracing::info!(what, "plans taken up"));
-    }
-
-    fn hear_list(&mut self) {
-        while let Some((form, listed)) = self.list.news() {
-            for l in &listed {
-                self.desk.nodes.all[l.node.0 as usize]
-                    .connection
-                    .set_node_removed(l.state == NodeState::Left);
-            }
-            let now = self.desk.now;
-            self.scheduler.listed(&mut self.desk, now, form, &listed);
-            self.desk.settle(&mut self.scheduler);
-        }
-    }
-
-    /// What this host acts on, for the fleet's view.
-    fn tell_part(&mut self) {
-        let Some(part) = &mut self.part else { return };
-        let plans = self.follow.as_ref().map_or(0, |f| f.member.state().version);
-        part.facts(Facts { list: self.list.known().1, plans });
-    }
-
-    fn drain(&mut self, cause: &str) -> bool {
-        let drained = self.desk.clients.drain(self.desk.now);
-        if drained && self.stops > 0 {
-            self.part.iter_mut().for_each(|p| p.leave(false));
-        }
-        if drained {
-            tracing::info!(cause, "closed to new logins");
-        }
-        drained
-    }
-
-    /// A line on the control socket.
-    fn told(&mut self, line: &str) -> String {
-        match line {
-            "status" => serde_json::to_string(&self.status()).unwrap_or_else(|e| format!("error: {e}")),
-            "drain" => if self.drain("operator") { "draining" } else { "draining already" }.into(),
-            "undrain" if self.stops > 0 => "error: the host is stopping".into(),
-            "undrain" => {
-                self.desk.clients.admission.stop_draining();
-                tracing::info!("open to logins");
-                "open".into()
+    fn apply_endpoint_updates(&mut self) {
+        while let Some(update) = self.endpoint_list.next_update() {
+            for listed in &update.nodes {
+                let removed = listed.state == NodeState::Left;
+                self.dispatcher.nodes.set_removed(listed.node.0 as usize, removed);
             }
-            "stop" => {
-                self.stops += 1;
-                self.drain("operator");
-                "stopping".into()
-            }
-            other => match other.strip_prefix("plans ") {
-                Some(file) => self.take_up(file).unwrap_or_else(|why| format!("error: {why}")),
-                None => format!("error: `{other}`: expected status, drain, undrain, plans FILE or stop"),
-            },
-        }
-    }
-
-    /// Takes up the plans of a configuration that differs from the running one in nothing else.
-    fn take_up(&mut self, file: &str) -> Result<String, String> {
-        if self.follow.is_some() {
-            return Err("plans come from the control service: see `mallowseam plan`".into());
-        }
-        let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-        let wanted = mallowseam_settings::read(file, &text).map_err(|problems| problems.to_string())?;
-        let taken = change::taken(&self.site, &wanted).map_err(|against| against.join("\n"))?;
-        if taken.told.is_empty() {
-            return Ok("nothing is different".into());
+            let now = self.dispatcher.now;
+            self.scheduler.listed(&mut self.dispatcher, now, update.form, &update.nodes);
+            self.dispatcher.settle(&mut self.scheduler);
         }
-        let told = taken.told.join("\n");
-        self.put(taken);
-        Ok(told)
     }
 
-    fn status(&self) -> Status {
-        let desk = &self.desk;
-        let (list_epoch, list_version) = self.list.known();
-        let volume = |(at, v): (usize, &mallowseam_settings::site::Volume)| VolumeStatus {
-            name: v.name.clone(),
-            asked_units: desk.figures.volumes[at].asked,
-            ended_units: desk.figures.volumes[at].ended,
-            part: self.parts[at].map(|p| p as f64 / 1000.0),
-        };
-        let plan = |p: &mallowseam_settings::site::Plan| PlanStatus {
-            name: p.name.clone(),
-            reserve: p.reserve,
-            limit: p.limit,
-            weight: p.weight,
-        };
-        let group =
-            |(g, f): (&mallowseam_settings::site::Group, &crate::metrics::GroupFigures)| GroupStatus {
-                name: g.name.clone(),
-                taken: f.answers.taken,
-                ended: f.answers.ended,
-                shed: f.answers.shed,
-                failed: f.answers.failed,
-                past_goal: f.late,
-                median_ms: f.waits.value_at_quantile(0.5) as f64 / MICROS,
-                p99_ms: f.waits.value_at_quantile(0.99) as f64 / MICROS,
-            };
-        let node = |(i, n): (usize, &crate::node_connections::Node)| {
-            let (view, f) = (self.scheduler.view(desk.now, NodeId(i as u32)), &desk.figures.nodes[i]);
-            let view = view.unwrap_or_default();
-            NodeStatus {
-                name: n.name.clone(),
-                connected: n.connection.is_ready(),
-                open: view.open,
-                cold: view.cold,
-                out: view.out,
-                held: view.held,
-                window: view.window,
-                wait_ms: view.wait / 10.0,
-                failures: view.failures,
-                submits: f.submits,
-                done: f.done,
-                busy: f.busy,
-                errors: f.errors,
-                timed_out: f.timed_out,
-                no_connect: f.no_connect,
-                reset: f.reset,
-                cancelled: f.cancelled,
-            }
-        };
-        Status {
-            host: self.site.host.name.clone(),
-            up_seconds: ticks_to_millis(desk.now) as f64 / 1000.0,
-            draining: desk.clients.admission.is_draining(),
-            connections: desk.clients.admission.connection_count(),
-            in_hand: desk.in_hand(),
-            buffer_bytes: desk.clients.held(),
-            list_epoch,
-            list_version,
-            commands: desk.figures.commands,
-            groups: self.site.groups.iter().zip(&desk.figures.groups).map(group).collect(),
-            nodes: desk.nodes.all.iter().enumerate().map(node).collect(),
-            plans: self.site.plans.iter().map(plan).collect(),
-            volumes: self.site.volumes.iter().enumerate().map(volume).collect(),
-        }
+    /// Tells the fleet's membership which versions this host acts on.
+    fn publish_facts(&mut self) {
+        let Some(membership) = &mut self.membership else { return };
+        let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.member.state().version);
+        membership.facts(Facts { list: self.endpoint_list.version().1, plans });
     }
 }
--- /dev/null
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -0,0 +1,125 @@
+//! Requests of operators on a host's control socket, and the host's status.
+use super::HostProcess;
+use crate::clock::ticks_to_millis;
+use crate::metrics::{ClassMetrics, NodeMetrics};
+use crate::status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
+use mallowseam_scheduler::host::NodeId;
+use mallowseam_settings::site;
+
+const MILLIS_PER_SECOND: f64 = 1000.0;
+const MICROS_PER_MILLI: f64 = 1000.0;
+const TICKS_PER_MILLI: f64 = 10.0;
+/// Quotas are in thousandths of units.
+const THOUSANDTHS: f64 = 1000.0;
+
+impl HostProcess {
+    /// Closes the host to new logins. False: it was closed before. `cause`: for the log.
+    pub(super) fn drain(&mut self, cause: &str) -> bool {
+        let drained = self.dispatcher.clients.drain(self.dispatcher.now);
+        if drained && self.stop_requests > 0 {
+            self.membership.iter_mut().for_each(|membership| membership.leave(false));
+        }
+        if drained {
+            tracing::info!(cause, "draining: closed to new logins");
+        }
+        drained
+    }
+
+    /// Handles a line on the control socket; the answer.
+    pub(super) fn on_request(&mut self, line: &str) -> String {
+        match line {
+            "status" => serde_json::to_string(&self.status()).unwrap_or_else(|e| format!("error: {e}")),
+            "drain" => if self.drain("operator") { "draining" } else { "draining already" }.to_owned(),
+            "undrain" if self.stop_requests > 0 => "error: the host is stopping".to_owned(),
+            "undrain" => {
+                self.dispatcher.clients.admission.stop_draining();
+                tracing::info!("draining ended: open to logins");
+                "open".to_owned()
+            }
+            "stop" => {
+                self.stop_requests += 1;
+                self.drain("operator");
+                "stopping".to_owned()
+            }
+            other => match other.strip_prefix("plans ") {
+                Some(file) => self.reload(file).unwrap_or_else(|e| format!("error: {e}")),
+                None => format!("error: `{other}`: expected status, drain, undrain, plans FILE or stop"),
+            },
+        }
+    }
+
+    fn status(&self) -> Status {
+        let (dispatcher, site) = (&self.dispatcher, &self.site);
+        let (admission, metrics) = (&dispatcher.clients.admission, &dispatcher.metrics);
+        let (list_epoch, list_version) = self.endpoint_list.version();
+        let classes = site.groups.iter().zip(&metrics.classes);
+        let nodes = metrics.nodes.iter().enumerate();
+        Status {
+            host: site.host.name.clone(),
+            up_seconds: ticks_to_millis(dispatcher.now) as f64 / MILLIS_PER_SECOND,
+            draining: admission.is_draining(),
+            connections: admission.connection_count(),
+            in_flight: dispatcher.in_flight(),
+            buffer_bytes: dispatcher.clients.buffered_bytes(),
+            list_epoch,
+            list_version,
+            commands: metrics.commands,
+            classes: classes.map(|(class, metrics)| class_status(class, metrics)).collect(),
+            nodes: nodes.map(|(index, metrics)| self.node_status(index, metrics)).collect(),
+            plans: site.plans.iter().map(plan_status).collect(),
+            volumes: (0..site.volumes.len()).map(|index| self.volume_status(index)).collect(),
+        }
+    }
+
+    fn node_status(&self, index: usize, metrics: &NodeMetrics) -> NodeStatus {
+        let dispatcher = &self.dispatcher;
+        let view = self.scheduler.view(dispatcher.now, NodeId(index as u32)).unwrap_or_default();
+        NodeStatus {
+            name: dispatcher.nodes.name(index).to_owned(),
+            connected: dispatcher.nodes.is_connected(index),
+            open: view.open,
+            warming_up: view.cold,
+            in_flight: view.out,
+            queued: view.held,
+            window: view.window,
+            wait_ms: view.wait / TICKS_PER_MILLI,
+            failures: view.failures,
+            attempts: metrics.attempts,
+            completed: metrics.completed,
+            busy: metrics.busy,
+            errors: metrics.errors,
+            timed_out: metrics.timed_out,
+            not_connected: metrics.not_connected,
+            reset: metrics.reset,
+            cancelled: metrics.cancelled,
+        }
+    }
+
+    fn volume_status(&self, index: usize) -> VolumeStatus {
+        let metrics = &self.dispatcher.metrics.volumes[index];
+        VolumeStatus {
+            name: self.site.volumes[index].name.clone(),
+            requested_units: metrics.requested,
+            completed_units: metrics.completed,
+            quota: self.quotas[index].map(|thousandths| thousandths as f64 / THOUSANDTHS),
+        }
+    }
+}
+
+fn class_status(class: &site::Group, metrics: &ClassMetrics) -> ClassStatus {
+    let quantile_ms = |q: f64| metrics.latencies.value_at_quantile(q) as f64 / MICROS_PER_MILLI;
+    ClassStatus {
+        name: class.name.clone(),
+        admitted: metrics.counts.admitted,
+        completed: metrics.counts.completed,
+        shed: metrics.counts.shed,
+        failed: metrics.counts.failed,
+        past_goal: metrics.late,
+        median_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+    }
+}
+
+fn plan_status(plan: &site::Plan) -> PlanStatus {
+    PlanStatus { name: plan.name.clone(), reserve: plan.reserve, limit: plan.limit, weight: plan.weight }
+}
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -1,177 +1,227 @@
-//! Connections that speak one JSON object a line: one side of one, and a service's side of many.
+//! Connections that carry one JSON object a line: a single one, and a service's side of many.
+use crate::error::Error;
 use crate::slab::Slab;
-use crate::socket_io::{self, ReadOutcome};
-use crate::startup::{Failure, listen};
+use crate::socket_io::{self, ConnectionError, ReadOutcome};
+use crate::startup::listen;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Poll, Registry, Token};
 use serde::Serialize;
 use std::io;
 use std::net::SocketAddr;
 
-pub struct Lines {
+const KIB_SHIFT: u32 = 10;
+const MIB_SHIFT: u32 = 20;
+
+/// Why a connection ended, or is ended by this side.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum Disconnect {
+    /// The socket failed or was closed by the other side.
+    #[error(transparent)]
+    Socket(#[from] ConnectionError),
+    /// A line is longer than this many bytes.
+    #[error("a line past {}", line_limit(*.0))]
+    LineTooLong(usize),
+    /// The other side reads too little of what is sent to it.
+    #[error("takes nothing")]
+    NotReading,
+    /// A line is not a message.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// A host's first message is not hello.
+    #[error("expected hello first")]
+    HelloExpected,
+    /// A message of the snapshot catalog does not follow from the known tree.
+    #[error("what the catalog says does not follow what is known")]
+    TreeOutOfSequence,
+    /// A line of the change log does not follow from the replicated plans.
+    #[error("{0}")]
+    PlansOutOfSequence(String),
+    /// A member could not be stored.
+    #[error("{0}")]
+    Store(mallowseam_trail::Fault),
+}
+
+fn line_limit(bytes: usize) -> String {
+    match bytes >> MIB_SHIFT {
+        0 => format!("{} KiB", bytes >> KIB_SHIFT),
+        mebi => format!("{mebi} MiB"),
+    }
+}
+
+/// A connection that carries lines.
+pub(crate) struct LineConnection {
     socket: TcpStream,
+    /// The begin of a line whose end has not come yet.
     partial: Vec<u8>,
-    out: Vec<u8>,
+    /// Bytes that wait to be written.
+    unsent: Vec<u8>,
 }
 
-/// What a try at reading came to.
-pub enum Read {
+/// What an attempt to read came to.
+pub(crate) enum LineRead {
     /// There is no more for now.
-    Blocked,
-    /// Whole lines, without their ends; there may be more.
+    WouldBlock,
+    /// Complete lines, without their ends; there may be more.
     Lines(Vec<Vec<u8>>),
     /// The connection is over.
-    Over(String),
+    Closed(Disconnect),
 }
 
-impl Lines {
-    pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Lines> {
-        Lines::over(TcpStream::connect(address)?, registry, token)
+impl LineConnection {
+    /// Begins to connect.
+    pub(crate) fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Self> {
+        LineConnection::over(TcpStream::connect(address)?, registry, token)
     }
 
-    fn over(mut socket: TcpStream, registry: &Registry, token: Token) -> io::Result<Lines> {
+    fn over(mut socket: TcpStream, registry: &Registry, token: Token) -> io::Result<Self> {
         let _ = socket.set_nodelay(true);
         registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Lines { socket, partial: Vec::new(), out: Vec::new() })
+        Ok(LineConnection { socket, partial: Vec::new(), unsent: Vec::new() })
     }
 
-    pub fn say(&mut self, word: &impl Serialize) {
-        serde_json::to_writer(&mut self.out, word).expect("words are plain");
-        self.out.push(b'\n');
+    /// Queues a message; `flush` writes it.
+    pub(crate) fn send(&mut self, message: &impl Serialize) {
+        serde_json::to_writer(&mut self.unsent, message).expect("messages are plain data");
+        self.unsent.push(b'\n');
     }
 
-    /// Says a word that was written down before.
-    pub fn say_written(&mut self, text: &str) {
-        self.out.extend_from_slice(text.as_bytes());
-        self.out.push(b'\n');
+    /// Writes what is queued, as far as the socket takes it.
+    pub(crate) fn flush(&mut self) -> Result<(), Disconnect> {
+        Ok(socket_io::write_buffer(&mut self.socket, &mut self.unsent)?)
     }
 
-    /// Writes what waits, as far as the socket takes it. Error: the connection is over.
-    pub fn push(&mut self) -> Result<(), String> {
-        socket_io::write_buffer(&mut self.socket, &mut self.out).map_err(|error| error.to_string())
+    /// Reads once. `max_line` is how many bytes a line may have.
+    pub(crate) fn read(&mut self, buffer: &mut [u8], max_line: usize) -> LineRead {
+        if self.partial.len() > max_line {
+            return LineRead::Closed(Disconnect::LineTooLong(max_line));
+        }
+        match socket_io::read(&mut self.socket, buffer) {
+            ReadOutcome::WouldBlock => LineRead::WouldBlock,
+            ReadOutcome::Closed(reason) => LineRead::Closed(reason.into()),
+            ReadOutcome::Read(len) => LineRead::Lines(self.split_lines(&buffer[..len])),
+        }
     }
 
-    /// Reads once; `longest` is what a line may have.
-    pub fn read(&mut self, scratch: &mut [u8], longest: usize) -> Read {
-        if self.partial.len() > longest {
-            return Read::Over(match longest >> 20 {
-                0 => format!("a line past {} KiB", longest >> 10),
-                mebi => format!("a line past {mebi} MiB"),
-            });
-        }
-        match socket_io::read(&mut self.socket, scratch) {
-            ReadOutcome::WouldBlock => Read::Blocked,
-            ReadOutcome::Closed(why) => Read::Over(why.to_string()),
-            ReadOutcome::Read(n) => {
-                let mut lines = Vec::new();
-                let mut rest = &scratch[..n];
-                while let Some(end) = rest.iter().position(|b| *b == b'\n') {
-                    self.partial.extend_from_slice(&rest[..end]);
-                    rest = &rest[end + 1..];
-                    lines.push(std::mem::take(&mut self.partial));
-                }
-                self.partial.extend_from_slice(rest);
-                Read::Lines(lines)
-            }
+    fn split_lines(&mut self, mut bytes: &[u8]) -> Vec<Vec<u8>> {
+        let mut lines = Vec::new();
+        while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
+            self.partial.extend_from_slice(&bytes[..end]);
+            bytes = &bytes[end + 1..];
+            lines.push(std::mem::take(&mut self.partial));
         }
+        self.partial.extend_from_slice(bytes);
+        lines
     }
 
-    pub fn end(mut self, registry: &Registry) {
+    /// Closes the connection.
+    pub(crate) fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.socket);
     }
 }
 
-/// A host as a service knows it.
-pub struct Peer<T> {
-    pub lines: Lines,
-    pub name: String,
-    pub about: T,
+/// Index of a peer's connection.
+pub(crate) type PeerId = u32;
+
+/// A host as a service knows it, with what the service keeps of it.
+pub(crate) struct Peer<T> {
+    pub(crate) connection: LineConnection,
+    /// The host's name; empty until it has said hello.
+    pub(crate) name: String,
+    pub(crate) state: T,
 }
 
-/// Bounds on what one host may send in a line and leave unread.
-pub struct Bounds {
-    pub longest: usize,
-    pub waiting: usize,
+/// Bounds on what one host may send in a line and leave unread, in bytes.
+pub(crate) struct Limits {
+    pub(crate) max_line: usize,
+    pub(crate) max_unsent: usize,
 }
 
-/// The hosts that are connected to a service. One that goes past a bound is dropped.
-pub struct Peers<T> {
+/// The hosts that are connected to a service. One that exceeds a limit is disconnected.
+pub(crate) struct Peers<T> {
     listener: TcpListener,
     registry: Registry,
-    first: usize,
-    bounds: Bounds,
+    first_token: usize,
+    limits: Limits,
     all: Slab<Peer<T>>,
 }
 
 impl<T: Default> Peers<T> {
-    /// Listens; connections have tokens from `first` on.
-    pub fn open(
+    /// Listens at an address; connections get tokens from `first_token` on.
+    pub(crate) fn open(
         address: SocketAddr,
         poll: &Poll,
         own: Token,
-        first: usize,
-        bounds: Bounds,
-    ) -> Result<Self, Failure> {
+        first_token: usize,
+        limits: Limits,
+    ) -> Result<Self, Error> {
         let (listener, registry) = listen(address, poll, own)?;
-        Ok(Peers { listener, registry, first, bounds, all: Slab::default() })
+        Ok(Peers { listener, registry, first_token, limits, all: Slab::default() })
     }
 
-    pub fn accept(&mut self) {
+    /// Accepts all pending connections.
+    pub(crate) fn accept(&mut self) {
         while let Ok((socket, peer)) = self.listener.accept() {
-            let token = Token(self.first + self.all.next_index() as usize);
-            if let Ok(lines) = Lines::over(socket, &self.registry, token) {
+            let token = Token(self.first_token + self.all.next_index() as usize);
+            if let Ok(connection) = LineConnection::over(socket, &self.registry, token) {
                 tracing::info!(%peer, "host connected");
-                self.all.insert(Peer { lines, name: String::new(), about: T::default() });
+                self.all.insert(Peer { connection, name: String::new(), state: T::default() });
             }
         }
     }
 
-    pub fn get_mut(&mut self, at: u32) -> Option<&mut Peer<T>> {
-        self.all.get_mut(at)
+    /// A peer that is still connected.
+    pub(crate) fn get_mut(&mut self, id: PeerId) -> Option<&mut Peer<T>> {
+        self.all.get_mut(id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (u32, &Peer<T>)> {
+    /// All peers with their ids.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (PeerId, &Peer<T>)> {
         self.all.iter()
     }
 
-    pub fn indices(&self) -> Vec<u32> {
+    /// The ids of all peers.
+    pub(crate) fn ids(&self) -> Vec<PeerId> {
         self.all.indices()
     }
 
-    /// Says something to each that fits.
-    pub fn say_all(&mut self, word: &impl Serialize, fits: impl Fn(&Peer<T>) -> bool) {
-        for at in self.all.indices() {
-            if let Some(peer) = self.all.get_mut(at).filter(|p| fits(p)) {
-                peer.lines.say(word);
+    /// Queues a message for every peer that `selects` picks.
+    pub(crate) fn broadcast(&mut self, message: &impl Serialize, selects: impl Fn(&Peer<T>) -> bool) {
+        for id in self.all.indices() {
+            if let Some(peer) = self.all.get_mut(id).filter(|peer| selects(peer)) {
+                peer.connection.send(message);
             }
         }
     }
 
-    pub fn lose(&mut self, at: u32, why: &str) {
-        if let Some(peer) = self.all.remove(at) {
-            tracing::info!(host = peer.name, why, "host connection closed");
-            peer.lines.end(&self.registry);
+    /// Closes the connection of a peer.
+    pub(crate) fn disconnect(&mut self, id: PeerId, reason: &Disconnect) {
+        if let Some(peer) = self.all.remove(id) {
+            tracing::info!(host = peer.name, %reason, "host connection closed");
+            peer.connection.close(&self.registry);
         }
     }
 
-    /// Reads a host once; its lines. None: there is no more for now, or it is gone.
-    pub fn read(&mut self, at: u32, scratch: &mut [u8]) -> Option<Vec<Vec<u8>>> {
-        match self.all.get_mut(at)?.lines.read(scratch, self.bounds.longest) {
-            Read::Lines(lines) => return Some(lines),
-            Read::Over(why) => self.lose(at, &why),
-            Read::Blocked => {}
+    /// Reads once from a peer; its complete lines. None: there is no more for now, or the peer is gone.
+    pub(crate) fn read(&mut self, id: PeerId, buffer: &mut [u8]) -> Option<Vec<Vec<u8>>> {
+        match self.all.get_mut(id)?.connection.read(buffer, self.limits.max_line) {
+            LineRead::Lines(lines) => return Some(lines),
+            LineRead::Closed(reason) => self.disconnect(id, &reason),
+            LineRead::WouldBlock => {}
         }
         None
     }
 
-    /// Writes what waits for all.
-    pub fn push(&mut self) {
-        for at in self.all.indices() {
-            let Some(peer) = self.all.get_mut(at) else { continue };
-            let lazy = peer.lines.out.len() > self.bounds.waiting;
-            let pushed = if lazy { Err("takes nothing".to_owned()) } else { peer.lines.push() };
-            if let Err(why) = pushed {
-                self.lose(at, &why);
+    /// Writes what is queued for all peers.
+    pub(crate) fn flush(&mut self) {
+        for id in self.all.indices() {
+            let Some(peer) = self.all.get_mut(id) else { continue };
+            let flushed = if peer.connection.unsent.len() > self.limits.max_unsent {
+                Err(Disconnect::NotReading)
+            } else {
+                peer.connection.flush()
+            };
+            if let Err(reason) = flushed {
+                self.disconnect(id, &reason);
             }
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,54 +1,69 @@
-//! What a host counts, for status and logs.
+//! Counters and latencies that a host keeps for its status.
 use hdrhistogram::Histogram;
 use mallowseam_scheduler::host::Ending;
 use serde::{Deserialize, Serialize};
 
-/// Longest wait told apart: an hour in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+/// Largest latency that a histogram tells apart: an hour in microseconds.
+const MAX_LATENCY: u64 = 3_600_000_000;
+/// Decimal digits that a histogram keeps of a latency.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
+/// How commands, or block I/Os, came out.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Answers {
-    pub taken: u64,
-    pub ended: u64,
+pub struct CommandCounts {
+    /// Admitted.
+    #[serde(rename = "taken")]
+    pub admitted: u64,
+    /// Completed.
+    #[serde(rename = "ended")]
+    pub completed: u64,
+    /// Shed for want of capacity.
     pub shed: u64,
+    /// Failed, with an unknown outcome at the nodes.
     pub failed: u64,
-    /// The client left before its answer.
-    pub left: u64,
+    /// The client disconnected or aborted before the answer.
+    #[serde(rename = "left")]
+    pub abandoned: u64,
 }
 
-pub struct GroupFigures {
-    pub answers: Answers,
-    pub late: u64,
-    /// Microseconds from taking a block I/O to its end.
-    pub waits: Histogram<u64>,
+/// Counters and latencies of an I/O class.
+pub(crate) struct ClassMetrics {
+    pub(crate) counts: CommandCounts,
+    /// Completed block I/Os that took longer than the latency objective.
+    pub(crate) late: u64,
+    /// Microseconds from admission to completion.
+    pub(crate) latencies: Histogram<u64>,
 }
 
-impl Default for GroupFigures {
+impl Default for ClassMetrics {
     fn default() -> Self {
-        let waits = Histogram::new_with_bounds(1, LONGEST, 2).expect("sound bounds");
-        GroupFigures { answers: Answers::default(), late: 0, waits }
+        let latencies =
+            Histogram::new_with_bounds(1, MAX_LATENCY, SIGNIFICANT_DIGITS).expect("the bounds are in order");
+        ClassMetrics { counts: CommandCounts::default(), late: 0, latencies }
     }
 }
 
+/// Attempts sent to a storage node, by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NodeFigures {
-    pub submits: u64,
-    pub done: u64,
-    pub busy: u64,
-    pub errors: u64,
-    pub timed_out: u64,
-    pub no_connect: u64,
-    pub reset: u64,
-    pub cancelled: u64,
+pub(crate) struct NodeMetrics {
+    pub(crate) attempts: u64,
+    pub(crate) completed: u64,
+    pub(crate) busy: u64,
+    pub(crate) errors: u64,
+    pub(crate) timed_out: u64,
+    pub(crate) not_connected: u64,
+    pub(crate) reset: u64,
+    pub(crate) cancelled: u64,
 }
 
-impl NodeFigures {
-    pub fn count(&mut self, ending: Ending) {
+impl NodeMetrics {
+    /// Counts an attempt that has ended.
+    pub(crate) fn count(&mut self, ending: Ending) {
         *match ending {
-            Ending::Done => &mut self.done,
+            Ending::Done => &mut self.completed,
             Ending::Busy => &mut self.busy,
             Ending::TimedOut => &mut self.timed_out,
-            Ending::NoConnect => &mut self.no_connect,
+            Ending::NoConnect => &mut self.not_connected,
             Ending::Reset => &mut self.reset,
             Ending::Cancelled | Ending::Moot => &mut self.cancelled,
             Ending::Error => &mut self.errors,
@@ -56,17 +71,30 @@
     }
 }
 
-/// Units that clients have asked of a volume, and that ended.
+/// Load of a volume in units.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct VolumeFigures {
-    pub asked: f64,
-    pub ended: f64,
+pub(crate) struct VolumeMetrics {
+    pub(crate) requested: f64,
+    pub(crate) completed: f64,
 }
 
+/// All counters of a host, by the indices of its configuration.
 #[derive(Default)]
-pub struct Figures {
-    pub commands: Answers,
-    pub groups: Vec<GroupFigures>,
-    pub nodes: Vec<NodeFigures>,
-    pub volumes: Vec<VolumeFigures>,
+pub(crate) struct Metrics {
+    pub(crate) commands: CommandCounts,
+    pub(crate) classes: Vec<ClassMetrics>,
+    pub(crate) nodes: Vec<NodeMetrics>,
+    pub(crate) volumes: Vec<VolumeMetrics>,
+}
+
+impl Metrics {
+    /// Counters for so many I/O classes, nodes and volumes, all zero.
+    pub(crate) fn new(classes: usize, nodes: usize, volumes: usize) -> Self {
+        Metrics {
+            commands: CommandCounts::default(),
+            classes: std::iter::repeat_with(ClassMetrics::default).take(classes).collect(),
+            nodes: vec![NodeMetrics::default(); nodes],
+            volumes: vec![VolumeMetrics::default(); volumes],
+        }
+    }
 }
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -1,8 +1,8 @@
-//! Connections to the storage nodes. A submit goes out on the node's one connection, which is opened when a
-//! submit first asks for it; submits wait for its login in a queue that their own time-outs bound.
+//! Connections to the storage nodes, one a node. A connection is opened when an attempt first asks for it;
+//! attempts wait for its login in a queue that their own timeouts bound.
 use crate::clock::ticks_to_millis;
-use crate::socket_io::{self, ReadOutcome};
-use mallowseam_connection_policy::node_connection::NodeConnection;
+use crate::socket_io::{self, ConnectionError, ReadOutcome};
+use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
 use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{Sense, status};
@@ -11,26 +11,56 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
+use std::io;
 use std::net::SocketAddr;
 
-/// What is sent for one submit.
+/// Initiator session id of connections to nodes (RFC 7143, 11.12.5).
+const ISID: [u8; 6] = [0x80, 0, 0, 1, 0, 0];
+
+/// Index of a node in the configuration.
+pub(crate) type NodeIndex = usize;
+
+/// Why a connection to a node ended.
+#[derive(Debug, thiserror::Error)]
+enum Disconnect {
+    #[error(transparent)]
+    Connect(#[from] io::Error),
+    #[error(transparent)]
+    Socket(#[from] ConnectionError),
+    #[error("{0}")]
+    Protocol(String),
+    #[error("{}", .0.as_str())]
+    Timeout(CloseReason),
+}
+
+/// What is sent for one attempt.
 #[derive(Clone)]
-pub struct Order {
-    pub tag: u32,
-    /// None: the one that the configuration names.
-    pub lun: Option<u32>,
-    pub cdb: [u8; 16],
-    pub room: usize,
-    pub data: Payload,
+pub(crate) struct NodeRequest {
+    /// Tells the attempt from all others in flight.
+    pub(crate) tag: u32,
+    /// None: the unit that the configuration names.
+    pub(crate) lun: Option<u32>,
+    pub(crate) cdb: [u8; 16],
+    /// Bytes that may come.
+    pub(crate) room: usize,
+    /// Bytes that are written.
+    pub(crate) data: Payload,
 }
 
-/// How a submit ended, with the data of a read.
-pub struct Result {
-    pub tag: u32,
-    pub ending: Ending,
-    /// Turned away since the unit is closed to writes: it has not run.
-    pub closed: bool,
-    pub data: Vec<u8>,
+/// How an attempt ended, with the data of a read.
+pub(crate) struct AttemptResult {
+    pub(crate) node: NodeIndex,
+    pub(crate) tag: u32,
+    pub(crate) ending: Ending,
+    /// Rejected, as the unit is closed to writes: it has not run.
+    pub(crate) write_protected: bool,
+    pub(crate) data: Vec<u8>,
+}
+
+impl AttemptResult {
+    fn without_data(node: NodeIndex, tag: u32, ending: Ending) -> Self {
+        AttemptResult { node, tag, ending, write_protected: false, data: Vec::new() }
+    }
 }
 
 struct Link {
@@ -38,41 +68,47 @@
     conn: InitiatorConn,
 }
 
-pub struct Node {
-    pub name: String,
+struct Node {
+    name: String,
     address: SocketAddr,
     target: String,
     lun: u32,
-    pub connection: NodeConnection,
+    connection: NodeConnection,
     link: Option<Link>,
-    queue: VecDeque<Order>,
+    /// Requests that wait for the login.
+    queue: VecDeque<NodeRequest>,
+    /// It is among those to be flushed.
     dirty: bool,
     readable: bool,
 }
 
-pub struct Nodes {
-    pub all: Vec<Node>,
+/// The connections to all nodes of the configuration.
+pub(crate) struct Nodes {
+    all: Vec<Node>,
     initiator: String,
     wishes: Wishes,
     registry: Registry,
     first_token: usize,
-    results: VecDeque<(usize, Result)>,
-    dirty: Vec<usize>,
+    /// Attempts that have ended and were not taken yet.
+    results: VecDeque<AttemptResult>,
+    /// Nodes with something to write.
+    dirty: Vec<NodeIndex>,
 }
 
 impl Nodes {
-    pub fn new(
+    /// Knows the nodes of a configuration; no connection is opened. Their tokens begin with `first_token`.
+    pub(crate) fn new(
         nodes: &[site::Node],
         initiator: String,
         wishes: Wishes,
         registry: Registry,
-        first: usize,
+        first_token: usize,
     ) -> Self {
-        let node = |n: &site::Node| Node {
-            name: n.name.clone(),
-            address: n.address.expect("checked"),
-            target: n.target.clone(),
-            lun: n.lun.into(),
+        let node = |node: &site::Node| Node {
+            name: node.name.clone(),
+            address: node.address.expect("a checked configuration names it"),
+            target: node.target.clone(),
+            lun: node.lun.into(),
             connection: NodeConnection::default(),
             link: None,
             queue: VecDeque::new(),
@@ -84,197 +120,220 @@
             initiator,
             wishes,
             registry,
-            first_token: first,
+            first_token,
             results: VecDeque::new(),
             dirty: Vec::new(),
         }
     }
 
-    /// The next submit that has ended by itself.
-    pub fn ended(&mut self) -> Option<(usize, Result)> {
+    /// How many nodes the configuration has.
+    pub(crate) fn len(&self) -> usize {
+        self.all.len()
+    }
+
+    /// The node's name in the configuration.
+    pub(crate) fn name(&self, node: NodeIndex) -> &str {
+        &self.all[node].name
+    }
+
+    /// Whether the node's connection is logged in.
+    pub(crate) fn is_connected(&self, node: NodeIndex) -> bool {
+        self.all[node].connection.is_ready()
+    }
+
+    /// The endpoint list has removed the node, or has it again.
+    pub(crate) fn set_removed(&mut self, node: NodeIndex, removed: bool) {
+        self.all[node].connection.set_node_removed(removed);
+    }
+
+    /// The next attempt that has ended by itself.
+    pub(crate) fn next_result(&mut self) -> Option<AttemptResult> {
         self.results.pop_front()
     }
 
-    /// Whether no ended submit waits to be told.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether there is no result that was not taken yet.
+    pub(crate) fn is_quiet(&self) -> bool {
         self.results.is_empty()
     }
 
-    fn end(&mut self, at: usize, tag: u32, ending: Ending, data: Vec<u8>) {
-        self.results.push_back((at, Result { tag, ending, closed: false, data }));
+    fn end(&mut self, node: NodeIndex, tag: u32, ending: Ending) {
+        self.results.push_back(AttemptResult::without_data(node, tag, ending));
     }
 
-    pub fn submit(&mut self, at: usize, order: Order, now: Tick) {
-        let tag = order.tag;
-        let node = &mut self.all[at];
+    /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be tried.
+    pub(crate) fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
+        let node = &mut self.all[index];
         if node.connection.is_ready() {
             let link = node.link.as_mut().expect("a connection that is ready has a link");
-            let Order { cdb, room, data, lun, .. } = order;
+            let NodeRequest { tag, lun, cdb, room, data } = request;
             if link.conn.command(tag, lun.unwrap_or(node.lun), &cdb, room, data) {
-                self.mark(at);
+                self.mark_dirty(index);
             } else {
-                // The node's own window is closed: it has turned the command away before it was sent.
-                self.end(at, tag, Ending::Busy, Vec::new());
+                // The node's own command window is closed: it has rejected the command before it was sent.
+                self.end(index, tag, Ending::Busy);
             }
             return;
         }
-        node.queue.push_back(order);
+        node.queue.push_back(request);
         if node.connection.open_if_closed(ticks_to_millis(now))
-            && let Err(why) = self.open(at)
+            && let Err(e) = self.open(index)
         {
-            self.fail_line(at, &why);
+            self.disconnect(index, &e.into());
         }
     }
 
-    fn open(&mut self, at: usize) -> std::result::Result<(), String> {
-        let node = &mut self.all[at];
-        let mut socket = TcpStream::connect(node.address).map_err(|e| e.to_string())?;
+    fn open(&mut self, index: NodeIndex) -> io::Result<()> {
+        let node = &mut self.all[index];
+        let mut socket = TcpStream::connect(node.address)?;
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry
-            .register(&mut socket, Token(self.first_token + at), interest)
-            .map_err(|e| e.to_string())?;
-        let isid = [0x80, 0, 0, 1, 0, 0];
-        let conn = InitiatorConn::new(&self.initiator, Some(&node.target), isid, &self.wishes);
+        self.registry.register(&mut socket, Token(self.first_token + index), interest)?;
+        let conn = InitiatorConn::new(&self.initiator, Some(&node.target), ISID, &self.wishes);
         node.link = Some(Link { socket, conn });
         node.readable = false;
-        self.mark(at);
+        self.mark_dirty(index);
         Ok(())
     }
 
-    fn mark(&mut self, at: usize) {
-        if !std::mem::replace(&mut self.all[at].dirty, true) {
-            self.dirty.push(at);
+    fn mark_dirty(&mut self, index: NodeIndex) {
+        if !std::mem::replace(&mut self.all[index].dirty, true) {
+            self.dirty.push(index);
         }
     }
 
-    /// Stops waiting for a submit. True: it was never handed to the connection, so it has not run.
-    pub fn give_up(&mut self, at: usize, tag: u32, now: Tick) -> bool {
-        let node = &mut self.all[at];
-        let before = node.queue.len();
-        node.queue.retain(|o| o.tag != tag);
-        if node.queue.len() < before {
+    /// Stops waiting for an attempt; one that was sent is aborted. True: it was never sent, so it has not run.
+    pub(crate) fn give_up(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
+        let node = &mut self.all[index];
+        let queued = node.queue.len();
+        node.queue.retain(|request| request.tag != tag);
+        if node.queue.len() < queued {
             return true;
         }
         if let Some(link) = &mut node.link {
             link.conn.abort(tag);
             node.connection.abort_sent(ticks_to_millis(now));
-            self.mark(at);
+            self.mark_dirty(index);
         }
         false
     }
 
-    /// Drops a connection: what was sent on it may have run, what was not has not.
-    pub fn drop_line(&mut self, at: usize) {
-        let node = &mut self.all[at];
+    /// Closes a connection: what was sent on it may have run, what was not has not.
+    fn close(&mut self, index: NodeIndex) {
+        let node = &mut self.all[index];
         node.connection.closed();
-        for order in std::mem::take(&mut node.queue) {
-            self.results.push_back((
-                at,
-                Result { tag: order.tag, ending: Ending::NoConnect, closed: false, data: vec![] },
-            ));
+        for request in std::mem::take(&mut node.queue) {
+            self.results.push_back(AttemptResult::without_data(index, request.tag, Ending::NoConnect));
         }
         if let Some(mut link) = node.link.take() {
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.tags().collect::<Vec<_>>() {
-                let ran = link.conn.on_the_wire(tag);
-                let ending = if ran { Ending::Reset } else { Ending::NoConnect };
-                self.results.push_back((at, Result { tag, ending, closed: false, data: vec![] }));
+                let may_have_run = link.conn.on_the_wire(tag);
+                let ending = if may_have_run { Ending::Reset } else { Ending::NoConnect };
+                self.results.push_back(AttemptResult::without_data(index, tag, ending));
             }
         }
     }
 
-    fn fail_line(&mut self, at: usize, why: &str) {
-        tracing::warn!(node = self.all[at].name, why, "connection lost");
-        self.drop_line(at);
+    fn disconnect(&mut self, index: NodeIndex, reason: &Disconnect) {
+        tracing::warn!(node = self.all[index].name, %reason, "node connection lost");
+        self.close(index);
     }
 
-    /// The socket has something to say. True: there may be more to read.
-    pub fn ready(&mut self, at: usize, readable: bool, scratch: &mut [u8], now: Tick) -> bool {
-        self.all[at].readable |= readable;
-        self.mark(at);
-        self.read(at, scratch, now)
+    /// The node's socket is ready. True: there may be more to read.
+    pub(crate) fn on_ready(
+        &mut self,
+        index: NodeIndex,
+        readable: bool,
+        buffer: &mut [u8],
+        now: Tick,
+    ) -> bool {
+        self.all[index].readable |= readable;
+        self.mark_dirty(index);
+        self.read(index, buffer, now)
     }
 
-    pub fn read(&mut self, at: usize, scratch: &mut [u8], now: Tick) -> bool {
-        let node = &mut self.all[at];
+    /// Reads once. True: there may be more to read.
+    pub(crate) fn read(&mut self, index: NodeIndex, buffer: &mut [u8], now: Tick) -> bool {
+        let node = &mut self.all[index];
         let Some(link) = node.link.as_mut().filter(|_| node.readable) else { return false };
-        match socket_io::read(&mut link.socket, scratch) {
+        match socket_io::read(&mut link.socket, buffer) {
             ReadOutcome::WouldBlock => node.readable = false,
-            ReadOutcome::Read(n) => {
-                let received = link.conn.receive(&scratch[..n]);
-                self.came(at, now);
+            ReadOutcome::Read(len) => {
+                let received = link.conn.receive(&buffer[..len]);
+                self.on_events(index, now);
                 match received {
                     Ok(()) => return true,
-                    Err(fault) => self.fail_line(at, &fault.0),
+                    Err(fault) => self.disconnect(index, &Disconnect::Protocol(fault.0)),
                 }
             }
-            ReadOutcome::Closed(why) => self.fail_line(at, &why.to_string()),
+            ReadOutcome::Closed(e) => self.disconnect(index, &e.into()),
         }
         false
     }
 
-    fn came(&mut self, at: usize, now: Tick) {
-        while let Some(came) = self.all[at].link.as_mut().and_then(|l| l.conn.came()) {
-            match came {
+    fn on_events(&mut self, index: NodeIndex, now: Tick) {
+        while let Some(event) = self.all[index].link.as_mut().and_then(|link| link.conn.came()) {
+            match event {
                 Came::LoggedIn => {
-                    tracing::info!(node = self.all[at].name, "connected");
-                    self.all[at].connection.login_finished();
-                    for order in std::mem::take(&mut self.all[at].queue) {
-                        self.submit(at, order, now);
+                    tracing::info!(node = self.all[index].name, "node connected");
+                    self.all[index].connection.login_finished();
+                    for request in std::mem::take(&mut self.all[index].queue) {
+                        self.submit(index, request, now);
                     }
                 }
-                Came::Answer { tag, sense: Some(Sense::WRITE_PROTECTED), .. } => {
-                    let (ending, data) = (Ending::Moot, Vec::new());
-                    self.results.push_back((at, Result { tag, ending, closed: true, data }));
-                }
-                Came::Answer { tag, status: code, data, .. } => {
-                    let ending = match code {
-                        status::GOOD => Ending::Done,
-                        status::BUSY | status::TASK_SET_FULL => Ending::Busy,
-                        _ => Ending::Error,
-                    };
-                    self.end(at, tag, ending, data);
+                Came::Answer { tag, status, sense, data, .. } => {
+                    self.on_answer(index, tag, status, sense, data);
                 }
                 Came::Rejected { tag, reason } => {
-                    tracing::warn!(node = self.all[at].name, reason, "command rejected");
-                    self.end(at, tag, Ending::Error, Vec::new());
+                    tracing::warn!(node = self.all[index].name, reason, "command rejected");
+                    self.end(index, tag, Ending::Error);
                 }
-                Came::Gone { .. } => self.all[at].connection.abort_answered(ticks_to_millis(now)),
+                Came::Gone { .. } => self.all[index].connection.abort_answered(ticks_to_millis(now)),
                 Came::AskedOut => {
-                    if let Some(link) = &mut self.all[at].link {
+                    if let Some(link) = &mut self.all[index].link {
                         link.conn.logout();
                     }
-                    self.mark(at);
-                }
-                Came::LoggedOut => {
-                    self.drop_line(at);
-                    return;
+                    self.mark_dirty(index);
                 }
+                Came::LoggedOut => return self.close(index),
                 Came::Text(_) => {}
             }
         }
     }
 
-    /// Writes what waits for nodes.
-    pub fn flush(&mut self) {
-        while let Some(at) = self.dirty.pop() {
-            self.all[at].dirty = false;
-            if let Some(link) = &mut self.all[at].link
-                && let Err(why) = socket_io::write(&mut link.socket, link.conn.out())
+    fn on_answer(&mut self, node: NodeIndex, tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>) {
+        if sense == Some(Sense::WRITE_PROTECTED) {
+            let result = AttemptResult::without_data(node, tag, Ending::Moot);
+            self.results.push_back(AttemptResult { write_protected: true, ..result });
+            return;
+        }
+        let ending = match status {
+            status::GOOD => Ending::Done,
+            status::BUSY | status::TASK_SET_FULL => Ending::Busy,
+            _ => Ending::Error,
+        };
+        self.results.push_back(AttemptResult { node, tag, ending, write_protected: false, data });
+    }
+
+    /// Writes what waits for the nodes.
+    pub(crate) fn flush(&mut self) {
+        while let Some(index) = self.dirty.pop() {
+            self.all[index].dirty = false;
+            if let Some(link) = &mut self.all[index].link
+                && let Err(e) = socket_io::write(&mut link.socket, link.conn.out())
             {
-                self.fail_line(at, &why.to_string());
+                self.disconnect(index, &e.into());
             }
         }
     }
 
-    /// Lines that do not do what they must are dropped.
-    pub fn care(&mut self, now: Tick) {
-        for at in 0..self.all.len() {
-            let node = &self.all[at];
-            let out = node.link.as_ref().map_or(0, |l| l.conn.in_hand());
-            if let Some(reason) = node.connection.check_timeouts(ticks_to_millis(now), out) {
-                self.fail_line(at, reason.as_str());
+    /// Closes connections that have timed out.
+    pub(crate) fn on_timer(&mut self, now: Tick) {
+        for index in 0..self.all.len() {
+            let node = &self.all[index];
+            let in_flight = node.link.as_ref().map_or(0, |link| link.conn.in_hand());
+            if let Some(reason) = node.connection.check_timeouts(ticks_to_millis(now), in_flight) {
+                self.disconnect(index, &Disconnect::Timeout(reason));
             }
         }
     }
--- /dev/null
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -0,0 +1,85 @@
+//! Answer files: what `work-out` prints, as lines `place`, `share` and `part`.
+use super::problem_file::RATE;
+use super::{PlacementError, display_name};
+use crate::error::read_text;
+use mallowseam_settings::edit::Share;
+use mallowseam_settings::lines::{Args, At, Problems, Word, words};
+use mallowseam_shares::model::{MOST, Problem};
+use mallowseam_shares::value::Placement;
+use std::path::Path;
+
+/// A worked-out answer.
+pub(super) struct Answer {
+    /// Nodes of each volume, by the problem's order.
+    pub(super) placement: Placement,
+    /// Reserve and weight of the volumes that the answer names one for.
+    pub(super) shares: Vec<Share>,
+}
+
+/// Reads an answer to a problem. It has to place every volume.
+pub(super) fn read(problem: &Problem, file: &Path) -> Result<Answer, PlacementError> {
+    let text = read_text(file)?;
+    let mut problems = Problems::new(&display_name(file));
+    let mut answer = Answer { placement: vec![Vec::new(); problem.volumes.len()], shares: Vec::new() };
+    for (index, line) in text.lines().enumerate() {
+        let words = words(index + 1, line, &mut problems);
+        let Some(first) = words.first() else { continue };
+        match first.text.as_str() {
+            "place" => read_place(problem, &words, &mut answer, &mut problems),
+            "share" => read_share(problem, &words, &mut answer, &mut problems),
+            // Quotas are printed for the operator; in service hosts lease them (`docs/living-plans.md`).
+            "part" => {}
+            other => problems.add(first.at, "place, share or part", format!("`{other}`")),
+        }
+    }
+    let top = At { line: 1, column: 1 };
+    for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
+        if nodes.is_empty() {
+            problems.add(top, format!("a line for volume {}", volume.name), "none");
+        }
+    }
+    if problems.is_empty() { Ok(answer) } else { Err(PlacementError::malformed(problems)) }
+}
+
+/// Reads the placement of an answer alone.
+pub(super) fn read_placement(problem: &Problem, file: &Path) -> Result<Placement, PlacementError> {
+    read(problem, file).map(|answer| answer.placement)
+}
+
+fn read_volume(problem: &Problem, args: &mut Args) -> Option<usize> {
+    args.value("the name of a volume", |word| problem.volumes.iter().position(|v| v.name == word))
+}
+
+/// `place VOLUME NODE …`
+fn read_place(problem: &Problem, words: &[Word], answer: &mut Answer, problems: &mut Problems) {
+    let mut args = Args::new(words, problems);
+    let volume = read_volume(problem, &mut args);
+    let mut nodes = Vec::new();
+    while args.more() {
+        let node = |word: &str| problem.nodes.iter().position(|n| n.name == word);
+        nodes.extend(args.value("the name of a node", node));
+    }
+    nodes.sort_unstable();
+    nodes.dedup();
+    if let Some(volume) = volume {
+        let spread = problem.volumes[volume].spread;
+        if nodes.len() != spread {
+            problems.add(words[0].at, format!("{spread} nodes"), nodes.len().to_string());
+        }
+        answer.placement[volume] = nodes;
+    }
+}
+
+/// `share VOLUME reserve RATE weight NUMBER`
+fn read_share(problem: &Problem, words: &[Word], answer: &mut Answer, problems: &mut Problems) {
+    let mut args = Args::new(words, problems);
+    let volume = read_volume(problem, &mut args);
+    args.value("reserve", |word| (word == "reserve").then_some(()));
+    let reserve = args.exact_rate(RATE);
+    args.value("weight", |word| (word == "weight").then_some(()));
+    let weight = args.whole("a whole number", 0, MOST);
+    args.end();
+    if let (Some(volume), Some(reserve), Some(weight)) = (volume, reserve, weight) {
+        answer.shares.push(Share { volume: problem.volumes[volume].name.clone(), reserve, weight });
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/placement/apply.rs
@@ -0,0 +1,71 @@
+//! `shares apply`: writes the shares of an answer into a host's configuration.
+use super::answer_file::Answer;
+use super::{PlacementError, answer_file, display_name, problem_file};
+use crate::atomic_file;
+use crate::error::{FileError, read_text};
+use mallowseam_settings::{Site, change, edit};
+use mallowseam_shares::model::Problem;
+use std::collections::BTreeSet;
+use std::path::Path;
+
+/// Tells what would change in the configuration and, with `write`, changes it; a host then still has to reload
+/// it. What the configuration contradicts is refused: volumes that it lacks, and volumes whose data lies
+/// elsewhere than the answer has it.
+pub(crate) fn apply(
+    file: &Path,
+    answer: &Path,
+    configuration: &Path,
+    write: bool,
+) -> Result<String, PlacementError> {
+    let problem = problem_file::read(file)?;
+    let answer = answer_file::read(&problem, answer)?;
+    let name = display_name(configuration);
+    let text = read_text(configuration)?;
+    let parse = |text: &str| {
+        mallowseam_settings::read(&name, text)
+            .map_err(|problems| PlacementError::File(FileError::Malformed(problems)))
+    };
+    let site = parse(&text)?;
+    let mut contradictions = misplaced_volumes(&problem, &answer, &site);
+    let edited = edit::shares(&text, &site, &answer.shares).unwrap_or_else(|mut unknown| {
+        contradictions.append(&mut unknown);
+        String::new()
+    });
+    if !contradictions.is_empty() {
+        return Err(PlacementError::Contradicted(contradictions));
+    }
+    let changes = change::taken(&site, &parse(&edited)?).map_err(PlacementError::Contradicted)?.told;
+    if changes.is_empty() {
+        return Ok("nothing is different".to_owned());
+    }
+    let mut text = changes.join("\n");
+    if write {
+        atomic_file::replace(configuration, edited.as_bytes())
+            .map_err(|source| PlacementError::Write { file: configuration.to_owned(), source })?;
+        text += &format!("\nwritten; `mallowseam reload {name}` has the host take it up");
+    }
+    Ok(text)
+}
+
+/// Volumes whose data lies on other nodes than the answer places them on, a line each. Where blocks of mapped
+/// volumes lie is up to the snapshot catalog.
+fn misplaced_volumes(problem: &Problem, answer: &Answer, site: &Site) -> Vec<String> {
+    let mut misplaced = Vec::new();
+    for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
+        let configured = site.volumes.iter().find(|other| other.name == volume.name && !other.mapped);
+        let Some(configured) = configured else { continue };
+        let present: BTreeSet<&str> =
+            configured.extents.iter().map(|extent| site.nodes[extent.node].name.as_str()).collect();
+        let wanted: BTreeSet<&str> = nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect();
+        if present != wanted {
+            let names = |set: &BTreeSet<&str>| set.iter().copied().collect::<Vec<_>>().join(" ");
+            misplaced.push(format!(
+                "volume {}: lies on {}, and the answer has it on {}; move its data first (`shares moves`)",
+                volume.name,
+                names(&present),
+                names(&wanted)
+            ));
+        }
+    }
+    misplaced
+}
--- /dev/null
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -0,0 +1,218 @@
+//! Problem files: sections `node NAME`, `host NAME` and `volume NAME`, as `docs/shares.md` lists them.
+use super::{PlacementError, display_name};
+use crate::error::read_text;
+use mallowseam_settings::lines::{Args, At, Problems, Word, words};
+use mallowseam_shares::model::{Host, MOST, Node, Problem, Volume};
+use std::path::Path;
+
+/// What a rate must look like.
+pub(super) const RATE: &str = "units a second such as 20/s or 0.125/s";
+/// Price of a volume whose section names none, in thousandths.
+const DEFAULT_PRICE: u64 = 1000;
+const NUMBER: &str = "a whole number";
+/// Where a problem of the whole file is reported.
+const TOP: At = At { line: 1, column: 1 };
+
+#[derive(Clone, Copy, PartialEq)]
+enum Section {
+    /// Before the first section, or in one that is not understood: lines are skipped.
+    Skipped,
+    Node,
+    Host,
+    Volume,
+}
+
+impl Section {
+    fn of(word: &str) -> Option<Section> {
+        match word {
+            "node" => Some(Section::Node),
+            "volume" => Some(Section::Volume),
+            "host" => Some(Section::Host),
+            _ => None,
+        }
+    }
+
+    fn name(self) -> &'static str {
+        match self {
+            Section::Skipped => "",
+            Section::Node => "node",
+            Section::Host => "host",
+            Section::Volume => "volume",
+        }
+    }
+}
+
+/// What has been read of a problem file so far.
+struct Draft {
+    section: Section,
+    nodes: Vec<Node>,
+    hosts: Vec<Host>,
+    volumes: Vec<Volume>,
+    /// Where each section begins, by its name.
+    positions: Vec<(String, At)>,
+    problems: Problems,
+}
+
+/// Reads a problem.
+pub(super) fn read(file: &Path) -> Result<Problem, PlacementError> {
+    let text = read_text(file)?;
+    let mut draft = Draft {
+        section: Section::Skipped,
+        nodes: Vec::new(),
+        hosts: Vec::new(),
+        volumes: Vec::new(),
+        positions: Vec::new(),
+        problems: Problems::new(&display_name(file)),
+    };
+    for (index, line) in text.lines().enumerate() {
+        let words = words(index + 1, line, &mut draft.problems);
+        if words.is_empty() {
+            continue;
+        }
+        if line.starts_with(char::is_whitespace) {
+            draft.read_directive(&words);
+        } else {
+            draft.open_section(&words);
+        }
+    }
+    draft.finish(file)
+}
+
+impl Draft {
+    fn open_section(&mut self, words: &[Word]) {
+        let first = &words[0];
+        self.section = Section::of(&first.text).unwrap_or(Section::Skipped);
+        if self.section == Section::Skipped {
+            let found = format!("`{}`", first.text);
+            self.problems.add(first.at, "a section: node, volume or host", found);
+        }
+        let mut args = Args::new(words, &mut self.problems);
+        let name = args.name("a name of letters, digits and -_.:");
+        let Some(name) = name.filter(|_| self.section != Section::Skipped) else {
+            self.section = Section::Skipped;
+            return;
+        };
+        args.end();
+        self.positions.push((name.text.clone(), first.at));
+        match self.section {
+            Section::Skipped => {}
+            Section::Node => self.nodes.push(Node { name: name.text, ..Node::default() }),
+            Section::Host => {
+                if self.hosts.iter().any(|host| host.name == name.text) {
+                    self.problems.add(first.at, "one host of this name", format!("`{}`", name.text));
+                }
+                self.hosts.push(Host { name: name.text, ..Host::default() });
+            }
+            Section::Volume => self.volumes.push(Volume {
+                name: name.text,
+                weight: 1,
+                price: DEFAULT_PRICE,
+                spread: 1,
+                ..Volume::default()
+            }),
+        }
+    }
+
+    fn read_directive(&mut self, words: &[Word]) {
+        let first = &words[0];
+        let mut args = Args::new(words, &mut self.problems);
+        let known = match self.section {
+            Section::Skipped => true,
+            Section::Node => {
+                read_node(self.nodes.last_mut().expect("a section is open"), &first.text, &mut args)
+            }
+            Section::Host => {
+                read_host(self.hosts.last_mut().expect("a section is open"), &first.text, &mut args)
+            }
+            Section::Volume => {
+                read_volume(self.volumes.last_mut().expect("a section is open"), &first.text, &mut args)
+            }
+        };
+        if known {
+            args.end();
+        } else {
+            let expected = format!("a directive of section `{}`", self.section.name());
+            self.problems.add(first.at, expected, format!("`{}`", first.text));
+        }
+    }
+
+    fn finish(mut self, file: &Path) -> Result<Problem, PlacementError> {
+        for volume in &mut self.volumes {
+            volume.surge = volume.surge.max(volume.reserve);
+        }
+        if !self.problems.is_empty() {
+            return Err(PlacementError::malformed(self.problems));
+        }
+        self.hosts.sort_by(|a, b| a.name.cmp(&b.name));
+        let unknown = |name: &&String| !self.volumes.iter().any(|volume| volume.name == **name);
+        if let Some(volume) = self.hosts.iter().flat_map(|host| host.sends.keys()).find(unknown) {
+            let (file, volume) = (file.to_owned(), volume.clone());
+            return Err(PlacementError::UnknownVolumeSent { file, volume });
+        }
+        match Problem::new(self.nodes, self.volumes) {
+            Ok(problem) => Ok(Problem { hosts: self.hosts, ..problem }),
+            Err(contradictions) => {
+                for wrong in contradictions {
+                    let position = self.positions.iter().find(|(name, _)| *name == wrong.name);
+                    let position = position.map_or(TOP, |(_, at)| *at);
+                    self.problems.add(position, wrong.expected, format!("`{}`", wrong.name));
+                }
+                Err(PlacementError::malformed(self.problems))
+            }
+        }
+    }
+}
+
+/// Reads a directive of a node. False: there is none of this name.
+fn read_node(node: &mut Node, directive: &str, args: &mut Args) -> bool {
+    match directive {
+        "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
+        "cost" => node.cost = args.whole(NUMBER, 0, MOST).unwrap_or(0),
+        "zone" => node.zone = args.name("a name").map(|word| word.text).unwrap_or_default(),
+        _ => return false,
+    }
+    true
+}
+
+/// Reads a directive of a host. False: there is none of this name.
+fn read_host(host: &mut Host, directive: &str, args: &mut Args) -> bool {
+    if directive != "sends" {
+        return false;
+    }
+    if let (Some(volume), Some(rate)) = (args.name("the name of a volume"), args.exact_rate(RATE)) {
+        host.sends.insert(volume.text, rate);
+    }
+    true
+}
+
+/// Reads a directive of a volume. False: there is none of this name.
+fn read_volume(volume: &mut Volume, directive: &str, args: &mut Args) -> bool {
+    match directive {
+        "reserve" => volume.reserve = args.exact_rate(RATE).unwrap_or(0),
+        "reserve-most" => volume.reserve_most = args.exact_rate(RATE).unwrap_or(0),
+        "limit" => volume.limit = args.exact_rate(RATE).unwrap_or(0),
+        "surge" => volume.surge = args.exact_rate(RATE).unwrap_or(0),
+        "weight" => volume.weight = args.whole(NUMBER, 0, MOST).unwrap_or(0),
+        "price" => {
+            volume.price = args.whole("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0);
+        }
+        "spread" => volume.spread = args.whole("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
+        "size" => volume.size = args.whole(NUMBER, 0, MOST).unwrap_or(0),
+        "apart" => volume.apart = true,
+        "zone" => volume.zone = args.name("a name").map(|word| word.text),
+        "survives" => {
+            match args.value("node or zone", |word| matches!(word, "node" | "zone").then(|| word == "node")) {
+                Some(true) => volume.survives_node = true,
+                Some(false) => volume.survives_zone = true,
+                None => {}
+            }
+        }
+        "today" => {
+            while args.more() {
+                volume.today.extend(args.name("the name of a node").map(|word| word.text));
+            }
+        }
+        _ => return false,
+    }
+    true
+}
