--- /dev/null
+++ b/crates/gateway/src/placement/report.rs
@@ -0,0 +1,108 @@
+//! What a placement means: the load of each node, its worth beside another one, and the steps that lead to it.
+use super::{PlacementError, answer_file, data_units, gain_per_second, problem_file};
+use mallowseam_shares::model::{Problem, SCALE};
+use mallowseam_shares::moves;
+use mallowseam_shares::value::{Placement, fits, placed, worth};
+use std::fmt::Write;
+use std::path::Path;
+
+/// Capacities as the problem gives them, in thousandths.
+const UNSTRETCHED: u64 = 1000;
+
+fn all_demands_fit(problem: &Problem, placement: &Placement) -> bool {
+    fits(problem, &placed(placement), &|_| true, UNSTRETCHED)
+}
+
+fn node_names(problem: &Problem, nodes: &[usize]) -> String {
+    nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect::<Vec<_>>().join(" ")
+}
+
+fn volume_names(problem: &Problem, volumes: &[usize]) -> String {
+    volumes.iter().map(|volume| problem.volumes[*volume].name.as_str()).collect::<Vec<_>>().join(" ")
+}
+
+/// `shares compare`: what two placements of one problem are worth, side by side.
+pub(crate) fn compare(file: &Path, one: &Path, other: &Path) -> Result<String, PlacementError> {
+    let problem = problem_file::read(file)?;
+    let mut out = format!("{:<24}{:>16}{:>10}{:>14}{:>8}", "placement", "gain", "cost", "data moved", "fits");
+    let mut placements = Vec::new();
+    for file in [one, other] {
+        let placement = answer_file::read_placement(&problem, file)?;
+        let value = worth(&problem, &placement);
+        write!(
+            out,
+            "\n{:<24}{:>16.3}{:>10}{:>14.1}{:>8}",
+            file.display().to_string(),
+            gain_per_second(value.gain),
+            value.cost.0,
+            data_units(value.moved.0),
+            if all_demands_fit(&problem, &placement) { "yes" } else { "no" }
+        )
+        .expect("writing to memory");
+        placements.push(placement);
+    }
+    for (index, volume) in problem.volumes.iter().enumerate() {
+        let (first, second) = (&placements[0][index], &placements[1][index]);
+        if first != second {
+            let (first, second) = (node_names(&problem, first), node_names(&problem, second));
+            write!(out, "\n{}: {first} | {second}", volume.name).expect("writing to memory");
+        }
+    }
+    Ok(out)
+}
+
+/// `shares explain`: how full each node is with a placement.
+pub(crate) fn explain(file: &Path, answer: &Path) -> Result<String, PlacementError> {
+    let problem = problem_file::read(file)?;
+    let placement = answer_file::read_placement(&problem, answer)?;
+    let mut out = format!("{:<16}{:>12}{:>12}{:>8}  volumes", "node", "capacity", "reserved", "part");
+    for (index, node) in problem.nodes.iter().enumerate() {
+        let here: Vec<usize> = (0..placement.len()).filter(|v| placement[*v].contains(&index)).collect();
+        let share =
+            |volume: &usize| problem.volumes[*volume].reserve as f64 / placement[*volume].len() as f64;
+        let reserved: f64 = here.iter().map(share).sum::<f64>() / 1000.0;
+        let capacity = node.capacity as f64 / 1000.0;
+        let percent = if capacity > 0.0 { 100.0 * reserved / capacity } else { 0.0 };
+        write!(
+            out,
+            "\n{:<16}{capacity:>10.1}/s{reserved:>10.1}/s{percent:>7.1}%  {}",
+            node.name,
+            volume_names(&problem, &here)
+        )
+        .expect("writing to memory");
+    }
+    let fits = all_demands_fit(&problem, &placement);
+    out += if fits { "\nall reserves fit" } else { "\nreserves do not fit" };
+    Ok(out)
+}
+
+/// `shares moves`: the steps to a placement, one a line: `move VOLUME FROM TO DATA`, `-` where there is none.
+pub(crate) fn migration_steps(
+    file: &Path,
+    answer: &Path,
+    max_data: Option<u64>,
+) -> Result<String, PlacementError> {
+    let problem = problem_file::read(file)?;
+    let target = answer_file::read_placement(&problem, answer)?;
+    let max_data = max_data.map(|data| u128::from(data) * SCALE as u128);
+    let moves = moves::order(&problem, &moves::today(&problem), &target, max_data);
+    let node_name = |node: Option<usize>| node.map_or("-", |node| problem.nodes[node].name.as_str());
+    let mut out = String::new();
+    for step in &moves.steps {
+        let volume = &problem.volumes[step.volume].name;
+        let (from, to) = (node_name(step.from), node_name(step.to));
+        writeln!(out, "move {volume} {from} {to} {}", data_units(step.data)).expect("writing to memory");
+    }
+    for (reason, volumes) in [
+        ("stays, beyond the data that may be moved", &moves.left),
+        ("no order of steps was found that breaks nothing", &moves.stuck),
+    ] {
+        if !volumes.is_empty() {
+            let names = volume_names(&problem, volumes);
+            writeln!(out, "# {reason}: {names}").expect("writing to memory");
+        }
+    }
+    write!(out, "# {} steps, data moved {}", moves.steps.len(), data_units(moves.data()))
+        .expect("writing to memory");
+    Ok(out)
+}
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -1,148 +1,159 @@
-//! The connection to the control service of plans, and the copy of its plans kept for a start without it.
-use crate::endpoint_list::replace;
-use crate::json_lines::{Lines, Read};
+//! The connection to the plan service, and the cached copy of its plans for a start without it.
+use crate::atomic_file;
+use crate::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_plans::member::{Heard, Member};
 use mallowseam_plans::state::State;
 use mallowseam_plans::trail::Trail;
 use mallowseam_plans::words::ToControl;
 use mallowseam_plans::{Millis, Units};
 use mio::{Registry, Token};
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Longest line from the service: a whole state of some ten thousand volumes.
-const LINE_MOST: usize = 4 << 20;
+/// Longest line of the service in bytes: a full snapshot of some ten thousand volumes.
+const MAX_LINE: usize = 4 << 20;
 
-pub struct Follow {
+/// A host's replica of the plans.
+pub(crate) struct PlanReplication {
     address: SocketAddr,
-    kept: Option<PathBuf>,
+    cache_file: Option<PathBuf>,
     registry: Registry,
     token: Token,
-    lines: Option<Lines>,
-    pub member: Member,
+    connection: Option<LineConnection>,
+    /// Which version the host acts on, and its quotas.
+    pub(crate) member: Member,
 }
 
-/// What is kept on disk: the state, and the hash of its line.
+/// What is cached on disk: the plans, and the hash of the last line of the change log behind them.
 #[derive(serde::Serialize, serde::Deserialize)]
-struct Kept {
+struct CachedPlans {
     state: State,
     last: String,
 }
 
-impl Follow {
-    pub fn new(
+impl PlanReplication {
+    /// Starts with the cached plans, if there are any. `volumes`: the host's own, with the number of hosts of
+    /// each. Connects at the first `on_timer`.
+    pub(crate) fn new(
         host: &str,
         address: SocketAddr,
-        kept: Option<PathBuf>,
+        cache_file: Option<PathBuf>,
         volumes: Vec<(String, u32)>,
         registry: Registry,
         token: Token,
-        now: Millis,
     ) -> Self {
-        let known = kept.as_deref().and_then(read_kept);
-        let member = Member::new(host, volumes, known, now);
-        Follow { address, kept, registry, token, lines: None, member }
+        let cached = cache_file.as_deref().and_then(read_cache);
+        let member = Member::new(host, volumes, cached, 0);
+        PlanReplication { address, cache_file, registry, token, connection: None, member }
     }
 
-    pub fn say(&mut self, word: &ToControl) {
-        if let Some(lines) = &mut self.lines {
-            lines.say(word);
+    fn send(&mut self, message: &ToControl) {
+        if let Some(connection) = &mut self.connection {
+            connection.send(message);
         }
     }
 
-    /// Connects if that is due, and writes what waits.
-    pub fn tend(&mut self, now: Millis, chance: u64) {
-        if self.lines.is_none() && self.member.connects(now, chance) {
-            match Lines::connect(self.address, &self.registry, self.token) {
-                Ok(lines) => {
-                    self.lines = Some(lines);
+    /// Connects if that is due, and writes what is queued. `jitter`, below 1000, spreads the hosts' reconnects.
+    pub(crate) fn on_timer(&mut self, now: Millis, jitter: u64) {
+        if self.connection.is_none() && self.member.connects(now, jitter) {
+            match LineConnection::connect(self.address, &self.registry, self.token) {
+                Ok(connection) => {
+                    self.connection = Some(connection);
                     let hello = self.member.hello();
-                    self.say(&hello);
+                    self.send(&hello);
                 }
-                Err(e) => tracing::debug!(error = %e, "control service"),
+                Err(e) => tracing::debug!(error = %e, "plan service not reachable"),
             }
         }
         self.flush();
     }
 
     fn flush(&mut self) {
-        if let Some(Err(why)) = self.lines.as_mut().map(Lines::push) {
-            self.lose(&why);
+        if let Some(Err(reason)) = self.connection.as_mut().map(LineConnection::flush) {
+            self.disconnect(&reason);
         }
     }
 
-    fn lose(&mut self, why: &str) {
-        if let Some(lines) = self.lines.take() {
-            lines.end(&self.registry);
-            tracing::warn!(why, "control service lost; parts of limits fall back to even ones");
+    fn disconnect(&mut self, reason: &Disconnect) {
+        if let Some(connection) = self.connection.take() {
+            connection.close(&self.registry);
+            tracing::warn!(%reason, "plan service connection lost; quotas fall back to even ones");
         }
     }
 
-    /// Reads what has come. True: there is a state to be taken up.
-    pub fn ready(&mut self, scratch: &mut [u8], wanted: &[Units], now: Millis) -> bool {
-        let mut state = false;
-        while let Some(lines) = &mut self.lines {
-            match lines.read(scratch, LINE_MOST) {
-                Read::Blocked => break,
-                Read::Over(why) => self.lose(&why),
-                Read::Lines(whole) => {
-                    for line in whole {
+    /// Reads what has come. `requested`: units a second that clients request of each volume. True: a new state
+    /// is to be applied.
+    pub(crate) fn on_ready(&mut self, buffer: &mut [u8], requested: &[Units], now: Millis) -> bool {
+        let mut has_state = false;
+        while let Some(connection) = &mut self.connection {
+            match connection.read(buffer, MAX_LINE) {
+                LineRead::WouldBlock => break,
+                LineRead::Closed(reason) => self.disconnect(&reason),
+                LineRead::Lines(lines) => {
+                    for line in lines {
                         // What came on a connection that is given up counts no more.
-                        if self.lines.is_none() {
+                        if self.connection.is_none() {
                             break;
                         }
-                        let heard = match serde_json::from_slice(&line) {
-                            Ok(word) => self.member.heard(word, wanted, now),
-                            Err(e) => Heard::Lost(e.to_string()),
-                        };
-                        match heard {
-                            Heard::Nothing => {}
-                            Heard::State => state = true,
-                            Heard::Say(word) => self.say(&word),
-                            Heard::Lost(why) => self.lose(&why),
-                        }
+                        has_state |= self.on_line(&line, requested, now);
                     }
                 }
             }
         }
         self.flush();
-        state
+        has_state
+    }
+
+    fn on_line(&mut self, line: &[u8], requested: &[Units], now: Millis) -> bool {
+        match serde_json::from_slice(line) {
+            Ok(message) => match self.member.heard(message, requested, now) {
+                Heard::Nothing => {}
+                Heard::State => return true,
+                Heard::Say(message) => self.send(&message),
+                Heard::Lost(reason) => self.disconnect(&Disconnect::PlansOutOfSequence(reason)),
+            },
+            Err(e) => self.disconnect(&e.into()),
+        }
+        false
     }
 
-    /// The host acts on the next state: kept on disk first, so that a start without the service does as well.
-    pub fn acts_on(&mut self, now: Millis) {
-        if let Some(word) = self.member.acts_on(now) {
-            if let Some(path) = &self.kept
-                && let Err(e) = write_kept(path, self.member.trail())
+    /// The host acts on the next state. It is cached on disk first, so that a start without the service acts on
+    /// it as well.
+    pub(crate) fn accept(&mut self, now: Millis) {
+        if let Some(message) = self.member.acts_on(now) {
+            if let Some(path) = &self.cache_file
+                && let Err(e) = write_cache(path, self.member.trail())
             {
-                tracing::warn!(error = %e, path = %path.display(), "plans are not kept for the next start");
+                tracing::warn!(error = %e, path = %path.display(), "plans not cached");
             }
-            self.say(&word);
+            self.send(&message);
         }
         self.flush();
     }
 
-    pub fn against(&mut self, why: &str) {
-        if let Some(word) = self.member.against(why.to_owned()) {
-            tracing::warn!(why, "plans turned down");
-            self.say(&word);
+    /// The host cannot act on the next state.
+    pub(crate) fn reject(&mut self, reason: &str) {
+        if let Some(message) = self.member.against(reason.to_owned()) {
+            tracing::warn!(reason, "plans rejected");
+            self.send(&message);
         }
         self.flush();
     }
 }
 
-fn read_kept(path: &Path) -> Option<Trail> {
+fn read_cache(path: &Path) -> Option<Trail> {
     let text = std::fs::read_to_string(path).ok()?;
-    match serde_json::from_str::<Kept>(&text) {
-        Ok(kept) => Some(Trail::from_base(kept.state, kept.last)),
+    match serde_json::from_str::<CachedPlans>(&text) {
+        Ok(cached) => Some(Trail::from_base(cached.state, cached.last)),
         Err(e) => {
-            tracing::warn!(error = %e, path = %path.display(), "kept plans are not used");
+            tracing::warn!(error = %e, path = %path.display(), "cached plans not used");
             None
         }
     }
 }
 
-fn write_kept(path: &Path, trail: &Trail) -> std::io::Result<()> {
-    let kept = Kept { state: trail.state.clone(), last: trail.last().to_owned() };
-    replace(path, serde_json::to_string(&kept).map_err(std::io::Error::other)?.as_bytes())
+fn write_cache(path: &Path, trail: &Trail) -> io::Result<()> {
+    let cached = CachedPlans { state: trail.state.clone(), last: trail.last().to_owned() };
+    atomic_file::replace(path, serde_json::to_string(&cached).map_err(io::Error::other)?.as_bytes())
 }
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -1,132 +1,174 @@
-//! The control service of plans: keeps the trail, streams versions to hosts, deals what they lend.
+//! The plan service: keeps the change log of plans, replicates versions to hosts, and grants borrowed quotas.
+//!
+//! - `request`, `operator`: requests of operators on the control socket.
+mod operator;
+mod request;
+
+pub use request::PlanRequest;
+
 use crate::clock::{Clock, ticks_to_millis};
-use crate::control_socket::{self, Control};
-use crate::json_lines::{Bounds, Peer, Peers};
+use crate::control_socket::{self, ConnectionId, ControlSocket};
+use crate::error::Error;
+use crate::json_lines::{Disconnect, Limits, Peer, PeerId, Peers};
 use crate::scheduler_config;
-use crate::startup::{self, Failure, failure, signals};
+use crate::startup;
 use mallowseam_plans::deal::{ASK, GRANT, Pool};
-use mallowseam_plans::force::{Hosts, Waits};
-use mallowseam_plans::state::{Change, Plan, State};
+use mallowseam_plans::force::Hosts;
+use mallowseam_plans::state::Change;
 use mallowseam_plans::trail::Line;
 use mallowseam_plans::words::{ToControl, ToMember};
 use mallowseam_plans::{Millis, Units};
 use mallowseam_settings::Site;
+use mallowseam_settings::site::Volume;
 use mallowseam_trail::Store;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
-use std::time::Duration;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const LISTENER: Token = Token(0);
 const CONTROL: Token = Token(1);
 const SIGNALS: Token = Token(2);
-const CALLERS: usize = 3;
-const MEMBERS: usize = CALLERS + control_socket::MOST;
-/// Longest line of a host, and bytes that may wait for one: a host that takes nothing is dropped.
-const BOUNDS: Bounds = Bounds { longest: 1 << 20, waiting: 32 << 20 };
-/// Lines sent to a host that comes back, at most; one that lacks more gets the whole state.
-const CATCH_UP: u64 = 256;
-/// Milliseconds between two looks at what is due.
-const LOOK: u64 = 50;
-/// An operator waits for a version to be in force for no longer.
-const WAIT_MOST: Millis = 12_000;
+/// First token of connections to the control socket.
+const FIRST_CALLER: usize = 3;
+/// First token of hosts.
+const FIRST_PEER: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+const LIMITS: Limits = Limits { max_line: 1 << 20, max_unsent: 32 << 20 };
+/// Lines sent to a host that comes back, at most; one that lacks more gets a full snapshot.
+const MAX_CATCH_UP: u64 = 256;
+/// Longest sleep of the event loop.
+const PERIOD: Duration = Duration::from_millis(50);
+const READ_BUFFER: usize = 64 * 1024;
+const MAX_EVENTS: usize = 256;
+/// Author and reason of the first versions, which the configuration makes.
+const CONFIGURATION_AUTHOR: &str = "configuration";
+const CONFIGURATION_REASON: &str = "first start";
+
+/// An operator who waits for a version to be in effect at all hosts.
+struct RolloutWait {
+    caller: ConnectionId,
+    version: u64,
+    deadline: Millis,
+}
+
+/// Number of a host among those that lend and borrow quotas, the same over all its connections.
+type LenderId = u32;
 
-struct Service {
+struct PlanService {
     clock: Clock,
     now: Millis,
     store: Store,
-    hosts: Hosts,
-    numbers: BTreeMap<String, u32>,
+    /// Which host acts on which version.
+    rollout: Hosts,
+    lender_ids: BTreeMap<String, LenderId>,
+    /// Lent and granted quotas of each volume.
     pools: BTreeMap<String, Pool>,
     started: Millis,
+    /// No service ran before this one, so no grants of another one can be in use.
     fresh: bool,
-    /// With the place of each among those that lend and borrow, the same over all its connections.
-    peers: Peers<u32>,
-    control: Option<Control>,
+    peers: Peers<LenderId>,
+    control: Option<ControlSocket>,
     signals: UnixStream,
-    waits: Vec<(u32, u64, Millis)>,
-    asked: Millis,
-    stops: bool,
-    scratch: Vec<u8>,
+    rollout_waits: Vec<RolloutWait>,
+    /// When hosts were last asked for what they lend and want.
+    last_poll: Millis,
+    stopping: bool,
+    read_buffer: Vec<u8>,
 }
 
-/// Runs the control service of a site until it is told to stop.
-pub fn run(site: &Site) -> Result<(), Failure> {
-    let mut poll = Poll::new().map_err(failure("poll".into()))?;
-    let mut service = Service::open(site, &poll)?;
-    let mut events = Events::with_capacity(256);
-    while !service.stops {
-        if let Err(e) = poll.poll(&mut events, Some(Duration::from_millis(LOOK)))
+/// Runs the plan service of a site until it is told to stop.
+///
+/// # Errors
+/// An address, path or store of the configuration cannot be had, or the store fails later.
+pub(crate) fn run(site: &Site) -> Result<(), Error> {
+    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut service = PlanService::open(site, &poll)?;
+    let mut events = Events::with_capacity(MAX_EVENTS);
+    while !service.stopping {
+        if let Err(e) = poll.poll(&mut events, Some(PERIOD))
             && e.kind() != ErrorKind::Interrupted
         {
-            return Err(Failure::new(format!("poll: {e}")));
+            return Err(Error::Poll(e));
         }
         service.now = ticks_to_millis(service.clock.now());
         for event in events.iter() {
-            service.ready(event.token())?;
+            service.on_event(event.token())?;
         }
-        service.round();
+        service.after_events();
     }
-    tracing::info!("control service ends");
+    tracing::info!("plan service stopped");
     Ok(())
 }
 
-impl Service {
-    fn open(site: &Site, poll: &Poll) -> Result<Self, Failure> {
-        let settings = site.tariffs.clone().ok_or_else(|| Failure::new("no section tariffs".into()))?;
-        let address = settings.listen.expect("checked");
-        let peers = Peers::open(address, poll, LISTENER, MEMBERS, BOUNDS)?;
-        let control = startup::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
-        let said = |e: mallowseam_trail::Fault| Failure::new(format!("{}: {e}", settings.store.display()));
-        let mut store = Store::open(&settings.store).map_err(said)?;
-        let fresh = store.trail().state.version == 0;
-        if fresh {
-            // The first versions are what the configuration says.
-            let plans = site.plans.iter().map(|p| Change::Plan {
-                name: p.name.clone(),
-                figures: scheduler_config::replicated_plan(p),
-            });
-            let of = |v: &mallowseam_settings::site::Volume| Change::Volume {
-                name: v.name.clone(),
-                plan: site.plans[v.plan].name.clone(),
-            };
-            for change in plans.chain(site.volumes.iter().map(of)) {
-                let version = store.trail().state.version;
-                let line = store.trail().propose(version, "configuration", "first start", wall(), change);
-                let line = line.map_err(|r| Failure::new(r.to_string()))?;
-                store.keep(&line).map_err(said)?;
-            }
+/// Opens the store. A new one gets the plans of the configuration as its first versions; whether it is new.
+fn open_store(site: &Site, path: &std::path::Path) -> Result<(Store, bool), Error> {
+    let failed = |fault| Error::OpenPlanStore { path: path.to_owned(), fault };
+    let mut store = Store::open(path).map_err(failed)?;
+    let fresh = store.trail().state.version == 0;
+    if fresh {
+        for change in configured_changes(site) {
+            let version = store.trail().state.version;
+            let (author, reason) = (CONFIGURATION_AUTHOR, CONFIGURATION_REASON);
+            let line = store.trail().propose(version, author, reason, wall_clock(), change);
+            store.keep(&line.map_err(Error::ConfiguredPlan)?).map_err(failed)?;
         }
+    }
+    Ok((store, fresh))
+}
+
+/// The changes that make the plans of a configuration.
+fn configured_changes(site: &Site) -> impl Iterator<Item = Change> {
+    let plans = site.plans.iter().map(|plan| Change::Plan {
+        name: plan.name.clone(),
+        figures: scheduler_config::replicated_plan(plan),
+    });
+    let plan_of = |volume: &Volume| Change::Volume {
+        name: volume.name.clone(),
+        plan: site.plans[volume.plan].name.clone(),
+    };
+    plans.chain(site.volumes.iter().map(plan_of))
+}
+
+impl PlanService {
+    fn open(site: &Site, poll: &Poll) -> Result<Self, Error> {
+        let settings = site.tariffs.clone().ok_or(Error::MissingSection("tariffs"))?;
+        let address = settings.listen.expect("a checked configuration names it");
+        let peers = Peers::open(address, poll, LISTENER, FIRST_PEER, LIMITS)?;
+        let control = startup::control_socket(settings.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let (store, fresh) = open_store(site, &settings.store)?;
         let clock = Clock::from_zero();
         let now = ticks_to_millis(clock.now());
-        let mut hosts = Hosts::default();
-        store.members().map_err(said)?.iter().for_each(|host| hosts.heard(host, now));
-        tracing::info!(listen = %address, version = store.trail().state.version, "control service starts");
-        Ok(Service {
+        let mut rollout = Hosts::default();
+        let members =
+            store.members().map_err(|fault| Error::OpenPlanStore { path: settings.store.clone(), fault })?;
+        members.iter().for_each(|host| rollout.heard(host, now));
+        tracing::info!(listen = %address, version = store.trail().state.version, "plan service started");
+        Ok(PlanService {
+            clock,
             now,
             store,
-            hosts,
-            numbers: BTreeMap::new(),
+            rollout,
+            lender_ids: BTreeMap::new(),
             pools: BTreeMap::new(),
             started: now,
             fresh,
             peers,
             control,
-            signals: signals(poll, SIGNALS).map_err(failure("signals".into()))?,
-            waits: Vec::new(),
-            asked: now,
-            stops: false,
-            scratch: vec![0; 64 * 1024],
-            clock,
+            signals: startup::signals(poll, SIGNALS)?,
+            rollout_waits: Vec::new(),
+            last_poll: now,
+            stopping: false,
+            read_buffer: vec![0; READ_BUFFER],
         })
     }
 
+    /// The newest version.
     fn version(&self) -> u64 {
         self.store.trail().state.version
     }
 
-    fn ready(&mut self, token: Token) -> Result<(), Failure> {
+    fn on_event(&mut self, token: Token) -> Result<(), Error> {
         match token {
             LISTENER => self.peers.accept(),
             CONTROL => {
@@ -136,303 +178,145 @@
             }
             SIGNALS => {
                 let mut bytes = [0; 16];
-                self.stops |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
+                self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
             }
-            Token(t) if t < MEMBERS => {
-                let at = (t - CALLERS) as u32;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.ready(at)) {
-                    let answer = self.told(at, &line)?;
+            Token(token) if token < FIRST_PEER => {
+                let caller = (token - FIRST_CALLER) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
+                    let answer = self.on_request(caller, &line)?;
                     if let (Some(text), Some(control)) = (answer, &mut self.control) {
-                        control.answer(at, &text);
+                        control.answer(caller, &text);
                     }
                 }
             }
-            Token(t) => self.read((t - MEMBERS) as u32),
+            Token(token) => self.read_peer((token - FIRST_PEER) as PeerId),
         }
         Ok(())
     }
 
-    fn read(&mut self, at: u32) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        while let Some(lines) = self.peers.read(at, &mut scratch) {
+    fn read_peer(&mut self, id: PeerId) {
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        while let Some(lines) = self.peers.read(id, &mut buffer) {
             for line in lines {
                 match serde_json::from_slice(&line) {
-                    Ok(word) => self.heard(at, word),
-                    Err(e) => self.peers.lose(at, &e.to_string()),
+                    Ok(message) => self.on_message(id, message),
+                    Err(e) => self.peers.disconnect(id, &e.into()),
                 }
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = buffer;
     }
 
-    fn heard(&mut self, at: u32, word: ToControl) {
-        let now = self.now;
-        let Some(peer) = self.peers.get_mut(at) else { return };
-        if let ToControl::Hello { host, version, last } = word {
-            if !self.hosts.knows(&host)
-                && let Err(e) = self.store.member(&host, true)
-            {
-                // It would be forgotten by the next start, and a version be taken for in force without it.
-                return self.peers.lose(at, &e.to_string());
-            }
-            let next = self.numbers.len() as u32;
-            peer.about = *self.numbers.entry(host.clone()).or_insert(next);
-            peer.name.clone_from(&host);
-            self.hosts.heard(&host, now);
-            self.hosts.acts_on(&host, version, now);
-            return self.catch_up(at, version, &last);
+    fn on_message(&mut self, id: PeerId, message: ToControl) {
+        if let ToControl::Hello { host, version, last } = message {
+            return self.on_hello(id, &host, version, &last);
         }
-        if peer.name.is_empty() {
-            return self.peers.lose(at, "expected hello first");
+        let Some(peer) = self.peers.get_mut(id) else { return };
+        if !is_known(peer) {
+            return self.peers.disconnect(id, &Disconnect::HelloExpected);
         }
-        let (host, number) = (peer.name.clone(), peer.about);
-        match word {
+        let (host, lender) = (peer.name.clone(), peer.state);
+        match message {
             ToControl::Hello { .. } => {}
             ToControl::ActsOn { version } => {
-                tracing::info!(host, version, "acts on");
-                self.hosts.acts_on(&host, version, now);
+                tracing::info!(host, version, "version accepted");
+                self.rollout.acts_on(&host, version, self.now);
             }
             ToControl::Against { version, why } => {
-                tracing::warn!(host, version, why, "turned down");
-                self.hosts.against(&host, version, &why, now);
+                tracing::warn!(host, version, reason = why, "version rejected");
+                self.rollout.against(&host, version, &why, self.now);
             }
             ToControl::Report { asked, sent, version: _, volumes } => {
-                self.hosts.heard(&host, now);
-                let mut granted: Vec<(String, Units)> = Vec::new();
-                for (volume, lent, wants) in volumes {
-                    // Pools only for what there is: a host cannot make this service grow without bound.
-                    if !self.store.trail().state.volumes.contains_key(&volume) {
-                        continue;
-                    }
-                    let fresh = self.fresh;
-                    let pool =
-                        self.pools.entry(volume.clone()).or_insert_with(|| Pool::new(self.started, fresh));
-                    pool.heard(number, asked, lent, wants, now);
-                    let amount = pool.grant(number, now);
-                    if amount > 0 {
-                        granted.push((volume, amount));
-                    }
-                }
-                if let Some(peer) = self.peers.get_mut(at).filter(|_| !granted.is_empty()) {
-                    peer.lines.say(&ToMember::Granted { sent, span: GRANT, volumes: granted });
-                }
+                self.rollout.heard(&host, self.now);
+                self.on_report(id, lender, asked, sent, volumes);
             }
         }
     }
 
-    /// Sends a host that has come what it lacks: lines where its last one is ours, else the whole state.
-    fn catch_up(&mut self, at: u32, version: u64, last: &str) {
-        let trail = self.store.trail();
-        let lacks = trail.state.version.checked_sub(version).filter(|n| *n <= CATCH_UP);
-        let lines = lacks.and_then(|_| self.store.lines(version + 1, CATCH_UP as usize).ok());
-        // Each line bears the hash of the one before it.
-        let follows = |lines: &Vec<String>| match lines.first() {
-            Some(first) => serde_json::from_str::<Line>(first).is_ok_and(|line| line.after == last),
-            None => trail.last() == last,
-        };
-        let Some(peer) = self.peers.get_mut(at) else { return };
-        match lines.filter(follows) {
-            Some(lines) => lines.into_iter().for_each(|text| peer.lines.say(&ToMember::Line { text })),
-            None => {
-                let (state, last) = (Box::new(trail.state.clone()), trail.last().to_owned());
-                peer.lines.say(&ToMember::Whole { state, last });
-            }
+    fn on_hello(&mut self, id: PeerId, host: &str, version: u64, last: &str) {
+        let Some(peer) = self.peers.get_mut(id) else { return };
+        if !self.rollout.knows(host)
+            && let Err(fault) = self.store.member(host, true)
+        {
+            // It would be forgotten by the next start, and a version be taken for in effect without it.
+            return self.peers.disconnect(id, &Disconnect::Store(fault));
         }
+        let next = self.lender_ids.len() as LenderId;
+        peer.state = *self.lender_ids.entry(host.to_owned()).or_insert(next);
+        host.clone_into(&mut peer.name);
+        self.rollout.heard(host, self.now);
+        self.rollout.acts_on(host, version, self.now);
+        self.catch_up(id, version, last);
     }
 
-    fn round(&mut self) {
-        if self.now >= self.asked + ASK {
-            self.asked = self.now;
-            self.peers.say_all(&ToMember::Ask { asked: self.now }, known);
-        }
-        for (caller, version, until) in std::mem::take(&mut self.waits) {
-            let waits = self.hosts.waits(version, self.now);
-            let text = if waits.is_empty() {
-                format!("version {version} in force at all {} hosts", self.hosts.count())
-            } else if self.now >= until {
-                format!("error: version {version} stands, and is not in force everywhere: {}", tell(&waits))
-            } else {
-                self.waits.push((caller, version, until));
+    /// Takes what a host lends and wants of each volume's limit, and grants it what it can have.
+    fn on_report(
+        &mut self,
+        id: PeerId,
+        lender: LenderId,
+        asked: Millis,
+        sent: Millis,
+        volumes: Vec<(String, Units, Units)>,
+    ) {
+        let mut granted: Vec<(String, Units)> = Vec::new();
+        for (volume, lent, wanted) in volumes {
+            // Pools only for volumes that exist: a host cannot make this service grow without bound.
+            if !self.store.trail().state.volumes.contains_key(&volume) {
                 continue;
-            };
-            if let Some(control) = &mut self.control {
-                control.answer(caller, &text);
+            }
+            let (started, fresh) = (self.started, self.fresh);
+            let pool = self.pools.entry(volume.clone()).or_insert_with(|| Pool::new(started, fresh));
+            pool.heard(lender, asked, lent, wanted, self.now);
+            let amount = pool.grant(lender, self.now);
+            if amount > 0 {
+                granted.push((volume, amount));
             }
         }
-        self.peers.push();
-    }
-
-    /// A line on the control socket: one JSON object. None: the answer comes later.
-    fn told(&mut self, caller: u32, line: &str) -> Result<Option<String>, Failure> {
-        if line == "stop" {
-            self.stops = true;
-            return Ok(Some("stopping".into()));
+        if let Some(peer) = self.peers.get_mut(id).filter(|_| !granted.is_empty()) {
+            peer.connection.send(&ToMember::Granted { sent, span: GRANT, volumes: granted });
         }
-        let asked: PlanRequest = match serde_json::from_str(line) {
-            Ok(asked) => asked,
-            Err(e) => return Ok(Some(format!("error: {e}"))),
-        };
-        self.asked_for(caller, asked).or_else(|why| match why {
-            Why::Said(text) => Ok(Some(format!("error: {text}"))),
-            // A store that fails is no store: hosts go on with what they have.
-            Why::Store(e) => Err(Failure::new(e)),
-        })
     }
 
-    fn asked_for(&mut self, caller: u32, asked: PlanRequest) -> Result<Option<String>, Why> {
-        let read = |e: mallowseam_trail::Fault| Why::Said(e.to_string());
-        let at = |version: u64| {
-            let found = self.store.at(version).map_err(read)?;
-            found.ok_or_else(|| Why::Said(format!("no version {version}")))
+    /// Sends a host that has connected what it lacks: lines of the change log where the last one that it has is
+    /// in it, else a full snapshot.
+    fn catch_up(&mut self, id: PeerId, version: u64, last: &str) {
+        let trail = self.store.trail();
+        let missing = trail.state.version.checked_sub(version).filter(|n| *n <= MAX_CATCH_UP);
+        let lines = missing.and_then(|_| self.store.lines(version + 1, MAX_CATCH_UP as usize).ok());
+        // Each line bears the hash of the one before it.
+        let follows = |lines: &Vec<String>| match lines.first() {
+            Some(first) => serde_json::from_str::<Line>(first).is_ok_and(|line| line.after == last),
+            None => trail.last() == last,
         };
-        match asked {
-            PlanRequest::Set { change, expected, author, reason, dry, wait } => {
-                let trail = self.store.trail();
-                let expected = expected.unwrap_or(trail.state.version);
-                let text = trail.propose(expected, &author, &reason, wall(), change.clone());
-                let text = text.map_err(|r| Why::Said(r.to_string()))?;
-                if dry {
-                    return Ok(Some(format!("would be version {}", expected + 1)));
-                }
-                let lowers = lowers(&trail.state, &change);
-                let line = self.store.keep(&text).map_err(|e| Why::Store(e.to_string()))?;
-                tracing::info!(version = line.version, author = line.author, reason = line.reason, "changed");
-                if lowers {
-                    self.hosts.lowers(line.version);
-                }
-                self.peers.say_all(&ToMember::Line { text }, known);
-                if !wait {
-                    return Ok(Some(format!("version {}", line.version)));
-                }
-                self.waits.push((caller, line.version, self.now + WAIT_MOST));
-                Ok(None)
-            }
-            PlanRequest::Undo { version, author, reason, dry, wait } => {
-                let line = self.store.lines(version, 1).map_err(read)?.pop();
-                let line: Line = line
-                    .and_then(|text| serde_json::from_str(&text).ok())
-                    .ok_or_else(|| Why::Said(format!("no version {version}")))?;
-                let change = at(version - 1)?.state.undo(&line.change);
-                self.asked_for(caller, PlanRequest::Set { change, expected: None, author, reason, dry, wait })
-            }
-            PlanRequest::Show { version } => {
-                let state = match version {
-                    Some(version) => at(version)?.state,
-                    None => self.store.trail().state.clone(),
-                };
-                Ok(Some(serde_json::to_string(&state).expect("plain")))
-            }
-            PlanRequest::History { from, most } => {
-                let lines = self.store.lines(from, most.min(10_000)).map_err(read)?;
-                Ok(Some(lines.join("\n")))
-            }
-            PlanRequest::Diff { one, other } => {
-                let changes = at(one)?.state.diff(&at(other)?.state);
-                let text: Vec<String> =
-                    changes.iter().map(|c| serde_json::to_string(c).expect("plain")).collect();
-                Ok(Some(if text.is_empty() { "no difference".into() } else { text.join("\n") }))
-            }
-            PlanRequest::Hosts => {
-                let (newest, now) = (self.version(), self.now);
-                let waits = self.hosts.waits(newest, now);
-                let everywhere = self.hosts.everywhere(newest, now);
-                let count = self.hosts.count();
-                let mut text =
-                    format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
-                if !waits.is_empty() {
-                    text += &format!("\nwaits: {}", tell(&waits));
-                }
-                Ok(Some(text))
-            }
-            PlanRequest::Gone { host } => {
-                if self.hosts.gone(&host, self.now) {
-                    self.store.member(&host, false).map_err(|e| Why::Store(e.to_string()))?;
-                    Ok(Some(format!("{host} is taken for gone")))
-                } else {
-                    Err(Why::Said(format!("`{host}`: unknown, or heard of in the last seconds")))
-                }
+        let Some(peer) = self.peers.get_mut(id) else { return };
+        match lines.filter(follows) {
+            Some(lines) => {
+                lines.into_iter().for_each(|text| peer.connection.send(&ToMember::Line { text }));
             }
-            PlanRequest::Replay => {
-                let lines = self.store.replay().map_err(read)?;
-                Ok(Some(format!("trail replays: {lines} of {}", self.version())))
+            None => {
+                let (state, last) = (Box::new(trail.state.clone()), trail.last().to_owned());
+                peer.connection.send(&ToMember::Whole { state, last });
             }
         }
     }
-}
-
-enum Why {
-    Said(String),
-    Store(String),
-}
 
-/// What an operator asks.
-#[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum PlanRequest {
-    Set {
-        change: Change,
-        /// The version it was made for; none: whatever stands.
-        expected: Option<u64>,
-        author: String,
-        reason: String,
-        dry: bool,
-        wait: bool,
-    },
-    Undo {
-        version: u64,
-        author: String,
-        reason: String,
-        dry: bool,
-        wait: bool,
-    },
-    Show {
-        version: Option<u64>,
-    },
-    History {
-        from: u64,
-        most: usize,
-    },
-    Diff {
-        one: u64,
-        other: u64,
-    },
-    Hosts,
-    Gone {
-        host: String,
-    },
-    Replay,
+    /// What is due after the events of one poll.
+    fn after_events(&mut self) {
+        if self.now >= self.last_poll + ASK {
+            self.last_poll = self.now;
+            self.peers.broadcast(&ToMember::Ask { asked: self.now }, is_known);
+        }
+        self.answer_rollout_waits();
+        self.peers.flush();
+    }
 }
 
-/// A host that has said hello.
-fn known(peer: &Peer<u32>) -> bool {
+/// Whether a host has said hello.
+fn is_known(peer: &Peer<LenderId>) -> bool {
     !peer.name.is_empty()
 }
 
-/// Seconds since 1970, for readers of the trail.
-fn wall() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |s| s.as_secs())
-}
-
-/// Whether a change lowers the limit of any volume. No limit is the highest.
-fn lowers(state: &State, change: &Change) -> bool {
-    let mut next = state.clone();
-    if next.apply(change).is_err() {
-        return false;
-    }
-    let limit = |p: Option<&Plan>| p.map_or(0, |p| p.limit);
-    state.volumes.keys().any(|v| {
-        let (old, new) = (limit(state.plan_of(v)), limit(next.plan_of(v)));
-        new > 0 && (old == 0 || new < old)
-    })
-}
-
-fn tell(waits: &[Waits]) -> String {
-    let one = |w: &Waits| match w {
-        Waits::Silent { host, acts_on, .. } => format!("{host} is silent, acts on {acts_on}"),
-        Waits::Behind { host, acts_on } => format!("{host} acts on {acts_on}"),
-        Waits::Against { host, why } => format!("{host} turned it down: {why}"),
-        Waits::Lapses { .. } => "what was lent before lapses".into(),
-    };
-    waits.iter().map(one).collect::<Vec<_>>().join("; ")
+/// Seconds since 1970, for readers of the change log.
+fn wall_clock() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -1,27 +1,21 @@
-//! From the configuration to the scheduler's terms and the volumes' layouts.
+//! From the configuration to the scheduler's terms, the volumes' layouts and the replicated form of plans.
 use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
+use mallowseam_plans::state;
 use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
 use mallowseam_settings::Site;
 use mallowseam_settings::site::{self, Direction};
 
-pub fn scheduler_terms(site: &Site) -> Terms {
+/// Replicated figures are in thousandths.
+const THOUSANDTHS: f64 = 1000.0;
+
+/// The terms that the scheduler decides by.
+pub(crate) fn scheduler_terms(site: &Site) -> Terms {
     let fleet = &site.fleet;
-    let group = |g: &site::Group| IoGroup {
-        effect: match g.effect {
-            site::Effect::Idempotent => Effect::Idempotent,
-            site::Effect::SideEffecting => Effect::SideEffecting,
-        },
-        goal: ticks_from_micros_floor(g.goal),
-        late_share: g.late_share,
-        gain: g.gain,
-        ordered: g.ordered,
-        writes: false,
-    };
     Terms {
         hosts: fleet.hosts,
-        groups: site.groups.iter().map(group).collect(),
-        plans: plans(site),
+        groups: site.groups.iter().map(io_class).collect(),
+        plans: scheduler_plans(site),
         mean_units: fleet.mean_units,
         largest: fleet.largest_units,
         share_gain: fleet.share_gain,
@@ -50,61 +44,92 @@
     }
 }
 
-pub fn plans(site: &Site) -> Vec<Plan> {
-    let plan = |p: &site::Plan| Plan {
-        usual: p.usual,
-        reserve: p.reserve,
-        limit: p.limit,
-        limit_burst: p.limit_burst,
-        wt: p.weight,
-        price: p.price,
+fn io_class(class: &site::Group) -> IoGroup {
+    IoGroup {
+        effect: match class.effect {
+            site::Effect::Idempotent => Effect::Idempotent,
+            site::Effect::SideEffecting => Effect::SideEffecting,
+        },
+        goal: ticks_from_micros_floor(class.goal),
+        late_share: class.late_share,
+        gain: class.gain,
+        ordered: class.ordered,
+        writes: false,
+    }
+}
+
+/// The plans as the scheduler takes them.
+pub(crate) fn scheduler_plans(site: &Site) -> Vec<Plan> {
+    let plan = |plan: &site::Plan| Plan {
+        usual: plan.usual,
+        reserve: plan.reserve,
+        limit: plan.limit,
+        limit_burst: plan.limit_burst,
+        wt: plan.weight,
+        price: plan.price,
     };
     site.plans.iter().map(plan).collect()
 }
 
-pub fn layout(site: &Site, volume: &site::Volume) -> VolumeLayout {
-    let extent = |e: &site::Extent| Extent {
-        first_block: e.first,
-        blocks: e.blocks,
-        shard: site.nodes[e.node].shard,
-        first_node_block: e.node_first,
+/// Where a volume's blocks lie, and which I/O class they belong to.
+pub(crate) fn volume_layout(site: &Site, volume: &site::Volume) -> VolumeLayout {
+    let extent = |extent: &site::Extent| Extent {
+        first_block: extent.first,
+        blocks: extent.blocks,
+        shard: site.nodes[extent.node].shard,
+        first_node_block: extent.node_first,
     };
-    let rule = |r: &site::Rule| ClassRule {
-        matches_reads: r.direction != Direction::Write,
-        matches_writes: r.direction != Direction::Read,
-        first_block: r.first,
-        last_block: r.last,
-        class: r.group as u16,
-        blocks_per_key: r.key,
+    VolumeLayout { extents: volume.extents.iter().map(extent).collect(), rules: class_rules(volume) }
+}
+
+/// The layout of a mapped volume: extents of `extent_blocks` blocks, each a shard of its own until it is looked
+/// up.
+pub(crate) fn mapped_layout(volume: &site::Volume, extent_blocks: u64) -> VolumeLayout {
+    let extent = |index: u64| Extent {
+        first_block: index * extent_blocks,
+        blocks: extent_blocks,
+        shard: index as u32,
+        first_node_block: 0,
     };
-    VolumeLayout {
-        extents: volume.extents.iter().map(extent).collect(),
-        rules: volume.rules.iter().map(rule).collect(),
-    }
+    let count = volume.blocks / extent_blocks.max(1);
+    VolumeLayout { extents: (0..count).map(extent).collect(), rules: class_rules(volume) }
+}
+
+fn class_rules(volume: &site::Volume) -> Vec<ClassRule> {
+    let rule = |rule: &site::Rule| ClassRule {
+        matches_reads: rule.direction != Direction::Write,
+        matches_writes: rule.direction != Direction::Read,
+        first_block: rule.first,
+        last_block: rule.last,
+        class: rule.group as u16,
+        blocks_per_key: rule.key,
+    };
+    volume.rules.iter().map(rule).collect()
 }
 
-/// A plan's figures in thousandths, as the control service keeps them.
-pub fn replicated_plan(p: &site::Plan) -> mallowseam_plans::state::Plan {
-    let thousandths = |n: f64| (n * 1000.0).round().clamp(0.0, mallowseam_plans::state::MOST as f64) as u64;
-    mallowseam_plans::state::Plan {
-        usual: thousandths(p.usual),
-        reserve: thousandths(p.reserve),
-        limit: thousandths(p.limit),
-        burst: thousandths(p.limit_burst),
-        weight: thousandths(p.weight),
-        price: thousandths(p.price),
+/// A plan of a configuration in the form that the plan service keeps: figures in thousandths.
+pub fn replicated_plan(plan: &site::Plan) -> state::Plan {
+    let thousandths = |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MOST as f64) as u64;
+    state::Plan {
+        usual: thousandths(plan.usual),
+        reserve: thousandths(plan.reserve),
+        limit: thousandths(plan.limit),
+        burst: thousandths(plan.limit_burst),
+        weight: thousandths(plan.weight),
+        price: thousandths(plan.price),
     }
 }
 
-pub fn configured_plan(name: &str, p: &mallowseam_plans::state::Plan) -> site::Plan {
-    let whole = |n: u64| n as f64 / 1000.0;
+/// A plan of the plan service in the form of a configuration.
+pub(crate) fn configured_plan(name: &str, plan: &state::Plan) -> site::Plan {
+    let units = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
     site::Plan {
         name: name.to_owned(),
-        usual: whole(p.usual),
-        reserve: whole(p.reserve),
-        limit: whole(p.limit),
-        limit_burst: whole(p.burst),
-        weight: whole(p.weight),
-        price: whole(p.price),
+        usual: units(plan.usual),
+        reserve: units(plan.reserve),
+        limit: units(plan.limit),
+        limit_burst: units(plan.burst),
+        weight: units(plan.weight),
+        price: units(plan.price),
     }
 }
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -1,189 +1,282 @@
-//! Snapshots to files and back, through a host as any client reads and writes.
-use crate::blocking_client::BlockingClient;
-use crate::control_socket;
-use mallowseam_archive::{Head, Next, Reader, Writer};
+//! Exports of snapshots to files and imports from them, through a host as any client reads and writes.
+use crate::blocking_client::{BlockingClient, ClientError};
+use crate::control_socket::{self, RequestError};
+use mallowseam_archive::{Head, Next, Reader, Standing, Writer};
 use mallowseam_cow::tree::Tree;
-use mallowseam_iscsi::scsi::{self, status};
+use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_settings::Site;
 use std::fs::{File, OpenOptions};
-use std::io::{BufReader, BufWriter, Seek, SeekFrom};
-use std::path::Path;
+use std::io::{self, BufReader, BufWriter, Seek, SeekFrom};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A host that turns a read or write away is tried again, so often and with such pauses, before it is given up.
-const TRIES: u32 = 100;
-const PAUSE: Duration = Duration::from_millis(50);
+/// How often a read or write that the host rejects is attempted before the export or import is given up.
+const MAX_ATTEMPTS: u32 = 100;
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Bytes of one read or write.
-const PIECE: u64 = 64 * 1024;
+const TRANSFER_LEN: u64 = 64 * 1024;
 
-fn tree(site: &Site) -> Result<Tree, String> {
-    let control = site.catalog.as_ref().and_then(|c| c.control.clone());
-    let path = control.ok_or("no `control` in section catalog")?;
-    let text = control_socket::ask(&path, "tree").map_err(|e| format!("{}: {e}", path.display()))?;
-    serde_json::from_str(&text).map_err(|e| format!("the catalog's answer: {e}"))
+/// Why an export or import could not be done.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ArchiveError {
+    #[error("no `control` in section catalog")]
+    NoControlSocket,
+    #[error("{}: {source}", socket.display())]
+    Catalog { socket: PathBuf, source: RequestError },
+    #[error("the catalog's answer: {0}")]
+    Tree(#[source] serde_json::Error),
+    #[error("`{0}`: no such volume, clone or snapshot")]
+    NoSuchUnit(String),
+    #[error("no mapped volume")]
+    NoMappedVolume,
+    #[error("{0}")]
+    NoSuchSnapshot(mallowseam_cow::tree::Refused),
+    #[error("{address}: {source}")]
+    Login { address: SocketAddr, source: ClientError },
+    #[error(transparent)]
+    Client(#[from] ClientError),
+    #[error("block {lba}: {sense:?}")]
+    Failed { lba: u64, sense: Option<Sense> },
+    #[error("block {lba}: status {status:#04x} after {MAX_ATTEMPTS} tries")]
+    RetriesExhausted { lba: u64, status: u8 },
+    #[error("{}: {source}", file.display())]
+    File { file: PathBuf, source: io::Error },
+    #[error("{}: {fault}", file.display())]
+    Archive { file: PathBuf, fault: mallowseam_archive::Fault },
+    #[error("{}: holds `{held}`, not `{wanted}`", file.display())]
+    AnotherSnapshot { file: PathBuf, held: String, wanted: String },
+    #[error(
+        "{}: {extents} extents of {extent_bytes} bytes, `{name}` has {unit_extents} of {unit_extent_bytes}",
+        file.display()
+    )]
+    AnotherSize {
+        file: PathBuf,
+        extents: u32,
+        extent_bytes: u32,
+        name: String,
+        unit_extents: u32,
+        unit_extent_bytes: u64,
+    },
 }
 
-/// A unit as a client sees it.
-struct Unit {
+/// Names the file in errors.
+#[derive(Clone, Copy)]
+struct ArchivePath<'a>(&'a Path);
+
+impl ArchivePath<'_> {
+    fn io(self, source: io::Error) -> ArchiveError {
+        ArchiveError::File { file: self.0.to_owned(), source }
+    }
+
+    fn fault(self, fault: mallowseam_archive::Fault) -> ArchiveError {
+        ArchiveError::Archive { file: self.0.to_owned(), fault }
+    }
+
+    fn reader(self) -> Result<Reader<BufReader<File>>, ArchiveError> {
+        let file = File::open(self.0).map_err(|e| self.io(e))?;
+        Reader::new(BufReader::new(file)).map_err(|e| self.fault(e))
+    }
+}
+
+/// The tree as the catalog has it now.
+fn fetch_tree(site: &Site) -> Result<Tree, ArchiveError> {
+    let socket = site.catalog.as_ref().and_then(|catalog| catalog.control.clone());
+    let socket = socket.ok_or(ArchiveError::NoControlSocket)?;
+    let text = control_socket::ask(&socket, "tree")
+        .map_err(|source| ArchiveError::Catalog { socket: socket.clone(), source })?;
+    serde_json::from_str(&text).map_err(ArchiveError::Tree)
+}
+
+/// A mapped volume, clone or snapshot, read and written through a host.
+struct RemoteUnit {
     client: BlockingClient,
     lun: u32,
-    block: u64,
-    /// Blocks of an extent, and extents.
-    extent: u64,
+    block_size: u64,
+    blocks_per_extent: u64,
     extents: u32,
 }
 
-impl Unit {
-    fn open(site: &Site, tree: &Tree, name: &str) -> Result<Unit, String> {
-        let extent = site.catalog.as_ref().map_or(1, |c| c.extent);
-        let configured = site.volumes.iter().find(|v| v.mapped && v.name == name);
+impl RemoteUnit {
+    fn open(site: &Site, tree: &Tree, name: &str) -> Result<RemoteUnit, ArchiveError> {
+        let blocks_per_extent = site.catalog.as_ref().map_or(1, |catalog| catalog.extent);
+        let configured = site.volumes.iter().find(|volume| volume.mapped && volume.name == name);
         let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
-            (Some(v), ..) => (v.lun.into(), (v.blocks / extent) as u32),
-            (None, Some(b), _) => (b.unit, b.extents),
-            (None, None, Some(s)) => (s.unit, s.extents),
-            (None, None, None) => return Err(format!("`{name}`: no such volume, clone or snapshot")),
+            (Some(volume), ..) => (volume.lun.into(), (volume.blocks / blocks_per_extent) as u32),
+            (None, Some(branch), _) => (branch.unit, branch.extents),
+            (None, None, Some(snapshot)) => (snapshot.unit, snapshot.extents),
+            (None, None, None) => return Err(ArchiveError::NoSuchUnit(name.to_owned())),
         };
-        let volume = site.volumes.iter().find(|v| v.mapped).ok_or("no mapped volume")?;
-        let address = site.host.listen.expect("checked");
+        let volume = site.volumes.iter().find(|v| v.mapped).ok_or(ArchiveError::NoMappedVolume)?;
+        let address = site.host.listen.expect("a checked configuration names it");
         let client = BlockingClient::open(address, Some(&site.host.target), std::process::id())
-            .map_err(|e| format!("{address}: {e}"))?;
-        Ok(Unit { client, lun, block: volume.block_size.into(), extent, extents })
+            .map_err(|source| ArchiveError::Login { address, source })?;
+        Ok(RemoteUnit { client, lun, block_size: volume.block_size.into(), blocks_per_extent, extents })
     }
 
-    fn ask(&mut self, write: bool, lba: u64, data: &[u8], bytes: u64) -> Result<Vec<u8>, String> {
-        let cdb = scsi::rw16(write, lba, (bytes / self.block) as u32, 0);
-        let mut last = String::new();
-        for _ in 0..TRIES {
-            let room = if write { 0 } else { bytes as usize };
+    fn extent_bytes(&self) -> u64 {
+        self.blocks_per_extent * self.block_size
+    }
+
+    /// One read or write of `bytes` bytes, attempted again while the host rejects it. Reads are attempted again
+    /// after any failure, writes only where the host says that they have not run.
+    fn transfer(&mut self, write: bool, lba: u64, data: &[u8], bytes: u64) -> Result<Vec<u8>, ArchiveError> {
+        let cdb = scsi::rw16(write, lba, (bytes / self.block_size) as u32, 0);
+        let room = if write { 0 } else { bytes as usize };
+        let mut last_status = status::GOOD;
+        for _ in 0..MAX_ATTEMPTS {
             let answer = self.client.execute(self.lun, &cdb, room, data.to_vec())?;
             match answer.status {
                 status::GOOD => return Ok(answer.data),
                 status::BUSY | status::TASK_SET_FULL => {}
                 _ if !write => {}
-                _ => return Err(format!("block {lba}: {:?}", answer.sense)),
+                _ => return Err(ArchiveError::Failed { lba, sense: answer.sense }),
             }
-            last = format!("status {:#04x}", answer.status);
-            std::thread::sleep(PAUSE);
+            last_status = answer.status;
+            std::thread::sleep(RETRY_PAUSE);
         }
-        Err(format!("block {lba}: {last} after {TRIES} tries"))
+        Err(ArchiveError::RetriesExhausted { lba, status: last_status })
     }
 
-    fn read(&mut self, extent: u32) -> Result<Vec<u8>, String> {
-        let (first, bytes) = (u64::from(extent) * self.extent, self.extent * self.block);
+    fn read(&mut self, extent: u32) -> Result<Vec<u8>, ArchiveError> {
+        let (first, bytes) = (u64::from(extent) * self.blocks_per_extent, self.extent_bytes());
         let mut out = Vec::with_capacity(bytes as usize);
         while (out.len() as u64) < bytes {
-            let len = PIECE.min(bytes - out.len() as u64);
-            let lba = first + out.len() as u64 / self.block;
-            out.extend_from_slice(&self.ask(false, lba, &[], len)?);
+            let len = TRANSFER_LEN.min(bytes - out.len() as u64);
+            let lba = first + out.len() as u64 / self.block_size;
+            out.extend_from_slice(&self.transfer(false, lba, &[], len)?);
         }
         Ok(out)
     }
 
-    fn write(&mut self, extent: u32, data: &[u8]) -> Result<(), String> {
-        let first = u64::from(extent) * self.extent;
-        for (i, piece) in data.chunks(PIECE as usize).enumerate() {
-            let lba = first + i as u64 * PIECE / self.block;
-            self.ask(true, lba, piece, piece.len() as u64)?;
+    fn write(&mut self, extent: u32, data: &[u8]) -> Result<(), ArchiveError> {
+        let first = u64::from(extent) * self.blocks_per_extent;
+        for (index, chunk) in data.chunks(TRANSFER_LEN as usize).enumerate() {
+            let lba = first + index as u64 * TRANSFER_LEN / self.block_size;
+            self.transfer(true, lba, chunk, chunk.len() as u64)?;
         }
         Ok(())
     }
 }
 
-/// Writes a snapshot to a file. One that stands there half written is gone on with.
-pub fn export(site: &Site, name: &str, file: &Path) -> Result<String, String> {
-    let tree = tree(site)?;
-    let snapshot = tree.snapshot(name).map_err(|r| r.to_string())?;
-    let mut unit = Unit::open(site, &tree, name)?;
-    let head =
-        Head { name: name.to_owned(), extent: (unit.extent * unit.block) as u32, extents: unit.extents };
-    let shown = file.display();
-    let io = |e: std::io::Error| format!("{shown}: {e}");
-    let fault = |e: mallowseam_archive::Fault| format!("{shown}: {e}");
-    let standing = match File::open(file) {
-        Ok(old) if old.metadata().map_err(io)?.len() > 0 => {
-            let mut reader = Reader::new(BufReader::new(old)).map_err(fault)?;
-            if *reader.head() != head {
-                return Err(format!("{shown}: holds `{}`, not `{name}`", reader.head().name));
-            }
-            loop {
-                match reader.advance() {
-                    Ok(Next::Extent(..)) => {}
-                    Ok(Next::End) => return Ok(format!("{shown}: whole already")),
-                    Err(_) => break Some(reader.standing().clone()),
-                }
-            }
-        }
-        _ => None,
+/// How far a file already holds an export.
+enum Existing {
+    Nothing,
+    Complete,
+    Partial(Box<Standing>),
+}
+
+/// Reads what a file holds of an export. Error: it holds another one.
+fn read_existing(path: ArchivePath, head: &Head) -> Result<Existing, ArchiveError> {
+    let file = match File::open(path.0) {
+        Ok(file) if file.metadata().map_err(|e| path.io(e))?.len() > 0 => file,
+        _ => return Ok(Existing::Nothing),
     };
-    let from = standing.as_ref().and_then(|s| s.last).map_or(0, |l| l + 1);
-    let mut out = OpenOptions::new().create(true).write(true).truncate(false).open(file).map_err(io)?;
-    let mut writer = match standing {
+    let mut reader = Reader::new(BufReader::new(file)).map_err(|e| path.fault(e))?;
+    if reader.head() != head {
+        let (held, wanted) = (reader.head().name.clone(), head.name.clone());
+        return Err(ArchiveError::AnotherSnapshot { file: path.0.to_owned(), held, wanted });
+    }
+    loop {
+        match reader.advance() {
+            Ok(Next::Extent(..)) => {}
+            Ok(Next::End) => return Ok(Existing::Complete),
+            Err(_) => return Ok(Existing::Partial(Box::new(reader.standing().clone()))),
+        }
+    }
+}
+
+/// Opens a file for the rest of an export.
+fn open_writer(
+    path: ArchivePath,
+    head: &Head,
+    standing: Option<Standing>,
+) -> Result<Writer<BufWriter<File>>, ArchiveError> {
+    let mut options = OpenOptions::new();
+    let mut file = options.create(true).write(true).truncate(false).open(path.0).map_err(|e| path.io(e))?;
+    match standing {
         Some(standing) => {
-            out.set_len(standing.bytes).map_err(io)?;
-            out.seek(SeekFrom::End(0)).map_err(io)?;
-            Writer::resume(BufWriter::new(out), standing)
+            file.set_len(standing.bytes).map_err(|e| path.io(e))?;
+            file.seek(SeekFrom::End(0)).map_err(|e| path.io(e))?;
+            Ok(Writer::resume(BufWriter::new(file), standing))
         }
-        None => Writer::new(BufWriter::new(out), &head).map_err(fault)?,
+        None => Writer::new(BufWriter::new(file), head).map_err(|e| path.fault(e)),
+    }
+}
+
+/// Writes a snapshot to a file. An incomplete export of the same snapshot is resumed. Returns what was done.
+pub(crate) fn export(site: &Site, name: &str, file: &Path) -> Result<String, ArchiveError> {
+    let tree = fetch_tree(site)?;
+    let snapshot = tree.snapshot(name).map_err(ArchiveError::NoSuchSnapshot)?;
+    let mut unit = RemoteUnit::open(site, &tree, name)?;
+    let head = Head { name: name.to_owned(), extent: unit.extent_bytes() as u32, extents: unit.extents };
+    let path = ArchivePath(file);
+    let standing = match read_existing(path, &head)? {
+        Existing::Complete => return Ok(format!("{}: whole already", file.display())),
+        Existing::Partial(standing) => Some(*standing),
+        Existing::Nothing => None,
     };
+    let first = standing.as_ref().and_then(|standing| standing.last).map_or(0, |last| last + 1);
+    let mut writer = open_writer(path, &head, standing)?;
     let mut written = 0;
-    for extent in from..unit.extents {
+    for extent in first..unit.extents {
         // What was never written reads as zeros, here and after an import.
         if tree.find(snapshot.layer, extent).is_none() {
             continue;
         }
         let data = unit.read(extent)?;
-        if data.iter().any(|b| *b != 0) {
-            writer.extent(extent, &data).map_err(fault)?;
+        if data.iter().any(|byte| *byte != 0) {
+            writer.extent(extent, &data).map_err(|e| path.fault(e))?;
             written += 1;
         }
     }
-    let bytes = writer.end().map_err(fault)?;
-    let gone_on = if from > 0 { format!(", gone on from extent {from}") } else { String::new() };
-    Ok(format!("{name}: {written} extents written{gone_on}; {bytes} bytes in all"))
+    let bytes = writer.end().map_err(|e| path.fault(e))?;
+    let resumed = if first > 0 { format!(", gone on from extent {first}") } else { String::new() };
+    Ok(format!("{name}: {written} extents written{resumed}; {bytes} bytes in all"))
 }
 
-/// Writes a file into a volume or clone, which then shows just that. What stands there already is left alone,
-/// so that an import that broke off goes on.
-pub fn import(site: &Site, file: &Path, name: &str) -> Result<String, String> {
-    let shown = file.display();
-    let fault = |e: mallowseam_archive::Fault| format!("{shown}: {e}");
+/// Writes a file into a volume or clone, which then reads as the exported snapshot. Extents that read so
+/// already are left alone, so that an import that broke off is resumed. Returns what was done.
+pub(crate) fn import(site: &Site, file: &Path, name: &str) -> Result<String, ArchiveError> {
+    let path = ArchivePath(file);
     // All of it is read once before anything is written.
-    let open = || File::open(file).map_err(|e| format!("{shown}: {e}"));
-    let mut check = Reader::new(BufReader::new(open()?)).map_err(fault)?;
-    while check.advance().map_err(fault)? != Next::End {}
-    let tree = tree(site)?;
-    let mut unit = Unit::open(site, &tree, name)?;
+    let mut check = path.reader()?;
+    while check.advance().map_err(|e| path.fault(e))? != Next::End {}
+    let tree = fetch_tree(site)?;
+    let mut unit = RemoteUnit::open(site, &tree, name)?;
     let head = check.head();
-    if u64::from(head.extent) != unit.extent * unit.block || head.extents != unit.extents {
-        return Err(format!(
-            "{shown}: {} extents of {} bytes, `{name}` has {} of {}",
-            head.extents,
-            head.extent,
-            unit.extents,
-            unit.extent * unit.block
-        ));
+    if u64::from(head.extent) != unit.extent_bytes() || head.extents != unit.extents {
+        return Err(ArchiveError::AnotherSize {
+            file: file.to_owned(),
+            extents: head.extents,
+            extent_bytes: head.extent,
+            name: name.to_owned(),
+            unit_extents: unit.extents,
+            unit_extent_bytes: unit.extent_bytes(),
+        });
     }
-    let mut reader = Reader::new(BufReader::new(open()?)).map_err(fault)?;
+    let mut reader = path.reader()?;
     let (mut written, mut next) = (0, 0);
-    let mut put = |unit: &mut Unit, extent: u32, data: &[u8]| -> Result<(), String> {
+    let mut put = |unit: &mut RemoteUnit, extent: u32, data: &[u8]| -> Result<(), ArchiveError> {
         if unit.read(extent)? != data {
             unit.write(extent, data)?;
             written += 1;
         }
         Ok(())
     };
-    let zeros = vec![0; (unit.extent * unit.block) as usize];
+    let zeros = vec![0; unit.extent_bytes() as usize];
     loop {
-        let (upto, data) = match reader.advance().map_err(fault)? {
+        let (end, data) = match reader.advance().map_err(|e| path.fault(e))? {
             Next::Extent(extent, data) => (extent, Some(data)),
             Next::End => (unit.extents, None),
         };
-        for extent in next..upto {
+        for extent in next..end {
             put(&mut unit, extent, &zeros)?;
         }
         let Some(data) = data else { break };
-        put(&mut unit, upto, &data)?;
-        next = upto + 1;
+        put(&mut unit, end, &data)?;
+        next = end + 1;
     }
     Ok(format!("{name}: shows {}; {written} extents written", reader.head().name))
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,185 +1,220 @@
-//! The catalog's process: keeps the tree, tells hosts of its changes, has nodes close and give back.
+//! The snapshot catalog service: keeps the tree of layers, tells hosts of its changes, and has nodes close layers
+//! and free places.
+//!
+//! - `hosts`: messages of hosts, and what a host that connects is sent.
+//! - `operator`: requests on the control socket, and operations whose end an operator waits for.
+//! - `node_commands`: commands at nodes, which close layers to writes and free places.
+//! - `listing`: the tree as text.
+mod hosts;
+mod listing;
+mod node_commands;
+mod operator;
+
 use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
-use crate::control_socket::{self, Control};
-use crate::json_lines::{Bounds, Peer, Peers};
-use crate::node_connections::{Nodes, Order};
-use crate::startup::{self, Failure, failure, signals};
+use crate::control_socket::{self, ConnectionId, ControlSocket};
+use crate::error::Error;
+use crate::json_lines::{Limits, PeerId, Peers};
+use crate::node_connections::Nodes;
+use crate::startup;
+use hosts::Hello;
 use mallowseam_catalog::Catalog;
-use mallowseam_cow::cache::{layer_of, settle};
-use mallowseam_cow::cut::{Cut, Failed, Turn, leave};
 use mallowseam_cow::free::Free;
 use mallowseam_cow::leases::Leases;
-use mallowseam_cow::tree::{Change, LayerId, Tree};
-use mallowseam_cow::words::{ToCatalog, ToHost, whole};
+use mallowseam_cow::tree::{Change, LayerId, Refused, Tree};
+use mallowseam_cow::words::ToHost;
 use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::scsi;
-use mallowseam_scheduler::host::{Ending, Tick};
+use mallowseam_scheduler::host::Tick;
 use mallowseam_settings::Site;
+use mallowseam_settings::site::{self, Volume};
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
+use node_commands::NodeCommand;
+use operator::PendingOperation;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
 
 const LISTENER: Token = Token(0);
 const CONTROL: Token = Token(1);
 const SIGNALS: Token = Token(2);
-const CALLERS: usize = 3;
-const NODES: usize = CALLERS + control_socket::MOST;
-const SCRATCH: usize = 64 * 1024;
-/// Longest line of a host, and bytes that may wait for one: a host that takes nothing is dropped.
-const BOUNDS: Bounds = Bounds { longest: 64 * 1024, waiting: 128 << 20 };
-/// Ticks a node has to close a layer or give a place back, and between two looks at what is due.
-const ORDER_WITHIN: Tick = 20_000;
-const LOOK: Tick = 100;
-/// Ticks after which hosts that have not said that they are clear are asked again.
-const ASK_AGAIN: Tick = 2_000;
+/// First token of connections to the control socket.
+const FIRST_CALLER: usize = 3;
+/// First token of connections to nodes; those of hosts follow.
+const FIRST_NODE: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+const READ_BUFFER: usize = 64 * 1024;
+const MAX_EVENTS: usize = 256;
+const LIMITS: Limits = Limits { max_line: 64 * 1024, max_unsent: 128 << 20 };
+/// Ticks between two periodic checks of leases, connections and layers.
+const CHECK_PERIOD: Tick = 100;
+/// Ticks after which hosts that have not said that they are clear of a layer are asked again.
+const ASK_CLEAR_PERIOD: Tick = 2_000;
+
+/// Whether a host has said hello and is sent every change from then on.
+type Subscribed = bool;
 
-/// What a node was asked to do.
-enum Asked {
-    Close(LayerId, u32),
-    GiveBack(LayerId, u32),
-    /// A copy that came second; what is left of it if its node does not answer, `verify` finds.
-    Drop,
+/// A place that was told to hosts, and is opened to writes once no host acts on an older version.
+struct PendingOpen {
+    version: u64,
+    layer: LayerId,
+    extent: u32,
 }
 
-/// An operator who waits for the end of what was asked.
-enum Waits {
-    /// Until all hosts that may act are known: branch and name.
-    Begin(String, String),
-    Snapshot(Cut),
-    /// Until a layer is closed (0: none) and a version counts.
-    Counts(u64, LayerId, String),
+/// What is sent once the changes of this iteration are on disk.
+enum Reply {
+    Operator(ConnectionId, String),
+    Host(PeerId, ToHost),
 }
 
-struct Service {
+struct CatalogService {
     site: Site,
     clock: Clock,
     now: Tick,
     catalog: Catalog,
     leases: Leases,
+    /// Places to be freed.
     free: Free,
-    /// With whether a host has said hello, and hears of every change from now on.
-    hosts: Peers<bool>,
+    hosts: Peers<Subscribed>,
+    first_host_token: usize,
     nodes: Nodes,
-    control: Option<Control>,
+    control: Option<ControlSocket>,
     signals: UnixStream,
-    hosts_from: usize,
-    orders: BTreeMap<u32, (Asked, Tick)>,
-    tag: u32,
-    opening: Vec<(u64, LayerId, u32)>,
-    waits: Vec<(u32, Waits)>,
-    replies: Vec<(u32, String)>,
-    /// Hosts that have said hello, with what they hold.
-    hello: Vec<(u32, Option<(u64, u64)>)>,
-    stops: bool,
-    /// This round has put a batch on disk.
-    changed: bool,
-    steps: u64,
-    die_at: Option<u64>,
-    looked: Tick,
-    asked_clear: Tick,
-    scratch: Vec<u8>,
+    /// Commands in flight at nodes, by tag.
+    commands: BTreeMap<u32, NodeCommand>,
+    last_tag: u32,
+    pending_opens: Vec<PendingOpen>,
+    pending_operations: Vec<PendingOperation>,
+    replies: Vec<Reply>,
+    /// Hosts that have said hello in this iteration.
+    hellos: Vec<Hello>,
+    stopping: bool,
+    /// This iteration has put a batch on disk.
+    stored: bool,
+    /// Crash points passed so far, and the one at which the process aborts.
+    crash_points: u64,
+    crash_at: Option<u64>,
+    last_check: Tick,
+    last_ask_clear: Tick,
+    read_buffer: Vec<u8>,
 }
 
-/// Runs the catalog of a site until it is told to stop.
+/// Runs the snapshot catalog of a site until it is told to stop.
 ///
-/// `die_at`: aborts at that step, as a crash would. Steps lie before and after the store takes a batch, after
-/// hosts and operators have been told, and after a node has carried an order out.
-pub fn run(site: Site, die_at: Option<u64>) -> Result<(), Failure> {
-    let mut poll = Poll::new().map_err(failure("poll".into()))?;
-    let mut service = Service::open(site, &poll)?;
-    service.die_at = die_at;
-    let mut events = Events::with_capacity(256);
-    while !service.stops {
-        let wait = ticks_to_duration((service.looked + LOOK - service.clock.now()).max(0));
-        if let Err(e) = poll.poll(&mut events, Some(wait))
+/// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after hosts
+/// and operators have been told, and after a node has carried a command out.
+///
+/// # Errors
+/// An address, path or store of the configuration cannot be had, or the store fails later.
+pub(crate) fn run(site: Site, crash_at: Option<u64>) -> Result<(), Error> {
+    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut service = CatalogService::open(site, &poll)?;
+    service.crash_at = crash_at;
+    let mut events = Events::with_capacity(MAX_EVENTS);
+    while !service.stopping {
+        let timeout = ticks_to_duration((service.last_check + CHECK_PERIOD - service.clock.now()).max(0));
+        if let Err(e) = poll.poll(&mut events, Some(timeout))
             && e.kind() != ErrorKind::Interrupted
         {
-            return Err(Failure::new(format!("poll: {e}")));
+            return Err(Error::Poll(e));
         }
         service.now = service.clock.now();
         for event in events.iter() {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
-            service.ready(event.token(), readable);
+            service.on_event(event.token(), readable);
         }
-        service.round()?;
+        service.after_events()?;
     }
-    tracing::info!("catalog ends");
+    tracing::info!("snapshot catalog stopped");
     Ok(())
 }
 
-impl Service {
-    fn open(site: Site, poll: &Poll) -> Result<Self, Failure> {
-        let settings = site.catalog.clone().ok_or_else(|| Failure::new("no section catalog".into()))?;
-        let registry = || poll.registry().try_clone().map_err(failure("poll".into()));
-        let address = settings.listen.expect("checked");
-        let hosts_from = NODES + site.nodes.len();
-        let hosts = Peers::open(address, poll, LISTENER, hosts_from, BOUNDS)?;
-        let control = startup::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
+impl CatalogService {
+    fn open(site: Site, poll: &Poll) -> Result<Self, Error> {
+        let settings = site.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
+        let address = settings.listen.expect("a checked configuration names it");
+        let first_host_token = FIRST_NODE + site.nodes.len();
+        let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
+        let control = startup::control_socket(settings.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
         let catalog = Catalog::open(&settings.store)
-            .map_err(|e| Failure::new(format!("{}: {e}", settings.store.display())))?;
+            .map_err(|fault| Error::OpenCatalogStore { path: settings.store.clone(), fault })?;
         let initiator = format!("{}:catalog", site.host.target);
-        let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry()?, NODES);
+        let registry = startup::registry(poll)?;
+        let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry, FIRST_NODE);
         let clock = Clock::from_zero();
         let now = clock.now();
         let fresh = catalog.tree().version == 0;
-        tracing::info!(listen = %address, version = catalog.tree().version, "catalog starts");
-        let mut service = Service {
-            hosts_from,
+        tracing::info!(listen = %address, version = catalog.tree().version, "snapshot catalog started");
+        let mut service = CatalogService {
+            site,
+            clock,
             now,
             free: Free::of(catalog.tree()),
             catalog,
             leases: Leases::new(ticks_to_millis(now), fresh),
             hosts,
+            first_host_token,
             nodes,
             control,
-            signals: signals(poll, SIGNALS).map_err(failure("signals".into()))?,
-            orders: BTreeMap::new(),
-            tag: 0,
-            opening: Vec::new(),
-            waits: Vec::new(),
+            signals: startup::signals(poll, SIGNALS)?,
+            commands: BTreeMap::new(),
+            last_tag: 0,
+            pending_opens: Vec::new(),
+            pending_operations: Vec::new(),
             replies: Vec::new(),
-            hello: Vec::new(),
-            stops: false,
-            changed: false,
-            steps: 0,
-            die_at: None,
-            looked: now,
-            asked_clear: now,
-            scratch: vec![0; SCRATCH],
-            clock,
-            site,
+            hellos: Vec::new(),
+            stopping: false,
+            stored: false,
+            crash_points: 0,
+            crash_at: None,
+            last_check: now,
+            last_ask_clear: now,
+            read_buffer: vec![0; READ_BUFFER],
         };
-        // Places that were told and not opened before the last end.
-        let tree = service.catalog.tree();
-        for (layer, l) in &tree.layers {
-            for extent in l.places.keys().filter(|e| !l.opened.contains(e)) {
-                service.opening.push((tree.version, *layer, *extent));
+        service.resume_pending_opens();
+        service.create_configured_branches(&settings)?;
+        Ok(service)
+    }
+
+    /// Places that were told and not opened before the last stop are opened by this run.
+    fn resume_pending_opens(&mut self) {
+        let tree = self.catalog.tree();
+        for (id, layer) in &tree.layers {
+            for extent in layer.places.keys().filter(|extent| !layer.opened.contains(extent)) {
+                let (version, layer, extent) = (tree.version, *id, *extent);
+                self.pending_opens.push(PendingOpen { version, layer, extent });
             }
         }
-        for volume in service.site.volumes.clone().iter().filter(|v| v.mapped) {
-            if !service.next().branches.contains_key(&volume.name) {
+    }
+
+    /// Creates a branch for each mapped volume that has none yet.
+    fn create_configured_branches(&mut self, settings: &site::Catalog) -> Result<(), Error> {
+        let mapped: Vec<Volume> = self.site.volumes.iter().filter(|v| v.mapped).cloned().collect();
+        for volume in mapped {
+            if !self.tree().branches.contains_key(&volume.name) {
                 let extents = (volume.blocks / settings.extent) as u32;
-                let made = Change::Made { branch: volume.name.clone(), extents };
-                service.propose(made).map_err(|r| Failure::new(r.to_string()))?;
+                let created = Change::Made { branch: volume.name, extents };
+                self.propose(created).map_err(Error::ConfiguredVolume)?;
             }
         }
-        Ok(service)
+        Ok(())
     }
 
-    /// Makes a change that counts once the batch is on disk.
-    fn propose(&mut self, change: Change) -> Result<u64, mallowseam_cow::tree::Refused> {
+    /// Makes a change, which counts once the batch is on disk. Its version.
+    fn propose(&mut self, change: Change) -> Result<u64, Refused> {
         let touched = self.catalog.propose(change)?;
         self.free.noticed(self.catalog.tree(), &touched);
         Ok(self.catalog.tree().version)
     }
 
-    /// The tree with changes that are not on disk yet.
-    fn next(&self) -> &Tree {
+    /// The tree, with the changes that are not on disk yet.
+    fn tree(&self) -> &Tree {
         self.catalog.tree()
     }
 
-    fn ready(&mut self, token: Token, readable: bool) {
+    /// Blocks of an extent.
+    fn extent_blocks(&self) -> u64 {
+        self.site.catalog.as_ref().map_or(1, |catalog| catalog.extent)
+    }
+
+    fn on_event(&mut self, token: Token, readable: bool) {
         match token {
             LISTENER => self.hosts.accept(),
             CONTROL => {
@@ -189,484 +224,109 @@
             }
             SIGNALS => {
                 let mut bytes = [0; 16];
-                self.stops |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
+                self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
             }
-            Token(t) if t < NODES => {
-                let at = (t - CALLERS) as u32;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.ready(at)) {
-                    match self.told(at, &line) {
-                        Ok(Some(answer)) => self.replies.push((at, answer)),
-                        Ok(None) => {}
-                        Err(why) => self.replies.push((at, format!("error: {why}"))),
-                    }
+            Token(token) if token < FIRST_NODE => {
+                let caller = (token - FIRST_CALLER) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
+                    self.on_request(caller, &line);
                 }
             }
-            Token(t) if t < self.hosts_from => {
-                let at = t - NODES;
-                let mut more = self.nodes.ready(at, readable, &mut self.scratch, self.now);
+            Token(token) if token < self.first_host_token => {
+                let node = token - FIRST_NODE;
+                let mut more = self.nodes.on_ready(node, readable, &mut self.read_buffer, self.now);
                 while more {
-                    more = self.nodes.read(at, &mut self.scratch, self.now);
-                }
-            }
-            Token(t) => self.read((t - self.hosts_from) as u32),
-        }
-    }
-
-    fn read(&mut self, at: u32) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        while let Some(lines) = self.hosts.read(at, &mut scratch) {
-            for line in lines {
-                match serde_json::from_slice(&line) {
-                    Ok(word) => self.heard(at, word),
-                    Err(e) => self.hosts.lose(at, &e.to_string()),
+                    more = self.nodes.read(node, &mut self.read_buffer, self.now);
                 }
             }
+            Token(token) => self.read_host((token - self.first_host_token) as PeerId),
         }
-        self.scratch = scratch;
     }
 
-    fn heard(&mut self, at: u32, word: ToCatalog) {
+    /// What is due after the events of one poll.
+    fn after_events(&mut self) -> Result<(), Error> {
         let now = ticks_to_millis(self.now);
-        let Some(host) = self.hosts.get_mut(at) else { return };
-        match word {
-            ToCatalog::Hello { host: name, have } => {
-                host.name = name;
-                self.hello.push((at, have));
-            }
-            ToCatalog::Renew { sent, seen } => {
-                let span = self.leases.renew(&host.name, seen, now);
-                host.lines.say(&ToHost::Lease { sent, span });
-            }
-            ToCatalog::Seen { version } => self.leases.seen(&host.name, version),
-            ToCatalog::Numbers { layer, count } => {
-                let first = self.next().layers.get(&layer).map_or(0, |l| l.next_number);
-                if self.propose(Change::Numbers { layer, first, count }).is_ok() {
-                    // Told behind the change, once that is on disk.
-                    let word = ToHost::Numbers { layer, first, count };
-                    self.after(at, word);
-                }
-            }
-            ToCatalog::Clear { layer } => {
-                for (_, wait) in &mut self.waits {
-                    if let Waits::Snapshot(cut) = wait {
-                        cut.clear(layer, &host.name);
-                    }
-                }
-            }
-            ToCatalog::Leave { layer } => self.leave(at, layer),
-            ToCatalog::Placed { layer, extent, place } => {
-                let change = Change::Placed { layer, extent, place };
-                match settle(self.next(), &change) {
-                    Ok(None) => {
-                        if let Ok(version) = self.propose(change) {
-                            self.opening.push((version, layer, extent));
-                        }
-                    }
-                    Ok(Some(first)) if first == place => {}
-                    _ => {
-                        // It was never referred to and never will be.
-                        self.after(at, ToHost::NotPlaced { layer, extent });
-                        let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
-                        let run = (u64::from(place.number) * blocks, blocks as u32);
-                        if (place.node as usize) < self.nodes.all.len() {
-                            self.order(Asked::Drop, place.node, layer, scsi::unmap(&[run]));
-                        }
-                    }
-                }
-            }
-        }
-    }
-
-    /// A host asks to complete a write that has parts in a layer: cuts that are pending are made anew behind it.
-    fn leave(&mut self, at: u32, layer: LayerId) {
-        let Some((given, between)) = leave(self.next(), layer) else {
-            return self.after(at, ToHost::Leave { layer, given: false });
-        };
-        if given {
-            for (_, wait) in &mut self.waits {
-                if let Waits::Snapshot(cut) = wait
-                    && between.contains(&cut.layer)
-                {
-                    cut.behind();
-                }
-            }
-        }
-        self.after(at, ToHost::Leave { layer, given });
-    }
-
-    /// A cut has ended: hosts begin writes of several parts again, if no other one of the branch is pending.
-    fn cut_over(&mut self, branch: &str) {
-        let other = |w: &(u32, Waits)| matches!(&w.1, Waits::Snapshot(cut) if cut.branch == branch);
-        if self.waits.iter().any(other) {
-            return;
-        }
-        for at in self.hosts.indices() {
-            self.after(at, ToHost::Over { branch: branch.to_owned() });
+        self.on_completed_commands();
+        self.open_places(now);
+        if self.now >= self.last_check + CHECK_PERIOD {
+            self.last_check = self.now;
+            self.on_timer(now);
         }
+        self.tend_operations(now);
+        self.store_changes()?;
+        self.nodes.flush();
+        self.send_replies();
+        Ok(())
     }
 
-    /// Asks hosts that pending cuts wait for whether they are clear.
-    fn ask_clear(&mut self, now: u64) {
-        let holding = self.leases.holding(now);
-        let mut asks = Vec::new();
-        for (_, wait) in &mut self.waits {
-            if let Waits::Snapshot(cut) = wait {
-                let unclear = cut.unclear(&holding).clone();
-                asks.push((unclear, ToHost::AskClear { layer: cut.layer, branch: cut.branch.clone() }));
-            }
+    /// Periodic checks.
+    fn on_timer(&mut self, now: u64) {
+        self.leases.tidy(now);
+        if self.last_ask_clear + ASK_CLEAR_PERIOD <= self.now {
+            self.last_ask_clear = self.now;
+            self.ask_clear(now);
         }
-        for (hosts, word) in asks {
-            let of = |(at, host): (u32, &Peer<bool>)| hosts.contains(&host.name).then_some(at);
-            for at in self.hosts.iter().filter_map(of).collect::<Vec<_>>() {
-                self.after(at, word.clone());
-            }
-        }
-    }
-
-    fn begin_cut(&mut self, caller: u32, branch: &str, name: &str) -> Result<(), String> {
-        let now = ticks_to_millis(self.now);
-        let begun = Cut::begin(self.next(), branch, name, self.leases.holding(now), now);
-        let (change, cut) = begun.map_err(|f| self.why(&f))?;
-        self.propose(change).map_err(|r| r.to_string())?;
-        self.waits.push((caller, Waits::Snapshot(cut)));
-        // Not a moment is lost: nodes and hosts are asked in this round.
+        self.nodes.on_timer(self.now);
         self.close_layers();
-        self.ask_clear(now);
-        Ok(())
-    }
-
-    /// Says something once the batch is on disk: kept as a reply of this round.
-    fn after(&mut self, at: u32, word: ToHost) {
-        let text = serde_json::to_string(&word).expect("words are plain");
-        self.replies.push((u32::MAX - at, text));
+        self.free_places(now);
     }
 
-    /// What is due after the events of one poll.
-    fn round(&mut self) -> Result<(), Failure> {
-        let now = ticks_to_millis(self.now);
-        self.node_ends();
-        for (version, layer, extent) in std::mem::take(&mut self.opening) {
-            if self.leases.counts(version, now) {
-                let _ = self.propose(Change::Opened { layer, extent });
+    /// Opens places to writes once no host acts on a tree without them.
+    fn open_places(&mut self, now: u64) {
+        for pending in std::mem::take(&mut self.pending_opens) {
+            if self.leases.counts(pending.version, now) {
+                let _ = self.propose(Change::Opened { layer: pending.layer, extent: pending.extent });
             } else {
-                self.opening.push((version, layer, extent));
-            }
-        }
-        if self.now >= self.looked + LOOK {
-            self.looked = self.now;
-            self.leases.tidy(now);
-            if self.asked_clear + ASK_AGAIN <= self.now {
-                self.asked_clear = self.now;
-                self.ask_clear(now);
+                self.pending_opens.push(pending);
             }
-            self.nodes.care(self.now);
-            self.close_layers();
-            self.give_back(now);
         }
-        self.tend_waits(now);
-        self.keep()?;
-        self.nodes.flush();
-        self.answer();
-        Ok(())
     }
 
-    fn step(&mut self) {
-        self.steps += 1;
-        if self.die_at == Some(self.steps) {
+    /// A point at which tests have the process crash.
+    fn crash_point(&mut self) {
+        self.crash_points += 1;
+        if self.crash_at == Some(self.crash_points) {
             std::process::abort();
         }
     }
 
-    /// Puts the batch on disk, then tells the hosts.
-    fn keep(&mut self) -> Result<(), Failure> {
-        // A store that fails is no store: hosts go on by their leases, and a new process reads what is there.
-        self.changed = self.catalog.kept() < self.next().version;
-        if self.changed {
-            self.step();
+    /// Puts the changes of this iteration on disk, then queues them for the hosts.
+    fn store_changes(&mut self) -> Result<(), Error> {
+        self.stored = self.catalog.kept() < self.tree().version;
+        if self.stored {
+            self.crash_point();
         }
-        let (first, batch) = self.catalog.keep().map_err(|e| Failure::new(e.to_string()))?;
-        if self.changed {
-            self.step();
+        // A store that fails is no store: hosts go on by their leases, and a new process reads what is there.
+        let (first, changes) = self.catalog.keep().map_err(Error::CatalogStore)?;
+        if self.stored {
+            self.crash_point();
         }
-        for (version, change) in (first..).zip(batch) {
-            self.hosts.say_all(&ToHost::Changed { version, change }, |host| host.about);
+        for (version, change) in (first..).zip(changes) {
+            self.hosts.broadcast(&ToHost::Changed { version, change }, |host| host.state);
         }
-        self.greet();
+        self.welcome_hosts();
         Ok(())
     }
 
-    /// Tells hosts that have said hello what they lack of what is on disk; later changes follow one by one.
-    fn greet(&mut self) {
-        for (at, have) in std::mem::take(&mut self.hello) {
-            let Some(host) = self.hosts.get_mut(at) else { continue };
-            host.about = true;
-            let id = self.catalog.id();
-            let since = have.filter(|h| h.0 == id).and_then(|h| self.catalog.since(h.1));
-            match since {
-                Some(missed) => {
-                    for (version, change) in missed {
-                        host.lines.say(&ToHost::Changed { version, change: change.clone() });
-                    }
-                    host.lines.say(&ToHost::Going);
-                }
-                None => whole(id, self.catalog.tree()).for_each(|word| host.lines.say(&word)),
-            }
-        }
-    }
-
-    fn answer(&mut self) {
-        for (at, text) in std::mem::take(&mut self.replies) {
-            if at > u32::MAX / 2 {
-                if let Some(host) = self.hosts.get_mut(u32::MAX - at) {
-                    host.lines.say_written(&text);
-                }
-            } else if let Some(control) = &mut self.control {
-                control.answer(at, &text);
-            }
-        }
-        self.hosts.push();
-        if std::mem::take(&mut self.changed) {
-            self.step();
-        }
-    }
-
-    fn order(&mut self, asked: Asked, node: u32, lun: LayerId, command: ([u8; 16], Vec<u8>)) {
-        self.tag = self.tag.wrapping_add(1);
-        let (cdb, data) = command;
-        let order = Order { tag: self.tag, lun: Some(lun), cdb, room: 0, data: data.into() };
-        self.orders.insert(self.tag, (asked, self.now + ORDER_WITHIN));
-        self.nodes.submit(node as usize, order, self.now);
-    }
-
-    /// Every frozen layer is closed at every node that holds a place of it, however often that takes.
-    fn close_layers(&mut self) {
-        for (layer, node) in self.next().to_close().collect::<Vec<_>>() {
-            let same = |o: &(Asked, Tick)| matches!(o.0, Asked::Close(l, n) if (l, n) == (layer, node));
-            if !self.orders.values().any(same) {
-                self.order(Asked::Close(layer, node), node, layer, scsi::write_protect(true));
-            }
-        }
-    }
-
-    fn give_back(&mut self, now: u64) {
-        let limit = self.site.groups.iter().map(|g| g.hard_limit / 1000).max().unwrap_or(0);
-        let pending = |w: &(u32, Waits)| match &w.1 {
-            Waits::Snapshot(cut) => Some(cut.layer),
-            Waits::Counts(..) | Waits::Begin(..) => None,
-        };
-        let kept = self.waits.iter().filter_map(pending).collect();
-        let tree = self.catalog.tree();
-        let extent_blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
-        for (layer, extent) in self.free.lot(tree, &kept, &self.leases, limit, now) {
-            let Some(place) = self.next().layers.get(&layer).and_then(|l| l.places.get(&extent)).copied()
-            else {
-                continue;
-            };
-            let run = (u64::from(place.number) * extent_blocks, extent_blocks as u32);
-            self.order(Asked::GiveBack(layer, extent), place.node, layer, scsi::unmap(&[run]));
-        }
-        for layer in self.free.idle(self.catalog.tree(), &kept) {
-            let _ = self.propose(Change::Freed { layer, extents: Vec::new() });
-        }
-    }
-
-    fn node_ends(&mut self) {
-        while let Some((_, result)) = self.nodes.ended() {
-            let Some((asked, _)) = self.orders.remove(&result.tag) else { continue };
-            self.order_over(asked, result.ending == Ending::Done);
-        }
-        let late: Vec<u32> = self.orders.iter().filter(|o| o.1.1 <= self.now).map(|o| *o.0).collect();
-        for tag in late {
-            let Some((asked, _)) = self.orders.remove(&tag) else { continue };
-            let node = match &asked {
-                Asked::Close(_, node) => Some(*node),
-                Asked::Drop => None,
-                Asked::GiveBack(layer, extent) => {
-                    self.next().layers.get(layer).and_then(|l| l.places.get(extent)).map(|p| p.node)
-                }
-            };
-            if let Some(node) = node {
-                self.nodes.give_up(node as usize, tag, self.now);
-            }
-            self.order_over(asked, false);
-        }
-    }
-
-    fn order_over(&mut self, asked: Asked, done: bool) {
-        self.step();
-        match asked {
-            Asked::Close(layer, node) if done => drop(self.propose(Change::Closed { layer, node })),
-            Asked::GiveBack(layer, extent) if done => {
-                self.free.done((layer, extent));
-                let _ = self.propose(Change::Freed { layer, extents: vec![extent] });
-            }
-            Asked::GiveBack(layer, extent) => self.free.failed((layer, extent), ticks_to_millis(self.now)),
-            Asked::Close(..) | Asked::Drop => {}
-        }
-    }
-
-    fn tend_waits(&mut self, now: u64) {
-        let mut over: Vec<String> = Vec::new();
-        for (caller, mut wait) in std::mem::take(&mut self.waits) {
-            match &mut wait {
-                Waits::Begin(branch, name) => {
-                    if !self.leases.knows_all(now) {
-                        self.waits.push((caller, wait));
-                    } else if let Err(why) = self.begin_cut(caller, branch, name) {
-                        self.replies.push((caller, format!("error: {why}")));
+    /// Sends what waited for the changes to be on disk.
+    fn send_replies(&mut self) {
+        for reply in std::mem::take(&mut self.replies) {
+            match reply {
+                Reply::Host(id, message) => {
+                    if let Some(host) = self.hosts.get_mut(id) {
+                        host.connection.send(&message);
                     }
                 }
-                Waits::Snapshot(cut) => match cut.turn(self.next(), now) {
-                    Turn::Wait => self.waits.push((caller, wait)),
-                    Turn::Anew => {
-                        let change = cut.anew(self.next(), self.leases.holding(now));
-                        change.into_iter().for_each(|c| drop(self.propose(c)));
-                        self.waits.push((caller, wait));
-                        self.close_layers();
-                        self.ask_clear(now);
-                    }
-                    Turn::Grant(change) => {
-                        over.push(cut.branch.clone());
-                        let full = format!("{}@{}", cut.branch, cut.name);
-                        match self.propose(change) {
-                            Ok(version) => {
-                                tracing::info!(snapshot = full, "granted");
-                                let unit = self.next().snapshots[&full].unit;
-                                // Told once every host knows its unit.
-                                let text = format!("{full} granted, LUN {unit}");
-                                self.waits.push((caller, Waits::Counts(version, 0, text)));
-                            }
-                            Err(r) => self.replies.push((caller, format!("error: {r}"))),
-                        }
-                    }
-                    Turn::Fail(why) => {
-                        over.push(cut.branch.clone());
-                        let text = self.why(&why);
-                        tracing::warn!(snapshot = format!("{}@{}", cut.branch, cut.name), text, "failed");
-                        self.replies.push((caller, format!("error: {text}")));
-                    }
-                },
-                Waits::Counts(version, old, text) => {
-                    let closed = self
-                        .next()
-                        .layers
-                        .get(old)
-                        .is_none_or(|_| !self.next().to_close().any(|c| c.0 == *old));
-                    if closed && self.leases.counts(*version, now) {
-                        self.replies.push((caller, text.clone()));
-                    } else {
-                        self.waits.push((caller, wait));
+                Reply::Operator(caller, text) => {
+                    if let Some(control) = &mut self.control {
+                        control.answer(caller, &text);
                     }
                 }
             }
         }
-        over.iter().for_each(|branch| self.cut_over(branch));
-    }
-
-    fn why(&self, failed: &Failed) -> String {
-        match failed {
-            Failed::Refused(text) => text.clone(),
-            Failed::Unclear(hosts) => {
-                let names: Vec<&str> = hosts.iter().map(String::as_str).collect();
-                format!("writes under way at {}; no snapshot was made", names.join(", "))
-            }
-            Failed::Unclosed(nodes) => {
-                let names: Vec<&str> =
-                    nodes.iter().map(|n| self.nodes.all[*n as usize].name.as_str()).collect();
-                format!("not closed in time by {}; no snapshot was made", names.join(", "))
-            }
+        self.hosts.flush();
+        if std::mem::take(&mut self.stored) {
+            self.crash_point();
         }
     }
-
-    /// A line on the control socket. None: the answer comes later.
-    fn told(&mut self, caller: u32, line: &str) -> Result<Option<String>, String> {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let refused = |r: mallowseam_cow::tree::Refused| r.to_string();
-        match words.as_slice() {
-            ["snapshot", branch, name] => {
-                if self.leases.knows_all(ticks_to_millis(self.now)) {
-                    self.begin_cut(caller, branch, name)?;
-                } else {
-                    self.waits.push((caller, Waits::Begin((*branch).to_owned(), (*name).to_owned())));
-                }
-                Ok(None)
-            }
-            ["clone", snapshot, branch] => {
-                let (snapshot, branch) = ((*snapshot).to_owned(), (*branch).to_owned());
-                let change = Change::Cloned { snapshot, branch: branch.clone() };
-                let version = self.propose(change).map_err(refused)?;
-                let text = format!("{branch} made, LUN {}", self.next().branches[&branch].unit);
-                self.waits.push((caller, Waits::Counts(version, 0, text)));
-                Ok(None)
-            }
-            ["rollback", branch, snapshot] => {
-                let old = self.next().branch(branch).map_err(refused)?.head;
-                let (branch, snapshot) = ((*branch).to_owned(), (*snapshot).to_owned());
-                let text = format!("{branch} shows {snapshot}");
-                let version = self.propose(Change::RolledBack { branch, snapshot }).map_err(refused)?;
-                self.waits.push((caller, Waits::Counts(version, old, text)));
-                self.close_layers();
-                Ok(None)
-            }
-            ["delete", name] => {
-                let change = if name.contains('@') {
-                    Change::SnapshotDeleted { snapshot: (*name).to_owned() }
-                } else if self.site.volumes.iter().any(|v| v.name == *name) {
-                    return Err(format!("`{name}`: a volume of the configuration"));
-                } else {
-                    Change::BranchDeleted { branch: (*name).to_owned() }
-                };
-                self.propose(change).map_err(refused)?;
-                Ok(Some(format!("{name} deleted; its space is given back in the background")))
-            }
-            ["list"] => Ok(Some(list(self.next()))),
-            ["diff", a, b] => {
-                let layer = |n: &str| layer_of(self.next(), n).ok_or_else(|| format!("`{n}`: no such name"));
-                let extents = |n: &str| {
-                    let branch = self.next().branches.get(n).map(|b| b.extents);
-                    branch.or_else(|| self.next().snapshots.get(n).map(|s| s.extents)).unwrap_or(0)
-                };
-                let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
-                let found = self.next().diff(layer(a)?, layer(b)?, extents(a).max(extents(b)));
-                Ok(Some(runs(&found, blocks)))
-            }
-            ["tree"] => serde_json::to_string(self.next()).map(Some).map_err(|e| e.to_string()),
-            ["stop"] => {
-                self.stops = true;
-                Ok(Some("stopping".into()))
-            }
-            _ => {
-                Err(format!("`{line}`: expected snapshot, clone, rollback, delete, list, diff, tree or stop"))
-            }
-        }
-    }
-}
-
-fn list(tree: &Tree) -> String {
-    let mut out = Vec::new();
-    for (name, b) in &tree.branches {
-        let origin = b.origin.as_deref().map_or(String::new(), |o| format!("  clone of {o}"));
-        let own = tree.layers.get(&b.head).map_or(0, |l| l.places.len());
-        out.push(format!("{name}  LUN {}  {own} of {} extents its own{origin}", b.unit, b.extents));
-    }
-    for (name, s) in &tree.snapshots {
-        out.push(format!("{name}  LUN {}  layer {}", s.unit, s.layer));
-    }
-    out.join("\n")
-}
-
-/// Extents as runs of blocks, first to last.
-fn runs(extents: &[u32], blocks: u64) -> String {
-    let mut out: Vec<(u64, u64)> = Vec::new();
-    for e in extents {
-        let (from, to) = (u64::from(*e) * blocks, (u64::from(*e) + 1) * blocks - 1);
-        match out.last_mut() {
-            Some(last) if last.1 + 1 == from => last.1 = to,
-            _ => out.push((from, to)),
-        }
-    }
-    if out.is_empty() {
-        return "no difference".into();
-    }
-    out.iter().map(|(a, b)| format!("{a}-{b}")).collect::<Vec<_>>().join("\n")
 }
--- /dev/null
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -0,0 +1,284 @@
+//! The operator's side of the snapshot catalog: requests on the control socket, and operations that take a while.
+use super::listing::{block_runs, list};
+use super::{CatalogService, Reply};
+use crate::clock::ticks_to_millis;
+use crate::control_socket::ConnectionId;
+use crate::json_lines::PeerId;
+use mallowseam_cow::cache::layer_of;
+use mallowseam_cow::cut::{Cut, Failed, Turn};
+use mallowseam_cow::tree::{Change, LayerId, Refused};
+use mallowseam_cow::words::ToHost;
+
+/// An operation whose end an operator waits for.
+pub(super) struct PendingOperation {
+    caller: ConnectionId,
+    pub(super) operation: Operation,
+}
+
+/// What an operator waits for.
+pub(super) enum Operation {
+    /// A snapshot is begun once all hosts that may act are known.
+    BeginCut { branch: String, name: String },
+    /// A snapshot is under way.
+    Cut(Cut),
+    /// A version is in effect at all hosts, and nodes have closed a layer.
+    Rollout { version: u64, closing: Option<LayerId>, answer: String },
+}
+
+/// Why a request is refused, or an operation failed.
+#[derive(Debug, thiserror::Error)]
+enum OperatorError {
+    #[error("{0}")]
+    Refused(Refused),
+    /// The tree's reason.
+    #[error("{0}")]
+    CutRefused(String),
+    /// These hosts have writes of several parts under way, or do not say that they have none.
+    #[error("writes under way at {}; no snapshot was made", .0.join(", "))]
+    HostsNotClear(Vec<String>),
+    /// These nodes have not closed their layers in time.
+    #[error("not closed in time by {}; no snapshot was made", .0.join(", "))]
+    NodesNotClosed(Vec<String>),
+    #[error("`{0}`: a volume of the configuration")]
+    ConfiguredVolume(String),
+    #[error("`{0}`: no such name")]
+    NoSuchName(String),
+    #[error(transparent)]
+    Serialize(#[from] serde_json::Error),
+    #[error("`{0}`: expected snapshot, clone, rollback, delete, list, diff, tree or stop")]
+    Unknown(String),
+}
+
+/// Answer to a request; none: it follows when an operation has ended.
+type Answer = Option<String>;
+
+impl CatalogService {
+    /// Handles a line on the control socket.
+    pub(super) fn on_request(&mut self, caller: ConnectionId, line: &str) {
+        match self.execute(caller, line) {
+            Ok(Some(answer)) => self.replies.push(Reply::Operator(caller, answer)),
+            Ok(None) => {}
+            Err(e) => self.replies.push(Reply::Operator(caller, format!("error: {e}"))),
+        }
+    }
+
+    fn execute(&mut self, caller: ConnectionId, line: &str) -> Result<Answer, OperatorError> {
+        let words: Vec<&str> = line.split_whitespace().collect();
+        match words.as_slice() {
+            ["snapshot", branch, name] => self.request_snapshot(caller, branch, name),
+            ["clone", snapshot, branch] => self.create_clone(caller, snapshot, branch),
+            ["rollback", branch, snapshot] => self.roll_back(caller, branch, snapshot),
+            ["delete", name] => self.delete(name).map(Some),
+            ["list"] => Ok(Some(list(self.tree()))),
+            ["diff", one, other] => self.diff(one, other).map(Some),
+            ["tree"] => Ok(Some(serde_json::to_string(self.tree())?)),
+            ["stop"] => {
+                self.stopping = true;
+                Ok(Some("stopping".to_owned()))
+            }
+            _ => Err(OperatorError::Unknown(line.to_owned())),
+        }
+    }
+
+    fn wait(&mut self, caller: ConnectionId, operation: Operation) {
+        self.pending_operations.push(PendingOperation { caller, operation });
+    }
+
+    fn request_snapshot(
+        &mut self,
+        caller: ConnectionId,
+        branch: &str,
+        name: &str,
+    ) -> Result<Answer, OperatorError> {
+        if self.leases.knows_all(ticks_to_millis(self.now)) {
+            self.begin_cut(caller, branch, name)?;
+        } else {
+            let (branch, name) = (branch.to_owned(), name.to_owned());
+            self.wait(caller, Operation::BeginCut { branch, name });
+        }
+        Ok(None)
+    }
+
+    fn create_clone(
+        &mut self,
+        caller: ConnectionId,
+        snapshot: &str,
+        branch: &str,
+    ) -> Result<Answer, OperatorError> {
+        let change = Change::Cloned { snapshot: snapshot.to_owned(), branch: branch.to_owned() };
+        let version = self.propose(change).map_err(OperatorError::Refused)?;
+        let answer = format!("{branch} made, LUN {}", self.tree().branches[branch].unit);
+        self.wait(caller, Operation::Rollout { version, closing: None, answer });
+        Ok(None)
+    }
+
+    fn roll_back(
+        &mut self,
+        caller: ConnectionId,
+        branch: &str,
+        snapshot: &str,
+    ) -> Result<Answer, OperatorError> {
+        let old_head = self.tree().branch(branch).map_err(OperatorError::Refused)?.head;
+        let change = Change::RolledBack { branch: branch.to_owned(), snapshot: snapshot.to_owned() };
+        let version = self.propose(change).map_err(OperatorError::Refused)?;
+        let answer = format!("{branch} shows {snapshot}");
+        self.wait(caller, Operation::Rollout { version, closing: Some(old_head), answer });
+        self.close_layers();
+        Ok(None)
+    }
+
+    fn delete(&mut self, name: &str) -> Result<String, OperatorError> {
+        let change = if name.contains('@') {
+            Change::SnapshotDeleted { snapshot: name.to_owned() }
+        } else if self.site.volumes.iter().any(|volume| volume.name == name) {
+            return Err(OperatorError::ConfiguredVolume(name.to_owned()));
+        } else {
+            Change::BranchDeleted { branch: name.to_owned() }
+        };
+        self.propose(change).map_err(OperatorError::Refused)?;
+        Ok(format!("{name} deleted; its space is given back in the background"))
+    }
+
+    /// Runs of blocks in which two volumes, clones or snapshots may differ.
+    fn diff(&self, one: &str, other: &str) -> Result<String, OperatorError> {
+        let tree = self.tree();
+        let layer =
+            |name: &str| layer_of(tree, name).ok_or_else(|| OperatorError::NoSuchName(name.to_owned()));
+        let extents = |name: &str| {
+            let branch = tree.branches.get(name).map(|branch| branch.extents);
+            branch.or_else(|| tree.snapshots.get(name).map(|snapshot| snapshot.extents)).unwrap_or(0)
+        };
+        let differing = tree.diff(layer(one)?, layer(other)?, extents(one).max(extents(other)));
+        Ok(block_runs(&differing, self.extent_blocks()))
+    }
+
+    /// Freezes the head of a branch; the snapshot is granted once nodes and hosts have answered.
+    fn begin_cut(&mut self, caller: ConnectionId, branch: &str, name: &str) -> Result<(), OperatorError> {
+        let now = ticks_to_millis(self.now);
+        let begun = Cut::begin(self.tree(), branch, name, self.leases.holding(now), now);
+        let (change, cut) = begun.map_err(|failure| self.failure(failure))?;
+        self.propose(change).map_err(OperatorError::Refused)?;
+        self.wait(caller, Operation::Cut(cut));
+        // No time is lost: nodes and hosts are asked in this iteration.
+        self.close_layers();
+        self.ask_clear(now);
+        Ok(())
+    }
+
+    fn failure(&self, failure: Failed) -> OperatorError {
+        match failure {
+            Failed::Refused(reason) => OperatorError::CutRefused(reason),
+            Failed::Unclear(hosts) => OperatorError::HostsNotClear(hosts.into_iter().collect()),
+            Failed::Unclosed(nodes) => {
+                let name = |node: u32| self.nodes.name(node as usize).to_owned();
+                OperatorError::NodesNotClosed(nodes.into_iter().map(name).collect())
+            }
+        }
+    }
+
+    /// Asks hosts that pending cuts wait for whether they are clear of the cut's layer.
+    pub(super) fn ask_clear(&mut self, now: u64) {
+        let holding = self.leases.holding(now);
+        let mut questions = Vec::new();
+        for pending in &mut self.pending_operations {
+            if let Operation::Cut(cut) = &mut pending.operation {
+                let unclear = cut.unclear(&holding).clone();
+                let question = ToHost::AskClear { layer: cut.layer, branch: cut.branch.clone() };
+                questions.push((unclear, question));
+            }
+        }
+        for (unclear, question) in questions {
+            let is_unclear = |name: &String| unclear.contains(name);
+            let hosts: Vec<PeerId> =
+                self.hosts.iter().filter(|(_, host)| is_unclear(&host.name)).map(|(id, _)| id).collect();
+            for host in hosts {
+                self.replies.push(Reply::Host(host, question.clone()));
+            }
+        }
+    }
+
+    /// Goes on with pending operations, as far as that is possible now.
+    pub(super) fn tend_operations(&mut self, now: u64) {
+        let mut ended_cuts: Vec<String> = Vec::new();
+        for pending in std::mem::take(&mut self.pending_operations) {
+            let PendingOperation { caller, operation } = pending;
+            match operation {
+                Operation::BeginCut { branch, name } => self.tend_begin_cut(caller, branch, name, now),
+                Operation::Cut(cut) => ended_cuts.extend(self.tend_cut(caller, cut, now)),
+                Operation::Rollout { version, closing, answer } => {
+                    let open = |layer: LayerId| {
+                        self.tree().layers.contains_key(&layer)
+                            && self.tree().to_close().any(|(other, _)| other == layer)
+                    };
+                    if !closing.is_some_and(open) && self.leases.counts(version, now) {
+                        self.replies.push(Reply::Operator(caller, answer));
+                    } else {
+                        self.wait(caller, Operation::Rollout { version, closing, answer });
+                    }
+                }
+            }
+        }
+        ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
+    }
+
+    fn tend_begin_cut(&mut self, caller: ConnectionId, branch: String, name: String, now: u64) {
+        if !self.leases.knows_all(now) {
+            self.wait(caller, Operation::BeginCut { branch, name });
+        } else if let Err(e) = self.begin_cut(caller, &branch, &name) {
+            self.replies.push(Reply::Operator(caller, format!("error: {e}")));
+        }
+    }
+
+    /// The next step of a snapshot that is under way. Its branch, if the cut has ended.
+    fn tend_cut(&mut self, caller: ConnectionId, mut cut: Cut, now: u64) -> Option<String> {
+        match cut.turn(self.tree(), now) {
+            Turn::Wait => {
+                self.wait(caller, Operation::Cut(cut));
+                None
+            }
+            Turn::Anew => {
+                if let Some(change) = cut.anew(self.tree(), self.leases.holding(now)) {
+                    let _ = self.propose(change);
+                }
+                self.wait(caller, Operation::Cut(cut));
+                self.close_layers();
+                self.ask_clear(now);
+                None
+            }
+            Turn::Grant(change) => {
+                self.grant(caller, &cut, change);
+                Some(cut.branch)
+            }
+            Turn::Fail(failure) => {
+                let reason = self.failure(failure);
+                tracing::warn!(snapshot = format!("{}@{}", cut.branch, cut.name), %reason, "snapshot failed");
+                self.replies.push(Reply::Operator(caller, format!("error: {reason}")));
+                Some(cut.branch)
+            }
+        }
+    }
+
+    /// Names the frozen layer. The caller is told once every host knows the snapshot's unit.
+    fn grant(&mut self, caller: ConnectionId, cut: &Cut, change: Change) {
+        let snapshot = format!("{}@{}", cut.branch, cut.name);
+        match self.propose(change) {
+            Ok(version) => {
+                tracing::info!(snapshot, "snapshot granted");
+                let answer = format!("{snapshot} granted, LUN {}", self.tree().snapshots[&snapshot].unit);
+                self.wait(caller, Operation::Rollout { version, closing: None, answer });
+            }
+            Err(refused) => self.replies.push(Reply::Operator(caller, format!("error: {refused}"))),
+        }
+    }
+
+    /// A cut has ended: hosts begin writes of several parts again, if no other cut of the branch is pending.
+    fn on_cut_end(&mut self, branch: &str) {
+        let is_cut_of_branch = |pending: &PendingOperation| matches!(&pending.operation, Operation::Cut(cut) if cut.branch == branch);
+        if self.pending_operations.iter().any(is_cut_of_branch) {
+            return;
+        }
+        for host in self.hosts.ids() {
+            self.replies.push(Reply::Host(host, ToHost::Over { branch: branch.to_owned() }));
+        }
+    }
+}
--- a/crates/gateway/src/socket_io.rs
+++ b/crates/gateway/src/socket_io.rs
@@ -1,20 +1,23 @@
-//! What waits for an iSCSI connection goes out as far as its socket takes it.
+//! Reads and writes of connections, without blocking.
 use mallowseam_iscsi::frame::Outgoing;
-use mallowseam_sockets::nonblocking::{self, ConnectionError};
-pub use mallowseam_sockets::nonblocking::{ReadOutcome, read, write_buffer};
+pub use mallowseam_sockets::nonblocking::{ConnectionError, ReadOutcome, read, write_buffer};
 use std::io::Write;
 
-/// Writes what waits; how many bytes went, or why the socket is over.
+/// Writes what waits for an iSCSI connection, as far as its socket takes it; how many bytes were written.
+///
+/// # Errors
+/// The connection is of no further use.
 pub fn write(socket: &mut impl Write, out: &mut Outgoing) -> Result<usize, ConnectionError> {
-    let mut all = 0;
+    let mut total = 0;
     while !out.waiting().is_empty() {
         let wanted = out.waiting().len();
-        let sent = nonblocking::write(socket, out.waiting()).map_err(|error| error.source)?;
-        out.wrote(sent);
-        all += sent;
-        if sent < wanted {
+        let written =
+            mallowseam_sockets::nonblocking::write(socket, out.waiting()).map_err(|error| error.source)?;
+        out.wrote(written);
+        total += written;
+        if written < wanted {
             break;
         }
     }
-    Ok(all)
+    Ok(total)
 }
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,92 +1,138 @@
-//! Walks catalog and nodes and counts references: every place of the tree, and every block that nodes hold.
-use crate::blocking_client::BlockingClient;
+//! Verification of the snapshot catalog against the nodes: every place of the tree, and every block that nodes
+//! hold.
+use crate::blocking_client::{BlockingClient, ClientError};
 use mallowseam_catalog::Catalog;
-use mallowseam_cow::tree::{LayerId, Place, Tree};
+use mallowseam_cow::tree::{FIRST_LAYER, LayerId, Place, Tree};
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_settings::Site;
+use mallowseam_settings::site::Node;
 use std::collections::{BTreeMap, BTreeSet};
+use std::path::PathBuf;
 
-/// Room for one answer of a node: some thousand runs.
-const ROOM: u32 = 64 * 1024;
+/// Bytes of one answer to GET LBA STATUS: some thousand runs.
+const LBA_STATUS_LEN: u32 = 64 * 1024;
 
-/// What was found.
+/// Why the catalog could not be verified.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum VerifyError {
+    #[error("no section catalog")]
+    NoCatalog,
+    #[error("{}: {fault}", path.display())]
+    Store { path: PathBuf, fault: mallowseam_catalog::Fault },
+    #[error("{node}: {source}")]
+    Node { node: String, source: ClientError },
+    #[error("{node}: no sound answer to GET LBA STATUS")]
+    LbaStatus { node: String },
+}
+
+/// What the walk has found.
 #[derive(Debug, Default)]
-pub struct Found {
-    pub places: usize,
-    /// Places whose node holds something there. The rest read as zeros.
-    pub held: usize,
+pub(crate) struct Findings {
+    /// Places that the tree refers to.
+    pub(crate) places: usize,
+    /// Those whose node holds data there; the others read as zeros.
+    pub(crate) places_with_data: usize,
     /// Places that a node holds and nothing refers to.
-    pub leaked: Vec<(LayerId, Place)>,
-    pub faults: Vec<String>,
+    pub(crate) leaked: Vec<(LayerId, Place)>,
+    /// Contradictions, a line each.
+    pub(crate) faults: Vec<String>,
 }
 
-/// Looks at a stopped catalog's store and at all nodes. `mend` gives back what nothing refers to.
-pub fn run(site: &Site, mend: bool) -> Result<Found, String> {
-    let settings = site.catalog.as_ref().ok_or("no section catalog")?;
-    let catalog = Catalog::open(&settings.store).map_err(|e| format!("{}: {e}", settings.store.display()))?;
+/// Layer and number of places, as a set for each node.
+type References = BTreeMap<u32, BTreeSet<(LayerId, u32)>>;
+
+/// Walks the store of a stopped catalog and all nodes. With `reclaim`, places that nothing refers to are
+/// unmapped.
+pub(crate) fn run(site: &Site, reclaim: bool) -> Result<Findings, VerifyError> {
+    let settings = site.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
+    let catalog = Catalog::open(&settings.store)
+        .map_err(|fault| VerifyError::Store { path: settings.store.clone(), fault })?;
     let tree = catalog.tree();
-    let mut found = Found { faults: tree.faults(), ..Found::default() };
-    let mut wanted: BTreeMap<u32, BTreeSet<(LayerId, u32)>> = BTreeMap::new();
-    for (layer, l) in &tree.layers {
-        for place in l.places.values() {
-            found.places += 1;
-            if !wanted.entry(place.node).or_default().insert((*layer, place.number)) {
-                found.faults.push(format!("layer {layer}: place {} is referred to twice", place.number));
-            }
-            if place.node as usize >= site.nodes.len() {
-                found.faults.push(format!("layer {layer}: lies on node {}, which is not there", place.node));
-            }
-        }
-    }
-    for (n, node) in site.nodes.iter().enumerate() {
-        let address = node.address.expect("checked");
-        let mut client = BlockingClient::open(address, Some(&node.target), std::process::id())
-            .map_err(|e| format!("{}: {e}", node.name))?;
-        let wanted = wanted.remove(&(n as u32)).unwrap_or_default();
-        // Layers that are gone may have left something as well: all that were ever made are asked for.
-        for layer in made(tree) {
-            let numbers =
-                held(&mut client, layer, settings.extent).map_err(|e| format!("{}: {e}", node.name))?;
-            for number in numbers {
-                if wanted.contains(&(layer, number)) {
-                    found.held += 1;
+    let mut findings = Findings { faults: tree.faults(), ..Findings::default() };
+    let mut references = collect_references(tree, site.nodes.len(), &mut findings);
+    for (index, node) in site.nodes.iter().enumerate() {
+        let referred = references.remove(&(index as u32)).unwrap_or_default();
+        let mut walk = NodeWalk::open(node, index as u32, settings.extent)?;
+        // Layers that were removed may have left something as well: all that were ever made are looked at.
+        for layer in FIRST_LAYER..tree.layers_made() {
+            for number in walk.held_places(layer)? {
+                if referred.contains(&(layer, number)) {
+                    findings.places_with_data += 1;
                     continue;
                 }
-                found.leaked.push((layer, Place { node: n as u32, number }));
-                if mend {
-                    let run = (u64::from(number) * settings.extent, settings.extent as u32);
-                    let (cdb, data) = scsi::unmap(&[run]);
-                    let answer =
-                        client.execute(layer, &cdb, 0, data).map_err(|e| format!("{}: {e}", node.name))?;
-                    if answer.status != status::GOOD {
-                        found.faults.push(format!("{}: does not give place {number} back", node.name));
-                    }
+                findings.leaked.push((layer, Place { node: walk.index, number }));
+                if reclaim && !walk.unmap(layer, number)? {
+                    findings.faults.push(format!("{}: does not give place {number} back", node.name));
                 }
             }
         }
     }
-    Ok(found)
+    Ok(findings)
+}
+
+/// Counts the tree's places and checks that no two are the same.
+fn collect_references(tree: &Tree, nodes: usize, findings: &mut Findings) -> References {
+    let mut references = References::new();
+    for (id, layer) in &tree.layers {
+        for place in layer.places.values() {
+            findings.places += 1;
+            if !references.entry(place.node).or_default().insert((*id, place.number)) {
+                findings.faults.push(format!("layer {id}: place {} is referred to twice", place.number));
+            }
+            if place.node as usize >= nodes {
+                findings.faults.push(format!("layer {id}: lies on node {}, which is not there", place.node));
+            }
+        }
+    }
+    references
 }
 
-fn made(tree: &Tree) -> impl Iterator<Item = LayerId> + '_ {
-    mallowseam_cow::tree::FIRST_LAYER..tree.layers_made()
+/// A node as it is walked.
+struct NodeWalk<'a> {
+    name: &'a str,
+    index: u32,
+    client: BlockingClient,
+    extent_blocks: u64,
 }
 
-/// Numbers of the places that a node holds anything of.
-fn held(client: &mut BlockingClient, layer: LayerId, extent: u64) -> Result<BTreeSet<u32>, String> {
-    let mut numbers = BTreeSet::new();
-    let mut from = 0;
-    loop {
-        let cdb = scsi::get_lba_status(from, ROOM);
-        let answer = client.execute(layer, &cdb, ROOM as usize, Vec::new())?;
-        let runs = Some(answer.data).filter(|_| answer.status == status::GOOD);
-        let runs =
-            runs.as_deref().and_then(scsi::read_lba_status).ok_or("no sound answer to GET LBA STATUS")?;
-        let Some((lba, blocks)) = runs.last().copied() else { return Ok(numbers) };
-        for (lba, blocks) in runs {
-            let last = lba + u64::from(blocks.max(1)) - 1;
-            numbers.extend((lba / extent..=last / extent).map(|n| n as u32));
+impl<'a> NodeWalk<'a> {
+    fn open(node: &'a Node, index: u32, extent_blocks: u64) -> Result<Self, VerifyError> {
+        let address = node.address.expect("a checked configuration names it");
+        let client = BlockingClient::open(address, Some(&node.target), std::process::id())
+            .map_err(|source| VerifyError::Node { node: node.name.clone(), source })?;
+        Ok(NodeWalk { name: &node.name, index, client, extent_blocks })
+    }
+
+    fn error(&self, source: ClientError) -> VerifyError {
+        VerifyError::Node { node: self.name.to_owned(), source }
+    }
+
+    /// Numbers of the places of a layer that the node holds anything of.
+    fn held_places(&mut self, layer: LayerId) -> Result<BTreeSet<u32>, VerifyError> {
+        let mut numbers = BTreeSet::new();
+        let mut from = 0;
+        loop {
+            let cdb = scsi::get_lba_status(from, LBA_STATUS_LEN);
+            let answer = self.client.execute(layer, &cdb, LBA_STATUS_LEN as usize, Vec::new());
+            let answer = answer.map_err(|e| self.error(e))?;
+            let data = Some(answer.data).filter(|_| answer.status == status::GOOD);
+            let Some(runs) = data.as_deref().and_then(scsi::read_lba_status) else {
+                return Err(VerifyError::LbaStatus { node: self.name.to_owned() });
+            };
+            let Some((last_lba, last_blocks)) = runs.last().copied() else { return Ok(numbers) };
+            for (lba, blocks) in runs {
+                let last = lba + u64::from(blocks.max(1)) - 1;
+                let places = lba / self.extent_blocks..=last / self.extent_blocks;
+                numbers.extend(places.map(|number| number as u32));
+            }
+            from = last_lba + u64::from(last_blocks.max(1));
         }
-        from = lba + u64::from(blocks.max(1));
+    }
+
+    /// Has the node free a place. False: it refuses to.
+    fn unmap(&mut self, layer: LayerId, number: u32) -> Result<bool, VerifyError> {
+        let (cdb, data) = scsi::unmap(&[(u64::from(number) * self.extent_blocks, self.extent_blocks as u32)]);
+        let answer = self.client.execute(layer, &cdb, 0, data).map_err(|e| self.error(e))?;
+        Ok(answer.status == status::GOOD)
     }
 }
--- a/crates/gateway/tests/pinned/main.rs
+++ b/crates/gateway/tests/pinned/main.rs
@@ -6,4 +6,5 @@
 mod host;
 mod plan_service;
 mod scsi;
+mod shares;
 mod snapshot_catalog;
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -101,7 +101,7 @@
     let before = resident(host.0.id())?;
     let mut idle = Vec::new();
     for i in 0..options.idle {
-        idle.push(BlockingClient::open(host_at, Some(GATEWAY), 1000 + i)?);
+        idle.push(BlockingClient::open(host_at, Some(GATEWAY), 1000 + i).map_err(|e| e.to_string())?);
     }
     let after = resident(host.0.id())?;
     let turned: u64 = many.1.iter().chain(&single.1).map(|p| p.turned).sum();
@@ -197,7 +197,7 @@
     seconds: u64,
     seed: u64,
 ) -> Result<Phase, String> {
-    let mut client = BlockingClient::open(address, Some(target), index)?;
+    let mut client = BlockingClient::open(address, Some(target), index).map_err(|e| e.to_string())?;
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut sent: Vec<Option<Instant>> = vec![None; depth];
     let mut waits = Histogram::new_with_bounds(1, 60_000_000_000, 3).map_err(|e| e.to_string())?;
@@ -220,7 +220,7 @@
         if over && sent.iter().all(Option::is_none) {
             break;
         }
-        client.exchange()?;
+        client.exchange().map_err(|e| e.to_string())?;
         while let Some(came) = client.conn.came() {
             let Came::Answer { tag, status: code, .. } = came else { continue };
             if let Some(at) = sent[tag as usize].take() {
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -283,8 +283,7 @@
             }
             self.serve();
             if !self.silent {
-                let mut again = Vec::new();
-                self.clients.flush(self.ticks(), &mut again);
+                let again = self.clients.flush(self.ticks());
                 self.missed.extend(again.into_iter().map(|c| FIRST + c as usize));
             }
             self.note_closed();
@@ -292,10 +291,10 @@
     }
 
     fn note_closed(&mut self) {
-        while self.clients.left().is_some() {}
-        let (all, trace, node) = (&self.clients.all, &self.trace, self.index);
+        while self.clients.next_abandoned().is_some() {}
+        let (clients, trace, node) = (&self.clients, &self.trace, self.index);
         self.lines.retain(|at, (line, _)| {
-            let open = all.get(*at).is_some();
+            let open = clients.is_open(*at);
             if !open {
                 trace.note(What::Closed { node, line: *line });
             }
@@ -323,9 +322,9 @@
             WAKER => {}
             Token(t) => {
                 let at = (t - FIRST) as u32;
-                let mut more = self.clients.ready(at, true, &mut self.scratch, now);
+                let mut more = self.clients.on_ready(at, true, &mut self.scratch, now);
                 loop {
-                    while let Some(came) = self.clients.came(at) {
+                    while let Some(came) = self.clients.next_event(at) {
                         self.came(at, came);
                     }
                     if !more {
@@ -506,7 +505,7 @@
         for (lba, blocks) in runs {
             self.blocks.retain(|(l, b), _| *l != lun || !(lba..lba + u64::from(blocks)).contains(b));
         }
-        if let Some(conn) = self.clients.answer(at) {
+        if let Some(conn) = self.clients.session_mut(at) {
             conn.good(task, &[]);
         }
     }
@@ -523,13 +522,13 @@
             }
         }
         let data = scsi::lba_status(&runs, room);
-        if let Some(conn) = self.clients.answer(at) {
+        if let Some(conn) = self.clients.session_mut(at) {
             conn.good(task, &data);
         }
     }
 
     fn refuse(&mut self, at: u32, task: u32, sense: Sense) {
-        if let Some(conn) = self.clients.answer(at) {
+        if let Some(conn) = self.clients.session_mut(at) {
             conn.other(task, status::CHECK_CONDITION, Some(sense), 0);
         }
     }
@@ -544,7 +543,7 @@
             Ok(Command::ReadCapacity10) => Some(unit.capacity10()),
             _ => None,
         };
-        if let Some(conn) = self.clients.answer(at) {
+        if let Some(conn) = self.clients.session_mut(at) {
             match data {
                 Some(data) => conn.good(task, &data[..data.len().min(room)]),
                 None => conn.other(task, status::CHECK_CONDITION, Some(Sense::INVALID_OPCODE), 0),
@@ -636,7 +635,7 @@
         if self.lines.get(&at).is_none_or(|l| l.0 != line) {
             return;
         }
-        let Some(conn) = self.clients.answer(at) else { return };
+        let Some(conn) = self.clients.session_mut(at) else { return };
         self.trace.note(What::Said { node: self.index, line, task, status: code });
         match code {
             status::GOOD => conn.good(task, data),
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -359,8 +359,14 @@
         self.askers.push(std::thread::spawn(move || {
             let change = Change::Plan { name: plan.name.clone(), figures: figures(plan, times) };
             let (author, reason) = ("rehearsal".into(), format!("change {number}"));
-            let asked =
-                Ask::Set { change, expected: None, author, reason: reason.clone(), dry: false, wait: true };
+            let asked = Ask::Set {
+                change,
+                expected: None,
+                author,
+                reason: reason.clone(),
+                dry_run: false,
+                wait: true,
+            };
             let at = trace.now();
             let line = serde_json::to_string(&asked).expect("plain");
             let done = mallowseam_gateway::ask(&sock, &line).is_ok();
@@ -379,7 +385,7 @@
             let line = serde_json::to_string(what).expect("plain");
             mallowseam_gateway::ask(&sock, &line).map_err(|e| e.to_string())
         };
-        let history = match ask(&Ask::History { from: 1, most: 10_000 }) {
+        let history = match ask(&Ask::History { from: 1, limit: 10_000 }) {
             Ok(text) => text,
             Err(e) => {
                 self.unclean.push(format!("the trail: {e}"));
@@ -671,7 +677,10 @@
                 let cdb = mallowseam_iscsi::scsi::rw16(true, lba, 8, audit::COPY_MARK);
                 let mut answer = Err(String::new());
                 for _ in 0..20 {
-                    answer = client.execute(*unit, &cdb, 0, block::write(id, lba, 8)).map(|a| a.status);
+                    answer = client
+                        .execute(*unit, &cdb, 0, block::write(id, lba, 8))
+                        .map(|a| a.status)
+                        .map_err(|e| e.to_string());
                     if answer == Ok(0) {
                         wanted[lba as usize..lba as usize + 8].fill(Some(id));
                         break;
@@ -803,7 +812,9 @@
         let mut last = String::new();
         let mut found = None;
         for _ in 0..50 {
-            let answer = client.execute(unit, &cdb, count as usize * block::SIZE, Vec::new())?;
+            let answer = client
+                .execute(unit, &cdb, count as usize * block::SIZE, Vec::new())
+                .map_err(|e| e.to_string())?;
             if answer.status == 0 {
                 found = Some(answer.data);
                 break;
--- a/crates/lab/src/snapbench.rs
+++ b/crates/lab/src/snapbench.rs
@@ -137,7 +137,7 @@
 fn sockets(options: &Options, program: &Program, out: &mut String) -> Result<(), String> {
     let rig = Rig::start(options, program)?;
     let control = rig.control();
-    let mut client = BlockingClient::open(rig.host_at, Some(TARGET), 1)?;
+    let mut client = BlockingClient::open(rig.host_at, Some(TARGET), 1).map_err(|e| e.to_string())?;
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     writeln!(
         out,
@@ -222,7 +222,9 @@
 }
 
 fn one(client: &mut BlockingClient, lba: u64) -> Result<(), String> {
-    let answer = client.execute(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))?;
+    let answer = client
+        .execute(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))
+        .map_err(|e| e.to_string())?;
     if answer.status == status::GOOD { Ok(()) } else { Err(format!("a write came back {:?}", answer.sense)) }
 }
 
@@ -253,7 +255,7 @@
         if over && out.iter().all(Option::is_none) {
             return Ok(gone);
         }
-        client.exchange()?;
+        client.exchange().map_err(|e| e.to_string())?;
         while let Some(came) = client.conn.came() {
             let Came::Answer { tag, status: code, .. } = came else { continue };
             if code != status::GOOD {
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -77,7 +77,7 @@
     }
 
     fn status(&self) -> Status {
-        Status::read(&ask(&self.control(), "status").expect("a status")).expect("sound")
+        Status::from_json(&ask(&self.control(), "status").expect("a status")).expect("sound")
     }
 
     fn client(&self, n: u32) -> BlockingClient {
@@ -197,7 +197,7 @@
     assert_eq!(refused(0, scsi::rw16(false, 0, 4096, 0), 2 << 20, vec![]), Sense::INVALID_FIELD);
     assert_eq!(refused(0, scsi::rw16(true, 0, 2, 0), 0, vec![1; 512]), Sense::INVALID_FIELD);
     assert_eq!(refused(0, [0xfe; 16], 0, vec![]), Sense::INVALID_OPCODE);
-    assert_eq!(rig.status().commands.taken, 0);
+    assert_eq!(rig.status().commands.admitted, 0);
 }
 
 #[test]
@@ -213,7 +213,7 @@
     assert!(began.elapsed() < Duration::from_millis(1_250), "{:?}", began.elapsed());
     assert_eq!(read(&mut client, 9_000, 4), [Some(0); 4]);
     let status = rig.status();
-    assert_eq!(status.nodes[0].submits, 2, "the post was sent once");
+    assert_eq!(status.nodes[0].attempts, 2, "the post was sent once");
 }
 
 #[test]
@@ -248,7 +248,7 @@
     let mut client = rig.client(1);
     client.conn.command(1, 0, &scsi::rw16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
-    rig.wait_for("the read is out", |s| s.nodes[0].submits == 1 && s.nodes[0].connected);
+    rig.wait_for("the read is out", |s| s.nodes[0].attempts == 1 && s.nodes[0].connected);
     rig.nodes[0].fault(Fault::Reset);
     let Ok(Came::Answer { status: code, .. }) = client.next_event() else { panic!("an answer") };
     assert_eq!(code, status::GOOD);
@@ -343,10 +343,10 @@
     let mut client = rig.client(1);
     client.conn.command(1, 0, &scsi::rw16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
-    rig.wait_for("the read is out", |s| s.nodes[0].submits == 1);
+    rig.wait_for("the read is out", |s| s.nodes[0].attempts == 1);
     assert_eq!(ask(&rig.control(), "drain").expect("told"), "draining");
     let refused = BlockingClient::open(rig.at, Some(TARGET), 2).err().expect("refused");
-    assert!(refused.contains("0301"), "{refused}");
+    assert!(refused.to_string().contains("0301"), "{refused}");
     assert_eq!(ask(&rig.control(), "undrain").expect("told"), "open");
     rig.client(3);
     kill(Pid::from_raw(rig.host.id() as i32), Signal::SIGTERM).expect("a signal");
--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -108,12 +108,12 @@
 
     fn status(&self, host: usize) -> Status {
         let text = ask(&self.path(&format!("gw{host}.sock")), "status").expect("a status");
-        Status::read(&text).expect("sound")
+        Status::from_json(&text).expect("sound")
     }
 
     /// A host's part of the limit of volume a.
     fn part(&self, host: usize) -> f64 {
-        self.status(host).volumes[0].part.expect("it follows")
+        self.status(host).volumes[0].quota.expect("it follows")
     }
 
     fn limit(&self, host: usize) -> f64 {
