--- a/crates/connection-policy/src/admission.rs
+++ b/crates/connection-policy/src/admission.rs
@@ -64,6 +64,7 @@
 
 impl CloseReason {
     /// The reason as text, for the log.
+    #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             CloseReason::LoginTimeout => "login not finished in time",
@@ -168,6 +169,7 @@
 
 impl AdmissionController {
     /// `target`: the name that clients must ask for. `max_connections`: how many are open at once at most.
+    #[must_use]
     pub fn new(target: &str, max_connections: usize) -> Self {
         AdmissionController {
             target: target.to_owned(),
@@ -276,6 +278,7 @@
     }
 
     /// Whether to go on reading from a connection that has this many bytes waiting to be written.
+    #[must_use]
     pub fn may_read(&self, unsent_bytes: usize) -> bool {
         unsent_bytes < MAX_UNSENT_BYTES
     }
@@ -314,12 +317,14 @@
     }
 
     /// Whether the host is draining.
+    #[must_use]
     pub fn is_draining(&self) -> bool {
         self.state != HostState::Open
     }
 
     /// Whether new commands are admitted. A draining host admits them for [`LOGOUT_TIMEOUT`], while its
     /// clients have time to log out; later ones would keep it from ever ending.
+    #[must_use]
     pub fn admits_commands(&self, now: Millis) -> bool {
         match self.state {
             HostState::Open => true,
@@ -328,11 +333,13 @@
     }
 
     /// Seconds within which clients are asked to log out.
+    #[must_use]
     pub fn logout_seconds(&self) -> u16 {
         (LOGOUT_TIMEOUT / 1000) as u16
     }
 
     /// Open connections.
+    #[must_use]
     pub fn connection_count(&self) -> usize {
         self.count
     }
--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -79,6 +79,7 @@
 
 impl ClientConnection {
     /// A connection accepted at `now`.
+    #[must_use]
     pub fn new(now: Millis) -> Self {
         ClientConnection {
             phase: Phase::AwaitingFirstRequest,
@@ -90,6 +91,7 @@
     }
 
     /// What it is occupied with.
+    #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -118,6 +120,7 @@
     }
 
     /// Whether its next request is read now.
+    #[must_use]
     pub fn may_read(&self, now: Millis) -> bool {
         let awaits_request =
             matches!(self.phase, Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle);
@@ -131,6 +134,7 @@
     }
 
     /// The periodic check: what is due for it now. `shutdown`: the host's graceful shutdown, once it has begun.
+    #[must_use]
     pub fn check_timeouts(&self, now: Millis, shutdown: Option<GracefulShutdown>) -> TimeoutAction {
         let age = now.saturating_sub(self.phase_began);
         let rejects_clients = shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
@@ -160,6 +164,7 @@
 
 /// Whether the result of a poll is too old to tell that a client is still connected. `since_poll`: milliseconds
 /// since the poll returned.
+#[must_use]
 pub fn poll_result_is_stale(since_poll: Millis) -> bool {
     since_poll > POLL_RESULT_LIFETIME
 }
--- a/crates/connection-policy/src/command_progress.rs
+++ b/crates/connection-policy/src/command_progress.rs
@@ -28,6 +28,7 @@
 
 impl CommandProgress {
     /// A command of so many sub-requests.
+    #[must_use]
     pub fn new(sub_requests: u32) -> Self {
         CommandProgress { open: sub_requests, ..CommandProgress::default() }
     }
@@ -61,6 +62,7 @@
     }
 
     /// Whether the client has its answer, or has disconnected.
+    #[must_use]
     pub fn is_answered(&self) -> bool {
         self.answered
     }
@@ -71,6 +73,7 @@
     }
 
     /// Whether every sub-request is finished: nothing refers to the command any more.
+    #[must_use]
     pub fn is_finished(&self) -> bool {
         self.open == 0
     }
--- a/crates/connection-policy/src/endpoint_list_request.rs
+++ b/crates/connection-policy/src/endpoint_list_request.rs
@@ -22,6 +22,7 @@
     }
 
     /// Whether a request is under way and has timed out.
+    #[must_use]
     pub fn has_timed_out(&self, now: Millis) -> bool {
         self.sent.is_some_and(|sent| now >= sent + RESPONSE_TIMEOUT)
     }
--- a/crates/connection-policy/src/graceful_shutdown.rs
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -24,6 +24,7 @@
     /// Requested at `now` by the platform (SIGTERM), which kills after a while. `longest_deadline`: of any
     /// block I/O. `longest_objective`: the longest latency objective; a client that has less time left than
     /// that is better served by a closed connection, on which it goes to another host.
+    #[must_use]
     pub fn by_platform(now: Millis, longest_deadline: Millis, longest_objective: Millis) -> Self {
         let answer_deadline = now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         GracefulShutdown {
@@ -33,27 +34,32 @@
     }
 
     /// Requested at `now` by an operator (SIGINT): nobody kills, and somebody waits for the end.
+    #[must_use]
     pub fn by_operator(now: Millis) -> Self {
         GracefulShutdown { admits_until: now + OPERATOR_GRACE, answer_deadline: None }
     }
 
     /// Whether clients are still admitted, and responses are not yet the last on their connections.
+    #[must_use]
     pub fn admits_clients(&self, now: Millis) -> bool {
         now < self.admits_until
     }
 
     /// By when whatever is admitted must be answered. None: within its own deadline.
+    #[must_use]
     pub fn answer_deadline(&self) -> Option<Millis> {
         self.answer_deadline
     }
 
     /// Whether a block I/O that the host cannot wait for any longer may be retried without harm: any attempt
     /// that was made of it may have run.
+    #[must_use]
     pub fn is_safe_to_retry(attempts: u32) -> bool {
         attempts == 0
     }
 
     /// Whether the host may end, with this many clients connected.
+    #[must_use]
     pub fn is_complete(&self, now: Millis, clients: usize) -> bool {
         !self.admits_clients(now) && clients == 0
     }
--- a/crates/connection-policy/src/keep_alive.rs
+++ b/crates/connection-policy/src/keep_alive.rs
@@ -36,6 +36,7 @@
 
 impl KeepAlivePolicy {
     /// `node_idle_timeout`: milliseconds after which a node closes an idle connection at the latest; 0: unknown.
+    #[must_use]
     pub fn new(node_idle_timeout: Millis, now: Millis) -> Self {
         let max_idle_timeout = if node_idle_timeout > 0 {
             node_idle_timeout / NODE_TIMEOUT_DIVISOR
@@ -95,6 +96,7 @@
 }
 
 /// Whether a connection may be reused after this many milliseconds idle, under this idle timeout.
+#[must_use]
 pub fn reusability(idle: Millis, idle_timeout: Millis) -> Reusability {
     if idle >= idle_timeout {
         Reusability::Expired
@@ -111,6 +113,7 @@
 /// A node holds only so many connections and rejects what comes on the others; hosts that retried on those
 /// would keep them open for good and never be served. Closed, the retry finds whatever place has become free.
 /// The cost is a new connection where the node's queue was full, when hosts come more slowly anyway.
+#[must_use]
 pub fn keep_after_response(rejected: bool) -> bool {
     !rejected
 }
--- a/crates/connection-policy/src/lib.rs
+++ b/crates/connection-policy/src/lib.rs
@@ -17,6 +17,17 @@
 //! - [`resource_budget`]: how descriptors and memory are divided.
 //! - [`keep_alive`]: which idle connections to nodes are kept and reused.
 //! - [`watch_liveness`], [`watch_slots`]: when a watch of the endpoint list has failed, and what replaces it.
+//!
+//! ```
+//! use mallowseam_connection_policy::client_connection::{ClientConnection, Phase, TimeoutAction};
+//!
+//! let mut connection = ClientConnection::new(1_000);
+//! connection.enter_phase(Phase::InFlight, 1_200);
+//! assert!(!connection.may_read(1_300));
+//! connection.enter_phase(Phase::Idle, 1_400);
+//! assert_eq!(connection.check_timeouts(5_000, None), TimeoutAction::Nothing);
+//! assert_eq!(connection.check_timeouts(31_400, None), TimeoutAction::Close);
+//! ```
 #![warn(missing_docs)]
 
 pub mod admission;
--- a/crates/connection-policy/src/node_connection.rs
+++ b/crates/connection-policy/src/node_connection.rs
@@ -23,6 +23,7 @@
 
 impl CloseReason {
     /// The reason as text, for the log.
+    #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             CloseReason::LoginTimeout => "login not finished in time",
@@ -69,6 +70,7 @@
     }
 
     /// Whether attempts can be sent on it.
+    #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == State::Ready
     }
@@ -96,6 +98,7 @@
     }
 
     /// The periodic check: why the connection is to be closed now, with this many attempts in flight on it.
+    #[must_use]
     pub fn check_timeouts(&self, now: Millis, in_flight: usize) -> Option<CloseReason> {
         match self.state {
             State::Opening { since } if now >= since + LOGIN_TIMEOUT => Some(CloseReason::LoginTimeout),
--- a/crates/connection-policy/src/resource_budget.rs
+++ b/crates/connection-policy/src/resource_budget.rs
@@ -27,6 +27,7 @@
 
 impl ResourceBudget {
     /// Divides what the configuration grants: `descriptors` of the process, and memory in MiB.
+    #[must_use]
     pub fn new(descriptors: u64, memory_mib: u64) -> Self {
         let free = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
         let clients = (free * CLIENT_TENTHS / 10).max(1);
--- a/crates/connection-policy/src/watch_liveness.rs
+++ b/crates/connection-policy/src/watch_liveness.rs
@@ -24,6 +24,7 @@
 
 impl WatchLiveness {
     /// A watch requested at `now`.
+    #[must_use]
     pub fn new(now: Millis) -> Self {
         WatchLiveness { requested: now, response_started: false, last_event: None, failure_reported: false }
     }
@@ -39,6 +40,7 @@
     }
 
     /// When it has failed unless something is received before, in milliseconds on the host's clock.
+    #[must_use]
     pub fn fails_at(&self) -> Millis {
         match self.last_event {
             None if self.response_started => self.requested + FIRST_EVENT_TIMEOUT,
@@ -49,6 +51,7 @@
 
     /// Whether an event was received. A request without one only waits for its turn at the service; given up, it
     /// stands in nobody's way.
+    #[must_use]
     pub fn is_established(&self) -> bool {
         self.last_event.is_some()
     }
--- a/crates/connection-policy/src/watch_slots.rs
+++ b/crates/connection-policy/src/watch_slots.rs
@@ -21,11 +21,13 @@
     }
 
     /// Whether what happens to the watch in a slot decides whether the host has a watch.
+    #[must_use]
     pub fn is_latest(&self, slot: usize) -> bool {
         slot == self.latest
     }
 
     /// The watch in a slot has delivered an event: the slot of the watch that it supersedes.
+    #[must_use]
     pub fn superseded_by(&self, slot: usize) -> Option<usize> {
         self.is_latest(slot).then_some(1 - slot)
     }
--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -46,7 +46,9 @@
             digest.add(admission.connection_count() as u64);
         }
         let waiting = [0, (1 << 20) - 1, 1 << 20, rng.below(1 << 21) as usize];
-        waiting.iter().for_each(|bytes| digest.add(u64::from(admission.may_read(*bytes))));
+        for bytes in waiting {
+            digest.add(u64::from(admission.may_read(bytes)));
+        }
         digest.add(u64::from(admission.logout_seconds()));
     });
 }
@@ -252,9 +254,10 @@
         for _ in 0..400 {
             let told = rng.below(100_000);
             let (longest, goal) = (rng.below(4_000), rng.below(4_000));
-            let shutdown = match rng.one_in(3) {
-                true => GracefulShutdown::by_operator(told),
-                false => GracefulShutdown::by_platform(told, longest, goal),
+            let shutdown = if rng.one_in(3) {
+                GracefulShutdown::by_operator(told)
+            } else {
+                GracefulShutdown::by_platform(told, longest, goal)
             };
             digest.add_option(shutdown.answer_deadline());
             for now in told..told + 3_700 {
@@ -308,7 +311,9 @@
             let budget = ResourceBudget::new(rng.below(5_000), rng.below(4_096));
             let figures =
                 [budget.client_connections, budget.node_connections, budget.client_bytes, budget.node_bytes];
-            figures.iter().for_each(|figure| digest.add(*figure as u64));
+            for figure in figures {
+                digest.add(figure as u64);
+            }
         }
         let mut now = 1_000;
         let mut keep_alive = KeepAlivePolicy::new(rng.pick(&[0, 30_000, 7_000, 60]), now);
@@ -354,7 +359,9 @@
                 digest.add(u64::from(fits));
                 for part in out.iter().filter(|_| fits) {
                     let figures = [part.offset, part.blocks, part.shard, u32::from(part.class)];
-                    figures.iter().for_each(|figure| digest.add(u64::from(*figure)));
+                    for figure in figures {
+                        digest.add(u64::from(figure));
+                    }
                     digest.add(part.node_lba);
                     digest.add_option(part.ordering_key);
                 }
--- a/crates/connection-policy/tests/support/mod.rs
+++ b/crates/connection-policy/tests/support/mod.rs
@@ -1,5 +1,4 @@
 //! A seeded random number generator and a digest, for tests that compare long runs with recorded values.
-#![allow(dead_code)]
 
 /// SplitMix64 (Steele, Lea, Flood 2014): the same sequence for the same seed on every machine.
 pub struct SeededRng(u64);
--- a/crates/sockets/src/arrival_estimator.rs
+++ b/crates/sockets/src/arrival_estimator.rs
@@ -12,6 +12,7 @@
 
 impl ArrivalEstimator {
     /// An estimator for a loop that begins to poll at `now`.
+    #[must_use]
     pub fn new(now: Tick) -> Self {
         ArrivalEstimator { last_poll: now }
     }
--- a/crates/sockets/src/outgoing_message.rs
+++ b/crates/sockets/src/outgoing_message.rs
@@ -24,11 +24,13 @@
     }
 
     /// Whether nothing is left to be written.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.written == self.head.len() + self.body_range.len()
     }
 
     /// Bytes of memory held.
+    #[must_use]
     pub fn capacity(&self) -> usize {
         self.head.capacity() + self.body.capacity()
     }
--- a/crates/sockets/src/slab.rs
+++ b/crates/sockets/src/slab.rs
@@ -24,11 +24,13 @@
     }
 
     /// The index that the next value will get.
+    #[must_use]
     pub fn next_index(&self) -> u32 {
         self.free.last().copied().unwrap_or(self.entries.len() as u32)
     }
 
     /// The value at an index, if there is one.
+    #[must_use]
     pub fn get(&self, index: u32) -> Option<&T> {
         self.entries.get(index as usize)?.as_ref()
     }
@@ -48,16 +50,19 @@
     }
 
     /// How many values there are.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len() - self.free.len()
     }
 
     /// Whether there is no value.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     /// All indices ever used are below this: for loops that change the table as they go.
+    #[must_use]
     pub fn index_bound(&self) -> u32 {
         self.entries.len() as u32
     }
@@ -68,6 +73,7 @@
     }
 
     /// The indices of all values, in order.
+    #[must_use]
     pub fn indices(&self) -> Vec<u32> {
         self.iter().map(|(index, _)| index).collect()
     }
--- a/crates/sockets/tests/support/mod.rs
+++ b/crates/sockets/tests/support/mod.rs
@@ -1,5 +1,4 @@
 //! A seeded random number generator and a digest, for tests that compare long runs with recorded values.
-#![allow(dead_code)]
 
 /// SplitMix64 (Steele, Lea, Flood 2014): the same sequence for the same seed on every machine.
 pub struct SeededRng(u64);
@@ -74,13 +73,3 @@
     let text: Vec<String> = measured.iter().map(|value| format!("{value:#018x}")).collect();
     assert!(measured == recorded, "decisions changed; measured:\n{}", text.join(",\n"));
 }
-
-/// Steps of the clock in milliseconds: mostly short, at times just short of one of `spans` or just on it, so that
-/// limits are met from both sides.
-pub fn step(rng: &mut SeededRng, spans: &[u64]) -> u64 {
-    match rng.below(20) {
-        0 => rng.pick(spans) - rng.below(2),
-        1 => rng.below(500),
-        _ => rng.below(3),
-    }
-}
