--- /dev/null
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -0,0 +1,370 @@
+//! Pins of the parser: seeded heads, chunks and bodies, fed whole and cut at every byte; all that comes out of them,
+//! step by step, as one hash recorded from an earlier run. The texts that are hashed name results in words of
+//! their own, so that renaming a variant changes nothing here.
+use mallowseam_http1::{
+    AnswerHead, AnswerReader, Bounds, Chunks, Fault, Framing, RequestHead, RequestReader, Whole,
+};
+
+const BOUNDS: Bounds = Bounds { head: 512, body: 256 };
+
+/// SplitMix64.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        z ^ (z >> 31)
+    }
+
+    fn below(&mut self, bound: usize) -> usize {
+        (self.next() % bound as u64) as usize
+    }
+
+    fn one_of<'a>(&mut self, all: &[&'a str]) -> &'a str {
+        all[self.below(all.len())]
+    }
+}
+
+/// FNV-1a over all that it is handed, and counts of what was seen, to show that the streams reach every case.
+#[derive(Default)]
+struct Record {
+    hash: u64,
+    seen: std::collections::BTreeMap<&'static str, u32>,
+}
+
+impl Record {
+    fn new() -> Self {
+        Record { hash: 0xcbf2_9ce4_8422_2325, ..Record::default() }
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes.iter().chain(&[0xff]) {
+            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
+        }
+    }
+
+    fn number(&mut self, number: usize) {
+        self.bytes(&(number as u64).to_le_bytes());
+    }
+
+    fn case(&mut self, name: &'static str) {
+        *self.seen.entry(name).or_default() += 1;
+        self.bytes(name.as_bytes());
+    }
+
+    fn fault(&mut self, fault: Fault) {
+        self.case(match fault {
+            Fault::Malformed => "malformed",
+            Fault::HeadTooLarge => "head too large",
+            Fault::BodyTooLarge => "body too large",
+            Fault::Framing => "framing",
+            Fault::NoLength => "no length",
+            Fault::Unsupported => "unsupported",
+        });
+    }
+
+    fn framing(&mut self, framing: Framing) {
+        match framing {
+            Framing::None => self.case("no body"),
+            Framing::Chunked => self.case("chunked"),
+            Framing::Length(len) => {
+                self.case("length");
+                self.number(len);
+            }
+        }
+    }
+
+    /// What one step came to; false once the reader is done.
+    fn step(&mut self, step: Result<Option<Whole>, Fault>, buffer: &[u8]) -> bool {
+        self.bytes(buffer);
+        match step {
+            Ok(None) => return true,
+            Ok(Some(whole)) => {
+                self.case("whole");
+                [whole.start, whole.body, whole.end].into_iter().for_each(|n| self.number(n));
+            }
+            Err(fault) => self.fault(fault),
+        }
+        false
+    }
+}
+
+/// A stream near to a message: sound lines in the main, some unsound, garbled at times.
+fn stream(draws: &mut Draws, request: bool) -> Vec<u8> {
+    let mut text = String::new();
+    if request {
+        let methods = 3 + usize::from(draws.below(20) == 0);
+        text += draws.one_of(&["GET", "PUT", "POST", "PU T"][..methods]);
+        text += draws.one_of(&[" /a", " /book/0/1?x=%20", " *"]);
+        let version = draws.below(24).saturating_sub(19);
+        text += [" HTTP/1.1\r\n", " HTTP/1.0\r\n", " HTTP/1.0\r\n", " HTTP/2.0\r\n", "\r\n"][version];
+        if draws.below(12) > 0 {
+            text += "Host: s\r\n";
+        }
+    } else {
+        for _ in 0..[0, 0, 0, 1, 2, 9][draws.below(6)] {
+            text += draws.one_of(&["HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"]);
+        }
+        text += draws.one_of(&["HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.0 "]);
+        let status = draws.below(30).saturating_sub(20);
+        text += ["200 OK", "200", "503 X", "204 X", "304 X", "101 X", "099 X", "600 X", "2x0 X", "500 Y Z"]
+            [status];
+        text += "\r\n";
+    }
+    for _ in 0..draws.below(4) {
+        text += draws.one_of(&[
+            "X: y\r\n",
+            "X-Long: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n",
+            "Connection: close\r\n",
+            "connection: x, Keep-Alive \r\n",
+            "Connection: CLOSE , x\r\n",
+            "Expect: 100-continue\r\n",
+            "X: \u{e9}\r\n",
+        ]);
+    }
+    if draws.below(15) == 0 {
+        text += draws.one_of(&["Host: t\r\n", " folded\r\n", "bad name: 1\r\n"]);
+    }
+    if draws.below(40) == 0 {
+        text += &"A: 1\r\n".repeat(60 + draws.below(10));
+    }
+    let chunked = draws.below(3) == 0;
+    if chunked {
+        text += draws.one_of(&["Transfer-Encoding: chunked\r\n", "transfer-encoding: Chunked \r\n"]);
+    }
+    if !chunked && draws.below(3) > 0 {
+        text += draws.one_of(&[
+            "",
+            "Content-Length: 0\r\n",
+            "content-length:  12 \r\n",
+            "Content-Length: 256\r\n",
+        ]);
+    } else if !chunked || draws.below(10) == 0 {
+        text += draws.one_of(&[
+            "Content-Length: 5\r\n",
+            "Content-Length: 257\r\n",
+            "Content-Length: 5\r\nContent-Length: 5\r\n",
+            "Content-Length: +5\r\n",
+            "Content-Length: 5, 5\r\n",
+            "Content-Length:\r\n",
+            "Content-Length: 99999999999999999999999\r\n",
+            "Transfer-Encoding: gzip, chunked\r\n",
+            "Transfer-Encoding: gzip\r\n",
+            "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+        ]);
+    }
+    text += "\r\n";
+    text += &if chunked { chunks(draws) } else { "hello, and more of a body".repeat(draws.below(13)) };
+    text += draws.one_of(&["", "", "GET /next HTTP/1.1\r\n"]);
+    let mut bytes = text.into_bytes();
+    if draws.below(8) == 0 {
+        for _ in 0..=draws.below(3) {
+            let place = draws.below(bytes.len());
+            bytes[place] = b"\r\n:; 0a\x00\x7f\xff"[draws.below(10)];
+        }
+    }
+    bytes
+}
+
+fn chunks(draws: &mut Draws) -> String {
+    let mut text = String::new();
+    for _ in 0..draws.below(6) {
+        let len = [1, 3, 10, 17, 100, 255][draws.below(6)];
+        text += &match draws.below(6) {
+            0 => format!("{len:X};x=y\r\n"),
+            1 => format!("00{len:x} \r\n"),
+            _ => format!("{len:x}\r\n"),
+        };
+        text += &"abcdefghij".repeat(26)[..len];
+        text += if draws.below(30) == 0 { "\n" } else { "\r\n" };
+    }
+    text += draws.one_of(&[
+        "0\r\n",
+        "0\r\n",
+        "0\r\n",
+        "0\r\n",
+        "00;last\r\n",
+        "x\r\n",
+        "fffffffff\r\n",
+        "-1\r\n",
+    ]);
+    if draws.below(30) == 0 {
+        text += &format!("1;{}", "x".repeat(240 + draws.below(30)));
+    }
+    text += draws.one_of(&["", "", "T: 1\r\n", "T: 1\r\nU: 2\r\n", "T\n"]);
+    if draws.below(30) == 0 {
+        text += &"T: 345\r\n".repeat(250 + draws.below(10));
+    }
+    text + "\r\n"
+}
+
+#[test]
+fn heads_of_requests_and_answers() {
+    let (mut draws, mut record) = (Draws(1), Record::new());
+    let names = ["Host", "x", "Content-Length", "Connection", "Transfer-Encoding", "Expect", "None"];
+    for round in 0..4_000 {
+        let bytes = stream(&mut draws, round % 2 == 0);
+        let headers = if round % 2 == 0 {
+            match RequestHead::read(&bytes, BOUNDS) {
+                Ok(Some(head)) => {
+                    record.bytes(head.method.as_bytes());
+                    record.bytes(head.target.as_bytes());
+                    record.framing(head.framing);
+                    record.number(head.len);
+                    record.case(if head.close { "closes" } else { "stays" });
+                    record.case(if head.expects { "expects" } else { "expects nothing" });
+                    record.case(if head.states_length() { "states a length" } else { "states none" });
+                    Ok(head.headers)
+                }
+                Ok(None) => continue,
+                Err(fault) => Err(fault),
+            }
+        } else {
+            match AnswerHead::read(&bytes, BOUNDS) {
+                Ok(Some(head)) => {
+                    record.number(usize::from(head.status));
+                    record.framing(head.framing);
+                    record.number(head.len);
+                    record.case(if head.close { "closes" } else { "stays" });
+                    record.case(if head.ahead() { "ahead" } else { "final" });
+                    Ok(head.headers)
+                }
+                Ok(None) => continue,
+                Err(fault) => Err(fault),
+            }
+        };
+        match headers {
+            Ok(headers) => {
+                for (name, value) in headers.iter() {
+                    record.bytes(name.as_bytes());
+                    record.bytes(value);
+                }
+                for name in names {
+                    match headers.single(name) {
+                        Ok(Some(value)) => record.bytes(value.as_bytes()),
+                        Ok(None) => record.case("no such header"),
+                        Err(fault) => record.fault(fault),
+                    }
+                }
+            }
+            Err(fault) => record.fault(fault),
+        }
+    }
+    let cases = [
+        "ahead",
+        "chunked",
+        "closes",
+        "expects",
+        "framing",
+        "head too large",
+        "length",
+        "malformed",
+        "no length",
+    ];
+    assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
+    assert_eq!(record.hash, HEADS, "{:#x} {:?}", record.hash, record.seen);
+}
+
+/// Feeds a stream cut in two at every byte, and byte by byte, and records every step.
+fn requests(bytes: &[u8], cuts: &[usize], record: &mut Record) {
+    let (mut reader, mut buffer, mut from) = (RequestReader::default(), Vec::new(), 0);
+    for cut in cuts.iter().chain([&bytes.len()]) {
+        buffer.extend_from_slice(&bytes[from..*cut]);
+        from = *cut;
+        let step = reader.advance(&mut buffer, BOUNDS);
+        record.case(if reader.closes() { "closes" } else { "stays" });
+        record.case(if reader.expects() { "expects" } else { "expects nothing" });
+        if !record.step(step, &buffer) {
+            return;
+        }
+    }
+    reader.next();
+    record.case(if reader.closes() { "closes" } else { "stays" });
+}
+
+fn answers(bytes: &[u8], cuts: &[usize], record: &mut Record) {
+    let (mut reader, mut buffer, mut from) = (AnswerReader::default(), Vec::new(), 0);
+    for cut in cuts.iter().chain([&bytes.len()]) {
+        buffer.extend_from_slice(&bytes[from..*cut]);
+        from = *cut;
+        let step = reader.advance(&mut buffer, BOUNDS);
+        record.number(reader.lacks(buffer.len()).unwrap_or(usize::MAX));
+        if !record.step(step, &buffer) {
+            return;
+        }
+    }
+}
+
+#[test]
+fn messages_cut_at_every_byte() {
+    let (mut draws, mut record) = (Draws(2), Record::new());
+    for round in 0..160 {
+        let bytes = stream(&mut draws, round % 2 == 0);
+        let feed = if round % 2 == 0 { requests } else { answers };
+        feed(&bytes, &[], &mut record);
+        feed(&bytes, &(1..bytes.len()).collect::<Vec<_>>(), &mut record);
+        for cut in 1..bytes.len().min(700) {
+            feed(&bytes, &[cut], &mut record);
+        }
+    }
+    let cases =
+        ["body too large", "expects", "framing", "head too large", "no length", "unsupported", "whole"];
+    assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
+    assert_eq!(record.hash, MESSAGES, "{:#x} {:?}", record.hash, record.seen);
+}
+
+#[test]
+fn chunked_bodies_behind_other_bytes() {
+    let (mut draws, mut record) = (Draws(3), Record::new());
+    for _ in 0..500 {
+        let mut bytes = b"ahead".to_vec();
+        bytes.extend(chunks(&mut draws).into_bytes());
+        let (mut body, mut buffer, mut from) = (Chunks::new(5), bytes[..5].to_vec(), 5);
+        let step = 1 + draws.below(60);
+        while from < bytes.len() {
+            let to = (from + step).min(bytes.len());
+            buffer.extend_from_slice(&bytes[from..to]);
+            from = to;
+            let done = body.advance(&mut buffer, 400);
+            record.bytes(&buffer);
+            record.number(body.at());
+            record.case(if body.over() { "over" } else { "goes on" });
+            if let Err(fault) = done {
+                record.fault(fault);
+                break;
+            }
+            // What is decoded is taken off at times.
+            if draws.below(3) == 0 {
+                let count = body.at().min(3);
+                drop(buffer.drain(..count));
+                body.taken(count);
+            }
+        }
+    }
+    let cases = ["body too large", "framing", "goes on", "head too large", "over"];
+    assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
+    assert_eq!(record.hash, CHUNKS, "{:#x} {:?}", record.hash, record.seen);
+}
+
+#[test]
+fn bounds_and_the_words_of_faults() {
+    assert_eq!(BOUNDS.buffer(), 512 + 256 + 256 + 2_048);
+    let words = [
+        Fault::Malformed,
+        Fault::HeadTooLarge,
+        Fault::BodyTooLarge,
+        Fault::Framing,
+        Fault::NoLength,
+        Fault::Unsupported,
+    ]
+    .map(Fault::words);
+    let expected =
+        ["malformed", "head too large", "body too large", "ambiguous framing", "no length", "unsupported"];
+    assert_eq!(words, expected);
+}
+
+const HEADS: u64 = 0x9045_cca2_4603_ba2e;
+const MESSAGES: u64 = 0x0c58_2245_751e_0b88;
+const CHUNKS: u64 = 0xad4d_4bb8_dc79_141a;
--- /dev/null
+++ b/crates/platform/tests/pinned_wire.rs
@@ -0,0 +1,903 @@
+//! Pins of the wire: the exact bytes that this package writes and what it reads out of every form that it accepts or
+//! refuses. The expected texts stand in `pinned/`; they name fields in words of their own, so that renaming a
+//! field in the code changes nothing here.
+use mallowseam_http1::{AnswerHead, Bounds, RequestHead};
+use mallowseam_platform::list::{Entry, Front, Health, News};
+use mallowseam_platform::names::{Names, Shut};
+use mallowseam_platform::request::{Asked, Id, Wrong};
+use mallowseam_platform::settings::{self, Named};
+use mallowseam_platform::{answer, config, list, request};
+use mallowseam_scheduler::host::{BioId, Effect, Ending, IoGroup, NodeState, Plan, Report, Scope};
+use serde_json::{Value, json};
+use std::fmt::Write as _;
+
+const BOUNDS: Bounds = Bounds { head: 8192, body: 65536 };
+
+/// A text without the names that types have in the code; serde puts them into its messages.
+fn without_types(text: &str) -> String {
+    text.replace("struct News", "struct LIST").replace("struct Entry", "struct ENTRY")
+}
+
+/// Compares with the text that was recorded.
+fn pinned(name: &str, found: &str) {
+    let found = &without_types(found);
+    let path = format!("{}/tests/pinned/{name}", env!("CARGO_MANIFEST_DIR"));
+    let recorded = std::fs::read_to_string(&path).expect("a recorded text");
+    for (line, (a, b)) in recorded.lines().zip(found.lines()).enumerate() {
+        assert_eq!(a, b, "{name}, line {}", line + 1);
+    }
+    assert!(recorded == *found, "{name}: {} bytes recorded, {} found", recorded.len(), found.len());
+}
+
+/// SplitMix64.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        z ^ (z >> 31)
+    }
+
+    fn below(&mut self, bound: usize) -> usize {
+        (self.next() % bound as u64) as usize
+    }
+}
+
+/// FNV-1a over all texts that it is handed.
+struct Hash(u64);
+
+impl Hash {
+    fn new() -> Self {
+        Hash(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn add(&mut self, text: &str) {
+        for byte in without_types(text).bytes().chain([0xff]) {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+        }
+    }
+}
+
+fn bytes(bytes: &[u8]) -> String {
+    bytes.escape_ascii().to_string()
+}
+
+fn request_head(text: &str) -> RequestHead<'_> {
+    RequestHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole")
+}
+
+const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a", "b"],
+  "profiles": [
+    {"name": "look", "aim_us": 200000, "deadline_us": 1000000, "repeat": "idempotent", "worth": 3.0},
+    {"name": "book", "aim_us": 250000, "deadline_us": 2000000, "repeat": "at_most_once", "worth": 2.0}],
+  "service_levels": [{"name": "gold", "limit": 15.0}, {"name": "tin", "limit": 0}],
+  "extra": {"class_writes": [false, true], "largest": 8, "mean_units": 2.0},
+  "limits": {"connect_timeout_us": 250000}}"#;
+
+fn small() -> Named {
+    settings::read(SETTINGS).expect("sound")
+}
+
+#[test]
+fn bytes_of_every_answer() {
+    let mut found = String::new();
+    for (name, status) in [("shed", answer::SHED), ("failed", answer::FAILED)] {
+        writeln!(found, "{name}: {status}").expect("memory");
+    }
+    writeln!(found, "continue: {}", bytes(answer::GO_ON)).expect("memory");
+    for status in [200, 204, 400, 404, 405, 408, 409, 411, 413, 429, 431, 500, 501, 502, 503, 504] {
+        for (body, come_back, close) in [(0, 0, false), (65_536, 0, true), (5, 1, false), (9, 61_234, true)] {
+            let mut out = Vec::from(&b"ahead "[..]);
+            answer::write(&mut out, status, body, come_back, close);
+            writeln!(found, "{}", bytes(&out)).expect("memory");
+        }
+    }
+    for come_back in [999, 1_000, 1_001, 3_600_000] {
+        let mut out = Vec::new();
+        answer::write(&mut out, 503, 0, come_back, false);
+        writeln!(found, "{}", bytes(&out)).expect("memory");
+    }
+    pinned("answers_written.txt", &found);
+}
+
+#[test]
+fn bytes_of_every_request_to_a_node() {
+    let headers = "Host: service.internal\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Priority-Class: book\r\n\
+                   X-Qos-Policy: gold\r\nX-Timeout-Ms: 480\r\n";
+    let placement = "X-Placement: units=2,shard=5,hosts=3\r\n";
+    let target = "/book/00000003b4d60021/7f3a9c21e0b4d655";
+    let sent = [
+        format!("PUT {target} HTTP/1.1\r\n{headers}Content-Length: 5\r\n{placement}\r\n"),
+        format!("PUT {target}?a=%20b HTTP/1.1\r\n{headers}Transfer-Encoding: chunked\r\n{placement}\r\n"),
+        format!("PUT {target} HTTP/1.1\r\n{headers}Content-Length: 0\r\n\r\n"),
+        format!(
+            "PUT {target} HTTP/1.1\r\nCONTENT-TYPE:  a/b ; c \r\nidempotency-key: cd869d0740eecfe7\r\n{headers}\
+             Content-Length: 5\r\nX-Retried: 1\r\nX-Other: 1\r\nExpect: 100-continue\r\n{placement}\r\n"
+        ),
+        format!("PUT {target} HTTP/1.1\r\n{headers}X-Qos-Policy: gold\r\nContent-Length: 5\r\n\r\n"),
+        format!("GET /look/0/1?x HTTP/1.1\r\n{headers}{placement}Connection: close\r\n\r\n"),
+        "GET /look HTTP/1.0\r\n\r\n".to_owned(),
+    ];
+    let mut found = String::new();
+    for text in &sent {
+        let head = request_head(text);
+        let body: &[u8] = if head.states_length() { b"hello" } else { b"" };
+        for wait in [0, 77, 3_600_000] {
+            let mut out = Vec::new();
+            request::write(&mut out, &head, body, wait);
+            writeln!(found, "{}", bytes(&out)).expect("memory");
+            request::write_wait(&mut out, 12_345);
+            writeln!(found, "then: {}", bytes(&out)).expect("memory");
+        }
+    }
+    for text in
+        ["", "no line", "GET / HTTP/1.1\r\n", "GET / HTTP/1.1\r\nHost: s\r\n\r\n", "a\r\nX-Timeout-Ms: 9"]
+    {
+        let mut out = text.as_bytes().to_vec();
+        request::write_wait(&mut out, 5);
+        writeln!(found, "wait in {}: {}", bytes(text.as_bytes()), bytes(&out)).expect("memory");
+    }
+    for since in [None, Some(0), Some(41), Some(u64::MAX)] {
+        let mut out = Vec::new();
+        list::watch(&mut out, "127.2.0.1:8500".parse().expect("an address"), since);
+        writeln!(found, "{}", bytes(&out)).expect("memory");
+    }
+    pinned("requests_written.txt", &found);
+}
+
+fn ending(ending: Ending) -> &'static str {
+    match ending {
+        Ending::Done => "done",
+        Ending::Error => "error",
+        Ending::Busy => "busy",
+        Ending::TimedOut => "timed out",
+        Ending::NoConnect => "no connection",
+        Ending::Reset => "reset",
+        Ending::Cancelled => "cancelled",
+        Ending::Moot => "moot",
+    }
+}
+
+#[test]
+fn what_every_answer_of_a_node_says() {
+    let mut found = String::new();
+    let mut said = |lines: &str| {
+        let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
+        let head = AnswerHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
+        let said = answer::read(&head);
+        let Report { waiting, service_ms, busy } = said.report;
+        writeln!(
+            found,
+            "{}: {} used {} by others {} waiting {waiting:?} service {service_ms:?} busy {busy:?}",
+            bytes(lines.as_bytes()),
+            ending(said.ending),
+            said.used,
+            said.by_others
+        )
+        .expect("memory");
+    };
+    for status in [100, 200, 201, 204, 304, 400, 404, 409, 429, 500, 502, 503, 504, 505, 599] {
+        said(&format!("{status} X"));
+        said(&format!("{status} X\r\nX-Not-Processed: 1"));
+    }
+    for line in [
+        "X-Not-Processed: 0",
+        "X-Not-Processed: 01",
+        "x-not-processed:1",
+        "X-Not-Processed: 1\r\nX-Not-Processed: 1",
+        "X-Not-Processed: true",
+    ] {
+        said(&format!("503 X\r\n{line}"));
+    }
+    for line in [
+        "X-Iops-Used: 41",
+        "X-Iops-Used: 101.5",
+        "X-Iops-Used: -1",
+        "X-Iops-Used: nan",
+        "X-Iops-Used: inf",
+        "X-Iops-Used: 1e3",
+        "X-Iops-Used: 1\r\nX-Iops-Used: 2",
+        "X-Iops-Used: much",
+        "X-Rho: 3",
+        "X-Rho: 0.125",
+        "X-Rho: -0.5",
+        "X-Rho:",
+        "X-Server-Load: {\"backlog\":3,\"recent_ms\":12.5,\"utilization\":0.75}",
+        "X-Server-Load: {\"backlog\":-3,\"recent_ms\":\"x\",\"utilization\":null,\"more\":1}",
+        "X-Server-Load: {\"utilization\":1}",
+        "X-Server-Load: {\"utilization\"",
+        "X-Server-Load: [1]",
+        "X-Server-Load: 1",
+        "X-Server-Load:",
+        "X-Iops-Used: 7\r\nX-Rho: 2\r\nX-Server-Load: {\"backlog\":0}",
+    ] {
+        said(&format!("200 X\r\n{line}"));
+        said(&format!("503 X\r\n{line}"));
+    }
+    pinned("answers_read.txt", &found);
+}
+
+fn entry(e: &Entry) -> String {
+    let health = match e.health {
+        Health::Ready => "ready",
+        Health::Draining => "draining",
+        Health::Gone => "gone",
+    };
+    format!("[{} at {} site {} block {} {health} born {}]", e.name, e.dial, e.site, e.shard, e.born_ms)
+}
+
+fn news(n: &News) -> String {
+    let entries: Vec<String> = n.entries.iter().map(entry).collect();
+    format!("seq {} whole {} {}", n.seq, n.whole, entries.concat())
+}
+
+fn front(text: &[u8]) -> String {
+    match list::front(text) {
+        Front::Part => "part".into(),
+        Front::Empty(len) => format!("empty {len}"),
+        Front::News(n, len) => format!("news {len}: {}", news(&n)),
+        Front::Wrong(why, closings) => {
+            let closings: Vec<String> = closings.iter().map(entry).collect();
+            format!("wrong: {why}; {}", closings.concat())
+        }
+    }
+}
+
+const ENTRY: &str = r#"{"host":"s-1","dial":"10.1.0.18:8443","site":"a","class":"m","block":3,"health":"ready","share":1.0,"born_ms":5}"#;
+const BARE: &str = r#"{"host":"s-2","dial":"[::1]:1","block":0,"health":"draining"}"#;
+const GONE: &str = r#"{"host":"s-3","dial":"1.2.3.4:5","block":4294967295,"health":"gone","born_ms":-7}"#;
+
+fn lists() -> Vec<(&'static str, String)> {
+    let of = |whole: bool, entries: &str| format!(r#"{{"seq":41,"whole":{whole},"hosts":[{entries}]}}"#);
+    let all = [ENTRY, BARE, GONE].join(",");
+    let many = |count: usize| {
+        let entries: Vec<String> = (0..count)
+            .map(|n| format!(r#"{{"host":"s{n}","dial":"1.1.1.1:1","block":1,"health":"ready"}}"#))
+            .collect();
+        of(true, &entries.join(","))
+    };
+    let named = |len: usize| of(true, &ENTRY.replace("s-1", &"x".repeat(len)));
+    let indented =
+        serde_json::to_string_pretty(&serde_json::from_str::<Value>(&of(true, &all)).expect("sound"));
+    let closing = |bad: &str| of(false, &[bad, BARE, GONE, &BARE.replace("s-2", "")].join(","));
+    vec![
+        ("full", of(true, &all)),
+        ("incremental", of(false, &all)),
+        ("empty", of(false, "")),
+        ("indented", indented.expect("sound")),
+        ("4096 entries", many(4_096)),
+        ("4097 entries", many(4_097)),
+        ("a name of 128", named(128)),
+        ("a name of 129", named(129)),
+        ("no name", named(0)),
+        ("a health that is unknown", closing(&ENTRY.replace("ready", "asleep"))),
+        ("a dial without port", closing(&ENTRY.replace(":8443", ""))),
+        ("a block below 0", closing(&ENTRY.replace("\"block\":3", "\"block\":-3"))),
+        ("a birth that is no figure", closing(&ENTRY.replace("born_ms\":5", "born_ms\":\"x\""))),
+        ("no host", closing(&ENTRY.replace("\"host\"", "\"hose\""))),
+        ("no health", closing(&ENTRY.replace("\"health\"", "\"heal\""))),
+        ("no seq", of(true, ENTRY).replace("\"seq\"", "\"sequ\"")),
+        ("no whole", of(true, ENTRY).replace("\"whole\"", "\"hole\"")),
+        ("no hosts", of(true, ENTRY).replace("\"hosts\"", "\"guests\"")),
+        ("hosts that are no list", r#"{"seq":1,"whole":true,"hosts":3}"#.into()),
+        ("an array", "[]".into()),
+        ("an array of three", "[1,true,[]]".into()),
+        ("a text", "\"x\"".into()),
+        ("nothing", String::new()),
+        ("garbage", "}".into()),
+        ("two", format!("{}\n{}\n", of(true, ENTRY), of(false, GONE))),
+        ("a blank ahead", format!("  {}", of(true, ENTRY))),
+        ("lines ahead", format!(" \r\n\n  {}", of(true, ENTRY))),
+    ]
+}
+
+/// The front of a text, so much of it.
+fn shortened(text: String) -> String {
+    if text.len() <= 600 { text } else { format!("{}… {} bytes", &text[..200], text.len()) }
+}
+
+#[test]
+fn what_every_form_of_a_list_says() {
+    let mut found = String::new();
+    for (name, text) in lists() {
+        let read = list::read(text.as_bytes()).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
+        writeln!(found, "{name}, read: {}", shortened(read)).expect("memory");
+        writeln!(found, "{name}, front: {}", shortened(front(text.as_bytes()))).expect("memory");
+        if let Ok(value) = serde_json::from_str(&text) {
+            let of = list::of(value).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
+            writeln!(found, "{name}, of: {}", shortened(of)).expect("memory");
+        }
+    }
+    for text in
+        [&b""[..], b"\n", b"\r\n", b" ", b" \n ", b"\n\n{", b"\xff", b"{\"seq\":\xff", b"nul", b"nulx", b"12"]
+    {
+        writeln!(found, "front of {}: {}", bytes(text), front(text)).expect("memory");
+    }
+    writeln!(found, "bytes: {}", list::BYTES).expect("memory");
+    pinned("lists_read.txt", &found);
+}
+
+#[test]
+fn a_list_cut_at_every_byte_and_garbled() {
+    let mut hash = Hash::new();
+    let mut draws = Draws(7);
+    for (_, text) in lists().into_iter().filter(|l| l.1.len() < 1_000) {
+        for end in 0..text.len() {
+            let cut = &text.as_bytes()[..end];
+            hash.add(&front(cut));
+            hash.add(&list::read(cut).map_or_else(|why| why.to_string(), |n| news(&n)));
+        }
+        for _ in 0..60 {
+            let mut garbled = text.clone().into_bytes();
+            if !garbled.is_empty() {
+                let place = draws.below(garbled.len());
+                garbled[place] = b"0\"x,}\n- "[draws.below(8)];
+            }
+            hash.add(&front(&garbled));
+        }
+    }
+    assert_eq!(hash.0, HASHES[0], "{:#x}", hash.0);
+}
+
+#[test]
+fn what_the_scheduler_hears_of_a_list() {
+    let settings = small();
+    let mut names = Names::default();
+    let mut found = String::new();
+    let site = |entry: &str, site: &str| entry.replace("\"site\":\"a\"", &format!("\"site\":\"{site}\""));
+    let other = |name: &str, zone: &str| site(&ENTRY.replace("s-1", name), zone);
+    let lines = [
+        format!(
+            r#"{{"seq":1,"whole":true,"hosts":[{ENTRY},{},{},{}]}}"#,
+            other("s-4", "b"),
+            other("s-5", "c"),
+            GONE
+        ),
+        format!(r#"{{"seq":2,"whole":false,"hosts":[{BARE},{}]}}"#, GONE.replace("s-3", "s-4")),
+        format!(
+            r#"{{"seq":3,"whole":false,"hosts":[{},{}]}}"#,
+            other("s-6", ""),
+            BARE.replace("draining", "ready")
+        ),
+    ];
+    let mut listed = Vec::new();
+    for line in &lines {
+        names.listed(&list::read(line.as_bytes()).expect("sound"), &settings, &mut listed);
+        for l in &listed {
+            let state = match l.state {
+                NodeState::Active => "active",
+                NodeState::Leaving => "leaving",
+                NodeState::Left => "left",
+            };
+            let id = l.node.0;
+            writeln!(found, "node {id} zone {} shard {} {state} up {}", l.zone, l.shard, l.came_up)
+                .expect("memory");
+        }
+        writeln!(found, "sizes {:?}", names.sizes()).expect("memory");
+    }
+    let (a, b) = (names.find_node(&"s-1".to_owned()), names.find_node(&"s-9".to_owned()));
+    writeln!(found, "s-1 {:?} s-9 {:?}", a.map(|n| n.0), b.map(|n| n.0)).expect("memory");
+    pinned("lists_heard.txt", &found);
+}
+
+/// A sound write, with one line replaced; `""` takes it out.
+fn request_with(prefix: &str, line: &str) -> String {
+    let lines = [
+        "PUT /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1",
+        "Host: s",
+        "X-Request-ID: 9b1f",
+        "X-Priority-Class: book",
+        "X-Qos-Policy: tin",
+        "X-Timeout-Ms: 480",
+        "X-Placement: units=2,shard=5,hosts=3",
+        "Content-Length: 5",
+    ];
+    let change = |l: &&str| if l.starts_with(prefix) { line.to_owned() } else { (*l).to_owned() };
+    let all: Vec<String> = lines.iter().map(change).filter(|l| !l.is_empty()).collect();
+    format!("{}\r\n\r\n", all.join("\r\n"))
+}
+
+fn asked(text: &str, body: usize, named: &Named) -> String {
+    let head = match RequestHead::read(text.as_bytes(), BOUNDS) {
+        Ok(Some(head)) => head,
+        Ok(None) => return "cut".into(),
+        Err(fault) => return format!("no head: {}", fault.words()),
+    };
+    match request::read(&head, body, named) {
+        Ok(Asked::Ready) => "ready".into(),
+        Ok(Asked::Block(b)) => format!(
+            "id {} group {} plan {} volume {:x} piece {:x} wait {} units {} shard {:?} hosts {}",
+            bytes(b.id.bytes()),
+            b.group,
+            b.plan,
+            b.volume,
+            b.piece,
+            b.wait,
+            b.units,
+            b.shard,
+            b.hosts
+        ),
+        Err(wrong) => format!("{}: {}", wrong.status(), wrong.words()),
+    }
+}
+
+fn changed_requests() -> Vec<(&'static str, String)> {
+    let mut all: Vec<(&str, String)> = Vec::new();
+    let mut with = |prefix: &'static str, line: &str| all.push((prefix, line.to_owned()));
+    for name in ["X-Request-ID", "X-Priority-Class", "X-Qos-Policy", "X-Timeout-Ms", "X-Placement"] {
+        with(name, "");
+        with(name, "X-Nothing: 1");
+        with(name, &format!("{name}:"));
+        with(name, &format!("{name}: 1\r\n{name}: 1"));
+        with(name, &format!("{name}: \u{e9}"));
+    }
+    with("Content-Length", "");
+    with("Content-Length", "Transfer-Encoding: chunked");
+    for target in [
+        "/ready",
+        "/ready?x",
+        "/ready/",
+        "/",
+        "*",
+        "/book",
+        "/book/00000003b4d60021",
+        "/book/00000003b4d60021/7f3a9c21e0b4d655/x",
+        "/book/00000003b4d60021/7f3a9c21e0b4d655/",
+        "/book/00000003b4d60021/7f3a9c21e0b4d655?q=/x",
+        "/book/00000003B4D60021/7F3A9C21E0B4D655",
+        "/book/0003b4d60021/7f3a9c21e0b4d655",
+        "/book/00000003b4d6002g/7f3a9c21e0b4d655",
+        "/book/+0000003b4d60021/7f3a9c21e0b4d655",
+        "/look/00000003b4d60021/7f3a9c21e0b4d655",
+        "/nope/00000003b4d60021/7f3a9c21e0b4d655",
+    ] {
+        for method in ["PUT", "GET", "POST"] {
+            with("PUT", &format!("{method} {target} HTTP/1.1"));
+        }
+    }
+    for id in [&"a".repeat(40), &"a".repeat(41), "a b", "~!", "a,b"] {
+        with("X-Request", &format!("X-Request-ID: {id}"));
+    }
+    for class in ["look", "BOOK", "nope"] {
+        with("X-Priority", &format!("X-Priority-Class: {class}"));
+    }
+    for plan in ["gold", "Gold", "none"] {
+        with("X-Qos", &format!("X-Qos-Policy: {plan}"));
+    }
+    for wait in [
+        "1",
+        "0",
+        "00",
+        "007",
+        "-5",
+        "+5",
+        "1e3",
+        "4.5",
+        "soon",
+        "3600000",
+        "3600001",
+        "99999999999999999999999",
+    ] {
+        with("X-Timeout", &format!("X-Timeout-Ms: {wait}"));
+    }
+    for placement in [
+        "units=1,shard=-1,hosts=1",
+        "hosts=3, shard=5 , units=8",
+        "units=2,shard=5,hosts=3,more=1",
+        "units=2,shard=5,hosts=3,more=1,more=1",
+        "units=2,shard=5,hosts=3,more",
+        "units=0,shard=5,hosts=3",
+        "units=9,shard=5,hosts=3",
+        "units=2,shard=-2,hosts=3",
+        "units=2,shard=5",
+        "shard=5,hosts=3",
+        "units=2,hosts=3",
+        "units=2,shard=5,hosts=0",
+        "units=2,units=2,shard=5,hosts=3",
+        "units=2,shard=-1,shard=5,hosts=3",
+        "units=2,shard=5,hosts=3,hosts=3",
+        "units=2.0,shard=5,hosts=3",
+        "units=-2,shard=5,hosts=3",
+        "2,5,3",
+        "units=2,shard=99999999999,hosts=3",
+        "units=2;shard=5;hosts=3",
+    ] {
+        with("X-Place", &format!("X-Placement: {placement}"));
+    }
+    all
+}
+
+#[test]
+fn what_every_request_asks_for_or_why_it_is_refused() {
+    let settings = small();
+    let unbounded = settings::read(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("sound");
+    let mut found = String::new();
+    for (prefix, line) in changed_requests() {
+        let text = request_with(prefix, &line);
+        let shown = bytes(line.as_bytes());
+        writeln!(found, "{prefix} -> {shown}: {}", asked(&text, 5, &settings)).expect("memory");
+    }
+    let read = "GET /look/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: s\r\nX-Request-ID: a\r\n\
+                X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 9\r\n\
+                X-Placement: units=80,shard=-1,hosts=1\r\n\r\n";
+    for body in [0, 1] {
+        writeln!(found, "a read of 80 units, body {body}: {}", asked(read, body, &unbounded))
+            .expect("memory");
+        writeln!(found, "a read of 80 units, body {body}: {}", asked(read, body, &settings)).expect("memory");
+        let put = read.replace("GET", "PUT").replace("units=80", "units=8");
+        writeln!(found, "a write of a class that reads: {}", asked(&put, body, &settings)).expect("memory");
+    }
+    for wrong in [
+        Wrong::NoSuchPath,
+        Wrong::Method,
+        Wrong::Group,
+        Wrong::Plan,
+        Wrong::Address,
+        Wrong::Wait,
+        Wrong::Id,
+        Wrong::Placement,
+        Wrong::Body,
+        Wrong::NoLength,
+    ] {
+        writeln!(found, "{}: {}", wrong.status(), wrong.words()).expect("memory");
+    }
+    pinned("requests_read.txt", &found);
+}
+
+#[test]
+fn requests_garbled_anywhere() {
+    let (settings, mut hash, mut draws) = (small(), Hash::new(), Draws(11));
+    let sound = request_with("\0", "");
+    for _ in 0..6_000 {
+        let mut text = sound.clone().into_bytes();
+        for _ in 0..=draws.below(2) {
+            let place = draws.below(text.len());
+            text[place] = b"05aX,=-/ :\r\n"[draws.below(12)];
+        }
+        hash.add(&asked(&String::from_utf8(text).expect("ASCII"), draws.below(2) * 5, &settings));
+    }
+    assert_eq!(hash.0, HASHES[1], "{:#x}", hash.0);
+}
+
+#[test]
+fn the_block_io_that_a_request_becomes() {
+    let settings = small();
+    let mut names = Names::default();
+    let mut found = String::new();
+    let requests = [
+        ("\0", "", 0),
+        ("\0", "", 5),
+        ("X-Request", "X-Request-ID: b", 1_000),
+        ("PUT", "PUT /book/0000000000000001/7f3a9c21e0b4d655 HTTP/1.1\r\nX-A: b", 1_000),
+    ];
+    for (ids, (prefix, line, now)) in (0..).zip(requests) {
+        let mut text = request_with(prefix, line);
+        if ids > 2 {
+            text = text.replace("9b1f", "c").replace("480", "2001");
+        }
+        let head = request_head(&text);
+        let Ok(Asked::Block(block)) = request::read(&head, 5, &settings) else { panic!("a block I/O") };
+        match names.take(BioId(ids), &block, now, &settings) {
+            Ok(b) => writeln!(
+                found,
+                "bio {} group {} plan {} volume {} key {:?} until {} units {} shard {:?} hosts {}",
+                b.id.0,
+                b.group,
+                b.plan,
+                b.vol.0,
+                b.key.map(|k| k.0),
+                b.hard_limit,
+                b.units,
+                b.shard,
+                b.hosts
+            ),
+            Err(Shut::InHand) => writeln!(found, "in hand"),
+            Err(Shut::Full) => writeln!(found, "full"),
+        }
+        .expect("memory");
+    }
+    writeln!(found, "sizes {:?}", names.sizes()).expect("memory");
+    let mut took = 0;
+    for volume in 0..5_000u64 {
+        let text = request_with("\0", "").replace("00000003b4d60021", &format!("{volume:016x}"));
+        let text = text.replace("9b1f", &format!("v{volume}"));
+        let Ok(Asked::Block(block)) = request::read(&request_head(&text), 5, &settings) else {
+            panic!("sound")
+        };
+        took += u32::from(names.take(BioId(9), &block, 0, &settings).is_ok());
+    }
+    writeln!(found, "volumes taken {took}, sizes {:?}", names.sizes()).expect("memory");
+    let id = |text: &str| Id::new(text).map(|id| bytes(id.bytes()));
+    writeln!(found, "ids {:?} {:?} {:?} {:?}", id(""), id("a"), id("a b"), id(&"x".repeat(41)))
+        .expect("memory");
+    pinned("block_ios.txt", &found);
+}
+
+fn group(g: &IoGroup) -> String {
+    let effect = match g.effect {
+        Effect::Idempotent => "idempotent".to_owned(),
+        Effect::SideEffecting => "side-effecting".to_owned(),
+        Effect::Fingerprinted { scope, memory } => {
+            let scope = match scope {
+                Scope::All => "all",
+                Scope::Zone => "zone",
+                Scope::Cell => "cell",
+            };
+            format!("by key in {scope} for {memory}")
+        }
+    };
+    let (goal, late, gain) = (g.goal, g.late_share, g.gain);
+    format!("{effect} goal {goal} late {late} gain {gain} ordered {} writes {}", g.ordered, g.writes)
+}
+
+fn plan(p: &Plan) -> String {
+    let (usual, reserve, limit, burst) = (p.usual, p.reserve, p.limit, p.limit_burst);
+    format!("usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}", p.wt, p.price)
+}
+
+fn settled(n: &Named) -> String {
+    let t = &n.terms;
+    let mut out = String::new();
+    for (name, g) in n.groups.iter().zip(&t.groups) {
+        writeln!(out, "  group {name}: {}", group(g)).expect("memory");
+    }
+    for (name, p) in n.plans.iter().zip(&t.plans) {
+        writeln!(out, "  plan {name}: {}", plan(p)).expect("memory");
+    }
+    let figures: [(&str, &dyn std::fmt::Debug); 34] = [
+        ("counts", &(n.groups.len(), t.groups.len(), n.plans.len(), t.plans.len())),
+        ("zones", &n.zones),
+        ("connect within", &n.connect_within),
+        ("idle close", &n.idle_close),
+        ("open most", &n.open_most),
+        ("longest", &n.longest),
+        ("hosts", &t.hosts),
+        ("mean units", &t.mean_units),
+        ("largest", &t.largest),
+        ("share gain", &t.share_gain),
+        ("spare gain", &t.spare_gain),
+        ("meter", &t.meter),
+        ("counts others", &t.counts_others),
+        ("may cancel", &t.may_cancel),
+        ("may probe", &t.may_probe),
+        ("may tell", &t.may_tell),
+        ("may duplicate", &t.may_duplicate),
+        ("may name return", &t.may_name_return),
+        ("longest return", &t.longest_return),
+        ("max submits", &t.max_submits),
+        ("list on request", &t.list_on_request),
+        ("ask turn", &t.ask_turn),
+        ("list pushed", &t.list_pushed),
+        ("ask within", &t.ask_within),
+        ("word by half", &t.word_by_half),
+        ("cold bears", &t.cold_bears),
+        ("cold from", &t.cold_from),
+        ("cold span", &t.cold_span),
+        ("fall span", &t.fall_span),
+        ("fall multiple", &t.fall_multiple),
+        ("order rest", &t.order_rest),
+        ("budget free", &t.budget_free),
+        ("budget share", &t.budget_share),
+        ("budget span", &t.budget_span),
+    ];
+    for (name, figure) in &figures {
+        writeln!(out, "  {name}: {figure:?}").expect("memory");
+    }
+    out
+}
+
+/// Settings with every key that is read, each with a value of its own.
+fn every_setting() -> Value {
+    json!({"balancers": 3, "localities": ["a", "b", 7, "c"], "registry_mode": "on_request",
+        "profiles": [
+            {"name": "scan", "aim_us": 200050, "deadline_us": 1000050, "repeat": "idempotent", "worth": 3.0,
+             "late_share": 0.15, "keep_order": true},
+            {"name": "stamp", "aim_us": 250000, "deadline_us": 2000000, "repeat": "deduplicated", "key_scope": "zone",
+             "key_ttl_us": 900099, "worth": 2.0},
+            {"name": "mint", "aim_us": 1, "deadline_us": 1, "repeat": "deduplicated", "key_scope": "all"},
+            {"name": "book", "aim_us": 100, "deadline_us": 101, "repeat": "at_most_once", "key_scope": "cell"}],
+        "service_levels": [
+            {"name": "copper", "limit": 15.0, "limit_burst": 48.0, "usual_rate": 7.5, "floor_rate": 2.25, "weight": 4.0,
+             "worth_factor": 0.5},
+            {"name": "steel", "limit": 0.0}],
+        "extra": {"class_writes": [false, true, "x"], "cold_bears": 70.0, "largest": 8, "mean_units": 2.19,
+                  "within_share": 0.35, "spare_worth": 0.1, "meter_us": 1234567, "counts_others": true, "other": 1},
+        "limits": {"cancel": true, "connect_timeout_us": 250001, "idle_close_us": 30000099, "max_attempts": 3.9,
+                   "probes": true, "peer_messages": true, "may_duplicate": true, "retry_after": true,
+                   "max_retry_after_us": 4000099, "open_cap": 77.5},
+        "rules": {"ask_within_us": 10000099, "cold_from": 0.2, "cold_us": 18000001, "fall_multiple": 4.0,
+                  "fall_us": 2000001, "extra_ratio": 0.25, "look_back_us": 5000001, "free_resends": 3.0,
+                  "order_pause_us": 200001}})
+}
+
+fn read_settings(v: &Value) -> String {
+    match settings::of(v) {
+        Ok(named) => settled(&named),
+        Err(why) => format!("  refused: {why}\n").replace('\n', "\n  ").trim_end().to_owned() + "\n",
+    }
+}
+
+/// Paths of all values in a JSON object.
+fn paths(v: &Value, path: &str, into: &mut Vec<String>) {
+    let mut visit = |key: String, v: &Value| {
+        let path = format!("{path}/{key}");
+        into.push(path.clone());
+        paths(v, &path, into);
+    };
+    match v {
+        Value::Object(fields) => fields.iter().for_each(|(k, v)| visit(k.clone(), v)),
+        Value::Array(all) => all.iter().enumerate().for_each(|(i, v)| visit(i.to_string(), v)),
+        _ => {}
+    }
+}
+
+/// The object with the value at a path replaced; none: taken out.
+fn with(all: &Value, path: &str, value: Option<Value>) -> Value {
+    let mut all = all.clone();
+    let (parent, key) = path.rsplit_once('/').expect("a path");
+    match (all.pointer_mut(parent).expect("there"), value) {
+        (Value::Object(fields), Some(value)) => drop(fields.insert(key.to_owned(), value)),
+        (Value::Object(fields), None) => drop(fields.remove(key)),
+        (Value::Array(list), Some(value)) => list[key.parse::<usize>().expect("an index")] = value,
+        (Value::Array(list), None) => drop(list.remove(key.parse::<usize>().expect("an index"))),
+        _ => {}
+    }
+    all
+}
+
+/// Only the lines that differ from those of the sound text.
+fn differing(sound: &str, found: &str) -> String {
+    let sound: Vec<&str> = sound.lines().collect();
+    found.lines().filter(|l| !sound.contains(l)).map(|l| format!("{l}\n")).collect()
+}
+
+#[test]
+fn what_every_setting_says_absent_or_replaced() {
+    let all = every_setting();
+    let sound = read_settings(&all);
+    let mut found = format!("all:\n{sound}");
+    let mut every = Vec::new();
+    paths(&all, "", &mut every);
+    let values = [
+        None,
+        Some(json!("soon")),
+        Some(json!(-1.0)),
+        Some(json!(0)),
+        Some(json!(true)),
+        Some(json!([])),
+        Some(json!({})),
+    ];
+    for path in &every {
+        for value in &values {
+            let shown = value.as_ref().map_or("absent".into(), Value::to_string);
+            let read = read_settings(&with(&all, path, value.clone()));
+            write!(found, "{path} {shown}:\n{}", differing(&sound, &read)).expect("memory");
+        }
+    }
+    for (path, value) in [
+        ("/registry_mode", "pushed"),
+        ("/profiles/1/name", "scan"),
+        ("/profiles/1/key_scope", "planet"),
+        ("/profiles/0/repeat", "twice"),
+        ("/service_levels/1/name", "copper"),
+    ] {
+        let read = read_settings(&with(&all, path, Some(json!(value))));
+        write!(found, "{path} {value}:\n{}", differing(&sound, &read)).expect("memory");
+    }
+    for text in ["", "{}", "[1]", "3", "{\"balancers\":1"] {
+        let read = settings::read(text).map_or_else(|why| why.to_string(), |n| settled(&n));
+        writeln!(found, "text {text}: {read}").expect("memory");
+    }
+    pinned("settings.txt", &found);
+}
+
+fn every_config() -> Value {
+    json!({"name": "n3", "listen": "127.0.0.4:8443", "discovery": "127.2.0.1:8500", "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 0.75, "memory_mb": 32.9, "sockets": 256},
+        "known": {"seq": 41, "whole": true, "hosts": [serde_json::from_str::<Value>(ENTRY).expect("sound")]},
+        "fleet": {"name": "south", "listen": "127.0.0.4:7000", "reached_at": "10.0.0.4:7001", "zone": "z1",
+                  "seeds": ["127.0.0.5:7000", "127.0.0.6:7000"], "period_ms": 500, "keep_s": 7200},
+        "settings": serde_json::from_str::<Value>(SETTINGS).expect("sound")})
+}
+
+fn read_config(text: &str) -> String {
+    let c = match config::read(text) {
+        Ok(c) => c,
+        Err(problems) => return format!("{problems}\n"),
+    };
+    let mut out = String::new();
+    writeln!(out, "  name {} listen {} discovery {}", c.name, c.listen, c.discovery).expect("memory");
+    writeln!(out, "  seed {:x} cores {} memory {} sockets {}", c.seed, c.cores, c.memory_mb, c.sockets)
+        .expect("memory");
+    writeln!(out, "  known {}", c.known.as_ref().map_or("none".into(), news)).expect("memory");
+    match &c.place {
+        None => writeln!(out, "  no place"),
+        Some(p) => writeln!(
+            out,
+            "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
+            p.settings.fleet,
+            p.settings.name,
+            p.settings.address,
+            p.listen,
+            p.settings.zone,
+            p.settings.seeds,
+            p.settings.period,
+            p.settings.keep
+        ),
+    }
+    .expect("memory");
+    let settings = settled(&c.named);
+    let mut hash = Hash::new();
+    hash.add(&settings);
+    writeln!(out, "  settings {:x}", hash.0).expect("memory");
+    out
+}
+
+#[test]
+fn what_every_configuration_says_absent_or_replaced() {
+    let all = every_config();
+    let sound = read_config(&all.to_string());
+    let mut found = format!("all:\n{sound}");
+    let mut every = Vec::new();
+    paths(&all, "", &mut every);
+    every.retain(|p| !p.starts_with("/settings/"));
+    let values = [
+        None,
+        Some(Value::Null),
+        Some(json!("soon")),
+        Some(json!("")),
+        Some(json!(-1.5)),
+        Some(json!(15)),
+        Some(json!(63.9)),
+        Some(json!([1])),
+        Some(json!({"x": 1})),
+    ];
+    for path in &every {
+        for value in &values {
+            let shown = value.as_ref().map_or("absent".into(), Value::to_string);
+            let read = read_config(&with(&all, path, value.clone()).to_string());
+            write!(found, "{path} {shown}:\n{}", differing(&sound, &read)).expect("memory");
+        }
+    }
+    for (path, value) in [
+        ("/seed", json!("0")),
+        ("/seed", json!("11c1f30d27a5be964")),
+        ("/limits/memory_mb", json!(16)),
+        ("/limits/sockets", json!(64)),
+        ("/fleet/listen", json!("0.0.0.0:7000")),
+        ("/fleet/zone", json!("a zone of far more than its bytes")),
+        ("/settings/profiles", json!([])),
+        ("/settings/service_levels", json!([])),
+        ("/settings/balancers", json!(0)),
+        ("/settings/registry_mode", json!("x")),
+    ] {
+        let read = read_config(&with(&all, path, Some(value.clone())).to_string());
+        write!(found, "{path} {value}:\n{}", differing(&sound, &read)).expect("memory");
+    }
+    for text in ["", "{}", "[1]", "3", "{\"name\":\"n3\""] {
+        write!(found, "text {text}: {}", read_config(text)).expect("memory");
+    }
+    pinned("configurations.txt", &found);
+}
+
+#[test]
+fn configurations_garbled_anywhere() {
+    let (mut hash, mut draws) = (Hash::new(), Draws(13));
+    let sound = every_config().to_string();
+    for _ in 0..3_000 {
+        let mut text = sound.clone().into_bytes();
+        let place = draws.below(text.len());
+        match draws.below(3) {
+            0 => text[place] = b"0x,-\"}1 "[draws.below(8)],
+            1 => drop(text.remove(place)),
+            _ => text.truncate(place),
+        }
+        hash.add(&read_config(&String::from_utf8(text).expect("ASCII")));
+    }
+    assert_eq!(hash.0, HASHES[2], "{:#x}", hash.0);
+}
+
+/// Hashes of what is too long to be written out: lists, requests and configurations, cut and garbled.
+const HASHES: [u64; 3] = [0xab7b_744b_2ec9_f362, 0x14f2_7b91_2242_e283, 0x17a0_7aa9_ee86_50da];
--- /dev/null
+++ b/crates/settings/tests/pinned_reading.rs
@@ -0,0 +1,601 @@
+//! Pins of the configuration: every directive as it is read, and the message of every refusal, word for word. The
+//! recorded texts in `pinned/` name fields in words of their own, so that renaming a field in the code changes
+//! nothing here.
+use mallowseam_settings::edit::{self, Share};
+use mallowseam_settings::lines::{Args, Problems, words};
+use mallowseam_settings::site::{Direction, Effect, Site};
+use mallowseam_settings::{change, read};
+use std::fmt::Write as _;
+
+/// Compares with the text that was recorded.
+fn pinned(name: &str, found: &str) {
+    let path = format!("{}/tests/pinned/{name}", env!("CARGO_MANIFEST_DIR"));
+    let recorded = std::fs::read_to_string(&path).expect("a recorded text");
+    for (line, (a, b)) in recorded.lines().zip(found.lines()).enumerate() {
+        assert_eq!(a, b, "{name}, line {}", line + 1);
+    }
+    assert!(recorded == found, "{name}: {} bytes recorded, {} found", recorded.len(), found.len());
+}
+
+/// A file with every directive.
+const EVERY: &str = r#"# every directive
+host gw1
+    listen 127.0.0.1:3260
+    target iqn.2026-12.example:ledgers
+    node-list 127.0.0.1:7000
+    window 32
+    connections 100
+    longest 1.5MiB
+    control "/run/mallow seam/gw1.sock"
+    kept-list /var/lib/list
+    follow [::1]:7100
+    kept-plans /var/lib/plans   # a copy
+    digests header data
+    seed 18446744073709551615
+    fleet south listen 127.0.0.1:7400 reached-at 10.0.0.1:7401 zone z1 seed 10.0.0.2:7400 seed 10.0.0.3:7400 period 500ms keep 2h
+fleet
+    hosts 3
+    unit 4KiB
+    mean-units 2.19
+    largest-units 64
+    submits 3
+    share-gain 35%
+    spare-gain 10.5%
+    come-back 4s
+    order-rest 200ms
+    cold 23% 18s 2.5 3s 4
+    further 3 10% 10s
+catalog
+    listen 127.0.0.1:7500
+    store /var/lib/catalog
+    control /run/catalog.sock
+    extent 64
+    copies lookup
+tariffs
+    listen 127.0.0.1:7600
+    store /var/lib/trail
+    control /run/tariffs.sock
+plan basic
+    usual 20/s
+    reserve 5.25/s
+    limit 40/s burst 16
+    weight 2
+    price 1.5
+plan bare
+group lookup
+    effect idempotent
+    goal 0.2s
+    hard-limit 1s
+    gain 3
+    late-gain 15%
+group post
+    effect side-effecting
+    goal 250ms
+    hard-limit 2m
+    ordered
+volume water
+    lun 1
+    plan basic
+    hosts 3
+    blocks 2048
+    block-size 512B
+    extent 1024 1024 brick2 at 0
+    extent 0 1024 brick1 at 64
+    rule read blocks 0-9 lookup
+    rule write blocks 0-99 post key 8
+    rule any lookup
+volume clones
+    lun 2
+    plan bare
+    hosts 1
+    blocks 128
+    block-size 4KiB
+    mapped
+    rule read lookup key 4
+    rule write lookup
+node brick1
+    address 127.0.0.1:4001
+    target iqn.2026-12.example:brick1
+    lun 7
+    zone b
+    shard 9
+node brick2
+    address 127.0.0.1:4002
+    target iqn.2026-12.example:brick2
+"#;
+
+fn shown(site: &Site) -> String {
+    let mut out = String::new();
+    let h = &site.host;
+    writeln!(out, "host {} listen {:?} target {} control {:?}", h.name, h.listen, h.target, h.control)
+        .expect("memory");
+    writeln!(out, "  list {:?} kept list {:?} follow {:?}", h.node_list, h.kept_list, h.follow)
+        .expect("memory");
+    writeln!(out, "  kept plans {:?} window {} connections {}", h.kept_plans, h.window, h.connections)
+        .expect("memory");
+    writeln!(out, "  longest {} digests {} {}", h.longest, h.header_digest, h.data_digest).expect("memory");
+    writeln!(out, "  seed {:?}", h.seed).expect("memory");
+    match &h.place {
+        None => writeln!(out, "  no place"),
+        Some(p) => writeln!(
+            out,
+            "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
+            p.settings.fleet,
+            p.settings.name,
+            p.settings.address,
+            p.listen,
+            p.settings.zone,
+            p.settings.seeds,
+            p.settings.period,
+            p.settings.keep
+        ),
+    }
+    .expect("memory");
+    let f = &site.fleet;
+    writeln!(
+        out,
+        "fleet hosts {} unit {} mean {} largest {}",
+        f.hosts, f.unit, f.mean_units, f.largest_units
+    )
+    .expect("memory");
+    writeln!(out, "  share {} spare {} submits {}", f.share_gain, f.spare_gain, f.submits).expect("memory");
+    writeln!(out, "  come back {} order rest {}", f.come_back, f.order_rest).expect("memory");
+    writeln!(
+        out,
+        "  cold {} {} fall {} {} bears {}",
+        f.cold_from, f.cold_span, f.fall_multiple, f.fall_span, f.cold_bears
+    )
+    .expect("memory");
+    writeln!(out, "  further {} {} {}", f.further_free, f.further_part, f.further_span).expect("memory");
+    if let Some(c) = &site.catalog {
+        writeln!(
+            out,
+            "catalog {:?} {:?} {:?} extent {} copies {}",
+            c.listen, c.store, c.control, c.extent, c.copies
+        )
+        .expect("memory");
+    }
+    if let Some(t) = &site.tariffs {
+        writeln!(out, "tariffs {:?} {:?} {:?}", t.listen, t.store, t.control).expect("memory");
+    }
+    for p in &site.plans {
+        writeln!(
+            out,
+            "plan {} usual {} reserve {} limit {} burst {} weight {} price {}",
+            p.name, p.usual, p.reserve, p.limit, p.limit_burst, p.weight, p.price
+        )
+        .expect("memory");
+    }
+    for g in &site.groups {
+        let effect = match g.effect {
+            Effect::Idempotent => "idempotent",
+            Effect::SideEffecting => "side-effecting",
+        };
+        writeln!(
+            out,
+            "group {} {effect} goal {} hard limit {} gain {} late {} ordered {}",
+            g.name, g.goal, g.hard_limit, g.gain, g.late_share, g.ordered
+        )
+        .expect("memory");
+    }
+    for v in &site.volumes {
+        writeln!(
+            out,
+            "volume {} lun {} plan {} blocks {} of {} hosts {} mapped {}",
+            v.name, v.lun, v.plan, v.blocks, v.block_size, v.hosts, v.mapped
+        )
+        .expect("memory");
+        for e in &v.extents {
+            writeln!(out, "  extent {} {} node {} at {}", e.first, e.blocks, e.node, e.node_first)
+                .expect("memory");
+        }
+        for r in &v.rules {
+            let direction = match r.direction {
+                Direction::Read => "read",
+                Direction::Write => "write",
+                Direction::Any => "any",
+            };
+            writeln!(out, "  rule {direction} {}-{} group {} key {}", r.first, r.last, r.group, r.key)
+                .expect("memory");
+        }
+    }
+    for n in &site.nodes {
+        writeln!(
+            out,
+            "node {} {:?} target {} lun {} zone {} shard {}",
+            n.name, n.address, n.target, n.lun, n.zone, n.shard
+        )
+        .expect("memory");
+    }
+    out
+}
+
+/// What comes of a text; of a sound one only the lines that differ from those of `EVERY`.
+fn outcome(text: &str, sound: &str) -> String {
+    match read("f", text) {
+        Ok(site) => {
+            let known: Vec<&str> = sound.lines().collect();
+            shown(&site).lines().filter(|l| !known.contains(l)).map(|l| format!("  {l}\n")).collect()
+        }
+        Err(problems) => problems.to_string().lines().map(|l| format!("  {l}\n")).collect(),
+    }
+}
+
+#[test]
+fn every_directive_as_it_is_read() {
+    pinned("every.txt", &shown(&read("f", EVERY).expect("sound")));
+}
+
+#[test]
+fn every_line_left_out_doubled_or_with_a_word_changed() {
+    let sound = shown(&read("f", EVERY).expect("sound"));
+    let lines: Vec<&str> = EVERY.lines().collect();
+    let mut found = String::new();
+    let attempt = |index: usize, line: Option<&str>| {
+        let mut text = lines.clone();
+        match line {
+            Some(line) => text[index] = line,
+            None => drop(text.remove(index)),
+        }
+        outcome(&(text.join("\n") + "\n"), &sound)
+    };
+    for (index, line) in lines.iter().enumerate().skip(1) {
+        let doubled = format!("{line}\n{line}");
+        let more = format!("{line} more");
+        for (what, line) in [
+            ("left out", None),
+            ("doubled", Some(doubled.as_str())),
+            ("with more", Some(more.as_str())),
+            ("not indented", Some(line.trim_start())),
+        ] {
+            write!(found, "{} {what}:\n{}", index + 1, attempt(index, line)).expect("memory");
+        }
+        let mut hash = 0xcbf2_9ce4_8422_2325u64;
+        let count = line.split_whitespace().count();
+        for word in 0..count {
+            for put in ["", "0", "-1", "x", "9999999999999999999", "0.3", "5%", "1us", "7/s", "\"open"] {
+                let mut all: Vec<&str> = line.split_whitespace().collect();
+                all[word] = put;
+                let indent = if line.starts_with(' ') { "    " } else { "" };
+                let changed = format!("{indent}{}", all.join(" "));
+                // FNV-1a: written out, all these would fill hundreds of pages.
+                for byte in attempt(index, Some(&changed)).bytes().chain([0xff]) {
+                    hash = (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+                }
+            }
+        }
+        writeln!(found, "{} with words changed: {hash:#018x}", index + 1).expect("memory");
+    }
+    pinned("changed.txt", &found);
+}
+
+#[test]
+fn what_does_not_go_together() {
+    let sound = shown(&read("f", EVERY).expect("sound"));
+    let mut found = String::new();
+    for (from, to) in [
+        ("goal 0.2s", "goal 2s"),
+        ("reserve 5.25/s", "reserve 41/s"),
+        ("largest-units 64", "largest-units 2"),
+        ("copies lookup", "copies post"),
+        ("copies lookup", "copies none"),
+        ("extent 64", "extent 100"),
+        ("lun 2\n", "lun 1024\n"),
+        ("lun 2\n", "lun 1\n"),
+        ("    mapped\n", "    mapped\n    extent 0 128 brick1 at 4000\n"),
+        ("    mapped\n", ""),
+        ("volume clones", "volume water"),
+        ("plan bare\ngroup", "plan basic\ngroup"),
+        ("group post\n", "group lookup\n"),
+        ("node brick2\n", "node brick1\n"),
+        ("plan basic\n    hosts", "plan nothing\n    hosts"),
+        ("brick2 at 0", "brick9 at 0"),
+        ("brick2 at 0", "brick1 at 1000"),
+        ("extent 1024 1024", "extent 1000 1024"),
+        ("blocks 2048", "blocks 4096"),
+        (" key 8", ""),
+        ("blocks 0-99", "blocks 9-2"),
+        ("blocks 0-99", "blocks 0-2048"),
+        ("    rule any lookup\n", ""),
+        ("    rule write lookup\n", ""),
+        ("    rule any lookup\n", "    rule any nothing\n"),
+        ("host gw1", "hosts gw1"),
+        ("host gw1", "host"),
+        ("host gw1", "host a/b"),
+        ("catalog\n", "catalogue\n"),
+        ("node-list 127.0.0.1:7000", "node-list static"),
+        ("digests header data", "digests none"),
+        ("digests header data", "digests data"),
+        ("digests header data", "digests header full"),
+        (" period 500ms", " period 49ms"),
+        (" period 500ms", " period 61s"),
+        (" keep 2h", " keep 1ms"),
+        (" keep 2h", " kept 2h"),
+        ("fleet south listen 127.0.0.1:7400", "fleet south"),
+        (" reached-at 10.0.0.1:7401", ""),
+        ("limit 40/s burst 16", "limit 40/s"),
+    ] {
+        assert!(EVERY.contains(from), "{from}");
+        let text = EVERY.replacen(from, to, 1);
+        write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &sound)).expect("memory");
+    }
+    let without = |section: &str| {
+        let start = EVERY.find(&format!("\n{section}")).expect("a section") + 1;
+        let rest = &EVERY[start..];
+        let len = rest.find('\n').expect("a line") + 1;
+        let body = rest[len..].lines().take_while(|l| l.starts_with(' ')).map(|l| l.len() + 1).sum::<usize>();
+        format!("{}{}", &EVERY[..start], &rest[len + body..])
+    };
+    for section in
+        ["host", "fleet", "catalog", "tariffs", "plan basic", "group lookup", "volume water", "node brick1"]
+    {
+        write!(found, "without {section}:\n{}", outcome(&without(section), &sound)).expect("memory");
+    }
+    for text in ["", "\n\n# nothing\n", "    listen 1.2.3.4:5\n", "fleet\nfleet\n", "host \"a b\"\n"] {
+        write!(found, "{text:?}:\n{}", outcome(text, &sound)).expect("memory");
+    }
+    pinned("contradictions.txt", &found);
+}
+
+#[test]
+fn values_with_units() {
+    let mut found = String::new();
+    for word in [
+        "0",
+        "1",
+        "20",
+        "-1",
+        "+1",
+        "1.5",
+        ".5",
+        "5.",
+        "1e3",
+        "nan",
+        "inf",
+        "0us",
+        "1us",
+        "0.5us",
+        "1.5ms",
+        "0.0001ms",
+        "0.001ms",
+        "2s",
+        "3m",
+        "24h",
+        "25h",
+        "1d",
+        "1ms2",
+        "4B",
+        "0.3B",
+        "4KiB",
+        "1.5MiB",
+        "2GiB",
+        "3TiB",
+        "1048577TiB",
+        "4kib",
+        "20/s",
+        "0.125/s",
+        "0.0625/s",
+        "1.2345/s",
+        "/s",
+        "20/m",
+        "-1/s",
+        "1e13/s",
+        "1e12/s",
+        "35%",
+        "100%",
+        "101%",
+        "-1%",
+        "0.5%",
+        "%",
+        "x%",
+        "18446744073709551615",
+        "18446744073709551616",
+        "18446744073709552/s",
+        "1.2.3.4:5",
+        "1.2.3.4",
+        "[::1]:9",
+        "a_b-c.d:e",
+        "a/b",
+        "\"\"",
+        "\"a b\"",
+        "1.1234567891s",
+        "1.123456s",
+        "99999999999999999999s",
+    ] {
+        let mut problems = Problems::new("f");
+        let line = words(3, &format!("  word {word}"), &mut problems);
+        let mut values = String::new();
+        macro_rules! value {
+            ($name:expr, $args:ident, $read:expr) => {{
+                let mut $args = Args::new(&line, &mut problems);
+                if let Some(value) = $read {
+                    write!(values, " {}={value:?}", $name).expect("memory");
+                }
+            }};
+        }
+        value!("whole", a, a.whole("w", 0, u64::MAX));
+        value!("number", a, a.number("n", -5.0, 1e6));
+        value!("rate", a, a.rate("r"));
+        value!("exact", a, a.exact_rate("e"));
+        value!("percent", a, a.percent("p"));
+        value!("duration", a, a.duration("d"));
+        value!("size", a, a.size("s"));
+        value!("address", a, a.address("a"));
+        value!("name", a, a.name("n").map(|w| (w.text, w.at.line, w.at.column)));
+        value!("word", a, a.word("w"));
+        writeln!(found, "{word}:{values}").expect("memory");
+    }
+    let mut problems = Problems::new("g");
+    for text in ["a  \"b c\" d#e # f", "\u{e9} \"x", "", "#", " \t a", "\"\" b\"c"] {
+        let all: Vec<String> = words(7, text, &mut problems)
+            .iter()
+            .map(|w| format!("{}@{}:{}", w.text, w.at.line, w.at.column))
+            .collect();
+        writeln!(found, "words of {text:?}: {all:?}").expect("memory");
+    }
+    let line = words(9, "word 1 two three", &mut problems);
+    let mut args = Args::new(&line, &mut problems);
+    let steps =
+        (args.literal("1"), args.literal("x"), args.at().column, args.more(), args.whole("a number", 1, 5));
+    writeln!(found, "{steps:?} more {} then {:?}", args.more(), args.word("a word")).expect("memory");
+    args.end();
+    args.wrong(&["spoiled: expected nothing".to_owned()]);
+    let mut args = Args::new(&line, &mut problems);
+    args.wrong(&["field: expected a thing".to_owned(), "no such form".to_owned()]);
+    args.end();
+    let end = args.at();
+    problems.add(end, "an end", "");
+    writeln!(found, "{}", problems.sorted()).expect("memory");
+    pinned("values.txt", &found);
+}
+
+#[test]
+fn what_a_running_host_takes_up() {
+    let running = read("f", EVERY).expect("sound");
+    let mut found = String::new();
+    for (from, to) in [
+        ("weight 2", "weight 3"),
+        ("usual 20/s", "usual 21.5/s"),
+        ("reserve 5.25/s", "reserve 5/s"),
+        ("limit 40/s burst 16", "limit 41/s burst 17"),
+        ("price 1.5", "price 2"),
+        ("    price 1.5\n", ""),
+        ("plan bare\ngroup", "plan bare\nplan third\n    reserve 1/s\ngroup"),
+        ("plan basic\n    hosts", "plan bare\n    hosts"),
+        ("plan bare\ngroup", "plan bare\n    weight 9\ngroup"),
+        ("window 32", "window 33"),
+        ("hosts 3\n    unit", "hosts 4\n    unit"),
+        ("store /var/lib/catalog", "store /other"),
+        ("store /var/lib/trail", "store /other"),
+        ("goal 250ms", "goal 251ms"),
+        ("shard 9", "shard 8"),
+        ("lun 2\n", "lun 3\n"),
+        ("volume clones", "volume other"),
+        ("brick1 at 64", "brick1 at 65"),
+    ] {
+        assert!(EVERY.contains(from), "{from}");
+        let wanted = read("f", &EVERY.replacen(from, to, 1)).expect(to);
+        match change::taken(&running, &wanted) {
+            Ok(t) => {
+                let plans: Vec<&str> = t.plans.iter().map(|p| p.name.as_str()).collect();
+                writeln!(found, "{from:?} -> {to:?}: {plans:?} {:?} {:?}", t.of, t.told)
+            }
+            Err(against) => writeln!(found, "{from:?} -> {to:?}: against {against:?}"),
+        }
+        .expect("memory");
+    }
+    pinned("taken_up.txt", &found);
+}
+
+#[test]
+fn what_worked_out_shares_make_of_the_text() {
+    let text = EVERY.replace("plan bare\n    hosts", "plan basic  # shared\n    hosts");
+    let text = text.replace("    weight 2\n", "    weight 2   # as agreed\n");
+    let site = read("f", &text).expect("sound");
+    let share = |volume: &str, reserve, weight| Share { volume: volume.into(), reserve, weight };
+    let mut found = String::new();
+    for shares in [
+        vec![],
+        vec![share("water", 6_500, 7), share("clones", 6_500, 7)],
+        vec![share("water", 6_000, 7), share("clones", 8_001, 7)],
+        vec![share("water", 5_250, 2)],
+        vec![share("clones", 1, 0)],
+        vec![share("oil", 1, 1), share("water", 1, 1), share("gas", 1, 1)],
+    ] {
+        let given: Vec<String> =
+            shares.iter().map(|s| format!("{} {} {}", s.volume, s.reserve, s.weight)).collect();
+        match edit::shares(&text, &site, &shares) {
+            Ok(edited) => {
+                let known: Vec<&str> = text.lines().collect();
+                let new: Vec<String> = edited
+                    .lines()
+                    .enumerate()
+                    .filter(|l| !known.contains(&l.1))
+                    .map(|(i, l)| format!("  {}: {l}\n", i + 1))
+                    .collect();
+                write!(found, "{given:?}, {} lines:\n{}", edited.lines().count(), new.concat())
+            }
+            Err(against) => writeln!(found, "{given:?}: against {against:?}"),
+        }
+        .expect("memory");
+    }
+    pinned("shares.txt", &found);
+}
+
+/// The last value that each bound lets through and the first that it does not, or the other way round.
+#[test]
+fn both_sides_of_every_bound() {
+    let mut found = String::new();
+    let far = (1u64 << 50).to_string();
+    let beyond = ((1u64 << 50) + 1).to_string();
+    let (name, long_name) = ("n".repeat(223), "n".repeat(224));
+    for (from, values) in [
+        ("window 32", vec!["window 1", "window 0", "window 1024", "window 1025"]),
+        ("connections 100", vec!["connections 1", "connections 0", "connections 65536", "connections 65537"]),
+        ("longest 1.5MiB", vec!["longest 0B", "longest 1048576TiB", "longest 1048577TiB"]),
+        ("hosts 3\n    unit", vec!["hosts 65536\n    unit", "hosts 65537\n    unit"]),
+        ("unit 4KiB", vec!["unit 1B", "unit 0B"]),
+        (
+            "mean-units 2.19",
+            vec!["mean-units 0.000001", "mean-units 0.0000009", "mean-units 1e9", "mean-units 1000000000.1"],
+        ),
+        ("largest-units 64", vec!["largest-units 1e9", "largest-units 1000000000.1"]),
+        ("submits 3", vec!["submits 1", "submits 0", "submits 16", "submits 17"]),
+        ("come-back 4s", vec!["come-back 24h", "come-back 86400000001us"]),
+        (
+            "cold 23% 18s 2.5 3s 4",
+            vec![
+                "cold 0% 0s 1 0s 0",
+                "cold 23% 18s 0.9 3s 4",
+                "cold 23% 18s 1e6 3s 1e9",
+                "cold 23% 18s 1000000.1 3s 4",
+                "cold 23% 18s 2.5 3s 1000000000.1",
+                "cold 23% 18s 2.5 3s -0.1",
+            ],
+        ),
+        (
+            "further 3 10% 10s",
+            vec![
+                "further 0 0% 1us",
+                "further 1e9 10% 10s",
+                "further 3 10% 0s",
+                "further 1000000000.1 10% 10s",
+            ],
+        ),
+        ("extent 64", vec!["extent 1", "extent 0", "extent 65536", "extent 65537"]),
+        ("burst 16", vec!["burst 0", "burst 1e12", "burst 1000000000000.1"]),
+        ("weight 2", vec!["weight 0", "weight 1e6", "weight 1000000.1"]),
+        ("price 1.5", vec!["price 0", "price 1e6", "price 1000000.1"]),
+        ("    gain 3", vec!["    gain 0", "    gain 1e6", "    gain 1000000.1"]),
+        ("lun 1\n", vec!["lun 0\n", "lun 16383\n", "lun 16384\n"]),
+        ("lun 2\n", vec!["lun 1023\n", "lun 1024\n"]),
+        ("lun 7\n", vec!["lun 16383\n", "lun 16384\n"]),
+        ("hosts 3\n    blocks", vec!["hosts 65536\n    blocks", "hosts 65537\n    blocks"]),
+        ("shard 9", vec!["shard 65535", "shard 65536"]),
+    ] {
+        let from: &str = from;
+        for to in values {
+            note(&mut found, from, to);
+        }
+    }
+    note(&mut found, "key 8", &format!("key {far}"));
+    note(&mut found, "key 8", &format!("key {beyond}"));
+    note(&mut found, "blocks 2048", &format!("blocks {far}"));
+    note(&mut found, "blocks 2048", &format!("blocks {beyond}"));
+    note(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {far}"));
+    note(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {beyond}"));
+    note(&mut found, "extent 1024 1024", &format!("extent {far} {far}"));
+    note(&mut found, "extent 1024 1024", &format!("extent {beyond} {beyond}"));
+    note(&mut found, "host gw1", &format!("host {name}"));
+    note(&mut found, "zone b", &format!("zone {name}"));
+    note(&mut found, "zone b", &format!("zone {long_name}"));
+    pinned("bounds.txt", &found);
+}
+
+/// Notes what comes of the file with one change.
+fn note(found: &mut String, from: &str, to: &str) {
+    assert!(EVERY.contains(from), "{from}");
+    let sound = shown(&read("f", EVERY).expect("sound"));
+    let text = EVERY.replacen(from, to, 1);
+    write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &sound)).expect("memory");
+}
