--- a/crates/gateway/tests/platform/stand.rs
+++ b/crates/gateway/tests/platform/stand.rs
@@ -1,5 +1,5 @@
 //! Stand-ins of the users' platform: a node that can do bad things, the list service, clients, and the host.
-use mallowseam_http1::{AnswerHead, AnswerReader, Bounds, RequestHead, RequestReader};
+use mallowseam_http1::{Limits, RequestHead, RequestReader, ResponseHead, ResponseReader};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const BOUNDS: Bounds = Bounds { head: 16_384, body: 1 << 20 };
+const BOUNDS: Limits = Limits { head: 16_384, body: 1 << 20 };
 /// How long a story waits for what must come: far past any time in it.
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -93,10 +93,10 @@
 
     /// The next answer; none when the host closes instead.
     pub fn answer(&mut self) -> Option<(u16, String)> {
-        let mut reader = AnswerReader::default();
+        let mut reader = ResponseReader::default();
         loop {
             if let Some(whole) = reader.advance(&mut self.buffer, BOUNDS).expect("the host speaks HTTP") {
-                let head = AnswerHead::read(&self.buffer, BOUNDS).expect("sound").expect("whole");
+                let head = ResponseHead::parse(&self.buffer, BOUNDS).expect("sound").expect("whole");
                 self.closes = head.close;
                 let named = head.headers.single("Retry-After").expect("once at most");
                 self.come_back = named.map(|n| n.parse().expect("seconds"));
@@ -334,7 +334,7 @@
             if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
-            let head = RequestHead::read(&buffer, BOUNDS).expect("sound").expect("whole");
+            let head = RequestHead::parse(&buffer, BOUNDS).expect("sound").expect("whole");
             let id = head.headers.single("X-Request-ID").expect("sound").expect("an id").to_owned();
             let body = String::from_utf8_lossy(&buffer[whole.body..whole.end]).into_owned();
             let target = head.target.to_owned();
@@ -342,7 +342,7 @@
             let wait = wait.expect("milliseconds");
             self.seen.lock().expect("sound").push(Seen { id: id.clone(), target, body, connection, wait });
             buffer.drain(..whole.end);
-            reader.next();
+            reader.reset();
             let text = format!("made for {id}");
             let good = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
             let next = self.next.lock().expect("sound").pop_front();
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,5 +1,5 @@
 //! One head: the first line, the headers, and what they say of the body.
-use crate::{Bounds, Fault};
+use crate::{Limits, ParseError};
 use httparse::{EMPTY_HEADER, Header, Status};
 
 /// Headers in one head, at most: some ten are usual.
@@ -36,13 +36,13 @@
     }
 
     /// The value of a header that must not stand twice. Error: it does, or is no visible text.
-    pub fn single(&self, name: &str) -> Result<Option<&'b str>, Fault> {
+    pub fn single(&self, name: &str) -> Result<Option<&'b str>, ParseError> {
         let mut values = self.values(name);
         let Some(value) = values.next() else { return Ok(None) };
         if values.next().is_some() || !value.iter().all(|b| (b' '..=b'~').contains(b)) {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
-        std::str::from_utf8(value).map(|v| Some(v.trim())).map_err(|_| Fault::Malformed)
+        std::str::from_utf8(value).map(|v| Some(v.trim())).map_err(|_| ParseError::Malformed)
     }
 
     /// Whether one of the words of a comma-separated header is this one.
@@ -54,28 +54,28 @@
 
     /// RFC 9112, 6.3, in its strict reading: both framings at once, a repeated or signed length and any
     /// coding but `chunked` alone are refused.
-    fn framing(&self, bounds: Bounds, http10: bool) -> Result<Option<Framing>, Fault> {
+    fn framing(&self, bounds: Limits, http10: bool) -> Result<Option<Framing>, ParseError> {
         let length = match self.single("Content-Length") {
             Ok(length) => length,
-            Err(_) => return Err(Fault::Framing),
+            Err(_) => return Err(ParseError::AmbiguousFraming),
         };
         let coding = match self.single("Transfer-Encoding") {
             Ok(coding) => coding,
-            Err(_) => return Err(Fault::Framing),
+            Err(_) => return Err(ParseError::AmbiguousFraming),
         };
         match (length, coding) {
-            (Some(_), Some(_)) => Err(Fault::Framing),
-            (None, Some(_)) if http10 => Err(Fault::Framing),
+            (Some(_), Some(_)) => Err(ParseError::AmbiguousFraming),
+            (None, Some(_)) if http10 => Err(ParseError::AmbiguousFraming),
             (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
-            (None, Some(_)) => Err(Fault::Unsupported),
+            (None, Some(_)) => Err(ParseError::Unsupported),
             (Some(length), None) => {
                 if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-                    return Err(Fault::Framing);
+                    return Err(ParseError::AmbiguousFraming);
                 }
                 // Digits past any number are a huge length, and said to be one.
                 let length = length.parse::<u64>().unwrap_or(u64::MAX);
                 if length > bounds.body as u64 {
-                    return Err(Fault::BodyTooLarge);
+                    return Err(ParseError::BodyTooLarge);
                 }
                 Ok(Some(Framing::Length(length as usize)))
             }
@@ -89,14 +89,14 @@
 }
 
 /// What a parse of a head's bytes, so many of them, came to: its length, or none while it is not whole.
-fn parsed(tried: httparse::Result<usize>, had: usize, bounds: Bounds) -> Result<Option<usize>, Fault> {
+fn parsed(tried: httparse::Result<usize>, had: usize, bounds: Limits) -> Result<Option<usize>, ParseError> {
     match tried {
         Ok(Status::Complete(len)) => Ok(Some(len)),
-        Ok(Status::Partial) if had >= bounds.head => Err(Fault::HeadTooLarge),
+        Ok(Status::Partial) if had >= bounds.head => Err(ParseError::HeadTooLarge),
         Ok(Status::Partial) => Ok(None),
-        Err(httparse::Error::TooManyHeaders) => Err(Fault::HeadTooLarge),
-        Err(httparse::Error::Version) => Err(Fault::Unsupported),
-        Err(_) => Err(Fault::Malformed),
+        Err(httparse::Error::TooManyHeaders) => Err(ParseError::HeadTooLarge),
+        Err(httparse::Error::Version) => Err(ParseError::Unsupported),
+        Err(_) => Err(ParseError::Malformed),
     }
 }
 
@@ -108,7 +108,7 @@
     /// The client wants the connection closed behind the answer.
     pub close: bool,
     /// It waits for a word before it sends its body.
-    pub expects: bool,
+    pub expects_continue: bool,
     pub framing: Framing,
     /// Bytes of the head.
     pub len: usize,
@@ -116,35 +116,35 @@
 
 impl<'b> RequestHead<'b> {
     /// Reads one off the front; none: it is not whole yet.
-    pub fn read(bytes: &'b [u8], bounds: Bounds) -> Result<Option<Self>, Fault> {
+    pub fn parse(bytes: &'b [u8], bounds: Limits) -> Result<Option<Self>, ParseError> {
         let window = &bytes[..bytes.len().min(bounds.head)];
         let mut headers = Headers::none();
         let mut request = httparse::Request::new(&mut headers.all);
         let Some(len) = parsed(request.parse(window), bytes.len(), bounds)? else { return Ok(None) };
         let (Some(method), Some(target), Some(version)) = (request.method, request.path, request.version)
         else {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         };
         let http10 = version == 0;
         headers.count = request.headers.len();
         let framing = headers.framing(bounds, http10)?.unwrap_or(Framing::None);
         // RFC 9112, 3.2: a request of HTTP/1.1 names its host, once.
         if !matches!(headers.single("Host"), Ok(host) if host.is_some() || http10) {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         }
         let close = headers.closes(http10);
-        let expects = !http10 && headers.lists("Expect", b"100-continue");
-        Ok(Some(RequestHead { method, target, headers, close, expects, framing, len }))
+        let expects_continue = !http10 && headers.lists("Expect", b"100-continue");
+        Ok(Some(RequestHead { method, target, headers, close, expects_continue, framing, len }))
     }
 
     /// Whether the request states its body's length, be it nothing.
-    pub fn states_length(&self) -> bool {
+    pub fn declares_body(&self) -> bool {
         self.framing != Framing::None
     }
 }
 
 /// The head of an answer.
-pub struct AnswerHead<'b> {
+pub struct ResponseHead<'b> {
     pub status: u16,
     pub headers: Headers<'b>,
     pub close: bool,
@@ -152,32 +152,32 @@
     pub len: usize,
 }
 
-impl<'b> AnswerHead<'b> {
+impl<'b> ResponseHead<'b> {
     /// Reads one off the front; none: it is not whole yet. An answer that only the connection's end would
     /// bound is refused: a break could not be told from its end.
-    pub fn read(bytes: &'b [u8], bounds: Bounds) -> Result<Option<Self>, Fault> {
+    pub fn parse(bytes: &'b [u8], bounds: Limits) -> Result<Option<Self>, ParseError> {
         let window = &bytes[..bytes.len().min(bounds.head)];
         let mut headers = Headers::none();
         let mut answer = httparse::Response::new(&mut headers.all);
         let Some(len) = parsed(answer.parse(window), bytes.len(), bounds)? else { return Ok(None) };
         let (Some(status), Some(version)) = (answer.code, answer.version) else {
-            return Err(Fault::Malformed);
+            return Err(ParseError::Malformed);
         };
         if status == SWITCHING || !(100..600).contains(&status) {
-            return Err(Fault::Unsupported);
+            return Err(ParseError::Unsupported);
         }
         headers.count = answer.headers.len();
         let bare = status < 200 || status == 204 || status == 304;
         let framing = match headers.framing(bounds, version == 0)? {
             _ if bare => Framing::None,
             Some(framing) => framing,
-            None => return Err(Fault::NoLength),
+            None => return Err(ParseError::MissingLength),
         };
-        Ok(Some(AnswerHead { status, headers, close: headers.closes(version == 0), framing, len }))
+        Ok(Some(ResponseHead { status, headers, close: headers.closes(version == 0), framing, len }))
     }
 
     /// 1xx: the answer proper is still to come.
-    pub fn ahead(&self) -> bool {
+    pub fn is_interim(&self) -> bool {
         self.status < 200
     }
 }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -9,48 +9,48 @@
 mod head;
 mod message;
 
-pub use chunks::Chunks;
-pub use head::{AnswerHead, Framing, Headers, RequestHead};
-pub use message::{AnswerReader, RequestReader, Whole};
+pub use chunks::ChunkedDecoder;
+pub use head::{Framing, Headers, RequestHead, ResponseHead};
+pub use message::{MessageSpan, RequestReader, ResponseReader};
 
-/// Bounds of one message, in bytes.
+/// Limits of one message, in bytes.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct Limits {
     pub head: usize,
     pub body: usize,
 }
 
-impl Bounds {
+impl Limits {
     /// The most that a reader lets a buffer hold: head and body, and the chunked coding's lines round the body.
-    pub fn buffer(&self) -> usize {
+    pub fn buffer_capacity(&self) -> usize {
         self.head + self.body + chunks::AROUND
     }
 }
 
 /// Why a message can't be read. After any of these the connection is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ParseError {
     /// Not HTTP/1.1, or not as it allows.
     Malformed,
     HeadTooLarge,
     BodyTooLarge,
     /// The body's end could be read in more than one way, or in none.
-    Framing,
+    AmbiguousFraming,
     /// A body without a stated length where one is needed.
-    NoLength,
+    MissingLength,
     /// A version or coding that is not spoken here.
     Unsupported,
 }
 
-impl Fault {
-    pub fn words(self) -> &'static str {
+impl ParseError {
+    pub fn message(self) -> &'static str {
         match self {
-            Fault::Malformed => "malformed",
-            Fault::HeadTooLarge => "head too large",
-            Fault::BodyTooLarge => "body too large",
-            Fault::Framing => "ambiguous framing",
-            Fault::NoLength => "no length",
-            Fault::Unsupported => "unsupported",
+            ParseError::Malformed => "malformed",
+            ParseError::HeadTooLarge => "head too large",
+            ParseError::BodyTooLarge => "body too large",
+            ParseError::AmbiguousFraming => "ambiguous framing",
+            ParseError::MissingLength => "no length",
+            ParseError::Unsupported => "unsupported",
         }
     }
 }
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -1,14 +1,14 @@
-//! Whole requests and answers: a head and its body, in a buffer that the caller fills.
-use crate::chunks::Chunks;
-use crate::head::{AnswerHead, Framing, RequestHead};
-use crate::{Bounds, Fault};
+//! MessageSpan requests and answers: a head and its body, in a buffer that the caller fills.
+use crate::chunks::ChunkedDecoder;
+use crate::head::{Framing, RequestHead, ResponseHead};
+use crate::{Limits, ParseError};
 
 /// Heads of 1xx answers ahead of the answer, at most: more than that is noise.
 const AHEAD: u32 = 8;
 
 /// A whole message in its buffer: the head from `start`, the body behind it, and what comes next from `end`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct MessageSpan {
     pub start: usize,
     pub body: usize,
     pub end: usize,
@@ -24,7 +24,7 @@
     },
     Chunked {
         body: usize,
-        chunks: Chunks,
+        chunks: ChunkedDecoder,
     },
 }
 
@@ -34,7 +34,7 @@
 
 impl Looked {
     /// At a line's end, or with twice the bytes of the last look: a head's whole cost stays in proportion.
-    fn again(&mut self, bytes: &[u8], bounds: Bounds) -> bool {
+    fn again(&mut self, bytes: &[u8], bounds: Limits) -> bool {
         let new = &bytes[self.0.min(bytes.len())..];
         let look = new.contains(&b'\n') || bytes.len() >= 2 * self.0 || bytes.len() >= bounds.head;
         if look {
@@ -49,7 +49,7 @@
         match framing {
             Framing::None => State::Length { body: at, len: 0 },
             Framing::Length(len) => State::Length { body: at, len },
-            Framing::Chunked => State::Chunked { body: at, chunks: Chunks::new(at) },
+            Framing::Chunked => State::Chunked { body: at, chunks: ChunkedDecoder::new(at) },
         }
     }
 
@@ -61,16 +61,25 @@
         }
     }
 
-    fn whole(&mut self, start: usize, buffer: &mut Vec<u8>, bounds: Bounds) -> Result<Option<Whole>, Fault> {
+    fn whole(
+        &mut self,
+        start: usize,
+        buffer: &mut Vec<u8>,
+        bounds: Limits,
+    ) -> Result<Option<MessageSpan>, ParseError> {
         match self {
             State::Head => Ok(None),
             State::Length { body, len } => {
                 let end = *body + *len;
-                Ok((buffer.len() >= end).then_some(Whole { start, body: *body, end }))
+                Ok((buffer.len() >= end).then_some(MessageSpan { start, body: *body, end }))
             }
             State::Chunked { body, chunks } => {
-                chunks.advance(buffer, *body + bounds.body)?;
-                Ok(chunks.over().then_some(Whole { start, body: *body, end: chunks.at() }))
+                chunks.decode(buffer, *body + bounds.body)?;
+                Ok(chunks.is_complete().then_some(MessageSpan {
+                    start,
+                    body: *body,
+                    end: chunks.decoded_end(),
+                }))
             }
         }
     }
@@ -87,63 +96,71 @@
 
 impl RequestReader {
     /// Whether the head is in and the body is not: whoever sent `Expect: 100-continue` waits for a word.
-    pub fn expects(&mut self) -> bool {
+    pub fn take_expect_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects)
     }
 
     /// Whether the client wants the connection closed behind the answer, once the head is in.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.close
     }
 
     /// Looks at what has come. None: more is needed.
-    pub fn advance(&mut self, buffer: &mut Vec<u8>, bounds: Bounds) -> Result<Option<Whole>, Fault> {
+    pub fn advance(
+        &mut self,
+        buffer: &mut Vec<u8>,
+        bounds: Limits,
+    ) -> Result<Option<MessageSpan>, ParseError> {
         if let State::Head = self.state {
             if !self.looked.again(buffer, bounds) {
                 return Ok(None);
             }
-            let Some(head) = RequestHead::read(buffer, bounds)? else { return Ok(None) };
+            let Some(head) = RequestHead::parse(buffer, bounds)? else { return Ok(None) };
             self.state = State::body(head.framing, head.len);
-            (self.expects, self.close) = (head.expects, head.close);
+            (self.expects, self.close) = (head.expects_continue, head.close);
         }
         self.state.whole(0, buffer, bounds)
     }
 
     /// Ready for the next request, with this one taken off the buffer's front.
-    pub fn next(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
 /// Reads the answer to one request off the front of a buffer, past any 1xx ahead of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerReader {
+pub struct ResponseReader {
     state: State,
     looked: Looked,
     start: usize,
     ahead: u32,
 }
 
-impl AnswerReader {
+impl ResponseReader {
     /// Bytes still to come of an answer whose length is known, with so many in the buffer.
-    pub fn lacks(&self, had: usize) -> Option<usize> {
+    pub fn remaining(&self, had: usize) -> Option<usize> {
         self.state.lacks(had)
     }
 
     /// Looks at what has come. None: more is needed.
-    pub fn advance(&mut self, buffer: &mut Vec<u8>, bounds: Bounds) -> Result<Option<Whole>, Fault> {
+    pub fn advance(
+        &mut self,
+        buffer: &mut Vec<u8>,
+        bounds: Limits,
+    ) -> Result<Option<MessageSpan>, ParseError> {
         while let State::Head = self.state {
             let rest = &buffer[self.start..];
             // All heads ahead count against the bound of one.
-            let bounds = Bounds { head: bounds.head.saturating_sub(self.start), ..bounds };
+            let bounds = Limits { head: bounds.head.saturating_sub(self.start), ..bounds };
             if !self.looked.again(rest, bounds) {
                 return Ok(None);
             }
-            let Some(head) = AnswerHead::read(rest, bounds)? else { return Ok(None) };
-            if head.ahead() {
+            let Some(head) = ResponseHead::parse(rest, bounds)? else { return Ok(None) };
+            if head.is_interim() {
                 self.ahead += 1;
                 if self.ahead > AHEAD {
-                    return Err(Fault::HeadTooLarge);
+                    return Err(ParseError::HeadTooLarge);
                 }
                 self.start += head.len;
                 self.looked = Looked::default();
--- a/crates/http1/tests/pinned_parsing.rs
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -2,10 +2,11 @@
 //! step by step, as one hash recorded from an earlier run. The texts that are hashed name results in words of
 //! their own, so that renaming a variant changes nothing here.
 use mallowseam_http1::{
-    AnswerHead, AnswerReader, Bounds, Chunks, Fault, Framing, RequestHead, RequestReader, Whole,
+    ChunkedDecoder, Framing, Limits, MessageSpan, ParseError, RequestHead, RequestReader, ResponseHead,
+    ResponseReader,
 };
 
-const BOUNDS: Bounds = Bounds { head: 512, body: 256 };
+const BOUNDS: Limits = Limits { head: 512, body: 256 };
 
 /// SplitMix64.
 struct Draws(u64);
@@ -54,14 +55,14 @@
         self.bytes(name.as_bytes());
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn fault(&mut self, fault: ParseError) {
         self.case(match fault {
-            Fault::Malformed => "malformed",
-            Fault::HeadTooLarge => "head too large",
-            Fault::BodyTooLarge => "body too large",
-            Fault::Framing => "framing",
-            Fault::NoLength => "no length",
-            Fault::Unsupported => "unsupported",
+            ParseError::Malformed => "malformed",
+            ParseError::HeadTooLarge => "head too large",
+            ParseError::BodyTooLarge => "body too large",
+            ParseError::AmbiguousFraming => "framing",
+            ParseError::MissingLength => "no length",
+            ParseError::Unsupported => "unsupported",
         });
     }
 
@@ -77,7 +78,7 @@
     }
 
     /// What one step came to; false once the reader is done.
-    fn step(&mut self, step: Result<Option<Whole>, Fault>, buffer: &[u8]) -> bool {
+    fn step(&mut self, step: Result<Option<MessageSpan>, ParseError>, buffer: &[u8]) -> bool {
         self.bytes(buffer);
         match step {
             Ok(None) => return true,
@@ -207,28 +208,28 @@
     for round in 0..4_000 {
         let bytes = stream(&mut draws, round % 2 == 0);
         let headers = if round % 2 == 0 {
-            match RequestHead::read(&bytes, BOUNDS) {
+            match RequestHead::parse(&bytes, BOUNDS) {
                 Ok(Some(head)) => {
                     record.bytes(head.method.as_bytes());
                     record.bytes(head.target.as_bytes());
                     record.framing(head.framing);
                     record.number(head.len);
                     record.case(if head.close { "closes" } else { "stays" });
-                    record.case(if head.expects { "expects" } else { "expects nothing" });
-                    record.case(if head.states_length() { "states a length" } else { "states none" });
+                    record.case(if head.expects_continue { "expects" } else { "expects nothing" });
+                    record.case(if head.declares_body() { "states a length" } else { "states none" });
                     Ok(head.headers)
                 }
                 Ok(None) => continue,
                 Err(fault) => Err(fault),
             }
         } else {
-            match AnswerHead::read(&bytes, BOUNDS) {
+            match ResponseHead::parse(&bytes, BOUNDS) {
                 Ok(Some(head)) => {
                     record.number(usize::from(head.status));
                     record.framing(head.framing);
                     record.number(head.len);
                     record.case(if head.close { "closes" } else { "stays" });
-                    record.case(if head.ahead() { "ahead" } else { "final" });
+                    record.case(if head.is_interim() { "ahead" } else { "final" });
                     Ok(head.headers)
                 }
                 Ok(None) => continue,
@@ -274,23 +275,23 @@
         buffer.extend_from_slice(&bytes[from..*cut]);
         from = *cut;
         let step = reader.advance(&mut buffer, BOUNDS);
-        record.case(if reader.closes() { "closes" } else { "stays" });
-        record.case(if reader.expects() { "expects" } else { "expects nothing" });
+        record.case(if reader.closes_connection() { "closes" } else { "stays" });
+        record.case(if reader.take_expect_continue() { "expects" } else { "expects nothing" });
         if !record.step(step, &buffer) {
             return;
         }
     }
-    reader.next();
-    record.case(if reader.closes() { "closes" } else { "stays" });
+    reader.reset();
+    record.case(if reader.closes_connection() { "closes" } else { "stays" });
 }
 
 fn answers(bytes: &[u8], cuts: &[usize], record: &mut Record) {
-    let (mut reader, mut buffer, mut from) = (AnswerReader::default(), Vec::new(), 0);
+    let (mut reader, mut buffer, mut from) = (ResponseReader::default(), Vec::new(), 0);
     for cut in cuts.iter().chain([&bytes.len()]) {
         buffer.extend_from_slice(&bytes[from..*cut]);
         from = *cut;
         let step = reader.advance(&mut buffer, BOUNDS);
-        record.number(reader.lacks(buffer.len()).unwrap_or(usize::MAX));
+        record.number(reader.remaining(buffer.len()).unwrap_or(usize::MAX));
         if !record.step(step, &buffer) {
             return;
         }
@@ -321,25 +322,25 @@
     for _ in 0..500 {
         let mut bytes = b"ahead".to_vec();
         bytes.extend(chunks(&mut draws).into_bytes());
-        let (mut body, mut buffer, mut from) = (Chunks::new(5), bytes[..5].to_vec(), 5);
+        let (mut body, mut buffer, mut from) = (ChunkedDecoder::new(5), bytes[..5].to_vec(), 5);
         let step = 1 + draws.below(60);
         while from < bytes.len() {
             let to = (from + step).min(bytes.len());
             buffer.extend_from_slice(&bytes[from..to]);
             from = to;
-            let done = body.advance(&mut buffer, 400);
+            let done = body.decode(&mut buffer, 400);
             record.bytes(&buffer);
-            record.number(body.at());
-            record.case(if body.over() { "over" } else { "goes on" });
+            record.number(body.decoded_end());
+            record.case(if body.is_complete() { "over" } else { "goes on" });
             if let Err(fault) = done {
                 record.fault(fault);
                 break;
             }
             // What is decoded is taken off at times.
             if draws.below(3) == 0 {
-                let count = body.at().min(3);
+                let count = body.decoded_end().min(3);
                 drop(buffer.drain(..count));
-                body.taken(count);
+                body.discard_front(count);
             }
         }
     }
@@ -350,16 +351,16 @@
 
 #[test]
 fn bounds_and_the_words_of_faults() {
-    assert_eq!(BOUNDS.buffer(), 512 + 256 + 256 + 2_048);
+    assert_eq!(BOUNDS.buffer_capacity(), 512 + 256 + 256 + 2_048);
     let words = [
-        Fault::Malformed,
-        Fault::HeadTooLarge,
-        Fault::BodyTooLarge,
-        Fault::Framing,
-        Fault::NoLength,
-        Fault::Unsupported,
+        ParseError::Malformed,
+        ParseError::HeadTooLarge,
+        ParseError::BodyTooLarge,
+        ParseError::AmbiguousFraming,
+        ParseError::MissingLength,
+        ParseError::Unsupported,
     ]
-    .map(Fault::words);
+    .map(ParseError::message);
     let expected =
         ["malformed", "head too large", "body too large", "ambiguous framing", "no length", "unsupported"];
     assert_eq!(words, expected);
--- a/crates/http1/tests/readers.rs
+++ b/crates/http1/tests/readers.rs
@@ -1,24 +1,26 @@
 //! Both readers: what is let through, what is refused, and the same verdict wherever the bytes are cut.
-use mallowseam_http1::{AnswerHead, AnswerReader, Bounds, Fault, RequestHead, RequestReader, Whole};
+use mallowseam_http1::{
+    Limits, MessageSpan, ParseError, RequestHead, RequestReader, ResponseHead, ResponseReader,
+};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds { head: 512, body: 256 };
+const BOUNDS: Limits = Limits { head: 512, body: 256 };
 
-type Verdict = Result<Option<(Vec<u8>, Vec<u8>)>, Fault>;
+type Verdict = Result<Option<(Vec<u8>, Vec<u8>)>, ParseError>;
 
 trait Reader: Default {
-    fn advance(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Whole>, Fault>;
+    fn advance(&mut self, buffer: &mut Vec<u8>) -> Result<Option<MessageSpan>, ParseError>;
 }
 
 impl Reader for RequestReader {
-    fn advance(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Whole>, Fault> {
+    fn advance(&mut self, buffer: &mut Vec<u8>) -> Result<Option<MessageSpan>, ParseError> {
         RequestReader::advance(self, buffer, BOUNDS)
     }
 }
 
-impl Reader for AnswerReader {
-    fn advance(&mut self, buffer: &mut Vec<u8>) -> Result<Option<Whole>, Fault> {
-        AnswerReader::advance(self, buffer, BOUNDS)
+impl Reader for ResponseReader {
+    fn advance(&mut self, buffer: &mut Vec<u8>) -> Result<Option<MessageSpan>, ParseError> {
+        ResponseReader::advance(self, buffer, BOUNDS)
     }
 }
 
@@ -29,7 +31,7 @@
         if rest.is_empty() {
             break;
         }
-        let room = BOUNDS.buffer() - buffer.len();
+        let room = BOUNDS.buffer_capacity() - buffer.len();
         assert!(room > 0, "a reader that neither reads on nor ends");
         let piece = rest.len().min((*cut).max(1)).min(room);
         buffer.extend_from_slice(&rest[..piece]);
@@ -47,7 +49,7 @@
 }
 
 fn answer(text: &str) -> Verdict {
-    feed::<AnswerReader>(text.as_bytes(), &[usize::MAX])
+    feed::<ResponseReader>(text.as_bytes(), &[usize::MAX])
 }
 
 fn body(verdict: Verdict) -> String {
@@ -89,16 +91,19 @@
         "Content-Length:",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ] {
-        assert_eq!(with(lines), Err(Fault::Framing), "{lines}");
+        assert_eq!(with(lines), Err(ParseError::AmbiguousFraming), "{lines}");
     }
-    assert_eq!(with("Transfer-Encoding: gzip, chunked"), Err(Fault::Unsupported));
-    assert_eq!(with("Transfer-Encoding : chunked"), Err(Fault::Malformed));
-    assert_eq!(with("Content-Length: 5\r\nTransfer-Encoding: \u{b}chunked"), Err(Fault::Malformed));
-    assert_eq!(with("Content-Length: 5\r\nTransfer-Encoding: chunk\u{e9}d"), Err(Fault::Framing));
-    assert_eq!(with("Content-Length: 99999999999999999999999"), Err(Fault::BodyTooLarge));
-    assert_eq!(with("Content-Length: 62914560"), Err(Fault::BodyTooLarge));
+    assert_eq!(with("Transfer-Encoding: gzip, chunked"), Err(ParseError::Unsupported));
+    assert_eq!(with("Transfer-Encoding : chunked"), Err(ParseError::Malformed));
+    assert_eq!(with("Content-Length: 5\r\nTransfer-Encoding: \u{b}chunked"), Err(ParseError::Malformed));
+    assert_eq!(
+        with("Content-Length: 5\r\nTransfer-Encoding: chunk\u{e9}d"),
+        Err(ParseError::AmbiguousFraming)
+    );
+    assert_eq!(with("Content-Length: 99999999999999999999999"), Err(ParseError::BodyTooLarge));
+    assert_eq!(with("Content-Length: 62914560"), Err(ParseError::BodyTooLarge));
     let old = "PUT /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(request(old), Err(Fault::Framing));
+    assert_eq!(request(old), Err(ParseError::AmbiguousFraming));
 }
 
 #[test]
@@ -106,24 +111,24 @@
     let with = |body: &str| {
         request(&format!("PUT /a HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n{body}"))
     };
-    assert_eq!(with("3\r\nfour\r\n"), Err(Fault::Framing));
-    assert_eq!(with("-3\r\n"), Err(Fault::Framing));
-    assert_eq!(with("ffffffff\r\n"), Err(Fault::BodyTooLarge));
-    assert_eq!(with("ffffffffffffffffffff\r\n"), Err(Fault::Framing));
-    assert_eq!(with(&format!("1;{}", "x".repeat(300))), Err(Fault::Framing));
+    assert_eq!(with("3\r\nfour\r\n"), Err(ParseError::AmbiguousFraming));
+    assert_eq!(with("-3\r\n"), Err(ParseError::AmbiguousFraming));
+    assert_eq!(with("ffffffff\r\n"), Err(ParseError::BodyTooLarge));
+    assert_eq!(with("ffffffffffffffffffff\r\n"), Err(ParseError::AmbiguousFraming));
+    assert_eq!(with(&format!("1;{}", "x".repeat(300))), Err(ParseError::AmbiguousFraming));
     let endless = format!("0\r\n{}", "T: 1\r\n".repeat(400));
-    assert_eq!(with(&endless), Err(Fault::HeadTooLarge));
+    assert_eq!(with(&endless), Err(ParseError::HeadTooLarge));
 }
 
 #[test]
 fn a_head_without_end_is_refused_at_its_bound() {
     let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(BOUNDS.head));
-    assert_eq!(request(&long), Err(Fault::HeadTooLarge));
+    assert_eq!(request(&long), Err(ParseError::HeadTooLarge));
     let many = format!("GET / HTTP/1.1\r\n{}", "A: 1\r\n".repeat(70));
-    assert_eq!(request(&many), Err(Fault::HeadTooLarge));
-    assert_eq!(request("\u{1}\u{2}\u{3}"), Err(Fault::Malformed));
-    assert_eq!(request("GET / HTTP/3.0\r\n\r\n"), Err(Fault::Unsupported));
-    assert_eq!(request("GET / HTTP/1.1\r\n\r\n"), Err(Fault::Malformed), "no host");
+    assert_eq!(request(&many), Err(ParseError::HeadTooLarge));
+    assert_eq!(request("\u{1}\u{2}\u{3}"), Err(ParseError::Malformed));
+    assert_eq!(request("GET / HTTP/3.0\r\n\r\n"), Err(ParseError::Unsupported));
+    assert_eq!(request("GET / HTTP/1.1\r\n\r\n"), Err(ParseError::Malformed), "no host");
 }
 
 #[test]
@@ -132,18 +137,21 @@
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     assert_eq!(body(answer(&format!("{ahead}{good}"))), "body");
     let noise = format!("{}{good}", "HTTP/1.1 100 Continue\r\n\r\n".repeat(9));
-    assert_eq!(answer(&noise), Err(Fault::HeadTooLarge));
-    assert_eq!(answer("HTTP/1.1 101 Switching Protocols\r\n\r\n"), Err(Fault::Unsupported));
+    assert_eq!(answer(&noise), Err(ParseError::HeadTooLarge));
+    assert_eq!(answer("HTTP/1.1 101 Switching Protocols\r\n\r\n"), Err(ParseError::Unsupported));
 }
 
 #[test]
 fn an_answer_that_only_the_connections_end_would_bound_is_refused() {
-    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\nbody"), Err(Fault::NoLength));
-    assert_eq!(answer("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"), Err(Fault::BodyTooLarge));
+    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\nbody"), Err(ParseError::MissingLength));
+    assert_eq!(
+        answer("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"),
+        Err(ParseError::BodyTooLarge)
+    );
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(answer(both), Err(Fault::Framing));
-    assert_eq!(answer("garbage\r\n\r\n"), Err(Fault::Unsupported));
-    assert_eq!(answer("HTTP/1.1 2x0 OK\r\n\r\n"), Err(Fault::Malformed));
+    assert_eq!(answer(both), Err(ParseError::AmbiguousFraming));
+    assert_eq!(answer("garbage\r\n\r\n"), Err(ParseError::Unsupported));
+    assert_eq!(answer("HTTP/1.1 2x0 OK\r\n\r\n"), Err(ParseError::Malformed));
     assert_eq!(answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), Ok(None), "cut short");
 }
 
@@ -153,7 +161,7 @@
     let head = "PUT /a HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n";
     let mut buffer = head.as_bytes().to_vec();
     assert_eq!(reader.advance(&mut buffer, BOUNDS), Ok(None));
-    assert!(reader.expects() && !reader.expects());
+    assert!(reader.take_expect_continue() && !reader.take_expect_continue());
 }
 
 /// Bytes near to messages: parts of sound ones, of unsound ones, and noise.
@@ -203,19 +211,19 @@
             feed::<RequestReader>(&bytes, &[usize::MAX])
         );
         prop_assert_eq!(feed::<RequestReader>(&bytes, &[1]), feed::<RequestReader>(&bytes, &cuts));
-        prop_assert_eq!(feed::<AnswerReader>(&bytes, &cuts), feed::<AnswerReader>(&bytes, &[usize::MAX]));
-        prop_assert_eq!(feed::<AnswerReader>(&bytes, &[1]), feed::<AnswerReader>(&bytes, &cuts));
+        prop_assert_eq!(feed::<ResponseReader>(&bytes, &cuts), feed::<ResponseReader>(&bytes, &[usize::MAX]));
+        prop_assert_eq!(feed::<ResponseReader>(&bytes, &[1]), feed::<ResponseReader>(&bytes, &cuts));
     }
 
     #[test]
     fn what_was_read_whole_has_a_head_that_reads_again(bytes in nearly()) {
         if let Ok(Some((head, body))) = feed::<RequestReader>(&bytes, &[7]) {
-            let head = RequestHead::read(&head, BOUNDS).expect("sound").expect("whole");
+            let head = RequestHead::parse(&head, BOUNDS).expect("sound").expect("whole");
             prop_assert!(body.len() <= BOUNDS.body && head.len <= BOUNDS.head);
         }
-        if let Ok(Some((head, body))) = feed::<AnswerReader>(&bytes, &[7]) {
-            let head = AnswerHead::read(&head, BOUNDS).expect("sound").expect("whole");
-            prop_assert!(body.len() <= BOUNDS.body && !head.ahead());
+        if let Ok(Some((head, body))) = feed::<ResponseReader>(&bytes, &[7]) {
+            let head = ResponseHead::parse(&head, BOUNDS).expect("sound").expect("whole");
+            prop_assert!(body.len() <= BOUNDS.body && !head.is_interim());
         }
     }
 }
--- a/crates/lab/src/fleet/world.rs
+++ b/crates/lab/src/fleet/world.rs
@@ -15,7 +15,7 @@
 use super::turns::{Handled, Mood, Turns};
 use crate::audit::SLACK;
 use crate::trace::Micros;
-use mallowseam_http1::{AnswerHead, AnswerReader, Bounds, RequestHead, RequestReader};
+use mallowseam_http1::{Limits, RequestHead, RequestReader, ResponseHead, ResponseReader};
 use mallowseam_sockets::slots::Slots;
 use mallowseam_sockets::wire::{self, Tried};
 use mio::net::{TcpListener, TcpStream};
@@ -32,7 +32,7 @@
 
 pub use ways::{Held, Viewed, Ways};
 
-const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 1 << 20 };
+const BOUNDS: Limits = Limits { head: 16 * 1024, body: 1 << 20 };
 const EVENTS: usize = 1_024;
 const SCRATCH: usize = 64 * 1024;
 /// Connections accepted in one turn of a listener.
@@ -76,9 +76,9 @@
     /// From a host to a node.
     Line { node: u32, reader: RequestReader, open: Option<u64>, fresh: bool, excess: bool },
     /// From clients to a host.
-    Client { reader: AnswerReader, asked: Option<Op> },
+    Client { reader: ResponseReader, asked: Option<Op> },
     /// A question whether a host is ready.
-    Ready { reader: AnswerReader },
+    Ready { reader: ResponseReader },
 }
 
 struct Conn {
@@ -299,7 +299,7 @@
         }
         let again = self.now() + ASKS_READY;
         let text = b"GET /ready HTTP/1.1\r\nHost: lab\r\n\r\n";
-        let asked = self.dial(host, Carries::Ready { reader: AnswerReader::default() });
+        let asked = self.dial(host, Carries::Ready { reader: ResponseReader::default() });
         match asked {
             Some(at) => {
                 self.say(at, text);
@@ -477,7 +477,7 @@
                 let Ok(whole) = reader.advance(buffer, BOUNDS) else { return self.close(at, true) };
                 let Some(whole) = whole else { return };
                 let request = buffer.drain(..whole.end).collect::<Vec<u8>>();
-                reader.next();
+                reader.reset();
                 match conn.carries {
                     Carries::Call { .. } => self.called(at, &request),
                     _ => self.got(at, &request),
@@ -486,7 +486,7 @@
             Carries::Client { reader, .. } | Carries::Ready { reader } => {
                 let Ok(whole) = reader.advance(buffer, BOUNDS) else { return self.close(at, true) };
                 let Some(whole) = whole else { return };
-                *reader = AnswerReader::default();
+                *reader = ResponseReader::default();
                 let answer = buffer.drain(..whole.end).collect::<Vec<u8>>();
                 self.answered(at, &answer, whole.body);
             }
--- a/crates/lab/src/fleet/world/clients.rs
+++ b/crates/lab/src/fleet/world/clients.rs
@@ -22,7 +22,7 @@
             return self.again(&op, None);
         };
         let kept = self.idle.get_mut(&host).and_then(Vec::pop);
-        let carries = || Carries::Client { reader: AnswerReader::default(), asked: None };
+        let carries = || Carries::Client { reader: ResponseReader::default(), asked: None };
         let Some(at) = kept.or_else(|| self.dial(host, carries())) else {
             self.note(What::NoHost { op: op.id });
             return self.again(&op, None);
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn answered(&mut self, at: u32, answer: &[u8], body: usize) {
-        let Ok(Some(head)) = AnswerHead::read(answer, BOUNDS) else { return self.close(at, true) };
+        let Ok(Some(head)) = ResponseHead::parse(answer, BOUNDS) else { return self.close(at, true) };
         let (status, closes) = (head.status, head.close);
         let named = head.headers.single("Retry-After").ok().flatten().and_then(|t| t.parse::<f64>().ok());
         let Some(conn) = self.conns.get_mut(at) else { return };
--- a/crates/lab/src/fleet/world/listing.rs
+++ b/crates/lab/src/fleet/world/listing.rs
@@ -3,7 +3,7 @@
 
 impl World {
     pub(super) fn called(&mut self, at: u32, request: &[u8]) {
-        let Ok(Some(head)) = RequestHead::read(request, BOUNDS) else { return self.close(at, true) };
+        let Ok(Some(head)) = RequestHead::parse(request, BOUNDS) else { return self.close(at, true) };
         let follows = head.target.contains("follow=1");
         let now = self.now();
         let Some(conn) = self.conns.get_mut(at) else { return };
--- a/crates/lab/src/fleet/world/nodes.rs
+++ b/crates/lab/src/fleet/world/nodes.rs
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn got(&mut self, at: u32, request: &[u8]) {
-        let Ok(Some(head)) = RequestHead::read(request, BOUNDS) else { return self.close(at, true) };
+        let Ok(Some(head)) = RequestHead::parse(request, BOUNDS) else { return self.close(at, true) };
         let text = |name| head.headers.single(name).ok().flatten().unwrap_or_default();
         let op = u64::from_str_radix(text("X-Request-ID"), 16).unwrap_or(0);
         let placement = text("X-Placement");
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -2,8 +2,8 @@
 use crate::{MESSAGE, take_front, tidy};
 use mallowseam_conduct::Millis;
 use mallowseam_conduct::front::{self, Care, Doing, Guest, Leaving};
-use mallowseam_http1::{Fault, RequestHead, RequestReader, Whole};
-use mallowseam_platform::answer;
+use mallowseam_http1::{MessageSpan, ParseError, RequestHead, RequestReader};
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::BioId;
 use mallowseam_sockets::slots::Slots;
 use mallowseam_sockets::wire::{self, Parcel, Tried};
@@ -22,7 +22,7 @@
     /// What has come and is not yet done with; a request in hand stands at its front.
     buffer: Vec<u8>,
     reader: RequestReader,
-    whole: Option<Whole>,
+    whole: Option<MessageSpan>,
     bio: Option<BioId>,
     out: Parcel,
     /// The poll has told of it; the socket may have more to read; its client has ended its side; nothing follows the
@@ -90,13 +90,13 @@
 }
 
 /// The status that tells of a message that can't be read.
-fn status(fault: Fault) -> u16 {
+fn status(fault: ParseError) -> u16 {
     match fault {
-        Fault::Malformed | Fault::Framing => 400,
-        Fault::HeadTooLarge => 431,
-        Fault::BodyTooLarge => 413,
-        Fault::NoLength => 411,
-        Fault::Unsupported => 501,
+        ParseError::Malformed | ParseError::AmbiguousFraming => 400,
+        ParseError::HeadTooLarge => 431,
+        ParseError::BodyTooLarge => 413,
+        ParseError::MissingLength => 411,
+        ParseError::Unsupported => 501,
     }
 }
 
@@ -223,7 +223,7 @@
             Ok(true) => Came::Request,
             Err(Some(fault)) => {
                 self.counts.unreadable += 1;
-                self.end(at, status(fault), fault.words(), now);
+                self.end(at, status(fault), fault.message(), now);
                 Came::Nothing
             }
             Err(None) => {
@@ -232,7 +232,7 @@
             }
             // All clients' bytes together have their bound: who would pass it is asked to come back.
             Ok(false) if full => {
-                self.end(at, answer::SHED, "no room", now);
+                self.end(at, response::SHED_STATUS, "no room", now);
                 Came::Nothing
             }
             Ok(false) => Came::Nothing,
@@ -240,7 +240,7 @@
     }
 
     /// Error: the message is at fault, or (none) the connection is over.
-    fn read(client: &mut Client, scratch: &mut [u8], now: Millis) -> Result<bool, Option<Fault>> {
+    fn read(client: &mut Client, scratch: &mut [u8], now: Millis) -> Result<bool, Option<ParseError>> {
         loop {
             if !client.buffer.is_empty() {
                 if client.guest.doing() != Doing::Midway {
@@ -250,15 +250,15 @@
                 if client.whole.is_some() {
                     return Ok(true);
                 }
-                if client.reader.expects() {
-                    client.out.small.extend_from_slice(answer::GO_ON);
+                if client.reader.take_expect_continue() {
+                    client.out.small.extend_from_slice(response::CONTINUE);
                     client.out.push(&mut client.socket).map_err(|_| None)?;
                 }
             }
             if !client.readable {
                 return Ok(false);
             }
-            let room = (MESSAGE.buffer() - client.buffer.len()).min(scratch.len());
+            let room = (MESSAGE.buffer_capacity() - client.buffer.len()).min(scratch.len());
             match wire::read(&mut client.socket, &mut scratch[..room]) {
                 Tried::Read(count) => {
                     client.buffer.extend_from_slice(&scratch[..count]);
@@ -289,7 +289,7 @@
     pub fn request(&self, at: u32) -> Option<(RequestHead<'_>, &[u8])> {
         let client = self.all.get(at)?;
         let whole = client.whole?;
-        let head = RequestHead::read(&client.buffer, MESSAGE).ok().flatten()?;
+        let head = RequestHead::parse(&client.buffer, MESSAGE).ok().flatten()?;
         Some((head, &client.buffer[whole.body..whole.end]))
     }
 
@@ -346,13 +346,13 @@
         let Some(client) = self.all.get_mut(at) else { return };
         let before = client.bytes();
         let ends = self.leaving.is_some_and(|l| !l.lets_in(now));
-        client.last |= ends || client.left || client.reader.closes();
-        answer::write(&mut client.out.small, status, body, come_back, client.last);
+        client.last |= ends || client.left || client.reader.closes_connection();
+        response::write_head(&mut client.out.small, status, body, come_back, client.last);
         put(&mut client.out);
         if let Some(whole) = client.whole.take() {
             take_front(&mut client.buffer, whole.end);
         }
-        client.reader.next();
+        client.reader.reset();
         client.bio = None;
         client.guest.turns(Doing::Answered, now);
         self.bytes = self.bytes + client.bytes() - before;
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -54,7 +54,7 @@
         self.asks(peer, at);
         assert!(self.clients.ready(at, true, false, 0).is_none());
         assert!(self.turns(0).contains(&at));
-        self.clients.answer(at, answer::SHED, b"", 0, 0);
+        self.clients.answer(at, response::SHED_STATUS, b"", 0, 0);
         assert!(self.turns(0).is_empty());
     }
 }
--- a/crates/platform-host/src/desk.rs
+++ b/crates/platform-host/src/desk.rs
@@ -3,11 +3,11 @@
 use crate::nodes::{Came, Good, Nodes, Ready};
 use mallowseam_conduct::Millis;
 use mallowseam_conduct::front::{self, Leaving};
-use mallowseam_platform::answer;
-use mallowseam_platform::list::{Health, News};
-use mallowseam_platform::names::{Names, Shut};
-use mallowseam_platform::request::{self, Asked, Id};
-use mallowseam_platform::settings::Named;
+use mallowseam_platform::endpoints::{Health, WatchEvent};
+use mallowseam_platform::interner::{InternError, NameInterner};
+use mallowseam_platform::request::{self, ClientRequest, RequestId};
+use mallowseam_platform::response;
+use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::*;
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_sockets::clock::{millis, ticks};
@@ -19,7 +19,7 @@
 
 /// A block I/O, from its client's whole request until the scheduler releases it.
 struct Held {
-    id: Id,
+    id: RequestId,
     /// Its client's connection, until it has its final answer or has gone.
     client: Option<u32>,
     submits: u32,
@@ -45,10 +45,10 @@
     /// When what this round hears was there to be heard, and when the poll told of it.
     pub heard: Tick,
     pub polled: Tick,
-    pub named: Named,
+    pub named: PlatformSettings,
     pub clients: Clients,
     pub nodes: Nodes,
-    pub names: Names,
+    pub names: NameInterner,
     pub counts: Counts,
     held: Slots<Held>,
     came: VecDeque<Came>,
@@ -59,7 +59,7 @@
 }
 
 impl Desk {
-    pub fn new(now: Tick, named: Named, clients: Clients, nodes: Nodes) -> Self {
+    pub fn new(now: Tick, named: PlatformSettings, clients: Clients, nodes: Nodes) -> Self {
         Desk {
             now,
             heard: now,
@@ -67,7 +67,7 @@
             named,
             clients,
             nodes,
-            names: Names::default(),
+            names: NameInterner::default(),
             counts: Counts::default(),
             held: Slots::default(),
             came: VecDeque::new(),
@@ -89,24 +89,29 @@
     pub fn asked(&mut self, scheduler: &mut Scheduler, at: u32, ready: bool) {
         let now = self.millis();
         let Some((head, body)) = self.clients.request(at) else { return };
-        match request::read(&head, body.len(), &self.named) {
-            Err(wrong) => self.clients.wrong(at, wrong.status(), wrong.words(), now),
+        match request::parse(&head, body.len(), &self.named) {
+            Err(wrong) => self.clients.wrong(at, wrong.status(), wrong.message(), now),
             // Whoever asks this is no client yet, or not on this connection.
-            Ok(Asked::Ready) => {
+            Ok(ClientRequest::Readiness) => {
                 self.counts.asked_ready += 1;
-                let (status, words) = if ready { (200, "ready") } else { (answer::SHED, "no list yet") };
+                let (status, words) =
+                    if ready { (200, "ready") } else { (response::SHED_STATUS, "no list yet") };
                 self.clients.last_answer(at, status, words.as_bytes(), now);
             }
             // Whoever has gone gets nothing done: no node works for it.
-            Ok(Asked::Block(_)) if self.clients.left(at, self.polled_long_ago()) => {
-                self.clients.answer(at, answer::SHED, b"", 0, now);
+            Ok(ClientRequest::BlockIo(_)) if self.clients.left(at, self.polled_long_ago()) => {
+                self.clients.answer(at, response::SHED_STATUS, b"", 0, now);
             }
-            Ok(Asked::Block(block)) => {
+            Ok(ClientRequest::BlockIo(block)) => {
                 let id = BioId(self.held.next());
-                let bio = match self.names.take(id, &block, self.now, &self.named) {
+                let bio = match self.names.intern_request(id, &block, self.now, &self.named) {
                     Ok(bio) => bio,
-                    Err(Shut::InHand) => return self.clients.wrong(at, 409, "this id is in hand", now),
-                    Err(Shut::Full) => return self.clients.wrong(at, answer::SHED, "no room", now),
+                    Err(InternError::DuplicateRequestId) => {
+                        return self.clients.wrong(at, 409, "this id is in hand", now);
+                    }
+                    Err(InternError::TooManyVolumes) => {
+                        return self.clients.wrong(at, response::SHED_STATUS, "no room", now);
+                    }
                 };
                 let (id, client, hard_limit) = (block.id, Some(at), bio.hard_limit);
                 self.held.put(Held { id, client, submits: 0, line: None, hard_limit });
@@ -133,7 +138,7 @@
     /// A client that has left may have closed only its own side; then this still tells it.
     fn says_farewell(&mut self, at: u32) {
         self.counts.left += 1;
-        self.clients.answer(at, answer::FAILED, b"", 0, self.millis());
+        self.clients.answer(at, response::FAILED_STATUS, b"", 0, self.millis());
     }
 
     /// Whether clients may have left unseen for so long that nothing may begin for them without a look.
@@ -186,7 +191,7 @@
             // Clients that do not read their answers may have left no room for this one.
             if !self.clients.has_room(self.nodes.body(good).len()) {
                 self.counts.failed += 1;
-                self.clients.answer(at, answer::FAILED, b"", 0, now);
+                self.clients.answer(at, response::FAILED_STATUS, b"", 0, now);
             } else {
                 self.counts.ended += 1;
                 match self.nodes.take_body(good) {
@@ -219,8 +224,8 @@
                 closed: held.client.is_none(),
                 wait: came.until.unwrap_or(self.now) - came.since,
                 by_others: said.map_or(0.0, |s| s.by_others),
-                used: said.map_or(0.0, |s| s.used),
-                report: said.map_or(Report::default(), |s| s.report),
+                used: said.map_or(0.0, |s| s.usage),
+                report: said.map_or(Report::default(), |s| s.load_report),
             };
             let now = self.now;
             scheduler.ended(self, now, came.bio, &outcome);
@@ -228,13 +233,13 @@
     }
 
     /// The node list spoke.
-    pub fn listed(&mut self, scheduler: &mut Scheduler, form: ListForm, news: &News) {
+    pub fn listed(&mut self, scheduler: &mut Scheduler, form: ListForm, news: &WatchEvent) {
         let mut listed = std::mem::take(&mut self.listed);
-        self.names.listed(news, &self.named, &mut listed);
-        for entry in &news.entries {
+        self.names.intern_endpoints(news, &self.named, &mut listed);
+        for entry in &news.endpoints {
             let open = entry.health == Health::Ready;
             if let Some(node) = self.names.find_node(&entry.name) {
-                self.nodes.listed(node, entry.dial, open);
+                self.nodes.listed(node, entry.address, open);
             }
         }
         // A drain told while a submit still waits for its connection stops it.
@@ -289,7 +294,7 @@
 impl Host for Desk {
     fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
         let now = self.now;
-        let most = self.named.terms.max_submits;
+        let most = self.named.scheduler.max_submits;
         // Told to end, a host has all its answers out before it is killed; what it still holds by then is over, as
         // latency goals are.
         let by = self.clients.leaving.and_then(|l| l.answers_by());
@@ -309,7 +314,8 @@
             None => Err(Ending::Moot),
             Some((head, body)) => {
                 let wait = millis(limit).max(1);
-                self.nodes.submit(bio, node, now, limit, |out| request::write(out, &head, body, wait))
+                self.nodes
+                    .submit(bio, node, now, limit, |out| request::write_forwarded(out, &head, body, wait))
             }
         };
         match sent {
@@ -332,11 +338,11 @@
     }
 
     fn shed(&mut self, bio: BioId, come_back: Tick) {
-        self.counts.shed += u64::from(self.final_answer(bio, answer::SHED, come_back));
+        self.counts.shed += u64::from(self.final_answer(bio, response::SHED_STATUS, come_back));
     }
 
     fn fail(&mut self, bio: BioId) {
-        self.counts.failed += u64::from(self.final_answer(bio, answer::FAILED, 0));
+        self.counts.failed += u64::from(self.final_answer(bio, response::FAILED_STATUS, 0));
     }
 
     fn wake(&mut self, after: Tick) {
@@ -361,7 +367,7 @@
 
     fn release_bio(&mut self, bio: BioId) {
         if let Some(held) = self.held.take(bio.0) {
-            self.names.release_bio(&held.id);
+            self.names.release_request(&held.id);
         }
     }
 
--- a/crates/platform-host/src/desk/tests.rs
+++ b/crates/platform-host/src/desk/tests.rs
@@ -32,18 +32,18 @@
     fn new(now: Tick) -> Self {
         let poll = Poll::new().expect("a poll");
         let registry = || poll.registry().try_clone().expect("a poll");
-        let named = mallowseam_platform::settings::read(SETTINGS).expect("sound settings");
+        let named = mallowseam_platform::settings::parse(SETTINGS).expect("sound settings");
         let (listener, front) = (listen(), listen());
         let clients = Clients::new(registry(), |at| Token(2 * at as usize), 64, 1 << 20);
         let keep = Keep::new(15_000, millis(now));
         let nodes = Nodes::new(registry(), |at| Token(2 * at as usize + 1), 64, 1 << 20, 2_500, keep);
-        let mut scheduler = Scheduler::new(&named.terms, 7, now);
+        let mut scheduler = Scheduler::new(&named.scheduler, 7, now);
         let mut desk = Desk::new(now, named, clients, nodes);
         let dial = listener.local_addr().expect("bound");
         let line = format!(
             r#"{{"seq":1,"whole":true,"hosts":[{{"host":"s","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}]}}"#
         );
-        let news = mallowseam_platform::list::read(line.as_bytes()).expect("a sound list");
+        let news = mallowseam_platform::endpoints::parse(line.as_bytes()).expect("a sound list");
         desk.listed(&mut scheduler, ListForm::Whole, &news);
         Scene { poll, desk, scheduler, node: listener, front }
     }
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -2,19 +2,19 @@
 use crate::{MESSAGE, tidy};
 use mallowseam_conduct::Millis;
 use mallowseam_conduct::watch::Watch;
-use mallowseam_http1::{AnswerHead, Bounds, Chunks, Framing};
-use mallowseam_platform::list::{self, Entry, Front, News};
+use mallowseam_http1::{ChunkedDecoder, Framing, Limits, ResponseHead};
+use mallowseam_platform::endpoints::{self, Endpoint, WatchEvent, WatchFrame};
 use mallowseam_sockets::wire::{self, Tried};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::net::SocketAddr;
 
 /// A list is far longer than a message of clients or nodes.
-const LIST: Bounds = Bounds { head: MESSAGE.head, body: list::BYTES };
+const LIST: Limits = Limits { head: MESSAGE.head, body: endpoints::MAX_LIST_BYTES };
 
 enum Stage {
     Head,
-    Lines(Chunks),
+    Lines(ChunkedDecoder),
     Length(usize),
 }
 
@@ -31,11 +31,11 @@
 
 /// What a call came to.
 pub enum Heard {
-    News(News),
+    News(WatchEvent),
     /// A line without news.
     Alive,
     /// What a line that is refused says of nodes that want nothing new.
-    Closings(Vec<Entry>),
+    Closings(Vec<Endpoint>),
     Failed(String),
 }
 
@@ -52,7 +52,7 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         registry.register(&mut socket, token, interest).map_err(|e| e.to_string())?;
         let mut out = Vec::new();
-        list::watch(&mut out, address, since);
+        endpoints::write_watch_request(&mut out, address, since);
         let (buffer, stage, watch) = (Vec::new(), Stage::Head, Watch::new(now));
         Ok(Call { socket, address, since, out, buffer, stage, watch })
     }
@@ -97,18 +97,19 @@
     /// Error: the call is done.
     fn steps(&mut self, heard: &mut impl FnMut(Heard)) -> Result<(), String> {
         while let Stage::Head = self.stage {
-            let Some(head) = AnswerHead::read(&self.buffer, LIST).map_err(|f| f.words().to_owned())? else {
+            let Some(head) = ResponseHead::parse(&self.buffer, LIST).map_err(|f| f.message().to_owned())?
+            else {
                 return Ok(());
             };
-            if !head.ahead() && head.status != 200 {
+            if !head.is_interim() && head.status != 200 {
                 return Err(format!("answered {}", head.status));
             }
-            let (len, framing, ahead) = (head.len, head.framing, head.ahead());
+            let (len, framing, ahead) = (head.len, head.framing, head.is_interim());
             drop(self.buffer.drain(..len));
             if !ahead {
                 self.watch.answered();
                 self.stage = match framing {
-                    Framing::Chunked => Stage::Lines(Chunks::new(0)),
+                    Framing::Chunked => Stage::Lines(ChunkedDecoder::new(0)),
                     Framing::Length(len) => Stage::Length(len),
                     Framing::None => return Err("an answer without a list".into()),
                 };
@@ -123,10 +124,10 @@
                 Err("the list has ended".into())
             }
             Stage::Lines(chunks) => {
-                chunks.advance(&mut self.buffer, LIST.body).map_err(|f| f.words().to_owned())?;
-                let over = chunks.over();
-                let taken = lines(&self.buffer[..chunks.at()], over, heard)?;
-                chunks.taken(taken);
+                chunks.decode(&mut self.buffer, LIST.body).map_err(|f| f.message().to_owned())?;
+                let over = chunks.is_complete();
+                let taken = lines(&self.buffer[..chunks.decoded_end()], over, heard)?;
+                chunks.discard_front(taken);
                 drop(self.buffer.drain(..taken));
                 if self.buffer.is_empty() {
                     tidy(&mut self.buffer);
@@ -147,18 +148,20 @@
     let whole = if over { text.len() } else { text.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1) };
     let mut at = 0;
     loop {
-        match list::front(&text[at..whole]) {
-            Front::Part if over && !text[at..].trim_ascii().is_empty() => return Err("a list cut off".into()),
-            Front::Part => return Ok(at),
-            Front::Empty(len) => {
+        match endpoints::parse_frame(&text[at..whole]) {
+            WatchFrame::Incomplete if over && !text[at..].trim_ascii().is_empty() => {
+                return Err("a list cut off".into());
+            }
+            WatchFrame::Incomplete => return Ok(at),
+            WatchFrame::Heartbeat(len) => {
                 heard(Heard::Alive);
                 at += len;
             }
-            Front::News(news, len) => {
+            WatchFrame::Event(news, len) => {
                 heard(Heard::News(news));
                 at += len;
             }
-            Front::Wrong(why, closings) => {
+            WatchFrame::Corrupt(why, closings) => {
                 heard(Heard::Closings(closings));
                 return Err(why);
             }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -12,13 +12,13 @@
 
 pub use run::{Failure, run};
 
-use mallowseam_http1::Bounds;
+use mallowseam_http1::Limits;
 
 /// A message of the users' protocol: 64 KiB of body at most, and heads of some hundred bytes.
-const MESSAGE: Bounds = Bounds { head: 8 * 1024, body: 64 * 1024 };
+const MESSAGE: Limits = Limits { head: 8 * 1024, body: 64 * 1024 };
 /// A node's answer: nodes send bodies several times longer than the pages allow (364 kB seen); past 1 MiB a
 /// stated length counts as nonsense.
-const ANSWER: Bounds = Bounds { head: MESSAGE.head, body: 1 << 20 };
+const ANSWER: Limits = Limits { head: MESSAGE.head, body: 1 << 20 };
 /// Buffers that a long message has made larger than this are given back.
 const KEPT: usize = 4 * 1024;
 
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -1,9 +1,9 @@
 //! Connections to nodes: one submit at a time on each, kept and used again.
 use crate::{ANSWER, tidy};
 use mallowseam_conduct::parting::{self, Fit, Keep};
-use mallowseam_http1::{AnswerHead, AnswerReader, Whole};
-use mallowseam_platform::answer::{self, Said};
+use mallowseam_http1::{MessageSpan, ResponseHead, ResponseReader};
 use mallowseam_platform::request;
+use mallowseam_platform::response::{self, NodeResponse};
 use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
 use mallowseam_sockets::clock::millis;
 use mallowseam_sockets::slots::Slots;
@@ -48,7 +48,7 @@
     out: Vec<u8>,
     sent: usize,
     buffer: Vec<u8>,
-    reader: AnswerReader,
+    reader: ResponseReader,
     idle_since: Tick,
     /// It has carried a submit before.
     used: bool,
@@ -89,7 +89,7 @@
     pub since: Tick,
     /// When it was there to be heard; none: as of now.
     pub until: Option<Tick>,
-    pub said: Option<Said>,
+    pub said: Option<NodeResponse>,
 }
 
 pub struct Nodes {
@@ -111,7 +111,7 @@
 pub struct Good {
     pub at: u32,
     pub came: Came,
-    whole: Whole,
+    whole: MessageSpan,
     close: bool,
 }
 
@@ -255,7 +255,7 @@
             out: Vec::new(),
             sent: 0,
             buffer: Vec::new(),
-            reader: AnswerReader::default(),
+            reader: ResponseReader::default(),
             idle_since: now,
             used: false,
         });
@@ -377,7 +377,7 @@
             }
             line.up = true;
             // What waited for its connection has less time left than it was written with.
-            request::write_wait(&mut line.out, millis(carried.limit_at - now).max(1));
+            request::rewrite_timeout(&mut line.out, millis(carried.limit_at - now).max(1));
         }
         if line.sent < line.out.len()
             && let Some(came) = self.push(place, Ending::NoConnect)
@@ -402,8 +402,9 @@
             let had = line.buffer.len();
             let capacity = line.buffer.capacity();
             // Of a long answer just the rest is read; what stands behind it shows on the next look.
-            let lacks = line.reader.lacks(had).filter(|l| *l > 0);
-            let room = lacks.unwrap_or(FIRST).min(ANSWER.buffer() + 1 - had.min(ANSWER.buffer()));
+            let lacks = line.reader.remaining(had).filter(|l| *l > 0);
+            let room =
+                lacks.unwrap_or(FIRST).min(ANSWER.buffer_capacity() + 1 - had.min(ANSWER.buffer_capacity()));
             let room = room.min(scratch.len());
             let tried = wire::read(&mut line.socket, &mut scratch[..room]);
             if let Tried::Read(count) = tried {
@@ -447,10 +448,17 @@
         Ready::Came(came)
     }
 
-    fn answered(&mut self, place: u32, whole: Whole, now: Tick, came: &impl Fn(Ending) -> Came) -> Ready {
+    fn answered(
+        &mut self,
+        place: u32,
+        whole: MessageSpan,
+        now: Tick,
+        came: &impl Fn(Ending) -> Came,
+    ) -> Ready {
         let Some(line) = self.lines.get(place) else { return Ready::Nothing };
-        let head = AnswerHead::read(&line.buffer[whole.start..], ANSWER).ok().flatten().expect("read before");
-        let said = answer::read(&head);
+        let head =
+            ResponseHead::parse(&line.buffer[whole.start..], ANSWER).ok().flatten().expect("read before");
+        let said = response::parse(&head);
         // A node begins with a request's last byte: what it says before was made for another.
         if !line.written() && said.ending != Ending::Busy {
             self.close(place);
@@ -504,7 +512,7 @@
         }
         let Some(line) = self.lines.get_mut(place) else { return };
         (line.carried, line.sent, line.idle_since, line.used) = (None, 0, now, true);
-        line.reader = AnswerReader::default();
+        line.reader = ResponseReader::default();
         tidy(&mut line.out);
         self.bytes -= line.buffer.capacity();
         tidy(&mut line.buffer);
--- a/crates/platform-host/src/run.rs
+++ b/crates/platform-host/src/run.rs
@@ -8,9 +8,9 @@
 use mallowseam_conduct::watch::Pair;
 use mallowseam_fleet::word::Facts;
 use mallowseam_fleet_udp::Part;
-use mallowseam_platform::config::{self, Config};
-use mallowseam_platform::list::News;
-use mallowseam_platform::settings::Named;
+use mallowseam_platform::config::{self, HostConfig};
+use mallowseam_platform::endpoints::WatchEvent;
+use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::{Host, ListForm, NodeId, Terms, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_sockets::clock::{Clock, Looks, millis, span, ticks};
@@ -64,7 +64,7 @@
 
 struct Platform {
     path: PathBuf,
-    config: Config,
+    config: HostConfig,
     clock: Clock,
     looks: Looks,
     scheduler: Scheduler,
@@ -91,21 +91,21 @@
     logged: Tick,
 }
 
-fn load(path: &Path) -> Result<Config, Failure> {
+fn load(path: &Path) -> Result<HostConfig, Failure> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(failure(&name))?;
-    config::read(&text).map_err(|problems| Failure(format!("{name}:\n{problems}")))
+    config::parse(&text).map_err(|problems| Failure(format!("{name}:\n{problems}")))
 }
 
 /// Runs a host by the configuration at a path until it is told to end. `list_turn`: milliseconds that a call takes
 /// of the list service, where somebody says so.
 pub fn run(path: &Path, list_turn: Option<u64>) -> Result<(), Failure> {
     let mut config = load(path)?;
-    config.named.terms.ask_turn = list_turn.map(ticks);
+    config.settings.scheduler.ask_turn = list_turn.map(ticks);
     // Parted by what the configuration says, it would run short of them where nothing may be turned away.
-    let given = descriptors::given(config.sockets).map_err(failure("descriptors"))?;
-    if given < config.sockets {
-        let wanted = config.sockets;
+    let given = descriptors::given(config.max_sockets).map_err(failure("descriptors"))?;
+    if given < config.max_sockets {
+        let wanted = config.max_sockets;
         return Err(Failure(format!("limits.sockets: {wanted}, where the system gives {given} descriptors")));
     }
     let mut poll = Poll::new().map_err(failure("poll"))?;
@@ -138,7 +138,7 @@
 }
 
 impl Platform {
-    fn open(path: &Path, config: Config, poll: &Poll) -> Result<Self, Failure> {
+    fn open(path: &Path, config: HostConfig, poll: &Poll) -> Result<Self, Failure> {
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         let registry = || poll.registry().try_clone().map_err(failure("poll"));
         let hup = signals::pipe(poll, HUP, &[SIGHUP]).map_err(failure("signals"))?;
@@ -147,23 +147,23 @@
         let listening = failure(format!("listen {}", config.listen));
         let mut listener = listener::listen(config.listen).map_err(listening)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(failure("poll"))?;
-        let parting = parting::part(config.sockets, config.memory_mb);
+        let parting = parting::part(config.max_sockets, config.memory_mb);
         let clock = Clock::of_day();
         let now = clock.now();
-        let mut named = config.named.clone();
+        let mut named = config.settings.clone();
         // On the platform the list is always asked for, and a late word on what was never tried costs three tenths.
-        named.terms.list_on_request = true;
-        named.terms.word_by_half = true;
+        named.scheduler.list_on_request = true;
+        named.scheduler.word_by_half = true;
         let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
-        let part = config.place.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
-        let keep = Keep::new(millis(named.idle_close), millis(now));
+        let part = config.fleet.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
+        let keep = Keep::new(millis(named.idle_timeout), millis(now));
         let clients = Clients::new(registry()?, client_token, parting.clients, parting.client_bytes);
         let nodes = Nodes::new(
             registry()?,
             line_token,
             parting.nodes,
             parting.node_bytes,
-            named.connect_within,
+            named.connect_timeout,
             keep,
         );
         tracing::info!(
@@ -172,18 +172,18 @@
             discovery = %config.discovery,
             clients = parting.clients,
             nodes = parting.nodes,
-            cores = config.cores,
-            idle_close_ms = millis(config.named.idle_close),
-            connect_within_ms = millis(config.named.connect_within),
+            cores = config.cpu_cores,
+            idle_close_ms = millis(config.settings.idle_timeout),
+            connect_within_ms = millis(config.settings.connect_timeout),
             memory_mb = config.memory_mb,
-            known = config.known.as_ref().map_or(0, |k| k.entries.len()),
-            list_pushed = config.named.terms.list_pushed,
-            ask_within_ms = millis(config.named.terms.ask_within),
+            known = config.cached_list.as_ref().map_or(0, |k| k.endpoints.len()),
+            list_pushed = config.settings.scheduler.list_pushed,
+            ask_within_ms = millis(config.settings.scheduler.ask_within),
             "host starts"
         );
         Ok(Platform {
             path: path.to_owned(),
-            scheduler: Scheduler::new(&named.terms, config.seed, now),
+            scheduler: Scheduler::new(&named.scheduler, config.seed, now),
             desk: Desk::new(now, named, clients, nodes),
             registry: registry()?,
             listener: Some(listener),
@@ -214,9 +214,9 @@
         // from here on.
         self.desk.wake(0);
         self.desk.woken(&mut self.scheduler);
-        if let Some(known) = self.config.known.take() {
-            self.told = !known.entries.is_empty();
-            self.seq = Some(known.seq);
+        if let Some(known) = self.config.cached_list.take() {
+            self.told = !known.endpoints.is_empty();
+            self.seq = Some(known.version);
             self.desk.listed(&mut self.scheduler, ListForm::Kept, &known);
         }
         self.finish();
@@ -269,8 +269,8 @@
                 HUP if drain(&mut self.hup) => self.reload(),
                 TERM if drain(&mut self.term) => {
                     let named = &self.desk.named;
-                    let goal = named.terms.groups.iter().map(|g| g.goal).max().unwrap_or(0);
-                    let (longest, goal) = (millis(named.longest), millis(goal));
+                    let goal = named.scheduler.groups.iter().map(|g| g.goal).max().unwrap_or(0);
+                    let (longest, goal) = (millis(named.longest_deadline), millis(goal));
                     self.leave(Leaving::platform(millis(self.desk.now), longest, goal));
                 }
                 INT if drain(&mut self.int) => self.leave(Leaving::by_hand(millis(self.desk.now))),
@@ -431,28 +431,28 @@
         if config.listen != self.config.listen || config.name != self.config.name {
             tracing::warn!("another name or address to listen on needs a new start");
         }
-        let (was, named) = (&self.desk.named, &config.named);
-        if named.groups == was.groups && named.plans == was.plans {
-            self.scheduler.planned(self.desk.now, &named.terms.plans, &[]);
-            self.desk.named.terms.plans.clone_from(&named.terms.plans);
+        let (was, named) = (&self.desk.named, &config.settings);
+        if named.class_names == was.class_names && named.plan_names == was.plan_names {
+            self.scheduler.planned(self.desk.now, &named.scheduler.plans, &[]);
+            self.desk.named.scheduler.plans.clone_from(&named.scheduler.plans);
         } else {
             tracing::warn!("other I/O groups or plans need a new start");
         }
         // Set up once, at the start: a host that took only a part of them would serve by two pages at once.
-        let rest = |n: &Named| Named {
-            terms: Terms {
+        let rest = |n: &PlatformSettings| PlatformSettings {
+            scheduler: Terms {
                 plans: Vec::new(),
                 list_on_request: true,
                 word_by_half: true,
                 ask_turn: None,
-                ..n.terms.clone()
+                ..n.scheduler.clone()
             },
             ..n.clone()
         };
         if rest(named) != rest(&self.desk.named) {
             tracing::warn!("settings beside the plans' figures have changed, and need a new start");
         }
-        match (&mut self.part, config.place) {
+        match (&mut self.part, config.fleet) {
             (None, None) => {}
             (Some(part), place) => part.reload(place),
             (None, Some(_)) => tracing::warn!("a place in the fleet's view needs a new start"),
@@ -512,7 +512,7 @@
                 Heard::News(news) => self.news(at, &news),
                 Heard::Alive => self.spoke(at),
                 Heard::Closings(entries) => {
-                    let news = News { seq: 0, whole: false, entries };
+                    let news = WatchEvent { version: 0, full_snapshot: false, endpoints: entries };
                     self.desk.listed(&mut self.scheduler, ListForm::Changes, &news);
                 }
                 Heard::Failed(why) => return self.lost(at, &why),
@@ -529,32 +529,32 @@
         }
         if first {
             // With no news or old ones, it is had all the same: the scheduler goes by that when the watch is lost.
-            let none = News { seq: 0, whole: false, entries: Vec::new() };
+            let none = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
             self.desk.listed(&mut self.scheduler, ListForm::Changes, &none);
         }
     }
 
-    fn news(&mut self, at: usize, news: &News) {
+    fn news(&mut self, at: usize, news: &WatchEvent) {
         self.spoke(at);
         let Some(call) = &self.calls[at] else { return };
-        let form = if news.whole { ListForm::Whole } else { ListForm::Changes };
+        let form = if news.full_snapshot { ListForm::Whole } else { ListForm::Changes };
         if call.address() != self.counted_by {
             // The last words of a service that this host has left: they count as changes, and no version goes by them.
             return self.desk.listed(&mut self.scheduler, ListForm::Changes, news);
         }
-        if !news.whole && call.since().is_some_and(|since| news.seq < since) {
+        if !news.full_snapshot && call.since().is_some_and(|since| news.version < since) {
             // It has started anew and counts from below: what it has to tell is all that it has.
             self.seq = None;
             return self.lost(at, "counts anew");
         }
         // Changes older than the list are none. A whole list counts whatever its version: it was asked for later than
         // all that came before.
-        if !news.whole && self.seq.is_some_and(|seq| news.seq <= seq) {
+        if !news.full_snapshot && self.seq.is_some_and(|seq| news.version <= seq) {
             return;
         }
-        self.seq = Some(news.seq);
-        self.part.iter_mut().for_each(|p| p.facts(Facts { list: news.seq, plans: 0 }));
-        self.told |= !news.entries.is_empty();
+        self.seq = Some(news.version);
+        self.part.iter_mut().for_each(|p| p.facts(Facts { list: news.version, plans: 0 }));
+        self.told |= !news.endpoints.is_empty();
         self.desk.listed(&mut self.scheduler, form, news);
     }
 
@@ -573,7 +573,7 @@
             in_hand = desk.in_hand(),
             lines = desk.nodes.len(),
             kept_ms = kept,
-            names = ?desk.names.sizes(),
+            names = ?desk.names.counts(),
             "host"
         );
         let ids: Vec<NodeId> = desk.nodes.ids().collect();
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration: what a host is told at its start, and again by SIGHUP.
-use crate::list::{self, News};
-use crate::settings::{self, Named};
+use crate::endpoints::{self, WatchEvent};
+use crate::settings::{self, PlatformSettings};
 use mallowseam_fleet::settings::{Place, Written};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -10,27 +10,27 @@
 const MEMORY_LEAST: u64 = 16;
 
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct HostConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
     /// Part of a core; told in the log, nothing goes by it.
-    pub cores: f64,
+    pub cpu_cores: f64,
     pub memory_mb: u64,
-    pub sockets: u64,
+    pub max_sockets: u64,
     /// The list as this host last had it.
-    pub known: Option<News>,
-    pub named: Named,
+    pub cached_list: Option<WatchEvent>,
+    pub settings: PlatformSettings,
     /// Its place in the view that the fleet keeps of itself; none: it takes no part.
-    pub place: Option<Place>,
+    pub fleet: Option<Place>,
 }
 
 /// All that is wrong with a configuration, each with its field.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Problems(pub Vec<String>);
+pub struct ConfigError(pub Vec<String>);
 
-impl std::fmt::Display for Problems {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
@@ -107,10 +107,10 @@
     }
 }
 
-pub fn read(text: &str) -> Result<Config, Problems> {
-    let mut v: Value = serde_json::from_str(text).map_err(|e| Problems(vec![format!("not JSON: {e}")]))?;
+pub fn parse(text: &str) -> Result<HostConfig, ConfigError> {
+    let mut v: Value = serde_json::from_str(text).map_err(|e| ConfigError(vec![format!("not JSON: {e}")]))?;
     if !v.is_object() {
-        return Err(Problems(vec!["not a JSON object".into()]));
+        return Err(ConfigError(vec!["not a JSON object".into()]));
     }
     let mut r = Reader(Vec::new());
     let name = r.text(&v, "name");
@@ -124,12 +124,13 @@
     let sockets = r.limit(&v, "sockets", SOCKETS_LEAST);
     let known = match v["known"].take() {
         Value::Null => Some(None),
-        known => r.take("known", list::of(known)).map(Some),
+        known => r.take("known", endpoints::from_json(known)).map(Some),
     };
-    let named = settings::of(&v["settings"]).map_err(|all| r.0.extend(all.lines().map(str::to_owned))).ok();
+    let named =
+        settings::from_json(&v["settings"]).map_err(|all| r.0.extend(all.lines().map(str::to_owned))).ok();
     if let Some(named) = &named {
         for (field, empty) in
-            [("profiles", named.groups.is_empty()), ("service_levels", named.plans.is_empty())]
+            [("profiles", named.class_names.is_empty()), ("service_levels", named.plan_names.is_empty())]
         {
             if empty {
                 r.0.push(format!("settings.{field}: expected at least one"));
@@ -141,21 +142,21 @@
         fleet => r.place(fleet, name.as_deref().unwrap_or("?")).map(Some),
     };
     if !r.0.is_empty() {
-        return Err(Problems(r.0));
+        return Err(ConfigError(r.0));
     }
     let whole = || {
-        Some(Config {
+        Some(HostConfig {
             name: name?,
             listen: listen?,
             discovery: discovery?,
             seed: seed?,
-            cores: v["limits"]["cores"].as_f64().unwrap_or(0.0),
+            cpu_cores: v["limits"]["cores"].as_f64().unwrap_or(0.0),
             memory_mb: memory_mb?,
-            sockets: sockets?,
-            known: known?,
-            named: named?,
-            place: place?,
+            max_sockets: sockets?,
+            cached_list: known?,
+            settings: named?,
+            fleet: place?,
         })
     };
-    whole().ok_or_else(|| Problems(vec!["a field is missing".into()]))
+    whole().ok_or_else(|| ConfigError(vec!["a field is missing".into()]))
 }
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/interner.rs
@@ -1,7 +1,7 @@
-//! Names outside, small indices inside; each name is forgotten once its index is released.
-use crate::list::{Entry, Health, News};
-use crate::request::{Block, Id};
-use crate::settings::Named;
+//! NameInterner outside, small indices inside; each name is forgotten once its index is released.
+use crate::endpoints::{Endpoint, Health, WatchEvent};
+use crate::request::{BlockRequest, RequestId};
+use crate::settings::PlatformSettings;
 use mallowseam_scheduler::door::Door;
 use mallowseam_scheduler::host::*;
 use std::collections::HashMap;
@@ -14,49 +14,55 @@
 
 /// Why a block I/O gets no place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shut {
+pub enum InternError {
     /// Its id is in hand already.
-    InHand,
+    DuplicateRequestId,
     /// There is no room for another volume.
-    Full,
+    TooManyVolumes,
 }
 
 #[derive(Default)]
-pub struct Names {
+pub struct NameInterner {
     nodes: Door<String>,
     volumes: Door<u64>,
     keys: Door<(u64, u64)>,
     /// Ids of the block I/Os in hand.
-    open: HashMap<Id, BioId>,
+    open: HashMap<RequestId, BioId>,
 }
 
-impl Names {
+impl NameInterner {
     /// The block I/O of a request at a place of its own. No client is waited for longer than the settings
     /// name for any I/O group: the rest of what it says it waits is no use to anyone.
-    pub fn take(&mut self, id: BioId, block: &Block, now: Tick, named: &Named) -> Result<Bio, Shut> {
+    pub fn intern_request(
+        &mut self,
+        id: BioId,
+        block: &BlockRequest,
+        now: Tick,
+        named: &PlatformSettings,
+    ) -> Result<Bio, InternError> {
         if self.open.contains_key(&block.id) {
-            return Err(Shut::InHand);
+            return Err(InternError::DuplicateRequestId);
         }
         if self.volumes.len() >= VOLUMES && self.volumes.find(&block.volume).is_none() {
-            return Err(Shut::Full);
+            return Err(InternError::TooManyVolumes);
         }
         self.open.insert(block.id, id);
-        let wait = block.wait as Tick * TICKS;
-        let wait = if named.longest > 0 { wait.min(named.longest) } else { wait };
+        let wait = block.timeout_ms as Tick * TICKS;
+        let wait = if named.longest_deadline > 0 { wait.min(named.longest_deadline) } else { wait };
         Ok(Bio {
             id,
-            group: block.group,
+            group: block.io_class,
             plan: block.plan,
             vol: VolId(self.volumes.enter(&block.volume)),
-            key: Some(KeyId(self.keys.enter(&(block.volume, block.piece)))),
+            key: Some(KeyId(self.keys.enter(&(block.volume, block.object)))),
             hard_limit: now + wait,
             units: block.units,
             shard: block.shard,
-            hosts: block.hosts,
+            hosts: block.host_count,
         })
     }
 
-    pub fn release_bio(&mut self, id: &Id) {
+    pub fn release_request(&mut self, id: &RequestId) {
         self.open.remove(id);
     }
 
@@ -72,7 +78,7 @@
         self.nodes.release(node.0);
     }
 
-    pub fn node(&mut self, name: &String) -> NodeId {
+    pub fn intern_node(&mut self, name: &String) -> NodeId {
         NodeId(self.nodes.enter(name))
     }
 
@@ -81,21 +87,21 @@
     }
 
     /// A node that has left by a name that is not in use is none of ours.
-    fn known(&self, entry: &Entry) -> bool {
-        entry.health != Health::Gone || self.nodes.find(&entry.name).is_some()
+    fn known(&self, entry: &Endpoint) -> bool {
+        entry.health != Health::Removed || self.nodes.find(&entry.name).is_some()
     }
 
     /// A line of the list as the scheduler hears it.
-    pub fn listed(&mut self, news: &News, named: &Named, into: &mut Vec<Listed>) {
+    pub fn intern_endpoints(&mut self, news: &WatchEvent, named: &PlatformSettings, into: &mut Vec<Listed>) {
         into.clear();
-        for entry in &news.entries {
+        for entry in &news.endpoints {
             if !self.known(entry) {
                 continue;
             }
-            let node = self.node(&entry.name);
+            let node = self.intern_node(&entry.name);
             // Of a zone that the settings lack nothing is known, not even that two nodes are in the same one.
-            let alone = named.zones.len() + node.0 as usize;
-            let zone = named.zones.iter().position(|z| *z == entry.site).unwrap_or(alone);
+            let alone = named.zone_names.len() + node.0 as usize;
+            let zone = named.zone_names.iter().position(|z| *z == entry.zone).unwrap_or(alone);
             into.push(Listed {
                 node,
                 zone: zone as u32,
@@ -103,15 +109,15 @@
                 state: match entry.health {
                     Health::Ready => NodeState::Active,
                     Health::Draining => NodeState::Leaving,
-                    Health::Gone => NodeState::Left,
+                    Health::Removed => NodeState::Left,
                 },
-                came_up: entry.born_ms.max(0) * TICKS,
+                came_up: entry.started_at_ms.max(0) * TICKS,
             });
         }
     }
 
     /// How many names are held: nodes, volumes, keys, block I/Os.
-    pub fn sizes(&self) -> [usize; 4] {
+    pub fn counts(&self) -> [usize; 4] {
         [self.nodes.len(), self.volumes.len(), self.keys.len(), self.open.len()]
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -5,9 +5,9 @@
 //! - `request`, `answer`: a client's request as a block I/O, a node's answer as an ending, and both as bytes.
 //! - `list`: the node list, whole and in changes.
 //! - `names`: names outside, small indices inside.
-pub mod answer;
 pub mod config;
-pub mod list;
-pub mod names;
+pub mod endpoints;
+pub mod interner;
 pub mod request;
+pub mod response;
 pub mod settings;
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,5 +1,5 @@
 //! A client's request as a block I/O, and the same request as bytes for a node.
-use crate::settings::Named;
+use crate::settings::PlatformSettings;
 use mallowseam_http1::RequestHead;
 use std::io::Write;
 
@@ -13,17 +13,17 @@
 
 /// The id under which a request stands at clients, hosts and nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Id {
+pub struct RequestId {
     bytes: [u8; ID],
     len: u8,
 }
 
-impl Id {
+impl RequestId {
     pub fn new(text: &str) -> Option<Self> {
         let fits = (1..=ID).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
         let mut bytes = [0; ID];
         bytes.get_mut(..text.len())?.copy_from_slice(text.as_bytes());
-        fits.then_some(Id { bytes, len: text.len() as u8 })
+        fits.then_some(RequestId { bytes, len: text.len() as u8 })
     }
 
     pub fn bytes(&self) -> &[u8] {
@@ -33,64 +33,64 @@
 
 /// What a client asks for.
 #[derive(Clone, Copy)]
-pub enum Asked {
+pub enum ClientRequest {
     /// Whether this host is ready.
-    Ready,
-    Block(Block),
+    Readiness,
+    BlockIo(BlockRequest),
 }
 
 /// A block I/O as its client words it.
 #[derive(Clone, Copy)]
-pub struct Block {
-    pub id: Id,
-    pub group: u16,
+pub struct BlockRequest {
+    pub id: RequestId,
+    pub io_class: u16,
     pub plan: u16,
     pub volume: u64,
-    pub piece: u64,
+    pub object: u64,
     /// Milliseconds that the client waits.
-    pub wait: u64,
+    pub timeout_ms: u64,
     pub units: f64,
     pub shard: Option<u32>,
-    pub hosts: u32,
+    pub host_count: u32,
 }
 
 /// Why a request is not taken; its client is told, and its connection can go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    NoSuchPath,
-    Method,
-    Group,
-    Plan,
-    Address,
-    Wait,
-    Id,
-    Placement,
-    Body,
-    NoLength,
+pub enum RequestError {
+    UnknownPath,
+    MethodNotAllowed,
+    UnknownClass,
+    UnknownPlan,
+    InvalidAddress,
+    InvalidTimeout,
+    InvalidRequestId,
+    InvalidPlacement,
+    UnexpectedBody,
+    LengthRequired,
 }
 
-impl Wrong {
+impl RequestError {
     pub fn status(self) -> u16 {
         match self {
-            Wrong::NoSuchPath => 404,
-            Wrong::Method => 405,
-            Wrong::NoLength => 411,
+            RequestError::UnknownPath => 404,
+            RequestError::MethodNotAllowed => 405,
+            RequestError::LengthRequired => 411,
             _ => 400,
         }
     }
 
-    pub fn words(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
-            Wrong::NoSuchPath => "no such path",
-            Wrong::Method => "method does not fit",
-            Wrong::Group => "no such class, or another one in the path",
-            Wrong::Plan => "no such plan",
-            Wrong::Address => "volume and piece are 16 hex digits each",
-            Wrong::Wait => "X-Timeout-Ms is a whole number above 0",
-            Wrong::Id => "one X-Request-ID of 1 to 40 visible characters",
-            Wrong::Placement => "X-Placement is units=N,shard=N,hosts=N",
-            Wrong::Body => "a read has no body",
-            Wrong::NoLength => "a write states its length",
+            RequestError::UnknownPath => "no such path",
+            RequestError::MethodNotAllowed => "method does not fit",
+            RequestError::UnknownClass => "no such class, or another one in the path",
+            RequestError::UnknownPlan => "no such plan",
+            RequestError::InvalidAddress => "volume and piece are 16 hex digits each",
+            RequestError::InvalidTimeout => "X-Timeout-Ms is a whole number above 0",
+            RequestError::InvalidRequestId => "one X-Request-ID of 1 to 40 visible characters",
+            RequestError::InvalidPlacement => "X-Placement is units=N,shard=N,hosts=N",
+            RequestError::UnexpectedBody => "a read has no body",
+            RequestError::LengthRequired => "a write states its length",
         }
     }
 }
@@ -126,43 +126,63 @@
 }
 
 /// What a request asks for; `body` bytes came with it.
-pub fn read(head: &RequestHead, body: usize, named: &Named) -> Result<Asked, Wrong> {
+pub fn parse(
+    head: &RequestHead,
+    body: usize,
+    named: &PlatformSettings,
+) -> Result<ClientRequest, RequestError> {
     let path = head.target.split('?').next().unwrap_or_default();
-    let parts = path.strip_prefix('/').ok_or(Wrong::NoSuchPath)?;
+    let parts = path.strip_prefix('/').ok_or(RequestError::UnknownPath)?;
     if parts == "ready" {
-        return if head.method == "GET" { Ok(Asked::Ready) } else { Err(Wrong::Method) };
+        return if head.method == "GET" {
+            Ok(ClientRequest::Readiness)
+        } else {
+            Err(RequestError::MethodNotAllowed)
+        };
     }
     let mut parts = parts.split('/');
     let (Some(group), Some(volume), Some(piece), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(Wrong::NoSuchPath);
+        return Err(RequestError::UnknownPath);
     };
     let one = |name, wrong| head.headers.single(name).ok().flatten().ok_or(wrong);
-    let id = Id::new(one("X-Request-ID", Wrong::Id)?).ok_or(Wrong::Id)?;
-    if one("X-Priority-Class", Wrong::Group)? != group {
-        return Err(Wrong::Group);
+    let id = RequestId::new(one("X-Request-ID", RequestError::InvalidRequestId)?)
+        .ok_or(RequestError::InvalidRequestId)?;
+    if one("X-Priority-Class", RequestError::UnknownClass)? != group {
+        return Err(RequestError::UnknownClass);
     }
-    let group = named.groups.iter().position(|g| g == group).ok_or(Wrong::Group)?;
-    let plan = one("X-Qos-Policy", Wrong::Plan)?;
-    let plan = named.plans.iter().position(|p| p == plan).ok_or(Wrong::Plan)?;
-    let (volume, piece) = hex(volume).zip(hex(piece)).ok_or(Wrong::Address)?;
-    let writes = named.terms.groups[group].writes;
+    let group = named.class_names.iter().position(|g| g == group).ok_or(RequestError::UnknownClass)?;
+    let plan = one("X-Qos-Policy", RequestError::UnknownPlan)?;
+    let plan = named.plan_names.iter().position(|p| p == plan).ok_or(RequestError::UnknownPlan)?;
+    let (volume, piece) = hex(volume).zip(hex(piece)).ok_or(RequestError::InvalidAddress)?;
+    let writes = named.scheduler.groups[group].writes;
     match head.method {
-        "PUT" if writes && !head.states_length() => return Err(Wrong::NoLength),
+        "PUT" if writes && !head.declares_body() => return Err(RequestError::LengthRequired),
         "PUT" if writes => {}
         "GET" if !writes && body == 0 => {}
-        "GET" if !writes => return Err(Wrong::Body),
-        _ => return Err(Wrong::Method),
+        "GET" if !writes => return Err(RequestError::UnexpectedBody),
+        _ => return Err(RequestError::MethodNotAllowed),
     }
-    let wait = whole::<u64>(one("X-Timeout-Ms", Wrong::Wait)?).ok_or(Wrong::Wait)?;
+    let wait = whole::<u64>(one("X-Timeout-Ms", RequestError::InvalidTimeout)?)
+        .ok_or(RequestError::InvalidTimeout)?;
     if wait == 0 || wait > LONGEST_WAIT {
-        return Err(Wrong::Wait);
+        return Err(RequestError::InvalidTimeout);
     }
-    let placement = placement(one("X-Placement", Wrong::Placement)?, named.terms.largest);
-    let (units, shard, hosts) = placement.ok_or(Wrong::Placement)?;
+    let placement = placement(one("X-Placement", RequestError::InvalidPlacement)?, named.scheduler.largest);
+    let (units, shard, hosts) = placement.ok_or(RequestError::InvalidPlacement)?;
     let (group, plan) = (group as u16, plan as u16);
-    Ok(Asked::Block(Block { id, group, plan, volume, piece, wait, units, shard, hosts }))
+    Ok(ClientRequest::BlockIo(BlockRequest {
+        id,
+        io_class: group,
+        plan,
+        volume,
+        object: piece,
+        timeout_ms: wait,
+        units,
+        shard,
+        host_count: hosts,
+    }))
 }
 
 /// What a node gets as the client worded it, beside method, target and body. The mark of a fingerprinted class is
@@ -182,7 +202,7 @@
 
 /// The request as a node gets it: what passes on unchanged, the rest worded anew. `wait`: milliseconds that this host
 /// waits.
-pub fn write(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], wait: u64) {
+pub fn write_forwarded(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], wait: u64) {
     let said = "writing to memory";
     write!(out, "{} {} HTTP/1.1\r\n{WAIT}{wait}\r\n", head.method, head.target).expect(said);
     for name in PASSED_ON {
@@ -190,7 +210,7 @@
             write!(out, "{name}: {value}\r\n").expect(said);
         }
     }
-    if head.states_length() {
+    if head.declares_body() {
         write!(out, "Content-Length: {}\r\n", body.len()).expect(said);
     }
     out.extend_from_slice(b"\r\n");
@@ -198,7 +218,7 @@
 }
 
 /// Tells another wait in a request that was written and has not begun to go out: it may have waited itself.
-pub fn write_wait(out: &mut Vec<u8>, wait: u64) {
+pub fn rewrite_timeout(out: &mut Vec<u8>, wait: u64) {
     let line = |from: usize| out[from..].windows(2).position(|w| w == b"\r\n").map(|at| from + at);
     let Some(from) = line(0).map(|end| end + 2) else { return };
     if let Some(end) = line(from).filter(|end| out[from..*end].starts_with(WAIT.as_bytes())) {
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/response.rs
@@ -1,24 +1,24 @@
 //! A node's answer as an ending, and what a host says to its clients.
-use mallowseam_http1::AnswerHead;
+use mallowseam_http1::ResponseHead;
 use mallowseam_scheduler::host::{Ending, Report};
 use std::io::Write;
 
 /// What a node's whole answer says.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct NodeResponse {
     pub ending: Ending,
-    pub used: f64,
+    pub usage: f64,
     pub by_others: f64,
-    pub report: Report,
+    pub load_report: Report,
 }
 
-fn number(head: &AnswerHead, name: &str) -> f64 {
+fn number(head: &ResponseHead, name: &str) -> f64 {
     // What can't be read is as if it were absent: the answer itself is good.
     let value = head.headers.single(name).ok().flatten().and_then(|v| v.parse::<f64>().ok());
     value.filter(|v| v.is_finite() && *v >= 0.0).unwrap_or(0.0)
 }
 
-fn report(head: &AnswerHead) -> Report {
+fn report(head: &ResponseHead) -> Report {
     let text = head.headers.single("X-Server-Load").ok().flatten();
     let value = text.and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok()).unwrap_or_default();
     let figure = |name: &str| value[name].as_f64().filter(|v| v.is_finite() && *v >= 0.0);
@@ -26,14 +26,19 @@
 }
 
 /// Only a node's own word that it did not run the block I/O proves so.
-pub fn read(head: &AnswerHead) -> Said {
+pub fn parse(head: &ResponseHead) -> NodeResponse {
     let not_run = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
     let ending = match head.status {
         200 => Ending::Done,
         503 | 504 if not_run => Ending::Busy,
         _ => Ending::Error,
     };
-    Said { ending, used: number(head, "X-Iops-Used"), by_others: number(head, "X-Rho"), report: report(head) }
+    NodeResponse {
+        ending,
+        usage: number(head, "X-Iops-Used"),
+        by_others: number(head, "X-Rho"),
+        load_report: report(head),
+    }
 }
 
 fn reason(status: u16) -> &'static str {
@@ -55,7 +60,7 @@
 }
 
 /// The head of an answer to a client. `come_back`: milliseconds after which it may try again; 0 names none.
-pub fn write(out: &mut Vec<u8>, status: u16, body: usize, come_back: u64, close: bool) {
+pub fn write_head(out: &mut Vec<u8>, status: u16, body: usize, come_back: u64, close: bool) {
     let said = "writing to memory";
     write!(out, "HTTP/1.1 {status} {}\r\nContent-Length: {body}\r\n", reason(status)).expect(said);
     if come_back > 0 {
@@ -68,8 +73,8 @@
 }
 
 /// The word for a client that waits to be told to send its body.
-pub const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Final answers: shed, trying again is harmless; failed, nothing promised.
-pub const SHED: u16 = 503;
-pub const FAILED: u16 = 500;
+pub const SHED_STATUS: u16 = 503;
+pub const FAILED_STATUS: u16 = 500;
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -5,19 +5,19 @@
 
 /// The terms, the names that go with them, and what the settings say of connections.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Named {
-    pub terms: Terms,
-    pub groups: Vec<String>,
-    pub plans: Vec<String>,
-    pub zones: Vec<String>,
+pub struct PlatformSettings {
+    pub scheduler: Terms,
+    pub class_names: Vec<String>,
+    pub plan_names: Vec<String>,
+    pub zone_names: Vec<String>,
     /// A connect that is not up by then has failed.
-    pub connect_within: Tick,
+    pub connect_timeout: Tick,
     /// A node closes a connection that has stood idle for so long.
-    pub idle_close: Tick,
+    pub idle_timeout: Tick,
     /// Block I/Os that a host may hold; 0: not told.
-    pub open_most: usize,
+    pub max_in_flight: usize,
     /// The longest hard limit of any I/O group.
-    pub longest: Tick,
+    pub longest_deadline: Tick,
 }
 
 /// Microseconds as ticks: a deadline rounded down, a wait up.
@@ -156,13 +156,13 @@
     v[key].as_array().map_or(&[], Vec::as_slice)
 }
 
-pub fn read(text: &str) -> Result<Named, String> {
+pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let v: Value =
         serde_json::from_str(text).map_err(|e| format!("settings: expected a JSON object ({e})"))?;
-    of(&v)
+    from_json(&v)
 }
 
-pub fn of(v: &Value) -> Result<Named, String> {
+pub fn from_json(v: &Value) -> Result<PlatformSettings, String> {
     if !v.is_object() {
         return Err("settings: expected a JSON object".into());
     }
@@ -218,15 +218,15 @@
         ..terms
     };
     let zones = list(v, "localities").iter().filter_map(|z| z.as_str().map(str::to_owned)).collect();
-    let named = Named {
-        terms,
-        groups,
-        plans,
-        zones,
-        connect_within: up(r.must(limits, "limits.", "connect_timeout_us")),
-        idle_close: r.down(limits, "limits.", "idle_close_us"),
-        open_most: r.num(limits, "limits.", "open_cap") as usize,
-        longest,
+    let named = PlatformSettings {
+        scheduler: terms,
+        class_names: groups,
+        plan_names: plans,
+        zone_names: zones,
+        connect_timeout: up(r.must(limits, "limits.", "connect_timeout_us")),
+        idle_timeout: r.down(limits, "limits.", "idle_close_us"),
+        max_in_flight: r.num(limits, "limits.", "open_cap") as usize,
+        longest_deadline: longest,
     };
     if r.0.is_empty() { Ok(named) } else { Err(r.0.join("\n")) }
 }
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -1,21 +1,21 @@
 //! Pins of the wire: the exact bytes that this package writes and what it reads out of every form that it accepts or
 //! refuses. The expected texts stand in `pinned/`; they name fields in words of their own, so that renaming a
 //! field in the code changes nothing here.
-use mallowseam_http1::{AnswerHead, Bounds, RequestHead};
-use mallowseam_platform::list::{Entry, Front, Health, News};
-use mallowseam_platform::names::{Names, Shut};
-use mallowseam_platform::request::{Asked, Id, Wrong};
-use mallowseam_platform::settings::{self, Named};
-use mallowseam_platform::{answer, config, list, request};
+use mallowseam_http1::{Limits, RequestHead, ResponseHead};
+use mallowseam_platform::endpoints::{Endpoint, Health, WatchEvent, WatchFrame};
+use mallowseam_platform::interner::{InternError, NameInterner};
+use mallowseam_platform::request::{ClientRequest, RequestError, RequestId};
+use mallowseam_platform::settings::{self, PlatformSettings};
+use mallowseam_platform::{config, endpoints, request, response};
 use mallowseam_scheduler::host::{BioId, Effect, Ending, IoGroup, NodeState, Plan, Report, Scope};
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 
-const BOUNDS: Bounds = Bounds { head: 8192, body: 65536 };
+const BOUNDS: Limits = Limits { head: 8192, body: 65536 };
 
 /// A text without the names that types have in the code; serde puts them into its messages.
 fn without_types(text: &str) -> String {
-    text.replace("struct News", "struct LIST").replace("struct Entry", "struct ENTRY")
+    text.replace("struct WatchEvent", "struct LIST").replace("struct Endpoint", "struct ENTRY")
 }
 
 /// Compares with the text that was recorded.
@@ -65,7 +65,7 @@
 }
 
 fn request_head(text: &str) -> RequestHead<'_> {
-    RequestHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole")
+    RequestHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole")
 }
 
 const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a", "b"],
@@ -76,27 +76,27 @@
   "extra": {"class_writes": [false, true], "largest": 8, "mean_units": 2.0},
   "limits": {"connect_timeout_us": 250000}}"#;
 
-fn small() -> Named {
-    settings::read(SETTINGS).expect("sound")
+fn small() -> PlatformSettings {
+    settings::parse(SETTINGS).expect("sound")
 }
 
 #[test]
 fn bytes_of_every_answer() {
     let mut found = String::new();
-    for (name, status) in [("shed", answer::SHED), ("failed", answer::FAILED)] {
+    for (name, status) in [("shed", response::SHED_STATUS), ("failed", response::FAILED_STATUS)] {
         writeln!(found, "{name}: {status}").expect("memory");
     }
-    writeln!(found, "continue: {}", bytes(answer::GO_ON)).expect("memory");
+    writeln!(found, "continue: {}", bytes(response::CONTINUE)).expect("memory");
     for status in [200, 204, 400, 404, 405, 408, 409, 411, 413, 429, 431, 500, 501, 502, 503, 504] {
         for (body, come_back, close) in [(0, 0, false), (65_536, 0, true), (5, 1, false), (9, 61_234, true)] {
             let mut out = Vec::from(&b"ahead "[..]);
-            answer::write(&mut out, status, body, come_back, close);
+            response::write_head(&mut out, status, body, come_back, close);
             writeln!(found, "{}", bytes(&out)).expect("memory");
         }
     }
     for come_back in [999, 1_000, 1_001, 3_600_000] {
         let mut out = Vec::new();
-        answer::write(&mut out, 503, 0, come_back, false);
+        response::write_head(&mut out, 503, 0, come_back, false);
         writeln!(found, "{}", bytes(&out)).expect("memory");
     }
     pinned("answers_written.txt", &found);
@@ -123,12 +123,12 @@
     let mut found = String::new();
     for text in &sent {
         let head = request_head(text);
-        let body: &[u8] = if head.states_length() { b"hello" } else { b"" };
+        let body: &[u8] = if head.declares_body() { b"hello" } else { b"" };
         for wait in [0, 77, 3_600_000] {
             let mut out = Vec::new();
-            request::write(&mut out, &head, body, wait);
+            request::write_forwarded(&mut out, &head, body, wait);
             writeln!(found, "{}", bytes(&out)).expect("memory");
-            request::write_wait(&mut out, 12_345);
+            request::rewrite_timeout(&mut out, 12_345);
             writeln!(found, "then: {}", bytes(&out)).expect("memory");
         }
     }
@@ -136,12 +136,12 @@
         ["", "no line", "GET / HTTP/1.1\r\n", "GET / HTTP/1.1\r\nHost: s\r\n\r\n", "a\r\nX-Timeout-Ms: 9"]
     {
         let mut out = text.as_bytes().to_vec();
-        request::write_wait(&mut out, 5);
+        request::rewrite_timeout(&mut out, 5);
         writeln!(found, "wait in {}: {}", bytes(text.as_bytes()), bytes(&out)).expect("memory");
     }
     for since in [None, Some(0), Some(41), Some(u64::MAX)] {
         let mut out = Vec::new();
-        list::watch(&mut out, "127.2.0.1:8500".parse().expect("an address"), since);
+        endpoints::write_watch_request(&mut out, "127.2.0.1:8500".parse().expect("an address"), since);
         writeln!(found, "{}", bytes(&out)).expect("memory");
     }
     pinned("requests_written.txt", &found);
@@ -165,15 +165,15 @@
     let mut found = String::new();
     let mut said = |lines: &str| {
         let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
-        let head = AnswerHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
-        let said = answer::read(&head);
-        let Report { waiting, service_ms, busy } = said.report;
+        let head = ResponseHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
+        let said = response::parse(&head);
+        let Report { waiting, service_ms, busy } = said.load_report;
         writeln!(
             found,
             "{}: {} used {} by others {} waiting {waiting:?} service {service_ms:?} busy {busy:?}",
             bytes(lines.as_bytes()),
             ending(said.ending),
-            said.used,
+            said.usage,
             said.by_others
         )
         .expect("memory");
@@ -219,26 +219,29 @@
     pinned("answers_read.txt", &found);
 }
 
-fn entry(e: &Entry) -> String {
+fn entry(e: &Endpoint) -> String {
     let health = match e.health {
         Health::Ready => "ready",
         Health::Draining => "draining",
-        Health::Gone => "gone",
+        Health::Removed => "gone",
     };
-    format!("[{} at {} site {} block {} {health} born {}]", e.name, e.dial, e.site, e.shard, e.born_ms)
+    format!(
+        "[{} at {} site {} block {} {health} born {}]",
+        e.name, e.address, e.zone, e.shard, e.started_at_ms
+    )
 }
 
-fn news(n: &News) -> String {
-    let entries: Vec<String> = n.entries.iter().map(entry).collect();
-    format!("seq {} whole {} {}", n.seq, n.whole, entries.concat())
+fn news(n: &WatchEvent) -> String {
+    let entries: Vec<String> = n.endpoints.iter().map(entry).collect();
+    format!("seq {} whole {} {}", n.version, n.full_snapshot, entries.concat())
 }
 
 fn front(text: &[u8]) -> String {
-    match list::front(text) {
-        Front::Part => "part".into(),
-        Front::Empty(len) => format!("empty {len}"),
-        Front::News(n, len) => format!("news {len}: {}", news(&n)),
-        Front::Wrong(why, closings) => {
+    match endpoints::parse_frame(text) {
+        WatchFrame::Incomplete => "part".into(),
+        WatchFrame::Heartbeat(len) => format!("empty {len}"),
+        WatchFrame::Event(n, len) => format!("news {len}: {}", news(&n)),
+        WatchFrame::Corrupt(why, closings) => {
             let closings: Vec<String> = closings.iter().map(entry).collect();
             format!("wrong: {why}; {}", closings.concat())
         }
@@ -302,11 +305,12 @@
 fn what_every_form_of_a_list_says() {
     let mut found = String::new();
     for (name, text) in lists() {
-        let read = list::read(text.as_bytes()).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
+        let read =
+            endpoints::parse(text.as_bytes()).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
         writeln!(found, "{name}, read: {}", shortened(read)).expect("memory");
         writeln!(found, "{name}, front: {}", shortened(front(text.as_bytes()))).expect("memory");
         if let Ok(value) = serde_json::from_str(&text) {
-            let of = list::of(value).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
+            let of = endpoints::from_json(value).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
             writeln!(found, "{name}, of: {}", shortened(of)).expect("memory");
         }
     }
@@ -315,7 +319,7 @@
     {
         writeln!(found, "front of {}: {}", bytes(text), front(text)).expect("memory");
     }
-    writeln!(found, "bytes: {}", list::BYTES).expect("memory");
+    writeln!(found, "bytes: {}", endpoints::MAX_LIST_BYTES).expect("memory");
     pinned("lists_read.txt", &found);
 }
 
@@ -327,7 +331,7 @@
         for end in 0..text.len() {
             let cut = &text.as_bytes()[..end];
             hash.add(&front(cut));
-            hash.add(&list::read(cut).map_or_else(|why| why.to_string(), |n| news(&n)));
+            hash.add(&endpoints::parse(cut).map_or_else(|why| why.to_string(), |n| news(&n)));
         }
         for _ in 0..60 {
             let mut garbled = text.clone().into_bytes();
@@ -344,7 +348,7 @@
 #[test]
 fn what_the_scheduler_hears_of_a_list() {
     let settings = small();
-    let mut names = Names::default();
+    let mut names = NameInterner::default();
     let mut found = String::new();
     let site = |entry: &str, site: &str| entry.replace("\"site\":\"a\"", &format!("\"site\":\"{site}\""));
     let other = |name: &str, zone: &str| site(&ENTRY.replace("s-1", name), zone);
@@ -364,7 +368,7 @@
     ];
     let mut listed = Vec::new();
     for line in &lines {
-        names.listed(&list::read(line.as_bytes()).expect("sound"), &settings, &mut listed);
+        names.intern_endpoints(&endpoints::parse(line.as_bytes()).expect("sound"), &settings, &mut listed);
         for l in &listed {
             let state = match l.state {
                 NodeState::Active => "active",
@@ -375,7 +379,7 @@
             writeln!(found, "node {id} zone {} shard {} {state} up {}", l.zone, l.shard, l.came_up)
                 .expect("memory");
         }
-        writeln!(found, "sizes {:?}", names.sizes()).expect("memory");
+        writeln!(found, "sizes {:?}", names.counts()).expect("memory");
     }
     let (a, b) = (names.find_node(&"s-1".to_owned()), names.find_node(&"s-9".to_owned()));
     writeln!(found, "s-1 {:?} s-9 {:?}", a.map(|n| n.0), b.map(|n| n.0)).expect("memory");
@@ -399,27 +403,27 @@
     format!("{}\r\n\r\n", all.join("\r\n"))
 }
 
-fn asked(text: &str, body: usize, named: &Named) -> String {
-    let head = match RequestHead::read(text.as_bytes(), BOUNDS) {
+fn asked(text: &str, body: usize, named: &PlatformSettings) -> String {
+    let head = match RequestHead::parse(text.as_bytes(), BOUNDS) {
         Ok(Some(head)) => head,
         Ok(None) => return "cut".into(),
-        Err(fault) => return format!("no head: {}", fault.words()),
+        Err(fault) => return format!("no head: {}", fault.message()),
     };
-    match request::read(&head, body, named) {
-        Ok(Asked::Ready) => "ready".into(),
-        Ok(Asked::Block(b)) => format!(
+    match request::parse(&head, body, named) {
+        Ok(ClientRequest::Readiness) => "ready".into(),
+        Ok(ClientRequest::BlockIo(b)) => format!(
             "id {} group {} plan {} volume {:x} piece {:x} wait {} units {} shard {:?} hosts {}",
             bytes(b.id.bytes()),
-            b.group,
+            b.io_class,
             b.plan,
             b.volume,
-            b.piece,
-            b.wait,
+            b.object,
+            b.timeout_ms,
             b.units,
             b.shard,
-            b.hosts
+            b.host_count
         ),
-        Err(wrong) => format!("{}: {}", wrong.status(), wrong.words()),
+        Err(wrong) => format!("{}: {}", wrong.status(), wrong.message()),
     }
 }
 
@@ -512,7 +516,7 @@
 #[test]
 fn what_every_request_asks_for_or_why_it_is_refused() {
     let settings = small();
-    let unbounded = settings::read(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("sound");
+    let unbounded = settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("sound");
     let mut found = String::new();
     for (prefix, line) in changed_requests() {
         let text = request_with(prefix, &line);
@@ -530,18 +534,18 @@
         writeln!(found, "a write of a class that reads: {}", asked(&put, body, &settings)).expect("memory");
     }
     for wrong in [
-        Wrong::NoSuchPath,
-        Wrong::Method,
-        Wrong::Group,
-        Wrong::Plan,
-        Wrong::Address,
-        Wrong::Wait,
-        Wrong::Id,
-        Wrong::Placement,
-        Wrong::Body,
-        Wrong::NoLength,
+        RequestError::UnknownPath,
+        RequestError::MethodNotAllowed,
+        RequestError::UnknownClass,
+        RequestError::UnknownPlan,
+        RequestError::InvalidAddress,
+        RequestError::InvalidTimeout,
+        RequestError::InvalidRequestId,
+        RequestError::InvalidPlacement,
+        RequestError::UnexpectedBody,
+        RequestError::LengthRequired,
     ] {
-        writeln!(found, "{}: {}", wrong.status(), wrong.words()).expect("memory");
+        writeln!(found, "{}: {}", wrong.status(), wrong.message()).expect("memory");
     }
     pinned("requests_read.txt", &found);
 }
@@ -564,7 +568,7 @@
 #[test]
 fn the_block_io_that_a_request_becomes() {
     let settings = small();
-    let mut names = Names::default();
+    let mut names = NameInterner::default();
     let mut found = String::new();
     let requests = [
         ("\0", "", 0),
@@ -578,8 +582,10 @@
             text = text.replace("9b1f", "c").replace("480", "2001");
         }
         let head = request_head(&text);
-        let Ok(Asked::Block(block)) = request::read(&head, 5, &settings) else { panic!("a block I/O") };
-        match names.take(BioId(ids), &block, now, &settings) {
+        let Ok(ClientRequest::BlockIo(block)) = request::parse(&head, 5, &settings) else {
+            panic!("a block I/O")
+        };
+        match names.intern_request(BioId(ids), &block, now, &settings) {
             Ok(b) => writeln!(
                 found,
                 "bio {} group {} plan {} volume {} key {:?} until {} units {} shard {:?} hosts {}",
@@ -593,23 +599,23 @@
                 b.shard,
                 b.hosts
             ),
-            Err(Shut::InHand) => writeln!(found, "in hand"),
-            Err(Shut::Full) => writeln!(found, "full"),
+            Err(InternError::DuplicateRequestId) => writeln!(found, "in hand"),
+            Err(InternError::TooManyVolumes) => writeln!(found, "full"),
         }
         .expect("memory");
     }
-    writeln!(found, "sizes {:?}", names.sizes()).expect("memory");
+    writeln!(found, "sizes {:?}", names.counts()).expect("memory");
     let mut took = 0;
     for volume in 0..5_000u64 {
         let text = request_with("\0", "").replace("00000003b4d60021", &format!("{volume:016x}"));
         let text = text.replace("9b1f", &format!("v{volume}"));
-        let Ok(Asked::Block(block)) = request::read(&request_head(&text), 5, &settings) else {
+        let Ok(ClientRequest::BlockIo(block)) = request::parse(&request_head(&text), 5, &settings) else {
             panic!("sound")
         };
-        took += u32::from(names.take(BioId(9), &block, 0, &settings).is_ok());
+        took += u32::from(names.intern_request(BioId(9), &block, 0, &settings).is_ok());
     }
-    writeln!(found, "volumes taken {took}, sizes {:?}", names.sizes()).expect("memory");
-    let id = |text: &str| Id::new(text).map(|id| bytes(id.bytes()));
+    writeln!(found, "volumes taken {took}, sizes {:?}", names.counts()).expect("memory");
+    let id = |text: &str| RequestId::new(text).map(|id| bytes(id.bytes()));
     writeln!(found, "ids {:?} {:?} {:?} {:?}", id(""), id("a"), id("a b"), id(&"x".repeat(41)))
         .expect("memory");
     pinned("block_ios.txt", &found);
@@ -637,22 +643,22 @@
     format!("usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}", p.wt, p.price)
 }
 
-fn settled(n: &Named) -> String {
-    let t = &n.terms;
+fn settled(n: &PlatformSettings) -> String {
+    let t = &n.scheduler;
     let mut out = String::new();
-    for (name, g) in n.groups.iter().zip(&t.groups) {
+    for (name, g) in n.class_names.iter().zip(&t.groups) {
         writeln!(out, "  group {name}: {}", group(g)).expect("memory");
     }
-    for (name, p) in n.plans.iter().zip(&t.plans) {
+    for (name, p) in n.plan_names.iter().zip(&t.plans) {
         writeln!(out, "  plan {name}: {}", plan(p)).expect("memory");
     }
     let figures: [(&str, &dyn std::fmt::Debug); 34] = [
-        ("counts", &(n.groups.len(), t.groups.len(), n.plans.len(), t.plans.len())),
-        ("zones", &n.zones),
-        ("connect within", &n.connect_within),
-        ("idle close", &n.idle_close),
-        ("open most", &n.open_most),
-        ("longest", &n.longest),
+        ("counts", &(n.class_names.len(), t.groups.len(), n.plan_names.len(), t.plans.len())),
+        ("zones", &n.zone_names),
+        ("connect within", &n.connect_timeout),
+        ("idle close", &n.idle_timeout),
+        ("open most", &n.max_in_flight),
+        ("longest", &n.longest_deadline),
         ("hosts", &t.hosts),
         ("mean units", &t.mean_units),
         ("largest", &t.largest),
@@ -713,7 +719,7 @@
 }
 
 fn read_settings(v: &Value) -> String {
-    match settings::of(v) {
+    match settings::from_json(v) {
         Ok(named) => settled(&named),
         Err(why) => format!("  refused: {why}\n").replace('\n', "\n  ").trim_end().to_owned() + "\n",
     }
@@ -787,7 +793,7 @@
         write!(found, "{path} {value}:\n{}", differing(&sound, &read)).expect("memory");
     }
     for text in ["", "{}", "[1]", "3", "{\"balancers\":1"] {
-        let read = settings::read(text).map_or_else(|why| why.to_string(), |n| settled(&n));
+        let read = settings::parse(text).map_or_else(|why| why.to_string(), |n| settled(&n));
         writeln!(found, "text {text}: {read}").expect("memory");
     }
     pinned("settings.txt", &found);
@@ -803,16 +809,20 @@
 }
 
 fn read_config(text: &str) -> String {
-    let c = match config::read(text) {
+    let c = match config::parse(text) {
         Ok(c) => c,
         Err(problems) => return format!("{problems}\n"),
     };
     let mut out = String::new();
     writeln!(out, "  name {} listen {} discovery {}", c.name, c.listen, c.discovery).expect("memory");
-    writeln!(out, "  seed {:x} cores {} memory {} sockets {}", c.seed, c.cores, c.memory_mb, c.sockets)
-        .expect("memory");
-    writeln!(out, "  known {}", c.known.as_ref().map_or("none".into(), news)).expect("memory");
-    match &c.place {
+    writeln!(
+        out,
+        "  seed {:x} cores {} memory {} sockets {}",
+        c.seed, c.cpu_cores, c.memory_mb, c.max_sockets
+    )
+    .expect("memory");
+    writeln!(out, "  known {}", c.cached_list.as_ref().map_or("none".into(), news)).expect("memory");
+    match &c.fleet {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
             out,
@@ -828,7 +838,7 @@
         ),
     }
     .expect("memory");
-    let settings = settled(&c.named);
+    let settings = settled(&c.settings);
     let mut hash = Hash::new();
     hash.add(&settings);
     writeln!(out, "  settings {:x}", hash.0).expect("memory");
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,12 +1,12 @@
 //! The users' protocol: requests, answers, lists and configurations, sound and not.
-use mallowseam_http1::{AnswerHead, Bounds, RequestHead};
-use mallowseam_platform::request::{Asked, Block, Wrong};
-use mallowseam_platform::settings::{self, Named};
-use mallowseam_platform::{answer, config, list, names::Names, request};
+use mallowseam_http1::{Limits, RequestHead, ResponseHead};
+use mallowseam_platform::request::{BlockRequest, ClientRequest, RequestError};
+use mallowseam_platform::settings::{self, PlatformSettings};
+use mallowseam_platform::{config, endpoints, interner::NameInterner, request, response};
 use mallowseam_scheduler::host::{BioId, Ending, KeyId, NodeState, VolId};
 use proptest::prelude::*;
 
-const BOUNDS: Bounds = Bounds { head: 8192, body: 65536 };
+const BOUNDS: Limits = Limits { head: 8192, body: 65536 };
 
 const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a"],
   "profiles": [
@@ -16,8 +16,8 @@
   "extra": {"class_writes": [false, true], "largest": 8, "mean_units": 2.0},
   "limits": {"cancel": true, "max_attempts": 3, "idle_close_us": 30000000, "connect_timeout_us": 250000}}"#;
 
-fn named() -> Named {
-    settings::read(SETTINGS).expect("sound")
+fn named() -> PlatformSettings {
+    settings::parse(SETTINGS).expect("sound")
 }
 
 /// A sound write, with lines taken out, put in or replaced.
@@ -36,27 +36,30 @@
     format!("{}\r\n\r\nhello", lines.join("\r\n"))
 }
 
-fn ask(text: &str) -> Result<Asked, Wrong> {
-    let head = RequestHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
-    request::read(&head, text.len() - head.len, &named())
+fn ask(text: &str) -> Result<ClientRequest, RequestError> {
+    let head = RequestHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
+    request::parse(&head, text.len() - head.len, &named())
 }
 
-fn block() -> Block {
+fn block() -> BlockRequest {
     match ask(&write_with(|l| Some(l.to_owned()))) {
-        Ok(Asked::Block(block)) => block,
+        Ok(ClientRequest::BlockIo(block)) => block,
         _ => panic!("a sound write"),
     }
 }
 
-fn wrong(text: &str) -> Option<Wrong> {
+fn wrong(text: &str) -> Option<RequestError> {
     ask(text).err()
 }
 
 #[test]
 fn a_sound_write_is_a_block_io() {
     let b = block();
-    assert_eq!((b.group, b.plan, b.volume, b.piece), (1, 0, 0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655));
-    assert_eq!((b.wait, b.units, b.shard, b.hosts, b.id.bytes()), (480, 2.0, Some(5), 3, &b"9b1f"[..]));
+    assert_eq!((b.io_class, b.plan, b.volume, b.object), (1, 0, 0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655));
+    assert_eq!(
+        (b.timeout_ms, b.units, b.shard, b.host_count, b.id.bytes()),
+        (480, 2.0, Some(5), 3, &b"9b1f"[..])
+    );
 }
 
 #[test]
@@ -69,19 +72,23 @@
         wrong(&write_with(|l| Some(if l.starts_with(name) { line.to_owned() } else { l.to_owned() })))
     };
     for (name, why) in [
-        ("X-Request-ID", Wrong::Id),
-        ("X-Priority-Class", Wrong::Group),
-        ("X-Qos-Policy", Wrong::Plan),
-        ("X-Timeout-Ms", Wrong::Wait),
-        ("X-Placement", Wrong::Placement),
+        ("X-Request-ID", RequestError::InvalidRequestId),
+        ("X-Priority-Class", RequestError::UnknownClass),
+        ("X-Qos-Policy", RequestError::UnknownPlan),
+        ("X-Timeout-Ms", RequestError::InvalidTimeout),
+        ("X-Placement", RequestError::InvalidPlacement),
     ] {
         assert_eq!(without(name), Some(why), "without {name}");
         assert_eq!(doubled(name), Some(why), "{name} twice");
         assert_eq!(as_is(name, &format!("{name}:")), Some(why), "{name} empty");
     }
-    assert_eq!(without("Content-Length"), Some(Wrong::NoLength));
+    assert_eq!(without("Content-Length"), Some(RequestError::LengthRequired));
     for wait in ["0", "-5", "+5", "1e3", "soon", "3600001", "99999999999999999999999"] {
-        assert_eq!(as_is("X-Timeout", &format!("X-Timeout-Ms: {wait}")), Some(Wrong::Wait), "{wait}");
+        assert_eq!(
+            as_is("X-Timeout", &format!("X-Timeout-Ms: {wait}")),
+            Some(RequestError::InvalidTimeout),
+            "{wait}"
+        );
     }
     for placement in [
         "units=0,shard=5,hosts=3",
@@ -97,21 +104,30 @@
     ] {
         assert_eq!(
             as_is("X-Place", &format!("X-Placement: {placement}")),
-            Some(Wrong::Placement),
+            Some(RequestError::InvalidPlacement),
             "{placement}"
         );
     }
     let path = |target: &str| as_is("PUT", &format!("PUT {target} HTTP/1.1"));
-    assert_eq!(path("/look/00000003b4d60021/7f3a9c21e0b4d655"), Some(Wrong::Group));
-    assert_eq!(path("/nope/00000003b4d60021/7f3a9c21e0b4d655"), Some(Wrong::Group));
-    assert_eq!(path("/book/0003b4d60021/7f3a9c21e0b4d655"), Some(Wrong::Address));
-    assert_eq!(path("/book/00000003b4d6002g/7f3a9c21e0b4d655"), Some(Wrong::Address));
-    assert_eq!(path("/book/00000003b4d60021"), Some(Wrong::NoSuchPath));
-    assert_eq!(path("/book/00000003b4d60021/7f3a9c21e0b4d655/x"), Some(Wrong::NoSuchPath));
-    assert_eq!(path("*"), Some(Wrong::NoSuchPath));
-    assert_eq!(as_is("PUT", "GET /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"), Some(Wrong::Method));
-    assert_eq!(as_is("PUT", "POST /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"), Some(Wrong::Method));
-    assert_eq!(as_is("X-Request", &format!("X-Request-ID: {}", "a".repeat(41))), Some(Wrong::Id));
+    assert_eq!(path("/look/00000003b4d60021/7f3a9c21e0b4d655"), Some(RequestError::UnknownClass));
+    assert_eq!(path("/nope/00000003b4d60021/7f3a9c21e0b4d655"), Some(RequestError::UnknownClass));
+    assert_eq!(path("/book/0003b4d60021/7f3a9c21e0b4d655"), Some(RequestError::InvalidAddress));
+    assert_eq!(path("/book/00000003b4d6002g/7f3a9c21e0b4d655"), Some(RequestError::InvalidAddress));
+    assert_eq!(path("/book/00000003b4d60021"), Some(RequestError::UnknownPath));
+    assert_eq!(path("/book/00000003b4d60021/7f3a9c21e0b4d655/x"), Some(RequestError::UnknownPath));
+    assert_eq!(path("*"), Some(RequestError::UnknownPath));
+    assert_eq!(
+        as_is("PUT", "GET /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"),
+        Some(RequestError::MethodNotAllowed)
+    );
+    assert_eq!(
+        as_is("PUT", "POST /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"),
+        Some(RequestError::MethodNotAllowed)
+    );
+    assert_eq!(
+        as_is("X-Request", &format!("X-Request-ID: {}", "a".repeat(41))),
+        Some(RequestError::InvalidRequestId)
+    );
 }
 
 #[test]
@@ -124,16 +140,16 @@
         )
     };
     assert_eq!(wrong(&read("\r\n")), None);
-    assert_eq!(wrong(&read("Content-Length: 1\r\n\r\nx")), Some(Wrong::Body));
+    assert_eq!(wrong(&read("Content-Length: 1\r\n\r\nx")), Some(RequestError::UnexpectedBody));
 }
 
 #[test]
 fn a_node_gets_method_target_body_and_id_unchanged() {
     let text = write_with(|l| Some(l.replace("d655 HTTP", "d655?a=%20b HTTP")));
-    let head = RequestHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
+    let head = RequestHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
     let mut out = Vec::new();
-    request::write(&mut out, &head, b"hello", 77);
-    let sent = RequestHead::read(&out, BOUNDS).expect("sound").expect("whole");
+    request::write_forwarded(&mut out, &head, b"hello", 77);
+    let sent = RequestHead::parse(&out, BOUNDS).expect("sound").expect("whole");
     assert_eq!((sent.method, sent.target), (head.method, head.target));
     assert_eq!(sent.headers.single("X-Request-ID"), Ok(Some("9b1f")));
     assert_eq!(sent.headers.single("X-Timeout-Ms"), Ok(Some("77")));
@@ -144,15 +160,15 @@
 #[test]
 fn a_node_gets_the_mark_by_which_it_knows_a_repeat() {
     let text = write_with(|l| Some(l.replace("Host: ", "Idempotency-Key: cd869d0740eecfe7\r\nHost: ")));
-    let head = RequestHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
+    let head = RequestHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
     let mut out = Vec::new();
-    request::write(&mut out, &head, b"hello", 77);
-    let sent = RequestHead::read(&out, BOUNDS).expect("sound").expect("whole");
+    request::write_forwarded(&mut out, &head, b"hello", 77);
+    let sent = RequestHead::parse(&out, BOUNDS).expect("sound").expect("whole");
     assert_eq!(sent.headers.single("Idempotency-Key"), Ok(Some("cd869d0740eecfe7")));
 }
 
-fn said(text: &str) -> answer::Said {
-    answer::read(&AnswerHead::read(text.as_bytes(), BOUNDS).expect("sound").expect("whole"))
+fn said(text: &str) -> response::NodeResponse {
+    response::parse(&ResponseHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole"))
 }
 
 #[test]
@@ -173,20 +189,21 @@
     let s = said(
         "HTTP/1.1 200 OK\r\nX-Iops-Used: \u{e9}!\r\nX-Rho: -1\r\nX-Server-Load: {\"a\r\nContent-Length: 0\r\n\r\n",
     );
-    assert_eq!((s.ending, s.used, s.by_others, s.report.busy), (Ending::Done, 0.0, 0.0, None));
+    assert_eq!((s.ending, s.usage, s.by_others, s.load_report.busy), (Ending::Done, 0.0, 0.0, None));
     let s = said(
         "HTTP/1.1 200 OK\r\nX-Iops-Used: 41\r\nX-Server-Load: {\"utilization\":0.5}\r\nContent-Length: 0\r\n\r\n",
     );
-    assert_eq!((s.used, s.report.busy), (41.0, Some(0.5)));
+    assert_eq!((s.usage, s.load_report.busy), (41.0, Some(0.5)));
 }
 
 const ENTRY: &str = r#"{"host":"s-1","dial":"10.1.0.18:8443","site":"a","class":"m","block":3,"health":"ready","share":1.0,"born_ms":5}"#;
 
 #[test]
 fn a_list_is_taken_whole_or_not_at_all() {
-    let news = |entry: &str| list::read(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes());
+    let news =
+        |entry: &str| endpoints::parse(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes());
     let sound = news(ENTRY).expect("sound");
-    assert_eq!((sound.seq, sound.entries[0].shard), (4, 3));
+    assert_eq!((sound.version, sound.endpoints[0].shard), (4, 3));
     for bad in [
         ENTRY.replace("ready", "asleep"),
         ENTRY.replace("10.1.0.18:8443", "10.1.0.18"),
@@ -198,12 +215,12 @@
     ] {
         assert!(news(&bad).is_err(), "{:.80}", bad);
     }
-    assert!(list::read(b"{\"seq\":4,\"whole\":tr").is_err() && list::read(b"[]").is_err());
+    assert!(endpoints::parse(b"{\"seq\":4,\"whole\":tr").is_err() && endpoints::parse(b"[]").is_err());
 }
 
 #[test]
 fn nodes_of_zones_that_the_settings_lack_are_in_no_zone_together() {
-    let mut names = Names::default();
+    let mut names = NameInterner::default();
     let node = |n: u32, zone: &str| {
         let entry = ENTRY.replace("s-1", &format!("s-{n}"));
         entry.replace("\"site\":\"a\"", &format!("\"site\":\"{zone}\""))
@@ -211,7 +228,7 @@
     let all = [node(1, "a"), node(2, "a"), node(3, "x"), node(4, "x"), node(5, "y"), node(6, "")].join(",");
     let text = format!(r#"{{"seq":1,"whole":true,"hosts":[{all}]}}"#);
     let mut listed = Vec::new();
-    names.listed(&list::read(text.as_bytes()).expect("sound"), &named(), &mut listed);
+    names.intern_endpoints(&endpoints::parse(text.as_bytes()).expect("sound"), &named(), &mut listed);
     let mut zones: Vec<u32> = listed.iter().map(|l| l.zone).collect();
     assert_eq!(zones[0], zones[1]);
     zones.dedup();
@@ -222,63 +239,63 @@
 
 #[test]
 fn a_node_that_left_without_ever_being_known_gets_no_name() {
-    let mut names = Names::default();
+    let mut names = NameInterner::default();
     let gone = ENTRY.replace("ready", "gone");
     let news =
-        list::read(format!(r#"{{"seq":1,"whole":false,"hosts":[{gone}]}}"#).as_bytes()).expect("sound");
+        endpoints::parse(format!(r#"{{"seq":1,"whole":false,"hosts":[{gone}]}}"#).as_bytes()).expect("sound");
     let mut listed = Vec::new();
-    names.listed(&news, &named(), &mut listed);
-    assert!(listed.is_empty() && names.sizes()[0] == 0);
+    names.intern_endpoints(&news, &named(), &mut listed);
+    assert!(listed.is_empty() && names.counts()[0] == 0);
     let news =
-        list::read(format!(r#"{{"seq":1,"whole":true,"hosts":[{ENTRY}]}}"#).as_bytes()).expect("sound");
-    names.listed(&news, &named(), &mut listed);
+        endpoints::parse(format!(r#"{{"seq":1,"whole":true,"hosts":[{ENTRY}]}}"#).as_bytes()).expect("sound");
+    names.intern_endpoints(&news, &named(), &mut listed);
     assert_eq!((listed[0].came_up, listed[0].state), (50, NodeState::Active));
 }
 
 #[test]
 fn an_id_in_hand_is_not_taken_twice_and_is_free_once_released() {
-    let (mut names, b) = (Names::default(), block());
-    let bio = names.take(BioId(0), &b, 1_000, &named()).expect("new");
+    let (mut names, b) = (NameInterner::default(), block());
+    let bio = names.intern_request(BioId(0), &b, 1_000, &named()).expect("new");
     assert_eq!(bio.hard_limit, 1_000 + 4_800);
-    assert!(names.take(BioId(1), &b, 1_000, &named()).is_err());
-    names.release_bio(&b.id);
-    assert!(names.take(BioId(1), &b, 1_000, &named()).is_ok());
+    assert!(names.intern_request(BioId(1), &b, 1_000, &named()).is_err());
+    names.release_request(&b.id);
+    assert!(names.intern_request(BioId(1), &b, 1_000, &named()).is_ok());
 }
 
 #[test]
 fn a_client_that_would_wait_for_an_hour_is_held_to_the_longest_hard_limit() {
-    let (mut names, b) = (Names::default(), Block { wait: 3_600_000, ..block() });
-    assert_eq!(names.take(BioId(0), &b, 0, &named()).expect("new").hard_limit, 20_000);
+    let (mut names, b) = (NameInterner::default(), BlockRequest { timeout_ms: 3_600_000, ..block() });
+    assert_eq!(names.intern_request(BioId(0), &b, 0, &named()).expect("new").hard_limit, 20_000);
 }
 
 #[test]
 fn a_hundred_thousand_names_of_each_kind_leave_no_trace() {
-    let (mut names, mut b) = (Names::default(), block());
+    let (mut names, mut b) = (NameInterner::default(), block());
     for n in 0..100_000u64 {
-        (b.id, b.volume, b.piece) = (request::Id::new(&format!("{n:x}")).expect("fits"), n, n);
-        let bio = names.take(BioId(0), &b, 0, &named()).expect("new");
+        (b.id, b.volume, b.object) = (request::RequestId::new(&format!("{n:x}")).expect("fits"), n, n);
+        let bio = names.intern_request(BioId(0), &b, 0, &named()).expect("new");
         assert_eq!((bio.vol, bio.key), (VolId(0), Some(KeyId(0))), "indices are used again");
-        names.release_bio(&b.id);
+        names.release_request(&b.id);
         names.release_key(KeyId(0));
         names.release_volume(VolId(0));
-        let node = names.node(&format!("s-{n}"));
+        let node = names.intern_node(&format!("s-{n}"));
         assert_eq!(node.0, 0);
         names.release_node(node);
     }
-    assert_eq!(names.sizes(), [0; 4]);
+    assert_eq!(names.counts(), [0; 4]);
 }
 
 #[test]
 fn volumes_past_the_bound_are_turned_away_and_known_ones_are_not() {
-    let (mut names, mut b) = (Names::default(), block());
+    let (mut names, mut b) = (NameInterner::default(), block());
     let mut took = 0;
     for n in 0..10_000u64 {
-        (b.id, b.volume) = (request::Id::new(&format!("{n:x}")).expect("fits"), n);
-        took += u64::from(names.take(BioId(0), &b, 0, &named()).is_ok());
+        (b.id, b.volume) = (request::RequestId::new(&format!("{n:x}")).expect("fits"), n);
+        took += u64::from(names.intern_request(BioId(0), &b, 0, &named()).is_ok());
     }
     assert!((1_000..9_000).contains(&took), "{took}");
-    (b.id, b.volume) = (request::Id::new("again").expect("fits"), 0);
-    assert!(names.take(BioId(0), &b, 0, &named()).is_ok());
+    (b.id, b.volume) = (request::RequestId::new("again").expect("fits"), 0);
+    assert!(names.intern_request(BioId(0), &b, 0, &named()).is_ok());
 }
 
 fn config_text() -> String {
@@ -291,9 +308,9 @@
 
 #[test]
 fn a_configuration_names_all_its_faults_at_once() {
-    let sound = config::read(&config_text()).expect("sound");
+    let sound = config::parse(&config_text()).expect("sound");
     assert_eq!(
-        (sound.seed, sound.sockets, sound.known.map(|k| k.seq)),
+        (sound.seed, sound.max_sockets, sound.cached_list.map(|k| k.version)),
         (0x8c1f_30d2_7a5b_e964, 256, Some(41))
     );
     let bad = config_text()
@@ -302,25 +319,25 @@
         .replace("8c1f30d27a5be964", "seed")
         .replace("\"block\":3", "\"block\":\"x\"")
         .replace("at_most_once", "often");
-    let problems = config::read(&bad).expect_err("five faults").to_string();
+    let problems = config::parse(&bad).expect_err("five faults").to_string();
     for field in ["listen", "limits.sockets", "seed", "known", "settings"] {
         assert!(problems.lines().any(|l| l.starts_with(field)), "{field} in {problems}");
     }
-    assert!(config::read("").is_err() && config::read("{}").is_err() && config::read("[1]").is_err());
+    assert!(config::parse("").is_err() && config::parse("{}").is_err() && config::parse("[1]").is_err());
 }
 
 #[test]
 fn a_place_in_the_fleets_view_is_none_where_none_is_told_and_names_all_its_faults_at_once() {
-    assert_eq!(config::read(&config_text()).expect("sound").place, None);
+    assert_eq!(config::parse(&config_text()).expect("sound").fleet, None);
     let with = |fleet: &str| config_text().replace("\"known\"", &format!("\"fleet\":{fleet},\"known\""));
     let sound = with(
         r#"{"name":"south","listen":"127.0.0.4:7000","seeds":["127.0.0.5:7000"],"zone":"z1","period_ms":500}"#,
     );
-    let place = config::read(&sound).expect("sound").place.expect("a place");
+    let place = config::parse(&sound).expect("sound").fleet.expect("a place");
     assert_eq!((place.settings.name.as_str(), place.settings.period), ("n3", 500));
     assert_eq!(place.settings.address, place.listen, "reached where it listens");
     let bad = r#"{"name":"","listen":"0.0.0.0:7000","seeds":["x"],"zone":"a zone of far more than its bytes","period_ms":3,"keep":1}"#;
-    let problems = config::read(&with(bad)).expect_err("faults").to_string();
+    let problems = config::parse(&with(bad)).expect_err("faults").to_string();
     for field in ["name", "reached_at", "seeds", "zone", "period", "keep"] {
         assert!(problems.lines().any(|l| l.starts_with(&format!("fleet.{field}"))), "{field} in {problems}");
     }
@@ -335,14 +352,14 @@
         at in 0..2_000usize,
         cut in 0..300usize,
     ) {
-        let _ = list::read(&bytes);
+        let _ = endpoints::parse(&bytes);
         let mut text = config_text().into_bytes();
         let at = at.min(text.len());
         let end = (at + cut).min(text.len());
         text.splice(at..end, bytes.iter().copied());
         let text = String::from_utf8_lossy(&text);
-        let _ = config::read(&text);
-        let _ = settings::read(&text);
+        let _ = config::parse(&text);
+        let _ = settings::parse(&text);
     }
 
     #[test]
@@ -355,8 +372,8 @@
             let line = if l.starts_with(name) { format!("{name}: {value}") } else { l.to_owned() };
             Some(line.replace("/book/00000003b4d60021/7f3a9c21e0b4d655", &target))
         });
-        if let Ok(Some(head)) = RequestHead::read(text.as_bytes(), BOUNDS) {
-            let _ = request::read(&head, 5, &named());
+        if let Ok(Some(head)) = RequestHead::parse(text.as_bytes(), BOUNDS) {
+            let _ = request::parse(&head, 5, &named());
         }
     }
 }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -30,12 +30,12 @@
 
 #[test]
 fn sound_settings_are_read() {
-    let named = settings::of(&whole()).expect("sound");
+    let named = settings::from_json(&whole()).expect("sound");
     assert_eq!(
-        (named.groups, named.plans),
+        (named.class_names, named.plan_names),
         (vec!["scan".into(), "stamp".into()], vec!["copper".into(), "steel".into()])
     );
-    assert!(!named.terms.list_pushed && named.terms.hosts == 3 && named.longest == 20_000);
+    assert!(!named.scheduler.list_pushed && named.scheduler.hosts == 3 && named.longest_deadline == 20_000);
 }
 
 #[test]
@@ -53,7 +53,7 @@
         "/rules/fall_us",
         "/rules/look_back_us",
     ] {
-        let why = settings::of(&with(path, None)).expect_err(path);
+        let why = settings::from_json(&with(path, None)).expect_err(path);
         let field = path[1..].replace("/0/", "[0].").replace("/1/", "[1].").replace('/', ".");
         assert_eq!(why.lines().count(), 1, "{path}: {why}");
         assert!(why.starts_with(&format!("settings.{field}: expected ")), "{path}: {why}");
@@ -74,7 +74,7 @@
         ("/limits/max_attempts", json!(-3)),
         ("/rules/cold_us", json!([])),
     ] {
-        let why = settings::of(&with(path, Some(value))).expect_err(path);
+        let why = settings::from_json(&with(path, Some(value))).expect_err(path);
         let field = path.rsplit('/').next().expect("a field");
         assert_eq!(why.lines().count(), 1, "{path}: {why}");
         assert!(why.contains(&format!("{field}: expected ")), "{path}: {why}");
@@ -85,16 +85,16 @@
 fn all_that_is_wrong_is_told_at_once() {
     let mut all = with("/profiles/0/repeat", Some(json!("twice")));
     all["limits"]["cancel"] = json!(3);
-    assert_eq!(settings::of(&all).expect_err("two faults").lines().count(), 2);
+    assert_eq!(settings::from_json(&all).expect_err("two faults").lines().count(), 2);
 }
 
 #[test]
 fn what_is_absent_is_read_as_the_strictest() {
-    let read = |path: &str| settings::of(&with(path, None)).expect("sound");
-    let effect = |path: &str| read(path).terms.groups[1].effect;
+    let read = |path: &str| settings::from_json(&with(path, None)).expect("sound");
+    let effect = |path: &str| read(path).scheduler.groups[1].effect;
     assert_eq!(effect("/profiles/1/key_scope"), Effect::Fingerprinted { scope: Scope::Cell, memory: 9_000 });
     assert_eq!(effect("/profiles/1/key_ttl_us"), Effect::Fingerprinted { scope: Scope::Zone, memory: 0 });
-    assert!(read("/registry_mode").terms.list_pushed, "what the service knows counts at once");
-    assert!(!read("/limits/cancel").terms.may_cancel);
-    assert_eq!(read("/service_levels/0/limit_burst").terms.plans[0].limit_burst, 0.0);
+    assert!(read("/registry_mode").scheduler.list_pushed, "what the service knows counts at once");
+    assert!(!read("/limits/cancel").scheduler.may_cancel);
+    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].limit_burst, 0.0);
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: each line read becomes a call on the scheduler it is for; the scheduler's answers become lines.
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use mallowseam_platform::settings::{self, Named};
+use mallowseam_platform::settings::{self, PlatformSettings};
 use mallowseam_scheduler::door::Door;
 use mallowseam_scheduler::host::*;
 use mallowseam_scheduler::scheduler::Scheduler;
@@ -259,7 +259,8 @@
 
     fn open(&mut self, now: Tick, i: u64, line: &mut Line) -> Result<(), String> {
         let seed = line.whole("init_seed")?;
-        let Named { terms, groups, plans, .. } = settings::read(line.rest.unwrap_or_default())?;
+        let PlatformSettings { scheduler: terms, class_names: groups, plan_names: plans, .. } =
+            settings::parse(line.rest.unwrap_or_default())?;
         let names = Names { me: i, groups, plans, ..Names::default() };
         self.instances.insert(i, Instance { scheduler: Scheduler::new(&terms, seed, now), names });
         Ok(())
