--- a/crates/http1/tests/readers.rs
+++ b/crates/http1/tests/readers.rs
@@ -71,9 +71,9 @@
     let text = "PUT /a HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n\
                 4;x=y\r\nwiki\r\n5\r\npedia\r\n0\r\nT: 1\r\n\r\nGET /b";
     let (mut reader, mut buffer) = (RequestReader::default(), text.as_bytes().to_vec());
-    let whole = reader.advance(&mut buffer, LIMITS).expect("valid").expect("complete");
+    let span = reader.advance(&mut buffer, LIMITS).expect("valid").expect("complete");
     assert_eq!(&buffer[span.body..span.end], b"wikipedia");
-    assert_eq!(&buffer[whole.end..], b"GET /b");
+    assert_eq!(&buffer[span.end..], b"GET /b");
 }
 
 #[test]
