--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,11 +1,11 @@
 //! The connection to the control service of plans, and the copy of its plans kept for a start without it.
 use crate::lines::{Lines, Read};
 use crate::list::replace;
-use mallowseam_plans::member::{Heard, Member};
+use mallowseam_plans::change_log::ChangeLog;
+use mallowseam_plans::messages::HostMessage;
+use mallowseam_plans::replica::{HostedVolume, PlanReplica, ReplicaAction};
 use mallowseam_plans::state::State;
-use mallowseam_plans::trail::Trail;
-use mallowseam_plans::words::ToControl;
-use mallowseam_plans::{Millis, Units};
+use mallowseam_plans::{MilliUnits, Millis};
 use mio::{Registry, Token};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
     registry: Registry,
     token: Token,
     lines: Option<Lines>,
-    pub member: Member,
+    pub member: PlanReplica,
 }
 
 /// What is kept on disk: the state, and the hash of its line.
@@ -34,17 +34,17 @@
         host: &str,
         address: SocketAddr,
         kept: Option<PathBuf>,
-        volumes: Vec<(String, u32)>,
+        volumes: Vec<HostedVolume>,
         registry: Registry,
         token: Token,
         now: Millis,
     ) -> Self {
         let known = kept.as_deref().and_then(read_kept);
-        let member = Member::new(host, volumes, known, now);
+        let member = PlanReplica::new(host, volumes, known, now);
         Follow { address, kept, registry, token, lines: None, member }
     }
 
-    pub fn say(&mut self, word: &ToControl) {
+    pub fn say(&mut self, word: &HostMessage) {
         if let Some(lines) = &mut self.lines {
             lines.say(word);
         }
@@ -52,7 +52,7 @@
 
     /// Connects if that is due, and writes what waits.
     pub fn tend(&mut self, now: Millis, chance: u64) {
-        if self.lines.is_none() && self.member.connects(now, chance) {
+        if self.lines.is_none() && self.member.should_connect(now, chance) {
             match Lines::connect(self.address, &self.registry, self.token) {
                 Ok(lines) => {
                     self.lines = Some(lines);
@@ -79,7 +79,7 @@
     }
 
     /// Reads what has come. True: there is a state to be taken up.
-    pub fn ready(&mut self, scratch: &mut [u8], wanted: &[Units], now: Millis) -> bool {
+    pub fn ready(&mut self, scratch: &mut [u8], wanted: &[MilliUnits], now: Millis) -> bool {
         let mut state = false;
         while let Some(lines) = &mut self.lines {
             match lines.read(scratch, LINE_MOST) {
@@ -92,14 +92,14 @@
                             break;
                         }
                         let heard = match serde_json::from_slice(&line) {
-                            Ok(word) => self.member.heard(word, wanted, now),
-                            Err(e) => Heard::Lost(e.to_string()),
+                            Ok(word) => self.member.receive(word, wanted, now),
+                            Err(e) => ReplicaAction::Disconnect(e.into()),
                         };
                         match heard {
-                            Heard::Nothing => {}
-                            Heard::State => state = true,
-                            Heard::Say(word) => self.say(&word),
-                            Heard::Lost(why) => self.lose(&why),
+                            ReplicaAction::None => {}
+                            ReplicaAction::ApplyPending => state = true,
+                            ReplicaAction::Send(word) => self.say(&word),
+                            ReplicaAction::Disconnect(why) => self.lose(&why.to_string()),
                         }
                     }
                 }
@@ -111,9 +111,9 @@
 
     /// The host acts on the next state: kept on disk first, so that a start without the service does as well.
     pub fn acts_on(&mut self, now: Millis) {
-        if let Some(word) = self.member.acts_on(now) {
+        if let Some(word) = self.member.accept_pending(now) {
             if let Some(path) = &self.kept
-                && let Err(e) = write_kept(path, self.member.trail())
+                && let Err(e) = write_kept(path, self.member.log())
             {
                 tracing::warn!(error = %e, path = %path.display(), "plans are not kept for the next start");
             }
@@ -123,7 +123,7 @@
     }
 
     pub fn against(&mut self, why: &str) {
-        if let Some(word) = self.member.against(why.to_owned()) {
+        if let Some(word) = self.member.reject_pending(why.to_owned()) {
             tracing::warn!(why, "plans turned down");
             self.say(&word);
         }
@@ -131,10 +131,10 @@
     }
 }
 
-fn read_kept(path: &Path) -> Option<Trail> {
+fn read_kept(path: &Path) -> Option<ChangeLog> {
     let text = std::fs::read_to_string(path).ok()?;
     match serde_json::from_str::<Kept>(&text) {
-        Ok(kept) => Some(Trail::from_base(kept.state, kept.last)),
+        Ok(kept) => Some(ChangeLog::from_snapshot(kept.state, kept.last)),
         Err(e) => {
             tracing::warn!(error = %e, path = %path.display(), "kept plans are not used");
             None
@@ -142,7 +142,7 @@
     }
 }
 
-fn write_kept(path: &Path, trail: &Trail) -> std::io::Result<()> {
-    let kept = Kept { state: trail.state.clone(), last: trail.last().to_owned() };
+fn write_kept(path: &Path, log: &ChangeLog) -> std::io::Result<()> {
+    let kept = Kept { state: log.state.clone(), last: log.last_hash().to_owned() };
     replace(path, serde_json::to_string(&kept).map_err(std::io::Error::other)?.as_bytes())
 }
--- a/crates/gateway/src/plan_cli.rs
+++ b/crates/gateway/src/plan_cli.rs
@@ -28,13 +28,11 @@
             if !wrong.is_empty() {
                 return Err((BAD_FILE, wrong.join("\n")));
             }
-            let change = Change::Plan { name: plan, figures: stands };
+            let change = Change::SetPlan { name: plan, plan: stands };
             (file, set(change, Some(expected.unwrap_or(state.version)), by))
         }
-        PlanWhat::Of { file, volume, plan, by } => {
-            (file, set(Change::Volume { name: volume, plan }, None, by))
-        }
-        PlanWhat::Drop { file, plan, by } => (file, set(Change::PlanGone { name: plan }, None, by)),
+        PlanWhat::Of { file, volume, plan, by } => (file, set(Change::AssignPlan { volume, plan }, None, by)),
+        PlanWhat::Drop { file, plan, by } => (file, set(Change::RemovePlan { name: plan }, None, by)),
         PlanWhat::Show { file, version } => (file, Asked::Show { version }),
         PlanWhat::History { file, from, most } => (file, Asked::History { from, most }),
         PlanWhat::Diff { file, one, other } => (file, Asked::Diff { one, other }),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -15,7 +15,8 @@
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::target::TargetTerms;
-use mallowseam_plans::Units;
+use mallowseam_plans::MilliUnits;
+use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeId, NodeState, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_settings::{Site, change};
@@ -62,9 +63,9 @@
     part: Option<Box<Part>>,
     part_more: bool,
     /// The parts of limits that the scheduler keeps to, by volume.
-    parts: Vec<Option<Units>>,
+    parts: Vec<Option<MilliUnits>>,
     /// What clients asked of each volume in the last span, a second; and the counts it began with.
-    wanted: Vec<Units>,
+    wanted: Vec<MilliUnits>,
     counted: (Tick, Vec<f64>),
     listener: TcpListener,
     accepting: bool,
@@ -133,7 +134,11 @@
         let list = List::new(&site.host, &site.nodes, registry()?, LIST);
         let follow = match site.host.follow {
             Some(address) => {
-                let volumes = site.volumes.iter().map(|v| (v.name.clone(), v.hosts)).collect();
+                let volumes = site
+                    .volumes
+                    .iter()
+                    .map(|v| HostedVolume { name: v.name.clone(), host_count: v.hosts })
+                    .collect();
                 let kept = site.host.kept_plans.clone();
                 Some(Follow::new(&site.host.name, address, kept, volumes, registry()?, FOLLOW, 0))
             }
@@ -366,13 +371,13 @@
             let span = (now - self.counted.0) as f64 / 10_000.0;
             let counts = self.desk.figures.volumes.iter().zip(&mut self.counted.1);
             for (wanted, (f, before)) in self.wanted.iter_mut().zip(counts) {
-                *wanted = ((f.asked - *before) / span * 1000.0) as Units;
+                *wanted = ((f.asked - *before) / span * 1000.0) as MilliUnits;
                 *before = f.asked;
             }
             self.counted.0 = now;
             follow.tend(millis(now), rand::rng().next_u64() % 1_000);
         }
-        let parts = follow.member.parts(millis(now)).zip(&mut self.parts);
+        let parts = follow.member.available_quotas(millis(now)).zip(&mut self.parts);
         for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
             *kept = part;
             self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
@@ -382,7 +387,7 @@
     /// Takes up the state that the control service has sent, or says why not.
     fn take_up_next(&mut self) {
         let Some(follow) = &self.follow else { return };
-        let Some(state) = follow.member.next() else { return };
+        let Some(state) = follow.member.pending() else { return };
         let taken = self.of_state(state).map(|taken| self.put(taken));
         let Some(follow) = &mut self.follow else { return };
         match taken {
--- a/crates/gateway/src/tariffs.rs
+++ b/crates/gateway/src/tariffs.rs
@@ -4,12 +4,12 @@
 use crate::lines::{Bounds, Peer, Peers};
 use crate::opening::{self, Failure, failure, signals};
 use crate::terms;
-use mallowseam_plans::deal::{ASK, GRANT, Pool};
-use mallowseam_plans::force::{Hosts, Waits};
+use mallowseam_plans::Millis;
+use mallowseam_plans::change_log::LogEntry;
+use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
+use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
+use mallowseam_plans::rollout::{Rollout, RolloutBlocker};
 use mallowseam_plans::state::{Change, Plan, State};
-use mallowseam_plans::trail::Line;
-use mallowseam_plans::words::{ToControl, ToMember};
-use mallowseam_plans::{Millis, Units};
 use mallowseam_settings::Site;
 use mallowseam_trail::Store;
 use mio::net::UnixStream;
@@ -36,9 +36,9 @@
     clock: Clock,
     now: Millis,
     store: Store,
-    hosts: Hosts,
+    hosts: Rollout,
     numbers: BTreeMap<String, u32>,
-    pools: BTreeMap<String, Pool>,
+    pools: BTreeMap<String, QuotaPool>,
     started: Millis,
     fresh: bool,
     /// With the place of each among those that lend and borrow, the same over all its connections.
@@ -86,9 +86,9 @@
             let plans = site
                 .plans
                 .iter()
-                .map(|p| Change::Plan { name: p.name.clone(), figures: terms::to_figures(p) });
-            let of = |v: &mallowseam_settings::site::Volume| Change::Volume {
-                name: v.name.clone(),
+                .map(|p| Change::SetPlan { name: p.name.clone(), plan: terms::to_figures(p) });
+            let of = |v: &mallowseam_settings::site::Volume| Change::AssignPlan {
+                volume: v.name.clone(),
                 plan: site.plans[v.plan].name.clone(),
             };
             for change in plans.chain(site.volumes.iter().map(of)) {
@@ -100,8 +100,8 @@
         }
         let clock = Clock::start();
         let now = millis(clock.now());
-        let mut hosts = Hosts::default();
-        store.members().map_err(said)?.iter().for_each(|host| hosts.heard(host, now));
+        let mut hosts = Rollout::default();
+        store.members().map_err(said)?.iter().for_each(|host| hosts.on_contact(host, now));
         tracing::info!(listen = %address, version = store.trail().state.version, "control service starts");
         Ok(Service {
             now,
@@ -165,11 +165,11 @@
         self.scratch = scratch;
     }
 
-    fn heard(&mut self, at: u32, word: ToControl) {
+    fn heard(&mut self, at: u32, word: HostMessage) {
         let now = self.now;
         let Some(peer) = self.peers.get_mut(at) else { return };
-        if let ToControl::Hello { host, version, last } = word {
-            if !self.hosts.knows(&host)
+        if let HostMessage::Hello { host, version, last_hash: last } = word {
+            if !self.hosts.is_member(&host)
                 && let Err(e) = self.store.member(&host, true)
             {
                 // It would be forgotten by the next start, and a version be taken for in force without it.
@@ -178,8 +178,8 @@
             let next = self.numbers.len() as u32;
             peer.about = *self.numbers.entry(host.clone()).or_insert(next);
             peer.name.clone_from(&host);
-            self.hosts.heard(&host, now);
-            self.hosts.acts_on(&host, version, now);
+            self.hosts.on_contact(&host, now);
+            self.hosts.on_accepted(&host, version, now);
             return self.catch_up(at, version, &last);
         }
         if peer.name.is_empty() {
@@ -187,34 +187,40 @@
         }
         let (host, number) = (peer.name.clone(), peer.about);
         match word {
-            ToControl::Hello { .. } => {}
-            ToControl::ActsOn { version } => {
+            HostMessage::Hello { .. } => {}
+            HostMessage::Accepted { version } => {
                 tracing::info!(host, version, "acts on");
-                self.hosts.acts_on(&host, version, now);
+                self.hosts.on_accepted(&host, version, now);
             }
-            ToControl::Against { version, why } => {
+            HostMessage::Rejected { version, reason: why } => {
                 tracing::warn!(host, version, why, "turned down");
-                self.hosts.against(&host, version, &why, now);
+                self.hosts.on_rejected(&host, version, &why, now);
             }
-            ToControl::Report { asked, sent, version: _, volumes } => {
-                self.hosts.heard(&host, now);
-                let mut granted: Vec<(String, Units)> = Vec::new();
-                for (volume, lent, wants) in volumes {
+            HostMessage::QuotaReport { polled_at, sent_at, version: _, volumes } => {
+                self.hosts.on_contact(&host, now);
+                let mut granted: Vec<VolumeLease> = Vec::new();
+                for VolumeReport { volume, lent, requested } in volumes {
                     // Pools only for what there is: a host cannot make this service grow without bound.
                     if !self.store.trail().state.volumes.contains_key(&volume) {
                         continue;
                     }
                     let fresh = self.fresh;
-                    let pool =
-                        self.pools.entry(volume.clone()).or_insert_with(|| Pool::new(self.started, fresh));
-                    pool.heard(number, asked, lent, wants, now);
+                    let pool = self
+                        .pools
+                        .entry(volume.clone())
+                        .or_insert_with(|| QuotaPool::new(self.started, fresh));
+                    pool.on_report(number, polled_at, lent, requested, now);
                     let amount = pool.grant(number, now);
                     if amount > 0 {
-                        granted.push((volume, amount));
+                        granted.push(VolumeLease { volume, amount });
                     }
                 }
                 if let Some(peer) = self.peers.get_mut(at).filter(|_| !granted.is_empty()) {
-                    peer.lines.say(&ToMember::Granted { sent, span: GRANT, volumes: granted });
+                    peer.lines.say(&ServiceMessage::QuotaLeases {
+                        requested_at: sent_at,
+                        duration: LEASE_DURATION,
+                        volumes: granted,
+                    });
                 }
             }
         }
@@ -227,28 +233,32 @@
         let lines = lacks.and_then(|_| self.store.lines(version + 1, CATCH_UP as usize).ok());
         // Each line bears the hash of the one before it.
         let follows = |lines: &Vec<String>| match lines.first() {
-            Some(first) => serde_json::from_str::<Line>(first).is_ok_and(|line| line.after == last),
-            None => trail.last() == last,
+            Some(first) => {
+                serde_json::from_str::<LogEntry>(first).is_ok_and(|line| line.previous_hash == last)
+            }
+            None => trail.last_hash() == last,
         };
         let Some(peer) = self.peers.get_mut(at) else { return };
         match lines.filter(follows) {
-            Some(lines) => lines.into_iter().for_each(|text| peer.lines.say(&ToMember::Line { text })),
+            Some(lines) => {
+                lines.into_iter().for_each(|text| peer.lines.say(&ServiceMessage::LogEntry { text }))
+            }
             None => {
-                let (state, last) = (Box::new(trail.state.clone()), trail.last().to_owned());
-                peer.lines.say(&ToMember::Whole { state, last });
+                let (state, last) = (Box::new(trail.state.clone()), trail.last_hash().to_owned());
+                peer.lines.say(&ServiceMessage::Snapshot { state, last_hash: last });
             }
         }
     }
 
     fn round(&mut self) {
-        if self.now >= self.asked + ASK {
+        if self.now >= self.asked + POLL_INTERVAL {
             self.asked = self.now;
-            self.peers.say_all(&ToMember::Ask { asked: self.now }, known);
+            self.peers.say_all(&ServiceMessage::QuotaPoll { polled_at: self.now }, known);
         }
         for (caller, version, until) in std::mem::take(&mut self.waits) {
-            let waits = self.hosts.waits(version, self.now);
+            let waits = self.hosts.blockers(version, self.now);
             let text = if waits.is_empty() {
-                format!("version {version} in force at all {} hosts", self.hosts.count())
+                format!("version {version} in force at all {} hosts", self.hosts.member_count())
             } else if self.now >= until {
                 format!("error: version {version} stands, and is not in force everywhere: {}", tell(&waits))
             } else {
@@ -298,9 +308,9 @@
                 let line = self.store.keep(&text).map_err(|e| Why::Store(e.to_string()))?;
                 tracing::info!(version = line.version, author = line.author, reason = line.reason, "changed");
                 if lowers {
-                    self.hosts.lowers(line.version);
+                    self.hosts.mark_limit_lowered(line.version);
                 }
-                self.peers.say_all(&ToMember::Line { text }, known);
+                self.peers.say_all(&ServiceMessage::LogEntry { text }, known);
                 if !wait {
                     return Ok(Some(format!("version {}", line.version)));
                 }
@@ -309,10 +319,10 @@
             }
             Asked::Undo { version, author, reason, dry, wait } => {
                 let line = self.store.lines(version, 1).map_err(read)?.pop();
-                let line: Line = line
+                let line: LogEntry = line
                     .and_then(|text| serde_json::from_str(&text).ok())
                     .ok_or_else(|| Why::Said(format!("no version {version}")))?;
-                let change = at(version - 1)?.state.undo(&line.change);
+                let change = at(version - 1)?.state.revert(&line.change);
                 self.asked_for(caller, Asked::Set { change, expected: None, author, reason, dry, wait })
             }
             Asked::Show { version } => {
@@ -334,9 +344,9 @@
             }
             Asked::Hosts => {
                 let (newest, now) = (self.version(), self.now);
-                let waits = self.hosts.waits(newest, now);
-                let everywhere = self.hosts.everywhere(newest, now);
-                let count = self.hosts.count();
+                let waits = self.hosts.blockers(newest, now);
+                let everywhere = self.hosts.effective_version(newest, now);
+                let count = self.hosts.member_count();
                 let mut text =
                     format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
                 if !waits.is_empty() {
@@ -345,7 +355,7 @@
                 Ok(Some(text))
             }
             Asked::Gone { host } => {
-                if self.hosts.gone(&host, self.now) {
+                if self.hosts.declare_removed(&host, self.now) {
                     self.store.member(&host, false).map_err(|e| Why::Store(e.to_string()))?;
                     Ok(Some(format!("{host} is taken for gone")))
                 } else {
@@ -427,12 +437,14 @@
     })
 }
 
-fn tell(waits: &[Waits]) -> String {
-    let one = |w: &Waits| match w {
-        Waits::Silent { host, acts_on, .. } => format!("{host} is silent, acts on {acts_on}"),
-        Waits::Behind { host, acts_on } => format!("{host} acts on {acts_on}"),
-        Waits::Against { host, why } => format!("{host} turned it down: {why}"),
-        Waits::Lapses { .. } => "what was lent before lapses".into(),
+fn tell(waits: &[RolloutBlocker]) -> String {
+    let one = |w: &RolloutBlocker| match w {
+        RolloutBlocker::Silent { host, accepted_version, .. } => {
+            format!("{host} is silent, acts on {accepted_version}")
+        }
+        RolloutBlocker::Behind { host, accepted_version } => format!("{host} acts on {accepted_version}"),
+        RolloutBlocker::Rejected { host, reason } => format!("{host} turned it down: {reason}"),
+        RolloutBlocker::UnexpiredLeases { .. } => "what was lent before lapses".into(),
     };
     waits.iter().map(one).collect::<Vec<_>>().join("; ")
 }
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -85,7 +85,8 @@
 
 /// A plan's figures in thousandths, as the control service keeps them.
 pub fn to_figures(p: &site::Plan) -> mallowseam_plans::state::Plan {
-    let thousandths = |n: f64| (n * 1000.0).round().clamp(0.0, mallowseam_plans::state::MOST as f64) as u64;
+    let thousandths =
+        |n: f64| (n * 1000.0).round().clamp(0.0, mallowseam_plans::state::MAX_PARAMETER as f64) as u64;
     mallowseam_plans::state::Plan {
         usual: thousandths(p.usual),
         reserve: thousandths(p.reserve),
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -12,8 +12,8 @@
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_nodelist::Condition;
+use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
-use mallowseam_plans::trail::Line;
 use mallowseam_settings::Site;
 use mallowseam_settings::site::Direction;
 use nix::sys::signal::{Signal, kill};
@@ -357,7 +357,7 @@
         let plan = self.site.plans[plan].clone();
         let number = self.askers.len();
         self.askers.push(std::thread::spawn(move || {
-            let change = Change::Plan { name: plan.name.clone(), figures: figures(plan, times) };
+            let change = Change::SetPlan { name: plan.name.clone(), plan: figures(plan, times) };
             let (author, reason) = ("rehearsal".into(), format!("change {number}"));
             let asked =
                 Ask::Set { change, expected: None, author, reason: reason.clone(), dry: false, wait: true };
@@ -386,20 +386,20 @@
                 return (0, 0);
             }
         };
-        let lines: Vec<Line> = history.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
+        let lines: Vec<LogEntry> = history.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
         let told = self.tariffs.lock().expect("no panic");
-        let of = |line: &Line| told.iter().find(|t| t.reason == line.reason);
+        let of = |line: &LogEntry| told.iter().find(|t| t.reason == line.reason);
         // Once a version is in force at all hosts, so is each one before it, and none of them any more.
         let over = |after: u64| {
             let later = lines.iter().filter(|l| l.version >= after).filter_map(|l| of(l)?.in_force);
             later.min().unwrap_or(Micros::MAX)
         };
         for (i, line) in lines.iter().enumerate() {
-            let Change::Plan { name, figures } = &line.change else { continue };
-            let same = |l: &&Line| matches!(&l.change, Change::Plan { name: n, .. } if n == name);
+            let Change::SetPlan { name, plan } = &line.change else { continue };
+            let same = |l: &&LogEntry| matches!(&l.change, Change::SetPlan { name: n, .. } if n == name);
             let until = lines[i + 1..].iter().find(same).map_or(Micros::MAX, |next| over(next.version));
             let (from, whole) = (of(line).map_or(0, |t| t.at), |n: u64| n as f64 / 1000.0);
-            let in_force = InForce { from, until, limit: whole(figures.limit), burst: whole(figures.burst) };
+            let in_force = InForce { from, until, limit: whole(plan.limit), burst: whole(plan.burst) };
             places.limits.entry(name.clone()).or_default().push(in_force);
         }
         drop(told);
--- /dev/null
+++ b/crates/plans/src/change_log.rs
@@ -0,0 +1,133 @@
+//! The change log: one entry for each version, which contains the hash of the entry before it. An entry that was
+//! altered, removed or inserted is found at the first one that does not follow.
+use crate::error::{ChangeError, LogError, LogErrorKind};
+use crate::state::{Change, State};
+use serde::{Deserialize, Serialize};
+
+/// Stands in place of the hash of an entry before the first one.
+pub const GENESIS_HASH: &str = "0000000000000000000000000000000000000000000000000000000000000000";
+/// Longest author and longest reason, in bytes.
+const MAX_TEXT_BYTES: usize = 500;
+
+/// One entry of the change log. It is stored as JSON and hashed over that text: names and order of the JSON
+/// fields are fixed, and `serde(rename)` keeps them.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct LogEntry {
+    /// The version that the change leads to.
+    pub version: u64,
+    /// Seconds since 1970 by the service's clock. For readers: nothing is decided by it.
+    #[serde(rename = "at")]
+    pub unix_seconds: u64,
+    /// Who made the change.
+    pub author: String,
+    /// Why it was made.
+    pub reason: String,
+    /// The change.
+    pub change: Change,
+    /// BLAKE3 hash of the text of the entry before, in hexadecimal digits; [`GENESIS_HASH`] in the first one.
+    #[serde(rename = "after")]
+    pub previous_hash: String,
+}
+
+/// The end of a change log: the state that it led to, and the hash of its last entry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChangeLog {
+    /// The state after the last entry.
+    pub state: State,
+    last_hash: String,
+}
+
+impl Default for ChangeLog {
+    fn default() -> Self {
+        ChangeLog { state: State::default(), last_hash: GENESIS_HASH.to_owned() }
+    }
+}
+
+impl ChangeLog {
+    /// Continues from a state that was stored at some entry, with the hash of that entry.
+    #[must_use]
+    pub fn from_snapshot(state: State, last_hash: String) -> ChangeLog {
+        ChangeLog { state, last_hash }
+    }
+
+    /// Replays entries from nothing.
+    ///
+    /// # Errors
+    ///
+    /// The first entry that does not follow the one before it.
+    pub fn replay<'a>(entries: impl Iterator<Item = &'a str>) -> Result<ChangeLog, LogError> {
+        let mut log = ChangeLog::default();
+        for entry in entries {
+            log.append(entry)?;
+        }
+        Ok(log)
+    }
+
+    /// Hash of the last entry, in hexadecimal digits.
+    #[must_use]
+    pub fn last_hash(&self) -> &str {
+        &self.last_hash
+    }
+
+    /// The text of the entry that a change would be, made by an author who has seen version `expected`. Nothing is
+    /// changed: of two entries that were proposed for the same version, the one that is appended first wins.
+    ///
+    /// # Errors
+    ///
+    /// The log is at another version, author or reason are missing or too long, or the change cannot be made.
+    pub fn propose(
+        &self,
+        expected: u64,
+        author: &str,
+        reason: &str,
+        unix_seconds: u64,
+        change: Change,
+    ) -> Result<String, ChangeError> {
+        if expected != self.state.version {
+            return Err(ChangeError::VersionConflict { expected, current: self.state.version });
+        }
+        let is_acceptable = |text: &str| !text.trim().is_empty() && text.len() <= MAX_TEXT_BYTES;
+        if !is_acceptable(author) || !is_acceptable(reason) {
+            return Err(ChangeError::MissingReason);
+        }
+        self.state.check(&change)?;
+        let entry = LogEntry {
+            version: expected + 1,
+            unix_seconds,
+            author: author.to_owned(),
+            reason: reason.to_owned(),
+            change,
+            previous_hash: self.last_hash.clone(),
+        };
+        Ok(serde_json::to_string(&entry).expect("an entry is plain data"))
+    }
+
+    /// Appends the next entry, as it was written, and makes its change.
+    ///
+    /// # Errors
+    ///
+    /// The entry does not follow the last one; nothing is changed then.
+    pub fn append(&mut self, text: &str) -> Result<LogEntry, LogError> {
+        let line = self.state.version + 1;
+        self.try_append(text).map_err(|kind| LogError { line, kind })
+    }
+
+    fn try_append(&mut self, text: &str) -> Result<LogEntry, LogErrorKind> {
+        let entry: LogEntry = serde_json::from_str(text)?;
+        // The hash is taken over the text that was read: an entry that could be written otherwise is none of ours.
+        if serde_json::to_string(&entry).ok().as_deref() != Some(text) {
+            return Err(LogErrorKind::NotCanonical);
+        }
+        if entry.previous_hash != self.last_hash {
+            return Err(LogErrorKind::HashMismatch);
+        }
+        let expected = self.state.version + 1;
+        if entry.version != expected {
+            return Err(LogErrorKind::VersionMismatch { found: entry.version, expected });
+        }
+        self.state.apply(&entry.change)?;
+        self.last_hash = blake3::hash(text.as_bytes()).to_hex().to_string();
+        Ok(entry)
+    }
+}
--- /dev/null
+++ b/crates/plans/src/host_quota.rs
@@ -0,0 +1,105 @@
+//! A host's quota of one rate limit, with lending and borrowing between hosts.
+//!
+//! Each host owns a nominal quota, an even part of the limit that nobody can take from it. What it does not use
+//! it lends for a short time, by its own decision and its own clock; what it is leased beyond it may use for a
+//! shorter time. So a host that is cut off falls back to its nominal quota by itself, and the quotas of all hosts
+//! never add up to more than the limit. (Nominal quota, lending and borrowing as in Kueue's cohorts; expiry by
+//! both clocks with a margin as in Gray and Cheriton, "Leases", SOSP 1989.)
+use crate::expiring::{ExpiringAmount, largest_alive};
+use crate::{MilliUnits, Millis};
+
+/// How long a loan lasts from the moment at which the service polled for it. Long enough that a few polls may be
+/// lost while a lease that it backs is renewed.
+pub const LOAN_DURATION: Millis = 3_000;
+/// What the lender waits beyond [`LOAN_DURATION`]: covers clocks that run apart by one per cent, and one step of
+/// its own clock.
+pub const CLOCK_SKEW_MARGIN: Millis = 50;
+/// Thousandths of the nominal quota that are never lent, so that a first surge is served before anything is back.
+const RESERVED_PER_MILLE: MilliUnits = 250;
+/// Thousandths of the present demand that are not lent: demand grows by a quarter in a second at a busy start of
+/// day.
+const HEADROOM_PER_MILLE: MilliUnits = 1_250;
+
+/// A host's quota of one limit.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct HostQuota {
+    /// The limit divided by the number of hosts of the volume.
+    nominal: MilliUnits,
+    /// Lent amounts. The largest one that has not expired counts.
+    loans: Vec<ExpiringAmount>,
+    /// Leased amounts, likewise.
+    leases: Vec<ExpiringAmount>,
+}
+
+/// Adds an amount, and drops what has expired or is covered by the new amount.
+fn insert(amounts: &mut Vec<ExpiringAmount>, added: ExpiringAmount, now: Millis) {
+    let is_covered = |a: &ExpiringAmount| a.amount <= added.amount && a.expires_at <= added.expires_at;
+    amounts.retain(|a| a.is_alive(now) && !is_covered(a));
+    amounts.push(added);
+}
+
+impl HostQuota {
+    /// The quota of one of `hosts` hosts that share a limit of so many units a second.
+    #[must_use]
+    pub fn new(limit: MilliUnits, hosts: u32) -> Self {
+        HostQuota { nominal: nominal_quota(limit, hosts), ..HostQuota::default() }
+    }
+
+    /// Restricts a host that has just started and does not know what it lent before to the part that it never
+    /// lends, until all earlier loans have expired.
+    pub fn restrict_until(&mut self, until: Millis, now: Millis) {
+        let amount = self.nominal - self.never_lent();
+        insert(&mut self.loans, ExpiringAmount { amount, expires_at: until }, now);
+    }
+
+    /// The nominal quota, in thousandths of a unit a second.
+    #[must_use]
+    pub fn nominal(&self) -> MilliUnits {
+        self.nominal
+    }
+
+    /// Sets another limit. Loans and leases keep their amounts until they expire; see [`crate::rollout`] for when
+    /// a lowered limit is effective everywhere.
+    pub fn set_limit(&mut self, limit: MilliUnits, hosts: u32) {
+        self.nominal = nominal_quota(limit, hosts);
+    }
+
+    /// What this host may use now, in thousandths of a unit a second.
+    #[must_use]
+    pub fn available(&self, now: Millis) -> MilliUnits {
+        self.nominal.saturating_sub(largest_alive(&self.loans, now)) + largest_alive(&self.leases, now)
+    }
+
+    /// What the host can lend if its demand stays the same. `demand` counts rejected block I/Os as well.
+    #[must_use]
+    pub fn lendable(&self, demand: MilliUnits) -> MilliUnits {
+        let with_headroom = demand.saturating_mul(HEADROOM_PER_MILLE) / 1000;
+        self.nominal.saturating_sub(with_headroom.max(self.never_lent()))
+    }
+
+    /// Lends an amount, at most the nominal quota, in answer to a poll that is received now. The quota is smaller
+    /// from this moment on, which is before the answer is sent. Returns the amount.
+    pub fn lend(&mut self, amount: MilliUnits, now: Millis) -> MilliUnits {
+        let amount = amount.min(self.nominal);
+        let expires_at = now + LOAN_DURATION + CLOCK_SKEW_MARGIN;
+        insert(&mut self.loans, ExpiringAmount { amount, expires_at }, now);
+        amount
+    }
+
+    /// Takes a lease for `duration` from `requested_at`, the moment by this host's clock at which it sent the
+    /// report that the lease answers.
+    pub fn add_lease(&mut self, amount: MilliUnits, requested_at: Millis, duration: Millis, now: Millis) {
+        let lease = ExpiringAmount { amount, expires_at: requested_at + duration };
+        if lease.is_alive(now) {
+            insert(&mut self.leases, lease, now);
+        }
+    }
+
+    fn never_lent(&self) -> MilliUnits {
+        self.nominal * RESERVED_PER_MILLE / 1000
+    }
+}
+
+fn nominal_quota(limit: MilliUnits, hosts: u32) -> MilliUnits {
+    limit / MilliUnits::from(hosts.max(1))
+}
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,21 +1,36 @@
-//! Plans as data that changes while the counters go on, free of I/O, clocks and threads. `docs/living-plans.md`
-//! tells the ways weighed.
+//! Service plans as versioned data, and the distribution of a plan's rate limit over the hosts of a volume.
 //!
-//! - `state`: plans and volumes in numbered versions, each by one change.
-//! - `trail`: who changed what and why, chained by hashes; replayed, it gives every version again.
-//! - `lend`: what a host does with its part of a limit: it lends what it does not use.
-//! - `deal`: what the control service does with what is lent.
-//! - `member`: a host that follows the service; `words`: what both say to each other.
-//! - `force`: from when on a version is in force at all hosts.
-pub mod deal;
-pub mod force;
-pub mod lend;
-pub mod member;
+//! The package decides only: it has no I/O, no clock and no threads. Callers pass the time in and carry the
+//! messages. `docs/living-plans.md` describes the design and the alternatives that were considered.
+//!
+//! Control service side:
+//!
+//! - [`state`]: plans and the volumes that they are assigned to, in numbered versions.
+//! - [`change_log`]: the append-only, hash-chained log of the changes that led to each version.
+//! - [`rollout`]: which version is effective at all hosts, and what a newer one still waits for.
+//! - [`quota_pool`]: the quota that hosts lend, leased to hosts that need more than their own.
+//!
+//! Host side:
+//!
+//! - [`replica`]: a host's replica of the plans, and its quotas.
+//! - [`host_quota`]: a host's quota of one limit: what it owns, lends and leases.
+//!
+//! Both: [`messages`], the protocol between them, and [`error`].
+#![warn(missing_docs)]
+
+pub mod change_log;
+pub mod error;
+mod expiring;
+pub mod host_quota;
+pub mod messages;
+pub mod quota_pool;
+pub mod replica;
+pub mod rollout;
 pub mod state;
-pub mod trail;
-pub mod words;
 
-/// Milliseconds on one's own clock, or a span of them.
+/// Milliseconds: a moment on the reader's own monotonic clock, or a duration.
 pub type Millis = u64;
-/// Units in thousandths: whole, so that parts add up exactly.
-pub type Units = u64;
+
+/// Thousandths of a unit of cost (what one block I/O of `unit` bytes costs, see `docs/configuration.md`), or of
+/// units a second for rates. Integers, so that the quotas of a limit add up exactly.
+pub type MilliUnits = u64;
--- /dev/null
+++ b/crates/plans/src/rollout.rs
@@ -0,0 +1,193 @@
+//! The rollout of versions to hosts, with an effective version as its result.
+//!
+//! A version is effective at a host from the moment at which the host has accepted it. It is effective everywhere
+//! once every host has accepted it and, where it lowered a limit, once the loans and leases of the older version
+//! have expired as well. A host that does not answer keeps acting on what it has: its nominal quota is its own and
+//! cannot be given to others, so the host is reported until it answers or an operator who knows that it has
+//! stopped declares it removed.
+use crate::Millis;
+use crate::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
+use std::collections::BTreeMap;
+
+/// A host from which nothing has been received for so long is silent.
+pub const SILENT_AFTER: Millis = 3_000;
+
+/// A version that a host has rejected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Rejection {
+    version: u64,
+    reason: String,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct Host {
+    /// The newest version that the host has accepted.
+    accepted_version: u64,
+    /// Since when it is known to have accepted it.
+    accepted_at: Millis,
+    last_contact: Millis,
+    /// The last version that it has rejected, if it has not accepted that one or a newer one since.
+    rejection: Option<Rejection>,
+    is_removed: bool,
+}
+
+impl Host {
+    fn is_silent(&self, now: Millis) -> bool {
+        now >= self.last_contact + SILENT_AFTER
+    }
+}
+
+/// Why a version is not effective everywhere yet.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RolloutBlocker {
+    /// A host has not accepted the version and is silent.
+    Silent {
+        /// Name of the host.
+        host: String,
+        /// The newest version that it is known to have accepted.
+        accepted_version: u64,
+        /// When it was last heard from.
+        last_contact: Millis,
+    },
+    /// A host answers, and has not accepted the version yet.
+    Behind {
+        /// Name of the host.
+        host: String,
+        /// The newest version that it has accepted.
+        accepted_version: u64,
+    },
+    /// A host has rejected the version or a newer one.
+    Rejected {
+        /// Name of the host.
+        host: String,
+        /// The reason that it gave.
+        reason: String,
+    },
+    /// All hosts have accepted the version, which lowered a limit; loans and leases of the older one run on.
+    UnexpiredLeases {
+        /// When the last of them has expired.
+        until: Millis,
+    },
+}
+
+/// What the control service knows of its hosts' versions.
+#[derive(Clone, Debug, Default)]
+pub struct Rollout {
+    hosts: BTreeMap<String, Host>,
+    /// Versions that lowered a limit.
+    limit_lowering_versions: Vec<u64>,
+}
+
+impl Rollout {
+    /// A host has sent something. A host that is new is a member from now on and has accepted nothing yet; one
+    /// that was declared removed is a member again.
+    pub fn on_contact(&mut self, host: &str, now: Millis) {
+        self.contacted(host, now);
+    }
+
+    fn contacted(&mut self, host: &str, now: Millis) -> &mut Host {
+        let host = self.hosts.entry(host.to_owned()).or_insert(Host {
+            accepted_version: 0,
+            accepted_at: now,
+            last_contact: now,
+            rejection: None,
+            is_removed: false,
+        });
+        host.last_contact = now;
+        host.is_removed = false;
+        host
+    }
+
+    /// Number of members: all hosts but those that were declared removed.
+    #[must_use]
+    pub fn member_count(&self) -> usize {
+        self.members().count()
+    }
+
+    /// Whether a host is known and has not been declared removed.
+    #[must_use]
+    pub fn is_member(&self, host: &str) -> bool {
+        self.hosts.get(host).is_some_and(|host| !host.is_removed)
+    }
+
+    fn members(&self) -> impl Iterator<Item = (&String, &Host)> {
+        self.hosts.iter().filter(|(_, host)| !host.is_removed)
+    }
+
+    /// A host has accepted a version (ACK). A repeated or older version changes nothing: a host never goes back.
+    pub fn on_accepted(&mut self, host: &str, version: u64, now: Millis) {
+        let host = self.contacted(host, now);
+        if version > host.accepted_version {
+            host.accepted_version = version;
+            host.accepted_at = now;
+            host.rejection = host.rejection.take().filter(|rejection| rejection.version > version);
+        }
+    }
+
+    /// A host has rejected a version (NACK).
+    pub fn on_rejected(&mut self, host: &str, version: u64, reason: &str, now: Millis) {
+        let host = self.contacted(host, now);
+        if version > host.accepted_version {
+            host.rejection = Some(Rejection { version, reason: reason.to_owned() });
+        }
+    }
+
+    /// An operator knows that a host has stopped for good and declares it removed. Returns false, and changes
+    /// nothing, if the host is unknown or not silent.
+    pub fn declare_removed(&mut self, host: &str, now: Millis) -> bool {
+        match self.hosts.get_mut(host) {
+            Some(host) if host.is_silent(now) => {
+                host.is_removed = true;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Notes that a version lowers some limit.
+    pub fn mark_limit_lowered(&mut self, version: u64) {
+        self.limit_lowering_versions.push(version);
+    }
+
+    /// What a version waits for; empty if it is effective everywhere.
+    #[must_use]
+    pub fn blockers(&self, version: u64, now: Millis) -> Vec<RolloutBlocker> {
+        let blockers: Vec<RolloutBlocker> =
+            self.members().filter_map(|(name, host)| blocker(name, host, version, now)).collect();
+        if !blockers.is_empty() || !self.limit_lowering_versions.contains(&version) {
+            return blockers;
+        }
+        // A host that has accepted a later version has had this one for at least as long.
+        let all_accepted_at = self.members().map(|(_, host)| host.accepted_at).max().unwrap_or(0);
+        let until = all_accepted_at + LOAN_DURATION + CLOCK_SKEW_MARGIN;
+        if now < until { vec![RolloutBlocker::UnexpiredLeases { until }] } else { Vec::new() }
+    }
+
+    /// The last version up to `newest` that is effective at all hosts.
+    #[must_use]
+    pub fn effective_version(&self, newest: u64, now: Millis) -> u64 {
+        let oldest_accepted = self.members().map(|(_, host)| host.accepted_version).min();
+        let mut version = oldest_accepted.unwrap_or(newest).min(newest);
+        while version > 0 && !self.blockers(version, now).is_empty() {
+            version -= 1;
+        }
+        version
+    }
+}
+
+fn blocker(name: &str, host: &Host, version: u64, now: Millis) -> Option<RolloutBlocker> {
+    let accepted_version = host.accepted_version;
+    if accepted_version >= version {
+        return None;
+    }
+    let name = name.to_owned();
+    Some(match &host.rejection {
+        Some(rejection) if rejection.version >= version => {
+            RolloutBlocker::Rejected { host: name, reason: rejection.reason.clone() }
+        }
+        _ if host.is_silent(now) => {
+            RolloutBlocker::Silent { host: name, accepted_version, last_contact: host.last_contact }
+        }
+        _ => RolloutBlocker::Behind { host: name, accepted_version },
+    })
+}
--- a/crates/plans/src/state.rs
+++ b/crates/plans/src/state.rs
@@ -1,107 +1,83 @@
-//! Plans and the volumes that have them, in numbered versions.
-use crate::Units;
+//! Plans and the volumes that they are assigned to, in numbered versions. The names in the JSON text are stored
+//! data and fixed by `serde(rename)`.
+use crate::MilliUnits;
+use crate::error::ChangeError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt;
 
-/// Figures of a plan: units a second, units, and parts, all in thousandths. Limit 0: none.
+/// Largest parameter of a plan: sums over thousands of hosts stay far inside 64 bits.
+pub const MAX_PARAMETER: MilliUnits = 1_000_000_000_000;
+/// Longest name of a plan or volume, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+
+/// The parameters of a plan, named as in the configuration file; rates in thousandths of a unit a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    pub usual: Units,
-    pub reserve: Units,
-    pub limit: Units,
-    pub burst: Units,
-    pub weight: Units,
-    pub price: Units,
+    /// The rate that a volume normally has.
+    pub usual: MilliUnits,
+    /// The rate that is reserved for a volume.
+    pub reserve: MilliUnits,
+    /// The rate that a volume may not exceed; 0: no limit.
+    pub limit: MilliUnits,
+    /// Thousandths of units that may be used at once within the limit.
+    pub burst: MilliUnits,
+    /// Weight of the volume's share of a node, in thousandths.
+    pub weight: MilliUnits,
+    /// Factor on the priority weight of the volume's block I/Os, in thousandths.
+    pub price: MilliUnits,
 }
 
-/// Largest figure: sums over thousands of hosts stay far inside 64 bits.
-pub const MOST: Units = 1_000_000_000_000;
-
+/// One change, which leads from a version to the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// A plan has these figures; it is new if there was none of this name.
-    Plan {
+    /// Gives a plan these parameters; the plan is new if there is none of this name.
+    #[serde(rename = "Plan")]
+    SetPlan {
+        /// Name of the plan.
         name: String,
-        figures: Plan,
+        /// Its parameters from now on.
+        #[serde(rename = "figures")]
+        plan: Plan,
     },
-    /// A plan that no volume has goes.
-    PlanGone {
+    /// Removes a plan that no volume has.
+    #[serde(rename = "PlanGone")]
+    RemovePlan {
+        /// Name of the plan.
         name: String,
     },
-    /// A volume has this plan; it is new if there was none of this name.
-    Volume {
-        name: String,
+    /// Assigns a plan to a volume; the volume is new if there is none of this name.
+    #[serde(rename = "Volume")]
+    AssignPlan {
+        /// Name of the volume.
+        #[serde(rename = "name")]
+        volume: String,
+        /// Name of the plan.
         plan: String,
     },
-    VolumeGone {
-        name: String,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// Another change came first: the version that was expected, and the one that stands.
-    Late {
-        expected: u64,
-        stands: u64,
-    },
-    NoSuchPlan(String),
-    NoSuchVolume(String),
-    /// A volume still has it.
-    InUse {
-        plan: String,
+    /// Removes a volume.
+    #[serde(rename = "VolumeGone")]
+    RemoveVolume {
+        /// Name of the volume.
+        #[serde(rename = "name")]
         volume: String,
     },
-    BadName(String),
-    /// A figure that no plan can have, and what was expected.
-    BadFigure {
-        what: &'static str,
-        expected: &'static str,
-    },
-    /// Nothing would be different.
-    Same,
-    NoReason,
-}
-
-impl fmt::Display for Refused {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Refused::Late { expected, stands } => {
-                write!(f, "made for version {expected}, and version {stands} stands: look at what came first")
-            }
-            Refused::NoSuchPlan(n) => write!(f, "`{n}`: no such plan"),
-            Refused::NoSuchVolume(n) => write!(f, "`{n}`: no such volume"),
-            Refused::InUse { plan, volume } => write!(f, "`{plan}`: volume {volume} has this plan"),
-            Refused::BadName(n) => write!(f, "`{n}`: expected 1 to 64 letters, digits and -_.:"),
-            Refused::BadFigure { what, expected } => write!(f, "{what}: expected {expected}"),
-            Refused::Same => write!(f, "nothing would be different"),
-            Refused::NoReason => write!(f, "expected an author and a reason"),
-        }
-    }
 }
 
+/// All plans and volumes at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// Changes made so far.
+    /// Number of changes made so far.
     pub version: u64,
+    /// Plans by name.
     pub plans: BTreeMap<String, Plan>,
-    /// The plan of each volume.
+    /// The name of each volume's plan, by name of the volume.
     pub volumes: BTreeMap<String, String>,
 }
 
-fn named(name: &str) -> Result<(), Refused> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if name.is_empty() || name.len() > 64 || !name.chars().all(fits) {
-        return Err(Refused::BadName(name.to_owned()));
-    }
-    Ok(())
-}
-
 impl Plan {
-    fn check(&self) -> Result<(), Refused> {
-        let all = [
+    fn check(&self) -> Result<(), ChangeError> {
+        let parameters = [
             ("usual", self.usual),
             ("reserve", self.reserve),
             ("limit", self.limit),
@@ -109,98 +85,130 @@
             ("weight", self.weight),
             ("price", self.price),
         ];
-        if let Some((what, _)) = all.into_iter().find(|f| f.1 > MOST) {
-            return Err(Refused::BadFigure { what, expected: "at most a thousand million units" });
+        let invalid = |parameter, expected| Err(ChangeError::InvalidParameter { parameter, expected });
+        if let Some((parameter, _)) = parameters.into_iter().find(|(_, value)| *value > MAX_PARAMETER) {
+            return invalid(parameter, "at most a thousand million units");
         }
-        // A limit without anything at once would let nothing through.
+        // A limit without a burst would let nothing through.
         if self.limit > 0 && self.burst == 0 {
-            return Err(Refused::BadFigure { what: "burst", expected: "above 0 where there is a limit" });
+            return invalid("burst", "above 0 where there is a limit");
         }
         if self.limit > 0 && self.reserve > self.limit {
-            return Err(Refused::BadFigure { what: "reserve", expected: "no more than the limit" });
+            return invalid("reserve", "no more than the limit");
         }
         Ok(())
     }
 }
 
 impl State {
+    /// The plan of a volume; none if the volume is unknown.
+    #[must_use]
     pub fn plan_of(&self, volume: &str) -> Option<&Plan> {
         self.plans.get(self.volumes.get(volume)?)
     }
 
-    /// Whether a change can be made to what stands.
-    pub fn check(&self, change: &Change) -> Result<(), Refused> {
+    /// Checks whether a change can be made to this state.
+    ///
+    /// # Errors
+    ///
+    /// Why the change cannot be made.
+    pub fn check(&self, change: &Change) -> Result<(), ChangeError> {
         match change {
-            Change::Plan { name, figures } => {
-                named(name)?;
-                figures.check()?;
-                if self.plans.get(name) == Some(figures) { Err(Refused::Same) } else { Ok(()) }
+            Change::SetPlan { name, plan } => {
+                check_name(name)?;
+                plan.check()?;
+                expect_difference(self.plans.get(name), plan)
             }
-            Change::PlanGone { name } => {
-                if !self.plans.contains_key(name) {
-                    return Err(Refused::NoSuchPlan(name.clone()));
-                }
-                match self.volumes.iter().find(|v| v.1 == name) {
-                    Some((volume, _)) => Err(Refused::InUse { plan: name.clone(), volume: volume.clone() }),
-                    None => Ok(()),
-                }
-            }
-            Change::Volume { name, plan } => {
-                named(name)?;
+            Change::RemovePlan { name } => self.check_removal_of_plan(name),
+            Change::AssignPlan { volume, plan } => {
+                check_name(volume)?;
                 if !self.plans.contains_key(plan) {
-                    return Err(Refused::NoSuchPlan(plan.clone()));
+                    return Err(ChangeError::UnknownPlan(plan.clone()));
                 }
-                if self.volumes.get(name) == Some(plan) { Err(Refused::Same) } else { Ok(()) }
+                expect_difference(self.volumes.get(volume), plan)
+            }
+            Change::RemoveVolume { volume } if self.volumes.contains_key(volume) => Ok(()),
+            Change::RemoveVolume { volume } => Err(ChangeError::UnknownVolume(volume.clone())),
+        }
+    }
+
+    fn check_removal_of_plan(&self, name: &str) -> Result<(), ChangeError> {
+        if !self.plans.contains_key(name) {
+            return Err(ChangeError::UnknownPlan(name.to_owned()));
+        }
+        match self.volumes.iter().find(|(_, plan)| *plan == name) {
+            Some((volume, _)) => {
+                Err(ChangeError::PlanInUse { plan: name.to_owned(), volume: volume.clone() })
             }
-            Change::VolumeGone { name } if self.volumes.contains_key(name) => Ok(()),
-            Change::VolumeGone { name } => Err(Refused::NoSuchVolume(name.clone())),
+            None => Ok(()),
         }
     }
 
-    /// Makes a change; the next version. Error, and nothing changed, where it cannot be made.
-    pub fn apply(&mut self, change: &Change) -> Result<(), Refused> {
+    /// Makes a change, which leads to the next version.
+    ///
+    /// # Errors
+    ///
+    /// Why the change cannot be made; nothing is changed then.
+    pub fn apply(&mut self, change: &Change) -> Result<(), ChangeError> {
         self.check(change)?;
         self.version += 1;
         match change.clone() {
-            Change::Plan { name, figures } => drop(self.plans.insert(name, figures)),
-            Change::PlanGone { name } => drop(self.plans.remove(&name)),
-            Change::Volume { name, plan } => drop(self.volumes.insert(name, plan)),
-            Change::VolumeGone { name } => drop(self.volumes.remove(&name)),
+            Change::SetPlan { name, plan } => drop(self.plans.insert(name, plan)),
+            Change::RemovePlan { name } => drop(self.plans.remove(&name)),
+            Change::AssignPlan { volume, plan } => drop(self.volumes.insert(volume, plan)),
+            Change::RemoveVolume { volume } => drop(self.volumes.remove(&volume)),
         }
         Ok(())
     }
 
-    /// The change that takes a change back, made on what stood before it. What has changed since is not
-    /// touched: the answer is checked like any other change.
-    pub fn undo(&self, change: &Change) -> Change {
+    /// The change that reverts a change which was made to this state. What has changed since is not touched; the
+    /// caller checks the answer against the present state like any other change.
+    #[must_use]
+    pub fn revert(&self, change: &Change) -> Change {
         match change {
-            Change::Plan { name, .. } | Change::PlanGone { name } => match self.plans.get(name) {
-                Some(figures) => Change::Plan { name: name.clone(), figures: figures.clone() },
-                None => Change::PlanGone { name: name.clone() },
-            },
-            Change::Volume { name, .. } | Change::VolumeGone { name } => match self.volumes.get(name) {
-                Some(plan) => Change::Volume { name: name.clone(), plan: plan.clone() },
-                None => Change::VolumeGone { name: name.clone() },
+            Change::SetPlan { name, .. } | Change::RemovePlan { name } => match self.plans.get(name) {
+                Some(plan) => Change::SetPlan { name: name.clone(), plan: plan.clone() },
+                None => Change::RemovePlan { name: name.clone() },
             },
+            Change::AssignPlan { volume, .. } | Change::RemoveVolume { volume } => {
+                match self.volumes.get(volume) {
+                    Some(plan) => Change::AssignPlan { volume: volume.clone(), plan: plan.clone() },
+                    None => Change::RemoveVolume { volume: volume.clone() },
+                }
+            }
         }
     }
 
-    /// What is different in another state, a change each; applied in this order they lead there.
-    pub fn diff(&self, to: &State) -> Vec<Change> {
-        let plan = |(name, figures): (&String, &Plan)| {
-            let differs = self.plans.get(name) != Some(figures);
-            differs.then(|| Change::Plan { name: name.clone(), figures: figures.clone() })
-        };
-        let volume = |(name, plan): (&String, &String)| {
-            let differs = self.volumes.get(name) != Some(plan);
-            differs.then(|| Change::Volume { name: name.clone(), plan: plan.clone() })
+    /// The changes that lead from this state to another one, in the order in which they can be applied.
+    #[must_use]
+    pub fn diff(&self, target: &State) -> Vec<Change> {
+        let plans_to_set = target.plans.iter().filter(|(name, plan)| self.plans.get(*name) != Some(plan));
+        let plans_to_assign =
+            target.volumes.iter().filter(|(volume, plan)| self.volumes.get(*volume) != Some(plan));
+        let removed_volumes = self.volumes.keys().filter(|volume| !target.volumes.contains_key(*volume));
+        let removed_plans = self.plans.keys().filter(|name| !target.plans.contains_key(*name));
+
+        let set = |(name, plan): (&String, &Plan)| Change::SetPlan { name: name.clone(), plan: plan.clone() };
+        let assign = |(volume, plan): (&String, &String)| Change::AssignPlan {
+            volume: volume.clone(),
+            plan: plan.clone(),
         };
-        let gone = self.volumes.keys().filter(|n| !to.volumes.contains_key(*n));
-        let idle = self.plans.keys().filter(|n| !to.plans.contains_key(*n));
-        let mut all: Vec<Change> = to.plans.iter().filter_map(plan).collect();
-        all.extend(to.volumes.iter().filter_map(volume));
-        all.extend(gone.map(|name| Change::VolumeGone { name: name.clone() }));
-        all.extend(idle.map(|name| Change::PlanGone { name: name.clone() }));
-        all
+        let mut changes: Vec<Change> = plans_to_set.map(set).collect();
+        changes.extend(plans_to_assign.map(assign));
+        changes.extend(removed_volumes.map(|volume| Change::RemoveVolume { volume: volume.clone() }));
+        changes.extend(removed_plans.map(|name| Change::RemovePlan { name: name.clone() }));
+        changes
     }
 }
+
+fn check_name(name: &str) -> Result<(), ChangeError> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
+        return Err(ChangeError::InvalidName(name.to_owned()));
+    }
+    Ok(())
+}
+
+fn expect_difference<T: PartialEq>(current: Option<&T>, next: &T) -> Result<(), ChangeError> {
+    if current == Some(next) { Err(ChangeError::NoEffect) } else { Ok(()) }
+}
--- /dev/null
+++ b/crates/plans/tests/change_log.rs
@@ -0,0 +1,132 @@
+//! The change log and the states that it leads to: replay, alterations, conflicts, and reverted changes.
+use mallowseam_plans::change_log::ChangeLog;
+use mallowseam_plans::error::ChangeError;
+use mallowseam_plans::state::{Change, Plan};
+
+fn plan(limit: u64) -> Plan {
+    Plan { limit, burst: 1_000, ..Plan::default() }
+}
+
+fn set(name: &str, plan: Plan) -> Change {
+    Change::SetPlan { name: name.into(), plan }
+}
+
+fn assign(volume: &str, plan: &str) -> Change {
+    Change::AssignPlan { volume: volume.into(), plan: plan.into() }
+}
+
+/// A log of some changes, and its entries.
+fn log_with_entries() -> (ChangeLog, Vec<String>) {
+    let mut changes = vec![
+        set("basic", plan(40_000)),
+        assign("water", "basic"),
+        set("gold", plan(0)),
+        assign("water", "gold"),
+        Change::RemovePlan { name: "basic".into() },
+        Change::RemoveVolume { volume: "water".into() },
+    ];
+    changes.extend((0..20).map(|n| set("gold", plan(1_000 + n))));
+    let (mut log, mut entries) = (ChangeLog::default(), Vec::new());
+    for (version, change) in (0..).zip(changes) {
+        let entry = log.propose(version, "board", "tariff night", 1_800_000_000, change).expect("valid");
+        log.append(&entry).expect("follows");
+        entries.push(entry);
+    }
+    (log, entries)
+}
+
+fn replay(entries: &[String]) -> ChangeLog {
+    ChangeLog::replay(entries.iter().map(String::as_str)).expect("unaltered")
+}
+
+#[test]
+fn replay_leads_to_the_same_state_from_every_version() {
+    let (log, entries) = log_with_entries();
+    assert_eq!(replay(&entries), log);
+    for version in 0..entries.len() {
+        let start = replay(&entries[..version]);
+        let mut continued = ChangeLog::from_snapshot(start.state.clone(), start.last_hash().to_owned());
+        for entry in &entries[version..] {
+            continued.append(entry).expect("follows");
+        }
+        assert_eq!(continued, log, "from version {version}");
+    }
+}
+
+#[test]
+fn one_altered_byte_is_found_at_its_entry_or_the_next() {
+    let (_, entries) = log_with_entries();
+    for index in 0..entries.len() - 1 {
+        for position in 0..entries[index].len() {
+            let mut bytes = entries[index].clone().into_bytes();
+            bytes[position] ^= 1;
+            let Ok(altered) = String::from_utf8(bytes) else { continue };
+            let mut all: Vec<&str> = entries.iter().map(String::as_str).collect();
+            all[index] = &altered;
+            let error = ChangeLog::replay(all.into_iter()).expect_err("altered");
+            assert!(
+                error.line == index as u64 + 1 || error.line == index as u64 + 2,
+                "entry {index}, byte {position}: {error}"
+            );
+        }
+    }
+}
+
+#[test]
+fn a_missing_entry_is_found_at_the_next() {
+    let (_, entries) = log_with_entries();
+    let without_fourth = entries.iter().enumerate().filter(|(index, _)| *index != 3);
+    let replayed = ChangeLog::replay(without_fourth.map(|(_, entry)| entry.as_str()));
+    assert_eq!(replayed.expect_err("one is missing").line, 4);
+}
+
+#[test]
+fn of_two_concurrent_changes_one_wins_and_the_other_is_a_conflict() {
+    let (mut log, _) = log_with_entries();
+    let version = log.state.version;
+    let first = log.propose(version, "a", "x", 0, set("gold", plan(7))).expect("valid");
+    let second = log.propose(version, "b", "y", 0, set("gold", plan(8))).expect("valid");
+    log.append(&first).expect("first");
+    assert!(log.append(&second).is_err());
+    let late = log.propose(version, "b", "y", 0, set("gold", plan(8)));
+    assert_eq!(late, Err(ChangeError::VersionConflict { expected: version, current: version + 1 }));
+    let anonymous = log.propose(version + 1, "", "y", 0, set("gold", plan(8)));
+    assert_eq!(anonymous, Err(ChangeError::MissingReason));
+}
+
+#[test]
+fn parameters_out_of_range_are_rejected() {
+    let (log, _) = log_with_entries();
+    let check = |plan| log.state.check(&set("gold", plan));
+    let without_burst = Plan { limit: 5, burst: 0, ..Plan::default() };
+    assert!(matches!(check(without_burst), Err(ChangeError::InvalidParameter { .. })));
+    let reserve_above_limit = Plan { reserve: 9_000, ..plan(5) };
+    assert!(matches!(check(reserve_above_limit), Err(ChangeError::InvalidParameter { .. })));
+}
+
+#[test]
+fn a_change_can_be_reverted_unless_later_ones_depend_on_it() {
+    let before = log_with_entries().0.state;
+    let change = set("tin", plan(3));
+    let mut after = before.clone();
+    after.apply(&change).expect("valid");
+    after.check(&before.revert(&change)).expect("nothing depends on it");
+    after.apply(&assign("gas", "tin")).expect("valid");
+    let revert = before.revert(&change);
+    assert!(matches!(after.check(&revert), Err(ChangeError::PlanInUse { .. })), "a volume has it by now");
+}
+
+#[test]
+fn a_difference_leads_from_one_state_to_the_other_and_back() {
+    let before = log_with_entries().0.state;
+    let mut after = before.clone();
+    after.apply(&set("tin", plan(3))).expect("valid");
+    after.apply(&assign("gas", "tin")).expect("valid");
+    for (from, to) in [(&before, &after), (&after, &before)] {
+        let mut state = from.clone();
+        for change in from.diff(to) {
+            state.apply(&change).expect("valid in this order");
+        }
+        assert_eq!((&state.plans, &state.volumes), (&to.plans, &to.volumes));
+    }
+}
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -1,14 +1,14 @@
 //! Pins every decision of the package: seeded streams of events are played against the public interface, and a
 //! hash over all actions that they led to is compared with the one recorded at commit 01f3988. A pin that fails
 //! means that a decision, a constant or the arithmetic has changed; the values are never recorded anew.
-use mallowseam_plans::deal::{ASK, GRANT, Pool};
-use mallowseam_plans::force::{Hosts, LATE, Waits};
-use mallowseam_plans::lend::{LOAN, MARGIN, Share};
-use mallowseam_plans::member::{Heard, Member, TRY_MOST};
-use mallowseam_plans::state::{Change, MOST, Plan};
-use mallowseam_plans::trail::Trail;
-use mallowseam_plans::words::{ToControl, ToMember};
-use mallowseam_plans::{Millis, Units};
+use mallowseam_plans::change_log::ChangeLog;
+use mallowseam_plans::host_quota::{CLOCK_SKEW_MARGIN, HostQuota, LOAN_DURATION};
+use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
+use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
+use mallowseam_plans::replica::{HostedVolume, MAX_RECONNECT_DELAY, PlanReplica, ReplicaAction};
+use mallowseam_plans::rollout::{Rollout, RolloutBlocker, SILENT_AFTER};
+use mallowseam_plans::state::{Change, MAX_PARAMETER, Plan};
+use mallowseam_plans::{MilliUnits, Millis};
 use std::fmt::Write;
 
 const EVENTS_PER_SEED: usize = 2_000;
@@ -37,12 +37,12 @@
 struct Scenario {
     random: Random,
     now: Millis,
-    trail: Trail,
+    trail: ChangeLog,
     lines: Vec<String>,
-    hosts: Hosts,
-    pools: Vec<Pool>,
-    members: Vec<Member>,
-    shares: Vec<Share>,
+    hosts: Rollout,
+    pools: Vec<QuotaPool>,
+    members: Vec<PlanReplica>,
+    shares: Vec<HostQuota>,
     record: String,
 }
 
@@ -51,16 +51,16 @@
         let mut scenario = Scenario {
             random: Random(seed),
             now: 10_000,
-            trail: Trail::default(),
+            trail: ChangeLog::default(),
             lines: Vec::new(),
-            hosts: Hosts::default(),
-            pools: VOLUMES.iter().map(|_| Pool::new(10_000, true)).collect(),
+            hosts: Rollout::default(),
+            pools: VOLUMES.iter().map(|_| QuotaPool::new(10_000, true)).collect(),
             members: Vec::new(),
-            shares: (0..HOSTS).map(|_| Share::new(1_000_003, 7)).collect(),
+            shares: (0..HOSTS).map(|_| HostQuota::new(1_000_003, 7)).collect(),
             record: String::new(),
         };
         for host in 0..HOSTS {
-            let member = Member::new(&host_name(host), volumes_of(host), None, scenario.now);
+            let member = PlanReplica::new(&host_name(host), volumes_of(host), None, scenario.now);
             scenario.members.push(member);
         }
         scenario
@@ -102,15 +102,18 @@
         match self.trail.propose(expected, author, &reason, seconds, change.clone()) {
             Ok(line) => {
                 self.note(&line);
-                let undo = serde_json::to_string(&self.trail.state.undo(&change)).expect("plain");
+                let undo = serde_json::to_string(&self.trail.state.revert(&change)).expect("plain");
                 let before = self.trail.state.clone();
-                self.trail.follow(&line).expect("it was proposed");
+                self.trail.append(&line).expect("it was proposed");
                 let differs = serde_json::to_string(&before.diff(&self.trail.state)).expect("plain");
                 let state = serde_json::to_string(&self.trail.state).expect("plain");
-                self.note(&format!("undo {undo} diff {differs} state {state} last {}", self.trail.last()));
+                self.note(&format!(
+                    "undo {undo} diff {differs} state {state} last {}",
+                    self.trail.last_hash()
+                ));
                 self.lines.push(line);
                 if self.random.below(2) == 0 {
-                    self.hosts.lowers(self.trail.state.version);
+                    self.hosts.mark_limit_lowered(self.trail.state.version);
                 }
             }
             Err(refused) => self.note(&format!("refused {refused}")),
@@ -125,16 +128,16 @@
             _ => self.random.pick(&VOLUMES).to_owned(),
         };
         match self.random.below(10) {
-            0 => Change::PlanGone { name: plan },
-            1 => Change::VolumeGone { name: volume },
-            2..6 => Change::Volume { name: volume, plan },
-            _ => Change::Plan { name: plan, figures: self.random_figures() },
+            0 => Change::RemovePlan { name: plan },
+            1 => Change::RemoveVolume { volume },
+            2..6 => Change::AssignPlan { volume, plan },
+            _ => Change::SetPlan { name: plan, plan: self.random_figures() },
         }
     }
 
     fn random_figures(&mut self) -> Plan {
         let limit = self.random.below(8) * 123_457;
-        let price = if self.random.below(10) == 0 { MOST + self.random.below(2) } else { 1_000 };
+        let price = if self.random.below(10) == 0 { MAX_PARAMETER + self.random.below(2) } else { 1_000 };
         Plan {
             usual: self.random.below(1_000),
             reserve: self.random.below(200_000),
@@ -148,10 +151,11 @@
     /// A member receives lines or a whole state.
     fn replicate(&mut self) {
         let host = self.random.below(HOSTS) as usize;
-        let ToControl::Hello { version, .. } = self.members[host].hello() else { unreachable!() };
+        let HostMessage::Hello { version, .. } = self.members[host].hello() else { unreachable!() };
         let message = if self.random.below(5) == 0 {
-            let last = if self.random.below(6) == 0 { "x".to_owned() } else { self.trail.last().to_owned() };
-            ToMember::Whole { state: Box::new(self.trail.state.clone()), last }
+            let last =
+                if self.random.below(6) == 0 { "x".to_owned() } else { self.trail.last_hash().to_owned() };
+            ServiceMessage::Snapshot { state: Box::new(self.trail.state.clone()), last_hash: last }
         } else {
             let skipped = self.random.below(8) / 7;
             let Some(text) = self.lines.get((version + skipped) as usize) else { return };
@@ -159,21 +163,21 @@
             if self.random.below(20) == 0 {
                 text.insert(1, ' ');
             }
-            ToMember::Line { text }
+            ServiceMessage::LogEntry { text }
         };
         self.tell_member(host, message);
         let hello = serde_json::to_string(&self.members[host].hello()).expect("plain");
         self.note(&hello);
     }
 
-    fn tell_member(&mut self, host: usize, message: ToMember) -> Option<ToControl> {
-        let wanted: Vec<Units> =
+    fn tell_member(&mut self, host: usize, message: ServiceMessage) -> Option<HostMessage> {
+        let wanted: Vec<MilliUnits> =
             VOLUMES.iter().map(|_| self.random.below(4) * self.random.below(90_000)).collect();
-        let (text, report) = match self.members[host].heard(message, &wanted, self.now) {
-            Heard::Nothing => ("nothing".to_owned(), None),
-            Heard::State => ("state".to_owned(), None),
-            Heard::Say(message) => (serde_json::to_string(&message).expect("plain"), Some(message)),
-            Heard::Lost(why) => (format!("lost {why}"), None),
+        let (text, report) = match self.members[host].receive(message, &wanted, self.now) {
+            ReplicaAction::None => ("nothing".to_owned(), None),
+            ReplicaAction::ApplyPending => ("state".to_owned(), None),
+            ReplicaAction::Send(message) => (serde_json::to_string(&message).expect("plain"), Some(message)),
+            ReplicaAction::Disconnect(why) => (format!("lost {why}"), None),
         };
         self.note(&format!("{host} at {}: {text}", self.now));
         report
@@ -181,25 +185,25 @@
 
     fn answer_version(&mut self) {
         let host = self.random.below(HOSTS) as usize;
-        let next = self.members[host].next().map(|state| state.version);
+        let next = self.members[host].pending().map(|state| state.version);
         let answer = if self.random.below(5) == 0 {
-            self.members[host].against("no such node".to_owned())
+            self.members[host].reject_pending("no such node".to_owned())
         } else {
-            self.members[host].acts_on(self.now)
+            self.members[host].accept_pending(self.now)
         };
         match &answer {
-            Some(ToControl::ActsOn { version }) => {
-                self.hosts.acts_on(&host_name(host as u64), *version, self.now)
+            Some(HostMessage::Accepted { version }) => {
+                self.hosts.on_accepted(&host_name(host as u64), *version, self.now)
             }
-            Some(ToControl::Against { version, why }) => {
-                self.hosts.against(&host_name(host as u64), *version, why, self.now);
+            Some(HostMessage::Rejected { version, reason: why }) => {
+                self.hosts.on_rejected(&host_name(host as u64), *version, why, self.now);
             }
             _ => {}
         }
         let answer = serde_json::to_string(&answer).expect("plain");
         let stands = self.members[host].state().version;
         self.note(&format!("{host} next {next:?} stands {stands}: {answer}"));
-        let everywhere = self.hosts.everywhere(self.trail.state.version, self.now);
+        let everywhere = self.hosts.effective_version(self.trail.state.version, self.now);
         self.note(&format!("{everywhere} everywhere"));
     }
 
@@ -208,14 +212,16 @@
         let host = self.random.below(HOSTS) as usize;
         let latest = if self.random.below(10) == 0 { 3_200 } else { 200 };
         let asked = self.now - self.random.below(latest);
-        let report = self.tell_member(host, ToMember::Ask { asked });
-        let Some(ToControl::Report { asked, sent, volumes, .. }) = report else { return };
+        let report = self.tell_member(host, ServiceMessage::QuotaPoll { polled_at: asked });
+        let Some(HostMessage::QuotaReport { polled_at: asked, sent_at: sent, volumes, .. }) = report else {
+            return;
+        };
         self.now += self.random.below(100);
         let mut granted = Vec::new();
-        for (volume, lent, wants) in volumes {
+        for VolumeReport { volume, lent, requested: wants } in volumes {
             let place = VOLUMES.iter().position(|name| *name == volume).expect("own volumes only");
             let pool = &mut self.pools[place];
-            pool.heard(host as u32, asked, lent, wants, self.now);
+            pool.on_report(host as u32, asked, lent, wants, self.now);
             let amount = pool.grant(host as u32, self.now);
             for borrower in [host as u32, (host as u32 + 1) % HOSTS as u32] {
                 for later in [0, 1_499, 1_500, 1_549, 1_550] {
@@ -228,35 +234,36 @@
         self.note(&format!("granted to {host}: {granted:?}"));
         self.now += self.random.below(100);
         let span = if self.random.below(20) == 0 { self.random.below(50) } else { 1_500 };
-        self.tell_member(host, ToMember::Granted { sent, span, volumes: granted });
+        let volumes = granted.into_iter().map(VolumeLease::from).collect();
+        self.tell_member(host, ServiceMessage::QuotaLeases { requested_at: sent, duration: span, volumes });
     }
 
     fn restart(&mut self) {
         if self.random.below(4) == 0 {
             let place = self.random.below(VOLUMES.len() as u64) as usize;
-            self.pools[place] = Pool::new(self.now, self.random.below(3) == 0);
+            self.pools[place] = QuotaPool::new(self.now, self.random.below(3) == 0);
             return;
         }
         let host = self.random.below(HOSTS);
-        let kept = (self.random.below(4) > 0).then(|| self.members[host as usize].trail().clone());
-        self.members[host as usize] = Member::new(&host_name(host), volumes_of(host), kept, self.now);
+        let kept = (self.random.below(4) > 0).then(|| self.members[host as usize].log().clone());
+        self.members[host as usize] = PlanReplica::new(&host_name(host), volumes_of(host), kept, self.now);
     }
 
     fn follow_hosts(&mut self) {
         let host = host_name(self.random.below(HOSTS + 1));
         match self.random.below(4) {
-            0 => self.hosts.heard(&host, self.now),
+            0 => self.hosts.on_contact(&host, self.now),
             1 => {
-                let gone = self.hosts.gone(&host, self.now);
+                let gone = self.hosts.declare_removed(&host, self.now);
                 self.note(&format!("{host} gone {gone}"));
             }
-            2 => self.hosts.acts_on(&host, self.random.below(self.trail.state.version + 1), self.now),
+            2 => self.hosts.on_accepted(&host, self.random.below(self.trail.state.version + 1), self.now),
             _ => {
                 let version = self.trail.state.version + self.random.below(2);
-                self.hosts.against(&host, version, "not now", self.now);
+                self.hosts.on_rejected(&host, version, "not now", self.now);
             }
         }
-        let (known, count) = (self.hosts.knows(&host), self.hosts.count());
+        let (known, count) = (self.hosts.is_member(&host), self.hosts.member_count());
         self.note(&format!("{host} known {known} of {count}"));
         self.note_rollout();
     }
@@ -266,17 +273,21 @@
         for later in [0, 2_999, 3_000, 3_049, 3_050] {
             let now = self.now + later;
             for version in newest.saturating_sub(2)..=newest {
-                for wait in self.hosts.waits(version, now) {
+                for wait in self.hosts.blockers(version, now) {
                     let text = match wait {
-                        Waits::Silent { host, acts_on, since } => format!("silent {host} {acts_on} {since}"),
-                        Waits::Behind { host, acts_on } => format!("behind {host} {acts_on}"),
-                        Waits::Against { host, why } => format!("against {host} {why}"),
-                        Waits::Lapses { at } => format!("lapses {at}"),
+                        RolloutBlocker::Silent { host, accepted_version: acts_on, last_contact: since } => {
+                            format!("silent {host} {acts_on} {since}")
+                        }
+                        RolloutBlocker::Behind { host, accepted_version: acts_on } => {
+                            format!("behind {host} {acts_on}")
+                        }
+                        RolloutBlocker::Rejected { host, reason: why } => format!("against {host} {why}"),
+                        RolloutBlocker::UnexpiredLeases { until: at } => format!("lapses {at}"),
                     };
                     self.note(&text);
                 }
             }
-            let everywhere = self.hosts.everywhere(newest, now);
+            let everywhere = self.hosts.effective_version(newest, now);
             self.note(&format!("{everywhere} of {newest} everywhere"));
         }
     }
@@ -285,7 +296,7 @@
         let host = self.random.below(HOSTS) as usize;
         for step in 0..self.random.below(300) {
             let chance = self.random.below(1_100);
-            if self.members[host].connects(self.now + step * 17, chance) {
+            if self.members[host].should_connect(self.now + step * 17, chance) {
                 self.note(&format!("{host} connects at {}", self.now + step * 17));
             }
         }
@@ -298,17 +309,17 @@
         let share = &mut self.shares[host];
         let text = match self.random.below(6) {
             0 => {
-                share.started(self.now + back, self.now);
+                share.restrict_until(self.now + back, self.now);
                 format!("started {back}")
             }
             1 => {
-                share.limit(amount * 9, self.random.below(8) as u32);
-                format!("even {}", share.even())
+                share.set_limit(amount * 9, self.random.below(8) as u32);
+                format!("even {}", share.nominal())
             }
-            2 => format!("spare {}", share.spare(amount)),
+            2 => format!("spare {}", share.lendable(amount)),
             3 => format!("lent {}", share.lend(amount, self.now)),
             _ => {
-                share.granted(amount, self.now - back, 1_500, self.now);
+                share.add_lease(amount, self.now - back, 1_500, self.now);
                 format!("granted {amount}")
             }
         };
@@ -321,13 +332,13 @@
         for later in laters {
             let at = self.now + later;
             for member in &self.members {
-                for part in member.parts(at) {
+                for part in member.available_quotas(at) {
                     write!(self.record, "{} ", part.map_or("-".to_owned(), |p| p.to_string()))
                         .expect("memory");
                 }
             }
             for share in &self.shares {
-                write!(self.record, "{} ", share.part(at)).expect("writing to memory");
+                write!(self.record, "{} ", share.available(at)).expect("writing to memory");
             }
         }
         self.record.push('\n');
@@ -339,10 +350,10 @@
 }
 
 /// Volumes of a host, each with the number of hosts that have it.
-fn volumes_of(host: u64) -> Vec<(String, u32)> {
+fn volumes_of(host: u64) -> Vec<HostedVolume> {
     let skipped = host as usize % (VOLUMES.len() + 1);
     let own = VOLUMES.iter().enumerate().filter(|(place, _)| *place != skipped);
-    own.map(|(place, name)| ((*name).to_owned(), place as u32 + 3)).collect()
+    own.map(|(place, name)| HostedVolume { name: (*name).to_owned(), host_count: place as u32 + 3 }).collect()
 }
 
 fn digest(seed: u64) -> String {
@@ -363,44 +374,47 @@
 
 #[test]
 fn constants_are_the_recorded_ones() {
-    assert_eq!((LOAN, MARGIN, GRANT, ASK, LATE, TRY_MOST), (3_000, 50, 1_500, 500, 3_000, 5_000));
-    assert_eq!(MOST, 1_000_000_000_000);
+    assert_eq!(
+        (LOAN_DURATION, CLOCK_SKEW_MARGIN, LEASE_DURATION, POLL_INTERVAL, SILENT_AFTER, MAX_RECONNECT_DELAY),
+        (3_000, 50, 1_500, 500, 3_000, 5_000)
+    );
+    assert_eq!(MAX_PARAMETER, 1_000_000_000_000);
 }
 
 /// The seeded events seldom fall on the very millisecond at which something lapses: these do.
 #[test]
 fn a_pool_counts_to_the_recorded_millisecond() {
-    let mut pool = Pool::new(0, true);
-    pool.heard(0, 0, 300, 0, 10);
+    let mut pool = QuotaPool::new(0, true);
+    pool.on_report(0, 0, 300, 0, 10);
     // A loan of 3,000 ms covers a grant that may be in use for 1,550 ms up to here.
     for (now, amount) in [(1_450, 300), (1_451, 0)] {
         let mut pool = pool.clone();
-        pool.heard(1, now, 0, 400, now);
+        pool.on_report(1, now, 0, 400, now);
         assert_eq!(pool.grant(1, now), amount, "loan at {now}");
     }
     // What a host wants is known for 1,500 ms: until then it takes its part from the other's.
     for (later, amount) in [(1_499, 150), (1_500, 300)] {
-        let mut pool = Pool::new(0, true);
-        pool.heard(1, 0, 0, 400, 0);
-        pool.heard(0, later, 300, 0, later);
-        pool.heard(2, later, 0, 400, later);
+        let mut pool = QuotaPool::new(0, true);
+        pool.on_report(1, 0, 0, 400, 0);
+        pool.on_report(0, later, 300, 0, later);
+        pool.on_report(2, later, 0, 400, later);
         assert_eq!(pool.grant(2, later), amount, "wants after {later}");
     }
     // A grant of 1,500 ms is counted for 1,550 ms.
     for (later, amount) in [(1_549, 0), (1_550, 300)] {
-        let mut pool = Pool::new(0, true);
-        pool.heard(0, 0, 300, 0, 0);
-        pool.heard(1, 0, 0, 400, 0);
+        let mut pool = QuotaPool::new(0, true);
+        pool.on_report(0, 0, 300, 0, 0);
+        pool.on_report(1, 0, 0, 400, 0);
         assert_eq!(pool.grant(1, 0), 300);
-        pool.heard(0, later, 300, 0, later);
-        pool.heard(2, later, 0, 400, later);
+        pool.on_report(0, later, 300, 0, later);
+        pool.on_report(2, later, 0, 400, later);
         assert_eq!(pool.grant(2, later), amount, "grant after {later}");
     }
     // A service that is not the first one waits as long.
     for (later, amount) in [(1_549, 0), (1_550, 300)] {
-        let mut pool = Pool::new(0, false);
-        pool.heard(0, later, 300, 0, later);
-        pool.heard(1, later, 0, 400, later);
+        let mut pool = QuotaPool::new(0, false);
+        pool.on_report(0, later, 300, 0, later);
+        pool.on_report(1, later, 0, 400, later);
         assert_eq!(pool.grant(1, later), amount, "start after {later}");
     }
 }
@@ -412,8 +426,9 @@
         (1_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
         (5_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
     ] {
-        let mut member = Member::new("h", Vec::new(), None, 0);
-        let attempts: Vec<Millis> = (0..20_000).filter(|now| member.connects(*now, chance)).take(9).collect();
+        let mut member = PlanReplica::new("h", Vec::new(), None, 0);
+        let attempts: Vec<Millis> =
+            (0..20_000).filter(|now| member.should_connect(*now, chance)).take(9).collect();
         assert_eq!(attempts, expected, "chance {chance}");
     }
 }
--- a/crates/trail/src/lib.rs
+++ b/crates/trail/src/lib.rs
@@ -1,7 +1,7 @@
 //! The trail of plans on disk, in `redb`: its lines, and now and then the whole state behind one of them, so that
 //! opening reads few lines however long the trail is. What `keep` has returned for is there after any crash.
+use mallowseam_plans::change_log::{ChangeLog, LogEntry};
 use mallowseam_plans::state::State;
-use mallowseam_plans::trail::{Line, Trail};
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::fmt;
 use std::path::Path;
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Store {
     db: Database,
-    trail: Trail,
+    trail: ChangeLog,
     /// A write failed halfway: what is on disk may be more than what is known here.
     unsure: bool,
 }
@@ -79,10 +79,10 @@
     }
 
     /// The last whole state up to a version, and the lines behind it.
-    fn up_to(db: &Database, version: u64) -> Result<Trail, Fault> {
+    fn up_to(db: &Database, version: u64) -> Result<ChangeLog, Fault> {
         let read = db.begin_read().map_err(store)?;
         let states = read.open_table(STATES).map_err(store)?;
-        let mut trail = Trail::default();
+        let mut trail = ChangeLog::default();
         if let Some(row) = states.range(..=version).map_err(store)?.next_back() {
             let (of, row) = row.map_err(store)?;
             let (text, last) = row.value();
@@ -90,27 +90,27 @@
             if state.version != of.value() {
                 return Err(damaged(format!("state {} under {}", state.version, of.value())));
             }
-            trail = Trail::from_base(state, last.to_owned());
+            trail = ChangeLog::from_snapshot(state, last.to_owned());
         }
         let lines = read.open_table(LINES).map_err(store)?;
         for row in lines.range(trail.state.version + 1..=version).map_err(store)? {
-            trail.follow(row.map_err(store)?.1.value()).map_err(damaged)?;
+            trail.append(row.map_err(store)?.1.value()).map_err(damaged)?;
         }
         Ok(trail)
     }
 
-    pub fn trail(&self) -> &Trail {
+    pub fn trail(&self) -> &ChangeLog {
         &self.trail
     }
 
     /// Puts a line on disk and takes it up. Refused where it does not follow, and then nothing is changed; after
     /// a store fault nothing more is taken, as what is there is known only after opening anew.
-    pub fn keep(&mut self, text: &str) -> Result<Line, Fault> {
+    pub fn keep(&mut self, text: &str) -> Result<LogEntry, Fault> {
         if self.unsure {
             return Err(Fault::Store("an earlier write has failed; open it anew".into()));
         }
         let mut next = self.trail.clone();
-        let line = next.follow(text).map_err(damaged)?;
+        let line = next.append(text).map_err(damaged)?;
         self.unsure = true;
         let write = self.db.begin_write().map_err(store)?;
         {
@@ -119,7 +119,7 @@
             if line.version.is_multiple_of(EVERY) {
                 let state = serde_json::to_string(&next.state).map_err(store)?;
                 let mut states = write.open_table(STATES).map_err(store)?;
-                states.insert(line.version, (state.as_str(), next.last())).map_err(store)?;
+                states.insert(line.version, (state.as_str(), next.last_hash())).map_err(store)?;
             }
         }
         write.commit().map_err(store)?;
@@ -158,7 +158,7 @@
     }
 
     /// The trail as it stood at a version.
-    pub fn at(&self, version: u64) -> Result<Option<Trail>, Fault> {
+    pub fn at(&self, version: u64) -> Result<Option<ChangeLog>, Fault> {
         if version > self.trail.state.version {
             return Ok(None);
         }
@@ -170,13 +170,13 @@
         let read = self.db.begin_read().map_err(store)?;
         let lines = read.open_table(LINES).map_err(store)?;
         let states = read.open_table(STATES).map_err(store)?;
-        let mut trail = Trail::default();
+        let mut trail = ChangeLog::default();
         for row in lines.iter().map_err(store)? {
-            trail.follow(row.map_err(store)?.1.value()).map_err(damaged)?;
+            trail.append(row.map_err(store)?.1.value()).map_err(damaged)?;
             let version = trail.state.version;
             if let Some(row) = states.get(version).map_err(store)? {
                 let state = serde_json::to_string(&trail.state).map_err(store)?;
-                if row.value() != (state.as_str(), trail.last()) {
+                if row.value() != (state.as_str(), trail.last_hash()) {
                     return Err(damaged(format!(
                         "the state kept at version {version} is not what the trail gives"
                     )));
--- a/crates/trail/tests/trails.rs
+++ b/crates/trail/tests/trails.rs
@@ -1,6 +1,6 @@
 //! Power lost at every write; lines altered on disk.
+use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::state::{Change, Plan};
-use mallowseam_plans::trail::Trail;
 use mallowseam_trail::{EVERY, Store};
 use redb::ReadableDatabase;
 use std::sync::{Arc, Mutex};
@@ -41,7 +41,7 @@
 
 fn change(n: u64) -> Change {
     let figures = Plan { limit: 1_000 + n, burst: 1, ..Plan::default() };
-    Change::Plan { name: format!("p{}", n % 3), figures }
+    Change::SetPlan { name: format!("p{}", n % 3), plan: figures }
 }
 
 fn line(store: &Store, n: u64) -> String {
@@ -54,7 +54,7 @@
     let mut store = Store::open_on(tape.clone()).expect("new");
     let before = tape.0.lock().expect("no panic").0.clone();
     tape.0.lock().expect("no panic").1.clear();
-    let mut acked: Vec<(usize, Trail)> = vec![(0, store.trail().clone())];
+    let mut acked: Vec<(usize, ChangeLog)> = vec![(0, store.trail().clone())];
     for n in 0..12 {
         let text = line(&store, n);
         store.keep(&text).expect("kept");
