--- a/crates/trail/tests/stored_trails.rs
+++ b/crates/trail/tests/stored_trails.rs
@@ -64,14 +64,14 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
     let mut store = Store::open(&path).expect("sound");
-    assert_eq!((state(&store).as_str(), store.trail().last()), (STATE, LAST));
+    assert_eq!((state(&store).as_str(), store.trail().last_hash()), (STATE, LAST));
     assert_eq!(store.members().expect("sound"), ["host-a", "host-c"]);
     assert_eq!(store.lines(0, 1).expect("sound"), [FIRST_LINE]);
     assert_eq!(store.lines(1_026, 9).expect("sound"), [LINE_1_026]);
     assert_eq!(store.replay().expect("sound"), 1_026);
     let early = store.at(3).expect("sound").expect("a version");
     assert_eq!(early.state.volumes.keys().collect::<Vec<_>>(), ["v", "w"]);
-    let change = Change::Volume { name: "x".into(), plan: "gold".into() };
+    let change = Change::AssignPlan { volume: "x".into(), plan: "gold".into() };
     let text = store.trail().propose(1_026, "c", "d", 1_800_000_000, change).expect("fits");
     assert_eq!(store.keep(&text).expect("kept").version, 1_027);
     store.member("host-d", true).expect("kept");
