--- /dev/null
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -0,0 +1,62 @@
+//! Endpoints and updates of the list of them.
+
+/// Whether an endpoint takes requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointState {
+    /// It takes requests.
+    Active,
+    /// It completes what it has and takes nothing new.
+    Draining,
+    /// It is no longer there.
+    Removed,
+}
+
+impl EndpointState {
+    /// The state's name on the wire.
+    #[must_use]
+    pub fn as_str(self) -> &'static str {
+        match self {
+            EndpointState::Active => "active",
+            EndpointState::Draining => "leaving",
+            EndpointState::Removed => "left",
+        }
+    }
+
+    /// The state that has this name on the wire.
+    #[must_use]
+    pub fn from_wire(name: &str) -> Option<EndpointState> {
+        let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
+        states.into_iter().find(|state| state.as_str() == name)
+    }
+}
+
+/// A node as the service lists it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Endpoint {
+    /// Name of the node.
+    pub name: String,
+    /// Whether it takes requests.
+    pub state: EndpointState,
+    /// Tells one run of the node's process from another, and grows from run to run; 0: started long ago.
+    pub incarnation: u64,
+    /// How long this run has been up, in milliseconds, when the service sent it.
+    pub uptime_ms: u64,
+}
+
+/// How an update relates to what was known before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateKind {
+    /// All endpoints.
+    FullSnapshot,
+    /// Only those that have changed since the version before.
+    Incremental,
+}
+
+/// A version of the list, newer than all before.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EndpointUpdate {
+    /// Full or incremental.
+    pub kind: UpdateKind,
+    /// The endpoints, in the order of the message.
+    pub endpoints: Vec<Endpoint>,
+}
--- /dev/null
+++ b/crates/endpoint-list/src/lib.rs
@@ -0,0 +1,27 @@
+//! The protocol of the endpoint list service, free of I/O: which nodes there are, and which of them take requests.
+//!
+//! Lines of text over a stream. A host sends `watch HOST` (a full snapshot, then each change as it happens) or
+//! `all HOST` (one full snapshot), with its own name. The service answers with messages of a head line and COUNT
+//! lines after it:
+//!
+//! ```text
+//! list EPOCH VERSION whole|changes COUNT
+//! node NAME active|leaving|left INCARNATION UPTIME
+//! ```
+//!
+//! EPOCH is drawn by the service at its start, VERSION counts up within it. INCARNATION tells one run of a node's
+//! process from another and is 0 for one that started long ago; UPTIME is how long that run has been up, in
+//! milliseconds, as the service knows at sending. The clocks of host and service are never compared.
+//!
+//! - [`endpoint`]: what the service says of a node.
+//! - [`wire`]: the lines, written and parsed.
+//! - [`watcher`]: a host's side, with a cache for the next start.
+#![warn(missing_docs)]
+
+pub mod endpoint;
+pub mod watcher;
+pub mod wire;
+
+pub use endpoint::{Endpoint, EndpointState, EndpointUpdate, UpdateKind};
+pub use watcher::{EndpointWatcher, WatchEvent};
+pub use wire::{MAX_ENDPOINTS, MAX_LINE_BYTES, ProtocolError, write_update};
--- /dev/null
+++ b/crates/endpoint-list/src/wire.rs
@@ -0,0 +1,94 @@
+//! The lines of the protocol, written and parsed.
+use crate::endpoint::{Endpoint, EndpointState, UpdateKind};
+use std::fmt::Write;
+use thiserror::Error;
+
+/// Longest line, in bytes.
+pub const MAX_LINE_BYTES: usize = 256;
+/// Most endpoints in one message.
+pub const MAX_ENDPOINTS: usize = 4096;
+
+/// A line that is not as the protocol asks for. The stream cannot be trusted from there on.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("node list, line {line}: expected {expected}")]
+pub struct ProtocolError {
+    /// Number of the line on its connection or in its file, counted from 1.
+    pub line: u64,
+    /// What the protocol asks for in its place.
+    pub expected: &'static str,
+}
+
+/// The head line of a message.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct UpdateHead {
+    pub epoch: u64,
+    pub version: u64,
+    pub kind: UpdateKind,
+    /// Number of endpoint lines that follow.
+    pub count: usize,
+}
+
+impl ProtocolError {
+    /// An error constructor for one line.
+    fn on_line(line: u64) -> impl Fn(&'static str) -> ProtocolError {
+        move |expected| ProtocolError { line, expected }
+    }
+}
+
+/// Parses the head line of a message; `line` is its number.
+pub(crate) fn parse_head(text: &str, line: u64) -> Result<UpdateHead, ProtocolError> {
+    let error = ProtocolError::on_line(line);
+    let fields: Vec<&str> = text.split(' ').collect();
+    let ["list", epoch, version, kind, count] = fields[..] else {
+        return Err(error("list EPOCH VERSION whole|changes COUNT"));
+    };
+    let kind = match kind {
+        "whole" => UpdateKind::FullSnapshot,
+        "changes" => UpdateKind::Incremental,
+        _ => return Err(error("whole or changes")),
+    };
+    let count: u64 = count.parse().map_err(|_| error("a count"))?;
+    let count = usize::try_from(count).unwrap_or(usize::MAX);
+    if count > MAX_ENDPOINTS {
+        return Err(error("at most 4096 nodes"));
+    }
+    let epoch = epoch.parse().map_err(|_| error("an epoch"))?;
+    let version = version.parse().map_err(|_| error("a version"))?;
+    Ok(UpdateHead { epoch, version, kind, count })
+}
+
+/// Parses the line of one endpoint; `line` is its number.
+pub(crate) fn parse_endpoint(text: &str, line: u64) -> Result<Endpoint, ProtocolError> {
+    let error = ProtocolError::on_line(line);
+    let fields: Vec<&str> = text.split(' ').collect();
+    let ["node", name, state, incarnation, uptime] = fields[..] else {
+        // The protocol's first names of the incarnation and the uptime.
+        return Err(error("node NAME active|leaving|left BORN AGE"));
+    };
+    if name.is_empty() {
+        return Err(error("a name"));
+    }
+    let state = EndpointState::from_wire(state).ok_or_else(|| error("active, leaving or left"))?;
+    let incarnation = incarnation.parse().map_err(|_| error("a start"))?;
+    let uptime_ms = uptime.parse().map_err(|_| error("an age"))?;
+    Ok(Endpoint { name: name.to_owned(), state, incarnation, uptime_ms })
+}
+
+/// Appends a message of the service to a text.
+pub fn write_update(out: &mut String, epoch: u64, version: u64, kind: UpdateKind, endpoints: &[Endpoint]) {
+    let kind = match kind {
+        UpdateKind::FullSnapshot => "whole",
+        UpdateKind::Incremental => "changes",
+    };
+    let count = endpoints.len();
+    writeln!(out, "list {epoch} {version} {kind} {count}").expect("writing to memory");
+    for endpoint in endpoints {
+        write_endpoint(out, endpoint);
+    }
+}
+
+pub(crate) fn write_endpoint(out: &mut String, endpoint: &Endpoint) {
+    let Endpoint { name, state, incarnation, uptime_ms } = endpoint;
+    let state = state.as_str();
+    writeln!(out, "node {name} {state} {incarnation} {uptime_ms}").expect("writing to memory");
+}
--- a/crates/nodelist/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -1,21 +1,22 @@
 //! Pins the protocol: every line that is written, and what is read from every form of it, cut at every byte and
 //! with every byte changed, compared with what commit 01f3988 wrote and read.
-use mallowseam_nodelist::{
-    Condition, Entry, Heard, LINE_MOST, NODES_MOST, Register, Update, Wrong, write_list,
+use mallowseam_endpoint_list::{
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, MAX_ENDPOINTS, MAX_LINE_BYTES, ProtocolError,
+    UpdateKind, WatchEvent, write_update,
 };
 use std::fmt::Write;
 
-const CONDITIONS: [Condition; 3] = [Condition::Active, Condition::Leaving, Condition::Left];
+const STATES: [EndpointState; 3] = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
 
 /// What the host knows after `WHOLE`, as it is kept for the next start.
-const KEPT: &str =
+const CACHED: &str =
     "kept 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\nend\n";
 const WHOLE: &str =
     "list 9 3 whole 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\n";
 const CHANGES: &str = "list 9 4 changes 1\nnode a1 left 5 20\n";
 const EMPTY: &str = "list 18446744073709551615 0 whole 0\n";
 
-/// FNV-1a: the package has no dependency, and neither needs its test one.
+/// FNV-1a, so that the test needs no dependency.
 fn digest(text: &str) -> String {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in text.bytes() {
@@ -24,82 +25,91 @@
     format!("{hash:016x}")
 }
 
-fn entry(name: &str, condition: Condition, born: u64, age: u64) -> Entry {
-    Entry { name: name.into(), condition, born, age }
+fn entry(name: &str, state: EndpointState, incarnation: u64, uptime_ms: u64) -> Endpoint {
+    Endpoint { name: name.into(), state, incarnation, uptime_ms }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<Endpoint> {
     vec![
-        entry("a1", Condition::Active, 5, 10),
-        entry("b-2", Condition::Leaving, 0, u64::MAX),
-        entry("c", Condition::Left, 7, 0),
+        entry("a1", EndpointState::Active, 5, 10),
+        entry("b-2", EndpointState::Draining, 0, u64::MAX),
+        entry("c", EndpointState::Removed, 7, 0),
     ]
 }
 
-fn describe_update(update: &Update) -> String {
-    let mut text = format!("news {}", if update.whole { "whole" } else { "changes" });
-    for e in &update.entries {
-        write!(text, " [{} {} {} {}]", e.name, e.condition.word(), e.born, e.age).expect("writing to memory");
+fn describe_update(update: &EndpointUpdate) -> String {
+    let mut text = format!(
+        "news {}",
+        match update.kind {
+            UpdateKind::FullSnapshot => "whole",
+            UpdateKind::Incremental => "changes",
+        }
+    );
+    for e in &update.endpoints {
+        write!(text, " [{} {} {} {}]", e.name, e.state.as_str(), e.incarnation, e.uptime_ms)
+            .expect("writing to memory");
     }
     text
 }
 
-fn describe(heard: &Heard) -> String {
-    match heard {
-        Heard::Nothing => "nothing".to_owned(),
-        Heard::News(update) => describe_update(update),
-        Heard::Missed => "missed".to_owned(),
+fn describe(event: &WatchEvent) -> String {
+    match event {
+        WatchEvent::Update(update) => describe_update(update),
+        WatchEvent::SnapshotRequired => "missed".to_owned(),
     }
 }
 
-/// What a register makes of some bytes: all that was told, the error if there was one, and what it knows then.
-fn receive(register: &mut Register, bytes: &[u8]) -> String {
+/// What a watcher makes of some bytes: all that was told, the error if there was one, and what it knows then.
+fn receive(watcher: &mut EndpointWatcher, bytes: &[u8]) -> String {
     let mut text = String::new();
-    let result = register.receive(bytes, |heard| {
-        text.push_str(&describe(&heard));
+    let result = watcher.receive(bytes, |event| {
+        text.push_str(&describe(&event));
         text.push('\n');
     });
     if let Err(wrong) = result {
         writeln!(text, "error {} {wrong}", wrong.line).expect("writing to memory");
     }
-    let (epoch, version) = register.version();
-    writeln!(text, "at {epoch} {version} knows {:?}", register.keep()).expect("writing to memory");
+    let (epoch, version) = watcher.version();
+    writeln!(text, "at {epoch} {version} knows {:?}", watcher.write_cache()).expect("writing to memory");
     text
 }
 
 fn restore(text: &str) -> String {
-    let mut register = Register::default();
-    let result = match register.restore(text) {
+    let mut watcher = EndpointWatcher::default();
+    let result = match watcher.restore_cache(text) {
         Ok(update) => describe_update(&update),
         Err(wrong) => format!("error {} {wrong}", wrong.line),
     };
-    format!("{result} at {:?} knows {:?}", register.version(), register.keep())
+    format!("{result} at {:?} knows {:?}", watcher.version(), watcher.write_cache())
 }
 
 #[test]
 fn every_line_is_written_as_recorded() {
     let mut out = String::new();
-    write_list(&mut out, 9, 3, true, &entries());
+    write_update(&mut out, 9, 3, UpdateKind::FullSnapshot, &entries());
     assert_eq!(out, WHOLE);
     out.clear();
-    write_list(&mut out, 9, 4, false, &[entry("a1", Condition::Left, 5, 20)]);
+    write_update(&mut out, 9, 4, UpdateKind::Incremental, &[entry("a1", EndpointState::Removed, 5, 20)]);
     assert_eq!(out, CHANGES);
     out.clear();
-    write_list(&mut out, u64::MAX, 0, true, &[]);
+    write_update(&mut out, u64::MAX, 0, UpdateKind::FullSnapshot, &[]);
     assert_eq!(out, EMPTY);
-    assert_eq!(CONDITIONS.map(Condition::word), ["active", "leaving", "left"]);
-    assert_eq!((LINE_MOST, NODES_MOST), (256, 4096));
+    assert_eq!(STATES.map(EndpointState::as_str), ["active", "leaving", "left"]);
+    assert_eq!((MAX_LINE_BYTES, MAX_ENDPOINTS), (256, 4096));
 }
 
 #[test]
-fn the_kept_list_is_written_and_read_as_recorded() {
-    let mut register = Register::default();
-    register.receive(WHOLE.as_bytes(), |_| {}).expect("sound");
-    assert_eq!(register.keep(), KEPT);
-    let mut back = Register::default();
-    assert_eq!(back.restore(KEPT), Ok(Update { whole: true, entries: entries() }));
-    assert_eq!((back.keep().as_str(), back.version()), (KEPT, (0, 0)));
-    assert_eq!(Register::default().keep(), "kept 0\nend\n");
+fn the_cached_list_is_written_and_read_as_recorded() {
+    let mut watcher = EndpointWatcher::default();
+    watcher.receive(WHOLE.as_bytes(), |_| {}).expect("sound");
+    assert_eq!(watcher.write_cache(), CACHED);
+    let mut back = EndpointWatcher::default();
+    assert_eq!(
+        back.restore_cache(CACHED),
+        Ok(EndpointUpdate { kind: UpdateKind::FullSnapshot, endpoints: entries() })
+    );
+    assert_eq!((back.write_cache().as_str(), back.version()), (CACHED, (0, 0)));
+    assert_eq!(EndpointWatcher::default().write_cache(), "kept 0\nend\n");
     assert_eq!(restore("kept 0\nend\n"), RESTORED_EMPTY);
 }
 
@@ -107,23 +117,23 @@
 const RESTORED_EMPTY: &str = r#"news whole at (0, 0) knows "kept 0\nend\n""#;
 
 #[test]
-fn a_stream_cut_at_any_byte_leads_to_the_same_news() {
+fn a_stream_cut_at_any_byte_leads_to_the_same_updates() {
     let stream = [WHOLE, CHANGES, WHOLE, EMPTY].concat();
-    let mut whole = Register::default();
+    let mut whole = EndpointWatcher::default();
     let expected = receive(&mut whole, stream.as_bytes());
     assert_eq!(digest(&expected), "b4d9425216ca6a11");
     let mut record = String::new();
     for cut in 0..=stream.len() {
-        let mut register = Register::default();
-        record += &receive(&mut register, &stream.as_bytes()[..cut]);
+        let mut watcher = EndpointWatcher::default();
+        record += &receive(&mut watcher, &stream.as_bytes()[..cut]);
         // A connection that is lost here forgets half a line and half a list.
-        let mut reconnected = Register::default();
+        let mut reconnected = EndpointWatcher::default();
         reconnected.receive(&stream.as_bytes()[..cut], |_| {}).expect("sound");
-        reconnected.reconnected();
+        reconnected.on_reconnect();
         record += &receive(&mut reconnected, stream.as_bytes());
-        receive(&mut register, &stream.as_bytes()[cut..]);
-        assert_eq!(register.keep(), whole.keep(), "cut at {cut}");
-        assert_eq!(register.version(), whole.version(), "cut at {cut}");
+        receive(&mut watcher, &stream.as_bytes()[cut..]);
+        assert_eq!(watcher.write_cache(), whole.write_cache(), "cut at {cut}");
+        assert_eq!(watcher.version(), whole.version(), "cut at {cut}");
     }
     assert_eq!(digest(&record), "0ca0b0735046eb32");
 }
@@ -136,21 +146,21 @@
         for other in [b' ', b'\n', b'\r', b'0', b'9', b'x', b'-', 0xff] {
             let mut bytes = stream.clone().into_bytes();
             bytes[place] = other;
-            record += &receive(&mut Register::default(), &bytes);
+            record += &receive(&mut EndpointWatcher::default(), &bytes);
         }
         let without = [&stream.as_bytes()[..place], &stream.as_bytes()[place + 1..]].concat();
-        record += &receive(&mut Register::default(), &without);
+        record += &receive(&mut EndpointWatcher::default(), &without);
     }
     assert_eq!(digest(&record), "0f1181697cab83e4");
 }
 
 #[test]
-fn a_kept_list_cut_or_changed_at_any_byte_is_read_as_recorded() {
+fn a_cached_list_cut_or_changed_at_any_byte_is_read_as_recorded() {
     let mut record = String::new();
-    for place in 0..KEPT.len() {
-        writeln!(record, "{}", restore(&KEPT[..place])).expect("writing to memory");
+    for place in 0..CACHED.len() {
+        writeln!(record, "{}", restore(&CACHED[..place])).expect("writing to memory");
         for other in [" ", "\n", "\r", "0", "9", "x"] {
-            let text = [&KEPT[..place], other, &KEPT[place + 1..]].concat();
+            let text = [&CACHED[..place], other, &CACHED[place + 1..]].concat();
             writeln!(record, "{}", restore(&text)).expect("writing to memory");
         }
     }
@@ -177,20 +187,20 @@
         ("x".repeat(257), "line 1: expected a line of up to 256 bytes"),
     ];
     for (text, error) in expected {
-        let wrong = Register::default().receive(text.as_bytes(), |_| {}).expect_err(&text);
+        let wrong = EndpointWatcher::default().receive(text.as_bytes(), |_| {}).expect_err(&text);
         assert_eq!(wrong.to_string(), format!("node list, {error}"));
     }
-    assert_eq!(Register::default().receive("x".repeat(256).as_bytes(), |_| {}), Ok(()));
-    let text = Register::default().receive(b"\xff\n", |_| {});
-    assert_eq!(text, Err(Wrong { line: 1, expected: "text" }));
-    let mut full = Register::default();
+    assert_eq!(EndpointWatcher::default().receive("x".repeat(256).as_bytes(), |_| {}), Ok(()));
+    let text = EndpointWatcher::default().receive(b"\xff\n", |_| {});
+    assert_eq!(text, Err(ProtocolError { line: 1, expected: "text" }));
+    let mut full = EndpointWatcher::default();
     assert_eq!(full.receive(b"list 1 1 whole 4096\n", |_| {}), Ok(()));
     assert_eq!(
-        Register::default().restore("kept x\nend\n").expect_err("no count").to_string(),
+        EndpointWatcher::default().restore_cache("kept x\nend\n").expect_err("no count").to_string(),
         "node list, line 1: expected kept COUNT"
     );
     assert_eq!(
-        Register::default().restore("kept 1\nend\n").expect_err("no node").to_string(),
+        EndpointWatcher::default().restore_cache("kept 1\nend\n").expect_err("no node").to_string(),
         "node list, line 1: expected as many nodes as the head says, then end"
     );
 }
@@ -207,44 +217,46 @@
 /// Lists of random epochs, versions and runs, in pieces, with connections that are lost now and then.
 fn play(seed: u64) -> String {
     let (mut state, mut record) = (seed, String::new());
-    let mut register = Register::default();
+    let mut watcher = EndpointWatcher::default();
     let (mut epoch, mut version) = (1, 1);
     for _ in 0..1_000 {
         match random(&mut state, 12) {
             0 => (epoch, version) = (epoch + random(&mut state, 2), random(&mut state, 3)),
             1 => version += random(&mut state, 3),
             2 => version = version.saturating_sub(random(&mut state, 3)),
-            3 => register.reconnected(),
+            3 => watcher.on_reconnect(),
             4 => {
-                let kept = register.keep();
-                register = Register::default();
-                let update = register.restore(&kept).expect("as it was kept");
+                let cached = watcher.write_cache();
+                watcher = EndpointWatcher::default();
+                let update = watcher.restore_cache(&cached).expect("as it was kept");
                 record += &describe_update(&update);
             }
             _ => version += 1,
         }
-        let entries: Vec<Entry> = (0..random(&mut state, 5))
+        let entries: Vec<Endpoint> = (0..random(&mut state, 5))
             .map(|_| {
                 let name = format!("n{}", random(&mut state, 6));
-                let condition = CONDITIONS[random(&mut state, 3) as usize];
-                entry(&name, condition, random(&mut state, 4), random(&mut state, 1_000))
+                let endpoint_state = STATES[random(&mut state, 3) as usize];
+                entry(&name, endpoint_state, random(&mut state, 4), random(&mut state, 1_000))
             })
             .collect();
         let mut text = String::new();
-        write_list(&mut text, epoch, version, random(&mut state, 4) == 0, &entries);
+        let kind =
+            if random(&mut state, 4) == 0 { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
+        write_update(&mut text, epoch, version, kind, &entries);
         let cut = random(&mut state, text.len() as u64 + 1) as usize;
-        record += &receive(&mut register, &text.as_bytes()[..cut]);
+        record += &receive(&mut watcher, &text.as_bytes()[..cut]);
         if random(&mut state, 20) == 0 {
-            register.reconnected();
+            watcher.on_reconnect();
         } else {
-            record += &receive(&mut register, &text.as_bytes()[cut..]);
+            record += &receive(&mut watcher, &text.as_bytes()[cut..]);
         }
     }
     digest(&record)
 }
 
 #[test]
-fn every_seed_leads_to_the_recorded_news() {
+fn every_seed_leads_to_the_recorded_updates() {
     let digests: Vec<String> = (0..20).map(play).collect();
     assert_eq!(
         digests,
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -2,7 +2,9 @@
 use crate::clock::millis;
 use crate::wire::{self, Tried};
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
-use mallowseam_nodelist::{Condition, Entry, Heard, Register, Update};
+use mallowseam_endpoint_list::{
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
+};
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
 use mallowseam_settings::site;
 use mio::net::TcpStream;
@@ -32,7 +34,7 @@
     socket: Option<TcpStream>,
     readable: bool,
     asked: Vec<u8>,
-    register: Register,
+    register: EndpointWatcher,
     request: EndpointListRequest,
     news: VecDeque<(ListForm, Vec<Listed>)>,
 }
@@ -64,7 +66,7 @@
             socket: None,
             readable: false,
             asked: Vec::new(),
-            register: Register::default(),
+            register: EndpointWatcher::default(),
             request: EndpointListRequest::default(),
             news: VecDeque::new(),
         }
@@ -86,9 +88,9 @@
         }
         let Some(path) = &self.kept else { return };
         match std::fs::read_to_string(path).map_err(|e| e.to_string()) {
-            Ok(text) => match self.register.restore(&text) {
+            Ok(text) => match self.register.restore_cache(&text) {
                 Ok(update) => {
-                    tracing::info!(nodes = update.entries.len(), "kept node list read");
+                    tracing::info!(nodes = update.endpoints.len(), "kept node list read");
                     self.tell(ListForm::Kept, update, now);
                 }
                 Err(wrong) => tracing::warn!(%wrong, "kept node list is not used"),
@@ -116,7 +118,7 @@
                     if let Err(e) = self.registry.register(&mut socket, self.token, interest) {
                         return self.fail(&e.to_string());
                     }
-                    self.register.reconnected();
+                    self.register.on_reconnect();
                     (self.socket, self.readable) = (Some(socket), false);
                     self.asked.clear();
                 }
@@ -163,32 +165,34 @@
         }
     }
 
-    fn heard(&mut self, heard: Heard, now: Tick) {
+    fn heard(&mut self, heard: WatchEvent, now: Tick) {
         match heard {
-            Heard::Nothing => {}
-            Heard::Missed => {
+            WatchEvent::SnapshotRequired => {
                 self.request.sent(millis(now));
                 self.asked.extend_from_slice(format!("all {}\n", self.host).as_bytes());
                 self.flush();
             }
-            Heard::News(update) => {
+            WatchEvent::Update(update) => {
                 self.request.finished();
-                let form = if update.whole { ListForm::Whole } else { ListForm::Changes };
+                let form = match update.kind {
+                    UpdateKind::FullSnapshot => ListForm::Whole,
+                    UpdateKind::Incremental => ListForm::Changes,
+                };
                 self.tell(form, update, now);
                 self.keep();
             }
         }
     }
 
-    fn tell(&mut self, form: ListForm, update: Update, now: Tick) {
+    fn tell(&mut self, form: ListForm, update: EndpointUpdate, now: Tick) {
         let mut listed = Vec::new();
-        for entry in &update.entries {
+        for entry in &update.endpoints {
             match self.listed(entry, now) {
                 Some(l) => {
                     tracing::info!(
                         node = entry.name,
-                        state = entry.condition.word(),
-                        age = entry.age,
+                        state = entry.state.as_str(),
+                        age = entry.uptime_ms,
                         "listed"
                     );
                     listed.push(l);
@@ -201,16 +205,16 @@
         self.news.push_back((form, listed));
     }
 
-    fn listed(&mut self, entry: &Entry, now: Tick) -> Option<Listed> {
+    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<Listed> {
         let i = self.known.iter().position(|k| k.name == entry.name)?;
         let known = &mut self.known[i];
         // News take a while: of one run, the earliest start that was told is the truest. It never moves up,
         // which would look like another start.
-        let began = (now - entry.age as Tick * TICKS).max(1);
-        if entry.born == 0 {
+        let began = (now - entry.uptime_ms as Tick * TICKS).max(1);
+        if entry.incarnation == 0 {
             (known.born, known.came_up) = (0, 0);
-        } else if entry.born != known.born {
-            (known.born, known.came_up) = (entry.born, began);
+        } else if entry.incarnation != known.born {
+            (known.born, known.came_up) = (entry.incarnation, began);
         } else {
             known.came_up = known.came_up.min(began);
         }
@@ -218,10 +222,10 @@
             node: NodeId(i as u32),
             zone: known.zone,
             shard: known.shard,
-            state: match entry.condition {
-                Condition::Active => NodeState::Active,
-                Condition::Leaving => NodeState::Leaving,
-                Condition::Left => NodeState::Left,
+            state: match entry.state {
+                EndpointState::Active => NodeState::Active,
+                EndpointState::Draining => NodeState::Leaving,
+                EndpointState::Removed => NodeState::Left,
             },
             came_up: known.came_up,
         })
@@ -229,7 +233,7 @@
 
     fn keep(&self) {
         let Some(path) = &self.kept else { return };
-        if let Err(e) = replace(path, self.register.keep().as_bytes()) {
+        if let Err(e) = replace(path, self.register.write_cache().as_bytes()) {
             tracing::warn!(path = %path.display(), error = %e, "node list not kept");
         }
     }
--- a/crates/lab/src/listd.rs
+++ b/crates/lab/src/listd.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the node list service: knows what runs, and tells it late.
 use crate::trace::{Micros, Trace, What};
-use mallowseam_nodelist::{Condition, Entry, write_list};
+use mallowseam_endpoint_list::{Endpoint, EndpointState, UpdateKind, write_update};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,7 +13,7 @@
     /// A node's condition from now on; told after the lag. `run` 0: long past.
     Node {
         node: u32,
-        condition: Condition,
+        condition: EndpointState,
         run: u64,
         since: Micros,
     },
@@ -36,7 +36,7 @@
         let (words, receiver) = channel();
         let listener = open(address)?;
         let thread = std::thread::Builder::new().name("list".into()).spawn(move || {
-            let entry = |n| Known { condition: Condition::Active, run: 0, since: 0, name: name(n) };
+            let entry = |n| Known { condition: EndpointState::Active, run: 0, since: 0, name: name(n) };
             let mut service = Service {
                 address,
                 listener: Some(listener),
@@ -80,7 +80,7 @@
 }
 
 struct Known {
-    condition: Condition,
+    condition: EndpointState,
     run: u64,
     since: Micros,
     name: String,
@@ -185,16 +185,18 @@
 
     fn list(&self, whole: bool, only: Option<u32>) -> String {
         let now = self.trace.now();
-        let entry = |k: &Known| Entry {
+        let entry = |k: &Known| Endpoint {
             name: k.name.clone(),
-            condition: k.condition,
-            born: k.run,
-            age: (now - k.since) / 1000,
+            state: k.condition,
+            incarnation: k.run,
+            uptime_ms: (now - k.since) / 1000,
         };
         let pick = |(i, _): &(usize, &Known)| only.is_none_or(|n| n as usize == *i);
-        let entries: Vec<Entry> = self.nodes.iter().enumerate().filter(pick).map(|(_, k)| entry(k)).collect();
+        let entries: Vec<Endpoint> =
+            self.nodes.iter().enumerate().filter(pick).map(|(_, k)| entry(k)).collect();
         let mut out = String::new();
-        write_list(&mut out, self.epoch, self.version, whole, &entries);
+        let kind = if whole { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
+        write_update(&mut out, self.epoch, self.version, kind, &entries);
         out
     }
 
@@ -204,7 +206,7 @@
         let host = caller.host;
         for (i, known) in self.nodes.iter().enumerate() {
             if only.is_none_or(|n| n as usize == i) {
-                let open = known.condition == Condition::Active;
+                let open = known.condition == EndpointState::Active;
                 self.trace.note(What::Told { host, node: i as u32, open });
             }
         }
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -8,10 +8,10 @@
 use crate::script::{Event, Scene, Trouble, Which};
 use crate::trace::{Micros, Seen, Trace, What};
 use mallowseam_cow::tree::Tree;
+use mallowseam_endpoint_list::EndpointState;
 use mallowseam_gateway::Asked as Ask;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
-use mallowseam_nodelist::Condition;
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
 use mallowseam_settings::Site;
@@ -507,7 +507,7 @@
         }
     }
 
-    fn tell_list(&self, n: u32, condition: Condition) {
+    fn tell_list(&self, n: u32, condition: EndpointState) {
         let life = *self.nodes[n as usize].life.lock().expect("no writer panics");
         let word = ListWord::Node { node: n, condition, run: life.run, since: life.since };
         self.list.say(word);
@@ -527,7 +527,7 @@
             Trouble::NodeReset(n) => fault(*n, Fault::Reset),
             Trouble::NodeCrash(n) => {
                 fault(*n, Fault::Crash);
-                self.tell_list(node(*n), Condition::Left);
+                self.tell_list(node(*n), EndpointState::Removed);
             }
             Trouble::NodeStart(n) => {
                 let n = node(*n);
@@ -536,13 +536,13 @@
                 for _ in 0..200 {
                     let life = *self.nodes[n as usize].life.lock().expect("no writer panics");
                     if life.up && life.run > before {
-                        return self.tell_list(n, Condition::Active);
+                        return self.tell_list(n, EndpointState::Active);
                     }
                     std::thread::sleep(Duration::from_millis(5));
                 }
             }
-            Trouble::NodeDrain(n) => self.tell_list(node(*n), Condition::Leaving),
-            Trouble::NodeUndrain(n) => self.tell_list(node(*n), Condition::Active),
+            Trouble::NodeDrain(n) => self.tell_list(node(*n), EndpointState::Draining),
+            Trouble::NodeUndrain(n) => self.tell_list(node(*n), EndpointState::Active),
             Trouble::HostKill(n) => self.kill_host(self.pick(1, *n)),
             Trouble::HostTerm(n) => self.signal(self.pick(1, *n), Signal::SIGTERM),
             Trouble::HostStart(n) => {
--- a/crates/plans/src/quota_pool.rs
+++ b/crates/plans/src/quota_pool.rs
@@ -116,7 +116,9 @@
 
     fn drop_expired(&mut self, now: Millis) {
         for amounts in [&mut self.loans, &mut self.leases] {
-            amounts.values_mut().for_each(|of_host| of_host.retain(|a| a.is_alive(now)));
+            for of_host in amounts.values_mut() {
+                of_host.retain(|a| a.is_alive(now));
+            }
             amounts.retain(|_, of_host| !of_host.is_empty());
         }
         self.requests.retain(|_, request| now < request.received_at + LEASE_DURATION);
