--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -8,12 +8,12 @@
 use crate::script::{Event, Scene, Trouble, Which};
 use crate::trace::{Micros, Seen, Trace, What};
 use mallowseam_cow::tree::Tree;
+use mallowseam_endpoint_list::EndpointState;
 use mallowseam_gateway::Asked as Ask;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
-use mallowseam_nodelist::Condition;
+use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
-use mallowseam_plans::trail::Line;
 use mallowseam_settings::Site;
 use mallowseam_settings::site::Direction;
 use nix::sys::signal::{Signal, kill};
@@ -357,7 +357,7 @@
         let plan = self.site.plans[plan].clone();
         let number = self.askers.len();
         self.askers.push(std::thread::spawn(move || {
-            let change = Change::Plan { name: plan.name.clone(), figures: figures(plan, times) };
+            let change = Change::SetPlan { name: plan.name.clone(), plan: figures(plan, times) };
             let (author, reason) = ("rehearsal".into(), format!("change {number}"));
             let asked =
                 Ask::Set { change, expected: None, author, reason: reason.clone(), dry: false, wait: true };
@@ -386,20 +386,20 @@
                 return (0, 0);
             }
         };
-        let lines: Vec<Line> = history.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
+        let lines: Vec<LogEntry> = history.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
         let told = self.tariffs.lock().expect("no panic");
-        let of = |line: &Line| told.iter().find(|t| t.reason == line.reason);
+        let of = |line: &LogEntry| told.iter().find(|t| t.reason == line.reason);
         // Once a version is in force at all hosts, so is each one before it, and none of them any more.
         let over = |after: u64| {
             let later = lines.iter().filter(|l| l.version >= after).filter_map(|l| of(l)?.in_force);
             later.min().unwrap_or(Micros::MAX)
         };
         for (i, line) in lines.iter().enumerate() {
-            let Change::Plan { name, figures } = &line.change else { continue };
-            let same = |l: &&Line| matches!(&l.change, Change::Plan { name: n, .. } if n == name);
+            let Change::SetPlan { name, plan } = &line.change else { continue };
+            let same = |l: &&LogEntry| matches!(&l.change, Change::SetPlan { name: n, .. } if n == name);
             let until = lines[i + 1..].iter().find(same).map_or(Micros::MAX, |next| over(next.version));
             let (from, whole) = (of(line).map_or(0, |t| t.at), |n: u64| n as f64 / 1000.0);
-            let in_force = InForce { from, until, limit: whole(figures.limit), burst: whole(figures.burst) };
+            let in_force = InForce { from, until, limit: whole(plan.limit), burst: whole(plan.burst) };
             places.limits.entry(name.clone()).or_default().push(in_force);
         }
         drop(told);
@@ -507,7 +507,7 @@
         }
     }
 
-    fn tell_list(&self, n: u32, condition: Condition) {
+    fn tell_list(&self, n: u32, condition: EndpointState) {
         let life = *self.nodes[n as usize].life.lock().expect("no writer panics");
         let word = ListWord::Node { node: n, condition, run: life.run, since: life.since };
         self.list.say(word);
@@ -527,7 +527,7 @@
             Trouble::NodeReset(n) => fault(*n, Fault::Reset),
             Trouble::NodeCrash(n) => {
                 fault(*n, Fault::Crash);
-                self.tell_list(node(*n), Condition::Left);
+                self.tell_list(node(*n), EndpointState::Removed);
             }
             Trouble::NodeStart(n) => {
                 let n = node(*n);
@@ -536,13 +536,13 @@
                 for _ in 0..200 {
                     let life = *self.nodes[n as usize].life.lock().expect("no writer panics");
                     if life.up && life.run > before {
-                        return self.tell_list(n, Condition::Active);
+                        return self.tell_list(n, EndpointState::Active);
                     }
                     std::thread::sleep(Duration::from_millis(5));
                 }
             }
-            Trouble::NodeDrain(n) => self.tell_list(node(*n), Condition::Leaving),
-            Trouble::NodeUndrain(n) => self.tell_list(node(*n), Condition::Active),
+            Trouble::NodeDrain(n) => self.tell_list(node(*n), EndpointState::Draining),
+            Trouble::NodeUndrain(n) => self.tell_list(node(*n), EndpointState::Active),
             Trouble::HostKill(n) => self.kill_host(self.pick(1, *n)),
             Trouble::HostTerm(n) => self.signal(self.pick(1, *n), Signal::SIGTERM),
             Trouble::HostStart(n) => {
