--- a/crates/fleet-udp/src/lib.rs
+++ b/crates/fleet-udp/src/lib.rs
@@ -2,7 +2,7 @@
 //! operators. Decides nothing: whom to ask and what to believe is `mallowseam-fleet`'s.
 //!
 //! - `part`: a host's socket and part. `ask`: the view of a running host, page by page, for whoever asks.
-pub mod ask;
-mod part;
+pub mod query;
+mod udp_membership;
 
-pub use part::Part;
+pub use udp_membership::UdpMembership;
--- a/crates/fleet-udp/tests/pinned_view.rs
+++ b/crates/fleet-udp/tests/pinned_view.rs
@@ -1,8 +1,8 @@
 //! Pins what operators see of a host's view, and the exchange by which it is asked for, as recorded at 01f3988.
-use mallowseam_fleet::State;
-use mallowseam_fleet::wire::{self, Look, MOST, Message, Shown};
-use mallowseam_fleet::word::{Facts, Life, Name, Word, Zone};
-use mallowseam_fleet_udp::ask::{View, view};
+use mallowseam_fleet::MemberState;
+use mallowseam_fleet::record::{ActiveVersions, Lifecycle, MemberRecord, Name, Zone};
+use mallowseam_fleet::wire::{self, MAX_DATAGRAM_BYTES, MemberStatus, MembershipPage, Message};
+use mallowseam_fleet_udp::query::{MembershipSnapshot, query_membership};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
@@ -10,32 +10,32 @@
     Name::try_from(text).expect("short")
 }
 
-fn shown(host: &str, state: State, heard: Option<u64>) -> Shown {
-    let word = Word {
+fn shown(host: &str, state: MemberState, heard: Option<u64>) -> MemberStatus {
+    let word = MemberRecord {
         name: name(host),
         generation: 70_000,
         incarnation: 3,
-        life: Life::Alive,
+        lifecycle: Lifecycle::Alive,
         address: "10.1.2.3:7400".parse().expect("an address"),
         zone: Zone::try_from("east").expect("short"),
-        facts: Facts { list: 12, plans: 4 },
+        versions: ActiveVersions { endpoint_list: 12, plans: 4 },
         // In the future, so that the time that it is up is zero at whatever time this runs.
-        started: 9_999_999_999_999,
+        started_ms: 9_999_999_999_999,
     };
-    Shown { word, state, heard }
+    MemberStatus { record: word, state, last_heard_ms: heard }
 }
 
-fn sample() -> View {
-    View {
-        own: "host-a".into(),
-        alone: true,
-        displaced: true,
-        sum: 0xabcd,
+fn sample() -> MembershipSnapshot {
+    MembershipSnapshot {
+        host: "host-a".into(),
+        isolated: true,
+        superseded: true,
+        digest: 0xabcd,
         members: vec![
-            shown("host-c", State::Unreachable, None),
-            shown("host-a", State::Alive, Some(0)),
-            shown("host-b", State::Suspect, Some(12_345)),
-            shown("host-d", State::Alive, Some(99)),
+            shown("host-c", MemberState::Unreachable, None),
+            shown("host-a", MemberState::Alive, Some(0)),
+            shown("host-b", MemberState::Suspect, Some(12_345)),
+            shown("host-d", MemberState::Alive, Some(99)),
         ],
     }
 }
@@ -43,9 +43,9 @@
 #[test]
 fn the_table_and_the_json_keep_their_text() {
     let view = sample();
-    assert_eq!(view.counts(), "2 alive, 1 suspect, 1 unreachable");
+    assert_eq!(view.state_counts(), "2 alive, 1 suspect, 1 unreachable");
     assert_eq!(
-        view.table().lines().collect::<Vec<_>>(),
+        view.to_table().lines().collect::<Vec<_>>(),
         vec![
             "member              state        zone      address                   list   plans     up s  heard s",
             "host-a              alive        east      10.1.2.3:7400               12       4        0      0.0",
@@ -56,11 +56,11 @@
         ]
     );
     assert_eq!(
-        View { alone: false, displaced: false, ..sample() }.table().lines().last(),
+        MembershipSnapshot { isolated: false, superseded: false, ..sample() }.to_table().lines().last(),
         Some("as host-a sees it: 2 alive, 1 suspect, 1 unreachable; view 000000000000abcd")
     );
     assert_eq!(
-        view.json().to_string(),
+        view.to_json().to_string(),
         "{\"alone\":true,\"displaced\":true,\"members\":[{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":null,\"incarnation\":3,\"list\":12,\"name\":\"host-c\",\"plans\":4,\"started\":9999999999999,\"state\":\"unreachable\",\"zone\":\"east\"},{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":0,\"incarnation\":3,\"list\":12,\"name\":\"host-a\",\"plans\":4,\"started\":9999999999999,\"state\":\"alive\",\"zone\":\"east\"},{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":12345,\"incarnation\":3,\"list\":12,\"name\":\"host-b\",\"plans\":4,\"started\":9999999999999,\"state\":\"suspect\",\"zone\":\"east\"},{\"address\":\"10.1.2.3:7400\",\"generation\":70000,\"heard_ms\":99,\"incarnation\":3,\"list\":12,\"name\":\"host-d\",\"plans\":4,\"started\":9999999999999,\"state\":\"alive\",\"zone\":\"east\"}],\"own\":\"host-a\",\"view\":\"000000000000abcd\"}"
     );
 }
@@ -68,17 +68,17 @@
 #[test]
 fn changes_and_differences_keep_their_text() {
     let (before, mut after) = (sample(), sample());
-    after.own = "host-b".into();
+    after.host = "host-b".into();
     after.members.remove(3);
-    after.members[0].state = State::Left;
-    after.members[1].word.incarnation = 4;
-    after.members.push(shown("host-e", State::Joining, None));
+    after.members[0].state = MemberState::Left;
+    after.members[1].record.incarnation = 4;
+    after.members.push(shown("host-e", MemberState::Joining, None));
     assert_eq!(
-        after.changes(&before),
+        after.changes_since(&before),
         vec!["host-c: unreachable -> left", "host-e: unknown -> joining", "host-d: alive -> forgotten"]
     );
     assert_eq!(
-        before.differs(&after),
+        before.differences(&after),
         vec![
             "host-a: host-a has it alive (generation 70000, word 3), host-b has it alive (generation 70000, word 4)",
             "host-c: host-a has it unreachable (generation 70000, word 3), host-b has it left (generation 70000, word 3)",
@@ -86,12 +86,12 @@
             "host-e: host-a has it unknown, host-b has it joining (generation 70000, word 3)"
         ]
     );
-    assert!(before.differs(&before).is_empty());
+    assert!(before.differences(&before).is_empty());
 }
 
-fn answer(socket: &UdpSocket, page: Look, to: SocketAddr) {
-    let mut buffer = [0; MOST];
-    let bytes = wire::write("any", &Message::Looked(page), &mut buffer).expect("it fits");
+fn answer(socket: &UdpSocket, page: MembershipPage, to: SocketAddr) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    let bytes = wire::encode("any", &Message::Page(page), &mut buffer).expect("it fits");
     socket.send_to(bytes, to).expect("sent");
 }
 
@@ -105,27 +105,37 @@
 #[test]
 fn a_view_of_several_pages_is_asked_for_page_by_page() {
     let (socket, address) = server();
-    let asked = std::thread::spawn(move || view(address));
+    let asked = std::thread::spawn(move || query_membership(address));
     let mut questions = Vec::new();
     for n in 0..3u64 {
-        let mut buffer = [0; 2 * MOST];
+        let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
         let (len, from) = socket.recv_from(&mut buffer).expect("a question");
         questions.push(buffer[..len].to_vec());
-        let page = Look {
-            own: name("host-a"),
-            alone: n == 2,
-            displaced: n != 2,
-            sum: n,
-            members: heapless::Vec::from_iter([shown(&format!("h{n}"), State::Alive, None)]),
-            next: Some([10, 20, 20][n as usize]),
+        let page = MembershipPage {
+            host: name("host-a"),
+            isolated: n == 2,
+            superseded: n != 2,
+            digest: n,
+            members: heapless::Vec::from_iter([shown(&format!("h{n}"), MemberState::Alive, None)]),
+            next_id: Some([10, 20, 20][n as usize]),
         };
         answer(&socket, page, from);
     }
     let found = asked.join().expect("no panic").expect("a view");
-    assert_eq!(questions, vec![wire::look(0).to_vec(), wire::look(10).to_vec(), wire::look(20).to_vec()]);
-    assert_eq!((found.own.as_str(), found.alone, found.displaced, found.sum), ("host-a", true, false, 2));
     assert_eq!(
-        found.members.iter().map(|m| m.word.name.as_str()).collect::<Vec<_>>(),
+        questions,
+        vec![
+            wire::encode_query(0).to_vec(),
+            wire::encode_query(10).to_vec(),
+            wire::encode_query(20).to_vec()
+        ]
+    );
+    assert_eq!(
+        (found.host.as_str(), found.isolated, found.superseded, found.digest),
+        ("host-a", true, false, 2)
+    );
+    assert_eq!(
+        found.members.iter().map(|m| m.record.name.as_str()).collect::<Vec<_>>(),
         vec!["h0", "h1", "h2"]
     );
 }
@@ -133,22 +143,22 @@
 #[test]
 fn a_question_is_asked_four_times_and_the_error_keeps_its_text() {
     let (socket, address) = server();
-    let asked = std::thread::spawn(move || view(address));
+    let asked = std::thread::spawn(move || query_membership(address));
     for _ in 0..4 {
-        let mut buffer = [0; 2 * MOST];
+        let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
         let (_, from) = socket.recv_from(&mut buffer).expect("a question");
         socket.send_to(b"no view", from).expect("sent");
     }
     let error = asked.join().expect("no panic").expect_err("no view");
     assert_eq!(error.to_string(), "no view of this version of the program");
     socket.set_nonblocking(true).expect("set");
-    assert!(socket.recv_from(&mut [0; 2 * MOST]).is_err(), "not asked a fifth time");
+    assert!(socket.recv_from(&mut [0; 2 * MAX_DATAGRAM_BYTES]).is_err(), "not asked a fifth time");
 }
 
 #[test]
 fn a_host_that_says_nothing_is_a_time_out() {
     let (socket, address) = server();
-    let error = view(address).expect_err("no answer");
+    let error = query_membership(address).expect_err("no answer");
     assert_eq!(error.to_string(), "timed out");
     drop(socket);
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,17 +9,17 @@
 //! - `word`: what a member says of itself, and which of two words is the later one.
 //! - `settings`: periods and bounds. `wire`: datagrams. `table`: the view, what is told on, ranges that are compared.
 //! - `fleet`: a host's part in it. `probe`: whom it asks for a sign of life, and what it makes of none.
-mod fleet;
-mod luck;
-mod probe;
-pub mod settings;
-mod table;
+pub mod config;
+mod failure_detector;
+mod membership;
+mod membership_table;
+pub mod record;
+mod rng;
 pub mod wire;
-pub mod word;
 
-pub use fleet::{Carrier, Counts, Fleet};
-pub use table::Change;
-pub use word::State;
+pub use membership::{ActionSink, Counters, Membership};
+pub use membership_table::MembershipEvent;
+pub use record::MemberState;
 
 /// Milliseconds on the host's clock, which never goes back.
 pub type Millis = u64;
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/record.rs
@@ -9,7 +9,7 @@
 pub type Zone = heapless::String<24>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Life {
+pub enum Lifecycle {
     /// Started, and has not yet the view of the others.
     Joining,
     Alive,
@@ -21,7 +21,7 @@
 
 /// How a member stands in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     Joining,
     Alive,
     Suspect,
@@ -30,64 +30,65 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// As operators read it.
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Joining => "joining",
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Unreachable => "unreachable",
-            State::Leaving => "leaving",
-            State::Left => "left",
+            MemberState::Joining => "joining",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Unreachable => "unreachable",
+            MemberState::Leaving => "leaving",
+            MemberState::Left => "left",
         }
     }
 }
 
 /// Versions that a member acts on; 0: none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Facts {
-    pub list: u64,
+pub struct ActiveVersions {
+    pub endpoint_list: u64,
     pub plans: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct MemberRecord {
     pub name: Name,
     /// Raised at each start.
     pub generation: u64,
     /// Raised by the member with each new word of the generation.
     pub incarnation: u32,
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     pub address: SocketAddr,
     pub zone: Zone,
-    pub facts: Facts,
+    pub versions: ActiveVersions,
     /// Unix time in milliseconds.
-    pub started: u64,
+    pub started_ms: u64,
 }
 
 /// A word as it is passed on. `doubt`: who suspects, by this very word, that the member is no more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
-    pub word: Word,
-    pub doubt: Option<u32>,
+pub struct GossipUpdate {
+    pub record: MemberRecord,
+    pub suspected_by: Option<u32>,
 }
 
 /// A number that stands for a name, the same at every host.
-pub fn id(name: &str) -> u64 {
+pub fn member_id(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
-impl Word {
+impl MemberRecord {
     /// Later words rank higher: generations first; in one, that it is over; then incarnations.
-    pub fn rank(&self) -> (u64, bool, u32) {
-        (self.generation, self.life == Life::Left, self.incarnation)
+    pub fn precedence(&self) -> (u64, bool, u32) {
+        (self.generation, self.lifecycle == Lifecycle::Left, self.incarnation)
     }
 
     /// Stands for the word among others that are compared.
-    pub fn sum(&self, doubted: bool) -> u64 {
+    pub fn digest(&self, suspected: bool) -> u64 {
         let mut hash = Xxh3Default::new();
-        (id(&self.name), self.generation, self.incarnation, self.life as u8, doubted).hash(&mut hash);
+        (member_id(&self.name), self.generation, self.incarnation, self.lifecycle as u8, suspected)
+            .hash(&mut hash);
         hash.finish()
     }
 }
--- a/crates/fleet/src/luck.rs
+++ b/crates/fleet/src/rng.rs
@@ -4,14 +4,14 @@
 
 /// Chance that can be compared and hashed: drawn by seed and count.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Luck {
+pub(crate) struct SeededRng {
     seed: u64,
     draws: u64,
 }
 
-impl Luck {
+impl SeededRng {
     pub fn new(seed: u64) -> Self {
-        Luck { seed, draws: 0 }
+        SeededRng { seed, draws: 0 }
     }
 
     pub fn below(&mut self, bound: u64) -> u64 {
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,29 +1,29 @@
 //! Datagrams. What can't be read, comes from another fleet or is of another version is dropped and counted.
-use crate::settings::Settings;
-use crate::word::{Name, State, Told, Word, id};
+use crate::config::MembershipConfig;
+use crate::record::{GossipUpdate, MemberRecord, MemberState, Name, member_id};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-pub const MOST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// First byte of each datagram: the version of this format.
-pub const VERSION: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// Words in one datagram at most, far more than fit in.
-const WORDS: usize = 32;
-pub(crate) const PARTS: usize = 48;
+const MAX_UPDATES: usize = 32;
+pub(crate) const MAX_RANGES: usize = 48;
 
-pub type Words = heapless::Vec<Told, WORDS>;
+pub type GossipUpdates = heapless::Vec<GossipUpdate, MAX_UPDATES>;
 
 /// Part of all numbers of names: those whose first `depth` bits are these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Range {
-    pub depth: u8,
+pub struct IdRange {
+    pub prefix_bits: u8,
     pub prefix: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Part {
-    pub range: Range,
-    pub sum: u64,
+pub struct RangeDigest {
+    pub range: IdRange,
+    pub digest: u64,
     pub count: u32,
 }
 
@@ -32,63 +32,63 @@
     clippy::large_enum_variant,
     reason = "lives on the stack for one datagram; a box would allocate for each"
 )]
-pub enum Body {
+pub enum GossipBody {
     /// Are you there? `nr` comes back.
     Ping {
-        nr: u32,
+        sequence: u32,
     },
     Ack {
-        nr: u32,
+        sequence: u32,
     },
     /// Ask that one for me: I hear nothing from it.
-    AskFor {
-        nr: u32,
-        id: u64,
-        address: SocketAddr,
+    PingRequest {
+        sequence: u32,
+        target_id: u64,
+        target_address: SocketAddr,
     },
     /// What came of it.
-    Asked {
-        nr: u32,
-        well: bool,
+    PingRequestResult {
+        sequence: u32,
+        acknowledged: bool,
     },
     /// My view in parts; send what differs.
-    Parts(heapless::Vec<Part, PARTS>),
+    RangeDigests(heapless::Vec<RangeDigest, MAX_RANGES>),
     /// All that I know in these ranges, in `news`. `back`: send what you know better.
-    Range {
-        ranges: heapless::Vec<Range, PARTS>,
-        back: bool,
+    RangeRecords {
+        ranges: heapless::Vec<IdRange, MAX_RANGES>,
+        reply_wanted: bool,
     },
     /// Nothing but news.
-    Tell,
+    UpdatesOnly,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Packet {
-    pub from: Word,
-    pub body: Body,
-    pub news: Words,
+pub struct GossipMessage {
+    pub sender: MemberRecord,
+    pub body: GossipBody,
+    pub updates: GossipUpdates,
 }
 
 /// A member as a host's view shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
-    pub word: Word,
-    pub state: State,
+pub struct MemberStatus {
+    pub record: MemberRecord,
+    pub state: MemberState,
     /// Milliseconds since it was last heard directly; none: never.
-    pub heard: Option<u64>,
+    pub last_heard_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
-    pub own: Name,
+pub struct MembershipPage {
+    pub host: Name,
     /// It hears from nobody; another one of its name took its place.
-    pub alone: bool,
-    pub displaced: bool,
+    pub isolated: bool,
+    pub superseded: bool,
     /// Stands for the whole view.
-    pub sum: u64,
-    pub members: heapless::Vec<Shown, 16>,
+    pub digest: u64,
+    pub members: heapless::Vec<MemberStatus, 16>,
     /// Where to go on; none: that was all.
-    pub next: Option<u64>,
+    pub next_id: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -97,60 +97,64 @@
     reason = "lives on the stack for one datagram; a box would allocate for each"
 )]
 pub enum Message {
-    Member(Packet),
+    Gossip(GossipMessage),
     /// Somebody who is no member asks for the view, from this number of a name on. An answer is no longer than this.
-    Look {
-        after: u64,
+    Query {
+        first_id: u64,
     },
-    Looked(Look),
+    Page(MembershipPage),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    Version,
-    Fleet,
-    Torn,
+pub enum DecodeError {
+    UnsupportedVersion,
+    OtherFleet,
+    Malformed,
 }
 
 /// The head of each datagram: version, and the fleet by the number of its name.
 fn head(fleet: &str) -> [u8; 9] {
-    let mut head = [VERSION; 9];
-    head[1..].copy_from_slice(&id(fleet).to_le_bytes());
+    let mut head = [FORMAT_VERSION; 9];
+    head[1..].copy_from_slice(&member_id(fleet).to_le_bytes());
     head
 }
 
 /// Writes a datagram; none: it does not fit in.
-pub fn write<'a>(fleet: &str, message: &Message, buffer: &'a mut [u8; MOST]) -> Option<&'a [u8]> {
+pub fn encode<'a>(
+    fleet: &str,
+    message: &Message,
+    buffer: &'a mut [u8; MAX_DATAGRAM_BYTES],
+) -> Option<&'a [u8]> {
     buffer[..9].copy_from_slice(&head(fleet));
     let len = postcard::to_slice(message, &mut buffer[9..]).ok()?.len();
     Some(&buffer[..9 + len])
 }
 
-pub fn read(fleet: &str, bytes: &[u8]) -> Result<Message, Unread> {
-    let (found, rest) = bytes.split_at_checked(9).ok_or(Unread::Torn)?;
-    if found[0] != VERSION {
-        return Err(Unread::Version);
+pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, DecodeError> {
+    let (found, rest) = bytes.split_at_checked(9).ok_or(DecodeError::Malformed)?;
+    if found[0] != FORMAT_VERSION {
+        return Err(DecodeError::UnsupportedVersion);
     }
-    let message = of(rest)?;
+    let message = decode_message(rest)?;
     // Whoever only looks need not know the fleet's name.
-    let looks = matches!(message, Message::Look { .. }) && found[1..] == ANY;
+    let looks = matches!(message, Message::Query { .. }) && found[1..] == ANY;
     if found != head(fleet) && !looks {
-        return Err(Unread::Fleet);
+        return Err(DecodeError::OtherFleet);
     }
     Ok(message)
 }
 
 /// What a host answered, whatever its fleet.
-pub fn read_any(bytes: &[u8]) -> Result<Message, Unread> {
-    let (found, rest) = bytes.split_at_checked(9).ok_or(Unread::Torn)?;
-    if found[0] == VERSION { of(rest) } else { Err(Unread::Version) }
+pub fn decode_any_fleet(bytes: &[u8]) -> Result<Message, DecodeError> {
+    let (found, rest) = bytes.split_at_checked(9).ok_or(DecodeError::Malformed)?;
+    if found[0] == FORMAT_VERSION { decode_message(rest) } else { Err(DecodeError::UnsupportedVersion) }
 }
 
-fn of(rest: &[u8]) -> Result<Message, Unread> {
+fn decode_message(rest: &[u8]) -> Result<Message, DecodeError> {
     // What stands behind a message is padding, of zeros.
-    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| Unread::Torn)?;
+    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
     if rest.iter().any(|b| *b != 0) {
-        return Err(Unread::Torn);
+        return Err(DecodeError::Malformed);
     }
     Ok(message)
 }
@@ -159,15 +163,19 @@
 const ANY: [u8; 8] = [0; 8];
 
 /// A question for the view, padded so that a whole page may come back.
-pub fn look(after: u64) -> [u8; MOST] {
-    let mut buffer = [0; MOST];
-    let _ = write("", &Message::Look { after }, &mut buffer);
+pub fn encode_query(first_id: u64) -> [u8; MAX_DATAGRAM_BYTES] {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    let _ = encode("", &Message::Query { first_id }, &mut buffer);
     buffer[1..9].copy_from_slice(&ANY);
     buffer
 }
 
-impl Settings {
-    pub(crate) fn write<'a>(&self, message: &Message, buffer: &'a mut [u8; MOST]) -> Option<&'a [u8]> {
-        write(&self.fleet, message, buffer)
+impl MembershipConfig {
+    pub(crate) fn encode<'a>(
+        &self,
+        message: &Message,
+        buffer: &'a mut [u8; MAX_DATAGRAM_BYTES],
+    ) -> Option<&'a [u8]> {
+        encode(&self.fleet, message, buffer)
     }
 }
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -1,9 +1,13 @@
 //! Pins every decision of the membership state machine: seeded streams of events go in, and the hash of all actions
 //! that come out is compared with the value recorded at 01f3988. A changed constant, order or random draw fails here.
-use mallowseam_fleet::settings::Settings;
-use mallowseam_fleet::wire::{self, Body, MOST, Message, Packet, Part, Range, Words};
-use mallowseam_fleet::word::{Facts, Life, Name, Told, Word, Zone, id};
-use mallowseam_fleet::{Carrier, Change, Fleet, Millis};
+use mallowseam_fleet::config::MembershipConfig;
+use mallowseam_fleet::record::{
+    ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Zone, member_id,
+};
+use mallowseam_fleet::wire::{
+    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message, RangeDigest,
+};
+use mallowseam_fleet::{ActionSink, Membership, MembershipEvent, Millis};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3Default;
@@ -57,53 +61,54 @@
         self.hash.update(bytes);
     }
 
-    fn change(&mut self, change: &Change) {
+    fn change(&mut self, change: &MembershipEvent) {
         self.changes += 1;
         match change {
-            Change::Member { name, address, facts, was, now } => {
+            MembershipEvent::MemberUpdated { name, address, versions, previous, current } => {
                 self.text("member");
                 self.text(name);
                 self.text(&address.to_string());
-                self.number(facts.list);
-                self.number(facts.plans);
-                self.text(was.map_or("-", |s| s.name()));
-                self.text(now.name());
+                self.number(versions.endpoint_list);
+                self.number(versions.plans);
+                self.text(previous.map_or("-", |s| s.as_str()));
+                self.text(current.as_str());
             }
-            Change::Forgot { name } => {
+            MembershipEvent::MemberForgotten { name } => {
                 self.text("forgot");
                 self.text(name);
             }
-            Change::Displaced { address } => {
+            MembershipEvent::Superseded { address } => {
                 self.text("displaced");
                 self.text(&address.to_string());
             }
-            Change::Alone(alone) => {
+            MembershipEvent::IsolationStarted | MembershipEvent::IsolationEnded => {
                 self.text("alone");
-                self.number(u64::from(*alone));
+                self.number(u64::from(*change == MembershipEvent::IsolationStarted));
             }
         }
     }
 
-    fn state(&mut self, fleet: &Fleet, now: Millis) {
-        self.number(fleet.due());
-        self.number(fleet.sum());
-        self.number(u64::from(fleet.alone()));
-        self.text(&fleet.displaced().map_or("-".to_owned(), |a| a.to_string()));
-        let counts = fleet.counts();
+    fn state(&mut self, fleet: &Membership, now: Millis) {
+        self.number(fleet.next_tick());
+        self.number(fleet.digest());
+        self.number(u64::from(fleet.is_isolated()));
+        self.text(&fleet.superseded_by().map_or("-".to_owned(), |a| a.to_string()));
+        let counters = fleet.counters();
         for count in [
-            counts.heard,
-            counts.sent,
-            counts.bytes_sent,
-            counts.torn,
-            counts.foreign,
-            counts.versions,
-            counts.full,
-            counts.refuted,
+            counters.received,
+            counters.sent,
+            counters.bytes_sent,
+            counters.malformed,
+            counters.other_fleet,
+            counters.unsupported_version,
+            counters.capacity_drops,
+            counters.refutations,
         ] {
             self.number(count);
         }
         self.number(now);
-        let members: Vec<(Word, &str)> = fleet.view().map(|(w, s)| (w.clone(), s.name())).collect();
+        let members: Vec<(MemberRecord, &str)> =
+            fleet.members().map(|(w, s)| (w.clone(), s.as_str())).collect();
         for (word, state) in members {
             self.text(&word.name);
             self.text(state);
@@ -123,13 +128,13 @@
     sent: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-impl Carrier for Actions<'_> {
+impl ActionSink for Actions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.recorder.datagram(to, bytes);
         self.sent.push((to, bytes.to_vec()));
     }
 
-    fn changed(&mut self, change: Change) {
+    fn notify(&mut self, change: MembershipEvent) {
         self.recorder.change(&change);
     }
 }
@@ -150,7 +155,7 @@
 }
 
 struct Host {
-    fleet: Option<Fleet>,
+    fleet: Option<Membership>,
     /// Not called before this time: a process that is stopped.
     stopped_until: Millis,
     /// The name that it takes at its next start.
@@ -190,21 +195,22 @@
 
     fn start(&mut self, host: usize) {
         let named = name(&format!("host-{}", self.hosts[host].name));
-        let mut settings = Settings::new(name("pins"), named, address(host as u64 + 1));
+        let mut settings = MembershipConfig::new(name("pins"), named, address(host as u64 + 1));
         settings.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
         settings.seeds = (0..3.min(self.hosts.len() as u64)).map(|n| address(n + 1)).collect();
         if host == 5 {
             settings.seeds.clear();
         }
-        settings.period = self.period;
-        settings.keep = 45 * self.period;
-        settings.health = host != 2 || self.period != 250;
-        settings.confirmations = host != 1 || self.period != 250;
+        settings.protocol_period = self.period;
+        settings.unreachable_retention = 45 * self.period;
+        settings.local_health = host != 2 || self.period != 250;
+        settings.suspicion_confirmations = host != 1 || self.period != 250;
         let seed = self.rng.next();
-        self.hosts[host].fleet = Some(Fleet::new(settings, seed, self.now, 1_700_000_000_000 + self.now));
+        self.hosts[host].fleet =
+            Some(Membership::new(settings, seed, self.now, 1_700_000_000_000 + self.now));
     }
 
-    fn with(&mut self, host: usize, act: impl FnOnce(&mut Fleet, Millis, &mut dyn Carrier)) {
+    fn with(&mut self, host: usize, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let now = self.now;
         let Some(fleet) = self.hosts[host].fleet.as_mut() else { return };
         self.recorder.number(host as u64);
@@ -244,13 +250,13 @@
         for datagram in due {
             let receiver = (0..self.hosts.len()).find(|n| address(*n as u64 + 1) == datagram.to);
             let Some(host) = receiver.filter(|h| self.hosts[*h].stopped_until <= now) else { continue };
-            self.with(host, |f, now, out| f.heard(datagram.from, &datagram.bytes, now, out));
+            self.with(host, |f, now, out| f.receive(datagram.from, &datagram.bytes, now, out));
         }
     }
 
     fn tick(&mut self) {
         for host in 0..self.hosts.len() {
-            let due = self.hosts[host].fleet.as_ref().is_some_and(|f| f.due() <= self.now);
+            let due = self.hosts[host].fleet.as_ref().is_some_and(|f| f.next_tick() <= self.now);
             if due && self.hosts[host].stopped_until <= self.now {
                 self.with(host, |f, now, out| f.tick(now, out));
             }
@@ -262,9 +268,9 @@
         let host = self.rng.below(self.hosts.len() as u64) as usize;
         match self.rng.below(16) {
             0 => self.hosts[host].fleet = None,
-            1 => self.with(host, |f, now, out| f.leave(false, now, out)),
+            1 => self.with(host, |f, now, out| f.announce_leaving(now, out)),
             2 => {
-                self.with(host, |f, now, out| f.leave(true, now, out));
+                self.with(host, |f, now, out| f.announce_left(now, out));
                 self.hosts[host].fleet = None;
             }
             3 => self.hosts[host].stopped_until = self.now + self.rng.below(8) * self.period,
@@ -280,17 +286,17 @@
                 self.hosts[host].name = host as u64;
             }
             11 => {
-                let facts = Facts { list: self.rng.below(9), plans: self.rng.below(9) };
-                self.with(host, |f, now, out| f.facts(facts, now, out));
+                let facts = ActiveVersions { endpoint_list: self.rng.below(9), plans: self.rng.below(9) };
+                self.with(host, |f, now, out| f.set_active_versions(facts, now, out));
             }
             12 => {
                 let seeds = vec![address(self.rng.below(8) + 1), address(self.rng.below(8) + 1)];
-                self.with(host, |f, _, _| f.seeds(seeds));
+                self.with(host, |f, _, _| f.set_seeds(seeds));
             }
             13 => {
-                let question = wire::look(if self.rng.one_in(2) { 0 } else { self.rng.next() });
+                let question = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next() });
                 let from = address(200);
-                self.with(host, |f, now, out| f.heard(from, &question, now, out));
+                self.with(host, |f, now, out| f.receive(from, &question, now, out));
             }
             _ => {
                 if self.hosts[host].fleet.is_none() {
@@ -372,38 +378,47 @@
 
 struct Crowd {
     rng: Rng,
-    fleet: Fleet,
+    fleet: Membership,
     now: Millis,
     recorder: Recorder,
     sent: usize,
 }
 
-fn record(host: u64, generation: u64, incarnation: u32, life: Life) -> Word {
+fn record(host: u64, generation: u64, incarnation: u32, life: Lifecycle) -> MemberRecord {
     let zone = Zone::try_from(["a", "b"][host as usize % 2]).expect("short");
-    let facts = Facts { list: host, plans: 0 };
+    let facts = ActiveVersions { endpoint_list: host, plans: 0 };
     let named = name(&format!("member-{host}"));
-    Word { name: named, generation, incarnation, life, address: address(host), zone, facts, started: 0 }
+    MemberRecord {
+        name: named,
+        generation,
+        incarnation,
+        lifecycle: life,
+        address: address(host),
+        zone,
+        versions: facts,
+        started_ms: 0,
+    }
 }
 
 impl Crowd {
     fn new(seed: u64) -> Self {
-        let settings = Settings::new(name("pins"), name("own"), address(0));
-        let fleet = Fleet::new(settings, seed, 0, 1_700_000_000_000);
+        let settings = MembershipConfig::new(name("pins"), name("own"), address(0));
+        let fleet = Membership::new(settings, seed, 0, 1_700_000_000_000);
         Crowd { rng: Rng(seed), fleet, now: 0, recorder: Recorder::new(), sent: 0 }
     }
 
-    fn with(&mut self, act: impl FnOnce(&mut Fleet, Millis, &mut dyn Carrier)) {
+    fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let mut actions = Actions { recorder: &mut self.recorder, sent: Vec::new() };
         act(&mut self.fleet, self.now, &mut actions);
         self.sent = actions.sent.len();
     }
 
-    fn deliver(&mut self, from: Word, body: Body, news: Words) {
+    fn deliver(&mut self, from: MemberRecord, body: GossipBody, updates: GossipUpdates) {
         let address = from.address;
-        let mut buffer = [0; MOST];
-        let message = Message::Member(Packet { from, body, news });
-        let Some(bytes) = wire::write("pins", &message, &mut buffer) else { return };
-        self.with(|f, now, out| f.heard(address, bytes, now, out));
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        let message = Message::Gossip(GossipMessage { sender: from, body, updates });
+        let Some(bytes) = wire::encode("pins", &message, &mut buffer) else { return };
+        self.with(|f, now, out| f.receive(address, bytes, now, out));
     }
 
     fn tick(&mut self, pause: Millis) {
@@ -413,48 +428,52 @@
 
     fn introduce(&mut self, hosts: std::ops::Range<u64>) {
         for host in hosts {
-            self.deliver(record(host, 1, 1, Life::Alive), Body::Tell, Words::new());
+            self.deliver(record(host, 1, 1, Lifecycle::Alive), GossipBody::UpdatesOnly, GossipUpdates::new());
         }
     }
 
-    fn some_body(&mut self) -> Body {
+    fn some_body(&mut self) -> GossipBody {
         let range = |rng: &mut Rng| {
             let depth = [0, 4, 8, 60, 64][rng.below(5) as usize];
-            Range { depth, prefix: rng.below(16) }
+            IdRange { prefix_bits: depth, prefix: rng.below(16) }
         };
         let number = self.rng.below(40) as u32;
         match self.rng.below(10) {
-            0 => Body::Ping { nr: number },
-            1 => Body::Ack { nr: number },
-            2 | 3 => Body::AskFor { nr: number, id: self.rng.next(), address: address(self.rng.below(700)) },
-            4 => Body::Asked { nr: number, well: self.rng.one_in(2) },
+            0 => GossipBody::Ping { sequence: number },
+            1 => GossipBody::Ack { sequence: number },
+            2 | 3 => GossipBody::PingRequest {
+                sequence: number,
+                target_id: self.rng.next(),
+                target_address: address(self.rng.below(700)),
+            },
+            4 => GossipBody::PingRequestResult { sequence: number, acknowledged: self.rng.one_in(2) },
             5 | 6 => {
                 let count = self.rng.below(20);
-                let parts = (0..count).map(|_| Part {
+                let parts = (0..count).map(|_| RangeDigest {
                     range: range(&mut self.rng),
-                    sum: self.rng.below(2),
+                    digest: self.rng.below(2),
                     count: self.rng.below(20) as u32,
                 });
-                Body::Parts(heapless::Vec::from_iter(parts))
+                GossipBody::RangeDigests(heapless::Vec::from_iter(parts))
             }
             7 | 8 => {
                 let count = 1 + self.rng.below(3);
                 let ranges = heapless::Vec::from_iter((0..count).map(|_| range(&mut self.rng)));
-                Body::Range { ranges, back: !self.rng.one_in(3) }
+                GossipBody::RangeRecords { ranges, reply_wanted: !self.rng.one_in(3) }
             }
-            _ => Body::Tell,
+            _ => GossipBody::UpdatesOnly,
         }
     }
 
-    fn some_news(&mut self) -> Words {
-        let lives = [Life::Joining, Life::Alive, Life::Leaving, Life::Left];
+    fn some_news(&mut self) -> GossipUpdates {
+        let lives = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
         let count = self.rng.below(4);
-        Words::from_iter((0..count).map(|_| {
+        GossipUpdates::from_iter((0..count).map(|_| {
             let host = 1 + self.rng.below(720);
-            let life = if self.rng.one_in(5) { lives[self.rng.below(4) as usize] } else { Life::Alive };
+            let life = if self.rng.one_in(5) { lives[self.rng.below(4) as usize] } else { Lifecycle::Alive };
             let word = record(host, 1, self.rng.below(4) as u32, life);
             let doubt = self.rng.one_in(3).then(|| self.rng.below(6) as u32);
-            Told { word, doubt }
+            GossipUpdate { record: word, suspected_by: doubt }
         }))
     }
 
@@ -464,7 +483,7 @@
             let host = 1 + self.rng.below(members + 20);
             let incarnation = self.rng.below(3) as u32;
             let (body, news) = (self.some_body(), self.some_news());
-            self.deliver(record(host, 1, incarnation, Life::Alive), body, news);
+            self.deliver(record(host, 1, incarnation, Lifecycle::Alive), body, news);
             if self.rng.one_in(6) {
                 let pause = 20 + self.rng.below(300);
                 self.tick(pause);
@@ -473,8 +492,8 @@
                 self.recorder.state(&self.fleet, self.now);
             }
         }
-        self.with(|f, now, out| f.leave(false, now, out));
-        self.with(|f, now, out| f.leave(true, now, out));
+        self.with(|f, now, out| f.announce_leaving(now, out));
+        self.with(|f, now, out| f.announce_left(now, out));
         self.recorder.number(self.sent as u64);
         self.recorder.state(&self.fleet, self.now);
         self.recorder.result()
@@ -501,13 +520,21 @@
     crowd.introduce(1..400);
     let mut sent = Vec::new();
     for round in 0..20 {
-        let root = Range { depth: 0, prefix: 0 };
-        let parts = heapless::Vec::from_iter([Part { range: root, sum: 0, count: 3 + round % 12 }]);
-        crowd.deliver(record(1 + u64::from(round), 1, 1, Life::Alive), Body::Parts(parts), Words::new());
+        let root = IdRange { prefix_bits: 0, prefix: 0 };
+        let parts = heapless::Vec::from_iter([RangeDigest { range: root, digest: 0, count: 3 + round % 12 }]);
+        crowd.deliver(
+            record(1 + u64::from(round), 1, 1, Lifecycle::Alive),
+            GossipBody::RangeDigests(parts),
+            GossipUpdates::new(),
+        );
         sent.push(crowd.sent);
     }
-    let ranges = heapless::Vec::from_iter([Range { depth: 0, prefix: 0 }]);
-    crowd.deliver(record(1, 1, 1, Life::Alive), Body::Range { ranges, back: true }, Words::new());
+    let ranges = heapless::Vec::from_iter([IdRange { prefix_bits: 0, prefix: 0 }]);
+    crowd.deliver(
+        record(1, 1, 1, Lifecycle::Alive),
+        GossipBody::RangeRecords { ranges, reply_wanted: true },
+        GossipUpdates::new(),
+    );
     sent.push(crowd.sent);
     assert_eq!(sent, vec![4, 4, 4, 4, 4, 4, 1, 1, 1, 1, 1, 1, 4, 4, 4, 4, 0, 0, 0, 0, 4]);
     assert_eq!(crowd.recorder.result(), (12177555412540437504, 50, 399));
@@ -519,21 +546,34 @@
         let mut crowd = Crowd::new(11);
         crowd.introduce(1..3);
         let state = |crowd: &Crowd| {
-            crowd.fleet.view().find(|(w, _)| w.name == "member-2").map(|(_, s)| s.name()).expect("a member")
+            crowd
+                .fleet
+                .members()
+                .find(|(w, _)| w.name == "member-2")
+                .map(|(_, s)| s.as_str())
+                .expect("a member")
         };
         while state(&crowd) != "suspect" {
             assert!(crowd.now < 20_000, "not suspected in time");
             crowd.tick(100);
-            let confirm = Told { word: record(2, 1, 1, Life::Alive), doubt: Some(5) };
+            let confirm = GossipUpdate { record: record(2, 1, 1, Lifecycle::Alive), suspected_by: Some(5) };
             let suspected = confirmed && state(&crowd) == "suspect";
-            let news = Words::from_iter(suspected.then_some(confirm));
-            crowd.deliver(record(1, 1, 1, Life::Alive), Body::Ack { nr: crowd.now as u32 / 100 }, news);
+            let news = GossipUpdates::from_iter(suspected.then_some(confirm));
+            crowd.deliver(
+                record(1, 1, 1, Lifecycle::Alive),
+                GossipBody::Ack { sequence: crowd.now as u32 / 100 },
+                news,
+            );
         }
-        while !crowd.fleet.alone() {
+        while !crowd.fleet.is_isolated() {
             assert!(crowd.now < 40_000, "not isolated in time");
             crowd.tick(100);
         }
-        crowd.deliver(record(1, 1, 1, Life::Alive), Body::Ack { nr: 0 }, Words::new());
+        crowd.deliver(
+            record(1, 1, 1, Lifecycle::Alive),
+            GossipBody::Ack { sequence: 0 },
+            GossipUpdates::new(),
+        );
         assert_eq!(state(&crowd), if confirmed { "suspect" } else { "alive" });
     }
 }
@@ -544,13 +584,14 @@
     for depth in 58..=64u8 {
         let mut crowd = Crowd::new(10);
         crowd.introduce(1..4);
-        let range = Range { depth, prefix: id("member-2") >> (64 - depth) };
-        let digest = Part { range, sum: 0, count: 0 };
-        let parts = Body::Parts(heapless::Vec::from_iter([digest]));
-        let ranges = Body::Range { ranges: heapless::Vec::from_iter([range]), back: true };
+        let range = IdRange { prefix_bits: depth, prefix: member_id("member-2") >> (64 - depth) };
+        let digest = RangeDigest { range, digest: 0, count: 0 };
+        let parts = GossipBody::RangeDigests(heapless::Vec::from_iter([digest]));
+        let ranges =
+            GossipBody::RangeRecords { ranges: heapless::Vec::from_iter([range]), reply_wanted: true };
         for body in [parts, ranges] {
             let before = crowd.recorder.result();
-            crowd.deliver(record(1, 1, 1, Life::Alive), body, Words::new());
+            crowd.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
             found.push((depth, crowd.recorder.result().1 - before.1, crowd.recorder.result().0));
         }
     }
@@ -579,12 +620,12 @@
 fn indirect_questions_end_at_their_bound() {
     let mut crowd = Crowd::new(4);
     crowd.introduce(1..5);
-    let full = crowd.fleet.counts().full;
+    let full = crowd.fleet.counters().capacity_drops;
     for nr in 0..100 {
-        let body = Body::AskFor { nr, id: 7, address: address(9) };
-        crowd.deliver(record(1, 1, 1, Life::Alive), body, Words::new());
+        let body = GossipBody::PingRequest { sequence: nr, target_id: 7, target_address: address(9) };
+        crowd.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
     }
-    assert_eq!(crowd.fleet.counts().full - full, 36);
+    assert_eq!(crowd.fleet.counters().capacity_drops - full, 36);
     // Without an answer each is reported as failed after half a period.
     crowd.tick(500);
     assert_eq!(crowd.recorder.result(), (2376495787776688446, 129, 4));
@@ -594,7 +635,7 @@
 fn the_leave_is_sent_to_as_many_members_as_recorded() {
     let mut crowd = Crowd::new(5);
     crowd.introduce(1..600);
-    crowd.with(|f, now, out| f.leave(false, now, out));
+    crowd.with(|f, now, out| f.announce_leaving(now, out));
     assert_eq!(crowd.sent, 512);
     assert_eq!(crowd.recorder.result(), (15806635977635704311, 512, 600));
 }
@@ -604,18 +645,18 @@
     let mut crowd = Crowd::new(6);
     crowd.introduce(1..4_201);
     for host in 1..4_201 {
-        crowd.deliver(record(host, 1, 2, Life::Left), Body::Tell, Words::new());
+        crowd.deliver(record(host, 1, 2, Lifecycle::Left), GossipBody::UpdatesOnly, GossipUpdates::new());
     }
-    assert_eq!(crowd.fleet.view().count(), 4_201);
+    assert_eq!(crowd.fleet.members().count(), 4_201);
     crowd.tick(119_999);
-    assert_eq!(crowd.fleet.view().count(), 4_201, "shown for 120 periods");
+    assert_eq!(crowd.fleet.members().count(), 4_201, "shown for 120 periods");
     crowd.tick(1);
-    assert_eq!(crowd.fleet.view().count(), 1);
+    assert_eq!(crowd.fleet.members().count(), 1);
     // What is older than a kept record stays out; what was dropped for want of room comes back.
     crowd.introduce(1..4_201);
-    assert_eq!(crowd.fleet.view().count(), 1 + 104);
-    let lowest = crowd.fleet.view().next().expect("one is back").0.name.clone();
-    assert_eq!(id(&lowest), 1_422_182_093_192_228);
+    assert_eq!(crowd.fleet.members().count(), 1 + 104);
+    let lowest = crowd.fleet.members().next().expect("one is back").0.name.clone();
+    assert_eq!(member_id(&lowest), 1_422_182_093_192_228);
 }
 
 #[test]
@@ -627,7 +668,7 @@
         let (datagrams, changes) = (crowd.recorder.datagrams, crowd.recorder.changes);
         crowd.tick(250);
         if crowd.recorder.changes > changes {
-            let states: Vec<&str> = crowd.fleet.view().map(|(_, s)| s.name()).collect();
+            let states: Vec<&str> = crowd.fleet.members().map(|(_, s)| s.as_str()).collect();
             events.push(format!("{} {}", crowd.now, states.join(" ")));
         }
         if crowd.recorder.datagrams > datagrams {
@@ -655,8 +696,8 @@
             pings.push((crowd.now, crowd.recorder.datagrams - before));
         }
         // Others are heard, so that it does not count as isolated.
-        let word = record(1 + crowd.rng.below(39), 1, 1, Life::Alive);
-        crowd.deliver(word, Body::Ack { nr: 0 }, Words::new());
+        let word = record(1 + crowd.rng.below(39), 1, 1, Lifecycle::Alive);
+        crowd.deliver(word, GossipBody::Ack { sequence: 0 }, GossipUpdates::new());
     }
     assert_eq!(
         pings,
@@ -686,25 +727,25 @@
     let mut crowd = Crowd::new(9);
     crowd.introduce(1..40);
     let mut actions = Actions { recorder: &mut crowd.recorder, sent: Vec::new() };
-    crowd.fleet.heard(address(200), &wire::look(0), 10, &mut actions);
+    crowd.fleet.receive(address(200), &wire::encode_query(0), 10, &mut actions);
     let (_, bytes) = actions.sent.pop().expect("a page");
-    let Ok(Message::Looked(page)) = wire::read("pins", &bytes) else { panic!("a page") };
-    assert_eq!((page.members.len(), page.next), (16, Some(7_902_301_331_805_623_971)));
+    let Ok(Message::Page(page)) = wire::decode("pins", &bytes) else { panic!("a page") };
+    assert_eq!((page.members.len(), page.next_id), (16, Some(7_902_301_331_805_623_971)));
 }
 
 #[test]
 fn the_times_of_suspicion_and_the_number_of_retransmissions_are_as_recorded() {
-    let mut settings = Settings::new(name("pins"), name("own"), address(1));
+    let mut settings = MembershipConfig::new(name("pins"), name("own"), address(1));
     let mut found = Vec::new();
     for members in [1, 2, 3, 4, 10, 11, 60, 300, 16_384] {
         for confirmed in 0..5 {
-            found.push(settings.suspicion(members, confirmed));
+            found.push(settings.suspicion_timeout(members, confirmed));
         }
-        found.push(u64::from(settings.told(members)));
+        found.push(u64::from(settings.max_transmissions(members)));
     }
-    settings.confirmations = false;
-    found.push(settings.suspicion(300, 0));
-    assert_eq!((settings.period, settings.keep), (1_000, 3_600_000));
+    settings.suspicion_confirmations = false;
+    found.push(settings.suspicion_timeout(300, 0));
+    assert_eq!((settings.protocol_period, settings.unreachable_retention), (1_000, 3_600_000));
     assert_eq!(
         found,
         vec![
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,6 +1,6 @@
 //! `mallowseam fleet`: the view that running hosts have of their fleet.
 use clap::Args;
-use mallowseam_fleet_udp::ask::{View, view};
+use mallowseam_fleet_udp::query::{MembershipSnapshot, query_membership};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     looks: u64,
 }
 
-fn ask(host: SocketAddr) -> Result<View, String> {
-    view(host).map_err(|e| format!("{host}: {e}"))
+fn ask(host: SocketAddr) -> Result<MembershipSnapshot, String> {
+    query_membership(host).map_err(|e| format!("{host}: {e}"))
 }
 
 pub(crate) fn run(options: &Options) -> Result<(), String> {
@@ -37,22 +37,22 @@
     let [host] = options.hosts[..] else { return Err("several hosts are asked with --agree alone".into()) };
     let first = ask(host)?;
     match (options.json, options.watch) {
-        (true, _) => println!("{}", first.json()),
-        (_, false) => print!("{}", first.table()),
+        (true, _) => println!("{}", first.to_json()),
+        (_, false) => print!("{}", first.to_table()),
         (_, true) => watch(host, first, options.looks),
     }
     Ok(())
 }
 
-fn watch(host: SocketAddr, mut last: View, looks: u64) {
-    println!("as {} sees it: {}", last.own, last.counts());
+fn watch(host: SocketAddr, mut last: MembershipSnapshot, looks: u64) {
+    println!("as {} sees it: {}", last.host, last.state_counts());
     let mut looked = 0;
     while looks == 0 || looked < looks {
         std::thread::sleep(EVERY);
         looked += 1;
         match ask(host) {
             Ok(now) => {
-                now.changes(&last).iter().for_each(|c| println!("{c}"));
+                now.changes_since(&last).iter().for_each(|c| println!("{c}"));
                 last = now;
             }
             Err(why) => println!("{why}"),
@@ -61,13 +61,13 @@
 }
 
 fn agree(hosts: &[SocketAddr]) -> Result<(), String> {
-    let views: Vec<View> = hosts.iter().map(|h| ask(*h)).collect::<Result<_, _>>()?;
+    let views: Vec<MembershipSnapshot> = hosts.iter().map(|h| ask(*h)).collect::<Result<_, _>>()?;
     let mut differ = 0;
     for other in &views[1..] {
-        let lines = views[0].differs(other);
+        let lines = views[0].differences(other);
         differ += usize::from(!lines.is_empty());
         lines.iter().for_each(|l| println!("{l}"));
     }
-    println!("{} hosts asked, {} see what {} sees", views.len(), views.len() - differ, views[0].own);
+    println!("{} hosts asked, {} see what {} sees", views.len(), views.len() - differ, views[0].host);
     if differ == 0 { Ok(()) } else { Err(format!("{differ} of {} views differ from the first", views.len())) }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -10,8 +10,8 @@
 use crate::opening::{Failure, control, failure, listen, signals};
 use crate::terms;
 use mallowseam_conduct::door::Door;
-use mallowseam_fleet::word::Facts;
-use mallowseam_fleet_udp::Part;
+use mallowseam_fleet::record::ActiveVersions;
+use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::target::TargetTerms;
@@ -59,8 +59,8 @@
     list: List,
     follow: Option<Follow>,
     /// Its part in the fleet's view, where the configuration names one, and whether that has more to read.
-    part: Option<Box<Part>>,
-    part_more: bool,
+    membership: Option<Box<UdpMembership>>,
+    membership_readable: bool,
     /// The parts of limits that the scheduler keeps to, by volume.
     parts: Vec<Option<Units>>,
     /// What clients asked of each volume in the last span, a second; and the counts it began with.
@@ -91,14 +91,14 @@
         }
         gateway.desk.now = gateway.clock.now();
         // Time first: a host that was stopped must not take what has come since for late.
-        gateway.part.iter_mut().for_each(|p| p.tick());
+        gateway.membership.iter_mut().for_each(|p| p.tick());
         for event in events.iter() {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
             gateway.ready(event.token(), readable);
         }
         gateway.round();
     }
-    gateway.part.iter_mut().for_each(|p| p.leave(true));
+    gateway.membership.iter_mut().for_each(|p| p.announce_left());
     tracing::info!("host ends");
     Ok(())
 }
@@ -139,9 +139,9 @@
             }
             None => None,
         };
-        let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
-        let part =
-            site.host.place.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
+        let opened = |place| UdpMembership::open(poll.registry(), FLEET, place).map(Box::new);
+        let membership =
+            site.host.fleet.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
         let clock = Clock::start();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
@@ -150,8 +150,8 @@
             desk: Desk::new(&site, clients, nodes, map),
             list,
             follow,
-            part,
-            part_more: false,
+            membership,
+            membership_readable: false,
             parts: vec![None; site.volumes.len()],
             wanted: vec![0; site.volumes.len()],
             counted: (0, vec![0.0; site.volumes.len()]),
@@ -193,7 +193,7 @@
     }
 
     fn wait(&self) -> Option<std::time::Duration> {
-        if !self.turns.is_empty() || self.part_more {
+        if !self.turns.is_empty() || self.membership_readable {
             return Some(std::time::Duration::ZERO);
         }
         let mut due = self.looked + LOOK;
@@ -201,14 +201,18 @@
             due = due.min(at);
         }
         let due = span(due - self.clock.now());
-        Some(self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due()))))
+        Some(
+            self.membership
+                .as_ref()
+                .map_or(due, |p| due.min(std::time::Duration::from_millis(p.millis_until_tick()))),
+        )
     }
 
     fn ready(&mut self, token: Token, readable: bool) {
         let now = self.desk.now;
         match token {
             LISTENER => self.accepting = true,
-            FLEET => self.part_more = true,
+            FLEET => self.membership_readable = true,
             CONTROL => {
                 if let Some(control) = &mut self.control {
                     control.accept();
@@ -305,8 +309,8 @@
                 None => break,
             }
         }
-        if let Some(part) = self.part.as_mut().filter(|_| self.part_more) {
-            self.part_more = part.heard();
+        if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
+            self.membership_readable = membership.on_readable();
         }
         self.hear_list();
         self.desk.now = self.clock.now();
@@ -427,15 +431,15 @@
 
     /// What this host acts on, for the fleet's view.
     fn tell_part(&mut self) {
-        let Some(part) = &mut self.part else { return };
+        let Some(membership) = &mut self.membership else { return };
         let plans = self.follow.as_ref().map_or(0, |f| f.member.state().version);
-        part.facts(Facts { list: self.list.known().1, plans });
+        membership.set_active_versions(ActiveVersions { endpoint_list: self.list.known().1, plans });
     }
 
     fn drain(&mut self, cause: &str) -> bool {
         let drained = self.desk.clients.drain(self.desk.now);
         if drained && self.stops > 0 {
-            self.part.iter_mut().for_each(|p| p.leave(false));
+            self.membership.iter_mut().for_each(|p| p.announce_leaving());
         }
         if drained {
             tracing::info!(cause, "closed to new logins");
--- a/crates/lab/src/fleet/views.rs
+++ b/crates/lab/src/fleet/views.rs
@@ -5,7 +5,7 @@
 use super::scene::{Scene, Trouble};
 use super::world::Held;
 use crate::trace::Micros;
-use mallowseam_fleet::State;
+use mallowseam_fleet::MemberState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -191,8 +191,9 @@
         let running: BTreeSet<u32> =
             self.lives.iter().filter(|l| l.from < end && l.until >= end).map(|l| l.host).collect();
         let right = |h: &Held| {
-            let up: BTreeSet<u32> = h.members.iter().filter(|m| m.1 == State::Alive).map(|m| m.0).collect();
-            let open = |s| matches!(s, State::Suspect | State::Joining | State::Leaving);
+            let up: BTreeSet<u32> =
+                h.members.iter().filter(|m| m.1 == MemberState::Alive).map(|m| m.0).collect();
+            let open = |s| matches!(s, MemberState::Suspect | MemberState::Joining | MemberState::Leaving);
             up == running && !h.members.iter().any(|m| open(m.1))
         };
         // From the last look that was not right on, or not the one that the last ones share.
@@ -206,8 +207,9 @@
             let wrong = |host: u32| {
                 let seen = h.members.iter().find(|m| m.0 == host).map(|m| m.1);
                 let is = running.contains(&host);
-                let fits = is == (seen == Some(State::Alive));
-                let open = matches!(seen, Some(State::Suspect | State::Joining | State::Leaving));
+                let fits = is == (seen == Some(MemberState::Alive));
+                let open =
+                    matches!(seen, Some(MemberState::Suspect | MemberState::Joining | MemberState::Leaving));
                 (!fits || open)
                     .then(|| format!("{host} {}: {seen:?}", if is { "runs" } else { "does not run" }))
             };
@@ -230,7 +232,7 @@
             if h.asked < found || !self.ran(h.host, from, h.asked) {
                 continue;
             }
-            let out = h.members.iter().filter(|m| m.1 == State::Unreachable && m.0 != h.host);
+            let out = h.members.iter().filter(|m| m.1 == MemberState::Unreachable && m.0 != h.host);
             let wrong =
                 out.filter(|m| self.ran(m.0, from, h.asked) && self.reached(h.host, m.0, from, h.asked));
             told.wrongly += wrong.count() as f64 * (h.asked - before) as f64 / 1e6;
@@ -249,7 +251,7 @@
                     && h.asked < until
                     && self.ran(h.host, life.until, h.asked)
                     && self.reached(h.host, life.host, life.until, h.asked)
-                    && h.members.iter().any(|m| m.0 == life.host && m.1 == State::Alive)
+                    && h.members.iter().any(|m| m.0 == life.host && m.1 == MemberState::Alive)
             };
             if let Some(h) = held.iter().find(holds) {
                 told.unseen.push(format!(
@@ -277,7 +279,7 @@
         for (member, state, generation) in &h.members {
             let key = (h.host, *member, *generation);
             match state {
-                State::Left => drop(left.insert(key)),
+                MemberState::Left => drop(left.insert(key)),
                 _ if left.contains(&key) => {
                     told.back.push(format!("host {} has {member} as {state:?}, which had left", h.host));
                 }
--- a/crates/lab/src/fleet/world/ways.rs
+++ b/crates/lab/src/fleet/world/ways.rs
@@ -2,9 +2,9 @@
 //! kept here for it: what comes there passes with the fault of that pair and direction, and goes on from the address at
 //! which the sender is reached.
 use super::*;
-use mallowseam_fleet::State;
-use mallowseam_fleet::wire::{self as fleet_wire, Look, MOST, Message};
-use mallowseam_fleet_udp::ask::View;
+use mallowseam_fleet::MemberState;
+use mallowseam_fleet::wire::{self as fleet_wire, MAX_DATAGRAM_BYTES, MembershipPage, Message};
+use mallowseam_fleet_udp::query::MembershipSnapshot;
 use mio::net::UdpSocket;
 use rand::RngExt;
 
@@ -27,7 +27,7 @@
 /// A look at a host's view under way.
 struct Looking {
     since: Micros,
-    view: View,
+    view: MembershipSnapshot,
 }
 
 /// A host's view as it was told, when it was asked for, and when its last page came.
@@ -36,7 +36,7 @@
     pub asked: Micros,
     pub at: Micros,
     pub host: u32,
-    pub view: View,
+    pub view: MembershipSnapshot,
 }
 
 /// What a view held, in short: members by their numbers, with generations.
@@ -45,7 +45,7 @@
     pub asked: Micros,
     pub host: u32,
     pub sum: u64,
-    pub members: Vec<(u32, State, u64)>,
+    pub members: Vec<(u32, MemberState, u64)>,
 }
 
 #[derive(Default)]
@@ -86,7 +86,7 @@
             return self.pages();
         }
         for _ in 0..ROUND {
-            let mut bytes = [0; MOST + 1];
+            let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
             let Some(Ok((len, from))) = self.ways_udp.sockets.get(to).map(|s| s.recv_from(&mut bytes)) else {
                 return;
             };
@@ -155,18 +155,24 @@
         if self.ways_udp.looking.get(&host).is_some_and(|l| now < l.since + LOOK_LOST) {
             return;
         }
-        let view = View { own: String::new(), alone: false, displaced: false, sum: 0, members: Vec::new() };
+        let view = MembershipSnapshot {
+            host: String::new(),
+            isolated: false,
+            superseded: false,
+            digest: 0,
+            members: Vec::new(),
+        };
         self.ways_udp.looking.insert(host, Looking { since: now, view });
-        self.noise(host, &fleet_wire::look(0));
+        self.noise(host, &fleet_wire::encode_query(0));
     }
 
     fn pages(&mut self) {
         for _ in 0..ROUND {
-            let mut bytes = [0; MOST + 1];
+            let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
             let Some(Ok((len, from))) = self.ways_udp.eye.as_ref().map(|s| s.recv_from(&mut bytes)) else {
                 return;
             };
-            let Ok(Message::Looked(page)) = fleet_wire::read_any(&bytes[..len]) else { continue };
+            let Ok(Message::Page(page)) = fleet_wire::decode_any_fleet(&bytes[..len]) else { continue };
             let host = self.ways_udp.looking.keys().copied().find(|h| self.addresses.fleet(*h) == from);
             if let Some(host) = host {
                 self.page(host, page);
@@ -174,24 +180,24 @@
         }
     }
 
-    fn page(&mut self, host: u32, page: Look) {
+    fn page(&mut self, host: u32, page: MembershipPage) {
         let Some(mut looking) = self.ways_udp.looking.remove(&host) else { return };
         let view = &mut looking.view;
-        view.own = page.own.as_str().to_owned();
-        (view.alone, view.displaced, view.sum) = (page.alone, page.displaced, page.sum);
+        view.host = page.host.as_str().to_owned();
+        (view.isolated, view.superseded, view.digest) = (page.isolated, page.superseded, page.digest);
         view.members.extend(page.members);
-        match page.next {
+        match page.next_id {
             Some(next) => {
                 self.ways_udp.looking.insert(host, looking);
-                self.noise(host, &fleet_wire::look(next));
+                self.noise(host, &fleet_wire::encode_query(next));
             }
             None => {
                 let (at, asked) = (self.now(), looking.since);
                 let number = |name: &str| name.strip_prefix('n').and_then(|n| n.parse().ok());
                 let members = looking.view.members.iter();
                 let members =
-                    members.filter_map(|m| Some((number(&m.word.name)?, m.state, m.word.generation)));
-                let (sum, members) = (looking.view.sum, members.collect());
+                    members.filter_map(|m| Some((number(&m.record.name)?, m.state, m.record.generation)));
+                let (sum, members) = (looking.view.digest, members.collect());
                 self.ways_udp.held.push(Held { asked, host, sum, members });
                 self.ways_udp.last.insert(host, Viewed { asked, at, host, view: looking.view });
             }
--- a/crates/lab/src/view/figures.rs
+++ b/crates/lab/src/view/figures.rs
@@ -1,6 +1,6 @@
 //! What the view costs and how well it tells, in simulated time, by the number of hosts.
 use super::net::Net;
-use mallowseam_fleet::{Change, Millis, State};
+use mallowseam_fleet::{MemberState, MembershipEvent, Millis};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -61,7 +61,8 @@
     }
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xf1e1d);
     let mut net = Net::new(hosts, 3.min(hosts), 3, seed);
-    (net.settings.health, net.settings.confirmations) = (kind == Kind::Built, kind == Kind::Built);
+    (net.settings.local_health, net.settings.suspicion_confirmations) =
+        (kind == Kind::Built, kind == Kind::Built);
     let seconds = |t: Option<Millis>| t.map_or(f64::NAN, |t| t as f64 / 1e3);
     for host in 0..hosts {
         // Processes of many machines start within a second.
@@ -112,11 +113,14 @@
         let names: std::collections::BTreeSet<_> = awake.iter().map(|h| super::net::name(*h)).collect();
         for host in &awake {
             let Some(fleet) = net.fleet(*host) else { continue };
-            let wrong = fleet.view().filter(|(w, s)| *s == State::Unreachable && names.contains(&w.name));
+            let wrong =
+                fleet.members().filter(|(w, s)| *s == MemberState::Unreachable && names.contains(&w.name));
             held += wrong.count() as u64;
         }
     }
-    let words = |c: &Change| matches!(c, Change::Member { now: State::Unreachable, .. });
+    let words = |c: &MembershipEvent| {
+        matches!(c, MembershipEvent::MemberUpdated { current: MemberState::Unreachable, .. })
+    };
     let count = net.heard.iter().filter(|(_, _, c)| words(c)).count();
     (net.loss, net.keep_changes) = (0.0, false);
     net.heard.clear();
--- a/crates/lab/src/view/net.rs
+++ b/crates/lab/src/view/net.rs
@@ -1,8 +1,8 @@
 //! Hosts' parts in a fleet's view on a network of figures: delay, loss, cuts one way and both, stops, kills. Simulated
 //! time, seeded; thousands of hosts.
-use mallowseam_fleet::settings::Settings;
-use mallowseam_fleet::word::{Name, Zone};
-use mallowseam_fleet::{Carrier, Change, Fleet, Millis, State};
+use mallowseam_fleet::config::MembershipConfig;
+use mallowseam_fleet::record::{Name, Zone};
+use mallowseam_fleet::{ActionSink, MemberState, Membership, MembershipEvent, Millis};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -22,7 +22,7 @@
 }
 
 struct Host {
-    fleet: Option<Fleet>,
+    fleet: Option<Membership>,
     life: u32,
     /// Stopped until then.
     stopped: Millis,
@@ -39,25 +39,25 @@
     pub delay: (Millis, u64),
     /// Ways on which nothing passes: from, to.
     pub cut: Vec<(usize, usize)>,
-    pub settings: Settings,
+    pub settings: MembershipConfig,
     rng: Pcg64Mcg,
     pub datagrams: u64,
     pub bytes: u64,
     /// What each host's view heard, with the time.
-    pub heard: Vec<(Millis, usize, Change)>,
+    pub heard: Vec<(Millis, usize, MembershipEvent)>,
     pub keep_changes: bool,
 }
 
 struct Out<'a> {
     sent: &'a mut Vec<(SocketAddr, Vec<u8>)>,
-    changes: &'a mut Vec<Change>,
+    changes: &'a mut Vec<MembershipEvent>,
 }
 
-impl Carrier for Out<'_> {
+impl ActionSink for Out<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.sent.push((to, bytes.to_vec()));
     }
-    fn changed(&mut self, change: Change) {
+    fn notify(&mut self, change: MembershipEvent) {
         self.changes.push(change);
     }
 }
@@ -82,7 +82,7 @@
     /// So many hosts, none started yet; the first `seeds` of them are everybody's seeds.
     pub fn new(hosts: usize, seeds: usize, zones: usize, seed: u64) -> Self {
         let fleet = Name::try_from("model").unwrap_or_default();
-        let mut settings = Settings::new(fleet, Name::new(), address(0));
+        let mut settings = MembershipConfig::new(fleet, Name::new(), address(0));
         settings.seeds = (0..seeds).map(address).collect();
         let host = |_| Host { fleet: None, life: 0, stopped: 0, side: 0 };
         let mut net = Net {
@@ -119,9 +119,10 @@
     /// Starts a host under another one's name: two processes that think they are the same.
     pub fn start_as(&mut self, host: usize, named: usize) {
         let zones = self.settings.zone.parse::<usize>().unwrap_or(1).max(1);
-        let mut settings = Settings { name: name(named), address: address(host), ..self.settings.clone() };
+        let mut settings =
+            MembershipConfig { name: name(named), address: address(host), ..self.settings.clone() };
         settings.zone = Zone::try_from(format!("z{}", host % zones).as_str()).unwrap_or_default();
-        let fleet = Fleet::new(settings, self.rng.random(), self.now, STARTED + self.now);
+        let fleet = Membership::new(settings, self.rng.random(), self.now, STARTED + self.now);
         let place = &mut self.hosts[host];
         place.life += 1;
         (place.fleet, place.stopped) = (Some(fleet), 0);
@@ -136,7 +137,10 @@
 
     /// Told to end; it is gone after half a second.
     pub fn leave(&mut self, host: usize, over: bool) {
-        self.with(host, |f, now, out| f.leave(over, now, out));
+        self.with(host, |f, now, out| match over {
+            true => f.announce_left(now, out),
+            false => f.announce_leaving(now, out),
+        });
     }
 
     pub fn stop(&mut self, host: usize, span: Millis) {
@@ -147,11 +151,11 @@
         self.hosts[host].side = side;
     }
 
-    pub fn fleet(&self, host: usize) -> Option<&Fleet> {
+    pub fn fleet(&self, host: usize) -> Option<&Membership> {
         self.hosts[host].fleet.as_ref()
     }
 
-    pub fn fleet_mut(&mut self, host: usize) -> Option<&mut Fleet> {
+    pub fn fleet_mut(&mut self, host: usize) -> Option<&mut Membership> {
         self.hosts[host].fleet.as_mut()
     }
 
@@ -164,9 +168,9 @@
     }
 
     /// How a host sees another one.
-    pub fn sees(&self, host: usize, other: usize) -> Option<State> {
+    pub fn sees(&self, host: usize, other: usize) -> Option<MemberState> {
         let other = name(other);
-        self.fleet(host)?.view().find(|(w, _)| w.name == other).map(|(_, s)| s)
+        self.fleet(host)?.members().find(|(w, _)| w.name == other).map(|(_, s)| s)
     }
 
     fn push(&mut self, at: Millis, event: Event) {
@@ -174,7 +178,7 @@
         self.events.push(Reverse((at, self.seq, event)));
     }
 
-    fn with(&mut self, host: usize, act: impl FnOnce(&mut Fleet, Millis, &mut dyn Carrier)) {
+    fn with(&mut self, host: usize, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let (mut sent, mut changes) = (Vec::new(), Vec::new());
         let now = self.now;
         let Some(fleet) = &mut self.hosts[host].fleet else { return };
@@ -213,11 +217,11 @@
         }
         match event {
             Event::Comes { to, from, bytes } => {
-                self.with(to, |f, now, out| f.heard(address(from), &bytes, now, out));
+                self.with(to, |f, now, out| f.receive(address(from), &bytes, now, out));
             }
             Event::Tick { host, life } if life == self.hosts[host].life => {
                 self.with(host, |f, now, out| f.tick(now, out));
-                if let Some(due) = self.hosts[host].fleet.as_ref().map(Fleet::due) {
+                if let Some(due) = self.hosts[host].fleet.as_ref().map(Membership::next_tick) {
                     self.push(due.max(self.now + 1), Event::Tick { host, life });
                 }
             }
@@ -229,20 +233,22 @@
     pub fn settled(&self) -> bool {
         let mut running: Vec<Name> = self.running().map(name).collect();
         running.sort();
-        let up = |f: &Fleet| {
+        let up = |f: &Membership| {
             let mut up: Vec<Name> =
-                f.view().filter(|(_, s)| *s == State::Alive).map(|(w, _)| w.name.clone()).collect();
+                f.members().filter(|(_, s)| *s == MemberState::Alive).map(|(w, _)| w.name.clone()).collect();
             up.sort();
             up
         };
-        let doubted =
-            |f: &Fleet| f.view().any(|(_, s)| matches!(s, State::Suspect | State::Joining | State::Leaving));
+        let doubted = |f: &Membership| {
+            f.members()
+                .any(|(_, s)| matches!(s, MemberState::Suspect | MemberState::Joining | MemberState::Leaving))
+        };
         // Sums last: where it has not settled, some host shows it before all are reckoned.
         let mut fleets = self.running().filter_map(|h| self.fleet(h));
         if !fleets.all(|f| !doubted(f) && up(f) == running) {
             return false;
         }
-        let mut sums = self.running().filter_map(|h| self.fleet(h)).map(Fleet::sum);
+        let mut sums = self.running().filter_map(|h| self.fleet(h)).map(Membership::digest);
         let first = sums.next();
         sums.all(|s| Some(s) == first)
     }
--- a/crates/lab/src/view/small.rs
+++ b/crates/lab/src/view/small.rs
@@ -2,9 +2,9 @@
 //! and its healing. What is not delivered within two passes of half a period is lost.
 use crate::search::Searched;
 use crate::view::net::{address, name};
-use mallowseam_fleet::settings::{Mistake, Settings};
-use mallowseam_fleet::word::{Life, Name};
-use mallowseam_fleet::{Carrier, Change, Fleet, Millis, State};
+use mallowseam_fleet::config::{MembershipConfig, Mutant};
+use mallowseam_fleet::record::{Lifecycle, Name};
+use mallowseam_fleet::{ActionSink, MemberState, Membership, MembershipEvent, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -54,12 +54,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Small {
-    hosts: [Option<Fleet>; HOSTS],
+    hosts: [Option<Membership>; HOSTS],
     sent: Vec<Sent>,
     now: Millis,
     cut: Option<usize>,
     budget: Budget,
-    settings: Settings,
+    settings: MembershipConfig,
     starts: u64,
     /// Generations there ever were, with the latest word that each said of itself.
     were: BTreeMap<(Name, u64), u32>,
@@ -72,20 +72,20 @@
 #[derive(Default)]
 struct Out(Vec<(SocketAddr, Vec<u8>)>);
 
-impl Carrier for Out {
+impl ActionSink for Out {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.0.push((to, bytes.to_vec()));
     }
-    fn changed(&mut self, _: Change) {}
+    fn notify(&mut self, _: MembershipEvent) {}
 }
 
 impl Small {
     /// All three know each other, and nothing is under way.
-    pub fn joined(budget: Budget, mistake: Option<Mistake>) -> Self {
+    pub fn joined(budget: Budget, mutant: Option<Mutant>) -> Self {
         let fleet = Name::try_from("small").unwrap_or_default();
-        let mut settings = Settings::new(fleet, Name::new(), address(0));
+        let mut settings = MembershipConfig::new(fleet, Name::new(), address(0));
         settings.seeds = vec![address(0), address(1)];
-        settings.mistake = mistake;
+        settings.mutant = mutant;
         let mut small = Small {
             hosts: [None, None, None],
             sent: Vec::new(),
@@ -105,28 +105,28 @@
     }
 
     /// One was killed so many periods ago, and nobody was there to say otherwise.
-    pub fn after_a_kill(budget: Budget, mistake: Option<Mistake>, periods: u64) -> Self {
-        let mut small = Small::joined(budget, mistake);
+    pub fn after_a_kill(budget: Budget, mutant: Option<Mutant>, periods: u64) -> Self {
+        let mut small = Small::joined(budget, mutant);
         small.hosts[2] = None;
         small.goes_on(periods * PERIOD, |_| false);
         small
     }
 
     /// One has been cut off from the others for so many periods.
-    pub fn after_a_cut(budget: Budget, mistake: Option<Mistake>, periods: u64) -> Self {
-        let mut small = Small::joined(budget, mistake);
+    pub fn after_a_cut(budget: Budget, mutant: Option<Mutant>, periods: u64) -> Self {
+        let mut small = Small::joined(budget, mutant);
         small.cut = Some(0);
         small.goes_on(periods * PERIOD, |_| false);
         small
     }
 
     /// One said long ago that it lives, in a datagram that is still under way, and ended since: nothing of it is shown.
-    pub fn after_an_end(budget: Budget, mistake: Option<Mistake>) -> Self {
-        let mut small = Small::joined(budget, mistake);
+    pub fn after_an_end(budget: Budget, mutant: Option<Mutant>) -> Self {
+        let mut small = Small::joined(budget, mutant);
         small.pass();
         let old: Vec<Sent> = small.sent.iter().filter(|s| s.from == 2).cloned().collect();
         small.goes_on(PERIOD, |_| false);
-        small.with(2, |f, now, out| f.leave(true, now, out));
+        small.with(2, |f, now, out| f.announce_left(now, out));
         while !small.sent.is_empty() {
             small.comes(0, false);
         }
@@ -138,15 +138,15 @@
 
     fn start(&mut self, host: usize) {
         self.starts += 1;
-        let settings = Settings { name: name(host), address: address(host), ..self.settings.clone() };
-        let fleet = Fleet::new(settings, self.starts, self.now, 1_000_000 + self.starts);
+        let settings = MembershipConfig { name: name(host), address: address(host), ..self.settings.clone() };
+        let fleet = Membership::new(settings, self.starts, self.now, 1_000_000 + self.starts);
         self.hosts[host] = Some(fleet);
         self.held.retain(|k, _| k.0 != host);
         self.ended.retain(|e| e.0 != host);
         self.note(host);
     }
 
-    fn with(&mut self, host: usize, act: impl FnOnce(&mut Fleet, Millis, &mut dyn Carrier)) {
+    fn with(&mut self, host: usize, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let mut out = Out::default();
         let Some(fleet) = &mut self.hosts[host] else { return };
         act(fleet, self.now, &mut out);
@@ -163,14 +163,14 @@
     /// Holds what a host's view says against all that there was and all that it held before.
     fn note(&mut self, host: usize) {
         let Some(fleet) = &self.hosts[host] else { return };
-        let own = fleet.own();
+        let own = fleet.own_record();
         self.were.insert((own.name.clone(), own.generation), own.incarnation);
         let mut wrong = None;
-        for (word, state) in fleet.view() {
-            let (name, rank) = (&word.name, word.rank());
+        for (word, state) in fleet.members() {
+            let (name, rank) = (&word.name, word.precedence());
             match self.were.get(&(name.clone(), word.generation)) {
                 None => wrong = Some(format!("h{host} holds {name} of a generation that never was")),
-                Some(said) if word.incarnation > *said && word.life != Life::Left => {
+                Some(said) if word.incarnation > *said && word.lifecycle != Lifecycle::Left => {
                     wrong = Some(format!("h{host} holds a word of {name} that it never said"));
                 }
                 Some(_) => {}
@@ -181,7 +181,7 @@
             self.held.insert((host, name.clone()), rank);
             let key = (host, name.clone(), word.generation);
             match state {
-                State::Left => drop(self.ended.insert(key)),
+                MemberState::Left => drop(self.ended.insert(key)),
                 _ if self.ended.contains(&key) => {
                     wrong = Some(format!("to h{host} {name} came back from the dead"))
                 }
@@ -196,7 +196,7 @@
         // What was under way when a cut came does not pass it.
         let apart = self.cut.is_some_and(|one| (sent.from == one) != (sent.to == one));
         if !apart {
-            self.with(sent.to, |f, now, out| f.heard(address(sent.from), &sent.bytes, now, out));
+            self.with(sent.to, |f, now, out| f.receive(address(sent.from), &sent.bytes, now, out));
         }
     }
 
@@ -229,24 +229,24 @@
         let running: BTreeSet<Name> = (0..HOSTS).filter(|h| self.hosts[*h].is_some()).map(name).collect();
         self.hosts.iter().flatten().all(|f| {
             let up: BTreeSet<Name> =
-                f.view().filter(|(_, s)| *s == State::Alive).map(|(w, _)| w.name.clone()).collect();
-            let open = |s| matches!(s, State::Joining | State::Suspect | State::Leaving);
-            up == running && !f.view().any(|(_, s)| open(s))
+                f.members().filter(|(_, s)| *s == MemberState::Alive).map(|(w, _)| w.name.clone()).collect();
+            let open = |s| matches!(s, MemberState::Joining | MemberState::Suspect | MemberState::Leaving);
+            up == running && !f.members().any(|(_, s)| open(s))
         }) && self
             .hosts
             .iter()
             .flatten()
-            .all(|f| Some(f.sum()) == self.hosts.iter().flatten().next().map(Fleet::sum))
+            .all(|f| Some(f.digest()) == self.hosts.iter().flatten().next().map(Membership::digest))
     }
 }
 
 /// Where searches begin.
-pub fn roots(budget: Budget, mistake: Option<Mistake>) -> [(&'static str, Small); 4] {
+pub fn roots(budget: Budget, mutant: Option<Mutant>) -> [(&'static str, Small); 4] {
     [
-        ("all joined", Small::joined(budget, mistake)),
-        ("one killed 14 periods ago", Small::after_a_kill(budget, mistake, 14)),
-        ("one cut off for 40 periods", Small::after_a_cut(budget, mistake, 40)),
-        ("one ended, and an old word of it under way", Small::after_an_end(budget, mistake)),
+        ("all joined", Small::joined(budget, mutant)),
+        ("one killed 14 periods ago", Small::after_a_kill(budget, mutant, 14)),
+        ("one cut off for 40 periods", Small::after_a_cut(budget, mutant, 40)),
+        ("one ended, and an old word of it under way", Small::after_an_end(budget, mutant)),
     ]
 }
 
@@ -314,8 +314,8 @@
         }
         let views: Vec<String> = (end.hosts.iter().flatten())
             .map(|f| {
-                let seen: Vec<String> = f.view().map(|(w, s)| format!("{} {s:?}", w.name)).collect();
-                format!("{}: {}", f.own().name, seen.join(", "))
+                let seen: Vec<String> = f.members().map(|(w, s)| format!("{} {s:?}", w.name)).collect();
+                format!("{}: {}", f.own_record().name, seen.join(", "))
             })
             .collect();
         Err(format!("not one view {SETTLES} periods later: {}", views.join("; ")))
@@ -341,13 +341,13 @@
 
     #[test]
     fn a_rule_left_out_is_found() {
-        for (mistake, root, wanted) in [
-            (Mistake::Unrefuted, 2, "not one view"),
-            (Mistake::NoGraves, 3, "back from the dead"),
-            (Mistake::EarlierWords, 0, "earlier word"),
+        for (mutant, root, wanted) in [
+            (Mutant::NoRefutation, 2, "not one view"),
+            (Mutant::NoTombstones, 3, "back from the dead"),
+            (Mutant::AcceptStaleRecords, 0, "earlier word"),
         ] {
-            let found = search(&roots(ALL, Some(mistake))[root].1, STATES, 20);
-            assert!(found.as_ref().is_err_and(|f| f.wrong.contains(wanted)), "{mistake:?}: {found:?}");
+            let found = search(&roots(ALL, Some(mutant))[root].1, STATES, 20);
+            assert!(found.as_ref().is_err_and(|f| f.wrong.contains(wanted)), "{mutant:?}: {found:?}");
         }
     }
 }
--- a/crates/lab/tests/fleet/views.rs
+++ b/crates/lab/tests/fleet/views.rs
@@ -1,6 +1,6 @@
 //! A doctored record of views is caught, one for each of what they are held against.
 use crate::stage::scene;
-use mallowseam_fleet::State;
+use mallowseam_fleet::MemberState;
 use mallowseam_lab::fleet::record::{End, Seen, What};
 use mallowseam_lab::fleet::views::{Told, judge};
 use mallowseam_lab::fleet::world::Held;
@@ -10,17 +10,17 @@
 const HEAD: &str = "day 60s\nhosts 3 known now\nzones 2\nview period 100ms seeds 1\nnodes 1 cores 1 work 5ms queue 32\n\
     lines 64 1ms\ncold 25% 3s 4 1s 60 3s\nclients rate 1/s\nlist takes 10ms patience 1s lag 0ms\n";
 
-fn held(at: u64, host: u32, states: [State; 3]) -> Held {
+fn held(at: u64, host: u32, states: [MemberState; 3]) -> Held {
     let members = (0..3).map(|n| (n, states[n as usize], 7)).collect();
-    let sum = states.iter().fold(0, |sum, s| 10 * sum + u64::from(*s == State::Unreachable));
+    let sum = states.iter().fold(0, |sum, s| 10 * sum + u64::from(*s == MemberState::Unreachable));
     Held { asked: at * SECOND, host, sum, members }
 }
 
-const ALIVE: [State; 3] = [State::Alive; 3];
-const LOST: [State; 3] = [State::Alive, State::Alive, State::Unreachable];
+const ALIVE: [MemberState; 3] = [MemberState::Alive; 3];
+const LOST: [MemberState; 3] = [MemberState::Alive, MemberState::Alive, MemberState::Unreachable];
 
 /// Each of three hosts tells each second what `seen` says; the third one ends as told, if it does.
-fn judged(script: &str, ends: Option<(u64, End)>, seen: impl Fn(u64, u32) -> [State; 3]) -> Told {
+fn judged(script: &str, ends: Option<(u64, End)>, seen: impl Fn(u64, u32) -> [MemberState; 3]) -> Told {
     let mut record: Vec<Seen> = (0..3).map(|host| Seen { at: 0, what: What::HostUp { host } }).collect();
     if let Some((at, by)) = ends {
         record.push(Seen { at: at * SECOND, what: What::HostDown { host: 2, by } });
@@ -68,7 +68,7 @@
         if at < 22 || host == 1 && at < 30 { ALIVE } else { LOST }
     });
     assert_eq!((unseen.unseen.len(), unseen.back.len()), (1, 0), "{unseen}");
-    let left = [State::Alive, State::Alive, State::Left];
+    let left = [MemberState::Alive, MemberState::Alive, MemberState::Left];
     let back = judged("at 20s host 2 term for 99s\n", Some((20, End::Ended(0))), |at, _| {
         if at < 20 {
             ALIVE
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -477,8 +477,8 @@
 
 #[test]
 fn two_hosts_see_each_other_in_the_view_of_their_fleet_and_one_that_ends_as_leaving_and_left() {
-    use mallowseam_fleet::State;
-    use mallowseam_fleet_udp::ask::view;
+    use mallowseam_fleet::MemberState;
+    use mallowseam_fleet_udp::query::query_membership;
     let place = |n: u8| SocketAddr::from(([127, 219, std::process::id() as u8, n], 7000));
     let with = |n: u8| {
         Rig::with(10.0, |_, conf| {
@@ -488,25 +488,25 @@
         })
     };
     let (one, mut other) = (with(1), with(2));
-    let sees = |n: u8, name: &str, state: State| {
+    let sees = |n: u8, name: &str, state: MemberState| {
         let began = Instant::now();
         loop {
-            let seen = view(place(n)).ok();
-            let seen = seen.and_then(|v| v.members.iter().find(|m| m.word.name == name).map(|m| m.state));
+            let seen = query_membership(place(n)).ok();
+            let seen = seen.and_then(|v| v.members.iter().find(|m| m.record.name == name).map(|m| m.state));
             if seen == Some(state) {
                 return began.elapsed();
             }
             assert!(began.elapsed() < Duration::from_secs(10), "{n} has {name} as {seen:?}, not {state:?}");
         }
     };
-    sees(1, "gw2", State::Alive);
-    sees(2, "gw1", State::Alive);
+    sees(1, "gw2", MemberState::Alive);
+    sees(2, "gw1", MemberState::Alive);
     let _client = other.client(1);
     kill(Pid::from_raw(other.host.id() as i32), Signal::SIGTERM).expect("a signal");
-    assert!(sees(1, "gw2", State::Leaving) < Duration::from_millis(650));
+    assert!(sees(1, "gw2", MemberState::Leaving) < Duration::from_millis(650));
     kill(Pid::from_raw(other.host.id() as i32), Signal::SIGTERM).expect("a signal");
     assert!(other.end().success());
-    sees(1, "gw2", State::Left);
+    sees(1, "gw2", MemberState::Left);
     let shown = |args: &[&str]| {
         let out = lab(args).output().expect("it runs");
         (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
--- a/crates/platform-host/src/run.rs
+++ b/crates/platform-host/src/run.rs
@@ -6,8 +6,8 @@
 use mallowseam_conduct::front::{Doing, Leaving};
 use mallowseam_conduct::parting::{self, Keep};
 use mallowseam_conduct::watch::Pair;
-use mallowseam_fleet::word::Facts;
-use mallowseam_fleet_udp::Part;
+use mallowseam_fleet::record::ActiveVersions;
+use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_platform::config::{self, Config};
 use mallowseam_platform::list::News;
 use mallowseam_platform::settings::Named;
@@ -78,8 +78,8 @@
     calls: [Option<Call>; 2],
     pair: Pair,
     /// Its part in the fleet's view, where the configuration names one, and whether that has more to read.
-    part: Option<Box<Part>>,
-    part_more: bool,
+    membership: Option<Box<UdpMembership>>,
+    membership_readable: bool,
     /// The version of the list, once one was told, and the service that counts by it.
     seq: Option<u64>,
     counted_by: SocketAddr,
@@ -121,8 +121,8 @@
         host.desk.heard = host.looks.heard(from, host.clock.now());
         host.round(&events);
     }
-    if let Some(part) = &mut host.part {
-        part.leave(true);
+    if let Some(membership) = &mut host.membership {
+        membership.announce_left();
     }
     tracing::info!("host ends");
     Ok(())
@@ -154,8 +154,8 @@
         // On the platform the list is always asked for, and a late word on what was never tried costs three tenths.
         named.terms.list_on_request = true;
         named.terms.word_by_half = true;
-        let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
-        let part = config.place.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
+        let opened = |place| UdpMembership::open(poll.registry(), FLEET, place).map(Box::new);
+        let membership = config.fleet.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
         let keep = Keep::new(millis(named.idle_close), millis(now));
         let clients = Clients::new(registry()?, client_token, parting.clients, parting.client_bytes);
         let nodes = Nodes::new(
@@ -193,8 +193,8 @@
             hup,
             calls: [None, None],
             pair: Pair::default(),
-            part,
-            part_more: false,
+            membership,
+            membership_readable: false,
             seq: None,
             counted_by: config.discovery,
             told: false,
@@ -237,7 +237,7 @@
     }
 
     fn wait(&self) -> std::time::Duration {
-        if self.accepting || self.part_more || !self.desk.clients.turns.is_empty() {
+        if self.accepting || self.membership_readable || !self.desk.clients.turns.is_empty() {
             return std::time::Duration::ZERO;
         }
         let mut due = self.looked + LOOK;
@@ -246,7 +246,9 @@
             due = due.min(at);
         }
         let due = span(due - self.clock.now());
-        self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due())))
+        self.membership
+            .as_ref()
+            .map_or(due, |p| due.min(std::time::Duration::from_millis(p.millis_until_tick())))
     }
 
     /// One round: the list and the nodes are heard ahead of new work of clients, those who have left ahead of what
@@ -255,7 +257,7 @@
         self.tick();
         self.desk.polled = self.desk.now;
         // Time first: a host that was stopped must not take what has come since for late.
-        self.part.iter_mut().for_each(|p| p.tick());
+        self.membership.iter_mut().for_each(|p| p.tick());
         // A round that is full may leave the list's event for the next one, behind what clients ask.
         let full = events.iter().count() >= EVENTS;
         for (at, token) in CALLS.into_iter().enumerate() {
@@ -265,7 +267,7 @@
         }
         for event in events {
             match event.token() {
-                FLEET => self.part_more = true,
+                FLEET => self.membership_readable = true,
                 HUP if drain(&mut self.hup) => self.reload(),
                 TERM if drain(&mut self.term) => {
                     let named = &self.desk.named;
@@ -294,8 +296,8 @@
         if self.accepting {
             self.accept();
         }
-        if let Some(part) = self.part.as_mut().filter(|_| self.part_more) {
-            self.part_more = part.heard();
+        if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
+            self.membership_readable = membership.on_readable();
         }
         self.finish();
     }
@@ -418,7 +420,7 @@
         if self.leaving.is_none() {
             tracing::info!(clients = self.desk.clients.len(), in_hand = self.desk.in_hand(), "told to end");
             self.leaving = Some(leaving);
-            self.part.iter_mut().for_each(|p| p.leave(false));
+            self.membership.iter_mut().for_each(|p| p.announce_leaving());
             self.desk.clients.leaving = self.leaving;
         }
     }
@@ -452,9 +454,9 @@
         if rest(named) != rest(&self.desk.named) {
             tracing::warn!("settings beside the plans' figures have changed, and need a new start");
         }
-        match (&mut self.part, config.place) {
+        match (&mut self.membership, config.fleet) {
             (None, None) => {}
-            (Some(part), place) => part.reload(place),
+            (Some(membership), place) => membership.reload(place),
             (None, Some(_)) => tracing::warn!("a place in the fleet's view needs a new start"),
         }
         let moved = config.discovery != self.config.discovery;
@@ -553,7 +555,9 @@
             return;
         }
         self.seq = Some(news.seq);
-        self.part.iter_mut().for_each(|p| p.facts(Facts { list: news.seq, plans: 0 }));
+        self.membership
+            .iter_mut()
+            .for_each(|p| p.set_active_versions(ActiveVersions { endpoint_list: news.seq, plans: 0 }));
         self.told |= !news.entries.is_empty();
         self.desk.listed(&mut self.scheduler, form, news);
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: what a host is told at its start, and again by SIGHUP.
 use crate::list::{self, News};
 use crate::settings::{self, Named};
-use mallowseam_fleet::settings::{Place, Written};
+use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
     pub known: Option<News>,
     pub named: Named,
     /// Its place in the view that the fleet keeps of itself; none: it takes no part.
-    pub place: Option<Place>,
+    pub fleet: Option<FleetConfig>,
 }
 
 /// All that is wrong with a configuration, each with its field.
@@ -62,7 +62,7 @@
 
 impl Reader {
     /// A host's place in its fleet's view: an object with `name` and `listen`, and what else is told.
-    fn place(&mut self, v: &Value, host: &str) -> Option<Place> {
+    fn fleet(&mut self, v: &Value, host: &str) -> Option<FleetConfig> {
         const FIELDS: [&str; 7] = ["name", "listen", "reached_at", "zone", "seeds", "period_ms", "keep_s"];
         let Some(object) = v.as_object() else {
             return self.take("fleet", Err("expected an object".into()));
@@ -96,9 +96,18 @@
         let (period, keep) = (span("period_ms", 1), span("keep_s", 1_000));
         let text = |field: &str| v[field].as_str().unwrap_or_default().to_owned();
         let (fleet, host, zone) = (text("name"), host.to_owned(), text("zone"));
-        let written = Written { fleet, host, listen, reached_at, zone, seeds, period, keep };
-        match written.check() {
-            Ok(place) => (self.0.len() == known).then_some(place),
+        let written = UncheckedFleetConfig {
+            fleet,
+            host,
+            listen,
+            advertise_address: reached_at,
+            zone,
+            seeds,
+            period,
+            keep,
+        };
+        match written.validate() {
+            Ok(config) => (self.0.len() == known).then_some(config),
             Err(all) => {
                 self.0.extend(all.into_iter().map(|w| format!("fleet.{w}")));
                 None
@@ -136,9 +145,9 @@
             }
         }
     }
-    let place = match &v["fleet"] {
+    let fleet = match &v["fleet"] {
         Value::Null => Some(None),
-        fleet => r.place(fleet, name.as_deref().unwrap_or("?")).map(Some),
+        fleet => r.fleet(fleet, name.as_deref().unwrap_or("?")).map(Some),
     };
     if !r.0.is_empty() {
         return Err(Problems(r.0));
@@ -154,7 +163,7 @@
             sockets: sockets?,
             known: known?,
             named: named?,
-            place: place?,
+            fleet: fleet?,
         })
     };
     whole().ok_or_else(|| Problems(vec!["a field is missing".into()]))
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -311,14 +311,14 @@
 
 #[test]
 fn a_place_in_the_fleets_view_is_none_where_none_is_told_and_names_all_its_faults_at_once() {
-    assert_eq!(config::read(&config_text()).expect("sound").place, None);
+    assert_eq!(config::read(&config_text()).expect("sound").fleet, None);
     let with = |fleet: &str| config_text().replace("\"known\"", &format!("\"fleet\":{fleet},\"known\""));
     let sound = with(
         r#"{"name":"south","listen":"127.0.0.4:7000","seeds":["127.0.0.5:7000"],"zone":"z1","period_ms":500}"#,
     );
-    let place = config::read(&sound).expect("sound").place.expect("a place");
-    assert_eq!((place.settings.name.as_str(), place.settings.period), ("n3", 500));
-    assert_eq!(place.settings.address, place.listen, "reached where it listens");
+    let place = config::read(&sound).expect("sound").fleet.expect("a place");
+    assert_eq!((place.membership.name.as_str(), place.membership.protocol_period), ("n3", 500));
+    assert_eq!(place.membership.address, place.listen, "reached where it listens");
     let bad = r#"{"name":"","listen":"0.0.0.0:7000","seeds":["x"],"zone":"a zone of far more than its bytes","period_ms":3,"keep":1}"#;
     let problems = config::read(&with(bad)).expect_err("faults").to_string();
     for field in ["name", "reached_at", "seeds", "zone", "period", "keep"] {
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,7 +1,7 @@
 //! From text to a draft: every directive read, references still by name.
 use crate::lines::{Args, At, Problems, Word, words};
 use crate::site::{Catalog, Direction, Effect, Extent, Fleet, Group, Host, Node, Plan, Tariffs, Volume};
-use mallowseam_fleet::settings::{Place, Written};
+use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 use std::collections::HashSet;
 
 #[derive(Default)]
@@ -205,7 +205,7 @@
             }
         }
         "seed" => host.seed = args.whole("a whole number", 0, u64::MAX),
-        "fleet" => host.place = place(&host.name, args),
+        "fleet" => host.fleet = fleet_config(&host.name, args),
         _ => {
             return Err(
                 "listen, target, control, node-list, kept-list, follow, kept-plans, window, connections, longest, \
@@ -217,15 +217,18 @@
 }
 
 /// A host's place in its fleet's view: the fleet's name, then what is told of it.
-fn place(host: &str, args: &mut Args) -> Option<Place> {
-    let mut written =
-        Written { fleet: args.word("the fleet's name")?, host: host.to_owned(), ..Written::default() };
+fn fleet_config(host: &str, args: &mut Args) -> Option<FleetConfig> {
+    let mut written = UncheckedFleetConfig {
+        fleet: args.word("the fleet's name")?,
+        host: host.to_owned(),
+        ..UncheckedFleetConfig::default()
+    };
     let address = "an address and port";
     while args.more() {
         if args.literal("listen") {
             written.listen = args.address(address);
         } else if args.literal("reached-at") {
-            written.reached_at = args.address(address);
+            written.advertise_address = args.address(address);
         } else if args.literal("zone") {
             written.zone = args.word("a zone").unwrap_or_default();
         } else if args.literal("seed") {
@@ -238,10 +241,10 @@
             args.value::<()>("listen, reached-at, zone, seed, period or keep", |_| None)?;
         }
     }
-    match written.check() {
-        Ok(place) => Some(place),
+    match written.validate() {
+        Ok(config) => Some(config),
         Err(wrong) => {
-            args.wrong(&wrong);
+            args.wrong(&wrong.iter().map(ToString::to_string).collect::<Vec<_>>());
             None
         }
     }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,5 +1,5 @@
 //! What a sound configuration says. Durations in microseconds, sizes in bytes, rates in units a second.
-use mallowseam_fleet::settings::Place;
+use mallowseam_fleet::config::FleetConfig;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -60,7 +60,7 @@
     /// Where chance starts; none: from the system's own.
     pub seed: Option<u64>,
     /// Its place in the view that the fleet keeps of itself; none: it takes no part.
-    pub place: Option<Place>,
+    pub fleet: Option<FleetConfig>,
 }
 
 /// What holds for all hosts together.
