--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -827,14 +827,14 @@
         Some(p) => writeln!(
             out,
             "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
-            p.settings.fleet,
-            p.settings.name,
-            p.settings.address,
+            p.membership.fleet,
+            p.membership.name,
+            p.membership.address,
             p.listen,
-            p.settings.zone,
-            p.settings.seeds,
-            p.settings.period,
-            p.settings.keep
+            p.membership.zone,
+            p.membership.seeds,
+            p.membership.protocol_period,
+            p.membership.unreachable_retention
         ),
     }
     .expect("memory");
