--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -41,8 +41,8 @@
     lines: Vec<String>,
     hosts: Rollout,
     pools: Vec<QuotaPool>,
-    members: Vec<PlanReplica>,
-    shares: Vec<HostQuota>,
+    replicas: Vec<PlanReplica>,
+    quotas: Vec<HostQuota>,
     record: String,
 }
 
@@ -55,13 +55,13 @@
             lines: Vec::new(),
             hosts: Rollout::default(),
             pools: VOLUMES.iter().map(|_| QuotaPool::new(10_000, true)).collect(),
-            members: Vec::new(),
-            shares: (0..HOSTS).map(|_| HostQuota::new(1_000_003, 7)).collect(),
+            replicas: Vec::new(),
+            quotas: (0..HOSTS).map(|_| HostQuota::new(1_000_003, 7)).collect(),
             record: String::new(),
         };
         for host in 0..HOSTS {
-            let member = PlanReplica::new(&host_name(host), volumes_of(host), None, scenario.now);
-            scenario.members.push(member);
+            let replica = PlanReplica::new(&host_name(host), volumes_of(host), None, scenario.now);
+            scenario.replicas.push(replica);
         }
         scenario
     }
@@ -85,10 +85,10 @@
             8 => self.restart(),
             9 => self.follow_hosts(),
             10 => self.connect(),
-            _ => self.share(),
+            _ => self.use_quota(),
         }
         if self.random.below(3) == 0 {
-            self.note_parts();
+            self.note_quotas();
         }
     }
 
@@ -148,10 +148,10 @@
         }
     }
 
-    /// A member receives lines or a whole state.
+    /// A replica receives lines or a whole state.
     fn replicate(&mut self) {
         let host = self.random.below(HOSTS) as usize;
-        let HostMessage::Hello { version, .. } = self.members[host].hello() else { unreachable!() };
+        let HostMessage::Hello { version, .. } = self.replicas[host].hello() else { unreachable!() };
         let message = if self.random.below(5) == 0 {
             let last =
                 if self.random.below(6) == 0 { "x".to_owned() } else { self.trail.last_hash().to_owned() };
@@ -165,15 +165,15 @@
             }
             ServiceMessage::LogEntry { text }
         };
-        self.tell_member(host, message);
-        let hello = serde_json::to_string(&self.members[host].hello()).expect("plain");
+        self.send_to_replica(host, message);
+        let hello = serde_json::to_string(&self.replicas[host].hello()).expect("plain");
         self.note(&hello);
     }
 
-    fn tell_member(&mut self, host: usize, message: ServiceMessage) -> Option<HostMessage> {
+    fn send_to_replica(&mut self, host: usize, message: ServiceMessage) -> Option<HostMessage> {
         let wanted: Vec<MilliUnits> =
             VOLUMES.iter().map(|_| self.random.below(4) * self.random.below(90_000)).collect();
-        let (text, report) = match self.members[host].receive(message, &wanted, self.now) {
+        let (text, report) = match self.replicas[host].receive(message, &wanted, self.now) {
             ReplicaAction::None => ("nothing".to_owned(), None),
             ReplicaAction::ApplyPending => ("state".to_owned(), None),
             ReplicaAction::Send(message) => (serde_json::to_string(&message).expect("plain"), Some(message)),
@@ -185,43 +185,43 @@
 
     fn answer_version(&mut self) {
         let host = self.random.below(HOSTS) as usize;
-        let next = self.members[host].pending().map(|state| state.version);
+        let next = self.replicas[host].pending().map(|state| state.version);
         let answer = if self.random.below(5) == 0 {
-            self.members[host].reject_pending("no such node".to_owned())
+            self.replicas[host].reject_pending("no such node".to_owned())
         } else {
-            self.members[host].accept_pending(self.now)
+            self.replicas[host].accept_pending(self.now)
         };
         match &answer {
             Some(HostMessage::Accepted { version }) => {
                 self.hosts.on_accepted(&host_name(host as u64), *version, self.now)
             }
-            Some(HostMessage::Rejected { version, reason: why }) => {
-                self.hosts.on_rejected(&host_name(host as u64), *version, why, self.now);
+            Some(HostMessage::Rejected { version, reason }) => {
+                self.hosts.on_rejected(&host_name(host as u64), *version, reason, self.now);
             }
             _ => {}
         }
         let answer = serde_json::to_string(&answer).expect("plain");
-        let stands = self.members[host].state().version;
+        let stands = self.replicas[host].state().version;
         self.note(&format!("{host} next {next:?} stands {stands}: {answer}"));
         let everywhere = self.hosts.effective_version(self.trail.state.version, self.now);
         self.note(&format!("{everywhere} everywhere"));
     }
 
-    /// A question, its answer and the grant, each of them late by a random time.
+    /// A poll, its report and the lease, each of them late by a random time.
     fn lend_and_grant(&mut self) {
         let host = self.random.below(HOSTS) as usize;
         let latest = if self.random.below(10) == 0 { 3_200 } else { 200 };
-        let asked = self.now - self.random.below(latest);
-        let report = self.tell_member(host, ServiceMessage::QuotaPoll { polled_at: asked });
-        let Some(HostMessage::QuotaReport { polled_at: asked, sent_at: sent, volumes, .. }) = report else {
+        let polled_at = self.now - self.random.below(latest);
+        let report = self.send_to_replica(host, ServiceMessage::QuotaPoll { polled_at });
+        let Some(HostMessage::QuotaReport { polled_at, sent_at, volumes, .. }) = report else {
             return;
         };
         self.now += self.random.below(100);
         let mut granted = Vec::new();
-        for VolumeReport { volume, lent, requested: wants } in volumes {
+        for VolumeReport { volume, lent, requested } in volumes {
             let place = VOLUMES.iter().position(|name| *name == volume).expect("own volumes only");
             let pool = &mut self.pools[place];
-            pool.on_report(host as u32, asked, lent, wants, self.now);
+            pool.on_report(host as u32, polled_at, lent, requested, self.now);
             let amount = pool.grant(host as u32, self.now);
             for borrower in [host as u32, (host as u32 + 1) % HOSTS as u32] {
                 for later in [0, 1_499, 1_500, 1_549, 1_550] {
@@ -235,7 +235,10 @@
         self.now += self.random.below(100);
         let span = if self.random.below(20) == 0 { self.random.below(50) } else { 1_500 };
         let volumes = granted.into_iter().map(VolumeLease::from).collect();
-        self.tell_member(host, ServiceMessage::QuotaLeases { requested_at: sent, duration: span, volumes });
+        self.send_to_replica(
+            host,
+            ServiceMessage::QuotaLeases { requested_at: sent_at, duration: span, volumes },
+        );
     }
 
     fn restart(&mut self) {
@@ -245,8 +248,8 @@
             return;
         }
         let host = self.random.below(HOSTS);
-        let kept = (self.random.below(4) > 0).then(|| self.members[host as usize].log().clone());
-        self.members[host as usize] = PlanReplica::new(&host_name(host), volumes_of(host), kept, self.now);
+        let stored = (self.random.below(4) > 0).then(|| self.replicas[host as usize].log().clone());
+        self.replicas[host as usize] = PlanReplica::new(&host_name(host), volumes_of(host), stored, self.now);
     }
 
     fn follow_hosts(&mut self) {
@@ -275,14 +278,14 @@
             for version in newest.saturating_sub(2)..=newest {
                 for wait in self.hosts.blockers(version, now) {
                     let text = match wait {
-                        RolloutBlocker::Silent { host, accepted_version: acts_on, last_contact: since } => {
-                            format!("silent {host} {acts_on} {since}")
+                        RolloutBlocker::Silent { host, accepted_version, last_contact } => {
+                            format!("silent {host} {accepted_version} {last_contact}")
                         }
-                        RolloutBlocker::Behind { host, accepted_version: acts_on } => {
-                            format!("behind {host} {acts_on}")
+                        RolloutBlocker::Behind { host, accepted_version } => {
+                            format!("behind {host} {accepted_version}")
                         }
-                        RolloutBlocker::Rejected { host, reason: why } => format!("against {host} {why}"),
-                        RolloutBlocker::UnexpiredLeases { until: at } => format!("lapses {at}"),
+                        RolloutBlocker::Rejected { host, reason } => format!("against {host} {reason}"),
+                        RolloutBlocker::UnexpiredLeases { until } => format!("lapses {until}"),
                     };
                     self.note(&text);
                 }
@@ -296,49 +299,49 @@
         let host = self.random.below(HOSTS) as usize;
         for step in 0..self.random.below(300) {
             let chance = self.random.below(1_100);
-            if self.members[host].should_connect(self.now + step * 17, chance) {
+            if self.replicas[host].should_connect(self.now + step * 17, chance) {
                 self.note(&format!("{host} connects at {}", self.now + step * 17));
             }
         }
     }
 
-    fn share(&mut self) {
+    fn use_quota(&mut self) {
         let host = self.random.below(HOSTS) as usize;
         let amount = self.random.below(200_000);
         let back = self.random.below(1_600);
-        let share = &mut self.shares[host];
+        let quota = &mut self.quotas[host];
         let text = match self.random.below(6) {
             0 => {
-                share.restrict_until(self.now + back, self.now);
+                quota.restrict_until(self.now + back, self.now);
                 format!("started {back}")
             }
             1 => {
-                share.set_limit(amount * 9, self.random.below(8) as u32);
-                format!("even {}", share.nominal())
+                quota.set_limit(amount * 9, self.random.below(8) as u32);
+                format!("even {}", quota.nominal())
             }
-            2 => format!("spare {}", share.lendable(amount)),
-            3 => format!("lent {}", share.lend(amount, self.now)),
+            2 => format!("spare {}", quota.lendable(amount)),
+            3 => format!("lent {}", quota.lend(amount, self.now)),
             _ => {
-                share.add_lease(amount, self.now - back, 1_500, self.now);
+                quota.add_lease(amount, self.now - back, 1_500, self.now);
                 format!("granted {amount}")
             }
         };
         self.note(&text);
     }
 
-    /// What every host may use now, and at each moment at which something may have lapsed.
-    fn note_parts(&mut self) {
+    /// What every host may use now, and at each moment at which something may have expired.
+    fn note_quotas(&mut self) {
         let laters = [0, 500, 1_499, 1_500, 3_049, 3_050];
         for later in laters {
             let at = self.now + later;
-            for member in &self.members {
-                for part in member.available_quotas(at) {
+            for replica in &self.replicas {
+                for part in replica.available_quotas(at) {
                     write!(self.record, "{} ", part.map_or("-".to_owned(), |p| p.to_string()))
                         .expect("memory");
                 }
             }
-            for share in &self.shares {
-                write!(self.record, "{} ", share.available(at)).expect("writing to memory");
+            for quota in &self.quotas {
+                write!(self.record, "{} ", quota.available(at)).expect("writing to memory");
             }
         }
         self.record.push('\n');
@@ -381,7 +384,7 @@
     assert_eq!(MAX_PARAMETER, 1_000_000_000_000);
 }
 
-/// The seeded events seldom fall on the very millisecond at which something lapses: these do.
+/// The seeded events seldom fall on the very millisecond at which something expires: these do.
 #[test]
 fn a_pool_counts_to_the_recorded_millisecond() {
     let mut pool = QuotaPool::new(0, true);
@@ -426,9 +429,9 @@
         (1_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
         (5_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
     ] {
-        let mut member = PlanReplica::new("h", Vec::new(), None, 0);
+        let mut replica = PlanReplica::new("h", Vec::new(), None, 0);
         let attempts: Vec<Millis> =
-            (0..20_000).filter(|now| member.should_connect(*now, chance)).take(9).collect();
+            (0..20_000).filter(|now| replica.should_connect(*now, chance)).take(9).collect();
         assert_eq!(attempts, expected, "chance {chance}");
     }
 }
