--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -153,17 +153,17 @@
                 return Err("a list cut off".into());
             }
             WatchFrame::Incomplete => return Ok(at),
-            WatchFrame::Heartbeat(len) => {
+            WatchFrame::Heartbeat { len } => {
                 heard(Heard::Alive);
                 at += len;
             }
-            WatchFrame::Event(news, len) => {
-                heard(Heard::News(news));
+            WatchFrame::Event { event, len } => {
+                heard(Heard::News(event));
                 at += len;
             }
-            WatchFrame::Corrupt(why, closings) => {
-                heard(Heard::Closings(closings));
-                return Err(why);
+            WatchFrame::Corrupt { error, closing } => {
+                heard(Heard::Closings(closing));
+                return Err(error.to_string());
             }
         }
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,162 +1,188 @@
-//! The configuration: what a host is told at its start, and again by SIGHUP.
+//! The configuration of a host (`GW_CONFIG`): a JSON object, read at its start and again on SIGHUP.
+mod fleet;
+
 use crate::endpoints::{self, WatchEvent};
+use crate::field_error::{self, FieldError};
 use crate::settings::{self, PlatformSettings};
-use mallowseam_fleet::settings::{Place, Written};
+use mallowseam_fleet::settings::Place;
 use serde_json::Value;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// Fewer descriptors than this leave nothing to part between clients and nodes.
-const SOCKETS_LEAST: u64 = 64;
-const MEMORY_LEAST: u64 = 16;
+/// Fewer descriptors than this are not enough for clients and nodes.
+const MIN_SOCKETS: u64 = 64;
+/// Less memory than this is not enough for a host, in MiB.
+const MIN_MEMORY_MB: u64 = 16;
 
+/// The configuration of a host.
 #[derive(Clone, Debug)]
 pub struct HostConfig {
+    /// The host's name, the same after a restart.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The discovery service.
     pub discovery: SocketAddr,
+    /// Seed of the random numbers, new with each start.
     pub seed: u64,
-    /// Part of a core; told in the log, nothing goes by it.
+    /// Share of a core that the host may use. Logged only; no decision depends on it.
     pub cpu_cores: f64,
+    /// Memory limit in MiB; over it the host is killed.
     pub memory_mb: u64,
+    /// Limit of file descriptors.
     pub max_sockets: u64,
-    /// The list as this host last had it.
+    /// The endpoint list as this host last had it; may be old.
     pub cached_list: Option<WatchEvent>,
+    /// The deployment's settings.
     pub settings: PlatformSettings,
-    /// Its place in the view that the fleet keeps of itself; none: it takes no part.
+    /// How the host takes part in the fleet's membership; none: it does not.
     pub fleet: Option<Place>,
 }
 
-/// All that is wrong with a configuration, each with its field.
-#[derive(Debug, PartialEq, Eq)]
-pub struct ConfigError(pub Vec<String>);
+/// Why a configuration is rejected. `Display` is what operators are shown.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The text is not JSON.
+    #[error("not JSON: {0}")]
+    Json(#[from] serde_json::Error),
+    /// The JSON value is not an object.
+    #[error("not a JSON object")]
+    NotAnObject,
+    /// Fields are missing or invalid: all of them, one line each.
+    #[error("{}", field_error::lines(.0))]
+    Fields(Vec<FieldError>),
+}
 
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0.join("\n"))
+/// Parses a configuration.
+///
+/// # Errors
+///
+/// The text is not a JSON object, or fields of it are missing or invalid.
+pub fn parse(text: &str) -> Result<HostConfig, ConfigError> {
+    let mut root: Value = serde_json::from_str(text)?;
+    if !root.is_object() {
+        return Err(ConfigError::NotAnObject);
+    }
+    let mut reader = Reader::default();
+    let name = reader.text(&root, "name");
+    let listen = reader.address(&root, "listen");
+    let discovery = reader.address(&root, "discovery");
+    let seed = reader.seed(&root);
+    let memory_mb = reader.limit(&root, "memory_mb", MIN_MEMORY_MB);
+    let max_sockets = reader.limit(&root, "sockets", MIN_SOCKETS);
+    let cached_list = reader.cached_list(root["known"].take());
+    let settings = reader.settings(&root["settings"]);
+    let fleet = reader.fleet(&root["fleet"], name.as_deref().unwrap_or("?"));
+    let cpu_cores = root["limits"]["cores"].as_f64().unwrap_or(0.0);
+    let errors = reader.errors;
+    // A field without a value has left an error, so that both conditions fail together.
+    match (name, listen, discovery, seed, memory_mb, max_sockets, cached_list, settings, fleet) {
+        (
+            Some(name),
+            Some(listen),
+            Some(discovery),
+            Some(seed),
+            Some(memory_mb),
+            Some(max_sockets),
+            Some(cached_list),
+            Some(settings),
+            Some(fleet),
+        ) if errors.is_empty() => Ok(HostConfig {
+            name,
+            listen,
+            discovery,
+            seed,
+            cpu_cores,
+            memory_mb,
+            max_sockets,
+            cached_list,
+            settings,
+            fleet,
+        }),
+        _ => Err(ConfigError::Fields(errors)),
     }
 }
 
-struct Reader(Vec<String>);
+/// Reads fields and collects what is wrong with them. `None` is returned for a field that has left an error.
+#[derive(Default)]
+struct Reader {
+    errors: Vec<FieldError>,
+}
 
 impl Reader {
-    /// Notes what is wrong with a field and goes on with nothing in its place.
-    fn take<T>(&mut self, field: &str, found: Result<T, String>) -> Option<T> {
-        found.map_err(|why| self.0.push(format!("{field}: {why}"))).ok()
+    /// Notes what is wrong with a field.
+    fn reject(&mut self, field: impl Into<String>, reason: impl Into<String>) {
+        self.errors.push(FieldError::new(field, reason));
     }
 
-    fn text(&mut self, v: &Value, field: &str) -> Option<String> {
-        let text = v[field].as_str().filter(|t| !t.is_empty()).map(str::to_owned);
-        self.take(field, text.ok_or_else(|| "expected a text".into()))
+    /// The value, if there is one; else an error with this reason.
+    fn require<T>(&mut self, field: &str, value: Option<T>, reason: &str) -> Option<T> {
+        if value.is_none() {
+            self.reject(field, reason);
+        }
+        value
     }
 
-    fn address(&mut self, v: &Value, field: &str) -> Option<SocketAddr> {
-        let address = v[field].as_str().and_then(|t| t.parse().ok());
-        self.take(field, address.ok_or_else(|| "expected address:port".into()))
+    fn text(&mut self, object: &Value, field: &str) -> Option<String> {
+        let text = object[field].as_str().filter(|t| !t.is_empty()).map(str::to_owned);
+        self.require(field, text, "expected a text")
     }
 
-    fn limit(&mut self, v: &Value, field: &str, least: u64) -> Option<u64> {
-        let figure = v["limits"][field].as_f64().filter(|n| *n >= least as f64).map(|n| n as u64);
-        self.take(&format!("limits.{field}"), figure.ok_or_else(|| format!("expected {least} or more")))
+    fn address(&mut self, object: &Value, field: &str) -> Option<SocketAddr> {
+        let address = object[field].as_str().and_then(|t| t.parse().ok());
+        self.require(field, address, "expected address:port")
     }
-}
 
-impl Reader {
-    /// A host's place in its fleet's view: an object with `name` and `listen`, and what else is told.
-    fn place(&mut self, v: &Value, host: &str) -> Option<Place> {
-        const FIELDS: [&str; 7] = ["name", "listen", "reached_at", "zone", "seeds", "period_ms", "keep_s"];
-        let Some(object) = v.as_object() else {
-            return self.take("fleet", Err("expected an object".into()));
-        };
-        let known = self.0.len();
-        for field in object.keys().filter(|f| !FIELDS.contains(&f.as_str())) {
-            self.0.push(format!("fleet.{field}: expected one of {}", FIELDS.join(", ")));
+    fn seed(&mut self, root: &Value) -> Option<u64> {
+        let text = self.text(root, "seed")?;
+        self.require("seed", u64::from_str_radix(&text, 16).ok(), "expected up to 16 hex digits")
+    }
+
+    /// A limit of the machine, cut to a whole number.
+    fn limit(&mut self, root: &Value, field: &str, min: u64) -> Option<u64> {
+        let limit = root["limits"][field].as_f64().filter(|n| *n >= min as f64).map(|n| n as u64);
+        self.require(&format!("limits.{field}"), limit, &format!("expected {min} or more"))
+    }
+
+    /// The cached list, which may be absent: `Some(None)`.
+    fn cached_list(&mut self, value: Value) -> Option<Option<WatchEvent>> {
+        if value.is_null() {
+            return Some(None);
         }
-        let mut wrong = |field: &str, what: &str| self.0.push(format!("fleet.{field}: expected {what}"));
-        let mut address = |field: &str, v: &Value| {
-            let address = v.as_str().and_then(|t| t.parse().ok());
-            if address.is_none() && !v.is_null() {
-                wrong(field, "address:port");
-            }
-            address
-        };
-        let listen = address("listen", &v["listen"]);
-        let reached_at = address("reached_at", &v["reached_at"]);
-        let seeds = match &v["seeds"] {
-            Value::Null => Vec::new(),
-            Value::Array(all) => all.iter().filter_map(|s| address("seeds", s)).collect(),
-            _ => address("seeds", &Value::Bool(false)).into_iter().collect(),
-        };
-        let mut span = |field: &str, unit: u64| {
-            let span = v[field].as_u64();
-            if span.is_none() && !v[field].is_null() {
-                wrong(field, "a whole number");
-            }
-            span.map(|n| n.saturating_mul(unit))
-        };
-        let (period, keep) = (span("period_ms", 1), span("keep_s", 1_000));
-        let text = |field: &str| v[field].as_str().unwrap_or_default().to_owned();
-        let (fleet, host, zone) = (text("name"), host.to_owned(), text("zone"));
-        let written = Written { fleet, host, listen, reached_at, zone, seeds, period, keep };
-        match written.check() {
-            Ok(place) => (self.0.len() == known).then_some(place),
-            Err(all) => {
-                self.0.extend(all.into_iter().map(|w| format!("fleet.{w}")));
+        match endpoints::from_json(value) {
+            Ok(list) => Some(Some(list)),
+            Err(error) => {
+                self.reject("known", error.to_string());
                 None
             }
         }
     }
-}
 
-pub fn parse(text: &str) -> Result<HostConfig, ConfigError> {
-    let mut v: Value = serde_json::from_str(text).map_err(|e| ConfigError(vec![format!("not JSON: {e}")]))?;
-    if !v.is_object() {
-        return Err(ConfigError(vec!["not a JSON object".into()]));
-    }
-    let mut r = Reader(Vec::new());
-    let name = r.text(&v, "name");
-    let listen = r.address(&v, "listen");
-    let discovery = r.address(&v, "discovery");
-    let seed = r.text(&v, "seed").and_then(|seed| {
-        let number = u64::from_str_radix(&seed, 16).map_err(|_| "expected up to 16 hex digits".into());
-        r.take("seed", number)
-    });
-    let memory_mb = r.limit(&v, "memory_mb", MEMORY_LEAST);
-    let sockets = r.limit(&v, "sockets", SOCKETS_LEAST);
-    let known = match v["known"].take() {
-        Value::Null => Some(None),
-        known => r.take("known", endpoints::from_json(known)).map(Some),
-    };
-    let named =
-        settings::from_json(&v["settings"]).map_err(|all| r.0.extend(all.lines().map(str::to_owned))).ok();
-    if let Some(named) = &named {
-        for (field, empty) in
-            [("profiles", named.class_names.is_empty()), ("service_levels", named.plan_names.is_empty())]
-        {
-            if empty {
-                r.0.push(format!("settings.{field}: expected at least one"));
+    /// The settings, which need at least one I/O class and one plan here.
+    fn settings(&mut self, value: &Value) -> Option<PlatformSettings> {
+        let settings = match settings::from_json(value) {
+            Ok(settings) => settings,
+            Err(error) => {
+                self.errors.extend(error.0);
+                return None;
             }
+        };
+        if settings.class_names.is_empty() {
+            self.reject("settings.profiles", "expected at least one");
         }
+        if settings.plan_names.is_empty() {
+            self.reject("settings.service_levels", "expected at least one");
+        }
+        Some(settings)
     }
-    let place = match &v["fleet"] {
-        Value::Null => Some(None),
-        fleet => r.place(fleet, name.as_deref().unwrap_or("?")).map(Some),
-    };
-    if !r.0.is_empty() {
-        return Err(ConfigError(r.0));
+
+    /// The host's part in the membership, which may be absent: `Some(None)`.
+    fn fleet(&mut self, value: &Value, host: &str) -> Option<Option<Place>> {
+        if value.is_null() {
+            return Some(None);
+        }
+        let before = self.errors.len();
+        let place = fleet::read(value, host, &mut self.errors);
+        place.filter(|_| self.errors.len() == before).map(Some)
     }
-    let whole = || {
-        Some(HostConfig {
-            name: name?,
-            listen: listen?,
-            discovery: discovery?,
-            seed: seed?,
-            cpu_cores: v["limits"]["cores"].as_f64().unwrap_or(0.0),
-            memory_mb: memory_mb?,
-            max_sockets: sockets?,
-            cached_list: known?,
-            settings: named?,
-            fleet: place?,
-        })
-    };
-    whole().ok_or_else(|| ConfigError(vec!["a field is missing".into()]))
 }
--- /dev/null
+++ b/crates/platform/src/config/fleet.rs
@@ -0,0 +1,77 @@
+//! The object `fleet` of a configuration: how a host takes part in the fleet's membership.
+use crate::field_error::FieldError;
+use mallowseam_fleet::settings::{Place, Written};
+use serde_json::Value;
+use std::net::SocketAddr;
+
+const FIELDS: [&str; 7] = ["name", "listen", "reached_at", "zone", "seeds", "period_ms", "keep_s"];
+
+/// Reads the object; what is wrong with it is added to `errors`.
+pub(super) fn read(value: &Value, host: &str, errors: &mut Vec<FieldError>) -> Option<Place> {
+    let Some(object) = value.as_object() else {
+        errors.push(FieldError::new("fleet", "expected an object"));
+        return None;
+    };
+    for field in object.keys().filter(|f| !FIELDS.contains(&f.as_str())) {
+        reject(errors, field, &format!("one of {}", FIELDS.join(", ")));
+    }
+    let text = |field: &str| value[field].as_str().unwrap_or_default().to_owned();
+    let written = Written {
+        fleet: text("name"),
+        host: host.to_owned(),
+        listen: address("listen", &value["listen"], errors),
+        reached_at: address("reached_at", &value["reached_at"], errors),
+        zone: text("zone"),
+        seeds: seeds(&value["seeds"], errors),
+        period: duration(value, "period_ms", 1, errors),
+        keep: duration(value, "keep_s", 1_000, errors),
+    };
+    match written.check() {
+        Ok(place) => Some(place),
+        Err(all) => {
+            errors.extend(all.iter().map(|error| field_error(error)));
+            None
+        }
+    }
+}
+
+/// What the membership says of a field, as `FIELD: REASON`.
+fn field_error(error: &str) -> FieldError {
+    let (field, reason) = error.split_once(": ").unwrap_or((error, ""));
+    FieldError::new(format!("fleet.{field}"), reason)
+}
+
+fn reject(errors: &mut Vec<FieldError>, field: &str, expected: &str) {
+    errors.push(FieldError::new(format!("fleet.{field}"), format!("expected {expected}")));
+}
+
+/// An address, which may be absent.
+fn address(field: &str, value: &Value, errors: &mut Vec<FieldError>) -> Option<SocketAddr> {
+    let address = value.as_str().and_then(|t| t.parse().ok());
+    if address.is_none() && !value.is_null() {
+        reject(errors, field, "address:port");
+    }
+    address
+}
+
+/// The hosts to join by, which may be absent.
+fn seeds(value: &Value, errors: &mut Vec<FieldError>) -> Vec<SocketAddr> {
+    match value {
+        Value::Null => Vec::new(),
+        Value::Array(all) => all.iter().filter_map(|seed| address("seeds", seed, errors)).collect(),
+        _ => {
+            reject(errors, "seeds", "address:port");
+            Vec::new()
+        }
+    }
+}
+
+/// A time in milliseconds, which may be absent. `unit_ms`: the milliseconds that 1 stands for in this field.
+fn duration(object: &Value, field: &str, unit_ms: u64, errors: &mut Vec<FieldError>) -> Option<u64> {
+    let value = &object[field];
+    let number = value.as_u64();
+    if number.is_none() && !value.is_null() {
+        reject(errors, field, "a whole number");
+    }
+    number.map(|n| n.saturating_mul(unit_ms))
+}
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -1,118 +1,186 @@
-//! The node list: whole lists, and the lines of a watch.
+//! The endpoint list of the discovery service: full snapshots and watch events, as JSON.
+//!
+//! `GET /v1/endpoints` returns a full snapshot. With `follow=1` the service keeps a chunked response open (a watch)
+//! and sends one JSON object per event, and an empty line every two seconds while nothing changes.
+use crate::INFALLIBLE;
 use serde::Deserialize;
+use serde_json::Value;
 use std::io::Write;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// Entries in one list, at most: far past any fleet, and within a host's memory.
-const ENTRIES: usize = 4_096;
-/// Characters of a node's name, at most.
-const NAME: usize = 128;
+/// Upper bound of endpoints in one event: far more than any fleet has, and within a host's memory.
+const MAX_ENDPOINTS: usize = 4_096;
+/// Upper bound of an endpoint's name, in bytes.
+const MAX_NAME_LEN: usize = 128;
+/// Upper bound of an event as text, in bytes; follows from the endpoints that it may have.
+pub const MAX_LIST_BYTES: usize = 1 << 20;
 
+/// The state of a node, as discovery reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
+    /// Accepts requests.
     Ready,
+    /// Finishes the requests that it has, and accepts no new ones.
     Draining,
+    /// No longer part of the list; only in incremental events.
     #[serde(rename = "gone")]
     Removed,
 }
 
-/// A node as the list has it.
+/// One node of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Endpoint {
+    /// The node's name, the same at every host.
     #[serde(rename = "host")]
     pub name: String,
+    /// Where this host reaches it; may differ from host to host.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
+    /// Its zone, by name.
     #[serde(rename = "site", default)]
     pub zone: String,
+    /// The shard that it holds.
     #[serde(rename = "block")]
     pub shard: u32,
+    /// Its state.
     pub health: Health,
-    /// Unix time of its last start, in milliseconds; 0: long ago.
+    /// Its last start, as Unix time in milliseconds; 0: long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: i64,
 }
 
-/// A list, or what changed in it.
+/// One event of a watch: a full snapshot of the list, or what has changed since the event before. A host's cached list
+/// has the same form.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct WatchEvent {
+    /// The version of the list that this event leads to.
     #[serde(rename = "seq")]
     pub version: u64,
+    /// Whether `endpoints` is the full list, or only what has changed.
     #[serde(rename = "whole")]
     pub full_snapshot: bool,
+    /// The endpoints.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<Endpoint>,
 }
 
+/// Why an endpoint list is rejected. A list is accepted as a whole or not at all.
+#[derive(Debug, Error)]
+pub enum EndpointListError {
+    /// Not JSON, or not in the form of the list.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// More endpoints than a host can hold.
+    #[error("{0} entries, of {MAX_ENDPOINTS} at most")]
+    TooManyEndpoints(usize),
+    /// An endpoint without a name, or with one that is too long.
+    #[error("a name that is empty or longer than {MAX_NAME_LEN}")]
+    InvalidName,
+}
+
+impl Endpoint {
+    fn has_valid_name(&self) -> bool {
+        !self.name.is_empty() && self.name.len() <= MAX_NAME_LEN
+    }
+}
+
 impl WatchEvent {
-    fn checked(self) -> Result<Self, String> {
-        if self.endpoints.len() > ENTRIES {
-            return Err(format!("{} entries, of {ENTRIES} at most", self.endpoints.len()));
+    fn validated(self) -> Result<Self, EndpointListError> {
+        if self.endpoints.len() > MAX_ENDPOINTS {
+            return Err(EndpointListError::TooManyEndpoints(self.endpoints.len()));
         }
-        match self.endpoints.iter().find(|e| e.name.is_empty() || e.name.len() > NAME) {
-            Some(_) => Err(format!("a name that is empty or longer than {NAME}")),
-            None => Ok(self),
+        if !self.endpoints.iter().all(Endpoint::has_valid_name) {
+            return Err(EndpointListError::InvalidName);
         }
+        Ok(self)
     }
 }
 
-/// Reads a list from JSON text; anything amiss in it refuses it whole.
-pub fn parse(text: &[u8]) -> Result<WatchEvent, String> {
-    serde_json::from_slice::<WatchEvent>(text).map_err(|e| e.to_string())?.checked()
+/// Parses a list from JSON text.
+///
+/// # Errors
+///
+/// The text is not exactly one list, or the list exceeds a limit.
+pub fn parse(text: &[u8]) -> Result<WatchEvent, EndpointListError> {
+    serde_json::from_slice::<WatchEvent>(text)?.validated()
 }
 
-/// What stands at the front of a watch's text, which may be indented and then has more than one line to an object.
+/// Reads a list out of JSON that is parsed already.
+///
+/// # Errors
+///
+/// The value is not a list, or the list exceeds a limit.
+pub fn from_json(value: Value) -> Result<WatchEvent, EndpointListError> {
+    serde_json::from_value::<WatchEvent>(value)?.validated()
+}
+
+/// What stands at the front of a watch's text. An event may be indented and then takes several lines.
+#[derive(Debug)]
 pub enum WatchFrame {
-    /// Nothing, or the beginning of an object.
+    /// Nothing, or the beginning of an event.
     Incomplete,
-    /// An empty line, as long as this: a sign of life.
-    Heartbeat(usize),
-    /// WatchEvent, as long as this.
-    Event(WatchEvent, usize),
-    /// What can't be read, and what it says all the same of nodes that want nothing new. That counts: what is refused
-    /// with it is asked for again, and to go on sending there meanwhile is the one thing that a host must not do.
-    Corrupt(String, Vec<Endpoint>),
+    /// An empty line: the watch is alive.
+    Heartbeat {
+        /// Bytes up to and including the line end.
+        len: usize,
+    },
+    /// An event.
+    Event {
+        /// The event.
+        event: WatchEvent,
+        /// Bytes of its text.
+        len: usize,
+    },
+    /// A JSON value that is not a valid event, or no JSON at all. The watch is of no further use.
+    Corrupt {
+        /// Why it is rejected.
+        error: EndpointListError,
+        /// The endpoints in it that are draining or removed, as far as they can be read. These count all the same: the
+        /// rejected event is requested again, and meanwhile no request may go to a node that is about to end.
+        closing: Vec<Endpoint>,
+    },
 }
 
-/// Looks at the front of a watch's text.
+/// Parses what stands at the front of a watch's text.
+#[must_use]
 pub fn parse_frame(text: &[u8]) -> WatchFrame {
-    let blank = text.iter().take_while(|b| b.is_ascii_whitespace()).count();
-    if let Some(end) = text[..blank].iter().rposition(|b| *b == b'\n') {
-        return WatchFrame::Heartbeat(end + 1);
+    let blanks = text.iter().take_while(|b| b.is_ascii_whitespace()).count();
+    if let Some(newline) = text[..blanks].iter().rposition(|b| *b == b'\n') {
+        return WatchFrame::Heartbeat { len: newline + 1 };
     }
-    let mut values = serde_json::Deserializer::from_slice(text).into_iter::<serde_json::Value>();
+    let mut values = serde_json::Deserializer::from_slice(text).into_iter::<Value>();
     match values.next() {
         None => WatchFrame::Incomplete,
-        Some(Err(e)) if e.is_eof() => WatchFrame::Incomplete,
-        Some(Err(e)) => WatchFrame::Corrupt(e.to_string(), Vec::new()),
-        Some(Ok(value)) => {
-            let len = values.byte_offset();
-            match WatchEvent::deserialize(&value).map_err(|e| e.to_string()).and_then(WatchEvent::checked) {
-                Ok(news) => WatchFrame::Event(news, len),
-                Err(why) => WatchFrame::Corrupt(why, closings(&value)),
-            }
-        }
+        Some(Err(error)) if error.is_eof() => WatchFrame::Incomplete,
+        Some(Err(error)) => WatchFrame::Corrupt { error: error.into(), closing: Vec::new() },
+        Some(Ok(value)) => parse_event(&value, values.byte_offset()),
     }
 }
 
-fn closings(value: &serde_json::Value) -> Vec<Endpoint> {
-    let entries = value["hosts"].as_array().map_or(&[][..], Vec::as_slice).iter().take(ENTRIES);
-    let read = entries.filter_map(|e| Endpoint::deserialize(e).ok());
-    read.filter(|e| e.health != Health::Ready && !e.name.is_empty() && e.name.len() <= NAME).collect()
+fn parse_event(value: &Value, len: usize) -> WatchFrame {
+    let event = WatchEvent::deserialize(value).map_err(EndpointListError::from);
+    match event.and_then(WatchEvent::validated) {
+        Ok(event) => WatchFrame::Event { event, len },
+        Err(error) => WatchFrame::Corrupt { error, closing: closing_endpoints(value) },
+    }
 }
 
-/// The same, of what is parsed already.
-pub fn from_json(value: serde_json::Value) -> Result<WatchEvent, String> {
-    serde_json::from_value::<WatchEvent>(value).map_err(|e| e.to_string())?.checked()
+/// The endpoints of a rejected event that are draining or removed, each parsed by itself.
+fn closing_endpoints(event: &Value) -> Vec<Endpoint> {
+    let endpoints = event["hosts"].as_array().map_or(&[][..], Vec::as_slice).iter().take(MAX_ENDPOINTS);
+    let parsed = endpoints.filter_map(|e| Endpoint::deserialize(e).ok());
+    parsed.filter(|e| e.health != Health::Ready && e.has_valid_name()).collect()
 }
 
-/// Bytes of a list at most, by the entries it may have.
-pub const MAX_LIST_BYTES: usize = 1 << 20;
-
-/// The call that opens a watch from a version on.
-pub fn write_watch_request(out: &mut Vec<u8>, host: SocketAddr, since: Option<u64>) {
-    let since = since.map_or(String::new(), |s| format!("&since={s}"));
-    write!(out, "GET /v1/endpoints?follow=1{since} HTTP/1.1\r\nHost: {host}\r\n\r\n")
-        .expect("writing to memory");
+/// Writes the request that opens a watch. `since`: the version of the list that this host has; without one the
+/// watch begins with a full snapshot.
+///
+/// # Panics
+///
+/// Never: writing to memory does not fail.
+pub fn write_watch_request(out: &mut Vec<u8>, discovery: SocketAddr, since: Option<u64>) {
+    let since = since.map_or(String::new(), |version| format!("&since={version}"));
+    write!(out, "GET /v1/endpoints?follow=1{since} HTTP/1.1\r\nHost: {discovery}\r\n\r\n").expect(INFALLIBLE);
 }
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -1,123 +1,148 @@
-//! NameInterner outside, small indices inside; each name is forgotten once its index is released.
+//! Interns the protocol's names as the scheduler's small indices. A name is dropped once its index is released.
 use crate::endpoints::{Endpoint, Health, WatchEvent};
 use crate::request::{BlockRequest, RequestId};
 use crate::settings::PlatformSettings;
 use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::*;
+use mallowseam_scheduler::host::{Bio, BioId, KeyId, Listed, NodeId, NodeState, Tick, VolId};
 use std::collections::HashMap;
+use thiserror::Error;
 
 /// Ticks in a millisecond.
-const TICKS: Tick = 10;
-/// Volumes known at a time: far more than any host serves. The scheduler keeps one for a while after its last
-/// block I/O; a client that makes up ever new ones is turned away here.
-const VOLUMES: usize = 4_096;
+const TICKS_PER_MS: Tick = 10;
+/// Upper bound of volumes known at a time: far more than any host serves. The scheduler keeps a volume for a while
+/// after its last block I/O, so a client that invents ever new ones has to be stopped here.
+const MAX_VOLUMES: usize = 4_096;
 
-/// Why a block I/O gets no place.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is not interned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InternError {
-    /// Its id is in hand already.
+    /// A request with the same id is in flight.
+    #[error("a request with this id is in flight")]
     DuplicateRequestId,
-    /// There is no room for another volume.
+    /// As many volumes are known as this host can hold.
+    #[error("too many volumes are known")]
     TooManyVolumes,
 }
 
+/// The names in use and their indices.
 #[derive(Default)]
 pub struct NameInterner {
     nodes: Door<String>,
     volumes: Door<u64>,
+    /// Data keys: volume and object.
     keys: Door<(u64, u64)>,
-    /// Ids of the block I/Os in hand.
-    open: HashMap<RequestId, BioId>,
+    /// Requests in flight, by their ids.
+    in_flight: HashMap<RequestId, BioId>,
 }
 
 impl NameInterner {
-    /// The block I/O of a request at a place of its own. No client is waited for longer than the settings
-    /// name for any I/O group: the rest of what it says it waits is no use to anyone.
+    /// A request as the scheduler's block I/O. Its deadline is the client's timeout, but no longer than the longest
+    /// deadline of any I/O class: later responses are of no use to anyone.
+    ///
+    /// # Errors
+    ///
+    /// The request can't be taken on; nothing has changed.
     pub fn intern_request(
         &mut self,
         id: BioId,
-        block: &BlockRequest,
+        request: &BlockRequest,
         now: Tick,
-        named: &PlatformSettings,
+        settings: &PlatformSettings,
     ) -> Result<Bio, InternError> {
-        if self.open.contains_key(&block.id) {
+        if self.in_flight.contains_key(&request.id) {
             return Err(InternError::DuplicateRequestId);
         }
-        if self.volumes.len() >= VOLUMES && self.volumes.find(&block.volume).is_none() {
+        if self.volumes.len() >= MAX_VOLUMES && self.volumes.find(&request.volume).is_none() {
             return Err(InternError::TooManyVolumes);
         }
-        self.open.insert(block.id, id);
-        let wait = block.timeout_ms as Tick * TICKS;
-        let wait = if named.longest_deadline > 0 { wait.min(named.longest_deadline) } else { wait };
+        self.in_flight.insert(request.id, id);
         Ok(Bio {
             id,
-            group: block.io_class,
-            plan: block.plan,
-            vol: VolId(self.volumes.enter(&block.volume)),
-            key: Some(KeyId(self.keys.enter(&(block.volume, block.object)))),
-            hard_limit: now + wait,
-            units: block.units,
-            shard: block.shard,
-            hosts: block.host_count,
+            group: request.io_class,
+            plan: request.plan,
+            vol: VolId(self.volumes.enter(&request.volume)),
+            key: Some(KeyId(self.keys.enter(&(request.volume, request.object)))),
+            hard_limit: now + timeout(request, settings),
+            units: request.units,
+            shard: request.shard,
+            hosts: request.host_count,
         })
     }
 
+    /// Forgets a request that has been answered.
     pub fn release_request(&mut self, id: &RequestId) {
-        self.open.remove(id);
+        self.in_flight.remove(id);
     }
 
+    /// Forgets a data key.
     pub fn release_key(&mut self, key: KeyId) {
         self.keys.release(key.0);
     }
 
-    pub fn release_volume(&mut self, vol: VolId) {
-        self.volumes.release(vol.0);
+    /// Forgets a volume.
+    pub fn release_volume(&mut self, volume: VolId) {
+        self.volumes.release(volume.0);
     }
 
+    /// Forgets a node.
     pub fn release_node(&mut self, node: NodeId) {
         self.nodes.release(node.0);
     }
 
+    /// The index of a node, a new one if it has none.
     pub fn intern_node(&mut self, name: &String) -> NodeId {
         NodeId(self.nodes.enter(name))
     }
 
+    /// The index of a node, if it has one.
+    #[must_use]
     pub fn find_node(&self, name: &String) -> Option<NodeId> {
         self.nodes.find(name).map(NodeId)
     }
 
-    /// A node that has left by a name that is not in use is none of ours.
-    fn known(&self, entry: &Endpoint) -> bool {
-        entry.health != Health::Removed || self.nodes.find(&entry.name).is_some()
-    }
-
-    /// A line of the list as the scheduler hears it.
-    pub fn intern_endpoints(&mut self, news: &WatchEvent, named: &PlatformSettings, into: &mut Vec<Listed>) {
+    /// The endpoints of an event as the scheduler's nodes, in `into`, which is cleared first. Removed endpoints that
+    /// were never known are left out.
+    pub fn intern_endpoints(
+        &mut self,
+        event: &WatchEvent,
+        settings: &PlatformSettings,
+        into: &mut Vec<Listed>,
+    ) {
         into.clear();
-        for entry in &news.endpoints {
-            if !self.known(entry) {
+        for endpoint in &event.endpoints {
+            if endpoint.health == Health::Removed && self.find_node(&endpoint.name).is_none() {
                 continue;
             }
-            let node = self.intern_node(&entry.name);
-            // Of a zone that the settings lack nothing is known, not even that two nodes are in the same one.
-            let alone = named.zone_names.len() + node.0 as usize;
-            let zone = named.zone_names.iter().position(|z| *z == entry.zone).unwrap_or(alone);
+            let node = self.intern_node(&endpoint.name);
             into.push(Listed {
                 node,
-                zone: zone as u32,
-                shard: entry.shard,
-                state: match entry.health {
+                zone: zone_index(endpoint, node, settings),
+                shard: endpoint.shard,
+                state: match endpoint.health {
                     Health::Ready => NodeState::Active,
                     Health::Draining => NodeState::Leaving,
                     Health::Removed => NodeState::Left,
                 },
-                came_up: entry.started_at_ms.max(0) * TICKS,
+                came_up: endpoint.started_at_ms.max(0) * TICKS_PER_MS,
             });
         }
     }
 
-    /// How many names are held: nodes, volumes, keys, block I/Os.
+    /// How many names are in use: nodes, volumes, data keys, requests in flight.
+    #[must_use]
     pub fn counts(&self) -> [usize; 4] {
-        [self.nodes.len(), self.volumes.len(), self.keys.len(), self.open.len()]
+        [self.nodes.len(), self.volumes.len(), self.keys.len(), self.in_flight.len()]
     }
 }
+
+fn timeout(request: &BlockRequest, settings: &PlatformSettings) -> Tick {
+    let timeout = request.timeout_ms as Tick * TICKS_PER_MS;
+    if settings.longest_deadline > 0 { timeout.min(settings.longest_deadline) } else { timeout }
+}
+
+/// The index of an endpoint's zone. An endpoint in a zone that the settings do not name gets a zone of its own: nothing
+/// says that two such endpoints are in the same one.
+fn zone_index(endpoint: &Endpoint, node: NodeId, settings: &PlatformSettings) -> u32 {
+    let own = settings.zone_names.len() + node.0 as usize;
+    settings.zone_names.iter().position(|z| *z == endpoint.zone).unwrap_or(own) as u32
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,23 @@
-//! The users' protocol, free of I/O. Its names stay in here; what goes out are the scheduler's words.
+//! The users' protocol, free of I/O. Its names stay in this package; what leaves it are the scheduler's types.
 //!
-//! - `config`: what a host is told at its start and by SIGHUP.
-//! - `settings`: the settings object, shared with the simulator's wire.
-//! - `request`, `answer`: a client's request as a block I/O, a node's answer as an ending, and both as bytes.
-//! - `list`: the node list, whole and in changes.
-//! - `names`: names outside, small indices inside.
+//! - [`config`]: the configuration that a host reads at its start and again on SIGHUP.
+//! - [`settings`]: the settings object inside it, which the simulator's wire brings as well.
+//! - [`request`]: a client's request, parsed, and the same request as bytes for a node.
+//! - [`response`]: a node's response, parsed, and the responses that a host writes to its clients.
+//! - [`endpoints`]: the endpoint list, as a full snapshot and as watch events.
+//! - [`interner`]: names on the wire to small indices in the scheduler.
+#![warn(missing_docs)]
+
 pub mod config;
 pub mod endpoints;
 pub mod interner;
 pub mod request;
 pub mod response;
 pub mod settings;
+
+mod field_error;
+
+pub use field_error::FieldError;
+
+/// Why writing to a `Vec` can't fail, for `expect`.
+const INFALLIBLE: &str = "writing to memory does not fail";
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,75 +1,118 @@
-//! A client's request as a block I/O, and the same request as bytes for a node.
+//! A client's request: parsed as a block I/O, and written anew for a node.
+use crate::INFALLIBLE;
 use crate::settings::PlatformSettings;
 use mallowseam_http1::RequestHead;
 use std::io::Write;
+use std::str::FromStr;
+use thiserror::Error;
 
-/// A request's id, kept in place: no more than this many visible characters.
-const ID: usize = 40;
-/// Hex digits of a volume and of a piece of data.
-const DIGITS: usize = 16;
-/// Milliseconds: a client that says it waits longer than this has no sense of time. An hour, as nothing here
-/// lasts minutes.
-const LONGEST_WAIT: u64 = 3_600_000;
+/// Upper bound of a request id, in bytes. Ids are stored inline.
+const MAX_ID_LEN: usize = 40;
+/// Hex digits of a volume and of an object in the path.
+const ADDRESS_DIGITS: usize = 16;
+/// Upper bound of a client's timeout, in milliseconds: an hour, as nothing here lasts minutes. A larger value is taken
+/// for an error of the client.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// The id under which a request stands at clients, hosts and nodes.
+/// Headers that a node gets as the client sent them. `Idempotency-Key` is among them: by it a node recognizes repeated
+/// requests of a class that is idempotent by key, also a client's own retries, which have other request ids.
+const FORWARDED_HEADERS: [&str; 7] = [
+    "Host",
+    "X-Request-ID",
+    "X-Priority-Class",
+    "X-Qos-Policy",
+    "X-Placement",
+    "Content-Type",
+    "Idempotency-Key",
+];
+/// The start of the header line that tells a node how long this host waits, in milliseconds.
+const TIMEOUT_LINE: &str = "X-Timeout-Ms: ";
+
+/// The id of a request (`X-Request-ID`), the same at clients, hosts and nodes: 1 to 40 visible ASCII characters.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestId {
-    bytes: [u8; ID],
+    bytes: [u8; MAX_ID_LEN],
     len: u8,
 }
 
 impl RequestId {
+    /// The id with this text, if it is valid.
+    #[must_use]
     pub fn new(text: &str) -> Option<Self> {
-        let fits = (1..=ID).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
-        let mut bytes = [0; ID];
+        let valid = (1..=MAX_ID_LEN).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+        let mut bytes = [0; MAX_ID_LEN];
         bytes.get_mut(..text.len())?.copy_from_slice(text.as_bytes());
-        fits.then_some(RequestId { bytes, len: text.len() as u8 })
+        valid.then_some(RequestId { bytes, len: text.len() as u8 })
     }
 
+    /// Its text.
+    #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[..usize::from(self.len)]
     }
 }
 
-/// What a client asks for.
+/// A client's request.
 #[derive(Clone, Copy)]
 pub enum ClientRequest {
-    /// Whether this host is ready.
+    /// `GET /ready`: whether this host is ready to serve.
     Readiness,
+    /// A read or a write.
     BlockIo(BlockRequest),
 }
 
-/// A block I/O as its client words it.
+/// A client's block I/O request. Indices are those of [`PlatformSettings`].
 #[derive(Clone, Copy)]
 pub struct BlockRequest {
+    /// `X-Request-ID`.
     pub id: RequestId,
+    /// Index of its I/O class.
     pub io_class: u16,
+    /// Index of its volume's plan.
     pub plan: u16,
+    /// The volume.
     pub volume: u64,
+    /// The object in the volume: the piece of data that it reads or writes.
     pub object: u64,
-    /// Milliseconds that the client waits.
+    /// How long the client waits for the response, in milliseconds.
     pub timeout_ms: u64,
+    /// Its size in units.
     pub units: f64,
+    /// The shard that holds the data; none for a new object.
     pub shard: Option<u32>,
+    /// Through how many hosts the volume is served.
     pub host_count: u32,
 }
 
-/// Why a request is not taken; its client is told, and its connection can go on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request is rejected. The client is told, and its connection goes on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{}", self.message())]
 pub enum RequestError {
+    /// The path is neither `/ready` nor `/CLASS/VOLUME/OBJECT`.
     UnknownPath,
+    /// The method does not fit the path or the class.
     MethodNotAllowed,
+    /// The class is not in the settings, or header and path name different ones.
     UnknownClass,
+    /// The plan is not in the settings.
     UnknownPlan,
+    /// Volume or object is not written in 16 hex digits.
     InvalidAddress,
+    /// The timeout is absent, 0, or too large.
     InvalidTimeout,
+    /// The request id is absent, or too long.
     InvalidRequestId,
+    /// The placement is absent or incomplete, or the request too large.
     InvalidPlacement,
+    /// A read with a body.
     UnexpectedBody,
+    /// A write that does not declare its body.
     LengthRequired,
 }
 
 impl RequestError {
+    /// The status of the response.
+    #[must_use]
     pub fn status(self) -> u16 {
         match self {
             RequestError::UnknownPath => 404,
@@ -79,6 +122,8 @@
         }
     }
 
+    /// The text of the error, which is the body of the response; same as `Display`, without allocating.
+    #[must_use]
     pub fn message(self) -> &'static str {
         match self {
             RequestError::UnknownPath => "no such path",
@@ -95,133 +140,165 @@
     }
 }
 
-fn hex(text: &str) -> Option<u64> {
-    let digits = text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
-    digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
-}
-
-fn whole<N: std::str::FromStr>(text: &str) -> Option<N> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
-}
-
-/// Units, shard (none for a new object) and hosts, each once, in any order.
-fn placement(text: &str, largest: f64) -> Option<(f64, Option<u32>, u32)> {
-    let (mut units, mut shard, mut hosts) = (None, None, None);
-    for part in text.split(',') {
-        let (name, value) = part.trim().split_once('=')?;
-        let again = match name {
-            "units" => units.replace(whole::<u32>(value)?).is_some(),
-            "shard" if value == "-1" => shard.replace(None).is_some(),
-            "shard" => shard.replace(Some(whole::<u32>(value)?)).is_some(),
-            "hosts" => hosts.replace(whole::<u32>(value)?).is_some(),
-            _ => false,
-        };
-        if again {
-            return None;
-        }
-    }
-    let units = f64::from(units?);
-    let fits = units >= 1.0 && (largest <= 0.0 || units <= largest) && hosts? >= 1;
-    fits.then_some((units, shard?, hosts?))
-}
-
-/// What a request asks for; `body` bytes came with it.
+/// Parses a client's request. `body_len`: bytes of its body.
+///
+/// # Errors
+///
+/// The request is not one of the users' protocol; the first reason found.
 pub fn parse(
     head: &RequestHead,
-    body: usize,
-    named: &PlatformSettings,
+    body_len: usize,
+    settings: &PlatformSettings,
 ) -> Result<ClientRequest, RequestError> {
     let path = head.target.split('?').next().unwrap_or_default();
-    let parts = path.strip_prefix('/').ok_or(RequestError::UnknownPath)?;
-    if parts == "ready" {
+    let path = path.strip_prefix('/').ok_or(RequestError::UnknownPath)?;
+    if path == "ready" {
         return if head.method == "GET" {
             Ok(ClientRequest::Readiness)
         } else {
             Err(RequestError::MethodNotAllowed)
         };
     }
-    let mut parts = parts.split('/');
-    let (Some(group), Some(volume), Some(piece), None) =
-        (parts.next(), parts.next(), parts.next(), parts.next())
+    let mut segments = path.split('/');
+    let (Some(class), Some(volume), Some(object), None) =
+        (segments.next(), segments.next(), segments.next(), segments.next())
     else {
         return Err(RequestError::UnknownPath);
     };
-    let one = |name, wrong| head.headers.single(name).ok().flatten().ok_or(wrong);
-    let id = RequestId::new(one("X-Request-ID", RequestError::InvalidRequestId)?)
-        .ok_or(RequestError::InvalidRequestId)?;
-    if one("X-Priority-Class", RequestError::UnknownClass)? != group {
-        return Err(RequestError::UnknownClass);
+    let id = required_header(head, "X-Request-ID", RequestError::InvalidRequestId)?;
+    let id = RequestId::new(id).ok_or(RequestError::InvalidRequestId)?;
+    let io_class = parse_class(head, class, settings)?;
+    let plan = required_header(head, "X-Qos-Policy", RequestError::UnknownPlan)?;
+    let plan = settings.plan_names.iter().position(|p| p == plan).ok_or(RequestError::UnknownPlan)?;
+    let (volume, object) = parse_hex(volume).zip(parse_hex(object)).ok_or(RequestError::InvalidAddress)?;
+    check_method(head, body_len, settings.scheduler.groups[io_class].writes)?;
+    let timeout_ms = parse_timeout(head)?;
+    let placement = required_header(head, "X-Placement", RequestError::InvalidPlacement)?;
+    let placement =
+        Placement::parse(placement, settings.scheduler.largest).ok_or(RequestError::InvalidPlacement)?;
+    Ok(ClientRequest::BlockIo(BlockRequest {
+        id,
+        io_class: io_class as u16,
+        plan: plan as u16,
+        volume,
+        object,
+        timeout_ms,
+        units: placement.units,
+        shard: placement.shard,
+        host_count: placement.host_count,
+    }))
+}
+
+fn required_header<'b>(
+    head: &RequestHead<'b>,
+    name: &str,
+    error: RequestError,
+) -> Result<&'b str, RequestError> {
+    head.headers.single(name).ok().flatten().ok_or(error)
+}
+
+/// The index of the class that both the path and the header name.
+fn parse_class(
+    head: &RequestHead,
+    in_path: &str,
+    settings: &PlatformSettings,
+) -> Result<usize, RequestError> {
+    let unknown = RequestError::UnknownClass;
+    if required_header(head, "X-Priority-Class", unknown)? != in_path {
+        return Err(unknown);
     }
-    let group = named.class_names.iter().position(|g| g == group).ok_or(RequestError::UnknownClass)?;
-    let plan = one("X-Qos-Policy", RequestError::UnknownPlan)?;
-    let plan = named.plan_names.iter().position(|p| p == plan).ok_or(RequestError::UnknownPlan)?;
-    let (volume, piece) = hex(volume).zip(hex(piece)).ok_or(RequestError::InvalidAddress)?;
-    let writes = named.scheduler.groups[group].writes;
+    settings.class_names.iter().position(|class| class == in_path).ok_or(unknown)
+}
+
+/// Writes of a class that writes are `PUT` with a declared body, all others `GET` without one.
+fn check_method(head: &RequestHead, body_len: usize, writes: bool) -> Result<(), RequestError> {
     match head.method {
-        "PUT" if writes && !head.declares_body() => return Err(RequestError::LengthRequired),
-        "PUT" if writes => {}
-        "GET" if !writes && body == 0 => {}
-        "GET" if !writes => return Err(RequestError::UnexpectedBody),
-        _ => return Err(RequestError::MethodNotAllowed),
+        "PUT" if writes && !head.declares_body() => Err(RequestError::LengthRequired),
+        "PUT" if writes => Ok(()),
+        "GET" if !writes && body_len > 0 => Err(RequestError::UnexpectedBody),
+        "GET" if !writes => Ok(()),
+        _ => Err(RequestError::MethodNotAllowed),
     }
-    let wait = whole::<u64>(one("X-Timeout-Ms", RequestError::InvalidTimeout)?)
-        .ok_or(RequestError::InvalidTimeout)?;
-    if wait == 0 || wait > LONGEST_WAIT {
+}
+
+fn parse_timeout(head: &RequestHead) -> Result<u64, RequestError> {
+    let text = required_header(head, "X-Timeout-Ms", RequestError::InvalidTimeout)?;
+    let timeout_ms = parse_integer(text).ok_or(RequestError::InvalidTimeout)?;
+    if timeout_ms == 0 || timeout_ms > MAX_TIMEOUT_MS {
         return Err(RequestError::InvalidTimeout);
     }
-    let placement = placement(one("X-Placement", RequestError::InvalidPlacement)?, named.scheduler.largest);
-    let (units, shard, hosts) = placement.ok_or(RequestError::InvalidPlacement)?;
-    let (group, plan) = (group as u16, plan as u16);
-    Ok(ClientRequest::BlockIo(BlockRequest {
-        id,
-        io_class: group,
-        plan,
-        volume,
-        object: piece,
-        timeout_ms: wait,
-        units,
-        shard,
-        host_count: hosts,
-    }))
+    Ok(timeout_ms)
 }
 
-/// What a node gets as the client worded it, beside method, target and body. The mark of a fingerprinted class is
-/// among it: by this a node knows a repeat, the client's own ones too, which come under other ids.
-const PASSED_ON: [&str; 7] = [
-    "Host",
-    "X-Request-ID",
-    "X-Priority-Class",
-    "X-Qos-Policy",
-    "X-Placement",
-    "Content-Type",
-    "Idempotency-Key",
-];
+fn parse_hex(text: &str) -> Option<u64> {
+    let valid = text.len() == ADDRESS_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
+    valid.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+}
 
-/// What tells a node how long this host waits.
-const WAIT: &str = "X-Timeout-Ms: ";
+/// Digits alone; `FromStr` would accept a sign.
+fn parse_integer<N: FromStr>(text: &str) -> Option<N> {
+    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+}
+
+/// The value of `X-Placement`.
+struct Placement {
+    units: f64,
+    /// None for a new object.
+    shard: Option<u32>,
+    host_count: u32,
+}
+
+impl Placement {
+    /// Each field once, in any order; unknown ones are ignored. `max_units`: of a block I/O, 0 for no bound.
+    fn parse(text: &str, max_units: f64) -> Option<Self> {
+        let (mut units, mut shard, mut host_count) = (None, None, None);
+        for field in text.split(',') {
+            let (name, value) = field.trim().split_once('=')?;
+            let repeated = match name {
+                "units" => units.replace(parse_integer::<u32>(value)?).is_some(),
+                "shard" if value == "-1" => shard.replace(None).is_some(),
+                "shard" => shard.replace(Some(parse_integer::<u32>(value)?)).is_some(),
+                "hosts" => host_count.replace(parse_integer::<u32>(value)?).is_some(),
+                _ => false,
+            };
+            if repeated {
+                return None;
+            }
+        }
+        let (units, shard, host_count) = (f64::from(units?), shard?, host_count?);
+        let valid = units >= 1.0 && (max_units <= 0.0 || units <= max_units) && host_count >= 1;
+        valid.then_some(Placement { units, shard, host_count })
+    }
+}
 
-/// The request as a node gets it: what passes on unchanged, the rest worded anew. `wait`: milliseconds that this host
-/// waits.
-pub fn write_forwarded(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], wait: u64) {
-    let said = "writing to memory";
-    write!(out, "{} {} HTTP/1.1\r\n{WAIT}{wait}\r\n", head.method, head.target).expect(said);
-    for name in PASSED_ON {
+/// Writes a request as a node gets it: method, target, body and the forwarded headers unchanged, the rest anew.
+/// `timeout_ms`: how long this host waits, in milliseconds.
+///
+/// # Panics
+///
+/// Never: writing to memory does not fail.
+pub fn write_forwarded(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], timeout_ms: u64) {
+    let (method, target) = (head.method, head.target);
+    write!(out, "{method} {target} HTTP/1.1\r\n{TIMEOUT_LINE}{timeout_ms}\r\n").expect(INFALLIBLE);
+    for name in FORWARDED_HEADERS {
         if let Ok(Some(value)) = head.headers.single(name) {
-            write!(out, "{name}: {value}\r\n").expect(said);
+            write!(out, "{name}: {value}\r\n").expect(INFALLIBLE);
         }
     }
     if head.declares_body() {
-        write!(out, "Content-Length: {}\r\n", body.len()).expect(said);
+        write!(out, "Content-Length: {}\r\n", body.len()).expect(INFALLIBLE);
     }
     out.extend_from_slice(b"\r\n");
     out.extend_from_slice(body);
 }
 
-/// Tells another wait in a request that was written and has not begun to go out: it may have waited itself.
-pub fn rewrite_timeout(out: &mut Vec<u8>, wait: u64) {
-    let line = |from: usize| out[from..].windows(2).position(|w| w == b"\r\n").map(|at| from + at);
-    let Some(from) = line(0).map(|end| end + 2) else { return };
-    if let Some(end) = line(from).filter(|end| out[from..*end].starts_with(WAIT.as_bytes())) {
-        drop(out.splice(from + WAIT.len()..end, wait.to_string().into_bytes()));
+/// Replaces the timeout in a request that `write_forwarded` wrote and that has not been sent yet, since some of it has
+/// passed by now.
+pub fn rewrite_timeout(out: &mut Vec<u8>, timeout_ms: u64) {
+    let line_end = |start: usize| out[start..].windows(2).position(|w| w == b"\r\n").map(|i| start + i);
+    let Some(start) = line_end(0).map(|end| end + 2) else { return };
+    let is_timeout = out[start..].starts_with(TIMEOUT_LINE.as_bytes());
+    if let Some(end) = line_end(start).filter(|_| is_timeout) {
+        drop(out.splice(start + TIMEOUT_LINE.len()..end, timeout_ms.to_string().into_bytes()));
     }
 }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,47 +1,86 @@
-//! A node's answer as an ending, and what a host says to its clients.
+//! Responses: what a node's response reports, and what a host answers its clients.
+use crate::INFALLIBLE;
 use mallowseam_http1::ResponseHead;
 use mallowseam_scheduler::host::{Ending, Report};
 use std::io::Write;
 
-/// What a node's whole answer says.
+/// Status of a rejected request: the client may safely try again.
+pub const SHED_STATUS: u16 = 503;
+/// Status of a failed request: it may or may not have run.
+pub const FAILED_STATUS: u16 = 500;
+/// The interim response for a client that waits before it sends its body (RFC 9110, section 10.1.1).
+pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// What a node's complete response reports.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeResponse {
+    /// How the attempt completed.
     pub ending: Ending,
+    /// `X-Iops-Used`: 1 plus the volume's use at all nodes, in per cent of its plan's usual rate; 0 if not reported.
     pub usage: f64,
+    /// `X-Rho`: units that the node served for the volume through other hosts since its last response to this one.
     pub by_others: f64,
+    /// `X-Server-Load`: the node's load report.
     pub load_report: Report,
 }
 
-fn number(head: &ResponseHead, name: &str) -> f64 {
-    // What can't be read is as if it were absent: the answer itself is good.
+/// Reads a node's response off its head. Only `X-Not-Processed: 1` from the node itself proves that the block I/O
+/// never ran. A figure that can't be read counts as absent: the response as such is valid.
+#[must_use]
+pub fn parse(head: &ResponseHead) -> NodeResponse {
+    let not_processed = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
+    let ending = match head.status {
+        200 => Ending::Done,
+        503 | 504 if not_processed => Ending::Busy,
+        _ => Ending::Error,
+    };
+    NodeResponse {
+        ending,
+        usage: figure(head, "X-Iops-Used"),
+        by_others: figure(head, "X-Rho"),
+        load_report: load_report(head),
+    }
+}
+
+fn figure(head: &ResponseHead, name: &str) -> f64 {
     let value = head.headers.single(name).ok().flatten().and_then(|v| v.parse::<f64>().ok());
-    value.filter(|v| v.is_finite() && *v >= 0.0).unwrap_or(0.0)
+    value.filter(|v| is_figure(*v)).unwrap_or(0.0)
 }
 
-fn report(head: &ResponseHead) -> Report {
+fn load_report(head: &ResponseHead) -> Report {
     let text = head.headers.single("X-Server-Load").ok().flatten();
     let value = text.and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok()).unwrap_or_default();
-    let figure = |name: &str| value[name].as_f64().filter(|v| v.is_finite() && *v >= 0.0);
+    let figure = |name: &str| value[name].as_f64().filter(|v| is_figure(*v));
     Report { waiting: figure("backlog"), service_ms: figure("recent_ms"), busy: figure("utilization") }
 }
 
-/// Only a node's own word that it did not run the block I/O proves so.
-pub fn parse(head: &ResponseHead) -> NodeResponse {
-    let not_run = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
-    let ending = match head.status {
-        200 => Ending::Done,
-        503 | 504 if not_run => Ending::Busy,
-        _ => Ending::Error,
-    };
-    NodeResponse {
-        ending,
-        usage: number(head, "X-Iops-Used"),
-        by_others: number(head, "X-Rho"),
-        load_report: report(head),
+fn is_figure(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+/// Writes the head of a response to a client.
+///
+/// `body_len`: length of the body in bytes. `retry_after_ms`: the `Retry-After` delay in milliseconds, 0 for none; the
+/// users' protocol has it in decimal seconds. `close`: this is the last response on its connection.
+///
+/// # Panics
+///
+/// Never: writing to memory does not fail.
+pub fn write_head(out: &mut Vec<u8>, status: u16, body_len: usize, retry_after_ms: u64, close: bool) {
+    let reason = reason_phrase(status);
+    write!(out, "HTTP/1.1 {status} {reason}\r\nContent-Length: {body_len}\r\n").expect(INFALLIBLE);
+    if retry_after_ms > 0 {
+        let (seconds, millis) = (retry_after_ms / 1000, retry_after_ms % 1000);
+        write!(out, "Retry-After: {seconds}.{millis:03}\r\n").expect(INFALLIBLE);
+    }
+    if close {
+        out.extend_from_slice(b"Connection: close\r\n");
     }
+    out.extend_from_slice(b"\r\n");
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status (RFC 9110, section 15).
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -58,23 +97,3 @@
         _ => "Error",
     }
 }
-
-/// The head of an answer to a client. `come_back`: milliseconds after which it may try again; 0 names none.
-pub fn write_head(out: &mut Vec<u8>, status: u16, body: usize, come_back: u64, close: bool) {
-    let said = "writing to memory";
-    write!(out, "HTTP/1.1 {status} {}\r\nContent-Length: {body}\r\n", reason(status)).expect(said);
-    if come_back > 0 {
-        write!(out, "Retry-After: {}.{:03}\r\n", come_back / 1000, come_back % 1000).expect(said);
-    }
-    if close {
-        out.extend_from_slice(b"Connection: close\r\n");
-    }
-    out.extend_from_slice(b"\r\n");
-}
-
-/// The word for a client that waits to be told to send its body.
-pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-
-/// Final answers: shed, trying again is harmless; failed, nothing promised.
-pub const SHED_STATUS: u16 = 503;
-pub const FAILED_STATUS: u16 = 500;
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,232 +1,224 @@
-//! Reads the settings object, as the simulator's first message and a real host's configuration hold it, into
-//! the scheduler's terms.
+//! The settings object of a deployment, as the simulator's first message and a host's configuration hold it, resolved
+//! to the scheduler's configuration.
+//!
+//! `docs/configuration.md` lists what an absent or unreadable field means. Fields of other names are ignored, as the
+//! users' page asks.
+mod reader;
+
+use crate::field_error::{self, FieldError};
 use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Scope, Terms, Tick};
+use reader::{Object, Reader};
 use serde_json::Value;
+use thiserror::Error;
 
-/// The terms, the names that go with them, and what the settings say of connections.
+/// The settings, resolved.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformSettings {
+    /// The scheduler's configuration.
     pub scheduler: Terms,
+    /// Names of the I/O classes, in the scheduler's order.
     pub class_names: Vec<String>,
+    /// Names of the plans, in the scheduler's order.
     pub plan_names: Vec<String>,
+    /// Names of the zones.
     pub zone_names: Vec<String>,
-    /// A connect that is not up by then has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Tick,
-    /// A node closes a connection that has stood idle for so long.
+    /// How long a node keeps an idle connection open.
     pub idle_timeout: Tick,
-    /// Block I/Os that a host may hold; 0: not told.
+    /// Block I/Os that a host may have in flight; 0: not stated.
     pub max_in_flight: usize,
-    /// The longest hard limit of any I/O group.
+    /// The longest deadline of any I/O class.
     pub longest_deadline: Tick,
 }
 
-/// Microseconds as ticks: a deadline rounded down, a wait up.
-fn down(micros: f64) -> Tick {
-    (micros / 100.0).floor() as Tick
-}
-
-fn up(micros: f64) -> Tick {
-    (micros / 100.0).ceil() as Tick
+/// All that is wrong with a settings object. `Display` gives one line a field.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}", field_error::lines(.0))]
+pub struct SettingsError(pub Vec<FieldError>);
+
+/// Parses the settings from JSON text.
+///
+/// # Errors
+///
+/// The text is not a JSON object, or fields of it are missing or invalid.
+pub fn parse(text: &str) -> Result<PlatformSettings, SettingsError> {
+    let value: Value =
+        serde_json::from_str(text).map_err(|e| not_an_object(&format!("expected a JSON object ({e})")))?;
+    from_json(&value)
 }
 
-/// Reads fields and notes whatever is amiss, each with its place. A figure that is absent is none, where the page of
-/// the settings says what that means; one that is there and no figure is refused.
-#[derive(Default)]
-struct Reader(Vec<String>);
-
-impl Reader {
-    fn wrong(&mut self, at: &str, key: &str, expected: &str) {
-        self.0.push(format!("settings.{at}{key}: expected {expected}"));
-    }
-
-    fn num(&mut self, v: &Value, at: &str, key: &str) -> f64 {
-        match &v[key] {
-            Value::Null => 0.0,
-            found => found.as_f64().filter(|n| n.is_finite() && *n >= 0.0).unwrap_or_else(|| {
-                self.wrong(at, key, "a figure of 0 or more");
-                0.0
-            }),
-        }
-    }
-
-    /// A figure without which nothing safe can be decided.
-    fn must(&mut self, v: &Value, at: &str, key: &str) -> f64 {
-        let found = self.num(v, at, key);
-        if found == 0.0 && !self.0.iter().any(|w| w.starts_with(&format!("settings.{at}{key}:"))) {
-            self.wrong(at, key, "a figure above 0");
-        }
-        found
+/// Reads the settings out of JSON that is parsed already.
+///
+/// # Errors
+///
+/// The value is not an object, or fields of it are missing or invalid.
+pub fn from_json(value: &Value) -> Result<PlatformSettings, SettingsError> {
+    if !value.is_object() {
+        return Err(not_an_object("expected a JSON object"));
     }
+    let root = Object::root(value);
+    let mut reader = Reader::default();
+    let classes = read_classes(&mut reader, &root);
+    let plans = read_plans(&mut reader, &root);
+    // Without a statement on how lists arrive, the strictest reading: what the service knows counts at once.
+    let list_on_request =
+        reader.choice(&root, "registry_mode", &["on_request", "pushed"]) == Some("on_request");
+    let rules = root.object("rules");
+    reader.all_or_none(&rules, &["cold_from", "cold_us", "fall_multiple", "fall_us"]);
+    reader.all_or_none(&rules, &["extra_ratio", "look_back_us"]);
+    let scheduler = Terms {
+        groups: classes.configs,
+        plans: plans.configs,
+        ..read_scheduler(&mut reader, &root, list_on_request)
+    };
+    let limits = root.object("limits");
+    let zones = array(value, "localities").iter().filter_map(|z| z.as_str().map(str::to_owned)).collect();
+    let settings = PlatformSettings {
+        scheduler,
+        class_names: classes.names,
+        plan_names: plans.names,
+        zone_names: zones,
+        connect_timeout: ticks_up(reader.positive(&limits, "connect_timeout_us")),
+        idle_timeout: reader.ticks_down(&limits, "idle_close_us"),
+        max_in_flight: reader.number(&limits, "open_cap") as usize,
+        longest_deadline: classes.longest_deadline,
+    };
+    let errors = reader.into_errors();
+    if errors.is_empty() { Ok(settings) } else { Err(SettingsError(errors)) }
+}
 
-    fn down(&mut self, v: &Value, at: &str, key: &str) -> Tick {
-        down(self.num(v, at, key))
-    }
+fn not_an_object(reason: &str) -> SettingsError {
+    SettingsError(vec![FieldError::new("settings", reason)])
+}
 
-    fn up(&mut self, v: &Value, at: &str, key: &str) -> Tick {
-        up(self.num(v, at, key))
-    }
+/// Microseconds as whole ticks, rounded down: for deadlines.
+fn ticks_down(micros: f64) -> Tick {
+    (micros / 100.0).floor() as Tick
+}
 
-    /// Something allowed or promised: not, where nothing says so.
-    fn flag(&mut self, v: &Value, at: &str, key: &str) -> bool {
-        match &v[key] {
-            Value::Null => false,
-            found => found.as_bool().unwrap_or_else(|| {
-                self.wrong(at, key, "true or false");
-                false
-            }),
-        }
-    }
+/// Microseconds as whole ticks, rounded up: for times that have to pass.
+fn ticks_up(micros: f64) -> Tick {
+    (micros / 100.0).ceil() as Tick
+}
 
-    /// One of some words, or none.
-    fn word<'a>(&mut self, v: &'a Value, at: &str, key: &str, words: &[&str]) -> Option<&'a str> {
-        let found = v[key].as_str().filter(|w| words.contains(w));
-        if found.is_none() && !v[key].is_null() {
-            self.wrong(at, key, &words.join(" or "));
-        }
-        found
-    }
+fn array<'a>(value: &'a Value, key: &str) -> &'a [Value] {
+    value[key].as_array().map_or(&[], Vec::as_slice)
+}
 
-    /// A name that no other of its kind has.
-    fn name(&mut self, v: &Value, at: &str, others: &mut Vec<String>) {
-        let name = v["name"].as_str().unwrap_or_default().to_owned();
-        if name.is_empty() || others.contains(&name) {
-            self.wrong(at, "name", "a name of its own");
-        }
-        others.push(name);
-    }
+/// Configurations by index, and their names.
+struct Named<T> {
+    names: Vec<String>,
+    configs: Vec<T>,
+    /// Of I/O classes alone.
+    longest_deadline: Tick,
+}
 
-    /// An I/O group and its hard limit.
-    fn group(&mut self, g: &Value, at: &str, writes: bool) -> (IoGroup, Tick) {
-        let scope = match self.word(g, at, "key_scope", &["all", "zone", "cell"]) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            // The narrowest, where nothing says how far repeats are dropped.
-            _ => Scope::Cell,
-        };
-        let memory = self.down(g, at, "key_ttl_us");
-        let repeat = ["idempotent", "deduplicated", "at_most_once"];
-        let effect = match self.word(g, at, "repeat", &repeat) {
-            Some("idempotent") => Effect::Idempotent,
-            Some("deduplicated") => Effect::Fingerprinted { scope, memory },
-            Some(_) => Effect::SideEffecting,
-            None => {
-                if g["repeat"].is_null() {
-                    self.wrong(at, "repeat", &repeat.join(" or "));
-                }
-                Effect::SideEffecting
-            }
-        };
-        let group = IoGroup {
-            effect,
-            goal: down(self.must(g, at, "aim_us")),
-            late_share: self.num(g, at, "late_share"),
-            gain: self.num(g, at, "worth"),
-            ordered: self.flag(g, at, "keep_order"),
-            writes,
-        };
-        (group, up(self.must(g, at, "deadline_us")))
+fn read_classes(reader: &mut Reader, root: &Object) -> Named<IoGroup> {
+    let writes = array(&root.value["extra"], "class_writes");
+    let mut classes = Named { names: Vec::new(), configs: Vec::new(), longest_deadline: 0 };
+    for (i, value) in array(root.value, "profiles").iter().enumerate() {
+        let class = Object { value, path: format!("profiles[{i}].") };
+        reader.unique_name(&class, &mut classes.names);
+        let writes = writes.get(i).and_then(Value::as_bool).unwrap_or(false);
+        classes.configs.push(read_class(reader, &class, writes));
+        let deadline = ticks_up(reader.positive(&class, "deadline_us"));
+        classes.longest_deadline = classes.longest_deadline.max(deadline);
     }
+    classes
+}
 
-    fn plan(&mut self, p: &Value, at: &str) -> Plan {
-        // 0 is no limit: what is absent must not become that.
-        if p["limit"].is_null() {
-            self.wrong(at, "limit", "a figure, 0 for none");
-        }
-        Plan {
-            usual: self.num(p, at, "usual_rate"),
-            reserve: self.num(p, at, "floor_rate"),
-            limit: self.num(p, at, "limit"),
-            limit_burst: self.num(p, at, "limit_burst"),
-            wt: self.num(p, at, "weight"),
-            price: if p["worth_factor"].is_null() { 1.0 } else { self.num(p, at, "worth_factor") },
-        }
+fn read_class(reader: &mut Reader, class: &Object, writes: bool) -> IoGroup {
+    let effect = read_effect(reader, class);
+    IoGroup {
+        effect,
+        goal: ticks_down(reader.positive(class, "aim_us")),
+        late_share: reader.number(class, "late_share"),
+        gain: reader.number(class, "worth"),
+        ordered: reader.flag(class, "keep_order"),
+        writes,
     }
+}
 
-    /// Figures of one rule: all of them, or the rule is not there.
-    fn together(&mut self, v: &Value, at: &str, keys: &[&str]) {
-        if keys.iter().any(|k| !v[*k].is_null()) {
-            for key in keys.iter().filter(|k| v[**k].is_null()) {
-                self.wrong(at, key, "a figure, as others of its rule are there");
+/// Whether and within which bounds a block I/O may be repeated.
+fn read_effect(reader: &mut Reader, class: &Object) -> Effect {
+    const REPEAT: [&str; 3] = ["idempotent", "deduplicated", "at_most_once"];
+    let scope = match reader.choice(class, "key_scope", &["all", "zone", "cell"]) {
+        Some("all") => Scope::All,
+        Some("zone") => Scope::Zone,
+        // The narrowest, where nothing says how far repeats are recognized.
+        _ => Scope::Cell,
+    };
+    let memory = reader.ticks_down(class, "key_ttl_us");
+    match reader.choice(class, "repeat", &REPEAT) {
+        Some("idempotent") => Effect::Idempotent,
+        Some("deduplicated") => Effect::Fingerprinted { scope, memory },
+        Some(_) => Effect::SideEffecting,
+        None => {
+            if class.value["repeat"].is_null() {
+                reader.reject(class, "repeat", &REPEAT.join(" or "));
             }
+            Effect::SideEffecting
         }
     }
 }
 
-fn list<'a>(v: &'a Value, key: &str) -> &'a [Value] {
-    v[key].as_array().map_or(&[], Vec::as_slice)
-}
-
-pub fn parse(text: &str) -> Result<PlatformSettings, String> {
-    let v: Value =
-        serde_json::from_str(text).map_err(|e| format!("settings: expected a JSON object ({e})"))?;
-    from_json(&v)
+fn read_plans(reader: &mut Reader, root: &Object) -> Named<Plan> {
+    let mut plans = Named { names: Vec::new(), configs: Vec::new(), longest_deadline: 0 };
+    for (i, value) in array(root.value, "service_levels").iter().enumerate() {
+        let plan = Object { value, path: format!("service_levels[{i}].") };
+        reader.unique_name(&plan, &mut plans.names);
+        plans.configs.push(read_plan(reader, &plan));
+    }
+    plans
 }
 
-pub fn from_json(v: &Value) -> Result<PlatformSettings, String> {
-    if !v.is_object() {
-        return Err("settings: expected a JSON object".into());
+fn read_plan(reader: &mut Reader, plan: &Object) -> Plan {
+    // 0 means no limit: an absent limit must not become that.
+    if plan.value["limit"].is_null() {
+        reader.reject(plan, "limit", "a figure, 0 for none");
     }
-    let (extra, limits, rules) = (&v["extra"], &v["limits"], &v["rules"]);
-    let mut r = Reader::default();
-    let writes = list(extra, "class_writes");
-    let (mut terms, mut groups, mut plans) = (Terms::default(), Vec::new(), Vec::new());
-    let mut longest = 0;
-    for (i, g) in list(v, "profiles").iter().enumerate() {
-        let at = format!("profiles[{i}].");
-        r.name(g, &at, &mut groups);
-        let (group, hard_limit) = r.group(g, &at, writes.get(i).and_then(Value::as_bool).unwrap_or(false));
-        terms.groups.push(group);
-        longest = longest.max(hard_limit);
+    Plan {
+        usual: reader.number(plan, "usual_rate"),
+        reserve: reader.number(plan, "floor_rate"),
+        limit: reader.number(plan, "limit"),
+        limit_burst: reader.number(plan, "limit_burst"),
+        wt: reader.number(plan, "weight"),
+        price: if plan.value["worth_factor"].is_null() { 1.0 } else { reader.number(plan, "worth_factor") },
     }
-    for (i, p) in list(v, "service_levels").iter().enumerate() {
-        let at = format!("service_levels[{i}].");
-        r.name(p, &at, &mut plans);
-        terms.plans.push(r.plan(p, &at));
+}
+
+/// The scheduler's configuration without classes and plans, field by field.
+fn read_scheduler(reader: &mut Reader, root: &Object, list_on_request: bool) -> Terms {
+    let (extra, limits, rules) = (root.object("extra"), root.object("limits"), root.object("rules"));
+    Terms {
+        hosts: reader.positive(root, "balancers") as u32,
+        mean_units: reader.number(&extra, "mean_units"),
+        largest: reader.number(&extra, "largest"),
+        share_gain: reader.number(&extra, "within_share"),
+        spare_gain: reader.number(&extra, "spare_worth"),
+        meter: reader.ticks_down(&extra, "meter_us"),
+        counts_others: reader.flag(&extra, "counts_others"),
+        may_cancel: reader.flag(&limits, "cancel"),
+        may_probe: reader.flag(&limits, "probes"),
+        may_tell: reader.flag(&limits, "peer_messages"),
+        may_duplicate: reader.flag(&limits, "may_duplicate"),
+        may_name_return: reader.flag(&limits, "retry_after"),
+        longest_return: reader.ticks_down(&limits, "max_retry_after_us"),
+        max_submits: reader.number(&limits, "max_attempts") as u32,
+        list_on_request,
+        list_pushed: !list_on_request,
+        ask_within: reader.ticks_down(&rules, "ask_within_us"),
+        cold_bears: reader.number(&extra, "cold_bears"),
+        cold_from: reader.number(&rules, "cold_from"),
+        cold_span: reader.ticks_up(&rules, "cold_us"),
+        fall_span: reader.ticks_up(&rules, "fall_us"),
+        fall_multiple: reader.number(&rules, "fall_multiple"),
+        order_rest: reader.ticks_up(&rules, "order_pause_us"),
+        budget_free: reader.number(&rules, "free_resends"),
+        budget_share: reader.number(&rules, "extra_ratio"),
+        budget_span: reader.ticks_up(&rules, "look_back_us"),
+        // The settings say nothing of the rest: whoever runs the host sets it.
+        ..Terms::default()
     }
-    // Where nothing says how lists come, what the service knows counts at once: the strictest.
-    let on_request = r.word(v, "", "registry_mode", &["on_request", "pushed"]) == Some("on_request");
-    r.together(rules, "rules.", &["cold_from", "cold_us", "fall_multiple", "fall_us"]);
-    r.together(rules, "rules.", &["extra_ratio", "look_back_us"]);
-    let terms = Terms {
-        hosts: r.must(v, "", "balancers") as u32,
-        mean_units: r.num(extra, "extra.", "mean_units"),
-        largest: r.num(extra, "extra.", "largest"),
-        share_gain: r.num(extra, "extra.", "within_share"),
-        spare_gain: r.num(extra, "extra.", "spare_worth"),
-        meter: r.down(extra, "extra.", "meter_us"),
-        counts_others: r.flag(extra, "extra.", "counts_others"),
-        may_cancel: r.flag(limits, "limits.", "cancel"),
-        may_probe: r.flag(limits, "limits.", "probes"),
-        may_tell: r.flag(limits, "limits.", "peer_messages"),
-        may_duplicate: r.flag(limits, "limits.", "may_duplicate"),
-        may_name_return: r.flag(limits, "limits.", "retry_after"),
-        longest_return: r.down(limits, "limits.", "max_retry_after_us"),
-        max_submits: r.num(limits, "limits.", "max_attempts") as u32,
-        list_on_request: on_request,
-        list_pushed: !on_request,
-        ask_within: r.down(rules, "rules.", "ask_within_us"),
-        cold_bears: r.num(extra, "extra.", "cold_bears"),
-        cold_from: r.num(rules, "rules.", "cold_from"),
-        cold_span: r.up(rules, "rules.", "cold_us"),
-        fall_span: r.up(rules, "rules.", "fall_us"),
-        fall_multiple: r.num(rules, "rules.", "fall_multiple"),
-        order_rest: r.up(rules, "rules.", "order_pause_us"),
-        budget_free: r.num(rules, "rules.", "free_resends"),
-        budget_share: r.num(rules, "rules.", "extra_ratio"),
-        budget_span: r.up(rules, "rules.", "look_back_us"),
-        // No settings tell the rest: a host knows where it serves.
-        ..terms
-    };
-    let zones = list(v, "localities").iter().filter_map(|z| z.as_str().map(str::to_owned)).collect();
-    let named = PlatformSettings {
-        scheduler: terms,
-        class_names: groups,
-        plan_names: plans,
-        zone_names: zones,
-        connect_timeout: up(r.must(limits, "limits.", "connect_timeout_us")),
-        idle_timeout: r.down(limits, "limits.", "idle_close_us"),
-        max_in_flight: r.num(limits, "limits.", "open_cap") as usize,
-        longest_deadline: longest,
-    };
-    if r.0.is_empty() { Ok(named) } else { Err(r.0.join("\n")) }
 }
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -239,11 +239,11 @@
 fn front(text: &[u8]) -> String {
     match endpoints::parse_frame(text) {
         WatchFrame::Incomplete => "part".into(),
-        WatchFrame::Heartbeat(len) => format!("empty {len}"),
-        WatchFrame::Event(n, len) => format!("news {len}: {}", news(&n)),
-        WatchFrame::Corrupt(why, closings) => {
-            let closings: Vec<String> = closings.iter().map(entry).collect();
-            format!("wrong: {why}; {}", closings.concat())
+        WatchFrame::Heartbeat { len } => format!("empty {len}"),
+        WatchFrame::Event { event, len } => format!("news {len}: {}", news(&event)),
+        WatchFrame::Corrupt { error, closing } => {
+            let closing: Vec<String> = closing.iter().map(entry).collect();
+            format!("wrong: {error}; {}", closing.concat())
         }
     }
 }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -53,7 +53,7 @@
         "/rules/fall_us",
         "/rules/look_back_us",
     ] {
-        let why = settings::from_json(&with(path, None)).expect_err(path);
+        let why = settings::from_json(&with(path, None)).expect_err(path).to_string();
         let field = path[1..].replace("/0/", "[0].").replace("/1/", "[1].").replace('/', ".");
         assert_eq!(why.lines().count(), 1, "{path}: {why}");
         assert!(why.starts_with(&format!("settings.{field}: expected ")), "{path}: {why}");
@@ -74,7 +74,7 @@
         ("/limits/max_attempts", json!(-3)),
         ("/rules/cold_us", json!([])),
     ] {
-        let why = settings::from_json(&with(path, Some(value))).expect_err(path);
+        let why = settings::from_json(&with(path, Some(value))).expect_err(path).to_string();
         let field = path.rsplit('/').next().expect("a field");
         assert_eq!(why.lines().count(), 1, "{path}: {why}");
         assert!(why.contains(&format!("{field}: expected ")), "{path}: {why}");
@@ -85,7 +85,7 @@
 fn all_that_is_wrong_is_told_at_once() {
     let mut all = with("/profiles/0/repeat", Some(json!("twice")));
     all["limits"]["cancel"] = json!(3);
-    assert_eq!(settings::from_json(&all).expect_err("two faults").lines().count(), 2);
+    assert_eq!(settings::from_json(&all).expect_err("two faults").to_string().lines().count(), 2);
 }
 
 #[test]
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -260,7 +260,7 @@
     fn open(&mut self, now: Tick, i: u64, line: &mut Line) -> Result<(), String> {
         let seed = line.whole("init_seed")?;
         let PlatformSettings { scheduler: terms, class_names: groups, plan_names: plans, .. } =
-            settings::parse(line.rest.unwrap_or_default())?;
+            settings::parse(line.rest.unwrap_or_default()).map_err(|e| e.to_string())?;
         let names = Names { me: i, groups, plans, ..Names::default() };
         self.instances.insert(i, Instance { scheduler: Scheduler::new(&terms, seed, now), names });
         Ok(())
