--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of other customers: what can't be read is refused with its field, what is absent is refused or the strictest.
+//! Settings: an unreadable field is rejected by name, an absent one is rejected or takes the strictest value.
 use mallowseam_platform::settings;
 use mallowseam_scheduler::host::{Effect, Scope};
 use serde_json::{Value, json};
 
-fn whole() -> Value {
+fn complete_settings() -> Value {
     json!({"balancers": 3, "localities": ["a"], "registry_mode": "on_request",
         "profiles": [
             {"name": "scan", "aim_us": 200000, "deadline_us": 1000000, "repeat": "idempotent", "worth": 3.0},
@@ -16,9 +16,9 @@
                   "fall_us": 2000000, "extra_ratio": 0.25, "look_back_us": 5000000, "free_resends": 3.0}})
 }
 
-/// The settings with the value at a path, by `/`, changed; none: taken out.
+/// The settings with the value at a JSON pointer replaced, or removed.
 fn with(path: &str, value: Option<Value>) -> Value {
-    let mut all = whole();
+    let mut all = complete_settings();
     let (parent, key) = path.rsplit_once('/').expect("a path");
     let parent = all.pointer_mut(parent).expect("there").as_object_mut().expect("an object");
     match value {
@@ -29,17 +29,21 @@
 }
 
 #[test]
-fn sound_settings_are_read() {
-    let named = settings::from_json(&whole()).expect("sound");
+fn valid_settings_are_read() {
+    let settings = settings::from_json(&complete_settings()).expect("valid");
     assert_eq!(
-        (named.class_names, named.plan_names),
+        (settings.class_names, settings.plan_names),
         (vec!["scan".into(), "stamp".into()], vec!["copper".into(), "steel".into()])
     );
-    assert!(!named.scheduler.list_pushed && named.scheduler.hosts == 3 && named.longest_deadline == 20_000);
+    assert!(
+        !settings.scheduler.list_pushed
+            && settings.scheduler.hosts == 3
+            && settings.longest_deadline == 20_000
+    );
 }
 
 #[test]
-fn each_absent_value_that_nothing_strict_can_stand_for_is_refused_by_its_field() {
+fn absent_field_without_a_strict_default_is_rejected_by_name() {
     for path in [
         "/balancers",
         "/profiles/0/name",
@@ -61,7 +65,7 @@
 }
 
 #[test]
-fn each_value_that_cannot_be_read_is_refused_by_its_field() {
+fn unreadable_field_is_rejected_by_name() {
     for (path, value) in [
         ("/registry_mode", json!("sometimes")),
         ("/profiles/1/key_scope", json!("planet")),
@@ -82,19 +86,19 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
+fn all_errors_are_reported_at_once() {
     let mut all = with("/profiles/0/repeat", Some(json!("twice")));
     all["limits"]["cancel"] = json!(3);
-    assert_eq!(settings::from_json(&all).expect_err("two faults").to_string().lines().count(), 2);
+    assert_eq!(settings::from_json(&all).expect_err("two errors").to_string().lines().count(), 2);
 }
 
 #[test]
-fn what_is_absent_is_read_as_the_strictest() {
-    let read = |path: &str| settings::from_json(&with(path, None)).expect("sound");
+fn absent_field_takes_the_strictest_value() {
+    let read = |path: &str| settings::from_json(&with(path, None)).expect("valid");
     let effect = |path: &str| read(path).scheduler.groups[1].effect;
     assert_eq!(effect("/profiles/1/key_scope"), Effect::Fingerprinted { scope: Scope::Cell, memory: 9_000 });
     assert_eq!(effect("/profiles/1/key_ttl_us"), Effect::Fingerprinted { scope: Scope::Zone, memory: 0 });
-    assert!(read("/registry_mode").scheduler.list_pushed, "what the service knows counts at once");
+    assert!(read("/registry_mode").scheduler.list_pushed, "counts as soon as the service knows");
     assert!(!read("/limits/cancel").scheduler.may_cancel);
     assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].limit_burst, 0.0);
 }
