--- a/crates/settings/tests/pinned_reading.rs
+++ b/crates/settings/tests/pinned_reading.rs
@@ -115,19 +115,19 @@
         .expect("memory");
     writeln!(out, "  longest {} digests {} {}", h.longest, h.header_digest, h.data_digest).expect("memory");
     writeln!(out, "  seed {:?}", h.seed).expect("memory");
-    match &h.place {
+    match &h.fleet {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
             out,
             "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
-            p.settings.fleet,
-            p.settings.name,
-            p.settings.address,
+            p.membership.fleet,
+            p.membership.name,
+            p.membership.address,
             p.listen,
-            p.settings.zone,
-            p.settings.seeds,
-            p.settings.period,
-            p.settings.keep
+            p.membership.zone,
+            p.membership.seeds,
+            p.membership.protocol_period,
+            p.membership.unreachable_retention
         ),
     }
     .expect("memory");
