--- a/crates/fleet-udp/tests/pinned_view.rs
+++ b/crates/fleet-udp/tests/pinned_snapshot.rs
@@ -1,4 +1,4 @@
-//! Pins what operators see of a host's view, and the exchange by which it is asked for, as recorded at 01f3988.
+//! Pins what operators see of a host's membership table, and the exchange by which it is queried, as recorded at 01f3988.
 use mallowseam_fleet::MemberState;
 use mallowseam_fleet::record::{ActiveVersions, Lifecycle, MemberRecord, Name, Zone};
 use mallowseam_fleet::wire::{self, MAX_DATAGRAM_BYTES, MemberStatus, MembershipPage, Message};
@@ -10,8 +10,8 @@
     Name::try_from(text).expect("short")
 }
 
-fn shown(host: &str, state: MemberState, heard: Option<u64>) -> MemberStatus {
-    let word = MemberRecord {
+fn status(host: &str, state: MemberState, heard: Option<u64>) -> MemberStatus {
+    let record = MemberRecord {
         name: name(host),
         generation: 70_000,
         incarnation: 3,
@@ -22,7 +22,7 @@
         // In the future, so that the time that it is up is zero at whatever time this runs.
         started_ms: 9_999_999_999_999,
     };
-    MemberStatus { record: word, state, last_heard_ms: heard }
+    MemberStatus { record, state, last_heard_ms: heard }
 }
 
 fn sample() -> MembershipSnapshot {
@@ -32,10 +32,10 @@
         superseded: true,
         digest: 0xabcd,
         members: vec![
-            shown("host-c", MemberState::Unreachable, None),
-            shown("host-a", MemberState::Alive, Some(0)),
-            shown("host-b", MemberState::Suspect, Some(12_345)),
-            shown("host-d", MemberState::Alive, Some(99)),
+            status("host-c", MemberState::Unreachable, None),
+            status("host-a", MemberState::Alive, Some(0)),
+            status("host-b", MemberState::Suspect, Some(12_345)),
+            status("host-d", MemberState::Alive, Some(99)),
         ],
     }
 }
@@ -72,7 +72,7 @@
     after.members.remove(3);
     after.members[0].state = MemberState::Left;
     after.members[1].record.incarnation = 4;
-    after.members.push(shown("host-e", MemberState::Joining, None));
+    after.members.push(status("host-e", MemberState::Joining, None));
     assert_eq!(
         after.changes_since(&before),
         vec!["host-c: unreachable -> left", "host-e: unknown -> joining", "host-d: alive -> forgotten"]
@@ -103,27 +103,27 @@
 }
 
 #[test]
-fn a_view_of_several_pages_is_asked_for_page_by_page() {
+fn a_table_of_several_pages_is_queried_page_by_page() {
     let (socket, address) = server();
-    let asked = std::thread::spawn(move || query_membership(address));
-    let mut questions = Vec::new();
+    let client = std::thread::spawn(move || query_membership(address));
+    let mut queries = Vec::new();
     for n in 0..3u64 {
         let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
-        let (len, from) = socket.recv_from(&mut buffer).expect("a question");
-        questions.push(buffer[..len].to_vec());
+        let (len, from) = socket.recv_from(&mut buffer).expect("a query");
+        queries.push(buffer[..len].to_vec());
         let page = MembershipPage {
             host: name("host-a"),
             isolated: n == 2,
             superseded: n != 2,
             digest: n,
-            members: heapless::Vec::from_iter([shown(&format!("h{n}"), MemberState::Alive, None)]),
+            members: heapless::Vec::from_iter([status(&format!("h{n}"), MemberState::Alive, None)]),
             next_id: Some([10, 20, 20][n as usize]),
         };
         answer(&socket, page, from);
     }
-    let found = asked.join().expect("no panic").expect("a view");
+    let found = client.join().expect("no panic").expect("a table");
     assert_eq!(
-        questions,
+        queries,
         vec![
             wire::encode_query(0).to_vec(),
             wire::encode_query(10).to_vec(),
@@ -141,22 +141,22 @@
 }
 
 #[test]
-fn a_question_is_asked_four_times_and_the_error_keeps_its_text() {
+fn a_query_is_sent_four_times_and_the_error_keeps_its_text() {
     let (socket, address) = server();
-    let asked = std::thread::spawn(move || query_membership(address));
+    let client = std::thread::spawn(move || query_membership(address));
     for _ in 0..4 {
         let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
-        let (_, from) = socket.recv_from(&mut buffer).expect("a question");
-        socket.send_to(b"no view", from).expect("sent");
+        let (_, from) = socket.recv_from(&mut buffer).expect("a query");
+        socket.send_to(b"no table", from).expect("sent");
     }
-    let error = asked.join().expect("no panic").expect_err("no view");
+    let error = client.join().expect("no panic").expect_err("no table");
     assert_eq!(error.to_string(), "no view of this version of the program");
     socket.set_nonblocking(true).expect("set");
-    assert!(socket.recv_from(&mut [0; 2 * MAX_DATAGRAM_BYTES]).is_err(), "not asked a fifth time");
+    assert!(socket.recv_from(&mut [0; 2 * MAX_DATAGRAM_BYTES]).is_err(), "not sent a fifth time");
 }
 
 #[test]
-fn a_host_that_says_nothing_is_a_time_out() {
+fn a_host_that_does_not_answer_is_a_timeout() {
     let (socket, address) = server();
     let error = query_membership(address).expect_err("no answer");
     assert_eq!(error.to_string(), "timed out");
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,148 +1,88 @@
-//! What an operator sets, and what follows from it.
+//! Settings of the membership protocol, and the times that follow from them.
+mod validation;
+
 use crate::Millis;
 use crate::record::{Name, Zone};
 use std::net::SocketAddr;
 
-/// Members known at most, this host with them; who comes on top is dropped and counted.
+pub use validation::{ConfigProblem, FleetConfig, UncheckedFleetConfig};
+
+/// Members known at most, this host included; further ones are dropped and counted.
 pub const MAX_MEMBERS: usize = 16_384;
+/// Seeds at most.
 pub const MAX_SEEDS: usize = 32;
+/// Protocol periods that may be set, in milliseconds.
 pub const PROTOCOL_PERIOD_RANGE: std::ops::RangeInclusive<Millis> = 50..=60_000;
+/// Shortest retention of unreachable members, in protocol periods: with less, a member would be given up while it is
+/// still suspected.
+pub const MIN_RETENTION_PERIODS: u64 = 100;
+
+/// Protocol period where none is set.
+const DEFAULT_PROTOCOL_PERIOD: Millis = 1_000;
+/// Retention of unreachable members where none is set.
+const DEFAULT_RETENTION: Millis = 3_600_000;
+/// Lifeguard's alpha: the shortest suspicion timeout in periods, times the decimal logarithm of the number of members.
+/// Chosen so that a process may be stopped for five seconds.
+const MIN_SUSPICION_PERIODS: f64 = 5.0;
+/// Lifeguard's beta: the timeout of a suspicion that nobody confirmed, as a multiple of the shortest one.
+const MAX_SUSPICION_FACTOR: f64 = 3.0;
+/// Lifeguard's K: independent confirmations with which a suspicion has its shortest timeout.
+pub(crate) const SUSPICION_CONFIRMATIONS: usize = 3;
+/// Members that the suspicion timeout assumes at least.
+const MIN_SUSPICION_MEMBERS: usize = 10;
+/// SWIM's lambda (section 4.1): transmissions of an update, times the decimal logarithm of the number of members.
+const RETRANSMIT_FACTOR: u32 = 4;
 
+/// Settings of one member of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MembershipConfig {
-    /// Only hosts that name the same fleet hear each other.
+    /// Name of the fleet. Members of other fleets are ignored.
     pub fleet: Name,
+    /// Name of this host, unique in its fleet.
     pub name: Name,
+    /// Zone of this host.
     pub zone: Zone,
-    /// Where others reach this host.
+    /// Address at which other members reach this host.
     pub address: SocketAddr,
+    /// Addresses at which this host looks for its first members.
     pub seeds: Vec<SocketAddr>,
-    /// One member is probed a period.
+    /// SWIM's protocol period: one member is probed in each.
     pub protocol_period: Millis,
-    /// How long the unreachable are kept and looked for.
+    /// How long unreachable members are kept and pinged.
     pub unreachable_retention: Millis,
-    /// Parts of Lifeguard: turned off by the model alone, to be weighed against.
+    /// Lifeguard's local health multiplier. Turned off by the simulation alone, for comparison.
     pub local_health: bool,
+    /// Lifeguard's suspicion timeouts that shorten with confirmations. Turned off by the simulation alone.
     pub suspicion_confirmations: bool,
+    /// The protocol rule that is left out; none outside of the exhaustive search's tests.
     #[cfg(feature = "mutants")]
     pub mutant: Option<Mutant>,
 }
 
-/// A rule that is left out.
+/// A protocol rule that is left out, to show that the exhaustive search finds what the rule guards against.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// Who is doubted says nothing new of itself.
+    /// A suspected member does not refute the suspicion.
     NoRefutation,
-    /// Nothing is kept of those that are over.
+    /// No tombstones are kept of members that are gone.
     NoTombstones,
-    /// An earlier word counts as much as a later one.
+    /// An older record replaces a newer one.
     AcceptStaleRecords,
 }
 
-/// A host's place in its fleet's view, as a configuration puts it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FleetConfig {
-    pub listen: SocketAddr,
-    pub membership: MembershipConfig,
-}
-
-/// The same as it is written down, not yet checked.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct UncheckedFleetConfig {
-    pub fleet: String,
-    pub host: String,
-    pub listen: Option<SocketAddr>,
-    /// Where others reach it; none: where it listens.
-    pub advertise_address: Option<SocketAddr>,
-    pub zone: String,
-    pub seeds: Vec<SocketAddr>,
-    pub period: Option<Millis>,
-    pub keep: Option<Millis>,
-}
-
-/// What is wrong with a fleet configuration. The text names the setting and what was expected.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConfigProblem {
-    /// The fleet's name is empty or too long.
-    #[error("name: expected 1 to 48 bytes")]
-    FleetName,
-    /// The host's name is empty or too long.
-    #[error("the host's name: expected 1 to 48 bytes")]
-    HostName,
-    /// The zone's name is too long.
-    #[error("zone: expected up to 24 bytes")]
-    Zone,
-    /// The address to listen on is missing.
-    #[error("listen: expected address:port")]
-    Listen,
-    /// Other members can't reach the advertised address, or the address listened on where none is advertised.
-    #[error("reached_at: expected where others reach this host; it listens on every address")]
-    AdvertiseAddress,
-    /// More than [`MAX_SEEDS`] seeds.
-    #[error("seeds: expected {MAX_SEEDS} at most")]
-    TooManySeeds,
-    /// The protocol period lies outside [`PROTOCOL_PERIOD_RANGE`].
-    #[error("period: expected {} to {} ms", PROTOCOL_PERIOD_RANGE.start(), PROTOCOL_PERIOD_RANGE.end())]
-    Period,
-    /// An unreachable member would be given up while it is still suspected.
-    #[error("keep: expected {MIN_RETENTION_PERIODS} periods or more")]
-    RetentionTooShort,
-}
-
-impl UncheckedFleetConfig {
-    /// # Errors
-    /// All that is wrong with it, each with its field.
-    pub fn validate(&self) -> Result<FleetConfig, Vec<ConfigProblem>> {
-        let mut wrong = Vec::new();
-        let fleet = Name::try_from(self.fleet.as_str()).ok().filter(|n| !n.is_empty());
-        let name = Name::try_from(self.host.as_str()).ok().filter(|n| !n.is_empty());
-        let zone = Zone::try_from(self.zone.as_str()).ok();
-        let reached = self.advertise_address.or(self.listen);
-        let (period, keep) = (self.period.unwrap_or(1_000), self.keep.unwrap_or(3_600_000));
-        let checks = [
-            (fleet.is_some(), ConfigProblem::FleetName),
-            (name.is_some(), ConfigProblem::HostName),
-            (zone.is_some(), ConfigProblem::Zone),
-            (self.listen.is_some(), ConfigProblem::Listen),
-            (
-                reached.is_none_or(|r| !r.ip().is_unspecified() && r.port() != 0),
-                ConfigProblem::AdvertiseAddress,
-            ),
-            (self.seeds.len() <= MAX_SEEDS, ConfigProblem::TooManySeeds),
-            (PROTOCOL_PERIOD_RANGE.contains(&period), ConfigProblem::Period),
-            (keep >= MIN_RETENTION_PERIODS * period, ConfigProblem::RetentionTooShort),
-        ];
-        wrong.extend(checks.into_iter().filter(|(holds, _)| !holds).map(|(_, problem)| problem));
-        match (fleet, name, zone, self.listen, reached) {
-            (Some(fleet), Some(name), Some(zone), Some(listen), Some(reached)) if wrong.is_empty() => {
-                let seeds = self.seeds.clone();
-                let settings = MembershipConfig {
-                    zone,
-                    seeds,
-                    protocol_period: period,
-                    unreachable_retention: keep,
-                    ..MembershipConfig::new(fleet, name, reached)
-                };
-                Ok(FleetConfig { listen, membership: settings })
-            }
-            _ => Err(wrong),
-        }
-    }
-}
-
 impl MembershipConfig {
+    /// Settings with default times, no zone and no seeds.
+    #[must_use]
     pub fn new(fleet: Name, name: Name, address: SocketAddr) -> Self {
-        let (zone, seeds) = (Zone::new(), Vec::new());
-        let (period, keep) = (1_000, 3_600_000);
         MembershipConfig {
             fleet,
             name,
-            zone,
+            zone: Zone::new(),
             address,
-            seeds,
-            protocol_period: period,
-            unreachable_retention: keep,
+            seeds: Vec::new(),
+            protocol_period: DEFAULT_PROTOCOL_PERIOD,
+            unreachable_retention: DEFAULT_RETENTION,
             local_health: true,
             suspicion_confirmations: true,
             #[cfg(feature = "mutants")]
@@ -155,29 +95,26 @@
         self.mutant == Some(mutant)
     }
 
-    /// How long a suspicion stands before its member counts as unreachable: with so many who confirm it, in a fleet of
-    /// so many. From thrice the least down to the least, in periods times the logarithm of the fleet (Lifeguard, 4).
+    /// How long a suspicion stands before its member counts as unreachable, in milliseconds.
+    ///
+    /// Lifeguard's LHA-Suspicion: the timeout falls from its longest value to its shortest one with the logarithm of the
+    /// number of members that `confirmed` the suspicion independently.
+    #[must_use]
     pub fn suspicion_timeout(&self, members: usize, confirmed: usize) -> Millis {
-        let least = MIN_SUSPICION_PERIODS * (members.max(10) as f64).log10() * self.protocol_period as f64;
+        let scale = (members.max(MIN_SUSPICION_MEMBERS) as f64).log10();
+        let shortest = MIN_SUSPICION_PERIODS * scale * self.protocol_period as f64;
+        // Neither the suspect nor the member that raised the suspicion confirms it.
         let wanted = SUSPICION_CONFIRMATIONS.min(members.saturating_sub(2));
         if wanted == 0 || !self.suspicion_confirmations {
-            return least as Millis;
+            return shortest as Millis;
         }
-        let part = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
-        (least * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * part.min(1.0))) as Millis
+        let progress = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
+        (shortest * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * progress.min(1.0))) as Millis
     }
 
-    /// How often a word is passed on by each who hears it.
+    /// How often each member forwards an update (SWIM, section 4.1).
+    #[must_use]
     pub fn max_transmissions(&self, members: usize) -> u32 {
         RETRANSMIT_FACTOR * ((members + 1) as f64).log10().ceil() as u32
     }
 }
-
-/// Who is kept for less would be given up while it is still suspected.
-const MIN_RETENTION_PERIODS: u64 = 100;
-/// Periods, by the decimal logarithm of the fleet: longer than a stop of five seconds.
-const MIN_SUSPICION_PERIODS: f64 = 5.0;
-/// Times the least: a suspicion that nobody confirms.
-const MAX_SUSPICION_FACTOR: f64 = 3.0;
-pub(crate) const SUSPICION_CONFIRMATIONS: usize = 3;
-const RETRANSMIT_FACTOR: u32 = 4;
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,74 +1,84 @@
-//! Whom a host asks for a sign of life: each member once a round, in an order drawn anew for each. What it makes of
-//! no answer goes by its own health: one that was stopped or is short of time doubts itself first.
+//! SWIM's failure detector: which member is pinged in which period, which ping is pending, and Lifeguard's local health
+//! multiplier.
 use crate::Millis;
 use crate::config::MembershipConfig;
 use crate::rng::SeededRng;
 
-/// Periods are stretched by up to so much for a host that doubts itself (Lifeguard).
-const MAX_LOCAL_HEALTH: u32 = 8;
-/// Of a period: how long the first answer may take before others are asked to ask.
+/// Largest local health multiplier (Lifeguard, LHA-Probe): periods are stretched by up to so many further ones.
+const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
+/// Part of a period for which the answer to a direct ping is awaited, before other members are asked to ping.
 const DIRECT_PING_TIMEOUT: f64 = 0.4;
 
-/// A question that waits for its answer.
+/// A ping that waits for its ack.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingPing {
-    pub id: u64,
-    pub nr: u32,
-    pub ask_others_at: Millis,
-    /// How many others were asked to ask, and how many of them said anything.
-    pub helpers: u32,
-    pub answers: u32,
+    pub target_id: u64,
+    pub sequence: u32,
+    /// When other members are asked to ping the target.
+    pub indirect_at: Millis,
+    /// How many members were asked to ping the target.
+    pub requested: u32,
+    /// How many of them reported a failed ping.
+    pub failed: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct FailureDetector {
-    order: Vec<u64>,
+    /// Members still to be pinged in this round, the next one last.
+    round: Vec<u64>,
     pub pending: Option<PendingPing>,
-    pub next: Millis,
-    /// 0: well; each step stretches periods by one.
-    health: u32,
+    /// When the next period begins.
+    pub next_period: Millis,
+    /// Lifeguard's local health multiplier. 0: healthy; each step stretches the periods by one.
+    health_multiplier: u32,
 }
 
 impl FailureDetector {
-    pub fn new(next: Millis) -> Self {
-        FailureDetector { next, ..FailureDetector::default() }
+    pub fn new(next_period: Millis) -> Self {
+        FailureDetector { next_period, ..FailureDetector::default() }
     }
 
-    pub fn stretch(&self) -> u64 {
-        u64::from(self.health) + 1
+    /// Factor by which this host stretches its own timeouts.
+    pub fn timeout_factor(&self) -> u64 {
+        u64::from(self.health_multiplier) + 1
     }
 
-    pub fn better(&mut self) {
-        self.health = self.health.saturating_sub(1);
+    /// A ping was answered: this host itself is well.
+    pub fn raise_health(&mut self) {
+        self.health_multiplier = self.health_multiplier.saturating_sub(1);
     }
 
-    pub fn worse(&mut self, config: &MembershipConfig) {
+    /// A sign that this host itself is slow, stopped or cut off.
+    pub fn lower_health(&mut self, config: &MembershipConfig) {
         if config.local_health {
-            self.health = (self.health + 1).min(MAX_LOCAL_HEALTH);
+            self.health_multiplier = (self.health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
         }
     }
 
-    /// The next member of the round; `all`: those there are, for the next one.
-    pub fn turn(
+    /// The next member to ping. Rounds visit each eligible member once, in a new random order each (SWIM, section 4.3).
+    pub fn next_target(
         &mut self,
         rng: &mut SeededRng,
-        fits: impl Fn(u64) -> bool,
-        all: impl Iterator<Item = u64>,
+        is_eligible: impl Fn(u64) -> bool,
+        members: impl Iterator<Item = u64>,
     ) -> Option<u64> {
-        while let Some(id) = self.order.pop() {
-            if fits(id) {
+        while let Some(id) = self.round.pop() {
+            if is_eligible(id) {
                 return Some(id);
             }
         }
-        self.order.extend(all.filter(|id| fits(*id)));
-        for at in (1..self.order.len()).rev() {
-            self.order.swap(at, rng.below(at as u64 + 1) as usize);
+        self.round.extend(members.filter(|id| is_eligible(*id)));
+        // Fisher-Yates shuffle.
+        for index in (1..self.round.len()).rev() {
+            self.round.swap(index, rng.index(index + 1));
         }
-        self.order.pop()
+        self.round.pop()
     }
 
-    pub fn begin(&mut self, id: u64, nr: u32, now: Millis, config: &MembershipConfig) {
-        let wait = (config.protocol_period as f64 * DIRECT_PING_TIMEOUT) as Millis * self.stretch();
-        self.pending = Some(PendingPing { id, nr, ask_others_at: now + wait, helpers: 0, answers: 0 });
+    /// A ping was sent: waits for its ack.
+    pub fn await_ack(&mut self, target_id: u64, sequence: u32, now: Millis, config: &MembershipConfig) {
+        let timeout = (config.protocol_period as f64 * DIRECT_PING_TIMEOUT) as Millis * self.timeout_factor();
+        self.pending =
+            Some(PendingPing { target_id, sequence, indirect_at: now + timeout, requested: 0, failed: 0 });
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,25 +1,35 @@
-//! The view of a fleet that its hosts keep themselves: who is up, cut off, ending, and on which version.
+//! Membership of a fleet, kept by its hosts themselves: which members are alive, unreachable, leaving or gone, and
+//! which versions each of them acts on.
 //!
-//! Free of I/O, clocks and threads: datagrams and ticks in, datagrams and changes out, chance from a seeded generator.
-//! The same code runs in the hosts, in the model and in the exhaustive search. Drawn on: SWIM (Das, Gupta, Motivala,
-//! 2002) for probes, suspicion and news that ride on them; Lifeguard (Dadgar, Phillips, Currey, 2017) for a host's own
-//! health, suspicion that shortens with confirmations, and the suspect hearing of it first. `docs/fleet.md` says
-//! what is promised, with bounds.
+//! The protocol is SWIM (Das, Gupta, Motivala: *SWIM: Scalable Weakly-consistent Infection-style Process Group
+//! Membership Protocol*, DSN 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey: *Lifeguard: Local Health
+//! Awareness for More Accurate Failure Detection*, 2017): the local health multiplier, suspicions that shorten with
+//! independent confirmations, and the buddy system. Anti-entropy by range digests is added to it. `docs/fleet.md` says
+//! what the protocol promises, with bounds.
 //!
-//! - `word`: what a member says of itself, and which of two words is the later one.
-//! - `settings`: periods and bounds. `wire`: datagrams. `table`: the view, what is told on, ranges that are compared.
-//! - `fleet`: a host's part in it. `probe`: whom it asks for a sign of life, and what it makes of none.
+//! The package does no I/O and knows no clock and no thread. A caller passes in datagrams, ticks and the time; datagrams
+//! to send and membership events come out through an [`ActionSink`]. Random numbers come from a seeded generator, so the
+//! same inputs give the same actions. Hosts, the simulation and the exhaustive search run the same code.
+//!
+//! - [`record`] defines what a member publishes about itself, and which of two records is the newer one.
+//! - [`config`] holds the settings of the protocol, their validation, and the times that follow from them.
+//! - [`wire`] defines the datagrams.
+//! - [`Membership`] is the state machine of one host.
+#![warn(missing_docs)]
+
 pub mod config;
+mod event;
 mod failure_detector;
+mod member;
 mod membership;
 mod membership_table;
 pub mod record;
 mod rng;
 pub mod wire;
 
+pub use event::MembershipEvent;
 pub use membership::{ActionSink, Counters, Membership};
-pub use membership_table::MembershipEvent;
 pub use record::MemberState;
 
-/// Milliseconds on the host's clock, which never goes back.
+/// Milliseconds on the host's monotonic clock, or a span in milliseconds.
 pub type Millis = u64;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,133 +1,108 @@
-//! A host's part in the view of its fleet.
+//! State machine of one member of the fleet.
+//!
+//! - `receive`: datagrams that come in. `send`: datagrams that go out, with the gossip that rides on them.
+//! - `timer`: what is due by time. `failure_detection`: pings, indirect pings and suspicions.
+//! - `joining`: seeds and the end of joining. `anti_entropy`: comparison of whole tables.
+//! - `name_conflict`: other processes under this host's name. `query`: the table for operators.
 mod anti_entropy;
+mod failure_detection;
+mod joining;
+mod name_conflict;
+mod query;
 mod receive;
+mod send;
 mod timer;
 
 use crate::Millis;
 use crate::config::MembershipConfig;
+use crate::event::MembershipEvent;
 use crate::failure_detector::FailureDetector;
-use crate::membership_table::{Member, MembershipEvent, MembershipTable, MergeOutcome, ROOT, Suspicion};
-use crate::record::{ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, MemberState, member_id};
+use crate::member::{Member, Reachability};
+use crate::membership_table::{MembershipTable, WHOLE_TABLE};
+use crate::record::{ActiveVersions, Lifecycle, MemberRecord, MemberState, member_id};
 use crate::rng::SeededRng;
-use crate::wire::{
-    self, DecodeError, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, MAX_RANGES,
-    MemberStatus, MembershipPage, Message,
-};
+use crate::wire::{GossipBody, MAX_DATAGRAM_BYTES};
+use anti_entropy::ReplyBudget;
+use failure_detection::IndirectPing;
+use name_conflict::NameConflict;
 use std::net::SocketAddr;
 
-/// Ticks to a period.
+/// Calls of [`Membership::tick`] in a protocol period.
 const TICKS_PER_PERIOD: Millis = 10;
-/// Others asked to ask a member that says nothing.
-const INDIRECT_PING_MEMBERS: usize = 3;
-/// Questions that are asked for others at one time; further ones are dropped.
-const MAX_INDIRECT_PINGS: usize = 64;
-/// Periods without a word from anybody after which a host takes itself for cut off.
-const ISOLATION_PERIODS: u64 = 4;
-/// Periods between two comparisons of views, and of one that joins: parts of one.
-const ANTI_ENTROPY_PERIODS: u64 = 10;
-const ANTI_ENTROPY_PER_PERIOD_JOINING: u64 = 5;
-/// Comparisons answered in one period, and datagrams to one of them, at most.
-const MAX_DIGEST_REPLIES: u32 = 16;
-const MAX_REPLY_DATAGRAMS: usize = 4;
-/// Members that are told news a period beside those asked, where more waits than two datagrams hold.
-const EXTRA_GOSSIP_TARGETS: usize = 3;
-/// Members in a range that are told and not compared any further.
-const RECORDS_PER_DATAGRAM: usize = 8;
-/// Periods after which a host counts itself as joined, though its view is not yet another one's.
-const JOIN_TIMEOUT_PERIODS: u64 = 20;
-/// Periods after which a host whose seeds say nothing takes itself for the first.
-const FIRST_MEMBER_PERIODS: u64 = 3;
-/// Periods until a member out of reach is first looked for, and the longest between two looks.
-const UNREACHABLE_PING_FIRST_PERIODS: u64 = 2;
-const UNREACHABLE_PING_MAX_PERIODS: u64 = 60;
-/// Periods between two looks at a seed that is no member here: so sides that have forgotten each other meet again.
-const SEED_PERIODS: u64 = 60;
-/// Periods for which one that is over is shown.
-const LEFT_SHOWN_PERIODS: u64 = 120;
-/// Members told directly of this one's end.
+/// Members that are told directly that this host leaves.
 const MAX_LEAVE_DATAGRAMS: usize = 512;
-/// Times that a rival under this host's name is asked whether it lives, a period each.
-const NAME_CONFLICT_PINGS: u32 = 3;
-/// A first word to a stranger is at least so long, and so is each question: so long may the answer of one be to whom
-/// the asker is a stranger. A word takes 130 bytes at most, and an answer holds two.
-const MIN_FIRST_PING_BYTES: usize = 512;
-const MIN_PING_BYTES: usize = 288;
+/// Lowest bits of a generation that are drawn at random, so that of two processes that start within the same millisecond
+/// one is the later.
+const GENERATION_RANDOM_BITS: u32 = 12;
 
-/// What carries a host's datagrams and hears of changes.
+/// Takes the actions of a [`Membership`].
 pub trait ActionSink {
+    /// Sends a datagram. It may be lost.
     fn send(&mut self, to: SocketAddr, bytes: &[u8]);
-    fn notify(&mut self, change: MembershipEvent);
+    /// Reports an event.
+    fn notify(&mut self, event: MembershipEvent);
 }
 
-/// What came in and went out, for figures.
+/// Counters of datagrams, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Gossip messages received and decoded.
     pub received: u64,
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes of the datagrams sent.
     pub bytes_sent: u64,
-    /// Dropped: not to be read, of another fleet, of another version of the format.
+    /// Datagrams dropped as malformed.
     pub malformed: u64,
+    /// Datagrams dropped as another fleet's.
     pub other_fleet: u64,
+    /// Datagrams dropped for their version of the format.
     pub unsupported_version: u64,
-    /// No room for one more member, or for one more question of others.
+    /// Members and ping requests dropped for want of capacity.
     pub capacity_drops: u64,
-    /// Times that this host said it lives after all.
+    /// Suspicions of this host that it refuted.
     pub refutations: u64,
 }
 
-/// Nothing goes by them: two parts that differ in them alone are the same to a search.
+/// No decision depends on the counters: two states that differ in them alone are the same for an exhaustive search.
 impl std::hash::Hash for Counters {
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
 
-/// A question asked for another member.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct IndirectPing {
-    nr: u32,
-    asker: SocketAddr,
-    asked: u32,
-    until: Millis,
-}
-
-/// Another process under this host's name that started later, as far as is known.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct NameConflict {
-    record: MemberRecord,
-    asked: u32,
-    next: Millis,
-}
-
+/// State machine of one member. Needs [`tick`](Membership::tick) at the time of
+/// [`next_tick`](Membership::next_tick), and [`receive`](Membership::receive) for each datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Membership {
     config: MembershipConfig,
-    me: MemberRecord,
-    key: u64,
+    own_record: MemberRecord,
+    own_id: u64,
     table: MembershipTable,
-    probe: FailureDetector,
+    failure_detector: FailureDetector,
     rng: SeededRng,
-    nr: u32,
+    last_sequence: u32,
     indirect_pings: Vec<IndirectPing>,
     name_conflict: Option<NameConflict>,
+    /// Address of the process that superseded this one; set, this host takes no more part.
     superseded_by: Option<SocketAddr>,
-    /// Last tick; last word from anybody; whether nobody is heard.
-    ticked: Millis,
+    last_tick: Millis,
+    /// When any other member was last heard.
     last_heard: Option<Millis>,
     isolated: bool,
-    began: Millis,
-    compare_at: Millis,
-    answers: (Millis, u32),
-    seed_at: Millis,
-    seed: usize,
+    started: Millis,
+    next_anti_entropy: Millis,
+    reply_budget: ReplyBudget,
+    next_seed_ping: Millis,
+    seed_index: usize,
     counters: Counters,
 }
 
 impl Membership {
-    /// `started`: Unix time in milliseconds, of which the generation is made.
-    pub fn new(config: MembershipConfig, seed: u64, now: Millis, started: u64) -> Self {
+    /// A member that starts to join. `started_ms`: Unix time in milliseconds, from which its generation is derived.
+    #[must_use]
+    pub fn new(config: MembershipConfig, seed: u64, now: Millis, started_ms: u64) -> Self {
         let mut rng = SeededRng::new(seed);
-        // Of two that start within one millisecond, one is the later.
-        let generation = started << 12 | rng.below(1 << 12);
-        let me = MemberRecord {
+        let generation = started_ms << GENERATION_RANDOM_BITS | rng.below(1 << GENERATION_RANDOM_BITS);
+        let own_record = MemberRecord {
             name: config.name.clone(),
             generation,
             incarnation: 0,
@@ -135,202 +110,148 @@
             address: config.address,
             zone: config.zone.clone(),
             versions: ActiveVersions::default(),
-            started_ms: started,
+            started_ms,
         };
-        let mut fleet = Membership {
-            key: member_id(&config.name),
-            me,
+        let mut membership = Membership {
+            own_id: member_id(&config.name),
+            own_record,
             table: MembershipTable::default(),
-            probe: FailureDetector::new(now + rng.below(config.protocol_period)),
+            failure_detector: FailureDetector::new(now + rng.below(config.protocol_period)),
             rng,
-            nr: 0,
+            last_sequence: 0,
             indirect_pings: Vec::new(),
             name_conflict: None,
             superseded_by: None,
-            ticked: now,
+            last_tick: now,
             last_heard: None,
             isolated: false,
-            began: now,
-            compare_at: now,
-            answers: (now, 0),
-            seed_at: now,
-            seed: 0,
+            started: now,
+            next_anti_entropy: now,
+            reply_budget: ReplyBudget::new(now),
+            next_seed_ping: now,
+            seed_index: 0,
             counters: Counters::default(),
             config,
         };
-        fleet.enter(now);
-        fleet
-    }
-
-    /// This host's own word, as it stands in the view.
-    fn enter(&mut self, now: Millis) {
-        let (word, doubt) = (self.me.clone(), Suspicion::None);
-        self.table
-            .members
-            .insert(self.key, Member { record: word, suspicion: doubt, last_heard: None, since: now });
-        self.table.queue_gossip(self.key);
-    }
-
-    /// This host says something new of itself.
-    fn say(&mut self, change: impl FnOnce(&mut MemberRecord), now: Millis, out: &mut dyn ActionSink) {
-        let was = self.table.get(self.key).map(Member::state);
-        change(&mut self.me);
-        self.me.incarnation += 1;
-        self.enter(now);
-        let state = self.table.get(self.key).map(Member::state);
-        if let Some(now) = state.filter(|s| Some(*s) != was) {
-            let MemberRecord { name, address, versions, .. } = self.me.clone();
-            out.notify(MembershipEvent::MemberUpdated {
-                name,
-                address,
-                versions,
-                previous: was,
-                current: now,
-            });
-        }
+        membership.store_own_record(now);
+        membership
     }
 
-    // What whoever runs it asks.
-
-    /// When to call `tick` next.
+    /// When [`tick`](Membership::tick) is to be called next.
+    #[must_use]
     pub fn next_tick(&self) -> Millis {
-        self.ticked + (self.config.protocol_period / TICKS_PER_PERIOD).max(1)
+        self.last_tick + (self.config.protocol_period / TICKS_PER_PERIOD).max(1)
     }
 
+    /// Counters of datagrams.
+    #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
+    /// Whether no other member was heard for some periods.
+    #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.isolated
     }
 
+    /// Address of the later process under this host's name; none: this host takes part.
+    #[must_use]
     pub fn superseded_by(&self) -> Option<SocketAddr> {
         self.superseded_by
     }
 
+    /// What this host publishes about itself.
+    #[must_use]
     pub fn own_record(&self) -> &MemberRecord {
-        &self.me
+        &self.own_record
     }
 
-    /// Members as this host sees them, itself among them, by the numbers of their names.
+    /// Members as this host sees them, itself included, by id.
     pub fn members(&self) -> impl Iterator<Item = (&MemberRecord, MemberState)> {
-        self.table.members.values().map(|m| (&m.record, m.state()))
+        self.table.members.values().map(|member| (&member.record, member.state()))
     }
 
-    /// Stands for the whole view: the same at hosts that have heard the same.
+    /// Digest of the whole table: the same at hosts whose tables are the same.
+    #[must_use]
     pub fn digest(&self) -> u64 {
-        self.table.range_digest(ROOT).digest
+        self.table.range_digest(WHOLE_TABLE).digest
     }
 
-    /// What this host acts on changed.
-    pub fn set_active_versions(&mut self, facts: ActiveVersions, now: Millis, out: &mut dyn ActionSink) {
-        if facts != self.me.versions && self.superseded_by.is_none() {
-            self.say(|me| me.versions = facts, now, out);
+    /// The host acts on other versions than before.
+    pub fn set_active_versions(&mut self, versions: ActiveVersions, now: Millis, sink: &mut dyn ActionSink) {
+        if versions != self.own_record.versions && self.superseded_by.is_none() {
+            self.publish(|own| own.versions = versions, now, sink);
         }
     }
 
+    /// Replaces the addresses of the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.config.seeds = seeds;
-        self.seed = 0;
+        self.seed_index = 0;
     }
 
-    /// This host shuts down gracefully and still serves: other members are told at once.
-    pub fn announce_leaving(&mut self, now: Millis, out: &mut dyn ActionSink) {
-        self.leave(Lifecycle::Leaving, now, out);
+    /// This host shuts down gracefully and still serves: tells other members at once.
+    pub fn announce_leaving(&mut self, now: Millis, sink: &mut dyn ActionSink) {
+        self.announce(Lifecycle::Leaving, now, sink);
     }
 
-    /// This process ends: other members are told at once, and nothing of this generation follows.
-    pub fn announce_left(&mut self, now: Millis, out: &mut dyn ActionSink) {
-        self.leave(Lifecycle::Left, now, out);
+    /// This process ends: tells other members at once. Nothing of this generation follows.
+    pub fn announce_left(&mut self, now: Millis, sink: &mut dyn ActionSink) {
+        self.announce(Lifecycle::Left, now, sink);
     }
 
-    fn leave(&mut self, lifecycle: Lifecycle, now: Millis, out: &mut dyn ActionSink) {
-        if self.superseded_by.is_some() || self.me.lifecycle == Lifecycle::Left {
+    fn announce(&mut self, lifecycle: Lifecycle, now: Millis, sink: &mut dyn ActionSink) {
+        if self.superseded_by.is_some() || self.own_record.lifecycle == Lifecycle::Left {
             return;
         }
-        self.say(|me| me.lifecycle = lifecycle, now, out);
+        self.publish(|own| own.lifecycle = lifecycle, now, sink);
         let others =
-            self.table.members.values().filter(|m| m.is_reachable() && m.record.name != self.me.name);
-        let others: Vec<SocketAddr> = others.map(|m| m.record.address).collect();
-        let (from, most) =
-            (self.rng.below(others.len() as u64) as usize, others.len().min(MAX_LEAVE_DATAGRAMS));
-        for n in 0..most {
-            self.send(
-                others[(from + n) % others.len()],
-                GossipBody::UpdatesOnly,
-                &[],
-                MAX_DATAGRAM_BYTES,
-                out,
-            );
+            self.table.members.iter().filter(|(id, member)| **id != self.own_id && member.is_reachable());
+        let others: Vec<SocketAddr> = others.map(|(_, member)| member.record.address).collect();
+        let first = self.rng.index(others.len());
+        for address in others.iter().cycle().skip(first).take(others.len().min(MAX_LEAVE_DATAGRAMS)) {
+            self.send(*address, GossipBody::UpdatesOnly, &[], MAX_DATAGRAM_BYTES, sink);
         }
     }
 
-    // Datagrams.
-
-    fn send(
-        &mut self,
-        to: SocketAddr,
-        body: GossipBody,
-        first: &[GossipUpdate],
-        most: usize,
-        out: &mut dyn ActionSink,
-    ) {
-        let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        let least = if matches!(body, GossipBody::Ping { .. }) { MIN_PING_BYTES } else { 0 };
-        let mut packet = GossipMessage { sender: self.me.clone(), body, updates: GossipUpdates::new() };
-        let message = Message::Gossip(packet.clone());
-        // One that would be longer than it may be is none.
-        let Some(mut len) = self.config.encode(&message, &mut buffer).map(<[u8]>::len).filter(|l| *l <= most)
-        else {
-            return;
-        };
-        let news = &mut packet.updates;
-        let mut take = |told: &GossipUpdate| {
-            let size = postcard::to_slice(told, &mut [0; MAX_DATAGRAM_BYTES])
-                .map_or(MAX_DATAGRAM_BYTES, |t| t.len());
-            // What is told of its receiver or of this host stands elsewhere in the datagram.
-            if len + size > most || news.iter().any(|n| n.record.name == told.record.name) {
-                return len + size <= most;
-            }
-            len += size;
-            news.push(told.clone()).is_ok()
-        };
-        for told in first {
-            take(told);
-        }
-        self.table.take_gossip(self.config.max_transmissions(self.table.members.len()), take);
-        let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        if let Some(len) = self.config.encode(&Message::Gossip(packet), &mut buffer).map(<[u8]>::len) {
-            self.put(to, &buffer, len.max(least), out);
+    /// Issues a new record of this host, with the next incarnation.
+    fn publish(&mut self, change: impl FnOnce(&mut MemberRecord), now: Millis, sink: &mut dyn ActionSink) {
+        let previous = self.table.get(self.own_id).map(Member::state);
+        change(&mut self.own_record);
+        self.own_record.incarnation += 1;
+        self.store_own_record(now);
+        let current = self.table.get(self.own_id).map(Member::state);
+        if let Some(current) = current.filter(|state| Some(*state) != previous) {
+            let MemberRecord { name, address, versions, .. } = self.own_record.clone();
+            sink.notify(MembershipEvent::MemberUpdated { name, address, versions, previous, current });
         }
     }
 
-    /// Puts a datagram out; what stands behind the message is zeros.
-    fn put(
-        &mut self,
-        to: SocketAddr,
-        buffer: &[u8; MAX_DATAGRAM_BYTES],
-        len: usize,
-        out: &mut dyn ActionSink,
-    ) {
-        self.counters.sent += 1;
-        self.counters.bytes_sent += len as u64;
-        out.send(to, &buffer[..len]);
+    /// Puts this host's own record into the table, and queues it for gossip.
+    fn store_own_record(&mut self, now: Millis) {
+        let member = Member::new(self.own_record.clone(), Reachability::Reachable, now);
+        self.table.members.insert(self.own_id, member);
+        self.table.enqueue_gossip(self.own_id);
     }
 
-    /// A first word to an address of which no member is known: padded, so that the answer may be as long.
-    fn hail(&mut self, to: SocketAddr, out: &mut dyn ActionSink) {
-        let body = GossipBody::Ping { sequence: self.next_nr() };
-        let packet = GossipMessage { sender: self.me.clone(), body, updates: GossipUpdates::new() };
-        let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        if let Some(len) = self.config.encode(&Message::Gossip(packet), &mut buffer).map(<[u8]>::len) {
-            self.put(to, &buffer, len.max(MIN_FIRST_PING_BYTES), out);
-        }
+    fn next_sequence(&mut self) -> u32 {
+        self.last_sequence = self.last_sequence.wrapping_add(1);
+        self.last_sequence
+    }
+
+    /// A random member that is reachable and fits the condition.
+    fn random_reachable(&mut self, fits: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
+        let own_id = self.own_id;
+        let is_candidate =
+            |(id, member): &(&u64, &Member)| **id != own_id && member.is_reachable() && fits(member);
+        let count = self.table.members.iter().filter(is_candidate).count();
+        let index = self.rng.index(count);
+        self.table.members.iter().filter(is_candidate).nth(index).map(|(_, member)| member.record.address)
     }
 
-    fn next_nr(&mut self) -> u32 {
-        self.nr = self.nr.wrapping_add(1);
-        self.nr
+    /// Milliseconds of a number of protocol periods.
+    fn periods(&self, count: u64) -> Millis {
+        count * self.config.protocol_period
     }
 }
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -1,159 +1,165 @@
-//! Views compared with other members', and shown to whoever asks.
-use super::*;
+//! Anti-entropy: two members compare digests of their tables and exchange the records in ranges that differ.
+use super::{ActionSink, Membership};
+use crate::Millis;
+use crate::member::Member;
+use crate::membership_table::{CHILD_RANGES, MAX_PREFIX_BITS, WHOLE_TABLE};
+use crate::record::{GossipUpdate, Lifecycle};
+use crate::wire::{GossipBody, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, MAX_RANGES, RangeDigest};
+use std::net::SocketAddr;
+
+/// Periods between two comparisons that a host starts.
+const ANTI_ENTROPY_PERIODS: u64 = 10;
+/// Comparisons that a joining host starts in one period.
+const JOINING_COMPARISONS_PER_PERIOD: u64 = 5;
+/// Comparisons answered in one period at most.
+const MAX_REPLIES_PER_PERIOD: u32 = 16;
+/// Datagrams of records in one answer at most.
+const MAX_REPLY_DATAGRAMS: usize = 4;
+/// Records in one datagram of an answer. Ranges with no more members are exchanged rather than split.
+const RECORDS_PER_DATAGRAM: usize = 8;
+
+type Digests = heapless::Vec<RangeDigest, MAX_RANGES>;
+type Ranges = heapless::Vec<IdRange, MAX_RANGES>;
+
+/// Limits the comparisons that are answered in a period.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct ReplyBudget {
+    since: Millis,
+    replies: u32,
+}
+
+impl ReplyBudget {
+    pub fn new(now: Millis) -> Self {
+        ReplyBudget { since: now, replies: 0 }
+    }
+
+    /// Begins a new period once the last one is over.
+    fn renew(&mut self, now: Millis, period: Millis) {
+        if now >= self.since + period {
+            *self = ReplyBudget::new(now);
+        }
+    }
+
+    fn is_spent(&self) -> bool {
+        self.replies >= MAX_REPLIES_PER_PERIOD
+    }
+}
 
 impl Membership {
-    pub(super) fn compare(&mut self, to: SocketAddr, out: &mut dyn ActionSink) {
-        let parts = heapless::Vec::from_iter([self.table.range_digest(ROOT)]);
-        self.send(to, GossipBody::RangeDigests(parts), &[], MAX_DATAGRAM_BYTES, out);
+    /// Starts a comparison with a random member when one is due.
+    pub(super) fn start_anti_entropy(&mut self, now: Millis, sink: &mut dyn ActionSink) {
+        if now < self.next_anti_entropy {
+            return;
+        }
+        let interval = match self.own_record.lifecycle {
+            Lifecycle::Joining => self.config.protocol_period / JOINING_COMPARISONS_PER_PERIOD,
+            _ => self.periods(ANTI_ENTROPY_PERIODS),
+        };
+        self.next_anti_entropy = now + interval + self.rng.below(interval / 4);
+        if let Some(address) = self.random_reachable(|_| true) {
+            let digests = Digests::from_iter([self.table.range_digest(WHOLE_TABLE)]);
+            self.send(address, GossipBody::RangeDigests(digests), &[], MAX_DATAGRAM_BYTES, sink);
+        }
     }
 
-    /// Another one's view in parts: no part at all says that the two are the same.
-    pub(super) fn compared(
+    /// Answers another member's digests: with digests of smaller ranges where many members differ, with records where
+    /// few do, and with no digest at all where the tables are equal.
+    pub(super) fn compare_digests(
         &mut self,
         from: SocketAddr,
-        known: bool,
-        parts: &heapless::Vec<wire::RangeDigest, MAX_RANGES>,
+        is_known: bool,
+        digests: &Digests,
         now: Millis,
-        out: &mut dyn ActionSink,
+        sink: &mut dyn ActionSink,
     ) {
-        if parts.is_empty() {
-            if self.me.lifecycle == Lifecycle::Joining {
-                self.say(|me| me.lifecycle = Lifecycle::Alive, now, out);
+        if digests.is_empty() {
+            if self.own_record.lifecycle == Lifecycle::Joining {
+                self.publish(|own| own.lifecycle = Lifecycle::Alive, now, sink);
             }
             return;
         }
-        if now >= self.answers.0 + self.config.protocol_period {
-            self.answers = (now, 0);
-        }
-        // Who is not known yet is by the next time: it has just said who it is.
-        if !known || self.answers.1 >= MAX_DIGEST_REPLIES {
+        self.reply_budget.renew(now, self.config.protocol_period);
+        // A sender that is not known yet will be by its next comparison.
+        if !is_known || self.reply_budget.is_spent() {
             return;
         }
-        self.answers.1 += 1;
-        let mut deeper = heapless::Vec::<wire::RangeDigest, MAX_RANGES>::new();
-        let mut told = heapless::Vec::<IdRange, MAX_RANGES>::new();
-        for part in parts.iter().filter(|p| p.range.prefix_bits <= 60) {
-            let own = self.table.range_digest(part.range);
-            if (own.digest, own.count) == (part.digest, part.count) {
+        self.reply_budget.replies += 1;
+        let (split, exchanged) = self.differing_ranges(digests);
+        if !split.is_empty() || exchanged.is_empty() {
+            self.send(from, GossipBody::RangeDigests(split), &[], MAX_DATAGRAM_BYTES, sink);
+        }
+        if !exchanged.is_empty() {
+            let members = exchanged.iter().flat_map(|range| self.table.members_in(*range));
+            let updates: Vec<GossipUpdate> = members.map(Member::to_update).collect();
+            let body = GossipBody::RangeRecords { ranges: exchanged, reply_wanted: true };
+            self.send_records(from, body, &updates, sink);
+        }
+    }
+
+    /// Ranges in which the two tables differ: digests of the children of those to be split, and those whose records are
+    /// to be exchanged.
+    fn differing_ranges(&self, digests: &Digests) -> (Digests, Ranges) {
+        let (mut split, mut exchanged) = (Digests::new(), Ranges::new());
+        for theirs in digests.iter().filter(|theirs| theirs.range.prefix_bits <= MAX_PREFIX_BITS) {
+            let own = self.table.range_digest(theirs.range);
+            if own == *theirs {
                 continue;
             }
-            let few =
-                own.count.min(part.count) as usize <= RECORDS_PER_DATAGRAM || part.range.prefix_bits == 60;
-            if few {
-                let _ = told.push(part.range);
-            } else if deeper.len() + 16 <= MAX_RANGES {
-                deeper.extend(self.table.child_digests(part.range));
+            let is_small = own.count.min(theirs.count) as usize <= RECORDS_PER_DATAGRAM;
+            if is_small || theirs.range.prefix_bits == MAX_PREFIX_BITS {
+                let _ = exchanged.push(theirs.range);
+            } else if split.len() + CHILD_RANGES <= MAX_RANGES {
+                split.extend(self.table.child_digests(theirs.range));
             }
         }
-        if deeper.is_empty() && told.is_empty() {
-            return self.send(
-                from,
-                GossipBody::RangeDigests(heapless::Vec::new()),
-                &[],
-                MAX_DATAGRAM_BYTES,
-                out,
-            );
-        }
-        if !deeper.is_empty() {
-            self.send(from, GossipBody::RangeDigests(deeper), &[], MAX_DATAGRAM_BYTES, out);
-        }
-        if !told.is_empty() {
-            let words: Vec<GossipUpdate> =
-                told.iter().flat_map(|r| self.table.members_in(*r)).map(Member::update).collect();
-            self.pages(from, GossipBody::RangeRecords { ranges: told, reply_wanted: true }, &words, out);
-        }
+        (split, exchanged)
     }
 
-    /// So many datagrams of words as one may take; the first with this body.
-    pub(super) fn pages(
+    /// Sends records in as many datagrams as one answer may take, the first one with `body`. What does not fit is left
+    /// to the next comparison.
+    fn send_records(
         &mut self,
         to: SocketAddr,
         body: GossipBody,
-        words: &[GossipUpdate],
-        out: &mut dyn ActionSink,
+        updates: &[GossipUpdate],
+        sink: &mut dyn ActionSink,
     ) {
         let mut body = Some(body);
-        let mut rest = words;
+        let mut rest = updates;
         for _ in 0..MAX_REPLY_DATAGRAMS {
             if rest.is_empty() && body.is_none() {
                 return;
             }
-            // A word takes a hundred bytes and some; what does not fit in is told another time.
-            let page = rest.len().min(RECORDS_PER_DATAGRAM);
-            self.send(
-                to,
-                body.take().unwrap_or(GossipBody::UpdatesOnly),
-                &rest[..page],
-                MAX_DATAGRAM_BYTES,
-                out,
-            );
-            rest = &rest[page..];
+            let (page, further) = rest.split_at(rest.len().min(RECORDS_PER_DATAGRAM));
+            let body = body.take().unwrap_or(GossipBody::UpdatesOnly);
+            self.send(to, body, page, MAX_DATAGRAM_BYTES, sink);
+            rest = further;
         }
     }
 
-    /// What this host knows in ranges and the other one did not tell as late.
-    pub(super) fn send_better(
+    /// Sends the records in some ranges that are newer than those of the other member.
+    pub(super) fn send_newer_records(
         &mut self,
         to: SocketAddr,
-        ranges: &heapless::Vec<IdRange, MAX_RANGES>,
+        ranges: &Ranges,
         theirs: &GossipUpdates,
-        out: &mut dyn ActionSink,
+        sink: &mut dyn ActionSink,
     ) {
-        let as_late = |own: &GossipUpdate| {
-            theirs.iter().any(|t| {
-                t.record.name == own.record.name
-                    && t.record.precedence() >= own.record.precedence()
-                    && t.suspected_by.is_some() >= own.suspected_by.is_some()
+        let is_known_to_them = |own: &GossipUpdate| {
+            theirs.iter().any(|other| {
+                other.record.name == own.record.name
+                    && other.record.precedence() >= own.record.precedence()
+                    && other.suspected_by.is_some() >= own.suspected_by.is_some()
             })
         };
-        let all = ranges
-            .iter()
-            .filter(|r| r.prefix_bits <= 60)
-            .flat_map(|r| self.table.members_in(*r))
-            .map(Member::update);
-        let better: Vec<GossipUpdate> =
-            all.filter(|t| !as_late(t)).take(MAX_REPLY_DATAGRAMS * RECORDS_PER_DATAGRAM).collect();
-        if !better.is_empty() {
-            self.pages(to, GossipBody::UpdatesOnly, &better, out);
-        }
-    }
-
-    /// A page of the view for somebody who is no member.
-    pub(super) fn send_page(
-        &mut self,
-        from: SocketAddr,
-        after: u64,
-        most: usize,
-        now: Millis,
-        out: &mut dyn ActionSink,
-    ) {
-        let mut look = MembershipPage {
-            host: self.me.name.clone(),
-            isolated: self.isolated,
-            superseded: self.superseded_by.is_some(),
-            digest: self.digest(),
-            members: heapless::Vec::new(),
-            next_id: None,
-        };
-        let (mut buffer, mut page) = ([0; MAX_DATAGRAM_BYTES], [0; MAX_DATAGRAM_BYTES]);
-        for (key, m) in self.table.members.range(after..) {
-            let heard = m.last_heard.map(|h| now.saturating_sub(h));
-            let shown = MemberStatus { record: m.record.clone(), state: m.state(), last_heard_ms: heard };
-            look.next_id = Some(*key);
-            if look.members.push(shown).is_err() {
-                break;
-            }
-            look.next_id = None;
-            let written = self.config.encode(&Message::Page(look.clone()), &mut buffer).map(<[u8]>::len);
-            if written.is_none_or(|len| len > most) {
-                look.members.pop();
-                look.next_id = Some(*key);
-                break;
-            }
-        }
-        let written = self.config.encode(&Message::Page(look), &mut page).map(<[u8]>::len);
-        if let Some(len) = written.filter(|l| *l <= most) {
-            self.put(from, &page, len, out);
+        let ranges = ranges.iter().filter(|range| range.prefix_bits <= MAX_PREFIX_BITS);
+        let own = ranges.flat_map(|range| self.table.members_in(*range)).map(Member::to_update);
+        let newer: Vec<GossipUpdate> = own
+            .filter(|update| !is_known_to_them(update))
+            .take(MAX_REPLY_DATAGRAMS * RECORDS_PER_DATAGRAM)
+            .collect();
+        if !newer.is_empty() {
+            self.send_records(to, GossipBody::UpdatesOnly, &newer, sink);
         }
     }
 }
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -1,119 +1,29 @@
-//! The view: the latest word of each member, what is doubted of it, what is still to be told on, and how two views
-//! are compared in ranges.
+//! The membership table of one host: the newest record of each member, suspicions, tombstones, and the queue of updates
+//! that are still to be gossiped.
+mod digests;
+mod gossip_queue;
+mod tombstones;
+
 use crate::Millis;
-use crate::config::{MAX_MEMBERS, SUSPICION_CONFIRMATIONS};
-use crate::record::{ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, MemberState, Name, member_id};
-use crate::wire::{IdRange, RangeDigest};
+use crate::config::MAX_MEMBERS;
+use crate::event::MembershipEvent;
+use crate::member::{Member, MergeOutcome, Reachability};
+use crate::record::{GossipUpdate, Lifecycle, MemberRecord, MemberState, member_id};
+use gossip_queue::GossipQueue;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-
-/// Words of members that are over or were forgotten: kept so that nothing old brings them back.
-const MAX_TOMBSTONES: usize = 4_096;
-/// Bits by which a range is split in one step.
-const BITS_PER_LEVEL: u8 = 4;
-pub(crate) const ROOT: IdRange = IdRange { prefix_bits: 0, prefix: 0 };
-
-/// What changed in a view.
-#[derive(Clone, Debug, PartialEq)]
-pub enum MembershipEvent {
-    MemberUpdated {
-        name: Name,
-        address: SocketAddr,
-        versions: ActiveVersions,
-        previous: Option<MemberState>,
-        current: MemberState,
-    },
-    /// Kept for its time and given up.
-    MemberForgotten { name: Name },
-    /// A later process of this host's name is up at that address: this one speaks no more.
-    Superseded { address: SocketAddr },
-    /// Nobody is heard any more; somebody is again.
-    IsolationStarted,
-    /// Somebody is last_heard again.
-    IsolationEnded,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Suspicion {
-    None,
-    /// `by`: who confirmed it. `local`: found while this host heard from nobody; not told.
-    Suspect {
-        since: Millis,
-        by: heapless::Vec<u32, { SUSPICION_CONFIRMATIONS + 1 }>,
-        local: bool,
-    },
-    /// Looked for at `next`, then ever more seldom.
-    Unreachable {
-        by: u32,
-        next: Millis,
-        wait: Millis,
-        local: bool,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Member {
-    pub record: MemberRecord,
-    pub suspicion: Suspicion,
-    /// Last heard directly; when its state last changed.
-    pub last_heard: Option<Millis>,
-    pub since: Millis,
-}
-
-impl Member {
-    pub fn state(&self) -> MemberState {
-        match (self.record.lifecycle, &self.suspicion) {
-            (Lifecycle::Left, _) => MemberState::Left,
-            (_, Suspicion::Suspect { .. }) => MemberState::Suspect,
-            (_, Suspicion::Unreachable { .. }) => MemberState::Unreachable,
-            (Lifecycle::Joining, _) => MemberState::Joining,
-            (Lifecycle::Alive, _) => MemberState::Alive,
-            (Lifecycle::Leaving, _) => MemberState::Leaving,
-        }
-    }
-
-    /// Whether it is there as far as this host knows, and may be asked for things.
-    pub fn is_reachable(&self) -> bool {
-        self.suspicion == Suspicion::None && self.record.lifecycle != Lifecycle::Left
-    }
-
-    pub fn is_local_suspicion(&self) -> bool {
-        matches!(
-            self.suspicion,
-            Suspicion::Suspect { local: true, .. } | Suspicion::Unreachable { local: true, .. }
-        )
-    }
-
-    fn suspected_by(&self) -> Option<u32> {
-        match &self.suspicion {
-            Suspicion::Suspect { by, local: false, .. } => by.last().copied(),
-            Suspicion::Unreachable { by, local: false, .. } => Some(*by),
-            _ => None,
-        }
-    }
+use tombstones::Tombstones;
 
-    pub fn update(&self) -> GossipUpdate {
-        GossipUpdate { record: self.record.clone(), suspected_by: self.suspected_by() }
-    }
-}
+pub(crate) use digests::{CHILD_RANGES, MAX_PREFIX_BITS, WHOLE_TABLE};
 
-/// What a word came to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum MergeOutcome {
-    Applied,
-    Unchanged,
-    /// This host knows a later one.
-    Stale,
-    /// No room.
-    TableFull,
-}
+/// Receives the events of a change.
+pub(crate) type Notify<'a> = &'a mut dyn FnMut(MembershipEvent);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct MembershipTable {
+    /// Members by id, this host included.
     pub members: BTreeMap<u64, Member>,
-    tombstones: BTreeMap<u64, (MemberRecord, Millis)>,
-    /// Members whose word is to be told, and how often it was.
-    gossip_queue: BTreeMap<u64, u32>,
+    tombstones: Tombstones,
+    gossip_queue: GossipQueue,
 }
 
 impl MembershipTable {
@@ -121,261 +31,167 @@
         self.members.get(&id)
     }
 
-    /// The last word known under a name, also of one that is over.
-    pub fn last_known(&self, id: u64) -> Option<&MemberRecord> {
-        self.members.get(&id).map(|m| &m.record).or_else(|| self.tombstones.get(&id).map(|g| &g.0))
+    /// The newest record known of a member, also of one that is no longer in the table.
+    pub fn newest_record(&self, id: u64) -> Option<&MemberRecord> {
+        self.members.get(&id).map(|member| &member.record).or_else(|| self.tombstones.get(id))
     }
 
-    fn notify_updated(
-        &self,
-        member: &Member,
-        was: Option<MemberState>,
-        tell: &mut dyn FnMut(MembershipEvent),
-    ) {
-        let (word, now) = (&member.record, member.state());
-        tell(MembershipEvent::MemberUpdated {
-            name: word.name.clone(),
-            address: word.address,
-            versions: word.versions,
-            previous: was,
-            current: now,
-        });
-    }
-
-    /// A word of a member, doubted or not.
-    pub fn merge(
-        &mut self,
-        update: &GossipUpdate,
-        now: Millis,
-        tell: &mut dyn FnMut(MembershipEvent),
-    ) -> MergeOutcome {
-        let key = member_id(&update.record.name);
-        if self.tombstones.get(&key).is_some_and(|g| update.record.precedence() <= g.0.precedence()) {
+    /// Merges an update.
+    pub fn merge(&mut self, update: &GossipUpdate, now: Millis, notify: Notify) -> MergeOutcome {
+        let id = member_id(&update.record.name);
+        let buried = self.tombstones.get(id);
+        if buried.is_some_and(|buried| update.record.precedence() <= buried.precedence()) {
             return MergeOutcome::Stale;
         }
-        let Some(member) = self.members.get_mut(&key) else {
-            // What is over gives a view nothing, and what was never known can't come back by it.
-            if update.record.lifecycle == Lifecycle::Left {
-                return MergeOutcome::Unchanged;
-            }
-            if self.members.len() >= MAX_MEMBERS {
-                return MergeOutcome::TableFull;
-            }
-            let word = update.record.clone();
-            let member = Member {
-                record: word,
-                suspicion: suspect_from(update.suspected_by, now),
-                last_heard: None,
-                since: now,
-            };
-            self.tombstones.remove(&key);
-            self.notify_updated(&member, None, tell);
-            self.members.insert(key, member);
-            self.gossip_queue.insert(key, 0);
-            return MergeOutcome::Applied;
+        let Some(member) = self.members.get_mut(&id) else {
+            return self.insert(id, update, now, notify);
         };
-        let was = member.state();
-        if update.record.precedence() < member.record.precedence() {
-            return MergeOutcome::Stale;
+        let previous = member.state();
+        let outcome = member.merge(update, now);
+        if outcome == MergeOutcome::Applied {
+            self.updated(id, previous, now, notify);
         }
-        if update.record.precedence() > member.record.precedence() {
-            member.record = update.record.clone();
-            member.suspicion = suspect_from(update.suspected_by, now);
-        } else {
-            let Some(by) = update.suspected_by else { return MergeOutcome::Unchanged };
-            if member.record.lifecycle == Lifecycle::Left {
-                return MergeOutcome::Unchanged;
-            }
-            match &mut member.suspicion {
-                none @ Suspicion::None => *none = suspect_from(Some(by), now),
-                Suspicion::Suspect { by: known, local, .. } => {
-                    let new = !known.contains(&by) && known.push(by).is_ok();
-                    if !new && !*local {
-                        return MergeOutcome::Unchanged;
-                    }
-                    *local = false;
-                }
-                Suspicion::Unreachable { .. } => return MergeOutcome::Unchanged,
-            }
+        outcome
+    }
+
+    fn insert(&mut self, id: u64, update: &GossipUpdate, now: Millis, notify: Notify) -> MergeOutcome {
+        // A member that has left is of no use to a host that never knew it, and no older record can follow.
+        if update.record.lifecycle == Lifecycle::Left {
+            return MergeOutcome::Unchanged;
+        }
+        if self.members.len() >= MAX_MEMBERS {
+            return MergeOutcome::TableFull;
         }
-        self.updated(key, was, now, tell);
+        let reachability = Reachability::from_suspicion(update.suspected_by, now);
+        let member = Member::new(update.record.clone(), reachability, now);
+        self.tombstones.remove(id);
+        notify(updated_event(&member, None));
+        self.members.insert(id, member);
+        self.gossip_queue.enqueue(id);
         MergeOutcome::Applied
     }
 
-    /// A member's word or doubt changed: it is told on.
-    fn updated(&mut self, key: u64, was: MemberState, now: Millis, tell: &mut dyn FnMut(MembershipEvent)) {
-        let Some(member) = self.members.get_mut(&key) else { return };
-        if member.state() != was {
-            member.since = now;
+    /// A member's record or reachability changed: reports it, and gossips it unless only this host suspects the member.
+    fn updated(&mut self, id: u64, previous: MemberState, now: Millis, notify: Notify) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        if member.state() != previous {
+            member.state_since = now;
         }
-        let member = &self.members[&key];
-        self.notify_updated(member, Some(was), tell);
-        match member.is_local_suspicion() {
-            true => drop(self.gossip_queue.remove(&key)),
-            false => drop(self.gossip_queue.insert(key, 0)),
+        notify(updated_event(member, Some(previous)));
+        if member.is_locally_suspected() {
+            self.gossip_queue.remove(id);
+        } else {
+            self.gossip_queue.enqueue(id);
         }
     }
 
-    /// This host has no sign of life of a member.
-    pub fn suspect(
-        &mut self,
-        key: u64,
-        by: u32,
-        local: bool,
-        now: Millis,
-        tell: &mut dyn FnMut(MembershipEvent),
-    ) {
-        let Some(member) = self.members.get_mut(&key).filter(|m| m.is_reachable()) else { return };
-        let was = member.state();
-        member.suspicion = suspect_from(Some(by), now);
-        if let Suspicion::Suspect { local: l, .. } = &mut member.suspicion {
-            *l = local;
-        }
-        self.updated(key, was, now, tell);
+    /// A member did not answer this host's pings. `local`: this host is isolated and keeps the suspicion to itself.
+    pub fn suspect(&mut self, id: u64, accuser: u32, local: bool, now: Millis, notify: Notify) {
+        let Some(member) = self.members.get_mut(&id).filter(|member| member.is_reachable()) else { return };
+        let previous = member.state();
+        member.reachability = Reachability::suspected_by(accuser, local, now);
+        self.updated(id, previous, now, notify);
     }
 
-    /// A suspicion has stood for its time. Who was told to end is over by that.
-    pub fn conclude_suspicion(
-        &mut self,
-        key: u64,
-        wait: Millis,
-        now: Millis,
-        tell: &mut dyn FnMut(MembershipEvent),
-    ) {
-        let Some(member) = self.members.get_mut(&key) else { return };
-        let was = member.state();
-        let Suspicion::Suspect { by, local, .. } = &member.suspicion else { return };
-        let (by, local) = (by.first().copied().unwrap_or(0), *local);
+    /// A suspicion was not refuted in time: the member is unreachable, or has left if it was leaving. That is not
+    /// gossiped: each host concludes it by itself from the suspicion.
+    pub fn conclude_suspicion(&mut self, id: u64, ping_interval: Millis, now: Millis, notify: Notify) {
+        let Some(member) = self.members.get_mut(&id) else { return };
+        let previous = member.state();
+        let Reachability::Suspect { accusers, local, .. } = &member.reachability else { return };
+        let (accuser, local) = (accusers.first().copied().unwrap_or(0), *local);
         if member.record.lifecycle == Lifecycle::Leaving && !local {
-            (member.record.lifecycle, member.suspicion) = (Lifecycle::Left, Suspicion::None);
+            member.record.lifecycle = Lifecycle::Left;
+            member.reachability = Reachability::Reachable;
         } else {
-            member.suspicion = Suspicion::Unreachable { by, next: now + wait, wait, local };
-        }
-        // All conclude it by themselves from the suspicion: nothing more is told.
-        if let Some(member) = self.members.get_mut(&key) {
-            member.since = now;
-            let member = &self.members[&key];
-            self.notify_updated(member, Some(was), tell);
+            let next_ping = now + ping_interval;
+            member.reachability = Reachability::Unreachable { accuser, next_ping, ping_interval, local };
         }
+        member.state_since = now;
+        notify(updated_event(member, Some(previous)));
     }
 
-    /// What this host alone suspects since it last heard anybody is not told: it may be the one that is cut off.
-    pub fn keep_own_suspicions_local(&mut self, own: u32, last_heard: Millis) {
-        for (key, member) in &mut self.members {
-            if let Suspicion::Suspect { since, by, local } = &mut member.suspicion
+    /// This host became isolated: suspicions that it alone raised since it last heard a member may be its own fault, and
+    /// are not gossiped any further.
+    pub fn keep_own_suspicions_local(&mut self, own_accuser: u32, last_heard: Millis) {
+        for (id, member) in &mut self.members {
+            if let Reachability::Suspect { since, accusers, local } = &mut member.reachability
                 && *since >= last_heard
-                && by.iter().all(|b| *b == own)
+                && accusers.iter().all(|accuser| *accuser == own_accuser)
             {
                 *local = true;
-                self.gossip_queue.remove(key);
+                self.gossip_queue.remove(*id);
             }
         }
     }
 
-    /// Doubts found while nobody was heard were about this host, not about others.
-    pub fn clear_local_suspicions(&mut self, now: Millis, tell: &mut dyn FnMut(MembershipEvent)) {
-        let local: Vec<u64> =
-            self.members.iter().filter(|(_, m)| m.is_local_suspicion()).map(|(k, _)| *k).collect();
-        for key in local {
-            let Some(member) = self.members.get_mut(&key) else { continue };
-            let was = member.state();
-            (member.suspicion, member.since) = (Suspicion::None, now);
-            let member = &self.members[&key];
-            self.notify_updated(member, Some(was), tell);
+    /// This host is no longer isolated: what it suspected meanwhile was its own fault.
+    pub fn clear_local_suspicions(&mut self, now: Millis, notify: Notify) {
+        for member in self.members.values_mut().filter(|member| member.is_locally_suspected()) {
+            let previous = member.state();
+            member.reachability = Reachability::Reachable;
+            member.state_since = now;
+            notify(updated_event(member, Some(previous)));
         }
     }
 
-    /// Gives up members that are over, and those that were out of reach for the time they are kept.
-    pub fn remove_expired(
-        &mut self,
-        now: Millis,
-        shown: Millis,
-        keep: Millis,
-        tell: &mut dyn FnMut(MembershipEvent),
-    ) {
-        let old = |m: &Member| match m.state() {
-            MemberState::Left => now >= m.since + shown,
-            MemberState::Unreachable => now >= m.since + keep,
+    /// Removes members that left `left_shown` ago, and those that were unreachable for the time of `retention`.
+    pub fn remove_expired(&mut self, now: Millis, left_shown: Millis, retention: Millis, notify: Notify) {
+        let is_expired = |member: &Member| match member.state() {
+            MemberState::Left => now >= member.state_since + left_shown,
+            MemberState::Unreachable => now >= member.state_since + retention,
             _ => false,
         };
-        let gone: Vec<u64> = self.members.iter().filter(|(_, m)| old(m)).map(|(k, _)| *k).collect();
-        for key in gone {
-            let Some(member) = self.members.remove(&key) else { continue };
-            self.gossip_queue.remove(&key);
+        for (id, member) in self.members.extract_if(.., |_, member| is_expired(member)) {
+            self.gossip_queue.remove(id);
             if member.record.lifecycle != Lifecycle::Left {
-                tell(MembershipEvent::MemberForgotten { name: member.record.name.clone() });
+                notify(MembershipEvent::MemberForgotten { name: member.record.name.clone() });
             }
-            self.tombstones.insert(key, (member.record, now));
-        }
-        self.tombstones.retain(|_, g| now < g.1 + 2 * keep);
-        while self.tombstones.len() > MAX_TOMBSTONES {
-            let oldest = self.tombstones.iter().min_by_key(|(_, g)| g.1).map(|(k, _)| *k);
-            oldest.and_then(|k| self.tombstones.remove(&k));
+            self.tombstones.insert(id, member.record, now);
         }
+        self.tombstones.expire(now, 2 * retention);
     }
 
     #[cfg(feature = "mutants")]
     pub fn forget_tombstones(&mut self) {
-        self.tombstones.clear();
+        self.tombstones = Tombstones::default();
     }
 
     #[cfg(feature = "mutants")]
-    pub fn drop_record(&mut self, key: u64) {
-        self.members.remove(&key);
+    pub fn drop_record(&mut self, id: u64) {
+        self.members.remove(&id);
     }
 
-    // What is told.
-
-    pub fn queue_gossip(&mut self, key: u64) {
-        self.gossip_queue.insert(key, 0);
+    /// Gossips a member's record anew.
+    pub fn enqueue_gossip(&mut self, id: u64) {
+        self.gossip_queue.enqueue(id);
     }
 
-    pub fn queued_updates(&self) -> usize {
+    /// Members whose updates wait to be gossiped.
+    pub fn queued_gossip(&self) -> usize {
         self.gossip_queue.len()
     }
 
-    /// What was told least so far, up to `most` times each; `take` says whether it fits in.
-    pub fn take_gossip(&mut self, most: u32, mut take: impl FnMut(&GossipUpdate) -> bool) {
-        self.gossip_queue.retain(|_, n| *n < most);
-        let mut order: Vec<(u32, u64)> = self.gossip_queue.iter().map(|(k, n)| (*n, *k)).collect();
-        order.sort_unstable();
-        for (_, key) in order {
-            let Some(member) = self.members.get(&key) else { continue };
-            if !take(&member.update()) {
+    /// Offers queued updates to `accept`, the least often sent ones first (SWIM, section 4.1), until it declines one.
+    /// Each accepted update counts as sent once more; after `max_transmissions` it leaves the queue.
+    pub fn take_gossip(&mut self, max_transmissions: u32, mut accept: impl FnMut(&GossipUpdate) -> bool) {
+        for id in self.gossip_queue.least_sent_first(max_transmissions) {
+            let Some(member) = self.members.get(&id) else { continue };
+            if !accept(&member.to_update()) {
                 return;
             }
-            *self.gossip_queue.entry(key).or_default() += 1;
+            self.gossip_queue.count_transmission(id);
         }
     }
-
-    // How views are compared: members that are over don't count.
-
-    pub fn members_in(&self, range: IdRange) -> impl Iterator<Item = &Member> {
-        let shift = 64 - u32::from(range.prefix_bits.min(64));
-        let from = range.prefix.checked_shl(shift).unwrap_or(0);
-        let last = from | u64::MAX.checked_shr(u32::from(range.prefix_bits)).unwrap_or(0);
-        self.members.range(from..=last).map(|m| m.1).filter(|m| m.record.lifecycle != Lifecycle::Left)
-    }
-
-    pub fn range_digest(&self, range: IdRange) -> RangeDigest {
-        let (mut sum, mut count) = (0, 0);
-        for member in self.members_in(range) {
-            sum ^= member.record.digest(member.suspected_by().is_some());
-            count += 1;
-        }
-        RangeDigest { range, digest: sum, count }
-    }
-
-    pub fn child_digests(&self, range: IdRange) -> impl Iterator<Item = RangeDigest> {
-        let below = move |n| IdRange {
-            prefix_bits: range.prefix_bits + BITS_PER_LEVEL,
-            prefix: range.prefix << BITS_PER_LEVEL | n,
-        };
-        (0..1 << BITS_PER_LEVEL).map(move |n| self.range_digest(below(n)))
-    }
 }
 
-fn suspect_from(by: Option<u32>, now: Millis) -> Suspicion {
-    let one = |by| heapless::Vec::from_iter([by]);
-    by.map_or(Suspicion::None, |by| Suspicion::Suspect { since: now, by: one(by), local: false })
+fn updated_event(member: &Member, previous: Option<MemberState>) -> MembershipEvent {
+    let MemberRecord { name, address, versions, .. } = &member.record;
+    MembershipEvent::MemberUpdated {
+        name: name.clone(),
+        address: *address,
+        versions: *versions,
+        previous,
+        current: member.state(),
+    }
 }
--- /dev/null
+++ b/crates/fleet/src/membership_table/gossip_queue.rs
@@ -0,0 +1,35 @@
+//! Queue of updates that ride on datagrams to other members (SWIM, section 4.1).
+use std::collections::BTreeMap;
+
+/// Members whose update is to be gossiped, and how often it was sent.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct GossipQueue {
+    transmissions: BTreeMap<u64, u32>,
+}
+
+impl GossipQueue {
+    /// Queues a member's update; one that is queued already is sent as often again.
+    pub fn enqueue(&mut self, id: u64) {
+        self.transmissions.insert(id, 0);
+    }
+
+    pub fn remove(&mut self, id: u64) {
+        self.transmissions.remove(&id);
+    }
+
+    pub fn len(&self) -> usize {
+        self.transmissions.len()
+    }
+
+    /// Drops updates that were sent `max_transmissions` times; returns the rest, the least often sent ones first.
+    pub fn least_sent_first(&mut self, max_transmissions: u32) -> Vec<u64> {
+        self.transmissions.retain(|_, count| *count < max_transmissions);
+        let mut order: Vec<(u32, u64)> = self.transmissions.iter().map(|(id, count)| (*count, *id)).collect();
+        order.sort_unstable();
+        order.into_iter().map(|(_, id)| id).collect()
+    }
+
+    pub fn count_transmission(&mut self, id: u64) {
+        *self.transmissions.entry(id).or_default() += 1;
+    }
+}
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,37 +1,53 @@
-//! What a member says of itself. Only the member itself says a new word; others pass it on, and may doubt it.
+//! Member records: what a member publishes about itself. Only the member itself issues a new record; other members
+//! forward it, and may attach a suspicion.
 use serde::{Deserialize, Serialize};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Bytes of a name, of a host and of a zone.
-pub type Name = heapless::String<48>;
-pub type Zone = heapless::String<24>;
+/// Longest name of a host or fleet, in bytes.
+pub const MAX_NAME_BYTES: usize = 48;
+/// Longest name of a zone, in bytes.
+pub const MAX_ZONE_BYTES: usize = 24;
 
+/// Name of a host or of a fleet.
+pub type Name = heapless::String<MAX_NAME_BYTES>;
+/// Name of a zone: a part of the fleet that may fail or be cut off as a whole. Empty: none.
+pub type Zone = heapless::String<MAX_ZONE_BYTES>;
+
+/// Lifecycle state that a member declares for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// Started, and has not yet the view of the others.
+    /// Started, and has not yet replicated the membership table of another member.
     Joining,
+    /// Up.
     Alive,
-    /// Told to end.
+    /// Shuts down gracefully and still serves.
     Leaving,
-    /// Over; nothing of this generation comes after it.
+    /// Has ended. No record of the same generation is newer.
     Left,
 }
 
-/// How a member stands in a view.
+/// State of a member as another host sees it: its declared lifecycle state and the failure detector's verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
+    /// Started, and has not yet replicated the membership table of another member.
     Joining,
+    /// Up.
     Alive,
+    /// Did not answer, or another member says so; it may still refute that.
     Suspect,
+    /// Did not refute a suspicion in time.
     Unreachable,
+    /// Shuts down gracefully and still serves.
     Leaving,
+    /// Has ended.
     Left,
 }
 
 impl MemberState {
-    /// As operators read it.
+    /// The state's name for operators, log lines and JSON.
+    #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Joining => "joining",
@@ -44,47 +60,78 @@
     }
 }
 
-/// Versions that a member acts on; 0: none.
+/// Versions of shared state that a member acts on; 0: none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActiveVersions {
+    /// Version of the endpoint list.
     pub endpoint_list: u64,
+    /// Version of the plans.
     pub plans: u64,
 }
 
+/// What a member publishes about itself.
+///
+/// The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
+    /// Name of the host: its identity in the fleet.
     pub name: Name,
-    /// Raised at each start.
+    /// Number of this run of the host's process: derived from the clock at its start, and raised past any other
+    /// generation under the same name that it learns of.
     pub generation: u64,
-    /// Raised by the member with each new word of the generation.
+    /// Number of this record within the generation (SWIM, section 4.2). Raised by the member with each new record.
     pub incarnation: u32,
+    /// The member's declared lifecycle state.
     pub lifecycle: Lifecycle,
+    /// Address at which other members reach it.
     pub address: SocketAddr,
+    /// Zone that it runs in.
     pub zone: Zone,
+    /// Versions that it acts on.
     pub versions: ActiveVersions,
-    /// Unix time in milliseconds.
+    /// Start of the process: Unix time in milliseconds.
     pub started_ms: u64,
 }
 
-/// A word as it is passed on. `doubt`: who suspects, by this very word, that the member is no more.
+/// A member record as members pass it on to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipUpdate {
+    /// The record.
     pub record: MemberRecord,
+    /// The member that suspects this very record's member to have failed: the lower half of its [`member_id`].
     pub suspected_by: Option<u32>,
 }
 
-/// A number that stands for a name, the same at every host.
+/// Order of the records of one member: by generation first; within one, `Left` is final; then by incarnation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Precedence {
+    /// See [`MemberRecord::generation`].
+    pub generation: u64,
+    /// Whether the member has left.
+    pub left: bool,
+    /// See [`MemberRecord::incarnation`].
+    pub incarnation: u32,
+}
+
+/// Hash of a member's name (XXH3, 64 bits): the key of the member at every host.
+#[must_use]
 pub fn member_id(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
 impl MemberRecord {
-    /// Later words rank higher: generations first; in one, that it is over; then incarnations.
-    pub fn precedence(&self) -> (u64, bool, u32) {
-        (self.generation, self.lifecycle == Lifecycle::Left, self.incarnation)
+    /// The record's place in the order of all records of its member: the greater one replaces the others.
+    #[must_use]
+    pub fn precedence(&self) -> Precedence {
+        Precedence {
+            generation: self.generation,
+            left: self.lifecycle == Lifecycle::Left,
+            incarnation: self.incarnation,
+        }
     }
 
-    /// Stands for the word among others that are compared.
+    /// Hash of the record and of whether it is suspected, for the range digests of anti-entropy.
+    #[must_use]
     pub fn digest(&self, suspected: bool) -> u64 {
         let mut hash = Xxh3Default::new();
         (member_id(&self.name), self.generation, self.incarnation, self.lifecycle as u8, suspected)
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,181 +1,149 @@
-//! Datagrams. What can't be read, comes from another fleet or is of another version is dropped and counted.
-use crate::config::MembershipConfig;
-use crate::record::{GossipUpdate, MemberRecord, MemberState, Name, member_id};
+//! Datagrams of the membership protocol.
+//!
+//! A datagram is a head of nine bytes, a message in postcard's format, and padding of zeros. Postcard goes by order:
+//! variants and fields may be renamed, never reordered. Datagrams that can't be decoded, that belong to another fleet or
+//! that have another version of the format are dropped and counted by the receiver.
+mod codec;
+
+use crate::record::{GossipUpdate, MemberRecord, MemberState, Name};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
+pub use codec::{DecodeError, decode, decode_any_fleet, encode, encode_query};
+
+/// Largest datagram, in bytes: fits the smallest MTU of IPv6 (1,280 bytes) with its headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// First byte of each datagram: the version of this format.
 pub const FORMAT_VERSION: u8 = 1;
-/// Words in one datagram at most, far more than fit in.
+/// Updates in one datagram at most; its size ends them earlier.
 const MAX_UPDATES: usize = 32;
+/// Ranges in one datagram at most.
 pub(crate) const MAX_RANGES: usize = 48;
+/// Members on one page of a membership query at most.
+const MAX_PAGE_MEMBERS: usize = 16;
 
+/// Gossip updates of one datagram.
 pub type GossipUpdates = heapless::Vec<GossipUpdate, MAX_UPDATES>;
 
-/// Part of all numbers of names: those whose first `depth` bits are these.
+/// All member ids whose first `prefix_bits` bits are `prefix`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct IdRange {
+    /// Length of the prefix in bits; 0: all ids.
     pub prefix_bits: u8,
+    /// The prefix, in the lowest bits.
     pub prefix: u64,
 }
 
+/// Digest of all members in a range of ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RangeDigest {
+    /// The range.
     pub range: IdRange,
+    /// Exclusive or of the digests of all members in the range.
     pub digest: u64,
+    /// Number of members in the range.
     pub count: u32,
 }
 
+/// What a gossip message is for, besides the updates that it carries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[expect(
     clippy::large_enum_variant,
     reason = "lives on the stack for one datagram; a box would allocate for each"
 )]
 pub enum GossipBody {
-    /// Are you there? `nr` comes back.
+    /// Asks whether the receiver is alive (SWIM, section 3.1).
     Ping {
+        /// Number by which the sender recognizes the answer.
         sequence: u32,
     },
+    /// Answers a ping.
     Ack {
+        /// The ping's sequence number.
         sequence: u32,
     },
-    /// Ask that one for me: I hear nothing from it.
+    /// Asks the receiver to ping a third member (SWIM's ping-req).
     PingRequest {
+        /// Number by which the sender recognizes the result.
         sequence: u32,
+        /// Id of the member to ping.
         target_id: u64,
+        /// Address of that member.
         target_address: SocketAddr,
     },
-    /// What came of it.
+    /// Result of a ping request.
     PingRequestResult {
+        /// The request's sequence number.
         sequence: u32,
+        /// Whether the target answered.
         acknowledged: bool,
     },
-    /// My view in parts; send what differs.
+    /// Digests of the sender's table; the receiver sends back where its own differ. None at all: the tables are equal.
     RangeDigests(heapless::Vec<RangeDigest, MAX_RANGES>),
-    /// All that I know in these ranges, in `news`. `back`: send what you know better.
+    /// The updates hold what the sender knows of the members in these ranges.
     RangeRecords {
+        /// The ranges.
         ranges: heapless::Vec<IdRange, MAX_RANGES>,
+        /// Whether the receiver sends back its newer records in these ranges.
         reply_wanted: bool,
     },
-    /// Nothing but news.
+    /// Nothing but the updates.
     UpdatesOnly,
 }
 
+/// A message between two members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipMessage {
+    /// The sender's own record.
     pub sender: MemberRecord,
+    /// What the message is for.
     pub body: GossipBody,
+    /// Updates that ride on the message.
     pub updates: GossipUpdates,
 }
 
-/// A member as a host's view shows it.
+/// A member as a host's membership table shows it to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
+    /// The newest record known.
     pub record: MemberRecord,
+    /// State of the member as the host sees it.
     pub state: MemberState,
-    /// Milliseconds since it was last heard directly; none: never.
+    /// Milliseconds since the host last heard the member directly; none: never.
     pub last_heard_ms: Option<u64>,
 }
 
+/// A page of a host's membership table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipPage {
+    /// Name of the host.
     pub host: Name,
-    /// It hears from nobody; another one of its name took its place.
+    /// Whether the host hears no other member.
     pub isolated: bool,
+    /// Whether a later process under the host's name superseded it.
     pub superseded: bool,
-    /// Stands for the whole view.
+    /// Digest of the whole table.
     pub digest: u64,
-    pub members: heapless::Vec<MemberStatus, 16>,
-    /// Where to go on; none: that was all.
+    /// Members on this page, by id.
+    pub members: heapless::Vec<MemberStatus, MAX_PAGE_MEMBERS>,
+    /// Id from which the next page goes on; none: this is the last page.
     pub next_id: Option<u64>,
 }
 
+/// A datagram's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(
     clippy::large_enum_variant,
     reason = "lives on the stack for one datagram; a box would allocate for each"
 )]
 pub enum Message {
+    /// A message of another member.
     Gossip(GossipMessage),
-    /// Somebody who is no member asks for the view, from this number of a name on. An answer is no longer than this.
+    /// A query for the membership table by somebody who is no member. The answer is no longer than the query.
     Query {
+        /// Lowest member id of the wanted page.
         first_id: u64,
     },
+    /// Answers a query.
     Page(MembershipPage),
 }
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DecodeError {
-    UnsupportedVersion,
-    OtherFleet,
-    Malformed,
-}
-
-/// The head of each datagram: version, and the fleet by the number of its name.
-fn head(fleet: &str) -> [u8; 9] {
-    let mut head = [FORMAT_VERSION; 9];
-    head[1..].copy_from_slice(&member_id(fleet).to_le_bytes());
-    head
-}
-
-/// Writes a datagram; none: it does not fit in.
-pub fn encode<'a>(
-    fleet: &str,
-    message: &Message,
-    buffer: &'a mut [u8; MAX_DATAGRAM_BYTES],
-) -> Option<&'a [u8]> {
-    buffer[..9].copy_from_slice(&head(fleet));
-    let len = postcard::to_slice(message, &mut buffer[9..]).ok()?.len();
-    Some(&buffer[..9 + len])
-}
-
-pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, DecodeError> {
-    let (found, rest) = bytes.split_at_checked(9).ok_or(DecodeError::Malformed)?;
-    if found[0] != FORMAT_VERSION {
-        return Err(DecodeError::UnsupportedVersion);
-    }
-    let message = decode_message(rest)?;
-    // Whoever only looks need not know the fleet's name.
-    let looks = matches!(message, Message::Query { .. }) && found[1..] == ANY;
-    if found != head(fleet) && !looks {
-        return Err(DecodeError::OtherFleet);
-    }
-    Ok(message)
-}
-
-/// What a host answered, whatever its fleet.
-pub fn decode_any_fleet(bytes: &[u8]) -> Result<Message, DecodeError> {
-    let (found, rest) = bytes.split_at_checked(9).ok_or(DecodeError::Malformed)?;
-    if found[0] == FORMAT_VERSION { decode_message(rest) } else { Err(DecodeError::UnsupportedVersion) }
-}
-
-fn decode_message(rest: &[u8]) -> Result<Message, DecodeError> {
-    // What stands behind a message is padding, of zeros.
-    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
-    if rest.iter().any(|b| *b != 0) {
-        return Err(DecodeError::Malformed);
-    }
-    Ok(message)
-}
-
-/// In place of a fleet's number.
-const ANY: [u8; 8] = [0; 8];
-
-/// A question for the view, padded so that a whole page may come back.
-pub fn encode_query(first_id: u64) -> [u8; MAX_DATAGRAM_BYTES] {
-    let mut buffer = [0; MAX_DATAGRAM_BYTES];
-    let _ = encode("", &Message::Query { first_id }, &mut buffer);
-    buffer[1..9].copy_from_slice(&ANY);
-    buffer
-}
-
-impl MembershipConfig {
-    pub(crate) fn encode<'a>(
-        &self,
-        message: &Message,
-        buffer: &'a mut [u8; MAX_DATAGRAM_BYTES],
-    ) -> Option<&'a [u8]> {
-        encode(&self.fleet, message, buffer)
-    }
-}
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -82,6 +82,7 @@
                 self.text(&address.to_string());
             }
             MembershipEvent::IsolationStarted | MembershipEvent::IsolationEnded => {
+                // The text is part of the recorded hash.
                 self.text("alone");
                 self.number(u64::from(*change == MembershipEvent::IsolationStarted));
             }
@@ -109,11 +110,11 @@
         self.number(now);
         let members: Vec<(MemberRecord, &str)> =
             fleet.members().map(|(w, s)| (w.clone(), s.as_str())).collect();
-        for (word, state) in members {
-            self.text(&word.name);
+        for (record, state) in members {
+            self.text(&record.name);
             self.text(state);
-            self.number(word.generation);
-            self.number(u64::from(word.incarnation));
+            self.number(record.generation);
+            self.number(u64::from(record.incarnation));
         }
     }
 
@@ -195,19 +196,18 @@
 
     fn start(&mut self, host: usize) {
         let named = name(&format!("host-{}", self.hosts[host].name));
-        let mut settings = MembershipConfig::new(name("pins"), named, address(host as u64 + 1));
-        settings.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
-        settings.seeds = (0..3.min(self.hosts.len() as u64)).map(|n| address(n + 1)).collect();
+        let mut config = MembershipConfig::new(name("pins"), named, address(host as u64 + 1));
+        config.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
+        config.seeds = (0..3.min(self.hosts.len() as u64)).map(|n| address(n + 1)).collect();
         if host == 5 {
-            settings.seeds.clear();
+            config.seeds.clear();
         }
-        settings.protocol_period = self.period;
-        settings.unreachable_retention = 45 * self.period;
-        settings.local_health = host != 2 || self.period != 250;
-        settings.suspicion_confirmations = host != 1 || self.period != 250;
+        config.protocol_period = self.period;
+        config.unreachable_retention = 45 * self.period;
+        config.local_health = host != 2 || self.period != 250;
+        config.suspicion_confirmations = host != 1 || self.period != 250;
         let seed = self.rng.next();
-        self.hosts[host].fleet =
-            Some(Membership::new(settings, seed, self.now, 1_700_000_000_000 + self.now));
+        self.hosts[host].fleet = Some(Membership::new(config, seed, self.now, 1_700_000_000_000 + self.now));
     }
 
     fn with(&mut self, host: usize, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
@@ -264,7 +264,7 @@
     }
 
     /// Something that happens to one host or to the network.
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let host = self.rng.below(self.hosts.len() as u64) as usize;
         match self.rng.below(16) {
             0 => self.hosts[host].fleet = None,
@@ -286,17 +286,17 @@
                 self.hosts[host].name = host as u64;
             }
             11 => {
-                let facts = ActiveVersions { endpoint_list: self.rng.below(9), plans: self.rng.below(9) };
-                self.with(host, |f, now, out| f.set_active_versions(facts, now, out));
+                let versions = ActiveVersions { endpoint_list: self.rng.below(9), plans: self.rng.below(9) };
+                self.with(host, |f, now, out| f.set_active_versions(versions, now, out));
             }
             12 => {
                 let seeds = vec![address(self.rng.below(8) + 1), address(self.rng.below(8) + 1)];
                 self.with(host, |f, _, _| f.set_seeds(seeds));
             }
             13 => {
-                let question = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next() });
+                let query = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next() });
                 let from = address(200);
-                self.with(host, |f, now, out| f.receive(from, &question, now, out));
+                self.with(host, |f, now, out| f.receive(from, &query, now, out));
             }
             _ => {
                 if self.hosts[host].fleet.is_none() {
@@ -315,7 +315,7 @@
             self.deliver();
             self.tick();
             if self.rng.one_in(25) {
-                self.trouble();
+                self.inject_fault();
             }
             if step % 50 == 0 {
                 for host in &self.hosts {
@@ -374,42 +374,42 @@
     small_fleets(14..20);
 }
 
-// One member among many: bounds on answers, pages, indirect questions and news.
+// One member among many: bounds on answers, pages, indirect pings and gossip.
 
-struct Crowd {
+struct LargeFleet {
     rng: Rng,
-    fleet: Membership,
+    member: Membership,
     now: Millis,
     recorder: Recorder,
     sent: usize,
 }
 
-fn record(host: u64, generation: u64, incarnation: u32, life: Lifecycle) -> MemberRecord {
+fn record(host: u64, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
     let zone = Zone::try_from(["a", "b"][host as usize % 2]).expect("short");
-    let facts = ActiveVersions { endpoint_list: host, plans: 0 };
+    let versions = ActiveVersions { endpoint_list: host, plans: 0 };
     let named = name(&format!("member-{host}"));
     MemberRecord {
         name: named,
         generation,
         incarnation,
-        lifecycle: life,
+        lifecycle,
         address: address(host),
         zone,
-        versions: facts,
+        versions,
         started_ms: 0,
     }
 }
 
-impl Crowd {
+impl LargeFleet {
     fn new(seed: u64) -> Self {
-        let settings = MembershipConfig::new(name("pins"), name("own"), address(0));
-        let fleet = Membership::new(settings, seed, 0, 1_700_000_000_000);
-        Crowd { rng: Rng(seed), fleet, now: 0, recorder: Recorder::new(), sent: 0 }
+        let config = MembershipConfig::new(name("pins"), name("own"), address(0));
+        let member = Membership::new(config, seed, 0, 1_700_000_000_000);
+        LargeFleet { rng: Rng(seed), member, now: 0, recorder: Recorder::new(), sent: 0 }
     }
 
     fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let mut actions = Actions { recorder: &mut self.recorder, sent: Vec::new() };
-        act(&mut self.fleet, self.now, &mut actions);
+        act(&mut self.member, self.now, &mut actions);
         self.sent = actions.sent.len();
     }
 
@@ -432,7 +432,7 @@
         }
     }
 
-    fn some_body(&mut self) -> GossipBody {
+    fn random_body(&mut self) -> GossipBody {
         let range = |rng: &mut Rng| {
             let depth = [0, 4, 8, 60, 64][rng.below(5) as usize];
             IdRange { prefix_bits: depth, prefix: rng.below(16) }
@@ -449,12 +449,12 @@
             4 => GossipBody::PingRequestResult { sequence: number, acknowledged: self.rng.one_in(2) },
             5 | 6 => {
                 let count = self.rng.below(20);
-                let parts = (0..count).map(|_| RangeDigest {
+                let digests = (0..count).map(|_| RangeDigest {
                     range: range(&mut self.rng),
                     digest: self.rng.below(2),
                     count: self.rng.below(20) as u32,
                 });
-                GossipBody::RangeDigests(heapless::Vec::from_iter(parts))
+                GossipBody::RangeDigests(heapless::Vec::from_iter(digests))
             }
             7 | 8 => {
                 let count = 1 + self.rng.below(3);
@@ -465,15 +465,16 @@
         }
     }
 
-    fn some_news(&mut self) -> GossipUpdates {
-        let lives = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
+    fn random_updates(&mut self) -> GossipUpdates {
+        let states = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
         let count = self.rng.below(4);
         GossipUpdates::from_iter((0..count).map(|_| {
             let host = 1 + self.rng.below(720);
-            let life = if self.rng.one_in(5) { lives[self.rng.below(4) as usize] } else { Lifecycle::Alive };
-            let word = record(host, 1, self.rng.below(4) as u32, life);
-            let doubt = self.rng.one_in(3).then(|| self.rng.below(6) as u32);
-            GossipUpdate { record: word, suspected_by: doubt }
+            let lifecycle =
+                if self.rng.one_in(5) { states[self.rng.below(4) as usize] } else { Lifecycle::Alive };
+            let record = record(host, 1, self.rng.below(4) as u32, lifecycle);
+            let suspected_by = self.rng.one_in(3).then(|| self.rng.below(6) as u32);
+            GossipUpdate { record, suspected_by }
         }))
     }
 
@@ -482,20 +483,20 @@
         for step in 0..steps {
             let host = 1 + self.rng.below(members + 20);
             let incarnation = self.rng.below(3) as u32;
-            let (body, news) = (self.some_body(), self.some_news());
-            self.deliver(record(host, 1, incarnation, Lifecycle::Alive), body, news);
+            let (body, updates) = (self.random_body(), self.random_updates());
+            self.deliver(record(host, 1, incarnation, Lifecycle::Alive), body, updates);
             if self.rng.one_in(6) {
                 let pause = 20 + self.rng.below(300);
                 self.tick(pause);
             }
             if step % 100 == 0 {
-                self.recorder.state(&self.fleet, self.now);
+                self.recorder.state(&self.member, self.now);
             }
         }
         self.with(|f, now, out| f.announce_leaving(now, out));
         self.with(|f, now, out| f.announce_left(now, out));
         self.recorder.number(self.sent as u64);
-        self.recorder.state(&self.fleet, self.now);
+        self.recorder.state(&self.member, self.now);
         self.recorder.result()
     }
 }
@@ -510,71 +511,71 @@
 #[test]
 fn a_member_of_a_large_fleet_acts_as_recorded() {
     let found: Vec<_> =
-        [6, 40, 200, 640].into_iter().map(|members| Crowd::new(members).run(members, 700)).collect();
+        [6, 40, 200, 640].into_iter().map(|members| LargeFleet::new(members).run(members, 700)).collect();
     assert_eq!(found, LARGE_FLEETS);
 }
 
 #[test]
 fn range_digests_are_answered_with_as_many_datagrams_as_recorded() {
-    let mut crowd = Crowd::new(3);
-    crowd.introduce(1..400);
+    let mut fleet = LargeFleet::new(3);
+    fleet.introduce(1..400);
     let mut sent = Vec::new();
     for round in 0..20 {
         let root = IdRange { prefix_bits: 0, prefix: 0 };
         let parts = heapless::Vec::from_iter([RangeDigest { range: root, digest: 0, count: 3 + round % 12 }]);
-        crowd.deliver(
+        fleet.deliver(
             record(1 + u64::from(round), 1, 1, Lifecycle::Alive),
             GossipBody::RangeDigests(parts),
             GossipUpdates::new(),
         );
-        sent.push(crowd.sent);
+        sent.push(fleet.sent);
     }
     let ranges = heapless::Vec::from_iter([IdRange { prefix_bits: 0, prefix: 0 }]);
-    crowd.deliver(
+    fleet.deliver(
         record(1, 1, 1, Lifecycle::Alive),
         GossipBody::RangeRecords { ranges, reply_wanted: true },
         GossipUpdates::new(),
     );
-    sent.push(crowd.sent);
+    sent.push(fleet.sent);
     assert_eq!(sent, vec![4, 4, 4, 4, 4, 4, 1, 1, 1, 1, 1, 1, 4, 4, 4, 4, 0, 0, 0, 0, 4]);
-    assert_eq!(crowd.recorder.result(), (12177555412540437504, 50, 399));
+    assert_eq!(fleet.recorder.result(), (12177555412540437504, 50, 399));
 }
 
 #[test]
 fn a_suspicion_that_another_member_confirmed_outlasts_the_isolation_of_the_host() {
     for confirmed in [true, false] {
-        let mut crowd = Crowd::new(11);
-        crowd.introduce(1..3);
-        let state = |crowd: &Crowd| {
-            crowd
-                .fleet
+        let mut fleet = LargeFleet::new(11);
+        fleet.introduce(1..3);
+        let state = |fleet: &LargeFleet| {
+            fleet
+                .member
                 .members()
                 .find(|(w, _)| w.name == "member-2")
                 .map(|(_, s)| s.as_str())
                 .expect("a member")
         };
-        while state(&crowd) != "suspect" {
-            assert!(crowd.now < 20_000, "not suspected in time");
-            crowd.tick(100);
+        while state(&fleet) != "suspect" {
+            assert!(fleet.now < 20_000, "not suspected in time");
+            fleet.tick(100);
             let confirm = GossipUpdate { record: record(2, 1, 1, Lifecycle::Alive), suspected_by: Some(5) };
-            let suspected = confirmed && state(&crowd) == "suspect";
-            let news = GossipUpdates::from_iter(suspected.then_some(confirm));
-            crowd.deliver(
+            let suspected = confirmed && state(&fleet) == "suspect";
+            let updates = GossipUpdates::from_iter(suspected.then_some(confirm));
+            fleet.deliver(
                 record(1, 1, 1, Lifecycle::Alive),
-                GossipBody::Ack { sequence: crowd.now as u32 / 100 },
-                news,
+                GossipBody::Ack { sequence: fleet.now as u32 / 100 },
+                updates,
             );
         }
-        while !crowd.fleet.is_isolated() {
-            assert!(crowd.now < 40_000, "not isolated in time");
-            crowd.tick(100);
+        while !fleet.member.is_isolated() {
+            assert!(fleet.now < 40_000, "not isolated in time");
+            fleet.tick(100);
         }
-        crowd.deliver(
+        fleet.deliver(
             record(1, 1, 1, Lifecycle::Alive),
             GossipBody::Ack { sequence: 0 },
             GossipUpdates::new(),
         );
-        assert_eq!(state(&crowd), if confirmed { "suspect" } else { "alive" });
+        assert_eq!(state(&fleet), if confirmed { "suspect" } else { "alive" });
     }
 }
 
@@ -582,17 +583,17 @@
 fn ranges_deeper_than_sixty_bits_are_passed_over() {
     let mut found = Vec::new();
     for depth in 58..=64u8 {
-        let mut crowd = Crowd::new(10);
-        crowd.introduce(1..4);
+        let mut fleet = LargeFleet::new(10);
+        fleet.introduce(1..4);
         let range = IdRange { prefix_bits: depth, prefix: member_id("member-2") >> (64 - depth) };
         let digest = RangeDigest { range, digest: 0, count: 0 };
         let parts = GossipBody::RangeDigests(heapless::Vec::from_iter([digest]));
         let ranges =
             GossipBody::RangeRecords { ranges: heapless::Vec::from_iter([range]), reply_wanted: true };
         for body in [parts, ranges] {
-            let before = crowd.recorder.result();
-            crowd.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
-            found.push((depth, crowd.recorder.result().1 - before.1, crowd.recorder.result().0));
+            let before = fleet.recorder.result();
+            fleet.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
+            found.push((depth, fleet.recorder.result().1 - before.1, fleet.recorder.result().0));
         }
     }
     assert_eq!(
@@ -617,62 +618,62 @@
 }
 
 #[test]
-fn indirect_questions_end_at_their_bound() {
-    let mut crowd = Crowd::new(4);
-    crowd.introduce(1..5);
-    let full = crowd.fleet.counters().capacity_drops;
+fn indirect_pings_end_at_their_bound() {
+    let mut fleet = LargeFleet::new(4);
+    fleet.introduce(1..5);
+    let full = fleet.member.counters().capacity_drops;
     for nr in 0..100 {
         let body = GossipBody::PingRequest { sequence: nr, target_id: 7, target_address: address(9) };
-        crowd.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
+        fleet.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
     }
-    assert_eq!(crowd.fleet.counters().capacity_drops - full, 36);
+    assert_eq!(fleet.member.counters().capacity_drops - full, 36);
     // Without an answer each is reported as failed after half a period.
-    crowd.tick(500);
-    assert_eq!(crowd.recorder.result(), (2376495787776688446, 129, 4));
+    fleet.tick(500);
+    assert_eq!(fleet.recorder.result(), (2376495787776688446, 129, 4));
 }
 
 #[test]
 fn the_leave_is_sent_to_as_many_members_as_recorded() {
-    let mut crowd = Crowd::new(5);
-    crowd.introduce(1..600);
-    crowd.with(|f, now, out| f.announce_leaving(now, out));
-    assert_eq!(crowd.sent, 512);
-    assert_eq!(crowd.recorder.result(), (15806635977635704311, 512, 600));
+    let mut fleet = LargeFleet::new(5);
+    fleet.introduce(1..600);
+    fleet.with(|f, now, out| f.announce_leaving(now, out));
+    assert_eq!(fleet.sent, 512);
+    assert_eq!(fleet.recorder.result(), (15806635977635704311, 512, 600));
 }
 
 #[test]
 fn records_of_members_that_left_are_kept_up_to_their_bound() {
-    let mut crowd = Crowd::new(6);
-    crowd.introduce(1..4_201);
+    let mut fleet = LargeFleet::new(6);
+    fleet.introduce(1..4_201);
     for host in 1..4_201 {
-        crowd.deliver(record(host, 1, 2, Lifecycle::Left), GossipBody::UpdatesOnly, GossipUpdates::new());
+        fleet.deliver(record(host, 1, 2, Lifecycle::Left), GossipBody::UpdatesOnly, GossipUpdates::new());
     }
-    assert_eq!(crowd.fleet.members().count(), 4_201);
-    crowd.tick(119_999);
-    assert_eq!(crowd.fleet.members().count(), 4_201, "shown for 120 periods");
-    crowd.tick(1);
-    assert_eq!(crowd.fleet.members().count(), 1);
+    assert_eq!(fleet.member.members().count(), 4_201);
+    fleet.tick(119_999);
+    assert_eq!(fleet.member.members().count(), 4_201, "shown for 120 periods");
+    fleet.tick(1);
+    assert_eq!(fleet.member.members().count(), 1);
     // What is older than a kept record stays out; what was dropped for want of room comes back.
-    crowd.introduce(1..4_201);
-    assert_eq!(crowd.fleet.members().count(), 1 + 104);
-    let lowest = crowd.fleet.members().next().expect("one is back").0.name.clone();
+    fleet.introduce(1..4_201);
+    assert_eq!(fleet.member.members().count(), 1 + 104);
+    let lowest = fleet.member.members().next().expect("one is back").0.name.clone();
     assert_eq!(member_id(&lowest), 1_422_182_093_192_228);
 }
 
 #[test]
 fn a_member_out_of_reach_is_pinged_ever_more_seldom_and_given_up() {
-    let mut crowd = Crowd::new(7);
-    crowd.introduce(1..2);
+    let mut fleet = LargeFleet::new(7);
+    fleet.introduce(1..2);
     let mut events = Vec::new();
     for _ in 0..20_000 {
-        let (datagrams, changes) = (crowd.recorder.datagrams, crowd.recorder.changes);
-        crowd.tick(250);
-        if crowd.recorder.changes > changes {
-            let states: Vec<&str> = crowd.fleet.members().map(|(_, s)| s.as_str()).collect();
-            events.push(format!("{} {}", crowd.now, states.join(" ")));
+        let (datagrams, changes) = (fleet.recorder.datagrams, fleet.recorder.changes);
+        fleet.tick(250);
+        if fleet.recorder.changes > changes {
+            let states: Vec<&str> = fleet.member.members().map(|(_, s)| s.as_str()).collect();
+            events.push(format!("{} {}", fleet.now, states.join(" ")));
         }
-        if crowd.recorder.datagrams > datagrams {
-            events.push(crowd.now.to_string());
+        if fleet.recorder.datagrams > datagrams {
+            events.push(fleet.now.to_string());
         }
     }
     assert_eq!(
@@ -683,21 +684,21 @@
 
 #[test]
 fn a_host_that_is_stopped_again_and_again_stretches_its_periods_up_to_the_bound() {
-    let mut crowd = Crowd::new(8);
-    crowd.introduce(1..40);
+    let mut fleet = LargeFleet::new(8);
+    fleet.introduce(1..40);
     for _ in 0..12 {
-        crowd.tick(1_500);
+        fleet.tick(1_500);
     }
     let mut pings = Vec::new();
     for _ in 0..300 {
-        let before = crowd.recorder.datagrams;
-        crowd.tick(100);
-        if crowd.recorder.datagrams > before {
-            pings.push((crowd.now, crowd.recorder.datagrams - before));
+        let before = fleet.recorder.datagrams;
+        fleet.tick(100);
+        if fleet.recorder.datagrams > before {
+            pings.push((fleet.now, fleet.recorder.datagrams - before));
         }
         // Others are heard, so that it does not count as isolated.
-        let word = record(1 + crowd.rng.below(39), 1, 1, Lifecycle::Alive);
-        crowd.deliver(word, GossipBody::Ack { sequence: 0 }, GossipUpdates::new());
+        let sender = record(1 + fleet.rng.below(39), 1, 1, Lifecycle::Alive);
+        fleet.deliver(sender, GossipBody::Ack { sequence: 0 }, GossipUpdates::new());
     }
     assert_eq!(
         pings,
@@ -719,15 +720,15 @@
             (47100, 3)
         ]
     );
-    assert_eq!(crowd.recorder.result(), (6842836954139771345, 43, 42));
+    assert_eq!(fleet.recorder.result(), (6842836954139771345, 43, 42));
 }
 
 #[test]
 fn a_page_for_operators_holds_as_many_members_as_recorded() {
-    let mut crowd = Crowd::new(9);
-    crowd.introduce(1..40);
-    let mut actions = Actions { recorder: &mut crowd.recorder, sent: Vec::new() };
-    crowd.fleet.receive(address(200), &wire::encode_query(0), 10, &mut actions);
+    let mut fleet = LargeFleet::new(9);
+    fleet.introduce(1..40);
+    let mut actions = Actions { recorder: &mut fleet.recorder, sent: Vec::new() };
+    fleet.member.receive(address(200), &wire::encode_query(0), 10, &mut actions);
     let (_, bytes) = actions.sent.pop().expect("a page");
     let Ok(Message::Page(page)) = wire::decode("pins", &bytes) else { panic!("a page") };
     assert_eq!((page.members.len(), page.next_id), (16, Some(7_902_301_331_805_623_971)));
@@ -735,17 +736,17 @@
 
 #[test]
 fn the_times_of_suspicion_and_the_number_of_retransmissions_are_as_recorded() {
-    let mut settings = MembershipConfig::new(name("pins"), name("own"), address(1));
+    let mut config = MembershipConfig::new(name("pins"), name("own"), address(1));
     let mut found = Vec::new();
     for members in [1, 2, 3, 4, 10, 11, 60, 300, 16_384] {
         for confirmed in 0..5 {
-            found.push(settings.suspicion_timeout(members, confirmed));
+            found.push(config.suspicion_timeout(members, confirmed));
         }
-        found.push(u64::from(settings.max_transmissions(members)));
+        found.push(u64::from(config.max_transmissions(members)));
     }
-    settings.suspicion_confirmations = false;
-    found.push(settings.suspicion_timeout(300, 0));
-    assert_eq!((settings.protocol_period, settings.unreachable_retention), (1_000, 3_600_000));
+    config.suspicion_confirmations = false;
+    found.push(config.suspicion_timeout(300, 0));
+    assert_eq!((config.protocol_period, config.unreachable_retention), (1_000, 3_600_000));
     assert_eq!(
         found,
         vec![
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -2,7 +2,7 @@
 use mallowseam_fleet::MemberState;
 use mallowseam_fleet::config::{MAX_MEMBERS, MAX_SEEDS, PROTOCOL_PERIOD_RANGE, UncheckedFleetConfig};
 use mallowseam_fleet::record::{
-    ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Zone, member_id,
+    ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Precedence, Zone, member_id,
 };
 use mallowseam_fleet::wire::{
     self, DecodeError, FORMAT_VERSION, GossipBody, GossipMessage, IdRange, MAX_DATAGRAM_BYTES, MemberStatus,
@@ -23,12 +23,12 @@
     "[2001:db8::7]:7400".parse().expect("an address")
 }
 
-fn record(life: Lifecycle) -> MemberRecord {
+fn record(lifecycle: Lifecycle) -> MemberRecord {
     MemberRecord {
         name: name("host-a"),
         generation: 0x0123_4567_89ab,
         incarnation: 300,
-        lifecycle: life,
+        lifecycle,
         address: ipv4(),
         zone: Zone::try_from("z1").expect("short"),
         versions: ActiveVersions { endpoint_list: 5, plans: 700 },
@@ -44,7 +44,7 @@
 }
 
 /// The datagram's bytes, read back to the same message.
-fn written(message: &Message) -> String {
+fn encoded(message: &Message) -> String {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let bytes = wire::encode("pins", message, &mut buffer).expect("it fits");
     assert_eq!(wire::decode("pins", bytes).as_ref(), Ok(message));
@@ -55,7 +55,7 @@
 fn body(body: GossipBody) -> String {
     let from = MemberRecord { address: ipv6(), ..record(Lifecycle::Alive) };
     let bare = Message::Gossip(GossipMessage { sender: from, body, updates: heapless::Vec::new() });
-    let bytes = written(&bare);
+    let bytes = encoded(&bare);
     // The head and the sender's record are the same in each.
     let sender = "0183e5c0bb1fcb76ad0006686f73742d61ab939eabb424ac02010120010db8000000000000000000000007e839027a3105bc05fbd095ffbc31";
     bytes.strip_prefix(sender).expect("the same head").to_owned()
@@ -69,12 +69,12 @@
             IdRange { prefix_bits: 60, prefix: 1 << 50 },
         ])
     };
-    let part = RangeDigest {
+    let digest = RangeDigest {
         range: IdRange { prefix_bits: 8, prefix: 200 },
         digest: 0xfedc_ba98_7654_3210,
         count: 77,
     };
-    let parts = heapless::Vec::from_iter([part, part]);
+    let digests = heapless::Vec::from_iter([digest, digest]);
     assert_eq!(body(GossipBody::Ping { sequence: 1 }), "000100");
     assert_eq!(body(GossipBody::Ack { sequence: 1_000 }), "01e80700");
     assert_eq!(
@@ -88,7 +88,7 @@
     assert_eq!(body(GossipBody::PingRequestResult { sequence: 3, acknowledged: true }), "03030100");
     assert_eq!(body(GossipBody::PingRequestResult { sequence: 3, acknowledged: false }), "03030000");
     assert_eq!(
-        body(GossipBody::RangeDigests(parts)),
+        body(GossipBody::RangeDigests(digests)),
         "040208c80190e4d0b287d3aeeefe014d08c80190e4d0b287d3aeeefe014d00"
     );
     assert_eq!(body(GossipBody::RangeDigests(heapless::Vec::new())), "040000");
@@ -105,18 +105,18 @@
 
 #[test]
 fn records_in_each_state_keep_their_bytes() {
-    let lives = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
-    let news = lives.into_iter().enumerate().map(|(n, life)| {
-        let doubt = [None, Some(0), Some(0xdead_beef), Some(7)][n];
-        GossipUpdate { record: record(life), suspected_by: doubt }
+    let states = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
+    let updates = states.into_iter().enumerate().map(|(n, lifecycle)| {
+        let suspected_by = [None, Some(0), Some(0xdead_beef), Some(7)][n];
+        GossipUpdate { record: record(lifecycle), suspected_by }
     });
-    let packet = GossipMessage {
+    let message = GossipMessage {
         sender: record(Lifecycle::Joining),
         body: GossipBody::UpdatesOnly,
-        updates: heapless::Vec::from_iter(news),
+        updates: heapless::Vec::from_iter(updates),
     };
     assert_eq!(
-        written(&Message::Gossip(packet)),
+        encoded(&Message::Gossip(message)),
         "0183e5c0bb1fcb76ad0006686f73742d61ab939eabb424ac0200000a010203e839027a3105bc05fbd095ffbc31060406686f73742d61ab939eabb424ac0200000a010203e839027a3105bc05fbd095ffbc310006686f73742d61ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc31010006686f73742d61ab939eabb424ac0202000a010203e839027a3105bc05fbd095ffbc3101effdb6f50d06686f73742d61ab939eabb424ac0203000a010203e839027a3105bc05fbd095ffbc310107"
     );
 }
@@ -132,8 +132,8 @@
         MemberState::Left,
     ];
     let members = states.into_iter().enumerate().map(|(n, state)| {
-        let word = MemberRecord { name: name(&format!("h{n}")), ..record(Lifecycle::Alive) };
-        MemberStatus { record: word, state, last_heard_ms: [None, Some(900)][n % 2] }
+        let record = MemberRecord { name: name(&format!("h{n}")), ..record(Lifecycle::Alive) };
+        MemberStatus { record, state, last_heard_ms: [None, Some(900)][n % 2] }
     });
     let mut page = MembershipPage {
         host: name("host-a"),
@@ -144,20 +144,20 @@
         next_id: Some(42),
     };
     assert_eq!(
-        written(&Message::Page(page.clone())),
+        encoded(&Message::Page(page.clone())),
         "0183e5c0bb1fcb76ad0206686f73742d610100888e98a8c0e080810106026830ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc310000026831ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc3101018407026832ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc310200026833ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc3103018407026834ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc310400026835ab939eabb424ac0201000a010203e839027a3105bc05fbd095ffbc3105018407012a"
     );
     page.members.clear();
     (page.isolated, page.superseded, page.next_id) = (false, true, None);
-    assert_eq!(written(&Message::Page(page)), "0183e5c0bb1fcb76ad0206686f73742d610001888e98a8c0e08081010000");
-    assert_eq!(written(&Message::Query { first_id: 0x0a0b_0c0d }), "0183e5c0bb1fcb76ad018d98ac50");
-    let question = wire::encode_query(5);
-    assert_eq!(hex(&question[..16]), "01000000000000000001050000000000");
-    assert!(question[16..].iter().all(|b| *b == 0));
+    assert_eq!(encoded(&Message::Page(page)), "0183e5c0bb1fcb76ad0206686f73742d610001888e98a8c0e08081010000");
+    assert_eq!(encoded(&Message::Query { first_id: 0x0a0b_0c0d }), "0183e5c0bb1fcb76ad018d98ac50");
+    let query = wire::encode_query(5);
+    assert_eq!(hex(&query[..16]), "01000000000000000001050000000000");
+    assert!(query[16..].iter().all(|b| *b == 0));
 }
 
 #[test]
-fn what_cannot_be_read_is_told_apart() {
+fn each_decode_error_is_distinguished() {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let bytes = wire::encode("pins", &Message::Query { first_id: 1 }, &mut buffer).expect("it fits").to_vec();
     assert_eq!(wire::decode("other", &bytes), Err(DecodeError::OtherFleet));
@@ -166,26 +166,32 @@
     assert_eq!(wire::decode("pins", &[&bytes[..], &[0, 0, 1]].concat()), Err(DecodeError::Malformed));
     assert_eq!(wire::decode("pins", &[&[2], &bytes[1..]].concat()), Err(DecodeError::UnsupportedVersion));
     assert!(wire::decode("pins", &[&bytes[..], &[0, 0, 0]].concat()).is_ok());
-    // The fleet's name may be left out by whoever only asks for the view.
-    let question = wire::encode_query(1);
-    assert!(wire::decode("pins", &question).is_ok() && wire::decode("other", &question).is_ok());
+    // The fleet's name may be left out by somebody who only queries the membership table.
+    let query = wire::encode_query(1);
+    assert!(wire::decode("pins", &query).is_ok() && wire::decode("other", &query).is_ok());
     assert_eq!((MAX_DATAGRAM_BYTES, FORMAT_VERSION), (1_200, 1));
 }
 
 #[test]
-fn ranks_digests_and_numbers_of_names_are_as_recorded() {
-    let word = record(Lifecycle::Leaving);
-    assert_eq!(word.precedence(), (0x0123_4567_89ab, false, 300));
-    assert_eq!(record(Lifecycle::Left).precedence(), (0x0123_4567_89ab, true, 300));
+fn precedences_digests_and_member_ids_are_as_recorded() {
+    let leaving = record(Lifecycle::Leaving);
     assert_eq!(
-        (member_id("host-a"), word.digest(false), word.digest(true)),
+        leaving.precedence(),
+        Precedence { generation: 0x0123_4567_89ab, left: false, incarnation: 300 }
+    );
+    assert_eq!(
+        record(Lifecycle::Left).precedence(),
+        Precedence { generation: 0x0123_4567_89ab, left: true, incarnation: 300 }
+    );
+    assert_eq!(
+        (member_id("host-a"), leaving.digest(false), leaving.digest(true)),
         (4472532690978852926, 945285092397138476, 14635447440896951457)
     );
 }
 
 #[test]
 fn a_configuration_is_checked_with_the_same_texts() {
-    let written = UncheckedFleetConfig {
+    let unchecked = UncheckedFleetConfig {
         fleet: String::new(),
         host: "x".repeat(49),
         listen: None,
@@ -195,7 +201,7 @@
         period: Some(49),
         keep: Some(1),
     };
-    let problems = written.validate().expect_err("all of it is wrong");
+    let problems = unchecked.validate().expect_err("all of it is wrong");
     assert_eq!(
         problems.iter().map(ToString::to_string).collect::<Vec<_>>(),
         vec![
@@ -214,22 +220,22 @@
 
 #[test]
 fn a_configuration_that_leaves_things_out_gets_the_same_defaults() {
-    let written = UncheckedFleetConfig {
+    let unchecked = UncheckedFleetConfig {
         fleet: "f".into(),
         host: "h".into(),
         listen: Some(ipv4()),
         ..UncheckedFleetConfig::default()
     };
-    let place = written.validate().expect("it is well");
-    assert_eq!((place.listen, place.membership.address), (ipv4(), ipv4()));
+    let config = unchecked.validate().expect("valid");
+    assert_eq!((config.listen, config.membership.address), (ipv4(), ipv4()));
     assert_eq!(
-        (place.membership.protocol_period, place.membership.unreachable_retention),
+        (config.membership.protocol_period, config.membership.unreachable_retention),
         (1_000, 3_600_000)
     );
-    assert!(place.membership.local_health && place.membership.suspicion_confirmations);
-    assert!(place.membership.seeds.is_empty() && place.membership.zone.is_empty());
-    let least = UncheckedFleetConfig { period: Some(60_000), keep: Some(6_000_000), ..written.clone() };
+    assert!(config.membership.local_health && config.membership.suspicion_confirmations);
+    assert!(config.membership.seeds.is_empty() && config.membership.zone.is_empty());
+    let least = UncheckedFleetConfig { period: Some(60_000), keep: Some(6_000_000), ..unchecked.clone() };
     assert!(least.validate().is_ok());
-    let short = UncheckedFleetConfig { period: Some(60_000), keep: Some(5_999_999), ..written };
+    let short = UncheckedFleetConfig { period: Some(60_000), keep: Some(5_999_999), ..unchecked };
     assert_eq!(short.validate().expect_err("too short").len(), 1);
 }
--- a/crates/lab/src/view/small.rs
+++ b/crates/lab/src/view/small.rs
@@ -50,7 +50,7 @@
     pub cuts: u32,
 }
 
-type Rank = (u64, bool, u32);
+type Rank = mallowseam_fleet::record::Precedence;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Small {
