--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,6 +1,6 @@
 //! The event loop: one thread, every decision the scheduler's or a connection policy's.
 use crate::clients::Clients;
-use crate::clock::{Clock, millis, span};
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
 use crate::control::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
 use crate::desk::Desk;
 use crate::follow::Follow;
@@ -15,7 +15,8 @@
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::target::TargetTerms;
-use mallowseam_plans::Units;
+use mallowseam_plans::MilliUnits;
+use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeId, NodeState, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_settings::{Site, change};
@@ -62,9 +63,9 @@
     membership: Option<Box<UdpMembership>>,
     membership_readable: bool,
     /// The parts of limits that the scheduler keeps to, by volume.
-    parts: Vec<Option<Units>>,
+    parts: Vec<Option<MilliUnits>>,
     /// What clients asked of each volume in the last span, a second; and the counts it began with.
-    wanted: Vec<Units>,
+    wanted: Vec<MilliUnits>,
     counted: (Tick, Vec<f64>),
     listener: TcpListener,
     accepting: bool,
@@ -133,7 +134,11 @@
         let list = List::new(&site.host, &site.nodes, registry()?, LIST);
         let follow = match site.host.follow {
             Some(address) => {
-                let volumes = site.volumes.iter().map(|v| (v.name.clone(), v.hosts)).collect();
+                let volumes = site
+                    .volumes
+                    .iter()
+                    .map(|v| HostedVolume { name: v.name.clone(), host_count: v.hosts })
+                    .collect();
                 let kept = site.host.kept_plans.clone();
                 Some(Follow::new(&site.host.name, address, kept, volumes, registry()?, FOLLOW, 0))
             }
@@ -143,7 +148,7 @@
         let membership =
             site.host.fleet.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
-        let clock = Clock::start();
+        let clock = Clock::from_zero();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
         Ok(Gateway {
             scheduler: Scheduler::new(&terms::terms(&site), seed, clock.now()),
@@ -200,7 +205,7 @@
         for at in [self.desk.wake_at, self.desk.next_timer(), self.desk.next_look()].into_iter().flatten() {
             due = due.min(at);
         }
-        let due = span(due - self.clock.now());
+        let due = ticks_to_duration(due - self.clock.now());
         Some(
             self.membership
                 .as_ref()
@@ -220,7 +225,7 @@
             }
             MAP => {
                 if let Some(map) = &mut self.desk.map {
-                    let more = map.ready(readable, &mut self.scratch, millis(now));
+                    let more = map.ready(readable, &mut self.scratch, ticks_to_millis(now));
                     if more && !self.turns.contains(&Turn::Map) {
                         self.turns.push_back(Turn::Map);
                     }
@@ -229,7 +234,7 @@
             }
             FOLLOW => {
                 if let Some(follow) = &mut self.follow
-                    && follow.ready(&mut self.scratch, &self.wanted, millis(now))
+                    && follow.ready(&mut self.scratch, &self.wanted, ticks_to_millis(now))
                 {
                     self.take_up_next();
                 }
@@ -296,7 +301,7 @@
                 }
                 Some(Turn::Map) => {
                     if let Some(map) = &mut self.desk.map
-                        && map.ready(false, &mut self.scratch, millis(now))
+                        && map.ready(false, &mut self.scratch, ticks_to_millis(now))
                     {
                         self.turns.push_back(Turn::Map);
                     }
@@ -333,7 +338,7 @@
         self.tend_follow();
         self.tell_part();
         if let Some(map) = &mut self.desk.map {
-            map.tend(millis(self.desk.now));
+            map.tend(ticks_to_millis(self.desk.now));
         }
         self.desk.nodes.flush();
         let mut again = Vec::new();
@@ -370,13 +375,13 @@
             let span = (now - self.counted.0) as f64 / 10_000.0;
             let counts = self.desk.figures.volumes.iter().zip(&mut self.counted.1);
             for (wanted, (f, before)) in self.wanted.iter_mut().zip(counts) {
-                *wanted = ((f.asked - *before) / span * 1000.0) as Units;
+                *wanted = ((f.asked - *before) / span * 1000.0) as MilliUnits;
                 *before = f.asked;
             }
             self.counted.0 = now;
-            follow.tend(millis(now), rand::rng().next_u64() % 1_000);
+            follow.tend(ticks_to_millis(now), rand::rng().next_u64() % 1_000);
         }
-        let parts = follow.member.parts(millis(now)).zip(&mut self.parts);
+        let parts = follow.member.available_quotas(ticks_to_millis(now)).zip(&mut self.parts);
         for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
             *kept = part;
             self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
@@ -386,11 +391,11 @@
     /// Takes up the state that the control service has sent, or says why not.
     fn take_up_next(&mut self) {
         let Some(follow) = &self.follow else { return };
-        let Some(state) = follow.member.next() else { return };
+        let Some(state) = follow.member.pending() else { return };
         let taken = self.of_state(state).map(|taken| self.put(taken));
         let Some(follow) = &mut self.follow else { return };
         match taken {
-            Ok(()) => follow.acts_on(millis(self.desk.now)),
+            Ok(()) => follow.acts_on(ticks_to_millis(self.desk.now)),
             Err(why) => follow.against(&why),
         }
         self.tend_follow();
@@ -539,7 +544,7 @@
         };
         Status {
             host: self.site.host.name.clone(),
-            up_seconds: millis(desk.now) as f64 / 1000.0,
+            up_seconds: ticks_to_millis(desk.now) as f64 / 1000.0,
             draining: desk.clients.admission.is_draining(),
             connections: desk.clients.admission.connection_count(),
             in_hand: desk.in_hand(),
