--- /dev/null
+++ b/crates/shares/tests/pinned_placements.rs
@@ -0,0 +1,401 @@
+//! Pins what the package decides: seeded problems are worked out by every public function, and a hash over all
+//! answers is compared with the one recorded at commit 01f3988. A pin that fails means that a placement, a
+//! migration step, a chosen figure or the arithmetic has changed; the values are never recorded anew.
+use mallowseam_shares::bound;
+use mallowseam_shares::choose::{WEIGHT_MOST, choose, parts};
+use mallowseam_shares::conflict::explain;
+use mallowseam_shares::improve::Improve;
+use mallowseam_shares::model::{Host, MOST, Node, Problem, SCALE, SPREAD_MOST, Volume};
+use mallowseam_shares::moves::{order, today};
+use mallowseam_shares::search::{Answer, feasible, solve};
+use mallowseam_shares::value::{Placement, Worth, cost, excess, fits, gain_of, moved, placed, worth};
+use std::fmt::Write;
+
+/// SplitMix64, so that the problems depend on no library.
+struct Random(u64);
+
+impl Random {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (mixed ^ (mixed >> 31)) % bound
+    }
+
+    fn one_in(&mut self, n: u64) -> bool {
+        self.below(n) == 0
+    }
+}
+
+/// FNV-1a, so that the test needs no dependency.
+fn digest(text: &str) -> String {
+    let mut hash = 0xcbf2_9ce4_8422_2325_u64;
+    for byte in text.bytes() {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    }
+    format!("{hash:016x}")
+}
+
+fn problem(random: &mut Random, volumes: u64, nodes: u64, most_reserved: u64) -> Problem {
+    let nodes: Vec<Node> = (0..nodes)
+        .map(|n| Node {
+            name: format!("n{n:02}"),
+            zone: format!("z{}", n % 3),
+            capacity: if random.one_in(12) { 0 } else { 20_000 + random.below(30_000) },
+            cost: random.below(5),
+        })
+        .collect();
+    let names: Vec<String> = nodes.iter().map(|n| n.name.clone()).collect();
+    let capacity: u64 = nodes.iter().map(|n| n.capacity).sum();
+    let mean = (capacity / volumes).max(2);
+    let volumes = (0..volumes)
+        .map(|v| {
+            let spread = 1 + random.below(3.min(names.len() as u64)) as usize;
+            let reserve = if random.one_in(4) { 0 } else { random.below(most_reserved * mean / 100) };
+            let first = random.below(names.len() as u64) as usize;
+            let lies = if random.one_in(5) { 0 } else { spread };
+            Volume {
+                name: format!("v{v:03}"),
+                reserve,
+                reserve_most: reserve + random.below(mean),
+                limit: random.below(mean * 2),
+                surge: reserve + random.below(mean * 2),
+                weight: 1 + random.below(4),
+                price: [500, 900, 1000, 1800][random.below(4) as usize],
+                spread,
+                survives_node: spread > 1 && random.one_in(3),
+                survives_zone: spread > 1 && random.one_in(6),
+                apart: spread > 1 && random.one_in(4),
+                zone: random.one_in(8).then(|| format!("z{}", random.below(2))),
+                size: if random.one_in(4) { random.below(3) } else { random.below(300) },
+                today: (0..lies).map(|n| names[(first + n) % names.len()].clone()).collect(),
+            }
+        })
+        .collect();
+    let mut problem = Problem::new(nodes, volumes).expect("sound");
+    problem.hosts = vec![Host::default()];
+    problem
+}
+
+fn describe_worth(worth: &Worth) -> String {
+    format!("{} {} {} {:?}", worth.gain, worth.cost.0, worth.moved.0, worth.order.0)
+}
+
+/// Everything that can be said of one placement, and the way to it from where data lies today.
+fn describe_placement(p: &Problem, placement: &Placement, random: &mut Random) -> String {
+    let mut text = describe_worth(&worth(p, placement));
+    let all = placed(placement);
+    let chosen = choose(p, placement);
+    let asked: Vec<u64> = p.volumes.iter().map(|v| random.below(v.surge * 2 + 1)).collect();
+    let shares: Vec<(u64, u64)> =
+        chosen.reserves.iter().copied().zip(chosen.weights.iter().copied()).collect();
+    let gained = gain_of(p, placement, &shares, &asked);
+    write!(text, " excess {} moment {gained}", excess(p, &all)).expect("writing to memory");
+    let (weights, reserves) = (&chosen.weights, &chosen.reserves);
+    write!(text, " chosen {weights:?} {reserves:?} {} {}", chosen.gain, chosen.before)
+        .expect("writing to memory");
+    for stretch in [500, 999, 1000, 1001] {
+        write!(text, " {}", fits(p, &all, &|_| true, stretch)).expect("writing to memory");
+    }
+    for (volume, set) in placement.iter().enumerate() {
+        write!(text, " {}", moved(p, volume, set)).expect("writing to memory");
+    }
+    let used = cost(p, placement.iter().flatten().copied());
+    write!(text, " cost {used}").expect("writing to memory");
+    let from = today(p);
+    for most in [None, Some(u128::from(random.below(800)) * SCALE as u128)] {
+        let moves = order(p, &from, placement, most);
+        for step in &moves.steps {
+            write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
+        }
+        let (ends, left, stuck) = (&moves.ends, &moves.left, &moves.stuck);
+        write!(text, " ends {ends:?} left {left:?} stuck {stuck:?} data {}", moves.data()).expect("memory");
+    }
+    text
+}
+
+fn small(seed: u64) -> String {
+    let random = &mut Random(seed);
+    let (volumes, nodes) = (2 + random.below(4), 2 + random.below(3));
+    let p = problem(random, volumes, nodes, 75);
+    let mut text = format!("{}", bound::most(&p));
+    for wish in p.wishes() {
+        write!(text, " {}", p.tell(wish)).expect("writing to memory");
+    }
+    for volume in 0..p.volumes.len() {
+        write!(text, " {:?}", p.choices(volume, &|_| true)).expect("writing to memory");
+    }
+    let most_steps = if random.one_in(4) { 30 } else { 20_000 };
+    let steps = 1 + random.below(most_steps);
+    match solve(&p, steps) {
+        Answer::Best(worth) => {
+            write!(text, " best {}", describe_placement(&p, &worth.order.0, random))
+                .expect("writing to memory");
+        }
+        Answer::None => {
+            let conflict = explain(&p, 3_000);
+            let conflict = conflict.map(|c| {
+                let demands: Vec<String> = c.demands.iter().map(|w| p.tell(*w)).collect();
+                (demands, c.stretch)
+            });
+            write!(text, " none {conflict:?}").expect("writing to memory");
+        }
+        Answer::Open { found, bound } => {
+            let found = found.as_ref().map(describe_worth);
+            write!(text, " open {bound} {found:?}").expect("writing to memory");
+        }
+    }
+    for stretch in [200, 1000, 3000] {
+        write!(text, " {:?}", feasible(&p, &|_| true, stretch, 200)).expect("writing to memory");
+    }
+    text
+}
+
+fn large(seed: u64) -> String {
+    let random = &mut Random(seed);
+    let (volumes, nodes) = (20 + random.below(30), 6 + random.below(6));
+    let most_reserved = 30 + random.below(40);
+    let p = problem(random, volumes, nodes, most_reserved);
+    let mut text = String::new();
+    for from_today in [false, true] {
+        let mut improve = Improve::new(&p, seed);
+        let complete = if from_today {
+            improve.from_today();
+            improve.mend()
+        } else {
+            improve.first()
+        };
+        write!(text, " complete {complete}").expect("writing to memory");
+        for moves in [50, 300] {
+            improve.improve(moves);
+            let worth = improve.worth();
+            write!(text, " {:?} {}", worth.as_ref().map(describe_worth), improve.sound()).expect("memory");
+        }
+        if let Some(worth) = improve.worth().filter(|_| volumes < 30) {
+            text += &describe_placement(&p, &worth.order.0, random);
+        }
+    }
+    text
+}
+
+/// Volumes that fill over half of a node each change places, with little room to pass.
+fn exchange(seed: u64) -> String {
+    let random = &mut Random(seed);
+    let node =
+        |n: u64, capacity| Node { name: format!("n{n}"), zone: format!("z{}", n % 2), capacity, cost: 0 };
+    let nodes: Vec<Node> = (0..5).map(|n| node(n, if n == 4 { 4 + random.below(10) } else { 10 })).collect();
+    let volume = |v: u64, reserve, size| Volume {
+        name: format!("v{v}"),
+        reserve,
+        surge: reserve,
+        price: 1000,
+        spread: 1,
+        size,
+        today: [format!("n{v}")].into(),
+        ..Volume::default()
+    };
+    let volumes = (0..4).map(|v| volume(v, 3 + random.below(7), random.below(100))).collect();
+    let p = Problem::new(nodes, volumes).expect("sound");
+    let mut to: Vec<usize> = vec![0, 1, 2, 3];
+    for last in (1..4).rev() {
+        to.swap(last, random.below(last as u64 + 1) as usize);
+    }
+    let to: Placement = to.into_iter().map(|n| vec![n]).collect();
+    // Now and then the bound on the data is met exactly.
+    let most = match random.below(3) {
+        0 => None,
+        1 => Some(u128::from(random.below(600)) * SCALE as u128),
+        _ => Some(u128::from(p.volumes[0].size + p.volumes[1].size) * SCALE as u128),
+    };
+    let moves = order(&p, &today(&p), &to, most);
+    let mut text = String::new();
+    for step in &moves.steps {
+        write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
+    }
+    let (ends, left, stuck) = (&moves.ends, &moves.left, &moves.stuck);
+    write!(text, " ends {ends:?} left {left:?} stuck {stuck:?}").expect("memory");
+    text
+}
+
+/// Reserves that nearly fill all nodes: a first placement needs repairs, and may not be found.
+fn tight(seed: u64) -> String {
+    let random = &mut Random(seed);
+    let node = |n: u64| Node { name: format!("n{n}"), zone: "z".into(), capacity: 1_000, cost: 0 };
+    let nodes: Vec<Node> = (0..4).map(node).collect();
+    let mut volumes = Vec::new();
+    let mut left = 3_700 + random.below(300);
+    while left > 0 {
+        let reserve = (100 + random.below(300)).min(left);
+        left -= reserve;
+        volumes.push(Volume {
+            name: format!("v{:02}", volumes.len()),
+            reserve,
+            surge: reserve * 2,
+            weight: 1,
+            price: 1000 + reserve,
+            spread: 1,
+            ..Volume::default()
+        });
+    }
+    let p = Problem::new(nodes, volumes).expect("sound");
+    let mut improve = Improve::new(&p, seed);
+    let complete = improve.first();
+    improve.improve(20);
+    format!("{complete} {:?}", improve.worth().as_ref().map(describe_worth))
+}
+
+fn dealt(seed: u64) -> String {
+    let random = &mut Random(seed);
+    let mut text = String::new();
+    for _ in 0..50 {
+        let sent: Vec<u64> =
+            (0..random.below(7)).map(|_| random.below(4) * random.below(1_000_000)).collect();
+        let (limit, floor) = (random.below(MOST), random.below(1_200));
+        write!(text, "{:?} ", parts(limit, &sent, floor)).expect("writing to memory");
+    }
+    text
+}
+
+#[test]
+fn small_problems_are_answered_as_recorded() {
+    let digests: Vec<String> = (0..20)
+        .map(|seed| digest(&(0..15).map(|n| small(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .collect();
+    assert_eq!(
+        digests,
+        [
+            "4fe7acc01d3f7671",
+            "073ca612529e3858",
+            "cbc1269504cc8983",
+            "d8a140fc768000b9",
+            "599b8b99660f768c",
+            "0b814bbee03e1583",
+            "d50e01ec5bc6b90e",
+            "857674607946f1fd",
+            "66df269706d09b8e",
+            "67a39ac8d0eb1d0b",
+            "67f25cd1e5f09efc",
+            "bb5b722d64c266f9",
+            "f955f00cd7e2f941",
+            "f6c210786b92d1ae",
+            "f7720479314339c4",
+            "d8fdc1531ce8e665",
+            "9016f0d9e4cfd04c",
+            "a3a2fe864cac1053",
+            "b411daf9b4afa086",
+            "42b28bdf5805ccd8"
+        ]
+    );
+}
+
+#[test]
+fn large_problems_are_answered_as_recorded() {
+    let digests: Vec<String> = (0..10).map(|seed| digest(&large(seed))).collect();
+    assert_eq!(
+        digests,
+        [
+            "80807712f857eadd",
+            "80807712f857eadd",
+            "74c5d0bfebe91c7d",
+            "80807712f857eadd",
+            "74c5d0bfebe91c7d",
+            "80807712f857eadd",
+            "689c3bbc594b4ff3",
+            "80807712f857eadd",
+            "9c4e56095636accc",
+            "eb0ac77603d8b1c5"
+        ]
+    );
+}
+
+#[test]
+fn exchanges_are_ordered_as_recorded() {
+    let digests: Vec<String> = (0..10)
+        .map(|seed| digest(&(0..20).map(|n| exchange(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .collect();
+    assert_eq!(
+        digests,
+        [
+            "416468b0d0e1f31a",
+            "ebf19925c237e70f",
+            "feffa201e7082147",
+            "b165ccdd377c714c",
+            "11ea9f988e1b6828",
+            "213bd013b1114d46",
+            "2cfb848c18c2ece1",
+            "a09c6f287bcc9319",
+            "263cadf23ac80fe8",
+            "eb4429f0313b04a5"
+        ]
+    );
+}
+
+#[test]
+fn tight_problems_are_repaired_as_recorded() {
+    let digests: Vec<String> = (0..10)
+        .map(|seed| digest(&(0..30).map(|n| tight(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .collect();
+    assert_eq!(
+        digests,
+        [
+            "749322e698c93a14",
+            "bfe28d7bf0b2b682",
+            "f2064c14a829985d",
+            "dcafa0ee87314ab7",
+            "2f3d03d0e6e80e0e",
+            "7152c85344074f67",
+            "b5d3492d587523e2",
+            "3f049d6b8a5805e1",
+            "9e34f1cd16334df6",
+            "a9f9322df4e2a46c"
+        ]
+    );
+}
+
+#[test]
+fn limits_are_dealt_as_recorded() {
+    let digests: Vec<String> = (0..5).map(|seed| digest(&dealt(seed))).collect();
+    assert_eq!(
+        digests,
+        ["69098107eaa51e6a", "63445d223f22b005", "3e42016aacd52221", "d1056cf63894c585", "ffc60d86e8869e9e"]
+    );
+}
+
+#[test]
+fn constants_are_the_recorded_ones() {
+    assert_eq!((MOST, SPREAD_MOST, SCALE, WEIGHT_MOST), (1_000_000_000_000, 8, 840, 1_000));
+}
+
+#[test]
+fn errors_of_a_problem_are_the_recorded_texts() {
+    let node = |name: &str, capacity| Node { name: name.into(), zone: "z".into(), capacity, cost: 0 };
+    let nodes = vec![node("b", MOST + 1), node("a", 1), node("a", 2)];
+    let sound = Volume { name: "s".into(), spread: 1, ..Volume::default() };
+    let volumes = vec![
+        Volume { name: "big".into(), size: MOST + 1, ..sound.clone() },
+        Volume { name: "none".into(), spread: 0, ..sound.clone() },
+        Volume { name: "wide".into(), spread: 9, ..sound.clone() },
+        Volume { name: "low".into(), reserve: 2, surge: 1, ..sound.clone() },
+        Volume { name: "alone".into(), survives_node: true, ..sound.clone() },
+        Volume { name: "far".into(), zone: Some("y".into()), ..sound.clone() },
+        Volume { name: "lost".into(), today: ["q".to_owned()].into(), ..sound.clone() },
+        sound.clone(),
+        sound,
+    ];
+    let wrong: Vec<String> =
+        Problem::new(nodes, volumes).expect_err("unsound").iter().map(|w| w.to_string()).collect();
+    let expected = [
+        "`a`: expected one node of this name",
+        "`s`: expected one volume of this name",
+        "`b`: expected numbers up to a million million",
+        "`alone`: expected a spread of at least 2, since it survives the loss of a node",
+        "`big`: expected numbers up to a million million",
+        "`far`: expected a zone that some node is in",
+        "`lost`: expected to lie on nodes of the problem, not on `q`",
+        "`low`: expected a surge of at least the reserve",
+        "`none`: expected a spread of 1 to 8 nodes",
+        "`wide`: expected a spread of 1 to 8 nodes",
+    ];
+    assert_eq!(wrong, expected);
+}
