--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,6 +1,6 @@
-//! The event loop: one thread, every decision the scheduler's or a conduct module's.
+//! The event loop: one thread, every decision the scheduler's or a connection policy's.
 use crate::clients::Clients;
-use crate::clock::{Clock, millis, span};
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
 use crate::control::{self, Control, GroupStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
 use crate::desk::Desk;
 use crate::follow::Follow;
@@ -9,13 +9,14 @@
 use crate::nodes::Nodes;
 use crate::opening::{Failure, control, failure, listen, signals};
 use crate::terms;
-use mallowseam_conduct::door::Door;
-use mallowseam_fleet::word::Facts;
-use mallowseam_fleet_udp::Part;
+use mallowseam_connection_policy::admission::AdmissionController;
+use mallowseam_fleet::record::ActiveVersions;
+use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::target::TargetTerms;
-use mallowseam_plans::Units;
+use mallowseam_plans::MilliUnits;
+use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeId, NodeState, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_settings::{Site, change};
@@ -59,12 +60,12 @@
     list: List,
     follow: Option<Follow>,
     /// Its part in the fleet's view, where the configuration names one, and whether that has more to read.
-    part: Option<Box<Part>>,
-    part_more: bool,
+    membership: Option<Box<UdpMembership>>,
+    membership_readable: bool,
     /// The parts of limits that the scheduler keeps to, by volume.
-    parts: Vec<Option<Units>>,
+    parts: Vec<Option<MilliUnits>>,
     /// What clients asked of each volume in the last span, a second; and the counts it began with.
-    wanted: Vec<Units>,
+    wanted: Vec<MilliUnits>,
     counted: (Tick, Vec<f64>),
     listener: TcpListener,
     accepting: bool,
@@ -91,14 +92,14 @@
         }
         gateway.desk.now = gateway.clock.now();
         // Time first: a host that was stopped must not take what has come since for late.
-        gateway.part.iter_mut().for_each(|p| p.tick());
+        gateway.membership.iter_mut().for_each(|p| p.tick());
         for event in events.iter() {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
             gateway.ready(event.token(), readable);
         }
         gateway.round();
     }
-    gateway.part.iter_mut().for_each(|p| p.leave(true));
+    gateway.membership.iter_mut().for_each(|p| p.announce_left());
     tracing::info!("host ends");
     Ok(())
 }
@@ -120,8 +121,8 @@
             names: vec![site.host.target.clone()],
             address: bound.to_string(),
         });
-        let door = Door::new(&site.host.target, site.host.connections as usize);
-        let clients = Clients::new(door, targets, registry()?, NODES + site.nodes.len());
+        let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
+        let clients = Clients::new(admission, targets, registry()?, NODES + site.nodes.len());
         let initiator = format!("{}:{}", site.host.target, site.host.name);
         let nodes = Nodes::new(&site.nodes, initiator, wishes, registry()?, NODES);
         let map = match &site.catalog {
@@ -133,25 +134,29 @@
         let list = List::new(&site.host, &site.nodes, registry()?, LIST);
         let follow = match site.host.follow {
             Some(address) => {
-                let volumes = site.volumes.iter().map(|v| (v.name.clone(), v.hosts)).collect();
+                let volumes = site
+                    .volumes
+                    .iter()
+                    .map(|v| HostedVolume { name: v.name.clone(), host_count: v.hosts })
+                    .collect();
                 let kept = site.host.kept_plans.clone();
                 Some(Follow::new(&site.host.name, address, kept, volumes, registry()?, FOLLOW, 0))
             }
             None => None,
         };
-        let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
-        let part =
-            site.host.place.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
+        let opened = |place| UdpMembership::open(poll.registry(), FLEET, place).map(Box::new);
+        let membership =
+            site.host.fleet.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
-        let clock = Clock::start();
+        let clock = Clock::from_zero();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
         Ok(Gateway {
             scheduler: Scheduler::new(&terms::terms(&site), seed, clock.now()),
             desk: Desk::new(&site, clients, nodes, map),
             list,
             follow,
-            part,
-            part_more: false,
+            membership,
+            membership_readable: false,
             parts: vec![None; site.volumes.len()],
             wanted: vec![0; site.volumes.len()],
             counted: (0, vec![0.0; site.volumes.len()]),
@@ -188,27 +193,31 @@
 
     /// Told to stop and nobody is left, or told twice.
     fn over(&self) -> bool {
-        let empty = self.desk.clients.door.count() == 0 && self.desk.in_hand() == 0;
+        let empty = self.desk.clients.admission.connection_count() == 0 && self.desk.in_hand() == 0;
         self.stops > 1 || self.stops == 1 && empty
     }
 
     fn wait(&self) -> Option<std::time::Duration> {
-        if !self.turns.is_empty() || self.part_more {
+        if !self.turns.is_empty() || self.membership_readable {
             return Some(std::time::Duration::ZERO);
         }
         let mut due = self.looked + LOOK;
         for at in [self.desk.wake_at, self.desk.next_timer(), self.desk.next_look()].into_iter().flatten() {
             due = due.min(at);
         }
-        let due = span(due - self.clock.now());
-        Some(self.part.as_ref().map_or(due, |p| due.min(std::time::Duration::from_millis(p.due()))))
+        let due = ticks_to_duration(due - self.clock.now());
+        Some(
+            self.membership
+                .as_ref()
+                .map_or(due, |p| due.min(std::time::Duration::from_millis(p.millis_until_tick()))),
+        )
     }
 
     fn ready(&mut self, token: Token, readable: bool) {
         let now = self.desk.now;
         match token {
             LISTENER => self.accepting = true,
-            FLEET => self.part_more = true,
+            FLEET => self.membership_readable = true,
             CONTROL => {
                 if let Some(control) = &mut self.control {
                     control.accept();
@@ -216,7 +225,7 @@
             }
             MAP => {
                 if let Some(map) = &mut self.desk.map {
-                    let more = map.ready(readable, &mut self.scratch, millis(now));
+                    let more = map.ready(readable, &mut self.scratch, ticks_to_millis(now));
                     if more && !self.turns.contains(&Turn::Map) {
                         self.turns.push_back(Turn::Map);
                     }
@@ -225,7 +234,7 @@
             }
             FOLLOW => {
                 if let Some(follow) = &mut self.follow
-                    && follow.ready(&mut self.scratch, &self.wanted, millis(now))
+                    && follow.ready(&mut self.scratch, &self.wanted, ticks_to_millis(now))
                 {
                     self.take_up_next();
                 }
@@ -292,7 +301,7 @@
                 }
                 Some(Turn::Map) => {
                     if let Some(map) = &mut self.desk.map
-                        && map.ready(false, &mut self.scratch, millis(now))
+                        && map.ready(false, &mut self.scratch, ticks_to_millis(now))
                     {
                         self.turns.push_back(Turn::Map);
                     }
@@ -305,8 +314,8 @@
                 None => break,
             }
         }
-        if let Some(part) = self.part.as_mut().filter(|_| self.part_more) {
-            self.part_more = part.heard();
+        if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
+            self.membership_readable = membership.on_readable();
         }
         self.hear_list();
         self.desk.now = self.clock.now();
@@ -329,7 +338,7 @@
         self.tend_follow();
         self.tell_part();
         if let Some(map) = &mut self.desk.map {
-            map.tend(millis(self.desk.now));
+            map.tend(ticks_to_millis(self.desk.now));
         }
         self.desk.nodes.flush();
         let mut again = Vec::new();
@@ -366,13 +375,13 @@
             let span = (now - self.counted.0) as f64 / 10_000.0;
             let counts = self.desk.figures.volumes.iter().zip(&mut self.counted.1);
             for (wanted, (f, before)) in self.wanted.iter_mut().zip(counts) {
-                *wanted = ((f.asked - *before) / span * 1000.0) as Units;
+                *wanted = ((f.asked - *before) / span * 1000.0) as MilliUnits;
                 *before = f.asked;
             }
             self.counted.0 = now;
-            follow.tend(millis(now), rand::rng().next_u64() % 1_000);
+            follow.tend(ticks_to_millis(now), rand::rng().next_u64() % 1_000);
         }
-        let parts = follow.member.parts(millis(now)).zip(&mut self.parts);
+        let parts = follow.member.available_quotas(ticks_to_millis(now)).zip(&mut self.parts);
         for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
             *kept = part;
             self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
@@ -382,11 +391,11 @@
     /// Takes up the state that the control service has sent, or says why not.
     fn take_up_next(&mut self) {
         let Some(follow) = &self.follow else { return };
-        let Some(state) = follow.member.next() else { return };
+        let Some(state) = follow.member.pending() else { return };
         let taken = self.of_state(state).map(|taken| self.put(taken));
         let Some(follow) = &mut self.follow else { return };
         match taken {
-            Ok(()) => follow.acts_on(millis(self.desk.now)),
+            Ok(()) => follow.acts_on(ticks_to_millis(self.desk.now)),
             Err(why) => follow.against(&why),
         }
         self.tend_follow();
@@ -417,7 +426,9 @@
     fn hear_list(&mut self) {
         while let Some((form, listed)) = self.list.news() {
             for l in &listed {
-                self.desk.nodes.all[l.node.0 as usize].line.listed(l.state == NodeState::Left);
+                self.desk.nodes.all[l.node.0 as usize]
+                    .connection
+                    .set_node_removed(l.state == NodeState::Left);
             }
             let now = self.desk.now;
             self.scheduler.listed(&mut self.desk, now, form, &listed);
@@ -427,15 +438,15 @@
 
     /// What this host acts on, for the fleet's view.
     fn tell_part(&mut self) {
-        let Some(part) = &mut self.part else { return };
+        let Some(membership) = &mut self.membership else { return };
         let plans = self.follow.as_ref().map_or(0, |f| f.member.state().version);
-        part.facts(Facts { list: self.list.known().1, plans });
+        membership.set_active_versions(ActiveVersions { endpoint_list: self.list.known().1, plans });
     }
 
     fn drain(&mut self, cause: &str) -> bool {
         let drained = self.desk.clients.drain(self.desk.now);
         if drained && self.stops > 0 {
-            self.part.iter_mut().for_each(|p| p.leave(false));
+            self.membership.iter_mut().for_each(|p| p.announce_leaving());
         }
         if drained {
             tracing::info!(cause, "closed to new logins");
@@ -450,7 +461,7 @@
             "drain" => if self.drain("operator") { "draining" } else { "draining already" }.into(),
             "undrain" if self.stops > 0 => "error: the host is stopping".into(),
             "undrain" => {
-                self.desk.clients.door.undrain();
+                self.desk.clients.admission.stop_draining();
                 tracing::info!("open to logins");
                 "open".into()
             }
@@ -513,7 +524,7 @@
             let view = view.unwrap_or_default();
             NodeStatus {
                 name: n.name.clone(),
-                connected: n.line.is_up(),
+                connected: n.connection.is_ready(),
                 open: view.open,
                 cold: view.cold,
                 out: view.out,
@@ -533,9 +544,9 @@
         };
         Status {
             host: self.site.host.name.clone(),
-            up_seconds: millis(desk.now) as f64 / 1000.0,
-            draining: desk.clients.door.draining(),
-            connections: desk.clients.door.count(),
+            up_seconds: ticks_to_millis(desk.now) as f64 / 1000.0,
+            draining: desk.clients.admission.is_draining(),
+            connections: desk.clients.admission.connection_count(),
             in_hand: desk.in_hand(),
             buffer_bytes: desk.clients.held(),
             list_epoch,
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -1,12 +1,14 @@
 //! Connections of clients: requests are read off them one at a time, and answers written.
 use crate::{MESSAGE, take_front, tidy};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::{self, Care, Doing, Guest, Leaving};
-use mallowseam_http1::{Fault, RequestHead, RequestReader, Whole};
-use mallowseam_platform::answer;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection::{self, ClientConnection, Phase, TimeoutAction};
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
+use mallowseam_http1::{MessageSpan, ParseError, RequestHead, RequestReader};
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::BioId;
-use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Parcel, Tried};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::outgoing_message::OutgoingMessage;
+use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
@@ -18,13 +20,13 @@
 
 struct Client {
     socket: TcpStream,
-    guest: Guest,
+    state: ClientConnection,
     /// What has come and is not yet done with; a request in hand stands at its front.
     buffer: Vec<u8>,
     reader: RequestReader,
-    whole: Option<Whole>,
+    whole: Option<MessageSpan>,
     bio: Option<BioId>,
-    out: Parcel,
+    out: OutgoingMessage,
     /// The poll has told of it; the socket may have more to read; its client has ended its side; nothing follows the
     /// answer in `out`.
     told: bool,
@@ -41,7 +43,8 @@
 
     /// Whether more of a request has come that was not read yet.
     fn may_ask(&mut self) -> bool {
-        if !matches!(self.guest.doing(), Doing::Silent | Doing::Midway | Doing::Idle) {
+        if !matches!(self.state.phase(), Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle)
+        {
             return false;
         }
         self.readable |= matches!(self.socket.peek(&mut [0]), Ok(n) if n > 0);
@@ -66,7 +69,7 @@
 }
 
 pub struct Clients {
-    all: Slots<Client>,
+    all: Slab<Client>,
     registry: Registry,
     token: fn(u32) -> Token,
     most: usize,
@@ -74,7 +77,7 @@
     bytes: usize,
     bytes_most: usize,
     /// Since when the host is to end.
-    pub leaving: Option<Leaving>,
+    pub leaving: Option<GracefulShutdown>,
     /// Those with more to read or to look at.
     pub turns: VecDeque<u32>,
     pub counts: Counts,
@@ -90,20 +93,20 @@
 }
 
 /// The status that tells of a message that can't be read.
-fn status(fault: Fault) -> u16 {
+fn status(fault: ParseError) -> u16 {
     match fault {
-        Fault::Malformed | Fault::Framing => 400,
-        Fault::HeadTooLarge => 431,
-        Fault::BodyTooLarge => 413,
-        Fault::NoLength => 411,
-        Fault::Unsupported => 501,
+        ParseError::Malformed | ParseError::AmbiguousFraming => 400,
+        ParseError::HeadTooLarge => 431,
+        ParseError::BodyTooLarge => 413,
+        ParseError::MissingLength => 411,
+        ParseError::Unsupported => 501,
     }
 }
 
 impl Clients {
     pub fn new(registry: Registry, token: fn(u32) -> Token, most: usize, bytes_most: usize) -> Self {
         Clients {
-            all: Slots::default(),
+            all: Slab::default(),
             registry,
             token,
             most,
@@ -138,7 +141,8 @@
         while self.full() {
             // One with something to read has not been looked at yet: it may just have sent its request.
             let looked = self.all.iter().filter(|(_, c)| !c.queued && !c.readable);
-            let Some(at) = front::gives_way(looked.map(|(at, c)| (at, &c.guest)), now) else {
+            let Some(at) = client_connection::eviction_candidate(looked.map(|(at, c)| (at, &c.state)), now)
+            else {
                 self.counts.turned_off += 1;
                 return;
             };
@@ -148,19 +152,19 @@
             }
         }
         let _ = socket.set_nodelay(true);
-        let at = self.all.next();
+        let at = self.all.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.registry.register(&mut socket, (self.token)(at), interest).is_err() {
             return;
         }
-        self.all.put(Client {
+        self.all.insert(Client {
             socket,
-            guest: Guest::new(now),
+            state: ClientConnection::new(now),
             buffer: Vec::new(),
             reader: RequestReader::default(),
             whole: None,
             bio: None,
-            out: Parcel::default(),
+            out: OutgoingMessage::default(),
             told: false,
             readable: true,
             left: false,
@@ -171,7 +175,7 @@
     }
 
     fn close(&mut self, at: u32) {
-        if let Some(mut client) = self.all.take(at) {
+        if let Some(mut client) = self.all.remove(at) {
             self.bytes -= client.bytes();
             let _ = self.registry.deregister(&mut client.socket);
         }
@@ -207,12 +211,12 @@
     pub fn turn(&mut self, at: u32, scratch: &mut [u8], now: Millis) -> Came {
         let Some(client) = self.all.get_mut(at) else { return Came::Nothing };
         client.queued = false;
-        if client.guest.doing() == Doing::Lingers {
+        if client.state.phase() == Phase::Lingering {
             self.drop_rest(at, scratch);
             return Came::Nothing;
         }
         // While it rests, or has something in hand, what it sends waits in the socket.
-        if !client.guest.reads(now) {
+        if !client.state.may_read(now) {
             return Came::Nothing;
         }
         let before = client.bytes();
@@ -223,7 +227,7 @@
             Ok(true) => Came::Request,
             Err(Some(fault)) => {
                 self.counts.unreadable += 1;
-                self.end(at, status(fault), fault.words(), now);
+                self.end(at, status(fault), fault.message(), now);
                 Came::Nothing
             }
             Err(None) => {
@@ -232,7 +236,7 @@
             }
             // All clients' bytes together have their bound: who would pass it is asked to come back.
             Ok(false) if full => {
-                self.end(at, answer::SHED, "no room", now);
+                self.end(at, response::SHED_STATUS, "no room", now);
                 Came::Nothing
             }
             Ok(false) => Came::Nothing,
@@ -240,34 +244,34 @@
     }
 
     /// Error: the message is at fault, or (none) the connection is over.
-    fn read(client: &mut Client, scratch: &mut [u8], now: Millis) -> Result<bool, Option<Fault>> {
+    fn read(client: &mut Client, scratch: &mut [u8], now: Millis) -> Result<bool, Option<ParseError>> {
         loop {
             if !client.buffer.is_empty() {
-                if client.guest.doing() != Doing::Midway {
-                    client.guest.turns(Doing::Midway, now);
+                if client.state.phase() != Phase::ReceivingRequest {
+                    client.state.enter_phase(Phase::ReceivingRequest, now);
                 }
                 client.whole = client.reader.advance(&mut client.buffer, MESSAGE).map_err(Some)?;
                 if client.whole.is_some() {
                     return Ok(true);
                 }
-                if client.reader.expects() {
-                    client.out.small.extend_from_slice(answer::GO_ON);
-                    client.out.push(&mut client.socket).map_err(|_| None)?;
+                if client.reader.take_expect_continue() {
+                    client.out.head.extend_from_slice(response::CONTINUE);
+                    client.out.write_to(&mut client.socket).map_err(|_| None)?;
                 }
             }
             if !client.readable {
                 return Ok(false);
             }
-            let room = (MESSAGE.buffer() - client.buffer.len()).min(scratch.len());
-            match wire::read(&mut client.socket, &mut scratch[..room]) {
-                Tried::Read(count) => {
+            let room = (MESSAGE.buffer_capacity() - client.buffer.len()).min(scratch.len());
+            match nonblocking::read(&mut client.socket, &mut scratch[..room]) {
+                ReadOutcome::Read(count) => {
                     client.buffer.extend_from_slice(&scratch[..count]);
                     // Less than there was room for: nothing more has come, and what does is told anew. The end
                     // of a client's side is told once.
                     client.readable = count == room || client.left;
                 }
-                Tried::Blocked => client.readable = false,
-                Tried::Over(_) => return Err(None),
+                ReadOutcome::WouldBlock => client.readable = false,
+                ReadOutcome::Closed(_) => return Err(None),
             }
         }
     }
@@ -276,11 +280,11 @@
     fn drop_rest(&mut self, at: u32, scratch: &mut [u8]) {
         let Some(client) = self.all.get_mut(at) else { return };
         while client.readable {
-            match wire::read(&mut client.socket, scratch) {
-                Tried::Read(count) if client.guest.dropped(count) => return self.close(at),
-                Tried::Read(_) => {}
-                Tried::Blocked => client.readable = false,
-                Tried::Over(_) => return self.close(at),
+            match nonblocking::read(&mut client.socket, scratch) {
+                ReadOutcome::Read(count) if client.state.bytes_discarded(count) => return self.close(at),
+                ReadOutcome::Read(_) => {}
+                ReadOutcome::WouldBlock => client.readable = false,
+                ReadOutcome::Closed(_) => return self.close(at),
             }
         }
     }
@@ -289,7 +293,7 @@
     pub fn request(&self, at: u32) -> Option<(RequestHead<'_>, &[u8])> {
         let client = self.all.get(at)?;
         let whole = client.whole?;
-        let head = RequestHead::read(&client.buffer, MESSAGE).ok().flatten()?;
+        let head = RequestHead::parse(&client.buffer, MESSAGE).ok().flatten()?;
         Some((head, &client.buffer[whole.body..whole.end]))
     }
 
@@ -302,8 +306,8 @@
     pub fn taken(&mut self, at: u32, bio: BioId, now: Millis) {
         if let Some(client) = self.all.get_mut(at) {
             client.bio = Some(bio);
-            client.guest.right();
-            client.guest.turns(Doing::InHand, now);
+            client.state.request_accepted();
+            client.state.enter_phase(Phase::InFlight, now);
         }
     }
 
@@ -311,14 +315,14 @@
     pub fn wrong(&mut self, at: u32, status: u16, words: &str, now: Millis) {
         self.counts.wrong += 1;
         if let Some(client) = self.all.get_mut(at) {
-            client.guest.wrong(now);
+            client.state.request_rejected(now);
         }
         self.answer(at, status, words.as_bytes(), 0, now);
     }
 
     /// The answer to the whole request of a connection.
     pub fn answer(&mut self, at: u32, status: u16, body: &[u8], come_back: u64, now: Millis) {
-        self.answer_with(at, status, body.len(), come_back, now, |out| out.small.extend_from_slice(body));
+        self.answer_with(at, status, body.len(), come_back, now, |out| out.head.extend_from_slice(body));
     }
 
     /// The same, and the last one on its connection.
@@ -331,7 +335,7 @@
 
     /// The same with a body that stands in a buffer, which is handed on.
     pub fn hand_on(&mut self, at: u32, buffer: Vec<u8>, from: usize, to: usize, now: Millis) {
-        self.answer_with(at, 200, to - from, 0, now, |out| out.put(buffer, from, to));
+        self.answer_with(at, 200, to - from, 0, now, |out| out.set_body(buffer, from, to));
     }
 
     fn answer_with(
@@ -341,20 +345,20 @@
         body: usize,
         come_back: u64,
         now: Millis,
-        put: impl FnOnce(&mut Parcel),
+        put: impl FnOnce(&mut OutgoingMessage),
     ) {
         let Some(client) = self.all.get_mut(at) else { return };
         let before = client.bytes();
-        let ends = self.leaving.is_some_and(|l| !l.lets_in(now));
-        client.last |= ends || client.left || client.reader.closes();
-        answer::write(&mut client.out.small, status, body, come_back, client.last);
+        let ends = self.leaving.is_some_and(|l| !l.admits_clients(now));
+        client.last |= ends || client.left || client.reader.closes_connection();
+        response::write_head(&mut client.out.head, status, body, come_back, client.last);
         put(&mut client.out);
         if let Some(whole) = client.whole.take() {
             take_front(&mut client.buffer, whole.end);
         }
-        client.reader.next();
+        client.reader.reset();
         client.bio = None;
-        client.guest.turns(Doing::Answered, now);
+        client.state.enter_phase(Phase::SendingResponse, now);
         self.bytes = self.bytes + client.bytes() - before;
         self.flush(at, now);
     }
@@ -374,50 +378,50 @@
     fn flush(&mut self, at: u32, now: Millis) {
         let Some(client) = self.all.get_mut(at) else { return };
         let before = client.bytes();
-        let pushed = client.out.push(&mut client.socket);
+        let pushed = client.out.write_to(&mut client.socket);
         if client.out.is_empty() {
-            tidy(&mut client.out.small);
+            tidy(&mut client.out.head);
         }
         self.bytes = self.bytes + client.bytes() - before;
         if pushed.is_err() {
             return self.close(at);
         }
-        if !client.out.is_empty() || client.guest.doing() != Doing::Answered {
+        if !client.out.is_empty() || client.state.phase() != Phase::SendingResponse {
             return;
         }
         if client.last {
             if client.socket.shutdown(Shutdown::Write).is_err() {
                 return self.close(at);
             }
-            client.guest.turns(Doing::Lingers, now);
+            client.state.enter_phase(Phase::Lingering, now);
         } else {
-            client.guest.turns(Doing::Idle, now);
+            client.state.enter_phase(Phase::Idle, now);
         }
         self.queue(at);
     }
 
     /// Looks at how all connections stand.
     pub fn look(&mut self, now: Millis) {
-        for at in 0..self.all.places() {
+        for at in 0..self.all.index_bound() {
             let Some(client) = self.all.get_mut(at) else { continue };
-            match client.guest.care(now, self.leaving) {
+            match client.state.check_timeouts(now, self.leaving) {
                 // What stands in its socket is looked at first: it may be a whole request.
-                Care::Close | Care::Late if client.queued => {}
-                Care::Close | Care::Late if client.may_ask() => self.queue(at),
-                Care::Close => self.close(at),
-                Care::Late => self.end(at, 408, "the request is late", now),
-                Care::Nothing
-                    if client.guest.reads(now) && (client.readable || !client.buffer.is_empty()) =>
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.queued => {}
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.may_ask() => self.queue(at),
+                TimeoutAction::Close => self.close(at),
+                TimeoutAction::RejectLateRequest => self.end(at, 408, "the request is late", now),
+                TimeoutAction::Nothing
+                    if client.state.may_read(now) && (client.readable || !client.buffer.is_empty()) =>
                 {
                     self.queue(at);
                 }
-                Care::Nothing => {}
+                TimeoutAction::Nothing => {}
             }
         }
     }
 
     /// How many connections do what: for the log.
-    pub fn doing(&self, what: Doing) -> usize {
-        self.all.iter().filter(|(_, c)| c.guest.doing() == what).count()
+    pub fn doing(&self, phase: Phase) -> usize {
+        self.all.iter().filter(|(_, c)| c.state.phase() == phase).count()
     }
 }
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -1,13 +1,13 @@
 //! Connections to nodes: one submit at a time on each, kept and used again.
 use crate::{ANSWER, tidy};
-use mallowseam_conduct::parting::{self, Fit, Keep};
-use mallowseam_http1::{AnswerHead, AnswerReader, Whole};
-use mallowseam_platform::answer::{self, Said};
+use mallowseam_connection_policy::keep_alive::{self, KeepAlivePolicy, Reusability};
+use mallowseam_http1::{MessageSpan, ResponseHead, ResponseReader};
 use mallowseam_platform::request;
+use mallowseam_platform::response::{self, NodeResponse};
 use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
-use mallowseam_sockets::clock::millis;
-use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::clock::ticks_to_millis;
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::cmp::Reverse;
@@ -48,7 +48,7 @@
     out: Vec<u8>,
     sent: usize,
     buffer: Vec<u8>,
-    reader: AnswerReader,
+    reader: ResponseReader,
     idle_since: Tick,
     /// It has carried a submit before.
     used: bool,
@@ -89,12 +89,12 @@
     pub since: Tick,
     /// When it was there to be heard; none: as of now.
     pub until: Option<Tick>,
-    pub said: Option<Said>,
+    pub said: Option<NodeResponse>,
 }
 
 pub struct Nodes {
     all: Vec<Option<Node>>,
-    lines: Slots<Line>,
+    lines: Slab<Line>,
     registry: Registry,
     token: fn(u32) -> Token,
     most: usize,
@@ -102,7 +102,7 @@
     bytes: usize,
     bytes_most: usize,
     connect_within: Tick,
-    keep: Keep,
+    keep_alive: KeepAlivePolicy,
     serial: u64,
     timers: BinaryHeap<Reverse<(Tick, u32, u64)>>,
 }
@@ -111,7 +111,7 @@
 pub struct Good {
     pub at: u32,
     pub came: Came,
-    whole: Whole,
+    whole: MessageSpan,
     close: bool,
 }
 
@@ -129,18 +129,18 @@
         most: usize,
         bytes_most: usize,
         connect_within: Tick,
-        keep: Keep,
+        keep_alive: KeepAlivePolicy,
     ) -> Self {
         Nodes {
             all: Vec::new(),
-            lines: Slots::default(),
+            lines: Slab::default(),
             registry,
             token,
             most,
             bytes: 0,
             bytes_most,
             connect_within,
-            keep,
+            keep_alive,
             serial: 0,
             timers: BinaryHeap::new(),
         }
@@ -196,7 +196,7 @@
 
     /// Submits that wait for a connection to a node that takes nothing new: they were never sent.
     pub fn call_back(&mut self, at: NodeId, came: &mut impl FnMut(Came)) {
-        for line in 0..self.lines.places() {
+        for line in 0..self.lines.index_bound() {
             let waits = self.lines.get(line).is_some_and(|l| l.node == at && !l.up);
             if waits && let Some(carried) = self.close(line) {
                 came(carried.came(at, Ending::Moot));
@@ -205,7 +205,7 @@
     }
 
     fn close(&mut self, at: u32) -> Option<Carried> {
-        let mut line = self.lines.take(at)?;
+        let mut line = self.lines.remove(at)?;
         self.bytes -= line.buffer.capacity();
         let _ = self.registry.deregister(&mut line.socket);
         if let Some(node) = self.node_mut(line.node) {
@@ -217,16 +217,18 @@
 
     /// An idle connection to a node that may carry a submit: alive, and with nothing unasked on it.
     fn idle(&mut self, at: NodeId, now: Tick) -> Option<u32> {
-        let keep = self.keep.now(millis(now));
+        let keep = self.keep_alive.idle_timeout(ticks_to_millis(now));
         loop {
             let node = self.node(at)?;
-            let idle =
-                node.idle.iter().map(|l| millis(now - self.lines.get(*l).map_or(now, |l| l.idle_since)));
-            let chosen = parting::choose(idle, keep)?;
+            let idle = node
+                .idle
+                .iter()
+                .map(|l| ticks_to_millis(now - self.lines.get(*l).map_or(now, |l| l.idle_since)));
+            let chosen = keep_alive::select_idle_connection(idle, keep)?;
             let line = node.idle[chosen];
             let mut byte = [0; 1];
-            let read = self.lines.get_mut(line).map(|l| wire::read(&mut l.socket, &mut byte));
-            if let Some(Tried::Blocked) = read {
+            let read = self.lines.get_mut(line).map(|l| nonblocking::read(&mut l.socket, &mut byte));
+            if let Some(ReadOutcome::WouldBlock) = read {
                 self.node_mut(at)?.idle.remove(chosen);
                 return Some(line);
             }
@@ -244,10 +246,10 @@
         let dial = self.node(at).and_then(|n| n.dial).ok_or(Ending::Moot)?;
         let mut socket = TcpStream::connect(dial).map_err(|_| Ending::NoConnect)?;
         let _ = socket.set_nodelay(true);
-        let place = self.lines.next();
+        let place = self.lines.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, (self.token)(place), interest).map_err(|_| Ending::Moot)?;
-        self.lines.put(Line {
+        self.lines.insert(Line {
             socket,
             node: at,
             up: false,
@@ -255,7 +257,7 @@
             out: Vec::new(),
             sent: 0,
             buffer: Vec::new(),
-            reader: AnswerReader::default(),
+            reader: ResponseReader::default(),
             idle_since: now,
             used: false,
         });
@@ -313,9 +315,9 @@
             return None;
         }
         let node = line.node;
-        let (sent, fault) = match wire::send(&mut line.socket, &line.out[line.sent..]) {
+        let (sent, fault) = match nonblocking::write(&mut line.socket, &line.out[line.sent..]) {
             Ok(sent) => (sent, false),
-            Err((sent, _)) => (sent, true),
+            Err(error) => (error.written, true),
         };
         line.sent += sent;
         let whole = line.sent == line.out.len();
@@ -354,7 +356,7 @@
         let Some(carried) = line.carried else {
             // Bytes unasked, or the end: either way it is of no more use.
             let mut byte = [0; 1];
-            if !matches!(wire::read(&mut line.socket, &mut byte), Tried::Blocked) {
+            if !matches!(nonblocking::read(&mut line.socket, &mut byte), ReadOutcome::WouldBlock) {
                 self.close(place);
             }
             return Ready::Nothing;
@@ -371,13 +373,13 @@
                 return Ready::Nothing;
             }
             // What a node says before it was asked is no answer to anything.
-            if !matches!(wire::read(&mut line.socket, &mut [0]), Tried::Blocked) {
+            if !matches!(nonblocking::read(&mut line.socket, &mut [0]), ReadOutcome::WouldBlock) {
                 self.close(place);
                 return Ready::Came(came(Ending::NoConnect));
             }
             line.up = true;
             // What waited for its connection has less time left than it was written with.
-            request::write_wait(&mut line.out, millis(carried.limit_at - now).max(1));
+            request::rewrite_timeout(&mut line.out, ticks_to_millis(carried.limit_at - now).max(1));
         }
         if line.sent < line.out.len()
             && let Some(came) = self.push(place, Ending::NoConnect)
@@ -402,27 +404,32 @@
             let had = line.buffer.len();
             let capacity = line.buffer.capacity();
             // Of a long answer just the rest is read; what stands behind it shows on the next look.
-            let lacks = line.reader.lacks(had).filter(|l| *l > 0);
-            let room = lacks.unwrap_or(FIRST).min(ANSWER.buffer() + 1 - had.min(ANSWER.buffer()));
+            let lacks = line.reader.remaining(had).filter(|l| *l > 0);
+            let room =
+                lacks.unwrap_or(FIRST).min(ANSWER.buffer_capacity() + 1 - had.min(ANSWER.buffer_capacity()));
             let room = room.min(scratch.len());
-            let tried = wire::read(&mut line.socket, &mut scratch[..room]);
-            if let Tried::Read(count) = tried {
+            let tried = nonblocking::read(&mut line.socket, &mut scratch[..room]);
+            if let ReadOutcome::Read(count) = tried {
                 line.buffer.reserve_exact(lacks.unwrap_or(0));
                 line.buffer.extend_from_slice(&scratch[..count]);
             }
             self.bytes = self.bytes + line.buffer.capacity() - capacity;
             let count = match tried {
-                Tried::Blocked => return Ready::Nothing,
-                Tried::Over(_) => {
+                ReadOutcome::WouldBlock => return Ready::Nothing,
+                ReadOutcome::Closed(_) => {
                     let unheard = line.used && line.buffer.is_empty();
                     if let Some(carried) = line.carried.filter(|_| unheard) {
-                        let idle = millis(carried.since - line.idle_since);
-                        self.keep.broke(idle, millis(now - carried.since), millis(now));
+                        let idle = ticks_to_millis(carried.since - line.idle_since);
+                        self.keep_alive.connection_lost(
+                            idle,
+                            ticks_to_millis(now - carried.since),
+                            ticks_to_millis(now),
+                        );
                     }
                     self.close(place);
                     return Ready::Came(came(cut_off));
                 }
-                Tried::Read(count) => count,
+                ReadOutcome::Read(count) => count,
             };
             // Less than there was room for: nothing more has come, and what does is told anew.
             let drained = count < room && !ended;
@@ -447,20 +454,27 @@
         Ready::Came(came)
     }
 
-    fn answered(&mut self, place: u32, whole: Whole, now: Tick, came: &impl Fn(Ending) -> Came) -> Ready {
+    fn answered(
+        &mut self,
+        place: u32,
+        whole: MessageSpan,
+        now: Tick,
+        came: &impl Fn(Ending) -> Came,
+    ) -> Ready {
         let Some(line) = self.lines.get(place) else { return Ready::Nothing };
-        let head = AnswerHead::read(&line.buffer[whole.start..], ANSWER).ok().flatten().expect("read before");
-        let said = answer::read(&head);
+        let head =
+            ResponseHead::parse(&line.buffer[whole.start..], ANSWER).ok().flatten().expect("read before");
+        let said = response::parse(&head);
         // A node begins with a request's last byte: what it says before was made for another.
         if !line.written() && said.ending != Ending::Busy {
             self.close(place);
             return Ready::Came(came(Ending::NoConnect));
         }
-        let kept = parting::kept_behind(said.ending == Ending::Busy);
+        let kept = keep_alive::keep_after_response(said.ending == Ending::Busy);
         let close = head.close || !kept || line.buffer.len() > whole.end || !line.written();
         let (node, fresh) = (line.node, !line.used);
         if !kept && fresh {
-            self.keep.crowded(millis(now));
+            self.keep_alive.new_connection_rejected(ticks_to_millis(now));
         }
         let came = Came { said: Some(said), ..came(said.ending) };
         if let Some(node) = self.node_mut(node) {
@@ -504,7 +518,7 @@
         }
         let Some(line) = self.lines.get_mut(place) else { return };
         (line.carried, line.sent, line.idle_since, line.used) = (None, 0, now, true);
-        line.reader = AnswerReader::default();
+        line.reader = ResponseReader::default();
         tidy(&mut line.out);
         self.bytes -= line.buffer.capacity();
         tidy(&mut line.buffer);
@@ -570,16 +584,19 @@
 
     /// For how long idle connections are kept as of now.
     pub fn kept(&mut self, now: Tick) -> u64 {
-        self.keep.now(millis(now))
+        self.keep_alive.idle_timeout(ticks_to_millis(now))
     }
 
     /// Gives up idle connections before their nodes do.
     pub fn look(&mut self, now: Tick) {
         let keep = self.kept(now);
-        for place in 0..self.lines.places() {
-            let idle =
-                self.lines.get(place).filter(|l| l.carried.is_none()).map(|l| millis(now - l.idle_since));
-            if idle.is_some_and(|idle| parting::fit(idle, keep) == Fit::TooOld) {
+        for place in 0..self.lines.index_bound() {
+            let idle = self
+                .lines
+                .get(place)
+                .filter(|l| l.carried.is_none())
+                .map(|l| ticks_to_millis(now - l.idle_since));
+            if idle.is_some_and(|idle| keep_alive::reusability(idle, keep) == Reusability::Expired) {
                 self.close(place);
             }
         }
