--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -1,423 +1,291 @@
-//! Connections of clients: requests are read off them one at a time, and answers written.
-use crate::{MESSAGE, take_front, tidy};
+//! Connections of clients: one request at a time on each.
+//!
+//! - `connection`: one connection; reads requests.
+//! - `response`: writes responses.
+mod connection;
+mod response;
+
+use crate::buffers::REQUEST_BOUNDS;
+use crate::tokens;
+use connection::{ClientConnection, ReadError};
 use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::{self, Care, Doing, Guest, Leaving};
-use mallowseam_http1::{Fault, RequestHead, RequestReader, Whole};
+use mallowseam_conduct::front::{self, Care, Doing, Leaving};
+use mallowseam_http1::RequestHead;
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
 use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Parcel, Tried};
 use mio::net::TcpStream;
-use mio::{Interest, Registry, Token};
+use mio::{Interest, Registry};
 use std::collections::VecDeque;
-use std::io::ErrorKind;
-use std::net::Shutdown;
+
+pub use response::{CONFLICT, OK, Response};
 
 #[cfg(test)]
 mod tests;
 
-struct Client {
-    socket: TcpStream,
-    guest: Guest,
-    /// What has come and is not yet done with; a request in hand stands at its front.
-    buffer: Vec<u8>,
-    reader: RequestReader,
-    whole: Option<Whole>,
-    bio: Option<BioId>,
-    out: Parcel,
-    /// The poll has told of it; the socket may have more to read; its client has ended its side; nothing follows the
-    /// answer in `out`.
-    told: bool,
-    readable: bool,
-    left: bool,
-    last: bool,
-    queued: bool,
-}
-
-impl Client {
-    fn bytes(&self) -> usize {
-        self.buffer.capacity() + self.out.capacity()
-    }
-
-    /// Whether more of a request has come that was not read yet.
-    fn may_ask(&mut self) -> bool {
-        if !matches!(self.guest.doing(), Doing::Silent | Doing::Midway | Doing::Idle) {
-            return false;
-        }
-        self.readable |= matches!(self.socket.peek(&mut [0]), Ok(n) if n > 0);
-        self.readable
-    }
-
-    /// Whether it has left, by a look at its socket ahead of the poll. The end shows once all before it is read.
-    fn has_left(&mut self) -> bool {
-        self.left |= match self.socket.peek(&mut [0]) {
-            Ok(n) => n == 0,
-            Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
-        };
-        self.left
-    }
-}
-
-/// What a look at a client's connection came to.
-pub enum Came {
-    Nothing,
-    /// A whole request, to be looked at with `request`.
+/// The result of reading a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadOutcome {
+    /// No request is complete.
+    Incomplete,
+    /// A request is complete; `ClientConnections::request` returns it.
     Request,
 }
 
-pub struct Clients {
-    all: Slots<Client>,
-    registry: Registry,
-    token: fn(u32) -> Token,
-    most: usize,
-    /// Bytes held for all clients, and the most of it.
-    bytes: usize,
-    bytes_most: usize,
-    /// Since when the host is to end.
-    pub leaving: Option<Leaving>,
-    /// Those with more to read or to look at.
-    pub turns: VecDeque<u32>,
-    pub counts: Counts,
-}
-
-/// What came of clients' connections, for the log.
+/// Connections and requests of clients, counted for the status log.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct ClientCounters {
+    /// Connections accepted.
     pub accepted: u64,
-    pub turned_off: u64,
-    pub unreadable: u64,
-    pub wrong: u64,
+    /// Connections closed at once because none could be evicted for them.
+    pub rejected: u64,
+    /// Messages that could not be parsed.
+    pub malformed: u64,
+    /// Requests that were parsed and rejected.
+    pub invalid: u64,
 }
 
-/// The status that tells of a message that can't be read.
-fn status(fault: Fault) -> u16 {
-    match fault {
-        Fault::Malformed | Fault::Framing => 400,
-        Fault::HeadTooLarge => 431,
-        Fault::BodyTooLarge => 413,
-        Fault::NoLength => 411,
-        Fault::Unsupported => 501,
-    }
+/// All connections of clients.
+pub struct ClientConnections {
+    connections: Slots<ClientConnection>,
+    registry: Registry,
+    max_connections: usize,
+    /// Bytes held for all clients, and their bound.
+    bytes: usize,
+    max_bytes: usize,
+    /// Set once the graceful shutdown has begun.
+    shutdown: Option<Leaving>,
+    /// Slots of connections that may have something to read.
+    read_queue: VecDeque<u32>,
+    counters: ClientCounters,
 }
 
-impl Clients {
-    pub fn new(registry: Registry, token: fn(u32) -> Token, most: usize, bytes_most: usize) -> Self {
-        Clients {
-            all: Slots::default(),
+impl ClientConnections {
+    /// No connections, with the limits on them.
+    pub fn new(registry: Registry, max_connections: usize, max_bytes: usize) -> Self {
+        ClientConnections {
+            connections: Slots::default(),
             registry,
-            token,
-            most,
+            max_connections,
             bytes: 0,
-            bytes_most,
-            leaving: None,
-            turns: VecDeque::new(),
-            counts: Counts::default(),
+            max_bytes,
+            shutdown: None,
+            read_queue: VecDeque::new(),
+            counters: ClientCounters::default(),
         }
     }
 
+    /// Connections held.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.connections.len()
     }
 
+    /// Bytes held for all clients.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    pub fn full(&self) -> bool {
-        self.all.len() >= self.most
+    /// The counters for the status log.
+    pub fn counters(&self) -> ClientCounters {
+        self.counters
+    }
+
+    /// Number of connections in a state, for the status log.
+    pub fn count_in_state(&self, state: Doing) -> usize {
+        self.connections.iter().filter(|(_, client)| client.state.doing() == state).count()
     }
 
-    /// Whether so many bytes more can be held for clients.
-    pub fn has_room(&self, bytes: usize) -> bool {
-        self.bytes + bytes <= self.bytes_most
+    /// Whether the next connection needs another one to be evicted.
+    pub fn is_full(&self) -> bool {
+        self.connections.len() >= self.max_connections
     }
 
-    /// A connection was accepted: it has a place, another gives way, or it is closed.
-    pub fn enter(&mut self, mut socket: TcpStream, now: Millis) {
-        self.counts.accepted += 1;
-        while self.full() {
-            // One with something to read has not been looked at yet: it may just have sent its request.
-            let looked = self.all.iter().filter(|(_, c)| !c.queued && !c.readable);
-            let Some(at) = front::gives_way(looked.map(|(at, c)| (at, &c.guest)), now) else {
-                self.counts.turned_off += 1;
+    /// Whether this many more bytes can be held for clients.
+    pub fn has_capacity(&self, bytes: usize) -> bool {
+        self.bytes + bytes <= self.max_bytes
+    }
+
+    /// The graceful shutdown, once it has begun.
+    pub fn shutdown(&self) -> Option<Leaving> {
+        self.shutdown
+    }
+
+    /// Begins the graceful shutdown.
+    pub fn begin_shutdown(&mut self, shutdown: Leaving) {
+        self.shutdown = Some(shutdown);
+    }
+
+    /// Adds an accepted connection. At the limit another one is evicted, or else the new one is closed.
+    pub fn add(&mut self, mut socket: TcpStream, now: Millis) {
+        self.counters.accepted += 1;
+        while self.is_full() {
+            if !self.evict_one(now) {
+                self.counters.rejected += 1;
                 return;
-            };
-            match self.all.get_mut(at).is_some_and(Client::may_ask) {
-                true => self.queue(at),
-                false => self.close(at),
             }
         }
         let _ = socket.set_nodelay(true);
-        let at = self.all.next();
+        let slot = self.connections.next();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if self.registry.register(&mut socket, (self.token)(at), interest).is_err() {
+        if self.registry.register(&mut socket, tokens::client(slot), interest).is_err() {
             return;
         }
-        self.all.put(Client {
-            socket,
-            guest: Guest::new(now),
-            buffer: Vec::new(),
-            reader: RequestReader::default(),
-            whole: None,
-            bio: None,
-            out: Parcel::default(),
-            told: false,
-            readable: true,
-            left: false,
-            last: false,
-            queued: false,
-        });
-        self.queue(at);
+        self.connections.put(ClientConnection::new(socket, now));
+        self.enqueue(slot);
+    }
+
+    /// Picks a connection to evict and closes it, or queues it to be read if a request has just arrived on it: then
+    /// another is picked next. False: none can be evicted.
+    fn evict_one(&mut self, now: Millis) -> bool {
+        // A connection with something to read may have a request.
+        let looked_at =
+            self.connections.iter().filter(|(_, client)| !client.is_queued && !client.is_readable);
+        let Some(slot) = front::gives_way(looked_at.map(|(slot, client)| (slot, &client.state)), now) else {
+            return false;
+        };
+        if self.connections.get_mut(slot).is_some_and(ClientConnection::has_unread_request) {
+            self.enqueue(slot);
+        } else {
+            self.close(slot);
+        }
+        true
     }
 
-    fn close(&mut self, at: u32) {
-        if let Some(mut client) = self.all.take(at) {
+    fn close(&mut self, slot: u32) {
+        if let Some(mut client) = self.connections.take(slot) {
             self.bytes -= client.bytes();
             let _ = self.registry.deregister(&mut client.socket);
         }
     }
 
-    fn queue(&mut self, at: u32) {
-        if let Some(client) = self.all.get_mut(at)
-            && !client.queued
+    fn enqueue(&mut self, slot: u32) {
+        if let Some(client) = self.connections.get_mut(slot)
+            && !client.is_queued
         {
-            client.queued = true;
-            self.turns.push_back(at);
+            client.is_queued = true;
+            self.read_queue.push_back(slot);
         }
     }
 
-    /// The poll has something of a connection. Some: its client has left what is in hand.
-    pub fn ready(&mut self, at: u32, readable: bool, ended: bool, now: Millis) -> Option<BioId> {
-        let client = self.all.get_mut(at)?;
-        client.told = true;
-        client.readable |= readable || ended;
-        client.left |= ended;
-        if !client.out.is_empty() {
-            self.flush(at, now);
+    /// Number of connections that wait to be read.
+    pub fn queue_len(&self) -> usize {
+        self.read_queue.len()
+    }
+
+    /// The next connection that waits to be read.
+    pub fn next_queued(&mut self) -> Option<u32> {
+        self.read_queue.pop_front()
+    }
+
+    /// Handles an event on a connection. Some: the client has disconnected while this block I/O is in flight.
+    pub fn on_event(
+        &mut self,
+        slot: u32,
+        is_readable: bool,
+        is_disconnected: bool,
+        now: Millis,
+    ) -> Option<BioId> {
+        let client = self.connections.get_mut(slot)?;
+        client.is_polled = true;
+        client.is_readable |= is_readable || is_disconnected;
+        client.is_disconnected |= is_disconnected;
+        if !client.output.is_empty() {
+            self.flush(slot, now);
         }
-        let client = self.all.get_mut(at)?;
-        if client.left && client.bio.is_some() {
-            return client.bio;
+        let client = self.connections.get_mut(slot)?;
+        if client.is_disconnected && client.io.is_some() {
+            return client.io;
         }
-        self.queue(at);
+        self.enqueue(slot);
         None
     }
 
-    /// A connection's turn: reads on until a request is whole or nothing more has come.
-    pub fn turn(&mut self, at: u32, scratch: &mut [u8], now: Millis) -> Came {
-        let Some(client) = self.all.get_mut(at) else { return Came::Nothing };
-        client.queued = false;
-        if client.guest.doing() == Doing::Lingers {
-            self.drop_rest(at, scratch);
-            return Came::Nothing;
+    /// Reads a queued connection until a request is complete or the socket is empty.
+    pub fn read(&mut self, slot: u32, scratch: &mut [u8], now: Millis) -> ReadOutcome {
+        let Some(client) = self.connections.get_mut(slot) else { return ReadOutcome::Incomplete };
+        client.is_queued = false;
+        if client.state.doing() == Doing::Lingers {
+            if !client.drain_input(scratch) {
+                self.close(slot);
+            }
+            return ReadOutcome::Incomplete;
         }
-        // While it rests, or has something in hand, what it sends waits in the socket.
-        if !client.guest.reads(now) {
-            return Came::Nothing;
+        // While the client is slowed down, or has a request in flight, what it sends waits in the socket.
+        if !client.state.reads(now) {
+            return ReadOutcome::Incomplete;
         }
         let before = client.bytes();
-        let read = Self::read(client, scratch, now);
+        let read = client.read_request(scratch, now);
         self.bytes = self.bytes + client.bytes() - before;
-        let full = self.bytes > self.bytes_most;
         match read {
-            Ok(true) => Came::Request,
-            Err(Some(fault)) => {
-                self.counts.unreadable += 1;
-                self.end(at, status(fault), fault.words(), now);
-                Came::Nothing
-            }
-            Err(None) => {
-                self.close(at);
-                Came::Nothing
-            }
-            // All clients' bytes together have their bound: who would pass it is asked to come back.
-            Ok(false) if full => {
-                self.end(at, answer::SHED, "no room", now);
-                Came::Nothing
-            }
-            Ok(false) => Came::Nothing,
-        }
-    }
-
-    /// Error: the message is at fault, or (none) the connection is over.
-    fn read(client: &mut Client, scratch: &mut [u8], now: Millis) -> Result<bool, Option<Fault>> {
-        loop {
-            if !client.buffer.is_empty() {
-                if client.guest.doing() != Doing::Midway {
-                    client.guest.turns(Doing::Midway, now);
-                }
-                client.whole = client.reader.advance(&mut client.buffer, MESSAGE).map_err(Some)?;
-                if client.whole.is_some() {
-                    return Ok(true);
-                }
-                if client.reader.expects() {
-                    client.out.small.extend_from_slice(answer::GO_ON);
-                    client.out.push(&mut client.socket).map_err(|_| None)?;
-                }
+            Ok(true) => return ReadOutcome::Request,
+            Err(ReadError::Closed) => self.close(slot),
+            Err(ReadError::Invalid(fault)) => {
+                self.counters.malformed += 1;
+                self.respond_with_error(slot, response::fault_status(fault), fault.words(), now);
             }
-            if !client.readable {
-                return Ok(false);
-            }
-            let room = (MESSAGE.buffer() - client.buffer.len()).min(scratch.len());
-            match wire::read(&mut client.socket, &mut scratch[..room]) {
-                Tried::Read(count) => {
-                    client.buffer.extend_from_slice(&scratch[..count]);
-                    // Less than there was room for: nothing more has come, and what does is told anew. The end
-                    // of a client's side is told once.
-                    client.readable = count == room || client.left;
-                }
-                Tried::Blocked => client.readable = false,
-                Tried::Over(_) => return Err(None),
-            }
-        }
-    }
-
-    /// What a client sends behind the end of its connection is read and dropped, within bounds.
-    fn drop_rest(&mut self, at: u32, scratch: &mut [u8]) {
-        let Some(client) = self.all.get_mut(at) else { return };
-        while client.readable {
-            match wire::read(&mut client.socket, scratch) {
-                Tried::Read(count) if client.guest.dropped(count) => return self.close(at),
-                Tried::Read(_) => {}
-                Tried::Blocked => client.readable = false,
-                Tried::Over(_) => return self.close(at),
+            // All clients share a memory limit: the request that exceeds it is shed.
+            Ok(false) if self.bytes > self.max_bytes => {
+                self.respond_with_error(slot, answer::SHED, "no room", now);
             }
+            Ok(false) => {}
         }
+        ReadOutcome::Incomplete
     }
 
-    /// The whole request of a connection: its head and its body. None: there is none.
-    pub fn request(&self, at: u32) -> Option<(RequestHead<'_>, &[u8])> {
-        let client = self.all.get(at)?;
-        let whole = client.whole?;
-        let head = RequestHead::read(&client.buffer, MESSAGE).ok().flatten()?;
-        Some((head, &client.buffer[whole.body..whole.end]))
-    }
-
-    /// Whether the client of a whole request has gone. `looks`: what the poll has said is too old to go by.
-    pub fn left(&mut self, at: u32, looks: bool) -> bool {
-        self.all.get_mut(at).is_none_or(|c| c.left || (looks || !c.told) && c.has_left())
-    }
-
-    /// The request of a connection is the scheduler's now.
-    pub fn taken(&mut self, at: u32, bio: BioId, now: Millis) {
-        if let Some(client) = self.all.get_mut(at) {
-            client.bio = Some(bio);
-            client.guest.right();
-            client.guest.turns(Doing::InHand, now);
-        }
-    }
-
-    /// A request that can't be taken; its connection goes on.
-    pub fn wrong(&mut self, at: u32, status: u16, words: &str, now: Millis) {
-        self.counts.wrong += 1;
-        if let Some(client) = self.all.get_mut(at) {
-            client.guest.wrong(now);
-        }
-        self.answer(at, status, words.as_bytes(), 0, now);
-    }
-
-    /// The answer to the whole request of a connection.
-    pub fn answer(&mut self, at: u32, status: u16, body: &[u8], come_back: u64, now: Millis) {
-        self.answer_with(at, status, body.len(), come_back, now, |out| out.small.extend_from_slice(body));
+    /// The head and the body of the complete request of a connection, if there is one.
+    pub fn request(&self, slot: u32) -> Option<(RequestHead<'_>, &[u8])> {
+        let client = self.connections.get(slot)?;
+        let request = client.request?;
+        let head = RequestHead::read(&client.input, REQUEST_BOUNDS).ok().flatten()?;
+        Some((head, &client.input[request.body..request.end]))
     }
 
-    /// The same, and the last one on its connection.
-    pub fn last_answer(&mut self, at: u32, status: u16, body: &[u8], now: Millis) {
-        if let Some(client) = self.all.get_mut(at) {
-            client.last = true;
-        }
-        self.answer(at, status, body, 0, now);
-    }
-
-    /// The same with a body that stands in a buffer, which is handed on.
-    pub fn hand_on(&mut self, at: u32, buffer: Vec<u8>, from: usize, to: usize, now: Millis) {
-        self.answer_with(at, 200, to - from, 0, now, |out| out.put(buffer, from, to));
+    /// Whether the client of a complete request has disconnected. `is_poll_stale`: the last poll is too old to rely on,
+    /// so the socket is checked.
+    pub fn is_disconnected(&mut self, slot: u32, is_poll_stale: bool) -> bool {
+        self.connections.get_mut(slot).is_none_or(|client| {
+            client.is_disconnected || (is_poll_stale || !client.is_polled) && client.check_disconnected()
+        })
     }
 
-    fn answer_with(
-        &mut self,
-        at: u32,
-        status: u16,
-        body: usize,
-        come_back: u64,
-        now: Millis,
-        put: impl FnOnce(&mut Parcel),
-    ) {
-        let Some(client) = self.all.get_mut(at) else { return };
-        let before = client.bytes();
-        let ends = self.leaving.is_some_and(|l| !l.lets_in(now));
-        client.last |= ends || client.left || client.reader.closes();
-        answer::write(&mut client.out.small, status, body, come_back, client.last);
-        put(&mut client.out);
-        if let Some(whole) = client.whole.take() {
-            take_front(&mut client.buffer, whole.end);
-        }
-        client.reader.next();
-        client.bio = None;
-        client.guest.turns(Doing::Answered, now);
-        self.bytes = self.bytes + client.bytes() - before;
-        self.flush(at, now);
-    }
-
-    /// An error on a connection that is of no further use.
-    fn end(&mut self, at: u32, status: u16, words: &str, now: Millis) {
-        if let Some(client) = self.all.get_mut(at) {
-            client.whole = None;
-            self.bytes -= client.bytes();
-            tidy(&mut client.buffer);
-            self.bytes += client.bytes();
+    /// The scheduler has admitted the request of a connection as this block I/O.
+    pub fn on_admitted(&mut self, slot: u32, io: BioId, now: Millis) {
+        if let Some(client) = self.connections.get_mut(slot) {
+            client.io = Some(io);
+            client.state.right();
+            client.state.turns(Doing::InHand, now);
         }
-        self.last_answer(at, status, words.as_bytes(), now);
     }
 
-    /// Writes what waits. All written, the connection is read on, or ends.
-    fn flush(&mut self, at: u32, now: Millis) {
-        let Some(client) = self.all.get_mut(at) else { return };
-        let before = client.bytes();
-        let pushed = client.out.push(&mut client.socket);
-        if client.out.is_empty() {
-            tidy(&mut client.out.small);
-        }
-        self.bytes = self.bytes + client.bytes() - before;
-        if pushed.is_err() {
-            return self.close(at);
+    /// Rejects a request. The connection stays open, and the client is slowed down.
+    pub fn reject_request(&mut self, slot: u32, status: u16, text: &str, now: Millis) {
+        self.counters.invalid += 1;
+        if let Some(client) = self.connections.get_mut(slot) {
+            client.state.wrong(now);
         }
-        if !client.out.is_empty() || client.guest.doing() != Doing::Answered {
-            return;
-        }
-        if client.last {
-            if client.socket.shutdown(Shutdown::Write).is_err() {
-                return self.close(at);
-            }
-            client.guest.turns(Doing::Lingers, now);
-        } else {
-            client.guest.turns(Doing::Idle, now);
-        }
-        self.queue(at);
+        self.respond(slot, Response::new(status, text.as_bytes()), now);
     }
 
-    /// Looks at how all connections stand.
-    pub fn look(&mut self, now: Millis) {
-        for at in 0..self.all.places() {
-            let Some(client) = self.all.get_mut(at) else { continue };
-            match client.guest.care(now, self.leaving) {
-                // What stands in its socket is looked at first: it may be a whole request.
-                Care::Close | Care::Late if client.queued => {}
-                Care::Close | Care::Late if client.may_ask() => self.queue(at),
-                Care::Close => self.close(at),
-                Care::Late => self.end(at, 408, "the request is late", now),
+    /// Applies the timeouts of all connections.
+    pub fn check_timeouts(&mut self, now: Millis) {
+        for slot in 0..self.connections.places() {
+            let Some(client) = self.connections.get_mut(slot) else { continue };
+            match client.state.care(now, self.shutdown) {
+                // What is in the socket is read first: it may be a complete request.
+                Care::Close | Care::Late if client.is_queued => {}
+                Care::Close | Care::Late if client.has_unread_request() => self.enqueue(slot),
+                Care::Close => self.close(slot),
+                Care::Late => {
+                    self.respond_with_error(slot, response::REQUEST_TIMEOUT, "the request is late", now);
+                }
                 Care::Nothing
-                    if client.guest.reads(now) && (client.readable || !client.buffer.is_empty()) =>
+                    if client.state.reads(now) && (client.is_readable || !client.input.is_empty()) =>
                 {
-                    self.queue(at);
+                    self.enqueue(slot);
                 }
                 Care::Nothing => {}
             }
         }
     }
-
-    /// How many connections do what: for the log.
-    pub fn doing(&self, what: Doing) -> usize {
-        self.all.iter().filter(|(_, c)| c.guest.doing() == what).count()
-    }
 }
--- /dev/null
+++ b/crates/platform-host/src/clients/connection.rs
@@ -0,0 +1,146 @@
+//! One connection of a client.
+use crate::buffers::{REQUEST_BOUNDS, recycle};
+use mallowseam_conduct::Millis;
+use mallowseam_conduct::front::{Doing, Guest};
+use mallowseam_http1::{Fault, RequestReader, Whole};
+use mallowseam_platform::answer;
+use mallowseam_scheduler::host::BioId;
+use mallowseam_sockets::wire::{self, Parcel, Tried};
+use mio::net::TcpStream;
+use std::io::ErrorKind;
+
+/// A client's connection: one request at a time.
+pub struct ClientConnection {
+    pub socket: TcpStream,
+    /// State of the connection, with its timeouts.
+    pub state: Guest,
+    /// Bytes read; a request in flight stays at the front.
+    pub input: Vec<u8>,
+    pub reader: RequestReader,
+    /// The complete request at the front of `input`.
+    pub request: Option<Whole>,
+    /// The block I/O that is in flight for it.
+    pub io: Option<BioId>,
+    /// Bytes to be written.
+    pub output: Parcel,
+    /// The poll has reported the connection at least once.
+    pub is_polled: bool,
+    /// The socket may have more to read.
+    pub is_readable: bool,
+    /// The client has closed its side.
+    pub is_disconnected: bool,
+    /// The response in `output` is the last.
+    pub close_after_response: bool,
+    /// The connection is in the read queue.
+    pub is_queued: bool,
+}
+
+/// Why reading has stopped.
+pub enum ReadError {
+    /// The message cannot be parsed.
+    Invalid(Fault),
+    /// The connection has ended.
+    Closed,
+}
+
+impl ClientConnection {
+    /// A new connection.
+    pub fn new(socket: TcpStream, now: Millis) -> Self {
+        ClientConnection {
+            socket,
+            state: Guest::new(now),
+            input: Vec::new(),
+            reader: RequestReader::default(),
+            request: None,
+            io: None,
+            output: Parcel::default(),
+            is_polled: false,
+            is_readable: true,
+            is_disconnected: false,
+            close_after_response: false,
+            is_queued: false,
+        }
+    }
+
+    /// Bytes of memory held.
+    pub fn bytes(&self) -> usize {
+        self.input.capacity() + self.output.capacity()
+    }
+
+    /// Drops what was read.
+    pub fn discard_input(&mut self) {
+        self.request = None;
+        recycle(&mut self.input);
+    }
+
+    /// Whether part of a request waits in the socket; peeks at it.
+    pub fn has_unread_request(&mut self) -> bool {
+        if !matches!(self.state.doing(), Doing::Silent | Doing::Midway | Doing::Idle) {
+            return false;
+        }
+        self.is_readable |= matches!(self.socket.peek(&mut [0]), Ok(count) if count > 0);
+        self.is_readable
+    }
+
+    /// Whether the client has disconnected, without waiting for the poll; peeks at the socket, which shows the end of
+    /// the stream once all before it was read.
+    pub fn check_disconnected(&mut self) -> bool {
+        self.is_disconnected |= match self.socket.peek(&mut [0]) {
+            Ok(count) => count == 0,
+            Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
+        };
+        self.is_disconnected
+    }
+
+    /// Reads until a request is complete (true) or the socket is empty (false).
+    pub fn read_request(&mut self, scratch: &mut [u8], now: Millis) -> Result<bool, ReadError> {
+        loop {
+            if !self.input.is_empty() && self.advance(now)? {
+                return Ok(true);
+            }
+            if !self.is_readable {
+                return Ok(false);
+            }
+            let limit = (REQUEST_BOUNDS.buffer() - self.input.len()).min(scratch.len());
+            match wire::read(&mut self.socket, &mut scratch[..limit]) {
+                Tried::Read(count) => {
+                    self.input.extend_from_slice(&scratch[..count]);
+                    // A short read has emptied the socket, and the poll reports what arrives later; but the end of
+                    // the stream is reported only once.
+                    self.is_readable = count == limit || self.is_disconnected;
+                }
+                Tried::Blocked => self.is_readable = false,
+                Tried::Over(_) => return Err(ReadError::Closed),
+            }
+        }
+    }
+
+    /// Parses what was read; true once a request is complete. A client that expects it gets 100 Continue.
+    fn advance(&mut self, now: Millis) -> Result<bool, ReadError> {
+        if self.state.doing() != Doing::Midway {
+            self.state.turns(Doing::Midway, now);
+        }
+        self.request = self.reader.advance(&mut self.input, REQUEST_BOUNDS).map_err(ReadError::Invalid)?;
+        if self.request.is_some() {
+            return Ok(true);
+        }
+        if self.reader.expects() {
+            self.output.small.extend_from_slice(answer::GO_ON);
+            self.output.push(&mut self.socket).map_err(|_| ReadError::Closed)?;
+        }
+        Ok(false)
+    }
+
+    /// Reads and drops what a client sends after its last response. False: the connection is to be closed.
+    pub fn drain_input(&mut self, scratch: &mut [u8]) -> bool {
+        while self.is_readable {
+            match wire::read(&mut self.socket, scratch) {
+                Tried::Read(count) if self.state.dropped(count) => return false,
+                Tried::Read(_) => {}
+                Tried::Blocked => self.is_readable = false,
+                Tried::Over(_) => return false,
+            }
+        }
+        true
+    }
+}
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,166 +1,233 @@
-//! A call to the node list service: a watch from a version on.
-use crate::{MESSAGE, tidy};
+//! A watch on the discovery service: one connection on which it streams changes of the endpoint list.
+use crate::buffers::{REQUEST_BOUNDS, recycle};
 use mallowseam_conduct::Millis;
 use mallowseam_conduct::watch::Watch;
-use mallowseam_http1::{AnswerHead, Bounds, Chunks, Framing};
+use mallowseam_http1::{AnswerHead, Bounds, Chunks, Fault, Framing};
 use mallowseam_platform::list::{self, Entry, Front, News};
 use mallowseam_sockets::wire::{self, Tried};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
+use std::io;
 use std::net::SocketAddr;
 
-/// A list is far longer than a message of clients or nodes.
-const LIST: Bounds = Bounds { head: MESSAGE.head, body: list::BYTES };
+/// An endpoint list is far longer than a message of clients or nodes.
+const LIST_BOUNDS: Bounds = Bounds { head: REQUEST_BOUNDS.head, body: list::BYTES };
 
+/// Why a watch is over.
+#[derive(Debug, thiserror::Error)]
+pub enum WatchError {
+    #[error("{0}")]
+    Open(#[source] io::Error),
+    #[error("{0}")]
+    Connect(#[source] io::Error),
+    #[error("{0}")]
+    Socket(String),
+    #[error("no connection")]
+    ConnectTimeout,
+    #[error("answered {0}")]
+    Status(u16),
+    #[error("{}", .0.words())]
+    Malformed(Fault),
+    #[error("a response without a list")]
+    NoList,
+    #[error("{0}")]
+    InvalidUpdate(String),
+    #[error("a truncated list")]
+    Truncated,
+    #[error("the list has ended")]
+    ListEnded,
+    #[error("the watch has ended")]
+    StreamEnded,
+    #[error("versions start again from below")]
+    VersionsRestarted,
+}
+
+/// An event on a watch.
+pub enum WatchEvent {
+    /// A full snapshot, or changes.
+    Update(News),
+    /// An empty line, sent to show that the watch is alive.
+    KeepAlive,
+    /// Endpoints that are draining or removed, from an update that is invalid otherwise.
+    Closings(Vec<Entry>),
+    /// The watch has ended.
+    Failed(WatchError),
+}
+
+/// What is read next of the response.
 enum Stage {
+    /// The head.
     Head,
-    Lines(Chunks),
-    Length(usize),
+    /// A stream of lines.
+    Stream(Chunks),
+    /// A single list of this many bytes.
+    Snapshot(usize),
 }
 
-pub struct Call {
+/// A connection to the discovery service.
+pub struct WatchConnection {
+    /// Timeouts of the watch.
+    pub watch: Watch,
     socket: TcpStream,
     address: SocketAddr,
-    /// The version that it was asked to go on from.
     since: Option<u64>,
-    out: Vec<u8>,
-    buffer: Vec<u8>,
+    request: Vec<u8>,
+    response: Vec<u8>,
     stage: Stage,
-    pub watch: Watch,
-}
-
-/// What a call came to.
-pub enum Heard {
-    News(News),
-    /// A line without news.
-    Alive,
-    /// What a line that is refused says of nodes that want nothing new.
-    Closings(Vec<Entry>),
-    Failed(String),
 }
 
-impl Call {
-    /// Asks for changes since a version, or for the whole list and then for changes.
+impl WatchConnection {
+    /// Asks for changes since a version, or for a full snapshot and then for changes.
     pub fn open(
         registry: &Registry,
         token: Token,
         address: SocketAddr,
         since: Option<u64>,
         now: Millis,
-    ) -> Result<Self, String> {
-        let mut socket = TcpStream::connect(address).map_err(|e| e.to_string())?;
+    ) -> Result<Self, WatchError> {
+        let mut socket = TcpStream::connect(address).map_err(WatchError::Open)?;
         let interest = Interest::READABLE | Interest::WRITABLE;
-        registry.register(&mut socket, token, interest).map_err(|e| e.to_string())?;
-        let mut out = Vec::new();
-        list::watch(&mut out, address, since);
-        let (buffer, stage, watch) = (Vec::new(), Stage::Head, Watch::new(now));
-        Ok(Call { socket, address, since, out, buffer, stage, watch })
+        registry.register(&mut socket, token, interest).map_err(WatchError::Open)?;
+        let mut request = Vec::new();
+        list::watch(&mut request, address, since);
+        Ok(WatchConnection {
+            watch: Watch::new(now),
+            socket,
+            address,
+            since,
+            request,
+            response: Vec::new(),
+            stage: Stage::Head,
+        })
     }
 
+    /// The service that it is connected to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
+    /// The version that it was asked to go on from.
     pub fn since(&self) -> Option<u64> {
         self.since
     }
 
-    /// Whether it has come through: the service may take it for a watch, though it has said nothing.
-    pub fn up(&self) -> bool {
-        self.out.is_empty() && self.socket.peer_addr().is_ok()
+    /// Whether the request was written: the service may count the watch as open, though it has sent nothing.
+    pub fn is_up(&self) -> bool {
+        self.request.is_empty() && self.socket.peer_addr().is_ok()
     }
 
-    /// Reads what has come. Each thing heard is told at once; after `Failed` the call is done.
-    pub fn ready(&mut self, scratch: &mut [u8], heard: &mut impl FnMut(Heard)) {
-        if self.socket.peer_addr().is_err() {
-            if let Ok(Some(e)) | Err(e) = self.socket.take_error() {
-                heard(Heard::Failed(e.to_string()));
-            }
-            return;
+    /// Writes the request and reads the response as far as the socket allows. `Failed` is the last event.
+    pub fn on_event(&mut self, scratch: &mut [u8], on_watch: &mut impl FnMut(WatchEvent)) {
+        if let Err(error) = self.exchange(scratch, on_watch) {
+            on_watch(WatchEvent::Failed(error));
         }
-        if let Err(why) = wire::push(&mut self.socket, &mut self.out) {
-            return heard(Heard::Failed(why));
+    }
+
+    fn exchange(
+        &mut self,
+        scratch: &mut [u8],
+        on_watch: &mut impl FnMut(WatchEvent),
+    ) -> Result<(), WatchError> {
+        if self.socket.peer_addr().is_err() {
+            return match self.socket.take_error() {
+                Ok(Some(error)) | Err(error) => Err(WatchError::Connect(error)),
+                Ok(None) => Ok(()),
+            };
         }
+        wire::push(&mut self.socket, &mut self.request).map_err(WatchError::Socket)?;
         loop {
             let count = match wire::read(&mut self.socket, scratch) {
                 Tried::Read(count) => count,
-                Tried::Blocked => return,
-                Tried::Over(why) => return heard(Heard::Failed(why)),
+                Tried::Blocked => return Ok(()),
+                Tried::Over(why) => return Err(WatchError::Socket(why)),
             };
-            self.buffer.extend_from_slice(&scratch[..count]);
-            if let Err(why) = self.steps(heard) {
-                return heard(Heard::Failed(why));
-            }
+            self.response.extend_from_slice(&scratch[..count]);
+            self.read_head()?;
+            self.read_body(on_watch)?;
         }
     }
 
-    /// Error: the call is done.
-    fn steps(&mut self, heard: &mut impl FnMut(Heard)) -> Result<(), String> {
+    /// Reads the head of the response, past any 1xx before it.
+    fn read_head(&mut self) -> Result<(), WatchError> {
         while let Stage::Head = self.stage {
-            let Some(head) = AnswerHead::read(&self.buffer, LIST).map_err(|f| f.words().to_owned())? else {
-                return Ok(());
-            };
-            if !head.ahead() && head.status != 200 {
-                return Err(format!("answered {}", head.status));
+            let head = AnswerHead::read(&self.response, LIST_BOUNDS).map_err(WatchError::Malformed)?;
+            let Some(head) = head else { return Ok(()) };
+            let is_interim = head.ahead();
+            if !is_interim && head.status != 200 {
+                return Err(WatchError::Status(head.status));
             }
-            let (len, framing, ahead) = (head.len, head.framing, head.ahead());
-            drop(self.buffer.drain(..len));
-            if !ahead {
+            let (len, framing) = (head.len, head.framing);
+            drop(self.response.drain(..len));
+            if !is_interim {
                 self.watch.answered();
                 self.stage = match framing {
-                    Framing::Chunked => Stage::Lines(Chunks::new(0)),
-                    Framing::Length(len) => Stage::Length(len),
-                    Framing::None => return Err("an answer without a list".into()),
+                    Framing::Chunked => Stage::Stream(Chunks::new(0)),
+                    Framing::Length(len) => Stage::Snapshot(len),
+                    Framing::None => return Err(WatchError::NoList),
                 };
             }
         }
+        Ok(())
+    }
+
+    fn read_body(&mut self, on_watch: &mut impl FnMut(WatchEvent)) -> Result<(), WatchError> {
         match &mut self.stage {
             Stage::Head => Ok(()),
-            Stage::Length(len) if self.buffer.len() < *len => Ok(()),
-            // A list of a length is all that such a service says: whoever wants changes has to ask again.
-            Stage::Length(len) => {
-                lines(&self.buffer[..*len], true, heard)?;
-                Err("the list has ended".into())
+            Stage::Snapshot(len) if self.response.len() < *len => Ok(()),
+            // Such a service sends nothing after the list: a new watch has to ask for changes.
+            Stage::Snapshot(len) => {
+                read_updates(&self.response[..*len], true, on_watch)?;
+                Err(WatchError::ListEnded)
             }
-            Stage::Lines(chunks) => {
-                chunks.advance(&mut self.buffer, LIST.body).map_err(|f| f.words().to_owned())?;
-                let over = chunks.over();
-                let taken = lines(&self.buffer[..chunks.at()], over, heard)?;
-                chunks.taken(taken);
-                drop(self.buffer.drain(..taken));
-                if self.buffer.is_empty() {
-                    tidy(&mut self.buffer);
+            Stage::Stream(chunks) => {
+                chunks.advance(&mut self.response, LIST_BOUNDS.body).map_err(WatchError::Malformed)?;
+                let is_over = chunks.over();
+                let consumed = read_updates(&self.response[..chunks.at()], is_over, on_watch)?;
+                chunks.taken(consumed);
+                drop(self.response.drain(..consumed));
+                if self.response.is_empty() {
+                    recycle(&mut self.response);
                 }
-                if over { Err("the watch has ended".into()) } else { Ok(()) }
+                if is_over { Err(WatchError::StreamEnded) } else { Ok(()) }
             }
         }
     }
 
-    pub fn end(mut self, registry: &Registry) {
+    /// Closes the connection.
+    pub fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.socket);
     }
 }
 
-/// Hears the whole lines of a text; how many bytes they are. `over`: the last one may lack its end. Error: one of them
-/// is refused, but for what it says of nodes that want nothing new.
-fn lines(text: &[u8], over: bool, heard: &mut impl FnMut(Heard)) -> Result<usize, String> {
-    let whole = if over { text.len() } else { text.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1) };
-    let mut at = 0;
+/// Passes on the complete updates of a text and returns their length. `is_over`: nothing follows the text.
+///
+/// # Errors
+/// An update is invalid. Endpoints in it that are draining or removed are passed on all the same.
+fn read_updates(
+    text: &[u8],
+    is_over: bool,
+    on_watch: &mut impl FnMut(WatchEvent),
+) -> Result<usize, WatchError> {
+    let last_line_end = || text.iter().rposition(|b| *b == b'\n').map_or(0, |index| index + 1);
+    let end = if is_over { text.len() } else { last_line_end() };
+    let mut consumed = 0;
     loop {
-        match list::front(&text[at..whole]) {
-            Front::Part if over && !text[at..].trim_ascii().is_empty() => return Err("a list cut off".into()),
-            Front::Part => return Ok(at),
+        match list::front(&text[consumed..end]) {
+            Front::Part if is_over && !text[consumed..].trim_ascii().is_empty() => {
+                return Err(WatchError::Truncated);
+            }
+            Front::Part => return Ok(consumed),
             Front::Empty(len) => {
-                heard(Heard::Alive);
-                at += len;
+                on_watch(WatchEvent::KeepAlive);
+                consumed += len;
             }
-            Front::News(news, len) => {
-                heard(Heard::News(news));
-                at += len;
+            Front::News(update, len) => {
+                on_watch(WatchEvent::Update(update));
+                consumed += len;
             }
             Front::Wrong(why, closings) => {
-                heard(Heard::Closings(closings));
-                return Err(why);
+                on_watch(WatchEvent::Closings(closings));
+                return Err(WatchError::InvalidUpdate(why));
             }
         }
     }
--- /dev/null
+++ b/crates/platform-host/src/dispatcher.rs
@@ -0,0 +1,175 @@
+//! The block I/Os in flight: carries out the scheduler's decisions and reports their results to it.
+//!
+//! - `admission`: client requests become block I/Os; clients disconnect.
+//! - `completions`: forwards good responses to clients, reports completed attempts to the scheduler.
+//! - `endpoints`: applies updates of the endpoint list.
+//! - `scheduler_host`: the calls that the scheduler makes on its host.
+mod admission;
+mod completions;
+mod endpoints;
+mod scheduler_host;
+
+use crate::clients::{ClientConnections, Response};
+use crate::nodes::{Completion, NodeConnections};
+use mallowseam_conduct::Millis;
+use mallowseam_conduct::front;
+use mallowseam_platform::names::Names;
+use mallowseam_platform::request::Id;
+use mallowseam_platform::settings::Named;
+use mallowseam_scheduler::host::{BioId, Listed, Tick};
+use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_sockets::clock::millis;
+use mallowseam_sockets::slots::Slots;
+use std::collections::VecDeque;
+
+#[cfg(test)]
+mod tests;
+
+/// A block I/O, from the client's complete request until the scheduler releases it.
+struct InFlight {
+    id: Id,
+    /// The client's connection, until the final response or a disconnect.
+    client: Option<u32>,
+    attempts: u32,
+    /// The connection that carries its attempt.
+    node_connection: Option<u32>,
+    /// When the client gives up.
+    deadline: Tick,
+}
+
+/// Block I/Os by outcome, counted for the status log.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct IoCounters {
+    /// Block I/Os handed to the scheduler.
+    pub admitted: u64,
+    /// Completed with a node's good response.
+    pub completed: u64,
+    /// Shed.
+    pub shed: u64,
+    /// Failed.
+    pub failed: u64,
+    /// Those whose client disconnected first.
+    pub disconnected: u64,
+    /// Attempts that were not sent.
+    pub unsent_attempts: u64,
+    /// Readiness checks.
+    pub readiness_checks: u64,
+}
+
+/// The block I/Os in flight, with the connections that carry them.
+pub struct Dispatcher {
+    /// The time of the current event.
+    pub now: Tick,
+    /// When the events of this iteration arrived at their sockets.
+    pub events_arrived_at: Tick,
+    /// When the poll returned.
+    pub polled_at: Tick,
+    /// The settings in force.
+    pub settings: Named,
+    /// Connections of clients.
+    pub clients: ClientConnections,
+    /// Connections to nodes.
+    pub nodes: NodeConnections,
+    names: Names,
+    counters: IoCounters,
+    in_flight: Slots<InFlight>,
+    /// Completed attempts that were not reported to the scheduler yet.
+    completions: VecDeque<Completion>,
+    /// When the scheduler's timer fires.
+    timer: Option<Tick>,
+    /// The scheduler has asked for a watch on the discovery service.
+    wants_watch: bool,
+    /// Reused from one update of the endpoint list to the next.
+    endpoints: Vec<Listed>,
+}
+
+impl Dispatcher {
+    /// A dispatcher with nothing in flight.
+    pub fn new(now: Tick, settings: Named, clients: ClientConnections, nodes: NodeConnections) -> Self {
+        Dispatcher {
+            now,
+            events_arrived_at: now,
+            polled_at: now,
+            settings,
+            clients,
+            nodes,
+            names: Names::default(),
+            counters: IoCounters::default(),
+            in_flight: Slots::default(),
+            completions: VecDeque::new(),
+            timer: None,
+            wants_watch: false,
+            endpoints: Vec::new(),
+        }
+    }
+
+    /// The time of the current event in milliseconds.
+    pub fn now_ms(&self) -> Millis {
+        millis(self.now)
+    }
+
+    /// Number of block I/Os in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// The counters for the status log.
+    pub fn counters(&self) -> IoCounters {
+        self.counters
+    }
+
+    /// Number of interned nodes, volumes, keys and request ids.
+    pub fn interned(&self) -> [usize; 4] {
+        self.names.sizes()
+    }
+
+    /// When the scheduler's timer fires.
+    pub fn timer(&self) -> Option<Tick> {
+        self.timer
+    }
+
+    /// Sets the scheduler's timer, unless it fires earlier already.
+    pub fn set_timer(&mut self, at: Tick) {
+        self.timer = Some(self.timer.map_or(at, |set| set.min(at)));
+    }
+
+    /// Whether the scheduler has asked for a watch since the last call.
+    pub fn take_watch_request(&mut self) -> bool {
+        std::mem::take(&mut self.wants_watch)
+    }
+
+    /// Fires the scheduler's timer if it is due. Nothing else may: the scheduler sets each timer once, and would take an
+    /// earlier call for the one that it waits for.
+    pub fn fire_timer(&mut self, scheduler: &mut Scheduler) {
+        if self.timer.is_some_and(|at| at <= self.now) {
+            self.timer = None;
+            let now = self.now;
+            scheduler.woken(self, now);
+            self.report_completions(scheduler);
+        }
+    }
+
+    /// Whether the last poll is so old that a client's socket is checked before anything is started for it.
+    fn is_poll_stale(&self) -> bool {
+        front::looks_again(millis(self.now - self.polled_at))
+    }
+
+    /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
+    fn respond_final(&mut self, io: BioId, response: Response) -> bool {
+        let client = self.in_flight.get_mut(io.0).and_then(|entry| entry.client.take());
+        if let Some(slot) = client {
+            self.clients.respond(slot, response, self.now_ms());
+        }
+        client.is_some()
+    }
+
+    /// Withdraws an attempt whose request is not completely written. The settings may forbid to cancel attempts, but
+    /// this one was never executed.
+    fn withdraw_unsent(&mut self, io: BioId) {
+        let Some(entry) = self.in_flight.get_mut(io.0) else { return };
+        if let Some(slot) = entry.node_connection.filter(|slot| self.nodes.is_unsent(*slot, io)) {
+            entry.node_connection = None;
+            self.completions.extend(self.nodes.cancel(slot, io));
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -0,0 +1,47 @@
+//! Updates of the endpoint list.
+use super::Dispatcher;
+use mallowseam_platform::list::{Health, News};
+use mallowseam_scheduler::host::{ListForm, NodeId, NodeState};
+use mallowseam_scheduler::scheduler::Scheduler;
+
+impl Dispatcher {
+    /// Applies an update of the endpoint list.
+    pub fn on_endpoints(&mut self, scheduler: &mut Scheduler, form: ListForm, update: &News) {
+        let mut endpoints = std::mem::take(&mut self.endpoints);
+        self.names.listed(update, &self.settings, &mut endpoints);
+        for entry in &update.entries {
+            let accepts_attempts = entry.health == Health::Ready;
+            if let Some(node) = self.names.find_node(&entry.name) {
+                self.nodes.update_endpoint(node, entry.dial, accepts_attempts);
+            }
+        }
+        // An attempt that still waits for its connection is withdrawn when its node begins to drain.
+        let is_snapshot = form != ListForm::Changes;
+        let is_closed = |node: &NodeId| {
+            let listed = endpoints.iter().find(|endpoint| endpoint.node == *node);
+            listed.map_or(is_snapshot, |endpoint| endpoint.state != NodeState::Active)
+        };
+        let closed: Vec<NodeId> = self.nodes.ids().filter(is_closed).collect();
+        for node in closed {
+            self.nodes.recall_unconnected(node, |completion| self.completions.push_back(completion));
+        }
+        let now = self.now;
+        scheduler.listed(self, now, form, &endpoints);
+        self.endpoints = endpoints;
+        self.report_completions(scheduler);
+    }
+
+    /// The watch has failed, or is silent, as `form` says.
+    pub fn on_watch_lost(&mut self, scheduler: &mut Scheduler, form: ListForm) {
+        let now = self.now;
+        scheduler.listed(self, now, form, &[]);
+        self.report_completions(scheduler);
+    }
+
+    /// The configuration names another discovery service.
+    pub fn on_discovery_moved(&mut self, scheduler: &mut Scheduler) {
+        let now = self.now;
+        scheduler.list_moved(self, now);
+        self.report_completions(scheduler);
+    }
+}
--- /dev/null
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -0,0 +1,109 @@
+//! The calls that the scheduler makes on its host.
+use super::Dispatcher;
+use crate::clients::Response;
+use crate::nodes::Completion;
+use mallowseam_platform::answer;
+use mallowseam_platform::request;
+use mallowseam_scheduler::host::{BioId, Ending, Host, KeyId, NodeId, Tick, VolId};
+use mallowseam_sockets::clock::{millis, ticks};
+
+impl Dispatcher {
+    /// Sends a block I/O to a node, or returns the reason why nothing was sent.
+    fn start_attempt(&mut self, io: BioId, node: NodeId, timeout: Tick) -> Result<(), Ending> {
+        let now = self.now;
+        // During a shutdown all responses are due before the host is killed, so attempts expire by then.
+        let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answers_by());
+        let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks(by) - now));
+        self.check_client(io);
+        let max_attempts = self.settings.terms.max_submits;
+        let Some(entry) = self.in_flight.get_mut(io.0) else { return Ok(()) };
+        entry.attempts += 1;
+        let is_over = entry.deadline <= now || timeout <= 0;
+        let is_one_too_many = max_attempts > 0 && entry.attempts > max_attempts;
+        let client = entry.client.filter(|_| !is_over && !is_one_too_many);
+        let (head, body) = client.and_then(|slot| self.clients.request(slot)).ok_or(Ending::Moot)?;
+        let wait_ms = millis(timeout).max(1);
+        let write = |out: &mut Vec<u8>| request::write(out, &head, body, wait_ms);
+        let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
+        entry.node_connection = Some(started.slot);
+        self.completions.extend(started.completion);
+        Ok(())
+    }
+
+    /// Checks whether the client has disconnected, if the last poll is too old to rely on.
+    fn check_client(&mut self, io: BioId) {
+        let is_poll_stale = self.is_poll_stale();
+        let Some(entry) = self.in_flight.get_mut(io.0) else { return };
+        let disconnected =
+            entry.client.filter(|slot| is_poll_stale && self.clients.is_disconnected(*slot, true));
+        if let Some(slot) = disconnected {
+            entry.client = None;
+            self.respond_disconnected(slot);
+        }
+    }
+}
+
+impl Host for Dispatcher {
+    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
+        if let Err(ending) = self.start_attempt(bio, node, limit) {
+            self.counters.unsent_attempts += 1;
+            self.completions.push_back(Completion::unsent(bio, node, ending, self.now));
+        }
+    }
+
+    fn cancel(&mut self, bio: BioId, nth: u32) {
+        let Some(entry) = self.in_flight.get_mut(bio.0).filter(|entry| nth + 1 == entry.attempts) else {
+            return;
+        };
+        // Without a connection its completion is queued already.
+        let cancelled = entry.node_connection.take().and_then(|slot| self.nodes.cancel(slot, bio));
+        self.completions.extend(cancelled);
+    }
+
+    fn shed(&mut self, bio: BioId, come_back: Tick) {
+        let response = Response::empty(answer::SHED).with_retry_after(millis(come_back));
+        self.counters.shed += u64::from(self.respond_final(bio, response));
+    }
+
+    fn fail(&mut self, bio: BioId) {
+        self.counters.failed += u64::from(self.respond_final(bio, Response::empty(answer::FAILED)));
+    }
+
+    fn wake(&mut self, after: Tick) {
+        self.set_timer(self.now + after);
+    }
+
+    /// The users' protocol has no health check of its own; the settings say so.
+    fn probe(&mut self, _node: NodeId) {}
+
+    fn watch_list(&mut self) {
+        self.wants_watch = true;
+    }
+
+    /// A new watch begins with the list, in full where that is needed.
+    fn fetch_list(&mut self) {
+        self.wants_watch = true;
+    }
+
+    /// Hosts can't talk to each other on this platform; the settings say so.
+    fn tell_peers(&mut self, _bytes: &[u8]) {}
+
+    fn release_bio(&mut self, bio: BioId) {
+        if let Some(entry) = self.in_flight.take(bio.0) {
+            self.names.release_bio(&entry.id);
+        }
+    }
+
+    fn release_key(&mut self, key: KeyId) {
+        self.names.release_key(key);
+    }
+
+    fn release_volume(&mut self, vol: VolId) {
+        self.names.release_volume(vol);
+    }
+
+    fn release_node(&mut self, node: NodeId) {
+        self.names.release_node(node);
+        self.nodes.release(node);
+    }
+}
--- /dev/null
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -0,0 +1,79 @@
+//! Reloads the configuration on SIGHUP: the discovery service, the plans' figures and the seeds of the fleet are applied,
+//! everything else needs a restart.
+use super::{EventLoop, startup};
+use mallowseam_fleet::settings::Place;
+use mallowseam_platform::config::Config;
+use mallowseam_platform::settings::Named;
+use mallowseam_scheduler::host::Terms;
+
+impl EventLoop {
+    /// Reads the configuration file again. An invalid one changes nothing.
+    pub(super) fn reload(&mut self) {
+        let config = match startup::read_config(&self.config_path) {
+            Ok(config) => config,
+            Err(error) => return tracing::error!(%error, "configuration rejected"),
+        };
+        self.warn_about_identity(&config);
+        self.reload_plans(&config.named);
+        self.warn_about_settings(&config.named);
+        self.reload_fleet(config.place.clone());
+        self.reload_discovery(&config);
+    }
+
+    fn warn_about_identity(&self, config: &Config) {
+        if config.listen != self.config.listen || config.name != self.config.name {
+            tracing::warn!("another name or address to listen on needs a restart");
+        }
+    }
+
+    /// Applies the figures of plans, if the plans are the same.
+    fn reload_plans(&mut self, settings: &Named) {
+        let current = &mut self.dispatcher.settings;
+        if settings.groups == current.groups && settings.plans == current.plans {
+            self.scheduler.planned(self.dispatcher.now, &settings.terms.plans, &[]);
+            current.terms.plans.clone_from(&settings.terms.plans);
+        } else {
+            tracing::warn!("other I/O classes or plans need a restart");
+        }
+    }
+
+    /// Warns about all other settings, which are read only at startup: a host that applied some of them would serve by two
+    /// configurations at once.
+    fn warn_about_settings(&self, settings: &Named) {
+        if fixed_settings(settings) != fixed_settings(&self.dispatcher.settings) {
+            tracing::warn!("settings beside the plans' figures have changed, and need a restart");
+        }
+    }
+
+    fn reload_fleet(&mut self, place: Option<Place>) {
+        match (&mut self.fleet, place) {
+            (None, None) => {}
+            (Some(fleet), place) => fleet.reload(place),
+            (None, Some(_)) => tracing::warn!("fleet membership needs a restart"),
+        }
+    }
+
+    fn reload_discovery(&mut self, config: &Config) {
+        let is_moved = config.discovery != self.config.discovery;
+        tracing::info!(discovery = %config.discovery, moved = is_moved, "configuration reloaded");
+        self.config.discovery = config.discovery;
+        if is_moved {
+            // The watch on the old service stays open until the new one is called.
+            self.dispatcher.on_discovery_moved(&mut self.scheduler);
+        }
+    }
+}
+
+/// The settings without what a reload applies, and without what the host itself sets.
+fn fixed_settings(settings: &Named) -> Named {
+    Named {
+        terms: Terms {
+            plans: Vec::new(),
+            list_on_request: true,
+            word_by_half: true,
+            ask_turn: None,
+            ..settings.terms.clone()
+        },
+        ..settings.clone()
+    }
+}
--- /dev/null
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -0,0 +1,65 @@
+//! Graceful shutdown. After SIGTERM the platform kills the process once a grace period is over; after SIGINT an operator
+//! waits for its end.
+use super::EventLoop;
+use mallowseam_conduct::front::Leaving;
+use mallowseam_scheduler::host::Tick;
+use mallowseam_sockets::clock::{millis, ticks};
+
+impl EventLoop {
+    /// The platform asks the host to stop, and will kill it later.
+    pub(super) fn on_sigterm(&mut self) {
+        let settings = &self.dispatcher.settings;
+        let longest_objective = settings.terms.groups.iter().map(|class| class.goal).max().unwrap_or(0);
+        let (longest_deadline, longest_objective) = (millis(settings.longest), millis(longest_objective));
+        let now = self.dispatcher.now_ms();
+        self.begin_shutdown(Leaving::platform(now, longest_deadline, longest_objective));
+    }
+
+    /// An operator asks the host to stop.
+    pub(super) fn on_sigint(&mut self) {
+        let now = self.dispatcher.now_ms();
+        self.begin_shutdown(Leaving::by_hand(now));
+    }
+
+    /// The first signal counts; further ones change nothing.
+    fn begin_shutdown(&mut self, shutdown: Leaving) {
+        let dispatcher = &mut self.dispatcher;
+        if dispatcher.clients.shutdown().is_some() {
+            return;
+        }
+        tracing::info!(
+            clients = dispatcher.clients.len(),
+            in_flight = dispatcher.in_flight(),
+            "graceful shutdown begins"
+        );
+        dispatcher.clients.begin_shutdown(shutdown);
+        self.fleet.iter_mut().for_each(|fleet| fleet.leave(false));
+    }
+
+    /// When all final responses are due, after SIGTERM.
+    pub(super) fn responses_due(&self) -> Option<Tick> {
+        self.dispatcher.clients.shutdown().and_then(|shutdown| shutdown.answers_by()).map(ticks)
+    }
+
+    /// Sends all final responses once they are due.
+    pub(super) fn respond_before_kill(&mut self) {
+        let is_due = self.responses_due().is_some_and(|due| due <= self.dispatcher.now);
+        if is_due && self.dispatcher.in_flight() > 0 {
+            self.dispatcher.respond_to_all(&mut self.scheduler);
+        }
+    }
+
+    /// Closes the listener once the host accepts no more clients.
+    pub(super) fn stop_accepting(&mut self) {
+        let now = self.dispatcher.now_ms();
+        if self.dispatcher.clients.shutdown().is_some_and(|shutdown| !shutdown.lets_in(now)) {
+            self.close_listener();
+        }
+    }
+
+    /// Whether the host may stop: it accepts no more clients, and all have disconnected.
+    pub(super) fn is_finished(&self) -> bool {
+        let clients = &self.dispatcher.clients;
+        clients.shutdown().is_some_and(|shutdown| shutdown.over(self.dispatcher.now_ms(), clients.len()))
+    }
+}
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -1,40 +1,25 @@
-//! The real host on the users' platform: one thread and one loop on `mio`. Clients and nodes speak HTTP/1.1;
-//! every decision on a block I/O is the scheduler's, every one on a connection `mallowseam-conduct`'s.
+//! One storage host on the users' platform: a single thread with one event loop on `mio`.
 //!
-//! - `run`: the loop, signals, the configuration.
-//! - `desk`: what is in hand; carries out what the scheduler asks.
+//! Clients and storage nodes speak HTTP/1.1, the discovery service streams the endpoint list. Every decision about a
+//! block I/O is the scheduler's; every decision about a connection comes from `mallowseam-conduct`. This package
+//! carries them out on sockets.
+//!
+//! - `event_loop`: one iteration; in its own files startup, admission of clients, the endpoint watch, configuration
+//!   reload, graceful shutdown, timers and the status log.
+//! - `dispatcher`: the block I/Os in flight; carries out the scheduler's decisions and reports completions.
 //! - `clients`, `nodes`, `discovery`: the three kinds of connections.
+//! - `signals`, `tokens`, `buffers`, `error`: signal pipes, poll tokens, reused buffers, errors.
+#![warn(missing_docs)]
+
+mod buffers;
 mod clients;
-mod desk;
 mod discovery;
+mod dispatcher;
+mod error;
+mod event_loop;
 mod nodes;
-mod run;
-
-pub use run::{Failure, run};
-
-use mallowseam_http1::Bounds;
-
-/// A message of the users' protocol: 64 KiB of body at most, and heads of some hundred bytes.
-const MESSAGE: Bounds = Bounds { head: 8 * 1024, body: 64 * 1024 };
-/// A node's answer: nodes send bodies several times longer than the pages allow (364 kB seen); past 1 MiB a
-/// stated length counts as nonsense.
-const ANSWER: Bounds = Bounds { head: MESSAGE.head, body: 1 << 20 };
-/// Buffers that a long message has made larger than this are given back.
-const KEPT: usize = 4 * 1024;
-
-/// Empties a buffer for its next use.
-fn tidy(buffer: &mut Vec<u8>) {
-    buffer.clear();
-    if buffer.capacity() > KEPT {
-        *buffer = Vec::new();
-    }
-}
+mod signals;
+mod tokens;
 
-/// Takes bytes off a buffer's front.
-fn take_front(buffer: &mut Vec<u8>, count: usize) {
-    if count >= buffer.len() {
-        tidy(buffer);
-    } else {
-        drop(buffer.drain(..count));
-    }
-}
+pub use error::HostError;
+pub use event_loop::run;
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -1,586 +1,150 @@
-//! Connections to nodes: one submit at a time on each, kept and used again.
-use crate::{ANSWER, tidy};
-use mallowseam_conduct::parting::{self, Fit, Keep};
-use mallowseam_http1::{AnswerHead, AnswerReader, Whole};
-use mallowseam_platform::answer::{self, Said};
-use mallowseam_platform::request;
-use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
-use mallowseam_sockets::clock::millis;
+//! Connections to storage nodes: a pool for each node, with one attempt at a time on each connection.
+//!
+//! - `connection`: one connection, and the attempt on it.
+//! - `pool`: checks out idle connections, opens new ones, closes those that have expired.
+//! - `attempts`: sends requests, cancels and expires attempts.
+//! - `responses`: reads responses and classifies them.
+//! - `deadlines`: the times at which attempts expire.
+mod attempts;
+mod connection;
+mod deadlines;
+mod pool;
+mod responses;
+
+use connection::NodeConnection;
+use deadlines::Deadlines;
+use mallowseam_conduct::parting::Keep;
+use mallowseam_scheduler::host::{Ending, NodeId, Tick};
 use mallowseam_sockets::slots::Slots;
-use mallowseam_sockets::wire::{self, Tried};
-use mio::net::TcpStream;
-use mio::{Interest, Registry, Token};
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
+use mio::Registry;
 use std::net::SocketAddr;
 
-/// Bodies up to this are copied, and both buffers kept for their next use; longer ones are handed on in theirs.
-const COPIED: usize = 2 * 1024;
-/// Read at once while an answer's length is not known: a usual answer whole.
-const FIRST: usize = 16 * 1024;
-/// Timers beyond four a connection before old ones are looked for.
-const TIMERS: usize = 1_024;
-
-/// The submit that a connection carries.
-#[derive(Clone, Copy)]
-struct Carried {
-    bio: BioId,
-    /// When the scheduler submitted it; waits count from there.
-    since: Tick,
-    limit_at: Tick,
-    connect_by: Tick,
-    /// Tells it from any other that its connection has carried.
-    serial: u64,
-}
-
-impl Carried {
-    /// What came of it at a node, as of now.
-    fn came(&self, node: NodeId, ending: Ending) -> Came {
-        Came { bio: self.bio, node, ending, since: self.since, until: None, said: None }
-    }
-}
-
-struct Line {
-    socket: TcpStream,
-    node: NodeId,
-    up: bool,
-    carried: Option<Carried>,
-    out: Vec<u8>,
-    sent: usize,
-    buffer: Vec<u8>,
-    reader: AnswerReader,
-    idle_since: Tick,
-    /// It has carried a submit before.
-    used: bool,
-}
-
-impl Line {
-    fn written(&self) -> bool {
-        self.up && self.sent == self.out.len()
-    }
-
-    fn carries(&self, bio: BioId) -> bool {
-        self.carried.is_some_and(|c| c.bio == bio)
-    }
+pub use connection::Completion;
+pub use responses::{NodeEvent, Success};
+
+/// Events on the connections to one node, counted for the status log.
+#[derive(Clone, Copy, Default)]
+pub struct NodeCounters {
+    /// Connections that are open or being opened.
+    pub connections: usize,
+    /// Attempts started.
+    pub attempts: u64,
+    /// Connections opened.
+    pub connections_opened: u64,
+    /// Requests written to their last byte.
+    pub requests_written: u64,
+    /// Responses read.
+    pub responses: u64,
+    /// Responses that could not be read.
+    pub corrupt_responses: u64,
+    /// Longest time to a good response since the last log line.
+    pub slowest: Tick,
 }
 
-/// A node as this host reaches it. What it showed on its sockets is counted for the log.
+/// A node as the endpoint list names it, with its idle connections.
 #[derive(Default)]
-pub struct Node {
-    dial: Option<SocketAddr>,
-    /// Idle connections, the latest used last.
+struct Endpoint {
+    address: Option<SocketAddr>,
+    /// Slots of idle connections, the latest used last.
     idle: Vec<u32>,
-    pub lines: usize,
-    pub submits: u64,
-    pub opened: u64,
-    pub written: u64,
-    pub answered: u64,
-    pub spoilt: u64,
-    /// Slowest good answer since the last log line.
-    pub slowest: Tick,
-}
-
-/// What came of a submit.
-#[derive(Clone, Copy)]
-pub struct Came {
-    pub bio: BioId,
-    pub node: NodeId,
-    pub ending: Ending,
-    pub since: Tick,
-    /// When it was there to be heard; none: as of now.
-    pub until: Option<Tick>,
-    pub said: Option<Said>,
+    counters: NodeCounters,
 }
 
-pub struct Nodes {
-    all: Vec<Option<Node>>,
-    lines: Slots<Line>,
+/// All connections to nodes.
+pub struct NodeConnections {
+    endpoints: Vec<Option<Endpoint>>,
+    connections: Slots<NodeConnection>,
     registry: Registry,
-    token: fn(u32) -> Token,
-    most: usize,
-    /// Bytes of answers held, and the most of it.
+    max_connections: usize,
+    /// Bytes of responses held, and their bound.
     bytes: usize,
-    bytes_most: usize,
-    connect_within: Tick,
-    keep: Keep,
-    serial: u64,
-    timers: BinaryHeap<Reverse<(Tick, u32, u64)>>,
-}
-
-/// A whole good answer, to be passed on; `at`: the connection that has it.
-pub struct Good {
-    pub at: u32,
-    pub came: Came,
-    whole: Whole,
-    close: bool,
-}
-
-/// What a ready connection came to.
-pub enum Ready {
-    Nothing,
-    Good(Good),
-    Came(Came),
+    max_bytes: usize,
+    connect_timeout: Tick,
+    keep_alive: Keep,
+    last_serial: u64,
+    deadlines: Deadlines,
 }
 
-impl Nodes {
+impl NodeConnections {
+    /// An empty pool with its limits.
     pub fn new(
         registry: Registry,
-        token: fn(u32) -> Token,
-        most: usize,
-        bytes_most: usize,
-        connect_within: Tick,
-        keep: Keep,
+        max_connections: usize,
+        max_bytes: usize,
+        connect_timeout: Tick,
+        keep_alive: Keep,
     ) -> Self {
-        Nodes {
-            all: Vec::new(),
-            lines: Slots::default(),
+        NodeConnections {
+            endpoints: Vec::new(),
+            connections: Slots::default(),
             registry,
-            token,
-            most,
+            max_connections,
             bytes: 0,
-            bytes_most,
-            connect_within,
-            keep,
-            serial: 0,
-            timers: BinaryHeap::new(),
+            max_bytes,
+            connect_timeout,
+            keep_alive,
+            last_serial: 0,
+            deadlines: Deadlines::default(),
         }
     }
 
     /// Connections held.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
-    /// Bytes of answers held.
+    /// Bytes of responses held.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    pub fn node(&self, at: NodeId) -> Option<&Node> {
-        self.all.get(at.0 as usize)?.as_ref()
-    }
-
-    pub fn node_mut(&mut self, at: NodeId) -> Option<&mut Node> {
-        self.all.get_mut(at.0 as usize)?.as_mut()
-    }
-
-    pub fn ids(&self) -> impl Iterator<Item = NodeId> {
-        self.all.iter().enumerate().filter(|(_, n)| n.is_some()).map(|(at, _)| NodeId(at as u32))
-    }
-
-    /// The list names a node's address. `open`: new submits may go there.
-    pub fn listed(&mut self, at: NodeId, dial: SocketAddr, open: bool) {
-        if self.all.len() <= at.0 as usize {
-            self.all.resize_with(at.0 as usize + 1, || None);
-        }
-        let node = self.all[at.0 as usize].get_or_insert_with(Node::default);
-        let moved = node.dial.replace(dial).is_some_and(|was| was != dial);
-        if moved || !open {
-            self.drop_idle(at);
-        }
-    }
-
-    fn drop_idle(&mut self, at: NodeId) {
-        while let Some(line) = self.node(at).and_then(|n| n.idle.last().copied()) {
-            self.close(line);
-        }
-    }
-
-    /// A node that has left for good is forgotten.
-    pub fn release(&mut self, at: NodeId) {
-        self.drop_idle(at);
-        if let Some(place) = self.all.get_mut(at.0 as usize) {
-            *place = None;
-        }
-    }
-
-    /// Submits that wait for a connection to a node that takes nothing new: they were never sent.
-    pub fn call_back(&mut self, at: NodeId, came: &mut impl FnMut(Came)) {
-        for line in 0..self.lines.places() {
-            let waits = self.lines.get(line).is_some_and(|l| l.node == at && !l.up);
-            if waits && let Some(carried) = self.close(line) {
-                came(carried.came(at, Ending::Moot));
-            }
-        }
-    }
-
-    fn close(&mut self, at: u32) -> Option<Carried> {
-        let mut line = self.lines.take(at)?;
-        self.bytes -= line.buffer.capacity();
-        let _ = self.registry.deregister(&mut line.socket);
-        if let Some(node) = self.node_mut(line.node) {
-            node.lines -= 1;
-            node.idle.retain(|l| *l != at);
-        }
-        line.carried
-    }
-
-    /// An idle connection to a node that may carry a submit: alive, and with nothing unasked on it.
-    fn idle(&mut self, at: NodeId, now: Tick) -> Option<u32> {
-        let keep = self.keep.now(millis(now));
-        loop {
-            let node = self.node(at)?;
-            let idle =
-                node.idle.iter().map(|l| millis(now - self.lines.get(*l).map_or(now, |l| l.idle_since)));
-            let chosen = parting::choose(idle, keep)?;
-            let line = node.idle[chosen];
-            let mut byte = [0; 1];
-            let read = self.lines.get_mut(line).map(|l| wire::read(&mut l.socket, &mut byte));
-            if let Some(Tried::Blocked) = read {
-                self.node_mut(at)?.idle.remove(chosen);
-                return Some(line);
-            }
-            self.close(line);
-        }
-    }
-
-    fn open(&mut self, at: NodeId, now: Tick) -> Result<u32, Ending> {
-        if self.lines.len() >= self.most {
-            // The longest idle of all gives way; with none idle, this host is what is short.
-            let idle = self.lines.iter().filter(|(_, l)| l.up && l.carried.is_none());
-            let oldest = idle.min_by_key(|(_, l)| l.idle_since).map(|(line, _)| line);
-            self.close(oldest.ok_or(Ending::Moot)?);
-        }
-        let dial = self.node(at).and_then(|n| n.dial).ok_or(Ending::Moot)?;
-        let mut socket = TcpStream::connect(dial).map_err(|_| Ending::NoConnect)?;
-        let _ = socket.set_nodelay(true);
-        let place = self.lines.next();
-        let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry.register(&mut socket, (self.token)(place), interest).map_err(|_| Ending::Moot)?;
-        self.lines.put(Line {
-            socket,
-            node: at,
-            up: false,
-            carried: None,
-            out: Vec::new(),
-            sent: 0,
-            buffer: Vec::new(),
-            reader: AnswerReader::default(),
-            idle_since: now,
-            used: false,
-        });
-        if let Some(node) = self.node_mut(at) {
-            node.lines += 1;
-            node.opened += 1;
-        }
-        Ok(place)
-    }
-
-    /// Sends a block I/O, written by `write`, on a connection of its own until it is answered. Error: it was
-    /// not sent. Ok: the connection, and what came of it where that is known at once.
-    pub fn submit(
-        &mut self,
-        bio: BioId,
-        at: NodeId,
-        now: Tick,
-        limit: Tick,
-        write: impl FnOnce(&mut Vec<u8>),
-    ) -> Result<(u32, Option<Came>), Ending> {
-        let place = match self.idle(at, now) {
-            Some(place) => place,
-            None => self.open(at, now)?,
-        };
-        self.serial += 1;
-        let carried = Carried {
-            bio,
-            since: now,
-            limit_at: now + limit,
-            connect_by: now + self.connect_within,
-            serial: self.serial,
-        };
-        if let Some(node) = self.node_mut(at) {
-            node.submits += 1;
-        }
-        let line = self.lines.get_mut(place).expect("just had");
-        write(&mut line.out);
-        line.carried = Some(carried);
-        self.timers.push(Reverse((carried.limit_at, place, carried.serial)));
-        self.drop_old_timers();
-        let line = self.lines.get(place).expect("just had");
-        if !line.up {
-            self.timers.push(Reverse((carried.connect_by.min(carried.limit_at), place, carried.serial)));
-            return Ok((place, None));
-        }
-        // A connection that dies under an unfinished submit says nothing of the node when it was an old one.
-        Ok((place, self.push(place, Ending::Moot)))
-    }
-
-    /// Writes what a connection still has to send. Some: it broke.
-    fn push(&mut self, place: u32, broken: Ending) -> Option<Came> {
-        let line = self.lines.get_mut(place)?;
-        let carried = line.carried?;
-        if line.sent == line.out.len() {
-            return None;
-        }
-        let node = line.node;
-        let (sent, fault) = match wire::send(&mut line.socket, &line.out[line.sent..]) {
-            Ok(sent) => (sent, false),
-            Err((sent, _)) => (sent, true),
-        };
-        line.sent += sent;
-        let whole = line.sent == line.out.len();
-        if whole && let Some(node) = self.node_mut(node) {
-            node.written += 1;
-        }
-        if !fault {
-            return None;
-        }
-        self.close(place);
-        // Before the last byte is written nothing has run; after it, it may have.
-        let ending = if whole { Ending::Reset } else { broken };
-        Some(carried.came(node, ending))
-    }
-
-    /// Whether a connection carries a submit of this block I/O whose last byte has not gone.
-    pub fn unsent(&self, place: u32, bio: BioId) -> bool {
-        self.lines.get(place).is_some_and(|l| l.carries(bio) && !l.written())
-    }
-
-    /// Ends the submit of a block I/O that a connection carries.
-    pub fn cut(&mut self, place: u32, bio: BioId) -> Option<Came> {
-        let line = self.lines.get(place).filter(|l| l.carries(bio))?;
-        let (written, node) = (line.written(), line.node);
-        let carried = self.close(place)?;
-        let ending = if written { Ending::Cancelled } else { Ending::Moot };
-        Some(carried.came(node, ending))
-    }
-
-    /// The poll has something of a connection.
-    /// `ended`: the node has closed its side, which is told once.
-    /// `heard`: when what the poll has was there.
-    pub fn ready(&mut self, place: u32, ended: bool, scratch: &mut [u8], now: Tick, heard: Tick) -> Ready {
-        let Some(line) = self.lines.get_mut(place) else { return Ready::Nothing };
-        let node = line.node;
-        let Some(carried) = line.carried else {
-            // Bytes unasked, or the end: either way it is of no more use.
-            let mut byte = [0; 1];
-            if !matches!(wire::read(&mut line.socket, &mut byte), Tried::Blocked) {
-                self.close(place);
-            }
-            return Ready::Nothing;
-        };
-        let until = Some(heard.max(carried.since));
-        let came = |ending| Came { until, ..carried.came(node, ending) };
-        if !line.up {
-            let failed = line.socket.take_error().map_or(true, |e| e.is_some());
-            if failed {
-                self.close(place);
-                return Ready::Came(came(Ending::NoConnect));
-            }
-            if line.socket.peer_addr().is_err() {
-                return Ready::Nothing;
-            }
-            // What a node says before it was asked is no answer to anything.
-            if !matches!(wire::read(&mut line.socket, &mut [0]), Tried::Blocked) {
-                self.close(place);
-                return Ready::Came(came(Ending::NoConnect));
-            }
-            line.up = true;
-            // What waited for its connection has less time left than it was written with.
-            request::write_wait(&mut line.out, millis(carried.limit_at - now).max(1));
-        }
-        if line.sent < line.out.len()
-            && let Some(came) = self.push(place, Ending::NoConnect)
-        {
-            return Ready::Came(came);
-        }
-        self.read(place, ended, scratch, now, &came)
-    }
-
-    fn read(
-        &mut self,
-        place: u32,
-        ended: bool,
-        scratch: &mut [u8],
-        now: Tick,
-        came: &impl Fn(Ending) -> Came,
-    ) -> Ready {
-        let Some(line) = self.lines.get_mut(place) else { return Ready::Nothing };
-        let written = line.written();
-        let cut_off = if written { Ending::Reset } else { Ending::NoConnect };
-        loop {
-            let had = line.buffer.len();
-            let capacity = line.buffer.capacity();
-            // Of a long answer just the rest is read; what stands behind it shows on the next look.
-            let lacks = line.reader.lacks(had).filter(|l| *l > 0);
-            let room = lacks.unwrap_or(FIRST).min(ANSWER.buffer() + 1 - had.min(ANSWER.buffer()));
-            let room = room.min(scratch.len());
-            let tried = wire::read(&mut line.socket, &mut scratch[..room]);
-            if let Tried::Read(count) = tried {
-                line.buffer.reserve_exact(lacks.unwrap_or(0));
-                line.buffer.extend_from_slice(&scratch[..count]);
-            }
-            self.bytes = self.bytes + line.buffer.capacity() - capacity;
-            let count = match tried {
-                Tried::Blocked => return Ready::Nothing,
-                Tried::Over(_) => {
-                    let unheard = line.used && line.buffer.is_empty();
-                    if let Some(carried) = line.carried.filter(|_| unheard) {
-                        let idle = millis(carried.since - line.idle_since);
-                        self.keep.broke(idle, millis(now - carried.since), millis(now));
-                    }
-                    self.close(place);
-                    return Ready::Came(came(cut_off));
-                }
-                Tried::Read(count) => count,
-            };
-            // Less than there was room for: nothing more has come, and what does is told anew.
-            let drained = count < room && !ended;
-            match line.reader.advance(&mut line.buffer, ANSWER) {
-                // All answers together have their bound: the one that passes it counts as spoilt.
-                Ok(None) if self.bytes > self.bytes_most => return self.spoilt(place, came),
-                Ok(None) if drained => return Ready::Nothing,
-                Ok(None) => {}
-                Ok(Some(whole)) => return self.answered(place, whole, now, came),
-                Err(_) => return self.spoilt(place, came),
-            }
-        }
-    }
-
-    /// An answer that can't be read: its submit may have run, whatever the answer was meant to be.
-    fn spoilt(&mut self, place: u32, came: &impl Fn(Ending) -> Came) -> Ready {
-        let came = came(Ending::Error);
-        self.close(place);
-        if let Some(node) = self.node_mut(came.node) {
-            node.spoilt += 1;
-        }
-        Ready::Came(came)
-    }
-
-    fn answered(&mut self, place: u32, whole: Whole, now: Tick, came: &impl Fn(Ending) -> Came) -> Ready {
-        let Some(line) = self.lines.get(place) else { return Ready::Nothing };
-        let head = AnswerHead::read(&line.buffer[whole.start..], ANSWER).ok().flatten().expect("read before");
-        let said = answer::read(&head);
-        // A node begins with a request's last byte: what it says before was made for another.
-        if !line.written() && said.ending != Ending::Busy {
-            self.close(place);
-            return Ready::Came(came(Ending::NoConnect));
-        }
-        let kept = parting::kept_behind(said.ending == Ending::Busy);
-        let close = head.close || !kept || line.buffer.len() > whole.end || !line.written();
-        let (node, fresh) = (line.node, !line.used);
-        if !kept && fresh {
-            self.keep.crowded(millis(now));
-        }
-        let came = Came { said: Some(said), ..came(said.ending) };
-        if let Some(node) = self.node_mut(node) {
-            node.answered += 1;
-            if said.ending == Ending::Done {
-                node.slowest = node.slowest.max(came.until.unwrap_or(now) - came.since);
-            }
-        }
-        if said.ending == Ending::Done {
-            return Ready::Good(Good { at: place, came, whole, close });
-        }
-        self.rest(place, close, now);
-        Ready::Came(came)
+    fn endpoint(&self, node: NodeId) -> Option<&Endpoint> {
+        self.endpoints.get(node.0 as usize)?.as_ref()
     }
 
-    /// The body of a good answer.
-    pub fn body(&self, good: &Good) -> &[u8] {
-        self.lines.get(good.at).map_or(&[], |l| &l.buffer[good.whole.body..good.whole.end])
+    fn endpoint_mut(&mut self, node: NodeId) -> Option<&mut Endpoint> {
+        self.endpoints.get_mut(node.0 as usize)?.as_mut()
     }
 
-    /// The buffer of a good answer whose body is long, to be handed on, and where the body stands in it.
-    pub fn take_body(&mut self, good: &Good) -> Option<(Vec<u8>, usize, usize)> {
-        let line = self.lines.get_mut(good.at)?;
-        if good.whole.end - good.whole.body <= COPIED {
-            return None;
-        }
-        self.bytes -= line.buffer.capacity();
-        Some((std::mem::take(&mut line.buffer), good.whole.body, good.whole.end))
+    /// The counters of a node.
+    pub fn counters_mut(&mut self, node: NodeId) -> Option<&mut NodeCounters> {
+        self.endpoint_mut(node).map(|endpoint| &mut endpoint.counters)
     }
 
-    /// A good answer was passed on.
-    pub fn done(&mut self, good: &Good, now: Tick) {
-        self.rest(good.at, good.close, now);
+    /// The nodes that are known.
+    pub fn ids(&self) -> impl Iterator<Item = NodeId> {
+        let indexed = self.endpoints.iter().enumerate();
+        indexed.filter(|(_, endpoint)| endpoint.is_some()).map(|(index, _)| NodeId(index as u32))
     }
 
-    /// A connection with nothing more to do waits for its next submit, or ends.
-    fn rest(&mut self, place: u32, close: bool, now: Tick) {
-        if close {
-            self.close(place);
-            return;
+    /// The endpoint list names a node's address. Idle connections are kept only where new attempts may use them.
+    pub fn update_endpoint(&mut self, node: NodeId, address: SocketAddr, accepts_attempts: bool) {
+        let index = node.0 as usize;
+        if self.endpoints.len() <= index {
+            self.endpoints.resize_with(index + 1, || None);
         }
-        let Some(line) = self.lines.get_mut(place) else { return };
-        (line.carried, line.sent, line.idle_since, line.used) = (None, 0, now, true);
-        line.reader = AnswerReader::default();
-        tidy(&mut line.out);
-        self.bytes -= line.buffer.capacity();
-        tidy(&mut line.buffer);
-        self.bytes += line.buffer.capacity();
-        let node = line.node;
-        match self.node_mut(node) {
-            Some(node) => node.idle.push(place),
-            None => drop(self.close(place)),
-        }
-    }
-
-    /// Timers of submits that are over go once they are most of them: clients that name long waits must not
-    /// leave one each behind.
-    fn drop_old_timers(&mut self) {
-        if self.timers.len() > 4 * self.most + TIMERS {
-            let lines = &self.lines;
-            let live = |t: &Reverse<(Tick, u32, u64)>| {
-                lines.get(t.0.1).and_then(|l| l.carried).is_some_and(|c| c.serial == t.0.2)
-            };
-            self.timers.retain(live);
+        let endpoint = self.endpoints[index].get_or_insert_with(Endpoint::default);
+        let is_moved = endpoint.address.replace(address).is_some_and(|old| old != address);
+        if is_moved || !accepts_attempts {
+            self.close_idle(node);
         }
     }
 
-    /// When the next submit's time is up, if it is still out by then.
-    pub fn next_timer(&self) -> Option<Tick> {
-        self.timers.peek().map(|t| t.0.0)
-    }
-
-    /// Submits whose time is up.
-    pub fn overdue(&mut self, now: Tick) -> Option<Came> {
-        while let Some(&Reverse((at, place, serial))) = self.timers.peek() {
-            if at > now {
-                return None;
-            }
-            self.timers.pop();
-            let Some(line) = self.lines.get(place) else { continue };
-            let Some(carried) = line.carried.filter(|c| c.serial == serial) else { continue };
-            let ending = if line.written() {
-                Ending::TimedOut
-            } else if !line.up && now >= carried.connect_by {
-                Ending::NoConnect
-            } else if now >= carried.limit_at {
-                Ending::Moot
-            } else {
-                continue;
-            };
-            if ending == Ending::TimedOut && now < carried.limit_at {
-                continue;
-            }
-            let node = line.node;
-            self.close(place);
-            return Some(Came {
-                bio: carried.bio,
-                node,
-                ending,
-                since: carried.since,
-                until: None,
-                said: None,
-            });
+    /// Forgets a node that was removed.
+    pub fn release(&mut self, node: NodeId) {
+        self.close_idle(node);
+        if let Some(endpoint) = self.endpoints.get_mut(node.0 as usize) {
+            *endpoint = None;
         }
-        None
-    }
-
-    /// For how long idle connections are kept as of now.
-    pub fn kept(&mut self, now: Tick) -> u64 {
-        self.keep.now(millis(now))
     }
 
-    /// Gives up idle connections before their nodes do.
-    pub fn look(&mut self, now: Tick) {
-        let keep = self.kept(now);
-        for place in 0..self.lines.places() {
-            let idle =
-                self.lines.get(place).filter(|l| l.carried.is_none()).map(|l| millis(now - l.idle_since));
-            if idle.is_some_and(|idle| parting::fit(idle, keep) == Fit::TooOld) {
-                self.close(place);
+    /// Completes the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
+    pub fn recall_unconnected(&mut self, node: NodeId, mut completed: impl FnMut(Completion)) {
+        for slot in 0..self.connections.places() {
+            let connection = self.connections.get(slot);
+            let is_waiting = connection.is_some_and(|c| c.node == node && !c.is_up);
+            if is_waiting && let Some(attempt) = self.close(slot) {
+                completed(attempt.complete(node, Ending::Moot));
             }
         }
     }
--- a/crates/platform-host/tests/log.rs
+++ b/crates/platform-host/tests/log.rs
@@ -37,30 +37,44 @@
     let mut call = accept(&discovery);
     read_message(&mut call);
     call.write_all(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n").expect("open");
-    let line = host.log.line("the list service failed");
+    let line = host.log.line("discovery watch failed");
     assert_eq!(line.level, "WARN");
     assert_eq!(
         line.fields,
-        [("why", "answered 404"), ("address", &*calls)].map(|(n, v)| (n.to_owned(), v.to_owned()))
+        [("error", "answered 404"), ("address", &*calls)].map(|(n, v)| (n.to_owned(), v.to_owned()))
     );
     let _silent = accept(&discovery);
-    let line = host.log.line("the list service says nothing");
+    let line = host.log.line("discovery watch is silent");
     assert_eq!((&*line.level, line.names(), line.field("address")), ("WARN", vec!["address"], &*calls));
 
     // The figures come every 5 s, which is what this test waits for.
-    let line = host.log.line("host");
+    let line = host.log.line("host status");
     assert_eq!(line.level, "INFO");
     assert_eq!(
         line.names(),
-        ["clients", "silent", "idle", "bytes", "counts", "bios", "in_hand", "lines", "kept_ms", "names"]
+        [
+            "clients",
+            "silent",
+            "idle",
+            "bytes",
+            "connections",
+            "ios",
+            "in_flight",
+            "node_connections",
+            "keep_alive_ms",
+            "interned"
+        ]
+    );
+    assert_eq!(line.field("keep_alive_ms"), "15000");
+    assert_eq!(
+        line.field("connections"),
+        "ClientCounters { accepted: 2, rejected: 0, malformed: 0, invalid: 1 }"
     );
-    assert_eq!(line.field("kept_ms"), "15000");
-    assert_eq!(line.field("counts"), "Counts { accepted: 2, turned_off: 0, unreadable: 0, wrong: 1 }");
     assert_eq!(
-        line.field("bios"),
-        "Counts { taken: 1, ended: 1, shed: 0, failed: 0, left: 0, never_sent: 0, asked_ready: 0 }"
+        line.field("ios"),
+        "IoCounters { admitted: 1, completed: 1, shed: 0, failed: 0, disconnected: 0, unsent_attempts: 0, readiness_checks: 0 }"
     );
-    let line = host.log.line("node");
+    let line = host.log.line("node status");
     assert_eq!(line.level, "INFO");
     assert_eq!(
         line.names(),
@@ -68,51 +82,52 @@
             "node",
             "open",
             "window",
-            "out",
-            "held",
-            "wait_ms",
+            "in_flight",
+            "queued",
+            "latency_ms",
             "slowest_ms",
             "failures",
-            "lines",
-            "submits",
-            "opened",
-            "written",
-            "answered",
-            "spoilt"
+            "connections",
+            "attempts",
+            "connections_opened",
+            "requests_written",
+            "responses",
+            "corrupt_responses"
         ]
     );
-    let figures = ["node", "submits", "opened", "written", "answered", "spoilt"];
+    let figures =
+        ["node", "attempts", "connections_opened", "requests_written", "responses", "corrupt_responses"];
     assert_eq!(figures.map(|name| line.field(name)), ["0", "1", "1", "1", "1", "0"]);
 
     host.write_config("{}");
     raise(Signal::SIGHUP).expect("a signal");
-    let line = host.log.line("the configuration is not taken");
-    assert_eq!((&*line.level, line.names()), ("ERROR", vec!["why"]));
-    assert!(line.field("why").contains("listen: expected address:port"), "{line:?}");
+    let line = host.log.line("configuration rejected");
+    assert_eq!((&*line.level, line.names()), ("ERROR", vec!["error"]));
+    assert!(line.field("error").contains("listen: expected address:port"), "{line:?}");
 
     let other = listen();
     let moved = other.local_addr().expect("bound");
     let text = config(host.address, moved, None).replace("\"n0\"", "\"n1\"").replace("gold", "lead");
     host.write_config(&text);
     raise(Signal::SIGHUP).expect("a signal");
-    let line = host.log.line("the configuration is taken");
+    let line = host.log.line("configuration reloaded");
     assert_eq!((&*line.level, line.names()), ("INFO", vec!["discovery", "moved"]));
     assert_eq!((line.field("discovery"), line.field("moved")), (&*moved.to_string(), "true"));
     for warning in [
-        "another name or address to listen on needs a new start",
-        "other I/O groups or plans need a new start",
-        "settings beside the plans' figures have changed, and need a new start",
+        "another name or address to listen on needs a restart",
+        "other I/O classes or plans need a restart",
+        "settings beside the plans' figures have changed, and need a restart",
     ] {
         let line = host.log.line(warning);
         assert_eq!((&*line.level, line.names()), ("WARN", vec![]));
     }
 
     raise(Signal::SIGINT).expect("a signal");
-    let line = host.log.line("told to end");
-    assert_eq!((&*line.level, line.names()), ("INFO", vec!["clients", "in_hand"]));
-    assert_eq!((line.field("clients"), line.field("in_hand")), ("0", "0"));
+    let line = host.log.line("graceful shutdown begins");
+    assert_eq!((&*line.level, line.names()), ("INFO", vec!["clients", "in_flight"]));
+    assert_eq!((line.field("clients"), line.field("in_flight")), ("0", "0"));
     assert_eq!(host.thread.join().expect("no panic"), Ok(()));
     let last = host.log.lines().pop().expect("some");
-    assert_eq!((&*last.level, &*last.message, last.names()), ("INFO", "host ends", vec![]));
+    assert_eq!((&*last.level, &*last.message, last.names()), ("INFO", "host stopped", vec![]));
     assert_eq!(node.requests().len(), 1);
 }
