--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -1,15 +1,16 @@
 //! Connections of clients: one request at a time on each.
 //!
 //! - `connection`: one connection; reads requests.
-//! - `response`: writes responses.
+//! - `responses`: writes responses.
 mod connection;
-mod response;
+mod responses;
 
 use crate::buffers::REQUEST_BOUNDS;
 use crate::tokens;
-use connection::{ClientConnection, ReadError};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::{self, Care, Doing, Leaving};
+use connection::{Client, ReadError};
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection::{self, Phase, TimeoutAction};
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
@@ -18,18 +19,18 @@
 use mio::{Interest, Registry};
 use std::collections::VecDeque;
 
-pub use response::{CONFLICT, OK, Response};
+pub use responses::{CONFLICT, OK, Response};
 
 #[cfg(test)]
 mod tests;
 
 /// The result of reading a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReadOutcome {
+pub enum RequestStatus {
     /// No request is complete.
     Incomplete,
     /// A request is complete; `ClientConnections::request` returns it.
-    Request,
+    Complete,
 }
 
 /// Connections and requests of clients, counted for the status log.
@@ -47,14 +48,14 @@
 
 /// All connections of clients.
 pub struct ClientConnections {
-    connections: Slots<ClientConnection>,
+    connections: Slots<Client>,
     registry: Registry,
     max_connections: usize,
     /// Bytes held for all clients, and their bound.
     bytes: usize,
     max_bytes: usize,
     /// Set once the graceful shutdown has begun.
-    shutdown: Option<Leaving>,
+    shutdown: Option<GracefulShutdown>,
     /// Slots of connections that may have something to read.
     read_queue: VecDeque<u32>,
     counters: ClientCounters,
@@ -91,8 +92,8 @@
     }
 
     /// Number of connections in a state, for the status log.
-    pub fn count_in_state(&self, state: Doing) -> usize {
-        self.connections.iter().filter(|(_, client)| client.state.doing() == state).count()
+    pub fn count_in_state(&self, state: Phase) -> usize {
+        self.connections.iter().filter(|(_, client)| client.state.phase() == state).count()
     }
 
     /// Whether the next connection needs another one to be evicted.
@@ -106,12 +107,12 @@
     }
 
     /// The graceful shutdown, once it has begun.
-    pub fn shutdown(&self) -> Option<Leaving> {
+    pub fn shutdown(&self) -> Option<GracefulShutdown> {
         self.shutdown
     }
 
     /// Begins the graceful shutdown.
-    pub fn begin_shutdown(&mut self, shutdown: Leaving) {
+    pub fn begin_shutdown(&mut self, shutdown: GracefulShutdown) {
         self.shutdown = Some(shutdown);
     }
 
@@ -130,7 +131,7 @@
         if self.registry.register(&mut socket, tokens::client(slot), interest).is_err() {
             return;
         }
-        self.connections.put(ClientConnection::new(socket, now));
+        self.connections.put(Client::new(socket, now));
         self.enqueue(slot);
     }
 
@@ -140,10 +141,12 @@
         // A connection with something to read may have a request.
         let looked_at =
             self.connections.iter().filter(|(_, client)| !client.is_queued && !client.is_readable);
-        let Some(slot) = front::gives_way(looked_at.map(|(slot, client)| (slot, &client.state)), now) else {
+        let Some(slot) =
+            client_connection::eviction_candidate(looked_at.map(|(slot, client)| (slot, &client.state)), now)
+        else {
             return false;
         };
-        if self.connections.get_mut(slot).is_some_and(ClientConnection::has_unread_request) {
+        if self.connections.get_mut(slot).is_some_and(Client::has_unread_request) {
             self.enqueue(slot);
         } else {
             self.close(slot);
@@ -201,28 +204,28 @@
     }
 
     /// Reads a queued connection until a request is complete or the socket is empty.
-    pub fn read(&mut self, slot: u32, scratch: &mut [u8], now: Millis) -> ReadOutcome {
-        let Some(client) = self.connections.get_mut(slot) else { return ReadOutcome::Incomplete };
+    pub fn read(&mut self, slot: u32, scratch: &mut [u8], now: Millis) -> RequestStatus {
+        let Some(client) = self.connections.get_mut(slot) else { return RequestStatus::Incomplete };
         client.is_queued = false;
-        if client.state.doing() == Doing::Lingers {
+        if client.state.phase() == Phase::Lingering {
             if !client.drain_input(scratch) {
                 self.close(slot);
             }
-            return ReadOutcome::Incomplete;
+            return RequestStatus::Incomplete;
         }
         // While the client is slowed down, or has a request in flight, what it sends waits in the socket.
-        if !client.state.reads(now) {
-            return ReadOutcome::Incomplete;
+        if !client.state.may_read(now) {
+            return RequestStatus::Incomplete;
         }
         let before = client.bytes();
         let read = client.read_request(scratch, now);
         self.bytes = self.bytes + client.bytes() - before;
         match read {
-            Ok(true) => return ReadOutcome::Request,
+            Ok(true) => return RequestStatus::Complete,
             Err(ReadError::Closed) => self.close(slot),
             Err(ReadError::Invalid(fault)) => {
                 self.counters.malformed += 1;
-                self.respond_with_error(slot, response::fault_status(fault), fault.words(), now);
+                self.respond_with_error(slot, responses::fault_status(fault), fault.words(), now);
             }
             // All clients share a memory limit: the request that exceeds it is shed.
             Ok(false) if self.bytes > self.max_bytes => {
@@ -230,7 +233,7 @@
             }
             Ok(false) => {}
         }
-        ReadOutcome::Incomplete
+        RequestStatus::Incomplete
     }
 
     /// The head and the body of the complete request of a connection, if there is one.
@@ -253,8 +256,8 @@
     pub fn on_admitted(&mut self, slot: u32, io: BioId, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
             client.io = Some(io);
-            client.state.right();
-            client.state.turns(Doing::InHand, now);
+            client.state.request_accepted();
+            client.state.enter_phase(Phase::InFlight, now);
         }
     }
 
@@ -262,7 +265,7 @@
     pub fn reject_request(&mut self, slot: u32, status: u16, text: &str, now: Millis) {
         self.counters.invalid += 1;
         if let Some(client) = self.connections.get_mut(slot) {
-            client.state.wrong(now);
+            client.state.request_rejected(now);
         }
         self.respond(slot, Response::new(status, text.as_bytes()), now);
     }
@@ -271,20 +274,22 @@
     pub fn check_timeouts(&mut self, now: Millis) {
         for slot in 0..self.connections.places() {
             let Some(client) = self.connections.get_mut(slot) else { continue };
-            match client.state.care(now, self.shutdown) {
+            match client.state.check_timeouts(now, self.shutdown) {
                 // What is in the socket is read first: it may be a complete request.
-                Care::Close | Care::Late if client.is_queued => {}
-                Care::Close | Care::Late if client.has_unread_request() => self.enqueue(slot),
-                Care::Close => self.close(slot),
-                Care::Late => {
-                    self.respond_with_error(slot, response::REQUEST_TIMEOUT, "the request is late", now);
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.is_queued => {}
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.has_unread_request() => {
+                    self.enqueue(slot)
                 }
-                Care::Nothing
-                    if client.state.reads(now) && (client.is_readable || !client.input.is_empty()) =>
+                TimeoutAction::Close => self.close(slot),
+                TimeoutAction::RejectLateRequest => {
+                    self.respond_with_error(slot, responses::REQUEST_TIMEOUT, "the request is late", now);
+                }
+                TimeoutAction::Nothing
+                    if client.state.may_read(now) && (client.is_readable || !client.input.is_empty()) =>
                 {
                     self.enqueue(slot);
                 }
-                Care::Nothing => {}
+                TimeoutAction::Nothing => {}
             }
         }
     }
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -1,7 +1,7 @@
 //! One connection of a client.
 use crate::buffers::{REQUEST_BOUNDS, recycle};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::{Doing, Guest};
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection::{ClientConnection, Phase};
 use mallowseam_http1::{Fault, RequestReader, Whole};
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
@@ -10,10 +10,10 @@
 use std::io::ErrorKind;
 
 /// A client's connection: one request at a time.
-pub struct ClientConnection {
+pub struct Client {
     pub socket: TcpStream,
     /// State of the connection, with its timeouts.
-    pub state: Guest,
+    pub state: ClientConnection,
     /// Bytes read; a request in flight stays at the front.
     pub input: Vec<u8>,
     pub reader: RequestReader,
@@ -43,12 +43,12 @@
     Closed,
 }
 
-impl ClientConnection {
+impl Client {
     /// A new connection.
     pub fn new(socket: TcpStream, now: Millis) -> Self {
-        ClientConnection {
+        Client {
             socket,
-            state: Guest::new(now),
+            state: ClientConnection::new(now),
             input: Vec::new(),
             reader: RequestReader::default(),
             request: None,
@@ -75,7 +75,8 @@
 
     /// Whether part of a request waits in the socket; peeks at it.
     pub fn has_unread_request(&mut self) -> bool {
-        if !matches!(self.state.doing(), Doing::Silent | Doing::Midway | Doing::Idle) {
+        if !matches!(self.state.phase(), Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle)
+        {
             return false;
         }
         self.is_readable |= matches!(self.socket.peek(&mut [0]), Ok(count) if count > 0);
@@ -117,8 +118,8 @@
 
     /// Parses what was read; true once a request is complete. A client that expects it gets 100 Continue.
     fn advance(&mut self, now: Millis) -> Result<bool, ReadError> {
-        if self.state.doing() != Doing::Midway {
-            self.state.turns(Doing::Midway, now);
+        if self.state.phase() != Phase::ReceivingRequest {
+            self.state.enter_phase(Phase::ReceivingRequest, now);
         }
         self.request = self.reader.advance(&mut self.input, REQUEST_BOUNDS).map_err(ReadError::Invalid)?;
         if self.request.is_some() {
@@ -135,7 +136,7 @@
     pub fn drain_input(&mut self, scratch: &mut [u8]) -> bool {
         while self.is_readable {
             match wire::read(&mut self.socket, scratch) {
-                Tried::Read(count) if self.state.dropped(count) => return false,
+                Tried::Read(count) if self.state.bytes_discarded(count) => return false,
                 Tried::Read(_) => {}
                 Tried::Blocked => self.is_readable = false,
                 Tried::Over(_) => return false,
--- a/crates/platform-host/src/clients/response.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -1,8 +1,8 @@
 //! Writes responses to clients.
 use super::ClientConnections;
 use crate::buffers::{discard_front, recycle};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front::Doing;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection::Phase;
 use mallowseam_http1::Fault;
 use mallowseam_platform::answer;
 use mallowseam_sockets::wire::Parcel;
@@ -82,7 +82,7 @@
 impl ClientConnections {
     /// Responds to the request of a connection.
     pub fn respond(&mut self, slot: u32, response: Response, now: Millis) {
-        let is_ending = self.shutdown.is_some_and(|shutdown| !shutdown.lets_in(now));
+        let is_ending = self.shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
         let Some(client) = self.connections.get_mut(slot) else { return };
         let before = client.bytes();
         client.close_after_response |= is_ending || client.is_disconnected || client.reader.closes();
@@ -99,7 +99,7 @@
         }
         client.reader.next();
         client.io = None;
-        client.state.turns(Doing::Answered, now);
+        client.state.enter_phase(Phase::SendingResponse, now);
         self.bytes = self.bytes + client.bytes() - before;
         self.flush(slot, now);
     }
@@ -134,16 +134,16 @@
         if pushed.is_err() {
             return self.close(slot);
         }
-        if !client.output.is_empty() || client.state.doing() != Doing::Answered {
+        if !client.output.is_empty() || client.state.phase() != Phase::SendingResponse {
             return;
         }
         if client.close_after_response {
             if client.socket.shutdown(Shutdown::Write).is_err() {
                 return self.close(slot);
             }
-            client.state.turns(Doing::Lingers, now);
+            client.state.enter_phase(Phase::Lingering, now);
         } else {
-            client.state.turns(Doing::Idle, now);
+            client.state.enter_phase(Phase::Idle, now);
         }
         self.enqueue(slot);
     }
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -46,7 +46,7 @@
     fn read_queued(&mut self, now: Millis) -> Vec<u32> {
         let queued: Vec<u32> = self.clients.read_queue.drain(..).collect();
         let clients = &mut self.clients;
-        let has_request = |slot: &u32| clients.read(*slot, &mut [0; 4_096], now) == ReadOutcome::Request;
+        let has_request = |slot: &u32| clients.read(*slot, &mut [0; 4_096], now) == RequestStatus::Complete;
         queued.into_iter().filter(has_request).collect()
     }
 
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,7 +1,7 @@
 //! A watch on the discovery service: one connection on which it streams changes of the endpoint list.
 use crate::buffers::{REQUEST_BOUNDS, recycle};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::watch::Watch;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_http1::{AnswerHead, Bounds, Chunks, Fault, Framing};
 use mallowseam_platform::list::{self, Entry, Front, News};
 use mallowseam_sockets::wire::{self, Tried};
@@ -42,12 +42,12 @@
     VersionsRestarted,
 }
 
-/// An event on a watch.
-pub enum WatchEvent {
+/// A message on a watch.
+pub enum WatchMessage {
     /// A full snapshot, or changes.
     Update(News),
     /// An empty line, sent to show that the watch is alive.
-    KeepAlive,
+    Heartbeat,
     /// Endpoints that are draining or removed, from an update that is invalid otherwise.
     Closings(Vec<Entry>),
     /// The watch has ended.
@@ -67,7 +67,7 @@
 /// A connection to the discovery service.
 pub struct WatchConnection {
     /// Timeouts of the watch.
-    pub watch: Watch,
+    pub watch: WatchLiveness,
     socket: TcpStream,
     address: SocketAddr,
     since: Option<u64>,
@@ -91,7 +91,7 @@
         let mut request = Vec::new();
         list::watch(&mut request, address, since);
         Ok(WatchConnection {
-            watch: Watch::new(now),
+            watch: WatchLiveness::new(now),
             socket,
             address,
             since,
@@ -117,16 +117,16 @@
     }
 
     /// Writes the request and reads the response as far as the socket allows. `Failed` is the last event.
-    pub fn on_event(&mut self, scratch: &mut [u8], on_watch: &mut impl FnMut(WatchEvent)) {
-        if let Err(error) = self.exchange(scratch, on_watch) {
-            on_watch(WatchEvent::Failed(error));
+    pub fn on_event(&mut self, scratch: &mut [u8], on_message: &mut impl FnMut(WatchMessage)) {
+        if let Err(error) = self.exchange(scratch, on_message) {
+            on_message(WatchMessage::Failed(error));
         }
     }
 
     fn exchange(
         &mut self,
         scratch: &mut [u8],
-        on_watch: &mut impl FnMut(WatchEvent),
+        on_message: &mut impl FnMut(WatchMessage),
     ) -> Result<(), WatchError> {
         if self.socket.peer_addr().is_err() {
             return match self.socket.take_error() {
@@ -143,7 +143,7 @@
             };
             self.response.extend_from_slice(&scratch[..count]);
             self.read_head()?;
-            self.read_body(on_watch)?;
+            self.read_body(on_message)?;
         }
     }
 
@@ -159,7 +159,7 @@
             let (len, framing) = (head.len, head.framing);
             drop(self.response.drain(..len));
             if !is_interim {
-                self.watch.answered();
+                self.watch.response_started();
                 self.stage = match framing {
                     Framing::Chunked => Stage::Stream(Chunks::new(0)),
                     Framing::Length(len) => Stage::Snapshot(len),
@@ -170,19 +170,19 @@
         Ok(())
     }
 
-    fn read_body(&mut self, on_watch: &mut impl FnMut(WatchEvent)) -> Result<(), WatchError> {
+    fn read_body(&mut self, on_message: &mut impl FnMut(WatchMessage)) -> Result<(), WatchError> {
         match &mut self.stage {
             Stage::Head => Ok(()),
             Stage::Snapshot(len) if self.response.len() < *len => Ok(()),
             // Such a service sends nothing after the list: a new watch has to ask for changes.
             Stage::Snapshot(len) => {
-                read_updates(&self.response[..*len], true, on_watch)?;
+                read_updates(&self.response[..*len], true, on_message)?;
                 Err(WatchError::ListEnded)
             }
             Stage::Stream(chunks) => {
                 chunks.advance(&mut self.response, LIST_BOUNDS.body).map_err(WatchError::Malformed)?;
                 let is_over = chunks.over();
-                let consumed = read_updates(&self.response[..chunks.at()], is_over, on_watch)?;
+                let consumed = read_updates(&self.response[..chunks.at()], is_over, on_message)?;
                 chunks.taken(consumed);
                 drop(self.response.drain(..consumed));
                 if self.response.is_empty() {
@@ -206,7 +206,7 @@
 fn read_updates(
     text: &[u8],
     is_over: bool,
-    on_watch: &mut impl FnMut(WatchEvent),
+    on_message: &mut impl FnMut(WatchMessage),
 ) -> Result<usize, WatchError> {
     let last_line_end = || text.iter().rposition(|b| *b == b'\n').map_or(0, |index| index + 1);
     let end = if is_over { text.len() } else { last_line_end() };
@@ -218,15 +218,15 @@
             }
             Front::Part => return Ok(consumed),
             Front::Empty(len) => {
-                on_watch(WatchEvent::KeepAlive);
+                on_message(WatchMessage::Heartbeat);
                 consumed += len;
             }
             Front::News(update, len) => {
-                on_watch(WatchEvent::Update(update));
+                on_message(WatchMessage::Update(update));
                 consumed += len;
             }
             Front::Wrong(why, closings) => {
-                on_watch(WatchEvent::Closings(closings));
+                on_message(WatchMessage::Closings(closings));
                 return Err(WatchError::InvalidUpdate(why));
             }
         }
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -11,8 +11,8 @@
 
 use crate::clients::{ClientConnections, Response};
 use crate::nodes::{Completion, NodeConnections};
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::front;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::client_connection;
 use mallowseam_platform::names::Names;
 use mallowseam_platform::request::Id;
 use mallowseam_platform::settings::Named;
@@ -151,7 +151,7 @@
 
     /// Whether the last poll is so old that a client's socket is checked before anything is started for it.
     fn is_poll_stale(&self) -> bool {
-        front::looks_again(millis(self.now - self.polled_at))
+        client_connection::poll_result_is_stale(millis(self.now - self.polled_at))
     }
 
     /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -1,7 +1,7 @@
 //! From a client's complete request to the scheduler; disconnects; final responses at the end of a shutdown.
 use super::{Dispatcher, InFlight};
 use crate::clients::{CONFLICT, OK, Response};
-use mallowseam_conduct::front::Leaving;
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_platform::answer;
 use mallowseam_platform::names::Shut;
 use mallowseam_platform::request::{self, Asked, Block};
@@ -80,7 +80,7 @@
                 continue;
             };
             let io = BioId(slot);
-            let is_harmless = Leaving::harmless(entry.attempts);
+            let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts);
             self.withdraw_unsent(io);
             if is_harmless {
                 self.shed(io, 0);
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -12,7 +12,7 @@
     fn start_attempt(&mut self, io: BioId, node: NodeId, timeout: Tick) -> Result<(), Ending> {
         let now = self.now;
         // During a shutdown all responses are due before the host is killed, so attempts expire by then.
-        let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answers_by());
+        let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline());
         let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks(by) - now));
         self.check_client(io);
         let max_attempts = self.settings.terms.max_submits;
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -1,7 +1,7 @@
 //! Clients that disconnect while the poll's last report is old. The test itself decides when the poll reports something.
 use super::*;
-use crate::clients::ReadOutcome;
-use mallowseam_conduct::parting::Keep;
+use crate::clients::RequestStatus;
+use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_scheduler::host::ListForm;
 use mio::Poll;
 use mio::net::TcpStream;
@@ -37,7 +37,7 @@
         let settings = mallowseam_platform::settings::read(SETTINGS).expect("sound settings");
         let (node, listener) = (listen(), listen());
         let clients = ClientConnections::new(registry(), 64, 1 << 20);
-        let keep_alive = Keep::new(15_000, millis(now));
+        let keep_alive = KeepAlivePolicy::new(15_000, millis(now));
         let nodes = NodeConnections::new(registry(), 64, 1 << 20, 2_500, keep_alive);
         let mut scheduler = Scheduler::new(&settings.terms, 7, now);
         let mut dispatcher = Dispatcher::new(now, settings, clients, nodes);
@@ -77,7 +77,7 @@
     fn handle_request(&mut self, slot: u32) {
         let now = self.dispatcher.now_ms();
         let read = self.dispatcher.clients.read(slot, &mut [0; 4_096], now);
-        assert_eq!(read, ReadOutcome::Request);
+        assert_eq!(read, RequestStatus::Complete);
         self.dispatcher.on_request(&mut self.scheduler, slot, true);
     }
 
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -15,7 +15,7 @@
 mod status_log;
 mod timers;
 
-use crate::clients::ReadOutcome;
+use crate::clients::RequestStatus;
 use crate::dispatcher::Dispatcher;
 use crate::error::HostError;
 use crate::signals::SignalPipes;
@@ -162,7 +162,7 @@
             self.update_now();
             let now = self.dispatcher.now_ms();
             let read = self.dispatcher.clients.read(slot, &mut self.scratch, now);
-            if read == ReadOutcome::Request {
+            if read == RequestStatus::Complete {
                 let is_ready = self.watch.has_endpoints();
                 self.dispatcher.on_request(&mut self.scheduler, slot, is_ready);
             }
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -1,9 +1,9 @@
 //! Watches the discovery service: opens watches, applies their updates, detects failed ones.
 use super::{EventLoop, MAX_EVENTS};
-use crate::discovery::{WatchConnection, WatchError, WatchEvent};
+use crate::discovery::{WatchConnection, WatchError, WatchMessage};
 use crate::tokens;
-use mallowseam_conduct::Millis;
-use mallowseam_conduct::watch::Pair;
+use mallowseam_connection_policy::Millis;
+use mallowseam_connection_policy::watch_slots::WatchSlots;
 use mallowseam_fleet::word::Facts;
 use mallowseam_platform::list::News;
 use mallowseam_scheduler::host::ListForm;
@@ -14,7 +14,7 @@
 pub(super) struct EndpointWatch {
     /// The latest watch, and its predecessor, which is read until the latest one is alive.
     connections: [Option<WatchConnection>; 2],
-    roles: Pair,
+    slots: WatchSlots,
     /// The last version received, and the service that it belongs to: versions of two services do not compare.
     version: Option<u64>,
     version_source: SocketAddr,
@@ -26,7 +26,7 @@
     pub(super) fn new(service: SocketAddr) -> Self {
         EndpointWatch {
             connections: [None, None],
-            roles: Pair::default(),
+            slots: WatchSlots::default(),
             version: None,
             version_source: service,
             has_endpoints: false,
@@ -47,7 +47,7 @@
     /// Whether the latest watch is open.
     fn has_latest(&self) -> bool {
         let mut indexed = self.connections.iter().enumerate();
-        indexed.any(|(index, connection)| connection.is_some() && self.roles.is_last(index))
+        indexed.any(|(index, connection)| connection.is_some() && self.slots.is_latest(index))
     }
 }
 
@@ -55,7 +55,7 @@
     /// Opens a watch. The previous one, if it is still open, is read until the new one is alive.
     pub(super) fn open_watch(&mut self) {
         let has_latest = self.watch.has_latest();
-        let index = self.watch.roles.next(has_latest);
+        let index = self.watch.slots.next_slot(has_latest);
         self.close_watch(index);
         let (address, now) = (self.config.discovery, self.dispatcher.now_ms());
         // Versions of another service do not compare with the one that was received.
@@ -81,7 +81,7 @@
         tracing::warn!(%error, address = %self.config.discovery, "discovery watch failed");
         self.close_watch(index);
         // A predecessor was reported as silent when its successor was opened.
-        if self.watch.roles.is_last(index) {
+        if self.watch.slots.is_latest(index) {
             self.dispatcher.on_watch_lost(&mut self.scheduler, ListForm::Failed);
         }
     }
@@ -100,35 +100,35 @@
     fn read_watch(&mut self, index: usize) {
         let Some(connection) = &mut self.watch.connections[index] else { return };
         let mut received = Vec::new();
-        connection.on_event(&mut self.scratch, &mut |event| received.push(event));
-        for event in received {
+        connection.on_event(&mut self.scratch, &mut |message| received.push(message));
+        for message in received {
             // Applying a long list takes time.
             self.update_now();
-            // The previous event may have closed the watch.
+            // The previous message may have closed the watch.
             if self.watch.connections[index].is_none() {
                 return;
             }
-            self.on_watch_event(index, event);
+            self.on_watch_message(index, message);
         }
     }
 
-    fn on_watch_event(&mut self, index: usize, event: WatchEvent) {
-        match event {
-            WatchEvent::Update(update) => self.on_update(index, &update),
-            WatchEvent::KeepAlive => self.on_watch_alive(index),
-            WatchEvent::Closings(entries) => {
+    fn on_watch_message(&mut self, index: usize, message: WatchMessage) {
+        match message {
+            WatchMessage::Update(update) => self.on_update(index, &update),
+            WatchMessage::Heartbeat => self.on_watch_alive(index),
+            WatchMessage::Closings(entries) => {
                 let update = News { seq: 0, whole: false, entries };
                 self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, &update);
             }
-            WatchEvent::Failed(error) => self.on_watch_failed(index, &error),
+            WatchMessage::Failed(error) => self.on_watch_failed(index, &error),
         }
     }
 
     /// A watch has sent a complete line: it supersedes the one before it.
     fn on_watch_alive(&mut self, index: usize) {
         let now = self.dispatcher.now_ms();
-        let is_first = self.watch.connections[index].as_mut().is_some_and(|c| c.watch.heard(now));
-        if let Some(superseded) = self.watch.roles.spoke(index) {
+        let is_first = self.watch.connections[index].as_mut().is_some_and(|c| c.watch.event_received(now));
+        if let Some(superseded) = self.watch.slots.superseded_by(index) {
             self.close_watch(superseded);
         }
         if is_first {
@@ -168,7 +168,7 @@
     pub(super) fn check_watches(&mut self, now: Millis) {
         for index in 0..self.watch.connections.len() {
             let Some(connection) = &mut self.watch.connections[index] else { continue };
-            if !connection.watch.fails(now) {
+            if !connection.watch.check_failure(now) {
                 continue;
             }
             if !connection.is_up() {
@@ -177,10 +177,10 @@
             }
             tracing::warn!(address = %connection.address(), "discovery watch is silent");
             // A watch that has sent nothing yet occupies a place in the service's queue; one that has does not.
-            if !connection.watch.stands() {
+            if !connection.watch.is_established() {
                 self.close_watch(index);
             }
-            if self.watch.roles.is_last(index) {
+            if self.watch.slots.is_latest(index) {
                 self.dispatcher.on_watch_lost(&mut self.scheduler, ListForm::Silent);
             }
         }
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown. After SIGTERM the platform kills the process once a grace period is over; after SIGINT an operator
 //! waits for its end.
 use super::EventLoop;
-use mallowseam_conduct::front::Leaving;
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_scheduler::host::Tick;
 use mallowseam_sockets::clock::{millis, ticks};
 
@@ -12,17 +12,17 @@
         let longest_objective = settings.terms.groups.iter().map(|class| class.goal).max().unwrap_or(0);
         let (longest_deadline, longest_objective) = (millis(settings.longest), millis(longest_objective));
         let now = self.dispatcher.now_ms();
-        self.begin_shutdown(Leaving::platform(now, longest_deadline, longest_objective));
+        self.begin_shutdown(GracefulShutdown::by_platform(now, longest_deadline, longest_objective));
     }
 
     /// An operator asks the host to stop.
     pub(super) fn on_sigint(&mut self) {
         let now = self.dispatcher.now_ms();
-        self.begin_shutdown(Leaving::by_hand(now));
+        self.begin_shutdown(GracefulShutdown::by_operator(now));
     }
 
     /// The first signal counts; further ones change nothing.
-    fn begin_shutdown(&mut self, shutdown: Leaving) {
+    fn begin_shutdown(&mut self, shutdown: GracefulShutdown) {
         let dispatcher = &mut self.dispatcher;
         if dispatcher.clients.shutdown().is_some() {
             return;
@@ -38,7 +38,7 @@
 
     /// When all final responses are due, after SIGTERM.
     pub(super) fn responses_due(&self) -> Option<Tick> {
-        self.dispatcher.clients.shutdown().and_then(|shutdown| shutdown.answers_by()).map(ticks)
+        self.dispatcher.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline()).map(ticks)
     }
 
     /// Sends all final responses once they are due.
@@ -52,7 +52,7 @@
     /// Closes the listener once the host accepts no more clients.
     pub(super) fn stop_accepting(&mut self) {
         let now = self.dispatcher.now_ms();
-        if self.dispatcher.clients.shutdown().is_some_and(|shutdown| !shutdown.lets_in(now)) {
+        if self.dispatcher.clients.shutdown().is_some_and(|shutdown| !shutdown.admits_clients(now)) {
             self.close_listener();
         }
     }
@@ -60,6 +60,8 @@
     /// Whether the host may stop: it accepts no more clients, and all have disconnected.
     pub(super) fn is_finished(&self) -> bool {
         let clients = &self.dispatcher.clients;
-        clients.shutdown().is_some_and(|shutdown| shutdown.over(self.dispatcher.now_ms(), clients.len()))
+        clients
+            .shutdown()
+            .is_some_and(|shutdown| shutdown.is_complete(self.dispatcher.now_ms(), clients.len()))
     }
 }
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -9,7 +9,8 @@
 use crate::nodes::NodeConnections;
 use crate::signals::SignalPipes;
 use crate::tokens;
-use mallowseam_conduct::parting::{self, Keep, Parting};
+use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
+use mallowseam_connection_policy::resource_budget::ResourceBudget;
 use mallowseam_fleet_udp::Part;
 use mallowseam_platform::config::{self, Config};
 use mallowseam_platform::settings::Named;
@@ -54,7 +55,7 @@
         let now = clock.now();
         let fleet = open_fleet(&config, poll.registry())?;
         let settings = host_settings(&config);
-        let budget = parting::part(config.sockets, config.memory_mb);
+        let budget = ResourceBudget::new(config.sockets, config.memory_mb);
         let (clients, nodes) = connections(&settings, &budget, poll.registry(), now)?;
         log_start(&config, &budget);
         Ok(EventLoop {
@@ -113,15 +114,16 @@
 
 fn connections(
     settings: &Named,
-    budget: &Parting,
+    budget: &ResourceBudget,
     registry: &Registry,
     now: Tick,
 ) -> Result<(ClientConnections, NodeConnections), HostError> {
-    let keep_alive = Keep::new(millis(settings.idle_close), millis(now));
-    let clients = ClientConnections::new(clone_registry(registry)?, budget.clients, budget.client_bytes);
+    let keep_alive = KeepAlivePolicy::new(millis(settings.idle_close), millis(now));
+    let clients =
+        ClientConnections::new(clone_registry(registry)?, budget.client_connections, budget.client_bytes);
     let nodes = NodeConnections::new(
         clone_registry(registry)?,
-        budget.nodes,
+        budget.node_connections,
         budget.node_bytes,
         settings.connect_within,
         keep_alive,
@@ -129,13 +131,13 @@
     Ok((clients, nodes))
 }
 
-fn log_start(config: &Config, budget: &Parting) {
+fn log_start(config: &Config, budget: &ResourceBudget) {
     tracing::info!(
         host = config.name,
         listen = %config.listen,
         discovery = %config.discovery,
-        clients = budget.clients,
-        nodes = budget.nodes,
+        clients = budget.client_connections,
+        nodes = budget.node_connections,
         cores = config.cores,
         idle_close_ms = millis(config.named.idle_close),
         connect_within_ms = millis(config.named.connect_within),
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -1,7 +1,7 @@
 //! Writes the periodic log lines: the counters of the host, and for each node the scheduler's estimates next to the
 //! counters of its connections.
 use super::EventLoop;
-use mallowseam_conduct::front::Doing;
+use mallowseam_connection_policy::client_connection::Phase;
 use mallowseam_scheduler::host::{NodeId, NodeView};
 
 impl EventLoop {
@@ -22,8 +22,8 @@
         let clients = &dispatcher.clients;
         tracing::info!(
             clients = clients.len(),
-            silent = clients.count_in_state(Doing::Silent),
-            idle = clients.count_in_state(Doing::Idle),
+            silent = clients.count_in_state(Phase::AwaitingFirstRequest),
+            idle = clients.count_in_state(Phase::Idle),
             bytes = clients.bytes() + dispatcher.nodes.bytes(),
             connections = ?clients.counters(),
             ios = ?dispatcher.counters(),
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -13,7 +13,7 @@
 
 use connection::NodeConnection;
 use deadlines::Deadlines;
-use mallowseam_conduct::parting::Keep;
+use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
 use mallowseam_sockets::slots::Slots;
 use mio::Registry;
@@ -60,7 +60,7 @@
     bytes: usize,
     max_bytes: usize,
     connect_timeout: Tick,
-    keep_alive: Keep,
+    keep_alive: KeepAlivePolicy,
     last_serial: u64,
     deadlines: Deadlines,
 }
@@ -72,7 +72,7 @@
         max_connections: usize,
         max_bytes: usize,
         connect_timeout: Tick,
-        keep_alive: Keep,
+        keep_alive: KeepAlivePolicy,
     ) -> Self {
         NodeConnections {
             endpoints: Vec::new(),
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -3,7 +3,7 @@
 use super::connection::{Attempt, NodeConnection};
 use crate::buffers::recycle;
 use crate::tokens;
-use mallowseam_conduct::parting::{self, Fit};
+use mallowseam_connection_policy::keep_alive::{self, Reusability};
 use mallowseam_http1::AnswerReader;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
 use mallowseam_sockets::clock::millis;
@@ -41,12 +41,12 @@
 
     /// An idle connection that may carry an attempt: alive, and without unexpected bytes on it.
     fn take_idle(&mut self, node: NodeId, now: Tick) -> Option<u32> {
-        let keep_alive = self.keep_alive.now(millis(now));
+        let keep_alive = self.keep_alive.idle_timeout(millis(now));
         loop {
             let endpoint = self.endpoint(node)?;
             let idle_since = |slot: &u32| self.connections.get(*slot).map_or(now, |c| c.idle_since);
             let idle_times = endpoint.idle.iter().map(|slot| millis(now - idle_since(slot)));
-            let chosen = parting::choose(idle_times, keep_alive)?;
+            let chosen = keep_alive::select_idle_connection(idle_times, keep_alive)?;
             let slot = endpoint.idle[chosen];
             if self.is_quiet(slot) {
                 self.endpoint_mut(node)?.idle.remove(chosen);
@@ -109,7 +109,7 @@
 
     /// The current idle timeout, in milliseconds.
     pub fn keep_alive_ms(&mut self, now: Tick) -> u64 {
-        self.keep_alive.now(millis(now))
+        self.keep_alive.idle_timeout(millis(now))
     }
 
     /// Closes idle connections that have reached the idle timeout, before their nodes do.
@@ -117,8 +117,9 @@
         let keep_alive = self.keep_alive_ms(now);
         for slot in 0..self.connections.places() {
             let idle = self.connections.get(slot).filter(|c| c.attempt.is_none());
-            let is_expired =
-                idle.is_some_and(|c| parting::fit(millis(now - c.idle_since), keep_alive) == Fit::TooOld);
+            let is_expired = idle.is_some_and(|c| {
+                keep_alive::reusability(millis(now - c.idle_since), keep_alive) == Reusability::Expired
+            });
             if is_expired {
                 self.close(slot);
             }
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -3,7 +3,7 @@
 use super::NodeConnections;
 use super::connection::{Attempt, Completion};
 use crate::buffers::RESPONSE_BOUNDS;
-use mallowseam_conduct::parting;
+use mallowseam_connection_policy::keep_alive;
 use mallowseam_http1::{AnswerHead, Whole};
 use mallowseam_platform::answer;
 use mallowseam_platform::request;
@@ -163,7 +163,7 @@
         if connection.is_reused && connection.response.is_empty() {
             let started_at = arrival.attempt.started_at;
             let idle = millis(started_at - connection.idle_since);
-            self.keep_alive.broke(idle, millis(now - started_at), millis(now));
+            self.keep_alive.connection_lost(idle, millis(now - started_at), millis(now));
         }
         self.close(slot);
         Some(arrival.completed(ending))
@@ -191,11 +191,11 @@
             self.close(slot);
             return Some(arrival.completed(Ending::NoConnect));
         }
-        let is_kept = parting::kept_behind(is_busy);
+        let is_kept = keep_alive::keep_after_response(is_busy);
         let has_more = connection.response.len() > message.end;
         let close = head.close || !is_kept || has_more || !is_written;
         if !is_kept && !connection.is_reused {
-            self.keep_alive.crowded(millis(now));
+            self.keep_alive.new_connection_rejected(millis(now));
         }
         let completion = Completion { response: Some(response), ..arrival.complete(response.ending) };
         let is_success = response.ending == Ending::Done;
