--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -14,7 +14,7 @@
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
-use mallowseam_sockets::slots::Slots;
+use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
 use std::collections::VecDeque;
@@ -48,7 +48,7 @@
 
 /// All connections of clients.
 pub struct ClientConnections {
-    connections: Slots<Client>,
+    connections: Slab<Client>,
     registry: Registry,
     max_connections: usize,
     /// Bytes held for all clients, and their bound.
@@ -65,7 +65,7 @@
     /// No connections, with the limits on them.
     pub fn new(registry: Registry, max_connections: usize, max_bytes: usize) -> Self {
         ClientConnections {
-            connections: Slots::default(),
+            connections: Slab::default(),
             registry,
             max_connections,
             bytes: 0,
@@ -126,12 +126,12 @@
             }
         }
         let _ = socket.set_nodelay(true);
-        let slot = self.connections.next();
+        let slot = self.connections.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.registry.register(&mut socket, tokens::client(slot), interest).is_err() {
             return;
         }
-        self.connections.put(Client::new(socket, now));
+        self.connections.insert(Client::new(socket, now));
         self.enqueue(slot);
     }
 
@@ -155,7 +155,7 @@
     }
 
     fn close(&mut self, slot: u32) {
-        if let Some(mut client) = self.connections.take(slot) {
+        if let Some(mut client) = self.connections.remove(slot) {
             self.bytes -= client.bytes();
             let _ = self.registry.deregister(&mut client.socket);
         }
@@ -272,7 +272,7 @@
 
     /// Applies the timeouts of all connections.
     pub fn check_timeouts(&mut self, now: Millis) {
-        for slot in 0..self.connections.places() {
+        for slot in 0..self.connections.index_bound() {
             let Some(client) = self.connections.get_mut(slot) else { continue };
             match client.state.check_timeouts(now, self.shutdown) {
                 // What is in the socket is read first: it may be a complete request.
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -5,7 +5,8 @@
 use mallowseam_http1::{Fault, RequestReader, Whole};
 use mallowseam_platform::answer;
 use mallowseam_scheduler::host::BioId;
-use mallowseam_sockets::wire::{self, Parcel, Tried};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use mio::net::TcpStream;
 use std::io::ErrorKind;
 
@@ -22,7 +23,7 @@
     /// The block I/O that is in flight for it.
     pub io: Option<BioId>,
     /// Bytes to be written.
-    pub output: Parcel,
+    pub output: OutgoingMessage,
     /// The poll has reported the connection at least once.
     pub is_polled: bool,
     /// The socket may have more to read.
@@ -53,7 +54,7 @@
             reader: RequestReader::default(),
             request: None,
             io: None,
-            output: Parcel::default(),
+            output: OutgoingMessage::default(),
             is_polled: false,
             is_readable: true,
             is_disconnected: false,
@@ -103,15 +104,15 @@
                 return Ok(false);
             }
             let limit = (REQUEST_BOUNDS.buffer() - self.input.len()).min(scratch.len());
-            match wire::read(&mut self.socket, &mut scratch[..limit]) {
-                Tried::Read(count) => {
+            match nonblocking::read(&mut self.socket, &mut scratch[..limit]) {
+                ReadOutcome::Read(count) => {
                     self.input.extend_from_slice(&scratch[..count]);
                     // A short read has emptied the socket, and the poll reports what arrives later; but the end of
                     // the stream is reported only once.
                     self.is_readable = count == limit || self.is_disconnected;
                 }
-                Tried::Blocked => self.is_readable = false,
-                Tried::Over(_) => return Err(ReadError::Closed),
+                ReadOutcome::WouldBlock => self.is_readable = false,
+                ReadOutcome::Closed(_) => return Err(ReadError::Closed),
             }
         }
     }
@@ -126,8 +127,8 @@
             return Ok(true);
         }
         if self.reader.expects() {
-            self.output.small.extend_from_slice(answer::GO_ON);
-            self.output.push(&mut self.socket).map_err(|_| ReadError::Closed)?;
+            self.output.head.extend_from_slice(answer::GO_ON);
+            self.output.write_to(&mut self.socket).map_err(|_| ReadError::Closed)?;
         }
         Ok(false)
     }
@@ -135,11 +136,11 @@
     /// Reads and drops what a client sends after its last response. False: the connection is to be closed.
     pub fn drain_input(&mut self, scratch: &mut [u8]) -> bool {
         while self.is_readable {
-            match wire::read(&mut self.socket, scratch) {
-                Tried::Read(count) if self.state.bytes_discarded(count) => return false,
-                Tried::Read(_) => {}
-                Tried::Blocked => self.is_readable = false,
-                Tried::Over(_) => return false,
+            match nonblocking::read(&mut self.socket, scratch) {
+                ReadOutcome::Read(count) if self.state.bytes_discarded(count) => return false,
+                ReadOutcome::Read(_) => {}
+                ReadOutcome::WouldBlock => self.is_readable = false,
+                ReadOutcome::Closed(_) => return false,
             }
         }
         true
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -5,7 +5,7 @@
 use mallowseam_connection_policy::client_connection::Phase;
 use mallowseam_http1::Fault;
 use mallowseam_platform::answer;
-use mallowseam_sockets::wire::Parcel;
+use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use std::net::Shutdown;
 use std::ops::Range;
 
@@ -30,10 +30,10 @@
         }
     }
 
-    fn append_to(self, output: &mut Parcel) {
+    fn append_to(self, output: &mut OutgoingMessage) {
         match self {
-            Body::Copied(bytes) => output.small.extend_from_slice(bytes),
-            Body::Buffer(buffer, range) => output.put(buffer, range.start, range.end),
+            Body::Copied(bytes) => output.head.extend_from_slice(bytes),
+            Body::Buffer(buffer, range) => output.set_body(buffer, range.start, range.end),
         }
     }
 }
@@ -87,7 +87,7 @@
         let before = client.bytes();
         client.close_after_response |= is_ending || client.is_disconnected || client.reader.closes();
         answer::write(
-            &mut client.output.small,
+            &mut client.output.head,
             response.status,
             response.body.len(),
             response.retry_after_ms,
@@ -126,9 +126,9 @@
     pub(super) fn flush(&mut self, slot: u32, now: Millis) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         let before = client.bytes();
-        let pushed = client.output.push(&mut client.socket);
+        let pushed = client.output.write_to(&mut client.socket);
         if client.output.is_empty() {
-            recycle(&mut client.output.small);
+            recycle(&mut client.output.head);
         }
         self.bytes = self.bytes + client.bytes() - before;
         if pushed.is_err() {
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -4,7 +4,7 @@
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_http1::{AnswerHead, Bounds, Chunks, Fault, Framing};
 use mallowseam_platform::list::{self, Entry, Front, News};
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::io;
@@ -21,7 +21,7 @@
     #[error("{0}")]
     Connect(#[source] io::Error),
     #[error("{0}")]
-    Socket(String),
+    Socket(#[source] ConnectionError),
     #[error("no connection")]
     ConnectTimeout,
     #[error("answered {0}")]
@@ -134,12 +134,12 @@
                 Ok(None) => Ok(()),
             };
         }
-        wire::push(&mut self.socket, &mut self.request).map_err(WatchError::Socket)?;
+        nonblocking::write_buffer(&mut self.socket, &mut self.request).map_err(WatchError::Socket)?;
         loop {
-            let count = match wire::read(&mut self.socket, scratch) {
-                Tried::Read(count) => count,
-                Tried::Blocked => return Ok(()),
-                Tried::Over(why) => return Err(WatchError::Socket(why)),
+            let count = match nonblocking::read(&mut self.socket, scratch) {
+                ReadOutcome::Read(count) => count,
+                ReadOutcome::WouldBlock => return Ok(()),
+                ReadOutcome::Closed(error) => return Err(WatchError::Socket(error)),
             };
             self.response.extend_from_slice(&scratch[..count]);
             self.read_head()?;
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -18,8 +18,8 @@
 use mallowseam_platform::settings::Named;
 use mallowseam_scheduler::host::{BioId, Listed, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_sockets::clock::millis;
-use mallowseam_sockets::slots::Slots;
+use mallowseam_sockets::clock::ticks_to_millis;
+use mallowseam_sockets::slab::Slab;
 use std::collections::VecDeque;
 
 #[cfg(test)]
@@ -72,7 +72,7 @@
     pub nodes: NodeConnections,
     names: Names,
     counters: IoCounters,
-    in_flight: Slots<InFlight>,
+    in_flight: Slab<InFlight>,
     /// Completed attempts that were not reported to the scheduler yet.
     completions: VecDeque<Completion>,
     /// When the scheduler's timer fires.
@@ -95,7 +95,7 @@
             nodes,
             names: Names::default(),
             counters: IoCounters::default(),
-            in_flight: Slots::default(),
+            in_flight: Slab::default(),
             completions: VecDeque::new(),
             timer: None,
             wants_watch: false,
@@ -105,7 +105,7 @@
 
     /// The time of the current event in milliseconds.
     pub fn now_ms(&self) -> Millis {
-        millis(self.now)
+        ticks_to_millis(self.now)
     }
 
     /// Number of block I/Os in flight.
@@ -151,7 +151,7 @@
 
     /// Whether the last poll is so old that a client's socket is checked before anything is started for it.
     fn is_poll_stale(&self) -> bool {
-        client_connection::poll_result_is_stale(millis(self.now - self.polled_at))
+        client_connection::poll_result_is_stale(ticks_to_millis(self.now - self.polled_at))
     }
 
     /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -34,7 +34,7 @@
     /// Hands a request to the scheduler as a block I/O.
     fn admit(&mut self, scheduler: &mut Scheduler, slot: u32, block: &Block) {
         let now_ms = self.now_ms();
-        let id = BioId(self.in_flight.next());
+        let id = BioId(self.in_flight.next_index());
         let io = match self.names.take(id, block, self.now, &self.settings) {
             Ok(io) => io,
             Err(Shut::InHand) => {
@@ -42,7 +42,7 @@
             }
             Err(Shut::Full) => return self.clients.reject_request(slot, answer::SHED, "no room", now_ms),
         };
-        self.in_flight.put(InFlight {
+        self.in_flight.insert(InFlight {
             id: block.id,
             client: Some(slot),
             attempts: 0,
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -5,7 +5,7 @@
 use mallowseam_platform::answer;
 use mallowseam_platform::request;
 use mallowseam_scheduler::host::{BioId, Ending, Host, KeyId, NodeId, Tick, VolId};
-use mallowseam_sockets::clock::{millis, ticks};
+use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
 impl Dispatcher {
     /// Sends a block I/O to a node, or returns the reason why nothing was sent.
@@ -13,7 +13,7 @@
         let now = self.now;
         // During a shutdown all responses are due before the host is killed, so attempts expire by then.
         let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline());
-        let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks(by) - now));
+        let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
         self.check_client(io);
         let max_attempts = self.settings.terms.max_submits;
         let Some(entry) = self.in_flight.get_mut(io.0) else { return Ok(()) };
@@ -22,7 +22,7 @@
         let is_one_too_many = max_attempts > 0 && entry.attempts > max_attempts;
         let client = entry.client.filter(|_| !is_over && !is_one_too_many);
         let (head, body) = client.and_then(|slot| self.clients.request(slot)).ok_or(Ending::Moot)?;
-        let wait_ms = millis(timeout).max(1);
+        let wait_ms = ticks_to_millis(timeout).max(1);
         let write = |out: &mut Vec<u8>| request::write(out, &head, body, wait_ms);
         let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
         entry.node_connection = Some(started.slot);
@@ -61,7 +61,7 @@
     }
 
     fn shed(&mut self, bio: BioId, come_back: Tick) {
-        let response = Response::empty(answer::SHED).with_retry_after(millis(come_back));
+        let response = Response::empty(answer::SHED).with_retry_after(ticks_to_millis(come_back));
         self.counters.shed += u64::from(self.respond_final(bio, response));
     }
 
@@ -89,7 +89,7 @@
     fn tell_peers(&mut self, _bytes: &[u8]) {}
 
     fn release_bio(&mut self, bio: BioId) {
-        if let Some(entry) = self.in_flight.take(bio.0) {
+        if let Some(entry) = self.in_flight.remove(bio.0) {
             self.names.release_bio(&entry.id);
         }
     }
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -25,7 +25,8 @@
 use mallowseam_fleet_udp::Part;
 use mallowseam_platform::config::Config;
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_sockets::clock::{Clock, Looks};
+use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
+use mallowseam_sockets::clock::Clock;
 use mio::event::Event;
 use mio::{Events, Poll, Registry};
 use std::io::ErrorKind;
@@ -43,7 +44,7 @@
     config: Config,
     clock: Clock,
     /// The times of polls, from which the arrival time of events is estimated.
-    polls: Looks,
+    arrivals: ArrivalEstimator,
     scheduler: Scheduler,
     dispatcher: Dispatcher,
     registry: Registry,
@@ -89,7 +90,7 @@
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(HostError::Poll(e)),
             _ => {}
         }
-        self.dispatcher.events_arrived_at = self.polls.heard(started_at, self.clock.now());
+        self.dispatcher.events_arrived_at = self.arrivals.estimate(started_at, self.clock.now());
         Ok(())
     }
 
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -3,14 +3,15 @@
 use super::EventLoop;
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_scheduler::host::Tick;
-use mallowseam_sockets::clock::{millis, ticks};
+use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
 impl EventLoop {
     /// The platform asks the host to stop, and will kill it later.
     pub(super) fn on_sigterm(&mut self) {
         let settings = &self.dispatcher.settings;
         let longest_objective = settings.terms.groups.iter().map(|class| class.goal).max().unwrap_or(0);
-        let (longest_deadline, longest_objective) = (millis(settings.longest), millis(longest_objective));
+        let (longest_deadline, longest_objective) =
+            (ticks_to_millis(settings.longest), ticks_to_millis(longest_objective));
         let now = self.dispatcher.now_ms();
         self.begin_shutdown(GracefulShutdown::by_platform(now, longest_deadline, longest_objective));
     }
@@ -38,7 +39,11 @@
 
     /// When all final responses are due, after SIGTERM.
     pub(super) fn responses_due(&self) -> Option<Tick> {
-        self.dispatcher.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline()).map(ticks)
+        self.dispatcher
+            .clients
+            .shutdown()
+            .and_then(|shutdown| shutdown.answer_deadline())
+            .map(ticks_from_millis)
     }
 
     /// Sends all final responses once they are due.
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -16,7 +16,8 @@
 use mallowseam_platform::settings::Named;
 use mallowseam_scheduler::host::{ListForm, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_sockets::clock::{Clock, Looks, millis, ticks};
+use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
+use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_millis};
 use mallowseam_sockets::descriptors;
 use mio::{Poll, Registry};
 use std::path::Path;
@@ -37,9 +38,9 @@
 /// Loads the configuration at startup, and raises the limit of descriptors to what it asks for.
 pub(super) fn load_config(path: &Path, discovery_call_ms: Option<u64>) -> Result<Config, HostError> {
     let mut config = read_config(path)?;
-    config.named.terms.ask_turn = discovery_call_ms.map(ticks);
+    config.named.terms.ask_turn = discovery_call_ms.map(ticks_from_millis);
     // With fewer descriptors than budgeted, the host would run out of them at points where it cannot reject anything.
-    let given = descriptors::given(config.sockets).map_err(HostError::DescriptorLimit)?;
+    let given = descriptors::raise_limit(config.sockets).map_err(HostError::DescriptorLimit)?;
     if given < config.sockets {
         return Err(HostError::TooFewDescriptors { wanted: config.sockets, given });
     }
@@ -51,7 +52,7 @@
     pub(super) fn open(path: &Path, config: Config, poll: &Poll) -> Result<Self, HostError> {
         let signals = SignalPipes::open(poll).map_err(HostError::Signals)?;
         let listener = Listener::open(poll, config.listen)?;
-        let clock = Clock::of_day();
+        let clock = Clock::from_unix_epoch();
         let now = clock.now();
         let fleet = open_fleet(&config, poll.registry())?;
         let settings = host_settings(&config);
@@ -70,7 +71,7 @@
             is_fleet_readable: false,
             scratch: vec![0; SCRATCH_BYTES],
             periodic: PeriodicTimers::new(now),
-            polls: Looks::new(now),
+            arrivals: ArrivalEstimator::new(now),
             clock,
             config,
         })
@@ -118,7 +119,7 @@
     registry: &Registry,
     now: Tick,
 ) -> Result<(ClientConnections, NodeConnections), HostError> {
-    let keep_alive = KeepAlivePolicy::new(millis(settings.idle_close), millis(now));
+    let keep_alive = KeepAlivePolicy::new(ticks_to_millis(settings.idle_close), ticks_to_millis(now));
     let clients =
         ClientConnections::new(clone_registry(registry)?, budget.client_connections, budget.client_bytes);
     let nodes = NodeConnections::new(
@@ -139,12 +140,12 @@
         clients = budget.client_connections,
         nodes = budget.node_connections,
         cores = config.cores,
-        idle_close_ms = millis(config.named.idle_close),
-        connect_within_ms = millis(config.named.connect_within),
+        idle_close_ms = ticks_to_millis(config.named.idle_close),
+        connect_within_ms = ticks_to_millis(config.named.connect_within),
         memory_mb = config.memory_mb,
         known = config.known.as_ref().map_or(0, |known| known.entries.len()),
         list_pushed = config.named.terms.list_pushed,
-        ask_within_ms = millis(config.named.terms.ask_within),
+        ask_within_ms = ticks_to_millis(config.named.terms.ask_within),
         "host starts"
     );
 }
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -1,7 +1,7 @@
 //! Timeouts and periodic checks.
 use super::EventLoop;
 use mallowseam_scheduler::host::Tick;
-use mallowseam_sockets::clock::span;
+use mallowseam_sockets::clock::ticks_to_duration;
 use std::time::Duration;
 
 /// Ticks between two checks of all connections: fine enough for timeouts of seconds.
@@ -51,7 +51,7 @@
         let timers = [dispatcher.timer(), dispatcher.nodes.next_deadline(), responses_due];
         let next_check = self.periodic.checked_at + CHECK_PERIOD;
         let next = timers.into_iter().flatten().fold(next_check, Tick::min);
-        let timeout = span(next - self.clock.now());
+        let timeout = ticks_to_duration(next - self.clock.now());
         match &self.fleet {
             Some(fleet) => timeout.min(Duration::from_millis(fleet.due())),
             None => timeout,
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -15,7 +15,7 @@
 use deadlines::Deadlines;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
-use mallowseam_sockets::slots::Slots;
+use mallowseam_sockets::slab::Slab;
 use mio::Registry;
 use std::net::SocketAddr;
 
@@ -53,7 +53,7 @@
 /// All connections to nodes.
 pub struct NodeConnections {
     endpoints: Vec<Option<Endpoint>>,
-    connections: Slots<NodeConnection>,
+    connections: Slab<NodeConnection>,
     registry: Registry,
     max_connections: usize,
     /// Bytes of responses held, and their bound.
@@ -76,7 +76,7 @@
     ) -> Self {
         NodeConnections {
             endpoints: Vec::new(),
-            connections: Slots::default(),
+            connections: Slab::default(),
             registry,
             max_connections,
             bytes: 0,
@@ -140,7 +140,7 @@
 
     /// Completes the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
     pub fn recall_unconnected(&mut self, node: NodeId, mut completed: impl FnMut(Completion)) {
-        for slot in 0..self.connections.places() {
+        for slot in 0..self.connections.index_bound() {
             let connection = self.connections.get(slot);
             let is_waiting = connection.is_some_and(|c| c.node == node && !c.is_up);
             if is_waiting && let Some(attempt) = self.close(slot) {
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -3,7 +3,7 @@
 use super::connection::{Attempt, Completion, NodeConnection};
 use super::deadlines::Deadline;
 use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
-use mallowseam_sockets::wire;
+use mallowseam_sockets::nonblocking;
 
 /// Deadlines of completed attempts are dropped once there are this many beyond four a connection.
 const STALE_DEADLINES: usize = 1_024;
@@ -82,10 +82,10 @@
             return None;
         }
         let node = connection.node;
-        let sent = wire::send(&mut connection.socket, &connection.request[connection.sent..]);
+        let sent = nonblocking::write(&mut connection.socket, &connection.request[connection.sent..]);
         let (sent, is_broken) = match sent {
             Ok(sent) => (sent, false),
-            Err((sent, _)) => (sent, true),
+            Err(error) => (error.written, true),
         };
         connection.sent += sent;
         let is_written = connection.sent == connection.request.len();
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -6,15 +6,15 @@
 use mallowseam_connection_policy::keep_alive::{self, Reusability};
 use mallowseam_http1::AnswerReader;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
-use mallowseam_sockets::clock::millis;
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::clock::ticks_to_millis;
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::Interest;
 use mio::net::TcpStream;
 
 impl NodeConnections {
     /// Closes a connection and returns the attempt that it carried.
     pub(super) fn close(&mut self, slot: u32) -> Option<Attempt> {
-        let mut connection = self.connections.take(slot)?;
+        let mut connection = self.connections.remove(slot)?;
         self.bytes -= connection.response.capacity();
         let _ = self.registry.deregister(&mut connection.socket);
         if let Some(endpoint) = self.endpoint_mut(connection.node) {
@@ -41,11 +41,11 @@
 
     /// An idle connection that may carry an attempt: alive, and without unexpected bytes on it.
     fn take_idle(&mut self, node: NodeId, now: Tick) -> Option<u32> {
-        let keep_alive = self.keep_alive.idle_timeout(millis(now));
+        let keep_alive = self.keep_alive.idle_timeout(ticks_to_millis(now));
         loop {
             let endpoint = self.endpoint(node)?;
             let idle_since = |slot: &u32| self.connections.get(*slot).map_or(now, |c| c.idle_since);
-            let idle_times = endpoint.idle.iter().map(|slot| millis(now - idle_since(slot)));
+            let idle_times = endpoint.idle.iter().map(|slot| ticks_to_millis(now - idle_since(slot)));
             let chosen = keep_alive::select_idle_connection(idle_times, keep_alive)?;
             let slot = endpoint.idle[chosen];
             if self.is_quiet(slot) {
@@ -58,8 +58,8 @@
 
     /// Whether a connection is open and has nothing to read.
     fn is_quiet(&mut self, slot: u32) -> bool {
-        let read = self.connections.get_mut(slot).map(|c| wire::read(&mut c.socket, &mut [0]));
-        matches!(read, Some(Tried::Blocked))
+        let read = self.connections.get_mut(slot).map(|c| nonblocking::read(&mut c.socket, &mut [0]));
+        matches!(read, Some(ReadOutcome::WouldBlock))
     }
 
     /// Opens a connection. At the limit the connection that has been idle longest is closed first.
@@ -73,10 +73,10 @@
         let address = self.endpoint(node).and_then(|endpoint| endpoint.address).ok_or(Ending::Moot)?;
         let mut socket = TcpStream::connect(address).map_err(|_| Ending::NoConnect)?;
         let _ = socket.set_nodelay(true);
-        let slot = self.connections.next();
+        let slot = self.connections.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, tokens::node(slot), interest).map_err(|_| Ending::Moot)?;
-        self.connections.put(NodeConnection::new(socket, node, now));
+        self.connections.insert(NodeConnection::new(socket, node, now));
         if let Some(endpoint) = self.endpoint_mut(node) {
             endpoint.counters.connections += 1;
             endpoint.counters.connections_opened += 1;
@@ -109,16 +109,17 @@
 
     /// The current idle timeout, in milliseconds.
     pub fn keep_alive_ms(&mut self, now: Tick) -> u64 {
-        self.keep_alive.idle_timeout(millis(now))
+        self.keep_alive.idle_timeout(ticks_to_millis(now))
     }
 
     /// Closes idle connections that have reached the idle timeout, before their nodes do.
     pub fn close_expired_idle(&mut self, now: Tick) {
         let keep_alive = self.keep_alive_ms(now);
-        for slot in 0..self.connections.places() {
+        for slot in 0..self.connections.index_bound() {
             let idle = self.connections.get(slot).filter(|c| c.attempt.is_none());
             let is_expired = idle.is_some_and(|c| {
-                keep_alive::reusability(millis(now - c.idle_since), keep_alive) == Reusability::Expired
+                keep_alive::reusability(ticks_to_millis(now - c.idle_since), keep_alive)
+                    == Reusability::Expired
             });
             if is_expired {
                 self.close(slot);
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -8,8 +8,8 @@
 use mallowseam_platform::answer;
 use mallowseam_platform::request;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
-use mallowseam_sockets::clock::millis;
-use mallowseam_sockets::wire::{self, Tried};
+use mallowseam_sockets::clock::ticks_to_millis;
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use std::ops::Range;
 
 /// Bodies up to this size are copied, so that both connections keep their buffers; longer ones are moved.
@@ -91,7 +91,7 @@
     /// Closes an idle connection that has unexpected bytes or was closed by the node.
     fn on_idle_event(&mut self, slot: u32) {
         if let Some(connection) = self.connections.get_mut(slot)
-            && !matches!(wire::read(&mut connection.socket, &mut [0]), Tried::Blocked)
+            && !matches!(nonblocking::read(&mut connection.socket, &mut [0]), ReadOutcome::WouldBlock)
         {
             self.close(slot);
         }
@@ -107,11 +107,11 @@
             return Connect::Pending;
         }
         // Whatever a node sends before the request is not a response to it.
-        if !matches!(wire::read(&mut connection.socket, &mut [0]), Tried::Blocked) {
+        if !matches!(nonblocking::read(&mut connection.socket, &mut [0]), ReadOutcome::WouldBlock) {
             return Connect::Failed;
         }
         connection.is_up = true;
-        request::write_wait(&mut connection.request, millis(attempt.deadline - now).max(1));
+        request::write_wait(&mut connection.request, ticks_to_millis(attempt.deadline - now).max(1));
         Connect::Up
     }
 
@@ -133,16 +133,16 @@
             let max_buffer = RESPONSE_BOUNDS.buffer() + 1;
             let limit = missing.unwrap_or(FIRST_READ).min(max_buffer - had.min(RESPONSE_BOUNDS.buffer()));
             let limit = limit.min(scratch.len());
-            let tried = wire::read(&mut connection.socket, &mut scratch[..limit]);
-            if let Tried::Read(count) = tried {
+            let tried = nonblocking::read(&mut connection.socket, &mut scratch[..limit]);
+            if let ReadOutcome::Read(count) = tried {
                 connection.response.reserve_exact(missing.unwrap_or(0));
                 connection.response.extend_from_slice(&scratch[..count]);
             }
             self.bytes = self.bytes + connection.response.capacity() - capacity;
             let count = match tried {
-                Tried::Read(count) => count,
-                Tried::Blocked => return None,
-                Tried::Over(_) => return self.on_broken(slot, now, arrival),
+                ReadOutcome::Read(count) => count,
+                ReadOutcome::WouldBlock => return None,
+                ReadOutcome::Closed(_) => return self.on_broken(slot, now, arrival),
             };
             match connection.reader.advance(&mut connection.response, RESPONSE_BOUNDS) {
                 Ok(Some(message)) => return self.on_response(slot, message, now, arrival),
@@ -162,8 +162,8 @@
         let ending = if connection.is_request_written() { Ending::Reset } else { Ending::NoConnect };
         if connection.is_reused && connection.response.is_empty() {
             let started_at = arrival.attempt.started_at;
-            let idle = millis(started_at - connection.idle_since);
-            self.keep_alive.connection_lost(idle, millis(now - started_at), millis(now));
+            let idle = ticks_to_millis(started_at - connection.idle_since);
+            self.keep_alive.connection_lost(idle, ticks_to_millis(now - started_at), ticks_to_millis(now));
         }
         self.close(slot);
         Some(arrival.completed(ending))
@@ -195,7 +195,7 @@
         let has_more = connection.response.len() > message.end;
         let close = head.close || !is_kept || has_more || !is_written;
         if !is_kept && !connection.is_reused {
-            self.keep_alive.new_connection_rejected(millis(now));
+            self.keep_alive.new_connection_rejected(ticks_to_millis(now));
         }
         let completion = Completion { response: Some(response), ..arrival.complete(response.ending) };
         let is_success = response.ending == Ending::Done;
