--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -5,14 +5,14 @@
 mod connection;
 mod responses;
 
-use crate::buffers::REQUEST_BOUNDS;
+use crate::buffers::REQUEST_LIMITS;
 use crate::tokens;
 use connection::{Client, ReadError};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection::{self, Phase, TimeoutAction};
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_http1::RequestHead;
-use mallowseam_platform::answer;
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::BioId;
 use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
@@ -225,11 +225,11 @@
             Err(ReadError::Closed) => self.close(slot),
             Err(ReadError::Invalid(fault)) => {
                 self.counters.malformed += 1;
-                self.respond_with_error(slot, responses::fault_status(fault), fault.words(), now);
+                self.respond_with_error(slot, responses::fault_status(fault), fault.message(), now);
             }
             // All clients share a memory limit: the request that exceeds it is shed.
             Ok(false) if self.bytes > self.max_bytes => {
-                self.respond_with_error(slot, answer::SHED, "no room", now);
+                self.respond_with_error(slot, response::SHED_STATUS, "no room", now);
             }
             Ok(false) => {}
         }
@@ -240,7 +240,7 @@
     pub fn request(&self, slot: u32) -> Option<(RequestHead<'_>, &[u8])> {
         let client = self.connections.get(slot)?;
         let request = client.request?;
-        let head = RequestHead::read(&client.input, REQUEST_BOUNDS).ok().flatten()?;
+        let head = RequestHead::parse(&client.input, REQUEST_LIMITS).ok().flatten()?;
         Some((head, &client.input[request.body..request.end]))
     }
 
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -1,9 +1,9 @@
 //! One connection of a client.
-use crate::buffers::{REQUEST_BOUNDS, recycle};
+use crate::buffers::{REQUEST_LIMITS, recycle};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection::{ClientConnection, Phase};
-use mallowseam_http1::{Fault, RequestReader, Whole};
-use mallowseam_platform::answer;
+use mallowseam_http1::{MessageSpan, ParseError, RequestReader};
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::BioId;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
@@ -19,7 +19,7 @@
     pub input: Vec<u8>,
     pub reader: RequestReader,
     /// The complete request at the front of `input`.
-    pub request: Option<Whole>,
+    pub request: Option<MessageSpan>,
     /// The block I/O that is in flight for it.
     pub io: Option<BioId>,
     /// Bytes to be written.
@@ -39,7 +39,7 @@
 /// Why reading has stopped.
 pub enum ReadError {
     /// The message cannot be parsed.
-    Invalid(Fault),
+    Invalid(ParseError),
     /// The connection has ended.
     Closed,
 }
@@ -103,7 +103,7 @@
             if !self.is_readable {
                 return Ok(false);
             }
-            let limit = (REQUEST_BOUNDS.buffer() - self.input.len()).min(scratch.len());
+            let limit = (REQUEST_LIMITS.buffer_capacity() - self.input.len()).min(scratch.len());
             match nonblocking::read(&mut self.socket, &mut scratch[..limit]) {
                 ReadOutcome::Read(count) => {
                     self.input.extend_from_slice(&scratch[..count]);
@@ -122,12 +122,12 @@
         if self.state.phase() != Phase::ReceivingRequest {
             self.state.enter_phase(Phase::ReceivingRequest, now);
         }
-        self.request = self.reader.advance(&mut self.input, REQUEST_BOUNDS).map_err(ReadError::Invalid)?;
+        self.request = self.reader.advance(&mut self.input, REQUEST_LIMITS).map_err(ReadError::Invalid)?;
         if self.request.is_some() {
             return Ok(true);
         }
-        if self.reader.expects() {
-            self.output.head.extend_from_slice(answer::GO_ON);
+        if self.reader.take_expect_continue() {
+            self.output.head.extend_from_slice(response::CONTINUE);
             self.output.write_to(&mut self.socket).map_err(|_| ReadError::Closed)?;
         }
         Ok(false)
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -3,8 +3,8 @@
 use crate::buffers::{discard_front, recycle};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection::Phase;
-use mallowseam_http1::Fault;
-use mallowseam_platform::answer;
+use mallowseam_http1::ParseError;
+use mallowseam_platform::response;
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use std::net::Shutdown;
 use std::ops::Range;
@@ -69,13 +69,13 @@
 }
 
 /// The status for a message that cannot be parsed.
-pub fn fault_status(fault: Fault) -> u16 {
+pub fn fault_status(fault: ParseError) -> u16 {
     match fault {
-        Fault::Malformed | Fault::Framing => 400,
-        Fault::HeadTooLarge => 431,
-        Fault::BodyTooLarge => 413,
-        Fault::NoLength => 411,
-        Fault::Unsupported => 501,
+        ParseError::Malformed | ParseError::AmbiguousFraming => 400,
+        ParseError::HeadTooLarge => 431,
+        ParseError::BodyTooLarge => 413,
+        ParseError::MissingLength => 411,
+        ParseError::Unsupported => 501,
     }
 }
 
@@ -85,8 +85,9 @@
         let is_ending = self.shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
         let Some(client) = self.connections.get_mut(slot) else { return };
         let before = client.bytes();
-        client.close_after_response |= is_ending || client.is_disconnected || client.reader.closes();
-        answer::write(
+        client.close_after_response |=
+            is_ending || client.is_disconnected || client.reader.closes_connection();
+        response::write_head(
             &mut client.output.head,
             response.status,
             response.body.len(),
@@ -97,7 +98,7 @@
         if let Some(request) = client.request.take() {
             discard_front(&mut client.input, request.end);
         }
-        client.reader.next();
+        client.reader.reset();
         client.io = None;
         client.state.enter_phase(Phase::SendingResponse, now);
         self.bytes = self.bytes + client.bytes() - before;
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -55,7 +55,7 @@
         self.send_request(peer, slot);
         assert!(self.clients.on_event(slot, true, false, 0).is_none());
         assert!(self.read_queued(0).contains(&slot));
-        self.clients.respond(slot, Response::empty(answer::SHED), 0);
+        self.clients.respond(slot, Response::empty(response::SHED_STATUS), 0);
         assert!(self.read_queued(0).is_empty());
     }
 }
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,9 +1,9 @@
 //! A watch on the discovery service: one connection on which it streams changes of the endpoint list.
-use crate::buffers::{REQUEST_BOUNDS, recycle};
+use crate::buffers::{REQUEST_LIMITS, recycle};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
-use mallowseam_http1::{AnswerHead, Bounds, Chunks, Fault, Framing};
-use mallowseam_platform::list::{self, Entry, Front, News};
+use mallowseam_http1::{ChunkedDecoder, Framing, Limits, ParseError, ResponseHead};
+use mallowseam_platform::endpoints::{self, Endpoint, WatchEvent, WatchFrame};
 use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// An endpoint list is far longer than a message of clients or nodes.
-const LIST_BOUNDS: Bounds = Bounds { head: REQUEST_BOUNDS.head, body: list::BYTES };
+const LIST_LIMITS: Limits = Limits { head: REQUEST_LIMITS.head, body: endpoints::MAX_LIST_BYTES };
 
 /// Why a watch is over.
 #[derive(Debug, thiserror::Error)]
@@ -26,8 +26,8 @@
     ConnectTimeout,
     #[error("answered {0}")]
     Status(u16),
-    #[error("{}", .0.words())]
-    Malformed(Fault),
+    #[error("{}", .0.message())]
+    Malformed(ParseError),
     #[error("a response without a list")]
     NoList,
     #[error("{0}")]
@@ -45,11 +45,11 @@
 /// A message on a watch.
 pub enum WatchMessage {
     /// A full snapshot, or changes.
-    Update(News),
+    Update(WatchEvent),
     /// An empty line, sent to show that the watch is alive.
     Heartbeat,
     /// Endpoints that are draining or removed, from an update that is invalid otherwise.
-    Closings(Vec<Entry>),
+    Closings(Vec<Endpoint>),
     /// The watch has ended.
     Failed(WatchError),
 }
@@ -59,7 +59,7 @@
     /// The head.
     Head,
     /// A stream of lines.
-    Stream(Chunks),
+    Stream(ChunkedDecoder),
     /// A single list of this many bytes.
     Snapshot(usize),
 }
@@ -89,7 +89,7 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         registry.register(&mut socket, token, interest).map_err(WatchError::Open)?;
         let mut request = Vec::new();
-        list::watch(&mut request, address, since);
+        endpoints::write_watch_request(&mut request, address, since);
         Ok(WatchConnection {
             watch: WatchLiveness::new(now),
             socket,
@@ -150,9 +150,9 @@
     /// Reads the head of the response, past any 1xx before it.
     fn read_head(&mut self) -> Result<(), WatchError> {
         while let Stage::Head = self.stage {
-            let head = AnswerHead::read(&self.response, LIST_BOUNDS).map_err(WatchError::Malformed)?;
+            let head = ResponseHead::parse(&self.response, LIST_LIMITS).map_err(WatchError::Malformed)?;
             let Some(head) = head else { return Ok(()) };
-            let is_interim = head.ahead();
+            let is_interim = head.is_interim();
             if !is_interim && head.status != 200 {
                 return Err(WatchError::Status(head.status));
             }
@@ -161,7 +161,7 @@
             if !is_interim {
                 self.watch.response_started();
                 self.stage = match framing {
-                    Framing::Chunked => Stage::Stream(Chunks::new(0)),
+                    Framing::Chunked => Stage::Stream(ChunkedDecoder::new(0)),
                     Framing::Length(len) => Stage::Snapshot(len),
                     Framing::None => return Err(WatchError::NoList),
                 };
@@ -180,10 +180,10 @@
                 Err(WatchError::ListEnded)
             }
             Stage::Stream(chunks) => {
-                chunks.advance(&mut self.response, LIST_BOUNDS.body).map_err(WatchError::Malformed)?;
-                let is_over = chunks.over();
-                let consumed = read_updates(&self.response[..chunks.at()], is_over, on_message)?;
-                chunks.taken(consumed);
+                chunks.decode(&mut self.response, LIST_LIMITS.body).map_err(WatchError::Malformed)?;
+                let is_over = chunks.is_complete();
+                let consumed = read_updates(&self.response[..chunks.decoded_end()], is_over, on_message)?;
+                chunks.discard_front(consumed);
                 drop(self.response.drain(..consumed));
                 if self.response.is_empty() {
                     recycle(&mut self.response);
@@ -212,20 +212,20 @@
     let end = if is_over { text.len() } else { last_line_end() };
     let mut consumed = 0;
     loop {
-        match list::front(&text[consumed..end]) {
-            Front::Part if is_over && !text[consumed..].trim_ascii().is_empty() => {
+        match endpoints::parse_frame(&text[consumed..end]) {
+            WatchFrame::Incomplete if is_over && !text[consumed..].trim_ascii().is_empty() => {
                 return Err(WatchError::Truncated);
             }
-            Front::Part => return Ok(consumed),
-            Front::Empty(len) => {
+            WatchFrame::Incomplete => return Ok(consumed),
+            WatchFrame::Heartbeat(len) => {
                 on_message(WatchMessage::Heartbeat);
                 consumed += len;
             }
-            Front::News(update, len) => {
+            WatchFrame::Event(update, len) => {
                 on_message(WatchMessage::Update(update));
                 consumed += len;
             }
-            Front::Wrong(why, closings) => {
+            WatchFrame::Corrupt(why, closings) => {
                 on_message(WatchMessage::Closings(closings));
                 return Err(WatchError::InvalidUpdate(why));
             }
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -13,9 +13,9 @@
 use crate::nodes::{Completion, NodeConnections};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection;
-use mallowseam_platform::names::Names;
-use mallowseam_platform::request::Id;
-use mallowseam_platform::settings::Named;
+use mallowseam_platform::interner::NameInterner;
+use mallowseam_platform::request::RequestId;
+use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::{BioId, Listed, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_sockets::clock::ticks_to_millis;
@@ -27,7 +27,7 @@
 
 /// A block I/O, from the client's complete request until the scheduler releases it.
 struct InFlight {
-    id: Id,
+    id: RequestId,
     /// The client's connection, until the final response or a disconnect.
     client: Option<u32>,
     attempts: u32,
@@ -65,12 +65,12 @@
     /// When the poll returned.
     pub polled_at: Tick,
     /// The settings in force.
-    pub settings: Named,
+    pub settings: PlatformSettings,
     /// Connections of clients.
     pub clients: ClientConnections,
     /// Connections to nodes.
     pub nodes: NodeConnections,
-    names: Names,
+    names: NameInterner,
     counters: IoCounters,
     in_flight: Slab<InFlight>,
     /// Completed attempts that were not reported to the scheduler yet.
@@ -85,7 +85,12 @@
 
 impl Dispatcher {
     /// A dispatcher with nothing in flight.
-    pub fn new(now: Tick, settings: Named, clients: ClientConnections, nodes: NodeConnections) -> Self {
+    pub fn new(
+        now: Tick,
+        settings: PlatformSettings,
+        clients: ClientConnections,
+        nodes: NodeConnections,
+    ) -> Self {
         Dispatcher {
             now,
             events_arrived_at: now,
@@ -93,7 +98,7 @@
             settings,
             clients,
             nodes,
-            names: Names::default(),
+            names: NameInterner::default(),
             counters: IoCounters::default(),
             in_flight: Slab::default(),
             completions: VecDeque::new(),
@@ -120,7 +125,7 @@
 
     /// Number of interned nodes, volumes, keys and request ids.
     pub fn interned(&self) -> [usize; 4] {
-        self.names.sizes()
+        self.names.counts()
     }
 
     /// When the scheduler's timer fires.
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -2,9 +2,9 @@
 use super::{Dispatcher, InFlight};
 use crate::clients::{CONFLICT, OK, Response};
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
-use mallowseam_platform::answer;
-use mallowseam_platform::names::Shut;
-use mallowseam_platform::request::{self, Asked, Block};
+use mallowseam_platform::interner::InternError;
+use mallowseam_platform::request::{self, BlockRequest, ClientRequest};
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::{BioId, Host};
 use mallowseam_scheduler::scheduler::Scheduler;
 
@@ -13,34 +13,36 @@
     pub fn on_request(&mut self, scheduler: &mut Scheduler, slot: u32, is_ready: bool) {
         let now = self.now_ms();
         let Some((head, body)) = self.clients.request(slot) else { return };
-        match request::read(&head, body.len(), &self.settings) {
-            Err(wrong) => self.clients.reject_request(slot, wrong.status(), wrong.words(), now),
-            Ok(Asked::Ready) => self.respond_readiness(slot, is_ready),
+        match request::parse(&head, body.len(), &self.settings) {
+            Err(wrong) => self.clients.reject_request(slot, wrong.status(), wrong.message(), now),
+            Ok(ClientRequest::Readiness) => self.respond_readiness(slot, is_ready),
             // Nothing is started for a client that has disconnected.
-            Ok(Asked::Block(_)) if self.clients.is_disconnected(slot, self.is_poll_stale()) => {
-                self.clients.respond(slot, Response::empty(answer::SHED), now);
+            Ok(ClientRequest::BlockIo(_)) if self.clients.is_disconnected(slot, self.is_poll_stale()) => {
+                self.clients.respond(slot, Response::empty(response::SHED_STATUS), now);
             }
-            Ok(Asked::Block(block)) => self.admit(scheduler, slot, &block),
+            Ok(ClientRequest::BlockIo(block)) => self.admit(scheduler, slot, &block),
         }
     }
 
     /// Responds to a readiness check, and closes its connection: it carries no block I/Os.
     fn respond_readiness(&mut self, slot: u32, is_ready: bool) {
         self.counters.readiness_checks += 1;
-        let (status, text) = if is_ready { (OK, "ready") } else { (answer::SHED, "no list yet") };
+        let (status, text) = if is_ready { (OK, "ready") } else { (response::SHED_STATUS, "no list yet") };
         self.clients.respond_and_close(slot, Response::new(status, text.as_bytes()), self.now_ms());
     }
 
     /// Hands a request to the scheduler as a block I/O.
-    fn admit(&mut self, scheduler: &mut Scheduler, slot: u32, block: &Block) {
+    fn admit(&mut self, scheduler: &mut Scheduler, slot: u32, block: &BlockRequest) {
         let now_ms = self.now_ms();
         let id = BioId(self.in_flight.next_index());
-        let io = match self.names.take(id, block, self.now, &self.settings) {
+        let io = match self.names.intern_request(id, block, self.now, &self.settings) {
             Ok(io) => io,
-            Err(Shut::InHand) => {
+            Err(InternError::DuplicateRequestId) => {
                 return self.clients.reject_request(slot, CONFLICT, "this id is in hand", now_ms);
             }
-            Err(Shut::Full) => return self.clients.reject_request(slot, answer::SHED, "no room", now_ms),
+            Err(InternError::TooManyVolumes) => {
+                return self.clients.reject_request(slot, response::SHED_STATUS, "no room", now_ms);
+            }
         };
         self.in_flight.insert(InFlight {
             id: block.id,
@@ -70,7 +72,7 @@
     /// Responds to a client that may have closed only its sending side.
     pub(super) fn respond_disconnected(&mut self, slot: u32) {
         self.counters.disconnected += 1;
-        self.clients.respond(slot, Response::empty(answer::FAILED), self.now_ms());
+        self.clients.respond(slot, Response::empty(response::FAILED_STATUS), self.now_ms());
     }
 
     /// Sends the final responses of all block I/Os in flight: the host is about to be killed.
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -2,7 +2,7 @@
 use super::Dispatcher;
 use crate::clients::{OK, Response};
 use crate::nodes::{NodeEvent, Success};
-use mallowseam_platform::answer;
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::{Outcome, Report};
 use mallowseam_scheduler::scheduler::Scheduler;
 
@@ -38,7 +38,7 @@
         // Clients that do not read their responses may have used up the memory limit.
         if !self.clients.has_capacity(self.nodes.body(success).len()) {
             self.counters.failed += 1;
-            return self.clients.respond(slot, Response::empty(answer::FAILED), now);
+            return self.clients.respond(slot, Response::empty(response::FAILED_STATUS), now);
         }
         self.counters.completed += 1;
         match self.nodes.take_long_body(success) {
@@ -67,8 +67,8 @@
                 closed: entry.client.is_none(),
                 wait: completion.received_at.unwrap_or(self.now) - completion.started_at,
                 by_others: response.map_or(0.0, |r| r.by_others),
-                used: response.map_or(0.0, |r| r.used),
-                report: response.map_or(Report::default(), |r| r.report),
+                used: response.map_or(0.0, |r| r.usage),
+                report: response.map_or(Report::default(), |r| r.load_report),
             };
             let now = self.now;
             scheduler.ended(self, now, completion.io, &outcome);
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -1,18 +1,18 @@
 //! Updates of the endpoint list.
 use super::Dispatcher;
-use mallowseam_platform::list::{Health, News};
+use mallowseam_platform::endpoints::{Health, WatchEvent};
 use mallowseam_scheduler::host::{ListForm, NodeId, NodeState};
 use mallowseam_scheduler::scheduler::Scheduler;
 
 impl Dispatcher {
     /// Applies an update of the endpoint list.
-    pub fn on_endpoints(&mut self, scheduler: &mut Scheduler, form: ListForm, update: &News) {
+    pub fn on_endpoints(&mut self, scheduler: &mut Scheduler, form: ListForm, update: &WatchEvent) {
         let mut endpoints = std::mem::take(&mut self.endpoints);
-        self.names.listed(update, &self.settings, &mut endpoints);
-        for entry in &update.entries {
+        self.names.intern_endpoints(update, &self.settings, &mut endpoints);
+        for entry in &update.endpoints {
             let accepts_attempts = entry.health == Health::Ready;
             if let Some(node) = self.names.find_node(&entry.name) {
-                self.nodes.update_endpoint(node, entry.dial, accepts_attempts);
+                self.nodes.update_endpoint(node, entry.address, accepts_attempts);
             }
         }
         // An attempt that still waits for its connection is withdrawn when its node begins to drain.
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -2,8 +2,8 @@
 use super::Dispatcher;
 use crate::clients::Response;
 use crate::nodes::Completion;
-use mallowseam_platform::answer;
 use mallowseam_platform::request;
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::{BioId, Ending, Host, KeyId, NodeId, Tick, VolId};
 use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
@@ -15,7 +15,7 @@
         let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline());
         let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
         self.check_client(io);
-        let max_attempts = self.settings.terms.max_submits;
+        let max_attempts = self.settings.scheduler.max_submits;
         let Some(entry) = self.in_flight.get_mut(io.0) else { return Ok(()) };
         entry.attempts += 1;
         let is_over = entry.deadline <= now || timeout <= 0;
@@ -23,7 +23,7 @@
         let client = entry.client.filter(|_| !is_over && !is_one_too_many);
         let (head, body) = client.and_then(|slot| self.clients.request(slot)).ok_or(Ending::Moot)?;
         let wait_ms = ticks_to_millis(timeout).max(1);
-        let write = |out: &mut Vec<u8>| request::write(out, &head, body, wait_ms);
+        let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
         let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
         entry.node_connection = Some(started.slot);
         self.completions.extend(started.completion);
@@ -61,12 +61,12 @@
     }
 
     fn shed(&mut self, bio: BioId, come_back: Tick) {
-        let response = Response::empty(answer::SHED).with_retry_after(ticks_to_millis(come_back));
+        let response = Response::empty(response::SHED_STATUS).with_retry_after(ticks_to_millis(come_back));
         self.counters.shed += u64::from(self.respond_final(bio, response));
     }
 
     fn fail(&mut self, bio: BioId) {
-        self.counters.failed += u64::from(self.respond_final(bio, Response::empty(answer::FAILED)));
+        self.counters.failed += u64::from(self.respond_final(bio, Response::empty(response::FAILED_STATUS)));
     }
 
     fn wake(&mut self, after: Tick) {
@@ -90,7 +90,7 @@
 
     fn release_bio(&mut self, bio: BioId) {
         if let Some(entry) = self.in_flight.remove(bio.0) {
-            self.names.release_bio(&entry.id);
+            self.names.release_request(&entry.id);
         }
     }
 
--- a/crates/platform-host/src/error.rs
+++ b/crates/platform-host/src/error.rs
@@ -1,5 +1,5 @@
 //! Errors that stop a host.
-use mallowseam_platform::config::Problems;
+use mallowseam_platform::config::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
         /// The file.
         path: PathBuf,
         /// All faults that were found.
-        problems: Problems,
+        problems: ConfigError,
     },
     /// The limit of descriptors could not be read.
     #[error("descriptors: {0}")]
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -23,7 +23,7 @@
 use admission::Listener;
 use endpoint_watch::EndpointWatch;
 use mallowseam_fleet_udp::Part;
-use mallowseam_platform::config::Config;
+use mallowseam_platform::config::HostConfig;
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock::Clock;
@@ -41,7 +41,7 @@
 /// A running host.
 struct EventLoop {
     config_path: PathBuf,
-    config: Config,
+    config: HostConfig,
     clock: Clock,
     /// The times of polls, from which the arrival time of events is estimated.
     arrivals: ArrivalEstimator,
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -5,7 +5,7 @@
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::watch_slots::WatchSlots;
 use mallowseam_fleet::word::Facts;
-use mallowseam_platform::list::News;
+use mallowseam_platform::endpoints::WatchEvent;
 use mallowseam_scheduler::host::ListForm;
 use mio::Events;
 use std::net::SocketAddr;
@@ -39,9 +39,9 @@
     }
 
     /// Starts from the list that the configuration has cached.
-    pub(super) fn use_cached(&mut self, cached: &News) {
-        self.has_endpoints = !cached.entries.is_empty();
-        self.version = Some(cached.seq);
+    pub(super) fn use_cached(&mut self, cached: &WatchEvent) {
+        self.has_endpoints = !cached.endpoints.is_empty();
+        self.version = Some(cached.version);
     }
 
     /// Whether the latest watch is open.
@@ -116,8 +116,8 @@
         match message {
             WatchMessage::Update(update) => self.on_update(index, &update),
             WatchMessage::Heartbeat => self.on_watch_alive(index),
-            WatchMessage::Closings(entries) => {
-                let update = News { seq: 0, whole: false, entries };
+            WatchMessage::Closings(endpoints) => {
+                let update = WatchEvent { version: 0, full_snapshot: false, endpoints };
                 self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, &update);
             }
             WatchMessage::Failed(error) => self.on_watch_failed(index, &error),
@@ -134,12 +134,12 @@
         if is_first {
             // Even without changes the scheduler has to know that the list is current: it matters when the watch is
             // lost.
-            let nothing_new = News { seq: 0, whole: false, entries: Vec::new() };
+            let nothing_new = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
             self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, &nothing_new);
         }
     }
 
-    fn on_update(&mut self, index: usize, update: &News) {
+    fn on_update(&mut self, index: usize, update: &WatchEvent) {
         self.on_watch_alive(index);
         let Some(connection) = &self.watch.connections[index] else { return };
         let (service, since) = (connection.address(), connection.since());
@@ -147,20 +147,20 @@
             // Updates of the previous service are applied as changes, without their version.
             return self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, update);
         }
-        if !update.whole && since.is_some_and(|since| update.seq < since) {
+        if !update.full_snapshot && since.is_some_and(|since| update.version < since) {
             // The service has restarted with lower versions: the next watch asks for a full snapshot.
             self.watch.version = None;
             return self.on_watch_failed(index, &WatchError::VersionsRestarted);
         }
         // Changes older than the list are ignored. A full snapshot is applied whatever its version: it was requested
         // after everything that was received before.
-        if !update.whole && self.watch.version.is_some_and(|version| update.seq <= version) {
+        if !update.full_snapshot && self.watch.version.is_some_and(|version| update.version <= version) {
             return;
         }
-        self.watch.version = Some(update.seq);
-        self.watch.has_endpoints |= !update.entries.is_empty();
-        self.fleet.iter_mut().for_each(|fleet| fleet.facts(Facts { list: update.seq, plans: 0 }));
-        let form = if update.whole { ListForm::Whole } else { ListForm::Changes };
+        self.watch.version = Some(update.version);
+        self.watch.has_endpoints |= !update.endpoints.is_empty();
+        self.fleet.iter_mut().for_each(|fleet| fleet.facts(Facts { list: update.version, plans: 0 }));
+        let form = if update.full_snapshot { ListForm::Whole } else { ListForm::Changes };
         self.dispatcher.on_endpoints(&mut self.scheduler, form, update);
     }
 
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -2,8 +2,8 @@
 //! everything else needs a restart.
 use super::{EventLoop, startup};
 use mallowseam_fleet::settings::Place;
-use mallowseam_platform::config::Config;
-use mallowseam_platform::settings::Named;
+use mallowseam_platform::config::HostConfig;
+use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::Terms;
 
 impl EventLoop {
@@ -14,24 +14,24 @@
             Err(error) => return tracing::error!(%error, "configuration rejected"),
         };
         self.warn_about_identity(&config);
-        self.reload_plans(&config.named);
-        self.warn_about_settings(&config.named);
-        self.reload_fleet(config.place.clone());
+        self.reload_plans(&config.settings);
+        self.warn_about_settings(&config.settings);
+        self.reload_fleet(config.fleet.clone());
         self.reload_discovery(&config);
     }
 
-    fn warn_about_identity(&self, config: &Config) {
+    fn warn_about_identity(&self, config: &HostConfig) {
         if config.listen != self.config.listen || config.name != self.config.name {
             tracing::warn!("another name or address to listen on needs a restart");
         }
     }
 
     /// Applies the figures of plans, if the plans are the same.
-    fn reload_plans(&mut self, settings: &Named) {
+    fn reload_plans(&mut self, settings: &PlatformSettings) {
         let current = &mut self.dispatcher.settings;
-        if settings.groups == current.groups && settings.plans == current.plans {
-            self.scheduler.planned(self.dispatcher.now, &settings.terms.plans, &[]);
-            current.terms.plans.clone_from(&settings.terms.plans);
+        if settings.class_names == current.class_names && settings.plan_names == current.plan_names {
+            self.scheduler.planned(self.dispatcher.now, &settings.scheduler.plans, &[]);
+            current.scheduler.plans.clone_from(&settings.scheduler.plans);
         } else {
             tracing::warn!("other I/O classes or plans need a restart");
         }
@@ -39,7 +39,7 @@
 
     /// Warns about all other settings, which are read only at startup: a host that applied some of them would serve by two
     /// configurations at once.
-    fn warn_about_settings(&self, settings: &Named) {
+    fn warn_about_settings(&self, settings: &PlatformSettings) {
         if fixed_settings(settings) != fixed_settings(&self.dispatcher.settings) {
             tracing::warn!("settings beside the plans' figures have changed, and need a restart");
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    fn reload_discovery(&mut self, config: &Config) {
+    fn reload_discovery(&mut self, config: &HostConfig) {
         let is_moved = config.discovery != self.config.discovery;
         tracing::info!(discovery = %config.discovery, moved = is_moved, "configuration reloaded");
         self.config.discovery = config.discovery;
@@ -65,14 +65,14 @@
 }
 
 /// The settings without what a reload applies, and without what the host itself sets.
-fn fixed_settings(settings: &Named) -> Named {
-    Named {
-        terms: Terms {
+fn fixed_settings(settings: &PlatformSettings) -> PlatformSettings {
+    PlatformSettings {
+        scheduler: Terms {
             plans: Vec::new(),
             list_on_request: true,
             word_by_half: true,
             ask_turn: None,
-            ..settings.terms.clone()
+            ..settings.scheduler.clone()
         },
         ..settings.clone()
     }
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -9,9 +9,9 @@
     /// The platform asks the host to stop, and will kill it later.
     pub(super) fn on_sigterm(&mut self) {
         let settings = &self.dispatcher.settings;
-        let longest_objective = settings.terms.groups.iter().map(|class| class.goal).max().unwrap_or(0);
+        let longest_objective = settings.scheduler.groups.iter().map(|class| class.goal).max().unwrap_or(0);
         let (longest_deadline, longest_objective) =
-            (ticks_to_millis(settings.longest), ticks_to_millis(longest_objective));
+            (ticks_to_millis(settings.longest_deadline), ticks_to_millis(longest_objective));
         let now = self.dispatcher.now_ms();
         self.begin_shutdown(GracefulShutdown::by_platform(now, longest_deadline, longest_objective));
     }
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -12,8 +12,8 @@
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_connection_policy::resource_budget::ResourceBudget;
 use mallowseam_fleet_udp::Part;
-use mallowseam_platform::config::{self, Config};
-use mallowseam_platform::settings::Named;
+use mallowseam_platform::config::{self, HostConfig};
+use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::{ListForm, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
@@ -26,42 +26,42 @@
 const SCRATCH_BYTES: usize = 128 * 1024;
 
 /// Reads and checks the configuration file.
-pub(super) fn read_config(path: &Path) -> Result<Config, HostError> {
+pub(super) fn read_config(path: &Path) -> Result<HostConfig, HostError> {
     let path = path.to_owned();
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(source) => return Err(HostError::ReadConfig { path, source }),
     };
-    config::read(&text).map_err(|problems| HostError::InvalidConfig { path, problems })
+    config::parse(&text).map_err(|problems| HostError::InvalidConfig { path, problems })
 }
 
 /// Loads the configuration at startup, and raises the limit of descriptors to what it asks for.
-pub(super) fn load_config(path: &Path, discovery_call_ms: Option<u64>) -> Result<Config, HostError> {
+pub(super) fn load_config(path: &Path, discovery_call_ms: Option<u64>) -> Result<HostConfig, HostError> {
     let mut config = read_config(path)?;
-    config.named.terms.ask_turn = discovery_call_ms.map(ticks_from_millis);
+    config.settings.scheduler.ask_turn = discovery_call_ms.map(ticks_from_millis);
     // With fewer descriptors than budgeted, the host would run out of them at points where it cannot reject anything.
-    let given = descriptors::raise_limit(config.sockets).map_err(HostError::DescriptorLimit)?;
-    if given < config.sockets {
-        return Err(HostError::TooFewDescriptors { wanted: config.sockets, given });
+    let given = descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
+    if given < config.max_sockets {
+        return Err(HostError::TooFewDescriptors { wanted: config.max_sockets, given });
     }
     Ok(config)
 }
 
 impl EventLoop {
     /// Opens signal pipes, the listener, fleet membership and the connection tables.
-    pub(super) fn open(path: &Path, config: Config, poll: &Poll) -> Result<Self, HostError> {
+    pub(super) fn open(path: &Path, config: HostConfig, poll: &Poll) -> Result<Self, HostError> {
         let signals = SignalPipes::open(poll).map_err(HostError::Signals)?;
         let listener = Listener::open(poll, config.listen)?;
         let clock = Clock::from_unix_epoch();
         let now = clock.now();
         let fleet = open_fleet(&config, poll.registry())?;
         let settings = host_settings(&config);
-        let budget = ResourceBudget::new(config.sockets, config.memory_mb);
+        let budget = ResourceBudget::new(config.max_sockets, config.memory_mb);
         let (clients, nodes) = connections(&settings, &budget, poll.registry(), now)?;
         log_start(&config, &budget);
         Ok(EventLoop {
             config_path: path.to_owned(),
-            scheduler: Scheduler::new(&settings.terms, config.seed, now),
+            scheduler: Scheduler::new(&settings.scheduler, config.seed, now),
             dispatcher: Dispatcher::new(now, settings, clients, nodes),
             registry: clone_registry(poll.registry())?,
             listener,
@@ -85,7 +85,7 @@
         let now = self.dispatcher.now;
         self.dispatcher.set_timer(now);
         self.dispatcher.fire_timer(&mut self.scheduler);
-        if let Some(cached) = self.config.known.take() {
+        if let Some(cached) = self.config.cached_list.take() {
             self.watch.use_cached(&cached);
             self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Kept, &cached);
         }
@@ -96,10 +96,10 @@
 /// The settings, with the two rules that always hold on this platform: the endpoint list is requested by the host, and
 /// block I/Os that were never attempted are rejected in the first half of their time (a later rejection costs three
 /// tenths of their weight).
-fn host_settings(config: &Config) -> Named {
-    let mut settings = config.named.clone();
-    settings.terms.list_on_request = true;
-    settings.terms.word_by_half = true;
+fn host_settings(config: &HostConfig) -> PlatformSettings {
+    let mut settings = config.settings.clone();
+    settings.scheduler.list_on_request = true;
+    settings.scheduler.word_by_half = true;
     settings
 }
 
@@ -107,45 +107,45 @@
     registry.try_clone().map_err(HostError::Poll)
 }
 
-fn open_fleet(config: &Config, registry: &Registry) -> Result<Option<Box<Part>>, HostError> {
-    let Some(place) = config.place.clone() else { return Ok(None) };
+fn open_fleet(config: &HostConfig, registry: &Registry) -> Result<Option<Box<Part>>, HostError> {
+    let Some(place) = config.fleet.clone() else { return Ok(None) };
     let fleet = Part::open(registry, tokens::FLEET, place).map_err(HostError::Fleet)?;
     Ok(Some(Box::new(fleet)))
 }
 
 fn connections(
-    settings: &Named,
+    settings: &PlatformSettings,
     budget: &ResourceBudget,
     registry: &Registry,
     now: Tick,
 ) -> Result<(ClientConnections, NodeConnections), HostError> {
-    let keep_alive = KeepAlivePolicy::new(ticks_to_millis(settings.idle_close), ticks_to_millis(now));
+    let keep_alive = KeepAlivePolicy::new(ticks_to_millis(settings.idle_timeout), ticks_to_millis(now));
     let clients =
         ClientConnections::new(clone_registry(registry)?, budget.client_connections, budget.client_bytes);
     let nodes = NodeConnections::new(
         clone_registry(registry)?,
         budget.node_connections,
         budget.node_bytes,
-        settings.connect_within,
+        settings.connect_timeout,
         keep_alive,
     );
     Ok((clients, nodes))
 }
 
-fn log_start(config: &Config, budget: &ResourceBudget) {
+fn log_start(config: &HostConfig, budget: &ResourceBudget) {
     tracing::info!(
         host = config.name,
         listen = %config.listen,
         discovery = %config.discovery,
         clients = budget.client_connections,
         nodes = budget.node_connections,
-        cores = config.cores,
-        idle_close_ms = ticks_to_millis(config.named.idle_close),
-        connect_within_ms = ticks_to_millis(config.named.connect_within),
+        cores = config.cpu_cores,
+        idle_close_ms = ticks_to_millis(config.settings.idle_timeout),
+        connect_within_ms = ticks_to_millis(config.settings.connect_timeout),
         memory_mb = config.memory_mb,
-        known = config.known.as_ref().map_or(0, |known| known.entries.len()),
-        list_pushed = config.named.terms.list_pushed,
-        ask_within_ms = ticks_to_millis(config.named.terms.ask_within),
+        known = config.cached_list.as_ref().map_or(0, |cached| cached.endpoints.len()),
+        list_pushed = config.settings.scheduler.list_pushed,
+        ask_within_ms = ticks_to_millis(config.settings.scheduler.ask_within),
         "host starts"
     );
 }
--- a/crates/platform-host/src/nodes/connection.rs
+++ b/crates/platform-host/src/nodes/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a storage node, and the attempt that it carries.
-use mallowseam_http1::AnswerReader;
-use mallowseam_platform::answer::Said;
+use mallowseam_http1::ResponseReader;
+use mallowseam_platform::response::NodeResponse;
 use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
 use mio::net::TcpStream;
 
@@ -47,7 +47,7 @@
     /// When the result arrived at the socket; none: now.
     pub received_at: Option<Tick>,
     /// The node's response, where there was one.
-    pub response: Option<Said>,
+    pub response: Option<NodeResponse>,
 }
 
 impl Completion {
@@ -70,7 +70,7 @@
     pub sent: usize,
     /// What was read of the response.
     pub response: Vec<u8>,
-    pub reader: AnswerReader,
+    pub reader: ResponseReader,
     pub idle_since: Tick,
     /// It has carried an attempt before.
     pub is_reused: bool,
@@ -87,7 +87,7 @@
             request: Vec::new(),
             sent: 0,
             response: Vec::new(),
-            reader: AnswerReader::default(),
+            reader: ResponseReader::default(),
             idle_since: now,
             is_reused: false,
         }
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -4,7 +4,7 @@
 use crate::buffers::recycle;
 use crate::tokens;
 use mallowseam_connection_policy::keep_alive::{self, Reusability};
-use mallowseam_http1::AnswerReader;
+use mallowseam_http1::ResponseReader;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
@@ -95,7 +95,7 @@
         connection.sent = 0;
         connection.idle_since = now;
         connection.is_reused = true;
-        connection.reader = AnswerReader::default();
+        connection.reader = ResponseReader::default();
         recycle(&mut connection.request);
         self.bytes -= connection.response.capacity();
         recycle(&mut connection.response);
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -2,11 +2,11 @@
 //! reaches a client.
 use super::NodeConnections;
 use super::connection::{Attempt, Completion};
-use crate::buffers::RESPONSE_BOUNDS;
+use crate::buffers::RESPONSE_LIMITS;
 use mallowseam_connection_policy::keep_alive;
-use mallowseam_http1::{AnswerHead, Whole};
-use mallowseam_platform::answer;
+use mallowseam_http1::{MessageSpan, ResponseHead};
 use mallowseam_platform::request;
+use mallowseam_platform::response;
 use mallowseam_scheduler::host::{Ending, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
@@ -22,7 +22,7 @@
     /// The completion to report after forwarding.
     pub completion: Completion,
     slot: u32,
-    message: Whole,
+    message: MessageSpan,
     close: bool,
 }
 
@@ -111,7 +111,7 @@
             return Connect::Failed;
         }
         connection.is_up = true;
-        request::write_wait(&mut connection.request, ticks_to_millis(attempt.deadline - now).max(1));
+        request::rewrite_timeout(&mut connection.request, ticks_to_millis(attempt.deadline - now).max(1));
         Connect::Up
     }
 
@@ -129,9 +129,10 @@
             let had = connection.response.len();
             let capacity = connection.response.capacity();
             // Of a long response exactly the rest is read; bytes behind it are found when the connection is idle.
-            let missing = connection.reader.lacks(had).filter(|missing| *missing > 0);
-            let max_buffer = RESPONSE_BOUNDS.buffer() + 1;
-            let limit = missing.unwrap_or(FIRST_READ).min(max_buffer - had.min(RESPONSE_BOUNDS.buffer()));
+            let missing = connection.reader.remaining(had).filter(|missing| *missing > 0);
+            let max_buffer = RESPONSE_LIMITS.buffer_capacity() + 1;
+            let limit =
+                missing.unwrap_or(FIRST_READ).min(max_buffer - had.min(RESPONSE_LIMITS.buffer_capacity()));
             let limit = limit.min(scratch.len());
             let tried = nonblocking::read(&mut connection.socket, &mut scratch[..limit]);
             if let ReadOutcome::Read(count) = tried {
@@ -144,7 +145,7 @@
                 ReadOutcome::WouldBlock => return None,
                 ReadOutcome::Closed(_) => return self.on_broken(slot, now, arrival),
             };
-            match connection.reader.advance(&mut connection.response, RESPONSE_BOUNDS) {
+            match connection.reader.advance(&mut connection.response, RESPONSE_LIMITS) {
                 Ok(Some(message)) => return self.on_response(slot, message, now, arrival),
                 Err(_) => return Some(self.on_corrupt(slot, arrival)),
                 // All responses share a memory limit: the one that exceeds it counts as corrupt.
@@ -179,11 +180,18 @@
     }
 
     /// The response is complete.
-    fn on_response(&mut self, slot: u32, message: Whole, now: Tick, arrival: &Arrival) -> Option<NodeEvent> {
+    fn on_response(
+        &mut self,
+        slot: u32,
+        message: MessageSpan,
+        now: Tick,
+        arrival: &Arrival,
+    ) -> Option<NodeEvent> {
         let connection = self.connections.get(slot)?;
         let bytes = &connection.response[message.start..];
-        let head = AnswerHead::read(bytes, RESPONSE_BOUNDS).ok().flatten().expect("the reader has read it");
-        let response = answer::read(&head);
+        let head =
+            ResponseHead::parse(bytes, RESPONSE_LIMITS).ok().flatten().expect("the reader has read it");
+        let response = response::parse(&head);
         let is_busy = response.ending == Ending::Busy;
         let is_written = connection.is_request_written();
         // A node executes a request after its last byte: a response before that belongs to another request.
