--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -29,7 +29,7 @@
         timeout: Tick,
         write_request: impl FnOnce(&mut Vec<u8>),
     ) -> Result<StartedAttempt, Ending> {
-        let slot = self.checkout(node, now)?;
+        let slot = self.check_out(node, now)?;
         self.last_serial += 1;
         let attempt = Attempt {
             io,
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -32,7 +32,7 @@
     }
 
     /// A connection for the next attempt at a node: an idle one that is still open, or a new one.
-    pub(super) fn checkout(&mut self, node: NodeId, now: Tick) -> Result<u32, Ending> {
+    pub(super) fn check_out(&mut self, node: NodeId, now: Tick) -> Result<u32, Ending> {
         match self.take_idle(node, now) {
             Some(slot) => Ok(slot),
             None => self.connect(node, now),
--- a/crates/platform-host/tests/log.rs
+++ b/crates/platform-host/tests/log.rs
@@ -3,20 +3,36 @@
 
 use nix::sys::signal::{Signal, raise};
 use std::io::Write;
-use support::{accept, config, host_with_node, listen, read_message, read_request};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use support::{Host, accept, config, host_with_node, listen, read_message, read_request};
 
 #[test]
-fn a_host_tells_of_its_start_its_calls_its_figures_its_reloads_and_its_end() {
+fn a_host_logs_its_start_watches_status_reloads_and_end() {
     let (host, node, discovery) = host_with_node();
-    let address = discovery.local_addr().expect("bound");
+    let service = discovery.local_addr().expect("bound");
+    expect_start(&host, service);
 
+    assert!(host.answer(&read_request("r-1")).ends_with("\r\n\r\ndata"));
+    assert!(host.answer(&read_request("r-2").replace("gold", "lead")).ends_with("no such plan"));
+
+    let _silent = expect_failed_watches(&host, &discovery);
+    // The status is logged every 5 s, which is what this test waits for.
+    expect_host_status(&host);
+    expect_node_status(&host);
+    expect_rejected_reload(&host);
+    let _moved = expect_reload(&host);
+    expect_end(host);
+    assert_eq!(node.requests().len(), 1);
+}
+
+fn expect_start(host: &Host, service: SocketAddr) {
     let line = host.log.line("host starts");
     assert_eq!(line.level, "INFO");
-    let (listens, calls) = (host.address.to_string(), address.to_string());
-    let fields = [
+    let (listen, discovery) = (host.address.to_string(), service.to_string());
+    let expected = [
         ("host", "n0"),
-        ("listen", &*listens),
-        ("discovery", &*calls),
+        ("listen", &*listen),
+        ("discovery", &*discovery),
         ("clients", "162"),
         ("nodes", "70"),
         ("cores", "1.0"),
@@ -27,101 +43,106 @@
         ("list_pushed", "false"),
         ("ask_within_ms", "10000"),
     ];
-    let told: Vec<(&str, &str)> = line.fields.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
-    assert_eq!(told, fields);
-
-    assert!(host.answer(&read_request("r-1")).ends_with("\r\n\r\ndata"));
-    assert!(host.answer(&read_request("r-2").replace("gold", "lead")).ends_with("no such plan"));
+    let logged: Vec<(&str, &str)> = line.fields.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
+    assert_eq!(logged, expected);
+}
 
-    // A call that is refused, then one that is up and stays silent.
-    let mut call = accept(&discovery);
-    read_message(&mut call);
-    call.write_all(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n").expect("open");
+/// One watch is refused by the service, the next is up and stays silent: that one is returned.
+fn expect_failed_watches(host: &Host, discovery: &TcpListener) -> TcpStream {
+    let service = discovery.local_addr().expect("bound").to_string();
+    let mut refused = accept(discovery);
+    read_message(&mut refused);
+    refused.write_all(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n").expect("open");
     let line = host.log.line("discovery watch failed");
     assert_eq!(line.level, "WARN");
-    assert_eq!(
-        line.fields,
-        [("error", "answered 404"), ("address", &*calls)].map(|(n, v)| (n.to_owned(), v.to_owned()))
-    );
-    let _silent = accept(&discovery);
+    let expected = [("error", "answered 404"), ("address", &*service)];
+    assert_eq!(line.fields, expected.map(|(n, v)| (n.to_owned(), v.to_owned())));
+    let silent = accept(discovery);
     let line = host.log.line("discovery watch is silent");
-    assert_eq!((&*line.level, line.names(), line.field("address")), ("WARN", vec!["address"], &*calls));
+    assert_eq!((&*line.level, line.names(), line.field("address")), ("WARN", vec!["address"], &*service));
+    silent
+}
 
-    // The figures come every 5 s, which is what this test waits for.
+fn expect_host_status(host: &Host) {
     let line = host.log.line("host status");
     assert_eq!(line.level, "INFO");
-    assert_eq!(
-        line.names(),
-        [
-            "clients",
-            "silent",
-            "idle",
-            "bytes",
-            "connections",
-            "ios",
-            "in_flight",
-            "node_connections",
-            "keep_alive_ms",
-            "interned"
-        ]
-    );
+    let names = [
+        "clients",
+        "silent",
+        "idle",
+        "bytes",
+        "connections",
+        "ios",
+        "in_flight",
+        "node_connections",
+        "keep_alive_ms",
+        "interned",
+    ];
+    assert_eq!(line.names(), names);
     assert_eq!(line.field("keep_alive_ms"), "15000");
-    assert_eq!(
-        line.field("connections"),
-        "ClientCounters { accepted: 2, rejected: 0, malformed: 0, invalid: 1 }"
-    );
-    assert_eq!(
-        line.field("ios"),
-        "IoCounters { admitted: 1, completed: 1, shed: 0, failed: 0, disconnected: 0, unsent_attempts: 0, readiness_checks: 0 }"
-    );
+    let clients = "ClientCounters { accepted: 2, rejected: 0, malformed: 0, invalid: 1 }";
+    assert_eq!(line.field("connections"), clients);
+    let ios = "IoCounters { admitted: 1, completed: 1, shed: 0, failed: 0, disconnected: 0, \
+               unsent_attempts: 0, readiness_checks: 0 }";
+    assert_eq!(line.field("ios"), ios);
+}
+
+fn expect_node_status(host: &Host) {
     let line = host.log.line("node status");
     assert_eq!(line.level, "INFO");
-    assert_eq!(
-        line.names(),
-        [
-            "node",
-            "open",
-            "window",
-            "in_flight",
-            "queued",
-            "latency_ms",
-            "slowest_ms",
-            "failures",
-            "connections",
-            "attempts",
-            "connections_opened",
-            "requests_written",
-            "responses",
-            "corrupt_responses"
-        ]
-    );
-    let figures =
+    let names = [
+        "node",
+        "open",
+        "window",
+        "in_flight",
+        "queued",
+        "latency_ms",
+        "slowest_ms",
+        "failures",
+        "connections",
+        "attempts",
+        "connections_opened",
+        "requests_written",
+        "responses",
+        "corrupt_responses",
+    ];
+    assert_eq!(line.names(), names);
+    let counters =
         ["node", "attempts", "connections_opened", "requests_written", "responses", "corrupt_responses"];
-    assert_eq!(figures.map(|name| line.field(name)), ["0", "1", "1", "1", "1", "0"]);
+    assert_eq!(counters.map(|name| line.field(name)), ["0", "1", "1", "1", "1", "0"]);
+}
 
+fn expect_rejected_reload(host: &Host) {
     host.write_config("{}");
     raise(Signal::SIGHUP).expect("a signal");
     let line = host.log.line("configuration rejected");
     assert_eq!((&*line.level, line.names()), ("ERROR", vec!["error"]));
     assert!(line.field("error").contains("listen: expected address:port"), "{line:?}");
+}
 
-    let other = listen();
-    let moved = other.local_addr().expect("bound");
+/// The configuration moves to another discovery service, which is returned.
+fn expect_reload(host: &Host) -> TcpListener {
+    let discovery = listen();
+    let moved = discovery.local_addr().expect("bound");
     let text = config(host.address, moved, None).replace("\"n0\"", "\"n1\"").replace("gold", "lead");
     host.write_config(&text);
     raise(Signal::SIGHUP).expect("a signal");
     let line = host.log.line("configuration reloaded");
     assert_eq!((&*line.level, line.names()), ("INFO", vec!["discovery", "moved"]));
     assert_eq!((line.field("discovery"), line.field("moved")), (&*moved.to_string(), "true"));
-    for warning in [
+    let warnings = [
         "another name or address to listen on needs a restart",
         "other I/O classes or plans need a restart",
         "settings beside the plans' figures have changed, and need a restart",
-    ] {
+    ];
+    for warning in warnings {
         let line = host.log.line(warning);
         assert_eq!((&*line.level, line.names()), ("WARN", vec![]));
     }
+    discovery
+}
 
+fn expect_end(host: Host) {
     raise(Signal::SIGINT).expect("a signal");
     let line = host.log.line("graceful shutdown begins");
     assert_eq!((&*line.level, line.names()), ("INFO", vec!["clients", "in_flight"]));
@@ -129,5 +150,4 @@
     assert_eq!(host.thread.join().expect("no panic"), Ok(()));
     let last = host.log.lines().pop().expect("some");
     assert_eq!((&*last.level, &*last.message, last.names()), ("INFO", "host stopped", vec![]));
-    assert_eq!(node.requests().len(), 1);
 }
