--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -3,7 +3,7 @@
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_http1::{ChunkedDecoder, Framing, Limits, ParseError, ResponseHead};
-use mallowseam_platform::endpoints::{self, Endpoint, WatchEvent, WatchFrame};
+use mallowseam_platform::endpoints::{self, Endpoint, EndpointListError, WatchEvent, WatchFrame};
 use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -31,7 +31,7 @@
     #[error("a response without a list")]
     NoList,
     #[error("{0}")]
-    InvalidUpdate(String),
+    InvalidUpdate(#[source] EndpointListError),
     #[error("a truncated list")]
     Truncated,
     #[error("the list has ended")]
@@ -217,17 +217,17 @@
                 return Err(WatchError::Truncated);
             }
             WatchFrame::Incomplete => return Ok(consumed),
-            WatchFrame::Heartbeat(len) => {
+            WatchFrame::Heartbeat { len } => {
                 on_message(WatchMessage::Heartbeat);
                 consumed += len;
             }
-            WatchFrame::Event(update, len) => {
-                on_message(WatchMessage::Update(update));
+            WatchFrame::Event { event, len } => {
+                on_message(WatchMessage::Update(event));
                 consumed += len;
             }
-            WatchFrame::Corrupt(why, closings) => {
-                on_message(WatchMessage::Closings(closings));
-                return Err(WatchError::InvalidUpdate(why));
+            WatchFrame::Corrupt { error, closing } => {
+                on_message(WatchMessage::Closings(closing));
+                return Err(WatchError::InvalidUpdate(error));
             }
         }
     }
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -22,7 +22,7 @@
 use crate::tokens::{self, Connection};
 use admission::Listener;
 use endpoint_watch::EndpointWatch;
-use mallowseam_fleet_udp::Part;
+use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_platform::config::HostConfig;
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
@@ -52,7 +52,7 @@
     signals: SignalPipes,
     watch: EndpointWatch,
     /// Fleet membership, if configured, and whether its socket may have more to read.
-    fleet: Option<Box<Part>>,
+    fleet: Option<Box<UdpMembership>>,
     is_fleet_readable: bool,
     /// Buffer for reads from sockets.
     scratch: Vec<u8>,
@@ -173,14 +173,14 @@
     /// Reads the datagrams of fleet membership.
     fn read_fleet(&mut self) {
         if let Some(fleet) = self.fleet.as_mut().filter(|_| self.is_fleet_readable) {
-            self.is_fleet_readable = fleet.heard();
+            self.is_fleet_readable = fleet.on_readable();
         }
     }
 
     /// Announces to the fleet that this process ends.
     fn leave_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.leave(true);
+            fleet.announce_left();
         }
     }
 
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -4,7 +4,7 @@
 use crate::tokens;
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::watch_slots::WatchSlots;
-use mallowseam_fleet::word::Facts;
+use mallowseam_fleet::record::ActiveVersions;
 use mallowseam_platform::endpoints::WatchEvent;
 use mallowseam_scheduler::host::ListForm;
 use mio::Events;
@@ -159,7 +159,9 @@
         }
         self.watch.version = Some(update.version);
         self.watch.has_endpoints |= !update.endpoints.is_empty();
-        self.fleet.iter_mut().for_each(|fleet| fleet.facts(Facts { list: update.version, plans: 0 }));
+        self.fleet.iter_mut().for_each(|fleet| {
+            fleet.set_active_versions(ActiveVersions { endpoint_list: update.version, plans: 0 })
+        });
         let form = if update.full_snapshot { ListForm::Whole } else { ListForm::Changes };
         self.dispatcher.on_endpoints(&mut self.scheduler, form, update);
     }
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads the configuration on SIGHUP: the discovery service, the plans' figures and the seeds of the fleet are applied,
 //! everything else needs a restart.
 use super::{EventLoop, startup};
-use mallowseam_fleet::settings::Place;
+use mallowseam_fleet::config::FleetConfig;
 use mallowseam_platform::config::HostConfig;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::Terms;
@@ -45,10 +45,10 @@
         }
     }
 
-    fn reload_fleet(&mut self, place: Option<Place>) {
-        match (&mut self.fleet, place) {
+    fn reload_fleet(&mut self, config: Option<FleetConfig>) {
+        match (&mut self.fleet, config) {
             (None, None) => {}
-            (Some(fleet), place) => fleet.reload(place),
+            (Some(fleet), config) => fleet.reload(config),
             (None, Some(_)) => tracing::warn!("fleet membership needs a restart"),
         }
     }
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -34,7 +34,7 @@
             "graceful shutdown begins"
         );
         dispatcher.clients.begin_shutdown(shutdown);
-        self.fleet.iter_mut().for_each(|fleet| fleet.leave(false));
+        self.fleet.iter_mut().for_each(|fleet| fleet.announce_leaving());
     }
 
     /// When all final responses are due, after SIGTERM.
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -11,7 +11,7 @@
 use crate::tokens;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_connection_policy::resource_budget::ResourceBudget;
-use mallowseam_fleet_udp::Part;
+use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_platform::config::{self, HostConfig};
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::host::{ListForm, Tick};
@@ -107,9 +107,9 @@
     registry.try_clone().map_err(HostError::Poll)
 }
 
-fn open_fleet(config: &HostConfig, registry: &Registry) -> Result<Option<Box<Part>>, HostError> {
-    let Some(place) = config.fleet.clone() else { return Ok(None) };
-    let fleet = Part::open(registry, tokens::FLEET, place).map_err(HostError::Fleet)?;
+fn open_fleet(config: &HostConfig, registry: &Registry) -> Result<Option<Box<UdpMembership>>, HostError> {
+    let Some(fleet) = config.fleet.clone() else { return Ok(None) };
+    let fleet = UdpMembership::open(registry, tokens::FLEET, fleet).map_err(HostError::Fleet)?;
     Ok(Some(Box::new(fleet)))
 }
 
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -53,7 +53,7 @@
         let next = timers.into_iter().flatten().fold(next_check, Tick::min);
         let timeout = ticks_to_duration(next - self.clock.now());
         match &self.fleet {
-            Some(fleet) => timeout.min(Duration::from_millis(fleet.due())),
+            Some(fleet) => timeout.min(Duration::from_millis(fleet.millis_until_tick())),
             None => timeout,
         }
     }
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -239,11 +239,11 @@
 fn front(text: &[u8]) -> String {
     match endpoints::parse_frame(text) {
         WatchFrame::Incomplete => "part".into(),
-        WatchFrame::Heartbeat(len) => format!("empty {len}"),
-        WatchFrame::Event(n, len) => format!("news {len}: {}", news(&n)),
-        WatchFrame::Corrupt(why, closings) => {
-            let closings: Vec<String> = closings.iter().map(entry).collect();
-            format!("wrong: {why}; {}", closings.concat())
+        WatchFrame::Heartbeat { len } => format!("empty {len}"),
+        WatchFrame::Event { event, len } => format!("news {len}: {}", news(&event)),
+        WatchFrame::Corrupt { error, closing } => {
+            let closing: Vec<String> = closing.iter().map(entry).collect();
+            format!("wrong: {error}; {}", closing.concat())
         }
     }
 }
@@ -827,14 +827,14 @@
         Some(p) => writeln!(
             out,
             "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
-            p.settings.fleet,
-            p.settings.name,
-            p.settings.address,
+            p.membership.fleet,
+            p.membership.name,
+            p.membership.address,
             p.listen,
-            p.settings.zone,
-            p.settings.seeds,
-            p.settings.period,
-            p.settings.keep
+            p.membership.zone,
+            p.membership.seeds,
+            p.membership.protocol_period,
+            p.membership.unreachable_retention
         ),
     }
     .expect("memory");
