--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -26,8 +26,8 @@
     ConnectTimeout,
     #[error("answered {0}")]
     Status(u16),
-    #[error("{}", .0.message())]
-    Malformed(ParseError),
+    #[error("{0}")]
+    Malformed(#[source] ParseError),
     #[error("a response without a list")]
     NoList,
     #[error("{0}")]
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -47,7 +47,7 @@
         Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, ending) }
     }
 
-    fn completed(&self, ending: Ending) -> NodeEvent {
+    fn completed_event(&self, ending: Ending) -> NodeEvent {
         NodeEvent::Completed(self.complete(ending))
     }
 }
@@ -78,7 +78,7 @@
                 Connect::Pending => return None,
                 Connect::Failed => {
                     self.close(slot);
-                    return Some(arrival.completed(Ending::NoConnect));
+                    return Some(arrival.completed_event(Ending::NoConnect));
                 }
             }
         }
@@ -167,7 +167,7 @@
             self.keep_alive.connection_lost(idle, ticks_to_millis(now - started_at), ticks_to_millis(now));
         }
         self.close(slot);
-        Some(arrival.completed(ending))
+        Some(arrival.completed_event(ending))
     }
 
     /// The response cannot be parsed: the request may have been executed all the same.
@@ -176,7 +176,7 @@
         if let Some(endpoint) = self.endpoint_mut(arrival.node) {
             endpoint.counters.corrupt_responses += 1;
         }
-        arrival.completed(Ending::Error)
+        arrival.completed_event(Ending::Error)
     }
 
     /// The response is complete.
@@ -197,7 +197,7 @@
         // A node executes a request after its last byte: a response before that belongs to another request.
         if !is_written && !is_busy {
             self.close(slot);
-            return Some(arrival.completed(Ending::NoConnect));
+            return Some(arrival.completed_event(Ending::NoConnect));
         }
         let is_kept = keep_alive::keep_after_response(is_busy);
         let has_more = connection.response.len() > message.end;
