--- /dev/null
+++ b/crates/archive/src/error.rs
@@ -0,0 +1,24 @@
+//! The errors of a stream.
+use std::io;
+
+/// Why a stream cannot be read or written. Operators read these texts.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The input or output has failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The stream is damaged or cut off there, or its header would be out of bounds.
+    #[error("byte {offset}: expected {expected}")]
+    Damaged {
+        /// Offset of the record, in bytes from the beginning of the stream.
+        offset: u64,
+        /// What a sound stream has there.
+        expected: &'static str,
+    },
+}
+
+impl Error {
+    pub(crate) fn damaged(offset: u64, expected: &'static str) -> Error {
+        Error::Damaged { offset, expected }
+    }
+}
--- /dev/null
+++ b/crates/archive/src/format.rs
@@ -0,0 +1,87 @@
+//! What writer and reader share: constants of the format, the header, and the state of a stream.
+use blake3::{Hash, Hasher};
+
+pub(crate) const MAGIC: &[u8; 8] = b"MSEAM1\n\0";
+pub(crate) const FRAME_TAG: u8 = b'F';
+pub(crate) const END_TAG: u8 = b'E';
+/// Bytes of a BLAKE3 hash.
+pub(crate) const HASH_BYTES: usize = blake3::OUT_LEN;
+/// Bytes of a frame but for its data: tag, index, length, hash.
+const FRAME_OVERHEAD: u64 = 1 + 4 + 4 + HASH_BYTES as u64;
+/// Bytes of the end record: tag, number of frames, hash.
+pub(crate) const END_BYTES: u64 = 1 + 4 + HASH_BYTES as u64;
+/// Largest extent that is accepted, in bytes: a damaged length must not allocate all memory.
+const MAX_EXTENT_BYTES: u32 = 256 << 20;
+/// Longest name of a snapshot, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+
+/// What a stream holds.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Header {
+    /// Name of the snapshot, at most 256 bytes.
+    pub name: String,
+    /// Size of an extent in bytes, at most 256 MiB.
+    pub extent_bytes: u32,
+    /// Size of the snapshot in extents.
+    pub extent_count: u32,
+}
+
+impl Header {
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        let name_length = u16::try_from(self.name.len()).expect("within bounds");
+        let mut out = MAGIC.to_vec();
+        out.extend_from_slice(&self.extent_bytes.to_le_bytes());
+        out.extend_from_slice(&self.extent_count.to_le_bytes());
+        out.extend_from_slice(&name_length.to_le_bytes());
+        out.extend_from_slice(self.name.as_bytes());
+        out
+    }
+
+    /// Whether a header with these sizes is accepted.
+    pub(crate) fn is_within_bounds(name_length: usize, extent_bytes: u32) -> bool {
+        name_length <= MAX_NAME_BYTES && extent_bytes > 0 && extent_bytes <= MAX_EXTENT_BYTES
+    }
+}
+
+/// The state of a stream after its last complete record, from which a writer can resume it.
+#[derive(Clone, Debug)]
+pub struct ResumePoint {
+    /// Bytes of complete records.
+    pub valid_bytes: u64,
+    /// Index of the last extent. None: there is no frame yet.
+    pub last_extent: Option<u32>,
+    /// Number of frames.
+    pub frame_count: u32,
+    /// Over the hashes of header and frames.
+    hasher: Hasher,
+}
+
+impl ResumePoint {
+    /// The state after the header.
+    pub(crate) fn after_header(header_bytes: usize, header_hash: &Hash) -> ResumePoint {
+        let mut hasher = Hasher::new();
+        hasher.update(header_hash.as_bytes());
+        let valid_bytes = (header_bytes + HASH_BYTES) as u64;
+        ResumePoint { valid_bytes, last_extent: None, frame_count: 0, hasher }
+    }
+
+    /// Moves on past a frame.
+    pub(crate) fn add_frame(&mut self, extent: u32, data_bytes: usize, hash: &Hash) {
+        self.hasher.update(hash.as_bytes());
+        self.last_extent = Some(extent);
+        self.frame_count += 1;
+        self.valid_bytes += FRAME_OVERHEAD + data_bytes as u64;
+    }
+
+    /// The hash in the end record of a stream that ends here.
+    pub(crate) fn end_hash(&self) -> Hash {
+        self.hasher.finalize()
+    }
+}
+
+pub(crate) fn frame_hash(extent: u32, compressed: &[u8]) -> Hash {
+    let mut hasher = Hasher::new();
+    hasher.update(&extent.to_le_bytes());
+    hasher.update(compressed);
+    hasher.finalize()
+}
--- /dev/null
+++ b/crates/archive/src/reader.rs
@@ -0,0 +1,132 @@
+//! Reading a stream.
+use crate::error::Error;
+use crate::format::{END_TAG, FRAME_TAG, HASH_BYTES, Header, MAGIC, ResumePoint, frame_hash};
+use std::io::Read;
+
+/// Bytes of the header before the name.
+const FIXED_HEADER_BYTES: usize = 18;
+
+/// A record of a stream after its header.
+#[derive(Debug, PartialEq, Eq)]
+pub enum Record {
+    /// An extent.
+    Extent {
+        /// Its index.
+        index: u32,
+        /// Its data, uncompressed.
+        data: Vec<u8>,
+    },
+    /// The end of a complete stream.
+    End,
+}
+
+/// Reads a stream from an input.
+pub struct Reader<R> {
+    input: R,
+    header: Header,
+    position: ResumePoint,
+}
+
+impl<R: Read> Reader<R> {
+    /// Reads the header.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Damaged`]: this is no stream, or its header is damaged or cut off.
+    pub fn new(mut input: R) -> Result<Self, Error> {
+        let no_header = || Error::damaged(0, "the head of a snapshot stream");
+        let mut fixed = [0; FIXED_HEADER_BYTES];
+        input.read_exact(&mut fixed).map_err(|_| no_header())?;
+        let number = |at: usize| u32::from_le_bytes([fixed[at], fixed[at + 1], fixed[at + 2], fixed[at + 3]]);
+        let (extent_bytes, extent_count) = (number(8), number(12));
+        let name_length = usize::from(u16::from_le_bytes([fixed[16], fixed[17]]));
+        if fixed[..MAGIC.len()] != *MAGIC || !Header::is_within_bounds(name_length, extent_bytes) {
+            return Err(no_header());
+        }
+        let mut rest = vec![0; name_length + HASH_BYTES];
+        input.read_exact(&mut rest).map_err(|_| no_header())?;
+        let (name, stored_hash) = rest.split_at(name_length);
+        let bytes = [&fixed[..], name].concat();
+        let hash = blake3::hash(&bytes);
+        if hash.as_bytes()[..] != *stored_hash {
+            return Err(Error::damaged(bytes.len() as u64, "the hash of the head"));
+        }
+        let name = String::from_utf8(name.to_vec())
+            .map_err(|_| Error::damaged(FIXED_HEADER_BYTES as u64, "a name"))?;
+        let position = ResumePoint::after_header(bytes.len(), &hash);
+        Ok(Reader { input, header: Header { name, extent_bytes, extent_count }, position })
+    }
+
+    /// The header.
+    pub fn header(&self) -> &Header {
+        &self.header
+    }
+
+    /// The state after the last complete record that was read.
+    pub fn resume_point(&self) -> &ResumePoint {
+        &self.position
+    }
+
+    /// Reads the next record.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::Damaged`]: the record is damaged or cut off. The resume point stays before it.
+    pub fn next_record(&mut self) -> Result<Record, Error> {
+        let [tag, number @ ..] = self.read_array::<5>()?;
+        let number = u32::from_le_bytes(number);
+        match tag {
+            FRAME_TAG => self.read_extent(number),
+            END_TAG => self.read_end(number),
+            _ => Err(self.damaged("a frame or the end")),
+        }
+    }
+
+    fn read_extent(&mut self, index: u32) -> Result<Record, Error> {
+        let is_ascending = self.position.last_extent.is_none_or(|last| index > last);
+        if index >= self.header.extent_count || !is_ascending {
+            return Err(self.damaged("an extent of the snapshot, in order"));
+        }
+        let length = u32::from_le_bytes(self.read_array()?) as usize;
+        let extent_bytes = self.header.extent_bytes as usize;
+        // Compressed data is never much longer than what it holds.
+        if length > extent_bytes + extent_bytes / 8 + 1024 {
+            return Err(self.damaged("a length that fits an extent"));
+        }
+        let mut compressed = vec![0; length];
+        self.read(&mut compressed)?;
+        let stored_hash: [u8; HASH_BYTES] = self.read_array()?;
+        // Damaged data is not decompressed.
+        let hash = frame_hash(index, &compressed);
+        if *hash.as_bytes() != stored_hash {
+            return Err(self.damaged("data that fits its hash"));
+        }
+        let data = zstd::bulk::decompress(&compressed, extent_bytes).ok();
+        let data = data.filter(|data| data.len() == extent_bytes);
+        let data = data.ok_or_else(|| self.damaged("data that unpacks to an extent"))?;
+        self.position.add_frame(index, length, &hash);
+        Ok(Record::Extent { index, data })
+    }
+
+    fn read_end(&mut self, frame_count: u32) -> Result<Record, Error> {
+        let stored_hash: [u8; HASH_BYTES] = self.read_array()?;
+        if frame_count != self.position.frame_count || *self.position.end_hash().as_bytes() != stored_hash {
+            return Err(self.damaged("an end that fits the frames before it"));
+        }
+        Ok(Record::End)
+    }
+
+    fn read_array<const N: usize>(&mut self) -> Result<[u8; N], Error> {
+        let mut bytes = [0; N];
+        self.read(&mut bytes)?;
+        Ok(bytes)
+    }
+
+    fn read(&mut self, out: &mut [u8]) -> Result<(), Error> {
+        self.input.read_exact(out).map_err(|_| self.damaged("a whole frame or the end"))
+    }
+
+    fn damaged(&self, expected: &'static str) -> Error {
+        Error::damaged(self.position.valid_bytes, expected)
+    }
+}
--- a/crates/archive/tests/stored_stream.rs
+++ b/crates/archive/tests/stored_stream.rs
@@ -1,11 +1,11 @@
 //! A stream written before the code was restructured: it reads back, and is written with the same bytes.
-use mallowseam_archive::{Head, Next, Reader, Writer};
+use mallowseam_archive::{Header, Reader, Record, Writer};
 
 /// 40 extents of 4 KiB, of which four hold data.
 const STORED: &[u8] = include_bytes!("fixtures/ledger-march.mseam");
 
-fn head() -> Head {
-    Head { name: "ledger@march".into(), extent: 4_096, extents: 40 }
+fn header() -> Header {
+    Header { name: "ledger@march".into(), extent_bytes: 4_096, extent_count: 40 }
 }
 
 fn extents() -> impl Iterator<Item = (u32, Vec<u8>)> {
@@ -16,58 +16,58 @@
 }
 
 #[test]
-fn a_stored_stream_reads_back() {
+fn stored_stream_reads_back() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("snapshot");
     std::fs::write(&path, STORED).expect("a file");
     let mut reader = Reader::new(std::fs::File::open(&path).expect("a file")).expect("a head");
-    assert_eq!(*reader.head(), head());
+    assert_eq!(*reader.header(), header());
     for (index, data) in extents() {
-        assert_eq!(reader.advance().expect("sound"), Next::Extent(index, data));
+        assert_eq!(reader.next_record().expect("sound"), Record::Extent { index, data });
     }
-    assert_eq!((reader.standing().frames, reader.standing().last), (4, Some(39)));
-    assert_eq!(reader.standing().bytes, STORED.len() as u64 - 37);
-    assert_eq!(reader.advance().expect("sound"), Next::End);
+    assert_eq!((reader.resume_point().frame_count, reader.resume_point().last_extent), (4, Some(39)));
+    assert_eq!(reader.resume_point().valid_bytes, STORED.len() as u64 - 37);
+    assert_eq!(reader.next_record().expect("sound"), Record::End);
 }
 
 #[test]
-fn the_same_extents_are_written_as_the_stored_bytes() {
+fn same_extents_are_written_as_the_stored_bytes() {
     let mut out = Vec::new();
-    let mut writer = Writer::new(&mut out, &head()).expect("memory");
-    extents().for_each(|(index, data)| writer.extent(index, &data).expect("memory"));
-    assert_eq!(writer.end().expect("memory"), 4_443);
+    let mut writer = Writer::new(&mut out, &header()).expect("memory");
+    extents().for_each(|(index, data)| writer.write_extent(index, &data).expect("memory"));
+    assert_eq!(writer.finish().expect("memory"), 4_443);
     assert!(out == STORED, "the bytes differ");
     assert_eq!(out[..8], *b"MSEAM1\n\0");
 }
 
 #[test]
-fn a_stored_stream_that_was_cut_is_continued_to_the_same_bytes() {
+fn stored_stream_that_was_cut_resumes_to_the_same_bytes() {
     let cut = STORED.len() - 500;
     let mut reader = Reader::new(&STORED[..cut]).expect("a head");
-    while let Ok(Next::Extent(..)) = reader.advance() {}
-    let standing = reader.standing().clone();
-    let (last, mut out) = (standing.last, STORED[..standing.bytes as usize].to_vec());
+    while let Ok(Record::Extent { .. }) = reader.next_record() {}
+    let resume_point = reader.resume_point().clone();
+    let (last, mut out) = (resume_point.last_extent, STORED[..resume_point.valid_bytes as usize].to_vec());
     assert_eq!(last, Some(17));
-    let mut writer = Writer::resume(&mut out, standing);
+    let mut writer = Writer::resume(&mut out, resume_point);
     for (index, data) in extents().filter(|e| Some(e.0) > last) {
-        writer.extent(index, &data).expect("memory");
+        writer.write_extent(index, &data).expect("memory");
     }
-    writer.end().expect("memory");
+    writer.finish().expect("memory");
     assert!(out == STORED, "the bytes differ");
 }
 
 /// The texts that operators read when a file cannot be taken.
 #[test]
-fn texts_of_faults() {
-    let fault = |bytes: &[u8]| {
+fn error_texts() {
+    let error = |bytes: &[u8]| {
         let mut reader = match Reader::new(bytes) {
             Ok(reader) => reader,
             Err(e) => return e.to_string(),
         };
         loop {
-            match reader.advance() {
-                Ok(Next::End) => return "whole".into(),
-                Ok(Next::Extent(..)) => {}
+            match reader.next_record() {
+                Ok(Record::End) => return "whole".into(),
+                Ok(Record::Extent { .. }) => {}
                 Err(e) => return e.to_string(),
             }
         }
@@ -77,19 +77,22 @@
         bytes[at] = byte;
         bytes
     };
-    assert_eq!(fault(STORED), "whole");
-    assert_eq!(fault(b"MSEAM1"), "byte 0: expected the head of a snapshot stream");
-    assert_eq!(fault(&with(0, b'X')), "byte 0: expected the head of a snapshot stream");
-    assert_eq!(fault(&with(20, b'X')), "byte 30: expected the hash of the head");
-    assert_eq!(fault(&with(62, b'X')), "byte 62: expected a frame or the end");
-    assert_eq!(fault(&with(63, 200)), "byte 62: expected an extent of the snapshot, in order");
-    assert_eq!(fault(&with(69, 200)), "byte 62: expected a length that fits an extent");
-    assert_eq!(fault(&with(80, 1)), "byte 62: expected data that fits its hash");
-    assert_eq!(fault(&STORED[..100]), "byte 62: expected a whole frame or the end");
-    assert_eq!(fault(&with(4_443 - 1, 0)), "byte 4406: expected an end that fits the frames before it");
-    let large = Head { extent: (256 << 20) + 1, ..head() };
+    assert_eq!(error(STORED), "whole");
+    assert_eq!(error(b"MSEAM1"), "byte 0: expected the head of a snapshot stream");
+    assert_eq!(error(&with(0, b'X')), "byte 0: expected the head of a snapshot stream");
+    assert_eq!(error(&with(20, b'X')), "byte 30: expected the hash of the head");
+    assert_eq!(error(&with(62, b'X')), "byte 62: expected a frame or the end");
+    assert_eq!(error(&with(63, 200)), "byte 62: expected an extent of the snapshot, in order");
+    assert_eq!(error(&with(69, 200)), "byte 62: expected a length that fits an extent");
+    assert_eq!(error(&with(80, 1)), "byte 62: expected data that fits its hash");
+    assert_eq!(error(&STORED[..100]), "byte 62: expected a whole frame or the end");
+    assert_eq!(error(&with(4_443 - 1, 0)), "byte 4406: expected an end that fits the frames before it");
+    let large = Header { extent_bytes: (256 << 20) + 1, ..header() };
     let why = Writer::new(Vec::new(), &large).map(drop).expect_err("too large").to_string();
     assert_eq!(why, "byte 0: expected a name of up to 256 bytes and extents of up to 256 MiB");
-    assert!(Writer::new(Vec::new(), &Head { extent: 256 << 20, name: "n".repeat(256), ..head() }).is_ok());
-    assert!(Writer::new(Vec::new(), &Head { name: "n".repeat(257), ..head() }).is_err());
+    assert!(
+        Writer::new(Vec::new(), &Header { extent_bytes: 256 << 20, name: "n".repeat(256), ..header() })
+            .is_ok()
+    );
+    assert!(Writer::new(Vec::new(), &Header { name: "n".repeat(257), ..header() }).is_err());
 }
--- /dev/null
+++ b/crates/change-log/src/lib.rs
@@ -0,0 +1,210 @@
+//! The change log of plans on disk: its entries, and now and then a checkpoint, which is the whole state after one of
+//! them, so that opening reads few entries however long the log is. What `append` has returned for is there after any
+//! crash.
+#![warn(missing_docs)]
+
+mod error;
+
+pub use error::{Error, LogDamage};
+
+use mallowseam_durable_store::{DurableStore, Format, StoredFormat};
+use mallowseam_plans::state::State;
+use mallowseam_plans::trail::{Line as LogEntry, Trail as ChangeLog};
+use redb::{ReadableTable, StorageBackend, TableDefinition, WriteTransaction};
+use std::path::Path;
+
+/// The text of each entry, by version.
+const ENTRIES: TableDefinition<u64, &str> = TableDefinition::new("lines");
+/// Checkpoints by version: the state as JSON, and the hash of its entry.
+const CHECKPOINTS: TableDefinition<u64, (&str, &str)> = TableDefinition::new("states");
+/// Names of the hosts that follow the log: a service that restarts must not take those that have not connected yet
+/// for none.
+const MEMBERS: TableDefinition<&str, ()> = TableDefinition::new("members");
+const FORMAT: Format = Format { key: "plans", current: 1, oldest: 1 };
+/// Entries between two checkpoints: replaying as many takes some tens of milliseconds.
+pub const CHECKPOINT_INTERVAL: u64 = 1_024;
+
+/// An open store of the change log.
+#[derive(Debug)]
+pub struct ChangeLogStore {
+    store: DurableStore,
+    log: ChangeLog,
+}
+
+impl ChangeLogStore {
+    /// Opens a file, or creates it.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be opened or read, or its contents are damaged.
+    pub fn open(path: &Path) -> Result<ChangeLogStore, Error> {
+        ChangeLogStore::read(DurableStore::open(path, FORMAT, create_tables)?)
+    }
+
+    /// The same on another storage than a file.
+    ///
+    /// # Errors
+    ///
+    /// As [`ChangeLogStore::open`].
+    pub fn open_with_backend(backend: impl StorageBackend) -> Result<ChangeLogStore, Error> {
+        ChangeLogStore::read(DurableStore::open_with_backend(backend, FORMAT, create_tables)?)
+    }
+
+    fn read(store: DurableStore) -> Result<ChangeLogStore, Error> {
+        let log = read_log(&store, u64::MAX)?;
+        Ok(ChangeLogStore { store, log })
+    }
+
+    /// The state in force, with the hash of the last entry.
+    #[must_use]
+    pub fn log(&self) -> &ChangeLog {
+        &self.log
+    }
+
+    /// Writes the next entry to disk, as it was proposed, and applies it.
+    ///
+    /// # Errors
+    ///
+    /// The entry does not follow the log; nothing is changed then. After an error of the database the store takes no
+    /// more entries: it has to be opened anew.
+    pub fn append(&mut self, text: &str) -> Result<LogEntry, Error> {
+        self.store.check_not_poisoned()?;
+        let mut next = self.log.clone();
+        let entry = next.follow(text).map_err(LogDamage::from)?;
+        self.store.write_or_poison(|transaction| {
+            transaction.open_table(ENTRIES)?.insert(entry.version, text)?;
+            if entry.version.is_multiple_of(CHECKPOINT_INTERVAL) {
+                write_checkpoint(transaction, &next)?;
+            }
+            Ok(())
+        })?;
+        self.log = next;
+        Ok(entry)
+    }
+
+    /// Names of the hosts that follow the log.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database.
+    pub fn members(&self) -> Result<Vec<String>, Error> {
+        let members = self.store.begin_read()?.open_table(MEMBERS)?;
+        members.iter()?.map(|row| Ok(row?.0.value().to_owned())).collect()
+    }
+
+    /// A host follows the log from now on.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database.
+    pub fn add_member(&mut self, host: &str) -> Result<(), Error> {
+        self.store.write(|transaction| {
+            transaction.open_table(MEMBERS)?.insert(host, ())?;
+            Ok(())
+        })
+    }
+
+    /// A host has stopped to follow the log for good.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database.
+    pub fn remove_member(&mut self, host: &str) -> Result<(), Error> {
+        self.store.write(|transaction| {
+            transaction.open_table(MEMBERS)?.remove(host)?;
+            Ok(())
+        })
+    }
+
+    /// The texts of at most `limit` entries, from a version on.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database.
+    pub fn entries(&self, from: u64, limit: usize) -> Result<Vec<String>, Error> {
+        let entries = self.store.begin_read()?.open_table(ENTRIES)?;
+        entries.range(from.max(1)..)?.take(limit).map(|row| Ok(row?.1.value().to_owned())).collect()
+    }
+
+    /// The log as it stood at a version. None: there is no such version yet.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database; the contents are damaged.
+    pub fn log_at(&self, version: u64) -> Result<Option<ChangeLog>, Error> {
+        if version > self.log.state.version {
+            return Ok(None);
+        }
+        read_log(&self.store, version).map(Some)
+    }
+
+    /// Replays all entries from nothing and compares the result with every checkpoint and with the state in force.
+    /// Returns how many entries there are.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database; the first difference.
+    pub fn verify(&self) -> Result<u64, Error> {
+        let transaction = self.store.begin_read()?;
+        let entries = transaction.open_table(ENTRIES)?;
+        let checkpoints = transaction.open_table(CHECKPOINTS)?;
+        let mut log = ChangeLog::default();
+        for row in entries.iter()? {
+            log.follow(row?.1.value()).map_err(LogDamage::from)?;
+            let version = log.state.version;
+            if let Some(checkpoint) = checkpoints.get(version)? {
+                let state = encode_state(&log.state)?;
+                if checkpoint.value() != (state.as_str(), log.last()) {
+                    return Err(LogDamage::CheckpointDiffers { version }.into());
+                }
+            }
+        }
+        if log != self.log {
+            return Err(LogDamage::StateDiffers.into());
+        }
+        Ok(log.state.version)
+    }
+}
+
+/// There is one format so far, so that a stored one is the current one.
+fn create_tables(transaction: &WriteTransaction, _stored: StoredFormat) -> Result<(), Error> {
+    transaction.open_table(ENTRIES)?;
+    transaction.open_table(CHECKPOINTS)?;
+    transaction.open_table(MEMBERS)?;
+    Ok(())
+}
+
+/// The log up to a version, from the last checkpoint and the entries after it.
+fn read_log(store: &DurableStore, version: u64) -> Result<ChangeLog, Error> {
+    let transaction = store.begin_read()?;
+    let mut log = ChangeLog::default();
+    if let Some(row) = transaction.open_table(CHECKPOINTS)?.range(..=version)?.next_back() {
+        let (key, checkpoint) = row?;
+        let (state, hash) = checkpoint.value();
+        log = read_checkpoint(key.value(), state, hash)?;
+    }
+    let entries = transaction.open_table(ENTRIES)?;
+    for row in entries.range(log.state.version + 1..=version)? {
+        log.follow(row?.1.value()).map_err(LogDamage::from)?;
+    }
+    Ok(log)
+}
+
+fn read_checkpoint(version: u64, state: &str, hash: &str) -> Result<ChangeLog, LogDamage> {
+    let state: State = serde_json::from_str(state)?;
+    if state.version != version {
+        return Err(LogDamage::CheckpointVersion { found: state.version, expected: version });
+    }
+    Ok(ChangeLog::from_base(state, hash.to_owned()))
+}
+
+fn write_checkpoint(transaction: &WriteTransaction, log: &ChangeLog) -> Result<(), Error> {
+    let state = encode_state(&log.state)?;
+    let mut checkpoints = transaction.open_table(CHECKPOINTS)?;
+    checkpoints.insert(log.state.version, (state.as_str(), log.last()))?;
+    Ok(())
+}
+
+fn encode_state(state: &State) -> Result<String, Error> {
+    serde_json::to_string(state).map_err(Error::Encode)
+}
--- a/crates/trail/tests/stored_trails.rs
+++ b/crates/change-log/tests/stored_files.rs
@@ -1,7 +1,7 @@
 //! A store of plan changes written before the code was restructured (commit 01f3988): it opens with the state
 //! that was stored, takes further changes, and keeps the layout of its tables.
+use mallowseam_change_log::{CHECKPOINT_INTERVAL, ChangeLogStore};
 use mallowseam_plans::state::Change;
-use mallowseam_trail::{EVERY, Store};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 
@@ -26,8 +26,8 @@
     path
 }
 
-fn state(store: &Store) -> String {
-    serde_json::to_string(&store.trail().state).expect("plain data")
+fn state(store: &ChangeLogStore) -> String {
+    serde_json::to_string(&store.log().state).expect("plain data")
 }
 
 /// The layout of the stored tables after the changes of the test below.
@@ -48,8 +48,8 @@
     assert_eq!(line(1_028), None);
     let states = read.open_table(STATES).expect("there");
     let rows: Vec<u64> = states.iter().expect("rows").map(|r| r.expect("a row").0.value()).collect();
-    assert_eq!(rows, [EVERY]);
-    let row = states.get(EVERY).expect("a row").expect("a state");
+    assert_eq!(rows, [CHECKPOINT_INTERVAL]);
+    let row = states.get(CHECKPOINT_INTERVAL).expect("a row").expect("a state");
     let expected = STATE.replace("1026", "1024");
     let hash = "e95afa00fa9018f3b0c9c32208876624d2daaf982f972ef5fca34c2c7547cad8";
     assert_eq!(row.value(), (expected.as_str(), hash));
@@ -60,42 +60,42 @@
 }
 
 #[test]
-fn a_stored_trail_opens_takes_changes_and_keeps_its_layout() {
+fn stored_log_opens_takes_changes_and_keeps_its_layout() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
-    let mut store = Store::open(&path).expect("sound");
-    assert_eq!((state(&store).as_str(), store.trail().last()), (STATE, LAST));
+    let mut store = ChangeLogStore::open(&path).expect("sound");
+    assert_eq!((state(&store).as_str(), store.log().last()), (STATE, LAST));
     assert_eq!(store.members().expect("sound"), ["host-a", "host-c"]);
-    assert_eq!(store.lines(0, 1).expect("sound"), [FIRST_LINE]);
-    assert_eq!(store.lines(1_026, 9).expect("sound"), [LINE_1_026]);
-    assert_eq!(store.replay().expect("sound"), 1_026);
-    let early = store.at(3).expect("sound").expect("a version");
+    assert_eq!(store.entries(0, 1).expect("sound"), [FIRST_LINE]);
+    assert_eq!(store.entries(1_026, 9).expect("sound"), [LINE_1_026]);
+    assert_eq!(store.verify().expect("sound"), 1_026);
+    let early = store.log_at(3).expect("sound").expect("a version");
     assert_eq!(early.state.volumes.keys().collect::<Vec<_>>(), ["v", "w"]);
     let change = Change::Volume { name: "x".into(), plan: "gold".into() };
-    let text = store.trail().propose(1_026, "c", "d", 1_800_000_000, change).expect("fits");
-    assert_eq!(store.keep(&text).expect("kept").version, 1_027);
-    store.member("host-d", true).expect("kept");
-    store.member("host-a", false).expect("kept");
-    let trail = store.trail().clone();
+    let text = store.log().propose(1_026, "c", "d", 1_800_000_000, change).expect("fits");
+    assert_eq!(store.append(&text).expect("kept").version, 1_027);
+    store.add_member("host-d").expect("kept");
+    store.remove_member("host-a").expect("kept");
+    let log = store.log().clone();
     drop(store);
     check_rows(&path);
-    let store = Store::open(&path).expect("sound");
-    assert_eq!(*store.trail(), trail);
-    assert_eq!(store.replay().expect("sound"), 1_027);
+    let store = ChangeLogStore::open(&path).expect("sound");
+    assert_eq!(*store.log(), log);
+    assert_eq!(store.verify().expect("sound"), 1_027);
     assert_eq!(store.members().expect("sound"), ["host-c", "host-d"]);
 }
 
 #[test]
-fn a_whole_state_is_stored_every_1_024_lines() {
-    assert_eq!(EVERY, 1_024);
+fn checkpoint_interval_is_1_024_entries() {
+    assert_eq!(CHECKPOINT_INTERVAL, 1_024);
 }
 
 #[test]
-fn texts_of_faults() {
+fn error_texts() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
-    let mut store = Store::open(&path).expect("sound");
-    let why = store.keep(LINE_1_026).expect_err("does not follow").to_string();
+    let mut store = ChangeLogStore::open(&path).expect("sound");
+    let why = store.append(LINE_1_026).expect_err("does not follow").to_string();
     assert_eq!(why, "plan store is damaged: trail line 1027: does not follow the line before");
     assert_eq!(state(&store), STATE);
     drop(store);
@@ -104,25 +104,28 @@
     {
         let mut states = write.open_table(STATES).expect("there");
         states
-            .insert(EVERY, (STATE.replace("1026", "1024").replace("9000", "9001").as_str(), "x"))
+            .insert(
+                CHECKPOINT_INTERVAL,
+                (STATE.replace("1026", "1024").replace("9000", "9001").as_str(), "x"),
+            )
             .expect("fits");
     }
     write.commit().expect("kept");
     drop(db);
-    let why = Store::open(&path).expect_err("does not follow").to_string();
+    let why = ChangeLogStore::open(&path).expect_err("does not follow").to_string();
     assert_eq!(why, "plan store is damaged: trail line 1025: does not follow the line before");
     let db = Database::open(&path).expect("there");
     let write = db.begin_write().expect("open");
-    write.open_table(STATES).expect("there").insert(EVERY, (STATE, LAST)).expect("fits");
+    write.open_table(STATES).expect("there").insert(CHECKPOINT_INTERVAL, (STATE, LAST)).expect("fits");
     write.commit().expect("kept");
     drop(db);
-    let why = Store::open(&path).expect_err("wrong version").to_string();
+    let why = ChangeLogStore::open(&path).expect_err("wrong version").to_string();
     assert_eq!(why, "plan store is damaged: state 1026 under 1024");
     let db = Database::open(&path).expect("there");
     let write = db.begin_write().expect("open");
     write.open_table(FORMATS).expect("there").insert("plans", 2).expect("fits");
     write.commit().expect("kept");
     drop(db);
-    let why = Store::open(&path).expect_err("unknown").to_string();
+    let why = ChangeLogStore::open(&path).expect_err("unknown").to_string();
     assert_eq!(why, "plan store is damaged: format 2, expected 1");
 }
--- /dev/null
+++ b/crates/cow/src/copy_budget.rs
@@ -0,0 +1,59 @@
+//! When a host may start to copy an extent before its first write. Retries of failed copies come out of a budget of
+//! their own, so that a node in trouble is not asked for the same extents over and over at the expense of clients:
+//! each copy reads and writes a whole extent.
+use crate::Millis;
+
+/// Copies of one host in flight: enough to keep some nodes busy, few enough to leave them to clients.
+pub const MAX_CONCURRENT_COPIES: usize = 8;
+/// After a failed copy, the next one of that extent waits so long.
+pub const RETRY_DELAY: Millis = 20;
+/// How long a host remembers that a copy failed, when no write asks for it again.
+pub const FAILURE_MEMORY: Millis = 5_000;
+/// Retries that may be in the budget: one for each copy that can be in flight.
+const MAX_RETRIES: f64 = MAX_CONCURRENT_COPIES as f64;
+/// What a successful copy adds to the budget: the retry ratio that the fleet is usually allowed.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// With an empty budget one retry is let through in this interval, so that a recovered node is noticed.
+const PROBE_INTERVAL: Millis = 250;
+
+/// The copies that one host may start, and its budget of retries (a token bucket).
+pub struct CopyBudget {
+    retries_left: f64,
+    last_probe: Millis,
+    /// Retries that the budget has rejected so far.
+    pub rejected_retries: u64,
+}
+
+impl Default for CopyBudget {
+    fn default() -> Self {
+        CopyBudget { retries_left: MAX_RETRIES, last_probe: 0, rejected_retries: 0 }
+    }
+}
+
+impl CopyBudget {
+    /// Whether a copy may start now, with so many in flight. `is_retry`: the last attempt at it failed.
+    #[must_use]
+    pub fn may_start(&mut self, in_flight: usize, is_retry: bool, now: Millis) -> bool {
+        if in_flight >= MAX_CONCURRENT_COPIES {
+            return false;
+        }
+        if !is_retry {
+            return true;
+        }
+        if self.retries_left >= 1.0 {
+            self.retries_left -= 1.0;
+            return true;
+        }
+        if now >= self.last_probe + PROBE_INTERVAL {
+            self.last_probe = now;
+            return true;
+        }
+        self.rejected_retries += 1;
+        false
+    }
+
+    /// Records that a copy has succeeded.
+    pub fn record_success(&mut self) {
+        self.retries_left = (self.retries_left + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
+    }
+}
--- a/crates/cow/src/lib.rs
+++ b/crates/cow/src/lib.rs
@@ -1,24 +1,27 @@
-//! Snapshots and clones by copy on write, free of I/O, clocks and threads. `docs/snapshots.md` tells the ways
-//! weighed and the promise.
+//! Copy-on-write snapshots and clones, free of I/O, clocks and threads. `docs/snapshots.md` describes the design,
+//! its alternatives and its guarantees.
 //!
-//! - `tree`: layers, branches and snapshots, changed by one numbered change after another; the catalog and
-//!   every host apply the same changes and so hold the same tree.
-//! - `copies`: when an extent may be copied, and copied again.
-//! - `cut`: when a snapshot may be granted.
-//! - `leases`: when a change counts everywhere.
-//! - `pieces`: a write of several parts, whole in a snapshot or not in it.
-//! - `free`: when space is given back.
-//! - `words`: what hosts and catalog say to each other.
-//! - `cache`: what a host does with a block I/O, by what it knows of the tree.
-pub mod cache;
-pub mod copies;
-pub mod cut;
-pub mod free;
-mod index;
+//! One catalog process owns the tree of layers; every host holds a replica of it, and both apply the same numbered
+//! changes.
+//!
+//! - [`tree`]: layers, branches and snapshots, and the changes that lead from one tree to the next.
+//! - [`tree_replica`]: what a host does with a block I/O, by what it knows of the tree.
+//! - [`copy_budget`]: when a host may start, or retry, the copy of an extent.
+//! - [`consistent_cut`]: when a snapshot may be granted.
+//! - [`split_write`]: keeps a write of several parts whole with regard to cuts.
+//! - [`leases`]: when every host acts on a change, or on nothing older.
+//! - [`reclaim`]: when space that nobody can read may be released.
+//! - [`messages`]: the messages between hosts and catalog.
+#![warn(missing_docs)]
+
+pub mod consistent_cut;
+pub mod copy_budget;
 pub mod leases;
-pub mod pieces;
+pub mod messages;
+pub mod reclaim;
+pub mod split_write;
 pub mod tree;
-pub mod words;
+pub mod tree_replica;
 
-/// Milliseconds on one's own clock, or a span of them.
+/// Milliseconds on the caller's own monotonic clock, or a span of them.
 pub type Millis = u64;
--- /dev/null
+++ b/crates/cow/src/reclaim.rs
@@ -0,0 +1,158 @@
+//! When locations that nobody can read any more may be released: once no host acts on a tree in which they were read,
+//! and what was sent by such a tree has run out of time. In small batches, so that nodes are left to clients.
+use crate::Millis;
+use crate::leases::HostLeases;
+use crate::tree::{ChangeEffects, LayerExtent, LayerId, Tree};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Extents released at once: a node takes some milliseconds for as many.
+pub const BATCH_SIZE: usize = 64;
+/// Entries of the queue that one call looks at.
+const MAX_SCANNED: usize = BATCH_SIZE * 4;
+
+/// A location that waits for its version to be effective.
+#[derive(Clone, Copy)]
+struct Unreachable {
+    version: u64,
+    extent: LayerExtent,
+}
+
+/// A location whose version is effective, since `effective_at` as far as the catalog knows.
+struct Ready {
+    effective_at: Millis,
+    version: u64,
+    extent: LayerExtent,
+}
+
+/// Locations on their way to be released. Each step looks at those that are due and at no others, however many wait.
+#[derive(Default)]
+pub struct Reclaimer {
+    /// Version at which each location was last found to be unreachable. Only the entry of a queue with this version
+    /// is valid: a location that was read again in between has to wait anew.
+    unreachable_since: BTreeMap<LayerExtent, u64>,
+    /// In order of versions: those whose version is not effective yet.
+    waiting: VecDeque<Unreachable>,
+    /// In order of the time since which their version is effective.
+    ready: VecDeque<Ready>,
+    in_flight: BTreeSet<LayerExtent>,
+    /// Layers that may hold nothing.
+    maybe_empty: BTreeSet<LayerId>,
+}
+
+impl Reclaimer {
+    /// Begins with everything that is unreachable in a tree that has just been opened.
+    #[must_use]
+    pub fn from_tree(tree: &Tree) -> Reclaimer {
+        let mut reclaimer = Reclaimer::default();
+        for (layer, extents) in tree.unreachable_extents() {
+            reclaimer.maybe_empty.insert(layer);
+            extents.into_iter().for_each(|extent| reclaimer.enqueue(tree.version, (layer, extent)));
+        }
+        reclaimer
+    }
+
+    fn enqueue(&mut self, version: u64, extent: LayerExtent) {
+        self.unreachable_since.insert(extent, version);
+        self.waiting.push_back(Unreachable { version, extent });
+    }
+
+    /// Records what a change has made unreachable; `tree` is the one after the change.
+    pub fn record_change(&mut self, tree: &Tree, effects: &ChangeEffects) {
+        for extent in tree.newly_unreachable(effects) {
+            self.enqueue(tree.version, extent);
+        }
+        self.maybe_empty.extend(effects.layers.iter().filter(|layer| tree.is_removable(**layer)));
+    }
+
+    /// The next batch to release.
+    ///
+    /// `retained`: layers of cuts that are not granted yet. Without them a first write in the new head would hide a
+    /// location of the cut, and the snapshot would lose it. `max_in_flight`: the longest time that anything sent by
+    /// an older tree can still take.
+    pub fn next_batch(
+        &mut self,
+        tree: &Tree,
+        retained: &BTreeSet<LayerId>,
+        leases: &HostLeases,
+        max_in_flight: Millis,
+        now: Millis,
+    ) -> Vec<LayerExtent> {
+        self.promote_effective(leases, now);
+        let mut batch = Vec::new();
+        // A retained location goes to the back of the queue, and is not met twice in one call.
+        for _ in 0..self.ready.len().min(MAX_SCANNED) {
+            if self.in_flight.len() >= BATCH_SIZE {
+                break;
+            }
+            let Some(entry) = self.ready.pop_front_if(|entry| now >= entry.effective_at + max_in_flight)
+            else {
+                break;
+            };
+            if let Some(extent) = self.release(tree, retained, &entry, now) {
+                batch.push(extent);
+            }
+        }
+        batch
+    }
+
+    /// Moves on the locations whose version has become effective.
+    fn promote_effective(&mut self, leases: &HostLeases, now: Millis) {
+        while let Some(entry) = self.waiting.pop_front_if(|entry| leases.is_effective(entry.version, now)) {
+            let Unreachable { version, extent } = entry;
+            self.ready.push_back(Ready { effective_at: now, version, extent });
+        }
+    }
+
+    /// The location of a queue entry if it may be released now.
+    fn release(
+        &mut self,
+        tree: &Tree,
+        retained: &BTreeSet<LayerId>,
+        entry: &Ready,
+        now: Millis,
+    ) -> Option<LayerExtent> {
+        let Ready { version, extent: at, .. } = *entry;
+        if self.unreachable_since.get(&at) != Some(&version) {
+            return None;
+        }
+        let (layer, extent) = at;
+        if !tree.is_unreachable(layer, extent, &BTreeSet::new()) {
+            // Gone, or a snapshot was granted that reads it. When that is deleted, the location is found again.
+            self.unreachable_since.remove(&at);
+            return None;
+        }
+        if !tree.is_unreachable(layer, extent, retained) {
+            self.ready.push_back(Ready { effective_at: now, version, extent: at });
+            return None;
+        }
+        self.in_flight.insert(at).then_some(at)
+    }
+
+    /// A node has released a location.
+    pub fn completed(&mut self, at: LayerExtent) {
+        self.in_flight.remove(&at);
+        self.unreachable_since.remove(&at);
+    }
+
+    /// A node did not release a location: it is retried.
+    pub fn failed(&mut self, at: LayerExtent, now: Millis) {
+        if self.in_flight.remove(&at)
+            && let Some(version) = self.unreachable_since.get(&at)
+        {
+            self.ready.push_back(Ready { effective_at: now, version: *version, extent: at });
+        }
+    }
+
+    /// Layers that hold nothing and that nothing refers to.
+    pub fn removable_layers(&mut self, tree: &Tree, retained: &BTreeSet<LayerId>) -> Vec<LayerId> {
+        self.maybe_empty.retain(|layer| tree.layers.contains_key(layer) && !tree.is_referenced(*layer));
+        let removable = |layer: &LayerId| tree.is_removable(*layer) && !retained.contains(layer);
+        self.maybe_empty.iter().copied().filter(removable).collect()
+    }
+
+    /// Number of locations that wait to be released.
+    #[must_use]
+    pub fn pending_count(&self) -> usize {
+        self.unreachable_since.len()
+    }
+}
--- /dev/null
+++ b/crates/cow/src/tree/error.rs
@@ -0,0 +1,37 @@
+//! Why a change is rejected.
+use super::model::{LayerId, Location};
+
+/// Why a change cannot be applied. Operators read these texts on the control socket.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ChangeError {
+    /// No volume or clone has this name.
+    #[error("`{0}`: no such volume or clone")]
+    NoSuchBranch(String),
+    /// No snapshot has this name, or not of this branch.
+    #[error("`{0}`: no such snapshot")]
+    NoSuchSnapshot(String),
+    /// Another branch or snapshot has the name.
+    #[error("`{0}`: the name is in use")]
+    NameInUse(String),
+    /// The name is too long or holds other characters.
+    #[error("`{0}`: expected 1 to 64 letters, digits and -_.")]
+    BadName(String),
+    /// The layer is gone or never was.
+    #[error("layer {0}: no such layer")]
+    NoSuchLayer(LayerId),
+    /// The state of the layer does not allow the change, for instance a new location in a frozen layer.
+    #[error("layer {0}: takes no new places")]
+    LayerNotAccepting(LayerId),
+    /// The extent has a location already, which another host was first to announce.
+    #[error("the extent lies at node {}, place {}", .0.node, .0.slot)]
+    AlreadyPlaced(Location),
+    /// The extent is past the end of the branch, or the slot was never allocated.
+    #[error("past the end")]
+    OutOfRange,
+    /// The branch still has this snapshot.
+    #[error("`{0}`: still in use")]
+    StillInUse(String),
+    /// All layer ids have been used.
+    #[error("no layer numbers are left")]
+    LayerIdsExhausted,
+}
--- /dev/null
+++ b/crates/cow/src/tree/reachability.rs
@@ -0,0 +1,84 @@
+//! Which locations can be read through a branch or a snapshot, and which by nobody any more.
+use super::{ChangeEffects, LayerExtent, LayerId, Tree};
+use std::collections::{BTreeMap, BTreeSet};
+
+impl Tree {
+    /// Whether a branch or a snapshot is read through a layer.
+    #[must_use]
+    pub fn is_referenced(&self, layer: LayerId) -> bool {
+        self.index.is_referenced(layer)
+    }
+
+    /// Whether a layer holds no location and nothing refers to it: it may be removed.
+    #[must_use]
+    pub fn is_removable(&self, layer_id: LayerId) -> bool {
+        let empty = self.layers.get(&layer_id).is_some_and(|layer| layer.locations.is_empty());
+        empty && !self.is_referenced(layer_id)
+    }
+
+    /// Whether an extent has a location in a layer and nobody can read it. `retained`: layers that may yet become
+    /// snapshots, which count as if they were.
+    #[must_use]
+    pub fn is_unreachable(&self, layer: LayerId, extent: u32, retained: &BTreeSet<LayerId>) -> bool {
+        let is_read = |id: LayerId| self.is_referenced(id) || retained.contains(&id);
+        if !self.has_location(layer, extent) || is_read(layer) {
+            return false;
+        }
+        let mut descendants: Vec<LayerId> = self.index.children(layer).collect();
+        while let Some(id) = descendants.pop() {
+            // The nearest location of an extent hides those of the ancestors.
+            if self.has_location(id, extent) {
+                continue;
+            }
+            if is_read(id) {
+                return false;
+            }
+            descendants.extend(self.index.children(id));
+        }
+        true
+    }
+
+    fn has_location(&self, layer_id: LayerId, extent: u32) -> bool {
+        self.layers.get(&layer_id).is_some_and(|layer| layer.locations.contains_key(&extent))
+    }
+
+    /// All extents whose location nobody can read any more, by layer. A layer with an empty set holds no location
+    /// and may be removed itself.
+    #[must_use]
+    pub fn unreachable_extents(&self) -> BTreeMap<LayerId, BTreeSet<u32>> {
+        let none_retained = BTreeSet::new();
+        let mut found = BTreeMap::new();
+        for (id, layer) in self.layers.iter().filter(|(id, _)| !self.is_referenced(**id)) {
+            let unreachable = layer.locations.keys().copied();
+            let unreachable: BTreeSet<u32> =
+                unreachable.filter(|extent| self.is_unreachable(*id, *extent, &none_retained)).collect();
+            if !unreachable.is_empty() || layer.locations.is_empty() {
+                found.insert(*id, unreachable);
+            }
+        }
+        found
+    }
+
+    /// Extents whose location nobody can read any more, of those that a change may have made unreachable.
+    #[must_use]
+    pub fn newly_unreachable(&self, effects: &ChangeEffects) -> Vec<LayerExtent> {
+        let none_retained = BTreeSet::new();
+        let mut found = Vec::new();
+        if let Some((layer, extent)) = effects.placed
+            && let Some(parent) = self.layers.get(&layer).and_then(|layer| layer.parent)
+            && let Some((hidden, _)) = self.locate(parent, extent)
+            && self.is_unreachable(hidden, extent, &none_retained)
+        {
+            found.push((hidden, extent));
+        }
+        if let Some(from) = effects.dereferenced {
+            // What is read through a referenced ancestor stays readable through it.
+            for (id, layer) in self.ancestors(from).take_while(|(id, _)| !self.is_referenced(*id)) {
+                let extents = layer.locations.keys().copied();
+                let unreachable = extents.filter(|extent| self.is_unreachable(id, *extent, &none_retained));
+                found.extend(unreachable.map(|extent| (id, extent)));
+            }
+        }
+        found
+    }
+}
--- a/crates/cow/tests/message_bytes.rs
+++ b/crates/cow/tests/message_bytes.rs
@@ -1,7 +1,7 @@
 //! The JSON bytes of every message between hosts and catalog, and of the tree as it is stored. Hosts and
 //! catalogs of different releases talk to each other and read each other's files, so these texts must not change.
-use mallowseam_cow::tree::{Branch, Change, Layer, Place, Snapshot, Tree};
-use mallowseam_cow::words::{ToCatalog, ToHost, whole};
+use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
+use mallowseam_cow::tree::{Branch, Change, ExtentLocation, Layer, Location, Snapshot, Tree};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -12,88 +12,100 @@
 
 #[test]
 fn messages_to_the_catalog() {
-    let place = Place { node: 2, number: 11 };
+    let location = Location { node: 2, slot: 11 };
     pinned(
-        &ToCatalog::Hello { host: "h1".into(), have: Some((7, 9)) },
+        &ToCatalog::Hello { host: "h1".into(), known: Some(TreeVersion { catalog_id: 7, version: 9 }) },
         r#"{"hello":{"host":"h1","have":[7,9]}}"#,
     );
-    pinned(&ToCatalog::Hello { host: "h1".into(), have: None }, r#"{"hello":{"host":"h1","have":null}}"#);
+    pinned(&ToCatalog::Hello { host: "h1".into(), known: None }, r#"{"hello":{"host":"h1","have":null}}"#);
     let without: ToCatalog = serde_json::from_str(r#"{"hello":{"host":"h1"}}"#).expect("`have` may lack");
-    assert_eq!(without, ToCatalog::Hello { host: "h1".into(), have: None });
-    pinned(&ToCatalog::Renew { sent: 12, seen: 34 }, r#"{"renew":{"sent":12,"seen":34}}"#);
-    pinned(&ToCatalog::Seen { version: 5 }, r#"{"seen":{"version":5}}"#);
-    pinned(&ToCatalog::Numbers { layer: 1024, count: 64 }, r#"{"numbers":{"layer":1024,"count":64}}"#);
-    pinned(&ToCatalog::Clear { layer: 1024 }, r#"{"clear":{"layer":1024}}"#);
-    pinned(&ToCatalog::Leave { layer: 1024 }, r#"{"leave":{"layer":1024}}"#);
-    pinned(
-        &ToCatalog::Placed { layer: 1024, extent: 3, place },
+    assert_eq!(without, ToCatalog::Hello { host: "h1".into(), known: None });
+    pinned(&ToCatalog::RenewLease { sent_at: 12, seen_version: 34 }, r#"{"renew":{"sent":12,"seen":34}}"#);
+    pinned(&ToCatalog::Acknowledge { version: 5 }, r#"{"seen":{"version":5}}"#);
+    pinned(&ToCatalog::AllocateSlots { layer: 1024, count: 64 }, r#"{"numbers":{"layer":1024,"count":64}}"#);
+    pinned(&ToCatalog::Quiesced { layer: 1024 }, r#"{"clear":{"layer":1024}}"#);
+    pinned(&ToCatalog::RequestCompletion { layer: 1024 }, r#"{"leave":{"layer":1024}}"#);
+    pinned(
+        &ToCatalog::ProposeLocation { layer: 1024, extent: 3, location },
         r#"{"placed":{"layer":1024,"extent":3,"place":{"node":2,"number":11}}}"#,
     );
 }
 
 #[test]
 fn messages_to_a_host() {
-    let place = Place { node: 2, number: 11 };
+    let location = Location { node: 2, slot: 11 };
     pinned(
-        &ToHost::Whole { catalog: 7, tree: Box::default() },
+        &ToHost::FullTree { catalog_id: 7, tree: Box::default() },
         r#"{"whole":{"catalog":7,"tree":{"version":0,"layers":{},"branches":{},"snapshots":{},"made":0,"units":0}}}"#,
     );
     pinned(
-        &ToHost::Part { layer: 1024, lies: vec![(3, place, true), (4, place, false)] },
+        &ToHost::Locations {
+            layer: 1024,
+            locations: vec![
+                ExtentLocation { extent: 3, location, writable: true },
+                ExtentLocation { extent: 4, location, writable: false },
+            ],
+        },
         r#"{"part":{"layer":1024,"lies":[[3,{"node":2,"number":11},true],[4,{"node":2,"number":11},false]]}}"#,
     );
-    pinned(&ToHost::Filled, r#""filled""#);
-    pinned(&ToHost::Going, r#""going""#);
+    pinned(&ToHost::FullTreeEnd, r#""filled""#);
+    pinned(&ToHost::CaughtUp, r#""going""#);
     pinned(
-        &ToHost::Changed { version: 9, change: Change::Cut { branch: "a".into() } },
+        &ToHost::TreeChanged { version: 9, change: Change::HeadFrozen { branch: "a".into() } },
         r#"{"changed":{"version":9,"change":{"Cut":{"branch":"a"}}}}"#,
     );
-    pinned(&ToHost::Lease { sent: 12, span: 3_000 }, r#"{"lease":{"sent":12,"span":3000}}"#);
+    pinned(&ToHost::LeaseGranted { sent_at: 12, duration: 3_000 }, r#"{"lease":{"sent":12,"span":3000}}"#);
     pinned(
-        &ToHost::Numbers { layer: 1024, first: 64, count: 64 },
+        &ToHost::SlotsAllocated { layer: 1024, first: 64, count: 64 },
         r#"{"numbers":{"layer":1024,"first":64,"count":64}}"#,
     );
     pinned(
-        &ToHost::AskClear { layer: 1024, branch: "a".into() },
+        &ToHost::Quiesce { layer: 1024, branch: "a".into() },
         r#"{"ask-clear":{"layer":1024,"branch":"a"}}"#,
     );
-    pinned(&ToHost::Over { branch: "a".into() }, r#"{"over":{"branch":"a"}}"#);
-    pinned(&ToHost::Leave { layer: 1024, given: true }, r#"{"leave":{"layer":1024,"given":true}}"#);
-    pinned(&ToHost::NotPlaced { layer: 1024, extent: 3 }, r#"{"not-placed":{"layer":1024,"extent":3}}"#);
+    pinned(&ToHost::CutFinished { branch: "a".into() }, r#"{"over":{"branch":"a"}}"#);
+    pinned(
+        &ToHost::CompletionDecision { layer: 1024, granted: true },
+        r#"{"leave":{"layer":1024,"given":true}}"#,
+    );
+    pinned(
+        &ToHost::LocationRejected { layer: 1024, extent: 3 },
+        r#"{"not-placed":{"layer":1024,"extent":3}}"#,
+    );
 }
 
 #[test]
 fn changes() {
     let (a, s) = (|| "a".to_owned(), || "a@s".to_owned());
-    let place = Place { node: 2, number: 11 };
-    pinned(&Change::Made { branch: a(), extents: 8 }, r#"{"Made":{"branch":"a","extents":8}}"#);
+    let location = Location { node: 2, slot: 11 };
+    pinned(&Change::BranchCreated { branch: a(), extent_count: 8 }, r#"{"Made":{"branch":"a","extents":8}}"#);
     pinned(
-        &Change::Numbers { layer: 1024, first: 0, count: 8 },
+        &Change::SlotsAllocated { layer: 1024, first: 0, count: 8 },
         r#"{"Numbers":{"layer":1024,"first":0,"count":8}}"#,
     );
     pinned(
-        &Change::Placed { layer: 1024, extent: 3, place },
+        &Change::ExtentPlaced { layer: 1024, extent: 3, location },
         r#"{"Placed":{"layer":1024,"extent":3,"place":{"node":2,"number":11}}}"#,
     );
-    pinned(&Change::Opened { layer: 1024, extent: 3 }, r#"{"Opened":{"layer":1024,"extent":3}}"#);
-    pinned(&Change::Cut { branch: a() }, r#"{"Cut":{"branch":"a"}}"#);
-    pinned(&Change::Closed { layer: 1024, node: 2 }, r#"{"Closed":{"layer":1024,"node":2}}"#);
+    pinned(&Change::ExtentWritable { layer: 1024, extent: 3 }, r#"{"Opened":{"layer":1024,"extent":3}}"#);
+    pinned(&Change::HeadFrozen { branch: a() }, r#"{"Cut":{"branch":"a"}}"#);
+    pinned(&Change::LayerClosed { layer: 1024, node: 2 }, r#"{"Closed":{"layer":1024,"node":2}}"#);
     pinned(
-        &Change::Named { branch: a(), name: "s".into(), layer: 1024 },
+        &Change::SnapshotCreated { branch: a(), name: "s".into(), layer: 1024 },
         r#"{"Named":{"branch":"a","name":"s","layer":1024}}"#,
     );
     pinned(
-        &Change::Cloned { snapshot: s(), branch: "c".into() },
+        &Change::CloneCreated { snapshot: s(), branch: "c".into() },
         r#"{"Cloned":{"snapshot":"a@s","branch":"c"}}"#,
     );
     pinned(
-        &Change::RolledBack { branch: a(), snapshot: s() },
+        &Change::BranchRolledBack { branch: a(), snapshot: s() },
         r#"{"RolledBack":{"branch":"a","snapshot":"a@s"}}"#,
     );
     pinned(&Change::SnapshotDeleted { snapshot: s() }, r#"{"SnapshotDeleted":{"snapshot":"a@s"}}"#);
     pinned(&Change::BranchDeleted { branch: a() }, r#"{"BranchDeleted":{"branch":"a"}}"#);
     pinned(
-        &Change::Freed { layer: 1024, extents: vec![3, 4] },
+        &Change::ExtentsReclaimed { layer: 1024, extents: vec![3, 4] },
         r#"{"Freed":{"layer":1024,"extents":[3,4]}}"#,
     );
 }
@@ -103,21 +115,21 @@
     let layer = Layer {
         parent: Some(1024),
         frozen: true,
-        places: [(3, Place { node: 2, number: 11 })].into(),
-        opened: [3].into(),
-        next_number: 64,
-        closed: [1, 2].into(),
+        locations: [(3, Location { node: 2, slot: 11 })].into(),
+        writable: [3].into(),
+        next_slot: 64,
+        closed_nodes: [1, 2].into(),
     };
     pinned(
         &layer,
         r#"{"parent":1024,"frozen":true,"places":{"3":{"node":2,"number":11}},"opened":[3],"next_number":64,"closed":[1,2]}"#,
     );
     pinned(
-        &Branch { head: 1026, unit: 1025, extents: 8, origin: Some("a@s".into()) },
+        &Branch { head: 1026, lun: 1025, extent_count: 8, origin: Some("a@s".into()) },
         r#"{"head":1026,"unit":1025,"extents":8,"origin":"a@s"}"#,
     );
     pinned(
-        &Snapshot { branch: "a".into(), unit: 1025, layer: 1024, extents: 8 },
+        &Snapshot { branch: "a".into(), lun: 1025, layer: 1024, extent_count: 8 },
         r#"{"branch":"a","unit":1025,"layer":1024,"extents":8}"#,
     );
 }
@@ -125,18 +137,18 @@
 /// A tree with a snapshot, a clone and a first write after the cut.
 fn tree() -> Tree {
     let mut tree = Tree::default();
-    let place = |node, number| Place { node, number };
+    let place = |node, slot| Location { node, slot };
     for change in [
-        Change::Made { branch: "a".into(), extents: 8 },
-        Change::Numbers { layer: 1024, first: 0, count: 64 },
-        Change::Placed { layer: 1024, extent: 3, place: place(2, 11) },
-        Change::Opened { layer: 1024, extent: 3 },
-        Change::Cut { branch: "a".into() },
-        Change::Closed { layer: 1024, node: 2 },
-        Change::Named { branch: "a".into(), name: "s".into(), layer: 1024 },
-        Change::Cloned { snapshot: "a@s".into(), branch: "c".into() },
-        Change::Numbers { layer: 1025, first: 0, count: 64 },
-        Change::Placed { layer: 1025, extent: 3, place: place(0, 1) },
+        Change::BranchCreated { branch: "a".into(), extent_count: 8 },
+        Change::SlotsAllocated { layer: 1024, first: 0, count: 64 },
+        Change::ExtentPlaced { layer: 1024, extent: 3, location: place(2, 11) },
+        Change::ExtentWritable { layer: 1024, extent: 3 },
+        Change::HeadFrozen { branch: "a".into() },
+        Change::LayerClosed { layer: 1024, node: 2 },
+        Change::SnapshotCreated { branch: "a".into(), name: "s".into(), layer: 1024 },
+        Change::CloneCreated { snapshot: "a@s".into(), branch: "c".into() },
+        Change::SlotsAllocated { layer: 1025, first: 0, count: 64 },
+        Change::ExtentPlaced { layer: 1025, extent: 3, location: place(0, 1) },
     ] {
         tree.apply(&change).expect("fits");
     }
@@ -150,7 +162,8 @@
         r#"{"version":10,"layers":{"1024":{"parent":null,"frozen":true,"places":{"3":{"node":2,"number":11}},"opened":[3],"next_number":64,"closed":[2]},"1025":{"parent":1024,"frozen":false,"places":{"3":{"node":0,"number":1}},"opened":[],"next_number":64,"closed":[]},"1026":{"parent":1024,"frozen":false,"places":{},"opened":[],"next_number":0,"closed":[]}},"branches":{"a":{"head":1025,"unit":1024,"extents":8,"origin":null},"c":{"head":1026,"unit":1026,"extents":8,"origin":"a@s"}},"snapshots":{"a@s":{"branch":"a","unit":1025,"layer":1024,"extents":8}},"made":3,"units":3}"#,
     );
     let tree = tree();
-    let sent: Vec<String> = whole(7, &tree).map(|m| serde_json::to_string(&m).expect("plain data")).collect();
+    let sent: Vec<String> =
+        full_tree_messages(7, &tree).map(|m| serde_json::to_string(&m).expect("plain data")).collect();
     assert_eq!(
         sent,
         [
@@ -165,15 +178,15 @@
 #[test]
 fn a_large_layer_is_sent_in_messages_of_a_thousand_places() {
     let mut tree = Tree::default();
-    tree.apply(&Change::Made { branch: "a".into(), extents: 4_096 }).expect("fits");
-    tree.apply(&Change::Numbers { layer: 1024, first: 0, count: 4_096 }).expect("fits");
+    tree.apply(&Change::BranchCreated { branch: "a".into(), extent_count: 4_096 }).expect("fits");
+    tree.apply(&Change::SlotsAllocated { layer: 1024, first: 0, count: 4_096 }).expect("fits");
     for extent in 0..2_001 {
-        let place = Place { node: 0, number: extent };
-        tree.apply(&Change::Placed { layer: 1024, extent, place }).expect("fits");
+        let location = Location { node: 0, slot: extent };
+        tree.apply(&Change::ExtentPlaced { layer: 1024, extent, location }).expect("fits");
     }
-    let sizes: Vec<usize> = whole(7, &tree)
+    let sizes: Vec<usize> = full_tree_messages(7, &tree)
         .filter_map(|m| match m {
-            ToHost::Part { lies, .. } => Some(lies.len()),
+            ToHost::Locations { locations, .. } => Some(locations.len()),
             _ => None,
         })
         .collect();
@@ -185,15 +198,18 @@
 fn refusals() {
     let mut tree = tree();
     let refused = |tree: &Tree, change: Change| tree.check(&change).expect_err("refused").to_string();
-    let made = |branch: &str| Change::Made { branch: branch.into(), extents: 8 };
-    assert_eq!(refused(&tree, Change::Cut { branch: "x".into() }), "`x`: no such volume or clone");
+    let made = |branch: &str| Change::BranchCreated { branch: branch.into(), extent_count: 8 };
+    assert_eq!(refused(&tree, Change::HeadFrozen { branch: "x".into() }), "`x`: no such volume or clone");
     assert_eq!(refused(&tree, Change::SnapshotDeleted { snapshot: "x".into() }), "`x`: no such snapshot");
     assert_eq!(refused(&tree, made("a")), "`a`: the name is in use");
     assert_eq!(refused(&tree, made("a/b")), "`a/b`: expected 1 to 64 letters, digits and -_.");
-    assert_eq!(refused(&tree, Change::Closed { layer: 9, node: 0 }), "layer 9: no such layer");
-    assert_eq!(refused(&tree, Change::Opened { layer: 1024, extent: 3 }), "layer 1024: takes no new places");
-    let place = Place { node: 1, number: 2 };
-    let placed = |extent| Change::Placed { layer: 1025, extent, place };
+    assert_eq!(refused(&tree, Change::LayerClosed { layer: 9, node: 0 }), "layer 9: no such layer");
+    assert_eq!(
+        refused(&tree, Change::ExtentWritable { layer: 1024, extent: 3 }),
+        "layer 1024: takes no new places"
+    );
+    let location = Location { node: 1, slot: 2 };
+    let placed = |extent| Change::ExtentPlaced { layer: 1025, extent, location };
     assert_eq!(refused(&tree, placed(3)), "the extent lies at node 0, place 1");
     assert_eq!(refused(&tree, placed(8)), "past the end");
     assert_eq!(refused(&tree, Change::BranchDeleted { branch: "a".into() }), "`a@s`: still in use");
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -4,14 +4,16 @@
 //!
 //! Trees and changes enter the hash as the JSON that is stored and sent; decisions by codes of this file, so that
 //! names in the code are free.
-use mallowseam_cow::cache::{Cache, Look, NUMBERS, layer_of, settle};
-use mallowseam_cow::copies::{self, Copies};
-use mallowseam_cow::cut::{Cut, Failed, Turn, WITHIN, leave};
-use mallowseam_cow::free::{Free, LOT};
-use mallowseam_cow::leases::{LEASE, Leases, MARGIN};
-use mallowseam_cow::pieces::{Go, Pieces};
-use mallowseam_cow::tree::{Change, LayerId, Place, Refused, Tree};
-use mallowseam_cow::words::{ToHost, whole};
+use mallowseam_cow::consistent_cut::{
+    CUT_TIMEOUT, ConsistentCut, CutFailure, CutProgress, decide_completion,
+};
+use mallowseam_cow::copy_budget::{self, CopyBudget};
+use mallowseam_cow::leases::{HostLeases, LEASE_DURATION, LEASE_MARGIN};
+use mallowseam_cow::messages::{ToHost, full_tree_messages};
+use mallowseam_cow::reclaim::{BATCH_SIZE, Reclaimer};
+use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
+use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
+use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica, check_placement};
 use std::collections::{BTreeSet, VecDeque};
 
 const STEPS: usize = 2_000;
@@ -66,45 +68,45 @@
         text.bytes().for_each(|b| self.byte(b));
     }
 
-    fn location(&mut self, layer: LayerId, place: Place) {
-        self.numbers([layer.into(), place.node.into(), place.number.into()]);
+    fn location(&mut self, layer: LayerId, location: Location) {
+        self.numbers([layer.into(), location.node.into(), location.slot.into()]);
     }
 
-    fn refusal(&mut self, refused: &Refused) {
+    fn refusal(&mut self, refused: &ChangeError) {
         self.number(99);
         self.text(&refused.to_string());
     }
 
-    fn look(&mut self, look: Look) {
+    fn look(&mut self, look: Lookup) {
         match look {
-            Look::At(layer, place) => {
+            Lookup::Found(layer, location) => {
                 self.number(1);
-                self.location(layer, place);
+                self.location(layer, location);
             }
-            Look::Zeros => self.number(2),
-            Look::Copy { into, from } => {
+            Lookup::Zeros => self.number(2),
+            Lookup::CopyFirst { into, from } => {
                 self.numbers([3, into.into()]);
-                if let Some((layer, place)) = from {
-                    self.location(layer, place);
+                if let Some((layer, location)) = from {
+                    self.location(layer, location);
                 }
             }
-            Look::Later => self.number(4),
-            Look::Unsure => self.number(5),
-            Look::NoSuchBranch => self.number(6),
+            Lookup::Blocked => self.number(4),
+            Lookup::NoLease => self.number(5),
+            Lookup::UnknownName => self.number(6),
         }
     }
 
-    fn failure(&mut self, failed: &Failed) {
+    fn failure(&mut self, failed: &CutFailure) {
         match failed {
-            Failed::Refused(text) => {
+            CutFailure::Rejected(error) => {
                 self.number(1);
-                self.text(text);
+                self.text(&error.to_string());
             }
-            Failed::Unclosed(nodes) => {
+            CutFailure::NodesNotClosed(nodes) => {
                 self.number(2);
                 self.numbers(nodes.iter().map(|n| u64::from(*n)));
             }
-            Failed::Unclear(hosts) => {
+            CutFailure::HostsNotQuiesced(hosts) => {
                 self.number(3);
                 hosts.iter().for_each(|h| self.text(h));
             }
@@ -114,9 +116,9 @@
 
 struct Host {
     name: String,
-    cache: Cache,
-    copies: Copies,
-    pieces: Pieces,
+    cache: TreeReplica,
+    copies: CopyBudget,
+    pieces: SplitWrite,
     /// Changes on their way.
     inbox: VecDeque<(u64, Change)>,
     /// Extents being copied: into which layer, whether tried before.
@@ -128,9 +130,9 @@
     record: Record,
     now: u64,
     tree: Tree,
-    leases: Leases,
-    free: Free,
-    cuts: Vec<Cut>,
+    leases: HostLeases,
+    free: Reclaimer,
+    cuts: Vec<ConsistentCut>,
     hosts: Vec<Host>,
     opening: Vec<(u64, LayerId, u32)>,
     under_way: Vec<(LayerId, u32)>,
@@ -141,9 +143,9 @@
     fn new(seed: u64) -> Run {
         let host = |n: usize| Host {
             name: format!("h{n}"),
-            cache: Cache::default(),
-            copies: Copies::default(),
-            pieces: Pieces::default(),
+            cache: TreeReplica::default(),
+            copies: CopyBudget::default(),
+            pieces: SplitWrite::default(),
             inbox: VecDeque::new(),
             copying: Vec::new(),
         };
@@ -152,15 +154,15 @@
             record: Record(0xcbf2_9ce4_8422_2325),
             now: 10,
             tree: Tree::default(),
-            leases: Leases::new(10, seed.is_multiple_of(2)),
-            free: Free::default(),
+            leases: HostLeases::new(10, seed.is_multiple_of(2)),
+            free: Reclaimer::default(),
             cuts: Vec::new(),
             hosts: (0..HOSTS).map(host).collect(),
             opening: Vec::new(),
             under_way: Vec::new(),
             made: 0,
         };
-        run.apply(Change::Made { branch: "a".into(), extents: EXTENTS });
+        run.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
         (0..HOSTS).for_each(|h| run.connect(h));
         run
     }
@@ -178,14 +180,14 @@
         let record = &mut self.record;
         record.number(self.tree.version);
         record.numbers(touched.layers.iter().map(|l| u64::from(*l)));
-        record.numbers(touched.places.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
+        record.numbers(touched.locations.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
         touched.branches.iter().chain(&touched.snapshots).for_each(|n| record.text(n));
-        record.numbers(touched.loosened.map(u64::from));
+        record.numbers(touched.dereferenced.map(u64::from));
         record.numbers(touched.placed.into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]));
         record.numbers(
-            self.tree.newly_unread(&touched).into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
+            self.tree.newly_unreachable(&touched).into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
         );
-        self.free.noticed(&self.tree, &touched);
+        self.free.record_change(&self.tree, &touched);
         let version = self.tree.version;
         self.hosts.iter_mut().for_each(|h| h.inbox.push_back((version, change.clone())));
         true
@@ -194,15 +196,16 @@
     /// A host reads the whole tree anew.
     fn connect(&mut self, host: usize) {
         let host = &mut self.hosts[host];
-        self.record.numbers(host.cache.have().into_iter().flat_map(|(of, version)| [of, version]));
-        for message in whole(7, &self.tree) {
+        self.record
+            .numbers(host.cache.known().into_iter().flat_map(|known| [known.catalog_id, known.version]));
+        for message in full_tree_messages(7, &self.tree) {
             let sound = match message {
-                ToHost::Whole { catalog, tree } => {
-                    host.cache.coming(catalog, *tree);
+                ToHost::FullTree { catalog_id, tree } => {
+                    host.cache.begin_full_tree(catalog_id, *tree);
                     true
                 }
-                ToHost::Part { layer, lies } => host.cache.part(layer, &lies),
-                _ => host.cache.filled(),
+                ToHost::Locations { layer, locations } => host.cache.add_locations(layer, &locations),
+                _ => host.cache.finish_full_tree(),
             };
             self.record.number(sound.into());
         }
@@ -238,26 +241,26 @@
         let (h, extent) = (self.rng.below(HOSTS as u64) as usize, self.rng.below(EXTENTS.into()) as u32);
         let write = self.rng.below(3) > 0;
         let host = &mut self.hosts[h];
-        let look = host.cache.look(&name, extent, write, self.now);
+        let look = host.cache.look_up(&name, extent, write, self.now);
         self.record.look(look);
-        self.record.number(host.cache.may_act(self.now).into());
-        let Look::Copy { into, .. } = look else { return };
+        self.record.number(host.cache.has_lease(self.now).into());
+        let Lookup::CopyFirst { into, .. } = look else { return };
         let again = host.copying.iter().any(|c| (c.0, c.1, c.2) == (into, extent, true));
-        let begins = host.copies.may_begin(host.copying.len(), again, self.now);
-        self.record.numbers([begins.into(), host.copies.held]);
+        let begins = host.copies.may_start(host.copying.len(), again, self.now);
+        self.record.numbers([begins.into(), host.copies.rejected_retries]);
         if begins && !again {
             host.copying.push((into, extent, false));
         }
-        if host.cache.short(into) {
+        if host.cache.needs_slots(into) {
             self.record.number(8);
-            let first = self.tree.layers.get(&into).map_or(0, |l| l.next_number);
-            if self.apply(Change::Numbers { layer: into, first, count: NUMBERS }) {
-                self.hosts[h].cache.given(into, first, NUMBERS);
+            let first = self.tree.layers.get(&into).map_or(0, |l| l.next_slot);
+            if self.apply(Change::SlotsAllocated { layer: into, first, count: SLOT_BATCH }) {
+                self.hosts[h].cache.add_slots(into, first, SLOT_BATCH);
             }
         }
     }
 
-    /// A copy ends: well, with a place of its own, or not.
+    /// A copy ends: well, with a location of its own, or not.
     fn copy_ends(&mut self) {
         let h = self.rng.below(HOSTS as u64) as usize;
         let well = self.rng.below(4) > 0;
@@ -271,13 +274,13 @@
             return;
         }
         let (layer, extent, _) = host.copying.remove(at);
-        host.copies.ended_well();
-        let number = host.cache.number(layer);
-        self.record.numbers(number.map(u64::from));
-        let Some(number) = number else { return };
-        let place = Place { node: self.rng.below(NODES) as u32, number };
-        let change = Change::Placed { layer, extent, place };
-        match settle(&self.tree, &change) {
+        host.copies.record_success();
+        let slot = host.cache.take_slot(layer);
+        self.record.numbers(slot.map(u64::from));
+        let Some(slot) = slot else { return };
+        let location = Location { node: self.rng.below(NODES) as u32, slot };
+        let change = Change::ExtentPlaced { layer, extent, location };
+        match check_placement(&self.tree, &change) {
             Ok(None) => {
                 if self.apply(change) {
                     self.opening.push((self.tree.version, layer, extent));
@@ -290,8 +293,8 @@
 
     fn opened(&mut self) {
         for (version, layer, extent) in std::mem::take(&mut self.opening) {
-            if self.leases.counts(version, self.now) {
-                self.apply(Change::Opened { layer, extent });
+            if self.leases.is_effective(version, self.now) {
+                self.apply(Change::ExtentWritable { layer, extent });
             } else {
                 self.opening.push((version, layer, extent));
             }
@@ -305,35 +308,35 @@
         for _ in 0..count {
             let h = &mut self.hosts[host];
             let Some((version, change)) = h.inbox.pop_front() else { return };
-            let follows = h.cache.changed(version, &change);
+            let follows = h.cache.apply_change(version, &change);
             self.record.number(follows.into());
             if !follows {
-                h.cache.doubt();
+                h.cache.invalidate();
                 return self.connect(host);
             }
-            self.leases.seen(&h.name, h.cache.version().unwrap_or(0));
+            self.leases.acknowledge(&h.name, h.cache.version().unwrap_or(0));
         }
     }
 
-    fn renews(&mut self) {
+    fn renewal_due(&mut self) {
         for host in &mut self.hosts {
-            let due = host.cache.renews(self.now);
+            let due = host.cache.renewal_due(self.now);
             self.record.number(due.into());
             if due && self.rng.below(8) > 0 {
                 let seen = host.cache.version().unwrap_or(0);
                 let span = self.leases.renew(&host.name, seen, self.now);
                 self.record.number(span);
-                host.cache.granted(self.now, span);
+                host.cache.lease_granted(self.now, span);
             }
         }
     }
 
     fn closes(&mut self) {
-        let due: Vec<(LayerId, u32)> = self.tree.to_close().collect();
+        let due: Vec<(LayerId, u32)> = self.tree.pending_closes().collect();
         self.record.numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
         for (layer, node) in due {
             if self.rng.below(3) > 0 {
-                self.apply(Change::Closed { layer, node });
+                self.apply(Change::LayerClosed { layer, node });
             }
         }
     }
@@ -341,8 +344,8 @@
     fn cut(&mut self) {
         let branch = self.branch();
         let name = if self.rng.below(12) == 0 { "twice".into() } else { self.name() };
-        let hosts = self.leases.holding(self.now);
-        match Cut::begin(&self.tree, &branch, &name, hosts, self.now) {
+        let hosts = self.leases.active_hosts(self.now);
+        match ConsistentCut::begin(&self.tree, &branch, &name, hosts, self.now) {
             Ok((change, cut)) => {
                 self.record.number(cut.layer.into());
                 if self.apply(change) {
@@ -357,28 +360,28 @@
         for mut cut in std::mem::take(&mut self.cuts) {
             for host in 0..HOSTS {
                 if self.rng.below(3) == 0 {
-                    cut.clear(cut.layer, &format!("h{host}"));
+                    cut.host_quiesced(cut.layer, &format!("h{host}"));
                 }
             }
-            let holding = self.leases.holding(self.now);
-            self.record.number(cut.unclear(&holding).len() as u64);
-            match cut.turn(&self.tree, self.now) {
-                Turn::Wait => {
+            let holding = self.leases.active_hosts(self.now);
+            self.record.number(cut.unquiesced_hosts(&holding).len() as u64);
+            match cut.progress(&self.tree, self.now) {
+                CutProgress::Wait => {
                     self.record.number(1);
                     self.cuts.push(cut);
                 }
-                Turn::Anew => {
+                CutProgress::Restart => {
                     self.record.number(2);
-                    if let Some(change) = cut.anew(&self.tree, holding) {
+                    if let Some(change) = cut.restart(&self.tree, holding) {
                         self.apply(change);
                     }
                     self.cuts.push(cut);
                 }
-                Turn::Grant(change) => {
+                CutProgress::Grant(change) => {
                     self.record.number(3);
                     self.apply(change);
                 }
-                Turn::Fail(failed) => self.record.failure(&failed),
+                CutProgress::Fail(failed) => self.record.failure(&failed),
             }
         }
     }
@@ -391,44 +394,47 @@
         let now = self.now;
         let host = &mut self.hosts[h];
         match self.rng.below(4) {
-            0 => host.pieces.landed(head),
-            1 => host.pieces = Pieces::default(),
+            0 => host.pieces.part_completed(head),
+            1 => host.pieces = SplitWrite::default(),
             _ => {
                 let elsewhere = self.rng.below(5) == 0;
-                match host.pieces.go(head, elsewhere, now) {
-                    Go::Now => self.record.number(1),
-                    Go::Wait => self.record.number(2),
-                    Go::Never => self.record.number(3),
-                    Go::Ask(layer) => {
+                match host.pieces.admit(head, elsewhere, now) {
+                    PartAdmission::Send => self.record.number(1),
+                    PartAdmission::Wait => self.record.number(2),
+                    PartAdmission::Reject => self.record.number(3),
+                    PartAdmission::RequestPermission(layer) => {
                         self.record.numbers([4, layer.into()]);
-                        let found = leave(&self.tree, layer);
-                        let given = found.as_ref().is_some_and(|f| f.0);
-                        let between = found.map(|f| f.1).unwrap_or_default();
+                        let found = decide_completion(&self.tree, layer);
+                        let given = found.as_ref().is_some_and(|found| found.is_granted);
+                        let between = found.map(|found| found.frozen_layers).unwrap_or_default();
                         self.record.number(given.into());
                         self.record.numbers(between.iter().map(|l| u64::from(*l)));
                         if given {
-                            self.cuts.iter_mut().filter(|c| between.contains(&c.layer)).for_each(Cut::behind);
+                            self.cuts
+                                .iter_mut()
+                                .filter(|c| between.contains(&c.layer))
+                                .for_each(ConsistentCut::mark_stale);
                         }
                         if self.rng.below(3) > 0 {
-                            self.hosts[h].pieces.heard(layer, given);
+                            self.hosts[h].pieces.permission_decided(layer, given);
                         }
                     }
                 }
             }
         }
-        self.record.number(self.hosts[h].pieces.begun_by(other).into());
+        self.record.number(self.hosts[h].pieces.started_in_or_before(other).into());
     }
 
     fn give_back(&mut self) {
         let kept: BTreeSet<LayerId> = self.cuts.iter().map(|c| c.layer).collect();
         let limit = 50 * self.rng.below(4);
-        let lot = self.free.lot(&self.tree, &kept, &self.leases, limit, self.now);
+        let lot = self.free.next_batch(&self.tree, &kept, &self.leases, limit, self.now);
         self.record.numbers(lot.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
         self.under_way.extend(lot);
-        let idle = self.free.idle(&self.tree, &kept);
+        let idle = self.free.removable_layers(&self.tree, &kept);
         self.record.numbers(idle.iter().map(|l| u64::from(*l)));
         for layer in idle {
-            self.apply(Change::Freed { layer, extents: Vec::new() });
+            self.apply(Change::ExtentsReclaimed { layer, extents: Vec::new() });
         }
     }
 
@@ -438,26 +444,28 @@
                 0 => self.under_way.push(at),
                 1 => self.free.failed(at, self.now),
                 _ => {
-                    self.free.done(at);
-                    self.apply(Change::Freed { layer: at.0, extents: vec![at.1] });
+                    self.free.completed(at);
+                    self.apply(Change::ExtentsReclaimed { layer: at.0, extents: vec![at.1] });
                 }
             }
         }
-        self.record.number(self.free.waiting() as u64);
+        self.record.number(self.free.pending_count() as u64);
     }
 
     fn names(&mut self) {
         let (branch, snapshot, name) = (self.branch(), self.snapshot(), self.name());
         let change = match (self.rng.below(10), snapshot) {
-            (0, _) if self.tree.branches.len() < 5 => Change::Made { branch: name, extents: EXTENTS },
+            (0, _) if self.tree.branches.len() < 5 => {
+                Change::BranchCreated { branch: name, extent_count: EXTENTS }
+            }
             (1..=3, Some(snapshot)) if self.tree.branches.len() < 5 => {
-                Change::Cloned { snapshot, branch: name }
+                Change::CloneCreated { snapshot, branch: name }
             }
-            (4, Some(snapshot)) => Change::RolledBack { branch, snapshot },
+            (4, Some(snapshot)) => Change::BranchRolledBack { branch, snapshot },
             (5 | 6, Some(snapshot)) => Change::SnapshotDeleted { snapshot },
             (7, _) if self.tree.branches.len() > 1 => Change::BranchDeleted { branch },
-            (8, _) => Change::Made { branch: "no name".into(), extents: EXTENTS },
-            (9, _) => Change::Cut { branch: name },
+            (8, _) => Change::BranchCreated { branch: "no name".into(), extent_count: EXTENTS },
+            (9, _) => Change::HeadFrozen { branch: name },
             (_, Some(snapshot)) if self.tree.snapshots.len() > 6 => Change::SnapshotDeleted { snapshot },
             _ => return,
         };
@@ -467,16 +475,16 @@
     /// A change that need not fit what stands.
     fn stray(&mut self) {
         let (layer, extent) = (self.layer(), self.rng.below(u64::from(EXTENTS) + 4) as u32);
-        let place = Place { node: self.rng.below(NODES) as u32, number: self.rng.below(300) as u32 };
+        let location = Location { node: self.rng.below(NODES) as u32, slot: self.rng.below(300) as u32 };
         let (branch, name) = (self.branch(), "x".to_owned());
         let change = match self.rng.below(7) {
-            0 => Change::Placed { layer, extent, place },
-            1 => Change::Opened { layer, extent },
-            2 => Change::Closed { layer, node: place.node },
-            3 => Change::Freed { layer, extents: vec![extent] },
-            4 => Change::Numbers { layer, first: place.number, count: 3 },
-            5 => Change::Named { branch, name, layer },
-            _ => Change::Freed { layer: layer + 9, extents: Vec::new() },
+            0 => Change::ExtentPlaced { layer, extent, location },
+            1 => Change::ExtentWritable { layer, extent },
+            2 => Change::LayerClosed { layer, node: location.node },
+            3 => Change::ExtentsReclaimed { layer, extents: vec![extent] },
+            4 => Change::SlotsAllocated { layer, first: location.slot, count: 3 },
+            5 => Change::SnapshotCreated { branch, name, layer },
+            _ => Change::ExtentsReclaimed { layer: layer + 9, extents: Vec::new() },
         };
         match self.tree.check(&change) {
             Ok(()) => self.record.number(1),
@@ -488,30 +496,30 @@
         let (a, b) = (self.layer(), self.layer());
         let record = &mut self.record;
         record.numbers(self.tree.diff(a, b, EXTENTS).into_iter().map(u64::from));
-        for (layer, nodes) in self.tree.open_at(a) {
+        for (layer, nodes) in self.tree.unclosed_nodes(a) {
             record.number(layer.into());
             record.numbers(nodes.into_iter().map(u64::from));
         }
-        for (layer, extents) in self.tree.waste() {
+        for (layer, extents) in self.tree.unreachable_extents() {
             record.number(layer.into());
             record.numbers(extents.into_iter().map(u64::from));
         }
         record.numbers([
-            self.tree.layers_made().into(),
-            self.tree.made().0.into(),
-            self.tree.made().1.into(),
+            self.tree.next_layer_id().into(),
+            self.tree.layers_created().into(),
+            self.tree.luns_assigned().into(),
         ]);
-        record.numbers([self.tree.is_root(a).into(), self.tree.is_idle(b).into()]);
-        record.numbers(self.tree.chain(b).map(|(id, _)| u64::from(id)));
-        for (host, until) in self.leases.late(self.tree.version, self.now) {
+        record.numbers([self.tree.is_referenced(a).into(), self.tree.is_removable(b).into()]);
+        record.numbers(self.tree.ancestors(b).map(|(id, _)| u64::from(id)));
+        for (host, until) in self.leases.blocking_hosts(self.tree.version, self.now) {
             record.text(host);
             record.number(until);
         }
-        record.number(self.leases.knows_all(self.now).into());
+        record.number(self.leases.all_hosts_known(self.now).into());
         let name = self.branch();
-        self.record.numbers(layer_of(&self.tree, &name).map(u64::from));
+        self.record.numbers(self.tree.layer_read_by(&name).map(u64::from));
         self.record.text(&serde_json::to_string(&self.tree).expect("plain data"));
-        assert_eq!(self.tree.faults(), Vec::<String>::new());
+        assert_eq!(self.tree.inconsistencies(), Vec::new());
     }
 
     fn step(&mut self) {
@@ -524,7 +532,7 @@
             0..40 => self.block_io(),
             40..60 => self.copy_ends(),
             60..70 => self.hears(),
-            70..75 => self.renews(),
+            70..75 => self.renewal_due(),
             75..78 => self.closes(),
             78..80 => self.cut(),
             80..83 => self.cuts_go_on(),
@@ -534,16 +542,16 @@
             91..94 => self.names(),
             94..96 => self.stray(),
             96 => self.queries(),
-            97 => self.leases.tidy(self.now),
+            97 => self.leases.remove_expired(self.now),
             98 => {
                 let host = self.rng.below(HOSTS as u64) as usize;
-                self.hosts[host].cache.lost();
+                self.hosts[host].cache.connection_lost();
                 self.connect(host);
             }
             // The catalog starts anew.
             _ if self.rng.below(20) == 0 => {
-                self.leases = Leases::new(self.now, false);
-                self.free = Free::of(&self.tree);
+                self.leases = HostLeases::new(self.now, false);
+                self.free = Reclaimer::from_tree(&self.tree);
                 self.under_way.clear();
                 self.cuts.clear();
             }
@@ -593,57 +601,72 @@
 
 #[test]
 fn constants_are_as_recorded() {
-    assert_eq!((LEASE, MARGIN, WITHIN), (3_000, 50, 5_000));
-    assert_eq!((copies::AT_ONCE, copies::AGAIN, copies::REMEMBER), (8, 20, 5_000));
-    assert_eq!((LOT, NUMBERS, mallowseam_cow::cache::TELL_AGAIN, Cache::CONNECT_AGAIN), (64, 64, 500, 200));
-    assert_eq!((mallowseam_cow::tree::FIRST_LAYER, mallowseam_cow::tree::LAYER_MOST), (1_024, 0xff_ffff));
+    assert_eq!((LEASE_DURATION, LEASE_MARGIN, CUT_TIMEOUT), (3_000, 50, 5_000));
+    assert_eq!(
+        (copy_budget::MAX_CONCURRENT_COPIES, copy_budget::RETRY_DELAY, copy_budget::FAILURE_MEMORY),
+        (8, 20, 5_000)
+    );
+    assert_eq!(
+        (BATCH_SIZE, SLOT_BATCH, mallowseam_cow::tree_replica::RESEND_AFTER, TreeReplica::RECONNECT_INTERVAL),
+        (64, 64, 500, 200)
+    );
+    assert_eq!(
+        (mallowseam_cow::tree::FIRST_LAYER_ID, mallowseam_cow::tree::LAST_LAYER_ID),
+        (1_024, 0xff_ffff)
+    );
 }
 
 /// More numbers are asked for once fewer than 16 are left.
 #[test]
 fn the_low_water_mark_of_numbers_is_as_recorded() {
-    let mut cache = Cache::default();
-    cache.given(1_024, 0, 16);
-    assert!(!cache.short(1_024));
-    assert_eq!(cache.number(1_024), Some(0));
-    assert!(cache.short(1_024) && cache.short(1_025));
+    let mut cache = TreeReplica::default();
+    cache.add_slots(1_024, 0, 16);
+    assert!(!cache.needs_slots(1_024));
+    assert_eq!(cache.take_slot(1_024), Some(0));
+    assert!(cache.needs_slots(1_024) && cache.needs_slots(1_025));
 }
 
 /// Eight copies are begun again at once, then one every 250 ms, and one for every ten (and a rounding error) that
 /// ended well.
 #[test]
 fn the_budget_of_copies_begun_again_is_as_recorded() {
-    let mut copies = Copies::default();
-    let begun: Vec<u64> = (1..=1_000).filter(|now| copies.may_begin(0, true, *now)).collect();
+    let mut copies = CopyBudget::default();
+    let begun: Vec<u64> = (1..=1_000).filter(|now| copies.may_start(0, true, *now)).collect();
     assert_eq!(begun, [1, 2, 3, 4, 5, 6, 7, 8, 250, 500, 750, 1_000]);
-    (0..10).for_each(|_| copies.ended_well());
-    assert!(!copies.may_begin(0, true, 1_000), "ten times 0.1 is just below 1");
-    copies.ended_well();
-    assert!(copies.may_begin(0, true, 1_000));
-    assert!(!copies.may_begin(0, true, 1_000));
-    assert_eq!(copies.held, 990);
+    (0..10).for_each(|_| copies.record_success());
+    assert!(!copies.may_start(0, true, 1_000), "ten times 0.1 is just below 1");
+    copies.record_success();
+    assert!(copies.may_start(0, true, 1_000));
+    assert!(!copies.may_start(0, true, 1_000));
+    assert_eq!(copies.rejected_retries, 990);
 }
 
 /// One call looks at 256 places and gives 64 back; those that a pending cut keeps go to the back of the queue.
 #[test]
 fn the_size_of_a_lot_is_as_recorded() {
-    let (mut tree, mut free, leases) = (Tree::default(), Free::default(), Leases::new(0, true));
+    let (mut tree, mut free, leases) = (Tree::default(), Reclaimer::default(), HostLeases::new(0, true));
     let mut apply = |tree: &mut Tree, change: Change| {
         let touched = tree.apply(&change).expect("fits");
-        free.noticed(tree, &touched);
+        free.record_change(tree, &touched);
     };
-    apply(&mut tree, Change::Made { branch: "a".into(), extents: 600 });
-    apply(&mut tree, Change::Numbers { layer: 1_024, first: 0, count: 600 });
+    apply(&mut tree, Change::BranchCreated { branch: "a".into(), extent_count: 600 });
+    apply(&mut tree, Change::SlotsAllocated { layer: 1_024, first: 0, count: 600 });
     for extent in 0..600 {
-        let place = Place { node: 0, number: extent };
-        apply(&mut tree, Change::Placed { layer: 1_024, extent, place });
+        let location = Location { node: 0, slot: extent };
+        apply(&mut tree, Change::ExtentPlaced { layer: 1_024, extent, location });
     }
     apply(&mut tree, Change::BranchDeleted { branch: "a".into() });
-    assert_eq!(free.lot(&tree, &[1_024].into(), &leases, 0, 10), []);
+    assert_eq!(free.next_batch(&tree, &[1_024].into(), &leases, 0, 10), []);
     let extents = |lot: Vec<(LayerId, u32)>| lot.into_iter().map(|at| at.1).collect::<Vec<_>>();
-    assert_eq!(extents(free.lot(&tree, &BTreeSet::new(), &leases, 0, 10)), (256..320).collect::<Vec<_>>());
-    assert_eq!(extents(free.lot(&tree, &BTreeSet::new(), &leases, 0, 10)), Vec::<u32>::new());
-    (256..266).for_each(|extent| free.done((1_024, extent)));
-    assert_eq!(extents(free.lot(&tree, &BTreeSet::new(), &leases, 0, 10)), (320..330).collect::<Vec<_>>());
-    assert_eq!(free.waiting(), 590);
+    assert_eq!(
+        extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
+        (256..320).collect::<Vec<_>>()
+    );
+    assert_eq!(extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)), Vec::<u32>::new());
+    (256..266).for_each(|extent| free.completed((1_024, extent)));
+    assert_eq!(
+        extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
+        (320..330).collect::<Vec<_>>()
+    );
+    assert_eq!(free.pending_count(), 590);
 }
--- /dev/null
+++ b/crates/cow/tests/tree_model.rs
@@ -0,0 +1,385 @@
+//! Trees of snapshots and clones against a model: every branch and snapshot as a full copy of its data.
+use mallowseam_cow::consistent_cut::{CUT_TIMEOUT, ConsistentCut, CutFailure, CutProgress};
+use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
+use mallowseam_cow::tree_replica::{Lookup, TreeReplica};
+use proptest::prelude::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+const EXTENTS: u32 = 4;
+
+/// A tree, the data at each location, and what each name should show.
+#[derive(Default)]
+struct TreeModel {
+    tree: Tree,
+    stored: BTreeMap<(LayerId, Location), u64>,
+    branches: BTreeMap<String, Vec<u64>>,
+    snapshots: BTreeMap<String, Vec<u64>>,
+    writes: u64,
+    /// The replica of a host that receives every change.
+    host: TreeReplica,
+}
+
+impl TreeModel {
+    fn apply(&mut self, change: Change) {
+        let before = self.tree.unreachable_extents();
+        let effects = self.tree.apply(&change).unwrap_or_else(|r| panic!("{change:?}: {r}"));
+        // What a change has made unreachable is found without visiting the whole tree.
+        let fresh = |(layer, extent): &(LayerId, u32)| !before.get(layer).is_some_and(|b| b.contains(extent));
+        let all = self
+            .tree
+            .unreachable_extents()
+            .into_iter()
+            .flat_map(|(l, es)| es.into_iter().map(move |e| (l, e)));
+        let found: BTreeSet<_> = self.tree.newly_unreachable(&effects).into_iter().filter(fresh).collect();
+        assert_eq!(found, all.filter(fresh).collect::<BTreeSet<_>>(), "{change:?}");
+        if self.host.version().is_none() {
+            self.host.replace_tree(Tree::default());
+            self.host.lease_granted(0, 1);
+        }
+        assert!(self.host.apply_change(self.tree.version, &change));
+    }
+
+    fn close_all(&mut self) {
+        for (layer, node) in self.tree.pending_closes().collect::<Vec<_>>() {
+            self.apply(Change::LayerClosed { layer, node });
+        }
+    }
+
+    /// A write as a host makes it: to its location, or after a copy to a new one.
+    fn write(&mut self, branch: &str, extent: u32) {
+        self.writes += 1;
+        let head = self.tree.branches[branch].head;
+        let found = self.tree.locate(head, extent);
+        let location = match found {
+            Some((layer, location)) if layer == head => location,
+            from => {
+                let slot = self.tree.layers[&head].next_slot;
+                self.apply(Change::SlotsAllocated { layer: head, first: slot, count: 1 });
+                let location = Location { node: self.writes as u32 % 3, slot };
+                let copied = from.map_or(0, |f| self.stored[&f]);
+                self.stored.insert((head, location), copied);
+                self.apply(Change::ExtentPlaced { layer: head, extent, location });
+                self.apply(Change::ExtentWritable { layer: head, extent });
+                location
+            }
+        };
+        self.stored.insert((head, location), self.writes);
+        self.branches.get_mut(branch).expect("known")[extent as usize] = self.writes;
+    }
+
+    fn shows(&self, layer: LayerId) -> Vec<u64> {
+        (0..EXTENTS).map(|e| self.tree.locate(layer, e).map_or(0, |f| self.stored[&f])).collect()
+    }
+
+    fn check(&mut self) {
+        for (name, branch) in &self.tree.branches {
+            for extent in 0..EXTENTS {
+                let wanted = match self.tree.locate(branch.head, extent) {
+                    Some((layer, location)) => Lookup::Found(layer, location),
+                    None => Lookup::Zeros,
+                };
+                assert_eq!(self.host.look_up(name, extent, false, 0), wanted, "{name} extent {extent}");
+            }
+        }
+        assert_eq!(self.tree.inconsistencies(), Vec::new());
+        for (name, data) in &self.branches {
+            assert_eq!(self.shows(self.tree.branches[name].head), *data, "{name}");
+        }
+        for (name, data) in &self.snapshots {
+            assert_eq!(self.shows(self.tree.snapshots[name].layer), *data, "{name}");
+        }
+    }
+
+    fn step(&mut self, (what, a, b): (u8, usize, usize)) {
+        let pick = |map: &BTreeMap<String, Vec<u64>>, n: usize| map.keys().nth(n % map.len().max(1)).cloned();
+        let branch = pick(&self.branches, a).unwrap_or_default();
+        let snapshot = pick(&self.snapshots, a);
+        match (what, snapshot) {
+            (0..5, _) => self.write(&branch, b as u32 % EXTENTS),
+            (5 | 6, _) => {
+                let name = format!("s{}", self.tree.version);
+                let (change, cut) =
+                    ConsistentCut::begin(&self.tree, &branch, &name, Default::default(), 0).expect("a cut");
+                self.apply(change);
+                self.close_all();
+                let CutProgress::Grant(change) = cut.progress(&self.tree, 0) else {
+                    panic!("closed everywhere")
+                };
+                self.apply(change);
+                self.snapshots.insert(format!("{branch}@{name}"), self.branches[&branch].clone());
+            }
+            (7, Some(snapshot)) if self.branches.len() < 4 => {
+                let name = format!("c{}", self.tree.version);
+                self.apply(Change::CloneCreated { snapshot: snapshot.clone(), branch: name.clone() });
+                self.branches.insert(name, self.snapshots[&snapshot].clone());
+            }
+            (8, Some(snapshot)) => {
+                let branch = self.tree.snapshots[&snapshot].branch.clone();
+                self.apply(Change::BranchRolledBack { branch: branch.clone(), snapshot: snapshot.clone() });
+                self.close_all();
+                self.branches.insert(branch, self.snapshots[&snapshot].clone());
+            }
+            (9, Some(snapshot)) => {
+                self.apply(Change::SnapshotDeleted { snapshot: snapshot.clone() });
+                self.snapshots.remove(&snapshot);
+            }
+            _ => {
+                for (layer, extents) in self.tree.unreachable_extents() {
+                    for extent in &extents {
+                        let location = self.tree.layers[&layer].locations[extent];
+                        self.stored.remove(&(layer, location));
+                    }
+                    self.apply(Change::ExtentsReclaimed { layer, extents: extents.into_iter().collect() });
+                }
+            }
+        }
+    }
+}
+
+fn model() -> TreeModel {
+    let mut model = TreeModel::default();
+    model.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
+    model.branches.insert("a".into(), vec![0; EXTENTS as usize]);
+    model
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
+
+    /// Whatever is written, frozen, cloned, rolled back, deleted and reclaimed, each name shows exactly its own data.
+    #[test]
+    fn every_name_shows_its_own_data(steps in prop::collection::vec((0u8..11, 0usize..8, 0usize..8), 1..60)) {
+        let mut model = model();
+        for step in steps {
+            model.step(step);
+            model.check();
+        }
+        // Nothing is kept that nobody can read.
+        while !model.tree.unreachable_extents().is_empty() {
+            model.step((10, 0, 0));
+        }
+        model.check();
+        let held: usize = model.tree.layers.values().map(|l| l.locations.len()).sum();
+        prop_assert_eq!(held, model.stored.len());
+        let mut read = std::collections::BTreeSet::new();
+        let roots = model.tree.branches.values().map(|b| b.head);
+        for root in roots.chain(model.tree.snapshots.values().map(|s| s.layer)) {
+            read.extend((0..EXTENTS).filter_map(|e| model.tree.locate(root, e)));
+        }
+        prop_assert_eq!(held, read.len());
+        let names = model.tree.branches.len() + model.tree.snapshots.len();
+        prop_assert!(model.tree.layers.len() <= names + held, "empty layers pile up");
+    }
+
+    /// The same changes give the same tree, also when it is written down and read back in between.
+    #[test]
+    fn replayed_changes_give_the_same_tree(steps in prop::collection::vec((0u8..11, 0usize..8, 0usize..8), 1..30)) {
+        let (mut one, mut two) = (model(), model());
+        for step in steps {
+            one.step(step);
+            two.step(step);
+        }
+        prop_assert_eq!(one.tree, two.tree);
+    }
+}
+
+#[test]
+fn snapshot_is_granted_once_every_node_has_closed() {
+    let mut model = model();
+    for extent in 0..3 {
+        model.write("a", extent);
+    }
+    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 100).expect("a cut");
+    model.apply(change);
+    assert_eq!(model.tree.pending_closes().collect::<Vec<_>>(), [(1024, 0), (1024, 1), (1024, 2)]);
+    for node in 0..3 {
+        assert_eq!(cut.progress(&model.tree, 200), CutProgress::Wait);
+        model.apply(Change::LayerClosed { layer: 1024, node });
+    }
+    assert!(matches!(cut.progress(&model.tree, 200), CutProgress::Grant(_)));
+}
+
+#[test]
+fn cut_fails_with_the_nodes_that_did_not_close() {
+    let mut model = model();
+    model.write("a", 0);
+    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 100).expect("a cut");
+    model.apply(change);
+    assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT - 1), CutProgress::Wait);
+    let failed = CutProgress::Fail(CutFailure::NodesNotClosed([1].into()));
+    assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT), failed);
+    assert!(model.tree.snapshots.is_empty());
+    // Clients go on in the new head, but copy nothing from where late writes may still land.
+    let head = model.tree.branches["a"].head;
+    model.apply(Change::SlotsAllocated { layer: head, first: 0, count: 1 });
+    let placed = Change::ExtentPlaced { layer: head, extent: 0, location: Location { node: 2, slot: 0 } };
+    assert_eq!(model.tree.check(&placed), Err(ChangeError::LayerNotAccepting(1024)));
+    model.apply(Change::LayerClosed { layer: 1024, node: 1 });
+    assert_eq!(model.tree.check(&placed), Ok(()));
+}
+
+#[test]
+fn concurrent_cuts_wait_for_the_same_nodes() {
+    let mut model = model();
+    model.write("a", 0);
+    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).expect("a cut");
+    model.apply(change);
+    let (change, second) = ConsistentCut::begin(&model.tree, "a", "t", Default::default(), 0).expect("a cut");
+    model.apply(change);
+    assert_eq!(
+        (first.progress(&model.tree, 0), second.progress(&model.tree, 0)),
+        (CutProgress::Wait, CutProgress::Wait)
+    );
+    model.close_all();
+    for cut in [first, second] {
+        let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else { panic!("closed") };
+        model.apply(change);
+    }
+    model.check();
+}
+
+#[test]
+fn second_snapshot_of_a_name_is_rejected() {
+    let mut model = model();
+    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).expect("a cut");
+    model.apply(change);
+    let (change, second) =
+        ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).expect("not granted yet");
+    model.apply(change);
+    let CutProgress::Grant(change) = first.progress(&model.tree, 0) else { panic!("nothing to close") };
+    model.apply(change);
+    assert!(matches!(second.progress(&model.tree, 0), CutProgress::Fail(CutFailure::Rejected(_))));
+    assert!(ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).is_err());
+}
+
+#[test]
+fn first_location_of_an_extent_wins() {
+    let mut model = model();
+    let layer = model.tree.branches["a"].head;
+    model.apply(Change::SlotsAllocated { layer, first: 0, count: 9 });
+    let first = Location { node: 1, slot: 2 };
+    model.apply(Change::ExtentPlaced { layer, extent: 0, location: first });
+    let second = Change::ExtentPlaced { layer, extent: 0, location: Location { node: 2, slot: 7 } };
+    assert_eq!(model.tree.check(&second), Err(ChangeError::AlreadyPlaced(first)));
+}
+
+#[test]
+fn slots_are_allocated_once_and_required() {
+    let mut model = model();
+    let layer = model.tree.branches["a"].head;
+    model.apply(Change::SlotsAllocated { layer, first: 0, count: 9 });
+    assert!(model.tree.check(&Change::SlotsAllocated { layer, first: 8, count: 1 }).is_err());
+    let location = Location { node: 0, slot: 9 };
+    assert_eq!(
+        model.tree.check(&Change::ExtentPlaced { layer, extent: 0, location }),
+        Err(ChangeError::OutOfRange)
+    );
+}
+
+#[test]
+fn branch_with_snapshots_is_kept_and_clone_outlives_its_snapshot() {
+    let mut model = model();
+    model.write("a", 1);
+    model.step((5, 0, 0));
+    let snapshot = model.snapshots.keys().next().expect("one").clone();
+    assert!(matches!(
+        model.tree.check(&Change::BranchDeleted { branch: "a".into() }),
+        Err(ChangeError::StillInUse(_))
+    ));
+    model.step((7, 0, 0));
+    model.apply(Change::SnapshotDeleted { snapshot: snapshot.clone() });
+    model.snapshots.remove(&snapshot);
+    model.apply(Change::BranchDeleted { branch: "a".into() });
+    model.branches.remove("a");
+    for _ in 0..3 {
+        model.step((10, 0, 0));
+    }
+    model.check();
+}
+
+#[test]
+fn grant_waits_for_hosts_to_quiesce_or_lose_their_lease() {
+    let mut model = model();
+    let hosts = || ["g".to_owned(), "h".to_owned()].into();
+    let (change, mut cut) = ConsistentCut::begin(&model.tree, "a", "s", hosts(), 0).expect("a cut");
+    model.apply(change);
+    assert_eq!(cut.progress(&model.tree, 0), CutProgress::Wait);
+    cut.host_quiesced(1024, "g");
+    cut.host_quiesced(1023, "h");
+    assert_eq!(cut.progress(&model.tree, 0), CutProgress::Wait);
+    assert_eq!(
+        cut.progress(&model.tree, CUT_TIMEOUT),
+        CutProgress::Fail(CutFailure::HostsNotQuiesced(["h".to_owned()].into()))
+    );
+    assert!(cut.unquiesced_hosts(&["g".to_owned()].into()).is_empty(), "h may not act any more");
+    assert!(matches!(cut.progress(&model.tree, 0), CutProgress::Grant(_)));
+}
+
+#[test]
+fn split_write_is_completed_behind_a_pending_cut_only() {
+    use mallowseam_cow::consistent_cut::{CompletionDecision, decide_completion};
+    let decision = |is_granted, frozen_layers: &[LayerId]| {
+        let frozen_layers = frozen_layers.iter().copied().collect();
+        Some(CompletionDecision { is_granted, frozen_layers })
+    };
+    let mut model = model();
+    let (change, mut cut) =
+        ConsistentCut::begin(&model.tree, "a", "s", ["g".to_owned()].into(), 0).expect("a cut");
+    model.apply(change);
+    assert_eq!(decide_completion(&model.tree, 1024), decision(true, &[1024]));
+    cut.mark_stale();
+    assert_eq!(cut.progress(&model.tree, 0), CutProgress::Wait, "the write is not through");
+    assert!(matches!(
+        cut.progress(&model.tree, CUT_TIMEOUT),
+        CutProgress::Fail(CutFailure::HostsNotQuiesced(_))
+    ));
+    cut.host_quiesced(1024, "g");
+    assert_eq!(cut.progress(&model.tree, 0), CutProgress::Restart);
+    let anew = cut.restart(&model.tree, ["g".to_owned()].into()).expect("a branch");
+    model.apply(anew);
+    assert_eq!(cut.layer, 1025);
+    assert_eq!(decide_completion(&model.tree, 1024), decision(true, &[1024, 1025]));
+    cut.host_quiesced(1025, "g");
+    let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else { panic!("clear and closed") };
+    model.apply(change);
+    assert_eq!(decide_completion(&model.tree, 1024), decision(false, &[1024, 1025]));
+    assert_eq!(decide_completion(&model.tree, 1026), decision(true, &[]));
+    assert_eq!(decide_completion(&model.tree, 9_999), None);
+}
+
+/// What a lookup costs behind so many snapshots of a volume of 1 TiB in extents of 1 MiB, a thousand of them
+/// written; a measurement: `cargo test --release -p mallowseam-cow -- --ignored --nocapture`.
+#[test]
+#[ignore = "a benchmark"]
+fn benchmark_lookups_behind_many_snapshots() {
+    for snapshots in [1, 10, 1_000] {
+        let mut tree = Tree::default();
+        let apply = |tree: &mut Tree, change: Change| drop(tree.apply(&change).expect("fits"));
+        apply(&mut tree, Change::BranchCreated { branch: "a".into(), extent_count: 1 << 20 });
+        apply(&mut tree, Change::SlotsAllocated { layer: 1024, first: 0, count: 1_000 });
+        for extent in 0..1_000 {
+            let location = Location { node: extent % 6, slot: extent };
+            apply(&mut tree, Change::ExtentPlaced { layer: 1024, extent: extent * 1_000, location });
+        }
+        for _ in 0..snapshots {
+            apply(&mut tree, Change::HeadFrozen { branch: "a".into() });
+        }
+        let mut replica = TreeReplica::default();
+        let head = tree.branches["a"].head;
+        replica.replace_tree(tree.clone());
+        replica.lease_granted(0, 1);
+        let time = |look: &mut dyn FnMut(u32)| {
+            let began = std::time::Instant::now();
+            (0..1_000_000u32).for_each(|i| look(i % 1_000 * 1_000));
+            began.elapsed().as_nanos() / 1_000_000
+        };
+        let host = time(&mut |e| {
+            std::hint::black_box(replica.look_up("a", e, false, 0));
+        });
+        let chain = &mut |e| {
+            std::hint::black_box(tree.locate(head, e));
+        };
+        let walk = if snapshots > 10 { 0 } else { time(chain) };
+        println!("{snapshots} snapshots: a lookup takes {host} ns (by the chain {walk} ns)");
+    }
+}
--- /dev/null
+++ b/crates/durable-store/src/lib.rs
@@ -0,0 +1,153 @@
+//! What the crash-safe stores on `redb` have in common: opening a file, the row that says in which format it is,
+//! transactions, and errors.
+//!
+//! A transaction that was committed is on disk after any crash. After a commit that failed, it is not known what is on
+//! disk: the store is then *poisoned*, and takes no more guarded transactions until it is opened anew.
+#![warn(missing_docs)]
+
+mod error;
+#[cfg(feature = "testing")]
+pub mod testing;
+
+pub use error::{Damage, DatabaseError, StoreError};
+
+use redb::{
+    Builder, Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
+    WriteTransaction,
+};
+use std::path::Path;
+
+/// Formats of the stores in a file, by their name.
+const FORMATS: TableDefinition<&str, u64> = TableDefinition::new("format");
+
+/// The formats of a store that a program can open.
+#[derive(Clone, Copy, Debug)]
+pub struct Format {
+    /// Name of the row that holds the format.
+    pub key: &'static str,
+    /// The format that is written.
+    pub current: u64,
+    /// The oldest format that can be converted to the current one.
+    pub oldest: u64,
+}
+
+/// In which format a file was found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StoredFormat {
+    /// The file holds no such store yet.
+    Missing,
+    /// The current format.
+    Current,
+    /// An older one, which has to be converted.
+    Older(u64),
+}
+
+/// An open store.
+#[derive(Debug)]
+pub struct DurableStore {
+    database: Database,
+    /// A guarded transaction failed halfway: what is on disk may be more than what is known in memory.
+    is_poisoned: bool,
+}
+
+impl DurableStore {
+    /// Opens a file, or creates it. `prepare` creates the tables, or converts those of an older format, in the same
+    /// transaction that writes the format: a store is either empty or complete.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database and of `prepare`; [`StoreError::UnknownFormat`].
+    pub fn open<D: Damage>(
+        path: &Path,
+        format: Format,
+        prepare: impl FnOnce(&WriteTransaction, StoredFormat) -> Result<(), StoreError<D>>,
+    ) -> Result<DurableStore, StoreError<D>> {
+        DurableStore::prepare(Builder::new().create(path)?, format, prepare)
+    }
+
+    /// The same on another storage than a file.
+    ///
+    /// # Errors
+    ///
+    /// As [`DurableStore::open`].
+    pub fn open_with_backend<D: Damage>(
+        backend: impl StorageBackend,
+        format: Format,
+        prepare: impl FnOnce(&WriteTransaction, StoredFormat) -> Result<(), StoreError<D>>,
+    ) -> Result<DurableStore, StoreError<D>> {
+        DurableStore::prepare(Builder::new().create_with_backend(backend)?, format, prepare)
+    }
+
+    fn prepare<D: Damage>(
+        database: Database,
+        format: Format,
+        prepare: impl FnOnce(&WriteTransaction, StoredFormat) -> Result<(), StoreError<D>>,
+    ) -> Result<DurableStore, StoreError<D>> {
+        let transaction = database.begin_write()?;
+        {
+            let mut formats = transaction.open_table(FORMATS)?;
+            let found = formats.get(format.key)?.map(|row| row.value());
+            let stored = match found {
+                None => StoredFormat::Missing,
+                Some(found) if found == format.current => StoredFormat::Current,
+                Some(found) if (format.oldest..format.current).contains(&found) => StoredFormat::Older(found),
+                Some(found) => return Err(StoreError::UnknownFormat { found, expected: format.current }),
+            };
+            prepare(&transaction, stored)?;
+            if stored != StoredFormat::Current {
+                formats.insert(format.key, format.current)?;
+            }
+        }
+        transaction.commit()?;
+        Ok(DurableStore { database, is_poisoned: false })
+    }
+
+    /// Begins to read what is on disk.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database.
+    pub fn begin_read(&self) -> Result<ReadTransaction, DatabaseError> {
+        Ok(self.database.begin_read()?)
+    }
+
+    /// Runs `write` in a transaction and commits it.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database and of `write`. Nothing was written then, unless the commit itself failed.
+    pub fn write<D: Damage>(
+        &self,
+        write: impl FnOnce(&WriteTransaction) -> Result<(), StoreError<D>>,
+    ) -> Result<(), StoreError<D>> {
+        let transaction = self.database.begin_write()?;
+        write(&transaction)?;
+        transaction.commit()?;
+        Ok(())
+    }
+
+    /// As [`DurableStore::write`] for data of which a copy is kept in memory. Any error poisons the store.
+    ///
+    /// # Errors
+    ///
+    /// As [`DurableStore::write`]; [`StoreError::Poisoned`] after an earlier error.
+    pub fn write_or_poison<D: Damage>(
+        &mut self,
+        write: impl FnOnce(&WriteTransaction) -> Result<(), StoreError<D>>,
+    ) -> Result<(), StoreError<D>> {
+        self.check_not_poisoned()?;
+        self.is_poisoned = true;
+        self.write(write)?;
+        self.is_poisoned = false;
+        Ok(())
+    }
+
+    /// Whether the store still takes guarded transactions.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Poisoned`] after a guarded transaction that failed.
+    pub fn check_not_poisoned<D: Damage>(&self) -> Result<(), StoreError<D>> {
+        if self.is_poisoned { Err(StoreError::Poisoned) } else { Ok(()) }
+    }
+}
--- /dev/null
+++ b/crates/durable-store/src/testing.rs
@@ -0,0 +1,108 @@
+//! A storage backend in memory that records every call made on it, so that a test can replay any part of them: what
+//! a disk holds after power was lost there.
+use redb::StorageBackend;
+use std::io::{Error, ErrorKind};
+use std::sync::{Arc, Mutex, MutexGuard};
+
+/// A call on the storage, as it was made.
+#[derive(Clone, Debug)]
+pub enum Call {
+    /// Bytes written.
+    Write {
+        /// Offset of the first byte.
+        offset: u64,
+        /// The bytes.
+        data: Vec<u8>,
+    },
+    /// The storage was given this length in bytes.
+    Resize(u64),
+    /// Everything written before was to be made durable.
+    Sync,
+}
+
+/// A storage in memory that keeps every call made on it. Clones share their contents.
+#[derive(Clone, Debug, Default)]
+pub struct RecordingBackend {
+    contents: Arc<Mutex<Vec<u8>>>,
+    calls: Arc<Mutex<Vec<Call>>>,
+}
+
+impl RecordingBackend {
+    /// A storage with contents, and no calls yet.
+    #[must_use]
+    pub fn with_contents(contents: Vec<u8>) -> Self {
+        RecordingBackend { contents: Arc::new(Mutex::new(contents)), ..RecordingBackend::default() }
+    }
+
+    /// What the storage holds now.
+    #[must_use]
+    pub fn contents(&self) -> Vec<u8> {
+        self.lock_contents().clone()
+    }
+
+    /// The calls made so far.
+    #[must_use]
+    pub fn calls(&self) -> Vec<Call> {
+        self.lock_calls().clone()
+    }
+
+    fn lock_contents(&self) -> MutexGuard<'_, Vec<u8>> {
+        self.contents.lock().expect("no user of the lock panics")
+    }
+
+    fn lock_calls(&self) -> MutexGuard<'_, Vec<Call>> {
+        self.calls.lock().expect("no user of the lock panics")
+    }
+}
+
+/// Applies a call to the contents of a storage.
+pub fn apply_call(contents: &mut Vec<u8>, call: &Call) {
+    match call {
+        Call::Write { offset, data } => {
+            let start = as_index(*offset);
+            let end = start + data.len();
+            if contents.len() < end {
+                contents.resize(end, 0);
+            }
+            contents[start..end].copy_from_slice(data);
+        }
+        Call::Resize(length) => contents.resize(as_index(*length), 0),
+        Call::Sync => {}
+    }
+}
+
+fn as_index(offset: u64) -> usize {
+    usize::try_from(offset).expect("a storage in memory fits the address space")
+}
+
+impl StorageBackend for RecordingBackend {
+    fn len(&self) -> Result<u64, Error> {
+        Ok(self.lock_contents().len() as u64)
+    }
+
+    fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
+        let contents = self.lock_contents();
+        let start = as_index(offset);
+        let found = contents.get(start..start + out.len());
+        out.copy_from_slice(found.ok_or(Error::from(ErrorKind::UnexpectedEof))?);
+        Ok(())
+    }
+
+    fn set_len(&self, length: u64) -> Result<(), Error> {
+        self.lock_contents().resize(as_index(length), 0);
+        self.lock_calls().push(Call::Resize(length));
+        Ok(())
+    }
+
+    fn sync_data(&self) -> Result<(), Error> {
+        self.lock_calls().push(Call::Sync);
+        Ok(())
+    }
+
+    fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
+        let start = as_index(offset);
+        self.lock_contents()[start..start + data.len()].copy_from_slice(data);
+        self.lock_calls().push(Call::Write { offset, data: data.to_vec() });
+        Ok(())
+    }
+}
--- a/crates/gateway/src/archive.rs
+++ b/crates/gateway/src/archive.rs
@@ -1,7 +1,7 @@
 //! Snapshots to files and back, through a host as any client reads and writes.
 use crate::client::Counter;
 use crate::control;
-use mallowseam_archive::{Head, Next, Reader, Writer};
+use mallowseam_archive::{Header, Reader, Record, Writer};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_settings::Site;
@@ -39,8 +39,8 @@
         let configured = site.volumes.iter().find(|v| v.mapped && v.name == name);
         let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
             (Some(v), ..) => (v.lun.into(), (v.blocks / extent) as u32),
-            (None, Some(b), _) => (b.unit, b.extents),
-            (None, None, Some(s)) => (s.unit, s.extents),
+            (None, Some(b), _) => (b.lun, b.extent_count),
+            (None, None, Some(s)) => (s.lun, s.extent_count),
             (None, None, None) => return Err(format!("`{name}`: no such volume, clone or snapshot")),
         };
         let volume = site.volumes.iter().find(|v| v.mapped).ok_or("no mapped volume")?;
@@ -94,32 +94,35 @@
     let tree = tree(site)?;
     let snapshot = tree.snapshot(name).map_err(|r| r.to_string())?;
     let mut unit = Unit::open(site, &tree, name)?;
-    let head =
-        Head { name: name.to_owned(), extent: (unit.extent * unit.block) as u32, extents: unit.extents };
+    let head = Header {
+        name: name.to_owned(),
+        extent_bytes: (unit.extent * unit.block) as u32,
+        extent_count: unit.extents,
+    };
     let shown = file.display();
     let io = |e: std::io::Error| format!("{shown}: {e}");
-    let fault = |e: mallowseam_archive::Fault| format!("{shown}: {e}");
+    let fault = |e: mallowseam_archive::Error| format!("{shown}: {e}");
     let standing = match File::open(file) {
         Ok(old) if old.metadata().map_err(io)?.len() > 0 => {
             let mut reader = Reader::new(BufReader::new(old)).map_err(fault)?;
-            if *reader.head() != head {
-                return Err(format!("{shown}: holds `{}`, not `{name}`", reader.head().name));
+            if *reader.header() != head {
+                return Err(format!("{shown}: holds `{}`, not `{name}`", reader.header().name));
             }
             loop {
-                match reader.advance() {
-                    Ok(Next::Extent(..)) => {}
-                    Ok(Next::End) => return Ok(format!("{shown}: whole already")),
-                    Err(_) => break Some(reader.standing().clone()),
+                match reader.next_record() {
+                    Ok(Record::Extent { .. }) => {}
+                    Ok(Record::End) => return Ok(format!("{shown}: whole already")),
+                    Err(_) => break Some(reader.resume_point().clone()),
                 }
             }
         }
         _ => None,
     };
-    let from = standing.as_ref().and_then(|s| s.last).map_or(0, |l| l + 1);
+    let from = standing.as_ref().and_then(|s| s.last_extent).map_or(0, |l| l + 1);
     let mut out = OpenOptions::new().create(true).write(true).truncate(false).open(file).map_err(io)?;
     let mut writer = match standing {
         Some(standing) => {
-            out.set_len(standing.bytes).map_err(io)?;
+            out.set_len(standing.valid_bytes).map_err(io)?;
             out.seek(SeekFrom::End(0)).map_err(io)?;
             Writer::resume(BufWriter::new(out), standing)
         }
@@ -128,16 +131,16 @@
     let mut written = 0;
     for extent in from..unit.extents {
         // What was never written reads as zeros, here and after an import.
-        if tree.find(snapshot.layer, extent).is_none() {
+        if tree.locate(snapshot.layer, extent).is_none() {
             continue;
         }
         let data = unit.read(extent)?;
         if data.iter().any(|b| *b != 0) {
-            writer.extent(extent, &data).map_err(fault)?;
+            writer.write_extent(extent, &data).map_err(fault)?;
             written += 1;
         }
     }
-    let bytes = writer.end().map_err(fault)?;
+    let bytes = writer.finish().map_err(fault)?;
     let gone_on = if from > 0 { format!(", gone on from extent {from}") } else { String::new() };
     Ok(format!("{name}: {written} extents written{gone_on}; {bytes} bytes in all"))
 }
@@ -146,19 +149,19 @@
 /// so that an import that broke off goes on.
 pub fn import(site: &Site, file: &Path, name: &str) -> Result<String, String> {
     let shown = file.display();
-    let fault = |e: mallowseam_archive::Fault| format!("{shown}: {e}");
+    let fault = |e: mallowseam_archive::Error| format!("{shown}: {e}");
     // All of it is read once before anything is written.
     let open = || File::open(file).map_err(|e| format!("{shown}: {e}"));
     let mut check = Reader::new(BufReader::new(open()?)).map_err(fault)?;
-    while check.advance().map_err(fault)? != Next::End {}
+    while check.next_record().map_err(fault)? != Record::End {}
     let tree = tree(site)?;
     let mut unit = Unit::open(site, &tree, name)?;
-    let head = check.head();
-    if u64::from(head.extent) != unit.extent * unit.block || head.extents != unit.extents {
+    let head = check.header();
+    if u64::from(head.extent_bytes) != unit.extent * unit.block || head.extent_count != unit.extents {
         return Err(format!(
             "{shown}: {} extents of {} bytes, `{name}` has {} of {}",
-            head.extents,
-            head.extent,
+            head.extent_count,
+            head.extent_bytes,
             unit.extents,
             unit.extent * unit.block
         ));
@@ -174,9 +177,9 @@
     };
     let zeros = vec![0; (unit.extent * unit.block) as usize];
     loop {
-        let (upto, data) = match reader.advance().map_err(fault)? {
-            Next::Extent(extent, data) => (extent, Some(data)),
-            Next::End => (unit.extents, None),
+        let (upto, data) = match reader.next_record().map_err(fault)? {
+            Record::Extent { index, data } => (index, Some(data)),
+            Record::End => (unit.extents, None),
         };
         for extent in next..upto {
             put(&mut unit, extent, &zeros)?;
@@ -185,5 +188,5 @@
         put(&mut unit, upto, &data)?;
         next = upto + 1;
     }
-    Ok(format!("{name}: shows {}; {written} extents written", reader.head().name))
+    Ok(format!("{name}: shows {}; {written} extents written", reader.header().name))
 }
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -4,17 +4,17 @@
 use crate::lines::{Bounds, Peer, Peers};
 use crate::nodes::{Nodes, Order};
 use crate::opening::{self, Failure, failure, signals};
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::cache::{layer_of, settle};
-use mallowseam_cow::cut::{Cut, Failed, Turn, leave};
-use mallowseam_cow::free::Free;
-use mallowseam_cow::leases::Leases;
-use mallowseam_cow::tree::{Change, LayerId, Tree};
-use mallowseam_cow::words::{ToCatalog, ToHost, whole};
+use mallowseam_cow::consistent_cut::{ConsistentCut, CutFailure, CutProgress, decide_completion};
+use mallowseam_cow::leases::HostLeases;
+use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
+use mallowseam_cow::reclaim::Reclaimer;
+use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
+use mallowseam_cow::tree_replica::check_placement;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi;
 use mallowseam_scheduler::host::{Ending, Tick};
 use mallowseam_settings::Site;
+use mallowseam_snapshot_catalog::Catalog;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
 enum Waits {
     /// Until all hosts that may act are known: branch and name.
     Begin(String, String),
-    Snapshot(Cut),
+    Snapshot(ConsistentCut),
     /// Until a layer is closed (0: none) and a version counts.
     Counts(u64, LayerId, String),
 }
@@ -56,8 +56,8 @@
     clock: Clock,
     now: Tick,
     catalog: Catalog,
-    leases: Leases,
-    free: Free,
+    leases: HostLeases,
+    free: Reclaimer,
     /// With whether a host has said hello, and hears of every change from now on.
     hosts: Peers<bool>,
     nodes: Nodes,
@@ -70,7 +70,7 @@
     waits: Vec<(u32, Waits)>,
     replies: Vec<(u32, String)>,
     /// Hosts that have said hello, with what they hold.
-    hello: Vec<(u32, Option<(u64, u64)>)>,
+    hello: Vec<(u32, Option<TreeVersion>)>,
     stops: bool,
     /// This round has put a batch on disk.
     changed: bool,
@@ -127,9 +127,9 @@
         let mut service = Service {
             hosts_from,
             now,
-            free: Free::of(catalog.tree()),
+            free: Reclaimer::from_tree(catalog.tree()),
             catalog,
-            leases: Leases::new(millis(now), fresh),
+            leases: HostLeases::new(millis(now), fresh),
             hosts,
             nodes,
             control,
@@ -153,14 +153,14 @@
         // Places that were told and not opened before the last end.
         let tree = service.catalog.tree();
         for (layer, l) in &tree.layers {
-            for extent in l.places.keys().filter(|e| !l.opened.contains(e)) {
+            for extent in l.locations.keys().filter(|e| !l.writable.contains(e)) {
                 service.opening.push((tree.version, *layer, *extent));
             }
         }
         for volume in service.site.volumes.clone().iter().filter(|v| v.mapped) {
             if !service.next().branches.contains_key(&volume.name) {
-                let extents = (volume.blocks / settings.extent) as u32;
-                let made = Change::Made { branch: volume.name.clone(), extents };
+                let extent_count = (volume.blocks / settings.extent) as u32;
+                let made = Change::BranchCreated { branch: volume.name.clone(), extent_count };
                 service.propose(made).map_err(|r| Failure::new(r.to_string()))?;
             }
         }
@@ -168,9 +168,9 @@
     }
 
     /// Makes a change that counts once the batch is on disk.
-    fn propose(&mut self, change: Change) -> Result<u64, mallowseam_cow::tree::Refused> {
-        let touched = self.catalog.propose(change)?;
-        self.free.noticed(self.catalog.tree(), &touched);
+    fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
+        let effects = self.catalog.stage(change)?;
+        self.free.record_change(self.catalog.tree(), &effects);
         Ok(self.catalog.tree().version)
     }
 
@@ -229,47 +229,47 @@
         let now = millis(self.now);
         let Some(host) = self.hosts.get_mut(at) else { return };
         match word {
-            ToCatalog::Hello { host: name, have } => {
+            ToCatalog::Hello { host: name, known } => {
                 host.name = name;
-                self.hello.push((at, have));
+                self.hello.push((at, known));
             }
-            ToCatalog::Renew { sent, seen } => {
-                let span = self.leases.renew(&host.name, seen, now);
-                host.lines.say(&ToHost::Lease { sent, span });
+            ToCatalog::RenewLease { sent_at, seen_version } => {
+                let duration = self.leases.renew(&host.name, seen_version, now);
+                host.lines.say(&ToHost::LeaseGranted { sent_at, duration });
             }
-            ToCatalog::Seen { version } => self.leases.seen(&host.name, version),
-            ToCatalog::Numbers { layer, count } => {
-                let first = self.next().layers.get(&layer).map_or(0, |l| l.next_number);
-                if self.propose(Change::Numbers { layer, first, count }).is_ok() {
+            ToCatalog::Acknowledge { version } => self.leases.acknowledge(&host.name, version),
+            ToCatalog::AllocateSlots { layer, count } => {
+                let first = self.next().layers.get(&layer).map_or(0, |l| l.next_slot);
+                if self.propose(Change::SlotsAllocated { layer, first, count }).is_ok() {
                     // Told behind the change, once that is on disk.
-                    let word = ToHost::Numbers { layer, first, count };
+                    let word = ToHost::SlotsAllocated { layer, first, count };
                     self.after(at, word);
                 }
             }
-            ToCatalog::Clear { layer } => {
+            ToCatalog::Quiesced { layer } => {
                 for (_, wait) in &mut self.waits {
                     if let Waits::Snapshot(cut) = wait {
-                        cut.clear(layer, &host.name);
+                        cut.host_quiesced(layer, &host.name);
                     }
                 }
             }
-            ToCatalog::Leave { layer } => self.leave(at, layer),
-            ToCatalog::Placed { layer, extent, place } => {
-                let change = Change::Placed { layer, extent, place };
-                match settle(self.next(), &change) {
+            ToCatalog::RequestCompletion { layer } => self.leave(at, layer),
+            ToCatalog::ProposeLocation { layer, extent, location } => {
+                let change = Change::ExtentPlaced { layer, extent, location };
+                match check_placement(self.next(), &change) {
                     Ok(None) => {
                         if let Ok(version) = self.propose(change) {
                             self.opening.push((version, layer, extent));
                         }
                     }
-                    Ok(Some(first)) if first == place => {}
+                    Ok(Some(first)) if first == location => {}
                     _ => {
                         // It was never referred to and never will be.
-                        self.after(at, ToHost::NotPlaced { layer, extent });
+                        self.after(at, ToHost::LocationRejected { layer, extent });
                         let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
-                        let run = (u64::from(place.number) * blocks, blocks as u32);
-                        if (place.node as usize) < self.nodes.all.len() {
-                            self.order(Asked::Drop, place.node, layer, scsi::unmap(&[run]));
+                        let run = (u64::from(location.slot) * blocks, blocks as u32);
+                        if (location.node as usize) < self.nodes.all.len() {
+                            self.order(Asked::Drop, location.node, layer, scsi::unmap(&[run]));
                         }
                     }
                 }
@@ -279,19 +279,19 @@
 
     /// A host asks to complete a write that has parts in a layer: cuts that are pending are made anew behind it.
     fn leave(&mut self, at: u32, layer: LayerId) {
-        let Some((given, between)) = leave(self.next(), layer) else {
-            return self.after(at, ToHost::Leave { layer, given: false });
+        let Some(decision) = decide_completion(self.next(), layer) else {
+            return self.after(at, ToHost::CompletionDecision { layer, granted: false });
         };
-        if given {
+        if decision.is_granted {
             for (_, wait) in &mut self.waits {
                 if let Waits::Snapshot(cut) = wait
-                    && between.contains(&cut.layer)
+                    && decision.frozen_layers.contains(&cut.layer)
                 {
-                    cut.behind();
+                    cut.mark_stale();
                 }
             }
         }
-        self.after(at, ToHost::Leave { layer, given });
+        self.after(at, ToHost::CompletionDecision { layer, granted: decision.is_granted });
     }
 
     /// A cut has ended: hosts begin writes of several parts again, if no other one of the branch is pending.
@@ -301,18 +301,18 @@
             return;
         }
         for at in self.hosts.indices() {
-            self.after(at, ToHost::Over { branch: branch.to_owned() });
+            self.after(at, ToHost::CutFinished { branch: branch.to_owned() });
         }
     }
 
     /// Asks hosts that pending cuts wait for whether they are clear.
     fn ask_clear(&mut self, now: u64) {
-        let holding = self.leases.holding(now);
+        let holding = self.leases.active_hosts(now);
         let mut asks = Vec::new();
         for (_, wait) in &mut self.waits {
             if let Waits::Snapshot(cut) = wait {
-                let unclear = cut.unclear(&holding).clone();
-                asks.push((unclear, ToHost::AskClear { layer: cut.layer, branch: cut.branch.clone() }));
+                let unclear = cut.unquiesced_hosts(&holding).clone();
+                asks.push((unclear, ToHost::Quiesce { layer: cut.layer, branch: cut.branch.clone() }));
             }
         }
         for (hosts, word) in asks {
@@ -325,7 +325,7 @@
 
     fn begin_cut(&mut self, caller: u32, branch: &str, name: &str) -> Result<(), String> {
         let now = millis(self.now);
-        let begun = Cut::begin(self.next(), branch, name, self.leases.holding(now), now);
+        let begun = ConsistentCut::begin(self.next(), branch, name, self.leases.active_hosts(now), now);
         let (change, cut) = begun.map_err(|f| self.why(&f))?;
         self.propose(change).map_err(|r| r.to_string())?;
         self.waits.push((caller, Waits::Snapshot(cut)));
@@ -346,15 +346,15 @@
         let now = millis(self.now);
         self.node_ends();
         for (version, layer, extent) in std::mem::take(&mut self.opening) {
-            if self.leases.counts(version, now) {
-                let _ = self.propose(Change::Opened { layer, extent });
+            if self.leases.is_effective(version, now) {
+                let _ = self.propose(Change::ExtentWritable { layer, extent });
             } else {
                 self.opening.push((version, layer, extent));
             }
         }
         if self.now >= self.looked + LOOK {
             self.looked = self.now;
-            self.leases.tidy(now);
+            self.leases.remove_expired(now);
             if self.asked_clear + ASK_AGAIN <= self.now {
                 self.asked_clear = self.now;
                 self.ask_clear(now);
@@ -380,16 +380,16 @@
     /// Puts the batch on disk, then tells the hosts.
     fn keep(&mut self) -> Result<(), Failure> {
         // A store that fails is no store: hosts go on by their leases, and a new process reads what is there.
-        self.changed = self.catalog.kept() < self.next().version;
+        self.changed = self.catalog.committed_version() < self.next().version;
         if self.changed {
             self.step();
         }
-        let (first, batch) = self.catalog.keep().map_err(|e| Failure::new(e.to_string()))?;
+        let batch = self.catalog.commit().map_err(|e| Failure::new(e.to_string()))?;
         if self.changed {
             self.step();
         }
-        for (version, change) in (first..).zip(batch) {
-            self.hosts.say_all(&ToHost::Changed { version, change }, |host| host.about);
+        for (version, change) in (batch.first_version..).zip(batch.changes) {
+            self.hosts.say_all(&ToHost::TreeChanged { version, change }, |host| host.about);
         }
         self.greet();
         Ok(())
@@ -397,19 +397,20 @@
 
     /// Tells hosts that have said hello what they lack of what is on disk; later changes follow one by one.
     fn greet(&mut self) {
-        for (at, have) in std::mem::take(&mut self.hello) {
+        for (at, known) in std::mem::take(&mut self.hello) {
             let Some(host) = self.hosts.get_mut(at) else { continue };
             host.about = true;
             let id = self.catalog.id();
-            let since = have.filter(|h| h.0 == id).and_then(|h| self.catalog.since(h.1));
+            let known = known.filter(|known| known.catalog_id == id);
+            let since = known.and_then(|known| self.catalog.changes_since(known.version));
             match since {
                 Some(missed) => {
                     for (version, change) in missed {
-                        host.lines.say(&ToHost::Changed { version, change: change.clone() });
+                        host.lines.say(&ToHost::TreeChanged { version, change: change.clone() });
                     }
-                    host.lines.say(&ToHost::Going);
+                    host.lines.say(&ToHost::CaughtUp);
                 }
-                None => whole(id, self.catalog.tree()).for_each(|word| host.lines.say(&word)),
+                None => full_tree_messages(id, self.catalog.tree()).for_each(|word| host.lines.say(&word)),
             }
         }
     }
@@ -440,7 +441,7 @@
 
     /// Every frozen layer is closed at every node that holds a place of it, however often that takes.
     fn close_layers(&mut self) {
-        for (layer, node) in self.next().to_close().collect::<Vec<_>>() {
+        for (layer, node) in self.next().pending_closes().collect::<Vec<_>>() {
             let same = |o: &(Asked, Tick)| matches!(o.0, Asked::Close(l, n) if (l, n) == (layer, node));
             if !self.orders.values().any(same) {
                 self.order(Asked::Close(layer, node), node, layer, scsi::write_protect(true));
@@ -457,16 +458,16 @@
         let kept = self.waits.iter().filter_map(pending).collect();
         let tree = self.catalog.tree();
         let extent_blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
-        for (layer, extent) in self.free.lot(tree, &kept, &self.leases, limit, now) {
-            let Some(place) = self.next().layers.get(&layer).and_then(|l| l.places.get(&extent)).copied()
+        for (layer, extent) in self.free.next_batch(tree, &kept, &self.leases, limit, now) {
+            let Some(place) = self.next().layers.get(&layer).and_then(|l| l.locations.get(&extent)).copied()
             else {
                 continue;
             };
-            let run = (u64::from(place.number) * extent_blocks, extent_blocks as u32);
+            let run = (u64::from(place.slot) * extent_blocks, extent_blocks as u32);
             self.order(Asked::GiveBack(layer, extent), place.node, layer, scsi::unmap(&[run]));
         }
-        for layer in self.free.idle(self.catalog.tree(), &kept) {
-            let _ = self.propose(Change::Freed { layer, extents: Vec::new() });
+        for layer in self.free.removable_layers(self.catalog.tree(), &kept) {
+            let _ = self.propose(Change::ExtentsReclaimed { layer, extents: Vec::new() });
         }
     }
 
@@ -482,7 +483,7 @@
                 Asked::Close(_, node) => Some(*node),
                 Asked::Drop => None,
                 Asked::GiveBack(layer, extent) => {
-                    self.next().layers.get(layer).and_then(|l| l.places.get(extent)).map(|p| p.node)
+                    self.next().layers.get(layer).and_then(|l| l.locations.get(extent)).map(|p| p.node)
                 }
             };
             if let Some(node) = node {
@@ -495,10 +496,10 @@
     fn order_over(&mut self, asked: Asked, done: bool) {
         self.step();
         match asked {
-            Asked::Close(layer, node) if done => drop(self.propose(Change::Closed { layer, node })),
+            Asked::Close(layer, node) if done => drop(self.propose(Change::LayerClosed { layer, node })),
             Asked::GiveBack(layer, extent) if done => {
-                self.free.done((layer, extent));
-                let _ = self.propose(Change::Freed { layer, extents: vec![extent] });
+                self.free.completed((layer, extent));
+                let _ = self.propose(Change::ExtentsReclaimed { layer, extents: vec![extent] });
             }
             Asked::GiveBack(layer, extent) => self.free.failed((layer, extent), millis(self.now)),
             Asked::Close(..) | Asked::Drop => {}
@@ -510,28 +511,28 @@
         for (caller, mut wait) in std::mem::take(&mut self.waits) {
             match &mut wait {
                 Waits::Begin(branch, name) => {
-                    if !self.leases.knows_all(now) {
+                    if !self.leases.all_hosts_known(now) {
                         self.waits.push((caller, wait));
                     } else if let Err(why) = self.begin_cut(caller, branch, name) {
                         self.replies.push((caller, format!("error: {why}")));
                     }
                 }
-                Waits::Snapshot(cut) => match cut.turn(self.next(), now) {
-                    Turn::Wait => self.waits.push((caller, wait)),
-                    Turn::Anew => {
-                        let change = cut.anew(self.next(), self.leases.holding(now));
+                Waits::Snapshot(cut) => match cut.progress(self.next(), now) {
+                    CutProgress::Wait => self.waits.push((caller, wait)),
+                    CutProgress::Restart => {
+                        let change = cut.restart(self.next(), self.leases.active_hosts(now));
                         change.into_iter().for_each(|c| drop(self.propose(c)));
                         self.waits.push((caller, wait));
                         self.close_layers();
                         self.ask_clear(now);
                     }
-                    Turn::Grant(change) => {
+                    CutProgress::Grant(change) => {
                         over.push(cut.branch.clone());
                         let full = format!("{}@{}", cut.branch, cut.name);
                         match self.propose(change) {
                             Ok(version) => {
                                 tracing::info!(snapshot = full, "granted");
-                                let unit = self.next().snapshots[&full].unit;
+                                let unit = self.next().snapshots[&full].lun;
                                 // Told once every host knows its unit.
                                 let text = format!("{full} granted, LUN {unit}");
                                 self.waits.push((caller, Waits::Counts(version, 0, text)));
@@ -539,7 +540,7 @@
                             Err(r) => self.replies.push((caller, format!("error: {r}"))),
                         }
                     }
-                    Turn::Fail(why) => {
+                    CutProgress::Fail(why) => {
                         over.push(cut.branch.clone());
                         let text = self.why(&why);
                         tracing::warn!(snapshot = format!("{}@{}", cut.branch, cut.name), text, "failed");
@@ -551,8 +552,8 @@
                         .next()
                         .layers
                         .get(old)
-                        .is_none_or(|_| !self.next().to_close().any(|c| c.0 == *old));
-                    if closed && self.leases.counts(*version, now) {
+                        .is_none_or(|_| !self.next().pending_closes().any(|c| c.0 == *old));
+                    if closed && self.leases.is_effective(*version, now) {
                         self.replies.push((caller, text.clone()));
                     } else {
                         self.waits.push((caller, wait));
@@ -563,14 +564,14 @@
         over.iter().for_each(|branch| self.cut_over(branch));
     }
 
-    fn why(&self, failed: &Failed) -> String {
+    fn why(&self, failed: &CutFailure) -> String {
         match failed {
-            Failed::Refused(text) => text.clone(),
-            Failed::Unclear(hosts) => {
+            CutFailure::Rejected(error) => error.to_string(),
+            CutFailure::HostsNotQuiesced(hosts) => {
                 let names: Vec<&str> = hosts.iter().map(String::as_str).collect();
                 format!("writes under way at {}; no snapshot was made", names.join(", "))
             }
-            Failed::Unclosed(nodes) => {
+            CutFailure::NodesNotClosed(nodes) => {
                 let names: Vec<&str> =
                     nodes.iter().map(|n| self.nodes.all[*n as usize].name.as_str()).collect();
                 format!("not closed in time by {}; no snapshot was made", names.join(", "))
@@ -581,10 +582,10 @@
     /// A line on the control socket. None: the answer comes later.
     fn told(&mut self, caller: u32, line: &str) -> Result<Option<String>, String> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let refused = |r: mallowseam_cow::tree::Refused| r.to_string();
+        let refused = |r: ChangeError| r.to_string();
         match words.as_slice() {
             ["snapshot", branch, name] => {
-                if self.leases.knows_all(millis(self.now)) {
+                if self.leases.all_hosts_known(millis(self.now)) {
                     self.begin_cut(caller, branch, name)?;
                 } else {
                     self.waits.push((caller, Waits::Begin((*branch).to_owned(), (*name).to_owned())));
@@ -593,9 +594,9 @@
             }
             ["clone", snapshot, branch] => {
                 let (snapshot, branch) = ((*snapshot).to_owned(), (*branch).to_owned());
-                let change = Change::Cloned { snapshot, branch: branch.clone() };
+                let change = Change::CloneCreated { snapshot, branch: branch.clone() };
                 let version = self.propose(change).map_err(refused)?;
-                let text = format!("{branch} made, LUN {}", self.next().branches[&branch].unit);
+                let text = format!("{branch} made, LUN {}", self.next().branches[&branch].lun);
                 self.waits.push((caller, Waits::Counts(version, 0, text)));
                 Ok(None)
             }
@@ -603,7 +604,7 @@
                 let old = self.next().branch(branch).map_err(refused)?.head;
                 let (branch, snapshot) = ((*branch).to_owned(), (*snapshot).to_owned());
                 let text = format!("{branch} shows {snapshot}");
-                let version = self.propose(Change::RolledBack { branch, snapshot }).map_err(refused)?;
+                let version = self.propose(Change::BranchRolledBack { branch, snapshot }).map_err(refused)?;
                 self.waits.push((caller, Waits::Counts(version, old, text)));
                 self.close_layers();
                 Ok(None)
@@ -621,10 +622,11 @@
             }
             ["list"] => Ok(Some(list(self.next()))),
             ["diff", a, b] => {
-                let layer = |n: &str| layer_of(self.next(), n).ok_or_else(|| format!("`{n}`: no such name"));
+                let layer =
+                    |n: &str| self.next().layer_read_by(n).ok_or_else(|| format!("`{n}`: no such name"));
                 let extents = |n: &str| {
-                    let branch = self.next().branches.get(n).map(|b| b.extents);
-                    branch.or_else(|| self.next().snapshots.get(n).map(|s| s.extents)).unwrap_or(0)
+                    let branch = self.next().branches.get(n).map(|b| b.extent_count);
+                    branch.or_else(|| self.next().snapshots.get(n).map(|s| s.extent_count)).unwrap_or(0)
                 };
                 let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
                 let found = self.next().diff(layer(a)?, layer(b)?, extents(a).max(extents(b)));
@@ -646,11 +648,11 @@
     let mut out = Vec::new();
     for (name, b) in &tree.branches {
         let origin = b.origin.as_deref().map_or(String::new(), |o| format!("  clone of {o}"));
-        let own = tree.layers.get(&b.head).map_or(0, |l| l.places.len());
-        out.push(format!("{name}  LUN {}  {own} of {} extents its own{origin}", b.unit, b.extents));
+        let own = tree.layers.get(&b.head).map_or(0, |l| l.locations.len());
+        out.push(format!("{name}  LUN {}  {own} of {} extents its own{origin}", b.lun, b.extent_count));
     }
     for (name, s) in &tree.snapshots {
-        out.push(format!("{name}  LUN {}  layer {}", s.unit, s.layer));
+        out.push(format!("{name}  LUN {}  layer {}", s.lun, s.layer));
     }
     out.join("\n")
 }
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -359,7 +359,7 @@
             for (layer, place) in &found.leaked {
                 let what = if mend { "given back" } else { "leaked" };
                 let node = &site.nodes[place.node as usize].name;
-                println!("{what}: layer {layer}, place {} at {node}", place.number);
+                println!("{what}: layer {layer}, place {} at {node}", place.slot);
             }
             println!(
                 "places {}, of which hold data {}; leaked {}; faults {}",
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -11,11 +11,11 @@
 use crate::slots::Slots;
 use crate::terms::layout;
 use mallowseam_conduct::parts::{End, Extent, Layout, Part, Whole};
-use mallowseam_cow::cache::{Look, TELL_AGAIN};
-use mallowseam_cow::copies::{self, Copies};
-use mallowseam_cow::pieces::{Go, Pieces};
-use mallowseam_cow::tree::{LayerId, Place, Tree};
-use mallowseam_cow::words::ToCatalog;
+use mallowseam_cow::copy_budget::{self, CopyBudget};
+use mallowseam_cow::messages::ToCatalog;
+use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
+use mallowseam_cow::tree::{LayerId, Location, Tree};
+use mallowseam_cow::tree_replica::{Lookup, RESEND_AFTER};
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_iscsi::scsi::{self, Command as Scsi, Sense, Unit, status};
 use mallowseam_iscsi::target::Came;
@@ -62,7 +62,7 @@
 /// An extent on its way to a new place.
 struct Copy {
     vol: usize,
-    from: Option<(LayerId, Place)>,
+    from: Option<(LayerId, Location)>,
     data: Payload,
     /// For the submits of its write, one each.
     numbers: Vec<u32>,
@@ -74,7 +74,7 @@
     Reading,
     Writing,
     /// Told to the catalog, at that time.
-    Told(Place, u64),
+    Told(Location, u64),
     /// Came to nothing; may be begun again from then on.
     Resting(u64),
 }
@@ -95,7 +95,7 @@
     alive: u32,
     write: bool,
     parts: u32,
-    pieces: Pieces,
+    pieces: SplitWrite,
     /// The client's group number, handed on to the nodes.
     mark: u8,
     block_size: usize,
@@ -118,7 +118,7 @@
     branch: Option<Rc<str>>,
     /// Order in which they came.
     seq: u64,
-    place: Option<(LayerId, Place)>,
+    place: Option<(LayerId, Location)>,
     /// The extent it copies.
     copies: Option<(LayerId, u32)>,
     /// Comes back from the scheduler to be looked up again.
@@ -161,7 +161,7 @@
     /// Block I/Os that wait for news of the map, in the order in which they came.
     waiting: Vec<u32>,
     looked: (u64, Tick),
-    copies: Copies,
+    copies: CopyBudget,
     copying: BTreeMap<(LayerId, u32), Copy>,
     fresh: VecDeque<u32>,
 }
@@ -231,7 +231,7 @@
             seq: 0,
             waiting: Vec::new(),
             looked: (0, 0),
-            copies: Copies::default(),
+            copies: CopyBudget::default(),
             copying: BTreeMap::new(),
             fresh: VecDeque::new(),
         }
@@ -386,7 +386,7 @@
         let (command_at, place) = (io.command, io.place);
         let Some(command) = self.commands.get_mut(command_at) else { return };
         if let Some((layer, _)) = place {
-            command.pieces.landed(layer);
+            command.pieces.part_completed(layer);
         }
         if !command.write && !command.read.is_empty() {
             let (from, bytes) = (from * command.block_size, bytes * command.block_size);
@@ -537,7 +537,7 @@
             alive: parts.len() as u32,
             write,
             parts: parts.len() as u32,
-            pieces: Pieces::default(),
+            pieces: SplitWrite::default(),
             mark,
             block_size,
             data: data.into(),
@@ -625,7 +625,7 @@
             && matches!(copy.state, Copying::Reading | Copying::Writing)
             && !io.answered
         {
-            copy.state = Copying::Resting(millis(self.now) + copies::AGAIN);
+            copy.state = Copying::Resting(millis(self.now) + copy_budget::RETRY_DELAY);
         }
         if let Some(command) = self.commands.get_mut(io.command) {
             command.alive -= 1;
@@ -696,8 +696,8 @@
                 let write = copy.state == Copying::Writing;
                 if write {
                     // Each submit has a place of its own: one that lands late lands where nobody looks.
-                    let number = copy.numbers.pop().expect("one for each submit");
-                    place = Some((copied.0, Place { node: node.0, number }));
+                    let slot = copy.numbers.pop().expect("one for each submit");
+                    place = Some((copied.0, Location { node: node.0, slot }));
                 }
                 (write, COPY_MARK, if write { copy.data.clone() } else { Payload::default() })
             }
@@ -707,7 +707,7 @@
             self.ios.get_mut(bio.0).expect("in hand").place = place;
         }
         let (lun, lba) = match place {
-            Some((layer, place)) => (Some(layer), u64::from(place.number) * self.extent + part.node_lba),
+            Some((layer, place)) => (Some(layer), u64::from(place.slot) * self.extent + part.node_lba),
             None => (None, part.node_lba),
         };
         let order = Order {
--- a/crates/gateway/src/desk/mapped.rs
+++ b/crates/gateway/src/desk/mapped.rs
@@ -24,13 +24,13 @@
         for (name, snapshot) in &tree.snapshots {
             if let Some(vol) = self.volume_of(tree, &snapshot.branch) {
                 let branch = Some(name.as_str().into());
-                self.units.insert(snapshot.unit, Seen { vol, lun: snapshot.unit, branch, writable: false });
+                self.units.insert(snapshot.lun, Seen { vol, lun: snapshot.lun, branch, writable: false });
             }
         }
         for (name, branch) in tree.branches.iter().filter(|b| b.1.origin.is_some()) {
             if let Some(vol) = self.volume_of(tree, name) {
-                let seen = Seen { vol, lun: branch.unit, branch: Some(name.as_str().into()), writable: true };
-                self.units.insert(branch.unit, seen);
+                let seen = Seen { vol, lun: branch.lun, branch: Some(name.as_str().into()), writable: true };
+                self.units.insert(branch.lun, seen);
             }
         }
     }
@@ -87,8 +87,8 @@
         let (write, extent, vol) = (self.is_write(io), io.part.shard, io.vol);
         let Some(map) = &mut self.map else { return false };
         let now = millis(self.now);
-        match map.cache.look(io.branch.as_deref().unwrap_or_default(), extent, write, now) {
-            Look::At(layer, place) => {
+        match map.cache.look_up(io.branch.as_deref().unwrap_or_default(), extent, write, now) {
+            Lookup::Found(layer, place) => {
                 if write && !self.may_follow(at, layer, now) {
                     // Given up, it is over; else it waits.
                     return self.ios.get(at).is_none();
@@ -97,7 +97,7 @@
                 self.take(scheduler, at);
                 true
             }
-            Look::Zeros => {
+            Lookup::Zeros => {
                 let bytes = io.part.blocks as usize * self.volumes[vol].block_size as usize;
                 let io = self.ios.get_mut(at).expect("in hand");
                 io.answered = true;
@@ -106,13 +106,13 @@
                 self.forget(at);
                 true
             }
-            Look::Copy { into, from } => {
+            Lookup::CopyFirst { into, from } => {
                 map.want_numbers(into, now);
                 self.copy((into, extent), vol, from);
                 false
             }
-            Look::Later | Look::Unsure => false,
-            Look::NoSuchBranch => {
+            Lookup::Blocked | Lookup::NoLease => false,
+            Lookup::UnknownName => {
                 self.give_up(BioId(at), End::Failed);
                 self.forget(at);
                 true
@@ -126,7 +126,7 @@
         let command_at = io.command;
         let Some(command) = self.commands.get(command_at).filter(|c| c.parts > 1) else { return true };
         let held = self.map.as_ref().is_some_and(|m| m.holds(io.branch.as_deref().unwrap_or_default(), now));
-        let (mut elsewhere, mut begun) = (false, command.pieces.begun_by(LayerId::MAX));
+        let (mut elsewhere, mut begun) = (false, command.pieces.started_in_or_before(LayerId::MAX));
         let mut next = command.first;
         while let Some(other) = self.ios.get(next).filter(|o| o.command == command_at) {
             // One that is only held may be sent any moment.
@@ -139,16 +139,16 @@
             return false;
         }
         let command = self.commands.get_mut(command_at).expect("just seen");
-        match command.pieces.go(layer, elsewhere, now) {
-            Go::Now => true,
-            Go::Wait => false,
-            Go::Ask(older) => {
+        match command.pieces.admit(layer, elsewhere, now) {
+            PartAdmission::Send => true,
+            PartAdmission::Wait => false,
+            PartAdmission::RequestPermission(older) => {
                 if let Some(map) = &mut self.map {
-                    map.say(&ToCatalog::Leave { layer: older });
+                    map.say(&ToCatalog::RequestCompletion { layer: older });
                 }
                 false
             }
-            Go::Never => {
+            PartAdmission::Reject => {
                 self.give_up(BioId(at), End::Failed);
                 self.forget(at);
                 false
@@ -162,7 +162,7 @@
         for (layer, given) in std::mem::take(&mut map.leaves) {
             for at in self.commands.indices() {
                 if let Some(command) = self.commands.get_mut(at) {
-                    command.pieces.heard(layer, given);
+                    command.pieces.permission_decided(layer, given);
                 }
             }
         }
@@ -176,14 +176,14 @@
             ios.iter().any(|(_, io)| {
                 let here = io.branch.as_deref() == Some(branch);
                 let under_way = io.place.is_some_and(|p| p.0 == layer) && !io.answered;
-                here && several(io.command).is_some_and(|c| under_way || c.pieces.begun_by(layer))
+                here && several(io.command).is_some_and(|c| under_way || c.pieces.started_in_or_before(layer))
             })
         };
         let clear: Vec<LayerId> =
             map.owed.iter().filter(|(layer, branch)| !holds(*layer, branch)).map(|o| o.0).collect();
         map.owed.retain(|o| !clear.contains(&o.0));
         for layer in clear {
-            map.say(&ToCatalog::Clear { layer });
+            map.say(&ToCatalog::Quiesced { layer });
         }
     }
 
@@ -193,7 +193,7 @@
         if self.map.is_none() || self.looked.0 == news && self.now < self.looked.1 {
             return false;
         }
-        self.looked = (news, self.now + up(copies::AGAIN * 1000));
+        self.looked = (news, self.now + up(copy_budget::RETRY_DELAY * 1000));
         self.tend_copies();
         self.tend_cuts();
         let mut behind: Vec<(u32, u32)> = Vec::new();
@@ -244,7 +244,7 @@
     }
 
     /// Begins to copy an extent to a new place, unless that is under way.
-    pub(super) fn copy(&mut self, to: (LayerId, u32), vol: usize, from: Option<(LayerId, Place)>) {
+    pub(super) fn copy(&mut self, to: (LayerId, u32), vol: usize, from: Option<(LayerId, Location)>) {
         let now = millis(self.now);
         let Some(map) = &mut self.map else { return };
         let again = match self.copying.get(&to).map(|c| &c.state) {
@@ -254,12 +254,12 @@
         };
         let resting = |c: &&Copy| matches!(c.state, Copying::Resting(_));
         let under_way = self.copying.len() - self.copying.values().filter(resting).count();
-        if !self.copies.may_begin(under_way, again, now) {
+        if !self.copies.may_start(under_way, again, now) {
             return;
         }
         let mut numbers = Vec::new();
         while numbers.len() < self.submits as usize {
-            let Some(number) = map.cache.number(to.0) else { break };
+            let Some(number) = map.cache.take_slot(to.0) else { break };
             numbers.push(number);
         }
         if numbers.len() < self.submits as usize {
@@ -316,16 +316,16 @@
             }
             (Copying::Writing, Some((_, place))) => {
                 copy.state = Copying::Told(place, millis(self.now));
-                self.copies.ended_well();
+                self.copies.record_success();
                 self.tell_place(to, place);
             }
             _ => {}
         }
     }
 
-    pub(super) fn tell_place(&mut self, to: (LayerId, u32), place: Place) {
+    pub(super) fn tell_place(&mut self, to: (LayerId, u32), place: Location) {
         if let Some(map) = &mut self.map {
-            map.say(&ToCatalog::Placed { layer: to.0, extent: to.1, place });
+            map.say(&ToCatalog::ProposeLocation { layer: to.0, extent: to.1, location: place });
         }
     }
 
@@ -334,18 +334,18 @@
         let now = millis(self.now);
         let Some(tree) = self.map.as_ref().and_then(|m| m.cache.tree()) else { return };
         let settled = |(layer, extent): &(LayerId, u32)| {
-            tree.layers.get(layer).is_none_or(|l| l.frozen || l.places.contains_key(extent))
+            tree.layers.get(layer).is_none_or(|l| l.frozen || l.locations.contains_key(extent))
         };
         let mut again = Vec::new();
         self.copying.retain(|to, copy| match &mut copy.state {
             Copying::Told(place, at) => {
-                if !settled(to) && now >= *at + TELL_AGAIN {
+                if !settled(to) && now >= *at + RESEND_AFTER {
                     *at = now;
                     again.push((*to, *place));
                 }
                 !settled(to)
             }
-            Copying::Resting(until) => !settled(to) && now < *until + copies::REMEMBER,
+            Copying::Resting(until) => !settled(to) && now < *until + copy_budget::FAILURE_MEMORY,
             Copying::Reading | Copying::Writing => true,
         });
         for (to, place) in again {
--- a/crates/gateway/src/map.rs
+++ b/crates/gateway/src/map.rs
@@ -1,9 +1,9 @@
 //! The connection to the catalog, and what this host knows of the tree.
 use crate::lines::{Lines, Read};
 use mallowseam_cow::Millis;
-use mallowseam_cow::cache::Cache;
+use mallowseam_cow::messages::{ToCatalog, ToHost};
 use mallowseam_cow::tree::LayerId;
-use mallowseam_cow::words::{ToCatalog, ToHost};
+use mallowseam_cow::tree_replica::{SLOT_BATCH, TreeReplica};
 use mio::{Registry, Token};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     lines: Option<Lines>,
     readable: bool,
     connect_at: Millis,
-    pub cache: Cache,
+    pub cache: TreeReplica,
     /// Counts up with everything that may let a waiting block I/O go on.
     pub news: u64,
     /// Layers that the catalog wants to hear are clear, with their branch; and its words about leave.
@@ -43,7 +43,7 @@
             lines: None,
             readable: false,
             connect_at: 0,
-            cache: Cache::default(),
+            cache: TreeReplica::default(),
             news: 0,
             owed: Vec::new(),
             leaves: Vec::new(),
@@ -66,30 +66,30 @@
     /// Connects, renews, and writes what waits.
     pub fn tend(&mut self, now: Millis) {
         if self.lines.is_none() && now >= self.connect_at {
-            self.connect_at = now + Cache::CONNECT_AGAIN;
+            self.connect_at = now + TreeReplica::RECONNECT_INTERVAL;
             match Lines::connect(self.address, &self.registry, self.token) {
                 Ok(lines) => {
                     self.lines = Some(lines);
                     self.asked.clear();
-                    let (host, have) = (self.host.clone(), self.cache.have());
-                    self.say(&ToCatalog::Hello { host, have });
+                    let (host, known) = (self.host.clone(), self.cache.known());
+                    self.say(&ToCatalog::Hello { host, known });
                 }
                 Err(e) => tracing::debug!(error = %e, "catalog"),
             }
         }
-        if self.lines.is_some() && self.cache.renews(now) {
-            let seen = self.cache.version().unwrap_or(0);
-            self.say(&ToCatalog::Renew { sent: now, seen });
+        if self.lines.is_some() && self.cache.renewal_due(now) {
+            let seen_version = self.cache.version().unwrap_or(0);
+            self.say(&ToCatalog::RenewLease { sent_at: now, seen_version });
         }
         self.flush();
     }
 
     /// Asks for numbers of a layer while few are left.
     pub fn want_numbers(&mut self, layer: LayerId, now: Millis) {
-        let again = self.asked.get(&layer).is_none_or(|at| now >= at + Cache::CONNECT_AGAIN);
-        if self.cache.short(layer) && again {
+        let again = self.asked.get(&layer).is_none_or(|at| now >= at + TreeReplica::RECONNECT_INTERVAL);
+        if self.cache.needs_slots(layer) && again {
             self.asked.insert(layer, now);
-            self.say(&ToCatalog::Numbers { layer, count: mallowseam_cow::cache::NUMBERS });
+            self.say(&ToCatalog::AllocateSlots { layer, count: SLOT_BATCH });
         }
     }
 
@@ -104,7 +104,7 @@
             lines.end(&self.registry);
             tracing::warn!(why, "catalog connection lost");
         }
-        self.cache.lost();
+        self.cache.connection_lost();
     }
 
     /// Reads what has come, and writes. True: there is more to read.
@@ -142,50 +142,50 @@
 
     /// Something was missed: a new connection opens with the whole tree.
     fn doubt(&mut self) {
-        self.cache.doubt();
+        self.cache.invalidate();
         self.lose("what the catalog says does not follow what is known");
     }
 
     fn heard(&mut self, word: ToHost, now: Millis) {
         self.news += 1;
         match word {
-            ToHost::Whole { catalog, tree } => self.cache.coming(catalog, *tree),
-            ToHost::Part { layer, lies } => {
-                if !self.cache.part(layer, &lies) {
+            ToHost::FullTree { catalog_id, tree } => self.cache.begin_full_tree(catalog_id, *tree),
+            ToHost::Locations { layer, locations } => {
+                if !self.cache.add_locations(layer, &locations) {
                     self.doubt();
                 }
             }
-            ToHost::Filled if !self.cache.filled() => self.doubt(),
-            ToHost::Filled | ToHost::Going => {
+            ToHost::FullTreeEnd if !self.cache.finish_full_tree() => self.doubt(),
+            ToHost::FullTreeEnd | ToHost::CaughtUp => {
                 let version = self.cache.version().unwrap_or(0);
                 tracing::info!(version, "catalog read");
-                self.cache.lost();
-                if self.cache.renews(now) {
-                    self.say(&ToCatalog::Renew { sent: now, seen: version });
+                self.cache.connection_lost();
+                if self.cache.renewal_due(now) {
+                    self.say(&ToCatalog::RenewLease { sent_at: now, seen_version: version });
                 }
-                self.say(&ToCatalog::Seen { version });
+                self.say(&ToCatalog::Acknowledge { version });
             }
-            ToHost::Changed { version, change } => {
-                if self.cache.changed(version, &change) {
-                    self.say(&ToCatalog::Seen { version });
+            ToHost::TreeChanged { version, change } => {
+                if self.cache.apply_change(version, &change) {
+                    self.say(&ToCatalog::Acknowledge { version });
                 } else {
                     self.doubt();
                 }
             }
-            ToHost::Lease { sent, span } => self.cache.granted(sent, span),
-            ToHost::Numbers { layer, first, count } => {
+            ToHost::LeaseGranted { sent_at, duration } => self.cache.lease_granted(sent_at, duration),
+            ToHost::SlotsAllocated { layer, first, count } => {
                 self.asked.remove(&layer);
-                self.cache.given(layer, first, count);
+                self.cache.add_slots(layer, first, count);
             }
-            ToHost::NotPlaced { .. } => {}
-            ToHost::Over { branch } => drop(self.held.remove(&branch)),
-            ToHost::AskClear { layer, branch } => {
-                self.held.insert(branch.clone(), now + mallowseam_cow::cut::WITHIN);
+            ToHost::LocationRejected { .. } => {}
+            ToHost::CutFinished { branch } => drop(self.held.remove(&branch)),
+            ToHost::Quiesce { layer, branch } => {
+                self.held.insert(branch.clone(), now + mallowseam_cow::consistent_cut::CUT_TIMEOUT);
                 if !self.owed.iter().any(|o| o.0 == layer) {
                     self.owed.push((layer, branch));
                 }
             }
-            ToHost::Leave { layer, given } => self.leaves.push((layer, given)),
+            ToHost::CompletionDecision { layer, granted } => self.leaves.push((layer, granted)),
         }
     }
 }
--- a/crates/gateway/src/tariffs.rs
+++ b/crates/gateway/src/tariffs.rs
@@ -4,6 +4,7 @@
 use crate::lines::{Bounds, Peer, Peers};
 use crate::opening::{self, Failure, failure, signals};
 use crate::terms;
+use mallowseam_change_log::ChangeLogStore;
 use mallowseam_plans::deal::{ASK, GRANT, Pool};
 use mallowseam_plans::force::{Hosts, Waits};
 use mallowseam_plans::state::{Change, Plan, State};
@@ -11,7 +12,6 @@
 use mallowseam_plans::words::{ToControl, ToMember};
 use mallowseam_plans::{Millis, Units};
 use mallowseam_settings::Site;
-use mallowseam_trail::Store;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 struct Service {
     clock: Clock,
     now: Millis,
-    store: Store,
+    store: ChangeLogStore,
     hosts: Hosts,
     numbers: BTreeMap<String, u32>,
     pools: BTreeMap<String, Pool>,
@@ -78,9 +78,10 @@
         let address = settings.listen.expect("checked");
         let peers = Peers::open(address, poll, LISTENER, MEMBERS, BOUNDS)?;
         let control = opening::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
-        let said = |e: mallowseam_trail::Fault| Failure::new(format!("{}: {e}", settings.store.display()));
-        let mut store = Store::open(&settings.store).map_err(said)?;
-        let fresh = store.trail().state.version == 0;
+        let said =
+            |e: mallowseam_change_log::Error| Failure::new(format!("{}: {e}", settings.store.display()));
+        let mut store = ChangeLogStore::open(&settings.store).map_err(said)?;
+        let fresh = store.log().state.version == 0;
         if fresh {
             // The first versions are what the configuration says.
             let plans = site
@@ -92,17 +93,17 @@
                 plan: site.plans[v.plan].name.clone(),
             };
             for change in plans.chain(site.volumes.iter().map(of)) {
-                let version = store.trail().state.version;
-                let line = store.trail().propose(version, "configuration", "first start", wall(), change);
+                let version = store.log().state.version;
+                let line = store.log().propose(version, "configuration", "first start", wall(), change);
                 let line = line.map_err(|r| Failure::new(r.to_string()))?;
-                store.keep(&line).map_err(said)?;
+                store.append(&line).map_err(said)?;
             }
         }
         let clock = Clock::start();
         let now = millis(clock.now());
         let mut hosts = Hosts::default();
         store.members().map_err(said)?.iter().for_each(|host| hosts.heard(host, now));
-        tracing::info!(listen = %address, version = store.trail().state.version, "control service starts");
+        tracing::info!(listen = %address, version = store.log().state.version, "control service starts");
         Ok(Service {
             now,
             store,
@@ -123,7 +124,7 @@
     }
 
     fn version(&self) -> u64 {
-        self.store.trail().state.version
+        self.store.log().state.version
     }
 
     fn ready(&mut self, token: Token) -> Result<(), Failure> {
@@ -170,7 +171,7 @@
         let Some(peer) = self.peers.get_mut(at) else { return };
         if let ToControl::Hello { host, version, last } = word {
             if !self.hosts.knows(&host)
-                && let Err(e) = self.store.member(&host, true)
+                && let Err(e) = self.store.add_member(&host)
             {
                 // It would be forgotten by the next start, and a version be taken for in force without it.
                 return self.peers.lose(at, &e.to_string());
@@ -201,7 +202,7 @@
                 let mut granted: Vec<(String, Units)> = Vec::new();
                 for (volume, lent, wants) in volumes {
                     // Pools only for what there is: a host cannot make this service grow without bound.
-                    if !self.store.trail().state.volumes.contains_key(&volume) {
+                    if !self.store.log().state.volumes.contains_key(&volume) {
                         continue;
                     }
                     let fresh = self.fresh;
@@ -222,9 +223,9 @@
 
     /// Sends a host that has come what it lacks: lines where its last one is ours, else the whole state.
     fn catch_up(&mut self, at: u32, version: u64, last: &str) {
-        let trail = self.store.trail();
+        let trail = self.store.log();
         let lacks = trail.state.version.checked_sub(version).filter(|n| *n <= CATCH_UP);
-        let lines = lacks.and_then(|_| self.store.lines(version + 1, CATCH_UP as usize).ok());
+        let lines = lacks.and_then(|_| self.store.entries(version + 1, CATCH_UP as usize).ok());
         // Each line bears the hash of the one before it.
         let follows = |lines: &Vec<String>| match lines.first() {
             Some(first) => serde_json::from_str::<Line>(first).is_ok_and(|line| line.after == last),
@@ -280,14 +281,14 @@
     }
 
     fn asked_for(&mut self, caller: u32, asked: Asked) -> Result<Option<String>, Why> {
-        let read = |e: mallowseam_trail::Fault| Why::Said(e.to_string());
+        let read = |e: mallowseam_change_log::Error| Why::Said(e.to_string());
         let at = |version: u64| {
-            let found = self.store.at(version).map_err(read)?;
+            let found = self.store.log_at(version).map_err(read)?;
             found.ok_or_else(|| Why::Said(format!("no version {version}")))
         };
         match asked {
             Asked::Set { change, expected, author, reason, dry, wait } => {
-                let trail = self.store.trail();
+                let trail = self.store.log();
                 let expected = expected.unwrap_or(trail.state.version);
                 let text = trail.propose(expected, &author, &reason, wall(), change.clone());
                 let text = text.map_err(|r| Why::Said(r.to_string()))?;
@@ -295,7 +296,7 @@
                     return Ok(Some(format!("would be version {}", expected + 1)));
                 }
                 let lowers = lowers(&trail.state, &change);
-                let line = self.store.keep(&text).map_err(|e| Why::Store(e.to_string()))?;
+                let line = self.store.append(&text).map_err(|e| Why::Store(e.to_string()))?;
                 tracing::info!(version = line.version, author = line.author, reason = line.reason, "changed");
                 if lowers {
                     self.hosts.lowers(line.version);
@@ -308,7 +309,7 @@
                 Ok(None)
             }
             Asked::Undo { version, author, reason, dry, wait } => {
-                let line = self.store.lines(version, 1).map_err(read)?.pop();
+                let line = self.store.entries(version, 1).map_err(read)?.pop();
                 let line: Line = line
                     .and_then(|text| serde_json::from_str(&text).ok())
                     .ok_or_else(|| Why::Said(format!("no version {version}")))?;
@@ -318,12 +319,12 @@
             Asked::Show { version } => {
                 let state = match version {
                     Some(version) => at(version)?.state,
-                    None => self.store.trail().state.clone(),
+                    None => self.store.log().state.clone(),
                 };
                 Ok(Some(serde_json::to_string(&state).expect("plain")))
             }
             Asked::History { from, most } => {
-                let lines = self.store.lines(from, most.min(10_000)).map_err(read)?;
+                let lines = self.store.entries(from, most.min(10_000)).map_err(read)?;
                 Ok(Some(lines.join("\n")))
             }
             Asked::Diff { one, other } => {
@@ -346,14 +347,14 @@
             }
             Asked::Gone { host } => {
                 if self.hosts.gone(&host, self.now) {
-                    self.store.member(&host, false).map_err(|e| Why::Store(e.to_string()))?;
+                    self.store.remove_member(&host).map_err(|e| Why::Store(e.to_string()))?;
                     Ok(Some(format!("{host} is taken for gone")))
                 } else {
                     Err(Why::Said(format!("`{host}`: unknown, or heard of in the last seconds")))
                 }
             }
             Asked::Replay => {
-                let lines = self.store.replay().map_err(read)?;
+                let lines = self.store.verify().map_err(read)?;
                 Ok(Some(format!("trail replays: {lines} of {}", self.version())))
             }
         }
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,9 +1,9 @@
 //! Walks catalog and nodes and counts references: every place of the tree, and every block that nodes hold.
 use crate::client::Counter;
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::tree::{LayerId, Place, Tree};
+use mallowseam_cow::tree::{FIRST_LAYER_ID, LayerId, Location, Tree};
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_settings::Site;
+use mallowseam_snapshot_catalog::Catalog;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Room for one answer of a node: some thousand runs.
@@ -16,7 +16,7 @@
     /// Places whose node holds something there. The rest read as zeros.
     pub held: usize,
     /// Places that a node holds and nothing refers to.
-    pub leaked: Vec<(LayerId, Place)>,
+    pub leaked: Vec<(LayerId, Location)>,
     pub faults: Vec<String>,
 }
 
@@ -25,13 +25,16 @@
     let settings = site.catalog.as_ref().ok_or("no section catalog")?;
     let catalog = Catalog::open(&settings.store).map_err(|e| format!("{}: {e}", settings.store.display()))?;
     let tree = catalog.tree();
-    let mut found = Found { faults: tree.faults(), ..Found::default() };
+    let mut found = Found {
+        faults: tree.inconsistencies().iter().map(ToString::to_string).collect(),
+        ..Found::default()
+    };
     let mut wanted: BTreeMap<u32, BTreeSet<(LayerId, u32)>> = BTreeMap::new();
     for (layer, l) in &tree.layers {
-        for place in l.places.values() {
+        for place in l.locations.values() {
             found.places += 1;
-            if !wanted.entry(place.node).or_default().insert((*layer, place.number)) {
-                found.faults.push(format!("layer {layer}: place {} is referred to twice", place.number));
+            if !wanted.entry(place.node).or_default().insert((*layer, place.slot)) {
+                found.faults.push(format!("layer {layer}: place {} is referred to twice", place.slot));
             }
             if place.node as usize >= site.nodes.len() {
                 found.faults.push(format!("layer {layer}: lies on node {}, which is not there", place.node));
@@ -52,7 +55,7 @@
                     found.held += 1;
                     continue;
                 }
-                found.leaked.push((layer, Place { node: n as u32, number }));
+                found.leaked.push((layer, Location { node: n as u32, slot: number }));
                 if mend {
                     let run = (u64::from(number) * settings.extent, settings.extent as u32);
                     let (cdb, data) = scsi::unmap(&[run]);
@@ -69,7 +72,7 @@
 }
 
 fn made(tree: &Tree) -> impl Iterator<Item = LayerId> + '_ {
-    mallowseam_cow::tree::FIRST_LAYER..tree.layers_made()
+    FIRST_LAYER_ID..tree.next_layer_id()
 }
 
 /// Numbers of the places that a node holds anything of.
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -621,9 +621,9 @@
                     let heads = tree.branches.get(&v.name).map(|b| b.head);
                     let cuts = tree.snapshots.values().filter(|s| s.branch == v.name).map(|s| s.layer);
                     for root in heads.into_iter().chain(cuts) {
-                        for (layer, l) in tree.chain(root) {
-                            for (extent, p) in &l.places {
-                                let at = (layer, p.node, u64::from(p.number));
+                        for (layer, l) in tree.ancestors(root) {
+                            for (extent, p) in &l.locations {
+                                let at = (layer, p.node, u64::from(p.slot));
                                 places.found.insert(at, (volume, u64::from(*extent)));
                             }
                         }
--- a/crates/lab/src/snapbench.rs
+++ b/crates/lab/src/snapbench.rs
@@ -7,12 +7,12 @@
 use crate::rehearse::Program;
 use crate::trace::Trace;
 use hdrhistogram::Histogram;
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::cache::Cache;
-use mallowseam_cow::tree::{Change, Place};
-use mallowseam_cow::words::{ToHost, whole};
+use mallowseam_cow::messages::{ToHost, full_tree_messages};
+use mallowseam_cow::tree::{Change, Location};
+use mallowseam_cow::tree_replica::TreeReplica;
 use mallowseam_iscsi::initiator::Came;
 use mallowseam_iscsi::scsi::{self, status};
+use mallowseam_snapshot_catalog::Catalog;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -271,36 +271,36 @@
 }
 
 fn make(catalog: &mut Catalog, change: Change) -> Result<(), String> {
-    catalog.propose(change).map(drop).map_err(|r| r.to_string())
+    catalog.stage(change).map(drop).map_err(|r| r.to_string())
 }
 
 fn place(catalog: &mut Catalog, extent: u32) -> Result<(), String> {
     let layer = catalog.tree().branches["a"].head;
-    let number = catalog.tree().layers[&layer].next_number;
-    make(catalog, Change::Numbers { layer, first: number, count: 1 })?;
-    let place = Place { node: extent % 6, number };
-    make(catalog, Change::Placed { layer, extent, place })?;
-    make(catalog, Change::Opened { layer, extent })
+    let slot = catalog.tree().layers[&layer].next_slot;
+    make(catalog, Change::SlotsAllocated { layer, first: slot, count: 1 })?;
+    let location = Location { node: extent % 6, slot };
+    make(catalog, Change::ExtentPlaced { layer, extent, location })?;
+    make(catalog, Change::ExtentWritable { layer, extent })
 }
 
 fn cut(catalog: &mut Catalog, name: u32) -> Result<(), String> {
     let layer = catalog.tree().branches["a"].head;
-    make(catalog, Change::Cut { branch: "a".into() })?;
-    for (layer, node) in catalog.tree().to_close().collect::<Vec<_>>() {
-        make(catalog, Change::Closed { layer, node })?;
+    make(catalog, Change::HeadFrozen { branch: "a".into() })?;
+    for (layer, node) in catalog.tree().pending_closes().collect::<Vec<_>>() {
+        make(catalog, Change::LayerClosed { layer, node })?;
     }
-    make(catalog, Change::Named { branch: "a".into(), name: format!("s{name}"), layer })
+    make(catalog, Change::SnapshotCreated { branch: "a".into(), name: format!("s{name}"), layer })
 }
 
 fn keep(catalog: &mut Catalog) -> Result<(), String> {
-    catalog.keep().map(drop).map_err(|e| e.to_string())
+    catalog.commit().map(drop).map_err(|e| e.to_string())
 }
 
 /// A volume of 1 TiB of which a thousand extents are written, and a hundred again after each snapshot.
 fn sparse(snapshots: u32, out: &mut String) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let mut catalog = store(dir.path())?;
-    make(&mut catalog, Change::Made { branch: "a".into(), extents: TERA })?;
+    make(&mut catalog, Change::BranchCreated { branch: "a".into(), extent_count: TERA })?;
     (0..1_000).try_for_each(|e| place(&mut catalog, e * 1_000))?;
     for s in 0..snapshots {
         cut(&mut catalog, s)?;
@@ -318,7 +318,7 @@
         keep(&mut catalog)?;
         firsts.push(began.elapsed().as_secs_f64() * 1e3);
     }
-    let held: usize = catalog.tree().layers.values().map(|l| l.places.len()).sum();
+    let held: usize = catalog.tree().layers.values().map(|l| l.locations.len()).sum();
     let bytes = std::fs::metadata(dir.path().join("store")).map_err(|e| e.to_string())?.len();
     drop(catalog);
     let began = Instant::now();
@@ -341,7 +341,7 @@
 fn million(out: &mut String) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let mut catalog = store(dir.path())?;
-    make(&mut catalog, Change::Made { branch: "a".into(), extents: TERA })?;
+    make(&mut catalog, Change::BranchCreated { branch: "a".into(), extent_count: TERA })?;
     for e in 0..TERA {
         place(&mut catalog, e)?;
         if e % 65_536 == 65_535 {
@@ -359,15 +359,16 @@
     cut(&mut catalog, 0)?;
     keep(&mut catalog)?;
     let cut_in = span(began);
-    let lines: Vec<String> =
-        whole(1, catalog.tree()).map(|w| serde_json::to_string(&w).expect("words are plain")).collect();
-    let (mut cache, began, mut longest) = (Cache::default(), Instant::now(), 0.0f64);
+    let lines: Vec<String> = full_tree_messages(1, catalog.tree())
+        .map(|w| serde_json::to_string(&w).expect("words are plain"))
+        .collect();
+    let (mut cache, began, mut longest) = (TreeReplica::default(), Instant::now(), 0.0f64);
     for line in &lines {
         let at = Instant::now();
         match serde_json::from_str(line).map_err(|e| e.to_string())? {
-            ToHost::Whole { catalog, tree } => cache.coming(catalog, *tree),
-            ToHost::Part { layer, lies } => drop(cache.part(layer, &lies)),
-            _ => drop(cache.filled()),
+            ToHost::FullTree { catalog_id, tree } => cache.begin_full_tree(catalog_id, *tree),
+            ToHost::Locations { layer, locations } => drop(cache.add_locations(layer, &locations)),
+            _ => drop(cache.finish_full_tree()),
         }
         longest = longest.max(span(at));
     }
--- /dev/null
+++ b/crates/snapshot-catalog/src/lib.rs
@@ -0,0 +1,164 @@
+//! The tree of snapshots and clones on disk: each layer, location, branch and snapshot has a row of its own, and each
+//! batch of changes writes those rows that it affects, in one transaction. What `commit` has returned for is there
+//! after any crash, and nothing that was not committed. Opening reads all rows once.
+//!
+//! - `rows`: the tables, and which rows a batch has to write.
+//! - `load`: the tree from the tables.
+//! - `format_1`: conversion of files of the first format.
+#![warn(missing_docs)]
+
+mod error;
+mod format_1;
+mod load;
+mod rows;
+
+pub use error::{CatalogDamage, Error};
+
+use mallowseam_cow::tree::{Change, ChangeEffects, ChangeError, Tree};
+use mallowseam_durable_store::{DurableStore, Format, StoredFormat};
+use redb::{StorageBackend, WriteTransaction};
+use rows::DirtyRows;
+use std::collections::VecDeque;
+use std::hash::{BuildHasher, Hasher, RandomState};
+use std::path::Path;
+
+const FORMAT: Format = Format { key: "catalog", current: 2, oldest: format_1::FORMAT };
+/// Changes remembered for hosts that were disconnected for a moment: some seconds of first writes.
+const MAX_RECENT_CHANGES: usize = 4_096;
+
+/// An open catalog.
+#[derive(Debug)]
+pub struct Catalog {
+    store: DurableStore,
+    id: u64,
+    tree: Tree,
+    committed_version: u64,
+    /// Changes that are not on disk yet, and the rows that they affect.
+    staged: Vec<Change>,
+    dirty: DirtyRows,
+    /// The last changes on disk.
+    recent: VecDeque<Change>,
+}
+
+/// The changes of one commit.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct CommittedBatch {
+    /// Version of the tree after the first change.
+    pub first_version: u64,
+    /// The changes, in order.
+    pub changes: Vec<Change>,
+}
+
+impl Catalog {
+    /// Opens a file, or creates it. A file of an older format is converted.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be opened or read, or its contents are damaged.
+    pub fn open(path: &Path) -> Result<Catalog, Error> {
+        Catalog::read(DurableStore::open(path, FORMAT, prepare)?)
+    }
+
+    /// The same on another storage than a file.
+    ///
+    /// # Errors
+    ///
+    /// As [`Catalog::open`].
+    pub fn open_with_backend(backend: impl StorageBackend) -> Result<Catalog, Error> {
+        Catalog::read(DurableStore::open_with_backend(backend, FORMAT, prepare)?)
+    }
+
+    fn read(store: DurableStore) -> Result<Catalog, Error> {
+        let (id, tree) = load::load(&store)?;
+        let inconsistencies = tree.inconsistencies();
+        if !inconsistencies.is_empty() {
+            return Err(CatalogDamage::Inconsistent(inconsistencies).into());
+        }
+        Ok(Catalog {
+            store,
+            id,
+            committed_version: tree.version,
+            tree,
+            staged: Vec::new(),
+            dirty: DirtyRows::default(),
+            recent: VecDeque::new(),
+        })
+    }
+
+    /// The random id of this catalog: the trees of two catalogs have nothing in common.
+    #[must_use]
+    pub fn id(&self) -> u64 {
+        self.id
+    }
+
+    /// The tree after all staged changes, on disk or not.
+    #[must_use]
+    pub fn tree(&self) -> &Tree {
+        &self.tree
+    }
+
+    /// The version of the tree that is on disk.
+    #[must_use]
+    pub fn committed_version(&self) -> u64 {
+        self.committed_version
+    }
+
+    /// Applies a change to the tree in memory. It is on disk once [`Catalog::commit`] has returned.
+    ///
+    /// # Errors
+    ///
+    /// The change does not fit the tree, which is unchanged then.
+    pub fn stage(&mut self, change: Change) -> Result<ChangeEffects, ChangeError> {
+        let effects = self.tree.apply(&change)?;
+        self.dirty.add(&effects);
+        self.staged.push(change);
+        Ok(effects)
+    }
+
+    /// Writes all staged changes to disk, all or none, and returns them.
+    ///
+    /// # Errors
+    ///
+    /// Those of the database. After one the catalog commits nothing more: whether the changes are on disk is known
+    /// only after opening it anew.
+    pub fn commit(&mut self) -> Result<CommittedBatch, Error> {
+        self.store.check_not_poisoned()?;
+        let first_version = self.committed_version + 1;
+        if self.staged.is_empty() {
+            return Ok(CommittedBatch { first_version, changes: Vec::new() });
+        }
+        let Catalog { store, tree, dirty, .. } = self;
+        store.write_or_poison(|transaction| dirty.write(transaction, tree))?;
+        self.committed_version = self.tree.version;
+        self.dirty = DirtyRows::default();
+        let changes = std::mem::take(&mut self.staged);
+        self.recent.extend(changes.iter().cloned());
+        self.recent.drain(..self.recent.len().saturating_sub(MAX_RECENT_CHANGES));
+        Ok(CommittedBatch { first_version, changes })
+    }
+
+    /// The changes after a version up to what is on disk, each with the version that it leads to. None: they are too
+    /// long ago, or the version is not one of this catalog.
+    #[must_use]
+    pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = (u64, &Change)>> {
+        let missing = self.committed_version.checked_sub(version)?;
+        let from = self.recent.len().checked_sub(usize::try_from(missing).ok()?)?;
+        Some((version + 1..).zip(self.recent.range(from..)))
+    }
+}
+
+/// Writes the tree of a new file, or that of an older format.
+fn prepare(transaction: &WriteTransaction, stored: StoredFormat) -> Result<(), Error> {
+    let tree = match stored {
+        StoredFormat::Current => return Ok(()),
+        StoredFormat::Missing => Tree::default(),
+        StoredFormat::Older(_) => format_1::take_tree(transaction)?,
+    };
+    DirtyRows::all(&tree).write(transaction, &tree)?;
+    rows::write_id(transaction, random_id())
+}
+
+/// A random id other than 0. It comes from neither time nor place: two catalogs that are created at once differ.
+fn random_id() -> u64 {
+    RandomState::new().build_hasher().finish().max(1)
+}
