--- a/crates/catalog/tests/stored_catalogs.rs
+++ b/crates/snapshot-catalog/tests/stored_files.rs
@@ -1,18 +1,18 @@
 //! Catalog files written by earlier releases: they open with the state that was stored, take further changes,
 //! and keep the layout of their tables.
 //!
-//! `format-1.redb` was written by the release before the catalog was kept in rows (commit 7f43adc): a whole tree
+//! `format-1.redb` was written by the release before the catalog was stored in rows (commit 7f43adc): a whole tree
 //! after 4,097 changes and a log of seven more. `format-2.redb` was written before the code was restructured
 //! (commit 01f3988).
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::tree::{Change, Place, Tree};
+use mallowseam_cow::tree::{Change, Location, Tree};
+use mallowseam_snapshot_catalog::Catalog;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::path::{Path, PathBuf};
 
 const FORMATS: TableDefinition<&str, u64> = TableDefinition::new("format");
 const COUNTS: TableDefinition<&str, u64> = TableDefinition::new("counts");
 const LAYERS: TableDefinition<u32, &[u8]> = TableDefinition::new("layers");
-const PLACES: TableDefinition<(u32, u32), (u32, u32, bool)> = TableDefinition::new("places");
+const LOCATIONS: TableDefinition<(u32, u32), (u32, u32, bool)> = TableDefinition::new("places");
 const BRANCHES: TableDefinition<&str, &[u8]> = TableDefinition::new("branches");
 const SNAPSHOTS: TableDefinition<&str, &[u8]> = TableDefinition::new("snapshots");
 
@@ -34,9 +34,9 @@
 
 fn commit(catalog: &mut Catalog, changes: impl IntoIterator<Item = Change>) {
     for change in changes {
-        catalog.propose(change).expect("fits");
+        catalog.stage(change).expect("fits");
     }
-    catalog.keep().expect("kept");
+    catalog.commit().expect("kept");
 }
 
 /// Rows of a table as text: key and value.
@@ -98,8 +98,8 @@
         (1030, "[null,false,0,[]]"),
     ];
     assert_eq!(layers, expected.map(|(id, value)| (id, value.to_owned())));
-    let places = read.open_table(PLACES).expect("there");
-    let places: Vec<_> = places
+    let locations = read.open_table(LOCATIONS).expect("there");
+    let locations: Vec<_> = locations
         .iter()
         .expect("rows")
         .map(|row| row.expect("a row"))
@@ -111,7 +111,7 @@
         ((1026, 4_095), (2, 4, false)),
         ((1029, 9), (1, 5, true)),
     ];
-    assert_eq!(places, expected);
+    assert_eq!(locations, expected);
     let branches = [
         row("audit", r#"{"head":1027,"unit":1027,"extents":4096,"origin":"ledger@march"}"#),
         row("ledger", r#"{"head":1029,"unit":1024,"extents":4096,"origin":null}"#),
@@ -124,19 +124,19 @@
 }
 
 #[test]
-fn a_stored_catalog_opens_takes_changes_and_keeps_its_layout() {
+fn stored_catalog_opens_takes_changes_and_keeps_its_layout() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-2.redb");
     let mut catalog = Catalog::open(&path).expect("sound");
-    assert_eq!((catalog.id(), catalog.kept()), (FORMAT_2_ID, 23));
+    assert_eq!((catalog.id(), catalog.committed_version()), (FORMAT_2_ID, 23));
     assert_eq!(json(catalog.tree()), FORMAT_2_TREE);
     commit(
         &mut catalog,
         [
-            Change::Numbers { layer: 1029, first: 0, count: 64 },
-            Change::Placed { layer: 1029, extent: 9, place: Place { node: 1, number: 5 } },
-            Change::Opened { layer: 1029, extent: 9 },
-            Change::Made { branch: "spare".into(), extents: 16 },
+            Change::SlotsAllocated { layer: 1029, first: 0, count: 64 },
+            Change::ExtentPlaced { layer: 1029, extent: 9, location: Location { node: 1, slot: 5 } },
+            Change::ExtentWritable { layer: 1029, extent: 9 },
+            Change::BranchCreated { branch: "spare".into(), extent_count: 16 },
         ],
     );
     let tree = catalog.tree().clone();
@@ -147,12 +147,12 @@
 }
 
 #[test]
-fn a_stored_catalog_of_format_1_is_converted_whole() {
+fn stored_catalog_of_format_1_is_converted() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-1.redb");
     assert_eq!(tables(&Database::open(&path).expect("there")), ["changes", "format", "tree"]);
     let mut catalog = Catalog::open(&path).expect("sound");
-    assert_eq!(catalog.kept(), 4_104);
+    assert_eq!(catalog.committed_version(), 4_104);
     assert_eq!(json(catalog.tree()), FORMAT_1_TREE);
     let id = catalog.id();
     commit(&mut catalog, [Change::SnapshotDeleted { snapshot: "ledger@march".into() }]);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_catalog_of_an_unknown_format_or_without_a_count_is_refused() {
+fn unknown_format_and_missing_counter_are_errors() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-2.redb");
     let set = |name: &str, value: Option<u64>, table: TableDefinition<&str, u64>| {
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn the_last_4_096_changes_are_remembered_for_hosts() {
+fn last_4_096_changes_are_remembered() {
     let dir = tempfile::tempdir().expect("a directory");
     let mut catalog = Catalog::open(&dir.path().join("catalog")).expect("new");
-    commit(&mut catalog, [Change::Made { branch: "a".into(), extents: 8 }]);
-    commit(&mut catalog, (0..4_100).map(|n| Change::Numbers { layer: 1024, first: n, count: 1 }));
-    assert_eq!(catalog.kept(), 4_101);
-    assert!(catalog.since(4).is_none());
-    let missed: Vec<(u64, &Change)> = catalog.since(5).expect("remembered").collect();
+    commit(&mut catalog, [Change::BranchCreated { branch: "a".into(), extent_count: 8 }]);
+    commit(&mut catalog, (0..4_100).map(|n| Change::SlotsAllocated { layer: 1024, first: n, count: 1 }));
+    assert_eq!(catalog.committed_version(), 4_101);
+    assert!(catalog.changes_since(4).is_none());
+    let missed: Vec<(u64, &Change)> = catalog.changes_since(5).expect("remembered").collect();
     assert_eq!(missed.len(), 4_096);
-    assert_eq!(missed[0], (6, &Change::Numbers { layer: 1024, first: 4, count: 1 }));
+    assert_eq!(missed[0], (6, &Change::SlotsAllocated { layer: 1024, first: 4, count: 1 }));
 }
