--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -1,9 +1,13 @@
 //! Pins every decision of the membership state machine: seeded streams of events go in, and the hash of all actions
 //! that come out is compared with the value recorded at 01f3988. A changed constant, order or random draw fails here.
-use mallowseam_fleet::settings::Settings;
-use mallowseam_fleet::wire::{self, Body, MOST, Message, Packet, Part, Range, Words};
-use mallowseam_fleet::word::{Facts, Life, Name, Told, Word, Zone, id};
-use mallowseam_fleet::{Carrier, Change, Fleet, Millis};
+use mallowseam_fleet::config::MembershipConfig;
+use mallowseam_fleet::record::{
+    ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Zone, member_id,
+};
+use mallowseam_fleet::wire::{
+    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message, RangeDigest,
+};
+use mallowseam_fleet::{ActionSink, Membership, MembershipEvent, Millis};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3Default;
@@ -57,58 +61,60 @@
         self.hash.update(bytes);
     }
 
-    fn change(&mut self, change: &Change) {
+    fn change(&mut self, change: &MembershipEvent) {
         self.changes += 1;
         match change {
-            Change::Member { name, address, facts, was, now } => {
+            MembershipEvent::MemberUpdated { name, address, versions, previous, current } => {
                 self.text("member");
                 self.text(name);
                 self.text(&address.to_string());
-                self.number(facts.list);
-                self.number(facts.plans);
-                self.text(was.map_or("-", |s| s.name()));
-                self.text(now.name());
+                self.number(versions.endpoint_list);
+                self.number(versions.plans);
+                self.text(previous.map_or("-", |s| s.as_str()));
+                self.text(current.as_str());
             }
-            Change::Forgot { name } => {
+            MembershipEvent::MemberForgotten { name } => {
                 self.text("forgot");
                 self.text(name);
             }
-            Change::Displaced { address } => {
+            MembershipEvent::Superseded { address } => {
                 self.text("displaced");
                 self.text(&address.to_string());
             }
-            Change::Alone(alone) => {
+            MembershipEvent::IsolationStarted | MembershipEvent::IsolationEnded => {
+                // The text is part of the recorded hash.
                 self.text("alone");
-                self.number(u64::from(*alone));
+                self.number(u64::from(*change == MembershipEvent::IsolationStarted));
             }
         }
     }
 
-    fn state(&mut self, fleet: &Fleet, now: Millis) {
-        self.number(fleet.due());
-        self.number(fleet.sum());
-        self.number(u64::from(fleet.alone()));
-        self.text(&fleet.displaced().map_or("-".to_owned(), |a| a.to_string()));
-        let counts = fleet.counts();
+    fn state(&mut self, fleet: &Membership, now: Millis) {
+        self.number(fleet.next_tick());
+        self.number(fleet.digest());
+        self.number(u64::from(fleet.is_isolated()));
+        self.text(&fleet.superseded_by().map_or("-".to_owned(), |a| a.to_string()));
+        let counters = fleet.counters();
         for count in [
-            counts.heard,
-            counts.sent,
-            counts.bytes_sent,
-            counts.torn,
-            counts.foreign,
-            counts.versions,
-            counts.full,
-            counts.refuted,
+            counters.received,
+            counters.sent,
+            counters.bytes_sent,
+            counters.malformed,
+            counters.other_fleet,
+            counters.unsupported_version,
+            counters.capacity_drops,
+            counters.refutations,
         ] {
             self.number(count);
         }
         self.number(now);
-        let members: Vec<(Word, &str)> = fleet.view().map(|(w, s)| (w.clone(), s.name())).collect();
-        for (word, state) in members {
-            self.text(&word.name);
+        let members: Vec<(MemberRecord, &str)> =
+            fleet.members().map(|(w, s)| (w.clone(), s.as_str())).collect();
+        for (record, state) in members {
+            self.text(&record.name);
             self.text(state);
-            self.number(word.generation);
-            self.number(u64::from(word.incarnation));
+            self.number(record.generation);
+            self.number(u64::from(record.incarnation));
         }
     }
 
@@ -123,13 +129,13 @@
     sent: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-impl Carrier for Actions<'_> {
+impl ActionSink for Actions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.recorder.datagram(to, bytes);
         self.sent.push((to, bytes.to_vec()));
     }
 
-    fn changed(&mut self, change: Change) {
+    fn notify(&mut self, change: MembershipEvent) {
         self.recorder.change(&change);
     }
 }
@@ -150,7 +156,7 @@
 }
 
 struct Host {
-    fleet: Option<Fleet>,
+    fleet: Option<Membership>,
     /// Not called before this time: a process that is stopped.
     stopped_until: Millis,
     /// The name that it takes at its next start.
@@ -190,21 +196,21 @@
 
     fn start(&mut self, host: usize) {
         let named = name(&format!("host-{}", self.hosts[host].name));
-        let mut settings = Settings::new(name("pins"), named, address(host as u64 + 1));
-        settings.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
-        settings.seeds = (0..3.min(self.hosts.len() as u64)).map(|n| address(n + 1)).collect();
+        let mut config = MembershipConfig::new(name("pins"), named, address(host as u64 + 1));
+        config.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
+        config.seeds = (0..3.min(self.hosts.len() as u64)).map(|n| address(n + 1)).collect();
         if host == 5 {
-            settings.seeds.clear();
+            config.seeds.clear();
         }
-        settings.period = self.period;
-        settings.keep = 45 * self.period;
-        settings.health = host != 2 || self.period != 250;
-        settings.confirmations = host != 1 || self.period != 250;
+        config.protocol_period = self.period;
+        config.unreachable_retention = 45 * self.period;
+        config.local_health = host != 2 || self.period != 250;
+        config.suspicion_confirmations = host != 1 || self.period != 250;
         let seed = self.rng.next();
-        self.hosts[host].fleet = Some(Fleet::new(settings, seed, self.now, 1_700_000_000_000 + self.now));
+        self.hosts[host].fleet = Some(Membership::new(config, seed, self.now, 1_700_000_000_000 + self.now));
     }
 
-    fn with(&mut self, host: usize, act: impl FnOnce(&mut Fleet, Millis, &mut dyn Carrier)) {
+    fn with(&mut self, host: usize, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let now = self.now;
         let Some(fleet) = self.hosts[host].fleet.as_mut() else { return };
         self.recorder.number(host as u64);
@@ -244,13 +250,13 @@
         for datagram in due {
             let receiver = (0..self.hosts.len()).find(|n| address(*n as u64 + 1) == datagram.to);
             let Some(host) = receiver.filter(|h| self.hosts[*h].stopped_until <= now) else { continue };
-            self.with(host, |f, now, out| f.heard(datagram.from, &datagram.bytes, now, out));
+            self.with(host, |f, now, out| f.receive(datagram.from, &datagram.bytes, now, out));
         }
     }
 
     fn tick(&mut self) {
         for host in 0..self.hosts.len() {
-            let due = self.hosts[host].fleet.as_ref().is_some_and(|f| f.due() <= self.now);
+            let due = self.hosts[host].fleet.as_ref().is_some_and(|f| f.next_tick() <= self.now);
             if due && self.hosts[host].stopped_until <= self.now {
                 self.with(host, |f, now, out| f.tick(now, out));
             }
@@ -258,13 +264,13 @@
     }
 
     /// Something that happens to one host or to the network.
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let host = self.rng.below(self.hosts.len() as u64) as usize;
         match self.rng.below(16) {
             0 => self.hosts[host].fleet = None,
-            1 => self.with(host, |f, now, out| f.leave(false, now, out)),
+            1 => self.with(host, |f, now, out| f.announce_leaving(now, out)),
             2 => {
-                self.with(host, |f, now, out| f.leave(true, now, out));
+                self.with(host, |f, now, out| f.announce_left(now, out));
                 self.hosts[host].fleet = None;
             }
             3 => self.hosts[host].stopped_until = self.now + self.rng.below(8) * self.period,
@@ -280,17 +286,17 @@
                 self.hosts[host].name = host as u64;
             }
             11 => {
-                let facts = Facts { list: self.rng.below(9), plans: self.rng.below(9) };
-                self.with(host, |f, now, out| f.facts(facts, now, out));
+                let versions = ActiveVersions { endpoint_list: self.rng.below(9), plans: self.rng.below(9) };
+                self.with(host, |f, now, out| f.set_active_versions(versions, now, out));
             }
             12 => {
                 let seeds = vec![address(self.rng.below(8) + 1), address(self.rng.below(8) + 1)];
-                self.with(host, |f, _, _| f.seeds(seeds));
+                self.with(host, |f, _, _| f.set_seeds(seeds));
             }
             13 => {
-                let question = wire::look(if self.rng.one_in(2) { 0 } else { self.rng.next() });
+                let query = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next() });
                 let from = address(200);
-                self.with(host, |f, now, out| f.heard(from, &question, now, out));
+                self.with(host, |f, now, out| f.receive(from, &query, now, out));
             }
             _ => {
                 if self.hosts[host].fleet.is_none() {
@@ -309,7 +315,7 @@
             self.deliver();
             self.tick();
             if self.rng.one_in(25) {
-                self.trouble();
+                self.inject_fault();
             }
             if step % 50 == 0 {
                 for host in &self.hosts {
@@ -368,42 +374,51 @@
     small_fleets(14..20);
 }
 
-// One member among many: bounds on answers, pages, indirect questions and news.
+// One member among many: bounds on answers, pages, indirect pings and gossip.
 
-struct Crowd {
+struct LargeFleet {
     rng: Rng,
-    fleet: Fleet,
+    member: Membership,
     now: Millis,
     recorder: Recorder,
     sent: usize,
 }
 
-fn record(host: u64, generation: u64, incarnation: u32, life: Life) -> Word {
+fn record(host: u64, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
     let zone = Zone::try_from(["a", "b"][host as usize % 2]).expect("short");
-    let facts = Facts { list: host, plans: 0 };
+    let versions = ActiveVersions { endpoint_list: host, plans: 0 };
     let named = name(&format!("member-{host}"));
-    Word { name: named, generation, incarnation, life, address: address(host), zone, facts, started: 0 }
+    MemberRecord {
+        name: named,
+        generation,
+        incarnation,
+        lifecycle,
+        address: address(host),
+        zone,
+        versions,
+        started_ms: 0,
+    }
 }
 
-impl Crowd {
+impl LargeFleet {
     fn new(seed: u64) -> Self {
-        let settings = Settings::new(name("pins"), name("own"), address(0));
-        let fleet = Fleet::new(settings, seed, 0, 1_700_000_000_000);
-        Crowd { rng: Rng(seed), fleet, now: 0, recorder: Recorder::new(), sent: 0 }
+        let config = MembershipConfig::new(name("pins"), name("own"), address(0));
+        let member = Membership::new(config, seed, 0, 1_700_000_000_000);
+        LargeFleet { rng: Rng(seed), member, now: 0, recorder: Recorder::new(), sent: 0 }
     }
 
-    fn with(&mut self, act: impl FnOnce(&mut Fleet, Millis, &mut dyn Carrier)) {
+    fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let mut actions = Actions { recorder: &mut self.recorder, sent: Vec::new() };
-        act(&mut self.fleet, self.now, &mut actions);
+        act(&mut self.member, self.now, &mut actions);
         self.sent = actions.sent.len();
     }
 
-    fn deliver(&mut self, from: Word, body: Body, news: Words) {
+    fn deliver(&mut self, from: MemberRecord, body: GossipBody, updates: GossipUpdates) {
         let address = from.address;
-        let mut buffer = [0; MOST];
-        let message = Message::Member(Packet { from, body, news });
-        let Some(bytes) = wire::write("pins", &message, &mut buffer) else { return };
-        self.with(|f, now, out| f.heard(address, bytes, now, out));
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        let message = Message::Gossip(GossipMessage { sender: from, body, updates });
+        let Some(bytes) = wire::encode("pins", &message, &mut buffer) else { return };
+        self.with(|f, now, out| f.receive(address, bytes, now, out));
     }
 
     fn tick(&mut self, pause: Millis) {
@@ -413,48 +428,53 @@
 
     fn introduce(&mut self, hosts: std::ops::Range<u64>) {
         for host in hosts {
-            self.deliver(record(host, 1, 1, Life::Alive), Body::Tell, Words::new());
+            self.deliver(record(host, 1, 1, Lifecycle::Alive), GossipBody::UpdatesOnly, GossipUpdates::new());
         }
     }
 
-    fn some_body(&mut self) -> Body {
+    fn random_body(&mut self) -> GossipBody {
         let range = |rng: &mut Rng| {
             let depth = [0, 4, 8, 60, 64][rng.below(5) as usize];
-            Range { depth, prefix: rng.below(16) }
+            IdRange { prefix_bits: depth, prefix: rng.below(16) }
         };
         let number = self.rng.below(40) as u32;
         match self.rng.below(10) {
-            0 => Body::Ping { nr: number },
-            1 => Body::Ack { nr: number },
-            2 | 3 => Body::AskFor { nr: number, id: self.rng.next(), address: address(self.rng.below(700)) },
-            4 => Body::Asked { nr: number, well: self.rng.one_in(2) },
+            0 => GossipBody::Ping { sequence: number },
+            1 => GossipBody::Ack { sequence: number },
+            2 | 3 => GossipBody::PingRequest {
+                sequence: number,
+                target_id: self.rng.next(),
+                target_address: address(self.rng.below(700)),
+            },
+            4 => GossipBody::PingRequestResult { sequence: number, acknowledged: self.rng.one_in(2) },
             5 | 6 => {
                 let count = self.rng.below(20);
-                let parts = (0..count).map(|_| Part {
+                let digests = (0..count).map(|_| RangeDigest {
                     range: range(&mut self.rng),
-                    sum: self.rng.below(2),
+                    digest: self.rng.below(2),
                     count: self.rng.below(20) as u32,
                 });
-                Body::Parts(heapless::Vec::from_iter(parts))
+                GossipBody::RangeDigests(heapless::Vec::from_iter(digests))
             }
             7 | 8 => {
                 let count = 1 + self.rng.below(3);
                 let ranges = heapless::Vec::from_iter((0..count).map(|_| range(&mut self.rng)));
-                Body::Range { ranges, back: !self.rng.one_in(3) }
+                GossipBody::RangeRecords { ranges, reply_wanted: !self.rng.one_in(3) }
             }
-            _ => Body::Tell,
+            _ => GossipBody::UpdatesOnly,
         }
     }
 
-    fn some_news(&mut self) -> Words {
-        let lives = [Life::Joining, Life::Alive, Life::Leaving, Life::Left];
+    fn random_updates(&mut self) -> GossipUpdates {
+        let states = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
         let count = self.rng.below(4);
-        Words::from_iter((0..count).map(|_| {
+        GossipUpdates::from_iter((0..count).map(|_| {
             let host = 1 + self.rng.below(720);
-            let life = if self.rng.one_in(5) { lives[self.rng.below(4) as usize] } else { Life::Alive };
-            let word = record(host, 1, self.rng.below(4) as u32, life);
-            let doubt = self.rng.one_in(3).then(|| self.rng.below(6) as u32);
-            Told { word, doubt }
+            let lifecycle =
+                if self.rng.one_in(5) { states[self.rng.below(4) as usize] } else { Lifecycle::Alive };
+            let record = record(host, 1, self.rng.below(4) as u32, lifecycle);
+            let suspected_by = self.rng.one_in(3).then(|| self.rng.below(6) as u32);
+            GossipUpdate { record, suspected_by }
         }))
     }
 
@@ -463,20 +483,20 @@
         for step in 0..steps {
             let host = 1 + self.rng.below(members + 20);
             let incarnation = self.rng.below(3) as u32;
-            let (body, news) = (self.some_body(), self.some_news());
-            self.deliver(record(host, 1, incarnation, Life::Alive), body, news);
+            let (body, updates) = (self.random_body(), self.random_updates());
+            self.deliver(record(host, 1, incarnation, Lifecycle::Alive), body, updates);
             if self.rng.one_in(6) {
                 let pause = 20 + self.rng.below(300);
                 self.tick(pause);
             }
             if step % 100 == 0 {
-                self.recorder.state(&self.fleet, self.now);
+                self.recorder.state(&self.member, self.now);
             }
         }
-        self.with(|f, now, out| f.leave(false, now, out));
-        self.with(|f, now, out| f.leave(true, now, out));
+        self.with(|f, now, out| f.announce_leaving(now, out));
+        self.with(|f, now, out| f.announce_left(now, out));
         self.recorder.number(self.sent as u64);
-        self.recorder.state(&self.fleet, self.now);
+        self.recorder.state(&self.member, self.now);
         self.recorder.result()
     }
 }
@@ -491,50 +511,71 @@
 #[test]
 fn a_member_of_a_large_fleet_acts_as_recorded() {
     let found: Vec<_> =
-        [6, 40, 200, 640].into_iter().map(|members| Crowd::new(members).run(members, 700)).collect();
+        [6, 40, 200, 640].into_iter().map(|members| LargeFleet::new(members).run(members, 700)).collect();
     assert_eq!(found, LARGE_FLEETS);
 }
 
 #[test]
 fn range_digests_are_answered_with_as_many_datagrams_as_recorded() {
-    let mut crowd = Crowd::new(3);
-    crowd.introduce(1..400);
+    let mut fleet = LargeFleet::new(3);
+    fleet.introduce(1..400);
     let mut sent = Vec::new();
     for round in 0..20 {
-        let root = Range { depth: 0, prefix: 0 };
-        let parts = heapless::Vec::from_iter([Part { range: root, sum: 0, count: 3 + round % 12 }]);
-        crowd.deliver(record(1 + u64::from(round), 1, 1, Life::Alive), Body::Parts(parts), Words::new());
-        sent.push(crowd.sent);
-    }
-    let ranges = heapless::Vec::from_iter([Range { depth: 0, prefix: 0 }]);
-    crowd.deliver(record(1, 1, 1, Life::Alive), Body::Range { ranges, back: true }, Words::new());
-    sent.push(crowd.sent);
+        let root = IdRange { prefix_bits: 0, prefix: 0 };
+        let parts = heapless::Vec::from_iter([RangeDigest { range: root, digest: 0, count: 3 + round % 12 }]);
+        fleet.deliver(
+            record(1 + u64::from(round), 1, 1, Lifecycle::Alive),
+            GossipBody::RangeDigests(parts),
+            GossipUpdates::new(),
+        );
+        sent.push(fleet.sent);
+    }
+    let ranges = heapless::Vec::from_iter([IdRange { prefix_bits: 0, prefix: 0 }]);
+    fleet.deliver(
+        record(1, 1, 1, Lifecycle::Alive),
+        GossipBody::RangeRecords { ranges, reply_wanted: true },
+        GossipUpdates::new(),
+    );
+    sent.push(fleet.sent);
     assert_eq!(sent, vec![4, 4, 4, 4, 4, 4, 1, 1, 1, 1, 1, 1, 4, 4, 4, 4, 0, 0, 0, 0, 4]);
-    assert_eq!(crowd.recorder.result(), (12177555412540437504, 50, 399));
+    assert_eq!(fleet.recorder.result(), (12177555412540437504, 50, 399));
 }
 
 #[test]
 fn a_suspicion_that_another_member_confirmed_outlasts_the_isolation_of_the_host() {
     for confirmed in [true, false] {
-        let mut crowd = Crowd::new(11);
-        crowd.introduce(1..3);
-        let state = |crowd: &Crowd| {
-            crowd.fleet.view().find(|(w, _)| w.name == "member-2").map(|(_, s)| s.name()).expect("a member")
+        let mut fleet = LargeFleet::new(11);
+        fleet.introduce(1..3);
+        let state = |fleet: &LargeFleet| {
+            fleet
+                .member
+                .members()
+                .find(|(w, _)| w.name == "member-2")
+                .map(|(_, s)| s.as_str())
+                .expect("a member")
         };
-        while state(&crowd) != "suspect" {
-            assert!(crowd.now < 20_000, "not suspected in time");
-            crowd.tick(100);
-            let confirm = Told { word: record(2, 1, 1, Life::Alive), doubt: Some(5) };
-            let suspected = confirmed && state(&crowd) == "suspect";
-            let news = Words::from_iter(suspected.then_some(confirm));
-            crowd.deliver(record(1, 1, 1, Life::Alive), Body::Ack { nr: crowd.now as u32 / 100 }, news);
+        while state(&fleet) != "suspect" {
+            assert!(fleet.now < 20_000, "not suspected in time");
+            fleet.tick(100);
+            let confirm = GossipUpdate { record: record(2, 1, 1, Lifecycle::Alive), suspected_by: Some(5) };
+            let suspected = confirmed && state(&fleet) == "suspect";
+            let updates = GossipUpdates::from_iter(suspected.then_some(confirm));
+            fleet.deliver(
+                record(1, 1, 1, Lifecycle::Alive),
+                GossipBody::Ack { sequence: fleet.now as u32 / 100 },
+                updates,
+            );
         }
-        while !crowd.fleet.alone() {
-            assert!(crowd.now < 40_000, "not isolated in time");
-            crowd.tick(100);
+        while !fleet.member.is_isolated() {
+            assert!(fleet.now < 40_000, "not isolated in time");
+            fleet.tick(100);
         }
-        crowd.deliver(record(1, 1, 1, Life::Alive), Body::Ack { nr: 0 }, Words::new());
-        assert_eq!(state(&crowd), if confirmed { "suspect" } else { "alive" });
+        fleet.deliver(
+            record(1, 1, 1, Lifecycle::Alive),
+            GossipBody::Ack { sequence: 0 },
+            GossipUpdates::new(),
+        );
+        assert_eq!(state(&fleet), if confirmed { "suspect" } else { "alive" });
     }
 }
 
@@ -542,16 +583,17 @@
 fn ranges_deeper_than_sixty_bits_are_passed_over() {
     let mut found = Vec::new();
     for depth in 58..=64u8 {
-        let mut crowd = Crowd::new(10);
-        crowd.introduce(1..4);
-        let range = Range { depth, prefix: id("member-2") >> (64 - depth) };
-        let digest = Part { range, sum: 0, count: 0 };
-        let parts = Body::Parts(heapless::Vec::from_iter([digest]));
-        let ranges = Body::Range { ranges: heapless::Vec::from_iter([range]), back: true };
+        let mut fleet = LargeFleet::new(10);
+        fleet.introduce(1..4);
+        let range = IdRange { prefix_bits: depth, prefix: member_id("member-2") >> (64 - depth) };
+        let digest = RangeDigest { range, digest: 0, count: 0 };
+        let parts = GossipBody::RangeDigests(heapless::Vec::from_iter([digest]));
+        let ranges =
+            GossipBody::RangeRecords { ranges: heapless::Vec::from_iter([range]), reply_wanted: true };
         for body in [parts, ranges] {
-            let before = crowd.recorder.result();
-            crowd.deliver(record(1, 1, 1, Life::Alive), body, Words::new());
-            found.push((depth, crowd.recorder.result().1 - before.1, crowd.recorder.result().0));
+            let before = fleet.recorder.result();
+            fleet.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
+            found.push((depth, fleet.recorder.result().1 - before.1, fleet.recorder.result().0));
         }
     }
     assert_eq!(
@@ -576,62 +618,62 @@
 }
 
 #[test]
-fn indirect_questions_end_at_their_bound() {
-    let mut crowd = Crowd::new(4);
-    crowd.introduce(1..5);
-    let full = crowd.fleet.counts().full;
+fn indirect_pings_end_at_their_bound() {
+    let mut fleet = LargeFleet::new(4);
+    fleet.introduce(1..5);
+    let full = fleet.member.counters().capacity_drops;
     for nr in 0..100 {
-        let body = Body::AskFor { nr, id: 7, address: address(9) };
-        crowd.deliver(record(1, 1, 1, Life::Alive), body, Words::new());
+        let body = GossipBody::PingRequest { sequence: nr, target_id: 7, target_address: address(9) };
+        fleet.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
     }
-    assert_eq!(crowd.fleet.counts().full - full, 36);
+    assert_eq!(fleet.member.counters().capacity_drops - full, 36);
     // Without an answer each is reported as failed after half a period.
-    crowd.tick(500);
-    assert_eq!(crowd.recorder.result(), (2376495787776688446, 129, 4));
+    fleet.tick(500);
+    assert_eq!(fleet.recorder.result(), (2376495787776688446, 129, 4));
 }
 
 #[test]
 fn the_leave_is_sent_to_as_many_members_as_recorded() {
-    let mut crowd = Crowd::new(5);
-    crowd.introduce(1..600);
-    crowd.with(|f, now, out| f.leave(false, now, out));
-    assert_eq!(crowd.sent, 512);
-    assert_eq!(crowd.recorder.result(), (15806635977635704311, 512, 600));
+    let mut fleet = LargeFleet::new(5);
+    fleet.introduce(1..600);
+    fleet.with(|f, now, out| f.announce_leaving(now, out));
+    assert_eq!(fleet.sent, 512);
+    assert_eq!(fleet.recorder.result(), (15806635977635704311, 512, 600));
 }
 
 #[test]
 fn records_of_members_that_left_are_kept_up_to_their_bound() {
-    let mut crowd = Crowd::new(6);
-    crowd.introduce(1..4_201);
+    let mut fleet = LargeFleet::new(6);
+    fleet.introduce(1..4_201);
     for host in 1..4_201 {
-        crowd.deliver(record(host, 1, 2, Life::Left), Body::Tell, Words::new());
+        fleet.deliver(record(host, 1, 2, Lifecycle::Left), GossipBody::UpdatesOnly, GossipUpdates::new());
     }
-    assert_eq!(crowd.fleet.view().count(), 4_201);
-    crowd.tick(119_999);
-    assert_eq!(crowd.fleet.view().count(), 4_201, "shown for 120 periods");
-    crowd.tick(1);
-    assert_eq!(crowd.fleet.view().count(), 1);
+    assert_eq!(fleet.member.members().count(), 4_201);
+    fleet.tick(119_999);
+    assert_eq!(fleet.member.members().count(), 4_201, "shown for 120 periods");
+    fleet.tick(1);
+    assert_eq!(fleet.member.members().count(), 1);
     // What is older than a kept record stays out; what was dropped for want of room comes back.
-    crowd.introduce(1..4_201);
-    assert_eq!(crowd.fleet.view().count(), 1 + 104);
-    let lowest = crowd.fleet.view().next().expect("one is back").0.name.clone();
-    assert_eq!(id(&lowest), 1_422_182_093_192_228);
+    fleet.introduce(1..4_201);
+    assert_eq!(fleet.member.members().count(), 1 + 104);
+    let lowest = fleet.member.members().next().expect("one is back").0.name.clone();
+    assert_eq!(member_id(&lowest), 1_422_182_093_192_228);
 }
 
 #[test]
 fn a_member_out_of_reach_is_pinged_ever_more_seldom_and_given_up() {
-    let mut crowd = Crowd::new(7);
-    crowd.introduce(1..2);
+    let mut fleet = LargeFleet::new(7);
+    fleet.introduce(1..2);
     let mut events = Vec::new();
     for _ in 0..20_000 {
-        let (datagrams, changes) = (crowd.recorder.datagrams, crowd.recorder.changes);
-        crowd.tick(250);
-        if crowd.recorder.changes > changes {
-            let states: Vec<&str> = crowd.fleet.view().map(|(_, s)| s.name()).collect();
-            events.push(format!("{} {}", crowd.now, states.join(" ")));
+        let (datagrams, changes) = (fleet.recorder.datagrams, fleet.recorder.changes);
+        fleet.tick(250);
+        if fleet.recorder.changes > changes {
+            let states: Vec<&str> = fleet.member.members().map(|(_, s)| s.as_str()).collect();
+            events.push(format!("{} {}", fleet.now, states.join(" ")));
         }
-        if crowd.recorder.datagrams > datagrams {
-            events.push(crowd.now.to_string());
+        if fleet.recorder.datagrams > datagrams {
+            events.push(fleet.now.to_string());
         }
     }
     assert_eq!(
@@ -642,21 +684,21 @@
 
 #[test]
 fn a_host_that_is_stopped_again_and_again_stretches_its_periods_up_to_the_bound() {
-    let mut crowd = Crowd::new(8);
-    crowd.introduce(1..40);
+    let mut fleet = LargeFleet::new(8);
+    fleet.introduce(1..40);
     for _ in 0..12 {
-        crowd.tick(1_500);
+        fleet.tick(1_500);
     }
     let mut pings = Vec::new();
     for _ in 0..300 {
-        let before = crowd.recorder.datagrams;
-        crowd.tick(100);
-        if crowd.recorder.datagrams > before {
-            pings.push((crowd.now, crowd.recorder.datagrams - before));
+        let before = fleet.recorder.datagrams;
+        fleet.tick(100);
+        if fleet.recorder.datagrams > before {
+            pings.push((fleet.now, fleet.recorder.datagrams - before));
         }
         // Others are heard, so that it does not count as isolated.
-        let word = record(1 + crowd.rng.below(39), 1, 1, Life::Alive);
-        crowd.deliver(word, Body::Ack { nr: 0 }, Words::new());
+        let sender = record(1 + fleet.rng.below(39), 1, 1, Lifecycle::Alive);
+        fleet.deliver(sender, GossipBody::Ack { sequence: 0 }, GossipUpdates::new());
     }
     assert_eq!(
         pings,
@@ -678,33 +720,33 @@
             (47100, 3)
         ]
     );
-    assert_eq!(crowd.recorder.result(), (6842836954139771345, 43, 42));
+    assert_eq!(fleet.recorder.result(), (6842836954139771345, 43, 42));
 }
 
 #[test]
 fn a_page_for_operators_holds_as_many_members_as_recorded() {
-    let mut crowd = Crowd::new(9);
-    crowd.introduce(1..40);
-    let mut actions = Actions { recorder: &mut crowd.recorder, sent: Vec::new() };
-    crowd.fleet.heard(address(200), &wire::look(0), 10, &mut actions);
+    let mut fleet = LargeFleet::new(9);
+    fleet.introduce(1..40);
+    let mut actions = Actions { recorder: &mut fleet.recorder, sent: Vec::new() };
+    fleet.member.receive(address(200), &wire::encode_query(0), 10, &mut actions);
     let (_, bytes) = actions.sent.pop().expect("a page");
-    let Ok(Message::Looked(page)) = wire::read("pins", &bytes) else { panic!("a page") };
-    assert_eq!((page.members.len(), page.next), (16, Some(7_902_301_331_805_623_971)));
+    let Ok(Message::Page(page)) = wire::decode("pins", &bytes) else { panic!("a page") };
+    assert_eq!((page.members.len(), page.next_id), (16, Some(7_902_301_331_805_623_971)));
 }
 
 #[test]
 fn the_times_of_suspicion_and_the_number_of_retransmissions_are_as_recorded() {
-    let mut settings = Settings::new(name("pins"), name("own"), address(1));
+    let mut config = MembershipConfig::new(name("pins"), name("own"), address(1));
     let mut found = Vec::new();
     for members in [1, 2, 3, 4, 10, 11, 60, 300, 16_384] {
         for confirmed in 0..5 {
-            found.push(settings.suspicion(members, confirmed));
+            found.push(config.suspicion_timeout(members, confirmed));
         }
-        found.push(u64::from(settings.told(members)));
+        found.push(u64::from(config.max_transmissions(members)));
     }
-    settings.confirmations = false;
-    found.push(settings.suspicion(300, 0));
-    assert_eq!((settings.period, settings.keep), (1_000, 3_600_000));
+    config.suspicion_confirmations = false;
+    found.push(config.suspicion_timeout(300, 0));
+    assert_eq!((config.protocol_period, config.unreachable_retention), (1_000, 3_600_000));
     assert_eq!(
         found,
         vec![
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -1,10 +1,10 @@
 //! The connection to the snapshot catalog, and what this host knows of the tree.
 use crate::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_cow::Millis;
-use mallowseam_cow::cache::{Cache, NUMBERS};
-use mallowseam_cow::cut;
+use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
+use mallowseam_cow::messages::{ToCatalog, ToHost};
 use mallowseam_cow::tree::LayerId;
-use mallowseam_cow::words::{ToCatalog, ToHost};
+use mallowseam_cow::tree_replica::{SLOT_BATCH, TreeReplica};
 use mio::{Registry, Token};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 const READS_PER_TURN: usize = 4;
 
 /// A layer of which the catalog wants to hear that no write of several parts lies half in it.
-pub(crate) struct ClearRequest {
+pub(crate) struct QuiesceRequest {
     pub(crate) layer: LayerId,
     pub(crate) branch: String,
 }
 
 /// The catalog's answer to whether a write with parts in a layer may be completed.
-pub(crate) struct LeaveAnswer {
+pub(crate) struct CompletionDecision {
     pub(crate) layer: LayerId,
     pub(crate) granted: bool,
 }
@@ -38,17 +38,17 @@
     /// No attempt to connect before this time.
     next_connect: Millis,
     /// The tree as this host knows it, and its lease.
-    pub(crate) cache: Cache,
+    pub(crate) replica: TreeReplica,
     /// Counts up with every message that may let a waiting block I/O go on.
     pub(crate) revision: u64,
     /// Layers that the catalog waits to hear are clear.
-    pub(crate) clear_requests: Vec<ClearRequest>,
+    pub(crate) quiesce_requests: Vec<QuiesceRequest>,
     /// Answers that the dispatcher has not taken yet.
-    pub(crate) leave_answers: Vec<LeaveAnswer>,
+    pub(crate) completion_decisions: Vec<CompletionDecision>,
     /// Branches with a pending cut, and until when that holds back writes of several parts at most.
     pending_cuts: BTreeMap<String, Millis>,
-    /// When numbers of a layer were last requested.
-    numbers_requested: BTreeMap<LayerId, Millis>,
+    /// When slots of a layer were last requested.
+    slots_requested: BTreeMap<LayerId, Millis>,
 }
 
 impl CatalogClient {
@@ -62,12 +62,12 @@
             connection: None,
             readable: false,
             next_connect: 0,
-            cache: Cache::default(),
+            replica: TreeReplica::default(),
             revision: 0,
-            clear_requests: Vec::new(),
-            leave_answers: Vec::new(),
+            quiesce_requests: Vec::new(),
+            completion_decisions: Vec::new(),
             pending_cuts: BTreeMap::new(),
-            numbers_requested: BTreeMap::new(),
+            slots_requested: BTreeMap::new(),
         }
     }
 
@@ -86,30 +86,31 @@
     /// Connects and renews the lease where that is due, and writes what is queued.
     pub(crate) fn on_timer(&mut self, now: Millis) {
         if self.connection.is_none() && now >= self.next_connect {
-            self.next_connect = now + Cache::CONNECT_AGAIN;
+            self.next_connect = now + TreeReplica::RECONNECT_INTERVAL;
             match LineConnection::connect(self.address, &self.registry, self.token) {
                 Ok(connection) => {
                     self.connection = Some(connection);
-                    self.numbers_requested.clear();
-                    let (host, have) = (self.host.clone(), self.cache.have());
-                    self.send(&ToCatalog::Hello { host, have });
+                    self.slots_requested.clear();
+                    let (host, known) = (self.host.clone(), self.replica.known());
+                    self.send(&ToCatalog::Hello { host, known });
                 }
                 Err(e) => tracing::debug!(error = %e, "snapshot catalog not reachable"),
             }
         }
-        if self.connection.is_some() && self.cache.renews(now) {
-            let seen = self.cache.version().unwrap_or(0);
-            self.send(&ToCatalog::Renew { sent: now, seen });
+        if self.connection.is_some() && self.replica.renewal_due(now) {
+            let seen_version = self.replica.version().unwrap_or(0);
+            self.send(&ToCatalog::RenewLease { sent_at: now, seen_version });
         }
         self.flush();
     }
 
-    /// Requests place numbers of a layer while few are left.
-    pub(crate) fn request_numbers(&mut self, layer: LayerId, now: Millis) {
-        let due = self.numbers_requested.get(&layer).is_none_or(|last| now >= last + Cache::CONNECT_AGAIN);
-        if self.cache.short(layer) && due {
-            self.numbers_requested.insert(layer, now);
-            self.send(&ToCatalog::Numbers { layer, count: NUMBERS });
+    /// Requests place slots of a layer while few are left.
+    pub(crate) fn request_slots(&mut self, layer: LayerId, now: Millis) {
+        let due =
+            self.slots_requested.get(&layer).is_none_or(|last| now >= last + TreeReplica::RECONNECT_INTERVAL);
+        if self.replica.needs_slots(layer) && due {
+            self.slots_requested.insert(layer, now);
+            self.send(&ToCatalog::AllocateSlots { layer, count: SLOT_BATCH });
         }
     }
 
@@ -124,7 +125,7 @@
             connection.close(&self.registry);
             tracing::warn!(%reason, "snapshot catalog connection lost");
         }
-        self.cache.lost();
+        self.replica.connection_lost();
     }
 
     /// Reads what has come, and writes. True: there is more to read.
@@ -166,55 +167,55 @@
 
     /// A message does not follow from the known tree: a new connection begins with the whole tree.
     fn resynchronize(&mut self) {
-        self.cache.doubt();
+        self.replica.invalidate();
         self.disconnect(&Disconnect::TreeOutOfSequence);
     }
 
     fn on_message(&mut self, message: ToHost, now: Millis) {
         self.revision += 1;
         match message {
-            ToHost::Whole { catalog, tree } => self.cache.coming(catalog, *tree),
-            ToHost::Part { layer, lies } => {
-                if !self.cache.part(layer, &lies) {
+            ToHost::FullTree { catalog_id, tree } => self.replica.begin_full_tree(catalog_id, *tree),
+            ToHost::Locations { layer, locations } => {
+                if !self.replica.add_locations(layer, &locations) {
                     self.resynchronize();
                 }
             }
-            ToHost::Filled if !self.cache.filled() => self.resynchronize(),
-            ToHost::Filled | ToHost::Going => self.on_tree_complete(now),
-            ToHost::Changed { version, change } => {
-                if self.cache.changed(version, &change) {
-                    self.send(&ToCatalog::Seen { version });
+            ToHost::FullTreeEnd if !self.replica.finish_full_tree() => self.resynchronize(),
+            ToHost::FullTreeEnd | ToHost::CaughtUp => self.on_tree_complete(now),
+            ToHost::TreeChanged { version, change } => {
+                if self.replica.apply_change(version, &change) {
+                    self.send(&ToCatalog::Acknowledge { version });
                 } else {
                     self.resynchronize();
                 }
             }
-            ToHost::Lease { sent, span } => self.cache.granted(sent, span),
-            ToHost::Numbers { layer, first, count } => {
-                self.numbers_requested.remove(&layer);
-                self.cache.given(layer, first, count);
+            ToHost::LeaseGranted { sent_at, duration } => self.replica.lease_granted(sent_at, duration),
+            ToHost::SlotsAllocated { layer, first, count } => {
+                self.slots_requested.remove(&layer);
+                self.replica.add_slots(layer, first, count);
             }
-            ToHost::NotPlaced { .. } => {}
-            ToHost::Over { branch } => drop(self.pending_cuts.remove(&branch)),
-            ToHost::AskClear { layer, branch } => {
-                self.pending_cuts.insert(branch.clone(), now + cut::WITHIN);
-                if !self.clear_requests.iter().any(|request| request.layer == layer) {
-                    self.clear_requests.push(ClearRequest { layer, branch });
+            ToHost::LocationRejected { .. } => {}
+            ToHost::CutFinished { branch } => drop(self.pending_cuts.remove(&branch)),
+            ToHost::Quiesce { layer, branch } => {
+                self.pending_cuts.insert(branch.clone(), now + CUT_TIMEOUT);
+                if !self.quiesce_requests.iter().any(|request| request.layer == layer) {
+                    self.quiesce_requests.push(QuiesceRequest { layer, branch });
                 }
             }
-            ToHost::Leave { layer, given } => {
-                self.leave_answers.push(LeaveAnswer { layer, granted: given });
+            ToHost::CompletionDecision { layer, granted } => {
+                self.completion_decisions.push(CompletionDecision { layer, granted });
             }
         }
     }
 
     /// The tree of a new connection is complete: the lease is renewed by it.
     fn on_tree_complete(&mut self, now: Millis) {
-        let version = self.cache.version().unwrap_or(0);
+        let version = self.replica.version().unwrap_or(0);
         tracing::info!(version, "snapshot catalog synchronized");
-        self.cache.lost();
-        if self.cache.renews(now) {
-            self.send(&ToCatalog::Renew { sent: now, seen: version });
+        self.replica.connection_lost();
+        if self.replica.renewal_due(now) {
+            self.send(&ToCatalog::RenewLease { sent_at: now, seen_version: version });
         }
-        self.send(&ToCatalog::Seen { version });
+        self.send(&ToCatalog::Acknowledge { version });
     }
 }
--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -30,8 +30,8 @@
     PlanFigures(Vec<FigureError>),
     #[error(transparent)]
     Process(#[from] Error),
-    #[error("{0}")]
-    PlatformHost(mallowseam_platform_host::Failure),
+    #[error(transparent)]
+    PlatformHost(#[from] mallowseam_platform_host::HostError),
     #[error(transparent)]
     Request(#[from] RequestError),
     #[error("{}: {source}", socket.display())]
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -1,6 +1,6 @@
 //! `mallowseam fleet`: the membership of the fleet as running hosts see it.
 use clap::Args;
-use mallowseam_fleet_udp::ask::{View, view};
+use mallowseam_fleet_udp::query::{MembershipSnapshot, query_membership};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -38,8 +38,8 @@
     Disagreement { differ: usize, all: usize },
 }
 
-fn query(host: SocketAddr) -> Result<View, FleetError> {
-    view(host).map_err(|source| FleetError::Query { host, source })
+fn query(host: SocketAddr) -> Result<MembershipSnapshot, FleetError> {
+    query_membership(host).map_err(|source| FleetError::Query { host, source })
 }
 
 /// Prints what the options ask for.
@@ -50,23 +50,23 @@
     let [host] = options.hosts[..] else { return Err(FleetError::SeveralHosts) };
     let first = query(host)?;
     match (options.json, options.watch) {
-        (true, _) => println!("{}", first.json()),
-        (_, false) => print!("{}", first.table()),
+        (true, _) => println!("{}", first.to_json()),
+        (_, false) => print!("{}", first.to_table()),
         (_, true) => watch(host, first, options.polls),
     }
     Ok(())
 }
 
 /// Prints changes as they are seen; `polls` is 0 for no end.
-fn watch(host: SocketAddr, mut last: View, polls: u64) {
-    println!("as {} sees it: {}", last.own, last.counts());
+fn watch(host: SocketAddr, mut last: MembershipSnapshot, polls: u64) {
+    println!("as {} sees it: {}", last.host, last.state_counts());
     let mut polled = 0;
     while polls == 0 || polled < polls {
         std::thread::sleep(POLL_INTERVAL);
         polled += 1;
         match query(host) {
             Ok(view) => {
-                view.changes(&last).iter().for_each(|change| println!("{change}"));
+                view.changes_since(&last).iter().for_each(|change| println!("{change}"));
                 last = view;
             }
             Err(e) => println!("{e}"),
@@ -76,13 +76,13 @@
 
 /// Prints where the views of hosts differ from that of the first.
 fn compare(hosts: &[SocketAddr]) -> Result<(), FleetError> {
-    let views: Vec<View> = hosts.iter().map(|host| query(*host)).collect::<Result<_, _>>()?;
+    let views: Vec<MembershipSnapshot> = hosts.iter().map(|host| query(*host)).collect::<Result<_, _>>()?;
     let mut differ = 0;
     for other in &views[1..] {
-        let lines = views[0].differs(other);
+        let lines = views[0].differences(other);
         differ += usize::from(!lines.is_empty());
         lines.iter().for_each(|line| println!("{line}"));
     }
-    println!("{} hosts asked, {} see what {} sees", views.len(), views.len() - differ, views[0].own);
+    println!("{} hosts asked, {} see what {} sees", views.len(), views.len() - differ, views[0].host);
     if differ == 0 { Ok(()) } else { Err(FleetError::Disagreement { differ, all: views.len() }) }
 }
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -92,10 +92,8 @@
             let (change, version) = change_of_figures(&file, plan, &figures, expected)?;
             (file, set(change, Some(version), by))
         }
-        Command::Of { file, volume, plan, by } => {
-            (file, set(Change::Volume { name: volume, plan }, None, by))
-        }
-        Command::Drop { file, plan, by } => (file, set(Change::PlanGone { name: plan }, None, by)),
+        Command::Of { file, volume, plan, by } => (file, set(Change::AssignPlan { volume, plan }, None, by)),
+        Command::Drop { file, plan, by } => (file, set(Change::RemovePlan { name: plan }, None, by)),
         Command::Show { file, version } => (file, PlanRequest::Show { version }),
         Command::History { file, from, most } => (file, PlanRequest::History { from, limit: most }),
         Command::Diff { file, one, other } => (file, PlanRequest::Diff { from: one, to: other }),
@@ -141,7 +139,7 @@
     if !problems.is_empty() {
         return Err(CommandError::PlanFigures(problems));
     }
-    Ok((Change::Plan { name: plan, figures: changed }, expected.unwrap_or(state.version)))
+    Ok((Change::SetPlan { name: plan, plan: changed }, expected.unwrap_or(state.version)))
 }
 
 /// Why a figure on the command line cannot be set.
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -55,7 +55,7 @@
     LogOptions { level: Level::Info, json }.start();
     let path = std::env::var_os(PLATFORM_CONFIGURATION).map(PathBuf::from);
     let path = path.ok_or(CommandError::NoConfiguration)?;
-    mallowseam_platform_host::run(&path, list_turn.map(u64::from)).map_err(CommandError::PlatformHost)
+    Ok(mallowseam_platform_host::run(&path, list_turn.map(u64::from))?)
 }
 
 /// `mallowseam catalog`
--- a/crates/gateway/src/cli/verify.rs
+++ b/crates/gateway/src/cli/verify.rs
@@ -12,7 +12,7 @@
     let label = if reclaim { "given back" } else { "leaked" };
     for (layer, place) in &findings.leaked {
         let node = &site.nodes[place.node as usize].name;
-        println!("{label}: layer {layer}, place {} at {node}", place.number);
+        println!("{label}: layer {layer}, place {} at {node}", place.slot);
     }
     println!(
         "places {}, of which hold data {}; leaked {}; faults {}",
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -3,7 +3,9 @@
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ReadOutcome};
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
-use mallowseam_nodelist::{Condition, Entry, Heard, Register, Update};
+use mallowseam_endpoint_list::{
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
+};
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
 use mallowseam_settings::site;
 use mio::net::TcpStream;
@@ -21,7 +23,7 @@
     zone: u32,
     shard: u32,
     /// Tells one run of the node's process from another; 0 for one long past.
-    born: u64,
+    incarnation: u64,
     /// When that run began, by this host's clock.
     up_since: Tick,
 }
@@ -44,7 +46,7 @@
     socket: Option<TcpStream>,
     readable: bool,
     unsent: Vec<u8>,
-    register: Register,
+    watcher: EndpointWatcher,
     request: EndpointListRequest,
     updates: VecDeque<ListUpdate>,
 }
@@ -59,7 +61,7 @@
             zones.len() - 1
         });
         let (name, zone) = (node.name.clone(), zone as u32);
-        known.push(KnownNode { name, zone, shard: node.shard, born: 0, up_since: 0 });
+        known.push(KnownNode { name, zone, shard: node.shard, incarnation: 0, up_since: 0 });
     }
     known
 }
@@ -77,7 +79,7 @@
             socket: None,
             readable: false,
             unsent: Vec::new(),
-            register: Register::default(),
+            watcher: EndpointWatcher::default(),
             request: EndpointListRequest::default(),
             updates: VecDeque::new(),
         }
@@ -104,9 +106,9 @@
     fn restore_cache(&mut self, now: Tick) {
         let Some(path) = &self.cache_file else { return };
         match std::fs::read_to_string(path) {
-            Ok(text) => match self.register.restore(&text) {
+            Ok(text) => match self.watcher.restore_cache(&text) {
                 Ok(update) => {
-                    tracing::info!(nodes = update.entries.len(), "cached endpoint list loaded");
+                    tracing::info!(nodes = update.endpoints.len(), "cached endpoint list loaded");
                     self.queue(ListForm::Kept, update, now);
                 }
                 Err(e) => tracing::warn!(error = %e, "cached endpoint list not used"),
@@ -122,7 +124,7 @@
 
     /// Epoch and version of the list.
     pub(crate) fn version(&self) -> (u64, u64) {
-        self.register.version()
+        self.watcher.version()
     }
 
     /// Requests the list and its changes, on a new connection if there is none.
@@ -142,7 +144,7 @@
         let mut socket = TcpStream::connect(address)?;
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, self.token, interest)?;
-        self.register.reconnected();
+        self.watcher.on_reconnect();
         (self.socket, self.readable) = (Some(socket), false);
         self.unsent.clear();
         Ok(())
@@ -168,7 +170,7 @@
                 ReadOutcome::WouldBlock => self.readable = false,
                 ReadOutcome::Read(len) => {
                     let mut events = Vec::new();
-                    let received = self.register.receive(&buffer[..len], |event| events.push(event));
+                    let received = self.watcher.receive(&buffer[..len], |event| events.push(event));
                     events.into_iter().for_each(|event| self.on_watch_event(event, now));
                     if let Err(wrong) = received {
                         return self.fail(&wrong.to_string());
@@ -186,29 +188,31 @@
         }
     }
 
-    fn on_watch_event(&mut self, event: Heard, now: Tick) {
+    fn on_watch_event(&mut self, event: WatchEvent, now: Tick) {
         match event {
-            Heard::Nothing => {}
-            Heard::Missed => {
+            WatchEvent::SnapshotRequired => {
                 self.request.sent(ticks_to_millis(now));
                 self.unsent.extend_from_slice(format!("all {}\n", self.host).as_bytes());
                 self.flush();
             }
-            Heard::News(update) => {
+            WatchEvent::Update(update) => {
                 self.request.finished();
-                let form = if update.whole { ListForm::Whole } else { ListForm::Changes };
+                let form = match update.kind {
+                    UpdateKind::FullSnapshot => ListForm::Whole,
+                    UpdateKind::Incremental => ListForm::Changes,
+                };
                 self.queue(form, update, now);
                 self.write_cache();
             }
         }
     }
 
-    fn queue(&mut self, form: ListForm, update: Update, now: Tick) {
+    fn queue(&mut self, form: ListForm, update: EndpointUpdate, now: Tick) {
         let mut nodes = Vec::new();
-        for entry in &update.entries {
-            let (node, state) = (&entry.name, entry.condition.word());
+        for entry in &update.endpoints {
+            let (node, state) = (&entry.name, entry.state.as_str());
             if let Some(listed) = self.listed(entry, now) {
-                tracing::info!(node, state, age = entry.age, "endpoint updated");
+                tracing::info!(node, state, age = entry.uptime_ms, "endpoint updated");
                 nodes.push(listed);
             } else {
                 tracing::warn!(node, "endpoint list names a node that the configuration lacks");
@@ -218,16 +222,16 @@
     }
 
     /// An entry of the list as the scheduler takes it; none: the configuration lacks its node.
-    fn listed(&mut self, entry: &Entry, now: Tick) -> Option<Listed> {
+    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<Listed> {
         let index = self.nodes.iter().position(|node| node.name == entry.name)?;
         let node = &mut self.nodes[index];
         // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It never
         // moves up, which would look like a restart.
-        let began = (now - entry.age as Tick * TICKS_PER_MILLI).max(1);
-        if entry.born == 0 {
-            (node.born, node.up_since) = (0, 0);
-        } else if entry.born != node.born {
-            (node.born, node.up_since) = (entry.born, began);
+        let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
+        if entry.incarnation == 0 {
+            (node.incarnation, node.up_since) = (0, 0);
+        } else if entry.incarnation != node.incarnation {
+            (node.incarnation, node.up_since) = (entry.incarnation, began);
         } else {
             node.up_since = node.up_since.min(began);
         }
@@ -235,10 +239,10 @@
             node: NodeId(index as u32),
             zone: node.zone,
             shard: node.shard,
-            state: match entry.condition {
-                Condition::Active => NodeState::Active,
-                Condition::Leaving => NodeState::Leaving,
-                Condition::Left => NodeState::Left,
+            state: match entry.state {
+                EndpointState::Active => NodeState::Active,
+                EndpointState::Draining => NodeState::Leaving,
+                EndpointState::Removed => NodeState::Left,
             },
             came_up: node.up_since,
         })
@@ -246,7 +250,7 @@
 
     fn write_cache(&self) {
         let Some(path) = &self.cache_file else { return };
-        if let Err(e) = atomic_file::replace(path, self.register.keep().as_bytes()) {
+        if let Err(e) = atomic_file::replace(path, self.watcher.write_cache().as_bytes()) {
             tracing::warn!(path = %path.display(), error = %e, "endpoint list not cached");
         }
     }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -36,33 +36,33 @@
     #[error("no section {0}")]
     MissingSection(&'static str),
     /// The store of the plan service cannot be opened or read.
-    #[error("{}: {fault}", path.display())]
+    #[error("{}: {source}", path.display())]
     OpenPlanStore {
         /// The store's path in the configuration.
         path: PathBuf,
         /// What is wrong with it.
-        fault: mallowseam_trail::Fault,
+        source: mallowseam_change_log::Error,
     },
     /// The plan service could not store a change or a member.
-    #[error("{0}")]
-    PlanStore(mallowseam_trail::Fault),
+    #[error(transparent)]
+    PlanStore(mallowseam_change_log::Error),
     /// The plans of the configuration contradict each other.
-    #[error("{0}")]
-    ConfiguredPlan(mallowseam_plans::state::Refused),
+    #[error(transparent)]
+    ConfiguredPlan(mallowseam_plans::error::ChangeError),
     /// The store of the snapshot catalog cannot be opened or read.
-    #[error("{}: {fault}", path.display())]
+    #[error("{}: {source}", path.display())]
     OpenCatalogStore {
         /// The store's path in the configuration.
         path: PathBuf,
         /// What is wrong with it.
-        fault: mallowseam_catalog::Fault,
+        source: mallowseam_snapshot_catalog::Error,
     },
     /// The snapshot catalog could not store a batch of changes.
-    #[error("{0}")]
-    CatalogStore(mallowseam_catalog::Fault),
+    #[error(transparent)]
+    CatalogStore(mallowseam_snapshot_catalog::Error),
     /// A volume of the configuration does not fit the stored tree.
-    #[error("{0}")]
-    ConfiguredVolume(mallowseam_cow::tree::Refused),
+    #[error(transparent)]
+    ConfiguredVolume(mallowseam_cow::tree::ChangeError),
 }
 
 /// Why a text file could not be read.
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -17,15 +17,17 @@
 use crate::scheduler_config;
 use crate::startup;
 use mallowseam_connection_policy::admission::AdmissionController;
-use mallowseam_fleet::word::Facts;
-use mallowseam_fleet_udp::Part;
+use mallowseam_fleet::record::ActiveVersions;
+use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::target::TargetTerms;
-use mallowseam_plans::Units;
+use mallowseam_plans::MilliUnits;
+use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeState, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_settings::Site;
+use mallowseam_settings::site::Volume;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Events, Poll, Token};
 use rand::Rng;
@@ -68,10 +70,10 @@
     endpoint_list: EndpointList,
     plan_replication: Option<PlanReplication>,
     /// Its part in the fleet's membership, where the configuration has one, and whether that has more to read.
-    membership: Option<Box<Part>>,
+    membership: Option<Box<UdpMembership>>,
     membership_readable: bool,
     /// The quotas that the scheduler keeps to, by volume.
-    quotas: Vec<Option<Units>>,
+    quotas: Vec<Option<MilliUnits>>,
     demand: plans::DemandMeter,
     listener: TcpListener,
     accepting: bool,
@@ -109,7 +111,7 @@
         }
         host.after_events();
     }
-    host.membership.iter_mut().for_each(|membership| membership.leave(true));
+    host.membership.iter_mut().for_each(|membership| membership.announce_left());
     tracing::info!("host stopped");
     Ok(())
 }
@@ -152,16 +154,17 @@
 /// The replica of the plans, where the configuration names a plan service.
 fn open_plan_replication(site: &Site, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
     let Some(address) = site.host.follow else { return Ok(None) };
-    let volumes = site.volumes.iter().map(|volume| (volume.name.clone(), volume.hosts)).collect();
+    let hosted = |volume: &Volume| HostedVolume { name: volume.name.clone(), host_count: volume.hosts };
+    let volumes = site.volumes.iter().map(hosted).collect();
     let cache_file = site.host.kept_plans.clone();
     let registry = startup::registry(poll)?;
     Ok(Some(PlanReplication::new(&site.host.name, address, cache_file, volumes, registry, PLANS)))
 }
 
-fn open_membership(site: &Site, poll: &Poll) -> Result<Option<Box<Part>>, Error> {
-    let Some(place) = site.host.place.clone() else { return Ok(None) };
-    let opened = Part::open(poll.registry(), MEMBERSHIP, place);
-    opened.map(|part| Some(Box::new(part))).map_err(Error::Membership)
+fn open_membership(site: &Site, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
+    let Some(settings) = site.host.fleet.clone() else { return Ok(None) };
+    let opened = UdpMembership::open(poll.registry(), MEMBERSHIP, settings);
+    opened.map(|service| Some(Box::new(service))).map_err(Error::Membership)
 }
 
 impl HostProcess {
@@ -231,7 +234,8 @@
         let timers = [dispatcher.wakeup_at, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
         let due = timers.into_iter().flatten().fold(self.last_check + CHECK_PERIOD, Tick::min);
         let due = ticks_to_duration(due - self.clock.now());
-        let membership_due = self.membership.as_ref().map(|part| Duration::from_millis(part.due()));
+        let membership_due =
+            self.membership.as_ref().map(|membership| Duration::from_millis(membership.millis_until_tick()));
         Some(membership_due.map_or(due, |other| due.min(other)))
     }
 
@@ -325,7 +329,7 @@
         }
         self.resume_reads();
         if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
-            self.membership_readable = membership.heard();
+            self.membership_readable = membership.on_readable();
         }
         self.apply_endpoint_updates();
         self.run_timers();
@@ -412,7 +416,8 @@
     /// Tells the fleet's membership which versions this host acts on.
     fn publish_facts(&mut self) {
         let Some(membership) = &mut self.membership else { return };
-        let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.member.state().version);
-        membership.facts(Facts { list: self.endpoint_list.version().1, plans });
+        let endpoint_list = self.endpoint_list.version().1;
+        let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.replica.state().version);
+        membership.set_active_versions(ActiveVersions { endpoint_list, plans });
     }
 }
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -17,7 +17,7 @@
     pub(super) fn drain(&mut self, cause: &str) -> bool {
         let drained = self.dispatcher.clients.drain(self.dispatcher.now);
         if drained && self.stop_requests > 0 {
-            self.membership.iter_mut().for_each(|membership| membership.leave(false));
+            self.membership.iter_mut().for_each(|membership| membership.announce_leaving());
         }
         if drained {
             tracing::info!(cause, "draining: closed to new logins");
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -4,7 +4,7 @@
 use crate::error::{FileError, read_configuration};
 use crate::metrics::VolumeMetrics;
 use crate::scheduler_config;
-use mallowseam_plans::Units;
+use mallowseam_plans::MilliUnits;
 use mallowseam_plans::state::State;
 use mallowseam_scheduler::host::{Tick, VolId};
 use mallowseam_settings::change::{self, Taken};
@@ -14,7 +14,7 @@
 /// Ticks between two measurements of what clients request.
 const MEASURE_PERIOD: Tick = 2_500;
 const TICKS_PER_SECOND: f64 = 10_000.0;
-/// Units are replicated in thousandths.
+/// MilliUnits are replicated in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
 /// Values that the jitter of a reconnect may have.
 const JITTER_RANGE: u64 = 1_000;
@@ -22,7 +22,7 @@
 /// What clients request of each volume, measured period by period.
 pub(super) struct DemandMeter {
     /// Thousandths of units a second in the last period.
-    rates: Vec<Units>,
+    rates: Vec<MilliUnits>,
     /// When the present period began, and the counters then.
     began: Tick,
     counts: Vec<f64>,
@@ -40,7 +40,7 @@
         }
         let seconds = (now - self.began) as f64 / TICKS_PER_SECOND;
         for ((rate, count), volume) in self.rates.iter_mut().zip(&mut self.counts).zip(volumes) {
-            *rate = ((volume.requested - *count) / seconds * THOUSANDTHS) as Units;
+            *rate = ((volume.requested - *count) / seconds * THOUSANDTHS) as MilliUnits;
             *count = volume.requested;
         }
         self.began = now;
@@ -84,7 +84,7 @@
         if self.demand.measure(now, &self.dispatcher.metrics.volumes) {
             replication.on_timer(ticks_to_millis(now), rand::rng().next_u64() % JITTER_RANGE);
         }
-        let quotas = replication.member.parts(ticks_to_millis(now));
+        let quotas = replication.replica.available_quotas(ticks_to_millis(now));
         for (volume, (quota, current)) in quotas.zip(&mut self.quotas).enumerate() {
             if quota != *current {
                 *current = quota;
@@ -96,7 +96,7 @@
 
     /// Plans that were cached are in effect until the service says otherwise.
     pub(super) fn apply_cached_plans(&mut self) {
-        let cached = self.plan_replication.as_ref().map(|replication| replication.member.state());
+        let cached = self.plan_replication.as_ref().map(|replication| replication.replica.state());
         match cached.filter(|state| state.version > 0).map(|state| self.check_state(state)) {
             Some(Ok(plans)) => self.apply(plans),
             Some(Err(e)) => tracing::warn!(error = %e, "cached plans not used"),
@@ -107,7 +107,7 @@
     /// Applies the state that the plan service has sent, or rejects it.
     fn apply_next_state(&mut self) {
         let Some(replication) = &self.plan_replication else { return };
-        let Some(state) = replication.member.next() else { return };
+        let Some(state) = replication.replica.pending() else { return };
         let applied = self.check_state(state).map(|plans| self.apply(plans));
         let Some(replication) = &mut self.plan_replication else { return };
         match applied {
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -3,6 +3,7 @@
 use crate::slab::Slab;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
 use crate::startup::listen;
+use mallowseam_plans::error::ReplicaError;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Poll, Registry, Token};
 use serde::Serialize;
@@ -33,12 +34,12 @@
     /// A message of the snapshot catalog does not follow from the known tree.
     #[error("what the catalog says does not follow what is known")]
     TreeOutOfSequence,
-    /// A line of the change log does not follow from the replicated plans.
-    #[error("{0}")]
-    PlansOutOfSequence(String),
+    /// A message does not follow from the replicated plans.
+    #[error(transparent)]
+    Plans(#[from] ReplicaError),
     /// A member could not be stored.
-    #[error("{0}")]
-    Store(mallowseam_trail::Fault),
+    #[error(transparent)]
+    Store(mallowseam_change_log::Error),
 }
 
 fn line_limit(bytes: usize) -> String {
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -1,11 +1,11 @@
 //! The connection to the plan service, and the cached copy of its plans for a start without it.
 use crate::atomic_file;
 use crate::json_lines::{Disconnect, LineConnection, LineRead};
-use mallowseam_plans::member::{Heard, Member};
+use mallowseam_plans::change_log::ChangeLog;
+use mallowseam_plans::messages::HostMessage;
+use mallowseam_plans::replica::{HostedVolume, PlanReplica, ReplicaAction};
 use mallowseam_plans::state::State;
-use mallowseam_plans::trail::Trail;
-use mallowseam_plans::words::ToControl;
-use mallowseam_plans::{Millis, Units};
+use mallowseam_plans::{MilliUnits, Millis};
 use mio::{Registry, Token};
 use std::io;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     token: Token,
     connection: Option<LineConnection>,
     /// Which version the host acts on, and its quotas.
-    pub(crate) member: Member,
+    pub(crate) replica: PlanReplica,
 }
 
 /// What is cached on disk: the plans, and the hash of the last line of the change log behind them.
@@ -39,16 +39,16 @@
         host: &str,
         address: SocketAddr,
         cache_file: Option<PathBuf>,
-        volumes: Vec<(String, u32)>,
+        volumes: Vec<HostedVolume>,
         registry: Registry,
         token: Token,
     ) -> Self {
         let cached = cache_file.as_deref().and_then(read_cache);
-        let member = Member::new(host, volumes, cached, 0);
-        PlanReplication { address, cache_file, registry, token, connection: None, member }
+        let replica = PlanReplica::new(host, volumes, cached, 0);
+        PlanReplication { address, cache_file, registry, token, connection: None, replica }
     }
 
-    fn send(&mut self, message: &ToControl) {
+    fn send(&mut self, message: &HostMessage) {
         if let Some(connection) = &mut self.connection {
             connection.send(message);
         }
@@ -56,11 +56,11 @@
 
     /// Connects if that is due, and writes what is queued. `jitter`, below 1000, spreads the hosts' reconnects.
     pub(crate) fn on_timer(&mut self, now: Millis, jitter: u64) {
-        if self.connection.is_none() && self.member.connects(now, jitter) {
+        if self.connection.is_none() && self.replica.should_connect(now, jitter) {
             match LineConnection::connect(self.address, &self.registry, self.token) {
                 Ok(connection) => {
                     self.connection = Some(connection);
-                    let hello = self.member.hello();
+                    let hello = self.replica.hello();
                     self.send(&hello);
                 }
                 Err(e) => tracing::debug!(error = %e, "plan service not reachable"),
@@ -84,7 +84,7 @@
 
     /// Reads what has come. `requested`: units a second that clients request of each volume. True: a new state
     /// is to be applied.
-    pub(crate) fn on_ready(&mut self, buffer: &mut [u8], requested: &[Units], now: Millis) -> bool {
+    pub(crate) fn on_ready(&mut self, buffer: &mut [u8], requested: &[MilliUnits], now: Millis) -> bool {
         let mut has_state = false;
         while let Some(connection) = &mut self.connection {
             match connection.read(buffer, MAX_LINE) {
@@ -105,13 +105,13 @@
         has_state
     }
 
-    fn on_line(&mut self, line: &[u8], requested: &[Units], now: Millis) -> bool {
+    fn on_line(&mut self, line: &[u8], requested: &[MilliUnits], now: Millis) -> bool {
         match serde_json::from_slice(line) {
-            Ok(message) => match self.member.heard(message, requested, now) {
-                Heard::Nothing => {}
-                Heard::State => return true,
-                Heard::Say(message) => self.send(&message),
-                Heard::Lost(reason) => self.disconnect(&Disconnect::PlansOutOfSequence(reason)),
+            Ok(message) => match self.replica.receive(message, requested, now) {
+                ReplicaAction::None => {}
+                ReplicaAction::ApplyPending => return true,
+                ReplicaAction::Send(message) => self.send(&message),
+                ReplicaAction::Disconnect(error) => self.disconnect(&error.into()),
             },
             Err(e) => self.disconnect(&e.into()),
         }
@@ -121,9 +121,9 @@
     /// The host acts on the next state. It is cached on disk first, so that a start without the service acts on
     /// it as well.
     pub(crate) fn accept(&mut self, now: Millis) {
-        if let Some(message) = self.member.acts_on(now) {
+        if let Some(message) = self.replica.accept_pending(now) {
             if let Some(path) = &self.cache_file
-                && let Err(e) = write_cache(path, self.member.trail())
+                && let Err(e) = write_cache(path, self.replica.log())
             {
                 tracing::warn!(error = %e, path = %path.display(), "plans not cached");
             }
@@ -134,7 +134,7 @@
 
     /// The host cannot act on the next state.
     pub(crate) fn reject(&mut self, reason: &str) {
-        if let Some(message) = self.member.against(reason.to_owned()) {
+        if let Some(message) = self.replica.reject_pending(reason.to_owned()) {
             tracing::warn!(reason, "plans rejected");
             self.send(&message);
         }
@@ -142,10 +142,10 @@
     }
 }
 
-fn read_cache(path: &Path) -> Option<Trail> {
+fn read_cache(path: &Path) -> Option<ChangeLog> {
     let text = std::fs::read_to_string(path).ok()?;
     match serde_json::from_str::<CachedPlans>(&text) {
-        Ok(cached) => Some(Trail::from_base(cached.state, cached.last)),
+        Ok(cached) => Some(ChangeLog::from_snapshot(cached.state, cached.last)),
         Err(e) => {
             tracing::warn!(error = %e, path = %path.display(), "cached plans not used");
             None
@@ -153,7 +153,7 @@
     }
 }
 
-fn write_cache(path: &Path, trail: &Trail) -> io::Result<()> {
-    let cached = CachedPlans { state: trail.state.clone(), last: trail.last().to_owned() };
+fn write_cache(path: &Path, log: &ChangeLog) -> io::Result<()> {
+    let cached = CachedPlans { state: log.state.clone(), last: log.last_hash().to_owned() };
     atomic_file::replace(path, serde_json::to_string(&cached).map_err(io::Error::other)?.as_bytes())
 }
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -12,15 +12,15 @@
 use crate::json_lines::{Disconnect, Limits, Peer, PeerId, Peers};
 use crate::scheduler_config;
 use crate::startup;
-use mallowseam_plans::deal::{ASK, GRANT, Pool};
-use mallowseam_plans::force::Hosts;
+use mallowseam_change_log::ChangeLogStore;
+use mallowseam_plans::Millis;
+use mallowseam_plans::change_log::LogEntry;
+use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
+use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
+use mallowseam_plans::rollout::Rollout;
 use mallowseam_plans::state::Change;
-use mallowseam_plans::trail::Line;
-use mallowseam_plans::words::{ToControl, ToMember};
-use mallowseam_plans::{Millis, Units};
 use mallowseam_settings::Site;
 use mallowseam_settings::site::Volume;
-use mallowseam_trail::Store;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
@@ -58,12 +58,12 @@
 struct PlanService {
     clock: Clock,
     now: Millis,
-    store: Store,
+    store: ChangeLogStore,
     /// Which host acts on which version.
-    rollout: Hosts,
+    rollout: Rollout,
     lender_ids: BTreeMap<String, LenderId>,
     /// Lent and granted quotas of each volume.
-    pools: BTreeMap<String, Pool>,
+    pools: BTreeMap<String, QuotaPool>,
     started: Millis,
     /// No service ran before this one, so no grants of another one can be in use.
     fresh: bool,
@@ -102,16 +102,16 @@
 }
 
 /// Opens the store. A new one gets the plans of the configuration as its first versions; whether it is new.
-fn open_store(site: &Site, path: &std::path::Path) -> Result<(Store, bool), Error> {
-    let failed = |fault| Error::OpenPlanStore { path: path.to_owned(), fault };
-    let mut store = Store::open(path).map_err(failed)?;
-    let fresh = store.trail().state.version == 0;
+fn open_store(site: &Site, path: &std::path::Path) -> Result<(ChangeLogStore, bool), Error> {
+    let failed = |source| Error::OpenPlanStore { path: path.to_owned(), source };
+    let mut store = ChangeLogStore::open(path).map_err(failed)?;
+    let fresh = store.log().state.version == 0;
     if fresh {
         for change in configured_changes(site) {
-            let version = store.trail().state.version;
+            let version = store.log().state.version;
             let (author, reason) = (CONFIGURATION_AUTHOR, CONFIGURATION_REASON);
-            let line = store.trail().propose(version, author, reason, wall_clock(), change);
-            store.keep(&line.map_err(Error::ConfiguredPlan)?).map_err(failed)?;
+            let line = store.log().propose(version, author, reason, wall_clock(), change);
+            store.append(&line.map_err(Error::ConfiguredPlan)?).map_err(failed)?;
         }
     }
     Ok((store, fresh))
@@ -119,12 +119,12 @@
 
 /// The changes that make the plans of a configuration.
 fn configured_changes(site: &Site) -> impl Iterator<Item = Change> {
-    let plans = site.plans.iter().map(|plan| Change::Plan {
+    let plans = site.plans.iter().map(|plan| Change::SetPlan {
         name: plan.name.clone(),
-        figures: scheduler_config::replicated_plan(plan),
+        plan: scheduler_config::replicated_plan(plan),
     });
-    let plan_of = |volume: &Volume| Change::Volume {
-        name: volume.name.clone(),
+    let plan_of = |volume: &Volume| Change::AssignPlan {
+        volume: volume.name.clone(),
         plan: site.plans[volume.plan].name.clone(),
     };
     plans.chain(site.volumes.iter().map(plan_of))
@@ -139,11 +139,12 @@
         let (store, fresh) = open_store(site, &settings.store)?;
         let clock = Clock::from_zero();
         let now = ticks_to_millis(clock.now());
-        let mut rollout = Hosts::default();
-        let members =
-            store.members().map_err(|fault| Error::OpenPlanStore { path: settings.store.clone(), fault })?;
-        members.iter().for_each(|host| rollout.heard(host, now));
-        tracing::info!(listen = %address, version = store.trail().state.version, "plan service started");
+        let mut rollout = Rollout::default();
+        let members = store
+            .members()
+            .map_err(|source| Error::OpenPlanStore { path: settings.store.clone(), source })?;
+        members.iter().for_each(|host| rollout.on_contact(host, now));
+        tracing::info!(listen = %address, version = store.log().state.version, "plan service started");
         Ok(PlanService {
             clock,
             now,
@@ -165,7 +166,7 @@
 
     /// The newest version.
     fn version(&self) -> u64 {
-        self.store.trail().state.version
+        self.store.log().state.version
     }
 
     fn on_event(&mut self, token: Token) -> Result<(), Error> {
@@ -207,9 +208,9 @@
         self.read_buffer = buffer;
     }
 
-    fn on_message(&mut self, id: PeerId, message: ToControl) {
-        if let ToControl::Hello { host, version, last } = message {
-            return self.on_hello(id, &host, version, &last);
+    fn on_message(&mut self, id: PeerId, message: HostMessage) {
+        if let HostMessage::Hello { host, version, last_hash } = message {
+            return self.on_hello(id, &host, version, &last_hash);
         }
         let Some(peer) = self.peers.get_mut(id) else { return };
         if !is_known(peer) {
@@ -217,35 +218,35 @@
         }
         let (host, lender) = (peer.name.clone(), peer.state);
         match message {
-            ToControl::Hello { .. } => {}
-            ToControl::ActsOn { version } => {
+            HostMessage::Hello { .. } => {}
+            HostMessage::Accepted { version } => {
                 tracing::info!(host, version, "version accepted");
-                self.rollout.acts_on(&host, version, self.now);
+                self.rollout.on_accepted(&host, version, self.now);
             }
-            ToControl::Against { version, why } => {
-                tracing::warn!(host, version, reason = why, "version rejected");
-                self.rollout.against(&host, version, &why, self.now);
+            HostMessage::Rejected { version, reason } => {
+                tracing::warn!(host, version, reason, "version rejected");
+                self.rollout.on_rejected(&host, version, &reason, self.now);
             }
-            ToControl::Report { asked, sent, version: _, volumes } => {
-                self.rollout.heard(&host, self.now);
-                self.on_report(id, lender, asked, sent, volumes);
+            HostMessage::QuotaReport { polled_at, sent_at, version: _, volumes } => {
+                self.rollout.on_contact(&host, self.now);
+                self.on_report(id, lender, polled_at, sent_at, volumes);
             }
         }
     }
 
     fn on_hello(&mut self, id: PeerId, host: &str, version: u64, last: &str) {
         let Some(peer) = self.peers.get_mut(id) else { return };
-        if !self.rollout.knows(host)
-            && let Err(fault) = self.store.member(host, true)
+        if !self.rollout.is_member(host)
+            && let Err(e) = self.store.add_member(host)
         {
             // It would be forgotten by the next start, and a version be taken for in effect without it.
-            return self.peers.disconnect(id, &Disconnect::Store(fault));
+            return self.peers.disconnect(id, &Disconnect::Store(e));
         }
         let next = self.lender_ids.len() as LenderId;
         peer.state = *self.lender_ids.entry(host.to_owned()).or_insert(next);
         host.clone_into(&mut peer.name);
-        self.rollout.heard(host, self.now);
-        self.rollout.acts_on(host, version, self.now);
+        self.rollout.on_contact(host, self.now);
+        self.rollout.on_accepted(host, version, self.now);
         self.catch_up(id, version, last);
     }
 
@@ -254,57 +255,63 @@
         &mut self,
         id: PeerId,
         lender: LenderId,
-        asked: Millis,
-        sent: Millis,
-        volumes: Vec<(String, Units, Units)>,
+        polled_at: Millis,
+        sent_at: Millis,
+        volumes: Vec<VolumeReport>,
     ) {
-        let mut granted: Vec<(String, Units)> = Vec::new();
-        for (volume, lent, wanted) in volumes {
+        let mut granted: Vec<VolumeLease> = Vec::new();
+        for VolumeReport { volume, lent, requested } in volumes {
             // Pools only for volumes that exist: a host cannot make this service grow without bound.
-            if !self.store.trail().state.volumes.contains_key(&volume) {
+            if !self.store.log().state.volumes.contains_key(&volume) {
                 continue;
             }
             let (started, fresh) = (self.started, self.fresh);
-            let pool = self.pools.entry(volume.clone()).or_insert_with(|| Pool::new(started, fresh));
-            pool.heard(lender, asked, lent, wanted, self.now);
+            let pool = self.pools.entry(volume.clone()).or_insert_with(|| QuotaPool::new(started, fresh));
+            pool.on_report(lender, polled_at, lent, requested, self.now);
             let amount = pool.grant(lender, self.now);
             if amount > 0 {
-                granted.push((volume, amount));
+                granted.push(VolumeLease { volume, amount });
             }
         }
         if let Some(peer) = self.peers.get_mut(id).filter(|_| !granted.is_empty()) {
-            peer.connection.send(&ToMember::Granted { sent, span: GRANT, volumes: granted });
+            peer.connection.send(&ServiceMessage::QuotaLeases {
+                requested_at: sent_at,
+                duration: LEASE_DURATION,
+                volumes: granted,
+            });
         }
     }
 
     /// Sends a host that has connected what it lacks: lines of the change log where the last one that it has is
     /// in it, else a full snapshot.
     fn catch_up(&mut self, id: PeerId, version: u64, last: &str) {
-        let trail = self.store.trail();
-        let missing = trail.state.version.checked_sub(version).filter(|n| *n <= MAX_CATCH_UP);
-        let lines = missing.and_then(|_| self.store.lines(version + 1, MAX_CATCH_UP as usize).ok());
+        let log = self.store.log();
+        let missing = log.state.version.checked_sub(version).filter(|n| *n <= MAX_CATCH_UP);
+        let lines = missing.and_then(|_| self.store.entries(version + 1, MAX_CATCH_UP as usize).ok());
         // Each line bears the hash of the one before it.
         let follows = |lines: &Vec<String>| match lines.first() {
-            Some(first) => serde_json::from_str::<Line>(first).is_ok_and(|line| line.after == last),
-            None => trail.last() == last,
+            Some(first) => {
+                serde_json::from_str::<LogEntry>(first).is_ok_and(|entry| entry.previous_hash == last)
+            }
+            None => log.last_hash() == last,
         };
         let Some(peer) = self.peers.get_mut(id) else { return };
         match lines.filter(follows) {
             Some(lines) => {
-                lines.into_iter().for_each(|text| peer.connection.send(&ToMember::Line { text }));
+                lines.into_iter().for_each(|text| peer.connection.send(&ServiceMessage::LogEntry { text }));
             }
             None => {
-                let (state, last) = (Box::new(trail.state.clone()), trail.last().to_owned());
-                peer.connection.send(&ToMember::Whole { state, last });
+                let (state, last_hash) = (Box::new(log.state.clone()), log.last_hash().to_owned());
+                peer.connection.send(&ServiceMessage::Snapshot { state, last_hash });
             }
         }
     }
 
     /// What is due after the events of one poll.
     fn after_events(&mut self) {
-        if self.now >= self.last_poll + ASK {
+        if self.now >= self.last_poll + POLL_INTERVAL {
             self.last_poll = self.now;
-            self.peers.broadcast(&ToMember::Ask { asked: self.now }, is_known);
+            self.peers.broadcast(&ServiceMessage::QuotaPoll { polled_at: self.now }, is_known);
         }
         self.answer_rollout_waits();
         self.peers.flush();
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -2,12 +2,13 @@
 use super::{PlanRequest, PlanService, RolloutWait, is_known, wall_clock};
 use crate::control_socket::ConnectionId;
 use crate::error::Error;
+use mallowseam_change_log::Error as StoreError;
 use mallowseam_plans::Millis;
-use mallowseam_plans::force::Waits;
-use mallowseam_plans::state::{Change, Plan, Refused, State};
-use mallowseam_plans::trail::{Line, Trail};
-use mallowseam_plans::words::ToMember;
-use mallowseam_trail::Fault;
+use mallowseam_plans::change_log::{ChangeLog, LogEntry};
+use mallowseam_plans::error::ChangeError;
+use mallowseam_plans::messages::ServiceMessage;
+use mallowseam_plans::rollout::RolloutBlocker;
+use mallowseam_plans::state::{Change, Plan, State};
 
 /// How long an operator waits at most for a version to be in effect.
 const MAX_ROLLOUT_WAIT: Millis = 12_000;
@@ -19,18 +20,18 @@
 enum RequestError {
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    #[error("{0}")]
-    Refused(Refused),
-    #[error("{0}")]
-    ReadStore(Fault),
+    #[error(transparent)]
+    Refused(#[from] ChangeError),
+    #[error(transparent)]
+    ReadStore(StoreError),
     #[error("no version {0}")]
     NoSuchVersion(u64),
     #[error("`{0}`: unknown, or heard of in the last seconds")]
     HostNotRemovable(String),
     /// A change could not be stored. A store that fails is no store: the service ends, and hosts go on with what
     /// they have.
-    #[error("{0}")]
-    WriteStore(Fault),
+    #[error(transparent)]
+    WriteStore(StoreError),
 }
 
 /// Answer to a request; none: it follows once a version is in effect.
@@ -73,13 +74,13 @@
             PlanRequest::Show { version } => {
                 let state = match version {
                     Some(version) => self.at_version(version)?.state,
-                    None => self.store.trail().state.clone(),
+                    None => self.store.log().state.clone(),
                 };
                 Ok(Some(to_json(&state)))
             }
             PlanRequest::History { from, limit } => {
                 let lines =
-                    self.store.lines(from, limit.min(MAX_HISTORY)).map_err(RequestError::ReadStore)?;
+                    self.store.entries(from, limit.min(MAX_HISTORY)).map_err(RequestError::ReadStore)?;
                 Ok(Some(lines.join("\n")))
             }
             PlanRequest::Diff { from, to } => {
@@ -90,35 +91,35 @@
             PlanRequest::Hosts => Ok(Some(self.describe_hosts())),
             PlanRequest::RemoveHost { host } => self.remove_host(host).map(Some),
             PlanRequest::Replay => {
-                let lines = self.store.replay().map_err(RequestError::ReadStore)?;
+                let lines = self.store.verify().map_err(RequestError::ReadStore)?;
                 Ok(Some(format!("trail replays: {lines} of {}", self.version())))
             }
         }
     }
 
-    fn at_version(&self, version: u64) -> Result<Trail, RequestError> {
-        let found = self.store.at(version).map_err(RequestError::ReadStore)?;
+    fn at_version(&self, version: u64) -> Result<ChangeLog, RequestError> {
+        let found = self.store.log_at(version).map_err(RequestError::ReadStore)?;
         found.ok_or(RequestError::NoSuchVersion(version))
     }
 
     /// Makes a change, sends it to the hosts and answers, or has the caller wait for the rollout.
     fn set(&mut self, caller: ConnectionId, request: ChangeRequest) -> Result<Answer, RequestError> {
         let ChangeRequest { change, expected, author, reason, dry_run, wait } = request;
-        let trail = self.store.trail();
-        let expected = expected.unwrap_or(trail.state.version);
-        let text = trail
+        let log = self.store.log();
+        let expected = expected.unwrap_or(log.state.version);
+        let text = log
             .propose(expected, &author, &reason, wall_clock(), change.clone())
             .map_err(RequestError::Refused)?;
         if dry_run {
             return Ok(Some(format!("would be version {}", expected + 1)));
         }
-        let lowers = lowers_a_limit(&trail.state, &change);
-        let line = self.store.keep(&text).map_err(RequestError::WriteStore)?;
+        let lowers = lowers_a_limit(&log.state, &change);
+        let line = self.store.append(&text).map_err(RequestError::WriteStore)?;
         tracing::info!(version = line.version, author = line.author, reason = line.reason, "plans changed");
         if lowers {
-            self.rollout.lowers(line.version);
+            self.rollout.mark_limit_lowered(line.version);
         }
-        self.peers.broadcast(&ToMember::Line { text }, is_known);
+        self.peers.broadcast(&ServiceMessage::LogEntry { text }, is_known);
         if !wait {
             return Ok(Some(format!("version {}", line.version)));
         }
@@ -129,30 +130,30 @@
 
     /// The change that takes back the change of a version.
     fn reverse_change(&self, version: u64) -> Result<Change, RequestError> {
-        let line = self.store.lines(version, 1).map_err(RequestError::ReadStore)?.pop();
-        let line: Line = line
+        let line = self.store.entries(version, 1).map_err(RequestError::ReadStore)?.pop();
+        let line: LogEntry = line
             .and_then(|text| serde_json::from_str(&text).ok())
             .ok_or(RequestError::NoSuchVersion(version))?;
-        Ok(self.at_version(version - 1)?.state.undo(&line.change))
+        Ok(self.at_version(version - 1)?.state.revert(&line.change))
     }
 
     fn describe_hosts(&self) -> String {
         let newest = self.version();
-        let count = self.rollout.count();
-        let everywhere = self.rollout.everywhere(newest, self.now);
+        let count = self.rollout.member_count();
+        let everywhere = self.rollout.effective_version(newest, self.now);
         let mut text = format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
-        let waits = self.rollout.waits(newest, self.now);
+        let waits = self.rollout.blockers(newest, self.now);
         if !waits.is_empty() {
-            text += &format!("\nwaits: {}", describe_waits(&waits));
+            text += &format!("\nwaits: {}", describe_blockers(&waits));
         }
         text
     }
 
     fn remove_host(&mut self, host: String) -> Result<String, RequestError> {
-        if !self.rollout.gone(&host, self.now) {
+        if !self.rollout.declare_removed(&host, self.now) {
             return Err(RequestError::HostNotRemovable(host));
         }
-        self.store.member(&host, false).map_err(RequestError::WriteStore)?;
+        self.store.remove_member(&host).map_err(RequestError::WriteStore)?;
         Ok(format!("{host} is taken for gone"))
     }
 
@@ -160,11 +161,11 @@
     pub(super) fn answer_rollout_waits(&mut self) {
         for wait in std::mem::take(&mut self.rollout_waits) {
             let version = wait.version;
-            let pending = self.rollout.waits(version, self.now);
+            let pending = self.rollout.blockers(version, self.now);
             let text = if pending.is_empty() {
-                format!("version {version} in force at all {} hosts", self.rollout.count())
+                format!("version {version} in force at all {} hosts", self.rollout.member_count())
             } else if self.now >= wait.deadline {
-                let pending = describe_waits(&pending);
+                let pending = describe_blockers(&pending);
                 format!("error: version {version} stands, and is not in force everywhere: {pending}")
             } else {
                 self.rollout_waits.push(wait);
@@ -194,12 +195,16 @@
     })
 }
 
-fn describe_waits(waits: &[Waits]) -> String {
-    let describe = |wait: &Waits| match wait {
-        Waits::Silent { host, acts_on, .. } => format!("{host} is silent, acts on {acts_on}"),
-        Waits::Behind { host, acts_on } => format!("{host} acts on {acts_on}"),
-        Waits::Against { host, why } => format!("{host} turned it down: {why}"),
-        Waits::Lapses { .. } => "what was lent before lapses".to_owned(),
+fn describe_blockers(waits: &[RolloutBlocker]) -> String {
+    let describe = |wait: &RolloutBlocker| match wait {
+        RolloutBlocker::Silent { host, accepted_version, .. } => {
+            format!("{host} is silent, acts on {accepted_version}")
+        }
+        RolloutBlocker::Behind { host, accepted_version } => {
+            format!("{host} acts on {accepted_version}")
+        }
+        RolloutBlocker::Rejected { host, reason } => format!("{host} turned it down: {reason}"),
+        RolloutBlocker::UnexpiredLeases { .. } => "what was lent before lapses".to_owned(),
     };
     waits.iter().map(describe).collect::<Vec<_>>().join("; ")
 }
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -109,7 +109,8 @@
 
 /// A plan of a configuration in the form that the plan service keeps: figures in thousandths.
 pub fn replicated_plan(plan: &site::Plan) -> state::Plan {
-    let thousandths = |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MOST as f64) as u64;
+    let thousandths =
+        |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MAX_PARAMETER as f64) as u64;
     state::Plan {
         usual: thousandths(plan.usual),
         reserve: thousandths(plan.reserve),
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -1,7 +1,7 @@
 //! Exports of snapshots to files and imports from them, through a host as any client reads and writes.
 use crate::blocking_client::{BlockingClient, ClientError};
 use crate::control_socket::{self, RequestError};
-use mallowseam_archive::{Head, Next, Reader, Standing, Writer};
+use mallowseam_archive::{Header, Reader, Record, ResumePoint, Writer};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_settings::Site;
@@ -31,8 +31,8 @@
     NoSuchUnit(String),
     #[error("no mapped volume")]
     NoMappedVolume,
-    #[error("{0}")]
-    NoSuchSnapshot(mallowseam_cow::tree::Refused),
+    #[error(transparent)]
+    NoSuchSnapshot(mallowseam_cow::tree::ChangeError),
     #[error("{address}: {source}")]
     Login { address: SocketAddr, source: ClientError },
     #[error(transparent)]
@@ -43,8 +43,8 @@
     RetriesExhausted { lba: u64, status: u8 },
     #[error("{}: {source}", file.display())]
     File { file: PathBuf, source: io::Error },
-    #[error("{}: {fault}", file.display())]
-    Archive { file: PathBuf, fault: mallowseam_archive::Fault },
+    #[error("{}: {source}", file.display())]
+    Archive { file: PathBuf, source: mallowseam_archive::Error },
     #[error("{}: holds `{held}`, not `{wanted}`", file.display())]
     AnotherSnapshot { file: PathBuf, held: String, wanted: String },
     #[error(
@@ -70,13 +70,13 @@
         ArchiveError::File { file: self.0.to_owned(), source }
     }
 
-    fn fault(self, fault: mallowseam_archive::Fault) -> ArchiveError {
-        ArchiveError::Archive { file: self.0.to_owned(), fault }
+    fn archive_error(self, source: mallowseam_archive::Error) -> ArchiveError {
+        ArchiveError::Archive { file: self.0.to_owned(), source }
     }
 
     fn reader(self) -> Result<Reader<BufReader<File>>, ArchiveError> {
         let file = File::open(self.0).map_err(|e| self.io(e))?;
-        Reader::new(BufReader::new(file)).map_err(|e| self.fault(e))
+        Reader::new(BufReader::new(file)).map_err(|e| self.archive_error(e))
     }
 }
 
@@ -104,8 +104,8 @@
         let configured = site.volumes.iter().find(|volume| volume.mapped && volume.name == name);
         let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
             (Some(volume), ..) => (volume.lun.into(), (volume.blocks / blocks_per_extent) as u32),
-            (None, Some(branch), _) => (branch.unit, branch.extents),
-            (None, None, Some(snapshot)) => (snapshot.unit, snapshot.extents),
+            (None, Some(branch), _) => (branch.lun, branch.extent_count),
+            (None, None, Some(snapshot)) => (snapshot.lun, snapshot.extent_count),
             (None, None, None) => return Err(ArchiveError::NoSuchUnit(name.to_owned())),
         };
         let volume = site.volumes.iter().find(|v| v.mapped).ok_or(ArchiveError::NoMappedVolume)?;
@@ -164,25 +164,25 @@
 enum Existing {
     Nothing,
     Complete,
-    Partial(Box<Standing>),
+    Partial(Box<ResumePoint>),
 }
 
 /// Reads what a file holds of an export. Error: it holds another one.
-fn read_existing(path: ArchivePath, head: &Head) -> Result<Existing, ArchiveError> {
+fn read_existing(path: ArchivePath, head: &Header) -> Result<Existing, ArchiveError> {
     let file = match File::open(path.0) {
         Ok(file) if file.metadata().map_err(|e| path.io(e))?.len() > 0 => file,
         _ => return Ok(Existing::Nothing),
     };
-    let mut reader = Reader::new(BufReader::new(file)).map_err(|e| path.fault(e))?;
-    if reader.head() != head {
-        let (held, wanted) = (reader.head().name.clone(), head.name.clone());
+    let mut reader = Reader::new(BufReader::new(file)).map_err(|e| path.archive_error(e))?;
+    if reader.header() != head {
+        let (held, wanted) = (reader.header().name.clone(), head.name.clone());
         return Err(ArchiveError::AnotherSnapshot { file: path.0.to_owned(), held, wanted });
     }
     loop {
-        match reader.advance() {
-            Ok(Next::Extent(..)) => {}
-            Ok(Next::End) => return Ok(Existing::Complete),
-            Err(_) => return Ok(Existing::Partial(Box::new(reader.standing().clone()))),
+        match reader.next_record() {
+            Ok(Record::Extent { .. }) => {}
+            Ok(Record::End) => return Ok(Existing::Complete),
+            Err(_) => return Ok(Existing::Partial(Box::new(reader.resume_point().clone()))),
         }
     }
 }
@@ -190,18 +190,18 @@
 /// Opens a file for the rest of an export.
 fn open_writer(
     path: ArchivePath,
-    head: &Head,
-    standing: Option<Standing>,
+    head: &Header,
+    resume_point: Option<ResumePoint>,
 ) -> Result<Writer<BufWriter<File>>, ArchiveError> {
     let mut options = OpenOptions::new();
     let mut file = options.create(true).write(true).truncate(false).open(path.0).map_err(|e| path.io(e))?;
-    match standing {
-        Some(standing) => {
-            file.set_len(standing.bytes).map_err(|e| path.io(e))?;
+    match resume_point {
+        Some(resume_point) => {
+            file.set_len(resume_point.valid_bytes).map_err(|e| path.io(e))?;
             file.seek(SeekFrom::End(0)).map_err(|e| path.io(e))?;
-            Ok(Writer::resume(BufWriter::new(file), standing))
+            Ok(Writer::resume(BufWriter::new(file), resume_point))
         }
-        None => Writer::new(BufWriter::new(file), head).map_err(|e| path.fault(e)),
+        None => Writer::new(BufWriter::new(file), head).map_err(|e| path.archive_error(e)),
     }
 }
 
@@ -210,28 +210,33 @@
     let tree = fetch_tree(site)?;
     let snapshot = tree.snapshot(name).map_err(ArchiveError::NoSuchSnapshot)?;
     let mut unit = RemoteUnit::open(site, &tree, name)?;
-    let head = Head { name: name.to_owned(), extent: unit.extent_bytes() as u32, extents: unit.extents };
+    let head = Header {
+        name: name.to_owned(),
+        extent_bytes: unit.extent_bytes() as u32,
+        extent_count: unit.extents,
+    };
     let path = ArchivePath(file);
-    let standing = match read_existing(path, &head)? {
+    let resume_point = match read_existing(path, &head)? {
         Existing::Complete => return Ok(format!("{}: whole already", file.display())),
-        Existing::Partial(standing) => Some(*standing),
+        Existing::Partial(resume_point) => Some(*resume_point),
         Existing::Nothing => None,
     };
-    let first = standing.as_ref().and_then(|standing| standing.last).map_or(0, |last| last + 1);
-    let mut writer = open_writer(path, &head, standing)?;
+    let first =
+        resume_point.as_ref().and_then(|resume_point| resume_point.last_extent).map_or(0, |last| last + 1);
+    let mut writer = open_writer(path, &head, resume_point)?;
     let mut written = 0;
     for extent in first..unit.extents {
         // What was never written reads as zeros, here and after an import.
-        if tree.find(snapshot.layer, extent).is_none() {
+        if tree.locate(snapshot.layer, extent).is_none() {
             continue;
         }
         let data = unit.read(extent)?;
         if data.iter().any(|byte| *byte != 0) {
-            writer.extent(extent, &data).map_err(|e| path.fault(e))?;
+            writer.write_extent(extent, &data).map_err(|e| path.archive_error(e))?;
             written += 1;
         }
     }
-    let bytes = writer.end().map_err(|e| path.fault(e))?;
+    let bytes = writer.finish().map_err(|e| path.archive_error(e))?;
     let resumed = if first > 0 { format!(", gone on from extent {first}") } else { String::new() };
     Ok(format!("{name}: {written} extents written{resumed}; {bytes} bytes in all"))
 }
@@ -242,15 +247,15 @@
     let path = ArchivePath(file);
     // All of it is read once before anything is written.
     let mut check = path.reader()?;
-    while check.advance().map_err(|e| path.fault(e))? != Next::End {}
+    while check.next_record().map_err(|e| path.archive_error(e))? != Record::End {}
     let tree = fetch_tree(site)?;
     let mut unit = RemoteUnit::open(site, &tree, name)?;
-    let head = check.head();
-    if u64::from(head.extent) != unit.extent_bytes() || head.extents != unit.extents {
+    let head = check.header();
+    if u64::from(head.extent_bytes) != unit.extent_bytes() || head.extent_count != unit.extents {
         return Err(ArchiveError::AnotherSize {
             file: file.to_owned(),
-            extents: head.extents,
-            extent_bytes: head.extent,
+            extents: head.extent_count,
+            extent_bytes: head.extent_bytes,
             name: name.to_owned(),
             unit_extents: unit.extents,
             unit_extent_bytes: unit.extent_bytes(),
@@ -267,9 +272,9 @@
     };
     let zeros = vec![0; unit.extent_bytes() as usize];
     loop {
-        let (end, data) = match reader.advance().map_err(|e| path.fault(e))? {
-            Next::Extent(extent, data) => (extent, Some(data)),
-            Next::End => (unit.extents, None),
+        let (end, data) = match reader.next_record().map_err(|e| path.archive_error(e))? {
+            Record::Extent { index, data } => (index, Some(data)),
+            Record::End => (unit.extents, None),
         };
         for extent in next..end {
             put(&mut unit, extent, &zeros)?;
@@ -278,5 +283,5 @@
         put(&mut unit, end, &data)?;
         next = end + 1;
     }
-    Ok(format!("{name}: shows {}; {written} extents written", reader.head().name))
+    Ok(format!("{name}: shows {}; {written} extents written", reader.header().name))
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,9 +1,9 @@
 //! The snapshot catalog service: keeps the tree of layers, tells hosts of its changes, and has nodes close layers
-//! and free places.
+//! and unmap reclaimed extents.
 //!
 //! - `hosts`: messages of hosts, and what a host that connects is sent.
 //! - `operator`: requests on the control socket, and operations whose end an operator waits for.
-//! - `node_commands`: commands at nodes, which close layers to writes and free places.
+//! - `node_commands`: commands at nodes, which close layers to writes and unmap reclaimed extents.
 //! - `listing`: the tree as text.
 mod hosts;
 mod listing;
@@ -17,15 +17,15 @@
 use crate::node_connections::Nodes;
 use crate::startup;
 use hosts::Hello;
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::free::Free;
-use mallowseam_cow::leases::Leases;
-use mallowseam_cow::tree::{Change, LayerId, Refused, Tree};
-use mallowseam_cow::words::ToHost;
+use mallowseam_cow::leases::HostLeases;
+use mallowseam_cow::messages::ToHost;
+use mallowseam_cow::reclaim::Reclaimer;
+use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_scheduler::host::Tick;
 use mallowseam_settings::Site;
 use mallowseam_settings::site::{self, Volume};
+use mallowseam_snapshot_catalog::Catalog;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use node_commands::NodeCommand;
@@ -45,14 +45,14 @@
 const LIMITS: Limits = Limits { max_line: 64 * 1024, max_unsent: 128 << 20 };
 /// Ticks between two periodic checks of leases, connections and layers.
 const CHECK_PERIOD: Tick = 100;
-/// Ticks after which hosts that have not said that they are clear of a layer are asked again.
-const ASK_CLEAR_PERIOD: Tick = 2_000;
+/// Ticks after which hosts that have not quiesced a layer are asked again.
+const QUIESCE_PERIOD: Tick = 2_000;
 
 /// Whether a host has said hello and is sent every change from then on.
 type Subscribed = bool;
 
-/// A place that was told to hosts, and is opened to writes once no host acts on an older version.
-struct PendingOpen {
+/// The location of an extent that hosts were told of. It becomes writable once no host acts on an older version.
+struct PendingLocation {
     version: u64,
     layer: LayerId,
     extent: u32,
@@ -69,9 +69,9 @@
     clock: Clock,
     now: Tick,
     catalog: Catalog,
-    leases: Leases,
-    /// Places to be freed.
-    free: Free,
+    leases: HostLeases,
+    /// Extents and layers to be reclaimed.
+    reclaimer: Reclaimer,
     hosts: Peers<Subscribed>,
     first_host_token: usize,
     nodes: Nodes,
@@ -80,7 +80,7 @@
     /// Commands in flight at nodes, by tag.
     commands: BTreeMap<u32, NodeCommand>,
     last_tag: u32,
-    pending_opens: Vec<PendingOpen>,
+    pending_locations: Vec<PendingLocation>,
     pending_operations: Vec<PendingOperation>,
     replies: Vec<Reply>,
     /// Hosts that have said hello in this iteration.
@@ -92,7 +92,7 @@
     crash_points: u64,
     crash_at: Option<u64>,
     last_check: Tick,
-    last_ask_clear: Tick,
+    last_quiesce: Tick,
     read_buffer: Vec<u8>,
 }
 
@@ -134,7 +134,7 @@
         let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
         let control = startup::control_socket(settings.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
         let catalog = Catalog::open(&settings.store)
-            .map_err(|fault| Error::OpenCatalogStore { path: settings.store.clone(), fault })?;
+            .map_err(|source| Error::OpenCatalogStore { path: settings.store.clone(), source })?;
         let initiator = format!("{}:catalog", site.host.target);
         let registry = startup::registry(poll)?;
         let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry, FIRST_NODE);
@@ -146,9 +146,9 @@
             site,
             clock,
             now,
-            free: Free::of(catalog.tree()),
+            reclaimer: Reclaimer::from_tree(catalog.tree()),
             catalog,
-            leases: Leases::new(ticks_to_millis(now), fresh),
+            leases: HostLeases::new(ticks_to_millis(now), fresh),
             hosts,
             first_host_token,
             nodes,
@@ -156,7 +156,7 @@
             signals: startup::signals(poll, SIGNALS)?,
             commands: BTreeMap::new(),
             last_tag: 0,
-            pending_opens: Vec::new(),
+            pending_locations: Vec::new(),
             pending_operations: Vec::new(),
             replies: Vec::new(),
             hellos: Vec::new(),
@@ -165,21 +165,21 @@
             crash_points: 0,
             crash_at: None,
             last_check: now,
-            last_ask_clear: now,
+            last_quiesce: now,
             read_buffer: vec![0; READ_BUFFER],
         };
-        service.resume_pending_opens();
+        service.resume_pending_locations();
         service.create_configured_branches(&settings)?;
         Ok(service)
     }
 
-    /// Places that were told and not opened before the last stop are opened by this run.
-    fn resume_pending_opens(&mut self) {
+    /// Locations that hosts were told of, and that were not writable at the last stop, become so in this run.
+    fn resume_pending_locations(&mut self) {
         let tree = self.catalog.tree();
         for (id, layer) in &tree.layers {
-            for extent in layer.places.keys().filter(|extent| !layer.opened.contains(extent)) {
+            for extent in layer.locations.keys().filter(|extent| !layer.writable.contains(extent)) {
                 let (version, layer, extent) = (tree.version, *id, *extent);
-                self.pending_opens.push(PendingOpen { version, layer, extent });
+                self.pending_locations.push(PendingLocation { version, layer, extent });
             }
         }
     }
@@ -189,8 +189,8 @@
         let mapped: Vec<Volume> = self.site.volumes.iter().filter(|v| v.mapped).cloned().collect();
         for volume in mapped {
             if !self.tree().branches.contains_key(&volume.name) {
-                let extents = (volume.blocks / settings.extent) as u32;
-                let created = Change::Made { branch: volume.name, extents };
+                let extent_count = (volume.blocks / settings.extent) as u32;
+                let created = Change::BranchCreated { branch: volume.name, extent_count };
                 self.propose(created).map_err(Error::ConfiguredVolume)?;
             }
         }
@@ -198,9 +198,9 @@
     }
 
     /// Makes a change, which counts once the batch is on disk. Its version.
-    fn propose(&mut self, change: Change) -> Result<u64, Refused> {
-        let touched = self.catalog.propose(change)?;
-        self.free.noticed(self.catalog.tree(), &touched);
+    fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
+        let effects = self.catalog.stage(change)?;
+        self.reclaimer.record_change(self.catalog.tree(), &effects);
         Ok(self.catalog.tree().version)
     }
 
@@ -247,7 +247,7 @@
     fn after_events(&mut self) -> Result<(), Error> {
         let now = ticks_to_millis(self.now);
         self.on_completed_commands();
-        self.open_places(now);
+        self.make_locations_writable(now);
         if self.now >= self.last_check + CHECK_PERIOD {
             self.last_check = self.now;
             self.on_timer(now);
@@ -261,23 +261,23 @@
 
     /// Periodic checks.
     fn on_timer(&mut self, now: u64) {
-        self.leases.tidy(now);
-        if self.last_ask_clear + ASK_CLEAR_PERIOD <= self.now {
-            self.last_ask_clear = self.now;
-            self.ask_clear(now);
+        self.leases.remove_expired(now);
+        if self.last_quiesce + QUIESCE_PERIOD <= self.now {
+            self.last_quiesce = self.now;
+            self.quiesce_hosts(now);
         }
         self.nodes.on_timer(self.now);
         self.close_layers();
-        self.free_places(now);
+        self.reclaim_extents(now);
     }
 
-    /// Opens places to writes once no host acts on a tree without them.
-    fn open_places(&mut self, now: u64) {
-        for pending in std::mem::take(&mut self.pending_opens) {
-            if self.leases.counts(pending.version, now) {
-                let _ = self.propose(Change::Opened { layer: pending.layer, extent: pending.extent });
+    /// Makes locations writable once no host acts on a tree without them.
+    fn make_locations_writable(&mut self, now: u64) {
+        for pending in std::mem::take(&mut self.pending_locations) {
+            if self.leases.is_effective(pending.version, now) {
+                let _ = self.propose(Change::ExtentWritable { layer: pending.layer, extent: pending.extent });
             } else {
-                self.pending_opens.push(pending);
+                self.pending_locations.push(pending);
             }
         }
     }
@@ -292,17 +292,17 @@
 
     /// Puts the changes of this iteration on disk, then queues them for the hosts.
     fn store_changes(&mut self) -> Result<(), Error> {
-        self.stored = self.catalog.kept() < self.tree().version;
+        self.stored = self.catalog.committed_version() < self.tree().version;
         if self.stored {
             self.crash_point();
         }
         // A store that fails is no store: hosts go on by their leases, and a new process reads what is there.
-        let (first, changes) = self.catalog.keep().map_err(Error::CatalogStore)?;
+        let batch = self.catalog.commit().map_err(Error::CatalogStore)?;
         if self.stored {
             self.crash_point();
         }
-        for (version, change) in (first..).zip(changes) {
-            self.hosts.broadcast(&ToHost::Changed { version, change }, |host| host.state);
+        for (version, change) in (batch.first_version..).zip(batch.changes) {
+            self.hosts.broadcast(&ToHost::TreeChanged { version, change }, |host| host.state);
         }
         self.welcome_hosts();
         Ok(())
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -1,20 +1,19 @@
-//! The hosts' side of the snapshot catalog: leases, places of extents, and the tree that a host is sent.
+//! The hosts' side of the snapshot catalog: leases, locations of extents, and the tree that a host is sent.
 use super::node_commands::Purpose;
 use super::operator::Operation;
-use super::{CatalogService, PendingOpen, Reply};
+use super::{CatalogService, PendingLocation, Reply};
 use crate::clock::ticks_to_millis;
 use crate::json_lines::PeerId;
-use mallowseam_cow::cache::settle;
-use mallowseam_cow::cut::leave;
-use mallowseam_cow::tree::{Change, LayerId, Place};
-use mallowseam_cow::words::{ToCatalog, ToHost, whole};
+use mallowseam_cow::consistent_cut::decide_completion;
+use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
+use mallowseam_cow::tree::{Change, LayerId, Location};
+use mallowseam_cow::tree_replica::check_placement;
 use mallowseam_iscsi::scsi;
 
 /// A host that has said hello, with the tree that it holds.
 pub(super) struct Hello {
     host: PeerId,
-    /// Which catalog the tree is of, and its version.
-    held: Option<(u64, u64)>,
+    known: Option<TreeVersion>,
 }
 
 impl CatalogService {
@@ -35,79 +34,80 @@
         let now = ticks_to_millis(self.now);
         let Some(host) = self.hosts.get_mut(id) else { return };
         match message {
-            ToCatalog::Hello { host: name, have } => {
+            ToCatalog::Hello { host: name, known } => {
                 host.name = name;
-                self.hellos.push(Hello { host: id, held: have });
+                self.hellos.push(Hello { host: id, known });
             }
-            ToCatalog::Renew { sent, seen } => {
-                let span = self.leases.renew(&host.name, seen, now);
-                host.connection.send(&ToHost::Lease { sent, span });
+            ToCatalog::RenewLease { sent_at, seen_version } => {
+                let duration = self.leases.renew(&host.name, seen_version, now);
+                host.connection.send(&ToHost::LeaseGranted { sent_at, duration });
             }
-            ToCatalog::Seen { version } => self.leases.seen(&host.name, version),
-            ToCatalog::Numbers { layer, count } => self.allot_numbers(id, layer, count),
-            ToCatalog::Clear { layer } => {
+            ToCatalog::Acknowledge { version } => self.leases.acknowledge(&host.name, version),
+            ToCatalog::AllocateSlots { layer, count } => self.allocate_slots(id, layer, count),
+            ToCatalog::Quiesced { layer } => {
                 for pending in &mut self.pending_operations {
                     if let Operation::Cut(cut) = &mut pending.operation {
-                        cut.clear(layer, &host.name);
+                        cut.host_quiesced(layer, &host.name);
                     }
                 }
             }
-            ToCatalog::Leave { layer } => self.on_leave(id, layer),
-            ToCatalog::Placed { layer, extent, place } => self.on_placed(id, layer, extent, place),
+            ToCatalog::RequestCompletion { layer } => self.on_completion_request(id, layer),
+            ToCatalog::ProposeLocation { layer, extent, location } => {
+                self.on_proposed_location(id, layer, extent, location);
+            }
         }
     }
 
-    /// Allots place numbers of a layer to a host. It is told behind the change, once that is on disk.
-    fn allot_numbers(&mut self, host: PeerId, layer: LayerId, count: u32) {
-        let first = self.tree().layers.get(&layer).map_or(0, |l| l.next_number);
-        if self.propose(Change::Numbers { layer, first, count }).is_ok() {
-            self.replies.push(Reply::Host(host, ToHost::Numbers { layer, first, count }));
+    /// Allocates slots of a layer to a host. The host is told behind the change, once that is on disk.
+    fn allocate_slots(&mut self, host: PeerId, layer: LayerId, count: u32) {
+        let first = self.tree().layers.get(&layer).map_or(0, |l| l.next_slot);
+        if self.propose(Change::SlotsAllocated { layer, first, count }).is_ok() {
+            self.replies.push(Reply::Host(host, ToHost::SlotsAllocated { layer, first, count }));
         }
     }
 
     /// A host asks to complete a write that has parts in a layer. Where it may, pending cuts of that layer are
-    /// made anew behind the write.
-    fn on_leave(&mut self, host: PeerId, layer: LayerId) {
-        let Some((given, between)) = leave(self.tree(), layer) else {
-            return self.replies.push(Reply::Host(host, ToHost::Leave { layer, given: false }));
-        };
-        if given {
+    /// restarted behind the write.
+    fn on_completion_request(&mut self, host: PeerId, layer: LayerId) {
+        let decision = decide_completion(self.tree(), layer);
+        let granted = decision.as_ref().is_some_and(|decision| decision.is_granted);
+        if let Some(decision) = decision.filter(|_| granted) {
             for pending in &mut self.pending_operations {
                 if let Operation::Cut(cut) = &mut pending.operation
-                    && between.contains(&cut.layer)
+                    && decision.frozen_layers.contains(&cut.layer)
                 {
-                    cut.behind();
+                    cut.mark_stale();
                 }
             }
         }
-        self.replies.push(Reply::Host(host, ToHost::Leave { layer, given }));
+        self.replies.push(Reply::Host(host, ToHost::CompletionDecision { layer, granted }));
     }
 
-    /// A host has copied an extent to a place. A place that came second is freed again.
-    fn on_placed(&mut self, host: PeerId, layer: LayerId, extent: u32, place: Place) {
-        let change = Change::Placed { layer, extent, place };
-        match settle(self.tree(), &change) {
+    /// A host has copied an extent. A copy that came second is unmapped again.
+    fn on_proposed_location(&mut self, host: PeerId, layer: LayerId, extent: u32, location: Location) {
+        let change = Change::ExtentPlaced { layer, extent, location };
+        match check_placement(self.tree(), &change) {
             Ok(None) => {
                 if let Ok(version) = self.propose(change) {
-                    self.pending_opens.push(PendingOpen { version, layer, extent });
+                    self.pending_locations.push(PendingLocation { version, layer, extent });
                 }
             }
-            Ok(Some(first)) if first == place => {}
+            Ok(Some(first)) if first == location => {}
             _ => {
                 // Nothing has ever referred to it, and nothing will.
-                self.replies.push(Reply::Host(host, ToHost::NotPlaced { layer, extent }));
-                if (place.node as usize) < self.nodes.len() {
-                    let unmap = scsi::unmap(&[self.blocks_of(place)]);
-                    self.send_command(Purpose::FreeLateCopy, place.node, layer, unmap);
+                self.replies.push(Reply::Host(host, ToHost::LocationRejected { layer, extent }));
+                if (location.node as usize) < self.nodes.len() {
+                    let unmap = scsi::unmap(&[self.blocks_of(location)]);
+                    self.send_command(Purpose::UnmapLateCopy, location.node, layer, unmap);
                 }
             }
         }
     }
 
-    /// First block and length of a place.
-    pub(super) fn blocks_of(&self, place: Place) -> (u64, u32) {
+    /// First block and length of a location.
+    pub(super) fn blocks_of(&self, location: Location) -> (u64, u32) {
         let extent_blocks = self.extent_blocks();
-        (u64::from(place.number) * extent_blocks, extent_blocks as u32)
+        (u64::from(location.slot) * extent_blocks, extent_blocks as u32)
     }
 
     /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
@@ -116,15 +116,16 @@
             let Some(host) = self.hosts.get_mut(hello.host) else { continue };
             host.state = true;
             let catalog = self.catalog.id();
-            let same_catalog = hello.held.filter(|(held, _)| *held == catalog);
-            match same_catalog.and_then(|(_, version)| self.catalog.since(version)) {
+            let known = hello.known.filter(|known| known.catalog_id == catalog);
+            match known.and_then(|known| self.catalog.changes_since(known.version)) {
                 Some(missed) => {
                     for (version, change) in missed {
-                        host.connection.send(&ToHost::Changed { version, change: change.clone() });
+                        host.connection.send(&ToHost::TreeChanged { version, change: change.clone() });
                     }
-                    host.connection.send(&ToHost::Going);
+                    host.connection.send(&ToHost::CaughtUp);
                 }
-                None => whole(catalog, self.catalog.tree()).for_each(|part| host.connection.send(&part)),
+                None => full_tree_messages(catalog, self.catalog.tree())
+                    .for_each(|part| host.connection.send(&part)),
             }
         }
     }
--- a/crates/gateway/src/snapshot_catalog/listing.rs
+++ b/crates/gateway/src/snapshot_catalog/listing.rs
@@ -7,12 +7,12 @@
     for (name, branch) in &tree.branches {
         let origin =
             branch.origin.as_deref().map_or(String::new(), |snapshot| format!("  clone of {snapshot}"));
-        let own = tree.layers.get(&branch.head).map_or(0, |layer| layer.places.len());
-        let (unit, extents) = (branch.unit, branch.extents);
+        let own = tree.layers.get(&branch.head).map_or(0, |layer| layer.locations.len());
+        let (unit, extents) = (branch.lun, branch.extent_count);
         lines.push(format!("{name}  LUN {unit}  {own} of {extents} extents its own{origin}"));
     }
     for (name, snapshot) in &tree.snapshots {
-        lines.push(format!("{name}  LUN {}  layer {}", snapshot.unit, snapshot.layer));
+        lines.push(format!("{name}  LUN {}  layer {}", snapshot.lun, snapshot.layer));
     }
     lines.join("\n")
 }
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the snapshot catalog at nodes: layers are closed to writes, places are freed.
+//! Commands of the snapshot catalog at nodes: layers are closed to writes, reclaimed extents are unmapped.
 use super::CatalogService;
 use super::operator::Operation;
 use crate::clock::ticks_to_millis;
@@ -17,10 +17,10 @@
 pub(super) enum Purpose {
     /// Close a frozen layer to writes.
     CloseLayer { layer: LayerId, node: u32 },
-    /// Free the place of an extent that nothing refers to any more.
-    FreePlace { layer: LayerId, extent: u32 },
-    /// Free a copy that came second. What is left of it if its node does not answer, `verify` finds.
-    FreeLateCopy,
+    /// Unmap an extent that nothing refers to any more.
+    UnmapExtent { layer: LayerId, extent: u32 },
+    /// Unmap a copy that came second. What is left of it if its node does not answer, `verify` finds.
+    UnmapLateCopy,
 }
 
 /// A command in flight.
@@ -45,9 +45,9 @@
         self.nodes.submit(node as usize, request, self.now);
     }
 
-    /// Has every node that holds places of a frozen layer close it to writes, however often that takes.
+    /// Has every node that holds extents of a frozen layer close it to writes, however often that takes.
     pub(super) fn close_layers(&mut self) {
-        for (layer, node) in self.tree().to_close().collect::<Vec<_>>() {
+        for (layer, node) in self.tree().pending_closes().collect::<Vec<_>>() {
             let purpose = Purpose::CloseLayer { layer, node };
             if !self.commands.values().any(|command| command.purpose == purpose) {
                 self.send_command(purpose, node, layer, scsi::write_protect(true));
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Has nodes free places that nothing refers to any more.
-    pub(super) fn free_places(&mut self, now: u64) {
+    /// Has nodes unmap extents that nothing refers to any more.
+    pub(super) fn reclaim_extents(&mut self, now: u64) {
         let deadlines = self.site.groups.iter().map(|class| class.hard_limit / MICROS_PER_MILLI);
         let longest_write = deadlines.max().unwrap_or(0);
         let layer_of_cut = |operation: &Operation| match operation {
@@ -66,14 +66,14 @@
         let in_use =
             self.pending_operations.iter().filter_map(|pending| layer_of_cut(&pending.operation)).collect();
         let tree = self.catalog.tree();
-        for (layer, extent) in self.free.lot(tree, &in_use, &self.leases, longest_write, now) {
-            let place = self.tree().layers.get(&layer).and_then(|l| l.places.get(&extent)).copied();
-            let Some(place) = place else { continue };
-            let unmap = scsi::unmap(&[self.blocks_of(place)]);
-            self.send_command(Purpose::FreePlace { layer, extent }, place.node, layer, unmap);
+        for (layer, extent) in self.reclaimer.next_batch(tree, &in_use, &self.leases, longest_write, now) {
+            let location = self.tree().layers.get(&layer).and_then(|l| l.locations.get(&extent)).copied();
+            let Some(location) = location else { continue };
+            let unmap = scsi::unmap(&[self.blocks_of(location)]);
+            self.send_command(Purpose::UnmapExtent { layer, extent }, location.node, layer, unmap);
         }
-        for layer in self.free.idle(self.catalog.tree(), &in_use) {
-            let _ = self.propose(Change::Freed { layer, extents: Vec::new() });
+        for layer in self.reclaimer.removable_layers(self.catalog.tree(), &in_use) {
+            let _ = self.propose(Change::ExtentsReclaimed { layer, extents: Vec::new() });
         }
     }
 
@@ -100,10 +100,10 @@
     fn node_of(&self, purpose: Purpose) -> Option<u32> {
         match purpose {
             Purpose::CloseLayer { node, .. } => Some(node),
-            Purpose::FreeLateCopy => None,
-            Purpose::FreePlace { layer, extent } => {
-                let place = self.tree().layers.get(&layer).and_then(|l| l.places.get(&extent));
-                place.map(|place| place.node)
+            Purpose::UnmapLateCopy => None,
+            Purpose::UnmapExtent { layer, extent } => {
+                let location = self.tree().layers.get(&layer).and_then(|l| l.locations.get(&extent));
+                location.map(|location| location.node)
             }
         }
     }
@@ -112,16 +112,16 @@
         self.crash_point();
         match purpose {
             Purpose::CloseLayer { layer, node } if done => {
-                let _ = self.propose(Change::Closed { layer, node });
+                let _ = self.propose(Change::LayerClosed { layer, node });
             }
-            Purpose::FreePlace { layer, extent } if done => {
-                self.free.done((layer, extent));
-                let _ = self.propose(Change::Freed { layer, extents: vec![extent] });
+            Purpose::UnmapExtent { layer, extent } if done => {
+                self.reclaimer.completed((layer, extent));
+                let _ = self.propose(Change::ExtentsReclaimed { layer, extents: vec![extent] });
             }
-            Purpose::FreePlace { layer, extent } => {
-                self.free.failed((layer, extent), ticks_to_millis(self.now))
+            Purpose::UnmapExtent { layer, extent } => {
+                self.reclaimer.failed((layer, extent), ticks_to_millis(self.now))
             }
-            Purpose::CloseLayer { .. } | Purpose::FreeLateCopy => {}
+            Purpose::CloseLayer { .. } | Purpose::UnmapLateCopy => {}
         }
     }
 }
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -4,10 +4,9 @@
 use crate::clock::ticks_to_millis;
 use crate::control_socket::ConnectionId;
 use crate::json_lines::PeerId;
-use mallowseam_cow::cache::layer_of;
-use mallowseam_cow::cut::{Cut, Failed, Turn};
-use mallowseam_cow::tree::{Change, LayerId, Refused};
-use mallowseam_cow::words::ToHost;
+use mallowseam_cow::consistent_cut::{ConsistentCut, CutFailure, CutProgress};
+use mallowseam_cow::messages::ToHost;
+use mallowseam_cow::tree::{Change, ChangeError, LayerId};
 
 /// An operation whose end an operator waits for.
 pub(super) struct PendingOperation {
@@ -20,7 +19,7 @@
     /// A snapshot is begun once all hosts that may act are known.
     BeginCut { branch: String, name: String },
     /// A snapshot is under way.
-    Cut(Cut),
+    Cut(ConsistentCut),
     /// A version is in effect at all hosts, and nodes have closed a layer.
     Rollout { version: u64, closing: Option<LayerId>, answer: String },
 }
@@ -28,14 +27,11 @@
 /// Why a request is refused, or an operation failed.
 #[derive(Debug, thiserror::Error)]
 enum OperatorError {
-    #[error("{0}")]
-    Refused(Refused),
-    /// The tree's reason.
-    #[error("{0}")]
-    CutRefused(String),
+    #[error(transparent)]
+    Refused(ChangeError),
     /// These hosts have writes of several parts under way, or do not say that they have none.
     #[error("writes under way at {}; no snapshot was made", .0.join(", "))]
-    HostsNotClear(Vec<String>),
+    HostsNotQuiesced(Vec<String>),
     /// These nodes have not closed their layers in time.
     #[error("not closed in time by {}; no snapshot was made", .0.join(", "))]
     NodesNotClosed(Vec<String>),
@@ -90,7 +86,7 @@
         branch: &str,
         name: &str,
     ) -> Result<Answer, OperatorError> {
-        if self.leases.knows_all(ticks_to_millis(self.now)) {
+        if self.leases.all_hosts_known(ticks_to_millis(self.now)) {
             self.begin_cut(caller, branch, name)?;
         } else {
             let (branch, name) = (branch.to_owned(), name.to_owned());
@@ -105,9 +101,9 @@
         snapshot: &str,
         branch: &str,
     ) -> Result<Answer, OperatorError> {
-        let change = Change::Cloned { snapshot: snapshot.to_owned(), branch: branch.to_owned() };
+        let change = Change::CloneCreated { snapshot: snapshot.to_owned(), branch: branch.to_owned() };
         let version = self.propose(change).map_err(OperatorError::Refused)?;
-        let answer = format!("{branch} made, LUN {}", self.tree().branches[branch].unit);
+        let answer = format!("{branch} made, LUN {}", self.tree().branches[branch].lun);
         self.wait(caller, Operation::Rollout { version, closing: None, answer });
         Ok(None)
     }
@@ -119,7 +115,7 @@
         snapshot: &str,
     ) -> Result<Answer, OperatorError> {
         let old_head = self.tree().branch(branch).map_err(OperatorError::Refused)?.head;
-        let change = Change::RolledBack { branch: branch.to_owned(), snapshot: snapshot.to_owned() };
+        let change = Change::BranchRolledBack { branch: branch.to_owned(), snapshot: snapshot.to_owned() };
         let version = self.propose(change).map_err(OperatorError::Refused)?;
         let answer = format!("{branch} shows {snapshot}");
         self.wait(caller, Operation::Rollout { version, closing: Some(old_head), answer });
@@ -143,10 +139,10 @@
     fn diff(&self, one: &str, other: &str) -> Result<String, OperatorError> {
         let tree = self.tree();
         let layer =
-            |name: &str| layer_of(tree, name).ok_or_else(|| OperatorError::NoSuchName(name.to_owned()));
+            |name: &str| tree.layer_read_by(name).ok_or_else(|| OperatorError::NoSuchName(name.to_owned()));
         let extents = |name: &str| {
-            let branch = tree.branches.get(name).map(|branch| branch.extents);
-            branch.or_else(|| tree.snapshots.get(name).map(|snapshot| snapshot.extents)).unwrap_or(0)
+            let branch = tree.branches.get(name).map(|branch| branch.extent_count);
+            branch.or_else(|| tree.snapshots.get(name).map(|snapshot| snapshot.extent_count)).unwrap_or(0)
         };
         let differing = tree.diff(layer(one)?, layer(other)?, extents(one).max(extents(other)));
         Ok(block_runs(&differing, self.extent_blocks()))
@@ -155,42 +151,44 @@
     /// Freezes the head of a branch; the snapshot is granted once nodes and hosts have answered.
     fn begin_cut(&mut self, caller: ConnectionId, branch: &str, name: &str) -> Result<(), OperatorError> {
         let now = ticks_to_millis(self.now);
-        let begun = Cut::begin(self.tree(), branch, name, self.leases.holding(now), now);
+        let begun = ConsistentCut::begin(self.tree(), branch, name, self.leases.active_hosts(now), now);
         let (change, cut) = begun.map_err(|failure| self.failure(failure))?;
         self.propose(change).map_err(OperatorError::Refused)?;
         self.wait(caller, Operation::Cut(cut));
         // No time is lost: nodes and hosts are asked in this iteration.
         self.close_layers();
-        self.ask_clear(now);
+        self.quiesce_hosts(now);
         Ok(())
     }
 
-    fn failure(&self, failure: Failed) -> OperatorError {
+    fn failure(&self, failure: CutFailure) -> OperatorError {
         match failure {
-            Failed::Refused(reason) => OperatorError::CutRefused(reason),
-            Failed::Unclear(hosts) => OperatorError::HostsNotClear(hosts.into_iter().collect()),
-            Failed::Unclosed(nodes) => {
+            CutFailure::Rejected(error) => OperatorError::Refused(error),
+            CutFailure::HostsNotQuiesced(hosts) => {
+                OperatorError::HostsNotQuiesced(hosts.into_iter().collect())
+            }
+            CutFailure::NodesNotClosed(nodes) => {
                 let name = |node: u32| self.nodes.name(node as usize).to_owned();
                 OperatorError::NodesNotClosed(nodes.into_iter().map(name).collect())
             }
         }
     }
 
-    /// Asks hosts that pending cuts wait for whether they are clear of the cut's layer.
-    pub(super) fn ask_clear(&mut self, now: u64) {
-        let holding = self.leases.holding(now);
+    /// Asks hosts that pending cuts wait for to quiesce the cut's layer.
+    pub(super) fn quiesce_hosts(&mut self, now: u64) {
+        let holding = self.leases.active_hosts(now);
         let mut questions = Vec::new();
         for pending in &mut self.pending_operations {
             if let Operation::Cut(cut) = &mut pending.operation {
-                let unclear = cut.unclear(&holding).clone();
-                let question = ToHost::AskClear { layer: cut.layer, branch: cut.branch.clone() };
-                questions.push((unclear, question));
+                let unquiesced = cut.unquiesced_hosts(&holding).clone();
+                let question = ToHost::Quiesce { layer: cut.layer, branch: cut.branch.clone() };
+                questions.push((unquiesced, question));
             }
         }
-        for (unclear, question) in questions {
-            let is_unclear = |name: &String| unclear.contains(name);
+        for (unquiesced, question) in questions {
+            let is_unquiesced = |name: &String| unquiesced.contains(name);
             let hosts: Vec<PeerId> =
-                self.hosts.iter().filter(|(_, host)| is_unclear(&host.name)).map(|(id, _)| id).collect();
+                self.hosts.iter().filter(|(_, host)| is_unquiesced(&host.name)).map(|(id, _)| id).collect();
             for host in hosts {
                 self.replies.push(Reply::Host(host, question.clone()));
             }
@@ -208,9 +206,9 @@
                 Operation::Rollout { version, closing, answer } => {
                     let open = |layer: LayerId| {
                         self.tree().layers.contains_key(&layer)
-                            && self.tree().to_close().any(|(other, _)| other == layer)
+                            && self.tree().pending_closes().any(|(other, _)| other == layer)
                     };
-                    if !closing.is_some_and(open) && self.leases.counts(version, now) {
+                    if !closing.is_some_and(open) && self.leases.is_effective(version, now) {
                         self.replies.push(Reply::Operator(caller, answer));
                     } else {
                         self.wait(caller, Operation::Rollout { version, closing, answer });
@@ -222,7 +220,7 @@
     }
 
     fn tend_begin_cut(&mut self, caller: ConnectionId, branch: String, name: String, now: u64) {
-        if !self.leases.knows_all(now) {
+        if !self.leases.all_hosts_known(now) {
             self.wait(caller, Operation::BeginCut { branch, name });
         } else if let Err(e) = self.begin_cut(caller, &branch, &name) {
             self.replies.push(Reply::Operator(caller, format!("error: {e}")));
@@ -230,26 +228,26 @@
     }
 
     /// The next step of a snapshot that is under way. Its branch, if the cut has ended.
-    fn tend_cut(&mut self, caller: ConnectionId, mut cut: Cut, now: u64) -> Option<String> {
-        match cut.turn(self.tree(), now) {
-            Turn::Wait => {
+    fn tend_cut(&mut self, caller: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
+        match cut.progress(self.tree(), now) {
+            CutProgress::Wait => {
                 self.wait(caller, Operation::Cut(cut));
                 None
             }
-            Turn::Anew => {
-                if let Some(change) = cut.anew(self.tree(), self.leases.holding(now)) {
+            CutProgress::Restart => {
+                if let Some(change) = cut.restart(self.tree(), self.leases.active_hosts(now)) {
                     let _ = self.propose(change);
                 }
                 self.wait(caller, Operation::Cut(cut));
                 self.close_layers();
-                self.ask_clear(now);
+                self.quiesce_hosts(now);
                 None
             }
-            Turn::Grant(change) => {
+            CutProgress::Grant(change) => {
                 self.grant(caller, &cut, change);
                 Some(cut.branch)
             }
-            Turn::Fail(failure) => {
+            CutProgress::Fail(failure) => {
                 let reason = self.failure(failure);
                 tracing::warn!(snapshot = format!("{}@{}", cut.branch, cut.name), %reason, "snapshot failed");
                 self.replies.push(Reply::Operator(caller, format!("error: {reason}")));
@@ -259,12 +257,12 @@
     }
 
     /// Names the frozen layer. The caller is told once every host knows the snapshot's unit.
-    fn grant(&mut self, caller: ConnectionId, cut: &Cut, change: Change) {
+    fn grant(&mut self, caller: ConnectionId, cut: &ConsistentCut, change: Change) {
         let snapshot = format!("{}@{}", cut.branch, cut.name);
         match self.propose(change) {
             Ok(version) => {
                 tracing::info!(snapshot, "snapshot granted");
-                let answer = format!("{snapshot} granted, LUN {}", self.tree().snapshots[&snapshot].unit);
+                let answer = format!("{snapshot} granted, LUN {}", self.tree().snapshots[&snapshot].lun);
                 self.wait(caller, Operation::Rollout { version, closing: None, answer });
             }
             Err(refused) => self.replies.push(Reply::Operator(caller, format!("error: {refused}"))),
@@ -278,7 +276,7 @@
             return;
         }
         for host in self.hosts.ids() {
-            self.replies.push(Reply::Host(host, ToHost::Over { branch: branch.to_owned() }));
+            self.replies.push(Reply::Host(host, ToHost::CutFinished { branch: branch.to_owned() }));
         }
     }
 }
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,11 +1,11 @@
 //! Verification of the snapshot catalog against the nodes: every place of the tree, and every block that nodes
 //! hold.
 use crate::blocking_client::{BlockingClient, ClientError};
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::tree::{FIRST_LAYER, LayerId, Place, Tree};
+use mallowseam_cow::tree::{FIRST_LAYER_ID, LayerId, Location, Tree};
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_settings::Site;
 use mallowseam_settings::site::Node;
+use mallowseam_snapshot_catalog::Catalog;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
@@ -17,8 +17,8 @@
 pub(crate) enum VerifyError {
     #[error("no section catalog")]
     NoCatalog,
-    #[error("{}: {fault}", path.display())]
-    Store { path: PathBuf, fault: mallowseam_catalog::Fault },
+    #[error("{}: {source}", path.display())]
+    Store { path: PathBuf, source: mallowseam_snapshot_catalog::Error },
     #[error("{node}: {source}")]
     Node { node: String, source: ClientError },
     #[error("{node}: no sound answer to GET LBA STATUS")]
@@ -33,7 +33,7 @@
     /// Those whose node holds data there; the others read as zeros.
     pub(crate) places_with_data: usize,
     /// Places that a node holds and nothing refers to.
-    pub(crate) leaked: Vec<(LayerId, Place)>,
+    pub(crate) leaked: Vec<(LayerId, Location)>,
     /// Contradictions, a line each.
     pub(crate) faults: Vec<String>,
 }
@@ -46,21 +46,24 @@
 pub(crate) fn run(site: &Site, reclaim: bool) -> Result<Findings, VerifyError> {
     let settings = site.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
     let catalog = Catalog::open(&settings.store)
-        .map_err(|fault| VerifyError::Store { path: settings.store.clone(), fault })?;
+        .map_err(|source| VerifyError::Store { path: settings.store.clone(), source })?;
     let tree = catalog.tree();
-    let mut findings = Findings { faults: tree.faults(), ..Findings::default() };
+    let mut findings = Findings {
+        faults: tree.inconsistencies().iter().map(ToString::to_string).collect(),
+        ..Findings::default()
+    };
     let mut references = collect_references(tree, site.nodes.len(), &mut findings);
     for (index, node) in site.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
         let mut walk = NodeWalk::open(node, index as u32, settings.extent)?;
         // Layers that were removed may have left something as well: all that were ever made are looked at.
-        for layer in FIRST_LAYER..tree.layers_made() {
+        for layer in FIRST_LAYER_ID..tree.next_layer_id() {
             for number in walk.held_places(layer)? {
                 if referred.contains(&(layer, number)) {
                     findings.places_with_data += 1;
                     continue;
                 }
-                findings.leaked.push((layer, Place { node: walk.index, number }));
+                findings.leaked.push((layer, Location { node: walk.index, slot: number }));
                 if reclaim && !walk.unmap(layer, number)? {
                     findings.faults.push(format!("{}: does not give place {number} back", node.name));
                 }
@@ -74,10 +77,10 @@
 fn collect_references(tree: &Tree, nodes: usize, findings: &mut Findings) -> References {
     let mut references = References::new();
     for (id, layer) in &tree.layers {
-        for place in layer.places.values() {
+        for place in layer.locations.values() {
             findings.places += 1;
-            if !references.entry(place.node).or_default().insert((*id, place.number)) {
-                findings.faults.push(format!("layer {id}: place {} is referred to twice", place.number));
+            if !references.entry(place.node).or_default().insert((*id, place.slot)) {
+                findings.faults.push(format!("layer {id}: place {} is referred to twice", place.slot));
             }
             if place.node as usize >= nodes {
                 findings.faults.push(format!("layer {id}: lies on node {}, which is not there", place.node));
