--- /dev/null
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -0,0 +1,180 @@
+//! Batches of lines, and the instances that they are for.
+//!
+//! A batch begins with a `clock` line, which says what time it is, and ends with `eof_batch`; all actions that its
+//! events lead to are written behind it, `next` and the batch's number last. A `membership` line is followed by
+//! as many `entry` lines as it says.
+use crate::action_writer::write_line;
+use crate::error::InputError;
+use crate::fields::Fields;
+use crate::instance::{Event, Instance};
+use mallowseam_scheduler::host::{ListForm, Listed, Tick};
+use std::collections::BTreeMap;
+
+/// What a line leaves to be done.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Progress {
+    /// More lines follow.
+    WithinBatch,
+    /// The batch is complete and is to be answered.
+    BatchComplete,
+}
+
+/// An endpoint list of which entries are still to come.
+struct PartialList {
+    instance: u64,
+    form: ListForm,
+    entries_left: u64,
+    entries: Vec<Listed>,
+}
+
+impl PartialList {
+    fn read(instance: u64, fields: &mut Fields) -> Result<Self, InputError> {
+        fields.whole_number("generation")?;
+        let forms = [
+            ("diff", ListForm::Changes),
+            ("snapshot", ListForm::Whole),
+            ("disk", ListForm::Kept),
+            ("error", ListForm::Failed),
+        ];
+        let form = fields.one_of("form", &forms)?;
+        let entries_left = fields.optional_number("members_list")?.unwrap_or(0.0) as u64;
+        Ok(PartialList { instance, form, entries_left, entries: Vec::new() })
+    }
+}
+
+/// What a line about an instance asks for.
+#[derive(Clone, Copy)]
+enum Message {
+    OpenInstance,
+    TearDown,
+    Membership,
+    Event(Event),
+}
+
+impl Message {
+    fn named(name: &str) -> Option<Message> {
+        Some(match name {
+            "open_instance" => Message::OpenInstance,
+            "teardown" => Message::TearDown,
+            "membership" => Message::Membership,
+            "request" => Message::Event(Event::Request),
+            "ack_first" => Message::Event(Event::FirstByte),
+            "resolved" => Message::Event(Event::AttemptEnded),
+            "timed_out_client" => Message::Event(Event::ClientTimedOut),
+            "fired" => Message::Event(Event::TimerFired),
+            "sampled" => Message::Event(Event::ProbeEnded),
+            "heard" => Message::Event(Event::PeerMessage),
+            _ => return None,
+        })
+    }
+}
+
+/// The state of the protocol between lines.
+#[derive(Default)]
+pub struct Adapter {
+    /// The time of the batch that is open.
+    now: Option<Tick>,
+    batch_number: String,
+    instances: BTreeMap<u64, Instance>,
+    partial_list: Option<PartialList>,
+    output: Vec<u8>,
+}
+
+impl Adapter {
+    /// The answer to the batch that the last line completed.
+    pub fn complete_batch(&mut self) -> &[u8] {
+        write_line(&mut self.output, format_args!("next {}", self.batch_number));
+        &self.output
+    }
+
+    /// Takes one line, without its end.
+    pub fn take_line(&mut self, line: &str) -> Result<Progress, InputError> {
+        let mut fields = Fields::new(line);
+        let message = fields.message();
+        if self.partial_list.is_some() && message != "entry" {
+            return Err(InputError::unexpected(message, "another entry of the membership"));
+        }
+        if message == "clock" {
+            return self.open_batch(&mut fields).map(|()| Progress::WithinBatch);
+        }
+        if line.is_empty() && self.now.is_none() {
+            return Ok(Progress::WithinBatch);
+        }
+        let Some(now) = self.now else {
+            return Err(InputError::unexpected(message, "a clock line to open the batch"));
+        };
+        match message {
+            "eof_batch" => {
+                self.now = None;
+                return Ok(Progress::BatchComplete);
+            }
+            "entry" => self.list_entry(now, &mut fields)?,
+            _ => self.instance_message(now, &mut fields)?,
+        }
+        Ok(Progress::WithinBatch)
+    }
+
+    fn open_batch(&mut self, fields: &mut Fields) -> Result<(), InputError> {
+        if self.now.is_some() {
+            return Err(InputError::unexpected(fields.message(), "eof_batch before the next batch"));
+        }
+        self.now = Some(fields.ticks("clock")?);
+        fields.text("batch number")?.clone_into(&mut self.batch_number);
+        self.output.clear();
+        Ok(())
+    }
+
+    fn instance_message(&mut self, now: Tick, fields: &mut Fields) -> Result<(), InputError> {
+        let Some(message) = Message::named(fields.message()) else {
+            return Err(InputError::unexpected(fields.message(), "a message of the wire"));
+        };
+        let index = fields.whole_number("i")?;
+        match message {
+            Message::OpenInstance => {
+                self.instances.insert(index, Instance::open(index, now, fields)?);
+                Ok(())
+            }
+            Message::TearDown => {
+                self.instances.remove(&index);
+                Ok(())
+            }
+            Message::Membership => {
+                open_instance(&mut self.instances, index, fields)?;
+                self.partial_list = Some(PartialList::read(index, fields)?);
+                self.finish_list(now);
+                Ok(())
+            }
+            Message::Event(event) => {
+                let instance = open_instance(&mut self.instances, index, fields)?;
+                instance.handle(event, now, fields, &mut self.output)
+            }
+        }
+    }
+
+    fn list_entry(&mut self, now: Tick, fields: &mut Fields) -> Result<(), InputError> {
+        let Some(list) = &mut self.partial_list else {
+            return Err(InputError::unexpected(fields.message(), "a membership line before it"));
+        };
+        let instance = self.instances.get_mut(&list.instance).expect("open while its list is read");
+        list.entries.push(instance.endpoint(fields)?);
+        list.entries_left -= 1;
+        self.finish_list(now);
+        Ok(())
+    }
+
+    /// Passes the list on once its last entry is in.
+    fn finish_list(&mut self, now: Tick) {
+        if let Some(list) = self.partial_list.take_if(|list| list.entries_left == 0) {
+            let instance = self.instances.get_mut(&list.instance).expect("open while its list is read");
+            instance.endpoints_listed(now, list.form, &list.entries, &mut self.output);
+        }
+    }
+}
+
+fn open_instance<'a>(
+    instances: &'a mut BTreeMap<u64, Instance>,
+    index: u64,
+    fields: &Fields,
+) -> Result<&'a mut Instance, InputError> {
+    instances.get_mut(&index).ok_or_else(|| fields.invalid("i", "an instance that is open"))
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/instance.rs
@@ -0,0 +1,225 @@
+//! One scheduler and the names it knows: events become calls on it, its actions lines of output.
+use crate::action_writer::ActionWriter;
+use crate::error::InputError;
+use crate::fields::Fields;
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use mallowseam_platform::settings::{self, PlatformSettings};
+use mallowseam_scheduler::door::Door;
+use mallowseam_scheduler::host::{
+    Bio, BioId, KeyId, ListForm, Listed, NodeId, NodeState, Outcome, Tick, VolId,
+};
+use mallowseam_scheduler::scheduler::Scheduler;
+use std::any::Any;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+
+/// The names that the scheduler's small indices stand for.
+#[derive(Default)]
+pub struct Names {
+    /// Requests, by the simulator's numbers.
+    pub requests: Door<u64>,
+    /// Nodes.
+    pub nodes: Door<String>,
+    /// Ordering keys.
+    pub keys: Door<String>,
+    /// Volumes.
+    pub volumes: Door<String>,
+    zones: Door<String>,
+    classes: Vec<String>,
+    plans: Vec<String>,
+}
+
+/// An event for an instance that is open.
+#[derive(Clone, Copy, Debug)]
+pub enum Event {
+    /// A client sends a request.
+    Request,
+    /// The first byte of a response arrived.
+    FirstByte,
+    /// An attempt ended.
+    AttemptEnded,
+    /// A client stopped waiting.
+    ClientTimedOut,
+    /// A timer fired.
+    TimerFired,
+    /// A probe ended.
+    ProbeEnded,
+    /// Another instance sent bytes.
+    PeerMessage,
+}
+
+/// One scheduler behind the protocol.
+pub struct Instance {
+    index: u64,
+    scheduler: Scheduler,
+    names: Names,
+}
+
+impl Instance {
+    /// Opens an instance with the seed and the settings that the fields hold.
+    pub fn open(index: u64, now: Tick, fields: &mut Fields) -> Result<Self, InputError> {
+        let seed = fields.whole_number("init_seed")?;
+        let PlatformSettings { scheduler: terms, class_names, plan_names, .. } =
+            settings::parse(fields.remainder())?;
+        let names = Names { classes: class_names, plans: plan_names, ..Names::default() };
+        Ok(Instance { index, scheduler: Scheduler::new(&terms, seed, now), names })
+    }
+
+    /// Reads one entry of an endpoint list.
+    pub fn endpoint(&mut self, fields: &mut Fields) -> Result<Listed, InputError> {
+        let node = NodeId(self.names.nodes.enter(&fields.text("brick")?.to_owned()));
+        let zone = self.names.zones.enter(&fields.next_value().unwrap_or_default().to_owned());
+        fields.skip();
+        let shard = fields.optional_number("cohort")?.unwrap_or(0.0) as u32;
+        let states =
+            [("active", NodeState::Active), ("leaving", NodeState::Leaving), ("left", NodeState::Left)];
+        let state = fields.one_of("condition", &states)?;
+        fields.optional_number("scale")?;
+        let came_up_micros = fields.optional_number("came_up_us")?.unwrap_or(0.0) as i64;
+        Ok(Listed { node, zone, shard, state, came_up: came_up_micros / crate::fields::MICROS_PER_TICK })
+    }
+
+    /// An endpoint list was received in full.
+    pub fn endpoints_listed(
+        &mut self,
+        now: Tick,
+        form: ListForm,
+        endpoints: &[Listed],
+        output: &mut Vec<u8>,
+    ) {
+        self.call(output, |scheduler, host| scheduler.listed(host, now, form, endpoints));
+    }
+
+    /// Passes an event to the scheduler.
+    pub fn handle(
+        &mut self,
+        event: Event,
+        now: Tick,
+        fields: &mut Fields,
+        output: &mut Vec<u8>,
+    ) -> Result<(), InputError> {
+        match event {
+            Event::Request => self.request(now, fields, output),
+            Event::AttemptEnded => self.attempt_ended(now, fields, output),
+            Event::ClientTimedOut => self.client_timed_out(now, fields, output),
+            Event::TimerFired => self.timer_fired(now, fields, output),
+            Event::ProbeEnded => self.probe_ended(fields),
+            Event::PeerMessage => peer_message(fields),
+            Event::FirstByte => first_byte(fields),
+        }
+    }
+
+    fn request(&mut self, now: Tick, fields: &mut Fields, output: &mut Vec<u8>) -> Result<(), InputError> {
+        let request = fields.whole_number("xid")?;
+        let group = position(&self.names.classes, "tier_class", fields)?;
+        let plan = position(&self.names.plans, "contract", fields)?;
+        let key = fields.next_value().map(|key| KeyId(self.names.keys.enter(&key.to_owned())));
+        let hard_limit = fields.ticks("client_deadline_us")?;
+        let volume = fields.next_value().unwrap_or_default().to_owned();
+        let vol = VolId(self.names.volumes.enter(&volume));
+        let units = fields.optional_number("weight")?.filter(|units| *units >= 0.0).unwrap_or(1.0);
+        let shard = fields.optional_number("placement")?.filter(|shard| *shard >= 0.0);
+        let shard = shard.map(|shard| shard as u32);
+        let hosts = fields.optional_number("attached")?.unwrap_or(1.0).max(1.0) as u32;
+        fields.optional_number("opts")?;
+        let id = BioId(self.names.requests.enter(&request));
+        let bio = Bio { id, group, plan, vol, key, hard_limit, units, shard, hosts };
+        self.call(output, |scheduler, host| scheduler.take(host, now, bio));
+        Ok(())
+    }
+
+    fn attempt_ended(
+        &mut self,
+        now: Tick,
+        fields: &mut Fields,
+        output: &mut Vec<u8>,
+    ) -> Result<(), InputError> {
+        let request = fields.whole_number("xid")?;
+        let ending = fields.ending()?;
+        let by_others = fields.optional_number("by_others")?.unwrap_or(0.0);
+        let node_name = fields.text("brick")?.to_owned();
+        let closed = fields.one_of("closed", &[("1", true), ("0", false)])?;
+        let wait = fields.ticks("wait_time_us")?;
+        let used = fields.optional_number("volume_use")?.unwrap_or(0.0);
+        fields.optional_number("seq_no")?;
+        let report = fields.load_report()?;
+        let node = self.known_node(&node_name, fields)?;
+        // A request that the scheduler has released is finished and has no attempt in flight.
+        if let Some(id) = self.names.requests.find(&request) {
+            let outcome = Outcome { ending, node, closed, wait, by_others, used, report };
+            self.call(output, |scheduler, host| scheduler.ended(host, now, BioId(id), &outcome));
+        }
+        Ok(())
+    }
+
+    fn client_timed_out(
+        &mut self,
+        now: Tick,
+        fields: &mut Fields,
+        output: &mut Vec<u8>,
+    ) -> Result<(), InputError> {
+        let request = fields.whole_number("xid")?;
+        if let Some(id) = self.names.requests.find(&request) {
+            self.call(output, |scheduler, host| scheduler.gone(host, now, BioId(id)));
+        }
+        Ok(())
+    }
+
+    fn timer_fired(
+        &mut self,
+        now: Tick,
+        fields: &mut Fields,
+        output: &mut Vec<u8>,
+    ) -> Result<(), InputError> {
+        fields.whole_number("mark")?;
+        self.call(output, |scheduler, host| scheduler.woken(host, now));
+        Ok(())
+    }
+
+    /// The scheduler sends no probes; an outcome of one is checked, and no more.
+    fn probe_ended(&self, fields: &mut Fields) -> Result<(), InputError> {
+        let node_name = fields.text("brick")?.to_owned();
+        fields.ending()?;
+        fields.ticks("wait_time_us")?;
+        fields.load_report()?;
+        self.known_node(&node_name, fields).map(|_| ())
+    }
+
+    fn known_node(&self, name: &String, fields: &Fields) -> Result<NodeId, InputError> {
+        let node = self.names.nodes.find(name);
+        node.map(NodeId).ok_or_else(|| fields.invalid("brick", "a node of the list"))
+    }
+
+    /// Calls the scheduler; its panic becomes an action.
+    fn call(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Scheduler, &mut ActionWriter)) {
+        let mut host = ActionWriter { instance: self.index, names: &mut self.names, output };
+        let called = catch_unwind(AssertUnwindSafe(|| call(&mut self.scheduler, &mut host)));
+        if let Err(panic) = called {
+            host.panicked(panic_text(panic.as_ref()));
+        }
+    }
+}
+
+/// The scheduler sends nothing to other instances; what arrives is checked, and no more.
+fn peer_message(fields: &mut Fields) -> Result<(), InputError> {
+    fields.whole_number("author")?;
+    let bytes = STANDARD.decode(fields.next_value().unwrap_or_default());
+    bytes.map(|_| ()).map_err(|_| fields.invalid("octets", "base64 with padding"))
+}
+
+/// No I/O class streams its answers: the first byte of one changes nothing.
+fn first_byte(fields: &mut Fields) -> Result<(), InputError> {
+    fields.whole_number("xid").map(|_| ())
+}
+
+/// The position of the next value among the names that the settings give.
+fn position(names: &[String], field: &'static str, fields: &mut Fields) -> Result<u16, InputError> {
+    let name = fields.text(field)?;
+    let position = names.iter().position(|known| known == name);
+    position.map(|position| position as u16).ok_or_else(|| fields.invalid(field, "a name of the settings"))
+}
+
+fn panic_text(panic: &(dyn Any + Send)) -> &str {
+    let text = panic.downcast_ref::<String>().map(String::as_str);
+    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic")
+}
--- a/crates/wirehost/tests/pinned_wire.rs
+++ b/crates/simulator-adapter/tests/pinned_wire.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const ADAPTER: &str = env!("CARGO_BIN_EXE_mallowseam-wirehost");
+const ADAPTER: &str = env!("CARGO_BIN_EXE_mallowseam-simulator-adapter");
 
 /// Runs the adapter on an input until it ends.
 fn run(input: &[u8]) -> Output {
