--- a/crates/gateway/src/archive.rs
+++ b/crates/gateway/src/archive.rs
@@ -4,7 +4,7 @@
 use mallowseam_archive::{Head, Next, Reader, Writer};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, status};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use std::fs::{File, OpenOptions};
 use std::io::{BufReader, BufWriter, Seek, SeekFrom};
 use std::path::Path;
@@ -16,8 +16,8 @@
 /// Bytes of one read or write.
 const PIECE: u64 = 64 * 1024;
 
-fn tree(site: &Site) -> Result<Tree, String> {
-    let control = site.catalog.as_ref().and_then(|c| c.control.clone());
+fn tree(site: &GatewayConfig) -> Result<Tree, String> {
+    let control = site.catalog.as_ref().and_then(|c| c.control_socket.clone());
     let path = control.ok_or("no `control` in section catalog")?;
     let text = control::ask(&path, "tree").map_err(|e| format!("{}: {e}", path.display()))?;
     serde_json::from_str(&text).map_err(|e| format!("the catalog's answer: {e}"))
@@ -34,11 +34,11 @@
 }
 
 impl Unit {
-    fn open(site: &Site, tree: &Tree, name: &str) -> Result<Unit, String> {
-        let extent = site.catalog.as_ref().map_or(1, |c| c.extent);
+    fn open(site: &GatewayConfig, tree: &Tree, name: &str) -> Result<Unit, String> {
+        let extent = site.catalog.as_ref().map_or(1, |c| c.extent_blocks);
         let configured = site.volumes.iter().find(|v| v.mapped && v.name == name);
         let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
-            (Some(v), ..) => (v.lun.into(), (v.blocks / extent) as u32),
+            (Some(v), ..) => (v.lun.into(), (v.block_count / extent) as u32),
             (None, Some(b), _) => (b.unit, b.extents),
             (None, None, Some(s)) => (s.unit, s.extents),
             (None, None, None) => return Err(format!("`{name}`: no such volume, clone or snapshot")),
@@ -90,7 +90,7 @@
 }
 
 /// Writes a snapshot to a file. One that stands there half written is gone on with.
-pub fn export(site: &Site, name: &str, file: &Path) -> Result<String, String> {
+pub fn export(site: &GatewayConfig, name: &str, file: &Path) -> Result<String, String> {
     let tree = tree(site)?;
     let snapshot = tree.snapshot(name).map_err(|r| r.to_string())?;
     let mut unit = Unit::open(site, &tree, name)?;
@@ -144,7 +144,7 @@
 
 /// Writes a file into a volume or clone, which then shows just that. What stands there already is left alone,
 /// so that an import that broke off goes on.
-pub fn import(site: &Site, file: &Path, name: &str) -> Result<String, String> {
+pub fn import(site: &GatewayConfig, file: &Path, name: &str) -> Result<String, String> {
     let shown = file.display();
     let fault = |e: mallowseam_archive::Fault| format!("{shown}: {e}");
     // All of it is read once before anything is written.
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -14,7 +14,7 @@
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi;
 use mallowseam_scheduler::host::{Ending, Tick};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
@@ -52,7 +52,7 @@
 }
 
 struct Service {
-    site: Site,
+    site: GatewayConfig,
     clock: Clock,
     now: Tick,
     catalog: Catalog,
@@ -85,7 +85,7 @@
 ///
 /// `die_at`: aborts at that step, as a crash would. Steps lie before and after the store takes a batch, after
 /// hosts and operators have been told, and after a node has carried an order out.
-pub fn run(site: Site, die_at: Option<u64>) -> Result<(), Failure> {
+pub fn run(site: GatewayConfig, die_at: Option<u64>) -> Result<(), Failure> {
     let mut poll = Poll::new().map_err(failure("poll".into()))?;
     let mut service = Service::open(site, &poll)?;
     service.die_at = die_at;
@@ -109,15 +109,15 @@
 }
 
 impl Service {
-    fn open(site: Site, poll: &Poll) -> Result<Self, Failure> {
+    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Failure> {
         let settings = site.catalog.clone().ok_or_else(|| Failure::new("no section catalog".into()))?;
         let registry = || poll.registry().try_clone().map_err(failure("poll".into()));
         let address = settings.listen.expect("checked");
         let hosts_from = NODES + site.nodes.len();
         let hosts = Peers::open(address, poll, LISTENER, hosts_from, BOUNDS)?;
-        let control = opening::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
-        let catalog = Catalog::open(&settings.store)
-            .map_err(|e| Failure::new(format!("{}: {e}", settings.store.display())))?;
+        let control = opening::control(settings.control_socket.as_deref(), poll, CONTROL, CALLERS)?;
+        let catalog = Catalog::open(&settings.store_path)
+            .map_err(|e| Failure::new(format!("{}: {e}", settings.store_path.display())))?;
         let initiator = format!("{}:catalog", site.host.target);
         let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry()?, NODES);
         let clock = Clock::from_zero();
@@ -159,7 +159,7 @@
         }
         for volume in service.site.volumes.clone().iter().filter(|v| v.mapped) {
             if !service.next().branches.contains_key(&volume.name) {
-                let extents = (volume.blocks / settings.extent) as u32;
+                let extents = (volume.block_count / settings.extent_blocks) as u32;
                 let made = Change::Made { branch: volume.name.clone(), extents };
                 service.propose(made).map_err(|r| Failure::new(r.to_string()))?;
             }
@@ -266,7 +266,7 @@
                     _ => {
                         // It was never referred to and never will be.
                         self.after(at, ToHost::NotPlaced { layer, extent });
-                        let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
+                        let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent_blocks);
                         let run = (u64::from(place.number) * blocks, blocks as u32);
                         if (place.node as usize) < self.nodes.all.len() {
                             self.order(Asked::Drop, place.node, layer, scsi::unmap(&[run]));
@@ -449,14 +449,14 @@
     }
 
     fn give_back(&mut self, now: u64) {
-        let limit = self.site.groups.iter().map(|g| g.hard_limit / 1000).max().unwrap_or(0);
+        let limit = self.site.io_classes.iter().map(|g| g.deadline / 1000).max().unwrap_or(0);
         let pending = |w: &(u32, Waits)| match &w.1 {
             Waits::Snapshot(cut) => Some(cut.layer),
             Waits::Counts(..) | Waits::Begin(..) => None,
         };
         let kept = self.waits.iter().filter_map(pending).collect();
         let tree = self.catalog.tree();
-        let extent_blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
+        let extent_blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent_blocks);
         for (layer, extent) in self.free.lot(tree, &kept, &self.leases, limit, now) {
             let Some(place) = self.next().layers.get(&layer).and_then(|l| l.places.get(&extent)).copied()
             else {
@@ -626,7 +626,7 @@
                     let branch = self.next().branches.get(n).map(|b| b.extents);
                     branch.or_else(|| self.next().snapshots.get(n).map(|s| s.extents)).unwrap_or(0)
                 };
-                let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent);
+                let blocks = self.site.catalog.as_ref().map_or(1, |c| c.extent_blocks);
                 let found = self.next().diff(layer(a)?, layer(b)?, extents(a).max(extents(b)));
                 Ok(Some(runs(&found, blocks)))
             }
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -2,7 +2,7 @@
 use crate::control::{self, Status};
 use crate::shares;
 use clap::{Parser, Subcommand, ValueEnum};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -386,10 +386,10 @@
                     .map(|text| println!("{text}")),
                 );
             };
-            ask(file, "catalog", |site| site.catalog?.control, &line).map(|text| println!("{text}"))
+            ask(file, "catalog", |site| site.catalog?.control_socket, &line).map(|text| println!("{text}"))
         }
         What::Demand { files, every, count } => {
-            let control = |file: &PathBuf| control_path(file, "host", |site| site.host.control);
+            let control = |file: &PathBuf| control_path(file, "host", |site| site.host.control_socket);
             files.iter().map(control).collect::<Result<Vec<_>, _>>().map(|controls| {
                 let every = std::time::Duration::from_secs(every.max(1));
                 crate::demand::record(&controls, every, count, &mut |line| println!("{line}"));
@@ -398,7 +398,7 @@
         What::Reload { file } => {
             std::path::absolute(&file).map_err(|e| (FAILED, e.to_string())).and_then(|whole| {
                 let line = format!("plans {}", whole.display());
-                ask(&file, "host", |site| site.host.control, &line).map(|text| println!("{text}"))
+                ask(&file, "host", |site| site.host.control_socket, &line).map(|text| println!("{text}"))
             })
         }
         What::Check { file } => load(&file).map(|site| {
@@ -409,7 +409,7 @@
                 site.volumes.len(),
                 site.nodes.len(),
                 site.plans.len(),
-                site.groups.len()
+                site.io_classes.len()
             );
         }),
         What::Fleet(options) => crate::fleet::run(&options).map_err(|e| (FAILED, e)),
@@ -439,17 +439,17 @@
     }
 }
 
-pub(crate) fn load(file: &Path) -> Result<Site, (u8, String)> {
+pub(crate) fn load(file: &Path) -> Result<GatewayConfig, (u8, String)> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| (BAD_FILE, format!("{name}: {e}")))?;
-    mallowseam_settings::read(&name, &text).map_err(|problems| (BAD_FILE, problems.to_string()))
+    mallowseam_settings::parse(&name, &text).map_err(|problems| (BAD_FILE, problems.to_string()))
 }
 
 /// The control socket that a section of a configuration names.
 fn control_path(
     file: &Path,
     section: &str,
-    of: impl FnOnce(Site) -> Option<PathBuf>,
+    of: impl FnOnce(GatewayConfig) -> Option<PathBuf>,
 ) -> Result<PathBuf, (u8, String)> {
     let path = of(load(file)?);
     path.ok_or_else(|| (BAD_FILE, format!("{}: no `control` in section {section}", file.display())))
@@ -459,7 +459,7 @@
 pub(crate) fn ask(
     file: &Path,
     section: &str,
-    of: impl FnOnce(Site) -> Option<PathBuf>,
+    of: impl FnOnce(GatewayConfig) -> Option<PathBuf>,
     line: &str,
 ) -> Result<String, (u8, String)> {
     let path = control_path(file, section, of)?;
@@ -469,7 +469,7 @@
 fn tell(at: &At, what: &str) -> Result<String, (u8, String)> {
     let path = match (&at.control, &at.file) {
         (Some(path), _) => path.clone(),
-        (None, Some(file)) => control_path(file, "host", |site| site.host.control)?,
+        (None, Some(file)) => control_path(file, "host", |site| site.host.control_socket)?,
         (None, None) => unreachable!("clap asks for one of them"),
     };
     control::ask(&path, what).map_err(|e| (FAILED, format!("{}: {e}", path.display())))
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,6 +1,6 @@
 //! What clients ask of each volume, as running hosts tell it, recorded a line each and interval by interval.
 use crate::control::{Status, ask};
-use mallowseam_settings::lines::{Args, Problems, words};
+use mallowseam_settings::{Arguments, Diagnostics, tokenize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -59,23 +59,23 @@
 pub fn read(file: &Path) -> Result<Vec<Interval>, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let mut problems = Problems::new(&name);
+    let mut problems = Diagnostics::new(&name);
     let mut all: Vec<(u64, Interval)> = Vec::new();
     for (i, line) in text.lines().enumerate() {
-        let words = words(i + 1, line, &mut problems);
+        let words = tokenize(i + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
         if first.text != "at" {
-            problems.add(first.at, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
+            problems.add(first.position, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
             continue;
         }
-        let mut args = Args::new(&words, &mut problems);
-        let at = args.whole("seconds", 0, u64::MAX);
+        let mut args = Arguments::new(&words, &mut problems);
+        let at = args.integer("seconds", 0, u64::MAX);
         let volume = args.name("the name of a volume");
         args.value("asked", |w| (w == "asked").then_some(()));
         let asked = args.rate("units a second");
         args.value("ended", |w| (w == "ended").then_some(()));
         args.rate("units a second");
-        args.end();
+        args.expect_end();
         if let (Some(at), Some(volume), Some(asked)) = (at, volume, asked) {
             if all.last().is_none_or(|l| l.0 != at) {
                 all.push((at, Interval::new()));
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -23,8 +23,8 @@
 use mallowseam_scheduler::door::Door;
 use mallowseam_scheduler::host::*;
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_settings::Site;
-use mallowseam_settings::site;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
@@ -181,29 +181,29 @@
         changed
     }
 
-    pub fn new(site: &Site, clients: Clients, nodes: Nodes, map: Option<Map>) -> Self {
+    pub fn new(site: &GatewayConfig, clients: Clients, nodes: Nodes, map: Option<Map>) -> Self {
         let catalog = site.catalog.clone().unwrap_or_default();
-        let volume = |v: &site::Volume| Volume {
+        let volume = |v: &config::Volume| Volume {
             name: v.name.clone(),
             plan: v.plan as u16,
             lun: v.lun.into(),
-            blocks: v.blocks,
+            blocks: v.block_count,
             block_size: v.block_size,
-            hosts: v.hosts,
-            layout: if v.mapped { mapped(site, v, catalog.extent) } else { layout(site, v) },
+            hosts: v.host_count,
+            layout: if v.mapped { mapped(site, v, catalog.extent_blocks) } else { layout(site, v) },
             branch: v.mapped.then(|| v.name.as_str().into()),
         };
-        let group = |g: &site::Group| Group {
-            hard_limit: ticks_from_micros_floor(g.hard_limit),
-            goal: ticks_from_micros_ceil(g.goal),
-            side_effecting: g.effect == site::Effect::SideEffecting,
+        let group = |g: &config::IoClass| Group {
+            hard_limit: ticks_from_micros_floor(g.deadline),
+            goal: ticks_from_micros_ceil(g.latency_objective),
+            side_effecting: g.effect == config::Effect::NonIdempotent,
         };
         Desk {
             now: 0,
             clients,
             nodes,
             figures: Figures {
-                groups: site.groups.iter().map(|_| GroupFigures::default()).collect(),
+                groups: site.io_classes.iter().map(|_| GroupFigures::default()).collect(),
                 nodes: vec![NodeFigures::default(); site.nodes.len()],
                 volumes: vec![VolumeFigures::default(); site.volumes.len()],
                 ..Figures::default()
@@ -211,9 +211,9 @@
             wake_at: None,
             wants_list: false,
             volumes: site.volumes.iter().map(volume).collect(),
-            groups: site.groups.iter().map(group).collect(),
-            unit: site.fleet.unit,
-            longest: site.host.longest,
+            groups: site.io_classes.iter().map(group).collect(),
+            unit: site.fleet.unit_bytes,
+            longest: site.host.max_transfer_bytes,
             ios: Slab::default(),
             turns: Vec::new(),
             commands: Slab::default(),
@@ -223,9 +223,9 @@
             gone: VecDeque::new(),
             parts: Vec::new(),
             map,
-            extent: catalog.extent,
-            copy_group: catalog.copies,
-            submits: site.fleet.submits,
+            extent: catalog.extent_blocks,
+            copy_group: catalog.copy_class,
+            submits: site.fleet.max_attempts,
             shards: site.nodes.iter().map(|n| n.shard).collect(),
             units: BTreeMap::new(),
             units_of: u64::MAX,
@@ -665,8 +665,8 @@
 }
 
 /// Extents of a mapped volume, each its own shard until it is looked up.
-fn mapped(site: &Site, v: &site::Volume, extent: u64) -> VolumeLayout {
-    let count = v.blocks / extent.max(1);
+fn mapped(site: &GatewayConfig, v: &config::Volume, extent: u64) -> VolumeLayout {
+    let count = v.block_count / extent.max(1);
     let one = |i| Extent { first_block: i * extent, blocks: extent, shard: i as u32, first_node_block: 0 };
     VolumeLayout { extents: (0..count).map(one).collect(), rules: layout(site, v).rules }
 }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -6,7 +6,7 @@
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
 };
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
-use mallowseam_settings::site;
+use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
@@ -40,7 +40,7 @@
 }
 
 impl List {
-    pub fn new(host: &site::Host, nodes: &[site::Node], registry: Registry, token: Token) -> Self {
+    pub fn new(host: &config::Host, nodes: &[config::Node], registry: Registry, token: Token) -> Self {
         let mut zones: Vec<&str> = Vec::new();
         let mut known = Vec::new();
         for n in nodes {
@@ -58,8 +58,8 @@
         }
         List {
             host: host.name.clone(),
-            address: host.node_list,
-            kept: host.kept_list.clone(),
+            address: host.endpoint_service,
+            kept: host.endpoint_cache_path.clone(),
             known,
             registry,
             token,
--- a/crates/gateway/src/nodes.rs
+++ b/crates/gateway/src/nodes.rs
@@ -7,7 +7,7 @@
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{Sense, status};
 use mallowseam_scheduler::host::{Ending, Tick};
-use mallowseam_settings::site;
+use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
@@ -62,13 +62,13 @@
 
 impl Nodes {
     pub fn new(
-        nodes: &[site::Node],
+        nodes: &[config::Node],
         initiator: String,
         wishes: Wishes,
         registry: Registry,
         first: usize,
     ) -> Self {
-        let node = |n: &site::Node| Node {
+        let node = |n: &config::Node| Node {
             name: n.name.clone(),
             address: n.address.expect("checked"),
             target: n.target.clone(),
--- a/crates/gateway/src/plan_cli.rs
+++ b/crates/gateway/src/plan_cli.rs
@@ -49,7 +49,7 @@
 
 fn ask(file: &Path, asked: &Asked) -> Result<String, (u8, String)> {
     let line = serde_json::to_string(asked).expect("plain");
-    cli::ask(file, "tariffs", |site| site.tariffs?.control, &line)
+    cli::ask(file, "tariffs", |site| site.plan_service?.control_socket, &line)
 }
 
 /// Puts `NAME=NUMBER` into a plan. Error: what was expected.
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -19,7 +19,7 @@
 use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeId, NodeState, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_settings::{Site, change};
+use mallowseam_settings::{GatewayConfig, reload};
 use mio::net::{TcpListener, UnixStream};
 use mio::{Events, Poll, Token};
 use rand::Rng;
@@ -53,7 +53,7 @@
 }
 
 struct Gateway {
-    site: Site,
+    site: GatewayConfig,
     clock: Clock,
     scheduler: Scheduler,
     desk: Desk,
@@ -78,7 +78,7 @@
 }
 
 /// Runs a host until it is told to stop. Errors: an address or path that cannot be had.
-pub fn run(site: Site) -> Result<(), Failure> {
+pub fn run(site: GatewayConfig) -> Result<(), Failure> {
     let mut poll = Poll::new().map_err(failure("poll".into()))?;
     let mut gateway = Gateway::open(site, &poll)?;
     let mut events = Events::with_capacity(1024);
@@ -105,23 +105,23 @@
 }
 
 impl Gateway {
-    fn open(site: Site, poll: &Poll) -> Result<Self, Failure> {
+    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Failure> {
         let registry = || poll.registry().try_clone().map_err(failure("poll".into()));
         let address = site.host.listen.expect("checked");
         let (listener, _) = listen(address, poll, LISTENER)?;
         let bound = listener.local_addr().map_err(failure(format!("listen {address}")))?;
-        let control = control(site.host.control.as_deref(), poll, CONTROL, CALLERS)?;
+        let control = control(site.host.control_socket.as_deref(), poll, CONTROL, CALLERS)?;
         let signals = signals(poll, SIGNALS).map_err(failure("signals".into()))?;
         let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
         let wishes = Wishes { digests, ..Wishes::default() };
         let targets = Rc::new(TargetTerms {
             wishes,
-            window: site.host.window,
-            longest: site.host.longest as usize,
+            window: site.host.command_window,
+            longest: site.host.max_transfer_bytes as usize,
             names: vec![site.host.target.clone()],
             address: bound.to_string(),
         });
-        let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
+        let admission = AdmissionController::new(&site.host.target, site.host.max_connections as usize);
         let clients = Clients::new(admission, targets, registry()?, NODES + site.nodes.len());
         let initiator = format!("{}:{}", site.host.target, site.host.name);
         let nodes = Nodes::new(&site.nodes, initiator, wishes, registry()?, NODES);
@@ -132,21 +132,26 @@
             _ => None,
         };
         let list = List::new(&site.host, &site.nodes, registry()?, LIST);
-        let follow = match site.host.follow {
+        let follow = match site.host.plan_service {
             Some(address) => {
                 let volumes = site
                     .volumes
                     .iter()
-                    .map(|v| HostedVolume { name: v.name.clone(), host_count: v.hosts })
+                    .map(|v| HostedVolume { name: v.name.clone(), host_count: v.host_count })
                     .collect();
-                let kept = site.host.kept_plans.clone();
+                let kept = site.host.plan_cache_path.clone();
                 Some(Follow::new(&site.host.name, address, kept, volumes, registry()?, FOLLOW, 0))
             }
             None => None,
         };
         let opened = |place| Part::open(poll.registry(), FLEET, place).map(Box::new);
-        let part =
-            site.host.place.clone().map(opened).transpose().map_err(failure("the fleet's view".into()))?;
+        let part = site
+            .host
+            .membership
+            .clone()
+            .map(opened)
+            .transpose()
+            .map_err(failure("the fleet's view".into()))?;
         let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
         let clock = Clock::from_zero();
         tracing::info!(host = site.host.name, listen = %bound, seed, "host starts");
@@ -398,7 +403,7 @@
     }
 
     /// What is to be taken up of a state of plans. Error: a volume of this host that has no plan in it.
-    fn of_state(&self, state: &mallowseam_plans::state::State) -> Result<change::Taken, String> {
+    fn of_state(&self, state: &mallowseam_plans::state::State) -> Result<reload::ReloadOutcome, String> {
         let mut wanted = self.site.clone();
         wanted.plans = state.plans.iter().map(|(name, p)| terms::from_figures(name, p)).collect();
         for v in &mut wanted.volumes {
@@ -406,17 +411,17 @@
             let at = plan.and_then(|name| wanted.plans.iter().position(|p| p.name == *name));
             v.plan = at.ok_or_else(|| format!("volume {} has no plan", v.name))?;
         }
-        change::taken(&self.site, &wanted).map_err(|against| against.join("; "))
+        reload::evaluate(&self.site, &wanted).map_err(|against| against.join("; "))
     }
 
-    fn put(&mut self, taken: change::Taken) {
+    fn put(&mut self, taken: reload::ReloadOutcome) {
         self.site.plans = taken.plans;
-        for (volume, plan) in self.site.volumes.iter_mut().zip(&taken.of) {
+        for (volume, plan) in self.site.volumes.iter_mut().zip(&taken.volume_plans) {
             volume.plan = *plan;
         }
-        let changed = self.desk.planned(&taken.of);
+        let changed = self.desk.planned(&taken.volume_plans);
         self.scheduler.planned(self.desk.now, &terms::plans(&self.site), &changed);
-        taken.told.iter().for_each(|what| tracing::info!(what, "plans taken up"));
+        taken.changes.iter().for_each(|what| tracing::info!(what, "plans taken up"));
     }
 
     fn hear_list(&mut self) {
@@ -479,12 +484,12 @@
             return Err("plans come from the control service: see `mallowseam plan`".into());
         }
         let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-        let wanted = mallowseam_settings::read(file, &text).map_err(|problems| problems.to_string())?;
-        let taken = change::taken(&self.site, &wanted).map_err(|against| against.join("\n"))?;
-        if taken.told.is_empty() {
+        let wanted = mallowseam_settings::parse(file, &text).map_err(|problems| problems.to_string())?;
+        let taken = reload::evaluate(&self.site, &wanted).map_err(|against| against.join("\n"))?;
+        if taken.changes.is_empty() {
             return Ok("nothing is different".into());
         }
-        let told = taken.told.join("\n");
+        let told = taken.changes.join("\n");
         self.put(taken);
         Ok(told)
     }
@@ -492,20 +497,20 @@
     fn status(&self) -> Status {
         let desk = &self.desk;
         let (list_epoch, list_version) = self.list.known();
-        let volume = |(at, v): (usize, &mallowseam_settings::site::Volume)| VolumeStatus {
+        let volume = |(at, v): (usize, &mallowseam_settings::config::Volume)| VolumeStatus {
             name: v.name.clone(),
             asked_units: desk.figures.volumes[at].asked,
             ended_units: desk.figures.volumes[at].ended,
             part: self.parts[at].map(|p| p as f64 / 1000.0),
         };
-        let plan = |p: &mallowseam_settings::site::Plan| PlanStatus {
+        let plan = |p: &mallowseam_settings::config::Plan| PlanStatus {
             name: p.name.clone(),
-            reserve: p.reserve,
-            limit: p.limit,
+            reserve: p.reserved_rate,
+            limit: p.rate_limit,
             weight: p.weight,
         };
         let group =
-            |(g, f): (&mallowseam_settings::site::Group, &crate::figures::GroupFigures)| GroupStatus {
+            |(g, f): (&mallowseam_settings::config::IoClass, &crate::figures::GroupFigures)| GroupStatus {
                 name: g.name.clone(),
                 taken: f.answers.taken,
                 ended: f.answers.ended,
@@ -548,7 +553,7 @@
             list_epoch,
             list_version,
             commands: desk.figures.commands,
-            groups: self.site.groups.iter().zip(&desk.figures.groups).map(group).collect(),
+            groups: self.site.io_classes.iter().zip(&desk.figures.groups).map(group).collect(),
             nodes: desk.nodes.all.iter().enumerate().map(node).collect(),
             plans: self.site.plans.iter().map(plan).collect(),
             volumes: self.site.volumes.iter().enumerate().map(volume).collect(),
--- a/crates/gateway/src/shares.rs
+++ b/crates/gateway/src/shares.rs
@@ -2,8 +2,8 @@
 use crate::demand;
 use crate::list::replace;
 use mallowseam_settings::edit::Share;
-use mallowseam_settings::lines::{Args, At, Problems, words};
-use mallowseam_settings::{change, edit};
+use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
+use mallowseam_settings::{edit, reload};
 use mallowseam_shares::bound;
 use mallowseam_shares::choose::{choose, parts};
 use mallowseam_shares::conflict::explain as contradict;
@@ -37,17 +37,17 @@
 pub fn read(file: &Path) -> Result<Problem, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let mut problems = Problems::new(&name);
+    let mut problems = Diagnostics::new(&name);
     let (mut nodes, mut volumes): (Vec<Node>, Vec<Volume>) = (Vec::new(), Vec::new());
     let mut hosts: Vec<Host> = Vec::new();
-    let mut places: Vec<(String, At)> = Vec::new();
+    let mut places: Vec<(String, Position)> = Vec::new();
     let mut section = "";
     for (i, line) in text.lines().enumerate() {
-        let words = words(i + 1, line, &mut problems);
+        let words = tokenize(i + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
-        let at = first.at;
+        let at = first.position;
         let word = first.text.clone();
-        let mut args = Args::new(&words, &mut problems);
+        let mut args = Arguments::new(&words, &mut problems);
         if !line.starts_with(char::is_whitespace) {
             section = match word.as_str() {
                 "node" => "node",
@@ -58,13 +58,13 @@
                     ""
                 }
             };
-            let mut args = Args::new(&words, &mut problems);
+            let mut args = Arguments::new(&words, &mut problems);
             let Some(name) = args.name("a name of letters, digits and -_.:").filter(|_| !section.is_empty())
             else {
                 section = "";
                 continue;
             };
-            args.end();
+            args.expect_end();
             places.push((name.text.clone(), at));
             if section == "node" {
                 nodes.push(Node { name: name.text, ..Node::default() });
@@ -87,7 +87,7 @@
             _ => true,
         };
         if known {
-            args.end();
+            args.expect_end();
         } else {
             problems.add(at, format!("a directive of section `{section}`"), format!("`{word}`"));
         }
@@ -105,7 +105,7 @@
     }
     Problem::new(nodes, volumes).map(|p| Problem { hosts, ..p }).map_err(|wrong| {
         for w in wrong {
-            let at = places.iter().find(|p| p.0 == w.name).map_or(At { line: 1, column: 1 }, |p| p.1);
+            let at = places.iter().find(|p| p.0 == w.name).map_or(Position { line: 1, column: 1 }, |p| p.1);
             problems.add(at, w.expected, format!("`{}`", w.name));
         }
         problems.sorted().to_string()
@@ -114,17 +114,17 @@
 
 const RATE: &str = "units a second such as 20/s or 0.125/s";
 
-fn node(node: &mut Node, word: &str, args: &mut Args) -> bool {
+fn node(node: &mut Node, word: &str, args: &mut Arguments) -> bool {
     match word {
         "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
-        "cost" => node.cost = args.whole("a whole number", 0, MOST).unwrap_or(0),
+        "cost" => node.cost = args.integer("a whole number", 0, MOST).unwrap_or(0),
         "zone" => node.zone = args.name("a name").map(|w| w.text).unwrap_or_default(),
         _ => return false,
     }
     true
 }
 
-fn host(host: &mut Host, word: &str, args: &mut Args) -> bool {
+fn host(host: &mut Host, word: &str, args: &mut Arguments) -> bool {
     if word != "sends" {
         return false;
     }
@@ -134,16 +134,16 @@
     true
 }
 
-fn volume(v: &mut Volume, word: &str, args: &mut Args) -> bool {
+fn volume(v: &mut Volume, word: &str, args: &mut Arguments) -> bool {
     match word {
         "reserve" => v.reserve = args.exact_rate(RATE).unwrap_or(0),
         "reserve-most" => v.reserve_most = args.exact_rate(RATE).unwrap_or(0),
         "limit" => v.limit = args.exact_rate(RATE).unwrap_or(0),
         "surge" => v.surge = args.exact_rate(RATE).unwrap_or(0),
-        "weight" => v.weight = args.whole("a whole number", 0, MOST).unwrap_or(0),
-        "price" => v.price = args.whole("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0),
-        "spread" => v.spread = args.whole("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
-        "size" => v.size = args.whole("a whole number", 0, MOST).unwrap_or(0),
+        "weight" => v.weight = args.integer("a whole number", 0, MOST).unwrap_or(0),
+        "price" => v.price = args.integer("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0),
+        "spread" => v.spread = args.integer("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
+        "size" => v.size = args.integer("a whole number", 0, MOST).unwrap_or(0),
         "apart" => v.apart = true,
         "zone" => v.zone = args.name("a name").map(|w| w.text),
         "survives" => match args.value("node or zone", |w| matches!(w, "node" | "zone").then(|| w == "node"))
@@ -153,7 +153,7 @@
             None => {}
         },
         "today" => {
-            while args.more() {
+            while args.has_more() {
                 v.today.extend(args.name("the name of a node").map(|w| w.text));
             }
         }
@@ -266,13 +266,13 @@
 fn answer(p: &Problem, file: &Path) -> Result<(Placement, Vec<Share>), String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let mut problems = Problems::new(&name);
+    let mut problems = Diagnostics::new(&name);
     let mut at: Placement = vec![Vec::new(); p.volumes.len()];
     let mut shares: Vec<Share> = Vec::new();
     for (i, line) in text.lines().enumerate() {
-        let words = words(i + 1, line, &mut problems);
+        let words = tokenize(i + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
-        let (start, what) = (first.at, first.text.clone());
+        let (start, what) = (first.position, first.text.clone());
         if what == "part" {
             // Parts are told for the operator; in service hosts lend them (`docs/living-plans.md`).
             continue;
@@ -281,21 +281,25 @@
             problems.add(start, "place, share or part", format!("`{what}`"));
             continue;
         }
-        let mut args = Args::new(&words, &mut problems);
+        let mut args = Arguments::new(&words, &mut problems);
         let volume = args.value("the name of a volume", |w| p.volumes.iter().position(|v| v.name == w));
         if what == "share" {
             args.value("reserve", |w| (w == "reserve").then_some(()));
             let reserve = args.exact_rate(RATE);
             args.value("weight", |w| (w == "weight").then_some(()));
-            let weight = args.whole("a whole number", 0, MOST);
-            args.end();
+            let weight = args.integer("a whole number", 0, MOST);
+            args.expect_end();
             if let (Some(v), Some(reserve), Some(weight)) = (volume, reserve, weight) {
-                shares.push(Share { volume: p.volumes[v].name.clone(), reserve, weight });
+                shares.push(Share {
+                    volume: p.volumes[v].name.clone(),
+                    reserved_milliunits: reserve,
+                    weight,
+                });
             }
             continue;
         }
         let mut set = Vec::new();
-        while args.more() {
+        while args.has_more() {
             set.extend(args.value("the name of a node", |w| p.nodes.iter().position(|n| n.name == w)));
         }
         set.sort_unstable();
@@ -307,7 +311,7 @@
             at[v] = set;
         }
     }
-    let top = At { line: 1, column: 1 };
+    let top = Position { line: 1, column: 1 };
     for (v, _) in at.iter().enumerate().filter(|a| a.1.is_empty()) {
         problems.add(top, format!("a line for volume {}", p.volumes[v].name), "none");
     }
@@ -323,7 +327,7 @@
         let (at, shares) = answer(&p, answered)?;
         let name = conf.display().to_string();
         let text = std::fs::read_to_string(conf).map_err(|e| format!("{name}: {e}"))?;
-        let site = mallowseam_settings::read(&name, &text).map_err(|problems| problems.to_string())?;
+        let site = mallowseam_settings::parse(&name, &text).map_err(|problems| problems.to_string())?;
         let mut against = Vec::new();
         for (v, set) in p.volumes.iter().zip(&at) {
             let Some(volume) = site.volumes.iter().find(|w| w.name == v.name && !w.mapped) else { continue };
@@ -340,7 +344,7 @@
                 ));
             }
         }
-        let edited = match edit::shares(&text, &site, &shares) {
+        let edited = match edit::apply_shares(&text, &site, &shares) {
             Ok(edited) => edited,
             Err(mut unknown) => {
                 against.append(&mut unknown);
@@ -350,10 +354,11 @@
         if !against.is_empty() {
             return Err(against.join("\n"));
         }
-        let wanted = mallowseam_settings::read(&name, &edited).map_err(|problems| problems.to_string())?;
-        let taken = change::taken(&site, &wanted).map_err(|against| against.join("\n"))?;
-        let told = if taken.told.is_empty() { "nothing is different".into() } else { taken.told.join("\n") };
-        if write && !taken.told.is_empty() {
+        let wanted = mallowseam_settings::parse(&name, &edited).map_err(|problems| problems.to_string())?;
+        let taken = reload::evaluate(&site, &wanted).map_err(|against| against.join("\n"))?;
+        let told =
+            if taken.changes.is_empty() { "nothing is different".into() } else { taken.changes.join("\n") };
+        if write && !taken.changes.is_empty() {
             replace(conf, edited.as_bytes()).map_err(|e| format!("{name}: {e}"))?;
             return Ok(format!("{told}\nwritten; `mallowseam reload {name}` has the host take it up"));
         }
@@ -490,7 +495,7 @@
                 .iter()
                 .map(|v| {
                     let own = shares.iter().find(|s| s.volume == v.name);
-                    own.map_or((v.reserve, v.weight), |s| (s.reserve, s.weight))
+                    own.map_or((v.reserve, v.weight), |s| (s.reserved_milliunits, s.weight))
                 })
                 .collect();
             let moment = |i: &demand::Interval| {
--- a/crates/gateway/src/tariffs.rs
+++ b/crates/gateway/src/tariffs.rs
@@ -10,7 +10,7 @@
 use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
 use mallowseam_plans::rollout::{Rollout, RolloutBlocker};
 use mallowseam_plans::state::{Change, Plan, State};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use mallowseam_trail::Store;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
@@ -52,7 +52,7 @@
 }
 
 /// Runs the control service of a site until it is told to stop.
-pub fn run(site: &Site) -> Result<(), Failure> {
+pub fn run(site: &GatewayConfig) -> Result<(), Failure> {
     let mut poll = Poll::new().map_err(failure("poll".into()))?;
     let mut service = Service::open(site, &poll)?;
     let mut events = Events::with_capacity(256);
@@ -73,13 +73,14 @@
 }
 
 impl Service {
-    fn open(site: &Site, poll: &Poll) -> Result<Self, Failure> {
-        let settings = site.tariffs.clone().ok_or_else(|| Failure::new("no section tariffs".into()))?;
+    fn open(site: &GatewayConfig, poll: &Poll) -> Result<Self, Failure> {
+        let settings = site.plan_service.clone().ok_or_else(|| Failure::new("no section tariffs".into()))?;
         let address = settings.listen.expect("checked");
         let peers = Peers::open(address, poll, LISTENER, MEMBERS, BOUNDS)?;
-        let control = opening::control(settings.control.as_deref(), poll, CONTROL, CALLERS)?;
-        let said = |e: mallowseam_trail::Fault| Failure::new(format!("{}: {e}", settings.store.display()));
-        let mut store = Store::open(&settings.store).map_err(said)?;
+        let control = opening::control(settings.control_socket.as_deref(), poll, CONTROL, CALLERS)?;
+        let said =
+            |e: mallowseam_trail::Fault| Failure::new(format!("{}: {e}", settings.store_path.display()));
+        let mut store = Store::open(&settings.store_path).map_err(said)?;
         let fresh = store.trail().state.version == 0;
         if fresh {
             // The first versions are what the configuration says.
@@ -87,7 +88,7 @@
                 .plans
                 .iter()
                 .map(|p| Change::SetPlan { name: p.name.clone(), plan: terms::to_figures(p) });
-            let of = |v: &mallowseam_settings::site::Volume| Change::AssignPlan {
+            let of = |v: &mallowseam_settings::config::Volume| Change::AssignPlan {
                 volume: v.name.clone(),
                 plan: site.plans[v.plan].name.clone(),
             };
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -3,7 +3,7 @@
 use mallowseam_catalog::Catalog;
 use mallowseam_cow::tree::{LayerId, Place, Tree};
 use mallowseam_iscsi::scsi::{self, status};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Room for one answer of a node: some thousand runs.
@@ -21,9 +21,10 @@
 }
 
 /// Looks at a stopped catalog's store and at all nodes. `mend` gives back what nothing refers to.
-pub fn run(site: &Site, mend: bool) -> Result<Found, String> {
+pub fn run(site: &GatewayConfig, mend: bool) -> Result<Found, String> {
     let settings = site.catalog.as_ref().ok_or("no section catalog")?;
-    let catalog = Catalog::open(&settings.store).map_err(|e| format!("{}: {e}", settings.store.display()))?;
+    let catalog =
+        Catalog::open(&settings.store_path).map_err(|e| format!("{}: {e}", settings.store_path.display()))?;
     let tree = catalog.tree();
     let mut found = Found { faults: tree.faults(), ..Found::default() };
     let mut wanted: BTreeMap<u32, BTreeSet<(LayerId, u32)>> = BTreeMap::new();
@@ -45,8 +46,8 @@
         let wanted = wanted.remove(&(n as u32)).unwrap_or_default();
         // Layers that are gone may have left something as well: all that were ever made are asked for.
         for layer in made(tree) {
-            let numbers =
-                held(&mut client, layer, settings.extent).map_err(|e| format!("{}: {e}", node.name))?;
+            let numbers = held(&mut client, layer, settings.extent_blocks)
+                .map_err(|e| format!("{}: {e}", node.name))?;
             for number in numbers {
                 if wanted.contains(&(layer, number)) {
                     found.held += 1;
@@ -54,7 +55,7 @@
                 }
                 found.leaked.push((layer, Place { node: n as u32, number }));
                 if mend {
-                    let run = (u64::from(number) * settings.extent, settings.extent as u32);
+                    let run = (u64::from(number) * settings.extent_blocks, settings.extent_blocks as u32);
                     let (cdb, data) = scsi::unmap(&[run]);
                     let answer =
                         client.ask(layer, &cdb, 0, data).map_err(|e| format!("{}: {e}", node.name))?;
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -3,8 +3,8 @@
 use crate::node::Model;
 use crate::trace::{Micros, Seen, What};
 use mallowseam_iscsi::scsi::status;
-use mallowseam_settings::Site;
-use mallowseam_settings::site::{Direction, Effect};
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::{Direction, Effect};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
@@ -185,7 +185,7 @@
 pub const COPY_MARK: u8 = 31;
 
 /// Judges what was seen, in order of time, of a run with this site and these nodes.
-pub fn judge(site: &Site, model: &Model, seen: &[Seen], places: &Places) -> Verdict {
+pub fn judge(site: &GatewayConfig, model: &Model, seen: &[Seen], places: &Places) -> Verdict {
     let mut audit = Audit { site, model, places, verdict: Verdict::default(), ops: Vec::new() };
     audit.gather(seen);
     audit.answers(seen);
@@ -202,7 +202,7 @@
 }
 
 struct Audit<'a> {
-    site: &'a Site,
+    site: &'a GatewayConfig,
     model: &'a Model,
     places: &'a Places,
     verdict: Verdict,
@@ -215,7 +215,7 @@
     }
 
     fn units(&self, blocks: u32) -> f64 {
-        (u64::from(blocks) * crate::block::SIZE as u64).div_ceil(self.site.fleet.unit).max(1) as f64
+        (u64::from(blocks) * crate::block::SIZE as u64).div_ceil(self.site.fleet.unit_bytes).max(1) as f64
     }
 
     /// Where a node's block belongs.
@@ -226,10 +226,11 @@
             return Some((*volume, extent * self.places.extent + rest));
         }
         self.site.volumes.iter().enumerate().find_map(|(v, volume)| {
-            let here = |e: &&mallowseam_settings::site::Extent| {
-                e.node == node as usize && (e.node_first..e.node_first + e.blocks).contains(&lba)
+            let here = |e: &&mallowseam_settings::config::Extent| {
+                e.node == node as usize
+                    && (e.first_node_block..e.first_node_block + e.block_count).contains(&lba)
             };
-            volume.extents.iter().find(here).map(|e| (v, e.first + lba - e.node_first))
+            volume.extents.iter().find(here).map(|e| (v, e.first_block + lba - e.first_node_block))
         })
     }
 
@@ -242,9 +243,9 @@
             match &s.what {
                 What::Asked { op, host, volume, write, lba, blocks, mark, .. } => {
                     let direction = if *write { Direction::Write } else { Direction::Read };
-                    let fits = |r: &&mallowseam_settings::site::Rule| {
+                    let fits = |r: &&mallowseam_settings::config::Rule| {
                         (r.direction == direction || r.direction == Direction::Any)
-                            && (r.first..=r.last).contains(lba)
+                            && (r.first_block..=r.last_block).contains(lba)
                     };
                     let rule = self.site.volumes[*volume as usize].rules.iter().find(fits);
                     let Some(rule) = rule else { continue };
@@ -259,8 +260,8 @@
                         write: *write,
                         lba: *lba,
                         blocks: *blocks,
-                        group: rule.group,
-                        key: lba.checked_div(rule.key),
+                        group: rule.io_class,
+                        key: lba.checked_div(rule.blocks_per_key),
                         asked: s.at,
                         answered: None,
                         left: None,
@@ -365,7 +366,7 @@
         }
         for i in 0..self.ops.len() {
             let op = &self.ops[i];
-            let limit = self.site.groups[op.group].hard_limit;
+            let limit = self.site.io_classes[op.group].deadline;
             let due = op.asked + limit + SLACK;
             let died = downs.iter().any(|d| d.0 == op.host && d.1 + SLACK >= op.asked && d.1 <= due);
             match op.answered {
@@ -405,7 +406,7 @@
     fn effects(&mut self) {
         for i in 0..self.ops.len() {
             let op = &self.ops[i];
-            if self.site.groups[op.group].effect != Effect::SideEffecting {
+            if self.site.io_classes[op.group].effect != Effect::NonIdempotent {
                 continue;
             }
             let mut parts: BTreeMap<u64, u32> = BTreeMap::new();
@@ -490,11 +491,11 @@
     fn order(&mut self) {
         let mut keys: BTreeMap<(u32, usize, u64), Vec<usize>> = BTreeMap::new();
         for (i, op) in self.ops.iter().enumerate() {
-            if let (true, Some(key)) = (self.site.groups[op.group].ordered, op.key) {
+            if let (true, Some(key)) = (self.site.io_classes[op.group].ordered, op.key) {
                 keys.entry((op.host, op.volume, key)).or_default().push(i);
             }
         }
-        let rest = self.site.fleet.order_rest.saturating_sub(REST_SLACK);
+        let rest = self.site.fleet.ordering_cooldown.saturating_sub(REST_SLACK);
         let mut lines = Vec::new();
         for ops in keys.values() {
             for (i, b) in ops.iter().enumerate() {
@@ -526,7 +527,8 @@
     /// Rule 6: further submits of one host within any span.
     fn budget(&mut self) {
         let fleet = &self.site.fleet;
-        let (free, part, span) = (fleet.further_free, fleet.further_part, fleet.further_span);
+        let (free, part, span) =
+            (fleet.retry_budget_min, fleet.retry_budget_ratio, fleet.retry_budget_window);
         let mut further: HashMap<u32, Vec<Micros>> = HashMap::new();
         let mut taken: HashMap<u32, Vec<Micros>> = HashMap::new();
         for op in &self.ops {
@@ -569,7 +571,7 @@
         for (v, volume) in self.site.volumes.iter().enumerate() {
             let plan = &self.site.plans[volume.plan];
             let always =
-                [InForce { from: 0, until: Micros::MAX, limit: plan.limit, burst: plan.limit_burst }];
+                [InForce { from: 0, until: Micros::MAX, limit: plan.rate_limit, burst: plan.burst_units }];
             let windows = self.places.limits.get(&plan.name).map_or(&always[..], Vec::as_slice);
             // Without a limit at some time, nothing can be said of what was saved up.
             if windows.iter().any(|w| w.limit <= 0.0) {
@@ -585,7 +587,7 @@
             }
             first.sort_by_key(|f| f.0);
             let burst = windows.iter().map(|w| w.burst).fold(0.0, f64::max);
-            let slack = (burst * LIMIT_SLACK).max(self.site.fleet.largest_units);
+            let slack = (burst * LIMIT_SLACK).max(self.site.fleet.max_units);
             let (mut store, mut last) = (windows[0].burst, 0);
             for (at, units) in first {
                 // The largest limit that any host may have acted on since the block I/O before.
@@ -663,9 +665,9 @@
         if writer.asked > end {
             return Some(format!("shows {id} before it was asked for"));
         }
-        let group = &self.site.groups[writer.group];
+        let group = &self.site.io_classes[writer.group];
         let shed = writer.answered.is_some_and(|a| matches!(a.1, status::BUSY | status::TASK_SET_FULL));
-        if shed && group.effect == Effect::SideEffecting {
+        if shed && group.effect == Effect::NonIdempotent {
             return Some(format!("shows {id}, which was shed"));
         }
         let over = writer.good();
@@ -736,12 +738,12 @@
         let v = &mut self.verdict;
         v.groups = self
             .site
-            .groups
+            .io_classes
             .iter()
             .map(|g| GroupCount { name: g.name.clone(), ..GroupCount::default() })
             .collect();
         for op in &self.ops {
-            let goal = self.site.groups[op.group].goal;
+            let goal = self.site.io_classes[op.group].latency_objective;
             let in_time = op.good().is_some_and(|at| at - op.asked <= goal);
             v.got.push(Got { volume: op.volume, group: op.group, asked: op.asked, in_time });
             let group = &mut v.groups[op.group];
--- a/crates/lab/src/fleet/scene.rs
+++ b/crates/lab/src/fleet/scene.rs
@@ -7,7 +7,7 @@
 use crate::node::Model;
 use crate::script;
 use crate::trace::Micros;
-use mallowseam_settings::lines::{Args, At, Problems, words};
+use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
 /// The list that hosts start with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,8 +94,8 @@
 }
 
 /// Reads a script. All its problems come back at once.
-pub fn read(file: &str, text: &str) -> Result<Scene, Problems> {
-    let mut problems = Problems::new(file);
+pub fn read(file: &str, text: &str) -> Result<Scene, Diagnostics> {
+    let mut problems = Diagnostics::new(file);
     let mut scene = Scene {
         name: file.to_owned(),
         length: 0,
@@ -126,18 +126,18 @@
         events: Vec::new(),
     };
     for (i, line) in text.lines().enumerate() {
-        let words = words(i + 1, line, &mut problems);
+        let words = tokenize(i + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
-        let (at, name) = (first.at, first.text.clone());
-        let mut args = Args::new(&words, &mut problems);
+        let (at, name) = (first.position, first.text.clone());
+        let mut args = Arguments::new(&words, &mut problems);
         if head(&mut scene, &name, &mut args) {
-            args.end();
+            args.expect_end();
         } else {
             let known = "day, hosts, limits, zones, nodes, lines, cold, clients, list, view or at";
             problems.add(at, known, format!("`{name}`"));
         }
     }
-    let top = At { line: 1, column: 1 };
+    let top = Position { line: 1, column: 1 };
     for (name, there) in [
         ("day", scene.length > 0),
         ("hosts", scene.hosts > 0),
@@ -171,12 +171,12 @@
 
 const SPAN: &str = "a duration such as 3s";
 
-fn head(scene: &mut Scene, name: &str, args: &mut Args) -> bool {
+fn head(scene: &mut Scene, name: &str, args: &mut Arguments) -> bool {
     match name {
         "day" => scene.length = args.duration(SPAN).unwrap_or(1),
         "hosts" => {
-            scene.hosts = args.whole("1 to 1000", 1, 1_000).unwrap_or(1) as u32;
-            if args.literal("known") {
+            scene.hosts = args.integer("1 to 1000", 1, 1_000).unwrap_or(1) as u32;
+            if args.accept("known") {
                 let lists = [
                     ("none", Known::None),
                     ("now", Known::Now),
@@ -189,13 +189,13 @@
             }
         }
         "limits" => {
-            scene.memory_mb = args.whole("megabytes from 16", 16, 65_536).unwrap_or(32) as u32;
-            scene.sockets = args.whole("descriptors from 64", 64, 65_536).unwrap_or(256) as u32;
+            scene.memory_mb = args.integer("megabytes from 16", 16, 65_536).unwrap_or(32) as u32;
+            scene.sockets = args.integer("descriptors from 64", 64, 65_536).unwrap_or(256) as u32;
         }
-        "zones" => scene.zones = args.whole("1 to 16", 1, 16).unwrap_or(1) as u32,
+        "zones" => scene.zones = args.integer("1 to 16", 1, 16).unwrap_or(1) as u32,
         "nodes" => nodes(scene, args),
         "lines" => {
-            scene.manners.lines = args.whole("connections at a node", 1, 65_536).unwrap_or(1) as usize;
+            scene.manners.lines = args.integer("connections at a node", 1, 65_536).unwrap_or(1) as usize;
             scene.manners.handshake = args.duration("the work of a new connection").unwrap_or(0);
         }
         "cold" => {
@@ -204,12 +204,12 @@
         }
         "clients" => clients(scene, args),
         "list" => {
-            while args.more() {
-                if args.literal("takes") {
+            while args.has_more() {
+                if args.accept("takes") {
                     scene.takes = args.duration("the time of a call").unwrap_or(1);
-                } else if args.literal("patience") {
+                } else if args.accept("patience") {
                     scene.patience = args.duration(SPAN).unwrap_or(1);
-                } else if args.literal("lag") {
+                } else if args.accept("lag") {
                     scene.lag = args.duration(SPAN).unwrap_or(0);
                 } else {
                     args.value::<()>("takes, patience or lag", |_| None);
@@ -219,14 +219,14 @@
         "view" => {
             let mut view =
                 ViewScene { period: 1_000_000, seeds: 3, keep: 3_600_000_000, hosts: Some2(0, u32::MAX) };
-            while args.more() {
-                if args.literal("period") {
+            while args.has_more() {
+                if args.accept("period") {
                     view.period = args.duration(SPAN).unwrap_or(view.period);
-                } else if args.literal("seeds") {
-                    view.seeds = args.whole("hosts that are seeds", 1, 32).unwrap_or(1) as u32;
-                } else if args.literal("keep") {
+                } else if args.accept("seeds") {
+                    view.seeds = args.integer("hosts that are seeds", 1, 32).unwrap_or(1) as u32;
+                } else if args.accept("keep") {
                     view.keep = args.duration(SPAN).unwrap_or(view.keep);
-                } else if args.literal("hosts") {
+                } else if args.accept("hosts") {
                     view.hosts = some(args).unwrap_or(view.hosts);
                 } else {
                     args.value::<()>("period, seeds, keep or hosts", |_| None);
@@ -240,10 +240,10 @@
     true
 }
 
-fn nodes(scene: &mut Scene, args: &mut Args) {
-    scene.nodes = args.whole("1 to 500", 1, 500).unwrap_or(1) as u32;
-    while args.more() {
-        if args.literal("start-cold") {
+fn nodes(scene: &mut Scene, args: &mut Arguments) {
+    scene.nodes = args.integer("1 to 500", 1, 500).unwrap_or(1) as u32;
+    while args.has_more() {
+        if args.accept("start-cold") {
             scene.cold_nodes = true;
         } else if !script::node_figure(&mut scene.model, args) {
             args.value::<()>("cores, work, queue or start-cold", |_| None);
@@ -251,17 +251,17 @@
     }
 }
 
-fn clients(scene: &mut Scene, args: &mut Args) {
-    while args.more() {
-        if args.literal("rate") {
+fn clients(scene: &mut Scene, args: &mut Arguments) {
+    while args.has_more() {
+        if args.accept("rate") {
             scene.wants.rate = args.rate("block I/Os a second such as 50/s").unwrap_or(0.0);
-        } else if args.literal("posts") {
+        } else if args.accept("posts") {
             scene.wants.posts = args.percent("a percentage").unwrap_or(0.0);
-        } else if args.literal("again") {
-            scene.wants.again = args.whole("times from 0", 0, 16).unwrap_or(0) as u32;
-        } else if args.literal("at-once") {
+        } else if args.accept("again") {
+            scene.wants.again = args.integer("times from 0", 0, 16).unwrap_or(0) as u32;
+        } else if args.accept("at-once") {
             scene.wants.patient = false;
-        } else if args.literal("uneven") {
+        } else if args.accept("uneven") {
             scene.wants.uneven = args.number("a multiple from 1 up", 1.0, 1_000.0).unwrap_or(1.0);
         } else {
             args.value::<()>("rate, posts, again, at-once or uneven", |_| None);
@@ -270,7 +270,7 @@
 }
 
 /// Numbers `3`, `2..5` (5 not with it) or `all`.
-fn some(args: &mut Args) -> Option<Some2> {
+fn some(args: &mut Arguments) -> Option<Some2> {
     args.value("a number, a range such as 2..5, or all", |w| {
         if w == "all" {
             return Some(Some2(0, u32::MAX));
@@ -312,29 +312,29 @@
     })
 }
 
-fn link(args: &mut Args) -> Option<Vec<(Side, Side, Fault)>> {
+fn link(args: &mut Arguments) -> Option<Vec<(Side, Side, Fault)>> {
     const SIDES: &str = "all, hosts, nodes, lists, clients, hostN, nodeN, listN, zoneN, hostN..M or nodeN..M";
     let from = args.value(SIDES, side)?;
     let to = args.value(SIDES, side)?;
-    let one_way = args.literal("one-way");
+    let one_way = args.accept("one-way");
     let mut fault = Fault::default();
     loop {
-        if args.literal("silent") {
+        if args.accept("silent") {
             fault.silent = true;
-        } else if args.literal("refused") {
+        } else if args.accept("refused") {
             fault.refuses = true;
-        } else if args.literal("slow") {
+        } else if args.accept("slow") {
             fault.delay = args.duration(SPAN)?;
-        } else if args.literal("spread") {
+        } else if args.accept("spread") {
             fault.spread = args.duration(SPAN)?;
-        } else if args.literal("bytes") {
+        } else if args.accept("bytes") {
             fault.rate = args.rate("bytes a second such as 9000/s")?;
-        } else if args.literal("loss") {
+        } else if args.accept("loss") {
             fault.loss = args.percent("a percentage")?;
-        } else if args.literal("repeats") {
+        } else if args.accept("repeats") {
             fault.repeats = args.percent("a percentage")?;
-        } else if args.literal("cut-after") {
-            fault.cut_after = args.whole("bytes", 1, 1 << 40)?;
+        } else if args.accept("cut-after") {
+            fault.cut_after = args.integer("bytes", 1, 1 << 40)?;
         } else {
             break;
         }
@@ -350,7 +350,7 @@
     Some(set)
 }
 
-fn event(events: &mut Vec<Event>, args: &mut Args) -> Option<()> {
+fn event(events: &mut Vec<Event>, args: &mut Arguments) -> Option<()> {
     use Trouble::*;
     const KINDS: [&str; 5] = ["host", "node", "list", "link", "load"];
     let at = args.duration(SPAN)?;
@@ -400,7 +400,7 @@
     };
     events.extend(begin.into_iter().map(|trouble| Event { at, trouble }));
     if !end.is_empty() {
-        if !args.literal("for") {
+        if !args.accept("for") {
             args.value::<()>("for DURATION", |_| None);
             return None;
         }
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -14,8 +14,8 @@
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
-use mallowseam_settings::Site;
-use mallowseam_settings::site::Direction;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::Direction;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rand::seq::SliceRandom;
@@ -38,7 +38,7 @@
 pub struct Outcome {
     pub verdict: Verdict,
     pub seen: Vec<Seen>,
-    pub site: Site,
+    pub site: GatewayConfig,
     /// Processes that did not end as they should.
     pub unclean: Vec<String>,
     pub clones: Clones,
@@ -71,16 +71,20 @@
 }
 
 /// Figures of a plan with its limit and burst times so many.
-fn figures(plan: mallowseam_settings::site::Plan, times: f64) -> Plan {
-    let (limit, limit_burst) = ((plan.limit * times).max(plan.reserve), plan.limit_burst * times);
-    mallowseam_gateway::to_figures(&mallowseam_settings::site::Plan { limit, limit_burst, ..plan })
+fn figures(plan: mallowseam_settings::config::Plan, times: f64) -> Plan {
+    let (limit, limit_burst) = ((plan.rate_limit * times).max(plan.reserved_rate), plan.burst_units * times);
+    mallowseam_gateway::to_figures(&mallowseam_settings::config::Plan {
+        rate_limit: limit,
+        burst_units: limit_burst,
+        ..plan
+    })
 }
 
 /// Changes of limits over a day, as the seed draws them.
-fn tariffs(scene: &Scene, site: &Site, seed: u64) -> Vec<Event> {
+fn tariffs(scene: &Scene, site: &GatewayConfig, seed: u64) -> Vec<Event> {
     let Some(every) = scene.tariffs else { return Vec::new() };
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7a71);
-    let limited: Vec<usize> = (0..site.plans.len()).filter(|p| site.plans[*p].limit > 0.0).collect();
+    let limited: Vec<usize> = (0..site.plans.len()).filter(|p| site.plans[*p].rate_limit > 0.0).collect();
     let times = (1..).map(|n| n * every).take_while(|at| at + 2_000_000 < scene.length);
     times
         .filter(|_| !limited.is_empty())
@@ -189,9 +193,9 @@
 }
 
 /// The configuration that a scene's hosts share.
-pub(crate) fn site_of(scene: &Scene) -> Result<Site, String> {
+pub(crate) fn site_of(scene: &Scene) -> Result<GatewayConfig, String> {
     let text = site_text(scene, &Addresses::new(), Path::new("."), 0, 0);
-    mallowseam_settings::read(&scene.name, &text).map_err(|p| p.to_string())
+    mallowseam_settings::parse(&scene.name, &text).map_err(|p| p.to_string())
 }
 
 struct HostProcess {
@@ -218,7 +222,7 @@
     dir: PathBuf,
     order: [Vec<u32>; 3],
     unclean: Vec<String>,
-    site: Site,
+    site: GatewayConfig,
 }
 
 /// Plays a scene. `tell` gets a line for each trouble as it happens.
@@ -259,7 +263,7 @@
         let mut order = [scene.nodes, scene.hosts, scene.clients].map(|n| (0..n).collect::<Vec<u32>>());
         order.iter_mut().for_each(|o| o.shuffle(&mut rng));
         let text = site_text(scene, &addresses, dir, 0, 0);
-        let site = mallowseam_settings::read(&scene.name, &text).map_err(|p| p.to_string())?;
+        let site = mallowseam_settings::parse(&scene.name, &text).map_err(|p| p.to_string())?;
         let trace = Trace::default();
         let failed = |what: &str| {
             let what = what.to_owned();
@@ -284,13 +288,13 @@
             let control = dir.join(format!("gw{host}.sock"));
             hosts.push(HostProcess { child: None, file, control });
         }
-        let limit = |v: &mallowseam_settings::site::Volume, direction| {
+        let limit = |v: &mallowseam_settings::config::Volume, direction| {
             let rule = v.rules.iter().find(|r| r.direction == direction || r.direction == Direction::Any);
-            site.groups[rule.expect("checked").group].hard_limit
+            site.io_classes[rule.expect("checked").io_class].deadline
         };
-        let volume = |v: &mallowseam_settings::site::Volume| load::Volume {
+        let volume = |v: &mallowseam_settings::config::Volume| load::Volume {
             lun: v.lun.into(),
-            blocks: v.blocks,
+            blocks: v.block_count,
             plan: site.plans[v.plan].name.clone(),
             read_limit: limit(v, Direction::Read),
             write_limit: limit(v, Direction::Write),
@@ -633,7 +637,7 @@
             Err(e) => self.unclean.push(format!("the catalog's tree: {e}")),
         }
         let asked = std::mem::take(&mut *self.asked.lock().expect("no panic"));
-        let size = |v: &str| self.site.volumes.iter().find(|x| x.name == v).map_or(0, |x| x.blocks);
+        let size = |v: &str| self.site.volumes.iter().find(|x| x.name == v).map_or(0, |x| x.block_count);
         let mut shown: BTreeMap<String, Vec<Option<u64>>> = BTreeMap::new();
         let mut kept = Vec::new();
         let mut pairs = Vec::new();
@@ -737,7 +741,7 @@
     /// Lets what is in hand end, ends the hosts, and judges.
     fn close(mut self) -> Outcome {
         self.load.say(LoadWord::Quiet);
-        let longest = self.site.groups.iter().map(|g| g.hard_limit).max().unwrap_or(0);
+        let longest = self.site.io_classes.iter().map(|g| g.deadline).max().unwrap_or(0);
         std::thread::sleep(Duration::from_micros(longest + 2 * load::WAY));
         let (mut places, clones) =
             if self.scene.catalog.is_some() { self.read_back() } else { Default::default() };
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -3,7 +3,7 @@
 //! lists every directive.
 use crate::node::Model;
 use crate::trace::Micros;
-use mallowseam_settings::lines::{Args, Problems, words};
+use mallowseam_settings::{Arguments, Diagnostics, tokenize};
 
 #[derive(Clone, Debug)]
 pub struct Scene {
@@ -82,8 +82,8 @@
 }
 
 /// Reads a script. All its problems come back at once.
-pub fn read(file: &str, text: &str) -> Result<Scene, Problems> {
-    let mut problems = Problems::new(file);
+pub fn read(file: &str, text: &str) -> Result<Scene, Diagnostics> {
+    let mut problems = Diagnostics::new(file);
     let mut scene = Scene {
         name: file.to_owned(),
         length: 0,
@@ -113,16 +113,16 @@
     };
     let mut lines = text.lines().enumerate();
     for (i, line) in lines.by_ref() {
-        let words = words(i + 1, line, &mut problems);
+        let words = tokenize(i + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
         if first.text == "site" {
             break;
         }
-        let at = first.at;
+        let at = first.position;
         let name = first.text.clone();
-        let mut args = Args::new(&words, &mut problems);
+        let mut args = Arguments::new(&words, &mut problems);
         if head(&mut scene, &name, &mut args) {
-            args.end();
+            args.expect_end();
         } else {
             let known = "day, hosts, nodes, cold, clients, list-lag, kept-list, digests, catalog, tariffs, at or site";
             problems.add(at, known, format!("`{name}`"));
@@ -131,7 +131,7 @@
     // The sections keep the line numbers that they have in the script.
     let start = text.lines().take_while(|l| l.trim() != "site").count() + 1;
     scene.site = text.lines().skip(start).collect::<Vec<_>>().join("\n");
-    let top = mallowseam_settings::lines::At { line: 1, column: 1 };
+    let top = mallowseam_settings::Position { line: 1, column: 1 };
     for (name, there) in [
         ("day", scene.length > 0),
         ("hosts", scene.hosts > 0),
@@ -146,14 +146,14 @@
     if problems.is_empty() { Ok(scene) } else { Err(problems.sorted()) }
 }
 
-fn head(scene: &mut Scene, name: &str, args: &mut Args) -> bool {
+fn head(scene: &mut Scene, name: &str, args: &mut Arguments) -> bool {
     let span = "a duration such as 3s";
     match name {
         "day" => scene.length = args.duration(span).unwrap_or(1),
-        "hosts" => scene.hosts = args.whole("1 to 64", 1, 64).unwrap_or(1) as u32,
+        "hosts" => scene.hosts = args.integer("1 to 64", 1, 64).unwrap_or(1) as u32,
         "nodes" => {
-            scene.nodes = args.whole("1 to 64", 1, 64).unwrap_or(1) as u32;
-            while args.more() {
+            scene.nodes = args.integer("1 to 64", 1, 64).unwrap_or(1) as u32;
+            while args.has_more() {
                 if !node_figure(&mut scene.model, args) {
                     args.value::<()>("cores, work or queue", |_| None);
                 }
@@ -161,11 +161,11 @@
         }
         "cold" => cold(&mut scene.model, args),
         "clients" => {
-            scene.clients = args.whole("1 to 1000", 1, 1000).unwrap_or(1) as u32;
-            while args.more() {
-                if args.literal("rate") {
+            scene.clients = args.integer("1 to 1000", 1, 1000).unwrap_or(1) as u32;
+            while args.has_more() {
+                if args.accept("rate") {
                     scene.rate = args.rate("commands a second such as 5/s").unwrap_or(0.0);
-                } else if args.literal("posts") {
+                } else if args.accept("posts") {
                     scene.posts = args.percent("a percentage").unwrap_or(0.0);
                 } else {
                     args.value::<()>("rate or posts", |_| None);
@@ -184,8 +184,8 @@
         }
         "digests" => scene.digests = true,
         "catalog" => {
-            let extent = args.whole("blocks of an extent", 1, 65536);
-            let copies = args.word("the name of a group");
+            let extent = args.integer("blocks of an extent", 1, 65536);
+            let copies = args.text("the name of a group");
             scene.catalog = extent.zip(copies);
         }
         "tariffs" => {
@@ -206,13 +206,13 @@
 }
 
 /// One of the figures behind `nodes`; whether the next word names one.
-pub fn node_figure(model: &mut Model, args: &mut Args) -> bool {
-    if args.literal("cores") {
-        model.cores = args.whole("1 to 64", 1, 64).unwrap_or(1) as usize;
-    } else if args.literal("work") {
+pub fn node_figure(model: &mut Model, args: &mut Arguments) -> bool {
+    if args.accept("cores") {
+        model.cores = args.integer("1 to 64", 1, 64).unwrap_or(1) as usize;
+    } else if args.accept("work") {
         model.unit_work = args.duration("the work of a unit").unwrap_or(0) as f64;
-    } else if args.literal("queue") {
-        model.queue = args.whole("1 to 4096", 1, 4096).unwrap_or(1) as usize;
+    } else if args.accept("queue") {
+        model.queue = args.integer("1 to 4096", 1, 4096).unwrap_or(1) as usize;
     } else {
         return false;
     }
@@ -220,7 +220,7 @@
 }
 
 /// What stands behind `cold`: part of the speed, time until warm, and what makes a node fall.
-pub fn cold(model: &mut Model, args: &mut Args) {
+pub fn cold(model: &mut Model, args: &mut Arguments) {
     let span = "a duration such as 3s";
     model.cold_from = args.percent("a percentage").unwrap_or(1.0).max(0.01);
     model.cold_span = args.duration(span).unwrap_or(0);
@@ -231,7 +231,7 @@
 
 type Begun = (Micros, Trouble, Option<(Micros, Trouble)>);
 
-fn event(args: &mut Args) -> Option<Begun> {
+fn event(args: &mut Arguments) -> Option<Begun> {
     let span = "a duration such as 3s";
     let at = args.duration(span)?;
     const KINDS: &str =
@@ -260,12 +260,12 @@
         "client" => client(args)?,
         "list" => list(args)?,
         "surge" => {
-            let plan = args.word("the name of a plan")?;
+            let plan = args.text("the name of a plan")?;
             let times = args.number("a multiple", 0.0, 100.0)?;
             (Trouble::Surge(plan.clone(), times), Some(Trouble::Surge(plan, 1.0)))
         }
-        "snapshot" => (Trouble::Snapshot(args.word("a volume")?, args.word("a name")?), None),
-        "clone" => (Trouble::Clone(args.word("VOLUME@NAME")?, args.word("a name")?), None),
+        "snapshot" => (Trouble::Snapshot(args.text("a volume")?, args.text("a name")?), None),
+        "clone" => (Trouble::Clone(args.text("VOLUME@NAME")?, args.text("a name")?), None),
         "catalog" => {
             args.value("kill", |w| (w == "kill").then_some(()))?;
             (Trouble::CatalogKill, Some(Trouble::CatalogStart))
@@ -275,18 +275,18 @@
             (Trouble::ControlKill, Some(Trouble::ControlStart))
         }
         "load" => (Trouble::Load(args.number("a multiple", 0.0, 100.0)?), Some(Trouble::Load(1.0))),
-        "half-logins" => (Trouble::HalfLogins(args.whole("a number", 1, 1000)? as u32), None),
-        _ => (Trouble::Garbage(args.whole("a number", 1, 1000)? as u32), None),
+        "half-logins" => (Trouble::HalfLogins(args.integer("a number", 1, 1000)? as u32), None),
+        _ => (Trouble::Garbage(args.integer("a number", 1, 1000)? as u32), None),
     };
     let Some(end) = ends else { return Some((at, begins, None)) };
-    if !args.literal("for") {
+    if !args.accept("for") {
         args.value::<()>("for DURATION", |_| None);
         return None;
     }
     Some((at, begins, Some((args.duration(span)?, end))))
 }
 
-fn which(args: &mut Args) -> Option<Which> {
+fn which(args: &mut Arguments) -> Option<Which> {
     args.value("a number, or any or anyN", |w| match w.strip_prefix("any") {
         Some("") => Some(Which::Any(0)),
         Some(n) => n.parse().ok().map(Which::Any),
@@ -296,10 +296,10 @@
 
 type Pair = (Trouble, Option<Trouble>);
 
-fn node(args: &mut Args) -> Option<Pair> {
+fn node(args: &mut Arguments) -> Option<Pair> {
     let n = which(args)?;
     let what =
-        args.word("silent, still, deaf, slow, errors, loses, crash, start, reset, drain or undrain")?;
+        args.text("silent, still, deaf, slow, errors, loses, crash, start, reset, drain or undrain")?;
     Some(match what.as_str() {
         "silent" => (Trouble::NodeSilent(n, true), Some(Trouble::NodeSilent(n, false))),
         "still" => (Trouble::NodeStill(n, true), Some(Trouble::NodeStill(n, false))),
@@ -322,9 +322,9 @@
     })
 }
 
-fn host(args: &mut Args) -> Option<Pair> {
+fn host(args: &mut Arguments) -> Option<Pair> {
     let n = which(args)?;
-    let what = args.word("kill, term, stall or drain")?;
+    let what = args.text("kill, term, stall or drain")?;
     Some(match what.as_str() {
         "kill" => (Trouble::HostKill(n), Some(Trouble::HostStart(n))),
         "term" => (Trouble::HostTerm(n), Some(Trouble::HostStart(n))),
@@ -337,9 +337,9 @@
     })
 }
 
-fn client(args: &mut Args) -> Option<Pair> {
+fn client(args: &mut Arguments) -> Option<Pair> {
     let n = which(args)?;
-    let what = args.word("drop, stall, deaf or again")?;
+    let what = args.text("drop, stall, deaf or again")?;
     Some(match what.as_str() {
         "drop" => (Trouble::ClientDrop(n), None),
         "stall" => (Trouble::ClientStall(n, true), Some(Trouble::ClientStall(n, false))),
@@ -352,8 +352,8 @@
     })
 }
 
-fn list(args: &mut Args) -> Option<Pair> {
-    let what = args.word("lag, away or backwards")?;
+fn list(args: &mut Arguments) -> Option<Pair> {
+    let what = args.text("lag, away or backwards")?;
     Some(match what.as_str() {
         "lag" => {
             let lag = args.duration("a duration such as 5s")?;
--- a/crates/lab/src/sharesday.rs
+++ b/crates/lab/src/sharesday.rs
@@ -2,7 +2,7 @@
 //! the same seeds: what each earns by the users' counting.
 use crate::rehearse::{self, Outcome, Program};
 use crate::script::{self, Scene, Trouble};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_shares::choose::choose;
 use mallowseam_shares::model::{Node, Problem, Volume};
@@ -58,7 +58,7 @@
         let mut even = 0.0;
         for (way, name) in WAYS {
             let shares = shares(&scene, &site, way)?;
-            scene.site = edit::shares(&text, &site, &shares).map_err(|e| e.join("; "))?;
+            scene.site = edit::apply_shares(&text, &site, &shares).map_err(|e| e.join("; "))?;
             let outcome = rehearse::run(&scene, seed, program, &mut |_, _| {})?;
             let day = count(&site, &outcome);
             if way == Way::Even {
@@ -85,10 +85,10 @@
 }
 
 /// Each volume's share; its reserve stays as promised.
-fn shares(scene: &Scene, site: &Site, way: Way) -> Result<Vec<Share>, String> {
+fn shares(scene: &Scene, site: &GatewayConfig, way: Way) -> Result<Vec<Share>, String> {
     let (problem, placement) = problem(scene, site)?;
     let worked = choose(&problem, &placement).weights;
-    let share = |v: &mallowseam_settings::site::Volume| {
+    let share = |v: &mallowseam_settings::config::Volume| {
         let plan = &site.plans[v.plan];
         let at = problem.volumes.iter().position(|w| w.name == v.name).expect("made of them");
         let weight = match way {
@@ -96,22 +96,22 @@
             Way::Hand => plan.weight as u64,
             Way::WorkedOut => worked[at],
         };
-        Share { volume: v.name.clone(), reserve: (plan.reserve * 1000.0) as u64, weight }
+        Share { volume: v.name.clone(), reserved_milliunits: (plan.reserved_rate * 1000.0) as u64, weight }
     };
     Ok(site.volumes.iter().map(share).collect())
 }
 
 /// The day as a problem: what nodes do, and what each volume asks for in its own surge.
-fn problem(scene: &Scene, site: &Site) -> Result<(Problem, Placement), String> {
+fn problem(scene: &Scene, site: &GatewayConfig) -> Result<(Problem, Placement), String> {
     let does = scene.model.cores as f64 * 1e6 / scene.model.unit_work.max(1.0);
-    let node = |n: &mallowseam_settings::site::Node| Node {
+    let node = |n: &mallowseam_settings::config::Node| Node {
         name: n.name.clone(),
         zone: n.zone.clone(),
         capacity: (does * 1000.0) as u64,
         cost: 0,
     };
     let quiet = f64::from(scene.clients) * scene.rate / site.volumes.len() as f64;
-    let volume = |v: &mallowseam_settings::site::Volume| {
+    let volume = |v: &mallowseam_settings::config::Volume| {
         let plan = &site.plans[v.plan];
         let surges = scene.events.iter().filter_map(|e| match &e.trouble {
             Trouble::Surge(name, times) if *name == plan.name => Some(*times),
@@ -121,10 +121,10 @@
         let lies: BTreeSet<usize> = v.extents.iter().map(|e| e.node).collect();
         Volume {
             name: v.name.clone(),
-            reserve: (plan.reserve * 1000.0) as u64,
-            surge: (surge.max(plan.reserve) * 1000.0) as u64,
+            reserve: (plan.reserved_rate * 1000.0) as u64,
+            surge: (surge.max(plan.reserved_rate) * 1000.0) as u64,
             weight: plan.weight as u64,
-            price: (plan.price * 1000.0) as u64,
+            price: (plan.priority_factor * 1000.0) as u64,
             spread: lies.len(),
             today: lies.iter().map(|n| site.nodes[*n].name.clone()).collect(),
             ..Volume::default()
@@ -139,7 +139,7 @@
 
 /// Counts a day by what its clients got: a command in time earns its group's gain times its plan's price, whole
 /// inside the reserve of its volume in that second, and a part beyond.
-fn count(site: &Site, outcome: &Outcome) -> Day {
+fn count(site: &GatewayConfig, outcome: &Outcome) -> Day {
     let mut seconds: BTreeMap<(usize, u64), (f64, f64)> = BTreeMap::new();
     let mut volumes = vec![(0.0, 0.0); site.volumes.len()];
     let (mut gain, mut inside, mut kept_inside) = (0.0, 0.0, 0.0);
@@ -149,14 +149,14 @@
         second.0 += 1.0;
         volumes[got.volume].0 += 1.0;
         if got.in_time {
-            let tier = if second.1 < plan.reserve { 1.0 } else { BEYOND };
+            let tier = if second.1 < plan.reserved_rate { 1.0 } else { BEYOND };
             second.1 += 1.0;
             volumes[got.volume].1 += 1.0;
-            gain += site.groups[got.group].gain * plan.price * tier;
+            gain += site.io_classes[got.group].priority_weight * plan.priority_factor * tier;
         }
     }
     for ((volume, _), (asked, ended)) in &seconds {
-        let due = asked.min(site.plans[site.volumes[*volume].plan].reserve);
+        let due = asked.min(site.plans[site.volumes[*volume].plan].reserved_rate);
         inside += due;
         kept_inside += ended.min(due);
     }
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -25,7 +25,7 @@
         control.display(),
         address(1)
     );
-    let site = mallowseam_settings::read("conf", &text).expect("sound");
+    let site = mallowseam_settings::parse("conf", &text).expect("sound");
     let host = std::thread::spawn(move || {
         let counted = allocation_counter::measure(|| mallowseam_gateway::run(site).expect("a run"));
         counted.count_total
--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -3,7 +3,7 @@
 use mallowseam_lab::audit::{InForce, Places, Verdict, judge};
 use mallowseam_lab::node::Model;
 use mallowseam_lab::trace::{Micros, Seen, What};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 
 const SITE: &str = "
 host gw0
@@ -123,7 +123,7 @@
     }
 
     fn judge_with(&self, places: &Places) -> Verdict {
-        let site: Site = mallowseam_settings::read("site", SITE).expect("sound");
+        let site: GatewayConfig = mallowseam_settings::parse("site", SITE).expect("sound");
         let model = Model {
             cores: 1,
             unit_work: 100_000.0,
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/config.rs
@@ -4,37 +4,37 @@
 use std::path::PathBuf;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Site {
+pub struct GatewayConfig {
     pub host: Host,
     pub fleet: Fleet,
     pub plans: Vec<Plan>,
-    pub groups: Vec<Group>,
+    pub io_classes: Vec<IoClass>,
     pub volumes: Vec<Volume>,
     pub nodes: Vec<Node>,
     /// Where snapshots and clones are kept track of.
     pub catalog: Option<Catalog>,
     /// The service that plans come from, for its own process.
-    pub tariffs: Option<Tariffs>,
+    pub plan_service: Option<PlanService>,
 }
 
 /// The control service of plans.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tariffs {
+pub struct PlanService {
     pub listen: Option<SocketAddr>,
-    pub store: PathBuf,
-    pub control: Option<PathBuf>,
+    pub store_path: PathBuf,
+    pub control_socket: Option<PathBuf>,
 }
 
 /// The catalog of snapshots and clones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
     pub listen: Option<SocketAddr>,
-    pub store: PathBuf,
-    pub control: Option<PathBuf>,
+    pub store_path: PathBuf,
+    pub control_socket: Option<PathBuf>,
     /// Blocks of one extent of a mapped volume.
-    pub extent: u64,
+    pub extent_blocks: u64,
     /// The group that copies belong to.
-    pub copies: usize,
+    pub copy_class: usize,
 }
 
 /// This host itself.
@@ -43,24 +43,24 @@
     pub name: String,
     pub listen: Option<SocketAddr>,
     pub target: String,
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// The node list service; none: the nodes of this file, all of them up.
-    pub node_list: Option<SocketAddr>,
-    pub kept_list: Option<PathBuf>,
+    pub endpoint_service: Option<SocketAddr>,
+    pub endpoint_cache_path: Option<PathBuf>,
     /// The control service whose plans it follows, and the copy of them kept for a start without it.
-    pub follow: Option<SocketAddr>,
-    pub kept_plans: Option<PathBuf>,
+    pub plan_service: Option<SocketAddr>,
+    pub plan_cache_path: Option<PathBuf>,
     /// Commands in hand for one connection, and connections, at most.
-    pub window: u32,
-    pub connections: u32,
+    pub command_window: u32,
+    pub max_connections: u32,
     /// Longest read or write of a client.
-    pub longest: u64,
+    pub max_transfer_bytes: u64,
     pub header_digest: bool,
     pub data_digest: bool,
     /// Where chance starts; none: from the system's own.
     pub seed: Option<u64>,
     /// Its place in the view that the fleet keeps of itself; none: it takes no part.
-    pub place: Option<Place>,
+    pub membership: Option<Place>,
 }
 
 /// What holds for all hosts together.
@@ -68,66 +68,66 @@
 pub struct Fleet {
     pub hosts: u32,
     /// Bytes that count as one unit.
-    pub unit: u64,
+    pub unit_bytes: u64,
     pub mean_units: f64,
-    pub largest_units: f64,
+    pub max_units: f64,
     /// Part of the gain that is earned inside a volume's share, and beyond it.
     pub share_gain: f64,
     pub spare_gain: f64,
-    pub submits: u32,
-    pub come_back: u64,
-    pub order_rest: u64,
+    pub max_attempts: u32,
+    pub max_retry_after: u64,
+    pub ordering_cooldown: u64,
     /// A cold node's start: part of its capacity, span until it is warm; what makes it fall: multiple and
     /// span; units it always bears within that span.
-    pub cold_from: f64,
-    pub cold_span: u64,
-    pub fall_multiple: f64,
-    pub fall_span: u64,
-    pub cold_bears: f64,
+    pub cold_capacity: f64,
+    pub warmup_time: u64,
+    pub overload_multiple: f64,
+    pub overload_window: u64,
+    pub cold_floor_units: f64,
     /// Further submits within a span: a few, and a part of the block I/Os taken in it. Span 0: no budget.
-    pub further_free: f64,
-    pub further_part: f64,
-    pub further_span: u64,
+    pub retry_budget_min: f64,
+    pub retry_budget_ratio: f64,
+    pub retry_budget_window: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub name: String,
-    pub usual: f64,
-    pub reserve: f64,
+    pub usual_rate: f64,
+    pub reserved_rate: f64,
     /// 0: no limit.
-    pub limit: f64,
-    pub limit_burst: f64,
+    pub rate_limit: f64,
+    pub burst_units: f64,
     pub weight: f64,
-    pub price: f64,
+    pub priority_factor: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     #[default]
     Idempotent,
-    SideEffecting,
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Group {
+pub struct IoClass {
     pub name: String,
     pub effect: Effect,
-    pub goal: u64,
-    pub hard_limit: u64,
-    pub gain: f64,
-    pub late_share: f64,
+    pub latency_objective: u64,
+    pub deadline: u64,
+    pub priority_weight: f64,
+    pub late_weight_ratio: f64,
     pub ordered: bool,
 }
 
 /// A run of a volume's blocks and where it lies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Extent {
-    pub first: u64,
-    pub blocks: u64,
+    pub first_block: u64,
+    pub block_count: u64,
     /// Index of the node, and the block there that holds the first one.
     pub node: usize,
-    pub node_first: u64,
+    pub first_node_block: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -141,11 +141,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
     pub direction: Direction,
-    pub first: u64,
-    pub last: u64,
-    pub group: usize,
+    pub first_block: u64,
+    pub last_block: u64,
+    pub io_class: usize,
     /// Blocks that share an ordering key; 0: no key.
-    pub key: u64,
+    pub blocks_per_key: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -153,9 +153,9 @@
     pub name: String,
     pub lun: u16,
     pub plan: usize,
-    pub blocks: u64,
+    pub block_count: u64,
     pub block_size: u32,
-    pub hosts: u32,
+    pub host_count: u32,
     /// Its blocks lie where the catalog says; it then has no extents here.
     pub mapped: bool,
     /// In order of their blocks, without gap or overlap.
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -1,13 +1,13 @@
 //! Writes worked-out shares into a configuration's own text: comments, order and all other lines stay.
-use crate::lines::{Problems, words};
-use crate::site::Site;
+use crate::config::GatewayConfig;
+use crate::lines::{Diagnostics, tokenize};
 use std::collections::BTreeMap;
 
 /// Figures of one volume; the reserve in thousandths of a unit a second.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     pub volume: String,
-    pub reserve: u64,
+    pub reserved_milliunits: u64,
     pub weight: u64,
 }
 
@@ -24,7 +24,7 @@
 /// volume that the configuration does not have.
 ///
 /// `text` is what `site` was read from.
-pub fn shares(text: &str, site: &Site, shares: &[Share]) -> Result<String, Vec<String>> {
+pub fn apply_shares(text: &str, site: &GatewayConfig, shares: &[Share]) -> Result<String, Vec<String>> {
     let unknown = |s: &&Share| !site.volumes.iter().any(|v| v.name == s.volume);
     let against: Vec<String> = shares
         .iter()
@@ -44,7 +44,7 @@
     for (plan, volumes) in plans {
         let name = &site.plans[plan].name;
         let wanted: Vec<Option<&Share>> = volumes.iter().map(|v| of(v)).collect();
-        let figures = |s: &Option<&Share>| s.map(|s| (s.reserve, s.weight));
+        let figures = |s: &Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
         if let Some(first) = wanted[0]
             && wanted.iter().all(|w| figures(w) == figures(&wanted[0]))
         {
@@ -53,7 +53,9 @@
         }
         for share in wanted.into_iter().flatten() {
             let old = &site.plans[plan];
-            if old.reserve * 1000.0 == share.reserve as f64 && old.weight == share.weight as f64 {
+            if old.reserved_rate * 1000.0 == share.reserved_milliunits as f64
+                && old.weight == share.weight as f64
+            {
                 continue;
             }
             let own = free_name(site, &format!("{name}-{}", share.volume));
@@ -68,7 +70,7 @@
     Ok(lines.join("\n") + "\n")
 }
 
-fn free_name(site: &Site, wanted: &str) -> String {
+fn free_name(site: &GatewayConfig, wanted: &str) -> String {
     let taken = |name: &str| site.plans.iter().any(|p| p.name == name);
     let mut name = wanted.to_owned();
     let mut n = 2;
@@ -82,8 +84,8 @@
 fn sections(lines: &[String]) -> Vec<Section> {
     let mut all: Vec<Section> = Vec::new();
     for (i, line) in lines.iter().enumerate() {
-        let mut none = Problems::new("");
-        let words = words(i + 1, line, &mut none);
+        let mut none = Diagnostics::new("");
+        let words = tokenize(i + 1, line, &mut none);
         if line.starts_with(char::is_whitespace) || words.is_empty() {
             continue;
         }
@@ -102,9 +104,9 @@
 
 /// The line of a directive in a section.
 fn directive(lines: &[String], section: &Section, name: &str) -> Option<usize> {
-    let mut none = Problems::new("");
+    let mut none = Diagnostics::new("");
     (section.first + 1..section.end)
-        .find(|i| words(i + 1, &lines[*i], &mut none).first().is_some_and(|w| w.text == name))
+        .find(|i| tokenize(i + 1, &lines[*i], &mut none).first().is_some_and(|w| w.text == name))
 }
 
 fn indent(lines: &[String], section: &Section) -> String {
@@ -115,7 +117,7 @@
 
 /// `reserve` and `weight` as lines.
 fn told(share: &Share, indent: &str) -> [(&'static str, String); 2] {
-    let (whole, part) = (share.reserve / 1000, share.reserve % 1000);
+    let (whole, part) = (share.reserved_milliunits / 1000, share.reserved_milliunits % 1000);
     let rate = if part == 0 { format!("{whole}/s") } else { format!("{whole}.{part:03}/s") };
     [("reserve", format!("{indent}reserve {rate}")), ("weight", format!("{indent}weight {}", share.weight))]
 }
--- a/crates/settings/src/lines.rs
+++ b/crates/settings/src/lines.rs
@@ -4,7 +4,7 @@
 
 /// One thing wrong with a file. Line and column count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Problem {
+pub struct Diagnostic {
     pub line: usize,
     pub column: usize,
     pub expected: String,
@@ -13,35 +13,35 @@
 
 /// All that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problems {
+pub struct Diagnostics {
     pub file: String,
-    pub list: Vec<Problem>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
-impl Problems {
+impl Diagnostics {
     pub fn new(file: &str) -> Self {
-        Problems { file: file.to_owned(), list: Vec::new() }
+        Diagnostics { file: file.to_owned(), diagnostics: Vec::new() }
     }
 
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.diagnostics.is_empty()
     }
 
-    pub fn add(&mut self, at: At, expected: impl Into<String>, found: impl Into<String>) {
+    pub fn add(&mut self, at: Position, expected: impl Into<String>, found: impl Into<String>) {
         let (expected, found) = (expected.into(), found.into());
-        self.list.push(Problem { line: at.line, column: at.column, expected, found });
+        self.diagnostics.push(Diagnostic { line: at.line, column: at.column, expected, found });
     }
 
     pub fn sorted(mut self) -> Self {
-        self.list.sort();
-        self.list.dedup();
+        self.diagnostics.sort();
+        self.diagnostics.dedup();
         self
     }
 }
 
-impl fmt::Display for Problems {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, p) in self.list.iter().enumerate() {
+        for (i, p) in self.diagnostics.iter().enumerate() {
             let end = if i == 0 { "" } else { "\n" };
             write!(f, "{end}{}:{}:{}: expected {}", self.file, p.line, p.column, p.expected)?;
             if !p.found.is_empty() {
@@ -54,23 +54,23 @@
 
 /// A place in the file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct At {
+pub struct Position {
     pub line: usize,
     pub column: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct Token {
     pub text: String,
-    pub at: At,
+    pub position: Position,
 }
 
 /// The words of a line: split at blanks, `"…"` keeps blanks, `#` opens a comment.
-pub fn words(line: usize, text: &str, problems: &mut Problems) -> Vec<Word> {
+pub fn tokenize(line: usize, text: &str, problems: &mut Diagnostics) -> Vec<Token> {
     let mut found = Vec::new();
     let mut chars = text.chars().enumerate().peekable();
     while let Some((i, c)) = chars.next() {
-        let at = At { line, column: i + 1 };
+        let at = Position { line, column: i + 1 };
         match c {
             c if c.is_whitespace() => {}
             '#' => break,
@@ -87,14 +87,14 @@
                 if !closed {
                     problems.add(at, "a closing quote on the same line", "none");
                 }
-                found.push(Word { text: word, at });
+                found.push(Token { text: word, position: at });
             }
             c => {
                 let mut word = String::from(c);
                 while let Some((_, c)) = chars.next_if(|(_, c)| !c.is_whitespace()) {
                     word.push(c);
                 }
-                found.push(Word { text: word, at });
+                found.push(Token { text: word, position: at });
             }
         }
     }
@@ -103,32 +103,33 @@
 
 /// The words behind a directive, taken in turn. A value that is missing or wrong is noted once and the rest
 /// of the line let be.
-pub struct Args<'a> {
-    words: &'a [Word],
+pub struct Arguments<'a> {
+    words: &'a [Token],
     next: usize,
-    end: At,
+    end: Position,
     spoiled: bool,
-    problems: &'a mut Problems,
+    problems: &'a mut Diagnostics,
 }
 
-impl<'a> Args<'a> {
-    pub fn new(words: &'a [Word], problems: &'a mut Problems) -> Self {
+impl<'a> Arguments<'a> {
+    pub fn new(words: &'a [Token], problems: &'a mut Diagnostics) -> Self {
         let last = words.last().expect("a directive");
-        let end = At { line: last.at.line, column: last.at.column + last.text.chars().count() };
-        Args { words, next: 1, end, spoiled: false, problems }
+        let end =
+            Position { line: last.position.line, column: last.position.column + last.text.chars().count() };
+        Arguments { words, next: 1, end, spoiled: false, problems }
     }
 
-    pub fn at(&self) -> At {
-        self.words.get(self.next).map_or(self.end, |w| w.at)
+    pub fn position(&self) -> Position {
+        self.words.get(self.next).map_or(self.end, |w| w.position)
     }
 
-    pub fn more(&self) -> bool {
+    pub fn has_more(&self) -> bool {
         self.next < self.words.len() && !self.spoiled
     }
 
     /// The next word if it is this one.
-    pub fn literal(&mut self, text: &str) -> bool {
-        let hit = self.more() && self.words[self.next].text == text;
+    pub fn accept(&mut self, text: &str) -> bool {
+        let hit = self.has_more() && self.words[self.next].text == text;
         self.next += usize::from(hit);
         hit
     }
@@ -142,27 +143,27 @@
         if value.is_none() {
             self.spoiled = true;
             let found = word.map_or("the end of the line".into(), |w| format!("`{}`", w.text));
-            self.problems.add(self.at(), expected, found);
+            self.problems.add(self.position(), expected, found);
         }
         self.next += 1;
         value
     }
 
-    pub fn word(&mut self, expected: &str) -> Option<String> {
+    pub fn text(&mut self, expected: &str) -> Option<String> {
         self.value(expected, |w| Some(w.to_owned()))
     }
 
     /// A name: letters, digits and `-_.:`.
-    pub fn name(&mut self, expected: &str) -> Option<Word> {
-        let at = self.at();
+    pub fn name(&mut self, expected: &str) -> Option<Token> {
+        let at = self.position();
         let fits = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
         let text = self.value(expected, |w| {
             (!w.is_empty() && w.len() <= 223 && w.chars().all(fits)).then(|| w.to_owned())
         })?;
-        Some(Word { text, at })
+        Some(Token { text, position: at })
     }
 
-    pub fn whole(&mut self, expected: &str, from: u64, to: u64) -> Option<u64> {
+    pub fn integer(&mut self, expected: &str, from: u64, to: u64) -> Option<u64> {
         self.value(expected, |w| w.parse().ok().filter(|n| (from..=to).contains(n)))
     }
 
@@ -217,8 +218,8 @@
     }
 
     /// What stands on the line does not go together: each fault at its first word.
-    pub fn wrong(&mut self, all: &[String]) {
-        let at = self.words.first().map_or(self.end, |w| w.at);
+    pub fn report_conflicts(&mut self, all: &[String]) {
+        let at = self.words.first().map_or(self.end, |w| w.position);
         for wrong in all.iter().filter(|_| !self.spoiled) {
             let (field, expected) = wrong.split_once(": expected ").unwrap_or(("the line", wrong));
             self.problems.add(at, expected, format!("another {field}"));
@@ -226,10 +227,10 @@
     }
 
     /// Nothing may follow.
-    pub fn end(&mut self) {
+    pub fn expect_end(&mut self) {
         if !self.spoiled && self.next < self.words.len() {
             let word = &self.words[self.next];
-            self.problems.add(word.at, "the end of the line", format!("`{}`", word.text));
+            self.problems.add(word.position, "the end of the line", format!("`{}`", word.text));
         }
     }
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,29 +1,31 @@
 //! From text to a draft: every directive read, references still by name.
-use crate::lines::{Args, At, Problems, Word, words};
-use crate::site::{Catalog, Direction, Effect, Extent, Fleet, Group, Host, Node, Plan, Tariffs, Volume};
+use crate::config::{
+    Catalog, Direction, Effect, Extent, Fleet, Host, IoClass, Node, Plan, PlanService, Volume,
+};
+use crate::lines::{Arguments, Diagnostics, Position, Token, tokenize};
 use mallowseam_fleet::settings::{Place, Written};
 use std::collections::HashSet;
 
 #[derive(Default)]
 pub(crate) struct Draft {
-    pub host: Option<(At, Host)>,
-    pub fleet: Option<(At, Fleet)>,
-    pub catalog: Option<(At, Catalog, Option<Word>)>,
-    pub tariffs: Option<(At, Tariffs)>,
-    pub plans: Vec<(At, Plan)>,
-    pub groups: Vec<(At, Group)>,
+    pub host: Option<(Position, Host)>,
+    pub fleet: Option<(Position, Fleet)>,
+    pub catalog: Option<(Position, Catalog, Option<Token>)>,
+    pub tariffs: Option<(Position, PlanService)>,
+    pub plans: Vec<(Position, Plan)>,
+    pub groups: Vec<(Position, IoClass)>,
     pub volumes: Vec<DraftVolume>,
-    pub nodes: Vec<(At, Node)>,
+    pub nodes: Vec<(Position, Node)>,
     /// The directives that stood in each section, by where the section opens.
-    pub seen: Vec<(At, &'static str, HashSet<String>)>,
+    pub seen: Vec<(Position, &'static str, HashSet<String>)>,
 }
 
 #[derive(Default)]
 pub(crate) struct DraftVolume {
-    pub at: At,
+    pub at: Position,
     pub volume: Volume,
-    pub plan: Option<Word>,
-    pub extents: Vec<(Extent, Word)>,
+    pub plan: Option<Token>,
+    pub extents: Vec<(Extent, Token)>,
     pub rules: Vec<DraftRule>,
 }
 
@@ -31,9 +33,9 @@
     pub direction: Direction,
     /// First and last block; none: all.
     pub range: Option<(u64, u64)>,
-    pub group: Word,
+    pub group: Token,
     pub key: u64,
-    pub at: At,
+    pub at: Position,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -44,9 +46,9 @@
     Host,
     Fleet,
     Catalog,
-    Tariffs,
+    PlanService,
     Plan,
-    Group,
+    IoClass,
     Volume,
     Node,
 }
@@ -56,15 +58,15 @@
 const BLOCK: &str = "a block number";
 const NUMBER: &str = "a number from 0 up";
 
-pub(crate) fn read(text: &str, problems: &mut Problems) -> Draft {
+pub(crate) fn read(text: &str, problems: &mut Diagnostics) -> Draft {
     let mut draft = Draft::default();
     let mut section = Section::None;
     for (i, line) in text.lines().enumerate() {
-        let words = words(i + 1, line, problems);
+        let words = tokenize(i + 1, line, problems);
         let Some(first) = words.first() else { continue };
         if line.starts_with(char::is_whitespace) {
             match section {
-                Section::None => problems.add(first.at, SECTIONS, format!("`{}`", first.text)),
+                Section::None => problems.add(first.position, SECTIONS, format!("`{}`", first.text)),
                 Section::Lost => {}
                 _ => directive(&mut draft, section, &words, problems),
             }
@@ -75,17 +77,17 @@
     draft
 }
 
-fn open(draft: &mut Draft, words: &[Word], problems: &mut Problems) -> Section {
-    let at = words[0].at;
+fn open(draft: &mut Draft, words: &[Token], problems: &mut Diagnostics) -> Section {
+    let at = words[0].position;
     let kind = words[0].text.as_str();
-    let mut args = Args::new(words, problems);
+    let mut args = Arguments::new(words, problems);
     let (section, kind) = match kind {
         "host" => (Section::Host, "host"),
         "fleet" => (Section::Fleet, "fleet"),
         "catalog" => (Section::Catalog, "catalog"),
-        "tariffs" => (Section::Tariffs, "tariffs"),
+        "tariffs" => (Section::PlanService, "tariffs"),
         "plan" => (Section::Plan, "plan"),
-        "group" => (Section::Group, "group"),
+        "group" => (Section::IoClass, "group"),
         "volume" => (Section::Volume, "volume"),
         "node" => (Section::Node, "node"),
         other => {
@@ -93,18 +95,18 @@
             return Section::Lost;
         }
     };
-    let name = if matches!(section, Section::Fleet | Section::Catalog | Section::Tariffs) {
+    let name = if matches!(section, Section::Fleet | Section::Catalog | Section::PlanService) {
         String::new()
     } else {
         let Some(name) = args.name("a name of letters, digits and -_.:") else { return Section::Lost };
         name.text
     };
-    args.end();
+    args.expect_end();
     let twice = match section {
         Section::Host => draft.host.is_some(),
         Section::Fleet => draft.fleet.is_some(),
         Section::Catalog => draft.catalog.is_some(),
-        Section::Tariffs => draft.tariffs.is_some(),
+        Section::PlanService => draft.tariffs.is_some(),
         _ => false,
     };
     if twice {
@@ -116,11 +118,13 @@
         Section::Host => draft.host = Some((at, Host { name, ..Host::default() })),
         Section::Fleet => draft.fleet = Some((at, Fleet::default())),
         Section::Catalog => draft.catalog = Some((at, Catalog::default(), None)),
-        Section::Tariffs => draft.tariffs = Some((at, Tariffs::default())),
+        Section::PlanService => draft.tariffs = Some((at, PlanService::default())),
         Section::Plan => {
-            draft.plans.push((at, Plan { name, weight: 1.0, price: 1.0, ..Plan::default() }));
+            draft.plans.push((at, Plan { name, weight: 1.0, priority_factor: 1.0, ..Plan::default() }));
+        }
+        Section::IoClass => {
+            draft.groups.push((at, IoClass { name, priority_weight: 1.0, ..IoClass::default() }))
         }
-        Section::Group => draft.groups.push((at, Group { name, gain: 1.0, ..Group::default() })),
         Section::Volume => {
             let volume = Volume { name, ..Volume::default() };
             draft.volumes.push(DraftVolume { at, volume, ..DraftVolume::default() });
@@ -141,32 +145,36 @@
     }
 }
 
-fn directive(draft: &mut Draft, section: Section, words: &[Word], problems: &mut Problems) {
+fn directive(draft: &mut Draft, section: Section, words: &[Token], problems: &mut Diagnostics) {
     let name = words[0].text.clone();
     let (opened, kind, seen) = draft.seen.last_mut().expect("a section is open");
     let (opened, kind) = (*opened, *kind);
     if !MANY.contains(&name.as_str()) && !seen.insert(name.clone()) {
         let found = "a second one";
-        problems.add(words[0].at, format!("`{name}` once in the section of line {}", opened.line), found);
+        problems.add(
+            words[0].position,
+            format!("`{name}` once in the section of line {}", opened.line),
+            found,
+        );
         return;
     }
     seen.insert(name.clone());
-    let mut args = Args::new(words, problems);
+    let mut args = Arguments::new(words, problems);
     let known = match section {
         Section::Host => host(&mut draft.host.as_mut().expect("open").1, &name, &mut args),
         Section::Fleet => fleet(&mut draft.fleet.as_mut().expect("open").1, &name, &mut args),
         Section::Catalog => catalog(draft.catalog.as_mut().expect("open"), &name, &mut args),
-        Section::Tariffs => tariffs(&mut draft.tariffs.as_mut().expect("open").1, &name, &mut args),
+        Section::PlanService => tariffs(&mut draft.tariffs.as_mut().expect("open").1, &name, &mut args),
         Section::Plan => plan(&mut draft.plans.last_mut().expect("open").1, &name, &mut args),
-        Section::Group => group(&mut draft.groups.last_mut().expect("open").1, &name, &mut args),
+        Section::IoClass => group(&mut draft.groups.last_mut().expect("open").1, &name, &mut args),
         Section::Volume => volume(draft.volumes.last_mut().expect("open"), &name, &mut args),
         Section::Node => node(&mut draft.nodes.last_mut().expect("open").1, &name, &mut args),
         Section::None | Section::Lost => Err(""),
     };
     match known {
-        Ok(()) => args.end(),
+        Ok(()) => args.expect_end(),
         Err(list) => problems.add(
-            words[0].at,
+            words[0].position,
             format!("a directive of section `{kind}` ({list})"),
             format!("`{name}`"),
         ),
@@ -175,25 +183,27 @@
 
 type Known = Result<(), &'static str>;
 
-fn host(host: &mut Host, name: &str, args: &mut Args) -> Known {
+fn host(host: &mut Host, name: &str, args: &mut Arguments) -> Known {
     match name {
         "listen" => host.listen = args.address("an address and port"),
         "target" => set(&mut host.target, args.name("an iSCSI name").map(|w| w.text)),
-        "control" => host.control = args.word("a path").map(Into::into),
+        "control" => host.control_socket = args.text("a path").map(Into::into),
         "node-list" => {
-            if !args.literal("static") {
-                host.node_list = args.address("an address and port, or static");
+            if !args.accept("static") {
+                host.endpoint_service = args.address("an address and port, or static");
             }
         }
-        "follow" => host.follow = args.address("an address and port"),
-        "kept-plans" => host.kept_plans = args.word("a path").map(Into::into),
-        "kept-list" => host.kept_list = args.word("a path").map(Into::into),
-        "window" => set(&mut host.window, args.whole("1 to 1024", 1, 1024).map(|n| n as u32)),
-        "connections" => set(&mut host.connections, args.whole("1 to 65536", 1, 65536).map(|n| n as u32)),
-        "longest" => set(&mut host.longest, args.size("a size such as 1MiB")),
+        "follow" => host.plan_service = args.address("an address and port"),
+        "kept-plans" => host.plan_cache_path = args.text("a path").map(Into::into),
+        "kept-list" => host.endpoint_cache_path = args.text("a path").map(Into::into),
+        "window" => set(&mut host.command_window, args.integer("1 to 1024", 1, 1024).map(|n| n as u32)),
+        "connections" => {
+            set(&mut host.max_connections, args.integer("1 to 65536", 1, 65536).map(|n| n as u32))
+        }
+        "longest" => set(&mut host.max_transfer_bytes, args.size("a size such as 1MiB")),
         "digests" => {
-            if !args.literal("none") {
-                while args.more() {
+            if !args.accept("none") {
+                while args.has_more() {
                     let which = args.value("header, data or none", |w| match w {
                         "header" => Some(true),
                         "data" => Some(false),
@@ -204,8 +214,8 @@
                 }
             }
         }
-        "seed" => host.seed = args.whole("a whole number", 0, u64::MAX),
-        "fleet" => host.place = place(&host.name, args),
+        "seed" => host.seed = args.integer("a whole number", 0, u64::MAX),
+        "fleet" => host.membership = place(&host.name, args),
         _ => {
             return Err(
                 "listen, target, control, node-list, kept-list, follow, kept-plans, window, connections, longest, \
@@ -217,22 +227,22 @@
 }
 
 /// A host's place in its fleet's view: the fleet's name, then what is told of it.
-fn place(host: &str, args: &mut Args) -> Option<Place> {
+fn place(host: &str, args: &mut Arguments) -> Option<Place> {
     let mut written =
-        Written { fleet: args.word("the fleet's name")?, host: host.to_owned(), ..Written::default() };
+        Written { fleet: args.text("the fleet's name")?, host: host.to_owned(), ..Written::default() };
     let address = "an address and port";
-    while args.more() {
-        if args.literal("listen") {
+    while args.has_more() {
+        if args.accept("listen") {
             written.listen = args.address(address);
-        } else if args.literal("reached-at") {
+        } else if args.accept("reached-at") {
             written.reached_at = args.address(address);
-        } else if args.literal("zone") {
-            written.zone = args.word("a zone").unwrap_or_default();
-        } else if args.literal("seed") {
+        } else if args.accept("zone") {
+            written.zone = args.text("a zone").unwrap_or_default();
+        } else if args.accept("seed") {
             written.seeds.extend(args.address(address));
-        } else if args.literal("period") {
+        } else if args.accept("period") {
             written.period = args.duration("a duration such as 1s").map(|us| us / 1_000);
-        } else if args.literal("keep") {
+        } else if args.accept("keep") {
             written.keep = args.duration("a duration such as 1h").map(|us| us / 1_000);
         } else {
             args.value::<()>("listen, reached-at, zone, seed, period or keep", |_| None)?;
@@ -241,35 +251,35 @@
     match written.check() {
         Ok(place) => Some(place),
         Err(wrong) => {
-            args.wrong(&wrong);
+            args.report_conflicts(&wrong);
             None
         }
     }
 }
 
-fn fleet(fleet: &mut Fleet, name: &str, args: &mut Args) -> Known {
+fn fleet(fleet: &mut Fleet, name: &str, args: &mut Arguments) -> Known {
     let span = "a duration such as 200ms";
     match name {
-        "hosts" => set(&mut fleet.hosts, args.whole("1 to 65536", 1, 65536).map(|n| n as u32)),
-        "unit" => set(&mut fleet.unit, args.size("a size such as 4KiB").filter(|n| *n > 0)),
+        "hosts" => set(&mut fleet.hosts, args.integer("1 to 65536", 1, 65536).map(|n| n as u32)),
+        "unit" => set(&mut fleet.unit_bytes, args.size("a size such as 4KiB").filter(|n| *n > 0)),
         "mean-units" => set(&mut fleet.mean_units, args.number("a number above 0", 1e-6, 1e9)),
-        "largest-units" => set(&mut fleet.largest_units, args.number("a number above 0", 1e-6, 1e9)),
+        "largest-units" => set(&mut fleet.max_units, args.number("a number above 0", 1e-6, 1e9)),
         "share-gain" => set(&mut fleet.share_gain, args.percent("a percentage such as 35%")),
         "spare-gain" => set(&mut fleet.spare_gain, args.percent("a percentage such as 10%")),
-        "submits" => set(&mut fleet.submits, args.whole("1 to 16", 1, 16).map(|n| n as u32)),
-        "come-back" => set(&mut fleet.come_back, args.duration(span)),
-        "order-rest" => set(&mut fleet.order_rest, args.duration(span)),
+        "submits" => set(&mut fleet.max_attempts, args.integer("1 to 16", 1, 16).map(|n| n as u32)),
+        "come-back" => set(&mut fleet.max_retry_after, args.duration(span)),
+        "order-rest" => set(&mut fleet.ordering_cooldown, args.duration(span)),
         "cold" => {
-            set(&mut fleet.cold_from, args.percent("a percentage: what a cold node can do"));
-            set(&mut fleet.cold_span, args.duration("a duration: until a node is warm"));
-            set(&mut fleet.fall_multiple, args.number("a multiple from 1 up", 1.0, 1e6));
-            set(&mut fleet.fall_span, args.duration("a duration: within which it falls"));
-            set(&mut fleet.cold_bears, args.number("units that it always bears", 0.0, 1e9));
+            set(&mut fleet.cold_capacity, args.percent("a percentage: what a cold node can do"));
+            set(&mut fleet.warmup_time, args.duration("a duration: until a node is warm"));
+            set(&mut fleet.overload_multiple, args.number("a multiple from 1 up", 1.0, 1e6));
+            set(&mut fleet.overload_window, args.duration("a duration: within which it falls"));
+            set(&mut fleet.cold_floor_units, args.number("units that it always bears", 0.0, 1e9));
         }
         "further" => {
-            set(&mut fleet.further_free, args.number("a number of further submits", 0.0, 1e9));
-            set(&mut fleet.further_part, args.percent("a percentage of the block I/Os taken"));
-            set(&mut fleet.further_span, args.duration("a duration above 0").filter(|n| *n > 0));
+            set(&mut fleet.retry_budget_min, args.number("a number of further submits", 0.0, 1e9));
+            set(&mut fleet.retry_budget_ratio, args.percent("a percentage of the block I/Os taken"));
+            set(&mut fleet.retry_budget_window, args.duration("a duration above 0").filter(|n| *n > 0));
         }
         _ => {
             return Err(
@@ -281,75 +291,77 @@
     Ok(())
 }
 
-fn catalog(draft: &mut (At, Catalog, Option<Word>), name: &str, args: &mut Args) -> Known {
+fn catalog(draft: &mut (Position, Catalog, Option<Token>), name: &str, args: &mut Arguments) -> Known {
     let (_, catalog, copies) = draft;
     match name {
         "listen" => catalog.listen = args.address("an address and port"),
-        "store" => set(&mut catalog.store, args.word("a path").map(Into::into)),
-        "control" => catalog.control = args.word("a path").map(Into::into),
-        "extent" => set(&mut catalog.extent, args.whole("a number of blocks from 1 to 65536", 1, 65536)),
+        "store" => set(&mut catalog.store_path, args.text("a path").map(Into::into)),
+        "control" => catalog.control_socket = args.text("a path").map(Into::into),
+        "extent" => {
+            set(&mut catalog.extent_blocks, args.integer("a number of blocks from 1 to 65536", 1, 65536))
+        }
         "copies" => *copies = args.name("the name of a group"),
         _ => return Err("listen, store, control, extent, copies"),
     }
     Ok(())
 }
 
-fn tariffs(tariffs: &mut Tariffs, name: &str, args: &mut Args) -> Known {
+fn tariffs(tariffs: &mut PlanService, name: &str, args: &mut Arguments) -> Known {
     match name {
         "listen" => tariffs.listen = args.address("an address and port"),
-        "store" => set(&mut tariffs.store, args.word("a path").map(Into::into)),
-        "control" => tariffs.control = args.word("a path").map(Into::into),
+        "store" => set(&mut tariffs.store_path, args.text("a path").map(Into::into)),
+        "control" => tariffs.control_socket = args.text("a path").map(Into::into),
         _ => return Err("listen, store, control"),
     }
     Ok(())
 }
 
-fn plan(plan: &mut Plan, name: &str, args: &mut Args) -> Known {
+fn plan(plan: &mut Plan, name: &str, args: &mut Arguments) -> Known {
     let rate = "units a second such as 20/s";
     match name {
-        "usual" => set(&mut plan.usual, args.rate(rate)),
-        "reserve" => set(&mut plan.reserve, args.rate(rate)),
+        "usual" => set(&mut plan.usual_rate, args.rate(rate)),
+        "reserve" => set(&mut plan.reserved_rate, args.rate(rate)),
         "limit" => {
-            set(&mut plan.limit, args.rate(rate));
-            let burst = if args.literal("burst") { args.number("units at once", 0.0, 1e12) } else { None };
+            set(&mut plan.rate_limit, args.rate(rate));
+            let burst = if args.accept("burst") { args.number("units at once", 0.0, 1e12) } else { None };
             if burst.is_none() {
                 args.value::<()>("burst UNITS", |_| None);
             }
-            set(&mut plan.limit_burst, burst);
+            set(&mut plan.burst_units, burst);
         }
         "weight" => set(&mut plan.weight, args.number(NUMBER, 0.0, 1e6)),
-        "price" => set(&mut plan.price, args.number(NUMBER, 0.0, 1e6)),
+        "price" => set(&mut plan.priority_factor, args.number(NUMBER, 0.0, 1e6)),
         _ => return Err("usual, reserve, limit, weight, price"),
     }
     Ok(())
 }
 
-fn group(group: &mut Group, name: &str, args: &mut Args) -> Known {
+fn group(group: &mut IoClass, name: &str, args: &mut Arguments) -> Known {
     match name {
         "effect" => set(
             &mut group.effect,
             args.value("idempotent or side-effecting", |w| match w {
                 "idempotent" => Some(Effect::Idempotent),
-                "side-effecting" => Some(Effect::SideEffecting),
+                "side-effecting" => Some(Effect::NonIdempotent),
                 _ => None,
             }),
         ),
-        "goal" => set(&mut group.goal, args.duration("a duration such as 200ms")),
-        "hard-limit" => set(&mut group.hard_limit, args.duration("a duration such as 2s")),
-        "gain" => set(&mut group.gain, args.number(NUMBER, 0.0, 1e6)),
-        "late-gain" => set(&mut group.late_share, args.percent("a percentage such as 15%")),
+        "goal" => set(&mut group.latency_objective, args.duration("a duration such as 200ms")),
+        "hard-limit" => set(&mut group.deadline, args.duration("a duration such as 2s")),
+        "gain" => set(&mut group.priority_weight, args.number(NUMBER, 0.0, 1e6)),
+        "late-gain" => set(&mut group.late_weight_ratio, args.percent("a percentage such as 15%")),
         "ordered" => group.ordered = true,
         _ => return Err("effect, goal, hard-limit, gain, late-gain, ordered"),
     }
     Ok(())
 }
 
-fn volume(draft: &mut DraftVolume, name: &str, args: &mut Args) -> Known {
+fn volume(draft: &mut DraftVolume, name: &str, args: &mut Arguments) -> Known {
     let volume = &mut draft.volume;
     match name {
-        "lun" => set(&mut volume.lun, args.whole("0 to 16383", 0, 16383).map(|n| n as u16)),
+        "lun" => set(&mut volume.lun, args.integer("0 to 16383", 0, 16383).map(|n| n as u16)),
         "plan" => draft.plan = args.name("the name of a plan"),
-        "blocks" => set(&mut volume.blocks, args.whole("a number of blocks above 0", 1, 1 << 50)),
+        "blocks" => set(&mut volume.block_count, args.integer("a number of blocks above 0", 1, 1 << 50)),
         "block-size" => {
             let size = args.value("512B or 4KiB", |w| match w {
                 "512B" => Some(512),
@@ -359,30 +371,33 @@
             set(&mut volume.block_size, size);
         }
         "mapped" => volume.mapped = true,
-        "hosts" => set(&mut volume.hosts, args.whole("1 to 65536", 1, 65536).map(|n| n as u32)),
+        "hosts" => set(&mut volume.host_count, args.integer("1 to 65536", 1, 65536).map(|n| n as u32)),
         "extent" => {
-            let first = args.whole(BLOCK, 0, 1 << 50);
-            let blocks = args.whole("a number of blocks above 0", 1, 1 << 50);
+            let first = args.integer(BLOCK, 0, 1 << 50);
+            let blocks = args.integer("a number of blocks above 0", 1, 1 << 50);
             let node = args.name("the name of a node");
-            let node_first = if args.literal("at") { args.whole(BLOCK, 0, 1 << 50) } else { None };
+            let node_first = if args.accept("at") { args.integer(BLOCK, 0, 1 << 50) } else { None };
             if node_first.is_none() {
                 args.value::<()>("at BLOCK", |_| None);
             }
             if let (Some(first), Some(blocks), Some(node), Some(node_first)) =
                 (first, blocks, node, node_first)
             {
-                draft.extents.push((Extent { first, blocks, node: 0, node_first }, node));
+                draft.extents.push((
+                    Extent { first_block: first, block_count: blocks, node: 0, first_node_block: node_first },
+                    node,
+                ));
             }
         }
         "rule" => {
-            let at = args.at();
+            let at = args.position();
             let direction = args.value("read, write or any", |w| match w {
                 "read" => Some(Direction::Read),
                 "write" => Some(Direction::Write),
                 "any" => Some(Direction::Any),
                 _ => None,
             });
-            let range = if args.literal("blocks") {
+            let range = if args.accept("blocks") {
                 args.value("FIRST-LAST", |w| {
                     let (first, last) = w.split_once('-')?;
                     let range: (u64, u64) = (first.parse().ok()?, last.parse().ok()?);
@@ -392,7 +407,8 @@
                 None
             };
             let group = args.name("the name of a group");
-            let key = if args.literal("key") { args.whole("blocks of one key", 1, 1 << 50) } else { Some(0) };
+            let key =
+                if args.accept("key") { args.integer("blocks of one key", 1, 1 << 50) } else { Some(0) };
             if let (Some(direction), Some(group), Some(key)) = (direction, group, key) {
                 draft.rules.push(DraftRule { direction, range, group, key, at });
             }
@@ -402,13 +418,13 @@
     Ok(())
 }
 
-fn node(node: &mut Node, name: &str, args: &mut Args) -> Known {
+fn node(node: &mut Node, name: &str, args: &mut Arguments) -> Known {
     match name {
         "address" => node.address = args.address("an address and port"),
         "target" => set(&mut node.target, args.name("an iSCSI name").map(|w| w.text)),
-        "lun" => set(&mut node.lun, args.whole("0 to 16383", 0, 16383).map(|n| n as u16)),
+        "lun" => set(&mut node.lun, args.integer("0 to 16383", 0, 16383).map(|n| n as u16)),
         "zone" => set(&mut node.zone, args.name("a name").map(|w| w.text)),
-        "shard" => set(&mut node.shard, args.whole("0 to 65535", 0, 65535).map(|n| n as u32)),
+        "shard" => set(&mut node.shard, args.integer("0 to 65535", 0, 65535).map(|n| n as u32)),
         _ => return Err("address, target, lun, zone, shard"),
     }
     Ok(())
--- a/crates/settings/src/change.rs
+++ b/crates/settings/src/reload.rs
@@ -1,19 +1,19 @@
 //! What a running host can take up of a new configuration without a new start: plans and which volume has which.
-use crate::site::{Plan, Site};
+use crate::config::{GatewayConfig, Plan};
 
 /// Plans and volumes as they are to stand. Running plans keep their places, also those that no volume has any
 /// more: block I/Os in hand refer to them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct ReloadOutcome {
     pub plans: Vec<Plan>,
     /// The plan of each volume, in the running order.
-    pub of: Vec<usize>,
+    pub volume_plans: Vec<usize>,
     /// What is different, a line each.
-    pub told: Vec<String>,
+    pub changes: Vec<String>,
 }
 
 /// Works out what is taken up. Errors: all that differs and cannot be taken up, a line each; nothing is then.
-pub fn taken(running: &Site, wanted: &Site) -> Result<Taken, Vec<String>> {
+pub fn evaluate(running: &GatewayConfig, wanted: &GatewayConfig) -> Result<ReloadOutcome, Vec<String>> {
     let mut against = Vec::new();
     let mut differs = |what: String, differs: bool| {
         if differs {
@@ -23,16 +23,16 @@
     differs("section host".into(), running.host != wanted.host);
     differs("section fleet".into(), running.fleet != wanted.fleet);
     differs("section catalog".into(), running.catalog != wanted.catalog);
-    differs("section tariffs".into(), running.tariffs != wanted.tariffs);
-    differs("groups".into(), running.groups != wanted.groups);
+    differs("section tariffs".into(), running.plan_service != wanted.plan_service);
+    differs("groups".into(), running.io_classes != wanted.io_classes);
     differs("nodes".into(), running.nodes != wanted.nodes);
     for v in &running.volumes {
-        let same = |w: &&crate::site::Volume| w.name == v.name;
+        let same = |w: &&crate::config::Volume| w.name == v.name;
         let Some(found) = wanted.volumes.iter().find(same) else {
             against.push(format!("volume {}: is gone; that needs a new start", v.name));
             continue;
         };
-        if (crate::site::Volume { plan: v.plan, ..found.clone() }) != *v {
+        if (crate::config::Volume { plan: v.plan, ..found.clone() }) != *v {
             against.push(format!("volume {}: differs in more than its plan; that needs a new start", v.name));
         }
     }
@@ -66,17 +66,17 @@
         }
         of.push(plan);
     }
-    Ok(Taken { plans, of, told })
+    Ok(ReloadOutcome { plans, volume_plans: of, changes: told })
 }
 
 fn figures(old: &Plan, new: &Plan) -> String {
     let all = [
-        ("usual", old.usual, new.usual),
-        ("reserve", old.reserve, new.reserve),
-        ("limit", old.limit, new.limit),
-        ("burst", old.limit_burst, new.limit_burst),
+        ("usual", old.usual_rate, new.usual_rate),
+        ("reserve", old.reserved_rate, new.reserved_rate),
+        ("limit", old.rate_limit, new.rate_limit),
+        ("burst", old.burst_units, new.burst_units),
         ("weight", old.weight, new.weight),
-        ("price", old.price, new.price),
+        ("price", old.priority_factor, new.priority_factor),
     ];
     let changed: Vec<String> =
         all.iter().filter(|f| f.1 != f.2).map(|(name, a, b)| format!("{name} {b} instead of {a}")).collect();
@@ -86,15 +86,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::site::Volume;
+    use crate::config::Volume;
 
-    fn site() -> Site {
-        let plan = |name: &str| Plan { name: name.into(), reserve: 5.0, weight: 1.0, ..Plan::default() };
-        let volume = |name: &str, plan| Volume { name: name.into(), plan, blocks: 8, ..Volume::default() };
-        Site {
+    fn site() -> GatewayConfig {
+        let plan =
+            |name: &str| Plan { name: name.into(), reserved_rate: 5.0, weight: 1.0, ..Plan::default() };
+        let volume =
+            |name: &str, plan| Volume { name: name.into(), plan, block_count: 8, ..Volume::default() };
+        GatewayConfig {
             plans: vec![plan("gold"), plan("tin")],
             volumes: vec![volume("a", 0), volume("b", 1)],
-            ..Site::default()
+            ..GatewayConfig::default()
         }
     }
 
@@ -103,19 +105,19 @@
         let (running, mut wanted) = (site(), site());
         wanted.plans.reverse();
         wanted.plans[1].weight = 3.0;
-        wanted.plans[1].reserve = 7.0;
+        wanted.plans[1].reserved_rate = 7.0;
         wanted.plans.push(Plan { name: "gold-b".into(), ..Plan::default() });
         wanted.volumes[0].plan = 1;
         wanted.volumes[1].plan = 2;
-        let taken = taken(&running, &wanted).expect("plans only");
+        let taken = evaluate(&running, &wanted).expect("plans only");
         let names: Vec<&str> = taken.plans.iter().map(|p| p.name.as_str()).collect();
-        assert_eq!((names, taken.of), (vec!["gold", "tin", "gold-b"], vec![0, 2]));
+        assert_eq!((names, taken.volume_plans), (vec!["gold", "tin", "gold-b"], vec![0, 2]));
         let told = [
             "plan gold: reserve 7 instead of 5, weight 3 instead of 1",
             "plan gold-b: new",
             "volume b: plan gold-b instead of tin",
         ];
-        assert_eq!(taken.told, told);
+        assert_eq!(taken.changes, told);
     }
 
     #[test]
@@ -123,8 +125,8 @@
         let (running, mut wanted) = (site(), site());
         wanted.plans.remove(0);
         wanted.volumes.iter_mut().for_each(|v| v.plan = 0);
-        let taken = taken(&running, &wanted).expect("plans only");
-        assert_eq!((taken.plans.len(), taken.of), (2, vec![1, 1]));
+        let taken = evaluate(&running, &wanted).expect("plans only");
+        assert_eq!((taken.plans.len(), taken.volume_plans), (2, vec![1, 1]));
     }
 
     #[test]
@@ -132,9 +134,9 @@
         let (running, mut wanted) = (site(), site());
         wanted.plans[0].weight = 3.0;
         wanted.fleet.hosts = 9;
-        wanted.volumes[0].blocks = 16;
+        wanted.volumes[0].block_count = 16;
         wanted.volumes[1].name = "c".into();
-        let against = taken(&running, &wanted).expect_err("more than plans");
+        let against = evaluate(&running, &wanted).expect_err("more than plans");
         let named = |what: &str| against.iter().any(|a| a.starts_with(what));
         assert!(["section fleet", "volume a", "volume b", "volume c"].into_iter().all(named), "{against:?}");
         assert_eq!(against.len(), 4);
--- a/crates/settings/tests/pinned_reading.rs
+++ b/crates/settings/tests/pinned_reading.rs
@@ -1,10 +1,10 @@
 //! Pins of the configuration: every directive as it is read, and the message of every refusal, word for word. The
 //! recorded texts in `pinned/` name fields in words of their own, so that renaming a field in the code changes
 //! nothing here.
+use mallowseam_settings::config::{Direction, Effect, GatewayConfig};
 use mallowseam_settings::edit::{self, Share};
-use mallowseam_settings::lines::{Args, Problems, words};
-use mallowseam_settings::site::{Direction, Effect, Site};
-use mallowseam_settings::{change, read};
+use mallowseam_settings::{Arguments, Diagnostics, tokenize};
+use mallowseam_settings::{parse, reload};
 use std::fmt::Write as _;
 
 /// Compares with the text that was recorded.
@@ -104,18 +104,27 @@
     target iqn.2026-12.example:brick2
 "#;
 
-fn shown(site: &Site) -> String {
+fn shown(site: &GatewayConfig) -> String {
     let mut out = String::new();
     let h = &site.host;
-    writeln!(out, "host {} listen {:?} target {} control {:?}", h.name, h.listen, h.target, h.control)
+    writeln!(out, "host {} listen {:?} target {} control {:?}", h.name, h.listen, h.target, h.control_socket)
         .expect("memory");
-    writeln!(out, "  list {:?} kept list {:?} follow {:?}", h.node_list, h.kept_list, h.follow)
-        .expect("memory");
-    writeln!(out, "  kept plans {:?} window {} connections {}", h.kept_plans, h.window, h.connections)
+    writeln!(
+        out,
+        "  list {:?} kept list {:?} follow {:?}",
+        h.endpoint_service, h.endpoint_cache_path, h.plan_service
+    )
+    .expect("memory");
+    writeln!(
+        out,
+        "  kept plans {:?} window {} connections {}",
+        h.plan_cache_path, h.command_window, h.max_connections
+    )
+    .expect("memory");
+    writeln!(out, "  longest {} digests {} {}", h.max_transfer_bytes, h.header_digest, h.data_digest)
         .expect("memory");
-    writeln!(out, "  longest {} digests {} {}", h.longest, h.header_digest, h.data_digest).expect("memory");
     writeln!(out, "  seed {:?}", h.seed).expect("memory");
-    match &h.place {
+    match &h.membership {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
             out,
@@ -135,46 +144,48 @@
     writeln!(
         out,
         "fleet hosts {} unit {} mean {} largest {}",
-        f.hosts, f.unit, f.mean_units, f.largest_units
+        f.hosts, f.unit_bytes, f.mean_units, f.max_units
     )
     .expect("memory");
-    writeln!(out, "  share {} spare {} submits {}", f.share_gain, f.spare_gain, f.submits).expect("memory");
-    writeln!(out, "  come back {} order rest {}", f.come_back, f.order_rest).expect("memory");
+    writeln!(out, "  share {} spare {} submits {}", f.share_gain, f.spare_gain, f.max_attempts)
+        .expect("memory");
+    writeln!(out, "  come back {} order rest {}", f.max_retry_after, f.ordering_cooldown).expect("memory");
     writeln!(
         out,
         "  cold {} {} fall {} {} bears {}",
-        f.cold_from, f.cold_span, f.fall_multiple, f.fall_span, f.cold_bears
+        f.cold_capacity, f.warmup_time, f.overload_multiple, f.overload_window, f.cold_floor_units
     )
     .expect("memory");
-    writeln!(out, "  further {} {} {}", f.further_free, f.further_part, f.further_span).expect("memory");
+    writeln!(out, "  further {} {} {}", f.retry_budget_min, f.retry_budget_ratio, f.retry_budget_window)
+        .expect("memory");
     if let Some(c) = &site.catalog {
         writeln!(
             out,
             "catalog {:?} {:?} {:?} extent {} copies {}",
-            c.listen, c.store, c.control, c.extent, c.copies
+            c.listen, c.store_path, c.control_socket, c.extent_blocks, c.copy_class
         )
         .expect("memory");
     }
-    if let Some(t) = &site.tariffs {
-        writeln!(out, "tariffs {:?} {:?} {:?}", t.listen, t.store, t.control).expect("memory");
+    if let Some(t) = &site.plan_service {
+        writeln!(out, "tariffs {:?} {:?} {:?}", t.listen, t.store_path, t.control_socket).expect("memory");
     }
     for p in &site.plans {
         writeln!(
             out,
             "plan {} usual {} reserve {} limit {} burst {} weight {} price {}",
-            p.name, p.usual, p.reserve, p.limit, p.limit_burst, p.weight, p.price
+            p.name, p.usual_rate, p.reserved_rate, p.rate_limit, p.burst_units, p.weight, p.priority_factor
         )
         .expect("memory");
     }
-    for g in &site.groups {
+    for g in &site.io_classes {
         let effect = match g.effect {
             Effect::Idempotent => "idempotent",
-            Effect::SideEffecting => "side-effecting",
+            Effect::NonIdempotent => "side-effecting",
         };
         writeln!(
             out,
             "group {} {effect} goal {} hard limit {} gain {} late {} ordered {}",
-            g.name, g.goal, g.hard_limit, g.gain, g.late_share, g.ordered
+            g.name, g.latency_objective, g.deadline, g.priority_weight, g.late_weight_ratio, g.ordered
         )
         .expect("memory");
     }
@@ -182,12 +193,16 @@
         writeln!(
             out,
             "volume {} lun {} plan {} blocks {} of {} hosts {} mapped {}",
-            v.name, v.lun, v.plan, v.blocks, v.block_size, v.hosts, v.mapped
+            v.name, v.lun, v.plan, v.block_count, v.block_size, v.host_count, v.mapped
         )
         .expect("memory");
         for e in &v.extents {
-            writeln!(out, "  extent {} {} node {} at {}", e.first, e.blocks, e.node, e.node_first)
-                .expect("memory");
+            writeln!(
+                out,
+                "  extent {} {} node {} at {}",
+                e.first_block, e.block_count, e.node, e.first_node_block
+            )
+            .expect("memory");
         }
         for r in &v.rules {
             let direction = match r.direction {
@@ -195,8 +210,12 @@
                 Direction::Write => "write",
                 Direction::Any => "any",
             };
-            writeln!(out, "  rule {direction} {}-{} group {} key {}", r.first, r.last, r.group, r.key)
-                .expect("memory");
+            writeln!(
+                out,
+                "  rule {direction} {}-{} group {} key {}",
+                r.first_block, r.last_block, r.io_class, r.blocks_per_key
+            )
+            .expect("memory");
         }
     }
     for n in &site.nodes {
@@ -212,7 +231,7 @@
 
 /// What comes of a text; of a sound one only the lines that differ from those of `EVERY`.
 fn outcome(text: &str, sound: &str) -> String {
-    match read("f", text) {
+    match parse("f", text) {
         Ok(site) => {
             let known: Vec<&str> = sound.lines().collect();
             shown(&site).lines().filter(|l| !known.contains(l)).map(|l| format!("  {l}\n")).collect()
@@ -223,12 +242,12 @@
 
 #[test]
 fn every_directive_as_it_is_read() {
-    pinned("every.txt", &shown(&read("f", EVERY).expect("sound")));
+    pinned("every.txt", &shown(&parse("f", EVERY).expect("sound")));
 }
 
 #[test]
 fn every_line_left_out_doubled_or_with_a_word_changed() {
-    let sound = shown(&read("f", EVERY).expect("sound"));
+    let sound = shown(&parse("f", EVERY).expect("sound"));
     let lines: Vec<&str> = EVERY.lines().collect();
     let mut found = String::new();
     let attempt = |index: usize, line: Option<&str>| {
@@ -271,7 +290,7 @@
 
 #[test]
 fn what_does_not_go_together() {
-    let sound = shown(&read("f", EVERY).expect("sound"));
+    let sound = shown(&parse("f", EVERY).expect("sound"));
     let mut found = String::new();
     for (from, to) in [
         ("goal 0.2s", "goal 2s"),
@@ -402,18 +421,18 @@
         "1.123456s",
         "99999999999999999999s",
     ] {
-        let mut problems = Problems::new("f");
-        let line = words(3, &format!("  word {word}"), &mut problems);
+        let mut problems = Diagnostics::new("f");
+        let line = tokenize(3, &format!("  word {word}"), &mut problems);
         let mut values = String::new();
         macro_rules! value {
             ($name:expr, $args:ident, $read:expr) => {{
-                let mut $args = Args::new(&line, &mut problems);
+                let mut $args = Arguments::new(&line, &mut problems);
                 if let Some(value) = $read {
                     write!(values, " {}={value:?}", $name).expect("memory");
                 }
             }};
         }
-        value!("whole", a, a.whole("w", 0, u64::MAX));
+        value!("whole", a, a.integer("w", 0, u64::MAX));
         value!("number", a, a.number("n", -5.0, 1e6));
         value!("rate", a, a.rate("r"));
         value!("exact", a, a.exact_rate("e"));
@@ -421,29 +440,34 @@
         value!("duration", a, a.duration("d"));
         value!("size", a, a.size("s"));
         value!("address", a, a.address("a"));
-        value!("name", a, a.name("n").map(|w| (w.text, w.at.line, w.at.column)));
-        value!("word", a, a.word("w"));
+        value!("name", a, a.name("n").map(|w| (w.text, w.position.line, w.position.column)));
+        value!("word", a, a.text("w"));
         writeln!(found, "{word}:{values}").expect("memory");
     }
-    let mut problems = Problems::new("g");
+    let mut problems = Diagnostics::new("g");
     for text in ["a  \"b c\" d#e # f", "\u{e9} \"x", "", "#", " \t a", "\"\" b\"c"] {
-        let all: Vec<String> = words(7, text, &mut problems)
+        let all: Vec<String> = tokenize(7, text, &mut problems)
             .iter()
-            .map(|w| format!("{}@{}:{}", w.text, w.at.line, w.at.column))
+            .map(|w| format!("{}@{}:{}", w.text, w.position.line, w.position.column))
             .collect();
         writeln!(found, "words of {text:?}: {all:?}").expect("memory");
     }
-    let line = words(9, "word 1 two three", &mut problems);
-    let mut args = Args::new(&line, &mut problems);
-    let steps =
-        (args.literal("1"), args.literal("x"), args.at().column, args.more(), args.whole("a number", 1, 5));
-    writeln!(found, "{steps:?} more {} then {:?}", args.more(), args.word("a word")).expect("memory");
-    args.end();
-    args.wrong(&["spoiled: expected nothing".to_owned()]);
-    let mut args = Args::new(&line, &mut problems);
-    args.wrong(&["field: expected a thing".to_owned(), "no such form".to_owned()]);
-    args.end();
-    let end = args.at();
+    let line = tokenize(9, "word 1 two three", &mut problems);
+    let mut args = Arguments::new(&line, &mut problems);
+    let steps = (
+        args.accept("1"),
+        args.accept("x"),
+        args.position().column,
+        args.has_more(),
+        args.integer("a number", 1, 5),
+    );
+    writeln!(found, "{steps:?} more {} then {:?}", args.has_more(), args.text("a word")).expect("memory");
+    args.expect_end();
+    args.report_conflicts(&["spoiled: expected nothing".to_owned()]);
+    let mut args = Arguments::new(&line, &mut problems);
+    args.report_conflicts(&["field: expected a thing".to_owned(), "no such form".to_owned()]);
+    args.expect_end();
+    let end = args.position();
     problems.add(end, "an end", "");
     writeln!(found, "{}", problems.sorted()).expect("memory");
     pinned("values.txt", &found);
@@ -451,7 +475,7 @@
 
 #[test]
 fn what_a_running_host_takes_up() {
-    let running = read("f", EVERY).expect("sound");
+    let running = parse("f", EVERY).expect("sound");
     let mut found = String::new();
     for (from, to) in [
         ("weight 2", "weight 3"),
@@ -474,11 +498,11 @@
         ("brick1 at 64", "brick1 at 65"),
     ] {
         assert!(EVERY.contains(from), "{from}");
-        let wanted = read("f", &EVERY.replacen(from, to, 1)).expect(to);
-        match change::taken(&running, &wanted) {
+        let wanted = parse("f", &EVERY.replacen(from, to, 1)).expect(to);
+        match reload::evaluate(&running, &wanted) {
             Ok(t) => {
                 let plans: Vec<&str> = t.plans.iter().map(|p| p.name.as_str()).collect();
-                writeln!(found, "{from:?} -> {to:?}: {plans:?} {:?} {:?}", t.of, t.told)
+                writeln!(found, "{from:?} -> {to:?}: {plans:?} {:?} {:?}", t.volume_plans, t.changes)
             }
             Err(against) => writeln!(found, "{from:?} -> {to:?}: against {against:?}"),
         }
@@ -491,8 +515,9 @@
 fn what_worked_out_shares_make_of_the_text() {
     let text = EVERY.replace("plan bare\n    hosts", "plan basic  # shared\n    hosts");
     let text = text.replace("    weight 2\n", "    weight 2   # as agreed\n");
-    let site = read("f", &text).expect("sound");
-    let share = |volume: &str, reserve, weight| Share { volume: volume.into(), reserve, weight };
+    let site = parse("f", &text).expect("sound");
+    let share =
+        |volume: &str, reserve, weight| Share { volume: volume.into(), reserved_milliunits: reserve, weight };
     let mut found = String::new();
     for shares in [
         vec![],
@@ -503,8 +528,8 @@
         vec![share("oil", 1, 1), share("water", 1, 1), share("gas", 1, 1)],
     ] {
         let given: Vec<String> =
-            shares.iter().map(|s| format!("{} {} {}", s.volume, s.reserve, s.weight)).collect();
-        match edit::shares(&text, &site, &shares) {
+            shares.iter().map(|s| format!("{} {} {}", s.volume, s.reserved_milliunits, s.weight)).collect();
+        match edit::apply_shares(&text, &site, &shares) {
             Ok(edited) => {
                 let known: Vec<&str> = text.lines().collect();
                 let new: Vec<String> = edited
@@ -595,7 +620,7 @@
 /// Notes what comes of the file with one change.
 fn note(found: &mut String, from: &str, to: &str) {
     assert!(EVERY.contains(from), "{from}");
-    let sound = shown(&read("f", EVERY).expect("sound"));
+    let sound = shown(&parse("f", EVERY).expect("sound"));
     let text = EVERY.replacen(from, to, 1);
     write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &sound)).expect("memory");
 }
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -1,7 +1,7 @@
 //! A file is read whole, and what is wrong with it comes back in one go.
+use mallowseam_settings::config::{Direction, Effect};
 use mallowseam_settings::edit::{self, Share};
-use mallowseam_settings::site::{Direction, Effect};
-use mallowseam_settings::{change, read};
+use mallowseam_settings::{parse, reload};
 use proptest::prelude::*;
 
 const SOUND: &str = r#"
@@ -61,19 +61,22 @@
 
 #[test]
 fn a_sound_file_says_what_it_says() {
-    let site = read("f", SOUND).expect("sound");
-    assert_eq!(site.host.control.as_deref(), Some(std::path::Path::new("/run/mallow seam/gw1.sock")));
-    assert_eq!((site.groups[0].goal, site.groups[1].effect), (200_000, Effect::SideEffecting));
+    let site = parse("f", SOUND).expect("sound");
+    assert_eq!(site.host.control_socket.as_deref(), Some(std::path::Path::new("/run/mallow seam/gw1.sock")));
+    assert_eq!(
+        (site.io_classes[0].latency_objective, site.io_classes[1].effect),
+        (200_000, Effect::NonIdempotent)
+    );
     let water = &site.volumes[0];
     assert_eq!(
-        water.extents.iter().map(|e| (e.first, e.node, e.node_first)).collect::<Vec<_>>(),
+        water.extents.iter().map(|e| (e.first_block, e.node, e.first_node_block)).collect::<Vec<_>>(),
         [(0, 0, 64), (1024, 1, 0)]
     );
     assert_eq!(
-        (water.rules[1].direction, water.rules[1].last, water.rules[1].key),
+        (water.rules[1].direction, water.rules[1].last_block, water.rules[1].blocks_per_key),
         (Direction::Write, 99, 8)
     );
-    assert_eq!((site.fleet.cold_from, site.fleet.fall_span), (0.23, 3_000_000));
+    assert_eq!((site.fleet.cold_capacity, site.fleet.overload_window), (0.23, 3_000_000));
     assert!(site.host.header_digest && site.host.data_digest);
     assert_eq!(site.nodes.iter().map(|n| n.shard).collect::<Vec<_>>(), [0, 1]);
 }
@@ -81,7 +84,7 @@
 /// A change to the sound file, and the problems it makes: line of the change, or of what it concerns.
 fn problems(from: &str, to: &str) -> Vec<String> {
     assert!(SOUND.contains(from), "{from}");
-    let problems = read("f", &SOUND.replacen(from, to, 1)).expect_err(to);
+    let problems = parse("f", &SOUND.replacen(from, to, 1)).expect_err(to);
     problems.to_string().lines().map(str::to_owned).collect()
 }
 
@@ -124,13 +127,14 @@
 fn all_problems_come_at_once_in_order_of_their_lines() {
     let text = SOUND.replace("window 32", "window x").replace("hosts 3\n    unit", "hosts 0\n    unit");
     let text = text.replace("zone b", "zone b c");
-    let lines: Vec<usize> = read("f", &text).expect_err("three").list.iter().map(|p| p.line).collect();
+    let lines: Vec<usize> =
+        parse("f", &text).expect_err("three").diagnostics.iter().map(|p| p.line).collect();
     assert_eq!(lines, [8, 13, 53]);
 }
 
 #[test]
 fn an_empty_file_names_every_section_it_lacks() {
-    assert_eq!(read("f", "").expect_err("empty").list.len(), 6);
+    assert_eq!(parse("f", "").expect_err("empty").diagnostics.len(), 6);
 }
 
 proptest! {
@@ -142,8 +146,8 @@
         let mut text = SOUND.as_bytes().to_vec();
         let end = (at + len).min(text.len());
         text.splice(at..end, put.bytes());
-        if let Err(problems) = read("f", &String::from_utf8_lossy(&text)) {
-            prop_assert!(problems.list.iter().all(|p| p.line > 0 && p.column > 0 && !p.expected.is_empty()));
+        if let Err(problems) = parse("f", &String::from_utf8_lossy(&text)) {
+            prop_assert!(problems.diagnostics.iter().all(|p| p.line > 0 && p.column > 0 && !p.expected.is_empty()));
         }
     }
 }
@@ -157,30 +161,33 @@
 }
 
 fn share(volume: &str, reserve: u64, weight: u64) -> Share {
-    Share { volume: volume.into(), reserve, weight }
+    Share { volume: volume.into(), reserved_milliunits: reserve, weight }
 }
 
 #[test]
 fn shares_are_written_into_the_text_and_all_else_stays() {
     let text = two();
-    let site = read("site", &text).expect("sound");
+    let site = parse("site", &text).expect("sound");
     let both = [share("water", 5_500, 7), share("gas", 5_500, 7)];
-    let same = edit::shares(&text, &site, &both).expect("known");
+    let same = edit::apply_shares(&text, &site, &both).expect("known");
     assert!(same.contains("    weight 7  # as agreed\n") && same.contains("    reserve 5.500/s\n"), "{same}");
-    let edited = read("site", &same).expect("sound");
-    assert_eq!((edited.plans.len(), edited.plans[0].reserve, edited.plans[0].weight), (1, 5.5, 7.0));
-    let own = edit::shares(&text, &site, &[share("gas", 3_000, 9)]).expect("known");
-    let edited = read("site", &own).expect("sound");
+    let edited = parse("site", &same).expect("sound");
+    assert_eq!((edited.plans.len(), edited.plans[0].reserved_rate, edited.plans[0].weight), (1, 5.5, 7.0));
+    let own = edit::apply_shares(&text, &site, &[share("gas", 3_000, 9)]).expect("known");
+    let edited = parse("site", &own).expect("sound");
     let plan = |v: &str| &edited.plans[edited.volumes.iter().find(|w| w.name == v).expect("there").plan];
-    assert_eq!((plan("gas").name.as_str(), plan("gas").reserve, plan("gas").weight), ("basic-gas", 3.0, 9.0));
-    assert_eq!((plan("gas").usual, plan("gas").limit, plan("gas").limit_burst), (20.0, 40.0, 16.0));
+    assert_eq!(
+        (plan("gas").name.as_str(), plan("gas").reserved_rate, plan("gas").weight),
+        ("basic-gas", 3.0, 9.0)
+    );
+    assert_eq!((plan("gas").usual_rate, plan("gas").rate_limit, plan("gas").burst_units), (20.0, 40.0, 16.0));
     assert_eq!((plan("water").name.as_str(), plan("water").weight), ("basic", 2.0));
-    assert!(change::taken(&site, &edited).is_ok(), "a running host can take it up");
+    assert!(reload::evaluate(&site, &edited).is_ok(), "a running host can take it up");
     // Once more: the plan is its own now, and is changed where it stands.
-    let again = edit::shares(&own, &edited, &[share("gas", 4_000, 9)]).expect("known");
-    let edited = read("site", &again).expect("sound");
-    assert_eq!((edited.plans.len(), edited.plans[1].reserve), (2, 4.0));
+    let again = edit::apply_shares(&own, &edited, &[share("gas", 4_000, 9)]).expect("known");
+    let edited = parse("site", &again).expect("sound");
+    assert_eq!((edited.plans.len(), edited.plans[1].reserved_rate), (2, 4.0));
     assert!(again.starts_with(&text[..text.find("volume gas").expect("there")]), "the rest is as it was");
-    let unknown = edit::shares(&text, &site, &[share("oil", 1, 1), share("tax", 1, 1)]);
+    let unknown = edit::apply_shares(&text, &site, &[share("oil", 1, 1), share("tax", 1, 1)]);
     assert_eq!(unknown.expect_err("neither is there").len(), 2);
 }
