--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -1,70 +1,106 @@
-//! Whatever comes in: no panic, bounded tables, and nobody comes back from the dead.
-use mallowseam_fleet::settings::{MEMBERS_MOST, Settings};
-use mallowseam_fleet::wire::{self, Body, MOST, Message, Packet, Part, Range, Words};
-use mallowseam_fleet::word::{Facts, Life, Name, Told, Word, Zone};
-use mallowseam_fleet::{Carrier, Change, Fleet, State};
+//! Whatever datagrams come in: no panic, bounded tables and replies, and no member comes back after it left.
+use mallowseam_fleet::config::{MAX_MEMBERS, MembershipConfig};
+use mallowseam_fleet::record::{
+    ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Precedence, Zone,
+};
+use mallowseam_fleet::wire::{
+    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message, RangeDigest,
+};
+use mallowseam_fleet::{ActionSink, MemberState, Membership, MembershipEvent};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// Destination and length of each datagram that was sent.
 #[derive(Default)]
-struct Sent(Vec<(SocketAddr, usize)>);
+struct SentDatagrams(Vec<(SocketAddr, usize)>);
 
-impl Carrier for Sent {
+impl ActionSink for SentDatagrams {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.0.push((to, bytes.len()));
     }
-    fn changed(&mut self, _: Change) {}
+    fn notify(&mut self, _: MembershipEvent) {}
 }
 
 fn name(text: &str) -> Name {
     Name::try_from(text).expect("short")
 }
 
-fn address(n: u8) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, n], 7000))
+fn address(host: u8) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, host], 7000))
 }
 
-fn one() -> Fleet {
-    Fleet::new(Settings::new(name("f"), name("me"), address(1)), 1, 0, 1_000)
+fn new_member() -> Membership {
+    Membership::new(MembershipConfig::new(name("f"), name("me"), address(1)), 1, 0, 1_000)
 }
 
-fn word(n: u8, generation: u64, incarnation: u32, life: Life) -> Word {
-    let name = if n == 0 { name("me") } else { name(&format!("h{n}")) };
-    let (zone, facts) = (Zone::new(), Facts::default());
-    Word { name, generation, incarnation, life, address: address(n.max(2)), zone, facts, started: 0 }
+/// A record of another member; host 0 has the name of the member under test.
+fn record(host: u8, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
+    MemberRecord {
+        name: if host == 0 { name("me") } else { name(&format!("h{host}")) },
+        generation,
+        incarnation,
+        lifecycle,
+        address: address(host.max(2)),
+        zone: Zone::new(),
+        versions: ActiveVersions::default(),
+        started_ms: 0,
+    }
+}
+
+fn bare_message(sender: MemberRecord, body: GossipBody) -> GossipMessage {
+    GossipMessage { sender, body, updates: GossipUpdates::new() }
 }
 
-fn words() -> impl Strategy<Value = Word> {
-    let lives = proptest::sample::select(vec![Life::Joining, Life::Alive, Life::Leaving, Life::Left]);
-    (0..6u8, 0..4u64, 0..5u32, lives).prop_map(|(n, g, i, l)| word(n, g, i, l))
+/// The message's datagram; none: it does not fit.
+fn encode(message: GossipMessage) -> Option<Vec<u8>> {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    wire::encode("f", &Message::Gossip(message), &mut buffer).map(<[u8]>::to_vec)
+}
+
+fn records() -> impl Strategy<Value = MemberRecord> {
+    let lifecycles = proptest::sample::select(vec![
+        Lifecycle::Joining,
+        Lifecycle::Alive,
+        Lifecycle::Leaving,
+        Lifecycle::Left,
+    ]);
+    (0..6u8, 0..4u64, 0..5u32, lifecycles).prop_map(|(host, generation, incarnation, lifecycle)| {
+        record(host, generation, incarnation, lifecycle)
+    })
 }
 
-fn bodies() -> impl Strategy<Value = Body> {
-    let range = (any::<u8>(), any::<u64>()).prop_map(|(depth, prefix)| Range { depth, prefix });
-    let part = (range.clone(), any::<u64>(), any::<u32>()).prop_map(|(range, sum, count)| Part {
+fn bodies() -> impl Strategy<Value = GossipBody> {
+    let range = (any::<u8>(), any::<u64>()).prop_map(|(prefix_bits, prefix)| IdRange { prefix_bits, prefix });
+    let digest = (range.clone(), any::<u64>(), any::<u32>()).prop_map(|(range, digest, count)| RangeDigest {
         range,
-        sum,
+        digest,
         count,
     });
     prop_oneof![
-        any::<u32>().prop_map(|nr| Body::Ping { nr }),
-        (0..20u32).prop_map(|nr| Body::Ack { nr }),
-        (any::<u32>(), any::<u64>()).prop_map(|(nr, id)| Body::AskFor { nr, id, address: address(9) }),
-        (0..20u32, any::<bool>()).prop_map(|(nr, well)| Body::Asked { nr, well }),
-        proptest::collection::vec(part, 0..20).prop_map(|p| Body::Parts(heapless::Vec::from_iter(p))),
-        (proptest::collection::vec(range, 0..20), any::<bool>())
-            .prop_map(|(r, back)| Body::Range { ranges: heapless::Vec::from_iter(r), back }),
-        Just(Body::Tell),
+        any::<u32>().prop_map(|sequence| GossipBody::Ping { sequence }),
+        (0..20u32).prop_map(|sequence| GossipBody::Ack { sequence }),
+        (any::<u32>(), any::<u64>()).prop_map(|(sequence, target_id)| GossipBody::PingRequest {
+            sequence,
+            target_id,
+            target_address: address(9)
+        }),
+        (0..20u32, any::<bool>())
+            .prop_map(|(sequence, acknowledged)| GossipBody::PingRequestResult { sequence, acknowledged }),
+        proptest::collection::vec(digest, 0..20)
+            .prop_map(|digests| GossipBody::RangeDigests(heapless::Vec::from_iter(digests))),
+        (proptest::collection::vec(range, 0..20), any::<bool>()).prop_map(|(ranges, reply_wanted)| {
+            GossipBody::RangeRecords { ranges: heapless::Vec::from_iter(ranges), reply_wanted }
+        }),
+        Just(GossipBody::UpdatesOnly),
     ]
 }
 
-fn packets() -> impl Strategy<Value = Packet> {
-    let told = (words(), proptest::option::of(0..3u32)).prop_map(|(word, doubt)| Told { word, doubt });
-    (words(), bodies(), proptest::collection::vec(told, 0..6)).prop_map(|(from, body, news)| Packet {
-        from,
-        body,
-        news: Words::from_iter(news),
+fn messages() -> impl Strategy<Value = GossipMessage> {
+    let update = (records(), proptest::option::of(0..3u32))
+        .prop_map(|(record, suspected_by)| GossipUpdate { record, suspected_by });
+    (records(), bodies(), proptest::collection::vec(update, 0..6)).prop_map(|(sender, body, updates)| {
+        GossipMessage { sender, body, updates: GossipUpdates::from_iter(updates) }
     })
 }
 
@@ -72,84 +108,78 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_it_panic_and_none_that_is_not_of_the_fleet_is_answered(
-        all in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 1..20),
-        torn in 0..200usize,
+    fn malformed_datagrams_neither_panic_nor_fill_the_table(
+        noise in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 1..20),
+        truncated_to in 0..200usize,
     ) {
-        let (mut fleet, mut sent) = (one(), Sent::default());
-        let mut good = [0; MOST];
-        let packet = Packet { from: word(1, 1, 1, Life::Alive), body: Body::Ping { nr: 1 }, news: Words::new() };
-        let len = wire::write("f", &Message::Member(packet), &mut good).expect("it fits").len();
-        for bytes in &all {
-            fleet.heard(address(3), bytes, 1, &mut sent);
-            let mut mixed = good[..len].to_vec();
-            let at = torn % mixed.len();
-            mixed.splice(at..at, bytes.iter().copied());
-            fleet.heard(address(3), &mixed[..mixed.len().min(MOST)], 1, &mut sent);
-            fleet.heard(address(3), &good[..torn.min(len - 1)], 1, &mut sent);
+        let (mut member, mut sent) = (new_member(), SentDatagrams::default());
+        let ping = GossipBody::Ping { sequence: 1 };
+        let valid = encode(bare_message(record(1, 1, 1, Lifecycle::Alive), ping)).expect("it fits");
+        for bytes in &noise {
+            member.receive(address(3), bytes, 1, &mut sent);
+            let mut mixed = valid.clone();
+            let index = truncated_to % mixed.len();
+            mixed.splice(index..index, bytes.iter().copied());
+            member.receive(address(3), &mixed[..mixed.len().min(MAX_DATAGRAM_BYTES)], 1, &mut sent);
+            member.receive(address(3), &valid[..truncated_to.min(valid.len() - 1)], 1, &mut sent);
         }
-        prop_assert!(fleet.view().count() <= 2 * all.len() + 1);
+        prop_assert!(member.members().count() <= 2 * noise.len() + 1);
     }
 
     #[test]
-    fn whatever_members_say_words_never_go_back_and_the_left_stay_left(
-        packets in proptest::collection::vec((packets(), 0..400u64), 1..60),
+    fn records_never_regress_and_members_that_left_stay_left(
+        messages in proptest::collection::vec((messages(), 0..400u64), 1..60),
     ) {
-        let (mut fleet, mut sent) = (one(), Sent::default());
+        let (mut member, mut sent) = (new_member(), SentDatagrams::default());
         let mut now = 0;
-        let mut last: BTreeMap<Name, (u64, bool, u32)> = BTreeMap::new();
-        for (packet, pause) in packets {
+        let mut newest: BTreeMap<Name, Precedence> = BTreeMap::new();
+        for (message, pause) in messages {
             now += pause;
-            let from = packet.from.address;
-            let mut buffer = [0; MOST];
-            let Some(bytes) = wire::write("f", &Message::Member(packet), &mut buffer) else { continue };
+            let from = message.sender.address;
+            let Some(datagram) = encode(message) else { continue };
             let before = sent.0.len();
-            fleet.heard(from, bytes, now, &mut sent);
-            prop_assert!(sent.0[before..].len() <= 16, "bounded answers");
-            fleet.tick(now, &mut sent);
-            for (word, state) in fleet.view() {
-                let rank = word.rank();
-                if let Some(was) = last.insert(word.name.clone(), rank) {
-                    prop_assert!(rank >= was, "{} went back", word.name);
+            member.receive(from, &datagram, now, &mut sent);
+            prop_assert!(sent.0[before..].len() <= 16, "bounded replies");
+            member.tick(now, &mut sent);
+            for (record, state) in member.members() {
+                let precedence = record.precedence();
+                if let Some(known) = newest.insert(record.name.clone(), precedence) {
+                    prop_assert!(precedence >= known, "{} went back", record.name);
                 }
-                prop_assert!(state != State::Left || word.life == Life::Left || word.life == Life::Leaving);
+                let has_left = matches!(record.lifecycle, Lifecycle::Left | Lifecycle::Leaving);
+                prop_assert!(state != MemberState::Left || has_left);
             }
-            prop_assert!(fleet.view().count() <= 7);
+            prop_assert!(member.members().count() <= 7);
         }
     }
 
     #[test]
-    fn an_answer_to_a_stranger_is_no_longer_than_its_question(packet in packets(), news in 0..40u8) {
-        let (mut fleet, mut sent) = (one(), Sent::default());
-        // It has plenty to tell.
-        for n in 10..10 + news {
-            let from = word(n, 1, 1, Life::Alive);
-            let mut buffer = [0; MOST];
-            let told = Packet { from, body: Body::Tell, news: Words::new() };
-            let bytes = wire::write("f", &Message::Member(told), &mut buffer).expect("it fits");
-            fleet.heard(address(n), bytes, 1, &mut sent);
+    fn a_reply_to_an_unknown_address_is_no_longer_than_the_datagram(message in messages(), others in 0..40u8) {
+        let (mut member, mut sent) = (new_member(), SentDatagrams::default());
+        // So that it has plenty to gossip.
+        for host in 10..10 + others {
+            let introduction = bare_message(record(host, 1, 1, Lifecycle::Alive), GossipBody::UpdatesOnly);
+            let datagram = encode(introduction).expect("it fits");
+            member.receive(address(host), &datagram, 1, &mut sent);
         }
         sent.0.clear();
-        let mut buffer = [0; MOST];
-        let Some(bytes) = wire::write("f", &Message::Member(packet), &mut buffer).map(<[u8]>::to_vec) else { return Ok(()) };
-        fleet.heard(address(250), &bytes, 2, &mut sent);
-        let back: usize = sent.0.iter().filter(|s| s.0 == address(250)).map(|s| s.1).sum();
-        prop_assert!(back <= bytes.len(), "{back} for {}", bytes.len());
-        prop_assert_eq!(sent.0.len(), usize::from(back > 0), "and nobody else hears of it");
+        let Some(datagram) = encode(message) else { return Ok(()) };
+        member.receive(address(250), &datagram, 2, &mut sent);
+        let replied: usize = sent.0.iter().filter(|(to, _)| *to == address(250)).map(|(_, bytes)| bytes).sum();
+        prop_assert!(replied <= datagram.len(), "{replied} for {}", datagram.len());
+        prop_assert_eq!(sent.0.len(), usize::from(replied > 0), "nothing is sent to anybody else");
     }
 }
 
 #[test]
-fn a_flood_of_new_names_ends_at_the_bound_and_is_counted() {
-    let (mut fleet, mut sent) = (one(), Sent::default());
-    for n in 0..(MEMBERS_MOST + 50) {
-        let mut from = word(1, 1, 1, Life::Alive);
-        from.name = name(&format!("x{n}"));
-        let mut buffer = [0; MOST];
-        let packet = Packet { from, body: Body::Tell, news: Words::new() };
-        let bytes = wire::write("f", &Message::Member(packet), &mut buffer).expect("it fits");
-        fleet.heard(address(2), bytes, 1, &mut sent);
+fn members_beyond_the_bound_are_dropped_and_counted() {
+    let (mut member, mut sent) = (new_member(), SentDatagrams::default());
+    for n in 0..(MAX_MEMBERS + 50) {
+        let mut sender = record(1, 1, 1, Lifecycle::Alive);
+        sender.name = name(&format!("x{n}"));
+        let datagram = encode(bare_message(sender, GossipBody::UpdatesOnly)).expect("it fits");
+        member.receive(address(2), &datagram, 1, &mut sent);
     }
-    assert_eq!((fleet.view().count(), fleet.counts().full), (MEMBERS_MOST, 51));
+    assert_eq!((member.members().count(), member.counters().capacity_drops), (MAX_MEMBERS, 51));
     assert!(sent.0.is_empty());
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,7 +4,7 @@
 use crate::endpoints::{self, WatchEvent};
 use crate::field_error::{self, FieldError};
 use crate::settings::{self, PlatformSettings};
-use mallowseam_fleet::settings::Place;
+use mallowseam_fleet::config::FleetConfig;
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -36,7 +36,7 @@
     /// The deployment's settings.
     pub settings: PlatformSettings,
     /// How the host takes part in the fleet's membership; none: it does not.
-    pub fleet: Option<Place>,
+    pub fleet: Option<FleetConfig>,
 }
 
 /// Why a configuration is rejected. `Display` is what operators are shown.
@@ -177,7 +177,7 @@
     }
 
     /// The host's part in the membership, which may be absent: `Some(None)`.
-    fn fleet(&mut self, value: &Value, host: &str) -> Option<Option<Place>> {
+    fn fleet(&mut self, value: &Value, host: &str) -> Option<Option<FleetConfig>> {
         if value.is_null() {
             return Some(None);
         }
--- a/crates/platform/src/config/fleet.rs
+++ b/crates/platform/src/config/fleet.rs
@@ -1,13 +1,13 @@
 //! The object `fleet` of a configuration: how a host takes part in the fleet's membership.
 use crate::field_error::FieldError;
-use mallowseam_fleet::settings::{Place, Written};
+use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 
 const FIELDS: [&str; 7] = ["name", "listen", "reached_at", "zone", "seeds", "period_ms", "keep_s"];
 
 /// Reads the object; what is wrong with it is added to `errors`.
-pub(super) fn read(value: &Value, host: &str, errors: &mut Vec<FieldError>) -> Option<Place> {
+pub(super) fn read(value: &Value, host: &str, errors: &mut Vec<FieldError>) -> Option<FleetConfig> {
     let Some(object) = value.as_object() else {
         errors.push(FieldError::new("fleet", "expected an object"));
         return None;
@@ -16,20 +16,20 @@
         reject(errors, field, &format!("one of {}", FIELDS.join(", ")));
     }
     let text = |field: &str| value[field].as_str().unwrap_or_default().to_owned();
-    let written = Written {
+    let unchecked = UncheckedFleetConfig {
         fleet: text("name"),
         host: host.to_owned(),
         listen: address("listen", &value["listen"], errors),
-        reached_at: address("reached_at", &value["reached_at"], errors),
+        advertise_address: address("reached_at", &value["reached_at"], errors),
         zone: text("zone"),
         seeds: seeds(&value["seeds"], errors),
         period: duration(value, "period_ms", 1, errors),
         keep: duration(value, "keep_s", 1_000, errors),
     };
-    match written.check() {
-        Ok(place) => Some(place),
+    match unchecked.validate() {
+        Ok(config) => Some(config),
         Err(all) => {
-            errors.extend(all.iter().map(|error| field_error(error)));
+            errors.extend(all.iter().map(|error| field_error(&error.to_string())));
             None
         }
     }
--- a/crates/platform/tests/configurations.rs
+++ b/crates/platform/tests/configurations.rs
@@ -33,8 +33,8 @@
         r#"{"name":"south","listen":"127.0.0.4:7000","seeds":["127.0.0.5:7000"],"zone":"z1","period_ms":500}"#,
     );
     let fleet = config::parse(&valid).expect("valid").fleet.expect("present");
-    assert_eq!((fleet.settings.name.as_str(), fleet.settings.period), ("n3", 500));
-    assert_eq!(fleet.settings.address, fleet.listen, "advertises the address that it listens on");
+    assert_eq!((fleet.membership.name.as_str(), fleet.membership.protocol_period), ("n3", 500));
+    assert_eq!(fleet.membership.address, fleet.listen, "advertises the address that it listens on");
     let bad = r#"{"name":"","listen":"0.0.0.0:7000","seeds":["x"],"zone":"a zone of far more than its bytes","period_ms":3,"keep":1}"#;
     let errors = config::parse(&with(bad)).expect_err("errors").to_string();
     for field in ["name", "reached_at", "seeds", "zone", "period", "keep"] {
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -3,7 +3,7 @@
     Catalog, Direction, Effect, Extent, Fleet, Host, IoClass, Node, Plan, PlanService, Volume,
 };
 use crate::lines::{Arguments, Diagnostics, Position, Token, tokenize};
-use mallowseam_fleet::settings::{Place, Written};
+use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 use std::collections::HashSet;
 
 #[derive(Default)]
@@ -215,7 +215,7 @@
             }
         }
         "seed" => host.seed = args.integer("a whole number", 0, u64::MAX),
-        "fleet" => host.membership = place(&host.name, args),
+        "fleet" => host.fleet = fleet_membership(&host.name, args),
         _ => {
             return Err(
                 "listen, target, control, node-list, kept-list, follow, kept-plans, window, connections, longest, \
@@ -227,31 +227,34 @@
 }
 
 /// A host's place in its fleet's view: the fleet's name, then what is told of it.
-fn place(host: &str, args: &mut Arguments) -> Option<Place> {
-    let mut written =
-        Written { fleet: args.text("the fleet's name")?, host: host.to_owned(), ..Written::default() };
+fn fleet_membership(host: &str, args: &mut Arguments) -> Option<FleetConfig> {
+    let mut config = UncheckedFleetConfig {
+        fleet: args.text("the fleet's name")?,
+        host: host.to_owned(),
+        ..UncheckedFleetConfig::default()
+    };
     let address = "an address and port";
     while args.has_more() {
         if args.accept("listen") {
-            written.listen = args.address(address);
+            config.listen = args.address(address);
         } else if args.accept("reached-at") {
-            written.reached_at = args.address(address);
+            config.advertise_address = args.address(address);
         } else if args.accept("zone") {
-            written.zone = args.text("a zone").unwrap_or_default();
+            config.zone = args.text("a zone").unwrap_or_default();
         } else if args.accept("seed") {
-            written.seeds.extend(args.address(address));
+            config.seeds.extend(args.address(address));
         } else if args.accept("period") {
-            written.period = args.duration("a duration such as 1s").map(|us| us / 1_000);
+            config.period = args.duration("a duration such as 1s").map(|us| us / 1_000);
         } else if args.accept("keep") {
-            written.keep = args.duration("a duration such as 1h").map(|us| us / 1_000);
+            config.keep = args.duration("a duration such as 1h").map(|us| us / 1_000);
         } else {
             args.value::<()>("listen, reached-at, zone, seed, period or keep", |_| None)?;
         }
     }
-    match written.check() {
-        Ok(place) => Some(place),
+    match config.validate() {
+        Ok(config) => Some(config),
         Err(wrong) => {
-            args.report_conflicts(&wrong);
+            args.report_conflicts(&wrong.iter().map(ToString::to_string).collect::<Vec<_>>());
             None
         }
     }
--- a/crates/settings/tests/pinned_reading.rs
+++ b/crates/settings/tests/pinned_reading.rs
@@ -124,19 +124,19 @@
     writeln!(out, "  longest {} digests {} {}", h.max_transfer_bytes, h.header_digest, h.data_digest)
         .expect("memory");
     writeln!(out, "  seed {:?}", h.seed).expect("memory");
-    match &h.membership {
+    match &h.fleet {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
             out,
             "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
-            p.settings.fleet,
-            p.settings.name,
-            p.settings.address,
+            p.membership.fleet,
+            p.membership.name,
+            p.membership.address,
             p.listen,
-            p.settings.zone,
-            p.settings.seeds,
-            p.settings.period,
-            p.settings.keep
+            p.membership.zone,
+            p.membership.seeds,
+            p.membership.protocol_period,
+            p.membership.unreachable_retention
         ),
     }
     .expect("memory");
