--- a/crates/archive/src/reader.rs
+++ b/crates/archive/src/reader.rs
@@ -37,8 +37,11 @@
         let no_header = || Error::damaged(0, "the head of a snapshot stream");
         let mut fixed = [0; FIXED_HEADER_BYTES];
         input.read_exact(&mut fixed).map_err(|_| no_header())?;
-        let number = |at: usize| u32::from_le_bytes([fixed[at], fixed[at + 1], fixed[at + 2], fixed[at + 3]]);
-        let (extent_bytes, extent_count) = (number(8), number(12));
+        let read_u32 = |offset: usize| {
+            let bytes = &fixed[offset..offset + 4];
+            u32::from_le_bytes(bytes.try_into().expect("four bytes"))
+        };
+        let (extent_bytes, extent_count) = (read_u32(8), read_u32(12));
         let name_length = usize::from(u16::from_le_bytes([fixed[16], fixed[17]]));
         if fixed[..MAGIC.len()] != *MAGIC || !Header::is_within_bounds(name_length, extent_bytes) {
             return Err(no_header());
@@ -73,11 +76,12 @@
     ///
     /// [`Error::Damaged`]: the record is damaged or cut off. The resume point stays before it.
     pub fn next_record(&mut self) -> Result<Record, Error> {
-        let [tag, number @ ..] = self.read_array::<5>()?;
-        let number = u32::from_le_bytes(number);
+        // The extent of a frame, or the number of frames at the end.
+        let [tag, value @ ..] = self.read_array::<5>()?;
+        let value = u32::from_le_bytes(value);
         match tag {
-            FRAME_TAG => self.read_extent(number),
-            END_TAG => self.read_end(number),
+            FRAME_TAG => self.read_extent(value),
+            END_TAG => self.read_end(value),
             _ => Err(self.damaged("a frame or the end")),
         }
     }
--- a/crates/change-log/src/lib.rs
+++ b/crates/change-log/src/lib.rs
@@ -1,4 +1,4 @@
-//! The change log of plans on disk: its entries, and now and then a checkpoint, which is the whole state after one of
+//! The change log of plans on disk: its entries, and now and then a checkpoint, which is the full state after one of
 //! them, so that opening reads few entries however long the log is. What `append` has returned for is there after any
 //! crash.
 #![warn(missing_docs)]
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// The entry does not follow the log; nothing is changed then. After an error of the database the store takes no
-    /// more entries: it has to be opened anew.
+    /// more entries: it has to be reopened.
     pub fn append(&mut self, text: &str) -> Result<LogEntry, Error> {
         self.store.check_not_poisoned()?;
         let mut next = self.log.clone();
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub struct Reclaimer {
     /// Version at which each location was last found to be unreachable. Only the entry of a queue with this version
-    /// is valid: a location that was read again in between has to wait anew.
+    /// is valid: a location that was read again in between has to wait again.
     unreachable_since: BTreeMap<LayerExtent, u64>,
     /// In order of versions: those whose version is not effective yet.
     waiting: VecDeque<Unreachable>,
@@ -46,7 +46,9 @@
         let mut reclaimer = Reclaimer::default();
         for (layer, extents) in tree.unreachable_extents() {
             reclaimer.maybe_empty.insert(layer);
-            extents.into_iter().for_each(|extent| reclaimer.enqueue(tree.version, (layer, extent)));
+            for extent in extents {
+                reclaimer.enqueue(tree.version, (layer, extent));
+            }
         }
         reclaimer
     }
--- a/crates/cow/src/tree/consistency.rs
+++ b/crates/cow/src/tree/consistency.rs
@@ -6,7 +6,7 @@
 /// A rule that a tree breaks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Inconsistency {
-    /// The index differs from one that is built anew.
+    /// The index differs from one that is built from the layers and names.
     #[error("the index does not match the layers")]
     StaleIndex,
     /// The parent is missing or takes writes.
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -14,7 +14,7 @@
 pub const SLOT_BATCH: u32 = 64;
 /// With fewer slots left, more are requested.
 const SLOTS_LOW_WATERMARK: usize = 16;
-/// Lookups remembered, over all heads and snapshots: some 100 MiB at most. Past that all are looked up anew.
+/// Lookups remembered, over all heads and snapshots: some 100 MiB at most. Past that all are forgotten.
 const MAX_REMEMBERED_LOOKUPS: usize = 1 << 21;
 /// A request that the catalog has not answered is sent again after this: it may have restarted.
 pub const RESEND_AFTER: Millis = 500;
@@ -66,7 +66,7 @@
     /// How long to wait before the next attempt to connect to the catalog.
     pub const RECONNECT_INTERVAL: Millis = 200;
 
-    /// The tree that is held, which the catalog is told when a connection opens.
+    /// The tree that is held: the catalog needs to know it when a connection opens.
     #[must_use]
     pub fn known(&self) -> Option<TreeVersion> {
         let tree = self.tree.as_ref()?;
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -1,5 +1,5 @@
-//! Everything that the copy-on-write logic decides in a seeded run of a catalog with its hosts, reduced to one
-//! hash a seed. The hashes were recorded before the code was restructured: a hash that differs means that a
+//! Everything that the copy-on-write logic decides in seeded runs of a catalog with its hosts, reduced to one hash a
+//! seed. The hashes were recorded before the code was restructured: a hash that differs means that a
 //! decision, a constant or the order of a result has changed.
 //!
 //! Trees and changes enter the hash as the JSON that is stored and sent; decisions by codes of this file, so that
@@ -72,13 +72,13 @@
         self.numbers([layer.into(), location.node.into(), location.slot.into()]);
     }
 
-    fn refusal(&mut self, refused: &ChangeError) {
+    fn change_error(&mut self, error: &ChangeError) {
         self.number(99);
-        self.text(&refused.to_string());
+        self.text(&error.to_string());
     }
 
-    fn look(&mut self, look: Lookup) {
-        match look {
+    fn lookup(&mut self, lookup: Lookup) {
+        match lookup {
             Lookup::Found(layer, location) => {
                 self.number(1);
                 self.location(layer, location);
@@ -116,9 +116,9 @@
 
 struct Host {
     name: String,
-    cache: TreeReplica,
-    copies: CopyBudget,
-    pieces: SplitWrite,
+    replica: TreeReplica,
+    budget: CopyBudget,
+    split_write: SplitWrite,
     /// Changes on their way.
     inbox: VecDeque<(u64, Change)>,
     /// Extents being copied: into which layer, whether tried before.
@@ -131,11 +131,11 @@
     now: u64,
     tree: Tree,
     leases: HostLeases,
-    free: Reclaimer,
+    reclaimer: Reclaimer,
     cuts: Vec<ConsistentCut>,
     hosts: Vec<Host>,
-    opening: Vec<(u64, LayerId, u32)>,
-    under_way: Vec<(LayerId, u32)>,
+    awaiting_writable: Vec<(u64, LayerId, u32)>,
+    in_flight: Vec<(LayerId, u32)>,
     made: u64,
 }
 
@@ -143,9 +143,9 @@
     fn new(seed: u64) -> Run {
         let host = |n: usize| Host {
             name: format!("h{n}"),
-            cache: TreeReplica::default(),
-            copies: CopyBudget::default(),
-            pieces: SplitWrite::default(),
+            replica: TreeReplica::default(),
+            budget: CopyBudget::default(),
+            split_write: SplitWrite::default(),
             inbox: VecDeque::new(),
             copying: Vec::new(),
         };
@@ -155,11 +155,11 @@
             now: 10,
             tree: Tree::default(),
             leases: HostLeases::new(10, seed.is_multiple_of(2)),
-            free: Reclaimer::default(),
+            reclaimer: Reclaimer::default(),
             cuts: Vec::new(),
             hosts: (0..HOSTS).map(host).collect(),
-            opening: Vec::new(),
-            under_way: Vec::new(),
+            awaiting_writable: Vec::new(),
+            in_flight: Vec::new(),
             made: 0,
         };
         run.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
@@ -167,45 +167,45 @@
         run
     }
 
-    /// Makes a change if the tree allows it, and tells the hosts. Whether it was made.
+    /// Applies a change if the tree allows it, and sends it to the hosts. Whether it was applied.
     fn apply(&mut self, change: Change) -> bool {
         self.record.text(&serde_json::to_string(&change).expect("plain data"));
-        let touched = match self.tree.apply(&change) {
-            Ok(touched) => touched,
-            Err(refused) => {
-                self.record.refusal(&refused);
+        let effects = match self.tree.apply(&change) {
+            Ok(effects) => effects,
+            Err(error) => {
+                self.record.change_error(&error);
                 return false;
             }
         };
         let record = &mut self.record;
         record.number(self.tree.version);
-        record.numbers(touched.layers.iter().map(|l| u64::from(*l)));
-        record.numbers(touched.locations.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
-        touched.branches.iter().chain(&touched.snapshots).for_each(|n| record.text(n));
-        record.numbers(touched.dereferenced.map(u64::from));
-        record.numbers(touched.placed.into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]));
+        record.numbers(effects.layers.iter().map(|l| u64::from(*l)));
+        record.numbers(effects.locations.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
+        effects.branches.iter().chain(&effects.snapshots).for_each(|n| record.text(n));
+        record.numbers(effects.dereferenced.map(u64::from));
+        record.numbers(effects.placed.into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]));
         record.numbers(
-            self.tree.newly_unreachable(&touched).into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
+            self.tree.newly_unreachable(&effects).into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
         );
-        self.free.record_change(&self.tree, &touched);
+        self.reclaimer.record_change(&self.tree, &effects);
         let version = self.tree.version;
         self.hosts.iter_mut().for_each(|h| h.inbox.push_back((version, change.clone())));
         true
     }
 
-    /// A host reads the whole tree anew.
+    /// A host receives the full tree.
     fn connect(&mut self, host: usize) {
         let host = &mut self.hosts[host];
         self.record
-            .numbers(host.cache.known().into_iter().flat_map(|known| [known.catalog_id, known.version]));
+            .numbers(host.replica.known().into_iter().flat_map(|known| [known.catalog_id, known.version]));
         for message in full_tree_messages(7, &self.tree) {
             let sound = match message {
                 ToHost::FullTree { catalog_id, tree } => {
-                    host.cache.begin_full_tree(catalog_id, *tree);
+                    host.replica.begin_full_tree(catalog_id, *tree);
                     true
                 }
-                ToHost::Locations { layer, locations } => host.cache.add_locations(layer, &locations),
-                _ => host.cache.finish_full_tree(),
+                ToHost::Locations { layer, locations } => host.replica.add_locations(layer, &locations),
+                _ => host.replica.finish_full_tree(),
             };
             self.record.number(sound.into());
         }
@@ -241,41 +241,41 @@
         let (h, extent) = (self.rng.below(HOSTS as u64) as usize, self.rng.below(EXTENTS.into()) as u32);
         let write = self.rng.below(3) > 0;
         let host = &mut self.hosts[h];
-        let look = host.cache.look_up(&name, extent, write, self.now);
-        self.record.look(look);
-        self.record.number(host.cache.has_lease(self.now).into());
-        let Lookup::CopyFirst { into, .. } = look else { return };
-        let again = host.copying.iter().any(|c| (c.0, c.1, c.2) == (into, extent, true));
-        let begins = host.copies.may_start(host.copying.len(), again, self.now);
-        self.record.numbers([begins.into(), host.copies.rejected_retries]);
-        if begins && !again {
+        let lookup = host.replica.look_up(&name, extent, write, self.now);
+        self.record.lookup(lookup);
+        self.record.number(host.replica.has_lease(self.now).into());
+        let Lookup::CopyFirst { into, .. } = lookup else { return };
+        let is_retry = host.copying.iter().any(|c| (c.0, c.1, c.2) == (into, extent, true));
+        let starts = host.budget.may_start(host.copying.len(), is_retry, self.now);
+        self.record.numbers([starts.into(), host.budget.rejected_retries]);
+        if starts && !is_retry {
             host.copying.push((into, extent, false));
         }
-        if host.cache.needs_slots(into) {
+        if host.replica.needs_slots(into) {
             self.record.number(8);
             let first = self.tree.layers.get(&into).map_or(0, |l| l.next_slot);
             if self.apply(Change::SlotsAllocated { layer: into, first, count: SLOT_BATCH }) {
-                self.hosts[h].cache.add_slots(into, first, SLOT_BATCH);
+                self.hosts[h].replica.add_slots(into, first, SLOT_BATCH);
             }
         }
     }
 
-    /// A copy ends: well, with a location of its own, or not.
-    fn copy_ends(&mut self) {
+    /// A copy succeeds, at a location of its own, or fails.
+    fn copy_finishes(&mut self) {
         let h = self.rng.below(HOSTS as u64) as usize;
-        let well = self.rng.below(4) > 0;
+        let succeeds = self.rng.below(4) > 0;
         let host = &mut self.hosts[h];
         if host.copying.is_empty() {
             return;
         }
         let at = self.rng.below(host.copying.len() as u64) as usize;
-        if !well {
+        if !succeeds {
             host.copying[at].2 = true;
             return;
         }
         let (layer, extent, _) = host.copying.remove(at);
-        host.copies.record_success();
-        let slot = host.cache.take_slot(layer);
+        host.budget.record_success();
+        let slot = host.replica.take_slot(layer);
         self.record.numbers(slot.map(u64::from));
         let Some(slot) = slot else { return };
         let location = Location { node: self.rng.below(NODES) as u32, slot };
@@ -283,55 +283,55 @@
         match check_placement(&self.tree, &change) {
             Ok(None) => {
                 if self.apply(change) {
-                    self.opening.push((self.tree.version, layer, extent));
+                    self.awaiting_writable.push((self.tree.version, layer, extent));
                 }
             }
             Ok(Some(first)) => self.record.location(layer, first),
-            Err(refused) => self.record.refusal(&refused),
+            Err(error) => self.record.change_error(&error),
         }
     }
 
-    fn opened(&mut self) {
-        for (version, layer, extent) in std::mem::take(&mut self.opening) {
+    fn make_writable(&mut self) {
+        for (version, layer, extent) in std::mem::take(&mut self.awaiting_writable) {
             if self.leases.is_effective(version, self.now) {
                 self.apply(Change::ExtentWritable { layer, extent });
             } else {
-                self.opening.push((version, layer, extent));
+                self.awaiting_writable.push((version, layer, extent));
             }
         }
     }
 
-    /// A host reads some of the changes that are on their way.
-    fn hears(&mut self) {
+    /// A host applies some of the changes that are on their way.
+    fn receive_changes(&mut self) {
         let host = self.rng.below(HOSTS as u64) as usize;
         let count = self.rng.below(12);
         for _ in 0..count {
             let h = &mut self.hosts[host];
             let Some((version, change)) = h.inbox.pop_front() else { return };
-            let follows = h.cache.apply_change(version, &change);
+            let follows = h.replica.apply_change(version, &change);
             self.record.number(follows.into());
             if !follows {
-                h.cache.invalidate();
+                h.replica.invalidate();
                 return self.connect(host);
             }
-            self.leases.acknowledge(&h.name, h.cache.version().unwrap_or(0));
+            self.leases.acknowledge(&h.name, h.replica.version().unwrap_or(0));
         }
     }
 
-    fn renewal_due(&mut self) {
+    fn renew_leases(&mut self) {
         for host in &mut self.hosts {
-            let due = host.cache.renewal_due(self.now);
+            let due = host.replica.renewal_due(self.now);
             self.record.number(due.into());
             if due && self.rng.below(8) > 0 {
-                let seen = host.cache.version().unwrap_or(0);
+                let seen = host.replica.version().unwrap_or(0);
                 let span = self.leases.renew(&host.name, seen, self.now);
                 self.record.number(span);
-                host.cache.lease_granted(self.now, span);
+                host.replica.lease_granted(self.now, span);
             }
         }
     }
 
-    fn closes(&mut self) {
+    fn close_layers(&mut self) {
         let due: Vec<(LayerId, u32)> = self.tree.pending_closes().collect();
         self.record.numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
         for (layer, node) in due {
@@ -341,7 +341,7 @@
         }
     }
 
-    fn cut(&mut self) {
+    fn begin_cut(&mut self) {
         let branch = self.branch();
         let name = if self.rng.below(12) == 0 { "twice".into() } else { self.name() };
         let hosts = self.leases.active_hosts(self.now);
@@ -356,7 +356,7 @@
         }
     }
 
-    fn cuts_go_on(&mut self) {
+    fn advance_cuts(&mut self) {
         for mut cut in std::mem::take(&mut self.cuts) {
             for host in 0..HOSTS {
                 if self.rng.below(3) == 0 {
@@ -387,72 +387,72 @@
     }
 
     /// A write of several parts takes a step.
-    fn parts(&mut self) {
+    fn step_split_write(&mut self) {
         let h = self.rng.below(HOSTS as u64) as usize;
         let branch = self.branch();
         let (head, other) = (self.tree.branches[&branch].head, self.layer());
         let now = self.now;
         let host = &mut self.hosts[h];
         match self.rng.below(4) {
-            0 => host.pieces.part_completed(head),
-            1 => host.pieces = SplitWrite::default(),
+            0 => host.split_write.part_completed(head),
+            1 => host.split_write = SplitWrite::default(),
             _ => {
-                let elsewhere = self.rng.below(5) == 0;
-                match host.pieces.admit(head, elsewhere, now) {
+                let in_flight_elsewhere = self.rng.below(5) == 0;
+                match host.split_write.admit(head, in_flight_elsewhere, now) {
                     PartAdmission::Send => self.record.number(1),
                     PartAdmission::Wait => self.record.number(2),
                     PartAdmission::Reject => self.record.number(3),
                     PartAdmission::RequestPermission(layer) => {
                         self.record.numbers([4, layer.into()]);
                         let found = decide_completion(&self.tree, layer);
-                        let given = found.as_ref().is_some_and(|found| found.is_granted);
-                        let between = found.map(|found| found.frozen_layers).unwrap_or_default();
-                        self.record.number(given.into());
-                        self.record.numbers(between.iter().map(|l| u64::from(*l)));
-                        if given {
+                        let granted = found.as_ref().is_some_and(|found| found.is_granted);
+                        let frozen_layers = found.map(|found| found.frozen_layers).unwrap_or_default();
+                        self.record.number(granted.into());
+                        self.record.numbers(frozen_layers.iter().map(|l| u64::from(*l)));
+                        if granted {
                             self.cuts
                                 .iter_mut()
-                                .filter(|c| between.contains(&c.layer))
+                                .filter(|c| frozen_layers.contains(&c.layer))
                                 .for_each(ConsistentCut::mark_stale);
                         }
                         if self.rng.below(3) > 0 {
-                            self.hosts[h].pieces.permission_decided(layer, given);
+                            self.hosts[h].split_write.permission_decided(layer, granted);
                         }
                     }
                 }
             }
         }
-        self.record.number(self.hosts[h].pieces.started_in_or_before(other).into());
-    }
-
-    fn give_back(&mut self) {
-        let kept: BTreeSet<LayerId> = self.cuts.iter().map(|c| c.layer).collect();
-        let limit = 50 * self.rng.below(4);
-        let lot = self.free.next_batch(&self.tree, &kept, &self.leases, limit, self.now);
-        self.record.numbers(lot.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
-        self.under_way.extend(lot);
-        let idle = self.free.removable_layers(&self.tree, &kept);
-        self.record.numbers(idle.iter().map(|l| u64::from(*l)));
-        for layer in idle {
+        self.record.number(self.hosts[h].split_write.started_in_or_before(other).into());
+    }
+
+    fn reclaim(&mut self) {
+        let retained: BTreeSet<LayerId> = self.cuts.iter().map(|c| c.layer).collect();
+        let max_in_flight = 50 * self.rng.below(4);
+        let batch = self.reclaimer.next_batch(&self.tree, &retained, &self.leases, max_in_flight, self.now);
+        self.record.numbers(batch.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
+        self.in_flight.extend(batch);
+        let removable = self.reclaimer.removable_layers(&self.tree, &retained);
+        self.record.numbers(removable.iter().map(|l| u64::from(*l)));
+        for layer in removable {
             self.apply(Change::ExtentsReclaimed { layer, extents: Vec::new() });
         }
     }
 
-    fn given_back(&mut self) {
-        for at in std::mem::take(&mut self.under_way) {
+    fn finish_reclaims(&mut self) {
+        for at in std::mem::take(&mut self.in_flight) {
             match self.rng.below(4) {
-                0 => self.under_way.push(at),
-                1 => self.free.failed(at, self.now),
+                0 => self.in_flight.push(at),
+                1 => self.reclaimer.failed(at, self.now),
                 _ => {
-                    self.free.completed(at);
+                    self.reclaimer.completed(at);
                     self.apply(Change::ExtentsReclaimed { layer: at.0, extents: vec![at.1] });
                 }
             }
         }
-        self.record.number(self.free.pending_count() as u64);
+        self.record.number(self.reclaimer.pending_count() as u64);
     }
 
-    fn names(&mut self) {
+    fn change_names(&mut self) {
         let (branch, snapshot, name) = (self.branch(), self.snapshot(), self.name());
         let change = match (self.rng.below(10), snapshot) {
             (0, _) if self.tree.branches.len() < 5 => {
@@ -472,8 +472,8 @@
         self.apply(change);
     }
 
-    /// A change that need not fit what stands.
-    fn stray(&mut self) {
+    /// A change that need not fit the tree.
+    fn check_arbitrary_change(&mut self) {
         let (layer, extent) = (self.layer(), self.rng.below(u64::from(EXTENTS) + 4) as u32);
         let location = Location { node: self.rng.below(NODES) as u32, slot: self.rng.below(300) as u32 };
         let (branch, name) = (self.branch(), "x".to_owned());
@@ -488,11 +488,11 @@
         };
         match self.tree.check(&change) {
             Ok(()) => self.record.number(1),
-            Err(refused) => self.record.refusal(&refused),
+            Err(error) => self.record.change_error(&error),
         }
     }
 
-    fn queries(&mut self) {
+    fn query(&mut self) {
         let (a, b) = (self.layer(), self.layer());
         let record = &mut self.record;
         record.numbers(self.tree.diff(a, b, EXTENTS).into_iter().map(u64::from));
@@ -530,41 +530,41 @@
         };
         match self.rng.below(100) {
             0..40 => self.block_io(),
-            40..60 => self.copy_ends(),
-            60..70 => self.hears(),
-            70..75 => self.renewal_due(),
-            75..78 => self.closes(),
-            78..80 => self.cut(),
-            80..83 => self.cuts_go_on(),
-            83..88 => self.parts(),
-            88 => self.give_back(),
-            89..91 => self.given_back(),
-            91..94 => self.names(),
-            94..96 => self.stray(),
-            96 => self.queries(),
+            40..60 => self.copy_finishes(),
+            60..70 => self.receive_changes(),
+            70..75 => self.renew_leases(),
+            75..78 => self.close_layers(),
+            78..80 => self.begin_cut(),
+            80..83 => self.advance_cuts(),
+            83..88 => self.step_split_write(),
+            88 => self.reclaim(),
+            89..91 => self.finish_reclaims(),
+            91..94 => self.change_names(),
+            94..96 => self.check_arbitrary_change(),
+            96 => self.query(),
             97 => self.leases.remove_expired(self.now),
             98 => {
                 let host = self.rng.below(HOSTS as u64) as usize;
-                self.hosts[host].cache.connection_lost();
+                self.hosts[host].replica.connection_lost();
                 self.connect(host);
             }
-            // The catalog starts anew.
+            // The catalog restarts.
             _ if self.rng.below(20) == 0 => {
                 self.leases = HostLeases::new(self.now, false);
-                self.free = Reclaimer::from_tree(&self.tree);
-                self.under_way.clear();
+                self.reclaimer = Reclaimer::from_tree(&self.tree);
+                self.in_flight.clear();
                 self.cuts.clear();
             }
             _ => {}
         }
-        self.opened();
+        self.make_writable();
     }
 }
 
 fn hash(seed: u64) -> u64 {
     let mut run = Run::new(seed);
     (0..STEPS).for_each(|_| run.step());
-    run.queries();
+    run.query();
     run.record.0
 }
 
@@ -592,7 +592,7 @@
 ];
 
 #[test]
-fn every_decision_of_twenty_seeded_runs_is_as_recorded() {
+fn decisions_of_twenty_seeded_runs_match() {
     let found: Vec<u64> = (1..=RECORDED.len() as u64).map(hash).collect();
     let found: Vec<String> = found.iter().map(|h| format!("{h:#018x}")).collect();
     let recorded: Vec<String> = RECORDED.iter().map(|h| format!("{h:#018x}")).collect();
@@ -600,7 +600,7 @@
 }
 
 #[test]
-fn constants_are_as_recorded() {
+fn constants_match() {
     assert_eq!((LEASE_DURATION, LEASE_MARGIN, CUT_TIMEOUT), (3_000, 50, 5_000));
     assert_eq!(
         (copy_budget::MAX_CONCURRENT_COPIES, copy_budget::RETRY_DELAY, copy_budget::FAILURE_MEMORY),
@@ -616,9 +616,9 @@
     );
 }
 
-/// More numbers are asked for once fewer than 16 are left.
+/// More slots are requested once fewer than 16 are left.
 #[test]
-fn the_low_water_mark_of_numbers_is_as_recorded() {
+fn slots_low_watermark_matches() {
     let mut cache = TreeReplica::default();
     cache.add_slots(1_024, 0, 16);
     assert!(!cache.needs_slots(1_024));
@@ -626,10 +626,9 @@
     assert!(cache.needs_slots(1_024) && cache.needs_slots(1_025));
 }
 
-/// Eight copies are begun again at once, then one every 250 ms, and one for every ten (and a rounding error) that
-/// ended well.
+/// Eight retries are admitted at once, then one every 250 ms, and one for every ten (and a rounding error) successes.
 #[test]
-fn the_budget_of_copies_begun_again_is_as_recorded() {
+fn retry_budget_matches() {
     let mut copies = CopyBudget::default();
     let begun: Vec<u64> = (1..=1_000).filter(|now| copies.may_start(0, true, *now)).collect();
     assert_eq!(begun, [1, 2, 3, 4, 5, 6, 7, 8, 250, 500, 750, 1_000]);
@@ -641,13 +640,13 @@
     assert_eq!(copies.rejected_retries, 990);
 }
 
-/// One call looks at 256 places and gives 64 back; those that a pending cut keeps go to the back of the queue.
+/// One call looks at 256 locations and releases 64; those that a pending cut retains go to the back of the queue.
 #[test]
-fn the_size_of_a_lot_is_as_recorded() {
+fn reclaim_batch_size_matches() {
     let (mut tree, mut free, leases) = (Tree::default(), Reclaimer::default(), HostLeases::new(0, true));
     let mut apply = |tree: &mut Tree, change: Change| {
-        let touched = tree.apply(&change).expect("fits");
-        free.record_change(tree, &touched);
+        let effects = tree.apply(&change).expect("fits");
+        free.record_change(tree, &effects);
     };
     apply(&mut tree, Change::BranchCreated { branch: "a".into(), extent_count: 600 });
     apply(&mut tree, Change::SlotsAllocated { layer: 1_024, first: 0, count: 600 });
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -19,6 +19,22 @@
     host: TreeReplica,
 }
 
+/// One step of a run: its kind, and which name and extent it is about.
+#[derive(Clone, Copy, Debug)]
+struct Step {
+    kind: u8,
+    name: usize,
+    extent: usize,
+}
+
+fn step(kind: u8, name: usize, extent: usize) -> Step {
+    Step { kind, name, extent }
+}
+
+fn any_step() -> impl Strategy<Value = Step> {
+    (0u8..11, 0usize..8, 0usize..8).prop_map(|(kind, name, extent)| step(kind, name, extent))
+}
+
 impl TreeModel {
     fn apply(&mut self, change: Change) {
         let before = self.tree.unreachable_extents();
@@ -90,12 +106,12 @@
         }
     }
 
-    fn step(&mut self, (what, a, b): (u8, usize, usize)) {
+    fn step(&mut self, Step { kind, name, extent }: Step) {
         let pick = |map: &BTreeMap<String, Vec<u64>>, n: usize| map.keys().nth(n % map.len().max(1)).cloned();
-        let branch = pick(&self.branches, a).unwrap_or_default();
-        let snapshot = pick(&self.snapshots, a);
-        match (what, snapshot) {
-            (0..5, _) => self.write(&branch, b as u32 % EXTENTS),
+        let branch = pick(&self.branches, name).unwrap_or_default();
+        let snapshot = pick(&self.snapshots, name);
+        match (kind, snapshot) {
+            (0..5, _) => self.write(&branch, extent as u32 % EXTENTS),
             (5 | 6, _) => {
                 let name = format!("s{}", self.tree.version);
                 let (change, cut) =
@@ -148,7 +164,7 @@
 
     /// Whatever is written, frozen, cloned, rolled back, deleted and reclaimed, each name shows exactly its own data.
     #[test]
-    fn every_name_shows_its_own_data(steps in prop::collection::vec((0u8..11, 0usize..8, 0usize..8), 1..60)) {
+    fn every_name_shows_its_own_data(steps in prop::collection::vec(any_step(), 1..60)) {
         let mut model = model();
         for step in steps {
             model.step(step);
@@ -156,7 +172,7 @@
         }
         // Nothing is kept that nobody can read.
         while !model.tree.unreachable_extents().is_empty() {
-            model.step((10, 0, 0));
+            model.step(step(10, 0, 0));
         }
         model.check();
         let held: usize = model.tree.layers.values().map(|l| l.locations.len()).sum();
@@ -173,7 +189,7 @@
 
     /// The same changes give the same tree, also when it is written down and read back in between.
     #[test]
-    fn replayed_changes_give_the_same_tree(steps in prop::collection::vec((0u8..11, 0usize..8, 0usize..8), 1..30)) {
+    fn replayed_changes_give_the_same_tree(steps in prop::collection::vec(any_step(), 1..30)) {
         let (mut one, mut two) = (model(), model());
         for step in steps {
             one.step(step);
@@ -280,19 +296,19 @@
 fn branch_with_snapshots_is_kept_and_clone_outlives_its_snapshot() {
     let mut model = model();
     model.write("a", 1);
-    model.step((5, 0, 0));
+    model.step(step(5, 0, 0));
     let snapshot = model.snapshots.keys().next().expect("one").clone();
     assert!(matches!(
         model.tree.check(&Change::BranchDeleted { branch: "a".into() }),
         Err(ChangeError::StillInUse(_))
     ));
-    model.step((7, 0, 0));
+    model.step(step(7, 0, 0));
     model.apply(Change::SnapshotDeleted { snapshot: snapshot.clone() });
     model.snapshots.remove(&snapshot);
     model.apply(Change::BranchDeleted { branch: "a".into() });
     model.branches.remove("a");
     for _ in 0..3 {
-        model.step((10, 0, 0));
+        model.step(step(10, 0, 0));
     }
     model.check();
 }
--- a/crates/durable-store/src/error.rs
+++ b/crates/durable-store/src/error.rs
@@ -35,7 +35,7 @@
     Database(DatabaseError),
     /// A record cannot be encoded.
     Encode(serde_json::Error),
-    /// An earlier transaction has failed, so that it is not known what is on disk. The store has to be opened anew.
+    /// An earlier transaction has failed, so that it is not known what is on disk. The store has to be reopened.
     Poisoned,
     /// The store has a format that this program cannot read.
     UnknownFormat {
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -2,7 +2,7 @@
 //! transactions, and errors.
 //!
 //! A transaction that was committed is on disk after any crash. After a commit that failed, it is not known what is on
-//! disk: the store is then *poisoned*, and takes no more guarded transactions until it is opened anew.
+//! disk: the store is then *poisoned*, and takes no more guarded transactions until it is reopened.
 #![warn(missing_docs)]
 
 mod error;
--- a/crates/snapshot-catalog/src/lib.rs
+++ b/crates/snapshot-catalog/src/lib.rs
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// Those of the database. After one the catalog commits nothing more: whether the changes are on disk is known
-    /// only after opening it anew.
+    /// only after reopening it.
     pub fn commit(&mut self) -> Result<CommittedBatch, Error> {
         self.store.check_not_poisoned()?;
         let first_version = self.committed_version + 1;
@@ -158,7 +158,7 @@
     rows::write_id(transaction, random_id())
 }
 
-/// A random id other than 0. It comes from neither time nor place: two catalogs that are created at once differ.
+/// A random id other than 0. It is not derived from the clock or the path: two catalogs that are created at the same time differ.
 fn random_id() -> u64 {
     RandomState::new().build_hasher().finish().max(1)
 }
--- a/crates/snapshot-catalog/src/load.rs
+++ b/crates/snapshot-catalog/src/load.rs
@@ -24,8 +24,8 @@
         layers_created: small_counter(LAYERS_CREATED)?,
         luns_assigned: small_counter(LUNS_ASSIGNED)?,
         layers: load_layers(&transaction)?,
-        branches: load_named(transaction.open_table(BRANCHES)?)?,
-        snapshots: load_named(transaction.open_table(SNAPSHOTS)?)?,
+        branches: load_named(&transaction.open_table(BRANCHES)?)?,
+        snapshots: load_named(&transaction.open_table(SNAPSHOTS)?)?,
     };
     Ok((counter(ID)?, data.into()))
 }
@@ -66,7 +66,7 @@
 }
 
 fn load_named<T: DeserializeOwned>(
-    table: impl ReadableTable<&'static str, &'static [u8]>,
+    table: &impl ReadableTable<&'static str, &'static [u8]>,
 ) -> Result<BTreeMap<String, T>, Error> {
     let mut records = BTreeMap::new();
     for row in table.iter()? {
