--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -4,7 +4,7 @@
 use crate::demand;
 use crate::error::read_configuration;
 use crate::status::Status;
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -53,11 +53,11 @@
         }
     }
 
-    fn socket(self, site: Site) -> Option<PathBuf> {
+    fn socket(self, site: GatewayConfig) -> Option<PathBuf> {
         match self {
-            Service::Host => site.host.control,
-            Service::SnapshotCatalog => site.catalog?.control,
-            Service::Plans => site.tariffs?.control,
+            Service::Host => site.host.control_socket,
+            Service::SnapshotCatalog => site.catalog?.control_socket,
+            Service::Plans => site.plan_service?.control_socket,
         }
     }
 }
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -80,6 +80,6 @@
         site.volumes.len(),
         site.nodes.len(),
         site.plans.len(),
-        site.groups.len()
+        site.io_classes.len()
     ))
 }
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -2,7 +2,7 @@
 use crate::control_socket::ask;
 use crate::error::{FileError, read_text};
 use crate::status::Status;
-use mallowseam_settings::lines::{Args, Problems, words};
+use mallowseam_settings::{Arguments, Diagnostics, tokenize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -82,16 +82,16 @@
 /// Reads a record.
 pub(crate) fn read(file: &Path) -> Result<Vec<Interval>, FileError> {
     let text = read_text(file)?;
-    let mut problems = Problems::new(&file.display().to_string());
+    let mut problems = Diagnostics::new(&file.display().to_string());
     let mut intervals: Vec<(u64, Interval)> = Vec::new();
     for (index, line) in text.lines().enumerate() {
-        let words = words(index + 1, line, &mut problems);
+        let words = tokenize(index + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
         if first.text != "at" {
-            problems.add(first.at, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
+            problems.add(first.position, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
             continue;
         }
-        let mut args = Args::new(&words, &mut problems);
+        let mut args = Arguments::new(&words, &mut problems);
         let Some((seconds, volume, requested)) = read_line(&mut args) else { continue };
         if intervals.last().is_none_or(|(last, _)| *last != seconds) {
             intervals.push((seconds, Interval::new()));
@@ -106,13 +106,13 @@
 }
 
 /// Seconds, volume and requested units a second of a line. All its words are checked.
-fn read_line(args: &mut Args) -> Option<(u64, String, f64)> {
-    let seconds = args.whole("seconds", 0, u64::MAX);
+fn read_line(args: &mut Arguments) -> Option<(u64, String, f64)> {
+    let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
     args.value("asked", |word| (word == "asked").then_some(()));
     let requested = args.rate("units a second");
     args.value("ended", |word| (word == "ended").then_some(()));
     args.rate("units a second");
-    args.end();
+    args.expect_end();
     Some((seconds?, volume?.text, requested?))
 }
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -23,8 +23,8 @@
 use mallowseam_scheduler::door::Door;
 use mallowseam_scheduler::host::*;
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_settings::Site;
-use mallowseam_settings::site;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
@@ -181,34 +181,39 @@
         changed
     }
 
-    pub fn new(site: &Site, clients: Clients, nodes: Nodes, catalog_client: Option<CatalogClient>) -> Self {
+    pub fn new(
+        site: &GatewayConfig,
+        clients: Clients,
+        nodes: Nodes,
+        catalog_client: Option<CatalogClient>,
+    ) -> Self {
         let catalog = site.catalog.clone().unwrap_or_default();
-        let volume = |v: &site::Volume| Volume {
+        let volume = |v: &config::Volume| Volume {
             name: v.name.clone(),
             plan: v.plan as u16,
             lun: v.lun.into(),
-            blocks: v.blocks,
+            blocks: v.block_count,
             block_size: v.block_size,
-            hosts: v.hosts,
-            layout: if v.mapped { mapped_layout(v, catalog.extent) } else { volume_layout(site, v) },
+            hosts: v.host_count,
+            layout: if v.mapped { mapped_layout(v, catalog.extent_blocks) } else { volume_layout(site, v) },
             branch: v.mapped.then(|| v.name.as_str().into()),
         };
-        let group = |g: &site::Group| Group {
-            hard_limit: ticks_from_micros_floor(g.hard_limit),
-            goal: ticks_from_micros_ceil(g.goal),
-            side_effecting: g.effect == site::Effect::SideEffecting,
+        let group = |g: &config::IoClass| Group {
+            hard_limit: ticks_from_micros_floor(g.deadline),
+            goal: ticks_from_micros_ceil(g.latency_objective),
+            side_effecting: g.effect == config::Effect::NonIdempotent,
         };
         Dispatcher {
             now: 0,
             clients,
             nodes,
-            metrics: Metrics::new(site.groups.len(), site.nodes.len(), site.volumes.len()),
+            metrics: Metrics::new(site.io_classes.len(), site.nodes.len(), site.volumes.len()),
             wakeup_at: None,
             endpoint_list_requested: false,
             volumes: site.volumes.iter().map(volume).collect(),
-            groups: site.groups.iter().map(group).collect(),
-            unit: site.fleet.unit,
-            longest: site.host.longest,
+            groups: site.io_classes.iter().map(group).collect(),
+            unit: site.fleet.unit_bytes,
+            longest: site.host.max_transfer_bytes,
             ios: Slab::default(),
             turns: Vec::new(),
             commands: Slab::default(),
@@ -218,9 +223,9 @@
             gone: VecDeque::new(),
             parts: Vec::new(),
             catalog: catalog_client,
-            extent: catalog.extent,
-            copy_group: catalog.copies,
-            submits: site.fleet.submits,
+            extent: catalog.extent_blocks,
+            copy_group: catalog.copy_class,
+            submits: site.fleet.max_attempts,
             shards: site.nodes.iter().map(|n| n.shard).collect(),
             units: BTreeMap::new(),
             units_of: u64::MAX,
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -7,7 +7,7 @@
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
 };
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
-use mallowseam_settings::site;
+use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
@@ -52,7 +52,7 @@
 }
 
 /// Nodes as the configuration has them, their zones numbered in the order in which they are named.
-fn known_nodes(nodes: &[site::Node]) -> Vec<KnownNode> {
+fn known_nodes(nodes: &[config::Node]) -> Vec<KnownNode> {
     let mut zones: Vec<&str> = Vec::new();
     let mut known = Vec::new();
     for node in nodes {
@@ -68,11 +68,11 @@
 
 impl EndpointList {
     /// The client of a host; it does not connect yet.
-    pub(crate) fn new(host: &site::Host, nodes: &[site::Node], registry: Registry, token: Token) -> Self {
+    pub(crate) fn new(host: &config::Host, nodes: &[config::Node], registry: Registry, token: Token) -> Self {
         EndpointList {
             host: host.name.clone(),
-            address: host.node_list,
-            cache_file: host.kept_list.clone(),
+            address: host.endpoint_service,
+            cache_file: host.endpoint_cache_path.clone(),
             nodes: known_nodes(nodes),
             registry,
             token,
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,5 +1,5 @@
 //! Errors that more than one module of the package reports.
-use mallowseam_settings::{Problems, Site};
+use mallowseam_settings::{Diagnostics, GatewayConfig};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,7 @@
     Io { path: PathBuf, source: io::Error },
     /// The text is not what the file must hold: every problem, with its line and column.
     #[error("{0}")]
-    Malformed(Problems),
+    Malformed(Diagnostics),
 }
 
 /// Reads a text file.
@@ -82,7 +82,7 @@
 }
 
 /// Reads and checks a configuration file.
-pub(crate) fn read_configuration(path: &Path) -> Result<Site, FileError> {
+pub(crate) fn read_configuration(path: &Path) -> Result<GatewayConfig, FileError> {
     let text = read_text(path)?;
-    mallowseam_settings::read(&path.display().to_string(), &text).map_err(FileError::Malformed)
+    mallowseam_settings::parse(&path.display().to_string(), &text).map_err(FileError::Malformed)
 }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -26,8 +26,8 @@
 use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeState, Tick};
 use mallowseam_scheduler::scheduler::Scheduler;
-use mallowseam_settings::Site;
-use mallowseam_settings::site::Volume;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::Volume;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Events, Poll, Token};
 use rand::Rng;
@@ -63,7 +63,7 @@
 }
 
 struct HostProcess {
-    site: Site,
+    site: GatewayConfig,
     clock: Clock,
     scheduler: Scheduler,
     dispatcher: Dispatcher,
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// An address or path of the configuration cannot be had.
-pub fn run(site: Site) -> Result<(), Error> {
+pub fn run(site: GatewayConfig) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
     let mut host = HostProcess::open(site, &poll)?;
     let mut events = Events::with_capacity(MAX_EVENTS);
@@ -117,32 +117,32 @@
 }
 
 /// What every session is negotiated with.
-fn session_wishes(site: &Site) -> Wishes {
+fn session_wishes(site: &GatewayConfig) -> Wishes {
     let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
     Wishes { digests, ..Wishes::default() }
 }
 
-fn open_clients(site: &Site, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
+fn open_clients(site: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
     let terms = Rc::new(TargetTerms {
         wishes: session_wishes(site),
-        window: site.host.window,
-        longest: site.host.longest as usize,
+        window: site.host.command_window,
+        longest: site.host.max_transfer_bytes as usize,
         names: vec![site.host.target.clone()],
         address: bound.to_string(),
     });
-    let admission = AdmissionController::new(&site.host.target, site.host.connections as usize);
+    let admission = AdmissionController::new(&site.host.target, site.host.max_connections as usize);
     let first_token = FIRST_NODE + site.nodes.len();
     Ok(Clients::new(admission, terms, startup::registry(poll)?, first_token))
 }
 
-fn open_nodes(site: &Site, poll: &Poll) -> Result<Nodes, Error> {
+fn open_nodes(site: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
     let initiator = format!("{}:{}", site.host.target, site.host.name);
     let registry = startup::registry(poll)?;
     Ok(Nodes::new(&site.nodes, initiator, session_wishes(site), registry, FIRST_NODE))
 }
 
 /// The catalog's client, where the site has a catalog and a volume of the host is mapped.
-fn open_catalog_client(site: &Site, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
+fn open_catalog_client(site: &GatewayConfig, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
     let Some(catalog) = &site.catalog else { return Ok(None) };
     if !site.volumes.iter().any(|volume| volume.mapped) {
         return Ok(None);
@@ -152,27 +152,28 @@
 }
 
 /// The replica of the plans, where the configuration names a plan service.
-fn open_plan_replication(site: &Site, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
-    let Some(address) = site.host.follow else { return Ok(None) };
-    let hosted = |volume: &Volume| HostedVolume { name: volume.name.clone(), host_count: volume.hosts };
+fn open_plan_replication(site: &GatewayConfig, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
+    let Some(address) = site.host.plan_service else { return Ok(None) };
+    let hosted = |volume: &Volume| HostedVolume { name: volume.name.clone(), host_count: volume.host_count };
     let volumes = site.volumes.iter().map(hosted).collect();
-    let cache_file = site.host.kept_plans.clone();
+    let cache_file = site.host.plan_cache_path.clone();
     let registry = startup::registry(poll)?;
     Ok(Some(PlanReplication::new(&site.host.name, address, cache_file, volumes, registry, PLANS)))
 }
 
-fn open_membership(site: &Site, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
+fn open_membership(site: &GatewayConfig, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
     let Some(settings) = site.host.fleet.clone() else { return Ok(None) };
     let opened = UdpMembership::open(poll.registry(), MEMBERSHIP, settings);
     opened.map(|service| Some(Box::new(service))).map_err(Error::Membership)
 }
 
 impl HostProcess {
-    fn open(site: Site, poll: &Poll) -> Result<Self, Error> {
+    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let address = site.host.listen.expect("a checked configuration names it");
         let (listener, _) = startup::listen(address, poll, LISTENER)?;
         let bound = listener.local_addr().map_err(|source| Error::Listen { address, source })?;
-        let control = startup::control_socket(site.host.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let control =
+            startup::control_socket(site.host.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
         let signals = startup::signals(poll, SIGNALS)?;
         let clients = open_clients(&site, bound, poll)?;
         let nodes = open_nodes(&site, poll)?;
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -4,7 +4,7 @@
 use crate::metrics::{ClassMetrics, NodeMetrics};
 use crate::status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
 use mallowseam_scheduler::host::NodeId;
-use mallowseam_settings::site;
+use mallowseam_settings::config;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 const MICROS_PER_MILLI: f64 = 1000.0;
@@ -52,7 +52,7 @@
         let (dispatcher, site) = (&self.dispatcher, &self.site);
         let (admission, metrics) = (&dispatcher.clients.admission, &dispatcher.metrics);
         let (list_epoch, list_version) = self.endpoint_list.version();
-        let classes = site.groups.iter().zip(&metrics.classes);
+        let classes = site.io_classes.iter().zip(&metrics.classes);
         let nodes = metrics.nodes.iter().enumerate();
         Status {
             host: site.host.name.clone(),
@@ -106,7 +106,7 @@
     }
 }
 
-fn class_status(class: &site::Group, metrics: &ClassMetrics) -> ClassStatus {
+fn class_status(class: &config::IoClass, metrics: &ClassMetrics) -> ClassStatus {
     let quantile_ms = |q: f64| metrics.latencies.value_at_quantile(q) as f64 / MICROS_PER_MILLI;
     ClassStatus {
         name: class.name.clone(),
@@ -120,6 +120,11 @@
     }
 }
 
-fn plan_status(plan: &site::Plan) -> PlanStatus {
-    PlanStatus { name: plan.name.clone(), reserve: plan.reserve, limit: plan.limit, weight: plan.weight }
+fn plan_status(plan: &config::Plan) -> PlanStatus {
+    PlanStatus {
+        name: plan.name.clone(),
+        reserve: plan.reserved_rate,
+        limit: plan.rate_limit,
+        weight: plan.weight,
+    }
 }
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -7,7 +7,7 @@
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::state::State;
 use mallowseam_scheduler::host::{Tick, VolId};
-use mallowseam_settings::change::{self, Taken};
+use mallowseam_settings::reload::{self, ReloadOutcome};
 use rand::Rng;
 use std::path::Path;
 
@@ -118,7 +118,7 @@
     }
 
     /// What is to be applied of a replicated state.
-    fn check_state(&self, state: &State) -> Result<Taken, ApplyError> {
+    fn check_state(&self, state: &State) -> Result<ReloadOutcome, ApplyError> {
         let mut wanted = self.site.clone();
         wanted.plans =
             state.plans.iter().map(|(name, plan)| scheduler_config::configured_plan(name, plan)).collect();
@@ -127,18 +127,18 @@
             let index = plan.and_then(|name| wanted.plans.iter().position(|plan| plan.name == *name));
             volume.plan = index.ok_or_else(|| ApplyError::NoPlan(volume.name.clone()))?;
         }
-        change::taken(&self.site, &wanted).map_err(ApplyError::Rejected)
+        reload::evaluate(&self.site, &wanted).map_err(ApplyError::Rejected)
     }
 
-    fn apply(&mut self, plans: Taken) {
+    fn apply(&mut self, plans: ReloadOutcome) {
         self.site.plans = plans.plans;
-        for (volume, plan) in self.site.volumes.iter_mut().zip(&plans.of) {
+        for (volume, plan) in self.site.volumes.iter_mut().zip(&plans.volume_plans) {
             volume.plan = *plan;
         }
-        let changed = self.dispatcher.apply_plans(&plans.of);
+        let changed = self.dispatcher.apply_plans(&plans.volume_plans);
         let all = scheduler_config::scheduler_plans(&self.site);
         self.scheduler.planned(self.dispatcher.now, &all, &changed);
-        plans.told.iter().for_each(|change| tracing::info!(change, "plans applied"));
+        plans.changes.iter().for_each(|change| tracing::info!(change, "plans applied"));
     }
 
     /// Applies the plans of a configuration that differs from the running one in nothing else. Returns what has
@@ -148,11 +148,11 @@
             return Err(ApplyError::Replicated);
         }
         let wanted = read_configuration(Path::new(file))?;
-        let plans = change::taken(&self.site, &wanted).map_err(ApplyError::NeedsRestart)?;
-        if plans.told.is_empty() {
+        let plans = reload::evaluate(&self.site, &wanted).map_err(ApplyError::NeedsRestart)?;
+        if plans.changes.is_empty() {
             return Ok("nothing is different".to_owned());
         }
-        let changes = plans.told.join("\n");
+        let changes = plans.changes.join("\n");
         self.apply(plans);
         Ok(changes)
     }
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -7,7 +7,7 @@
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{Sense, status};
 use mallowseam_scheduler::host::{Ending, Tick};
-use mallowseam_settings::site;
+use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
@@ -98,13 +98,13 @@
 impl Nodes {
     /// Knows the nodes of a configuration; no connection is opened. Their tokens begin with `first_token`.
     pub(crate) fn new(
-        nodes: &[site::Node],
+        nodes: &[config::Node],
         initiator: String,
         wishes: Wishes,
         registry: Registry,
         first_token: usize,
     ) -> Self {
-        let node = |node: &site::Node| Node {
+        let node = |node: &config::Node| Node {
             name: node.name.clone(),
             address: node.address.expect("a checked configuration names it"),
             target: node.target.clone(),
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -18,7 +18,7 @@
 pub(crate) use solve::solve;
 
 use crate::error::FileError;
-use mallowseam_settings::Problems;
+use mallowseam_settings::Diagnostics;
 use mallowseam_shares::model::SCALE;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -53,7 +53,7 @@
 }
 
 impl PlacementError {
-    fn malformed(problems: Problems) -> Self {
+    fn malformed(problems: Diagnostics) -> Self {
         PlacementError::File(FileError::Malformed(problems.sorted()))
     }
 }
--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -3,7 +3,7 @@
 use super::{PlacementError, display_name};
 use crate::error::read_text;
 use mallowseam_settings::edit::Share;
-use mallowseam_settings::lines::{Args, At, Problems, Word, words};
+use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
 use mallowseam_shares::model::{MOST, Problem};
 use mallowseam_shares::value::Placement;
 use std::path::Path;
@@ -19,20 +19,20 @@
 /// Reads an answer to a problem. It has to place every volume.
 pub(super) fn read(problem: &Problem, file: &Path) -> Result<Answer, PlacementError> {
     let text = read_text(file)?;
-    let mut problems = Problems::new(&display_name(file));
+    let mut problems = Diagnostics::new(&display_name(file));
     let mut answer = Answer { placement: vec![Vec::new(); problem.volumes.len()], shares: Vec::new() };
     for (index, line) in text.lines().enumerate() {
-        let words = words(index + 1, line, &mut problems);
+        let words = tokenize(index + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
         match first.text.as_str() {
             "place" => read_place(problem, &words, &mut answer, &mut problems),
             "share" => read_share(problem, &words, &mut answer, &mut problems),
             // Quotas are printed for the operator; in service hosts lease them (`docs/living-plans.md`).
             "part" => {}
-            other => problems.add(first.at, "place, share or part", format!("`{other}`")),
+            other => problems.add(first.position, "place, share or part", format!("`{other}`")),
         }
     }
-    let top = At { line: 1, column: 1 };
+    let top = Position { line: 1, column: 1 };
     for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
         if nodes.is_empty() {
             problems.add(top, format!("a line for volume {}", volume.name), "none");
@@ -46,16 +46,16 @@
     read(problem, file).map(|answer| answer.placement)
 }
 
-fn read_volume(problem: &Problem, args: &mut Args) -> Option<usize> {
+fn read_volume(problem: &Problem, args: &mut Arguments) -> Option<usize> {
     args.value("the name of a volume", |word| problem.volumes.iter().position(|v| v.name == word))
 }
 
 /// `place VOLUME NODE …`
-fn read_place(problem: &Problem, words: &[Word], answer: &mut Answer, problems: &mut Problems) {
-    let mut args = Args::new(words, problems);
+fn read_place(problem: &Problem, words: &[Token], answer: &mut Answer, problems: &mut Diagnostics) {
+    let mut args = Arguments::new(words, problems);
     let volume = read_volume(problem, &mut args);
     let mut nodes = Vec::new();
-    while args.more() {
+    while args.has_more() {
         let node = |word: &str| problem.nodes.iter().position(|n| n.name == word);
         nodes.extend(args.value("the name of a node", node));
     }
@@ -64,22 +64,26 @@
     if let Some(volume) = volume {
         let spread = problem.volumes[volume].spread;
         if nodes.len() != spread {
-            problems.add(words[0].at, format!("{spread} nodes"), nodes.len().to_string());
+            problems.add(words[0].position, format!("{spread} nodes"), nodes.len().to_string());
         }
         answer.placement[volume] = nodes;
     }
 }
 
 /// `share VOLUME reserve RATE weight NUMBER`
-fn read_share(problem: &Problem, words: &[Word], answer: &mut Answer, problems: &mut Problems) {
-    let mut args = Args::new(words, problems);
+fn read_share(problem: &Problem, words: &[Token], answer: &mut Answer, problems: &mut Diagnostics) {
+    let mut args = Arguments::new(words, problems);
     let volume = read_volume(problem, &mut args);
     args.value("reserve", |word| (word == "reserve").then_some(()));
     let reserve = args.exact_rate(RATE);
     args.value("weight", |word| (word == "weight").then_some(()));
-    let weight = args.whole("a whole number", 0, MOST);
-    args.end();
+    let weight = args.integer("a whole number", 0, MOST);
+    args.expect_end();
     if let (Some(volume), Some(reserve), Some(weight)) = (volume, reserve, weight) {
-        answer.shares.push(Share { volume: problem.volumes[volume].name.clone(), reserve, weight });
+        answer.shares.push(Share {
+            volume: problem.volumes[volume].name.clone(),
+            reserved_milliunits: reserve,
+            weight,
+        });
     }
 }
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -3,7 +3,7 @@
 use super::{PlacementError, answer_file, display_name, problem_file};
 use crate::atomic_file;
 use crate::error::{FileError, read_text};
-use mallowseam_settings::{Site, change, edit};
+use mallowseam_settings::{GatewayConfig, edit, reload};
 use mallowseam_shares::model::Problem;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -22,19 +22,19 @@
     let name = display_name(configuration);
     let text = read_text(configuration)?;
     let parse = |text: &str| {
-        mallowseam_settings::read(&name, text)
+        mallowseam_settings::parse(&name, text)
             .map_err(|problems| PlacementError::File(FileError::Malformed(problems)))
     };
     let site = parse(&text)?;
     let mut contradictions = misplaced_volumes(&problem, &answer, &site);
-    let edited = edit::shares(&text, &site, &answer.shares).unwrap_or_else(|mut unknown| {
+    let edited = edit::apply_shares(&text, &site, &answer.shares).unwrap_or_else(|mut unknown| {
         contradictions.append(&mut unknown);
         String::new()
     });
     if !contradictions.is_empty() {
         return Err(PlacementError::Contradicted(contradictions));
     }
-    let changes = change::taken(&site, &parse(&edited)?).map_err(PlacementError::Contradicted)?.told;
+    let changes = reload::evaluate(&site, &parse(&edited)?).map_err(PlacementError::Contradicted)?.changes;
     if changes.is_empty() {
         return Ok("nothing is different".to_owned());
     }
@@ -49,7 +49,7 @@
 
 /// Volumes whose data lies on other nodes than the answer places them on, a line each. Where blocks of mapped
 /// volumes lie is up to the snapshot catalog.
-fn misplaced_volumes(problem: &Problem, answer: &Answer, site: &Site) -> Vec<String> {
+fn misplaced_volumes(problem: &Problem, answer: &Answer, site: &GatewayConfig) -> Vec<String> {
     let mut misplaced = Vec::new();
     for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
         let configured = site.volumes.iter().find(|other| other.name == volume.name && !other.mapped);
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -1,7 +1,7 @@
 //! Problem files: sections `node NAME`, `host NAME` and `volume NAME`, as `docs/shares.md` lists them.
 use super::{PlacementError, display_name};
 use crate::error::read_text;
-use mallowseam_settings::lines::{Args, At, Problems, Word, words};
+use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
 use mallowseam_shares::model::{Host, MOST, Node, Problem, Volume};
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 const DEFAULT_PRICE: u64 = 1000;
 const NUMBER: &str = "a whole number";
 /// Where a problem of the whole file is reported.
-const TOP: At = At { line: 1, column: 1 };
+const TOP: Position = Position { line: 1, column: 1 };
 
 #[derive(Clone, Copy, PartialEq)]
 enum Section {
@@ -49,8 +49,8 @@
     hosts: Vec<Host>,
     volumes: Vec<Volume>,
     /// Where each section begins, by its name.
-    positions: Vec<(String, At)>,
-    problems: Problems,
+    positions: Vec<(String, Position)>,
+    problems: Diagnostics,
 }
 
 /// Reads a problem.
@@ -62,10 +62,10 @@
         hosts: Vec::new(),
         volumes: Vec::new(),
         positions: Vec::new(),
-        problems: Problems::new(&display_name(file)),
+        problems: Diagnostics::new(&display_name(file)),
     };
     for (index, line) in text.lines().enumerate() {
-        let words = words(index + 1, line, &mut draft.problems);
+        let words = tokenize(index + 1, line, &mut draft.problems);
         if words.is_empty() {
             continue;
         }
@@ -79,27 +79,27 @@
 }
 
 impl Draft {
-    fn open_section(&mut self, words: &[Word]) {
+    fn open_section(&mut self, words: &[Token]) {
         let first = &words[0];
         self.section = Section::of(&first.text).unwrap_or(Section::Skipped);
         if self.section == Section::Skipped {
             let found = format!("`{}`", first.text);
-            self.problems.add(first.at, "a section: node, volume or host", found);
+            self.problems.add(first.position, "a section: node, volume or host", found);
         }
-        let mut args = Args::new(words, &mut self.problems);
+        let mut args = Arguments::new(words, &mut self.problems);
         let name = args.name("a name of letters, digits and -_.:");
         let Some(name) = name.filter(|_| self.section != Section::Skipped) else {
             self.section = Section::Skipped;
             return;
         };
-        args.end();
-        self.positions.push((name.text.clone(), first.at));
+        args.expect_end();
+        self.positions.push((name.text.clone(), first.position));
         match self.section {
             Section::Skipped => {}
             Section::Node => self.nodes.push(Node { name: name.text, ..Node::default() }),
             Section::Host => {
                 if self.hosts.iter().any(|host| host.name == name.text) {
-                    self.problems.add(first.at, "one host of this name", format!("`{}`", name.text));
+                    self.problems.add(first.position, "one host of this name", format!("`{}`", name.text));
                 }
                 self.hosts.push(Host { name: name.text, ..Host::default() });
             }
@@ -113,9 +113,9 @@
         }
     }
 
-    fn read_directive(&mut self, words: &[Word]) {
+    fn read_directive(&mut self, words: &[Token]) {
         let first = &words[0];
-        let mut args = Args::new(words, &mut self.problems);
+        let mut args = Arguments::new(words, &mut self.problems);
         let known = match self.section {
             Section::Skipped => true,
             Section::Node => {
@@ -129,10 +129,10 @@
             }
         };
         if known {
-            args.end();
+            args.expect_end();
         } else {
             let expected = format!("a directive of section `{}`", self.section.name());
-            self.problems.add(first.at, expected, format!("`{}`", first.text));
+            self.problems.add(first.position, expected, format!("`{}`", first.text));
         }
     }
 
@@ -164,10 +164,10 @@
 }
 
 /// Reads a directive of a node. False: there is none of this name.
-fn read_node(node: &mut Node, directive: &str, args: &mut Args) -> bool {
+fn read_node(node: &mut Node, directive: &str, args: &mut Arguments) -> bool {
     match directive {
         "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
-        "cost" => node.cost = args.whole(NUMBER, 0, MOST).unwrap_or(0),
+        "cost" => node.cost = args.integer(NUMBER, 0, MOST).unwrap_or(0),
         "zone" => node.zone = args.name("a name").map(|word| word.text).unwrap_or_default(),
         _ => return false,
     }
@@ -175,7 +175,7 @@
 }
 
 /// Reads a directive of a host. False: there is none of this name.
-fn read_host(host: &mut Host, directive: &str, args: &mut Args) -> bool {
+fn read_host(host: &mut Host, directive: &str, args: &mut Arguments) -> bool {
     if directive != "sends" {
         return false;
     }
@@ -186,18 +186,18 @@
 }
 
 /// Reads a directive of a volume. False: there is none of this name.
-fn read_volume(volume: &mut Volume, directive: &str, args: &mut Args) -> bool {
+fn read_volume(volume: &mut Volume, directive: &str, args: &mut Arguments) -> bool {
     match directive {
         "reserve" => volume.reserve = args.exact_rate(RATE).unwrap_or(0),
         "reserve-most" => volume.reserve_most = args.exact_rate(RATE).unwrap_or(0),
         "limit" => volume.limit = args.exact_rate(RATE).unwrap_or(0),
         "surge" => volume.surge = args.exact_rate(RATE).unwrap_or(0),
-        "weight" => volume.weight = args.whole(NUMBER, 0, MOST).unwrap_or(0),
+        "weight" => volume.weight = args.integer(NUMBER, 0, MOST).unwrap_or(0),
         "price" => {
-            volume.price = args.whole("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0);
+            volume.price = args.integer("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0);
         }
-        "spread" => volume.spread = args.whole("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
-        "size" => volume.size = args.whole(NUMBER, 0, MOST).unwrap_or(0),
+        "spread" => volume.spread = args.integer("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
+        "size" => volume.size = args.integer(NUMBER, 0, MOST).unwrap_or(0),
         "apart" => volume.apart = true,
         "zone" => volume.zone = args.name("a name").map(|word| word.text),
         "survives" => {
@@ -208,7 +208,7 @@
             }
         }
         "today" => {
-            while args.more() {
+            while args.has_more() {
                 volume.today.extend(args.name("the name of a node").map(|word| word.text));
             }
         }
--- a/crates/gateway/src/placement/replay.rs
+++ b/crates/gateway/src/placement/replay.rs
@@ -56,7 +56,7 @@
 fn gains_of(problem: &Problem, answer: &Answer, intervals: &[Interval]) -> Vec<i128> {
     let reserve_and_weight = |volume: &Volume| {
         let own = answer.shares.iter().find(|share| share.volume == volume.name);
-        own.map_or((volume.reserve, volume.weight), |share| (share.reserve, share.weight))
+        own.map_or((volume.reserve, volume.weight), |share| (share.reserved_milliunits, share.weight))
     };
     let shares: Vec<(u64, u64)> = problem.volumes.iter().map(reserve_and_weight).collect();
     let gain = |interval: &Interval| {
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -19,8 +19,8 @@
 use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
 use mallowseam_plans::rollout::Rollout;
 use mallowseam_plans::state::Change;
-use mallowseam_settings::Site;
-use mallowseam_settings::site::Volume;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::Volume;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
-pub(crate) fn run(site: &Site) -> Result<(), Error> {
+pub(crate) fn run(site: &GatewayConfig) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
     let mut service = PlanService::open(site, &poll)?;
     let mut events = Events::with_capacity(MAX_EVENTS);
@@ -102,7 +102,7 @@
 }
 
 /// Opens the store. A new one gets the plans of the configuration as its first versions; whether it is new.
-fn open_store(site: &Site, path: &std::path::Path) -> Result<(ChangeLogStore, bool), Error> {
+fn open_store(site: &GatewayConfig, path: &std::path::Path) -> Result<(ChangeLogStore, bool), Error> {
     let failed = |source| Error::OpenPlanStore { path: path.to_owned(), source };
     let mut store = ChangeLogStore::open(path).map_err(failed)?;
     let fresh = store.log().state.version == 0;
@@ -118,7 +118,7 @@
 }
 
 /// The changes that make the plans of a configuration.
-fn configured_changes(site: &Site) -> impl Iterator<Item = Change> {
+fn configured_changes(site: &GatewayConfig) -> impl Iterator<Item = Change> {
     let plans = site.plans.iter().map(|plan| Change::SetPlan {
         name: plan.name.clone(),
         plan: scheduler_config::replicated_plan(plan),
@@ -131,18 +131,19 @@
 }
 
 impl PlanService {
-    fn open(site: &Site, poll: &Poll) -> Result<Self, Error> {
-        let settings = site.tariffs.clone().ok_or(Error::MissingSection("tariffs"))?;
+    fn open(site: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let settings = site.plan_service.clone().ok_or(Error::MissingSection("tariffs"))?;
         let address = settings.listen.expect("a checked configuration names it");
         let peers = Peers::open(address, poll, LISTENER, FIRST_PEER, LIMITS)?;
-        let control = startup::control_socket(settings.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
-        let (store, fresh) = open_store(site, &settings.store)?;
+        let control =
+            startup::control_socket(settings.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let (store, fresh) = open_store(site, &settings.store_path)?;
         let clock = Clock::from_zero();
         let now = ticks_to_millis(clock.now());
         let mut rollout = Rollout::default();
         let members = store
             .members()
-            .map_err(|source| Error::OpenPlanStore { path: settings.store.clone(), source })?;
+            .map_err(|source| Error::OpenPlanStore { path: settings.store_path.clone(), source })?;
         members.iter().for_each(|host| rollout.on_contact(host, now));
         tracing::info!(listen = %address, version = store.log().state.version, "plan service started");
         Ok(PlanService {
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -4,7 +4,7 @@
 use mallowseam_archive::{Header, Reader, Record, ResumePoint, Writer};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, Sense, status};
-use mallowseam_settings::Site;
+use mallowseam_settings::GatewayConfig;
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufReader, BufWriter, Seek, SeekFrom};
 use std::net::SocketAddr;
@@ -81,8 +81,8 @@
 }
 
 /// The tree as the catalog has it now.
-fn fetch_tree(site: &Site) -> Result<Tree, ArchiveError> {
-    let socket = site.catalog.as_ref().and_then(|catalog| catalog.control.clone());
+fn fetch_tree(site: &GatewayConfig) -> Result<Tree, ArchiveError> {
+    let socket = site.catalog.as_ref().and_then(|catalog| catalog.control_socket.clone());
     let socket = socket.ok_or(ArchiveError::NoControlSocket)?;
     let text = control_socket::ask(&socket, "tree")
         .map_err(|source| ArchiveError::Catalog { socket: socket.clone(), source })?;
@@ -99,11 +99,11 @@
 }
 
 impl RemoteUnit {
-    fn open(site: &Site, tree: &Tree, name: &str) -> Result<RemoteUnit, ArchiveError> {
-        let blocks_per_extent = site.catalog.as_ref().map_or(1, |catalog| catalog.extent);
+    fn open(site: &GatewayConfig, tree: &Tree, name: &str) -> Result<RemoteUnit, ArchiveError> {
+        let blocks_per_extent = site.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks);
         let configured = site.volumes.iter().find(|volume| volume.mapped && volume.name == name);
         let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
-            (Some(volume), ..) => (volume.lun.into(), (volume.blocks / blocks_per_extent) as u32),
+            (Some(volume), ..) => (volume.lun.into(), (volume.block_count / blocks_per_extent) as u32),
             (None, Some(branch), _) => (branch.lun, branch.extent_count),
             (None, None, Some(snapshot)) => (snapshot.lun, snapshot.extent_count),
             (None, None, None) => return Err(ArchiveError::NoSuchUnit(name.to_owned())),
@@ -206,7 +206,7 @@
 }
 
 /// Writes a snapshot to a file. An incomplete export of the same snapshot is resumed. Returns what was done.
-pub(crate) fn export(site: &Site, name: &str, file: &Path) -> Result<String, ArchiveError> {
+pub(crate) fn export(site: &GatewayConfig, name: &str, file: &Path) -> Result<String, ArchiveError> {
     let tree = fetch_tree(site)?;
     let snapshot = tree.snapshot(name).map_err(ArchiveError::NoSuchSnapshot)?;
     let mut unit = RemoteUnit::open(site, &tree, name)?;
@@ -243,7 +243,7 @@
 
 /// Writes a file into a volume or clone, which then reads as the exported snapshot. Extents that read so
 /// already are left alone, so that an import that broke off is resumed. Returns what was done.
-pub(crate) fn import(site: &Site, file: &Path, name: &str) -> Result<String, ArchiveError> {
+pub(crate) fn import(site: &GatewayConfig, file: &Path, name: &str) -> Result<String, ArchiveError> {
     let path = ArchivePath(file);
     // All of it is read once before anything is written.
     let mut check = path.reader()?;
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -23,8 +23,8 @@
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_scheduler::host::Tick;
-use mallowseam_settings::Site;
-use mallowseam_settings::site::{self, Volume};
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::{self, Volume};
 use mallowseam_snapshot_catalog::Catalog;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
@@ -65,7 +65,7 @@
 }
 
 struct CatalogService {
-    site: Site,
+    site: GatewayConfig,
     clock: Clock,
     now: Tick,
     catalog: Catalog,
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
-pub(crate) fn run(site: Site, crash_at: Option<u64>) -> Result<(), Error> {
+pub(crate) fn run(site: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
     let mut service = CatalogService::open(site, &poll)?;
     service.crash_at = crash_at;
@@ -127,14 +127,15 @@
 }
 
 impl CatalogService {
-    fn open(site: Site, poll: &Poll) -> Result<Self, Error> {
+    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let settings = site.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
         let address = settings.listen.expect("a checked configuration names it");
         let first_host_token = FIRST_NODE + site.nodes.len();
         let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
-        let control = startup::control_socket(settings.control.as_deref(), poll, CONTROL, FIRST_CALLER)?;
-        let catalog = Catalog::open(&settings.store)
-            .map_err(|source| Error::OpenCatalogStore { path: settings.store.clone(), source })?;
+        let control =
+            startup::control_socket(settings.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let catalog = Catalog::open(&settings.store_path)
+            .map_err(|source| Error::OpenCatalogStore { path: settings.store_path.clone(), source })?;
         let initiator = format!("{}:catalog", site.host.target);
         let registry = startup::registry(poll)?;
         let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry, FIRST_NODE);
@@ -185,11 +186,11 @@
     }
 
     /// Creates a branch for each mapped volume that has none yet.
-    fn create_configured_branches(&mut self, settings: &site::Catalog) -> Result<(), Error> {
+    fn create_configured_branches(&mut self, settings: &config::Catalog) -> Result<(), Error> {
         let mapped: Vec<Volume> = self.site.volumes.iter().filter(|v| v.mapped).cloned().collect();
         for volume in mapped {
             if !self.tree().branches.contains_key(&volume.name) {
-                let extent_count = (volume.blocks / settings.extent) as u32;
+                let extent_count = (volume.block_count / settings.extent_blocks) as u32;
                 let created = Change::BranchCreated { branch: volume.name, extent_count };
                 self.propose(created).map_err(Error::ConfiguredVolume)?;
             }
@@ -211,7 +212,7 @@
 
     /// Blocks of an extent.
     fn extent_blocks(&self) -> u64 {
-        self.site.catalog.as_ref().map_or(1, |catalog| catalog.extent)
+        self.site.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks)
     }
 
     fn on_event(&mut self, token: Token, readable: bool) {
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -3,8 +3,8 @@
 use crate::blocking_client::{BlockingClient, ClientError};
 use mallowseam_cow::tree::{FIRST_LAYER_ID, LayerId, Location, Tree};
 use mallowseam_iscsi::scsi::{self, status};
-use mallowseam_settings::Site;
-use mallowseam_settings::site::Node;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::Node;
 use mallowseam_snapshot_catalog::Catalog;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -43,10 +43,10 @@
 
 /// Walks the store of a stopped catalog and all nodes. With `reclaim`, places that nothing refers to are
 /// unmapped.
-pub(crate) fn run(site: &Site, reclaim: bool) -> Result<Findings, VerifyError> {
+pub(crate) fn run(site: &GatewayConfig, reclaim: bool) -> Result<Findings, VerifyError> {
     let settings = site.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
-    let catalog = Catalog::open(&settings.store)
-        .map_err(|source| VerifyError::Store { path: settings.store.clone(), source })?;
+    let catalog = Catalog::open(&settings.store_path)
+        .map_err(|source| VerifyError::Store { path: settings.store_path.clone(), source })?;
     let tree = catalog.tree();
     let mut findings = Findings {
         faults: tree.inconsistencies().iter().map(ToString::to_string).collect(),
@@ -55,7 +55,7 @@
     let mut references = collect_references(tree, site.nodes.len(), &mut findings);
     for (index, node) in site.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
-        let mut walk = NodeWalk::open(node, index as u32, settings.extent)?;
+        let mut walk = NodeWalk::open(node, index as u32, settings.extent_blocks)?;
         // Layers that were removed may have left something as well: all that were ever made are looked at.
         for layer in FIRST_LAYER_ID..tree.next_layer_id() {
             for number in walk.held_places(layer)? {
