--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,300 +1,240 @@
-//! The block I/Os in hand: what came from which client, what is out at which node. Carries out what the
-//! scheduler decides; what comes of it is told to the scheduler once its call is over.
+//! The block I/Os in flight: which client each came from, and its attempt at a node. Carries out what the
+//! scheduler decides; what comes of that is told to the scheduler once its present call is over.
+//!
+//! - `block_io`: commands, block I/Os and attempts, and the tags of attempts.
+//! - `commands`: commands of clients, from their arrival to their answer.
+//! - `attempts`: attempts at nodes, and the scheduler's view of this host.
+//! - `local_commands`: commands that the host answers itself.
+//! - `exported_units`: the units that clients see.
+//! - `mapped_volumes`, `split_writes`, `extent_copies`: block I/Os whose location the snapshot catalog knows.
+mod attempts;
+mod block_io;
+mod commands;
+mod exported_units;
+mod extent_copies;
 mod local_commands;
 mod mapped_volumes;
+mod split_writes;
 
 use crate::catalog_client::CatalogClient;
-use crate::client_connections::{Clients, InFlightCommand};
-use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor, ticks_to_millis};
+use crate::client_connections::{ClientId, Clients};
+use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use crate::metrics::Metrics;
-use crate::node_connections::{AttemptResult, NodeRequest, Nodes};
+use crate::node_connections::Nodes;
 use crate::scheduler_config::{mapped_layout, volume_layout};
 use crate::slab::Slab;
-use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
+use attempts::AttemptTimeout;
+use block_io::{BlockIo, Command};
+use exported_units::ExportedUnit;
+use extent_copies::ExtentCopy;
 use mallowseam_connection_policy::request_splitting::{SubRequest, VolumeLayout};
-use mallowseam_cow::copy_budget::{self, CopyBudget};
-use mallowseam_cow::messages::ToCatalog;
-use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
-use mallowseam_cow::tree::{LayerId, Location, Tree};
-use mallowseam_cow::tree_replica::{Lookup, RESEND_AFTER};
-use mallowseam_iscsi::initiator::Payload;
-use mallowseam_iscsi::scsi::{self, Command as Scsi, Sense, Unit, status};
+use mallowseam_cow::copy_budget::CopyBudget;
+use mallowseam_cow::tree::LayerId;
 use mallowseam_iscsi::target::Came;
 use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::*;
+use mallowseam_scheduler::host::{BioId, Outcome, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
 use mallowseam_settings::GatewayConfig;
-use mallowseam_settings::config;
+use mallowseam_settings::config::{self, Effect};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
 
-/// A tag on the way to a node: the block I/O's place in the lower bits, above them which submit of that place
-/// it is, so that an answer finds no later one.
-const PLACE_BITS: u32 = 20;
-const PLACES: usize = 1 << PLACE_BITS;
-const NONE: u32 = u32::MAX;
-/// Group number of copies, by which a trace tells them from clients' commands.
-const COPY_MARK: u8 = 31;
-/// Ticks in the tenth of a second in which a time to come back is told (RFC 7144).
-const COME_BACK: Tick = 1_000;
-
+/// A volume of the configuration.
 struct Volume {
     name: String,
+    /// Index of its plan.
     plan: u16,
     lun: u32,
-    blocks: u64,
+    block_count: u64,
+    /// Bytes of a block.
     block_size: u32,
-    hosts: u32,
+    /// Number of hosts through which it is used.
+    host_count: u32,
     layout: VolumeLayout,
-    /// The branch whose extents it shows, where the catalog says where its blocks lie.
-    branch: Option<Rc<str>>,
-}
-
-/// A unit that clients see: a volume, or a snapshot or clone of one.
-#[derive(Clone)]
-struct Seen {
-    vol: usize,
-    lun: u32,
+    /// Its branch in the snapshot catalog, where that knows the locations of its extents.
     branch: Option<Rc<str>>,
-    writable: bool,
-}
-
-/// An extent on its way to a new place.
-struct Copy {
-    vol: usize,
-    from: Option<(LayerId, Location)>,
-    data: Payload,
-    /// For the submits of its write, one each.
-    numbers: Vec<u32>,
-    state: Copying,
-}
-
-#[derive(Clone, Copy, PartialEq)]
-enum Copying {
-    Reading,
-    Writing,
-    /// Told to the catalog, at that time.
-    Told(Location, u64),
-    /// Came to nothing; may be begun again from then on.
-    Resting(u64),
 }
 
-struct Group {
-    hard_limit: Tick,
-    goal: Tick,
-    side_effecting: bool,
+impl Volume {
+    fn new(site: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
+        let layout =
+            if volume.mapped { mapped_layout(volume, extent_blocks) } else { volume_layout(site, volume) };
+        Volume {
+            name: volume.name.clone(),
+            plan: volume.plan as u16,
+            lun: volume.lun.into(),
+            block_count: volume.block_count,
+            block_size: volume.block_size,
+            host_count: volume.host_count,
+            layout,
+            branch: volume.mapped.then(|| volume.name.as_str().into()),
+        }
+    }
 }
 
-/// A client's command.
-struct Command {
-    client: u32,
-    task: u32,
-    progress: CommandProgress,
-    /// Its block I/Os: the first of a chain, and how many still have a place.
-    first: u32,
-    alive: u32,
-    write: bool,
-    parts: u32,
-    pieces: SplitWrite,
-    /// The client's group number, handed on to the nodes.
-    mark: u8,
-    block_size: usize,
-    data: Payload,
-    read: Vec<u8>,
+/// An I/O class of the configuration.
+struct IoClassConfig {
+    /// Ticks after which a client gives up.
+    deadline: Tick,
+    /// Ticks within which block I/Os are to complete.
+    latency_objective: Tick,
+    non_idempotent: bool,
 }
 
-struct Out {
-    node: u32,
-    tag: u32,
-    sent: Tick,
+impl IoClassConfig {
+    fn new(class: &config::IoClass) -> Self {
+        IoClassConfig {
+            deadline: ticks_from_micros_floor(class.deadline),
+            latency_objective: ticks_from_micros_ceil(class.latency_objective),
+            non_idempotent: class.effect == Effect::NonIdempotent,
+        }
+    }
 }
 
-/// One block I/O.
-struct Io {
-    command: u32,
-    next: u32,
-    vol: usize,
-    lun: u32,
-    branch: Option<Rc<str>>,
-    /// Order in which they came.
-    seq: u64,
-    place: Option<(LayerId, Location)>,
-    /// The extent it copies.
-    copies: Option<(LayerId, u32)>,
-    /// Comes back from the scheduler to be looked up again.
-    returns: bool,
-    part: SubRequest,
-    taken: Tick,
-    handed: bool,
-    submits: u32,
-    out: Option<Out>,
-    answered: bool,
-}
+/// Index of a block I/O, which is its id for the scheduler as well.
+type BlockIoIndex = u32;
 
+/// The block I/Os in flight, with the connections that they come from and go to.
 pub(crate) struct Dispatcher {
-    pub now: Tick,
-    pub clients: Clients,
-    pub nodes: Nodes,
-    pub metrics: Metrics,
-    pub wakeup_at: Option<Tick>,
-    pub endpoint_list_requested: bool,
+    /// The time of the present iteration of the event loop.
+    pub(crate) now: Tick,
+    pub(crate) clients: Clients,
+    pub(crate) nodes: Nodes,
+    pub(crate) metrics: Metrics,
+    /// The client of the snapshot catalog, where the host has mapped volumes.
+    pub(crate) catalog: Option<CatalogClient>,
+    /// When the scheduler wants to be called.
+    pub(crate) wakeup_at: Option<Tick>,
+    /// The scheduler has requested the endpoint list.
+    pub(crate) endpoint_list_requested: bool,
     volumes: Vec<Volume>,
-    groups: Vec<Group>,
-    unit: u64,
-    longest: u64,
-    ios: Slab<Io>,
-    turns: Vec<u32>,
-    commands: Slab<Command>,
-    keys: Door<(u32, u64)>,
-    timers: BinaryHeap<Reverse<(Tick, u32)>>,
-    ended: VecDeque<(BioId, Outcome)>,
-    gone: VecDeque<BioId>,
-    parts: Vec<SubRequest>,
-    pub catalog: Option<CatalogClient>,
-    extent: u64,
-    copy_group: usize,
-    submits: u32,
+    classes: Vec<IoClassConfig>,
+    /// Bytes of a unit, in which costs are counted.
+    unit_bytes: u64,
+    max_transfer_bytes: u64,
+    max_attempts: u32,
+    /// The shard of each node.
     shards: Vec<u32>,
-    units: BTreeMap<u32, Seen>,
-    units_of: u64,
-    seq: u64,
-    /// Block I/Os that wait for news of the map, in the order in which they came.
-    waiting: Vec<u32>,
-    looked: (u64, Tick),
-    copies: CopyBudget,
-    copying: BTreeMap<(LayerId, u32), Copy>,
-    fresh: VecDeque<u32>,
+    block_ios: Slab<BlockIo>,
+    commands: Slab<Command>,
+    /// Ordering keys by LUN and number, each with a small index for the scheduler.
+    ordering_keys: Door<(u32, u64)>,
+    /// How many attempts each block I/O's index has had, for their tags.
+    attempt_counts: Vec<u32>,
+    attempt_timeouts: BinaryHeap<Reverse<AttemptTimeout>>,
+    /// Outcomes that the scheduler was not told yet.
+    outcomes: VecDeque<(BioId, Outcome)>,
+    /// Block I/Os whose client has disconnected, or which are looked up anew; the scheduler was not told yet.
+    withdrawn: VecDeque<BioId>,
+    /// Block I/Os of copies that the scheduler was not told of yet.
+    arrivals: VecDeque<BlockIoIndex>,
+    /// Reused for splitting commands.
+    sub_requests: Vec<SubRequest>,
+    /// The sequence number of the last block I/O.
+    last_sequence: u64,
+    /// Blocks of an extent of mapped volumes.
+    extent_blocks: u64,
+    /// Index of the I/O class of copies.
+    copy_class: usize,
+    /// Snapshots and clones by LUN, of a version of the tree.
+    units: BTreeMap<u32, ExportedUnit>,
+    units_version: Option<u64>,
+    /// Block I/Os whose location is not known yet, in the order in which they arrived.
+    waiting: Vec<BlockIoIndex>,
+    /// The catalog's revision at the last lookup of those, and when the next one is due.
+    lookup_revision: u64,
+    next_lookup: Tick,
+    copy_budget: CopyBudget,
+    copies: BTreeMap<(LayerId, u32), ExtentCopy>,
 }
 
 impl Dispatcher {
-    /// Volumes have these plans from now on; the scheduler's handles of those that have another one.
-    pub fn apply_plans(&mut self, of: &[usize]) -> Vec<(VolId, u16)> {
-        let mut changed = Vec::new();
-        for (at, (volume, plan)) in self.volumes.iter_mut().zip(of).enumerate() {
-            let plan = *plan as u16;
-            if volume.plan != plan {
-                volume.plan = plan;
-                changed.push((VolId(at as u32), plan));
-            }
-        }
-        changed
-    }
-
-    pub fn new(
+    /// Nothing is in flight.
+    pub(crate) fn new(
         site: &GatewayConfig,
         clients: Clients,
         nodes: Nodes,
-        catalog_client: Option<CatalogClient>,
+        catalog: Option<CatalogClient>,
     ) -> Self {
-        let catalog = site.catalog.clone().unwrap_or_default();
-        let volume = |v: &config::Volume| Volume {
-            name: v.name.clone(),
-            plan: v.plan as u16,
-            lun: v.lun.into(),
-            blocks: v.block_count,
-            block_size: v.block_size,
-            hosts: v.host_count,
-            layout: if v.mapped { mapped_layout(v, catalog.extent_blocks) } else { volume_layout(site, v) },
-            branch: v.mapped.then(|| v.name.as_str().into()),
-        };
-        let group = |g: &config::IoClass| Group {
-            hard_limit: ticks_from_micros_floor(g.deadline),
-            goal: ticks_from_micros_ceil(g.latency_objective),
-            side_effecting: g.effect == config::Effect::NonIdempotent,
-        };
+        let catalog_config = site.catalog.clone().unwrap_or_default();
+        let extent_blocks = catalog_config.extent_blocks;
         Dispatcher {
             now: 0,
             clients,
             nodes,
             metrics: Metrics::new(site.io_classes.len(), site.nodes.len(), site.volumes.len()),
+            catalog,
             wakeup_at: None,
             endpoint_list_requested: false,
-            volumes: site.volumes.iter().map(volume).collect(),
-            groups: site.io_classes.iter().map(group).collect(),
-            unit: site.fleet.unit_bytes,
-            longest: site.host.max_transfer_bytes,
-            ios: Slab::default(),
-            turns: Vec::new(),
+            volumes: site.volumes.iter().map(|volume| Volume::new(site, volume, extent_blocks)).collect(),
+            classes: site.io_classes.iter().map(IoClassConfig::new).collect(),
+            unit_bytes: site.fleet.unit_bytes,
+            max_transfer_bytes: site.host.max_transfer_bytes,
+            max_attempts: site.fleet.max_attempts,
+            shards: site.nodes.iter().map(|node| node.shard).collect(),
+            block_ios: Slab::default(),
             commands: Slab::default(),
-            keys: Door::default(),
-            timers: BinaryHeap::new(),
-            ended: VecDeque::new(),
-            gone: VecDeque::new(),
-            parts: Vec::new(),
-            catalog: catalog_client,
-            extent: catalog.extent_blocks,
-            copy_group: catalog.copy_class,
-            submits: site.fleet.max_attempts,
-            shards: site.nodes.iter().map(|n| n.shard).collect(),
+            ordering_keys: Door::default(),
+            attempt_counts: Vec::new(),
+            attempt_timeouts: BinaryHeap::new(),
+            outcomes: VecDeque::new(),
+            withdrawn: VecDeque::new(),
+            arrivals: VecDeque::new(),
+            sub_requests: Vec::new(),
+            last_sequence: 0,
+            extent_blocks,
+            copy_class: catalog_config.copy_class,
             units: BTreeMap::new(),
-            units_of: u64::MAX,
-            seq: 0,
+            units_version: None,
             waiting: Vec::new(),
-            looked: (0, 0),
-            copies: CopyBudget::default(),
-            copying: BTreeMap::new(),
-            fresh: VecDeque::new(),
+            lookup_revision: 0,
+            next_lookup: 0,
+            copy_budget: CopyBudget::default(),
+            copies: BTreeMap::new(),
         }
     }
 
-    /// Block I/Os in hand.
-    pub fn in_flight(&self) -> usize {
-        self.ios.len()
+    /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan has
+    /// changed.
+    pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolId, u16)> {
+        let mut changed = Vec::new();
+        for (index, (volume, plan)) in self.volumes.iter_mut().zip(plans).enumerate() {
+            let plan = *plan as u16;
+            if volume.plan != plan {
+                volume.plan = plan;
+                changed.push((VolId(index as u32), plan));
+            }
+        }
+        changed
     }
 
-    /// When the next submit runs out of time.
-    pub fn next_attempt_timeout(&self) -> Option<Tick> {
-        self.timers.peek().map(|t| t.0.0)
+    /// Block I/Os in flight.
+    pub(crate) fn in_flight(&self) -> usize {
+        self.block_ios.len()
     }
 
-    /// Takes what came from a client.
-    pub fn on_client_event(&mut self, scheduler: &mut Scheduler, client: u32, came: Came) {
-        match came {
-            Came::LoggedIn(who) => {
-                self.clients.on_login(client, who.initiator);
-            }
+    /// An event of a client's session.
+    pub(crate) fn on_client_event(&mut self, scheduler: &mut Scheduler, client: ClientId, event: Came) {
+        match event {
+            Came::LoggedIn(who) => self.clients.on_login(client, who.initiator),
             Came::Command { task, lun, cdb, room, data } => {
-                self.command(scheduler, client, task, lun, &cdb, room, data);
+                let request = commands::ClientRequest { client, task, lun, cdb, room, data };
+                self.on_command(scheduler, request);
             }
             Came::Aborted { task } => {
                 if let Some(aborted) = self.clients.abort_command(client, task) {
-                    self.leave(aborted.command);
+                    self.abandon_command(aborted.command);
                 }
             }
             Came::Logout | Came::Alive => {}
         }
     }
 
-    /// The client of a command is not there for an answer any more.
-    fn leave(&mut self, at: u32) {
-        let Some(command) = self.commands.get_mut(at).filter(|c| !c.progress.is_answered()) else { return };
-        command.progress.client_disconnected();
-        command.client = NONE;
-        self.metrics.commands.abandoned += 1;
-        self.let_go(at);
-    }
-
-    /// The block I/Os of a command that is answered are of no more use.
-    fn let_go(&mut self, at: u32) {
-        let mut next = self.commands.get(at).map_or(NONE, |c| c.first);
-        while let Some(io) = self.ios.get_mut(next).filter(|io| io.command == at) {
-            if !io.answered {
-                io.answered = true;
-                if io.handed {
-                    self.gone.push_back(BioId(next));
-                }
-                // One that waits is let go at the next look.
-                self.looked.1 = 0;
-            }
-            next = io.next;
-        }
-    }
-
-    /// The time that the scheduler asked for has come. Nothing else wakes it: it names each time once, and would take
-    /// a call past the time that is set here for that one, and wait for the next in vain.
-    pub fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
-        if self.wakeup_at.is_some_and(|at| at <= self.now) {
+    /// Calls the scheduler when the time has come that it asked for. Nothing else does: it names each time once,
+    /// and would take a call past the time that is set here for that one, and wait for the next in vain.
+    pub(crate) fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
+        if self.wakeup_at.is_some_and(|time| time <= self.now) {
             self.wakeup_at = None;
             let now = self.now;
             scheduler.woken(self, now);
@@ -302,462 +242,31 @@
         }
     }
 
-    /// Tells the scheduler what has come of its submits, until nothing is left to tell.
-    pub fn settle(&mut self, scheduler: &mut Scheduler) {
+    /// Tells the scheduler what has come of its decisions, until nothing is left to tell.
+    pub(crate) fn settle(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
         loop {
             while let Some(commands) = self.clients.next_abandoned() {
                 for abandoned in commands {
-                    self.leave(abandoned.command);
+                    self.abandon_command(abandoned.command);
                 }
             }
-            if let Some(result) = self.nodes.next_result() {
-                self.submit_ended(result);
+            if let Some(finished) = self.nodes.next_result() {
+                self.on_finished_attempt(finished);
             }
-            // Who has left goes first: what is taken back behind a write that was turned away must not be sent
-            // when that one makes room.
-            if let Some(id) = self.gone.pop_front() {
-                if self.ios.get(id.0).is_some() {
+            // Withdrawn ones go first: what is withdrawn behind a write that was rejected must not be sent when
+            // that one makes room.
+            if let Some(id) = self.withdrawn.pop_front() {
+                if self.block_ios.get(id.0).is_some() {
                     scheduler.gone(self, now, id);
                 }
-            } else if let Some((id, outcome)) = self.ended.pop_front() {
+            } else if let Some((id, outcome)) = self.outcomes.pop_front() {
                 scheduler.ended(self, now, id, &outcome);
-            } else if let Some(at) = self.fresh.pop_front() {
-                self.take(scheduler, at);
-            } else if self.nodes.is_quiet() && self.clients.is_quiet() && !self.look_again(scheduler) {
+            } else if let Some(index) = self.arrivals.pop_front() {
+                self.pass_to_scheduler(scheduler, index);
+            } else if self.nodes.is_quiet() && self.clients.is_quiet() && !self.retry_lookups(scheduler) {
                 return;
             }
         }
     }
-
-    fn submit_ended(&mut self, result: AttemptResult) {
-        let at = result.tag & (PLACES as u32 - 1);
-        let Some(io) = self.ios.get_mut(at) else { return };
-        if io.out.as_ref().is_none_or(|o| o.tag != result.tag) {
-            return;
-        }
-        if result.write_protected && io.branch.is_some() {
-            return self.turned_away(at);
-        }
-        let (block_size, write) = match self.commands.get(io.command) {
-            Some(c) => (c.block_size, c.write),
-            None => (self.volumes[io.vol].block_size as usize, self.writes_copy(at)),
-        };
-        let io = self.ios.get_mut(at).expect("just seen");
-        let mut ending = if result.write_protected { Ending::Error } else { result.ending };
-        let bytes = io.part.blocks as usize * block_size;
-        if ending == Ending::Done && !write && result.data.len() != bytes {
-            tracing::warn!(
-                node = self.nodes.name(result.node),
-                bytes,
-                received = result.data.len(),
-                "short read"
-            );
-            ending = Ending::Error;
-        }
-        if ending == Ending::Done && !io.answered {
-            io.answered = true;
-            self.done(at, result.data);
-        }
-        self.tell(at, ending);
-    }
-
-    /// A block I/O has ended.
-    fn done(&mut self, at: u32, mut data: Vec<u8>) {
-        let io = self.ios.get(at).expect("in hand");
-        let group = io.part.class as usize;
-        let figures = &mut self.metrics.classes[group];
-        figures.counts.completed += 1;
-        if io.copies.is_none() {
-            let bytes = u64::from(io.part.blocks) * u64::from(self.volumes[io.vol].block_size);
-            self.metrics.volumes[io.vol].completed += bytes.div_ceil(self.unit) as f64;
-        }
-        let wait = self.now - io.taken;
-        figures.late += u64::from(wait > self.groups[group].goal);
-        figures.latencies.saturating_record(wait.max(0) as u64 * 100);
-        if io.copies.is_some() {
-            return self.copied(at, data);
-        }
-        let (from, bytes) = (io.part.offset as usize, io.part.blocks as usize);
-        let (command_at, place) = (io.command, io.place);
-        let Some(command) = self.commands.get_mut(command_at) else { return };
-        if let Some((layer, _)) = place {
-            command.pieces.part_completed(layer);
-        }
-        if !command.write && !command.read.is_empty() {
-            let (from, bytes) = (from * command.block_size, bytes * command.block_size);
-            command.read[from..from + bytes].copy_from_slice(&data);
-            data = Vec::new();
-        }
-        self.part_over(command_at, RequestOutcome::Completed, &data);
-    }
-
-    /// A submit is over: its outcome is told to the scheduler after the present call.
-    fn tell(&mut self, at: u32, ending: Ending) {
-        let Some(io) = self.ios.get_mut(at) else { return };
-        let Some(out) = io.out.take() else { return };
-        self.metrics.nodes[out.node as usize].count(ending);
-        if self.groups[io.part.class as usize].side_effecting
-            && matches!(ending, Ending::Busy | Ending::NoConnect | Ending::Moot)
-            && let Some(command) = self.commands.get_mut(io.command)
-        {
-            command.progress.attempt_did_not_run();
-        }
-        let outcome = Outcome {
-            ending,
-            node: NodeId(out.node),
-            closed: io.answered || io.returns,
-            wait: self.now - out.sent,
-            by_others: 0.0,
-            used: 0.0,
-            report: Report::default(),
-        };
-        self.ended.push_back((BioId(at), outcome));
-    }
-
-    /// Submits out of time are given up.
-    pub fn expire_attempts(&mut self) {
-        while let Some(&Reverse((at, tag))) = self.timers.peek() {
-            if at > self.now {
-                break;
-            }
-            self.timers.pop();
-            let place = tag & (PLACES as u32 - 1);
-            let Some(out) = self.ios.get(place).and_then(|io| io.out.as_ref()) else { continue };
-            if out.tag == tag {
-                let early = self.nodes.give_up(out.node as usize, tag, self.now);
-                self.tell(place, if early { Ending::NoConnect } else { Ending::TimedOut });
-            }
-        }
-        // Most submits end long before their time is up: what is left of them here is cleared out.
-        if self.timers.len() > 64 + 4 * self.ios.len() {
-            let ios = &self.ios;
-            let live = |t: &Reverse<(Tick, u32)>| {
-                let out = ios.get(t.0.1 & (PLACES as u32 - 1)).and_then(|io| io.out.as_ref());
-                out.is_some_and(|o| o.tag == t.0.1)
-            };
-            self.timers.retain(live);
-        }
-    }
-
-    /// A part of a command is over; the client gets its answer if this decides it.
-    fn part_over(&mut self, at: u32, end: RequestOutcome, data: &[u8]) {
-        let Some(command) = self.commands.get_mut(at) else { return };
-        let Some(answer) = command.progress.sub_request_finished(end) else { return };
-        let (client, task) = (command.client, command.task);
-        let read = std::mem::take(&mut command.read);
-        let counts = &mut self.metrics.commands;
-        match answer {
-            RequestOutcome::Completed => counts.completed += 1,
-            RequestOutcome::Shed { .. } => counts.shed += 1,
-            RequestOutcome::Failed => counts.failed += 1,
-        }
-        self.clients.remove_command(client, task);
-        if let Some(conn) = self.clients.session_mut(client) {
-            match answer {
-                RequestOutcome::Completed if read.is_empty() => conn.good(task, data),
-                RequestOutcome::Completed => conn.good(task, &read),
-                RequestOutcome::Shed { retry_after: after } => {
-                    let tenths = (after + COME_BACK - 1) / COME_BACK;
-                    conn.other(task, status::BUSY, None, tenths.clamp(0, 0x3fef) as u16);
-                }
-                RequestOutcome::Failed => {
-                    conn.other(task, status::CHECK_CONDITION, Some(Sense::UNKNOWN_OUTCOME), 0);
-                }
-            }
-        }
-        if answer != RequestOutcome::Completed {
-            self.let_go(at);
-        }
-    }
-
-    #[allow(clippy::too_many_arguments)]
-    fn command(
-        &mut self,
-        scheduler: &mut Scheduler,
-        client: u32,
-        task: u32,
-        lun: Option<u32>,
-        cdb: &[u8; 16],
-        room: usize,
-        data: Vec<u8>,
-    ) {
-        let scsi = scsi::read_cdb(cdb);
-        let seen = lun.and_then(|lun| self.unit(lun));
-        let vol = seen.as_ref().map(|s| s.vol);
-        let (write, lba, blocks, mark) = match scsi {
-            Ok(Scsi::Read { lba, blocks, group }) => (false, lba, blocks, group),
-            Ok(Scsi::Write { lba, blocks, group }) => (true, lba, blocks, group),
-            scsi => return self.own(client, task, vol, scsi),
-        };
-        let Some(Seen { vol, lun, branch, writable }) = seen else {
-            return self.refuse(client, task, Sense::NO_SUCH_LUN);
-        };
-        if write && !writable {
-            return self.refuse(client, task, Sense::WRITE_PROTECTED);
-        }
-        let volume = &self.volumes[vol];
-        let block_size = volume.block_size as usize;
-        let bytes = u64::from(blocks) * block_size as u64;
-        if lba.checked_add(blocks.into()).is_none_or(|end| end > volume.blocks) {
-            return self.refuse(client, task, Sense::OUT_OF_RANGE);
-        }
-        if bytes > self.longest || write && data.len() as u64 != bytes || !write && (room as u64) < bytes {
-            return self.refuse(client, task, Sense::INVALID_FIELD);
-        }
-        if blocks == 0 {
-            return self.good(client, task, &[]);
-        }
-        let mut parts = std::mem::take(&mut self.parts);
-        if volume.layout.split(write, lba, blocks, &mut parts).is_err() {
-            self.parts = parts;
-            return self.refuse(client, task, Sense::OUT_OF_RANGE);
-        }
-        if !self.clients.admission.admits_commands(crate::clock::ticks_to_millis(self.now))
-            || self.ios.len() + parts.len() > PLACES
-        {
-            // Never taken, so trying again is harmless.
-            self.parts = parts;
-            if let Some(conn) = self.clients.session_mut(client) {
-                conn.other(task, status::TASK_SET_FULL, None, 0);
-            }
-            return;
-        }
-        self.metrics.commands.admitted += 1;
-        let read = if !write && parts.len() > 1 { vec![0; bytes as usize] } else { Vec::new() };
-        let command = self.commands.insert(Command {
-            client,
-            task,
-            progress: CommandProgress::new(parts.len() as u32),
-            first: NONE,
-            alive: parts.len() as u32,
-            write,
-            parts: parts.len() as u32,
-            pieces: SplitWrite::default(),
-            mark,
-            block_size,
-            data: data.into(),
-            read,
-        });
-        self.clients.add_command(client, InFlightCommand { task, command });
-        let mut first = NONE;
-        for part in parts.iter().rev() {
-            first = self.ios.insert(Io {
-                command,
-                next: first,
-                vol,
-                lun,
-                branch: branch.clone(),
-                seq: 0,
-                place: None,
-                copies: None,
-                returns: false,
-                part: *part,
-                taken: self.now,
-                handed: false,
-                submits: 0,
-                out: None,
-                answered: false,
-            });
-        }
-        self.commands.get_mut(command).expect("just put").first = first;
-        self.parts = parts;
-        let mut next = first;
-        while let Some(io) = self.ios.get_mut(next) {
-            let at = next;
-            next = io.next;
-            self.seq += 1;
-            io.seq = self.seq;
-            if self.commands.get(command).is_some_and(|c| c.progress.is_answered()) {
-                // An earlier part has decided the answer: the scheduler never hears of this one.
-                self.forget(at);
-            } else if io.branch.is_some() {
-                self.look_up(scheduler, at);
-            } else {
-                self.take(scheduler, at);
-            }
-        }
-    }
-
-    /// Hands a block I/O to the scheduler.
-    fn take(&mut self, scheduler: &mut Scheduler, at: u32) {
-        let Some(io) = self.ios.get_mut(at) else { return };
-        io.handed = true;
-        let part = io.part;
-        let volume = &self.volumes[io.vol];
-        let key = part.ordering_key.map(|key| KeyId(self.keys.enter(&(io.lun, key))));
-        let bytes = u64::from(part.blocks) * u64::from(volume.block_size);
-        let shard = match (io.place, io.copies) {
-            (Some((_, place)), _) => Some(self.shards[place.node as usize]),
-            // A new object may go to any node.
-            (None, Some(_)) => None,
-            (None, None) => Some(part.shard),
-        };
-        let bio = Bio {
-            id: BioId(at),
-            group: part.class,
-            plan: volume.plan,
-            vol: VolId(io.vol as u32),
-            key,
-            hard_limit: io.taken + self.groups[part.class as usize].hard_limit,
-            units: bytes.div_ceil(self.unit) as f64,
-            shard,
-            hosts: volume.hosts,
-        };
-        self.metrics.classes[part.class as usize].counts.admitted += 1;
-        if io.copies.is_none() {
-            self.metrics.volumes[io.vol].requested += bio.units;
-        }
-        let now = self.now;
-        scheduler.take(self, now, bio);
-    }
-
-    /// A block I/O gives back its place, and its command with the last one.
-    fn forget(&mut self, at: u32) {
-        let Some(io) = self.ios.remove(at) else { return };
-        if let Some(copy) = io.copies.and_then(|c| self.copying.get_mut(&c))
-            && matches!(copy.state, Copying::Reading | Copying::Writing)
-            && !io.answered
-        {
-            copy.state = Copying::Resting(ticks_to_millis(self.now) + copy_budget::RETRY_DELAY);
-        }
-        if let Some(command) = self.commands.get_mut(io.command) {
-            command.alive -= 1;
-            if command.alive == 0 {
-                self.commands.remove(io.command);
-            }
-        }
-    }
-
-    fn good(&mut self, client: u32, task: u32, data: &[u8]) {
-        if let Some(conn) = self.clients.session_mut(client) {
-            conn.good(task, data);
-        }
-    }
-
-    fn refuse(&mut self, client: u32, task: u32, sense: Sense) {
-        if let Some(conn) = self.clients.session_mut(client) {
-            conn.other(task, status::CHECK_CONDITION, Some(sense), 0);
-        }
-    }
-
-    fn give_up(&mut self, bio: BioId, end: RequestOutcome) {
-        let Some(io) = self.ios.get_mut(bio.0).filter(|io| !io.answered) else { return };
-        // A copy that is given up has no client: its place is given back with its state as it is.
-        io.answered = io.copies.is_none();
-        let answers = &mut self.metrics.classes[io.part.class as usize].counts;
-        match end {
-            RequestOutcome::Shed { .. } => answers.shed += 1,
-            _ => answers.failed += 1,
-        }
-        let command = io.command;
-        self.part_over(command, end, &[]);
-    }
-}
-
-impl Host for Dispatcher {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
-        let io = self.ios.get_mut(bio.0).expect("in hand");
-        if self.turns.len() <= bio.0 as usize {
-            self.turns.resize(bio.0 as usize + 1, 0);
-        }
-        let turn = &mut self.turns[bio.0 as usize];
-        *turn = (*turn + 1) & ((1 << (32 - PLACE_BITS)) - 1);
-        let tag = *turn << PLACE_BITS | bio.0;
-        io.submits += 1;
-        io.out = Some(Out { node: node.0, tag, sent: self.now });
-        let (part, vol, copies) = (io.part, io.vol, io.copies);
-        let mut place = io.place;
-        let block_size = self.volumes[vol].block_size as usize;
-        let (from, len) = (part.offset as usize * block_size, part.blocks as usize * block_size);
-        let (write, mark, data) = match (self.commands.get_mut(io.command), copies) {
-            (Some(command), _) => {
-                if self.groups[part.class as usize].side_effecting {
-                    command.progress.attempt_sent();
-                }
-                let data = if command.write { command.data.piece(from, len) } else { Payload::default() };
-                (command.write, command.mark, data)
-            }
-            (None, Some(copied)) => {
-                let copy = self.copying.get_mut(&copied).expect("a copy has its state");
-                let write = copy.state == Copying::Writing;
-                if write {
-                    // Each submit has a place of its own: one that lands late lands where nobody looks.
-                    let slot = copy.numbers.pop().expect("one for each submit");
-                    place = Some((copied.0, Location { node: node.0, slot }));
-                }
-                (write, COPY_MARK, if write { copy.data.clone() } else { Payload::default() })
-            }
-            (None, None) => (false, 0, Payload::default()),
-        };
-        if copies.is_some() {
-            self.ios.get_mut(bio.0).expect("in hand").place = place;
-        }
-        let (lun, lba) = match place {
-            Some((layer, place)) => (Some(layer), u64::from(place.slot) * self.extent + part.node_lba),
-            None => (None, part.node_lba),
-        };
-        let order = NodeRequest {
-            tag,
-            lun,
-            cdb: scsi::rw16(write, lba, part.blocks, mark),
-            room: if write { 0 } else { len },
-            data,
-        };
-        self.metrics.nodes[node.0 as usize].attempts += 1;
-        self.timers.push(Reverse((self.now + limit.max(0), tag)));
-        self.nodes.submit(node.0 as usize, order, self.now);
-    }
-
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        let Some(io) = self.ios.get(bio.0).filter(|io| io.submits == nth + 1) else { return };
-        let Some(out) = &io.out else { return };
-        let early = self.nodes.give_up(out.node as usize, out.tag, self.now);
-        self.tell(bio.0, if early { Ending::Moot } else { Ending::Cancelled });
-    }
-
-    fn shed(&mut self, bio: BioId, come_back: Tick) {
-        self.give_up(bio, RequestOutcome::Shed { retry_after: come_back });
-    }
-
-    fn fail(&mut self, bio: BioId) {
-        self.give_up(bio, RequestOutcome::Failed);
-    }
-
-    fn wake(&mut self, after: Tick) {
-        let at = self.now + after;
-        self.wakeup_at = Some(self.wakeup_at.map_or(at, |w| w.min(at)));
-    }
-
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
-        self.endpoint_list_requested = true;
-    }
-
-    fn fetch_list(&mut self) {
-        self.endpoint_list_requested = true;
-    }
-
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
-    fn release_bio(&mut self, bio: BioId) {
-        match self.ios.get_mut(bio.0).filter(|io| io.returns && !io.answered) {
-            Some(io) => {
-                (io.returns, io.handed, io.place, io.submits) = (false, false, None, 0);
-                self.wait(bio.0);
-            }
-            None => self.forget(bio.0),
-        }
-    }
-
-    fn release_key(&mut self, key: KeyId) {
-        self.keys.release(key.0);
-    }
-
-    /// Volumes keep their index: there are as many as the configuration names.
-    fn release_volume(&mut self, _vol: VolId) {}
-
-    /// Nodes have the places that the configuration gives them.
-    fn release_node(&mut self, _node: NodeId) {}
 }
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -1,74 +1,96 @@
-//! What the host answers itself: a unit says what it is, and nothing goes to a node.
-use super::*;
+//! Commands that the host answers itself: a unit says what it is, and nothing is sent to a node.
+use super::{Dispatcher, Volume};
+use crate::client_connections::ClientId;
+use mallowseam_iscsi::scsi::{self, Command, Sense, Unit};
+
+/// Standard INQUIRY data of a LUN without a unit (SPC-4, 6.4.2): qualifier 3, type 1Fh, version, response format,
+/// additional length; zeros follow.
+const NO_UNIT_INQUIRY: [u8; 5] = [0x7f, 0, 6, 2, 31];
+/// Length of standard INQUIRY data.
+const INQUIRY_LEN: usize = 36;
+/// Nothing to report.
+const NO_SENSE: Sense = Sense(0, 0, 0);
+
+fn truncated(mut data: Vec<u8>, room: usize) -> Vec<u8> {
+    data.truncate(room);
+    data
+}
 
 impl Dispatcher {
-    /// What the host answers itself.
-    pub(super) fn own(
+    /// Answers a command that neither reads nor writes blocks. `volume`: that of the unit, if there is one.
+    pub(super) fn answer_locally(
         &mut self,
-        client: u32,
+        client: ClientId,
         task: u32,
-        vol: Option<usize>,
-        scsi: std::result::Result<Scsi, Sense>,
+        volume: Option<usize>,
+        command: Result<Command, Sense>,
     ) {
-        let scsi = match scsi {
-            Ok(scsi) => scsi,
-            Err(sense) => return self.refuse(client, task, sense),
-        };
-        let cut = |mut data: Vec<u8>, room: usize| {
-            data.truncate(room);
-            data
-        };
-        match scsi {
-            Scsi::ReportLuns { select, room } => {
-                self.learn_units();
-                let luns = self.volumes.iter().map(|v| v.lun).chain(self.units.keys().copied());
-                let data = scsi::report_luns(luns, select);
-                return self.good(client, task, &cut(data, room));
+        let answer = command.and_then(|command| match self.answer_without_unit(volume, command) {
+            Some(data) => Ok(data),
+            None => self.answer_of_unit(volume, command),
+        });
+        match answer {
+            Ok(data) => self.answer_good(client, task, &data),
+            Err(sense) => self.reject(client, task, sense),
+        }
+    }
+
+    /// Commands that are answered also where there is no unit.
+    fn answer_without_unit(&mut self, volume: Option<usize>, command: Command) -> Option<Vec<u8>> {
+        match command {
+            Command::ReportLuns { select, room } => {
+                self.update_units();
+                let luns = self.volumes.iter().map(|volume| volume.lun).chain(self.units.keys().copied());
+                Some(truncated(scsi::report_luns(luns, select), room))
             }
-            Scsi::RequestSense { room } => {
-                let sense = if vol.is_some() { Sense(0, 0, 0) } else { Sense::NO_SUCH_LUN };
-                return self.good(client, task, &cut(sense.bytes().to_vec(), room));
+            Command::RequestSense { room } => {
+                let sense = if volume.is_some() { NO_SENSE } else { Sense::NO_SUCH_LUN };
+                Some(truncated(sense.bytes().to_vec(), room))
             }
-            Scsi::Inquiry { page: None, room } if vol.is_none() => {
-                // No unit at this number (SPC-4, 6.4.2): qualifier 3, type 1Fh.
-                let mut data = vec![0x7f, 0, 6, 2, 31];
-                data.resize(36, 0);
-                return self.good(client, task, &cut(data, room));
+            Command::Inquiry { page: None, room } if volume.is_none() => {
+                let mut data = NO_UNIT_INQUIRY.to_vec();
+                data.resize(INQUIRY_LEN, 0);
+                Some(truncated(data, room))
             }
-            _ => {}
+            _ => None,
         }
-        let Some(volume) = vol.map(|v| &self.volumes[v]) else {
-            return self.refuse(client, task, Sense::NO_SUCH_LUN);
-        };
-        let unit = Unit {
-            blocks: volume.blocks,
-            block_size: volume.block_size,
-            product: &volume.name,
-            serial: &volume.name,
-            most: (self.longest / u64::from(volume.block_size)).min(u64::from(u32::MAX)) as u32,
-        };
-        let data = match scsi {
-            Scsi::TestUnitReady => Some(Vec::new()),
+    }
+
+    fn answer_of_unit(&self, volume: Option<usize>, command: Command) -> Result<Vec<u8>, Sense> {
+        let volume = volume.map(|index| &self.volumes[index]).ok_or(Sense::NO_SUCH_LUN)?;
+        let unit = self.describe_unit(volume);
+        let data = match command {
+            Command::TestUnitReady => Some(Vec::new()),
             // Writes are answered when a node has them: nothing is cached here.
-            Scsi::SynchronizeCache { lba, blocks } => {
+            Command::SynchronizeCache { lba, blocks } => {
                 let end = lba.checked_add(blocks.into());
-                if end.is_none_or(|end| end > volume.blocks) {
-                    return self.refuse(client, task, Sense::OUT_OF_RANGE);
+                if end.is_none_or(|end| end > volume.block_count) {
+                    return Err(Sense::OUT_OF_RANGE);
                 }
                 Some(Vec::new())
             }
-            Scsi::Inquiry { page, room } => unit.inquiry(page).map(|d| cut(d, room)),
-            Scsi::ReadCapacity10 => Some(unit.capacity10()),
-            Scsi::ReadCapacity16 { room } => Some(cut(unit.capacity16(), room)),
-            Scsi::ModeSense { ten, page, room } => unit.mode(ten, page).map(|d| cut(d, room)),
-            Scsi::ModeSelect | Scsi::Unmap | Scsi::GetLbaStatus { .. } => None,
-            Scsi::Read { .. } | Scsi::Write { .. } | Scsi::ReportLuns { .. } | Scsi::RequestSense { .. } => {
-                None
-            }
+            Command::Inquiry { page, room } => unit.inquiry(page).map(|data| truncated(data, room)),
+            Command::ReadCapacity10 => Some(unit.capacity10()),
+            Command::ReadCapacity16 { room } => Some(truncated(unit.capacity16(), room)),
+            Command::ModeSense { ten, page, room } => unit.mode(ten, page).map(|data| truncated(data, room)),
+            Command::ModeSelect
+            | Command::Unmap
+            | Command::GetLbaStatus { .. }
+            | Command::Read { .. }
+            | Command::Write { .. }
+            | Command::ReportLuns { .. }
+            | Command::RequestSense { .. } => None,
         };
-        match data {
-            Some(data) => self.good(client, task, &data),
-            None => self.refuse(client, task, Sense::INVALID_FIELD),
+        data.ok_or(Sense::INVALID_FIELD)
+    }
+
+    fn describe_unit<'a>(&self, volume: &'a Volume) -> Unit<'a> {
+        Unit {
+            blocks: volume.block_count,
+            block_size: volume.block_size,
+            product: &volume.name,
+            serial: &volume.name,
+            most: (self.max_transfer_bytes / u64::from(volume.block_size)).min(u64::from(u32::MAX)) as u32,
         }
     }
 }
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -48,7 +48,7 @@
 }
 
 /// How an attempt ended, with the data of a read.
-pub(crate) struct AttemptResult {
+pub(crate) struct FinishedAttempt {
     pub(crate) node: NodeIndex,
     pub(crate) tag: u32,
     pub(crate) ending: Ending,
@@ -57,9 +57,9 @@
     pub(crate) data: Vec<u8>,
 }
 
-impl AttemptResult {
+impl FinishedAttempt {
     fn without_data(node: NodeIndex, tag: u32, ending: Ending) -> Self {
-        AttemptResult { node, tag, ending, write_protected: false, data: Vec::new() }
+        FinishedAttempt { node, tag, ending, write_protected: false, data: Vec::new() }
     }
 }
 
@@ -90,7 +90,7 @@
     registry: Registry,
     first_token: usize,
     /// Attempts that have ended and were not taken yet.
-    results: VecDeque<AttemptResult>,
+    results: VecDeque<FinishedAttempt>,
     /// Nodes with something to write.
     dirty: Vec<NodeIndex>,
 }
@@ -147,7 +147,7 @@
     }
 
     /// The next attempt that has ended by itself.
-    pub(crate) fn next_result(&mut self) -> Option<AttemptResult> {
+    pub(crate) fn next_result(&mut self) -> Option<FinishedAttempt> {
         self.results.pop_front()
     }
 
@@ -157,7 +157,7 @@
     }
 
     fn end(&mut self, node: NodeIndex, tag: u32, ending: Ending) {
-        self.results.push_back(AttemptResult::without_data(node, tag, ending));
+        self.results.push_back(FinishedAttempt::without_data(node, tag, ending));
     }
 
     /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be tried.
@@ -222,14 +222,14 @@
         let node = &mut self.all[index];
         node.connection.closed();
         for request in std::mem::take(&mut node.queue) {
-            self.results.push_back(AttemptResult::without_data(index, request.tag, Ending::NoConnect));
+            self.results.push_back(FinishedAttempt::without_data(index, request.tag, Ending::NoConnect));
         }
         if let Some(mut link) = node.link.take() {
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.tags().collect::<Vec<_>>() {
                 let may_have_run = link.conn.on_the_wire(tag);
                 let ending = if may_have_run { Ending::Reset } else { Ending::NoConnect };
-                self.results.push_back(AttemptResult::without_data(index, tag, ending));
+                self.results.push_back(FinishedAttempt::without_data(index, tag, ending));
             }
         }
     }
@@ -303,8 +303,8 @@
 
     fn on_answer(&mut self, node: NodeIndex, tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>) {
         if sense == Some(Sense::WRITE_PROTECTED) {
-            let result = AttemptResult::without_data(node, tag, Ending::Moot);
-            self.results.push_back(AttemptResult { write_protected: true, ..result });
+            let result = FinishedAttempt::without_data(node, tag, Ending::Moot);
+            self.results.push_back(FinishedAttempt { write_protected: true, ..result });
             return;
         }
         let ending = match status {
@@ -312,7 +312,7 @@
             status::BUSY | status::TASK_SET_FULL => Ending::Busy,
             _ => Ending::Error,
         };
-        self.results.push_back(AttemptResult { node, tag, ending, write_protected: false, data });
+        self.results.push_back(FinishedAttempt { node, tag, ending, write_protected: false, data });
     }
 
     /// Writes what waits for the nodes.
