--- /dev/null
+++ b/crates/gateway/src/event_loop.rs
@@ -0,0 +1,424 @@
+//! The event loop of a host: one thread, every decision the scheduler's or a connection policy's.
+//!
+//! - `operator`: requests on the control socket, and the status.
+//! - `plans`: replicated plans, quotas, and plans reloaded from the configuration.
+mod operator;
+mod plans;
+
+use crate::catalog_client::CatalogClient;
+use crate::client_connections::{ClientId, Clients};
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
+use crate::control_socket::{self, ConnectionId, ControlSocket};
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list::EndpointList;
+use crate::error::Error;
+use crate::node_connections::{NodeIndex, Nodes};
+use crate::plan_replication::PlanReplication;
+use crate::scheduler_config;
+use crate::startup;
+use mallowseam_connection_policy::admission::AdmissionController;
+use mallowseam_fleet::record::ActiveVersions;
+use mallowseam_fleet_udp::UdpMembership;
+use mallowseam_iscsi::frame::Digests;
+use mallowseam_iscsi::params::Wishes;
+use mallowseam_iscsi::target::TargetTerms;
+use mallowseam_plans::MilliUnits;
+use mallowseam_plans::replica::HostedVolume;
+use mallowseam_scheduler::host::{Host, NodeState, Tick};
+use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::Volume;
+use mio::net::{TcpListener, UnixStream};
+use mio::{Events, Poll, Token};
+use rand::Rng;
+use std::collections::VecDeque;
+use std::io::{ErrorKind, Read};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+const LISTENER: Token = Token(0);
+const CONTROL: Token = Token(1);
+const ENDPOINT_LIST: Token = Token(2);
+const SIGNALS: Token = Token(3);
+const CATALOG: Token = Token(4);
+const PLANS: Token = Token(5);
+const MEMBERSHIP: Token = Token(6);
+/// First token of connections to the control socket.
+const FIRST_CALLER: usize = 7;
+/// First token of connections to nodes; those of clients follow.
+const FIRST_NODE: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+/// Bytes read from a socket in one go; each ready socket has its turn.
+const READ_BUFFER: usize = 128 * 1024;
+const MAX_EVENTS: usize = 1024;
+/// Ticks between two periodic checks of the connections: fine enough for times of seconds.
+const CHECK_PERIOD: Tick = 1_000;
+
+/// A socket that may have more to read than one turn took.
+#[derive(Clone, Copy, PartialEq)]
+enum PendingRead {
+    Catalog,
+    Client(ClientId),
+    Node(NodeIndex),
+}
+
+struct HostProcess {
+    site: GatewayConfig,
+    clock: Clock,
+    scheduler: Scheduler,
+    dispatcher: Dispatcher,
+    endpoint_list: EndpointList,
+    plan_replication: Option<PlanReplication>,
+    /// Its part in the fleet's membership, where the configuration has one, and whether that has more to read.
+    membership: Option<Box<UdpMembership>>,
+    membership_readable: bool,
+    /// The quotas that the scheduler keeps to, by volume.
+    quotas: Vec<Option<MilliUnits>>,
+    demand: plans::DemandMeter,
+    listener: TcpListener,
+    accepting: bool,
+    control: Option<ControlSocket>,
+    signals: UnixStream,
+    /// How often it was told to stop.
+    stop_requests: u32,
+    pending_reads: VecDeque<PendingRead>,
+    read_buffer: Vec<u8>,
+    last_check: Tick,
+}
+
+/// Runs a host until it is told to stop.
+///
+/// # Errors
+/// An address or path of the configuration cannot be had.
+pub fn run(site: GatewayConfig) -> Result<(), Error> {
+    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut host = HostProcess::open(site, &poll)?;
+    let mut events = Events::with_capacity(MAX_EVENTS);
+    host.start();
+    while !host.is_finished() {
+        let timeout = host.poll_timeout();
+        if let Err(e) = poll.poll(&mut events, timeout)
+            && e.kind() != ErrorKind::Interrupted
+        {
+            return Err(Error::Poll(e));
+        }
+        host.dispatcher.now = host.clock.now();
+        // Time first: a host that was suspended must not take what has come since for late.
+        host.membership.iter_mut().for_each(|membership| membership.tick());
+        for event in events.iter() {
+            let readable = event.is_readable() || event.is_error() || event.is_read_closed();
+            host.on_event(event.token(), readable);
+        }
+        host.after_events();
+    }
+    host.membership.iter_mut().for_each(|membership| membership.announce_left());
+    tracing::info!("host stopped");
+    Ok(())
+}
+
+/// What every session is negotiated with.
+fn session_wishes(site: &GatewayConfig) -> Wishes {
+    let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
+    Wishes { digests, ..Wishes::default() }
+}
+
+fn open_clients(site: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
+    let terms = Rc::new(TargetTerms {
+        wishes: session_wishes(site),
+        window: site.host.command_window,
+        longest: site.host.max_transfer_bytes as usize,
+        names: vec![site.host.target.clone()],
+        address: bound.to_string(),
+    });
+    let admission = AdmissionController::new(&site.host.target, site.host.max_connections as usize);
+    let first_token = FIRST_NODE + site.nodes.len();
+    Ok(Clients::new(admission, terms, startup::registry(poll)?, first_token))
+}
+
+fn open_nodes(site: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
+    let initiator = format!("{}:{}", site.host.target, site.host.name);
+    let registry = startup::registry(poll)?;
+    Ok(Nodes::new(&site.nodes, initiator, session_wishes(site), registry, FIRST_NODE))
+}
+
+/// The catalog's client, where the site has a catalog and a volume of the host is mapped.
+fn open_catalog_client(site: &GatewayConfig, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
+    let Some(catalog) = &site.catalog else { return Ok(None) };
+    if !site.volumes.iter().any(|volume| volume.mapped) {
+        return Ok(None);
+    }
+    let address = catalog.listen.expect("a checked configuration names it");
+    Ok(Some(CatalogClient::new(&site.host.name, address, startup::registry(poll)?, CATALOG)))
+}
+
+/// The replica of the plans, where the configuration names a plan service.
+fn open_plan_replication(site: &GatewayConfig, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
+    let Some(address) = site.host.plan_service else { return Ok(None) };
+    let hosted = |volume: &Volume| HostedVolume { name: volume.name.clone(), host_count: volume.host_count };
+    let volumes = site.volumes.iter().map(hosted).collect();
+    let cache_file = site.host.plan_cache_path.clone();
+    let registry = startup::registry(poll)?;
+    Ok(Some(PlanReplication::new(&site.host.name, address, cache_file, volumes, registry, PLANS)))
+}
+
+fn open_membership(site: &GatewayConfig, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
+    let Some(settings) = site.host.fleet.clone() else { return Ok(None) };
+    let opened = UdpMembership::open(poll.registry(), MEMBERSHIP, settings);
+    opened.map(|service| Some(Box::new(service))).map_err(Error::Membership)
+}
+
+impl HostProcess {
+    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let address = site.host.listen.expect("a checked configuration names it");
+        let (listener, _) = startup::listen(address, poll, LISTENER)?;
+        let bound = listener.local_addr().map_err(|source| Error::Listen { address, source })?;
+        let control =
+            startup::control_socket(site.host.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let signals = startup::signals(poll, SIGNALS)?;
+        let clients = open_clients(&site, bound, poll)?;
+        let nodes = open_nodes(&site, poll)?;
+        let catalog = open_catalog_client(&site, poll)?;
+        let registry = startup::registry(poll)?;
+        let endpoint_list = EndpointList::new(&site.host, &site.nodes, registry, ENDPOINT_LIST);
+        let plan_replication = open_plan_replication(&site, poll)?;
+        let membership = open_membership(&site, poll)?;
+        let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
+        let clock = Clock::from_zero();
+        tracing::info!(host = site.host.name, listen = %bound, seed, "host started");
+        let volumes = site.volumes.len();
+        Ok(HostProcess {
+            scheduler: Scheduler::new(&scheduler_config::scheduler_terms(&site), seed, clock.now()),
+            dispatcher: Dispatcher::new(&site, clients, nodes, catalog),
+            endpoint_list,
+            plan_replication,
+            membership,
+            membership_readable: false,
+            quotas: vec![None; volumes],
+            demand: plans::DemandMeter::new(volumes),
+            listener,
+            accepting: false,
+            control,
+            signals,
+            stop_requests: 0,
+            pending_reads: VecDeque::new(),
+            read_buffer: vec![0; READ_BUFFER],
+            last_check: 0,
+            clock,
+            site,
+        })
+    }
+
+    fn start(&mut self) {
+        self.dispatcher.now = self.clock.now();
+        // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the endpoint list and
+        // its windows from here on.
+        self.dispatcher.wake(0);
+        self.dispatcher.on_wakeup(&mut self.scheduler);
+        self.endpoint_list.start(self.dispatcher.now);
+        self.apply_endpoint_updates();
+        self.apply_cached_plans();
+        self.after_events();
+    }
+
+    /// Told to stop and nothing is left to be done, or told twice.
+    fn is_finished(&self) -> bool {
+        let idle =
+            self.dispatcher.clients.admission.connection_count() == 0 && self.dispatcher.in_flight() == 0;
+        self.stop_requests > 1 || self.stop_requests == 1 && idle
+    }
+
+    fn poll_timeout(&self) -> Option<Duration> {
+        if !self.pending_reads.is_empty() || self.membership_readable {
+            return Some(Duration::ZERO);
+        }
+        let dispatcher = &self.dispatcher;
+        let timers = [dispatcher.wakeup_at, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
+        let due = timers.into_iter().flatten().fold(self.last_check + CHECK_PERIOD, Tick::min);
+        let due = ticks_to_duration(due - self.clock.now());
+        let membership_due =
+            self.membership.as_ref().map(|membership| Duration::from_millis(membership.millis_until_tick()));
+        Some(membership_due.map_or(due, |other| due.min(other)))
+    }
+
+    fn on_event(&mut self, token: Token, readable: bool) {
+        match token {
+            LISTENER => self.accepting = true,
+            MEMBERSHIP => self.membership_readable = true,
+            CONTROL => {
+                if let Some(control) = &mut self.control {
+                    control.accept();
+                }
+            }
+            CATALOG => self.read_catalog(readable),
+            PLANS => self.read_plans(),
+            ENDPOINT_LIST => {
+                self.endpoint_list.on_ready(readable, &mut self.read_buffer, self.dispatcher.now);
+            }
+            SIGNALS => self.read_signals(),
+            Token(token) if token < FIRST_NODE => {
+                let caller = (token - FIRST_CALLER) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
+                    let answer = self.on_request(&line);
+                    if let Some(control) = &mut self.control {
+                        control.answer(caller, &answer);
+                    }
+                }
+            }
+            Token(token) if token < FIRST_NODE + self.dispatcher.nodes.len() => {
+                let (node, now) = (token - FIRST_NODE, self.dispatcher.now);
+                let more = self.dispatcher.nodes.on_ready(node, readable, &mut self.read_buffer, now);
+                self.after_node_read(node, more);
+            }
+            Token(token) => {
+                let client = (token - FIRST_NODE - self.dispatcher.nodes.len()) as ClientId;
+                let now = self.dispatcher.now;
+                let more = self.dispatcher.clients.on_ready(client, readable, &mut self.read_buffer, now);
+                self.after_client_read(client, more);
+            }
+        }
+    }
+
+    fn read_signals(&mut self) {
+        let mut bytes = [0; 16];
+        while let Ok(count) = self.signals.read(&mut bytes) {
+            if count == 0 {
+                break;
+            }
+            self.stop_requests += count as u32;
+            self.drain("signal");
+        }
+    }
+
+    /// Queues a socket for another read, unless it is queued.
+    fn read_again(&mut self, read: PendingRead) {
+        if !self.pending_reads.contains(&read) {
+            self.pending_reads.push_back(read);
+        }
+    }
+
+    fn read_catalog(&mut self, readable: bool) {
+        let now = ticks_to_millis(self.dispatcher.now);
+        if let Some(catalog) = &mut self.dispatcher.catalog
+            && catalog.on_ready(readable, &mut self.read_buffer, now)
+        {
+            self.read_again(PendingRead::Catalog);
+        }
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    fn after_node_read(&mut self, node: NodeIndex, more: bool) {
+        if more {
+            self.pending_reads.push_back(PendingRead::Node(node));
+        }
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    fn after_client_read(&mut self, client: ClientId, more: bool) {
+        if more {
+            self.read_again(PendingRead::Client(client));
+        }
+        while let Some(event) = self.dispatcher.clients.next_event(client) {
+            self.dispatcher.on_client_event(&mut self.scheduler, client, event);
+        }
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    /// What is due after the events of one poll.
+    fn after_events(&mut self) {
+        if self.accepting {
+            self.accept();
+        }
+        self.resume_reads();
+        if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
+            self.membership_readable = membership.on_readable();
+        }
+        self.apply_endpoint_updates();
+        self.run_timers();
+        self.tend_quotas();
+        self.publish_facts();
+        if let Some(catalog) = &mut self.dispatcher.catalog {
+            catalog.on_timer(ticks_to_millis(self.dispatcher.now));
+        }
+        self.dispatcher.nodes.flush();
+        for client in self.dispatcher.clients.flush(self.dispatcher.now) {
+            self.read_again(PendingRead::Client(client));
+        }
+        // A connection that failed while it was written to has ended attempts.
+        self.dispatcher.settle(&mut self.scheduler);
+    }
+
+    /// Each socket with more to read has one turn.
+    fn resume_reads(&mut self) {
+        for _ in 0..self.pending_reads.len() {
+            let now = self.dispatcher.now;
+            match self.pending_reads.pop_front() {
+                Some(PendingRead::Node(node)) => {
+                    let more = self.dispatcher.nodes.read(node, &mut self.read_buffer, now);
+                    self.after_node_read(node, more);
+                }
+                Some(PendingRead::Catalog) => self.read_catalog(false),
+                Some(PendingRead::Client(client)) => {
+                    let more = self.dispatcher.clients.read(client, &mut self.read_buffer, now);
+                    self.after_client_read(client, more);
+                }
+                None => break,
+            }
+        }
+    }
+
+    fn run_timers(&mut self) {
+        self.dispatcher.now = self.clock.now();
+        self.dispatcher.expire_attempts();
+        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.on_wakeup(&mut self.scheduler);
+        if std::mem::take(&mut self.dispatcher.endpoint_list_requested) {
+            self.endpoint_list.watch(self.dispatcher.now);
+            self.apply_endpoint_updates();
+        }
+        let now = self.dispatcher.now;
+        if now >= self.last_check + CHECK_PERIOD {
+            self.last_check = now;
+            self.dispatcher.clients.on_timer(now);
+            self.dispatcher.nodes.on_timer(now);
+            self.endpoint_list.on_timer(now);
+            self.accepting = true;
+            self.apply_endpoint_updates();
+            self.dispatcher.settle(&mut self.scheduler);
+        }
+    }
+
+    fn accept(&mut self) {
+        self.accepting = false;
+        loop {
+            match self.listener.accept() {
+                Ok((socket, peer)) => self.dispatcher.clients.accept(socket, peer, self.dispatcher.now),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) => {
+                    tracing::warn!(error = %e, "accept failed");
+                    return;
+                }
+            }
+        }
+    }
+
+    fn apply_endpoint_updates(&mut self) {
+        while let Some(update) = self.endpoint_list.next_update() {
+            for listed in &update.nodes {
+                let removed = listed.state == NodeState::Left;
+                self.dispatcher.nodes.set_removed(listed.node.0 as usize, removed);
+            }
+            let now = self.dispatcher.now;
+            self.scheduler.listed(&mut self.dispatcher, now, update.form, &update.nodes);
+            self.dispatcher.settle(&mut self.scheduler);
+        }
+    }
+
+    /// Tells the fleet's membership which versions this host acts on.
+    fn publish_facts(&mut self) {
+        let Some(membership) = &mut self.membership else { return };
+        let endpoint_list = self.endpoint_list.version().1;
+        let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.replica.state().version);
+        membership.set_active_versions(ActiveVersions { endpoint_list, plans });
+    }
+}
