--- a/crates/fleet-udp/src/lib.rs
+++ b/crates/fleet-udp/src/lib.rs
@@ -1,8 +1,15 @@
-//! Carries a host's part in the view of its fleet over UDP, on the loop that the host has, and shows that view to
-//! operators. Decides nothing: whom to ask and what to believe is `mallowseam-fleet`'s.
+//! Carries a host's membership protocol over UDP, on the event loop that the host has, and shows its membership table to
+//! operators. Decides nothing: the protocol is `mallowseam-fleet`'s.
 //!
-//! - `part`: a host's socket and part. `ask`: the view of a running host, page by page, for whoever asks.
-pub mod query;
+//! - [`UdpMembership`] is a host's member of the protocol on its socket.
+//! - [`query_membership`] asks a running host for its table; [`MembershipSnapshot`] renders and compares tables.
+#![warn(missing_docs)]
+
+mod event_log;
+mod query;
+mod snapshot;
 mod udp_membership;
 
+pub use query::{QueryError, query_membership};
+pub use snapshot::MembershipSnapshot;
 pub use udp_membership::UdpMembership;
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -1,199 +1,159 @@
-//! A host's part in the view of its fleet, on a UDP socket of its loop.
+//! A host's member of the protocol on a UDP socket of its event loop.
+use crate::event_log::EventLog;
 use mallowseam_fleet::config::FleetConfig;
 use mallowseam_fleet::record::ActiveVersions;
 use mallowseam_fleet::wire::MAX_DATAGRAM_BYTES;
-use mallowseam_fleet::{ActionSink, MemberState, Membership, MembershipEvent, Millis};
+use mallowseam_fleet::{ActionSink, Membership, MembershipEvent, Millis};
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
-use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Datagrams read in one turn of the loop; the rest wait at the socket, which drops what comes on top.
-const ROUND: usize = 64;
-/// Changes written to the log one by one in a second; what comes on top is counted into one line.
-const LINES: u32 = 8;
-const SECOND: Millis = 1_000;
-
-/// Log lines of changes, bounded whatever happens.
-#[derive(Default)]
-struct Log {
-    since: Millis,
-    lines: u32,
-    more: BTreeMap<&'static str, u32>,
-}
+/// Datagrams received in one iteration of the event loop. The others wait in the socket's buffer; the kernel drops what
+/// does not fit into it.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
+/// One byte more than the largest datagram, so that a longer one is not taken for a valid one.
+const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
-struct Out<'a> {
+/// Carries out the actions of one call of the state machine.
+struct SocketActions<'a> {
     socket: &'a UdpSocket,
-    unsent: &'a mut u64,
-    log: &'a mut Log,
+    send_failures: &'a mut u64,
+    event_log: &'a mut EventLog,
     now: Millis,
 }
 
-impl ActionSink for Out<'_> {
+impl ActionSink for SocketActions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        // A datagram that finds no room is lost, as on any way.
+        // A datagram that can't be sent is lost, as it may be on the network.
         if self.socket.send_to(bytes, to).is_err() {
-            *self.unsent += 1;
+            *self.send_failures += 1;
         }
     }
 
-    fn notify(&mut self, change: MembershipEvent) {
-        self.log.change(change, self.now);
-    }
-}
-
-impl Log {
-    fn change(&mut self, change: MembershipEvent, now: Millis) {
-        self.turn(now);
-        match change {
-            // What touches this host itself is said whatever else is going on.
-            MembershipEvent::Superseded { address } => {
-                tracing::error!(%address, "another process has this host's name and started later: this one takes no more part in the fleet's view, and goes on serving");
-            }
-            MembershipEvent::IsolationStarted => {
-                tracing::warn!("no other host of the fleet is heard any more")
-            }
-            MembershipEvent::IsolationEnded => tracing::info!("other hosts of the fleet are heard again"),
-            MembershipEvent::MemberUpdated { name, address, previous, current, .. } => {
-                // A member that only says something new of itself is no news for the log.
-                if previous != Some(current) && self.room(current.as_str()) {
-                    let previous = previous.map_or("unknown", MemberState::as_str);
-                    tracing::info!(member = %name, %address, was = previous, now = current.as_str(), "fleet");
-                }
-            }
-            MembershipEvent::MemberForgotten { name } if self.room("forgotten") => {
-                tracing::info!(member = %name, "given up after its time out of reach");
-            }
-            MembershipEvent::MemberForgotten { .. } => {}
-        }
-    }
-
-    /// Whether there is room for one more line this second; else it is counted.
-    fn room(&mut self, kind: &'static str) -> bool {
-        self.lines += 1;
-        let room = self.lines <= LINES;
-        if !room {
-            *self.more.entry(kind).or_default() += 1;
-        }
-        room
-    }
-
-    fn turn(&mut self, now: Millis) {
-        if now >= self.since + SECOND {
-            (self.since, self.lines) = (now, 0);
-            if !self.more.is_empty() {
-                tracing::info!(changes = ?std::mem::take(&mut self.more), "fleet, further changes");
-            }
-        }
+    fn notify(&mut self, event: MembershipEvent) {
+        self.event_log.log(event, self.now);
     }
 }
 
+/// A host's member of the protocol, with its socket, clock and log.
 pub struct UdpMembership {
     socket: UdpSocket,
     listen: SocketAddr,
     membership: Membership,
     start: Instant,
-    log: Log,
-    unsent: u64,
-    scratch: [u8; MAX_DATAGRAM_BYTES + 1],
+    event_log: EventLog,
+    send_failures: u64,
+    receive_buffer: [u8; RECEIVE_BUFFER_BYTES],
 }
 
 impl UdpMembership {
-    /// Opens its socket and begins to take part.
+    /// Opens and registers the socket, and starts the protocol.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// The address can't be listened on, or the socket can't be registered.
     pub fn open(registry: &Registry, token: Token, config: FleetConfig) -> io::Result<Self> {
-        let mut socket = UdpSocket::bind(config.listen)?;
-        registry.register(&mut socket, token, Interest::READABLE)?;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let FleetConfig { listen, membership: config } = config;
-        tracing::info!(%listen, reached_at = %config.address, fleet = %config.fleet, seeds = config.seeds.len(), "takes part in the fleet's view");
-        let membership = Membership::new(config, rand::random(), 0, unix);
-        let log = Log::default();
+        let mut socket = UdpSocket::bind(listen)?;
+        registry.register(&mut socket, token, Interest::READABLE)?;
+        tracing::info!(
+            %listen,
+            advertise_address = %config.address,
+            fleet = %config.fleet,
+            seeds = config.seeds.len(),
+            "membership protocol started"
+        );
+        let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         Ok(UdpMembership {
             socket,
             listen,
-            membership,
+            membership: Membership::new(config, rand::random(), 0, unix_ms),
             start: Instant::now(),
-            log,
-            unsent: 0,
-            scratch: [0; MAX_DATAGRAM_BYTES + 1],
+            event_log: EventLog::default(),
+            send_failures: 0,
+            receive_buffer: [0; RECEIVE_BUFFER_BYTES],
         })
     }
 
-    fn now(&self) -> Millis {
-        self.start.elapsed().as_millis() as Millis
-    }
-
-    fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
-        let now = self.now();
-        let UdpMembership { socket, membership, log, unsent, .. } = self;
-        act(membership, now, &mut Out { socket, unsent, log, now });
-    }
-
-    /// Milliseconds until it wants to be called.
+    /// Milliseconds until [`tick`](UdpMembership::tick) is to be called.
+    #[must_use]
     pub fn millis_until_tick(&self) -> Millis {
         self.membership.next_tick().saturating_sub(self.now())
     }
 
-    /// What is due by time. To be called before `heard`: a host that was stopped knows it by that.
+    /// Does what is due by time. Must come before [`on_readable`](UdpMembership::on_readable) in each iteration of the
+    /// event loop: by that the protocol notices that its process was stopped.
     pub fn tick(&mut self) {
         let now = self.now();
         if now >= self.membership.next_tick() {
-            self.log.turn(now);
-            self.with(|f, now, out| f.tick(now, out));
+            self.event_log.renew_window(now);
+            self.act(|membership, now, sink| membership.tick(now, sink));
         }
     }
 
-    /// The socket has something. True: there may be more.
+    /// Receives datagrams after the socket became readable. Returns whether more may wait.
     pub fn on_readable(&mut self) -> bool {
-        for _ in 0..ROUND {
-            match self.socket.recv_from(&mut self.scratch) {
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            match self.socket.recv_from(&mut self.receive_buffer) {
                 Ok((len, from)) => {
-                    let bytes = self.scratch;
-                    self.with(|f, now, out| f.receive(from, &bytes[..len], now, out));
+                    let buffer = self.receive_buffer;
+                    self.act(|membership, now, sink| membership.receive(from, &buffer[..len], now, sink));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-                // Word that an earlier datagram found nobody.
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
+                // Reported by the network for an earlier datagram, such as an unreachable port.
                 Err(_) => {}
             }
         }
         true
     }
 
+    /// Publishes the versions of shared state that this host acts on.
     pub fn set_active_versions(&mut self, versions: ActiveVersions) {
-        self.with(|f, now, out| f.set_active_versions(versions, now, out));
+        self.act(|membership, now, sink| membership.set_active_versions(versions, now, sink));
     }
 
     /// Tells other members that this host shuts down gracefully and still serves.
     pub fn announce_leaving(&mut self) {
-        self.with(|f, now, out| f.announce_leaving(now, out));
+        self.act(Membership::announce_leaving);
     }
 
     /// Tells other members that this process ends.
     pub fn announce_left(&mut self) {
-        self.with(|f, now, out| f.announce_left(now, out));
+        self.act(Membership::announce_left);
     }
 
-    /// A new configuration: seeds are taken up; all else needs a new start.
+    /// Takes over the seeds of a reloaded configuration. Any other change of it needs a restart.
     pub fn reload(&mut self, config: Option<FleetConfig>) {
         match config {
             Some(config) if config.listen == self.listen => {
                 self.membership.set_seeds(config.membership.seeds)
             }
-            _ => tracing::warn!("another place in the fleet's view needs a new start"),
+            _ => tracing::warn!("a changed fleet configuration takes effect after a restart"),
         }
     }
 
+    /// The state machine.
+    #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Datagrams that found no room on their way out.
+    /// Datagrams that could not be sent, since the start.
+    #[must_use]
     pub fn send_failures(&self) -> u64 {
-        self.unsent
+        self.send_failures
+    }
+
+    /// Milliseconds since the start.
+    fn now(&self) -> Millis {
+        self.start.elapsed().as_millis() as Millis
+    }
+
+    /// Calls the state machine and carries out its actions.
+    fn act(&mut self, call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
+        let now = self.now();
+        let UdpMembership { socket, membership, event_log, send_failures, .. } = self;
+        call(membership, now, &mut SocketActions { socket, send_failures, event_log, now });
     }
 }
--- a/crates/fleet-udp/tests/pinned_snapshot.rs
+++ b/crates/fleet-udp/tests/pinned_snapshot.rs
@@ -2,7 +2,7 @@
 use mallowseam_fleet::MemberState;
 use mallowseam_fleet::record::{ActiveVersions, Lifecycle, MemberRecord, Name, Zone};
 use mallowseam_fleet::wire::{self, MAX_DATAGRAM_BYTES, MemberStatus, MembershipPage, Message};
-use mallowseam_fleet_udp::query::{MembershipSnapshot, query_membership};
+use mallowseam_fleet_udp::{MembershipSnapshot, query_membership};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,6 +1,6 @@
 //! `mallowseam fleet`: the view that running hosts have of their fleet.
 use clap::Args;
-use mallowseam_fleet_udp::query::{MembershipSnapshot, query_membership};
+use mallowseam_fleet_udp::{MembershipSnapshot, query_membership};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/lab/src/fleet/world/ways.rs
+++ b/crates/lab/src/fleet/world/ways.rs
@@ -4,7 +4,7 @@
 use super::*;
 use mallowseam_fleet::MemberState;
 use mallowseam_fleet::wire::{self as fleet_wire, MAX_DATAGRAM_BYTES, MembershipPage, Message};
-use mallowseam_fleet_udp::query::MembershipSnapshot;
+use mallowseam_fleet_udp::MembershipSnapshot;
 use mio::net::UdpSocket;
 use rand::RngExt;
 
--- a/crates/lab/tests/fleet/view.rs
+++ b/crates/lab/tests/fleet/view.rs
@@ -119,7 +119,7 @@
     s.world.look_at(5);
     until(&mut s, "the later one stays", |s| s.world.view(5).is_some_and(|v| !v.view.superseded));
     let log = std::fs::read_to_string(dir.path().join("h3.log")).expect("a log");
-    assert!(log.contains("another process has this host's name"), "{log}");
+    assert!(log.contains("name conflict: a process that started later has this host's name"), "{log}");
     close(s);
 }
 
@@ -265,7 +265,7 @@
     let of = |host: u32| s.fleet.uses(host).expect("it runs");
     let without = of(0).descriptors;
     let log = std::fs::read_to_string(dir.path().join("h0.log")).expect("a log");
-    assert!(!log.contains("fleet"), "{log}");
+    assert!(!["fleet", "member"].iter().any(|topic| log.contains(topic)), "{log}");
     let udp = std::fs::read_to_string("/proc/net/udp").expect("sockets");
     let SocketAddr::V4(address) = s.world.addresses.fleet(0) else { panic!("of the fourth version") };
     let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -478,7 +478,7 @@
 #[test]
 fn two_hosts_see_each_other_in_the_view_of_their_fleet_and_one_that_ends_as_leaving_and_left() {
     use mallowseam_fleet::MemberState;
-    use mallowseam_fleet_udp::query::query_membership;
+    use mallowseam_fleet_udp::query_membership;
     let place = |n: u8| SocketAddr::from(([127, 219, std::process::id() as u8, n], 7000));
     let with = |n: u8| {
         Rig::with(10.0, |_, conf| {
