--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -1,6 +1,6 @@
 //! `mallowseam fleet`: the membership of the fleet as running hosts see it.
 use clap::Args;
-use mallowseam_fleet_udp::query::{MembershipSnapshot, query_membership};
+use mallowseam_fleet_udp::{MembershipSnapshot, query_membership};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
