--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -1,7 +1,6 @@
 //! `mallowseam fleet`: the membership of the fleet as running hosts see it.
 use clap::Args;
-use mallowseam_fleet_udp::{MembershipSnapshot, query_membership};
-use std::io;
+use mallowseam_fleet_udp::{MembershipSnapshot, QueryError, query_membership};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -31,7 +30,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FleetError {
     #[error("{host}: {source}")]
-    Query { host: SocketAddr, source: io::Error },
+    Query { host: SocketAddr, source: QueryError },
     #[error("several hosts are asked with --agree alone")]
     SeveralHosts,
     #[error("{differ} of {all} views differ from the first")]
