--- a/crates/gateway/src/atomic_file.rs
+++ b/crates/gateway/src/atomic_file.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced as a whole.
+//! Atomic replacement of files.
 use std::io;
 use std::path::Path;
 
--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -12,7 +12,7 @@
 const READ_BUFFER: usize = 128 * 1024;
 /// Initiator session id of every client (RFC 7143, 11.12.5): random format, zero.
 const ISID: [u8; 6] = [0x80, 0, 0, 0, 0, 0];
-/// The first task tags are left to callers that build commands themselves.
+/// Lower task tags are for callers that build commands themselves.
 const FIRST_TAG: u32 = 1 << 20;
 
 /// Why a session cannot be opened or a command gets no answer.
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -160,9 +160,9 @@
         Command::Status { target, json } => control::print_status(&target, json),
         Command::Demand { files, every, count } => control::record_demand(&files, every, count),
         Command::Reload { file } => control::reload(&file).map(print),
-        Command::Drain { target } => target.ask("drain").map(print),
-        Command::Undrain { target } => target.ask("undrain").map(print),
-        Command::Stop { target } => target.ask("stop").map(print),
+        Command::Drain { target } => target.send_request("drain").map(print),
+        Command::Undrain { target } => target.send_request("undrain").map(print),
+        Command::Stop { target } => target.send_request("stop").map(print),
     }
 }
 
--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -1,4 +1,4 @@
-//! Subcommands that ask a running process over its control socket.
+//! Subcommands that send requests to the control socket of a running process.
 use super::error::CommandError;
 use crate::control_socket;
 use crate::demand;
@@ -29,9 +29,10 @@
     }
 
     /// Sends a request to the host.
-    pub(super) fn ask(&self, request: &str) -> Result<String, CommandError> {
+    pub(super) fn send_request(&self, request: &str) -> Result<String, CommandError> {
         let socket = self.socket()?;
-        control_socket::ask(&socket, request).map_err(|source| CommandError::RequestAt { socket, source })
+        control_socket::send_request(&socket, request)
+            .map_err(|source| CommandError::RequestAt { socket, source })
     }
 }
 
@@ -74,13 +75,13 @@
 }
 
 /// Sends a request to the process whose control socket a configuration names.
-pub(super) fn ask(file: &Path, service: Service, request: &str) -> Result<String, CommandError> {
-    Ok(control_socket::ask(&socket_of(file, service)?, request)?)
+pub(super) fn send_request(file: &Path, service: Service, request: &str) -> Result<String, CommandError> {
+    Ok(control_socket::send_request(&socket_of(file, service)?, request)?)
 }
 
 /// `mallowseam status`
 pub(super) fn print_status(target: &ControlTarget, json: bool) -> Result<(), CommandError> {
-    let text = target.ask("status")?;
+    let text = target.send_request("status")?;
     if json {
         println!("{text}");
     } else {
@@ -101,5 +102,5 @@
 /// `mallowseam reload`
 pub(super) fn reload(file: &Path) -> Result<String, CommandError> {
     let absolute = std::path::absolute(file).map_err(CommandError::CurrentDirectory)?;
-    ask(file, Service::Host, &format!("plans {}", absolute.display()))
+    send_request(file, Service::Host, &format!("plans {}", absolute.display()))
 }
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -105,12 +105,12 @@
         Command::Gone { file, host } => (file, PlanRequest::RemoveHost { host }),
         Command::Replay { file } => (file, PlanRequest::Replay),
     };
-    ask(&file, &request)
+    send_request(&file, &request)
 }
 
-fn ask(file: &Path, request: &PlanRequest) -> Result<String, CommandError> {
+fn send_request(file: &Path, request: &PlanRequest) -> Result<String, CommandError> {
     let line = serde_json::to_string(request).expect("requests are plain data");
-    control::ask(file, Service::Plans, &line)
+    control::send_request(file, Service::Plans, &line)
 }
 
 fn set(change: Change, expected: Option<u64>, by: ChangeOptions) -> PlanRequest {
@@ -126,7 +126,7 @@
     figures: &[String],
     expected: Option<u64>,
 ) -> Result<(Change, u64), CommandError> {
-    let answer = ask(file, &PlanRequest::Show { version: expected })?;
+    let answer = send_request(file, &PlanRequest::Show { version: expected })?;
     let state: State =
         serde_json::from_str(&answer).map_err(|source| CommandError::Answer { from: "service", source })?;
     let mut changed = state.plans.get(&plan).cloned().unwrap_or(Plan {
--- a/crates/gateway/src/cli/snapshot.rs
+++ b/crates/gateway/src/cli/snapshot.rs
@@ -1,5 +1,5 @@
 //! `mallowseam snapshot`: snapshots and clones at the snapshot catalog, exports and imports through a host.
-use super::control::{Service, ask};
+use super::control::{Service, send_request};
 use super::error::CommandError;
 use crate::error::read_configuration;
 use crate::snapshot_archive;
@@ -29,14 +29,18 @@
 /// Carries a subcommand out; the text to print.
 pub(super) fn execute(command: &Command) -> Result<String, CommandError> {
     match command {
-        Command::Take { file, volume, name } => ask_catalog(file, &format!("snapshot {volume} {name}")),
-        Command::List { file } => ask_catalog(file, "list"),
-        Command::Diff { file, one, other } => ask_catalog(file, &format!("diff {one} {other}")),
-        Command::Clone { file, snapshot, name } => ask_catalog(file, &format!("clone {snapshot} {name}")),
+        Command::Take { file, volume, name } => {
+            request_of_catalog(file, &format!("snapshot {volume} {name}"))
+        }
+        Command::List { file } => request_of_catalog(file, "list"),
+        Command::Diff { file, one, other } => request_of_catalog(file, &format!("diff {one} {other}")),
+        Command::Clone { file, snapshot, name } => {
+            request_of_catalog(file, &format!("clone {snapshot} {name}"))
+        }
         Command::Rollback { file, volume, snapshot } => {
-            ask_catalog(file, &format!("rollback {volume} {snapshot}"))
+            request_of_catalog(file, &format!("rollback {volume} {snapshot}"))
         }
-        Command::Delete { file, name } => ask_catalog(file, &format!("delete {name}")),
+        Command::Delete { file, name } => request_of_catalog(file, &format!("delete {name}")),
         Command::Export { file, snapshot, to } => {
             Ok(snapshot_archive::export(&read_configuration(file)?, snapshot, to)?)
         }
@@ -46,6 +50,6 @@
     }
 }
 
-fn ask_catalog(file: &Path, request: &str) -> Result<String, CommandError> {
-    ask(file, Service::SnapshotCatalog, request)
+fn request_of_catalog(file: &Path, request: &str) -> Result<String, CommandError> {
+    send_request(file, Service::SnapshotCatalog, request)
 }
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -92,6 +92,7 @@
 
 impl Clients {
     /// No clients; their connections get tokens from `first_token` on.
+    #[must_use]
     pub fn new(
         admission: AdmissionController,
         terms: Rc<TargetTerms>,
@@ -132,6 +133,7 @@
     }
 
     /// Whether a connection is open.
+    #[must_use]
     pub fn is_open(&self, id: ClientId) -> bool {
         self.all.get(id).is_some()
     }
@@ -272,6 +274,7 @@
     }
 
     /// Whether no closed connection was left to be taken by `next_abandoned`.
+    #[must_use]
     pub fn is_quiet(&self) -> bool {
         self.abandoned.is_empty()
     }
@@ -312,6 +315,7 @@
     }
 
     /// Bytes buffered for all clients.
+    #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.all.iter().map(|(_, client)| client.conn.held()).sum()
     }
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -1,7 +1,7 @@
 //! The control socket of a process: a Unix socket on which an operator sends one line and gets one answer.
 mod client;
 
-pub use client::{RequestError, ask};
+pub use client::{RequestError, send_request};
 
 use crate::slab::Slab;
 use mio::net::{UnixListener, UnixStream};
--- a/crates/gateway/src/control_socket/client.rs
+++ b/crates/gateway/src/control_socket/client.rs
@@ -27,7 +27,7 @@
 /// # Errors
 /// No process listens at the path, it does not answer within fifteen seconds, the answer is truncated, or the
 /// request is refused.
-pub fn ask(path: &Path, request: &str) -> Result<String, RequestError> {
+pub fn send_request(path: &Path, request: &str) -> Result<String, RequestError> {
     let mut socket = UnixStream::connect(path)?;
     socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     socket.write_all(format!("{request}\n").as_bytes())?;
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,5 +1,5 @@
 //! What clients request of each volume, polled from running hosts and recorded interval by interval.
-use crate::control_socket::ask;
+use crate::control_socket::send_request;
 use crate::error::{FileError, read_text};
 use crate::status::Status;
 use mallowseam_settings::{Arguments, Diagnostics, tokenize};
@@ -17,9 +17,9 @@
     completed: f64,
 }
 
-/// Polls hosts and tells each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, to a
-/// thousandth). A host that does not answer, or has restarted, is left out of that interval and named in a
-/// comment. Ends after `count` intervals; 0: never.
+/// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with three
+/// decimals). A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
+/// Ends after `count` intervals; 0: never.
 pub(crate) fn record(
     control_sockets: &[PathBuf],
     every: Duration,
@@ -53,9 +53,9 @@
     }
 }
 
-/// Asks a host for its status. A failure is told as a comment.
+/// Requests the status of a host. A failure is written as a comment.
 fn poll(socket: &Path, write_line: &mut dyn FnMut(&str)) -> Option<Status> {
-    let status = match ask(socket, "status") {
+    let status = match send_request(socket, "status") {
         Ok(text) => Status::from_json(&text).map_err(|e| e.to_string()),
         Err(e) => Err(e.to_string()),
     };
@@ -85,13 +85,13 @@
     let mut problems = Diagnostics::new(&file.display().to_string());
     let mut intervals: Vec<(u64, Interval)> = Vec::new();
     for (index, line) in text.lines().enumerate() {
-        let words = tokenize(index + 1, line, &mut problems);
-        let Some(first) = words.first() else { continue };
+        let tokens = tokenize(index + 1, line, &mut problems);
+        let Some(first) = tokens.first() else { continue };
         if first.text != "at" {
             problems.add(first.position, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
             continue;
         }
-        let mut args = Arguments::new(&words, &mut problems);
+        let mut args = Arguments::new(&tokens, &mut problems);
         let Some((seconds, volume, requested)) = read_line(&mut args) else { continue };
         if intervals.last().is_none_or(|(last, _)| *last != seconds) {
             intervals.push((seconds, Interval::new()));
@@ -105,13 +105,13 @@
     }
 }
 
-/// Seconds, volume and requested units a second of a line. All its words are checked.
+/// Seconds, volume and requested units a second of a line. All its arguments are checked.
 fn read_line(args: &mut Arguments) -> Option<(u64, String, f64)> {
     let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
-    args.value("asked", |word| (word == "asked").then_some(()));
+    args.value("asked", |text| (text == "asked").then_some(()));
     let requested = args.rate("units a second");
-    args.value("ended", |word| (word == "ended").then_some(()));
+    args.value("ended", |text| (text == "ended").then_some(()));
     args.rate("units a second");
     args.expect_end();
     Some((seconds?, volume?.text, requested?))
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The block I/Os in flight: which client each came from, and its attempt at a node. Carries out what the
-//! scheduler decides; what comes of that is told to the scheduler once its present call is over.
+//! The block I/Os in flight: which client each came from, and its attempt at a node. Carries out the
+//! scheduler's decisions; their outcomes are queued and passed to the scheduler once its present call has returned.
 //!
 //! - `block_io`: commands, block I/Os and attempts, and the tags of attempts.
 //! - `commands`: commands of clients, from their arrival to their answer.
@@ -123,11 +123,11 @@
     /// How many attempts each block I/O's index has had, for their tags.
     attempt_counts: Vec<u32>,
     attempt_timeouts: BinaryHeap<Reverse<AttemptTimeout>>,
-    /// Outcomes that the scheduler was not told yet.
+    /// Outcomes of attempts that are not passed to the scheduler yet.
     outcomes: VecDeque<(BioId, Outcome)>,
-    /// Block I/Os whose client has disconnected, or which are looked up anew; the scheduler was not told yet.
+    /// Block I/Os to be withdrawn from the scheduler: nobody waits for them, or their location is looked up again.
     withdrawn: VecDeque<BioId>,
-    /// Block I/Os of copies that the scheduler was not told of yet.
+    /// Block I/Os of copies that are not passed to the scheduler yet.
     arrivals: VecDeque<BlockIoIndex>,
     /// Reused for splitting commands.
     sub_requests: Vec<SubRequest>,
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Calls the scheduler when the time has come that it asked for. Nothing else does: it names each time once,
-    /// and would take a call past the time that is set here for that one, and wait for the next in vain.
+    /// Calls the scheduler at the time that it has set. Nothing else calls its timer: it sets each time once, and
+    /// would take an earlier or later call for the one that it has set, and wait for the next in vain.
     pub(crate) fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
         if self.wakeup_at.is_some_and(|time| time <= self.now) {
             self.wakeup_at = None;
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Tells the scheduler what has come of its decisions, until nothing is left to tell.
+    /// Passes outcomes, withdrawals and arrivals to the scheduler until none is left.
     pub(crate) fn settle(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
         loop {
@@ -251,10 +251,10 @@
                     self.abandon_command(abandoned.command);
                 }
             }
-            if let Some(finished) = self.nodes.next_result() {
+            if let Some(finished) = self.nodes.next_finished() {
                 self.on_finished_attempt(finished);
             }
-            // Withdrawn ones go first: what is withdrawn behind a write that was rejected must not be sent when
+            // Withdrawals go first: what is withdrawn behind a write that was rejected must not be sent when
             // that one makes room.
             if let Some(id) = self.withdrawn.pop_front() {
                 if self.block_ios.get(id.0).is_some() {
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -9,7 +9,7 @@
 use mallowseam_scheduler::host::{BioId, Ending, Host, KeyId, NodeId, Outcome, Report, Tick, VolId};
 use std::cmp::Reverse;
 
-/// SCSI group number of copies, by which a trace tells them from clients' commands.
+/// SCSI group number of copies, which marks them in a trace of the nodes.
 const COPY_GROUP_NUMBER: u8 = 31;
 /// Timeouts of finished attempts are cleared out when there are more than this, and than
 /// `MAX_TIMEOUTS_PER_BLOCK_IO` for each block I/O in flight.
@@ -49,7 +49,7 @@
             let unsent = self.nodes.give_up(attempt.node as usize, timeout.tag, self.now);
             self.finish_attempt(index, if unsent { Ending::NoConnect } else { Ending::TimedOut });
         }
-        // Most attempts finish long before they time out: what is left of them here is cleared out.
+        // Most attempts finish long before they time out: their timeouts are removed from time to time.
         if self.attempt_timeouts.len() > MIN_TIMEOUTS + MAX_TIMEOUTS_PER_BLOCK_IO * self.block_ios.len() {
             let block_ios = &self.block_ios;
             self.attempt_timeouts.retain(|Reverse(AttemptTimeout { tag, .. })| {
@@ -99,7 +99,7 @@
         false
     }
 
-    /// An attempt is finished: its outcome is told to the scheduler after the present call.
+    /// An attempt is finished: its outcome is queued for the scheduler.
     pub(super) fn finish_attempt(&mut self, index: BlockIoIndex, ending: Ending) {
         let Some(io) = self.block_ios.get_mut(index) else { return };
         let Some(attempt) = io.attempt.take() else { return };
@@ -114,7 +114,7 @@
         let outcome = Outcome {
             ending,
             node: NodeId(attempt.node),
-            closed: io.answered || io.looked_up_anew,
+            closed: io.answered || io.relocating,
             wait: self.now - attempt.sent,
             by_others: 0.0,
             used: 0.0,
@@ -215,9 +215,9 @@
     fn tell_peers(&mut self, _bytes: &[u8]) {}
 
     fn release_bio(&mut self, bio: BioId) {
-        match self.block_ios.get_mut(bio.0).filter(|io| io.looked_up_anew && !io.answered) {
+        match self.block_ios.get_mut(bio.0).filter(|io| io.relocating && !io.answered) {
             Some(io) => {
-                (io.looked_up_anew, io.scheduled, io.location, io.attempts) = (false, false, None, 0);
+                (io.relocating, io.scheduled, io.location, io.attempts) = (false, false, None, 0);
                 self.wait_for_location(bio.0);
             }
             None => self.release(bio.0),
--- a/crates/gateway/src/dispatcher/block_io.rs
+++ b/crates/gateway/src/dispatcher/block_io.rs
@@ -84,8 +84,8 @@
     pub(super) location: Option<(LayerId, Location)>,
     /// The extent whose copy it is a step of.
     pub(super) copy: Option<(LayerId, u32)>,
-    /// Withdrawn from the scheduler to be looked up anew.
-    pub(super) looked_up_anew: bool,
+    /// Withdrawn from the scheduler, to have its location looked up again.
+    pub(super) relocating: bool,
     pub(super) request: SubRequest,
     pub(super) arrived: Tick,
     /// The scheduler knows of it.
@@ -110,7 +110,7 @@
             sequence: 0,
             location: None,
             copy: None,
-            looked_up_anew: false,
+            relocating: false,
             request,
             arrived: now,
             scheduled: false,
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -13,9 +13,9 @@
 use mallowseam_scheduler::host::{Bio, BioId, KeyId, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
 
-/// Ticks in the unit of a retry delay that a client is told: a tenth of a second (RFC 7144).
+/// Ticks in the unit of the retry delay in an answer: a tenth of a second (RFC 7144).
 const RETRY_DELAY_UNIT: Tick = 1_000;
-/// The longest retry delay that can be told.
+/// The longest retry delay that an answer can hold.
 const MAX_RETRY_DELAY: Tick = 0x3fef;
 /// Microseconds in a tick.
 const MICROS_PER_TICK: u64 = 100;
@@ -169,7 +169,7 @@
             io.sequence = self.last_sequence;
             let mapped = io.branch.is_some();
             if self.commands.get(command).is_some_and(|command| command.progress.is_answered()) {
-                // An earlier block I/O has decided the answer: the scheduler never hears of this one.
+                // An earlier block I/O has decided the answer: this one is not passed to the scheduler.
                 self.release(index);
             } else if mapped {
                 self.look_up(scheduler, index);
--- a/crates/gateway/src/dispatcher/extent_copies.rs
+++ b/crates/gateway/src/dispatcher/extent_copies.rs
@@ -76,7 +76,7 @@
         let slots: Vec<u32> =
             std::iter::from_fn(|| catalog.replica.take_slot(extent.0)).take(wanted).collect();
         if slots.len() < wanted {
-            // The slots that were taken are lost, which costs nothing; more were requested.
+            // These slots are lost, which costs nothing; more were requested.
             self.copies.remove(&extent);
             return;
         }
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that the host answers itself: a unit says what it is, and nothing is sent to a node.
+//! Commands that the host answers itself, without a node: identification, capacity and mode of a unit.
 use super::{Dispatcher, Volume};
 use crate::client_connections::ClientId;
 use mallowseam_iscsi::scsi::{self, Command, Sense, Unit};
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -92,8 +92,8 @@
         self.release(index);
     }
 
-    /// Looks up again all that wait, when the catalog has sent something or time has passed. True if anything has
-    /// moved.
+    /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has passed.
+    /// True if any of them waits no more, or a copy has started.
     pub(super) fn retry_lookups(&mut self, scheduler: &mut Scheduler) -> bool {
         let Some(catalog) = &self.catalog else { return false };
         if self.lookup_revision == catalog.revision && self.now < self.next_lookup {
@@ -126,17 +126,18 @@
         moved || !self.arrivals.is_empty()
     }
 
-    /// A node has rejected a write, as its layer is closed: it and the writes queued behind it are looked up anew.
+    /// A node has rejected a write, as its layer is closed: the locations of this write and of those queued for the
+    /// same layer are looked up again.
     pub(super) fn on_closed_layer(&mut self, index: BlockIoIndex) {
         let io = self.block_ios.get_mut(index).expect("in flight");
-        io.looked_up_anew = true;
+        io.relocating = true;
         let layer = io.layer();
         self.finish_attempt(index, Ending::Moot);
         for other in self.block_ios.indices() {
             let Some(io) = self.block_ios.get(other) else { continue };
-            let queued = io.layer() == layer && io.scheduled && io.attempt.is_none() && !io.looked_up_anew;
+            let queued = io.layer() == layer && io.scheduled && io.attempt.is_none() && !io.relocating;
             if queued && !io.answered && io.copy.is_none() && self.is_write(io) {
-                self.block_ios.get_mut(other).expect("just seen").looked_up_anew = true;
+                self.block_ios.get_mut(other).expect("just seen").relocating = true;
                 self.withdrawn.push_back(BioId(other));
             }
         }
--- a/crates/gateway/src/dispatcher/split_writes.rs
+++ b/crates/gateway/src/dispatcher/split_writes.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the catalog's decisions about writes, and tells it which layers this host has quiesced.
+    /// Applies the catalog's decisions about writes, and reports which layers this host has quiesced.
     pub(super) fn tend_cuts(&mut self) {
         let Some(catalog) = &mut self.catalog else { return };
         for CompletionDecision { layer, granted } in std::mem::take(&mut catalog.completion_decisions) {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -109,7 +109,7 @@
             Ok(text) => match self.watcher.restore_cache(&text) {
                 Ok(update) => {
                     tracing::info!(nodes = update.endpoints.len(), "cached endpoint list loaded");
-                    self.queue(ListForm::Kept, update, now);
+                    self.queue(ListForm::Kept, &update, now);
                 }
                 Err(e) => tracing::warn!(error = %e, "cached endpoint list not used"),
             },
@@ -171,7 +171,9 @@
                 ReadOutcome::Read(len) => {
                     let mut events = Vec::new();
                     let received = self.watcher.receive(&buffer[..len], |event| events.push(event));
-                    events.into_iter().for_each(|event| self.on_watch_event(event, now));
+                    for event in events {
+                        self.on_watch_event(event, now);
+                    }
                     if let Err(wrong) = received {
                         return self.fail(&wrong.to_string());
                     }
@@ -201,13 +203,13 @@
                     UpdateKind::FullSnapshot => ListForm::Whole,
                     UpdateKind::Incremental => ListForm::Changes,
                 };
-                self.queue(form, update, now);
+                self.queue(form, &update, now);
                 self.write_cache();
             }
         }
     }
 
-    fn queue(&mut self, form: ListForm, update: EndpointUpdate, now: Tick) {
+    fn queue(&mut self, form: ListForm, update: &EndpointUpdate, now: Tick) {
         let mut nodes = Vec::new();
         for entry in &update.endpoints {
             let (node, state) = (&entry.name, entry.state.as_str());
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -97,7 +97,7 @@
     host.start();
     while !host.is_finished() {
         let timeout = host.poll_timeout();
-        if let Err(e) = poll.poll(&mut events, timeout)
+        if let Err(e) = poll.poll(&mut events, Some(timeout))
             && e.kind() != ErrorKind::Interrupted
         {
             return Err(Error::Poll(e));
@@ -105,7 +105,7 @@
         host.dispatcher.now = host.clock.now();
         // Time first: a host that was suspended must not take what has come since for late.
         host.membership.iter_mut().for_each(|membership| membership.tick());
-        for event in events.iter() {
+        for event in &events {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
             host.on_event(event.token(), readable);
         }
@@ -227,9 +227,10 @@
         self.stop_requests > 1 || self.stop_requests == 1 && idle
     }
 
-    fn poll_timeout(&self) -> Option<Duration> {
+    /// How long the poll may wait for events.
+    fn poll_timeout(&self) -> Duration {
         if !self.pending_reads.is_empty() || self.membership_readable {
-            return Some(Duration::ZERO);
+            return Duration::ZERO;
         }
         let dispatcher = &self.dispatcher;
         let timers = [dispatcher.wakeup_at, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
@@ -237,7 +238,7 @@
         let due = ticks_to_duration(due - self.clock.now());
         let membership_due =
             self.membership.as_ref().map(|membership| Duration::from_millis(membership.millis_until_tick()));
-        Some(membership_due.map_or(due, |other| due.min(other)))
+        membership_due.map_or(due, |other| due.min(other))
     }
 
     fn on_event(&mut self, token: Token, readable: bool) {
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Plans that were cached are in effect until the service says otherwise.
+    /// Applies the cached plans, which are in effect until the plan service sends a newer state.
     pub(super) fn apply_cached_plans(&mut self) {
         let cached = self.plan_replication.as_ref().map(|replication| replication.replica.state());
         match cached.filter(|state| state.version > 0).map(|state| self.check_state(state)) {
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -126,14 +126,16 @@
 /// A host as a service knows it, with what the service keeps of it.
 pub(crate) struct Peer<T> {
     pub(crate) connection: LineConnection,
-    /// The host's name; empty until it has said hello.
+    /// The host's name; empty before its hello message.
     pub(crate) name: String,
     pub(crate) state: T,
 }
 
-/// Bounds on what one host may send in a line and leave unread, in bytes.
+/// Limits on one host, in bytes.
 pub(crate) struct Limits {
+    /// Longest line that it may send.
     pub(crate) max_line: usize,
+    /// Most bytes that may wait for it to read them.
     pub(crate) max_unsent: usize,
 }
 
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Reads once from a peer; its complete lines. None: there is no more for now, or the peer is gone.
+    /// Reads once from a peer; its complete lines. None: there is no more for now, or the peer is disconnected.
     pub(crate) fn read(&mut self, id: PeerId, buffer: &mut [u8]) -> Option<Vec<Vec<u8>>> {
         match self.all.get_mut(id)?.connection.read(buffer, self.limits.max_line) {
             LineRead::Lines(lines) => return Some(lines),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -43,7 +43,7 @@
 
 pub use mallowseam_sockets::{clock, slab};
 
-pub use control_socket::{RequestError, ask};
+pub use control_socket::{RequestError, send_request};
 pub use error::Error;
 pub use event_loop::run;
 pub use metrics::CommandCounts;
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to the storage nodes, one a node. A connection is opened when an attempt first asks for it;
+//! Connections to the storage nodes, one a node. A connection is opened by the first attempt that needs it;
 //! attempts wait for its login in a queue that their own timeouts bound.
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
@@ -36,7 +36,7 @@
 /// What is sent for one attempt.
 #[derive(Clone)]
 pub(crate) struct NodeRequest {
-    /// Tells the attempt from all others in flight.
+    /// Unique among the attempts in flight.
     pub(crate) tag: u32,
     /// None: the unit that the configuration names.
     pub(crate) lun: Option<u32>,
@@ -89,7 +89,7 @@
     wishes: Wishes,
     registry: Registry,
     first_token: usize,
-    /// Attempts that have ended and were not taken yet.
+    /// Finished attempts that the owner has not taken yet.
     results: VecDeque<FinishedAttempt>,
     /// Nodes with something to write.
     dirty: Vec<NodeIndex>,
@@ -147,11 +147,11 @@
     }
 
     /// The next attempt that has ended by itself.
-    pub(crate) fn next_result(&mut self) -> Option<FinishedAttempt> {
+    pub(crate) fn next_finished(&mut self) -> Option<FinishedAttempt> {
         self.results.pop_front()
     }
 
-    /// Whether there is no result that was not taken yet.
+    /// Whether the owner has taken all finished attempts.
     pub(crate) fn is_quiet(&self) -> bool {
         self.results.is_empty()
     }
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Tells what would change in the configuration and, with `write`, changes it; a host then still has to reload
-/// it. What the configuration contradicts is refused: volumes that it lacks, and volumes whose data lies
-/// elsewhere than the answer has it.
+/// Describes what would change in the configuration and, with `write`, changes it; a host then still has to
+/// reload it. An answer that the configuration contradicts is rejected: it names volumes that the configuration
+/// lacks, or places volumes elsewhere than their data is.
 pub(crate) fn apply(
     file: &Path,
     answer: &Path,
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -11,9 +11,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Steps of the exact search before a large problem is left to the local search.
+/// Steps of the exact search after which a large problem is passed to the local search.
 const EXACT_STEPS: u64 = 300_000;
-/// Moves of the local search between two looks at the clock.
+/// Moves of the local search between two checks of the time.
 const MOVES_PER_CHECK: u64 = 2_000;
 /// Thousandths of an even quota that no host's quota goes below: as much as hosts never lend.
 const MIN_QUOTA_THOUSANDTHS: u64 = 250;
@@ -39,7 +39,7 @@
     Ok(describe(&problem, &best, proven))
 }
 
-/// The best placement that local search finds while `goes_on` says so.
+/// The best placement that local search finds until `goes_on` returns false.
 fn search_locally(problem: &Problem, seed: u64, goes_on: impl Fn() -> bool) -> Option<Worth> {
     let mut improve = Improve::new(problem, seed);
     improve.from_today();
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -92,7 +92,7 @@
             return Err(Error::Poll(e));
         }
         service.now = ticks_to_millis(service.clock.now());
-        for event in events.iter() {
+        for event in &events {
             service.on_event(event.token())?;
         }
         service.after_events();
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -10,7 +10,7 @@
 use mallowseam_plans::rollout::RolloutBlocker;
 use mallowseam_plans::state::{Change, Plan, State};
 
-/// How long an operator waits at most for a version to be in effect.
+/// Longest time, in milliseconds, that an operator waits for a version to be in effect.
 const MAX_ROLLOUT_WAIT: Millis = 12_000;
 /// Lines of history that one answer holds at most.
 const MAX_HISTORY: usize = 10_000;
@@ -142,9 +142,9 @@
         let count = self.rollout.member_count();
         let everywhere = self.rollout.effective_version(newest, self.now);
         let mut text = format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
-        let waits = self.rollout.blockers(newest, self.now);
-        if !waits.is_empty() {
-            text += &format!("\nwaits: {}", describe_blockers(&waits));
+        let blockers = self.rollout.blockers(newest, self.now);
+        if !blockers.is_empty() {
+            text += &format!("\nwaits: {}", describe_blockers(&blockers));
         }
         text
     }
@@ -157,7 +157,7 @@
         Ok(format!("{host} is taken for gone"))
     }
 
-    /// Answers callers whose version is in effect at all hosts, or whose time is up.
+    /// Answers callers whose version is in effect at all hosts, or whose deadline has passed.
     pub(super) fn answer_rollout_waits(&mut self) {
         for wait in std::mem::take(&mut self.rollout_waits) {
             let version = wait.version;
@@ -195,8 +195,8 @@
     })
 }
 
-fn describe_blockers(waits: &[RolloutBlocker]) -> String {
-    let describe = |wait: &RolloutBlocker| match wait {
+fn describe_blockers(blockers: &[RolloutBlocker]) -> String {
+    let describe = |blocker: &RolloutBlocker| match blocker {
         RolloutBlocker::Silent { host, accepted_version, .. } => {
             format!("{host} is silent, acts on {accepted_version}")
         }
@@ -206,5 +206,5 @@
         RolloutBlocker::Rejected { host, reason } => format!("{host} turned it down: {reason}"),
         RolloutBlocker::UnexpiredLeases { .. } => "what was lent before lapses".to_owned(),
     };
-    waits.iter().map(describe).collect::<Vec<_>>().join("; ")
+    blockers.iter().map(describe).collect::<Vec<_>>().join("; ")
 }
--- a/crates/gateway/src/plan_service/request.rs
+++ b/crates/gateway/src/plan_service/request.rs
@@ -2,7 +2,7 @@
 use mallowseam_plans::state::Change;
 use serde::{Deserialize, Serialize};
 
-/// What an operator asks of the plan service.
+/// A request of an operator to the plan service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlanRequest {
@@ -16,10 +16,10 @@
         author: String,
         /// Why it is made.
         reason: String,
-        /// Only tells whether it could be made.
+        /// Only checks whether it could be made.
         #[serde(rename = "dry")]
         dry_run: bool,
-        /// Answers once the version is in effect at all hosts, or tells what it waits for.
+        /// Answers once the version is in effect at all hosts, or with what blocks its rollout.
         wait: bool,
     },
     /// Reverts the change of a version, as a new version.
@@ -30,7 +30,7 @@
         author: String,
         /// Why it is reverted.
         reason: String,
-        /// Only tells whether it could be reverted.
+        /// Only checks whether it could be reverted.
         #[serde(rename = "dry")]
         dry_run: bool,
         /// As in `Set`.
@@ -58,7 +58,7 @@
         #[serde(rename = "other")]
         to: u64,
     },
-    /// Which version is in effect at all hosts, and what the newest one waits for.
+    /// Which version is in effect at all hosts, and what blocks the rollout of the newest one.
     Hosts,
     /// Declares that a host has stopped for good: no version waits for it any more.
     #[serde(rename = "gone")]
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -20,7 +20,7 @@
         largest: fleet.max_units,
         share_gain: fleet.share_gain,
         spare_gain: fleet.spare_gain,
-        // iSCSI has no field in which a node could tell what it does for other hosts, nor one for peers.
+        // iSCSI has no field in which a node could report the load of other hosts, nor one for messages of peers.
         counts_others: false,
         may_cancel: true,
         may_name_return: fleet.max_retry_after > 0,
@@ -108,6 +108,7 @@
 }
 
 /// A plan of a configuration in the form that the plan service keeps: figures in thousandths.
+#[must_use]
 pub fn replicated_plan(plan: &config::Plan) -> state::Plan {
     let thousandths =
         |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MAX_PARAMETER as f64) as u64;
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -84,7 +84,7 @@
 fn fetch_tree(site: &GatewayConfig) -> Result<Tree, ArchiveError> {
     let socket = site.catalog.as_ref().and_then(|catalog| catalog.control_socket.clone());
     let socket = socket.ok_or(ArchiveError::NoControlSocket)?;
-    let text = control_socket::ask(&socket, "tree")
+    let text = control_socket::send_request(&socket, "tree")
         .map_err(|source| ArchiveError::Catalog { socket: socket.clone(), source })?;
     serde_json::from_str(&text).map_err(ArchiveError::Tree)
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,5 +1,5 @@
-//! The snapshot catalog service: keeps the tree of layers, tells hosts of its changes, and has nodes close layers
-//! and unmap reclaimed extents.
+//! The snapshot catalog service: stores the tree of layers, replicates its changes to hosts, and has nodes close
+//! layers and unmap reclaimed extents.
 //!
 //! - `hosts`: messages of hosts, and what a host that connects is sent.
 //! - `operator`: requests on the control socket, and operations whose end an operator waits for.
@@ -45,13 +45,13 @@
 const LIMITS: Limits = Limits { max_line: 64 * 1024, max_unsent: 128 << 20 };
 /// Ticks between two periodic checks of leases, connections and layers.
 const CHECK_PERIOD: Tick = 100;
-/// Ticks after which hosts that have not quiesced a layer are asked again.
+/// Ticks after which hosts that have not quiesced a layer get the request again.
 const QUIESCE_PERIOD: Tick = 2_000;
 
-/// Whether a host has said hello and is sent every change from then on.
+/// Whether a host has sent its hello message, and is sent every change from then on.
 type Subscribed = bool;
 
-/// The location of an extent that hosts were told of. It becomes writable once no host acts on an older version.
+/// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older version.
 struct PendingLocation {
     version: u64,
     layer: LayerId,
@@ -83,7 +83,7 @@
     pending_locations: Vec<PendingLocation>,
     pending_operations: Vec<PendingOperation>,
     replies: Vec<Reply>,
-    /// Hosts that have said hello in this iteration.
+    /// Hello messages of this iteration.
     hellos: Vec<Hello>,
     stopping: bool,
     /// This iteration has put a batch on disk.
@@ -96,10 +96,10 @@
     read_buffer: Vec<u8>,
 }
 
-/// Runs the snapshot catalog of a site until it is told to stop.
+/// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop.
 ///
 /// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after hosts
-/// and operators have been told, and after a node has carried a command out.
+/// and operators have been notified, and after a node has answered a command.
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
@@ -116,7 +116,7 @@
             return Err(Error::Poll(e));
         }
         service.now = service.clock.now();
-        for event in events.iter() {
+        for event in &events {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
             service.on_event(event.token(), readable);
         }
@@ -174,7 +174,7 @@
         Ok(service)
     }
 
-    /// Locations that hosts were told of, and that were not writable at the last stop, become so in this run.
+    /// Locations that hosts were notified of, and that were not writable at the last stop, become so in this run.
     fn resume_pending_locations(&mut self) {
         let tree = self.catalog.tree();
         for (id, layer) in &tree.layers {
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -79,7 +79,7 @@
 
     /// Takes commands that nodes have answered, and gives up those whose time is over.
     pub(super) fn on_completed_commands(&mut self) {
-        while let Some(result) = self.nodes.next_result() {
+        while let Some(result) = self.nodes.next_finished() {
             if let Some(command) = self.commands.remove(&result.tag) {
                 self.on_command_end(command.purpose, result.ending == Ending::Done);
             }
@@ -119,7 +119,7 @@
                 let _ = self.propose(Change::ExtentsReclaimed { layer, extents: vec![extent] });
             }
             Purpose::UnmapExtent { layer, extent } => {
-                self.reclaimer.failed((layer, extent), ticks_to_millis(self.now))
+                self.reclaimer.failed((layer, extent), ticks_to_millis(self.now));
             }
             Purpose::CloseLayer { .. } | Purpose::UnmapLateCopy => {}
         }
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -56,7 +56,7 @@
     for (index, node) in site.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
         let mut walk = NodeWalk::open(node, index as u32, settings.extent_blocks)?;
-        // Layers that were removed may have left something as well: all that were ever made are looked at.
+        // Removed layers may have leaked places as well: every layer that was ever created is checked.
         for layer in FIRST_LAYER_ID..tree.next_layer_id() {
             for number in walk.held_places(layer)? {
                 if referred.contains(&(layer, number)) {
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -373,7 +373,7 @@
             };
             let at = trace.now();
             let line = serde_json::to_string(&asked).expect("plain");
-            let done = mallowseam_gateway::ask(&sock, &line).is_ok();
+            let done = mallowseam_gateway::send_request(&sock, &line).is_ok();
             let in_force = done.then(|| trace.now());
             tariffs.lock().expect("no panic").push(Tariff { reason, at, in_force });
         }));
@@ -387,7 +387,7 @@
         let sock = self.dir.join("control.sock");
         let ask = |what: &Ask| {
             let line = serde_json::to_string(what).expect("plain");
-            mallowseam_gateway::ask(&sock, &line).map_err(|e| e.to_string())
+            mallowseam_gateway::send_request(&sock, &line).map_err(|e| e.to_string())
         };
         let history = match ask(&Ask::History { from: 1, limit: 10_000 }) {
             Ok(text) => text,
@@ -461,7 +461,7 @@
                 Kind::Snapshot(volume, name) => format!("snapshot {volume} {name}"),
                 Kind::Clone(snapshot, name) => format!("clone {snapshot} {name}"),
             };
-            let answer = mallowseam_gateway::ask(&sock, &line).map_err(|e| e.to_string());
+            let answer = mallowseam_gateway::send_request(&sock, &line).map_err(|e| e.to_string());
             let unit = answer.as_ref().ok().and_then(|a| a.rsplit(' ').next()?.parse().ok());
             let entry = Asked { kind, at, answered: trace.now(), unit, why: answer.err() };
             asked.lock().expect("no panic").push(entry);
@@ -568,7 +568,7 @@
             }
             Trouble::HostDrain(n) => {
                 let control = &self.hosts[self.pick(1, *n) as usize].control;
-                if let Err(e) = mallowseam_gateway::ask(control, "drain") {
+                if let Err(e) = mallowseam_gateway::send_request(control, "drain") {
                     self.unclean.push(format!("drain: {e}"));
                 }
             }
@@ -614,7 +614,7 @@
         let mut clones = Clones::default();
         let mut places = Places::default();
         let sock = self.dir.join("catalog.sock");
-        let tree = mallowseam_gateway::ask(&sock, "tree").map_err(|e| e.to_string());
+        let tree = mallowseam_gateway::send_request(&sock, "tree").map_err(|e| e.to_string());
         let tree: Result<Tree, String> =
             tree.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()));
         let mut client = match BlockingClient::open(self.host_addresses[0], Some(TARGET), 900) {
--- a/crates/lab/src/snapbench.rs
+++ b/crates/lab/src/snapbench.rs
@@ -114,7 +114,7 @@
 
 fn up(control: &Path, asked: &str) -> Result<(), String> {
     let began = Instant::now();
-    while mallowseam_gateway::ask(control, asked).is_err() {
+    while mallowseam_gateway::send_request(control, asked).is_err() {
         if began.elapsed() > Duration::from_secs(10) {
             return Err(format!("{} does not answer", control.display()));
         }
@@ -124,7 +124,9 @@
 }
 
 fn snapshot(control: &Path, name: u32) -> Result<(), String> {
-    mallowseam_gateway::ask(control, &format!("snapshot a s{name}")).map(drop).map_err(|e| e.to_string())
+    mallowseam_gateway::send_request(control, &format!("snapshot a s{name}"))
+        .map(drop)
+        .map_err(|e| e.to_string())
 }
 
 /// One command as it went: sent and ended after the start, where.
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -1,5 +1,5 @@
 //! The ordinary path allocates nothing beyond data buffers: counted on the host's own thread.
-use mallowseam_gateway::ask;
+use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_lab::node::{Model, Node};
@@ -43,7 +43,7 @@
     }
     client.conn.logout();
     client.flush().expect("sent");
-    ask(&control, "stop").expect("told");
+    send_request(&control, "stop").expect("told");
     host.join().expect("a host")
 }
 
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -1,5 +1,5 @@
 //! One host process between one client and one stand-in node.
-use mallowseam_gateway::{Status, ask};
+use mallowseam_gateway::{Status, send_request};
 use mallowseam_iscsi::frame::Outgoing;
 use mallowseam_iscsi::initiator::{Came, InitiatorConn};
 use mallowseam_iscsi::params::Wishes;
@@ -77,7 +77,7 @@
     }
 
     fn status(&self) -> Status {
-        Status::from_json(&ask(&self.control(), "status").expect("a status")).expect("sound")
+        Status::from_json(&send_request(&self.control(), "status").expect("a status")).expect("sound")
     }
 
     fn client(&self, n: u32) -> BlockingClient {
@@ -120,7 +120,7 @@
     let file = dir.path().join("conf").display().to_string();
     let child = lab(&["run", "--log", "error", &file]).stderr(Stdio::null()).spawn().expect("a host");
     let began = Instant::now();
-    while ask(&dir.path().join("sock"), "status").is_err() {
+    while send_request(&dir.path().join("sock"), "status").is_err() {
         assert!(began.elapsed() < Duration::from_secs(10), "the host does not start");
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -344,10 +344,10 @@
     client.conn.command(1, 0, &scsi::rw16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
     rig.wait_for("the read is out", |s| s.nodes[0].attempts == 1);
-    assert_eq!(ask(&rig.control(), "drain").expect("told"), "draining");
+    assert_eq!(send_request(&rig.control(), "drain").expect("told"), "draining");
     let refused = BlockingClient::open(rig.at, Some(TARGET), 2).err().expect("refused");
     assert!(refused.to_string().contains("0301"), "{refused}");
-    assert_eq!(ask(&rig.control(), "undrain").expect("told"), "open");
+    assert_eq!(send_request(&rig.control(), "undrain").expect("told"), "open");
     rig.client(3);
     kill(Pid::from_raw(rig.host.id() as i32), Signal::SIGTERM).expect("a signal");
     let mut answered = false;
--- a/crates/lab/tests/snapshots.rs
+++ b/crates/lab/tests/snapshots.rs
@@ -1,5 +1,5 @@
 //! Snapshots and clones through real processes: a catalog, two hosts, three stand-in nodes.
-use mallowseam_gateway::ask;
+use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::{Answer, BlockingClient};
@@ -89,7 +89,7 @@
         let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("a process");
         let began = Instant::now();
         let mut child = child;
-        while ask(&self.path(sock), asked).is_err() {
+        while send_request(&self.path(sock), asked).is_err() {
             if !matches!(child.try_wait(), Ok(None)) && what.iter().any(|w| w.starts_with("--die-at")) {
                 break;
             }
@@ -125,7 +125,7 @@
     }
 
     fn tell(&self, line: &str) -> Result<String, String> {
-        ask(&self.path("catalog.sock"), line).map_err(|e| e.to_string())
+        send_request(&self.path("catalog.sock"), line).map_err(|e| e.to_string())
     }
 
     /// Takes a snapshot, or makes a clone; its LUN.
--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -1,5 +1,5 @@
 //! Plans in versions through real processes: a control service, two hosts, one stand-in node.
-use mallowseam_gateway::{Status, ask};
+use mallowseam_gateway::{Status, send_request};
 use mallowseam_iscsi::scsi;
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
@@ -75,7 +75,7 @@
 
     fn start_host(&mut self, i: usize) {
         self.hosts[i] = Some(self.start("run", i));
-        self.wait_for("a host", |r| ask(&r.path(&format!("gw{i}.sock")), "status").is_ok());
+        self.wait_for("a host", |r| send_request(&r.path(&format!("gw{i}.sock")), "status").is_ok());
     }
 
     fn kill(child: &mut Option<Child>) {
@@ -107,7 +107,7 @@
     }
 
     fn status(&self, host: usize) -> Status {
-        let text = ask(&self.path(&format!("gw{host}.sock")), "status").expect("a status");
+        let text = send_request(&self.path(&format!("gw{host}.sock")), "status").expect("a status");
         Status::from_json(&text).expect("sound")
     }
 
