--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -81,7 +81,7 @@
 }
 
 /// Changes of limits over a day, as the seed draws them.
-fn tariffs(scene: &Scene, site: &GatewayConfig, seed: u64) -> Vec<Event> {
+pub fn tariffs(scene: &Scene, site: &GatewayConfig, seed: u64) -> Vec<Event> {
     let Some(every) = scene.tariffs else { return Vec::new() };
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7a71);
     let limited: Vec<usize> = (0..site.plans.len()).filter(|p| site.plans[*p].rate_limit > 0.0).collect();
@@ -193,7 +193,7 @@
 }
 
 /// The configuration that a scene's hosts share.
-pub(crate) fn site_of(scene: &Scene) -> Result<GatewayConfig, String> {
+pub fn site_of(scene: &Scene) -> Result<GatewayConfig, String> {
     let text = site_text(scene, &Addresses::new(), Path::new("."), 0, 0);
     mallowseam_settings::parse(&scene.name, &text).map_err(|p| p.to_string())
 }
