--- a/crates/gateway/src/shares.rs
+++ b/crates/gateway/src/shares.rs
@@ -1,17 +1,20 @@
 //! `mallowseam shares`: problems and placements as files, and what is worked out told.
 use crate::demand;
 use crate::list::replace;
+use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
+use mallowseam_placement::feasibility::{FULL_CAPACITY, fits};
+use mallowseam_placement::infeasibility::explain as explain_infeasibility;
+use mallowseam_placement::limit_split::split_limit;
+use mallowseam_placement::local_search::LocalSearch;
+use mallowseam_placement::migration::{current_placement, plan_migration};
+use mallowseam_placement::objective::{Objective, VolumeShare, gain_at_demand, objective};
+use mallowseam_placement::problem::{Host, MAX_NUMBER, Node, Problem, SCALE, Volume};
+use mallowseam_placement::tuning::tune;
+use mallowseam_placement::upper_bound::gain_upper_bound;
+use mallowseam_placement::{Placement, assignments};
 use mallowseam_settings::edit::Share;
 use mallowseam_settings::lines::{Args, At, Problems, words};
 use mallowseam_settings::{change, edit};
-use mallowseam_shares::bound;
-use mallowseam_shares::choose::{choose, parts};
-use mallowseam_shares::conflict::explain as contradict;
-use mallowseam_shares::improve::Improve;
-use mallowseam_shares::model::{Host, MOST, Node, Problem, SCALE, Volume};
-use mallowseam_shares::moves;
-use mallowseam_shares::search::{Answer, solve};
-use mallowseam_shares::value::{Placement, Worth, fits, gain_of, placed, worth};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -33,7 +36,7 @@
     Wrong(String),
 }
 
-/// Reads a problem: sections `node NAME` and `volume NAME`, as `docs/shares.md` lists them.
+/// Reads a problem: sections `node NAME` and `volume NAME`, as `docs/placement.md` lists them.
 pub fn read(file: &Path) -> Result<Problem, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
@@ -106,7 +109,7 @@
     Problem::new(nodes, volumes).map(|p| Problem { hosts, ..p }).map_err(|wrong| {
         for w in wrong {
             let at = places.iter().find(|p| p.0 == w.name).map_or(At { line: 1, column: 1 }, |p| p.1);
-            problems.add(at, w.expected, format!("`{}`", w.name));
+            problems.add(at, w.kind.to_string(), format!("`{}`", w.name));
         }
         problems.sorted().to_string()
     })
@@ -117,7 +120,7 @@
 fn node(node: &mut Node, word: &str, args: &mut Args) -> bool {
     match word {
         "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
-        "cost" => node.cost = args.whole("a whole number", 0, MOST).unwrap_or(0),
+        "cost" => node.cost = args.whole("a whole number", 0, MAX_NUMBER).unwrap_or(0),
         "zone" => node.zone = args.name("a name").map(|w| w.text).unwrap_or_default(),
         _ => return false,
     }
@@ -137,24 +140,24 @@
 fn volume(v: &mut Volume, word: &str, args: &mut Args) -> bool {
     match word {
         "reserve" => v.reserve = args.exact_rate(RATE).unwrap_or(0),
-        "reserve-most" => v.reserve_most = args.exact_rate(RATE).unwrap_or(0),
+        "reserve-most" => v.max_reserve = args.exact_rate(RATE).unwrap_or(0),
         "limit" => v.limit = args.exact_rate(RATE).unwrap_or(0),
         "surge" => v.surge = args.exact_rate(RATE).unwrap_or(0),
-        "weight" => v.weight = args.whole("a whole number", 0, MOST).unwrap_or(0),
-        "price" => v.price = args.whole("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0),
+        "weight" => v.weight = args.whole("a whole number", 0, MAX_NUMBER).unwrap_or(0),
+        "price" => v.price = args.whole("thousandths, 1000 for the plain price", 0, MAX_NUMBER).unwrap_or(0),
         "spread" => v.spread = args.whole("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
-        "size" => v.size = args.whole("a whole number", 0, MOST).unwrap_or(0),
-        "apart" => v.apart = true,
+        "size" => v.size = args.whole("a whole number", 0, MAX_NUMBER).unwrap_or(0),
+        "apart" => v.distinct_zones = true,
         "zone" => v.zone = args.name("a name").map(|w| w.text),
         "survives" => match args.value("node or zone", |w| matches!(w, "node" | "zone").then(|| w == "node"))
         {
-            Some(true) => v.survives_node = true,
-            Some(false) => v.survives_zone = true,
+            Some(true) => v.survives_node_loss = true,
+            Some(false) => v.survives_zone_loss = true,
             None => {}
         },
         "today" => {
             while args.more() {
-                v.today.extend(args.name("the name of a node").map(|w| w.text));
+                v.current_nodes.extend(args.name("the name of a node").map(|w| w.text));
             }
         }
         _ => return false,
@@ -170,20 +173,20 @@
     };
     let began = Instant::now();
     let (found, proven) = match solve(&p, EXACT_STEPS) {
-        Answer::Best(best) => (Some(best), true),
-        Answer::None => return impossible(&p),
-        Answer::Open { found, .. } => {
-            let mut improve = Improve::new(&p, seed);
-            improve.from_today();
-            let mut placed = improve.mend();
+        SolveOutcome::Optimal(best) => (Some(best), true),
+        SolveOutcome::Infeasible => return impossible(&p),
+        SolveOutcome::StepsExhausted { best: found, .. } => {
+            let mut improve = LocalSearch::new(&p, seed);
+            improve.start_from_current();
+            let mut placed = improve.place_missing();
             if !placed {
-                improve = Improve::new(&p, seed);
-                placed = improve.first();
+                improve = LocalSearch::new(&p, seed);
+                placed = improve.place_all();
             }
             while placed && began.elapsed() < within {
                 improve.improve(MOVES);
             }
-            let moved = improve.worth().filter(|_| placed && improve.sound());
+            let moved = improve.objective().filter(|_| placed && improve.is_feasible());
             (found.into_iter().chain(moved).max(), false)
         }
     };
@@ -197,15 +200,15 @@
 }
 
 fn impossible(p: &Problem) -> Ended {
-    let Some(conflict) = contradict(p, EXACT_STEPS) else {
+    let Some(conflict) = explain_infeasibility(p, EXACT_STEPS) else {
         return Ended::Wrong("nothing fits; the contradiction is too large to be named in time".into());
     };
     let mut out =
         String::from("nothing fits; these contradict, and without any one of them the rest would do:");
-    for wish in &conflict.demands {
-        write!(out, "\n  {}", p.tell(*wish)).expect("memory");
+    for wish in &conflict.constraints {
+        write!(out, "\n  {}", p.describe(*wish)).expect("memory");
     }
-    match conflict.stretch {
+    match conflict.least_capacity_per_mille {
         Some(s) => write!(out, "\nleast relaxation: all capacities times {}.{:03}", s / 1000, s % 1000),
         None => write!(out, "\nno capacity would do"),
     }
@@ -213,11 +216,11 @@
     Ended::Impossible(out)
 }
 
-fn tell(p: &Problem, best: &Worth, proven: bool) -> String {
-    let most = bound::most(p);
+fn tell(p: &Problem, best: &Objective, proven: bool) -> String {
+    let most = gain_upper_bound(p);
     let mut out = String::new();
-    let chosen = choose(p, &best.order.0);
-    for (v, set) in p.volumes.iter().zip(&best.order.0) {
+    let chosen = tune(p, &best.placement.0);
+    for (v, set) in p.volumes.iter().zip(&best.placement.0) {
         let names: Vec<&str> = set.iter().map(|n| p.nodes[*n].name.as_str()).collect();
         writeln!(out, "place {} {}", v.name, names.join(" ")).expect("memory");
     }
@@ -226,17 +229,17 @@
     }
     for v in p.volumes.iter().filter(|v| v.limit > 0 && !p.hosts.is_empty()) {
         let sent: Vec<u64> = p.hosts.iter().map(|h| h.sends.get(&v.name).copied().unwrap_or(0)).collect();
-        for (host, part) in p.hosts.iter().zip(parts(v.limit, &sent, PART_LEAST)) {
+        for (host, part) in p.hosts.iter().zip(split_limit(v.limit, &sent, PART_LEAST)) {
             writeln!(out, "part {} {} {}", v.name, host.name, rate(part)).expect("memory");
         }
     }
-    if chosen.gain > chosen.before {
+    if chosen.gain > chosen.gain_before {
         let gain = |g: i128| g as f64 / GAIN;
         writeln!(
             out,
             "# with these shares {:.3} a second, with those given {:.3}",
             gain(chosen.gain),
-            gain(chosen.before)
+            gain(chosen.gain_before)
         )
         .expect("memory");
     }
@@ -248,7 +251,7 @@
         most as f64 / GAIN,
         if proven { ", proven best" } else { "" },
         best.cost.0,
-        best.moved.0 as f64 / SCALE as f64
+        best.moved_data.0 as f64 / SCALE as f64
     )
     .expect("memory");
     out
@@ -287,7 +290,7 @@
             args.value("reserve", |w| (w == "reserve").then_some(()));
             let reserve = args.exact_rate(RATE);
             args.value("weight", |w| (w == "weight").then_some(()));
-            let weight = args.whole("a whole number", 0, MOST);
+            let weight = args.whole("a whole number", 0, MAX_NUMBER);
             args.end();
             if let (Some(v), Some(reserve), Some(weight)) = (volume, reserve, weight) {
                 shares.push(Share { volume: p.volumes[v].name.clone(), reserve, weight });
@@ -374,15 +377,15 @@
         let mut sets = Vec::new();
         for file in [one, other] {
             let at = placement(&p, file)?;
-            let w = worth(&p, &at);
+            let w = objective(&p, &at);
             write!(
                 out,
                 "\n{:<24}{:>16.3}{:>10}{:>14.1}{:>8}",
                 file.display().to_string(),
                 w.gain as f64 / GAIN,
                 w.cost.0,
-                w.moved.0 as f64 / SCALE as f64,
-                if fits(&p, &placed(&at), &|_| true, 1000) { "yes" } else { "no" }
+                w.moved_data.0 as f64 / SCALE as f64,
+                if fits(&p, &assignments(&at), &|_| true, FULL_CAPACITY) { "yes" } else { "no" }
             )
             .expect("memory");
             sets.push(at);
@@ -422,8 +425,11 @@
             )
             .expect("memory");
         }
-        let verdict =
-            if fits(&p, &placed(&at), &|_| true, 1000) { "all reserves fit" } else { "reserves do not fit" };
+        let verdict = if fits(&p, &assignments(&at), &|_| true, FULL_CAPACITY) {
+            "all reserves fit"
+        } else {
+            "reserves do not fit"
+        };
         write!(out, "\n{verdict}").expect("memory");
         Ok(out)
     };
@@ -439,7 +445,7 @@
         let p = read(file)?;
         let to = placement(&p, placed)?;
         let most = most.map(|m| u128::from(m) * SCALE as u128);
-        let moves = moves::order(&p, &moves::today(&p), &to, most);
+        let moves = plan_migration(&p, &current_placement(&p), &to, most);
         let name = |n: Option<usize>| n.map_or("-", |n| p.nodes[n].name.as_str());
         let mut out = String::new();
         for s in &moves.steps {
@@ -450,8 +456,8 @@
         let names =
             |all: &[usize]| all.iter().map(|v| p.volumes[*v].name.as_str()).collect::<Vec<_>>().join(" ");
         for (what, all) in [
-            ("stays, beyond the data that may be moved", &moves.left),
-            ("no order of steps was found that breaks nothing", &moves.stuck),
+            ("stays, beyond the data that may be moved", &moves.deferred),
+            ("no order of steps was found that breaks nothing", &moves.blocked),
         ] {
             if !all.is_empty() {
                 writeln!(out, "# {what}: {}", names(all)).expect("memory");
@@ -485,18 +491,20 @@
         let mut earned: Vec<Vec<i128>> = Vec::new();
         for path in answers {
             let (at, shares) = answer(&p, path)?;
-            let figures: Vec<(u64, u64)> = p
+            let figures: Vec<VolumeShare> = p
                 .volumes
                 .iter()
                 .map(|v| {
                     let own = shares.iter().find(|s| s.volume == v.name);
-                    own.map_or((v.reserve, v.weight), |s| (s.reserve, s.weight))
+                    let (reserve, weight) = own.map_or((v.reserve, v.weight), |s| (s.reserve, s.weight));
+                    VolumeShare { reserve, weight }
                 })
                 .collect();
             let moment = |i: &demand::Interval| {
-                let asked =
-                    |v: &Volume| (i.get(&v.name).copied().unwrap_or(0.0) * 1000.0).min(MOST as f64) as u64;
-                gain_of(&p, &at, &figures, &p.volumes.iter().map(asked).collect::<Vec<_>>())
+                let asked = |v: &Volume| {
+                    (i.get(&v.name).copied().unwrap_or(0.0) * 1000.0).min(MAX_NUMBER as f64) as u64
+                };
+                gain_at_demand(&p, &at, &figures, &p.volumes.iter().map(asked).collect::<Vec<_>>())
             };
             earned.push(intervals.iter().map(moment).collect());
         }
--- a/crates/lab/src/brute.rs
+++ b/crates/lab/src/brute.rs
@@ -1,6 +1,6 @@
 //! Small problems of shares, drawn at random, and a plain enumeration of every placement, written apart from
 //! the search that it checks.
-use mallowseam_shares::model::{Node, Volume};
+use mallowseam_placement::problem::{Node, Volume};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
             let reserve = rng.random_range(0..8) * 1000;
             let spread = rng.random_range(1..=count.min(2));
             Volume {
-                reserve_most: 0,
+                max_reserve: 0,
                 limit: 0,
                 name: format!("v{i}"),
                 reserve,
@@ -32,12 +32,16 @@
                 weight: rng.random_range(0..3),
                 price: rng.random_range(1..3) * 1000,
                 spread,
-                survives_node: spread > 1 && rng.random_range(0..4) == 0,
-                survives_zone: rng.random_range(0..8) == 0,
-                apart: rng.random_range(0..4) == 0,
+                survives_node_loss: spread > 1 && rng.random_range(0..4) == 0,
+                survives_zone_loss: rng.random_range(0..8) == 0,
+                distinct_zones: rng.random_range(0..4) == 0,
                 zone: (rng.random_range(0..6) == 0).then(|| nodes[rng.random_range(0..count)].zone.clone()),
                 size: rng.random_range(0..3) * 100,
-                today: nodes.iter().filter(|_| rng.random_range(0..3) == 0).map(|n| n.name.clone()).collect(),
+                current_nodes: nodes
+                    .iter()
+                    .filter(|_| rng.random_range(0..3) == 0)
+                    .map(|n| n.name.clone())
+                    .collect(),
             }
         })
         .collect();
@@ -53,19 +57,20 @@
     let scale = |r: u64| i128::from(r) * 840;
     for (v, set) in volumes.iter().zip(at) {
         let zones: BTreeSet<&str> = set.iter().map(|n| nodes[*n].zone.as_str()).collect();
-        if v.apart && zones.len() < set.len() || v.zone.as_ref().is_some_and(|z| zones.iter().any(|x| x != z))
+        if v.distinct_zones && zones.len() < set.len()
+            || v.zone.as_ref().is_some_and(|z| zones.iter().any(|x| x != z))
         {
             return None;
         }
     }
     // Each loss that somebody has to survive, and none at all.
     let mut losses: Vec<(Vec<usize>, Vec<bool>)> = vec![(vec![], vec![false; volumes.len()])];
-    if volumes.iter().any(|v| v.survives_node) {
-        let who: Vec<bool> = volumes.iter().map(|v| v.survives_node).collect();
+    if volumes.iter().any(|v| v.survives_node_loss) {
+        let who: Vec<bool> = volumes.iter().map(|v| v.survives_node_loss).collect();
         losses.extend((0..nodes.len()).map(|n| (vec![n], who.clone())));
     }
-    if volumes.iter().any(|v| v.survives_zone) {
-        let who: Vec<bool> = volumes.iter().map(|v| v.survives_zone).collect();
+    if volumes.iter().any(|v| v.survives_zone_loss) {
+        let who: Vec<bool> = volumes.iter().map(|v| v.survives_zone_loss).collect();
         for zone in nodes.iter().map(|n| &n.zone).collect::<BTreeSet<_>>() {
             losses.push(((0..nodes.len()).filter(|n| nodes[*n].zone == *zone).collect(), who.clone()));
         }
@@ -112,7 +117,7 @@
     let used: BTreeSet<usize> = at.iter().flatten().copied().collect();
     let cost = used.iter().map(|n| i128::from(nodes[*n].cost)).sum::<i128>();
     let moved = volumes.iter().zip(at).map(|(v, set)| {
-        let fresh = set.iter().filter(|n| !v.today.contains(&nodes[**n].name)).count();
+        let fresh = set.iter().filter(|n| !v.current_nodes.contains(&nodes[**n].name)).count();
         scale(v.size) / set.len() as i128 * fresh as i128
     });
     Some((gain, -cost, -moved.sum::<i128>()))
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,8 +5,8 @@
 use mallowseam_lab::rehearse::{self, Outcome, Program};
 use mallowseam_lab::view::{figures, small};
 use mallowseam_lab::{bench, brute, model, plots, script, sharesday, snapbench};
-use mallowseam_shares::model::Problem;
-use mallowseam_shares::search::{Answer, solve};
+use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
+use mallowseam_placement::problem::Problem;
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -323,7 +323,7 @@
         let (nodes, volumes) = brute::draw(seed);
         let wanted = brute::brute(&nodes, &volumes);
         let found = match Problem::new(nodes, volumes).map(|p| solve(&p, u64::MAX)) {
-            Ok(Answer::Best(worth)) => Some(worth.order.0),
+            Ok(SolveOutcome::Optimal(best)) => Some(best.placement.0),
             _ => None,
         };
         if found == wanted {
--- a/crates/lab/src/sharesday.rs
+++ b/crates/lab/src/sharesday.rs
@@ -2,11 +2,11 @@
 //! the same seeds: what each earns by the users' counting.
 use crate::rehearse::{self, Outcome, Program};
 use crate::script::{self, Scene, Trouble};
+use mallowseam_placement::Placement;
+use mallowseam_placement::problem::{Node, Problem, Volume};
+use mallowseam_placement::tuning::tune;
 use mallowseam_settings::Site;
 use mallowseam_settings::edit::{self, Share};
-use mallowseam_shares::choose::choose;
-use mallowseam_shares::model::{Node, Problem, Volume};
-use mallowseam_shares::value::Placement;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
@@ -87,7 +87,7 @@
 /// Each volume's share; its reserve stays as promised.
 fn shares(scene: &Scene, site: &Site, way: Way) -> Result<Vec<Share>, String> {
     let (problem, placement) = problem(scene, site)?;
-    let worked = choose(&problem, &placement).weights;
+    let worked = tune(&problem, &placement).weights;
     let share = |v: &mallowseam_settings::site::Volume| {
         let plan = &site.plans[v.plan];
         let at = problem.volumes.iter().position(|w| w.name == v.name).expect("made of them");
@@ -126,14 +126,14 @@
             weight: plan.weight as u64,
             price: (plan.price * 1000.0) as u64,
             spread: lies.len(),
-            today: lies.iter().map(|n| site.nodes[*n].name.clone()).collect(),
+            current_nodes: lies.iter().map(|n| site.nodes[*n].name.clone()).collect(),
             ..Volume::default()
         }
     };
     let nodes = site.nodes.iter().map(node).collect();
     let p = Problem::new(nodes, site.volumes.iter().map(volume).collect())
         .map_err(|wrong| wrong.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
-    let placement = mallowseam_shares::moves::today(&p);
+    let placement = mallowseam_placement::migration::current_placement(&p);
     Ok((p, placement))
 }
 
--- a/crates/lab/tests/shares.rs
+++ b/crates/lab/tests/shares.rs
@@ -1,19 +1,20 @@
 //! The search of shares against a plain enumeration of every placement.
 use mallowseam_lab::brute::{brute, draw};
-use mallowseam_shares::conflict::explain;
-use mallowseam_shares::model::{Node, Problem, Volume, Wish};
-use mallowseam_shares::search::{Answer, feasible, solve};
+use mallowseam_placement::branch_and_bound::{SolveOutcome, is_feasible, solve};
+use mallowseam_placement::constraint::Constraint;
+use mallowseam_placement::infeasibility::explain;
+use mallowseam_placement::problem::{Node, Problem, Volume};
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
 const STEPS: u64 = 50_000_000;
 
-fn placement(answer: Answer) -> Option<Vec<Vec<usize>>> {
+fn placement(answer: SolveOutcome) -> Option<Vec<Vec<usize>>> {
     match answer {
-        Answer::Best(worth) => Some(worth.order.0),
-        Answer::None => None,
-        Answer::Open { .. } => panic!("the steps ran out"),
+        SolveOutcome::Optimal(best) => Some(best.placement.0),
+        SolveOutcome::Infeasible => None,
+        SolveOutcome::StepsExhausted { .. } => panic!("the steps ran out"),
     }
 }
 
@@ -52,15 +53,19 @@
         let Some(conflict) = explain(&problem, STEPS) else { continue };
         named += 1;
         let possible =
-            |kept: &[Wish]| feasible(&problem, &|w| kept.contains(&w), 1000, STEPS).expect("steps");
-        assert!(!possible(&conflict.demands), "seed {seed}");
-        for i in 0..conflict.demands.len() {
-            let mut rest = conflict.demands.clone();
+            |kept: &[Constraint]| is_feasible(&problem, &|w| kept.contains(&w), 1000, STEPS).expect("steps");
+        assert!(!possible(&conflict.constraints), "seed {seed}");
+        for i in 0..conflict.constraints.len() {
+            let mut rest = conflict.constraints.clone();
             rest.remove(i);
-            assert!(possible(&rest), "seed {seed}: {} is not needed", problem.tell(conflict.demands[i]));
+            assert!(
+                possible(&rest),
+                "seed {seed}: {} is not needed",
+                problem.describe(conflict.constraints[i])
+            );
         }
-        if let Some(stretch) = conflict.stretch {
-            let fits = |s| feasible(&problem, &|_| true, s, STEPS).expect("steps");
+        if let Some(stretch) = conflict.least_capacity_per_mille {
+            let fits = |s| is_feasible(&problem, &|_| true, s, STEPS).expect("steps");
             assert!(fits(stretch) && !fits(stretch - 1), "seed {seed}");
         }
     }
@@ -88,7 +93,7 @@
     let nodes = vec![node("a", "z", 5_000), node("b", "z", 5_000)];
     let fits = |r| {
         let volumes = vec![volume("x", 5_000), volume("y", r)];
-        solve(&Problem::new(nodes.clone(), volumes).expect("sound"), STEPS) != Answer::None
+        solve(&Problem::new(nodes.clone(), volumes).expect("sound"), STEPS) != SolveOutcome::Infeasible
     };
     assert!(fits(5_000) && !fits(5_001));
 }
@@ -99,21 +104,24 @@
         Problem::new(vec![node("a", "y", 4_000), node("b", "y", 4_000), node("c", "z", 4_000)], vec![v])
     };
     let conflict = explain(&problem(volume("x", 5_000)).expect("sound"), STEPS).expect("too much");
-    assert_eq!(conflict.stretch, Some(1_250));
-    let apart = Volume { spread: 2, apart: true, zone: Some("y".into()), ..volume("x", 1_000) };
+    assert_eq!(conflict.least_capacity_per_mille, Some(1_250));
+    let apart = Volume { spread: 2, distinct_zones: true, zone: Some("y".into()), ..volume("x", 1_000) };
     let conflict = explain(&problem(apart).expect("sound"), STEPS).expect("contradicts");
-    assert_eq!((conflict.demands, conflict.stretch), (vec![Wish::Zone(0), Wish::Apart(0)], None));
+    assert_eq!(
+        (conflict.constraints, conflict.least_capacity_per_mille),
+        (vec![Constraint::Zone(0), Constraint::DistinctZones(0)], None)
+    );
 }
 
 #[test]
 fn numbers_at_the_edge_neither_overflow_nor_pass_it() {
-    let most = mallowseam_shares::model::MOST;
+    let most = mallowseam_placement::problem::MAX_NUMBER;
     let volumes: Vec<Volume> = (0..8)
         .map(|i| Volume { weight: most, price: most, size: most, ..volume(&format!("v{i}"), most) })
         .collect();
     let nodes: Vec<Node> = (0..8).map(|i| node(&format!("n{i}"), "z", most)).collect();
     let problem = Problem::new(nodes, volumes.clone()).expect("sound");
-    assert!(matches!(solve(&problem, STEPS), Answer::Best(_)));
+    assert!(matches!(solve(&problem, STEPS), SolveOutcome::Optimal(_)));
     let past = Volume { reserve: most + 1, surge: most + 1, ..volume("v", 0) };
     let wrong = Problem::new(vec![node("n", "z", 1)], vec![past, volume("w", 0), volume("w", 0)]);
     assert_eq!(wrong.expect_err("two mistakes").len(), 2);
@@ -124,7 +132,9 @@
     let nodes: Vec<Node> = (0..8).map(|i| node(&format!("n{i}"), "z", 9_000)).collect();
     let volumes =
         (0..30).map(|i| Volume { surge: 9_000, ..volume(&format!("v{i:02}"), 1_000 + i) }).collect();
-    let Answer::Open { found, bound } = solve(&Problem::new(nodes, volumes).expect("sound"), 5_000) else {
+    let SolveOutcome::StepsExhausted { best: found, gain_upper_bound: bound } =
+        solve(&Problem::new(nodes, volumes).expect("sound"), 5_000)
+    else {
         panic!("thirty volumes on eight nodes are not searched through in 5 000 steps")
     };
     assert!(found.expect("one that fits").gain <= bound);
--- /dev/null
+++ b/crates/placement/src/feasibility.rs
@@ -0,0 +1,129 @@
+//! Whether the reserves of a placement fit at every node, now and with any one node or zone lost.
+use crate::constraint::{Constraint, ConstraintFilter};
+use crate::problem::{Problem, SCALE};
+use crate::{Assignment, NodeIndex, VolumeIndex};
+use std::collections::BTreeSet;
+
+/// The capacities as they are, in thousandths of themselves.
+pub const FULL_CAPACITY: u64 = 1000;
+
+/// What is lost.
+#[derive(Clone, Copy)]
+enum Loss<'a> {
+    Nothing,
+    Node(NodeIndex),
+    Zone(&'a str),
+}
+
+impl Loss<'_> {
+    fn includes(self, problem: &Problem, node: NodeIndex) -> bool {
+        match self {
+            Loss::Nothing => false,
+            Loss::Node(lost) => node == lost,
+            Loss::Zone(lost) => problem.nodes[node].zone == lost,
+        }
+    }
+
+    /// Whether a volume's reserve must fit in spite of the loss.
+    fn is_survived_by(self, problem: &Problem, volume: VolumeIndex, is_active: ConstraintFilter) -> bool {
+        match self {
+            Loss::Nothing => false,
+            Loss::Node(_) => must_survive_node_loss(problem, volume, is_active),
+            Loss::Zone(_) => must_survive_zone_loss(problem, volume, is_active),
+        }
+    }
+}
+
+fn must_survive_node_loss(problem: &Problem, volume: VolumeIndex, is_active: ConstraintFilter) -> bool {
+    problem.volumes[volume].survives_node_loss && is_active(Constraint::SurvivesNodeLoss(volume))
+}
+
+fn must_survive_zone_loss(problem: &Problem, volume: VolumeIndex, is_active: ConstraintFilter) -> bool {
+    problem.volumes[volume].survives_zone_loss && is_active(Constraint::SurvivesZoneLoss(volume))
+}
+
+/// No loss, then the loss of each node and of each zone if any of the volumes must survive that.
+fn losses<'a>(
+    problem: &'a Problem,
+    assignments: &[Assignment],
+    is_active: ConstraintFilter,
+) -> Vec<Loss<'a>> {
+    let mut losses = vec![Loss::Nothing];
+    if assignments.iter().any(|a| must_survive_node_loss(problem, a.volume, is_active)) {
+        losses.extend((0..problem.nodes.len()).map(Loss::Node));
+    }
+    if assignments.iter().any(|a| must_survive_zone_loss(problem, a.volume, is_active)) {
+        let zones: BTreeSet<&str> = problem.nodes.iter().map(|node| node.zone.as_str()).collect();
+        losses.extend(zones.into_iter().map(Loss::Zone));
+    }
+    losses
+}
+
+/// The rates that reserves ask of each node in a loss, scaled; none if a volume that must survive the loss has no
+/// node left.
+fn node_loads(
+    problem: &Problem,
+    assignments: &[Assignment],
+    is_active: ConstraintFilter,
+    loss: Loss,
+) -> Option<Vec<i128>> {
+    let mut loads = vec![0; problem.nodes.len()];
+    for Assignment { volume, nodes } in assignments.iter().copied() {
+        let reserve = i128::from(problem.volumes[volume].reserve) * SCALE;
+        // A volume without a reserve has nothing that could be lost.
+        if reserve == 0 || !is_active(Constraint::Reserve(volume)) {
+            continue;
+        }
+        let is_left = |node: &&NodeIndex| !loss.includes(problem, **node);
+        let left = nodes.iter().filter(is_left).count();
+        let survives = loss.is_survived_by(problem, volume, is_active);
+        if left == 0 && survives {
+            return None;
+        }
+        // A volume that need not survive keeps the same load on the nodes that are left.
+        let sharing = if survives { left } else { nodes.len() };
+        for node in nodes.iter().filter(is_left) {
+            loads[*node] += reserve / sharing as i128;
+        }
+    }
+    Some(loads)
+}
+
+/// Whether the reserves of these volumes fit at every node, now and in every loss that one of them must survive.
+/// `capacity_per_mille`: thousandths of its capacity that each node has, see [`FULL_CAPACITY`].
+#[must_use]
+pub fn fits(
+    problem: &Problem,
+    assignments: &[Assignment],
+    is_active: ConstraintFilter,
+    capacity_per_mille: u64,
+) -> bool {
+    let fits_at = |node: NodeIndex, load: i128| {
+        let capacity = i128::from(problem.nodes[node].capacity) * SCALE * i128::from(capacity_per_mille);
+        !is_active(Constraint::Capacity(node)) || load * i128::from(FULL_CAPACITY) <= capacity
+    };
+    losses(problem, assignments, is_active).into_iter().all(|loss| {
+        let loads = node_loads(problem, assignments, is_active, loss);
+        loads.is_some_and(|loads| loads.iter().enumerate().all(|(node, load)| fits_at(node, *load)))
+    })
+}
+
+/// How far the reserves are from fitting: what they ask beyond each node's capacity, scaled, summed over no loss
+/// and every loss; 0 if they fit. A volume without a node left in a loss that it must survive lacks its whole
+/// reserve.
+#[must_use]
+pub fn excess(problem: &Problem, assignments: &[Assignment]) -> i128 {
+    let is_active = |_: Constraint| true;
+    let excess_in = |loss: Loss| {
+        let is_gone =
+            |assignment: &Assignment| assignment.nodes.iter().all(|node| loss.includes(problem, *node));
+        let (gone, left): (Vec<Assignment>, Vec<Assignment>) = assignments.iter().copied().partition(is_gone);
+        let lacking = gone.iter().filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
+        let lacking: i128 = lacking.map(|a| i128::from(problem.volumes[a.volume].reserve) * SCALE).sum();
+        let loads = node_loads(problem, &left, &is_active, loss).expect("each has a node left");
+        let capacity = |node: NodeIndex| i128::from(problem.nodes[node].capacity) * SCALE;
+        let beyond = loads.iter().enumerate().map(|(node, load)| (load - capacity(node)).max(0));
+        lacking + beyond.sum::<i128>()
+    };
+    losses(problem, assignments, &is_active).into_iter().map(excess_in).sum()
+}
--- /dev/null
+++ b/crates/placement/src/lib.rs
@@ -0,0 +1,56 @@
+//! Works out, ahead of time, which nodes each volume is placed on. `docs/placement.md` describes the problem and
+//! the alternatives that were considered.
+//!
+//! A placement must fit: the volumes' reserved rates fit at every node, also with any one node or zone lost where
+//! a volume must survive that. Of those that fit, the best one has the most gain when all volumes surge at once,
+//! then the least cost, then the least data moved, then the least names. All numbers are integers, so that what
+//! fits and what ties is exact, and the same problem always has the same answer, in whatever order it is written.
+//!
+//! - [`problem`]: nodes, volumes and hosts, checked and put in order; [`constraint`]: what a placement must meet.
+//! - [`feasibility`]: whether a placement fits; [`objective`]: what it is worth.
+//! - [`branch_and_bound`]: the optimal placement of a small problem, proven; [`upper_bound`]: the bound of it.
+//! - [`local_search`]: good placements of large problems.
+//! - [`infeasibility`]: why nothing fits.
+//! - [`tuning`]: weights and reserves that the problem leaves open; [`limit_split`]: a limit divided over hosts.
+//! - [`migration`]: the steps from the current placement to another one.
+#![warn(missing_docs)]
+
+pub mod branch_and_bound;
+pub mod constraint;
+pub mod feasibility;
+pub mod infeasibility;
+pub mod limit_split;
+mod load_table;
+pub mod local_search;
+pub mod migration;
+pub mod objective;
+pub mod problem;
+pub mod tuning;
+pub mod upper_bound;
+
+/// Index of a node in [`problem::Problem::nodes`].
+pub type NodeIndex = usize;
+/// Index of a volume in [`problem::Problem::volumes`].
+pub type VolumeIndex = usize;
+/// For each volume, by its index, the indices of its nodes in ascending order.
+pub type Placement = Vec<Vec<NodeIndex>>;
+
+/// A volume with the nodes that it is placed on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Assignment<'a> {
+    /// The volume.
+    pub volume: VolumeIndex,
+    /// Its nodes, in ascending order.
+    pub nodes: &'a [NodeIndex],
+}
+
+/// The assignments of all volumes of a placement.
+#[must_use]
+pub fn assignments(placement: &Placement) -> Vec<Assignment<'_>> {
+    placement.iter().enumerate().map(|(volume, nodes)| Assignment { volume, nodes }).collect()
+}
+
+/// The volumes that a placement puts on a node, in ascending order.
+fn volumes_at(placement: &Placement, node: NodeIndex) -> Vec<VolumeIndex> {
+    (0..placement.len()).filter(|volume| placement[*volume].contains(&node)).collect()
+}
--- /dev/null
+++ b/crates/placement/src/local_search.rs
@@ -0,0 +1,340 @@
+//! Placements of large problems: a first one that fits, then better ones by local search for as long as steps are
+//! given. With [`crate::upper_bound`] the gap to the optimum is bounded at any moment. The same seed and steps
+//! always lead to the same placement.
+use crate::constraint::Constraint;
+use crate::feasibility::{FULL_CAPACITY, fits};
+use crate::load_table::LoadTable;
+use crate::objective::{Objective, moved_data, node_gain, objective};
+use crate::problem::Problem;
+use crate::{NodeIndex, Placement, VolumeIndex, assignments};
+use std::cmp::{Ordering, Reverse};
+
+/// Node sets that are tried for one volume in the first pass, each with one more random exchange in the order of
+/// nodes by load.
+const MAX_TRIES: usize = 24;
+/// Rounds in which volumes that did not fit may push others out.
+const MAX_REPAIRS: usize = 40;
+/// Volumes that are pushed out in such a round, at most.
+const PUSHED_OUT: usize = 3;
+
+/// A xorshift generator (Marsaglia 2003). Only which steps are tried depends on it.
+struct Random(u64);
+
+impl Random {
+    fn new(seed: u64) -> Random {
+        Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+    }
+
+    /// A number below `bound`.
+    fn below(&mut self, bound: usize) -> usize {
+        self.0 ^= self.0 << 13;
+        self.0 ^= self.0 >> 7;
+        self.0 ^= self.0 << 17;
+        (self.0 % bound.max(1) as u64) as usize
+    }
+}
+
+/// A volume that changes its nodes.
+struct Reassignment {
+    volume: VolumeIndex,
+    before: Vec<NodeIndex>,
+    after: Vec<NodeIndex>,
+}
+
+impl Reassignment {
+    fn replace(volume: VolumeIndex, before: Vec<NodeIndex>, source: NodeIndex, target: NodeIndex) -> Self {
+        let mut after: Vec<NodeIndex> =
+            before.iter().map(|node| if *node == source { target } else { *node }).collect();
+        after.sort_unstable();
+        Reassignment { volume, before, after }
+    }
+}
+
+/// A placement that is built and improved step by step.
+pub struct LocalSearch<'a> {
+    problem: &'a Problem,
+    /// Per volume its nodes; empty while it has none.
+    placement: Placement,
+    /// Per node its volumes, in the order in which they were assigned.
+    volumes_at: Vec<Vec<VolumeIndex>>,
+    loads: LoadTable<'a>,
+    /// Per node its part of the gain.
+    node_gains: Vec<i128>,
+    random: Random,
+}
+
+impl<'a> LocalSearch<'a> {
+    /// A search with an empty placement.
+    #[must_use]
+    pub fn new(problem: &'a Problem, seed: u64) -> Self {
+        LocalSearch {
+            problem,
+            placement: vec![Vec::new(); problem.volumes.len()],
+            volumes_at: vec![Vec::new(); problem.nodes.len()],
+            loads: LoadTable::new(problem),
+            node_gains: vec![0; problem.nodes.len()],
+            random: Random::new(seed),
+        }
+    }
+
+    /// Places every volume, the hardest first. Returns false if some did not fit, which proves nothing.
+    pub fn place_all(&mut self) -> bool {
+        let mut order: Vec<VolumeIndex> = (0..self.problem.volumes.len()).collect();
+        order.sort_by_key(|index| {
+            let volume = &self.problem.volumes[*index];
+            let is_bound_to_zones =
+                volume.zone.is_some() || volume.distinct_zones || volume.survives_zone_loss;
+            (Reverse(is_bound_to_zones), Reverse(volume.reserve), *index)
+        });
+        let mut unplaced = self.place_each(order);
+        for _ in 0..MAX_REPAIRS {
+            let Some(volume) = unplaced.pop() else { break };
+            self.push_out_others(volume, &mut unplaced);
+            if !self.place(volume) {
+                unplaced.insert(0, volume);
+            }
+            unplaced = self.place_each(unplaced);
+        }
+        self.update_node_gains();
+        unplaced.is_empty()
+    }
+
+    /// Places the current placement of volumes where it fits; [`LocalSearch::place_missing`] goes on from there.
+    pub fn start_from_current(&mut self) {
+        for volume in 0..self.problem.volumes.len() {
+            let current = &self.problem.volumes[volume].current_nodes;
+            let is_current = |node: &NodeIndex| current.contains(&self.problem.nodes[*node].name);
+            let nodes: Vec<NodeIndex> = (0..self.problem.nodes.len()).filter(is_current).collect();
+            // A volume without a reserve would fit on a lost node, and be served by nobody.
+            let is_on_lost_node = nodes.iter().any(|node| self.problem.nodes[*node].capacity == 0);
+            let is_complete = nodes.len() == self.problem.volumes[volume].spread;
+            if !is_on_lost_node && is_complete && self.is_allowed(volume, &nodes) {
+                self.assign_if_fitting(volume, nodes);
+            }
+        }
+    }
+
+    /// Places the volumes that have no nodes yet. Returns false if some did not fit.
+    pub fn place_missing(&mut self) -> bool {
+        let missing = (0..self.placement.len()).filter(|volume| self.placement[*volume].is_empty()).collect();
+        let unplaced = self.place_each(missing);
+        self.update_node_gains();
+        unplaced.is_empty()
+    }
+
+    /// Tries so many random changes, each a new node for one volume or an exchange of two, and keeps those that
+    /// make the placement better.
+    pub fn improve(&mut self, attempts: u64) {
+        for _ in 0..attempts {
+            if let Some(change) = self.draw_change() {
+                self.keep_if_better(&change);
+            }
+        }
+    }
+
+    /// The objective of the placement; none while a volume has no nodes.
+    #[must_use]
+    pub fn objective(&self) -> Option<Objective> {
+        let is_complete = self.placement.iter().all(|nodes| !nodes.is_empty());
+        is_complete.then(|| objective(self.problem, &self.placement))
+    }
+
+    /// Whether the placement fits, computed anew and not from the running loads.
+    #[must_use]
+    pub fn is_feasible(&self) -> bool {
+        fits(self.problem, &assignments(&self.placement), &|_: Constraint| true, FULL_CAPACITY)
+    }
+
+    fn assign(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) {
+        for node in &nodes {
+            self.volumes_at[*node].push(volume);
+        }
+        self.loads.add(volume, &nodes);
+        self.placement[volume] = nodes;
+    }
+
+    fn unassign(&mut self, volume: VolumeIndex) {
+        let nodes = std::mem::take(&mut self.placement[volume]);
+        self.loads.remove(volume, &nodes);
+        for node in nodes {
+            self.volumes_at[node].retain(|other| *other != volume);
+        }
+    }
+
+    fn reassign(&mut self, volume: VolumeIndex, nodes: &[NodeIndex]) {
+        self.unassign(volume);
+        self.assign(volume, nodes.to_vec());
+    }
+
+    fn assign_if_fitting(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) -> bool {
+        self.assign(volume, nodes);
+        let fits = self.loads.fits_at(&self.placement[volume]);
+        if !fits {
+            self.unassign(volume);
+        }
+        fits
+    }
+
+    /// Places volumes one by one. Returns those that did not fit.
+    fn place_each(&mut self, volumes: Vec<VolumeIndex>) -> Vec<VolumeIndex> {
+        volumes.into_iter().filter(|volume| !self.place(*volume)).collect()
+    }
+
+    fn place(&mut self, volume: VolumeIndex) -> bool {
+        (0..MAX_TRIES).any(|exchanges| {
+            let nodes = self.least_loaded_set(volume, exchanges);
+            nodes.is_some_and(|nodes| self.assign_if_fitting(volume, nodes))
+        })
+    }
+
+    /// Makes room by taking out others at random; they are placed anew after the volume.
+    fn push_out_others(&mut self, volume: VolumeIndex, unplaced: &mut Vec<VolumeIndex>) {
+        for _ in 0..PUSHED_OUT {
+            let other = self.random.below(self.problem.volumes.len());
+            if other != volume && !self.placement[other].is_empty() {
+                self.unassign(other);
+                unplaced.insert(0, other);
+            }
+        }
+    }
+
+    /// The least loaded node set that a volume's own constraints allow, after so many random exchanges in the
+    /// order of nodes by load.
+    fn least_loaded_set(&mut self, volume: VolumeIndex, exchanges: usize) -> Option<Vec<NodeIndex>> {
+        let mut by_load: Vec<NodeIndex> = (0..self.problem.nodes.len()).collect();
+        by_load.sort_by(|a, b| self.compare_load(*a, *b));
+        for _ in 0..exchanges {
+            let first = self.random.below(by_load.len());
+            let second = self.random.below(by_load.len());
+            by_load.swap(first, second);
+        }
+        let spread = self.problem.volumes[volume].spread;
+        let mut nodes: Vec<NodeIndex> = Vec::new();
+        for node in by_load {
+            if nodes.len() + 1 < spread {
+                if self.is_allowed_with(volume, &nodes, node) {
+                    nodes.push(node);
+                }
+                continue;
+            }
+            let mut complete = nodes.clone();
+            complete.push(node);
+            complete.sort_unstable();
+            if self.is_allowed(volume, &complete) {
+                return Some(complete);
+            }
+        }
+        None
+    }
+
+    /// Least load for its capacity first, compared without division; lost nodes last.
+    fn compare_load(&self, a: NodeIndex, b: NodeIndex) -> Ordering {
+        let capacity = |node: NodeIndex| self.problem.nodes[node].capacity;
+        let load_of_a = self.loads.load(a) * i128::from(capacity(b).max(1));
+        let load_of_b = self.loads.load(b) * i128::from(capacity(a).max(1));
+        let is_lost = |node: NodeIndex| capacity(node) == 0;
+        is_lost(a)
+            .cmp(&is_lost(b))
+            .then(load_of_a.cmp(&load_of_b))
+            .then(capacity(b).cmp(&capacity(a)))
+            .then(a.cmp(&b))
+    }
+
+    fn is_in_zone(&self, volume: VolumeIndex, node: NodeIndex) -> bool {
+        let zone = self.problem.volumes[volume].zone.as_ref();
+        zone.is_none_or(|zone| self.problem.nodes[node].zone == *zone)
+    }
+
+    /// Whether a volume's own constraints allow a node beside these, while the set still lacks others. It need not
+    /// yet be in two zones.
+    fn is_allowed_with(&self, volume: VolumeIndex, nodes: &[NodeIndex], node: NodeIndex) -> bool {
+        let zone = self.loads.zone_of(node);
+        let is_new_zone = || nodes.iter().all(|other| self.loads.zone_of(*other) != zone);
+        self.is_in_zone(volume, node) && (!self.problem.volumes[volume].distinct_zones || is_new_zone())
+    }
+
+    /// Whether a volume's own constraints allow a node set.
+    fn is_allowed(&self, volume: VolumeIndex, nodes: &[NodeIndex]) -> bool {
+        let wanted = &self.problem.volumes[volume];
+        let zones: Vec<usize> = nodes.iter().map(|node| self.loads.zone_of(*node)).collect();
+        let outlives_zone = wanted.reserve == 0 || zones.iter().any(|zone| *zone != zones[0]);
+        are_distinct(nodes)
+            && nodes.iter().all(|node| self.is_in_zone(volume, *node))
+            && (!wanted.distinct_zones || are_distinct(&zones))
+            && (!wanted.survives_zone_loss || outlives_zone)
+    }
+
+    fn node_gain(&self, node: NodeIndex) -> i128 {
+        let mut volumes = self.volumes_at[node].clone();
+        volumes.sort_unstable();
+        node_gain(self.problem, &self.placement, node, &volumes)
+    }
+
+    fn update_node_gains(&mut self) {
+        self.node_gains = (0..self.problem.nodes.len()).map(|node| self.node_gain(node)).collect();
+    }
+
+    /// Draws a change: one volume leaves a node for another, and every other time a volume of that one comes in
+    /// its place. None if the draw leads to none that is allowed.
+    fn draw_change(&mut self) -> Option<Vec<Reassignment>> {
+        let volume = self.random.below(self.problem.volumes.len());
+        let before = self.placement[volume].clone();
+        if before.is_empty() {
+            return None;
+        }
+        let source = before[self.random.below(before.len())];
+        let target = self.random.below(self.problem.nodes.len());
+        if before.contains(&target) {
+            return None;
+        }
+        let first = Reassignment::replace(volume, before, source, target);
+        if !self.is_allowed(volume, &first.after) {
+            return None;
+        }
+        let is_not_at_source = |other: &&VolumeIndex| !self.placement[**other].contains(&source);
+        let partners: Vec<VolumeIndex> =
+            self.volumes_at[target].iter().filter(is_not_at_source).copied().collect();
+        let is_exchange = self.random.below(2) == 0 && !partners.is_empty();
+        if !is_exchange {
+            return Some(vec![first]);
+        }
+        let partner = partners[self.random.below(partners.len())];
+        let second = Reassignment::replace(partner, self.placement[partner].clone(), target, source);
+        self.is_allowed(partner, &second.after).then(|| vec![first, second])
+    }
+
+    /// Makes a change, and takes it back unless the placement fits and is better: more gain, or the same gain and
+    /// less data moved.
+    fn keep_if_better(&mut self, change: &[Reassignment]) {
+        for step in change {
+            self.reassign(step.volume, &step.after);
+        }
+        let mut touched: Vec<NodeIndex> =
+            change.iter().flat_map(|step| step.before.iter().chain(&step.after)).copied().collect();
+        touched.sort_unstable();
+        touched.dedup();
+        let gain_before: i128 = touched.iter().map(|node| self.node_gains[*node]).sum();
+        let gains: Vec<i128> = touched.iter().map(|node| self.node_gain(*node)).collect();
+        let gain_after: i128 = gains.iter().sum();
+        let is_better = gain_after.cmp(&gain_before).then_with(|| self.saved_data(change).cmp(&0)).is_gt();
+        if is_better && self.loads.fits_at(&touched) {
+            for (node, gain) in touched.into_iter().zip(gains) {
+                self.node_gains[node] = gain;
+            }
+        } else {
+            for step in change.iter().rev() {
+                self.reassign(step.volume, &step.before);
+            }
+        }
+    }
+
+    /// How much less data has to move after a change, scaled.
+    fn saved_data(&self, change: &[Reassignment]) -> i128 {
+        let moved = |volume, nodes: &[NodeIndex]| moved_data(self.problem, volume, nodes) as i128;
+        change.iter().map(|step| moved(step.volume, &step.before) - moved(step.volume, &step.after)).sum()
+    }
+}
+
+fn are_distinct(items: &[usize]) -> bool {
+    (1..items.len()).all(|index| !items[..index].contains(&items[index]))
+}
--- /dev/null
+++ b/crates/placement/src/objective.rs
@@ -0,0 +1,142 @@
+//! What a placement is worth.
+use crate::problem::{Problem, SCALE};
+use crate::{NodeIndex, Placement, VolumeIndex, volumes_at};
+use std::cmp::Reverse;
+
+/// Gain of a unit within a volume's reserve, in hundredths of its price.
+pub(crate) const RESERVE_GAIN: i128 = 100;
+/// Gain of a unit within a volume's share of what the reserves leave free.
+pub(crate) const SHARE_GAIN: i128 = 35;
+/// Gain of any other unit.
+pub(crate) const REST_GAIN: i128 = 10;
+/// Shares are parts of nine tenths of what the reserves leave free.
+pub(crate) const SHARED_NUMERATOR: i128 = 9;
+pub(crate) const SHARED_DENOMINATOR: i128 = 10;
+
+/// What a placement is worth; the greater the better.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Objective {
+    /// See [`gain`].
+    pub gain: i128,
+    /// Cost of the nodes that are used.
+    pub cost: Reverse<u128>,
+    /// Data that has to move, times [`SCALE`].
+    pub moved_data: Reverse<u128>,
+    /// The placement itself: among equals the first one in order of names is the best.
+    pub placement: Reverse<Placement>,
+}
+
+/// A volume's part of a node's capacity, where it differs from the problem.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct VolumeShare {
+    /// The reserved rate, in thousandths of a unit a second.
+    pub reserve: u64,
+    /// Weight of the share of what reserves leave free.
+    pub weight: u64,
+}
+
+/// What a whole placement is worth.
+#[must_use]
+pub fn objective(problem: &Problem, placement: &Placement) -> Objective {
+    let moved = placement.iter().enumerate().map(|(volume, nodes)| moved_data(problem, volume, nodes));
+    Objective {
+        gain: gain(problem, placement),
+        cost: Reverse(cost(problem, placement.iter().flatten().copied())),
+        moved_data: Reverse(moved.sum()),
+        placement: Reverse(placement.clone()),
+    }
+}
+
+/// Gain a second when all volumes surge at once, times [`SCALE`], a thousand for rates, a thousand for prices and
+/// a hundred for the parts of a price. Each node serves the reserves in full, then shares by weight of nine tenths
+/// of what the reserves leave free, then from what is still free in order of price.
+#[must_use]
+pub fn gain(problem: &Problem, placement: &Placement) -> i128 {
+    let gain_at = |node| node_gain(problem, placement, node, &volumes_at(placement, node));
+    (0..problem.nodes.len()).map(gain_at).sum()
+}
+
+/// The gain, as in [`gain`], with other shares and another demand than the surge. `demand`: for each volume, in
+/// thousandths of a unit a second.
+#[must_use]
+pub fn gain_at_demand(
+    problem: &Problem,
+    placement: &Placement,
+    shares: &[VolumeShare],
+    demand: &[u64],
+) -> i128 {
+    let mut changed = problem.clone();
+    for (volume, (share, demand)) in changed.volumes.iter_mut().zip(shares.iter().zip(demand)) {
+        volume.reserve = share.reserve;
+        volume.weight = share.weight;
+        volume.surge = *demand;
+    }
+    gain(&changed, placement)
+}
+
+/// What a volume has not got from its reserve and its share.
+struct Unserved {
+    price: i128,
+    rate: i128,
+}
+
+/// The part of the gain that one node gives `volumes`, the volumes that are placed there.
+pub(crate) fn node_gain(
+    problem: &Problem,
+    placement: &Placement,
+    node: NodeIndex,
+    volumes: &[VolumeIndex],
+) -> i128 {
+    let volume = |index: VolumeIndex| &problem.volumes[index];
+    let per_node = |index: VolumeIndex, rate: u64| scaled_rate_per_node(placement, index, rate);
+    // A reserve that is not asked for is free for others.
+    let used_reserve = |index| per_node(index, volume(index).reserve.min(volume(index).surge));
+    let reserves: i128 = volumes.iter().map(|index| used_reserve(*index)).sum();
+    let capacity = i128::from(problem.nodes[node].capacity) * SCALE;
+    let unreserved = (capacity - reserves).max(0);
+    let weights: i128 = volumes.iter().map(|index| i128::from(volume(*index).weight)).sum();
+
+    let mut gain = 0;
+    let mut free = unreserved;
+    let mut unserved = Vec::new();
+    for index in volumes.iter().copied() {
+        let price = i128::from(volume(index).price);
+        let weight = i128::from(volume(index).weight);
+        let beyond_reserve = per_node(index, volume(index).surge) - used_reserve(index);
+        let share = unreserved * SHARED_NUMERATOR * weight / (SHARED_DENOMINATOR * weights.max(1));
+        let used_share = share.min(beyond_reserve);
+        gain += (used_reserve(index) * RESERVE_GAIN + used_share * SHARE_GAIN) * price;
+        free -= used_share;
+        unserved.push(Unserved { price, rate: beyond_reserve - used_share });
+    }
+    unserved.sort_unstable_by_key(|unserved| Reverse((unserved.price, unserved.rate)));
+    for Unserved { price, rate } in unserved {
+        let served = rate.min(free);
+        gain += served * REST_GAIN * price;
+        free -= served;
+    }
+    gain
+}
+
+/// A volume's rate at each of its nodes, scaled.
+pub(crate) fn scaled_rate_per_node(placement: &Placement, volume: VolumeIndex, rate: u64) -> i128 {
+    i128::from(rate) * SCALE / placement[volume].len() as i128
+}
+
+/// Data that has to move to place a volume on these nodes, times [`SCALE`]: an even part for each node that it is
+/// not on now.
+#[must_use]
+pub fn moved_data(problem: &Problem, volume: VolumeIndex, nodes: &[NodeIndex]) -> u128 {
+    let volume = &problem.volumes[volume];
+    let is_new = |node: &&NodeIndex| !volume.current_nodes.contains(&problem.nodes[**node].name);
+    let new_nodes = nodes.iter().filter(is_new).count();
+    u128::from(volume.size) * SCALE as u128 / nodes.len() as u128 * new_nodes as u128
+}
+
+/// Cost of using these nodes, each counted once.
+pub fn cost(problem: &Problem, used: impl Iterator<Item = NodeIndex>) -> u128 {
+    let mut nodes: Vec<NodeIndex> = used.collect();
+    nodes.sort_unstable();
+    nodes.dedup();
+    nodes.iter().map(|node| u128::from(problem.nodes[*node].cost)).sum()
+}
--- a/crates/shares/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -1,14 +1,17 @@
 //! Pins what the package decides: seeded problems are worked out by every public function, and a hash over all
 //! answers is compared with the one recorded at commit 01f3988. A pin that fails means that a placement, a
 //! migration step, a chosen figure or the arithmetic has changed; the values are never recorded anew.
-use mallowseam_shares::bound;
-use mallowseam_shares::choose::{WEIGHT_MOST, choose, parts};
-use mallowseam_shares::conflict::explain;
-use mallowseam_shares::improve::Improve;
-use mallowseam_shares::model::{Host, MOST, Node, Problem, SCALE, SPREAD_MOST, Volume};
-use mallowseam_shares::moves::{order, today};
-use mallowseam_shares::search::{Answer, feasible, solve};
-use mallowseam_shares::value::{Placement, Worth, cost, excess, fits, gain_of, moved, placed, worth};
+use mallowseam_placement::branch_and_bound::{SolveOutcome, is_feasible, solve};
+use mallowseam_placement::feasibility::{excess, fits};
+use mallowseam_placement::infeasibility::explain;
+use mallowseam_placement::limit_split::split_limit;
+use mallowseam_placement::local_search::LocalSearch;
+use mallowseam_placement::migration::{current_placement, plan_migration};
+use mallowseam_placement::objective::{Objective, VolumeShare, cost, gain_at_demand, moved_data, objective};
+use mallowseam_placement::problem::{Host, MAX_NUMBER, MAX_SPREAD, Node, Problem, SCALE, Volume};
+use mallowseam_placement::tuning::{MAX_WEIGHT, tune};
+use mallowseam_placement::upper_bound::gain_upper_bound;
+use mallowseam_placement::{Placement, assignments};
 use std::fmt::Write;
 
 /// SplitMix64, so that the problems depend on no library.
@@ -54,22 +57,22 @@
             let spread = 1 + random.below(3.min(names.len() as u64)) as usize;
             let reserve = if random.one_in(4) { 0 } else { random.below(most_reserved * mean / 100) };
             let first = random.below(names.len() as u64) as usize;
-            let lies = if random.one_in(5) { 0 } else { spread };
+            let placed_on = if random.one_in(5) { 0 } else { spread };
             Volume {
                 name: format!("v{v:03}"),
                 reserve,
-                reserve_most: reserve + random.below(mean),
+                max_reserve: reserve + random.below(mean),
                 limit: random.below(mean * 2),
                 surge: reserve + random.below(mean * 2),
                 weight: 1 + random.below(4),
                 price: [500, 900, 1000, 1800][random.below(4) as usize],
                 spread,
-                survives_node: spread > 1 && random.one_in(3),
-                survives_zone: spread > 1 && random.one_in(6),
-                apart: spread > 1 && random.one_in(4),
+                survives_node_loss: spread > 1 && random.one_in(3),
+                survives_zone_loss: spread > 1 && random.one_in(6),
+                distinct_zones: spread > 1 && random.one_in(4),
                 zone: random.one_in(8).then(|| format!("z{}", random.below(2))),
                 size: if random.one_in(4) { random.below(3) } else { random.below(300) },
-                today: (0..lies).map(|n| names[(first + n) % names.len()].clone()).collect(),
+                current_nodes: (0..placed_on).map(|n| names[(first + n) % names.len()].clone()).collect(),
             }
         })
         .collect();
@@ -78,39 +81,44 @@
     problem
 }
 
-fn describe_worth(worth: &Worth) -> String {
-    format!("{} {} {} {:?}", worth.gain, worth.cost.0, worth.moved.0, worth.order.0)
+fn describe_worth(worth: &Objective) -> String {
+    format!("{} {} {} {:?}", worth.gain, worth.cost.0, worth.moved_data.0, worth.placement.0)
 }
 
-/// Everything that can be said of one placement, and the way to it from where data lies today.
+/// Everything that can be said of one placement, and the migration to it from the current one.
 fn describe_placement(p: &Problem, placement: &Placement, random: &mut Random) -> String {
-    let mut text = describe_worth(&worth(p, placement));
-    let all = placed(placement);
-    let chosen = choose(p, placement);
+    let mut text = describe_worth(&objective(p, placement));
+    let all = assignments(placement);
+    let chosen = tune(p, placement);
     let asked: Vec<u64> = p.volumes.iter().map(|v| random.below(v.surge * 2 + 1)).collect();
-    let shares: Vec<(u64, u64)> =
-        chosen.reserves.iter().copied().zip(chosen.weights.iter().copied()).collect();
-    let gained = gain_of(p, placement, &shares, &asked);
+    let shares: Vec<VolumeShare> = chosen
+        .reserves
+        .iter()
+        .zip(&chosen.weights)
+        .map(|(reserve, weight)| VolumeShare { reserve: *reserve, weight: *weight })
+        .collect();
+    let gained = gain_at_demand(p, placement, &shares, &asked);
     write!(text, " excess {} moment {gained}", excess(p, &all)).expect("writing to memory");
     let (weights, reserves) = (&chosen.weights, &chosen.reserves);
-    write!(text, " chosen {weights:?} {reserves:?} {} {}", chosen.gain, chosen.before)
+    write!(text, " chosen {weights:?} {reserves:?} {} {}", chosen.gain, chosen.gain_before)
         .expect("writing to memory");
     for stretch in [500, 999, 1000, 1001] {
         write!(text, " {}", fits(p, &all, &|_| true, stretch)).expect("writing to memory");
     }
     for (volume, set) in placement.iter().enumerate() {
-        write!(text, " {}", moved(p, volume, set)).expect("writing to memory");
+        write!(text, " {}", moved_data(p, volume, set)).expect("writing to memory");
     }
     let used = cost(p, placement.iter().flatten().copied());
     write!(text, " cost {used}").expect("writing to memory");
-    let from = today(p);
+    let from = current_placement(p);
     for most in [None, Some(u128::from(random.below(800)) * SCALE as u128)] {
-        let moves = order(p, &from, placement, most);
-        for step in &moves.steps {
+        let plan = plan_migration(p, &from, placement, most);
+        for step in &plan.steps {
             write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
         }
-        let (ends, left, stuck) = (&moves.ends, &moves.left, &moves.stuck);
-        write!(text, " ends {ends:?} left {left:?} stuck {stuck:?} data {}", moves.data()).expect("memory");
+        let (end, deferred, blocked) = (&plan.final_placement, &plan.deferred, &plan.blocked);
+        write!(text, " ends {end:?} left {deferred:?} stuck {blocked:?} data {}", plan.data())
+            .expect("memory");
     }
     text
 }
@@ -119,35 +127,35 @@
     let random = &mut Random(seed);
     let (volumes, nodes) = (2 + random.below(4), 2 + random.below(3));
     let p = problem(random, volumes, nodes, 75);
-    let mut text = format!("{}", bound::most(&p));
-    for wish in p.wishes() {
-        write!(text, " {}", p.tell(wish)).expect("writing to memory");
+    let mut text = format!("{}", gain_upper_bound(&p));
+    for constraint in p.constraints() {
+        write!(text, " {}", p.describe(constraint)).expect("writing to memory");
     }
     for volume in 0..p.volumes.len() {
-        write!(text, " {:?}", p.choices(volume, &|_| true)).expect("writing to memory");
+        write!(text, " {:?}", p.allowed_node_sets(volume, &|_| true)).expect("writing to memory");
     }
     let most_steps = if random.one_in(4) { 30 } else { 20_000 };
     let steps = 1 + random.below(most_steps);
     match solve(&p, steps) {
-        Answer::Best(worth) => {
-            write!(text, " best {}", describe_placement(&p, &worth.order.0, random))
+        SolveOutcome::Optimal(worth) => {
+            write!(text, " best {}", describe_placement(&p, &worth.placement.0, random))
                 .expect("writing to memory");
         }
-        Answer::None => {
+        SolveOutcome::Infeasible => {
             let conflict = explain(&p, 3_000);
             let conflict = conflict.map(|c| {
-                let demands: Vec<String> = c.demands.iter().map(|w| p.tell(*w)).collect();
-                (demands, c.stretch)
+                let demands: Vec<String> = c.constraints.iter().map(|w| p.describe(*w)).collect();
+                (demands, c.least_capacity_per_mille)
             });
             write!(text, " none {conflict:?}").expect("writing to memory");
         }
-        Answer::Open { found, bound } => {
+        SolveOutcome::StepsExhausted { best: found, gain_upper_bound: bound } => {
             let found = found.as_ref().map(describe_worth);
             write!(text, " open {bound} {found:?}").expect("writing to memory");
         }
     }
     for stretch in [200, 1000, 3000] {
-        write!(text, " {:?}", feasible(&p, &|_| true, stretch, 200)).expect("writing to memory");
+        write!(text, " {:?}", is_feasible(&p, &|_| true, stretch, 200)).expect("writing to memory");
     }
     text
 }
@@ -158,22 +166,23 @@
     let most_reserved = 30 + random.below(40);
     let p = problem(random, volumes, nodes, most_reserved);
     let mut text = String::new();
-    for from_today in [false, true] {
-        let mut improve = Improve::new(&p, seed);
-        let complete = if from_today {
-            improve.from_today();
-            improve.mend()
+    for from_current in [false, true] {
+        let mut search = LocalSearch::new(&p, seed);
+        let complete = if from_current {
+            search.start_from_current();
+            search.place_missing()
         } else {
-            improve.first()
+            search.place_all()
         };
         write!(text, " complete {complete}").expect("writing to memory");
-        for moves in [50, 300] {
-            improve.improve(moves);
-            let worth = improve.worth();
-            write!(text, " {:?} {}", worth.as_ref().map(describe_worth), improve.sound()).expect("memory");
+        for attempts in [50, 300] {
+            search.improve(attempts);
+            let worth = search.objective();
+            write!(text, " {:?} {}", worth.as_ref().map(describe_worth), search.is_feasible())
+                .expect("memory");
         }
-        if let Some(worth) = improve.worth().filter(|_| volumes < 30) {
-            text += &describe_placement(&p, &worth.order.0, random);
+        if let Some(worth) = search.objective().filter(|_| volumes < 30) {
+            text += &describe_placement(&p, &worth.placement.0, random);
         }
     }
     text
@@ -192,7 +201,7 @@
         price: 1000,
         spread: 1,
         size,
-        today: [format!("n{v}")].into(),
+        current_nodes: [format!("n{v}")].into(),
         ..Volume::default()
     };
     let volumes = (0..4).map(|v| volume(v, 3 + random.below(7), random.below(100))).collect();
@@ -208,13 +217,13 @@
         1 => Some(u128::from(random.below(600)) * SCALE as u128),
         _ => Some(u128::from(p.volumes[0].size + p.volumes[1].size) * SCALE as u128),
     };
-    let moves = order(&p, &today(&p), &to, most);
+    let plan = plan_migration(&p, &current_placement(&p), &to, most);
     let mut text = String::new();
-    for step in &moves.steps {
+    for step in &plan.steps {
         write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
     }
-    let (ends, left, stuck) = (&moves.ends, &moves.left, &moves.stuck);
-    write!(text, " ends {ends:?} left {left:?} stuck {stuck:?}").expect("memory");
+    let (end, deferred, blocked) = (&plan.final_placement, &plan.deferred, &plan.blocked);
+    write!(text, " ends {end:?} left {deferred:?} stuck {blocked:?}").expect("memory");
     text
 }
 
@@ -239,20 +248,20 @@
         });
     }
     let p = Problem::new(nodes, volumes).expect("sound");
-    let mut improve = Improve::new(&p, seed);
-    let complete = improve.first();
-    improve.improve(20);
-    format!("{complete} {:?}", improve.worth().as_ref().map(describe_worth))
+    let mut search = LocalSearch::new(&p, seed);
+    let complete = search.place_all();
+    search.improve(20);
+    format!("{complete} {:?}", search.objective().as_ref().map(describe_worth))
 }
 
-fn dealt(seed: u64) -> String {
+fn split_limits(seed: u64) -> String {
     let random = &mut Random(seed);
     let mut text = String::new();
     for _ in 0..50 {
         let sent: Vec<u64> =
             (0..random.below(7)).map(|_| random.below(4) * random.below(1_000_000)).collect();
-        let (limit, floor) = (random.below(MOST), random.below(1_200));
-        write!(text, "{:?} ", parts(limit, &sent, floor)).expect("writing to memory");
+        let (limit, floor) = (random.below(MAX_NUMBER), random.below(1_200));
+        write!(text, "{:?} ", split_limit(limit, &sent, floor)).expect("writing to memory");
     }
     text
 }
@@ -310,7 +319,7 @@
 }
 
 #[test]
-fn exchanges_are_ordered_as_recorded() {
+fn exchanges_are_planned_as_recorded() {
     let digests: Vec<String> = (0..10)
         .map(|seed| digest(&(0..20).map(|n| exchange(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
         .collect();
@@ -354,8 +363,8 @@
 }
 
 #[test]
-fn limits_are_dealt_as_recorded() {
-    let digests: Vec<String> = (0..5).map(|seed| digest(&dealt(seed))).collect();
+fn limits_are_split_as_recorded() {
+    let digests: Vec<String> = (0..5).map(|seed| digest(&split_limits(seed))).collect();
     assert_eq!(
         digests,
         ["69098107eaa51e6a", "63445d223f22b005", "3e42016aacd52221", "d1056cf63894c585", "ffc60d86e8869e9e"]
@@ -364,22 +373,22 @@
 
 #[test]
 fn constants_are_the_recorded_ones() {
-    assert_eq!((MOST, SPREAD_MOST, SCALE, WEIGHT_MOST), (1_000_000_000_000, 8, 840, 1_000));
+    assert_eq!((MAX_NUMBER, MAX_SPREAD, SCALE, MAX_WEIGHT), (1_000_000_000_000, 8, 840, 1_000));
 }
 
 #[test]
 fn errors_of_a_problem_are_the_recorded_texts() {
     let node = |name: &str, capacity| Node { name: name.into(), zone: "z".into(), capacity, cost: 0 };
-    let nodes = vec![node("b", MOST + 1), node("a", 1), node("a", 2)];
+    let nodes = vec![node("b", MAX_NUMBER + 1), node("a", 1), node("a", 2)];
     let sound = Volume { name: "s".into(), spread: 1, ..Volume::default() };
     let volumes = vec![
-        Volume { name: "big".into(), size: MOST + 1, ..sound.clone() },
+        Volume { name: "big".into(), size: MAX_NUMBER + 1, ..sound.clone() },
         Volume { name: "none".into(), spread: 0, ..sound.clone() },
         Volume { name: "wide".into(), spread: 9, ..sound.clone() },
         Volume { name: "low".into(), reserve: 2, surge: 1, ..sound.clone() },
-        Volume { name: "alone".into(), survives_node: true, ..sound.clone() },
+        Volume { name: "alone".into(), survives_node_loss: true, ..sound.clone() },
         Volume { name: "far".into(), zone: Some("y".into()), ..sound.clone() },
-        Volume { name: "lost".into(), today: ["q".to_owned()].into(), ..sound.clone() },
+        Volume { name: "lost".into(), current_nodes: ["q".to_owned()].into(), ..sound.clone() },
         sound.clone(),
         sound,
     ];
