--- /dev/null
+++ b/crates/gateway/src/placement/solve.rs
@@ -0,0 +1,138 @@
+//! `shares work-out`: the best placement, exactly where the problem is small enough, else by local search.
+use super::{PlacementError, data_units, gain_per_second, problem_file};
+use mallowseam_placement::branch_and_bound::{self, SolveOutcome};
+use mallowseam_placement::infeasibility::explain;
+use mallowseam_placement::limit_split::split_limit;
+use mallowseam_placement::local_search::LocalSearch;
+use mallowseam_placement::objective::Objective;
+use mallowseam_placement::problem::Problem;
+use mallowseam_placement::tuning::tune;
+use mallowseam_placement::upper_bound::gain_upper_bound;
+use std::fmt::Write;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// Steps of the exact search before a large problem is left to the local search.
+const EXACT_STEPS: u64 = 300_000;
+/// Moves of the local search between two looks at the clock.
+const MOVES_PER_CHECK: u64 = 2_000;
+/// Thousandths of an even quota that no host's quota goes below: as much as hosts never lend.
+const MIN_QUOTA_THOUSANDTHS: u64 = 250;
+
+/// Solves the problem of a file within about `within`; the answer as lines that an answer file holds.
+pub(crate) fn solve(file: &Path, within: Duration, seed: u64) -> Result<String, PlacementError> {
+    let problem = problem_file::read(file)?;
+    let began = Instant::now();
+    let (found, proven) = match branch_and_bound::solve(&problem, EXACT_STEPS) {
+        SolveOutcome::Optimal(best) => (Some(best), true),
+        SolveOutcome::Infeasible => return Err(infeasible(&problem)),
+        SolveOutcome::StepsExhausted { best: found, .. } => {
+            let improved = search_locally(&problem, seed, || began.elapsed() < within);
+            (found.into_iter().chain(improved).max(), false)
+        }
+    };
+    let Some(best) = found else {
+        return Err(match infeasible(&problem) {
+            proof @ PlacementError::Infeasible(_) => proof,
+            _ => PlacementError::NotFoundInTime,
+        });
+    };
+    Ok(describe(&problem, &best, proven))
+}
+
+/// The best placement that local search finds while `goes_on` says so.
+fn search_locally(problem: &Problem, seed: u64, goes_on: impl Fn() -> bool) -> Option<Objective> {
+    let mut search = LocalSearch::new(problem, seed);
+    search.start_from_current();
+    let mut placed = search.place_missing();
+    if !placed {
+        search = LocalSearch::new(problem, seed);
+        placed = search.place_all();
+    }
+    while placed && goes_on() {
+        search.improve(MOVES_PER_CHECK);
+    }
+    search.objective().filter(|_| placed && search.is_feasible())
+}
+
+/// The demands that cannot be met together, and how much more capacity would do.
+fn infeasible(problem: &Problem) -> PlacementError {
+    let Some(infeasibility) = explain(problem, EXACT_STEPS) else {
+        return PlacementError::ContradictionTooLarge;
+    };
+    let mut text =
+        String::from("nothing fits; these contradict, and without any one of them the rest would do:");
+    for constraint in &infeasibility.constraints {
+        text += &format!("\n  {}", problem.describe(*constraint));
+    }
+    text += &match infeasibility.least_capacity_per_mille {
+        Some(thousandths) => format!(
+            "\nleast relaxation: all capacities times {}.{:03}",
+            thousandths / 1000,
+            thousandths % 1000
+        ),
+        None => "\nno capacity would do".to_owned(),
+    };
+    PlacementError::Infeasible(text)
+}
+
+fn describe(problem: &Problem, best: &Objective, proven: bool) -> String {
+    let placement = &best.placement.0;
+    let mut out = String::new();
+    for (volume, nodes) in problem.volumes.iter().zip(placement) {
+        let names: Vec<&str> = nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect();
+        writeln!(out, "place {} {}", volume.name, names.join(" ")).expect("writing to memory");
+    }
+    let tuning = tune(problem, placement);
+    for (volume, (reserve, weight)) in problem.volumes.iter().zip(tuning.reserves.iter().zip(&tuning.weights))
+    {
+        writeln!(out, "share {} reserve {} weight {weight}", volume.name, rate(*reserve))
+            .expect("writing to memory");
+    }
+    describe_quotas(problem, &mut out);
+    if tuning.gain > tuning.gain_before {
+        writeln!(
+            out,
+            "# with these shares {:.3} a second, with those given {:.3}",
+            gain_per_second(tuning.gain),
+            gain_per_second(tuning.gain_before)
+        )
+        .expect("writing to memory");
+    }
+    describe_quality(problem, best, proven, &mut out);
+    out
+}
+
+/// Each host's quota of the limits, by what it sends.
+fn describe_quotas(problem: &Problem, out: &mut String) {
+    if problem.hosts.is_empty() {
+        return;
+    }
+    for volume in problem.volumes.iter().filter(|volume| volume.limit > 0) {
+        let sent: Vec<u64> =
+            problem.hosts.iter().map(|host| host.sends.get(&volume.name).copied().unwrap_or(0)).collect();
+        let quotas = split_limit(volume.limit, &sent, MIN_QUOTA_THOUSANDTHS);
+        for (host, quota) in problem.hosts.iter().zip(quotas) {
+            writeln!(out, "part {} {} {}", volume.name, host.name, rate(quota)).expect("writing to memory");
+        }
+    }
+}
+
+fn describe_quality(problem: &Problem, best: &Objective, proven: bool, out: &mut String) {
+    let bound = gain_upper_bound(problem);
+    let gap = if bound > 0 { 100.0 * (bound - best.gain) as f64 / bound as f64 } else { 0.0 };
+    write!(
+        out,
+        "# gain {:.3} a second in a surge of all, bound {:.3}, gap {gap:.2} %{}; cost {}; data moved {}",
+        gain_per_second(best.gain),
+        gain_per_second(bound),
+        if proven { ", proven best" } else { "" },
+        best.cost.0,
+        data_units(best.moved_data.0)
+    )
+    .expect("writing to memory");
+}
+
+fn rate(thousandths: u64) -> String {
+    format!("{}.{:03}/s", thousandths / 1000, thousandths % 1000)
+}
--- /dev/null
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -0,0 +1,333 @@
+//! The snapshot catalog service: keeps the tree of layers, tells hosts of its changes, and has nodes close layers
+//! and unmap reclaimed extents.
+//!
+//! - `hosts`: messages of hosts, and what a host that connects is sent.
+//! - `operator`: requests on the control socket, and operations whose end an operator waits for.
+//! - `node_commands`: commands at nodes, which close layers to writes and unmap reclaimed extents.
+//! - `listing`: the tree as text.
+mod hosts;
+mod listing;
+mod node_commands;
+mod operator;
+
+use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
+use crate::control_socket::{self, ConnectionId, ControlSocket};
+use crate::error::Error;
+use crate::json_lines::{Limits, PeerId, Peers};
+use crate::node_connections::Nodes;
+use crate::startup;
+use hosts::Hello;
+use mallowseam_cow::leases::HostLeases;
+use mallowseam_cow::messages::ToHost;
+use mallowseam_cow::reclaim::Reclaimer;
+use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
+use mallowseam_iscsi::params::Wishes;
+use mallowseam_scheduler::host::Tick;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::{self, Volume};
+use mallowseam_snapshot_catalog::Catalog;
+use mio::net::UnixStream;
+use mio::{Events, Poll, Token};
+use node_commands::NodeCommand;
+use operator::PendingOperation;
+use std::collections::BTreeMap;
+use std::io::{ErrorKind, Read};
+
+const LISTENER: Token = Token(0);
+const CONTROL: Token = Token(1);
+const SIGNALS: Token = Token(2);
+/// First token of connections to the control socket.
+const FIRST_CALLER: usize = 3;
+/// First token of connections to nodes; those of hosts follow.
+const FIRST_NODE: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+const READ_BUFFER: usize = 64 * 1024;
+const MAX_EVENTS: usize = 256;
+const LIMITS: Limits = Limits { max_line: 64 * 1024, max_unsent: 128 << 20 };
+/// Ticks between two periodic checks of leases, connections and layers.
+const CHECK_PERIOD: Tick = 100;
+/// Ticks after which hosts that have not quiesced a layer are asked again.
+const QUIESCE_PERIOD: Tick = 2_000;
+
+/// Whether a host has said hello and is sent every change from then on.
+type Subscribed = bool;
+
+/// The location of an extent that hosts were told of. It becomes writable once no host acts on an older version.
+struct PendingLocation {
+    version: u64,
+    layer: LayerId,
+    extent: u32,
+}
+
+/// What is sent once the changes of this iteration are on disk.
+enum Reply {
+    Operator(ConnectionId, String),
+    Host(PeerId, ToHost),
+}
+
+struct CatalogService {
+    site: GatewayConfig,
+    clock: Clock,
+    now: Tick,
+    catalog: Catalog,
+    leases: HostLeases,
+    /// Extents and layers to be reclaimed.
+    reclaimer: Reclaimer,
+    hosts: Peers<Subscribed>,
+    first_host_token: usize,
+    nodes: Nodes,
+    control: Option<ControlSocket>,
+    signals: UnixStream,
+    /// Commands in flight at nodes, by tag.
+    commands: BTreeMap<u32, NodeCommand>,
+    last_tag: u32,
+    pending_locations: Vec<PendingLocation>,
+    pending_operations: Vec<PendingOperation>,
+    replies: Vec<Reply>,
+    /// Hosts that have said hello in this iteration.
+    hellos: Vec<Hello>,
+    stopping: bool,
+    /// This iteration has put a batch on disk.
+    stored: bool,
+    /// Crash points passed so far, and the one at which the process aborts.
+    crash_points: u64,
+    crash_at: Option<u64>,
+    last_check: Tick,
+    last_quiesce: Tick,
+    read_buffer: Vec<u8>,
+}
+
+/// Runs the snapshot catalog of a site until it is told to stop.
+///
+/// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after hosts
+/// and operators have been told, and after a node has carried a command out.
+///
+/// # Errors
+/// An address, path or store of the configuration cannot be had, or the store fails later.
+pub(crate) fn run(site: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
+    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut service = CatalogService::open(site, &poll)?;
+    service.crash_at = crash_at;
+    let mut events = Events::with_capacity(MAX_EVENTS);
+    while !service.stopping {
+        let timeout = ticks_to_duration((service.last_check + CHECK_PERIOD - service.clock.now()).max(0));
+        if let Err(e) = poll.poll(&mut events, Some(timeout))
+            && e.kind() != ErrorKind::Interrupted
+        {
+            return Err(Error::Poll(e));
+        }
+        service.now = service.clock.now();
+        for event in events.iter() {
+            let readable = event.is_readable() || event.is_error() || event.is_read_closed();
+            service.on_event(event.token(), readable);
+        }
+        service.after_events()?;
+    }
+    tracing::info!("snapshot catalog stopped");
+    Ok(())
+}
+
+impl CatalogService {
+    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let settings = site.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
+        let address = settings.listen.expect("a checked configuration names it");
+        let first_host_token = FIRST_NODE + site.nodes.len();
+        let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
+        let control =
+            startup::control_socket(settings.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let catalog = Catalog::open(&settings.store_path)
+            .map_err(|source| Error::OpenCatalogStore { path: settings.store_path.clone(), source })?;
+        let initiator = format!("{}:catalog", site.host.target);
+        let registry = startup::registry(poll)?;
+        let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry, FIRST_NODE);
+        let clock = Clock::from_zero();
+        let now = clock.now();
+        let fresh = catalog.tree().version == 0;
+        tracing::info!(listen = %address, version = catalog.tree().version, "snapshot catalog started");
+        let mut service = CatalogService {
+            site,
+            clock,
+            now,
+            reclaimer: Reclaimer::from_tree(catalog.tree()),
+            catalog,
+            leases: HostLeases::new(ticks_to_millis(now), fresh),
+            hosts,
+            first_host_token,
+            nodes,
+            control,
+            signals: startup::signals(poll, SIGNALS)?,
+            commands: BTreeMap::new(),
+            last_tag: 0,
+            pending_locations: Vec::new(),
+            pending_operations: Vec::new(),
+            replies: Vec::new(),
+            hellos: Vec::new(),
+            stopping: false,
+            stored: false,
+            crash_points: 0,
+            crash_at: None,
+            last_check: now,
+            last_quiesce: now,
+            read_buffer: vec![0; READ_BUFFER],
+        };
+        service.resume_pending_locations();
+        service.create_configured_branches(&settings)?;
+        Ok(service)
+    }
+
+    /// Locations that hosts were told of, and that were not writable at the last stop, become so in this run.
+    fn resume_pending_locations(&mut self) {
+        let tree = self.catalog.tree();
+        for (id, layer) in &tree.layers {
+            for extent in layer.locations.keys().filter(|extent| !layer.writable.contains(extent)) {
+                let (version, layer, extent) = (tree.version, *id, *extent);
+                self.pending_locations.push(PendingLocation { version, layer, extent });
+            }
+        }
+    }
+
+    /// Creates a branch for each mapped volume that has none yet.
+    fn create_configured_branches(&mut self, settings: &config::Catalog) -> Result<(), Error> {
+        let mapped: Vec<Volume> = self.site.volumes.iter().filter(|v| v.mapped).cloned().collect();
+        for volume in mapped {
+            if !self.tree().branches.contains_key(&volume.name) {
+                let extent_count = (volume.block_count / settings.extent_blocks) as u32;
+                let created = Change::BranchCreated { branch: volume.name, extent_count };
+                self.propose(created).map_err(Error::ConfiguredVolume)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Makes a change, which counts once the batch is on disk. Its version.
+    fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
+        let effects = self.catalog.stage(change)?;
+        self.reclaimer.record_change(self.catalog.tree(), &effects);
+        Ok(self.catalog.tree().version)
+    }
+
+    /// The tree, with the changes that are not on disk yet.
+    fn tree(&self) -> &Tree {
+        self.catalog.tree()
+    }
+
+    /// Blocks of an extent.
+    fn extent_blocks(&self) -> u64 {
+        self.site.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks)
+    }
+
+    fn on_event(&mut self, token: Token, readable: bool) {
+        match token {
+            LISTENER => self.hosts.accept(),
+            CONTROL => {
+                if let Some(control) = &mut self.control {
+                    control.accept();
+                }
+            }
+            SIGNALS => {
+                let mut bytes = [0; 16];
+                self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
+            }
+            Token(token) if token < FIRST_NODE => {
+                let caller = (token - FIRST_CALLER) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
+                    self.on_request(caller, &line);
+                }
+            }
+            Token(token) if token < self.first_host_token => {
+                let node = token - FIRST_NODE;
+                let mut more = self.nodes.on_ready(node, readable, &mut self.read_buffer, self.now);
+                while more {
+                    more = self.nodes.read(node, &mut self.read_buffer, self.now);
+                }
+            }
+            Token(token) => self.read_host((token - self.first_host_token) as PeerId),
+        }
+    }
+
+    /// What is due after the events of one poll.
+    fn after_events(&mut self) -> Result<(), Error> {
+        let now = ticks_to_millis(self.now);
+        self.on_completed_commands();
+        self.make_locations_writable(now);
+        if self.now >= self.last_check + CHECK_PERIOD {
+            self.last_check = self.now;
+            self.on_timer(now);
+        }
+        self.tend_operations(now);
+        self.store_changes()?;
+        self.nodes.flush();
+        self.send_replies();
+        Ok(())
+    }
+
+    /// Periodic checks.
+    fn on_timer(&mut self, now: u64) {
+        self.leases.remove_expired(now);
+        if self.last_quiesce + QUIESCE_PERIOD <= self.now {
+            self.last_quiesce = self.now;
+            self.quiesce_hosts(now);
+        }
+        self.nodes.on_timer(self.now);
+        self.close_layers();
+        self.reclaim_extents(now);
+    }
+
+    /// Makes locations writable once no host acts on a tree without them.
+    fn make_locations_writable(&mut self, now: u64) {
+        for pending in std::mem::take(&mut self.pending_locations) {
+            if self.leases.is_effective(pending.version, now) {
+                let _ = self.propose(Change::ExtentWritable { layer: pending.layer, extent: pending.extent });
+            } else {
+                self.pending_locations.push(pending);
+            }
+        }
+    }
+
+    /// A point at which tests have the process crash.
+    fn crash_point(&mut self) {
+        self.crash_points += 1;
+        if self.crash_at == Some(self.crash_points) {
+            std::process::abort();
+        }
+    }
+
+    /// Puts the changes of this iteration on disk, then queues them for the hosts.
+    fn store_changes(&mut self) -> Result<(), Error> {
+        self.stored = self.catalog.committed_version() < self.tree().version;
+        if self.stored {
+            self.crash_point();
+        }
+        // A store that fails is no store: hosts go on by their leases, and a new process reads what is there.
+        let batch = self.catalog.commit().map_err(Error::CatalogStore)?;
+        if self.stored {
+            self.crash_point();
+        }
+        for (version, change) in (batch.first_version..).zip(batch.changes) {
+            self.hosts.broadcast(&ToHost::TreeChanged { version, change }, |host| host.state);
+        }
+        self.welcome_hosts();
+        Ok(())
+    }
+
+    /// Sends what waited for the changes to be on disk.
+    fn send_replies(&mut self) {
+        for reply in std::mem::take(&mut self.replies) {
+            match reply {
+                Reply::Host(id, message) => {
+                    if let Some(host) = self.hosts.get_mut(id) {
+                        host.connection.send(&message);
+                    }
+                }
+                Reply::Operator(caller, text) => {
+                    if let Some(control) = &mut self.control {
+                        control.answer(caller, &text);
+                    }
+                }
+            }
+        }
+        self.hosts.flush();
+        if std::mem::take(&mut self.stored) {
+            self.crash_point();
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/socket_io.rs
@@ -0,0 +1,23 @@
+//! Reads and writes of connections, without blocking.
+use mallowseam_iscsi::frame::Outgoing;
+pub use mallowseam_sockets::nonblocking::{ConnectionError, ReadOutcome, read, write_buffer};
+use std::io::Write;
+
+/// Writes what waits for an iSCSI connection, as far as its socket takes it; how many bytes were written.
+///
+/// # Errors
+/// The connection is of no further use.
+pub fn write(socket: &mut impl Write, out: &mut Outgoing) -> Result<usize, ConnectionError> {
+    let mut total = 0;
+    while !out.waiting().is_empty() {
+        let wanted = out.waiting().len();
+        let written =
+            mallowseam_sockets::nonblocking::write(socket, out.waiting()).map_err(|error| error.source)?;
+        out.wrote(written);
+        total += written;
+        if written < wanted {
+            break;
+        }
+    }
+    Ok(total)
+}
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -1,7 +1,7 @@
 //! Plays a script: real hosts as processes, stand-ins round them, trouble as written, then the audit.
 use crate::audit::{self, InForce, Places, Verdict};
 use crate::block;
-use crate::counter::Counter;
+use crate::blocking_client::BlockingClient;
 use crate::listd::{self, Listd, Word as ListWord};
 use crate::load::{self, Load, Word as LoadWord};
 use crate::node::{Fault, Node};
@@ -9,13 +9,13 @@
 use crate::trace::{Micros, Seen, Trace, What};
 use mallowseam_cow::tree::Tree;
 use mallowseam_endpoint_list::EndpointState;
-use mallowseam_gateway::Asked as Ask;
+use mallowseam_gateway::PlanRequest as Ask;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
-use mallowseam_settings::Site;
-use mallowseam_settings::site::Direction;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::Direction;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use rand::seq::SliceRandom;
@@ -38,7 +38,7 @@
 pub struct Outcome {
     pub verdict: Verdict,
     pub seen: Vec<Seen>,
-    pub site: Site,
+    pub site: GatewayConfig,
     /// Processes that did not end as they should.
     pub unclean: Vec<String>,
     pub clones: Clones,
@@ -71,16 +71,20 @@
 }
 
 /// Figures of a plan with its limit and burst times so many.
-fn figures(plan: mallowseam_settings::site::Plan, times: f64) -> Plan {
-    let (limit, limit_burst) = ((plan.limit * times).max(plan.reserve), plan.limit_burst * times);
-    mallowseam_gateway::to_figures(&mallowseam_settings::site::Plan { limit, limit_burst, ..plan })
+fn figures(plan: mallowseam_settings::config::Plan, times: f64) -> Plan {
+    let (limit, limit_burst) = ((plan.rate_limit * times).max(plan.reserved_rate), plan.burst_units * times);
+    mallowseam_gateway::replicated_plan(&mallowseam_settings::config::Plan {
+        rate_limit: limit,
+        burst_units: limit_burst,
+        ..plan
+    })
 }
 
 /// Changes of limits over a day, as the seed draws them.
-fn tariffs(scene: &Scene, site: &Site, seed: u64) -> Vec<Event> {
+fn tariffs(scene: &Scene, site: &GatewayConfig, seed: u64) -> Vec<Event> {
     let Some(every) = scene.tariffs else { return Vec::new() };
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7a71);
-    let limited: Vec<usize> = (0..site.plans.len()).filter(|p| site.plans[*p].limit > 0.0).collect();
+    let limited: Vec<usize> = (0..site.plans.len()).filter(|p| site.plans[*p].rate_limit > 0.0).collect();
     let times = (1..).map(|n| n * every).take_while(|at| at + 2_000_000 < scene.length);
     times
         .filter(|_| !limited.is_empty())
@@ -189,9 +193,9 @@
 }
 
 /// The configuration that a scene's hosts share.
-pub(crate) fn site_of(scene: &Scene) -> Result<Site, String> {
+pub(crate) fn site_of(scene: &Scene) -> Result<GatewayConfig, String> {
     let text = site_text(scene, &Addresses::new(), Path::new("."), 0, 0);
-    mallowseam_settings::read(&scene.name, &text).map_err(|p| p.to_string())
+    mallowseam_settings::parse(&scene.name, &text).map_err(|p| p.to_string())
 }
 
 struct HostProcess {
@@ -218,7 +222,7 @@
     dir: PathBuf,
     order: [Vec<u32>; 3],
     unclean: Vec<String>,
-    site: Site,
+    site: GatewayConfig,
 }
 
 /// Plays a scene. `tell` gets a line for each trouble as it happens.
@@ -259,7 +263,7 @@
         let mut order = [scene.nodes, scene.hosts, scene.clients].map(|n| (0..n).collect::<Vec<u32>>());
         order.iter_mut().for_each(|o| o.shuffle(&mut rng));
         let text = site_text(scene, &addresses, dir, 0, 0);
-        let site = mallowseam_settings::read(&scene.name, &text).map_err(|p| p.to_string())?;
+        let site = mallowseam_settings::parse(&scene.name, &text).map_err(|p| p.to_string())?;
         let trace = Trace::default();
         let failed = |what: &str| {
             let what = what.to_owned();
@@ -284,13 +288,13 @@
             let control = dir.join(format!("gw{host}.sock"));
             hosts.push(HostProcess { child: None, file, control });
         }
-        let limit = |v: &mallowseam_settings::site::Volume, direction| {
+        let limit = |v: &mallowseam_settings::config::Volume, direction| {
             let rule = v.rules.iter().find(|r| r.direction == direction || r.direction == Direction::Any);
-            site.groups[rule.expect("checked").group].hard_limit
+            site.io_classes[rule.expect("checked").io_class].deadline
         };
-        let volume = |v: &mallowseam_settings::site::Volume| load::Volume {
+        let volume = |v: &mallowseam_settings::config::Volume| load::Volume {
             lun: v.lun.into(),
-            blocks: v.blocks,
+            blocks: v.block_count,
             plan: site.plans[v.plan].name.clone(),
             read_limit: limit(v, Direction::Read),
             write_limit: limit(v, Direction::Write),
@@ -359,8 +363,14 @@
         self.askers.push(std::thread::spawn(move || {
             let change = Change::SetPlan { name: plan.name.clone(), plan: figures(plan, times) };
             let (author, reason) = ("rehearsal".into(), format!("change {number}"));
-            let asked =
-                Ask::Set { change, expected: None, author, reason: reason.clone(), dry: false, wait: true };
+            let asked = Ask::Set {
+                change,
+                expected: None,
+                author,
+                reason: reason.clone(),
+                dry_run: false,
+                wait: true,
+            };
             let at = trace.now();
             let line = serde_json::to_string(&asked).expect("plain");
             let done = mallowseam_gateway::ask(&sock, &line).is_ok();
@@ -379,7 +389,7 @@
             let line = serde_json::to_string(what).expect("plain");
             mallowseam_gateway::ask(&sock, &line).map_err(|e| e.to_string())
         };
-        let history = match ask(&Ask::History { from: 1, most: 10_000 }) {
+        let history = match ask(&Ask::History { from: 1, limit: 10_000 }) {
             Ok(text) => text,
             Err(e) => {
                 self.unclean.push(format!("the trail: {e}"));
@@ -607,7 +617,7 @@
         let tree = mallowseam_gateway::ask(&sock, "tree").map_err(|e| e.to_string());
         let tree: Result<Tree, String> =
             tree.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()));
-        let mut client = match Counter::open(self.host_addresses[0], Some(TARGET), 900) {
+        let mut client = match BlockingClient::open(self.host_addresses[0], Some(TARGET), 900) {
             Ok(client) => client,
             Err(e) => {
                 self.unclean.push(format!("reading back: {e}"));
@@ -621,9 +631,9 @@
                     let heads = tree.branches.get(&v.name).map(|b| b.head);
                     let cuts = tree.snapshots.values().filter(|s| s.branch == v.name).map(|s| s.layer);
                     for root in heads.into_iter().chain(cuts) {
-                        for (layer, l) in tree.chain(root) {
-                            for (extent, p) in &l.places {
-                                let at = (layer, p.node, u64::from(p.number));
+                        for (layer, l) in tree.ancestors(root) {
+                            for (extent, p) in &l.locations {
+                                let at = (layer, p.node, u64::from(p.slot));
                                 places.found.insert(at, (volume, u64::from(*extent)));
                             }
                         }
@@ -633,7 +643,7 @@
             Err(e) => self.unclean.push(format!("the catalog's tree: {e}")),
         }
         let asked = std::mem::take(&mut *self.asked.lock().expect("no panic"));
-        let size = |v: &str| self.site.volumes.iter().find(|x| x.name == v).map_or(0, |x| x.blocks);
+        let size = |v: &str| self.site.volumes.iter().find(|x| x.name == v).map_or(0, |x| x.block_count);
         let mut shown: BTreeMap<String, Vec<Option<u64>>> = BTreeMap::new();
         let mut kept = Vec::new();
         let mut pairs = Vec::new();
@@ -671,7 +681,10 @@
                 let cdb = mallowseam_iscsi::scsi::rw16(true, lba, 8, audit::COPY_MARK);
                 let mut answer = Err(String::new());
                 for _ in 0..20 {
-                    answer = client.ask(*unit, &cdb, 0, block::write(id, lba, 8)).map(|a| a.status);
+                    answer = client
+                        .execute(*unit, &cdb, 0, block::write(id, lba, 8))
+                        .map(|a| a.status)
+                        .map_err(|e| e.to_string());
                     if answer == Ok(0) {
                         wanted[lba as usize..lba as usize + 8].fill(Some(id));
                         break;
@@ -737,7 +750,7 @@
     /// Lets what is in hand end, ends the hosts, and judges.
     fn close(mut self) -> Outcome {
         self.load.say(LoadWord::Quiet);
-        let longest = self.site.groups.iter().map(|g| g.hard_limit).max().unwrap_or(0);
+        let longest = self.site.io_classes.iter().map(|g| g.deadline).max().unwrap_or(0);
         std::thread::sleep(Duration::from_micros(longest + 2 * load::WAY));
         let (mut places, clones) =
             if self.scene.catalog.is_some() { self.read_back() } else { Default::default() };
@@ -794,7 +807,7 @@
 const CLONE_IDS: u64 = 1 << 48;
 
 /// Which write each block of a unit shows. Turned away, it tries again for a while.
-fn read_unit(client: &mut Counter, unit: u32, blocks: u64) -> Result<Vec<Option<u64>>, String> {
+fn read_unit(client: &mut BlockingClient, unit: u32, blocks: u64) -> Result<Vec<Option<u64>>, String> {
     let mut out = Vec::new();
     let mut lba = 0;
     while lba < blocks {
@@ -803,7 +816,9 @@
         let mut last = String::new();
         let mut found = None;
         for _ in 0..50 {
-            let answer = client.ask(unit, &cdb, count as usize * block::SIZE, Vec::new())?;
+            let answer = client
+                .execute(unit, &cdb, count as usize * block::SIZE, Vec::new())
+                .map_err(|e| e.to_string())?;
             if answer.status == 0 {
                 found = Some(answer.data);
                 break;
--- a/crates/lab/src/snapbench.rs
+++ b/crates/lab/src/snapbench.rs
@@ -2,17 +2,17 @@
 //! the catalog at sizes that need no sockets.
 use crate::bench::{Running, median};
 use crate::block;
-use crate::counter::Counter;
+use crate::blocking_client::BlockingClient;
 use crate::node::{Model, Node};
 use crate::rehearse::Program;
 use crate::trace::Trace;
 use hdrhistogram::Histogram;
-use mallowseam_catalog::Catalog;
-use mallowseam_cow::cache::Cache;
-use mallowseam_cow::tree::{Change, Place};
-use mallowseam_cow::words::{ToHost, whole};
+use mallowseam_cow::messages::{ToHost, full_tree_messages};
+use mallowseam_cow::tree::{Change, Location};
+use mallowseam_cow::tree_replica::TreeReplica;
 use mallowseam_iscsi::initiator::Came;
 use mallowseam_iscsi::scsi::{self, status};
+use mallowseam_snapshot_catalog::Catalog;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -137,7 +137,7 @@
 fn sockets(options: &Options, program: &Program, out: &mut String) -> Result<(), String> {
     let rig = Rig::start(options, program)?;
     let control = rig.control();
-    let mut counter = Counter::open(rig.host_at, Some(TARGET), 1)?;
+    let mut client = BlockingClient::open(rig.host_at, Some(TARGET), 1).map_err(|e| e.to_string())?;
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
     writeln!(
         out,
@@ -152,20 +152,20 @@
     for wanted in &options.snapshots {
         // Every extent has its place, and between two snapshots one of them is written.
         for extent in 0..EXTENTS {
-            one(&mut counter, extent * EXTENT)?;
+            one(&mut client, extent * EXTENT)?;
         }
         while taken < *wanted {
             snapshot(&control, taken)?;
             taken += 1;
-            one(&mut counter, rng.random_range(0..EXTENTS) * EXTENT)?;
+            one(&mut client, rng.random_range(0..EXTENTS) * EXTENT)?;
         }
         for extent in 0..EXTENTS {
-            one(&mut counter, extent * EXTENT)?;
+            one(&mut client, extent * EXTENT)?;
         }
         let stop = AtomicBool::new(true);
         let cuts = Mutex::new(Vec::new());
-        let still = drive(&mut counter, options, true, &mut rng, &Instant::now())?;
-        let reads = drive(&mut counter, options, false, &mut rng, &Instant::now())?;
+        let still = drive(&mut client, options, true, &mut rng, &Instant::now())?;
+        let reads = drive(&mut client, options, false, &mut rng, &Instant::now())?;
         stop.store(false, Ordering::Relaxed);
         let began = Instant::now();
         let cut = std::thread::scope(|scope| -> Result<Vec<Gone>, String> {
@@ -180,7 +180,7 @@
                 }
                 Ok(())
             });
-            let gone = drive(&mut counter, options, true, &mut rng, &began);
+            let gone = drive(&mut client, options, true, &mut rng, &began);
             stop.store(true, Ordering::Relaxed);
             cutter.join().map_err(|_| "the cutter failed")??;
             gone
@@ -221,14 +221,16 @@
     Ok(())
 }
 
-fn one(counter: &mut Counter, lba: u64) -> Result<(), String> {
-    let answer = counter.ask(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))?;
+fn one(client: &mut BlockingClient, lba: u64) -> Result<(), String> {
+    let answer = client
+        .execute(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))
+        .map_err(|e| e.to_string())?;
     if answer.status == status::GOOD { Ok(()) } else { Err(format!("a write came back {:?}", answer.sense)) }
 }
 
 /// Keeps so many writes, or reads, under way for the seconds of a phase.
 fn drive(
-    counter: &mut Counter,
+    client: &mut BlockingClient,
     options: &Options,
     write: bool,
     rng: &mut Pcg64Mcg,
@@ -239,22 +241,22 @@
     loop {
         let over = began.elapsed() >= Duration::from_secs(options.seconds);
         for (tag, place) in out.iter_mut().enumerate() {
-            if place.is_none() && !over && counter.conn.may_send() {
+            if place.is_none() && !over && client.conn.may_send() {
                 let lba = rng.random_range(0..EXTENT * EXTENTS / u64::from(BLOCKS)) * u64::from(BLOCKS);
                 let (data, room) = if write {
                     (block::write(2, lba, BLOCKS), 0)
                 } else {
                     (Vec::new(), BLOCKS as usize * block::SIZE)
                 };
-                counter.conn.command(tag as u32, 0, &scsi::rw16(write, lba, BLOCKS, 0), room, data.into());
+                client.conn.command(tag as u32, 0, &scsi::rw16(write, lba, BLOCKS, 0), room, data.into());
                 *place = Some((began.elapsed(), lba / EXTENT));
             }
         }
         if over && out.iter().all(Option::is_none) {
             return Ok(gone);
         }
-        counter.exchange()?;
-        while let Some(came) = counter.conn.came() {
+        client.exchange().map_err(|e| e.to_string())?;
+        while let Some(came) = client.conn.came() {
             let Came::Answer { tag, status: code, .. } = came else { continue };
             if code != status::GOOD {
                 return Err("a command was turned away".into());
@@ -271,36 +273,36 @@
 }
 
 fn make(catalog: &mut Catalog, change: Change) -> Result<(), String> {
-    catalog.propose(change).map(drop).map_err(|r| r.to_string())
+    catalog.stage(change).map(drop).map_err(|r| r.to_string())
 }
 
 fn place(catalog: &mut Catalog, extent: u32) -> Result<(), String> {
     let layer = catalog.tree().branches["a"].head;
-    let number = catalog.tree().layers[&layer].next_number;
-    make(catalog, Change::Numbers { layer, first: number, count: 1 })?;
-    let place = Place { node: extent % 6, number };
-    make(catalog, Change::Placed { layer, extent, place })?;
-    make(catalog, Change::Opened { layer, extent })
+    let slot = catalog.tree().layers[&layer].next_slot;
+    make(catalog, Change::SlotsAllocated { layer, first: slot, count: 1 })?;
+    let location = Location { node: extent % 6, slot };
+    make(catalog, Change::ExtentPlaced { layer, extent, location })?;
+    make(catalog, Change::ExtentWritable { layer, extent })
 }
 
 fn cut(catalog: &mut Catalog, name: u32) -> Result<(), String> {
     let layer = catalog.tree().branches["a"].head;
-    make(catalog, Change::Cut { branch: "a".into() })?;
-    for (layer, node) in catalog.tree().to_close().collect::<Vec<_>>() {
-        make(catalog, Change::Closed { layer, node })?;
+    make(catalog, Change::HeadFrozen { branch: "a".into() })?;
+    for (layer, node) in catalog.tree().pending_closes().collect::<Vec<_>>() {
+        make(catalog, Change::LayerClosed { layer, node })?;
     }
-    make(catalog, Change::Named { branch: "a".into(), name: format!("s{name}"), layer })
+    make(catalog, Change::SnapshotCreated { branch: "a".into(), name: format!("s{name}"), layer })
 }
 
 fn keep(catalog: &mut Catalog) -> Result<(), String> {
-    catalog.keep().map(drop).map_err(|e| e.to_string())
+    catalog.commit().map(drop).map_err(|e| e.to_string())
 }
 
 /// A volume of 1 TiB of which a thousand extents are written, and a hundred again after each snapshot.
 fn sparse(snapshots: u32, out: &mut String) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let mut catalog = store(dir.path())?;
-    make(&mut catalog, Change::Made { branch: "a".into(), extents: TERA })?;
+    make(&mut catalog, Change::BranchCreated { branch: "a".into(), extent_count: TERA })?;
     (0..1_000).try_for_each(|e| place(&mut catalog, e * 1_000))?;
     for s in 0..snapshots {
         cut(&mut catalog, s)?;
@@ -318,7 +320,7 @@
         keep(&mut catalog)?;
         firsts.push(began.elapsed().as_secs_f64() * 1e3);
     }
-    let held: usize = catalog.tree().layers.values().map(|l| l.places.len()).sum();
+    let held: usize = catalog.tree().layers.values().map(|l| l.locations.len()).sum();
     let bytes = std::fs::metadata(dir.path().join("store")).map_err(|e| e.to_string())?.len();
     drop(catalog);
     let began = Instant::now();
@@ -341,7 +343,7 @@
 fn million(out: &mut String) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let mut catalog = store(dir.path())?;
-    make(&mut catalog, Change::Made { branch: "a".into(), extents: TERA })?;
+    make(&mut catalog, Change::BranchCreated { branch: "a".into(), extent_count: TERA })?;
     for e in 0..TERA {
         place(&mut catalog, e)?;
         if e % 65_536 == 65_535 {
@@ -359,15 +361,16 @@
     cut(&mut catalog, 0)?;
     keep(&mut catalog)?;
     let cut_in = span(began);
-    let lines: Vec<String> =
-        whole(1, catalog.tree()).map(|w| serde_json::to_string(&w).expect("words are plain")).collect();
-    let (mut cache, began, mut longest) = (Cache::default(), Instant::now(), 0.0f64);
+    let lines: Vec<String> = full_tree_messages(1, catalog.tree())
+        .map(|w| serde_json::to_string(&w).expect("words are plain"))
+        .collect();
+    let (mut cache, began, mut longest) = (TreeReplica::default(), Instant::now(), 0.0f64);
     for line in &lines {
         let at = Instant::now();
         match serde_json::from_str(line).map_err(|e| e.to_string())? {
-            ToHost::Whole { catalog, tree } => cache.coming(catalog, *tree),
-            ToHost::Part { layer, lies } => drop(cache.part(layer, &lies)),
-            _ => drop(cache.filled()),
+            ToHost::FullTree { catalog_id, tree } => cache.begin_full_tree(catalog_id, *tree),
+            ToHost::Locations { layer, locations } => drop(cache.add_locations(layer, &locations)),
+            _ => drop(cache.finish_full_tree()),
         }
         longest = longest.max(span(at));
     }
