--- a/crates/change-log/tests/crash_recovery.rs
+++ b/crates/change-log/tests/crash_recovery.rs
@@ -9,7 +9,7 @@
 const SECTOR: usize = 512;
 
 fn change(n: u64) -> Change {
-    let plan = Plan { limit: 1_000 + n, burst: 1, ..Plan::default() };
+    let plan = Plan { rate_limit: 1_000 + n, burst_units: 1, ..Plan::default() };
     Change::SetPlan { name: format!("p{}", n % 3), plan }
 }
 
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -131,7 +131,7 @@
         serde_json::from_str(&answer).map_err(|source| CommandError::Answer { from: "service", source })?;
     let mut changed = state.plans.get(&plan).cloned().unwrap_or(Plan {
         weight: DEFAULT_FACTOR,
-        price: DEFAULT_FACTOR,
+        priority_factor: DEFAULT_FACTOR,
         ..Plan::default()
     });
     let problems: Vec<FigureError> =
@@ -160,12 +160,12 @@
         return Err(FigureError::OutOfRange(text.to_owned()));
     }
     let figure = match name {
-        "usual" => &mut plan.usual,
-        "reserve" => &mut plan.reserve,
-        "limit" => &mut plan.limit,
-        "burst" => &mut plan.burst,
+        "usual" => &mut plan.usual_rate,
+        "reserve" => &mut plan.reserved_rate,
+        "limit" => &mut plan.rate_limit,
+        "burst" => &mut plan.burst_units,
         "weight" => &mut plan.weight,
-        "price" => &mut plan.price,
+        "price" => &mut plan.priority_factor,
         _ => return Err(malformed()),
     };
     *figure = (number * THOUSANDTHS).round() as u64;
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -106,7 +106,7 @@
             Section::Volume => self.volumes.push(Volume {
                 name: name.text,
                 weight: 1,
-                price: DEFAULT_PRICE,
+                priority_factor: DEFAULT_PRICE,
                 spread: 1,
                 ..Volume::default()
             }),
@@ -138,7 +138,7 @@
 
     fn finish(mut self, file: &Path) -> Result<Problem, PlacementError> {
         for volume in &mut self.volumes {
-            volume.surge = volume.surge.max(volume.reserve);
+            volume.surge_rate = volume.surge_rate.max(volume.reserved_rate);
         }
         if !self.problems.is_empty() {
             return Err(PlacementError::malformed(self.problems));
@@ -188,13 +188,14 @@
 /// Reads a directive of a volume. False: there is none of this name.
 fn read_volume(volume: &mut Volume, directive: &str, args: &mut Arguments) -> bool {
     match directive {
-        "reserve" => volume.reserve = args.exact_rate(RATE).unwrap_or(0),
-        "reserve-most" => volume.max_reserve = args.exact_rate(RATE).unwrap_or(0),
-        "limit" => volume.limit = args.exact_rate(RATE).unwrap_or(0),
-        "surge" => volume.surge = args.exact_rate(RATE).unwrap_or(0),
+        "reserve" => volume.reserved_rate = args.exact_rate(RATE).unwrap_or(0),
+        "reserve-most" => volume.max_reserved_rate = args.exact_rate(RATE).unwrap_or(0),
+        "limit" => volume.rate_limit = args.exact_rate(RATE).unwrap_or(0),
+        "surge" => volume.surge_rate = args.exact_rate(RATE).unwrap_or(0),
         "weight" => volume.weight = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
         "price" => {
-            volume.price = args.integer("thousandths, 1000 for the plain price", 0, MAX_NUMBER).unwrap_or(0);
+            volume.priority_factor =
+                args.integer("thousandths, 1000 for the plain price", 0, MAX_NUMBER).unwrap_or(0);
         }
         "spread" => volume.spread = args.integer("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
         "size" => volume.size = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
--- a/crates/gateway/src/placement/replay.rs
+++ b/crates/gateway/src/placement/replay.rs
@@ -56,8 +56,11 @@
 fn gains_of(problem: &Problem, answer: &Answer, intervals: &[Interval]) -> Vec<i128> {
     let share_of = |volume: &Volume| {
         let own = answer.shares.iter().find(|share| share.volume == volume.name);
-        let given = VolumeShare { reserve: volume.reserve, weight: volume.weight };
-        own.map_or(given, |share| VolumeShare { reserve: share.reserved_milliunits, weight: share.weight })
+        let given = VolumeShare { reserved_rate: volume.reserved_rate, weight: volume.weight };
+        own.map_or(given, |share| VolumeShare {
+            reserved_rate: share.reserved_milliunits,
+            weight: share.weight,
+        })
     };
     let shares: Vec<VolumeShare> = problem.volumes.iter().map(share_of).collect();
     let gain = |interval: &Interval| {
--- a/crates/gateway/src/placement/report.rs
+++ b/crates/gateway/src/placement/report.rs
@@ -58,7 +58,7 @@
     for (index, node) in problem.nodes.iter().enumerate() {
         let here: Vec<usize> = (0..placement.len()).filter(|v| placement[*v].contains(&index)).collect();
         let share =
-            |volume: &usize| problem.volumes[*volume].reserve as f64 / placement[*volume].len() as f64;
+            |volume: &usize| problem.volumes[*volume].reserved_rate as f64 / placement[*volume].len() as f64;
         let reserved: f64 = here.iter().map(share).sum::<f64>() / 1000.0;
         let capacity = node.capacity as f64 / 1000.0;
         let percent = if capacity > 0.0 { 100.0 * reserved / capacity } else { 0.0 };
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -84,7 +84,8 @@
         writeln!(out, "place {} {}", volume.name, names.join(" ")).expect("writing to memory");
     }
     let tuning = tune(problem, placement);
-    for (volume, (reserve, weight)) in problem.volumes.iter().zip(tuning.reserves.iter().zip(&tuning.weights))
+    for (volume, (reserve, weight)) in
+        problem.volumes.iter().zip(tuning.reserved_rates.iter().zip(&tuning.weights))
     {
         writeln!(out, "share {} reserve {} weight {weight}", volume.name, rate(*reserve))
             .expect("writing to memory");
@@ -108,10 +109,10 @@
     if problem.hosts.is_empty() {
         return;
     }
-    for volume in problem.volumes.iter().filter(|volume| volume.limit > 0) {
+    for volume in problem.volumes.iter().filter(|volume| volume.rate_limit > 0) {
         let sent: Vec<u64> =
             problem.hosts.iter().map(|host| host.sends.get(&volume.name).copied().unwrap_or(0)).collect();
-        let quotas = split_limit(volume.limit, &sent, MIN_QUOTA_THOUSANDTHS);
+        let quotas = split_limit(volume.rate_limit, &sent, MIN_QUOTA_THOUSANDTHS);
         for (host, quota) in problem.hosts.iter().zip(quotas) {
             writeln!(out, "part {} {} {}", volume.name, host.name, rate(quota)).expect("writing to memory");
         }
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -188,7 +188,7 @@
     if next.apply(change).is_err() {
         return false;
     }
-    let limit = |plan: Option<&Plan>| plan.map_or(0, |plan| plan.limit);
+    let limit = |plan: Option<&Plan>| plan.map_or(0, |plan| plan.rate_limit);
     state.volumes.keys().any(|volume| {
         let (old, new) = (limit(state.plan_of(volume)), limit(next.plan_of(volume)));
         new > 0 && (old == 0 || new < old)
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -112,12 +112,12 @@
     let thousandths =
         |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MAX_PARAMETER as f64) as u64;
     state::Plan {
-        usual: thousandths(plan.usual_rate),
-        reserve: thousandths(plan.reserved_rate),
-        limit: thousandths(plan.rate_limit),
-        burst: thousandths(plan.burst_units),
+        usual_rate: thousandths(plan.usual_rate),
+        reserved_rate: thousandths(plan.reserved_rate),
+        rate_limit: thousandths(plan.rate_limit),
+        burst_units: thousandths(plan.burst_units),
         weight: thousandths(plan.weight),
-        price: thousandths(plan.priority_factor),
+        priority_factor: thousandths(plan.priority_factor),
     }
 }
 
@@ -126,11 +126,11 @@
     let units = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
     config::Plan {
         name: name.to_owned(),
-        usual_rate: units(plan.usual),
-        reserved_rate: units(plan.reserve),
-        rate_limit: units(plan.limit),
-        burst_units: units(plan.burst),
+        usual_rate: units(plan.usual_rate),
+        reserved_rate: units(plan.reserved_rate),
+        rate_limit: units(plan.rate_limit),
+        burst_units: units(plan.burst_units),
         weight: units(plan.weight),
-        priority_factor: units(plan.price),
+        priority_factor: units(plan.priority_factor),
     }
 }
--- a/crates/lab/src/brute.rs
+++ b/crates/lab/src/brute.rs
@@ -24,13 +24,13 @@
             let reserve = rng.random_range(0..8) * 1000;
             let spread = rng.random_range(1..=count.min(2));
             Volume {
-                max_reserve: 0,
-                limit: 0,
+                max_reserved_rate: 0,
+                rate_limit: 0,
                 name: format!("v{i}"),
-                reserve,
-                surge: reserve + rng.random_range(0..3) * 4000,
+                reserved_rate: reserve,
+                surge_rate: reserve + rng.random_range(0..3) * 4000,
                 weight: rng.random_range(0..3),
-                price: rng.random_range(1..3) * 1000,
+                priority_factor: rng.random_range(1..3) * 1000,
                 spread,
                 survives_node_loss: spread > 1 && rng.random_range(0..4) == 0,
                 survives_zone_loss: rng.random_range(0..8) == 0,
@@ -79,12 +79,12 @@
         let mut load = vec![0i128; nodes.len()];
         for (i, set) in at.iter().enumerate() {
             let left: Vec<usize> = set.iter().filter(|n| !lost.contains(n)).copied().collect();
-            if must[i] && left.is_empty() && volumes[i].reserve > 0 {
+            if must[i] && left.is_empty() && volumes[i].reserved_rate > 0 {
                 return None;
             }
             let parts = if must[i] { left.len() } else { set.len() };
             for n in &left {
-                load[*n] += scale(volumes[i].reserve) / parts as i128;
+                load[*n] += scale(volumes[i].reserved_rate) / parts as i128;
             }
         }
         if load.iter().zip(nodes).any(|(l, n)| *l > scale(n.capacity)) {
@@ -95,16 +95,17 @@
     for (n, node) in nodes.iter().enumerate() {
         let here: Vec<usize> = (0..at.len()).filter(|v| at[*v].contains(&n)).collect();
         let part = |v: usize, r: u64| scale(r) / at[v].len() as i128;
-        let spare = scale(node.capacity) - here.iter().map(|v| part(*v, volumes[*v].reserve)).sum::<i128>();
+        let spare =
+            scale(node.capacity) - here.iter().map(|v| part(*v, volumes[*v].reserved_rate)).sum::<i128>();
         let weights: i128 = here.iter().map(|v| i128::from(volumes[*v].weight)).sum();
         let mut left = spare;
         let mut rest = vec![];
         for v in here {
-            let price = i128::from(volumes[v].price);
-            let beyond = part(v, volumes[v].surge) - part(v, volumes[v].reserve);
+            let price = i128::from(volumes[v].priority_factor);
+            let beyond = part(v, volumes[v].surge_rate) - part(v, volumes[v].reserved_rate);
             let share =
                 if weights == 0 { 0 } else { spare * 9 * i128::from(volumes[v].weight) / (10 * weights) };
-            gain += 100 * price * part(v, volumes[v].reserve) + 35 * price * beyond.min(share);
+            gain += 100 * price * part(v, volumes[v].reserved_rate) + 35 * price * beyond.min(share);
             left -= beyond.min(share);
             rest.push((price, beyond - beyond.min(share)));
         }
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -409,7 +409,8 @@
             let same = |l: &&LogEntry| matches!(&l.change, Change::SetPlan { name: n, .. } if n == name);
             let until = lines[i + 1..].iter().find(same).map_or(Micros::MAX, |next| over(next.version));
             let (from, whole) = (of(line).map_or(0, |t| t.at), |n: u64| n as f64 / 1000.0);
-            let in_force = InForce { from, until, limit: whole(plan.limit), burst: whole(plan.burst) };
+            let in_force =
+                InForce { from, until, limit: whole(plan.rate_limit), burst: whole(plan.burst_units) };
             places.limits.entry(name.clone()).or_default().push(in_force);
         }
         drop(told);
--- a/crates/lab/src/sharesday.rs
+++ b/crates/lab/src/sharesday.rs
@@ -121,10 +121,10 @@
         let lies: BTreeSet<usize> = v.extents.iter().map(|e| e.node).collect();
         Volume {
             name: v.name.clone(),
-            reserve: (plan.reserved_rate * 1000.0) as u64,
-            surge: (surge.max(plan.reserved_rate) * 1000.0) as u64,
+            reserved_rate: (plan.reserved_rate * 1000.0) as u64,
+            surge_rate: (surge.max(plan.reserved_rate) * 1000.0) as u64,
             weight: plan.weight as u64,
-            price: (plan.priority_factor * 1000.0) as u64,
+            priority_factor: (plan.priority_factor * 1000.0) as u64,
             spread: lies.len(),
             current_nodes: lies.iter().map(|n| site.nodes[*n].name.clone()).collect(),
             ..Volume::default()
--- a/crates/lab/tests/shares.rs
+++ b/crates/lab/tests/shares.rs
@@ -79,10 +79,10 @@
 fn volume(name: &str, reserve: u64) -> Volume {
     Volume {
         name: name.into(),
-        reserve,
-        surge: reserve,
+        reserved_rate: reserve,
+        surge_rate: reserve,
         weight: 1,
-        price: 1000,
+        priority_factor: 1000,
         spread: 1,
         ..Volume::default()
     }
@@ -117,12 +117,12 @@
 fn numbers_at_the_edge_neither_overflow_nor_pass_it() {
     let most = mallowseam_placement::problem::MAX_NUMBER;
     let volumes: Vec<Volume> = (0..8)
-        .map(|i| Volume { weight: most, price: most, size: most, ..volume(&format!("v{i}"), most) })
+        .map(|i| Volume { weight: most, priority_factor: most, size: most, ..volume(&format!("v{i}"), most) })
         .collect();
     let nodes: Vec<Node> = (0..8).map(|i| node(&format!("n{i}"), "z", most)).collect();
     let problem = Problem::new(nodes, volumes.clone()).expect("sound");
     assert!(matches!(solve(&problem, STEPS), SolveOutcome::Optimal(_)));
-    let past = Volume { reserve: most + 1, surge: most + 1, ..volume("v", 0) };
+    let past = Volume { reserved_rate: most + 1, surge_rate: most + 1, ..volume("v", 0) };
     let wrong = Problem::new(vec![node("n", "z", 1)], vec![past, volume("w", 0), volume("w", 0)]);
     assert_eq!(wrong.expect_err("two mistakes").len(), 2);
 }
@@ -131,7 +131,7 @@
 fn a_search_that_runs_out_of_steps_says_so_with_a_bound() {
     let nodes: Vec<Node> = (0..8).map(|i| node(&format!("n{i}"), "z", 9_000)).collect();
     let volumes =
-        (0..30).map(|i| Volume { surge: 9_000, ..volume(&format!("v{i:02}"), 1_000 + i) }).collect();
+        (0..30).map(|i| Volume { surge_rate: 9_000, ..volume(&format!("v{i:02}"), 1_000 + i) }).collect();
     let SolveOutcome::StepsExhausted { best: found, gain_upper_bound: bound } =
         solve(&Problem::new(nodes, volumes).expect("sound"), 5_000)
     else {
--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -88,7 +88,7 @@
             volumes.clone().map(|volume| problem.allowed_node_sets(volume, is_active)).collect();
         let mut order: Vec<VolumeIndex> = volumes.collect();
         // Volumes without an allowed set and those with much reserve first: what cannot fit shows early.
-        order.sort_by_key(|v| (allowed[*v].len().min(1), Reverse(problem.volumes[*v].reserve), *v));
+        order.sort_by_key(|v| (allowed[*v].len().min(1), Reverse(problem.volumes[*v].reserved_rate), *v));
         let twins = find_twins(problem, &order, is_active);
         Search {
             problem,
--- a/crates/placement/src/constraint.rs
+++ b/crates/placement/src/constraint.rs
@@ -29,7 +29,7 @@
         let mut constraints: Vec<Constraint> = (0..self.nodes.len()).map(Constraint::Capacity).collect();
         for (index, volume) in self.volumes.iter().enumerate() {
             let of_volume = [
-                (volume.reserve > 0, Constraint::Reserve(index)),
+                (volume.reserved_rate > 0, Constraint::Reserve(index)),
                 (volume.zone.is_some(), Constraint::Zone(index)),
                 (volume.distinct_zones, Constraint::DistinctZones(index)),
                 (volume.survives_node_loss, Constraint::SurvivesNodeLoss(index)),
@@ -51,7 +51,11 @@
                 format!("node {} does {}", node.name, format_rate(node.capacity))
             }
             Constraint::Reserve(volume) => {
-                format!("volume {} reserves {}", name(volume), format_rate(self.volumes[volume].reserve))
+                format!(
+                    "volume {} reserves {}",
+                    name(volume),
+                    format_rate(self.volumes[volume].reserved_rate)
+                )
             }
             Constraint::Zone(volume) => {
                 let zone = self.volumes[volume].zone.as_deref().unwrap_or("-");
--- a/crates/placement/src/feasibility.rs
+++ b/crates/placement/src/feasibility.rs
@@ -69,7 +69,7 @@
 ) -> Option<Vec<i128>> {
     let mut loads = vec![0; problem.nodes.len()];
     for Assignment { volume, nodes } in assignments.iter().copied() {
-        let reserve = i128::from(problem.volumes[volume].reserve) * SCALE;
+        let reserve = i128::from(problem.volumes[volume].reserved_rate) * SCALE;
         // A volume without a reserve has nothing that could be lost.
         if reserve == 0 || !is_active(Constraint::Reserve(volume)) {
             continue;
@@ -119,7 +119,8 @@
             |assignment: &Assignment| assignment.nodes.iter().all(|node| loss.includes(problem, *node));
         let (gone, left): (Vec<Assignment>, Vec<Assignment>) = assignments.iter().copied().partition(is_gone);
         let lacking = gone.iter().filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
-        let lacking: i128 = lacking.map(|a| i128::from(problem.volumes[a.volume].reserve) * SCALE).sum();
+        let lacking: i128 =
+            lacking.map(|a| i128::from(problem.volumes[a.volume].reserved_rate) * SCALE).sum();
         let loads = node_loads(problem, &left, &is_active, loss).expect("each has a node left");
         let capacity = |node: NodeIndex| i128::from(problem.nodes[node].capacity) * SCALE;
         let beyond = loads.iter().enumerate().map(|(node, load)| (load - capacity(node)).max(0));
--- a/crates/placement/src/load_table.rs
+++ b/crates/placement/src/load_table.rs
@@ -54,7 +54,7 @@
 
     fn change(&mut self, volume: VolumeIndex, nodes: &[NodeIndex], sign: i128) {
         let volume = &self.problem.volumes[volume];
-        let reserve = i128::from(volume.reserve) * SCALE;
+        let reserve = i128::from(volume.reserved_rate) * SCALE;
         let per_node = reserve / nodes.len().max(1) as i128;
         for node in nodes {
             self.load[*node] += sign * per_node;
--- a/crates/placement/src/local_search.rs
+++ b/crates/placement/src/local_search.rs
@@ -84,7 +84,7 @@
             let volume = &self.problem.volumes[*index];
             let is_bound_to_zones =
                 volume.zone.is_some() || volume.distinct_zones || volume.survives_zone_loss;
-            (Reverse(is_bound_to_zones), Reverse(volume.reserve), *index)
+            (Reverse(is_bound_to_zones), Reverse(volume.reserved_rate), *index)
         });
         let mut unplaced = self.place_each(order);
         for _ in 0..MAX_REPAIRS {
@@ -257,7 +257,7 @@
     fn is_allowed(&self, volume: VolumeIndex, nodes: &[NodeIndex]) -> bool {
         let wanted = &self.problem.volumes[volume];
         let zones: Vec<usize> = nodes.iter().map(|node| self.loads.zone_of(*node)).collect();
-        let outlives_zone = wanted.reserve == 0 || zones.iter().any(|zone| *zone != zones[0]);
+        let outlives_zone = wanted.reserved_rate == 0 || zones.iter().any(|zone| *zone != zones[0]);
         are_distinct(nodes)
             && nodes.iter().all(|node| self.is_in_zone(volume, *node))
             && (!wanted.distinct_zones || are_distinct(&zones))
--- a/crates/placement/src/objective.rs
+++ b/crates/placement/src/objective.rs
@@ -3,7 +3,7 @@
 use crate::{NodeIndex, Placement, VolumeIndex, volumes_at};
 use std::cmp::Reverse;
 
-/// Gain of a unit within a volume's reserve, in hundredths of its price.
+/// Gain of a unit within a volume's reserve, in hundredths of its priority factor.
 pub(crate) const RESERVE_GAIN: i128 = 100;
 /// Gain of a unit within a volume's share of what the reserves leave free.
 pub(crate) const SHARE_GAIN: i128 = 35;
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VolumeShare {
     /// The reserved rate, in thousandths of a unit a second.
-    pub reserve: u64,
+    pub reserved_rate: u64,
     /// Weight of the share of what reserves leave free.
     pub weight: u64,
 }
@@ -47,9 +47,9 @@
     }
 }
 
-/// Gain a second when all volumes surge at once, times [`SCALE`], a thousand for rates, a thousand for prices and
-/// a hundred for the parts of a price. Each node serves the reserves in full, then shares by weight of nine tenths
-/// of what the reserves leave free, then from what is still free in order of price.
+/// Gain a second when all volumes surge at once, times [`SCALE`], a thousand for rates, a thousand for priority
+/// factors and a hundred for the parts of a gain. Each node serves the reserves in full, then shares by weight of
+/// nine tenths of what the reserves leave free, then from what is still free in order of the priority factor.
 #[must_use]
 pub fn gain(problem: &Problem, placement: &Placement) -> i128 {
     let gain_at = |node| node_gain(problem, placement, node, &volumes_at(placement, node));
@@ -67,16 +67,16 @@
 ) -> i128 {
     let mut changed = problem.clone();
     for (volume, (share, demand)) in changed.volumes.iter_mut().zip(shares.iter().zip(demand)) {
-        volume.reserve = share.reserve;
+        volume.reserved_rate = share.reserved_rate;
         volume.weight = share.weight;
-        volume.surge = *demand;
+        volume.surge_rate = *demand;
     }
     gain(&changed, placement)
 }
 
 /// What a volume has not got from its reserve and its share.
 struct Unserved {
-    price: i128,
+    priority_factor: i128,
     rate: i128,
 }
 
@@ -90,29 +90,29 @@
     let volume = |index: VolumeIndex| &problem.volumes[index];
     let per_node = |index: VolumeIndex, rate: u64| scaled_rate_per_node(placement, index, rate);
     // A reserve that is not asked for is free for others.
-    let used_reserve = |index| per_node(index, volume(index).reserve.min(volume(index).surge));
-    let reserves: i128 = volumes.iter().map(|index| used_reserve(*index)).sum();
+    let used_reserve = |index| per_node(index, volume(index).reserved_rate.min(volume(index).surge_rate));
+    let reserved: i128 = volumes.iter().map(|index| used_reserve(*index)).sum();
     let capacity = i128::from(problem.nodes[node].capacity) * SCALE;
-    let unreserved = (capacity - reserves).max(0);
+    let unreserved = (capacity - reserved).max(0);
     let weights: i128 = volumes.iter().map(|index| i128::from(volume(*index).weight)).sum();
 
     let mut gain = 0;
     let mut free = unreserved;
     let mut unserved = Vec::new();
     for index in volumes.iter().copied() {
-        let price = i128::from(volume(index).price);
+        let priority_factor = i128::from(volume(index).priority_factor);
         let weight = i128::from(volume(index).weight);
-        let beyond_reserve = per_node(index, volume(index).surge) - used_reserve(index);
+        let beyond_reserve = per_node(index, volume(index).surge_rate) - used_reserve(index);
         let share = unreserved * SHARED_NUMERATOR * weight / (SHARED_DENOMINATOR * weights.max(1));
         let used_share = share.min(beyond_reserve);
-        gain += (used_reserve(index) * RESERVE_GAIN + used_share * SHARE_GAIN) * price;
+        gain += (used_reserve(index) * RESERVE_GAIN + used_share * SHARE_GAIN) * priority_factor;
         free -= used_share;
-        unserved.push(Unserved { price, rate: beyond_reserve - used_share });
+        unserved.push(Unserved { priority_factor, rate: beyond_reserve - used_share });
     }
-    unserved.sort_unstable_by_key(|unserved| Reverse((unserved.price, unserved.rate)));
-    for Unserved { price, rate } in unserved {
+    unserved.sort_unstable_by_key(|unserved| Reverse((unserved.priority_factor, unserved.rate)));
+    for Unserved { priority_factor, rate } in unserved {
         let served = rate.min(free);
-        gain += served * REST_GAIN * price;
+        gain += served * REST_GAIN * priority_factor;
         free -= served;
     }
     gain
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Largest rate, price, cost and size: sums over thousands of volumes stay far inside 128 bits.
+/// Largest rate, priority factor, cost and size: sums over thousands of volumes stay far inside 128 bits.
 pub const MAX_NUMBER: u64 = 1_000_000_000_000;
 /// Nodes that one volume can be spread over, at most.
 pub const MAX_SPREAD: usize = 8;
@@ -31,17 +31,17 @@
     /// Its name.
     pub name: String,
     /// The reserved rate.
-    pub reserve: u64,
+    pub reserved_rate: u64,
     /// The reserve may be raised up to this; a value below the reserve leaves no choice.
-    pub max_reserve: u64,
+    pub max_reserved_rate: u64,
     /// What it may use at most, over all hosts; 0: no limit.
-    pub limit: u64,
+    pub rate_limit: u64,
     /// Its demand in a surge, its reserve included.
-    pub surge: u64,
+    pub surge_rate: u64,
     /// Weight of its share of what reserves leave free at a node.
     pub weight: u64,
     /// Factor on its gain, in thousandths.
-    pub price: u64,
+    pub priority_factor: u64,
     /// Number of nodes that its data is spread over evenly.
     pub spread: usize,
     /// Its reserve must fit with any one node lost.
@@ -162,8 +162,15 @@
 
 impl Volume {
     fn check(&self, nodes: &[Node]) -> Vec<ProblemErrorKind> {
-        let numbers =
-            [self.reserve, self.max_reserve, self.limit, self.surge, self.weight, self.price, self.size];
+        let numbers = [
+            self.reserved_rate,
+            self.max_reserved_rate,
+            self.rate_limit,
+            self.surge_rate,
+            self.weight,
+            self.priority_factor,
+            self.size,
+        ];
         let mut kinds = Vec::new();
         if numbers.iter().any(|number| *number > MAX_NUMBER) {
             kinds.push(ProblemErrorKind::NumberTooLarge);
@@ -171,7 +178,7 @@
         if self.spread == 0 || self.spread > MAX_SPREAD {
             kinds.push(ProblemErrorKind::InvalidSpread);
         }
-        if self.surge < self.reserve {
+        if self.surge_rate < self.reserved_rate {
             kinds.push(ProblemErrorKind::SurgeBelowReserve);
         }
         if self.survives_node_loss && self.spread < 2 {
--- a/crates/placement/src/tuning.rs
+++ b/crates/placement/src/tuning.rs
@@ -21,7 +21,7 @@
     /// The weight of each volume.
     pub weights: Vec<u64>,
     /// The reserve of each volume, in thousandths of a unit a second.
-    pub reserves: Vec<u64>,
+    pub reserved_rates: Vec<u64>,
     /// Gain with them, see [`gain`].
     pub gain: i128,
     /// Gain with the given weights and reserves.
@@ -47,63 +47,65 @@
     let best = if climbed.gain > given.gain { climbed } else { given };
     Tuning {
         weights: best.weights,
-        reserves: raised.volumes.iter().map(|volume| volume.reserve).collect(),
+        reserved_rates: raised.volumes.iter().map(|volume| volume.reserved_rate).collect(),
         gain: best.gain,
         gain_before,
     }
 }
 
-/// Raises reserves, the highest price first, each by as much as fits now and in every loss.
+/// Raises reserves, the highest priority factor first, each by as much as fits now and in every loss.
 fn raise_reserves(problem: &Problem, placement: &Placement) -> Problem {
     let mut raised = problem.clone();
     let assignments = assignments(placement);
     let mut order: Vec<VolumeIndex> = (0..problem.volumes.len()).collect();
-    order.sort_by_key(|index| by_price(problem, *index));
+    order.sort_by_key(|index| by_priority(problem, *index));
     for index in order {
-        let Volume { reserve, max_reserve, surge, .. } = problem.volumes[index];
-        let mut fitting = reserve;
-        let mut highest = max_reserve.min(surge).max(reserve);
+        let Volume { reserved_rate, max_reserved_rate, surge_rate, .. } = problem.volumes[index];
+        let mut fitting = reserved_rate;
+        let mut highest = max_reserved_rate.min(surge_rate).max(reserved_rate);
         while fitting < highest {
             let middle = fitting + (highest - fitting).div_ceil(2);
-            raised.volumes[index].reserve = middle;
+            raised.volumes[index].reserved_rate = middle;
             if fits(&raised, &assignments, &|_: Constraint| true, FULL_CAPACITY) {
                 fitting = middle;
             } else {
                 highest = middle - 1;
             }
         }
-        raised.volumes[index].reserve = fitting;
+        raised.volumes[index].reserved_rate = fitting;
     }
     raised
 }
 
-/// Sorts volumes by falling price.
-fn by_price(problem: &Problem, index: VolumeIndex) -> (Reverse<u64>, VolumeIndex) {
-    (Reverse(problem.volumes[index].price), index)
+/// Sorts volumes by falling priority factor.
+fn by_priority(problem: &Problem, index: VolumeIndex) -> (Reverse<u64>, VolumeIndex) {
+    (Reverse(problem.volumes[index].priority_factor), index)
 }
 
 /// Weights in proportion to what each volume would get if the shared capacity of every node went to the demand of
-/// the highest price first.
+/// the highest priority factor first.
 fn guess_weights(problem: &Problem, placement: &Placement) -> Vec<u64> {
     let mut served = vec![0_i128; problem.volumes.len()];
     for node in 0..problem.nodes.len() {
         let mut volumes = volumes_at(placement, node);
-        let reserve_at_node =
-            |index: &VolumeIndex| scaled_rate_per_node(placement, *index, problem.volumes[*index].reserve);
+        let reserve_at_node = |index: &VolumeIndex| {
+            scaled_rate_per_node(placement, *index, problem.volumes[*index].reserved_rate)
+        };
         let reserved: i128 = volumes.iter().map(reserve_at_node).sum();
         let spare = (i128::from(problem.nodes[node].capacity) * SCALE - reserved).max(0);
         let mut shared = spare * SHARED_NUMERATOR / SHARED_DENOMINATOR;
-        volumes.sort_by_key(|index| by_price(problem, *index));
+        volumes.sort_by_key(|index| by_priority(problem, *index));
         for index in volumes {
             let volume = &problem.volumes[index];
-            let beyond_reserve = scaled_rate_per_node(placement, index, volume.surge - volume.reserve);
+            let beyond_reserve =
+                scaled_rate_per_node(placement, index, volume.surge_rate - volume.reserved_rate);
             let from_share = beyond_reserve.min(shared);
             served[index] += from_share;
             shared -= from_share;
         }
     }
     let most = served.iter().copied().max().unwrap_or(0).max(1);
-    // No volume is left without a share: the one of the highest price may have no demand for a while.
+    // No volume is left without a share: the one of the highest priority factor may have no demand for a while.
     served.iter().map(|s| ((s * i128::from(MAX_WEIGHT) / most) as u64).max(1)).collect()
 }
 
--- a/crates/placement/tests/branch_and_bound.rs
+++ b/crates/placement/tests/branch_and_bound.rs
@@ -8,10 +8,10 @@
     let nodes = vec![node("a", 30_000), node("b", 30_000), node("c", 12_000)];
     let volume = |index: usize| Volume {
         name: format!("v{index:02}"),
-        reserve: 3_000,
-        surge: 5_000,
+        reserved_rate: 3_000,
+        surge_rate: 5_000,
         weight: 1,
-        price: 1000,
+        priority_factor: 1000,
         spread: 1,
         size: 1,
         ..Volume::default()
@@ -23,7 +23,7 @@
     };
     assert!(best.placement.0.is_sorted(), "the first in order of names");
     // One unit more than all nodes can serve, and the proof is as short.
-    let larger = |volume: &Volume| Volume { reserve: 3_601, ..volume.clone() };
+    let larger = |volume: &Volume| Volume { reserved_rate: 3_601, ..volume.clone() };
     let volumes = problem.volumes.iter().map(larger).collect();
     let infeasible = Problem::new(problem.nodes, volumes).expect("valid");
     assert_eq!(solve(&infeasible, 100_000), SolveOutcome::Infeasible);
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -22,10 +22,10 @@
         let spread = rng.random_range(1..=4usize).min(nodes.len());
         Volume {
             name: format!("v{index:04}"),
-            reserve,
-            surge,
+            reserved_rate: reserve,
+            surge_rate: surge,
             weight: 1 + plan,
-            price: [960, 900, 1800][plan as usize],
+            priority_factor: [960, 900, 1800][plan as usize],
             spread,
             survives_node_loss: spread > 1 && plan == 2,
             distinct_zones: plan == 2,
--- a/crates/placement/tests/local_search.rs
+++ b/crates/placement/tests/local_search.rs
@@ -97,7 +97,7 @@
     let mut problem = problem_after_node_loss();
     problem.nodes[LOST].capacity = 0;
     let volume = &mut problem.volumes[0];
-    (volume.reserve, volume.survives_node_loss, volume.spread) = (0, false, 1);
+    (volume.reserved_rate, volume.survives_node_loss, volume.spread) = (0, false, 1);
     volume.current_nodes = [problem.nodes[LOST].name.clone()].into();
     let mut search = LocalSearch::new(&problem, 3);
     search.start_from_current();
--- a/crates/placement/tests/migration.rs
+++ b/crates/placement/tests/migration.rs
@@ -11,12 +11,12 @@
     Node { name: name.into(), zone: zone.into(), capacity, cost: 0 }
 }
 
-fn volume(name: &str, reserve: u64, current_nodes: &[&str]) -> Volume {
+fn volume(name: &str, reserved_rate: u64, current_nodes: &[&str]) -> Volume {
     Volume {
         name: name.into(),
-        reserve,
-        surge: reserve,
-        price: 1000,
+        reserved_rate,
+        surge_rate: reserved_rate,
+        priority_factor: 1000,
         spread: 1,
         size: 100,
         current_nodes: current_nodes.iter().map(|node| (*node).to_owned()).collect(),
--- a/crates/placement/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -60,12 +60,12 @@
             let placed_on = if random.one_in(5) { 0 } else { spread };
             Volume {
                 name: format!("v{v:03}"),
-                reserve,
-                max_reserve: reserve + random.below(mean),
-                limit: random.below(mean * 2),
-                surge: reserve + random.below(mean * 2),
+                reserved_rate: reserve,
+                max_reserved_rate: reserve + random.below(mean),
+                rate_limit: random.below(mean * 2),
+                surge_rate: reserve + random.below(mean * 2),
                 weight: 1 + random.below(4),
-                price: [500, 900, 1000, 1800][random.below(4) as usize],
+                priority_factor: [500, 900, 1000, 1800][random.below(4) as usize],
                 spread,
                 survives_node_loss: spread > 1 && random.one_in(3),
                 survives_zone_loss: spread > 1 && random.one_in(6),
@@ -90,16 +90,16 @@
     let mut text = describe_worth(&objective(p, placement));
     let all = assignments(placement);
     let chosen = tune(p, placement);
-    let asked: Vec<u64> = p.volumes.iter().map(|v| random.below(v.surge * 2 + 1)).collect();
+    let asked: Vec<u64> = p.volumes.iter().map(|v| random.below(v.surge_rate * 2 + 1)).collect();
     let shares: Vec<VolumeShare> = chosen
-        .reserves
+        .reserved_rates
         .iter()
         .zip(&chosen.weights)
-        .map(|(reserve, weight)| VolumeShare { reserve: *reserve, weight: *weight })
+        .map(|(reserve, weight)| VolumeShare { reserved_rate: *reserve, weight: *weight })
         .collect();
     let gained = gain_at_demand(p, placement, &shares, &asked);
     write!(text, " excess {} moment {gained}", excess(p, &all)).expect("writing to memory");
-    let (weights, reserves) = (&chosen.weights, &chosen.reserves);
+    let (weights, reserves) = (&chosen.weights, &chosen.reserved_rates);
     write!(text, " chosen {weights:?} {reserves:?} {} {}", chosen.gain, chosen.gain_before)
         .expect("writing to memory");
     for stretch in [500, 999, 1000, 1001] {
@@ -196,9 +196,9 @@
     let nodes: Vec<Node> = (0..5).map(|n| node(n, if n == 4 { 4 + random.below(10) } else { 10 })).collect();
     let volume = |v: u64, reserve, size| Volume {
         name: format!("v{v}"),
-        reserve,
-        surge: reserve,
-        price: 1000,
+        reserved_rate: reserve,
+        surge_rate: reserve,
+        priority_factor: 1000,
         spread: 1,
         size,
         current_nodes: [format!("n{v}")].into(),
@@ -239,10 +239,10 @@
         left -= reserve;
         volumes.push(Volume {
             name: format!("v{:02}", volumes.len()),
-            reserve,
-            surge: reserve * 2,
+            reserved_rate: reserve,
+            surge_rate: reserve * 2,
             weight: 1,
-            price: 1000 + reserve,
+            priority_factor: 1000 + reserve,
             spread: 1,
             ..Volume::default()
         });
@@ -385,7 +385,7 @@
         Volume { name: "big".into(), size: MAX_NUMBER + 1, ..sound.clone() },
         Volume { name: "none".into(), spread: 0, ..sound.clone() },
         Volume { name: "wide".into(), spread: 9, ..sound.clone() },
-        Volume { name: "low".into(), reserve: 2, surge: 1, ..sound.clone() },
+        Volume { name: "low".into(), reserved_rate: 2, surge_rate: 1, ..sound.clone() },
         Volume { name: "alone".into(), survives_node_loss: true, ..sound.clone() },
         Volume { name: "far".into(), zone: Some("y".into()), ..sound.clone() },
         Volume { name: "lost".into(), current_nodes: ["q".to_owned()].into(), ..sound.clone() },
--- a/crates/placement/tests/tuning.rs
+++ b/crates/placement/tests/tuning.rs
@@ -7,12 +7,12 @@
     Problem::new(vec![node("a"), node("b")], volumes).expect("valid")
 }
 
-fn volume(name: &str, surge: u64, price: u64) -> Volume {
-    Volume { name: name.into(), surge, price, weight: 1, spread: 1, ..Volume::default() }
+fn volume(name: &str, surge_rate: u64, priority_factor: u64) -> Volume {
+    Volume { name: name.into(), surge_rate, priority_factor, weight: 1, spread: 1, ..Volume::default() }
 }
 
 #[test]
-fn shares_go_to_the_highest_price_and_no_volume_is_left_without() {
+fn shares_go_to_the_highest_priority_and_no_volume_is_left_without() {
     let problem = problem(vec![volume("u", 9_000, 1800), volume("v", 9_000, 1000)]);
     let tuning = tune(&problem, &vec![vec![0], vec![0]]);
     assert!(tuning.gain > tuning.gain_before);
@@ -28,16 +28,16 @@
 
 #[test]
 fn reserves_rise_to_what_fits_with_any_node_lost_and_no_further() {
-    let open = |name: &str, price, max_reserve| Volume {
-        reserve: 1_000,
-        max_reserve,
+    let open = |name: &str, priority_factor, max_reserved_rate| Volume {
+        reserved_rate: 1_000,
+        max_reserved_rate,
         survives_node_loss: true,
         spread: 2,
-        ..volume(name, 9_000, price)
+        ..volume(name, 9_000, priority_factor)
     };
     let problem = problem(vec![open("u", 1000, 9_000), open("v", 1800, 6_500), open("w", 500, 0)]);
     let tuning = tune(&problem, &vec![vec![0, 1]; 3]);
-    // The highest price first, up to its most; with a node lost the other one serves all three.
-    assert_eq!(tuning.reserves, [2_500, 6_500, 1_000]);
+    // The highest priority factor first, up to its most; with a node lost the other one serves all three.
+    assert_eq!(tuning.reserved_rates, [2_500, 6_500, 1_000]);
     assert!(tuning.gain > tuning.gain_before);
 }
--- a/crates/plans/src/replica.rs
+++ b/crates/plans/src/replica.rs
@@ -186,7 +186,7 @@
     fn update_quotas(&mut self, now: Millis) {
         for entry in &mut self.volumes {
             let plan = self.log.state.plan_of(&entry.volume.name);
-            let Some(limit) = plan.map(|plan| plan.limit).filter(|limit| *limit > 0) else {
+            let Some(limit) = plan.map(|plan| plan.rate_limit).filter(|limit| *limit > 0) else {
                 entry.quota = None;
                 continue;
             };
--- a/crates/plans/src/state.rs
+++ b/crates/plans/src/state.rs
@@ -10,22 +10,28 @@
 /// Longest name of a plan or volume, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// The parameters of a plan, named as in the configuration file; rates in thousandths of a unit a second.
+/// The parameters of a plan; rates in thousandths of a unit a second. They are stored under the names that they
+/// have in the configuration file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// The rate that a volume normally has.
-    pub usual: MilliUnits,
+    #[serde(rename = "usual")]
+    pub usual_rate: MilliUnits,
     /// The rate that is reserved for a volume.
-    pub reserve: MilliUnits,
+    #[serde(rename = "reserve")]
+    pub reserved_rate: MilliUnits,
     /// The rate that a volume may not exceed; 0: no limit.
-    pub limit: MilliUnits,
+    #[serde(rename = "limit")]
+    pub rate_limit: MilliUnits,
     /// Thousandths of units that may be used at once within the limit.
-    pub burst: MilliUnits,
+    #[serde(rename = "burst")]
+    pub burst_units: MilliUnits,
     /// Weight of the volume's share of a node, in thousandths.
     pub weight: MilliUnits,
     /// Factor on the priority weight of the volume's block I/Os, in thousandths.
-    pub price: MilliUnits,
+    #[serde(rename = "price")]
+    pub priority_factor: MilliUnits,
 }
 
 /// One change, which leads from a version to the next one.
@@ -78,22 +84,22 @@
 impl Plan {
     fn check(&self) -> Result<(), ChangeError> {
         let parameters = [
-            ("usual", self.usual),
-            ("reserve", self.reserve),
-            ("limit", self.limit),
-            ("burst", self.burst),
+            ("usual", self.usual_rate),
+            ("reserve", self.reserved_rate),
+            ("limit", self.rate_limit),
+            ("burst", self.burst_units),
             ("weight", self.weight),
-            ("price", self.price),
+            ("price", self.priority_factor),
         ];
         let invalid = |parameter, expected| Err(ChangeError::InvalidParameter { parameter, expected });
         if let Some((parameter, _)) = parameters.into_iter().find(|(_, value)| *value > MAX_PARAMETER) {
             return invalid(parameter, "at most a thousand million units");
         }
         // A limit without a burst would let nothing through.
-        if self.limit > 0 && self.burst == 0 {
+        if self.rate_limit > 0 && self.burst_units == 0 {
             return invalid("burst", "above 0 where there is a limit");
         }
-        if self.limit > 0 && self.reserve > self.limit {
+        if self.rate_limit > 0 && self.reserved_rate > self.rate_limit {
             return invalid("reserve", "no more than the limit");
         }
         Ok(())
--- a/crates/plans/tests/change_log.rs
+++ b/crates/plans/tests/change_log.rs
@@ -4,7 +4,7 @@
 use mallowseam_plans::state::{Change, Plan};
 
 fn plan(limit: u64) -> Plan {
-    Plan { limit, burst: 1_000, ..Plan::default() }
+    Plan { rate_limit: limit, burst_units: 1_000, ..Plan::default() }
 }
 
 fn set(name: &str, plan: Plan) -> Change {
@@ -98,9 +98,9 @@
 fn parameters_out_of_range_are_rejected() {
     let (log, _) = log_with_entries();
     let check = |plan| log.state.check(&set("gold", plan));
-    let without_burst = Plan { limit: 5, burst: 0, ..Plan::default() };
+    let without_burst = Plan { rate_limit: 5, burst_units: 0, ..Plan::default() };
     assert!(matches!(check(without_burst), Err(ChangeError::InvalidParameter { .. })));
-    let reserve_above_limit = Plan { reserve: 9_000, ..plan(5) };
+    let reserve_above_limit = Plan { reserved_rate: 9_000, ..plan(5) };
     assert!(matches!(check(reserve_above_limit), Err(ChangeError::InvalidParameter { .. })));
 }
 
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -139,12 +139,12 @@
         let limit = self.random.below(8) * 123_457;
         let price = if self.random.below(10) == 0 { MAX_PARAMETER + self.random.below(2) } else { 1_000 };
         Plan {
-            usual: self.random.below(1_000),
-            reserve: self.random.below(200_000),
-            limit,
-            burst: self.random.below(20) * 500,
+            usual_rate: self.random.below(1_000),
+            reserved_rate: self.random.below(200_000),
+            rate_limit: limit,
+            burst_units: self.random.below(20) * 500,
             weight: 1_000,
-            price,
+            priority_factor: price,
         }
     }
 
--- a/crates/plans/tests/pinned_stored.rs
+++ b/crates/plans/tests/pinned_stored.rs
@@ -15,7 +15,14 @@
 const NEXT: &str = r#"{"version":9,"at":1800000008,"author":"board / ä","reason":"tariff \"night\" \\ é€\n\t\u0001","change":{"Plan":{"name":"basic","figures":{"usual":1,"reserve":20,"limit":0,"burst":4000,"weight":50000,"price":600000}}},"after":"0af0b7f115086a80f22d2b6fff7fdb65cfcb21e8472ba29c90ac9d6de8a0d9a1"}"#;
 
 fn basic() -> Plan {
-    Plan { usual: 1, reserve: 20, limit: 300, burst: 4_000, weight: 50_000, price: 600_000 }
+    Plan {
+        usual_rate: 1,
+        reserved_rate: 20,
+        rate_limit: 300,
+        burst_units: 4_000,
+        weight: 50_000,
+        priority_factor: 600_000,
+    }
 }
 
 /// The changes of the stored log, in order.
@@ -23,7 +30,10 @@
     let gold = "gold_-.:9".to_owned();
     vec![
         Change::SetPlan { name: "basic".into(), plan: basic() },
-        Change::SetPlan { name: gold.clone(), plan: Plan { price: 1_000_000_000_000, ..Plan::default() } },
+        Change::SetPlan {
+            name: gold.clone(),
+            plan: Plan { priority_factor: 1_000_000_000_000, ..Plan::default() },
+        },
         Change::AssignPlan { volume: "water".into(), plan: "basic".into() },
         Change::AssignPlan { volume: "gas".into(), plan: gold.clone() },
         Change::RemoveVolume { volume: "gas".into() },
@@ -47,7 +57,8 @@
     assert_eq!(log.last_hash(), LAST);
     assert_eq!(serde_json::from_str::<State>(STATE).expect("reads back"), log.state);
 
-    let next = propose(&log, Change::SetPlan { name: "basic".into(), plan: Plan { limit: 0, ..basic() } });
+    let next =
+        propose(&log, Change::SetPlan { name: "basic".into(), plan: Plan { rate_limit: 0, ..basic() } });
     assert_eq!(next, NEXT);
     log.append(&next).expect("follows");
     assert_eq!(log.last_hash(), LAST_AFTER_NEXT);
@@ -217,17 +228,17 @@
     let most = "at most a thousand million units";
     let above = 1_000_000_000_001;
     for (figures, text) in [
-        (Plan { usual: above, ..basic() }, format!("usual: expected {most}")),
-        (Plan { reserve: above, ..basic() }, format!("reserve: expected {most}")),
-        (Plan { limit: above, ..basic() }, format!("limit: expected {most}")),
-        (Plan { burst: above, ..basic() }, format!("burst: expected {most}")),
+        (Plan { usual_rate: above, ..basic() }, format!("usual: expected {most}")),
+        (Plan { reserved_rate: above, ..basic() }, format!("reserve: expected {most}")),
+        (Plan { rate_limit: above, ..basic() }, format!("limit: expected {most}")),
+        (Plan { burst_units: above, ..basic() }, format!("burst: expected {most}")),
         (Plan { weight: above, ..basic() }, format!("weight: expected {most}")),
-        (Plan { price: above, ..basic() }, format!("price: expected {most}")),
-        (Plan { burst: 0, ..basic() }, "burst: expected above 0 where there is a limit".into()),
-        (Plan { reserve: 301, ..basic() }, "reserve: expected no more than the limit".into()),
+        (Plan { priority_factor: above, ..basic() }, format!("price: expected {most}")),
+        (Plan { burst_units: 0, ..basic() }, "burst: expected above 0 where there is a limit".into()),
+        (Plan { reserved_rate: 301, ..basic() }, "reserve: expected no more than the limit".into()),
     ] {
         assert_eq!(check(figures), Err(text));
     }
-    assert_eq!(check(Plan { reserve: 300, price: above - 1, ..basic() }), Ok(()));
-    assert_eq!(check(Plan { limit: 0, burst: 0, ..basic() }), Ok(()));
+    assert_eq!(check(Plan { reserved_rate: 300, priority_factor: above - 1, ..basic() }), Ok(()));
+    assert_eq!(check(Plan { rate_limit: 0, burst_units: 0, ..basic() }), Ok(()));
 }
--- a/crates/plans/tests/replica.rs
+++ b/crates/plans/tests/replica.rs
@@ -10,7 +10,10 @@
 const NOW: Millis = LOAN_DURATION + CLOCK_SKEW_MARGIN;
 
 fn change_limit(limit: MilliUnits) -> Change {
-    Change::SetPlan { name: "basic".into(), plan: Plan { limit, burst: 10, ..Plan::default() } }
+    Change::SetPlan {
+        name: "basic".into(),
+        plan: Plan { rate_limit: limit, burst_units: 10, ..Plan::default() },
+    }
 }
 
 /// Appends a change to the service's log; the message that goes to hosts.
