--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -8,7 +8,7 @@
 
 const STATES: [EndpointState; 3] = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
 
-/// What the host knows after `WHOLE`, as it is kept for the next start.
+/// What the host knows after `WHOLE`, as it is cached for the next start.
 const CACHED: &str =
     "kept 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\nend\n";
 const WHOLE: &str =
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a watcher makes of some bytes: all that was told, the error if there was one, and what it knows then.
+/// What a watcher makes of some bytes: all events, the error if there was one, and what it knows then.
 fn receive(watcher: &mut EndpointWatcher, bytes: &[u8]) -> String {
     let mut text = String::new();
     let result = watcher.receive(bytes, |event| {
@@ -113,7 +113,7 @@
     assert_eq!(restore("kept 0\nend\n"), RESTORED_EMPTY);
 }
 
-/// A kept copy without nodes leads to no list, and its update is an empty one.
+/// A cached copy without nodes leads to an empty update.
 const RESTORED_EMPTY: &str = r#"news whole at (0, 0) knows "kept 0\nend\n""#;
 
 #[test]
@@ -228,7 +228,7 @@
             4 => {
                 let cached = watcher.write_cache();
                 watcher = EndpointWatcher::default();
-                let update = watcher.restore_cache(&cached).expect("as it was kept");
+                let update = watcher.restore_cache(&cached).expect("as it was written");
                 record += &describe_update(&update);
             }
             _ => version += 1,
--- a/crates/placement/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -81,13 +81,13 @@
     problem
 }
 
-fn describe_worth(worth: &Objective) -> String {
-    format!("{} {} {} {:?}", worth.gain, worth.cost.0, worth.moved_data.0, worth.placement.0)
+fn describe_objective(objective: &Objective) -> String {
+    format!("{} {} {} {:?}", objective.gain, objective.cost.0, objective.moved_data.0, objective.placement.0)
 }
 
 /// Everything that can be said of one placement, and the migration to it from the current one.
 fn describe_placement(p: &Problem, placement: &Placement, random: &mut Random) -> String {
-    let mut text = describe_worth(&objective(p, placement));
+    let mut text = describe_objective(&objective(p, placement));
     let all = assignments(placement);
     let chosen = tune(p, placement);
     let asked: Vec<u64> = p.volumes.iter().map(|v| random.below(v.surge_rate * 2 + 1)).collect();
@@ -137,8 +137,8 @@
     let most_steps = if random.one_in(4) { 30 } else { 20_000 };
     let steps = 1 + random.below(most_steps);
     match solve(&p, steps) {
-        SolveOutcome::Optimal(worth) => {
-            write!(text, " best {}", describe_placement(&p, &worth.placement.0, random))
+        SolveOutcome::Optimal(best) => {
+            write!(text, " best {}", describe_placement(&p, &best.placement.0, random))
                 .expect("writing to memory");
         }
         SolveOutcome::Infeasible => {
@@ -150,7 +150,7 @@
             write!(text, " none {conflict:?}").expect("writing to memory");
         }
         SolveOutcome::StepsExhausted { best: found, gain_upper_bound: bound } => {
-            let found = found.as_ref().map(describe_worth);
+            let found = found.as_ref().map(describe_objective);
             write!(text, " open {bound} {found:?}").expect("writing to memory");
         }
     }
@@ -177,12 +177,12 @@
         write!(text, " complete {complete}").expect("writing to memory");
         for attempts in [50, 300] {
             search.improve(attempts);
-            let worth = search.objective();
-            write!(text, " {:?} {}", worth.as_ref().map(describe_worth), search.is_feasible())
+            let found = search.objective();
+            write!(text, " {:?} {}", found.as_ref().map(describe_objective), search.is_feasible())
                 .expect("memory");
         }
-        if let Some(worth) = search.objective().filter(|_| volumes < 30) {
-            text += &describe_placement(&p, &worth.placement.0, random);
+        if let Some(best) = search.objective().filter(|_| volumes < 30) {
+            text += &describe_placement(&p, &best.placement.0, random);
         }
     }
     text
@@ -251,7 +251,7 @@
     let mut search = LocalSearch::new(&p, seed);
     let complete = search.place_all();
     search.improve(20);
-    format!("{complete} {:?}", search.objective().as_ref().map(describe_worth))
+    format!("{complete} {:?}", search.objective().as_ref().map(describe_objective))
 }
 
 fn split_limits(seed: u64) -> String {
