--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod fleet;
 pub mod listd;
 pub mod load;
+pub mod membership;
 pub mod model;
 pub mod node;
 pub mod plots;
@@ -16,6 +17,5 @@
 pub mod sharesday;
 pub mod snapbench;
 pub mod trace;
-pub mod view;
 
 pub use mallowseam_gateway::client as counter;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,8 +2,8 @@
 use mallowseam_lab::fleet::views::{self, settles_within};
 use mallowseam_lab::fleet::world::TOLD_AFTER;
 use mallowseam_lab::fleet::{play as fleet, processes, scene, storm};
+use mallowseam_lab::membership::{exhaustive, measurements};
 use mallowseam_lab::rehearse::{self, Outcome, Program};
-use mallowseam_lab::view::{figures, small};
 use mallowseam_lab::{bench, brute, model, plots, script, sharesday, snapbench};
 use mallowseam_shares::model::Problem;
 use mallowseam_shares::search::{Answer, solve};
@@ -83,15 +83,15 @@
 
 #[derive(Subcommand)]
 enum SearchWhat {
-    /// The view of three hosts: words, the dead, and one view in the end
+    /// The membership protocol among three hosts: its promises in every state, and convergence in the end
     FleetView {
-        /// States looked at from each root
+        /// States checked from each initial state
         #[arg(long, default_value_t = 200_000)]
         states: u64,
-        /// One state in so many is followed to its end
+        /// One state in so many is followed until the hosts converge
         #[arg(long, default_value_t = 20)]
         ends_every: u64,
-        /// Passes of half a period
+        /// Ticks of half a period
         #[arg(long, default_value_t = 8)]
         passes: u32,
     },
@@ -99,17 +99,17 @@
 
 #[derive(Subcommand)]
 enum ModelWhat {
-    /// The view that hosts keep of their fleet: as built, without Lifeguard's parts, and heartbeats to all
+    /// The membership protocol: as built, without Lifeguard's extensions, and heartbeats to all
     FleetView {
         /// How many hosts, each in turn
         #[arg(long, value_delimiter = ',', default_value = "10,30,100,300")]
         hosts: Vec<usize>,
-        /// The built one alone
+        /// The protocol as built alone
         #[arg(long)]
         built: bool,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// A directory for the figures as CSV, and a sheet of plots
+        /// A directory for the measurements as CSV, and a sheet of plots
         #[arg(long)]
         out: Option<PathBuf>,
     },
@@ -185,19 +185,22 @@
     seed: u64,
     out: Option<&std::path::Path>,
 ) -> Result<bool, String> {
-    use figures::{Figures, Kind};
+    use measurements::{Measurements, Protocol};
     println!("simulated, seed {seed}, periods of 1 s; T(N) = 100 + 20 log10 N periods");
     println!(
         "{:>7}{:>9}{:>9}{:>9}{:>8}{:>10}{:>8}{:>13}{:>13}",
         "hosts", "start s", "kill s", "heal s", "T(N)", "bytes/s", "dgr/s", "false/h", "false part"
     );
     let mut good = true;
-    let mut all: Vec<(Kind, Figures)> = Vec::new();
+    let mut all: Vec<(Protocol, Measurements)> = Vec::new();
     for &n in hosts {
-        let kinds: &[Kind] =
-            if built { &[Kind::Built] } else { &[Kind::Built, Kind::Plain, Kind::Heartbeats] };
-        for &kind in kinds {
-            let f = figures::run(kind, n, seed);
+        let protocols: &[Protocol] = if built {
+            &[Protocol::Lifeguard]
+        } else {
+            &[Protocol::Lifeguard, Protocol::PlainSwim, Protocol::Heartbeats]
+        };
+        for &protocol in protocols {
+            let f = measurements::measure(protocol, n, seed);
             println!(
                 "{n:>7}{:>9.1}{:>9.1}{:>9.1}{:>8.0}{:>10.0}{:>8.1}{:>13.0}{:>13.6}  {}",
                 f.start_s,
@@ -206,13 +209,13 @@
                 settles_within(n as u32),
                 f.bytes_s,
                 f.datagrams_s,
-                f.false_words_h,
-                f.false_part,
-                kind.name()
+                f.false_positives_h,
+                f.false_positive_fraction,
+                protocol.name()
             );
             let settled = [f.start_s, f.kill_s, f.heal_s].iter().all(|s| *s <= settles_within(n as u32));
-            good &= kind != Kind::Built || settled && f.bytes_s <= 2_000.0;
-            all.push((kind, f));
+            good &= protocol != Protocol::Lifeguard || settled && f.bytes_s <= 2_000.0;
+            all.push((protocol, f));
         }
     }
     let Some(dir) = out else { return Ok(good) };
@@ -223,19 +226,19 @@
         table.serialize(f).map_err(|e| failed(&e))?;
     }
     table.flush().map_err(|e| failed(&e))?;
-    let line = |name, kind, of: fn(&Figures) -> f64| -> plots::Line<'static> {
-        (name, all.iter().filter(|a| a.0 == kind).map(|a| (a.1.hosts as f64, of(&a.1))).collect())
+    let line = |name, protocol, of: fn(&Measurements) -> f64| -> plots::Line<'static> {
+        (name, all.iter().filter(|a| a.0 == protocol).map(|a| (a.1.hosts as f64, of(&a.1))).collect())
     };
     let bound = hosts.iter().map(|n| (*n as f64, settles_within(*n as u32))).collect();
     let mut settle = vec![("T(N)", bound)];
     let mut bytes = Vec::new();
     let mut wrong = Vec::new();
-    for kind in [Kind::Built, Kind::Plain, Kind::Heartbeats] {
-        if kind != Kind::Heartbeats {
-            settle.push(line(kind.name(), kind, |f| f.start_s.max(f.kill_s).max(f.heal_s)));
+    for protocol in [Protocol::Lifeguard, Protocol::PlainSwim, Protocol::Heartbeats] {
+        if protocol != Protocol::Heartbeats {
+            settle.push(line(protocol.name(), protocol, |f| f.start_s.max(f.kill_s).max(f.heal_s)));
         }
-        bytes.push(line(kind.name(), kind, |f| f.bytes_s));
-        wrong.push(line(kind.name(), kind, |f| f.false_part));
+        bytes.push(line(protocol.name(), protocol, |f| f.bytes_s));
+        wrong.push(line(protocol.name(), protocol, |f| f.false_positive_fraction));
     }
     let sheet = [
         ("seconds until one view, the longest of three", settle),
@@ -247,22 +250,22 @@
 }
 
 fn search_fleet_view(states: u64, ends_every: u64, passes: u32) -> Result<bool, String> {
-    let budget = small::Budget { passes, repeats: 1, kills: 1, starts: 1, cuts: 1 };
+    let budget = exhaustive::Budget { ticks: passes, duplicates: 1, kills: 1, starts: 1, partitions: 1 };
     let mut good = true;
-    for (name, root) in small::roots(budget, None) {
+    for (name, initial) in exhaustive::initial_states(budget, None) {
         let began = std::time::Instant::now();
-        let found = mallowseam_lab::search::search(&root, states, ends_every);
+        let found = mallowseam_lab::search::search(&initial, states, ends_every);
         let took = began.elapsed().as_secs_f64();
         match found {
             Ok(r) => {
-                let whole = if r.whole { "all" } else { "as many as allowed" };
+                let whole = if r.complete { "all" } else { "as many as allowed" };
                 println!(
                     "{name}: {} states ({whole}), {} steps, depth {}, {took:.1} s",
                     r.states, r.steps, r.depth
                 );
             }
             Err(f) => {
-                println!("{name}: {} after {:?}", f.wrong, f.moves);
+                println!("{name}: {} after {:?}", f.violation, f.actions);
                 good = false;
             }
         }
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -1,91 +1,114 @@
-//! Every order of what may happen to a state machine, within bounds: breadth first, states known by their hash.
+//! Exhaustive search through the states of a state machine, within bounds: breadth first, with visited states known by
+//! their hash.
 use std::collections::{HashSet, VecDeque};
 use std::fmt::Debug;
 use std::hash::{BuildHasher, Hash};
 
-/// What is searched through. Two that are equal by their hash go on alike.
-pub trait Searched: Clone + Hash {
-    type Move: Clone + Debug;
+/// A state of a state machine that can be searched. Two states with the same hash have the same future.
+pub trait SearchState: Clone + Hash {
+    /// What may happen to a state.
+    type Action: Clone + Debug;
+    /// A property that does not hold.
+    type Violation;
 
     /// All that may happen next.
-    fn moves(&self) -> Vec<Self::Move>;
-    fn step(&mut self, next: &Self::Move);
-    /// What must hold in every state.
+    fn actions(&self) -> Vec<Self::Action>;
+
+    /// Lets something happen.
+    fn apply(&mut self, action: &Self::Action);
+
+    /// Checks what must hold in every state (safety).
     ///
     /// # Errors
-    /// What does not, in words.
-    fn holds(&self) -> Result<(), String>;
-    /// What must come of every state once nothing more happens to it from outside.
+    /// A property that does not hold.
+    fn check_safety(&self) -> Result<(), Self::Violation>;
+
+    /// Checks what every state must lead to once nothing more happens to it from outside (liveness).
     ///
     /// # Errors
-    /// What did not come of it, in words.
-    fn ends(&self) -> Result<(), String>;
+    /// A property that does not come to hold.
+    fn check_liveness(&self) -> Result<(), Self::Violation>;
 }
 
+/// How far a search without a counterexample went.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Reached {
+pub struct Explored {
+    /// States that were checked.
     pub states: u64,
+    /// Actions that were applied.
     pub steps: u64,
-    /// Moves from the first state to the last one looked at.
+    /// Actions from the initial state to the last one that was checked.
     pub depth: u32,
-    /// Whether all states were reached, not just as many as were allowed.
-    pub whole: bool,
+    /// Whether all reachable states were checked, rather than as many as were allowed.
+    pub complete: bool,
 }
 
-/// What is wrong, and the moves that led there.
+/// A violated property, and the shortest sequence of actions that leads to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found<M> {
-    pub wrong: String,
-    pub moves: Vec<M>,
+pub struct Counterexample<A, V> {
+    /// What is violated.
+    pub violation: V,
+    /// Actions from the initial state on.
+    pub actions: Vec<A>,
+}
+
+/// Seed of the hash of states: fixed, so that each search visits the same states in the same order.
+const HASH_SEED: u64 = 7;
+
+/// Hash of a state, of 128 bits: in a search of millions no two states are expected to share one.
+fn hash(state: &impl Hash) -> (u64, u64) {
+    let first = foldhash::fast::FixedState::with_seed(HASH_SEED).hash_one(state);
+    (first, foldhash::fast::FixedState::with_seed(first).hash_one(state))
 }
 
-/// Looks at so many states at most, each in its turn. `ends_every`: of the states, one in so many is also followed to
-/// its end.
+/// How each state was reached: the index of the state before it, and the action. None: the initial state.
+type Paths<A> = Vec<Option<(usize, A)>>;
+
+fn path_to<A: Clone>(paths: &Paths<A>, mut index: usize) -> Vec<A> {
+    let mut actions = Vec::new();
+    while let Some((before, action)) = &paths[index] {
+        actions.push(action.clone());
+        index = *before;
+    }
+    actions.reverse();
+    actions
+}
+
+/// Checks `max_states` states at most, each for safety, and one in `liveness_interval` for liveness.
 ///
 /// # Errors
-/// The first state in which something does not hold, with the shortest way there.
-pub fn search<S: Searched>(first: &S, most: u64, ends_every: u64) -> Result<Reached, Found<S::Move>> {
-    // A fixed seed: the same states in the same order each time.
-    let hasher = foldhash::fast::FixedState::with_seed(7);
-    let hash = |s: &S| {
-        let one = hasher.hash_one(s);
-        // Of two states in four thousand million million, one pair in a search of millions: two hashes of 64 bits.
-        (one, foldhash::fast::FixedState::with_seed(one).hash_one(s))
-    };
-    let mut reached = Reached::default();
-    let mut seen = HashSet::from([hash(first)]);
-    // Where each state came from: its place before, and the move.
-    let mut ways: Vec<(usize, Option<S::Move>)> = vec![(0, None)];
-    let mut queue = VecDeque::from([(first.clone(), 0, 0u32)]);
-    let way = |ways: &[(usize, Option<S::Move>)], mut at: usize| {
-        let mut moves = Vec::new();
-        while let Some(next) = &ways[at].1 {
-            moves.push(next.clone());
-            at = ways[at].0;
-        }
-        moves.reverse();
-        moves
-    };
-    while let Some((state, at, depth)) = queue.pop_front() {
-        (reached.states, reached.depth) = (reached.states + 1, depth);
-        let ends = if reached.states.is_multiple_of(ends_every.max(1)) { state.ends() } else { Ok(()) };
-        if let Err(wrong) = state.holds().and(ends) {
-            return Err(Found { wrong, moves: way(&ways, at) });
+/// The first state in which a property is violated, with the shortest path to it.
+pub fn search<S: SearchState>(
+    initial: &S,
+    max_states: u64,
+    liveness_interval: u64,
+) -> Result<Explored, Counterexample<S::Action, S::Violation>> {
+    let mut explored = Explored::default();
+    let mut visited = HashSet::from([hash(initial)]);
+    let mut paths: Paths<S::Action> = vec![None];
+    let mut queue = VecDeque::from([(initial.clone(), 0, 0)]);
+    while let Some((state, index, depth)) = queue.pop_front() {
+        explored.states += 1;
+        explored.depth = depth;
+        let is_followed = explored.states.is_multiple_of(liveness_interval.max(1));
+        let liveness = if is_followed { state.check_liveness() } else { Ok(()) };
+        if let Err(violation) = state.check_safety().and(liveness) {
+            return Err(Counterexample { violation, actions: path_to(&paths, index) });
         }
-        for next in state.moves() {
-            reached.steps += 1;
-            let mut then = state.clone();
-            then.step(&next);
-            if seen.len() as u64 >= most {
-                // No more are taken up; those at hand are looked at still.
+        for action in state.actions() {
+            explored.steps += 1;
+            let mut next = state.clone();
+            next.apply(&action);
+            if visited.len() as u64 >= max_states {
+                // No further states are queued; the queued ones are still checked.
                 break;
             }
-            if seen.insert(hash(&then)) {
-                ways.push((at, Some(next)));
-                queue.push_back((then, ways.len() - 1, depth + 1));
+            if visited.insert(hash(&next)) {
+                paths.push(Some((index, action)));
+                queue.push_back((next, paths.len() - 1, depth + 1));
             }
         }
     }
-    reached.whole = (seen.len() as u64) < most;
-    Ok(reached)
+    explored.complete = (visited.len() as u64) < max_states;
+    Ok(explored)
 }
