--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -1,7 +1,7 @@
 //! Plays a script: real hosts as processes, stand-ins round them, trouble as written, then the audit.
 use crate::audit::{self, InForce, Places, Verdict};
 use crate::block;
-use crate::counter::Counter;
+use crate::blocking_client::BlockingClient;
 use crate::listd::{self, Listd, Word as ListWord};
 use crate::load::{self, Load, Word as LoadWord};
 use crate::node::{Fault, Node};
@@ -9,7 +9,7 @@
 use crate::trace::{Micros, Seen, Trace, What};
 use mallowseam_cow::tree::Tree;
 use mallowseam_endpoint_list::EndpointState;
-use mallowseam_gateway::Asked as Ask;
+use mallowseam_gateway::PlanRequest as Ask;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_plans::change_log::LogEntry;
@@ -73,7 +73,7 @@
 /// Figures of a plan with its limit and burst times so many.
 fn figures(plan: mallowseam_settings::config::Plan, times: f64) -> Plan {
     let (limit, limit_burst) = ((plan.rate_limit * times).max(plan.reserved_rate), plan.burst_units * times);
-    mallowseam_gateway::to_figures(&mallowseam_settings::config::Plan {
+    mallowseam_gateway::replicated_plan(&mallowseam_settings::config::Plan {
         rate_limit: limit,
         burst_units: limit_burst,
         ..plan
@@ -363,8 +363,14 @@
         self.askers.push(std::thread::spawn(move || {
             let change = Change::SetPlan { name: plan.name.clone(), plan: figures(plan, times) };
             let (author, reason) = ("rehearsal".into(), format!("change {number}"));
-            let asked =
-                Ask::Set { change, expected: None, author, reason: reason.clone(), dry: false, wait: true };
+            let asked = Ask::Set {
+                change,
+                expected: None,
+                author,
+                reason: reason.clone(),
+                dry_run: false,
+                wait: true,
+            };
             let at = trace.now();
             let line = serde_json::to_string(&asked).expect("plain");
             let done = mallowseam_gateway::ask(&sock, &line).is_ok();
@@ -383,7 +389,7 @@
             let line = serde_json::to_string(what).expect("plain");
             mallowseam_gateway::ask(&sock, &line).map_err(|e| e.to_string())
         };
-        let history = match ask(&Ask::History { from: 1, most: 10_000 }) {
+        let history = match ask(&Ask::History { from: 1, limit: 10_000 }) {
             Ok(text) => text,
             Err(e) => {
                 self.unclean.push(format!("the trail: {e}"));
@@ -611,7 +617,7 @@
         let tree = mallowseam_gateway::ask(&sock, "tree").map_err(|e| e.to_string());
         let tree: Result<Tree, String> =
             tree.and_then(|t| serde_json::from_str(&t).map_err(|e| e.to_string()));
-        let mut client = match Counter::open(self.host_addresses[0], Some(TARGET), 900) {
+        let mut client = match BlockingClient::open(self.host_addresses[0], Some(TARGET), 900) {
             Ok(client) => client,
             Err(e) => {
                 self.unclean.push(format!("reading back: {e}"));
@@ -675,7 +681,10 @@
                 let cdb = mallowseam_iscsi::scsi::rw16(true, lba, 8, audit::COPY_MARK);
                 let mut answer = Err(String::new());
                 for _ in 0..20 {
-                    answer = client.ask(*unit, &cdb, 0, block::write(id, lba, 8)).map(|a| a.status);
+                    answer = client
+                        .execute(*unit, &cdb, 0, block::write(id, lba, 8))
+                        .map(|a| a.status)
+                        .map_err(|e| e.to_string());
                     if answer == Ok(0) {
                         wanted[lba as usize..lba as usize + 8].fill(Some(id));
                         break;
@@ -798,7 +807,7 @@
 const CLONE_IDS: u64 = 1 << 48;
 
 /// Which write each block of a unit shows. Turned away, it tries again for a while.
-fn read_unit(client: &mut Counter, unit: u32, blocks: u64) -> Result<Vec<Option<u64>>, String> {
+fn read_unit(client: &mut BlockingClient, unit: u32, blocks: u64) -> Result<Vec<Option<u64>>, String> {
     let mut out = Vec::new();
     let mut lba = 0;
     while lba < blocks {
@@ -807,7 +816,9 @@
         let mut last = String::new();
         let mut found = None;
         for _ in 0..50 {
-            let answer = client.ask(unit, &cdb, count as usize * block::SIZE, Vec::new())?;
+            let answer = client
+                .execute(unit, &cdb, count as usize * block::SIZE, Vec::new())
+                .map_err(|e| e.to_string())?;
             if answer.status == 0 {
                 found = Some(answer.data);
                 break;
