--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -113,12 +113,12 @@
         self.act(|membership, now, sink| membership.set_active_versions(versions, now, sink));
     }
 
-    /// Tells other members that this host shuts down gracefully and still serves.
+    /// Notifies other members that this host shuts down gracefully and still serves.
     pub fn announce_leaving(&mut self) {
         self.act(Membership::announce_leaving);
     }
 
-    /// Tells other members that this process ends.
+    /// Notifies other members that this process ends.
     pub fn announce_left(&mut self) {
         self.act(Membership::announce_left);
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One member of the table: its newest record, and what the failure detector says of it.
+//! One member of the table: its newest record, and the verdict of the failure detectors.
 use crate::Millis;
 use crate::config::SUSPICION_CONFIRMATIONS;
 use crate::record::{GossipUpdate, Lifecycle, MemberRecord, MemberState};
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -29,7 +29,7 @@
 
 /// Calls of [`Membership::tick`] in a protocol period.
 const TICKS_PER_PERIOD: Millis = 10;
-/// Members that are told directly that this host leaves.
+/// Members that are notified directly that this host leaves.
 const MAX_LEAVE_DATAGRAMS: usize = 512;
 /// Lowest bits of a generation that are drawn at random, so that of two processes that start within the same millisecond
 /// one is the later.
@@ -191,12 +191,12 @@
         self.seed_index = 0;
     }
 
-    /// This host shuts down gracefully and still serves: tells other members at once.
+    /// This host shuts down gracefully and still serves: notifies other members at once.
     pub fn announce_leaving(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         self.announce(Lifecycle::Leaving, now, sink);
     }
 
-    /// This process ends: tells other members at once. Nothing of this generation follows.
+    /// This process ends: notifies other members at once. Nothing of this generation follows.
     pub fn announce_left(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         self.announce(Lifecycle::Left, now, sink);
     }
--- a/crates/fleet/src/membership/failure_detection.rs
+++ b/crates/fleet/src/membership/failure_detection.rs
@@ -95,7 +95,7 @@
     /// The period ended without an ack: the pinged member is suspected.
     fn conclude_ping(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let Some(ping) = self.failure_detector.pending.take() else { return };
-        // None of the members that were asked said anything: this host itself may be cut off.
+        // None of the requested members reported a result: this host itself may be cut off.
         if ping.requested > 0 && ping.failed == 0 {
             self.failure_detector.lower_health(&self.config);
         }
--- a/crates/fleet/src/membership/name_conflict.rs
+++ b/crates/fleet/src/membership/name_conflict.rs
@@ -73,7 +73,7 @@
 
     fn merge_later_generation(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
         let record = &update.record;
-        // One at this very address, or one that is said to have ended, can't be another process that is alive.
+        // One at this very address, or one that is reported as ended, can't be another process that is alive.
         let has_ended = record.address == self.own_record.address
             || record.lifecycle == Lifecycle::Left
             || update.suspected_by.is_some();
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -61,7 +61,7 @@
     }
 
     /// Merges the sender's record and all updates. Returns the records of this host that are newer than what the sender
-    /// told of other members.
+    /// sent about other members.
     fn merge_updates(
         &mut self,
         message: &GossipMessage,
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -35,7 +35,7 @@
     Joining,
     /// Up.
     Alive,
-    /// Did not answer, or another member says so; it may still refute that.
+    /// Did not answer this host or another member; it may still refute that.
     Suspect,
     /// Did not refute a suspicion in time.
     Unreachable,
