--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -44,6 +44,20 @@
         }
     }
 
+    /// For a host that proposes a location for an extent it has copied: the location that another host was first to
+    /// propose. None: the change can be applied.
+    ///
+    /// # Errors
+    ///
+    /// Any other reason why the change cannot be applied.
+    pub fn conflicting_location(&self, change: &Change) -> Result<Option<Location>, ChangeError> {
+        match self.check(change) {
+            Ok(()) => Ok(None),
+            Err(ChangeError::AlreadyPlaced(first)) => Ok(Some(first)),
+            Err(error) => Err(error),
+        }
+    }
+
     fn check_layer_ids_left(&self) -> Result<(), ChangeError> {
         if FIRST_LAYER_ID + self.layers_created > LAST_LAYER_ID {
             return Err(ChangeError::LayerIdsExhausted);
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -2,7 +2,7 @@
 use crate::Millis;
 use crate::leases::LEASE_DURATION;
 use crate::messages::TreeVersion;
-use crate::tree::{Change, ChangeError, ExtentLocation, LayerId, Location, Tree};
+use crate::tree::{Change, ExtentLocation, LayerId, Location, Tree};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
@@ -261,17 +261,3 @@
     let is_closed = tree.layers[&layer].closed_nodes.contains(&location.node);
     if is_closed { Lookup::CopyFirst { into: head, from: Some((layer, location)) } } else { Lookup::Blocked }
 }
-
-/// What the catalog answers a host that proposes a location for an extent it has copied: none if the location may be
-/// taken, or the one that was first.
-///
-/// # Errors
-///
-/// Any other reason why the extent cannot be placed.
-pub fn check_placement(tree: &Tree, change: &Change) -> Result<Option<Location>, ChangeError> {
-    match tree.check(change) {
-        Ok(()) => Ok(None),
-        Err(ChangeError::AlreadyPlaced(first)) => Ok(Some(first)),
-        Err(error) => Err(error),
-    }
-}
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -13,7 +13,7 @@
 use mallowseam_cow::reclaim::{BATCH_SIZE, Reclaimer};
 use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
-use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica, check_placement};
+use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
 use std::collections::{BTreeSet, VecDeque};
 
 const STEPS: usize = 2_000;
@@ -280,7 +280,7 @@
         let Some(slot) = slot else { return };
         let location = Location { node: self.rng.below(NODES) as u32, slot };
         let change = Change::ExtentPlaced { layer, extent, location };
-        match check_placement(&self.tree, &change) {
+        match self.tree.conflicting_location(&change) {
             Ok(None) => {
                 if self.apply(change) {
                     self.awaiting_writable.push((self.tree.version, layer, extent));
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -7,7 +7,6 @@
 use mallowseam_cow::consistent_cut::decide_completion;
 use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
 use mallowseam_cow::tree::{Change, LayerId, Location};
-use mallowseam_cow::tree_replica::check_placement;
 use mallowseam_iscsi::scsi;
 
 /// A host that has said hello, with the tree that it holds.
@@ -86,7 +85,7 @@
     /// A host has copied an extent. A copy that came second is unmapped again.
     fn on_proposed_location(&mut self, host: PeerId, layer: LayerId, extent: u32, location: Location) {
         let change = Change::ExtentPlaced { layer, extent, location };
-        match check_placement(self.tree(), &change) {
+        match self.tree().conflicting_location(&change) {
             Ok(None) => {
                 if let Ok(version) = self.propose(change) {
                     self.pending_locations.push(PendingLocation { version, layer, extent });
