--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -410,7 +410,7 @@
             let at = plan.and_then(|name| wanted.plans.iter().position(|p| p.name == *name));
             v.plan = at.ok_or_else(|| format!("volume {} has no plan", v.name))?;
         }
-        reload::evaluate(&self.site, &wanted).map_err(|against| against.join("; "))
+        reload::evaluate(&self.site, &wanted).map_err(|e| e.to_string().replace('\n', "; "))
     }
 
     fn put(&mut self, taken: reload::ReloadOutcome) {
@@ -420,7 +420,7 @@
         }
         let changed = self.desk.planned(&taken.volume_plans);
         self.scheduler.planned(self.desk.now, &terms::plans(&self.site), &changed);
-        taken.changes.iter().for_each(|what| tracing::info!(what, "plans taken up"));
+        taken.changes.iter().for_each(|change| tracing::info!(what = change.to_string(), "plans taken up"));
     }
 
     fn hear_list(&mut self) {
@@ -484,11 +484,11 @@
         }
         let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
         let wanted = mallowseam_settings::parse(file, &text).map_err(|problems| problems.to_string())?;
-        let taken = reload::evaluate(&self.site, &wanted).map_err(|against| against.join("\n"))?;
+        let taken = reload::evaluate(&self.site, &wanted).map_err(|e| e.to_string())?;
         if taken.changes.is_empty() {
             return Ok("nothing is different".into());
         }
-        let told = taken.changes.join("\n");
+        let told = taken.summary();
         self.put(taken);
         Ok(told)
     }
--- a/crates/gateway/src/shares.rs
+++ b/crates/gateway/src/shares.rs
@@ -346,8 +346,8 @@
         }
         let edited = match edit::apply_shares(&text, &site, &shares) {
             Ok(edited) => edited,
-            Err(mut unknown) => {
-                against.append(&mut unknown);
+            Err(unknown) => {
+                against.push(unknown.to_string());
                 String::new()
             }
         };
@@ -355,9 +355,8 @@
             return Err(against.join("\n"));
         }
         let wanted = mallowseam_settings::parse(&name, &edited).map_err(|problems| problems.to_string())?;
-        let taken = reload::evaluate(&site, &wanted).map_err(|against| against.join("\n"))?;
-        let told =
-            if taken.changes.is_empty() { "nothing is different".into() } else { taken.changes.join("\n") };
+        let taken = reload::evaluate(&site, &wanted).map_err(|e| e.to_string())?;
+        let told = if taken.changes.is_empty() { "nothing is different".into() } else { taken.summary() };
         if write && !taken.changes.is_empty() {
             replace(conf, edited.as_bytes()).map_err(|e| format!("{name}: {e}"))?;
             return Ok(format!("{told}\nwritten; `mallowseam reload {name}` has the host take it up"));
--- a/crates/lab/src/sharesday.rs
+++ b/crates/lab/src/sharesday.rs
@@ -58,7 +58,8 @@
         let mut even = 0.0;
         for (way, name) in WAYS {
             let shares = shares(&scene, &site, way)?;
-            scene.site = edit::apply_shares(&text, &site, &shares).map_err(|e| e.join("; "))?;
+            scene.site =
+                edit::apply_shares(&text, &site, &shares).map_err(|e| e.to_string().replace('\n', "; "))?;
             let outcome = rehearse::run(&scene, seed, program, &mut |_, _| {})?;
             let day = count(&site, &outcome);
             if way == Way::Even {
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -1,6 +1,6 @@
-//! Pins of the wire: the exact bytes that this package writes and what it reads out of every form that it accepts or
-//! refuses. The expected texts stand in `pinned/`; they name fields in words of their own, so that renaming a
-//! field in the code changes nothing here.
+//! Pinned wire formats: the exact bytes that this package writes, and what it reads out of every form that it accepts or
+//! rejects. The recorded texts in `pinned/` name fields in words of their own, so that renaming a field in the code
+//! changes nothing here.
 use mallowseam_http1::{Limits, RequestHead, ResponseHead};
 use mallowseam_platform::endpoints::{Endpoint, Health, WatchEvent, WatchFrame};
 use mallowseam_platform::interner::{InternError, NameInterner};
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 
-const BOUNDS: Limits = Limits { head: 8192, body: 65536 };
+const LIMITS: Limits = Limits { head: 8192, body: 65536 };
 
-/// A text without the names that types have in the code; serde puts them into its messages.
+/// A text without the names of types, which serde puts into its messages.
 fn without_types(text: &str) -> String {
     text.replace("struct WatchEvent", "struct LIST").replace("struct Endpoint", "struct ENTRY")
 }
@@ -30,9 +30,9 @@
 }
 
 /// SplitMix64.
-struct Draws(u64);
+struct Rng(u64);
 
-impl Draws {
+impl Rng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -65,7 +65,7 @@
 }
 
 fn request_head(text: &str) -> RequestHead<'_> {
-    RequestHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole")
+    RequestHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete")
 }
 
 const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a", "b"],
@@ -76,12 +76,12 @@
   "extra": {"class_writes": [false, true], "largest": 8, "mean_units": 2.0},
   "limits": {"connect_timeout_us": 250000}}"#;
 
-fn small() -> PlatformSettings {
-    settings::parse(SETTINGS).expect("sound")
+fn small_settings() -> PlatformSettings {
+    settings::parse(SETTINGS).expect("valid")
 }
 
 #[test]
-fn bytes_of_every_answer() {
+fn response_bytes() {
     let mut found = String::new();
     for (name, status) in [("shed", response::SHED_STATUS), ("failed", response::FAILED_STATUS)] {
         writeln!(found, "{name}: {status}").expect("memory");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn bytes_of_every_request_to_a_node() {
+fn forwarded_request_bytes() {
     let headers = "Host: service.internal\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Priority-Class: book\r\n\
                    X-Qos-Policy: gold\r\nX-Timeout-Ms: 480\r\n";
     let placement = "X-Placement: units=2,shard=5,hosts=3\r\n";
@@ -161,11 +161,11 @@
 }
 
 #[test]
-fn what_every_answer_of_a_node_says() {
+fn parsed_node_responses() {
     let mut found = String::new();
     let mut said = |lines: &str| {
         let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
-        let head = ResponseHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
+        let head = ResponseHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete");
         let said = response::parse(&head);
         let Report { waiting, service_ms, busy } = said.load_report;
         writeln!(
@@ -219,7 +219,7 @@
     pinned("answers_read.txt", &found);
 }
 
-fn entry(e: &Endpoint) -> String {
+fn show_endpoint(e: &Endpoint) -> String {
     let health = match e.health {
         Health::Ready => "ready",
         Health::Draining => "draining",
@@ -231,18 +231,18 @@
     )
 }
 
-fn news(n: &WatchEvent) -> String {
-    let entries: Vec<String> = n.endpoints.iter().map(entry).collect();
+fn show_event(n: &WatchEvent) -> String {
+    let entries: Vec<String> = n.endpoints.iter().map(show_endpoint).collect();
     format!("seq {} whole {} {}", n.version, n.full_snapshot, entries.concat())
 }
 
-fn front(text: &[u8]) -> String {
+fn show_frame(text: &[u8]) -> String {
     match endpoints::parse_frame(text) {
         WatchFrame::Incomplete => "part".into(),
         WatchFrame::Heartbeat { len } => format!("empty {len}"),
-        WatchFrame::Event { event, len } => format!("news {len}: {}", news(&event)),
+        WatchFrame::Event { event, len } => format!("news {len}: {}", show_event(&event)),
         WatchFrame::Corrupt { error, closing } => {
-            let closing: Vec<String> = closing.iter().map(entry).collect();
+            let closing: Vec<String> = closing.iter().map(show_endpoint).collect();
             format!("wrong: {error}; {}", closing.concat())
         }
     }
@@ -263,13 +263,13 @@
     };
     let named = |len: usize| of(true, &ENTRY.replace("s-1", &"x".repeat(len)));
     let indented =
-        serde_json::to_string_pretty(&serde_json::from_str::<Value>(&of(true, &all)).expect("sound"));
+        serde_json::to_string_pretty(&serde_json::from_str::<Value>(&of(true, &all)).expect("valid"));
     let closing = |bad: &str| of(false, &[bad, BARE, GONE, &BARE.replace("s-2", "")].join(","));
     vec![
         ("full", of(true, &all)),
         ("incremental", of(false, &all)),
         ("empty", of(false, "")),
-        ("indented", indented.expect("sound")),
+        ("indented", indented.expect("valid")),
         ("4096 entries", many(4_096)),
         ("4097 entries", many(4_097)),
         ("a name of 128", named(128)),
@@ -297,57 +297,58 @@
 }
 
 /// The front of a text, so much of it.
-fn shortened(text: String) -> String {
+fn truncated(text: String) -> String {
     if text.len() <= 600 { text } else { format!("{}… {} bytes", &text[..200], text.len()) }
 }
 
 #[test]
-fn what_every_form_of_a_list_says() {
+fn parsed_endpoint_lists() {
     let mut found = String::new();
     for (name, text) in lists() {
-        let read =
-            endpoints::parse(text.as_bytes()).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
-        writeln!(found, "{name}, read: {}", shortened(read)).expect("memory");
-        writeln!(found, "{name}, front: {}", shortened(front(text.as_bytes()))).expect("memory");
+        let read = endpoints::parse(text.as_bytes())
+            .map_or_else(|why| format!("refused: {}", why), |n| show_event(&n));
+        writeln!(found, "{name}, read: {}", truncated(read)).expect("memory");
+        writeln!(found, "{name}, front: {}", truncated(show_frame(text.as_bytes()))).expect("memory");
         if let Ok(value) = serde_json::from_str(&text) {
-            let of = endpoints::from_json(value).map_or_else(|why| format!("refused: {}", why), |n| news(&n));
-            writeln!(found, "{name}, of: {}", shortened(of)).expect("memory");
+            let of = endpoints::from_json(value)
+                .map_or_else(|why| format!("refused: {}", why), |n| show_event(&n));
+            writeln!(found, "{name}, of: {}", truncated(of)).expect("memory");
         }
     }
     for text in
         [&b""[..], b"\n", b"\r\n", b" ", b" \n ", b"\n\n{", b"\xff", b"{\"seq\":\xff", b"nul", b"nulx", b"12"]
     {
-        writeln!(found, "front of {}: {}", bytes(text), front(text)).expect("memory");
+        writeln!(found, "front of {}: {}", bytes(text), show_frame(text)).expect("memory");
     }
     writeln!(found, "bytes: {}", endpoints::MAX_LIST_BYTES).expect("memory");
     pinned("lists_read.txt", &found);
 }
 
 #[test]
-fn a_list_cut_at_every_byte_and_garbled() {
+fn truncated_and_corrupted_endpoint_lists() {
     let mut hash = Hash::new();
-    let mut draws = Draws(7);
+    let mut rng = Rng(7);
     for (_, text) in lists().into_iter().filter(|l| l.1.len() < 1_000) {
         for end in 0..text.len() {
             let cut = &text.as_bytes()[..end];
-            hash.add(&front(cut));
-            hash.add(&endpoints::parse(cut).map_or_else(|why| why.to_string(), |n| news(&n)));
+            hash.add(&show_frame(cut));
+            hash.add(&endpoints::parse(cut).map_or_else(|why| why.to_string(), |n| show_event(&n)));
         }
         for _ in 0..60 {
-            let mut garbled = text.clone().into_bytes();
-            if !garbled.is_empty() {
-                let place = draws.below(garbled.len());
-                garbled[place] = b"0\"x,}\n- "[draws.below(8)];
+            let mut corrupted = text.clone().into_bytes();
+            if !corrupted.is_empty() {
+                let place = rng.below(corrupted.len());
+                corrupted[place] = b"0\"x,}\n- "[rng.below(8)];
             }
-            hash.add(&front(&garbled));
+            hash.add(&show_frame(&corrupted));
         }
     }
     assert_eq!(hash.0, HASHES[0], "{:#x}", hash.0);
 }
 
 #[test]
-fn what_the_scheduler_hears_of_a_list() {
-    let settings = small();
+fn interned_endpoints() {
+    let settings = small_settings();
     let mut names = NameInterner::default();
     let mut found = String::new();
     let site = |entry: &str, site: &str| entry.replace("\"site\":\"a\"", &format!("\"site\":\"{site}\""));
@@ -368,7 +369,7 @@
     ];
     let mut listed = Vec::new();
     for line in &lines {
-        names.intern_endpoints(&endpoints::parse(line.as_bytes()).expect("sound"), &settings, &mut listed);
+        names.intern_endpoints(&endpoints::parse(line.as_bytes()).expect("valid"), &settings, &mut listed);
         for l in &listed {
             let state = match l.state {
                 NodeState::Active => "active",
@@ -386,7 +387,7 @@
     pinned("lists_heard.txt", &found);
 }
 
-/// A sound write, with one line replaced; `""` takes it out.
+/// A valid write, with one line replaced; `""` takes it out.
 fn request_with(prefix: &str, line: &str) -> String {
     let lines = [
         "PUT /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1",
@@ -403,8 +404,8 @@
     format!("{}\r\n\r\n", all.join("\r\n"))
 }
 
-fn asked(text: &str, body: usize, named: &PlatformSettings) -> String {
-    let head = match RequestHead::parse(text.as_bytes(), BOUNDS) {
+fn show_request(text: &str, body: usize, named: &PlatformSettings) -> String {
+    let head = match RequestHead::parse(text.as_bytes(), LIMITS) {
         Ok(Some(head)) => head,
         Ok(None) => return "cut".into(),
         Err(fault) => return format!("no head: {}", fault.message()),
@@ -514,24 +515,26 @@
 }
 
 #[test]
-fn what_every_request_asks_for_or_why_it_is_refused() {
-    let settings = small();
-    let unbounded = settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("sound");
+fn parsed_requests_and_their_errors() {
+    let settings = small_settings();
+    let unbounded = settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("valid");
     let mut found = String::new();
     for (prefix, line) in changed_requests() {
         let text = request_with(prefix, &line);
         let shown = bytes(line.as_bytes());
-        writeln!(found, "{prefix} -> {shown}: {}", asked(&text, 5, &settings)).expect("memory");
+        writeln!(found, "{prefix} -> {shown}: {}", show_request(&text, 5, &settings)).expect("memory");
     }
     let read = "GET /look/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: s\r\nX-Request-ID: a\r\n\
                 X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 9\r\n\
                 X-Placement: units=80,shard=-1,hosts=1\r\n\r\n";
     for body in [0, 1] {
-        writeln!(found, "a read of 80 units, body {body}: {}", asked(read, body, &unbounded))
+        writeln!(found, "a read of 80 units, body {body}: {}", show_request(read, body, &unbounded))
+            .expect("memory");
+        writeln!(found, "a read of 80 units, body {body}: {}", show_request(read, body, &settings))
             .expect("memory");
-        writeln!(found, "a read of 80 units, body {body}: {}", asked(read, body, &settings)).expect("memory");
         let put = read.replace("GET", "PUT").replace("units=80", "units=8");
-        writeln!(found, "a write of a class that reads: {}", asked(&put, body, &settings)).expect("memory");
+        writeln!(found, "a write of a class that reads: {}", show_request(&put, body, &settings))
+            .expect("memory");
     }
     for wrong in [
         RequestError::UnknownPath,
@@ -551,23 +554,23 @@
 }
 
 #[test]
-fn requests_garbled_anywhere() {
-    let (settings, mut hash, mut draws) = (small(), Hash::new(), Draws(11));
-    let sound = request_with("\0", "");
+fn corrupted_requests() {
+    let (settings, mut hash, mut rng) = (small_settings(), Hash::new(), Rng(11));
+    let valid = request_with("\0", "");
     for _ in 0..6_000 {
-        let mut text = sound.clone().into_bytes();
-        for _ in 0..=draws.below(2) {
-            let place = draws.below(text.len());
-            text[place] = b"05aX,=-/ :\r\n"[draws.below(12)];
+        let mut text = valid.clone().into_bytes();
+        for _ in 0..=rng.below(2) {
+            let place = rng.below(text.len());
+            text[place] = b"05aX,=-/ :\r\n"[rng.below(12)];
         }
-        hash.add(&asked(&String::from_utf8(text).expect("ASCII"), draws.below(2) * 5, &settings));
+        hash.add(&show_request(&String::from_utf8(text).expect("ASCII"), rng.below(2) * 5, &settings));
     }
     assert_eq!(hash.0, HASHES[1], "{:#x}", hash.0);
 }
 
 #[test]
-fn the_block_io_that_a_request_becomes() {
-    let settings = small();
+fn interned_requests() {
+    let settings = small_settings();
     let mut names = NameInterner::default();
     let mut found = String::new();
     let requests = [
@@ -610,7 +613,7 @@
         let text = request_with("\0", "").replace("00000003b4d60021", &format!("{volume:016x}"));
         let text = text.replace("9b1f", &format!("v{volume}"));
         let Ok(ClientRequest::BlockIo(block)) = request::parse(&request_head(&text), 5, &settings) else {
-            panic!("sound")
+            panic!("valid")
         };
         took += u32::from(names.intern_request(BioId(9), &block, 0, &settings).is_ok());
     }
@@ -643,7 +646,7 @@
     format!("usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}", p.wt, p.price)
 }
 
-fn settled(n: &PlatformSettings) -> String {
+fn show_settings(n: &PlatformSettings) -> String {
     let t = &n.scheduler;
     let mut out = String::new();
     for (name, g) in n.class_names.iter().zip(&t.groups) {
@@ -720,17 +723,17 @@
 
 fn read_settings(v: &Value) -> String {
     match settings::from_json(v) {
-        Ok(named) => settled(&named),
+        Ok(named) => show_settings(&named),
         Err(why) => format!("  refused: {why}\n").replace('\n', "\n  ").trim_end().to_owned() + "\n",
     }
 }
 
 /// Paths of all values in a JSON object.
-fn paths(v: &Value, path: &str, into: &mut Vec<String>) {
+fn json_paths(v: &Value, path: &str, into: &mut Vec<String>) {
     let mut visit = |key: String, v: &Value| {
         let path = format!("{path}/{key}");
         into.push(path.clone());
-        paths(v, &path, into);
+        json_paths(v, &path, into);
     };
     match v {
         Value::Object(fields) => fields.iter().for_each(|(k, v)| visit(k.clone(), v)),
@@ -753,19 +756,19 @@
     all
 }
 
-/// Only the lines that differ from those of the sound text.
-fn differing(sound: &str, found: &str) -> String {
-    let sound: Vec<&str> = sound.lines().collect();
-    found.lines().filter(|l| !sound.contains(l)).map(|l| format!("{l}\n")).collect()
+/// Only the lines that differ from those of the valid text.
+fn differing(valid: &str, found: &str) -> String {
+    let valid: Vec<&str> = valid.lines().collect();
+    found.lines().filter(|l| !valid.contains(l)).map(|l| format!("{l}\n")).collect()
 }
 
 #[test]
-fn what_every_setting_says_absent_or_replaced() {
+fn settings_with_each_field_absent_or_replaced() {
     let all = every_setting();
-    let sound = read_settings(&all);
-    let mut found = format!("all:\n{sound}");
+    let valid = read_settings(&all);
+    let mut found = format!("all:\n{valid}");
     let mut every = Vec::new();
-    paths(&all, "", &mut every);
+    json_paths(&all, "", &mut every);
     let values = [
         None,
         Some(json!("soon")),
@@ -779,7 +782,7 @@
         for value in &values {
             let shown = value.as_ref().map_or("absent".into(), Value::to_string);
             let read = read_settings(&with(&all, path, value.clone()));
-            write!(found, "{path} {shown}:\n{}", differing(&sound, &read)).expect("memory");
+            write!(found, "{path} {shown}:\n{}", differing(&valid, &read)).expect("memory");
         }
     }
     for (path, value) in [
@@ -790,10 +793,10 @@
         ("/service_levels/1/name", "copper"),
     ] {
         let read = read_settings(&with(&all, path, Some(json!(value))));
-        write!(found, "{path} {value}:\n{}", differing(&sound, &read)).expect("memory");
+        write!(found, "{path} {value}:\n{}", differing(&valid, &read)).expect("memory");
     }
     for text in ["", "{}", "[1]", "3", "{\"balancers\":1"] {
-        let read = settings::parse(text).map_or_else(|why| why.to_string(), |n| settled(&n));
+        let read = settings::parse(text).map_or_else(|why| why.to_string(), |n| show_settings(&n));
         writeln!(found, "text {text}: {read}").expect("memory");
     }
     pinned("settings.txt", &found);
@@ -802,10 +805,10 @@
 fn every_config() -> Value {
     json!({"name": "n3", "listen": "127.0.0.4:8443", "discovery": "127.2.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 0.75, "memory_mb": 32.9, "sockets": 256},
-        "known": {"seq": 41, "whole": true, "hosts": [serde_json::from_str::<Value>(ENTRY).expect("sound")]},
+        "known": {"seq": 41, "whole": true, "hosts": [serde_json::from_str::<Value>(ENTRY).expect("valid")]},
         "fleet": {"name": "south", "listen": "127.0.0.4:7000", "reached_at": "10.0.0.4:7001", "zone": "z1",
                   "seeds": ["127.0.0.5:7000", "127.0.0.6:7000"], "period_ms": 500, "keep_s": 7200},
-        "settings": serde_json::from_str::<Value>(SETTINGS).expect("sound")})
+        "settings": serde_json::from_str::<Value>(SETTINGS).expect("valid")})
 }
 
 fn read_config(text: &str) -> String {
@@ -821,7 +824,7 @@
         c.seed, c.cpu_cores, c.memory_mb, c.max_sockets
     )
     .expect("memory");
-    writeln!(out, "  known {}", c.cached_list.as_ref().map_or("none".into(), news)).expect("memory");
+    writeln!(out, "  known {}", c.cached_list.as_ref().map_or("none".into(), show_event)).expect("memory");
     match &c.fleet {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
@@ -838,7 +841,7 @@
         ),
     }
     .expect("memory");
-    let settings = settled(&c.settings);
+    let settings = show_settings(&c.settings);
     let mut hash = Hash::new();
     hash.add(&settings);
     writeln!(out, "  settings {:x}", hash.0).expect("memory");
@@ -846,12 +849,12 @@
 }
 
 #[test]
-fn what_every_configuration_says_absent_or_replaced() {
+fn configurations_with_each_field_absent_or_replaced() {
     let all = every_config();
-    let sound = read_config(&all.to_string());
-    let mut found = format!("all:\n{sound}");
+    let valid = read_config(&all.to_string());
+    let mut found = format!("all:\n{valid}");
     let mut every = Vec::new();
-    paths(&all, "", &mut every);
+    json_paths(&all, "", &mut every);
     every.retain(|p| !p.starts_with("/settings/"));
     let values = [
         None,
@@ -868,7 +871,7 @@
         for value in &values {
             let shown = value.as_ref().map_or("absent".into(), Value::to_string);
             let read = read_config(&with(&all, path, value.clone()).to_string());
-            write!(found, "{path} {shown}:\n{}", differing(&sound, &read)).expect("memory");
+            write!(found, "{path} {shown}:\n{}", differing(&valid, &read)).expect("memory");
         }
     }
     for (path, value) in [
@@ -884,7 +887,7 @@
         ("/settings/registry_mode", json!("x")),
     ] {
         let read = read_config(&with(&all, path, Some(value.clone())).to_string());
-        write!(found, "{path} {value}:\n{}", differing(&sound, &read)).expect("memory");
+        write!(found, "{path} {value}:\n{}", differing(&valid, &read)).expect("memory");
     }
     for text in ["", "{}", "[1]", "3", "{\"name\":\"n3\""] {
         write!(found, "text {text}: {}", read_config(text)).expect("memory");
@@ -893,14 +896,14 @@
 }
 
 #[test]
-fn configurations_garbled_anywhere() {
-    let (mut hash, mut draws) = (Hash::new(), Draws(13));
-    let sound = every_config().to_string();
+fn corrupted_configurations() {
+    let (mut hash, mut rng) = (Hash::new(), Rng(13));
+    let valid = every_config().to_string();
     for _ in 0..3_000 {
-        let mut text = sound.clone().into_bytes();
-        let place = draws.below(text.len());
-        match draws.below(3) {
-            0 => text[place] = b"0x,-\"}1 "[draws.below(8)],
+        let mut text = valid.clone().into_bytes();
+        let place = rng.below(text.len());
+        match rng.below(3) {
+            0 => text[place] = b"0x,-\"}1 "[rng.below(8)],
             1 => drop(text.remove(place)),
             _ => text.truncate(place),
         }
@@ -909,5 +912,5 @@
     assert_eq!(hash.0, HASHES[2], "{:#x}", hash.0);
 }
 
-/// Hashes of what is too long to be written out: lists, requests and configurations, cut and garbled.
+/// Hashes of what is too long to be written out: lists, requests and configurations, cut and corrupted.
 const HASHES: [u64; 3] = [0xab7b_744b_2ec9_f362, 0x14f2_7b91_2242_e283, 0x17a0_7aa9_ee86_50da];
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -1,159 +1,190 @@
-//! Writes worked-out shares into a configuration's own text: comments, order and all other lines stay.
-use crate::config::GatewayConfig;
-use crate::lines::{Diagnostics, tokenize};
+//! Writes computed shares into the text of a configuration. Comments, order and all other lines stay as they are.
+use crate::config::{GatewayConfig, Plan};
+use crate::diagnostics::Diagnostics;
+use crate::tokens::{Token, tokenize};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
-/// Figures of one volume; the reserve in thousandths of a unit a second.
+/// Indent of a directive in a section that has none yet, in blanks.
+const DEFAULT_INDENT: usize = 4;
+
+/// The computed figures of one volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
+    /// The volume's name.
     pub volume: String,
+    /// Its reserved rate, in thousandths of a unit per second.
     pub reserved_milliunits: u64,
+    /// Its weight.
     pub weight: u64,
 }
 
-/// A section: its first line and the lines behind it.
-struct Section {
-    kind: String,
-    name: String,
-    first: usize,
-    end: usize,
+/// Shares of volumes that the configuration does not have. `Display` gives one line each.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}", unknown_lines(.0))]
+pub struct UnknownVolumes(pub Vec<String>);
+
+fn unknown_lines(volumes: &[String]) -> String {
+    let line = |name: &String| format!("volume {name}: the configuration has none of this name");
+    volumes.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// The text with each volume's plan having these figures. A plan of volumes that all get the same is changed
-/// where it stands; where they differ, each gets a plan of its own, named `PLAN-VOLUME`. Errors, a line each: a
-/// volume that the configuration does not have.
+/// The text with these figures in the plans of the volumes. A plan whose volumes all get the same figures is changed
+/// in place; else each of them gets a plan of its own, named `PLAN-VOLUME`. `text` is what `config` was parsed from.
+///
+/// # Errors
 ///
-/// `text` is what `site` was read from.
-pub fn apply_shares(text: &str, site: &GatewayConfig, shares: &[Share]) -> Result<String, Vec<String>> {
-    let unknown = |s: &&Share| !site.volumes.iter().any(|v| v.name == s.volume);
-    let against: Vec<String> = shares
-        .iter()
-        .filter(unknown)
-        .map(|s| format!("volume {}: the configuration has none of this name", s.volume))
-        .collect();
-    if !against.is_empty() {
-        return Err(against);
+/// Some of the volumes are not in the configuration.
+pub fn apply_shares(text: &str, config: &GatewayConfig, shares: &[Share]) -> Result<String, UnknownVolumes> {
+    let is_unknown = |s: &&Share| !config.volumes.iter().any(|v| v.name == s.volume);
+    let unknown: Vec<String> = shares.iter().filter(is_unknown).map(|s| s.volume.clone()).collect();
+    if !unknown.is_empty() {
+        return Err(UnknownVolumes(unknown));
     }
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
-    let of = |volume: &str| shares.iter().find(|s| s.volume == volume);
-    let mut plans: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
-    for v in &site.volumes {
-        plans.entry(v.plan).or_default().push(&v.name);
-    }
-    let mut added: Vec<String> = Vec::new();
-    for (plan, volumes) in plans {
-        let name = &site.plans[plan].name;
-        let wanted: Vec<Option<&Share>> = volumes.iter().map(|v| of(v)).collect();
-        let figures = |s: &Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
-        if let Some(first) = wanted[0]
-            && wanted.iter().all(|w| figures(w) == figures(&wanted[0]))
-        {
-            change(&mut lines, name, first);
+    let mut added_plans: Vec<String> = Vec::new();
+    for (plan, volumes) in volumes_by_plan(config) {
+        let plan = &config.plans[plan];
+        let wanted: Vec<Option<&Share>> =
+            volumes.iter().map(|volume| shares.iter().find(|s| s.volume == *volume)).collect();
+        if let Some(share) = common_share(&wanted) {
+            set_figures(&mut lines, &plan.name, share);
             continue;
         }
-        for share in wanted.into_iter().flatten() {
-            let old = &site.plans[plan];
-            if old.reserved_rate * 1000.0 == share.reserved_milliunits as f64
-                && old.weight == share.weight as f64
-            {
-                continue;
-            }
-            let own = free_name(site, &format!("{name}-{}", share.volume));
-            added.extend(copied(&lines, name, &own, share));
-            repoint(&mut lines, &share.volume, &own);
+        for share in wanted.into_iter().flatten().filter(|s| !has_figures(plan, s)) {
+            let name = free_plan_name(config, &format!("{}-{}", plan.name, share.volume));
+            added_plans.extend(derived_plan(&lines, &plan.name, &name, share));
+            assign_plan(&mut lines, &share.volume, &name);
         }
     }
-    if !added.is_empty() {
+    if !added_plans.is_empty() {
         lines.push(String::new());
-        lines.extend(added);
+        lines.extend(added_plans);
     }
     Ok(lines.join("\n") + "\n")
 }
 
-fn free_name(site: &GatewayConfig, wanted: &str) -> String {
-    let taken = |name: &str| site.plans.iter().any(|p| p.name == name);
+/// The names of the volumes of each plan, by the plan's index.
+fn volumes_by_plan(config: &GatewayConfig) -> BTreeMap<usize, Vec<&str>> {
+    let mut plans: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
+    for volume in &config.volumes {
+        plans.entry(volume.plan).or_default().push(&volume.name);
+    }
+    plans
+}
+
+/// The share of the first volume, if all volumes get the same figures.
+fn common_share<'a>(wanted: &[Option<&'a Share>]) -> Option<&'a Share> {
+    let figures = |s: Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
+    let first = wanted[0]?;
+    wanted.iter().all(|w| figures(*w) == figures(wanted[0])).then_some(first)
+}
+
+fn has_figures(plan: &Plan, share: &Share) -> bool {
+    plan.reserved_rate * 1000.0 == share.reserved_milliunits as f64 && plan.weight == share.weight as f64
+}
+
+/// This name, or with a number behind it if a plan has it already.
+fn free_plan_name(config: &GatewayConfig, wanted: &str) -> String {
+    let is_taken = |name: &str| config.plans.iter().any(|p| p.name == name);
     let mut name = wanted.to_owned();
     let mut n = 2;
-    while taken(&name) {
+    while is_taken(&name) {
         name = format!("{wanted}-{n}");
         n += 1;
     }
     name
 }
 
+/// A section of the text, by line indices.
+struct Section {
+    keyword: String,
+    name: String,
+    /// The line that opens it.
+    first: usize,
+    /// Behind its last line.
+    end: usize,
+}
+
+/// The tokens of a line that has been parsed before, so that diagnostics are of no interest.
+fn tokens_of(line: &str) -> Vec<Token> {
+    tokenize(1, line, &mut Diagnostics::new(""))
+}
+
 fn sections(lines: &[String]) -> Vec<Section> {
-    let mut all: Vec<Section> = Vec::new();
-    for (i, line) in lines.iter().enumerate() {
-        let mut none = Diagnostics::new("");
-        let words = tokenize(i + 1, line, &mut none);
-        if line.starts_with(char::is_whitespace) || words.is_empty() {
+    let mut sections: Vec<Section> = Vec::new();
+    for (index, line) in lines.iter().enumerate() {
+        let tokens = tokens_of(line);
+        if line.starts_with(char::is_whitespace) || tokens.is_empty() {
             continue;
         }
-        if let Some(last) = all.last_mut() {
-            last.end = i;
+        if let Some(last) = sections.last_mut() {
+            last.end = index;
         }
-        let text = |n: usize| words.get(n).map(|w| w.text.clone()).unwrap_or_default();
-        all.push(Section { kind: text(0), name: text(1), first: i, end: lines.len() });
+        let text = |n: usize| tokens.get(n).map(|t| t.text.clone()).unwrap_or_default();
+        sections.push(Section { keyword: text(0), name: text(1), first: index, end: lines.len() });
     }
-    all
+    sections
 }
 
-fn section(lines: &[String], kind: &str, name: &str) -> Option<Section> {
-    sections(lines).into_iter().find(|s| s.kind == kind && s.name == name)
+fn find_section(lines: &[String], keyword: &str, name: &str) -> Option<Section> {
+    sections(lines).into_iter().find(|s| s.keyword == keyword && s.name == name)
 }
 
-/// The line of a directive in a section.
-fn directive(lines: &[String], section: &Section, name: &str) -> Option<usize> {
-    let mut none = Diagnostics::new("");
-    (section.first + 1..section.end)
-        .find(|i| tokenize(i + 1, &lines[*i], &mut none).first().is_some_and(|w| w.text == name))
+/// The index of the line with a directive in a section.
+fn find_directive(lines: &[String], section: &Section, directive: &str) -> Option<usize> {
+    let is_directive = |index: &usize| tokens_of(&lines[*index]).first().is_some_and(|t| t.text == directive);
+    (section.first + 1..section.end).find(is_directive)
 }
 
+/// The indent of the first directive in a section.
 fn indent(lines: &[String], section: &Section) -> String {
-    let body = lines[section.first + 1..section.end].iter().find(|l| !l.trim().is_empty());
-    let spaces = body.map_or(4, |l| l.len() - l.trim_start().len());
-    " ".repeat(spaces)
+    let first = lines[section.first + 1..section.end].iter().find(|l| !l.trim().is_empty());
+    let blanks = first.map_or(DEFAULT_INDENT, |l| l.len() - l.trim_start().len());
+    " ".repeat(blanks)
 }
 
-/// `reserve` and `weight` as lines.
-fn told(share: &Share, indent: &str) -> [(&'static str, String); 2] {
-    let (whole, part) = (share.reserved_milliunits / 1000, share.reserved_milliunits % 1000);
-    let rate = if part == 0 { format!("{whole}/s") } else { format!("{whole}.{part:03}/s") };
+/// The directives `reserve` and `weight` of a share, each with its line.
+fn figure_lines(share: &Share, indent: &str) -> [(&'static str, String); 2] {
+    let (whole, thousandths) = (share.reserved_milliunits / 1000, share.reserved_milliunits % 1000);
+    let rate = if thousandths == 0 { format!("{whole}/s") } else { format!("{whole}.{thousandths:03}/s") };
     [("reserve", format!("{indent}reserve {rate}")), ("weight", format!("{indent}weight {}", share.weight))]
 }
 
-fn change(lines: &mut Vec<String>, plan: &str, share: &Share) {
-    let Some(found) = section(lines, "plan", plan) else { return };
-    for (name, line) in told(share, &indent(lines, &found)) {
-        let found = section(lines, "plan", plan).expect("just found");
-        match directive(lines, &found, name) {
-            Some(at) => {
-                // What was noted behind the figure stays.
-                let note = lines[at].find('#').map(|i| format!("  {}", &lines[at][i..])).unwrap_or_default();
-                lines[at] = line + &note;
+/// Sets the figures of a plan in place. A comment behind a figure stays.
+fn set_figures(lines: &mut Vec<String>, plan: &str, share: &Share) {
+    let Some(section) = find_section(lines, "plan", plan) else { return };
+    for (directive, line) in figure_lines(share, &indent(lines, &section)) {
+        // The line before may have been inserted: the section has another end now.
+        let section = find_section(lines, "plan", plan).expect("just found");
+        match find_directive(lines, &section, directive) {
+            Some(index) => {
+                let old = &lines[index];
+                let comment = old.find('#').map(|i| format!("  {}", &old[i..])).unwrap_or_default();
+                lines[index] = line + &comment;
             }
-            None => lines.insert(found.first + 1, line),
+            None => lines.insert(section.first + 1, line),
         }
     }
 }
 
-/// A plan like another one, with other figures.
-fn copied(lines: &[String], plan: &str, own: &str, share: &Share) -> Vec<String> {
-    let Some(found) = section(lines, "plan", plan) else { return Vec::new() };
+/// The lines of a plan like another one, with the figures of a share.
+fn derived_plan(lines: &[String], plan: &str, name: &str, share: &Share) -> Vec<String> {
+    let Some(section) = find_section(lines, "plan", plan) else { return Vec::new() };
     let replaced: Vec<usize> =
-        ["reserve", "weight"].iter().filter_map(|d| directive(lines, &found, d)).collect();
-    let mut out = vec![format!("plan {own}")];
-    out.extend(told(share, &indent(lines, &found)).map(|t| t.1));
-    let kept = (found.first + 1..found.end).filter(|i| !replaced.contains(i));
-    out.extend(
-        kept.map(|i| lines[i].clone()).filter(|l| !l.trim().is_empty() && l.starts_with(char::is_whitespace)),
-    );
-    out
-}
-
-fn repoint(lines: &mut [String], volume: &str, plan: &str) {
-    let Some(found) = section(lines, "volume", volume) else { return };
-    if let Some(at) = directive(lines, &found, "plan") {
-        lines[at] = format!("{}plan {plan}", indent(lines, &found));
+        ["reserve", "weight"].iter().filter_map(|d| find_directive(lines, &section, d)).collect();
+    let mut derived = vec![format!("plan {name}")];
+    derived.extend(figure_lines(share, &indent(lines, &section)).map(|(_, line)| line));
+    let copied = (section.first + 1..section.end).filter(|index| !replaced.contains(index));
+    let is_directive = |line: &&String| !line.trim().is_empty() && line.starts_with(char::is_whitespace);
+    derived.extend(copied.map(|index| &lines[index]).filter(is_directive).cloned());
+    derived
+}
+
+/// Gives a volume another plan.
+fn assign_plan(lines: &mut [String], volume: &str, plan: &str) {
+    let Some(section) = find_section(lines, "volume", volume) else { return };
+    if let Some(index) = find_directive(lines, &section, "plan") {
+        lines[index] = format!("{}plan {plan}", indent(lines, &section));
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,20 +1,39 @@
-//! The configuration of a host: a line-based format, one directive a line, in sections. `docs/configuration.md`
-//! lists every directive. A file is read whole: all its problems come back together, each with line, column,
-//! what stood there and what was expected.
-mod check;
+//! The configuration of the gateway: a line-based format in sections, one directive a line.
+//!
+//! `docs/configuration.md` lists every directive. A file is read in full: all errors in it are reported together, each
+//! with line, column, what was found and what was expected.
+//!
+//! - [`parse`]: from text to a [`GatewayConfig`]. The parser reads directives into a draft, in which sections
+//!   refer to each other by name; validation resolves the names and checks that sections agree.
+//! - [`config`]: what a valid configuration contains.
+//! - [`reload`]: what a running host can take over from a changed configuration.
+//! - [`edit`]: writes computed shares into the text of a configuration.
+//! - [`tokenize`], [`Arguments`] and [`Diagnostics`]: the line format itself, for other files of the same form.
+#![warn(missing_docs)]
+
+mod arguments;
 pub mod config;
+mod diagnostics;
 pub mod edit;
-mod lines;
-mod read;
+mod parser;
 pub mod reload;
+mod tokens;
+mod units;
+mod validation;
 
+pub use arguments::Arguments;
 pub use config::GatewayConfig;
-pub use lines::{Arguments, Diagnostic, Diagnostics, Position, Token, tokenize};
+pub use diagnostics::{Diagnostic, Diagnostics, Position};
+pub use tokens::{Token, tokenize};
 
-/// Reads and checks a configuration. `file` is only its name in the problems.
+/// Parses and validates a configuration. `file`: its name in the diagnostics.
+///
+/// # Errors
+///
+/// All that is wrong with the file.
 pub fn parse(file: &str, text: &str) -> Result<GatewayConfig, Diagnostics> {
-    let mut problems = Diagnostics::new(file);
-    let draft = read::read(text, &mut problems);
-    let site = check::check(draft, &mut problems);
-    if problems.is_empty() { Ok(site) } else { Err(problems.sorted()) }
+    let mut diagnostics = Diagnostics::new(file);
+    let draft = parser::parse(text, &mut diagnostics);
+    let config = validation::validate(draft, &mut diagnostics);
+    if diagnostics.is_empty() { Ok(config) } else { Err(diagnostics.sorted()) }
 }
--- /dev/null
+++ b/crates/settings/src/parser/draft.rs
@@ -0,0 +1,135 @@
+//! A configuration whose sections still refer to each other by name.
+use crate::config::{Catalog, Direction, Extent, Fleet, Host, IoClass, Node, Plan, PlanService, Volume};
+use crate::diagnostics::Position;
+use crate::tokens::Token;
+use std::collections::HashSet;
+
+/// A section's values and where it opens.
+#[derive(Default)]
+pub(crate) struct Located<T> {
+    pub(crate) position: Position,
+    pub(crate) value: T,
+}
+
+#[derive(Default)]
+pub(crate) struct Draft {
+    pub(crate) host: Option<Located<Host>>,
+    pub(crate) fleet: Option<Located<Fleet>>,
+    pub(crate) catalog: Option<DraftCatalog>,
+    pub(crate) plan_service: Option<PlanService>,
+    pub(crate) plans: Vec<Located<Plan>>,
+    pub(crate) io_classes: Vec<Located<IoClass>>,
+    pub(crate) volumes: Vec<DraftVolume>,
+    pub(crate) nodes: Vec<Located<Node>>,
+    /// All sections in the order of the file.
+    pub(crate) opened: Vec<OpenedSection>,
+}
+
+#[derive(Default)]
+pub(crate) struct DraftCatalog {
+    pub(crate) catalog: Catalog,
+    pub(crate) copy_class: Option<Token>,
+}
+
+#[derive(Default)]
+pub(crate) struct DraftVolume {
+    pub(crate) position: Position,
+    pub(crate) volume: Volume,
+    pub(crate) plan: Option<Token>,
+    /// Each with the name of its node.
+    pub(crate) extents: Vec<(Extent, Token)>,
+    pub(crate) rules: Vec<DraftRule>,
+}
+
+pub(crate) struct DraftRule {
+    pub(crate) position: Position,
+    pub(crate) direction: Direction,
+    /// First and last block; none: all.
+    pub(crate) range: Option<(u64, u64)>,
+    pub(crate) io_class: Token,
+    /// 0: no ordering key.
+    pub(crate) blocks_per_key: u64,
+}
+
+/// A section of the file and the directives in it.
+pub(crate) struct OpenedSection {
+    pub(crate) position: Position,
+    pub(crate) kind: SectionKind,
+    pub(crate) directives: HashSet<String>,
+}
+
+/// The kinds of sections.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum SectionKind {
+    Host,
+    Fleet,
+    Catalog,
+    PlanService,
+    Plan,
+    IoClass,
+    Volume,
+    Node,
+}
+
+impl SectionKind {
+    const ALL: [SectionKind; 8] = [
+        SectionKind::Host,
+        SectionKind::Fleet,
+        SectionKind::Catalog,
+        SectionKind::PlanService,
+        SectionKind::Plan,
+        SectionKind::IoClass,
+        SectionKind::Volume,
+        SectionKind::Node,
+    ];
+
+    pub(crate) fn from_keyword(keyword: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|kind| kind.keyword() == keyword)
+    }
+
+    /// The word that opens such a section.
+    pub(crate) fn keyword(self) -> &'static str {
+        match self {
+            SectionKind::Host => "host",
+            SectionKind::Fleet => "fleet",
+            SectionKind::Catalog => "catalog",
+            SectionKind::PlanService => "tariffs",
+            SectionKind::Plan => "plan",
+            SectionKind::IoClass => "group",
+            SectionKind::Volume => "volume",
+            SectionKind::Node => "node",
+        }
+    }
+
+    /// Whether a name follows the keyword.
+    pub(crate) fn is_named(self) -> bool {
+        !matches!(self, SectionKind::Fleet | SectionKind::Catalog | SectionKind::PlanService)
+    }
+
+    /// The directives that such a section needs.
+    pub(crate) fn required_directives(self) -> &'static [&'static str] {
+        match self {
+            SectionKind::Host => &["listen", "target", "node-list", "window", "connections", "longest"],
+            SectionKind::Fleet => &["hosts", "unit", "mean-units", "largest-units", "submits"],
+            SectionKind::Catalog => &["listen", "store", "extent", "copies"],
+            SectionKind::PlanService => &["listen", "store"],
+            SectionKind::Plan => &[],
+            SectionKind::IoClass => &["effect", "goal", "hard-limit"],
+            SectionKind::Volume => &["lun", "plan", "blocks", "block-size", "hosts", "rule"],
+            SectionKind::Node => &["address", "target"],
+        }
+    }
+}
+
+impl Draft {
+    /// Whether the file has a section already of a kind of which it may have only one.
+    pub(crate) fn has_single(&self, kind: SectionKind) -> bool {
+        match kind {
+            SectionKind::Host => self.host.is_some(),
+            SectionKind::Fleet => self.fleet.is_some(),
+            SectionKind::Catalog => self.catalog.is_some(),
+            SectionKind::PlanService => self.plan_service.is_some(),
+            SectionKind::Plan | SectionKind::IoClass | SectionKind::Volume | SectionKind::Node => false,
+        }
+    }
+}
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -1,76 +1,202 @@
-//! What a running host can take up of a new configuration without a new start: plans and which volume has which.
-use crate::config::{GatewayConfig, Plan};
+//! What a running host can take over from a changed configuration without a restart: plans, and which volume has which.
+use crate::config::{GatewayConfig, Plan, Volume};
+use std::fmt;
+use thiserror::Error;
 
-/// Plans and volumes as they are to stand. Running plans keep their places, also those that no volume has any
-/// more: block I/Os in hand refer to them.
+/// The plans and volumes to go on with. Running plans keep their indices, also those that no volume has any more:
+/// block I/Os in flight refer to them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadOutcome {
+    /// All plans, running ones first.
     pub plans: Vec<Plan>,
-    /// The plan of each volume, in the running order.
+    /// The index of each volume's plan, in the running order of volumes.
     pub volume_plans: Vec<usize>,
-    /// What is different, a line each.
-    pub changes: Vec<String>,
+    /// What changes.
+    pub changes: Vec<Change>,
 }
 
-/// Works out what is taken up. Errors: all that differs and cannot be taken up, a line each; nothing is then.
-pub fn evaluate(running: &GatewayConfig, wanted: &GatewayConfig) -> Result<ReloadOutcome, Vec<String>> {
-    let mut against = Vec::new();
-    let mut differs = |what: String, differs: bool| {
-        if differs {
-            against.push(format!("{what}: differs from the running one; that needs a new start"));
-        }
-    };
-    differs("section host".into(), running.host != wanted.host);
-    differs("section fleet".into(), running.fleet != wanted.fleet);
-    differs("section catalog".into(), running.catalog != wanted.catalog);
-    differs("section tariffs".into(), running.plan_service != wanted.plan_service);
-    differs("groups".into(), running.io_classes != wanted.io_classes);
-    differs("nodes".into(), running.nodes != wanted.nodes);
-    for v in &running.volumes {
-        let same = |w: &&crate::config::Volume| w.name == v.name;
-        let Some(found) = wanted.volumes.iter().find(same) else {
-            against.push(format!("volume {}: is gone; that needs a new start", v.name));
-            continue;
-        };
-        if (crate::config::Volume { plan: v.plan, ..found.clone() }) != *v {
-            against.push(format!("volume {}: differs in more than its plan; that needs a new start", v.name));
+/// One change that takes effect. `Display` gives the line that operators are shown.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Change {
+    /// Figures of a plan change.
+    PlanFigures {
+        /// The plan's name.
+        plan: String,
+        /// The figures that change.
+        figures: Vec<FigureChange>,
+    },
+    /// A plan is added.
+    PlanAdded {
+        /// Its name.
+        plan: String,
+    },
+    /// A volume gets another plan.
+    VolumePlan {
+        /// The volume's name.
+        volume: String,
+        /// The name of its plan from now on.
+        plan: String,
+        /// The name of its plan so far.
+        old_plan: String,
+    },
+}
+
+/// A figure of a plan that changes.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FigureChange {
+    /// The directive that sets it.
+    pub directive: &'static str,
+    /// Its value so far.
+    pub old: f64,
+    /// Its value from now on.
+    pub new: f64,
+}
+
+impl fmt::Display for FigureChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} {} instead of {}", self.directive, self.new, self.old)
+    }
+}
+
+impl fmt::Display for Change {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Change::PlanFigures { plan, figures } => {
+                let figures: Vec<String> = figures.iter().map(ToString::to_string).collect();
+                write!(f, "plan {plan}: {}", figures.join(", "))
+            }
+            Change::PlanAdded { plan } => write!(f, "plan {plan}: new"),
+            Change::VolumePlan { volume, plan, old_plan } => {
+                write!(f, "volume {volume}: plan {plan} instead of {old_plan}")
+            }
         }
     }
-    for w in wanted.volumes.iter().filter(|w| !running.volumes.iter().any(|v| v.name == w.name)) {
-        against.push(format!("volume {}: is new; that needs a new start", w.name));
+}
+
+impl ReloadOutcome {
+    /// The changes, one line each.
+    #[must_use]
+    pub fn summary(&self) -> String {
+        join_lines(&self.changes)
+    }
+}
+
+/// A difference that only a restart can take over.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum RestartReason {
+    /// A section other than plans and volumes differs.
+    #[error("{0}: differs from the running one; that needs a new start")]
+    SectionDiffers(&'static str),
+    /// A volume is missing.
+    #[error("volume {0}: is gone; that needs a new start")]
+    VolumeRemoved(String),
+    /// A volume differs in more than its plan.
+    #[error("volume {0}: differs in more than its plan; that needs a new start")]
+    VolumeDiffers(String),
+    /// A volume is added.
+    #[error("volume {0}: is new; that needs a new start")]
+    VolumeAdded(String),
+}
+
+/// The configuration can't be taken over. `Display` gives one line a reason.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{}", join_lines(.0))]
+pub struct RestartRequired(pub Vec<RestartReason>);
+
+fn join_lines<T: ToString>(items: &[T]) -> String {
+    let lines: Vec<String> = items.iter().map(ToString::to_string).collect();
+    lines.join("\n")
+}
+
+/// Works out what a host that runs with one configuration takes over from another.
+///
+/// # Errors
+///
+/// All differences that need a restart; then nothing is taken over.
+///
+/// # Panics
+///
+/// Never on validated configurations.
+pub fn evaluate(running: &GatewayConfig, wanted: &GatewayConfig) -> Result<ReloadOutcome, RestartRequired> {
+    let mut reasons = differing_sections(running, wanted);
+    reasons.extend(differing_volumes(running, wanted));
+    if !reasons.is_empty() {
+        return Err(RestartRequired(reasons));
+    }
+    let mut changes = Vec::new();
+    let plans = merge_plans(running, wanted, &mut changes);
+    let mut volume_plans = Vec::new();
+    for volume in &running.volumes {
+        let wanted_volume = find_volume(wanted, &volume.name).expect("the volumes are the same");
+        let name = &wanted.plans[wanted_volume.plan].name;
+        let plan = plans.iter().position(|p| p.name == *name).expect("all wanted plans are merged");
+        if plan != volume.plan {
+            changes.push(Change::VolumePlan {
+                volume: volume.name.clone(),
+                plan: name.clone(),
+                old_plan: running.plans[volume.plan].name.clone(),
+            });
+        }
+        volume_plans.push(plan);
     }
-    if !against.is_empty() {
-        return Err(against);
+    Ok(ReloadOutcome { plans, volume_plans, changes })
+}
+
+fn differing_sections(running: &GatewayConfig, wanted: &GatewayConfig) -> Vec<RestartReason> {
+    let sections = [
+        ("section host", running.host != wanted.host),
+        ("section fleet", running.fleet != wanted.fleet),
+        ("section catalog", running.catalog != wanted.catalog),
+        ("section tariffs", running.plan_service != wanted.plan_service),
+        ("groups", running.io_classes != wanted.io_classes),
+        ("nodes", running.nodes != wanted.nodes),
+    ];
+    let differing = sections.into_iter().filter(|s| s.1);
+    differing.map(|s| RestartReason::SectionDiffers(s.0)).collect()
+}
+
+fn differing_volumes(running: &GatewayConfig, wanted: &GatewayConfig) -> Vec<RestartReason> {
+    let mut reasons = Vec::new();
+    for volume in &running.volumes {
+        match find_volume(wanted, &volume.name) {
+            None => reasons.push(RestartReason::VolumeRemoved(volume.name.clone())),
+            Some(found) if Volume { plan: volume.plan, ..found.clone() } != *volume => {
+                reasons.push(RestartReason::VolumeDiffers(volume.name.clone()));
+            }
+            Some(_) => {}
+        }
     }
-    let (mut plans, mut told) = (running.plans.clone(), Vec::new());
+    let added = wanted.volumes.iter().filter(|v| find_volume(running, &v.name).is_none());
+    reasons.extend(added.map(|v| RestartReason::VolumeAdded(v.name.clone())));
+    reasons
+}
+
+fn find_volume<'a>(config: &'a GatewayConfig, name: &str) -> Option<&'a Volume> {
+    config.volumes.iter().find(|v| v.name == name)
+}
+
+/// The running plans with the wanted figures, and the wanted plans that are new behind them.
+fn merge_plans(running: &GatewayConfig, wanted: &GatewayConfig, changes: &mut Vec<Change>) -> Vec<Plan> {
+    let mut plans = running.plans.clone();
     for wanted in &wanted.plans {
         match plans.iter_mut().find(|p| p.name == wanted.name) {
             Some(plan) if plan == wanted => {}
             Some(plan) => {
-                told.push(figures(plan, wanted));
+                let figures = figure_changes(plan, wanted);
+                changes.push(Change::PlanFigures { plan: wanted.name.clone(), figures });
                 plan.clone_from(wanted);
             }
             None => {
-                told.push(format!("plan {}: new", wanted.name));
+                changes.push(Change::PlanAdded { plan: wanted.name.clone() });
                 plans.push(wanted.clone());
             }
         }
     }
-    let mut of = Vec::new();
-    for v in &running.volumes {
-        let wanted_volume = wanted.volumes.iter().find(|w| w.name == v.name).expect("looked for above");
-        let name = &wanted.plans[wanted_volume.plan].name;
-        let plan = plans.iter().position(|p| p.name == *name).expect("just put in");
-        if plan != v.plan {
-            told.push(format!("volume {}: plan {} instead of {}", v.name, name, running.plans[v.plan].name));
-        }
-        of.push(plan);
-    }
-    Ok(ReloadOutcome { plans, volume_plans: of, changes: told })
+    plans
 }
 
-fn figures(old: &Plan, new: &Plan) -> String {
-    let all = [
+fn figure_changes(old: &Plan, new: &Plan) -> Vec<FigureChange> {
+    let figures = [
         ("usual", old.usual_rate, new.usual_rate),
         ("reserve", old.reserved_rate, new.reserved_rate),
         ("limit", old.rate_limit, new.rate_limit),
@@ -78,67 +204,6 @@
         ("weight", old.weight, new.weight),
         ("price", old.priority_factor, new.priority_factor),
     ];
-    let changed: Vec<String> =
-        all.iter().filter(|f| f.1 != f.2).map(|(name, a, b)| format!("{name} {b} instead of {a}")).collect();
-    format!("plan {}: {}", new.name, changed.join(", "))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::config::Volume;
-
-    fn site() -> GatewayConfig {
-        let plan =
-            |name: &str| Plan { name: name.into(), reserved_rate: 5.0, weight: 1.0, ..Plan::default() };
-        let volume =
-            |name: &str, plan| Volume { name: name.into(), plan, block_count: 8, ..Volume::default() };
-        GatewayConfig {
-            plans: vec![plan("gold"), plan("tin")],
-            volumes: vec![volume("a", 0), volume("b", 1)],
-            ..GatewayConfig::default()
-        }
-    }
-
-    #[test]
-    fn figures_of_plans_and_plans_of_volumes_are_taken_up_and_told() {
-        let (running, mut wanted) = (site(), site());
-        wanted.plans.reverse();
-        wanted.plans[1].weight = 3.0;
-        wanted.plans[1].reserved_rate = 7.0;
-        wanted.plans.push(Plan { name: "gold-b".into(), ..Plan::default() });
-        wanted.volumes[0].plan = 1;
-        wanted.volumes[1].plan = 2;
-        let taken = evaluate(&running, &wanted).expect("plans only");
-        let names: Vec<&str> = taken.plans.iter().map(|p| p.name.as_str()).collect();
-        assert_eq!((names, taken.volume_plans), (vec!["gold", "tin", "gold-b"], vec![0, 2]));
-        let told = [
-            "plan gold: reserve 7 instead of 5, weight 3 instead of 1",
-            "plan gold-b: new",
-            "volume b: plan gold-b instead of tin",
-        ];
-        assert_eq!(taken.changes, told);
-    }
-
-    #[test]
-    fn a_plan_that_no_volume_has_any_more_keeps_its_place() {
-        let (running, mut wanted) = (site(), site());
-        wanted.plans.remove(0);
-        wanted.volumes.iter_mut().for_each(|v| v.plan = 0);
-        let taken = evaluate(&running, &wanted).expect("plans only");
-        assert_eq!((taken.plans.len(), taken.volume_plans), (2, vec![1, 1]));
-    }
-
-    #[test]
-    fn what_needs_a_new_start_is_named_all_at_once_and_nothing_is_taken_up() {
-        let (running, mut wanted) = (site(), site());
-        wanted.plans[0].weight = 3.0;
-        wanted.fleet.hosts = 9;
-        wanted.volumes[0].block_count = 16;
-        wanted.volumes[1].name = "c".into();
-        let against = evaluate(&running, &wanted).expect_err("more than plans");
-        let named = |what: &str| against.iter().any(|a| a.starts_with(what));
-        assert!(["section fleet", "volume a", "volume b", "volume c"].into_iter().all(named), "{against:?}");
-        assert_eq!(against.len(), 4);
-    }
+    let changed = figures.into_iter().filter(|(_, old, new)| old != new);
+    changed.map(|(directive, old, new)| FigureChange { directive, old, new }).collect()
 }
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/parsing.rs
@@ -1,10 +1,10 @@
-//! A file is read whole, and what is wrong with it comes back in one go.
+//! A file is parsed in full, and all errors in it are reported together.
 use mallowseam_settings::config::{Direction, Effect};
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{parse, reload};
 use proptest::prelude::*;
 
-const SOUND: &str = r#"
+const VALID: &str = r#"
 # a small site
 host gw1
     listen 127.0.0.1:3260
@@ -60,8 +60,8 @@
 "#;
 
 #[test]
-fn a_sound_file_says_what_it_says() {
-    let site = parse("f", SOUND).expect("sound");
+fn valid_file_is_parsed() {
+    let site = parse("f", VALID).expect("valid");
     assert_eq!(site.host.control_socket.as_deref(), Some(std::path::Path::new("/run/mallow seam/gw1.sock")));
     assert_eq!(
         (site.io_classes[0].latency_objective, site.io_classes[1].effect),
@@ -81,15 +81,15 @@
     assert_eq!(site.nodes.iter().map(|n| n.shard).collect::<Vec<_>>(), [0, 1]);
 }
 
-/// A change to the sound file, and the problems it makes: line of the change, or of what it concerns.
-fn problems(from: &str, to: &str) -> Vec<String> {
-    assert!(SOUND.contains(from), "{from}");
-    let problems = parse("f", &SOUND.replacen(from, to, 1)).expect_err(to);
-    problems.to_string().lines().map(str::to_owned).collect()
+/// The diagnostics of the valid file with one change.
+fn diagnostics(from: &str, to: &str) -> Vec<String> {
+    assert!(VALID.contains(from), "{from}");
+    let diagnostics = parse("f", &VALID.replacen(from, to, 1)).expect_err(to);
+    diagnostics.to_string().lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn each_problem_names_line_column_and_what_was_expected() {
+fn diagnostic_has_line_column_and_what_was_expected() {
     for (from, to, wanted) in [
         ("window 32", "window 0", "f:8:12: expected 1 to 1024, found `0`"),
         ("window 32", "window 32\n fleet south seed x", "f:9:19: expected an address and port, found `x`"),
@@ -118,14 +118,14 @@
         ("    gain 3", "    gain 3\n    gain 4", "f:31:5: expected `gain` once in the section of line 26"),
         ("unit 4KiB", "unit 0.3B", "f:14:10: expected a size such as 4KiB, found `0.3B`"),
     ] {
-        let found = problems(from, to);
+        let found = diagnostics(from, to);
         assert!(found.iter().any(|f| f.starts_with(wanted)), "{to}: {found:#?}");
     }
 }
 
 #[test]
-fn all_problems_come_at_once_in_order_of_their_lines() {
-    let text = SOUND.replace("window 32", "window x").replace("hosts 3\n    unit", "hosts 0\n    unit");
+fn all_diagnostics_are_reported_in_the_order_of_the_file() {
+    let text = VALID.replace("window 32", "window x").replace("hosts 3\n    unit", "hosts 0\n    unit");
     let text = text.replace("zone b", "zone b c");
     let lines: Vec<usize> =
         parse("f", &text).expect_err("three").diagnostics.iter().map(|p| p.line).collect();
@@ -133,21 +133,21 @@
 }
 
 #[test]
-fn an_empty_file_names_every_section_it_lacks() {
+fn empty_file_lacks_every_section() {
     assert_eq!(parse("f", "").expect_err("empty").diagnostics.len(), 6);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Cut or garbled anywhere, a file is read or refused, and never taken for something else in silence.
+    /// A file that is corrupted anywhere is parsed or rejected with positions, and never panics.
     #[test]
-    fn a_garbled_file_is_refused_or_sound(at in 0..SOUND.len(), len in 0usize..30, put in "[ -~\n]{0,12}") {
-        let mut text = SOUND.as_bytes().to_vec();
+    fn corrupted_file_is_rejected_or_valid(at in 0..VALID.len(), len in 0usize..30, put in "[ -~\n]{0,12}") {
+        let mut text = VALID.as_bytes().to_vec();
         let end = (at + len).min(text.len());
         text.splice(at..end, put.bytes());
-        if let Err(problems) = parse("f", &String::from_utf8_lossy(&text)) {
-            prop_assert!(problems.diagnostics.iter().all(|p| p.line > 0 && p.column > 0 && !p.expected.is_empty()));
+        if let Err(diagnostics) = parse("f", &String::from_utf8_lossy(&text)) {
+            prop_assert!(diagnostics.diagnostics.iter().all(|p| p.line > 0 && p.column > 0 && !p.expected.is_empty()));
         }
     }
 }
@@ -156,7 +156,7 @@
 fn two() -> String {
     let other = "volume gas   # the other one\n    lun 2\n    plan basic\n    blocks 64\n    block-size 512B\n    hosts 3\n    \
                  extent 0 64 brick1 at 9000\n    rule any lookup\n";
-    format!("{SOUND}{other}")
+    format!("{VALID}{other}")
         .replace("plan basic\n    usual", "plan basic\n    weight 2  # as agreed\n    usual")
 }
 
@@ -165,16 +165,16 @@
 }
 
 #[test]
-fn shares_are_written_into_the_text_and_all_else_stays() {
+fn shares_are_edited_and_all_other_lines_stay() {
     let text = two();
-    let site = parse("site", &text).expect("sound");
+    let site = parse("site", &text).expect("valid");
     let both = [share("water", 5_500, 7), share("gas", 5_500, 7)];
     let same = edit::apply_shares(&text, &site, &both).expect("known");
     assert!(same.contains("    weight 7  # as agreed\n") && same.contains("    reserve 5.500/s\n"), "{same}");
-    let edited = parse("site", &same).expect("sound");
+    let edited = parse("site", &same).expect("valid");
     assert_eq!((edited.plans.len(), edited.plans[0].reserved_rate, edited.plans[0].weight), (1, 5.5, 7.0));
     let own = edit::apply_shares(&text, &site, &[share("gas", 3_000, 9)]).expect("known");
-    let edited = parse("site", &own).expect("sound");
+    let edited = parse("site", &own).expect("valid");
     let plan = |v: &str| &edited.plans[edited.volumes.iter().find(|w| w.name == v).expect("there").plan];
     assert_eq!(
         (plan("gas").name.as_str(), plan("gas").reserved_rate, plan("gas").weight),
@@ -182,12 +182,12 @@
     );
     assert_eq!((plan("gas").usual_rate, plan("gas").rate_limit, plan("gas").burst_units), (20.0, 40.0, 16.0));
     assert_eq!((plan("water").name.as_str(), plan("water").weight), ("basic", 2.0));
-    assert!(reload::evaluate(&site, &edited).is_ok(), "a running host can take it up");
-    // Once more: the plan is its own now, and is changed where it stands.
+    assert!(reload::evaluate(&site, &edited).is_ok(), "a running host can take it over");
+    // Once more: the volume has a plan of its own now, which is edited in place.
     let again = edit::apply_shares(&own, &edited, &[share("gas", 4_000, 9)]).expect("known");
-    let edited = parse("site", &again).expect("sound");
+    let edited = parse("site", &again).expect("valid");
     assert_eq!((edited.plans.len(), edited.plans[1].reserved_rate), (2, 4.0));
     assert!(again.starts_with(&text[..text.find("volume gas").expect("there")]), "the rest is as it was");
     let unknown = edit::apply_shares(&text, &site, &[share("oil", 1, 1), share("tax", 1, 1)]);
-    assert_eq!(unknown.expect_err("neither is there").len(), 2);
+    assert_eq!(unknown.expect_err("neither is there").to_string().lines().count(), 2);
 }
--- a/crates/settings/tests/pinned_reading.rs
+++ b/crates/settings/tests/pinned_parsing.rs
@@ -1,6 +1,5 @@
-//! Pins of the configuration: every directive as it is read, and the message of every refusal, word for word. The
-//! recorded texts in `pinned/` name fields in words of their own, so that renaming a field in the code changes
-//! nothing here.
+//! Pinned results of the parser: every directive as it is read, and every diagnostic word for word. The recorded texts
+//! in `pinned/` name fields in words of their own, so that renaming a field in the code changes nothing here.
 use mallowseam_settings::config::{Direction, Effect, GatewayConfig};
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{Arguments, Diagnostics, tokenize};
@@ -229,25 +228,25 @@
     out
 }
 
-/// What comes of a text; of a sound one only the lines that differ from those of `EVERY`.
-fn outcome(text: &str, sound: &str) -> String {
+/// What parsing a text results in; of a valid one only the lines that differ from those of `EVERY`.
+fn outcome(text: &str, valid: &str) -> String {
     match parse("f", text) {
         Ok(site) => {
-            let known: Vec<&str> = sound.lines().collect();
+            let known: Vec<&str> = valid.lines().collect();
             shown(&site).lines().filter(|l| !known.contains(l)).map(|l| format!("  {l}\n")).collect()
         }
-        Err(problems) => problems.to_string().lines().map(|l| format!("  {l}\n")).collect(),
+        Err(diagnostics) => diagnostics.to_string().lines().map(|l| format!("  {l}\n")).collect(),
     }
 }
 
 #[test]
-fn every_directive_as_it_is_read() {
-    pinned("every.txt", &shown(&parse("f", EVERY).expect("sound")));
+fn every_directive() {
+    pinned("every.txt", &shown(&parse("f", EVERY).expect("valid")));
 }
 
 #[test]
-fn every_line_left_out_doubled_or_with_a_word_changed() {
-    let sound = shown(&parse("f", EVERY).expect("sound"));
+fn every_line_removed_doubled_or_changed() {
+    let valid = shown(&parse("f", EVERY).expect("valid"));
     let lines: Vec<&str> = EVERY.lines().collect();
     let mut found = String::new();
     let attempt = |index: usize, line: Option<&str>| {
@@ -256,7 +255,7 @@
             Some(line) => text[index] = line,
             None => drop(text.remove(index)),
         }
-        outcome(&(text.join("\n") + "\n"), &sound)
+        outcome(&(text.join("\n") + "\n"), &valid)
     };
     for (index, line) in lines.iter().enumerate().skip(1) {
         let doubled = format!("{line}\n{line}");
@@ -289,8 +288,8 @@
 }
 
 #[test]
-fn what_does_not_go_together() {
-    let sound = shown(&parse("f", EVERY).expect("sound"));
+fn contradicting_sections() {
+    let valid = shown(&parse("f", EVERY).expect("valid"));
     let mut found = String::new();
     for (from, to) in [
         ("goal 0.2s", "goal 2s"),
@@ -336,7 +335,7 @@
     ] {
         assert!(EVERY.contains(from), "{from}");
         let text = EVERY.replacen(from, to, 1);
-        write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &sound)).expect("memory");
+        write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &valid)).expect("memory");
     }
     let without = |section: &str| {
         let start = EVERY.find(&format!("\n{section}")).expect("a section") + 1;
@@ -348,10 +347,10 @@
     for section in
         ["host", "fleet", "catalog", "tariffs", "plan basic", "group lookup", "volume water", "node brick1"]
     {
-        write!(found, "without {section}:\n{}", outcome(&without(section), &sound)).expect("memory");
+        write!(found, "without {section}:\n{}", outcome(&without(section), &valid)).expect("memory");
     }
     for text in ["", "\n\n# nothing\n", "    listen 1.2.3.4:5\n", "fleet\nfleet\n", "host \"a b\"\n"] {
-        write!(found, "{text:?}:\n{}", outcome(text, &sound)).expect("memory");
+        write!(found, "{text:?}:\n{}", outcome(text, &valid)).expect("memory");
     }
     pinned("contradictions.txt", &found);
 }
@@ -421,12 +420,12 @@
         "1.123456s",
         "99999999999999999999s",
     ] {
-        let mut problems = Diagnostics::new("f");
-        let line = tokenize(3, &format!("  word {word}"), &mut problems);
+        let mut diagnostics = Diagnostics::new("f");
+        let line = tokenize(3, &format!("  word {word}"), &mut diagnostics);
         let mut values = String::new();
         macro_rules! value {
             ($name:expr, $args:ident, $read:expr) => {{
-                let mut $args = Arguments::new(&line, &mut problems);
+                let mut $args = Arguments::new(&line, &mut diagnostics);
                 if let Some(value) = $read {
                     write!(values, " {}={value:?}", $name).expect("memory");
                 }
@@ -444,16 +443,16 @@
         value!("word", a, a.text("w"));
         writeln!(found, "{word}:{values}").expect("memory");
     }
-    let mut problems = Diagnostics::new("g");
+    let mut diagnostics = Diagnostics::new("g");
     for text in ["a  \"b c\" d#e # f", "\u{e9} \"x", "", "#", " \t a", "\"\" b\"c"] {
-        let all: Vec<String> = tokenize(7, text, &mut problems)
+        let all: Vec<String> = tokenize(7, text, &mut diagnostics)
             .iter()
             .map(|w| format!("{}@{}:{}", w.text, w.position.line, w.position.column))
             .collect();
         writeln!(found, "words of {text:?}: {all:?}").expect("memory");
     }
-    let line = tokenize(9, "word 1 two three", &mut problems);
-    let mut args = Arguments::new(&line, &mut problems);
+    let line = tokenize(9, "word 1 two three", &mut diagnostics);
+    let mut args = Arguments::new(&line, &mut diagnostics);
     let steps = (
         args.accept("1"),
         args.accept("x"),
@@ -464,18 +463,18 @@
     writeln!(found, "{steps:?} more {} then {:?}", args.has_more(), args.text("a word")).expect("memory");
     args.expect_end();
     args.report_conflicts(&["spoiled: expected nothing".to_owned()]);
-    let mut args = Arguments::new(&line, &mut problems);
+    let mut args = Arguments::new(&line, &mut diagnostics);
     args.report_conflicts(&["field: expected a thing".to_owned(), "no such form".to_owned()]);
     args.expect_end();
     let end = args.position();
-    problems.add(end, "an end", "");
-    writeln!(found, "{}", problems.sorted()).expect("memory");
+    diagnostics.add(end, "an end", "");
+    writeln!(found, "{}", diagnostics.sorted()).expect("memory");
     pinned("values.txt", &found);
 }
 
 #[test]
-fn what_a_running_host_takes_up() {
-    let running = parse("f", EVERY).expect("sound");
+fn reload_outcomes() {
+    let running = parse("f", EVERY).expect("valid");
     let mut found = String::new();
     for (from, to) in [
         ("weight 2", "weight 3"),
@@ -502,9 +501,13 @@
         match reload::evaluate(&running, &wanted) {
             Ok(t) => {
                 let plans: Vec<&str> = t.plans.iter().map(|p| p.name.as_str()).collect();
-                writeln!(found, "{from:?} -> {to:?}: {plans:?} {:?} {:?}", t.volume_plans, t.changes)
+                let changes: Vec<String> = t.changes.iter().map(ToString::to_string).collect();
+                writeln!(found, "{from:?} -> {to:?}: {plans:?} {:?} {changes:?}", t.volume_plans)
+            }
+            Err(error) => {
+                let against: Vec<String> = error.to_string().lines().map(str::to_owned).collect();
+                writeln!(found, "{from:?} -> {to:?}: against {against:?}")
             }
-            Err(against) => writeln!(found, "{from:?} -> {to:?}: against {against:?}"),
         }
         .expect("memory");
     }
@@ -512,10 +515,10 @@
 }
 
 #[test]
-fn what_worked_out_shares_make_of_the_text() {
+fn edited_shares() {
     let text = EVERY.replace("plan bare\n    hosts", "plan basic  # shared\n    hosts");
     let text = text.replace("    weight 2\n", "    weight 2   # as agreed\n");
-    let site = parse("f", &text).expect("sound");
+    let site = parse("f", &text).expect("valid");
     let share =
         |volume: &str, reserve, weight| Share { volume: volume.into(), reserved_milliunits: reserve, weight };
     let mut found = String::new();
@@ -540,14 +543,17 @@
                     .collect();
                 write!(found, "{given:?}, {} lines:\n{}", edited.lines().count(), new.concat())
             }
-            Err(against) => writeln!(found, "{given:?}: against {against:?}"),
+            Err(error) => {
+                let against: Vec<String> = error.to_string().lines().map(str::to_owned).collect();
+                writeln!(found, "{given:?}: against {against:?}")
+            }
         }
         .expect("memory");
     }
     pinned("shares.txt", &found);
 }
 
-/// The last value that each bound lets through and the first that it does not, or the other way round.
+/// The last value within each bound and the first beyond it.
 #[test]
 fn both_sides_of_every_bound() {
     let mut found = String::new();
@@ -600,27 +606,27 @@
     ] {
         let from: &str = from;
         for to in values {
-            note(&mut found, from, to);
+            record(&mut found, from, to);
         }
     }
-    note(&mut found, "key 8", &format!("key {far}"));
-    note(&mut found, "key 8", &format!("key {beyond}"));
-    note(&mut found, "blocks 2048", &format!("blocks {far}"));
-    note(&mut found, "blocks 2048", &format!("blocks {beyond}"));
-    note(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {far}"));
-    note(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {beyond}"));
-    note(&mut found, "extent 1024 1024", &format!("extent {far} {far}"));
-    note(&mut found, "extent 1024 1024", &format!("extent {beyond} {beyond}"));
-    note(&mut found, "host gw1", &format!("host {name}"));
-    note(&mut found, "zone b", &format!("zone {name}"));
-    note(&mut found, "zone b", &format!("zone {long_name}"));
+    record(&mut found, "key 8", &format!("key {far}"));
+    record(&mut found, "key 8", &format!("key {beyond}"));
+    record(&mut found, "blocks 2048", &format!("blocks {far}"));
+    record(&mut found, "blocks 2048", &format!("blocks {beyond}"));
+    record(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {far}"));
+    record(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {beyond}"));
+    record(&mut found, "extent 1024 1024", &format!("extent {far} {far}"));
+    record(&mut found, "extent 1024 1024", &format!("extent {beyond} {beyond}"));
+    record(&mut found, "host gw1", &format!("host {name}"));
+    record(&mut found, "zone b", &format!("zone {name}"));
+    record(&mut found, "zone b", &format!("zone {long_name}"));
     pinned("bounds.txt", &found);
 }
 
-/// Notes what comes of the file with one change.
-fn note(found: &mut String, from: &str, to: &str) {
+/// Records what the file with one change results in.
+fn record(found: &mut String, from: &str, to: &str) {
     assert!(EVERY.contains(from), "{from}");
-    let sound = shown(&parse("f", EVERY).expect("sound"));
+    let valid = shown(&parse("f", EVERY).expect("valid"));
     let text = EVERY.replacen(from, to, 1);
-    write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &sound)).expect("memory");
+    write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &valid)).expect("memory");
 }
