--- /dev/null
+++ b/crates/gateway/src/endpoint_list.rs
@@ -0,0 +1,264 @@
+//! The client of the endpoint list service, and the cached copy of the list for the next start.
+use crate::atomic_file;
+use crate::clock::ticks_to_millis;
+use crate::socket_io::{self, ReadOutcome};
+use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
+use mallowseam_endpoint_list::{
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
+};
+use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
+use mallowseam_settings::config;
+use mio::net::TcpStream;
+use mio::{Interest, Registry, Token};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Ticks in a millisecond.
+const TICKS_PER_MILLI: Tick = 10;
+
+/// A node of the configuration, with its present run as this host knows it.
+struct KnownNode {
+    name: String,
+    zone: u32,
+    shard: u32,
+    /// Tells one run of the node's process from another; 0 for one long past.
+    incarnation: u64,
+    /// When that run began, by this host's clock.
+    up_since: Tick,
+}
+
+/// A list, or the changes since the last one, as the scheduler takes it.
+pub(crate) struct ListUpdate {
+    pub(crate) form: ListForm,
+    pub(crate) nodes: Vec<Listed>,
+}
+
+/// The connection to the endpoint list service and what it has told.
+pub(crate) struct EndpointList {
+    host: String,
+    /// None: the nodes are those of the configuration.
+    address: Option<SocketAddr>,
+    cache_file: Option<PathBuf>,
+    nodes: Vec<KnownNode>,
+    registry: Registry,
+    token: Token,
+    socket: Option<TcpStream>,
+    readable: bool,
+    unsent: Vec<u8>,
+    watcher: EndpointWatcher,
+    request: EndpointListRequest,
+    updates: VecDeque<ListUpdate>,
+}
+
+/// Nodes as the configuration has them, their zones numbered in the order in which they are named.
+fn known_nodes(nodes: &[config::Node]) -> Vec<KnownNode> {
+    let mut zones: Vec<&str> = Vec::new();
+    let mut known = Vec::new();
+    for node in nodes {
+        let zone = zones.iter().position(|zone| *zone == node.zone).unwrap_or_else(|| {
+            zones.push(&node.zone);
+            zones.len() - 1
+        });
+        let (name, zone) = (node.name.clone(), zone as u32);
+        known.push(KnownNode { name, zone, shard: node.shard, incarnation: 0, up_since: 0 });
+    }
+    known
+}
+
+impl EndpointList {
+    /// The client of a host; it does not connect yet.
+    pub(crate) fn new(host: &config::Host, nodes: &[config::Node], registry: Registry, token: Token) -> Self {
+        EndpointList {
+            host: host.name.clone(),
+            address: host.endpoint_service,
+            cache_file: host.endpoint_cache_path.clone(),
+            nodes: known_nodes(nodes),
+            registry,
+            token,
+            socket: None,
+            readable: false,
+            unsent: Vec::new(),
+            watcher: EndpointWatcher::default(),
+            request: EndpointListRequest::default(),
+            updates: VecDeque::new(),
+        }
+    }
+
+    /// Queues what is known before the service has answered: the cached list, or all nodes of the configuration
+    /// where there is no service.
+    pub(crate) fn start(&mut self, now: Tick) {
+        if self.address.is_none() {
+            let listed = |(index, node): (usize, &KnownNode)| Listed {
+                node: NodeId(index as u32),
+                zone: node.zone,
+                shard: node.shard,
+                state: NodeState::Active,
+                came_up: 0,
+            };
+            let nodes = self.nodes.iter().enumerate().map(listed).collect();
+            self.updates.push_back(ListUpdate { form: ListForm::Whole, nodes });
+            return;
+        }
+        self.restore_cache(now);
+    }
+
+    fn restore_cache(&mut self, now: Tick) {
+        let Some(path) = &self.cache_file else { return };
+        match std::fs::read_to_string(path) {
+            Ok(text) => match self.watcher.restore_cache(&text) {
+                Ok(update) => {
+                    tracing::info!(nodes = update.endpoints.len(), "cached endpoint list loaded");
+                    self.queue(ListForm::Kept, update, now);
+                }
+                Err(e) => tracing::warn!(error = %e, "cached endpoint list not used"),
+            },
+            Err(e) => tracing::info!(error = %e, "no cached endpoint list"),
+        }
+    }
+
+    /// The next update that the scheduler has not taken yet.
+    pub(crate) fn next_update(&mut self) -> Option<ListUpdate> {
+        self.updates.pop_front()
+    }
+
+    /// Epoch and version of the list.
+    pub(crate) fn version(&self) -> (u64, u64) {
+        self.watcher.version()
+    }
+
+    /// Requests the list and its changes, on a new connection if there is none.
+    pub(crate) fn watch(&mut self, now: Tick) {
+        let Some(address) = self.address else { return };
+        self.request.sent(ticks_to_millis(now));
+        if self.socket.is_none()
+            && let Err(e) = self.connect(address)
+        {
+            return self.fail(&e.to_string());
+        }
+        self.unsent.extend_from_slice(format!("watch {}\n", self.host).as_bytes());
+        self.flush();
+    }
+
+    fn connect(&mut self, address: SocketAddr) -> std::io::Result<()> {
+        let mut socket = TcpStream::connect(address)?;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.registry.register(&mut socket, self.token, interest)?;
+        self.watcher.on_reconnect();
+        (self.socket, self.readable) = (Some(socket), false);
+        self.unsent.clear();
+        Ok(())
+    }
+
+    /// Closes the connection; the scheduler hears that its request has failed.
+    fn fail(&mut self, reason: &str) {
+        tracing::warn!(reason, "endpoint list request failed");
+        if let Some(mut socket) = self.socket.take() {
+            let _ = self.registry.deregister(&mut socket);
+        }
+        self.request.finished();
+        self.updates.push_back(ListUpdate { form: ListForm::Failed, nodes: Vec::new() });
+    }
+
+    /// Writes and reads as far as the socket lets it.
+    pub(crate) fn on_ready(&mut self, readable: bool, buffer: &mut [u8], now: Tick) {
+        self.readable |= readable;
+        self.flush();
+        while self.readable {
+            let Some(socket) = &mut self.socket else { return };
+            match socket_io::read(socket, buffer) {
+                ReadOutcome::WouldBlock => self.readable = false,
+                ReadOutcome::Read(len) => {
+                    let mut events = Vec::new();
+                    let received = self.watcher.receive(&buffer[..len], |event| events.push(event));
+                    events.into_iter().for_each(|event| self.on_watch_event(event, now));
+                    if let Err(wrong) = received {
+                        return self.fail(&wrong.to_string());
+                    }
+                }
+                ReadOutcome::Closed(reason) => return self.fail(&reason.to_string()),
+            }
+        }
+    }
+
+    fn flush(&mut self) {
+        let Some(socket) = &mut self.socket else { return };
+        if let Err(reason) = socket_io::write_buffer(socket, &mut self.unsent) {
+            self.fail(&reason.to_string());
+        }
+    }
+
+    fn on_watch_event(&mut self, event: WatchEvent, now: Tick) {
+        match event {
+            WatchEvent::SnapshotRequired => {
+                self.request.sent(ticks_to_millis(now));
+                self.unsent.extend_from_slice(format!("all {}\n", self.host).as_bytes());
+                self.flush();
+            }
+            WatchEvent::Update(update) => {
+                self.request.finished();
+                let form = match update.kind {
+                    UpdateKind::FullSnapshot => ListForm::Whole,
+                    UpdateKind::Incremental => ListForm::Changes,
+                };
+                self.queue(form, update, now);
+                self.write_cache();
+            }
+        }
+    }
+
+    fn queue(&mut self, form: ListForm, update: EndpointUpdate, now: Tick) {
+        let mut nodes = Vec::new();
+        for entry in &update.endpoints {
+            let (node, state) = (&entry.name, entry.state.as_str());
+            if let Some(listed) = self.listed(entry, now) {
+                tracing::info!(node, state, age = entry.uptime_ms, "endpoint updated");
+                nodes.push(listed);
+            } else {
+                tracing::warn!(node, "endpoint list names a node that the configuration lacks");
+            }
+        }
+        self.updates.push_back(ListUpdate { form, nodes });
+    }
+
+    /// An entry of the list as the scheduler takes it; none: the configuration lacks its node.
+    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<Listed> {
+        let index = self.nodes.iter().position(|node| node.name == entry.name)?;
+        let node = &mut self.nodes[index];
+        // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It never
+        // moves up, which would look like a restart.
+        let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
+        if entry.incarnation == 0 {
+            (node.incarnation, node.up_since) = (0, 0);
+        } else if entry.incarnation != node.incarnation {
+            (node.incarnation, node.up_since) = (entry.incarnation, began);
+        } else {
+            node.up_since = node.up_since.min(began);
+        }
+        Some(Listed {
+            node: NodeId(index as u32),
+            zone: node.zone,
+            shard: node.shard,
+            state: match entry.state {
+                EndpointState::Active => NodeState::Active,
+                EndpointState::Draining => NodeState::Leaving,
+                EndpointState::Removed => NodeState::Left,
+            },
+            came_up: node.up_since,
+        })
+    }
+
+    fn write_cache(&self) {
+        let Some(path) = &self.cache_file else { return };
+        if let Err(e) = atomic_file::replace(path, self.watcher.write_cache().as_bytes()) {
+            tracing::warn!(path = %path.display(), error = %e, "endpoint list not cached");
+        }
+    }
+
+    /// Fails a request that the service has not answered in time.
+    pub(crate) fn on_timer(&mut self, now: Tick) {
+        if self.request.has_timed_out(ticks_to_millis(now)) {
+            self.fail("no answer in time");
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/scheduler_config.rs
@@ -0,0 +1,136 @@
+//! From the configuration to the scheduler's terms, the volumes' layouts and the replicated form of plans.
+use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
+use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
+use mallowseam_plans::state;
+use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config::{self, Direction};
+
+/// Replicated figures are in thousandths.
+const THOUSANDTHS: f64 = 1000.0;
+
+/// The terms that the scheduler decides by.
+pub(crate) fn scheduler_terms(site: &GatewayConfig) -> Terms {
+    let fleet = &site.fleet;
+    Terms {
+        hosts: fleet.hosts,
+        groups: site.io_classes.iter().map(io_class).collect(),
+        plans: scheduler_plans(site),
+        mean_units: fleet.mean_units,
+        largest: fleet.max_units,
+        share_gain: fleet.share_gain,
+        spare_gain: fleet.spare_gain,
+        // iSCSI has no field in which a node could tell what it does for other hosts, nor one for peers.
+        counts_others: false,
+        may_cancel: true,
+        may_name_return: fleet.max_retry_after > 0,
+        longest_return: ticks_from_micros_floor(fleet.max_retry_after),
+        max_submits: fleet.max_attempts,
+        list_on_request: site.host.endpoint_service.is_some(),
+        ask_turn: None,
+        list_pushed: false,
+        ask_within: 0,
+        word_by_half: false,
+        cold_bears: fleet.cold_floor_units,
+        cold_from: fleet.cold_capacity,
+        cold_span: ticks_from_micros_ceil(fleet.warmup_time),
+        fall_span: ticks_from_micros_ceil(fleet.overload_window),
+        fall_multiple: fleet.overload_multiple,
+        order_rest: ticks_from_micros_ceil(fleet.ordering_cooldown),
+        budget_free: fleet.retry_budget_min,
+        budget_share: fleet.retry_budget_ratio,
+        budget_span: ticks_from_micros_ceil(fleet.retry_budget_window),
+        ..Terms::default()
+    }
+}
+
+fn io_class(class: &config::IoClass) -> IoGroup {
+    IoGroup {
+        effect: match class.effect {
+            config::Effect::Idempotent => Effect::Idempotent,
+            config::Effect::NonIdempotent => Effect::SideEffecting,
+        },
+        goal: ticks_from_micros_floor(class.latency_objective),
+        late_share: class.late_weight_ratio,
+        gain: class.priority_weight,
+        ordered: class.ordered,
+        writes: false,
+    }
+}
+
+/// The plans as the scheduler takes them.
+pub(crate) fn scheduler_plans(site: &GatewayConfig) -> Vec<Plan> {
+    let plan = |plan: &config::Plan| Plan {
+        usual: plan.usual_rate,
+        reserve: plan.reserved_rate,
+        limit: plan.rate_limit,
+        limit_burst: plan.burst_units,
+        wt: plan.weight,
+        price: plan.priority_factor,
+    };
+    site.plans.iter().map(plan).collect()
+}
+
+/// Where a volume's blocks lie, and which I/O class they belong to.
+pub(crate) fn volume_layout(site: &GatewayConfig, volume: &config::Volume) -> VolumeLayout {
+    let extent = |extent: &config::Extent| Extent {
+        first_block: extent.first_block,
+        blocks: extent.block_count,
+        shard: site.nodes[extent.node].shard,
+        first_node_block: extent.first_node_block,
+    };
+    VolumeLayout { extents: volume.extents.iter().map(extent).collect(), rules: class_rules(volume) }
+}
+
+/// The layout of a mapped volume: extents of `extent_blocks` blocks, each a shard of its own until it is looked
+/// up.
+pub(crate) fn mapped_layout(volume: &config::Volume, extent_blocks: u64) -> VolumeLayout {
+    let extent = |index: u64| Extent {
+        first_block: index * extent_blocks,
+        blocks: extent_blocks,
+        shard: index as u32,
+        first_node_block: 0,
+    };
+    let count = volume.block_count / extent_blocks.max(1);
+    VolumeLayout { extents: (0..count).map(extent).collect(), rules: class_rules(volume) }
+}
+
+fn class_rules(volume: &config::Volume) -> Vec<ClassRule> {
+    let rule = |rule: &config::Rule| ClassRule {
+        matches_reads: rule.direction != Direction::Write,
+        matches_writes: rule.direction != Direction::Read,
+        first_block: rule.first_block,
+        last_block: rule.last_block,
+        class: rule.io_class as u16,
+        blocks_per_key: rule.blocks_per_key,
+    };
+    volume.rules.iter().map(rule).collect()
+}
+
+/// A plan of a configuration in the form that the plan service keeps: figures in thousandths.
+pub fn replicated_plan(plan: &config::Plan) -> state::Plan {
+    let thousandths =
+        |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MAX_PARAMETER as f64) as u64;
+    state::Plan {
+        usual: thousandths(plan.usual_rate),
+        reserve: thousandths(plan.reserved_rate),
+        limit: thousandths(plan.rate_limit),
+        burst: thousandths(plan.burst_units),
+        weight: thousandths(plan.weight),
+        price: thousandths(plan.priority_factor),
+    }
+}
+
+/// A plan of the plan service in the form of a configuration.
+pub(crate) fn configured_plan(name: &str, plan: &state::Plan) -> config::Plan {
+    let units = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
+    config::Plan {
+        name: name.to_owned(),
+        usual_rate: units(plan.usual),
+        reserved_rate: units(plan.reserve),
+        rate_limit: units(plan.limit),
+        burst_units: units(plan.burst),
+        weight: units(plan.weight),
+        priority_factor: units(plan.price),
+    }
+}
