--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -73,37 +73,29 @@
     let cached_list = reader.cached_list(root["known"].take());
     let settings = reader.settings(&root["settings"]);
     let fleet = reader.fleet(&root["fleet"], name.as_deref().unwrap_or("?"));
-    let cpu_cores = root["limits"]["cores"].as_f64().unwrap_or(0.0);
     let errors = reader.errors;
-    // A field without a value has left an error, so that both conditions fail together.
-    match (name, listen, discovery, seed, memory_mb, max_sockets, cached_list, settings, fleet) {
-        (
-            Some(name),
-            Some(listen),
-            Some(discovery),
-            Some(seed),
-            Some(memory_mb),
-            Some(max_sockets),
-            Some(cached_list),
-            Some(settings),
-            Some(fleet),
-        ) if errors.is_empty() => Ok(HostConfig {
-            name,
-            listen,
-            discovery,
-            seed,
-            cpu_cores,
-            memory_mb,
-            max_sockets,
+    // A required field without a value has left an error, so that both conditions fail together.
+    let assemble = || {
+        Some(HostConfig {
+            name: name?,
+            listen: listen?,
+            discovery: discovery?,
+            seed: seed?,
+            cpu_cores: root["limits"]["cores"].as_f64().unwrap_or(0.0),
+            memory_mb: memory_mb?,
+            max_sockets: max_sockets?,
             cached_list,
-            settings,
+            settings: settings?,
             fleet,
-        }),
+        })
+    };
+    match assemble() {
+        Some(config) if errors.is_empty() => Ok(config),
         _ => Err(ConfigError::Fields(errors)),
     }
 }
 
-/// Reads fields and collects what is wrong with them. `None` is returned for a field that has left an error.
+/// Reads fields and collects what is wrong with them. An invalid field leaves an error and has no value.
 #[derive(Default)]
 struct Reader {
     errors: Vec<FieldError>,
@@ -144,18 +136,13 @@
         self.require(&format!("limits.{field}"), limit, &format!("expected {min} or more"))
     }
 
-    /// The cached list, which may be absent: `Some(None)`.
-    fn cached_list(&mut self, value: Value) -> Option<Option<WatchEvent>> {
+    /// The cached list, which may be absent.
+    fn cached_list(&mut self, value: Value) -> Option<WatchEvent> {
         if value.is_null() {
-            return Some(None);
-        }
-        match endpoints::from_json(value) {
-            Ok(list) => Some(Some(list)),
-            Err(error) => {
-                self.reject("known", error.to_string());
-                None
-            }
+            return None;
         }
+        let list = endpoints::from_json(value);
+        list.map_err(|error| self.reject("known", error.to_string())).ok()
     }
 
     /// The settings, which need at least one I/O class and one plan here.
@@ -176,13 +163,8 @@
         Some(settings)
     }
 
-    /// The host's part in the membership, which may be absent: `Some(None)`.
-    fn fleet(&mut self, value: &Value, host: &str) -> Option<Option<FleetConfig>> {
-        if value.is_null() {
-            return Some(None);
-        }
-        let before = self.errors.len();
-        let place = fleet::read(value, host, &mut self.errors);
-        place.filter(|_| self.errors.len() == before).map(Some)
+    /// The host's part in the membership, which may be absent.
+    fn fleet(&mut self, value: &Value, host: &str) -> Option<FleetConfig> {
+        if value.is_null() { None } else { fleet::read(value, host, &mut self.errors) }
     }
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -106,17 +106,24 @@
     value[key].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// Configurations by index, and their names.
-struct Named<T> {
+/// The I/O classes by index.
+#[derive(Default)]
+struct Classes {
     names: Vec<String>,
-    configs: Vec<T>,
-    /// Of I/O classes alone.
+    configs: Vec<IoGroup>,
     longest_deadline: Tick,
 }
 
-fn read_classes(reader: &mut Reader, root: &Object) -> Named<IoGroup> {
+/// The plans by index.
+#[derive(Default)]
+struct Plans {
+    names: Vec<String>,
+    configs: Vec<Plan>,
+}
+
+fn read_classes(reader: &mut Reader, root: &Object) -> Classes {
     let writes = array(&root.value["extra"], "class_writes");
-    let mut classes = Named { names: Vec::new(), configs: Vec::new(), longest_deadline: 0 };
+    let mut classes = Classes::default();
     for (i, value) in array(root.value, "profiles").iter().enumerate() {
         let class = Object { value, path: format!("profiles[{i}].") };
         reader.unique_name(&class, &mut classes.names);
@@ -163,8 +170,8 @@
     }
 }
 
-fn read_plans(reader: &mut Reader, root: &Object) -> Named<Plan> {
-    let mut plans = Named { names: Vec::new(), configs: Vec::new(), longest_deadline: 0 };
+fn read_plans(reader: &mut Reader, root: &Object) -> Plans {
+    let mut plans = Plans::default();
     for (i, value) in array(root.value, "service_levels").iter().enumerate() {
         let plan = Object { value, path: format!("service_levels[{i}].") };
         reader.unique_name(&plan, &mut plans.names);
