--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -7,6 +7,21 @@
 //! - [`RequestReader`] and [`ResponseReader`]: complete messages, head and body.
 //! - [`RequestHead`] and [`ResponseHead`]: one head, its [`Headers`], and the [`Framing`] of the body behind it.
 //! - [`ChunkedDecoder`]: the chunked transfer coding, for bodies that are used before they are complete.
+//!
+//! ```
+//! use mallowseam_http1::{Limits, RequestHead, RequestReader};
+//!
+//! let limits = Limits { head: 8 * 1024, body: 64 * 1024 };
+//! let mut reader = RequestReader::default();
+//! let mut buffer = b"PUT /a HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n\r\nhel".to_vec();
+//! assert_eq!(reader.advance(&mut buffer, limits), Ok(None));
+//! buffer.extend_from_slice(b"lo");
+//! let span = reader.advance(&mut buffer, limits)?.expect("complete");
+//! assert_eq!(&buffer[span.body..span.end], b"hello");
+//! let head = RequestHead::parse(&buffer, limits)?.expect("complete");
+//! assert_eq!((head.method, head.target), ("PUT", "/a"));
+//! # Ok::<(), mallowseam_http1::ParseError>(())
+//! ```
 #![warn(missing_docs)]
 
 mod chunked;
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -2,6 +2,16 @@
 //!
 //! `GET /v1/endpoints` returns a full snapshot. With `follow=1` the service keeps a chunked response open (a watch)
 //! and sends one JSON object per event, and an empty line every two seconds while nothing changes.
+//!
+//! ```
+//! use mallowseam_platform::endpoints::{Health, WatchFrame, parse_frame};
+//!
+//! let text = br#"{"seq":43,"whole":false,"hosts":[
+//!     {"host":"s-1","dial":"10.1.0.18:8443","site":"a","block":3,"health":"draining"}]}"#;
+//! let WatchFrame::Event { event, len } = parse_frame(text) else { panic!("an event") };
+//! assert_eq!((event.version, event.full_snapshot, len), (43, false, text.len()));
+//! assert_eq!(event.endpoints[0].health, Health::Draining);
+//! ```
 use crate::INFALLIBLE;
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,6 +9,14 @@
 //! - [`reload`]: what a running host can take over from a changed configuration.
 //! - [`edit`]: writes computed shares into the text of a configuration.
 //! - [`tokenize`], [`Arguments`] and [`Diagnostics`]: the line format itself, for other files of the same form.
+//!
+//! ```
+//! let error = mallowseam_settings::parse("gw1.conf", "node brick1\n    address 127.0.0.1\n").unwrap_err();
+//! assert_eq!(
+//!     error.to_string().lines().last(),
+//!     Some("gw1.conf:2:13: expected an address and port, found `127.0.0.1`")
+//! );
+//! ```
 #![warn(missing_docs)]
 
 mod arguments;
