--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -7,7 +7,7 @@
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::state::State;
 use mallowseam_scheduler::host::{Tick, VolId};
-use mallowseam_settings::reload::{self, ReloadOutcome};
+use mallowseam_settings::reload::{self, ReloadOutcome, RestartRequired};
 use rand::Rng;
 use std::path::Path;
 
@@ -59,11 +59,11 @@
     #[error("volume {0} has no plan")]
     NoPlan(String),
     /// The configuration differs in more than its plans, a line each.
-    #[error("{}", .0.join("\n"))]
-    NeedsRestart(Vec<String>),
+    #[error(transparent)]
+    NeedsRestart(RestartRequired),
     /// The replicated plans cannot be applied without a restart.
-    #[error("{}", .0.join("; "))]
-    Rejected(Vec<String>),
+    #[error("{}", .0.to_string().replace('\n', "; "))]
+    Rejected(RestartRequired),
 }
 
 impl HostProcess {
@@ -138,7 +138,7 @@
         let changed = self.dispatcher.apply_plans(&plans.volume_plans);
         let all = scheduler_config::scheduler_plans(&self.site);
         self.scheduler.planned(self.dispatcher.now, &all, &changed);
-        plans.changes.iter().for_each(|change| tracing::info!(change, "plans applied"));
+        plans.changes.iter().for_each(|change| tracing::info!(change = change.to_string(), "plans applied"));
     }
 
     /// Applies the plans of a configuration that differs from the running one in nothing else. Returns what has
@@ -152,7 +152,7 @@
         if plans.changes.is_empty() {
             return Ok("nothing is different".to_owned());
         }
-        let changes = plans.changes.join("\n");
+        let changes = plans.summary();
         self.apply(plans);
         Ok(changes)
     }
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -27,18 +27,19 @@
     };
     let site = parse(&text)?;
     let mut contradictions = misplaced_volumes(&problem, &answer, &site);
-    let edited = edit::apply_shares(&text, &site, &answer.shares).unwrap_or_else(|mut unknown| {
-        contradictions.append(&mut unknown);
+    let edited = edit::apply_shares(&text, &site, &answer.shares).unwrap_or_else(|unknown| {
+        contradictions.push(unknown.to_string());
         String::new()
     });
     if !contradictions.is_empty() {
         return Err(PlacementError::Contradicted(contradictions));
     }
-    let changes = reload::evaluate(&site, &parse(&edited)?).map_err(PlacementError::Contradicted)?.changes;
-    if changes.is_empty() {
+    let outcome = reload::evaluate(&site, &parse(&edited)?)
+        .map_err(|error| PlacementError::Contradicted(vec![error.to_string()]))?;
+    if outcome.changes.is_empty() {
         return Ok("nothing is different".to_owned());
     }
-    let mut text = changes.join("\n");
+    let mut text = outcome.summary();
     if write {
         atomic_file::replace(configuration, edited.as_bytes())
             .map_err(|source| PlacementError::Write { file: configuration.to_owned(), source })?;
