--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -3,8 +3,8 @@
 use super::{PlacementError, answer_file, display_name, problem_file};
 use crate::atomic_file;
 use crate::error::{FileError, read_text};
+use mallowseam_placement::problem::Problem;
 use mallowseam_settings::{GatewayConfig, edit, reload};
-use mallowseam_shares::model::Problem;
 use std::collections::BTreeSet;
 use std::path::Path;
 
