--- a/crates/endpoint-list/src/lib.rs
+++ b/crates/endpoint-list/src/lib.rs
@@ -16,6 +16,20 @@
 //! - [`endpoint`]: what the service says of a node.
 //! - [`wire`]: the lines, written and parsed.
 //! - [`watcher`]: a host's side, with a cache for the next start.
+//!
+//! ```
+//! use mallowseam_endpoint_list::{EndpointState, EndpointWatcher, WatchEvent};
+//!
+//! let mut watcher = EndpointWatcher::default();
+//! let mut events = Vec::new();
+//! let bytes = b"list 7 1 whole 1\nnode n1 active 3 60000\nlist 7 3 changes 1\nnode n1 leaving 3 61000\n";
+//! watcher.receive(bytes, |event| events.push(event))?;
+//!
+//! // Version 1 is complete; version 3 does not follow it.
+//! let [WatchEvent::Update(update), WatchEvent::SnapshotRequired] = &events[..] else { panic!("{events:?}") };
+//! assert_eq!(update.endpoints[0].state, EndpointState::Active);
+//! # Ok::<(), mallowseam_endpoint_list::ProtocolError>(())
+//! ```
 #![warn(missing_docs)]
 
 pub mod endpoint;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -13,6 +13,32 @@
 //! - [`infeasibility`]: why nothing fits.
 //! - [`tuning`]: weights and reserves that the problem leaves open; [`limit_split`]: a limit divided over hosts.
 //! - [`migration`]: the steps from the current placement to another one.
+//!
+//! ```
+//! use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
+//! use mallowseam_placement::problem::{Node, Problem, Volume};
+//!
+//! let node = |name: &str, zone: &str| Node {
+//!     name: name.into(),
+//!     zone: zone.into(),
+//!     capacity: 10_000,
+//!     cost: 1,
+//! };
+//! // 6 units a second on two nodes, which must fit on one of them as well.
+//! let volume = Volume {
+//!     name: "water".into(),
+//!     reserved_rate: 6_000,
+//!     surge_rate: 6_000,
+//!     spread: 2,
+//!     survives_node_loss: true,
+//!     distinct_zones: true,
+//!     ..Volume::default()
+//! };
+//! let nodes = vec![node("a", "east"), node("b", "east"), node("c", "west")];
+//! let problem = Problem::new(nodes, vec![volume]).expect("no mistakes");
+//! let SolveOutcome::Optimal(best) = solve(&problem, 1_000) else { panic!("it is small") };
+//! assert_eq!(best.placement.0, [[0, 2]]);
+//! ```
 #![warn(missing_docs)]
 
 pub mod branch_and_bound;
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -1,5 +1,20 @@
 //! The change log: one entry for each version, which contains the hash of the entry before it. An entry that was
 //! altered, removed or inserted is found at the first one that does not follow.
+//!
+//! ```
+//! use mallowseam_plans::change_log::ChangeLog;
+//! use mallowseam_plans::state::{Change, Plan};
+//!
+//! let mut log = ChangeLog::default();
+//! let plan = Plan { rate_limit: 900_000, burst_units: 10_000, ..Plan::default() };
+//! let change = Change::SetPlan { name: "basic".into(), plan };
+//! let entry = log.propose(0, "author", "reason", 1_800_000_000, change)?;
+//! log.append(&entry)?;
+//! assert_eq!(log.state.version, 1);
+//! assert_eq!(ChangeLog::replay([entry.as_str()].into_iter())?, log);
+//! assert!(log.append(&entry).is_err(), "an entry follows once");
+//! # Ok::<(), Box<dyn std::error::Error>>(())
+//! ```
 use crate::error::{ChangeError, LogError, LogErrorKind};
 use crate::state::{Change, State};
 use serde::{Deserialize, Serialize};
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -16,6 +16,29 @@
 //! - [`host_quota`]: a host's quota of one limit: what it owns, lends and leases.
 //!
 //! Both: [`messages`], the protocol between them, and [`error`].
+//!
+//! Three hosts share a limit of 900 units a second. An idle one lends what it does not need, and a busy one leases
+//! it for a while:
+//!
+//! ```
+//! use mallowseam_plans::host_quota::HostQuota;
+//! use mallowseam_plans::quota_pool::{LEASE_DURATION, QuotaPool};
+//!
+//! let (mut idle, mut busy) = (HostQuota::new(900_000, 3), HostQuota::new(900_000, 3));
+//! let mut pool = QuotaPool::new(0, true);
+//!
+//! // The service polls at 0 ms. Both hosts report, host 0 no demand, host 1 twice its nominal quota.
+//! let lent = idle.lend(idle.lendable(0), 5);
+//! let lendable = busy.lendable(600_000);
+//! let requested = 600_000 - busy.nominal();
+//! pool.on_report(0, 0, lent, 0, 10);
+//! pool.on_report(1, 0, busy.lend(lendable, 5), requested, 10);
+//!
+//! // The lease counts from the moment at which host 1 reported.
+//! busy.add_lease(pool.grant(1, 10), 5, LEASE_DURATION, 15);
+//! assert_eq!((idle.available(15), busy.available(15)), (75_000, 525_000));
+//! assert_eq!(busy.available(5 + LEASE_DURATION), 300_000);
+//! ```
 #![warn(missing_docs)]
 
 pub mod change_log;
