--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -43,6 +43,15 @@
     pub uptime_ms: u64,
 }
 
+/// Version of the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ListVersion {
+    /// Drawn by the service at its start.
+    pub epoch: u64,
+    /// Counts up within the epoch; 0: nothing was received on this connection.
+    pub version: u64,
+}
+
 /// How an update relates to what was known before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
--- a/crates/endpoint-list/src/lib.rs
+++ b/crates/endpoint-list/src/lib.rs
@@ -36,6 +36,6 @@
 pub mod watcher;
 pub mod wire;
 
-pub use endpoint::{Endpoint, EndpointState, EndpointUpdate, UpdateKind};
+pub use endpoint::{Endpoint, EndpointState, EndpointUpdate, ListVersion, UpdateKind};
 pub use watcher::{EndpointWatcher, WatchEvent};
 pub use wire::{MAX_ENDPOINTS, MAX_LINE_BYTES, ProtocolError, write_update};
--- a/crates/endpoint-list/src/watcher.rs
+++ b/crates/endpoint-list/src/watcher.rs
@@ -1,6 +1,6 @@
 //! A host's side of the protocol. It remembers what it was sent last, so that old or repeated updates are
 //! recognised, and writes it down in a form that the next start can read.
-use crate::endpoint::{Endpoint, EndpointUpdate, UpdateKind};
+use crate::endpoint::{Endpoint, EndpointUpdate, ListVersion, UpdateKind};
 use crate::wire::{MAX_LINE_BYTES, ProtocolError, UpdateHead, parse_endpoint, parse_head, write_endpoint};
 use std::collections::BTreeMap;
 
@@ -36,9 +36,7 @@
     /// Lines that have arrived on this connection.
     lines: u64,
     partial_update: Option<PartialUpdate>,
-    epoch: u64,
-    /// 0: nothing was received on this connection.
-    version: u64,
+    version: ListVersion,
     endpoints: BTreeMap<String, Endpoint>,
 }
 
@@ -49,13 +47,13 @@
         self.lines = 0;
         self.partial_update = None;
         // A new connection opens with a full snapshot, which needs no version before it.
-        self.version = 0;
+        self.version.version = 0;
     }
 
-    /// Epoch and version of the list.
+    /// Version of the list.
     #[must_use]
-    pub fn version(&self) -> (u64, u64) {
-        (self.epoch, self.version)
+    pub fn version(&self) -> ListVersion {
+        self.version
     }
 
     /// Takes bytes as they arrive, in pieces of any size; `notify` gets the events that they lead to.
@@ -100,15 +98,15 @@
     /// incarnation than the known one belongs to a run that is over, whatever the version of the message.
     fn apply(&mut self, update: PartialUpdate) -> Option<WatchEvent> {
         let PartialUpdate { head, endpoints } = update;
-        let is_same_epoch = head.epoch == self.epoch && self.version > 0;
-        if is_same_epoch && head.version <= self.version {
+        let known = self.version;
+        let is_same_epoch = head.version.epoch == known.epoch && known.version > 0;
+        if is_same_epoch && head.version.version <= known.version {
             return None;
         }
-        let is_next = is_same_epoch && head.version == self.version + 1;
+        let is_next = is_same_epoch && head.version.version == known.version + 1;
         if head.kind == UpdateKind::Incremental && !is_next {
             return Some(WatchEvent::SnapshotRequired);
         }
-        self.epoch = head.epoch;
         self.version = head.version;
         let known = &self.endpoints;
         let is_current =
@@ -150,7 +148,11 @@
             return Err(ProtocolError { line: lines.len() as u64 + 1, expected });
         }
         // The lines are those of a message, behind another head.
-        let head = UpdateHead { epoch: 0, version: 1, kind: UpdateKind::FullSnapshot, count };
+        let head = UpdateHead {
+            version: ListVersion { epoch: 0, version: 1 },
+            kind: UpdateKind::FullSnapshot,
+            count,
+        };
         let mut restored = EndpointWatcher {
             lines: 1,
             partial_update: Some(PartialUpdate::new(head)),
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -1,5 +1,5 @@
 //! The lines of the protocol, written and parsed.
-use crate::endpoint::{Endpoint, EndpointState, UpdateKind};
+use crate::endpoint::{Endpoint, EndpointState, ListVersion, UpdateKind};
 use std::fmt::Write;
 use thiserror::Error;
 
@@ -21,8 +21,7 @@
 /// The head line of a message.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct UpdateHead {
-    pub epoch: u64,
-    pub version: u64,
+    pub version: ListVersion,
     pub kind: UpdateKind,
     /// Number of endpoint lines that follow.
     pub count: usize,
@@ -54,7 +53,7 @@
     }
     let epoch = epoch.parse().map_err(|_| error("an epoch"))?;
     let version = version.parse().map_err(|_| error("a version"))?;
-    Ok(UpdateHead { epoch, version, kind, count })
+    Ok(UpdateHead { version: ListVersion { epoch, version }, kind, count })
 }
 
 /// Parses the line of one endpoint; `line` is its number.
@@ -75,7 +74,8 @@
 }
 
 /// Appends a message of the service to a text.
-pub fn write_update(out: &mut String, epoch: u64, version: u64, kind: UpdateKind, endpoints: &[Endpoint]) {
+pub fn write_update(out: &mut String, version: ListVersion, kind: UpdateKind, endpoints: &[Endpoint]) {
+    let ListVersion { epoch, version } = version;
     let kind = match kind {
         UpdateKind::FullSnapshot => "whole",
         UpdateKind::Incremental => "changes",
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -1,8 +1,8 @@
 //! Pins the protocol: every line that is written, and what is read from every form of it, cut at every byte and
 //! with every byte changed, compared with what commit 01f3988 wrote and read.
 use mallowseam_endpoint_list::{
-    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, MAX_ENDPOINTS, MAX_LINE_BYTES, ProtocolError,
-    UpdateKind, WatchEvent, write_update,
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, MAX_ENDPOINTS, MAX_LINE_BYTES,
+    ProtocolError, UpdateKind, WatchEvent, write_update,
 };
 use std::fmt::Write;
 
@@ -69,7 +69,7 @@
     if let Err(wrong) = result {
         writeln!(text, "error {} {wrong}", wrong.line).expect("writing to memory");
     }
-    let (epoch, version) = watcher.version();
+    let ListVersion { epoch, version } = watcher.version();
     writeln!(text, "at {epoch} {version} knows {:?}", watcher.write_cache()).expect("writing to memory");
     text
 }
@@ -80,19 +80,25 @@
         Ok(update) => describe_update(&update),
         Err(wrong) => format!("error {} {wrong}", wrong.line),
     };
-    format!("{result} at {:?} knows {:?}", watcher.version(), watcher.write_cache())
+    let ListVersion { epoch, version } = watcher.version();
+    format!("{result} at {:?} knows {:?}", (epoch, version), watcher.write_cache())
 }
 
 #[test]
 fn every_line_is_written_as_recorded() {
     let mut out = String::new();
-    write_update(&mut out, 9, 3, UpdateKind::FullSnapshot, &entries());
+    write_update(&mut out, ListVersion { epoch: 9, version: 3 }, UpdateKind::FullSnapshot, &entries());
     assert_eq!(out, WHOLE);
     out.clear();
-    write_update(&mut out, 9, 4, UpdateKind::Incremental, &[entry("a1", EndpointState::Removed, 5, 20)]);
+    write_update(
+        &mut out,
+        ListVersion { epoch: 9, version: 4 },
+        UpdateKind::Incremental,
+        &[entry("a1", EndpointState::Removed, 5, 20)],
+    );
     assert_eq!(out, CHANGES);
     out.clear();
-    write_update(&mut out, u64::MAX, 0, UpdateKind::FullSnapshot, &[]);
+    write_update(&mut out, ListVersion { epoch: u64::MAX, version: 0 }, UpdateKind::FullSnapshot, &[]);
     assert_eq!(out, EMPTY);
     assert_eq!(STATES.map(EndpointState::as_str), ["active", "leaving", "left"]);
     assert_eq!((MAX_LINE_BYTES, MAX_ENDPOINTS), (256, 4096));
@@ -108,7 +114,7 @@
         back.restore_cache(CACHED),
         Ok(EndpointUpdate { kind: UpdateKind::FullSnapshot, endpoints: entries() })
     );
-    assert_eq!((back.write_cache().as_str(), back.version()), (CACHED, (0, 0)));
+    assert_eq!((back.write_cache().as_str(), back.version()), (CACHED, ListVersion::default()));
     assert_eq!(EndpointWatcher::default().write_cache(), "kept 0\nend\n");
     assert_eq!(restore("kept 0\nend\n"), RESTORED_EMPTY);
 }
@@ -243,7 +249,7 @@
         let mut text = String::new();
         let kind =
             if random(&mut state, 4) == 0 { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
-        write_update(&mut text, epoch, version, kind, &entries);
+        write_update(&mut text, ListVersion { epoch, version }, kind, &entries);
         let cut = random(&mut state, text.len() as u64 + 1) as usize;
         record += &receive(&mut watcher, &text.as_bytes()[..cut]);
         if random(&mut state, 20) == 0 {
--- a/crates/endpoint-list/tests/watcher.rs
+++ b/crates/endpoint-list/tests/watcher.rs
@@ -1,6 +1,7 @@
 //! What a host's watcher makes of the service's messages.
 use mallowseam_endpoint_list::{
-    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent, write_update,
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
+    write_update,
 };
 
 const UPTIME_MS: u64 = 10;
@@ -11,13 +12,13 @@
 
 fn snapshot(epoch: u64, version: u64, endpoints: &[Endpoint]) -> String {
     let mut out = String::new();
-    write_update(&mut out, epoch, version, UpdateKind::FullSnapshot, endpoints);
+    write_update(&mut out, ListVersion { epoch, version }, UpdateKind::FullSnapshot, endpoints);
     out
 }
 
 fn increment(epoch: u64, version: u64, endpoints: &[Endpoint]) -> String {
     let mut out = String::new();
-    write_update(&mut out, epoch, version, UpdateKind::Incremental, endpoints);
+    write_update(&mut out, ListVersion { epoch, version }, UpdateKind::Incremental, endpoints);
     out
 }
 
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -4,7 +4,7 @@
 use crate::socket_io::{self, ReadOutcome};
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
 use mallowseam_endpoint_list::{
-    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
 };
 use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
 use mallowseam_settings::config;
@@ -122,8 +122,8 @@
         self.updates.pop_front()
     }
 
-    /// Epoch and version of the list.
-    pub(crate) fn version(&self) -> (u64, u64) {
+    /// Version of the list.
+    pub(crate) fn version(&self) -> ListVersion {
         self.watcher.version()
     }
 
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -418,7 +418,7 @@
     /// Tells the fleet's membership which versions this host acts on.
     fn publish_facts(&mut self) {
         let Some(membership) = &mut self.membership else { return };
-        let endpoint_list = self.endpoint_list.version().1;
+        let endpoint_list = self.endpoint_list.version().version;
         let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.replica.state().version);
         membership.set_active_versions(ActiveVersions { endpoint_list, plans });
     }
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -51,7 +51,7 @@
     fn status(&self) -> Status {
         let (dispatcher, site) = (&self.dispatcher, &self.site);
         let (admission, metrics) = (&dispatcher.clients.admission, &dispatcher.metrics);
-        let (list_epoch, list_version) = self.endpoint_list.version();
+        let list = self.endpoint_list.version();
         let classes = site.io_classes.iter().zip(&metrics.classes);
         let nodes = metrics.nodes.iter().enumerate();
         Status {
@@ -61,8 +61,8 @@
             connections: admission.connection_count(),
             in_flight: dispatcher.in_flight(),
             buffer_bytes: dispatcher.clients.buffered_bytes(),
-            list_epoch,
-            list_version,
+            list_epoch: list.epoch,
+            list_version: list.version,
             commands: metrics.commands,
             classes: classes.map(|(class, metrics)| class_status(class, metrics)).collect(),
             nodes: nodes.map(|(index, metrics)| self.node_status(index, metrics)).collect(),
--- a/crates/lab/src/listd.rs
+++ b/crates/lab/src/listd.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the node list service: knows what runs, and tells it late.
 use crate::trace::{Micros, Trace, What};
-use mallowseam_endpoint_list::{Endpoint, EndpointState, UpdateKind, write_update};
+use mallowseam_endpoint_list::{Endpoint, EndpointState, ListVersion, UpdateKind, write_update};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -196,7 +196,7 @@
             self.nodes.iter().enumerate().filter(pick).map(|(_, k)| entry(k)).collect();
         let mut out = String::new();
         let kind = if whole { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
-        write_update(&mut out, self.epoch, self.version, kind, &entries);
+        write_update(&mut out, ListVersion { epoch: self.epoch, version: self.version }, kind, &entries);
         out
     }
 
