--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -13,7 +13,7 @@
 use mallowseam_cow::words::{ToCatalog, ToHost, whole};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi;
-use mallowseam_scheduler::host::{Ending, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::Site;
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
@@ -473,7 +473,7 @@
     fn node_ends(&mut self) {
         while let Some((_, result)) = self.nodes.ended() {
             let Some((asked, _)) = self.orders.remove(&result.tag) else { continue };
-            self.order_over(asked, result.ending == Ending::Done);
+            self.order_over(asked, result.ending == AttemptResult::Completed);
         }
         let late: Vec<u32> = self.orders.iter().filter(|o| o.1.1 <= self.now).map(|o| *o.0).collect();
         for tag in late {
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -7,7 +7,7 @@
 };
 use mallowseam_iscsi::login::{Admit, Refusal, Who};
 use mallowseam_iscsi::target::{Came, TargetConn, TargetTerms};
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::net::SocketAddr;
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -20,9 +20,9 @@
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_iscsi::scsi::{self, Command as Scsi, Sense, Unit, status};
 use mallowseam_iscsi::target::Came;
-use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Interner;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 use mallowseam_settings::Site;
 use mallowseam_settings::site;
 use std::cmp::Reverse;
@@ -146,9 +146,9 @@
     ios: Slab<Io>,
     turns: Vec<u32>,
     commands: Slab<Command>,
-    keys: Door<(u32, u64)>,
+    keys: Interner<(u32, u64)>,
     timers: BinaryHeap<Reverse<(Tick, u32)>>,
-    ended: VecDeque<(BioId, Outcome)>,
+    ended: VecDeque<(BioId, AttemptOutcome)>,
     gone: VecDeque<BioId>,
     parts: Vec<SubRequest>,
     pub map: Option<Map>,
@@ -169,13 +169,13 @@
 
 impl Desk {
     /// Volumes have these plans from now on; the scheduler's handles of those that have another one.
-    pub fn planned(&mut self, of: &[usize]) -> Vec<(VolId, u16)> {
+    pub fn planned(&mut self, of: &[usize]) -> Vec<(VolumeId, u16)> {
         let mut changed = Vec::new();
         for (at, (volume, plan)) in self.volumes.iter_mut().zip(of).enumerate() {
             let plan = *plan as u16;
             if volume.plan != plan {
                 volume.plan = plan;
-                changed.push((VolId(at as u32), plan));
+                changed.push((VolumeId(at as u32), plan));
             }
         }
         changed
@@ -217,7 +217,7 @@
             ios: Slab::default(),
             turns: Vec::new(),
             commands: Slab::default(),
-            keys: Door::default(),
+            keys: Interner::default(),
             timers: BinaryHeap::new(),
             ended: VecDeque::new(),
             gone: VecDeque::new(),
@@ -302,7 +302,7 @@
         if self.wake_at.is_some_and(|at| at <= self.now) {
             self.wake_at = None;
             let now = self.now;
-            scheduler.woken(self, now);
+            scheduler.on_timer(self, now);
             self.settle(scheduler);
         }
     }
@@ -323,10 +323,10 @@
             // when that one makes room.
             if let Some(id) = self.gone.pop_front() {
                 if self.ios.get(id.0).is_some() {
-                    scheduler.gone(self, now, id);
+                    scheduler.on_disconnect(self, now, id);
                 }
             } else if let Some((id, outcome)) = self.ended.pop_front() {
-                scheduler.ended(self, now, id, &outcome);
+                scheduler.on_attempt_finished(self, now, id, &outcome);
             } else if let Some(at) = self.fresh.pop_front() {
                 self.take(scheduler, at);
             } else if self.nodes.is_quiet() && self.clients.is_quiet() && !self.look_again(scheduler) {
@@ -349,18 +349,18 @@
             None => (self.volumes[io.vol].block_size as usize, self.writes_copy(at)),
         };
         let io = self.ios.get_mut(at).expect("just seen");
-        let mut ending = if result.closed { Ending::Error } else { result.ending };
+        let mut ending = if result.closed { AttemptResult::Error } else { result.ending };
         let bytes = io.part.blocks as usize * block_size;
-        if ending == Ending::Done && !write && result.data.len() != bytes {
+        if ending == AttemptResult::Completed && !write && result.data.len() != bytes {
             tracing::warn!(
                 node = self.nodes.all[node].name,
                 bytes,
                 came = result.data.len(),
                 "read came back short"
             );
-            ending = Ending::Error;
+            ending = AttemptResult::Error;
         }
-        if ending == Ending::Done && !io.answered {
+        if ending == AttemptResult::Completed && !io.answered {
             io.answered = true;
             self.done(at, result.data);
         }
@@ -398,24 +398,27 @@
     }
 
     /// A submit is over: its outcome is told to the scheduler after the present call.
-    fn tell(&mut self, at: u32, ending: Ending) {
+    fn tell(&mut self, at: u32, ending: AttemptResult) {
         let Some(io) = self.ios.get_mut(at) else { return };
         let Some(out) = io.out.take() else { return };
         self.figures.nodes[out.node as usize].count(ending);
         if self.groups[io.part.class as usize].side_effecting
-            && matches!(ending, Ending::Busy | Ending::NoConnect | Ending::Moot)
+            && matches!(
+                ending,
+                AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent
+            )
             && let Some(command) = self.commands.get_mut(io.command)
         {
             command.progress.attempt_did_not_run();
         }
-        let outcome = Outcome {
-            ending,
+        let outcome = AttemptOutcome {
+            result: ending,
             node: NodeId(out.node),
-            closed: io.answered || io.returns,
-            wait: self.now - out.sent,
-            by_others: 0.0,
-            used: 0.0,
-            report: Report::default(),
+            client_answered: io.answered || io.returns,
+            latency: self.now - out.sent,
+            units_by_other_hosts: 0.0,
+            volume_usage: 0.0,
+            load_report: LoadReport::default(),
         };
         self.ended.push_back((BioId(at), outcome));
     }
@@ -431,7 +434,7 @@
             let Some(out) = self.ios.get(place).and_then(|io| io.out.as_ref()) else { continue };
             if out.tag == tag {
                 let early = self.nodes.give_up(out.node as usize, tag, self.now);
-                self.tell(place, if early { Ending::NoConnect } else { Ending::TimedOut });
+                self.tell(place, if early { AttemptResult::ConnectFailed } else { AttemptResult::TimedOut });
             }
         }
         // Most submits end long before their time is up: what is left of them here is cleared out.
@@ -594,7 +597,7 @@
         io.handed = true;
         let part = io.part;
         let volume = &self.volumes[io.vol];
-        let key = part.ordering_key.map(|key| KeyId(self.keys.enter(&(io.lun, key))));
+        let key = part.ordering_key.map(|key| KeyId(self.keys.intern(&(io.lun, key))));
         let bytes = u64::from(part.blocks) * u64::from(volume.block_size);
         let shard = match (io.place, io.copies) {
             (Some((_, place)), _) => Some(self.shards[place.node as usize]),
@@ -604,11 +607,11 @@
         };
         let bio = Bio {
             id: BioId(at),
-            group: part.class,
+            class: part.class,
             plan: volume.plan,
-            vol: VolId(io.vol as u32),
+            volume: VolumeId(io.vol as u32),
             key,
-            hard_limit: io.taken + self.groups[part.class as usize].hard_limit,
+            deadline: io.taken + self.groups[part.class as usize].hard_limit,
             units: bytes.div_ceil(self.unit) as f64,
             shard,
             hosts: volume.hosts,
@@ -618,7 +621,7 @@
             self.figures.volumes[io.vol].asked += bio.units;
         }
         let now = self.now;
-        scheduler.take(self, now, bio);
+        scheduler.on_arrival(self, now, bio);
     }
 
     /// A block I/O gives back its place, and its command with the last one.
@@ -672,7 +675,7 @@
 }
 
 impl Host for Desk {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         let io = self.ios.get_mut(bio.0).expect("in hand");
         if self.turns.len() <= bio.0 as usize {
             self.turns.resize(bio.0 as usize + 1, 0);
@@ -721,15 +724,15 @@
             data,
         };
         self.figures.nodes[node.0 as usize].submits += 1;
-        self.timers.push(Reverse((self.now + limit.max(0), tag)));
+        self.timers.push(Reverse((self.now + timeout.max(0), tag)));
         self.nodes.submit(node.0 as usize, order, self.now);
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        let Some(io) = self.ios.get(bio.0).filter(|io| io.submits == nth + 1) else { return };
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        let Some(io) = self.ios.get(bio.0).filter(|io| io.submits == attempt + 1) else { return };
         let Some(out) = &io.out else { return };
         let early = self.nodes.give_up(out.node as usize, out.tag, self.now);
-        self.tell(bio.0, if early { Ending::Moot } else { Ending::Cancelled });
+        self.tell(bio.0, if early { AttemptResult::NotSent } else { AttemptResult::Cancelled });
     }
 
     fn shed(&mut self, bio: BioId, come_back: Tick) {
@@ -740,23 +743,15 @@
         self.give_up(bio, RequestOutcome::Failed);
     }
 
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         let at = self.now + after;
         self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
     }
 
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.wants_list = true;
     }
 
-    fn fetch_list(&mut self) {
-        self.wants_list = true;
-    }
-
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
     fn release_bio(&mut self, bio: BioId) {
         match self.ios.get_mut(bio.0).filter(|io| io.returns && !io.answered) {
             Some(io) => {
@@ -772,7 +767,7 @@
     }
 
     /// Volumes keep their index: there are as many as the configuration names.
-    fn release_volume(&mut self, _vol: VolId) {}
+    fn release_volume(&mut self, _vol: VolumeId) {}
 
     /// Nodes have the places that the configuration gives them.
     fn release_node(&mut self, _node: NodeId) {}
--- a/crates/gateway/src/desk/mapped.rs
+++ b/crates/gateway/src/desk/mapped.rs
@@ -232,7 +232,7 @@
     pub(super) fn turned_away(&mut self, at: u32) {
         let layer = self.ios.get(at).and_then(|io| io.place).map(|p| p.0);
         self.ios.get_mut(at).expect("in hand").returns = true;
-        self.tell(at, Ending::Moot);
+        self.tell(at, AttemptResult::NotSent);
         for other in self.ios.indices() {
             let Some(io) = self.ios.get(other) else { continue };
             let here = io.place.map(|p| p.0) == layer && io.handed && io.out.is_none() && !io.returns;
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -1,6 +1,6 @@
 //! What a host counts, for status and logs.
 use hdrhistogram::Histogram;
-use mallowseam_scheduler::host::Ending;
+use mallowseam_scheduler::interface::AttemptResult;
 use serde::{Deserialize, Serialize};
 
 /// Longest wait told apart: an hour in microseconds.
@@ -43,15 +43,15 @@
 }
 
 impl NodeFigures {
-    pub fn count(&mut self, ending: Ending) {
+    pub fn count(&mut self, ending: AttemptResult) {
         *match ending {
-            Ending::Done => &mut self.done,
-            Ending::Busy => &mut self.busy,
-            Ending::TimedOut => &mut self.timed_out,
-            Ending::NoConnect => &mut self.no_connect,
-            Ending::Reset => &mut self.reset,
-            Ending::Cancelled | Ending::Moot => &mut self.cancelled,
-            Ending::Error => &mut self.errors,
+            AttemptResult::Completed => &mut self.done,
+            AttemptResult::Rejected => &mut self.busy,
+            AttemptResult::TimedOut => &mut self.timed_out,
+            AttemptResult::ConnectFailed => &mut self.no_connect,
+            AttemptResult::ConnectionReset => &mut self.reset,
+            AttemptResult::Cancelled | AttemptResult::NotSent => &mut self.cancelled,
+            AttemptResult::Error => &mut self.errors,
         } += 1;
     }
 }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -5,7 +5,7 @@
 use mallowseam_endpoint_list::{
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
 };
-use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
+use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, NodeId, NodeState, Tick};
 use mallowseam_settings::site;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -36,7 +36,7 @@
     asked: Vec<u8>,
     register: EndpointWatcher,
     request: EndpointListRequest,
-    news: VecDeque<(ListForm, Vec<Listed>)>,
+    news: VecDeque<(EndpointEvent, Vec<NodeEndpoint>)>,
 }
 
 impl List {
@@ -75,15 +75,15 @@
     /// What is known before the service has been asked: the kept copy, or all nodes where there is no service.
     pub fn start(&mut self, now: Tick) {
         if self.address.is_none() {
-            let listed = |(i, k): (usize, &Known)| Listed {
+            let listed = |(i, k): (usize, &Known)| NodeEndpoint {
                 node: NodeId(i as u32),
                 zone: k.zone,
                 shard: k.shard,
                 state: NodeState::Active,
-                came_up: 0,
+                started_at: 0,
             };
             let all = self.known.iter().enumerate().map(listed).collect();
-            self.news.push_back((ListForm::Whole, all));
+            self.news.push_back((EndpointEvent::FullSnapshot, all));
             return;
         }
         let Some(path) = &self.kept else { return };
@@ -91,7 +91,7 @@
             Ok(text) => match self.register.restore_cache(&text) {
                 Ok(update) => {
                     tracing::info!(nodes = update.endpoints.len(), "kept node list read");
-                    self.tell(ListForm::Kept, update, now);
+                    self.tell(EndpointEvent::Cached, update, now);
                 }
                 Err(wrong) => tracing::warn!(%wrong, "kept node list is not used"),
             },
@@ -99,7 +99,7 @@
         }
     }
 
-    pub fn news(&mut self) -> Option<(ListForm, Vec<Listed>)> {
+    pub fn news(&mut self) -> Option<(EndpointEvent, Vec<NodeEndpoint>)> {
         self.news.pop_front()
     }
 
@@ -135,7 +135,7 @@
             let _ = self.registry.deregister(&mut socket);
         }
         self.request.finished();
-        self.news.push_back((ListForm::Failed, Vec::new()));
+        self.news.push_back((EndpointEvent::PollFailed, Vec::new()));
     }
 
     pub fn ready(&mut self, readable: bool, scratch: &mut [u8], now: Tick) {
@@ -175,8 +175,8 @@
             WatchEvent::Update(update) => {
                 self.request.finished();
                 let form = match update.kind {
-                    UpdateKind::FullSnapshot => ListForm::Whole,
-                    UpdateKind::Incremental => ListForm::Changes,
+                    UpdateKind::FullSnapshot => EndpointEvent::FullSnapshot,
+                    UpdateKind::Incremental => EndpointEvent::Incremental,
                 };
                 self.tell(form, update, now);
                 self.keep();
@@ -184,7 +184,7 @@
         }
     }
 
-    fn tell(&mut self, form: ListForm, update: EndpointUpdate, now: Tick) {
+    fn tell(&mut self, form: EndpointEvent, update: EndpointUpdate, now: Tick) {
         let mut listed = Vec::new();
         for entry in &update.endpoints {
             match self.listed(entry, now) {
@@ -205,7 +205,7 @@
         self.news.push_back((form, listed));
     }
 
-    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<Listed> {
+    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<NodeEndpoint> {
         let i = self.known.iter().position(|k| k.name == entry.name)?;
         let known = &mut self.known[i];
         // News take a while: of one run, the earliest start that was told is the truest. It never moves up,
@@ -218,16 +218,16 @@
         } else {
             known.came_up = known.came_up.min(began);
         }
-        Some(Listed {
+        Some(NodeEndpoint {
             node: NodeId(i as u32),
             zone: known.zone,
             shard: known.shard,
             state: match entry.state {
                 EndpointState::Active => NodeState::Active,
-                EndpointState::Draining => NodeState::Leaving,
-                EndpointState::Removed => NodeState::Left,
+                EndpointState::Draining => NodeState::Draining,
+                EndpointState::Removed => NodeState::Removed,
             },
-            came_up: known.came_up,
+            started_at: known.came_up,
         })
     }
 
--- a/crates/gateway/src/nodes.rs
+++ b/crates/gateway/src/nodes.rs
@@ -6,7 +6,7 @@
 use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{Sense, status};
-use mallowseam_scheduler::host::{Ending, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::site;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -27,7 +27,7 @@
 /// How a submit ended, with the data of a read.
 pub struct Result {
     pub tag: u32,
-    pub ending: Ending,
+    pub ending: AttemptResult,
     /// Turned away since the unit is closed to writes: it has not run.
     pub closed: bool,
     pub data: Vec<u8>,
@@ -100,7 +100,7 @@
         self.results.is_empty()
     }
 
-    fn end(&mut self, at: usize, tag: u32, ending: Ending, data: Vec<u8>) {
+    fn end(&mut self, at: usize, tag: u32, ending: AttemptResult, data: Vec<u8>) {
         self.results.push_back((at, Result { tag, ending, closed: false, data }));
     }
 
@@ -114,7 +114,7 @@
                 self.mark(at);
             } else {
                 // The node's own window is closed: it has turned the command away before it was sent.
-                self.end(at, tag, Ending::Busy, Vec::new());
+                self.end(at, tag, AttemptResult::Rejected, Vec::new());
             }
             return;
         }
@@ -171,14 +171,14 @@
         for order in std::mem::take(&mut node.queue) {
             self.results.push_back((
                 at,
-                Result { tag: order.tag, ending: Ending::NoConnect, closed: false, data: vec![] },
+                Result { tag: order.tag, ending: AttemptResult::ConnectFailed, closed: false, data: vec![] },
             ));
         }
         if let Some(mut link) = node.link.take() {
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.tags().collect::<Vec<_>>() {
                 let ran = link.conn.on_the_wire(tag);
-                let ending = if ran { Ending::Reset } else { Ending::NoConnect };
+                let ending = if ran { AttemptResult::ConnectionReset } else { AttemptResult::ConnectFailed };
                 self.results.push_back((at, Result { tag, ending, closed: false, data: vec![] }));
             }
         }
@@ -225,20 +225,20 @@
                     }
                 }
                 Came::Answer { tag, sense: Some(Sense::WRITE_PROTECTED), .. } => {
-                    let (ending, data) = (Ending::Moot, Vec::new());
+                    let (ending, data) = (AttemptResult::NotSent, Vec::new());
                     self.results.push_back((at, Result { tag, ending, closed: true, data }));
                 }
                 Came::Answer { tag, status: code, data, .. } => {
                     let ending = match code {
-                        status::GOOD => Ending::Done,
-                        status::BUSY | status::TASK_SET_FULL => Ending::Busy,
-                        _ => Ending::Error,
+                        status::GOOD => AttemptResult::Completed,
+                        status::BUSY | status::TASK_SET_FULL => AttemptResult::Rejected,
+                        _ => AttemptResult::Error,
                     };
                     self.end(at, tag, ending, data);
                 }
                 Came::Rejected { tag, reason } => {
                     tracing::warn!(node = self.all[at].name, reason, "command rejected");
-                    self.end(at, tag, Ending::Error, Vec::new());
+                    self.end(at, tag, AttemptResult::Error, Vec::new());
                 }
                 Came::Gone { .. } => self.all[at].connection.abort_answered(ticks_to_millis(now)),
                 Came::AskedOut => {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -17,8 +17,8 @@
 use mallowseam_iscsi::target::TargetTerms;
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::replica::HostedVolume;
-use mallowseam_scheduler::host::{Host, NodeId, NodeState, Tick, VolId};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{Host, NodeId, NodeState, Tick, VolumeId};
 use mallowseam_settings::{Site, change};
 use mio::net::{TcpListener, UnixStream};
 use mio::{Events, Poll, Token};
@@ -177,7 +177,7 @@
         self.desk.now = self.clock.now();
         // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the list and its windows
         // from here on.
-        self.desk.wake(0);
+        self.desk.set_timer(0);
         self.desk.woken(&mut self.scheduler);
         self.list.start(self.desk.now);
         self.hear_list();
@@ -384,7 +384,7 @@
         let parts = follow.member.available_quotas(ticks_to_millis(now)).zip(&mut self.parts);
         for (at, (part, kept)) in parts.enumerate().filter(|(_, (part, kept))| part != *kept) {
             *kept = part;
-            self.scheduler.parted(now, VolId(at as u32), part.map(|p| p as f64 / 1000.0));
+            self.scheduler.on_quota_changed(now, VolumeId(at as u32), part.map(|p| p as f64 / 1000.0));
         }
     }
 
@@ -419,7 +419,7 @@
             volume.plan = *plan;
         }
         let changed = self.desk.planned(&taken.of);
-        self.scheduler.planned(self.desk.now, &terms::plans(&self.site), &changed);
+        self.scheduler.on_plans_changed(self.desk.now, &terms::plans(&self.site), &changed);
         taken.told.iter().for_each(|what| tracing::info!(what, "plans taken up"));
     }
 
@@ -428,10 +428,10 @@
             for l in &listed {
                 self.desk.nodes.all[l.node.0 as usize]
                     .connection
-                    .set_node_removed(l.state == NodeState::Left);
+                    .set_node_removed(l.state == NodeState::Removed);
             }
             let now = self.desk.now;
-            self.scheduler.listed(&mut self.desk, now, form, &listed);
+            self.scheduler.on_endpoints(&mut self.desk, now, form, &listed);
             self.desk.settle(&mut self.scheduler);
         }
     }
@@ -520,18 +520,19 @@
                 p99_ms: f.waits.value_at_quantile(0.99) as f64 / MICROS,
             };
         let node = |(i, n): (usize, &crate::nodes::Node)| {
-            let (view, f) = (self.scheduler.view(desk.now, NodeId(i as u32)), &desk.figures.nodes[i]);
-            let view = view.unwrap_or_default();
+            let (status, f) =
+                (self.scheduler.node_status(desk.now, NodeId(i as u32)), &desk.figures.nodes[i]);
+            let status = status.unwrap_or_default();
             NodeStatus {
                 name: n.name.clone(),
                 connected: n.connection.is_ready(),
-                open: view.open,
-                cold: view.cold,
-                out: view.out,
-                held: view.held,
-                window: view.window,
-                wait_ms: view.wait / 10.0,
-                failures: view.failures,
+                open: status.active,
+                cold: status.warming_up,
+                out: status.in_flight,
+                held: status.queued,
+                window: status.concurrency_window,
+                wait_ms: status.mean_latency / 10.0,
+                failures: status.consecutive_failures,
                 submits: f.submits,
                 done: f.done,
                 busy: f.busy,
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -1,63 +1,63 @@
 //! From the configuration to the scheduler's terms and the volumes' layouts.
 use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
-use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
+use mallowseam_scheduler::interface::{Idempotency, IoClass, Plan, SchedulerConfig};
 use mallowseam_settings::Site;
 use mallowseam_settings::site::{self, Direction};
 
-pub fn terms(site: &Site) -> Terms {
+pub fn terms(site: &Site) -> SchedulerConfig {
     let fleet = &site.fleet;
-    let group = |g: &site::Group| IoGroup {
-        effect: match g.effect {
-            site::Effect::Idempotent => Effect::Idempotent,
-            site::Effect::SideEffecting => Effect::SideEffecting,
+    let group = |g: &site::Group| IoClass {
+        idempotency: match g.effect {
+            site::Effect::Idempotent => Idempotency::Idempotent,
+            site::Effect::SideEffecting => Idempotency::NonIdempotent,
         },
-        goal: ticks_from_micros_floor(g.goal),
-        late_share: g.late_share,
-        gain: g.gain,
+        latency_objective: ticks_from_micros_floor(g.goal),
+        late_weight_factor: g.late_share,
+        priority_weight: g.gain,
         ordered: g.ordered,
         writes: false,
     };
-    Terms {
+    SchedulerConfig {
         hosts: fleet.hosts,
-        groups: site.groups.iter().map(group).collect(),
+        classes: site.groups.iter().map(group).collect(),
         plans: plans(site),
-        mean_units: fleet.mean_units,
-        largest: fleet.largest_units,
-        share_gain: fleet.share_gain,
-        spare_gain: fleet.spare_gain,
+        mean_io_units: fleet.mean_units,
+        max_io_units: fleet.largest_units,
+        share_weight_factor: fleet.share_gain,
+        spare_weight_factor: fleet.spare_gain,
         // iSCSI has no field in which a node could tell what it does for other hosts, nor one for peers.
-        counts_others: false,
-        may_cancel: true,
-        may_name_return: fleet.come_back > 0,
-        longest_return: ticks_from_micros_floor(fleet.come_back),
-        max_submits: fleet.submits,
-        list_on_request: site.host.node_list.is_some(),
-        ask_turn: None,
-        list_pushed: false,
-        ask_within: 0,
-        word_by_half: false,
-        cold_bears: fleet.cold_bears,
-        cold_from: fleet.cold_from,
-        cold_span: ticks_from_micros_ceil(fleet.cold_span),
-        fall_span: ticks_from_micros_ceil(fleet.fall_span),
-        fall_multiple: fleet.fall_multiple,
-        order_rest: ticks_from_micros_ceil(fleet.order_rest),
-        budget_free: fleet.further_free,
-        budget_share: fleet.further_part,
-        budget_span: ticks_from_micros_ceil(fleet.further_span),
-        ..Terms::default()
+        other_hosts_usage_reported: false,
+        allow_cancel: true,
+        allow_retry_after: fleet.come_back > 0,
+        max_retry_after: ticks_from_micros_floor(fleet.come_back),
+        max_attempts: fleet.submits,
+        endpoints_polled: site.host.node_list.is_some(),
+        poll_service_time: None,
+        endpoints_pushed: false,
+        max_poll_delay: 0,
+        shed_at_half_deadline: false,
+        slow_start_capacity: fleet.cold_bears,
+        slow_start_initial_rate: fleet.cold_from,
+        slow_start_duration: ticks_from_micros_ceil(fleet.cold_span),
+        overload_window: ticks_from_micros_ceil(fleet.fall_span),
+        overload_factor: fleet.fall_multiple,
+        key_cooldown: ticks_from_micros_ceil(fleet.order_rest),
+        retry_budget_floor: fleet.further_free,
+        retry_budget_ratio: fleet.further_part,
+        retry_budget_window: ticks_from_micros_ceil(fleet.further_span),
+        ..SchedulerConfig::default()
     }
 }
 
 pub fn plans(site: &Site) -> Vec<Plan> {
     let plan = |p: &site::Plan| Plan {
-        usual: p.usual,
-        reserve: p.reserve,
-        limit: p.limit,
-        limit_burst: p.limit_burst,
-        wt: p.weight,
-        price: p.price,
+        usual_rate: p.usual,
+        reserved_rate: p.reserve,
+        rate_limit: p.limit,
+        burst: p.limit_burst,
+        weight: p.weight,
+        priority_factor: p.price,
     };
     site.plans.iter().map(plan).collect()
 }
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -4,8 +4,8 @@
 use crate::plots;
 use crate::trace::Micros;
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -71,22 +71,19 @@
 }
 
 impl Host for Asks {
-    fn submit(&mut self, _: BioId, _: NodeId, _: Tick) {}
+    fn forward(&mut self, _: BioId, _: NodeId, _: Tick) {}
     fn cancel(&mut self, _: BioId, _: u32) {}
     fn shed(&mut self, _: BioId, _: Tick) {}
     fn fail(&mut self, _: BioId) {}
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         self.wake = Some(after);
     }
-    fn probe(&mut self, _: NodeId) {}
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.list = true;
     }
-    fn fetch_list(&mut self) {}
-    fn tell_peers(&mut self, _: &[u8]) {}
     fn release_bio(&mut self, _: BioId) {}
     fn release_key(&mut self, _: KeyId) {}
-    fn release_volume(&mut self, _: VolId) {}
+    fn release_volume(&mut self, _: VolumeId) {}
     fn release_node(&mut self, _: NodeId) {}
 }
 
@@ -157,18 +154,23 @@
     fn happens(&mut self, event: Event) {
         match event {
             Event::Start(host) => {
-                let ask_turn = self.case.told.map(|t| (t / TICK) as Tick);
+                let poll_service_time = self.case.told.map(|t| (t / TICK) as Tick);
                 let hosts = self.case.hosts;
-                let terms = Terms { hosts, list_on_request: true, ask_turn, ..Terms::default() };
-                let scheduler = Scheduler::new(&terms, self.rng.random(), (self.now / TICK) as Tick);
+                let config = SchedulerConfig {
+                    hosts,
+                    endpoints_polled: true,
+                    poll_service_time,
+                    ..SchedulerConfig::default()
+                };
+                let scheduler = Scheduler::new(&config, self.rng.random(), (self.now / TICK) as Tick);
                 self.hosts[host as usize].scheduler = Some(scheduler);
                 if self.case.running {
-                    self.tell(host, ListForm::Whole);
-                    self.tell(host, ListForm::Failed);
+                    self.tell(host, EndpointEvent::FullSnapshot);
+                    self.tell(host, EndpointEvent::PollFailed);
                 }
-                self.with(host, |s, asks, now| s.woken(asks, now));
+                self.with(host, |s, asks, now| s.on_timer(asks, now));
             }
-            Event::Wake(host) => self.with(host, |s, asks, now| s.woken(asks, now)),
+            Event::Wake(host) => self.with(host, |s, asks, now| s.on_timer(asks, now)),
             Event::Arrives(host, call) => self.arrives(host, call),
             Event::Answered(host, call, well) if self.hosts[host as usize].call == Some(call) => {
                 self.hosts[host as usize].call = None;
@@ -176,12 +178,12 @@
                     self.came.fresh.push(self.now.saturating_sub(self.case.down));
                     self.second().fresh += 1;
                 }
-                self.tell(host, if well { ListForm::Whole } else { ListForm::Failed });
+                self.tell(host, if well { EndpointEvent::FullSnapshot } else { EndpointEvent::PollFailed });
             }
             Event::GivesUp(host, call) if self.hosts[host as usize].call == Some(call) => {
                 self.hosts[host as usize].call = None;
                 self.turns.gone((host, call));
-                self.tell(host, ListForm::Failed);
+                self.tell(host, EndpointEvent::PollFailed);
             }
             Event::Answered(..) | Event::GivesUp(..) => {}
             Event::Up => self.turns.turns(self.now, Mood::Well),
@@ -226,8 +228,8 @@
         &mut self.came.seconds[at]
     }
 
-    fn tell(&mut self, host: u32, form: ListForm) {
-        self.with(host, |s, asks, now| s.listed(asks, now, form, &[]));
+    fn tell(&mut self, host: u32, form: EndpointEvent) {
+        self.with(host, |s, asks, now| s.on_endpoints(asks, now, form, &[]));
     }
 
     /// Lets a scheduler act, and does what it asks for.
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -5,7 +5,7 @@
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_http1::{MessageSpan, ParseError, RequestHead, RequestReader};
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::BioId;
+use mallowseam_scheduler::interface::BioId;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use mallowseam_sockets::slab::Slab;
--- a/crates/platform-host/src/desk.rs
+++ b/crates/platform-host/src/desk.rs
@@ -9,8 +9,8 @@
 use mallowseam_platform::request::{self, ClientRequest, RequestId};
 use mallowseam_platform::response;
 use mallowseam_platform::settings::PlatformSettings;
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 use mallowseam_sockets::slab::Slab;
 use std::collections::VecDeque;
@@ -56,7 +56,7 @@
     pub wake_at: Option<Tick>,
     /// The scheduler wants the list service called.
     pub wants_watch: bool,
-    listed: Vec<Listed>,
+    listed: Vec<NodeEndpoint>,
 }
 
 impl Desk {
@@ -114,12 +114,12 @@
                         return self.clients.wrong(at, response::SHED_STATUS, "no room", now);
                     }
                 };
-                let (id, client, hard_limit) = (block.id, Some(at), bio.hard_limit);
+                let (id, client, hard_limit) = (block.id, Some(at), bio.deadline);
                 self.held.insert(Held { id, client, submits: 0, line: None, hard_limit });
                 self.counts.taken += 1;
                 self.clients.taken(at, bio.id, now);
                 let now = self.now;
-                scheduler.take(self, now, bio);
+                scheduler.on_arrival(self, now, bio);
                 self.settle(scheduler);
             }
         }
@@ -130,7 +130,7 @@
         if let Some(at) = self.held.get_mut(bio.0).and_then(|h| h.client.take()) {
             let now = self.now;
             self.take_back(bio);
-            scheduler.gone(self, now, bio);
+            scheduler.on_disconnect(self, now, bio);
             self.says_farewell(at);
             self.settle(scheduler);
         }
@@ -169,7 +169,7 @@
                 self.fail(BioId(at))
             }
             let now = self.now;
-            scheduler.gone(self, now, BioId(at));
+            scheduler.on_disconnect(self, now, BioId(at));
             self.settle(scheduler);
         }
     }
@@ -219,22 +219,22 @@
             let Some(held) = self.held.get_mut(came.bio.0) else { continue };
             held.line = None;
             let said = came.said;
-            let outcome = Outcome {
-                ending: came.ending,
+            let outcome = AttemptOutcome {
+                result: came.ending,
                 node: came.node,
-                closed: held.client.is_none(),
-                wait: came.until.unwrap_or(self.now) - came.since,
-                by_others: said.map_or(0.0, |s| s.by_others),
-                used: said.map_or(0.0, |s| s.usage),
-                report: said.map_or(Report::default(), |s| s.load_report),
+                client_answered: held.client.is_none(),
+                latency: came.until.unwrap_or(self.now) - came.since,
+                units_by_other_hosts: said.map_or(0.0, |s| s.by_others),
+                volume_usage: said.map_or(0.0, |s| s.usage),
+                load_report: said.map_or(LoadReport::default(), |s| s.load_report),
             };
             let now = self.now;
-            scheduler.ended(self, now, came.bio, &outcome);
+            scheduler.on_attempt_finished(self, now, came.bio, &outcome);
         }
     }
 
     /// The node list spoke.
-    pub fn listed(&mut self, scheduler: &mut Scheduler, form: ListForm, news: &WatchEvent) {
+    pub fn listed(&mut self, scheduler: &mut Scheduler, form: EndpointEvent, news: &WatchEvent) {
         let mut listed = std::mem::take(&mut self.listed);
         self.names.intern_endpoints(news, &self.named, &mut listed);
         for entry in &news.endpoints {
@@ -244,7 +244,7 @@
             }
         }
         // A drain told while a submit still waits for its connection stops it.
-        let whole = form != ListForm::Changes;
+        let whole = form != EndpointEvent::Incremental;
         let closed = |node: NodeId| {
             let told = listed.iter().find(|l| l.node == node);
             told.map_or(whole, |l| l.state != NodeState::Active)
@@ -255,20 +255,20 @@
             self.nodes.call_back(node, &mut |c| came.push_back(c));
         }
         let now = self.now;
-        scheduler.listed(self, now, form, &listed);
+        scheduler.on_endpoints(self, now, form, &listed);
         self.listed = listed;
         self.settle(scheduler);
     }
 
-    pub fn list_failed(&mut self, scheduler: &mut Scheduler, form: ListForm) {
+    pub fn list_failed(&mut self, scheduler: &mut Scheduler, form: EndpointEvent) {
         let now = self.now;
-        scheduler.listed(self, now, form, &[]);
+        scheduler.on_endpoints(self, now, form, &[]);
         self.settle(scheduler);
     }
 
     pub fn list_moved(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
-        scheduler.list_moved(self, now);
+        scheduler.on_discovery_moved(self, now);
         self.settle(scheduler);
     }
 
@@ -278,7 +278,7 @@
         if self.wake_at.is_some_and(|at| at <= self.now) {
             self.wake_at = None;
             let now = self.now;
-            scheduler.woken(self, now);
+            scheduler.on_timer(self, now);
             self.settle(scheduler);
         }
     }
@@ -293,13 +293,13 @@
 }
 
 impl Host for Desk {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         let now = self.now;
-        let most = self.named.scheduler.max_submits;
+        let most = self.named.scheduler.max_attempts;
         // Told to end, a host has all its answers out before it is killed; what it still holds by then is over, as
         // latency goals are.
         let by = self.clients.leaving.and_then(|l| l.answer_deadline());
-        let limit = by.map_or(limit, |by| limit.min(ticks_from_millis(by) - now));
+        let timeout = by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
         let looks = self.polled_long_ago();
         let Some(held) = self.held.get_mut(bio.0) else { return };
         if let Some(at) = held.client.filter(|at| looks && self.clients.left(*at, true)) {
@@ -308,15 +308,15 @@
         }
         let Some(held) = self.held.get_mut(bio.0) else { return };
         held.submits += 1;
-        let moot = held.hard_limit <= now || limit <= 0 || most > 0 && held.submits > most;
+        let moot = held.hard_limit <= now || timeout <= 0 || most > 0 && held.submits > most;
         let request = held.client.filter(|_| !moot).and_then(|at| self.clients.request(at));
         let sent = match request {
             // Over, past its limit, or one submit too many.
-            None => Err(Ending::Moot),
+            None => Err(AttemptResult::NotSent),
             Some((head, body)) => {
-                let wait = ticks_to_millis(limit).max(1);
+                let wait = ticks_to_millis(timeout).max(1);
                 self.nodes
-                    .submit(bio, node, now, limit, |out| request::write_forwarded(out, &head, body, wait))
+                    .submit(bio, node, now, timeout, |out| request::write_forwarded(out, &head, body, wait))
             }
         };
         match sent {
@@ -331,41 +331,30 @@
         }
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        let Some(held) = self.held.get_mut(bio.0).filter(|h| nth + 1 == h.submits) else { return };
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        let Some(held) = self.held.get_mut(bio.0).filter(|h| attempt + 1 == h.submits) else { return };
         // Without a connection its outcome is on its way already.
         let cut = held.line.take().and_then(|line| self.nodes.cut(line, bio));
         self.came.extend(cut);
     }
 
-    fn shed(&mut self, bio: BioId, come_back: Tick) {
-        self.counts.shed += u64::from(self.final_answer(bio, response::SHED_STATUS, come_back));
+    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+        self.counts.shed += u64::from(self.final_answer(bio, response::SHED_STATUS, retry_after));
     }
 
     fn fail(&mut self, bio: BioId) {
         self.counts.failed += u64::from(self.final_answer(bio, response::FAILED_STATUS, 0));
     }
 
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         let at = self.now + after;
         self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
     }
 
-    /// The users' protocol has no probe on these terms, which say so.
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.wants_watch = true;
     }
 
-    /// A watch opened anew begins with the list, whole where that is called for.
-    fn fetch_list(&mut self) {
-        self.wants_watch = true;
-    }
-
-    /// Hosts can't talk to each other on these terms, which say so.
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
     fn release_bio(&mut self, bio: BioId) {
         if let Some(held) = self.held.remove(bio.0) {
             self.names.release_request(&held.id);
@@ -376,8 +365,8 @@
         self.names.release_key(key);
     }
 
-    fn release_volume(&mut self, vol: VolId) {
-        self.names.release_volume(vol);
+    fn release_volume(&mut self, volume: VolumeId) {
+        self.names.release_volume(volume);
     }
 
     fn release_node(&mut self, node: NodeId) {
--- a/crates/platform-host/src/desk/tests.rs
+++ b/crates/platform-host/src/desk/tests.rs
@@ -44,7 +44,7 @@
             r#"{{"seq":1,"whole":true,"hosts":[{{"host":"s","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}]}}"#
         );
         let news = mallowseam_platform::endpoints::parse(line.as_bytes()).expect("a sound list");
-        desk.listed(&mut scheduler, ListForm::Whole, &news);
+        desk.listed(&mut scheduler, EndpointEvent::FullSnapshot, &news);
         Scene { poll, desk, scheduler, node: listener, front }
     }
 
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -4,7 +4,7 @@
 use mallowseam_http1::{MessageSpan, ResponseHead, ResponseReader};
 use mallowseam_platform::request;
 use mallowseam_platform::response::{self, NodeResponse};
-use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mallowseam_sockets::slab::Slab;
@@ -35,7 +35,7 @@
 
 impl Carried {
     /// What came of it at a node, as of now.
-    fn came(&self, node: NodeId, ending: Ending) -> Came {
+    fn came(&self, node: NodeId, ending: AttemptResult) -> Came {
         Came { bio: self.bio, node, ending, since: self.since, until: None, said: None }
     }
 }
@@ -85,7 +85,7 @@
 pub struct Came {
     pub bio: BioId,
     pub node: NodeId,
-    pub ending: Ending,
+    pub ending: AttemptResult,
     pub since: Tick,
     /// When it was there to be heard; none: as of now.
     pub until: Option<Tick>,
@@ -199,7 +199,7 @@
         for line in 0..self.lines.index_bound() {
             let waits = self.lines.get(line).is_some_and(|l| l.node == at && !l.up);
             if waits && let Some(carried) = self.close(line) {
-                came(carried.came(at, Ending::Moot));
+                came(carried.came(at, AttemptResult::NotSent));
             }
         }
     }
@@ -236,19 +236,21 @@
         }
     }
 
-    fn open(&mut self, at: NodeId, now: Tick) -> Result<u32, Ending> {
+    fn open(&mut self, at: NodeId, now: Tick) -> Result<u32, AttemptResult> {
         if self.lines.len() >= self.most {
             // The longest idle of all gives way; with none idle, this host is what is short.
             let idle = self.lines.iter().filter(|(_, l)| l.up && l.carried.is_none());
             let oldest = idle.min_by_key(|(_, l)| l.idle_since).map(|(line, _)| line);
-            self.close(oldest.ok_or(Ending::Moot)?);
+            self.close(oldest.ok_or(AttemptResult::NotSent)?);
         }
-        let dial = self.node(at).and_then(|n| n.dial).ok_or(Ending::Moot)?;
-        let mut socket = TcpStream::connect(dial).map_err(|_| Ending::NoConnect)?;
+        let dial = self.node(at).and_then(|n| n.dial).ok_or(AttemptResult::NotSent)?;
+        let mut socket = TcpStream::connect(dial).map_err(|_| AttemptResult::ConnectFailed)?;
         let _ = socket.set_nodelay(true);
         let place = self.lines.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry.register(&mut socket, (self.token)(place), interest).map_err(|_| Ending::Moot)?;
+        self.registry
+            .register(&mut socket, (self.token)(place), interest)
+            .map_err(|_| AttemptResult::NotSent)?;
         self.lines.insert(Line {
             socket,
             node: at,
@@ -277,7 +279,7 @@
         now: Tick,
         limit: Tick,
         write: impl FnOnce(&mut Vec<u8>),
-    ) -> Result<(u32, Option<Came>), Ending> {
+    ) -> Result<(u32, Option<Came>), AttemptResult> {
         let place = match self.idle(at, now) {
             Some(place) => place,
             None => self.open(at, now)?,
@@ -304,11 +306,11 @@
             return Ok((place, None));
         }
         // A connection that dies under an unfinished submit says nothing of the node when it was an old one.
-        Ok((place, self.push(place, Ending::Moot)))
+        Ok((place, self.push(place, AttemptResult::NotSent)))
     }
 
     /// Writes what a connection still has to send. Some: it broke.
-    fn push(&mut self, place: u32, broken: Ending) -> Option<Came> {
+    fn push(&mut self, place: u32, broken: AttemptResult) -> Option<Came> {
         let line = self.lines.get_mut(place)?;
         let carried = line.carried?;
         if line.sent == line.out.len() {
@@ -329,7 +331,7 @@
         }
         self.close(place);
         // Before the last byte is written nothing has run; after it, it may have.
-        let ending = if whole { Ending::Reset } else { broken };
+        let ending = if whole { AttemptResult::ConnectionReset } else { broken };
         Some(carried.came(node, ending))
     }
 
@@ -343,7 +345,7 @@
         let line = self.lines.get(place).filter(|l| l.carries(bio))?;
         let (written, node) = (line.written(), line.node);
         let carried = self.close(place)?;
-        let ending = if written { Ending::Cancelled } else { Ending::Moot };
+        let ending = if written { AttemptResult::Cancelled } else { AttemptResult::NotSent };
         Some(carried.came(node, ending))
     }
 
@@ -367,7 +369,7 @@
             let failed = line.socket.take_error().map_or(true, |e| e.is_some());
             if failed {
                 self.close(place);
-                return Ready::Came(came(Ending::NoConnect));
+                return Ready::Came(came(AttemptResult::ConnectFailed));
             }
             if line.socket.peer_addr().is_err() {
                 return Ready::Nothing;
@@ -375,14 +377,14 @@
             // What a node says before it was asked is no answer to anything.
             if !matches!(nonblocking::read(&mut line.socket, &mut [0]), ReadOutcome::WouldBlock) {
                 self.close(place);
-                return Ready::Came(came(Ending::NoConnect));
+                return Ready::Came(came(AttemptResult::ConnectFailed));
             }
             line.up = true;
             // What waited for its connection has less time left than it was written with.
             request::rewrite_timeout(&mut line.out, ticks_to_millis(carried.limit_at - now).max(1));
         }
         if line.sent < line.out.len()
-            && let Some(came) = self.push(place, Ending::NoConnect)
+            && let Some(came) = self.push(place, AttemptResult::ConnectFailed)
         {
             return Ready::Came(came);
         }
@@ -395,11 +397,11 @@
         ended: bool,
         scratch: &mut [u8],
         now: Tick,
-        came: &impl Fn(Ending) -> Came,
+        came: &impl Fn(AttemptResult) -> Came,
     ) -> Ready {
         let Some(line) = self.lines.get_mut(place) else { return Ready::Nothing };
         let written = line.written();
-        let cut_off = if written { Ending::Reset } else { Ending::NoConnect };
+        let cut_off = if written { AttemptResult::ConnectionReset } else { AttemptResult::ConnectFailed };
         loop {
             let had = line.buffer.len();
             let capacity = line.buffer.capacity();
@@ -445,8 +447,8 @@
     }
 
     /// An answer that can't be read: its submit may have run, whatever the answer was meant to be.
-    fn spoilt(&mut self, place: u32, came: &impl Fn(Ending) -> Came) -> Ready {
-        let came = came(Ending::Error);
+    fn spoilt(&mut self, place: u32, came: &impl Fn(AttemptResult) -> Came) -> Ready {
+        let came = came(AttemptResult::Error);
         self.close(place);
         if let Some(node) = self.node_mut(came.node) {
             node.spoilt += 1;
@@ -459,18 +461,18 @@
         place: u32,
         whole: MessageSpan,
         now: Tick,
-        came: &impl Fn(Ending) -> Came,
+        came: &impl Fn(AttemptResult) -> Came,
     ) -> Ready {
         let Some(line) = self.lines.get(place) else { return Ready::Nothing };
         let head =
             ResponseHead::parse(&line.buffer[whole.start..], ANSWER).ok().flatten().expect("read before");
         let said = response::parse(&head);
         // A node begins with a request's last byte: what it says before was made for another.
-        if !line.written() && said.ending != Ending::Busy {
+        if !line.written() && said.ending != AttemptResult::Rejected {
             self.close(place);
-            return Ready::Came(came(Ending::NoConnect));
+            return Ready::Came(came(AttemptResult::ConnectFailed));
         }
-        let kept = keep_alive::keep_after_response(said.ending == Ending::Busy);
+        let kept = keep_alive::keep_after_response(said.ending == AttemptResult::Rejected);
         let close = head.close || !kept || line.buffer.len() > whole.end || !line.written();
         let (node, fresh) = (line.node, !line.used);
         if !kept && fresh {
@@ -479,11 +481,11 @@
         let came = Came { said: Some(said), ..came(said.ending) };
         if let Some(node) = self.node_mut(node) {
             node.answered += 1;
-            if said.ending == Ending::Done {
+            if said.ending == AttemptResult::Completed {
                 node.slowest = node.slowest.max(came.until.unwrap_or(now) - came.since);
             }
         }
-        if said.ending == Ending::Done {
+        if said.ending == AttemptResult::Completed {
             return Ready::Good(Good { at: place, came, whole, close });
         }
         self.rest(place, close, now);
@@ -557,15 +559,15 @@
             let Some(line) = self.lines.get(place) else { continue };
             let Some(carried) = line.carried.filter(|c| c.serial == serial) else { continue };
             let ending = if line.written() {
-                Ending::TimedOut
+                AttemptResult::TimedOut
             } else if !line.up && now >= carried.connect_by {
-                Ending::NoConnect
+                AttemptResult::ConnectFailed
             } else if now >= carried.limit_at {
-                Ending::Moot
+                AttemptResult::NotSent
             } else {
                 continue;
             };
-            if ending == Ending::TimedOut && now < carried.limit_at {
+            if ending == AttemptResult::TimedOut && now < carried.limit_at {
                 continue;
             }
             let node = line.node;
--- a/crates/platform-host/src/run.rs
+++ b/crates/platform-host/src/run.rs
@@ -13,8 +13,8 @@
 use mallowseam_platform::config::{self, HostConfig};
 use mallowseam_platform::endpoints::WatchEvent;
 use mallowseam_platform::settings::PlatformSettings;
-use mallowseam_scheduler::host::{Host, ListForm, NodeId, Terms, Tick};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{EndpointEvent, Host, NodeId, SchedulerConfig, Tick};
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_duration, ticks_to_millis};
 use mallowseam_sockets::{descriptors, listener, signals};
@@ -104,7 +104,7 @@
 /// of the list service, where somebody says so.
 pub fn run(path: &Path, list_turn: Option<u64>) -> Result<(), Failure> {
     let mut config = load(path)?;
-    config.settings.scheduler.ask_turn = list_turn.map(ticks_from_millis);
+    config.settings.scheduler.poll_service_time = list_turn.map(ticks_from_millis);
     // Parted by what the configuration says, it would run short of them where nothing may be turned away.
     let given = descriptors::raise_limit(config.max_sockets).map_err(failure("descriptors"))?;
     if given < config.max_sockets {
@@ -155,8 +155,8 @@
         let now = clock.now();
         let mut named = config.settings.clone();
         // On the platform the list is always asked for, and a late word on what was never tried costs three tenths.
-        named.scheduler.list_on_request = true;
-        named.scheduler.word_by_half = true;
+        named.scheduler.endpoints_polled = true;
+        named.scheduler.shed_at_half_deadline = true;
         let opened = |place| UdpMembership::open(poll.registry(), FLEET, place).map(Box::new);
         let membership = config.fleet.clone().map(opened).transpose().map_err(failure("the fleet's view"))?;
         let keep = KeepAlivePolicy::new(ticks_to_millis(named.idle_timeout), ticks_to_millis(now));
@@ -180,8 +180,8 @@
             connect_within_ms = ticks_to_millis(config.settings.connect_timeout),
             memory_mb = config.memory_mb,
             known = config.cached_list.as_ref().map_or(0, |k| k.endpoints.len()),
-            list_pushed = config.settings.scheduler.list_pushed,
-            ask_within_ms = ticks_to_millis(config.settings.scheduler.ask_within),
+            list_pushed = config.settings.scheduler.endpoints_pushed,
+            ask_within_ms = ticks_to_millis(config.settings.scheduler.max_poll_delay),
             "host starts"
         );
         Ok(Platform {
@@ -215,12 +215,12 @@
         self.tick();
         // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the list and its windows
         // from here on.
-        self.desk.wake(0);
+        self.desk.set_timer(0);
         self.desk.woken(&mut self.scheduler);
         if let Some(known) = self.config.cached_list.take() {
             self.told = !known.endpoints.is_empty();
             self.seq = Some(known.version);
-            self.desk.listed(&mut self.scheduler, ListForm::Kept, &known);
+            self.desk.listed(&mut self.scheduler, EndpointEvent::Cached, &known);
         }
         self.finish();
     }
@@ -274,7 +274,7 @@
                 HUP if drain(&mut self.hup) => self.reload(),
                 TERM if drain(&mut self.term) => {
                     let named = &self.desk.named;
-                    let goal = named.scheduler.groups.iter().map(|g| g.goal).max().unwrap_or(0);
+                    let goal = named.scheduler.classes.iter().map(|c| c.latency_objective).max().unwrap_or(0);
                     let (longest, goal) = (ticks_to_millis(named.longest_deadline), ticks_to_millis(goal));
                     self.leave(GracefulShutdown::by_platform(ticks_to_millis(self.desk.now), longest, goal));
                 }
@@ -372,7 +372,7 @@
                 self.end(at);
             }
             if self.watch_slots.is_latest(at) {
-                self.desk.list_failed(&mut self.scheduler, ListForm::Silent);
+                self.desk.list_failed(&mut self.scheduler, EndpointEvent::WatchSilent);
             }
         }
         if self.leaving.is_some_and(|l| !l.admits_clients(now)) {
@@ -440,18 +440,18 @@
         }
         let (was, named) = (&self.desk.named, &config.settings);
         if named.class_names == was.class_names && named.plan_names == was.plan_names {
-            self.scheduler.planned(self.desk.now, &named.scheduler.plans, &[]);
+            self.scheduler.on_plans_changed(self.desk.now, &named.scheduler.plans, &[]);
             self.desk.named.scheduler.plans.clone_from(&named.scheduler.plans);
         } else {
             tracing::warn!("other I/O groups or plans need a new start");
         }
         // Set up once, at the start: a host that took only a part of them would serve by two pages at once.
         let rest = |n: &PlatformSettings| PlatformSettings {
-            scheduler: Terms {
+            scheduler: SchedulerConfig {
                 plans: Vec::new(),
-                list_on_request: true,
-                word_by_half: true,
-                ask_turn: None,
+                endpoints_polled: true,
+                shed_at_half_deadline: true,
+                poll_service_time: None,
                 ..n.scheduler.clone()
             },
             ..n.clone()
@@ -501,7 +501,7 @@
         self.end(at);
         // One that another was called beside has been told as silent before.
         if self.watch_slots.is_latest(at) {
-            self.desk.list_failed(&mut self.scheduler, ListForm::Failed);
+            self.desk.list_failed(&mut self.scheduler, EndpointEvent::PollFailed);
         }
     }
 
@@ -520,7 +520,7 @@
                 Heard::Alive => self.spoke(at),
                 Heard::Closings(entries) => {
                     let news = WatchEvent { version: 0, full_snapshot: false, endpoints: entries };
-                    self.desk.listed(&mut self.scheduler, ListForm::Changes, &news);
+                    self.desk.listed(&mut self.scheduler, EndpointEvent::Incremental, &news);
                 }
                 Heard::Failed(why) => return self.lost(at, &why),
             }
@@ -537,17 +537,17 @@
         if first {
             // With no news or old ones, it is had all the same: the scheduler goes by that when the watch is lost.
             let none = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
-            self.desk.listed(&mut self.scheduler, ListForm::Changes, &none);
+            self.desk.listed(&mut self.scheduler, EndpointEvent::Incremental, &none);
         }
     }
 
     fn news(&mut self, at: usize, news: &WatchEvent) {
         self.spoke(at);
         let Some(call) = &self.calls[at] else { return };
-        let form = if news.full_snapshot { ListForm::Whole } else { ListForm::Changes };
+        let form = if news.full_snapshot { EndpointEvent::FullSnapshot } else { EndpointEvent::Incremental };
         if call.address() != self.counted_by {
             // The last words of a service that this host has left: they count as changes, and no version goes by them.
-            return self.desk.listed(&mut self.scheduler, ListForm::Changes, news);
+            return self.desk.listed(&mut self.scheduler, EndpointEvent::Incremental, news);
         }
         if !news.full_snapshot && call.since().is_some_and(|since| news.version < since) {
             // It has started anew and counts from below: what it has to tell is all that it has.
@@ -587,17 +587,17 @@
         );
         let ids: Vec<NodeId> = desk.nodes.ids().collect();
         for at in ids {
-            let Some(view) = self.scheduler.view(now, at) else { continue };
+            let Some(status) = self.scheduler.node_status(now, at) else { continue };
             let Some(node) = desk.nodes.node_mut(at) else { continue };
             tracing::info!(
                 node = at.0,
-                open = view.open,
-                window = format!("{:.2}", view.window),
-                out = view.out,
-                held = view.held,
-                wait_ms = format!("{:.1}", view.wait / 10.0),
+                open = status.active,
+                window = format!("{:.2}", status.concurrency_window),
+                out = status.in_flight,
+                held = status.queued,
+                wait_ms = format!("{:.1}", status.mean_latency / 10.0),
                 slowest_ms = node.slowest / 10,
-                failures = view.failures,
+                failures = status.consecutive_failures,
                 lines = node.lines,
                 submits = node.submits,
                 opened = node.opened,
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -2,8 +2,8 @@
 use crate::endpoints::{Endpoint, Health, WatchEvent};
 use crate::request::{BlockRequest, RequestId};
 use crate::settings::PlatformSettings;
-use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::*;
+use mallowseam_scheduler::Interner;
+use mallowseam_scheduler::interface::*;
 use std::collections::HashMap;
 
 /// Ticks in a millisecond.
@@ -23,9 +23,9 @@
 
 #[derive(Default)]
 pub struct NameInterner {
-    nodes: Door<String>,
-    volumes: Door<u64>,
-    keys: Door<(u64, u64)>,
+    nodes: Interner<String>,
+    volumes: Interner<u64>,
+    keys: Interner<(u64, u64)>,
     /// Ids of the block I/Os in hand.
     open: HashMap<RequestId, BioId>,
 }
@@ -51,11 +51,11 @@
         let wait = if named.longest_deadline > 0 { wait.min(named.longest_deadline) } else { wait };
         Ok(Bio {
             id,
-            group: block.io_class,
+            class: block.io_class,
             plan: block.plan,
-            vol: VolId(self.volumes.enter(&block.volume)),
-            key: Some(KeyId(self.keys.enter(&(block.volume, block.object)))),
-            hard_limit: now + wait,
+            volume: VolumeId(self.volumes.intern(&block.volume)),
+            key: Some(KeyId(self.keys.intern(&(block.volume, block.object)))),
+            deadline: now + wait,
             units: block.units,
             shard: block.shard,
             hosts: block.host_count,
@@ -70,8 +70,8 @@
         self.keys.release(key.0);
     }
 
-    pub fn release_volume(&mut self, vol: VolId) {
-        self.volumes.release(vol.0);
+    pub fn release_volume(&mut self, volume: VolumeId) {
+        self.volumes.release(volume.0);
     }
 
     pub fn release_node(&mut self, node: NodeId) {
@@ -79,7 +79,7 @@
     }
 
     pub fn intern_node(&mut self, name: &String) -> NodeId {
-        NodeId(self.nodes.enter(name))
+        NodeId(self.nodes.intern(name))
     }
 
     pub fn find_node(&self, name: &String) -> Option<NodeId> {
@@ -92,7 +92,12 @@
     }
 
     /// A line of the list as the scheduler hears it.
-    pub fn intern_endpoints(&mut self, news: &WatchEvent, named: &PlatformSettings, into: &mut Vec<Listed>) {
+    pub fn intern_endpoints(
+        &mut self,
+        news: &WatchEvent,
+        named: &PlatformSettings,
+        into: &mut Vec<NodeEndpoint>,
+    ) {
         into.clear();
         for entry in &news.endpoints {
             if !self.known(entry) {
@@ -102,16 +107,16 @@
             // Of a zone that the settings lack nothing is known, not even that two nodes are in the same one.
             let alone = named.zone_names.len() + node.0 as usize;
             let zone = named.zone_names.iter().position(|z| *z == entry.zone).unwrap_or(alone);
-            into.push(Listed {
+            into.push(NodeEndpoint {
                 node,
                 zone: zone as u32,
                 shard: entry.shard,
                 state: match entry.health {
                     Health::Ready => NodeState::Active,
-                    Health::Draining => NodeState::Leaving,
-                    Health::Removed => NodeState::Left,
+                    Health::Draining => NodeState::Draining,
+                    Health::Removed => NodeState::Removed,
                 },
-                came_up: entry.started_at_ms.max(0) * TICKS,
+                started_at: entry.started_at_ms.max(0) * TICKS,
             });
         }
     }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -156,7 +156,7 @@
     let plan = one("X-Qos-Policy", RequestError::UnknownPlan)?;
     let plan = named.plan_names.iter().position(|p| p == plan).ok_or(RequestError::UnknownPlan)?;
     let (volume, piece) = hex(volume).zip(hex(piece)).ok_or(RequestError::InvalidAddress)?;
-    let writes = named.scheduler.groups[group].writes;
+    let writes = named.scheduler.classes[group].writes;
     match head.method {
         "PUT" if writes && !head.declares_body() => return Err(RequestError::LengthRequired),
         "PUT" if writes => {}
@@ -169,7 +169,8 @@
     if wait == 0 || wait > LONGEST_WAIT {
         return Err(RequestError::InvalidTimeout);
     }
-    let placement = placement(one("X-Placement", RequestError::InvalidPlacement)?, named.scheduler.largest);
+    let placement =
+        placement(one("X-Placement", RequestError::InvalidPlacement)?, named.scheduler.max_io_units);
     let (units, shard, hosts) = placement.ok_or(RequestError::InvalidPlacement)?;
     let (group, plan) = (group as u16, plan as u16);
     Ok(ClientRequest::BlockIo(BlockRequest {
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,15 +1,15 @@
 //! A node's answer as an ending, and what a host says to its clients.
 use mallowseam_http1::ResponseHead;
-use mallowseam_scheduler::host::{Ending, Report};
+use mallowseam_scheduler::interface::{AttemptResult, LoadReport};
 use std::io::Write;
 
 /// What a node's whole answer says.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeResponse {
-    pub ending: Ending,
+    pub ending: AttemptResult,
     pub usage: f64,
     pub by_others: f64,
-    pub load_report: Report,
+    pub load_report: LoadReport,
 }
 
 fn number(head: &ResponseHead, name: &str) -> f64 {
@@ -18,20 +18,24 @@
     value.filter(|v| v.is_finite() && *v >= 0.0).unwrap_or(0.0)
 }
 
-fn report(head: &ResponseHead) -> Report {
+fn report(head: &ResponseHead) -> LoadReport {
     let text = head.headers.single("X-Server-Load").ok().flatten();
     let value = text.and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok()).unwrap_or_default();
     let figure = |name: &str| value[name].as_f64().filter(|v| v.is_finite() && *v >= 0.0);
-    Report { waiting: figure("backlog"), service_ms: figure("recent_ms"), busy: figure("utilization") }
+    LoadReport {
+        backlog: figure("backlog"),
+        service_time_ms: figure("recent_ms"),
+        utilization: figure("utilization"),
+    }
 }
 
 /// Only a node's own word that it did not run the block I/O proves so.
 pub fn parse(head: &ResponseHead) -> NodeResponse {
     let not_run = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
     let ending = match head.status {
-        200 => Ending::Done,
-        503 | 504 if not_run => Ending::Busy,
-        _ => Ending::Error,
+        200 => AttemptResult::Completed,
+        503 | 504 if not_run => AttemptResult::Rejected,
+        _ => AttemptResult::Error,
     };
     NodeResponse {
         ending,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,12 +1,14 @@
 //! Reads the settings object, as the simulator's first message and a real host's configuration hold it, into
 //! the scheduler's terms.
-use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Scope, Terms, Tick};
+use mallowseam_scheduler::interface::{
+    DeduplicationScope, Idempotency, IoClass, Plan, SchedulerConfig, Tick,
+};
 use serde_json::Value;
 
 /// The terms, the names that go with them, and what the settings say of connections.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformSettings {
-    pub scheduler: Terms,
+    pub scheduler: SchedulerConfig,
     pub class_names: Vec<String>,
     pub plan_names: Vec<String>,
     pub zone_names: Vec<String>,
@@ -96,31 +98,31 @@
     }
 
     /// An I/O group and its hard limit.
-    fn group(&mut self, g: &Value, at: &str, writes: bool) -> (IoGroup, Tick) {
+    fn group(&mut self, g: &Value, at: &str, writes: bool) -> (IoClass, Tick) {
         let scope = match self.word(g, at, "key_scope", &["all", "zone", "cell"]) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
             // The narrowest, where nothing says how far repeats are dropped.
-            _ => Scope::Cell,
+            _ => DeduplicationScope::Shard,
         };
-        let memory = self.down(g, at, "key_ttl_us");
+        let window = self.down(g, at, "key_ttl_us");
         let repeat = ["idempotent", "deduplicated", "at_most_once"];
         let effect = match self.word(g, at, "repeat", &repeat) {
-            Some("idempotent") => Effect::Idempotent,
-            Some("deduplicated") => Effect::Fingerprinted { scope, memory },
-            Some(_) => Effect::SideEffecting,
+            Some("idempotent") => Idempotency::Idempotent,
+            Some("deduplicated") => Idempotency::IdempotentByKey { scope, window },
+            Some(_) => Idempotency::NonIdempotent,
             None => {
                 if g["repeat"].is_null() {
                     self.wrong(at, "repeat", &repeat.join(" or "));
                 }
-                Effect::SideEffecting
+                Idempotency::NonIdempotent
             }
         };
-        let group = IoGroup {
-            effect,
-            goal: down(self.must(g, at, "aim_us")),
-            late_share: self.num(g, at, "late_share"),
-            gain: self.num(g, at, "worth"),
+        let group = IoClass {
+            idempotency: effect,
+            latency_objective: down(self.must(g, at, "aim_us")),
+            late_weight_factor: self.num(g, at, "late_share"),
+            priority_weight: self.num(g, at, "worth"),
             ordered: self.flag(g, at, "keep_order"),
             writes,
         };
@@ -133,12 +135,12 @@
             self.wrong(at, "limit", "a figure, 0 for none");
         }
         Plan {
-            usual: self.num(p, at, "usual_rate"),
-            reserve: self.num(p, at, "floor_rate"),
-            limit: self.num(p, at, "limit"),
-            limit_burst: self.num(p, at, "limit_burst"),
-            wt: self.num(p, at, "weight"),
-            price: if p["worth_factor"].is_null() { 1.0 } else { self.num(p, at, "worth_factor") },
+            usual_rate: self.num(p, at, "usual_rate"),
+            reserved_rate: self.num(p, at, "floor_rate"),
+            rate_limit: self.num(p, at, "limit"),
+            burst: self.num(p, at, "limit_burst"),
+            weight: self.num(p, at, "weight"),
+            priority_factor: if p["worth_factor"].is_null() { 1.0 } else { self.num(p, at, "worth_factor") },
         }
     }
 
@@ -169,13 +171,13 @@
     let (extra, limits, rules) = (&v["extra"], &v["limits"], &v["rules"]);
     let mut r = Reader::default();
     let writes = list(extra, "class_writes");
-    let (mut terms, mut groups, mut plans) = (Terms::default(), Vec::new(), Vec::new());
+    let (mut terms, mut groups, mut plans) = (SchedulerConfig::default(), Vec::new(), Vec::new());
     let mut longest = 0;
     for (i, g) in list(v, "profiles").iter().enumerate() {
         let at = format!("profiles[{i}].");
         r.name(g, &at, &mut groups);
         let (group, hard_limit) = r.group(g, &at, writes.get(i).and_then(Value::as_bool).unwrap_or(false));
-        terms.groups.push(group);
+        terms.classes.push(group);
         longest = longest.max(hard_limit);
     }
     for (i, p) in list(v, "service_levels").iter().enumerate() {
@@ -187,33 +189,33 @@
     let on_request = r.word(v, "", "registry_mode", &["on_request", "pushed"]) == Some("on_request");
     r.together(rules, "rules.", &["cold_from", "cold_us", "fall_multiple", "fall_us"]);
     r.together(rules, "rules.", &["extra_ratio", "look_back_us"]);
-    let terms = Terms {
+    let terms = SchedulerConfig {
         hosts: r.must(v, "", "balancers") as u32,
-        mean_units: r.num(extra, "extra.", "mean_units"),
-        largest: r.num(extra, "extra.", "largest"),
-        share_gain: r.num(extra, "extra.", "within_share"),
-        spare_gain: r.num(extra, "extra.", "spare_worth"),
-        meter: r.down(extra, "extra.", "meter_us"),
-        counts_others: r.flag(extra, "extra.", "counts_others"),
-        may_cancel: r.flag(limits, "limits.", "cancel"),
-        may_probe: r.flag(limits, "limits.", "probes"),
-        may_tell: r.flag(limits, "limits.", "peer_messages"),
-        may_duplicate: r.flag(limits, "limits.", "may_duplicate"),
-        may_name_return: r.flag(limits, "limits.", "retry_after"),
-        longest_return: r.down(limits, "limits.", "max_retry_after_us"),
-        max_submits: r.num(limits, "limits.", "max_attempts") as u32,
-        list_on_request: on_request,
-        list_pushed: !on_request,
-        ask_within: r.down(rules, "rules.", "ask_within_us"),
-        cold_bears: r.num(extra, "extra.", "cold_bears"),
-        cold_from: r.num(rules, "rules.", "cold_from"),
-        cold_span: r.up(rules, "rules.", "cold_us"),
-        fall_span: r.up(rules, "rules.", "fall_us"),
-        fall_multiple: r.num(rules, "rules.", "fall_multiple"),
-        order_rest: r.up(rules, "rules.", "order_pause_us"),
-        budget_free: r.num(rules, "rules.", "free_resends"),
-        budget_share: r.num(rules, "rules.", "extra_ratio"),
-        budget_span: r.up(rules, "rules.", "look_back_us"),
+        mean_io_units: r.num(extra, "extra.", "mean_units"),
+        max_io_units: r.num(extra, "extra.", "largest"),
+        share_weight_factor: r.num(extra, "extra.", "within_share"),
+        spare_weight_factor: r.num(extra, "extra.", "spare_worth"),
+        metering_window: r.down(extra, "extra.", "meter_us"),
+        other_hosts_usage_reported: r.flag(extra, "extra.", "counts_others"),
+        allow_cancel: r.flag(limits, "limits.", "cancel"),
+        allow_health_checks: r.flag(limits, "limits.", "probes"),
+        allow_peer_messages: r.flag(limits, "limits.", "peer_messages"),
+        allow_hedging: r.flag(limits, "limits.", "may_duplicate"),
+        allow_retry_after: r.flag(limits, "limits.", "retry_after"),
+        max_retry_after: r.down(limits, "limits.", "max_retry_after_us"),
+        max_attempts: r.num(limits, "limits.", "max_attempts") as u32,
+        endpoints_polled: on_request,
+        endpoints_pushed: !on_request,
+        max_poll_delay: r.down(rules, "rules.", "ask_within_us"),
+        slow_start_capacity: r.num(extra, "extra.", "cold_bears"),
+        slow_start_initial_rate: r.num(rules, "rules.", "cold_from"),
+        slow_start_duration: r.up(rules, "rules.", "cold_us"),
+        overload_window: r.up(rules, "rules.", "fall_us"),
+        overload_factor: r.num(rules, "rules.", "fall_multiple"),
+        key_cooldown: r.up(rules, "rules.", "order_pause_us"),
+        retry_budget_floor: r.num(rules, "rules.", "free_resends"),
+        retry_budget_ratio: r.num(rules, "rules.", "extra_ratio"),
+        retry_budget_window: r.up(rules, "rules.", "look_back_us"),
         // No settings tell the rest: a host knows where it serves.
         ..terms
     };
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -7,7 +7,9 @@
 use mallowseam_platform::request::{ClientRequest, RequestError, RequestId};
 use mallowseam_platform::settings::{self, PlatformSettings};
 use mallowseam_platform::{config, endpoints, request, response};
-use mallowseam_scheduler::host::{BioId, Effect, Ending, IoGroup, NodeState, Plan, Report, Scope};
+use mallowseam_scheduler::interface::{
+    AttemptResult, BioId, DeduplicationScope, Idempotency, IoClass, LoadReport, NodeState, Plan,
+};
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 
@@ -147,16 +149,16 @@
     pinned("requests_written.txt", &found);
 }
 
-fn ending(ending: Ending) -> &'static str {
+fn ending(ending: AttemptResult) -> &'static str {
     match ending {
-        Ending::Done => "done",
-        Ending::Error => "error",
-        Ending::Busy => "busy",
-        Ending::TimedOut => "timed out",
-        Ending::NoConnect => "no connection",
-        Ending::Reset => "reset",
-        Ending::Cancelled => "cancelled",
-        Ending::Moot => "moot",
+        AttemptResult::Completed => "done",
+        AttemptResult::Error => "error",
+        AttemptResult::Rejected => "busy",
+        AttemptResult::TimedOut => "timed out",
+        AttemptResult::ConnectFailed => "no connection",
+        AttemptResult::ConnectionReset => "reset",
+        AttemptResult::Cancelled => "cancelled",
+        AttemptResult::NotSent => "moot",
     }
 }
 
@@ -167,10 +169,10 @@
         let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
         let head = ResponseHead::parse(text.as_bytes(), BOUNDS).expect("sound").expect("whole");
         let said = response::parse(&head);
-        let Report { waiting, service_ms, busy } = said.load_report;
+        let LoadReport { backlog, service_time_ms, utilization } = said.load_report;
         writeln!(
             found,
-            "{}: {} used {} by others {} waiting {waiting:?} service {service_ms:?} busy {busy:?}",
+            "{}: {} used {} by others {} waiting {backlog:?} service {service_time_ms:?} busy {utilization:?}",
             bytes(lines.as_bytes()),
             ending(said.ending),
             said.usage,
@@ -372,11 +374,11 @@
         for l in &listed {
             let state = match l.state {
                 NodeState::Active => "active",
-                NodeState::Leaving => "leaving",
-                NodeState::Left => "left",
+                NodeState::Draining => "leaving",
+                NodeState::Removed => "left",
             };
             let id = l.node.0;
-            writeln!(found, "node {id} zone {} shard {} {state} up {}", l.zone, l.shard, l.came_up)
+            writeln!(found, "node {id} zone {} shard {} {state} up {}", l.zone, l.shard, l.started_at)
                 .expect("memory");
         }
         writeln!(found, "sizes {:?}", names.counts()).expect("memory");
@@ -590,11 +592,11 @@
                 found,
                 "bio {} group {} plan {} volume {} key {:?} until {} units {} shard {:?} hosts {}",
                 b.id.0,
-                b.group,
+                b.class,
                 b.plan,
-                b.vol.0,
+                b.volume.0,
                 b.key.map(|k| k.0),
-                b.hard_limit,
+                b.deadline,
                 b.units,
                 b.shard,
                 b.hosts
@@ -621,72 +623,75 @@
     pinned("block_ios.txt", &found);
 }
 
-fn group(g: &IoGroup) -> String {
-    let effect = match g.effect {
-        Effect::Idempotent => "idempotent".to_owned(),
-        Effect::SideEffecting => "side-effecting".to_owned(),
-        Effect::Fingerprinted { scope, memory } => {
+fn group(g: &IoClass) -> String {
+    let effect = match g.idempotency {
+        Idempotency::Idempotent => "idempotent".to_owned(),
+        Idempotency::NonIdempotent => "side-effecting".to_owned(),
+        Idempotency::IdempotentByKey { scope, window } => {
             let scope = match scope {
-                Scope::All => "all",
-                Scope::Zone => "zone",
-                Scope::Cell => "cell",
+                DeduplicationScope::All => "all",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Shard => "cell",
             };
-            format!("by key in {scope} for {memory}")
+            format!("by key in {scope} for {window}")
         }
     };
-    let (goal, late, gain) = (g.goal, g.late_share, g.gain);
+    let (goal, late, gain) = (g.latency_objective, g.late_weight_factor, g.priority_weight);
     format!("{effect} goal {goal} late {late} gain {gain} ordered {} writes {}", g.ordered, g.writes)
 }
 
 fn plan(p: &Plan) -> String {
-    let (usual, reserve, limit, burst) = (p.usual, p.reserve, p.limit, p.limit_burst);
-    format!("usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}", p.wt, p.price)
+    let (usual, reserve, limit, burst) = (p.usual_rate, p.reserved_rate, p.rate_limit, p.burst);
+    format!(
+        "usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}",
+        p.weight, p.priority_factor
+    )
 }
 
 fn settled(n: &PlatformSettings) -> String {
     let t = &n.scheduler;
     let mut out = String::new();
-    for (name, g) in n.class_names.iter().zip(&t.groups) {
+    for (name, g) in n.class_names.iter().zip(&t.classes) {
         writeln!(out, "  group {name}: {}", group(g)).expect("memory");
     }
     for (name, p) in n.plan_names.iter().zip(&t.plans) {
         writeln!(out, "  plan {name}: {}", plan(p)).expect("memory");
     }
     let figures: [(&str, &dyn std::fmt::Debug); 34] = [
-        ("counts", &(n.class_names.len(), t.groups.len(), n.plan_names.len(), t.plans.len())),
+        ("counts", &(n.class_names.len(), t.classes.len(), n.plan_names.len(), t.plans.len())),
         ("zones", &n.zone_names),
         ("connect within", &n.connect_timeout),
         ("idle close", &n.idle_timeout),
         ("open most", &n.max_in_flight),
         ("longest", &n.longest_deadline),
         ("hosts", &t.hosts),
-        ("mean units", &t.mean_units),
-        ("largest", &t.largest),
-        ("share gain", &t.share_gain),
-        ("spare gain", &t.spare_gain),
-        ("meter", &t.meter),
-        ("counts others", &t.counts_others),
-        ("may cancel", &t.may_cancel),
-        ("may probe", &t.may_probe),
-        ("may tell", &t.may_tell),
-        ("may duplicate", &t.may_duplicate),
-        ("may name return", &t.may_name_return),
-        ("longest return", &t.longest_return),
-        ("max submits", &t.max_submits),
-        ("list on request", &t.list_on_request),
-        ("ask turn", &t.ask_turn),
-        ("list pushed", &t.list_pushed),
-        ("ask within", &t.ask_within),
-        ("word by half", &t.word_by_half),
-        ("cold bears", &t.cold_bears),
-        ("cold from", &t.cold_from),
-        ("cold span", &t.cold_span),
-        ("fall span", &t.fall_span),
-        ("fall multiple", &t.fall_multiple),
-        ("order rest", &t.order_rest),
-        ("budget free", &t.budget_free),
-        ("budget share", &t.budget_share),
-        ("budget span", &t.budget_span),
+        ("mean units", &t.mean_io_units),
+        ("largest", &t.max_io_units),
+        ("share gain", &t.share_weight_factor),
+        ("spare gain", &t.spare_weight_factor),
+        ("meter", &t.metering_window),
+        ("counts others", &t.other_hosts_usage_reported),
+        ("may cancel", &t.allow_cancel),
+        ("may probe", &t.allow_health_checks),
+        ("may tell", &t.allow_peer_messages),
+        ("may duplicate", &t.allow_hedging),
+        ("may name return", &t.allow_retry_after),
+        ("longest return", &t.max_retry_after),
+        ("max submits", &t.max_attempts),
+        ("list on request", &t.endpoints_polled),
+        ("ask turn", &t.poll_service_time),
+        ("list pushed", &t.endpoints_pushed),
+        ("ask within", &t.max_poll_delay),
+        ("word by half", &t.shed_at_half_deadline),
+        ("cold bears", &t.slow_start_capacity),
+        ("cold from", &t.slow_start_initial_rate),
+        ("cold span", &t.slow_start_duration),
+        ("fall span", &t.overload_window),
+        ("fall multiple", &t.overload_factor),
+        ("order rest", &t.key_cooldown),
+        ("budget free", &t.retry_budget_floor),
+        ("budget share", &t.retry_budget_ratio),
+        ("budget span", &t.retry_budget_window),
     ];
     for (name, figure) in &figures {
         writeln!(out, "  {name}: {figure:?}").expect("memory");
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -3,7 +3,7 @@
 use mallowseam_platform::request::{BlockRequest, ClientRequest, RequestError};
 use mallowseam_platform::settings::{self, PlatformSettings};
 use mallowseam_platform::{config, endpoints, interner::NameInterner, request, response};
-use mallowseam_scheduler::host::{BioId, Ending, KeyId, NodeState, VolId};
+use mallowseam_scheduler::interface::{AttemptResult, BioId, KeyId, NodeState, VolumeId};
 use proptest::prelude::*;
 
 const BOUNDS: Limits = Limits { head: 8192, body: 65536 };
@@ -179,9 +179,12 @@
     };
     assert_eq!(
         (of("200"), of("503"), of("500"), of("404")),
-        (Ending::Done, Ending::Error, Ending::Error, Ending::Error)
+        (AttemptResult::Completed, AttemptResult::Error, AttemptResult::Error, AttemptResult::Error)
+    );
+    assert_eq!(
+        (not_run("503"), not_run("504"), not_run("500")),
+        (AttemptResult::Rejected, AttemptResult::Rejected, AttemptResult::Error)
     );
-    assert_eq!((not_run("503"), not_run("504"), not_run("500")), (Ending::Busy, Ending::Busy, Ending::Error));
 }
 
 #[test]
@@ -189,11 +192,14 @@
     let s = said(
         "HTTP/1.1 200 OK\r\nX-Iops-Used: \u{e9}!\r\nX-Rho: -1\r\nX-Server-Load: {\"a\r\nContent-Length: 0\r\n\r\n",
     );
-    assert_eq!((s.ending, s.usage, s.by_others, s.load_report.busy), (Ending::Done, 0.0, 0.0, None));
+    assert_eq!(
+        (s.ending, s.usage, s.by_others, s.load_report.utilization),
+        (AttemptResult::Completed, 0.0, 0.0, None)
+    );
     let s = said(
         "HTTP/1.1 200 OK\r\nX-Iops-Used: 41\r\nX-Server-Load: {\"utilization\":0.5}\r\nContent-Length: 0\r\n\r\n",
     );
-    assert_eq!((s.usage, s.load_report.busy), (41.0, Some(0.5)));
+    assert_eq!((s.usage, s.load_report.utilization), (41.0, Some(0.5)));
 }
 
 const ENTRY: &str = r#"{"host":"s-1","dial":"10.1.0.18:8443","site":"a","class":"m","block":3,"health":"ready","share":1.0,"born_ms":5}"#;
@@ -249,14 +255,14 @@
     let news =
         endpoints::parse(format!(r#"{{"seq":1,"whole":true,"hosts":[{ENTRY}]}}"#).as_bytes()).expect("sound");
     names.intern_endpoints(&news, &named(), &mut listed);
-    assert_eq!((listed[0].came_up, listed[0].state), (50, NodeState::Active));
+    assert_eq!((listed[0].started_at, listed[0].state), (50, NodeState::Active));
 }
 
 #[test]
 fn an_id_in_hand_is_not_taken_twice_and_is_free_once_released() {
     let (mut names, b) = (NameInterner::default(), block());
     let bio = names.intern_request(BioId(0), &b, 1_000, &named()).expect("new");
-    assert_eq!(bio.hard_limit, 1_000 + 4_800);
+    assert_eq!(bio.deadline, 1_000 + 4_800);
     assert!(names.intern_request(BioId(1), &b, 1_000, &named()).is_err());
     names.release_request(&b.id);
     assert!(names.intern_request(BioId(1), &b, 1_000, &named()).is_ok());
@@ -265,7 +271,7 @@
 #[test]
 fn a_client_that_would_wait_for_an_hour_is_held_to_the_longest_hard_limit() {
     let (mut names, b) = (NameInterner::default(), BlockRequest { timeout_ms: 3_600_000, ..block() });
-    assert_eq!(names.intern_request(BioId(0), &b, 0, &named()).expect("new").hard_limit, 20_000);
+    assert_eq!(names.intern_request(BioId(0), &b, 0, &named()).expect("new").deadline, 20_000);
 }
 
 #[test]
@@ -274,10 +280,10 @@
     for n in 0..100_000u64 {
         (b.id, b.volume, b.object) = (request::RequestId::new(&format!("{n:x}")).expect("fits"), n, n);
         let bio = names.intern_request(BioId(0), &b, 0, &named()).expect("new");
-        assert_eq!((bio.vol, bio.key), (VolId(0), Some(KeyId(0))), "indices are used again");
+        assert_eq!((bio.volume, bio.key), (VolumeId(0), Some(KeyId(0))), "indices are used again");
         names.release_request(&b.id);
         names.release_key(KeyId(0));
-        names.release_volume(VolId(0));
+        names.release_volume(VolumeId(0));
         let node = names.intern_node(&format!("s-{n}"));
         assert_eq!(node.0, 0);
         names.release_node(node);
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of other customers: what can't be read is refused with its field, what is absent is refused or the strictest.
 use mallowseam_platform::settings;
-use mallowseam_scheduler::host::{Effect, Scope};
+use mallowseam_scheduler::interface::{DeduplicationScope, Idempotency};
 use serde_json::{Value, json};
 
 fn whole() -> Value {
@@ -35,7 +35,9 @@
         (named.class_names, named.plan_names),
         (vec!["scan".into(), "stamp".into()], vec!["copper".into(), "steel".into()])
     );
-    assert!(!named.scheduler.list_pushed && named.scheduler.hosts == 3 && named.longest_deadline == 20_000);
+    assert!(
+        !named.scheduler.endpoints_pushed && named.scheduler.hosts == 3 && named.longest_deadline == 20_000
+    );
 }
 
 #[test]
@@ -91,10 +93,16 @@
 #[test]
 fn what_is_absent_is_read_as_the_strictest() {
     let read = |path: &str| settings::from_json(&with(path, None)).expect("sound");
-    let effect = |path: &str| read(path).scheduler.groups[1].effect;
-    assert_eq!(effect("/profiles/1/key_scope"), Effect::Fingerprinted { scope: Scope::Cell, memory: 9_000 });
-    assert_eq!(effect("/profiles/1/key_ttl_us"), Effect::Fingerprinted { scope: Scope::Zone, memory: 0 });
-    assert!(read("/registry_mode").scheduler.list_pushed, "what the service knows counts at once");
-    assert!(!read("/limits/cancel").scheduler.may_cancel);
-    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].limit_burst, 0.0);
+    let effect = |path: &str| read(path).scheduler.classes[1].idempotency;
+    assert_eq!(
+        effect("/profiles/1/key_scope"),
+        Idempotency::IdempotentByKey { scope: DeduplicationScope::Shard, window: 9_000 }
+    );
+    assert_eq!(
+        effect("/profiles/1/key_ttl_us"),
+        Idempotency::IdempotentByKey { scope: DeduplicationScope::Zone, window: 0 }
+    );
+    assert!(read("/registry_mode").scheduler.endpoints_pushed, "what the service knows counts at once");
+    assert!(!read("/limits/cancel").scheduler.allow_cancel);
+    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].burst, 0.0);
 }
--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -5,7 +5,7 @@
 mod fake;
 
 use fake::{Did, GOAL, LIMIT, Story, node, terms};
-use mallowseam_scheduler::host::*;
+use mallowseam_scheduler::interface::*;
 
 /// The submits since the last call: when, of which block I/O, to which node.
 fn submits(s: &mut Story) -> Vec<(Tick, u32, u32)> {
@@ -19,12 +19,12 @@
     if !sent.is_empty() {
         s.pass(wait);
     }
-    sent.iter().for_each(|(_, id, at)| s.end(*id, *at, Ending::Done, wait));
+    sent.iter().for_each(|(_, id, at)| s.end(*id, *at, AttemptResult::Completed, wait));
     sent.iter().map(|(_, _, at)| *at).collect()
 }
 
-fn active(shards: &[u32]) -> Vec<Listed> {
-    let place = |(n, shard): (usize, &u32)| Listed {
+fn active(shards: &[u32]) -> Vec<NodeEndpoint> {
+    let place = |(n, shard): (usize, &u32)| NodeEndpoint {
         shard: *shard,
         zone: n as u32 % 2,
         ..node(n as u32, NodeState::Active, 0)
@@ -34,13 +34,13 @@
 
 /// A submit is cut off after 5 ms: is it sent again, and if not, when does its client hear? 200 times, each with
 /// chance one block I/O further on.
-fn after_a_reset(what: &str, nodes: &[Listed], effect: Effect, shard: Option<u32>) {
+fn after_a_reset(what: &str, nodes: &[NodeEndpoint], idempotency: Idempotency, shard: Option<u32>) {
     let (mut again, mut heard) = (0, Vec::new());
     for before in 0..200 {
         let mut t = terms();
-        t.groups[3].effect = effect;
+        t.classes[3].idempotency = idempotency;
         let mut s = Story::new(&t);
-        s.list(ListForm::Whole, nodes);
+        s.list(EndpointEvent::FullSnapshot, nodes);
         s.pass(5_000);
         for id in 0..before {
             s.take(Bio { shard, ..s.bio(1_000 + id) });
@@ -48,10 +48,10 @@
             s.pass(100);
         }
         s.log.did.clear();
-        s.take(Bio { group: 3, shard, ..s.bio(0) });
+        s.take(Bio { class: 3, shard, ..s.bio(0) });
         let first = s.log.did.iter().find_map(|d| if let Did::Sent(0, at) = d.1 { Some(at) } else { None });
         s.pass(50);
-        s.end(0, first.expect("sent"), Ending::Reset, 50);
+        s.end(0, first.expect("sent"), AttemptResult::ConnectionReset, 50);
         let reset = s.log.now;
         s.pass(GOAL);
         let word = s.log.did.iter().find(|d| matches!(d.1, Did::Shed(0) | Did::Failed(0)));
@@ -67,11 +67,11 @@
 
 fn memory_over() {
     let mut t = terms();
-    t.groups[3].goal = 8_000;
+    t.classes[3].latency_objective = 8_000;
     let mut s = Story::new(&t);
-    s.take(Bio { group: 3, ..s.bio(0) });
+    s.take(Bio { class: 3, ..s.bio(0) });
     s.pass(2_990);
-    s.end(0, 0, Ending::Reset, 2_990);
+    s.end(0, 0, AttemptResult::ConnectionReset, 2_990);
     let reset = s.log.now;
     s.pass(LIMIT);
     let word = s.log.did.iter().find(|d| d.1 == Did::Failed(0)).expect("answered");
@@ -80,7 +80,7 @@
 
 fn three_nodes_of_one_shard() {
     let mut s = Story::new(&terms());
-    s.list(ListForm::Whole, &active(&[0, 0, 0]));
+    s.list(EndpointEvent::FullSnapshot, &active(&[0, 0, 0]));
     s.pass(5_000);
     let mut to = [0; 3];
     for id in 0..3_000 {
@@ -99,19 +99,19 @@
 /// Fifty hosts share nodes that answer in 30 ms; all traffic is of the group with the long goal.
 fn goals_far_apart(short: Tick) {
     let mut t = terms();
-    t.groups.truncate(2);
-    t.groups[0].goal = short;
-    t.groups[1] = IoGroup { goal: 20_000, ..t.groups[0].clone() };
-    let mut s = Story::new(&Terms { hosts: 50, ..t });
+    t.classes.truncate(2);
+    t.classes[0].latency_objective = short;
+    t.classes[1] = IoClass { latency_objective: 20_000, ..t.classes[0].clone() };
+    let mut s = Story::new(&SchedulerConfig { hosts: 50, ..t });
     let (mut out, mut ended): (Vec<(Tick, u32)>, u32) = (Vec::new(), 0);
     for step in 0..2_000 {
         if step % 4 == 0 {
-            s.take(Bio { group: 1, hard_limit: s.log.now + 40_000, ..s.bio(step / 4) });
+            s.take(Bio { class: 1, deadline: s.log.now + 40_000, ..s.bio(step / 4) });
         }
         let now = s.log.now;
         let due: Vec<u32> = out.iter().filter(|o| o.0 <= now).map(|o| o.1).collect();
         out.retain(|o| o.0 > now);
-        due.iter().for_each(|id| s.end(*id, 0, Ending::Done, 300));
+        due.iter().for_each(|id| s.end(*id, 0, AttemptResult::Completed, 300));
         ended += due.len() as u32;
         s.pass(100);
         out.extend(submits(&mut s).iter().map(|(at, id, _)| (at + 300, *id)));
@@ -120,8 +120,8 @@
 }
 
 fn a_volume_of_fewer_hosts(told: [u32; 2]) {
-    let mut s = Story::new(&Terms { hosts: 4, ..terms() });
-    let limited = |s: &Story, id, hosts| Bio { plan: 1, vol: VolId(5), hosts, ..s.bio(id) };
+    let mut s = Story::new(&SchedulerConfig { hosts: 4, ..terms() });
+    let limited = |s: &Story, id, hosts| Bio { plan: 1, volume: VolumeId(5), hosts, ..s.bio(id) };
     s.take(limited(&s, 0, told[0]));
     s.pass(30_000);
     answer_all(&mut s, 20);
@@ -134,19 +134,19 @@
     println!("limited volume told of {} hosts, then of {}: {sent} submits in 5 s", told[0], told[1]);
 }
 
-fn a_cold_node(what: &str, change: impl Fn(&mut Terms)) {
-    let mut t = Terms {
+fn a_cold_node(what: &str, change: impl Fn(&mut SchedulerConfig)) {
+    let mut t = SchedulerConfig {
         hosts: 3,
-        cold_bears: 24.0,
-        cold_from: 0.2,
-        cold_span: 180_000,
-        fall_span: 20_000,
-        fall_multiple: 2.0,
+        slow_start_capacity: 24.0,
+        slow_start_initial_rate: 0.2,
+        slow_start_duration: 180_000,
+        overload_window: 20_000,
+        overload_factor: 2.0,
         ..terms()
     };
     change(&mut t);
     let mut s = Story::new(&t);
-    s.list(ListForm::Changes, &[node(0, NodeState::Active, s.log.now)]);
+    s.list(EndpointEvent::Incremental, &[node(0, NodeState::Active, s.log.now)]);
     s.pass(3_100);
     let mut units = 0;
     for id in 0..80 {
@@ -159,9 +159,9 @@
 
 fn a_limit_without_a_burst() {
     let mut t = terms();
-    t.plans[1].limit_burst = 0.0;
+    t.plans[1].burst = 0.0;
     let mut s = Story::new(&t);
-    s.take(Bio { plan: 1, vol: VolId(9), ..s.bio(0) });
+    s.take(Bio { plan: 1, volume: VolumeId(9), ..s.bio(0) });
     let from = s.log.now;
     s.pass(LIMIT);
     let word = s.log.did.iter().find(|d| d.1 == Did::Shed(0)).expect("answered");
@@ -169,14 +169,18 @@
 }
 
 fn main() {
-    let marked = |scope| Effect::Fingerprinted { scope, memory: 30_000 };
-    let scopes = [("cell", marked(Scope::Cell)), ("zone", marked(Scope::Zone)), ("all", marked(Scope::All))];
+    let marked = |scope| Idempotency::IdempotentByKey { scope, window: 30_000 };
+    let scopes = [
+        ("cell", marked(DeduplicationScope::Shard)),
+        ("zone", marked(DeduplicationScope::Zone)),
+        ("all", marked(DeduplicationScope::All)),
+    ];
     for nodes in [2, 8] {
         let own = active(&(0..nodes).collect::<Vec<u32>>());
         for (name, effect) in scopes {
             after_a_reset(&format!("new object, {nodes} nodes in two zones, {name}"), &own, effect, None);
         }
-        after_a_reset(&format!("new object, {nodes} nodes, idempotent"), &own, Effect::Idempotent, None);
+        after_a_reset(&format!("new object, {nodes} nodes, idempotent"), &own, Idempotency::Idempotent, None);
     }
     for (name, effect) in scopes {
         after_a_reset(
@@ -192,7 +196,7 @@
     goals_far_apart(20_000);
     [[4, 4], [4, 1], [1, 1]].into_iter().for_each(a_volume_of_fewer_hosts);
     a_cold_node("as told", |_| {});
-    a_cold_node("fall_span 0", |t| t.fall_span = 0);
-    a_cold_node("cold_bears 0", |t| t.cold_bears = 0.0);
+    a_cold_node("overload_window 0", |t| t.overload_window = 0);
+    a_cold_node("slow_start_capacity 0", |t| t.slow_start_capacity = 0.0);
     a_limit_without_a_burst();
 }
--- a/crates/scheduler/src/ledger.rs
+++ b/crates/scheduler/src/ledger.rs
@@ -1,5 +1,5 @@
 //! A sum over a sliding span of time.
-use crate::host::Tick;
+use crate::interface::Tick;
 use std::collections::VecDeque;
 
 #[derive(Default)]
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,15 @@
-//! The block I/O scheduler of mallowseam: decisions in `scheduler`, their interface in `host`.
-pub mod door;
-pub mod host;
+//! The block I/O scheduler of mallowseam: decides which block I/O goes to which storage node, when, and which is shed.
+//!
+//! Make a [`Scheduler`] from a [`SchedulerConfig`](interface::SchedulerConfig), and tell it of events by its `on_*`
+//! methods. It performs no input or output and reads no clock: see [`interface`].
+#![warn(missing_docs)]
+
+pub mod interface;
+mod interner;
 mod ledger;
 mod pcg;
-pub mod scheduler;
+mod scheduler;
 mod slab;
+
+pub use interner::Interner;
+pub use scheduler::Scheduler;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,10 +1,10 @@
 //! The decisions of mallowseam: which block I/O goes to its storage node, when, and which is turned away.
 //!
-//! Make a `Scheduler` with the deployment's `Terms`, then call `listed`, `take`, `ended`, `gone` and `woken`
+//! Make a `Scheduler` with the deployment's `SchedulerConfig`, then call its `on_*` methods
 //! as things happen, each with the time and the `Host` that carries the answers out.
-//! Host, terms and index types are in `host.rs`; `docs/design.md` tells what is kept of the paper.
+//! Host, terms and index types are in `interface.rs`; `docs/design.md` tells what is kept of the paper.
 
-use crate::host::*;
+use crate::interface::*;
 use crate::ledger::Ledger;
 use crate::pcg::Pcg;
 use crate::slab::Slab;
@@ -77,8 +77,8 @@
     price: f64,
 }
 
-struct IoGroup {
-    effect: Effect,
+struct IoClass {
+    effect: Idempotency,
     goal: Tick,
     gain: f64,
     lacks: f64,
@@ -113,7 +113,7 @@
 /// One volume at one node: the design's allocation.
 #[derive(Default)]
 struct Share {
-    vol: VolId,
+    vol: VolumeId,
     alloc: f64,
     used: f64,
     held: f64,
@@ -152,7 +152,7 @@
 }
 
 /// What a block I/O does with the outcome of its submit; once over, it only gives back its place.
-type Step = fn(&mut Scheduler, &mut dyn Host, Tick, BioId, &Outcome);
+type Step = fn(&mut Scheduler, &mut dyn Host, Tick, BioId, &AttemptOutcome);
 
 #[derive(Clone, Copy, Default)]
 struct Slot {
@@ -179,7 +179,7 @@
 
 impl Node {
     /// The place of a volume's share; each volume with a block I/O here has one.
-    fn share(&self, vol: VolId) -> usize {
+    fn share(&self, vol: VolumeId) -> usize {
         self.shares.iter().position(|s| s.vol == vol).expect("placed")
     }
 
@@ -213,13 +213,13 @@
 }
 
 impl Plan {
-    fn of(p: &crate::host::Plan) -> Self {
+    fn of(p: &crate::interface::Plan) -> Self {
         Plan {
-            reserve: p.reserve / SECOND,
-            limit: if p.limit > 0.0 { p.limit / SECOND } else { f64::INFINITY },
-            burst: p.limit_burst,
-            wt: if p.wt > 0.0 { p.wt } else { 1.0 },
-            price: p.price,
+            reserve: p.reserved_rate / SECOND,
+            limit: if p.rate_limit > 0.0 { p.rate_limit / SECOND } else { f64::INFINITY },
+            burst: p.burst,
+            wt: if p.weight > 0.0 { p.weight } else { 1.0 },
+            price: p.priority_factor,
         }
     }
 }
@@ -240,10 +240,11 @@
     }
 }
 
+/// The scheduler of one host: queues, budgets, and what is known of nodes and volumes.
 #[derive(Default)]
 pub struct Scheduler {
     plans: Vec<Plan>,
-    groups: Vec<IoGroup>,
+    groups: Vec<IoClass>,
     mean_units: f64,
     largest: f64,
     share_gain: f64,
@@ -271,7 +272,7 @@
     slots: Slab<Slot>,
     taken: Ledger,
     further: Ledger,
-    turned: Vec<(Tick, VolId, Tick)>,
+    turned: Vec<(Tick, VolumeId, Tick)>,
     alarms: BinaryHeap<Reverse<(Tick, BioId)>>,
     next_window: Tick,
     ask_at: Tick,
@@ -292,59 +293,72 @@
 }
 
 impl Scheduler {
-    pub fn new(terms: &Terms, seed: u64, now: Tick) -> Self {
-        let hosts = f64::from(terms.hosts.max(1));
-        let mean_price = terms.plans.iter().map(|p| p.price).sum::<f64>() / terms.plans.len().max(1) as f64;
-        let mean_gain = terms.groups.iter().map(|g| g.gain).sum::<f64>() / terms.groups.len().max(1) as f64;
-        let most_gain = terms.groups.iter().map(|g| g.gain).fold(f64::MIN_POSITIVE, f64::max);
-        let group = |g: &crate::host::IoGroup| IoGroup {
-            effect: g.effect,
-            goal: g.goal,
-            gain: g.gain,
-            lacks: 1.0 - g.gain / most_gain,
+    /// A scheduler that starts at `now`, with no node known. The seed decides all that it draws at random.
+    pub fn new(config: &SchedulerConfig, seed: u64, now: Tick) -> Self {
+        let hosts = f64::from(config.hosts.max(1));
+        let mean_price =
+            config.plans.iter().map(|p| p.priority_factor).sum::<f64>() / config.plans.len().max(1) as f64;
+        let mean_gain = config.classes.iter().map(|g| g.priority_weight).sum::<f64>()
+            / config.classes.len().max(1) as f64;
+        let most_gain = config.classes.iter().map(|g| g.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+        let group = |g: &crate::interface::IoClass| IoClass {
+            effect: g.idempotency,
+            goal: g.latency_objective,
+            gain: g.priority_weight,
+            lacks: 1.0 - g.priority_weight / most_gain,
             ordered: g.ordered,
             // Further submits go by gain: a block I/O of less than the mean gain gets one fewer.
-            submits: if g.gain < mean_gain { terms.max_submits.min(2) } else { terms.max_submits }.max(1),
+            submits: if g.priority_weight < mean_gain {
+                config.max_attempts.min(2)
+            } else {
+                config.max_attempts
+            }
+            .max(1),
         };
-        let short_goal = terms.groups.iter().map(|g| g.goal).min().unwrap_or(WINDOW).max(1) as f64;
+        let short_goal =
+            config.classes.iter().map(|g| g.latency_objective).min().unwrap_or(WINDOW).max(1) as f64;
         let mut pcg = Pcg::new(seed);
         // All hosts together ask no more than the list service handles, whoever else starts or lost it, as
         // far as the rule on drains lets them wait: it holds them to what they would have been told, and to
         // all that the service had while it could be reached, 6 s later. A crowd is of use only where nobody
         // says that the service is too slow for so many: then it may be quicker.
-        let part = if terms.ask_within > 0 { ASK_PART * terms.ask_within as f64 } else { f64::INFINITY };
-        let may_wait = if terms.list_pushed { ASK_FIRST } else { part as Tick };
-        let turns = terms.ask_turn.unwrap_or(ASK_TURN) * Tick::from(terms.hosts);
-        let ask_back = if terms.ask_turn.is_some() && turns > ASK_FITS { turns } else { ASK_BACK };
+        let part =
+            if config.max_poll_delay > 0 { ASK_PART * config.max_poll_delay as f64 } else { f64::INFINITY };
+        let may_wait = if config.endpoints_pushed { ASK_FIRST } else { part as Tick };
+        let turns = config.poll_service_time.unwrap_or(ASK_TURN) * Tick::from(config.hosts);
+        let ask_back = if config.poll_service_time.is_some() && turns > ASK_FITS { turns } else { ASK_BACK };
         let ask_span = turns.min(may_wait).min(ask_back).max(ASK_FIRST);
         let first = pcg.below(ask_span as u64) as Tick;
-        let ask_at = if terms.list_on_request { now + first } else { Tick::MAX };
+        let ask_at = if config.endpoints_polled { now + first } else { Tick::MAX };
         Scheduler {
-            plans: terms.plans.iter().map(Plan::of).collect(),
-            groups: terms.groups.iter().map(group).collect(),
-            mean_units: if terms.mean_units > 0.0 { terms.mean_units } else { 1.0 },
-            largest: terms.largest.max(1.0),
-            share_gain: terms.share_gain,
-            spare_gain: terms.spare_gain,
-            hosts: if terms.hosts > 0 { terms.hosts } else { u32::MAX },
+            plans: config.plans.iter().map(Plan::of).collect(),
+            groups: config.classes.iter().map(group).collect(),
+            mean_units: if config.mean_io_units > 0.0 { config.mean_io_units } else { 1.0 },
+            largest: config.max_io_units.max(1.0),
+            share_gain: config.share_weight_factor,
+            spare_gain: config.spare_weight_factor,
+            hosts: if config.hosts > 0 { config.hosts } else { u32::MAX },
             others: 1.0 - 1.0 / hosts.sqrt(),
             wt_start: 1.0 + WT_START / hosts,
             try_most: (TRY_MOST * hosts.sqrt()) as Tick,
             usual_gain: (mean_gain * mean_price).max(f64::MIN_POSITIVE),
             short_goal,
             cold: Cold {
-                part: terms.cold_bears / hosts,
-                of_rate: COLD_SAFE * terms.fall_multiple * terms.cold_from * terms.fall_span as f64,
-                from: terms.cold_from.clamp(0.01, 1.0),
-                span: terms.cold_span,
-                fall: terms.fall_span,
+                part: config.slow_start_capacity / hosts,
+                of_rate: COLD_SAFE
+                    * config.overload_factor
+                    * config.slow_start_initial_rate
+                    * config.overload_window as f64,
+                from: config.slow_start_initial_rate.clamp(0.01, 1.0),
+                span: config.slow_start_duration,
+                fall: config.overload_window,
             },
-            budget: (terms.budget_free, terms.budget_share, terms.budget_span),
-            order_rest: terms.order_rest,
-            may_cancel: terms.may_cancel,
-            return_after: if terms.may_name_return { terms.longest_return.min(WINDOW) } else { 0 },
-            counts_others: terms.counts_others,
-            word_by_half: terms.word_by_half,
+            budget: (config.retry_budget_floor, config.retry_budget_ratio, config.retry_budget_window),
+            order_rest: config.key_cooldown,
+            may_cancel: config.allow_cancel,
+            return_after: if config.allow_retry_after { config.max_retry_after.min(WINDOW) } else { 0 },
+            counts_others: config.other_hosts_usage_reported,
+            word_by_half: config.shed_at_half_deadline,
             pcg,
             born: now,
             next_window: now + WINDOW,
@@ -361,12 +375,18 @@
     }
 
     /// The node list spoke.
-    pub fn listed(&mut self, host: &mut dyn Host, now: Tick, form: ListForm, entries: &[Listed]) {
-        if form == ListForm::Failed || form == ListForm::Silent {
+    pub fn on_endpoints(
+        &mut self,
+        host: &mut dyn Host,
+        now: Tick,
+        form: EndpointEvent,
+        entries: &[NodeEndpoint],
+    ) {
+        if form == EndpointEvent::PollFailed || form == EndpointEvent::WatchSilent {
             // A failed call does not say whether a watch stands. Who had one lost it with all others, and
             // draws its place among them; later calls keep it: all have asked within a span of its return.
             // Of silence the first one: a service that takes calls and says nothing is not asked ever again.
-            let silent = form == ListForm::Silent && !std::mem::replace(&mut self.silent, true);
+            let silent = form == EndpointEvent::WatchSilent && !std::mem::replace(&mut self.silent, true);
             let most = if silent { ASK_SILENT } else { Tick::MAX };
             let drawn = self.pcg.below(self.ask_span.min(most) as u64) as Tick;
             let wait = if silent || self.ask_wait == 0 { drawn } else { self.ask_wait };
@@ -377,10 +397,10 @@
             self.ask_wait = (self.ask_wait * 2).clamp(self.ask_span, self.ask_span.max(ASK_MOST));
             return self.sleep(host, now);
         }
-        if form != ListForm::Kept {
+        if form != EndpointEvent::Cached {
             (self.asked, self.ask_wait, self.silent) = (None, 0, false);
         }
-        if form != ListForm::Changes {
+        if form != EndpointEvent::Incremental {
             self.nodes.iter_mut().for_each(|n| n.open = false);
         }
         for e in entries {
@@ -392,14 +412,14 @@
             node.rate = node.rate.max(rate);
             let fresh = node.wt == 0.0;
             (node.shard, node.zone, node.open) = (e.shard, e.zone, e.state == NodeState::Active);
-            if fresh || e.came_up > node.came_up {
-                node.came_up = e.came_up;
+            if fresh || e.started_at > node.came_up {
+                node.came_up = e.started_at;
                 (node.wt, node.mult) = (self.wt_start, 1.0);
                 node.extra = node.extra.max(BUDGET_START * self.mean_units);
-                if !fresh || form != ListForm::Kept {
+                if !fresh || form != EndpointEvent::Cached {
                     node.first_ok = now + spread;
                 }
-                if e.came_up > 0 && form == ListForm::Kept {
+                if e.started_at > 0 && form == EndpointEvent::Cached {
                     // A host that has itself just started may have spent its part here before it died.
                     node.sent.add(now, self.cold.part);
                 }
@@ -418,13 +438,13 @@
     }
 
     /// The list is had from another service from now on, as all hosts hear at about one time.
-    pub fn list_moved(&mut self, host: &mut dyn Host, now: Tick) {
+    pub fn on_discovery_moved(&mut self, host: &mut dyn Host, now: Tick) {
         self.ask_at = now + self.pcg.below(self.ask_span.min(ASK_MOVED) as u64) as Tick;
         self.sleep(host, now);
     }
 
     /// This host's part of a volume's limit from now on, in units a second; none: the even part.
-    pub fn parted(&mut self, now: Tick, id: VolId, part: Option<f64>) {
+    pub fn on_quota_changed(&mut self, now: Tick, id: VolumeId, part: Option<f64>) {
         let part = part.map(|p| p / SECOND);
         match part {
             Some(part) => *self.parts.enter(id.0, || part) = part,
@@ -440,7 +460,7 @@
     /// Plans as they stand from now on, and volumes that have another one. What a volume has saved up under
     /// the old figures stays its own, cut to the new ones at once: a limit that falls holds from this moment
     /// on, and one that rises is filled from here. Bases and ceilings follow with the next window.
-    pub fn planned(&mut self, now: Tick, plans: &[crate::host::Plan], of: &[(VolId, u16)]) {
+    pub fn on_plans_changed(&mut self, now: Tick, plans: &[crate::interface::Plan], of: &[(VolumeId, u16)]) {
         let largest = self.largest;
         for vol in self.volumes.iter_mut() {
             vol.fill(now, &self.plans[vol.plan], largest);
@@ -457,30 +477,30 @@
     }
 
     /// A block I/O has come in.
-    pub fn take(&mut self, host: &mut dyn Host, now: Tick, bio: Bio) {
+    pub fn on_arrival(&mut self, host: &mut dyn Host, now: Tick, bio: Bio) {
         self.taken.add(now, 1.0);
-        let group = &self.groups[bio.group as usize];
+        let group = &self.groups[bio.class as usize];
         let plan = &self.plans[bio.plan as usize];
         // A client's retry keeps the hard limit of its first try, and so has its latency goal too. A short
         // wait alone tells nothing: some clients give up sooner than others.
-        let first = |t: &&(Tick, VolId, Tick)| t.1 == bio.vol && (t.0 - bio.hard_limit).abs() <= SAME_LIMIT;
+        let first =
+            |t: &&(Tick, VolumeId, Tick)| t.1 == bio.volume && (t.0 - bio.deadline).abs() <= SAME_LIMIT;
         let goal = self.turned.iter().find(first).map_or(now + group.goal, |t| t.2);
-        let goal = goal.min(bio.hard_limit - LAST_CALL);
+        let goal = goal.min(bio.deadline - LAST_CALL);
         let ordered = group.ordered;
         let hosts = f64::from(bio.hosts.clamp(1, self.hosts));
         // A store opens empty when this host starts: a host that came back may have spent its part before.
-        let part = self.parts.get(bio.vol.0).copied();
+        let part = self.parts.get(bio.volume.0).copied();
         let empty =
             || Volume { plan: bio.plan as usize, hosts, filled: self.born, part, ..Volume::default() };
-        let vol = self.volumes.enter(bio.vol.0, empty);
+        let vol = self.volumes.enter(bio.volume.0, empty);
         vol.fill(now, plan, self.largest);
         // The parts add up only if none is ever larger than the smallest that was due.
         vol.hosts = vol.hosts.max(hosts);
         vol.seen = now;
         vol.in_hand += 1;
         let step: Option<Step> = Some(Self::answer_or_resend);
-        let half =
-            if self.word_by_half { now + (bio.hard_limit - now) / 2 - LAST_CALL } else { bio.hard_limit };
+        let half = if self.word_by_half { now + (bio.deadline - now) / 2 - LAST_CALL } else { bio.deadline };
         self.slots.enter(bio.id.0, || Slot { bio, goal, half, step, ..Slot::default() });
         if let Some(key) = bio.key {
             self.join(key, bio.id, ordered);
@@ -494,39 +514,51 @@
     }
 
     /// A submit has come out.
-    pub fn ended(&mut self, host: &mut dyn Host, now: Tick, id: BioId, outcome: &Outcome) {
+    pub fn on_attempt_finished(
+        &mut self,
+        host: &mut dyn Host,
+        now: Tick,
+        id: BioId,
+        outcome: &AttemptOutcome,
+    ) {
         // Late, repeated and moot events find no submit out, also where the place is used again.
         if !self.slots.get(id.0).is_some_and(|s| s.out) {
             return;
         }
         let slot = &mut self.slots[id.0];
         slot.out = false;
-        let (step, units, at, sent) = (slot.step, slot.bio.units, outcome.node, now - outcome.wait);
+        let (step, units, at, sent) = (slot.step, slot.bio.units, outcome.node, now - outcome.latency);
         self.learn(now, at, id, units, outcome);
         let slot = &mut self.slots[id.0];
-        if !matches!(outcome.ending, Ending::Busy | Ending::NoConnect | Ending::Moot) {
+        if !matches!(
+            outcome.result,
+            AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent
+        ) {
             slot.ran = slot.ran.or(Some((sent, at)));
-            if let Effect::Fingerprinted { memory, .. } = self.groups[slot.bio.group as usize].effect {
-                slot.goal = slot.ran.map_or(slot.goal, |ran| slot.goal.min(ran.0 + memory - LAST_CALL));
+            if let Idempotency::IdempotentByKey { window, .. } = self.groups[slot.bio.class as usize].effect {
+                slot.goal = slot.ran.map_or(slot.goal, |ran| slot.goal.min(ran.0 + window - LAST_CALL));
             }
         }
-        if self.counts_others && outcome.ending == Ending::Done {
+        if self.counts_others && outcome.result == AttemptResult::Completed {
             // After a silence the count is of long ago: more than a store's worth says no more than that.
-            let vol = &mut self.volumes[slot.bio.vol.0];
-            vol.told += outcome.by_others.clamp(0.0, self.plans[vol.plan].burst);
+            let vol = &mut self.volumes[slot.bio.volume.0];
+            vol.told += outcome.units_by_other_hosts.clamp(0.0, self.plans[vol.plan].burst);
             vol.others = vol.others.or(Some(0.0));
         }
         // What was cut off may still run: the key rests.
-        let cut = matches!(outcome.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
-        if let (Some(key), true) = (slot.bio.key, cut && self.groups[slot.bio.group as usize].ordered) {
+        let cut = matches!(
+            outcome.result,
+            AttemptResult::TimedOut | AttemptResult::ConnectionReset | AttemptResult::Cancelled
+        );
+        if let (Some(key), true) = (slot.bio.key, cut && self.groups[slot.bio.class as usize].ordered) {
             self.keys[key.0].rest = now + self.order_rest + 1;
             self.resting.push(key);
             // Whoever is next on the key goes when its rest ends, not a window later.
             self.alarms.push(Reverse((now + self.order_rest + 1, id)));
         }
-        if outcome.ending == Ending::Done && now < self.losing {
+        if outcome.result == AttemptResult::Completed && now < self.losing {
             self.call_off_lost(host, now, at);
-        } else if outcome.ending == Ending::TimedOut && self.nodes[at.0].answered > sent {
+        } else if outcome.result == AttemptResult::TimedOut && self.nodes[at.0].answered > sent {
             // The node answered a later submit and left this one: answers get lost.
             self.losing = now + LOSING;
         }
@@ -539,7 +571,7 @@
     }
 
     /// The client has left, or the host has answered it.
-    pub fn gone(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
+    pub fn on_disconnect(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
         if self.slots.get(id.0).is_some_and(|s| !s.over) {
             self.leave(host, now, id);
         }
@@ -547,28 +579,28 @@
     }
 
     /// How a node stands, for those who watch.
-    pub fn view(&self, now: Tick, at: NodeId) -> Option<NodeView> {
+    pub fn node_status(&self, now: Tick, at: NodeId) -> Option<NodeStatus> {
         let n = self.nodes.get(at.0)?;
-        Some(NodeView {
-            open: n.open,
-            out: n.out.len() as u32,
-            held: n.held.len() as u32,
-            window: n.wt,
-            wait: n.lat,
-            multiplier: n.mult,
-            failures: n.failures,
-            cold: n.came_up > 0 && now < n.came_up + self.cold.span,
+        Some(NodeStatus {
+            active: n.open,
+            in_flight: n.out.len() as u32,
+            queued: n.held.len() as u32,
+            concurrency_window: n.wt,
+            mean_latency: n.lat,
+            cost_multiplier: n.mult,
+            consecutive_failures: n.failures,
+            warming_up: n.came_up > 0 && now < n.came_up + self.cold.span,
         })
     }
 
-    /// The time asked for with `wake` has come.
-    pub fn woken(&mut self, host: &mut dyn Host, now: Tick) {
+    /// The time asked for with `set_timer` has come.
+    pub fn on_timer(&mut self, host: &mut dyn Host, now: Tick) {
         if now >= self.waking {
             self.waking = Tick::MAX;
         }
         if now >= self.ask_at {
             (self.ask_at, self.asked) = (Tick::MAX, Some(now));
-            host.watch_list();
+            host.poll_endpoints();
         }
         while let Some(&Reverse((at, id))) = self.alarms.peek() {
             if at > now {
@@ -624,7 +656,7 @@
             if self.volumes.get(at).is_some() && done(&mut self.volumes[at]) {
                 self.volumes.remove(at);
                 self.nodes.iter_mut().for_each(|n| n.shares.retain(|s| s.vol.0 != at));
-                host.release_volume(VolId(at));
+                host.release_volume(VolumeId(at));
             }
         }
         for i in (0..self.resting.len()).rev() {
@@ -686,7 +718,7 @@
         let due = self.next_window.min(alarm).min(self.ask_at).min(rested).max(now + 1);
         if due < self.waking {
             self.waking = due;
-            host.wake(due - now);
+            host.set_timer(due - now);
         }
     }
 
@@ -717,7 +749,7 @@
         node.shares.iter_mut().for_each(|s| s.held = 0.0);
         for id in &node.held {
             let bio = &self.slots[id.0].bio;
-            let own = node.shares.iter().position(|s| s.vol == bio.vol).expect("placed");
+            let own = node.shares.iter().position(|s| s.vol == bio.volume).expect("placed");
             node.shares[own].held += bio.units;
         }
         let figures = |s: &Share| {
@@ -756,7 +788,7 @@
 
     /// The design's order: own allocation, the richer of two bursting volumes', the pool, else wait.
     /// An allocation in the black may be overdrawn and pays back later: a block I/O may cost many windows.
-    fn admit(&mut self, at: NodeId, vol: VolId, units: f64) -> bool {
+    fn admit(&mut self, at: NodeId, vol: VolumeId, units: f64) -> bool {
         let node = &mut self.nodes[at.0];
         let cost = units * node.mult;
         let own = node.share(vol);
@@ -792,8 +824,8 @@
 
     /// What a unit of this block I/O would still earn if it were sent now.
     fn density(&self, slot: &Slot, share: &Share) -> f64 {
-        let group = &self.groups[slot.bio.group as usize];
-        let vol = &self.volumes[slot.bio.vol.0];
+        let group = &self.groups[slot.bio.class as usize];
+        let vol = &self.volumes[slot.bio.volume.0];
         let plan = &self.plans[vol.plan];
         // The part of it inside the reserve counts in full, the rest as the share or, beyond that, as spare.
         let beyond = if share.alloc > 0.0 { self.share_gain } else { self.spare_gain };
@@ -823,7 +855,7 @@
             let mut best: Option<(f64, Tick, usize)> = None;
             for (i, id) in node.held.iter().enumerate() {
                 let slot = &self.slots[id.0];
-                let share = &node.shares[node.share(slot.bio.vol)];
+                let share = &node.shares[node.share(slot.bio.volume)];
                 // Nothing out here says nothing of a node that many share: what will be late only fills it.
                 let waits = share.passed == turn || node.late(now, slot.goal);
                 if waits || slot.submits > 0 && !further || !self.may_send(slot, now, at) {
@@ -842,9 +874,9 @@
             let Some((_, _, i)) = best else { return };
             let id = node.held[i];
             let bio = self.slots[id.0].bio;
-            if !self.admit(at, bio.vol, bio.units) {
+            if !self.admit(at, bio.volume, bio.units) {
                 let node = &mut self.nodes[at.0];
-                let own = node.share(bio.vol);
+                let own = node.share(bio.volume);
                 node.shares[own].passed = turn;
                 continue;
             }
@@ -895,14 +927,14 @@
 
     /// The rules, for one submit: order, limit, effect. (Cold nodes and the budget: see `pump`.)
     fn may_send(&self, slot: &Slot, now: Tick, at: NodeId) -> bool {
-        let group = &self.groups[slot.bio.group as usize];
+        let group = &self.groups[slot.bio.class as usize];
         if let (Some(key), true) = (slot.bio.key, group.ordered) {
             let key = &self.keys[key.0];
             if key.head != Some(slot.bio.id) || slot.submits == 0 && now < key.rest {
                 return false;
             }
         }
-        let vol = &self.volumes[slot.bio.vol.0];
+        let vol = &self.volumes[slot.bio.volume.0];
         // While a store is too short for the group of most gain, what fills it goes to no other.
         let short = vol.store < slot.bio.units || group.lacks > 0.0 && now < vol.short;
         if self.plans[vol.plan].limit.is_finite() && !slot.drew && short {
@@ -912,14 +944,16 @@
     }
 
     /// The rule on effects: where a block I/O may go that may have run elsewhere.
-    fn may_run(nodes: &Slab<Node>, slot: &Slot, effect: Effect, now: Tick, b: &Node) -> bool {
+    fn may_run(nodes: &Slab<Node>, slot: &Slot, effect: Idempotency, now: Tick, b: &Node) -> bool {
         slot.ran.is_none_or(|(sent, first)| match (effect, nodes.get(first.0)) {
-            (Effect::Idempotent, _) => true,
-            (Effect::Fingerprinted { scope, memory }, a) if now + LAST_CALL < sent + memory => match scope {
-                Scope::All => true,
-                Scope::Zone => a.is_some_and(|a| a.zone == b.zone),
-                Scope::Cell => a.is_some_and(|a| a.shard == b.shard),
-            },
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::IdempotentByKey { scope, window }, a) if now + LAST_CALL < sent + window => {
+                match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => a.is_some_and(|a| a.zone == b.zone),
+                    DeduplicationScope::Shard => a.is_some_and(|a| a.shard == b.shard),
+                }
+            }
             _ => false,
         })
     }
@@ -934,7 +968,7 @@
         }
         slot.submits += 1;
         slot.out = true;
-        let vol = &mut self.volumes[slot.bio.vol.0];
+        let vol = &mut self.volumes[slot.bio.volume.0];
         if !slot.drew {
             slot.drew = true;
             vol.fill(now, &self.plans[vol.plan], self.largest);
@@ -948,7 +982,7 @@
         if node.came_up > 0 {
             node.sent.add(now, units);
         }
-        host.submit(id, at, slot.bio.hard_limit - now - LAST_CALL / 3);
+        host.forward(id, at, slot.bio.deadline - now - LAST_CALL / 3);
     }
 
     /// Calls off what a node has left far longer than it takes, and overtaken by an answer to a later submit:
@@ -959,7 +993,7 @@
         let since = (now - node.patience(self.short_goal)).min(node.answered);
         for (sent, id) in &node.out {
             let slot = &self.slots[id.0];
-            let repeats = self.groups[slot.bio.group as usize].effect == Effect::Idempotent;
+            let repeats = self.groups[slot.bio.class as usize].effect == Idempotency::Idempotent;
             if *sent < since && repeats && !slot.over && self.may_cancel {
                 host.cancel(*id, slot.submits - 1);
             }
@@ -967,13 +1001,13 @@
     }
 
     /// What an outcome tells of its node.
-    fn learn(&mut self, now: Tick, at: NodeId, id: BioId, units: f64, outcome: &Outcome) {
+    fn learn(&mut self, now: Tick, at: NodeId, id: BioId, units: f64, outcome: &AttemptOutcome) {
         let node = &mut self.nodes[at.0];
         let full = node.out.len() as f64 + 1.0 > node.wt;
         node.out.retain(|o| o.1 != id);
-        let wait = outcome.wait as f64;
-        match outcome.ending {
-            Ending::Done => {
+        let wait = outcome.latency as f64;
+        match outcome.result {
+            AttemptResult::Completed => {
                 self.lat += (wait.min(NEVER_LATE * self.short_goal) - self.lat) * LAT_ALL;
                 self.best = (self.best * BEST_RISES).min(self.lat);
                 let step = if wait > self.short_goal { DEARER } else { -CHEAPER };
@@ -990,7 +1024,7 @@
                 let (mut sorted, n) = (node.recent, node.answers.min(RECENT));
                 node.median = *sorted[..n].select_nth_unstable_by(n / 2, f64::total_cmp).1;
                 node.failures = 0;
-                node.answered = node.answered.max(now - outcome.wait);
+                node.answered = node.answered.max(now - outcome.latency);
                 if node.lat.max(wait) < WIDEN_BELOW * self.short_goal {
                     if full {
                         node.wt = (node.wt + WIDEN * (1.0 / node.wt).min(1.0)).min(WT_MAX);
@@ -999,13 +1033,13 @@
                     node.wt = (node.wt * (1.0 - NARROW / node.wt.max(1.0))).max(WT_LEAST);
                 }
             }
-            Ending::Moot | Ending::Cancelled => {}
+            AttemptResult::NotSent | AttemptResult::Cancelled => {}
             // A quick failure is no quick answer: it narrows the window, and a full queue or no answer says
             // that the wait is long. Without these a node that is jammed would look as quick as it was.
             _ => {
-                let least = match outcome.ending {
-                    Ending::Busy => self.short_goal,
-                    Ending::TimedOut => wait.min(UNANSWERED_AS * self.lat),
+                let least = match outcome.result {
+                    AttemptResult::Rejected => self.short_goal,
+                    AttemptResult::TimedOut => wait.min(UNANSWERED_AS * self.lat),
                     _ => 0.0,
                 };
                 node.lat += (least - node.lat).max(0.0) * UNANSWERED;
@@ -1023,13 +1057,13 @@
     }
 
     /// The step of a block I/O whose client still waits.
-    fn answer_or_resend(&mut self, host: &mut dyn Host, now: Tick, id: BioId, outcome: &Outcome) {
+    fn answer_or_resend(&mut self, host: &mut dyn Host, now: Tick, id: BioId, outcome: &AttemptOutcome) {
         let slot = &self.slots[id.0];
-        if outcome.closed || outcome.ending == Ending::Done {
+        if outcome.client_answered || outcome.result == AttemptResult::Completed {
             return self.leave(host, now, id);
         }
-        let group = &self.groups[slot.bio.group as usize];
-        let may_repeat = slot.ran.is_none() || group.effect != Effect::SideEffecting;
+        let group = &self.groups[slot.bio.class as usize];
+        let may_repeat = slot.ran.is_none() || group.effect != Idempotency::NonIdempotent;
         let time_left = slot.goal > now;
         if !may_repeat || !time_left || slot.submits >= group.submits {
             return self.give_up(host, now, id);
@@ -1044,7 +1078,7 @@
         // Two at random, the one with the shorter line. A shard has one node, but for a release that brings
         // the next one up, cold, while the last is still warm: then both serve.
         let nodes = &self.nodes;
-        let effect = self.groups[bio.group as usize].effect;
+        let effect = self.groups[bio.class as usize].effect;
         let holds = |n: &Node| n.open && bio.shard.is_none_or(|shard| n.shard == shard);
         let fits = |n: &(u32, &Node)| holds(n.1) && Self::may_run(nodes, slot, effect, now, n.1);
         let count = nodes.iter().filter(fits).count();
@@ -1061,10 +1095,10 @@
         self.slots[id.0].node = Some(at);
         // Held past its time it is given up, after each submit anew.
         self.alarms.push(Reverse((self.slots[id.0].held_until(), id)));
-        let base = self.plans[bio.plan as usize].reserve * WINDOW as f64 / self.volumes[bio.vol.0].hosts;
+        let base = self.plans[bio.plan as usize].reserve * WINDOW as f64 / self.volumes[bio.volume.0].hosts;
         let node = &mut self.nodes[at.0];
-        if !node.shares.iter().any(|s| s.vol == bio.vol) {
-            node.shares.push(Share { vol: bio.vol, alloc: base, hist: base, ..Share::default() });
+        if !node.shares.iter().any(|s| s.vol == bio.volume) {
+            node.shares.push(Share { vol: bio.volume, alloc: base, hist: base, ..Share::default() });
         }
         node.held.push(id);
         Some(at)
@@ -1090,13 +1124,16 @@
         if slot.submits == 0 && slot.node.is_some_and(at_warm) {
             self.warm.1 += 1.0;
         }
-        self.turned.push((slot.bio.hard_limit, slot.bio.vol, slot.goal));
-        let (vol, group) = (&mut self.volumes[slot.bio.vol.0], &self.groups[slot.bio.group as usize]);
+        self.turned.push((slot.bio.deadline, slot.bio.volume, slot.goal));
+        let (vol, group) = (&mut self.volumes[slot.bio.volume.0], &self.groups[slot.bio.class as usize]);
         if group.lacks == 0.0 && !slot.drew && vol.store < slot.bio.units {
             vol.short = now + SHORT;
         }
-        let effect = self.groups[slot.bio.group as usize].effect;
-        let dropped = matches!(effect, Effect::Idempotent | Effect::Fingerprinted { scope: Scope::All, .. });
+        let effect = self.groups[slot.bio.class as usize].effect;
+        let dropped = matches!(
+            effect,
+            Idempotency::Idempotent | Idempotency::IdempotentByKey { scope: DeduplicationScope::All, .. }
+        );
         if slot.ran.is_none() || dropped {
             host.shed(id, self.return_after);
         } else {
@@ -1119,7 +1156,7 @@
         if let Some(node) = node {
             self.nodes[node.0].held.retain(|h| *h != id);
         }
-        self.volumes[bio.vol.0].in_hand -= 1;
+        self.volumes[bio.volume.0].in_hand -= 1;
         if let Some(key) = bio.key {
             self.part(host, now, key, id, next);
         }
--- a/crates/scheduler/tests/fake/mod.rs
+++ b/crates/scheduler/tests/fake/mod.rs
@@ -1,6 +1,6 @@
 //! One tiny host for the stories: it carries out nothing, keeps what it was asked and plays time forward.
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Did {
@@ -29,7 +29,7 @@
 }
 
 impl Host for Log {
-    fn submit(&mut self, bio: BioId, node: NodeId, _limit: Tick) {
+    fn forward(&mut self, bio: BioId, node: NodeId, _limit: Tick) {
         self.note(Did::Sent(bio.0, node.0));
     }
     fn cancel(&mut self, bio: BioId, _nth: u32) {
@@ -42,22 +42,17 @@
     fn fail(&mut self, bio: BioId) {
         self.note(Did::Failed(bio.0));
     }
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         self.wakes.push(self.now + after);
     }
-    fn probe(&mut self, _node: NodeId) {}
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.note(Did::Asked);
     }
-    fn fetch_list(&mut self) {
-        self.note(Did::Asked);
-    }
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
     fn release_bio(&mut self, bio: BioId) {
         self.note(Did::Released(bio.0));
     }
     fn release_key(&mut self, _key: KeyId) {}
-    fn release_volume(&mut self, _vol: VolId) {}
+    fn release_volume(&mut self, _vol: VolumeId) {}
     fn release_node(&mut self, node: NodeId) {
         self.note(Did::Forgot(node.0));
     }
@@ -73,110 +68,129 @@
 
 /// Group 0 is idempotent, group 1 side-effecting and ordered, group 2 idempotent and ordered, group 3
 /// fingerprinted within a cell. Plan 0 has a reserve, plan 1 none and a limit of 10 units a second.
-pub fn terms() -> Terms {
-    let group = |effect, ordered| IoGroup {
-        effect,
-        goal: GOAL,
-        late_share: 0.1,
-        gain: 2.0,
+pub fn terms() -> SchedulerConfig {
+    let group = |idempotency, ordered| IoClass {
+        idempotency,
+        latency_objective: GOAL,
+        late_weight_factor: 0.1,
+        priority_weight: 2.0,
         ordered,
         writes: ordered,
     };
-    let marked = Effect::Fingerprinted { scope: Scope::Cell, memory: 3_000 };
-    Terms {
+    let marked = Idempotency::IdempotentByKey { scope: DeduplicationScope::Shard, window: 3_000 };
+    SchedulerConfig {
         hosts: 1,
-        groups: vec![
-            group(Effect::Idempotent, false),
-            group(Effect::SideEffecting, true),
-            group(Effect::Idempotent, true),
+        classes: vec![
+            group(Idempotency::Idempotent, false),
+            group(Idempotency::NonIdempotent, true),
+            group(Idempotency::Idempotent, true),
             group(marked, false),
         ],
         plans: vec![
-            Plan { usual: 20.0, reserve: 20.0, wt: 3.0, price: 1.0, ..Plan::default() },
-            Plan { usual: 10.0, limit: 10.0, limit_burst: 16.0, wt: 1.0, price: 1.0, ..Plan::default() },
+            Plan {
+                usual_rate: 20.0,
+                reserved_rate: 20.0,
+                weight: 3.0,
+                priority_factor: 1.0,
+                ..Plan::default()
+            },
+            Plan {
+                usual_rate: 10.0,
+                rate_limit: 10.0,
+                burst: 16.0,
+                weight: 1.0,
+                priority_factor: 1.0,
+                ..Plan::default()
+            },
         ],
-        mean_units: 2.0,
-        largest: 8.0,
-        share_gain: 0.35,
-        spare_gain: 0.1,
-        max_submits: 3,
-        may_cancel: true,
-        list_on_request: true,
-        order_rest: 2_000,
-        ..Terms::default()
+        mean_io_units: 2.0,
+        max_io_units: 8.0,
+        share_weight_factor: 0.35,
+        spare_weight_factor: 0.1,
+        max_attempts: 3,
+        allow_cancel: true,
+        endpoints_polled: true,
+        key_cooldown: 2_000,
+        ..SchedulerConfig::default()
     }
 }
 
-pub fn node(node: u32, state: NodeState, came_up: Tick) -> Listed {
-    Listed { node: NodeId(node), zone: 0, shard: node, state, came_up }
+pub fn node(node: u32, state: NodeState, started_at: Tick) -> NodeEndpoint {
+    NodeEndpoint { node: NodeId(node), zone: 0, shard: node, state, started_at }
 }
 
 impl Story {
     /// A host that started a long second ago and knows two nodes, each with the shard of its own number.
-    pub fn new(terms: &Terms) -> Self {
+    pub fn new(terms: &SchedulerConfig) -> Self {
         let log = Log { now: 100_000, ..Log::default() };
         let mut story = Story { scheduler: Scheduler::new(terms, 7, log.now), log };
         let both = [node(0, NodeState::Active, 0), node(1, NodeState::Active, 0)];
-        story.list(ListForm::Kept, &both);
+        story.list(EndpointEvent::Cached, &both);
         story.pass(12_000);
-        story.list(ListForm::Changes, &[]);
+        story.list(EndpointEvent::Incremental, &[]);
         story.log.did.clear();
         story
     }
 
     /// A host that starts now with this seed, and knows no node.
-    pub fn starting(terms: &Terms, seed: u64) -> Self {
+    pub fn starting(terms: &SchedulerConfig, seed: u64) -> Self {
         let log = Log { now: 100_000, ..Log::default() };
         let mut story = Story { scheduler: Scheduler::new(terms, seed, log.now), log };
-        story.scheduler.woken(&mut story.log, 100_000);
+        story.scheduler.on_timer(&mut story.log, 100_000);
         story
     }
 
     pub fn moved(&mut self) {
         let now = self.log.now;
-        self.scheduler.list_moved(&mut self.log, now);
+        self.scheduler.on_discovery_moved(&mut self.log, now);
     }
 
-    pub fn list(&mut self, form: ListForm, entries: &[Listed]) {
+    pub fn list(&mut self, form: EndpointEvent, entries: &[NodeEndpoint]) {
         let now = self.log.now;
-        self.scheduler.listed(&mut self.log, now, form, entries);
+        self.scheduler.on_endpoints(&mut self.log, now, form, entries);
     }
 
     /// A block I/O of two units for node 0.
     pub fn bio(&self, id: u32) -> Bio {
-        let hard_limit = self.log.now + LIMIT;
-        let (vol, id) = (VolId(0), BioId(id));
-        Bio { id, group: 0, plan: 0, vol, key: None, hard_limit, units: 2.0, shard: Some(0), hosts: 1 }
+        let deadline = self.log.now + LIMIT;
+        let (volume, id) = (VolumeId(0), BioId(id));
+        Bio { id, class: 0, plan: 0, volume, key: None, deadline, units: 2.0, shard: Some(0), hosts: 1 }
     }
 
     pub fn take(&mut self, bio: Bio) {
         let now = self.log.now;
-        self.scheduler.take(&mut self.log, now, bio);
-    }
-
-    pub fn end(&mut self, id: u32, node: u32, ending: Ending, wait: Tick) {
-        let (node, closed) = (NodeId(node), ending == Ending::Done);
-        let outcome =
-            Outcome { ending, node, closed, wait, by_others: 0.0, used: 0.0, report: Report::default() };
+        self.scheduler.on_arrival(&mut self.log, now, bio);
+    }
+
+    pub fn end(&mut self, id: u32, node: u32, result: AttemptResult, latency: Tick) {
+        let outcome = AttemptOutcome {
+            result,
+            node: NodeId(node),
+            client_answered: result == AttemptResult::Completed,
+            latency,
+            units_by_other_hosts: 0.0,
+            volume_usage: 0.0,
+            load_report: LoadReport::default(),
+        };
         let now = self.log.now;
-        self.scheduler.ended(&mut self.log, now, BioId(id), &outcome);
+        self.scheduler.on_attempt_finished(&mut self.log, now, BioId(id), &outcome);
     }
 
-    pub fn planned(&mut self, plans: &[Plan], of: &[(VolId, u16)]) {
-        self.scheduler.planned(self.log.now, plans, of);
+    pub fn planned(&mut self, plans: &[Plan], of: &[(VolumeId, u16)]) {
+        self.scheduler.on_plans_changed(self.log.now, plans, of);
     }
 
-    pub fn parted(&mut self, vol: VolId, part: Option<f64>) {
-        self.scheduler.parted(self.log.now, vol, part);
+    pub fn parted(&mut self, volume: VolumeId, part: Option<f64>) {
+        self.scheduler.on_quota_changed(self.log.now, volume, part);
     }
 
     pub fn gone(&mut self, id: u32) {
         let now = self.log.now;
-        self.scheduler.gone(&mut self.log, now, BioId(id));
+        self.scheduler.on_disconnect(&mut self.log, now, BioId(id));
     }
 
-    pub fn view(&self, node: u32) -> NodeView {
-        self.scheduler.view(self.log.now, NodeId(node)).expect("a node of the list")
+    pub fn status(&self, node: u32) -> NodeStatus {
+        self.scheduler.node_status(self.log.now, NodeId(node)).expect("a node of the list")
     }
 
     /// Lets time pass, with every wake that was asked for.
@@ -185,7 +199,7 @@
         while let Some(at) = self.log.wakes.iter().copied().min().filter(|at| *at <= end) {
             self.log.wakes.retain(|w| *w != at);
             self.log.now = at;
-            self.scheduler.woken(&mut self.log, at);
+            self.scheduler.on_timer(&mut self.log, at);
         }
         self.log.now = end;
     }
--- a/crates/scheduler/tests/pin/mod.rs
+++ b/crates/scheduler/tests/pin/mod.rs
@@ -4,8 +4,8 @@
 mod settings;
 
 use hash::ActionHash;
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 use random::Random;
 use std::collections::BTreeMap;
 
@@ -37,16 +37,16 @@
 enum Event {
     Arrival,
     /// The outcome of one submit of a block I/O, by the serial number of that submit.
-    Outcome {
+    AttemptOutcome {
         serial: u64,
-        ending: Ending,
+        result: AttemptResult,
     },
     Disconnect {
         bio: BioId,
         arrival: u64,
     },
     Timer,
-    ListAnswer(ListForm),
+    ListAnswer(EndpointEvent),
     ListChange,
     ListMoved,
     QuotaChange,
@@ -83,7 +83,7 @@
 }
 
 struct SimulatedNode {
-    listed: Listed,
+    listed: NodeEndpoint,
     mode: Mode,
 }
 
@@ -133,50 +133,50 @@
         self.events.insert((self.now + after, self.next_event), event);
     }
 
-    /// When and how a submit to this node ends.
-    fn draw_ending(&mut self, bio: &Bio, node: NodeId, limit: Tick) -> (Tick, Ending) {
+    /// When and how an attempt to this node ends.
+    fn draw_ending(&mut self, bio: &Bio, node: NodeId, timeout: Tick) -> (Tick, AttemptResult) {
         let load = self.out.values().filter(|s| s.node == node).count() as Tick;
         let random = &mut self.random;
-        let (wait, ending) = match self.nodes[node.0 as usize].mode {
-            Mode::Prompt if random.below(400) < if bio.group < 2 { 24 } else { 1 } => {
-                (limit, Ending::TimedOut)
+        let (wait, result) = match self.nodes[node.0 as usize].mode {
+            Mode::Prompt if random.below(400) < if bio.class < 2 { 24 } else { 1 } => {
+                (timeout, AttemptResult::TimedOut)
             }
-            Mode::Prompt => (random.between(5, 35), Ending::Done),
-            Mode::Quick => (random.between(30, 400) + 10 * load, Ending::Done),
-            Mode::Middle => (random.between(400, 640) + 5 * load, Ending::Done),
-            Mode::Slow => (random.between(500, 2_600) + 20 * load, Ending::Done),
-            Mode::Full if random.chance(40) => (random.between(5, 30), Ending::Busy),
-            Mode::Full => (random.between(200, 900), Ending::Done),
+            Mode::Prompt => (random.between(5, 35), AttemptResult::Completed),
+            Mode::Quick => (random.between(30, 400) + 10 * load, AttemptResult::Completed),
+            Mode::Middle => (random.between(400, 640) + 5 * load, AttemptResult::Completed),
+            Mode::Slow => (random.between(500, 2_600) + 20 * load, AttemptResult::Completed),
+            Mode::Full if random.chance(40) => (random.between(5, 30), AttemptResult::Rejected),
+            Mode::Full => (random.between(200, 900), AttemptResult::Completed),
             Mode::Broken => match random.below(7) {
-                0 => (random.between(5, 40), Ending::Busy),
-                1 => (random.between(20, 300), Ending::Reset),
-                2 => (random.between(20, 300), Ending::Error),
-                3 => (1, Ending::Moot),
-                _ => (random.between(2, 20), Ending::NoConnect),
+                0 => (random.between(5, 40), AttemptResult::Rejected),
+                1 => (random.between(20, 300), AttemptResult::ConnectionReset),
+                2 => (random.between(20, 300), AttemptResult::Error),
+                3 => (1, AttemptResult::NotSent),
+                _ => (random.between(2, 20), AttemptResult::ConnectFailed),
             },
-            Mode::Lossy if random.chance(30) => (limit, Ending::TimedOut),
-            Mode::Lossy => (random.between(10, 300), Ending::Done),
+            Mode::Lossy if random.chance(30) => (timeout, AttemptResult::TimedOut),
+            Mode::Lossy => (random.between(10, 300), AttemptResult::Completed),
         };
-        match ending {
-            Ending::Done if random.chance(2) => (wait.min(limit), Ending::Error),
-            _ if wait >= limit => (limit, Ending::TimedOut),
-            _ => (wait, ending),
+        match result {
+            AttemptResult::Completed if random.chance(2) => (wait.min(timeout), AttemptResult::Error),
+            _ if wait >= timeout => (timeout, AttemptResult::TimedOut),
+            _ => (wait, result),
         }
     }
 }
 
 impl Host for Recorder {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
-        self.record(Action::Submit, [bio.0.into(), node.0.into(), limit as u64]);
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
+        self.record(Action::Submit, [bio.0.into(), node.0.into(), timeout as u64]);
         let current = self.current.get_mut(&bio).expect("a block I/O that was released is not submitted");
         let nth = current.submits;
         current.submits += 1;
         let bio_now = current.bio;
-        let (wait, ending) = self.draw_ending(&bio_now, node, limit);
+        let (wait, result) = self.draw_ending(&bio_now, node, timeout);
         self.next_submit += 1;
         let serial = self.next_submit;
         self.out.insert(serial, Submit { bio, node, sent: self.now, nth });
-        self.schedule(wait, Event::Outcome { serial, ending });
+        self.schedule(wait, Event::AttemptOutcome { serial, result });
     }
 
     fn cancel(&mut self, bio: BioId, nth: u32) {
@@ -184,7 +184,7 @@
         let found = self.out.iter().find(|(_, s)| s.bio == bio && s.nth == nth).map(|(serial, _)| *serial);
         if let Some(serial) = found {
             let after = self.random.between(1, 40);
-            self.schedule(after, Event::Outcome { serial, ending: Ending::Cancelled });
+            self.schedule(after, Event::AttemptOutcome { serial, result: AttemptResult::Cancelled });
         }
     }
 
@@ -204,28 +204,22 @@
         assert!(!std::mem::replace(&mut current.answered, true), "answered once");
     }
 
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         self.record(Action::Wake, [after as u64, 0, 0]);
         self.schedule(after, Event::Timer);
     }
 
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.record(Action::WatchList, [0; 3]);
         let form = match self.random.below(10) {
-            0..4 => ListForm::Whole,
-            4 => ListForm::Silent,
-            _ => ListForm::Failed,
+            0..4 => EndpointEvent::FullSnapshot,
+            4 => EndpointEvent::WatchSilent,
+            _ => EndpointEvent::PollFailed,
         };
         let after = self.random.between(5, 3_000);
         self.schedule(after, Event::ListAnswer(form));
     }
 
-    fn fetch_list(&mut self) {}
-
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
     fn release_bio(&mut self, bio: BioId) {
         self.record(Action::ReleaseBio, [bio.0.into(), 0, 0]);
         assert!(self.current.remove(&bio).is_some(), "released once");
@@ -236,8 +230,8 @@
         self.record(Action::ReleaseKey, [key.0.into(), 0, 0]);
     }
 
-    fn release_volume(&mut self, vol: VolId) {
-        self.record(Action::ReleaseVolume, [vol.0.into(), 0, 0]);
+    fn release_volume(&mut self, volume: VolumeId) {
+        self.record(Action::ReleaseVolume, [volume.0.into(), 0, 0]);
     }
 
     fn release_node(&mut self, node: NodeId) {
@@ -248,7 +242,7 @@
 pub struct Simulation {
     recorder: Recorder,
     scheduler: Scheduler,
-    terms: Terms,
+    config: SchedulerConfig,
     pattern: Pattern,
     arrivals: usize,
     volume_plans: Vec<u16>,
@@ -257,7 +251,7 @@
 impl Simulation {
     pub fn new(seed: u64) -> Self {
         let mut random = Random::new(seed);
-        let terms = settings::terms(seed, &mut random);
+        let config = settings::config(seed, &mut random);
         let pattern = Pattern::of(seed);
         let plans = if pattern == Pattern::Mixed { settings::PLANS } else { 1 };
         let now = 50_000 + 7 * seed as Tick;
@@ -278,9 +272,9 @@
             turned_away: Vec::new(),
         };
         Simulation {
-            scheduler: Scheduler::new(&terms, seed, now),
+            scheduler: Scheduler::new(&config, seed, now),
             recorder,
-            terms,
+            config,
             pattern,
             arrivals: 0,
             volume_plans: (0..VOLUMES).map(|v| (v % plans) as u16).collect(),
@@ -290,7 +284,7 @@
     /// Runs all events; the hash of the actions, and how many of each kind there were.
     pub fn run(mut self) -> (u64, [u32; ACTION_KINDS]) {
         let r = &mut self.recorder;
-        r.schedule(0, Event::ListAnswer(ListForm::Kept));
+        r.schedule(0, Event::ListAnswer(EndpointEvent::Cached));
         r.schedule(0, Event::Timer);
         r.schedule(2_000, Event::Arrival);
         r.schedule(9_000, Event::ListChange);
@@ -302,7 +296,7 @@
             self.recorder.now = at;
             self.step(event);
             if number.is_multiple_of(16) {
-                self.record_views();
+                self.record_node_status();
             }
             // Timers go on for ever: a while after the last arrival is enough.
             if self.arrivals == ARRIVALS && self.recorder.current.is_empty() {
@@ -316,17 +310,17 @@
         let now = self.recorder.now;
         match event {
             Event::Arrival => self.arrive(),
-            Event::Outcome { serial, ending } => self.end(serial, ending),
+            Event::AttemptOutcome { serial, result } => self.end(serial, result),
             Event::Disconnect { bio, arrival } => {
                 if self.recorder.current.get(&bio).is_some_and(|c| c.arrival == arrival) {
-                    self.scheduler.gone(&mut self.recorder, now, bio);
+                    self.scheduler.on_disconnect(&mut self.recorder, now, bio);
                 }
             }
-            Event::Timer => self.scheduler.woken(&mut self.recorder, now),
+            Event::Timer => self.scheduler.on_timer(&mut self.recorder, now),
             Event::ListAnswer(form) => self.answer_list(form),
             Event::ListChange => self.change_list(),
             Event::ListMoved => {
-                self.scheduler.list_moved(&mut self.recorder, now);
+                self.scheduler.on_discovery_moved(&mut self.recorder, now);
                 self.recorder.schedule(90_000, Event::ListMoved);
             }
             Event::QuotaChange => self.change_quota(),
@@ -344,14 +338,16 @@
     }
 
     /// Hashes how each node stands.
-    fn record_views(&mut self) {
+    fn record_node_status(&mut self) {
         for node in 0..NODES {
-            let Some(view) = self.scheduler.view(self.recorder.now, NodeId(node)) else { continue };
+            let Some(status) = self.scheduler.node_status(self.recorder.now, NodeId(node)) else { continue };
             let hash = &mut self.recorder.hash;
-            hash.add(u64::from(view.open) | u64::from(view.cold) << 1);
-            hash.add(u64::from(view.out) | u64::from(view.held) << 32);
-            hash.add(u64::from(view.failures));
-            [view.window, view.wait, view.multiplier].iter().for_each(|f| hash.add(f.to_bits()));
+            hash.add(u64::from(status.active) | u64::from(status.warming_up) << 1);
+            hash.add(u64::from(status.in_flight) | u64::from(status.queued) << 32);
+            hash.add(u64::from(status.consecutive_failures));
+            [status.concurrency_window, status.mean_latency, status.cost_multiplier]
+                .iter()
+                .for_each(|f| hash.add(f.to_bits()));
         }
     }
 
@@ -361,7 +357,7 @@
         let arrival = self.arrivals as u64;
         self.recorder.current.insert(bio.id, Current { bio, arrival, answered: false, submits: 0 });
         let now = self.recorder.now;
-        self.scheduler.take(&mut self.recorder, now, bio);
+        self.scheduler.on_arrival(&mut self.recorder, now, bio);
         if self.recorder.random.chance(4) {
             let after = self.recorder.random.between(10, 3_000);
             self.recorder.schedule(after, Event::Disconnect { bio: bio.id, arrival });
@@ -393,17 +389,17 @@
         }));
         if r.random.chance(20)
             && let Some(first) = r.turned_away.pop()
-            && first.hard_limit > r.now
+            && first.deadline > r.now
         {
-            let hard_limit = first.hard_limit + r.random.between(-7, 7);
-            return Bio { id, hard_limit, ..first };
+            let deadline = first.deadline + r.random.between(-7, 7);
+            return Bio { id, deadline, ..first };
         }
-        let group = r.random.below(self.terms.groups.len() as u64) as u16;
+        let class = r.random.below(self.config.classes.len() as u64) as u16;
         // Volumes take turns, so that some are idle for long.
         let active = VOLUMES - 4;
         let turn = self.arrivals as u64 / 400;
         let volume = (r.random.below(active) + turn) % VOLUMES;
-        let key = (self.terms.groups[usize::from(group)].ordered || r.random.chance(10))
+        let key = (self.config.classes[usize::from(class)].ordered || r.random.chance(10))
             .then(|| KeyId(r.random.below(KEYS) as u32));
         let (shards, least, most) = match self.pattern {
             Pattern::Mixed => (7, 40, 12_000),
@@ -411,51 +407,58 @@
         };
         Bio {
             id,
-            group,
+            class,
             plan: self.volume_plans[volume as usize],
-            vol: VolId(volume as u32),
+            volume: VolumeId(volume as u32),
             key,
-            hard_limit: r.now + r.random.between(least, most),
+            deadline: r.now + r.random.between(least, most),
             units: r.random.between(1, 32) as f64 / 4.0,
             shard: r.random.chance(75).then(|| r.random.below(shards).min(3) as u32),
             hosts: r.random.below(5) as u32,
         }
     }
 
-    fn end(&mut self, serial: u64, ending: Ending) {
+    fn end(&mut self, serial: u64, result: AttemptResult) {
         let r = &mut self.recorder;
         // After a cancel there are two outcomes: the first counts.
         let Some(submit) = r.out.remove(&serial) else { return };
         let (id, random) = (submit.bio, &mut r.random);
-        let report =
-            Report { waiting: Some(random.fraction()), service_ms: None, busy: Some(random.fraction()) };
-        let outcome = Outcome {
-            ending,
+        let load_report = LoadReport {
+            backlog: Some(random.fraction()),
+            service_time_ms: None,
+            utilization: Some(random.fraction()),
+        };
+        let outcome = AttemptOutcome {
+            result,
             node: submit.node,
-            closed: ending == Ending::Done || random.chance(3),
-            wait: r.now - submit.sent,
-            by_others: random.fraction() - 0.25,
-            used: 1.0 + random.fraction() * 100.0,
-            report,
+            client_answered: result == AttemptResult::Completed || random.chance(3),
+            latency: r.now - submit.sent,
+            units_by_other_hosts: random.fraction() - 0.25,
+            volume_usage: 1.0 + random.fraction() * 100.0,
+            load_report,
         };
         let now = r.now;
-        self.scheduler.ended(r, now, id, &outcome);
+        self.scheduler.on_attempt_finished(r, now, id, &outcome);
         let sent_again = self.recorder.out.values().any(|s| s.bio == id);
         if self.recorder.random.chance(2) && !sent_again {
             // A repeated outcome finds no submit out.
-            self.scheduler.ended(&mut self.recorder, now, id, &outcome);
+            self.scheduler.on_attempt_finished(&mut self.recorder, now, id, &outcome);
         }
     }
 
-    fn answer_list(&mut self, form: ListForm) {
-        let entries: Vec<Listed> = match form {
-            ListForm::Failed | ListForm::Silent => Vec::new(),
-            _ => {
-                self.recorder.nodes.iter().map(|n| n.listed).filter(|l| l.state != NodeState::Left).collect()
-            }
+    fn answer_list(&mut self, form: EndpointEvent) {
+        let entries: Vec<NodeEndpoint> = match form {
+            EndpointEvent::PollFailed | EndpointEvent::WatchSilent => Vec::new(),
+            _ => self
+                .recorder
+                .nodes
+                .iter()
+                .map(|n| n.listed)
+                .filter(|l| l.state != NodeState::Removed)
+                .collect(),
         };
         let now = self.recorder.now;
-        self.scheduler.listed(&mut self.recorder, now, form, &entries);
+        self.scheduler.on_endpoints(&mut self.recorder, now, form, &entries);
     }
 
     fn change_list(&mut self) {
@@ -464,25 +467,25 @@
         r.schedule(after, Event::ListChange);
         let choice = r.random.below(16);
         match choice {
-            0 => self.answer_list(ListForm::Whole),
-            1 => self.answer_list(ListForm::Failed),
-            2 => self.answer_list(ListForm::Silent),
-            3 => self.answer_list(ListForm::Kept),
+            0 => self.answer_list(EndpointEvent::FullSnapshot),
+            1 => self.answer_list(EndpointEvent::PollFailed),
+            2 => self.answer_list(EndpointEvent::WatchSilent),
+            3 => self.answer_list(EndpointEvent::Cached),
             _ => {
                 let node = if choice >= 12 { ALWAYS_COLD as usize } else { r.random.below(6) as usize };
                 let listed = &mut r.nodes[node].listed;
                 match (choice, listed.state) {
-                    (12..15, NodeState::Active) => listed.came_up = now - r.random.between(0, 20_000),
-                    (4, NodeState::Active) => listed.state = NodeState::Leaving,
-                    (_, NodeState::Leaving) => listed.state = NodeState::Left,
-                    (_, NodeState::Left) if choice < 7 => {}
+                    (12..15, NodeState::Active) => listed.started_at = now - r.random.between(0, 20_000),
+                    (4, NodeState::Active) => listed.state = NodeState::Draining,
+                    (_, NodeState::Draining) => listed.state = NodeState::Removed,
+                    (_, NodeState::Removed) if choice < 7 => {}
                     _ => {
                         listed.state = NodeState::Active;
-                        listed.came_up = now - r.random.between(0, 20_000);
+                        listed.started_at = now - r.random.between(0, 20_000);
                     }
                 }
                 let entry = *listed;
-                self.scheduler.listed(&mut self.recorder, now, ListForm::Changes, &[entry]);
+                self.scheduler.on_endpoints(&mut self.recorder, now, EndpointEvent::Incremental, &[entry]);
             }
         }
     }
@@ -491,9 +494,9 @@
         let r = &mut self.recorder;
         let (now, after) = (r.now, r.random.between(10_000, 60_000));
         r.schedule(after, Event::QuotaChange);
-        let volume = VolId(r.random.below(VOLUMES) as u32);
+        let volume = VolumeId(r.random.below(VOLUMES) as u32);
         let quota = r.random.chance(60).then(|| r.random.fraction() * 40.0);
-        self.scheduler.parted(now, volume, quota);
+        self.scheduler.on_quota_changed(now, volume, quota);
     }
 
     fn change_plans(&mut self) {
@@ -501,14 +504,14 @@
         let (now, after) = (r.now, r.random.between(80_000, 160_000));
         r.schedule(after, Event::PlanChange);
         let factor = 0.75 + r.random.fraction() / 2.0;
-        for plan in &mut self.terms.plans {
-            (plan.reserve, plan.limit) = (plan.reserve * factor, plan.limit * factor);
+        for plan in &mut self.config.plans {
+            (plan.reserved_rate, plan.rate_limit) = (plan.reserved_rate * factor, plan.rate_limit * factor);
         }
         let volume = r.random.below(VOLUMES);
         let plan = r.random.below(settings::PLANS) as u16;
         self.volume_plans[volume as usize] = plan;
-        let moved = [(VolId(volume as u32), plan), (VolId(VOLUMES as u32), 0)];
-        self.scheduler.planned(now, &self.terms.plans, &moved);
+        let moved = [(VolumeId(volume as u32), plan), (VolumeId(VOLUMES as u32), 0)];
+        self.scheduler.on_plans_changed(now, &self.config.plans, &moved);
     }
 }
 
@@ -524,8 +527,8 @@
 }
 
 /// Nodes 0 to 3 hold a shard each; 4 holds the shard of 0 as well, 5 that of 1. Two zones.
-fn first_entry(node: u32) -> Listed {
-    let state = if node < 5 { NodeState::Active } else { NodeState::Left };
+fn first_entry(node: u32) -> NodeEndpoint {
+    let state = if node < 5 { NodeState::Active } else { NodeState::Removed };
     let shard = if node == ALWAYS_COLD { 9 } else { node % 4 };
-    Listed { node: NodeId(node), zone: node % 2, shard, state, came_up: 0 }
+    NodeEndpoint { node: NodeId(node), zone: node % 2, shard, state, started_at: 0 }
 }
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -1,5 +1,5 @@
 //! SplitMix64: the simulation's own random numbers, independent of the scheduler's.
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 
 pub struct Random(u64);
 
--- a/crates/scheduler/tests/pin/settings.rs
+++ b/crates/scheduler/tests/pin/settings.rs
@@ -1,19 +1,24 @@
 //! Deployments that turn each option of the scheduler on and off.
 use super::random::Random;
-use mallowseam_scheduler::host::*;
+use mallowseam_scheduler::interface::*;
 
 pub const PLANS: u64 = 6;
 
 /// Host count and the fields that decide when the node list is asked for.
 struct Asking {
     hosts: u32,
-    ask_turn: Option<Tick>,
-    ask_within: Tick,
-    list_pushed: bool,
+    poll_service_time: Option<Tick>,
+    max_poll_delay: Tick,
+    endpoints_pushed: bool,
 }
 
 fn asking(seed: u64) -> Asking {
-    let row = |hosts, ask_turn, ask_within, list_pushed| Asking { hosts, ask_turn, ask_within, list_pushed };
+    let row = |hosts, poll_service_time, max_poll_delay, endpoints_pushed| Asking {
+        hosts,
+        poll_service_time,
+        max_poll_delay,
+        endpoints_pushed,
+    };
     match seed % 10 {
         0 => row(1, None, 0, false),
         1 => row(3, None, 0, false),
@@ -29,35 +34,35 @@
     }
 }
 
-fn groups() -> Vec<IoGroup> {
-    let keyed = |scope, memory| Effect::Fingerprinted { scope, memory };
-    let group = |effect, goal, gain, ordered| IoGroup {
-        effect,
-        goal,
-        late_share: 0.1,
-        gain,
+fn classes() -> Vec<IoClass> {
+    let keyed = |scope, window| Idempotency::IdempotentByKey { scope, window };
+    let class = |idempotency, latency_objective, priority_weight, ordered| IoClass {
+        idempotency,
+        latency_objective,
+        late_weight_factor: 0.1,
+        priority_weight,
         ordered,
         writes: ordered,
     };
     vec![
-        group(Effect::Idempotent, 2_000, 2.0, false),
-        group(Effect::Idempotent, 3_000, 0.7, true),
-        group(Effect::SideEffecting, 2_500, 1.5, true),
-        group(Effect::SideEffecting, 4_000, 1.0, false),
-        group(keyed(Scope::All, 3_000), 4_000, 2.0, false),
-        group(keyed(Scope::Zone, 5_000), 3_000, 1.2, false),
-        group(keyed(Scope::Cell, 2_000), 6_000, 0.5, true),
+        class(Idempotency::Idempotent, 2_000, 2.0, false),
+        class(Idempotency::Idempotent, 3_000, 0.7, true),
+        class(Idempotency::NonIdempotent, 2_500, 1.5, true),
+        class(Idempotency::NonIdempotent, 4_000, 1.0, false),
+        class(keyed(DeduplicationScope::All, 3_000), 4_000, 2.0, false),
+        class(keyed(DeduplicationScope::Zone, 5_000), 3_000, 1.2, false),
+        class(keyed(DeduplicationScope::Shard, 2_000), 6_000, 0.5, true),
     ]
 }
 
 fn plans() -> Vec<Plan> {
-    let plan = |reserve, limit, limit_burst, wt, price| Plan {
-        usual: reserve + 5.0,
-        reserve,
-        limit,
-        limit_burst,
-        wt,
-        price,
+    let plan = |reserved_rate, rate_limit, burst, weight, priority_factor| Plan {
+        usual_rate: reserved_rate + 5.0,
+        reserved_rate,
+        rate_limit,
+        burst,
+        weight,
+        priority_factor,
     };
     vec![
         plan(40.0, 0.0, 0.0, 3.0, 1.0),
@@ -69,40 +74,40 @@
     ]
 }
 
-pub fn terms(seed: u64, random: &mut Random) -> Terms {
-    let Asking { hosts, ask_turn, ask_within, list_pushed } = asking(seed);
+pub fn config(seed: u64, random: &mut Random) -> SchedulerConfig {
+    let Asking { hosts, poll_service_time, max_poll_delay, endpoints_pushed } = asking(seed);
     let one_in = |n: u64| seed.is_multiple_of(n);
-    Terms {
+    SchedulerConfig {
         hosts,
-        groups: groups(),
+        classes: classes(),
         plans: plans(),
         // Small means make small budgets, so that these decide.
-        mean_units: if one_in(7) { 0.0 } else { 0.5 + random.fraction() * 2.0 },
-        largest: 8.0,
-        share_gain: 0.35 + random.fraction() / 4.0,
-        spare_gain: 0.1 + random.fraction() / 4.0,
-        meter: 0,
-        counts_others: !one_in(3),
-        may_cancel: !one_in(4),
-        may_probe: false,
-        may_tell: false,
-        may_duplicate: false,
-        may_name_return: one_in(2),
-        longest_return: 500 + 100 * seed as Tick,
-        max_submits: 1 + ((seed + 2) % 4) as u32,
-        list_on_request: !one_in(11),
-        ask_turn,
-        list_pushed,
-        ask_within,
-        word_by_half: one_in(3),
-        cold_bears: if one_in(9) { 0.0 } else { 6.0 + random.fraction() * 30.0 },
-        cold_from: 0.2,
-        cold_span: 60_000,
-        fall_span: if one_in(13) { 0 } else { 8_000 },
-        fall_multiple: 2.0,
-        order_rest: 600,
-        budget_free: 5.0,
-        budget_share: 0.1,
-        budget_span: if one_in(5) { 0 } else { 10_000 },
+        mean_io_units: if one_in(7) { 0.0 } else { 0.5 + random.fraction() * 2.0 },
+        max_io_units: 8.0,
+        share_weight_factor: 0.35 + random.fraction() / 4.0,
+        spare_weight_factor: 0.1 + random.fraction() / 4.0,
+        metering_window: 0,
+        other_hosts_usage_reported: !one_in(3),
+        allow_cancel: !one_in(4),
+        allow_health_checks: false,
+        allow_peer_messages: false,
+        allow_hedging: false,
+        allow_retry_after: one_in(2),
+        max_retry_after: 500 + 100 * seed as Tick,
+        max_attempts: 1 + ((seed + 2) % 4) as u32,
+        endpoints_polled: !one_in(11),
+        poll_service_time,
+        endpoints_pushed,
+        max_poll_delay,
+        shed_at_half_deadline: one_in(3),
+        slow_start_capacity: if one_in(9) { 0.0 } else { 6.0 + random.fraction() * 30.0 },
+        slow_start_initial_rate: 0.2,
+        slow_start_duration: 60_000,
+        overload_window: if one_in(13) { 0 } else { 8_000 },
+        overload_factor: 2.0,
+        key_cooldown: 600,
+        retry_budget_floor: 5.0,
+        retry_budget_ratio: 0.1,
+        retry_budget_window: if one_in(5) { 0 } else { 10_000 },
     }
 }
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -5,7 +5,7 @@
 mod pin;
 
 use fake::{Story, terms};
-use mallowseam_scheduler::host::*;
+use mallowseam_scheduler::interface::*;
 use pin::{ACTION_KINDS, Simulation};
 
 /// One hash a run, by its seed.
@@ -51,20 +51,20 @@
 #[test]
 fn the_window_of_a_node_that_times_out_on_everything_ends_at_a_tenth() {
     let mut s = Story::new(&terms());
-    let patient = |s: &Story, id| Bio { hard_limit: s.log.now + 400_000, ..s.bio(id) };
+    let patient = |s: &Story, id| Bio { deadline: s.log.now + 400_000, ..s.bio(id) };
     // An answer to a later submit shows that the first one's was lost.
     s.take(patient(&s, 0));
     s.pass(10);
     s.take(patient(&s, 1));
     s.pass(10);
-    s.end(1, 0, Ending::Done, 10);
-    s.end(0, 0, Ending::TimedOut, 20);
+    s.end(1, 0, AttemptResult::Completed, 10);
+    s.end(0, 0, AttemptResult::TimedOut, 20);
     // Submits long overdue then take no room, and pile up.
     for id in 2..62 {
-        s.take(Bio { group: 3, ..patient(&s, id) });
+        s.take(Bio { class: 3, ..patient(&s, id) });
         s.pass(600);
     }
     assert_eq!(s.sent().len(), 63, "each once, and the first one again");
-    (2..62).for_each(|id| s.end(id, 0, Ending::TimedOut, 36_000));
-    assert_eq!(s.view(0).window.to_bits(), 0.1_f64.to_bits());
+    (2..62).for_each(|id| s.end(id, 0, AttemptResult::TimedOut, 36_000));
+    assert_eq!(s.status(0).concurrency_window.to_bits(), 0.1_f64.to_bits());
 }
--- a/crates/sockets/src/arrival_estimator.rs
+++ b/crates/sockets/src/arrival_estimator.rs
@@ -1,6 +1,6 @@
 //! When the events that a poll returns arrived. A loop that is kept from running would otherwise take its own
 //! lateness for that of others.
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 
 /// A poll that lasted longer than this many ticks slept until something arrived.
 const SLEEP_THRESHOLD: Tick = 1;
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -1,5 +1,5 @@
 //! The host's clock: ticks of a tenth of a millisecond, and their conversion.
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Microseconds in a tick.
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -2,9 +2,9 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use mallowseam_platform::settings::{self, PlatformSettings};
-use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Interner;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -14,11 +14,11 @@
 #[derive(Default)]
 struct Names {
     me: u64,
-    bios: Door<u64>,
-    nodes: Door<String>,
-    zones: Door<String>,
-    volumes: Door<String>,
-    keys: Door<String>,
+    bios: Interner<u64>,
+    nodes: Interner<String>,
+    zones: Interner<String>,
+    volumes: Interner<String>,
+    keys: Interner<String>,
     groups: Vec<String>,
     plans: Vec<String>,
 }
@@ -31,9 +31,9 @@
 /// A `membership` of which entries are still to come.
 struct Listing {
     instance: u64,
-    form: ListForm,
+    form: EndpointEvent,
     left: u64,
-    entries: Vec<Listed>,
+    entries: Vec<NodeEndpoint>,
 }
 
 #[derive(Default)]
@@ -98,31 +98,31 @@
         words.iter().find(|w| w.0 == value).map(|w| w.1).ok_or_else(|| self.wrong(field, &known()))
     }
 
-    fn ending(&mut self) -> Result<Ending, String> {
-        use Ending::*;
+    fn ending(&mut self) -> Result<AttemptResult, String> {
+        use AttemptResult::*;
         let words = [
-            ("done", Done),
+            ("done", Completed),
             ("err", Error),
-            ("busy", Busy),
+            ("busy", Rejected),
             ("etimedout", TimedOut),
-            ("econnrefused", NoConnect),
-            ("econnreset", Reset),
+            ("econnrefused", ConnectFailed),
+            ("econnreset", ConnectionReset),
             ("ecanceled", Cancelled),
-            ("skipped", Moot),
+            ("skipped", NotSent),
         ];
         self.one_of("ending", &words)
     }
 
-    fn report(&mut self) -> Result<Report, String> {
-        let mut report = Report::default();
+    fn report(&mut self) -> Result<LoadReport, String> {
+        let mut report = LoadReport::default();
         for pair in self.next().unwrap_or_default().split(',').filter(|p| !p.is_empty()) {
             let value = pair.split_once(':').and_then(|(name, v)| Some((name, v.parse::<f64>().ok()?)));
             let (name, value) = value.ok_or_else(|| self.wrong("pressure", "name:value pairs"))?;
             let value = Some(value).filter(|v| v.is_finite() && *v >= 0.0);
             match name {
-                "backlog" => report.waiting = value,
-                "recent_ms" => report.service_ms = value,
-                "utilization" => report.busy = value,
+                "backlog" => report.backlog = value,
+                "recent_ms" => report.service_time_ms = value,
+                "utilization" => report.utilization = value,
                 _ => {}
             }
         }
@@ -142,48 +142,35 @@
 }
 
 impl Host for Answers<'_> {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
-        let (xid, brick) = (self.names.bios.name(bio.0), self.names.nodes.name(node.0));
-        let limit = if limit > 0 { limit * MICROS } else { -1 };
-        say(self.out, format_args!("relay {} {xid} {brick} {limit}", self.i));
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
+        let (xid, brick) = (self.names.bios.resolve(bio.0), self.names.nodes.resolve(node.0));
+        let timeout = if timeout > 0 { timeout * MICROS } else { -1 };
+        say(self.out, format_args!("relay {} {xid} {brick} {timeout}", self.i));
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        let xid = *self.names.bios.name(bio.0);
-        say(self.out, format_args!("cancel {} {xid} {nth}", self.i));
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        let xid = *self.names.bios.resolve(bio.0);
+        say(self.out, format_args!("cancel {} {xid} {attempt}", self.i));
     }
 
-    fn shed(&mut self, bio: BioId, come_back: Tick) {
-        let xid = *self.names.bios.name(bio.0);
-        say(self.out, format_args!("bounce {} {xid} {}", self.i, come_back * MICROS));
+    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+        let xid = *self.names.bios.resolve(bio.0);
+        say(self.out, format_args!("bounce {} {xid} {}", self.i, retry_after * MICROS));
     }
 
     fn fail(&mut self, bio: BioId) {
-        let xid = *self.names.bios.name(bio.0);
+        let xid = *self.names.bios.resolve(bio.0);
         say(self.out, format_args!("abort {} {xid}", self.i));
     }
 
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         say(self.out, format_args!("set_timer {} 0 {}", self.i, after * MICROS));
     }
 
-    fn probe(&mut self, node: NodeId) {
-        let brick = self.names.nodes.name(node.0);
-        say(self.out, format_args!("touch {} {brick}", self.i));
-    }
-
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         say(self.out, format_args!("stream_changes {} 1", self.i));
     }
 
-    fn fetch_list(&mut self) {
-        say(self.out, format_args!("query_all {}", self.i));
-    }
-
-    fn tell_peers(&mut self, bytes: &[u8]) {
-        say(self.out, format_args!("tell {} -1 {}", self.i, STANDARD.encode(bytes)));
-    }
-
     fn release_bio(&mut self, bio: BioId) {
         self.names.bios.release(bio.0);
     }
@@ -192,8 +179,8 @@
         self.names.keys.release(key.0);
     }
 
-    fn release_volume(&mut self, vol: VolId) {
-        self.names.volumes.release(vol.0);
+    fn release_volume(&mut self, volume: VolumeId) {
+        self.names.volumes.release(volume.0);
     }
 
     fn release_node(&mut self, node: NodeId) {
@@ -271,16 +258,16 @@
             return Err("entry: expected a membership line before it".into());
         };
         let names = &mut self.instances.get_mut(&listing.instance).expect("checked").names;
-        let node = NodeId(names.nodes.enter(&line.text("brick")?.to_owned()));
-        let zone = names.zones.enter(&line.next().unwrap_or_default().to_owned());
+        let node = NodeId(names.nodes.intern(&line.text("brick")?.to_owned()));
+        let zone = names.zones.intern(&line.next().unwrap_or_default().to_owned());
         line.next();
         let shard = line.maybe("cohort")?.unwrap_or(0.0) as u32;
         let states =
-            [("active", NodeState::Active), ("leaving", NodeState::Leaving), ("left", NodeState::Left)];
+            [("active", NodeState::Active), ("leaving", NodeState::Draining), ("left", NodeState::Removed)];
         let state = line.one_of("condition", &states)?;
         line.maybe("scale")?;
-        let came_up = line.maybe("came_up_us")?.unwrap_or(0.0) as i64 / MICROS;
-        listing.entries.push(Listed { node, zone, shard, state, came_up });
+        let started_at = line.maybe("came_up_us")?.unwrap_or(0.0) as i64 / MICROS;
+        listing.entries.push(NodeEndpoint { node, zone, shard, state, started_at });
         listing.left -= 1;
         self.list(now)
     }
@@ -290,7 +277,7 @@
         if let Some(Listing { instance: i, form, entries, .. }) = self.listing.take_if(|l| l.left == 0) {
             let Instance { scheduler, names } = self.instances.get_mut(&i).expect("checked");
             let mut host = Answers { i, names, out: &mut self.out };
-            guarded(&mut host, |host| scheduler.listed(host, now, form, &entries));
+            guarded(&mut host, |host| scheduler.on_endpoints(host, now, form, &entries));
         }
         Ok(())
     }
@@ -299,10 +286,10 @@
 fn membership(instance: u64, line: &mut Line) -> Result<Listing, String> {
     line.whole("generation")?;
     let forms = [
-        ("diff", ListForm::Changes),
-        ("snapshot", ListForm::Whole),
-        ("disk", ListForm::Kept),
-        ("error", ListForm::Failed),
+        ("diff", EndpointEvent::Incremental),
+        ("snapshot", EndpointEvent::FullSnapshot),
+        ("disk", EndpointEvent::Cached),
+        ("error", EndpointEvent::PollFailed),
     ];
     let form = line.one_of("form", &forms)?;
     let left = line.maybe("members_list")?.unwrap_or(0.0) as u64;
@@ -332,51 +319,59 @@
     match line.message {
         "request" => {
             let xid = line.whole("xid")?;
-            let group = line.text("tier_class")?;
-            let group = names.groups.iter().position(|n| n == group);
-            let group = group.ok_or_else(|| line.wrong("tier_class", "a name of the settings"))? as u16;
+            let class = line.text("tier_class")?;
+            let class = names.groups.iter().position(|n| n == class);
+            let class = class.ok_or_else(|| line.wrong("tier_class", "a name of the settings"))? as u16;
             let plan = line.text("contract")?;
             let plan = names.plans.iter().position(|n| n == plan);
             let plan = plan.ok_or_else(|| line.wrong("contract", "a name of the settings"))? as u16;
-            let key = line.next().map(|k| KeyId(names.keys.enter(&k.to_owned())));
-            let hard_limit = line.time("client_deadline_us")?.div_euclid(MICROS);
-            let vol = VolId(names.volumes.enter(&line.next().unwrap_or_default().to_owned()));
+            let key = line.next().map(|k| KeyId(names.keys.intern(&k.to_owned())));
+            let deadline = line.time("client_deadline_us")?.div_euclid(MICROS);
+            let volume = VolumeId(names.volumes.intern(&line.next().unwrap_or_default().to_owned()));
             let units = line.maybe("weight")?.filter(|u| *u >= 0.0).unwrap_or(1.0);
             let shard = line.maybe("placement")?.filter(|s| *s >= 0.0).map(|s| s as u32);
             let hosts = line.maybe("attached")?.unwrap_or(1.0).max(1.0) as u32;
             line.maybe("opts")?;
-            let id = BioId(names.bios.enter(&xid));
-            let bio = Bio { id, group, plan, vol, key, hard_limit, units, shard, hosts };
-            guarded(&mut Answers { i, names, out }, |host| scheduler.take(host, now, bio));
+            let id = BioId(names.bios.intern(&xid));
+            let bio = Bio { id, class, plan, volume, key, deadline, units, shard, hosts };
+            guarded(&mut Answers { i, names, out }, |host| scheduler.on_arrival(host, now, bio));
         }
         "resolved" => {
             let xid = line.whole("xid")?;
-            let ending = line.ending()?;
-            let by_others = line.maybe("by_others")?.unwrap_or(0.0);
+            let result = line.ending()?;
+            let units_by_other_hosts = line.maybe("by_others")?.unwrap_or(0.0);
             let brick = line.text("brick")?.to_owned();
-            let closed = line.one_of("closed", &[("1", true), ("0", false)])?;
-            let wait = line.time("wait_time_us")?.div_euclid(MICROS);
-            let used = line.maybe("volume_use")?.unwrap_or(0.0);
+            let client_answered = line.one_of("closed", &[("1", true), ("0", false)])?;
+            let latency = line.time("wait_time_us")?.div_euclid(MICROS);
+            let volume_usage = line.maybe("volume_use")?.unwrap_or(0.0);
             line.maybe("seq_no")?;
-            let report = line.report()?;
+            let load_report = line.report()?;
             let node = names.nodes.find(&brick);
             let node = NodeId(node.ok_or_else(|| line.wrong("brick", "a node of the list"))?);
             // An id that the scheduler has released is over and has no submit out: nothing is left to tell.
             if let Some(id) = names.bios.find(&xid) {
-                let outcome = Outcome { ending, node, closed, wait, by_others, used, report };
+                let outcome = AttemptOutcome {
+                    result,
+                    node,
+                    client_answered,
+                    latency,
+                    units_by_other_hosts,
+                    volume_usage,
+                    load_report,
+                };
                 let mut host = Answers { i, names, out };
-                guarded(&mut host, |host| scheduler.ended(host, now, BioId(id), &outcome));
+                guarded(&mut host, |host| scheduler.on_attempt_finished(host, now, BioId(id), &outcome));
             }
         }
         "timed_out_client" => {
             let xid = line.whole("xid")?;
             if let Some(id) = names.bios.find(&xid) {
-                guarded(&mut Answers { i, names, out }, |host| scheduler.gone(host, now, BioId(id)));
+                guarded(&mut Answers { i, names, out }, |host| scheduler.on_disconnect(host, now, BioId(id)));
             }
         }
         "fired" => {
             line.whole("mark")?;
-            guarded(&mut Answers { i, names, out }, |host| scheduler.woken(host, now));
+            guarded(&mut Answers { i, names, out }, |host| scheduler.on_timer(host, now));
         }
         // The scheduler sends no probes and tells other hosts nothing: what comes of either is read, and no more.
         "sampled" => {
