--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/desk.rs
@@ -12,19 +12,19 @@
 use crate::terms::layout;
 use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
 use mallowseam_connection_policy::request_splitting::{Extent, SubRequest, VolumeLayout};
-use mallowseam_cow::cache::{Look, TELL_AGAIN};
-use mallowseam_cow::copies::{self, Copies};
-use mallowseam_cow::pieces::{Go, Pieces};
-use mallowseam_cow::tree::{LayerId, Place, Tree};
-use mallowseam_cow::words::ToCatalog;
+use mallowseam_cow::copy_budget::{self, CopyBudget};
+use mallowseam_cow::messages::ToCatalog;
+use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
+use mallowseam_cow::tree::{LayerId, Location, Tree};
+use mallowseam_cow::tree_replica::{Lookup, RESEND_AFTER};
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_iscsi::scsi::{self, Command as Scsi, Sense, Unit, status};
 use mallowseam_iscsi::target::Came;
 use mallowseam_scheduler::Interner;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::*;
-use mallowseam_settings::Site;
-use mallowseam_settings::site;
+use mallowseam_settings::GatewayConfig;
+use mallowseam_settings::config;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
@@ -63,7 +63,7 @@
 /// An extent on its way to a new place.
 struct Copy {
     vol: usize,
-    from: Option<(LayerId, Place)>,
+    from: Option<(LayerId, Location)>,
     data: Payload,
     /// For the submits of its write, one each.
     numbers: Vec<u32>,
@@ -75,7 +75,7 @@
     Reading,
     Writing,
     /// Told to the catalog, at that time.
-    Told(Place, u64),
+    Told(Location, u64),
     /// Came to nothing; may be begun again from then on.
     Resting(u64),
 }
@@ -96,7 +96,7 @@
     alive: u32,
     write: bool,
     parts: u32,
-    pieces: Pieces,
+    pieces: SplitWrite,
     /// The client's group number, handed on to the nodes.
     mark: u8,
     block_size: usize,
@@ -119,7 +119,7 @@
     branch: Option<Rc<str>>,
     /// Order in which they came.
     seq: u64,
-    place: Option<(LayerId, Place)>,
+    place: Option<(LayerId, Location)>,
     /// The extent it copies.
     copies: Option<(LayerId, u32)>,
     /// Comes back from the scheduler to be looked up again.
@@ -162,7 +162,7 @@
     /// Block I/Os that wait for news of the map, in the order in which they came.
     waiting: Vec<u32>,
     looked: (u64, Tick),
-    copies: Copies,
+    copies: CopyBudget,
     copying: BTreeMap<(LayerId, u32), Copy>,
     fresh: VecDeque<u32>,
 }
@@ -181,29 +181,29 @@
         changed
     }
 
-    pub fn new(site: &Site, clients: Clients, nodes: Nodes, map: Option<Map>) -> Self {
+    pub fn new(site: &GatewayConfig, clients: Clients, nodes: Nodes, map: Option<Map>) -> Self {
         let catalog = site.catalog.clone().unwrap_or_default();
-        let volume = |v: &site::Volume| Volume {
+        let volume = |v: &config::Volume| Volume {
             name: v.name.clone(),
             plan: v.plan as u16,
             lun: v.lun.into(),
-            blocks: v.blocks,
+            blocks: v.block_count,
             block_size: v.block_size,
-            hosts: v.hosts,
-            layout: if v.mapped { mapped(site, v, catalog.extent) } else { layout(site, v) },
+            hosts: v.host_count,
+            layout: if v.mapped { mapped(site, v, catalog.extent_blocks) } else { layout(site, v) },
             branch: v.mapped.then(|| v.name.as_str().into()),
         };
-        let group = |g: &site::Group| Group {
-            hard_limit: ticks_from_micros_floor(g.hard_limit),
-            goal: ticks_from_micros_ceil(g.goal),
-            side_effecting: g.effect == site::Effect::SideEffecting,
+        let group = |g: &config::IoClass| Group {
+            hard_limit: ticks_from_micros_floor(g.deadline),
+            goal: ticks_from_micros_ceil(g.latency_objective),
+            side_effecting: g.effect == config::Effect::NonIdempotent,
         };
         Desk {
             now: 0,
             clients,
             nodes,
             figures: Figures {
-                groups: site.groups.iter().map(|_| GroupFigures::default()).collect(),
+                groups: site.io_classes.iter().map(|_| GroupFigures::default()).collect(),
                 nodes: vec![NodeFigures::default(); site.nodes.len()],
                 volumes: vec![VolumeFigures::default(); site.volumes.len()],
                 ..Figures::default()
@@ -211,9 +211,9 @@
             wake_at: None,
             wants_list: false,
             volumes: site.volumes.iter().map(volume).collect(),
-            groups: site.groups.iter().map(group).collect(),
-            unit: site.fleet.unit,
-            longest: site.host.longest,
+            groups: site.io_classes.iter().map(group).collect(),
+            unit: site.fleet.unit_bytes,
+            longest: site.host.max_transfer_bytes,
             ios: Slab::default(),
             turns: Vec::new(),
             commands: Slab::default(),
@@ -223,16 +223,16 @@
             gone: VecDeque::new(),
             parts: Vec::new(),
             map,
-            extent: catalog.extent,
-            copy_group: catalog.copies,
-            submits: site.fleet.submits,
+            extent: catalog.extent_blocks,
+            copy_group: catalog.copy_class,
+            submits: site.fleet.max_attempts,
             shards: site.nodes.iter().map(|n| n.shard).collect(),
             units: BTreeMap::new(),
             units_of: u64::MAX,
             seq: 0,
             waiting: Vec::new(),
             looked: (0, 0),
-            copies: Copies::default(),
+            copies: CopyBudget::default(),
             copying: BTreeMap::new(),
             fresh: VecDeque::new(),
         }
@@ -387,7 +387,7 @@
         let (command_at, place) = (io.command, io.place);
         let Some(command) = self.commands.get_mut(command_at) else { return };
         if let Some((layer, _)) = place {
-            command.pieces.landed(layer);
+            command.pieces.part_completed(layer);
         }
         if !command.write && !command.read.is_empty() {
             let (from, bytes) = (from * command.block_size, bytes * command.block_size);
@@ -543,7 +543,7 @@
             alive: parts.len() as u32,
             write,
             parts: parts.len() as u32,
-            pieces: Pieces::default(),
+            pieces: SplitWrite::default(),
             mark,
             block_size,
             data: data.into(),
@@ -631,7 +631,7 @@
             && matches!(copy.state, Copying::Reading | Copying::Writing)
             && !io.answered
         {
-            copy.state = Copying::Resting(ticks_to_millis(self.now) + copies::AGAIN);
+            copy.state = Copying::Resting(ticks_to_millis(self.now) + copy_budget::RETRY_DELAY);
         }
         if let Some(command) = self.commands.get_mut(io.command) {
             command.alive -= 1;
@@ -668,8 +668,8 @@
 }
 
 /// Extents of a mapped volume, each its own shard until it is looked up.
-fn mapped(site: &Site, v: &site::Volume, extent: u64) -> VolumeLayout {
-    let count = v.blocks / extent.max(1);
+fn mapped(site: &GatewayConfig, v: &config::Volume, extent: u64) -> VolumeLayout {
+    let count = v.block_count / extent.max(1);
     let one = |i| Extent { first_block: i * extent, blocks: extent, shard: i as u32, first_node_block: 0 };
     VolumeLayout { extents: (0..count).map(one).collect(), rules: layout(site, v).rules }
 }
@@ -702,8 +702,8 @@
                 let write = copy.state == Copying::Writing;
                 if write {
                     // Each submit has a place of its own: one that lands late lands where nobody looks.
-                    let number = copy.numbers.pop().expect("one for each submit");
-                    place = Some((copied.0, Place { node: node.0, number }));
+                    let slot = copy.numbers.pop().expect("one for each submit");
+                    place = Some((copied.0, Location { node: node.0, slot }));
                 }
                 (write, COPY_MARK, if write { copy.data.clone() } else { Payload::default() })
             }
@@ -713,7 +713,7 @@
             self.ios.get_mut(bio.0).expect("in hand").place = place;
         }
         let (lun, lba) = match place {
-            Some((layer, place)) => (Some(layer), u64::from(place.number) * self.extent + part.node_lba),
+            Some((layer, place)) => (Some(layer), u64::from(place.slot) * self.extent + part.node_lba),
             None => (None, part.node_lba),
         };
         let order = Order {
