--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -134,7 +134,7 @@
     IoClass {
         idempotency: read_idempotency(reader, class),
         latency_objective: ticks_down(reader.positive(class, "aim_us")),
-        late_weight_factor: reader.number(class, "late_share"),
+        late_weight_ratio: reader.number(class, "late_share"),
         priority_weight: reader.number(class, "worth"),
         ordered: reader.flag(class, "keep_order"),
         writes,
@@ -183,7 +183,7 @@
         usual_rate: reader.number(plan, "usual_rate"),
         reserved_rate: reader.number(plan, "floor_rate"),
         rate_limit: reader.number(plan, "limit"),
-        burst: reader.number(plan, "limit_burst"),
+        burst_units: reader.number(plan, "limit_burst"),
         weight: reader.number(plan, "weight"),
         priority_factor: if plan.value["worth_factor"].is_null() {
             1.0
@@ -218,9 +218,9 @@
         slow_start_initial_rate: reader.number(&rules, "cold_from"),
         slow_start_duration: reader.ticks_up(&rules, "cold_us"),
         overload_window: reader.ticks_up(&rules, "fall_us"),
-        overload_factor: reader.number(&rules, "fall_multiple"),
-        key_cooldown: reader.ticks_up(&rules, "order_pause_us"),
-        retry_budget_floor: reader.number(&rules, "free_resends"),
+        overload_multiple: reader.number(&rules, "fall_multiple"),
+        ordering_cooldown: reader.ticks_up(&rules, "order_pause_us"),
+        retry_budget_min: reader.number(&rules, "free_resends"),
         retry_budget_ratio: reader.number(&rules, "extra_ratio"),
         retry_budget_window: reader.ticks_up(&rules, "look_back_us"),
         // The settings say nothing of the rest: whoever runs the host sets it.
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -636,12 +636,12 @@
             format!("by key in {scope} for {window}")
         }
     };
-    let (goal, late, gain) = (g.latency_objective, g.late_weight_factor, g.priority_weight);
+    let (goal, late, gain) = (g.latency_objective, g.late_weight_ratio, g.priority_weight);
     format!("{effect} goal {goal} late {late} gain {gain} ordered {} writes {}", g.ordered, g.writes)
 }
 
 fn plan(p: &Plan) -> String {
-    let (usual, reserve, limit, burst) = (p.usual_rate, p.reserved_rate, p.rate_limit, p.burst);
+    let (usual, reserve, limit, burst) = (p.usual_rate, p.reserved_rate, p.rate_limit, p.burst_units);
     format!(
         "usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}",
         p.weight, p.priority_factor
@@ -687,9 +687,9 @@
         ("cold from", &t.slow_start_initial_rate),
         ("cold span", &t.slow_start_duration),
         ("fall span", &t.overload_window),
-        ("fall multiple", &t.overload_factor),
-        ("order rest", &t.key_cooldown),
-        ("budget free", &t.retry_budget_floor),
+        ("fall multiple", &t.overload_multiple),
+        ("order rest", &t.ordering_cooldown),
+        ("budget free", &t.retry_budget_min),
         ("budget share", &t.retry_budget_ratio),
         ("budget span", &t.retry_budget_window),
     ];
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -106,5 +106,5 @@
     );
     assert!(read("/registry_mode").scheduler.endpoints_pushed, "counts as soon as the service knows");
     assert!(!read("/limits/cancel").scheduler.allow_cancel);
-    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].burst, 0.0);
+    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].burst_units, 0.0);
 }
--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -141,7 +141,7 @@
         slow_start_initial_rate: 0.2,
         slow_start_duration: 180_000,
         overload_window: 20_000,
-        overload_factor: 2.0,
+        overload_multiple: 2.0,
         ..terms()
     };
     change(&mut t);
@@ -159,7 +159,7 @@
 
 fn a_limit_without_a_burst() {
     let mut t = terms();
-    t.plans[1].burst = 0.0;
+    t.plans[1].burst_units = 0.0;
     let mut s = Story::new(&t);
     s.take(Bio { plan: 1, volume: VolumeId(9), ..s.bio(0) });
     let from = s.log.now;
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -108,7 +108,7 @@
     /// Time from arrival within which an answer earns the whole priority weight.
     pub latency_objective: Tick,
     /// Part of the priority weight that a later answer still earns. The scheduler does not use it.
-    pub late_weight_factor: f64,
+    pub late_weight_ratio: f64,
     /// What an answer in time is worth, in any unit that all classes share.
     pub priority_weight: f64,
     /// Block I/Os with the same key run one after another, in order of arrival.
@@ -127,7 +127,7 @@
     /// Rate that the volume may not exceed, over all hosts; 0: no limit.
     pub rate_limit: f64,
     /// Units by which the volume may exceed its rate limit at a time.
-    pub burst: f64,
+    pub burst_units: f64,
     /// Weight by which spare capacity is divided among volumes; 0 stands for 1.
     pub weight: f64,
     /// Factor on the priority weight of the volume's block I/Os.
@@ -189,11 +189,11 @@
     /// Span over which load on a warming node is counted; 0: it bears any load.
     pub overload_window: Tick,
     /// Multiple of its momentary rate at which a warming node fails.
-    pub overload_factor: f64,
+    pub overload_multiple: f64,
     /// How long a key stays blocked for other block I/Os after an attempt that may still be running.
-    pub key_cooldown: Tick,
+    pub ordering_cooldown: Tick,
     /// Retries allowed in each window, whatever the number of arrivals.
-    pub retry_budget_floor: f64,
+    pub retry_budget_min: f64,
     /// Retries allowed in each window for each block I/O that arrived in it, besides the floor.
     pub retry_budget_ratio: f64,
     /// The window of the retry budget; 0: no budget.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -217,7 +217,7 @@
         Plan {
             reserve: p.reserved_rate / SECOND,
             limit: if p.rate_limit > 0.0 { p.rate_limit / SECOND } else { f64::INFINITY },
-            burst: p.burst,
+            burst: p.burst_units,
             wt: if p.weight > 0.0 { p.weight } else { 1.0 },
             price: p.priority_factor,
         }
@@ -346,15 +346,15 @@
             cold: Cold {
                 part: config.slow_start_capacity / hosts,
                 of_rate: COLD_SAFE
-                    * config.overload_factor
+                    * config.overload_multiple
                     * config.slow_start_initial_rate
                     * config.overload_window as f64,
                 from: config.slow_start_initial_rate.clamp(0.01, 1.0),
                 span: config.slow_start_duration,
                 fall: config.overload_window,
             },
-            budget: (config.retry_budget_floor, config.retry_budget_ratio, config.retry_budget_window),
-            order_rest: config.key_cooldown,
+            budget: (config.retry_budget_min, config.retry_budget_ratio, config.retry_budget_window),
+            order_rest: config.ordering_cooldown,
             may_cancel: config.allow_cancel,
             return_after: if config.allow_retry_after { config.max_retry_after.min(WINDOW) } else { 0 },
             counts_others: config.other_hosts_usage_reported,
--- a/crates/scheduler/tests/fake/mod.rs
+++ b/crates/scheduler/tests/fake/mod.rs
@@ -72,7 +72,7 @@
     let group = |idempotency, ordered| IoClass {
         idempotency,
         latency_objective: GOAL,
-        late_weight_factor: 0.1,
+        late_weight_ratio: 0.1,
         priority_weight: 2.0,
         ordered,
         writes: ordered,
@@ -97,7 +97,7 @@
             Plan {
                 usual_rate: 10.0,
                 rate_limit: 10.0,
-                burst: 16.0,
+                burst_units: 16.0,
                 weight: 1.0,
                 priority_factor: 1.0,
                 ..Plan::default()
@@ -110,7 +110,7 @@
         max_attempts: 3,
         allow_cancel: true,
         endpoints_polled: true,
-        key_cooldown: 2_000,
+        ordering_cooldown: 2_000,
         ..SchedulerConfig::default()
     }
 }
--- a/crates/scheduler/tests/pin/settings.rs
+++ b/crates/scheduler/tests/pin/settings.rs
@@ -39,7 +39,7 @@
     let class = |idempotency, latency_objective, priority_weight, ordered| IoClass {
         idempotency,
         latency_objective,
-        late_weight_factor: 0.1,
+        late_weight_ratio: 0.1,
         priority_weight,
         ordered,
         writes: ordered,
@@ -56,11 +56,11 @@
 }
 
 fn plans() -> Vec<Plan> {
-    let plan = |reserved_rate, rate_limit, burst, weight, priority_factor| Plan {
+    let plan = |reserved_rate, rate_limit, burst_units, weight, priority_factor| Plan {
         usual_rate: reserved_rate + 5.0,
         reserved_rate,
         rate_limit,
-        burst,
+        burst_units,
         weight,
         priority_factor,
     };
@@ -104,9 +104,9 @@
         slow_start_initial_rate: 0.2,
         slow_start_duration: 60_000,
         overload_window: if one_in(13) { 0 } else { 8_000 },
-        overload_factor: 2.0,
-        key_cooldown: 600,
-        retry_budget_floor: 5.0,
+        overload_multiple: 2.0,
+        ordering_cooldown: 600,
+        retry_budget_min: 5.0,
         retry_budget_ratio: 0.1,
         retry_budget_window: if one_in(5) { 0 } else { 10_000 },
     }
--- a/crates/scheduler/tests/stories.rs
+++ b/crates/scheduler/tests/stories.rs
@@ -393,13 +393,9 @@
 
 #[test]
 fn the_budget_of_further_submits_is_counted_when_they_are_sent() {
-    let (retry_budget_floor, retry_budget_ratio, retry_budget_window) = (1.0, 0.5, 3_000);
-    let mut s = Story::new(&SchedulerConfig {
-        retry_budget_floor,
-        retry_budget_ratio,
-        retry_budget_window,
-        ..terms()
-    });
+    let (retry_budget_min, retry_budget_ratio, retry_budget_window) = (1.0, 0.5, 3_000);
+    let mut s =
+        Story::new(&SchedulerConfig { retry_budget_min, retry_budget_ratio, retry_budget_window, ..terms() });
     for round in 0..20 {
         s.take(s.bio(round));
         for _ in 0..3 {
@@ -441,7 +437,8 @@
 #[test_case(10.0, 40.0, 2; "one that rises is filled from there")]
 fn a_limit_that_changes_is_never_passed(before: f64, after: f64, sends: usize) {
     let mut t = terms();
-    let limit = |rate_limit: f64| Plan { rate_limit, burst: rate_limit * 1.6, ..terms().plans[1].clone() };
+    let limit =
+        |rate_limit: f64| Plan { rate_limit, burst_units: rate_limit * 1.6, ..terms().plans[1].clone() };
     t.plans[1] = limit(before);
     let mut s = Story::new(&SchedulerConfig { hosts: 2, ..t });
     // Long enough that any store is full by now.
@@ -672,7 +669,7 @@
 /// Units that hosts without a history send to a cold node within its first fall span: so many of 300, each with a
 /// block I/O of two units for it at a time of its own, and again so often.
 fn sent_cold(askers: u64, again: u32, seed: u64) -> f64 {
-    let terms = SchedulerConfig { hosts: 300, overload_factor: 4.0, ..cold_terms() };
+    let terms = SchedulerConfig { hosts: 300, overload_multiple: 4.0, ..cold_terms() };
     let one = |host: u64| {
         let mut s = Story::starting(&terms, 1_000 * seed + host);
         s.list(EndpointEvent::FullSnapshot, &[node(0, NodeState::Active, s.log.now)]);
@@ -701,7 +698,7 @@
 
 #[test]
 fn a_host_just_started_sends_a_cold_node_the_more_the_more_of_what_it_is_asked_warm_ones_take() {
-    let terms = SchedulerConfig { hosts: 300, overload_factor: 4.0, ..cold_terms() };
+    let terms = SchedulerConfig { hosts: 300, overload_multiple: 4.0, ..cold_terms() };
     // So many of 400 send their one block I/O to the cold node, asked before of the warm one that answers or does not.
     let sent = |asked: u32, answers: bool| {
         let one = |seed| {
@@ -734,7 +731,7 @@
 
 #[test]
 fn a_host_among_hundreds_sends_whole_block_ios_to_a_cold_node_by_chance() {
-    let mut s = Story::new(&SchedulerConfig { hosts: 160, overload_factor: 4.0, ..cold_terms() });
+    let mut s = Story::new(&SchedulerConfig { hosts: 160, overload_multiple: 4.0, ..cold_terms() });
     for id in 0..20 {
         s.take(Bio { volume: VolumeId(id), ..s.bio(id) });
         s.pass(100);
