--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -1,10 +1,10 @@
 //! The interface between the scheduler and the program that runs it.
 //!
-//! The program calls the `on_*` methods of [`Scheduler`](crate::Scheduler) as events happen. The scheduler answers
-//! through the [`Host`] that it is handed with each call.
+//! The program calls the `on_*` methods of [`Scheduler`](crate::Scheduler) as events happen. The scheduler
+//! answers through the [`Host`] that it is handed with each call.
 //!
-//! Small indices stand for names. The program assigns them (see [`Interner`](crate::Interner)), and gets each back
-//! with a `release_*` call once the scheduler no longer refers to it.
+//! Small indices stand for names. The program assigns them (see [`Interner`](crate::Interner)), and gets each
+//! back with a `release_*` call once the scheduler no longer refers to it.
 
 /// A time on the program's monotonic clock, or a span of time; in tenths of a millisecond.
 pub type Tick = i64;
@@ -31,15 +31,15 @@
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick);
     /// Stop waiting for an attempt of a block I/O; attempts are counted from 0.
     fn cancel(&mut self, bio: BioId, attempt: u32);
-    /// Answer the client for good: not done, and trying again is harmless. The client may be told to retry after
-    /// `retry_after`; 0 names no time.
+    /// Answer the client for good: not done, and trying again is harmless. The client may be told to retry
+    /// after `retry_after`; 0 names no time.
     fn shed(&mut self, bio: BioId, retry_after: Tick);
     /// Answer the client for good: failed, and it is not known whether the block I/O took effect.
     fn fail(&mut self, bio: BioId);
     /// Call [`on_timer`](crate::Scheduler::on_timer) after this span.
     fn set_timer(&mut self, after: Tick);
-    /// Ask the discovery service for the endpoint list and for its changes from then on. What comes of it is told
-    /// with [`on_endpoints`](crate::Scheduler::on_endpoints).
+    /// Ask the discovery service for the endpoint list and for its changes from then on. What comes of it is
+    /// told with [`on_endpoints`](crate::Scheduler::on_endpoints).
     fn poll_endpoints(&mut self);
     /// The scheduler no longer refers to this block I/O.
     fn release_bio(&mut self, bio: BioId);
@@ -88,8 +88,8 @@
 pub enum Idempotency {
     /// It may be repeated at any node.
     Idempotent,
-    /// It carries an idempotency key: within the scope and for the window, counted from the first attempt that may
-    /// have run, nodes drop its repeats.
+    /// It carries an idempotency key: within the scope and for the window, counted from the first attempt
+    /// that may have run, nodes drop its repeats.
     IdempotentByKey {
         /// The nodes that share the keys they have seen.
         scope: DeduplicationScope,
@@ -171,8 +171,8 @@
     pub max_attempts: u32,
     /// The endpoint list comes only to hosts that ask for it.
     pub endpoints_polled: bool,
-    /// What one poll takes of the discovery service's time, as its operator says; 0 spreads polls
-    /// over a fifth of a second. None: not known.
+    /// What one poll takes of the discovery service's time, as its operator says; 0 spreads polls over a
+    /// fifth of a second. None: not known.
     pub poll_service_time: Option<Tick>,
     /// What the discovery service knows counts as known to every host, whether or not the host has a watch.
     pub endpoints_pushed: bool,
@@ -236,8 +236,8 @@
     pub latency: Tick,
     /// Units that this node served for the volume through other hosts since its last answer here.
     pub units_by_other_hosts: f64,
-    /// 1 + the volume's use over all hosts in per cent of its plan's usual rate; 0: not reported. The scheduler does
-    /// not use it.
+    /// 1 + the volume's use over all hosts in per cent of its plan's usual rate; 0: not reported. The
+    /// scheduler does not use it.
     pub volume_usage: f64,
     /// The node's load report. The scheduler does not use it.
     pub load_report: LoadReport,
@@ -291,8 +291,8 @@
     Cached,
     /// A poll failed or the watch broke.
     PollFailed,
-    /// The watch, or a poll that was accepted, has been silent for too long. The service may still count it as a
-    /// watch: what it fails to send counts as known to this host some seconds later.
+    /// The watch, or a poll that was accepted, has been silent for too long. The service may still count it
+    /// as a watch: what it fails to send counts as known to this host some seconds later.
     WatchSilent,
 }
 
--- a/crates/scheduler/src/pcg.rs
+++ b/crates/scheduler/src/pcg.rs
@@ -1,19 +1,23 @@
-//! A permuted congruential generator (PCG-XSH-RR 64/32).
+//! A permuted congruential generator (PCG-XSH-RR 64/32; M. E. O'Neill, 2014).
 
+const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+const INCREMENT: u64 = 1_442_695_040_888_963_407;
+
+/// A seeded source of random numbers.
 #[derive(Default)]
 pub(crate) struct Pcg(u64);
 
 impl Pcg {
     pub(crate) fn new(seed: u64) -> Self {
-        let mut pcg = Pcg(seed.wrapping_add(1442695040888963407));
+        let mut pcg = Pcg(seed.wrapping_add(INCREMENT));
         pcg.next();
         pcg
     }
 
     fn next(&mut self) -> u32 {
-        let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
+        let state = self.0;
+        self.0 = state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
+        ((((state >> 18) ^ state) >> 27) as u32).rotate_right((state >> 59) as u32)
     }
 
     /// A number in 0..n; 0 when n is 0.
@@ -22,7 +26,7 @@
     }
 
     /// A number above 0 and up to 1.
-    pub(crate) fn part(&mut self) -> f64 {
+    pub(crate) fn fraction(&mut self) -> f64 {
         (f64::from(self.next()) + 1.0) / (f64::from(u32::MAX) + 1.0)
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/policy/allocation.rs
@@ -0,0 +1,108 @@
+//! The paper's Algorithm 1 for each node: a budget a window, divided among volumes, and who pays.
+use super::constants::WINDOW;
+use super::node_health::{MAX_WINDOW, NARROW_ABOVE, WIDEN_BELOW};
+use crate::interface::{Bio, NodeId, VolumeId};
+use crate::state::{Allocation, Entitlement, Node, Scheduler};
+
+const HISTORY_KEPT: f64 = 0.5; // part of its history that an idle volume keeps a window (paper)
+const QUEUED_WEIGHT: f64 = 2.0; // a queued unit counts as two used: more will follow (paper)
+const POOL_SHARE: f64 = 0.05; // part of a node's budget that is kept for volumes that return (paper)
+pub(super) const MIN_EXTRA_IOS: f64 = 4.0; // mean block I/Os a window beyond all bases, at least (paper)
+const BUDGET_STEP: f64 = 0.05; // growth of the budget a window: it doubles in 1.5 s
+
+impl Scheduler {
+    /// Grants each volume at a node its allocation for the next window.
+    pub(super) fn reallocate(&mut self, id: NodeId) {
+        let node = &mut self.nodes[id.0];
+        // The budget grows while the node answers in time and the budget is what keeps block I/Os queued.
+        if node.mean_latency > NARROW_ABOVE * self.shortest_objective {
+            let least = MIN_EXTRA_IOS * self.mean_io_units;
+            node.extra_budget = (node.extra_budget * (1.0 - BUDGET_STEP)).max(least);
+        } else if !node.queue.is_empty() {
+            let most = MAX_WINDOW * self.mean_io_units;
+            node.extra_budget = (node.extra_budget * (1.0 + BUDGET_STEP)).min(most);
+        }
+        node.allocations.iter_mut().for_each(|a| a.queued = 0.0);
+        for queued in &node.queue {
+            let bio = &self.requests[queued.0].bio;
+            let own = node.allocation_index(bio.volume);
+            node.allocations[own].queued += bio.units;
+        }
+        let volumes: Vec<VolumeId> = node.allocations.iter().map(|a| a.volume).collect();
+        let entitlements: Vec<Entitlement> = volumes.iter().map(|v| self.entitlement(*v)).collect();
+        redistribute(&mut self.nodes[id.0], &entitlements);
+    }
+
+    /// The limit counts less what other hosts are reported to use, and at least as this host's quota.
+    fn entitlement(&self, volume: VolumeId) -> Entitlement {
+        let volume = &self.volumes[volume.0];
+        let plan = &self.plans[volume.plan];
+        let quota = volume.limit_rate(plan);
+        let rate = volume.other_hosts_rate.map_or(quota, |others| (plan.limit - others).max(quota));
+        let base = plan.reserved * WINDOW as f64 / volume.hosts;
+        let ceiling = rate * WINDOW as f64 + plan.burst_units / volume.hosts;
+        Entitlement { base, ceiling, weight: plan.weight }
+    }
+
+    /// Takes the cost of a block I/O in the paper's order (lines 14 to 25): own allocation, the richer of two
+    /// bursting volumes', the pool; else it waits. A balance above 0 may be overdrawn and is paid back later.
+    pub(super) fn charge(&mut self, id: NodeId, bio: &Bio) -> bool {
+        let node = &self.nodes[id.0];
+        let (cost, own) = (bio.units * node.cost_multiplier, node.allocation_index(bio.volume));
+        let has_balance = node.allocations[own].balance > 0.0;
+        let payer = if has_balance { Some(own) } else { self.bursting_payer(id, cost) };
+        let node = &mut self.nodes[id.0];
+        if let Some(payer) = payer {
+            node.allocations[payer].balance -= cost;
+        } else if node.pool >= cost {
+            node.pool -= cost;
+        } else if node.in_flight.is_empty() || node.mean_latency < WIDEN_BELOW * self.shortest_objective {
+            // On credit: to wait for the next window would only leave the node idle.
+            node.allocations[own].balance -= cost;
+        } else {
+            return false;
+        }
+        node.allocations[own].used += cost;
+        true
+    }
+
+    /// The richer of two bursting volumes drawn at random, if it can pay.
+    fn bursting_payer(&mut self, id: NodeId, cost: f64) -> Option<usize> {
+        let allocations = &self.nodes[id.0].allocations;
+        let bursting = || (0..allocations.len()).filter(|index| allocations[*index].bursting);
+        let count = bursting().count() as u64;
+        let mut draw = || bursting().nth(self.rng.below(count) as usize);
+        let (first, second) = (draw(), draw());
+        let (first, second) = (first?, second?);
+        let richer = if allocations[first].balance >= allocations[second].balance { first } else { second };
+        Some(richer).filter(|index| allocations[*index].balance >= cost)
+    }
+}
+
+/// Both passes of Algorithm 1 (lines 2 to 13).
+fn redistribute(node: &mut Node, entitlements: &[Entitlement]) {
+    let bases: f64 = entitlements.iter().map(|e| e.base).sum();
+    let total = bases + node.extra_budget;
+    node.pool = total * POOL_SHARE;
+    let (mut unused, mut total_demand) = (total - node.pool, 0.0);
+    let idle = node.allocations.iter().all(|a| a.used == 0.0 && a.queued == 0.0);
+    let demand = |a: &Allocation, weight: f64| {
+        if idle { weight } else { (a.used + a.queued * QUEUED_WEIGHT) * weight }
+    };
+    for (a, due) in node.allocations.iter_mut().zip(entitlements) {
+        let debt = a.balance.min(0.0);
+        a.history = a.used.max(a.history * HISTORY_KEPT);
+        let busy = a.bursting || a.queued > 0.0;
+        let granted = if busy { due.base } else { a.history * HISTORY_KEPT };
+        a.balance = granted + debt;
+        unused -= granted;
+        total_demand += demand(a, due.weight);
+    }
+    let unused = unused.max(0.0);
+    for (a, due) in node.allocations.iter_mut().zip(entitlements) {
+        let share = if total_demand > 0.0 { unused * demand(a, due.weight) / total_demand } else { 0.0 };
+        a.balance = (a.balance + share).min(due.ceiling);
+        a.bursting = a.balance > due.base;
+        a.used = 0.0;
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/events.rs
@@ -0,0 +1,139 @@
+//! The entry points, one for each kind of event; those of endpoints and plans stand with their concern.
+use super::constants::WINDOW;
+use super::slow_start::WARM_DEMAND_KEPT;
+use crate::interface::{AttemptOutcome, AttemptResult, Bio, BioId, Host, NodeId, Tick, VolumeId};
+use crate::state::{Request, Scheduler};
+use std::cmp::Reverse;
+
+const FORGET_VOLUME: Tick = 100_000; // ticks without an arrival after which a volume is forgotten, once full
+
+impl Scheduler {
+    /// A block I/O has arrived.
+    pub fn on_arrival(&mut self, host: &mut dyn Host, now: Tick, bio: Bio) {
+        self.retry_budget.arrivals.add(now, 1.0);
+        let request = self.new_request(now, bio);
+        self.count_in_volume(now, &bio);
+        self.requests.get_or_insert_with(bio.id.0, || request);
+        if let Some(key) = bio.key {
+            self.join_key(key, bio.id, self.classes[bio.class as usize].ordered);
+        }
+        if request.objective_end <= now {
+            self.give_up(host, now, bio.id);
+        } else if let Some(node) = self.place(host, now, bio.id) {
+            self.dispatch(host, now, node);
+        }
+        self.arm_timer(host, now);
+    }
+
+    /// An attempt is over. Each attempt has one outcome; it is ignored if its block I/O has no attempt in
+    /// flight, also where the index is used again.
+    pub fn on_attempt_finished(
+        &mut self,
+        host: &mut dyn Host,
+        now: Tick,
+        id: BioId,
+        outcome: &AttemptOutcome,
+    ) {
+        let Some(request) = self.requests.get_mut(id.0).filter(|r| r.in_flight) else { return };
+        request.in_flight = false;
+        let (finished, bio) = (request.finished, request.bio);
+        let completed = outcome.result == AttemptResult::Completed;
+        self.learn(now, &bio, outcome);
+        self.note_possible_run(now, id, outcome);
+        if self.config.other_hosts_usage_reported && completed {
+            self.note_other_hosts_usage(bio.volume, outcome.units_by_other_hosts);
+        }
+        self.cool_key_down(now, id, outcome.result);
+        self.watch_for_loss(host, now, outcome);
+        if finished || outcome.client_answered || completed {
+            self.finish(host, now, id);
+        } else {
+            self.retry_or_give_up(host, now, id);
+        }
+        self.dispatch(host, now, outcome.node);
+        self.arm_timer(host, now);
+    }
+
+    /// The client has disconnected, or the host has answered it.
+    pub fn on_disconnect(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
+        if self.requests.get(id.0).is_some_and(|r| !r.finished) {
+            self.finish(host, now, id);
+        }
+        self.arm_timer(host, now);
+    }
+
+    /// The timer that was asked for with [`Host::set_timer`] has fired.
+    pub fn on_timer(&mut self, host: &mut dyn Host, now: Tick) {
+        if now >= self.armed_for {
+            self.armed_for = Tick::MAX;
+        }
+        if self.polling.take_due(now) {
+            host.poll_endpoints();
+        }
+        self.give_up_overdue(host, now);
+        if now >= self.next_window {
+            self.next_window = now + WINDOW;
+            self.start_window(host, now);
+        } else {
+            self.dispatch_all(host, now);
+        }
+        self.arm_timer(host, now);
+    }
+
+    /// Gives up block I/Os whose time in the queue is over.
+    fn give_up_overdue(&mut self, host: &mut dyn Host, now: Tick) {
+        while let Some(&Reverse((time, id))) = self.timers.peek() {
+            if time > now {
+                break;
+            }
+            self.timers.pop();
+            // The index may stand for a later block I/O by now, or for one that was sent meanwhile.
+            let overdue = |r: &Request| !r.finished && !r.in_flight && r.queued_until() <= now;
+            if self.requests.get(id.0).is_some_and(overdue) {
+                self.give_up(host, now, id);
+            }
+        }
+    }
+
+    /// Forgets what is of no more use, then grants each node's allocations and sends by them.
+    fn start_window(&mut self, host: &mut dyn Host, now: Tick) {
+        self.warm_demand.sent *= WARM_DEMAND_KEPT;
+        self.warm_demand.asked *= WARM_DEMAND_KEPT;
+        self.recently_shed.retain(|shed| shed.deadline > now);
+        self.forget_nodes(host, now);
+        self.forget_volumes(host, now);
+        self.end_cooldowns(host, now);
+        for id in self.nodes.keys().map(NodeId) {
+            self.age_node(now, id);
+            self.reallocate(id);
+            self.dispatch(host, now, id);
+        }
+    }
+
+    fn forget_volumes(&mut self, host: &mut dyn Host, now: Tick) {
+        for id in self.volumes.keys().map(VolumeId) {
+            let volume = &mut self.volumes[id.0];
+            let plan = &self.plans[volume.plan];
+            volume.refill(now, plan, self.max_io_units);
+            volume.average_other_hosts();
+            let idle = volume.in_progress == 0 && now - volume.last_arrival > FORGET_VOLUME;
+            if idle && volume.tokens >= plan.burst_units / volume.hosts {
+                self.volumes.remove(id.0);
+                self.nodes.values_mut().for_each(|n| n.allocations.retain(|a| a.volume != id));
+                host.release_volume(id);
+            }
+        }
+    }
+
+    /// Arms the host's timer for the next thing that is due.
+    pub(super) fn arm_timer(&mut self, host: &mut dyn Host, now: Tick) {
+        let timer = self.timers.peek().map_or(Tick::MAX, |timer| timer.0.0);
+        let paused = self.nodes.iter().filter(|(_, n)| !n.queue.is_empty() && n.paused_until > now);
+        let pause_end = paused.map(|(_, n)| n.paused_until).min().unwrap_or(Tick::MAX);
+        let due = self.next_window.min(timer).min(self.polling.next_poll).min(pause_end).max(now + 1);
+        if due < self.armed_for {
+            self.armed_for = due;
+            host.set_timer(due - now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -0,0 +1,169 @@
+//! What outcomes tell of nodes: latency, the concurrency window, cost multiplier, backoff and lost answers.
+use super::constants::WINDOW;
+use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
+use crate::state::{Node, Scheduler};
+
+const MULTIPLIER_UP: f64 = 1.15; // by a latency a unit beyond twice the median: one in four by chance;
+const MULTIPLIER_DOWN: f64 = 0.955; // by any other: on a steady node the two cancel out
+const MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // bounds (paper)
+pub(crate) const RECENT_ANSWERS: usize = 32; // answers in the median: about a second's worth
+
+// Concurrency window, in attempts; latencies as parts of the shortest latency objective.
+pub(super) const MAX_WINDOW: f64 = 32.0;
+const MIN_WINDOW: f64 = 0.1; // at a node crowded by many hosts: one attempt in flight for a tenth of the time
+pub(super) const INITIAL_WINDOW: f64 = 4.0; // at a node not yet known, over all hosts and beyond one of each
+pub(super) const WIDEN_BELOW: f64 = 0.24; // a latency below it leaves capacity at the node
+pub(super) const NARROW_ABOVE: f64 = 0.32; // the rest of the objective is for time in the queue here
+const WIDEN_STEP: f64 = 0.05; // additive increase of a full window by a round of quick answers
+const NARROW_STEP: f64 = 0.1; // multiplicative decrease by a round of slow answers, or by a failure
+
+const MIN_BACKOFF: Tick = 100; // ticks after a second failure in a row, doubled by each further one
+pub(super) const MAX_BACKOFF: f64 = 3_000.0; // ticks, times the root of the host count, as all hosts try
+
+const LATENCY_STEP: f64 = 0.15; // weight of one answer in a node's mean latency
+const ANSWERS_KEPT: f64 = 0.9; // of the count of recent answers, a window: about the last second's
+const FADE: f64 = 0.90; // what a window without attempts leaves of a mean latency: half after 0.7 s
+const FAILURE_STEP: f64 = 0.4; // weight of an attempt without an answer: it may be lost as well
+const TIMEOUT_MEANS: f64 = 3.0; // fleet means that a time-out counts as, at most: a loss closes no quick node
+
+const FLEET_STEP: f64 = 0.05; // weight of one answer in the fleet's mean latency
+const BEST_RISE: f64 = 1.0005; // an answer, of the fleet's best mean: a tenth in a minute
+const MAX_FLEET_LATENCY: f64 = 0.9; // of the shortest objective: the most that an answer counts as
+const THRESHOLD_UP: f64 = 0.1; // of the fleet's threshold, by a late answer;
+const THRESHOLD_DOWN: f64 = 0.008; // by one in time: it settles where one answer in thirteen is late
+pub(super) const MAX_THRESHOLD: f64 = 0.9; // of the typical priority: what earns that much may always go
+
+const LOSS_WATCH: Tick = 50_000; // ticks for which one lost answer makes the scheduler look out for others
+const LOST_AFTER_MEANS: f64 = 4.0; // mean latencies after which an attempt counts as lost: few take that long
+const LOST_AFTER_OBJECTIVE: f64 = 0.5; // of the shortest objective, at least: a pause of a node is no loss
+
+impl Node {
+    /// How long an attempt may take here before it counts as lost.
+    pub(super) fn lost_after(&self, shortest_objective: f64) -> Tick {
+        (self.mean_latency * LOST_AFTER_MEANS).max(shortest_objective * LOST_AFTER_OBJECTIVE) as Tick
+    }
+
+    /// Attempts that may still be answered: all, or while answers get lost, those that do not count as lost.
+    pub(super) fn live_attempts(&self, now: Tick, shortest_objective: f64, losing_answers: bool) -> u32 {
+        let lost_after = self.lost_after(shortest_objective);
+        self.in_flight.iter().filter(|a| !losing_answers || now - a.sent_at <= lost_after).count() as u32
+    }
+
+    fn learn_cost(&mut self, unit_latency: f64) {
+        let slow = unit_latency > 2.0 * self.unit_latency.get();
+        let factor = if slow { MULTIPLIER_UP } else { MULTIPLIER_DOWN };
+        self.cost_multiplier = (self.cost_multiplier * factor).clamp(MULTIPLIER_RANGE.0, MULTIPLIER_RANGE.1);
+        self.unit_latency.add(unit_latency);
+    }
+
+    fn adjust_window(&mut self, latency: f64, was_full: bool, shortest_objective: f64) {
+        let window = self.concurrency_window;
+        if self.mean_latency.max(latency) < WIDEN_BELOW * shortest_objective {
+            if was_full {
+                self.concurrency_window = (window + WIDEN_STEP * (1.0 / window).min(1.0)).min(MAX_WINDOW);
+            }
+        } else if self.mean_latency > NARROW_ABOVE * shortest_objective {
+            self.concurrency_window = (window * (1.0 - NARROW_STEP / window.max(1.0))).max(MIN_WINDOW);
+        }
+    }
+
+    /// A window below one is kept by a pause after each answer, so that the node works for other hosts
+    /// meanwhile. A node that fails again and again is tried ever more seldom, until it answers.
+    fn pause(&mut self, now: Tick, shortest_objective: f64, max_backoff: Tick) {
+        let (window, failures) = (self.concurrency_window, self.consecutive_failures);
+        let idle_times = if window < 1.0 { 1.0 / window - 1.0 } else { 0.0 };
+        let spacing = (self.mean_latency.min(shortest_objective) * idle_times) as Tick;
+        let doublings = failures.saturating_sub(2).min(16);
+        let backoff = if failures > 1 { (MIN_BACKOFF << doublings).min(max_backoff) } else { 0 };
+        self.paused_until = self.paused_until.max(now + backoff.max(spacing));
+    }
+}
+
+impl Scheduler {
+    /// What an outcome tells of its node.
+    pub(super) fn learn(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
+        let node = &mut self.nodes[outcome.node.0];
+        let was_full = node.in_flight.len() as f64 + 1.0 > node.concurrency_window;
+        node.in_flight.retain(|a| a.bio != bio.id);
+        match outcome.result {
+            AttemptResult::Completed => self.learn_completion(now, bio.units, was_full, outcome),
+            AttemptResult::NotSent | AttemptResult::Cancelled => {}
+            _ => self.learn_failure(outcome),
+        }
+        self.nodes[outcome.node.0].pause(now, self.shortest_objective, self.max_backoff);
+    }
+
+    fn learn_completion(&mut self, now: Tick, units: f64, was_full: bool, outcome: &AttemptOutcome) {
+        let (latency, fleet) = (outcome.latency as f64, &mut self.fleet);
+        fleet.mean += (latency.min(MAX_FLEET_LATENCY * self.shortest_objective) - fleet.mean) * FLEET_STEP;
+        fleet.best = (fleet.best * BEST_RISE).min(fleet.mean);
+        let step = if latency > self.shortest_objective { THRESHOLD_UP } else { -THRESHOLD_DOWN };
+        fleet.threshold = (fleet.threshold + step).clamp(0.0, MAX_THRESHOLD);
+        let node = &mut self.nodes[outcome.node.0];
+        // Many hosts leave each of them few answers: then the last one says more than the mean.
+        node.recent_answers += 1.0;
+        let step = (1.0 / node.recent_answers).max(LATENCY_STEP);
+        node.mean_latency += (latency - node.mean_latency) * step;
+        node.learn_cost(latency / units.max(1.0));
+        node.consecutive_failures = 0;
+        node.latest_completed_sent_at = node.latest_completed_sent_at.max(now - outcome.latency);
+        node.adjust_window(latency, was_full, self.shortest_objective);
+    }
+
+    /// A quick failure is no quick answer: it narrows the window. A full queue or no answer says that the
+    /// latency is high: else a node that is jammed would look as quick as it was.
+    fn learn_failure(&mut self, outcome: &AttemptOutcome) {
+        let (node, fleet) = (&mut self.nodes[outcome.node.0], &mut self.fleet);
+        let implied = match outcome.result {
+            AttemptResult::Rejected => self.shortest_objective,
+            AttemptResult::TimedOut => (outcome.latency as f64).min(TIMEOUT_MEANS * fleet.mean),
+            _ => 0.0,
+        };
+        node.mean_latency += (implied - node.mean_latency).max(0.0) * FAILURE_STEP;
+        fleet.mean += (implied * MAX_FLEET_LATENCY - fleet.mean).max(0.0) * FLEET_STEP;
+        node.concurrency_window = (node.concurrency_window * (1.0 - NARROW_STEP)).max(MIN_WINDOW);
+        node.consecutive_failures += 1;
+    }
+
+    /// Ages what is known of a node by one window.
+    pub(super) fn age_node(&mut self, now: Tick, id: NodeId) {
+        let (warm, node) = (self.is_warm(now, id), &mut self.nodes[id.0]);
+        node.recent_answers *= ANSWERS_KEPT;
+        // Without attempts the mean grows old: else a node once slow would stay closed to what is urgent.
+        if node.in_flight.is_empty() {
+            let fleet = self.fleet.best + (self.fleet.mean - self.fleet.best) * self.load_by_other_hosts;
+            node.mean_latency = node.mean_latency * FADE + fleet * (1.0 - FADE);
+            let window = node.concurrency_window;
+            node.concurrency_window = window.max((window * (2.0 - FADE)).min(1.0));
+        }
+        let quick = node.mean_latency < NARROW_ABOVE * self.shortest_objective;
+        let rate = std::mem::take(&mut node.window_units) / WINDOW as f64;
+        if quick && node.consecutive_failures == 0 && warm {
+            node.learn_usual_rate(rate, now - self.started_at);
+        }
+    }
+
+    /// An attempt that timed out after a later one was answered shows that answers get lost; while they do,
+    /// each answer is a chance to look for others that are.
+    pub(super) fn watch_for_loss(&mut self, host: &mut dyn Host, now: Tick, outcome: &AttemptOutcome) {
+        let (node, sent_at) = (&self.nodes[outcome.node.0], now - outcome.latency);
+        if outcome.result == AttemptResult::Completed && now < self.losing_answers_until {
+            self.cancel_lost(host, now, node);
+        } else if outcome.result == AttemptResult::TimedOut && node.latest_completed_sent_at > sent_at {
+            self.losing_answers_until = now + LOSS_WATCH;
+        }
+    }
+
+    /// Cancels attempts far older than the node's latency that an answer to a later one has overtaken, since
+    /// another may still be in time. Hurts where a node serves far out of turn.
+    fn cancel_lost(&self, host: &mut dyn Host, now: Tick, node: &Node) {
+        let sent_before = (now - node.lost_after(self.shortest_objective)).min(node.latest_completed_sent_at);
+        for attempt in &node.in_flight {
+            let request = &self.requests[attempt.bio.0];
+            let idempotent = self.class(request).idempotency == Idempotency::Idempotent;
+            if attempt.sent_at < sent_before && idempotent && !request.finished && self.config.allow_cancel {
+                host.cancel(attempt.bio, request.attempts - 1);
+            }
+        }
+    }
+}
--- a/crates/scheduler/src/slab.rs
+++ b/crates/scheduler/src/slab.rs
@@ -1,4 +1,4 @@
-//! Places by small index, used again once they are free.
+//! Entries by small index. Indices are assigned outside, and used again once their entry is removed.
 use std::ops::{Index, IndexMut};
 
 pub(crate) struct Slab<T>(Vec<Option<T>>);
@@ -10,37 +10,46 @@
 }
 
 impl<T> Slab<T> {
-    /// What stands at a place; made if nothing does.
-    pub(crate) fn enter(&mut self, at: u32, make: impl FnOnce() -> T) -> &mut T {
-        let at = at as usize;
-        if self.0.len() <= at {
-            self.0.resize_with(at + 1, || None);
+    /// The entry of an index, newly made if there is none.
+    pub(crate) fn get_or_insert_with(&mut self, index: u32, make: impl FnOnce() -> T) -> &mut T {
+        let index = index as usize;
+        if self.0.len() <= index {
+            self.0.resize_with(index + 1, || None);
         }
-        self.0[at].get_or_insert_with(make)
+        self.0[index].get_or_insert_with(make)
     }
 
-    pub(crate) fn get(&self, at: u32) -> Option<&T> {
-        self.0.get(at as usize)?.as_ref()
+    pub(crate) fn get(&self, index: u32) -> Option<&T> {
+        self.0.get(index as usize)?.as_ref()
     }
 
-    pub(crate) fn get_mut(&mut self, at: u32) -> Option<&mut T> {
-        self.0.get_mut(at as usize)?.as_mut()
+    pub(crate) fn get_mut(&mut self, index: u32) -> Option<&mut T> {
+        self.0.get_mut(index as usize)?.as_mut()
     }
 
-    pub(crate) fn remove(&mut self, at: u32) {
-        self.0[at as usize] = None;
+    pub(crate) fn remove(&mut self, index: u32) {
+        self.0[index as usize] = None;
     }
 
-    /// The places up to the last that was ever used.
-    pub(crate) fn places(&self) -> std::ops::Range<u32> {
-        0..self.0.len() as u32
+    /// The indices in use, ascending, as they stand now.
+    pub(crate) fn keys(&self) -> std::vec::IntoIter<u32> {
+        self.iter().map(|(index, _)| index).collect::<Vec<u32>>().into_iter()
+    }
+
+    /// Puts an entry in the place of an index, or frees it.
+    pub(crate) fn set(&mut self, index: u32, entry: Option<T>) {
+        let index = index as usize;
+        if self.0.len() <= index {
+            self.0.resize_with(index + 1, || None);
+        }
+        self.0[index] = entry;
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &T)> + Clone {
-        self.0.iter().enumerate().filter_map(|(at, t)| Some((at as u32, t.as_ref()?)))
+        self.0.iter().enumerate().filter_map(|(index, entry)| Some((index as u32, entry.as_ref()?)))
     }
 
-    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut T> {
+    pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.0.iter_mut().flatten()
     }
 }
@@ -48,13 +57,13 @@
 impl<T> Index<u32> for Slab<T> {
     type Output = T;
 
-    fn index(&self, at: u32) -> &T {
-        self.0[at as usize].as_ref().expect("a place in use")
+    fn index(&self, index: u32) -> &T {
+        self.0[index as usize].as_ref().expect("an index in use")
     }
 }
 
 impl<T> IndexMut<u32> for Slab<T> {
-    fn index_mut(&mut self, at: u32) -> &mut T {
-        self.0[at as usize].as_mut().expect("a place in use")
+    fn index_mut(&mut self, index: u32) -> &mut T {
+        self.0[index as usize].as_mut().expect("an index in use")
     }
 }
