--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -1,8 +1,8 @@
 //! Plans in versions through real processes: a control service, two hosts, one stand-in node.
-use mallowseam_gateway::{Status, ask};
+use mallowseam_gateway::{Status, send_request};
 use mallowseam_iscsi::scsi;
 use mallowseam_lab::block;
-use mallowseam_lab::counter::Counter;
+use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_lab::node::{Model, Node};
 use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 
     fn start_host(&mut self, i: usize) {
         self.hosts[i] = Some(self.start("run", i));
-        self.wait_for("a host", |r| ask(&r.path(&format!("gw{i}.sock")), "status").is_ok());
+        self.wait_for("a host", |r| send_request(&r.path(&format!("gw{i}.sock")), "status").is_ok());
     }
 
     fn kill(child: &mut Option<Child>) {
@@ -107,13 +107,13 @@
     }
 
     fn status(&self, host: usize) -> Status {
-        let text = ask(&self.path(&format!("gw{host}.sock")), "status").expect("a status");
-        Status::read(&text).expect("sound")
+        let text = send_request(&self.path(&format!("gw{host}.sock")), "status").expect("a status");
+        Status::from_json(&text).expect("sound")
     }
 
     /// A host's part of the limit of volume a.
     fn part(&self, host: usize) -> f64 {
-        self.status(host).volumes[0].part.expect("it follows")
+        self.status(host).volumes[0].quota.expect("it follows")
     }
 
     fn limit(&self, host: usize) -> f64 {
@@ -122,11 +122,11 @@
 }
 
 /// Asks for more than an even part for a while.
-fn through(client: &mut Counter, seconds: u64) {
+fn through(client: &mut BlockingClient, seconds: u64) {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(seconds) {
         let cdb = scsi::rw16(true, 0, 8, 0);
-        client.ask(0, &cdb, 0, block::write(1, 0, 8)).expect("an answer");
+        client.execute(0, &cdb, 0, block::write(1, 0, 8)).expect("an answer");
     }
 }
 
@@ -164,7 +164,7 @@
         let counter = |n: u32| {
             let (at, stop) = (rig.at[host], stop.clone());
             std::thread::spawn(move || {
-                let mut client = Counter::open(at, Some(TARGET), n).expect("a login");
+                let mut client = BlockingClient::open(at, Some(TARGET), n).expect("a login");
                 while !stop.load(Ordering::Relaxed) {
                     through(&mut client, 1);
                 }
