--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -60,8 +60,8 @@
     }
 
     /// A share below the largest block I/O goes out whole, by a number drawn each overload window. A host
-    /// that never sent here sends less often, by what warm nodes take of what they are asked: even shares fall
-    /// to hosts with nothing to send. Hurts where all hosts surge at a return.
+    /// that never sent here sends less often, by what warm nodes take of what they are asked: even shares
+    /// fall to hosts with nothing to send. Hurts where all hosts surge at a return.
     fn rounded_share(&mut self, now: Tick, id: NodeId, share: f64, sent: f64, growth: f64) -> f64 {
         let (limits, node) = (&self.slow_start, &mut self.nodes[id.0]);
         if now >= node.slow_start_draw_until {
