--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -18,8 +18,8 @@
 pub(crate) use solve::solve;
 
 use crate::error::FileError;
+use mallowseam_placement::problem::SCALE;
 use mallowseam_settings::Diagnostics;
-use mallowseam_shares::model::SCALE;
 use std::io;
 use std::path::{Path, PathBuf};
 
--- a/crates/gateway/src/placement/report.rs
+++ b/crates/gateway/src/placement/report.rs
@@ -1,16 +1,15 @@
 //! What a placement means: the load of each node, its worth beside another one, and the steps that lead to it.
 use super::{PlacementError, answer_file, data_units, gain_per_second, problem_file};
-use mallowseam_shares::model::{Problem, SCALE};
-use mallowseam_shares::moves;
-use mallowseam_shares::value::{Placement, fits, placed, worth};
+use mallowseam_placement::feasibility::{FULL_CAPACITY, fits};
+use mallowseam_placement::migration::{current_placement, plan_migration};
+use mallowseam_placement::objective::objective;
+use mallowseam_placement::problem::{Problem, SCALE};
+use mallowseam_placement::{Placement, assignments};
 use std::fmt::Write;
 use std::path::Path;
 
-/// Capacities as the problem gives them, in thousandths.
-const UNSTRETCHED: u64 = 1000;
-
-fn all_demands_fit(problem: &Problem, placement: &Placement) -> bool {
-    fits(problem, &placed(placement), &|_| true, UNSTRETCHED)
+fn all_reserves_fit(problem: &Problem, placement: &Placement) -> bool {
+    fits(problem, &assignments(placement), &|_| true, FULL_CAPACITY)
 }
 
 fn node_names(problem: &Problem, nodes: &[usize]) -> String {
@@ -28,15 +27,15 @@
     let mut placements = Vec::new();
     for file in [one, other] {
         let placement = answer_file::read_placement(&problem, file)?;
-        let value = worth(&problem, &placement);
+        let value = objective(&problem, &placement);
         write!(
             out,
             "\n{:<24}{:>16.3}{:>10}{:>14.1}{:>8}",
             file.display().to_string(),
             gain_per_second(value.gain),
             value.cost.0,
-            data_units(value.moved.0),
-            if all_demands_fit(&problem, &placement) { "yes" } else { "no" }
+            data_units(value.moved_data.0),
+            if all_reserves_fit(&problem, &placement) { "yes" } else { "no" }
         )
         .expect("writing to memory");
         placements.push(placement);
@@ -59,7 +58,7 @@
     for (index, node) in problem.nodes.iter().enumerate() {
         let here: Vec<usize> = (0..placement.len()).filter(|v| placement[*v].contains(&index)).collect();
         let share =
-            |volume: &usize| problem.volumes[*volume].reserve as f64 / placement[*volume].len() as f64;
+            |volume: &usize| problem.volumes[*volume].reserved_rate as f64 / placement[*volume].len() as f64;
         let reserved: f64 = here.iter().map(share).sum::<f64>() / 1000.0;
         let capacity = node.capacity as f64 / 1000.0;
         let percent = if capacity > 0.0 { 100.0 * reserved / capacity } else { 0.0 };
@@ -71,7 +70,7 @@
         )
         .expect("writing to memory");
     }
-    let fits = all_demands_fit(&problem, &placement);
+    let fits = all_reserves_fit(&problem, &placement);
     out += if fits { "\nall reserves fit" } else { "\nreserves do not fit" };
     Ok(out)
 }
@@ -85,24 +84,24 @@
     let problem = problem_file::read(file)?;
     let target = answer_file::read_placement(&problem, answer)?;
     let max_data = max_data.map(|data| u128::from(data) * SCALE as u128);
-    let moves = moves::order(&problem, &moves::today(&problem), &target, max_data);
+    let plan = plan_migration(&problem, &current_placement(&problem), &target, max_data);
     let node_name = |node: Option<usize>| node.map_or("-", |node| problem.nodes[node].name.as_str());
     let mut out = String::new();
-    for step in &moves.steps {
+    for step in &plan.steps {
         let volume = &problem.volumes[step.volume].name;
         let (from, to) = (node_name(step.from), node_name(step.to));
         writeln!(out, "move {volume} {from} {to} {}", data_units(step.data)).expect("writing to memory");
     }
     for (reason, volumes) in [
-        ("stays, beyond the data that may be moved", &moves.left),
-        ("no order of steps was found that breaks nothing", &moves.stuck),
+        ("stays, beyond the data that may be moved", &plan.deferred),
+        ("no order of steps was found that breaks nothing", &plan.blocked),
     ] {
         if !volumes.is_empty() {
             let names = volume_names(&problem, volumes);
             writeln!(out, "# {reason}: {names}").expect("writing to memory");
         }
     }
-    write!(out, "# {} steps, data moved {}", moves.steps.len(), data_units(moves.data()))
+    write!(out, "# {} steps, data moved {}", plan.steps.len(), data_units(plan.data()))
         .expect("writing to memory");
     Ok(out)
 }
