--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -6,7 +6,7 @@
 use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
 use mallowseam_iscsi::params::Wishes;
 use mallowseam_iscsi::scsi::{Sense, status};
-use mallowseam_scheduler::host::{Ending, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -51,14 +51,14 @@
 pub(crate) struct FinishedAttempt {
     pub(crate) node: NodeIndex,
     pub(crate) tag: u32,
-    pub(crate) ending: Ending,
+    pub(crate) ending: AttemptResult,
     /// Rejected, as the unit is closed to writes: it has not run.
     pub(crate) write_protected: bool,
     pub(crate) data: Vec<u8>,
 }
 
 impl FinishedAttempt {
-    fn without_data(node: NodeIndex, tag: u32, ending: Ending) -> Self {
+    fn without_data(node: NodeIndex, tag: u32, ending: AttemptResult) -> Self {
         FinishedAttempt { node, tag, ending, write_protected: false, data: Vec::new() }
     }
 }
@@ -156,7 +156,7 @@
         self.results.is_empty()
     }
 
-    fn end(&mut self, node: NodeIndex, tag: u32, ending: Ending) {
+    fn end(&mut self, node: NodeIndex, tag: u32, ending: AttemptResult) {
         self.results.push_back(FinishedAttempt::without_data(node, tag, ending));
     }
 
@@ -170,7 +170,7 @@
                 self.mark_dirty(index);
             } else {
                 // The node's own command window is closed: it has rejected the command before it was sent.
-                self.end(index, tag, Ending::Busy);
+                self.end(index, tag, AttemptResult::Rejected);
             }
             return;
         }
@@ -222,13 +222,18 @@
         let node = &mut self.all[index];
         node.connection.closed();
         for request in std::mem::take(&mut node.queue) {
-            self.results.push_back(FinishedAttempt::without_data(index, request.tag, Ending::NoConnect));
+            self.results.push_back(FinishedAttempt::without_data(
+                index,
+                request.tag,
+                AttemptResult::ConnectFailed,
+            ));
         }
         if let Some(mut link) = node.link.take() {
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.tags().collect::<Vec<_>>() {
                 let may_have_run = link.conn.on_the_wire(tag);
-                let ending = if may_have_run { Ending::Reset } else { Ending::NoConnect };
+                let ending =
+                    if may_have_run { AttemptResult::ConnectionReset } else { AttemptResult::ConnectFailed };
                 self.results.push_back(FinishedAttempt::without_data(index, tag, ending));
             }
         }
@@ -286,7 +291,7 @@
                 }
                 Came::Rejected { tag, reason } => {
                     tracing::warn!(node = self.all[index].name, reason, "command rejected");
-                    self.end(index, tag, Ending::Error);
+                    self.end(index, tag, AttemptResult::Error);
                 }
                 Came::Gone { .. } => self.all[index].connection.abort_answered(ticks_to_millis(now)),
                 Came::AskedOut => {
@@ -303,14 +308,14 @@
 
     fn on_answer(&mut self, node: NodeIndex, tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>) {
         if sense == Some(Sense::WRITE_PROTECTED) {
-            let result = FinishedAttempt::without_data(node, tag, Ending::Moot);
+            let result = FinishedAttempt::without_data(node, tag, AttemptResult::NotSent);
             self.results.push_back(FinishedAttempt { write_protected: true, ..result });
             return;
         }
         let ending = match status {
-            status::GOOD => Ending::Done,
-            status::BUSY | status::TASK_SET_FULL => Ending::Busy,
-            _ => Ending::Error,
+            status::GOOD => AttemptResult::Completed,
+            status::BUSY | status::TASK_SET_FULL => AttemptResult::Rejected,
+            _ => AttemptResult::Error,
         };
         self.results.push_back(FinishedAttempt { node, tag, ending, write_protected: false, data });
     }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -22,7 +22,7 @@
 use mallowseam_cow::reclaim::Reclaimer;
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
 use mallowseam_iscsi::params::Wishes;
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Volume};
 use mallowseam_snapshot_catalog::Catalog;
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -3,8 +3,8 @@
 use crate::clients::{OK, Response};
 use crate::nodes::{NodeEvent, Success};
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::{Outcome, Report};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{AttemptOutcome, LoadReport};
 
 impl Dispatcher {
     /// Handles an event on a connection to a node.
@@ -61,17 +61,17 @@
             let Some(entry) = self.in_flight.get_mut(completion.io.0) else { continue };
             entry.node_connection = None;
             let response = completion.response;
-            let outcome = Outcome {
-                ending: completion.ending,
+            let outcome = AttemptOutcome {
+                result: completion.ending,
                 node: completion.node,
-                closed: entry.client.is_none(),
-                wait: completion.received_at.unwrap_or(self.now) - completion.started_at,
-                by_others: response.map_or(0.0, |r| r.by_others),
-                used: response.map_or(0.0, |r| r.usage),
-                report: response.map_or(Report::default(), |r| r.load_report),
+                client_answered: entry.client.is_none(),
+                latency: completion.received_at.unwrap_or(self.now) - completion.started_at,
+                units_by_other_hosts: response.map_or(0.0, |r| r.by_others),
+                volume_usage: response.map_or(0.0, |r| r.usage),
+                load_report: response.map_or(LoadReport::default(), |r| r.load_report),
             };
             let now = self.now;
-            scheduler.ended(self, now, completion.io, &outcome);
+            scheduler.on_attempt_finished(self, now, completion.io, &outcome);
         }
     }
 }
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -4,7 +4,7 @@
 use mallowseam_fleet::config::FleetConfig;
 use mallowseam_platform::config::HostConfig;
 use mallowseam_platform::settings::PlatformSettings;
-use mallowseam_scheduler::host::Terms;
+use mallowseam_scheduler::interface::SchedulerConfig;
 
 impl EventLoop {
     /// Reads the configuration file again. An invalid one changes nothing.
@@ -30,7 +30,7 @@
     fn reload_plans(&mut self, settings: &PlatformSettings) {
         let current = &mut self.dispatcher.settings;
         if settings.class_names == current.class_names && settings.plan_names == current.plan_names {
-            self.scheduler.planned(self.dispatcher.now, &settings.scheduler.plans, &[]);
+            self.scheduler.on_plans_changed(self.dispatcher.now, &settings.scheduler.plans, &[]);
             current.scheduler.plans.clone_from(&settings.scheduler.plans);
         } else {
             tracing::warn!("other I/O classes or plans need a restart");
@@ -67,11 +67,11 @@
 /// The settings without what a reload applies, and without what the host itself sets.
 fn fixed_settings(settings: &PlatformSettings) -> PlatformSettings {
     PlatformSettings {
-        scheduler: Terms {
+        scheduler: SchedulerConfig {
             plans: Vec::new(),
-            list_on_request: true,
-            word_by_half: true,
-            ask_turn: None,
+            endpoints_polled: true,
+            shed_at_half_deadline: true,
+            poll_service_time: None,
             ..settings.scheduler.clone()
         },
         ..settings.clone()
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -1,6 +1,6 @@
 //! Timeouts and periodic checks.
 use super::EventLoop;
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use mallowseam_sockets::clock::ticks_to_duration;
 use std::time::Duration;
 
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -2,7 +2,7 @@
 use super::NodeConnections;
 use super::connection::{Attempt, Completion, NodeConnection};
 use super::deadlines::Deadline;
-use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 use mallowseam_sockets::nonblocking;
 
 /// Deadlines of completed attempts are dropped once there are this many beyond four a connection.
@@ -28,7 +28,7 @@
         now: Tick,
         timeout: Tick,
         write_request: impl FnOnce(&mut Vec<u8>),
-    ) -> Result<StartedAttempt, Ending> {
+    ) -> Result<StartedAttempt, AttemptResult> {
         let slot = self.check_out(node, now)?;
         self.last_serial += 1;
         let attempt = Attempt {
@@ -52,7 +52,7 @@
             return Ok(StartedAttempt { slot, completion: None });
         }
         // A pooled connection that breaks before the request is written proves nothing about the node.
-        let completion = self.write_request(slot, Ending::Moot);
+        let completion = self.write_request(slot, AttemptResult::NotSent);
         Ok(StartedAttempt { slot, completion })
     }
 
@@ -75,7 +75,7 @@
 
     /// Writes the rest of the request. A completion: the connection broke, with `if_unwritten` as the result if the last
     /// byte was not written.
-    pub(super) fn write_request(&mut self, slot: u32, if_unwritten: Ending) -> Option<Completion> {
+    pub(super) fn write_request(&mut self, slot: u32, if_unwritten: AttemptResult) -> Option<Completion> {
         let connection = self.connections.get_mut(slot)?;
         let attempt = connection.attempt?;
         if connection.sent == connection.request.len() {
@@ -97,7 +97,7 @@
         }
         self.close(slot);
         // Before the last byte is written the node has not executed it; after it, it may have.
-        let ending = if is_written { Ending::Reset } else { if_unwritten };
+        let ending = if is_written { AttemptResult::ConnectionReset } else { if_unwritten };
         Some(attempt.complete(node, ending))
     }
 
@@ -111,7 +111,7 @@
         let connection = self.connections.get(slot).filter(|c| c.carries(io))?;
         let (is_written, node) = (connection.is_request_written(), connection.node);
         let attempt = self.close(slot)?;
-        let ending = if is_written { Ending::Cancelled } else { Ending::Moot };
+        let ending = if is_written { AttemptResult::Cancelled } else { AttemptResult::NotSent };
         Some(attempt.complete(node, ending))
     }
 
@@ -135,13 +135,13 @@
 }
 
 /// The result of an attempt that has expired; none: it has not.
-fn expired(connection: &NodeConnection, attempt: Attempt, now: Tick) -> Option<Ending> {
+fn expired(connection: &NodeConnection, attempt: Attempt, now: Tick) -> Option<AttemptResult> {
     let is_past_deadline = now >= attempt.deadline;
     if connection.is_request_written() {
-        return is_past_deadline.then_some(Ending::TimedOut);
+        return is_past_deadline.then_some(AttemptResult::TimedOut);
     }
     if !connection.is_up && now >= attempt.connect_deadline {
-        return Some(Ending::NoConnect);
+        return Some(AttemptResult::ConnectFailed);
     }
-    is_past_deadline.then_some(Ending::Moot)
+    is_past_deadline.then_some(AttemptResult::NotSent)
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,21 +1,21 @@
 //! The values of one line: a message's name and its fields in order, each behind one space. `-` stands for an
 //! absent value.
 use crate::error::InputError;
-use mallowseam_scheduler::host::{Ending, Report, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, LoadReport, Tick};
 use std::str::FromStr;
 
 /// Microseconds in a tick of the scheduler.
 pub const MICROS_PER_TICK: i64 = 100;
 
-const ENDINGS: [(&str, Ending); 8] = [
-    ("done", Ending::Done),
-    ("err", Ending::Error),
-    ("busy", Ending::Busy),
-    ("etimedout", Ending::TimedOut),
-    ("econnrefused", Ending::NoConnect),
-    ("econnreset", Ending::Reset),
-    ("ecanceled", Ending::Cancelled),
-    ("skipped", Ending::Moot),
+const ENDINGS: [(&str, AttemptResult); 8] = [
+    ("done", AttemptResult::Completed),
+    ("err", AttemptResult::Error),
+    ("busy", AttemptResult::Rejected),
+    ("etimedout", AttemptResult::TimedOut),
+    ("econnrefused", AttemptResult::ConnectFailed),
+    ("econnreset", AttemptResult::ConnectionReset),
+    ("ecanceled", AttemptResult::Cancelled),
+    ("skipped", AttemptResult::NotSent),
 ];
 
 /// A line, of which values are taken one after the other.
@@ -103,22 +103,22 @@
     }
 
     /// How an attempt or a probe ended.
-    pub fn ending(&mut self) -> Result<Ending, InputError> {
+    pub fn ending(&mut self) -> Result<AttemptResult, InputError> {
         self.one_of("ending", &ENDINGS)
     }
 
     /// A node's load report: name and value pairs, of which unknown ones are skipped.
-    pub fn load_report(&mut self) -> Result<Report, InputError> {
-        let mut report = Report::default();
+    pub fn load_report(&mut self) -> Result<LoadReport, InputError> {
+        let mut report = LoadReport::default();
         for pair in self.next_value().unwrap_or_default().split(',').filter(|pair| !pair.is_empty()) {
             let parsed =
                 pair.split_once(':').and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
             let (name, value) = parsed.ok_or_else(|| self.invalid("pressure", "name:value pairs"))?;
             let value = Some(value).filter(|value| value.is_finite() && *value >= 0.0);
             match name {
-                "backlog" => report.waiting = value,
-                "recent_ms" => report.service_ms = value,
-                "utilization" => report.busy = value,
+                "backlog" => report.backlog = value,
+                "recent_ms" => report.service_time_ms = value,
+                "utilization" => report.utilization = value,
                 _ => {}
             }
         }
