--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -31,9 +31,9 @@
 use mallowseam_cow::copy_budget::CopyBudget;
 use mallowseam_cow::tree::LayerId;
 use mallowseam_iscsi::target::Came;
-use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::{BioId, Outcome, Tick, VolId};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Interner;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{AttemptOutcome, BioId, Tick, VolumeId};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Effect};
 use std::cmp::Reverse;
@@ -119,12 +119,12 @@
     block_ios: Slab<BlockIo>,
     commands: Slab<Command>,
     /// Ordering keys by LUN and number, each with a small index for the scheduler.
-    ordering_keys: Door<(u32, u64)>,
+    ordering_keys: Interner<(u32, u64)>,
     /// How many attempts each block I/O's index has had, for their tags.
     attempt_counts: Vec<u32>,
     attempt_timeouts: BinaryHeap<Reverse<AttemptTimeout>>,
     /// Outcomes of attempts that are not passed to the scheduler yet.
-    outcomes: VecDeque<(BioId, Outcome)>,
+    outcomes: VecDeque<(BioId, AttemptOutcome)>,
     /// Block I/Os to be withdrawn from the scheduler: nobody waits for them, or their location is looked up again.
     withdrawn: VecDeque<BioId>,
     /// Block I/Os of copies that are not passed to the scheduler yet.
@@ -175,7 +175,7 @@
             shards: site.nodes.iter().map(|node| node.shard).collect(),
             block_ios: Slab::default(),
             commands: Slab::default(),
-            ordering_keys: Door::default(),
+            ordering_keys: Interner::default(),
             attempt_counts: Vec::new(),
             attempt_timeouts: BinaryHeap::new(),
             outcomes: VecDeque::new(),
@@ -197,13 +197,13 @@
 
     /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan has
     /// changed.
-    pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolId, u16)> {
+    pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
         let mut changed = Vec::new();
         for (index, (volume, plan)) in self.volumes.iter_mut().zip(plans).enumerate() {
             let plan = *plan as u16;
             if volume.plan != plan {
                 volume.plan = plan;
-                changed.push((VolId(index as u32), plan));
+                changed.push((VolumeId(index as u32), plan));
             }
         }
         changed
@@ -237,7 +237,7 @@
         if self.wakeup_at.is_some_and(|time| time <= self.now) {
             self.wakeup_at = None;
             let now = self.now;
-            scheduler.woken(self, now);
+            scheduler.on_timer(self, now);
             self.settle(scheduler);
         }
     }
@@ -258,10 +258,10 @@
             // that one makes room.
             if let Some(id) = self.withdrawn.pop_front() {
                 if self.block_ios.get(id.0).is_some() {
-                    scheduler.gone(self, now, id);
+                    scheduler.on_disconnect(self, now, id);
                 }
             } else if let Some((id, outcome)) = self.outcomes.pop_front() {
-                scheduler.ended(self, now, id, &outcome);
+                scheduler.on_attempt_finished(self, now, id, &outcome);
             } else if let Some(index) = self.arrivals.pop_front() {
                 self.pass_to_scheduler(scheduler, index);
             } else if self.nodes.is_quiet() && self.clients.is_quiet() && !self.retry_lookups(scheduler) {
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -10,8 +10,8 @@
 use mallowseam_cow::copy_budget::RETRY_DELAY;
 use mallowseam_cow::split_write::SplitWrite;
 use mallowseam_iscsi::scsi::{self, Sense, status};
-use mallowseam_scheduler::host::{Bio, BioId, KeyId, Tick, VolId};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{Bio, BioId, KeyId, Tick, VolumeId};
 
 /// Ticks in the unit of the retry delay in an answer: a tenth of a second (RFC 7144).
 const RETRY_DELAY_UNIT: Tick = 1_000;
@@ -185,7 +185,7 @@
         io.scheduled = true;
         let (request, volume) = (io.request, &self.volumes[io.volume]);
         let lun = io.lun.unwrap_or_default();
-        let key = request.ordering_key.map(|key| KeyId(self.ordering_keys.enter(&(lun, key))));
+        let key = request.ordering_key.map(|key| KeyId(self.ordering_keys.intern(&(lun, key))));
         let bytes = u64::from(request.blocks) * u64::from(volume.block_size);
         let shard = match (io.location, io.copy) {
             (Some((_, location)), _) => Some(self.shards[location.node as usize]),
@@ -195,11 +195,11 @@
         };
         let bio = Bio {
             id: BioId(index),
-            group: request.class,
+            class: request.class,
             plan: volume.plan,
-            vol: VolId(io.volume as u32),
+            volume: VolumeId(io.volume as u32),
             key,
-            hard_limit: io.arrived + self.classes[io.class()].deadline,
+            deadline: io.arrived + self.classes[io.class()].deadline,
             units: bytes.div_ceil(self.unit_bytes) as f64,
             shard,
             hosts: volume.host_count,
@@ -209,7 +209,7 @@
             self.metrics.volumes[io.volume].requested += bio.units;
         }
         let now = self.now;
-        scheduler.take(self, now, bio);
+        scheduler.on_arrival(self, now, bio);
     }
 
     /// The client of a command does not wait for its answer any more.
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -5,8 +5,8 @@
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_cow::copy_budget::RETRY_DELAY;
 use mallowseam_cow::tree_replica::Lookup;
-use mallowseam_scheduler::host::{BioId, Ending, Tick};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{AttemptResult, BioId, Tick};
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
@@ -132,7 +132,7 @@
         let io = self.block_ios.get_mut(index).expect("in flight");
         io.relocating = true;
         let layer = io.layer();
-        self.finish_attempt(index, Ending::Moot);
+        self.finish_attempt(index, AttemptResult::NotSent);
         for other in self.block_ios.indices() {
             let Some(io) = self.block_ios.get(other) else { continue };
             let queued = io.layer() == layer && io.scheduled && io.attempt.is_none() && !io.relocating;
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -2,7 +2,7 @@
 use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_plans::state;
-use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Terms};
+use mallowseam_scheduler::interface::{Idempotency, IoClass, Plan, SchedulerConfig};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Direction};
 
@@ -10,49 +10,49 @@
 const THOUSANDTHS: f64 = 1000.0;
 
 /// The terms that the scheduler decides by.
-pub(crate) fn scheduler_terms(site: &GatewayConfig) -> Terms {
+pub(crate) fn scheduler_terms(site: &GatewayConfig) -> SchedulerConfig {
     let fleet = &site.fleet;
-    Terms {
+    SchedulerConfig {
         hosts: fleet.hosts,
-        groups: site.io_classes.iter().map(io_class).collect(),
+        classes: site.io_classes.iter().map(io_class).collect(),
         plans: scheduler_plans(site),
-        mean_units: fleet.mean_units,
-        largest: fleet.max_units,
-        share_gain: fleet.share_gain,
-        spare_gain: fleet.spare_gain,
+        mean_io_units: fleet.mean_units,
+        max_io_units: fleet.max_units,
+        share_weight_factor: fleet.share_gain,
+        spare_weight_factor: fleet.spare_gain,
         // iSCSI has no field in which a node could report the load of other hosts, nor one for messages of peers.
-        counts_others: false,
-        may_cancel: true,
-        may_name_return: fleet.max_retry_after > 0,
-        longest_return: ticks_from_micros_floor(fleet.max_retry_after),
-        max_submits: fleet.max_attempts,
-        list_on_request: site.host.endpoint_service.is_some(),
-        ask_turn: None,
-        list_pushed: false,
-        ask_within: 0,
-        word_by_half: false,
-        cold_bears: fleet.cold_floor_units,
-        cold_from: fleet.cold_capacity,
-        cold_span: ticks_from_micros_ceil(fleet.warmup_time),
-        fall_span: ticks_from_micros_ceil(fleet.overload_window),
-        fall_multiple: fleet.overload_multiple,
-        order_rest: ticks_from_micros_ceil(fleet.ordering_cooldown),
-        budget_free: fleet.retry_budget_min,
-        budget_share: fleet.retry_budget_ratio,
-        budget_span: ticks_from_micros_ceil(fleet.retry_budget_window),
-        ..Terms::default()
+        other_hosts_usage_reported: false,
+        allow_cancel: true,
+        allow_retry_after: fleet.max_retry_after > 0,
+        max_retry_after: ticks_from_micros_floor(fleet.max_retry_after),
+        max_attempts: fleet.max_attempts,
+        endpoints_polled: site.host.endpoint_service.is_some(),
+        poll_service_time: None,
+        endpoints_pushed: false,
+        max_poll_delay: 0,
+        shed_at_half_deadline: false,
+        slow_start_capacity: fleet.cold_floor_units,
+        slow_start_initial_rate: fleet.cold_capacity,
+        slow_start_duration: ticks_from_micros_ceil(fleet.warmup_time),
+        overload_window: ticks_from_micros_ceil(fleet.overload_window),
+        overload_multiple: fleet.overload_multiple,
+        ordering_cooldown: ticks_from_micros_ceil(fleet.ordering_cooldown),
+        retry_budget_min: fleet.retry_budget_min,
+        retry_budget_ratio: fleet.retry_budget_ratio,
+        retry_budget_window: ticks_from_micros_ceil(fleet.retry_budget_window),
+        ..SchedulerConfig::default()
     }
 }
 
-fn io_class(class: &config::IoClass) -> IoGroup {
-    IoGroup {
-        effect: match class.effect {
-            config::Effect::Idempotent => Effect::Idempotent,
-            config::Effect::NonIdempotent => Effect::SideEffecting,
+fn io_class(class: &config::IoClass) -> IoClass {
+    IoClass {
+        idempotency: match class.effect {
+            config::Effect::Idempotent => Idempotency::Idempotent,
+            config::Effect::NonIdempotent => Idempotency::NonIdempotent,
         },
-        goal: ticks_from_micros_floor(class.latency_objective),
-        late_share: class.late_weight_ratio,
-        gain: class.priority_weight,
+        latency_objective: ticks_from_micros_floor(class.latency_objective),
+        late_weight_ratio: class.late_weight_ratio,
+        priority_weight: class.priority_weight,
         ordered: class.ordered,
         writes: false,
     }
@@ -61,12 +61,12 @@
 /// The plans as the scheduler takes them.
 pub(crate) fn scheduler_plans(site: &GatewayConfig) -> Vec<Plan> {
     let plan = |plan: &config::Plan| Plan {
-        usual: plan.usual_rate,
-        reserve: plan.reserved_rate,
-        limit: plan.rate_limit,
-        limit_burst: plan.burst_units,
-        wt: plan.weight,
-        price: plan.priority_factor,
+        usual_rate: plan.usual_rate,
+        reserved_rate: plan.reserved_rate,
+        rate_limit: plan.rate_limit,
+        burst_units: plan.burst_units,
+        weight: plan.weight,
+        priority_factor: plan.priority_factor,
     };
     site.plans.iter().map(plan).collect()
 }
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -5,7 +5,7 @@
 use crate::node_connections::NodeRequest;
 use mallowseam_cow::tree::{Change, LayerId};
 use mallowseam_iscsi::scsi;
-use mallowseam_scheduler::host::{Ending, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, Tick};
 
 /// Ticks that a node has to carry a command out.
 const COMMAND_TIMEOUT: Tick = 20_000;
@@ -81,7 +81,7 @@
     pub(super) fn on_completed_commands(&mut self) {
         while let Some(result) = self.nodes.next_finished() {
             if let Some(command) = self.commands.remove(&result.tag) {
-                self.on_command_end(command.purpose, result.ending == Ending::Done);
+                self.on_command_end(command.purpose, result.ending == AttemptResult::Completed);
             }
         }
         let is_late = |command: &NodeCommand| command.deadline <= self.now;
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -16,8 +16,8 @@
 use mallowseam_platform::interner::NameInterner;
 use mallowseam_platform::request::RequestId;
 use mallowseam_platform::settings::PlatformSettings;
-use mallowseam_scheduler::host::{BioId, Listed, Tick};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{BioId, NodeEndpoint, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 use mallowseam_sockets::slab::Slab;
 use std::collections::VecDeque;
@@ -80,7 +80,7 @@
     /// The scheduler has asked for a watch on the discovery service.
     wants_watch: bool,
     /// Reused from one update of the endpoint list to the next.
-    endpoints: Vec<Listed>,
+    endpoints: Vec<NodeEndpoint>,
 }
 
 impl Dispatcher {
@@ -149,7 +149,7 @@
         if self.timer.is_some_and(|at| at <= self.now) {
             self.timer = None;
             let now = self.now;
-            scheduler.woken(self, now);
+            scheduler.on_timer(self, now);
             self.report_completions(scheduler);
         }
     }
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -4,24 +4,25 @@
 use crate::nodes::Completion;
 use mallowseam_platform::request;
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::{BioId, Ending, Host, KeyId, NodeId, Tick, VolId};
+use mallowseam_scheduler::interface::{AttemptResult, BioId, Host, KeyId, NodeId, Tick, VolumeId};
 use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
 impl Dispatcher {
     /// Sends a block I/O to a node, or returns the reason why nothing was sent.
-    fn start_attempt(&mut self, io: BioId, node: NodeId, timeout: Tick) -> Result<(), Ending> {
+    fn start_attempt(&mut self, io: BioId, node: NodeId, timeout: Tick) -> Result<(), AttemptResult> {
         let now = self.now;
         // During a shutdown all responses are due before the host is killed, so attempts expire by then.
         let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline());
         let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
         self.check_client(io);
-        let max_attempts = self.settings.scheduler.max_submits;
+        let max_attempts = self.settings.scheduler.max_attempts;
         let Some(entry) = self.in_flight.get_mut(io.0) else { return Ok(()) };
         entry.attempts += 1;
         let is_over = entry.deadline <= now || timeout <= 0;
         let is_one_too_many = max_attempts > 0 && entry.attempts > max_attempts;
         let client = entry.client.filter(|_| !is_over && !is_one_too_many);
-        let (head, body) = client.and_then(|slot| self.clients.request(slot)).ok_or(Ending::Moot)?;
+        let (head, body) =
+            client.and_then(|slot| self.clients.request(slot)).ok_or(AttemptResult::NotSent)?;
         let wait_ms = ticks_to_millis(timeout).max(1);
         let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
         let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
@@ -44,15 +45,15 @@
 }
 
 impl Host for Dispatcher {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
-        if let Err(ending) = self.start_attempt(bio, node, limit) {
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
+        if let Err(ending) = self.start_attempt(bio, node, timeout) {
             self.counters.unsent_attempts += 1;
             self.completions.push_back(Completion::unsent(bio, node, ending, self.now));
         }
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        let Some(entry) = self.in_flight.get_mut(bio.0).filter(|entry| nth + 1 == entry.attempts) else {
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        let Some(entry) = self.in_flight.get_mut(bio.0).filter(|entry| attempt + 1 == entry.attempts) else {
             return;
         };
         // Without a connection its completion is queued already.
@@ -60,8 +61,8 @@
         self.completions.extend(cancelled);
     }
 
-    fn shed(&mut self, bio: BioId, come_back: Tick) {
-        let response = Response::empty(response::SHED_STATUS).with_retry_after(ticks_to_millis(come_back));
+    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+        let response = Response::empty(response::SHED_STATUS).with_retry_after(ticks_to_millis(retry_after));
         self.counters.shed += u64::from(self.respond_final(bio, response));
     }
 
@@ -69,25 +70,14 @@
         self.counters.failed += u64::from(self.respond_final(bio, Response::empty(response::FAILED_STATUS)));
     }
 
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         self.set_timer(self.now + after);
     }
 
-    /// The users' protocol has no health check of its own; the settings say so.
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.wants_watch = true;
     }
 
-    /// A new watch begins with the list, in full where that is needed.
-    fn fetch_list(&mut self) {
-        self.wants_watch = true;
-    }
-
-    /// Hosts can't talk to each other on this platform; the settings say so.
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
     fn release_bio(&mut self, bio: BioId) {
         if let Some(entry) = self.in_flight.remove(bio.0) {
             self.names.release_request(&entry.id);
@@ -98,8 +88,8 @@
         self.names.release_key(key);
     }
 
-    fn release_volume(&mut self, vol: VolId) {
-        self.names.release_volume(vol);
+    fn release_volume(&mut self, volume: VolumeId) {
+        self.names.release_volume(volume);
     }
 
     fn release_node(&mut self, node: NodeId) {
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -24,7 +24,7 @@
 use endpoint_watch::EndpointWatch;
 use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_platform::config::HostConfig;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock::Clock;
 use mio::event::Event;
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -6,7 +6,7 @@
 use mallowseam_connection_policy::watch_slots::WatchSlots;
 use mallowseam_fleet::record::ActiveVersions;
 use mallowseam_platform::endpoints::WatchEvent;
-use mallowseam_scheduler::host::ListForm;
+use mallowseam_scheduler::interface::EndpointEvent;
 use mio::Events;
 use std::net::SocketAddr;
 
@@ -82,7 +82,7 @@
         self.close_watch(index);
         // A predecessor was reported as silent when its successor was opened.
         if self.watch.slots.is_latest(index) {
-            self.dispatcher.on_watch_lost(&mut self.scheduler, ListForm::Failed);
+            self.dispatcher.on_watch_lost(&mut self.scheduler, EndpointEvent::PollFailed);
         }
     }
 
@@ -118,7 +118,7 @@
             WatchMessage::Heartbeat => self.on_watch_alive(index),
             WatchMessage::Closings(endpoints) => {
                 let update = WatchEvent { version: 0, full_snapshot: false, endpoints };
-                self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, &update);
+                self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, &update);
             }
             WatchMessage::Failed(error) => self.on_watch_failed(index, &error),
         }
@@ -135,7 +135,7 @@
             // Even without changes the scheduler has to know that the list is current: it matters when the watch is
             // lost.
             let nothing_new = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
-            self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, &nothing_new);
+            self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, &nothing_new);
         }
     }
 
@@ -145,7 +145,7 @@
         let (service, since) = (connection.address(), connection.since());
         if service != self.watch.version_source {
             // Updates of the previous service are applied as changes, without their version.
-            return self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Changes, update);
+            return self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, update);
         }
         if !update.full_snapshot && since.is_some_and(|since| update.version < since) {
             // The service has restarted with lower versions: the next watch asks for a full snapshot.
@@ -162,7 +162,8 @@
         self.fleet.iter_mut().for_each(|fleet| {
             fleet.set_active_versions(ActiveVersions { endpoint_list: update.version, plans: 0 })
         });
-        let form = if update.full_snapshot { ListForm::Whole } else { ListForm::Changes };
+        let form =
+            if update.full_snapshot { EndpointEvent::FullSnapshot } else { EndpointEvent::Incremental };
         self.dispatcher.on_endpoints(&mut self.scheduler, form, update);
     }
 
@@ -183,7 +184,7 @@
                 self.close_watch(index);
             }
             if self.watch.slots.is_latest(index) {
-                self.dispatcher.on_watch_lost(&mut self.scheduler, ListForm::Silent);
+                self.dispatcher.on_watch_lost(&mut self.scheduler, EndpointEvent::WatchSilent);
             }
         }
     }
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -5,7 +5,7 @@
 use crate::tokens;
 use mallowseam_connection_policy::keep_alive::{self, Reusability};
 use mallowseam_http1::ResponseReader;
-use mallowseam_scheduler::host::{Ending, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::Interest;
@@ -32,7 +32,7 @@
     }
 
     /// A connection for the next attempt at a node: an idle one that is still open, or a new one.
-    pub(super) fn check_out(&mut self, node: NodeId, now: Tick) -> Result<u32, Ending> {
+    pub(super) fn check_out(&mut self, node: NodeId, now: Tick) -> Result<u32, AttemptResult> {
         match self.take_idle(node, now) {
             Some(slot) => Ok(slot),
             None => self.connect(node, now),
@@ -63,19 +63,22 @@
     }
 
     /// Opens a connection. At the limit the connection that has been idle longest is closed first.
-    fn connect(&mut self, node: NodeId, now: Tick) -> Result<u32, Ending> {
+    fn connect(&mut self, node: NodeId, now: Tick) -> Result<u32, AttemptResult> {
         if self.connections.len() >= self.max_connections {
             let idle = self.connections.iter().filter(|(_, c)| c.is_up && c.attempt.is_none());
             let longest_idle = idle.min_by_key(|(_, c)| c.idle_since).map(|(slot, _)| slot);
             // With none idle, this host lacks capacity, not the node.
-            self.close(longest_idle.ok_or(Ending::Moot)?);
+            self.close(longest_idle.ok_or(AttemptResult::NotSent)?);
         }
-        let address = self.endpoint(node).and_then(|endpoint| endpoint.address).ok_or(Ending::Moot)?;
-        let mut socket = TcpStream::connect(address).map_err(|_| Ending::NoConnect)?;
+        let address =
+            self.endpoint(node).and_then(|endpoint| endpoint.address).ok_or(AttemptResult::NotSent)?;
+        let mut socket = TcpStream::connect(address).map_err(|_| AttemptResult::ConnectFailed)?;
         let _ = socket.set_nodelay(true);
         let slot = self.connections.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry.register(&mut socket, tokens::node(slot), interest).map_err(|_| Ending::Moot)?;
+        self.registry
+            .register(&mut socket, tokens::node(slot), interest)
+            .map_err(|_| AttemptResult::NotSent)?;
         self.connections.insert(NodeConnection::new(socket, node, now));
         if let Some(endpoint) = self.endpoint_mut(node) {
             endpoint.counters.connections += 1;
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -2,8 +2,8 @@
 use crate::endpoints::{Endpoint, Health, WatchEvent};
 use crate::request::{BlockRequest, RequestId};
 use crate::settings::PlatformSettings;
-use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::{Bio, BioId, KeyId, Listed, NodeId, NodeState, Tick, VolId};
+use mallowseam_scheduler::Interner;
+use mallowseam_scheduler::interface::{Bio, BioId, KeyId, NodeEndpoint, NodeId, NodeState, Tick, VolumeId};
 use std::collections::HashMap;
 use thiserror::Error;
 
@@ -27,10 +27,10 @@
 /// The names in use and their indices.
 #[derive(Default)]
 pub struct NameInterner {
-    nodes: Door<String>,
-    volumes: Door<u64>,
+    nodes: Interner<String>,
+    volumes: Interner<u64>,
     /// Data keys: volume and object.
-    keys: Door<(u64, u64)>,
+    keys: Interner<(u64, u64)>,
     /// Requests in flight, by their ids.
     in_flight: HashMap<RequestId, BioId>,
 }
@@ -58,11 +58,11 @@
         self.in_flight.insert(request.id, id);
         Ok(Bio {
             id,
-            group: request.io_class,
+            class: request.io_class,
             plan: request.plan,
-            vol: VolId(self.volumes.enter(&request.volume)),
-            key: Some(KeyId(self.keys.enter(&(request.volume, request.object)))),
-            hard_limit: now + timeout(request, settings),
+            volume: VolumeId(self.volumes.intern(&request.volume)),
+            key: Some(KeyId(self.keys.intern(&(request.volume, request.object)))),
+            deadline: now + timeout(request, settings),
             units: request.units,
             shard: request.shard,
             hosts: request.host_count,
@@ -80,7 +80,7 @@
     }
 
     /// Forgets a volume.
-    pub fn release_volume(&mut self, volume: VolId) {
+    pub fn release_volume(&mut self, volume: VolumeId) {
         self.volumes.release(volume.0);
     }
 
@@ -91,7 +91,7 @@
 
     /// The index of a node, a new one if it has none.
     pub fn intern_node(&mut self, name: &String) -> NodeId {
-        NodeId(self.nodes.enter(name))
+        NodeId(self.nodes.intern(name))
     }
 
     /// The index of a node, if it has one.
@@ -106,7 +106,7 @@
         &mut self,
         event: &WatchEvent,
         settings: &PlatformSettings,
-        into: &mut Vec<Listed>,
+        into: &mut Vec<NodeEndpoint>,
     ) {
         into.clear();
         for endpoint in &event.endpoints {
@@ -114,16 +114,16 @@
                 continue;
             }
             let node = self.intern_node(&endpoint.name);
-            into.push(Listed {
+            into.push(NodeEndpoint {
                 node,
                 zone: zone_index(endpoint, node, settings),
                 shard: endpoint.shard,
                 state: match endpoint.health {
                     Health::Ready => NodeState::Active,
-                    Health::Draining => NodeState::Leaving,
-                    Health::Removed => NodeState::Left,
+                    Health::Draining => NodeState::Draining,
+                    Health::Removed => NodeState::Removed,
                 },
-                came_up: endpoint.started_at_ms.max(0) * TICKS_PER_MS,
+                started_at: endpoint.started_at_ms.max(0) * TICKS_PER_MS,
             });
         }
     }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,7 +1,7 @@
 //! Responses: what a node's response reports, and what a host answers its clients.
 use crate::INFALLIBLE;
 use mallowseam_http1::ResponseHead;
-use mallowseam_scheduler::host::{Ending, Report};
+use mallowseam_scheduler::interface::{AttemptResult, LoadReport};
 use std::io::Write;
 
 /// Status of a rejected request: the client may safely try again.
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct NodeResponse {
     /// How the attempt completed.
-    pub ending: Ending,
+    pub ending: AttemptResult,
     /// `X-Iops-Used`: 1 plus the volume's use at all nodes, in per cent of its plan's usual rate; 0 if not reported.
     pub usage: f64,
     /// `X-Rho`: units that the node served for the volume through other hosts since its last response to this one.
     pub by_others: f64,
     /// `X-Server-Load`: the node's load report.
-    pub load_report: Report,
+    pub load_report: LoadReport,
 }
 
 /// Reads a node's response off its head. Only `X-Not-Processed: 1` from the node itself proves that the block I/O
@@ -30,9 +30,9 @@
 pub fn parse(head: &ResponseHead) -> NodeResponse {
     let not_processed = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
     let ending = match head.status {
-        200 => Ending::Done,
-        503 | 504 if not_processed => Ending::Busy,
-        _ => Ending::Error,
+        200 => AttemptResult::Completed,
+        503 | 504 if not_processed => AttemptResult::Rejected,
+        _ => AttemptResult::Error,
     };
     NodeResponse {
         ending,
@@ -47,11 +47,15 @@
     value.filter(|v| is_figure(*v)).unwrap_or(0.0)
 }
 
-fn load_report(head: &ResponseHead) -> Report {
+fn load_report(head: &ResponseHead) -> LoadReport {
     let text = head.headers.single("X-Server-Load").ok().flatten();
     let value = text.and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok()).unwrap_or_default();
     let figure = |name: &str| value[name].as_f64().filter(|v| is_figure(*v));
-    Report { waiting: figure("backlog"), service_ms: figure("recent_ms"), busy: figure("utilization") }
+    LoadReport {
+        backlog: figure("backlog"),
+        service_time_ms: figure("recent_ms"),
+        utilization: figure("utilization"),
+    }
 }
 
 fn is_figure(value: f64) -> bool {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -6,7 +6,9 @@
 mod reader;
 
 use crate::field_error::{self, FieldError};
-use mallowseam_scheduler::host::{Effect, IoGroup, Plan, Scope, Terms, Tick};
+use mallowseam_scheduler::interface::{
+    DeduplicationScope, Idempotency, IoClass, Plan, SchedulerConfig, Tick,
+};
 use reader::{Object, Reader};
 use serde_json::Value;
 use thiserror::Error;
@@ -15,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformSettings {
     /// The scheduler's configuration.
-    pub scheduler: Terms,
+    pub scheduler: SchedulerConfig,
     /// Names of the I/O classes, in the scheduler's order.
     pub class_names: Vec<String>,
     /// Names of the plans, in the scheduler's order.
@@ -62,15 +64,15 @@
     let classes = read_classes(&mut reader, &root);
     let plans = read_plans(&mut reader, &root);
     // Without a statement on how lists arrive, the strictest reading: what the service knows counts at once.
-    let list_on_request =
+    let endpoints_polled =
         reader.choice(&root, "registry_mode", &["on_request", "pushed"]) == Some("on_request");
     let rules = root.object("rules");
     reader.all_or_none(&rules, &["cold_from", "cold_us", "fall_multiple", "fall_us"]);
     reader.all_or_none(&rules, &["extra_ratio", "look_back_us"]);
-    let scheduler = Terms {
-        groups: classes.configs,
+    let scheduler = SchedulerConfig {
+        classes: classes.configs,
         plans: plans.configs,
-        ..read_scheduler(&mut reader, &root, list_on_request)
+        ..read_scheduler(&mut reader, &root, endpoints_polled)
     };
     let limits = root.object("limits");
     let zones = array(value, "localities").iter().filter_map(|z| z.as_str().map(str::to_owned)).collect();
@@ -110,7 +112,7 @@
 #[derive(Default)]
 struct Classes {
     names: Vec<String>,
-    configs: Vec<IoGroup>,
+    configs: Vec<IoClass>,
     longest_deadline: Tick,
 }
 
@@ -135,37 +137,36 @@
     classes
 }
 
-fn read_class(reader: &mut Reader, class: &Object, writes: bool) -> IoGroup {
-    let effect = read_effect(reader, class);
-    IoGroup {
-        effect,
-        goal: ticks_down(reader.positive(class, "aim_us")),
-        late_share: reader.number(class, "late_share"),
-        gain: reader.number(class, "worth"),
+fn read_class(reader: &mut Reader, class: &Object, writes: bool) -> IoClass {
+    IoClass {
+        idempotency: read_idempotency(reader, class),
+        latency_objective: ticks_down(reader.positive(class, "aim_us")),
+        late_weight_ratio: reader.number(class, "late_share"),
+        priority_weight: reader.number(class, "worth"),
         ordered: reader.flag(class, "keep_order"),
         writes,
     }
 }
 
 /// Whether and within which bounds a block I/O may be repeated.
-fn read_effect(reader: &mut Reader, class: &Object) -> Effect {
+fn read_idempotency(reader: &mut Reader, class: &Object) -> Idempotency {
     const REPEAT: [&str; 3] = ["idempotent", "deduplicated", "at_most_once"];
     let scope = match reader.choice(class, "key_scope", &["all", "zone", "cell"]) {
-        Some("all") => Scope::All,
-        Some("zone") => Scope::Zone,
+        Some("all") => DeduplicationScope::All,
+        Some("zone") => DeduplicationScope::Zone,
         // The narrowest, where nothing says how far repeats are recognized.
-        _ => Scope::Cell,
+        _ => DeduplicationScope::Shard,
     };
-    let memory = reader.ticks_down(class, "key_ttl_us");
+    let window = reader.ticks_down(class, "key_ttl_us");
     match reader.choice(class, "repeat", &REPEAT) {
-        Some("idempotent") => Effect::Idempotent,
-        Some("deduplicated") => Effect::Fingerprinted { scope, memory },
-        Some(_) => Effect::SideEffecting,
+        Some("idempotent") => Idempotency::Idempotent,
+        Some("deduplicated") => Idempotency::IdempotentByKey { scope, window },
+        Some(_) => Idempotency::NonIdempotent,
         None => {
             if class.value["repeat"].is_null() {
                 reader.reject(class, "repeat", &REPEAT.join(" or "));
             }
-            Effect::SideEffecting
+            Idempotency::NonIdempotent
         }
     }
 }
@@ -186,46 +187,50 @@
         reader.reject(plan, "limit", "a figure, 0 for none");
     }
     Plan {
-        usual: reader.number(plan, "usual_rate"),
-        reserve: reader.number(plan, "floor_rate"),
-        limit: reader.number(plan, "limit"),
-        limit_burst: reader.number(plan, "limit_burst"),
-        wt: reader.number(plan, "weight"),
-        price: if plan.value["worth_factor"].is_null() { 1.0 } else { reader.number(plan, "worth_factor") },
+        usual_rate: reader.number(plan, "usual_rate"),
+        reserved_rate: reader.number(plan, "floor_rate"),
+        rate_limit: reader.number(plan, "limit"),
+        burst_units: reader.number(plan, "limit_burst"),
+        weight: reader.number(plan, "weight"),
+        priority_factor: if plan.value["worth_factor"].is_null() {
+            1.0
+        } else {
+            reader.number(plan, "worth_factor")
+        },
     }
 }
 
 /// The scheduler's configuration without classes and plans, field by field.
-fn read_scheduler(reader: &mut Reader, root: &Object, list_on_request: bool) -> Terms {
+fn read_scheduler(reader: &mut Reader, root: &Object, endpoints_polled: bool) -> SchedulerConfig {
     let (extra, limits, rules) = (root.object("extra"), root.object("limits"), root.object("rules"));
-    Terms {
+    SchedulerConfig {
         hosts: reader.positive(root, "balancers") as u32,
-        mean_units: reader.number(&extra, "mean_units"),
-        largest: reader.number(&extra, "largest"),
-        share_gain: reader.number(&extra, "within_share"),
-        spare_gain: reader.number(&extra, "spare_worth"),
-        meter: reader.ticks_down(&extra, "meter_us"),
-        counts_others: reader.flag(&extra, "counts_others"),
-        may_cancel: reader.flag(&limits, "cancel"),
-        may_probe: reader.flag(&limits, "probes"),
-        may_tell: reader.flag(&limits, "peer_messages"),
-        may_duplicate: reader.flag(&limits, "may_duplicate"),
-        may_name_return: reader.flag(&limits, "retry_after"),
-        longest_return: reader.ticks_down(&limits, "max_retry_after_us"),
-        max_submits: reader.number(&limits, "max_attempts") as u32,
-        list_on_request,
-        list_pushed: !list_on_request,
-        ask_within: reader.ticks_down(&rules, "ask_within_us"),
-        cold_bears: reader.number(&extra, "cold_bears"),
-        cold_from: reader.number(&rules, "cold_from"),
-        cold_span: reader.ticks_up(&rules, "cold_us"),
-        fall_span: reader.ticks_up(&rules, "fall_us"),
-        fall_multiple: reader.number(&rules, "fall_multiple"),
-        order_rest: reader.ticks_up(&rules, "order_pause_us"),
-        budget_free: reader.number(&rules, "free_resends"),
-        budget_share: reader.number(&rules, "extra_ratio"),
-        budget_span: reader.ticks_up(&rules, "look_back_us"),
+        mean_io_units: reader.number(&extra, "mean_units"),
+        max_io_units: reader.number(&extra, "largest"),
+        share_weight_factor: reader.number(&extra, "within_share"),
+        spare_weight_factor: reader.number(&extra, "spare_worth"),
+        metering_window: reader.ticks_down(&extra, "meter_us"),
+        other_hosts_usage_reported: reader.flag(&extra, "counts_others"),
+        allow_cancel: reader.flag(&limits, "cancel"),
+        allow_health_checks: reader.flag(&limits, "probes"),
+        allow_peer_messages: reader.flag(&limits, "peer_messages"),
+        allow_hedging: reader.flag(&limits, "may_duplicate"),
+        allow_retry_after: reader.flag(&limits, "retry_after"),
+        max_retry_after: reader.ticks_down(&limits, "max_retry_after_us"),
+        max_attempts: reader.number(&limits, "max_attempts") as u32,
+        endpoints_polled,
+        endpoints_pushed: !endpoints_polled,
+        max_poll_delay: reader.ticks_down(&rules, "ask_within_us"),
+        slow_start_capacity: reader.number(&extra, "cold_bears"),
+        slow_start_initial_rate: reader.number(&rules, "cold_from"),
+        slow_start_duration: reader.ticks_up(&rules, "cold_us"),
+        overload_window: reader.ticks_up(&rules, "fall_us"),
+        overload_multiple: reader.number(&rules, "fall_multiple"),
+        ordering_cooldown: reader.ticks_up(&rules, "order_pause_us"),
+        retry_budget_min: reader.number(&rules, "free_resends"),
+        retry_budget_ratio: reader.number(&rules, "extra_ratio"),
+        retry_budget_window: reader.ticks_up(&rules, "look_back_us"),
         // The settings say nothing of the rest: whoever runs the host sets it.
-        ..Terms::default()
+        ..SchedulerConfig::default()
     }
 }
