--- /dev/null
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -0,0 +1,87 @@
+//! The smallest limit of descriptors, with idle clients that would take them all: those that the host itself needs
+//! are reserved.
+use crate::support::client::Client;
+use crate::support::host_process::{HostProcess, run_with_descriptors};
+use crate::support::node::Node;
+use crate::support::scripted_endpoint_service::{HEAD, ScriptedEndpointService};
+use crate::support::wait_until;
+use nix::sys::signal::Signal;
+use std::net::{SocketAddr, TcpListener};
+
+/// The smallest limit that a configuration may name.
+const MIN_DESCRIPTORS: u64 = 64;
+
+/// An address where nobody listens.
+fn unused_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
+}
+
+fn with_min_descriptors(config: &str, endpoint_service: SocketAddr) -> String {
+    let from = config.find("\"discovery\":\"").expect("a field") + "\"discovery\":\"".len();
+    let to = from + config[from..].find('"').expect("its end");
+    let config = format!("{}{endpoint_service}{}", &config[..from], &config[to..]);
+    config.replace("\"sockets\":256", &format!("\"sockets\":{MIN_DESCRIPTORS}"))
+}
+
+/// Connects far more clients than there are descriptors: silent ones, and ones that stay idle after a request.
+fn connect_idle_clients(host: &HostProcess, idle: &mut Vec<Client>) {
+    for n in 0..120 {
+        let mut client = host.client();
+        if n % 2 == 0 {
+            client.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
+        }
+        idle.push(client);
+    }
+    assert!(host.descriptors() as u64 <= MIN_DESCRIPTORS);
+}
+
+#[test]
+fn exhausted_descriptors_leave_room_for_polls_nodes_clients_and_reloads() {
+    let (service, nodes) = (ScriptedEndpointService::new(), vec![Node::new()]);
+    let host = HostProcess::start_within(nodes, Some(MIN_DESCRIPTORS), |config, _| {
+        with_min_descriptors(&config, unused_address())
+    });
+    let wait_until_served = || {
+        wait_until("the host serves", || host.client().read(&format!("r{}", host.next_number()), 0).0 == 200)
+    };
+    let mut idle = Vec::new();
+    wait_until("the host listens", || std::net::TcpStream::connect(host.address()).is_ok());
+    connect_idle_clients(&host, &mut idle);
+    wait_until_served();
+    // The file names a service that is there, and the clients goes on.
+    host.write_config(&with_min_descriptors(&host.config(&host.endpoint_service), service.address));
+    host.signal(Signal::SIGHUP);
+    connect_idle_clients(&host, &mut idle);
+    service.wait_for_request(0);
+    service.send(0, HEAD);
+    service.send_line(0, 50, true, &host.nodes[0].entry("s-0", 0, "ready"));
+    wait_until_served();
+    connect_idle_clients(&host, &mut idle);
+    // The watch ends meanwhile: the next one gets a descriptor, and its drain is obeyed.
+    service.close(0);
+    connect_idle_clients(&host, &mut idle);
+    service.wait_for_request(1);
+    service.send(1, HEAD);
+    service.send_line(1, 51, false, &host.nodes[0].entry("s-0", 0, "draining"));
+    wait_until("the drain is obeyed", || host.client().read(&format!("d{}", host.next_number()), 0).0 == 503);
+    assert!(host.descriptors() as u64 <= MIN_DESCRIPTORS);
+}
+
+#[test]
+fn too_few_descriptors_are_rejected_at_startup_with_the_reason() {
+    let config = {
+        let host = HostProcess::new(1);
+        with_min_descriptors(&host.config(&host.endpoint_service), unused_address())
+    };
+    let refused = |text: &str, descriptors: Option<u64>| {
+        let mut host = run_with_descriptors(text, descriptors);
+        let mut log = String::new();
+        std::io::Read::read_to_string(&mut host.stderr.take().expect("piped"), &mut log).expect("text");
+        assert_eq!(host.wait().expect("a child").code(), Some(1), "{log}");
+        log
+    };
+    let few = refused(&config.replace("\"sockets\":64", "\"sockets\":63"), None);
+    assert!(few.contains("limits.sockets: expected 64 or more"), "{few}");
+    let system = refused(&config, Some(63));
+    assert!(system.contains("63 descriptors"), "{system}");
+}
--- /dev/null
+++ b/crates/gateway/tests/platform/support/mod.rs
@@ -0,0 +1,25 @@
+//! What the tests of the platform's host share: the host's process, and peers that a test controls.
+pub mod client;
+pub mod endpoint_service;
+pub mod host_process;
+pub mod node;
+pub mod scripted_endpoint_service;
+pub mod socket_table;
+
+use mallowseam_http1::Limits;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Limits of messages that the peers accept.
+pub const MESSAGE_LIMITS: Limits = Limits { head: 16_384, body: 1 << 20 };
+/// How long a single wait may last: far longer than any time that a test depends on.
+const PATIENCE: Duration = Duration::from_secs(10);
+
+/// Waits until a condition holds; panics where it does not in time.
+pub fn wait_until(expected: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < PATIENCE, "waited in vain: {expected}");
+        thread::sleep(Duration::from_millis(5));
+    }
+}
--- /dev/null
+++ b/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
@@ -0,0 +1,106 @@
+//! An endpoint list service that a test scripts: a request waits until the test answers it, and its connection stays
+//! open until the test closes it.
+use super::socket_table::wait_until_delivered;
+use super::wait_until;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+/// The head of a watch's response.
+pub const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// A chunk of a watch's response.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// A line of a watch: a full snapshot, or changes.
+pub fn line(version: u64, full: bool, entries: &str) -> String {
+    format!("{{\"seq\":{version},\"whole\":{full},\"hosts\":[{entries}]}}\n")
+}
+
+struct Request {
+    /// Path and query.
+    target: String,
+    socket: TcpStream,
+}
+
+/// The service; requests are numbered in the order in which they come.
+pub struct ScriptedEndpointService {
+    pub address: SocketAddr,
+    requests: Arc<Mutex<Vec<Request>>>,
+}
+
+impl ScriptedEndpointService {
+    /// A service that answers nothing by itself.
+    pub fn new() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
+        let address = listener.local_addr().expect("bound");
+        let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
+        let received = requests.clone();
+        thread::spawn(move || {
+            for mut socket in listener.incoming().flatten() {
+                let target = read_target(&mut socket);
+                received.lock().expect("no panic").push(Request { target, socket });
+            }
+        });
+        ScriptedEndpointService { address, requests }
+    }
+
+    /// Requests received so far.
+    pub fn requests(&self) -> usize {
+        self.requests.lock().expect("no panic").len()
+    }
+
+    /// Waits for a request; its path and query.
+    pub fn wait_for_request(&self, number: usize) -> String {
+        wait_until("the endpoint service gets a request", || self.requests() > number);
+        self.requests.lock().expect("no panic")[number].target.clone()
+    }
+
+    /// Sends text on the connection of a request, and waits until it is delivered.
+    pub fn send(&self, number: usize, text: &str) {
+        self.wait_for_request(number);
+        let mut requests = self.requests.lock().expect("no panic");
+        let socket = &mut requests[number].socket;
+        if socket.write_all(text.as_bytes()).is_ok() && socket.peer_addr().is_ok() {
+            wait_until_delivered(socket);
+        }
+    }
+
+    /// Sends a line of a watch.
+    pub fn send_line(&self, number: usize, version: u64, full: bool, entries: &str) {
+        self.send(number, &chunk(&line(version, full, entries)));
+    }
+
+    /// Closes the connection of a request.
+    pub fn close(&self, number: usize) {
+        let _ = self.requests.lock().expect("no panic")[number].socket.shutdown(Shutdown::Both);
+    }
+
+    /// Requests whose connection neither side has closed.
+    pub fn open_requests(&self) -> usize {
+        let requests = self.requests.lock().expect("no panic");
+        let is_open = |socket: &TcpStream| {
+            socket.set_nonblocking(true).expect("a socket");
+            let peeked = socket.peek(&mut [0]);
+            socket.set_nonblocking(false).expect("a socket");
+            matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
+        };
+        requests.iter().filter(|request| is_open(&request.socket)).count()
+    }
+}
+
+/// Reads the head of a request; its path and query.
+fn read_target(socket: &mut TcpStream) -> String {
+    let (mut head, mut bytes) = (Vec::new(), [0; 1_024]);
+    while !head.ends_with(b"\r\n\r\n") {
+        match socket.read(&mut bytes) {
+            Ok(n) if n > 0 => head.extend_from_slice(&bytes[..n]),
+            _ => break,
+        }
+    }
+    let text = String::from_utf8_lossy(&head);
+    text.split(' ').nth(1).unwrap_or_default().to_owned()
+}
--- /dev/null
+++ b/crates/gateway/tests/platform/support/socket_table.rs
@@ -0,0 +1,46 @@
+//! The system's table of TCP sockets: which connections are pending, and which bytes are not delivered or not read.
+use super::wait_until;
+use std::net::{SocketAddr, TcpStream};
+
+/// Codes of states in the table.
+pub const ESTABLISHED: &str = "01";
+pub const SYN_SENT: &str = "02";
+
+/// A row of the table.
+pub struct SocketRow {
+    pub local: String,
+    pub remote: String,
+    pub state: String,
+    /// Bytes were sent that the other side's socket has not acknowledged.
+    pub undelivered: bool,
+    /// Bytes were received that the owner has not read.
+    pub unread: bool,
+}
+
+/// The rows of all sockets.
+pub fn sockets() -> Vec<SocketRow> {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
+    table.lines().skip(1).filter_map(parse_row).collect()
+}
+
+fn parse_row(line: &str) -> Option<SocketRow> {
+    let mut fields = line.split_whitespace().skip(1).map(str::to_owned);
+    let (local, remote, state) = (fields.next()?, fields.next()?, fields.next()?);
+    let queues = fields.next()?;
+    let (undelivered, unread) = (!queues.starts_with("00000000:"), !queues.ends_with(":00000000"));
+    Some(SocketRow { local, remote, state, undelivered, unread })
+}
+
+/// An address in the notation of the table.
+pub fn table_address(address: SocketAddr) -> String {
+    let SocketAddr::V4(address) = address else { panic!("IPv4") };
+    format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
+}
+
+/// Waits until all bytes that were written to a socket are in the other side's socket.
+pub fn wait_until_delivered(socket: &TcpStream) {
+    let local = table_address(socket.local_addr().expect("bound"));
+    let remote = table_address(socket.peer_addr().expect("connected"));
+    let is_undelivered = |row: &SocketRow| row.local == local && row.remote == remote && row.undelivered;
+    wait_until("all bytes are delivered", || !sockets().iter().any(is_undelivered));
+}
