--- a/crates/gateway/tests/platform/descriptor_limits.rs
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -48,7 +48,7 @@
     wait_until("the host listens", || std::net::TcpStream::connect(host.address()).is_ok());
     connect_idle_clients(&host, &mut idle);
     wait_until_served();
-    // The file names a service that is there, and the clients goes on.
+    // The new configuration names a running service, and idle clients go on connecting.
     host.write_config(&with_min_descriptors(&host.config(&host.endpoint_service), service.address));
     host.signal(Signal::SIGHUP);
     connect_idle_clients(&host, &mut idle);
