--- a/crates/gateway/src/dispatcher/block_io.rs
+++ b/crates/gateway/src/dispatcher/block_io.rs
@@ -6,7 +6,7 @@
 use mallowseam_cow::split_write::SplitWrite;
 use mallowseam_cow::tree::{LayerId, Location};
 use mallowseam_iscsi::initiator::Payload;
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use std::rc::Rc;
 
 /// A tag of an attempt has the block I/O's index in its lower bits and the number of the attempt above them, so
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -6,7 +6,7 @@
 use mallowseam_endpoint_list::{
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, UpdateKind, WatchEvent,
 };
-use mallowseam_scheduler::host::{ListForm, Listed, NodeId, NodeState, Tick};
+use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, NodeId, NodeState, Tick};
 use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -30,8 +30,8 @@
 
 /// A list, or the changes since the last one, as the scheduler takes it.
 pub(crate) struct ListUpdate {
-    pub(crate) form: ListForm,
-    pub(crate) nodes: Vec<Listed>,
+    pub(crate) form: EndpointEvent,
+    pub(crate) nodes: Vec<NodeEndpoint>,
 }
 
 /// The connection to the endpoint list service and what it has told.
@@ -89,15 +89,15 @@
     /// where there is no service.
     pub(crate) fn start(&mut self, now: Tick) {
         if self.address.is_none() {
-            let listed = |(index, node): (usize, &KnownNode)| Listed {
+            let listed = |(index, node): (usize, &KnownNode)| NodeEndpoint {
                 node: NodeId(index as u32),
                 zone: node.zone,
                 shard: node.shard,
                 state: NodeState::Active,
-                came_up: 0,
+                started_at: 0,
             };
             let nodes = self.nodes.iter().enumerate().map(listed).collect();
-            self.updates.push_back(ListUpdate { form: ListForm::Whole, nodes });
+            self.updates.push_back(ListUpdate { form: EndpointEvent::FullSnapshot, nodes });
             return;
         }
         self.restore_cache(now);
@@ -109,7 +109,7 @@
             Ok(text) => match self.watcher.restore_cache(&text) {
                 Ok(update) => {
                     tracing::info!(nodes = update.endpoints.len(), "cached endpoint list loaded");
-                    self.queue(ListForm::Kept, &update, now);
+                    self.queue(EndpointEvent::Cached, &update, now);
                 }
                 Err(e) => tracing::warn!(error = %e, "cached endpoint list not used"),
             },
@@ -157,7 +157,7 @@
             let _ = self.registry.deregister(&mut socket);
         }
         self.request.finished();
-        self.updates.push_back(ListUpdate { form: ListForm::Failed, nodes: Vec::new() });
+        self.updates.push_back(ListUpdate { form: EndpointEvent::PollFailed, nodes: Vec::new() });
     }
 
     /// Writes and reads as far as the socket lets it.
@@ -200,8 +200,8 @@
             WatchEvent::Update(update) => {
                 self.request.finished();
                 let form = match update.kind {
-                    UpdateKind::FullSnapshot => ListForm::Whole,
-                    UpdateKind::Incremental => ListForm::Changes,
+                    UpdateKind::FullSnapshot => EndpointEvent::FullSnapshot,
+                    UpdateKind::Incremental => EndpointEvent::Incremental,
                 };
                 self.queue(form, &update, now);
                 self.write_cache();
@@ -209,7 +209,7 @@
         }
     }
 
-    fn queue(&mut self, form: ListForm, update: &EndpointUpdate, now: Tick) {
+    fn queue(&mut self, form: EndpointEvent, update: &EndpointUpdate, now: Tick) {
         let mut nodes = Vec::new();
         for entry in &update.endpoints {
             let (node, state) = (&entry.name, entry.state.as_str());
@@ -224,7 +224,7 @@
     }
 
     /// An entry of the list as the scheduler takes it; none: the configuration lacks its node.
-    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<Listed> {
+    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<NodeEndpoint> {
         let index = self.nodes.iter().position(|node| node.name == entry.name)?;
         let node = &mut self.nodes[index];
         // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It never
@@ -237,16 +237,16 @@
         } else {
             node.up_since = node.up_since.min(began);
         }
-        Some(Listed {
+        Some(NodeEndpoint {
             node: NodeId(index as u32),
             zone: node.zone,
             shard: node.shard,
             state: match entry.state {
                 EndpointState::Active => NodeState::Active,
-                EndpointState::Draining => NodeState::Leaving,
-                EndpointState::Removed => NodeState::Left,
+                EndpointState::Draining => NodeState::Draining,
+                EndpointState::Removed => NodeState::Removed,
             },
-            came_up: node.up_since,
+            started_at: node.up_since,
         })
     }
 
--- a/crates/gateway/src/placement/replay.rs
+++ b/crates/gateway/src/placement/replay.rs
@@ -2,8 +2,8 @@
 use super::answer_file::Answer;
 use super::{GAIN_SCALE, PlacementError, answer_file, gain_per_second, problem_file};
 use crate::demand::{self, Interval};
-use mallowseam_shares::model::{MOST, Problem, Volume};
-use mallowseam_shares::value::gain_of;
+use mallowseam_placement::objective::{VolumeShare, gain_at_demand};
+use mallowseam_placement::problem::{MAX_NUMBER, Problem, Volume};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -54,17 +54,21 @@
 
 /// The gain of an answer in each interval.
 fn gains_of(problem: &Problem, answer: &Answer, intervals: &[Interval]) -> Vec<i128> {
-    let reserve_and_weight = |volume: &Volume| {
+    let share_of = |volume: &Volume| {
         let own = answer.shares.iter().find(|share| share.volume == volume.name);
-        own.map_or((volume.reserve, volume.weight), |share| (share.reserved_milliunits, share.weight))
+        let given = VolumeShare { reserved_rate: volume.reserved_rate, weight: volume.weight };
+        own.map_or(given, |share| VolumeShare {
+            reserved_rate: share.reserved_milliunits,
+            weight: share.weight,
+        })
     };
-    let shares: Vec<(u64, u64)> = problem.volumes.iter().map(reserve_and_weight).collect();
+    let shares: Vec<VolumeShare> = problem.volumes.iter().map(share_of).collect();
     let gain = |interval: &Interval| {
         let requested = |volume: &Volume| {
-            (interval.get(&volume.name).copied().unwrap_or(0.0) * 1000.0).min(MOST as f64) as u64
+            (interval.get(&volume.name).copied().unwrap_or(0.0) * 1000.0).min(MAX_NUMBER as f64) as u64
         };
         let requested: Vec<u64> = problem.volumes.iter().map(requested).collect();
-        gain_of(problem, &answer.placement, &shares, &requested)
+        gain_at_demand(problem, &answer.placement, &shares, &requested)
     };
     intervals.iter().map(gain).collect()
 }
--- a/crates/lab/src/brute.rs
+++ b/crates/lab/src/brute.rs
@@ -1,6 +1,6 @@
 //! Small problems of shares, drawn at random, and a plain enumeration of every placement, written apart from
 //! the search that it checks.
-use mallowseam_shares::model::{Node, Volume};
+use mallowseam_placement::problem::{Node, Volume};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -24,20 +24,24 @@
             let reserve = rng.random_range(0..8) * 1000;
             let spread = rng.random_range(1..=count.min(2));
             Volume {
-                reserve_most: 0,
-                limit: 0,
+                max_reserved_rate: 0,
+                rate_limit: 0,
                 name: format!("v{i}"),
-                reserve,
-                surge: reserve + rng.random_range(0..3) * 4000,
+                reserved_rate: reserve,
+                surge_rate: reserve + rng.random_range(0..3) * 4000,
                 weight: rng.random_range(0..3),
-                price: rng.random_range(1..3) * 1000,
+                priority_factor: rng.random_range(1..3) * 1000,
                 spread,
-                survives_node: spread > 1 && rng.random_range(0..4) == 0,
-                survives_zone: rng.random_range(0..8) == 0,
-                apart: rng.random_range(0..4) == 0,
+                survives_node_loss: spread > 1 && rng.random_range(0..4) == 0,
+                survives_zone_loss: rng.random_range(0..8) == 0,
+                distinct_zones: rng.random_range(0..4) == 0,
                 zone: (rng.random_range(0..6) == 0).then(|| nodes[rng.random_range(0..count)].zone.clone()),
                 size: rng.random_range(0..3) * 100,
-                today: nodes.iter().filter(|_| rng.random_range(0..3) == 0).map(|n| n.name.clone()).collect(),
+                current_nodes: nodes
+                    .iter()
+                    .filter(|_| rng.random_range(0..3) == 0)
+                    .map(|n| n.name.clone())
+                    .collect(),
             }
         })
         .collect();
@@ -53,19 +57,20 @@
     let scale = |r: u64| i128::from(r) * 840;
     for (v, set) in volumes.iter().zip(at) {
         let zones: BTreeSet<&str> = set.iter().map(|n| nodes[*n].zone.as_str()).collect();
-        if v.apart && zones.len() < set.len() || v.zone.as_ref().is_some_and(|z| zones.iter().any(|x| x != z))
+        if v.distinct_zones && zones.len() < set.len()
+            || v.zone.as_ref().is_some_and(|z| zones.iter().any(|x| x != z))
         {
             return None;
         }
     }
     // Each loss that somebody has to survive, and none at all.
     let mut losses: Vec<(Vec<usize>, Vec<bool>)> = vec![(vec![], vec![false; volumes.len()])];
-    if volumes.iter().any(|v| v.survives_node) {
-        let who: Vec<bool> = volumes.iter().map(|v| v.survives_node).collect();
+    if volumes.iter().any(|v| v.survives_node_loss) {
+        let who: Vec<bool> = volumes.iter().map(|v| v.survives_node_loss).collect();
         losses.extend((0..nodes.len()).map(|n| (vec![n], who.clone())));
     }
-    if volumes.iter().any(|v| v.survives_zone) {
-        let who: Vec<bool> = volumes.iter().map(|v| v.survives_zone).collect();
+    if volumes.iter().any(|v| v.survives_zone_loss) {
+        let who: Vec<bool> = volumes.iter().map(|v| v.survives_zone_loss).collect();
         for zone in nodes.iter().map(|n| &n.zone).collect::<BTreeSet<_>>() {
             losses.push(((0..nodes.len()).filter(|n| nodes[*n].zone == *zone).collect(), who.clone()));
         }
@@ -74,12 +79,12 @@
         let mut load = vec![0i128; nodes.len()];
         for (i, set) in at.iter().enumerate() {
             let left: Vec<usize> = set.iter().filter(|n| !lost.contains(n)).copied().collect();
-            if must[i] && left.is_empty() && volumes[i].reserve > 0 {
+            if must[i] && left.is_empty() && volumes[i].reserved_rate > 0 {
                 return None;
             }
             let parts = if must[i] { left.len() } else { set.len() };
             for n in &left {
-                load[*n] += scale(volumes[i].reserve) / parts as i128;
+                load[*n] += scale(volumes[i].reserved_rate) / parts as i128;
             }
         }
         if load.iter().zip(nodes).any(|(l, n)| *l > scale(n.capacity)) {
@@ -90,16 +95,17 @@
     for (n, node) in nodes.iter().enumerate() {
         let here: Vec<usize> = (0..at.len()).filter(|v| at[*v].contains(&n)).collect();
         let part = |v: usize, r: u64| scale(r) / at[v].len() as i128;
-        let spare = scale(node.capacity) - here.iter().map(|v| part(*v, volumes[*v].reserve)).sum::<i128>();
+        let spare =
+            scale(node.capacity) - here.iter().map(|v| part(*v, volumes[*v].reserved_rate)).sum::<i128>();
         let weights: i128 = here.iter().map(|v| i128::from(volumes[*v].weight)).sum();
         let mut left = spare;
         let mut rest = vec![];
         for v in here {
-            let price = i128::from(volumes[v].price);
-            let beyond = part(v, volumes[v].surge) - part(v, volumes[v].reserve);
+            let price = i128::from(volumes[v].priority_factor);
+            let beyond = part(v, volumes[v].surge_rate) - part(v, volumes[v].reserved_rate);
             let share =
                 if weights == 0 { 0 } else { spare * 9 * i128::from(volumes[v].weight) / (10 * weights) };
-            gain += 100 * price * part(v, volumes[v].reserve) + 35 * price * beyond.min(share);
+            gain += 100 * price * part(v, volumes[v].reserved_rate) + 35 * price * beyond.min(share);
             left -= beyond.min(share);
             rest.push((price, beyond - beyond.min(share)));
         }
@@ -112,7 +118,7 @@
     let used: BTreeSet<usize> = at.iter().flatten().copied().collect();
     let cost = used.iter().map(|n| i128::from(nodes[*n].cost)).sum::<i128>();
     let moved = volumes.iter().zip(at).map(|(v, set)| {
-        let fresh = set.iter().filter(|n| !v.today.contains(&nodes[**n].name)).count();
+        let fresh = set.iter().filter(|n| !v.current_nodes.contains(&nodes[**n].name)).count();
         scale(v.size) / set.len() as i128 * fresh as i128
     });
     Some((gain, -cost, -moved.sum::<i128>()))
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::clients::RequestStatus;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
-use mallowseam_scheduler::host::ListForm;
+use mallowseam_scheduler::interface::EndpointEvent;
 use mio::Poll;
 use mio::net::TcpStream;
 use std::io::Write;
@@ -46,7 +46,7 @@
             r#"{{"seq":1,"whole":true,"hosts":[{{"host":"s","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}]}}"#
         );
         let update = mallowseam_platform::endpoints::parse(list.as_bytes()).expect("a sound list");
-        dispatcher.on_endpoints(&mut scheduler, ListForm::Whole, &update);
+        dispatcher.on_endpoints(&mut scheduler, EndpointEvent::FullSnapshot, &update);
         Fixture { _poll: poll, dispatcher, scheduler, node, listener }
     }
 
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -2,14 +2,15 @@
 //! waits for its end.
 use super::EventLoop;
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
 impl EventLoop {
     /// The platform asks the host to stop, and will kill it later.
     pub(super) fn on_sigterm(&mut self) {
         let settings = &self.dispatcher.settings;
-        let longest_objective = settings.scheduler.groups.iter().map(|class| class.goal).max().unwrap_or(0);
+        let longest_objective =
+            settings.scheduler.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0);
         let (longest_deadline, longest_objective) =
             (ticks_to_millis(settings.longest_deadline), ticks_to_millis(longest_objective));
         let now = self.dispatcher.now_ms();
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -14,8 +14,8 @@
 use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_platform::config::{self, HostConfig};
 use mallowseam_platform::settings::PlatformSettings;
-use mallowseam_scheduler::host::{ListForm, Tick};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{EndpointEvent, Tick};
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_millis};
 use mallowseam_sockets::descriptors;
@@ -38,7 +38,7 @@
 /// Loads the configuration at startup, and raises the limit of descriptors to what it asks for.
 pub(super) fn load_config(path: &Path, discovery_call_ms: Option<u64>) -> Result<HostConfig, HostError> {
     let mut config = read_config(path)?;
-    config.settings.scheduler.ask_turn = discovery_call_ms.map(ticks_from_millis);
+    config.settings.scheduler.poll_service_time = discovery_call_ms.map(ticks_from_millis);
     // With fewer descriptors than budgeted, the host would run out of them at points where it cannot reject anything.
     let given = descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
     if given < config.max_sockets {
@@ -87,7 +87,7 @@
         self.dispatcher.fire_timer(&mut self.scheduler);
         if let Some(cached) = self.config.cached_list.take() {
             self.watch.use_cached(&cached);
-            self.dispatcher.on_endpoints(&mut self.scheduler, ListForm::Kept, &cached);
+            self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Cached, &cached);
         }
         self.run_timers();
     }
@@ -98,8 +98,8 @@
 /// tenths of their weight).
 fn host_settings(config: &HostConfig) -> PlatformSettings {
     let mut settings = config.settings.clone();
-    settings.scheduler.list_on_request = true;
-    settings.scheduler.word_by_half = true;
+    settings.scheduler.endpoints_polled = true;
+    settings.scheduler.shed_at_half_deadline = true;
     settings
 }
 
@@ -144,8 +144,8 @@
         connect_within_ms = ticks_to_millis(config.settings.connect_timeout),
         memory_mb = config.memory_mb,
         known = config.cached_list.as_ref().map_or(0, |cached| cached.endpoints.len()),
-        list_pushed = config.settings.scheduler.list_pushed,
-        ask_within_ms = ticks_to_millis(config.settings.scheduler.ask_within),
+        list_pushed = config.settings.scheduler.endpoints_pushed,
+        ask_within_ms = ticks_to_millis(config.settings.scheduler.max_poll_delay),
         "host starts"
     );
 }
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -2,7 +2,7 @@
 //! counters of its connections.
 use super::EventLoop;
 use mallowseam_connection_policy::client_connection::Phase;
-use mallowseam_scheduler::host::{NodeId, NodeView};
+use mallowseam_scheduler::interface::{NodeId, NodeStatus};
 
 impl EventLoop {
     /// Logs one line for the host and one for each node.
@@ -10,7 +10,7 @@
         self.log_host();
         let nodes: Vec<NodeId> = self.dispatcher.nodes.ids().collect();
         for node in nodes {
-            if let Some(view) = self.scheduler.view(self.dispatcher.now, node) {
+            if let Some(view) = self.scheduler.node_status(self.dispatcher.now, node) {
                 self.log_node(node, &view);
             }
         }
@@ -35,17 +35,17 @@
         );
     }
 
-    fn log_node(&mut self, node: NodeId, view: &NodeView) {
+    fn log_node(&mut self, node: NodeId, status: &NodeStatus) {
         let Some(counters) = self.dispatcher.nodes.counters_mut(node) else { return };
         tracing::info!(
             node = node.0,
-            open = view.open,
-            window = format!("{:.2}", view.window),
-            in_flight = view.out,
-            queued = view.held,
-            latency_ms = format!("{:.1}", view.wait / 10.0),
+            open = status.active,
+            window = format!("{:.2}", status.concurrency_window),
+            in_flight = status.in_flight,
+            queued = status.queued,
+            latency_ms = format!("{:.1}", status.mean_latency / 10.0),
             slowest_ms = counters.slowest / 10,
-            failures = view.failures,
+            failures = status.consecutive_failures,
             connections = counters.connections,
             attempts = counters.attempts,
             connections_opened = counters.connections_opened,
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -14,7 +14,7 @@
 use connection::NodeConnection;
 use deadlines::Deadlines;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
-use mallowseam_scheduler::host::{Ending, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
 use mallowseam_sockets::slab::Slab;
 use mio::Registry;
 use std::net::SocketAddr;
@@ -144,7 +144,7 @@
             let connection = self.connections.get(slot);
             let is_waiting = connection.is_some_and(|c| c.node == node && !c.is_up);
             if is_waiting && let Some(attempt) = self.close(slot) {
-                completed(attempt.complete(node, Ending::Moot));
+                completed(attempt.complete(node, AttemptResult::NotSent));
             }
         }
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,11 +5,11 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use mallowseam_platform::settings::{self, PlatformSettings};
-use mallowseam_scheduler::door::Door;
-use mallowseam_scheduler::host::{
-    Bio, BioId, KeyId, ListForm, Listed, NodeId, NodeState, Outcome, Tick, VolId,
+use mallowseam_scheduler::Interner;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{
+    AttemptOutcome, Bio, BioId, EndpointEvent, KeyId, NodeEndpoint, NodeId, NodeState, Tick, VolumeId,
 };
-use mallowseam_scheduler::scheduler::Scheduler;
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -17,14 +17,14 @@
 #[derive(Default)]
 pub struct Names {
     /// Requests, by the simulator's numbers.
-    pub requests: Door<u64>,
+    pub requests: Interner<u64>,
     /// Nodes.
-    pub nodes: Door<String>,
+    pub nodes: Interner<String>,
     /// Ordering keys.
-    pub keys: Door<String>,
+    pub keys: Interner<String>,
     /// Volumes.
-    pub volumes: Door<String>,
-    zones: Door<String>,
+    pub volumes: Interner<String>,
+    zones: Interner<String>,
     classes: Vec<String>,
     plans: Vec<String>,
 }
@@ -59,35 +59,41 @@
     /// Opens an instance with the seed and the settings that the fields hold.
     pub fn open(index: u64, now: Tick, fields: &mut Fields) -> Result<Self, InputError> {
         let seed = fields.whole_number("init_seed")?;
-        let PlatformSettings { scheduler: terms, class_names, plan_names, .. } =
+        let PlatformSettings { scheduler: config, class_names, plan_names, .. } =
             settings::parse(fields.remainder())?;
         let names = Names { classes: class_names, plans: plan_names, ..Names::default() };
-        Ok(Instance { index, scheduler: Scheduler::new(&terms, seed, now), names })
+        Ok(Instance { index, scheduler: Scheduler::new(&config, seed, now), names })
     }
 
     /// Reads one entry of an endpoint list.
-    pub fn endpoint(&mut self, fields: &mut Fields) -> Result<Listed, InputError> {
-        let node = NodeId(self.names.nodes.enter(&fields.text("brick")?.to_owned()));
-        let zone = self.names.zones.enter(&fields.next_value().unwrap_or_default().to_owned());
+    pub fn endpoint(&mut self, fields: &mut Fields) -> Result<NodeEndpoint, InputError> {
+        let node = NodeId(self.names.nodes.intern(&fields.text("brick")?.to_owned()));
+        let zone = self.names.zones.intern(&fields.next_value().unwrap_or_default().to_owned());
         fields.skip();
         let shard = fields.optional_number("cohort")?.unwrap_or(0.0) as u32;
         let states =
-            [("active", NodeState::Active), ("leaving", NodeState::Leaving), ("left", NodeState::Left)];
+            [("active", NodeState::Active), ("leaving", NodeState::Draining), ("left", NodeState::Removed)];
         let state = fields.one_of("condition", &states)?;
         fields.optional_number("scale")?;
-        let came_up_micros = fields.optional_number("came_up_us")?.unwrap_or(0.0) as i64;
-        Ok(Listed { node, zone, shard, state, came_up: came_up_micros / crate::fields::MICROS_PER_TICK })
+        let started_at_micros = fields.optional_number("came_up_us")?.unwrap_or(0.0) as i64;
+        Ok(NodeEndpoint {
+            node,
+            zone,
+            shard,
+            state,
+            started_at: started_at_micros / crate::fields::MICROS_PER_TICK,
+        })
     }
 
     /// An endpoint list was received in full.
     pub fn endpoints_listed(
         &mut self,
         now: Tick,
-        form: ListForm,
-        endpoints: &[Listed],
+        form: EndpointEvent,
+        endpoints: &[NodeEndpoint],
         output: &mut Vec<u8>,
     ) {
-        self.call(output, |scheduler, host| scheduler.listed(host, now, form, endpoints));
+        self.call(output, |scheduler, host| scheduler.on_endpoints(host, now, form, endpoints));
     }
 
     /// Passes an event to the scheduler.
@@ -111,20 +117,20 @@
 
     fn request(&mut self, now: Tick, fields: &mut Fields, output: &mut Vec<u8>) -> Result<(), InputError> {
         let request = fields.whole_number("xid")?;
-        let group = position(&self.names.classes, "tier_class", fields)?;
+        let class = position(&self.names.classes, "tier_class", fields)?;
         let plan = position(&self.names.plans, "contract", fields)?;
-        let key = fields.next_value().map(|key| KeyId(self.names.keys.enter(&key.to_owned())));
-        let hard_limit = fields.ticks("client_deadline_us")?;
-        let volume = fields.next_value().unwrap_or_default().to_owned();
-        let vol = VolId(self.names.volumes.enter(&volume));
+        let key = fields.next_value().map(|key| KeyId(self.names.keys.intern(&key.to_owned())));
+        let deadline = fields.ticks("client_deadline_us")?;
+        let volume_name = fields.next_value().unwrap_or_default().to_owned();
+        let volume = VolumeId(self.names.volumes.intern(&volume_name));
         let units = fields.optional_number("weight")?.filter(|units| *units >= 0.0).unwrap_or(1.0);
         let shard = fields.optional_number("placement")?.filter(|shard| *shard >= 0.0);
         let shard = shard.map(|shard| shard as u32);
         let hosts = fields.optional_number("attached")?.unwrap_or(1.0).max(1.0) as u32;
         fields.optional_number("opts")?;
-        let id = BioId(self.names.requests.enter(&request));
-        let bio = Bio { id, group, plan, vol, key, hard_limit, units, shard, hosts };
-        self.call(output, |scheduler, host| scheduler.take(host, now, bio));
+        let id = BioId(self.names.requests.intern(&request));
+        let bio = Bio { id, class, plan, volume, key, deadline, units, shard, hosts };
+        self.call(output, |scheduler, host| scheduler.on_arrival(host, now, bio));
         Ok(())
     }
 
@@ -135,19 +141,29 @@
         output: &mut Vec<u8>,
     ) -> Result<(), InputError> {
         let request = fields.whole_number("xid")?;
-        let ending = fields.ending()?;
-        let by_others = fields.optional_number("by_others")?.unwrap_or(0.0);
+        let result = fields.ending()?;
+        let units_by_other_hosts = fields.optional_number("by_others")?.unwrap_or(0.0);
         let node_name = fields.text("brick")?.to_owned();
-        let closed = fields.one_of("closed", &[("1", true), ("0", false)])?;
-        let wait = fields.ticks("wait_time_us")?;
-        let used = fields.optional_number("volume_use")?.unwrap_or(0.0);
+        let client_answered = fields.one_of("closed", &[("1", true), ("0", false)])?;
+        let latency = fields.ticks("wait_time_us")?;
+        let volume_usage = fields.optional_number("volume_use")?.unwrap_or(0.0);
         fields.optional_number("seq_no")?;
-        let report = fields.load_report()?;
+        let load_report = fields.load_report()?;
         let node = self.known_node(&node_name, fields)?;
         // A request that the scheduler has released is finished and has no attempt in flight.
         if let Some(id) = self.names.requests.find(&request) {
-            let outcome = Outcome { ending, node, closed, wait, by_others, used, report };
-            self.call(output, |scheduler, host| scheduler.ended(host, now, BioId(id), &outcome));
+            let outcome = AttemptOutcome {
+                result,
+                node,
+                client_answered,
+                latency,
+                units_by_other_hosts,
+                volume_usage,
+                load_report,
+            };
+            self.call(output, |scheduler, host| {
+                scheduler.on_attempt_finished(host, now, BioId(id), &outcome)
+            });
         }
         Ok(())
     }
@@ -160,7 +176,7 @@
     ) -> Result<(), InputError> {
         let request = fields.whole_number("xid")?;
         if let Some(id) = self.names.requests.find(&request) {
-            self.call(output, |scheduler, host| scheduler.gone(host, now, BioId(id)));
+            self.call(output, |scheduler, host| scheduler.on_disconnect(host, now, BioId(id)));
         }
         Ok(())
     }
@@ -172,7 +188,7 @@
         output: &mut Vec<u8>,
     ) -> Result<(), InputError> {
         fields.whole_number("mark")?;
-        self.call(output, |scheduler, host| scheduler.woken(host, now));
+        self.call(output, |scheduler, host| scheduler.on_timer(host, now));
         Ok(())
     }
 
