--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -74,17 +74,17 @@
         if finished.write_protected && io.branch.is_some() {
             return self.on_closed_layer(index);
         }
-        let mut ending = if finished.write_protected { AttemptResult::Error } else { finished.ending };
-        if ending == AttemptResult::Completed && !self.is_complete(index, &finished) {
-            ending = AttemptResult::Error;
+        let mut result = if finished.write_protected { AttemptResult::Error } else { finished.result };
+        if result == AttemptResult::Completed && !self.is_complete(index, &finished) {
+            result = AttemptResult::Error;
         }
-        if ending == AttemptResult::Completed {
+        if result == AttemptResult::Completed {
             let io = self.block_ios.get_mut(index).expect("in flight");
             if !std::mem::replace(&mut io.answered, true) {
                 self.on_completed(index, finished.data);
             }
         }
-        self.finish_attempt(index, ending);
+        self.finish_attempt(index, result);
     }
 
     /// Whether a read has got all its bytes.
@@ -105,12 +105,12 @@
     }
 
     /// An attempt is finished: its outcome is queued for the scheduler.
-    pub(super) fn finish_attempt(&mut self, index: BlockIoIndex, ending: AttemptResult) {
+    pub(super) fn finish_attempt(&mut self, index: BlockIoIndex, result: AttemptResult) {
         let Some(io) = self.block_ios.get_mut(index) else { return };
         let Some(attempt) = io.attempt.take() else { return };
-        self.metrics.nodes[attempt.node as usize].count(ending);
+        self.metrics.nodes[attempt.node as usize].count(result);
         let did_not_run =
-            matches!(ending, AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent);
+            matches!(result, AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent);
         if self.classes[io.class()].non_idempotent
             && did_not_run
             && let Some(command) = io.command.and_then(|command| self.commands.get_mut(command))
@@ -118,7 +118,7 @@
             command.progress.attempt_did_not_run();
         }
         let outcome = AttemptOutcome {
-            result: ending,
+            result,
             node: NodeId(attempt.node),
             client_answered: io.answered || io.relocating,
             latency: self.now - attempt.sent,
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -30,7 +30,7 @@
 
 /// A list, or the changes since the last one, as the scheduler takes it.
 pub(crate) struct ListUpdate {
-    pub(crate) form: EndpointEvent,
+    pub(crate) event: EndpointEvent,
     pub(crate) nodes: Vec<NodeEndpoint>,
 }
 
@@ -97,7 +97,7 @@
                 started_at: 0,
             };
             let nodes = self.nodes.iter().enumerate().map(listed).collect();
-            self.updates.push_back(ListUpdate { form: EndpointEvent::FullSnapshot, nodes });
+            self.updates.push_back(ListUpdate { event: EndpointEvent::FullSnapshot, nodes });
             return;
         }
         self.restore_cache(now);
@@ -157,7 +157,7 @@
             let _ = self.registry.deregister(&mut socket);
         }
         self.request.finished();
-        self.updates.push_back(ListUpdate { form: EndpointEvent::PollFailed, nodes: Vec::new() });
+        self.updates.push_back(ListUpdate { event: EndpointEvent::PollFailed, nodes: Vec::new() });
     }
 
     /// Writes and reads as far as the socket lets it.
@@ -199,17 +199,17 @@
             }
             WatchEvent::Update(update) => {
                 self.request.finished();
-                let form = match update.kind {
+                let event = match update.kind {
                     UpdateKind::FullSnapshot => EndpointEvent::FullSnapshot,
                     UpdateKind::Incremental => EndpointEvent::Incremental,
                 };
-                self.queue(form, &update, now);
+                self.queue(event, &update, now);
                 self.write_cache();
             }
         }
     }
 
-    fn queue(&mut self, form: EndpointEvent, update: &EndpointUpdate, now: Tick) {
+    fn queue(&mut self, event: EndpointEvent, update: &EndpointUpdate, now: Tick) {
         let mut nodes = Vec::new();
         for entry in &update.endpoints {
             let (node, state) = (&entry.name, entry.state.as_str());
@@ -220,7 +220,7 @@
                 tracing::warn!(node, "endpoint list names a node that the configuration lacks");
             }
         }
-        self.updates.push_back(ListUpdate { form, nodes });
+        self.updates.push_back(ListUpdate { event, nodes });
     }
 
     /// An entry of the list as the scheduler takes it; none: the configuration lacks its node.
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -410,7 +410,7 @@
                 self.dispatcher.nodes.set_removed(listed.node.0 as usize, removed);
             }
             let now = self.dispatcher.now;
-            self.scheduler.on_endpoints(&mut self.dispatcher, now, update.form, &update.nodes);
+            self.scheduler.on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
             self.dispatcher.settle(&mut self.scheduler);
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -58,8 +58,8 @@
 
 impl NodeMetrics {
     /// Counts an attempt that has ended.
-    pub(crate) fn count(&mut self, ending: AttemptResult) {
-        *match ending {
+    pub(crate) fn count(&mut self, result: AttemptResult) {
+        *match result {
             AttemptResult::Completed => &mut self.completed,
             AttemptResult::Rejected => &mut self.busy,
             AttemptResult::TimedOut => &mut self.timed_out,
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -51,15 +51,15 @@
 pub(crate) struct FinishedAttempt {
     pub(crate) node: NodeIndex,
     pub(crate) tag: u32,
-    pub(crate) ending: AttemptResult,
+    pub(crate) result: AttemptResult,
     /// Rejected, as the unit is closed to writes: it has not run.
     pub(crate) write_protected: bool,
     pub(crate) data: Vec<u8>,
 }
 
 impl FinishedAttempt {
-    fn without_data(node: NodeIndex, tag: u32, ending: AttemptResult) -> Self {
-        FinishedAttempt { node, tag, ending, write_protected: false, data: Vec::new() }
+    fn without_data(node: NodeIndex, tag: u32, result: AttemptResult) -> Self {
+        FinishedAttempt { node, tag, result, write_protected: false, data: Vec::new() }
     }
 }
 
@@ -90,7 +90,7 @@
     registry: Registry,
     first_token: usize,
     /// Finished attempts that the owner has not taken yet.
-    results: VecDeque<FinishedAttempt>,
+    finished: VecDeque<FinishedAttempt>,
     /// Nodes with something to write.
     dirty: Vec<NodeIndex>,
 }
@@ -121,7 +121,7 @@
             wishes,
             registry,
             first_token,
-            results: VecDeque::new(),
+            finished: VecDeque::new(),
             dirty: Vec::new(),
         }
     }
@@ -148,16 +148,16 @@
 
     /// The next attempt that has ended by itself.
     pub(crate) fn next_finished(&mut self) -> Option<FinishedAttempt> {
-        self.results.pop_front()
+        self.finished.pop_front()
     }
 
     /// Whether the owner has taken all finished attempts.
     pub(crate) fn is_quiet(&self) -> bool {
-        self.results.is_empty()
+        self.finished.is_empty()
     }
 
-    fn end(&mut self, node: NodeIndex, tag: u32, ending: AttemptResult) {
-        self.results.push_back(FinishedAttempt::without_data(node, tag, ending));
+    fn end(&mut self, node: NodeIndex, tag: u32, result: AttemptResult) {
+        self.finished.push_back(FinishedAttempt::without_data(node, tag, result));
     }
 
     /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be tried.
@@ -222,7 +222,7 @@
         let node = &mut self.all[index];
         node.connection.closed();
         for request in std::mem::take(&mut node.queue) {
-            self.results.push_back(FinishedAttempt::without_data(
+            self.finished.push_back(FinishedAttempt::without_data(
                 index,
                 request.tag,
                 AttemptResult::ConnectFailed,
@@ -232,9 +232,9 @@
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.tags().collect::<Vec<_>>() {
                 let may_have_run = link.conn.on_the_wire(tag);
-                let ending =
+                let result =
                     if may_have_run { AttemptResult::ConnectionReset } else { AttemptResult::ConnectFailed };
-                self.results.push_back(FinishedAttempt::without_data(index, tag, ending));
+                self.finished.push_back(FinishedAttempt::without_data(index, tag, result));
             }
         }
     }
@@ -309,15 +309,15 @@
     fn on_answer(&mut self, node: NodeIndex, tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>) {
         if sense == Some(Sense::WRITE_PROTECTED) {
             let result = FinishedAttempt::without_data(node, tag, AttemptResult::NotSent);
-            self.results.push_back(FinishedAttempt { write_protected: true, ..result });
+            self.finished.push_back(FinishedAttempt { write_protected: true, ..result });
             return;
         }
-        let ending = match status {
+        let result = match status {
             status::GOOD => AttemptResult::Completed,
             status::BUSY | status::TASK_SET_FULL => AttemptResult::Rejected,
             _ => AttemptResult::Error,
         };
-        self.results.push_back(FinishedAttempt { node, tag, ending, write_protected: false, data });
+        self.finished.push_back(FinishedAttempt { node, tag, result, write_protected: false, data });
     }
 
     /// Writes what waits for the nodes.
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -79,9 +79,9 @@
 
     /// Takes commands that nodes have answered, and gives up those whose time is over.
     pub(super) fn on_completed_commands(&mut self) {
-        while let Some(result) = self.nodes.next_finished() {
-            if let Some(command) = self.commands.remove(&result.tag) {
-                self.on_command_end(command.purpose, result.ending == AttemptResult::Completed);
+        while let Some(finished) = self.nodes.next_finished() {
+            if let Some(command) = self.commands.remove(&finished.tag) {
+                self.on_command_end(command.purpose, finished.result == AttemptResult::Completed);
             }
         }
         let is_late = |command: &NodeCommand| command.deadline <= self.now;
