--- a/crates/lab/src/fleet/addresses.rs
+++ b/crates/lab/src/fleet/addresses.rs
@@ -13,7 +13,7 @@
 pub struct Addresses(u8);
 
 impl Addresses {
-    pub(super) fn new(net: u8) -> Self {
+    pub fn new(net: u8) -> Self {
         Addresses(net)
     }
 
