--- a/crates/scheduler/tests/pin/mod.rs
+++ b/crates/scheduler/tests/pin/mod.rs
@@ -20,12 +20,12 @@
 /// What the scheduler asked for; the numbers go into the hash.
 #[derive(Clone, Copy)]
 pub enum Action {
-    Submit = 1,
+    Forward = 1,
     Cancel,
     Shed,
     Fail,
-    Wake,
-    WatchList,
+    SetTimer,
+    PollEndpoints,
     ReleaseBio,
     ReleaseKey,
     ReleaseVolume,
@@ -36,7 +36,7 @@
 
 enum Event {
     Arrival,
-    /// The outcome of one submit of a block I/O, by the serial number of that submit.
+    /// The outcome of an attempt, by its serial number.
     AttemptOutcome {
         serial: u64,
         result: AttemptResult,
@@ -46,9 +46,9 @@
         arrival: u64,
     },
     Timer,
-    ListAnswer(EndpointEvent),
-    ListChange,
-    ListMoved,
+    PollAnswer(EndpointEvent),
+    EndpointChange,
+    DiscoveryMove,
     QuotaChange,
     PlanChange,
     NodeMode(u32),
@@ -72,7 +72,7 @@
 enum Pattern {
     /// Each node changes on its own.
     Mixed,
-    /// All nodes are quick, and now and then one loses a submit whose client waits for long.
+    /// All nodes are quick, and now and then one loses an attempt whose client waits for long.
     RareLoss,
 }
 
@@ -83,15 +83,15 @@
 }
 
 struct SimulatedNode {
-    listed: NodeEndpoint,
+    endpoint: NodeEndpoint,
     mode: Mode,
 }
 
-struct Submit {
+struct Attempt {
     bio: BioId,
     node: NodeId,
     sent: Tick,
-    nth: u32,
+    attempt: u32,
 }
 
 /// A block I/O that the scheduler still holds.
@@ -99,7 +99,7 @@
     bio: Bio,
     arrival: u64,
     answered: bool,
-    submits: u32,
+    attempts: u32,
 }
 
 /// The program around the scheduler: records each action, and makes the events that follow from it.
@@ -112,12 +112,12 @@
     next_event: u64,
     nodes: Vec<SimulatedNode>,
     current: BTreeMap<BioId, Current>,
-    out: BTreeMap<u64, Submit>,
-    next_submit: u64,
+    in_flight: BTreeMap<u64, Attempt>,
+    next_attempt: u64,
     free: Vec<u32>,
     next_bio: u32,
-    /// Block I/Os that were shed: their clients may try again with what is left of their time.
-    turned_away: Vec<Bio>,
+    /// Block I/Os that were shed: their clients may retry with the time left.
+    shed: Vec<Bio>,
 }
 
 impl Recorder {
@@ -135,7 +135,7 @@
 
     /// When and how an attempt to this node ends.
     fn draw_ending(&mut self, bio: &Bio, node: NodeId, timeout: Tick) -> (Tick, AttemptResult) {
-        let load = self.out.values().filter(|s| s.node == node).count() as Tick;
+        let load = self.in_flight.values().filter(|s| s.node == node).count() as Tick;
         let random = &mut self.random;
         let (wait, result) = match self.nodes[node.0 as usize].mode {
             Mode::Prompt if random.below(400) < if bio.class < 2 { 24 } else { 1 } => {
@@ -145,7 +145,7 @@
             Mode::Quick => (random.between(30, 400) + 10 * load, AttemptResult::Completed),
             Mode::Middle => (random.between(400, 640) + 5 * load, AttemptResult::Completed),
             Mode::Slow => (random.between(500, 2_600) + 20 * load, AttemptResult::Completed),
-            Mode::Full if random.chance(40) => (random.between(5, 30), AttemptResult::Rejected),
+            Mode::Full if random.percent(40) => (random.between(5, 30), AttemptResult::Rejected),
             Mode::Full => (random.between(200, 900), AttemptResult::Completed),
             Mode::Broken => match random.below(7) {
                 0 => (random.between(5, 40), AttemptResult::Rejected),
@@ -154,11 +154,11 @@
                 3 => (1, AttemptResult::NotSent),
                 _ => (random.between(2, 20), AttemptResult::ConnectFailed),
             },
-            Mode::Lossy if random.chance(30) => (timeout, AttemptResult::TimedOut),
+            Mode::Lossy if random.percent(30) => (timeout, AttemptResult::TimedOut),
             Mode::Lossy => (random.between(10, 300), AttemptResult::Completed),
         };
         match result {
-            AttemptResult::Completed if random.chance(2) => (wait.min(timeout), AttemptResult::Error),
+            AttemptResult::Completed if random.percent(2) => (wait.min(timeout), AttemptResult::Error),
             _ if wait >= timeout => (timeout, AttemptResult::TimedOut),
             _ => (wait, result),
         }
@@ -167,21 +167,25 @@
 
 impl Host for Recorder {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
-        self.record(Action::Submit, [bio.0.into(), node.0.into(), timeout as u64]);
+        self.record(Action::Forward, [bio.0.into(), node.0.into(), timeout as u64]);
         let current = self.current.get_mut(&bio).expect("a block I/O that was released is not submitted");
-        let nth = current.submits;
-        current.submits += 1;
+        let attempt = current.attempts;
+        current.attempts += 1;
         let bio_now = current.bio;
         let (wait, result) = self.draw_ending(&bio_now, node, timeout);
-        self.next_submit += 1;
-        let serial = self.next_submit;
-        self.out.insert(serial, Submit { bio, node, sent: self.now, nth });
+        self.next_attempt += 1;
+        let serial = self.next_attempt;
+        self.in_flight.insert(serial, Attempt { bio, node, sent: self.now, attempt });
         self.schedule(wait, Event::AttemptOutcome { serial, result });
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        self.record(Action::Cancel, [bio.0.into(), nth.into(), 0]);
-        let found = self.out.iter().find(|(_, s)| s.bio == bio && s.nth == nth).map(|(serial, _)| *serial);
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        self.record(Action::Cancel, [bio.0.into(), attempt.into(), 0]);
+        let found = self
+            .in_flight
+            .iter()
+            .find(|(_, s)| s.bio == bio && s.attempt == attempt)
+            .map(|(serial, _)| *serial);
         if let Some(serial) = found {
             let after = self.random.between(1, 40);
             self.schedule(after, Event::AttemptOutcome { serial, result: AttemptResult::Cancelled });
@@ -192,9 +196,9 @@
         self.record(Action::Shed, [bio.0.into(), come_back as u64, 0]);
         let current = self.current.get_mut(&bio).expect("a block I/O in use is shed");
         assert!(!std::mem::replace(&mut current.answered, true), "answered once");
-        self.turned_away.push(current.bio);
-        if self.turned_away.len() > 20 {
-            self.turned_away.remove(0);
+        self.shed.push(current.bio);
+        if self.shed.len() > 20 {
+            self.shed.remove(0);
         }
     }
 
@@ -205,19 +209,19 @@
     }
 
     fn set_timer(&mut self, after: Tick) {
-        self.record(Action::Wake, [after as u64, 0, 0]);
+        self.record(Action::SetTimer, [after as u64, 0, 0]);
         self.schedule(after, Event::Timer);
     }
 
     fn poll_endpoints(&mut self) {
-        self.record(Action::WatchList, [0; 3]);
-        let form = match self.random.below(10) {
+        self.record(Action::PollEndpoints, [0; 3]);
+        let event = match self.random.below(10) {
             0..4 => EndpointEvent::FullSnapshot,
             4 => EndpointEvent::WatchSilent,
             _ => EndpointEvent::PollFailed,
         };
         let after = self.random.between(5, 3_000);
-        self.schedule(after, Event::ListAnswer(form));
+        self.schedule(after, Event::PollAnswer(event));
     }
 
     fn release_bio(&mut self, bio: BioId) {
@@ -255,7 +259,8 @@
         let pattern = Pattern::of(seed);
         let plans = if pattern == Pattern::Mixed { settings::PLANS } else { 1 };
         let now = 50_000 + 7 * seed as Tick;
-        let nodes = (0..NODES).map(|n| SimulatedNode { listed: first_entry(n), mode: Mode::Quick }).collect();
+        let nodes =
+            (0..NODES).map(|n| SimulatedNode { endpoint: first_entry(n), mode: Mode::Quick }).collect();
         let recorder = Recorder {
             now,
             random,
@@ -265,11 +270,11 @@
             next_event: 0,
             nodes,
             current: BTreeMap::new(),
-            out: BTreeMap::new(),
-            next_submit: 0,
+            in_flight: BTreeMap::new(),
+            next_attempt: 0,
             free: Vec::new(),
             next_bio: 0,
-            turned_away: Vec::new(),
+            shed: Vec::new(),
         };
         Simulation {
             scheduler: Scheduler::new(&config, seed, now),
@@ -284,11 +289,11 @@
     /// Runs all events; the hash of the actions, and how many of each kind there were.
     pub fn run(mut self) -> (u64, [u32; ACTION_KINDS]) {
         let r = &mut self.recorder;
-        r.schedule(0, Event::ListAnswer(EndpointEvent::Cached));
+        r.schedule(0, Event::PollAnswer(EndpointEvent::Cached));
         r.schedule(0, Event::Timer);
         r.schedule(2_000, Event::Arrival);
-        r.schedule(9_000, Event::ListChange);
-        r.schedule(70_000, Event::ListMoved);
+        r.schedule(9_000, Event::EndpointChange);
+        r.schedule(70_000, Event::DiscoveryMove);
         r.schedule(4_000, Event::QuotaChange);
         r.schedule(100_000, Event::PlanChange);
         (0..NODES).for_each(|n| r.schedule(5_000, Event::NodeMode(n)));
@@ -317,11 +322,11 @@
                 }
             }
             Event::Timer => self.scheduler.on_timer(&mut self.recorder, now),
-            Event::ListAnswer(form) => self.answer_list(form),
-            Event::ListChange => self.change_list(),
-            Event::ListMoved => {
+            Event::PollAnswer(event) => self.send_endpoints(event),
+            Event::EndpointChange => self.change_endpoint(),
+            Event::DiscoveryMove => {
                 self.scheduler.on_discovery_moved(&mut self.recorder, now);
-                self.recorder.schedule(90_000, Event::ListMoved);
+                self.recorder.schedule(90_000, Event::DiscoveryMove);
             }
             Event::QuotaChange => self.change_quota(),
             Event::PlanChange => self.change_plans(),
@@ -355,10 +360,10 @@
         self.arrivals += 1;
         let bio = self.draw_bio();
         let arrival = self.arrivals as u64;
-        self.recorder.current.insert(bio.id, Current { bio, arrival, answered: false, submits: 0 });
+        self.recorder.current.insert(bio.id, Current { bio, arrival, answered: false, attempts: 0 });
         let now = self.recorder.now;
         self.scheduler.on_arrival(&mut self.recorder, now, bio);
-        if self.recorder.random.chance(4) {
+        if self.recorder.random.percent(4) {
             let after = self.recorder.random.between(10, 3_000);
             self.recorder.schedule(after, Event::Disconnect { bio: bio.id, arrival });
         }
@@ -368,7 +373,7 @@
         }
     }
 
-    /// Surges, steady load, and pauses: long enough for idle volumes, sometimes for closed nodes, to be forgotten.
+    /// Surges, steady load, and pauses: long enough for idle volumes, sometimes for inactive nodes, to be forgotten.
     fn draw_gap(&mut self) -> Tick {
         let random = &mut self.recorder.random;
         match self.arrivals {
@@ -387,8 +392,8 @@
             r.next_bio += 1;
             r.next_bio - 1
         }));
-        if r.random.chance(20)
-            && let Some(first) = r.turned_away.pop()
+        if r.random.percent(20)
+            && let Some(first) = r.shed.pop()
             && first.deadline > r.now
         {
             let deadline = first.deadline + r.random.between(-7, 7);
@@ -399,7 +404,7 @@
         let active = VOLUMES - 4;
         let turn = self.arrivals as u64 / 400;
         let volume = (r.random.below(active) + turn) % VOLUMES;
-        let key = (self.config.classes[usize::from(class)].ordered || r.random.chance(10))
+        let key = (self.config.classes[usize::from(class)].ordered || r.random.percent(10))
             .then(|| KeyId(r.random.below(KEYS) as u32));
         let (shards, least, most) = match self.pattern {
             Pattern::Mixed => (7, 40, 12_000),
@@ -413,16 +418,16 @@
             key,
             deadline: r.now + r.random.between(least, most),
             units: r.random.between(1, 32) as f64 / 4.0,
-            shard: r.random.chance(75).then(|| r.random.below(shards).min(3) as u32),
+            shard: r.random.percent(75).then(|| r.random.below(shards).min(3) as u32),
             hosts: r.random.below(5) as u32,
         }
     }
 
     fn end(&mut self, serial: u64, result: AttemptResult) {
         let r = &mut self.recorder;
-        // After a cancel there are two outcomes: the first counts.
-        let Some(submit) = r.out.remove(&serial) else { return };
-        let (id, random) = (submit.bio, &mut r.random);
+        // After a cancel there are two events: the first counts.
+        let Some(attempt) = r.in_flight.remove(&serial) else { return };
+        let (id, random) = (attempt.bio, &mut r.random);
         let load_report = LoadReport {
             backlog: Some(random.fraction()),
             service_time_ms: None,
@@ -430,61 +435,61 @@
         };
         let outcome = AttemptOutcome {
             result,
-            node: submit.node,
-            client_answered: result == AttemptResult::Completed || random.chance(3),
-            latency: r.now - submit.sent,
+            node: attempt.node,
+            client_answered: result == AttemptResult::Completed || random.percent(3),
+            latency: r.now - attempt.sent,
             units_by_other_hosts: random.fraction() - 0.25,
             volume_usage: 1.0 + random.fraction() * 100.0,
             load_report,
         };
         let now = r.now;
         self.scheduler.on_attempt_finished(r, now, id, &outcome);
-        let sent_again = self.recorder.out.values().any(|s| s.bio == id);
-        if self.recorder.random.chance(2) && !sent_again {
-            // A repeated outcome finds no submit out.
+        let sent_again = self.recorder.in_flight.values().any(|s| s.bio == id);
+        if self.recorder.random.percent(2) && !sent_again {
+            // A repeated outcome finds no attempt in flight.
             self.scheduler.on_attempt_finished(&mut self.recorder, now, id, &outcome);
         }
     }
 
-    fn answer_list(&mut self, form: EndpointEvent) {
-        let entries: Vec<NodeEndpoint> = match form {
+    fn send_endpoints(&mut self, event: EndpointEvent) {
+        let entries: Vec<NodeEndpoint> = match event {
             EndpointEvent::PollFailed | EndpointEvent::WatchSilent => Vec::new(),
             _ => self
                 .recorder
                 .nodes
                 .iter()
-                .map(|n| n.listed)
+                .map(|n| n.endpoint)
                 .filter(|l| l.state != NodeState::Removed)
                 .collect(),
         };
         let now = self.recorder.now;
-        self.scheduler.on_endpoints(&mut self.recorder, now, form, &entries);
+        self.scheduler.on_endpoints(&mut self.recorder, now, event, &entries);
     }
 
-    fn change_list(&mut self) {
+    fn change_endpoint(&mut self) {
         let r = &mut self.recorder;
         let (now, after) = (r.now, r.random.between(3_000, 25_000));
-        r.schedule(after, Event::ListChange);
+        r.schedule(after, Event::EndpointChange);
         let choice = r.random.below(16);
         match choice {
-            0 => self.answer_list(EndpointEvent::FullSnapshot),
-            1 => self.answer_list(EndpointEvent::PollFailed),
-            2 => self.answer_list(EndpointEvent::WatchSilent),
-            3 => self.answer_list(EndpointEvent::Cached),
+            0 => self.send_endpoints(EndpointEvent::FullSnapshot),
+            1 => self.send_endpoints(EndpointEvent::PollFailed),
+            2 => self.send_endpoints(EndpointEvent::WatchSilent),
+            3 => self.send_endpoints(EndpointEvent::Cached),
             _ => {
                 let node = if choice >= 12 { ALWAYS_COLD as usize } else { r.random.below(6) as usize };
-                let listed = &mut r.nodes[node].listed;
-                match (choice, listed.state) {
-                    (12..15, NodeState::Active) => listed.started_at = now - r.random.between(0, 20_000),
-                    (4, NodeState::Active) => listed.state = NodeState::Draining,
-                    (_, NodeState::Draining) => listed.state = NodeState::Removed,
+                let endpoint = &mut r.nodes[node].endpoint;
+                match (choice, endpoint.state) {
+                    (12..15, NodeState::Active) => endpoint.started_at = now - r.random.between(0, 20_000),
+                    (4, NodeState::Active) => endpoint.state = NodeState::Draining,
+                    (_, NodeState::Draining) => endpoint.state = NodeState::Removed,
                     (_, NodeState::Removed) if choice < 7 => {}
                     _ => {
-                        listed.state = NodeState::Active;
-                        listed.started_at = now - r.random.between(0, 20_000);
+                        endpoint.state = NodeState::Active;
+                        endpoint.started_at = now - r.random.between(0, 20_000);
                     }
                 }
-                let entry = *listed;
+                let entry = *endpoint;
                 self.scheduler.on_endpoints(&mut self.recorder, now, EndpointEvent::Incremental, &[entry]);
             }
         }
@@ -495,7 +500,7 @@
         let (now, after) = (r.now, r.random.between(10_000, 60_000));
         r.schedule(after, Event::QuotaChange);
         let volume = VolumeId(r.random.below(VOLUMES) as u32);
-        let quota = r.random.chance(60).then(|| r.random.fraction() * 40.0);
+        let quota = r.random.percent(60).then(|| r.random.fraction() * 40.0);
         self.scheduler.on_quota_changed(now, volume, quota);
     }
 
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -31,7 +31,8 @@
         self.below(1024) as f64 / 1024.0
     }
 
-    pub fn chance(&mut self, percent: u64) -> bool {
+    /// True for so many draws in a hundred.
+    pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
--- a/crates/scheduler/tests/pin/settings.rs
+++ b/crates/scheduler/tests/pin/settings.rs
@@ -4,16 +4,16 @@
 
 pub const PLANS: u64 = 6;
 
-/// Host count and the fields that decide when the node list is asked for.
-struct Asking {
+/// Host count and the fields that decide when endpoints are polled.
+struct Polling {
     hosts: u32,
     poll_service_time: Option<Tick>,
     max_poll_delay: Tick,
     endpoints_pushed: bool,
 }
 
-fn asking(seed: u64) -> Asking {
-    let row = |hosts, poll_service_time, max_poll_delay, endpoints_pushed| Asking {
+fn polling(seed: u64) -> Polling {
+    let row = |hosts, poll_service_time, max_poll_delay, endpoints_pushed| Polling {
         hosts,
         poll_service_time,
         max_poll_delay,
@@ -75,7 +75,7 @@
 }
 
 pub fn config(seed: u64, random: &mut Random) -> SchedulerConfig {
-    let Asking { hosts, poll_service_time, max_poll_delay, endpoints_pushed } = asking(seed);
+    let Polling { hosts, poll_service_time, max_poll_delay, endpoints_pushed } = polling(seed);
     let one_in = |n: u64| seed.is_multiple_of(n);
     SchedulerConfig {
         hosts,
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -1,12 +1,11 @@
 //! Every decision of the scheduler, pinned: the hash of all actions over seeded runs, as recorded from the code of
 //! commit 01f3988. A change that keeps the behaviour leaves each value as it is.
-#[allow(dead_code)]
-mod fake;
 mod pin;
+mod support;
 
-use fake::{Story, terms};
 use mallowseam_scheduler::interface::*;
 use pin::{ACTION_KINDS, Simulation};
+use support::{Harness, config};
 
 /// One hash a run, by its seed.
 const RECORDED: [u64; 20] = [
@@ -50,21 +49,21 @@
 /// The floor of the window, which the seeded runs do not reach.
 #[test]
 fn the_window_of_a_node_that_times_out_on_everything_ends_at_a_tenth() {
-    let mut s = Story::new(&terms());
-    let patient = |s: &Story, id| Bio { deadline: s.log.now + 400_000, ..s.bio(id) };
+    let mut harness = Harness::new(&config());
+    let patient = |harness: &Harness, id| Bio { deadline: harness.host.now + 400_000, ..harness.bio(id) };
     // An answer to a later submit shows that the first one's was lost.
-    s.take(patient(&s, 0));
-    s.pass(10);
-    s.take(patient(&s, 1));
-    s.pass(10);
-    s.end(1, 0, AttemptResult::Completed, 10);
-    s.end(0, 0, AttemptResult::TimedOut, 20);
+    harness.arrive(patient(&harness, 0));
+    harness.advance(10);
+    harness.arrive(patient(&harness, 1));
+    harness.advance(10);
+    harness.finish_attempt(1, 0, AttemptResult::Completed, 10);
+    harness.finish_attempt(0, 0, AttemptResult::TimedOut, 20);
     // Submits long overdue then take no room, and pile up.
     for id in 2..62 {
-        s.take(Bio { class: 3, ..patient(&s, id) });
-        s.pass(600);
+        harness.arrive(Bio { class: 3, ..patient(&harness, id) });
+        harness.advance(600);
     }
-    assert_eq!(s.sent().len(), 63, "each once, and the first one again");
-    (2..62).for_each(|id| s.end(id, 0, AttemptResult::TimedOut, 36_000));
-    assert_eq!(s.status(0).concurrency_window.to_bits(), 0.1_f64.to_bits());
+    assert_eq!(harness.forwarded().len(), 63, "each once, and the first one again");
+    (2..62).for_each(|id| harness.finish_attempt(id, 0, AttemptResult::TimedOut, 36_000));
+    assert_eq!(harness.node_status(0).concurrency_window.to_bits(), 0.1_f64.to_bits());
 }
