--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -35,7 +35,7 @@
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{AttemptOutcome, BioId, Tick, VolumeId};
 use mallowseam_settings::GatewayConfig;
-use mallowseam_settings::config::{self, Effect};
+use mallowseam_settings::config::{self, Idempotency};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
@@ -87,7 +87,7 @@
         IoClassConfig {
             deadline: ticks_from_micros_floor(class.deadline),
             latency_objective: ticks_from_micros_ceil(class.latency_objective),
-            non_idempotent: class.effect == Effect::NonIdempotent,
+            non_idempotent: class.idempotency == Idempotency::NonIdempotent,
         }
     }
 }
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -16,10 +16,10 @@
         hosts: fleet.hosts,
         classes: site.io_classes.iter().map(io_class).collect(),
         plans: scheduler_plans(site),
-        mean_io_units: fleet.mean_units,
-        max_io_units: fleet.max_units,
-        share_weight_factor: fleet.share_gain,
-        spare_weight_factor: fleet.spare_gain,
+        mean_io_units: fleet.mean_io_units,
+        max_io_units: fleet.max_io_units,
+        share_weight_factor: fleet.share_weight_factor,
+        spare_weight_factor: fleet.spare_weight_factor,
         // iSCSI has no field in which a node could report the load of other hosts, nor one for messages of peers.
         other_hosts_usage_reported: false,
         allow_cancel: true,
@@ -31,9 +31,9 @@
         endpoints_pushed: false,
         max_poll_delay: 0,
         shed_at_half_deadline: false,
-        slow_start_capacity: fleet.cold_floor_units,
-        slow_start_initial_rate: fleet.cold_capacity,
-        slow_start_duration: ticks_from_micros_ceil(fleet.warmup_time),
+        slow_start_capacity: fleet.slow_start_capacity,
+        slow_start_initial_rate: fleet.slow_start_initial_rate,
+        slow_start_duration: ticks_from_micros_ceil(fleet.slow_start_duration),
         overload_window: ticks_from_micros_ceil(fleet.overload_window),
         overload_multiple: fleet.overload_multiple,
         ordering_cooldown: ticks_from_micros_ceil(fleet.ordering_cooldown),
@@ -46,9 +46,9 @@
 
 fn io_class(class: &config::IoClass) -> IoClass {
     IoClass {
-        idempotency: match class.effect {
-            config::Effect::Idempotent => Idempotency::Idempotent,
-            config::Effect::NonIdempotent => Idempotency::NonIdempotent,
+        idempotency: match class.idempotency {
+            config::Idempotency::Idempotent => Idempotency::Idempotent,
+            config::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
         },
         latency_objective: ticks_from_micros_floor(class.latency_objective),
         late_weight_ratio: class.late_weight_ratio,
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -4,7 +4,7 @@
 use crate::trace::{Micros, Seen, What};
 use mallowseam_iscsi::scsi::status;
 use mallowseam_settings::GatewayConfig;
-use mallowseam_settings::config::{Direction, Effect};
+use mallowseam_settings::config::{Direction, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
@@ -406,7 +406,7 @@
     fn effects(&mut self) {
         for i in 0..self.ops.len() {
             let op = &self.ops[i];
-            if self.site.io_classes[op.group].effect != Effect::NonIdempotent {
+            if self.site.io_classes[op.group].idempotency != Idempotency::NonIdempotent {
                 continue;
             }
             let mut parts: BTreeMap<u64, u32> = BTreeMap::new();
@@ -587,7 +587,7 @@
             }
             first.sort_by_key(|f| f.0);
             let burst = windows.iter().map(|w| w.burst).fold(0.0, f64::max);
-            let slack = (burst * LIMIT_SLACK).max(self.site.fleet.max_units);
+            let slack = (burst * LIMIT_SLACK).max(self.site.fleet.max_io_units);
             let (mut store, mut last) = (windows[0].burst, 0);
             for (at, units) in first {
                 // The largest limit that any host may have acted on since the block I/O before.
@@ -667,7 +667,7 @@
         }
         let group = &self.site.io_classes[writer.group];
         let shed = writer.answered.is_some_and(|a| matches!(a.1, status::BUSY | status::TASK_SET_FULL));
-        if shed && group.effect == Effect::NonIdempotent {
+        if shed && group.idempotency == Idempotency::NonIdempotent {
             return Some(format!("shows {id}, which was shed"));
         }
         let over = writer.good();
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -66,8 +66,8 @@
                 node: completion.node,
                 client_answered: entry.client.is_none(),
                 latency: completion.received_at.unwrap_or(self.now) - completion.started_at,
-                units_by_other_hosts: response.map_or(0.0, |r| r.by_others),
-                volume_usage: response.map_or(0.0, |r| r.usage),
+                units_by_other_hosts: response.map_or(0.0, |r| r.units_by_other_hosts),
+                volume_usage: response.map_or(0.0, |r| r.volume_usage),
                 load_report: response.map_or(LoadReport::default(), |r| r.load_report),
             };
             let now = self.now;
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -196,7 +196,7 @@
         let head =
             ResponseHead::parse(bytes, RESPONSE_LIMITS).ok().flatten().expect("the reader has read it");
         let response = response::parse(&head);
-        let is_busy = response.ending == AttemptResult::Rejected;
+        let is_busy = response.result == AttemptResult::Rejected;
         let is_written = connection.is_request_written();
         // A node executes a request after its last byte: a response before that belongs to another request.
         if !is_written && !is_busy {
@@ -209,8 +209,8 @@
         if !is_kept && !connection.is_reused {
             self.keep_alive.new_connection_rejected(ticks_to_millis(now));
         }
-        let completion = Completion { response: Some(response), ..arrival.complete(response.ending) };
-        let is_success = response.ending == AttemptResult::Completed;
+        let completion = Completion { response: Some(response), ..arrival.complete(response.result) };
+        let is_success = response.result == AttemptResult::Completed;
         if let Some(endpoint) = self.endpoint_mut(arrival.node) {
             let counters = &mut endpoint.counters;
             counters.responses += 1;
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -165,24 +165,24 @@
 #[test]
 fn parsed_node_responses() {
     let mut found = String::new();
-    let mut said = |lines: &str| {
+    let mut record = |lines: &str| {
         let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
         let head = ResponseHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete");
-        let said = response::parse(&head);
-        let LoadReport { backlog, service_time_ms, utilization } = said.load_report;
+        let response = response::parse(&head);
+        let LoadReport { backlog, service_time_ms, utilization } = response.load_report;
         writeln!(
             found,
             "{}: {} used {} by others {} waiting {backlog:?} service {service_time_ms:?} busy {utilization:?}",
             bytes(lines.as_bytes()),
-            ending(said.ending),
-            said.usage,
-            said.by_others
+            ending(response.result),
+            response.volume_usage,
+            response.units_by_other_hosts
         )
         .expect("memory");
     };
     for status in [100, 200, 201, 204, 304, 400, 404, 409, 429, 500, 502, 503, 504, 505, 599] {
-        said(&format!("{status} X"));
-        said(&format!("{status} X\r\nX-Not-Processed: 1"));
+        record(&format!("{status} X"));
+        record(&format!("{status} X\r\nX-Not-Processed: 1"));
     }
     for line in [
         "X-Not-Processed: 0",
@@ -191,7 +191,7 @@
         "X-Not-Processed: 1\r\nX-Not-Processed: 1",
         "X-Not-Processed: true",
     ] {
-        said(&format!("503 X\r\n{line}"));
+        record(&format!("503 X\r\n{line}"));
     }
     for line in [
         "X-Iops-Used: 41",
@@ -215,8 +215,8 @@
         "X-Server-Load:",
         "X-Iops-Used: 7\r\nX-Rho: 2\r\nX-Server-Load: {\"backlog\":0}",
     ] {
-        said(&format!("200 X\r\n{line}"));
-        said(&format!("503 X\r\n{line}"));
+        record(&format!("200 X\r\n{line}"));
+        record(&format!("503 X\r\n{line}"));
     }
     pinned("answers_read.txt", &found);
 }
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -94,29 +94,29 @@
     /// Bytes that count as one unit.
     pub unit_bytes: u64,
     /// Mean size of a block I/O, in units.
-    pub mean_units: f64,
+    pub mean_io_units: f64,
     /// Largest size of a block I/O, in units.
-    pub max_units: f64,
+    pub max_io_units: f64,
     /// Part of its priority weight that a block I/O inside its volume's share earns.
-    pub share_gain: f64,
+    pub share_weight_factor: f64,
     /// The same beyond the share.
-    pub spare_gain: f64,
+    pub spare_weight_factor: f64,
     /// Most attempts for one block I/O.
     pub max_attempts: u32,
     /// Longest Retry-After that a rejected client is given; 0: none.
     pub max_retry_after: u64,
-    /// How long an ordering key is not used after an attempt was cut off.
+    /// How long an ordering key stays blocked after an attempt that may still be running.
     pub ordering_cooldown: u64,
-    /// Slow start: the part of its capacity that a node has just after its start.
-    pub cold_capacity: f64,
-    /// Slow start: time until a node has its full capacity.
-    pub warmup_time: u64,
-    /// A node that is sent more than this multiple of its capacity during `overload_window` fails.
+    /// Slow start: the part of its full rate that a node reaches just after its start.
+    pub slow_start_initial_rate: f64,
+    /// Slow start: time from its start until a node reaches its full rate.
+    pub slow_start_duration: u64,
+    /// A node in slow start fails when it is sent more than this multiple of its momentary rate for `overload_window`.
     pub overload_multiple: f64,
     /// See `overload_multiple`.
     pub overload_window: u64,
-    /// Units within `overload_window` that a node always bears.
-    pub cold_floor_units: f64,
+    /// Slow start: units that a node bears from all hosts together within `overload_window`, whatever its rate.
+    pub slow_start_capacity: f64,
     /// Retry budget: retries that are always allowed within `retry_budget_window`.
     pub retry_budget_min: f64,
     /// Retry budget: further retries, as a ratio of the block I/Os admitted within the window.
@@ -144,13 +144,13 @@
     pub priority_factor: f64,
 }
 
-/// Whether a block I/O may run more than once.
+/// Whether a block I/O may be repeated when an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
-    /// It may.
+pub enum Idempotency {
+    /// It may be repeated.
     #[default]
     Idempotent,
-    /// It may not.
+    /// It may not be repeated.
     NonIdempotent,
 }
 
@@ -159,13 +159,13 @@
 pub struct IoClass {
     /// Its name.
     pub name: String,
-    /// Whether its block I/Os may run more than once.
-    pub effect: Effect,
+    /// Whether its block I/Os may be repeated.
+    pub idempotency: Idempotency,
     /// Time within which a response is wanted.
     pub latency_objective: u64,
     /// Time after which the client has given up.
     pub deadline: u64,
-    /// What a response within the objective is worth.
+    /// What a response within the objective is worth, in any unit that all classes share.
     pub priority_weight: f64,
     /// The part of it that a later response is worth.
     pub late_weight_ratio: f64,
--- a/crates/settings/src/parser/directives.rs
+++ b/crates/settings/src/parser/directives.rs
@@ -1,7 +1,7 @@
 //! The directives of each section. `docs/configuration.md` lists them.
 use super::draft::{Draft, DraftCatalog, DraftRule, DraftVolume, SectionKind};
 use crate::arguments::Arguments;
-use crate::config::{Direction, Effect, Extent, Fleet, Host, IoClass, Node, Plan, PlanService};
+use crate::config::{Direction, Extent, Fleet, Host, Idempotency, IoClass, Node, Plan, PlanService};
 use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 
 // What diagnostics ask for.
@@ -151,10 +151,10 @@
     match name {
         "hosts" => set(&mut fleet.hosts, host_count(args)),
         "unit" => set(&mut fleet.unit_bytes, args.size("a size such as 4KiB").filter(|n| *n > 0)),
-        "mean-units" => set(&mut fleet.mean_units, args.number("a number above 0", 1e-6, 1e9)),
-        "largest-units" => set(&mut fleet.max_units, args.number("a number above 0", 1e-6, 1e9)),
-        "share-gain" => set(&mut fleet.share_gain, args.percent("a percentage such as 35%")),
-        "spare-gain" => set(&mut fleet.spare_gain, args.percent("a percentage such as 10%")),
+        "mean-units" => set(&mut fleet.mean_io_units, args.number("a number above 0", 1e-6, 1e9)),
+        "largest-units" => set(&mut fleet.max_io_units, args.number("a number above 0", 1e-6, 1e9)),
+        "share-gain" => set(&mut fleet.share_weight_factor, args.percent("a percentage such as 35%")),
+        "spare-gain" => set(&mut fleet.spare_weight_factor, args.percent("a percentage such as 10%")),
         "submits" => set(&mut fleet.max_attempts, small_integer(args, "1 to 16", 1, 16)),
         "come-back" => set(&mut fleet.max_retry_after, args.duration(A_SPAN)),
         "order-rest" => set(&mut fleet.ordering_cooldown, args.duration(A_SPAN)),
@@ -171,11 +171,11 @@
 }
 
 fn slow_start(fleet: &mut Fleet, args: &mut Arguments) {
-    set(&mut fleet.cold_capacity, args.percent("a percentage: what a cold node can do"));
-    set(&mut fleet.warmup_time, args.duration("a duration: until a node is warm"));
+    set(&mut fleet.slow_start_initial_rate, args.percent("a percentage: what a cold node can do"));
+    set(&mut fleet.slow_start_duration, args.duration("a duration: until a node is warm"));
     set(&mut fleet.overload_multiple, args.number("a multiple from 1 up", 1.0, 1e6));
     set(&mut fleet.overload_window, args.duration("a duration: within which it falls"));
-    set(&mut fleet.cold_floor_units, args.number("units that it always bears", 0.0, 1e9));
+    set(&mut fleet.slow_start_capacity, args.number("units that it always bears", 0.0, 1e9));
 }
 
 fn retry_budget(fleet: &mut Fleet, args: &mut Arguments) {
@@ -232,11 +232,11 @@
     match name {
         "effect" => {
             let effect = args.value("idempotent or side-effecting", |text| match text {
-                "idempotent" => Some(Effect::Idempotent),
-                "side-effecting" => Some(Effect::NonIdempotent),
+                "idempotent" => Some(Idempotency::Idempotent),
+                "side-effecting" => Some(Idempotency::NonIdempotent),
                 _ => None,
             });
-            set(&mut class.effect, effect);
+            set(&mut class.idempotency, effect);
         }
         "goal" => set(&mut class.latency_objective, args.duration(A_SPAN)),
         "hard-limit" => set(&mut class.deadline, args.duration("a duration such as 2s")),
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,5 +1,7 @@
 //! From a draft to a valid configuration: what is missing, what refers to nothing, what contradicts.
-use crate::config::{Catalog, Direction, Effect, Extent, Fleet, GatewayConfig, IoClass, Plan, Rule, Volume};
+use crate::config::{
+    Catalog, Direction, Extent, Fleet, GatewayConfig, Idempotency, IoClass, Plan, Rule, Volume,
+};
 use crate::diagnostics::{Diagnostics, Position};
 use crate::parser::{Draft, DraftCatalog, DraftRule, DraftVolume, Located, OpenedSection};
 use crate::tokens::Token;
@@ -110,8 +112,8 @@
 }
 
 fn check_unit_sizes(fleet: &Fleet, position: Position, diagnostics: &mut Diagnostics) {
-    if fleet.hosts > 0 && fleet.max_units < fleet.mean_units {
-        diagnostics.add(position, "largest-units of at least mean-units", fleet.max_units.to_string());
+    if fleet.hosts > 0 && fleet.max_io_units < fleet.mean_io_units {
+        diagnostics.add(position, "largest-units of at least mean-units", fleet.max_io_units.to_string());
     }
 }
 
@@ -125,7 +127,7 @@
         let names = classes.iter().map(|c| c.value.name.as_str());
         catalog.copy_class = resolve("group", &token, names, diagnostics);
         // A copy that is interrupted is repeated, to another place.
-        let is_repeatable = |c: &IoClass| c.effect == Effect::Idempotent && !c.ordered;
+        let is_repeatable = |c: &IoClass| c.idempotency == Idempotency::Idempotent && !c.ordered;
         if !classes.get(catalog.copy_class).is_some_and(|c| is_repeatable(&c.value)) {
             let found = format!("`{}`", token.text);
             diagnostics.add(token.position, "an idempotent group that is not ordered", found);
--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -1,5 +1,5 @@
 //! A file is parsed in full, and all errors in it are reported together.
-use mallowseam_settings::config::{Direction, Effect};
+use mallowseam_settings::config::{Direction, Idempotency};
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{parse, reload};
 use proptest::prelude::*;
@@ -64,8 +64,8 @@
     let site = parse("f", VALID).expect("valid");
     assert_eq!(site.host.control_socket.as_deref(), Some(std::path::Path::new("/run/mallow seam/gw1.sock")));
     assert_eq!(
-        (site.io_classes[0].latency_objective, site.io_classes[1].effect),
-        (200_000, Effect::NonIdempotent)
+        (site.io_classes[0].latency_objective, site.io_classes[1].idempotency),
+        (200_000, Idempotency::NonIdempotent)
     );
     let water = &site.volumes[0];
     assert_eq!(
@@ -76,7 +76,7 @@
         (water.rules[1].direction, water.rules[1].last_block, water.rules[1].blocks_per_key),
         (Direction::Write, 99, 8)
     );
-    assert_eq!((site.fleet.cold_capacity, site.fleet.overload_window), (0.23, 3_000_000));
+    assert_eq!((site.fleet.slow_start_initial_rate, site.fleet.overload_window), (0.23, 3_000_000));
     assert!(site.host.header_digest && site.host.data_digest);
     assert_eq!(site.nodes.iter().map(|n| n.shard).collect::<Vec<_>>(), [0, 1]);
 }
--- a/crates/settings/tests/pinned_parsing.rs
+++ b/crates/settings/tests/pinned_parsing.rs
@@ -1,6 +1,6 @@
 //! Pinned results of the parser: every directive as it is read, and every diagnostic word for word. The recorded texts
 //! in `pinned/` name fields in words of their own, so that renaming a field in the code changes nothing here.
-use mallowseam_settings::config::{Direction, Effect, GatewayConfig};
+use mallowseam_settings::config::{Direction, GatewayConfig, Idempotency};
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{Arguments, Diagnostics, tokenize};
 use mallowseam_settings::{parse, reload};
@@ -143,16 +143,24 @@
     writeln!(
         out,
         "fleet hosts {} unit {} mean {} largest {}",
-        f.hosts, f.unit_bytes, f.mean_units, f.max_units
+        f.hosts, f.unit_bytes, f.mean_io_units, f.max_io_units
+    )
+    .expect("memory");
+    writeln!(
+        out,
+        "  share {} spare {} submits {}",
+        f.share_weight_factor, f.spare_weight_factor, f.max_attempts
     )
     .expect("memory");
-    writeln!(out, "  share {} spare {} submits {}", f.share_gain, f.spare_gain, f.max_attempts)
-        .expect("memory");
     writeln!(out, "  come back {} order rest {}", f.max_retry_after, f.ordering_cooldown).expect("memory");
     writeln!(
         out,
         "  cold {} {} fall {} {} bears {}",
-        f.cold_capacity, f.warmup_time, f.overload_multiple, f.overload_window, f.cold_floor_units
+        f.slow_start_initial_rate,
+        f.slow_start_duration,
+        f.overload_multiple,
+        f.overload_window,
+        f.slow_start_capacity
     )
     .expect("memory");
     writeln!(out, "  further {} {} {}", f.retry_budget_min, f.retry_budget_ratio, f.retry_budget_window)
@@ -177,9 +185,9 @@
         .expect("memory");
     }
     for g in &site.io_classes {
-        let effect = match g.effect {
-            Effect::Idempotent => "idempotent",
-            Effect::NonIdempotent => "side-effecting",
+        let effect = match g.idempotency {
+            Idempotency::Idempotent => "idempotent",
+            Idempotency::NonIdempotent => "side-effecting",
         };
         writeln!(
             out,
