--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -24,8 +24,8 @@
 use mallowseam_iscsi::target::TargetTerms;
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::replica::HostedVolume;
-use mallowseam_scheduler::host::{Host, NodeState, Tick};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{Host, NodeState, Tick};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::Volume;
 use mio::net::{TcpListener, UnixStream};
@@ -212,7 +212,7 @@
         self.dispatcher.now = self.clock.now();
         // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the endpoint list and
         // its windows from here on.
-        self.dispatcher.wake(0);
+        self.dispatcher.set_timer(0);
         self.dispatcher.on_wakeup(&mut self.scheduler);
         self.endpoint_list.start(self.dispatcher.now);
         self.apply_endpoint_updates();
@@ -406,11 +406,11 @@
     fn apply_endpoint_updates(&mut self) {
         while let Some(update) = self.endpoint_list.next_update() {
             for listed in &update.nodes {
-                let removed = listed.state == NodeState::Left;
+                let removed = listed.state == NodeState::Removed;
                 self.dispatcher.nodes.set_removed(listed.node.0 as usize, removed);
             }
             let now = self.dispatcher.now;
-            self.scheduler.listed(&mut self.dispatcher, now, update.form, &update.nodes);
+            self.scheduler.on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
             self.dispatcher.settle(&mut self.scheduler);
         }
     }
@@ -418,7 +418,7 @@
     /// Tells the fleet's membership which versions this host acts on.
     fn publish_facts(&mut self) {
         let Some(membership) = &mut self.membership else { return };
-        let endpoint_list = self.endpoint_list.version().1;
+        let endpoint_list = self.endpoint_list.version().version;
         let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.replica.state().version);
         membership.set_active_versions(ActiveVersions { endpoint_list, plans });
     }
--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -2,10 +2,10 @@
 use super::problem_file::RATE;
 use super::{PlacementError, display_name};
 use crate::error::read_text;
+use mallowseam_placement::Placement;
+use mallowseam_placement::problem::{MAX_NUMBER, Problem};
 use mallowseam_settings::edit::Share;
 use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
-use mallowseam_shares::model::{MOST, Problem};
-use mallowseam_shares::value::Placement;
 use std::path::Path;
 
 /// A worked-out answer.
@@ -77,7 +77,7 @@
     args.value("reserve", |word| (word == "reserve").then_some(()));
     let reserve = args.exact_rate(RATE);
     args.value("weight", |word| (word == "weight").then_some(()));
-    let weight = args.integer("a whole number", 0, MOST);
+    let weight = args.integer("a whole number", 0, MAX_NUMBER);
     args.expect_end();
     if let (Some(volume), Some(reserve), Some(weight)) = (volume, reserve, weight) {
         answer.shares.push(Share {
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -1,8 +1,8 @@
-//! Problem files: sections `node NAME`, `host NAME` and `volume NAME`, as `docs/shares.md` lists them.
+//! Problem files: sections `node NAME`, `host NAME` and `volume NAME`, as `docs/placement.md` lists them.
 use super::{PlacementError, display_name};
 use crate::error::read_text;
+use mallowseam_placement::problem::{Host, MAX_NUMBER, Node, Problem, Volume};
 use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
-use mallowseam_shares::model::{Host, MOST, Node, Problem, Volume};
 use std::path::Path;
 
 /// What a rate must look like.
@@ -106,7 +106,7 @@
             Section::Volume => self.volumes.push(Volume {
                 name: name.text,
                 weight: 1,
-                price: DEFAULT_PRICE,
+                priority_factor: DEFAULT_PRICE,
                 spread: 1,
                 ..Volume::default()
             }),
@@ -138,7 +138,7 @@
 
     fn finish(mut self, file: &Path) -> Result<Problem, PlacementError> {
         for volume in &mut self.volumes {
-            volume.surge = volume.surge.max(volume.reserve);
+            volume.surge_rate = volume.surge_rate.max(volume.reserved_rate);
         }
         if !self.problems.is_empty() {
             return Err(PlacementError::malformed(self.problems));
@@ -155,7 +155,7 @@
                 for wrong in contradictions {
                     let position = self.positions.iter().find(|(name, _)| *name == wrong.name);
                     let position = position.map_or(TOP, |(_, at)| *at);
-                    self.problems.add(position, wrong.expected, format!("`{}`", wrong.name));
+                    self.problems.add(position, wrong.kind.to_string(), format!("`{}`", wrong.name));
                 }
                 Err(PlacementError::malformed(self.problems))
             }
@@ -167,7 +167,7 @@
 fn read_node(node: &mut Node, directive: &str, args: &mut Arguments) -> bool {
     match directive {
         "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
-        "cost" => node.cost = args.integer(NUMBER, 0, MOST).unwrap_or(0),
+        "cost" => node.cost = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
         "zone" => node.zone = args.name("a name").map(|word| word.text).unwrap_or_default(),
         _ => return false,
     }
@@ -188,28 +188,29 @@
 /// Reads a directive of a volume. False: there is none of this name.
 fn read_volume(volume: &mut Volume, directive: &str, args: &mut Arguments) -> bool {
     match directive {
-        "reserve" => volume.reserve = args.exact_rate(RATE).unwrap_or(0),
-        "reserve-most" => volume.reserve_most = args.exact_rate(RATE).unwrap_or(0),
-        "limit" => volume.limit = args.exact_rate(RATE).unwrap_or(0),
-        "surge" => volume.surge = args.exact_rate(RATE).unwrap_or(0),
-        "weight" => volume.weight = args.integer(NUMBER, 0, MOST).unwrap_or(0),
+        "reserve" => volume.reserved_rate = args.exact_rate(RATE).unwrap_or(0),
+        "reserve-most" => volume.max_reserved_rate = args.exact_rate(RATE).unwrap_or(0),
+        "limit" => volume.rate_limit = args.exact_rate(RATE).unwrap_or(0),
+        "surge" => volume.surge_rate = args.exact_rate(RATE).unwrap_or(0),
+        "weight" => volume.weight = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
         "price" => {
-            volume.price = args.integer("thousandths, 1000 for the plain price", 0, MOST).unwrap_or(0);
+            volume.priority_factor =
+                args.integer("thousandths, 1000 for the plain price", 0, MAX_NUMBER).unwrap_or(0);
         }
         "spread" => volume.spread = args.integer("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
-        "size" => volume.size = args.integer(NUMBER, 0, MOST).unwrap_or(0),
-        "apart" => volume.apart = true,
+        "size" => volume.size = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
+        "apart" => volume.distinct_zones = true,
         "zone" => volume.zone = args.name("a name").map(|word| word.text),
         "survives" => {
             match args.value("node or zone", |word| matches!(word, "node" | "zone").then(|| word == "node")) {
-                Some(true) => volume.survives_node = true,
-                Some(false) => volume.survives_zone = true,
+                Some(true) => volume.survives_node_loss = true,
+                Some(false) => volume.survives_zone_loss = true,
                 None => {}
             }
         }
         "today" => {
             while args.has_more() {
-                volume.today.extend(args.name("the name of a node").map(|word| word.text));
+                volume.current_nodes.extend(args.name("the name of a node").map(|word| word.text));
             }
         }
         _ => return false,
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -1,12 +1,13 @@
 //! `shares work-out`: the best placement, exactly where the problem is small enough, else by local search.
 use super::{PlacementError, data_units, gain_per_second, problem_file};
-use mallowseam_shares::bound;
-use mallowseam_shares::choose::{choose, parts};
-use mallowseam_shares::conflict::explain;
-use mallowseam_shares::improve::Improve;
-use mallowseam_shares::model::Problem;
-use mallowseam_shares::search::{self, Answer};
-use mallowseam_shares::value::Worth;
+use mallowseam_placement::branch_and_bound::{self, SolveOutcome};
+use mallowseam_placement::infeasibility::explain;
+use mallowseam_placement::limit_split::split_limit;
+use mallowseam_placement::local_search::LocalSearch;
+use mallowseam_placement::objective::Objective;
+use mallowseam_placement::problem::Problem;
+use mallowseam_placement::tuning::tune;
+use mallowseam_placement::upper_bound::gain_upper_bound;
 use std::fmt::Write;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -22,10 +23,10 @@
 pub(crate) fn solve(file: &Path, within: Duration, seed: u64) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let began = Instant::now();
-    let (found, proven) = match search::solve(&problem, EXACT_STEPS) {
-        Answer::Best(best) => (Some(best), true),
-        Answer::None => return Err(infeasible(&problem)),
-        Answer::Open { found, .. } => {
+    let (found, proven) = match branch_and_bound::solve(&problem, EXACT_STEPS) {
+        SolveOutcome::Optimal(best) => (Some(best), true),
+        SolveOutcome::Infeasible => return Err(infeasible(&problem)),
+        SolveOutcome::StepsExhausted { best: found, .. } => {
             let improved = search_locally(&problem, seed, || began.elapsed() < within);
             (found.into_iter().chain(improved).max(), false)
         }
@@ -39,32 +40,32 @@
     Ok(describe(&problem, &best, proven))
 }
 
-/// The best placement that local search finds until `goes_on` returns false.
-fn search_locally(problem: &Problem, seed: u64, goes_on: impl Fn() -> bool) -> Option<Worth> {
-    let mut improve = Improve::new(problem, seed);
-    improve.from_today();
-    let mut placed = improve.mend();
+/// The best placement that local search finds while `goes_on` says so.
+fn search_locally(problem: &Problem, seed: u64, goes_on: impl Fn() -> bool) -> Option<Objective> {
+    let mut search = LocalSearch::new(problem, seed);
+    search.start_from_current();
+    let mut placed = search.place_missing();
     if !placed {
-        improve = Improve::new(problem, seed);
-        placed = improve.first();
+        search = LocalSearch::new(problem, seed);
+        placed = search.place_all();
     }
     while placed && goes_on() {
-        improve.improve(MOVES_PER_CHECK);
+        search.improve(MOVES_PER_CHECK);
     }
-    improve.worth().filter(|_| placed && improve.sound())
+    search.objective().filter(|_| placed && search.is_feasible())
 }
 
 /// The demands that cannot be met together, and how much more capacity would do.
 fn infeasible(problem: &Problem) -> PlacementError {
-    let Some(conflict) = explain(problem, EXACT_STEPS) else {
+    let Some(infeasibility) = explain(problem, EXACT_STEPS) else {
         return PlacementError::ContradictionTooLarge;
     };
     let mut text =
         String::from("nothing fits; these contradict, and without any one of them the rest would do:");
-    for demand in &conflict.demands {
-        text += &format!("\n  {}", problem.tell(*demand));
+    for constraint in &infeasibility.constraints {
+        text += &format!("\n  {}", problem.describe(*constraint));
     }
-    text += &match conflict.stretch {
+    text += &match infeasibility.least_capacity_per_mille {
         Some(thousandths) => format!(
             "\nleast relaxation: all capacities times {}.{:03}",
             thousandths / 1000,
@@ -75,26 +76,27 @@
     PlacementError::Infeasible(text)
 }
 
-fn describe(problem: &Problem, best: &Worth, proven: bool) -> String {
-    let placement = &best.order.0;
+fn describe(problem: &Problem, best: &Objective, proven: bool) -> String {
+    let placement = &best.placement.0;
     let mut out = String::new();
     for (volume, nodes) in problem.volumes.iter().zip(placement) {
         let names: Vec<&str> = nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect();
         writeln!(out, "place {} {}", volume.name, names.join(" ")).expect("writing to memory");
     }
-    let chosen = choose(problem, placement);
-    for (volume, (reserve, weight)) in problem.volumes.iter().zip(chosen.reserves.iter().zip(&chosen.weights))
+    let tuning = tune(problem, placement);
+    for (volume, (reserve, weight)) in
+        problem.volumes.iter().zip(tuning.reserved_rates.iter().zip(&tuning.weights))
     {
         writeln!(out, "share {} reserve {} weight {weight}", volume.name, rate(*reserve))
             .expect("writing to memory");
     }
     describe_quotas(problem, &mut out);
-    if chosen.gain > chosen.before {
+    if tuning.gain > tuning.gain_before {
         writeln!(
             out,
             "# with these shares {:.3} a second, with those given {:.3}",
-            gain_per_second(chosen.gain),
-            gain_per_second(chosen.before)
+            gain_per_second(tuning.gain),
+            gain_per_second(tuning.gain_before)
         )
         .expect("writing to memory");
     }
@@ -107,18 +109,18 @@
     if problem.hosts.is_empty() {
         return;
     }
-    for volume in problem.volumes.iter().filter(|volume| volume.limit > 0) {
+    for volume in problem.volumes.iter().filter(|volume| volume.rate_limit > 0) {
         let sent: Vec<u64> =
             problem.hosts.iter().map(|host| host.sends.get(&volume.name).copied().unwrap_or(0)).collect();
-        let quotas = parts(volume.limit, &sent, MIN_QUOTA_THOUSANDTHS);
+        let quotas = split_limit(volume.rate_limit, &sent, MIN_QUOTA_THOUSANDTHS);
         for (host, quota) in problem.hosts.iter().zip(quotas) {
             writeln!(out, "part {} {} {}", volume.name, host.name, rate(quota)).expect("writing to memory");
         }
     }
 }
 
-fn describe_quality(problem: &Problem, best: &Worth, proven: bool, out: &mut String) {
-    let bound = bound::most(problem);
+fn describe_quality(problem: &Problem, best: &Objective, proven: bool, out: &mut String) {
+    let bound = gain_upper_bound(problem);
     let gap = if bound > 0 { 100.0 * (bound - best.gain) as f64 / bound as f64 } else { 0.0 };
     write!(
         out,
@@ -127,7 +129,7 @@
         gain_per_second(bound),
         if proven { ", proven best" } else { "" },
         best.cost.0,
-        data_units(best.moved.0)
+        data_units(best.moved_data.0)
     )
     .expect("writing to memory");
 }
--- a/crates/lab/src/sharesday.rs
+++ b/crates/lab/src/sharesday.rs
@@ -2,11 +2,11 @@
 //! the same seeds: what each earns by the users' counting.
 use crate::rehearse::{self, Outcome, Program};
 use crate::script::{self, Scene, Trouble};
+use mallowseam_placement::Placement;
+use mallowseam_placement::problem::{Node, Problem, Volume};
+use mallowseam_placement::tuning::tune;
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::edit::{self, Share};
-use mallowseam_shares::choose::choose;
-use mallowseam_shares::model::{Node, Problem, Volume};
-use mallowseam_shares::value::Placement;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
@@ -58,7 +58,8 @@
         let mut even = 0.0;
         for (way, name) in WAYS {
             let shares = shares(&scene, &site, way)?;
-            scene.site = edit::apply_shares(&text, &site, &shares).map_err(|e| e.join("; "))?;
+            scene.site =
+                edit::apply_shares(&text, &site, &shares).map_err(|e| e.to_string().replace('\n', "; "))?;
             let outcome = rehearse::run(&scene, seed, program, &mut |_, _| {})?;
             let day = count(&site, &outcome);
             if way == Way::Even {
@@ -87,7 +88,7 @@
 /// Each volume's share; its reserve stays as promised.
 fn shares(scene: &Scene, site: &GatewayConfig, way: Way) -> Result<Vec<Share>, String> {
     let (problem, placement) = problem(scene, site)?;
-    let worked = choose(&problem, &placement).weights;
+    let worked = tune(&problem, &placement).weights;
     let share = |v: &mallowseam_settings::config::Volume| {
         let plan = &site.plans[v.plan];
         let at = problem.volumes.iter().position(|w| w.name == v.name).expect("made of them");
@@ -121,19 +122,19 @@
         let lies: BTreeSet<usize> = v.extents.iter().map(|e| e.node).collect();
         Volume {
             name: v.name.clone(),
-            reserve: (plan.reserved_rate * 1000.0) as u64,
-            surge: (surge.max(plan.reserved_rate) * 1000.0) as u64,
+            reserved_rate: (plan.reserved_rate * 1000.0) as u64,
+            surge_rate: (surge.max(plan.reserved_rate) * 1000.0) as u64,
             weight: plan.weight as u64,
-            price: (plan.priority_factor * 1000.0) as u64,
+            priority_factor: (plan.priority_factor * 1000.0) as u64,
             spread: lies.len(),
-            today: lies.iter().map(|n| site.nodes[*n].name.clone()).collect(),
+            current_nodes: lies.iter().map(|n| site.nodes[*n].name.clone()).collect(),
             ..Volume::default()
         }
     };
     let nodes = site.nodes.iter().map(node).collect();
     let p = Problem::new(nodes, site.volumes.iter().map(volume).collect())
         .map_err(|wrong| wrong.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
-    let placement = mallowseam_shares::moves::today(&p);
+    let placement = mallowseam_placement::migration::current_placement(&p);
     Ok((p, placement))
 }
 
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -13,7 +13,7 @@
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::BioId;
+use mallowseam_scheduler::interface::BioId;
 use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
--- a/crates/platform-host/src/nodes/deadlines.rs
+++ b/crates/platform-host/src/nodes/deadlines.rs
@@ -1,5 +1,5 @@
 //! Deadlines of attempts, the earliest first.
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -7,7 +7,7 @@
 use mallowseam_http1::{MessageSpan, ResponseHead};
 use mallowseam_platform::request;
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::{Ending, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use std::ops::Range;
@@ -43,11 +43,11 @@
 }
 
 impl Arrival {
-    fn complete(&self, ending: Ending) -> Completion {
+    fn complete(&self, ending: AttemptResult) -> Completion {
         Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, ending) }
     }
 
-    fn completed_event(&self, ending: Ending) -> NodeEvent {
+    fn completed_event(&self, ending: AttemptResult) -> NodeEvent {
         NodeEvent::Completed(self.complete(ending))
     }
 }
@@ -78,11 +78,11 @@
                 Connect::Pending => return None,
                 Connect::Failed => {
                     self.close(slot);
-                    return Some(arrival.completed_event(Ending::NoConnect));
+                    return Some(arrival.completed_event(AttemptResult::ConnectFailed));
                 }
             }
         }
-        if let Some(completion) = self.write_request(slot, Ending::NoConnect) {
+        if let Some(completion) = self.write_request(slot, AttemptResult::ConnectFailed) {
             return Some(NodeEvent::Completed(completion));
         }
         self.read_response(slot, is_closed, scratch, now, &arrival)
@@ -160,7 +160,11 @@
     /// The connection has ended before the response was complete.
     fn on_broken(&mut self, slot: u32, now: Tick, arrival: &Arrival) -> Option<NodeEvent> {
         let connection = self.connections.get(slot)?;
-        let ending = if connection.is_request_written() { Ending::Reset } else { Ending::NoConnect };
+        let ending = if connection.is_request_written() {
+            AttemptResult::ConnectionReset
+        } else {
+            AttemptResult::ConnectFailed
+        };
         if connection.is_reused && connection.response.is_empty() {
             let started_at = arrival.attempt.started_at;
             let idle = ticks_to_millis(started_at - connection.idle_since);
@@ -176,7 +180,7 @@
         if let Some(endpoint) = self.endpoint_mut(arrival.node) {
             endpoint.counters.corrupt_responses += 1;
         }
-        arrival.completed_event(Ending::Error)
+        arrival.completed_event(AttemptResult::Error)
     }
 
     /// The response is complete.
@@ -192,12 +196,12 @@
         let head =
             ResponseHead::parse(bytes, RESPONSE_LIMITS).ok().flatten().expect("the reader has read it");
         let response = response::parse(&head);
-        let is_busy = response.ending == Ending::Busy;
+        let is_busy = response.result == AttemptResult::Rejected;
         let is_written = connection.is_request_written();
         // A node executes a request after its last byte: a response before that belongs to another request.
         if !is_written && !is_busy {
             self.close(slot);
-            return Some(arrival.completed_event(Ending::NoConnect));
+            return Some(arrival.completed_event(AttemptResult::ConnectFailed));
         }
         let is_kept = keep_alive::keep_after_response(is_busy);
         let has_more = connection.response.len() > message.end;
@@ -205,8 +209,8 @@
         if !is_kept && !connection.is_reused {
             self.keep_alive.new_connection_rejected(ticks_to_millis(now));
         }
-        let completion = Completion { response: Some(response), ..arrival.complete(response.ending) };
-        let is_success = response.ending == Ending::Done;
+        let completion = Completion { response: Some(response), ..arrival.complete(response.result) };
+        let is_success = response.result == AttemptResult::Completed;
         if let Some(endpoint) = self.endpoint_mut(arrival.node) {
             let counters = &mut endpoint.counters;
             counters.responses += 1;
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -171,11 +171,11 @@
     let plan = required_header(head, "X-Qos-Policy", RequestError::UnknownPlan)?;
     let plan = settings.plan_names.iter().position(|p| p == plan).ok_or(RequestError::UnknownPlan)?;
     let (volume, object) = parse_hex(volume).zip(parse_hex(object)).ok_or(RequestError::InvalidAddress)?;
-    check_method(head, body_len, settings.scheduler.groups[io_class].writes)?;
+    check_method(head, body_len, settings.scheduler.classes[io_class].writes)?;
     let timeout_ms = parse_timeout(head)?;
     let placement = required_header(head, "X-Placement", RequestError::InvalidPlacement)?;
     let placement =
-        Placement::parse(placement, settings.scheduler.largest).ok_or(RequestError::InvalidPlacement)?;
+        Placement::parse(placement, settings.scheduler.max_io_units).ok_or(RequestError::InvalidPlacement)?;
     Ok(ClientRequest::BlockIo(BlockRequest {
         id,
         io_class: io_class as u16,
--- a/crates/platform/src/settings/reader.rs
+++ b/crates/platform/src/settings/reader.rs
@@ -1,7 +1,7 @@
 //! Reads fields out of JSON objects and collects what is wrong with them.
 use super::{ticks_down, ticks_up};
 use crate::field_error::FieldError;
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 use serde_json::Value;
 
 /// An object of the settings, and the path that its fields have in errors: empty, or ending in a dot.
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -7,7 +7,7 @@
 use crate::error::InputError;
 use crate::fields::Fields;
 use crate::instance::{Event, Instance};
-use mallowseam_scheduler::host::{ListForm, Listed, Tick};
+use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, Tick};
 use std::collections::BTreeMap;
 
 /// What a line leaves to be done.
@@ -22,19 +22,19 @@
 /// An endpoint list of which entries are still to come.
 struct PartialList {
     instance: u64,
-    form: ListForm,
+    form: EndpointEvent,
     entries_left: u64,
-    entries: Vec<Listed>,
+    entries: Vec<NodeEndpoint>,
 }
 
 impl PartialList {
     fn read(instance: u64, fields: &mut Fields) -> Result<Self, InputError> {
         fields.whole_number("generation")?;
         let forms = [
-            ("diff", ListForm::Changes),
-            ("snapshot", ListForm::Whole),
-            ("disk", ListForm::Kept),
-            ("error", ListForm::Failed),
+            ("diff", EndpointEvent::Incremental),
+            ("snapshot", EndpointEvent::FullSnapshot),
+            ("disk", EndpointEvent::Cached),
+            ("error", EndpointEvent::PollFailed),
         ];
         let form = fields.one_of("form", &forms)?;
         let entries_left = fields.optional_number("members_list")?.unwrap_or(0.0) as u64;
