--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -1,6 +1,6 @@
 //! An iSCSI client on a blocking socket: for exports, imports and verification, for benchmarks and tests.
-use mallowseam_iscsi::initiator::{Came, InitiatorConn};
-use mallowseam_iscsi::params::Wishes;
+use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
+use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::Sense;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -43,7 +43,7 @@
     /// The connection's socket.
     pub socket: TcpStream,
     /// The protocol's state.
-    pub conn: InitiatorConn,
+    pub conn: InitiatorConnection,
     read_buffer: Vec<u8>,
     last_tag: u32,
 }
@@ -71,13 +71,13 @@
         let _ = socket.set_nodelay(true);
         socket.set_read_timeout(Some(READ_TIMEOUT))?;
         let name = format!("iqn.2026-12.example.lab:client{index}");
-        let conn = InitiatorConn::new(&name, target, ISID, &Wishes::default());
+        let conn = InitiatorConnection::new(&name, target, ISID, &ProposedParams::default());
         let read_buffer = vec![0; READ_BUFFER];
         let mut client = BlockingClient { socket, conn, read_buffer, last_tag: FIRST_TAG };
-        while !client.conn.logged_in() {
+        while !client.conn.is_logged_in() {
             client.exchange()?;
         }
-        client.conn.came();
+        client.conn.next_event();
         Ok(client)
     }
 
@@ -86,9 +86,9 @@
     /// # Errors
     /// The connection failed.
     pub fn flush(&mut self) -> Result<(), ClientError> {
-        let waiting = self.conn.out().waiting().len();
-        self.socket.write_all(self.conn.out().waiting())?;
-        self.conn.out().wrote(waiting);
+        let waiting = self.conn.send_buffer().unsent().len();
+        self.socket.write_all(self.conn.send_buffer().unsent())?;
+        self.conn.send_buffer().mark_sent(waiting);
         Ok(())
     }
 
@@ -102,16 +102,16 @@
         if len == 0 {
             return Err(ClientError::Closed);
         }
-        self.conn.receive(&self.read_buffer[..len]).map_err(|fault| ClientError::Protocol(fault.0))
+        self.conn.receive(&self.read_buffer[..len]).map_err(|fault| ClientError::Protocol(fault.to_string()))
     }
 
     /// Waits for the next event of the session.
     ///
     /// # Errors
     /// As `exchange`.
-    pub fn next_event(&mut self) -> Result<Came, ClientError> {
+    pub fn next_event(&mut self) -> Result<InitiatorEvent, ClientError> {
         loop {
-            if let Some(event) = self.conn.came() {
+            if let Some(event) = self.conn.next_event() {
                 return Ok(event);
             }
             self.exchange()?;
@@ -131,15 +131,17 @@
     ) -> Result<Answer, ClientError> {
         self.last_tag += 1;
         let own_tag = self.last_tag;
-        if !self.conn.command(own_tag, lun, cdb, room, data.into()) {
+        if !self.conn.send_command(own_tag, lun, cdb, room, data.into()) {
             return Err(ClientError::WindowClosed);
         }
         loop {
             match self.next_event()? {
-                Came::Answer { tag, status, sense, data, come_back: retry_after } if tag == own_tag => {
+                InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after }
+                    if tag == own_tag =>
+                {
                     return Ok(Answer { status, sense, data, retry_after });
                 }
-                Came::Rejected { tag, reason } if tag == own_tag => {
+                InitiatorEvent::CommandRejected { tag, reason } if tag == own_tag => {
                     return Err(ClientError::Rejected { reason });
                 }
                 _ => {}
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -5,8 +5,8 @@
 use mallowseam_connection_policy::admission::{
     AdmissionController, CloseReason, ConnectionState, LoginRejection, TimeoutAction,
 };
-use mallowseam_iscsi::login::{Admit, Refusal, Who};
-use mallowseam_iscsi::target::{Came, TargetConn, TargetTerms};
+use mallowseam_iscsi::login::{LoginIdentity, LoginPolicy, LoginStatus};
+use mallowseam_iscsi::target::{TargetConfig, TargetConnection, TargetEvent};
 use mallowseam_scheduler::host::Tick;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -45,7 +45,7 @@
     peer: SocketAddr,
     /// The initiator's name; empty before the login.
     name: String,
-    conn: TargetConn,
+    conn: TargetConnection,
     /// It is among those to be flushed.
     dirty: bool,
     readable: bool,
@@ -57,7 +57,7 @@
     all: Slab<Client>,
     /// Decides who may connect, log in and send commands.
     pub admission: AdmissionController,
-    terms: Rc<TargetTerms>,
+    terms: Rc<TargetConfig>,
     registry: Registry,
     first_token: usize,
     /// Clients with something to write.
@@ -75,15 +75,15 @@
     replaced: &'a mut Vec<ClientId>,
 }
 
-impl Admit for LoginAdmission<'_> {
-    fn admit(&mut self, who: &Who) -> Result<u16, Refusal> {
+impl LoginPolicy for LoginAdmission<'_> {
+    fn admit(&mut self, who: &LoginIdentity) -> Result<u16, LoginStatus> {
         let index = self.client as usize;
         let session = self.admission.login(index, &who.initiator, who.target.as_deref(), who.isid, who.tsih);
         let session = session.map_err(|rejection| match rejection {
-            LoginRejection::NoSuchTarget => Refusal::NOT_FOUND,
-            LoginRejection::NoSuchSession => Refusal::NO_SESSION,
-            LoginRejection::Draining => Refusal::UNAVAILABLE,
-            LoginRejection::OutOfResources => Refusal::OUT_OF_RESOURCES,
+            LoginRejection::NoSuchTarget => LoginStatus::NOT_FOUND,
+            LoginRejection::NoSuchSession => LoginStatus::NO_SESSION,
+            LoginRejection::Draining => LoginStatus::UNAVAILABLE,
+            LoginRejection::OutOfResources => LoginStatus::OUT_OF_RESOURCES,
         })?;
         self.replaced.extend(session.replaces.map(|index| index as ClientId));
         Ok(session.handle)
@@ -95,7 +95,7 @@
     #[must_use]
     pub fn new(
         admission: AdmissionController,
-        terms: Rc<TargetTerms>,
+        terms: Rc<TargetConfig>,
         registry: Registry,
         first_token: usize,
     ) -> Self {
@@ -114,7 +114,7 @@
     /// Takes a connection that was accepted, if there is room for it.
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
-        let conn = TargetConn::new(Rc::clone(&self.terms));
+        let conn = TargetConnection::new(Rc::clone(&self.terms));
         let id = self.all.next_index();
         if !self.admission.admit_connection(id as usize, ticks_to_millis(now)) {
             tracing::warn!(%peer, "connection rejected: too many connections");
@@ -150,7 +150,7 @@
     /// Reads once, unless the client has to read its answers first. True: there may be more to read.
     pub fn read(&mut self, id: ClientId, buffer: &mut [u8], now: Tick) -> bool {
         let Some(client) = self.all.get_mut(id) else { return false };
-        let unsent = client.conn.out().waiting().len();
+        let unsent = client.conn.send_buffer().unsent().len();
         if !client.readable || !self.admission.may_read(unsent) {
             return false;
         }
@@ -166,7 +166,7 @@
                     Ok(()) => return true,
                     Err(fault) => {
                         self.flush_client(id, now);
-                        self.close(id, &Disconnect::Protocol(fault.0));
+                        self.close(id, &Disconnect::Protocol(fault.to_string()));
                     }
                 }
             }
@@ -176,8 +176,8 @@
     }
 
     /// The next event of a client's session.
-    pub fn next_event(&mut self, id: ClientId) -> Option<Came> {
-        self.all.get_mut(id)?.conn.came()
+    pub fn next_event(&mut self, id: ClientId) -> Option<TargetEvent> {
+        self.all.get_mut(id)?.conn.next_event()
     }
 
     /// A client has logged in. The connection that it has taken over is closed.
@@ -211,7 +211,7 @@
     }
 
     /// The session to answer in; what is put there is written by the next flush.
-    pub fn session_mut(&mut self, id: ClientId) -> Option<&mut TargetConn> {
+    pub fn session_mut(&mut self, id: ClientId) -> Option<&mut TargetConnection> {
         self.mark_dirty(id);
         self.all.get_mut(id).map(|client| &mut client.conn)
     }
@@ -227,12 +227,12 @@
     fn flush_client(&mut self, id: ClientId, now: Tick) {
         let Some(client) = self.all.get_mut(id) else { return };
         client.dirty = false;
-        match socket_io::write(&mut client.socket, client.conn.out()) {
+        match socket_io::write(&mut client.socket, client.conn.send_buffer()) {
             Ok(0) => {}
             Ok(_) => self.admission.bytes_sent(id as usize, ticks_to_millis(now)),
             Err(e) => return self.close(id, &e.into()),
         }
-        if client.conn.closing() && client.conn.out().waiting().is_empty() {
+        if client.conn.is_closing() && client.conn.send_buffer().unsent().is_empty() {
             self.close(id, &Disconnect::LoggedOut);
         }
     }
@@ -244,7 +244,7 @@
             self.flush_client(id, now);
             if let Some(client) = self.all.get_mut(id)
                 && client.readable
-                && self.admission.may_read(client.conn.out().waiting().len())
+                && self.admission.may_read(client.conn.send_buffer().unsent().len())
             {
                 resumed.push(id);
             }
@@ -284,14 +284,14 @@
         for id in self.all.indices() {
             let Some(client) = self.all.get_mut(id) else { continue };
             let state = ConnectionState {
-                pdu_incomplete: client.conn.midway(),
-                unsent_bytes: client.conn.out().waiting().len(),
-                in_flight: client.conn.in_hand(),
+                pdu_incomplete: client.conn.has_partial_request(),
+                unsent_bytes: client.conn.send_buffer().unsent().len(),
+                in_flight: client.conn.in_flight(),
             };
             match self.admission.check_timeouts(id as usize, ticks_to_millis(now), state) {
                 TimeoutAction::Nothing => {}
                 TimeoutAction::Ping => {
-                    client.conn.ping();
+                    client.conn.send_ping();
                     self.mark_dirty(id);
                 }
                 TimeoutAction::Close(reason) => self.close(id, &Disconnect::Timeout(reason)),
@@ -306,8 +306,8 @@
         }
         let within = self.admission.logout_seconds();
         for id in self.all.indices() {
-            if let Some(client) = self.all.get_mut(id).filter(|client| client.conn.logged_in()) {
-                client.conn.ask_logout(within);
+            if let Some(client) = self.all.get_mut(id).filter(|client| client.conn.is_logged_in()) {
+                client.conn.request_logout(within);
                 self.mark_dirty(id);
             }
         }
@@ -317,6 +317,6 @@
     /// Bytes buffered for all clients.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        self.all.iter().map(|(_, client)| client.conn.held()).sum()
+        self.all.iter().map(|(_, client)| client.conn.allocated_bytes()).sum()
     }
 }
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -30,7 +30,7 @@
 use mallowseam_connection_policy::request_splitting::{SubRequest, VolumeLayout};
 use mallowseam_cow::copy_budget::CopyBudget;
 use mallowseam_cow::tree::LayerId;
-use mallowseam_iscsi::target::Came;
+use mallowseam_iscsi::target::TargetEvent;
 use mallowseam_scheduler::door::Door;
 use mallowseam_scheduler::host::{BioId, Outcome, Tick, VolId};
 use mallowseam_scheduler::scheduler::Scheduler;
@@ -215,19 +215,24 @@
     }
 
     /// An event of a client's session.
-    pub(crate) fn on_client_event(&mut self, scheduler: &mut Scheduler, client: ClientId, event: Came) {
+    pub(crate) fn on_client_event(
+        &mut self,
+        scheduler: &mut Scheduler,
+        client: ClientId,
+        event: TargetEvent,
+    ) {
         match event {
-            Came::LoggedIn(who) => self.clients.on_login(client, who.initiator),
-            Came::Command { task, lun, cdb, room, data } => {
+            TargetEvent::LoggedIn(who) => self.clients.on_login(client, who.initiator),
+            TargetEvent::Command { task, lun, cdb, read_len: room, data } => {
                 let request = commands::ClientRequest { client, task, lun, cdb, room, data };
                 self.on_command(scheduler, request);
             }
-            Came::Aborted { task } => {
+            TargetEvent::CommandAborted { task } => {
                 if let Some(aborted) = self.clients.abort_command(client, task) {
                     self.abandon_command(aborted.command);
                 }
             }
-            Came::Logout | Came::Alive => {}
+            TargetEvent::Logout | TargetEvent::NopOut => {}
         }
     }
 
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -146,7 +146,7 @@
             }
             let first = io.request.offset as usize * command.block_size;
             let len = io.request.blocks as usize * command.block_size;
-            let data = if command.write { command.data.piece(first, len) } else { Payload::default() };
+            let data = if command.write { command.data.slice(first, len) } else { Payload::default() };
             return Transfer { write: command.write, group_number: command.group_number, data };
         }
         let Some(extent) = io.copy else {
@@ -175,7 +175,7 @@
             }
             None => (None, io.request.node_lba),
         };
-        let cdb = scsi::rw16(write, lba, io.request.blocks, group_number);
+        let cdb = scsi::read_or_write_16(write, lba, io.request.blocks, group_number);
         let request = NodeRequest { tag, lun, cdb, room: if write { 0 } else { len }, data };
         self.metrics.nodes[node.0 as usize].attempts += 1;
         self.attempt_timeouts.push(Reverse(AttemptTimeout { at: self.now + limit.max(0), tag }));
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -46,13 +46,13 @@
 impl Dispatcher {
     /// Answers a command, or splits it and passes its block I/Os to the scheduler.
     pub(super) fn on_command(&mut self, scheduler: &mut Scheduler, request: ClientRequest) {
-        let parsed = scsi::read_cdb(&request.cdb);
+        let parsed = scsi::parse_cdb(&request.cdb);
         let unit = request.lun.and_then(|lun| self.find_unit(lun));
         let transfer = match parsed {
-            Ok(scsi::Command::Read { lba, blocks, group }) => {
+            Ok(scsi::Command::Read { lba, blocks, group_number: group }) => {
                 Transfer { write: false, lba, blocks, group_number: group }
             }
-            Ok(scsi::Command::Write { lba, blocks, group }) => {
+            Ok(scsi::Command::Write { lba, blocks, group_number: group }) => {
                 Transfer { write: true, lba, blocks, group_number: group }
             }
             parsed => {
@@ -61,7 +61,7 @@
             }
         };
         let Some(unit) = unit else {
-            return self.reject(request.client, request.task, Sense::NO_SUCH_LUN);
+            return self.reject(request.client, request.task, Sense::LOGICAL_UNIT_NOT_SUPPORTED);
         };
         if let Err(sense) = self.check_transfer(&transfer, &unit, &request) {
             return self.reject(request.client, request.task, sense);
@@ -73,11 +73,11 @@
         let Transfer { write, lba, blocks, .. } = transfer;
         let split = self.volumes[unit.volume].layout.split(write, lba, blocks, &mut sub_requests);
         if split.is_err() {
-            self.reject(request.client, request.task, Sense::OUT_OF_RANGE);
+            self.reject(request.client, request.task, Sense::LBA_OUT_OF_RANGE);
         } else if !self.admits(sub_requests.len()) {
             // It was never admitted, so a retry is harmless.
             if let Some(session) = self.clients.session_mut(request.client) {
-                session.other(request.task, status::TASK_SET_FULL, None, 0);
+                session.complete_with_status(request.task, status::TASK_SET_FULL, None, 0);
             }
         } else {
             let command = self.insert_command(request, &transfer, &unit, &sub_requests);
@@ -101,12 +101,12 @@
         let volume = &self.volumes[unit.volume];
         let bytes = u64::from(blocks) * u64::from(volume.block_size);
         if lba.checked_add(blocks.into()).is_none_or(|end| end > volume.block_count) {
-            return Err(Sense::OUT_OF_RANGE);
+            return Err(Sense::LBA_OUT_OF_RANGE);
         }
         let fits_client =
             if write { request.data.len() as u64 == bytes } else { request.room as u64 >= bytes };
         if bytes > self.max_transfer_bytes || !fits_client {
-            return Err(Sense::INVALID_FIELD);
+            return Err(Sense::INVALID_FIELD_IN_CDB);
         }
         Ok(())
     }
@@ -303,13 +303,23 @@
     fn send_answer(&mut self, client: ClientId, task: u32, answer: RequestOutcome, data: &[u8]) {
         let Some(session) = self.clients.session_mut(client) else { return };
         match answer {
-            RequestOutcome::Completed => session.good(task, data),
+            RequestOutcome::Completed => session.complete(task, data),
             RequestOutcome::Shed { retry_after } => {
                 let delay = (retry_after + RETRY_DELAY_UNIT - 1) / RETRY_DELAY_UNIT;
-                session.other(task, status::BUSY, None, delay.clamp(0, MAX_RETRY_DELAY) as u16);
+                session.complete_with_status(
+                    task,
+                    status::BUSY,
+                    None,
+                    delay.clamp(0, MAX_RETRY_DELAY) as u16,
+                );
             }
             RequestOutcome::Failed => {
-                session.other(task, status::CHECK_CONDITION, Some(Sense::UNKNOWN_OUTCOME), 0);
+                session.complete_with_status(
+                    task,
+                    status::CHECK_CONDITION,
+                    Some(Sense::COMMUNICATION_TIMEOUT),
+                    0,
+                );
             }
         }
     }
@@ -350,14 +360,14 @@
     /// Answers a command with status GOOD.
     pub(super) fn answer_good(&mut self, client: ClientId, task: u32, data: &[u8]) {
         if let Some(session) = self.clients.session_mut(client) {
-            session.good(task, data);
+            session.complete(task, data);
         }
     }
 
     /// Answers a command with CHECK CONDITION.
     pub(super) fn reject(&mut self, client: ClientId, task: u32, sense: Sense) {
         if let Some(session) = self.clients.session_mut(client) {
-            session.other(task, status::CHECK_CONDITION, Some(sense), 0);
+            session.complete_with_status(task, status::CHECK_CONDITION, Some(sense), 0);
         }
     }
 }
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -1,7 +1,7 @@
 //! Commands that the host answers itself, without a node: identification, capacity and mode of a unit.
 use super::{Dispatcher, Volume};
 use crate::client_connections::ClientId;
-use mallowseam_iscsi::scsi::{self, Command, Sense, Unit};
+use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, Sense};
 
 /// Standard INQUIRY data of a LUN without a unit (SPC-4, 6.4.2): qualifier 3, type 1Fh, version, response format,
 /// additional length; zeros follow.
@@ -9,7 +9,7 @@
 /// Length of standard INQUIRY data.
 const INQUIRY_LEN: usize = 36;
 /// Nothing to report.
-const NO_SENSE: Sense = Sense(0, 0, 0);
+const NO_SENSE: Sense = Sense::NO_ADDITIONAL_SENSE;
 
 fn truncated(mut data: Vec<u8>, room: usize) -> Vec<u8> {
     data.truncate(room);
@@ -38,16 +38,16 @@
     /// Commands that are answered also where there is no unit.
     fn answer_without_unit(&mut self, volume: Option<usize>, command: Command) -> Option<Vec<u8>> {
         match command {
-            Command::ReportLuns { select, room } => {
+            Command::ReportLuns { select_report, allocation_len: room } => {
                 self.update_units();
                 let luns = self.volumes.iter().map(|volume| volume.lun).chain(self.units.keys().copied());
-                Some(truncated(scsi::report_luns(luns, select), room))
+                Some(truncated(scsi::report_luns(luns, select_report), room))
             }
-            Command::RequestSense { room } => {
-                let sense = if volume.is_some() { NO_SENSE } else { Sense::NO_SUCH_LUN };
-                Some(truncated(sense.bytes().to_vec(), room))
+            Command::RequestSense { allocation_len: room } => {
+                let sense = if volume.is_some() { NO_SENSE } else { Sense::LOGICAL_UNIT_NOT_SUPPORTED };
+                Some(truncated(sense.to_fixed_format().to_vec(), room))
             }
-            Command::Inquiry { page: None, room } if volume.is_none() => {
+            Command::Inquiry { page: None, allocation_len: room } if volume.is_none() => {
                 let mut data = NO_UNIT_INQUIRY.to_vec();
                 data.resize(INQUIRY_LEN, 0);
                 Some(truncated(data, room))
@@ -57,7 +57,7 @@
     }
 
     fn answer_of_unit(&self, volume: Option<usize>, command: Command) -> Result<Vec<u8>, Sense> {
-        let volume = volume.map(|index| &self.volumes[index]).ok_or(Sense::NO_SUCH_LUN)?;
+        let volume = volume.map(|index| &self.volumes[index]).ok_or(Sense::LOGICAL_UNIT_NOT_SUPPORTED)?;
         let unit = self.describe_unit(volume);
         let data = match command {
             Command::TestUnitReady => Some(Vec::new()),
@@ -65,14 +65,20 @@
             Command::SynchronizeCache { lba, blocks } => {
                 let end = lba.checked_add(blocks.into());
                 if end.is_none_or(|end| end > volume.block_count) {
-                    return Err(Sense::OUT_OF_RANGE);
+                    return Err(Sense::LBA_OUT_OF_RANGE);
                 }
                 Some(Vec::new())
             }
-            Command::Inquiry { page, room } => unit.inquiry(page).map(|data| truncated(data, room)),
-            Command::ReadCapacity10 => Some(unit.capacity10()),
-            Command::ReadCapacity16 { room } => Some(truncated(unit.capacity16(), room)),
-            Command::ModeSense { ten, page, room } => unit.mode(ten, page).map(|data| truncated(data, room)),
+            Command::Inquiry { page, allocation_len: room } => {
+                unit.inquiry(page).map(|data| truncated(data, room))
+            }
+            Command::ReadCapacity10 => Some(unit.read_capacity_10()),
+            Command::ReadCapacity16 { allocation_len: room } => {
+                Some(truncated(unit.read_capacity_16(), room))
+            }
+            Command::ModeSense { form, page, allocation_len: room } => {
+                unit.mode_sense(form, page).map(|data| truncated(data, room))
+            }
             Command::ModeSelect
             | Command::Unmap
             | Command::GetLbaStatus { .. }
@@ -81,16 +87,17 @@
             | Command::ReportLuns { .. }
             | Command::RequestSense { .. } => None,
         };
-        data.ok_or(Sense::INVALID_FIELD)
+        data.ok_or(Sense::INVALID_FIELD_IN_CDB)
     }
 
-    fn describe_unit<'a>(&self, volume: &'a Volume) -> Unit<'a> {
-        Unit {
+    fn describe_unit<'a>(&self, volume: &'a Volume) -> LogicalUnit<'a> {
+        LogicalUnit {
             blocks: volume.block_count,
             block_size: volume.block_size,
             product: &volume.name,
             serial: &volume.name,
-            most: (self.max_transfer_bytes / u64::from(volume.block_size)).min(u64::from(u32::MAX)) as u32,
+            max_transfer_blocks: (self.max_transfer_bytes / u64::from(volume.block_size))
+                .min(u64::from(u32::MAX)) as u32,
         }
     }
 }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -20,8 +20,8 @@
 use mallowseam_fleet::record::ActiveVersions;
 use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_iscsi::frame::Digests;
-use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::target::TargetTerms;
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi::target::TargetConfig;
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::host::{Host, NodeState, Tick};
@@ -117,18 +117,18 @@
 }
 
 /// What every session is negotiated with.
-fn session_wishes(site: &GatewayConfig) -> Wishes {
+fn session_wishes(site: &GatewayConfig) -> ProposedParams {
     let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
-    Wishes { digests, ..Wishes::default() }
+    ProposedParams { digests, ..ProposedParams::default() }
 }
 
 fn open_clients(site: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
-    let terms = Rc::new(TargetTerms {
-        wishes: session_wishes(site),
-        window: site.host.command_window,
-        longest: site.host.max_transfer_bytes as usize,
-        names: vec![site.host.target.clone()],
-        address: bound.to_string(),
+    let terms = Rc::new(TargetConfig {
+        proposal: session_wishes(site),
+        command_window: site.host.command_window,
+        max_transfer_bytes: site.host.max_transfer_bytes as usize,
+        target_names: vec![site.host.target.clone()],
+        portal_address: bound.to_string(),
     });
     let admission = AdmissionController::new(&site.host.target, site.host.max_connections as usize);
     let first_token = FIRST_NODE + site.nodes.len();
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -3,8 +3,8 @@
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
 use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
-use mallowseam_iscsi::initiator::{Came, InitiatorConn, Payload};
-use mallowseam_iscsi::params::Wishes;
+use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent, Payload};
+use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::{Sense, status};
 use mallowseam_scheduler::host::{Ending, Tick};
 use mallowseam_settings::config;
@@ -65,7 +65,7 @@
 
 struct Link {
     socket: TcpStream,
-    conn: InitiatorConn,
+    conn: InitiatorConnection,
 }
 
 struct Node {
@@ -86,7 +86,7 @@
 pub(crate) struct Nodes {
     all: Vec<Node>,
     initiator: String,
-    wishes: Wishes,
+    wishes: ProposedParams,
     registry: Registry,
     first_token: usize,
     /// Finished attempts that the owner has not taken yet.
@@ -100,7 +100,7 @@
     pub(crate) fn new(
         nodes: &[config::Node],
         initiator: String,
-        wishes: Wishes,
+        wishes: ProposedParams,
         registry: Registry,
         first_token: usize,
     ) -> Self {
@@ -166,7 +166,7 @@
         if node.connection.is_ready() {
             let link = node.link.as_mut().expect("a connection that is ready has a link");
             let NodeRequest { tag, lun, cdb, room, data } = request;
-            if link.conn.command(tag, lun.unwrap_or(node.lun), &cdb, room, data) {
+            if link.conn.send_command(tag, lun.unwrap_or(node.lun), &cdb, room, data) {
                 self.mark_dirty(index);
             } else {
                 // The node's own command window is closed: it has rejected the command before it was sent.
@@ -188,7 +188,7 @@
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, Token(self.first_token + index), interest)?;
-        let conn = InitiatorConn::new(&self.initiator, Some(&node.target), ISID, &self.wishes);
+        let conn = InitiatorConnection::new(&self.initiator, Some(&node.target), ISID, &self.wishes);
         node.link = Some(Link { socket, conn });
         node.readable = false;
         self.mark_dirty(index);
@@ -210,7 +210,7 @@
             return true;
         }
         if let Some(link) = &mut node.link {
-            link.conn.abort(tag);
+            link.conn.abort_task(tag);
             node.connection.abort_sent(ticks_to_millis(now));
             self.mark_dirty(index);
         }
@@ -226,8 +226,8 @@
         }
         if let Some(mut link) = node.link.take() {
             let _ = self.registry.deregister(&mut link.socket);
-            for tag in link.conn.tags().collect::<Vec<_>>() {
-                let may_have_run = link.conn.on_the_wire(tag);
+            for tag in link.conn.in_flight_tags().collect::<Vec<_>>() {
+                let may_have_run = link.conn.has_started_sending(tag);
                 let ending = if may_have_run { Ending::Reset } else { Ending::NoConnect };
                 self.results.push_back(FinishedAttempt::without_data(index, tag, ending));
             }
@@ -263,7 +263,7 @@
                 self.on_events(index, now);
                 match received {
                     Ok(()) => return true,
-                    Err(fault) => self.disconnect(index, &Disconnect::Protocol(fault.0)),
+                    Err(fault) => self.disconnect(index, &Disconnect::Protocol(fault.to_string())),
                 }
             }
             ReadOutcome::Closed(e) => self.disconnect(index, &e.into()),
@@ -272,31 +272,33 @@
     }
 
     fn on_events(&mut self, index: NodeIndex, now: Tick) {
-        while let Some(event) = self.all[index].link.as_mut().and_then(|link| link.conn.came()) {
+        while let Some(event) = self.all[index].link.as_mut().and_then(|link| link.conn.next_event()) {
             match event {
-                Came::LoggedIn => {
+                InitiatorEvent::LoggedIn => {
                     tracing::info!(node = self.all[index].name, "node connected");
                     self.all[index].connection.login_finished();
                     for request in std::mem::take(&mut self.all[index].queue) {
                         self.submit(index, request, now);
                     }
                 }
-                Came::Answer { tag, status, sense, data, .. } => {
+                InitiatorEvent::CommandCompleted { tag, status, sense, data, .. } => {
                     self.on_answer(index, tag, status, sense, data);
                 }
-                Came::Rejected { tag, reason } => {
+                InitiatorEvent::CommandRejected { tag, reason } => {
                     tracing::warn!(node = self.all[index].name, reason, "command rejected");
                     self.end(index, tag, Ending::Error);
                 }
-                Came::Gone { .. } => self.all[index].connection.abort_answered(ticks_to_millis(now)),
-                Came::AskedOut => {
+                InitiatorEvent::CommandAborted { .. } => {
+                    self.all[index].connection.abort_answered(ticks_to_millis(now))
+                }
+                InitiatorEvent::LogoutRequested => {
                     if let Some(link) = &mut self.all[index].link {
-                        link.conn.logout();
+                        link.conn.send_logout_request();
                     }
                     self.mark_dirty(index);
                 }
-                Came::LoggedOut => return self.close(index),
-                Came::Text(_) => {}
+                InitiatorEvent::LoggedOut => return self.close(index),
+                InitiatorEvent::TextResponse(_) => {}
             }
         }
     }
@@ -320,7 +322,7 @@
         while let Some(index) = self.dirty.pop() {
             self.all[index].dirty = false;
             if let Some(link) = &mut self.all[index].link
-                && let Err(e) = socket_io::write(&mut link.socket, link.conn.out())
+                && let Err(e) = socket_io::write(&mut link.socket, link.conn.send_buffer())
             {
                 self.disconnect(index, &e.into());
             }
@@ -331,7 +333,7 @@
     pub(crate) fn on_timer(&mut self, now: Tick) {
         for index in 0..self.all.len() {
             let node = &self.all[index];
-            let in_flight = node.link.as_ref().map_or(0, |link| link.conn.in_hand());
+            let in_flight = node.link.as_ref().map_or(0, |link| link.conn.in_flight());
             if let Some(reason) = node.connection.check_timeouts(ticks_to_millis(now), in_flight) {
                 self.disconnect(index, &Disconnect::Timeout(reason));
             }
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -122,7 +122,7 @@
     /// One read or write of `bytes` bytes, attempted again while the host rejects it. Reads are attempted again
     /// after any failure, writes only where the host says that they have not run.
     fn transfer(&mut self, write: bool, lba: u64, data: &[u8], bytes: u64) -> Result<Vec<u8>, ArchiveError> {
-        let cdb = scsi::rw16(write, lba, (bytes / self.block_size) as u32, 0);
+        let cdb = scsi::read_or_write_16(write, lba, (bytes / self.block_size) as u32, 0);
         let room = if write { 0 } else { bytes as usize };
         let mut last_status = status::GOOD;
         for _ in 0..MAX_ATTEMPTS {
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -21,7 +21,7 @@
 use mallowseam_cow::messages::ToHost;
 use mallowseam_cow::reclaim::Reclaimer;
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
-use mallowseam_iscsi::params::Wishes;
+use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_scheduler::host::Tick;
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Volume};
@@ -138,7 +138,7 @@
             .map_err(|source| Error::OpenCatalogStore { path: settings.store_path.clone(), source })?;
         let initiator = format!("{}:catalog", site.host.target);
         let registry = startup::registry(poll)?;
-        let nodes = Nodes::new(&site.nodes, initiator, Wishes::default(), registry, FIRST_NODE);
+        let nodes = Nodes::new(&site.nodes, initiator, ProposedParams::default(), registry, FIRST_NODE);
         let clock = Clock::from_zero();
         let now = clock.now();
         let fresh = catalog.tree().version == 0;
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -50,7 +50,7 @@
         for (layer, node) in self.tree().pending_closes().collect::<Vec<_>>() {
             let purpose = Purpose::CloseLayer { layer, node };
             if !self.commands.values().any(|command| command.purpose == purpose) {
-                self.send_command(purpose, node, layer, scsi::write_protect(true));
+                self.send_command(purpose, node, layer, scsi::mode_select_write_protect(true));
             }
         }
     }
--- a/crates/gateway/src/socket_io.rs
+++ b/crates/gateway/src/socket_io.rs
@@ -1,5 +1,5 @@
 //! Reads and writes of connections, without blocking.
-use mallowseam_iscsi::frame::Outgoing;
+use mallowseam_iscsi::frame::SendBuffer;
 pub use mallowseam_sockets::nonblocking::{ConnectionError, ReadOutcome, read, write_buffer};
 use std::io::Write;
 
@@ -7,13 +7,13 @@
 ///
 /// # Errors
 /// The connection is of no further use.
-pub fn write(socket: &mut impl Write, out: &mut Outgoing) -> Result<usize, ConnectionError> {
+pub fn write(socket: &mut impl Write, out: &mut SendBuffer) -> Result<usize, ConnectionError> {
     let mut total = 0;
-    while !out.waiting().is_empty() {
-        let wanted = out.waiting().len();
+    while !out.unsent().is_empty() {
+        let wanted = out.unsent().len();
         let written =
-            mallowseam_sockets::nonblocking::write(socket, out.waiting()).map_err(|error| error.source)?;
-        out.wrote(written);
+            mallowseam_sockets::nonblocking::write(socket, out.unsent()).map_err(|error| error.source)?;
+        out.mark_sent(written);
         total += written;
         if written < wanted {
             break;
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -119,7 +119,7 @@
             let answer = self.client.execute(layer, &cdb, LBA_STATUS_LEN as usize, Vec::new());
             let answer = answer.map_err(|e| self.error(e))?;
             let data = Some(answer.data).filter(|_| answer.status == status::GOOD);
-            let Some(runs) = data.as_deref().and_then(scsi::read_lba_status) else {
+            let Some(runs) = data.as_deref().and_then(scsi::parse_lba_status) else {
                 return Err(VerifyError::LbaStatus { node: self.name.to_owned() });
             };
             let Some((last_lba, last_blocks)) = runs.last().copied() else { return Ok(numbers) };
--- a/crates/gateway/tests/pinned/scsi.rs
+++ b/crates/gateway/tests/pinned/scsi.rs
@@ -1,7 +1,7 @@
 //! What a host answers to SCSI commands without asking a node, and while no node can be reached.
 use crate::harness::{Process, Transcript, addresses, assert_pinned, wait_for_control};
 use mallowseam_gateway::blocking_client::BlockingClient;
-use mallowseam_iscsi::scsi::rw16;
+use mallowseam_iscsi::scsi::read_or_write_16;
 use std::fs;
 
 fn hex(bytes: &[u8]) -> String {
@@ -39,7 +39,7 @@
     let mut t = Transcript::default();
     let mut ask = |what: &str, lun: u32, cdb: [u8; 16], room: usize, data: Vec<u8>| {
         let answer = client.execute(lun, &cdb, room, data).expect("an answer");
-        let sense = answer.sense.map_or("none".to_owned(), |sense| hex(&sense.bytes()));
+        let sense = answer.sense.map_or("none".to_owned(), |sense| hex(&sense.to_fixed_format()));
         let text = format!(
             "status {} sense {sense} retry after {} data {}",
             answer.status,
@@ -66,20 +66,20 @@
         ask("unmap", lun, cdb(&[0x42, 0, 0, 0, 0, 0, 0, 0, 8]), 0, vec![0, 6, 0, 0, 0, 0, 0, 0]);
         ask("get lba status", lun, cdb(&[0x9e, 0x12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]), 32, vec![]);
         ask("unknown", lun, cdb(&[0xff]), 0, vec![]);
-        ask("read of nothing", lun, rw16(false, 0, 0, 0), 0, vec![]);
-        ask("read past the end", lun, rw16(false, 255, 2, 0), 8192, vec![]);
-        ask("read without room", lun, rw16(false, 0, 2, 0), 512, vec![]);
+        ask("read of nothing", lun, read_or_write_16(false, 0, 0, 0), 0, vec![]);
+        ask("read past the end", lun, read_or_write_16(false, 255, 2, 0), 8192, vec![]);
+        ask("read without room", lun, read_or_write_16(false, 0, 2, 0), 512, vec![]);
         ask(
             "read that is too long",
             lun,
-            rw16(false, 0, if lun == 0 { 256 } else { 64 }, 0),
+            read_or_write_16(false, 0, if lun == 0 { 256 } else { 64 }, 0),
             1 << 20,
             vec![],
         );
-        ask("write without its data", lun, rw16(true, 0, 2, 0), 0, vec![0; 512]);
+        ask("write without its data", lun, read_or_write_16(true, 0, 2, 0), 0, vec![0; 512]);
     }
-    ask("read, node away", 0, rw16(false, 0, 2, 0), 1024, vec![]);
-    ask("write, node away", 0, rw16(true, 0, 2, 0), 0, vec![0; 1024]);
-    ask("read, catalog away", 2, rw16(false, 0, 2, 0), 8192, vec![]);
+    ask("read, node away", 0, read_or_write_16(false, 0, 2, 0), 1024, vec![]);
+    ask("write, node away", 0, read_or_write_16(true, 0, 2, 0), 0, vec![0; 1024]);
+    ask("read, catalog away", 2, read_or_write_16(false, 0, 2, 0), 8192, vec![]);
     assert_pinned("scsi-answers.txt", t.text());
 }
--- a/crates/iscsi/src/frame.rs
+++ b/crates/iscsi/src/frame.rs
@@ -34,7 +34,7 @@
 }
 
 /// Reads PDUs as their bytes come in, in pieces of any size. Holds at most one PDU.
-pub struct Decoder {
+pub struct PduDecoder {
     digests: Digests,
     most: usize,
     header: Vec<u8>,
@@ -47,10 +47,10 @@
     len.next_multiple_of(4)
 }
 
-impl Decoder {
+impl PduDecoder {
     /// `most`: the longest data segment in bytes that is taken.
     pub fn new(most: usize) -> Self {
-        Decoder {
+        PduDecoder {
             digests: Digests::default(),
             most,
             header: Vec::new(),
@@ -61,22 +61,22 @@
     }
 
     /// Takes effect from the next PDU on.
-    pub fn agree(&mut self, digests: Digests, most: usize) {
+    pub fn set_limits(&mut self, digests: Digests, most: usize) {
         (self.digests, self.most) = (digests, most);
     }
 
     /// Whether a PDU has begun and is not whole yet.
-    pub fn midway(&self) -> bool {
+    pub fn is_mid_pdu(&self) -> bool {
         !self.header.is_empty()
     }
 
     /// Bytes of memory held for the PDU that is coming in.
-    pub fn held(&self) -> usize {
+    pub fn allocated_bytes(&self) -> usize {
         self.header.capacity() + self.data.capacity()
     }
 
     /// Takes bytes off the front of `input` until a PDU is whole or `input` is empty.
-    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Pdu>, FrameError> {
+    pub fn decode(&mut self, input: &mut &[u8]) -> Result<Option<Pdu>, FrameError> {
         // The usual case: header and data of a PDU stand together in the input.
         if self.header.len() < BHS_LEN && !self.fill_header(input, BHS_LEN) {
             return Ok(None);
@@ -139,7 +139,7 @@
 
 /// Bytes that wait to be written to a stream, with their place in it.
 #[derive(Default)]
-pub struct Outgoing {
+pub struct SendBuffer {
     bytes: Vec<u8>,
     start: usize,
     written: u64,
@@ -149,8 +149,8 @@
 /// Kept as room for the next bytes; a larger buffer is given back once it is empty.
 const KEEP: usize = 16 * 1024;
 
-impl Outgoing {
-    pub fn agree(&mut self, digests: Digests) {
+impl SendBuffer {
+    pub fn set_digests(&mut self, digests: Digests) {
         self.digests = digests;
     }
 
@@ -174,12 +174,12 @@
     }
 
     /// What waits to be written.
-    pub fn waiting(&self) -> &[u8] {
+    pub fn unsent(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
     /// The first `n` waiting bytes were written.
-    pub fn wrote(&mut self, n: usize) {
+    pub fn mark_sent(&mut self, n: usize) {
         self.start += n;
         self.written += n as u64;
         if self.start == self.bytes.len() {
@@ -194,12 +194,17 @@
         }
     }
 
-    /// Bytes written since the stream opened, and where in the stream the next pushed byte will stand.
-    pub fn places(&self) -> (u64, u64) {
-        (self.written, self.written + self.waiting().len() as u64)
+    /// Bytes written since the stream opened.
+    pub fn sent_bytes(&self) -> u64 {
+        self.written
     }
 
-    pub fn held(&self) -> usize {
+    /// Offset in the stream of the next byte that is pushed.
+    pub fn end_offset(&self) -> u64 {
+        self.written + self.unsent().len() as u64
+    }
+
+    pub fn allocated_bytes(&self) -> usize {
         self.bytes.capacity()
     }
 }
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -1,10 +1,10 @@
 //! One connection of an initiator, and the session on it.
-use crate::frame::{Decoder, Outgoing};
+use crate::frame::{PduDecoder, SendBuffer};
 use crate::login::InitiatorLogin;
-use crate::params::{Params, RECV_DEFAULT, Wishes};
-use crate::pdu::{Bhs, NO_TAG, Pdu, flag, op, sn_before, task};
+use crate::params::{Params, ProposedParams, RECV_DEFAULT};
+use crate::pdu::{Bhs, NO_TAG, Pdu, flag, opcode, sn_before, task};
 use crate::scsi::Sense;
-use crate::target::Fault;
+use crate::target::ProtocolError;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
 
 impl Payload {
     /// A piece of it: `len` bytes from `from` on.
-    pub fn piece(&self, from: usize, len: usize) -> Payload {
+    pub fn slice(&self, from: usize, len: usize) -> Payload {
         Payload { bytes: self.bytes.clone(), from: self.from + from, to: self.from + from + len }
     }
 
@@ -36,30 +36,30 @@
 
 /// What came in; `tag` is the caller's own name of a command.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum InitiatorEvent {
     LoggedIn,
     /// A command's final status, its data, and when to come back in tenths of a second (0: not told).
-    Answer {
+    CommandCompleted {
         tag: u32,
         status: u8,
         sense: Option<Sense>,
         data: Vec<u8>,
-        come_back: u16,
+        retry_after: u16,
     },
     /// The target turned the command away unread.
-    Rejected {
+    CommandRejected {
         tag: u32,
         reason: u8,
     },
     /// An aborted command will not be answered any more.
-    Gone {
+    CommandAborted {
         tag: u32,
     },
     /// The target asks for a logout.
-    AskedOut,
+    LogoutRequested,
     LoggedOut,
     /// The answer to a text request.
-    Text(Vec<u8>),
+    TextResponse(Vec<u8>),
 }
 
 struct Out {
@@ -81,30 +81,30 @@
     Over,
 }
 
-pub struct InitiatorConn {
+pub struct InitiatorConnection {
     phase: Phase,
     params: Params,
-    decoder: Decoder,
-    out: Outgoing,
+    decoder: PduDecoder,
+    out: SendBuffer,
     cmd_sn: u32,
     exp_stat_sn: u32,
     max_cmd_sn: u32,
     outs: Vec<Option<Out>>,
     turn: u16,
     strays: u64,
-    events: VecDeque<Came>,
+    events: VecDeque<InitiatorEvent>,
 }
 
-impl InitiatorConn {
+impl InitiatorConnection {
     /// Opens with a login request; `target` none for a discovery session.
-    pub fn new(name: &str, target: Option<&str>, isid: [u8; 6], wishes: &Wishes) -> Self {
+    pub fn new(name: &str, target: Option<&str>, isid: [u8; 6], wishes: &ProposedParams) -> Self {
         let (login, bhs, data) = InitiatorLogin::start(name, target, isid, wishes);
-        let mut out = Outgoing::default();
+        let mut out = SendBuffer::default();
         out.push(bhs.with_sn(1), &data);
-        InitiatorConn {
+        InitiatorConnection {
             phase: Phase::Login(Box::new(login)),
             params: Params::default(),
-            decoder: Decoder::new(RECV_DEFAULT.max(wishes.max_recv)),
+            decoder: PduDecoder::new(RECV_DEFAULT.max(wishes.max_recv_data_segment)),
             out,
             cmd_sn: 1,
             exp_stat_sn: 0,
@@ -116,28 +116,28 @@
         }
     }
 
-    pub fn out(&mut self) -> &mut Outgoing {
+    pub fn send_buffer(&mut self) -> &mut SendBuffer {
         &mut self.out
     }
 
-    pub fn came(&mut self) -> Option<Came> {
+    pub fn next_event(&mut self) -> Option<InitiatorEvent> {
         self.events.pop_front()
     }
 
-    pub fn logged_in(&self) -> bool {
+    pub fn is_logged_in(&self) -> bool {
         matches!(self.phase, Phase::Full)
     }
 
     /// Whether the target's window takes another command now.
-    pub fn may_send(&self) -> bool {
-        self.logged_in() && !sn_before(self.max_cmd_sn, self.cmd_sn)
+    pub fn can_send(&self) -> bool {
+        self.is_logged_in() && !sn_before(self.max_cmd_sn, self.cmd_sn)
     }
 
     /// Sends a command: `room` bytes of data are expected back, `write` goes out with it. False, and nothing
     /// sent, while the target's window is closed.
-    pub fn command(&mut self, tag: u32, lun: u32, cdb: &[u8; 16], room: usize, write: Payload) -> bool {
+    pub fn send_command(&mut self, tag: u32, lun: u32, cdb: &[u8; 16], room: usize, write: Payload) -> bool {
         let data = write.bytes();
-        if !self.may_send() {
+        if !self.can_send() {
             return false;
         }
         let at = match self.outs.iter().position(Option::is_none) {
@@ -151,8 +151,9 @@
         self.turn = (self.turn + 1) % 0x7fff;
         let itt = (u32::from(self.turn) << 16) | at as u32;
         let writes = !data.is_empty();
-        let unsolicited = data.len().min(self.params.first_burst);
-        let immediate = if self.params.immediate_data { unsolicited.min(self.params.max_send) } else { 0 };
+        let unsolicited = data.len().min(self.params.first_burst_len);
+        let immediate =
+            if self.params.immediate_data { unsolicited.min(self.params.max_send_data_segment) } else { 0 };
         let more = !self.params.initial_r2t && immediate < unsolicited;
         let direction = if writes {
             flag::WRITE
@@ -163,7 +164,7 @@
         };
         let flags = direction | flag::SIMPLE | if more { 0 } else { flag::FINAL };
         let len = if writes { data.len() } else { room };
-        let bhs = Bhs::new(op::SCSI_COMMAND, flags)
+        let bhs = Bhs::new(opcode::SCSI_COMMAND, flags)
             .with_lun(lun)
             .with_itt(itt)
             .with_word20(len as u32)
@@ -171,7 +172,7 @@
             .with_exp_sn(self.exp_stat_sn)
             .with_cdb(cdb);
         self.cmd_sn = self.cmd_sn.wrapping_add(1);
-        let place = self.out.places().1;
+        let place = self.out.end_offset();
         self.out.push(bhs, &data[..immediate]);
         let mut out =
             Out { tag, itt, lun, read: Vec::new(), room, write, sent: immediate, place, aborted: false };
@@ -183,17 +184,17 @@
     }
 
     /// Whether any byte of a command has gone to the wire. False for one that is not out.
-    pub fn on_the_wire(&self, tag: u32) -> bool {
-        let written = self.out.places().0;
+    pub fn has_started_sending(&self, tag: u32) -> bool {
+        let written = self.out.sent_bytes();
         self.outs.iter().flatten().any(|o| o.tag == tag && o.place < written)
     }
 
     fn burst(&mut self, out: &mut Out, transfer: u32, until: usize) {
         let mut data_sn = 0;
         while out.sent < until {
-            let len = (until - out.sent).min(self.params.max_send);
+            let len = (until - out.sent).min(self.params.max_send_data_segment);
             let last = out.sent + len == until;
-            let bhs = Bhs::new(op::DATA_OUT, if last { flag::FINAL } else { 0 })
+            let bhs = Bhs::new(opcode::DATA_OUT, if last { flag::FINAL } else { 0 })
                 .with_lun(out.lun)
                 .with_itt(out.itt)
                 .with_word20(transfer)
@@ -207,13 +208,13 @@
     }
 
     /// Asks the target to drop a command. No answer for it is told any more.
-    pub fn abort(&mut self, tag: u32) {
+    pub fn abort_task(&mut self, tag: u32) {
         let found = self.outs.iter_mut().flatten().find(|o| o.tag == tag && !o.aborted);
         let Some(out) = found else { return };
         out.aborted = true;
         (out.read, out.write) = (Vec::new(), Payload::default());
         let (lun, itt) = (out.lun, out.itt);
-        let bhs = Bhs::new(op::TASK_REQUEST, flag::FINAL | task::ABORT_TASK)
+        let bhs = Bhs::new(opcode::TASK_MANAGEMENT_REQUEST, flag::FINAL | task::ABORT_TASK)
             .with_immediate()
             .with_lun(lun)
             .with_itt(itt | 0x8000_0000)
@@ -225,8 +226,8 @@
     }
 
     /// Resets a logical unit: commands out there get no answer.
-    pub fn reset_lun(&mut self, lun: u32) {
-        let bhs = Bhs::new(op::TASK_REQUEST, flag::FINAL | task::LUN_RESET)
+    pub fn reset_logical_unit(&mut self, lun: u32) {
+        let bhs = Bhs::new(opcode::TASK_MANAGEMENT_REQUEST, flag::FINAL | task::LUN_RESET)
             .with_immediate()
             .with_lun(lun)
             .with_itt(0xfffe_ffff)
@@ -236,8 +237,8 @@
         self.out.push(bhs, &[]);
     }
 
-    pub fn logout(&mut self) {
-        let bhs = Bhs::new(op::LOGOUT_REQUEST, flag::FINAL)
+    pub fn send_logout_request(&mut self) {
+        let bhs = Bhs::new(opcode::LOGOUT_REQUEST, flag::FINAL)
             .with_immediate()
             .with_itt(0xfffd_ffff)
             .with_sn(self.cmd_sn)
@@ -246,8 +247,8 @@
     }
 
     /// A text request of one PDU, such as `SendTargets=All`.
-    pub fn text(&mut self, data: &[u8]) {
-        let bhs = Bhs::new(op::TEXT_REQUEST, flag::FINAL)
+    pub fn send_text_request(&mut self, data: &[u8]) {
+        let bhs = Bhs::new(opcode::TEXT_REQUEST, flag::FINAL)
             .with_itt(0xfffc_ffff)
             .with_word20(NO_TAG)
             .with_sn(self.cmd_sn)
@@ -257,24 +258,24 @@
     }
 
     /// Commands out that have not been aborted.
-    pub fn tags(&self) -> impl Iterator<Item = u32> + '_ {
+    pub fn in_flight_tags(&self) -> impl Iterator<Item = u32> + '_ {
         self.outs.iter().flatten().filter(|o| !o.aborted).map(|o| o.tag)
     }
 
     /// Commands out, with those aborted whose end has not been told.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.outs.iter().flatten().count()
     }
 
     /// Final answers that belong to no command out: a target that answers twice.
-    pub fn strays(&self) -> u64 {
+    pub fn unmatched_responses(&self) -> u64 {
         self.strays
     }
 
     /// Takes bytes as they come. A fault closes the connection.
-    pub fn receive(&mut self, mut input: &[u8]) -> Result<(), Fault> {
+    pub fn receive(&mut self, mut input: &[u8]) -> Result<(), ProtocolError> {
         while !input.is_empty() {
-            match self.decoder.next(&mut input)? {
+            match self.decoder.decode(&mut input)? {
                 None => break,
                 Some(pdu) => self.pdu(pdu)?,
             }
@@ -282,10 +283,10 @@
         Ok(())
     }
 
-    fn pdu(&mut self, pdu: Pdu) -> Result<(), Fault> {
+    fn pdu(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
         let bhs = pdu.bhs;
         if let Phase::Login(login) = &mut self.phase {
-            let next = login.response(&pdu).map_err(Fault)?;
+            let next = login.response(&pdu).map_err(ProtocolError)?;
             self.exp_stat_sn = bhs.sn().wrapping_add(1);
             (self.max_cmd_sn, self.cmd_sn) = (bhs.max_cmd_sn(), bhs.exp_sn());
             match next {
@@ -295,10 +296,10 @@
                 }
                 None => {
                     self.params = login.params.clone();
-                    self.decoder.agree(self.params.digests, self.params.max_recv);
-                    self.out.agree(self.params.digests);
+                    self.decoder.set_limits(self.params.digests, self.params.max_recv_data_segment);
+                    self.out.set_digests(self.params.digests);
                     self.phase = Phase::Full;
-                    self.events.push_back(Came::LoggedIn);
+                    self.events.push_back(InitiatorEvent::LoggedIn);
                 }
             }
             return Ok(());
@@ -307,42 +308,42 @@
             self.max_cmd_sn = bhs.max_cmd_sn();
         }
         let counts = match bhs.opcode() {
-            op::DATA_IN => bhs.flags() & flag::STATUS != 0,
-            op::R2T => false,
-            op::NOP_IN => bhs.itt() != NO_TAG,
+            opcode::DATA_IN => bhs.flags() & flag::STATUS != 0,
+            opcode::R2T => false,
+            opcode::NOP_IN => bhs.itt() != NO_TAG,
             _ => true,
         };
         if counts {
             if bhs.sn() != self.exp_stat_sn {
-                return Err(Fault(format!("StatSN {}, expected {}", bhs.sn(), self.exp_stat_sn)));
+                return Err(ProtocolError(format!("StatSN {}, expected {}", bhs.sn(), self.exp_stat_sn)));
             }
             self.exp_stat_sn = self.exp_stat_sn.wrapping_add(1);
         }
         match bhs.opcode() {
-            op::DATA_IN => self.data_in(pdu)?,
-            op::SCSI_RESPONSE => self.response(&pdu),
-            op::R2T => self.r2t(&bhs)?,
-            op::NOP_IN => self.ping(&pdu),
-            op::TASK_RESPONSE => {
+            opcode::DATA_IN => self.data_in(pdu)?,
+            opcode::SCSI_RESPONSE => self.response(&pdu),
+            opcode::R2T => self.r2t(&bhs)?,
+            opcode::NOP_IN => self.ping(&pdu),
+            opcode::TASK_MANAGEMENT_RESPONSE => {
                 let itt = bhs.itt() & 0x7fff_ffff;
                 if let Some(at) = self.find(itt).filter(|at| self.outs[*at].as_ref().expect("found").aborted)
                 {
                     let out = self.outs[at].take().expect("found");
-                    self.events.push_back(Came::Gone { tag: out.tag });
+                    self.events.push_back(InitiatorEvent::CommandAborted { tag: out.tag });
                 }
             }
-            op::REJECT => self.rejected(&pdu),
-            op::ASYNC => match bhs.byte(36) {
-                1 => self.events.push_back(Came::AskedOut),
+            opcode::REJECT => self.rejected(&pdu),
+            opcode::ASYNC_MESSAGE => match bhs.byte(36) {
+                1 => self.events.push_back(InitiatorEvent::LogoutRequested),
                 0 | 4 => {}
-                event => return Err(Fault(format!("target drops the connection (event {event})"))),
+                event => return Err(ProtocolError(format!("target drops the connection (event {event})"))),
             },
-            op::LOGOUT_RESPONSE => {
+            opcode::LOGOUT_RESPONSE => {
                 self.phase = Phase::Over;
-                self.events.push_back(Came::LoggedOut);
+                self.events.push_back(InitiatorEvent::LoggedOut);
             }
-            op::TEXT_RESPONSE => self.events.push_back(Came::Text(pdu.data)),
-            opcode => return Err(Fault(format!("opcode {opcode:#04x} from a target"))),
+            opcode::TEXT_RESPONSE => self.events.push_back(InitiatorEvent::TextResponse(pdu.data)),
+            opcode => return Err(ProtocolError(format!("opcode {opcode:#04x} from a target"))),
         }
         Ok(())
     }
@@ -352,7 +353,7 @@
         self.outs.get(at)?.as_ref().filter(|o| o.itt == itt).map(|_| at)
     }
 
-    fn data_in(&mut self, pdu: Pdu) -> Result<(), Fault> {
+    fn data_in(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
         let bhs = pdu.bhs;
         let Some(at) = self.find(bhs.itt()) else {
             self.strays += u64::from(bhs.flags() & flag::STATUS != 0);
@@ -361,7 +362,11 @@
         let out = self.outs[at].as_mut().expect("found");
         if !out.aborted {
             if bhs.offset() as usize != out.read.len() || out.read.len() + pdu.data.len() > out.room {
-                return Err(Fault(format!("data at {}, expected at {}", bhs.offset(), out.read.len())));
+                return Err(ProtocolError(format!(
+                    "data at {}, expected at {}",
+                    bhs.offset(),
+                    out.read.len()
+                )));
             }
             if out.read.is_empty() && pdu.data.len() == out.room {
                 // All in one PDU, as most are: its buffer is the answer's.
@@ -379,14 +384,14 @@
         Ok(())
     }
 
-    fn finish(&mut self, at: usize, status: u8, sense: Option<Sense>, come_back: u16) {
+    fn finish(&mut self, at: usize, status: u8, sense: Option<Sense>, retry_after: u16) {
         // An aborted command keeps its tag until the task response: only then is it surely over.
         if self.outs[at].as_ref().is_some_and(|o| o.aborted) {
             return;
         }
         let out = self.outs[at].take().expect("found");
         let (tag, data) = (out.tag, out.read);
-        self.events.push_back(Came::Answer { tag, status, sense, data, come_back });
+        self.events.push_back(InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after });
     }
 
     fn response(&mut self, pdu: &Pdu) {
@@ -394,7 +399,7 @@
             self.strays += 1;
             return;
         };
-        let sense = pdu.data.get(2..).and_then(Sense::read);
+        let sense = pdu.data.get(2..).and_then(Sense::from_fixed_format);
         // Response code 1: the target failed, whatever the status byte says.
         let status =
             if pdu.bhs.byte(2) == 0 { pdu.bhs.byte(3) } else { crate::scsi::status::CHECK_CONDITION };
@@ -402,13 +407,13 @@
         self.finish(at, status, sense, if scope_and_wait <= 0x3fef { scope_and_wait } else { 0 });
     }
 
-    fn r2t(&mut self, bhs: &Bhs) -> Result<(), Fault> {
+    fn r2t(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
         let Some(at) = self.find(bhs.itt()) else { return Ok(()) };
         let mut out = self.outs[at].take().expect("found");
         if !out.aborted {
             let (from, len) = (bhs.offset() as usize, bhs.word44() as usize);
             if from != out.sent || from + len > out.write.bytes().len() || len == 0 {
-                return Err(Fault(format!("asked for {len} bytes at {from}, {} to come", out.sent)));
+                return Err(ProtocolError(format!("asked for {len} bytes at {from}, {} to come", out.sent)));
             }
             self.burst(&mut out, bhs.word20(), from + len);
         }
@@ -420,7 +425,7 @@
         if pdu.bhs.word20() == NO_TAG {
             return;
         }
-        let mut bhs = Bhs::new(op::NOP_OUT, flag::FINAL)
+        let mut bhs = Bhs::new(opcode::NOP_OUT, flag::FINAL)
             .with_immediate()
             .with_itt(NO_TAG)
             .with_word20(pdu.bhs.word20())
@@ -437,7 +442,7 @@
         let itt = u32::from_be_bytes([pdu.data[16], pdu.data[17], pdu.data[18], pdu.data[19]]);
         if let Some(at) = self.find(itt) {
             let out = self.outs[at].take().expect("found");
-            self.events.push_back(Came::Rejected { tag: out.tag, reason: pdu.bhs.byte(2) });
+            self.events.push_back(InitiatorEvent::CommandRejected { tag: out.tag, reason: pdu.bhs.byte(2) });
         }
     }
 }
--- a/crates/iscsi/src/params.rs
+++ b/crates/iscsi/src/params.rs
@@ -7,12 +7,12 @@
 pub struct Params {
     pub digests: Digests,
     /// Longest data segment this side takes, and the other side takes.
-    pub max_recv: usize,
-    pub max_send: usize,
+    pub max_recv_data_segment: usize,
+    pub max_send_data_segment: usize,
     pub initial_r2t: bool,
     pub immediate_data: bool,
-    pub max_burst: usize,
-    pub first_burst: usize,
+    pub max_burst_len: usize,
+    pub first_burst_len: usize,
     pub time2wait: u16,
     pub time2retain: u16,
     /// iSCSIProtocolLevel (RFC 7144): from 2 on, the status qualifier of a response counts.
@@ -27,12 +27,12 @@
     fn default() -> Self {
         Params {
             digests: Digests::default(),
-            max_recv: 64 * 1024,
-            max_send: RECV_DEFAULT,
+            max_recv_data_segment: 64 * 1024,
+            max_send_data_segment: RECV_DEFAULT,
             initial_r2t: true,
             immediate_data: true,
-            max_burst: 256 * 1024,
-            first_burst: 64 * 1024,
+            max_burst_len: 256 * 1024,
+            first_burst_len: 64 * 1024,
             time2wait: 2,
             time2retain: 0,
             level: 1,
@@ -42,20 +42,20 @@
 
 /// What this side would like.
 #[derive(Clone, Copy, Debug)]
-pub struct Wishes {
+pub struct ProposedParams {
     pub digests: Digests,
-    pub max_recv: usize,
-    pub max_burst: usize,
-    pub first_burst: usize,
+    pub max_recv_data_segment: usize,
+    pub max_burst_len: usize,
+    pub first_burst_len: usize,
 }
 
-impl Default for Wishes {
+impl Default for ProposedParams {
     fn default() -> Self {
-        Wishes {
+        ProposedParams {
             digests: Digests::default(),
-            max_recv: 256 * 1024,
-            max_burst: 256 * 1024,
-            first_burst: 64 * 1024,
+            max_recv_data_segment: 256 * 1024,
+            max_burst_len: 256 * 1024,
+            first_burst_len: 64 * 1024,
         }
     }
 }
@@ -86,15 +86,15 @@
 }
 
 impl Params {
-    pub fn wishing(wishes: &Wishes) -> Self {
-        Params { max_recv: wishes.max_recv, ..Params::default() }
+    pub fn wishing(wishes: &ProposedParams) -> Self {
+        Params { max_recv_data_segment: wishes.max_recv_data_segment, ..Params::default() }
     }
 
     /// A target's part: takes one key of the initiator, writes the answer. Keys of login itself (names,
     /// session type, authentication) are the caller's. Error: what was expected of the value.
     pub fn answer(
         &mut self,
-        wishes: &Wishes,
+        wishes: &ProposedParams,
         key: &str,
         value: &str,
         out: &mut Vec<u8>,
@@ -117,7 +117,7 @@
                 *place = on;
                 text::put(out, key, if on { "CRC32C" } else { "None" });
             }
-            "MaxRecvDataSegmentLength" => self.max_send = length(value).map_err(wrong)?,
+            "MaxRecvDataSegmentLength" => self.max_send_data_segment = length(value).map_err(wrong)?,
             "InitialR2T" => {
                 self.initial_r2t = yes_no(value).map_err(wrong)?;
                 text::put(out, key, word(self.initial_r2t));
@@ -127,13 +127,14 @@
                 text::put(out, key, word(self.immediate_data));
             }
             "MaxBurstLength" => {
-                self.max_burst = length(value).map_err(wrong)?.min(wishes.max_burst);
-                self.first_burst = self.first_burst.min(self.max_burst);
-                text::put(out, key, &self.max_burst.to_string());
+                self.max_burst_len = length(value).map_err(wrong)?.min(wishes.max_burst_len);
+                self.first_burst_len = self.first_burst_len.min(self.max_burst_len);
+                text::put(out, key, &self.max_burst_len.to_string());
             }
             "FirstBurstLength" => {
-                self.first_burst = length(value).map_err(wrong)?.min(wishes.first_burst).min(self.max_burst);
-                text::put(out, key, &self.first_burst.to_string());
+                self.first_burst_len =
+                    length(value).map_err(wrong)?.min(wishes.first_burst_len).min(self.max_burst_len);
+                text::put(out, key, &self.first_burst_len.to_string());
             }
             "DefaultTime2Wait" => {
                 self.time2wait = self.time2wait.max(small(value, 3600).map_err(wrong)?);
@@ -166,15 +167,15 @@
     }
 
     /// An initiator's offer.
-    pub fn offer(wishes: &Wishes, out: &mut Vec<u8>) {
+    pub fn offer(wishes: &ProposedParams, out: &mut Vec<u8>) {
         let digest = |on| if on { "CRC32C,None" } else { "None,CRC32C" };
         text::put(out, "HeaderDigest", digest(wishes.digests.header));
         text::put(out, "DataDigest", digest(wishes.digests.data));
-        text::put(out, "MaxRecvDataSegmentLength", &wishes.max_recv.to_string());
+        text::put(out, "MaxRecvDataSegmentLength", &wishes.max_recv_data_segment.to_string());
         text::put(out, "InitialR2T", "No");
         text::put(out, "ImmediateData", "Yes");
-        text::put(out, "MaxBurstLength", &wishes.max_burst.to_string());
-        text::put(out, "FirstBurstLength", &wishes.first_burst.to_string());
+        text::put(out, "MaxBurstLength", &wishes.max_burst_len.to_string());
+        text::put(out, "FirstBurstLength", &wishes.first_burst_len.to_string());
         text::put(out, "MaxConnections", "1");
         text::put(out, "MaxOutstandingR2T", "1");
         text::put(out, "ErrorRecoveryLevel", "0");
@@ -197,11 +198,11 @@
         match key {
             "HeaderDigest" => self.digests.header = crc(value).map_err(wrong)?,
             "DataDigest" => self.digests.data = crc(value).map_err(wrong)?,
-            "MaxRecvDataSegmentLength" => self.max_send = length(value).map_err(wrong)?,
+            "MaxRecvDataSegmentLength" => self.max_send_data_segment = length(value).map_err(wrong)?,
             "InitialR2T" => self.initial_r2t = yes_no(value).map_err(wrong)?,
             "ImmediateData" => self.immediate_data = yes_no(value).map_err(wrong)?,
-            "MaxBurstLength" => self.max_burst = length(value).map_err(wrong)?,
-            "FirstBurstLength" => self.first_burst = length(value).map_err(wrong)?,
+            "MaxBurstLength" => self.max_burst_len = length(value).map_err(wrong)?,
+            "FirstBurstLength" => self.first_burst_len = length(value).map_err(wrong)?,
             "iSCSIProtocolLevel" => self.level = small(value, 31).map_err(wrong)? as u8,
             _ => {}
         }
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -5,10 +5,10 @@
 pub const NO_TAG: u32 = 0xffff_ffff;
 
 /// Opcodes (section 11.2.1.2).
-pub mod op {
+pub mod opcode {
     pub const NOP_OUT: u8 = 0x00;
     pub const SCSI_COMMAND: u8 = 0x01;
-    pub const TASK_REQUEST: u8 = 0x02;
+    pub const TASK_MANAGEMENT_REQUEST: u8 = 0x02;
     pub const LOGIN_REQUEST: u8 = 0x03;
     pub const TEXT_REQUEST: u8 = 0x04;
     pub const DATA_OUT: u8 = 0x05;
@@ -16,13 +16,13 @@
     pub const SNACK: u8 = 0x10;
     pub const NOP_IN: u8 = 0x20;
     pub const SCSI_RESPONSE: u8 = 0x21;
-    pub const TASK_RESPONSE: u8 = 0x22;
+    pub const TASK_MANAGEMENT_RESPONSE: u8 = 0x22;
     pub const LOGIN_RESPONSE: u8 = 0x23;
     pub const TEXT_RESPONSE: u8 = 0x24;
     pub const DATA_IN: u8 = 0x25;
     pub const LOGOUT_RESPONSE: u8 = 0x26;
     pub const R2T: u8 = 0x31;
-    pub const ASYNC: u8 = 0x32;
+    pub const ASYNC_MESSAGE: u8 = 0x32;
     pub const REJECT: u8 = 0x3f;
 }
 
@@ -172,6 +172,26 @@
         self.with_u32(20, value)
     }
 
+    /// Expected data transfer length of a SCSI command (section 11.3.4).
+    pub fn with_expected_data_len(self, len: u32) -> Self {
+        self.with_u32(20, len)
+    }
+
+    /// Command sequence number of a request (section 4.2.2.1).
+    pub fn cmd_sn(&self) -> u32 {
+        self.u32_at(24)
+    }
+
+    /// Sets the command sequence number of a request.
+    pub fn with_cmd_sn(self, value: u32) -> Self {
+        self.with_u32(24, value)
+    }
+
+    /// All bytes of the header.
+    pub fn bytes_mut(&mut self) -> &mut [u8; BHS_LEN] {
+        &mut self.0
+    }
+
     /// CmdSN of what an initiator sends, StatSN of what a target sends.
     pub fn sn(&self) -> u32 {
         self.u32_at(24)
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -11,33 +11,46 @@
 
 /// Sense: key, additional code and its qualifier (SPC-4, 4.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sense(pub u8, pub u8, pub u8);
+pub struct Sense {
+    /// Sense key.
+    pub key: u8,
+    /// Additional sense code (ASC).
+    pub code: u8,
+    /// Additional sense code qualifier (ASCQ).
+    pub qualifier: u8,
+}
 
 impl Sense {
-    pub const INVALID_OPCODE: Sense = Sense(0x05, 0x20, 0x00);
-    pub const OUT_OF_RANGE: Sense = Sense(0x05, 0x21, 0x00);
-    pub const INVALID_FIELD: Sense = Sense(0x05, 0x24, 0x00);
-    pub const NO_SUCH_LUN: Sense = Sense(0x05, 0x25, 0x00);
+    /// NO SENSE: there is nothing to report.
+    pub const NO_ADDITIONAL_SENSE: Sense = Sense::new(0x00, 0x00, 0x00);
+    pub const INVALID_OPERATION_CODE: Sense = Sense::new(0x05, 0x20, 0x00);
+    pub const LBA_OUT_OF_RANGE: Sense = Sense::new(0x05, 0x21, 0x00);
+    pub const INVALID_FIELD_IN_CDB: Sense = Sense::new(0x05, 0x24, 0x00);
+    pub const LOGICAL_UNIT_NOT_SUPPORTED: Sense = Sense::new(0x05, 0x25, 0x00);
     /// Aborted command, logical unit communication time-out: it may or may not have been done.
-    pub const UNKNOWN_OUTCOME: Sense = Sense(0x0b, 0x08, 0x01);
-    pub const POWER_ON: Sense = Sense(0x06, 0x29, 0x00);
-    pub const CAPACITY_CHANGED: Sense = Sense(0x06, 0x2a, 0x09);
-    pub const DATA_PHASE: Sense = Sense(0x0b, 0x4b, 0x00);
+    pub const COMMUNICATION_TIMEOUT: Sense = Sense::new(0x0b, 0x08, 0x01);
+    pub const POWER_ON_OR_RESET: Sense = Sense::new(0x06, 0x29, 0x00);
+    pub const CAPACITY_DATA_CHANGED: Sense = Sense::new(0x06, 0x2a, 0x09);
+    pub const DATA_PHASE_ERROR: Sense = Sense::new(0x0b, 0x4b, 0x00);
     /// Write protected: it has not run.
-    pub const WRITE_PROTECTED: Sense = Sense(0x07, 0x27, 0x00);
-    pub const MEDIUM: Sense = Sense(0x03, 0x11, 0x00);
+    pub const WRITE_PROTECTED: Sense = Sense::new(0x07, 0x27, 0x00);
+    pub const UNRECOVERED_READ_ERROR: Sense = Sense::new(0x03, 0x11, 0x00);
+
+    const fn new(key: u8, code: u8, qualifier: u8) -> Self {
+        Sense { key, code, qualifier }
+    }
 
     /// Fixed format, current error: 18 bytes.
-    pub fn bytes(self) -> [u8; 18] {
+    pub fn to_fixed_format(self) -> [u8; 18] {
         let mut b = [0; 18];
-        (b[0], b[2], b[7], b[12], b[13]) = (0x70, self.0, 10, self.1, self.2);
+        (b[0], b[2], b[7], b[12], b[13]) = (0x70, self.key, 10, self.code, self.qualifier);
         b
     }
 
     /// Reads fixed-format sense; none for other formats.
-    pub fn read(bytes: &[u8]) -> Option<Sense> {
+    pub fn from_fixed_format(bytes: &[u8]) -> Option<Sense> {
         (bytes.len() >= 14 && matches!(bytes[0] & 0x7f, 0x70 | 0x71))
-            .then(|| Sense(bytes[2] & 0x0f, bytes[12], bytes[13]))
+            .then(|| Sense::new(bytes[2] & 0x0f, bytes[12], bytes[13]))
     }
 }
 
@@ -46,38 +59,38 @@
 pub enum Command {
     TestUnitReady,
     RequestSense {
-        room: usize,
+        allocation_len: usize,
     },
     Inquiry {
         page: Option<u8>,
-        room: usize,
+        allocation_len: usize,
     },
     ReportLuns {
-        select: u8,
-        room: usize,
+        select_report: u8,
+        allocation_len: usize,
     },
     ReadCapacity10,
     ReadCapacity16 {
-        room: usize,
+        allocation_len: usize,
     },
     Read {
         lba: u64,
         blocks: u32,
-        group: u8,
+        group_number: u8,
     },
     Write {
         lba: u64,
         blocks: u32,
-        group: u8,
+        group_number: u8,
     },
     SynchronizeCache {
         lba: u64,
         blocks: u32,
     },
     ModeSense {
-        ten: bool,
+        form: ModeSenseForm,
         page: u8,
-        room: usize,
+        allocation_len: usize,
     },
     /// Its data says what to change.
     ModeSelect,
@@ -86,10 +99,17 @@
     /// Which blocks hold anything, from here on.
     GetLbaStatus {
         lba: u64,
-        room: usize,
+        allocation_len: usize,
     },
 }
 
+/// The two forms of MODE SENSE, by the length of their command descriptor block.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ModeSenseForm {
+    Six,
+    Ten,
+}
+
 fn be16(b: &[u8]) -> u16 {
     u16::from_be_bytes([b[0], b[1]])
 }
@@ -103,47 +123,63 @@
 }
 
 /// Reads a command descriptor block. Error: the sense to answer with.
-pub fn read_cdb(cdb: &[u8; 16]) -> Result<Command, Sense> {
+pub fn parse_cdb(cdb: &[u8; 16]) -> Result<Command, Sense> {
     let (lba32, len16) = (u64::from(be32(&cdb[2..])), u32::from(be16(&cdb[7..])));
-    let protect = |command| if cdb[1] & 0xe0 == 0 { Ok(command) } else { Err(Sense::INVALID_FIELD) };
+    let protect = |command| if cdb[1] & 0xe0 == 0 { Ok(command) } else { Err(Sense::INVALID_FIELD_IN_CDB) };
     match cdb[0] {
         0x00 => Ok(Command::TestUnitReady),
-        0x03 => Ok(Command::RequestSense { room: usize::from(cdb[4]) }),
+        0x03 => Ok(Command::RequestSense { allocation_len: usize::from(cdb[4]) }),
         0x12 => {
             let page = (cdb[1] & 1 != 0).then_some(cdb[2]);
             if page.is_none() && cdb[2] != 0 {
-                return Err(Sense::INVALID_FIELD);
+                return Err(Sense::INVALID_FIELD_IN_CDB);
             }
-            Ok(Command::Inquiry { page, room: usize::from(be16(&cdb[3..])) })
+            Ok(Command::Inquiry { page, allocation_len: usize::from(be16(&cdb[3..])) })
         }
-        0x1a => Ok(Command::ModeSense { ten: false, page: cdb[2] & 0x3f, room: usize::from(cdb[4]) }),
+        0x1a => Ok(Command::ModeSense {
+            form: ModeSenseForm::Six,
+            page: cdb[2] & 0x3f,
+            allocation_len: usize::from(cdb[4]),
+        }),
         0x15 if cdb[1] & 0x10 != 0 => Ok(Command::ModeSelect),
         0x42 => Ok(Command::Unmap),
-        0x5a => Ok(Command::ModeSense { ten: true, page: cdb[2] & 0x3f, room: usize::from(be16(&cdb[7..])) }),
+        0x5a => Ok(Command::ModeSense {
+            form: ModeSenseForm::Ten,
+            page: cdb[2] & 0x3f,
+            allocation_len: usize::from(be16(&cdb[7..])),
+        }),
         0x25 => Ok(Command::ReadCapacity10),
-        0x28 => protect(Command::Read { lba: lba32, blocks: len16, group: cdb[6] & 0x1f }),
-        0x2a => protect(Command::Write { lba: lba32, blocks: len16, group: cdb[6] & 0x1f }),
+        0x28 => protect(Command::Read { lba: lba32, blocks: len16, group_number: cdb[6] & 0x1f }),
+        0x2a => protect(Command::Write { lba: lba32, blocks: len16, group_number: cdb[6] & 0x1f }),
         0x35 => Ok(Command::SynchronizeCache { lba: lba32, blocks: len16 }),
-        0x88 => {
-            protect(Command::Read { lba: be64(&cdb[2..]), blocks: be32(&cdb[10..]), group: cdb[14] & 0x1f })
-        }
-        0x8a => {
-            protect(Command::Write { lba: be64(&cdb[2..]), blocks: be32(&cdb[10..]), group: cdb[14] & 0x1f })
-        }
+        0x88 => protect(Command::Read {
+            lba: be64(&cdb[2..]),
+            blocks: be32(&cdb[10..]),
+            group_number: cdb[14] & 0x1f,
+        }),
+        0x8a => protect(Command::Write {
+            lba: be64(&cdb[2..]),
+            blocks: be32(&cdb[10..]),
+            group_number: cdb[14] & 0x1f,
+        }),
         0x91 => Ok(Command::SynchronizeCache { lba: be64(&cdb[2..]), blocks: be32(&cdb[10..]) }),
-        0x9e if cdb[1] & 0x1f == 0x12 => {
-            Ok(Command::GetLbaStatus { lba: be64(&cdb[2..]), room: be32(&cdb[10..]).min(1 << 20) as usize })
-        }
+        0x9e if cdb[1] & 0x1f == 0x12 => Ok(Command::GetLbaStatus {
+            lba: be64(&cdb[2..]),
+            allocation_len: be32(&cdb[10..]).min(1 << 20) as usize,
+        }),
         0x9e if cdb[1] & 0x1f == 0x10 => {
-            Ok(Command::ReadCapacity16 { room: be32(&cdb[10..]).min(1 << 16) as usize })
+            Ok(Command::ReadCapacity16 { allocation_len: be32(&cdb[10..]).min(1 << 16) as usize })
         }
-        0xa0 => Ok(Command::ReportLuns { select: cdb[2], room: be32(&cdb[6..]).min(1 << 16) as usize }),
-        _ => Err(Sense::INVALID_OPCODE),
+        0xa0 => Ok(Command::ReportLuns {
+            select_report: cdb[2],
+            allocation_len: be32(&cdb[6..]).min(1 << 16) as usize,
+        }),
+        _ => Err(Sense::INVALID_OPERATION_CODE),
     }
 }
 
 /// READ (16), or WRITE (16), with a group number of up to 31.
-pub fn rw16(write: bool, lba: u64, blocks: u32, group: u8) -> [u8; 16] {
+pub fn read_or_write_16(write: bool, lba: u64, blocks: u32, group: u8) -> [u8; 16] {
     let mut cdb = [0; 16];
     cdb[0] = if write { 0x8a } else { 0x88 };
     cdb[2..10].copy_from_slice(&lba.to_be_bytes());
@@ -153,7 +189,7 @@
 }
 
 /// MODE SELECT (6) of the control page: software write protect on or off (SPC-4, 7.5.8). Command and data.
-pub fn write_protect(on: bool) -> ([u8; 16], Vec<u8>) {
+pub fn mode_select_write_protect(on: bool) -> ([u8; 16], Vec<u8>) {
     let mut data = vec![0; 16];
     (data[4], data[5], data[8]) = (0x0a, 10, if on { 0x08 } else { 0 });
     let mut cdb = [0; 16];
@@ -162,7 +198,7 @@
 }
 
 /// What the data of a MODE SELECT (6) asks for; none for anything but the control page.
-pub fn read_write_protect(data: &[u8]) -> Option<bool> {
+pub fn parse_write_protect(data: &[u8]) -> Option<bool> {
     let sound = data.len() == 16 && data[3] == 0 && data[4] & 0x3f == 0x0a && data[5] == 10;
     sound.then(|| data[8] & 0x08 != 0)
 }
@@ -185,7 +221,7 @@
 }
 
 /// The runs that the data of an UNMAP lists; none where its lengths do not fit.
-pub fn read_unmap(data: &[u8]) -> Option<Vec<(u64, u32)>> {
+pub fn parse_unmap(data: &[u8]) -> Option<Vec<(u64, u32)>> {
     let len = usize::from(be16(data.get(2..4)?));
     let list = data.get(8..)?;
     (len == list.len() && len.is_multiple_of(16))
@@ -202,7 +238,7 @@
 }
 
 /// Its answer: runs of blocks that hold something, as many as fit the room.
-pub fn lba_status(runs: &[(u64, u32)], room: usize) -> Vec<u8> {
+pub fn lba_status_data(runs: &[(u64, u32)], room: usize) -> Vec<u8> {
     let fit = room.saturating_sub(8) / 16;
     let runs = &runs[..runs.len().min(fit)];
     let mut out = ((runs.len() * 16 + 4) as u32).to_be_bytes().to_vec();
@@ -216,7 +252,7 @@
 }
 
 /// Reads it back: the runs that are mapped; none where its length does not fit.
-pub fn read_lba_status(data: &[u8]) -> Option<Vec<(u64, u32)>> {
+pub fn parse_lba_status(data: &[u8]) -> Option<Vec<(u64, u32)>> {
     let len = be32(data.get(..4)?) as usize;
     let list = data.get(8..len + 4)?;
     let mapped = |d: &&[u8]| d[12] & 0x0f == 0;
@@ -226,13 +262,13 @@
 }
 
 /// What a logical unit says of itself. The serial is what tells one volume from another.
-pub struct Unit<'a> {
+pub struct LogicalUnit<'a> {
     pub blocks: u64,
     pub block_size: u32,
     pub product: &'a str,
     pub serial: &'a str,
     /// Most blocks of one read or write.
-    pub most: u32,
+    pub max_transfer_blocks: u32,
 }
 
 fn ascii(out: &mut Vec<u8>, text: &str, width: usize) {
@@ -240,7 +276,7 @@
     out.extend((0..width).map(|i| text.get(i).copied().unwrap_or(b' ')));
 }
 
-impl Unit<'_> {
+impl LogicalUnit<'_> {
     /// Standard INQUIRY data, or a page of vital product data; none for a page that is not kept.
     pub fn inquiry(&self, page: Option<u8>) -> Option<Vec<u8>> {
         let Some(page) = page else {
@@ -272,8 +308,8 @@
             }
             0xb0 => {
                 body.resize(60, 0);
-                body[4..8].copy_from_slice(&self.most.to_be_bytes());
-                body[8..12].copy_from_slice(&self.most.to_be_bytes());
+                body[4..8].copy_from_slice(&self.max_transfer_blocks.to_be_bytes());
+                body[8..12].copy_from_slice(&self.max_transfer_blocks.to_be_bytes());
             }
             0xb1 => {
                 body.resize(60, 0);
@@ -287,12 +323,12 @@
         Some(out)
     }
 
-    pub fn capacity10(&self) -> Vec<u8> {
+    pub fn read_capacity_10(&self) -> Vec<u8> {
         let last = (self.blocks - 1).min(u64::from(u32::MAX)) as u32;
         [last.to_be_bytes(), self.block_size.to_be_bytes()].concat()
     }
 
-    pub fn capacity16(&self) -> Vec<u8> {
+    pub fn read_capacity_16(&self) -> Vec<u8> {
         let mut out = (self.blocks - 1).to_be_bytes().to_vec();
         out.extend_from_slice(&self.block_size.to_be_bytes());
         out.resize(32, 0);
@@ -300,7 +336,7 @@
     }
 
     /// MODE SENSE data: caching and control pages; none for a page that is not kept.
-    pub fn mode(&self, ten: bool, page: u8) -> Option<Vec<u8>> {
+    pub fn mode_sense(&self, form: ModeSenseForm, page: u8) -> Option<Vec<u8>> {
         // Caching: writes are answered once a node holds them, so no write cache is told.
         let caching: [u8; 20] = [0x08, 18, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
         let control: [u8; 12] = [0x0a, 10, 0, 0x10, 0, 0, 0, 0, 0, 0, 0, 0];
@@ -316,7 +352,7 @@
         }
         // DPOFUA clear, not write-protected, no block descriptors.
         let mut out = Vec::new();
-        if ten {
+        if form == ModeSenseForm::Ten {
             out.extend_from_slice(&((pages.len() + 6) as u16).to_be_bytes());
             out.extend_from_slice(&[0; 6]);
         } else {
--- a/crates/iscsi/tests/pinned_wire.rs
+++ b/crates/iscsi/tests/pinned_wire.rs
@@ -2,13 +2,13 @@
 //!
 //! The sessions are drawn from seeds. A failure here means that the protocol's behaviour changed; the values
 //! are not to be recorded anew for a change that only moves or renames code.
-use mallowseam_iscsi::frame::{Decoder, Digests, Outgoing};
-use mallowseam_iscsi::initiator::{self, InitiatorConn, Payload};
-use mallowseam_iscsi::login::{Admit, Refusal, Who};
-use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::pdu::{Bhs, NO_TAG, Pdu, flag, op, task};
-use mallowseam_iscsi::scsi::{self, Command, Sense, Unit, status};
-use mallowseam_iscsi::target::{self, TargetConn, TargetTerms};
+use mallowseam_iscsi::frame::{Digests, PduDecoder, SendBuffer};
+use mallowseam_iscsi::initiator::{self, InitiatorConnection, Payload};
+use mallowseam_iscsi::login::{LoginIdentity, LoginPolicy, LoginStatus};
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi::pdu::{Bhs, NO_TAG, Pdu, flag, opcode, task};
+use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, ModeSenseForm, Sense, status};
+use mallowseam_iscsi::target::{self, TargetConfig, TargetConnection};
 use std::rc::Rc;
 
 const SEEDS: u64 = 20;
@@ -16,9 +16,13 @@
 /// Admits every initiator to the target `iqn.t`; each session gets the handle 7.
 struct AdmitKnownTarget;
 
-impl Admit for AdmitKnownTarget {
-    fn admit(&mut self, who: &Who) -> Result<u16, Refusal> {
-        if who.target.as_deref().is_none_or(|name| name == "iqn.t") { Ok(7) } else { Err(Refusal::NOT_FOUND) }
+impl LoginPolicy for AdmitKnownTarget {
+    fn admit(&mut self, who: &LoginIdentity) -> Result<u16, LoginStatus> {
+        if who.target.as_deref().is_none_or(|name| name == "iqn.t") {
+            Ok(7)
+        } else {
+            Err(LoginStatus::NOT_FOUND)
+        }
     }
 }
 
@@ -72,68 +76,68 @@
     }
 
     fn sense(&mut self, sense: Option<Sense>) {
-        self.bytes(b's', &sense.map_or(vec![], |sense| sense.bytes().to_vec()));
+        self.bytes(b's', &sense.map_or(vec![], |sense| sense.to_fixed_format().to_vec()));
     }
 
-    fn who(&mut self, who: &Who) {
+    fn who(&mut self, who: &LoginIdentity) {
         self.bytes(b'w', who.initiator.as_bytes());
         self.bytes(b'w', who.target.as_deref().unwrap_or("-").as_bytes());
         self.bytes(b'w', &who.isid);
         self.number(b'w', u64::from(who.tsih) << 1 | u64::from(who.discovery));
     }
 
-    fn target_event(&mut self, event: &target::Came) {
+    fn target_event(&mut self, event: &target::TargetEvent) {
         match event {
-            target::Came::LoggedIn(who) => self.who(who),
-            target::Came::Command { task, lun, cdb, room, data } => {
+            target::TargetEvent::LoggedIn(who) => self.who(who),
+            target::TargetEvent::Command { task, lun, cdb, read_len: room, data } => {
                 self.number(b'c', u64::from(*task));
                 self.number(b'c', lun.map_or(u64::MAX, u64::from));
                 self.bytes(b'c', cdb);
                 self.number(b'c', *room as u64);
                 self.bytes(b'c', data);
             }
-            target::Came::Aborted { task } => self.number(b'a', u64::from(*task)),
-            target::Came::Logout => self.number(b'l', 0),
-            target::Came::Alive => self.number(b'n', 0),
+            target::TargetEvent::CommandAborted { task } => self.number(b'a', u64::from(*task)),
+            target::TargetEvent::Logout => self.number(b'l', 0),
+            target::TargetEvent::NopOut => self.number(b'n', 0),
         }
     }
 
-    fn initiator_event(&mut self, event: &initiator::Came) {
+    fn initiator_event(&mut self, event: &initiator::InitiatorEvent) {
         match event {
-            initiator::Came::LoggedIn => self.number(b'I', 0),
-            initiator::Came::Answer { tag, status, sense, data, come_back } => {
+            initiator::InitiatorEvent::LoggedIn => self.number(b'I', 0),
+            initiator::InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after } => {
                 self.number(b'R', u64::from(*tag));
-                self.number(b'R', u64::from(*status) << 16 | u64::from(*come_back));
+                self.number(b'R', u64::from(*status) << 16 | u64::from(*retry_after));
                 self.sense(*sense);
                 self.bytes(b'R', data);
             }
-            initiator::Came::Rejected { tag, reason } => {
+            initiator::InitiatorEvent::CommandRejected { tag, reason } => {
                 self.number(b'J', u64::from(*tag) << 8 | u64::from(*reason));
             }
-            initiator::Came::Gone { tag } => self.number(b'G', u64::from(*tag)),
-            initiator::Came::AskedOut => self.number(b'O', 0),
-            initiator::Came::LoggedOut => self.number(b'L', 0),
-            initiator::Came::Text(data) => self.bytes(b'T', data),
+            initiator::InitiatorEvent::CommandAborted { tag } => self.number(b'G', u64::from(*tag)),
+            initiator::InitiatorEvent::LogoutRequested => self.number(b'O', 0),
+            initiator::InitiatorEvent::LoggedOut => self.number(b'L', 0),
+            initiator::InitiatorEvent::TextResponse(data) => self.bytes(b'T', data),
         }
     }
 }
 
-fn terms(wishes: Wishes, window: u32) -> Rc<TargetTerms> {
-    Rc::new(TargetTerms {
-        wishes,
-        window,
-        longest: 1 << 16,
-        names: vec!["iqn.t".into(), "iqn.u".into()],
-        address: "127.0.0.1:3260".into(),
+fn config(wishes: ProposedParams, window: u32) -> Rc<TargetConfig> {
+    Rc::new(TargetConfig {
+        proposal: wishes,
+        command_window: window,
+        max_transfer_bytes: 1 << 16,
+        target_names: vec!["iqn.t".into(), "iqn.u".into()],
+        portal_address: "127.0.0.1:3260".into(),
     })
 }
 
-fn drawn_wishes(rng: &mut Rng) -> Wishes {
-    Wishes {
+fn drawn_wishes(rng: &mut Rng) -> ProposedParams {
+    ProposedParams {
         digests: Digests { header: rng.chance(50), data: rng.chance(50) },
-        max_recv: 512 + rng.below(3000),
-        max_burst: 2048 + rng.below(6000),
-        first_burst: 512 + rng.below(3000),
+        max_recv_data_segment: 512 + rng.below(3000),
+        max_burst_len: 2048 + rng.below(6000),
+        first_burst_len: 512 + rng.below(3000),
     }
 }
 
@@ -141,8 +145,8 @@
 struct Session {
     rng: Rng,
     record: Record,
-    target: TargetConn,
-    initiator: InitiatorConn,
+    target: TargetConnection,
+    initiator: InitiatorConnection,
     /// Commands the target has not answered: its task, and the bytes the initiator expects.
     pending: Vec<(u32, usize)>,
     next_tag: u32,
@@ -156,8 +160,8 @@
         let window = 1 + rng.below(6) as u32;
         let name = if rng.chance(90) { Some("iqn.t") } else { None };
         Session {
-            target: TargetConn::new(terms(at_target, window)),
-            initiator: InitiatorConn::new("iqn.i", name, [1, 2, 3, 4, 5, seed as u8], &at_initiator),
+            target: TargetConnection::new(config(at_target, window)),
+            initiator: InitiatorConnection::new("iqn.i", name, [1, 2, 3, 4, 5, seed as u8], &at_initiator),
             rng,
             record: Record::new(),
             pending: Vec::new(),
@@ -173,17 +177,17 @@
 
     /// One piece each way.
     fn carry(&mut self) -> bool {
-        let waiting = self.initiator.out().waiting().to_vec();
+        let waiting = self.initiator.send_buffer().unsent().to_vec();
         let up = self.piece(&waiting);
-        self.initiator.out().wrote(up.len());
+        self.initiator.send_buffer().mark_sent(up.len());
         self.record.bytes(b'>', &up);
         if let Err(fault) = self.target.receive(&up, &mut AdmitKnownTarget) {
             self.record.bytes(b'!', fault.to_string().as_bytes());
             self.over = true;
         }
-        let waiting = self.target.out().waiting().to_vec();
+        let waiting = self.target.send_buffer().unsent().to_vec();
         let down = self.piece(&waiting);
-        self.target.out().wrote(down.len());
+        self.target.send_buffer().mark_sent(down.len());
         self.record.bytes(b'<', &down);
         if let Err(fault) = self.initiator.receive(&down) {
             self.record.bytes(b'?', fault.to_string().as_bytes());
@@ -195,37 +199,38 @@
     }
 
     fn events(&mut self) {
-        while let Some(event) = self.target.came() {
+        while let Some(event) = self.target.next_event() {
             self.record.target_event(&event);
             match event {
-                target::Came::Command { task, room, .. } => self.pending.push((task, room)),
-                target::Came::Aborted { task } => self.pending.retain(|pending| pending.0 != task),
+                target::TargetEvent::Command { task, read_len: room, .. } => self.pending.push((task, room)),
+                target::TargetEvent::CommandAborted { task } => {
+                    self.pending.retain(|pending| pending.0 != task)
+                }
                 _ => {}
             }
         }
-        while let Some(event) = self.initiator.came() {
+        while let Some(event) = self.initiator.next_event() {
             self.record.initiator_event(&event);
         }
     }
 
     fn state(&mut self) {
         let flags = [
-            self.target.logged_in(),
-            self.target.closing(),
-            self.target.midway(),
-            self.initiator.logged_in(),
-            self.initiator.may_send(),
+            self.target.is_logged_in(),
+            self.target.is_closing(),
+            self.target.has_partial_request(),
+            self.initiator.is_logged_in(),
+            self.initiator.can_send(),
         ];
         self.record.bytes(b'f', &flags.map(u8::from));
-        self.record.number(b'f', u64::from(self.target.in_hand()));
-        self.record.number(b'f', self.initiator.in_hand() as u64);
-        self.record.number(b'f', self.initiator.strays());
-        let tags: Vec<u8> = self.initiator.tags().map(|tag| tag as u8).collect();
+        self.record.number(b'f', u64::from(self.target.in_flight()));
+        self.record.number(b'f', self.initiator.in_flight() as u64);
+        self.record.number(b'f', self.initiator.unmatched_responses());
+        let tags: Vec<u8> = self.initiator.in_flight_tags().map(|tag| tag as u8).collect();
         self.record.bytes(b'f', &tags);
-        let places = [self.target.out().places(), self.initiator.out().places()];
-        for (written, end) in places {
-            self.record.number(b'p', written);
-            self.record.number(b'p', end);
+        for buffer in [self.target.send_buffer(), self.initiator.send_buffer()] {
+            self.record.number(b'p', buffer.sent_bytes());
+            self.record.number(b'p', buffer.end_offset());
         }
     }
 
@@ -242,8 +247,11 @@
         let lun = [0, 1, 255, 256, 16_383, 70_000][self.rng.below(6)];
         self.next_tag += 1;
         let payload = Payload::from(data);
-        let sent = self.initiator.command(self.next_tag, lun, cdb, room, payload);
-        self.record.number(b'S', u64::from(sent) << 1 | u64::from(self.initiator.on_the_wire(self.next_tag)));
+        let sent = self.initiator.send_command(self.next_tag, lun, cdb, room, payload);
+        self.record.number(
+            b'S',
+            u64::from(sent) << 1 | u64::from(self.initiator.has_started_sending(self.next_tag)),
+        );
     }
 
     fn draw_command(&mut self) {
@@ -251,12 +259,12 @@
         match self.rng.below(6) {
             0 | 1 => {
                 let room = self.rng.below(9000);
-                self.send(&scsi::rw16(false, lba, room as u32 / 512, 3), room, vec![]);
+                self.send(&scsi::read_or_write_16(false, lba, room as u32 / 512, 3), room, vec![]);
             }
             2 | 3 => {
                 let len = self.rng.below(12_000);
                 let data = self.rng.bytes(len);
-                self.send(&scsi::rw16(true, lba, len as u32 / 512, 40), 0, data);
+                self.send(&scsi::read_or_write_16(true, lba, len as u32 / 512, 40), 0, data);
             }
             4 => {
                 let (cdb, data) = scsi::unmap(&[(lba, 8), (lba + 9, 1)]);
@@ -264,7 +272,7 @@
             }
             _ => {
                 let on = self.rng.chance(50);
-                let (cdb, data) = scsi::write_protect(on);
+                let (cdb, data) = scsi::mode_select_write_protect(on);
                 self.send(&cdb, 0, data);
             }
         }
@@ -277,29 +285,34 @@
         let index = self.rng.below(self.pending.len());
         let (task, room) = self.pending.swap_remove(index);
         match self.rng.below(8) {
-            0 => self.target.other(task, status::BUSY, None, self.rng.next() as u16),
-            1 => self.target.other(task, status::TASK_SET_FULL, None, 12),
-            2 => self.target.other(task, status::CHECK_CONDITION, Some(Sense::UNKNOWN_OUTCOME), 0),
+            0 => self.target.complete_with_status(task, status::BUSY, None, self.rng.next() as u16),
+            1 => self.target.complete_with_status(task, status::TASK_SET_FULL, None, 12),
+            2 => self.target.complete_with_status(
+                task,
+                status::CHECK_CONDITION,
+                Some(Sense::COMMUNICATION_TIMEOUT),
+                0,
+            ),
             3 => {
                 let data = vec![0x5a; room / 2];
-                self.target.good(task, &data);
+                self.target.complete(task, &data);
             }
             4 => {
                 let data = vec![0xa5; room + 40];
-                self.target.good(task, &data);
+                self.target.complete(task, &data);
             }
             _ => {
                 let data = self.rng.bytes(room);
-                self.target.good(task, &data);
+                self.target.complete(task, &data);
             }
         }
     }
 
     fn abort_one(&mut self) {
-        let tags: Vec<u32> = self.initiator.tags().collect();
+        let tags: Vec<u32> = self.initiator.in_flight_tags().collect();
         if !tags.is_empty() {
             let index = self.rng.below(tags.len());
-            self.initiator.abort(tags[index]);
+            self.initiator.abort_task(tags[index]);
         }
     }
 
@@ -308,13 +321,13 @@
             0..6 => self.draw_command(),
             6..10 => self.answer(),
             10 => self.abort_one(),
-            11 if self.rng.chance(30) => self.initiator.reset_lun(1),
-            12 => self.initiator.text(b"SendTargets=All\0Other=1\0"),
+            11 if self.rng.chance(30) => self.initiator.reset_logical_unit(1),
+            12 => self.initiator.send_text_request(b"SendTargets=All\0Other=1\0"),
             13 => {
-                let unanswered = self.target.ping();
+                let unanswered = self.target.send_ping();
                 self.record.number(b'P', u64::from(unanswered));
             }
-            14 if self.rng.chance(30) => self.target.ask_logout(9),
+            14 if self.rng.chance(30) => self.target.request_logout(9),
             _ => {
                 self.carry();
             }
@@ -335,7 +348,7 @@
                 self.answer();
                 self.drain();
             }
-            self.initiator.logout();
+            self.initiator.send_logout_request();
             self.drain();
         }
         self.record.0
@@ -349,28 +362,33 @@
 }
 
 /// A pair that is logged in, with all events and bytes taken.
-fn logged_in(wishes: Wishes) -> (TargetConn, InitiatorConn) {
-    let mut target = TargetConn::new(terms(wishes, 4));
-    let mut initiator = InitiatorConn::new("iqn.i", Some("iqn.t"), [0; 6], &wishes);
-    let request = initiator.out().waiting().to_vec();
-    initiator.out().wrote(request.len());
+fn logged_in(wishes: ProposedParams) -> (TargetConnection, InitiatorConnection) {
+    let mut target = TargetConnection::new(config(wishes, 4));
+    let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &wishes);
+    let request = initiator.send_buffer().unsent().to_vec();
+    initiator.send_buffer().mark_sent(request.len());
     target.receive(&request, &mut AdmitKnownTarget).expect("login request");
-    let response = target.out().waiting().to_vec();
-    target.out().wrote(response.len());
+    let response = target.send_buffer().unsent().to_vec();
+    target.send_buffer().mark_sent(response.len());
     initiator.receive(&response).expect("login response");
-    while target.came().is_some() {}
-    while initiator.came().is_some() {}
+    while target.next_event().is_some() {}
+    while initiator.next_event().is_some() {}
     (target, initiator)
 }
 
-fn small() -> Wishes {
-    Wishes { max_recv: 1024, max_burst: 4096, first_burst: 2048, ..Wishes::default() }
+fn small() -> ProposedParams {
+    ProposedParams {
+        max_recv_data_segment: 1024,
+        max_burst_len: 4096,
+        first_burst_len: 2048,
+        ..ProposedParams::default()
+    }
 }
 
 fn frame(bhs: Bhs, data: &[u8]) -> Vec<u8> {
-    let mut out = Outgoing::default();
+    let mut out = SendBuffer::default();
     out.push(bhs, data);
-    out.waiting().to_vec()
+    out.unsent().to_vec()
 }
 
 /// A PDU with drawn fields, near enough to sense that most paths are taken.
@@ -406,18 +424,19 @@
             let skew = if rng.chance(5) { rng.below(12) as u32 } else { 0 };
             let bytes = drawn_pdu(&mut rng, opcode, serial + skew);
             let received = target.receive(&bytes, &mut AdmitKnownTarget);
-            serial += u32::from(bytes[0] & 0x40 == 0 && opcode != op::DATA_OUT && opcode != op::SNACK);
+            serial +=
+                u32::from(bytes[0] & 0x40 == 0 && opcode != opcode::DATA_OUT && opcode != opcode::SNACK);
             let text = received.err().map_or(String::new(), |fault| fault.to_string());
             record.bytes(b'!', text.as_bytes());
-            while let Some(event) = target.came() {
+            while let Some(event) = target.next_event() {
                 record.target_event(&event);
             }
-            record.number(b'h', u64::from(target.in_hand()));
+            record.number(b'h', u64::from(target.in_flight()));
             if !text.is_empty() {
                 break;
             }
         }
-        let out = target.out().waiting().to_vec();
+        let out = target.send_buffer().unsent().to_vec();
         record.bytes(b'<', &out);
     }
     record.0
@@ -433,10 +452,10 @@
     let (mut rng, mut record) = (Rng(seed ^ 0x1a5), Record::new());
     for _ in 0..60 {
         let (_, mut initiator) = logged_in(small());
-        initiator.command(1, 0, &scsi::rw16(true, 0, 9, 0), 0, vec![3; 9000].into());
-        initiator.command(2, 0, &scsi::rw16(false, 0, 9, 0), 1024, vec![].into());
+        initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 9, 0), 0, vec![3; 9000].into());
+        initiator.send_command(2, 0, &scsi::read_or_write_16(false, 0, 9, 0), 1024, vec![].into());
         if rng.chance(30) {
-            initiator.abort(1 + rng.below(2) as u32);
+            initiator.abort_task(1 + rng.below(2) as u32);
         }
         let mut serial = 2;
         for _ in 0..8 {
@@ -446,23 +465,23 @@
             let bytes = drawn_pdu(&mut rng, opcode, serial + skew);
             let text = initiator.receive(&bytes).err().map_or(String::new(), |fault| fault.to_string());
             let counts = match opcode {
-                op::DATA_IN => bytes[1] & 1 != 0,
-                op::R2T => false,
-                op::NOP_IN => bytes[16..20] != [0xff; 4],
+                opcode::DATA_IN => bytes[1] & 1 != 0,
+                opcode::R2T => false,
+                opcode::NOP_IN => bytes[16..20] != [0xff; 4],
                 _ => true,
             };
             serial += u32::from(counts);
             record.bytes(b'?', text.as_bytes());
-            while let Some(event) = initiator.came() {
+            while let Some(event) = initiator.next_event() {
                 record.initiator_event(&event);
             }
-            record.number(b'h', initiator.in_hand() as u64);
-            record.number(b'h', initiator.strays());
+            record.number(b'h', initiator.in_flight() as u64);
+            record.number(b'h', initiator.unmatched_responses());
             if !text.is_empty() {
                 break;
             }
         }
-        let out = initiator.out().waiting().to_vec();
+        let out = initiator.send_buffer().unsent().to_vec();
         record.bytes(b'>', &out);
     }
     record.0
@@ -476,12 +495,12 @@
 
 /// What a decoder makes of a stream that comes in two pieces: PDUs, and the error's text.
 fn decoded(digests: Digests, first: &[u8], second: &[u8]) -> (Vec<Pdu>, Option<String>) {
-    let mut decoder = Decoder::new(1024);
-    decoder.agree(digests, 1024);
+    let mut decoder = PduDecoder::new(1024);
+    decoder.set_limits(digests, 1024);
     let mut pdus = Vec::new();
     for mut piece in [first, second] {
         while !piece.is_empty() {
-            match decoder.next(&mut piece) {
+            match decoder.decode(&mut piece) {
                 Ok(pdu) => pdus.extend(pdu),
                 Err(error) => return (pdus, Some(error.to_string())),
             }
@@ -493,12 +512,12 @@
 const BOTH: Digests = Digests { header: true, data: true };
 
 fn stream(digests: Digests) -> Vec<u8> {
-    let mut out = Outgoing::default();
-    out.agree(digests);
-    out.push(Bhs::new(op::SCSI_COMMAND, flag::FINAL | flag::WRITE).with_itt(9), &[1, 2, 3, 4, 5]);
-    out.push(Bhs::new(op::NOP_OUT, flag::FINAL).with_itt(10), &[]);
-    out.push(Bhs::new(op::DATA_OUT, flag::FINAL).with_offset(5), &[6; 8]);
-    out.waiting().to_vec()
+    let mut out = SendBuffer::default();
+    out.set_digests(digests);
+    out.push(Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE).with_itt(9), &[1, 2, 3, 4, 5]);
+    out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL).with_itt(10), &[]);
+    out.push(Bhs::new(opcode::DATA_OUT, flag::FINAL).with_offset(5), &[6; 8]);
+    out.unsent().to_vec()
 }
 
 #[test]
@@ -532,16 +551,16 @@
 
 #[test]
 fn a_corrupt_digest_at_both_sides() {
-    let wishes = Wishes { digests: BOTH, ..small() };
+    let wishes = ProposedParams { digests: BOTH, ..small() };
     let mut record = Record::new();
     for bit in 0..8 * (52 + 16 + 4) {
         let (mut target, mut initiator) = logged_in(wishes);
-        initiator.command(1, 0, &scsi::rw16(true, 0, 1, 0), 0, vec![7; 16].into());
-        let mut up = initiator.out().waiting().to_vec();
+        initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 1, 0), 0, vec![7; 16].into());
+        let mut up = initiator.send_buffer().unsent().to_vec();
         up[bit / 8] ^= 1 << (bit % 8);
         let received = target.receive(&up, &mut AdmitKnownTarget);
         record.bytes(b'!', received.err().map_or(String::new(), |fault| fault.to_string()).as_bytes());
-        let mut down = target.out().waiting().to_vec();
+        let mut down = target.send_buffer().unsent().to_vec();
         record.bytes(b'<', &down);
         if let Some(byte) = down.get_mut(bit / 8) {
             *byte ^= 1 << (bit % 8);
@@ -554,23 +573,23 @@
 
 #[test]
 fn the_write_buffer_is_given_back_once_empty() {
-    let mut out = Outgoing::default();
-    out.push(Bhs::new(op::NOP_OUT, flag::FINAL), &[0; 16_384]);
-    assert!(out.held() >= 16_432);
-    out.wrote(16_385);
-    assert_eq!((out.waiting().len(), out.places()), (47, (16_385, 16_432)));
-    out.wrote(47);
-    assert_eq!(out.held(), 0);
-    out.push(Bhs::new(op::NOP_OUT, flag::FINAL), &[0; 8]);
-    out.wrote(56);
-    assert!(out.held() > 0);
+    let mut out = SendBuffer::default();
+    out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL), &[0; 16_384]);
+    assert!(out.allocated_bytes() >= 16_432);
+    out.mark_sent(16_385);
+    assert_eq!((out.unsent().len(), out.sent_bytes(), out.end_offset()), (47, 16_385, 16_432));
+    out.mark_sent(47);
+    assert_eq!(out.allocated_bytes(), 0);
+    out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL), &[0; 8]);
+    out.mark_sent(56);
+    assert!(out.allocated_bytes() > 0);
 }
 
 /// A login request with the text `keys`; `/` stands for the NUL between pairs.
 fn login_request(flags: u8, keys: &str) -> Request {
     let data: Vec<u8> = keys.bytes().map(|byte| if byte == b'/' { 0 } else { byte }).collect();
     Request(
-        Bhs::new(op::LOGIN_REQUEST, flags).with_immediate().with_isid([9; 6]).with_itt(3).with_sn(5),
+        Bhs::new(opcode::LOGIN_REQUEST, flags).with_immediate().with_isid([9; 6]).with_itt(3).with_sn(5),
         data,
     )
 }
@@ -580,15 +599,15 @@
 
 /// The target's answer to login requests: `status flags keys`, then the fault's text where there is one.
 fn login_answers(requests: &[Request]) -> String {
-    let wishes = Wishes { digests: Digests { header: false, data: true }, ..small() };
-    let mut target = TargetConn::new(terms(wishes, 4));
+    let wishes = ProposedParams { digests: Digests { header: false, data: true }, ..small() };
+    let mut target = TargetConnection::new(config(wishes, 4));
     let mut said = Vec::new();
     for Request(bhs, data) in requests {
         let received = target.receive(&frame(*bhs, data), &mut AdmitKnownTarget);
-        let waiting = target.out().waiting().to_vec();
-        target.out().wrote(waiting.len());
-        let mut decoder = Decoder::new(1 << 16);
-        if let Ok(Some(pdu)) = decoder.next(&mut &waiting[..]) {
+        let waiting = target.send_buffer().unsent().to_vec();
+        target.send_buffer().mark_sent(waiting.len());
+        let mut decoder = PduDecoder::new(1 << 16);
+        if let Ok(Some(pdu)) = decoder.decode(&mut &waiting[..]) {
             let keys = String::from_utf8_lossy(&pdu.data).replace('\0', "/");
             let (class, detail) = (pdu.bhs.byte(36), pdu.bhs.byte(37));
             said.push(format!("{class:02x}{detail:02x} {:02x} {keys}", pdu.bhs.flags()));
@@ -645,9 +664,9 @@
         vec![login_request(0x04, NAMES), login_request(0x00, "ImmediateData=No/")],
         vec![login_request(0x44, "InitiatorName=iqn.i/Tar"), login_request(0x87, "getName=iqn.t/")],
         vec![login_request(0x44, &chunk), login_request(0x44, &chunk), login_request(0x44, &chunk)],
-        vec![Request(Bhs::new(op::NOP_OUT, 0x80), vec![])],
-        vec![Request(Bhs::new(op::LOGIN_REQUEST, 0x87), vec![0xff, 0xfe, b'=', b'1', 0])],
-        vec![Request(Bhs::new(op::LOGIN_REQUEST, 0x87), vec![b'x'; 8193])],
+        vec![Request(Bhs::new(opcode::NOP_OUT, 0x80), vec![])],
+        vec![Request(Bhs::new(opcode::LOGIN_REQUEST, 0x87), vec![0xff, 0xfe, b'=', b'1', 0])],
+        vec![Request(Bhs::new(opcode::LOGIN_REQUEST, 0x87), vec![b'x'; 8193])],
     ];
     let found: Vec<String> = cases.iter().map(|requests| login_answers(requests)).collect();
     assert_eq!(found, LOGIN_STAGES);
@@ -655,25 +674,25 @@
 
 /// What an initiator makes of one login response.
 fn initiator_login(bhs: Bhs, keys: &str) -> String {
-    let mut initiator = InitiatorConn::new("iqn.i", Some("iqn.t"), [0; 6], &small());
-    let request = initiator.out().waiting().len();
-    initiator.out().wrote(request);
+    let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &small());
+    let request = initiator.send_buffer().unsent().len();
+    initiator.send_buffer().mark_sent(request);
     let data: Vec<u8> = keys.bytes().map(|byte| if byte == b'/' { 0 } else { byte }).collect();
     match initiator.receive(&frame(bhs, &data)) {
         Err(fault) => fault.to_string(),
-        Ok(()) => format!("{} {}", initiator.logged_in(), initiator.out().waiting().len()),
+        Ok(()) => format!("{} {}", initiator.is_logged_in(), initiator.send_buffer().unsent().len()),
     }
 }
 
 #[test]
 fn login_responses_at_an_initiator() {
-    let last = Bhs::new(op::LOGIN_RESPONSE, 0x87);
+    let last = Bhs::new(opcode::LOGIN_RESPONSE, 0x87);
     let mut found = vec![
-        initiator_login(Bhs::new(op::NOP_IN, 0x80), ""),
+        initiator_login(Bhs::new(opcode::NOP_IN, 0x80), ""),
         initiator_login(last.with_byte(36, 3).with_byte(37, 1), ""),
         initiator_login(last, "no pair/"),
         initiator_login(last, ""),
-        initiator_login(Bhs::new(op::LOGIN_RESPONSE, 0x04), ""),
+        initiator_login(Bhs::new(opcode::LOGIN_RESPONSE, 0x04), ""),
     ];
     for keys in [
         "HeaderDigest=Reject/",
@@ -691,40 +710,40 @@
     ] {
         found.push(initiator_login(last, keys));
     }
-    let mut initiator = InitiatorConn::new("iqn.i", Some("iqn.t"), [0; 6], &small());
+    let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &small());
     for _ in 0..10 {
-        if let Err(fault) = initiator.receive(&frame(Bhs::new(op::LOGIN_RESPONSE, 0x04), &[])) {
+        if let Err(fault) = initiator.receive(&frame(Bhs::new(opcode::LOGIN_RESPONSE, 0x04), &[])) {
             found.push(fault.to_string());
             break;
         }
     }
-    let offer = InitiatorConn::new("iqn.i", None, [0; 6], &small()).out().waiting().to_vec();
+    let offer = InitiatorConnection::new("iqn.i", None, [0; 6], &small()).send_buffer().unsent().to_vec();
     found.push(String::from_utf8_lossy(&offer[48..]).replace('\0', "/"));
     assert_eq!(found, LOGIN_RESPONSES);
 }
 
 /// The fault a logged-in target ends with after these PDUs.
-fn target_fault(wishes: Wishes, pdus: &[(Bhs, usize)]) -> String {
+fn target_fault(wishes: ProposedParams, pdus: &[(Bhs, usize)]) -> String {
     let (mut target, _) = logged_in(wishes);
     for (bhs, len) in pdus {
         if let Err(fault) = target.receive(&frame(*bhs, &vec![1; *len]), &mut AdmitKnownTarget) {
             return fault.to_string();
         }
     }
-    format!("none, {} bytes out", target.out().waiting().len())
+    format!("none, {} bytes out", target.send_buffer().unsent().len())
 }
 
 #[test]
 fn faults_of_a_target() {
-    let write = Bhs::new(op::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(9000).with_sn(1);
-    let open_write = Bhs::new(op::SCSI_COMMAND, 0x20).with_itt(1).with_word20(9000).with_sn(1);
-    let read = Bhs::new(op::SCSI_COMMAND, 0xc0).with_itt(1).with_word20(512).with_sn(1);
-    let data = Bhs::new(op::DATA_OUT, 0).with_itt(1).with_word20(0);
+    let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(9000).with_sn(1);
+    let open_write = Bhs::new(opcode::SCSI_COMMAND, 0x20).with_itt(1).with_word20(9000).with_sn(1);
+    let read = Bhs::new(opcode::SCSI_COMMAND, 0xc0).with_itt(1).with_word20(512).with_sn(1);
+    let data = Bhs::new(opcode::DATA_OUT, 0).with_itt(1).with_word20(0);
     let unasked = data.with_word20(NO_TAG);
     let found: Vec<String> = [
-        &[(Bhs::new(op::LOGIN_REQUEST, 0x87), 0)][..],
-        &[(Bhs::new(op::DATA_IN, 0x80), 0)],
-        &[(Bhs::new(op::SNACK, 0x80), 0)],
+        &[(Bhs::new(opcode::LOGIN_REQUEST, 0x87), 0)][..],
+        &[(Bhs::new(opcode::DATA_IN, 0x80), 0)],
+        &[(Bhs::new(opcode::SNACK, 0x80), 0)],
         &[(read.with_sn(3), 0)],
         &[(read.with_sn(9), 0)],
         &[(read, 0), (read.with_sn(2), 0)],
@@ -752,7 +771,7 @@
             (unasked.with_offset(1024), 1024),
             (unasked.with_data_sn(1).with_offset(2048), 8),
         ],
-        &[(Bhs::new(op::TEXT_REQUEST, 0x80).with_sn(1), 5)],
+        &[(Bhs::new(opcode::TEXT_REQUEST, 0x80).with_sn(1), 5)],
         &[(write, 0), (data.with_itt(77), 512)],
     ]
     .iter()
@@ -763,17 +782,17 @@
 
 #[test]
 fn a_target_list_past_the_initiators_segment() {
-    let mut target = TargetConn::new(Rc::new(TargetTerms {
-        wishes: small(),
-        window: 4,
-        longest: 1 << 16,
-        names: (0..40).map(|n| format!("iqn.2026-01.example:{n}")).collect(),
-        address: "127.0.0.1:3260".into(),
+    let mut target = TargetConnection::new(Rc::new(TargetConfig {
+        proposal: small(),
+        command_window: 4,
+        max_transfer_bytes: 1 << 16,
+        target_names: (0..40).map(|n| format!("iqn.2026-01.example:{n}")).collect(),
+        portal_address: "127.0.0.1:3260".into(),
     }));
-    let mut initiator = InitiatorConn::new("iqn.i", None, [0; 6], &small());
-    let request = initiator.out().waiting().to_vec();
+    let mut initiator = InitiatorConnection::new("iqn.i", None, [0; 6], &small());
+    let request = initiator.send_buffer().unsent().to_vec();
     target.receive(&request, &mut AdmitKnownTarget).expect("login");
-    let text = Bhs::new(op::TEXT_REQUEST, 0x80).with_sn(1);
+    let text = Bhs::new(opcode::TEXT_REQUEST, 0x80).with_sn(1);
     let one = frame(text, b"SendTargets=iqn.2026-01.example:7\0");
     target.receive(&one, &mut AdmitKnownTarget).expect("one target");
     let all = frame(text.with_sn(2), b"SendTargets=All\0");
@@ -783,10 +802,10 @@
 
 #[test]
 fn unsolicited_data_where_none_was_agreed() {
-    let mut target = TargetConn::new(terms(small(), 4));
+    let mut target = TargetConnection::new(config(small(), 4));
     let Request(bhs, data) = login_request(0x87, &format!("{NAMES}InitialR2T=Yes/ImmediateData=No/"));
     target.receive(&frame(bhs, &data), &mut AdmitKnownTarget).expect("login");
-    let command = Bhs::new(op::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(900).with_sn(5);
+    let command = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(900).with_sn(5);
     let mut faults = Vec::new();
     for (bhs, len) in [(command.with_byte(1, 0x20), 0), (command.with_sn(6), 4)] {
         let fault = target.receive(&frame(bhs, &vec![1; len]), &mut AdmitKnownTarget).expect_err("unasked");
@@ -799,22 +818,22 @@
 #[test]
 fn faults_of_an_initiator() {
     let found: Vec<String> = [
-        (Bhs::new(op::SCSI_RESPONSE, 0x80).with_sn(9), 0),
-        (Bhs::new(op::DATA_IN, 0x80).with_itt(0x2_0001).with_offset(4), 512),
-        (Bhs::new(op::DATA_IN, 0x80).with_itt(0x2_0001), 513),
-        (Bhs::new(op::R2T, 0x80).with_itt(0x1_0000).with_offset(512).with_word44(512), 0),
-        (Bhs::new(op::R2T, 0x80).with_itt(0x1_0000).with_offset(2048).with_word44(0), 0),
-        (Bhs::new(op::R2T, 0x80).with_itt(0x1_0000).with_offset(2048).with_word44(90_000), 0),
-        (Bhs::new(op::ASYNC, 0x80).with_sn(2).with_byte(36, 2), 0),
-        (Bhs::new(op::ASYNC, 0x80).with_sn(2).with_byte(36, 4), 0),
-        (Bhs::new(op::SCSI_COMMAND, 0x80).with_sn(2), 0),
-        (Bhs::new(op::NOP_IN, 0x80).with_itt(NO_TAG), 1025),
+        (Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_sn(9), 0),
+        (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001).with_offset(4), 512),
+        (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001), 513),
+        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_offset(512).with_word44(512), 0),
+        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_offset(2048).with_word44(0), 0),
+        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_offset(2048).with_word44(90_000), 0),
+        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_sn(2).with_byte(36, 2), 0),
+        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_sn(2).with_byte(36, 4), 0),
+        (Bhs::new(opcode::SCSI_COMMAND, 0x80).with_sn(2), 0),
+        (Bhs::new(opcode::NOP_IN, 0x80).with_itt(NO_TAG), 1025),
     ]
     .iter()
     .map(|(bhs, len)| {
         let (_, mut initiator) = logged_in(small());
-        initiator.command(1, 0, &scsi::rw16(true, 0, 9, 0), 0, vec![3; 9000].into());
-        initiator.command(2, 0, &scsi::rw16(false, 0, 1, 0), 512, vec![].into());
+        initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 9, 0), 0, vec![3; 9000].into());
+        initiator.send_command(2, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
         initiator.receive(&frame(*bhs, &vec![1; *len])).err().map_or("none".into(), |fault| fault.to_string())
     })
     .collect();
@@ -827,19 +846,21 @@
     for function in 0..10 {
         let (mut target, mut initiator) = logged_in(small());
         for (tag, lun) in [(1, 0), (2, 1), (3, 1)] {
-            initiator.command(tag, lun, &scsi::rw16(false, 0, 1, 0), 512, vec![].into());
+            initiator.send_command(tag, lun, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
         }
-        let up = initiator.out().waiting().to_vec();
+        let up = initiator.send_buffer().unsent().to_vec();
         target.receive(&up, &mut AdmitKnownTarget).expect("commands");
         for referenced in [0x2_0001, 0x7_0007] {
-            let bhs = Bhs::new(op::TASK_REQUEST, flag::FINAL | function).with_immediate().with_lun(1);
+            let bhs = Bhs::new(opcode::TASK_MANAGEMENT_REQUEST, flag::FINAL | function)
+                .with_immediate()
+                .with_lun(1);
             let bhs = bhs.with_itt(0x99).with_word20(referenced).with_sn(4);
             target.receive(&frame(bhs, &[]), &mut AdmitKnownTarget).expect("task request");
         }
-        while let Some(event) = target.came() {
+        while let Some(event) = target.next_event() {
             record.target_event(&event);
         }
-        record.bytes(b'<', target.out().waiting());
+        record.bytes(b'<', target.send_buffer().unsent());
     }
     assert_eq!(record.0, TASK_MANAGEMENT, "{:#018x}", record.0);
     let codes = [task::COMPLETE, task::NO_SUCH_TASK, task::NO_SUCH_LUN, task::NOT_SUPPORTED, task::REJECTED];
@@ -850,11 +871,12 @@
 fn immediate_commands_past_the_limit_are_rejected() {
     let (mut target, _) = logged_in(small());
     for itt in 0..14 {
-        let bhs = Bhs::new(op::SCSI_COMMAND, 0xc0).with_immediate().with_itt(itt).with_word20(512).with_sn(1);
+        let bhs =
+            Bhs::new(opcode::SCSI_COMMAND, 0xc0).with_immediate().with_itt(itt).with_word20(512).with_sn(1);
         target.receive(&frame(bhs, &[]), &mut AdmitKnownTarget).expect("command");
     }
-    assert_eq!((target.in_hand(), target.out().waiting().len()), (12, 2 * 96));
-    assert_eq!(target.out().waiting()[2], 6);
+    assert_eq!((target.in_flight(), target.send_buffer().unsent().len()), (12, 2 * 96));
+    assert_eq!(target.send_buffer().unsent()[2], 6);
 }
 
 #[test]
@@ -862,15 +884,15 @@
     let (_, mut initiator) = logged_in(small());
     let mut record = Record::new();
     for serial in 2..0x8004_u32 {
-        assert!(initiator.command(7, 0, &scsi::rw16(false, 0, 1, 0), 512, vec![].into()));
-        let request = initiator.out().waiting().to_vec();
-        initiator.out().wrote(request.len());
+        assert!(initiator.send_command(7, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into()));
+        let request = initiator.send_buffer().unsent().to_vec();
+        initiator.send_buffer().mark_sent(request.len());
         record.raw(&request[16..20]);
         let itt = u32::from_be_bytes([request[16], request[17], request[18], request[19]]);
         let answer =
-            Bhs::new(op::SCSI_RESPONSE, 0x80).with_itt(itt).with_sn(serial).with_max_cmd_sn(serial + 9);
+            Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_itt(itt).with_sn(serial).with_max_cmd_sn(serial + 9);
         initiator.receive(&frame(answer, &[])).expect("an answer");
-        assert!(initiator.came().is_some());
+        assert!(initiator.next_event().is_some());
     }
     assert_eq!(record.0, TASK_TAGS, "{:#018x}", record.0);
 }
@@ -880,12 +902,12 @@
     let mut found = Vec::new();
     for qualifier in [0, 1, 0x3fef, 0x3ff0, 0x3fff, 0x4005, 0xc007] {
         let (_, mut initiator) = logged_in(small());
-        initiator.command(7, 0, &scsi::rw16(false, 0, 1, 0), 512, vec![].into());
+        initiator.send_command(7, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
         let answer =
-            Bhs::new(op::SCSI_RESPONSE, 0x80).with_itt(0x1_0000).with_sn(2).with_byte(3, status::BUSY);
+            Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_itt(0x1_0000).with_sn(2).with_byte(3, status::BUSY);
         initiator.receive(&frame(answer.with_u16(8, qualifier), &[])).expect("an answer");
-        match initiator.came() {
-            Some(initiator::Came::Answer { come_back, .. }) => found.push(come_back),
+        match initiator.next_event() {
+            Some(initiator::InitiatorEvent::CommandCompleted { retry_after, .. }) => found.push(retry_after),
             other => panic!("expected an answer, found {other:?}"),
         }
     }
@@ -894,36 +916,38 @@
 
 #[test]
 fn an_initiator_gives_up_after_eight_more_login_requests() {
-    let mut initiator = InitiatorConn::new("iqn.i", Some("iqn.t"), [0; 6], &small());
-    let response = frame(Bhs::new(op::LOGIN_RESPONSE, 0x04), &[]);
+    let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &small());
+    let response = frame(Bhs::new(opcode::LOGIN_RESPONSE, 0x04), &[]);
     let taken = (0..20).take_while(|_| initiator.receive(&response).is_ok()).count();
     assert_eq!(taken, 8);
 }
 
 #[test]
 fn defaults_of_both_sides() {
-    let offer =
-        InitiatorConn::new("iqn.i", Some("iqn.t"), [0; 6], &Wishes::default()).out().waiting().to_vec();
+    let offer = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &ProposedParams::default())
+        .send_buffer()
+        .unsent()
+        .to_vec();
     assert_eq!(String::from_utf8_lossy(&offer[48..]).replace('\0', "/"), DEFAULT_OFFER);
     for (immediate, expected) in [(65_536, "none"), (65_537, "immediate data past what was agreed")] {
-        let mut target = TargetConn::new(Rc::new(TargetTerms {
-            wishes: Wishes::default(),
-            window: 4,
-            longest: 1 << 20,
-            names: vec![],
-            address: String::new(),
+        let mut target = TargetConnection::new(Rc::new(TargetConfig {
+            proposal: ProposedParams::default(),
+            command_window: 4,
+            max_transfer_bytes: 1 << 20,
+            target_names: vec![],
+            portal_address: String::new(),
         }));
         let Request(bhs, data) = login_request(0x87, NAMES);
         target.receive(&frame(bhs, &data), &mut AdmitKnownTarget).expect("login");
-        let answer = target.out().waiting().to_vec();
-        target.out().wrote(answer.len());
+        let answer = target.send_buffer().unsent().to_vec();
+        target.send_buffer().mark_sent(answer.len());
         assert_eq!(&answer[48..], b"TargetPortalGroupTag=1\0MaxRecvDataSegmentLength=262144\0\0");
-        let write = Bhs::new(op::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(600_000).with_sn(5);
+        let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(600_000).with_sn(5);
         let received = target.receive(&frame(write, &vec![1; immediate]), &mut AdmitKnownTarget);
         assert_eq!(received.err().map_or("none".into(), |fault| fault.to_string()), expected);
         if expected == "none" {
-            let transfer = target.out().waiting();
-            assert_eq!((transfer[0], &transfer[44..48]), (op::R2T, &262_144_u32.to_be_bytes()[..]));
+            let transfer = target.send_buffer().unsent();
+            assert_eq!((transfer[0], &transfer[44..48]), (opcode::R2T, &262_144_u32.to_be_bytes()[..]));
         }
     }
 }
@@ -932,18 +956,28 @@
     let fields: Vec<u64> = match command {
         Err(sense) => return record.sense(Some(sense)),
         Ok(Command::TestUnitReady) => vec![0],
-        Ok(Command::RequestSense { room }) => vec![1, room as u64],
-        Ok(Command::Inquiry { page, room }) => vec![2, page.map_or(999, u64::from), room as u64],
-        Ok(Command::ReportLuns { select, room }) => vec![3, u64::from(select), room as u64],
+        Ok(Command::RequestSense { allocation_len: room }) => vec![1, room as u64],
+        Ok(Command::Inquiry { page, allocation_len: room }) => {
+            vec![2, page.map_or(999, u64::from), room as u64]
+        }
+        Ok(Command::ReportLuns { select_report: select, allocation_len: room }) => {
+            vec![3, u64::from(select), room as u64]
+        }
         Ok(Command::ReadCapacity10) => vec![4],
-        Ok(Command::ReadCapacity16 { room }) => vec![5, room as u64],
-        Ok(Command::Read { lba, blocks, group }) => vec![6, lba, u64::from(blocks), u64::from(group)],
-        Ok(Command::Write { lba, blocks, group }) => vec![7, lba, u64::from(blocks), u64::from(group)],
+        Ok(Command::ReadCapacity16 { allocation_len: room }) => vec![5, room as u64],
+        Ok(Command::Read { lba, blocks, group_number: group }) => {
+            vec![6, lba, u64::from(blocks), u64::from(group)]
+        }
+        Ok(Command::Write { lba, blocks, group_number: group }) => {
+            vec![7, lba, u64::from(blocks), u64::from(group)]
+        }
         Ok(Command::SynchronizeCache { lba, blocks }) => vec![8, lba, u64::from(blocks)],
-        Ok(Command::ModeSense { ten, page, room }) => vec![9, u64::from(ten), u64::from(page), room as u64],
+        Ok(Command::ModeSense { form, page, allocation_len }) => {
+            vec![9, u64::from(form == ModeSenseForm::Ten), u64::from(page), allocation_len as u64]
+        }
         Ok(Command::ModeSelect) => vec![10],
         Ok(Command::Unmap) => vec![11],
-        Ok(Command::GetLbaStatus { lba, room }) => vec![12, lba, room as u64],
+        Ok(Command::GetLbaStatus { lba, allocation_len: room }) => vec![12, lba, room as u64],
     };
     for field in fields {
         record.number(b'C', field);
@@ -960,12 +994,14 @@
             cdb[0] = opcode;
             cdb[1] = [cdb[1], 0, 0x10, 0x12, 1, 0x20][draw % 6];
             cdb[2] = if draw % 5 == 0 { 0 } else { cdb[2] };
-            record_command(&mut record, scsi::read_cdb(&cdb));
+            record_command(&mut record, scsi::parse_cdb(&cdb));
         }
     }
-    for cdb in
-        [scsi::rw16(true, 1 << 40, 9, 63), scsi::rw16(false, 3, 1 << 20, 1), scsi::get_lba_status(77, 512)]
-    {
+    for cdb in [
+        scsi::read_or_write_16(true, 1 << 40, 9, 63),
+        scsi::read_or_write_16(false, 3, 1 << 20, 1),
+        scsi::get_lba_status(77, 512),
+    ] {
         record.bytes(b'b', &cdb);
     }
     assert_eq!(record.0, CDBS, "{:#018x}", record.0);
@@ -976,16 +1012,16 @@
     let mut record = Record::new();
     for (product, serial) in [("vol", "s1"), ("a product of a long name", "\u{e9}\n"), ("", "")] {
         for (blocks, block_size) in [(1, 512), (1 << 33, 4096)] {
-            let unit = Unit { blocks, block_size, product, serial, most: 2048 };
+            let unit = LogicalUnit { blocks, block_size, product, serial, max_transfer_blocks: 2048 };
             let pages = (0..=255).map(Some).chain([None]);
             for page in pages {
                 record.bytes(b'q', &unit.inquiry(page).unwrap_or_default());
             }
-            record.bytes(b'q', &unit.capacity10());
-            record.bytes(b'q', &unit.capacity16());
+            record.bytes(b'q', &unit.read_capacity_10());
+            record.bytes(b'q', &unit.read_capacity_16());
             for page in 0..64 {
-                record.bytes(b'm', &unit.mode(false, page).unwrap_or_default());
-                record.bytes(b'm', &unit.mode(true, page).unwrap_or_default());
+                record.bytes(b'm', &unit.mode_sense(ModeSenseForm::Six, page).unwrap_or_default());
+                record.bytes(b'm', &unit.mode_sense(ModeSenseForm::Ten, page).unwrap_or_default());
             }
         }
     }
@@ -994,31 +1030,33 @@
     }
     let runs = [(1 << 35, 9), (4, 1), (77, u32::MAX)];
     for room in [0, 8, 24, 39, 40, 400] {
-        let data = scsi::lba_status(&runs, room);
+        let data = scsi::lba_status_data(&runs, room);
         record.bytes(b'g', &data);
-        for (lba, blocks) in scsi::read_lba_status(&data).expect("sound") {
+        for (lba, blocks) in scsi::parse_lba_status(&data).expect("sound") {
             record.number(b'g', lba);
             record.number(b'g', u64::from(blocks));
         }
     }
-    for (cdb, data) in [scsi::unmap(&runs), scsi::write_protect(true), scsi::write_protect(false)] {
+    for (cdb, data) in
+        [scsi::unmap(&runs), scsi::mode_select_write_protect(true), scsi::mode_select_write_protect(false)]
+    {
         record.bytes(b'd', &cdb);
         record.bytes(b'd', &data);
     }
     for sense in [
-        Sense::INVALID_OPCODE,
-        Sense::OUT_OF_RANGE,
-        Sense::INVALID_FIELD,
-        Sense::NO_SUCH_LUN,
-        Sense::UNKNOWN_OUTCOME,
-        Sense::POWER_ON,
-        Sense::CAPACITY_CHANGED,
-        Sense::DATA_PHASE,
+        Sense::INVALID_OPERATION_CODE,
+        Sense::LBA_OUT_OF_RANGE,
+        Sense::INVALID_FIELD_IN_CDB,
+        Sense::LOGICAL_UNIT_NOT_SUPPORTED,
+        Sense::COMMUNICATION_TIMEOUT,
+        Sense::POWER_ON_OR_RESET,
+        Sense::CAPACITY_DATA_CHANGED,
+        Sense::DATA_PHASE_ERROR,
         Sense::WRITE_PROTECTED,
-        Sense::MEDIUM,
+        Sense::UNRECOVERED_READ_ERROR,
     ] {
         record.sense(Some(sense));
-        assert_eq!(Sense::read(&sense.bytes()), Some(sense));
+        assert_eq!(Sense::from_fixed_format(&sense.to_fixed_format()), Some(sense));
     }
     let statuses =
         [status::GOOD, status::CHECK_CONDITION, status::BUSY, status::TASK_SET_FULL, status::TASK_ABORTED];
@@ -1028,12 +1066,12 @@
 
 #[test]
 fn unsound_parameter_data_is_not_read() {
-    assert_eq!(scsi::read_unmap(&[0; 7]), None);
-    assert_eq!(scsi::read_unmap(&[0, 14, 0, 16, 0, 0, 0, 0, 1]), None);
-    assert_eq!(scsi::read_lba_status(&[0, 0, 0, 9, 0, 0, 0, 0, 1]), None);
-    assert_eq!(scsi::read_write_protect(&[0; 16]), None);
-    assert_eq!(Sense::read(&[0x72; 18]), None);
-    assert_eq!(Sense::read(&[0x70; 13]), None);
+    assert_eq!(scsi::parse_unmap(&[0; 7]), None);
+    assert_eq!(scsi::parse_unmap(&[0, 14, 0, 16, 0, 0, 0, 0, 1]), None);
+    assert_eq!(scsi::parse_lba_status(&[0, 0, 0, 9, 0, 0, 0, 0, 1]), None);
+    assert_eq!(scsi::parse_write_protect(&[0; 16]), None);
+    assert_eq!(Sense::from_fixed_format(&[0x72; 18]), None);
+    assert_eq!(Sense::from_fixed_format(&[0x70; 13]), None);
 }
 
 const LOGIN_KEYS: &[(&str, &str)] = &[
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -5,7 +5,7 @@
 use crate::rehearse::Program;
 use crate::trace::Trace;
 use hdrhistogram::Histogram;
-use mallowseam_iscsi::initiator::Came;
+use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi::{self, status};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -207,13 +207,13 @@
     loop {
         let over = began.elapsed() >= span;
         for (tag, place) in sent.iter_mut().enumerate() {
-            if place.is_none() && !over && client.conn.may_send() {
+            if place.is_none() && !over && client.conn.can_send() {
                 let lba = rng.random_range(0..VOLUME_BLOCKS / u64::from(BLOCKS)) * u64::from(BLOCKS);
                 let write = rng.random::<f64>() < 0.3;
                 let data = if write { block::write(count + 1, lba, BLOCKS) } else { Vec::new() };
                 let room = if write { 0 } else { BLOCKS as usize * block::SIZE };
-                let cdb = scsi::rw16(write, lba, BLOCKS, 0);
-                client.conn.command(tag as u32, 0, &cdb, room, data.into());
+                let cdb = scsi::read_or_write_16(write, lba, BLOCKS, 0);
+                client.conn.send_command(tag as u32, 0, &cdb, room, data.into());
                 *place = Some(Instant::now());
             }
         }
@@ -221,8 +221,8 @@
             break;
         }
         client.exchange().map_err(|e| e.to_string())?;
-        while let Some(came) = client.conn.came() {
-            let Came::Answer { tag, status: code, .. } = came else { continue };
+        while let Some(came) = client.conn.next_event() {
+            let InitiatorEvent::CommandCompleted { tag, status: code, .. } = came else { continue };
             if let Some(at) = sent[tag as usize].take() {
                 if code == status::GOOD {
                     waits.saturating_record(at.elapsed().as_nanos() as u64);
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -2,10 +2,10 @@
 //! that fail in the ways a script asks for. One thread carries all of them.
 use crate::block;
 use crate::trace::{Micros, Trace, What};
-use mallowseam_iscsi::frame::Outgoing;
-use mallowseam_iscsi::initiator::{Came, InitiatorConn};
-use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::pdu::{Bhs, flag, op};
+use mallowseam_iscsi::frame::SendBuffer;
+use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi::pdu::{Bhs, flag, opcode};
 use mallowseam_iscsi::scsi::{self, status};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -45,7 +45,7 @@
     pub clients: u32,
     pub rate: f64,
     pub posts: f64,
-    pub wishes: Wishes,
+    pub wishes: ProposedParams,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -128,7 +128,7 @@
     volume: usize,
     base: u64,
     isid: [u8; 6],
-    link: Option<(TcpStream, InitiatorConn)>,
+    link: Option<(TcpStream, InitiatorConnection)>,
     /// An older connection of the same name, left for the host to end.
     old: Option<TcpStream>,
     connect_at: Micros,
@@ -265,8 +265,8 @@
                     let host = self.plan.hosts[i % self.plan.hosts.len()];
                     if let Ok(mut socket) = std::net::TcpStream::connect(host) {
                         let mut conn =
-                            InitiatorConn::new("iqn.half", Some("iqn.x"), [0; 6], &self.plan.wishes);
-                        let bytes = conn.out().waiting();
+                            InitiatorConnection::new("iqn.half", Some("iqn.x"), [0; 6], &self.plan.wishes);
+                        let bytes = conn.send_buffer().unsent();
                         let _ = socket.write_all(&bytes[..bytes.len() / 2]);
                         self.strangers.push(socket);
                     }
@@ -297,16 +297,17 @@
     /// A login and, behind it, a PDU that no host can make sense of.
     fn garbage(&mut self, i: usize) -> Vec<u8> {
         let name = format!("iqn.garbage{i}");
-        let mut conn = InitiatorConn::new(&name, Some(&self.plan.target), [1; 6], &self.plan.wishes);
-        let mut bytes = conn.out().waiting().to_vec();
-        let mut out = Outgoing::default();
+        let mut conn = InitiatorConnection::new(&name, Some(&self.plan.target), [1; 6], &self.plan.wishes);
+        let mut bytes = conn.send_buffer().unsent().to_vec();
+        let mut out = SendBuffer::default();
         let rng = &mut self.clients[0].rng;
-        let mut bhs = Bhs::new([op::SCSI_COMMAND, op::DATA_OUT, op::SNACK, 0x3a][i % 4], flag::WRITE);
-        for byte in &mut bhs.0[8..] {
+        let mut bhs =
+            Bhs::new([opcode::SCSI_COMMAND, opcode::DATA_OUT, opcode::SNACK, 0x3a][i % 4], flag::WRITE);
+        for byte in &mut bhs.bytes_mut()[8..] {
             *byte = rng.random();
         }
-        out.push(bhs.with_sn(1), &[0xee; 64]);
-        bytes.extend_from_slice(out.waiting());
+        out.push(bhs.with_cmd_sn(1), &[0xee; 64]);
+        bytes.extend_from_slice(out.unsent());
         bytes
     }
 
@@ -344,7 +345,7 @@
             return;
         }
         let name = format!("iqn.2026-12.example.lab:counter{}", client.index);
-        let conn = InitiatorConn::new(&name, Some(&self.plan.target), client.isid, &self.plan.wishes);
+        let conn = InitiatorConnection::new(&name, Some(&self.plan.target), client.isid, &self.plan.wishes);
         client.link = Some((socket, conn));
     }
 
@@ -363,12 +364,12 @@
         while let Some(i) = client.ops.iter().position(|o| o.deadline <= now) {
             let op = client.ops.swap_remove(i);
             if let Some((_, conn)) = &mut client.link {
-                conn.abort(op.tag);
+                conn.abort_task(op.tag);
             }
         }
         if client.leaving {
-            if let Some((_, conn)) = client.link.as_mut().filter(|l| l.1.in_hand() == 0) {
-                conn.logout();
+            if let Some((_, conn)) = client.link.as_mut().filter(|l| l.1.in_flight() == 0) {
+                conn.send_logout_request();
                 client.leaving = false;
             }
             client.next_at = client.next_at.max(now + 10_000);
@@ -419,7 +420,7 @@
         let client = &mut self.clients[at];
         let volume = &self.plan.volumes[client.volume];
         let blocks = blocks.min((volume.blocks - lba) as u32);
-        let Some((_, conn)) = client.link.as_mut().filter(|l| l.1.may_send()) else { return };
+        let Some((_, conn)) = client.link.as_mut().filter(|l| l.1.can_send()) else { return };
         // Two reads of the same blocks in hand differ in their mark, so that a trace can tell them apart.
         for _ in 0..31 {
             client.mark = (client.mark + 1) % 31;
@@ -443,7 +444,13 @@
             blocks,
             mark,
         });
-        conn.command(tag, volume.lun, &scsi::rw16(write, lba, blocks, mark), room, data.into());
+        conn.send_command(
+            tag,
+            volume.lun,
+            &scsi::read_or_write_16(write, lba, blocks, mark),
+            room,
+            data.into(),
+        );
         let deadline = self.trace.now() + limit + WAY;
         client.ops.push(Op { id, tag, write, lba, blocks, mark, deadline, retried });
     }
@@ -452,14 +459,14 @@
         let client = &mut self.clients[at];
         let Some((socket, conn)) = &mut client.link else { return };
         loop {
-            let out = conn.out();
-            let most = client.stall.unwrap_or(usize::MAX).min(out.waiting().len());
+            let out = conn.send_buffer();
+            let most = client.stall.unwrap_or(usize::MAX).min(out.unsent().len());
             if most == 0 {
                 return;
             }
-            match socket.write(&out.waiting()[..most]) {
+            match socket.write(&out.unsent()[..most]) {
                 Ok(n) => {
-                    out.wrote(n);
+                    out.mark_sent(n);
                     if let Some(left) = &mut client.stall {
                         *left -= n;
                     }
@@ -488,19 +495,23 @@
     }
 
     fn heard(&mut self, at: usize) {
-        while let Some(came) = self.clients[at].link.as_mut().and_then(|l| l.1.came()) {
+        while let Some(came) = self.clients[at].link.as_mut().and_then(|l| l.1.next_event()) {
             match came {
-                Came::Answer { tag, status: code, data, come_back, .. } => {
-                    self.answered(at, tag, code, &data, come_back);
+                InitiatorEvent::CommandCompleted { tag, status: code, data, retry_after, .. } => {
+                    self.answered(at, tag, code, &data, retry_after);
                 }
-                Came::Rejected { tag, .. } => self.answered(at, tag, status::CHECK_CONDITION, &[], 0),
-                Came::AskedOut => self.clients[at].leaving = true,
-                Came::LoggedOut => return self.hang_up(at, 300_000),
-                Came::LoggedIn | Came::Gone { .. } | Came::Text(_) => {}
+                InitiatorEvent::CommandRejected { tag, .. } => {
+                    self.answered(at, tag, status::CHECK_CONDITION, &[], 0)
+                }
+                InitiatorEvent::LogoutRequested => self.clients[at].leaving = true,
+                InitiatorEvent::LoggedOut => return self.hang_up(at, 300_000),
+                InitiatorEvent::LoggedIn
+                | InitiatorEvent::CommandAborted { .. }
+                | InitiatorEvent::TextResponse(_) => {}
             }
         }
         let client = &mut self.clients[at];
-        let strays = client.link.as_ref().map_or(0, |l| l.1.strays());
+        let strays = client.link.as_ref().map_or(0, |l| l.1.unmatched_responses());
         if strays > client.strays {
             self.trace.note(What::Stray { client: client.index });
         }
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -4,9 +4,9 @@
 use crate::trace::{Micros, Trace, What};
 use mallowseam_connection_policy::admission::AdmissionController;
 use mallowseam_gateway::client_connections::Clients;
-use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::scsi::{self, Command, Sense, Unit, status};
-use mallowseam_iscsi::target::{Came, TargetTerms};
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, Sense, status};
+use mallowseam_iscsi::target::{TargetConfig, TargetEvent};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::{RngExt, SeedableRng};
@@ -186,20 +186,20 @@
 }
 
 fn read_or_write(cdb: &[u8; 16]) -> Option<(bool, u64, u32, u8)> {
-    match scsi::read_cdb(cdb) {
-        Ok(Command::Read { lba, blocks, group }) => Some((false, lba, blocks, group)),
-        Ok(Command::Write { lba, blocks, group }) => Some((true, lba, blocks, group)),
+    match scsi::parse_cdb(cdb) {
+        Ok(Command::Read { lba, blocks, group_number: group }) => Some((false, lba, blocks, group)),
+        Ok(Command::Write { lba, blocks, group_number: group }) => Some((true, lba, blocks, group)),
         _ => None,
     }
 }
 
 fn fresh_clients(poll: &Poll, target: &str, address: SocketAddr) -> Clients {
-    let terms = TargetTerms {
-        wishes: Wishes::default(),
-        window: 64,
-        longest: 8 << 20,
-        names: vec![target.to_owned()],
-        address: address.to_string(),
+    let terms = TargetConfig {
+        proposal: ProposedParams::default(),
+        command_window: 64,
+        max_transfer_bytes: 8 << 20,
+        target_names: vec![target.to_owned()],
+        portal_address: address.to_string(),
     };
     let registry = poll.registry().try_clone().expect("a registry");
     Clients::new(AdmissionController::new(target, 256), Rc::new(terms), registry, FIRST)
@@ -248,7 +248,7 @@
     lose: f64,
     fallen: bool,
     /// What came in while it was silent, and whether it was aborted meanwhile.
-    unheard: VecDeque<(u32, u64, Came, bool)>,
+    unheard: VecDeque<(u32, u64, TargetEvent, bool)>,
     /// Sockets that have something to say.
     missed: HashSet<usize>,
     life: Arc<Mutex<Life>>,
@@ -337,8 +337,8 @@
     }
 
     /// Something came in. It is noted when it is read off the socket; a silent node works on it later.
-    fn came(&mut self, at: u32, came: Came) {
-        if let Came::LoggedIn(who) = &came {
+    fn came(&mut self, at: u32, came: TargetEvent) {
+        if let TargetEvent::LoggedIn(who) = &came {
             self.line += 1;
             // Hosts are named gwN by the scripts.
             let host = who.initiator.rsplit(":gw").next().and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -347,7 +347,7 @@
             return;
         }
         let Some((line, host)) = self.lines.get(&at).copied() else { return };
-        if let Came::Command { task, cdb, data, lun, .. } = &came
+        if let TargetEvent::Command { task, cdb, data, lun, .. } = &came
             && self.trace.is_on()
             && let Some((write, lba, blocks, mark)) = read_or_write(cdb)
         {
@@ -369,10 +369,10 @@
                 first,
             });
         }
-        if let Came::Aborted { task } = came {
+        if let TargetEvent::CommandAborted { task } = came {
             self.trace.note(What::CalledOff { node: self.index, line, task });
         }
-        if let (true, Came::Aborted { task }) = (self.silent, &came) {
+        if let (true, TargetEvent::CommandAborted { task }) = (self.silent, &came) {
             // The connection gives the place of the task to the next command, so it must not be answered any
             // more, whatever is done of it.
             let same = |i: &&mut Item| (i.line, i.task) == (line, *task);
@@ -381,7 +381,7 @@
             let unheard = self
                 .unheard
                 .iter_mut()
-                .filter(|u| u.1 == line && matches!(&u.2, Came::Command { task: t, .. } if t == task));
+                .filter(|u| u.1 == line && matches!(&u.2, TargetEvent::Command { task: t, .. } if t == task));
             unheard.for_each(|u| u.3 = true);
         } else if self.silent {
             self.unheard.push_back((at, line, came, false));
@@ -390,17 +390,17 @@
         }
     }
 
-    fn work_on(&mut self, at: u32, line: u64, came: Came) {
+    fn work_on(&mut self, at: u32, line: u64, came: TargetEvent) {
         match came {
-            Came::Command { task, lun, cdb, room, data } => {
+            TargetEvent::Command { task, lun, cdb, read_len: room, data } => {
                 self.command(at, line, task, lun.unwrap_or(0), &cdb, room, data);
             }
-            Came::Aborted { task } => {
+            TargetEvent::CommandAborted { task } => {
                 self.waiting.retain(|i| (i.line, i.task) != (line, task));
                 let running = self.running.iter_mut().map(|r| &mut r.1);
                 running.filter(|i| (i.line, i.task) == (line, task)).for_each(|i| i.orphan = true);
             }
-            Came::LoggedIn(_) | Came::Logout | Came::Alive => {}
+            TargetEvent::LoggedIn(_) | TargetEvent::Logout | TargetEvent::NopOut => {}
         }
     }
 
@@ -416,9 +416,11 @@
         data: Vec<u8>,
     ) {
         let Some((write, lba, blocks, _)) = read_or_write(cdb) else {
-            match scsi::read_cdb(cdb) {
+            match scsi::parse_cdb(cdb) {
                 Ok(Command::ModeSelect) => return self.close_unit(at, line, task, lun, &data),
-                Ok(Command::GetLbaStatus { lba, room }) => return self.tell_mapped(at, task, lun, lba, room),
+                Ok(Command::GetLbaStatus { lba, allocation_len: room }) => {
+                    return self.tell_mapped(at, task, lun, lba, room);
+                }
                 Ok(Command::Unmap) => return self.give_back(at, task, lun, &data),
                 other => return self.own(at, task, room, other),
             }
@@ -474,7 +476,7 @@
 
     /// Closes a unit to writes, or opens it. Answered once what runs there is over, so that nothing lands later.
     fn close_unit(&mut self, at: u32, line: u64, task: u32, lun: u32, data: &[u8]) {
-        match scsi::read_write_protect(data) {
+        match scsi::parse_write_protect(data) {
             Some(true) => {
                 self.closed.insert(lun);
                 self.closing.push((at, line, task, lun));
@@ -484,7 +486,7 @@
                 self.closed.remove(&lun);
                 self.say(at, line, task, status::GOOD, &[]);
             }
-            None => self.refuse(at, task, Sense::INVALID_FIELD),
+            None => self.refuse(at, task, Sense::INVALID_FIELD_IN_CDB),
         }
     }
 
@@ -499,14 +501,14 @@
     }
 
     fn give_back(&mut self, at: u32, task: u32, lun: u32, data: &[u8]) {
-        let Some(runs) = scsi::read_unmap(data) else {
-            return self.refuse(at, task, Sense::INVALID_FIELD);
+        let Some(runs) = scsi::parse_unmap(data) else {
+            return self.refuse(at, task, Sense::INVALID_FIELD_IN_CDB);
         };
         for (lba, blocks) in runs {
             self.blocks.retain(|(l, b), _| *l != lun || !(lba..lba + u64::from(blocks)).contains(b));
         }
         if let Some(conn) = self.clients.session_mut(at) {
-            conn.good(task, &[]);
+            conn.complete(task, &[]);
         }
     }
 
@@ -521,32 +523,42 @@
                 _ => runs.push((lba, 1)),
             }
         }
-        let data = scsi::lba_status(&runs, room);
+        let data = scsi::lba_status_data(&runs, room);
         if let Some(conn) = self.clients.session_mut(at) {
-            conn.good(task, &data);
+            conn.complete(task, &data);
         }
     }
 
     fn refuse(&mut self, at: u32, task: u32, sense: Sense) {
         if let Some(conn) = self.clients.session_mut(at) {
-            conn.other(task, status::CHECK_CONDITION, Some(sense), 0);
+            conn.complete_with_status(task, status::CHECK_CONDITION, Some(sense), 0);
         }
     }
 
     fn own(&mut self, at: u32, task: u32, room: usize, command: Result<Command, Sense>) {
-        let unit =
-            Unit { blocks: 1 << 40, block_size: 512, product: "stand-in", serial: "node", most: 1 << 14 };
+        let unit = LogicalUnit {
+            blocks: 1 << 40,
+            block_size: 512,
+            product: "stand-in",
+            serial: "node",
+            max_transfer_blocks: 1 << 14,
+        };
         let data = match command {
             Ok(Command::TestUnitReady | Command::SynchronizeCache { .. }) => Some(Vec::new()),
             Ok(Command::Inquiry { page, .. }) => unit.inquiry(page),
-            Ok(Command::ReadCapacity16 { .. }) => Some(unit.capacity16()),
-            Ok(Command::ReadCapacity10) => Some(unit.capacity10()),
+            Ok(Command::ReadCapacity16 { .. }) => Some(unit.read_capacity_16()),
+            Ok(Command::ReadCapacity10) => Some(unit.read_capacity_10()),
             _ => None,
         };
         if let Some(conn) = self.clients.session_mut(at) {
             match data {
-                Some(data) => conn.good(task, &data[..data.len().min(room)]),
-                None => conn.other(task, status::CHECK_CONDITION, Some(Sense::INVALID_OPCODE), 0),
+                Some(data) => conn.complete(task, &data[..data.len().min(room)]),
+                None => conn.complete_with_status(
+                    task,
+                    status::CHECK_CONDITION,
+                    Some(Sense::INVALID_OPERATION_CODE),
+                    0,
+                ),
             }
         }
     }
@@ -638,9 +650,11 @@
         let Some(conn) = self.clients.session_mut(at) else { return };
         self.trace.note(What::Said { node: self.index, line, task, status: code });
         match code {
-            status::GOOD => conn.good(task, data),
-            status::CHECK_CONDITION => conn.other(task, code, Some(Sense::MEDIUM), 0),
-            _ => conn.other(task, code, None, 0),
+            status::GOOD => conn.complete(task, data),
+            status::CHECK_CONDITION => {
+                conn.complete_with_status(task, code, Some(Sense::UNRECOVERED_READ_ERROR), 0)
+            }
+            _ => conn.complete_with_status(task, code, None, 0),
         }
     }
 
@@ -658,7 +672,7 @@
                     while let Some((at, line, came, orphan)) = self.unheard.pop_front() {
                         match came {
                             // It may have been begun before its abort was read: it runs, and nobody is told.
-                            Came::Command { task, lun, cdb, data, .. } if orphan => {
+                            TargetEvent::Command { task, lun, cdb, data, .. } if orphan => {
                                 self.run_orphan(at, line, task, lun.unwrap_or(0), &cdb, data);
                             }
                             came => self.work_on(at, line, came),
--- a/crates/lab/src/rehearse.rs
+++ b/crates/lab/src/rehearse.rs
@@ -11,7 +11,7 @@
 use mallowseam_endpoint_list::EndpointState;
 use mallowseam_gateway::PlanRequest as Ask;
 use mallowseam_iscsi::frame::Digests;
-use mallowseam_iscsi::params::Wishes;
+use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
 use mallowseam_settings::GatewayConfig;
@@ -306,9 +306,9 @@
             clients: scene.clients,
             rate: scene.rate,
             posts: scene.posts,
-            wishes: Wishes {
+            wishes: ProposedParams {
                 digests: Digests { header: scene.digests, data: scene.digests },
-                ..Wishes::default()
+                ..ProposedParams::default()
             },
         };
         let load_seed = rng.random();
@@ -679,7 +679,7 @@
             let mut wrong = (*blocks != wanted).then(|| "does not show its snapshot".to_owned());
             for i in 0..8u64 {
                 let (id, lba) = (CLONE_IDS + n as u64 * 100 + i, i * 200);
-                let cdb = mallowseam_iscsi::scsi::rw16(true, lba, 8, audit::COPY_MARK);
+                let cdb = mallowseam_iscsi::scsi::read_or_write_16(true, lba, 8, audit::COPY_MARK);
                 let mut answer = Err(String::new());
                 for _ in 0..20 {
                     answer = client
@@ -721,7 +721,7 @@
             let what = What::Kept { volume, name, asked: a.at, blocks };
             self.trace.note_at(a.answered, what);
         }
-        client.conn.logout();
+        client.conn.send_logout_request();
         let _ = client.flush();
         (places, clones)
     }
@@ -813,7 +813,7 @@
     let mut lba = 0;
     while lba < blocks {
         let count = (blocks - lba).min(256) as u32;
-        let cdb = mallowseam_iscsi::scsi::rw16(false, lba, count, audit::COPY_MARK);
+        let cdb = mallowseam_iscsi::scsi::read_or_write_16(false, lba, count, audit::COPY_MARK);
         let mut last = String::new();
         let mut found = None;
         for _ in 0..50 {
--- a/crates/lab/src/snapbench.rs
+++ b/crates/lab/src/snapbench.rs
@@ -10,7 +10,7 @@
 use mallowseam_cow::messages::{ToHost, full_tree_messages};
 use mallowseam_cow::tree::{Change, Location};
 use mallowseam_cow::tree_replica::TreeReplica;
-use mallowseam_iscsi::initiator::Came;
+use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_snapshot_catalog::Catalog;
 use rand::{RngExt, SeedableRng};
@@ -225,7 +225,7 @@
 
 fn one(client: &mut BlockingClient, lba: u64) -> Result<(), String> {
     let answer = client
-        .execute(0, &scsi::rw16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))
+        .execute(0, &scsi::read_or_write_16(true, lba, BLOCKS, 0), 0, block::write(1, lba, BLOCKS))
         .map_err(|e| e.to_string())?;
     if answer.status == status::GOOD { Ok(()) } else { Err(format!("a write came back {:?}", answer.sense)) }
 }
@@ -243,14 +243,20 @@
     loop {
         let over = began.elapsed() >= Duration::from_secs(options.seconds);
         for (tag, place) in out.iter_mut().enumerate() {
-            if place.is_none() && !over && client.conn.may_send() {
+            if place.is_none() && !over && client.conn.can_send() {
                 let lba = rng.random_range(0..EXTENT * EXTENTS / u64::from(BLOCKS)) * u64::from(BLOCKS);
                 let (data, room) = if write {
                     (block::write(2, lba, BLOCKS), 0)
                 } else {
                     (Vec::new(), BLOCKS as usize * block::SIZE)
                 };
-                client.conn.command(tag as u32, 0, &scsi::rw16(write, lba, BLOCKS, 0), room, data.into());
+                client.conn.send_command(
+                    tag as u32,
+                    0,
+                    &scsi::read_or_write_16(write, lba, BLOCKS, 0),
+                    room,
+                    data.into(),
+                );
                 *place = Some((began.elapsed(), lba / EXTENT));
             }
         }
@@ -258,8 +264,8 @@
             return Ok(gone);
         }
         client.exchange().map_err(|e| e.to_string())?;
-        while let Some(came) = client.conn.came() {
-            let Came::Answer { tag, status: code, .. } = came else { continue };
+        while let Some(came) = client.conn.next_event() {
+            let InitiatorEvent::CommandCompleted { tag, status: code, .. } = came else { continue };
             if code != status::GOOD {
                 return Err("a command was turned away".into());
             }
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -38,10 +38,12 @@
     };
     for i in 0..ios {
         let (room, data) = if write { (0, vec![1; 4096]) } else { (4096, vec![]) };
-        let answer = client.execute(0, &scsi::rw16(write, i % 8 * 8, 8, 0), room, data).expect("an answer");
+        let answer = client
+            .execute(0, &scsi::read_or_write_16(write, i % 8 * 8, 8, 0), room, data)
+            .expect("an answer");
         assert_eq!(answer.status, status::GOOD);
     }
-    client.conn.logout();
+    client.conn.send_logout_request();
     client.flush().expect("sent");
     send_request(&control, "stop").expect("told");
     host.join().expect("a host")
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -1,9 +1,9 @@
 //! One host process between one client and one stand-in node.
 use mallowseam_gateway::{Status, send_request};
-use mallowseam_iscsi::frame::Outgoing;
-use mallowseam_iscsi::initiator::{Came, InitiatorConn};
-use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::pdu::{Bhs, flag, op};
+use mallowseam_iscsi::frame::SendBuffer;
+use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi::pdu::{Bhs, flag, opcode};
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
@@ -128,13 +128,14 @@
 }
 
 fn write(client: &mut BlockingClient, id: u64, lba: u64, blocks: u32) -> u8 {
-    let cdb = scsi::rw16(true, lba, blocks, 0);
+    let cdb = scsi::read_or_write_16(true, lba, blocks, 0);
     client.execute(0, &cdb, 0, block::write(id, lba, blocks)).expect("an answer").status
 }
 
 fn read(client: &mut BlockingClient, lba: u64, blocks: u32) -> Vec<Option<u64>> {
     let room = blocks as usize * 512;
-    let answer = client.execute(0, &scsi::rw16(false, lba, blocks, 0), room, vec![]).expect("an answer");
+    let answer =
+        client.execute(0, &scsi::read_or_write_16(false, lba, blocks, 0), room, vec![]).expect("an answer");
     assert_eq!(answer.status, status::GOOD);
     let shown = answer.data.chunks(512).enumerate();
     shown.map(|(i, b)| block::read(b, lba + i as u64)).collect()
@@ -163,8 +164,8 @@
 fn a_client_learns_what_units_there_are_and_what_they_hold() {
     let rig = Rig::new(10.0);
     let mut found = BlockingClient::open(rig.at, None, 1).expect("discovery");
-    found.conn.text(b"SendTargets=All\0");
-    let Ok(Came::Text(text)) = found.next_event() else { panic!("a list of targets") };
+    found.conn.send_text_request(b"SendTargets=All\0");
+    let Ok(InitiatorEvent::TextResponse(text)) = found.next_event() else { panic!("a list of targets") };
     assert!(String::from_utf8_lossy(&text).starts_with(&format!("TargetName={TARGET}\0")));
 
     let mut client = rig.client(1);
@@ -191,12 +192,24 @@
         assert_eq!(answer.status, status::CHECK_CONDITION);
         answer.sense.expect("sense")
     };
-    assert_eq!(refused(0, scsi::rw16(false, BLOCKS, 1, 0), 512, vec![]), Sense::OUT_OF_RANGE);
-    assert_eq!(refused(0, scsi::rw16(false, u64::MAX, 2, 0), 1024, vec![]), Sense::OUT_OF_RANGE);
-    assert_eq!(refused(3, scsi::rw16(false, 0, 1, 0), 512, vec![]), Sense::NO_SUCH_LUN);
-    assert_eq!(refused(0, scsi::rw16(false, 0, 4096, 0), 2 << 20, vec![]), Sense::INVALID_FIELD);
-    assert_eq!(refused(0, scsi::rw16(true, 0, 2, 0), 0, vec![1; 512]), Sense::INVALID_FIELD);
-    assert_eq!(refused(0, [0xfe; 16], 0, vec![]), Sense::INVALID_OPCODE);
+    assert_eq!(refused(0, scsi::read_or_write_16(false, BLOCKS, 1, 0), 512, vec![]), Sense::LBA_OUT_OF_RANGE);
+    assert_eq!(
+        refused(0, scsi::read_or_write_16(false, u64::MAX, 2, 0), 1024, vec![]),
+        Sense::LBA_OUT_OF_RANGE
+    );
+    assert_eq!(
+        refused(3, scsi::read_or_write_16(false, 0, 1, 0), 512, vec![]),
+        Sense::LOGICAL_UNIT_NOT_SUPPORTED
+    );
+    assert_eq!(
+        refused(0, scsi::read_or_write_16(false, 0, 4096, 0), 2 << 20, vec![]),
+        Sense::INVALID_FIELD_IN_CDB
+    );
+    assert_eq!(
+        refused(0, scsi::read_or_write_16(true, 0, 2, 0), 0, vec![1; 512]),
+        Sense::INVALID_FIELD_IN_CDB
+    );
+    assert_eq!(refused(0, [0xfe; 16], 0, vec![]), Sense::INVALID_OPERATION_CODE);
     assert_eq!(rig.status().commands.admitted, 0);
 }
 
@@ -207,9 +220,9 @@
     assert_eq!(write(&mut client, 1, 0, 8), status::GOOD);
     rig.nodes[0].fault(Fault::Silent(true));
     let began = Instant::now();
-    let cdb = scsi::rw16(true, 0, 8, 0);
+    let cdb = scsi::read_or_write_16(true, 0, 8, 0);
     let answer = client.execute(0, &cdb, 0, block::write(2, 0, 8)).expect("an answer");
-    assert_eq!((answer.status, answer.sense), (status::CHECK_CONDITION, Some(Sense::UNKNOWN_OUTCOME)));
+    assert_eq!((answer.status, answer.sense), (status::CHECK_CONDITION, Some(Sense::COMMUNICATION_TIMEOUT)));
     assert!(began.elapsed() < Duration::from_millis(1_250), "{:?}", began.elapsed());
     assert_eq!(read(&mut client, 9_000, 4), [Some(0); 4]);
     let status = rig.status();
@@ -230,13 +243,15 @@
     rig.nodes[0].fault(Fault::Silent(true));
     let mut client = rig.client(1);
     for id in 1..40 {
-        client.conn.command(id, 0, &scsi::rw16(false, 0, 8, 0), 4096, vec![].into());
+        client.conn.send_command(id, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
     }
     client.flush().expect("sent");
     let began = Instant::now();
     // What is held for the silent node is given up at its goal of 1 s, by a wake-up and by nothing else.
     for _ in 1..40 {
-        let Ok(Came::Answer { status: code, .. }) = client.next_event() else { panic!("an answer") };
+        let Ok(InitiatorEvent::CommandCompleted { status: code, .. }) = client.next_event() else {
+            panic!("an answer")
+        };
         assert_ne!(code, status::GOOD);
     }
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
@@ -246,11 +261,13 @@
 fn a_read_moves_on_when_its_connection_resets() {
     let rig = Rig::new(100_000.0);
     let mut client = rig.client(1);
-    client.conn.command(1, 0, &scsi::rw16(false, 0, 8, 0), 4096, vec![].into());
+    client.conn.send_command(1, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
     rig.wait_for("the read is out", |s| s.nodes[0].attempts == 1 && s.nodes[0].connected);
     rig.nodes[0].fault(Fault::Reset);
-    let Ok(Came::Answer { status: code, .. }) = client.next_event() else { panic!("an answer") };
+    let Ok(InitiatorEvent::CommandCompleted { status: code, .. }) = client.next_event() else {
+        panic!("an answer")
+    };
     assert_eq!(code, status::GOOD);
     assert_eq!(rig.status().nodes[0].reset, 1);
 }
@@ -261,7 +278,13 @@
     let mut deaf = rig.client(1);
     let mut other = rig.client(2);
     for tag in 0..48 {
-        assert!(deaf.conn.command(tag, 0, &scsi::rw16(false, 0, 2048, 0), 1 << 20, vec![].into()));
+        assert!(deaf.conn.send_command(
+            tag,
+            0,
+            &scsi::read_or_write_16(false, 0, 2048, 0),
+            1 << 20,
+            vec![].into()
+        ));
     }
     deaf.flush().expect("sent");
     let full = rig.wait_for("buffers fill", |s| s.buffer_bytes > 8 << 20);
@@ -272,7 +295,9 @@
     }
     let mut whole = 0;
     while whole < 48 {
-        if let Came::Answer { status: code, data, .. } = deaf.next_event().expect("an answer") {
+        if let InitiatorEvent::CommandCompleted { status: code, data, .. } =
+            deaf.next_event().expect("an answer")
+        {
             assert_eq!((code, data.len()), (status::GOOD, 1 << 20));
             whole += 1;
         }
@@ -284,26 +309,27 @@
 fn malformed_pdus_end_their_own_connection_and_no_other() {
     let rig = Rig::new(10.0);
     let mut other = rig.client(1);
-    let longest = Bhs::new(op::SCSI_COMMAND, flag::FINAL | flag::WRITE);
-    let write = Bhs::new(op::SCSI_COMMAND, flag::FINAL | flag::WRITE).with_cdb(&scsi::rw16(true, 0, 8, 0));
+    let longest = Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE);
+    let write = Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE)
+        .with_cdb(&scsi::read_or_write_16(true, 0, 8, 0));
     let corpus: Vec<(&str, Bhs, usize)> = vec![
-        ("a login after login", Bhs::new(op::LOGIN_REQUEST, 0x87), 0),
-        ("a target's opcode", Bhs::new(op::SCSI_RESPONSE, flag::FINAL), 0),
+        ("a login after login", Bhs::new(opcode::LOGIN_REQUEST, 0x87), 0),
+        ("a target's opcode", Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL), 0),
         ("an opcode that is none", Bhs::new(0x3b, flag::FINAL), 0),
-        ("a command far ahead", write.with_sn(3).with_itt(9).with_word20(4096), 0),
-        ("the reserved tag", write.with_itt(0xffff_ffff).with_word20(4096), 4096),
-        ("more immediate data than the write", write.with_word20(512), 4096),
-        ("data nobody asked for", write.with_word20(1 << 19), 100_000),
-        ("a write past the longest", longest.with_word20(64 << 20).with_byte(1, flag::WRITE), 0),
-        ("a segment past the agreed length", write.with_word20(1 << 20), 600_000),
-        ("a text that is none", Bhs::new(op::TEXT_REQUEST, flag::FINAL), 64),
+        ("a command far ahead", write.with_cmd_sn(3).with_itt(9).with_expected_data_len(4096), 0),
+        ("the reserved tag", write.with_itt(0xffff_ffff).with_expected_data_len(4096), 4096),
+        ("more immediate data than the write", write.with_expected_data_len(512), 4096),
+        ("data nobody asked for", write.with_expected_data_len(1 << 19), 100_000),
+        ("a write past the longest", longest.with_expected_data_len(64 << 20).with_byte(1, flag::WRITE), 0),
+        ("a segment past the agreed length", write.with_expected_data_len(1 << 20), 600_000),
+        ("a text that is none", Bhs::new(opcode::TEXT_REQUEST, flag::FINAL), 64),
     ];
     for (i, (what, bhs, len)) in corpus.into_iter().enumerate() {
         let mut client = rig.client(100 + i as u32);
-        let mut out = Outgoing::default();
-        let bhs = if bhs.sn() == 0 { bhs.with_sn(1) } else { bhs };
+        let mut out = SendBuffer::default();
+        let bhs = if bhs.cmd_sn() == 0 { bhs.with_cmd_sn(1) } else { bhs };
         out.push(bhs, &vec![0xff; len]);
-        let _ = client.socket.write_all(out.waiting());
+        let _ = client.socket.write_all(out.unsent());
         let mut rest = Vec::new();
         let closed = client.socket.read_to_end(&mut rest);
         assert!(
@@ -314,20 +340,20 @@
     }
     // What has an answer of its own is rejected, and the connection goes on.
     let mut client = rig.client(200);
-    let mut out = Outgoing::default();
-    out.push(Bhs::new(op::SNACK, flag::FINAL), &[]);
-    client.socket.write_all(out.waiting()).expect("sent");
+    let mut out = SendBuffer::default();
+    out.push(Bhs::new(opcode::SNACK, flag::FINAL), &[]);
+    client.socket.write_all(out.unsent()).expect("sent");
     let mut answer = [0; 96];
     client.socket.read_exact(&mut answer).expect("a Reject");
-    assert_eq!((answer[0], answer[2]), (op::REJECT, 0x05));
+    assert_eq!((answer[0], answer[2]), (opcode::REJECT, 0x05));
 }
 
 #[test]
 fn half_a_login_is_ended_and_the_same_client_again_takes_over() {
     let rig = Rig::new(10.0);
     let mut half = TcpStream::connect(rig.at).expect("a connection");
-    let mut conn = InitiatorConn::new("iqn.half", Some(TARGET), [0; 6], &Wishes::default());
-    let bytes = conn.out().waiting();
+    let mut conn = InitiatorConnection::new("iqn.half", Some(TARGET), [0; 6], &ProposedParams::default());
+    let bytes = conn.send_buffer().unsent();
     half.write_all(&bytes[..bytes.len() / 2]).expect("sent");
     half.set_read_timeout(Some(Duration::from_secs(12))).expect("a socket");
     let mut first = rig.client(1);
@@ -341,7 +367,7 @@
 fn a_drained_host_lets_nobody_in_and_ends_what_is_in_hand() {
     let mut rig = Rig::new(400_000.0);
     let mut client = rig.client(1);
-    client.conn.command(1, 0, &scsi::rw16(false, 0, 8, 0), 4096, vec![].into());
+    client.conn.send_command(1, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
     rig.wait_for("the read is out", |s| s.nodes[0].attempts == 1);
     assert_eq!(send_request(&rig.control(), "drain").expect("told"), "draining");
@@ -353,14 +379,14 @@
     let mut answered = false;
     loop {
         match client.next_event() {
-            Ok(Came::Answer { status: code, .. }) => answered = code == status::GOOD,
-            Ok(Came::AskedOut) if answered => client.conn.logout(),
-            Ok(Came::AskedOut | Came::LoggedOut) => {}
+            Ok(InitiatorEvent::CommandCompleted { status: code, .. }) => answered = code == status::GOOD,
+            Ok(InitiatorEvent::LogoutRequested) if answered => client.conn.send_logout_request(),
+            Ok(InitiatorEvent::LogoutRequested | InitiatorEvent::LoggedOut) => {}
             Ok(other) => panic!("{other:?}"),
             Err(_) => break,
         }
         if answered {
-            client.conn.logout();
+            client.conn.send_logout_request();
             let _ = client.flush();
         }
     }
--- a/crates/lab/tests/snapshots.rs
+++ b/crates/lab/tests/snapshots.rs
@@ -171,7 +171,7 @@
 
 fn write(client: &mut BlockingClient, lun: u32, id: u64, lba: u64, blocks: u32) -> Answer {
     client
-        .execute(lun, &scsi::rw16(true, lba, blocks, 0), 0, block::write(id, lba, blocks))
+        .execute(lun, &scsi::read_or_write_16(true, lba, blocks, 0), 0, block::write(id, lba, blocks))
         .expect("an answer")
 }
 
@@ -183,7 +183,8 @@
 /// Which write each block shows.
 fn show(client: &mut BlockingClient, lun: u32, lba: u64, blocks: u32) -> Vec<u64> {
     let room = blocks as usize * 512;
-    let answer = client.execute(lun, &scsi::rw16(false, lba, blocks, 0), room, vec![]).expect("an answer");
+    let answer =
+        client.execute(lun, &scsi::read_or_write_16(false, lba, blocks, 0), room, vec![]).expect("an answer");
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
     let shown = answer.data.chunks(512).enumerate();
     shown.map(|(i, b)| block::read(b, lba + i as u64).expect("a whole write")).collect()
@@ -400,7 +401,7 @@
     // What a host that died halfway through a copy leaves behind.
     let node = rig.nodes_at[1];
     let mut straight = BlockingClient::open(node, Some("iqn.t:node1"), 9).expect("a login");
-    let cdb = scsi::rw16(true, 900 * EXTENT, 8, 0);
+    let cdb = scsi::read_or_write_16(true, 900 * EXTENT, 8, 0);
     assert_eq!(straight.execute(1025, &cdb, 0, vec![7; 4096]).expect("an answer").status, status::GOOD);
     let (code, text) = rig.run(&["verify"], &[]);
     assert!(code == 1 && text.contains("leaked: layer 1025, place 900 at node1"), "{text}");
@@ -599,7 +600,8 @@
 }
 
 fn show_or_none(client: &mut BlockingClient, lun: u32) -> Option<Vec<u64>> {
-    let answer = client.execute(lun, &scsi::rw16(false, 0, 64, 0), 64 * 512, vec![]).expect("an answer");
+    let answer =
+        client.execute(lun, &scsi::read_or_write_16(false, 0, 64, 0), 64 * 512, vec![]).expect("an answer");
     let whole = |(i, b): (usize, &[u8])| block::read(b, i as u64).expect("a whole write");
     (answer.status == status::GOOD).then(|| answer.data.chunks(512).enumerate().map(whole).collect())
 }
--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -125,7 +125,7 @@
 fn through(client: &mut BlockingClient, seconds: u64) {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(seconds) {
-        let cdb = scsi::rw16(true, 0, 8, 0);
+        let cdb = scsi::read_or_write_16(true, 0, 8, 0);
         client.execute(0, &cdb, 0, block::write(1, 0, 8)).expect("an answer");
     }
 }
