--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -6,7 +6,9 @@
 use mallowseam_cow::tree::Location;
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_iscsi::scsi;
-use mallowseam_scheduler::host::{BioId, Ending, Host, KeyId, NodeId, Outcome, Report, Tick, VolId};
+use mallowseam_scheduler::interface::{
+    AttemptOutcome, AttemptResult, BioId, Host, KeyId, LoadReport, NodeId, Tick, VolumeId,
+};
 use std::cmp::Reverse;
 
 /// SCSI group number of copies, which marks them in a trace of the nodes.
@@ -47,7 +49,10 @@
             let attempt = self.block_ios.get(index).and_then(|io| io.attempt.as_ref());
             let Some(attempt) = attempt.filter(|attempt| attempt.tag == timeout.tag) else { continue };
             let unsent = self.nodes.give_up(attempt.node as usize, timeout.tag, self.now);
-            self.finish_attempt(index, if unsent { Ending::NoConnect } else { Ending::TimedOut });
+            self.finish_attempt(
+                index,
+                if unsent { AttemptResult::ConnectFailed } else { AttemptResult::TimedOut },
+            );
         }
         // Most attempts finish long before they time out: their timeouts are removed from time to time.
         if self.attempt_timeouts.len() > MIN_TIMEOUTS + MAX_TIMEOUTS_PER_BLOCK_IO * self.block_ios.len() {
@@ -69,17 +74,17 @@
         if finished.write_protected && io.branch.is_some() {
             return self.on_closed_layer(index);
         }
-        let mut ending = if finished.write_protected { Ending::Error } else { finished.ending };
-        if ending == Ending::Done && !self.is_complete(index, &finished) {
-            ending = Ending::Error;
+        let mut result = if finished.write_protected { AttemptResult::Error } else { finished.result };
+        if result == AttemptResult::Completed && !self.is_complete(index, &finished) {
+            result = AttemptResult::Error;
         }
-        if ending == Ending::Done {
+        if result == AttemptResult::Completed {
             let io = self.block_ios.get_mut(index).expect("in flight");
             if !std::mem::replace(&mut io.answered, true) {
                 self.on_completed(index, finished.data);
             }
         }
-        self.finish_attempt(index, ending);
+        self.finish_attempt(index, result);
     }
 
     /// Whether a read has got all its bytes.
@@ -100,25 +105,26 @@
     }
 
     /// An attempt is finished: its outcome is queued for the scheduler.
-    pub(super) fn finish_attempt(&mut self, index: BlockIoIndex, ending: Ending) {
+    pub(super) fn finish_attempt(&mut self, index: BlockIoIndex, result: AttemptResult) {
         let Some(io) = self.block_ios.get_mut(index) else { return };
         let Some(attempt) = io.attempt.take() else { return };
-        self.metrics.nodes[attempt.node as usize].count(ending);
-        let did_not_run = matches!(ending, Ending::Busy | Ending::NoConnect | Ending::Moot);
+        self.metrics.nodes[attempt.node as usize].count(result);
+        let did_not_run =
+            matches!(result, AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent);
         if self.classes[io.class()].non_idempotent
             && did_not_run
             && let Some(command) = io.command.and_then(|command| self.commands.get_mut(command))
         {
             command.progress.attempt_did_not_run();
         }
-        let outcome = Outcome {
-            ending,
+        let outcome = AttemptOutcome {
+            result,
             node: NodeId(attempt.node),
-            closed: io.answered || io.relocating,
-            wait: self.now - attempt.sent,
-            by_others: 0.0,
-            used: 0.0,
-            report: Report::default(),
+            client_answered: io.answered || io.relocating,
+            latency: self.now - attempt.sent,
+            units_by_other_hosts: 0.0,
+            volume_usage: 0.0,
+            load_report: LoadReport::default(),
         };
         self.outcomes.push_back((BioId(index), outcome));
     }
@@ -164,7 +170,7 @@
 }
 
 impl Host for Dispatcher {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         let tag = self.begin_attempt(bio.0, node.0);
         let Transfer { write, group_number, data } = self.prepare_transfer(bio.0, node.0);
         let io = self.block_ios.get(bio.0).expect("in flight");
@@ -178,15 +184,15 @@
         let cdb = scsi::read_or_write_16(write, lba, io.request.blocks, group_number);
         let request = NodeRequest { tag, lun, cdb, room: if write { 0 } else { len }, data };
         self.metrics.nodes[node.0 as usize].attempts += 1;
-        self.attempt_timeouts.push(Reverse(AttemptTimeout { at: self.now + limit.max(0), tag }));
+        self.attempt_timeouts.push(Reverse(AttemptTimeout { at: self.now + timeout.max(0), tag }));
         self.nodes.submit(node.0 as usize, request, self.now);
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        let Some(io) = self.block_ios.get(bio.0).filter(|io| io.attempts == nth + 1) else { return };
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        let Some(io) = self.block_ios.get(bio.0).filter(|io| io.attempts == attempt + 1) else { return };
         let Some(attempt) = &io.attempt else { return };
         let unsent = self.nodes.give_up(attempt.node as usize, attempt.tag, self.now);
-        self.finish_attempt(bio.0, if unsent { Ending::Moot } else { Ending::Cancelled });
+        self.finish_attempt(bio.0, if unsent { AttemptResult::NotSent } else { AttemptResult::Cancelled });
     }
 
     fn shed(&mut self, bio: BioId, come_back: Tick) {
@@ -197,23 +203,15 @@
         self.answer_not_completed(bio, RequestOutcome::Failed);
     }
 
-    fn wake(&mut self, after: Tick) {
+    fn set_timer(&mut self, after: Tick) {
         let time = self.now + after;
         self.wakeup_at = Some(self.wakeup_at.map_or(time, |other| other.min(time)));
     }
 
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.endpoint_list_requested = true;
     }
 
-    fn fetch_list(&mut self) {
-        self.endpoint_list_requested = true;
-    }
-
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
     fn release_bio(&mut self, bio: BioId) {
         match self.block_ios.get_mut(bio.0).filter(|io| io.relocating && !io.answered) {
             Some(io) => {
@@ -229,7 +227,7 @@
     }
 
     /// Volumes keep their index: there are as many as the configuration names.
-    fn release_volume(&mut self, _volume: VolId) {}
+    fn release_volume(&mut self, _volume: VolumeId) {}
 
     /// Nodes have the indices that the configuration gives them.
     fn release_node(&mut self, _node: NodeId) {}
--- a/crates/gateway/src/dispatcher/split_writes.rs
+++ b/crates/gateway/src/dispatcher/split_writes.rs
@@ -7,7 +7,7 @@
 use mallowseam_cow::messages::ToCatalog;
 use mallowseam_cow::split_write::PartAdmission;
 use mallowseam_cow::tree::LayerId;
-use mallowseam_scheduler::host::BioId;
+use mallowseam_scheduler::interface::BioId;
 
 impl Dispatcher {
     /// Whether a block I/O is part of a client's write.
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -3,7 +3,7 @@
 use crate::clock::ticks_to_millis;
 use crate::metrics::{ClassMetrics, NodeMetrics};
 use crate::status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
-use mallowseam_scheduler::host::NodeId;
+use mallowseam_scheduler::interface::NodeId;
 use mallowseam_settings::config;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -51,7 +51,7 @@
     fn status(&self) -> Status {
         let (dispatcher, site) = (&self.dispatcher, &self.site);
         let (admission, metrics) = (&dispatcher.clients.admission, &dispatcher.metrics);
-        let (list_epoch, list_version) = self.endpoint_list.version();
+        let list = self.endpoint_list.version();
         let classes = site.io_classes.iter().zip(&metrics.classes);
         let nodes = metrics.nodes.iter().enumerate();
         Status {
@@ -61,8 +61,8 @@
             connections: admission.connection_count(),
             in_flight: dispatcher.in_flight(),
             buffer_bytes: dispatcher.clients.buffered_bytes(),
-            list_epoch,
-            list_version,
+            list_epoch: list.epoch,
+            list_version: list.version,
             commands: metrics.commands,
             classes: classes.map(|(class, metrics)| class_status(class, metrics)).collect(),
             nodes: nodes.map(|(index, metrics)| self.node_status(index, metrics)).collect(),
@@ -73,17 +73,17 @@
 
     fn node_status(&self, index: usize, metrics: &NodeMetrics) -> NodeStatus {
         let dispatcher = &self.dispatcher;
-        let view = self.scheduler.view(dispatcher.now, NodeId(index as u32)).unwrap_or_default();
+        let status = self.scheduler.node_status(dispatcher.now, NodeId(index as u32)).unwrap_or_default();
         NodeStatus {
             name: dispatcher.nodes.name(index).to_owned(),
             connected: dispatcher.nodes.is_connected(index),
-            open: view.open,
-            warming_up: view.cold,
-            in_flight: view.out,
-            queued: view.held,
-            window: view.window,
-            wait_ms: view.wait / TICKS_PER_MILLI,
-            failures: view.failures,
+            open: status.active,
+            warming_up: status.warming_up,
+            in_flight: status.in_flight,
+            queued: status.queued,
+            window: status.concurrency_window,
+            wait_ms: status.mean_latency / TICKS_PER_MILLI,
+            failures: status.consecutive_failures,
             attempts: metrics.attempts,
             completed: metrics.completed,
             busy: metrics.busy,
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -6,7 +6,7 @@
 use crate::scheduler_config;
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::state::State;
-use mallowseam_scheduler::host::{Tick, VolId};
+use mallowseam_scheduler::interface::{Tick, VolumeId};
 use mallowseam_settings::reload::{self, ReloadOutcome, RestartRequired};
 use rand::Rng;
 use std::path::Path;
@@ -89,7 +89,7 @@
             if quota != *current {
                 *current = quota;
                 let quota = quota.map(|thousandths| thousandths as f64 / THOUSANDTHS);
-                self.scheduler.parted(now, VolId(volume as u32), quota);
+                self.scheduler.on_quota_changed(now, VolumeId(volume as u32), quota);
             }
         }
     }
@@ -137,7 +137,7 @@
         }
         let changed = self.dispatcher.apply_plans(&plans.volume_plans);
         let all = scheduler_config::scheduler_plans(&self.site);
-        self.scheduler.planned(self.dispatcher.now, &all, &changed);
+        self.scheduler.on_plans_changed(self.dispatcher.now, &all, &changed);
         plans.changes.iter().for_each(|change| tracing::info!(change = change.to_string(), "plans applied"));
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and latencies that a host keeps for its status.
 use hdrhistogram::Histogram;
-use mallowseam_scheduler::host::Ending;
+use mallowseam_scheduler::interface::AttemptResult;
 use serde::{Deserialize, Serialize};
 
 /// Largest latency that a histogram tells apart: an hour in microseconds.
@@ -58,15 +58,15 @@
 
 impl NodeMetrics {
     /// Counts an attempt that has ended.
-    pub(crate) fn count(&mut self, ending: Ending) {
-        *match ending {
-            Ending::Done => &mut self.completed,
-            Ending::Busy => &mut self.busy,
-            Ending::TimedOut => &mut self.timed_out,
-            Ending::NoConnect => &mut self.not_connected,
-            Ending::Reset => &mut self.reset,
-            Ending::Cancelled | Ending::Moot => &mut self.cancelled,
-            Ending::Error => &mut self.errors,
+    pub(crate) fn count(&mut self, result: AttemptResult) {
+        *match result {
+            AttemptResult::Completed => &mut self.completed,
+            AttemptResult::Rejected => &mut self.busy,
+            AttemptResult::TimedOut => &mut self.timed_out,
+            AttemptResult::ConnectFailed => &mut self.not_connected,
+            AttemptResult::ConnectionReset => &mut self.reset,
+            AttemptResult::Cancelled | AttemptResult::NotSent => &mut self.cancelled,
+            AttemptResult::Error => &mut self.errors,
         } += 1;
     }
 }
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -6,7 +6,7 @@
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent, Payload};
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::{Sense, status};
-use mallowseam_scheduler::host::{Ending, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -51,15 +51,15 @@
 pub(crate) struct FinishedAttempt {
     pub(crate) node: NodeIndex,
     pub(crate) tag: u32,
-    pub(crate) ending: Ending,
+    pub(crate) result: AttemptResult,
     /// Rejected, as the unit is closed to writes: it has not run.
     pub(crate) write_protected: bool,
     pub(crate) data: Vec<u8>,
 }
 
 impl FinishedAttempt {
-    fn without_data(node: NodeIndex, tag: u32, ending: Ending) -> Self {
-        FinishedAttempt { node, tag, ending, write_protected: false, data: Vec::new() }
+    fn without_data(node: NodeIndex, tag: u32, result: AttemptResult) -> Self {
+        FinishedAttempt { node, tag, result, write_protected: false, data: Vec::new() }
     }
 }
 
@@ -90,7 +90,7 @@
     registry: Registry,
     first_token: usize,
     /// Finished attempts that the owner has not taken yet.
-    results: VecDeque<FinishedAttempt>,
+    finished: VecDeque<FinishedAttempt>,
     /// Nodes with something to write.
     dirty: Vec<NodeIndex>,
 }
@@ -121,7 +121,7 @@
             wishes,
             registry,
             first_token,
-            results: VecDeque::new(),
+            finished: VecDeque::new(),
             dirty: Vec::new(),
         }
     }
@@ -148,16 +148,16 @@
 
     /// The next attempt that has ended by itself.
     pub(crate) fn next_finished(&mut self) -> Option<FinishedAttempt> {
-        self.results.pop_front()
+        self.finished.pop_front()
     }
 
     /// Whether the owner has taken all finished attempts.
     pub(crate) fn is_quiet(&self) -> bool {
-        self.results.is_empty()
+        self.finished.is_empty()
     }
 
-    fn end(&mut self, node: NodeIndex, tag: u32, ending: Ending) {
-        self.results.push_back(FinishedAttempt::without_data(node, tag, ending));
+    fn end(&mut self, node: NodeIndex, tag: u32, result: AttemptResult) {
+        self.finished.push_back(FinishedAttempt::without_data(node, tag, result));
     }
 
     /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be tried.
@@ -170,7 +170,7 @@
                 self.mark_dirty(index);
             } else {
                 // The node's own command window is closed: it has rejected the command before it was sent.
-                self.end(index, tag, Ending::Busy);
+                self.end(index, tag, AttemptResult::Rejected);
             }
             return;
         }
@@ -222,14 +222,19 @@
         let node = &mut self.all[index];
         node.connection.closed();
         for request in std::mem::take(&mut node.queue) {
-            self.results.push_back(FinishedAttempt::without_data(index, request.tag, Ending::NoConnect));
+            self.finished.push_back(FinishedAttempt::without_data(
+                index,
+                request.tag,
+                AttemptResult::ConnectFailed,
+            ));
         }
         if let Some(mut link) = node.link.take() {
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.in_flight_tags().collect::<Vec<_>>() {
                 let may_have_run = link.conn.has_started_sending(tag);
-                let ending = if may_have_run { Ending::Reset } else { Ending::NoConnect };
-                self.results.push_back(FinishedAttempt::without_data(index, tag, ending));
+                let result =
+                    if may_have_run { AttemptResult::ConnectionReset } else { AttemptResult::ConnectFailed };
+                self.finished.push_back(FinishedAttempt::without_data(index, tag, result));
             }
         }
     }
@@ -286,7 +291,7 @@
                 }
                 InitiatorEvent::CommandRejected { tag, reason } => {
                     tracing::warn!(node = self.all[index].name, reason, "command rejected");
-                    self.end(index, tag, Ending::Error);
+                    self.end(index, tag, AttemptResult::Error);
                 }
                 InitiatorEvent::CommandAborted { .. } => {
                     self.all[index].connection.abort_answered(ticks_to_millis(now))
@@ -305,16 +310,16 @@
 
     fn on_answer(&mut self, node: NodeIndex, tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>) {
         if sense == Some(Sense::WRITE_PROTECTED) {
-            let result = FinishedAttempt::without_data(node, tag, Ending::Moot);
-            self.results.push_back(FinishedAttempt { write_protected: true, ..result });
+            let result = FinishedAttempt::without_data(node, tag, AttemptResult::NotSent);
+            self.finished.push_back(FinishedAttempt { write_protected: true, ..result });
             return;
         }
-        let ending = match status {
-            status::GOOD => Ending::Done,
-            status::BUSY | status::TASK_SET_FULL => Ending::Busy,
-            _ => Ending::Error,
+        let result = match status {
+            status::GOOD => AttemptResult::Completed,
+            status::BUSY | status::TASK_SET_FULL => AttemptResult::Rejected,
+            _ => AttemptResult::Error,
         };
-        self.results.push_back(FinishedAttempt { node, tag, ending, write_protected: false, data });
+        self.finished.push_back(FinishedAttempt { node, tag, result, write_protected: false, data });
     }
 
     /// Writes what waits for the nodes.
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -4,7 +4,7 @@
 use mallowseam_connection_policy::client_connection::{ClientConnection, Phase};
 use mallowseam_http1::{MessageSpan, ParseError, RequestReader};
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::BioId;
+use mallowseam_scheduler::interface::BioId;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use mio::net::TcpStream;
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -5,8 +5,8 @@
 use mallowseam_platform::interner::InternError;
 use mallowseam_platform::request::{self, BlockRequest, ClientRequest};
 use mallowseam_platform::response;
-use mallowseam_scheduler::host::{BioId, Host};
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{BioId, Host};
 
 impl Dispatcher {
     /// Handles a complete request. `is_ready`: an endpoint list is known.
@@ -49,12 +49,12 @@
             client: Some(slot),
             attempts: 0,
             node_connection: None,
-            deadline: io.hard_limit,
+            deadline: io.deadline,
         });
         self.counters.admitted += 1;
         self.clients.on_admitted(slot, io.id, now_ms);
         let now = self.now;
-        scheduler.take(self, now, io);
+        scheduler.on_arrival(self, now, io);
         self.report_completions(scheduler);
     }
 
@@ -63,7 +63,7 @@
         if let Some(slot) = self.in_flight.get_mut(io.0).and_then(|entry| entry.client.take()) {
             let now = self.now;
             self.withdraw_unsent(io);
-            scheduler.gone(self, now, io);
+            scheduler.on_disconnect(self, now, io);
             self.respond_disconnected(slot);
             self.report_completions(scheduler);
         }
@@ -90,7 +90,7 @@
                 self.fail(io);
             }
             let now = self.now;
-            scheduler.gone(self, now, io);
+            scheduler.on_disconnect(self, now, io);
             self.report_completions(scheduler);
         }
     }
--- a/crates/platform-host/src/nodes/connection.rs
+++ b/crates/platform-host/src/nodes/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a storage node, and the attempt that it carries.
 use mallowseam_http1::ResponseReader;
 use mallowseam_platform::response::NodeResponse;
-use mallowseam_scheduler::host::{BioId, Ending, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 use mio::net::TcpStream;
 
 /// An attempt that a connection carries.
@@ -21,7 +21,7 @@
 
 impl Attempt {
     /// Completes the attempt at a node, as of now.
-    pub fn complete(&self, node: NodeId, ending: Ending) -> Completion {
+    pub fn complete(&self, node: NodeId, ending: AttemptResult) -> Completion {
         Completion {
             io: self.io,
             node,
@@ -41,7 +41,7 @@
     /// Where it was sent, or would have been.
     pub node: NodeId,
     /// The result.
-    pub ending: Ending,
+    pub ending: AttemptResult,
     /// When the scheduler started it.
     pub started_at: Tick,
     /// When the result arrived at the socket; none: now.
@@ -52,7 +52,7 @@
 
 impl Completion {
     /// The completion of an attempt that was not sent.
-    pub fn unsent(io: BioId, node: NodeId, ending: Ending, now: Tick) -> Self {
+    pub fn unsent(io: BioId, node: NodeId, ending: AttemptResult, now: Tick) -> Self {
         Completion { io, node, ending, started_at: now, received_at: None, response: None }
     }
 }
--- a/crates/platform/tests/interner.rs
+++ b/crates/platform/tests/interner.rs
@@ -5,7 +5,7 @@
 use mallowseam_platform::endpoints;
 use mallowseam_platform::interner::NameInterner;
 use mallowseam_platform::request::{BlockRequest, RequestId};
-use mallowseam_scheduler::host::{BioId, KeyId, NodeState, VolId};
+use mallowseam_scheduler::interface::{BioId, KeyId, NodeState, VolumeId};
 
 #[test]
 fn endpoints_of_unknown_zones_share_no_zone() {
@@ -38,14 +38,14 @@
     let event = endpoints::parse(format!(r#"{{"seq":1,"whole":true,"hosts":[{ENDPOINT}]}}"#).as_bytes())
         .expect("valid");
     names.intern_endpoints(&event, &settings(), &mut nodes);
-    assert_eq!((nodes[0].came_up, nodes[0].state), (50, NodeState::Active));
+    assert_eq!((nodes[0].started_at, nodes[0].state), (50, NodeState::Active));
 }
 
 #[test]
 fn request_id_in_flight_is_rejected_until_released() {
     let (mut names, b) = (NameInterner::default(), block_request());
     let bio = names.intern_request(BioId(0), &b, 1_000, &settings()).expect("new");
-    assert_eq!(bio.hard_limit, 1_000 + 4_800);
+    assert_eq!(bio.deadline, 1_000 + 4_800);
     assert!(names.intern_request(BioId(1), &b, 1_000, &settings()).is_err());
     names.release_request(&b.id);
     assert!(names.intern_request(BioId(1), &b, 1_000, &settings()).is_ok());
@@ -54,7 +54,7 @@
 #[test]
 fn client_timeout_is_capped_at_the_longest_deadline() {
     let (mut names, b) = (NameInterner::default(), BlockRequest { timeout_ms: 3_600_000, ..block_request() });
-    assert_eq!(names.intern_request(BioId(0), &b, 0, &settings()).expect("new").hard_limit, 20_000);
+    assert_eq!(names.intern_request(BioId(0), &b, 0, &settings()).expect("new").deadline, 20_000);
 }
 
 #[test]
@@ -63,10 +63,10 @@
     for n in 0..100_000u64 {
         (b.id, b.volume, b.object) = (RequestId::new(&format!("{n:x}")).expect("fits"), n, n);
         let bio = names.intern_request(BioId(0), &b, 0, &settings()).expect("new");
-        assert_eq!((bio.vol, bio.key), (VolId(0), Some(KeyId(0))), "indices are reused");
+        assert_eq!((bio.volume, bio.key), (VolumeId(0), Some(KeyId(0))), "indices are reused");
         names.release_request(&b.id);
         names.release_key(KeyId(0));
-        names.release_volume(VolId(0));
+        names.release_volume(VolumeId(0));
         let node = names.intern_node(&format!("s-{n}"));
         assert_eq!(node.0, 0);
         names.release_node(node);
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: an unreadable field is rejected by name, an absent one is rejected or takes the strictest value.
 use mallowseam_platform::settings;
-use mallowseam_scheduler::host::{Effect, Scope};
+use mallowseam_scheduler::interface::{DeduplicationScope, Idempotency};
 use serde_json::{Value, json};
 
 fn complete_settings() -> Value {
@@ -36,7 +36,7 @@
         (vec!["scan".into(), "stamp".into()], vec!["copper".into(), "steel".into()])
     );
     assert!(
-        !settings.scheduler.list_pushed
+        !settings.scheduler.endpoints_pushed
             && settings.scheduler.hosts == 3
             && settings.longest_deadline == 20_000
     );
@@ -95,10 +95,16 @@
 #[test]
 fn absent_field_takes_the_strictest_value() {
     let read = |path: &str| settings::from_json(&with(path, None)).expect("valid");
-    let effect = |path: &str| read(path).scheduler.groups[1].effect;
-    assert_eq!(effect("/profiles/1/key_scope"), Effect::Fingerprinted { scope: Scope::Cell, memory: 9_000 });
-    assert_eq!(effect("/profiles/1/key_ttl_us"), Effect::Fingerprinted { scope: Scope::Zone, memory: 0 });
-    assert!(read("/registry_mode").scheduler.list_pushed, "counts as soon as the service knows");
-    assert!(!read("/limits/cancel").scheduler.may_cancel);
-    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].limit_burst, 0.0);
+    let effect = |path: &str| read(path).scheduler.classes[1].idempotency;
+    assert_eq!(
+        effect("/profiles/1/key_scope"),
+        Idempotency::IdempotentByKey { scope: DeduplicationScope::Shard, window: 9_000 }
+    );
+    assert_eq!(
+        effect("/profiles/1/key_ttl_us"),
+        Idempotency::IdempotentByKey { scope: DeduplicationScope::Zone, window: 0 }
+    );
+    assert!(read("/registry_mode").scheduler.endpoints_pushed, "counts as soon as the service knows");
+    assert!(!read("/limits/cancel").scheduler.allow_cancel);
+    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].burst_units, 0.0);
 }
--- a/crates/scheduler/tests/pin/mod.rs
+++ b/crates/scheduler/tests/pin/mod.rs
@@ -4,8 +4,8 @@
 mod settings;
 
 use hash::ActionHash;
-use mallowseam_scheduler::host::*;
-use mallowseam_scheduler::scheduler::Scheduler;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::*;
 use random::Random;
 use std::collections::BTreeMap;
 
@@ -20,12 +20,12 @@
 /// What the scheduler asked for; the numbers go into the hash.
 #[derive(Clone, Copy)]
 pub enum Action {
-    Submit = 1,
+    Forward = 1,
     Cancel,
     Shed,
     Fail,
-    Wake,
-    WatchList,
+    SetTimer,
+    PollEndpoints,
     ReleaseBio,
     ReleaseKey,
     ReleaseVolume,
@@ -36,19 +36,19 @@
 
 enum Event {
     Arrival,
-    /// The outcome of one submit of a block I/O, by the serial number of that submit.
-    Outcome {
+    /// The outcome of an attempt, by its serial number.
+    AttemptOutcome {
         serial: u64,
-        ending: Ending,
+        result: AttemptResult,
     },
     Disconnect {
         bio: BioId,
         arrival: u64,
     },
     Timer,
-    ListAnswer(ListForm),
-    ListChange,
-    ListMoved,
+    PollAnswer(EndpointEvent),
+    EndpointChange,
+    DiscoveryMove,
     QuotaChange,
     PlanChange,
     NodeMode(u32),
@@ -72,7 +72,7 @@
 enum Pattern {
     /// Each node changes on its own.
     Mixed,
-    /// All nodes are quick, and now and then one loses a submit whose client waits for long.
+    /// All nodes are quick, and now and then one loses an attempt whose client waits for long.
     RareLoss,
 }
 
@@ -83,15 +83,15 @@
 }
 
 struct SimulatedNode {
-    listed: Listed,
+    endpoint: NodeEndpoint,
     mode: Mode,
 }
 
-struct Submit {
+struct Attempt {
     bio: BioId,
     node: NodeId,
     sent: Tick,
-    nth: u32,
+    attempt: u32,
 }
 
 /// A block I/O that the scheduler still holds.
@@ -99,7 +99,7 @@
     bio: Bio,
     arrival: u64,
     answered: bool,
-    submits: u32,
+    attempts: u32,
 }
 
 /// The program around the scheduler: records each action, and makes the events that follow from it.
@@ -112,12 +112,12 @@
     next_event: u64,
     nodes: Vec<SimulatedNode>,
     current: BTreeMap<BioId, Current>,
-    out: BTreeMap<u64, Submit>,
-    next_submit: u64,
+    in_flight: BTreeMap<u64, Attempt>,
+    next_attempt: u64,
     free: Vec<u32>,
     next_bio: u32,
-    /// Block I/Os that were shed: their clients may try again with what is left of their time.
-    turned_away: Vec<Bio>,
+    /// Block I/Os that were shed: their clients may retry with the time left.
+    shed: Vec<Bio>,
 }
 
 impl Recorder {
@@ -133,58 +133,62 @@
         self.events.insert((self.now + after, self.next_event), event);
     }
 
-    /// When and how a submit to this node ends.
-    fn draw_ending(&mut self, bio: &Bio, node: NodeId, limit: Tick) -> (Tick, Ending) {
-        let load = self.out.values().filter(|s| s.node == node).count() as Tick;
+    /// When and how an attempt to this node ends.
+    fn draw_ending(&mut self, bio: &Bio, node: NodeId, timeout: Tick) -> (Tick, AttemptResult) {
+        let load = self.in_flight.values().filter(|s| s.node == node).count() as Tick;
         let random = &mut self.random;
-        let (wait, ending) = match self.nodes[node.0 as usize].mode {
-            Mode::Prompt if random.below(400) < if bio.group < 2 { 24 } else { 1 } => {
-                (limit, Ending::TimedOut)
+        let (wait, result) = match self.nodes[node.0 as usize].mode {
+            Mode::Prompt if random.below(400) < if bio.class < 2 { 24 } else { 1 } => {
+                (timeout, AttemptResult::TimedOut)
             }
-            Mode::Prompt => (random.between(5, 35), Ending::Done),
-            Mode::Quick => (random.between(30, 400) + 10 * load, Ending::Done),
-            Mode::Middle => (random.between(400, 640) + 5 * load, Ending::Done),
-            Mode::Slow => (random.between(500, 2_600) + 20 * load, Ending::Done),
-            Mode::Full if random.chance(40) => (random.between(5, 30), Ending::Busy),
-            Mode::Full => (random.between(200, 900), Ending::Done),
+            Mode::Prompt => (random.between(5, 35), AttemptResult::Completed),
+            Mode::Quick => (random.between(30, 400) + 10 * load, AttemptResult::Completed),
+            Mode::Middle => (random.between(400, 640) + 5 * load, AttemptResult::Completed),
+            Mode::Slow => (random.between(500, 2_600) + 20 * load, AttemptResult::Completed),
+            Mode::Full if random.percent(40) => (random.between(5, 30), AttemptResult::Rejected),
+            Mode::Full => (random.between(200, 900), AttemptResult::Completed),
             Mode::Broken => match random.below(7) {
-                0 => (random.between(5, 40), Ending::Busy),
-                1 => (random.between(20, 300), Ending::Reset),
-                2 => (random.between(20, 300), Ending::Error),
-                3 => (1, Ending::Moot),
-                _ => (random.between(2, 20), Ending::NoConnect),
+                0 => (random.between(5, 40), AttemptResult::Rejected),
+                1 => (random.between(20, 300), AttemptResult::ConnectionReset),
+                2 => (random.between(20, 300), AttemptResult::Error),
+                3 => (1, AttemptResult::NotSent),
+                _ => (random.between(2, 20), AttemptResult::ConnectFailed),
             },
-            Mode::Lossy if random.chance(30) => (limit, Ending::TimedOut),
-            Mode::Lossy => (random.between(10, 300), Ending::Done),
+            Mode::Lossy if random.percent(30) => (timeout, AttemptResult::TimedOut),
+            Mode::Lossy => (random.between(10, 300), AttemptResult::Completed),
         };
-        match ending {
-            Ending::Done if random.chance(2) => (wait.min(limit), Ending::Error),
-            _ if wait >= limit => (limit, Ending::TimedOut),
-            _ => (wait, ending),
+        match result {
+            AttemptResult::Completed if random.percent(2) => (wait.min(timeout), AttemptResult::Error),
+            _ if wait >= timeout => (timeout, AttemptResult::TimedOut),
+            _ => (wait, result),
         }
     }
 }
 
 impl Host for Recorder {
-    fn submit(&mut self, bio: BioId, node: NodeId, limit: Tick) {
-        self.record(Action::Submit, [bio.0.into(), node.0.into(), limit as u64]);
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
+        self.record(Action::Forward, [bio.0.into(), node.0.into(), timeout as u64]);
         let current = self.current.get_mut(&bio).expect("a block I/O that was released is not submitted");
-        let nth = current.submits;
-        current.submits += 1;
+        let attempt = current.attempts;
+        current.attempts += 1;
         let bio_now = current.bio;
-        let (wait, ending) = self.draw_ending(&bio_now, node, limit);
-        self.next_submit += 1;
-        let serial = self.next_submit;
-        self.out.insert(serial, Submit { bio, node, sent: self.now, nth });
-        self.schedule(wait, Event::Outcome { serial, ending });
+        let (wait, result) = self.draw_ending(&bio_now, node, timeout);
+        self.next_attempt += 1;
+        let serial = self.next_attempt;
+        self.in_flight.insert(serial, Attempt { bio, node, sent: self.now, attempt });
+        self.schedule(wait, Event::AttemptOutcome { serial, result });
     }
 
-    fn cancel(&mut self, bio: BioId, nth: u32) {
-        self.record(Action::Cancel, [bio.0.into(), nth.into(), 0]);
-        let found = self.out.iter().find(|(_, s)| s.bio == bio && s.nth == nth).map(|(serial, _)| *serial);
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        self.record(Action::Cancel, [bio.0.into(), attempt.into(), 0]);
+        let found = self
+            .in_flight
+            .iter()
+            .find(|(_, s)| s.bio == bio && s.attempt == attempt)
+            .map(|(serial, _)| *serial);
         if let Some(serial) = found {
             let after = self.random.between(1, 40);
-            self.schedule(after, Event::Outcome { serial, ending: Ending::Cancelled });
+            self.schedule(after, Event::AttemptOutcome { serial, result: AttemptResult::Cancelled });
         }
     }
 
@@ -192,9 +196,9 @@
         self.record(Action::Shed, [bio.0.into(), come_back as u64, 0]);
         let current = self.current.get_mut(&bio).expect("a block I/O in use is shed");
         assert!(!std::mem::replace(&mut current.answered, true), "answered once");
-        self.turned_away.push(current.bio);
-        if self.turned_away.len() > 20 {
-            self.turned_away.remove(0);
+        self.shed.push(current.bio);
+        if self.shed.len() > 20 {
+            self.shed.remove(0);
         }
     }
 
@@ -204,28 +208,22 @@
         assert!(!std::mem::replace(&mut current.answered, true), "answered once");
     }
 
-    fn wake(&mut self, after: Tick) {
-        self.record(Action::Wake, [after as u64, 0, 0]);
+    fn set_timer(&mut self, after: Tick) {
+        self.record(Action::SetTimer, [after as u64, 0, 0]);
         self.schedule(after, Event::Timer);
     }
 
-    fn probe(&mut self, _node: NodeId) {}
-
-    fn watch_list(&mut self) {
-        self.record(Action::WatchList, [0; 3]);
-        let form = match self.random.below(10) {
-            0..4 => ListForm::Whole,
-            4 => ListForm::Silent,
-            _ => ListForm::Failed,
+    fn poll_endpoints(&mut self) {
+        self.record(Action::PollEndpoints, [0; 3]);
+        let event = match self.random.below(10) {
+            0..4 => EndpointEvent::FullSnapshot,
+            4 => EndpointEvent::WatchSilent,
+            _ => EndpointEvent::PollFailed,
         };
         let after = self.random.between(5, 3_000);
-        self.schedule(after, Event::ListAnswer(form));
+        self.schedule(after, Event::PollAnswer(event));
     }
 
-    fn fetch_list(&mut self) {}
-
-    fn tell_peers(&mut self, _bytes: &[u8]) {}
-
     fn release_bio(&mut self, bio: BioId) {
         self.record(Action::ReleaseBio, [bio.0.into(), 0, 0]);
         assert!(self.current.remove(&bio).is_some(), "released once");
@@ -236,8 +234,8 @@
         self.record(Action::ReleaseKey, [key.0.into(), 0, 0]);
     }
 
-    fn release_volume(&mut self, vol: VolId) {
-        self.record(Action::ReleaseVolume, [vol.0.into(), 0, 0]);
+    fn release_volume(&mut self, volume: VolumeId) {
+        self.record(Action::ReleaseVolume, [volume.0.into(), 0, 0]);
     }
 
     fn release_node(&mut self, node: NodeId) {
@@ -248,7 +246,7 @@
 pub struct Simulation {
     recorder: Recorder,
     scheduler: Scheduler,
-    terms: Terms,
+    config: SchedulerConfig,
     pattern: Pattern,
     arrivals: usize,
     volume_plans: Vec<u16>,
@@ -257,11 +255,12 @@
 impl Simulation {
     pub fn new(seed: u64) -> Self {
         let mut random = Random::new(seed);
-        let terms = settings::terms(seed, &mut random);
+        let config = settings::config(seed, &mut random);
         let pattern = Pattern::of(seed);
         let plans = if pattern == Pattern::Mixed { settings::PLANS } else { 1 };
         let now = 50_000 + 7 * seed as Tick;
-        let nodes = (0..NODES).map(|n| SimulatedNode { listed: first_entry(n), mode: Mode::Quick }).collect();
+        let nodes =
+            (0..NODES).map(|n| SimulatedNode { endpoint: first_entry(n), mode: Mode::Quick }).collect();
         let recorder = Recorder {
             now,
             random,
@@ -271,16 +270,16 @@
             next_event: 0,
             nodes,
             current: BTreeMap::new(),
-            out: BTreeMap::new(),
-            next_submit: 0,
+            in_flight: BTreeMap::new(),
+            next_attempt: 0,
             free: Vec::new(),
             next_bio: 0,
-            turned_away: Vec::new(),
+            shed: Vec::new(),
         };
         Simulation {
-            scheduler: Scheduler::new(&terms, seed, now),
+            scheduler: Scheduler::new(&config, seed, now),
             recorder,
-            terms,
+            config,
             pattern,
             arrivals: 0,
             volume_plans: (0..VOLUMES).map(|v| (v % plans) as u16).collect(),
@@ -290,11 +289,11 @@
     /// Runs all events; the hash of the actions, and how many of each kind there were.
     pub fn run(mut self) -> (u64, [u32; ACTION_KINDS]) {
         let r = &mut self.recorder;
-        r.schedule(0, Event::ListAnswer(ListForm::Kept));
+        r.schedule(0, Event::PollAnswer(EndpointEvent::Cached));
         r.schedule(0, Event::Timer);
         r.schedule(2_000, Event::Arrival);
-        r.schedule(9_000, Event::ListChange);
-        r.schedule(70_000, Event::ListMoved);
+        r.schedule(9_000, Event::EndpointChange);
+        r.schedule(70_000, Event::DiscoveryMove);
         r.schedule(4_000, Event::QuotaChange);
         r.schedule(100_000, Event::PlanChange);
         (0..NODES).for_each(|n| r.schedule(5_000, Event::NodeMode(n)));
@@ -302,7 +301,7 @@
             self.recorder.now = at;
             self.step(event);
             if number.is_multiple_of(16) {
-                self.record_views();
+                self.record_node_status();
             }
             // Timers go on for ever: a while after the last arrival is enough.
             if self.arrivals == ARRIVALS && self.recorder.current.is_empty() {
@@ -316,18 +315,18 @@
         let now = self.recorder.now;
         match event {
             Event::Arrival => self.arrive(),
-            Event::Outcome { serial, ending } => self.end(serial, ending),
+            Event::AttemptOutcome { serial, result } => self.end(serial, result),
             Event::Disconnect { bio, arrival } => {
                 if self.recorder.current.get(&bio).is_some_and(|c| c.arrival == arrival) {
-                    self.scheduler.gone(&mut self.recorder, now, bio);
+                    self.scheduler.on_disconnect(&mut self.recorder, now, bio);
                 }
             }
-            Event::Timer => self.scheduler.woken(&mut self.recorder, now),
-            Event::ListAnswer(form) => self.answer_list(form),
-            Event::ListChange => self.change_list(),
-            Event::ListMoved => {
-                self.scheduler.list_moved(&mut self.recorder, now);
-                self.recorder.schedule(90_000, Event::ListMoved);
+            Event::Timer => self.scheduler.on_timer(&mut self.recorder, now),
+            Event::PollAnswer(event) => self.send_endpoints(event),
+            Event::EndpointChange => self.change_endpoint(),
+            Event::DiscoveryMove => {
+                self.scheduler.on_discovery_moved(&mut self.recorder, now);
+                self.recorder.schedule(90_000, Event::DiscoveryMove);
             }
             Event::QuotaChange => self.change_quota(),
             Event::PlanChange => self.change_plans(),
@@ -344,14 +343,16 @@
     }
 
     /// Hashes how each node stands.
-    fn record_views(&mut self) {
+    fn record_node_status(&mut self) {
         for node in 0..NODES {
-            let Some(view) = self.scheduler.view(self.recorder.now, NodeId(node)) else { continue };
+            let Some(status) = self.scheduler.node_status(self.recorder.now, NodeId(node)) else { continue };
             let hash = &mut self.recorder.hash;
-            hash.add(u64::from(view.open) | u64::from(view.cold) << 1);
-            hash.add(u64::from(view.out) | u64::from(view.held) << 32);
-            hash.add(u64::from(view.failures));
-            [view.window, view.wait, view.multiplier].iter().for_each(|f| hash.add(f.to_bits()));
+            hash.add(u64::from(status.active) | u64::from(status.warming_up) << 1);
+            hash.add(u64::from(status.in_flight) | u64::from(status.queued) << 32);
+            hash.add(u64::from(status.consecutive_failures));
+            [status.concurrency_window, status.mean_latency, status.cost_multiplier]
+                .iter()
+                .for_each(|f| hash.add(f.to_bits()));
         }
     }
 
@@ -359,10 +360,10 @@
         self.arrivals += 1;
         let bio = self.draw_bio();
         let arrival = self.arrivals as u64;
-        self.recorder.current.insert(bio.id, Current { bio, arrival, answered: false, submits: 0 });
+        self.recorder.current.insert(bio.id, Current { bio, arrival, answered: false, attempts: 0 });
         let now = self.recorder.now;
-        self.scheduler.take(&mut self.recorder, now, bio);
-        if self.recorder.random.chance(4) {
+        self.scheduler.on_arrival(&mut self.recorder, now, bio);
+        if self.recorder.random.percent(4) {
             let after = self.recorder.random.between(10, 3_000);
             self.recorder.schedule(after, Event::Disconnect { bio: bio.id, arrival });
         }
@@ -372,7 +373,7 @@
         }
     }
 
-    /// Surges, steady load, and pauses: long enough for idle volumes, sometimes for closed nodes, to be forgotten.
+    /// Surges, steady load, and pauses: long enough for idle volumes, sometimes for inactive nodes, to be forgotten.
     fn draw_gap(&mut self) -> Tick {
         let random = &mut self.recorder.random;
         match self.arrivals {
@@ -391,19 +392,19 @@
             r.next_bio += 1;
             r.next_bio - 1
         }));
-        if r.random.chance(20)
-            && let Some(first) = r.turned_away.pop()
-            && first.hard_limit > r.now
+        if r.random.percent(20)
+            && let Some(first) = r.shed.pop()
+            && first.deadline > r.now
         {
-            let hard_limit = first.hard_limit + r.random.between(-7, 7);
-            return Bio { id, hard_limit, ..first };
+            let deadline = first.deadline + r.random.between(-7, 7);
+            return Bio { id, deadline, ..first };
         }
-        let group = r.random.below(self.terms.groups.len() as u64) as u16;
+        let class = r.random.below(self.config.classes.len() as u64) as u16;
         // Volumes take turns, so that some are idle for long.
         let active = VOLUMES - 4;
         let turn = self.arrivals as u64 / 400;
         let volume = (r.random.below(active) + turn) % VOLUMES;
-        let key = (self.terms.groups[usize::from(group)].ordered || r.random.chance(10))
+        let key = (self.config.classes[usize::from(class)].ordered || r.random.percent(10))
             .then(|| KeyId(r.random.below(KEYS) as u32));
         let (shards, least, most) = match self.pattern {
             Pattern::Mixed => (7, 40, 12_000),
@@ -411,78 +412,85 @@
         };
         Bio {
             id,
-            group,
+            class,
             plan: self.volume_plans[volume as usize],
-            vol: VolId(volume as u32),
+            volume: VolumeId(volume as u32),
             key,
-            hard_limit: r.now + r.random.between(least, most),
+            deadline: r.now + r.random.between(least, most),
             units: r.random.between(1, 32) as f64 / 4.0,
-            shard: r.random.chance(75).then(|| r.random.below(shards).min(3) as u32),
+            shard: r.random.percent(75).then(|| r.random.below(shards).min(3) as u32),
             hosts: r.random.below(5) as u32,
         }
     }
 
-    fn end(&mut self, serial: u64, ending: Ending) {
+    fn end(&mut self, serial: u64, result: AttemptResult) {
         let r = &mut self.recorder;
-        // After a cancel there are two outcomes: the first counts.
-        let Some(submit) = r.out.remove(&serial) else { return };
-        let (id, random) = (submit.bio, &mut r.random);
-        let report =
-            Report { waiting: Some(random.fraction()), service_ms: None, busy: Some(random.fraction()) };
-        let outcome = Outcome {
-            ending,
-            node: submit.node,
-            closed: ending == Ending::Done || random.chance(3),
-            wait: r.now - submit.sent,
-            by_others: random.fraction() - 0.25,
-            used: 1.0 + random.fraction() * 100.0,
-            report,
+        // After a cancel there are two events: the first counts.
+        let Some(attempt) = r.in_flight.remove(&serial) else { return };
+        let (id, random) = (attempt.bio, &mut r.random);
+        let load_report = LoadReport {
+            backlog: Some(random.fraction()),
+            service_time_ms: None,
+            utilization: Some(random.fraction()),
+        };
+        let outcome = AttemptOutcome {
+            result,
+            node: attempt.node,
+            client_answered: result == AttemptResult::Completed || random.percent(3),
+            latency: r.now - attempt.sent,
+            units_by_other_hosts: random.fraction() - 0.25,
+            volume_usage: 1.0 + random.fraction() * 100.0,
+            load_report,
         };
         let now = r.now;
-        self.scheduler.ended(r, now, id, &outcome);
-        let sent_again = self.recorder.out.values().any(|s| s.bio == id);
-        if self.recorder.random.chance(2) && !sent_again {
-            // A repeated outcome finds no submit out.
-            self.scheduler.ended(&mut self.recorder, now, id, &outcome);
+        self.scheduler.on_attempt_finished(r, now, id, &outcome);
+        let sent_again = self.recorder.in_flight.values().any(|s| s.bio == id);
+        if self.recorder.random.percent(2) && !sent_again {
+            // A repeated outcome finds no attempt in flight.
+            self.scheduler.on_attempt_finished(&mut self.recorder, now, id, &outcome);
         }
     }
 
-    fn answer_list(&mut self, form: ListForm) {
-        let entries: Vec<Listed> = match form {
-            ListForm::Failed | ListForm::Silent => Vec::new(),
-            _ => {
-                self.recorder.nodes.iter().map(|n| n.listed).filter(|l| l.state != NodeState::Left).collect()
-            }
+    fn send_endpoints(&mut self, event: EndpointEvent) {
+        let entries: Vec<NodeEndpoint> = match event {
+            EndpointEvent::PollFailed | EndpointEvent::WatchSilent => Vec::new(),
+            _ => self
+                .recorder
+                .nodes
+                .iter()
+                .map(|n| n.endpoint)
+                .filter(|l| l.state != NodeState::Removed)
+                .collect(),
         };
         let now = self.recorder.now;
-        self.scheduler.listed(&mut self.recorder, now, form, &entries);
+        self.scheduler.on_endpoints(&mut self.recorder, now, event, &entries);
     }
 
-    fn change_list(&mut self) {
+    fn change_endpoint(&mut self) {
         let r = &mut self.recorder;
         let (now, after) = (r.now, r.random.between(3_000, 25_000));
-        r.schedule(after, Event::ListChange);
+        r.schedule(after, Event::EndpointChange);
         let choice = r.random.below(16);
         match choice {
-            0 => self.answer_list(ListForm::Whole),
-            1 => self.answer_list(ListForm::Failed),
-            2 => self.answer_list(ListForm::Silent),
-            3 => self.answer_list(ListForm::Kept),
+            0 => self.send_endpoints(EndpointEvent::FullSnapshot),
+            1 => self.send_endpoints(EndpointEvent::PollFailed),
+            2 => self.send_endpoints(EndpointEvent::WatchSilent),
+            3 => self.send_endpoints(EndpointEvent::Cached),
             _ => {
                 let node = if choice >= 12 { ALWAYS_COLD as usize } else { r.random.below(6) as usize };
-                let listed = &mut r.nodes[node].listed;
-                match (choice, listed.state) {
-                    (12..15, NodeState::Active) => listed.came_up = now - r.random.between(0, 20_000),
-                    (4, NodeState::Active) => listed.state = NodeState::Leaving,
-                    (_, NodeState::Leaving) => listed.state = NodeState::Left,
-                    (_, NodeState::Left) if choice < 7 => {}
+                let endpoint = &mut r.nodes[node].endpoint;
+                match (choice, endpoint.state) {
+                    (12..15, NodeState::Active) => endpoint.started_at = now - r.random.between(0, 20_000),
+                    (4, NodeState::Active) => endpoint.state = NodeState::Draining,
+                    (_, NodeState::Draining) => endpoint.state = NodeState::Removed,
+                    (_, NodeState::Removed) if choice < 7 => {}
                     _ => {
-                        listed.state = NodeState::Active;
-                        listed.came_up = now - r.random.between(0, 20_000);
+                        endpoint.state = NodeState::Active;
+                        endpoint.started_at = now - r.random.between(0, 20_000);
                     }
                 }
-                let entry = *listed;
-                self.scheduler.listed(&mut self.recorder, now, ListForm::Changes, &[entry]);
+                let entry = *endpoint;
+                self.scheduler.on_endpoints(&mut self.recorder, now, EndpointEvent::Incremental, &[entry]);
             }
         }
     }
@@ -491,9 +499,9 @@
         let r = &mut self.recorder;
         let (now, after) = (r.now, r.random.between(10_000, 60_000));
         r.schedule(after, Event::QuotaChange);
-        let volume = VolId(r.random.below(VOLUMES) as u32);
-        let quota = r.random.chance(60).then(|| r.random.fraction() * 40.0);
-        self.scheduler.parted(now, volume, quota);
+        let volume = VolumeId(r.random.below(VOLUMES) as u32);
+        let quota = r.random.percent(60).then(|| r.random.fraction() * 40.0);
+        self.scheduler.on_quota_changed(now, volume, quota);
     }
 
     fn change_plans(&mut self) {
@@ -501,14 +509,14 @@
         let (now, after) = (r.now, r.random.between(80_000, 160_000));
         r.schedule(after, Event::PlanChange);
         let factor = 0.75 + r.random.fraction() / 2.0;
-        for plan in &mut self.terms.plans {
-            (plan.reserve, plan.limit) = (plan.reserve * factor, plan.limit * factor);
+        for plan in &mut self.config.plans {
+            (plan.reserved_rate, plan.rate_limit) = (plan.reserved_rate * factor, plan.rate_limit * factor);
         }
         let volume = r.random.below(VOLUMES);
         let plan = r.random.below(settings::PLANS) as u16;
         self.volume_plans[volume as usize] = plan;
-        let moved = [(VolId(volume as u32), plan), (VolId(VOLUMES as u32), 0)];
-        self.scheduler.planned(now, &self.terms.plans, &moved);
+        let moved = [(VolumeId(volume as u32), plan), (VolumeId(VOLUMES as u32), 0)];
+        self.scheduler.on_plans_changed(now, &self.config.plans, &moved);
     }
 }
 
@@ -524,8 +532,8 @@
 }
 
 /// Nodes 0 to 3 hold a shard each; 4 holds the shard of 0 as well, 5 that of 1. Two zones.
-fn first_entry(node: u32) -> Listed {
-    let state = if node < 5 { NodeState::Active } else { NodeState::Left };
+fn first_entry(node: u32) -> NodeEndpoint {
+    let state = if node < 5 { NodeState::Active } else { NodeState::Removed };
     let shard = if node == ALWAYS_COLD { 9 } else { node % 4 };
-    Listed { node: NodeId(node), zone: node % 2, shard, state, came_up: 0 }
+    NodeEndpoint { node: NodeId(node), zone: node % 2, shard, state, started_at: 0 }
 }
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -1,5 +1,5 @@
 //! SplitMix64: the simulation's own random numbers, independent of the scheduler's.
-use mallowseam_scheduler::host::Tick;
+use mallowseam_scheduler::interface::Tick;
 
 pub struct Random(u64);
 
@@ -31,7 +31,8 @@
         self.below(1024) as f64 / 1024.0
     }
 
-    pub fn chance(&mut self, percent: u64) -> bool {
+    /// True for so many draws in a hundred.
+    pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
