--- /dev/null
+++ b/crates/iscsi/src/initiator/receive.rs
@@ -0,0 +1,210 @@
+//! What an initiator does with the target's PDUs.
+use super::{InitiatorConnection, InitiatorEvent, Phase, reserved_itt};
+use crate::error::ProtocolError;
+use crate::pdu::{Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode, serial_before};
+use crate::scsi::{Sense, status};
+
+/// The lower 14 bits of the status qualifier; the upper two are its scope (RFC 7144, section 5.2).
+const QUALIFIER_BITS: u16 = 0x3fff;
+/// Bytes of the length in front of sense data (section 11.4.7).
+const SENSE_LENGTH_FIELD: usize = 2;
+/// Offset in a rejected header of its initiator task tag.
+const ITT_OFFSET: usize = 16;
+
+impl InitiatorConnection {
+    /// Takes bytes as they come from the stream, in pieces of any size.
+    ///
+    /// # Errors
+    /// The target violated the protocol, or rejected the login; the connection is to be closed.
+    pub fn receive(&mut self, mut input: &[u8]) -> Result<(), ProtocolError> {
+        while !input.is_empty() {
+            match self.decoder.decode(&mut input)? {
+                None => break,
+                Some(pdu) => self.on_pdu(pdu)?,
+            }
+        }
+        Ok(())
+    }
+
+    fn on_pdu(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
+        if let Phase::Login(_) = self.phase {
+            return self.on_login_response(&pdu);
+        }
+        self.check_sequence(&pdu.bhs)?;
+        match pdu.bhs.opcode() {
+            opcode::DATA_IN => self.on_data_in(pdu)?,
+            opcode::SCSI_RESPONSE => self.on_scsi_response(&pdu),
+            opcode::R2T => self.on_ready_to_transfer(&pdu.bhs)?,
+            opcode::NOP_IN => self.on_nop_in(&pdu.bhs),
+            opcode::TASK_MANAGEMENT_RESPONSE => self.on_task_management_response(&pdu.bhs),
+            opcode::REJECT => self.on_reject(&pdu),
+            opcode::ASYNC_MESSAGE => self.on_async_message(&pdu.bhs)?,
+            opcode::LOGOUT_RESPONSE => {
+                self.phase = Phase::LoggedOut;
+                self.events.push_back(InitiatorEvent::LoggedOut);
+            }
+            opcode::TEXT_RESPONSE => self.events.push_back(InitiatorEvent::TextResponse(pdu.data)),
+            opcode => return Err(ProtocolError::UnexpectedResponse { opcode }),
+        }
+        Ok(())
+    }
+
+    fn on_login_response(&mut self, pdu: &Pdu) -> Result<(), ProtocolError> {
+        let Phase::Login(login) = &mut self.phase else { return Ok(()) };
+        let next_request = login.on_response(pdu)?;
+        self.exp_stat_sn = pdu.bhs.stat_sn().wrapping_add(1);
+        self.max_cmd_sn = pdu.bhs.max_cmd_sn();
+        self.cmd_sn = pdu.bhs.exp_cmd_sn();
+        if let Some(request) = next_request {
+            let request = request.with_cmd_sn(self.cmd_sn).with_exp_stat_sn(self.exp_stat_sn);
+            self.send_buffer.push(request, &[]);
+            return Ok(());
+        }
+        self.params = login.params.clone();
+        self.decoder.set_limits(self.params.digests, self.params.max_recv_data_segment);
+        self.send_buffer.set_digests(self.params.digests);
+        self.phase = Phase::FullFeature;
+        self.events.push_back(InitiatorEvent::LoggedIn);
+        Ok(())
+    }
+
+    /// Takes over the command window and checks the status sequence number (sections 4.2.2.1 and 4.2.2.2).
+    fn check_sequence(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
+        if serial_before(self.max_cmd_sn, bhs.max_cmd_sn()) {
+            self.max_cmd_sn = bhs.max_cmd_sn();
+        }
+        if !has_own_stat_sn(bhs) {
+            return Ok(());
+        }
+        if bhs.stat_sn() != self.exp_stat_sn {
+            return Err(ProtocolError::StatusSequenceGap {
+                received: bhs.stat_sn(),
+                expected: self.exp_stat_sn,
+            });
+        }
+        self.exp_stat_sn = self.exp_stat_sn.wrapping_add(1);
+        Ok(())
+    }
+
+    fn on_data_in(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
+        let bhs = pdu.bhs;
+        let has_status = bhs.flags() & flag::STATUS != 0;
+        let Some(command) = self.commands.get_mut(bhs.itt()) else {
+            self.unmatched_responses += u64::from(has_status);
+            return Ok(());
+        };
+        if !command.aborted {
+            let received = command.read_data.len();
+            if bhs.buffer_offset() as usize != received || received + pdu.data.len() > command.read_len {
+                return Err(ProtocolError::ReadDataOutOfOrder {
+                    offset: bhs.buffer_offset(),
+                    expected: received,
+                });
+            }
+            if received == 0 && pdu.data.len() == command.read_len {
+                // The usual case, all data in one PDU: its buffer is handed on without a copy.
+                command.read_data = pdu.data;
+            } else {
+                if received == 0 {
+                    command.read_data.reserve_exact(command.read_len);
+                }
+                command.read_data.extend_from_slice(&pdu.data);
+            }
+        }
+        if has_status {
+            self.complete(bhs.itt(), bhs.status(), None, 0);
+        }
+        Ok(())
+    }
+
+    fn on_scsi_response(&mut self, pdu: &Pdu) {
+        if self.commands.get_mut(pdu.bhs.itt()).is_none() {
+            self.unmatched_responses += 1;
+            return;
+        }
+        let sense = pdu.data.get(SENSE_LENGTH_FIELD..).and_then(Sense::from_fixed_format);
+        // Any response but "completed at target" says that the target failed, whatever the status is.
+        let status = if pdu.bhs.response() == 0 { pdu.bhs.status() } else { status::CHECK_CONDITION };
+        self.complete(pdu.bhs.itt(), status, sense, self.retry_after(&pdu.bhs));
+    }
+
+    fn retry_after(&self, bhs: &Bhs) -> u16 {
+        if !self.params.has_status_qualifier() {
+            return 0;
+        }
+        let qualifier = bhs.status_qualifier() & QUALIFIER_BITS;
+        if qualifier <= MAX_RETRY_AFTER { qualifier } else { 0 }
+    }
+
+    /// Reports a command's end. One that is aborted stays until its task management response.
+    fn complete(&mut self, itt: u32, status: u8, sense: Option<Sense>, retry_after: u16) {
+        if self.commands.get_mut(itt).is_none_or(|command| command.aborted) {
+            return;
+        }
+        let Some(command) = self.commands.remove(itt) else { return };
+        let (tag, data) = (command.tag, command.read_data);
+        self.events.push_back(InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after });
+    }
+
+    fn on_ready_to_transfer(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
+        let Some(mut command) = self.commands.remove(bhs.itt()) else { return Ok(()) };
+        if !command.aborted {
+            let (offset, len) = (bhs.buffer_offset() as usize, bhs.desired_data_len() as usize);
+            if offset != command.sent || offset + len > command.write_data.bytes().len() || len == 0 {
+                return Err(ProtocolError::InvalidReadyToTransfer { len, offset, sent: command.sent });
+            }
+            self.send_burst(&mut command, bhs.target_transfer_tag(), offset + len);
+        }
+        self.commands.restore(command);
+        Ok(())
+    }
+
+    fn on_nop_in(&mut self, bhs: &Bhs) {
+        if bhs.target_transfer_tag() == RESERVED_TAG {
+            return;
+        }
+        let answer = self
+            .immediate_request(opcode::NOP_OUT, RESERVED_TAG)
+            .with_target_transfer_tag(bhs.target_transfer_tag())
+            .with_lun_of(bhs);
+        self.send_buffer.push(answer, &[]);
+    }
+
+    fn on_task_management_response(&mut self, bhs: &Bhs) {
+        let itt = bhs.itt() & !reserved_itt::ABORT_TASK_BIT;
+        if self.commands.get_mut(itt).is_some_and(|command| command.aborted)
+            && let Some(command) = self.commands.remove(itt)
+        {
+            self.events.push_back(InitiatorEvent::CommandAborted { tag: command.tag });
+        }
+    }
+
+    fn on_async_message(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
+        match bhs.async_event() {
+            async_event::LOGOUT_REQUEST => self.events.push_back(InitiatorEvent::LogoutRequested),
+            async_event::SCSI | async_event::NEGOTIATION_REQUEST => {}
+            event => return Err(ProtocolError::DroppedByTarget { event }),
+        }
+        Ok(())
+    }
+
+    /// The data of a Reject is the header of what was rejected.
+    fn on_reject(&mut self, pdu: &Pdu) {
+        let Some(itt) = pdu.data.get(ITT_OFFSET..ITT_OFFSET + 4) else { return };
+        let itt = u32::from_be_bytes([itt[0], itt[1], itt[2], itt[3]]);
+        if let Some(command) = self.commands.remove(itt) {
+            let event = InitiatorEvent::CommandRejected { tag: command.tag, reason: pdu.bhs.response() };
+            self.events.push_back(event);
+        }
+    }
+}
+
+/// Whether a PDU takes a StatSN of its own.
+fn has_own_stat_sn(bhs: &Bhs) -> bool {
+    match bhs.opcode() {
+        opcode::DATA_IN => bhs.flags() & flag::STATUS != 0,
+        opcode::R2T => false,
+        opcode::NOP_IN => bhs.itt() != RESERVED_TAG,
+        _ => true,
+    }
+}
--- /dev/null
+++ b/crates/iscsi/src/login/target.rs
@@ -0,0 +1,189 @@
+//! A target's side of one login.
+use super::{LoginError, LoginIdentity, LoginPolicy, stage};
+use crate::params::{ProposedParams, SessionParams};
+use crate::pdu::{Bhs, Pdu, flag, opcode};
+use crate::text;
+
+/// Most bytes of a text that comes in several requests (C bit); the keys of section 13 take under 2 KiB.
+const MAX_TEXT_LEN: usize = 16 * 1024;
+/// The bits of byte 1 that hold the current stage.
+const CURRENT_STAGE_BITS: u8 = 0x0c;
+
+/// The state of a login at its target.
+#[derive(Default)]
+pub(crate) struct TargetLogin {
+    /// What has been negotiated so far.
+    pub params: SessionParams,
+    proposal: ProposedParams,
+    /// Known from the end of the first request on.
+    identity: Option<LoginIdentity>,
+    tsih: u16,
+    stage: u8,
+    portal_group_sent: bool,
+    /// Text of requests that are to be continued.
+    text: Vec<u8>,
+}
+
+/// The response to a login request, and how the login stands behind it.
+pub(crate) struct LoginReply {
+    /// Header of the response, without its sequence numbers.
+    pub bhs: Bhs,
+    pub data: Vec<u8>,
+    pub outcome: LoginOutcome,
+}
+
+pub(crate) enum LoginOutcome {
+    InProgress,
+    /// Logged in: once the response is sent, the negotiated parameters hold.
+    Completed(LoginIdentity),
+    /// Rejected: once the response is sent, the connection closes.
+    Rejected(LoginError),
+}
+
+/// The fields of a login request's flags (section 11.12).
+struct Stages {
+    /// Whether the initiator asks to leave the current stage (T bit).
+    transit: bool,
+    /// Whether the text goes on in the next request (C bit).
+    to_be_continued: bool,
+    current: u8,
+    next: u8,
+}
+
+impl Stages {
+    fn of(bhs: &Bhs) -> Self {
+        Stages {
+            transit: bhs.is_final(),
+            to_be_continued: bhs.flags() & flag::CONTINUE != 0,
+            current: (bhs.flags() >> 2) & 3,
+            next: bhs.flags() & 3,
+        }
+    }
+}
+
+impl TargetLogin {
+    pub fn new(proposal: ProposedParams) -> Self {
+        TargetLogin {
+            params: SessionParams::before_negotiation(&proposal),
+            proposal,
+            ..TargetLogin::default()
+        }
+    }
+
+    /// Takes a login request.
+    pub fn on_request(&mut self, pdu: &Pdu, policy: &mut dyn LoginPolicy) -> LoginReply {
+        self.try_request(pdu, policy).unwrap_or_else(|error| {
+            let status = error.status();
+            let bhs = self
+                .response(pdu, pdu.bhs.flags() & CURRENT_STAGE_BITS)
+                .with_login_status(status.class, status.detail);
+            LoginReply { bhs, data: Vec::new(), outcome: LoginOutcome::Rejected(error) }
+        })
+    }
+
+    fn response(&self, pdu: &Pdu, flags: u8) -> Bhs {
+        Bhs::new(opcode::LOGIN_RESPONSE, flags)
+            .with_isid(pdu.bhs.isid())
+            .with_tsih(if self.tsih != 0 { self.tsih } else { pdu.bhs.tsih() })
+            .with_itt(pdu.bhs.itt())
+    }
+
+    fn try_request(&mut self, pdu: &Pdu, policy: &mut dyn LoginPolicy) -> Result<LoginReply, LoginError> {
+        let stages = Stages::of(&pdu.bhs);
+        self.check_stages(pdu, &stages)?;
+        self.stage = stages.current;
+        if self.text.len() + pdu.data.len() > MAX_TEXT_LEN {
+            return Err(LoginError::TextTooLong);
+        }
+        self.text.extend_from_slice(&pdu.data);
+        if stages.to_be_continued {
+            let bhs = self.response(pdu, stages.current << 2);
+            return Ok(LoginReply { bhs, data: Vec::new(), outcome: LoginOutcome::InProgress });
+        }
+        let text = std::mem::take(&mut self.text);
+        let pairs = text::parse_pairs(&text)?;
+        if self.identity.is_none() {
+            let identity = identify(&pdu.bhs, &pairs)?;
+            self.tsih = policy.admit(&identity).map_err(|status| LoginError::NotAdmitted {
+                initiator: identity.initiator.clone(),
+                status,
+            })?;
+            self.identity = Some(identity);
+        }
+        let data = self.answer_keys(&pairs, stages.current)?;
+        Ok(self.reply(pdu, &stages, data))
+    }
+
+    fn check_stages(&self, pdu: &Pdu, stages: &Stages) -> Result<(), LoginError> {
+        if pdu.bhs.version_min() > 0 {
+            return Err(LoginError::Version);
+        }
+        if stages.transit && stages.to_be_continued {
+            return Err(LoginError::TransitAndContinue);
+        }
+        let is_first = self.identity.is_none() && stages.current <= stage::OPERATIONAL;
+        if stages.current != self.stage && !is_first {
+            return Err(LoginError::WrongStage);
+        }
+        if stages.transit && (stages.next <= stages.current || stages.next == stage::RESERVED) {
+            return Err(LoginError::WrongNextStage);
+        }
+        Ok(())
+    }
+
+    /// The text that answers the keys of one request.
+    fn answer_keys(&mut self, pairs: &[(&str, &str)], current_stage: u8) -> Result<Vec<u8>, LoginError> {
+        let mut out = Vec::new();
+        for (key, value) in pairs {
+            match *key {
+                "InitiatorName" | "InitiatorAlias" | "TargetName" | "SessionType" => {}
+                "AuthMethod" if value.split(',').any(|method| method == "None") => {
+                    text::push_pair(&mut out, "AuthMethod", "None");
+                }
+                "AuthMethod" => return Err(LoginError::AuthenticationRequired),
+                _ => self.params.answer(&self.proposal, key, value, &mut out)?,
+            }
+        }
+        if !self.portal_group_sent {
+            text::push_pair(&mut out, "TargetPortalGroupTag", "1");
+            self.portal_group_sent = true;
+        }
+        if current_stage == stage::OPERATIONAL {
+            let length = self.params.max_recv_data_segment.to_string();
+            text::push_pair(&mut out, "MaxRecvDataSegmentLength", &length);
+        }
+        Ok(out)
+    }
+
+    fn reply(&mut self, pdu: &Pdu, stages: &Stages, data: Vec<u8>) -> LoginReply {
+        let mut flags = stages.current << 2;
+        let mut outcome = LoginOutcome::InProgress;
+        if stages.transit {
+            flags |= flag::FINAL | stages.next;
+            self.stage = stages.next;
+            if stages.next == stage::FULL_FEATURE {
+                outcome = LoginOutcome::Completed(self.identity.clone().expect("set by the first request"));
+            }
+        }
+        LoginReply { bhs: self.response(pdu, flags), data, outcome }
+    }
+}
+
+/// Reads from the first request who logs in.
+fn identify(bhs: &Bhs, pairs: &[(&str, &str)]) -> Result<LoginIdentity, LoginError> {
+    let find = |key| pairs.iter().find(|pair| pair.0 == key).map(|pair| pair.1);
+    let initiator =
+        find("InitiatorName").filter(|name| !name.is_empty()).ok_or(LoginError::MissingInitiatorName)?;
+    let discovery = find("SessionType") == Some("Discovery");
+    let target = find("TargetName");
+    if target.is_none() && !discovery {
+        return Err(LoginError::MissingTargetName);
+    }
+    Ok(LoginIdentity {
+        initiator: initiator.to_owned(),
+        target: target.map(str::to_owned),
+        discovery,
+        isid: bhs.isid(),
+        tsih: bhs.tsih(),
+    })
+}
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -1,123 +1,256 @@
-//! The basic header segment of every PDU (RFC 7143, section 11).
+//! PDUs and the fields of their basic header segment (section 11).
 
+/// Bytes of a basic header segment.
 pub const BHS_LEN: usize = 48;
-/// The reserved tag: no task, or unsolicited data.
-pub const NO_TAG: u32 = 0xffff_ffff;
+/// The reserved tag: of a PDU that belongs to no task, or of unsolicited data.
+pub const RESERVED_TAG: u32 = 0xffff_ffff;
+/// Largest status qualifier that is a time, in units of 100 ms; those above have other meanings (RFC 7144,
+/// section 5.2).
+pub(crate) const MAX_RETRY_AFTER: u16 = 0x3fef;
 
 /// Opcodes (section 11.2.1.2).
 pub mod opcode {
+    /// NOP-Out.
     pub const NOP_OUT: u8 = 0x00;
+    /// SCSI Command.
     pub const SCSI_COMMAND: u8 = 0x01;
+    /// SCSI Task Management Function Request.
     pub const TASK_MANAGEMENT_REQUEST: u8 = 0x02;
+    /// Login Request.
     pub const LOGIN_REQUEST: u8 = 0x03;
+    /// Text Request.
     pub const TEXT_REQUEST: u8 = 0x04;
+    /// SCSI Data-Out.
     pub const DATA_OUT: u8 = 0x05;
+    /// Logout Request.
     pub const LOGOUT_REQUEST: u8 = 0x06;
+    /// SNACK Request.
     pub const SNACK: u8 = 0x10;
+    /// NOP-In.
     pub const NOP_IN: u8 = 0x20;
+    /// SCSI Response.
     pub const SCSI_RESPONSE: u8 = 0x21;
+    /// SCSI Task Management Function Response.
     pub const TASK_MANAGEMENT_RESPONSE: u8 = 0x22;
+    /// Login Response.
     pub const LOGIN_RESPONSE: u8 = 0x23;
+    /// Text Response.
     pub const TEXT_RESPONSE: u8 = 0x24;
+    /// SCSI Data-In.
     pub const DATA_IN: u8 = 0x25;
+    /// Logout Response.
     pub const LOGOUT_RESPONSE: u8 = 0x26;
+    /// Ready To Transfer.
     pub const R2T: u8 = 0x31;
+    /// Asynchronous Message.
     pub const ASYNC_MESSAGE: u8 = 0x32;
+    /// Reject.
     pub const REJECT: u8 = 0x3f;
+
+    /// Set in the opcodes that targets send.
+    pub(crate) const TARGET_BIT: u8 = 0x20;
 }
 
-/// Bits of byte 1 that several PDUs share.
+/// Bits of byte 1. Which of them apply depends on the opcode.
 pub mod flag {
+    /// The last PDU of its sequence; of a login, the transit bit.
     pub const FINAL: u8 = 0x80;
+    /// Text and login: the text goes on in the next PDU.
     pub const CONTINUE: u8 = 0x40;
+    /// SCSI Command: data is to be read.
     pub const READ: u8 = 0x40;
+    /// SCSI Command: data is written.
     pub const WRITE: u8 = 0x20;
-    /// Data-In: this PDU carries the status as well.
+    /// Data-In: this PDU carries the command's status as well.
     pub const STATUS: u8 = 0x01;
+    /// SCSI Response and Data-In: less data than the initiator expected.
     pub const UNDERFLOW: u8 = 0x02;
+    /// SCSI Response and Data-In: more data than the initiator expected.
     pub const OVERFLOW: u8 = 0x04;
-    /// SCSI command: simple task attribute.
+    /// SCSI Command: simple task attribute.
     pub const SIMPLE: u8 = 0x01;
 }
 
 /// Reasons of a Reject (section 11.17.1).
-pub mod reject {
-    pub const DATA_DIGEST: u8 = 0x02;
-    pub const PROTOCOL: u8 = 0x04;
-    pub const UNSUPPORTED: u8 = 0x05;
-    pub const TOO_MANY_IMMEDIATE: u8 = 0x06;
-    pub const INVALID_FIELD: u8 = 0x09;
+pub(crate) mod reject_reason {
+    pub const DATA_DIGEST_ERROR: u8 = 0x02;
+    pub const PROTOCOL_ERROR: u8 = 0x04;
+    pub const COMMAND_NOT_SUPPORTED: u8 = 0x05;
+    pub const IMMEDIATE_COMMAND_REJECT: u8 = 0x06;
 }
 
-/// Task management functions and their answers (sections 11.5.1 and 11.6.1).
-pub mod task {
+/// Task management functions (section 11.5.1).
+pub mod task_function {
+    /// ABORT TASK: one task.
     pub const ABORT_TASK: u8 = 1;
+    /// ABORT TASK SET: all tasks of this session at a logical unit.
     pub const ABORT_TASK_SET: u8 = 2;
-    pub const LUN_RESET: u8 = 5;
+    /// LOGICAL UNIT RESET.
+    pub const LOGICAL_UNIT_RESET: u8 = 5;
+    /// TARGET WARM RESET.
     pub const TARGET_WARM_RESET: u8 = 6;
-    pub const COMPLETE: u8 = 0;
-    pub const NO_SUCH_TASK: u8 = 1;
-    pub const NO_SUCH_LUN: u8 = 2;
-    pub const NOT_SUPPORTED: u8 = 5;
-    pub const REJECTED: u8 = 255;
 }
 
-/// The 48 bytes that open a PDU, with its fields by name. Which names apply depends on the opcode.
+/// Responses to task management functions (section 11.6.1).
+pub mod task_response {
+    /// Function complete.
+    pub const FUNCTION_COMPLETE: u8 = 0;
+    /// Task does not exist.
+    pub const TASK_DOES_NOT_EXIST: u8 = 1;
+    /// LUN does not exist.
+    pub const LUN_DOES_NOT_EXIST: u8 = 2;
+    /// Task management function not supported.
+    pub const FUNCTION_NOT_SUPPORTED: u8 = 5;
+    /// Function rejected.
+    pub const FUNCTION_REJECTED: u8 = 255;
+}
+
+/// Events of an asynchronous message (section 11.9.1).
+pub(crate) mod async_event {
+    pub const SCSI: u8 = 0;
+    pub const LOGOUT_REQUEST: u8 = 1;
+    pub const NEGOTIATION_REQUEST: u8 = 4;
+}
+
+const IMMEDIATE_BIT: u8 = 0x40;
+const OPCODE_BITS: u8 = 0x3f;
+
+/// The basic header segment: the 48 bytes that open a PDU, with its fields by name.
+///
+/// Which fields apply depends on the opcode; several fields of different PDUs share an offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bhs(pub [u8; BHS_LEN]);
+pub struct Bhs([u8; BHS_LEN]);
+
+/// Defines a reader and a setter for each 32-bit field, by its offset.
+macro_rules! u32_fields {
+    ($($(#[$doc:meta])* $offset:literal: $get:ident, $set:ident;)*) => {
+        impl Bhs {
+            $(
+                $(#[$doc])*
+                pub fn $get(&self) -> u32 {
+                    self.u32_at($offset)
+                }
+
+                /// Sets the field of this name.
+                #[must_use]
+                pub fn $set(self, value: u32) -> Self {
+                    self.with_u32($offset, value)
+                }
+            )*
+        }
+    };
+}
+
+u32_fields! {
+    /// Initiator task tag.
+    16: itt, with_itt;
+    /// Target transfer tag.
+    20: target_transfer_tag, with_target_transfer_tag;
+    /// Referenced task tag of a task management request (section 11.5.5).
+    20: referenced_task_tag, with_referenced_task_tag;
+    /// Expected data transfer length of a SCSI command in bytes (section 11.3.4).
+    20: expected_data_len, with_expected_data_len;
+    /// Command sequence number of a request (section 4.2.2.1).
+    24: cmd_sn, with_cmd_sn;
+    /// Status sequence number of a response (section 4.2.2.2).
+    24: stat_sn, with_stat_sn;
+    /// In a response, the CmdSN that the target expects next.
+    28: exp_cmd_sn, with_exp_cmd_sn;
+    /// In a request, the StatSN that the initiator expects next.
+    28: exp_stat_sn, with_exp_stat_sn;
+    /// In a response, the last CmdSN of the command window.
+    32: max_cmd_sn, with_max_cmd_sn;
+    /// In a task management request, the CmdSN of the referenced task (section 11.5.6).
+    32: ref_cmd_sn, with_ref_cmd_sn;
+    /// Number of a Data-In, Data-Out or R2T PDU within its sequence (DataSN, R2TSN).
+    36: data_sn, with_data_sn;
+    /// Buffer offset in bytes.
+    40: buffer_offset, with_buffer_offset;
+    /// Residual count of a response in bytes (section 11.4.5).
+    44: residual_count, with_residual_count;
+    /// Desired data transfer length of an R2T in bytes (section 11.8.5).
+    44: desired_data_len, with_desired_data_len;
+}
 
 impl Bhs {
+    /// A header with an opcode and the flags of byte 1; all else is zero.
     pub fn new(opcode: u8, flags: u8) -> Self {
         let mut bytes = [0; BHS_LEN];
         (bytes[0], bytes[1]) = (opcode, flags);
         Bhs(bytes)
     }
 
+    /// A header as it came from a stream.
+    pub fn from_bytes(bytes: [u8; BHS_LEN]) -> Self {
+        Bhs(bytes)
+    }
+
+    /// All bytes of the header.
+    pub fn as_bytes(&self) -> &[u8; BHS_LEN] {
+        &self.0
+    }
+
+    /// All bytes of the header, for fields that have no name here.
+    pub fn bytes_mut(&mut self) -> &mut [u8; BHS_LEN] {
+        &mut self.0
+    }
+
+    /// The opcode, without the immediate bit.
     pub fn opcode(&self) -> u8 {
-        self.0[0] & 0x3f
+        self.0[0] & OPCODE_BITS
     }
 
-    pub fn immediate(&self) -> bool {
-        self.0[0] & 0x40 != 0
+    /// Whether a request is for immediate delivery: it takes no CmdSN of its own.
+    pub fn is_immediate(&self) -> bool {
+        self.0[0] & IMMEDIATE_BIT != 0
     }
 
+    /// Marks a request for immediate delivery.
+    #[must_use]
     pub fn with_immediate(mut self) -> Self {
-        self.0[0] |= 0x40;
+        self.0[0] |= IMMEDIATE_BIT;
         self
     }
 
+    /// Byte 1; see [`flag`].
     pub fn flags(&self) -> u8 {
         self.0[1]
     }
 
+    /// Whether the final bit is set.
     pub fn is_final(&self) -> bool {
         self.0[1] & flag::FINAL != 0
     }
 
-    pub fn byte(&self, at: usize) -> u8 {
-        self.0[at]
+    /// The byte at an offset.
+    pub fn byte(&self, offset: usize) -> u8 {
+        self.0[offset]
     }
 
-    pub fn with_byte(mut self, at: usize, value: u8) -> Self {
-        self.0[at] = value;
+    /// Sets the byte at an offset.
+    #[must_use]
+    pub fn with_byte(mut self, offset: usize, value: u8) -> Self {
+        self.0[offset] = value;
         self
     }
 
-    pub fn u16_at(&self, at: usize) -> u16 {
-        u16::from_be_bytes([self.0[at], self.0[at + 1]])
+    fn u16_at(&self, offset: usize) -> u16 {
+        u16::from_be_bytes([self.0[offset], self.0[offset + 1]])
     }
 
-    pub fn with_u16(mut self, at: usize, value: u16) -> Self {
-        self.0[at..at + 2].copy_from_slice(&value.to_be_bytes());
+    fn with_u16(mut self, offset: usize, value: u16) -> Self {
+        self.0[offset..offset + 2].copy_from_slice(&value.to_be_bytes());
         self
     }
 
-    pub fn u32_at(&self, at: usize) -> u32 {
-        u32::from_be_bytes([self.0[at], self.0[at + 1], self.0[at + 2], self.0[at + 3]])
+    fn u32_at(&self, offset: usize) -> u32 {
+        let mut bytes = [0; 4];
+        bytes.copy_from_slice(&self.0[offset..offset + 4]);
+        u32::from_be_bytes(bytes)
     }
 
-    pub fn with_u32(mut self, at: usize, value: u32) -> Self {
-        self.0[at..at + 4].copy_from_slice(&value.to_be_bytes());
+    fn with_u32(mut self, offset: usize, value: u32) -> Self {
+        self.0[offset..offset + 4].copy_from_slice(&value.to_be_bytes());
         self
     }
 
@@ -131,157 +264,146 @@
         (usize::from(self.0[5]) << 16) | (usize::from(self.0[6]) << 8) | usize::from(self.0[7])
     }
 
-    pub fn set_data_len(&mut self, len: usize) {
+    /// Sets the data segment length in bytes.
+    pub(crate) fn set_data_len(&mut self, len: usize) {
         self.0[5..8].copy_from_slice(&(len as u32).to_be_bytes()[1..]);
     }
 
-    /// The LUN by peripheral, flat or extended flat addressing (SAM-5, 4.7); none for anything else.
+    /// The LUN; none where its addressing method is unknown here.
     pub fn lun(&self) -> Option<u32> {
-        let (bytes, rest) = (&self.0[8..12], &self.0[12..16]);
-        if rest.iter().any(|b| *b != 0) {
-            return None;
-        }
-        let low = u32::from_be_bytes([0, bytes[1], bytes[2], bytes[3]]);
-        match bytes[0] {
-            EXTENDED_FLAT => Some(low),
-            0 if low & 0xffff == 0 => Some(low >> 16),
-            0x40..=0x7f if low & 0xffff == 0 => Some(u32::from(bytes[0] & 0x3f) << 8 | low >> 16),
-            _ => None,
-        }
+        parse_lun(&self.0[8..16])
     }
 
+    /// Sets the LUN.
+    #[must_use]
     pub fn with_lun(mut self, lun: u32) -> Self {
         self.0[8..16].copy_from_slice(&lun_bytes(lun));
         self
     }
 
-    pub fn itt(&self) -> u32 {
-        self.u32_at(16)
-    }
-
-    pub fn with_itt(self, itt: u32) -> Self {
-        self.with_u32(16, itt)
-    }
-
-    /// Target transfer tag; of a task request, the tag it refers to; of a command, the expected data length.
-    pub fn word20(&self) -> u32 {
-        self.u32_at(20)
-    }
-
-    pub fn with_word20(self, value: u32) -> Self {
-        self.with_u32(20, value)
-    }
-
-    /// Expected data transfer length of a SCSI command (section 11.3.4).
-    pub fn with_expected_data_len(self, len: u32) -> Self {
-        self.with_u32(20, len)
-    }
-
-    /// Command sequence number of a request (section 4.2.2.1).
-    pub fn cmd_sn(&self) -> u32 {
-        self.u32_at(24)
+    /// Copies the LUN field from another header, whatever it holds.
+    pub(crate) fn with_lun_of(mut self, other: &Bhs) -> Self {
+        self.0[8..16].copy_from_slice(&other.0[8..16]);
+        self
     }
 
-    /// Sets the command sequence number of a request.
-    pub fn with_cmd_sn(self, value: u32) -> Self {
-        self.with_u32(24, value)
+    /// Command descriptor block of a SCSI command.
+    pub fn cdb(&self) -> [u8; 16] {
+        let mut cdb = [0; 16];
+        cdb.copy_from_slice(&self.0[32..48]);
+        cdb
     }
 
-    /// All bytes of the header.
-    pub fn bytes_mut(&mut self) -> &mut [u8; BHS_LEN] {
-        &mut self.0
+    /// Sets the command descriptor block.
+    #[must_use]
+    pub fn with_cdb(mut self, cdb: &[u8; 16]) -> Self {
+        self.0[32..48].copy_from_slice(cdb);
+        self
     }
 
-    /// CmdSN of what an initiator sends, StatSN of what a target sends.
-    pub fn sn(&self) -> u32 {
-        self.u32_at(24)
+    /// Response of a SCSI, logout or task management response; reason of a Reject.
+    pub fn response(&self) -> u8 {
+        self.0[2]
     }
 
-    pub fn with_sn(self, value: u32) -> Self {
-        self.with_u32(24, value)
+    /// Sets the response or the reason.
+    #[must_use]
+    pub fn with_response(self, response: u8) -> Self {
+        self.with_byte(2, response)
     }
 
-    /// ExpStatSN of what an initiator sends, ExpCmdSN of what a target sends.
-    pub fn exp_sn(&self) -> u32 {
-        self.u32_at(28)
+    /// SCSI status of a response or of the last Data-In.
+    pub fn status(&self) -> u8 {
+        self.0[3]
     }
 
-    pub fn with_exp_sn(self, value: u32) -> Self {
-        self.with_u32(28, value)
+    /// Sets the SCSI status.
+    #[must_use]
+    pub fn with_status(self, status: u8) -> Self {
+        self.with_byte(3, status)
     }
 
-    pub fn max_cmd_sn(&self) -> u32 {
-        self.u32_at(32)
+    /// Status qualifier of a SCSI response (RFC 7144, section 5.2).
+    pub fn status_qualifier(&self) -> u16 {
+        self.u16_at(8)
     }
 
-    pub fn with_max_cmd_sn(self, value: u32) -> Self {
-        self.with_u32(32, value)
+    /// Sets the status qualifier.
+    #[must_use]
+    pub fn with_status_qualifier(self, qualifier: u16) -> Self {
+        self.with_u16(8, qualifier)
     }
 
-    /// DataSN, or R2TSN.
-    pub fn data_sn(&self) -> u32 {
-        self.u32_at(36)
+    /// Version-min of a login request (section 11.12.4).
+    pub(crate) fn version_min(&self) -> u8 {
+        self.0[3]
     }
 
-    pub fn with_data_sn(self, value: u32) -> Self {
-        self.with_u32(36, value)
+    /// Initiator session identifier of a login PDU.
+    pub fn isid(&self) -> [u8; 6] {
+        let mut isid = [0; 6];
+        isid.copy_from_slice(&self.0[8..14]);
+        isid
     }
 
-    pub fn offset(&self) -> u32 {
-        self.u32_at(40)
+    /// Sets the initiator session identifier.
+    #[must_use]
+    pub fn with_isid(mut self, isid: [u8; 6]) -> Self {
+        self.0[8..14].copy_from_slice(&isid);
+        self
     }
 
-    pub fn with_offset(self, value: u32) -> Self {
-        self.with_u32(40, value)
+    /// Target session identifying handle of a login PDU.
+    pub(crate) fn tsih(&self) -> u16 {
+        self.u16_at(14)
     }
 
-    /// Residual count, or the desired length of an R2T.
-    pub fn word44(&self) -> u32 {
-        self.u32_at(44)
+    pub(crate) fn with_tsih(self, tsih: u16) -> Self {
+        self.with_u16(14, tsih)
     }
 
-    pub fn with_word44(self, value: u32) -> Self {
-        self.with_u32(44, value)
+    /// Status class of a login response.
+    pub(crate) fn login_status_class(&self) -> u8 {
+        self.0[36]
     }
 
-    pub fn cdb(&self) -> [u8; 16] {
-        let mut cdb = [0; 16];
-        cdb.copy_from_slice(&self.0[32..48]);
-        cdb
+    /// Status detail of a login response.
+    pub(crate) fn login_status_detail(&self) -> u8 {
+        self.0[37]
     }
 
-    pub fn with_cdb(mut self, cdb: &[u8; 16]) -> Self {
-        self.0[32..48].copy_from_slice(cdb);
-        self
+    pub(crate) fn with_login_status(self, class: u8, detail: u8) -> Self {
+        self.with_byte(36, class).with_byte(37, detail)
     }
 
-    pub fn isid(&self) -> [u8; 6] {
-        let mut isid = [0; 6];
-        isid.copy_from_slice(&self.0[8..14]);
-        isid
+    /// Event of an asynchronous message.
+    pub(crate) fn async_event(&self) -> u8 {
+        self.0[36]
     }
 
-    pub fn with_isid(mut self, isid: [u8; 6]) -> Self {
-        self.0[8..14].copy_from_slice(&isid);
-        self
+    /// Sets the event of an asynchronous message and its third parameter.
+    pub(crate) fn with_async_event(self, event: u8, parameter3: u16) -> Self {
+        self.with_byte(36, event).with_u16(42, parameter3)
     }
 
-    pub fn tsih(&self) -> u16 {
-        self.u16_at(14)
+    /// Sets Time2Wait and Time2Retain of a logout response, in seconds.
+    pub(crate) fn with_logout_times(self, time2wait: u16, time2retain: u16) -> Self {
+        self.with_u16(40, time2wait).with_u16(42, time2retain)
     }
 }
 
-/// Extended logical unit addressing with 24 bits (SAM-5, 4.7.11).
+/// First byte of a LUN by extended flat space addressing with 24 bits (SAM-5, 4.7.11).
 const EXTENDED_FLAT: u8 = 0xd2;
-/// Largest LUN that can be named here.
-pub const LUN_MOST: u32 = 0xff_ffff;
+/// Bits of the first byte that name flat space addressing (SAM-5, 4.7.8).
+const FLAT_SPACE: u8 = 0x40;
 
-/// A LUN as eight bytes: peripheral addressing below 256, flat below 16384, extended flat above.
+/// Encodes a LUN of up to 24 bits in its eight bytes: by peripheral device addressing below 256, flat space
+/// below 16384, extended flat space above (SAM-5, 4.7).
 pub fn lun_bytes(lun: u32) -> [u8; 8] {
     let mut bytes = [0; 8];
     match lun {
         0..256 => bytes[1] = lun as u8,
-        256..16_384 => (bytes[0], bytes[1]) = (0x40 | (lun >> 8) as u8, lun as u8),
+        256..16_384 => (bytes[0], bytes[1]) = (FLAT_SPACE | (lun >> 8) as u8, lun as u8),
         _ => {
             bytes[..4].copy_from_slice(&lun.to_be_bytes());
             bytes[0] = EXTENDED_FLAT;
@@ -290,14 +412,30 @@
     bytes
 }
 
-/// Whether serial number `a` comes before `b` (RFC 1982, as section 4.2.2.1 asks).
-pub fn sn_before(a: u32, b: u32) -> bool {
+/// Decodes a LUN of the three addressing methods of `lun_bytes`.
+fn parse_lun(bytes: &[u8]) -> Option<u32> {
+    if bytes[4..8].iter().any(|byte| *byte != 0) {
+        return None;
+    }
+    let low = u32::from_be_bytes([0, bytes[1], bytes[2], bytes[3]]);
+    match bytes[0] {
+        EXTENDED_FLAT => Some(low),
+        0 if low & 0xffff == 0 => Some(low >> 16),
+        FLAT_SPACE..=0x7f if low & 0xffff == 0 => Some(u32::from(bytes[0] & 0x3f) << 8 | low >> 16),
+        _ => None,
+    }
+}
+
+/// Whether serial number `a` comes before `b` (RFC 1982, as section 4.2.2.1 asks for).
+pub(crate) fn serial_before(a: u32, b: u32) -> bool {
     (a.wrapping_sub(b) as i32) < 0
 }
 
-/// A whole PDU. Additional header segments are read over: no command here needs one.
+/// A whole PDU. Additional header segments are skipped: no command here needs one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pdu {
+    /// Its basic header segment.
     pub bhs: Bhs,
+    /// Its data segment, without padding.
     pub data: Vec<u8>,
 }
--- /dev/null
+++ b/crates/iscsi/src/target/receive.rs
@@ -0,0 +1,240 @@
+//! What a target does with the initiator's PDUs.
+use super::task_table::{DataPhase, Task};
+use super::{Phase, TargetConnection, TargetEvent};
+use crate::error::ProtocolError;
+use crate::frame::FrameError;
+use crate::login::{LoginOutcome, LoginPolicy};
+use crate::pdu::{Bhs, Pdu, RESERVED_TAG, flag, opcode, reject_reason, serial_before};
+use crate::scsi::Sense;
+use crate::text;
+
+/// Most commands for immediate delivery beyond the command window, which does not bound them.
+const MAX_IMMEDIATE_COMMANDS: u32 = 8;
+
+impl TargetConnection {
+    /// Takes bytes as they come from the stream, in pieces of any size.
+    ///
+    /// # Errors
+    /// The initiator violated the protocol, or its login was rejected; the connection is to be closed once
+    /// the send buffer is sent.
+    pub fn receive(&mut self, mut input: &[u8], policy: &mut dyn LoginPolicy) -> Result<(), ProtocolError> {
+        while !input.is_empty() && !self.is_closing() {
+            match self.decoder.decode(&mut input) {
+                Ok(None) => break,
+                Ok(Some(pdu)) => self.on_pdu(pdu, policy)?,
+                Err(error) => {
+                    // At error recovery level 0 the data cannot be asked for again: the command cannot go on.
+                    if let FrameError::DataDigest(bhs) = &error {
+                        self.reject(bhs, reject_reason::DATA_DIGEST_ERROR);
+                    }
+                    return Err(error.into());
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn on_pdu(&mut self, pdu: Pdu, policy: &mut dyn LoginPolicy) -> Result<(), ProtocolError> {
+        if let Phase::Login(_) = self.phase {
+            return self.on_login_request(&pdu, policy);
+        }
+        let opcode = pdu.bhs.opcode();
+        match opcode {
+            opcode::DATA_OUT => return self.on_data_out(pdu),
+            opcode::NOP_OUT | opcode::TEXT_REQUEST | opcode::LOGOUT_REQUEST => {}
+            opcode::SCSI_COMMAND | opcode::TASK_MANAGEMENT_REQUEST if self.discovery => {
+                self.reject(&pdu.bhs, reject_reason::PROTOCOL_ERROR);
+                return Ok(());
+            }
+            opcode::SCSI_COMMAND | opcode::TASK_MANAGEMENT_REQUEST => {}
+            _ => return self.on_unsupported(&pdu.bhs),
+        }
+        if !pdu.bhs.is_immediate() && !self.accept_cmd_sn(pdu.bhs.cmd_sn())? {
+            return Ok(());
+        }
+        match opcode {
+            opcode::NOP_OUT => self.on_nop_out(&pdu),
+            opcode::SCSI_COMMAND => self.on_scsi_command(pdu)?,
+            opcode::TASK_MANAGEMENT_REQUEST => self.on_task_management_request(&pdu.bhs),
+            opcode::TEXT_REQUEST => self.on_text_request(&pdu)?,
+            _ => self.on_logout_request(&pdu.bhs),
+        }
+        Ok(())
+    }
+
+    fn on_unsupported(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
+        let opcode = bhs.opcode();
+        if opcode == opcode::LOGIN_REQUEST || opcode & opcode::TARGET_BIT != 0 {
+            return Err(ProtocolError::UnexpectedRequest { opcode });
+        }
+        self.reject(bhs, reject_reason::COMMAND_NOT_SUPPORTED);
+        Ok(())
+    }
+
+    /// Takes the sequence number of a request that is not immediate; false where the request is to be
+    /// ignored because its number is outside the window (section 4.2.2.1).
+    fn accept_cmd_sn(&mut self, cmd_sn: u32) -> Result<bool, ProtocolError> {
+        if serial_before(cmd_sn, self.exp_cmd_sn) || serial_before(self.max_cmd_sn, cmd_sn) {
+            return Ok(false);
+        }
+        if cmd_sn != self.exp_cmd_sn {
+            return Err(ProtocolError::CommandSequenceGap { received: cmd_sn, expected: self.exp_cmd_sn });
+        }
+        self.exp_cmd_sn = self.exp_cmd_sn.wrapping_add(1);
+        Ok(true)
+    }
+
+    fn on_login_request(&mut self, pdu: &Pdu, policy: &mut dyn LoginPolicy) -> Result<(), ProtocolError> {
+        let Phase::Login(login) = &mut self.phase else { return Ok(()) };
+        if pdu.bhs.opcode() != opcode::LOGIN_REQUEST {
+            return Err(ProtocolError::ExpectedLoginRequest { opcode: pdu.bhs.opcode() });
+        }
+        let reply = login.on_request(pdu, policy);
+        let params = login.params.clone();
+        self.exp_cmd_sn = pdu.bhs.cmd_sn();
+        self.max_cmd_sn = self.exp_cmd_sn.wrapping_add(self.config.command_window).wrapping_sub(1);
+        self.send_response(reply.bhs, &reply.data);
+        match reply.outcome {
+            LoginOutcome::InProgress => {}
+            LoginOutcome::Completed(identity) => {
+                self.decoder.set_limits(params.digests, params.max_recv_data_segment);
+                self.send_buffer.set_digests(params.digests);
+                self.params = params;
+                self.discovery = identity.discovery;
+                self.phase = Phase::FullFeature;
+                self.events.push_back(TargetEvent::LoggedIn(identity));
+            }
+            LoginOutcome::Rejected(reason) => {
+                self.phase = Phase::Closing;
+                return Err(ProtocolError::LoginRejected { status: reason.status(), reason });
+            }
+        }
+        Ok(())
+    }
+
+    fn reject(&mut self, rejected: &Bhs, reason: u8) {
+        let bhs = Bhs::new(opcode::REJECT, flag::FINAL).with_response(reason).with_itt(RESERVED_TAG);
+        self.send_response(bhs, rejected.as_bytes());
+    }
+
+    fn on_nop_out(&mut self, pdu: &Pdu) {
+        self.events.push_back(TargetEvent::NopOut);
+        if pdu.bhs.itt() == RESERVED_TAG {
+            self.unanswered_pings = 0;
+            return;
+        }
+        let bhs = Bhs::new(opcode::NOP_IN, flag::FINAL)
+            .with_itt(pdu.bhs.itt())
+            .with_target_transfer_tag(RESERVED_TAG)
+            .with_lun_of(&pdu.bhs);
+        let echoed = pdu.data.len().min(self.params.max_send_data_segment);
+        self.send_response(bhs, &pdu.data[..echoed]);
+    }
+
+    fn on_scsi_command(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
+        let bhs = pdu.bhs;
+        let (is_read, is_write) = (bhs.flags() & flag::READ != 0, bhs.flags() & flag::WRITE != 0);
+        let expected_len = bhs.expected_data_len() as usize;
+        if self.tasks.index_of(bhs.itt()).is_some() || bhs.itt() == RESERVED_TAG {
+            return Err(ProtocolError::TaskTagInUse { itt: bhs.itt() });
+        }
+        if is_write && (is_read || expected_len > self.config.max_transfer_bytes) {
+            return self.on_unservable_write(&bhs);
+        }
+        if bhs.is_immediate() && self.tasks.len() >= self.config.command_window + MAX_IMMEDIATE_COMMANDS {
+            self.reject(&bhs, reject_reason::IMMEDIATE_COMMAND_REJECT);
+            return Ok(());
+        }
+        let unsolicited_len = self.params.first_burst_len.min(expected_len);
+        self.check_unsolicited_data(&bhs, pdu.data.len(), unsolicited_len)?;
+        let write_len = if is_write { expected_len } else { 0 };
+        let mut write_data = pdu.data;
+        if write_data.len() < write_len {
+            write_data.reserve_exact(write_len - write_data.len());
+        }
+        let index = self.tasks.insert(Task {
+            itt: bhs.itt(),
+            lun: bhs.lun(),
+            cdb: bhs.cdb(),
+            read_len: if is_read { expected_len } else { 0 },
+            is_read,
+            write_len,
+            write_data,
+            phase: DataPhase::Unsolicited,
+            burst_end: unsolicited_len,
+            next_data_sn: 0,
+            next_r2t_sn: 0,
+        });
+        if !is_write || bhs.is_final() {
+            self.request_data_or_deliver(index);
+        }
+        Ok(())
+    }
+
+    /// Answers a write that also reads, or that is too long. The stream cannot go on where unsolicited data
+    /// follows, which nobody would take.
+    fn on_unservable_write(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
+        self.send_check_condition(bhs.itt(), Sense::INVALID_FIELD_IN_CDB);
+        if bhs.is_final() {
+            return Ok(());
+        }
+        let limit = self.config.max_transfer_bytes;
+        Err(ProtocolError::WriteTooLong { len: bhs.expected_data_len() as usize, limit })
+    }
+
+    /// Checks the data that comes with a command, or is announced with it, against what was negotiated.
+    fn check_unsolicited_data(
+        &self,
+        bhs: &Bhs,
+        immediate_len: usize,
+        unsolicited_len: usize,
+    ) -> Result<(), ProtocolError> {
+        let is_write = bhs.flags() & flag::WRITE != 0;
+        let immediate_allowed = self.params.immediate_data && is_write && immediate_len <= unsolicited_len;
+        if immediate_len > 0 && !immediate_allowed {
+            return Err(ProtocolError::ImmediateDataTooLong);
+        }
+        if is_write && !bhs.is_final() && self.params.initial_r2t {
+            return Err(ProtocolError::UnsolicitedData);
+        }
+        Ok(())
+    }
+
+    fn on_text_request(&mut self, pdu: &Pdu) -> Result<(), ProtocolError> {
+        let mut out = Vec::new();
+        for (key, value) in text::parse_pairs(&pdu.data)? {
+            if key == "SendTargets" {
+                self.push_targets(value, &mut out);
+            } else {
+                text::push_pair(&mut out, key, "NotUnderstood");
+            }
+        }
+        if out.len() > self.params.max_send_data_segment {
+            return Err(ProtocolError::TargetListTooLong);
+        }
+        let bhs = Bhs::new(opcode::TEXT_RESPONSE, flag::FINAL)
+            .with_itt(pdu.bhs.itt())
+            .with_target_transfer_tag(RESERVED_TAG);
+        self.send_response(bhs, &out);
+        Ok(())
+    }
+
+    /// Appends the targets that SendTargets asks for (appendix C): all, or one by its name.
+    fn push_targets(&self, wanted: &str, out: &mut Vec<u8>) {
+        let all = wanted == "All" || wanted.is_empty();
+        let address = format!("{},1", self.config.portal_address);
+        for name in self.config.target_names.iter().filter(|name| all || *name == wanted) {
+            text::push_pair(out, "TargetName", name);
+            text::push_pair(out, "TargetAddress", &address);
+        }
+    }
+
+    fn on_logout_request(&mut self, bhs: &Bhs) {
+        let response = Bhs::new(opcode::LOGOUT_RESPONSE, flag::FINAL)
+            .with_itt(bhs.itt())
+            .with_logout_times(self.params.time2wait, self.params.time2retain);
+        self.send_response(response, &[]);
+        self.phase = Phase::Closing;
+        self.events.push_back(TargetEvent::Logout);
+    }
+}
--- a/crates/iscsi/src/text.rs
+++ b/crates/iscsi/src/text.rs
@@ -1,48 +1,70 @@
-//! Keys and values of login and text PDUs (RFC 7143, section 6.1).
-use std::fmt;
+//! Keys and values of login and text PDUs (section 6.1).
+use thiserror::Error;
 
-/// Longest key name and longest value in bytes (sections 6.1 and 6.2: names 63, values 255 unless said).
-const KEY_MOST: usize = 63;
-const VALUE_MOST: usize = 255;
-/// Most pairs in one negotiation: the standard has some thirty keys.
-const PAIRS_MOST: usize = 64;
+/// Longest key name in bytes (section 6.1).
+const MAX_KEY_LEN: usize = 63;
+/// Longest value in bytes, unless a key says otherwise (section 6.1).
+const MAX_VALUE_LEN: usize = 255;
+/// Most pairs in one negotiation; the standard has some thirty keys.
+const MAX_PAIRS: usize = 64;
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TextError(pub String);
-
-impl fmt::Display for TextError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a data segment is not a list of `key=value` pairs.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum TextError {
+    /// A pair is not UTF-8.
+    #[error("a pair that is not UTF-8")]
+    NotUtf8,
+    /// A pair has no `=`. Holds the pair.
+    #[error("{0:.40}: expected key=value")]
+    MissingEqualsSign(String),
+    /// A key name is empty, too long or has a character that is not allowed. Holds the name.
+    #[error("{0:.40}: expected a key name of up to {max} letters", max = MAX_KEY_LEN)]
+    InvalidKey(String),
+    /// A value is too long. Holds its key.
+    #[error("{0}: expected a value of up to {max} bytes", max = MAX_VALUE_LEN)]
+    ValueTooLong(String),
+    /// A key occurs a second time.
+    #[error("{0}: expected once, came twice")]
+    DuplicateKey(String),
+    /// There are more pairs than any negotiation needs.
+    #[error("expected at most {max} pairs", max = MAX_PAIRS)]
+    TooManyPairs,
 }
 
-/// Splits a data segment into its pairs. Errors: no `=`, a name or value that is too long or not text, a key
-/// that comes twice, too many pairs.
-pub fn pairs(data: &[u8]) -> Result<Vec<(&str, &str)>, TextError> {
-    let mut found: Vec<(&str, &str)> = Vec::new();
-    for part in data.split(|b| *b == 0).filter(|p| !p.is_empty()) {
-        let text = std::str::from_utf8(part).map_err(|_| TextError("a pair that is not UTF-8".into()))?;
-        let (key, value) =
-            text.split_once('=').ok_or_else(|| TextError(format!("{text:.40}: expected key=value")))?;
-        let name = |b: u8| b.is_ascii_alphanumeric() || b".-+@_/".contains(&b);
-        if key.is_empty() || key.len() > KEY_MOST || !key.bytes().all(name) {
-            return Err(TextError(format!("{key:.40}: expected a key name of up to {KEY_MOST} letters")));
-        }
-        if value.len() > VALUE_MOST {
-            return Err(TextError(format!("{key}: expected a value of up to {VALUE_MOST} bytes")));
+/// Splits a data segment into its pairs of key and value.
+pub(crate) fn parse_pairs(data: &[u8]) -> Result<Vec<(&str, &str)>, TextError> {
+    let mut pairs: Vec<(&str, &str)> = Vec::new();
+    for bytes in data.split(|byte| *byte == 0).filter(|bytes| !bytes.is_empty()) {
+        let (key, value) = parse_pair(bytes)?;
+        if pairs.iter().any(|pair| pair.0 == key) {
+            return Err(TextError::DuplicateKey(key.to_owned()));
         }
-        if found.iter().any(|f| f.0 == key) {
-            return Err(TextError(format!("{key}: expected once, came twice")));
+        if pairs.len() == MAX_PAIRS {
+            return Err(TextError::TooManyPairs);
         }
-        if found.len() == PAIRS_MOST {
-            return Err(TextError(format!("expected at most {PAIRS_MOST} pairs")));
-        }
-        found.push((key, value));
+        pairs.push((key, value));
+    }
+    Ok(pairs)
+}
+
+fn parse_pair(bytes: &[u8]) -> Result<(&str, &str), TextError> {
+    let text = std::str::from_utf8(bytes).map_err(|_| TextError::NotUtf8)?;
+    let (key, value) = text.split_once('=').ok_or_else(|| TextError::MissingEqualsSign(text.to_owned()))?;
+    if key.is_empty() || key.len() > MAX_KEY_LEN || !key.bytes().all(is_key_byte) {
+        return Err(TextError::InvalidKey(key.to_owned()));
+    }
+    if value.len() > MAX_VALUE_LEN {
+        return Err(TextError::ValueTooLong(key.to_owned()));
     }
-    Ok(found)
+    Ok((key, value))
+}
+
+fn is_key_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b".-+@_/".contains(&byte)
 }
 
-pub fn put(out: &mut Vec<u8>, key: &str, value: &str) {
+/// Appends one pair, with the NUL that ends it.
+pub(crate) fn push_pair(out: &mut Vec<u8>, key: &str, value: &str) {
     out.extend_from_slice(key.as_bytes());
     out.push(b'=');
     out.extend_from_slice(value.as_bytes());
--- a/crates/iscsi/tests/pinned_wire.rs
+++ b/crates/iscsi/tests/pinned_wire.rs
@@ -6,7 +6,7 @@
 use mallowseam_iscsi::initiator::{self, InitiatorConnection, Payload};
 use mallowseam_iscsi::login::{LoginIdentity, LoginPolicy, LoginStatus};
 use mallowseam_iscsi::params::ProposedParams;
-use mallowseam_iscsi::pdu::{Bhs, NO_TAG, Pdu, flag, opcode, task};
+use mallowseam_iscsi::pdu::{Bhs, Pdu, RESERVED_TAG, flag, opcode, task_response};
 use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, ModeSenseForm, Sense, status};
 use mallowseam_iscsi::target::{self, TargetConfig, TargetConnection};
 use std::rc::Rc;
@@ -395,21 +395,21 @@
 fn drawn_pdu(rng: &mut Rng, opcode: u8, serial: u32) -> Vec<u8> {
     let flags = [0x80, 0x81, 0xa0, 0xc0, 0x20, 0x00, 0x82, 0x85, 0x86, 0x83][rng.below(10)];
     let len = [0, 0, 4, 512, 700, 1024, 1025][rng.below(7)];
-    let tag = |rng: &mut Rng| [0, 1, 2, 3, 0x1_0000, 0x1_0001, 0x2_0000, NO_TAG][rng.below(8)];
-    let (itt, word20) = (tag(rng), [tag(rng), 0, 512, 9000, 80_000][rng.below(5)]);
+    let tag = |rng: &mut Rng| [0, 1, 2, 3, 0x1_0000, 0x1_0001, 0x2_0000, RESERVED_TAG][rng.below(8)];
+    let (itt, tag_or_len) = (tag(rng), [tag(rng), 0, 512, 9000, 80_000][rng.below(5)]);
     let immediate = if rng.chance(30) { 0x40 } else { 0 };
     let mut bhs = Bhs::new(opcode | immediate, flags)
         .with_lun(rng.below(3) as u32)
         .with_itt(itt)
-        .with_word20(word20)
-        .with_sn(serial)
-        .with_exp_sn(rng.next() as u32 & 7)
+        .with_target_transfer_tag(tag_or_len)
+        .with_cmd_sn(serial)
+        .with_exp_stat_sn(rng.next() as u32 & 7)
         .with_max_cmd_sn(rng.next() as u32 & 15)
         .with_data_sn(rng.next() as u32 & 1)
-        .with_offset([0, 512, 1024, 700][rng.below(4)])
-        .with_word44([0, 512, 1024, 4096][rng.below(4)]);
-    bhs.0[2] = rng.below(2) as u8;
-    bhs.0[3] = [0, 2, 8, 0x28][rng.below(4)];
+        .with_buffer_offset([0, 512, 1024, 700][rng.below(4)])
+        .with_desired_data_len([0, 512, 1024, 4096][rng.below(4)]);
+    bhs.bytes_mut()[2] = rng.below(2) as u8;
+    bhs.bytes_mut()[3] = [0, 2, 8, 0x28][rng.below(4)];
     frame(bhs, &rng.bytes(len))
 }
 
@@ -516,7 +516,7 @@
     out.set_digests(digests);
     out.push(Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE).with_itt(9), &[1, 2, 3, 4, 5]);
     out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL).with_itt(10), &[]);
-    out.push(Bhs::new(opcode::DATA_OUT, flag::FINAL).with_offset(5), &[6; 8]);
+    out.push(Bhs::new(opcode::DATA_OUT, flag::FINAL).with_buffer_offset(5), &[6; 8]);
     out.unsent().to_vec()
 }
 
@@ -589,7 +589,7 @@
 fn login_request(flags: u8, keys: &str) -> Request {
     let data: Vec<u8> = keys.bytes().map(|byte| if byte == b'/' { 0 } else { byte }).collect();
     Request(
-        Bhs::new(opcode::LOGIN_REQUEST, flags).with_immediate().with_isid([9; 6]).with_itt(3).with_sn(5),
+        Bhs::new(opcode::LOGIN_REQUEST, flags).with_immediate().with_isid([9; 6]).with_itt(3).with_cmd_sn(5),
         data,
     )
 }
@@ -735,43 +735,44 @@
 
 #[test]
 fn faults_of_a_target() {
-    let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(9000).with_sn(1);
-    let open_write = Bhs::new(opcode::SCSI_COMMAND, 0x20).with_itt(1).with_word20(9000).with_sn(1);
-    let read = Bhs::new(opcode::SCSI_COMMAND, 0xc0).with_itt(1).with_word20(512).with_sn(1);
-    let data = Bhs::new(opcode::DATA_OUT, 0).with_itt(1).with_word20(0);
-    let unasked = data.with_word20(NO_TAG);
+    let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_expected_data_len(9000).with_cmd_sn(1);
+    let open_write =
+        Bhs::new(opcode::SCSI_COMMAND, 0x20).with_itt(1).with_expected_data_len(9000).with_cmd_sn(1);
+    let read = Bhs::new(opcode::SCSI_COMMAND, 0xc0).with_itt(1).with_expected_data_len(512).with_cmd_sn(1);
+    let data = Bhs::new(opcode::DATA_OUT, 0).with_itt(1).with_target_transfer_tag(0);
+    let unasked = data.with_target_transfer_tag(RESERVED_TAG);
     let found: Vec<String> = [
         &[(Bhs::new(opcode::LOGIN_REQUEST, 0x87), 0)][..],
         &[(Bhs::new(opcode::DATA_IN, 0x80), 0)],
         &[(Bhs::new(opcode::SNACK, 0x80), 0)],
-        &[(read.with_sn(3), 0)],
-        &[(read.with_sn(9), 0)],
-        &[(read, 0), (read.with_sn(2), 0)],
-        &[(read.with_itt(NO_TAG), 0)],
+        &[(read.with_cmd_sn(3), 0)],
+        &[(read.with_cmd_sn(9), 0)],
+        &[(read, 0), (read.with_cmd_sn(2), 0)],
+        &[(read.with_itt(RESERVED_TAG), 0)],
         &[(read, 4)],
-        &[(open_write.with_word20(70_000), 0)],
-        &[(write.with_word20(70_000), 0)],
+        &[(open_write.with_expected_data_len(70_000), 0)],
+        &[(write.with_expected_data_len(70_000), 0)],
         &[(write.with_byte(1, 0xe0), 0)],
-        &[(write.with_word20(512), 600)],
-        &[(write, 0), (data.with_word20(5), 512)],
+        &[(write.with_expected_data_len(512), 600)],
+        &[(write, 0), (data.with_target_transfer_tag(5), 512)],
         &[(write, 0), (unasked, 512)],
         &[(write, 0), (data.with_data_sn(1), 512)],
-        &[(write, 0), (data.with_offset(1), 512)],
+        &[(write, 0), (data.with_buffer_offset(1), 512)],
         &[(write, 0), (data, 0)],
         &[(write, 0), (data.with_byte(1, 0x80), 512)],
         &[
             (write, 0),
             (data, 1024),
-            (data.with_data_sn(1).with_offset(1024), 1024),
-            (data.with_data_sn(2).with_offset(2048), 1024),
-            (data.with_data_sn(3).with_offset(3072), 1024),
+            (data.with_data_sn(1).with_buffer_offset(1024), 1024),
+            (data.with_data_sn(2).with_buffer_offset(2048), 1024),
+            (data.with_data_sn(3).with_buffer_offset(3072), 1024),
         ],
         &[
             (open_write, 1024),
-            (unasked.with_offset(1024), 1024),
-            (unasked.with_data_sn(1).with_offset(2048), 8),
+            (unasked.with_buffer_offset(1024), 1024),
+            (unasked.with_data_sn(1).with_buffer_offset(2048), 8),
         ],
-        &[(Bhs::new(opcode::TEXT_REQUEST, 0x80).with_sn(1), 5)],
+        &[(Bhs::new(opcode::TEXT_REQUEST, 0x80).with_cmd_sn(1), 5)],
         &[(write, 0), (data.with_itt(77), 512)],
     ]
     .iter()
@@ -792,10 +793,10 @@
     let mut initiator = InitiatorConnection::new("iqn.i", None, [0; 6], &small());
     let request = initiator.send_buffer().unsent().to_vec();
     target.receive(&request, &mut AdmitKnownTarget).expect("login");
-    let text = Bhs::new(opcode::TEXT_REQUEST, 0x80).with_sn(1);
+    let text = Bhs::new(opcode::TEXT_REQUEST, 0x80).with_cmd_sn(1);
     let one = frame(text, b"SendTargets=iqn.2026-01.example:7\0");
     target.receive(&one, &mut AdmitKnownTarget).expect("one target");
-    let all = frame(text.with_sn(2), b"SendTargets=All\0");
+    let all = frame(text.with_cmd_sn(2), b"SendTargets=All\0");
     let fault = target.receive(&all, &mut AdmitKnownTarget).expect_err("too long");
     assert_eq!(fault.to_string(), "list of targets past the initiator's segment");
 }
@@ -805,9 +806,9 @@
     let mut target = TargetConnection::new(config(small(), 4));
     let Request(bhs, data) = login_request(0x87, &format!("{NAMES}InitialR2T=Yes/ImmediateData=No/"));
     target.receive(&frame(bhs, &data), &mut AdmitKnownTarget).expect("login");
-    let command = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(900).with_sn(5);
+    let command = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_expected_data_len(900).with_cmd_sn(5);
     let mut faults = Vec::new();
-    for (bhs, len) in [(command.with_byte(1, 0x20), 0), (command.with_sn(6), 4)] {
+    for (bhs, len) in [(command.with_byte(1, 0x20), 0), (command.with_cmd_sn(6), 4)] {
         let fault = target.receive(&frame(bhs, &vec![1; len]), &mut AdmitKnownTarget).expect_err("unasked");
         faults.push(fault.to_string());
     }
@@ -818,16 +819,25 @@
 #[test]
 fn faults_of_an_initiator() {
     let found: Vec<String> = [
-        (Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_sn(9), 0),
-        (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001).with_offset(4), 512),
+        (Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_stat_sn(9), 0),
+        (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001).with_buffer_offset(4), 512),
         (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001), 513),
-        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_offset(512).with_word44(512), 0),
-        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_offset(2048).with_word44(0), 0),
-        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_offset(2048).with_word44(90_000), 0),
-        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_sn(2).with_byte(36, 2), 0),
-        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_sn(2).with_byte(36, 4), 0),
-        (Bhs::new(opcode::SCSI_COMMAND, 0x80).with_sn(2), 0),
-        (Bhs::new(opcode::NOP_IN, 0x80).with_itt(NO_TAG), 1025),
+        (
+            Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_buffer_offset(512).with_desired_data_len(512),
+            0,
+        ),
+        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_buffer_offset(2048).with_desired_data_len(0), 0),
+        (
+            Bhs::new(opcode::R2T, 0x80)
+                .with_itt(0x1_0000)
+                .with_buffer_offset(2048)
+                .with_desired_data_len(90_000),
+            0,
+        ),
+        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_stat_sn(2).with_byte(36, 2), 0),
+        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_stat_sn(2).with_byte(36, 4), 0),
+        (Bhs::new(opcode::SCSI_COMMAND, 0x80).with_cmd_sn(2), 0),
+        (Bhs::new(opcode::NOP_IN, 0x80).with_itt(RESERVED_TAG), 1025),
     ]
     .iter()
     .map(|(bhs, len)| {
@@ -854,7 +864,7 @@
             let bhs = Bhs::new(opcode::TASK_MANAGEMENT_REQUEST, flag::FINAL | function)
                 .with_immediate()
                 .with_lun(1);
-            let bhs = bhs.with_itt(0x99).with_word20(referenced).with_sn(4);
+            let bhs = bhs.with_itt(0x99).with_referenced_task_tag(referenced).with_cmd_sn(4);
             target.receive(&frame(bhs, &[]), &mut AdmitKnownTarget).expect("task request");
         }
         while let Some(event) = target.next_event() {
@@ -863,7 +873,13 @@
         record.bytes(b'<', target.send_buffer().unsent());
     }
     assert_eq!(record.0, TASK_MANAGEMENT, "{:#018x}", record.0);
-    let codes = [task::COMPLETE, task::NO_SUCH_TASK, task::NO_SUCH_LUN, task::NOT_SUPPORTED, task::REJECTED];
+    let codes = [
+        task_response::FUNCTION_COMPLETE,
+        task_response::TASK_DOES_NOT_EXIST,
+        task_response::LUN_DOES_NOT_EXIST,
+        task_response::FUNCTION_NOT_SUPPORTED,
+        task_response::FUNCTION_REJECTED,
+    ];
     assert_eq!(codes, [0, 1, 2, 5, 255]);
 }
 
@@ -871,8 +887,11 @@
 fn immediate_commands_past_the_limit_are_rejected() {
     let (mut target, _) = logged_in(small());
     for itt in 0..14 {
-        let bhs =
-            Bhs::new(opcode::SCSI_COMMAND, 0xc0).with_immediate().with_itt(itt).with_word20(512).with_sn(1);
+        let bhs = Bhs::new(opcode::SCSI_COMMAND, 0xc0)
+            .with_immediate()
+            .with_itt(itt)
+            .with_expected_data_len(512)
+            .with_cmd_sn(1);
         target.receive(&frame(bhs, &[]), &mut AdmitKnownTarget).expect("command");
     }
     assert_eq!((target.in_flight(), target.send_buffer().unsent().len()), (12, 2 * 96));
@@ -889,8 +908,10 @@
         initiator.send_buffer().mark_sent(request.len());
         record.raw(&request[16..20]);
         let itt = u32::from_be_bytes([request[16], request[17], request[18], request[19]]);
-        let answer =
-            Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_itt(itt).with_sn(serial).with_max_cmd_sn(serial + 9);
+        let answer = Bhs::new(opcode::SCSI_RESPONSE, 0x80)
+            .with_itt(itt)
+            .with_stat_sn(serial)
+            .with_max_cmd_sn(serial + 9);
         initiator.receive(&frame(answer, &[])).expect("an answer");
         assert!(initiator.next_event().is_some());
     }
@@ -903,9 +924,11 @@
     for qualifier in [0, 1, 0x3fef, 0x3ff0, 0x3fff, 0x4005, 0xc007] {
         let (_, mut initiator) = logged_in(small());
         initiator.send_command(7, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
-        let answer =
-            Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_itt(0x1_0000).with_sn(2).with_byte(3, status::BUSY);
-        initiator.receive(&frame(answer.with_u16(8, qualifier), &[])).expect("an answer");
+        let answer = Bhs::new(opcode::SCSI_RESPONSE, 0x80)
+            .with_itt(0x1_0000)
+            .with_stat_sn(2)
+            .with_byte(3, status::BUSY);
+        initiator.receive(&frame(answer.with_status_qualifier(qualifier), &[])).expect("an answer");
         match initiator.next_event() {
             Some(initiator::InitiatorEvent::CommandCompleted { retry_after, .. }) => found.push(retry_after),
             other => panic!("expected an answer, found {other:?}"),
@@ -942,7 +965,8 @@
         let answer = target.send_buffer().unsent().to_vec();
         target.send_buffer().mark_sent(answer.len());
         assert_eq!(&answer[48..], b"TargetPortalGroupTag=1\0MaxRecvDataSegmentLength=262144\0\0");
-        let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_word20(600_000).with_sn(5);
+        let write =
+            Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_expected_data_len(600_000).with_cmd_sn(5);
         let received = target.receive(&frame(write, &vec![1; immediate]), &mut AdmitKnownTarget);
         assert_eq!(received.err().map_or("none".into(), |fault| fault.to_string()), expected);
         if expected == "none" {
--- a/crates/iscsi/tests/sessions.rs
+++ b/crates/iscsi/tests/sessions.rs
@@ -213,7 +213,7 @@
     assert!(target.receive(&bytes, &mut Open).is_err() && target.is_closing());
     let bytes = target.send_buffer().unsent().to_vec();
     let fault = initiator.receive(&bytes).expect_err("a refusal");
-    assert!(fault.0.contains("0203"), "{fault}");
+    assert!(fault.to_string().contains("0203"), "{fault}");
 }
 
 #[test]
@@ -280,8 +280,8 @@
         assert_eq!(Bhs::new(opcode::SCSI_COMMAND, 0).with_lun(lun).lun(), Some(lun));
     }
     let mut bhs = Bhs::new(opcode::SCSI_COMMAND, 0);
-    bhs.0[8..16].copy_from_slice(&lun_bytes(3));
-    bhs.0[13] = 1;
+    bhs.bytes_mut()[8..16].copy_from_slice(&lun_bytes(3));
+    bhs.bytes_mut()[13] = 1;
     assert_eq!(bhs.lun(), None);
 }
 
@@ -335,9 +335,9 @@
         let mut sn = 1;
         for ((a, b, len), opcode) in headers.iter().zip(&opcodes) {
             let mut bhs = Bhs::new(*opcode, a[1]);
-            bhs.0[8..16].copy_from_slice(&[0, a[9] % 3, 0, 0, 0, 0, 0, 0]);
-            bhs.0[16..48].copy_from_slice(b);
-            let bhs = bhs.with_itt(u32::from(b[0] % 4)).with_sn(sn);
+            bhs.bytes_mut()[8..16].copy_from_slice(&[0, a[9] % 3, 0, 0, 0, 0, 0, 0]);
+            bhs.bytes_mut()[16..48].copy_from_slice(b);
+            let bhs = bhs.with_itt(u32::from(b[0] % 4)).with_cmd_sn(sn);
             let mut out = SendBuffer::default();
             out.push(bhs, &vec![0x55; *len]);
             if pair.target.receive(out.unsent(), &mut Open).is_err() {
@@ -374,11 +374,11 @@
         pair.initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 9, 0), 0, vec![3; 4600].into());
         let itt = u32::from_be_bytes(pair.initiator.send_buffer().unsent()[16..20].try_into().expect("four"));
         let mut bhs = Bhs::new(opcode, body[0]);
-        bhs.0[16..48].copy_from_slice(&body);
-        bhs.0[36..48].copy_from_slice(&rest);
+        bhs.bytes_mut()[16..48].copy_from_slice(&body);
+        bhs.bytes_mut()[36..48].copy_from_slice(&rest);
         let bhs = if own { bhs.with_itt(itt) } else { bhs };
         let mut out = SendBuffer::default();
-        out.push(bhs.with_sn(2), &data);
+        out.push(bhs.with_stat_sn(2), &data);
         let _ = pair.initiator.receive(out.unsent());
     }
 
@@ -392,7 +392,7 @@
     ) {
         let digests = Digests { header, data: digest };
         let mut bhs = Bhs::new(head[0], head[1]);
-        bhs.0[16..].copy_from_slice(&head);
+        bhs.bytes_mut()[16..].copy_from_slice(&head);
         let mut out = SendBuffer::default();
         out.set_digests(digests);
         out.push(bhs, &data);
@@ -412,7 +412,7 @@
         }
         prop_assert_eq!(found.len(), 2);
         prop_assert!(found[0].data == data && found[1].data.is_empty());
-        prop_assert_eq!(&found[0].bhs.0[16..], &bhs.0[16..]);
+        prop_assert_eq!(&found[0].bhs.as_bytes()[16..], &bhs.as_bytes()[16..]);
     }
 
     #[test]
