--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -133,11 +133,6 @@
         self.timer
     }
 
-    /// Sets the scheduler's timer, unless it fires earlier already.
-    pub fn set_timer(&mut self, at: Tick) {
-        self.timer = Some(self.timer.map_or(at, |set| set.min(at)));
-    }
-
     /// Whether the scheduler has asked for a watch since the last call.
     pub fn take_watch_request(&mut self) -> bool {
         std::mem::take(&mut self.wants_watch)
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -62,7 +62,7 @@
             entry.node_connection = None;
             let response = completion.response;
             let outcome = AttemptOutcome {
-                result: completion.ending,
+                result: completion.result,
                 node: completion.node,
                 client_answered: entry.client.is_none(),
                 latency: completion.received_at.unwrap_or(self.now) - completion.started_at,
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -6,7 +6,7 @@
 
 impl Dispatcher {
     /// Applies an update of the endpoint list.
-    pub fn on_endpoints(&mut self, scheduler: &mut Scheduler, form: EndpointEvent, update: &WatchEvent) {
+    pub fn on_endpoints(&mut self, scheduler: &mut Scheduler, event: EndpointEvent, update: &WatchEvent) {
         let mut endpoints = std::mem::take(&mut self.endpoints);
         self.names.intern_endpoints(update, &self.settings, &mut endpoints);
         for entry in &update.endpoints {
@@ -16,7 +16,7 @@
             }
         }
         // An attempt that still waits for its connection is withdrawn when its node begins to drain.
-        let is_snapshot = form != EndpointEvent::Incremental;
+        let is_snapshot = event != EndpointEvent::Incremental;
         let is_closed = |node: &NodeId| {
             let listed = endpoints.iter().find(|endpoint| endpoint.node == *node);
             listed.map_or(is_snapshot, |endpoint| endpoint.state != NodeState::Active)
@@ -26,15 +26,15 @@
             self.nodes.recall_unconnected(node, |completion| self.completions.push_back(completion));
         }
         let now = self.now;
-        scheduler.on_endpoints(self, now, form, &endpoints);
+        scheduler.on_endpoints(self, now, event, &endpoints);
         self.endpoints = endpoints;
         self.report_completions(scheduler);
     }
 
-    /// The watch has failed, or is silent, as `form` says.
-    pub fn on_watch_lost(&mut self, scheduler: &mut Scheduler, form: EndpointEvent) {
+    /// The watch has failed, or is silent, as `event` says.
+    pub fn on_watch_lost(&mut self, scheduler: &mut Scheduler, event: EndpointEvent) {
         let now = self.now;
-        scheduler.on_endpoints(self, now, form, &[]);
+        scheduler.on_endpoints(self, now, event, &[]);
         self.report_completions(scheduler);
     }
 
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -46,9 +46,9 @@
 
 impl Host for Dispatcher {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
-        if let Err(ending) = self.start_attempt(bio, node, timeout) {
+        if let Err(result) = self.start_attempt(bio, node, timeout) {
             self.counters.unsent_attempts += 1;
-            self.completions.push_back(Completion::unsent(bio, node, ending, self.now));
+            self.completions.push_back(Completion::unsent(bio, node, result, self.now));
         }
     }
 
@@ -71,9 +71,11 @@
     }
 
     fn set_timer(&mut self, after: Tick) {
-        self.set_timer(self.now + after);
+        let at = self.now + after;
+        self.timer = Some(self.timer.map_or(at, |set| set.min(at)));
     }
 
+    /// A new watch begins with the list, in full where that is needed.
     fn poll_endpoints(&mut self) {
         self.wants_watch = true;
     }
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -162,9 +162,9 @@
         self.fleet.iter_mut().for_each(|fleet| {
             fleet.set_active_versions(ActiveVersions { endpoint_list: update.version, plans: 0 })
         });
-        let form =
+        let kind =
             if update.full_snapshot { EndpointEvent::FullSnapshot } else { EndpointEvent::Incremental };
-        self.dispatcher.on_endpoints(&mut self.scheduler, form, update);
+        self.dispatcher.on_endpoints(&mut self.scheduler, kind, update);
     }
 
     /// Applies the timeouts of the watches.
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -15,7 +15,7 @@
 use mallowseam_platform::config::{self, HostConfig};
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{EndpointEvent, Tick};
+use mallowseam_scheduler::interface::{EndpointEvent, Host, Tick};
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_millis};
 use mallowseam_sockets::descriptors;
@@ -82,8 +82,7 @@
         self.update_now();
         // The scheduler's timer fires once before anything else; from then on it sets its timers itself, and asks for
         // the endpoint list.
-        let now = self.dispatcher.now;
-        self.dispatcher.set_timer(now);
+        self.dispatcher.set_timer(0);
         self.dispatcher.fire_timer(&mut self.scheduler);
         if let Some(cached) = self.config.cached_list.take() {
             self.watch.use_cached(&cached);
@@ -137,15 +136,15 @@
         host = config.name,
         listen = %config.listen,
         discovery = %config.discovery,
-        clients = budget.client_connections,
-        nodes = budget.node_connections,
+        client_connections = budget.client_connections,
+        node_connections = budget.node_connections,
         cores = config.cpu_cores,
-        idle_close_ms = ticks_to_millis(config.settings.idle_timeout),
-        connect_within_ms = ticks_to_millis(config.settings.connect_timeout),
+        idle_timeout_ms = ticks_to_millis(config.settings.idle_timeout),
+        connect_timeout_ms = ticks_to_millis(config.settings.connect_timeout),
         memory_mb = config.memory_mb,
-        known = config.cached_list.as_ref().map_or(0, |cached| cached.endpoints.len()),
-        list_pushed = config.settings.scheduler.endpoints_pushed,
-        ask_within_ms = ticks_to_millis(config.settings.scheduler.max_poll_delay),
+        cached_endpoints = config.cached_list.as_ref().map_or(0, |cached| cached.endpoints.len()),
+        endpoints_pushed = config.settings.scheduler.endpoints_pushed,
+        max_poll_delay_ms = ticks_to_millis(config.settings.scheduler.max_poll_delay),
         "host starts"
     );
 }
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -39,13 +39,13 @@
         let Some(counters) = self.dispatcher.nodes.counters_mut(node) else { return };
         tracing::info!(
             node = node.0,
-            open = status.active,
-            window = format!("{:.2}", status.concurrency_window),
+            active = status.active,
+            concurrency_window = format!("{:.2}", status.concurrency_window),
             in_flight = status.in_flight,
             queued = status.queued,
-            latency_ms = format!("{:.1}", status.mean_latency / 10.0),
+            mean_latency_ms = format!("{:.1}", status.mean_latency / 10.0),
             slowest_ms = counters.slowest / 10,
-            failures = status.consecutive_failures,
+            consecutive_failures = status.consecutive_failures,
             connections = counters.connections,
             attempts = counters.attempts,
             connections_opened = counters.connections_opened,
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -97,8 +97,8 @@
         }
         self.close(slot);
         // Before the last byte is written the node has not executed it; after it, it may have.
-        let ending = if is_written { AttemptResult::ConnectionReset } else { if_unwritten };
-        Some(attempt.complete(node, ending))
+        let result = if is_written { AttemptResult::ConnectionReset } else { if_unwritten };
+        Some(attempt.complete(node, result))
     }
 
     /// Whether a connection carries an attempt of this block I/O whose request is not completely written.
@@ -111,8 +111,8 @@
         let connection = self.connections.get(slot).filter(|c| c.carries(io))?;
         let (is_written, node) = (connection.is_request_written(), connection.node);
         let attempt = self.close(slot)?;
-        let ending = if is_written { AttemptResult::Cancelled } else { AttemptResult::NotSent };
-        Some(attempt.complete(node, ending))
+        let result = if is_written { AttemptResult::Cancelled } else { AttemptResult::NotSent };
+        Some(attempt.complete(node, result))
     }
 
     /// When the next attempt may expire.
@@ -125,10 +125,10 @@
         while let Some(deadline) = self.deadlines.pop_passed(now) {
             let Some(connection) = self.connections.get(deadline.slot) else { continue };
             let Some(attempt) = connection.attempt.filter(|a| a.serial == deadline.serial) else { continue };
-            let Some(ending) = expired(connection, attempt, now) else { continue };
+            let Some(result) = expired(connection, attempt, now) else { continue };
             let node = connection.node;
             self.close(deadline.slot);
-            return Some(attempt.complete(node, ending));
+            return Some(attempt.complete(node, result));
         }
         None
     }
--- a/crates/platform-host/src/nodes/connection.rs
+++ b/crates/platform-host/src/nodes/connection.rs
@@ -21,11 +21,11 @@
 
 impl Attempt {
     /// Completes the attempt at a node, as of now.
-    pub fn complete(&self, node: NodeId, ending: AttemptResult) -> Completion {
+    pub fn complete(&self, node: NodeId, result: AttemptResult) -> Completion {
         Completion {
             io: self.io,
             node,
-            ending,
+            result,
             started_at: self.started_at,
             received_at: None,
             response: None,
@@ -41,7 +41,7 @@
     /// Where it was sent, or would have been.
     pub node: NodeId,
     /// The result.
-    pub ending: AttemptResult,
+    pub result: AttemptResult,
     /// When the scheduler started it.
     pub started_at: Tick,
     /// When the result arrived at the socket; none: now.
@@ -52,8 +52,8 @@
 
 impl Completion {
     /// The completion of an attempt that was not sent.
-    pub fn unsent(io: BioId, node: NodeId, ending: AttemptResult, now: Tick) -> Self {
-        Completion { io, node, ending, started_at: now, received_at: None, response: None }
+    pub fn unsent(io: BioId, node: NodeId, result: AttemptResult, now: Tick) -> Self {
+        Completion { io, node, result, started_at: now, received_at: None, response: None }
     }
 }
 
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -43,12 +43,12 @@
 }
 
 impl Arrival {
-    fn complete(&self, ending: AttemptResult) -> Completion {
-        Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, ending) }
+    fn complete(&self, result: AttemptResult) -> Completion {
+        Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, result) }
     }
 
-    fn completed_event(&self, ending: AttemptResult) -> NodeEvent {
-        NodeEvent::Completed(self.complete(ending))
+    fn completed_event(&self, result: AttemptResult) -> NodeEvent {
+        NodeEvent::Completed(self.complete(result))
     }
 }
 
@@ -160,7 +160,7 @@
     /// The connection has ended before the response was complete.
     fn on_broken(&mut self, slot: u32, now: Tick, arrival: &Arrival) -> Option<NodeEvent> {
         let connection = self.connections.get(slot)?;
-        let ending = if connection.is_request_written() {
+        let result = if connection.is_request_written() {
             AttemptResult::ConnectionReset
         } else {
             AttemptResult::ConnectFailed
@@ -171,7 +171,7 @@
             self.keep_alive.connection_lost(idle, ticks_to_millis(now - started_at), ticks_to_millis(now));
         }
         self.close(slot);
-        Some(arrival.completed_event(ending))
+        Some(arrival.completed_event(result))
     }
 
     /// The response cannot be parsed: the request may have been executed all the same.
@@ -196,7 +196,7 @@
         let head =
             ResponseHead::parse(bytes, RESPONSE_LIMITS).ok().flatten().expect("the reader has read it");
         let response = response::parse(&head);
-        let is_busy = response.ending == AttemptResult::Rejected;
+        let is_busy = response.result == AttemptResult::Rejected;
         let is_written = connection.is_request_written();
         // A node executes a request after its last byte: a response before that belongs to another request.
         if !is_written && !is_busy {
@@ -209,8 +209,8 @@
         if !is_kept && !connection.is_reused {
             self.keep_alive.new_connection_rejected(ticks_to_millis(now));
         }
-        let completion = Completion { response: Some(response), ..arrival.complete(response.ending) };
-        let is_success = response.ending == AttemptResult::Completed;
+        let completion = Completion { response: Some(response), ..arrival.complete(response.result) };
+        let is_success = response.result == AttemptResult::Completed;
         if let Some(endpoint) = self.endpoint_mut(arrival.node) {
             let counters = &mut endpoint.counters;
             counters.responses += 1;
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -14,8 +14,8 @@
 /// What a node's complete response reports.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeResponse {
-    /// How the attempt completed.
-    pub ending: AttemptResult,
+    /// The result of the attempt.
+    pub result: AttemptResult,
     /// `X-Iops-Used`: 1 plus the volume's use at all nodes, in per cent of its plan's usual rate; 0 if not reported.
     pub usage: f64,
     /// `X-Rho`: units that the node served for the volume through other hosts since its last response to this one.
@@ -29,13 +29,13 @@
 #[must_use]
 pub fn parse(head: &ResponseHead) -> NodeResponse {
     let not_processed = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
-    let ending = match head.status {
+    let result = match head.status {
         200 => AttemptResult::Completed,
         503 | 504 if not_processed => AttemptResult::Rejected,
         _ => AttemptResult::Error,
     };
     NodeResponse {
-        ending,
+        result,
         usage: figure(head, "X-Iops-Used"),
         by_others: figure(head, "X-Rho"),
         load_report: load_report(head),
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -174,7 +174,7 @@
             found,
             "{}: {} used {} by others {} waiting {backlog:?} service {service_time_ms:?} busy {utilization:?}",
             bytes(lines.as_bytes()),
-            ending(said.ending),
+            ending(said.result),
             said.usage,
             said.by_others
         )
--- a/crates/platform/tests/responses.rs
+++ b/crates/platform/tests/responses.rs
@@ -12,9 +12,9 @@
 
 #[test]
 fn only_the_nodes_header_proves_that_a_block_io_never_ran() {
-    let of = |status: &str| parse(&format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")).ending;
+    let of = |status: &str| parse(&format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")).result;
     let not_run = |status: &str| {
-        parse(&format!("HTTP/1.1 {status} X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")).ending
+        parse(&format!("HTTP/1.1 {status} X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")).result
     };
     assert_eq!(
         (of("200"), of("503"), of("500"), of("404")),
@@ -32,7 +32,7 @@
         "HTTP/1.1 200 OK\r\nX-Iops-Used: \u{e9}!\r\nX-Rho: -1\r\nX-Server-Load: {\"a\r\nContent-Length: 0\r\n\r\n",
     );
     assert_eq!(
-        (s.ending, s.usage, s.by_others, s.load_report.utilization),
+        (s.result, s.usage, s.by_others, s.load_report.utilization),
         (AttemptResult::Completed, 0.0, 0.0, None)
     );
     let s = parse(
