--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -410,7 +410,7 @@
                 self.dispatcher.nodes.set_removed(listed.node.0 as usize, removed);
             }
             let now = self.dispatcher.now;
-            self.scheduler.on_endpoints(&mut self.dispatcher, now, update.form, &update.nodes);
+            self.scheduler.on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
             self.dispatcher.settle(&mut self.scheduler);
         }
     }
@@ -418,7 +418,7 @@
     /// Tells the fleet's membership which versions this host acts on.
     fn publish_facts(&mut self) {
         let Some(membership) = &mut self.membership else { return };
-        let endpoint_list = self.endpoint_list.version().1;
+        let endpoint_list = self.endpoint_list.version().version;
         let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.replica.state().version);
         membership.set_active_versions(ActiveVersions { endpoint_list, plans });
     }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -14,12 +14,12 @@
 /// What a node's complete response reports.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeResponse {
-    /// The result of the attempt.
+    /// How the attempt completed.
     pub result: AttemptResult,
     /// `X-Iops-Used`: 1 plus the volume's use at all nodes, in per cent of its plan's usual rate; 0 if not reported.
-    pub usage: f64,
+    pub volume_usage: f64,
     /// `X-Rho`: units that the node served for the volume through other hosts since its last response to this one.
-    pub by_others: f64,
+    pub units_by_other_hosts: f64,
     /// `X-Server-Load`: the node's load report.
     pub load_report: LoadReport,
 }
@@ -36,8 +36,8 @@
     };
     NodeResponse {
         result,
-        usage: figure(head, "X-Iops-Used"),
-        by_others: figure(head, "X-Rho"),
+        volume_usage: figure(head, "X-Iops-Used"),
+        units_by_other_hosts: figure(head, "X-Rho"),
         load_report: load_report(head),
     }
 }
--- a/crates/platform/tests/responses.rs
+++ b/crates/platform/tests/responses.rs
@@ -32,11 +32,11 @@
         "HTTP/1.1 200 OK\r\nX-Iops-Used: \u{e9}!\r\nX-Rho: -1\r\nX-Server-Load: {\"a\r\nContent-Length: 0\r\n\r\n",
     );
     assert_eq!(
-        (s.result, s.usage, s.by_others, s.load_report.utilization),
+        (s.result, s.volume_usage, s.units_by_other_hosts, s.load_report.utilization),
         (AttemptResult::Completed, 0.0, 0.0, None)
     );
     let s = parse(
         "HTTP/1.1 200 OK\r\nX-Iops-Used: 41\r\nX-Server-Load: {\"utilization\":0.5}\r\nContent-Length: 0\r\n\r\n",
     );
-    assert_eq!((s.usage, s.load_report.utilization), (41.0, Some(0.5)));
+    assert_eq!((s.volume_usage, s.load_report.utilization), (41.0, Some(0.5)));
 }
