--- /dev/null
+++ b/crates/lab/src/audit/budgets.rs
@@ -0,0 +1,103 @@
+//! Rules 6 and 7: the retry budget of each host, and the limits of volumes over all hosts.
+use super::commands::Attempt;
+use super::verdict::{Rule, seconds};
+use super::{Audit, EffectiveLimit, LIMIT_SLACK, SLACK};
+use crate::trace::Micros;
+use std::collections::{BTreeMap, HashMap};
+
+impl Audit<'_> {
+    /// Rule 6: retries of one host within any window.
+    pub(super) fn check_retry_budget(&mut self) {
+        let mut retries: HashMap<u32, Vec<Micros>> = HashMap::new();
+        let mut sent: HashMap<u32, Vec<Micros>> = HashMap::new();
+        for command in &self.commands {
+            sent.entry(command.host).or_default().push(command.sent_at);
+            let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
+            for attempt in &command.attempts {
+                let count = attempts.entry(attempt.lba).or_default();
+                *count += 1;
+                if *count > 1 {
+                    retries.entry(command.host).or_default().push(attempt.at);
+                }
+            }
+        }
+        self.verdict.retries = retries.values().map(|times| times.len() as u64).sum();
+        if self.config.fleet.retry_budget_window == 0 {
+            return;
+        }
+        for (host, mut times) in retries {
+            times.sort_unstable();
+            let sent = sent.remove(&host).unwrap_or_default();
+            if let Some(line) = self.budget_violation(host, &times, &sent) {
+                self.verdict.violation(Rule::RetryBudget, line);
+            }
+        }
+    }
+
+    /// The first retry of a host beyond its budget.
+    fn budget_violation(&self, host: u32, retries: &[Micros], sent: &[Micros]) -> Option<String> {
+        let fleet = &self.config.fleet;
+        let window = fleet.retry_budget_window;
+        retries.iter().enumerate().find_map(|(i, end)| {
+            let count = retries[..=i].iter().filter(|at| **at + window >= *end + SLACK).count() as f64;
+            let recent = |at: &&Micros| **at + window + SLACK > *end && **at <= *end + SLACK;
+            let commands = sent.iter().filter(recent).count() as f64;
+            let allowed = fleet.retry_budget_min + fleet.retry_budget_ratio * commands;
+            let by = seconds(*end);
+            (count > allowed)
+                .then(|| format!("gw{host} sent {count} further submits by {by}, {allowed:.1} allowed"))
+        })
+    }
+
+    /// Rule 7: what all hosts send for a limited volume, each sub-request counted when first sent.
+    pub(super) fn check_limits(&mut self) {
+        for (v, volume) in self.config.volumes.iter().enumerate() {
+            let plan = &self.config.plans[volume.plan];
+            let constant = [EffectiveLimit {
+                from: 0,
+                until: Micros::MAX,
+                limit: plan.rate_limit,
+                burst: plan.burst_units,
+            }];
+            let limits = self.layout.limits.get(&plan.name).map_or(&constant[..], Vec::as_slice);
+            // Without a limit at some time, nothing can be said of the tokens that were saved up.
+            if limits.iter().any(|l| l.limit <= 0.0) {
+                continue;
+            }
+            let burst = limits.iter().map(|l| l.burst).fold(0.0, f64::max);
+            let tolerance = (burst * LIMIT_SLACK).max(self.config.fleet.max_io_units);
+            let (mut tokens, mut last) = (limits[0].burst, 0);
+            for (at, units) in self.first_attempts(v) {
+                // The largest limit that any host may have applied since the block I/O before.
+                let applies = |l: &&EffectiveLimit| l.from <= at && l.until >= last;
+                let largest = |of: fn(&EffectiveLimit) -> f64| {
+                    limits.iter().filter(applies).map(of).fold(0.0, f64::max)
+                };
+                let rate = largest(|l| l.limit) * (1.0 + LIMIT_SLACK) / 1e6;
+                tokens = (tokens + (at - last) as f64 * rate).min(largest(|l| l.burst)) - units;
+                last = at;
+                self.verdict.overshoot = self.verdict.overshoot.max(-tokens / tolerance);
+                if tokens < -tolerance {
+                    let (name, past, by) = (&volume.name, -tokens, seconds(at));
+                    let line = format!("{name} was sent {past:.1} units past its limit by {by}");
+                    self.verdict.violation(Rule::Limits, line);
+                    break;
+                }
+            }
+        }
+    }
+
+    /// Time and units of the first attempt of each sub-request of a volume, in order of time.
+    fn first_attempts(&self, volume: usize) -> Vec<(Micros, f64)> {
+        let mut out: Vec<(Micros, f64)> = Vec::new();
+        for command in self.commands.iter().filter(|c| c.volume == volume) {
+            let mut first: BTreeMap<u64, &Attempt> = BTreeMap::new();
+            for attempt in &command.attempts {
+                first.entry(attempt.lba).or_insert(attempt);
+            }
+            out.extend(first.values().map(|attempt| (attempt.at, self.units(attempt.blocks))));
+        }
+        out.sort_by_key(|(at, _)| *at);
+        out
+    }
+}
--- /dev/null
+++ b/crates/lab/src/cli/models.rs
@@ -0,0 +1,141 @@
+//! `model`: fleets in simulated time.
+use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
+use mallowseam_lab::fleet::views::settles_within;
+use mallowseam_lab::fleet::world::TOLD_AFTER;
+use mallowseam_lab::membership::measurements::{self, Measurements, Protocol};
+use mallowseam_lab::{model, plots};
+use std::path::Path;
+
+/// Simulated time in microseconds after which a case ends.
+const MAX_SIMULATED: u64 = 3_600_000_000;
+/// Bytes a second and host that the membership protocol may send at rest.
+const MAX_MEMBERSHIP_BYTES: f64 = 2_000.0;
+/// Simulated time in microseconds that requests in the list service's queue may take.
+const MAX_QUEUED: u64 = 1_000_000;
+
+pub(super) fn cold_start(options: &ColdStartOptions) -> CommandResult {
+    let (takes, down, seed) = (options.takes, options.down, options.seed);
+    println!("simulated, seed {seed}, {takes} ms a call, down for {down} s; bound: 1.5 * hosts * {takes} ms");
+    println!(
+        "{:>7}{:>10}{:>8}{:>14}{:>9}{:>11}{:>11}{:>9}{:>11}",
+        "hosts", "calls", "a host", "most waiting", "away", "95 % s", "last s", "bound s", "within 6 s"
+    );
+    let mut passed = true;
+    for &hosts in &options.hosts {
+        passed &= cold_start_of(hosts, options)?;
+    }
+    Ok(Finding::from(passed))
+}
+
+fn cold_start_of(hosts: u32, options: &ColdStartOptions) -> Result<bool, Box<dyn std::error::Error>> {
+    let (takes, down) = (options.takes * 1_000, options.down * 1_000_000);
+    let case = model::Case { hosts, takes, told: None, down, running: false };
+    let run = |case| model::run(case, options.seed, MAX_SIMULATED);
+    let paced = run(model::Case { told: Some(takes), ..case });
+    let untold = run(case);
+    let before = run(model::Case { told: Some(0), ..case });
+    let bound = 1.5 * f64::from(hosts) * takes as f64 / 1e6;
+    for (name, result) in [("told", &paced), ("untold", &untold), ("before", &before)] {
+        let seconds = |part| result.fresh_at(part).map_or(f64::NAN, |at| at as f64 / 1e6);
+        println!(
+            "{hosts:>7}{:>10}{:>8.2}{:>14}{:>9}{:>11.2}{:>11.2}{bound:>9.2}{:>11}  {name}",
+            result.calls,
+            result.calls as f64 / f64::from(hosts),
+            result.most_waiting,
+            result.turned_away,
+            seconds(0.95),
+            seconds(1.0),
+            result.fresh_by(TOLD_AFTER)
+        );
+    }
+    if let Some(out) = &options.out {
+        let cases = [("paced", &paced), ("untold", &untold), ("before", &before)];
+        model::write(out, &format!("cold-start-{hosts}"), &cases)?;
+    }
+    Ok(paced.fresh.len() == hosts as usize && paced.most_waiting as u64 * takes <= MAX_QUEUED)
+}
+
+pub(super) fn membership(options: &MembershipModelOptions) -> CommandResult {
+    println!("simulated, seed {}, periods of 1 s; T(N) = 100 + 20 log10 N periods", options.seed);
+    println!(
+        "{:>7}{:>9}{:>9}{:>9}{:>8}{:>10}{:>8}{:>13}{:>13}",
+        "hosts", "start s", "kill s", "heal s", "T(N)", "bytes/s", "dgr/s", "false/h", "false part"
+    );
+    let protocols: &[Protocol] = if options.built {
+        &[Protocol::Lifeguard]
+    } else {
+        &[Protocol::Lifeguard, Protocol::PlainSwim, Protocol::Heartbeats]
+    };
+    let mut passed = true;
+    let mut all: Vec<(Protocol, Measurements)> = Vec::new();
+    for &hosts in &options.hosts {
+        for &protocol in protocols {
+            let measured = measurements::measure(protocol, hosts, options.seed);
+            passed &= print_membership(protocol, hosts, &measured);
+            all.push((protocol, measured));
+        }
+    }
+    if let Some(dir) = &options.out {
+        write_csv(dir, &all)?;
+        plot_membership(dir, &options.hosts, &all)?;
+    }
+    Ok(Finding::from(passed))
+}
+
+/// Prints one row; whether the protocol as built stays within its bounds.
+fn print_membership(protocol: Protocol, hosts: usize, m: &Measurements) -> bool {
+    let bound = settles_within(hosts as u32);
+    println!(
+        "{hosts:>7}{:>9.1}{:>9.1}{:>9.1}{bound:>8.0}{:>10.0}{:>8.1}{:>13.0}{:>13.6}  {}",
+        m.start_s,
+        m.kill_s,
+        m.heal_s,
+        m.bytes_s,
+        m.datagrams_s,
+        m.false_positives_h,
+        m.false_positive_fraction,
+        protocol.name()
+    );
+    let settled = [m.start_s, m.kill_s, m.heal_s].iter().all(|seconds| *seconds <= bound);
+    protocol != Protocol::Lifeguard || settled && m.bytes_s <= MAX_MEMBERSHIP_BYTES
+}
+
+fn write_csv(dir: &Path, all: &[(Protocol, Measurements)]) -> Result<(), Box<dyn std::error::Error>> {
+    let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", dir.display());
+    std::fs::create_dir_all(dir).map_err(|e| failed(&e))?;
+    let mut table = csv::Writer::from_path(dir.join("fleet-view.csv")).map_err(|e| failed(&e))?;
+    for (_, measurements) in all {
+        table.serialize(measurements).map_err(|e| failed(&e))?;
+    }
+    table.flush().map_err(|e| failed(&e))?;
+    Ok(())
+}
+
+fn plot_membership(
+    dir: &Path,
+    hosts: &[usize],
+    all: &[(Protocol, Measurements)],
+) -> Result<(), Box<dyn std::error::Error>> {
+    let line = |protocol: Protocol, of: fn(&Measurements) -> f64| -> plots::Line<'static> {
+        let measured = all.iter().filter(|(p, _)| *p == protocol);
+        (protocol.name(), measured.map(|(_, m)| (m.hosts as f64, of(m))).collect())
+    };
+    let bound = hosts.iter().map(|hosts| (*hosts as f64, settles_within(*hosts as u32))).collect();
+    let mut settle = vec![("T(N)", bound)];
+    let mut bytes = Vec::new();
+    let mut wrong = Vec::new();
+    for protocol in [Protocol::Lifeguard, Protocol::PlainSwim, Protocol::Heartbeats] {
+        if protocol != Protocol::Heartbeats {
+            settle.push(line(protocol, |m| m.start_s.max(m.kill_s).max(m.heal_s)));
+        }
+        bytes.push(line(protocol, |m| m.bytes_s));
+        wrong.push(line(protocol, |m| m.false_positive_fraction));
+    }
+    let sheet = [
+        ("seconds until all memberships agree, the longest of three", settle),
+        ("bytes a second and host, at rest", bytes),
+        ("part of the time that a running host is held unreachable, under loss and stops", wrong),
+    ];
+    plots::write(&dir.join("fleet-view.svg"), "hosts", true, &sheet)?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/lab/src/cli/rehearsal.rs
@@ -0,0 +1,48 @@
+//! `demo`, and `rehearse` of a scenario.
+use super::{CommandResult, Finding, program, rehearsal_report};
+use mallowseam_lab::script::Scenario;
+use mallowseam_lab::{rehearsal, script};
+
+/// Scripts that come with the program.
+const SCRIPTS: [(&str, &str); 5] = [
+    ("bad-day", include_str!("../../scripts/bad-day.script")),
+    ("month-end", include_str!("../../scripts/month-end.script")),
+    ("tariff-night", include_str!("../../scripts/tariff-night.script")),
+    ("demo", include_str!("../../scripts/demo.script")),
+    ("short", include_str!("../../scripts/short.script")),
+];
+
+pub(super) fn demo(seed: u64) -> CommandResult {
+    play("demo", seed, 1, false)
+}
+
+/// Plays a script by its name, or from a file, with some seeds in a row.
+pub(super) fn play(name: &str, first_seed: u64, seeds: u64, quiet: bool) -> CommandResult {
+    let text = match SCRIPTS.iter().find(|(script, _)| *script == name) {
+        Some((_, text)) => (*text).to_owned(),
+        None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
+    };
+    let scenario = script::parse(name, &text)?;
+    let mut passed = true;
+    for seed in first_seed..first_seed + seeds {
+        print_title(name, seed, &scenario);
+        let outcome = rehearsal::run(&scenario, seed, &program(), &mut |at, line| {
+            if !quiet {
+                println!("{:>7.2} s  {line}", at as f64 / 1e6);
+            }
+        })?;
+        rehearsal_report::print(&outcome, quiet);
+        passed &= outcome.passed();
+    }
+    Ok(Finding::from(passed))
+}
+
+fn print_title(name: &str, seed: u64, scenario: &Scenario) {
+    println!(
+        "{name}, seed {seed}: {} hosts, {} nodes, {} clients, {} s",
+        scenario.hosts,
+        scenario.nodes,
+        scenario.clients,
+        scenario.duration / 1_000_000
+    );
+}
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,21 +1,29 @@
-//! Stand-ins for nodes, clients and the node list service, scripts of trouble, and the audit that judges a
-//! run by what passed on the sockets. Nothing here is part of `mallowseam`.
+//! Testbed of the gateway: stand-ins for nodes, clients and the endpoint list service, scenarios with fault injection,
+//! and the audit that judges a run by what passed on the sockets. Nothing here is part of `mallowseam`.
+//!
+//! - [`script`] describes a scenario; [`rehearsal`] plays it with host processes around which stand-ins run:
+//!   [`node`], [`load`] and [`endpoint_list_service`]. They write a common [`trace`], which [`audit`] judges.
+//! - [`fleet`] does the same with many hosts and faults on the links between them.
+//! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
+//! - [`model`], [`membership`] and [`search`] simulate and search without processes.
 pub mod audit;
-pub mod bench;
+pub mod benchmark;
 pub mod block;
-pub mod brute;
+pub mod endpoint_list_service;
+pub mod error;
+pub mod exhaustive_placement;
 pub mod fleet;
-pub mod listd;
 pub mod load;
 pub mod membership;
 pub mod model;
 pub mod node;
+pub mod placement_day;
 pub mod plots;
-pub mod rehearse;
+pub mod process;
+pub mod rehearsal;
 pub mod script;
 pub mod search;
-pub mod sharesday;
-pub mod snapbench;
+pub mod snapshot_benchmark;
 pub mod trace;
 
 pub use mallowseam_gateway::blocking_client;
--- /dev/null
+++ b/crates/lab/src/load/client.rs
@@ -0,0 +1,101 @@
+//! State of one client.
+use super::{ACCOUNT_BLOCKS, LoadConfig};
+use crate::trace::Micros;
+use mallowseam_iscsi::initiator::InitiatorConnection;
+use mio::net::TcpStream;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+/// Time within which each client sends its first command.
+const FIRST_COMMAND_WITHIN: Micros = 500_000;
+
+/// A command in flight.
+#[derive(Clone, Debug)]
+pub(super) struct InFlightCommand {
+    pub(super) id: u64,
+    pub(super) tag: u32,
+    pub(super) write: bool,
+    pub(super) lba: u64,
+    pub(super) blocks: u32,
+    pub(super) group_number: u8,
+    pub(super) deadline: Micros,
+    /// It is a retry, and is not retried again.
+    pub(super) retried: bool,
+}
+
+/// A shed command that is sent again.
+pub(super) struct Retry {
+    pub(super) at: Micros,
+    pub(super) command: InFlightCommand,
+}
+
+/// An open connection.
+pub(super) struct Link {
+    pub(super) socket: TcpStream,
+    pub(super) session: InitiatorConnection,
+}
+
+pub(super) struct Client {
+    pub(super) index: u32,
+    /// Index of its host.
+    pub(super) host: usize,
+    /// Index of its volume.
+    pub(super) volume: usize,
+    /// First block of its accounts.
+    pub(super) first_account: u64,
+    pub(super) isid: [u8; 6],
+    pub(super) link: Option<Link>,
+    /// An older connection of the same name, left for the host to close.
+    pub(super) replaced: Option<TcpStream>,
+    pub(super) connect_at: Micros,
+    pub(super) next_command_at: Micros,
+    pub(super) in_flight: Vec<InFlightCommand>,
+    pub(super) retries: Vec<Retry>,
+    pub(super) last_group_number: u8,
+    pub(super) last_tag: u32,
+    pub(super) not_reading: bool,
+    /// The host requested a logout: no new commands.
+    pub(super) logout_requested: bool,
+    /// Bytes that are still sent before the client stalls.
+    pub(super) stall_after: Option<usize>,
+    pub(super) unmatched_responses: u64,
+    pub(super) rng: Pcg64Mcg,
+}
+
+impl Client {
+    pub(super) fn new(index: u32, config: &LoadConfig, rng: &mut Pcg64Mcg) -> Self {
+        let volumes = config.volumes.len();
+        let volume = index as usize % volumes;
+        let position = u64::from(index) / volumes as u64;
+        let clients_per_volume = u64::from(config.clients).div_ceil(volumes as u64);
+        let area = config.volumes[volume].blocks / clients_per_volume / ACCOUNT_BLOCKS * ACCOUNT_BLOCKS;
+        Client {
+            index,
+            host: index as usize % config.hosts.len(),
+            volume,
+            first_account: position * area,
+            isid: [0x80, 0, 1, (index >> 8) as u8, index as u8, 0],
+            link: None,
+            replaced: None,
+            connect_at: 0,
+            next_command_at: rng.random_range(0..FIRST_COMMAND_WITHIN),
+            in_flight: Vec::new(),
+            retries: Vec::new(),
+            last_group_number: 0,
+            last_tag: 0,
+            not_reading: false,
+            logout_requested: false,
+            stall_after: None,
+            unmatched_responses: 0,
+            rng: Pcg64Mcg::seed_from_u64(rng.random()),
+        }
+    }
+
+    /// When something is next due for the client.
+    pub(super) fn next_timer(&self) -> Micros {
+        let retry = self.retries.iter().map(|r| r.at).min().unwrap_or(Micros::MAX);
+        let deadline = self.in_flight.iter().map(|c| c.deadline).min().unwrap_or(Micros::MAX);
+        let next = if self.link.is_some() { self.next_command_at } else { self.connect_at };
+        next.min(retry).min(deadline)
+    }
+}
--- /dev/null
+++ b/crates/lab/src/load/requests.rs
@@ -0,0 +1,155 @@
+//! What clients send and when, and what they make of the answers.
+use super::client::{InFlightCommand, Retry};
+use super::generator::Generator;
+use super::{ACCOUNT_BLOCKS, DEADLINE_GRACE};
+use crate::block;
+use crate::trace::{Micros, TraceEvent};
+use mallowseam_iscsi::scsi::{self, status};
+use rand::RngExt;
+
+/// Accounts of one client.
+const ACCOUNTS: u64 = 6;
+/// Part of the writes that come as a pair for one account, in order.
+const PAIR_FRACTION: f64 = 0.2;
+/// Part of the writes that write a whole account.
+const WHOLE_ACCOUNT_FRACTION: f64 = 0.5;
+/// Blocks of a write that does not write a whole account.
+const PART_OF_ACCOUNT: u32 = 2;
+/// Group numbers that clients use in turn; the next one marks extent copies.
+const GROUP_NUMBERS: u8 = crate::audit::EXTENT_COPY_GROUP;
+/// Pause of a client that logs out before it looks at its timer again.
+const LOGOUT_PAUSE: Micros = 10_000;
+/// Microseconds of one tenth of a second, the unit of a retry hint.
+const RETRY_HINT_UNIT: Micros = 100_000;
+
+impl Generator {
+    /// Does what is due for a client.
+    pub(super) fn on_timer(&mut self, index: usize) {
+        let now = self.trace.now();
+        let client = &mut self.clients[index];
+        if client.link.is_none() {
+            client.next_command_at = client.next_command_at.max(now);
+            if now >= client.connect_at {
+                self.connect(index);
+            }
+            return;
+        }
+        self.abort_late(index, now);
+        let client = &mut self.clients[index];
+        if client.logout_requested {
+            if let Some(link) = client.link.as_mut().filter(|link| link.session.in_flight() == 0) {
+                link.session.send_logout_request();
+                client.logout_requested = false;
+            }
+            client.next_command_at = client.next_command_at.max(now + LOGOUT_PAUSE);
+            return;
+        }
+        if client.not_reading || client.stall_after.is_some() {
+            client.next_command_at = client.next_command_at.max(now);
+            return;
+        }
+        if self.draining {
+            client.retries.clear();
+            client.next_command_at = Micros::MAX;
+            return;
+        }
+        self.send_due(index, now);
+    }
+
+    /// Aborts commands past their deadline: an answer would come too late.
+    fn abort_late(&mut self, index: usize, now: Micros) {
+        let client = &mut self.clients[index];
+        while let Some(i) = client.in_flight.iter().position(|c| c.deadline <= now) {
+            let command = client.in_flight.swap_remove(i);
+            if let Some(link) = &mut client.link {
+                link.session.abort_task(command.tag);
+            }
+        }
+    }
+
+    /// Sends the retries and the new command that are due.
+    fn send_due(&mut self, index: usize, now: Micros) {
+        while let Some(i) = self.clients[index].retries.iter().position(|retry| retry.at <= now) {
+            let Retry { command, .. } = self.clients[index].retries.swap_remove(i);
+            self.send_command(index, command.write, command.lba, command.blocks, true);
+            if self.clients[index].link.is_none() {
+                return;
+            }
+        }
+        if now < self.clients[index].next_command_at {
+            return;
+        }
+        let client = &mut self.clients[index];
+        let rate = self.config.command_rate * self.scale * self.surges[client.volume];
+        // Exponential intervals, of an hour at most.
+        let interval = -client.rng.random::<f64>().max(1e-9).ln() / rate.max(1e-6);
+        client.next_command_at = now + (interval * 1e6).min(3.6e9) as Micros;
+        let write = client.rng.random::<f64>() < self.config.write_fraction;
+        self.request(index, write, None);
+    }
+
+    /// Sends a read, or one or two writes, of one of the client's accounts.
+    pub(super) fn request(&mut self, index: usize, write: bool, blocks: Option<u32>) {
+        let client = &mut self.clients[index];
+        let account = client.first_account + client.rng.random_range(0..ACCOUNTS) * ACCOUNT_BLOCKS;
+        if !write {
+            let blocks = blocks.unwrap_or(ACCOUNT_BLOCKS as u32 * client.rng.random_range(1..4));
+            return self.send_command(index, false, account, blocks, false);
+        }
+        let pair = client.rng.random::<f64>() < PAIR_FRACTION;
+        let whole = client.rng.random::<f64>() < WHOLE_ACCOUNT_FRACTION;
+        let blocks = if whole { ACCOUNT_BLOCKS as u32 } else { PART_OF_ACCOUNT };
+        for _ in 0..1 + usize::from(pair) {
+            self.send_command(index, true, account, blocks, false);
+        }
+    }
+
+    fn send_command(&mut self, index: usize, write: bool, lba: u64, blocks: u32, retried: bool) {
+        let client = &mut self.clients[index];
+        let volume = &self.config.volumes[client.volume];
+        let blocks = blocks.min((volume.blocks - lba) as u32);
+        let Some(link) = client.link.as_mut().filter(|link| link.session.can_send()) else { return };
+        // Two reads of the same blocks in flight differ in their group number, so that a trace can tell them apart.
+        for _ in 0..GROUP_NUMBERS {
+            client.last_group_number = (client.last_group_number + 1) % GROUP_NUMBERS;
+            if !client.in_flight.iter().any(|c| c.group_number == client.last_group_number) {
+                break;
+            }
+        }
+        client.last_tag = client.last_tag.wrapping_add(1);
+        let (id, tag, group_number) = (self.next_command, client.last_tag, client.last_group_number);
+        self.next_command += 1;
+        let deadline = if write { volume.write_deadline } else { volume.read_deadline };
+        let data = if write { block::write(id, lba, blocks) } else { Vec::new() };
+        let read_len = if write { 0 } else { blocks as usize * block::SIZE };
+        self.trace.record(TraceEvent::CommandSent {
+            command: id,
+            client: client.index,
+            host: client.host as u32,
+            volume: client.volume as u32,
+            write,
+            lba,
+            blocks,
+            group_number,
+        });
+        let cdb = scsi::read_or_write_16(write, lba, blocks, group_number);
+        link.session.send_command(tag, volume.lun, &cdb, read_len, data.into());
+        let deadline = self.trace.now() + deadline + DEADLINE_GRACE;
+        let command = InFlightCommand { id, tag, write, lba, blocks, group_number, deadline, retried };
+        client.in_flight.push(command);
+    }
+
+    /// Records an answer, and retries a command that was shed.
+    pub(super) fn on_answer(&mut self, index: usize, tag: u32, code: u8, data: &[u8], retry_after: u16) {
+        let client = &mut self.clients[index];
+        let Some(i) = client.in_flight.iter().position(|c| c.tag == tag) else { return };
+        let command = client.in_flight.swap_remove(i);
+        let read = data.chunks(block::SIZE).zip(command.lba..).map(|(b, lba)| block::read(b, lba)).collect();
+        self.trace.record(TraceEvent::CommandAnswered { command: command.id, status: code, read });
+        if matches!(code, status::BUSY | status::TASK_SET_FULL) && !command.retried {
+            let hint = u64::from(retry_after) * RETRY_HINT_UNIT;
+            let wait = hint + client.rng.random_range(50_000..150_000);
+            client.retries.push(Retry { at: self.trace.now() + wait, command });
+        }
+    }
+}
--- /dev/null
+++ b/crates/lab/src/load/transport.rs
@@ -0,0 +1,121 @@
+//! Connections of the clients.
+use super::FIRST_CLIENT;
+use super::client::{Client, Link};
+use super::commands::RECONNECT_PAUSE;
+use super::generator::Generator;
+use crate::trace::{Micros, TraceEvent};
+use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
+use mallowseam_iscsi::scsi::status;
+use mio::net::TcpStream;
+use mio::{Interest, Token};
+use rand::RngExt;
+use std::io::{ErrorKind, Read, Write};
+
+/// Pause before a client connects again after a logout.
+const LOGOUT_RECONNECT_PAUSE: Micros = 300_000;
+/// Jitter of the pause before a client connects again.
+const RECONNECT_JITTER: Micros = 100_000;
+
+impl Generator {
+    pub(super) fn connect(&mut self, index: usize) {
+        let client = &mut self.clients[index];
+        client.connect_at = self.trace.now() + client.rng.random_range(100_000..300_000);
+        let Ok(mut socket) = TcpStream::connect(self.config.hosts[client.host]) else { return };
+        let _ = socket.set_nodelay(true);
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        if self.poll.registry().register(&mut socket, Token(FIRST_CLIENT + index), interest).is_err() {
+            return;
+        }
+        let name = format!("iqn.2026-12.example.lab:counter{}", client.index);
+        let target = Some(self.config.target.as_str());
+        let session = InitiatorConnection::new(&name, target, client.isid, &self.config.proposal);
+        client.link = Some(Link { socket, session });
+    }
+
+    /// The client will receive no answer to what it has sent.
+    pub(super) fn abandon_all(&mut self, index: usize) {
+        for command in self.clients[index].in_flight.drain(..) {
+            self.trace.record(TraceEvent::CommandAbandoned { command: command.id });
+        }
+        self.clients[index].retries.clear();
+    }
+
+    /// The host closed the connection: it has left what it had accepted without an answer.
+    fn on_connection_lost(&mut self, index: usize) {
+        self.clients[index].in_flight.clear();
+        self.disconnect(index, RECONNECT_PAUSE);
+    }
+
+    pub(super) fn disconnect(&mut self, index: usize, pause: Micros) {
+        self.abandon_all(index);
+        let client = &mut self.clients[index];
+        if let Some(mut link) = client.link.take() {
+            let _ = self.poll.registry().deregister(&mut link.socket);
+        }
+        client.logout_requested = false;
+        client.connect_at = self.trace.now() + pause + client.rng.random_range(0..RECONNECT_JITTER);
+    }
+
+    pub(super) fn flush(&mut self, index: usize) {
+        let client = &mut self.clients[index];
+        let Some(Link { socket, session }) = &mut client.link else { return };
+        loop {
+            let buffer = session.send_buffer();
+            let len = client.stall_after.unwrap_or(usize::MAX).min(buffer.unsent().len());
+            if len == 0 {
+                return;
+            }
+            match socket.write(&buffer.unsent()[..len]) {
+                Ok(sent) => {
+                    buffer.mark_sent(sent);
+                    if let Some(left) = &mut client.stall_after {
+                        *left -= sent;
+                    }
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
+                Err(_) => return self.on_connection_lost(index),
+            }
+        }
+    }
+
+    pub(super) fn read(&mut self, index: usize) {
+        while let Client { not_reading: false, link: Some(link), .. } = &mut self.clients[index] {
+            match link.socket.read(&mut self.scratch) {
+                Ok(0) => return self.on_connection_lost(index),
+                Ok(len) => {
+                    if link.session.receive(&self.scratch[..len]).is_err() {
+                        return self.on_connection_lost(index);
+                    }
+                    self.on_received(index);
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return self.on_connection_lost(index),
+            }
+        }
+    }
+
+    fn on_received(&mut self, index: usize) {
+        while let Some(event) = self.clients[index].link.as_mut().and_then(|link| link.session.next_event()) {
+            match event {
+                InitiatorEvent::CommandCompleted { tag, status: code, data, retry_after, .. } => {
+                    self.on_answer(index, tag, code, &data, retry_after);
+                }
+                InitiatorEvent::CommandRejected { tag, .. } => {
+                    self.on_answer(index, tag, status::CHECK_CONDITION, &[], 0);
+                }
+                InitiatorEvent::LogoutRequested => self.clients[index].logout_requested = true,
+                InitiatorEvent::LoggedOut => return self.disconnect(index, LOGOUT_RECONNECT_PAUSE),
+                InitiatorEvent::LoggedIn
+                | InitiatorEvent::CommandAborted { .. }
+                | InitiatorEvent::TextResponse(_) => {}
+            }
+        }
+        let client = &mut self.clients[index];
+        let unmatched = client.link.as_ref().map_or(0, |link| link.session.unmatched_responses());
+        if unmatched > client.unmatched_responses {
+            self.trace.record(TraceEvent::UnexpectedAnswer { client: client.index });
+        }
+        client.unmatched_responses = unmatched;
+    }
+}
--- /dev/null
+++ b/crates/lab/src/script/parse.rs
@@ -0,0 +1,153 @@
+//! Reads the head of a script.
+use super::{CatalogScenario, Scenario, faults};
+use crate::node::Model;
+use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
+
+/// What a script's error message expects where a duration is missing.
+pub(super) const DURATION: &str = "a duration such as 3s";
+const DIRECTIVES: &str =
+    "day, hosts, nodes, cold, clients, list-lag, kept-list, digests, catalog, tariffs, at or site";
+
+/// Reads a script.
+///
+/// # Errors
+/// All mistakes in the script at once.
+pub fn parse(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
+    let mut diagnostics = Diagnostics::new(file);
+    let mut scenario = default_scenario(file);
+    for (i, line) in text.lines().enumerate() {
+        let words = tokenize(i + 1, line, &mut diagnostics);
+        let Some(first) = words.first() else { continue };
+        if first.text == "site" {
+            break;
+        }
+        let position = first.position;
+        let name = first.text.clone();
+        let mut args = Arguments::new(&words, &mut diagnostics);
+        if directive(&mut scenario, &name, &mut args) {
+            args.expect_end();
+        } else {
+            diagnostics.add(position, DIRECTIVES, format!("`{name}`"));
+        }
+    }
+    // The sections keep the line numbers that they have in the script.
+    let start = text.lines().take_while(|l| l.trim() != "site").count() + 1;
+    scenario.config_sections = text.lines().skip(start).collect::<Vec<_>>().join("\n");
+    check_required(&scenario, &mut diagnostics);
+    scenario.events.sort_by_key(|e| e.at);
+    if diagnostics.is_empty() { Ok(scenario) } else { Err(diagnostics.sorted()) }
+}
+
+fn default_scenario(name: &str) -> Scenario {
+    Scenario {
+        name: name.to_owned(),
+        duration: 0,
+        hosts: 0,
+        nodes: 0,
+        model: Model::quick(1, 4_000.0, 32),
+        clients: 0,
+        command_rate: 0.0,
+        write_fraction: 0.0,
+        list_lag: 0,
+        cached_list: true,
+        digests: false,
+        catalog: None,
+        plan_change_interval: None,
+        events: Vec::new(),
+        config_sections: String::new(),
+    }
+}
+
+fn check_required(scenario: &Scenario, diagnostics: &mut Diagnostics) {
+    let top = Position { line: 1, column: 1 };
+    for (name, present) in [
+        ("day", scenario.duration > 0),
+        ("hosts", scenario.hosts > 0),
+        ("nodes", scenario.nodes > 0),
+        ("clients", scenario.clients > 0),
+    ] {
+        if !present {
+            diagnostics.add(top, format!("`{name}` in the script"), "none");
+        }
+    }
+}
+
+/// Reads one line of the head. False where the directive is unknown.
+fn directive(scenario: &mut Scenario, name: &str, args: &mut Arguments) -> bool {
+    match name {
+        "day" => scenario.duration = args.duration(DURATION).unwrap_or(1),
+        "hosts" => scenario.hosts = args.integer("1 to 64", 1, 64).unwrap_or(1) as u32,
+        "nodes" => nodes(scenario, args),
+        "cold" => cold(&mut scenario.model, args),
+        "clients" => clients(scenario, args),
+        "list-lag" => scenario.list_lag = args.duration(DURATION).unwrap_or(0),
+        "kept-list" => scenario.cached_list = yes_or_no(args).unwrap_or(true),
+        "digests" => scenario.digests = true,
+        "catalog" => {
+            let extent = args.integer("blocks of an extent", 1, 65536);
+            let copy_class = args.text("the name of a group");
+            scenario.catalog =
+                extent.zip(copy_class).map(|(extent, copy_class)| CatalogScenario { extent, copy_class });
+        }
+        "tariffs" => {
+            args.value("every", |word| (word == "every").then_some(()));
+            scenario.plan_change_interval = args.duration(DURATION).filter(|n| *n > 0);
+        }
+        "at" => scenario.events.extend(faults::parse(args).into_iter().flatten()),
+        _ => return false,
+    }
+    true
+}
+
+fn nodes(scenario: &mut Scenario, args: &mut Arguments) {
+    scenario.nodes = args.integer("1 to 64", 1, 64).unwrap_or(1) as u32;
+    while args.has_more() {
+        if !node_figure(&mut scenario.model, args) {
+            args.value::<()>("cores, work or queue", |_| None);
+        }
+    }
+}
+
+fn clients(scenario: &mut Scenario, args: &mut Arguments) {
+    scenario.clients = args.integer("1 to 1000", 1, 1000).unwrap_or(1) as u32;
+    while args.has_more() {
+        if args.accept("rate") {
+            scenario.command_rate = args.rate("commands a second such as 5/s").unwrap_or(0.0);
+        } else if args.accept("posts") {
+            scenario.write_fraction = args.percent("a percentage").unwrap_or(0.0);
+        } else {
+            args.value::<()>("rate or posts", |_| None);
+        }
+    }
+}
+
+fn yes_or_no(args: &mut Arguments) -> Option<bool> {
+    args.value("yes or no", |word| match word {
+        "yes" => Some(true),
+        "no" => Some(false),
+        _ => None,
+    })
+}
+
+/// Reads one of the figures behind `nodes`; false where the next word names none.
+pub fn node_figure(model: &mut Model, args: &mut Arguments) -> bool {
+    if args.accept("cores") {
+        model.cores = args.integer("1 to 64", 1, 64).unwrap_or(1) as usize;
+    } else if args.accept("work") {
+        model.unit_work = args.duration("the work of a unit").unwrap_or(0) as f64;
+    } else if args.accept("queue") {
+        model.queue = args.integer("1 to 4096", 1, 4096).unwrap_or(1) as usize;
+    } else {
+        return false;
+    }
+    true
+}
+
+/// Reads what stands behind `cold`: how a node warms up, and what overloads it meanwhile.
+pub fn cold(model: &mut Model, args: &mut Arguments) {
+    model.cold_from = args.percent("a percentage").unwrap_or(1.0).max(0.01);
+    model.cold_span = args.duration(DURATION).unwrap_or(0);
+    model.fall_multiple = args.number("a multiple from 1 up", 1.0, 1e6).unwrap_or(1.0);
+    model.fall_span = args.duration(DURATION).unwrap_or(0);
+    model.cold_bears = args.number("units", 0.0, 1e9).unwrap_or(0.0);
+}
--- /dev/null
+++ b/crates/lab/src/snapshot_benchmark/sockets.rs
@@ -0,0 +1,304 @@
+//! Writes around cuts, first writes and reads, over sockets.
+use super::Options;
+use crate::benchmark::{address, latency_histogram};
+use crate::block;
+use crate::blocking_client::BlockingClient;
+use crate::error::RunError;
+use crate::node::{Model, Node};
+use crate::process::{KilledOnDrop, Program};
+use crate::trace::Trace;
+use mallowseam_gateway::send_request;
+use mallowseam_iscsi::initiator::InitiatorEvent;
+use mallowseam_iscsi::scsi::{self, status};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+const TARGET: &str = "iqn.2026-12.example.lab:gateway";
+/// Blocks of one write: 4 KiB.
+const BLOCKS: u32 = 8;
+/// Blocks of one extent: 128 KiB.
+const EXTENT: u64 = 256;
+/// Extents of the volume.
+const EXTENTS: u64 = 64;
+const NODES: u8 = 3;
+/// Writes so shortly before or after a cut are counted apart.
+const NEAR_CUT: Duration = Duration::from_millis(20);
+/// Number of the first snapshot taken under load, above all others; and of those for each measurement.
+const FIRST_LOADED_SNAPSHOT: u32 = 100_000;
+const SNAPSHOTS_PER_MEASUREMENT: u32 = 1_000;
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const START_POLL: Duration = Duration::from_millis(10);
+
+/// A host and a catalog with their nodes.
+struct Site {
+    dir: tempfile::TempDir,
+    host_address: SocketAddr,
+    // Ended in this order.
+    _host: KilledOnDrop,
+    _catalog: KilledOnDrop,
+    _nodes: Vec<Node>,
+}
+
+impl Site {
+    fn start(options: &Options, program: &Program) -> Result<Site, RunError> {
+        let dir = tempfile::tempdir().map_err(RunError::io("temporary directory"))?;
+        let model = Model::quick(2, 50.0, 4096);
+        let mut nodes = Vec::new();
+        for i in 0..NODES {
+            let target = node_target(i);
+            let node = Node::start(
+                i.into(),
+                address(1 + i),
+                &target,
+                model.clone(),
+                Trace::disabled(),
+                options.seed,
+            );
+            nodes.push(node.map_err(RunError::io("node stand-in"))?);
+        }
+        let file = dir.path().join("conf");
+        std::fs::write(&file, config_text(options, dir.path())).map_err(RunError::io("configuration"))?;
+        let catalog = KilledOnDrop::start(program, &["catalog", "--log", "warn"], &file)?;
+        wait_for_answer(&dir.path().join("catalog.sock"), "list")?;
+        let host = KilledOnDrop::start(program, &["run", "--log", "warn"], &file)?;
+        wait_for_answer(&dir.path().join("gw.sock"), "status")?;
+        Ok(Site { dir, host_address: address(101), _host: host, _catalog: catalog, _nodes: nodes })
+    }
+
+    fn catalog_socket(&self) -> PathBuf {
+        self.dir.path().join("catalog.sock")
+    }
+}
+
+fn node_target(i: u8) -> String {
+    format!("iqn.2026-12.example.lab:node{i}")
+}
+
+fn config_text(options: &Options, dir: &Path) -> String {
+    let dir = dir.display();
+    let mut text = format!(
+        "host gw0\n  listen {}\n  target {TARGET}\n  control \"{dir}/gw.sock\"\n  node-list static\n  window 64\n  \
+         connections 40\n  longest 1MiB\n  seed {}\nfleet\n  hosts 1\n  unit 4KiB\n  mean-units 4\n  \
+         largest-units 64\n  submits 3\ncatalog\n  listen {}\n  store \"{dir}/store\"\n  control \
+         \"{dir}/catalog.sock\"\n  extent {EXTENT}\n  copies copy\nplan free\n  reserve 99999/s\ngroup all\n  \
+         effect idempotent\n  goal 2s\n  hard-limit 4s\ngroup copy\n  effect idempotent\n  goal 1s\n  \
+         hard-limit 2s\n  gain 2\nvolume a\n  lun 0\n  plan free\n  blocks {}\n  block-size 512B\n  hosts 1\n  \
+         mapped\n  rule any all\n",
+        address(101),
+        options.seed,
+        address(102),
+        EXTENT * EXTENTS,
+    );
+    for i in 0..NODES {
+        text += &format!("node node{i}\n  address {}\n  target {}\n", address(1 + i), node_target(i));
+    }
+    text
+}
+
+fn wait_for_answer(socket: &Path, request: &str) -> Result<(), RunError> {
+    let began = Instant::now();
+    while send_request(socket, request).is_err() {
+        if began.elapsed() > START_TIMEOUT {
+            return Err(RunError::NoControlSocket(socket.to_owned()));
+        }
+        std::thread::sleep(START_POLL);
+    }
+    Ok(())
+}
+
+fn take_snapshot(socket: &Path, number: u32) -> Result<(), RunError> {
+    send_request(socket, &format!("snapshot a s{number}"))?;
+    Ok(())
+}
+
+/// A command that completed; times are counted from the start of its phase.
+struct Completed {
+    sent: Duration,
+    latency: Duration,
+    extent: u64,
+}
+
+/// A snapshot under load: when it was requested and granted.
+struct Cut {
+    requested: Duration,
+    granted: Duration,
+}
+
+impl Cut {
+    fn is_near(&self, sent: Duration) -> bool {
+        sent + NEAR_CUT >= self.requested && sent <= self.granted + NEAR_CUT
+    }
+}
+
+/// Runs the part over sockets and returns its table.
+pub(super) fn measure(options: &Options, program: &Program) -> Result<String, RunError> {
+    let site = Site::start(options, program)?;
+    let socket = site.catalog_socket();
+    let mut client = BlockingClient::open(site.host_address, Some(TARGET), 1)?;
+    let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
+    let mut out = format!(
+        "on sockets: a volume of {EXTENTS} extents of {} KiB on {NODES} nodes, 4 KiB writes, {} in flight; ms\n",
+        EXTENT / 2,
+        options.depth
+    );
+    let columns = ["commands", "median", "p99", "longest", "cuts"].map(|name| format!("{name:>10}"));
+    out += &format!("{:<28}{}\n", "", columns.concat());
+    let mut taken = 0;
+    for wanted in &options.snapshots {
+        // Every extent has its location, and between two snapshots one of them is written.
+        write_each_extent(&mut client)?;
+        while taken < *wanted {
+            take_snapshot(&socket, taken)?;
+            taken += 1;
+            write_block(&mut client, rng.random_range(0..EXTENTS) * EXTENT)?;
+        }
+        write_each_extent(&mut client)?;
+        let writes = drive(&mut client, options, true, &mut rng, Instant::now())?;
+        let reads = drive(&mut client, options, false, &mut rng, Instant::now())?;
+        let first_snapshot = FIRST_LOADED_SNAPSHOT + taken * SNAPSHOTS_PER_MEASUREMENT;
+        let (loaded, cuts) = drive_with_cuts(&mut client, options, &mut rng, &socket, first_snapshot)?;
+        let split = LatenciesAroundCuts::split(&loaded, &cuts);
+        taken += cuts.len() as u32;
+        let latencies = |commands: &[Completed]| commands.iter().map(|c| c.latency).collect::<Vec<_>>();
+        out += &row(&format!("behind {wanted}: reads, no cuts"), &latencies(&reads), 0);
+        out += &row("  writes, no cuts", &latencies(&writes), 0);
+        out += &row("  writes 20 ms around cuts", &split.near_cuts, cuts.len());
+        out += &row("  first writes after cuts", &split.first_writes, cuts.len());
+        out += &row("  other writes", &split.others, cuts.len());
+    }
+    Ok(out)
+}
+
+/// Latencies of writes, by where they stand to the cuts.
+#[derive(Default)]
+struct LatenciesAroundCuts {
+    /// The first write to an extent after a cut, which copies the extent.
+    first_writes: Vec<Duration>,
+    near_cuts: Vec<Duration>,
+    others: Vec<Duration>,
+}
+
+impl LatenciesAroundCuts {
+    fn split(writes: &[Completed], cuts: &[Cut]) -> Self {
+        let mut split = LatenciesAroundCuts::default();
+        // Cuts before a write, and the extent written.
+        let mut written = BTreeSet::new();
+        for write in writes {
+            let cuts_before = cuts.iter().filter(|cut| cut.requested <= write.sent).count();
+            if cuts_before > 0 && written.insert((cuts_before, write.extent)) {
+                split.first_writes.push(write.latency);
+            } else if cuts.iter().any(|cut| cut.is_near(write.sent)) {
+                split.near_cuts.push(write.latency);
+            } else {
+                split.others.push(write.latency);
+            }
+        }
+        split
+    }
+}
+
+fn row(name: &str, latencies: &[Duration], cuts: usize) -> String {
+    let mut histogram = latency_histogram();
+    latencies.iter().for_each(|latency| histogram.saturating_record(latency.as_nanos() as u64));
+    let ms = |ns: u64| ns as f64 / 1e6;
+    let [median, p99] = [0.5, 0.99].map(|quantile| ms(histogram.value_at_quantile(quantile)));
+    let longest = ms(histogram.max());
+    let commands = latencies.len();
+    format!("{name:<28}{commands:>10}{median:>10.2}{p99:>10.2}{longest:>10.2}{cuts:>10}\n")
+}
+
+/// Writes for a phase while snapshots are taken in turn by another thread.
+fn drive_with_cuts(
+    client: &mut BlockingClient,
+    options: &Options,
+    rng: &mut Pcg64Mcg,
+    socket: &Path,
+    first_snapshot: u32,
+) -> Result<(Vec<Completed>, Vec<Cut>), RunError> {
+    let over = AtomicBool::new(false);
+    let began = Instant::now();
+    std::thread::scope(|scope| {
+        let cutter = scope.spawn(|| -> Result<Vec<Cut>, RunError> {
+            let mut cuts = Vec::new();
+            for number in first_snapshot.. {
+                if over.load(Ordering::Relaxed) {
+                    break;
+                }
+                std::thread::sleep(Duration::from_millis(options.every));
+                let requested = began.elapsed();
+                take_snapshot(socket, number)?;
+                cuts.push(Cut { requested, granted: began.elapsed() });
+            }
+            Ok(cuts)
+        });
+        let completed = drive(client, options, true, rng, began);
+        over.store(true, Ordering::Relaxed);
+        let cuts = cutter.join().map_err(|_| RunError::Thread("the snapshot thread"))??;
+        Ok((completed?, cuts))
+    })
+}
+
+fn write_each_extent(client: &mut BlockingClient) -> Result<(), RunError> {
+    (0..EXTENTS).try_for_each(|extent| write_block(client, extent * EXTENT))
+}
+
+fn write_block(client: &mut BlockingClient, lba: u64) -> Result<(), RunError> {
+    let cdb = scsi::read_or_write_16(true, lba, BLOCKS, 0);
+    let answer = client.execute(0, &cdb, 0, block::write(1, lba, BLOCKS))?;
+    if answer.status == status::GOOD {
+        Ok(())
+    } else {
+        Err(RunError::CommandFailed { status: answer.status, sense: answer.sense })
+    }
+}
+
+/// Keeps writes, or reads, in flight for the seconds of a phase.
+fn drive(
+    client: &mut BlockingClient,
+    options: &Options,
+    write: bool,
+    rng: &mut Pcg64Mcg,
+    began: Instant,
+) -> Result<Vec<Completed>, RunError> {
+    // When the command of each tag was sent, and to which extent.
+    let mut in_flight: Vec<Option<(Duration, u64)>> = vec![None; options.depth];
+    let mut completed = Vec::new();
+    loop {
+        let over = began.elapsed() >= Duration::from_secs(options.seconds);
+        for (tag, slot) in in_flight.iter_mut().enumerate() {
+            if slot.is_none() && !over && client.conn.can_send() {
+                let extent = send_random(client, tag as u32, write, rng);
+                *slot = Some((began.elapsed(), extent));
+            }
+        }
+        if over && in_flight.iter().all(Option::is_none) {
+            return Ok(completed);
+        }
+        client.exchange()?;
+        while let Some(event) = client.conn.next_event() {
+            let InitiatorEvent::CommandCompleted { tag, status: code, sense, .. } = event else { continue };
+            if code != status::GOOD {
+                return Err(RunError::CommandFailed { status: code, sense });
+            }
+            if let Some((sent, extent)) = in_flight[tag as usize].take() {
+                let latency = began.elapsed().saturating_sub(sent);
+                completed.push(Completed { sent, latency, extent });
+            }
+        }
+    }
+}
+
+/// Sends a command to random blocks; the extent that they are in.
+fn send_random(client: &mut BlockingClient, tag: u32, write: bool, rng: &mut Pcg64Mcg) -> u64 {
+    let lba = rng.random_range(0..EXTENT * EXTENTS / u64::from(BLOCKS)) * u64::from(BLOCKS);
+    let data = if write { block::write(2, lba, BLOCKS) } else { Vec::new() };
+    let read_len = if write { 0 } else { BLOCKS as usize * block::SIZE };
+    let cdb = scsi::read_or_write_16(write, lba, BLOCKS, 0);
+    client.conn.send_command(tag, 0, &cdb, read_len, data.into());
+    lba / EXTENT
+}
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -12,7 +12,7 @@
     let pid = std::process::id();
     let address = |n| SocketAddr::from(([127, 252, pid as u8, run * 4 + n], 3260));
     let model = Model::quick(8, 0.0, 64);
-    let _node = Node::start(0, address(1), "iqn.t:node0", model, Trace::off(), 1).expect("a node");
+    let _node = Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
     let dir = tempfile::tempdir().expect("a directory");
     let control = dir.path().join("sock");
     let text = format!(
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_block_io_costs_no_allocation_but_its_data_buffers() {
-    // A read: the buffer that takes its data. A write: the same, and the count of those who share it. What
+    // A read: the buffer that takes its data. A write: the same, and the count of those who share it. TraceEvent
     // else grows does so ever more seldom.
     for (run, write, most) in [(1, false, 1.05), (3, true, 2.05)] {
         let few = allocations(run, write, 2_000);
--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -1,8 +1,8 @@
 //! The audit catches each broken rule in a doctored trace, and finds nothing in the sound one.
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::audit::{InForce, Places, Verdict, judge};
+use mallowseam_lab::audit::{EffectiveLimit, Layout, Verdict, judge};
 use mallowseam_lab::node::Model;
-use mallowseam_lab::trace::{Micros, Seen, What};
+use mallowseam_lab::trace::{Micros, TraceEntry, TraceEvent};
 use mallowseam_settings::GatewayConfig;
 
 const SITE: &str = "
@@ -65,14 +65,14 @@
 /// A run, written down step by step.
 #[derive(Default)]
 struct Run {
-    seen: Vec<Seen>,
+    seen: Vec<TraceEntry>,
     asked: Vec<(u64, bool, u64, u32, u8)>,
     tasks: u32,
 }
 
 impl Run {
-    fn note(&mut self, at: Micros, what: What) -> &mut Self {
-        self.seen.push(Seen { at: at * MS, what });
+    fn note(&mut self, at: Micros, event: TraceEvent) -> &mut Self {
+        self.seen.push(TraceEntry { at: at * MS, event });
         self
     }
 
@@ -82,33 +82,57 @@
     }
 
     fn ask_of(&mut self, at: Micros, op: u64, write: bool, volume: u32, lba: u64) -> &mut Self {
-        let mark = (op % 32) as u8;
-        self.asked.push((op, write, lba, volume, mark));
-        self.note(at, What::Asked { op, client: 0, host: 0, volume, write, lba, blocks: 8, mark })
+        let group_number = (op % 32) as u8;
+        self.asked.push((op, write, lba, volume, group_number));
+        self.note(
+            at,
+            TraceEvent::CommandSent {
+                command: op,
+                client: 0,
+                host: 0,
+                volume,
+                write,
+                lba,
+                blocks: 8,
+                group_number,
+            },
+        )
     }
 
     /// The node of the command's volume gets it; the number of that submit.
     fn got(&mut self, at: Micros, op: u64) -> u32 {
-        let (_, write, lba, volume, mark) = *self.asked.iter().find(|a| a.0 == op).expect("asked");
+        let (_, write, lba, volume, group_number) = *self.asked.iter().find(|a| a.0 == op).expect("asked");
         self.tasks += 1;
-        let wrote = if write { vec![op; 8] } else { vec![] };
+        let write_ids = if write { vec![op; 8] } else { vec![] };
         let task = self.tasks;
-        let (node, line, lun) = (volume, 1, 0);
+        let (node, connection, lun) = (volume, 1, 0);
         self.note(
             at,
-            What::Got { node, host: 0, line, task, lun, write, lba, blocks: 8, mark, wrote, first: None },
+            TraceEvent::NodeReceived {
+                node,
+                host: 0,
+                connection,
+                task,
+                lun,
+                write,
+                lba,
+                blocks: 8,
+                group_number,
+                write_ids,
+                first_lba: None,
+            },
         );
         task
     }
 
     fn said(&mut self, at: Micros, node: u32, task: u32, code: u8) -> &mut Self {
-        self.note(at, What::Said { node, line: 1, task, status: code })
+        self.note(at, TraceEvent::NodeAnswered { node, connection: 1, task, status: code })
     }
 
     fn answer(&mut self, at: Micros, op: u64, code: u8, shows: Option<u64>) -> &mut Self {
         let write = self.asked.iter().find(|a| a.0 == op).expect("asked").1;
         let read = if write || code != status::GOOD { vec![] } else { vec![shows; 8] };
-        self.note(at, What::Answered { op, status: code, read })
+        self.note(at, TraceEvent::CommandAnswered { command: op, status: code, read })
     }
 
     /// A command from asking to its end, in ten milliseconds.
@@ -119,10 +143,10 @@
     }
 
     fn judge(&self) -> Verdict {
-        self.judge_with(&Places::default())
+        self.judge_with(&Layout::default())
     }
 
-    fn judge_with(&self, places: &Places) -> Verdict {
+    fn judge_with(&self, places: &Layout) -> Verdict {
         let site: GatewayConfig = mallowseam_settings::parse("site", SITE).expect("sound");
         let model = Model {
             cores: 1,
@@ -143,8 +167,8 @@
     /// Which rules the audit holds broken; 8 stands for wrong bytes.
     fn broken(&self) -> Vec<usize> {
         let v = self.judge();
-        let mut rules: Vec<usize> = (1..=7).filter(|r| !v.broken[r - 1].is_empty()).collect();
-        rules.extend((!v.wrong.is_empty()).then_some(8));
+        let mut rules: Vec<usize> = (1..=7).filter(|r| !v.violations[r - 1].is_empty()).collect();
+        rules.extend((!v.wrong_data.is_empty()).then_some(8));
         rules
     }
 }
@@ -169,14 +193,14 @@
     let mut run = sound();
     run.ask(100, 5, false, 8);
     assert_eq!((run.broken(), run.judge().unanswered), (vec![1], 1));
-    run.note(150, What::Left { op: 5 });
+    run.note(150, TraceEvent::CommandAbandoned { command: 5 });
     assert!(run.broken().is_empty(), "{:?}", run.judge());
 }
 
 #[test]
 fn what_a_killed_host_held_is_no_longer_its_duty() {
     let mut run = sound();
-    run.ask(100, 5, false, 8).note(300, What::HostDown { host: 0 });
+    run.ask(100, 5, false, 8).note(300, TraceEvent::HostDown { host: 0 });
     assert!(run.broken().is_empty(), "{:?}", run.judge());
 }
 
@@ -193,10 +217,10 @@
 fn a_second_answer_is_caught() {
     let mut run = sound();
     run.answer(70, 4, status::GOOD, Some(3));
-    assert_eq!((run.broken(), run.judge().doubled), (vec![1], 1));
+    assert_eq!((run.broken(), run.judge().duplicated), (vec![1], 1));
     let mut run = sound();
-    run.note(70, What::Stray { client: 0 });
-    assert_eq!((run.broken(), run.judge().doubled), (vec![1], 1));
+    run.note(70, TraceEvent::UnexpectedAnswer { client: 0 });
+    assert_eq!((run.broken(), run.judge().duplicated), (vec![1], 1));
 }
 
 #[test]
@@ -209,7 +233,7 @@
 #[test]
 fn work_that_nobody_asked_for_is_caught() {
     let mut run = sound();
-    run.ask(100, 5, false, 8).note(105, What::Left { op: 5 });
+    run.ask(100, 5, false, 8).note(105, TraceEvent::CommandAbandoned { command: 5 });
     run.asked[4].4 = 30;
     run.got(110, 5);
     assert_eq!(run.broken(), [1]);
@@ -225,7 +249,7 @@
     run.said(160, 0, task, status::GOOD).answer(161, 5, status::GOOD, None);
     assert!(run.broken().is_empty(), "{:?}", run.judge());
     run.got(155, 5);
-    assert_eq!((run.broken(), run.judge().doubled), (vec![2], 1));
+    assert_eq!((run.broken(), run.judge().duplicated), (vec![2], 1));
 }
 
 #[test]
@@ -243,11 +267,11 @@
 fn work_for_a_closed_node_is_caught_once_the_grace_is_over() {
     for (at, broken) in [(400, vec![]), (700, vec![3])] {
         let mut run = sound();
-        run.note(100, What::Told { host: 0, node: 0, open: false });
-        run.note(120, What::Told { host: 1, node: 0, open: true });
+        run.note(100, TraceEvent::HostNotified { host: 0, node: 0, active: false });
+        run.note(120, TraceEvent::HostNotified { host: 1, node: 0, active: true });
         run.whole(at, 5, false, 0, 8, 0);
         assert_eq!(run.broken(), broken, "at {at}");
-        run.note(at - 50, What::Told { host: 0, node: 0, open: true });
+        run.note(at - 50, TraceEvent::HostNotified { host: 0, node: 0, active: true });
         assert!(run.broken().is_empty(), "{:?}", run.judge());
     }
 }
@@ -256,14 +280,14 @@
 fn a_cold_node_sent_more_than_it_bears_is_caught() {
     for (n, broken) in [(5, vec![]), (7, vec![4])] {
         let mut run = sound();
-        run.note(90, What::Up { node: 0 });
+        run.note(90, TraceEvent::NodeUp { node: 0 });
         for op in 0..n {
             run.whole(100 + op, 10 + op, false, 0, 8, 0);
         }
         assert_eq!(run.broken(), broken, "{n} units");
     }
     let mut run = sound();
-    run.note(90, What::Fell { node: 1 });
+    run.note(90, TraceEvent::NodeOverloaded { node: 1 });
     assert_eq!(run.broken(), [4]);
 }
 
@@ -289,7 +313,10 @@
 #[test]
 fn a_key_that_does_not_rest_after_a_submit_is_cut_off_is_caught() {
     for (next, broken) in [(1_010, vec![5]), (1_210, vec![])] {
-        let cuts = [What::CalledOff { node: 0, line: 1, task: 5 }, What::Closed { node: 0, line: 1 }];
+        let cuts = [
+            TraceEvent::NodeAborted { node: 0, connection: 1, task: 5 },
+            TraceEvent::ConnectionClosed { node: 0, connection: 1 },
+        ];
         for cut in cuts {
             let mut run = sound();
             run.ask(100, 5, true, 8).ask(101, 6, true, 8);
@@ -336,11 +363,16 @@
         for op in 0..6 {
             run.whole(100, 10 + op, false, 1, 8, 0);
         }
-        let window = |from, until, burst| InForce { from, until, limit: 2.0, burst };
+        let window = |from, until, burst| EffectiveLimit { from, until, limit: 2.0, burst };
         let limits = vec![window(0, in_force, 4.0), window(20_000, Micros::MAX, 2.0)];
         let limits = [("basic".to_owned(), limits)].into();
-        let verdict = run.judge_with(&Places { limits, ..Places::default() });
-        assert_eq!(verdict.broken[6].len(), broken, "in force at {in_force}: {:?}", verdict.broken[6]);
+        let verdict = run.judge_with(&Layout { limits, ..Layout::default() });
+        assert_eq!(
+            verdict.violations[6].len(),
+            broken,
+            "in force at {in_force}: {:?}",
+            verdict.violations[6]
+        );
     }
 }
 
@@ -378,7 +410,7 @@
         for (block, id) in blocks.iter_mut().zip(shows) {
             *block = Some(id);
         }
-        let kept = What::Kept { volume: 0, name: "s".into(), asked: asked * MS, blocks };
+        let kept = TraceEvent::SnapshotRead { volume: 0, name: "s".into(), requested_at: asked * MS, blocks };
         self.note(granted, kept)
     }
 
@@ -425,10 +457,19 @@
         run.said(102, 0, five, status::GOOD).answer(103, 5, status::GOOD, None);
         run.note(
             104,
-            What::Asked { op: 6, client: 0, host: 0, volume: 0, write: true, lba: 0, blocks: 2, mark: 6 },
+            TraceEvent::CommandSent {
+                command: 6,
+                client: 0,
+                host: 0,
+                volume: 0,
+                write: true,
+                lba: 0,
+                blocks: 2,
+                group_number: 6,
+            },
         );
         run.kept(104, 110, shows);
-        run.note(120, What::Left { op: 6 });
+        run.note(120, TraceEvent::CommandAbandoned { command: 6 });
         assert_eq!(run.inexact(), inexact, "{:?}", run.judge().inexact);
     }
 }
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -7,7 +7,7 @@
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Fault, Model, Node};
+use mallowseam_lab::node::{Model, Node, NodeFault};
 use mallowseam_lab::trace::Trace;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -48,7 +48,8 @@
         let model = Model::quick(8, work, 64);
         let node = |n: u8| {
             let target = format!("iqn.t:node{n}");
-            Node::start(n.into(), address(1 + n), &target, model.clone(), Trace::off(), 1).expect("a node")
+            Node::start(n.into(), address(1 + n), &target, model.clone(), Trace::disabled(), 1)
+                .expect("a node")
         };
         let dir = tempfile::tempdir().expect("a directory");
         let text = format!(
@@ -218,7 +219,7 @@
     let rig = Rig::new(10.0);
     let mut client = rig.client(1);
     assert_eq!(write(&mut client, 1, 0, 8), status::GOOD);
-    rig.nodes[0].fault(Fault::Silent(true));
+    rig.nodes[0].inject(NodeFault::Silent(true));
     let began = Instant::now();
     let cdb = scsi::read_or_write_16(true, 0, 8, 0);
     let answer = client.execute(0, &cdb, 0, block::write(2, 0, 8)).expect("an answer");
@@ -240,7 +241,7 @@
         let service = format!("node-list 127.0.0.1:9\n  kept-list \"{}\"", kept.display());
         conf.replace("node-list static", &service).replace("seed 1\n", "seed 3879\n")
     });
-    rig.nodes[0].fault(Fault::Silent(true));
+    rig.nodes[0].inject(NodeFault::Silent(true));
     let mut client = rig.client(1);
     for id in 1..40 {
         client.conn.send_command(id, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
@@ -264,7 +265,7 @@
     client.conn.send_command(1, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
     rig.wait_for("the read is out", |s| s.nodes[0].attempts == 1 && s.nodes[0].connected);
-    rig.nodes[0].fault(Fault::Reset);
+    rig.nodes[0].inject(NodeFault::Reset);
     let Ok(InitiatorEvent::CommandCompleted { status: code, .. }) = client.next_event() else {
         panic!("an answer")
     };
--- a/crates/lab/tests/pinned.rs
+++ b/crates/lab/tests/pinned.rs
@@ -2,15 +2,15 @@
 //! service model, the requests of the load, the enumerated placements and the form of the command line. A pin that fails
 //! means that a decision, a constant, a random draw or a text has changed.
 use mallowseam_gateway::blocking_client::BlockingClient;
-use mallowseam_iscsi::params::Wishes;
-use mallowseam_iscsi::scsi::{rw16, status};
-use mallowseam_lab::audit::{InForce, Places, Verdict, judge};
-use mallowseam_lab::load::{self, Load};
-use mallowseam_lab::node::{Fault, Model, Node};
-use mallowseam_lab::rehearse::{site_of, tariffs};
-use mallowseam_lab::script::{Scene, Trouble, read};
-use mallowseam_lab::trace::{Seen, Trace, What};
-use mallowseam_lab::{block, brute};
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi::scsi::{read_or_write_16, status};
+use mallowseam_lab::audit::{EffectiveLimit, Layout, Verdict, judge};
+use mallowseam_lab::load::{Load, LoadConfig, VolumeTarget};
+use mallowseam_lab::node::{Model, Node, NodeFault};
+use mallowseam_lab::rehearsal::{plan_changes, shared_config};
+use mallowseam_lab::script::{Fault, Scenario, parse};
+use mallowseam_lab::trace::{Trace, TraceEntry, TraceEvent};
+use mallowseam_lab::{block, exhaustive_placement};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
@@ -45,25 +45,25 @@
     )
 }
 
-fn scenario_text(scene: &Scene) -> String {
+fn scenario_text(scenario: &Scenario) -> String {
     let mut out = format!(
         "{} {} {} {} {} {} {} {} {} {} {:?} {:?}\n{}\n",
-        scene.length,
-        scene.hosts,
-        scene.nodes,
-        scene.clients,
-        scene.rate,
-        scene.posts,
-        scene.list_lag,
-        scene.kept_list,
-        scene.digests,
-        model_text(&scene.model),
-        scene.catalog,
-        scene.tariffs,
-        scene.site
+        scenario.duration,
+        scenario.hosts,
+        scenario.nodes,
+        scenario.clients,
+        scenario.command_rate,
+        scenario.write_fraction,
+        scenario.list_lag,
+        scenario.cached_list,
+        scenario.digests,
+        model_text(&scenario.model),
+        scenario.catalog.as_ref().map(|c| (c.extent, &c.copy_class)),
+        scenario.plan_change_interval,
+        scenario.config_sections
     );
-    for event in &scene.events {
-        writeln!(out, "{} {:?}", event.at, event.trouble).expect("memory");
+    for event in &scenario.events {
+        writeln!(out, "{} {:?}", event.at, event.fault).expect("memory");
     }
     out
 }
@@ -80,24 +80,25 @@
         ("every fault", EVERY_FAULT, 0x982f_4ca2_a802_b4fb),
     ];
     for (name, text, expected) in scripts {
-        pinned(name, &scenario_text(&read(name, text).expect("a sound script")), expected);
+        pinned(name, &scenario_text(&parse(name, text).expect("a sound script")), expected);
     }
     let mistakes = EVERY_FAULT.replace(" for 1s", "").replace("any0", "anyone").replace("day 9s", "dey 9s");
     pinned(
         "mistakes",
-        &read("mistakes", &mistakes).expect_err("mistakes").to_string(),
+        &parse("mistakes", &mistakes).expect_err("mistakes").to_string(),
         0xa7b2_ca97_22db_5839,
     );
 }
 
 #[test]
 fn plan_changes_by_the_seed() {
-    let scene = read("tariff-night", include_str!("../scripts/tariff-night.script")).expect("a sound script");
-    let site = site_of(&scene).expect("a sound site");
+    let scenario =
+        parse("tariff-night", include_str!("../scripts/tariff-night.script")).expect("a sound script");
+    let site = shared_config(&scenario).expect("a sound site");
     let mut out = String::new();
     for seed in 0..20 {
-        for event in tariffs(&scene, &site, seed) {
-            let Trouble::Tariff(plan, times) = event.trouble else { panic!("a change of a plan") };
+        for event in plan_changes(&scenario, &site, seed) {
+            let Fault::PlanChange(plan, times) = event.fault else { panic!("a change of a plan") };
             writeln!(out, "{} {plan} {:x}", event.at, times.to_bits()).expect("memory");
         }
     }
@@ -217,10 +218,10 @@
 }
 
 /// A run of up to thirty commands, each with attempts, answers and faults as the seed draws them.
-fn record(seed: u64) -> Vec<Seen> {
+fn record(seed: u64) -> Vec<TraceEntry> {
     let rng = &mut Pcg64Mcg::seed_from_u64(seed);
     let mut seen = Vec::new();
-    let mut note = |at: u64, what: What| seen.push(Seen { at, what });
+    let mut note = |at: u64, event: TraceEvent| seen.push(TraceEntry { at, event });
     let mut task = 0;
     let mut written = vec![0u64];
     for op in 1..=rng.random_range(1..=30u64) {
@@ -228,29 +229,52 @@
         let (host, volume) = (rng.random_range(0..2u32), rng.random_range(0..2u32));
         let write = rng.random_range(0..2) == 0;
         let (lba, blocks) = (rng.random_range(0..3u64) * 8, rng.random_range(1..=8u32));
-        let mark = (op % 31) as u8;
-        note(at, What::Asked { op, client: 0, host, volume, write, lba, blocks, mark });
+        let group_number = (op % 31) as u8;
+        note(
+            at,
+            TraceEvent::CommandSent {
+                command: op,
+                client: 0,
+                host,
+                volume,
+                write,
+                lba,
+                blocks,
+                group_number,
+            },
+        );
         let mut end = at + 1_000;
         for _ in 0..rng.random_range(0..3) {
             task += 1;
-            let (node, line) = (volume, u64::from(rng.random_range(1..3u32)));
-            let wrote = if write { vec![op; blocks as usize] } else { vec![] };
-            let first = write.then(|| lba + u64::from(rng.random_range(0..12u32) == 0));
+            let (node, connection) = (volume, u64::from(rng.random_range(1..3u32)));
+            let write_ids = if write { vec![op; blocks as usize] } else { vec![] };
+            let first_lba = write.then(|| lba + u64::from(rng.random_range(0..12u32) == 0));
             let sent_by = if rng.random_range(0..12) == 0 { 1 - host } else { host };
-            let got =
-                What::Got { node, host: sent_by, line, task, lun: 0, write, lba, blocks, mark, wrote, first };
+            let got = TraceEvent::NodeReceived {
+                node,
+                host: sent_by,
+                connection,
+                task,
+                lun: 0,
+                write,
+                lba,
+                blocks,
+                group_number,
+                write_ids,
+                first_lba,
+            };
             note(end, got);
             let after = end + rng.random_range(1_000..200_000u64);
             match rng.random_range(0..8) {
-                0 => note(after, What::CalledOff { node, line, task }),
-                1 => note(after, What::Closed { node, line }),
+                0 => note(after, TraceEvent::NodeAborted { node, connection, task }),
+                1 => note(after, TraceEvent::ConnectionClosed { node, connection }),
                 2 => {}
                 n => {
                     let code = [status::BUSY, status::TASK_SET_FULL, status::CHECK_CONDITION]
                         .get(n - 3)
                         .copied()
                         .unwrap_or(status::GOOD);
-                    note(after, What::Said { node, line, task, status: code });
+                    note(after, TraceEvent::NodeAnswered { node, connection, task, status: code });
                 }
             }
             end = after + 1_000;
@@ -268,28 +292,28 @@
             .collect();
         let read = if write || code != status::GOOD { vec![] } else { shows };
         match rng.random_range(0..10) {
-            0 => note(end, What::Left { op }),
+            0 => note(end, TraceEvent::CommandAbandoned { command: op }),
             1 => {}
-            2 => note(end + 2_300_000, What::Answered { op, status: code, read }),
-            _ => note(end, What::Answered { op, status: code, read }),
+            2 => note(end + 2_300_000, TraceEvent::CommandAnswered { command: op, status: code, read }),
+            _ => note(end, TraceEvent::CommandAnswered { command: op, status: code, read }),
         }
         let node = rng.random_range(0..2u32);
         match rng.random_range(0..24) {
-            0 => note(at, What::Told { host, node, open: false }),
-            1 => note(at, What::Told { host, node, open: true }),
-            2 | 3 => note(at, What::Up { node }),
-            4 => note(at, What::Down { node }),
-            5 => note(at, What::Fell { node }),
-            6 => note(at, What::HostDown { host }),
-            7 => note(at, What::HostUp { host }),
-            8 => note(at, What::Stray { client: 0 }),
+            0 => note(at, TraceEvent::HostNotified { host, node, active: false }),
+            1 => note(at, TraceEvent::HostNotified { host, node, active: true }),
+            2 | 3 => note(at, TraceEvent::NodeUp { node }),
+            4 => note(at, TraceEvent::NodeDown { node }),
+            5 => note(at, TraceEvent::NodeOverloaded { node }),
+            6 => note(at, TraceEvent::HostDown { host }),
+            7 => note(at, TraceEvent::HostUp { host }),
+            8 => note(at, TraceEvent::UnexpectedAnswer { client: 0 }),
             9 | 10 => {
                 let mut blocks = vec![Some(0); 64];
                 for block in blocks.iter_mut().take(24) {
                     *block = Some(written[rng.random_range(0..written.len())]);
                 }
-                let asked = at - rng.random_range(0..60_000u64);
-                note(at, What::Kept { volume, name: format!("s{op}"), asked, blocks });
+                let requested_at = at - rng.random_range(0..60_000u64);
+                note(at, TraceEvent::SnapshotRead { volume, name: format!("s{op}"), requested_at, blocks });
             }
             _ => {}
         }
@@ -303,36 +327,36 @@
     let mut evidence = v.evidence();
     evidence.sort_unstable();
     let mut out = format!("{v}\n{}\n", evidence.join("\n"));
-    for (rule, lines) in v.broken.iter().enumerate() {
+    for (rule, lines) in v.violations.iter().enumerate() {
         let mut lines = lines.clone();
         lines.sort_unstable();
         writeln!(out, "{rule} {lines:?}").expect("memory");
     }
-    writeln!(out, "{:?} {:?} {}", v.wrong, v.inexact, v.inexact_snapshots()).expect("memory");
+    writeln!(out, "{:?} {:?} {}", v.wrong_data, v.inexact, v.inexact_snapshots()).expect("memory");
     writeln!(
         out,
         "{} {} {} {} {} {} {} {} {} {} {:x} {} {}",
-        v.taken,
-        v.ended,
+        v.accepted,
+        v.completed,
         v.shed,
         v.failed,
         v.unanswered,
-        v.doubled,
-        v.left,
-        v.submits,
-        v.further,
-        v.copies,
+        v.duplicated,
+        v.abandoned,
+        v.attempts,
+        v.retries,
+        v.extent_copies,
         v.overshoot.to_bits(),
         v.blocks_checked,
         v.snapshots
     )
     .expect("memory");
-    for g in &v.groups {
-        let counts = (g.asked, g.ended, g.in_time, g.shed, g.failed, g.left);
-        writeln!(out, "{} {counts:?} {:?}", g.name, g.waits).expect("memory");
+    for g in &v.classes {
+        let counts = (g.sent, g.completed, g.in_time, g.shed, g.failed, g.abandoned);
+        writeln!(out, "{} {counts:?} {:?}", g.name, g.latencies).expect("memory");
     }
-    for got in &v.got {
-        writeln!(out, "{} {} {} {}", got.volume, got.group, got.asked, got.in_time).expect("memory");
+    for got in &v.outcomes {
+        writeln!(out, "{} {} {} {}", got.volume, got.io_class, got.sent_at, got.in_time).expect("memory");
     }
     out
 }
@@ -340,16 +364,16 @@
 #[test]
 fn verdicts_over_seeded_records() {
     let site = mallowseam_settings::parse("site", SITE).expect("sound");
-    let window = |from, until, limit, burst| InForce { from, until, limit, burst };
+    let window = |from, until, limit, burst| EffectiveLimit { from, until, limit, burst };
     let limits = vec![window(0, 900_000, 4.0, 6.0), window(400_000, u64::MAX, 2.0, 3.0)];
-    let changing = Places { limits: [("basic".to_owned(), limits)].into(), ..Places::default() };
+    let changing = Layout { limits: [("basic".to_owned(), limits)].into(), ..Layout::default() };
     let mut out = String::new();
     let mut broken = [0; 7];
     for seed in 0..1_200 {
         let seen = record(seed);
-        for places in [&Places::default(), &changing] {
+        for places in [&Layout::default(), &changing] {
             let verdict = judge(&site, &service_model(), &seen, places);
-            for (count, lines) in broken.iter_mut().zip(&verdict.broken) {
+            for (count, lines) in broken.iter_mut().zip(&verdict.violations) {
                 *count += usize::from(!lines.is_empty());
             }
             out += &verdict_text(&verdict);
@@ -383,14 +407,15 @@
     for seed in 1..4 {
         let address = free_address();
         let model = Model::quick(2, 0.5, 64);
-        let node = Node::start(0, address, "iqn.t", model, Trace::off(), seed).expect("a node");
+        let node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         // Faults are taken up before anything that is sent after them.
-        node.fault(Fault::Errors(0.3));
+        node.inject(NodeFault::Errors(0.3));
         let mut client = BlockingClient::open(address, Some("iqn.t"), 1).expect("a login");
         for i in 0..300u64 {
             let (write, lba) = (i % 3 == 0, i % 7 * 8);
             let data = if write { block::write(i + 1, lba, 8) } else { Vec::new() };
-            let answer = client.execute(0, &rw16(write, lba, 8, 0), 4096, data).expect("an answer");
+            let answer =
+                client.execute(0, &read_or_write_16(write, lba, 8, 0), 4096, data).expect("an answer");
             write!(out, "{:x}", answer.status).expect("memory");
             out.extend(answer.data.chunks(block::SIZE).zip(lba..).map(|(b, at)| {
                 let id = block::read(b, at).expect("one write's bytes");
@@ -410,22 +435,22 @@
     for seed in 1..3 {
         let address = free_address();
         let model = Model::quick(4, 0.0, 4096);
-        let _node = Node::start(0, address, "iqn.t", model, Trace::off(), seed).expect("a node");
-        let volume = |lun, plan: &str| load::Volume {
+        let _node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
+        let volume = |lun, plan: &str| VolumeTarget {
             lun,
             blocks: 4096,
             plan: plan.into(),
-            read_limit: 5_000_000,
-            write_limit: 5_000_000,
+            read_deadline: 5_000_000,
+            write_deadline: 5_000_000,
         };
-        let plan = load::Plan {
+        let plan = LoadConfig {
             hosts: vec![address],
             target: "iqn.t".into(),
             volumes: vec![volume(0, "basic"), volume(1, "free")],
             clients: CLIENTS,
-            rate: 200.0,
-            posts: 0.4,
-            wishes: Wishes::default(),
+            command_rate: 200.0,
+            write_fraction: 0.4,
+            proposal: ProposedParams::default(),
         };
         let trace = Trace::default();
         let load = Load::start(plan, trace.clone(), seed).expect("clients");
@@ -435,7 +460,7 @@
             assert!(began.elapsed() < Duration::from_secs(20), "too few requests");
             std::thread::sleep(Duration::from_millis(20));
             for s in trace.take() {
-                if let What::Asked { client, volume, write, lba, blocks, .. } = s.what {
+                if let TraceEvent::CommandSent { client, volume, write, lba, blocks, .. } = s.event {
                     requests[client as usize].push((volume, write, lba, blocks));
                 }
             }
@@ -452,8 +477,8 @@
 fn placements_by_enumeration() {
     let mut out = String::new();
     for seed in 0..150 {
-        let (nodes, volumes) = brute::draw(seed);
-        writeln!(out, "{:?}", brute::brute(&nodes, &volumes)).expect("memory");
+        let (nodes, volumes) = exhaustive_placement::draw(seed);
+        writeln!(out, "{:?}", exhaustive_placement::enumerate(&nodes, &volumes)).expect("memory");
     }
     pinned("placements", &out, 0x31cf_0c75_d1ec_4a77);
 }
--- a/crates/lab/tests/rehearsal.rs
+++ b/crates/lab/tests/rehearsal.rs
@@ -1,16 +1,17 @@
 //! Scripts of trouble, played through real host processes.
-use mallowseam_lab::rehearse::{Outcome, Program, run};
+use mallowseam_lab::process::Program;
+use mallowseam_lab::rehearsal::{ChangeLogReport, Outcome, run};
 use mallowseam_lab::script;
 
 fn play(text: &str, seed: u64) -> Outcome {
-    let scene = script::read("test", text).expect("a sound script");
+    let scenario = script::parse("test", text).expect("a sound script");
     let path = env!("CARGO_BIN_EXE_mallowseam-lab").into();
-    run(&scene, seed, &Program { path, args: vec!["host".into()] }, &mut |_, _| {}).expect("a run")
+    run(&scenario, seed, &Program { path, args: vec!["host".into()] }, &mut |_, _| {}).expect("a run")
 }
 
 fn kept(outcome: &Outcome) {
-    assert!(outcome.unclean.is_empty(), "{:?}", outcome.unclean);
-    assert!(outcome.verdict.kept(), "{}\n{}", outcome.verdict.evidence().join("\n"), outcome.verdict);
+    assert!(outcome.failures.is_empty(), "{:?}", outcome.failures);
+    assert!(outcome.verdict.passed(), "{}\n{}", outcome.verdict.evidence().join("\n"), outcome.verdict);
 }
 
 const SHORT: &str = include_str!("../scripts/short.script");
@@ -19,7 +20,7 @@
 fn a_short_bad_day_keeps_all_rules() {
     let outcome = play(SHORT, 3);
     kept(&outcome);
-    assert!(outcome.verdict.ended > 100 && outcome.verdict.blocks_checked > 500, "{}", outcome.verdict);
+    assert!(outcome.verdict.completed > 100 && outcome.verdict.blocks_checked > 500, "{}", outcome.verdict);
 }
 
 #[test]
@@ -28,13 +29,13 @@
     let outcome = play(&quiet, 4);
     kept(&outcome);
     assert_eq!(outcome.verdict.failed, 0);
-    assert!(outcome.verdict.ended * 10 > outcome.verdict.taken * 7, "{}", outcome.verdict);
+    assert!(outcome.verdict.completed * 10 > outcome.verdict.accepted * 7, "{}", outcome.verdict);
 }
 
 #[test]
 fn a_script_with_mistakes_names_all_of_them() {
     let text = "day 4\nhosts 0\nnodes 6 core 1\nat 1s node any0 silent\nat 2s nod 1 crash for 1s\nday 1s x\n";
-    let problems = script::read("s", text).expect_err("mistakes").to_string();
+    let problems = script::parse("s", text).expect_err("mistakes").to_string();
     for wanted in [
         "s:1:5: expected a duration such as 3s, found `4`",
         "s:2:7: expected 1 to 64, found `0`",
@@ -60,6 +61,6 @@
         .collect();
     let outcome = play(&short, 5);
     kept(&outcome);
-    let (versions, replayed) = outcome.trail.expect("a control service ran");
+    let ChangeLogReport { versions, replayed } = outcome.change_log.expect("a plan service ran");
     assert!(versions > 8 && versions == replayed, "{replayed} of {versions}");
 }
--- a/crates/lab/tests/shares.rs
+++ b/crates/lab/tests/shares.rs
@@ -1,5 +1,5 @@
 //! The search of shares against a plain enumeration of every placement.
-use mallowseam_lab::brute::{brute, draw};
+use mallowseam_lab::exhaustive_placement::{draw, enumerate};
 use mallowseam_placement::branch_and_bound::{SolveOutcome, is_feasible, solve};
 use mallowseam_placement::constraint::Constraint;
 use mallowseam_placement::infeasibility::explain;
@@ -24,7 +24,7 @@
     for seed in 0..2_000 {
         let (nodes, volumes) = draw(seed);
         let problem = Problem::new(nodes.clone(), volumes.clone()).expect("sound");
-        let wanted = brute(&nodes, &volumes);
+        let wanted = enumerate(&nodes, &volumes);
         fits += usize::from(wanted.is_some());
         ties += usize::from(wanted.as_ref().is_some_and(|w| w.len() > 1));
         assert_eq!(placement(solve(&problem, STEPS)), wanted, "seed {seed}");
--- a/crates/lab/tests/snapshots.rs
+++ b/crates/lab/tests/snapshots.rs
@@ -3,7 +3,7 @@
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::{Answer, BlockingClient};
-use mallowseam_lab::node::{Fault, Model, Node};
+use mallowseam_lab::node::{Model, Node, NodeFault};
 use mallowseam_lab::trace::Trace;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -40,7 +40,7 @@
         let model = Model::quick(4, 50.0, 64);
         let node = |n: u8| {
             let target = format!("iqn.t:node{n}");
-            Node::start(n.into(), address(n), &target, model.clone(), Trace::off(), 1).expect("a node")
+            Node::start(n.into(), address(n), &target, model.clone(), Trace::disabled(), 1).expect("a node")
         };
         let dir = tempfile::tempdir().expect("a directory");
         let at = vec![address(5), address(6)];
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Places of the catalog's tree; none while it does not answer.
+    /// Extent locations of the catalog's tree; none while it does not answer.
     fn places(&self) -> usize {
         let Ok(text) = self.tell("tree") else { return 0 };
         let tree: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -249,11 +249,11 @@
     }
     let tree: serde_json::Value = serde_json::from_str(&rig.tell("tree").expect("told")).expect("JSON");
     let node = tree["layers"]["1024"]["places"]["0"]["node"].as_u64().expect("a place") as usize;
-    rig.nodes[node].fault(Fault::Silent(true));
+    rig.nodes[node].inject(NodeFault::Silent(true));
     let failed = rig.tell("snapshot a march").expect_err("a node is silent");
     assert!(failed.contains(&format!("not closed in time by node{node}")), "{failed}");
     assert!(!rig.tell("list").expect("told").contains("march"));
-    rig.nodes[node].fault(Fault::Silent(false));
+    rig.nodes[node].inject(NodeFault::Silent(false));
     let march = rig.unit("snapshot a march");
     for extent in 0..8 {
         assert_eq!(show(&mut client, march, extent * EXTENT, 8), [extent + 1; 8]);
@@ -418,7 +418,7 @@
         put(&mut client, 0, extent + 1, extent * EXTENT, 8);
     }
     rig.unit("snapshot a march");
-    rig.nodes[2].fault(Fault::Full(true));
+    rig.nodes[2].inject(NodeFault::Full(true));
     for extent in 0..12 {
         let began = Instant::now();
         while write(&mut client, 0, extent + 50, extent * EXTENT, 8).status != status::GOOD {
--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -47,7 +47,7 @@
             std::fs::write(dir.path().join(format!("conf{i}")), text).expect("a file");
         }
         let model = Model::quick(4, 50.0, 64);
-        let node = Node::start(0, address(5), "iqn.t:node0", model, Trace::off(), 1).expect("a node");
+        let node = Node::start(0, address(5), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
         let at = vec![address(0), address(1)];
         let mut rig = Rig { dir, service: None, hosts: vec![None, None], at, _node: node };
         rig.start_service();
