--- a/crates/scheduler/src/interner.rs
+++ b/crates/scheduler/src/interner.rs
@@ -17,6 +17,7 @@
 
 impl<N: Clone + Eq + Hash> Interner<N> {
     /// The index of a name that has one.
+    #[must_use]
     pub fn find(&self, name: &N) -> Option<u32> {
         self.indices.get(name).copied()
     }
@@ -40,16 +41,19 @@
     /// # Panics
     ///
     /// If the index is not assigned.
+    #[must_use]
     pub fn resolve(&self, index: u32) -> &N {
         self.names[index as usize].as_ref().expect("an index in use")
     }
 
     /// Number of names that have an index.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.indices.len()
     }
 
     /// Whether no name has an index.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.indices.is_empty()
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -14,6 +14,7 @@
 mod sliding_sum;
 mod state;
 mod status;
+mod timer_queue;
 
 pub use interner::Interner;
 pub use state::Scheduler;
--- a/crates/scheduler/src/policy/allocation.rs
+++ b/crates/scheduler/src/policy/allocation.rs
@@ -28,8 +28,8 @@
             let own = node.allocation_index(bio.volume);
             node.allocations[own].queued += bio.units;
         }
-        let volumes: Vec<VolumeId> = node.allocations.iter().map(|a| a.volume).collect();
-        let entitlements: Vec<Entitlement> = volumes.iter().map(|v| self.entitlement(*v)).collect();
+        let allocations = &self.nodes[id.0].allocations;
+        let entitlements: Vec<_> = allocations.iter().map(|a| self.entitlement(a.volume)).collect();
         redistribute(&mut self.nodes[id.0], &entitlements);
     }
 
--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -3,7 +3,6 @@
 use super::node_health::MAX_THRESHOLD;
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Attempt, Candidate, Node, Request, Scheduler};
-use std::cmp::Reverse;
 
 const THRESHOLD_FROM: f64 = 0.08; // of the shortest objective, above the best mean latency: threshold 0,
 const THRESHOLD_SPAN: f64 = 0.4; // and threshold 1 this much further
@@ -120,7 +119,7 @@
         let node = &mut self.nodes[node_id.0];
         node.in_flight.push(Attempt { sent_at: now, bio: id });
         node.window_units += bio.units;
-        self.timers.push(Reverse((now + node.lost_after(self.shortest_objective) + 1, id)));
+        self.timers.push(now + node.lost_after(self.shortest_objective) + 1, id);
         if node.started_at > 0 {
             node.slow_start_units.add(now, bio.units);
         }
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -3,7 +3,6 @@
 use super::slow_start::WARM_DEMAND_KEPT;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, BioId, Host, NodeId, Tick, VolumeId};
 use crate::state::{Request, Scheduler};
-use std::cmp::Reverse;
 
 const FORGET_VOLUME: Tick = 100_000; // ticks without an arrival after which a volume is forgotten, once full
 
@@ -82,11 +81,7 @@
 
     /// Gives up block I/Os whose time in the queue is over.
     fn give_up_overdue(&mut self, host: &mut dyn Host, now: Tick) {
-        while let Some(&Reverse((time, id))) = self.timers.peek() {
-            if time > now {
-                break;
-            }
-            self.timers.pop();
+        while let Some(id) = self.timers.pop_due(now) {
             // The index may stand for a later block I/O by now, or for one that was sent meanwhile.
             let overdue = |r: &Request| !r.finished && !r.in_flight && r.queued_until() <= now;
             if self.requests.get(id.0).is_some_and(overdue) {
@@ -127,10 +122,10 @@
 
     /// Arms the host's timer for the next thing that is due.
     pub(super) fn arm_timer(&mut self, host: &mut dyn Host, now: Tick) {
-        let timer = self.timers.peek().map_or(Tick::MAX, |timer| timer.0.0);
         let paused = self.nodes.iter().filter(|(_, n)| !n.queue.is_empty() && n.paused_until > now);
         let pause_end = paused.map(|(_, n)| n.paused_until).min().unwrap_or(Tick::MAX);
-        let due = self.next_window.min(timer).min(self.polling.next_poll).min(pause_end).max(now + 1);
+        let due = self.next_window.min(self.timers.next()).min(self.polling.next_poll);
+        let due = due.min(pause_end).max(now + 1);
         if due < self.armed_for {
             self.armed_for = due;
             host.set_timer(due - now);
--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -3,9 +3,9 @@
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
 use crate::state::{Node, Scheduler};
 
-const MULTIPLIER_UP: f64 = 1.15; // by a latency a unit beyond twice the median: one in four by chance;
-const MULTIPLIER_DOWN: f64 = 0.955; // by any other: on a steady node the two cancel out
-const MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // bounds (paper)
+const COST_MULTIPLIER_UP: f64 = 1.15; // by a latency a unit over twice the median: one in four by chance;
+const COST_MULTIPLIER_DOWN: f64 = 0.955; // by any other: on a steady node the two cancel out
+const COST_MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // bounds (paper)
 pub(crate) const RECENT_ANSWERS: usize = 32; // answers in the median: about a second's worth
 
 // Concurrency window, in attempts; latencies as parts of the shortest latency objective.
@@ -51,8 +51,9 @@
 
     fn learn_cost(&mut self, unit_latency: f64) {
         let slow = unit_latency > 2.0 * self.unit_latency.get();
-        let factor = if slow { MULTIPLIER_UP } else { MULTIPLIER_DOWN };
-        self.cost_multiplier = (self.cost_multiplier * factor).clamp(MULTIPLIER_RANGE.0, MULTIPLIER_RANGE.1);
+        let factor = if slow { COST_MULTIPLIER_UP } else { COST_MULTIPLIER_DOWN };
+        self.cost_multiplier =
+            (self.cost_multiplier * factor).clamp(COST_MULTIPLIER_RANGE.0, COST_MULTIPLIER_RANGE.1);
         self.unit_latency.add(unit_latency);
     }
 
--- a/crates/scheduler/src/policy/ordering.rs
+++ b/crates/scheduler/src/policy/ordering.rs
@@ -1,7 +1,6 @@
 //! Block I/Os of ordered classes that name the same key run one after another.
 use crate::interface::{AttemptResult, BioId, Host, KeyId, Tick};
 use crate::state::{OrderingKey, Request, Scheduler};
-use std::cmp::Reverse;
 
 impl Scheduler {
     /// Appends a block I/O to the queue of its key, or only counts it as a user of the key.
@@ -41,7 +40,7 @@
         self.keys[key.0].cooldown_until = until;
         self.cooling_keys.push(key);
         // The next block I/O of the key goes when the cooldown ends, not a window later.
-        self.timers.push(Reverse((until, id)));
+        self.timers.push(until, id);
     }
 
     /// Ends cooldowns that are over, and releases keys that nothing uses.
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -2,7 +2,6 @@
 use super::constants::WINDOW;
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Node, Request, Scheduler};
-use std::cmp::Reverse;
 
 const LONG_PAUSE: f64 = 0.25; // of the shortest objective: a node paused for longer comes after any other
 
@@ -54,7 +53,7 @@
         let request = &mut self.requests[id.0];
         request.node = Some(node_id);
         let bio = request.bio;
-        self.timers.push(Reverse((request.queued_until(), id)));
+        self.timers.push(request.queued_until(), id);
         let base = self.plans[bio.plan as usize].reserved * WINDOW as f64 / self.volumes[bio.volume.0].hosts;
         let node = &mut self.nodes[node_id.0];
         if !node.allocations.iter().any(|a| a.volume == bio.volume) {
--- a/crates/scheduler/src/policy/retries.rs
+++ b/crates/scheduler/src/policy/retries.rs
@@ -105,9 +105,8 @@
 
     /// Ends a block I/O: it leaves its queue, and with no attempt in flight, its key and its index as well.
     pub(super) fn finish(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
-        let request = &mut self.requests[id.0];
-        request.finished = true;
-        let request = *request;
+        self.requests[id.0].finished = true;
+        let request = self.requests[id.0];
         if request.in_flight {
             if self.config.allow_cancel {
                 host.cancel(id, request.attempts - 1);
--- a/crates/scheduler/src/policy/setup.rs
+++ b/crates/scheduler/src/policy/setup.rs
@@ -7,6 +7,7 @@
 
 impl Scheduler {
     /// A scheduler that starts at `now`, with no node known. The seed decides all that it draws at random.
+    #[must_use]
     pub fn new(config: &SchedulerConfig, seed: u64, now: Tick) -> Self {
         let hosts = f64::from(config.hosts.max(1));
         let objectives = config.classes.iter().map(|c| c.latency_objective);
@@ -40,8 +41,9 @@
     }
 }
 
-fn mean(values: impl ExactSizeIterator<Item = f64> + Clone) -> f64 {
-    values.clone().sum::<f64>() / values.len().max(1) as f64
+fn mean(values: impl ExactSizeIterator<Item = f64>) -> f64 {
+    let count = values.len().max(1) as f64;
+    values.sum::<f64>() / count
 }
 
 /// Attempts go by priority: a block I/O of less than the mean weight gets one retry at most.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -6,8 +6,8 @@
 use crate::recent_median::RecentMedian;
 use crate::slab::Slab;
 use crate::sliding_sum::SlidingSum;
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, VecDeque};
+use crate::timer_queue::TimerQueue;
+use std::collections::VecDeque;
 
 /// Ticks in a second.
 pub(crate) const TICKS_PER_SECOND: f64 = 10_000.0;
@@ -47,7 +47,7 @@
     pub(crate) requests: Slab<Request>,
     pub(crate) recently_shed: Vec<ShedRecord>,
     /// When to look at a block I/O again: it may have to be shed, or a node be free.
-    pub(crate) timers: BinaryHeap<Reverse<(Tick, BioId)>>,
+    pub(crate) timers: TimerQueue,
     pub(crate) next_window: Tick,
     pub(crate) polling: PollSchedule,
     /// The earliest timer asked of the host.
--- a/crates/scheduler/src/status.rs
+++ b/crates/scheduler/src/status.rs
@@ -4,6 +4,7 @@
 
 impl Scheduler {
     /// A node as this host sees it, for monitoring.
+    #[must_use]
     pub fn node_status(&self, now: Tick, id: NodeId) -> Option<NodeStatus> {
         let node = self.nodes.get(id.0)?;
         Some(NodeStatus {
