--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -25,21 +25,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyId(pub u32);
 
-/// The actions that the scheduler asks of the program around it.
+/// The actions that the scheduler requires of the program around it.
 pub trait Host {
     /// Forward the block I/O to a node, and end the attempt as timed out after `timeout`.
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick);
     /// Stop waiting for an attempt of a block I/O; attempts are counted from 0.
     fn cancel(&mut self, bio: BioId, attempt: u32);
-    /// Answer the client for good: not done, and trying again is harmless. The client may be told to retry
-    /// after `retry_after`; 0 names no time.
+    /// Answer the client for good: not done, and trying again is harmless. The answer may name a time after
+    /// which to retry; 0 names none.
     fn shed(&mut self, bio: BioId, retry_after: Tick);
     /// Answer the client for good: failed, and it is not known whether the block I/O took effect.
     fn fail(&mut self, bio: BioId);
     /// Call [`on_timer`](crate::Scheduler::on_timer) after this span.
     fn set_timer(&mut self, after: Tick);
-    /// Ask the discovery service for the endpoint list and for its changes from then on. What comes of it is
-    /// told with [`on_endpoints`](crate::Scheduler::on_endpoints).
+    /// Ask the discovery service for the endpoint list and for its changes from then on, and pass on what it
+    /// sends with [`on_endpoints`](crate::Scheduler::on_endpoints).
     fn poll_endpoints(&mut self);
     /// The scheduler no longer refers to this block I/O.
     fn release_bio(&mut self, bio: BioId);
@@ -107,7 +107,7 @@
     pub idempotency: Idempotency,
     /// Time from arrival within which an answer earns the whole priority weight.
     pub latency_objective: Tick,
-    /// Part of the priority weight that a later answer still earns. The scheduler does not use it.
+    /// Fraction of the priority weight that a later answer still earns. The scheduler does not use it.
     pub late_weight_ratio: f64,
     /// What an answer in time is worth, in any unit that all classes share.
     pub priority_weight: f64,
@@ -134,7 +134,7 @@
     pub priority_factor: f64,
 }
 
-/// What the deployment allows and asks for, as known at start.
+/// What the deployment allows and requires, as known at start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SchedulerConfig {
     /// Hosts that share the nodes, this one included.
@@ -147,9 +147,9 @@
     pub mean_io_units: f64,
     /// Units of the largest block I/O.
     pub max_io_units: f64,
-    /// Part of the priority weight earned by units within the volume's share of a node.
+    /// Fraction of the priority weight earned by units within the volume's share of a node.
     pub share_weight_factor: f64,
-    /// Part of the priority weight earned by units beyond that share.
+    /// Fraction of the priority weight earned by units beyond that share.
     pub spare_weight_factor: f64,
     /// Span over which use is metered. The scheduler does not use it.
     pub metering_window: Tick,
@@ -169,7 +169,7 @@
     pub max_retry_after: Tick,
     /// Attempts that a block I/O may have, the first one included.
     pub max_attempts: u32,
-    /// The endpoint list comes only to hosts that ask for it.
+    /// The endpoint list is sent only to hosts that poll it.
     pub endpoints_polled: bool,
     /// What one poll takes of the discovery service's time, as its operator says; 0 spreads polls over a
     /// fifth of a second. None: not known.
@@ -182,7 +182,7 @@
     pub shed_at_half_deadline: bool,
     /// Units that a node bears from all hosts together within `overload_window` just after its start.
     pub slow_start_capacity: f64,
-    /// Part of its full rate that a node reaches just after its start.
+    /// Fraction of its full rate that a node reaches just after its start.
     pub slow_start_initial_rate: f64,
     /// Time from its start until a node reaches its full rate.
     pub slow_start_duration: Tick,
@@ -250,7 +250,7 @@
     pub backlog: Option<f64>,
     /// Recent mean service time in milliseconds.
     pub service_time_ms: Option<f64>,
-    /// Part of the time in which the node is busy.
+    /// Fraction of the time in which the node is busy.
     pub utilization: Option<f64>,
 }
 
@@ -261,7 +261,7 @@
     Active,
     /// It finishes what it has, and takes nothing new.
     Draining,
-    /// It is gone.
+    /// It is no longer in service.
     Removed,
 }
 
@@ -285,7 +285,7 @@
 pub enum EndpointEvent {
     /// The watch sent the entries that changed.
     Incremental,
-    /// The watch sent the whole list; a node that is missing is gone.
+    /// The watch sent the whole list; a node that is missing was removed.
     FullSnapshot,
     /// The whole list as this host stored it before it last stopped.
     Cached,
--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -74,7 +74,7 @@
         best.map(|candidate| candidate.position)
     }
 
-    /// The part of the typical priority below which a crowded node is left to other hosts' better block I/Os.
+    /// The fraction of the typical priority below which a crowded node is left to other hosts' block I/Os.
     fn admission_threshold(&self, node: &Node) -> f64 {
         let above_best = (node.mean_latency - self.fleet.best) / self.shortest_objective;
         let excess = (above_best - THRESHOLD_FROM) / THRESHOLD_SPAN;
@@ -108,7 +108,7 @@
             self.retry_budget.retries.add(now, 1.0);
         } else if warm {
             self.warm_demand.sent += 1.0;
-            self.warm_demand.asked += 1.0;
+            self.warm_demand.total += 1.0;
         }
         request.attempts += 1;
         request.in_flight = true;
--- a/crates/scheduler/src/policy/endpoint_polling.rs
+++ b/crates/scheduler/src/policy/endpoint_polling.rs
@@ -1,7 +1,7 @@
 //! When the endpoint list is polled.
 //!
 //! All hosts together poll no more than the discovery service handles, as far as the rule on draining nodes
-//! lets them wait: 6 s after the service could be reached, a host is held to all that it had.
+//! lets them wait: 6 s after the service could be reached, a host must know all that it had.
 use crate::interface::{EndpointEvent, SchedulerConfig, Tick};
 use crate::pcg::Pcg;
 use crate::state::PollSchedule;
@@ -13,7 +13,7 @@
 const MAX_INTERVAL: Tick = 46_000; // ticks from a failed poll to the next: 1.2 s of the 6 s are for that one
 const SERVED_IN_TIME: Tick = 54_000; // ticks of polls: of more that are known to come, some take over 6 s
 const SPREAD_AFTER_SILENCE: Tick = 16_000; // ticks at most: 3.2 s to notice and 1.2 s to poll, of 6 s
-const SPREAD_AFTER_MOVE: Tick = 20_000; // ticks at most, of hosts that hear of another service
+const SPREAD_AFTER_MOVE: Tick = 20_000; // ticks at most, of hosts that learn of another service
 
 impl PollSchedule {
     pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &mut Pcg) -> Self {
@@ -52,14 +52,14 @@
         let most = if newly_silent { SPREAD_AFTER_SILENCE } else { Tick::MAX };
         let drawn = rng.below(self.spread.min(most) as u64) as Tick;
         let wait = if newly_silent || self.backoff == 0 { drawn } else { self.backoff };
-        // The service may have been back just after the failed poll: the time that it took is gone.
+        // The service may have returned just after the failed poll began: the time since then is lost.
         let latest = self.pending_since.map_or(Tick::MAX, |t| (t + self.max_interval).max(now + 1));
         // A poll that is due sooner, of another service or after silence, is not put off.
         self.next_poll = self.next_poll.min(now + wait).min(latest);
         self.backoff = (self.backoff * 2).clamp(self.spread, self.spread.max(MAX_BACKOFF));
     }
 
-    /// The list is served from elsewhere from now on, as all hosts hear at about one time.
+    /// The list is served from elsewhere from now on, of which all hosts learn at about one time.
     pub(super) fn on_moved(&mut self, now: Tick, rng: &mut Pcg) {
         self.next_poll = now + rng.below(self.spread.min(SPREAD_AFTER_MOVE) as u64) as Tick;
     }
--- a/crates/scheduler/src/policy/endpoints.rs
+++ b/crates/scheduler/src/policy/endpoints.rs
@@ -38,7 +38,7 @@
         self.arm_timer(host, now);
     }
 
-    /// Another discovery service serves the endpoint list from now on, as all hosts hear at about one time.
+    /// Another discovery service serves the endpoint list from now on; all hosts learn it at about one time.
     pub fn on_discovery_moved(&mut self, host: &mut dyn Host, now: Tick) {
         self.polling.on_moved(now, &mut self.rng);
         self.arm_timer(host, now);
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -61,7 +61,7 @@
         self.arm_timer(host, now);
     }
 
-    /// The timer that was asked for with [`Host::set_timer`] has fired.
+    /// The timer that [`Host::set_timer`] set has fired.
     pub fn on_timer(&mut self, host: &mut dyn Host, now: Tick) {
         if now >= self.armed_for {
             self.armed_for = Tick::MAX;
@@ -93,7 +93,7 @@
     /// Forgets what is of no more use, then grants each node's allocations and sends by them.
     fn start_window(&mut self, host: &mut dyn Host, now: Tick) {
         self.warm_demand.sent *= WARM_DEMAND_KEPT;
-        self.warm_demand.asked *= WARM_DEMAND_KEPT;
+        self.warm_demand.total *= WARM_DEMAND_KEPT;
         self.recently_shed.retain(|shed| shed.deadline > now);
         self.forget_nodes(host, now);
         self.forget_volumes(host, now);
--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -1,4 +1,4 @@
-//! What outcomes tell of nodes: latency, the concurrency window, cost multiplier, backoff and lost answers.
+//! What is learned of nodes from outcomes: latency, concurrency window, cost, backoff and lost answers.
 use super::constants::WINDOW;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
 use crate::state::{Node, Scheduler};
@@ -81,7 +81,7 @@
 }
 
 impl Scheduler {
-    /// What an outcome tells of its node.
+    /// Learns from an outcome about its node.
     pub(super) fn learn(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
         let node = &mut self.nodes[outcome.node.0];
         let was_full = node.in_flight.len() as f64 + 1.0 > node.concurrency_window;
--- a/crates/scheduler/src/policy/retries.rs
+++ b/crates/scheduler/src/policy/retries.rs
@@ -15,8 +15,8 @@
 }
 
 impl Request {
-    /// Until when it may be queued. A client that hears in the first half of its time that nothing was tried
-    /// can go elsewhere; later, it has waited for nothing. Hurts where capacity comes just in time.
+    /// Until when it may be queued. A client that is answered in the first half of its time can go elsewhere,
+    /// if nothing was tried; later, it has waited in vain. Hurts where capacity comes just in time.
     pub(super) fn queued_until(&self) -> Tick {
         if self.attempts == 0 { self.objective_end.min(self.unsent_until) } else { self.objective_end }
     }
@@ -24,7 +24,7 @@
 
 impl Scheduler {
     /// The request for a block I/O that arrives. A client's retry is known by the deadline of its first try,
-    /// and keeps its objective too. A short time left tells nothing: some clients give up sooner than others.
+    /// and keeps its objective too. A short time left proves nothing: some clients give up early.
     pub(super) fn new_request(&self, now: Tick, bio: Bio) -> Request {
         let same =
             |s: &&ShedRecord| s.volume == bio.volume && (s.deadline - bio.deadline).abs() <= SAME_DEADLINE;
@@ -86,7 +86,7 @@
         let request = self.requests[id.0];
         let sendable = |node: NodeId| self.is_warm(now, node) && self.may_send(&request, now, node);
         if request.attempts == 0 && request.node.is_some_and(sendable) {
-            self.warm_demand.asked += 1.0;
+            self.warm_demand.total += 1.0;
         }
         let Request { bio: Bio { volume, deadline, .. }, objective_end, .. } = request;
         self.recently_shed.push(ShedRecord { volume, deadline, objective_end });
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 
 const SAFE_LOAD: f64 = 0.8; // of the load at which a warming node fails; the rest is for surges
 const UNUSED_LOAD: f64 = 0.5; // of that, for a host with no rate there: demand may be twice what a node does
-const WARM_DEMAND_PRIOR: f64 = 4.0; // block I/Os asked of warm nodes that outweigh the value above
+const WARM_DEMAND_PRIOR: f64 = 4.0; // block I/Os for warm nodes that outweigh the value above
 pub(super) const WARM_DEMAND_KEPT: f64 = 0.99; // a window, of the counts of demand: the last ten seconds'
 const USUAL_RATE_STEP: f64 = 0.01; // weight of one window in what a host usually sends: ten seconds' worth
 
@@ -60,7 +60,7 @@
     }
 
     /// A share below the largest block I/O goes out whole, by a number drawn each overload window. A host
-    /// that never sent here sends less often, by what warm nodes take of what they are asked: even shares
+    /// that never sent here sends less often, by the fraction that warm nodes accept: even shares
     /// fall to hosts with nothing to send. Hurts where all hosts surge at a return.
     fn rounded_share(&mut self, now: Tick, id: NodeId, share: f64, sent: f64, growth: f64) -> f64 {
         let (limits, node) = (&self.slow_start, &mut self.nodes[id.0]);
@@ -69,7 +69,7 @@
             node.slow_start_draw = self.rng.fraction();
         }
         let demand = &self.warm_demand;
-        let taken = (demand.sent + UNUSED_LOAD * WARM_DEMAND_PRIOR) / (demand.asked + WARM_DEMAND_PRIOR);
+        let taken = (demand.sent + UNUSED_LOAD * WARM_DEMAND_PRIOR) / (demand.total + WARM_DEMAND_PRIOR);
         let used = if node.usual_rate > 0.0 { 1.0 } else { taken };
         let flow = limits.per_usual_rate * growth / limits.overload_window as f64 * used;
         if node.slow_start_draw + f64::from(sent > 0.0) < flow {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -28,7 +28,7 @@
     /// What a block I/O of mean class and plan earns in full.
     pub(crate) typical_priority: f64,
     pub(crate) hosts: u32,
-    /// Part of a node's load that the other hosts are taken to cause.
+    /// Fraction of a node's load that is assumed to come from the other hosts.
     pub(crate) load_by_other_hosts: f64,
     pub(crate) initial_window: f64,
     pub(crate) max_backoff: Tick,
@@ -50,7 +50,7 @@
     pub(crate) timers: TimerQueue,
     pub(crate) next_window: Tick,
     pub(crate) polling: PollSchedule,
-    /// The earliest timer asked of the host.
+    /// The earliest time for which the host's timer is set.
     pub(crate) armed_for: Tick,
     pub(crate) losing_answers_until: Tick,
     pub(crate) fleet: FleetLatency,
@@ -88,7 +88,7 @@
     pub(crate) idempotency: Idempotency,
     pub(crate) latency_objective: Tick,
     pub(crate) priority_weight: f64,
-    /// Part that its weight lacks of the highest weight: 0 for the class of the highest.
+    /// 1 - its weight / the highest weight: 0 for the class of the highest weight.
     pub(crate) weight_deficit: f64,
     pub(crate) ordered: bool,
     pub(crate) max_attempts: u32,
@@ -228,7 +228,7 @@
     pub(crate) attempts: u32,
     /// An attempt is in flight.
     pub(crate) in_flight: bool,
-    /// It needs no further attempt: answered, or the client is gone.
+    /// It needs no further attempt: it is answered, or its client disconnected.
     pub(crate) finished: bool,
     /// Its units are taken from the volume's tokens.
     pub(crate) charged: bool,
@@ -260,15 +260,15 @@
     pub(crate) mean: f64,
     /// The least that the mean was of late.
     pub(crate) best: f64,
-    /// Admission threshold that late answers raise: a part of the typical priority.
+    /// Admission threshold that late answers raise, as a fraction of the typical priority.
     pub(crate) threshold: f64,
 }
 
-/// Decaying counts of the block I/Os that warm nodes were asked for, and of those sent to them.
+/// Decaying counts of the block I/Os for warm nodes, and of those that were sent to them.
 #[derive(Default)]
 pub(crate) struct WarmDemand {
     pub(crate) sent: f64,
-    pub(crate) asked: f64,
+    pub(crate) total: f64,
 }
 
 /// The schedule on which the endpoint list is polled.
@@ -276,7 +276,7 @@
 pub(crate) struct PollSchedule {
     /// `Tick::MAX` while none is due.
     pub(crate) next_poll: Tick,
-    /// When the poll was made of which nothing has been heard since.
+    /// When the last poll was made, if nothing has been received since.
     pub(crate) pending_since: Option<Tick>,
     /// Span over which the hosts' polls are spread.
     pub(crate) spread: Tick,
@@ -284,7 +284,7 @@
     pub(crate) max_interval: Tick,
     /// Wait after the next failure; 0 after a success, when it is drawn anew.
     pub(crate) backoff: Tick,
-    /// The watch went silent, and nothing was heard since.
+    /// The watch went silent, and nothing has been received since.
     pub(crate) silent: bool,
 }
 
@@ -295,7 +295,7 @@
     pub(crate) even_share: f64,
     /// Units in an overload window for a usual rate of one unit a tick, just after the start.
     pub(crate) per_usual_rate: f64,
-    /// Part of its full rate at which a node starts.
+    /// Fraction of its full rate at which a node starts.
     pub(crate) initial_rate: f64,
     /// Ticks until it reaches its full rate.
     pub(crate) duration: Tick,
