--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -8,6 +8,7 @@
 
 pub mod interface;
 mod interner;
+mod key_queue;
 mod pcg;
 mod policy;
 mod recent_median;
--- a/crates/scheduler/src/policy/allocation.rs
+++ b/crates/scheduler/src/policy/allocation.rs
@@ -28,9 +28,11 @@
             let own = node.allocation_index(bio.volume);
             node.allocations[own].queued += bio.units;
         }
-        let allocations = &self.nodes[id.0].allocations;
-        let entitlements: Vec<_> = allocations.iter().map(|a| self.entitlement(a.volume)).collect();
-        redistribute(&mut self.nodes[id.0], &entitlements);
+        for index in 0..self.nodes[id.0].allocations.len() {
+            let due = self.entitlement(self.nodes[id.0].allocations[index].volume);
+            self.nodes[id.0].allocations[index].due = due;
+        }
+        redistribute(&mut self.nodes[id.0]);
     }
 
     /// The limit counts less what other hosts are reported to use, and at least as this host's quota.
@@ -71,7 +73,7 @@
         let allocations = &self.nodes[id.0].allocations;
         let bursting = || (0..allocations.len()).filter(|index| allocations[*index].bursting);
         let count = bursting().count() as u64;
-        let mut draw = || bursting().nth(self.rng.below(count) as usize);
+        let draw = || bursting().nth(self.rng.below(count) as usize);
         let (first, second) = (draw(), draw());
         let (first, second) = (first?, second?);
         let richer = if allocations[first].balance >= allocations[second].balance { first } else { second };
@@ -80,29 +82,28 @@
 }
 
 /// Both passes of Algorithm 1 (lines 2 to 13).
-fn redistribute(node: &mut Node, entitlements: &[Entitlement]) {
-    let bases: f64 = entitlements.iter().map(|e| e.base).sum();
-    let total = bases + node.extra_budget;
+fn redistribute(node: &mut Node) {
+    let total = node.allocations.iter().map(|a| a.due.base).sum::<f64>() + node.extra_budget;
     node.pool = total * POOL_SHARE;
     let (mut unused, mut total_demand) = (total - node.pool, 0.0);
     let idle = node.allocations.iter().all(|a| a.used == 0.0 && a.queued == 0.0);
-    let demand = |a: &Allocation, weight: f64| {
-        if idle { weight } else { (a.used + a.queued * QUEUED_WEIGHT) * weight }
+    let demand = |a: &Allocation| {
+        if idle { a.due.weight } else { (a.used + a.queued * QUEUED_WEIGHT) * a.due.weight }
     };
-    for (a, due) in node.allocations.iter_mut().zip(entitlements) {
+    for a in &mut node.allocations {
         let debt = a.balance.min(0.0);
         a.history = a.used.max(a.history * HISTORY_KEPT);
         let busy = a.bursting || a.queued > 0.0;
-        let granted = if busy { due.base } else { a.history * HISTORY_KEPT };
+        let granted = if busy { a.due.base } else { a.history * HISTORY_KEPT };
         a.balance = granted + debt;
         unused -= granted;
-        total_demand += demand(a, due.weight);
+        total_demand += demand(a);
     }
     let unused = unused.max(0.0);
-    for (a, due) in node.allocations.iter_mut().zip(entitlements) {
-        let share = if total_demand > 0.0 { unused * demand(a, due.weight) / total_demand } else { 0.0 };
-        a.balance = (a.balance + share).min(due.ceiling);
-        a.bursting = a.balance > due.base;
+    for a in &mut node.allocations {
+        let share = if total_demand > 0.0 { unused * demand(a) / total_demand } else { 0.0 };
+        a.balance = (a.balance + share).min(a.due.ceiling);
+        a.bursting = a.balance > a.due.base;
         a.used = 0.0;
     }
 }
--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -18,7 +18,7 @@
 impl Scheduler {
     /// Sends to each node all that it has capacity for.
     pub(super) fn dispatch_all(&mut self, host: &mut dyn Host, now: Tick) {
-        for id in self.nodes.keys().map(NodeId) {
+        for id in self.nodes.indices().map(NodeId) {
             self.dispatch(host, now, id);
         }
     }
@@ -40,6 +40,7 @@
 
     /// Position in a node's queue of the block I/O to be sent next; none if none may go now.
     fn next_to_send(&mut self, now: Tick, id: NodeId) -> Option<usize> {
+        self.nodes.get(id.0)?;
         let capacity = self.slow_start_capacity(now, id);
         let retry_allowed = self.retry_budget.allows(now);
         let node = &self.nodes[id.0];
--- a/crates/scheduler/src/policy/endpoints.rs
+++ b/crates/scheduler/src/policy/endpoints.rs
@@ -27,10 +27,9 @@
         }
         endpoints.iter().for_each(|endpoint| self.update_node(now, event, endpoint));
         // Nothing new goes to an inactive node: what was queued for it moves on or gets its answer.
-        for id in self.nodes.keys() {
-            let queue =
-                if self.nodes[id].active { vec![] } else { std::mem::take(&mut self.nodes[id].queue) };
-            for bio in queue {
+        for id in self.nodes.indices() {
+            let Some(node) = self.nodes.get_mut(id).filter(|node| !node.active) else { continue };
+            for bio in std::mem::take(&mut node.queue) {
                 self.place(host, now, bio);
             }
         }
@@ -71,8 +70,8 @@
 
     /// Forgets nodes that were removed long ago.
     pub(super) fn forget_nodes(&mut self, host: &mut dyn Host, now: Tick) {
-        for id in self.nodes.keys() {
-            let node = &mut self.nodes[id];
+        for id in self.nodes.indices() {
+            let Some(node) = self.nodes.get_mut(id) else { continue };
             node.inactive_since = if node.active { None } else { node.inactive_since.or(Some(now)) };
             let unused = node.in_flight.is_empty() && node.queue.is_empty();
             if unused && node.inactive_since.is_some_and(|since| now - since > FORGET_NODE) {
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -98,16 +98,18 @@
         self.forget_nodes(host, now);
         self.forget_volumes(host, now);
         self.end_cooldowns(host, now);
-        for id in self.nodes.keys().map(NodeId) {
-            self.age_node(now, id);
-            self.reallocate(id);
-            self.dispatch(host, now, id);
+        for id in self.nodes.indices().map(NodeId) {
+            if self.nodes.get(id.0).is_some() {
+                self.age_node(now, id);
+                self.reallocate(id);
+                self.dispatch(host, now, id);
+            }
         }
     }
 
     fn forget_volumes(&mut self, host: &mut dyn Host, now: Tick) {
-        for id in self.volumes.keys().map(VolumeId) {
-            let volume = &mut self.volumes[id.0];
+        for id in self.volumes.indices().map(VolumeId) {
+            let Some(volume) = self.volumes.get_mut(id.0) else { continue };
             let plan = &self.plans[volume.plan];
             volume.refill(now, plan, self.max_io_units);
             volume.average_other_hosts();
--- a/crates/scheduler/src/policy/ordering.rs
+++ b/crates/scheduler/src/policy/ordering.rs
@@ -7,13 +7,15 @@
     pub(super) fn join_key(&mut self, key: KeyId, id: BioId, ordered: bool) {
         let key = self.keys.get_or_insert_with(key.0, OrderingKey::default);
         key.users += 1;
-        key.queue.extend(ordered.then_some(id));
+        if ordered {
+            key.queue.push(id);
+        }
     }
 
     /// Takes a block I/O that is finished and has no attempt in flight out of its key's queue.
     pub(super) fn leave_key(&mut self, host: &mut dyn Host, now: Tick, key: KeyId, id: BioId) {
         let state = &mut self.keys[key.0];
-        state.queue.retain(|queued| *queued != id);
+        state.queue.remove(id);
         state.users -= 1;
         if state.users == 0 && state.cooldown_until <= now {
             state.cooldown_until = 0;
@@ -26,7 +28,7 @@
         let Some(key) = request.bio.key.filter(|_| self.class(request).ordered) else { return true };
         let key = &self.keys[key.0];
         let cooling_down = request.attempts == 0 && now < key.cooldown_until;
-        key.queue.front() == Some(&request.bio.id) && !cooling_down
+        key.queue.first() == Some(request.bio.id) && !cooling_down
     }
 
     /// An attempt that was cut off may still run: its key cools down.
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -26,11 +26,12 @@
         let request = &self.requests[id.0];
         let holds = |node: &Node| node.active && request.bio.shard.is_none_or(|shard| node.shard == shard);
         let fits = |(_, node): &(u32, &Node)| holds(node) && self.may_run_at(request, now, node);
-        let fitting: Vec<NodeId> = self.nodes.iter().filter(fits).map(|(index, _)| NodeId(index)).collect();
-        let others = fitting.len().checked_sub(1)?;
-        let first = self.rng.below(fitting.len() as u64) as usize;
-        let second = (first + 1 + self.rng.below(others as u64) as usize) % fitting.len();
-        Some((fitting[first], fitting[second]))
+        let count = self.nodes.iter().filter(fits).count();
+        let others = count.checked_sub(1)?;
+        let first = self.rng.below(count as u64) as usize;
+        let second = (first + 1 + self.rng.below(others as u64) as usize) % count;
+        let nth = |position| self.nodes.iter().filter(fits).nth(position).map(|(index, _)| NodeId(index));
+        nth(first).zip(nth(second))
     }
 
     /// How long a block I/O may wait at a node, by this host's counts. An unanswered attempt makes it as slow
--- a/crates/scheduler/src/slab.rs
+++ b/crates/scheduler/src/slab.rs
@@ -1,5 +1,5 @@
 //! Entries by small index. Indices are assigned outside, and used again once their entry is removed.
-use std::ops::{Index, IndexMut};
+use std::ops::{Index, IndexMut, Range};
 
 pub(crate) struct Slab<T>(Vec<Option<T>>);
 
@@ -31,9 +31,10 @@
         self.0[index as usize] = None;
     }
 
-    /// The indices in use, ascending, as they stand now.
-    pub(crate) fn keys(&self) -> std::vec::IntoIter<u32> {
-        self.iter().map(|(index, _)| index).collect::<Vec<u32>>().into_iter()
+    /// All indices that were ever used, ascending; an entry may be gone. Nothing is borrowed, so that entries may be
+    /// changed on the way.
+    pub(crate) fn indices(&self) -> Range<u32> {
+        0..self.0.len() as u32
     }
 
     /// Puts an entry in the place of an index, or frees it.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,13 +1,13 @@
 //! What the scheduler keeps: its configuration, and the state of nodes, volumes, block I/Os and keys. Plain
 //! data: the decisions stand in `policy`.
 use crate::interface::{Bio, BioId, Idempotency, KeyId, NodeId, Plan, SchedulerConfig, Tick, VolumeId};
+use crate::key_queue::KeyQueue;
 use crate::pcg::Pcg;
 use crate::policy::RECENT_ANSWERS;
 use crate::recent_median::RecentMedian;
 use crate::slab::Slab;
 use crate::sliding_sum::SlidingSum;
 use crate::timer_queue::TimerQueue;
-use std::collections::VecDeque;
 
 /// Ticks in a second.
 pub(crate) const TICKS_PER_SECOND: f64 = 10_000.0;
@@ -125,6 +125,8 @@
 #[derive(Default)]
 pub(crate) struct Allocation {
     pub(crate) volume: VolumeId,
+    /// What it was due when this window began.
+    pub(crate) due: Entitlement,
     /// Cost still to be spent in this window; a debt below 0.
     pub(crate) balance: f64,
     /// Cost spent in this window.
@@ -239,7 +241,7 @@
 #[derive(Default)]
 pub(crate) struct OrderingKey {
     /// Its ordered block I/Os; only the first may be sent.
-    pub(crate) queue: VecDeque<BioId>,
+    pub(crate) queue: KeyQueue,
     /// Block I/Os that name it.
     pub(crate) users: u32,
     /// Until then no other block I/O of the key starts; 0 when none was cut off.
@@ -333,6 +335,7 @@
 }
 
 /// What a volume is due at one node in one window.
+#[derive(Clone, Copy, Default)]
 pub(crate) struct Entitlement {
     /// Cost that its reservation stands for.
     pub(crate) base: f64,
