--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Sends one command and waits for its answer. `room` is how many bytes may come, `data` what is written.
+    /// Sends one command and waits for its answer. `read_len` is how many bytes it may read, `data` what it
+    /// writes.
     ///
     /// # Errors
     /// As `exchange`; also where the target rejects the command's PDU or its command window is closed.
@@ -126,12 +127,12 @@
         &mut self,
         lun: u32,
         cdb: &[u8; 16],
-        room: usize,
+        read_len: usize,
         data: Vec<u8>,
     ) -> Result<Answer, ClientError> {
         self.last_tag += 1;
         let own_tag = self.last_tag;
-        if !self.conn.command(own_tag, lun, cdb, room, data.into()) {
+        if !self.conn.command(own_tag, lun, cdb, read_len, data.into()) {
             return Err(ClientError::WindowClosed);
         }
         loop {
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -12,7 +12,8 @@
 /// Longest line of the catalog in bytes: a whole tree without its places, of some hundred thousand layers and
 /// names. A longer one ends the connection.
 const MAX_LINE: usize = 32 << 20;
-/// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in pieces.
+/// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in
+/// pieces.
 const READS_PER_TURN: usize = 4;
 
 /// A layer of which the catalog wants to hear that no write of several parts lies half in it.
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -38,8 +38,8 @@
         /// Log lines as JSON objects
         #[arg(long)]
         json: bool,
-        /// Milliseconds that one call takes of the list service, 0 to 10000: all hosts together spread their calls
-        /// so that it can handle them (30 where this is not given)
+        /// Milliseconds that one call takes of the list service, 0 to 10000: all hosts together spread their
+        /// calls so that it can handle them (30 where this is not given)
         #[arg(long, value_name = "MS", value_parser = clap::value_parser!(u16).range(..=10_000))]
         list_turn: Option<u16>,
     },
@@ -106,8 +106,8 @@
         #[arg(long, default_value_t = 0)]
         count: u64,
     },
-    /// Have a running host take up the plans of its changed file, and which volume has which; all else must be as
-    /// it was
+    /// Have a running host take up the plans of its changed file, and which volume has which; all else must
+    /// be as it was
     Reload {
         /// The host's configuration file
         file: PathBuf,
@@ -129,8 +129,8 @@
     },
 }
 
-/// Runs the program with these arguments, the first being its name. Prints results to standard output and errors
-/// to standard error.
+/// Runs the program with these arguments, the first being its name. Prints results to standard output and
+/// errors to standard error.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
--- a/crates/gateway/src/cli/verify.rs
+++ b/crates/gateway/src/cli/verify.rs
@@ -10,14 +10,14 @@
     let findings = verify::run(&site, reclaim)?;
     findings.faults.iter().for_each(|fault| println!("fault: {fault}"));
     let label = if reclaim { "given back" } else { "leaked" };
-    for (layer, place) in &findings.leaked {
-        let node = &site.nodes[place.node as usize].name;
-        println!("{label}: layer {layer}, place {} at {node}", place.slot);
+    for (layer, location) in &findings.leaked {
+        let node = &site.nodes[location.node as usize].name;
+        println!("{label}: layer {layer}, place {} at {node}", location.slot);
     }
     println!(
         "places {}, of which hold data {}; leaked {}; faults {}",
-        findings.places,
-        findings.places_with_data,
+        findings.locations,
+        findings.locations_with_data,
         findings.leaked.len(),
         findings.faults.len()
     );
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes a connection that was accepted, if there is room for it.
+    /// Takes a connection that was accepted, unless there are too many.
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
         let conn = TargetConn::new(Rc::clone(&self.terms));
@@ -273,10 +273,10 @@
         self.abandoned.pop()
     }
 
-    /// Whether no closed connection was left to be taken by `next_abandoned`.
+    /// Whether there are commands that `next_abandoned` has not returned yet.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
-        self.abandoned.is_empty()
+    pub fn has_abandoned(&self) -> bool {
+        !self.abandoned.is_empty()
     }
 
     /// Pings silent clients and closes connections that have timed out.
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -40,8 +40,8 @@
 }
 
 impl ControlSocket {
-    /// Listens at a path; connections get tokens from `first_token` on. A socket file whose process is gone is
-    /// replaced; one at which a process still answers is an error.
+    /// Listens at a path; connections get tokens from `first_token` on. A socket file whose process is gone
+    /// is replaced; one at which a process still answers is an error.
     pub(crate) fn open(path: &Path, registry: Registry, own: Token, first_token: usize) -> io::Result<Self> {
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
             return Err(io::Error::new(ErrorKind::AddrInUse, "another host runs here"));
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -17,9 +17,9 @@
     completed: f64,
 }
 
-/// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with three
-/// decimals). A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
-/// Ends after `count` intervals; 0: never.
+/// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with
+/// three decimals). A host that does not answer, or has restarted, is skipped in that interval and named in a
+/// comment. Ends after `count` intervals; 0: never.
 pub(crate) fn record(
     control_sockets: &[PathBuf],
     every: Duration,
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,5 +1,6 @@
 //! The block I/Os in flight: which client each came from, and its attempt at a node. Carries out the
-//! scheduler's decisions; their outcomes are queued and passed to the scheduler once its present call has returned.
+//! scheduler's decisions; their outcomes are queued and passed to the scheduler once its present call has
+//! returned.
 //!
 //! - `block_io`: commands, block I/Os and attempts, and the tags of attempts.
 //! - `commands`: commands of clients, from their arrival to their answer.
@@ -125,7 +126,8 @@
     attempt_timeouts: BinaryHeap<Reverse<AttemptTimeout>>,
     /// Outcomes of attempts that are not passed to the scheduler yet.
     outcomes: VecDeque<(BioId, AttemptOutcome)>,
-    /// Block I/Os to be withdrawn from the scheduler: nobody waits for them, or their location is looked up again.
+    /// Block I/Os to be withdrawn from the scheduler: nobody waits for them, or their location is looked up
+    /// again.
     withdrawn: VecDeque<BioId>,
     /// Block I/Os of copies that are not passed to the scheduler yet.
     arrivals: VecDeque<BlockIoIndex>,
@@ -195,8 +197,8 @@
         }
     }
 
-    /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan has
-    /// changed.
+    /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan
+    /// has changed.
     pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
         let mut changed = Vec::new();
         for (index, (volume, plan)) in self.volumes.iter_mut().zip(plans).enumerate() {
@@ -219,7 +221,7 @@
         match event {
             Came::LoggedIn(who) => self.clients.on_login(client, who.initiator),
             Came::Command { task, lun, cdb, room, data } => {
-                let request = commands::ClientRequest { client, task, lun, cdb, room, data };
+                let request = commands::ClientRequest { client, task, lun, cdb, read_len: room, data };
                 self.on_command(scheduler, request);
             }
             Came::Aborted { task } => {
@@ -231,19 +233,19 @@
         }
     }
 
-    /// Calls the scheduler at the time that it has set. Nothing else calls its timer: it sets each time once, and
-    /// would take an earlier or later call for the one that it has set, and wait for the next in vain.
+    /// Calls the scheduler at the time that it has set. Nothing else calls its timer: it sets each time once,
+    /// and would take an earlier or later call for the one that it has set, and wait for the next in vain.
     pub(crate) fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
         if self.wakeup_at.is_some_and(|time| time <= self.now) {
             self.wakeup_at = None;
             let now = self.now;
             scheduler.on_timer(self, now);
-            self.settle(scheduler);
+            self.process_pending(scheduler);
         }
     }
 
     /// Passes outcomes, withdrawals and arrivals to the scheduler until none is left.
-    pub(crate) fn settle(&mut self, scheduler: &mut Scheduler) {
+    pub(crate) fn process_pending(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
         loop {
             while let Some(commands) = self.clients.next_abandoned() {
@@ -255,7 +257,7 @@
                 self.on_finished_attempt(finished);
             }
             // Withdrawals go first: what is withdrawn behind a write that was rejected must not be sent when
-            // that one makes room.
+            // that one frees its place in the window.
             if let Some(id) = self.withdrawn.pop_front() {
                 if self.block_ios.get(id.0).is_some() {
                     scheduler.on_disconnect(self, now, id);
@@ -264,7 +266,10 @@
                 scheduler.on_attempt_finished(self, now, id, &outcome);
             } else if let Some(index) = self.arrivals.pop_front() {
                 self.pass_to_scheduler(scheduler, index);
-            } else if self.nodes.is_quiet() && self.clients.is_quiet() && !self.retry_lookups(scheduler) {
+            } else if !self.nodes.has_finished()
+                && !self.clients.has_abandoned()
+                && !self.retry_lookups(scheduler)
+            {
                 return;
             }
         }
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -48,7 +48,7 @@
             let index = index_of_tag(timeout.tag);
             let attempt = self.block_ios.get(index).and_then(|io| io.attempt.as_ref());
             let Some(attempt) = attempt.filter(|attempt| attempt.tag == timeout.tag) else { continue };
-            let unsent = self.nodes.give_up(attempt.node as usize, timeout.tag, self.now);
+            let unsent = self.nodes.cancel(attempt.node as usize, timeout.tag, self.now);
             self.finish_attempt(
                 index,
                 if unsent { AttemptResult::ConnectFailed } else { AttemptResult::TimedOut },
@@ -182,7 +182,7 @@
             None => (None, io.request.node_lba),
         };
         let cdb = scsi::rw16(write, lba, io.request.blocks, group_number);
-        let request = NodeRequest { tag, lun, cdb, room: if write { 0 } else { len }, data };
+        let request = NodeRequest { tag, lun, cdb, read_len: if write { 0 } else { len }, data };
         self.metrics.nodes[node.0 as usize].attempts += 1;
         self.attempt_timeouts.push(Reverse(AttemptTimeout { at: self.now + timeout.max(0), tag }));
         self.nodes.submit(node.0 as usize, request, self.now);
@@ -191,7 +191,7 @@
     fn cancel(&mut self, bio: BioId, attempt: u32) {
         let Some(io) = self.block_ios.get(bio.0).filter(|io| io.attempts == attempt + 1) else { return };
         let Some(attempt) = &io.attempt else { return };
-        let unsent = self.nodes.give_up(attempt.node as usize, attempt.tag, self.now);
+        let unsent = self.nodes.cancel(attempt.node as usize, attempt.tag, self.now);
         self.finish_attempt(bio.0, if unsent { AttemptResult::NotSent } else { AttemptResult::Cancelled });
     }
 
--- a/crates/gateway/src/dispatcher/block_io.rs
+++ b/crates/gateway/src/dispatcher/block_io.rs
@@ -9,8 +9,8 @@
 use mallowseam_scheduler::interface::Tick;
 use std::rc::Rc;
 
-/// A tag of an attempt has the block I/O's index in its lower bits and the number of the attempt above them, so
-/// that a late answer is not taken for that of a later attempt.
+/// A tag of an attempt has the block I/O's index in its lower bits and the number of the attempt above them,
+/// so that a late answer is not taken for that of a later attempt.
 const INDEX_BITS: u32 = 20;
 /// Block I/Os that can be in flight.
 pub(super) const MAX_BLOCK_IOS: usize = 1 << INDEX_BITS;
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -29,7 +29,7 @@
     pub(super) lun: Option<u32>,
     pub(super) cdb: [u8; 16],
     /// Bytes that the client takes.
-    pub(super) room: usize,
+    pub(super) read_len: usize,
     /// Bytes that it writes.
     pub(super) data: Vec<u8>,
 }
@@ -104,7 +104,7 @@
             return Err(Sense::OUT_OF_RANGE);
         }
         let fits_client =
-            if write { request.data.len() as u64 == bytes } else { request.room as u64 >= bytes };
+            if write { request.data.len() as u64 == bytes } else { request.read_len as u64 >= bytes };
         if bytes > self.max_transfer_bytes || !fits_client {
             return Err(Sense::INVALID_FIELD);
         }
--- a/crates/gateway/src/dispatcher/extent_copies.rs
+++ b/crates/gateway/src/dispatcher/extent_copies.rs
@@ -138,8 +138,9 @@
         }
     }
 
-    /// Forgets copies that the tree has settled, and proposes locations again that the catalog has not answered.
-    pub(super) fn tend_copies(&mut self) {
+    /// Forgets copies that the tree has settled, and proposes locations again that the catalog has not
+    /// answered.
+    pub(super) fn update_copies(&mut self) {
         let now = ticks_to_millis(self.now);
         let Some(tree) = self.catalog.as_ref().and_then(|catalog| catalog.replica.tree()) else { return };
         let is_settled = |(layer, extent): &(LayerId, u32)| {
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -3,8 +3,8 @@
 use crate::client_connections::ClientId;
 use mallowseam_iscsi::scsi::{self, Command, Sense, Unit};
 
-/// Standard INQUIRY data of a LUN without a unit (SPC-4, 6.4.2): qualifier 3, type 1Fh, version, response format,
-/// additional length; zeros follow.
+/// Standard INQUIRY data of a LUN without a unit (SPC-4, 6.4.2): qualifier 3, type 1Fh, version, response
+/// format, additional length; zeros follow.
 const NO_UNIT_INQUIRY: [u8; 5] = [0x7f, 0, 6, 2, 31];
 /// Length of standard INQUIRY data.
 const INQUIRY_LEN: usize = 36;
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -1,5 +1,5 @@
-//! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree, and
-//! waited for where it is not known.
+//! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree,
+//! and waited for where it is not known.
 use super::{BlockIoIndex, Dispatcher};
 use crate::clock::{ticks_from_micros_ceil, ticks_to_millis};
 use mallowseam_connection_policy::command_progress::RequestOutcome;
@@ -33,8 +33,8 @@
         self.waiting.insert(position, index);
     }
 
-    /// Looks up the location of a block I/O that has just arrived. It waits behind one that waits for the same
-    /// extent.
+    /// Looks up the location of a block I/O that has just arrived. It waits behind one that waits for the
+    /// same extent.
     pub(super) fn look_up(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) {
         let io = self.block_ios.get(index).expect("in flight");
         let is_ahead = |other: &BlockIoIndex| {
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Passes a block I/O to the scheduler if its location is known, or finishes it otherwise. False: it has to
-    /// wait.
+    /// Passes a block I/O to the scheduler if its location is known, or finishes it otherwise. False: it has
+    /// to wait.
     fn try_locate(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) -> bool {
         let io = self.block_ios.get(index).expect("in flight");
         let (write, extent, volume) = (self.is_write(io), io.request.shard, io.volume);
@@ -92,8 +92,8 @@
         self.release(index);
     }
 
-    /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has passed.
-    /// True if any of them waits no more, or a copy has started.
+    /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has
+    /// passed. True if any of them waits no more, or a copy has started.
     pub(super) fn retry_lookups(&mut self, scheduler: &mut Scheduler) -> bool {
         let Some(catalog) = &self.catalog else { return false };
         if self.lookup_revision == catalog.revision && self.now < self.next_lookup {
@@ -101,8 +101,8 @@
         }
         self.lookup_revision = catalog.revision;
         self.next_lookup = self.now + ticks_from_micros_ceil(RETRY_DELAY * MICROS_PER_MILLI);
-        self.tend_copies();
-        self.tend_cuts();
+        self.update_copies();
+        self.apply_cut_decisions();
         let mut blocked: Vec<(Option<u32>, u32)> = Vec::new();
         let mut moved = false;
         for index in std::mem::take(&mut self.waiting) {
@@ -126,8 +126,8 @@
         moved || !self.arrivals.is_empty()
     }
 
-    /// A node has rejected a write, as its layer is closed: the locations of this write and of those queued for the
-    /// same layer are looked up again.
+    /// A node has rejected a write, as its layer is closed: the locations of this write and of those queued
+    /// for the same layer are looked up again.
     pub(super) fn on_closed_layer(&mut self, index: BlockIoIndex) {
         let io = self.block_ios.get_mut(index).expect("in flight");
         io.relocating = true;
--- a/crates/gateway/src/dispatcher/split_writes.rs
+++ b/crates/gateway/src/dispatcher/split_writes.rs
@@ -15,8 +15,8 @@
         io.command.and_then(|command| self.commands.get(command)).is_some_and(|command| command.write)
     }
 
-    /// Whether a part of a write may be sent into a layer, as far as cuts are concerned. A write that can never be
-    /// completed is failed, and its block I/O released.
+    /// Whether a part of a write may be sent into a layer, as far as cuts are concerned. A write that can
+    /// never be completed is failed, and its block I/O released.
     pub(super) fn may_write_to(&mut self, index: BlockIoIndex, layer: LayerId, now: Millis) -> bool {
         let Some(io) = self.block_ios.get(index) else { return false };
         let Some(command_index) = io.command else { return true };
@@ -60,7 +60,7 @@
     }
 
     /// Applies the catalog's decisions about writes, and reports which layers this host has quiesced.
-    pub(super) fn tend_cuts(&mut self) {
+    pub(super) fn apply_cut_decisions(&mut self) {
         let Some(catalog) = &mut self.catalog else { return };
         for CompletionDecision { layer, granted } in std::mem::take(&mut catalog.completion_decisions) {
             for index in self.commands.indices() {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Queues what is known before the service has answered: the cached list, or all nodes of the configuration
-    /// where there is no service.
+    /// Queues what is known before the service has answered: the cached list, or all nodes of the
+    /// configuration where there is no service.
     pub(crate) fn start(&mut self, now: Tick) {
         if self.address.is_none() {
             let listed = |(index, node): (usize, &KnownNode)| NodeEndpoint {
@@ -227,8 +227,8 @@
     fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<NodeEndpoint> {
         let index = self.nodes.iter().position(|node| node.name == entry.name)?;
         let node = &mut self.nodes[index];
-        // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It never
-        // moves up, which would look like a restart.
+        // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It
+        // never moves up, which would look like a restart.
         let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
         if entry.incarnation == 0 {
             (node.incarnation, node.up_since) = (0, 0);
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -69,7 +69,8 @@
     dispatcher: Dispatcher,
     endpoint_list: EndpointList,
     plan_replication: Option<PlanReplication>,
-    /// Its part in the fleet's membership, where the configuration has one, and whether that has more to read.
+    /// Its part in the fleet's membership, where the configuration has one, and whether that has more to
+    /// read.
     membership: Option<Box<UdpMembership>>,
     membership_readable: bool,
     /// The quotas that the scheduler keeps to, by volume.
@@ -210,8 +211,8 @@
 
     fn start(&mut self) {
         self.dispatcher.now = self.clock.now();
-        // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the endpoint list and
-        // its windows from here on.
+        // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the endpoint list
+        // and its windows from here on.
         self.dispatcher.set_timer(0);
         self.dispatcher.on_wakeup(&mut self.scheduler);
         self.endpoint_list.start(self.dispatcher.now);
@@ -304,14 +305,14 @@
         {
             self.read_again(PendingRead::Catalog);
         }
-        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.process_pending(&mut self.scheduler);
     }
 
     fn after_node_read(&mut self, node: NodeIndex, more: bool) {
         if more {
             self.pending_reads.push_back(PendingRead::Node(node));
         }
-        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.process_pending(&mut self.scheduler);
     }
 
     fn after_client_read(&mut self, client: ClientId, more: bool) {
@@ -321,7 +322,7 @@
         while let Some(event) = self.dispatcher.clients.next_event(client) {
             self.dispatcher.on_client_event(&mut self.scheduler, client, event);
         }
-        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.process_pending(&mut self.scheduler);
     }
 
     /// What is due after the events of one poll.
@@ -335,7 +336,7 @@
         }
         self.apply_endpoint_updates();
         self.run_timers();
-        self.tend_quotas();
+        self.update_quotas();
         self.publish_facts();
         if let Some(catalog) = &mut self.dispatcher.catalog {
             catalog.on_timer(ticks_to_millis(self.dispatcher.now));
@@ -345,7 +346,7 @@
             self.read_again(PendingRead::Client(client));
         }
         // A connection that failed while it was written to has ended attempts.
-        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.process_pending(&mut self.scheduler);
     }
 
     /// Each socket with more to read has one turn.
@@ -370,7 +371,7 @@
     fn run_timers(&mut self) {
         self.dispatcher.now = self.clock.now();
         self.dispatcher.expire_attempts();
-        self.dispatcher.settle(&mut self.scheduler);
+        self.dispatcher.process_pending(&mut self.scheduler);
         self.dispatcher.on_wakeup(&mut self.scheduler);
         if std::mem::take(&mut self.dispatcher.endpoint_list_requested) {
             self.endpoint_list.watch(self.dispatcher.now);
@@ -384,7 +385,7 @@
             self.endpoint_list.on_timer(now);
             self.accepting = true;
             self.apply_endpoint_updates();
-            self.dispatcher.settle(&mut self.scheduler);
+            self.dispatcher.process_pending(&mut self.scheduler);
         }
     }
 
@@ -411,7 +412,7 @@
             }
             let now = self.dispatcher.now;
             self.scheduler.on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
-            self.dispatcher.settle(&mut self.scheduler);
+            self.dispatcher.process_pending(&mut self.scheduler);
         }
     }
 
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -78,7 +78,7 @@
     }
 
     /// Measures what clients request, and has the scheduler keep to this host's quotas.
-    pub(super) fn tend_quotas(&mut self) {
+    pub(super) fn update_quotas(&mut self) {
         let Some(replication) = &mut self.plan_replication else { return };
         let now = self.dispatcher.now;
         if self.demand.measure(now, &self.dispatcher.metrics.volumes) {
@@ -114,7 +114,7 @@
             Ok(()) => replication.accept(ticks_to_millis(self.dispatcher.now)),
             Err(e) => replication.reject(&e.to_string()),
         }
-        self.tend_quotas();
+        self.update_quotas();
     }
 
     /// What is to be applied of a replicated state.
@@ -141,8 +141,8 @@
         plans.changes.iter().for_each(|change| tracing::info!(change = change.to_string(), "plans applied"));
     }
 
-    /// Applies the plans of a configuration that differs from the running one in nothing else. Returns what has
-    /// changed.
+    /// Applies the plans of a configuration that differs from the running one in nothing else. Returns what
+    /// has changed.
     pub(super) fn reload(&mut self, file: &str) -> Result<String, ApplyError> {
         if self.plan_replication.is_some() {
             return Err(ApplyError::Replicated);
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -204,7 +204,8 @@
         }
     }
 
-    /// Reads once from a peer; its complete lines. None: there is no more for now, or the peer is disconnected.
+    /// Reads once from a peer; its complete lines. None: there is no more for now, or the peer is
+    /// disconnected.
     pub(crate) fn read(&mut self, id: PeerId, buffer: &mut [u8]) -> Option<Vec<Vec<u8>>> {
         match self.all.get_mut(id)?.connection.read(buffer, self.limits.max_line) {
             LineRead::Lines(lines) => return Some(lines),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,7 +10,8 @@
 //! - `endpoint_list`, `catalog_client`, `plan_replication`: clients of the services that a host follows.
 //! - `scheduler_config`, `metrics`, `status`: configuration and figures in the forms that others take.
 //!
-//! The services: `plan_service`, `snapshot_catalog`. Both, and the host, share `control_socket`, `json_lines`,
+//! The services: `plan_service`, `snapshot_catalog`. Both, and the host, share `control_socket`,
+//! `json_lines`,
 //! `socket_io`, `startup`, `atomic_file` and `error`.
 //!
 //! Tools of the command line (`cli`): `demand`, `placement`, `snapshot_archive`, `verify`, `blocking_client`.
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -41,8 +41,8 @@
     /// None: the unit that the configuration names.
     pub(crate) lun: Option<u32>,
     pub(crate) cdb: [u8; 16],
-    /// Bytes that may come.
-    pub(crate) room: usize,
+    /// Bytes that are read.
+    pub(crate) read_len: usize,
     /// Bytes that are written.
     pub(crate) data: Payload,
 }
@@ -151,22 +151,23 @@
         self.finished.pop_front()
     }
 
-    /// Whether the owner has taken all finished attempts.
-    pub(crate) fn is_quiet(&self) -> bool {
-        self.finished.is_empty()
+    /// Whether there is a finished attempt that the owner has not taken yet.
+    pub(crate) fn has_finished(&self) -> bool {
+        !self.finished.is_empty()
     }
 
     fn end(&mut self, node: NodeIndex, tag: u32, result: AttemptResult) {
         self.finished.push_back(FinishedAttempt::without_data(node, tag, result));
     }
 
-    /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be tried.
+    /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be
+    /// tried.
     pub(crate) fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
         let node = &mut self.all[index];
         if node.connection.is_ready() {
             let link = node.link.as_mut().expect("a connection that is ready has a link");
-            let NodeRequest { tag, lun, cdb, room, data } = request;
-            if link.conn.command(tag, lun.unwrap_or(node.lun), &cdb, room, data) {
+            let NodeRequest { tag, lun, cdb, read_len, data } = request;
+            if link.conn.command(tag, lun.unwrap_or(node.lun), &cdb, read_len, data) {
                 self.mark_dirty(index);
             } else {
                 // The node's own command window is closed: it has rejected the command before it was sent.
@@ -201,8 +202,9 @@
         }
     }
 
-    /// Stops waiting for an attempt; one that was sent is aborted. True: it was never sent, so it has not run.
-    pub(crate) fn give_up(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
+    /// Stops waiting for an attempt; one that was sent is aborted. True: it was never sent, so it has not
+    /// run.
+    pub(crate) fn cancel(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
         let node = &mut self.all[index];
         let queued = node.queue.len();
         node.queue.retain(|request| request.tag != tag);
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -23,8 +23,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What a unit's gain is multiplied by inside the model: thousandths of units and of price, parts of a hundred,
-/// and `SCALE`.
+/// What a unit's gain is multiplied by inside the model: thousandths of units and of price, parts of a
+/// hundred, and `SCALE`.
 const GAIN_SCALE: f64 = 1000.0 * 1000.0 * 100.0 * SCALE as f64;
 
 /// Why no answer can be given.
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -9,8 +9,8 @@
 use std::path::Path;
 
 /// Describes what would change in the configuration and, with `write`, changes it; a host then still has to
-/// reload it. An answer that the configuration contradicts is rejected: it names volumes that the configuration
-/// lacks, or places volumes elsewhere than their data is.
+/// reload it. An answer that the configuration contradicts is rejected: it names volumes that the
+/// configuration lacks, or places volumes elsewhere than their data is.
 pub(crate) fn apply(
     file: &Path,
     answer: &Path,
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Connects if that is due, and writes what is queued. `jitter`, below 1000, spreads the hosts' reconnects.
+    /// Connects if that is due, and writes what is queued. `jitter`, below 1000, spreads the hosts'
+    /// reconnects.
     pub(crate) fn on_timer(&mut self, now: Millis, jitter: u64) {
         if self.connection.is_none() && self.replica.should_connect(now, jitter) {
             match LineConnection::connect(self.address, &self.registry, self.token) {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Reads what has come. `requested`: units a second that clients request of each volume. True: a new state
-    /// is to be applied.
+    /// Reads what has come. `requested`: units a second that clients request of each volume. True: a new
+    /// state is to be applied.
     pub(crate) fn on_ready(&mut self, buffer: &mut [u8], requested: &[MilliUnits], now: Millis) -> bool {
         let mut has_state = false;
         while let Some(connection) = &mut self.connection {
@@ -118,8 +119,8 @@
         false
     }
 
-    /// The host acts on the next state. It is cached on disk first, so that a start without the service acts on
-    /// it as well.
+    /// The host acts on the next state. It is cached on disk first, so that a start without the service acts
+    /// on it as well.
     pub(crate) fn accept(&mut self, now: Millis) {
         if let Some(message) = self.replica.accept_pending(now) {
             if let Some(path) = &self.cache_file
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -283,8 +283,8 @@
         }
     }
 
-    /// Sends a host that has connected what it lacks: lines of the change log where the last one that it has is
-    /// in it, else a full snapshot.
+    /// Sends a host that has connected what it lacks: lines of the change log where the last one that it has
+    /// is in it, else a full snapshot.
     fn catch_up(&mut self, id: PeerId, version: u64, last: &str) {
         let log = self.store.log();
         let missing = log.state.version.checked_sub(version).filter(|n| *n <= MAX_CATCH_UP);
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -28,8 +28,8 @@
     NoSuchVersion(u64),
     #[error("`{0}`: unknown, or heard of in the last seconds")]
     HostNotRemovable(String),
-    /// A change could not be stored. A store that fails is no store: the service ends, and hosts go on with what
-    /// they have.
+    /// A change could not be stored. A store that fails is no store: the service ends, and hosts go on with
+    /// what they have.
     #[error(transparent)]
     WriteStore(StoreError),
 }
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -20,7 +20,8 @@
         max_io_units: fleet.max_io_units,
         share_weight_factor: fleet.share_weight_factor,
         spare_weight_factor: fleet.spare_weight_factor,
-        // iSCSI has no field in which a node could report the load of other hosts, nor one for messages of peers.
+        // iSCSI has no field in which a node could report the load of other hosts, nor one for messages of
+        // peers.
         other_hosts_usage_reported: false,
         allow_cancel: true,
         allow_retry_after: fleet.max_retry_after > 0,
@@ -82,8 +83,8 @@
     VolumeLayout { extents: volume.extents.iter().map(extent).collect(), rules: class_rules(volume) }
 }
 
-/// The layout of a mapped volume: extents of `extent_blocks` blocks, each a shard of its own until it is looked
-/// up.
+/// The layout of a mapped volume: extents of `extent_blocks` blocks, each a shard of its own until it is
+/// looked up.
 pub(crate) fn mapped_layout(volume: &config::Volume, extent_blocks: u64) -> VolumeLayout {
     let extent = |index: u64| Extent {
         first_block: index * extent_blocks,
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -119,14 +119,14 @@
         self.blocks_per_extent * self.block_size
     }
 
-    /// One read or write of `bytes` bytes, attempted again while the host rejects it. Reads are attempted again
-    /// after any failure, writes only where the host says that they have not run.
+    /// One read or write of `bytes` bytes, attempted again while the host rejects it. Reads are attempted
+    /// again after any failure, writes only where the host says that they have not run.
     fn transfer(&mut self, write: bool, lba: u64, data: &[u8], bytes: u64) -> Result<Vec<u8>, ArchiveError> {
         let cdb = scsi::rw16(write, lba, (bytes / self.block_size) as u32, 0);
-        let room = if write { 0 } else { bytes as usize };
+        let read_len = if write { 0 } else { bytes as usize };
         let mut last_status = status::GOOD;
         for _ in 0..MAX_ATTEMPTS {
-            let answer = self.client.execute(self.lun, &cdb, room, data.to_vec())?;
+            let answer = self.client.execute(self.lun, &cdb, read_len, data.to_vec())?;
             match answer.status {
                 status::GOOD => return Ok(answer.data),
                 status::BUSY | status::TASK_SET_FULL => {}
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,5 +1,5 @@
-//! The snapshot catalog service: stores the tree of layers, replicates its changes to hosts, and has nodes close
-//! layers and unmap reclaimed extents.
+//! The snapshot catalog service: stores the tree of layers, replicates its changes to hosts, and has nodes
+//! close layers and unmap reclaimed extents.
 //!
 //! - `hosts`: messages of hosts, and what a host that connects is sent.
 //! - `operator`: requests on the control socket, and operations whose end an operator waits for.
@@ -51,7 +51,8 @@
 /// Whether a host has sent its hello message, and is sent every change from then on.
 type Subscribed = bool;
 
-/// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older version.
+/// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older
+/// version.
 struct PendingLocation {
     version: u64,
     layer: LayerId,
@@ -174,7 +175,8 @@
         Ok(service)
     }
 
-    /// Locations that hosts were notified of, and that were not writable at the last stop, become so in this run.
+    /// Locations that hosts were notified of, and that were not writable at the last stop, become so in this
+    /// run.
     fn resume_pending_locations(&mut self) {
         let tree = self.catalog.tree();
         for (id, layer) in &tree.layers {
@@ -253,7 +255,7 @@
             self.last_check = self.now;
             self.on_timer(now);
         }
-        self.tend_operations(now);
+        self.advance_operations(now);
         self.store_changes()?;
         self.nodes.flush();
         self.send_replies();
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// A host asks to complete a write that has parts in a layer. Where it may, pending cuts of that layer are
-    /// restarted behind the write.
+    /// A host asks to complete a write that has parts in a layer. Where it may, pending cuts of that layer
+    /// are restarted behind the write.
     fn on_completion_request(&mut self, host: PeerId, layer: LayerId) {
         let decision = decide_completion(self.tree(), layer);
         let granted = decision.as_ref().is_some_and(|decision| decision.is_granted);
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -40,7 +40,8 @@
     ) {
         self.last_tag = self.last_tag.wrapping_add(1);
         let (cdb, data) = command;
-        let request = NodeRequest { tag: self.last_tag, lun: Some(layer), cdb, room: 0, data: data.into() };
+        let request =
+            NodeRequest { tag: self.last_tag, lun: Some(layer), cdb, read_len: 0, data: data.into() };
         self.commands.insert(self.last_tag, NodeCommand { purpose, deadline: self.now + COMMAND_TIMEOUT });
         self.nodes.submit(node as usize, request, self.now);
     }
@@ -90,7 +91,7 @@
         for tag in late {
             let Some(NodeCommand { purpose, .. }) = self.commands.remove(&tag) else { continue };
             if let Some(node) = self.node_of(purpose) {
-                self.nodes.give_up(node as usize, tag, self.now);
+                self.nodes.cancel(node as usize, tag, self.now);
             }
             self.on_command_end(purpose, false);
         }
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's side of the snapshot catalog: requests on the control socket, and operations that take a while.
+//! The operator's side of the snapshot catalog: requests on the control socket, and operations that take a
+//! while.
 use super::listing::{block_runs, list};
 use super::{CatalogService, Reply};
 use crate::clock::ticks_to_millis;
@@ -24,11 +25,17 @@
     Rollout { version: u64, closing: Option<LayerId>, answer: String },
 }
 
+impl Operation {
+    fn is_cut_of(&self, branch: &str) -> bool {
+        matches!(self, Operation::Cut(cut) if cut.branch == branch)
+    }
+}
+
 /// Why a request is refused, or an operation failed.
 #[derive(Debug, thiserror::Error)]
 enum OperatorError {
     #[error(transparent)]
-    Refused(ChangeError),
+    Refused(#[from] ChangeError),
     /// These hosts have writes of several parts under way, or do not say that they have none.
     #[error("writes under way at {}; no snapshot was made", .0.join(", "))]
     HostsNotQuiesced(Vec<String>),
@@ -102,7 +109,7 @@
         branch: &str,
     ) -> Result<Answer, OperatorError> {
         let change = Change::CloneCreated { snapshot: snapshot.to_owned(), branch: branch.to_owned() };
-        let version = self.propose(change).map_err(OperatorError::Refused)?;
+        let version = self.propose(change)?;
         let answer = format!("{branch} made, LUN {}", self.tree().branches[branch].lun);
         self.wait(caller, Operation::Rollout { version, closing: None, answer });
         Ok(None)
@@ -114,9 +121,9 @@
         branch: &str,
         snapshot: &str,
     ) -> Result<Answer, OperatorError> {
-        let old_head = self.tree().branch(branch).map_err(OperatorError::Refused)?.head;
+        let old_head = self.tree().branch(branch)?.head;
         let change = Change::BranchRolledBack { branch: branch.to_owned(), snapshot: snapshot.to_owned() };
-        let version = self.propose(change).map_err(OperatorError::Refused)?;
+        let version = self.propose(change)?;
         let answer = format!("{branch} shows {snapshot}");
         self.wait(caller, Operation::Rollout { version, closing: Some(old_head), answer });
         self.close_layers();
@@ -131,7 +138,7 @@
         } else {
             Change::BranchDeleted { branch: name.to_owned() }
         };
-        self.propose(change).map_err(OperatorError::Refused)?;
+        self.propose(change)?;
         Ok(format!("{name} deleted; its space is given back in the background"))
     }
 
@@ -153,9 +160,9 @@
         let now = ticks_to_millis(self.now);
         let begun = ConsistentCut::begin(self.tree(), branch, name, self.leases.active_hosts(now), now);
         let (change, cut) = begun.map_err(|failure| self.failure(failure))?;
-        self.propose(change).map_err(OperatorError::Refused)?;
+        self.propose(change)?;
         self.wait(caller, Operation::Cut(cut));
-        // No time is lost: nodes and hosts are asked in this iteration.
+        // No time is lost: requests go to nodes and hosts in this iteration.
         self.close_layers();
         self.quiesce_hosts(now);
         Ok(())
@@ -195,14 +202,14 @@
         }
     }
 
-    /// Goes on with pending operations, as far as that is possible now.
-    pub(super) fn tend_operations(&mut self, now: u64) {
+    /// Advances pending operations as far as possible now.
+    pub(super) fn advance_operations(&mut self, now: u64) {
         let mut ended_cuts: Vec<String> = Vec::new();
         for pending in std::mem::take(&mut self.pending_operations) {
             let PendingOperation { caller, operation } = pending;
             match operation {
-                Operation::BeginCut { branch, name } => self.tend_begin_cut(caller, branch, name, now),
-                Operation::Cut(cut) => ended_cuts.extend(self.tend_cut(caller, cut, now)),
+                Operation::BeginCut { branch, name } => self.advance_begin_cut(caller, branch, name, now),
+                Operation::Cut(cut) => ended_cuts.extend(self.advance_cut(caller, cut, now)),
                 Operation::Rollout { version, closing, answer } => {
                     let open = |layer: LayerId| {
                         self.tree().layers.contains_key(&layer)
@@ -219,7 +226,7 @@
         ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
     }
 
-    fn tend_begin_cut(&mut self, caller: ConnectionId, branch: String, name: String, now: u64) {
+    fn advance_begin_cut(&mut self, caller: ConnectionId, branch: String, name: String, now: u64) {
         if !self.leases.all_hosts_known(now) {
             self.wait(caller, Operation::BeginCut { branch, name });
         } else if let Err(e) = self.begin_cut(caller, &branch, &name) {
@@ -228,7 +235,7 @@
     }
 
     /// The next step of a snapshot that is under way. Its branch, if the cut has ended.
-    fn tend_cut(&mut self, caller: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
+    fn advance_cut(&mut self, caller: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
         match cut.progress(self.tree(), now) {
             CutProgress::Wait => {
                 self.wait(caller, Operation::Cut(cut));
@@ -256,7 +263,7 @@
         }
     }
 
-    /// Names the frozen layer. The caller is told once every host knows the snapshot's unit.
+    /// Names the frozen layer. The caller is answered once every host knows the snapshot's unit.
     fn grant(&mut self, caller: ConnectionId, cut: &ConsistentCut, change: Change) {
         let snapshot = format!("{}@{}", cut.branch, cut.name);
         match self.propose(change) {
@@ -269,10 +276,9 @@
         }
     }
 
-    /// A cut has ended: hosts begin writes of several parts again, if no other cut of the branch is pending.
+    /// A cut has ended: hosts may begin split writes again, if no other cut of the branch is pending.
     fn on_cut_end(&mut self, branch: &str) {
-        let is_cut_of_branch = |pending: &PendingOperation| matches!(&pending.operation, Operation::Cut(cut) if cut.branch == branch);
-        if self.pending_operations.iter().any(is_cut_of_branch) {
+        if self.pending_operations.iter().any(|pending| pending.operation.is_cut_of(branch)) {
             return;
         }
         for host in self.hosts.ids() {
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,5 +1,5 @@
-//! Verification of the snapshot catalog against the nodes: every place of the tree, and every block that nodes
-//! hold.
+//! Verification of the snapshot catalog against the nodes: every location of the tree, and every block that
+//! nodes hold.
 use crate::blocking_client::{BlockingClient, ClientError};
 use mallowseam_cow::tree::{FIRST_LAYER_ID, LayerId, Location, Tree};
 use mallowseam_iscsi::scsi::{self, status};
@@ -28,20 +28,20 @@
 /// What the walk has found.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
-    /// Places that the tree refers to.
-    pub(crate) places: usize,
+    /// Locations that the tree refers to.
+    pub(crate) locations: usize,
     /// Those whose node holds data there; the others read as zeros.
-    pub(crate) places_with_data: usize,
-    /// Places that a node holds and nothing refers to.
+    pub(crate) locations_with_data: usize,
+    /// Locations that a node holds and nothing refers to.
     pub(crate) leaked: Vec<(LayerId, Location)>,
     /// Contradictions, a line each.
     pub(crate) faults: Vec<String>,
 }
 
-/// Layer and number of places, as a set for each node.
+/// Layer and slot of the locations that the tree refers to, by node.
 type References = BTreeMap<u32, BTreeSet<(LayerId, u32)>>;
 
-/// Walks the store of a stopped catalog and all nodes. With `reclaim`, places that nothing refers to are
+/// Walks the store of a stopped catalog and all nodes. With `reclaim`, locations that nothing refers to are
 /// unmapped.
 pub(crate) fn run(site: &GatewayConfig, reclaim: bool) -> Result<Findings, VerifyError> {
     let settings = site.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
@@ -56,16 +56,16 @@
     for (index, node) in site.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
         let mut walk = NodeWalk::open(node, index as u32, settings.extent_blocks)?;
-        // Removed layers may have leaked places as well: every layer that was ever created is checked.
+        // Removed layers may have leaked locations as well: every layer that was ever created is checked.
         for layer in FIRST_LAYER_ID..tree.next_layer_id() {
-            for number in walk.held_places(layer)? {
-                if referred.contains(&(layer, number)) {
-                    findings.places_with_data += 1;
+            for slot in walk.held_slots(layer)? {
+                if referred.contains(&(layer, slot)) {
+                    findings.locations_with_data += 1;
                     continue;
                 }
-                findings.leaked.push((layer, Location { node: walk.index, slot: number }));
-                if reclaim && !walk.unmap(layer, number)? {
-                    findings.faults.push(format!("{}: does not give place {number} back", node.name));
+                findings.leaked.push((layer, Location { node: walk.index, slot }));
+                if reclaim && !walk.unmap(layer, slot)? {
+                    findings.faults.push(format!("{}: does not give place {slot} back", node.name));
                 }
             }
         }
@@ -73,17 +73,19 @@
     Ok(findings)
 }
 
-/// Counts the tree's places and checks that no two are the same.
+/// Counts the tree's locations and checks that no two are the same.
 fn collect_references(tree: &Tree, nodes: usize, findings: &mut Findings) -> References {
     let mut references = References::new();
     for (id, layer) in &tree.layers {
-        for place in layer.locations.values() {
-            findings.places += 1;
-            if !references.entry(place.node).or_default().insert((*id, place.slot)) {
-                findings.faults.push(format!("layer {id}: place {} is referred to twice", place.slot));
+        for location in layer.locations.values() {
+            findings.locations += 1;
+            if !references.entry(location.node).or_default().insert((*id, location.slot)) {
+                findings.faults.push(format!("layer {id}: place {} is referred to twice", location.slot));
             }
-            if place.node as usize >= nodes {
-                findings.faults.push(format!("layer {id}: lies on node {}, which is not there", place.node));
+            if location.node as usize >= nodes {
+                findings
+                    .faults
+                    .push(format!("layer {id}: lies on node {}, which is not there", location.node));
             }
         }
     }
@@ -110,9 +112,9 @@
         VerifyError::Node { node: self.name.to_owned(), source }
     }
 
-    /// Numbers of the places of a layer that the node holds anything of.
-    fn held_places(&mut self, layer: LayerId) -> Result<BTreeSet<u32>, VerifyError> {
-        let mut numbers = BTreeSet::new();
+    /// Slots of a layer in which the node holds data.
+    fn held_slots(&mut self, layer: LayerId) -> Result<BTreeSet<u32>, VerifyError> {
+        let mut slots = BTreeSet::new();
         let mut from = 0;
         loop {
             let cdb = scsi::get_lba_status(from, LBA_STATUS_LEN);
@@ -122,19 +124,19 @@
             let Some(runs) = data.as_deref().and_then(scsi::read_lba_status) else {
                 return Err(VerifyError::LbaStatus { node: self.name.to_owned() });
             };
-            let Some((last_lba, last_blocks)) = runs.last().copied() else { return Ok(numbers) };
+            let Some((last_lba, last_blocks)) = runs.last().copied() else { return Ok(slots) };
             for (lba, blocks) in runs {
                 let last = lba + u64::from(blocks.max(1)) - 1;
-                let places = lba / self.extent_blocks..=last / self.extent_blocks;
-                numbers.extend(places.map(|number| number as u32));
+                let covered = lba / self.extent_blocks..=last / self.extent_blocks;
+                slots.extend(covered.map(|slot| slot as u32));
             }
             from = last_lba + u64::from(last_blocks.max(1));
         }
     }
 
-    /// Has the node free a place. False: it refuses to.
-    fn unmap(&mut self, layer: LayerId, number: u32) -> Result<bool, VerifyError> {
-        let (cdb, data) = scsi::unmap(&[(u64::from(number) * self.extent_blocks, self.extent_blocks as u32)]);
+    /// Has the node unmap a slot. False: it refuses to.
+    fn unmap(&mut self, layer: LayerId, slot: u32) -> Result<bool, VerifyError> {
+        let (cdb, data) = scsi::unmap(&[(u64::from(slot) * self.extent_blocks, self.extent_blocks as u32)]);
         let answer = self.client.execute(layer, &cdb, 0, data).map_err(|e| self.error(e))?;
         Ok(answer.status == status::GOOD)
     }
--- a/crates/gateway/tests/platform/descriptor_limits.rs
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -1,5 +1,5 @@
-//! The smallest limit of descriptors, with idle clients that would take them all: those that the host itself needs
-//! are reserved.
+//! The smallest limit of descriptors, with idle clients that would take them all: those that the host itself
+//! needs are reserved.
 use crate::support::client::Client;
 use crate::support::host_process::{HostProcess, run_with_descriptors};
 use crate::support::node::Node;
@@ -23,7 +23,8 @@
     config.replace("\"sockets\":256", &format!("\"sockets\":{MIN_DESCRIPTORS}"))
 }
 
-/// Connects far more clients than there are descriptors: silent ones, and ones that stay idle after a request.
+/// Connects far more clients than there are descriptors: silent ones, and ones that stay idle after a
+/// request.
 fn connect_idle_clients(host: &HostProcess, idle: &mut Vec<Client>) {
     for n in 0..120 {
         let mut client = host.client();
--- a/crates/gateway/tests/platform/endpoint_list.rs
+++ b/crates/gateway/tests/platform/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The watch of the endpoint list, also where two events race: a scripted service delays one until the other has
-//! happened.
+//! The watch of the endpoint list, also where two events race: a scripted service delays one until the other
+//! has happened.
 use crate::support::client::{read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::Node;
@@ -41,7 +41,8 @@
     (0..nodes.len()).map(|at| entry(nodes, at, health)).collect::<Vec<_>>().join(",")
 }
 
-/// Waits until a node's drain is obeyed: it alone has its shard, so every read of the shard is shed from then on.
+/// Waits until a node's drain is obeyed: it alone has its shard, so every read of the shard is shed from then
+/// on.
 fn assert_drained(host: &HostProcess, at: usize) {
     let mut client = host.client();
     let mut read = || client.read(&format!("d{}", host.next_number()), at as u32).0;
@@ -51,8 +52,8 @@
     assert_eq!(host.nodes[at].received().len(), before);
 }
 
-/// Answers the request of this number with the drain of a node, and waits until it is obeyed. A request that replaces
-/// it, should this test be slower than the host waits, gets the same answer.
+/// Answers the request of this number with the drain of a node, and waits until it is obeyed. A request that
+/// replaces it, should this test be slower than the host waits, gets the same answer.
 fn publish_drain(host: &HostProcess, service: &ScriptedEndpointService, call: usize, at: usize) {
     let (mut client, mut next) = (host.client(), call);
     service.wait_for_request(call);
@@ -192,7 +193,8 @@
 #[test]
 fn a_silent_watch_is_replaced_without_a_gap() {
     let (service, host) = state(2);
-    // The service accepts requests and answers none. Each request but the first comes while another one is open.
+    // The service accepts requests and answers none. Each request but the first comes while another one is
+    // open.
     wait_until("there were several requests", || {
         assert!(service.open_requests() > 0, "no open request after {}", service.requests());
         service.requests() > 3
--- a/crates/gateway/tests/platform/races.rs
+++ b/crates/gateway/tests/platform/races.rs
@@ -1,5 +1,5 @@
-//! Races between events of clients, nodes and connections. Each race is forced: the peer delays one event until the
-//! other has happened, or the host is suspended until both are pending.
+//! Races between events of clients, nodes and connections. Each race is forced: the peer delays one event
+//! until the other has happened, or the host is suspended until both are pending.
 use crate::support::client::{Client, read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::{Behavior, Node};
@@ -132,8 +132,8 @@
     drop(clients);
 }
 
-/// Connects more clients than one iteration reads, all admitted and read well before their timeout; and when the last
-/// one was.
+/// Connects more clients than one iteration reads, all admitted and read well before their timeout; and when
+/// the last one was.
 fn connect_many(host: &HostProcess, says: impl Fn(usize) -> String) -> (Vec<Client>, Instant) {
     for _ in 0..20 {
         let start = Instant::now();
--- a/crates/gateway/tests/platform/support/host_process.rs
+++ b/crates/gateway/tests/platform/support/host_process.rs
@@ -109,7 +109,8 @@
         HostProcess::with_config(nodes, |config, _| config)
     }
 
-    /// The same with a changed configuration. `change` gets the usual one, and the first node's entry in the list.
+    /// The same with a changed configuration. `change` gets the usual one, and the first node's entry in the
+    /// list.
     pub fn with_config(nodes: usize, change: impl Fn(String, &str) -> String) -> HostProcess {
         HostProcess::with_nodes((0..nodes).map(|_| Node::new()).collect(), change)
     }
--- a/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
@@ -1,5 +1,5 @@
-//! An endpoint list service that a test scripts: a request waits until the test answers it, and its connection stays
-//! open until the test closes it.
+//! An endpoint list service that a test scripts: a request waits until the test answers it, and its
+//! connection stays open until the test closes it.
 use super::socket_table::wait_until_delivered;
 use super::wait_until;
 use std::io::{ErrorKind, Read, Write};
--- a/crates/gateway/tests/platform/support/socket_table.rs
+++ b/crates/gateway/tests/platform/support/socket_table.rs
@@ -1,4 +1,5 @@
-//! The system's table of TCP sockets: which connections are pending, and which bytes are not delivered or not read.
+//! The system's table of TCP sockets: which connections are pending, and which bytes are not delivered or not
+//! read.
 use super::wait_until;
 use std::net::{SocketAddr, TcpStream};
 
