--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -3,7 +3,6 @@
 use super::node_health::MAX_THRESHOLD;
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Attempt, Candidate, Node, Request, Scheduler};
-use std::cmp::Reverse;
 
 const THRESHOLD_FROM: f64 = 0.08; // of the shortest objective, above the best mean latency: threshold 0,
 const THRESHOLD_SPAN: f64 = 0.4; // and threshold 1 this much further
@@ -19,7 +18,7 @@
 impl Scheduler {
     /// Sends to each node all that it has capacity for.
     pub(super) fn dispatch_all(&mut self, host: &mut dyn Host, now: Tick) {
-        for id in self.nodes.keys().map(NodeId) {
+        for id in self.nodes.indices().map(NodeId) {
             self.dispatch(host, now, id);
         }
     }
@@ -41,6 +40,7 @@
 
     /// Position in a node's queue of the block I/O to be sent next; none if none may go now.
     fn next_to_send(&mut self, now: Tick, id: NodeId) -> Option<usize> {
+        self.nodes.get(id.0)?;
         let capacity = self.slow_start_capacity(now, id);
         let retry_allowed = self.retry_budget.allows(now);
         let node = &self.nodes[id.0];
@@ -75,7 +75,7 @@
         best.map(|candidate| candidate.position)
     }
 
-    /// The part of the typical priority below which a crowded node is left to other hosts' better block I/Os.
+    /// The fraction of the typical priority below which a crowded node is left to other hosts' block I/Os.
     fn admission_threshold(&self, node: &Node) -> f64 {
         let above_best = (node.mean_latency - self.fleet.best) / self.shortest_objective;
         let excess = (above_best - THRESHOLD_FROM) / THRESHOLD_SPAN;
@@ -109,7 +109,7 @@
             self.retry_budget.retries.add(now, 1.0);
         } else if warm {
             self.warm_demand.sent += 1.0;
-            self.warm_demand.asked += 1.0;
+            self.warm_demand.total += 1.0;
         }
         request.attempts += 1;
         request.in_flight = true;
@@ -120,7 +120,7 @@
         let node = &mut self.nodes[node_id.0];
         node.in_flight.push(Attempt { sent_at: now, bio: id });
         node.window_units += bio.units;
-        self.timers.push(Reverse((now + node.lost_after(self.shortest_objective) + 1, id)));
+        self.timers.push(now + node.lost_after(self.shortest_objective) + 1, id);
         if node.started_at > 0 {
             node.slow_start_units.add(now, bio.units);
         }
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -3,7 +3,6 @@
 use super::slow_start::WARM_DEMAND_KEPT;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, BioId, Host, NodeId, Tick, VolumeId};
 use crate::state::{Request, Scheduler};
-use std::cmp::Reverse;
 
 const FORGET_VOLUME: Tick = 100_000; // ticks without an arrival after which a volume is forgotten, once full
 
@@ -62,7 +61,7 @@
         self.arm_timer(host, now);
     }
 
-    /// The timer that was asked for with [`Host::set_timer`] has fired.
+    /// The timer that [`Host::set_timer`] set has fired.
     pub fn on_timer(&mut self, host: &mut dyn Host, now: Tick) {
         if now >= self.armed_for {
             self.armed_for = Tick::MAX;
@@ -82,11 +81,7 @@
 
     /// Gives up block I/Os whose time in the queue is over.
     fn give_up_overdue(&mut self, host: &mut dyn Host, now: Tick) {
-        while let Some(&Reverse((time, id))) = self.timers.peek() {
-            if time > now {
-                break;
-            }
-            self.timers.pop();
+        while let Some(id) = self.timers.pop_due(now) {
             // The index may stand for a later block I/O by now, or for one that was sent meanwhile.
             let overdue = |r: &Request| !r.finished && !r.in_flight && r.queued_until() <= now;
             if self.requests.get(id.0).is_some_and(overdue) {
@@ -98,21 +93,23 @@
     /// Forgets what is of no more use, then grants each node's allocations and sends by them.
     fn start_window(&mut self, host: &mut dyn Host, now: Tick) {
         self.warm_demand.sent *= WARM_DEMAND_KEPT;
-        self.warm_demand.asked *= WARM_DEMAND_KEPT;
+        self.warm_demand.total *= WARM_DEMAND_KEPT;
         self.recently_shed.retain(|shed| shed.deadline > now);
         self.forget_nodes(host, now);
         self.forget_volumes(host, now);
         self.end_cooldowns(host, now);
-        for id in self.nodes.keys().map(NodeId) {
-            self.age_node(now, id);
-            self.reallocate(id);
-            self.dispatch(host, now, id);
+        for id in self.nodes.indices().map(NodeId) {
+            if self.nodes.get(id.0).is_some() {
+                self.age_node(now, id);
+                self.reallocate(id);
+                self.dispatch(host, now, id);
+            }
         }
     }
 
     fn forget_volumes(&mut self, host: &mut dyn Host, now: Tick) {
-        for id in self.volumes.keys().map(VolumeId) {
-            let volume = &mut self.volumes[id.0];
+        for id in self.volumes.indices().map(VolumeId) {
+            let Some(volume) = self.volumes.get_mut(id.0) else { continue };
             let plan = &self.plans[volume.plan];
             volume.refill(now, plan, self.max_io_units);
             volume.average_other_hosts();
@@ -127,10 +124,10 @@
 
     /// Arms the host's timer for the next thing that is due.
     pub(super) fn arm_timer(&mut self, host: &mut dyn Host, now: Tick) {
-        let timer = self.timers.peek().map_or(Tick::MAX, |timer| timer.0.0);
         let paused = self.nodes.iter().filter(|(_, n)| !n.queue.is_empty() && n.paused_until > now);
         let pause_end = paused.map(|(_, n)| n.paused_until).min().unwrap_or(Tick::MAX);
-        let due = self.next_window.min(timer).min(self.polling.next_poll).min(pause_end).max(now + 1);
+        let due = self.next_window.min(self.timers.next()).min(self.polling.next_poll);
+        let due = due.min(pause_end).max(now + 1);
         if due < self.armed_for {
             self.armed_for = due;
             host.set_timer(due - now);
