--- a/crates/iscsi/src/initiator/receive.rs
+++ b/crates/iscsi/src/initiator/receive.rs
@@ -4,7 +4,7 @@
 use crate::pdu::{Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode, serial_before};
 use crate::scsi::{Sense, status};
 
-/// The lower 14 bits of the status qualifier; the upper two are its scope (RFC 7144, section 5.2).
+/// The lower 14 bits of the status qualifier; the upper two are its scope (SAM-5, 5.3.2).
 const QUALIFIER_BITS: u16 = 0x3fff;
 /// Bytes of the length in front of sense data (section 11.4.7).
 const SENSE_LENGTH_FIELD: usize = 2;
--- a/crates/iscsi/src/params.rs
+++ b/crates/iscsi/src/params.rs
@@ -13,9 +13,9 @@
 const MAX_COUNT: u16 = 65_535;
 /// Largest `ErrorRecoveryLevel` (section 13.20).
 const MAX_ERROR_RECOVERY_LEVEL: u16 = 2;
-/// Largest `iSCSIProtocolLevel` (RFC 7144, section 7.1.1).
+/// Largest `iSCSIProtocolLevel` (RFC 7144).
 const MAX_PROTOCOL_LEVEL: u16 = 31;
-/// `iSCSIProtocolLevel` from which on responses carry a status qualifier (RFC 7144, section 7.1.1).
+/// `iSCSIProtocolLevel` from which on responses carry a status qualifier (RFC 7144).
 const STATUS_QUALIFIER_LEVEL: u8 = 2;
 
 /// What holds on a connection once its login is complete. Lengths are in bytes, times in seconds.
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -4,8 +4,8 @@
 pub const BHS_LEN: usize = 48;
 /// The reserved tag: of a PDU that belongs to no task, or of unsolicited data.
 pub const RESERVED_TAG: u32 = 0xffff_ffff;
-/// Largest status qualifier that is a time, in units of 100 ms; those above have other meanings (RFC 7144,
-/// section 5.2).
+/// Largest status qualifier that is a time, in units of 100 ms; those above have other meanings (RFC 7144;
+/// SAM-5, 5.3.2).
 pub(crate) const MAX_RETRY_AFTER: u16 = 0x3fef;
 
 /// Opcodes (section 11.2.1.2).
@@ -146,7 +146,7 @@
     16: itt, with_itt;
     /// Target transfer tag.
     20: target_transfer_tag, with_target_transfer_tag;
-    /// Referenced task tag of a task management request (section 11.5.5).
+    /// Referenced task tag of a task management request (section 11.5.4).
     20: referenced_task_tag, with_referenced_task_tag;
     /// Expected data transfer length of a SCSI command in bytes (section 11.3.4).
     20: expected_data_len, with_expected_data_len;
@@ -160,7 +160,7 @@
     28: exp_stat_sn, with_exp_stat_sn;
     /// In a response, the last `CmdSN` of the command window.
     32: max_cmd_sn, with_max_cmd_sn;
-    /// In a task management request, the `CmdSN` of the referenced task (section 11.5.6).
+    /// In a task management request, the `CmdSN` of the referenced task (section 11.5.5).
     32: ref_cmd_sn, with_ref_cmd_sn;
     /// Number of a Data-In, Data-Out or R2T PDU within its sequence (`DataSN`, `R2TSN`).
     36: data_sn, with_data_sn;
@@ -168,7 +168,7 @@
     40: buffer_offset, with_buffer_offset;
     /// Residual count of a response in bytes (section 11.4.5).
     44: residual_count, with_residual_count;
-    /// Desired data transfer length of an R2T in bytes (section 11.8.5).
+    /// Desired data transfer length of an R2T in bytes (section 11.8.4).
     44: desired_data_len, with_desired_data_len;
 }
 
@@ -323,7 +323,7 @@
         self.with_byte(3, status)
     }
 
-    /// Status qualifier of a SCSI response (RFC 7144, section 5.2).
+    /// Status qualifier of a SCSI response (RFC 7144).
     pub fn status_qualifier(&self) -> u16 {
         self.u16_at(8)
     }
@@ -394,7 +394,7 @@
 
 /// First byte of a LUN by extended flat space addressing with 24 bits (SAM-5, 4.7.11).
 const EXTENDED_FLAT: u8 = 0xd2;
-/// Bits of the first byte that name flat space addressing (SAM-5, 4.7.8).
+/// Bits of the first byte that name flat space addressing (SAM-5, 4.7).
 const FLAT_SPACE: u8 = 0x40;
 
 /// Encodes a LUN of up to 24 bits in its eight bytes: by peripheral device addressing below 256, flat space
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -22,7 +22,7 @@
     pub const TASK_ABORTED: u8 = 0x40;
 }
 
-/// Response code of sense data in fixed format, of a current error (SPC-4, 4.5.1).
+/// Response code of sense data in fixed format, of a current error (SPC-4, 4.5).
 const FIXED_CURRENT: u8 = 0x70;
 /// The same, of a deferred error.
 const FIXED_DEFERRED: u8 = 0x71;
--- a/crates/iscsi/src/scsi/cdb.rs
+++ b/crates/iscsi/src/scsi/cdb.rs
@@ -60,7 +60,7 @@
     },
     /// REPORT LUNS.
     ReportLuns {
-        /// Which logical units to report (SPC-4, 6.33).
+        /// Which logical units to report.
         select_report: u8,
         /// Most bytes of the answer.
         allocation_len: usize,
--- a/crates/iscsi/src/scsi/logical_unit.rs
+++ b/crates/iscsi/src/scsi/logical_unit.rs
@@ -9,12 +9,12 @@
 const REVISION: &str = "0001";
 /// Bytes of standard INQUIRY data.
 const STANDARD_INQUIRY_LEN: usize = 96;
-/// Versions of SAM-5, SPC-4, SBC-3 and iSCSI, as standard INQUIRY data names them (SPC-4, 6.4.2).
+/// Versions of SAM-5, SPC-4, SBC-3 and iSCSI, as standard INQUIRY data names them (SPC-4).
 const VERSION_DESCRIPTORS: [u16; 4] = [0x00a0, 0x0460, 0x04c0, 0x0960];
 /// Longest designator of a logical unit.
 const MAX_DESIGNATOR_LEN: usize = 255;
 
-/// Pages of vital product data (SPC-4, 7.8; SBC-3, 6.5).
+/// Pages of vital product data (SPC-4, 7.8; SBC-3, 6).
 mod vpd_page {
     pub(super) const SUPPORTED_PAGES: u8 = 0x00;
     pub(super) const UNIT_SERIAL_NUMBER: u8 = 0x80;
@@ -23,7 +23,7 @@
     pub(super) const BLOCK_DEVICE_CHARACTERISTICS: u8 = 0xb1;
 }
 
-/// Mode pages (SPC-4, 7.5; SBC-3, 6.4).
+/// Mode pages (SPC-4, 7.5; SBC-3, 6).
 mod mode_page {
     pub(super) const CACHING: u8 = 0x08;
     pub(super) const CONTROL: u8 = 0x0a;
@@ -100,7 +100,7 @@
         out
     }
 
-    /// One designator: T10 vendor identification, in ASCII, of the logical unit (SPC-4, 7.8.5).
+    /// One designator: T10 vendor identification, in ASCII, of the logical unit (SPC-4, 7.8).
     fn device_identification(&self) -> Vec<u8> {
         let mut designator = Vec::new();
         push_ascii(&mut designator, VENDOR, 8);
@@ -111,7 +111,7 @@
         body
     }
 
-    /// Maximum and optimal transfer length (SBC-3, 6.5.3).
+    /// Maximum and optimal transfer length (SBC-3).
     fn block_limits(&self) -> Vec<u8> {
         let mut body = vec![0; 60];
         body[4..8].copy_from_slice(&self.max_transfer_blocks.to_be_bytes());
@@ -159,7 +159,7 @@
     }
 }
 
-/// Says that the medium does not rotate (SBC-3, 6.5.2).
+/// Says that the medium does not rotate (SBC-3).
 fn block_device_characteristics() -> Vec<u8> {
     let mut body = vec![0; 60];
     body[1] = 1;
--- a/crates/iscsi/src/target/complete.rs
+++ b/crates/iscsi/src/target/complete.rs
@@ -69,7 +69,7 @@
             if is_last {
                 self.send_response(bhs.with_residual_count(residual.count as u32), segment);
             } else {
-                // The StatSN field is reserved without a status (section 11.7.4).
+                // The StatSN field is reserved without a status (section 11.7).
                 self.send_numbered(bhs, 0, segment);
             }
         }
