--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -278,7 +278,7 @@
                 // What is in the socket is read first: it may be a complete request.
                 TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.is_queued => {}
                 TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.has_unread_request() => {
-                    self.enqueue(slot)
+                    self.enqueue(slot);
                 }
                 TimeoutAction::Close => self.close(slot),
                 TimeoutAction::RejectLateRequest => {
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -101,7 +101,9 @@
         self.update_now();
         self.dispatcher.polled_at = self.dispatcher.now;
         // Fleet timers come first: by them a host that was suspended notices it, ahead of the datagrams that waited.
-        self.fleet.iter_mut().for_each(|fleet| fleet.tick());
+        if let Some(fleet) = &mut self.fleet {
+            fleet.tick();
+        }
         self.read_watches(events);
         self.handle_control_events(events);
         self.handle_client_events(events, Disconnects::Only);
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -159,12 +159,12 @@
         }
         self.watch.version = Some(update.version);
         self.watch.has_endpoints |= !update.endpoints.is_empty();
-        self.fleet.iter_mut().for_each(|fleet| {
-            fleet.set_active_versions(ActiveVersions { endpoint_list: update.version, plans: 0 })
-        });
-        let kind =
+        if let Some(fleet) = &mut self.fleet {
+            fleet.set_active_versions(ActiveVersions { endpoint_list: update.version, plans: 0 });
+        }
+        let event =
             if update.full_snapshot { EndpointEvent::FullSnapshot } else { EndpointEvent::Incremental };
-        self.dispatcher.on_endpoints(&mut self.scheduler, kind, update);
+        self.dispatcher.on_endpoints(&mut self.scheduler, event, update);
     }
 
     /// Applies the timeouts of the watches.
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -35,7 +35,9 @@
             "graceful shutdown begins"
         );
         dispatcher.clients.begin_shutdown(shutdown);
-        self.fleet.iter_mut().for_each(|fleet| fleet.announce_leaving());
+        if let Some(fleet) = &mut self.fleet {
+            fleet.announce_leaving();
+        }
     }
 
     /// When all final responses are due, after SIGTERM.
