--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -1,11 +1,11 @@
-//! What outcomes tell of nodes: latency, the concurrency window, cost multiplier, backoff and lost answers.
+//! What is learned of nodes from outcomes: latency, concurrency window, cost, backoff and lost answers.
 use super::constants::WINDOW;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
 use crate::state::{Node, Scheduler};
 
-const MULTIPLIER_UP: f64 = 1.15; // by a latency a unit beyond twice the median: one in four by chance;
-const MULTIPLIER_DOWN: f64 = 0.955; // by any other: on a steady node the two cancel out
-const MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // bounds (paper)
+const COST_MULTIPLIER_UP: f64 = 1.15; // by a latency a unit over twice the median: one in four by chance;
+const COST_MULTIPLIER_DOWN: f64 = 0.955; // by any other: on a steady node the two cancel out
+const COST_MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // bounds (paper)
 pub(crate) const RECENT_ANSWERS: usize = 32; // answers in the median: about a second's worth
 
 // Concurrency window, in attempts; latencies as parts of the shortest latency objective.
@@ -51,8 +51,9 @@
 
     fn learn_cost(&mut self, unit_latency: f64) {
         let slow = unit_latency > 2.0 * self.unit_latency.get();
-        let factor = if slow { MULTIPLIER_UP } else { MULTIPLIER_DOWN };
-        self.cost_multiplier = (self.cost_multiplier * factor).clamp(MULTIPLIER_RANGE.0, MULTIPLIER_RANGE.1);
+        let factor = if slow { COST_MULTIPLIER_UP } else { COST_MULTIPLIER_DOWN };
+        self.cost_multiplier =
+            (self.cost_multiplier * factor).clamp(COST_MULTIPLIER_RANGE.0, COST_MULTIPLIER_RANGE.1);
         self.unit_latency.add(unit_latency);
     }
 
@@ -80,7 +81,7 @@
 }
 
 impl Scheduler {
-    /// What an outcome tells of its node.
+    /// Learns from an outcome about its node.
     pub(super) fn learn(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
         let node = &mut self.nodes[outcome.node.0];
         let was_full = node.in_flight.len() as f64 + 1.0 > node.concurrency_window;
