--- /dev/null
+++ b/crates/lab/src/cold_start_model.rs
@@ -0,0 +1,350 @@
+//! A cold start in simulated time: thousands of schedulers, the same code that hosts run, poll a list service that
+//! serves one poll at a time. No sockets, no processes, no clocks.
+#![warn(missing_docs)]
+
+use crate::fleet::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
+use crate::plots::{self, HorizontalScale, WriteError};
+use crate::trace::Micros;
+use mallowseam_connection_policy::watch_liveness::WatchLiveness;
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::{
+    BioId, EndpointEvent, Host, KeyId, NodeId, SchedulerConfig, Tick, VolumeId,
+};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::path::Path;
+
+/// Microseconds in a tick of the scheduler.
+const TICK: Micros = 100;
+/// Latency between a host and the service, and the upper bound of a random addition on the way there.
+const LINK_LATENCY: Micros = 300;
+/// All processes start within this time.
+const START_SPREAD: Micros = 1_000_000;
+/// Time after which the service rejects a poll that waits.
+const QUEUE_TIMEOUT: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
+
+/// One case of the model.
+#[derive(Clone, Copy, Debug)]
+pub struct ColdStartCase {
+    /// Number of hosts.
+    pub hosts: u32,
+    /// Microseconds that a poll takes at the service.
+    pub service_time: Micros,
+    /// Microseconds that hosts are told a poll takes; none: they are not told.
+    pub advertised_service_time: Option<Micros>,
+    /// The service is down until then.
+    pub down_until: Micros,
+    /// Hosts had a list before, and lose their watches together when the service goes down.
+    pub already_running: bool,
+}
+
+/// What one second of a case brought. Written as a row of a CSV file.
+#[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
+pub struct Second {
+    /// Its number.
+    pub second: u64,
+    /// Polls that arrived.
+    #[serde(rename = "calls")]
+    pub polls: u64,
+    /// The most polls that waited.
+    #[serde(rename = "waiting")]
+    pub queued: usize,
+    /// Hosts that got their first list.
+    pub fresh: u32,
+}
+
+/// What a case brought.
+#[derive(Clone, Debug, Default)]
+pub struct ColdStartOutcome {
+    /// Polls that arrived.
+    pub polls: u64,
+    /// Polls that were rejected.
+    pub rejected: u64,
+    /// The most polls that waited at one time.
+    pub max_queued: usize,
+    /// When each host had its list, in microseconds from the moment at which the service was up, ascending.
+    pub list_delays: Vec<Micros>,
+    /// Each second.
+    pub seconds: Vec<Second>,
+}
+
+impl ColdStartOutcome {
+    /// The time within which this fraction of the hosts that got a list had it.
+    pub fn list_delay_within(&self, fraction: f64) -> Option<Micros> {
+        let count = (self.list_delays.len() as f64 * fraction).ceil() as usize;
+        self.list_delays.get(count.max(1) - 1).copied()
+    }
+
+    /// How many hosts had their list by a time.
+    pub fn hosts_with_list_by(&self, time: Micros) -> usize {
+        self.list_delays.partition_point(|delay| *delay <= time)
+    }
+}
+
+/// What a scheduler asked for.
+#[derive(Default)]
+struct RequestedActions {
+    timer_after: Option<Tick>,
+    poll: bool,
+}
+
+impl Host for RequestedActions {
+    fn forward(&mut self, _: BioId, _: NodeId, _: Tick) {}
+    fn cancel(&mut self, _: BioId, _: u32) {}
+    fn shed(&mut self, _: BioId, _: Tick) {}
+    fn fail(&mut self, _: BioId) {}
+    fn set_timer(&mut self, after: Tick) {
+        self.timer_after = Some(after);
+    }
+    fn poll_endpoints(&mut self) {
+        self.poll = true;
+    }
+    fn release_bio(&mut self, _: BioId) {}
+    fn release_key(&mut self, _: KeyId) {}
+    fn release_volume(&mut self, _: VolumeId) {}
+    fn release_node(&mut self, _: NodeId) {}
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum ModelEvent {
+    /// A host starts.
+    Start(u32),
+    /// A host's timer fires.
+    Timer(u32),
+    /// A host's poll reaches the service.
+    PollArrives(u32, u64),
+    /// The response reaches the host: whether it has the list.
+    Response(u32, u64, bool),
+    /// The host gives the poll up.
+    PollTimeout(u32, u64),
+    /// The service is up.
+    ServiceUp,
+    /// The service has finished a poll.
+    PollFinished,
+}
+
+#[derive(Default)]
+struct ModelHost {
+    scheduler: Option<Scheduler>,
+    /// Its poll in flight.
+    poll: Option<u64>,
+    has_list: bool,
+}
+
+struct Model {
+    case: ColdStartCase,
+    now: Micros,
+    events: BinaryHeap<Reverse<(Micros, ModelEvent)>>,
+    hosts: Vec<ModelHost>,
+    /// Polls by host and number.
+    queue: DiscoveryQueue<(u32, u64)>,
+    last_poll: u64,
+    outcome: ColdStartOutcome,
+    rng: Pcg64Mcg,
+}
+
+/// Runs a case until all hosts have a list, or for so long at most.
+pub fn run(case: ColdStartCase, seed: u64, max_duration: Micros) -> ColdStartOutcome {
+    let mut model = Model::new(case, seed);
+    while let Some(Reverse((at, event))) = model.events.pop() {
+        if at > max_duration || model.outcome.list_delays.len() == case.hosts as usize {
+            break;
+        }
+        model.now = at;
+        model.handle(event);
+    }
+    let mut outcome = model.outcome;
+    (outcome.rejected, outcome.max_queued) = (model.queue.rejected, model.queue.max_queued);
+    outcome.list_delays.sort_unstable();
+    outcome
+}
+
+impl Model {
+    fn new(case: ColdStartCase, seed: u64) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut queue = DiscoveryQueue::new(case.service_time, QUEUE_TIMEOUT);
+        if case.down_until > 0 {
+            queue.set_behavior(0, ServiceBehavior::Down);
+        }
+        let mut events = BinaryHeap::new();
+        for host in 0..case.hosts {
+            let at = if case.already_running { 0 } else { rng.random_range(0..START_SPREAD) };
+            events.push(Reverse((at, ModelEvent::Start(host))));
+        }
+        events.push(Reverse((case.down_until, ModelEvent::ServiceUp)));
+        let hosts = (0..case.hosts).map(|_| ModelHost::default()).collect();
+        let outcome = ColdStartOutcome::default();
+        Model { case, now: 0, events, hosts, queue, last_poll: 0, outcome, rng }
+    }
+
+    fn schedule(&mut self, after: Micros, event: ModelEvent) {
+        self.events.push(Reverse((self.now + after, event)));
+    }
+
+    fn handle(&mut self, event: ModelEvent) {
+        match event {
+            ModelEvent::Start(host) => self.start(host),
+            ModelEvent::Timer(host) => self.step(host, |s, actions, now| s.on_timer(actions, now)),
+            ModelEvent::PollArrives(host, poll) => self.on_poll(host, poll),
+            ModelEvent::Response(host, poll, has_list) => {
+                if self.end_poll(host, poll) {
+                    self.on_response(host, has_list);
+                }
+            }
+            ModelEvent::PollTimeout(host, poll) => {
+                if self.end_poll(host, poll) {
+                    self.queue.cancel((host, poll));
+                    self.notify(host, EndpointEvent::PollFailed);
+                }
+            }
+            ModelEvent::ServiceUp => self.queue.set_behavior(self.now, ServiceBehavior::Normal),
+            ModelEvent::PollFinished => {
+                while let Some(((host, poll), outcome)) = self.queue.complete_next(self.now) {
+                    self.respond(host, poll, outcome);
+                }
+                self.schedule_poll_finished();
+            }
+        }
+    }
+
+    fn start(&mut self, host: u32) {
+        let config = SchedulerConfig {
+            hosts: self.case.hosts,
+            endpoints_polled: true,
+            poll_service_time: self.case.advertised_service_time.map(|t| (t / TICK) as Tick),
+            ..SchedulerConfig::default()
+        };
+        let scheduler = Scheduler::new(&config, self.rng.random(), (self.now / TICK) as Tick);
+        self.hosts[host as usize].scheduler = Some(scheduler);
+        if self.case.already_running {
+            self.notify(host, EndpointEvent::FullSnapshot);
+            self.notify(host, EndpointEvent::PollFailed);
+        }
+        self.step(host, |s, actions, now| s.on_timer(actions, now));
+    }
+
+    /// Ends a host's poll, if it is the one in flight.
+    fn end_poll(&mut self, host: u32, poll: u64) -> bool {
+        self.hosts[host as usize].poll.take_if(|p| *p == poll).is_some()
+    }
+
+    fn on_response(&mut self, host: u32, has_list: bool) {
+        if has_list && !std::mem::replace(&mut self.hosts[host as usize].has_list, true) {
+            self.outcome.list_delays.push(self.now.saturating_sub(self.case.down_until));
+            self.current_second().fresh += 1;
+        }
+        let event = if has_list { EndpointEvent::FullSnapshot } else { EndpointEvent::PollFailed };
+        self.notify(host, event);
+    }
+
+    fn respond(&mut self, host: u32, poll: u64, outcome: PollOutcome) {
+        let has_list = outcome == PollOutcome::Served;
+        self.schedule(LINK_LATENCY, ModelEvent::Response(host, poll, has_list));
+    }
+
+    fn schedule_poll_finished(&mut self) {
+        if let Some(due) = self.queue.next_due() {
+            self.events.push(Reverse((due, ModelEvent::PollFinished)));
+        }
+    }
+
+    fn on_poll(&mut self, host: u32, poll: u64) {
+        if self.queue.behavior() == ServiceBehavior::Down {
+            return self.respond(host, poll, PollOutcome::Rejected);
+        }
+        self.outcome.polls += 1;
+        let was_idle = self.queue.next_due().is_none();
+        if let Some(outcome) = self.queue.enqueue(self.now, (host, poll), &mut self.rng) {
+            self.respond(host, poll, outcome);
+        }
+        let queued = self.queue.queued();
+        let second = self.current_second();
+        second.polls += 1;
+        second.queued = second.queued.max(queued);
+        if was_idle {
+            self.schedule_poll_finished();
+        }
+    }
+
+    fn current_second(&mut self) -> &mut Second {
+        let index = (self.now / SECOND) as usize;
+        for second in self.outcome.seconds.len()..=index {
+            self.outcome.seconds.push(Second { second: second as u64, ..Second::default() });
+        }
+        &mut self.outcome.seconds[index]
+    }
+
+    fn notify(&mut self, host: u32, event: EndpointEvent) {
+        self.step(host, |s, actions, now| s.on_endpoints(actions, now, event, &[]));
+    }
+
+    /// Lets a scheduler act, and does what it asks for.
+    fn step(&mut self, host: u32, act: impl FnOnce(&mut Scheduler, &mut RequestedActions, Tick)) {
+        let mut actions = RequestedActions::default();
+        let Some(scheduler) = &mut self.hosts[host as usize].scheduler else { return };
+        act(scheduler, &mut actions, (self.now / TICK) as Tick);
+        if let Some(after) = actions.timer_after {
+            self.schedule(after as Micros * TICK, ModelEvent::Timer(host));
+        }
+        if actions.poll {
+            self.send_poll(host);
+        }
+    }
+
+    fn send_poll(&mut self, host: u32) {
+        self.last_poll += 1;
+        let poll = self.last_poll;
+        self.hosts[host as usize].poll = Some(poll);
+        let latency = LINK_LATENCY + self.rng.random_range(0..LINK_LATENCY);
+        self.schedule(latency, ModelEvent::PollArrives(host, poll));
+        self.schedule(WatchLiveness::new(0).fails_at() * 1_000, ModelEvent::PollTimeout(host, poll));
+    }
+}
+
+/// A case with its name.
+pub type NamedOutcome<'a> = (&'a str, &'a ColdStartOutcome);
+
+/// Writes the seconds of several cases as CSV files, and one sheet with two plots: polls waiting, and hosts with a
+/// list.
+///
+/// # Errors
+/// A file can't be written.
+pub fn write(dir: &Path, name: &str, cases: &[NamedOutcome]) -> Result<(), WriteError> {
+    std::fs::create_dir_all(dir).map_err(WriteError::for_path(dir))?;
+    for (case, outcome) in cases {
+        let path = dir.join(format!("{name}-{case}.csv"));
+        write_seconds(&path, &outcome.seconds).map_err(WriteError::for_path(dir))?;
+    }
+    let sheet = [
+        ("calls waiting", lines(cases, polls_waiting)),
+        ("hosts with a list", lines(cases, hosts_with_list)),
+    ];
+    plots::write(&dir.join(format!("{name}.svg")), "s", HorizontalScale::Linear, &sheet)
+}
+
+fn write_seconds(path: &Path, seconds: &[Second]) -> Result<(), csv::Error> {
+    let mut out = csv::Writer::from_path(path)?;
+    seconds.iter().try_for_each(|second| out.serialize(second))?;
+    Ok(out.flush()?)
+}
+
+fn lines<'a>(cases: &[NamedOutcome<'a>], series: fn(&ColdStartOutcome) -> Vec<f64>) -> Vec<plots::Line<'a>> {
+    let numbered = |outcome| series(outcome).into_iter().enumerate().map(|(s, v)| (s as f64, v)).collect();
+    cases.iter().map(|(name, outcome)| (*name, numbered(outcome))).collect()
+}
+
+fn polls_waiting(outcome: &ColdStartOutcome) -> Vec<f64> {
+    outcome.seconds.iter().map(|s| s.queued as f64).collect()
+}
+
+fn hosts_with_list(outcome: &ColdStartOutcome) -> Vec<f64> {
+    let mut sum = 0.0;
+    let add = |s: &Second| {
+        sum += f64::from(s.fresh);
+        sum
+    };
+    outcome.seconds.iter().map(add).collect()
+}
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,22 +1,28 @@
-//! Many processes of the program, and faults between them.
+//! A multi-process testbed: real host processes, faults on the links between them, and simulated peers.
 //!
-//! - `links`: what a way between two parties does to bytes, each direction for itself.
-//! - `turns`, `store`, `callers`: the list service, a node and the clients as figures, without sockets; the model
-//!   in simulated time uses the same.
-//! - `world`: their sockets, on one loop. `processes`: the hosts, started, stopped and ended by id.
-//! - `record`, `audit`: what passed on the sockets, and the rules held against it.
-//! - `storm`, `views`: faults drawn for a fleet that keeps a view of itself, and what its views are held against.
-//! - `scene`: a script of it. `play`: a scene played.
+//! - [`scenario`]: a script of a run, parsed. [`fault_schedule`]: scripts drawn by a seed.
+//! - [`links`]: what faults do to the bytes and datagrams of one direction of a link.
+//! - [`discovery_queue`], [`simulated_node`], [`client_load`]: the list service, a node and the clients as models
+//!   without sockets or clocks. The cold-start model in simulated time uses the same queue.
+//! - [`peers`]: their sockets, on one event loop. [`processes`]: the host processes.
+//! - [`testbed`]: plays a scenario. [`outcome`]: what a run brought, and its report.
+//! - [`record`], [`audit`]: what was observed on the sockets, and the rules that it is checked against.
+//! - [`membership_audit`]: the hosts' membership tables, checked against the faults of the run.
+#![warn(missing_docs)]
+
 pub mod addresses;
 pub mod audit;
-pub mod callers;
+pub mod client_load;
+pub mod discovery_queue;
+pub mod error;
+pub mod fault_schedule;
+pub mod host_config;
 pub mod links;
-pub mod play;
+pub mod membership_audit;
+pub mod outcome;
+pub mod peers;
 pub mod processes;
 pub mod record;
-pub mod scene;
-pub mod store;
-pub mod storm;
-pub mod turns;
-pub mod views;
-pub mod world;
+pub mod scenario;
+pub mod simulated_node;
+pub mod testbed;
--- a/crates/lab/src/fleet/addresses.rs
+++ b/crates/lab/src/fleet/addresses.rs
@@ -1,44 +1,65 @@
-//! Where the parties of a run are reached.
+//! Loopback addresses of a run.
 use std::net::{Ipv4Addr, SocketAddr};
 
 const PORT_HOST: u16 = 8443;
 const PORT_LIST: u16 = 1900;
 const PORT_NODE: u16 = 2000;
-const PORT_FLEET: u16 = 7000;
-const PORT_WAY: u16 = 7100;
+const PORT_MEMBERSHIP_LISTEN: u16 = 7000;
+const PORT_MEMBERSHIP_ADVERTISE: u16 = 7100;
+/// Hosts that share the third byte of their addresses.
+const HOSTS_PER_SUBNET: u32 = 250;
 
-/// Loopback addresses of a run's own: every host has its own, at which it listens; every other party is reached by
-/// it at an address kept for it alone, which tells the ways apart.
+/// The addresses of one run.
+///
+/// Every host has an IP address of its own, at which it listens. It reaches every other peer at a port of that
+/// address that is kept for this pair alone, which identifies the link.
 #[derive(Clone, Copy, Debug)]
-pub struct Addresses(u8);
+pub struct Addresses {
+    /// Second byte of all addresses of the run.
+    network: u8,
+}
 
 impl Addresses {
-    pub fn new(net: u8) -> Self {
-        Addresses(net)
+    /// Addresses within `127.<network>.0.0/16`.
+    pub fn new(network: u8) -> Self {
+        Addresses { network }
+    }
+
+    /// A port of a host's own IP address.
+    pub(super) fn socket_address(self, host: u32, port: u16) -> SocketAddr {
+        let (subnet, number) = (1 + host / HOSTS_PER_SUBNET, 1 + host % HOSTS_PER_SUBNET);
+        SocketAddr::from((Ipv4Addr::new(127, self.network, subnet as u8, number as u8), port))
     }
 
-    pub(super) fn of(self, host: u32, port: u16) -> SocketAddr {
-        SocketAddr::from((Ipv4Addr::new(127, self.0, (1 + host / 250) as u8, (1 + host % 250) as u8), port))
+    /// The host whose IP address this is, if it is one of this run's hosts.
+    pub(super) fn host_of(address: SocketAddr) -> Option<u32> {
+        let SocketAddr::V4(address) = address else { return None };
+        let [_, _, subnet, number] = address.ip().octets();
+        Some(u32::from(subnet.checked_sub(1)?) * HOSTS_PER_SUBNET + u32::from(number.checked_sub(1)?))
     }
 
+    /// Where clients reach a host.
     pub fn host(self, host: u32) -> SocketAddr {
-        self.of(host, PORT_HOST)
+        self.socket_address(host, PORT_HOST)
     }
 
+    /// Where a host reaches a list service.
     pub fn list(self, host: u32, list: u32) -> SocketAddr {
-        self.of(host, PORT_LIST + list as u16)
+        self.socket_address(host, PORT_LIST + list as u16)
     }
 
+    /// Where a host reaches a node.
     pub fn node(self, host: u32, node: u32) -> SocketAddr {
-        self.of(host, PORT_NODE + node as u16)
+        self.socket_address(host, PORT_NODE + node as u16)
     }
 
-    /// Where a host listens for its fleet, and where others reach it.
-    pub fn fleet(self, host: u32) -> SocketAddr {
-        self.of(host, PORT_FLEET)
+    /// Where a host's membership protocol listens.
+    pub fn membership_listen(self, host: u32) -> SocketAddr {
+        self.socket_address(host, PORT_MEMBERSHIP_LISTEN)
     }
 
-    pub fn way(self, host: u32) -> SocketAddr {
-        self.of(host, PORT_WAY)
+    /// Where other members reach a host: the testbed forwards from there.
+    pub fn membership_advertise(self, host: u32) -> SocketAddr {
+        self.socket_address(host, PORT_MEMBERSHIP_ADVERTISE)
     }
 }
--- /dev/null
+++ b/crates/lab/src/fleet/audit/node_rules.rs
@@ -0,0 +1,170 @@
+//! Rules on what hosts owe to nodes: none to draining ones, little to cold ones.
+use super::{Audit, MICROS_PER_MS};
+use crate::audit::seconds;
+use crate::fleet::host_config::{DRAIN_GRACE_MS, POLL_DEADLINE_MS};
+use crate::fleet::record::{Event, Observation};
+use crate::trace::Micros;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Fraction of a cold node's load that must come from hosts that knew of its start for the collapse to count.
+const INFORMED_LOAD_FRACTION: f64 = 2.0 / 3.0;
+
+/// A notification of a host about a node.
+#[derive(Clone, Copy)]
+struct Notification {
+    at: Micros,
+    accepting: bool,
+}
+
+/// A message of the list service to a host.
+#[derive(Clone, Copy)]
+struct SentVersion {
+    at: Micros,
+    version: u64,
+}
+
+/// What a message was about: one node, or all that the host lacked.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Subject {
+    AllNodes,
+    Node(u32),
+}
+
+/// Units that a host sent to a node.
+struct NodeLoad {
+    at: Micros,
+    node: u32,
+    host: u32,
+    units: f64,
+}
+
+/// Notifications by host and node, in order of time.
+type Notifications = BTreeMap<(u32, u32), Vec<Notification>>;
+
+impl Audit<'_> {
+    /// Rule 3: no attempt to a node that its host was told is draining, past the grace time.
+    pub(super) fn check_drains(&self) -> Vec<String> {
+        let notifications = self.notifications();
+        let grace = DRAIN_GRACE_MS * MICROS_PER_MS + self.slack;
+        let mut violations = Vec::new();
+        for operation in self.trace.operations.values() {
+            for attempt in &operation.attempts {
+                let of_node = notifications.get(&(attempt.host, attempt.node)).map_or(&[][..], Vec::as_slice);
+                // The last notification before the grace time, unless a later one opened the node again.
+                let last = of_node.iter().rev().find(|n| n.at + grace < attempt.at);
+                let reopened =
+                    of_node.iter().any(|n| n.accepting && n.at + grace >= attempt.at && n.at <= attempt.at);
+                if let Some(last) = last.filter(|n| !n.accepting && !reopened) {
+                    let after_ms = (attempt.at - last.at) / MICROS_PER_MS;
+                    violations.push(format!(
+                        "{} went to node{} {after_ms} ms after host {} was told",
+                        operation.id, attempt.node, attempt.host
+                    ));
+                }
+            }
+        }
+        violations
+    }
+
+    fn notifications(&self) -> Notifications {
+        let mut notifications = Notifications::new();
+        let mut sent: BTreeMap<(u32, Subject), Vec<SentVersion>> = BTreeMap::new();
+        for Observation { at, event } in self.observations {
+            match *event {
+                Event::EndpointSent { host, node, accepting, version, .. } => {
+                    let notification = Notification { at: *at, accepting };
+                    notifications.entry((host, node)).or_default().push(notification);
+                    let message = SentVersion { at: *at, version };
+                    sent.entry((host, Subject::Node(node))).or_default().push(message);
+                }
+                Event::PollServed { host, version } => {
+                    let message = SentVersion { at: *at, version };
+                    sent.entry((host, Subject::AllNodes)).or_default().push(message);
+                }
+                Event::HostStarted { host } => notifications.retain(|key, _| key.0 != host),
+                _ => {}
+            }
+        }
+        self.add_undeliverable(&sent, &mut notifications);
+        notifications.values_mut().for_each(|of_node| of_node.sort_by_key(|n| n.at));
+        notifications
+    }
+
+    /// Adds what counts as notified although it could not be sent.
+    fn add_undeliverable(
+        &self,
+        sent: &BTreeMap<(u32, Subject), Vec<SentVersion>>,
+        notifications: &mut Notifications,
+    ) {
+        for Observation { at, event } in self.observations {
+            let Event::EndpointUndeliverable { host, node, accepting, version, effective_at } = *event else {
+                continue;
+            };
+            let mut messages = [Subject::Node(node), Subject::AllNodes]
+                .into_iter()
+                .filter_map(|subject| sent.get(&(host, subject)))
+                .flatten();
+            let received = messages.any(|m| m.version >= version && m.at <= effective_at);
+            // A process that was started since has it from its configuration.
+            let was_running = self.trace.host_runs.iter().any(|run| {
+                run.host == host
+                    && run.started_at <= *at
+                    && run.ended.is_none_or(|(ended_at, _)| ended_at > effective_at)
+            });
+            if was_running && !received {
+                let notification = Notification { at: effective_at, accepting };
+                notifications.entry((host, node)).or_default().push(notification);
+            }
+        }
+    }
+
+    /// Rule 4: no cold node collapses under hosts that knew of its start, or count as notified.
+    pub(super) fn check_cold_nodes(&self) -> Vec<String> {
+        let mut recent: VecDeque<NodeLoad> = VecDeque::new();
+        let mut started: BTreeMap<u32, Micros> = BTreeMap::new();
+        let mut notified: BTreeMap<(u32, u32), Micros> = BTreeMap::new();
+        let mut violations = Vec::new();
+        for Observation { at, event } in self.observations {
+            match *event {
+                Event::NodeStarted { node } => drop(started.insert(node, *at)),
+                Event::EndpointSent { host, node, started_at, .. } if started_at > 0 => {
+                    notified.insert((host, node), *at);
+                }
+                Event::HostStarted { host } => notified.retain(|key, _| key.0 != host),
+                Event::NodeReceived { node, host, units, .. } => {
+                    recent.push_back(NodeLoad { at: *at, node, host, units: f64::from(units) });
+                    let span = self.scenario.node_model.fall_span;
+                    while recent.front().is_some_and(|load| load.at + span < *at) {
+                        recent.pop_front();
+                    }
+                }
+                Event::NodeCollapsed { node } => {
+                    let started_at = started.get(&node).copied().unwrap_or(0);
+                    let loads = recent.iter().filter(|load| load.node == node && load.at >= started_at);
+                    violations.extend(check_collapse(*at, node, started_at, loads, &notified));
+                }
+                _ => {}
+            }
+        }
+        violations
+    }
+}
+
+fn check_collapse<'a>(
+    at: Micros,
+    node: u32,
+    started_at: Micros,
+    loads: impl Iterator<Item = &'a NodeLoad> + Clone,
+    notified: &BTreeMap<(u32, u32), Micros>,
+) -> Option<String> {
+    let all_informed_at = started_at + POLL_DEADLINE_MS * MICROS_PER_MS;
+    let was_informed = |load: &&NodeLoad| {
+        let notified_at = notified.get(&(load.host, node));
+        load.at >= all_informed_at || notified_at.is_some_and(|t| *t >= started_at && *t <= load.at)
+    };
+    let total: f64 = loads.clone().map(|load| load.units).sum();
+    let informed: f64 = loads.filter(was_informed).map(|load| load.units).sum();
+    (informed >= total * INFORMED_LOAD_FRACTION).then(|| {
+        format!("node{node} fell at {} by {total} units, {informed} of hosts that knew", seconds(at))
+    })
+}
--- /dev/null
+++ b/crates/lab/src/fleet/audit/trace.rs
@@ -0,0 +1,182 @@
+//! Observations by operation and by host process.
+use super::{Rule, Verdict};
+use crate::audit::seconds;
+use crate::fleet::host_config::{READ_OBJECTIVE_MS, WRITE_OBJECTIVE_MS};
+use crate::fleet::record::{Event, Observation, Termination};
+use crate::trace::Micros;
+use std::collections::BTreeMap;
+
+/// One operation, from its client to the nodes.
+#[derive(Clone, Debug, Default)]
+pub(super) struct OperationTrace {
+    pub id: u64,
+    pub host: u32,
+    pub volume: u32,
+    pub extent: u64,
+    pub write: bool,
+    pub units: u32,
+    pub sent_at: Micros,
+    pub timeout: Micros,
+    pub responses: Vec<Response>,
+    pub timed_out: bool,
+    pub excused: bool,
+    pub attempts: Vec<Attempt>,
+}
+
+impl OperationTrace {
+    /// Latency objective in microseconds.
+    pub fn objective(&self) -> Micros {
+        super::MICROS_PER_MS * if self.write { WRITE_OBJECTIVE_MS } else { READ_OBJECTIVE_MS }
+    }
+}
+
+/// A response that a client received.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Response {
+    pub at: Micros,
+    pub status: u16,
+    pub authentic: bool,
+}
+
+/// An attempt of an operation at a node.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt {
+    pub at: Micros,
+    pub node: u32,
+    pub host: u32,
+    pub end: Option<AttemptEnd>,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum AttemptEnd {
+    Executed(Micros),
+    Rejected(Micros),
+    ConnectionLost(Micros),
+}
+
+impl Attempt {
+    pub fn ended_at(&self) -> Option<Micros> {
+        self.end.map(|end| match end {
+            AttemptEnd::Executed(at) | AttemptEnd::Rejected(at) | AttemptEnd::ConnectionLost(at) => at,
+        })
+    }
+
+    pub fn was_rejected(&self) -> bool {
+        matches!(self.end, Some(AttemptEnd::Rejected(_)))
+    }
+
+    pub fn was_executed_by(&self, time: Micros) -> bool {
+        matches!(self.end, Some(AttemptEnd::Executed(at)) if at <= time)
+    }
+}
+
+/// One process of a host: when it started, and when and how it ended.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HostRun {
+    pub host: u32,
+    pub started_at: Micros,
+    pub ended: Option<(Micros, Termination)>,
+}
+
+impl HostRun {
+    pub fn runs_at(&self, time: Micros) -> bool {
+        self.started_at <= time && self.ended.is_none_or(|(at, _)| at >= time)
+    }
+
+    /// Whether it was killed before a time.
+    pub fn killed_by(&self, time: Micros) -> bool {
+        self.ended.is_some_and(|(at, how)| how == Termination::Killed && at <= time)
+    }
+}
+
+/// A run, by operation and by host process.
+#[derive(Default)]
+pub(super) struct RunTrace {
+    pub operations: BTreeMap<u64, OperationTrace>,
+    pub host_runs: Vec<HostRun>,
+}
+
+impl RunTrace {
+    /// Sorts the observations, and counts what needs no more than counting.
+    pub fn collect(observations: &[Observation], verdict: &mut Verdict) -> Self {
+        let mut trace = RunTrace::default();
+        for Observation { at, event } in observations {
+            trace.add(*at, event, verdict);
+            count(event, verdict);
+        }
+        trace
+    }
+
+    fn add(&mut self, at: Micros, event: &Event, verdict: &mut Verdict) {
+        match *event {
+            Event::RequestSent { op: id, host, volume, extent, write, units, timeout } => {
+                let new = OperationTrace::default();
+                let sent = OperationTrace { id, host, volume, extent, write, units, timeout, ..new };
+                self.operations.insert(id, OperationTrace { sent_at: at, ..sent });
+            }
+            Event::ResponseReceived { op, status, authentic } => {
+                self.update(op, |o| o.responses.push(Response { at, status, authentic }));
+            }
+            Event::ClientTimedOut { op } => self.update(op, |o| o.timed_out = true),
+            Event::Excused { op } => self.update(op, |o| o.excused = true),
+            Event::NodeReceived { node, host, op, .. } => {
+                if !self.operations.contains_key(&op) {
+                    let violation = format!("node{node} got {op}, which no client asked, at {}", seconds(at));
+                    verdict.violate(Rule::Responses, vec![violation]);
+                }
+                self.update(op, |o| o.attempts.push(Attempt { at, node, host, end: None }));
+            }
+            Event::NodeResponded { node, op, executed } => {
+                let end = if executed { AttemptEnd::Executed(at) } else { AttemptEnd::Rejected(at) };
+                self.end_attempt(op, node, end);
+            }
+            Event::NodeConnectionLost { node, op } => {
+                self.end_attempt(op, node, AttemptEnd::ConnectionLost(at));
+            }
+            Event::HostStarted { host } => {
+                self.host_runs.push(HostRun { host, started_at: at, ended: None });
+            }
+            Event::HostStopped { host, by } if by != Termination::Requested => {
+                if let Some(run) = self.host_runs.iter_mut().rev().find(|run| run.host == host) {
+                    run.ended = run.ended.or(Some((at, by)));
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn update(&mut self, op: u64, change: impl FnOnce(&mut OperationTrace)) {
+        if let Some(operation) = self.operations.get_mut(&op) {
+            change(operation);
+        }
+    }
+
+    fn end_attempt(&mut self, op: u64, node: u32, end: AttemptEnd) {
+        let pending = |attempt: &&mut Attempt| attempt.node == node && attempt.end.is_none();
+        self.update(op, |o| {
+            if let Some(attempt) = o.attempts.iter_mut().find(pending) {
+                attempt.end = Some(end);
+            }
+        });
+    }
+
+    /// The process that a host ran when an operation was sent to it.
+    pub fn host_run_of(&self, operation: &OperationTrace) -> Option<&HostRun> {
+        let serves = |run: &&HostRun| run.host == operation.host && run.runs_at(operation.sent_at);
+        self.host_runs.iter().rev().find(serves)
+    }
+}
+
+fn count(event: &Event, verdict: &mut Verdict) {
+    match *event {
+        Event::NoHostAvailable { .. } => verdict.no_host += 1,
+        Event::NodeCollapsed { .. } => verdict.collapses += 1,
+        Event::PollReceived { queued, .. } => {
+            verdict.polls += 1;
+            verdict.max_queued = verdict.max_queued.max(queued);
+        }
+        Event::PollRejected { .. } => verdict.rejected += 1,
+        _ => {}
+    }
+}
--- /dev/null
+++ b/crates/lab/src/fleet/host_config.rs
@@ -0,0 +1,120 @@
+//! The configuration that a host of a run is started with, in the gateway's form, and the settings that the audit
+//! checks hosts against.
+use super::addresses::Addresses;
+use super::scenario::{MembershipScenario, Scenario};
+use serde_json::{Value, json};
+
+/// Time after which a host must not send to a node that it was told is draining, in milliseconds.
+pub const DRAIN_GRACE_MS: u64 = 250;
+/// Pause between two writes of one key, in milliseconds.
+const ORDER_PAUSE_MS: u64 = 200;
+/// Time within which hosts are told of a node's start, in milliseconds.
+pub const POLL_DEADLINE_MS: u64 = 10_000;
+/// Latency objective of reads, in milliseconds.
+pub const READ_OBJECTIVE_MS: u64 = 300;
+/// Latency objective of writes, in milliseconds.
+pub const WRITE_OBJECTIVE_MS: u64 = 400;
+/// The retry budget of a host.
+pub const RETRY_BUDGET: RetryBudget = RetryBudget { free_retries: 3.0, retry_ratio: 0.25, window_ms: 5_000 };
+/// The limit of each volume on the limited plan.
+pub const VOLUME_LIMIT: VolumeLimit = VolumeLimit { units_per_second: 12.0, burst: 24.0 };
+
+/// How many retries a host may send within a time window.
+pub struct RetryBudget {
+    /// Retries that are always allowed.
+    pub free_retries: f64,
+    /// Further retries for each admitted operation.
+    pub retry_ratio: f64,
+    /// The window in milliseconds.
+    pub window_ms: u64,
+}
+
+/// A token bucket.
+pub struct VolumeLimit {
+    /// Refill rate.
+    pub units_per_second: f64,
+    /// Capacity.
+    pub burst: f64,
+}
+
+/// What tells the configuration of one host from that of another.
+pub struct HostConfig<'a> {
+    /// The run.
+    pub scenario: &'a Scenario,
+    /// Addresses of the run.
+    pub addresses: Addresses,
+    /// The host's index.
+    pub host: u32,
+    /// Number in the host's name: its index, except in runs with two hosts of one name.
+    pub name_number: u32,
+    /// The list service that it polls.
+    pub list: u32,
+    /// Seed of its random numbers.
+    pub seed: u64,
+    /// The endpoint list that it starts with, as JSON.
+    pub initial_list: &'a str,
+}
+
+impl HostConfig<'_> {
+    /// The configuration as JSON text.
+    pub fn to_json(&self) -> String {
+        let HostConfig { scenario, addresses, host, name_number, list, seed, initial_list } = self;
+        let membership = match scenario.membership {
+            Some(membership) if scenario.has_membership(*host) => {
+                format!(",\"fleet\":{}", self.membership(membership))
+            }
+            _ => String::new(),
+        };
+        format!(
+            "{{\"name\":\"n{name_number}\",\"listen\":\"{}\",\"discovery\":\"{}\",\"seed\":\"{seed:016x}\",\
+             \"limits\":{{\"cores\":1.0,\"memory_mb\":{},\"sockets\":{}}},\"known\":{initial_list},\
+             \"settings\":{}{membership}}}",
+            addresses.host(*host),
+            addresses.list(*host, *list),
+            scenario.memory_mb,
+            scenario.max_descriptors,
+            settings(scenario)
+        )
+    }
+
+    fn membership(&self, membership: MembershipScenario) -> Value {
+        let (scenario, host) = (self.scenario, self.host);
+        let advertise = |host| self.addresses.membership_advertise(host).to_string();
+        let seeds: Vec<String> = (0..membership.seeds.min(scenario.hosts)).map(advertise).collect();
+        json!({
+            "name": "rig", "listen": self.addresses.membership_listen(host).to_string(),
+            "reached_at": advertise(host), "zone": format!("z{}", host % scenario.zones), "seeds": seeds,
+            "period_ms": membership.period / 1_000, "keep_s": membership.retention / 1_000_000,
+        })
+    }
+}
+
+/// The settings that all hosts of a run share.
+fn settings(scenario: &Scenario) -> Value {
+    let (node, load) = (&scenario.node_model, &scenario.load);
+    let zones: Vec<String> = (0..scenario.zones).map(|z| format!("z{z}")).collect();
+    json!({
+        "balancers": scenario.hosts,
+        "localities": zones,
+        "registry_mode": "on_request",
+        "profiles": [
+            {"name": "look", "aim_us": READ_OBJECTIVE_MS * 1_000, "deadline_us": load.read_timeout,
+             "repeat": "idempotent", "worth": 3.0},
+            {"name": "book", "aim_us": WRITE_OBJECTIVE_MS * 1_000, "deadline_us": load.write_timeout,
+             "repeat": "at_most_once", "worth": 2.0, "keep_order": true}],
+        "service_levels": [
+            {"name": "basic", "floor_rate": 0.5, "usual_rate": 1.0, "weight": 1.0, "worth_factor": 0.7,
+             "limit": VOLUME_LIMIT.units_per_second, "limit_burst": VOLUME_LIMIT.burst},
+            {"name": "priority", "floor_rate": 1.2, "usual_rate": 2.0, "limit": 0.0, "weight": 6.0,
+             "worth_factor": 1.5}],
+        "extra": {"class_writes": [false, true], "largest": load.max_units, "mean_units": 1.6,
+                  "within_share": 0.35, "spare_worth": 0.1, "cold_bears": node.cold_bears},
+        "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after_us": 1_000_000,
+                   "idle_close_us": 30_000_000, "connect_timeout_us": 250_000},
+        "rules": {"drain_grace_us": DRAIN_GRACE_MS * 1_000, "ask_within_us": POLL_DEADLINE_MS * 1_000,
+                  "order_pause_us": ORDER_PAUSE_MS * 1_000, "free_resends": RETRY_BUDGET.free_retries,
+                  "extra_ratio": RETRY_BUDGET.retry_ratio, "look_back_us": RETRY_BUDGET.window_ms * 1_000,
+                  "cold_from": node.cold_from, "cold_us": node.cold_span,
+                  "fall_multiple": node.fall_multiple, "fall_us": node.fall_span},
+    })
+}
--- a/crates/lab/src/fleet/links.rs
+++ b/crates/lab/src/fleet/links.rs
@@ -1,252 +1,249 @@
-//! What a way between two parties does to bytes: each direction has a fault of its own, which may change while
-//! bytes are under way.
+//! Faults of the links between peers. Each direction has its own, which may change while bytes are in flight.
 use crate::trace::Micros;
 use rand::{Rng, RngExt};
 use std::collections::VecDeque;
 
-/// Bytes that one direction of a connection holds at most; past it nothing more is read from the sender, as with a
-/// full window.
-const HELD_MOST: usize = 256 * 1024;
+/// Bytes that one direction of a connection buffers; beyond them nothing more is read from the sender, as with a full
+/// TCP window.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
+/// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Party {
+pub enum Peer {
+    /// A host, by its index.
     Host(u32),
+    /// A node, by its index.
     Node(u32),
-    /// A list service; there may be a second one to move to.
+    /// A list service, by its index; hosts may be redirected from the first to the second one.
     List(u32),
+    /// All clients.
     Clients,
 }
 
-/// One end of ways: which parties are meant.
+/// The peers at one end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Side {
+pub enum PeerSet {
+    /// Every peer.
     All,
+    /// Every host.
     Hosts,
+    /// Every node.
     Nodes,
+    /// Every list service.
     Lists,
-    One(Party),
+    /// One peer.
+    Single(Peer),
     /// Hosts and nodes of a zone.
     Zone(u32),
-    /// Hosts or nodes with numbers from one up to before another.
+    /// Hosts from the first index up to, and without, the second.
     HostRange(u32, u32),
+    /// Nodes from the first index up to, and without, the second.
     NodeRange(u32, u32),
 }
 
-impl Side {
-    /// `zones`: how many there are; parties are dealt to them in turn.
-    fn holds(self, party: Party, zones: u32) -> bool {
-        match (self, party) {
-            (Side::All, _)
-            | (Side::Hosts, Party::Host(_))
-            | (Side::Nodes, Party::Node(_))
-            | (Side::Lists, Party::List(_)) => true,
-            (Side::One(one), party) => one == party,
-            (Side::Zone(zone), Party::Host(n) | Party::Node(n)) => n % zones.max(1) == zone,
-            (Side::HostRange(from, to), Party::Host(n)) | (Side::NodeRange(from, to), Party::Node(n)) => {
-                (from..to).contains(&n)
-            }
+impl PeerSet {
+    /// Peers are assigned to `zones` zones round-robin.
+    fn contains(self, peer: Peer, zones: u32) -> bool {
+        match (self, peer) {
+            (PeerSet::All, _)
+            | (PeerSet::Hosts, Peer::Host(_))
+            | (PeerSet::Nodes, Peer::Node(_))
+            | (PeerSet::Lists, Peer::List(_)) => true,
+            (PeerSet::Single(single), peer) => single == peer,
+            (PeerSet::Zone(zone), Peer::Host(n) | Peer::Node(n)) => n % zones.max(1) == zone,
+            (PeerSet::HostRange(start, end), Peer::Host(n))
+            | (PeerSet::NodeRange(start, end), Peer::Node(n)) => (start..end).contains(&n),
             _ => false,
         }
     }
 }
 
-/// What one direction of a way does.
+/// What is wrong with one direction of a link. The default is a link without a fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fault {
-    /// Bytes come so much later, and by up to the spread more; their order stays.
-    pub delay: Micros,
-    pub spread: Micros,
-    /// Nothing comes: what is sent is held until this is over, and new connections never come up.
-    pub silent: bool,
+pub struct LinkFault {
+    /// Added latency in microseconds.
+    pub latency: Micros,
+    /// Upper bound of a random addition to the latency; bytes of a connection stay in order.
+    pub jitter: Micros,
+    /// Nothing arrives: bytes are buffered until the fault ends, and new connections are never established.
+    pub blackholed: bool,
     /// New connections are refused.
-    pub refuses: bool,
-    /// Bytes a second; 0: as many as come.
-    pub rate: f64,
-    /// A connection is reset once so many bytes have passed; 0: never.
-    pub cut_after: u64,
-    /// Parts of datagrams that are lost, and that come twice.
+    pub refuses_connections: bool,
+    /// Bandwidth; 0: unlimited.
+    pub bytes_per_second: f64,
+    /// A connection is reset after so many bytes; 0: never.
+    pub reset_after_bytes: u64,
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    pub repeats: f64,
+    /// Fraction of datagrams that arrive twice.
+    pub duplication: f64,
 }
 
-/// The faults in force. A later one hides those before it.
+impl LinkFault {
+    /// Whether a new message can't pass: the link is blackholed or refuses connections.
+    pub fn blocks(&self) -> bool {
+        self.blackholed || self.refuses_connections
+    }
+}
+
+/// A fault on all links from one set of peers to another.
+#[derive(Clone, Copy, Debug)]
+struct LinkRule {
+    from: PeerSet,
+    to: PeerSet,
+    fault: LinkFault,
+}
+
+/// The faults in force. A later one takes precedence over earlier ones.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     zones: u32,
-    faults: Vec<(Side, Side, Fault)>,
+    rules: Vec<LinkRule>,
 }
 
 impl Links {
+    /// No faults, with peers in so many zones.
     pub fn new(zones: u32) -> Self {
-        Links { zones, faults: Vec::new() }
+        Links { zones, rules: Vec::new() }
     }
 
-    /// From now on all that goes from one side to another meets this fault; the default one heals. Each pair of
-    /// sides stands once, so that a script's sides bound the table.
-    pub fn set(&mut self, from: Side, to: Side, fault: Fault) {
-        self.faults.retain(|f| (f.0, f.1) != (from, to));
-        if fault != Fault::default() {
-            self.faults.push((from, to, fault));
+    /// Sets the fault of all links from one set of peers to another; the default fault heals them. Each pair of sets
+    /// has one entry, so that the sets that a script names bound the table.
+    pub fn set(&mut self, from: PeerSet, to: PeerSet, fault: LinkFault) {
+        self.rules.retain(|rule| (rule.from, rule.to) != (from, to));
+        if fault != LinkFault::default() {
+            self.rules.push(LinkRule { from, to, fault });
         }
     }
 
-    pub fn of(&self, from: Party, to: Party) -> Fault {
-        let meets = |f: &&(Side, Side, Fault)| f.0.holds(from, self.zones) && f.1.holds(to, self.zones);
-        self.faults.iter().rev().find(meets).map_or_else(Fault::default, |f| f.2)
+    /// The fault of the direction from one peer to another.
+    pub fn fault_between(&self, from: Peer, to: Peer) -> LinkFault {
+        let applies =
+            |rule: &&LinkRule| rule.from.contains(from, self.zones) && rule.to.contains(to, self.zones);
+        self.rules.iter().rev().find(applies).map_or_else(LinkFault::default, |rule| rule.fault)
     }
 
-    /// How new connections from one party to another fare: a word must pass both ways.
-    pub fn opening(&self, from: Party, to: Party) -> Opening {
-        let (there, back) = (self.of(from, to), self.of(to, from));
-        if there.silent || back.silent {
-            Opening::Silent
-        } else if there.refuses {
-            Opening::Refused
+    /// What becomes of new connections from one peer to another. A handshake needs both directions.
+    pub fn connect_outcome(&self, from: Peer, to: Peer) -> ConnectOutcome {
+        let (forward, backward) = (self.fault_between(from, to), self.fault_between(to, from));
+        if forward.blackholed || backward.blackholed {
+            ConnectOutcome::Blackholed
+        } else if forward.refuses_connections {
+            ConnectOutcome::Refused
         } else {
-            Opening::Up
+            ConnectOutcome::Accepted
         }
     }
 }
 
+/// What becomes of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
-    Up,
+pub enum ConnectOutcome {
+    /// It is established.
+    Accepted,
+    /// It is refused at once.
     Refused,
-    Silent,
+    /// It is never answered.
+    Blackholed,
 }
 
-enum Piece {
+enum Segment {
     Bytes(Vec<u8>),
-    End,
+    Close,
 }
 
-/// What comes out of a direction of a connection.
+/// What comes out of one direction of a connection.
 #[derive(Debug, PartialEq)]
-pub enum Out {
+pub enum PipeOutput {
+    /// Nothing is due.
     Nothing,
+    /// Bytes for the receiver.
     Bytes(Vec<u8>),
-    /// The sender has closed.
-    End,
-    /// The way resets the connection.
+    /// The sender has closed the connection.
+    Closed,
+    /// The fault resets the connection.
     Reset,
 }
 
-/// One direction of a connection: bytes under way.
+/// Bytes in flight in one direction of a connection.
 #[derive(Default)]
 pub struct Pipe {
-    pieces: VecDeque<(Micros, Piece)>,
-    held: usize,
-    passed: u64,
-    /// Nothing leaves before what was sent earlier.
-    clear_at: Micros,
+    /// Segments and when each is due.
+    segments: VecDeque<(Micros, Segment)>,
+    buffered_bytes: usize,
+    delivered_bytes: u64,
+    /// When the last segment is due: no later one overtakes it.
+    busy_until: Micros,
 }
 
 impl Pipe {
-    pub fn full(&self) -> bool {
-        self.held >= HELD_MOST
+    /// Whether the buffer is full: the caller stops reading from the sender.
+    pub fn is_full(&self) -> bool {
+        self.buffered_bytes >= MAX_BUFFERED_BYTES
     }
 
-    pub fn push(&mut self, now: Micros, bytes: &[u8], fault: &Fault, rng: &mut impl Rng) {
-        let took = if fault.rate > 0.0 { (bytes.len() as f64 / fault.rate * 1e6) as Micros } else { 0 };
-        self.held += bytes.len();
-        self.put(now, took, Piece::Bytes(bytes.to_vec()), fault, rng);
+    /// The sender has sent these bytes.
+    pub fn push(&mut self, now: Micros, bytes: &[u8], fault: &LinkFault, rng: &mut impl Rng) {
+        let transmission = if fault.bytes_per_second > 0.0 {
+            (bytes.len() as f64 / fault.bytes_per_second * 1e6) as Micros
+        } else {
+            0
+        };
+        self.buffered_bytes += bytes.len();
+        self.enqueue(now, transmission, Segment::Bytes(bytes.to_vec()), fault, rng);
     }
 
-    /// The sender has closed; said behind all that it sent.
-    pub fn end(&mut self, now: Micros, fault: &Fault, rng: &mut impl Rng) {
-        self.put(now, 0, Piece::End, fault, rng);
+    /// The sender has closed the connection; the receiver learns of it behind all bytes.
+    pub fn close(&mut self, now: Micros, fault: &LinkFault, rng: &mut impl Rng) {
+        self.enqueue(now, 0, Segment::Close, fault, rng);
     }
 
-    fn put(&mut self, now: Micros, took: Micros, piece: Piece, fault: &Fault, rng: &mut impl Rng) {
-        let spread = if fault.spread > 0 { rng.random_range(0..=fault.spread) } else { 0 };
-        // A narrow way is busy with what is before this.
-        let from = if took > 0 { now.max(self.clear_at) } else { now };
-        self.clear_at = self.clear_at.max(from + took + fault.delay + spread);
-        self.pieces.push_back((self.clear_at, piece));
+    fn enqueue(
+        &mut self,
+        now: Micros,
+        transmission: Micros,
+        segment: Segment,
+        fault: &LinkFault,
+        rng: &mut impl Rng,
+    ) {
+        let jitter = if fault.jitter > 0 { rng.random_range(0..=fault.jitter) } else { 0 };
+        // With limited bandwidth, transmission starts behind the segments before.
+        let start = if transmission > 0 { now.max(self.busy_until) } else { now };
+        self.busy_until = self.busy_until.max(start + transmission + fault.latency + jitter);
+        self.segments.push_back((self.busy_until, segment));
     }
 
-    pub fn take(&mut self, now: Micros, fault: &Fault) -> Out {
-        if fault.silent || self.pieces.front().is_none_or(|p| p.0 > now) {
-            return Out::Nothing;
+    /// Takes the next segment that is due.
+    pub fn poll(&mut self, now: Micros, fault: &LinkFault) -> PipeOutput {
+        if fault.blackholed || self.segments.front().is_none_or(|(due, _)| *due > now) {
+            return PipeOutput::Nothing;
         }
-        match self.pieces.pop_front() {
-            Some((_, Piece::Bytes(mut bytes))) => {
-                self.held -= bytes.len();
-                let left = fault.cut_after.saturating_sub(self.passed);
-                self.passed += bytes.len() as u64;
-                if fault.cut_after == 0 || bytes.len() as u64 <= left {
-                    return Out::Bytes(bytes);
-                }
-                // What is within the count still comes; the next look finds the cut.
-                bytes.truncate(left as usize);
-                match bytes.is_empty() {
-                    true => Out::Reset,
-                    false => {
-                        self.pieces.push_front((now, Piece::Bytes(vec![0])));
-                        self.held += 1;
-                        Out::Bytes(bytes)
-                    }
-                }
-            }
-            _ => Out::End,
+        match self.segments.pop_front() {
+            Some((_, Segment::Bytes(bytes))) => self.deliver(now, bytes, fault),
+            _ => PipeOutput::Closed,
         }
     }
 
-    /// When something may come out next, unless the way is silent.
-    pub fn due(&self) -> Option<Micros> {
-        self.pieces.front().map(|p| p.0)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::SeedableRng;
-    use rand_pcg::Pcg64Mcg;
-
-    #[test]
-    fn faults_hold_for_their_sides_and_direction_alone_and_the_latest_counts() {
-        let mut links = Links::new(2);
-        let slow = Fault { delay: 300_000, ..Fault::default() };
-        let cut = Fault { silent: true, ..Fault::default() };
-        links.set(Side::Lists, Side::Hosts, slow);
-        links.set(Side::Zone(1), Side::Lists, cut);
-        let (even, odd, list) = (Party::Host(2), Party::Host(3), Party::List(0));
-        assert_eq!((links.of(list, even), links.of(even, list)), (slow, Fault::default()));
-        assert_eq!((links.of(odd, list), links.of(list, odd)), (cut, slow), "one way is cut, the other slow");
-        assert_eq!((links.opening(odd, list), links.opening(even, list)), (Opening::Silent, Opening::Up));
-        links.set(Side::Zone(1), Side::Lists, Fault::default());
-        assert_eq!(links.opening(odd, list), Opening::Up);
-    }
-
-    #[test]
-    fn bytes_come_late_in_order_held_while_silent_and_no_further_than_a_cut() {
-        let mut rng = Pcg64Mcg::seed_from_u64(1);
-        let mut pipe = Pipe::default();
-        let late = Fault { delay: 100, spread: 1_000, ..Fault::default() };
-        for n in 0..20u8 {
-            pipe.push(u64::from(n), &[n], &late, &mut rng);
+    /// Delivers bytes up to the count at which the fault resets the connection.
+    fn deliver(&mut self, now: Micros, mut bytes: Vec<u8>, fault: &LinkFault) -> PipeOutput {
+        self.buffered_bytes -= bytes.len();
+        let remaining = fault.reset_after_bytes.saturating_sub(self.delivered_bytes);
+        self.delivered_bytes += bytes.len() as u64;
+        if fault.reset_after_bytes == 0 || bytes.len() as u64 <= remaining {
+            return PipeOutput::Bytes(bytes);
         }
-        pipe.end(20, &late, &mut rng);
-        assert_eq!(pipe.take(99, &late), Out::Nothing);
-        assert_eq!(pipe.take(9_999, &Fault { silent: true, ..late }), Out::Nothing);
-        for n in 0..20u8 {
-            assert_eq!(pipe.take(9_999, &late), Out::Bytes(vec![n]));
+        bytes.truncate(remaining as usize);
+        if bytes.is_empty() {
+            return PipeOutput::Reset;
         }
-        assert_eq!((pipe.take(9_999, &late), pipe.due()), (Out::End, None));
-        let cut = Fault { cut_after: 3, ..Fault::default() };
-        let mut pipe = Pipe::default();
-        pipe.push(0, b"ab", &cut, &mut rng);
-        pipe.push(0, b"cd", &cut, &mut rng);
-        assert_eq!(pipe.take(1, &cut), Out::Bytes(b"ab".to_vec()));
-        assert_eq!(pipe.take(1, &cut), Out::Bytes(b"c".to_vec()));
-        assert_eq!(pipe.take(1, &cut), Out::Reset);
-        let narrow = Fault { rate: 1_000.0, ..Fault::default() };
-        let mut pipe = Pipe::default();
-        pipe.push(0, &[0; 500], &narrow, &mut rng);
-        pipe.push(0, &[0; 500], &narrow, &mut rng);
-        assert_eq!(pipe.take(400_000, &narrow), Out::Nothing);
-        assert!(matches!(pipe.take(500_000, &narrow), Out::Bytes(_)));
-        assert_eq!(pipe.due(), Some(1_000_000));
+        // One byte beyond the count makes the next call reset the connection.
+        self.segments.push_front((now, Segment::Bytes(vec![0])));
+        self.buffered_bytes += 1;
+        PipeOutput::Bytes(bytes)
+    }
+
+    /// When the next segment is due, unless the link is blackholed.
+    pub fn next_due(&self) -> Option<Micros> {
+        self.segments.front().map(|(due, _)| *due)
     }
 }
--- /dev/null
+++ b/crates/lab/src/fleet/membership_audit.rs
@@ -0,0 +1,278 @@
+//! Checks the hosts' membership tables against what was done to the hosts: all tables converge after the last fault,
+//! no running host in reach is held unreachable, no killed host goes undetected, and no member that left comes back.
+//! It knows nothing of the program's internals.
+mod history;
+
+use super::peers::MembershipSample;
+use super::record::{Event, Observation};
+use super::scenario::Scenario;
+use crate::trace::Micros;
+use history::FaultHistory;
+use mallowseam_fleet::MemberState;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+
+/// Protocol periods until all tables are the same (docs/fleet.md): T(N).
+pub fn convergence_periods(hosts: u32) -> f64 {
+    100.0 + 20.0 * f64::from(hosts.max(10)).log10()
+}
+
+/// Protocol periods until a killed host is unreachable for all: a suspicion that nobody confirms, and its
+/// dissemination.
+pub fn detection_periods(hosts: u32) -> f64 {
+    15.0 * f64::from(hosts.max(10)).log10() + 20.0
+}
+
+/// Periods within which two hosts that reach each other again have found each other: until then each may hold the
+/// other unreachable.
+const REDISCOVERY_PERIODS: f64 = 75.0;
+/// Differences of one kind that the evidence lists.
+const MAX_DIFFERENCES: usize = 5;
+const MAX_OTHER_EVIDENCE: usize = 10;
+
+/// The result of the check.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct MembershipVerdict {
+    /// Running hosts whose last table is the one that all share.
+    pub converged_hosts: usize,
+    /// Hosts that run at the end.
+    pub running_hosts: usize,
+    /// Seconds from the last fault until all tables were the same.
+    pub convergence_seconds: f64,
+    /// Upper bound of these.
+    pub convergence_bound_seconds: f64,
+    /// Seconds for which running hosts in reach were held unreachable, summed over all pairs.
+    pub false_unreachable_seconds: f64,
+    /// How the last tables differ from what there is.
+    pub differences: Vec<String>,
+    /// Killed hosts that were still held alive.
+    pub undetected_kills: Vec<String>,
+    /// Members that had left and were held as something else later.
+    pub resurrections: Vec<String>,
+}
+
+impl fmt::Display for MembershipVerdict {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "views settled {} of {}, longest {:.1} s of {:.1}; running hosts wrongly held unreachable: {:.1} s in all; \
+             killed hosts unseen: {}; back from the dead: {}",
+            self.converged_hosts,
+            self.running_hosts,
+            self.convergence_seconds,
+            self.convergence_bound_seconds,
+            self.false_unreachable_seconds,
+            self.undetected_kills.len(),
+            self.resurrections.len()
+        )
+    }
+}
+
+impl MembershipVerdict {
+    /// Lines that describe what is wrong; empty if nothing is.
+    pub fn evidence(&self) -> Vec<String> {
+        let mut lines = Vec::new();
+        if self.converged_hosts < self.running_hosts {
+            let others = self.running_hosts - self.converged_hosts;
+            lines.push(format!("{others} running hosts have another view than the rest"));
+        }
+        lines.extend(self.differences.iter().take(MAX_DIFFERENCES).cloned());
+        if self.convergence_seconds > self.convergence_bound_seconds {
+            lines.push(format!(
+                "one view after {:.1} s, of {:.1} at most",
+                self.convergence_seconds, self.convergence_bound_seconds
+            ));
+        }
+        if self.false_unreachable_seconds > 0.0 {
+            lines.push(format!(
+                "running hosts in reach were held unreachable for {:.1} s",
+                self.false_unreachable_seconds
+            ));
+        }
+        lines.extend(
+            self.undetected_kills.iter().chain(&self.resurrections).take(MAX_OTHER_EVIDENCE).cloned(),
+        );
+        lines
+    }
+}
+
+/// Checks the samples of all hosts. `observations`: when hosts started and stopped.
+pub fn check(
+    scenario: &Scenario,
+    observations: &[Observation],
+    samples: &[MembershipSample],
+) -> MembershipVerdict {
+    // All hosts are told to end when the run is over.
+    let samples: Vec<&MembershipSample> =
+        samples.iter().filter(|s| s.requested_at < scenario.duration).collect();
+    let audit = MembershipAudit {
+        scenario,
+        period: scenario.membership.map_or(1.0, |m| m.period as f64),
+        history: FaultHistory::new(scenario, observations),
+        samples,
+    };
+    let mut verdict = MembershipVerdict::default();
+    audit.check_convergence(&mut verdict);
+    verdict.false_unreachable_seconds = audit.false_unreachable_seconds();
+    verdict.undetected_kills = audit.undetected_kills();
+    verdict.resurrections = audit.resurrections(observations);
+    verdict
+}
+
+struct MembershipAudit<'a> {
+    scenario: &'a Scenario,
+    /// Protocol period in microseconds.
+    period: f64,
+    history: FaultHistory,
+    samples: Vec<&'a MembershipSample>,
+}
+
+/// Whether a state is one that members pass through.
+fn is_transient(state: MemberState) -> bool {
+    matches!(state, MemberState::Suspect | MemberState::Joining | MemberState::Leaving)
+}
+
+/// Whether a table holds exactly the running hosts as alive, and no member in a transient state.
+fn is_correct(sample: &MembershipSample, running: &BTreeSet<u32>) -> bool {
+    let alive: BTreeSet<u32> =
+        sample.members.iter().filter(|m| m.state == MemberState::Alive).map(|m| m.host).collect();
+    alive == *running && !sample.members.iter().any(|m| is_transient(m.state))
+}
+
+impl MembershipAudit<'_> {
+    fn periods(&self, periods: f64) -> Micros {
+        (periods * self.period) as Micros
+    }
+
+    /// Whether a host ran and was in reach of another one during a time.
+    fn ran_in_reach(&self, observer: u32, host: u32, from: Micros, to: Micros) -> bool {
+        self.history.ran(host, from, to) && self.reached(observer, host, from, to)
+    }
+
+    fn reached(&self, a: u32, b: u32, from: Micros, to: Micros) -> bool {
+        self.history.reached(a, b, from, to, self.period)
+    }
+
+    fn check_convergence(&self, verdict: &mut MembershipVerdict) {
+        let running = self.history.running_through(self.scenario.duration);
+        let mut last: BTreeMap<u32, &MembershipSample> = BTreeMap::new();
+        for sample in self.samples.iter().filter(|s| running.contains(&s.host)) {
+            last.insert(sample.host, sample);
+        }
+        let shared = most_frequent_digest(last.values().copied().filter(|s| is_correct(s, &running)));
+        let converged = |s: &MembershipSample| is_correct(s, &running) && Some(s.digest) == shared;
+        verdict.differences = last
+            .values()
+            .filter(|s| !converged(s))
+            .map(|s| describe_difference(s, &running, self.scenario.hosts))
+            .collect();
+        verdict.converged_hosts = last.values().filter(|s| converged(s)).count();
+        verdict.running_hosts = running.len();
+        let last_fault = self.last_fault_at();
+        let differing = self
+            .samples
+            .iter()
+            .filter(|s| s.requested_at >= last_fault && running.contains(&s.host) && !converged(s));
+        let longest = differing.map(|s| s.requested_at - last_fault).max().unwrap_or(0);
+        verdict.convergence_seconds = longest as f64 / 1e6;
+        verdict.convergence_bound_seconds = convergence_periods(self.scenario.hosts) * self.period / 1e6;
+    }
+
+    fn last_fault_at(&self) -> Micros {
+        let times = self.scenario.faults.iter().map(|fault| fault.at);
+        times.filter(|at| *at < self.scenario.duration).max().unwrap_or(0)
+    }
+
+    fn false_unreachable_seconds(&self) -> f64 {
+        let rediscovery = self.periods(REDISCOVERY_PERIODS);
+        let mut last: BTreeMap<u32, Micros> = BTreeMap::new();
+        let mut seconds = 0.0;
+        for sample in &self.samples {
+            let now = sample.requested_at;
+            let before = last.insert(sample.host, now).unwrap_or(now);
+            let from = now.saturating_sub(rediscovery);
+            if now < rediscovery || !self.history.ran(sample.host, from, now) {
+                continue;
+            }
+            let unreachable = sample
+                .members
+                .iter()
+                .filter(|m| m.state == MemberState::Unreachable && m.host != sample.host);
+            let wrong = unreachable.filter(|m| self.ran_in_reach(sample.host, m.host, from, now)).count();
+            seconds += wrong as f64 * (now - before) as f64 / 1e6;
+        }
+        seconds
+    }
+
+    /// Hosts that were killed for longer than their detection takes, and were still held alive by one that ran all the
+    /// while.
+    fn undetected_kills(&self) -> Vec<String> {
+        let detection = self.periods(detection_periods(self.scenario.hosts));
+        let mut undetected = Vec::new();
+        for killed in self.history.runs.iter().filter(|run| run.killed) {
+            let restarted_at = self.history.next_start(killed);
+            let holds_alive = |s: &&&MembershipSample| {
+                s.requested_at > killed.ended_at + detection
+                    && s.requested_at < restarted_at
+                    && self.history.ran(s.host, killed.ended_at, s.requested_at)
+                    && self.reached(s.host, killed.host, killed.ended_at, s.requested_at)
+                    && s.members.iter().any(|m| m.host == killed.host && m.state == MemberState::Alive)
+            };
+            if let Some(sample) = self.samples.iter().find(holds_alive) {
+                undetected.push(format!(
+                    "host {} was killed at {:.1} s, and host {} holds it alive at {:.1} s",
+                    killed.host,
+                    killed.ended_at as f64 / 1e6,
+                    sample.host,
+                    sample.requested_at as f64 / 1e6
+                ));
+            }
+        }
+        undetected
+    }
+
+    /// Members that one process of a host held as left, and as something else later.
+    fn resurrections(&self, observations: &[Observation]) -> Vec<String> {
+        let is_start = |o: &&Observation| matches!(o.event, Event::HostStarted { .. });
+        let mut starts = observations.iter().filter(is_start).peekable();
+        // Observing host, member, and the member's generation.
+        let mut left: BTreeSet<(u32, u32, u64)> = BTreeSet::new();
+        let mut resurrections = Vec::new();
+        for sample in &self.samples {
+            while let Some(start) = starts.next_if(|start| start.at <= sample.requested_at) {
+                if let Event::HostStarted { host } = start.event {
+                    left.retain(|key| key.0 != host);
+                }
+            }
+            for member in &sample.members {
+                let key = (sample.host, member.host, member.generation);
+                if member.state == MemberState::Left {
+                    left.insert(key);
+                } else if left.contains(&key) {
+                    resurrections.push(format!(
+                        "host {} has {} as {:?}, which had left",
+                        sample.host, member.host, member.state
+                    ));
+                }
+            }
+        }
+        resurrections
+    }
+}
+
+fn most_frequent_digest<'a>(samples: impl Iterator<Item = &'a MembershipSample>) -> Option<u64> {
+    let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
+    samples.for_each(|sample| *counts.entry(sample.digest).or_default() += 1);
+    counts.iter().max_by_key(|(_, count)| *count).map(|(digest, _)| *digest)
+}
+
+fn describe_difference(sample: &MembershipSample, running: &BTreeSet<u32>, hosts: u32) -> String {
+    let difference = |host: u32| {
+        let state = sample.members.iter().find(|m| m.host == host).map(|m| m.state);
+        let runs = running.contains(&host);
+        let is_right = runs == (state == Some(MemberState::Alive)) && !state.is_some_and(is_transient);
+        (!is_right).then(|| format!("{host} {}: {state:?}", if runs { "runs" } else { "does not run" }))
+    };
+    let differences: Vec<String> = (0..hosts).filter_map(difference).collect();
+    format!("host {} last told {:016x} with {}", sample.host, sample.digest, differences.join(", "))
+}
--- /dev/null
+++ b/crates/lab/src/fleet/outcome.rs
@@ -0,0 +1,187 @@
+//! What a run brought, and its report.
+use super::audit::Verdict;
+use super::peers::MembershipSample;
+use super::processes::ResourceUsage;
+use super::record::{Event, Observation};
+use super::scenario::Scenario;
+use crate::trace::Micros;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// What a run brought.
+pub struct Outcome {
+    /// The audit's result.
+    pub verdict: Verdict,
+    /// All observations.
+    pub observations: Vec<Observation>,
+    /// Host processes that ended without having been told to, or not when told to.
+    pub crashed: Vec<String>,
+    /// What each host used at the end of the run.
+    pub usage: Vec<ResourceUsage>,
+    /// The longest delay of the event loop, in microseconds.
+    pub max_lag: Micros,
+    /// Watches of the list service that were open at the end.
+    pub open_watches: usize,
+    /// The hosts' membership tables, query by query.
+    pub membership_samples: Vec<MembershipSample>,
+    /// Bytes that each host sent to other hosts, a second.
+    pub membership_bytes_per_second: f64,
+    /// The highest load on a cold node, as a fraction of what it sustained.
+    pub peak_cold_load: f64,
+}
+
+/// Latencies and processor time of a group of hosts.
+#[derive(Default)]
+struct GroupFigures {
+    latencies: Vec<Micros>,
+    cpu_ms: u64,
+    hosts: u32,
+}
+
+impl GroupFigures {
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        let index = (self.latencies.len() as f64 * quantile) as usize;
+        self.latencies.get(index).map_or(0.0, |micros| *micros as f64 / 1e3)
+    }
+
+    fn describe(&mut self, run_seconds: f64) -> String {
+        self.latencies.sort_unstable();
+        let cpu = self.cpu_ms as f64 / f64::from(self.hosts.max(1)) / run_seconds;
+        format!(
+            "{} served, median {:.1} ms, p99 {:.1} ms, {cpu:.1} ms of processor time a second",
+            self.latencies.len(),
+            self.quantile_ms(0.5),
+            self.quantile_ms(0.99)
+        )
+    }
+}
+
+impl Outcome {
+    fn hosts_with_list(&self) -> u64 {
+        self.verdict.list_delays.len() as u64
+    }
+
+    /// Violated rules, and processes that did not end as they should.
+    pub fn violations(&self) -> Vec<String> {
+        let mut lines = self.verdict.evidence();
+        lines.extend(self.crashed.iter().cloned());
+        lines
+    }
+
+    /// All that was not as it should be; empty if the run is good.
+    pub fn evidence(&self, scenario: &Scenario) -> Vec<String> {
+        let verdict = &self.verdict;
+        let mut lines = self.violations();
+        let without_list = verdict.host_starts.saturating_sub(self.hosts_with_list());
+        if without_list > 0 {
+            lines.push(format!("{without_list} starts without a list of the service"));
+        }
+        let allowed = scenario.max_queued_polls();
+        if verdict.max_queued > allowed {
+            lines.push(format!("{} calls waited, of {allowed} at most", verdict.max_queued));
+        }
+        if verdict.collapses > 0 {
+            lines.push(format!("{} nodes fell", verdict.collapses));
+        }
+        lines
+    }
+
+    /// The last line of the report.
+    pub fn summary(&self, scenario: &Scenario) -> String {
+        let verdict = &self.verdict;
+        let starts = verdict.host_starts;
+        format!(
+            "hosts fresh {} of {starts}; list calls {} for {starts} hosts, most waiting {} of {}; {verdict}",
+            self.hosts_with_list(),
+            verdict.polls,
+            verdict.max_queued,
+            scenario.max_queued_polls()
+        )
+    }
+
+    /// Hosts that take part in the membership protocol beside those that don't, if the run has both: latency of what
+    /// they served, and processor time.
+    pub fn compare_membership_groups(&self, scenario: &Scenario) -> Option<String> {
+        let participants = scenario.membership?.participants;
+        if participants.start == 0 && participants.end >= scenario.hosts {
+            return None;
+        }
+        let mut with = GroupFigures::default();
+        let mut without = GroupFigures::default();
+        let mut sent = BTreeMap::new();
+        for Observation { at, event } in &self.observations {
+            match *event {
+                Event::RequestSent { op, host, .. } => drop(sent.insert(op, (*at, host))),
+                Event::ResponseReceived { op, status: 200, .. } => {
+                    if let Some((sent_at, host)) = sent.remove(&op) {
+                        let group = if participants.contains(host) { &mut with } else { &mut without };
+                        group.latencies.push(at - sent_at);
+                    }
+                }
+                _ => {}
+            }
+        }
+        for (host, usage) in self.usage.iter().enumerate() {
+            let group = if participants.contains(host as u32) { &mut with } else { &mut without };
+            group.cpu_ms += usage.cpu_ms;
+            group.hosts += 1;
+        }
+        let seconds = scenario.duration as f64 / 1e6;
+        let (with, without) = (with.describe(seconds), without.describe(seconds));
+        Some(format!("hosts with a view: {with}\nhosts without: {without}"))
+    }
+
+    /// The run second by second, and what came of it.
+    pub fn table(&self) -> String {
+        let mut out = String::new();
+        self.write_table(&mut out).expect("writing to a string succeeds");
+        out
+    }
+
+    fn write_table(&self, out: &mut String) -> std::fmt::Result {
+        self.write_timeline(out)?;
+        let verdict = &self.verdict;
+        let ms = |fraction| match verdict.list_delay_within(fraction) {
+            Some(delay) => format!("{} ms", delay / 1_000),
+            None => "never".to_owned(),
+        };
+        writeln!(
+            out,
+            "fresh list: half of the starts after {}, 95 in 100 after {}, all after {}",
+            ms(0.5),
+            ms(0.95),
+            ms(1.0)
+        )?;
+        let steady = verdict.steady_from().map_or("never".to_owned(), |s| format!("from {s} s on"));
+        writeln!(out, "nine tenths of usual service: {steady}")?;
+        let count = self.usage.len().max(1) as f64;
+        let mean = |figure: fn(&ResourceUsage) -> f64| self.usage.iter().map(figure).sum::<f64>() / count;
+        writeln!(
+            out,
+            "a host at the end: {:.1} MB, {:.0} ms of processor time, {:.0} descriptors; most to a cold node: {:.0} \
+             in 100 of what it bears; stand-ins late by {} ms at most",
+            mean(|u| u.memory_kb as f64 / 1024.0),
+            mean(|u| u.cpu_ms as f64),
+            mean(|u| u.descriptors as f64),
+            100.0 * self.peak_cold_load,
+            self.max_lag / 1_000
+        )
+    }
+
+    fn write_timeline(&self, out: &mut String) -> std::fmt::Result {
+        writeln!(
+            out,
+            "{:>4}{:>8}{:>9}{:>8}{:>9}{:>9}{:>7}{:>9}{:>8}",
+            "s", "asked", "in goal", "served", "refused", "no host", "calls", "waiting", "opened"
+        )?;
+        for (second, s) in self.verdict.timeline.iter().enumerate() {
+            let percent = 100.0 * f64::from(s.within_objective) / f64::from(s.offered().max(1));
+            writeln!(
+                out,
+                "{second:>4}{:>8}{percent:>8.1}%{:>8}{:>9}{:>9}{:>7}{:>9}{:>8}",
+                s.requests, s.served, s.refused, s.no_host, s.polls, s.queued, s.opened
+            )?;
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/lab/src/fleet/peers.rs
@@ -0,0 +1,207 @@
+//! The peers of the hosts, simulated on one event loop: list services, nodes and clients. Every connection and
+//! datagram passes a link with faults of its own. The owner drives the loop one iteration at a time.
+mod clients;
+mod connections;
+mod discovery;
+mod endpoint_list;
+mod event_loop;
+mod hosts;
+mod listeners;
+mod membership;
+mod nodes;
+
+use super::addresses::Addresses;
+use super::client_load::{ClientLoad, Operation};
+use super::discovery_queue::{DiscoveryQueue, ServiceBehavior};
+use super::error::TestbedError;
+use super::links::{LinkFault, Links, Peer, PeerSet};
+use super::record::{Event, Observation};
+use super::scenario::Scenario;
+use super::simulated_node::SimulatedNode;
+use crate::trace::Micros;
+use connections::{Connection, ConnectionId, ConnectionRole};
+use discovery::Undelivered;
+use endpoint_list::EndpointList;
+use event_loop::Timer;
+use hosts::HostState;
+use listeners::PeerListener;
+use mallowseam_http1::Limits;
+use mallowseam_sockets::slab::Slab;
+use membership::MembershipLinks;
+use mio::Poll;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::net::TcpListener;
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+pub use discovery::NOTIFICATION_DEADLINE;
+pub use endpoint_list::{ListedNode, NodeStatus};
+pub use membership::{MembershipSample, MembershipView, SampledMember};
+
+const HTTP_LIMITS: Limits = Limits { head: 16 * 1024, body: 1 << 20 };
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// List services of a run: hosts start with the first and may be redirected to the second.
+const LIST_SERVICES: u32 = 2;
+/// Listens while a run lasts, which keeps other runs on this machine from its addresses.
+const PORT_CLAIM: u16 = 1899;
+/// Networks that a run tries, and the first of them.
+const NETWORKS: u32 = 200;
+const FIRST_NETWORK: u32 = 20;
+
+/// All peers of the hosts of a run, and what was observed at them.
+pub struct SimulatedPeers {
+    poll: Poll,
+    scenario: Scenario,
+    /// Addresses of the run.
+    pub addresses: Addresses,
+    _address_claim: TcpListener,
+    start: Instant,
+    /// Wall-clock time at the start, in milliseconds since the Unix epoch.
+    start_unix_ms: i64,
+    listeners: Vec<PeerListener>,
+    connections: Slab<Connection>,
+    last_serial: u64,
+    links: Links,
+    timers: BinaryHeap<Reverse<(Micros, Timer)>>,
+    /// The list services.
+    pub(super) discovery: [DiscoveryQueue<ConnectionId>; LIST_SERVICES as usize],
+    endpoints: EndpointList,
+    undelivered: Vec<Undelivered>,
+    /// The nodes.
+    pub(super) nodes: Vec<SimulatedNode<ConnectionId>>,
+    /// The clients.
+    pub(super) client_load: ClientLoad,
+    clients_active: bool,
+    pending_retries: Slab<Operation>,
+    host_states: Vec<HostState>,
+    paused: Vec<bool>,
+    /// Idle connections of clients, by host.
+    idle_connections: BTreeMap<u32, Vec<u32>>,
+    /// The host of each request in flight, by operation.
+    request_hosts: BTreeMap<u64, u32>,
+    /// Datagrams between hosts, and their membership tables.
+    pub membership: MembershipLinks,
+    /// The number in each host's name: its index, except in tests with two hosts of one name.
+    pub name_numbers: Vec<u32>,
+    /// What was observed so far.
+    pub observations: Vec<Observation>,
+    rng: Pcg64Mcg,
+    read_buffer: Vec<u8>,
+}
+
+impl SimulatedPeers {
+    /// Opens the sockets of all peers.
+    ///
+    /// # Errors
+    /// A socket can't be opened, or all loopback addresses are in use.
+    pub fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let poll = Poll::new().map_err(TestbedError::Poll)?;
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let queue = || DiscoveryQueue::new(scenario.service_time, scenario.queue_timeout);
+        let (addresses, address_claim) = claim_addresses()?;
+        let mut peers = SimulatedPeers {
+            addresses,
+            _address_claim: address_claim,
+            start: Instant::now(),
+            start_unix_ms: unix.as_millis() as i64,
+            listeners: Vec::new(),
+            connections: Slab::default(),
+            last_serial: 0,
+            links: Links::new(scenario.zones),
+            timers: BinaryHeap::new(),
+            discovery: [queue(), queue()],
+            endpoints: EndpointList::new(),
+            undelivered: Vec::new(),
+            nodes: Vec::new(),
+            client_load: ClientLoad::new(scenario.load.clone(), scenario.hosts, scenario.nodes, &mut rng),
+            clients_active: false,
+            pending_retries: Slab::default(),
+            host_states: vec![HostState::Stopped; scenario.hosts as usize],
+            paused: vec![false; scenario.hosts as usize],
+            idle_connections: BTreeMap::new(),
+            request_hosts: BTreeMap::new(),
+            membership: MembershipLinks::default(),
+            name_numbers: (0..scenario.hosts).collect(),
+            observations: Vec::new(),
+            rng,
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            scenario: scenario.clone(),
+            poll,
+        };
+        peers.open_sockets()?;
+        Ok(peers)
+    }
+
+    fn open_sockets(&mut self) -> Result<(), TestbedError> {
+        for host in 0..self.scenario.hosts {
+            for list in 0..LIST_SERVICES {
+                self.add_listener(host, Peer::List(list), self.addresses.list(host, list))?;
+            }
+        }
+        for shard in 0..self.scenario.nodes {
+            self.add_node(shard, self.scenario.nodes_start_cold)?;
+        }
+        if self.scenario.membership.is_some() {
+            self.open_membership_sockets()?;
+        }
+        self.start_watch_keep_alive();
+        Ok(())
+    }
+
+    /// Microseconds since the start of the run.
+    pub fn now(&self) -> Micros {
+        self.start.elapsed().as_micros() as Micros
+    }
+
+    fn record(&mut self, event: Event) {
+        let at = self.now();
+        self.observations.push(Observation { at, event });
+    }
+
+    /// Sets the fault of all links from one set of peers to another.
+    pub fn set_link(&mut self, from: PeerSet, to: PeerSet, fault: LinkFault) {
+        self.links.set(from, to, fault);
+        self.update_listeners();
+        self.settle_undelivered();
+        self.pump_all();
+        let impaired = |host: &u32| self.is_impaired(*host);
+        let excused = self.request_hosts.iter().filter(|(_, host)| impaired(host));
+        let excused: Vec<u64> = excused.map(|(op, _)| *op).collect();
+        excused.into_iter().for_each(|op| self.record(Event::Excused { op }));
+    }
+
+    /// Whether the link between clients and a host has a fault, or the host is paused.
+    fn is_impaired(&self, host: u32) -> bool {
+        let fault = |from, to| self.links.fault_between(from, to) != LinkFault::default();
+        let host_peer = Peer::Host(host);
+        self.paused[host as usize] || fault(Peer::Clients, host_peer) || fault(host_peer, Peer::Clients)
+    }
+
+    /// Changes how a list service behaves.
+    pub fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
+        let now = self.now();
+        self.discovery[list].set_behavior(now, behavior);
+        if behavior == ServiceBehavior::Down {
+            self.reset_connections(
+                |role| matches!(role, ConnectionRole::Poll { list: l, .. } if *l as usize == list),
+            );
+        }
+        self.update_listeners();
+        self.settle_undelivered();
+    }
+}
+
+/// Loopback addresses that no other run on this machine uses, and the listener that claims them.
+fn claim_addresses() -> Result<(Addresses, TcpListener), TestbedError> {
+    let first = (std::process::id() * 7) % NETWORKS;
+    for n in 0..NETWORKS {
+        let addresses = Addresses::new((FIRST_NETWORK + (first + n) % NETWORKS) as u8);
+        if let Ok(listener) = TcpListener::bind(addresses.socket_address(0, PORT_CLAIM)) {
+            return Ok((addresses, listener));
+        }
+    }
+    Err(TestbedError::NoFreeAddresses)
+}
--- /dev/null
+++ b/crates/lab/src/fleet/peers/connections.rs
@@ -0,0 +1,305 @@
+//! Connections between hosts and peers: bytes pass the link's faults in each direction.
+use super::{Event, HTTP_LIMITS, SimulatedPeers, Timer};
+use crate::fleet::client_load::Operation;
+use crate::fleet::links::{ConnectOutcome, LinkFault, Peer, Pipe, PipeOutput};
+use crate::trace::Micros;
+use mallowseam_http1::{RequestReader, ResponseReader};
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mio::net::TcpStream;
+use mio::{Interest, Token};
+use socket2::SockRef;
+use std::cmp::Reverse;
+use std::time::Duration;
+
+/// A connection: its place in the table, and a number that tells it from later ones in the same place.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionId {
+    pub(super) index: u32,
+    pub(super) serial: u64,
+}
+
+/// What a connection is for.
+pub(super) enum ConnectionRole {
+    /// From a host to a list service.
+    Poll {
+        list: u32,
+        reader: RequestReader,
+        is_watch: bool,
+        /// Since when the watch sends nothing any more.
+        stalled_since: Option<Micros>,
+    },
+    /// From a host to a node.
+    Node {
+        node: u32,
+        reader: RequestReader,
+        /// The operation that has no response yet.
+        pending: Option<u64>,
+        /// No request has arrived yet.
+        is_new: bool,
+        /// It was above the node's limit when it was opened.
+        over_limit: bool,
+    },
+    /// From clients to a host.
+    Client { reader: ResponseReader, request: Option<Operation> },
+    /// A readiness check of a host.
+    Readiness { reader: ResponseReader },
+}
+
+pub(super) struct Connection {
+    pub host: u32,
+    pub socket: TcpStream,
+    pub role: ConnectionRole,
+    pub serial: u64,
+    /// Identifies the timeout that is in force; 0: none.
+    pub timeout_id: u64,
+    pub to_peer: Pipe,
+    pub to_host: Pipe,
+    /// Bytes that the peer has received and not processed.
+    pub received: Vec<u8>,
+    /// Bytes that the socket has not taken yet.
+    unsent: Vec<u8>,
+    /// Reading was stopped because the pipe to the peer was full.
+    read_paused: bool,
+}
+
+/// Whether a connection went on when its pipes were pumped.
+enum Pumped {
+    Moved,
+    Idle,
+    Closed,
+}
+
+impl SimulatedPeers {
+    /// Opens a connection to a host, if the link lets it be established.
+    pub(super) fn connect(&mut self, host: u32, role: ConnectionRole) -> Option<u32> {
+        if self.links.connect_outcome(Peer::Clients, Peer::Host(host)) != ConnectOutcome::Accepted {
+            return None;
+        }
+        // On loopback the kernel answers at once; a socket that is closed shows in the event loop.
+        let socket = std::net::TcpStream::connect(self.addresses.host(host)).ok()?;
+        socket.set_nonblocking(true).ok()?;
+        let _ = socket.set_nodelay(true);
+        Some(self.register_connection(host, TcpStream::from_std(socket), role))
+    }
+
+    pub(super) fn register_connection(
+        &mut self,
+        host: u32,
+        mut socket: TcpStream,
+        role: ConnectionRole,
+    ) -> u32 {
+        self.last_serial += 1;
+        let token = Token(2 * self.connections.next_index() as usize + 1);
+        let _ = self.poll.registry().register(&mut socket, token, Interest::READABLE | Interest::WRITABLE);
+        self.connections.insert(Connection {
+            host,
+            socket,
+            role,
+            serial: self.last_serial,
+            timeout_id: 0,
+            to_peer: Pipe::default(),
+            to_host: Pipe::default(),
+            received: Vec::new(),
+            unsent: Vec::new(),
+            read_paused: false,
+        })
+    }
+
+    /// The connection of this identifier, unless it was closed.
+    pub(super) fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        self.connections.get_mut(id.index).filter(|c| c.serial == id.serial)
+    }
+
+    /// Sets the timeout of a connection, which replaces an earlier one.
+    pub(super) fn set_timeout(&mut self, index: u32, after: Micros) {
+        self.last_serial += 1;
+        let timeout_id = self.last_serial;
+        if let Some(connection) = self.connections.get_mut(index) {
+            connection.timeout_id = timeout_id;
+            self.timers.push(Reverse((self.now() + after, Timer::Timeout(index, timeout_id))));
+        }
+    }
+
+    /// Faults of both directions: to the peer, and to the host.
+    fn link_faults(&self, connection: &Connection) -> (LinkFault, LinkFault) {
+        let host = Peer::Host(connection.host);
+        let peer = match connection.role {
+            ConnectionRole::Poll { list, .. } => Peer::List(list),
+            ConnectionRole::Node { node, .. } => Peer::Node(node),
+            ConnectionRole::Client { .. } | ConnectionRole::Readiness { .. } => Peer::Clients,
+        };
+        (self.links.fault_between(host, peer), self.links.fault_between(peer, host))
+    }
+
+    /// A peer sends bytes to a host.
+    pub(super) fn send(&mut self, index: u32, bytes: &[u8]) {
+        let Some(connection) = self.connections.get(index) else { return };
+        let (_, to_host) = self.link_faults(connection);
+        let now = self.now();
+        if let Some(connection) = self.connections.get_mut(index) {
+            connection.to_host.push(now, bytes, &to_host, &mut self.rng);
+        }
+        self.pump(index);
+    }
+
+    /// Lets all connections go on at the next iteration, after a change of faults.
+    pub(super) fn pump_all(&mut self) {
+        let now = self.now();
+        for index in self.connections.indices() {
+            let serial = self.connections.get(index).map_or(0, |c| c.serial);
+            self.timers.push(Reverse((now, Timer::Pump(ConnectionId { index, serial }))));
+        }
+    }
+
+    /// Delivers what is due in both directions of a connection.
+    pub(super) fn pump(&mut self, index: u32) {
+        loop {
+            let now = self.now();
+            match self.pump_once(index, now) {
+                Pumped::Moved => {}
+                Pumped::Closed => return,
+                Pumped::Idle => return self.schedule_pump(index, now),
+            }
+        }
+    }
+
+    fn pump_once(&mut self, index: u32, now: Micros) -> Pumped {
+        let Some(connection) = self.connections.get(index) else { return Pumped::Closed };
+        let serial = connection.serial;
+        let (to_peer, to_host) = self.link_faults(connection);
+        let Some(connection) = self.connections.get_mut(index) else { return Pumped::Closed };
+        let mut moved = true;
+        match connection.to_host.poll(now, &to_host) {
+            PipeOutput::Bytes(bytes) => connection.unsent.extend_from_slice(&bytes),
+            PipeOutput::Reset => return self.close_pumped(index, true),
+            PipeOutput::Closed | PipeOutput::Nothing => moved = false,
+        }
+        if nonblocking::write_buffer(&mut connection.socket, &mut connection.unsent).is_err() {
+            return self.close_pumped(index, false);
+        }
+        match connection.to_peer.poll(now, &to_peer) {
+            PipeOutput::Bytes(bytes) => {
+                connection.received.extend_from_slice(&bytes);
+                self.on_received(index);
+                moved = true;
+            }
+            PipeOutput::Reset => return self.close_pumped(index, true),
+            PipeOutput::Closed => return self.close_pumped(index, false),
+            PipeOutput::Nothing => {}
+        }
+        // What the peer did in response may have closed the connection.
+        if self.connection(ConnectionId { index, serial }).is_none() {
+            return Pumped::Closed;
+        }
+        if moved { Pumped::Moved } else { Pumped::Idle }
+    }
+
+    fn close_pumped(&mut self, index: u32, reset: bool) -> Pumped {
+        self.close(index, reset);
+        Pumped::Closed
+    }
+
+    fn schedule_pump(&mut self, index: u32, now: Micros) {
+        let Some(connection) = self.connections.get_mut(index) else { return };
+        let pipes = [&connection.to_peer, &connection.to_host];
+        if let Some(due) = pipes.into_iter().filter_map(Pipe::next_due).filter(|due| *due > now).min() {
+            let id = ConnectionId { index, serial: connection.serial };
+            self.timers.push(Reverse((due, Timer::Pump(id))));
+        }
+        if std::mem::take(&mut connection.read_paused) && !connection.to_peer.is_full() {
+            self.read_socket(index);
+        }
+    }
+
+    /// Reads what a host has sent.
+    pub(super) fn read_socket(&mut self, index: u32) {
+        loop {
+            let Some(connection) = self.connections.get(index) else { return };
+            let (to_peer, _) = self.link_faults(connection);
+            let now = self.now();
+            let Some(connection) = self.connections.get_mut(index) else { return };
+            if connection.to_peer.is_full() {
+                connection.read_paused = true;
+                return;
+            }
+            match nonblocking::read(&mut connection.socket, &mut self.read_buffer) {
+                ReadOutcome::Read(count) => {
+                    connection.to_peer.push(now, &self.read_buffer[..count], &to_peer, &mut self.rng);
+                }
+                ReadOutcome::WouldBlock => return self.pump(index),
+                ReadOutcome::Closed(_) => {
+                    connection.to_peer.close(now, &to_peer, &mut self.rng);
+                    return self.pump(index);
+                }
+            }
+        }
+    }
+
+    /// A peer has received bytes: handles the message that they complete.
+    fn on_received(&mut self, index: u32) {
+        let Some(connection) = self.connections.get_mut(index) else { return };
+        let received = &mut connection.received;
+        match &mut connection.role {
+            ConnectionRole::Poll { reader, .. } | ConnectionRole::Node { reader, .. } => {
+                let Ok(message) = reader.advance(received, HTTP_LIMITS) else {
+                    return self.close(index, true);
+                };
+                let Some(message) = message else { return };
+                let request = received.drain(..message.end).collect::<Vec<u8>>();
+                reader.reset();
+                match connection.role {
+                    ConnectionRole::Poll { .. } => self.on_poll(index, &request),
+                    _ => self.on_node_request(index, &request),
+                }
+            }
+            ConnectionRole::Client { reader, .. } | ConnectionRole::Readiness { reader } => {
+                let Ok(message) = reader.advance(received, HTTP_LIMITS) else {
+                    return self.close(index, true);
+                };
+                let Some(message) = message else { return };
+                *reader = ResponseReader::default();
+                let response = received.drain(..message.end).collect::<Vec<u8>>();
+                self.on_response(index, &response, message.body);
+            }
+        }
+    }
+
+    /// Resets all connections of a role.
+    pub(super) fn reset_connections(&mut self, matches: impl Fn(&ConnectionRole) -> bool) {
+        let matching = self.connections.iter().filter(|(_, c)| matches(&c.role));
+        let indexes: Vec<u32> = matching.map(|(index, _)| index).collect();
+        indexes.into_iter().for_each(|index| self.close(index, true));
+    }
+
+    /// Closes a connection, whoever ended it.
+    pub(super) fn close(&mut self, index: u32, reset: bool) {
+        let Some(mut connection) = self.connections.remove(index) else { return };
+        let _ = self.poll.registry().deregister(&mut connection.socket);
+        if reset {
+            let _ = SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
+        }
+        let id = ConnectionId { index, serial: connection.serial };
+        match connection.role {
+            ConnectionRole::Poll { list, .. } => self.discovery[list as usize].cancel(id),
+            ConnectionRole::Node { node, pending, .. } => {
+                let simulated = &mut self.nodes[node as usize];
+                simulated.connections = simulated.connections.saturating_sub(1);
+                simulated.connection_closed(id);
+                if let Some(op) = pending {
+                    self.record(Event::NodeConnectionLost { node, op });
+                }
+            }
+            ConnectionRole::Client { request, .. } => {
+                if let Some(idle) = self.idle_connections.get_mut(&connection.host) {
+                    idle.retain(|i| *i != index);
+                }
+                if let Some(operation) = request {
+                    self.request_hosts.remove(&operation.id);
+                    self.record(Event::ConnectionLost { op: operation.id });
+                    self.schedule_retry(&operation, None);
+                }
+            }
+            ConnectionRole::Readiness { .. } => self.schedule_readiness_check(connection.host),
+        }
+    }
+}
--- a/crates/lab/src/fleet/processes.rs
+++ b/crates/lab/src/fleet/processes.rs
@@ -1,81 +1,94 @@
-//! Hosts as processes: each with its own address, configuration and limits; started, stopped, continued and ended
-//! by id. Whatever was started here ends with this, also when a rehearsal fails.
+//! Host processes: each has its own address, configuration and limits. They are started and signalled by process id,
+//! and all of them are killed when the owner is dropped, also when a test panics.
+use super::error::TestbedError;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// How a host is started: a program, and its arguments.
+/// Milliseconds in a clock tick of `/proc/<pid>/stat`.
+const MS_PER_TICK: u64 = 10;
+/// Fields of `/proc/<pid>/stat` between the process name and its user time.
+const STAT_FIELDS_BEFORE_CPU_TIME: usize = 11;
+
+/// The program of a host, and its arguments.
 #[derive(Clone, Debug)]
 pub struct Program {
+    /// Path of the executable.
     pub path: PathBuf,
+    /// Arguments before all others.
     pub args: Vec<String>,
 }
 
 impl Program {
-    /// The `mallowseam` that was built beside this program, or this program playing it.
-    pub fn beside(this: &Path) -> Self {
-        let beside = this.with_file_name("mallowseam");
-        match beside.is_file() {
-            true => Program { path: beside, args: vec!["host".into()] },
-            false => Program { path: this.to_owned(), args: vec!["host".into(), "host".into()] },
+    /// The `mallowseam` that was built next to this program, or this program in its place.
+    pub fn next_to(this: &Path) -> Self {
+        let gateway = this.with_file_name("mallowseam");
+        if gateway.is_file() {
+            Program { path: gateway, args: vec!["host".into()] }
+        } else {
+            Program { path: this.to_owned(), args: vec!["host".into(), "host".into()] }
         }
     }
 
-    /// The same with further arguments.
-    pub fn with(mut self, args: &[&str]) -> Self {
+    /// The same program with further arguments.
+    pub fn with_arguments(mut self, args: &[&str]) -> Self {
         self.args.extend(args.iter().map(|a| (*a).to_owned()));
         self
     }
 }
 
-/// What a process uses.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Use {
+pub struct ResourceUsage {
+    /// Resident memory in kilobytes.
     pub memory_kb: u64,
     /// Processor time so far, in milliseconds.
     pub cpu_ms: u64,
+    /// Open file descriptors.
     pub descriptors: usize,
 }
 
-struct Host {
-    child: Option<Child>,
-    starts: u32,
-}
-
-pub struct Fleet {
+/// The host processes of a run.
+pub struct HostProcesses {
     program: Program,
     dir: PathBuf,
-    hosts: Vec<Host>,
-    /// Descriptors that a host may hold.
-    sockets: u32,
+    /// The process of each host, while it runs.
+    children: Vec<Option<Child>>,
+    /// Limit on each host's open file descriptors.
+    max_descriptors: u32,
 }
 
-impl Fleet {
-    /// `dir` takes configurations and logs.
-    pub fn new(program: Program, dir: &Path, hosts: u32, sockets: u32) -> Self {
-        let hosts = (0..hosts).map(|_| Host { child: None, starts: 0 }).collect();
-        Fleet { program, dir: dir.to_owned(), hosts, sockets }
+impl HostProcesses {
+    /// No host runs at first. Configurations and logs are written to `dir`.
+    pub fn new(program: Program, dir: &Path, hosts: u32, max_descriptors: u32) -> Self {
+        let children = (0..hosts).map(|_| None).collect();
+        HostProcesses { program, dir: dir.to_owned(), children, max_descriptors }
     }
 
+    /// Path of a host's configuration.
     pub fn config(&self, host: u32) -> PathBuf {
         self.dir.join(format!("h{host}.json"))
     }
 
+    /// Path of a host's log.
     pub fn log(&self, host: u32) -> PathBuf {
         self.dir.join(format!("h{host}.log"))
     }
 
-    /// Starts a host by the configuration text; one that still runs is killed first.
-    pub fn start(&mut self, host: u32, config: &str) -> Result<(), String> {
+    /// Starts a host with this configuration; a process of it that still runs is killed first.
+    ///
+    /// # Errors
+    /// Configuration or log can't be written, or the process can't be started.
+    pub fn start(&mut self, host: u32, config: &str) -> Result<(), TestbedError> {
         self.kill(host);
-        let failed = |e: std::io::Error| format!("host {host}: {e}");
+        let failed = |source: std::io::Error| TestbedError::Host { host, source };
         std::fs::write(self.config(host), config).map_err(failed)?;
         let log = File::options().create(true).append(true).open(self.log(host)).map_err(failed)?;
-        // The shell sets the limit and becomes the program: its id is the host's.
+        // The shell sets the limit and becomes the program, so that its process id is the host's.
         let child = Command::new("/bin/sh")
-            .args(["-c", &format!("ulimit -n {}; exec \"$0\" \"$@\"", self.sockets)])
+            .args(["-c", &format!("ulimit -n {}; exec \"$0\" \"$@\"", self.max_descriptors)])
             .arg(&self.program.path)
             .args(&self.program.args)
             .env("GW_CONFIG", self.config(host))
@@ -84,65 +97,74 @@
             .stderr(log)
             .spawn()
             .map_err(failed)?;
-        let place = &mut self.hosts[host as usize];
-        (place.child, place.starts) = (Some(child), place.starts + 1);
+        self.children[host as usize] = Some(child);
         Ok(())
     }
 
-    pub fn starts(&self, host: u32) -> u32 {
-        self.hosts[host as usize].starts
+    /// Writes a new configuration of a host that runs, and sends SIGHUP.
+    ///
+    /// # Errors
+    /// The configuration can't be written.
+    pub fn reload(&self, host: u32, config: &str) -> Result<(), TestbedError> {
+        let failed = |source| TestbedError::Host { host, source };
+        std::fs::write(self.config(host), config).map_err(failed)?;
+        self.signal(host, Signal::SIGHUP);
+        Ok(())
     }
 
+    /// Whether a host's process runs.
     pub fn running(&self, host: u32) -> bool {
-        self.hosts[host as usize].child.is_some()
+        self.children[host as usize].is_some()
     }
 
-    /// Sends a signal to one that runs.
+    /// Sends a signal to a host that runs.
     pub fn signal(&self, host: u32, signal: Signal) {
-        if let Some(child) = &self.hosts[host as usize].child {
+        if let Some(child) = &self.children[host as usize] {
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
+    /// Kills a host that runs, and waits for its end.
     pub fn kill(&mut self, host: u32) {
-        if let Some(mut child) = self.hosts[host as usize].child.take() {
+        if let Some(mut child) = self.children[host as usize].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Hosts that have ended by themselves since the last look, with their codes (-1: by a signal).
-    pub fn ended(&mut self) -> Vec<(u32, i32)> {
-        let mut ended = Vec::new();
-        for (n, host) in self.hosts.iter_mut().enumerate() {
-            if let Some(child) = &mut host.child
+    /// Hosts that have exited since the last call, with their exit codes (-1: by a signal).
+    pub fn reap_exited(&mut self) -> Vec<(u32, i32)> {
+        let mut exited = Vec::new();
+        for (host, slot) in self.children.iter_mut().enumerate() {
+            if let Some(child) = slot
                 && let Ok(Some(status)) = child.try_wait()
             {
-                host.child = None;
-                ended.push((n as u32, status.code().unwrap_or(-1)));
+                *slot = None;
+                exited.push((host as u32, status.code().unwrap_or(-1)));
             }
         }
-        ended
+        exited
     }
 
-    pub fn uses(&self, host: u32) -> Option<Use> {
-        let id = self.hosts[host as usize].child.as_ref()?.id();
+    /// What a host that runs uses now.
+    pub fn usage(&self, host: u32) -> Option<ResourceUsage> {
+        let id = self.children[host as usize].as_ref()?.id();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
         let memory_kb = memory.split_whitespace().next()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        // Behind the name in brackets: state is the first field, user and system time the 12th and 13th.
-        let mut fields = stat.rsplit(')').next()?.split_whitespace().skip(11);
+        // The process name stands in brackets and may contain spaces.
+        let mut fields = stat.rsplit(')').next()?.split_whitespace().skip(STAT_FIELDS_BEFORE_CPU_TIME);
         let mut ticks = || fields.next()?.parse::<u64>().ok();
-        let cpu_ms = (ticks()? + ticks()?) * 10;
+        let cpu_ms = (ticks()? + ticks()?) * MS_PER_TICK;
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count();
-        Some(Use { memory_kb, cpu_ms, descriptors })
+        Some(ResourceUsage { memory_kb, cpu_ms, descriptors })
     }
 }
 
-impl Drop for Fleet {
+impl Drop for HostProcesses {
     fn drop(&mut self) {
-        for host in 0..self.hosts.len() as u32 {
+        for host in 0..self.children.len() as u32 {
             self.kill(host);
         }
     }
--- a/crates/lab/src/fleet/record.rs
+++ b/crates/lab/src/fleet/record.rs
@@ -1,127 +1,188 @@
-//! What passed on the sockets of clients, nodes and list services, and when processes began and ended.
+//! What was observed of a run: messages on the sockets of clients, nodes and list services, and the starts and ends
+//! of processes.
 use crate::trace::Micros;
 
+/// How a host process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Termination {
+    /// By SIGKILL.
     Killed,
-    /// Told to end; a later kill counts for itself.
-    Told,
-    /// By itself, or after it was told; with this code.
-    Ended(i32),
+    /// SIGTERM was sent; the process still runs, and its end is an observation of its own.
+    Requested,
+    /// By itself or after SIGTERM, with this exit code (-1: by a signal).
+    Exited(i32),
 }
 
+/// One event of a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Event {
     /// A client sent the last byte of a request to a host.
-    Asked {
+    RequestSent {
+        /// Identifier of the operation.
         op: u64,
+        /// The host that it was sent to.
         host: u32,
+        /// The volume that it is for.
         volume: u32,
-        piece: u64,
+        /// The extent within the volume; volume and extent are the key that writes are ordered by.
+        extent: u64,
+        /// A write; otherwise a read.
         write: bool,
+        /// Its size in units.
         units: u32,
-        wait: Micros,
+        /// Time until its deadline, in microseconds.
+        timeout: Micros,
     },
-    /// The last byte of its answer. `made`: a 200 with the body that a node made for it.
-    Answered {
+    /// A client received the last byte of the response.
+    ResponseReceived {
+        /// The operation.
         op: u64,
+        /// HTTP status.
         status: u16,
-        made: bool,
+        /// A 200 with the body that a node produced for this operation.
+        authentic: bool,
     },
-    /// The client's time was over.
-    Left {
+    /// The client's timeout passed before a response.
+    ClientTimedOut {
+        /// The operation.
         op: u64,
     },
-    /// Its connection ended with no answer.
-    Broken {
+    /// The client's connection ended without a response.
+    ConnectionLost {
+        /// The operation.
         op: u64,
     },
-    /// The way between this client and its host was at fault meanwhile: nothing is held against the host.
+    /// The link between client and host was impaired meanwhile: a missing response is not held against the host.
     Excused {
+        /// The operation.
         op: u64,
     },
-    /// No host of its volume took clients.
-    NoHost {
+    /// No host of the operation's volume accepted clients.
+    NoHostAvailable {
+        /// The operation.
         op: u64,
     },
-    /// A node had the last byte of a request.
-    Got {
+    /// A node received the last byte of an attempt.
+    NodeReceived {
+        /// The node.
         node: u32,
+        /// The host that sent it.
         host: u32,
+        /// The operation.
         op: u64,
+        /// Its size in units.
         units: u32,
+        /// A write; otherwise a read.
         write: bool,
     },
-    /// It answered: run, or turned away.
-    Said {
+    /// A node responded to an attempt.
+    NodeResponded {
+        /// The node.
         node: u32,
+        /// The operation.
         op: u64,
-        ran: bool,
+        /// It was executed; otherwise rejected.
+        executed: bool,
     },
-    /// The connection ended, or the node's process did, with this request open.
-    Cut {
+    /// The connection, or the node's process, ended with this attempt pending.
+    NodeConnectionLost {
+        /// The node.
         node: u32,
+        /// The operation.
         op: u64,
     },
-    /// A host's connection came up at a node.
-    Opened {
+    /// A host's connection to a node was established.
+    NodeConnectionOpened {
+        /// The node.
         node: u32,
+        /// The host.
         host: u32,
     },
-    /// A node's process began cold; it fell over; it is over.
-    NodeUp {
+    /// A node's process started, cold.
+    NodeStarted {
+        /// The node.
         node: u32,
     },
-    Fell {
+    /// A cold node collapsed under overload.
+    NodeCollapsed {
+        /// The node.
         node: u32,
     },
-    NodeDown {
+    /// A node's process was stopped.
+    NodeStopped {
+        /// The node.
         node: u32,
     },
-    /// The list service wrote a node to a host: `open` when it takes block I/Os, `seq` the version, `born` its
-    /// start (0: long past).
-    Told {
+    /// The list service sent a node's entry to a host.
+    EndpointSent {
+        /// The host.
         host: u32,
+        /// The node.
         node: u32,
-        open: bool,
-        seq: u64,
-        born: Micros,
-    },
-    /// The list service knows this and has no way to write it to a host: it counts as told from then on, unless as
-    /// new a word was written before.
-    Missed {
+        /// The entry says that the node accepts block I/Os.
+        accepting: bool,
+        /// Version of the list.
+        version: u64,
+        /// Start of the node's process; 0: long ago.
+        started_at: Micros,
+    },
+    /// The list service has an entry that it can't send to a host. The host counts as notified from a later time on,
+    /// unless an entry of that version or a newer one was sent before.
+    EndpointUndeliverable {
+        /// The host.
         host: u32,
+        /// The node.
         node: u32,
-        open: bool,
-        seq: u64,
-        from: Micros,
-    },
-    /// A host's call came whole; was served; was turned away. A whole list or changes reached the host.
-    Called {
+        /// The entry says that the node accepts block I/Os.
+        accepting: bool,
+        /// Version of the list.
+        version: u64,
+        /// When the host counts as notified.
+        effective_at: Micros,
+    },
+    /// The list service received a whole poll of a host.
+    PollReceived {
+        /// The host.
         host: u32,
-        waiting: u32,
+        /// Polls that wait at the service, with this one.
+        queued: u32,
     },
-    Served {
+    /// The list service sent a host a full snapshot or an incremental update.
+    PollServed {
+        /// The host.
         host: u32,
-        seq: u64,
+        /// Version of the list.
+        version: u64,
     },
-    TurnedAway {
+    /// The list service rejected a host's poll.
+    PollRejected {
+        /// The host.
         host: u32,
     },
-    HostUp {
+    /// A host's process was started.
+    HostStarted {
+        /// The host.
         host: u32,
     },
+    /// A host reported readiness.
     HostReady {
+        /// The host.
         host: u32,
     },
-    HostDown {
+    /// A host's process ended, or was told to.
+    HostStopped {
+        /// The host.
         host: u32,
-        by: End,
+        /// How.
+        by: Termination,
     },
 }
 
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct Observation {
+    /// Microseconds since the start of the run.
     pub at: Micros,
-    pub what: What,
+    /// What happened.
+    pub event: Event,
 }
--- /dev/null
+++ b/crates/lab/src/fleet/scenario/parse.rs
@@ -0,0 +1,196 @@
+//! Reads the head of a script: the directives that describe hosts, nodes, clients and services.
+use super::faults::{index_range, parse_fault};
+use super::{IndexRange, InitialList, MembershipScenario, Scenario, VOLUMES_PER_HOST};
+use crate::fleet::client_load::LoadProfile;
+use crate::fleet::simulated_node::NodeLimits;
+use crate::node::Model;
+use crate::script;
+use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
+
+/// What a diagnostic says is expected where a duration is.
+pub(super) const DURATION: &str = "a duration such as 3s";
+
+/// Reads a script.
+///
+/// # Errors
+/// All problems of the script at once.
+pub fn parse(file: &str, text: &str) -> Result<Scenario, Diagnostics> {
+    let mut problems = Diagnostics::new(file);
+    let mut scenario = defaults(file);
+    for (i, line) in text.lines().enumerate() {
+        let words = tokenize(i + 1, line, &mut problems);
+        let Some(first) = words.first() else { continue };
+        let (position, name) = (first.position, first.text.clone());
+        let mut args = Arguments::new(&words, &mut problems);
+        if directive(&mut scenario, &name, &mut args) {
+            args.expect_end();
+        } else {
+            let known = "day, hosts, limits, zones, nodes, lines, cold, clients, list, view or at";
+            problems.add(position, known, format!("`{name}`"));
+        }
+    }
+    require_directives(&scenario, &mut problems);
+    scenario.load.volumes = scenario.load.volumes.max(VOLUMES_PER_HOST * scenario.hosts);
+    scenario.faults.sort_by_key(|fault| fault.at);
+    if problems.is_empty() { Ok(scenario) } else { Err(problems.sorted()) }
+}
+
+fn defaults(file: &str) -> Scenario {
+    Scenario {
+        name: file.to_owned(),
+        duration: 0,
+        hosts: 0,
+        initial_list: InitialList::None,
+        zones: 1,
+        nodes: 0,
+        node_model: Model::quick(1, 20_000.0, 32),
+        node_limits: NodeLimits { max_connections: 64, handshake: 1_000, restart_after: 4_000_000 },
+        nodes_start_cold: false,
+        load: LoadProfile {
+            operations_per_second: 0.0,
+            write_fraction: 0.3,
+            volumes: 0,
+            skew: 6.0,
+            max_retries: 0,
+            backs_off: true,
+            read_timeout: 1_000_000,
+            write_timeout: 2_000_000,
+            max_units: 4,
+        },
+        service_time: 50_000,
+        queue_timeout: 1_000_000,
+        discovery_lag: 0,
+        memory_mb: 32,
+        max_descriptors: 256,
+        membership: None,
+        faults: Vec::new(),
+    }
+}
+
+fn require_directives(scenario: &Scenario, problems: &mut Diagnostics) {
+    let top = Position { line: 1, column: 1 };
+    for (name, present) in [
+        ("day", scenario.duration > 0),
+        ("hosts", scenario.hosts > 0),
+        ("nodes", scenario.nodes > 0),
+        ("clients", scenario.load.operations_per_second > 0.0),
+    ] {
+        if !present {
+            problems.add(top, format!("`{name}` in the script"), "none");
+        }
+    }
+}
+
+/// Reads one line. Returns whether there is a directive of this name.
+fn directive(scenario: &mut Scenario, name: &str, args: &mut Arguments) -> bool {
+    match name {
+        "day" => scenario.duration = args.duration(DURATION).unwrap_or(1),
+        "hosts" => hosts(scenario, args),
+        "limits" => {
+            scenario.memory_mb = args.integer("megabytes from 16", 16, 65_536).unwrap_or(32) as u32;
+            scenario.max_descriptors = args.integer("descriptors from 64", 64, 65_536).unwrap_or(256) as u32;
+        }
+        "zones" => scenario.zones = args.integer("1 to 16", 1, 16).unwrap_or(1) as u32,
+        "nodes" => nodes(scenario, args),
+        "lines" => {
+            let limits = &mut scenario.node_limits;
+            limits.max_connections = args.integer("connections at a node", 1, 65_536).unwrap_or(1) as usize;
+            limits.handshake = args.duration("the work of a new connection").unwrap_or(0);
+        }
+        "cold" => {
+            script::cold(&mut scenario.node_model, args);
+            scenario.node_limits.restart_after = args.duration("how long one that fell is down").unwrap_or(0);
+        }
+        "clients" => clients(scenario, args),
+        "list" => discovery(scenario, args),
+        "view" => membership(scenario, args),
+        "at" => {
+            if let Some(faults) = parse_fault(args) {
+                scenario.faults.extend(faults);
+            }
+        }
+        _ => return false,
+    }
+    true
+}
+
+fn hosts(scenario: &mut Scenario, args: &mut Arguments) {
+    scenario.hosts = args.integer("1 to 1000", 1, 1_000).unwrap_or(1) as u32;
+    if args.accept("known") {
+        let list = args.value("none, now, old or ahead", |word| match word {
+            "none" => Some(InitialList::None),
+            "now" => Some(InitialList::Current),
+            "old" => Some(InitialList::Stale),
+            "ahead" => Some(InitialList::Ahead),
+            _ => None,
+        });
+        scenario.initial_list = list.unwrap_or(InitialList::None);
+    }
+}
+
+fn nodes(scenario: &mut Scenario, args: &mut Arguments) {
+    scenario.nodes = args.integer("1 to 500", 1, 500).unwrap_or(1) as u32;
+    while args.has_more() {
+        if args.accept("start-cold") {
+            scenario.nodes_start_cold = true;
+        } else if !script::node_figure(&mut scenario.node_model, args) {
+            args.value::<()>("cores, work, queue or start-cold", |_| None);
+        }
+    }
+}
+
+fn clients(scenario: &mut Scenario, args: &mut Arguments) {
+    let load = &mut scenario.load;
+    while args.has_more() {
+        if args.accept("rate") {
+            load.operations_per_second = args.rate("block I/Os a second such as 50/s").unwrap_or(0.0);
+        } else if args.accept("posts") {
+            load.write_fraction = args.percent("a percentage").unwrap_or(0.0);
+        } else if args.accept("again") {
+            load.max_retries = args.integer("times from 0", 0, 16).unwrap_or(0) as u32;
+        } else if args.accept("at-once") {
+            load.backs_off = false;
+        } else if args.accept("uneven") {
+            load.skew = args.number("a multiple from 1 up", 1.0, 1_000.0).unwrap_or(1.0);
+        } else {
+            args.value::<()>("rate, posts, again, at-once or uneven", |_| None);
+        }
+    }
+}
+
+fn discovery(scenario: &mut Scenario, args: &mut Arguments) {
+    while args.has_more() {
+        if args.accept("takes") {
+            scenario.service_time = args.duration("the time of a call").unwrap_or(1);
+        } else if args.accept("patience") {
+            scenario.queue_timeout = args.duration(DURATION).unwrap_or(1);
+        } else if args.accept("lag") {
+            scenario.discovery_lag = args.duration(DURATION).unwrap_or(0);
+        } else {
+            args.value::<()>("takes, patience or lag", |_| None);
+        }
+    }
+}
+
+fn membership(scenario: &mut Scenario, args: &mut Arguments) {
+    let mut membership = MembershipScenario {
+        period: 1_000_000,
+        seeds: 3,
+        retention: 3_600_000_000,
+        participants: IndexRange::ALL,
+    };
+    while args.has_more() {
+        if args.accept("period") {
+            membership.period = args.duration(DURATION).unwrap_or(membership.period);
+        } else if args.accept("seeds") {
+            membership.seeds = args.integer("hosts that are seeds", 1, 32).unwrap_or(1) as u32;
+        } else if args.accept("keep") {
+            membership.retention = args.duration(DURATION).unwrap_or(membership.retention);
+        } else if args.accept("hosts") {
+            membership.participants = index_range(args).unwrap_or(membership.participants);
+        } else {
+            args.value::<()>("period, seeds, keep or hosts", |_| None);
+        }
+    }
+    scenario.membership = Some(membership);
+}
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,10 +1,12 @@
 use clap::{Parser, Subcommand};
-use mallowseam_lab::fleet::views::{self, settles_within};
-use mallowseam_lab::fleet::world::TOLD_AFTER;
-use mallowseam_lab::fleet::{play as fleet, processes, scene, storm};
+use mallowseam_lab::cold_start_model::{self, ColdStartCase};
+use mallowseam_lab::fleet::membership_audit::{self, convergence_periods};
+use mallowseam_lab::fleet::peers::NOTIFICATION_DEADLINE;
+use mallowseam_lab::fleet::{fault_schedule, processes, scenario, testbed};
 use mallowseam_lab::membership::{exhaustive, measurements};
+use mallowseam_lab::plots::HorizontalScale;
 use mallowseam_lab::rehearse::{self, Outcome, Program};
-use mallowseam_lab::{bench, brute, model, plots, script, sharesday, snapbench};
+use mallowseam_lab::{bench, brute, plots, script, sharesday, snapbench};
 use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
 use mallowseam_placement::problem::Problem;
 use std::ffi::OsString;
@@ -149,31 +151,46 @@
     let mut good = true;
     for &n in hosts {
         let (takes, down) = (takes * 1_000, down * 1_000_000);
-        let case = model::Case { hosts: n, takes, told: None, down, running: false };
-        let paced = model::run(model::Case { told: Some(takes), ..case }, seed, MODEL_MOST);
-        let untold = model::run(case, seed, MODEL_MOST);
-        let before = model::run(model::Case { told: Some(0), ..case }, seed, MODEL_MOST);
+        let case = ColdStartCase {
+            hosts: n,
+            service_time: takes,
+            advertised_service_time: None,
+            down_until: down,
+            already_running: false,
+        };
+        let paced = cold_start_model::run(
+            ColdStartCase { advertised_service_time: Some(takes), ..case },
+            seed,
+            MODEL_MOST,
+        );
+        let untold = cold_start_model::run(case, seed, MODEL_MOST);
+        let before = cold_start_model::run(
+            ColdStartCase { advertised_service_time: Some(0), ..case },
+            seed,
+            MODEL_MOST,
+        );
         let bound = 1.5 * f64::from(n) * takes as f64 / 1e6;
-        for (name, came) in [("told", &paced), ("untold", &untold), ("before", &before)] {
-            let at = |part| came.fresh_at(part).map_or(f64::NAN, |t| t as f64 / 1e6);
+        for (name, outcome) in [("told", &paced), ("untold", &untold), ("before", &before)] {
+            let at = |part| outcome.list_delay_within(part).map_or(f64::NAN, |t| t as f64 / 1e6);
             println!(
                 "{n:>7}{:>10}{:>8.2}{:>14}{:>9}{:>11.2}{:>11.2}{bound:>9.2}{:>11}  {name}",
-                came.calls,
-                came.calls as f64 / f64::from(n),
-                came.most_waiting,
-                came.turned_away,
+                outcome.polls,
+                outcome.polls as f64 / f64::from(n),
+                outcome.max_queued,
+                outcome.rejected,
                 at(0.95),
                 at(1.0),
-                came.fresh_by(TOLD_AFTER)
+                outcome.hosts_with_list_by(NOTIFICATION_DEADLINE)
             );
         }
-        good &= paced.fresh.len() == n as usize && paced.most_waiting as u64 * takes <= 1_000_000;
+        good &= paced.list_delays.len() == n as usize && paced.max_queued as u64 * takes <= 1_000_000;
         if let Some(out) = out {
-            model::write(
+            cold_start_model::write(
                 out,
                 &format!("cold-start-{n}"),
                 &[("paced", &paced), ("untold", &untold), ("before", &before)],
-            )?;
+            )
+            .map_err(|e| e.to_string())?;
         }
     }
     Ok(good)
@@ -206,14 +223,14 @@
                 f.start_s,
                 f.kill_s,
                 f.heal_s,
-                settles_within(n as u32),
+                convergence_periods(n as u32),
                 f.bytes_s,
                 f.datagrams_s,
                 f.false_positives_h,
                 f.false_positive_fraction,
                 protocol.name()
             );
-            let settled = [f.start_s, f.kill_s, f.heal_s].iter().all(|s| *s <= settles_within(n as u32));
+            let settled = [f.start_s, f.kill_s, f.heal_s].iter().all(|s| *s <= convergence_periods(n as u32));
             good &= protocol != Protocol::Lifeguard || settled && f.bytes_s <= 2_000.0;
             all.push((protocol, f));
         }
@@ -229,7 +246,7 @@
     let line = |name, protocol, of: fn(&Measurements) -> f64| -> plots::Line<'static> {
         (name, all.iter().filter(|a| a.0 == protocol).map(|a| (a.1.hosts as f64, of(&a.1))).collect())
     };
-    let bound = hosts.iter().map(|n| (*n as f64, settles_within(*n as u32))).collect();
+    let bound = hosts.iter().map(|n| (*n as f64, convergence_periods(*n as u32))).collect();
     let mut settle = vec![("T(N)", bound)];
     let mut bytes = Vec::new();
     let mut wrong = Vec::new();
@@ -245,7 +262,8 @@
         ("bytes a second and host, at rest", bytes),
         ("part of the time that a running host is held unreachable, under loss and stops", wrong),
     ];
-    plots::write(&dir.join("fleet-view.svg"), "hosts", true, &sheet)?;
+    plots::write(&dir.join("fleet-view.svg"), "hosts", HorizontalScale::Logarithmic, &sheet)
+        .map_err(|e| e.to_string())?;
     Ok(good)
 }
 
@@ -413,63 +431,73 @@
     (seed, seeds): (u64, u64),
     quiet: bool,
 ) -> Result<bool, String> {
-    let scene_of = |seed| {
+    let scenario_of = |seed| {
         if name == STORM {
-            let text = storm::script(hosts.unwrap_or(STORM_HOSTS), seed);
-            return scene::read(name, &text).map_err(|p| p.to_string());
+            let text = fault_schedule::random_script(hosts.unwrap_or(STORM_HOSTS), seed);
+            return scenario::parse(name, &text).map_err(|p| p.to_string());
         }
-        let scene = scene::read(name, text).map_err(|p| p.to_string())?;
-        Ok(hosts.map_or(scene.clone(), |h| scene.scaled(h)))
+        let scenario = scenario::parse(name, text).map_err(|p| p.to_string())?;
+        Ok(hosts.map_or(scenario.clone(), |h| scenario.scaled(h)))
     };
     let this = std::env::current_exe().map_err(|e| e.to_string())?;
-    let program = processes::Program::beside(&this);
-    let program = if as_before { program.with(&["--list-turn", "0"]) } else { program };
-    let mut kept = true;
+    let program = processes::Program::next_to(&this);
+    let program = if as_before { program.with_arguments(&["--list-turn", "0"]) } else { program };
+    let mut clean = true;
     for seed in seed..seed + seeds {
-        let scene: scene::Scene = scene_of(seed)?;
+        let scenario: scenario::Scenario = scenario_of(seed)?;
         println!(
             "{name}, seed {seed}: {} hosts, {} nodes, {} s",
-            scene.hosts,
-            scene.nodes,
-            scene.length / 1_000_000
+            scenario.hosts,
+            scenario.nodes,
+            scenario.duration / 1_000_000
         );
         let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
-        let outcome = fleet::run(&scene, seed, &program, dir.path(), &mut |at, what| {
+        let on_fault = &mut |at, action: &str| {
             if !quiet {
-                println!("{:>7.2} s  {what}", at as f64 / 1e6);
+                println!("{:>7.2} s  {action}", at as f64 / 1e6);
             }
-        })?;
+        };
+        let outcome =
+            testbed::run(&scenario, seed, &program, dir.path(), on_fault).map_err(|e| e.to_string())?;
         if !quiet {
             print!("{}", outcome.table());
         }
-        outcome.with_and_without(&scene).iter().for_each(|text| println!("{text}"));
-        let mut evidence = outcome.evidence(&scene);
+        outcome.compare_membership_groups(&scenario).iter().for_each(|text| println!("{text}"));
+        let mut evidence = outcome.evidence(&scenario);
         if name == STORM {
             // Calls are many here as hosts come and go, and are not what is tried.
-            evidence = outcome.broken();
-            let told = views::judge(&scene, &outcome.seen, &outcome.held);
+            evidence = outcome.violations();
+            let membership =
+                membership_audit::check(&scenario, &outcome.observations, &outcome.membership_samples);
             let v = &outcome.verdict;
-            evidence.extend(told.evidence());
-            println!("{} looks; {:.0} bytes a second and host", outcome.held.len(), outcome.view_bytes);
+            evidence.extend(membership.evidence());
+            println!(
+                "{} looks; {:.0} bytes a second and host",
+                outcome.membership_samples.len(),
+                outcome.membership_bytes_per_second
+            );
             println!(
-                "{told}; rules kept: {} of 7; unanswered {}, doubled {}",
-                v.rules_kept(),
+                "{membership}; rules kept: {} of 7; unanswered {}, doubled {}",
+                v.rules_upheld(),
                 v.unanswered,
-                v.doubled
+                v.duplicated
             );
         } else {
-            if scene.view.is_some_and(|v| v.hosts == scene::Some2(0, u32::MAX)) {
-                println!("{}", views::judge(&scene, &outcome.seen, &outcome.held));
+            if scenario.membership.is_some_and(|m| m.participants == scenario::IndexRange::ALL) {
+                println!(
+                    "{}",
+                    membership_audit::check(&scenario, &outcome.observations, &outcome.membership_samples)
+                );
             }
-            println!("{}", outcome.last_line(&scene));
+            println!("{}", outcome.summary(&scenario));
         }
         if !evidence.is_empty() {
             evidence.iter().for_each(|e| println!("{e}"));
             println!("logs and configurations: {}", dir.keep().display());
-            kept = false;
+            clean = false;
         }
     }
-    Ok(kept)
+    Ok(clean)
 }
 
 fn report(outcome: &Outcome, quiet: bool) -> bool {
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -1,48 +1,108 @@
 //! Sheets of plots, as SVG.
+#![warn(missing_docs)]
+
 use plotters::prelude::*;
-use std::path::Path;
+use std::error::Error;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 /// A line of a plot: its name and its points.
 pub type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
-/// One below the other, each with a title and its lines. `scale`: whether the horizontal one goes by powers of ten.
-pub fn write(path: &Path, across: &str, scale: bool, plots: &[(&str, Vec<Line>)]) -> Result<(), String> {
-    let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
+/// The scale of the horizontal axis.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HorizontalScale {
+    /// Linear.
+    Linear,
+    /// By powers of ten.
+    Logarithmic,
+}
+
+/// A file could not be written.
+#[derive(Debug, Error)]
+#[error("{path}: {source}", path = path.display())]
+pub struct WriteError {
+    /// The file, or the directory it belongs to.
+    pub path: PathBuf,
+    /// Why it could not be written.
+    pub source: Box<dyn Error + Send + Sync>,
+}
+
+impl WriteError {
+    /// Wraps an error that occurred for a path.
+    pub fn for_path<E: Into<Box<dyn Error + Send + Sync>>>(path: &Path) -> impl Fn(E) -> WriteError + Copy {
+        move |source| WriteError { path: path.to_owned(), source: source.into() }
+    }
+}
+
+type DrawError = Box<dyn Error + Send + Sync>;
+
+/// Writes plots one below the other, each with a title and its lines. `horizontal_label`: what the horizontal axis
+/// shows.
+///
+/// # Errors
+/// The file or its directory can't be written.
+pub fn write(
+    path: &Path,
+    horizontal_label: &str,
+    scale: HorizontalScale,
+    plots: &[(&str, Vec<Line>)],
+) -> Result<(), WriteError> {
     if let Some(dir) = path.parent() {
-        std::fs::create_dir_all(dir).map_err(|e| failed(&e))?;
+        std::fs::create_dir_all(dir).map_err(WriteError::for_path(path))?;
     }
+    draw_sheet(path, horizontal_label, scale, plots).map_err(WriteError::for_path(path))
+}
+
+fn draw_sheet(
+    path: &Path,
+    horizontal_label: &str,
+    scale: HorizontalScale,
+    plots: &[(&str, Vec<Line>)],
+) -> Result<(), DrawError> {
     let sheet = SVGBackend::new(path, (900, 350 * plots.len() as u32)).into_drawing_area();
-    sheet.fill(&WHITE).map_err(|e| failed(&e))?;
+    sheet.fill(&WHITE).map_err(as_text)?;
     for ((title, lines), area) in plots.iter().zip(sheet.split_evenly((plots.len(), 1))) {
-        draw(&area, title, across, scale, lines).map_err(|e| failed(&e))?;
+        draw(&area, title, horizontal_label, scale, lines)?;
     }
-    sheet.present().map_err(|e| failed(&e))
+    sheet.present().map_err(as_text)
+}
+
+/// Errors of the plotting library borrow from its backend.
+fn as_text(error: impl std::fmt::Display) -> DrawError {
+    error.to_string().into()
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn draw(area: &Area, title: &str, across: &str, scale: bool, lines: &[Line]) -> Result<(), String> {
-    let text = |e: &dyn std::fmt::Display| e.to_string();
-    // Points go by powers of ten where the scale does.
-    let x = |x: f64| if scale { x.max(1.0).log10() } else { x };
-    let points = || lines.iter().flat_map(|l| l.1.iter());
-    let most = points().map(|p| p.1).fold(1e-9, f64::max);
-    let (from, to) = points().map(|p| x(p.0)).fold((f64::MAX, f64::MIN), |(a, b), p| (a.min(p), b.max(p)));
+fn draw(
+    area: &Area,
+    title: &str,
+    horizontal_label: &str,
+    scale: HorizontalScale,
+    lines: &[Line],
+) -> Result<(), DrawError> {
+    let logarithmic = scale == HorizontalScale::Logarithmic;
+    let x = |x: f64| if logarithmic { x.max(1.0).log10() } else { x };
+    let points = || lines.iter().flat_map(|line| line.1.iter());
+    let top = points().map(|p| p.1).fold(1e-9, f64::max);
+    let (from, to) =
+        points().map(|p| x(p.0)).fold((f64::MAX, f64::MIN), |(min, max), p| (min.min(p), max.max(p)));
     let (from, to) = if from < to { (from, to) } else { (0.0, 1.0) };
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(from..to, 0.0..most * 1.05)
-        .map_err(|e| text(&e))?;
-    let label = |v: &f64| if scale { format!("{:.0}", 10f64.powf(*v)) } else { format!("{v:.0}") };
-    chart.configure_mesh().x_desc(across).x_label_formatter(&label).draw().map_err(|e| text(&e))?;
+        .build_cartesian_2d(from..to, 0.0..top * 1.05)
+        .map_err(as_text)?;
+    let label = |v: &f64| if logarithmic { format!("{:.0}", 10f64.powf(*v)) } else { format!("{v:.0}") };
+    chart.configure_mesh().x_desc(horizontal_label).x_label_formatter(&label).draw().map_err(as_text)?;
     for (i, (name, values)) in lines.iter().enumerate() {
-        let colour = Palette99::pick(i).to_rgba();
+        let color = Palette99::pick(i).to_rgba();
         let points = values.iter().map(|(a, b)| (x(*a), *b));
-        let drawn = chart.draw_series(LineSeries::new(points, colour)).map_err(|e| text(&e))?;
-        drawn.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], colour));
+        let drawn = chart.draw_series(LineSeries::new(points, color)).map_err(as_text)?;
+        drawn.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], color));
     }
-    chart.configure_series_labels().border_style(BLACK).draw().map_err(|e| text(&e))
+    chart.configure_series_labels().border_style(BLACK).draw().map_err(as_text)
 }
--- /dev/null
+++ b/crates/lab/tests/fleet/audit.rs
@@ -0,0 +1,216 @@
+//! Fabricated observations: a violation of each rule is found, and a clean run has none.
+use crate::support::changed;
+use mallowseam_lab::fleet::audit::{Rule, check};
+use mallowseam_lab::fleet::record::{Event, Observation, Termination};
+
+const MS: u64 = 1_000;
+const RULES: [Rule; 7] = [
+    Rule::Responses,
+    Rule::Effects,
+    Rule::Drains,
+    Rule::ColdNodes,
+    Rule::WriteOrder,
+    Rule::RetryBudget,
+    Rule::VolumeLimits,
+];
+
+fn request_sent(op: u64, at: u64, write: bool) -> Observation {
+    let event =
+        Event::RequestSent { op, host: 0, volume: 1, extent: 7, write, units: 1, timeout: 1_000 * MS };
+    Observation { at: at * MS, event }
+}
+
+fn observed(at: u64, event: Event) -> Observation {
+    Observation { at: at * MS, event }
+}
+
+fn node_received(op: u64, node: u32, at: u64, units: u32) -> Observation {
+    observed(at, Event::NodeReceived { node, host: 0, op, units, write: true })
+}
+
+fn node_responded(op: u64, node: u32, at: u64) -> Observation {
+    observed(at, Event::NodeResponded { node, op, executed: true })
+}
+
+fn response_received(op: u64, at: u64) -> Observation {
+    observed(at, Event::ResponseReceived { op, status: 200, authentic: true })
+}
+
+/// The rules that these observations violate.
+fn violated(mut record: Vec<Observation>) -> Vec<Rule> {
+    record.insert(0, observed(0, Event::HostStarted { host: 0 }));
+    record.sort_by_key(|o| o.at);
+    let verdict = check(&changed(&[]), &record, 0);
+    RULES.into_iter().filter(|rule| !verdict.violations[*rule as usize].is_empty()).collect()
+}
+
+#[test]
+fn a_clean_run_violates_no_rule() {
+    let good = vec![
+        request_sent(1, 10, true),
+        node_received(1, 0, 12, 1),
+        node_responded(1, 0, 20),
+        response_received(1, 21),
+    ];
+    assert_eq!(violated(good), []);
+    let killed = vec![
+        request_sent(1, 10, true),
+        observed(30, Event::HostStopped { host: 0, by: Termination::Killed }),
+        observed(31, Event::ConnectionLost { op: 1 }),
+    ];
+    assert_eq!(violated(killed), [], "a killed host need not respond");
+}
+
+#[test]
+fn a_violation_of_each_rule_is_found() {
+    assert_eq!(
+        violated(vec![request_sent(1, 10, false), observed(1_011, Event::ClientTimedOut { op: 1 })]),
+        [Rule::Responses],
+        "no response"
+    );
+    let twice = vec![
+        request_sent(1, 10, true),
+        node_received(1, 0, 12, 1),
+        node_responded(1, 0, 20),
+        response_received(1, 21),
+        response_received(1, 22),
+    ];
+    assert_eq!(violated(twice), [Rule::Responses], "two responses");
+    let made_up = vec![
+        request_sent(1, 10, true),
+        observed(11, Event::ResponseReceived { op: 1, status: 200, authentic: true }),
+    ];
+    assert_eq!(violated(made_up), [Rule::Responses], "a success that no node produced");
+    let ended = vec![
+        request_sent(1, 10, true),
+        observed(30, Event::HostStopped { host: 0, by: Termination::Exited(0) }),
+        observed(31, Event::ConnectionLost { op: 1 }),
+    ];
+    assert_eq!(violated(ended), [Rule::Responses], "exited with a request in flight");
+    let repeated = vec![
+        request_sent(1, 10, true),
+        node_received(1, 0, 12, 1),
+        observed(20, Event::NodeConnectionLost { node: 0, op: 1 }),
+        node_received(1, 1, 90, 1),
+        node_responded(1, 1, 99),
+        response_received(1, 100),
+    ];
+    assert_eq!(violated(repeated), [Rule::Effects], "a write that may have been executed is sent again");
+    let notified = |at, accepting| {
+        observed(at, Event::EndpointSent { host: 0, node: 0, accepting, version: 5, started_at: 0 })
+    };
+    let drained = |at| {
+        vec![
+            notified(5, false),
+            request_sent(1, at - 1, true),
+            node_received(1, 0, at, 1),
+            node_responded(1, 0, at + 1),
+            response_received(1, at + 2),
+        ]
+    };
+    assert_eq!(
+        (violated(drained(400)), violated(drained(900))),
+        (vec![], vec![Rule::Drains]),
+        "past the grace time"
+    );
+    let undeliverable = |from| {
+        observed(
+            300,
+            Event::EndpointUndeliverable {
+                host: 0,
+                node: 0,
+                accepting: false,
+                version: 7,
+                effective_at: from * MS,
+            },
+        )
+    };
+    let not_received = |from, at| {
+        vec![
+            undeliverable(from),
+            request_sent(1, at - 1, true),
+            node_received(1, 0, at, 1),
+            node_responded(1, 0, at + 1),
+            response_received(1, at + 2),
+        ]
+    };
+    assert_eq!(
+        (violated(not_received(900, 1_000)), violated(not_received(900, 1_500))),
+        (vec![], vec![Rule::Drains]),
+        "counts as notified"
+    );
+    let mut received = not_received(900, 1_500);
+    received.push(observed(
+        600,
+        Event::EndpointSent { host: 0, node: 0, accepting: true, version: 8, started_at: 0 },
+    ));
+    assert_eq!(violated(received), [], "a newer entry was sent in time");
+    let mut reopened = drained(900);
+    reopened.push(notified(800, true));
+    assert_eq!(violated(reopened), []);
+    let started_at = 2 * MS;
+    let mut collapsed = vec![
+        observed(2, Event::NodeStarted { node: 0 }),
+        observed(3, Event::EndpointSent { host: 0, node: 0, accepting: true, version: 6, started_at }),
+    ];
+    for op in 0..20 {
+        collapsed.extend([
+            request_sent(op, 100 + op, true),
+            node_received(op, 0, 101 + op, 4),
+            observed(140, Event::NodeConnectionLost { node: 0, op }),
+        ]);
+        collapsed.extend([observed(150, Event::ResponseReceived { op, status: 500, authentic: false })]);
+    }
+    collapsed.push(observed(140, Event::NodeCollapsed { node: 0 }));
+    let rules = violated(collapsed.clone());
+    assert!(rules.contains(&Rule::ColdNodes), "{rules:?}");
+    collapsed.retain(|o| !matches!(o.event, Event::EndpointSent { .. }));
+    assert!(
+        !violated(collapsed).contains(&Rule::ColdNodes),
+        "hosts that did not know of the start are not to blame"
+    );
+    let crossed = vec![
+        request_sent(1, 10, true),
+        request_sent(2, 100, true),
+        node_received(1, 0, 101, 1),
+        node_received(2, 0, 102, 1),
+        node_responded(1, 0, 400),
+        response_received(1, 401),
+        node_responded(2, 0, 402),
+        response_received(2, 403),
+    ];
+    assert_eq!(violated(crossed), [Rule::WriteOrder], "both in flight at once");
+    let mut busy = Vec::new();
+    for op in 0..8 {
+        busy.extend([
+            request_sent(op, 10 + op, false),
+            node_received(op, 0, 20 + op, 1),
+            observed(30 + op, Event::NodeResponded { node: 0, op, executed: false }),
+        ]);
+        busy.extend([
+            node_received(op, 1, 400 + op, 1),
+            node_responded(op, 1, 500 + op),
+            response_received(op, 501 + op),
+        ]);
+    }
+    assert_eq!(violated(busy), [Rule::RetryBudget], "eight retries of eight admitted operations");
+    let mut limited = Vec::new();
+    for op in 0..12 {
+        let event = Event::RequestSent {
+            op,
+            host: 0,
+            volume: 3,
+            extent: op,
+            write: true,
+            units: 4,
+            timeout: 1_000 * MS,
+        };
+        limited.extend([
+            observed(10, event),
+            node_received(op, 0, 20, 4),
+            node_responded(op, 0, 30),
+            response_received(op, 31),
+        ]);
+    }
+    assert_eq!(violated(limited), [Rule::VolumeLimits], "48 units at once, and a burst of 24");
+}
--- a/crates/lab/tests/fleet/main.rs
+++ b/crates/lab/tests/fleet/main.rs
@@ -1,8 +1,8 @@
-//! Several processes of the program, and faults between them.
+//! Several host processes, with faults on the links between them and their peers.
+mod audit;
 mod cold_start;
-mod ready;
-mod rules;
-mod stage;
-mod storms;
-mod view;
-mod views;
+mod discovery_outages;
+mod membership;
+mod membership_audit;
+mod readiness;
+mod support;
--- /dev/null
+++ b/crates/lab/tests/fleet/membership.rs
@@ -0,0 +1,321 @@
+//! The view that hosts keep of their fleet, with processes and faults between them; told by each one's own view.
+use crate::support::{changed, finish, open, wait_for};
+use mallowseam_fleet::MemberState;
+use mallowseam_lab::fleet::links::{LinkFault, Peer, PeerSet};
+use mallowseam_lab::fleet::peers::MembershipSample;
+use mallowseam_lab::fleet::scenario::Scenario;
+use mallowseam_lab::fleet::testbed::Testbed;
+use std::net::SocketAddr;
+
+/// Periods of 100 ms, so that a suspicion stands for half a second to one and a half.
+fn with_membership(hosts: u32) -> Scenario {
+    let hosts = format!("hosts {hosts} known now");
+    changed(&[("hosts 5 known now", hosts.as_str()), ("zones 2", "zones 2\nview period 100ms seeds 2")])
+}
+
+/// How a host saw another one in its last look.
+fn observed_state(testbed: &Testbed, host: u32, other: u32) -> Option<MemberState> {
+    let name = format!("n{}", testbed.peers.name_numbers[other as usize]);
+    testbed
+        .peers
+        .last_view(host)?
+        .table
+        .members
+        .iter()
+        .find(|m| m.record.name == name.as_str())
+        .map(|m| m.state)
+}
+
+/// Looks at all of these until each sees each other one so.
+fn wait_until_all_see(
+    testbed: &mut Testbed,
+    event: &str,
+    observers: &[u32],
+    others: &[u32],
+    state: MemberState,
+) {
+    // What was asked for before tells of another time, maybe of an earlier life.
+    let from = testbed.peers.now();
+    wait_for(testbed, event, |testbed| {
+        observers.iter().for_each(|h| testbed.peers.query_membership(*h));
+        let fresh = |h: &u32| testbed.peers.last_view(*h).is_some_and(|v| v.requested_at >= from);
+        observers
+            .iter()
+            .all(|h| fresh(h) && others.iter().all(|o| observed_state(testbed, *h, *o) == Some(state)))
+    });
+}
+
+fn started(scenario: &Scenario, seed: u64, hosts: &[u32]) -> (Testbed, tempfile::TempDir) {
+    let (mut testbed, dir) = open(scenario, seed);
+    for host in hosts {
+        testbed.start(*host).expect("a process");
+    }
+    wait_until_all_see(&mut testbed, "all see all", hosts, hosts, MemberState::Alive);
+    (testbed, dir)
+}
+
+#[test]
+fn a_killed_member_becomes_unreachable_and_alive_again_after_its_restart() {
+    let (mut testbed, _dir) = started(&with_membership(5), 1, &[0, 1, 2, 3, 4]);
+    testbed.peers.set_clients_active(true);
+    testbed.kill(3);
+    wait_until_all_see(&mut testbed, "a kill", &[0, 1, 2, 4], &[3], MemberState::Unreachable);
+    testbed.start(3).expect("a process");
+    wait_until_all_see(&mut testbed, "a start", &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4], MemberState::Alive);
+    finish(testbed);
+}
+
+const FIVE: [u32; 5] = [0, 1, 2, 3, 4];
+
+fn cut(testbed: &mut Testbed, from: u32, to: u32, blackholed: bool) {
+    let fault = LinkFault { blackholed, ..LinkFault::default() };
+    testbed.peers.set_link(PeerSet::Single(Peer::Host(from)), PeerSet::Single(Peer::Host(to)), fault);
+}
+
+/// Cuts every pair of which `apart` says so, both ways; none: heals all.
+fn split(testbed: &mut Testbed, hosts: u32, apart: impl Fn(u32, u32) -> bool) {
+    for a in 0..hosts {
+        (0..hosts).filter(|b| *b != a).for_each(|b| cut(testbed, a, b, apart(a, b)));
+    }
+}
+
+#[test]
+fn a_terminated_member_is_seen_as_leaving_and_then_as_left() {
+    let (mut testbed, _dir) = started(&with_membership(5), 2, &FIVE);
+    testbed.terminate(3);
+    let from = testbed.peers.now();
+    wait_for(&mut testbed, "leaving", |testbed| {
+        [0, 1, 2, 4].iter().for_each(|h| testbed.peers.query_membership(*h));
+        [0, 1, 2, 4]
+            .iter()
+            .all(|h| matches!(observed_state(testbed, *h, 3), Some(MemberState::Leaving | MemberState::Left)))
+    });
+    let took = testbed.peers.now() - from;
+    assert!(took < 650_000, "{took}");
+    wait_until_all_see(&mut testbed, "left", &[0, 1, 2, 4], &[3], MemberState::Left);
+    finish(testbed);
+}
+
+#[test]
+fn a_member_that_returns_at_another_address_replaces_its_old_record() {
+    let (mut testbed, _dir) = open(&with_membership(6), 3);
+    testbed.peers.name_numbers[5] = 3;
+    FIVE.iter().for_each(|h| testbed.start(*h).expect("a process"));
+    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    testbed.kill(3);
+    testbed.start(5).expect("a process");
+    let at = testbed.peers.addresses.membership_advertise(5);
+    wait_for(&mut testbed, "at its new address", |testbed| {
+        [0, 1, 2, 4].iter().for_each(|h| testbed.peers.query_membership(*h));
+        let there = |h: &u32| {
+            testbed.peers.last_view(*h).is_some_and(|v| {
+                v.table.members.iter().any(|m| m.record.address == at && m.state == MemberState::Alive)
+            })
+        };
+        [0, 1, 2, 4].iter().all(there)
+    });
+    let members = testbed.peers.last_view(0).map(|v| v.table.members.len());
+    assert_eq!(members, Some(5), "one member by that name");
+    finish(testbed);
+}
+
+#[test]
+fn on_a_name_conflict_the_earlier_process_is_superseded_and_serves_on() {
+    let (mut testbed, dir) = open(&with_membership(6), 4);
+    testbed.peers.name_numbers[5] = 3;
+    FIVE.iter().for_each(|h| testbed.start(*h).expect("a process"));
+    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    testbed.peers.set_clients_active(true);
+    testbed.start(5).expect("a process");
+    wait_for(&mut testbed, "the earlier one gives way", |testbed| {
+        testbed.peers.query_membership(3);
+        testbed.peers.last_view(3).is_some_and(|v| v.table.superseded)
+    });
+    let mark = testbed.peers.observations.len();
+    wait_for(&mut testbed, "and serves on", |testbed| {
+        testbed.peers.executed_since(mark).any(|(_, host)| host == 3)
+    });
+    testbed.peers.query_membership(5);
+    wait_for(&mut testbed, "the later one stays", |testbed| {
+        testbed.peers.last_view(5).is_some_and(|v| !v.table.superseded)
+    });
+    let log = std::fs::read_to_string(dir.path().join("h3.log")).expect("a log");
+    assert!(log.contains("name conflict: a process that started later has this host's name"), "{log}");
+    finish(testbed);
+}
+
+#[test]
+fn a_paused_member_suspects_nobody_after_it_resumes() {
+    let (mut testbed, _dir) = started(&with_membership(5), 5, &FIVE);
+    testbed.processes.signal(2, nix::sys::signal::Signal::SIGSTOP);
+    testbed.peers.set_paused(2, true);
+    wait_until_all_see(
+        &mut testbed,
+        "a stop longer than any suspicion",
+        &[0, 1, 3, 4],
+        &[2],
+        MemberState::Unreachable,
+    );
+    testbed.processes.signal(2, nix::sys::signal::Signal::SIGCONT);
+    testbed.peers.set_paused(2, false);
+    let mark = testbed.peers.membership.samples.len();
+    wait_until_all_see(&mut testbed, "all see all again", &FIVE, &FIVE, MemberState::Alive);
+    let wrong = testbed.peers.membership.samples[mark..].iter().filter(|v| v.host == 2);
+    let wrong: usize =
+        wrong.map(|v| v.members.iter().filter(|m| m.state == MemberState::Unreachable).count()).sum();
+    assert_eq!(wrong, 0, "the one that was stopped doubted itself");
+    finish(testbed);
+}
+
+#[test]
+fn members_stay_connected_without_seeds_and_new_ones_join_by_a_restarted_seed() {
+    let (mut testbed, _dir) = open(&with_membership(6), 6);
+    FIVE.iter().for_each(|h| testbed.start(*h).expect("a process"));
+    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    testbed.kill(0);
+    testbed.kill(1);
+    wait_until_all_see(&mut testbed, "both are out of reach", &[2, 3, 4], &[0, 1], MemberState::Unreachable);
+    wait_until_all_see(&mut testbed, "the rest is there", &[2, 3, 4], &[2, 3, 4], MemberState::Alive);
+    testbed.start(5).expect("a process");
+    wait_for(&mut testbed, "it knows itself alone", |testbed| {
+        testbed.peers.query_membership(5);
+        testbed.peers.last_view(5).is_some_and(|v| v.table.members.len() == 1)
+    });
+    testbed.start(1).expect("a process");
+    wait_until_all_see(&mut testbed, "all five", &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5], MemberState::Alive);
+    finish(testbed);
+}
+
+#[test]
+fn partitions_into_two_and_three_sides_heal() {
+    let (mut testbed, _dir) = started(&with_membership(6), 7, &[0, 1, 2, 3, 4, 5]);
+    for sides in [2, 3] {
+        split(&mut testbed, 6, |a, b| a % sides != b % sides);
+        for side in 0..sides {
+            let of: Vec<u32> = (0..6).filter(|h| h % sides == side).collect();
+            let others: Vec<u32> = (0..6).filter(|h| h % sides != side).collect();
+            wait_until_all_see(
+                &mut testbed,
+                "the other sides are out of reach",
+                &of,
+                &others,
+                MemberState::Unreachable,
+            );
+            wait_until_all_see(&mut testbed, "its own side is there", &of, &of, MemberState::Alive);
+        }
+        split(&mut testbed, 6, |_, _| false);
+        let all: Vec<u32> = (0..6).collect();
+        wait_until_all_see(&mut testbed, "healed", &all, &all, MemberState::Alive);
+    }
+    finish(testbed);
+}
+
+#[test]
+fn one_way_and_partial_partitions_make_no_member_unreachable() {
+    let (mut testbed, _dir) = started(&with_membership(6), 8, &[0, 1, 2, 3, 4, 5]);
+    cut(&mut testbed, 1, 2, true);
+    // Host 5 reaches the even ones alone, both ways.
+    [1, 3].iter().for_each(|h| {
+        cut(&mut testbed, 5, *h, true);
+        cut(&mut testbed, *h, 5, true);
+    });
+    let from = testbed.peers.now();
+    let mark = testbed.peers.membership.samples.len();
+    // Forty periods: each pair is asked some eight times over.
+    testbed.wait_for(std::time::Duration::from_secs(4), |testbed| {
+        (0..6).for_each(|h| testbed.peers.query_membership(h));
+        testbed.peers.now() > from + 4_000_000
+    });
+    let out = |v: &&MembershipSample| v.members.iter().any(|m| m.state == MemberState::Unreachable);
+    let observations = testbed.peers.membership.samples[mark..].len();
+    let wrong = testbed.peers.membership.samples[mark..].iter().filter(out).count();
+    assert!(observations > 60 && wrong == 0, "{wrong} of {observations} looks");
+    split(&mut testbed, 6, |_, _| false);
+    finish(testbed);
+}
+
+#[test]
+fn members_recover_from_latency_and_half_of_all_datagrams_lost() {
+    let (mut testbed, _dir) = started(&with_membership(5), 9, &FIVE);
+    let bad =
+        LinkFault { loss: 0.5, duplication: 0.2, latency: 30_000, jitter: 30_000, ..LinkFault::default() };
+    testbed.peers.set_link(PeerSet::Hosts, PeerSet::Hosts, bad);
+    let from = testbed.peers.now();
+    testbed.run_until(from + 3_000_000);
+    testbed.peers.set_link(PeerSet::Hosts, PeerSet::Hosts, LinkFault::default());
+    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    let lost = testbed.peers.membership.lost;
+    assert!(lost > 50, "{lost}");
+    finish(testbed);
+}
+
+#[test]
+fn datagrams_from_strangers_change_nothing() {
+    let (mut testbed, _dir) = started(&with_membership(5), 10, &FIVE);
+    let mut noise = mallowseam_fleet::wire::encode_query(0).to_vec();
+    for n in 0..4_000u32 {
+        let at = n as usize % noise.len();
+        noise[at] = noise[at].wrapping_mul(31).wrapping_add(n as u8);
+        let len = 1 + (n as usize * 7) % noise.len();
+        testbed.peers.send_from_stranger(n % 5, &noise[..len]);
+        if n % 50 == 0 {
+            testbed.run_once();
+        }
+    }
+    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    let members = testbed.peers.last_view(2).map(|v| v.table.members.len());
+    assert_eq!(members, Some(5));
+    finish(testbed);
+}
+
+#[test]
+fn a_partition_during_a_rolling_restart_heals_to_one_table() {
+    let (mut testbed, _dir) = started(&with_membership(8), 11, &[0, 1, 2, 3, 4, 5, 6, 7]);
+    testbed.peers.set_clients_active(true);
+    for pair in [0, 2, 4, 6] {
+        [pair, pair + 1].iter().for_each(|h| testbed.terminate(*h));
+        wait_for(&mut testbed, "both are over", |testbed| {
+            !testbed.processes.running(pair) && !testbed.processes.running(pair + 1)
+        });
+        if pair == 2 {
+            split(&mut testbed, 8, |a, b| a % 2 != b % 2);
+        }
+        [pair, pair + 1].iter().for_each(|h| testbed.start(*h).expect("a process"));
+    }
+    split(&mut testbed, 8, |_, _| false);
+    let all: Vec<u32> = (0..8).collect();
+    wait_until_all_see(&mut testbed, "all see all", &all, &all, MemberState::Alive);
+    wait_for(&mut testbed, "one view", |testbed| {
+        all.iter().for_each(|h| testbed.peers.query_membership(*h));
+        let sums: Vec<_> = all.iter().map(|h| testbed.peers.last_view(*h).map(|v| v.table.digest)).collect();
+        sums.iter().all(|v| v.is_some() && *v == sums[0])
+    });
+    finish(testbed);
+}
+
+#[test]
+fn a_host_without_membership_opens_no_socket_and_logs_nothing_of_it() {
+    let (mut testbed, dir) = open(&changed(&[]), 12);
+    testbed.start_all().expect("processes");
+    wait_for(&mut testbed, "all watch", |testbed| testbed.peers.watch_count() == 5);
+    let of = |host: u32| testbed.processes.usage(host).expect("it runs");
+    let without = of(0).descriptors;
+    let log = std::fs::read_to_string(dir.path().join("h0.log")).expect("a log");
+    assert!(!["fleet", "member"].iter().any(|topic| log.contains(topic)), "{log}");
+    let udp = std::fs::read_to_string("/proc/net/udp").expect("sockets");
+    let SocketAddr::V4(address) = testbed.peers.addresses.membership_listen(0) else {
+        panic!("of the fourth version")
+    };
+    let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
+    assert!(!udp.contains(&listed), "it listens for datagrams");
+    finish(testbed);
+    let (testbed, _dir) = started(&with_membership(5), 12, &FIVE);
+    let udp = std::fs::read_to_string("/proc/net/udp").expect("sockets");
+    let SocketAddr::V4(address) = testbed.peers.addresses.membership_listen(0) else {
+        panic!("of the fourth version")
+    };
+    let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
+    assert!(udp.contains(&listed), "with one it does");
+    assert!(testbed.processes.usage(0).expect("it runs").descriptors > without);
+    finish(testbed);
+}
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -1,96 +1,104 @@
 //! Pinned behaviour: seeded decisions of the testbed, compared with digests that were recorded once.
 use crate::digest::Digest;
+use mallowseam_lab::cold_start_model::{self, ColdStartCase};
 use mallowseam_lab::fleet::addresses::Addresses;
-use mallowseam_lab::fleet::callers::{Callers, Op, Wants};
-use mallowseam_lab::fleet::links::{Fault, Links, Opening, Out, Party, Pipe, Side};
-use mallowseam_lab::fleet::scene::{self, Some2, Trouble};
-use mallowseam_lab::fleet::store::{Got, Job, Manners, Store};
-use mallowseam_lab::fleet::storm;
-use mallowseam_lab::fleet::turns::{Handled, Mood, Turns};
-use mallowseam_lab::model;
+use mallowseam_lab::fleet::client_load::{ClientLoad, LoadProfile, Operation};
+use mallowseam_lab::fleet::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
+use mallowseam_lab::fleet::fault_schedule;
+use mallowseam_lab::fleet::host_config::HostConfig;
+use mallowseam_lab::fleet::links::{ConnectOutcome, LinkFault, Links, Peer, PeerSet, Pipe, PipeOutput};
+use mallowseam_lab::fleet::scenario::{self, FaultAction, IndexRange};
+use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
 use mallowseam_lab::node::Model;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn party(digest: &mut Digest, party: Party) {
+fn party(digest: &mut Digest, party: Peer) {
     let (kind, number) = match party {
-        Party::Host(n) => (0, n),
-        Party::Node(n) => (1, n),
-        Party::List(n) => (2, n),
-        Party::Clients => (3, 0),
+        Peer::Host(n) => (0, n),
+        Peer::Node(n) => (1, n),
+        Peer::List(n) => (2, n),
+        Peer::Clients => (3, 0),
     };
     digest.numbers(&[kind, u64::from(number)]);
 }
 
-fn side(digest: &mut Digest, side: Side) {
+fn side(digest: &mut Digest, side: PeerSet) {
     match side {
-        Side::All => digest.number(0),
-        Side::Hosts => digest.number(1),
-        Side::Nodes => digest.number(2),
-        Side::Lists => digest.number(3),
-        Side::One(one) => {
+        PeerSet::All => digest.number(0),
+        PeerSet::Hosts => digest.number(1),
+        PeerSet::Nodes => digest.number(2),
+        PeerSet::Lists => digest.number(3),
+        PeerSet::Single(one) => {
             digest.number(4);
             party(digest, one);
         }
-        Side::Zone(zone) => digest.numbers(&[5, u64::from(zone)]),
-        Side::HostRange(from, to) => digest.numbers(&[6, u64::from(from), u64::from(to)]),
-        Side::NodeRange(from, to) => digest.numbers(&[7, u64::from(from), u64::from(to)]),
+        PeerSet::Zone(zone) => digest.numbers(&[5, u64::from(zone)]),
+        PeerSet::HostRange(from, to) => digest.numbers(&[6, u64::from(from), u64::from(to)]),
+        PeerSet::NodeRange(from, to) => digest.numbers(&[7, u64::from(from), u64::from(to)]),
     }
 }
 
-fn fault(digest: &mut Digest, f: &Fault) {
-    digest.numbers(&[f.delay, f.spread, u64::from(f.silent), u64::from(f.refuses), f.cut_after]);
-    digest.float(f.rate);
+fn fault(digest: &mut Digest, f: &LinkFault) {
+    digest.numbers(&[
+        f.latency,
+        f.jitter,
+        u64::from(f.blackholed),
+        u64::from(f.refuses_connections),
+        f.reset_after_bytes,
+    ]);
+    digest.float(f.bytes_per_second);
     digest.float(f.loss);
-    digest.float(f.repeats);
+    digest.float(f.duplication);
 }
 
-fn mood(digest: &mut Digest, mood: Mood) {
-    match mood {
-        Mood::Well => digest.number(0),
-        Mood::Down => digest.number(1),
-        Mood::Mute => digest.number(2),
-        Mood::Refuses(part) => {
+fn behavior(digest: &mut Digest, behavior: ServiceBehavior) {
+    match behavior {
+        ServiceBehavior::Normal => digest.number(0),
+        ServiceBehavior::Down => digest.number(1),
+        ServiceBehavior::Hung => digest.number(2),
+        ServiceBehavior::Rejecting(part) => {
             digest.number(3);
             digest.float(part);
         }
     }
 }
 
-fn trouble(digest: &mut Digest, trouble: &Trouble) {
-    let some = |digest: &mut Digest, kind: u64, some: Some2| {
-        digest.numbers(&[kind, u64::from(some.0), u64::from(some.1)]);
+fn action(digest: &mut Digest, action: &FaultAction) {
+    let hosts = |digest: &mut Digest, kind: u64, range: IndexRange| {
+        digest.numbers(&[kind, u64::from(range.start), u64::from(range.end)]);
     };
-    match *trouble {
-        Trouble::Kill(s) => some(digest, 0, s),
-        Trouble::Start(s) => some(digest, 1, s),
-        Trouble::Term(s) => some(digest, 2, s),
-        Trouble::Stall(s, stall) => some(digest, 3 + u64::from(stall), s),
-        Trouble::Move(s) => some(digest, 5, s),
-        Trouble::NodeStop(s) => some(digest, 6, s),
-        Trouble::NodeStart(s) => some(digest, 7, s),
-        Trouble::NodeSlow(s, times) => {
-            some(digest, 8, s);
+    match *action {
+        FaultAction::KillHosts(s) => hosts(digest, 0, s),
+        FaultAction::StartHosts(s) => hosts(digest, 1, s),
+        FaultAction::TerminateHosts(s) => hosts(digest, 2, s),
+        FaultAction::ResumeHosts(s) => hosts(digest, 3, s),
+        FaultAction::PauseHosts(s) => hosts(digest, 4, s),
+        FaultAction::RedirectHosts(s) => hosts(digest, 5, s),
+        FaultAction::StopNodes(s) => hosts(digest, 6, s),
+        FaultAction::StartNodes(s) => hosts(digest, 7, s),
+        FaultAction::SlowNodes(s, times) => {
+            hosts(digest, 8, s);
             digest.float(times);
         }
-        Trouble::NodeReplace(s) => some(digest, 9, s),
-        Trouble::NodeGone(s) => some(digest, 10, s),
-        Trouble::List(m) => {
+        FaultAction::ReplaceNodes(s) => hosts(digest, 9, s),
+        FaultAction::RemoveNodes(s) => hosts(digest, 10, s),
+        FaultAction::SetDiscoveryBehavior(m) => {
             digest.number(11);
-            mood(digest, m);
+            behavior(digest, m);
         }
-        Trouble::Forget(s) => some(digest, 12, s),
-        Trouble::ListSlow(times) => {
+        FaultAction::StallWatches(s) => hosts(digest, 12, s),
+        FaultAction::SlowDiscovery(times) => {
             digest.number(13);
             digest.float(times);
         }
-        Trouble::Link(from, to, f) => {
+        FaultAction::SetLink { from, to, fault: f } => {
             digest.number(14);
             side(digest, from);
             side(digest, to);
             fault(digest, &f);
         }
-        Trouble::Load(times) => {
+        FaultAction::ScaleLoad(times) => {
             digest.number(15);
             digest.float(times);
         }
@@ -98,39 +106,76 @@
 }
 
 fn scenario(digest: &mut Digest, text: &str) {
-    let s = scene::read("pinned", text).expect("a sound script");
-    digest.numbers(&[s.length, u64::from(s.hosts), s.known as u64, u64::from(s.zones), u64::from(s.nodes)]);
-    digest.numbers(&[s.manners.lines as u64, s.manners.handshake, s.manners.down, u64::from(s.cold_nodes)]);
-    digest.numbers(&[s.model.cores as u64, s.model.queue as u64, s.model.cold_span, s.model.fall_span]);
-    digest.float(s.model.unit_work);
-    digest.float(s.model.cold_from);
-    digest.float(s.model.fall_multiple);
-    let w = &s.wants;
-    digest.float(w.rate);
-    digest.float(w.posts);
-    digest.float(w.uneven);
+    let s = scenario::parse("pinned", text).expect("a sound script");
+    digest.numbers(&[
+        s.duration,
+        u64::from(s.hosts),
+        s.initial_list as u64,
+        u64::from(s.zones),
+        u64::from(s.nodes),
+    ]);
+    digest.numbers(&[
+        s.node_limits.max_connections as u64,
+        s.node_limits.handshake,
+        s.node_limits.restart_after,
+        u64::from(s.nodes_start_cold),
+    ]);
+    digest.numbers(&[
+        s.node_model.cores as u64,
+        s.node_model.queue as u64,
+        s.node_model.cold_span,
+        s.node_model.fall_span,
+    ]);
+    digest.float(s.node_model.unit_work);
+    digest.float(s.node_model.cold_from);
+    digest.float(s.node_model.fall_multiple);
+    let w = &s.load;
+    digest.float(w.operations_per_second);
+    digest.float(w.write_fraction);
+    digest.float(w.skew);
     digest.numbers(&[
         u64::from(w.volumes),
-        u64::from(w.again),
-        u64::from(w.patient),
-        w.read_wait,
-        w.write_wait,
+        u64::from(w.max_retries),
+        u64::from(w.backs_off),
+        w.read_timeout,
+        w.write_timeout,
+    ]);
+    digest.numbers(&[
+        s.service_time,
+        s.queue_timeout,
+        s.discovery_lag,
+        u64::from(s.memory_mb),
+        u64::from(s.max_descriptors),
     ]);
-    digest.numbers(&[s.takes, s.patience, s.lag, u64::from(s.memory_mb), u64::from(s.sockets)]);
-    if let Some(v) = s.view {
-        digest.numbers(&[v.period, u64::from(v.seeds), v.keep, u64::from(v.hosts.0), u64::from(v.hosts.1)]);
+    if let Some(v) = s.membership {
+        digest.numbers(&[
+            v.period,
+            u64::from(v.seeds),
+            v.retention,
+            u64::from(v.participants.start),
+            u64::from(v.participants.end),
+        ]);
     }
-    for event in &s.events {
+    for event in &s.faults {
         digest.number(event.at);
-        trouble(digest, &event.trouble);
+        action(digest, &event.action);
     }
     for host in 0..s.hosts.min(3) {
         let known = "{\"seq\":1}";
-        digest.bytes(scene::config(&s, (host, host + 1), Addresses::new(9), 1, 0xabc, known).as_bytes());
+        let config = HostConfig {
+            scenario: &s,
+            addresses: Addresses::new(9),
+            host,
+            name_number: host + 1,
+            list: 1,
+            seed: 0xabc,
+            initial_list: known,
+        };
+        digest.bytes(config.to_json().as_bytes());
     }
     let scaled = s.scaled(90);
-    digest.numbers(&[u64::from(scaled.hosts), u64::from(scaled.nodes), u64::from(scaled.wants.volumes)]);
-    digest.float(scaled.wants.rate);
+    digest.numbers(&[u64::from(scaled.hosts), u64::from(scaled.nodes), u64::from(scaled.load.volumes)]);
+    digest.float(scaled.load.operations_per_second);
 }
 
 const EVERY_DIRECTIVE: &str = "day 20s\nhosts 12 known ahead\nlimits 64 512\nzones 3\nview period 250ms seeds 2 keep 9s hosts 1..7\n\
@@ -151,7 +196,7 @@
     scenario(&mut digest, include_str!("../../scripts/cold-sum.fleet"));
     scenario(&mut digest, EVERY_DIRECTIVE);
     for seed in 0..10 {
-        scenario(&mut digest, &storm::script(30, seed));
+        scenario(&mut digest, &fault_schedule::random_script(30, seed));
     }
     assert_eq!(format!("{:016x}", digest.0), "995479e908099fbb");
 }
@@ -164,12 +209,12 @@
         for cut in 1..words.len() {
             let broken = format!("{} nonsense {}", words[..cut].join(" "), words[cut..].join(" "));
             let text = EVERY_DIRECTIVE.replacen(line, &broken, 1);
-            let found =
-                scene::read("pinned", &text).map_or_else(|problems| problems.to_string(), |_| String::new());
+            let found = scenario::parse("pinned", &text)
+                .map_or_else(|problems| problems.to_string(), |_| String::new());
             digest.bytes(found.as_bytes());
         }
     }
-    digest.bytes(scene::read("empty", "").expect_err("nothing in it").to_string().as_bytes());
+    digest.bytes(scenario::parse("empty", "").expect_err("nothing in it").to_string().as_bytes());
     assert_eq!(format!("{:016x}", digest.0), "64a0922afe91b49e");
 }
 
@@ -177,46 +222,46 @@
 fn drawn_fault_schedules_are_as_recorded() {
     let mut digest = Digest::new();
     for hosts in [3, 10, 40, 300] {
-        (0..20).for_each(|seed| digest.bytes(storm::script(hosts, seed).as_bytes()));
+        (0..20).for_each(|seed| digest.bytes(fault_schedule::random_script(hosts, seed).as_bytes()));
     }
     assert_eq!(format!("{:016x}", digest.0), "dec4785db152f611");
 }
 
-fn drawn_party(rng: &mut Pcg64Mcg) -> Party {
+fn drawn_party(rng: &mut Pcg64Mcg) -> Peer {
     match rng.random_range(0..4) {
-        0 => Party::Host(rng.random_range(0..6)),
-        1 => Party::Node(rng.random_range(0..4)),
-        2 => Party::List(rng.random_range(0..2)),
-        _ => Party::Clients,
+        0 => Peer::Host(rng.random_range(0..6)),
+        1 => Peer::Node(rng.random_range(0..4)),
+        2 => Peer::List(rng.random_range(0..2)),
+        _ => Peer::Clients,
     }
 }
 
-fn drawn_side(rng: &mut Pcg64Mcg) -> Side {
+fn drawn_side(rng: &mut Pcg64Mcg) -> PeerSet {
     let (from, to) = (rng.random_range(0..4), rng.random_range(2..6));
     match rng.random_range(0..8) {
-        0 => Side::All,
-        1 => Side::Hosts,
-        2 => Side::Nodes,
-        3 => Side::Lists,
-        4 => Side::One(drawn_party(rng)),
-        5 => Side::Zone(from),
-        6 => Side::HostRange(from, to),
-        _ => Side::NodeRange(from, to),
+        0 => PeerSet::All,
+        1 => PeerSet::Hosts,
+        2 => PeerSet::Nodes,
+        3 => PeerSet::Lists,
+        4 => PeerSet::Single(drawn_party(rng)),
+        5 => PeerSet::Zone(from),
+        6 => PeerSet::HostRange(from, to),
+        _ => PeerSet::NodeRange(from, to),
     }
 }
 
-fn drawn_fault(rng: &mut Pcg64Mcg) -> Fault {
+fn drawn_fault(rng: &mut Pcg64Mcg) -> LinkFault {
     let mut some = |most: u64| if rng.random_bool(0.4) { rng.random_range(0..most) } else { 0 };
-    let (delay, spread, rate, cut_after) = (some(5_000), some(3_000), some(900_000), some(2_000));
-    Fault {
-        delay,
-        spread,
-        rate: rate as f64,
-        cut_after,
-        silent: rng.random_bool(0.2),
-        refuses: rng.random_bool(0.2),
+    let (latency, jitter, rate, reset_after_bytes) = (some(5_000), some(3_000), some(900_000), some(2_000));
+    LinkFault {
+        latency,
+        jitter,
+        bytes_per_second: rate as f64,
+        reset_after_bytes,
+        blackholed: rng.random_bool(0.2),
+        refuses_connections: rng.random_bool(0.2),
         loss: 0.0,
-        repeats: 0.0,
+        duplication: 0.0,
     }
 }
 
@@ -228,15 +273,15 @@
         let mut links = Links::new(3);
         for _ in 0..30 {
             let (from, to) = (drawn_side(&mut rng), drawn_side(&mut rng));
-            let set = if rng.random_bool(0.3) { Fault::default() } else { drawn_fault(&mut rng) };
+            let set = if rng.random_bool(0.3) { LinkFault::default() } else { drawn_fault(&mut rng) };
             links.set(from, to, set);
             for _ in 0..10 {
                 let (from, to) = (drawn_party(&mut rng), drawn_party(&mut rng));
-                fault(&mut digest, &links.of(from, to));
-                digest.number(match links.opening(from, to) {
-                    Opening::Up => 0,
-                    Opening::Refused => 1,
-                    Opening::Silent => 2,
+                fault(&mut digest, &links.fault_between(from, to));
+                digest.number(match links.connect_outcome(from, to) {
+                    ConnectOutcome::Accepted => 0,
+                    ConnectOutcome::Refused => 1,
+                    ConnectOutcome::Blackholed => 2,
                 });
             }
         }
@@ -259,65 +304,69 @@
             let len = rng.random_range(1..400);
             pipe.push(now, &vec![step as u8; len], &set, &mut rng);
             if step == 190 {
-                pipe.end(now, &set, &mut rng);
+                pipe.close(now, &set, &mut rng);
             }
-            match pipe.take(now, &set) {
-                Out::Nothing => digest.number(0),
-                Out::Bytes(bytes) => digest.bytes(&bytes),
-                Out::End => digest.number(2),
-                Out::Reset => digest.number(3),
+            match pipe.poll(now, &set) {
+                PipeOutput::Nothing => digest.number(0),
+                PipeOutput::Bytes(bytes) => digest.bytes(&bytes),
+                PipeOutput::Closed => digest.number(2),
+                PipeOutput::Reset => digest.number(3),
             }
-            digest.numbers(&[pipe.due().map_or(0, |due| due + 1), u64::from(pipe.full())]);
+            digest.numbers(&[pipe.next_due().map_or(0, |due| due + 1), u64::from(pipe.is_full())]);
         }
     }
     assert_eq!(format!("{:016x}", digest.0), "98a5ef2fe7411314");
 }
 
-fn handled(digest: &mut Digest, how: Handled) {
-    digest.number(u64::from(how == Handled::Served));
+fn handled(digest: &mut Digest, how: PollOutcome) {
+    digest.number(u64::from(how == PollOutcome::Served));
 }
 
+const POLLS: u64 = 300;
+
 #[test]
 fn polls_of_the_list_service_take_turns_as_recorded() {
     let mut digest = Digest::new();
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut turns = Turns::new(900, 20_000);
-        for call in 0..300u64 {
+        let mut queue = DiscoveryQueue::new(900, 20_000);
+        for call in 0..POLLS {
             let now = call * 500;
             if rng.random_bool(0.03) {
-                let mood = match rng.random_range(0..4) {
-                    0 => Mood::Well,
-                    1 => Mood::Down,
-                    2 => Mood::Mute,
-                    _ => Mood::Refuses(0.5),
+                let behavior = match rng.random_range(0..4) {
+                    0 => ServiceBehavior::Normal,
+                    1 => ServiceBehavior::Down,
+                    2 => ServiceBehavior::Hung,
+                    _ => ServiceBehavior::Rejecting(0.5),
                 };
-                turns.turns(now, mood);
+                queue.set_behavior(now, behavior);
             }
-            if let Some(how) = turns.call(now, call, &mut rng) {
+            if let Some(how) = queue.enqueue(now, call, &mut rng) {
                 handled(&mut digest, how);
             }
             if rng.random_bool(0.1) {
-                turns.gone(call.saturating_sub(3));
+                queue.cancel(call.saturating_sub(3));
             }
-            while let Some((call, how)) = turns.next(now) {
+            while let Some((call, how)) = queue.complete_next(now) {
                 digest.number(call);
                 handled(&mut digest, how);
             }
-            digest.numbers(&[turns.due().map_or(0, |due| due + 1), turns.waiting() as u64]);
+            digest.numbers(&[queue.next_due().map_or(0, |due| due + 1), queue.queued() as u64]);
         }
-        digest.numbers(&[turns.calls, turns.turned_away, turns.most_waiting as u64]);
+        digest.numbers(&[POLLS, queue.rejected, queue.max_queued as u64]);
     }
-    let mut full = Turns::new(1_000, u64::MAX);
+    let mut full = DiscoveryQueue::new(1_000, u64::MAX);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    (0..5_000u32).filter_map(|call| full.call(0, call, &mut rng)).for_each(|how| handled(&mut digest, how));
-    digest.numbers(&[full.turned_away, full.most_waiting as u64]);
+    (0..5_000u32)
+        .filter_map(|call| full.enqueue(0, call, &mut rng))
+        .for_each(|how| handled(&mut digest, how));
+    digest.numbers(&[full.rejected, full.max_queued as u64]);
     assert_eq!(format!("{:016x}", digest.0), "bdbd5a2ee34b0321");
 }
 
-fn operation(digest: &mut Digest, op: &Op) {
-    digest.numbers(&[op.id, u64::from(op.volume), op.piece, u64::from(op.write), u64::from(op.units)]);
-    digest.numbers(&[u64::from(op.shard), u64::from(op.hosts), op.wait, u64::from(op.tries)]);
+fn operation(digest: &mut Digest, op: &Operation) {
+    digest.numbers(&[op.id, u64::from(op.volume), op.extent, u64::from(op.write), u64::from(op.units)]);
+    digest.numbers(&[u64::from(op.shard), u64::from(op.hosts), op.timeout, u64::from(op.retries)]);
 }
 
 #[test]
@@ -325,33 +374,33 @@
     let mut digest = Digest::new();
     for seed in 0..20 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let wants = Wants {
-            rate: 4_000.0,
-            posts: 0.3,
+        let load = LoadProfile {
+            operations_per_second: 4_000.0,
+            write_fraction: 0.3,
             volumes: 20,
-            uneven: 6.0,
-            again: 3,
-            patient: seed % 2 == 0,
-            read_wait: 1_000,
-            write_wait: 2_000,
-            largest: 4,
+            skew: 6.0,
+            max_retries: 3,
+            backs_off: seed % 2 == 0,
+            read_timeout: 1_000,
+            write_timeout: 2_000,
+            max_units: 4,
         };
-        let mut callers = Callers::new(wants, 9, 4, &mut rng);
+        let mut client_load = ClientLoad::new(load, 9, 4, &mut rng);
         for volume in 0..20 {
-            let volume = callers.volume(volume);
+            let volume = client_load.volume(volume);
             volume.hosts.iter().for_each(|h| digest.number(u64::from(*h)));
             digest.number(u64::from(volume.limited));
         }
-        callers.begin(700);
+        client_load.resume(700);
         for now in (700..60_000).step_by(100) {
-            callers.load = if now > 30_000 { 2.0 } else { 1.0 };
-            let Some(op) = callers.next(now, &mut rng) else { continue };
+            client_load.intensity = if now > 30_000 { 2.0 } else { 1.0 };
+            let Some(op) = client_load.next_operation(now, &mut rng) else { continue };
             operation(&mut digest, &op);
-            let host = callers.host(&op, |h| h % 3 != 0, &mut rng);
-            digest.numbers(&[host.map_or(0, |h| u64::from(h) + 1), callers.due()]);
-            let named = rng.random_bool(0.3).then_some(5_000);
+            let host = client_load.choose_host(&op, |h| h % 3 != 0, &mut rng);
+            digest.numbers(&[host.map_or(0, |h| u64::from(h) + 1), client_load.next_due()]);
+            let retry_after = rng.random_bool(0.3).then_some(5_000);
             let mut tried = op;
-            while let Some((at, next)) = callers.again(now, &tried, named, &mut rng) {
+            while let Some((at, next)) = client_load.retry(now, &tried, retry_after, &mut rng) {
                 digest.number(at);
                 operation(&mut digest, &next);
                 tried = next;
@@ -361,13 +410,13 @@
     assert_eq!(format!("{:016x}", digest.0), "0eebf65522231b01");
 }
 
-fn drawn_job(rng: &mut impl Rng, op: u64) -> Job<u32> {
-    Job {
-        from: rng.random_range(0..6),
-        op,
+fn drawn_job(rng: &mut impl Rng, op: u64) -> NodeRequest<u32> {
+    NodeRequest {
+        connection: rng.random_range(0..6),
+        operation: op,
         units: f64::from(rng.random_range(1..5u32)),
-        first: rng.random_bool(0.2),
-        excess: rng.random_bool(0.1),
+        first_on_connection: rng.random_bool(0.2),
+        over_limit: rng.random_bool(0.1),
     }
 }
 
@@ -383,34 +432,37 @@
             fall_span: 200_000,
             ..Model::quick(2, 10_000.0, 3)
         };
-        let mut node = Store::new(model, Manners { lines: 2, handshake: 5_000, down: 300_000 });
+        let mut node = SimulatedNode::new(
+            model,
+            NodeLimits { max_connections: 2, handshake: 5_000, restart_after: 300_000 },
+        );
         for op in 0..400u64 {
             let now = op * 4_000;
             match rng.random_range(0..100) {
                 0 => node.start(now),
                 1 => node.stop(),
-                2 => node.slow = 1.5,
-                3 => node.gone(rng.random_range(0..6)),
-                4 => digest.number(u64::from(node.opened())),
+                2 => node.slowdown = 1.5,
+                3 => node.connection_closed(rng.random_range(0..6)),
+                4 => digest.number(u64::from(node.connection_opened())),
                 _ => {}
             }
-            digest.number(match node.got(now, drawn_job(&mut rng, op)) {
-                Got::Queued => 0,
-                Got::Full => 1,
-                Got::Fell => 2,
+            digest.number(match node.receive(now, drawn_job(&mut rng, op)) {
+                Arrival::Queued => 0,
+                Arrival::Rejected => 1,
+                Arrival::Collapsed => 2,
             });
-            while let Some(done) = node.next(now) {
-                digest.numbers(&[done.op, u64::from(done.from)]);
+            while let Some(done) = node.complete_next(now) {
+                digest.numbers(&[done.operation, u64::from(done.connection)]);
             }
             digest.numbers(&[
-                node.due().map_or(0, |due| due + 1),
-                u64::from(node.up(now)),
-                node.lines as u64,
+                node.next_due().map_or(0, |due| due + 1),
+                u64::from(node.is_up(now)),
+                node.connections as u64,
             ]);
             digest.float(node.warmth(now));
         }
-        digest.number(node.falls);
-        digest.float(node.most_cold);
+        digest.number(node.collapses);
+        digest.float(node.peak_cold_load);
     }
     assert_eq!(format!("{:016x}", digest.0), "40c4c261142c5026");
 }
@@ -421,14 +473,23 @@
     for (hosts, told, down, running) in
         [(40, Some(25_000), 0, false), (60, None, 4_000_000, true), (60, Some(0), 2_000_000, false)]
     {
-        let case = model::Case { hosts, takes: 25_000, told, down, running };
-        let outcome = model::run(case, 9, 600_000_000);
-        digest.numbers(&[outcome.calls, outcome.turned_away, outcome.most_waiting as u64]);
-        digest.numbers(&outcome.fresh);
+        let case = ColdStartCase {
+            hosts,
+            service_time: 25_000,
+            advertised_service_time: told,
+            down_until: down,
+            already_running: running,
+        };
+        let outcome = cold_start_model::run(case, 9, 600_000_000);
+        digest.numbers(&[outcome.polls, outcome.rejected, outcome.max_queued as u64]);
+        digest.numbers(&outcome.list_delays);
         for second in &outcome.seconds {
-            digest.numbers(&[second.second, second.calls, second.waiting as u64, u64::from(second.fresh)]);
+            digest.numbers(&[second.second, second.polls, second.queued as u64, u64::from(second.fresh)]);
         }
-        digest.numbers(&[outcome.fresh_at(0.5).unwrap_or(0), outcome.fresh_by(3_000_000) as u64]);
+        digest.numbers(&[
+            outcome.list_delay_within(0.5).unwrap_or(0),
+            outcome.hosts_with_list_by(3_000_000) as u64,
+        ]);
     }
     assert_eq!(format!("{:016x}", digest.0), "8b12ea733e600aa3");
 }
