--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -43,12 +43,12 @@
 }
 
 impl Arrival {
-    fn complete(&self, ending: AttemptResult) -> Completion {
-        Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, ending) }
+    fn complete(&self, result: AttemptResult) -> Completion {
+        Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, result) }
     }
 
-    fn completed_event(&self, ending: AttemptResult) -> NodeEvent {
-        NodeEvent::Completed(self.complete(ending))
+    fn completed_event(&self, result: AttemptResult) -> NodeEvent {
+        NodeEvent::Completed(self.complete(result))
     }
 }
 
@@ -160,7 +160,7 @@
     /// The connection has ended before the response was complete.
     fn on_broken(&mut self, slot: u32, now: Tick, arrival: &Arrival) -> Option<NodeEvent> {
         let connection = self.connections.get(slot)?;
-        let ending = if connection.is_request_written() {
+        let result = if connection.is_request_written() {
             AttemptResult::ConnectionReset
         } else {
             AttemptResult::ConnectFailed
@@ -171,7 +171,7 @@
             self.keep_alive.connection_lost(idle, ticks_to_millis(now - started_at), ticks_to_millis(now));
         }
         self.close(slot);
-        Some(arrival.completed_event(ending))
+        Some(arrival.completed_event(result))
     }
 
     /// The response cannot be parsed: the request may have been executed all the same.
