--- a/crates/lab/src/audit/verdict.rs
+++ b/crates/lab/src/audit/verdict.rs
@@ -110,7 +110,7 @@
     }
 
     /// Number of rules without a violation.
-    pub fn rules_kept(&self) -> usize {
+    pub fn rules_upheld(&self) -> usize {
         self.violations.iter().filter(|lines| lines.is_empty()).count()
     }
 
@@ -139,7 +139,7 @@
         write!(
             f,
             "rules kept: {} of 7; taken {}, ended {}, shed {}, failed {}, unanswered {}, doubled {}",
-            self.rules_kept(),
+            self.rules_upheld(),
             self.accepted,
             self.completed,
             self.shed,
--- a/crates/lab/src/cli/fleet_rehearsal.rs
+++ b/crates/lab/src/cli/fleet_rehearsal.rs
@@ -1,7 +1,8 @@
 //! `rehearse` of a fleet.
 use super::{CommandResult, Finding, RehearseOptions};
-use mallowseam_lab::fleet::play::Outcome;
-use mallowseam_lab::fleet::{play as fleet, processes, scene, storm, views};
+use mallowseam_lab::fleet::outcome::Outcome;
+use mallowseam_lab::fleet::scenario::{self, IndexRange, Scenario};
+use mallowseam_lab::fleet::{fault_schedule, membership_audit, processes, testbed};
 use std::error::Error;
 
 /// A script that each seed draws anew, and its usual number of hosts.
@@ -33,8 +34,8 @@
 /// Plays a fleet's script with some seeds in a row.
 pub(super) fn play(text: &str, options: &RehearseOptions) -> CommandResult {
     let this = std::env::current_exe()?;
-    let program = processes::Program::beside(&this);
-    let program = if options.as_before { program.with(&["--list-turn", "0"]) } else { program };
+    let program = processes::Program::next_to(&this);
+    let program = if options.as_before { program.with_arguments(&["--list-turn", "0"]) } else { program };
     let mut passed = true;
     for seed in options.seed..options.seed + options.seeds {
         passed &= play_seed(text, options, seed, &program)?;
@@ -42,13 +43,13 @@
     Ok(Finding::from(passed))
 }
 
-fn scenario(text: &str, options: &RehearseOptions, seed: u64) -> Result<scene::Scene, Box<dyn Error>> {
+fn parse_scenario(text: &str, options: &RehearseOptions, seed: u64) -> Result<Scenario, Box<dyn Error>> {
     let name = &options.script;
     if name == STORM {
-        let text = storm::script(options.hosts.unwrap_or(STORM_HOSTS), seed);
-        return Ok(scene::read(name, &text)?);
+        let text = fault_schedule::random_script(options.hosts.unwrap_or(STORM_HOSTS), seed);
+        return Ok(scenario::parse(name, &text)?);
     }
-    let scenario = scene::read(name, text)?;
+    let scenario = scenario::parse(name, text)?;
     Ok(options.hosts.map_or(scenario.clone(), |hosts| scenario.scaled(hosts)))
 }
 
@@ -58,16 +59,16 @@
     seed: u64,
     program: &processes::Program,
 ) -> Result<bool, Box<dyn Error>> {
-    let scenario = scenario(text, options, seed)?;
+    let scenario = parse_scenario(text, options, seed)?;
     println!(
         "{}, seed {seed}: {} hosts, {} nodes, {} s",
         options.script,
         scenario.hosts,
         scenario.nodes,
-        scenario.length / 1_000_000
+        scenario.duration / 1_000_000
     );
     let dir = tempfile::tempdir()?;
-    let outcome = fleet::run(&scenario, seed, program, dir.path(), &mut |at, line| {
+    let outcome = testbed::run(&scenario, seed, program, dir.path(), &mut |at, line| {
         if !options.quiet {
             println!("{:>7.2} s  {line}", at as f64 / 1e6);
         }
@@ -84,26 +85,31 @@
 }
 
 /// Prints what a run came to, and returns the evidence against it.
-fn report(name: &str, scenario: &scene::Scene, outcome: &Outcome) -> Vec<String> {
-    outcome.with_and_without(scenario).iter().for_each(|text| println!("{text}"));
+fn report(name: &str, scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
+    outcome.compare_membership_groups(scenario).iter().for_each(|text| println!("{text}"));
     if name == STORM {
         // Polls are many here as hosts come and go, and are not what is tried.
-        let mut evidence = outcome.broken();
-        let membership = views::judge(scenario, &outcome.seen, &outcome.held);
+        let mut evidence = outcome.violations();
+        let membership =
+            membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples);
         let verdict = &outcome.verdict;
         evidence.extend(membership.evidence());
-        println!("{} looks; {:.0} bytes a second and host", outcome.held.len(), outcome.view_bytes);
+        println!(
+            "{} looks; {:.0} bytes a second and host",
+            outcome.membership_samples.len(),
+            outcome.membership_bytes_per_second
+        );
         println!(
             "{membership}; rules kept: {} of 7; unanswered {}, doubled {}",
-            verdict.rules_kept(),
+            verdict.rules_upheld(),
             verdict.unanswered,
-            verdict.doubled
+            verdict.duplicated
         );
         return evidence;
     }
-    if scenario.view.is_some_and(|view| view.hosts == scene::Some2(0, u32::MAX)) {
-        println!("{}", views::judge(scenario, &outcome.seen, &outcome.held));
+    if scenario.membership.is_some_and(|m| m.participants == IndexRange::ALL) {
+        println!("{}", membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples));
     }
-    println!("{}", outcome.last_line(scenario));
+    println!("{}", outcome.summary(scenario));
     outcome.evidence(scenario)
 }
--- a/crates/lab/src/cli/models.rs
+++ b/crates/lab/src/cli/models.rs
@@ -1,9 +1,10 @@
 //! `model`: fleets in simulated time.
 use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
-use mallowseam_lab::fleet::views::settles_within;
-use mallowseam_lab::fleet::world::TOLD_AFTER;
+use mallowseam_lab::cold_start_model::{self, ColdStartCase};
+use mallowseam_lab::fleet::membership_audit::convergence_periods;
+use mallowseam_lab::fleet::peers::NOTIFICATION_DEADLINE;
 use mallowseam_lab::membership::measurements::{self, Measurements, Protocol};
-use mallowseam_lab::{model, plots};
+use mallowseam_lab::plots::{self, HorizontalScale};
 use std::path::Path;
 
 /// Simulated time in microseconds after which a case ends.
@@ -29,30 +30,36 @@
 
 fn cold_start_of(hosts: u32, options: &ColdStartOptions) -> Result<bool, Box<dyn std::error::Error>> {
     let (takes, down) = (options.takes * 1_000, options.down * 1_000_000);
-    let case = model::Case { hosts, takes, told: None, down, running: false };
-    let run = |case| model::run(case, options.seed, MAX_SIMULATED);
-    let paced = run(model::Case { told: Some(takes), ..case });
+    let case = ColdStartCase {
+        hosts,
+        service_time: takes,
+        advertised_service_time: None,
+        down_until: down,
+        already_running: false,
+    };
+    let run = |case| cold_start_model::run(case, options.seed, MAX_SIMULATED);
+    let paced = run(ColdStartCase { advertised_service_time: Some(takes), ..case });
     let untold = run(case);
-    let before = run(model::Case { told: Some(0), ..case });
+    let before = run(ColdStartCase { advertised_service_time: Some(0), ..case });
     let bound = 1.5 * f64::from(hosts) * takes as f64 / 1e6;
     for (name, result) in [("told", &paced), ("untold", &untold), ("before", &before)] {
-        let seconds = |part| result.fresh_at(part).map_or(f64::NAN, |at| at as f64 / 1e6);
+        let seconds = |part| result.list_delay_within(part).map_or(f64::NAN, |at| at as f64 / 1e6);
         println!(
             "{hosts:>7}{:>10}{:>8.2}{:>14}{:>9}{:>11.2}{:>11.2}{bound:>9.2}{:>11}  {name}",
-            result.calls,
-            result.calls as f64 / f64::from(hosts),
-            result.most_waiting,
-            result.turned_away,
+            result.polls,
+            result.polls as f64 / f64::from(hosts),
+            result.max_queued,
+            result.rejected,
             seconds(0.95),
             seconds(1.0),
-            result.fresh_by(TOLD_AFTER)
+            result.hosts_with_list_by(NOTIFICATION_DEADLINE)
         );
     }
     if let Some(out) = &options.out {
         let cases = [("paced", &paced), ("untold", &untold), ("before", &before)];
-        model::write(out, &format!("cold-start-{hosts}"), &cases)?;
+        cold_start_model::write(out, &format!("cold-start-{hosts}"), &cases)?;
     }
-    Ok(paced.fresh.len() == hosts as usize && paced.most_waiting as u64 * takes <= MAX_QUEUED)
+    Ok(paced.list_delays.len() == hosts as usize && paced.max_queued as u64 * takes <= MAX_QUEUED)
 }
 
 pub(super) fn membership(options: &MembershipModelOptions) -> CommandResult {
@@ -84,7 +91,7 @@
 
 /// Prints one row; whether the protocol as built stays within its bounds.
 fn print_membership(protocol: Protocol, hosts: usize, m: &Measurements) -> bool {
-    let bound = settles_within(hosts as u32);
+    let bound = convergence_periods(hosts as u32);
     println!(
         "{hosts:>7}{:>9.1}{:>9.1}{:>9.1}{bound:>8.0}{:>10.0}{:>8.1}{:>13.0}{:>13.6}  {}",
         m.start_s,
@@ -120,7 +127,7 @@
         let measured = all.iter().filter(|(p, _)| *p == protocol);
         (protocol.name(), measured.map(|(_, m)| (m.hosts as f64, of(m))).collect())
     };
-    let bound = hosts.iter().map(|hosts| (*hosts as f64, settles_within(*hosts as u32))).collect();
+    let bound = hosts.iter().map(|hosts| (*hosts as f64, convergence_periods(*hosts as u32))).collect();
     let mut settle = vec![("T(N)", bound)];
     let mut bytes = Vec::new();
     let mut wrong = Vec::new();
@@ -136,6 +143,6 @@
         ("bytes a second and host, at rest", bytes),
         ("part of the time that a running host is held unreachable, under loss and stops", wrong),
     ];
-    plots::write(&dir.join("fleet-view.svg"), "hosts", true, &sheet)?;
+    plots::write(&dir.join("fleet-view.svg"), "hosts", HorizontalScale::Logarithmic, &sheet)?;
     Ok(())
 }
--- a/crates/lab/src/cli/rehearsal_report.rs
+++ b/crates/lab/src/cli/rehearsal_report.rs
@@ -65,7 +65,7 @@
         verdict.snapshots,
         report.isolated_clones,
         report.clones,
-        verdict.rules_kept()
+        verdict.rules_upheld()
     );
 }
 
@@ -83,7 +83,7 @@
         "limits held: {versions} versions, worst overshoot {:.0}% of slack; trail replays: {replayed} of \
          {versions}; rules kept: {} of 7",
         100.0 * verdict.overshoot.max(0.0),
-        verdict.rules_kept()
+        verdict.rules_upheld()
     );
 }
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,17 +5,17 @@
 //!   [`node`], [`load`] and [`endpoint_list_service`]. They write a common [`trace`], which [`audit`] judges.
 //! - [`fleet`] does the same with many hosts and faults on the links between them.
 //! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
-//! - [`model`], [`membership`] and [`search`] simulate and search without processes.
+//! - [`cold_start_model`], [`membership`] and [`search`] simulate and search without processes.
 pub mod audit;
 pub mod benchmark;
 pub mod block;
+pub mod cold_start_model;
 pub mod endpoint_list_service;
 pub mod error;
 pub mod exhaustive_placement;
 pub mod fleet;
 pub mod load;
 pub mod membership;
-pub mod model;
 pub mod node;
 pub mod placement_day;
 pub mod plots;
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -2,7 +2,6 @@
 use super::constants::WINDOW;
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Node, Request, Scheduler};
-use std::cmp::Reverse;
 
 const LONG_PAUSE: f64 = 0.25; // of the shortest objective: a node paused for longer comes after any other
 
@@ -27,11 +26,12 @@
         let request = &self.requests[id.0];
         let holds = |node: &Node| node.active && request.bio.shard.is_none_or(|shard| node.shard == shard);
         let fits = |(_, node): &(u32, &Node)| holds(node) && self.may_run_at(request, now, node);
-        let fitting: Vec<NodeId> = self.nodes.iter().filter(fits).map(|(index, _)| NodeId(index)).collect();
-        let others = fitting.len().checked_sub(1)?;
-        let first = self.rng.below(fitting.len() as u64) as usize;
-        let second = (first + 1 + self.rng.below(others as u64) as usize) % fitting.len();
-        Some((fitting[first], fitting[second]))
+        let count = self.nodes.iter().filter(fits).count();
+        let others = count.checked_sub(1)?;
+        let first = self.rng.below(count as u64) as usize;
+        let second = (first + 1 + self.rng.below(others as u64) as usize) % count;
+        let nth = |position| self.nodes.iter().filter(fits).nth(position).map(|(index, _)| NodeId(index));
+        nth(first).zip(nth(second))
     }
 
     /// How long a block I/O may wait at a node, by this host's counts. An unanswered attempt makes it as slow
@@ -54,7 +54,7 @@
         let request = &mut self.requests[id.0];
         request.node = Some(node_id);
         let bio = request.bio;
-        self.timers.push(Reverse((request.queued_until(), id)));
+        self.timers.push(request.queued_until(), id);
         let base = self.plans[bio.plan as usize].reserved * WINDOW as f64 / self.volumes[bio.volume.0].hosts;
         let node = &mut self.nodes[node_id.0];
         if !node.allocations.iter().any(|a| a.volume == bio.volume) {
