--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -11,7 +11,7 @@
 pub use verdict::{ClassCount, CommandOutcome, RULES, Verdict};
 pub(crate) use verdict::{broken_rules, seconds};
 
-use crate::node::Model;
+use crate::node::ServiceModel;
 use crate::trace::{Micros, TraceEntry};
 use commands::Command;
 use mallowseam_settings::GatewayConfig;
@@ -54,7 +54,7 @@
 }
 
 /// Judges the record of a run, in order of time, with this configuration and these nodes.
-pub fn judge(config: &GatewayConfig, model: &Model, trace: &[TraceEntry], layout: &Layout) -> Verdict {
+pub fn judge(config: &GatewayConfig, model: &ServiceModel, trace: &[TraceEntry], layout: &Layout) -> Verdict {
     let mut audit = Audit { config, model, layout, verdict: Verdict::default(), commands: Vec::new() };
     audit.gather(trace);
     audit.check_answers(trace);
@@ -72,7 +72,7 @@
 
 struct Audit<'a> {
     config: &'a GatewayConfig,
-    model: &'a Model,
+    model: &'a ServiceModel,
     layout: &'a Layout,
     verdict: Verdict,
     commands: Vec<Command>,
--- a/crates/lab/src/audit/nodes.rs
+++ b/crates/lab/src/audit/nodes.rs
@@ -50,14 +50,14 @@
                 TraceEvent::NodeReceived { node, blocks, .. } => {
                     let Some(since) = up.get(&node) else { continue };
                     let age = entry.at - since;
-                    if age > self.model.cold_span {
+                    if age > self.model.warm_up {
                         continue;
                     }
                     let window = received.entry(node).or_default();
                     window.push((entry.at, self.units(blocks)));
-                    window.retain(|(at, _)| at + self.model.fall_span >= entry.at);
+                    window.retain(|(at, _)| at + self.model.overload_window >= entry.at);
                     let sum: f64 = window.iter().map(|(_, units)| units).sum();
-                    let bears = self.model.bears(age);
+                    let bears = self.model.overload_units(age);
                     if sum > bears {
                         let by = seconds(entry.at);
                         let line = format!("node{node} was sent {sum} units by {by}, bears {bears:.1}");
--- a/crates/lab/src/benchmark.rs
+++ b/crates/lab/src/benchmark.rs
@@ -4,7 +4,7 @@
 mod report;
 
 use crate::error::RunError;
-use crate::node::{Model, Node};
+use crate::node::{Node, ServiceModel};
 use crate::process::{KilledOnDrop, Program};
 use crate::trace::Trace;
 pub(crate) use clients::latency_histogram;
@@ -52,7 +52,7 @@
     let dir = tempfile::tempdir().map_err(RunError::io("temporary directory"))?;
     let node_address = address(1);
     let host_address = address(101);
-    let model = Model::quick(64, 0.0, 4096);
+    let model = ServiceModel::warm(64, 0.0, 4096);
     let node = Node::start(0, node_address, NODE_TARGET, model, Trace::disabled(), options.seed)
         .map_err(RunError::io("node stand-in"))?;
     let host = start_host(options, program, dir.path(), node_address, host_address)?;
--- a/crates/lab/src/fleet/audit/node_rules.rs
+++ b/crates/lab/src/fleet/audit/node_rules.rs
@@ -133,7 +133,7 @@
                 Event::HostStarted { host } => notified.retain(|key, _| key.0 != host),
                 Event::NodeReceived { node, host, units, .. } => {
                     recent.push_back(NodeLoad { at: *at, node, host, units: f64::from(units) });
-                    let span = self.scenario.node_model.fall_span;
+                    let span = self.scenario.node_model.overload_window;
                     while recent.front().is_some_and(|load| load.at + span < *at) {
                         recent.pop_front();
                     }
--- a/crates/lab/src/fleet/host_config.rs
+++ b/crates/lab/src/fleet/host_config.rs
@@ -108,13 +108,13 @@
             {"name": "priority", "floor_rate": 1.2, "usual_rate": 2.0, "limit": 0.0, "weight": 6.0,
              "worth_factor": 1.5}],
         "extra": {"class_writes": [false, true], "largest": load.max_units, "mean_units": 1.6,
-                  "within_share": 0.35, "spare_worth": 0.1, "cold_bears": node.cold_bears},
+                  "within_share": 0.35, "spare_worth": 0.1, "cold_bears": node.tolerated_units},
         "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after_us": 1_000_000,
                    "idle_close_us": 30_000_000, "connect_timeout_us": 250_000},
         "rules": {"drain_grace_us": DRAIN_GRACE_MS * 1_000, "ask_within_us": POLL_DEADLINE_MS * 1_000,
                   "order_pause_us": ORDER_PAUSE_MS * 1_000, "free_resends": RETRY_BUDGET.free_retries,
                   "extra_ratio": RETRY_BUDGET.retry_ratio, "look_back_us": RETRY_BUDGET.window_ms * 1_000,
-                  "cold_from": node.cold_from, "cold_us": node.cold_span,
-                  "fall_multiple": node.fall_multiple, "fall_us": node.fall_span},
+                  "cold_from": node.initial_speed, "cold_us": node.warm_up,
+                  "fall_multiple": node.overload_factor, "fall_us": node.overload_window},
     })
 }
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -7,7 +7,7 @@
 use super::discovery_queue::ServiceBehavior;
 use super::links::{LinkFault, PeerSet};
 use super::simulated_node::NodeLimits;
-use crate::node::Model;
+use crate::node::ServiceModel;
 use crate::trace::Micros;
 
 pub use parse::parse;
@@ -41,7 +41,7 @@
     /// Number of nodes and of shards.
     pub nodes: u32,
     /// Speed and cold start of a node.
-    pub node_model: Model,
+    pub node_model: ServiceModel,
     /// Limits of a node.
     pub node_limits: NodeLimits,
     /// Nodes start when hosts do, cold.
--- a/crates/lab/src/fleet/scenario/parse.rs
+++ b/crates/lab/src/fleet/scenario/parse.rs
@@ -3,7 +3,7 @@
 use super::{IndexRange, InitialList, MembershipScenario, Scenario, VOLUMES_PER_HOST};
 use crate::fleet::client_load::LoadProfile;
 use crate::fleet::simulated_node::NodeLimits;
-use crate::node::Model;
+use crate::node::ServiceModel;
 use crate::script;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
@@ -43,7 +43,7 @@
         initial_list: InitialList::None,
         zones: 1,
         nodes: 0,
-        node_model: Model::quick(1, 20_000.0, 32),
+        node_model: ServiceModel::warm(1, 20_000.0, 32),
         node_limits: NodeLimits { max_connections: 64, handshake: 1_000, restart_after: 4_000_000 },
         nodes_start_cold: false,
         load: LoadProfile {
@@ -98,7 +98,7 @@
             limits.handshake = args.duration("the work of a new connection").unwrap_or(0);
         }
         "cold" => {
-            script::cold(&mut scenario.node_model, args);
+            script::cold_start(&mut scenario.node_model, args);
             scenario.node_limits.restart_after = args.duration("how long one that fell is down").unwrap_or(0);
         }
         "clients" => clients(scenario, args),
@@ -133,7 +133,7 @@
     while args.has_more() {
         if args.accept("start-cold") {
             scenario.nodes_start_cold = true;
-        } else if !script::node_figure(&mut scenario.node_model, args) {
+        } else if !script::node_option(&mut scenario.node_model, args) {
             args.value::<()>("cores, work, queue or start-cold", |_| None);
         }
     }
--- a/crates/lab/src/fleet/simulated_node.rs
+++ b/crates/lab/src/fleet/simulated_node.rs
@@ -1,6 +1,6 @@
 //! A node as a model: it serves at a set speed, charges for new connections and accepts few of them, is cold after a
 //! start, and collapses when the load within a time span exceeds what a cold node sustains.
-use crate::node::Model;
+use crate::node::ServiceModel;
 use crate::trace::Micros;
 use std::collections::VecDeque;
 
@@ -43,7 +43,7 @@
 
 /// The state of one node.
 pub struct SimulatedNode<C> {
-    model: Model,
+    model: ServiceModel,
     limits: NodeLimits,
     /// Factor by which it is slower than usual.
     pub slowdown: f64,
@@ -66,7 +66,7 @@
 
 impl<C: Copy + PartialEq> SimulatedNode<C> {
     /// A node that was started long ago.
-    pub fn new(model: Model, limits: NodeLimits) -> Self {
+    pub fn new(model: ServiceModel, limits: NodeLimits) -> Self {
         SimulatedNode {
             model,
             limits,
@@ -106,8 +106,8 @@
     }
 
     /// Its speed as a fraction of a warm node's.
-    pub fn warmth(&self, now: Micros) -> f64 {
-        self.model.warmth(self.age(now))
+    pub fn speed_fraction(&self, now: Micros) -> f64 {
+        self.model.speed_fraction(self.age(now))
     }
 
     /// A connection was opened. Returns whether it is above the limit.
@@ -135,15 +135,15 @@
     /// Adds a request to the recent load, and tells whether a cold node collapses under it.
     fn collapses_under(&mut self, now: Micros, units: f64) -> bool {
         let age = self.age(now);
-        if age > self.model.cold_span || self.model.fall_span == 0 {
+        if age > self.model.warm_up || self.model.overload_window == 0 {
             return false;
         }
-        while self.recent.front().is_some_and(|(at, _)| at + self.model.fall_span < now) {
+        while self.recent.front().is_some_and(|(at, _)| at + self.model.overload_window < now) {
             self.recent.pop_front();
         }
         self.recent.push_back((now, units));
         let load: f64 = self.recent.iter().map(|(_, units)| units).sum();
-        let sustained = self.model.bears(age);
+        let sustained = self.model.overload_units(age);
         self.peak_cold_load = self.peak_cold_load.max(load / sustained);
         load > sustained
     }
@@ -153,7 +153,7 @@
             let Some(request) = self.queue.pop_front() else { return };
             let work = request.units * self.model.unit_work * self.slowdown;
             let handshake = if request.first_on_connection { self.limits.handshake } else { 0 };
-            let duration = (work + handshake as f64) / self.warmth(now);
+            let duration = (work + handshake as f64) / self.speed_fraction(now);
             self.running.push((now + duration as Micros, request));
         }
     }
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -6,7 +6,7 @@
 mod queue;
 mod server;
 
-pub use model::Model;
+pub use model::ServiceModel;
 
 use crate::trace::{Micros, Trace};
 use mio::net::TcpListener;
@@ -80,7 +80,7 @@
         index: u32,
         address: SocketAddr,
         target: &str,
-        model: Model,
+        model: ServiceModel,
         trace: Trace,
         seed: u64,
     ) -> io::Result<Node> {
--- a/crates/lab/src/node/model.rs
+++ b/crates/lab/src/node/model.rs
@@ -3,7 +3,7 @@
 
 /// Service model of a node.
 #[derive(Clone, Debug)]
-pub struct Model {
+pub struct ServiceModel {
     /// Commands worked on at once.
     pub cores: usize,
     /// Work of one unit on one core, in microseconds.
@@ -13,42 +13,42 @@
     /// Commands that may wait for a core.
     pub queue: usize,
     /// Part of its full speed that a node has right after a start.
-    pub cold_from: f64,
+    pub initial_speed: f64,
     /// Time from a start to full speed.
-    pub cold_span: Micros,
-    /// A warming node crashes when it receives this multiple of its present capacity within `fall_span`.
-    pub fall_multiple: f64,
+    pub warm_up: Micros,
+    /// A warming node crashes when it receives this multiple of its present capacity within `overload_window`.
+    pub overload_factor: f64,
     /// The window over which received units are counted.
-    pub fall_span: Micros,
-    /// Units within `fall_span` that never crash a warming node.
-    pub cold_bears: f64,
+    pub overload_window: Micros,
+    /// Units within `overload_window` that never crash a warming node.
+    pub tolerated_units: f64,
 }
 
-impl Model {
-    /// A node that never warms up, with units of 4 KiB that take `unit_work` microseconds.
-    pub fn quick(cores: usize, unit_work: f64, queue: usize) -> Model {
-        Model {
+impl ServiceModel {
+    /// A node that never warms up, with units of 4 KiB that take `unit_work` microseconds each.
+    pub fn warm(cores: usize, unit_work: f64, queue: usize) -> ServiceModel {
+        ServiceModel {
             cores,
             unit_work,
             unit_bytes: 4096,
             queue,
-            cold_from: 1.0,
-            cold_span: 0,
-            fall_multiple: 2.0,
-            fall_span: 0,
-            cold_bears: 0.0,
+            initial_speed: 1.0,
+            warm_up: 0,
+            overload_factor: 2.0,
+            overload_window: 0,
+            tolerated_units: 0.0,
         }
     }
 
     /// Part of its full speed that a node has at this age.
-    pub fn warmth(&self, age: Micros) -> f64 {
-        let grown = age as f64 / self.cold_span.max(1) as f64;
-        (self.cold_from + (1.0 - self.cold_from) * grown).min(1.0)
+    pub fn speed_fraction(&self, age: Micros) -> f64 {
+        let grown = age as f64 / self.warm_up.max(1) as f64;
+        (self.initial_speed + (1.0 - self.initial_speed) * grown).min(1.0)
     }
 
-    /// Units that a node of this age bears within `fall_span`.
-    pub fn bears(&self, age: Micros) -> f64 {
-        let capacity = self.cores as f64 / self.unit_work * self.fall_span as f64;
-        (self.fall_multiple * self.warmth(age) * capacity).max(self.cold_bears)
+    /// Units that a node of this age bears within `overload_window`.
+    pub fn overload_units(&self, age: Micros) -> f64 {
+        let capacity = self.cores as f64 / self.unit_work * self.overload_window as f64;
+        (self.overload_factor * self.speed_fraction(age) * capacity).max(self.tolerated_units)
     }
 }
--- a/crates/lab/src/node/queue.rs
+++ b/crates/lab/src/node/queue.rs
@@ -66,9 +66,12 @@
             return self.reject_protected(&command);
         }
         let lifecycle = *self.lifecycle();
-        let warmth =
-            if lifecycle.incarnation == 0 { 1.0 } else { self.model.warmth(now - lifecycle.started_at) };
-        let work = command.work * self.faults.slowdown / warmth;
+        let speed = if lifecycle.incarnation == 0 {
+            1.0
+        } else {
+            self.model.speed_fraction(now - lifecycle.started_at)
+        };
+        let work = command.work * self.faults.slowdown / speed;
         if work < MIN_WORK {
             self.finish(command);
         } else {
@@ -126,15 +129,15 @@
         let lifecycle = *self.lifecycle();
         let now = self.trace.now();
         let age = now - lifecycle.started_at;
-        if lifecycle.incarnation == 0 || age > self.model.cold_span {
+        if lifecycle.incarnation == 0 || age > self.model.warm_up {
             return false;
         }
         self.received.push_back((now, units));
-        while self.received.front().is_some_and(|(at, _)| at + self.model.fall_span < now) {
+        while self.received.front().is_some_and(|(at, _)| at + self.model.overload_window < now) {
             self.received.pop_front();
         }
         let sum: f64 = self.received.iter().map(|(_, units)| units).sum();
-        if sum > self.model.bears(age) {
+        if sum > self.model.overload_units(age) {
             self.overloaded = true;
             self.trace.record(TraceEvent::NodeOverloaded { node: self.index });
             self.crash();
--- a/crates/lab/src/node/server.rs
+++ b/crates/lab/src/node/server.rs
@@ -1,7 +1,7 @@
 //! Event loop of a stand-in node: connections, and what comes in on them.
 use super::faults::ActiveFaults;
 use super::queue::{PendingProtect, QueuedCommand, Running, TaskRef};
-use super::{FIRST_CONNECTION, LISTENER, Lifecycle, Model, NodeFault, WAKER};
+use super::{FIRST_CONNECTION, LISTENER, Lifecycle, NodeFault, ServiceModel, WAKER};
 use crate::block;
 use crate::trace::{Micros, Trace, TraceEvent};
 use mallowseam_connection_policy::admission::AdmissionController;
@@ -78,7 +78,7 @@
     pub(super) target: String,
     pub(super) poll: Poll,
     pub(super) listener: TcpListener,
-    pub(super) model: Model,
+    pub(super) model: ServiceModel,
     pub(super) trace: Trace,
     pub(super) seed: u64,
     pub(super) lifecycle: Arc<Mutex<Lifecycle>>,
@@ -92,7 +92,7 @@
     pub(super) clients: Clients,
     /// None while the process is down.
     pub(super) listener: Option<TcpListener>,
-    pub(super) model: Model,
+    pub(super) model: ServiceModel,
     pub(super) trace: Trace,
     pub(super) rng: Pcg64Mcg,
     /// Stored blocks by logical unit and address.
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -4,9 +4,9 @@
 mod faults;
 mod parse;
 
-pub use parse::{cold, node_figure, parse};
+pub use parse::{cold_start, node_option, parse};
 
-use crate::node::Model;
+use crate::node::ServiceModel;
 use crate::trace::Micros;
 
 /// What a script describes.
@@ -21,7 +21,7 @@
     /// Number of stand-in nodes.
     pub nodes: u32,
     /// Service model of every node.
-    pub model: Model,
+    pub model: ServiceModel,
     /// Number of clients.
     pub clients: u32,
     /// Commands a second of each client.
--- a/crates/lab/src/script/parse.rs
+++ b/crates/lab/src/script/parse.rs
@@ -1,6 +1,6 @@
 //! Reads the head of a script.
 use super::{CatalogScenario, Scenario, faults};
-use crate::node::Model;
+use crate::node::ServiceModel;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
 /// What a script's error message expects where a duration is missing.
@@ -44,7 +44,7 @@
         duration: 0,
         hosts: 0,
         nodes: 0,
-        model: Model::quick(1, 4_000.0, 32),
+        model: ServiceModel::warm(1, 4_000.0, 32),
         clients: 0,
         command_rate: 0.0,
         write_fraction: 0.0,
@@ -78,7 +78,7 @@
         "day" => scenario.duration = args.duration(DURATION).unwrap_or(1),
         "hosts" => scenario.hosts = args.integer("1 to 64", 1, 64).unwrap_or(1) as u32,
         "nodes" => nodes(scenario, args),
-        "cold" => cold(&mut scenario.model, args),
+        "cold" => cold_start(&mut scenario.model, args),
         "clients" => clients(scenario, args),
         "list-lag" => scenario.list_lag = args.duration(DURATION).unwrap_or(0),
         "kept-list" => scenario.cached_list = yes_or_no(args).unwrap_or(true),
@@ -102,7 +102,7 @@
 fn nodes(scenario: &mut Scenario, args: &mut Arguments) {
     scenario.nodes = args.integer("1 to 64", 1, 64).unwrap_or(1) as u32;
     while args.has_more() {
-        if !node_figure(&mut scenario.model, args) {
+        if !node_option(&mut scenario.model, args) {
             args.value::<()>("cores, work or queue", |_| None);
         }
     }
@@ -130,7 +130,7 @@
 }
 
 /// Reads one of the figures behind `nodes`; false where the next word names none.
-pub fn node_figure(model: &mut Model, args: &mut Arguments) -> bool {
+pub fn node_option(model: &mut ServiceModel, args: &mut Arguments) -> bool {
     if args.accept("cores") {
         model.cores = args.integer("1 to 64", 1, 64).unwrap_or(1) as usize;
     } else if args.accept("work") {
@@ -144,10 +144,10 @@
 }
 
 /// Reads what stands behind `cold`: how a node warms up, and what overloads it meanwhile.
-pub fn cold(model: &mut Model, args: &mut Arguments) {
-    model.cold_from = args.percent("a percentage").unwrap_or(1.0).max(0.01);
-    model.cold_span = args.duration(DURATION).unwrap_or(0);
-    model.fall_multiple = args.number("a multiple from 1 up", 1.0, 1e6).unwrap_or(1.0);
-    model.fall_span = args.duration(DURATION).unwrap_or(0);
-    model.cold_bears = args.number("units", 0.0, 1e9).unwrap_or(0.0);
+pub fn cold_start(model: &mut ServiceModel, args: &mut Arguments) {
+    model.initial_speed = args.percent("a percentage").unwrap_or(1.0).max(0.01);
+    model.warm_up = args.duration(DURATION).unwrap_or(0);
+    model.overload_factor = args.number("a multiple from 1 up", 1.0, 1e6).unwrap_or(1.0);
+    model.overload_window = args.duration(DURATION).unwrap_or(0);
+    model.tolerated_units = args.number("units", 0.0, 1e9).unwrap_or(0.0);
 }
--- a/crates/lab/src/snapshot_benchmark/sockets.rs
+++ b/crates/lab/src/snapshot_benchmark/sockets.rs
@@ -4,7 +4,7 @@
 use crate::block;
 use crate::blocking_client::BlockingClient;
 use crate::error::RunError;
-use crate::node::{Model, Node};
+use crate::node::{Node, ServiceModel};
 use crate::process::{KilledOnDrop, Program};
 use crate::trace::Trace;
 use mallowseam_gateway::send_request;
@@ -47,7 +47,7 @@
 impl Site {
     fn start(options: &Options, program: &Program) -> Result<Site, RunError> {
         let dir = tempfile::tempdir().map_err(RunError::io("temporary directory"))?;
-        let model = Model::quick(2, 50.0, 4096);
+        let model = ServiceModel::warm(2, 50.0, 4096);
         let mut nodes = Vec::new();
         for i in 0..NODES {
             let target = node_target(i);
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -2,7 +2,7 @@
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Model, Node};
+use mallowseam_lab::node::{Node, ServiceModel};
 use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 fn allocations(run: u8, write: bool, ios: u64) -> u64 {
     let pid = std::process::id();
     let address = |n| SocketAddr::from(([127, 252, pid as u8, run * 4 + n], 3260));
-    let model = Model::quick(8, 0.0, 64);
+    let model = ServiceModel::warm(8, 0.0, 64);
     let _node = Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
     let dir = tempfile::tempdir().expect("a directory");
     let control = dir.path().join("sock");
--- a/crates/lab/tests/audit.rs
+++ b/crates/lab/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The audit catches each broken rule in a doctored trace, and finds nothing in the sound one.
 use mallowseam_iscsi::scsi::status;
 use mallowseam_lab::audit::{EffectiveLimit, Layout, Verdict, judge};
-use mallowseam_lab::node::Model;
+use mallowseam_lab::node::ServiceModel;
 use mallowseam_lab::trace::{Micros, TraceEntry, TraceEvent};
 use mallowseam_settings::GatewayConfig;
 
@@ -148,16 +148,16 @@
 
     fn judge_with(&self, places: &Layout) -> Verdict {
         let site: GatewayConfig = mallowseam_settings::parse("site", SITE).expect("sound");
-        let model = Model {
+        let model = ServiceModel {
             cores: 1,
             unit_work: 100_000.0,
             unit_bytes: 4096,
             queue: 8,
-            cold_from: 0.25,
-            cold_span: 4_000_000,
-            fall_multiple: 2.0,
-            fall_span: 1_000_000,
-            cold_bears: 2.0,
+            initial_speed: 0.25,
+            warm_up: 4_000_000,
+            overload_factor: 2.0,
+            overload_window: 1_000_000,
+            tolerated_units: 2.0,
         };
         let mut seen = self.seen.clone();
         seen.sort_by_key(|s| s.at);
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -9,7 +9,7 @@
 use mallowseam_lab::fleet::links::{ConnectOutcome, LinkFault, Links, Peer, PeerSet, Pipe, PipeOutput};
 use mallowseam_lab::fleet::scenario::{self, FaultAction, IndexRange};
 use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
-use mallowseam_lab::node::Model;
+use mallowseam_lab::node::ServiceModel;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -123,12 +123,12 @@
     digest.numbers(&[
         s.node_model.cores as u64,
         s.node_model.queue as u64,
-        s.node_model.cold_span,
-        s.node_model.fall_span,
+        s.node_model.warm_up,
+        s.node_model.overload_window,
     ]);
     digest.float(s.node_model.unit_work);
-    digest.float(s.node_model.cold_from);
-    digest.float(s.node_model.fall_multiple);
+    digest.float(s.node_model.initial_speed);
+    digest.float(s.node_model.overload_factor);
     let w = &s.load;
     digest.float(w.operations_per_second);
     digest.float(w.write_fraction);
@@ -425,12 +425,12 @@
     let mut digest = Digest::new();
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let model = Model {
-            cold_from: 0.25,
-            cold_span: 800_000,
-            fall_multiple: 4.0,
-            fall_span: 200_000,
-            ..Model::quick(2, 10_000.0, 3)
+        let model = ServiceModel {
+            initial_speed: 0.25,
+            warm_up: 800_000,
+            overload_factor: 4.0,
+            overload_window: 200_000,
+            ..ServiceModel::warm(2, 10_000.0, 3)
         };
         let mut node = SimulatedNode::new(
             model,
@@ -459,7 +459,7 @@
                 u64::from(node.is_up(now)),
                 node.connections as u64,
             ]);
-            digest.float(node.warmth(now));
+            digest.float(node.speed_fraction(now));
         }
         digest.number(node.collapses);
         digest.float(node.peak_cold_load);
--- a/crates/lab/tests/fleet_model/simulated_node.rs
+++ b/crates/lab/tests/fleet_model/simulated_node.rs
@@ -1,13 +1,13 @@
 use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
-use mallowseam_lab::node::Model;
+use mallowseam_lab::node::ServiceModel;
 
 fn node() -> SimulatedNode<u32> {
-    let model = Model {
-        cold_from: 0.25,
-        cold_span: 8_000_000,
-        fall_multiple: 4.0,
-        fall_span: 2_000_000,
-        ..Model::quick(1, 10_000.0, 3)
+    let model = ServiceModel {
+        initial_speed: 0.25,
+        warm_up: 8_000_000,
+        overload_factor: 4.0,
+        overload_window: 2_000_000,
+        ..ServiceModel::warm(1, 10_000.0, 3)
     };
     SimulatedNode::new(model, NodeLimits { max_connections: 2, handshake: 5_000, restart_after: 3_000_000 })
 }
--- a/crates/lab/tests/host.rs
+++ b/crates/lab/tests/host.rs
@@ -7,7 +7,7 @@
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Model, Node, NodeFault};
+use mallowseam_lab::node::{Node, NodeFault, ServiceModel};
 use mallowseam_lab::trace::Trace;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -45,7 +45,7 @@
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let address =
             |n| SocketAddr::from(([127, 220 + (pid >> 8) as u8 % 30, pid as u8, run * 4 + n], 3260));
-        let model = Model::quick(8, work, 64);
+        let model = ServiceModel::warm(8, work, 64);
         let node = |n: u8| {
             let target = format!("iqn.t:node{n}");
             Node::start(n.into(), address(1 + n), &target, model.clone(), Trace::disabled(), 1)
--- a/crates/lab/tests/pinned.rs
+++ b/crates/lab/tests/pinned.rs
@@ -6,7 +6,7 @@
 use mallowseam_iscsi::scsi::{read_or_write_16, status};
 use mallowseam_lab::audit::{EffectiveLimit, Layout, Verdict, judge};
 use mallowseam_lab::load::{Load, LoadConfig, VolumeTarget};
-use mallowseam_lab::node::{Model, Node, NodeFault};
+use mallowseam_lab::node::{Node, NodeFault, ServiceModel};
 use mallowseam_lab::rehearsal::{plan_changes, shared_config};
 use mallowseam_lab::script::{Fault, Scenario, parse};
 use mallowseam_lab::trace::{Trace, TraceEntry, TraceEvent};
@@ -30,18 +30,18 @@
     assert_eq!(found, expected, "{name}: {found:#018x}, text begins\n{}", &text[..text.len().min(600)]);
 }
 
-fn model_text(model: &Model) -> String {
+fn model_text(model: &ServiceModel) -> String {
     format!(
         "{} {} {} {} {} {} {} {} {}",
         model.cores,
         model.unit_work,
         model.unit_bytes,
         model.queue,
-        model.cold_from,
-        model.cold_span,
-        model.fall_multiple,
-        model.fall_span,
-        model.cold_bears
+        model.initial_speed,
+        model.warm_up,
+        model.overload_factor,
+        model.overload_window,
+        model.tolerated_units
     )
 }
 
@@ -203,17 +203,17 @@
     target iqn.n1
 ";
 
-fn service_model() -> Model {
-    Model {
+fn service_model() -> ServiceModel {
+    ServiceModel {
         cores: 1,
         unit_work: 100_000.0,
         unit_bytes: 4096,
         queue: 8,
-        cold_from: 0.25,
-        cold_span: 4_000_000,
-        fall_multiple: 2.0,
-        fall_span: 1_000_000,
-        cold_bears: 2.0,
+        initial_speed: 0.25,
+        warm_up: 4_000_000,
+        overload_factor: 2.0,
+        overload_window: 1_000_000,
+        tolerated_units: 2.0,
     }
 }
 
@@ -386,11 +386,16 @@
 #[test]
 fn capacity_of_a_warming_node() {
     let mut out = String::new();
-    for model in [service_model(), Model::quick(8, 50.0, 64)] {
+    for model in [service_model(), ServiceModel::warm(8, 50.0, 64)] {
         writeln!(out, "{}", model_text(&model)).expect("memory");
         for age in (0..5_000_000).step_by(12_345) {
-            writeln!(out, "{:x} {:x}", model.warmth(age).to_bits(), model.bears(age).to_bits())
-                .expect("memory");
+            writeln!(
+                out,
+                "{:x} {:x}",
+                model.speed_fraction(age).to_bits(),
+                model.overload_units(age).to_bits()
+            )
+            .expect("memory");
         }
     }
     pinned("capacity", &out, 0xfe30_b396_54e7_44bc);
@@ -406,7 +411,7 @@
     let mut out = String::new();
     for seed in 1..4 {
         let address = free_address();
-        let model = Model::quick(2, 0.5, 64);
+        let model = ServiceModel::warm(2, 0.5, 64);
         let node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         // Faults are taken up before anything that is sent after them.
         node.inject(NodeFault::Errors(0.3));
@@ -434,7 +439,7 @@
     let mut out = String::new();
     for seed in 1..3 {
         let address = free_address();
-        let model = Model::quick(4, 0.0, 4096);
+        let model = ServiceModel::warm(4, 0.0, 4096);
         let _node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         let volume = |lun, plan: &str| VolumeTarget {
             lun,
--- a/crates/lab/tests/snapshots.rs
+++ b/crates/lab/tests/snapshots.rs
@@ -3,7 +3,7 @@
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::{Answer, BlockingClient};
-use mallowseam_lab::node::{Model, Node, NodeFault};
+use mallowseam_lab::node::{Node, NodeFault, ServiceModel};
 use mallowseam_lab::trace::Trace;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -37,7 +37,7 @@
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let (last, port) = ((run % 20 * 10 + 10) as u8, 3260 + run / 20);
         let address = |n| SocketAddr::from(([127, 180 + (pid >> 8) as u8 % 30, pid as u8, last + n], port));
-        let model = Model::quick(4, 50.0, 64);
+        let model = ServiceModel::warm(4, 50.0, 64);
         let node = |n: u8| {
             let target = format!("iqn.t:node{n}");
             Node::start(n.into(), address(n), &target, model.clone(), Trace::disabled(), 1).expect("a node")
--- a/crates/lab/tests/tariffs.rs
+++ b/crates/lab/tests/tariffs.rs
@@ -3,7 +3,7 @@
 use mallowseam_iscsi::scsi;
 use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Model, Node};
+use mallowseam_lab::node::{Node, ServiceModel};
 use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -46,7 +46,7 @@
             );
             std::fs::write(dir.path().join(format!("conf{i}")), text).expect("a file");
         }
-        let model = Model::quick(4, 50.0, 64);
+        let model = ServiceModel::warm(4, 50.0, 64);
         let node = Node::start(0, address(5), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
         let at = vec![address(0), address(1)];
         let mut rig = Rig { dir, service: None, hosts: vec![None, None], at, _node: node };
