--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -118,14 +118,14 @@
 }
 
 /// What every session is negotiated with.
-fn session_wishes(site: &GatewayConfig) -> ProposedParams {
+fn session_proposal(site: &GatewayConfig) -> ProposedParams {
     let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
     ProposedParams { digests, ..ProposedParams::default() }
 }
 
 fn open_clients(site: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
     let terms = Rc::new(TargetConfig {
-        proposal: session_wishes(site),
+        proposal: session_proposal(site),
         command_window: site.host.command_window,
         max_transfer_bytes: site.host.max_transfer_bytes as usize,
         target_names: vec![site.host.target.clone()],
@@ -139,7 +139,7 @@
 fn open_nodes(site: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
     let initiator = format!("{}:{}", site.host.target, site.host.name);
     let registry = startup::registry(poll)?;
-    Ok(Nodes::new(&site.nodes, initiator, session_wishes(site), registry, FIRST_NODE))
+    Ok(Nodes::new(&site.nodes, initiator, session_proposal(site), registry, FIRST_NODE))
 }
 
 /// The catalog's client, where the site has a catalog and a volume of the host is mapped.
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -86,7 +86,7 @@
 pub(crate) struct Nodes {
     all: Vec<Node>,
     initiator: String,
-    wishes: ProposedParams,
+    proposal: ProposedParams,
     registry: Registry,
     first_token: usize,
     /// Finished attempts that the owner has not taken yet.
@@ -100,7 +100,7 @@
     pub(crate) fn new(
         nodes: &[config::Node],
         initiator: String,
-        wishes: ProposedParams,
+        proposal: ProposedParams,
         registry: Registry,
         first_token: usize,
     ) -> Self {
@@ -118,7 +118,7 @@
         Nodes {
             all: nodes.iter().map(node).collect(),
             initiator,
-            wishes,
+            proposal,
             registry,
             first_token,
             finished: VecDeque::new(),
@@ -189,7 +189,7 @@
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, Token(self.first_token + index), interest)?;
-        let conn = InitiatorConnection::new(&self.initiator, Some(&node.target), ISID, &self.wishes);
+        let conn = InitiatorConnection::new(&self.initiator, Some(&node.target), ISID, &self.proposal);
         node.link = Some(Link { socket, conn });
         node.readable = false;
         self.mark_dirty(index);
