--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -1,8 +1,6 @@
 //! Each module's decisions over long seeded streams of events, compared with recorded values.
 //!
 //! A value that differs means that a decision has changed: a constant, a comparison or an order of steps.
-mod support;
-
 use mallowseam_connection_policy::admission::{
     AdmissionController, CloseReason, ConnectionState, LoginRejection, TimeoutAction,
 };
@@ -16,10 +14,20 @@
 use mallowseam_connection_policy::resource_budget::ResourceBudget;
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_connection_policy::watch_slots::WatchSlots;
-use support::{Digest, SeededRng, assert_pinned, step};
+use mallowseam_test_support::{Digest, SeededRng, assert_pinned};
 
 const EVENTS: usize = 4_000;
 
+/// Steps of the clock in milliseconds: mostly short, at times just short of one of `spans` or just on it, so that
+/// limits are met from both sides.
+fn step(rng: &mut SeededRng, spans: &[u64]) -> u64 {
+    match rng.below(20) {
+        0 => rng.pick(spans) - rng.below(2),
+        1 => rng.below(500),
+        _ => rng.below(3),
+    }
+}
+
 #[test]
 fn decisions_on_admission_are_the_recorded_ones() {
     assert_pinned(&ADMISSION, |rng, digest| {
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -14,6 +14,7 @@
 use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
+use mallowseam_test_support::{Digest, SeededRng};
 use std::collections::{BTreeSet, VecDeque};
 
 const STEPS: usize = 2_000;
@@ -21,40 +22,12 @@
 const NODES: u64 = 3;
 const HOSTS: usize = 3;
 
-/// SplitMix64.
-struct Rng(u64);
-
-impl Rng {
-    fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
-    }
-
-    fn below(&mut self, bound: u64) -> u64 {
-        self.next() % bound.max(1)
-    }
-
-    fn pick<'a, T>(&mut self, from: &'a [T]) -> Option<&'a T> {
-        if from.is_empty() {
-            return None;
-        }
-        from.get(self.below(from.len() as u64) as usize)
-    }
-}
-
-/// FNV-1a over values of eight bytes and over texts with their lengths.
-struct Record(u64);
+/// A digest of values of eight bytes, and of texts with their lengths.
+struct Record(Digest);
 
 impl Record {
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    }
-
     fn number(&mut self, value: u64) {
-        value.to_le_bytes().into_iter().for_each(|b| self.byte(b));
+        self.0.add(value);
     }
 
     fn numbers(&mut self, values: impl IntoIterator<Item = u64>) {
@@ -65,7 +38,7 @@
 
     fn text(&mut self, text: &str) {
         self.number(text.len() as u64);
-        text.bytes().for_each(|b| self.byte(b));
+        self.0.add_bytes(text.as_bytes());
     }
 
     fn location(&mut self, layer: LayerId, location: Location) {
@@ -126,7 +99,7 @@
 }
 
 struct Run {
-    rng: Rng,
+    rng: SeededRng,
     record: Record,
     now: u64,
     tree: Tree,
@@ -150,8 +123,8 @@
             copying: Vec::new(),
         };
         let mut run = Run {
-            rng: Rng(seed),
-            record: Record(0xcbf2_9ce4_8422_2325),
+            rng: SeededRng::new(seed),
+            record: Record(Digest::default()),
             now: 10,
             tree: Tree::default(),
             leases: HostLeases::new(10, seed.is_multiple_of(2)),
@@ -214,17 +187,17 @@
 
     fn branch(&mut self) -> String {
         let names: Vec<String> = self.tree.branches.keys().cloned().collect();
-        self.rng.pick(&names).cloned().unwrap_or_default()
+        self.rng.choose(&names).cloned().unwrap_or_default()
     }
 
     fn snapshot(&mut self) -> Option<String> {
         let names: Vec<String> = self.tree.snapshots.keys().cloned().collect();
-        self.rng.pick(&names).cloned()
+        self.rng.choose(&names).cloned()
     }
 
     fn layer(&mut self) -> LayerId {
         let layers: Vec<LayerId> = self.tree.layers.keys().copied().collect();
-        self.rng.pick(&layers).copied().unwrap_or_default()
+        self.rng.choose(&layers).copied().unwrap_or_default()
     }
 
     fn name(&mut self) -> String {
@@ -565,7 +538,7 @@
     let mut run = Run::new(seed);
     (0..STEPS).for_each(|_| run.step());
     run.query();
-    run.record.0
+    run.record.0.value()
 }
 
 const RECORDED: [u64; 20] = [
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -4,6 +4,7 @@
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, MAX_ENDPOINTS, MAX_LINE_BYTES,
     ProtocolError, UpdateKind, WatchEvent, write_update,
 };
+use mallowseam_test_support::{Digest, SeededRng};
 use std::fmt::Write;
 
 const STATES: [EndpointState; 3] = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
@@ -16,15 +17,6 @@
 const CHANGES: &str = "list 9 4 changes 1\nnode a1 left 5 20\n";
 const EMPTY: &str = "list 18446744073709551615 0 whole 0\n";
 
-/// FNV-1a, so that the test needs no dependency.
-fn digest(text: &str) -> String {
-    let mut hash = 0xcbf2_9ce4_8422_2325_u64;
-    for byte in text.bytes() {
-        hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    }
-    format!("{hash:016x}")
-}
-
 fn entry(name: &str, state: EndpointState, incarnation: u64, uptime_ms: u64) -> Endpoint {
     Endpoint { name: name.into(), state, incarnation, uptime_ms }
 }
@@ -127,7 +119,7 @@
     let stream = [WHOLE, CHANGES, WHOLE, EMPTY].concat();
     let mut whole = EndpointWatcher::default();
     let expected = receive(&mut whole, stream.as_bytes());
-    assert_eq!(digest(&expected), "b4d9425216ca6a11");
+    assert_eq!(Digest::of_text(&expected), "b4d9425216ca6a11");
     let mut record = String::new();
     for cut in 0..=stream.len() {
         let mut watcher = EndpointWatcher::default();
@@ -141,7 +133,7 @@
         assert_eq!(watcher.write_cache(), whole.write_cache(), "cut at {cut}");
         assert_eq!(watcher.version(), whole.version(), "cut at {cut}");
     }
-    assert_eq!(digest(&record), "0ca0b0735046eb32");
+    assert_eq!(Digest::of_text(&record), "0ca0b0735046eb32");
 }
 
 #[test]
@@ -157,7 +149,7 @@
         let without = [&stream.as_bytes()[..place], &stream.as_bytes()[place + 1..]].concat();
         record += &receive(&mut EndpointWatcher::default(), &without);
     }
-    assert_eq!(digest(&record), "0f1181697cab83e4");
+    assert_eq!(Digest::of_text(&record), "0f1181697cab83e4");
 }
 
 #[test]
@@ -170,7 +162,7 @@
             writeln!(record, "{}", restore(&text)).expect("writing to memory");
         }
     }
-    assert_eq!(digest(&record), "7488227ee72a9703");
+    assert_eq!(Digest::of_text(&record), "7488227ee72a9703");
 }
 
 #[test]
@@ -211,25 +203,16 @@
     );
 }
 
-/// SplitMix64, so that the stream of lists depends on no library.
-fn random(state: &mut u64, bound: u64) -> u64 {
-    *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let mut mixed = *state;
-    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    (mixed ^ (mixed >> 31)) % bound
-}
-
 /// Lists of random epochs, versions and runs, in pieces, with connections that are lost now and then.
 fn play(seed: u64) -> String {
-    let (mut state, mut record) = (seed, String::new());
+    let (mut rng, mut record) = (SeededRng::new(seed), String::new());
     let mut watcher = EndpointWatcher::default();
     let (mut epoch, mut version) = (1, 1);
     for _ in 0..1_000 {
-        match random(&mut state, 12) {
-            0 => (epoch, version) = (epoch + random(&mut state, 2), random(&mut state, 3)),
-            1 => version += random(&mut state, 3),
-            2 => version = version.saturating_sub(random(&mut state, 3)),
+        match rng.below(12) {
+            0 => (epoch, version) = (epoch + rng.below(2), rng.below(3)),
+            1 => version += rng.below(3),
+            2 => version = version.saturating_sub(rng.below(3)),
             3 => watcher.on_reconnect(),
             4 => {
                 let cached = watcher.write_cache();
@@ -239,26 +222,25 @@
             }
             _ => version += 1,
         }
-        let entries: Vec<Endpoint> = (0..random(&mut state, 5))
+        let entries: Vec<Endpoint> = (0..rng.below(5))
             .map(|_| {
-                let name = format!("n{}", random(&mut state, 6));
-                let endpoint_state = STATES[random(&mut state, 3) as usize];
-                entry(&name, endpoint_state, random(&mut state, 4), random(&mut state, 1_000))
+                let name = format!("n{}", rng.below(6));
+                let endpoint_state = STATES[rng.below(3) as usize];
+                entry(&name, endpoint_state, rng.below(4), rng.below(1_000))
             })
             .collect();
         let mut text = String::new();
-        let kind =
-            if random(&mut state, 4) == 0 { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
+        let kind = if rng.below(4) == 0 { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
         write_update(&mut text, ListVersion { epoch, version }, kind, &entries);
-        let cut = random(&mut state, text.len() as u64 + 1) as usize;
+        let cut = rng.below(text.len() as u64 + 1) as usize;
         record += &receive(&mut watcher, &text.as_bytes()[..cut]);
-        if random(&mut state, 20) == 0 {
+        if rng.below(20) == 0 {
             watcher.on_reconnect();
         } else {
             record += &receive(&mut watcher, &text.as_bytes()[cut..]);
         }
     }
-    digest(&record)
+    Digest::of_text(&record)
 }
 
 #[test]
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -8,31 +8,11 @@
     self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message, RangeDigest,
 };
 use mallowseam_fleet::{ActionSink, Membership, MembershipEvent, Millis};
+use mallowseam_test_support::SeededRng;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// The test's own random numbers (SplitMix64), so that no library's stream is part of the pin.
-struct Rng(u64);
-
-impl Rng {
-    fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
-    }
-
-    fn below(&mut self, bound: u64) -> u64 {
-        self.next() % bound.max(1)
-    }
-
-    fn one_in(&mut self, count: u64) -> bool {
-        self.below(count) == 0
-    }
-}
-
 /// Hash of all actions, and how many of each kind there were.
 struct Recorder {
     hash: Xxh3Default,
@@ -165,7 +145,7 @@
 
 /// A handful of members, and a network that loses, doubles, delays, reorders and corrupts.
 struct Simulation {
-    rng: Rng,
+    rng: SeededRng,
     hosts: Vec<Host>,
     network: VecDeque<Datagram>,
     /// Hosts that can't reach the others, as bits.
@@ -178,7 +158,7 @@
 
 impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut rng = Rng(seed);
+        let mut rng = SeededRng::new(seed);
         let count = 3 + rng.below(5);
         let hosts = (0..count).map(|n| Host { fleet: None, stopped_until: 0, name: n }).collect();
         let period = [100, 250, 1_000][rng.below(3) as usize];
@@ -206,7 +186,7 @@
         config.unreachable_retention = 45 * self.period;
         config.local_health = host != 2 || self.period != 250;
         config.suspicion_confirmations = host != 1 || self.period != 250;
-        let seed = self.rng.next();
+        let seed = self.rng.next_u64();
         self.hosts[host].fleet = Some(Membership::new(config, seed, self.now, 1_700_000_000_000 + self.now));
     }
 
@@ -274,7 +254,7 @@
                 self.hosts[host].fleet = None;
             }
             3 => self.hosts[host].stopped_until = self.now + self.rng.below(8) * self.period,
-            4 => self.cut = self.rng.next(),
+            4 => self.cut = self.rng.next_u64(),
             5..=7 => self.cut = 0,
             8 => self.loss = self.rng.below(40),
             9 => self.loss = 0,
@@ -294,7 +274,7 @@
                 self.with(host, |f, _, _| f.set_seeds(seeds));
             }
             13 => {
-                let query = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next() });
+                let query = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next_u64() });
                 let from = address(200);
                 self.with(host, |f, now, out| f.receive(from, &query, now, out));
             }
@@ -377,7 +357,7 @@
 // One member among many: bounds on answers, pages, indirect pings and gossip.
 
 struct LargeFleet {
-    rng: Rng,
+    rng: SeededRng,
     member: Membership,
     now: Millis,
     recorder: Recorder,
@@ -404,7 +384,7 @@
     fn new(seed: u64) -> Self {
         let config = MembershipConfig::new(name("pins"), name("own"), address(0));
         let member = Membership::new(config, seed, 0, 1_700_000_000_000);
-        LargeFleet { rng: Rng(seed), member, now: 0, recorder: Recorder::new(), sent: 0 }
+        LargeFleet { rng: SeededRng::new(seed), member, now: 0, recorder: Recorder::new(), sent: 0 }
     }
 
     fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
@@ -433,7 +413,7 @@
     }
 
     fn random_body(&mut self) -> GossipBody {
-        let range = |rng: &mut Rng| {
+        let range = |rng: &mut SeededRng| {
             let depth = [0, 4, 8, 60, 64][rng.below(5) as usize];
             IdRange { prefix_bits: depth, prefix: rng.below(16) }
         };
@@ -443,7 +423,7 @@
             1 => GossipBody::Ack { sequence: number },
             2 | 3 => GossipBody::PingRequest {
                 sequence: number,
-                target_id: self.rng.next(),
+                target_id: self.rng.next_u64(),
                 target_address: address(self.rng.below(700)),
             },
             4 => GossipBody::PingRequestResult { sequence: number, acknowledged: self.rng.one_in(2) },
--- a/crates/placement/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -12,41 +12,16 @@
 use mallowseam_placement::tuning::{MAX_WEIGHT, tune};
 use mallowseam_placement::upper_bound::gain_upper_bound;
 use mallowseam_placement::{Placement, assignments};
+use mallowseam_test_support::{Digest, SeededRng};
 use std::fmt::Write;
 
-/// SplitMix64, so that the problems depend on no library.
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.0;
-        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (mixed ^ (mixed >> 31)) % bound
-    }
-
-    fn one_in(&mut self, n: u64) -> bool {
-        self.below(n) == 0
-    }
-}
-
-/// FNV-1a, so that the test needs no dependency.
-fn digest(text: &str) -> String {
-    let mut hash = 0xcbf2_9ce4_8422_2325_u64;
-    for byte in text.bytes() {
-        hash = (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    }
-    format!("{hash:016x}")
-}
-
-fn problem(random: &mut Random, volumes: u64, nodes: u64, most_reserved: u64) -> Problem {
+fn problem(rng: &mut SeededRng, volumes: u64, nodes: u64, most_reserved: u64) -> Problem {
     let nodes: Vec<Node> = (0..nodes)
         .map(|n| Node {
             name: format!("n{n:02}"),
             zone: format!("z{}", n % 3),
-            capacity: if random.one_in(12) { 0 } else { 20_000 + random.below(30_000) },
-            cost: random.below(5),
+            capacity: if rng.one_in(12) { 0 } else { 20_000 + rng.below(30_000) },
+            cost: rng.below(5),
         })
         .collect();
     let names: Vec<String> = nodes.iter().map(|n| n.name.clone()).collect();
@@ -54,24 +29,24 @@
     let mean = (capacity / volumes).max(2);
     let volumes = (0..volumes)
         .map(|v| {
-            let spread = 1 + random.below(3.min(names.len() as u64)) as usize;
-            let reserve = if random.one_in(4) { 0 } else { random.below(most_reserved * mean / 100) };
-            let first = random.below(names.len() as u64) as usize;
-            let placed_on = if random.one_in(5) { 0 } else { spread };
+            let spread = 1 + rng.below(3.min(names.len() as u64)) as usize;
+            let reserve = if rng.one_in(4) { 0 } else { rng.below(most_reserved * mean / 100) };
+            let first = rng.below(names.len() as u64) as usize;
+            let placed_on = if rng.one_in(5) { 0 } else { spread };
             Volume {
                 name: format!("v{v:03}"),
                 reserved_rate: reserve,
-                max_reserved_rate: reserve + random.below(mean),
-                rate_limit: random.below(mean * 2),
-                surge_rate: reserve + random.below(mean * 2),
-                weight: 1 + random.below(4),
-                priority_factor: [500, 900, 1000, 1800][random.below(4) as usize],
+                max_reserved_rate: reserve + rng.below(mean),
+                rate_limit: rng.below(mean * 2),
+                surge_rate: reserve + rng.below(mean * 2),
+                weight: 1 + rng.below(4),
+                priority_factor: [500, 900, 1000, 1800][rng.below(4) as usize],
                 spread,
-                survives_node_loss: spread > 1 && random.one_in(3),
-                survives_zone_loss: spread > 1 && random.one_in(6),
-                distinct_zones: spread > 1 && random.one_in(4),
-                zone: random.one_in(8).then(|| format!("z{}", random.below(2))),
-                size: if random.one_in(4) { random.below(3) } else { random.below(300) },
+                survives_node_loss: spread > 1 && rng.one_in(3),
+                survives_zone_loss: spread > 1 && rng.one_in(6),
+                distinct_zones: spread > 1 && rng.one_in(4),
+                zone: rng.one_in(8).then(|| format!("z{}", rng.below(2))),
+                size: if rng.one_in(4) { rng.below(3) } else { rng.below(300) },
                 current_nodes: (0..placed_on).map(|n| names[(first + n) % names.len()].clone()).collect(),
             }
         })
@@ -86,11 +61,11 @@
 }
 
 /// Everything that can be said of one placement, and the migration to it from the current one.
-fn describe_placement(p: &Problem, placement: &Placement, random: &mut Random) -> String {
+fn describe_placement(p: &Problem, placement: &Placement, rng: &mut SeededRng) -> String {
     let mut text = describe_objective(&objective(p, placement));
     let all = assignments(placement);
     let chosen = tune(p, placement);
-    let asked: Vec<u64> = p.volumes.iter().map(|v| random.below(v.surge_rate * 2 + 1)).collect();
+    let asked: Vec<u64> = p.volumes.iter().map(|v| rng.below(v.surge_rate * 2 + 1)).collect();
     let shares: Vec<VolumeShare> = chosen
         .reserved_rates
         .iter()
@@ -111,7 +86,7 @@
     let used = cost(p, placement.iter().flatten().copied());
     write!(text, " cost {used}").expect("writing to memory");
     let from = current_placement(p);
-    for most in [None, Some(u128::from(random.below(800)) * SCALE as u128)] {
+    for most in [None, Some(u128::from(rng.below(800)) * SCALE as u128)] {
         let plan = plan_migration(p, &from, placement, most);
         for step in &plan.steps {
             write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
@@ -124,9 +99,9 @@
 }
 
 fn small(seed: u64) -> String {
-    let random = &mut Random(seed);
-    let (volumes, nodes) = (2 + random.below(4), 2 + random.below(3));
-    let p = problem(random, volumes, nodes, 75);
+    let rng = &mut SeededRng::new(seed);
+    let (volumes, nodes) = (2 + rng.below(4), 2 + rng.below(3));
+    let p = problem(rng, volumes, nodes, 75);
     let mut text = format!("{}", gain_upper_bound(&p));
     for constraint in p.constraints() {
         write!(text, " {}", p.describe(constraint)).expect("writing to memory");
@@ -134,11 +109,11 @@
     for volume in 0..p.volumes.len() {
         write!(text, " {:?}", p.allowed_node_sets(volume, &|_| true)).expect("writing to memory");
     }
-    let most_steps = if random.one_in(4) { 30 } else { 20_000 };
-    let steps = 1 + random.below(most_steps);
+    let most_steps = if rng.one_in(4) { 30 } else { 20_000 };
+    let steps = 1 + rng.below(most_steps);
     match solve(&p, steps) {
         SolveOutcome::Optimal(best) => {
-            write!(text, " best {}", describe_placement(&p, &best.placement.0, random))
+            write!(text, " best {}", describe_placement(&p, &best.placement.0, rng))
                 .expect("writing to memory");
         }
         SolveOutcome::Infeasible => {
@@ -161,10 +136,10 @@
 }
 
 fn large(seed: u64) -> String {
-    let random = &mut Random(seed);
-    let (volumes, nodes) = (20 + random.below(30), 6 + random.below(6));
-    let most_reserved = 30 + random.below(40);
-    let p = problem(random, volumes, nodes, most_reserved);
+    let rng = &mut SeededRng::new(seed);
+    let (volumes, nodes) = (20 + rng.below(30), 6 + rng.below(6));
+    let most_reserved = 30 + rng.below(40);
+    let p = problem(rng, volumes, nodes, most_reserved);
     let mut text = String::new();
     for from_current in [false, true] {
         let mut search = LocalSearch::new(&p, seed);
@@ -182,7 +157,7 @@
                 .expect("memory");
         }
         if let Some(best) = search.objective().filter(|_| volumes < 30) {
-            text += &describe_placement(&p, &best.placement.0, random);
+            text += &describe_placement(&p, &best.placement.0, rng);
         }
     }
     text
@@ -190,10 +165,10 @@
 
 /// Volumes that fill over half of a node each change places, with little room to pass.
 fn exchange(seed: u64) -> String {
-    let random = &mut Random(seed);
+    let rng = &mut SeededRng::new(seed);
     let node =
         |n: u64, capacity| Node { name: format!("n{n}"), zone: format!("z{}", n % 2), capacity, cost: 0 };
-    let nodes: Vec<Node> = (0..5).map(|n| node(n, if n == 4 { 4 + random.below(10) } else { 10 })).collect();
+    let nodes: Vec<Node> = (0..5).map(|n| node(n, if n == 4 { 4 + rng.below(10) } else { 10 })).collect();
     let volume = |v: u64, reserve, size| Volume {
         name: format!("v{v}"),
         reserved_rate: reserve,
@@ -204,17 +179,17 @@
         current_nodes: [format!("n{v}")].into(),
         ..Volume::default()
     };
-    let volumes = (0..4).map(|v| volume(v, 3 + random.below(7), random.below(100))).collect();
+    let volumes = (0..4).map(|v| volume(v, 3 + rng.below(7), rng.below(100))).collect();
     let p = Problem::new(nodes, volumes).expect("sound");
     let mut to: Vec<usize> = vec![0, 1, 2, 3];
     for last in (1..4).rev() {
-        to.swap(last, random.below(last as u64 + 1) as usize);
+        to.swap(last, rng.below(last as u64 + 1) as usize);
     }
     let to: Placement = to.into_iter().map(|n| vec![n]).collect();
     // Now and then the bound on the data is met exactly.
-    let most = match random.below(3) {
+    let most = match rng.below(3) {
         0 => None,
-        1 => Some(u128::from(random.below(600)) * SCALE as u128),
+        1 => Some(u128::from(rng.below(600)) * SCALE as u128),
         _ => Some(u128::from(p.volumes[0].size + p.volumes[1].size) * SCALE as u128),
     };
     let plan = plan_migration(&p, &current_placement(&p), &to, most);
@@ -229,13 +204,13 @@
 
 /// Reserves that nearly fill all nodes: a first placement needs repairs, and may not be found.
 fn tight(seed: u64) -> String {
-    let random = &mut Random(seed);
+    let rng = &mut SeededRng::new(seed);
     let node = |n: u64| Node { name: format!("n{n}"), zone: "z".into(), capacity: 1_000, cost: 0 };
     let nodes: Vec<Node> = (0..4).map(node).collect();
     let mut volumes = Vec::new();
-    let mut left = 3_700 + random.below(300);
+    let mut left = 3_700 + rng.below(300);
     while left > 0 {
-        let reserve = (100 + random.below(300)).min(left);
+        let reserve = (100 + rng.below(300)).min(left);
         left -= reserve;
         volumes.push(Volume {
             name: format!("v{:02}", volumes.len()),
@@ -255,12 +230,11 @@
 }
 
 fn split_limits(seed: u64) -> String {
-    let random = &mut Random(seed);
+    let rng = &mut SeededRng::new(seed);
     let mut text = String::new();
     for _ in 0..50 {
-        let sent: Vec<u64> =
-            (0..random.below(7)).map(|_| random.below(4) * random.below(1_000_000)).collect();
-        let (limit, floor) = (random.below(MAX_NUMBER), random.below(1_200));
+        let sent: Vec<u64> = (0..rng.below(7)).map(|_| rng.below(4) * rng.below(1_000_000)).collect();
+        let (limit, floor) = (rng.below(MAX_NUMBER), rng.below(1_200));
         write!(text, "{:?} ", split_limit(limit, &sent, floor)).expect("writing to memory");
     }
     text
@@ -269,7 +243,7 @@
 #[test]
 fn small_problems_are_answered_as_recorded() {
     let digests: Vec<String> = (0..20)
-        .map(|seed| digest(&(0..15).map(|n| small(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .map(|seed| Digest::of_text(&(0..15).map(|n| small(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
         .collect();
     assert_eq!(
         digests,
@@ -300,7 +274,7 @@
 
 #[test]
 fn large_problems_are_answered_as_recorded() {
-    let digests: Vec<String> = (0..10).map(|seed| digest(&large(seed))).collect();
+    let digests: Vec<String> = (0..10).map(|seed| Digest::of_text(&large(seed))).collect();
     assert_eq!(
         digests,
         [
@@ -321,7 +295,9 @@
 #[test]
 fn exchanges_are_planned_as_recorded() {
     let digests: Vec<String> = (0..10)
-        .map(|seed| digest(&(0..20).map(|n| exchange(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .map(|seed| {
+            Digest::of_text(&(0..20).map(|n| exchange(seed * 1_000 + n)).collect::<Vec<_>>().join("\n"))
+        })
         .collect();
     assert_eq!(
         digests,
@@ -343,7 +319,7 @@
 #[test]
 fn tight_problems_are_repaired_as_recorded() {
     let digests: Vec<String> = (0..10)
-        .map(|seed| digest(&(0..30).map(|n| tight(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .map(|seed| Digest::of_text(&(0..30).map(|n| tight(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
         .collect();
     assert_eq!(
         digests,
@@ -364,7 +340,7 @@
 
 #[test]
 fn limits_are_split_as_recorded() {
-    let digests: Vec<String> = (0..5).map(|seed| digest(&split_limits(seed))).collect();
+    let digests: Vec<String> = (0..5).map(|seed| Digest::of_text(&split_limits(seed))).collect();
     assert_eq!(
         digests,
         ["69098107eaa51e6a", "63445d223f22b005", "3e42016aacd52221", "d1056cf63894c585", "ffc60d86e8869e9e"]
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -9,6 +9,7 @@
 use mallowseam_plans::rollout::{Rollout, RolloutBlocker, SILENT_AFTER};
 use mallowseam_plans::state::{Change, MAX_PARAMETER, Plan};
 use mallowseam_plans::{MilliUnits, Millis};
+use mallowseam_test_support::SeededRng;
 use std::fmt::Write;
 
 const EVENTS_PER_SEED: usize = 2_000;
@@ -16,26 +17,9 @@
 const VOLUMES: [&str; 3] = ["water", "gas", "light"];
 const PLANS: [&str; 3] = ["basic", "silver", "gold"];
 
-/// SplitMix64, so that the stream of events depends on no library.
-struct Random(u64);
-
-impl Random {
-    fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.0;
-        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (mixed ^ (mixed >> 31)) % bound
-    }
-
-    fn pick<'a>(&mut self, names: &[&'a str]) -> &'a str {
-        names[self.below(names.len() as u64) as usize]
-    }
-}
-
 /// One control service and its hosts, with a record of everything that they did.
 struct Scenario {
-    random: Random,
+    rng: SeededRng,
     now: Millis,
     trail: ChangeLog,
     lines: Vec<String>,
@@ -49,7 +33,7 @@
 impl Scenario {
     fn new(seed: u64) -> Scenario {
         let mut scenario = Scenario {
-            random: Random(seed),
+            rng: SeededRng::new(seed),
             now: 10_000,
             trail: ChangeLog::default(),
             lines: Vec::new(),
@@ -72,12 +56,12 @@
     }
 
     fn play(&mut self) {
-        self.now += match self.random.below(10) {
-            0 => self.random.below(2_000),
-            1..4 => self.random.below(200),
-            _ => self.random.below(20),
+        self.now += match self.rng.below(10) {
+            0 => self.rng.below(2_000),
+            1..4 => self.rng.below(200),
+            _ => self.rng.below(20),
         };
-        match self.random.below(12) {
+        match self.rng.below(12) {
             0 => self.change_plans(),
             1 | 2 => self.replicate(),
             3 | 4 => self.answer_version(),
@@ -87,17 +71,16 @@
             10 => self.connect(),
             _ => self.use_quota(),
         }
-        if self.random.below(3) == 0 {
+        if self.rng.below(3) == 0 {
             self.note_quotas();
         }
     }
 
     fn change_plans(&mut self) {
-        let expected = self.trail.state.version.saturating_sub(self.random.below(8) / 7);
+        let expected = self.trail.state.version.saturating_sub(self.rng.below(8) / 7);
         let change = self.random_change();
-        let author = if self.random.below(30) == 0 { " " } else { "board" };
-        let reason =
-            "x".repeat(if self.random.below(10) == 0 { 500 + self.random.below(2) as usize } else { 10 });
+        let author = if self.rng.below(30) == 0 { " " } else { "board" };
+        let reason = "x".repeat(if self.rng.below(10) == 0 { 500 + self.rng.below(2) as usize } else { 10 });
         let seconds = 1_800_000_000 + self.now / 1_000;
         match self.trail.propose(expected, author, &reason, seconds, change.clone()) {
             Ok(line) => {
@@ -112,7 +95,7 @@
                     self.trail.last_hash()
                 ));
                 self.lines.push(line);
-                if self.random.below(2) == 0 {
+                if self.rng.below(2) == 0 {
                     self.hosts.mark_limit_lowered(self.trail.state.version);
                 }
             }
@@ -121,13 +104,13 @@
     }
 
     fn random_change(&mut self) -> Change {
-        let plan = self.random.pick(&PLANS).to_owned();
-        let volume = match self.random.below(12) {
+        let plan = self.rng.pick(&PLANS).to_owned();
+        let volume = match self.rng.below(12) {
             0 => "no such volume".to_owned(),
-            1 => "v".repeat(63 + self.random.below(3) as usize),
-            _ => self.random.pick(&VOLUMES).to_owned(),
+            1 => "v".repeat(63 + self.rng.below(3) as usize),
+            _ => self.rng.pick(&VOLUMES).to_owned(),
         };
-        match self.random.below(10) {
+        match self.rng.below(10) {
             0 => Change::RemovePlan { name: plan },
             1 => Change::RemoveVolume { volume },
             2..6 => Change::AssignPlan { volume, plan },
@@ -136,13 +119,13 @@
     }
 
     fn random_figures(&mut self) -> Plan {
-        let limit = self.random.below(8) * 123_457;
-        let price = if self.random.below(10) == 0 { MAX_PARAMETER + self.random.below(2) } else { 1_000 };
+        let limit = self.rng.below(8) * 123_457;
+        let price = if self.rng.below(10) == 0 { MAX_PARAMETER + self.rng.below(2) } else { 1_000 };
         Plan {
-            usual_rate: self.random.below(1_000),
-            reserved_rate: self.random.below(200_000),
+            usual_rate: self.rng.below(1_000),
+            reserved_rate: self.rng.below(200_000),
             rate_limit: limit,
-            burst_units: self.random.below(20) * 500,
+            burst_units: self.rng.below(20) * 500,
             weight: 1_000,
             priority_factor: price,
         }
@@ -150,17 +133,17 @@
 
     /// A replica receives lines or a whole state.
     fn replicate(&mut self) {
-        let host = self.random.below(HOSTS) as usize;
+        let host = self.rng.below(HOSTS) as usize;
         let HostMessage::Hello { version, .. } = self.replicas[host].hello() else { unreachable!() };
-        let message = if self.random.below(5) == 0 {
+        let message = if self.rng.below(5) == 0 {
             let last =
-                if self.random.below(6) == 0 { "x".to_owned() } else { self.trail.last_hash().to_owned() };
+                if self.rng.below(6) == 0 { "x".to_owned() } else { self.trail.last_hash().to_owned() };
             ServiceMessage::Snapshot { state: Box::new(self.trail.state.clone()), last_hash: last }
         } else {
-            let skipped = self.random.below(8) / 7;
+            let skipped = self.rng.below(8) / 7;
             let Some(text) = self.lines.get((version + skipped) as usize) else { return };
             let mut text = text.clone();
-            if self.random.below(20) == 0 {
+            if self.rng.below(20) == 0 {
                 text.insert(1, ' ');
             }
             ServiceMessage::LogEntry { text }
@@ -172,7 +155,7 @@
 
     fn send_to_replica(&mut self, host: usize, message: ServiceMessage) -> Option<HostMessage> {
         let wanted: Vec<MilliUnits> =
-            VOLUMES.iter().map(|_| self.random.below(4) * self.random.below(90_000)).collect();
+            VOLUMES.iter().map(|_| self.rng.below(4) * self.rng.below(90_000)).collect();
         let (text, report) = match self.replicas[host].receive(message, &wanted, self.now) {
             ReplicaAction::None => ("nothing".to_owned(), None),
             ReplicaAction::ApplyPending => ("state".to_owned(), None),
@@ -184,9 +167,9 @@
     }
 
     fn answer_version(&mut self) {
-        let host = self.random.below(HOSTS) as usize;
+        let host = self.rng.below(HOSTS) as usize;
         let next = self.replicas[host].pending().map(|state| state.version);
-        let answer = if self.random.below(5) == 0 {
+        let answer = if self.rng.below(5) == 0 {
             self.replicas[host].reject_pending("no such node".to_owned())
         } else {
             self.replicas[host].accept_pending(self.now)
@@ -209,14 +192,14 @@
 
     /// A poll, its report and the lease, each of them late by a random time.
     fn lend_and_grant(&mut self) {
-        let host = self.random.below(HOSTS) as usize;
-        let latest = if self.random.below(10) == 0 { 3_200 } else { 200 };
-        let polled_at = self.now - self.random.below(latest);
+        let host = self.rng.below(HOSTS) as usize;
+        let latest = if self.rng.below(10) == 0 { 3_200 } else { 200 };
+        let polled_at = self.now - self.rng.below(latest);
         let report = self.send_to_replica(host, ServiceMessage::QuotaPoll { polled_at });
         let Some(HostMessage::QuotaReport { polled_at, sent_at, volumes, .. }) = report else {
             return;
         };
-        self.now += self.random.below(100);
+        self.now += self.rng.below(100);
         let mut granted = Vec::new();
         for VolumeReport { volume, lent, requested } in volumes {
             let place = VOLUMES.iter().position(|name| *name == volume).expect("own volumes only");
@@ -232,8 +215,8 @@
             granted.push((volume, amount));
         }
         self.note(&format!("granted to {host}: {granted:?}"));
-        self.now += self.random.below(100);
-        let span = if self.random.below(20) == 0 { self.random.below(50) } else { 1_500 };
+        self.now += self.rng.below(100);
+        let span = if self.rng.below(20) == 0 { self.rng.below(50) } else { 1_500 };
         let volumes = granted.into_iter().map(VolumeLease::from).collect();
         self.send_to_replica(
             host,
@@ -242,27 +225,27 @@
     }
 
     fn restart(&mut self) {
-        if self.random.below(4) == 0 {
-            let place = self.random.below(VOLUMES.len() as u64) as usize;
-            self.pools[place] = QuotaPool::new(self.now, self.random.below(3) == 0);
+        if self.rng.below(4) == 0 {
+            let place = self.rng.below(VOLUMES.len() as u64) as usize;
+            self.pools[place] = QuotaPool::new(self.now, self.rng.below(3) == 0);
             return;
         }
-        let host = self.random.below(HOSTS);
-        let stored = (self.random.below(4) > 0).then(|| self.replicas[host as usize].log().clone());
+        let host = self.rng.below(HOSTS);
+        let stored = (self.rng.below(4) > 0).then(|| self.replicas[host as usize].log().clone());
         self.replicas[host as usize] = PlanReplica::new(&host_name(host), volumes_of(host), stored, self.now);
     }
 
     fn follow_hosts(&mut self) {
-        let host = host_name(self.random.below(HOSTS + 1));
-        match self.random.below(4) {
+        let host = host_name(self.rng.below(HOSTS + 1));
+        match self.rng.below(4) {
             0 => self.hosts.on_contact(&host, self.now),
             1 => {
                 let gone = self.hosts.declare_removed(&host, self.now);
                 self.note(&format!("{host} gone {gone}"));
             }
-            2 => self.hosts.on_accepted(&host, self.random.below(self.trail.state.version + 1), self.now),
+            2 => self.hosts.on_accepted(&host, self.rng.below(self.trail.state.version + 1), self.now),
             _ => {
-                let version = self.trail.state.version + self.random.below(2);
+                let version = self.trail.state.version + self.rng.below(2);
                 self.hosts.on_rejected(&host, version, "not now", self.now);
             }
         }
@@ -296,9 +279,9 @@
     }
 
     fn connect(&mut self) {
-        let host = self.random.below(HOSTS) as usize;
-        for step in 0..self.random.below(300) {
-            let chance = self.random.below(1_100);
+        let host = self.rng.below(HOSTS) as usize;
+        for step in 0..self.rng.below(300) {
+            let chance = self.rng.below(1_100);
             if self.replicas[host].should_connect(self.now + step * 17, chance) {
                 self.note(&format!("{host} connects at {}", self.now + step * 17));
             }
@@ -306,17 +289,17 @@
     }
 
     fn use_quota(&mut self) {
-        let host = self.random.below(HOSTS) as usize;
-        let amount = self.random.below(200_000);
-        let back = self.random.below(1_600);
+        let host = self.rng.below(HOSTS) as usize;
+        let amount = self.rng.below(200_000);
+        let back = self.rng.below(1_600);
         let quota = &mut self.quotas[host];
-        let text = match self.random.below(6) {
+        let text = match self.rng.below(6) {
             0 => {
                 quota.restrict_until(self.now + back, self.now);
                 format!("started {back}")
             }
             1 => {
-                quota.set_limit(amount * 9, self.random.below(8) as u32);
+                quota.set_limit(amount * 9, self.rng.below(8) as u32);
                 format!("even {}", quota.nominal())
             }
             2 => format!("spare {}", quota.lendable(amount)),
--- a/crates/sockets/tests/pinned_decisions.rs
+++ b/crates/sockets/tests/pinned_decisions.rs
@@ -1,13 +1,11 @@
 //! Indices of a slab, conversion of times, and partial reads and writes over seeded streams, compared with recorded values.
-mod support;
-
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock;
 use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use mallowseam_sockets::slab::Slab;
+use mallowseam_test_support::{Digest, SeededRng, assert_pinned};
 use std::io::{Error, ErrorKind, IoSlice, Read, Write};
-use support::{Digest, SeededRng, assert_pinned};
 
 #[test]
 fn indices_are_given_out_in_the_recorded_order() {
