--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,8 +1,8 @@
 //! The block I/O scheduler of mallowseam: decides which block I/O goes to which storage node, when, and which
 //! is shed.
 //!
-//! Make a [`Scheduler`] from a [`SchedulerConfig`](interface::SchedulerConfig), and call its `on_*` methods as
-//! events happen. It performs no input or output and reads no clock: see [`interface`]. The decisions are in
+//! Make a [`Scheduler`] from a [`SchedulerConfig`](interface::SchedulerConfig), and call its `on_*` methods
+//! as events happen. It performs no input or output and reads no clock: see [`interface`]. The decisions are in
 //! `policy`, one concern a module; `tests/support` has a small host that runs one.
 #![warn(missing_docs)]
 
--- /dev/null
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -0,0 +1,200 @@
+//! The program around the scheduler in a simulation.
+use super::hash::ActionHash;
+use super::nodes::{Ending, Mode, NODES, SimulatedNode, first_endpoint};
+use super::random::Random;
+use mallowseam_scheduler::interface::*;
+use std::collections::BTreeMap;
+
+/// What the scheduler asked for; the numbers go into the hash.
+#[derive(Clone, Copy)]
+pub enum Action {
+    Forward = 1,
+    Cancel,
+    Shed,
+    Fail,
+    SetTimer,
+    PollEndpoints,
+    ReleaseBio,
+    ReleaseKey,
+    ReleaseVolume,
+    ReleaseNode,
+}
+
+pub const ACTION_KINDS: usize = Action::ReleaseNode as usize + 1;
+
+/// An event to come.
+pub enum Event {
+    Arrival,
+    /// The outcome of an attempt, by its serial number.
+    AttemptOutcome {
+        serial: u64,
+        result: AttemptResult,
+    },
+    Disconnect {
+        bio: BioId,
+        arrival: u64,
+    },
+    Timer,
+    PollAnswer(EndpointEvent),
+    EndpointChange,
+    DiscoveryMove,
+    QuotaChange,
+    PlanChange,
+    NodeMode(u32),
+}
+
+/// An attempt in flight.
+pub struct Attempt {
+    pub bio: BioId,
+    pub node: NodeId,
+    pub sent_at: Tick,
+    pub attempt: u32,
+}
+
+/// A block I/O that the scheduler has not released.
+pub struct Current {
+    pub bio: Bio,
+    pub arrival: u64,
+    pub answered: bool,
+    pub attempts: u32,
+}
+
+/// The program around the scheduler: records each action, and makes the events that follow from it.
+pub struct Recorder {
+    pub now: Tick,
+    pub random: Random,
+    pub hash: ActionHash,
+    pub counts: [u32; ACTION_KINDS],
+    pub events: BTreeMap<(Tick, u64), Event>,
+    next_event: u64,
+    pub nodes: Vec<SimulatedNode>,
+    pub current: BTreeMap<BioId, Current>,
+    pub in_flight: BTreeMap<u64, Attempt>,
+    next_attempt: u64,
+    free: Vec<u32>,
+    next_bio: u32,
+    /// Block I/Os that were shed: their clients may retry with the time left.
+    pub shed: Vec<Bio>,
+}
+
+impl Recorder {
+    pub fn new(now: Tick, random: Random) -> Self {
+        let node = |index| SimulatedNode { endpoint: first_endpoint(index), mode: Mode::Quick };
+        Recorder {
+            now,
+            random,
+            hash: ActionHash::default(),
+            counts: [0; ACTION_KINDS],
+            events: BTreeMap::new(),
+            next_event: 0,
+            nodes: (0..NODES).map(node).collect(),
+            current: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            next_attempt: 0,
+            free: Vec::new(),
+            next_bio: 0,
+            shed: Vec::new(),
+        }
+    }
+
+    pub fn new_id(&mut self) -> BioId {
+        BioId(self.free.pop().unwrap_or_else(|| {
+            self.next_bio += 1;
+            self.next_bio - 1
+        }))
+    }
+
+    fn record(&mut self, action: Action, numbers: [u64; 3]) {
+        self.counts[action as usize] += 1;
+        self.hash.add(self.now as u64);
+        self.hash.add(action as u64);
+        numbers.iter().for_each(|n| self.hash.add(*n));
+    }
+
+    pub fn schedule(&mut self, after: Tick, event: Event) {
+        self.next_event += 1;
+        self.events.insert((self.now + after, self.next_event), event);
+    }
+
+    /// Schedules the end of an attempt.
+    fn schedule_ending(&mut self, serial: u64, bio: &Bio, node: NodeId, timeout: Tick) {
+        let load = self.in_flight.values().filter(|a| a.node == node).count() as Tick;
+        let mode = self.nodes[node.0 as usize].mode;
+        let Ending { latency, result } = mode.draw_ending(&mut self.random, bio, load, timeout);
+        self.schedule(latency, Event::AttemptOutcome { serial, result });
+    }
+}
+
+impl Host for Recorder {
+    fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
+        self.record(Action::Forward, [bio.0.into(), node.0.into(), timeout as u64]);
+        let current = self.current.get_mut(&bio).expect("a block I/O that was released is not submitted");
+        let attempt = current.attempts;
+        current.attempts += 1;
+        let request = current.bio;
+        self.next_attempt += 1;
+        let serial = self.next_attempt;
+        self.schedule_ending(serial, &request, node, timeout);
+        self.in_flight.insert(serial, Attempt { bio, node, sent_at: self.now, attempt });
+    }
+
+    fn cancel(&mut self, bio: BioId, attempt: u32) {
+        self.record(Action::Cancel, [bio.0.into(), attempt.into(), 0]);
+        let mut attempts = self.in_flight.iter().filter(|(_, a)| a.bio == bio && a.attempt == attempt);
+        let found = attempts.next().map(|(serial, _)| *serial);
+        if let Some(serial) = found {
+            let after = self.random.between(1, 40);
+            self.schedule(after, Event::AttemptOutcome { serial, result: AttemptResult::Cancelled });
+        }
+    }
+
+    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+        self.record(Action::Shed, [bio.0.into(), retry_after as u64, 0]);
+        let current = self.current.get_mut(&bio).expect("a block I/O in use is shed");
+        assert!(!std::mem::replace(&mut current.answered, true), "answered once");
+        self.shed.push(current.bio);
+        if self.shed.len() > 20 {
+            self.shed.remove(0);
+        }
+    }
+
+    fn fail(&mut self, bio: BioId) {
+        self.record(Action::Fail, [bio.0.into(), 0, 0]);
+        let current = self.current.get_mut(&bio).expect("a block I/O in use fails");
+        assert!(!std::mem::replace(&mut current.answered, true), "answered once");
+    }
+
+    fn set_timer(&mut self, after: Tick) {
+        self.record(Action::SetTimer, [after as u64, 0, 0]);
+        self.schedule(after, Event::Timer);
+    }
+
+    fn poll_endpoints(&mut self) {
+        self.record(Action::PollEndpoints, [0; 3]);
+        let event = match self.random.below(10) {
+            0..4 => EndpointEvent::FullSnapshot,
+            4 => EndpointEvent::WatchSilent,
+            _ => EndpointEvent::PollFailed,
+        };
+        let after = self.random.between(5, 3_000);
+        self.schedule(after, Event::PollAnswer(event));
+    }
+
+    fn release_bio(&mut self, bio: BioId) {
+        self.record(Action::ReleaseBio, [bio.0.into(), 0, 0]);
+        assert!(self.current.remove(&bio).is_some(), "released once");
+        self.free.push(bio.0);
+    }
+
+    fn release_key(&mut self, key: KeyId) {
+        self.record(Action::ReleaseKey, [key.0.into(), 0, 0]);
+    }
+
+    fn release_volume(&mut self, volume: VolumeId) {
+        self.record(Action::ReleaseVolume, [volume.0.into(), 0, 0]);
+    }
+
+    fn release_node(&mut self, node: NodeId) {
+        self.record(Action::ReleaseNode, [node.0.into(), 0, 0]);
+    }
+}
