--- a/crates/scheduler/src/policy/retries.rs
+++ b/crates/scheduler/src/policy/retries.rs
@@ -1,6 +1,8 @@
 //! Deadlines, attempts after the first, the retry budget, and final answers.
 use super::constants::DEADLINE_MARGIN;
-use crate::interface::*;
+use crate::interface::{
+    AttemptOutcome, AttemptResult, Bio, BioId, DeduplicationScope, Host, Idempotency, NodeId, Tick,
+};
 use crate::state::{Node, PossibleRun, Request, RetryBudget, Scheduler, ShedRecord};
 
 const SAME_DEADLINE: Tick = 5; // ticks by which a retry's deadline differs from the first one's, at most
