--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -18,8 +18,10 @@
 impl Scheduler {
     /// Sends to each node all that it has capacity for.
     pub(super) fn dispatch_all(&mut self, host: &mut dyn Host, now: Tick) {
-        for id in self.nodes.keys().map(NodeId) {
-            self.dispatch(host, now, id);
+        for id in self.nodes.indices().map(NodeId) {
+            if self.nodes.get(id.0).is_some() {
+                self.dispatch(host, now, id);
+            }
         }
     }
 
@@ -43,9 +45,9 @@
         let capacity = self.slow_start_capacity(now, id);
         let retry_allowed = self.retry_budget.allows(now);
         let node = &self.nodes[id.0];
-        let live = node.live_attempts(now, self.shortest_objective, now < self.losing_answers_until);
-        let window_full = f64::from(live) + 1.0 > node.concurrency_window.max(1.0);
-        if now < node.paused_until || node.queue.is_empty() || window_full {
+        let live = || node.live_attempts(now, self.shortest_objective, now < self.losing_answers_until);
+        let window_full = || f64::from(live()) + 1.0 > node.concurrency_window.max(1.0);
+        if now < node.paused_until || node.queue.is_empty() || window_full() {
             return None;
         }
         let threshold = self.admission_threshold(node);
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -9,28 +9,32 @@
     /// Queues a block I/O for a node, or answers it if there is none. Of two drawn at random it is the one
     /// with the shorter wait: a shard has one node, but while a release brings up the next one, both serve.
     pub(super) fn place(&mut self, host: &mut dyn Host, now: Tick, id: BioId) -> Option<NodeId> {
-        let Some((first, second)) = self.draw_nodes(now, id) else {
+        let request = self.requests[id.0];
+        let Some((first, second)) = self.draw_nodes(now, &request) else {
             self.give_up(host, now, id);
             return None;
         };
-        let request = self.requests[id.0];
-        let first_wait = self.expected_wait(now, first, &request);
-        let second_wait = self.expected_wait(now, second, &request);
-        let chosen = if first_wait <= second_wait { first } else { second };
+        let waits = [first, second].map(|node| self.expected_wait(now, node, &request));
+        let chosen = if waits[0] <= waits[1] { first } else { second };
         self.enqueue(id, chosen);
         Some(chosen)
     }
 
-    /// Two nodes that may run a block I/O; both are the same if there is only one.
-    fn draw_nodes(&mut self, now: Tick, id: BioId) -> Option<(NodeId, NodeId)> {
-        let request = &self.requests[id.0];
+    /// The active nodes that may run a block I/O.
+    fn fitting<'a>(&'a self, now: Tick, request: &'a Request) -> impl Iterator<Item = NodeId> + 'a {
         let holds = |node: &Node| node.active && request.bio.shard.is_none_or(|shard| node.shard == shard);
-        let fits = |(_, node): &(u32, &Node)| holds(node) && self.may_run_at(request, now, node);
-        let fitting: Vec<NodeId> = self.nodes.iter().filter(fits).map(|(index, _)| NodeId(index)).collect();
-        let others = fitting.len().checked_sub(1)?;
-        let first = self.rng.below(fitting.len() as u64) as usize;
-        let second = (first + 1 + self.rng.below(others as u64) as usize) % fitting.len();
-        Some((fitting[first], fitting[second]))
+        let fits = move |(_, node): &(u32, &Node)| holds(node) && self.may_run_at(request, now, node);
+        self.nodes.iter().filter(fits).map(|(index, _)| NodeId(index))
+    }
+
+    /// Two nodes that may run a block I/O; both are the same if there is only one.
+    fn draw_nodes(&mut self, now: Tick, request: &Request) -> Option<(NodeId, NodeId)> {
+        let count = self.fitting(now, request).count();
+        let others = count.checked_sub(1)?;
+        let first = self.rng.below(count as u64) as usize;
+        let second = (first + 1 + self.rng.below(others as u64) as usize) % count;
+        let nth = |n| self.fitting(now, request).nth(n);
+        nth(first).zip(nth(second))
     }
 
     /// How long a block I/O may wait at a node, by this host's counts. An unanswered attempt makes it as slow
--- a/crates/scheduler/src/slab.rs
+++ b/crates/scheduler/src/slab.rs
@@ -31,6 +31,11 @@
         self.0[index as usize] = None;
     }
 
+    /// All indices up to the highest that was ever in use, those without an entry included.
+    pub(crate) fn indices(&self) -> std::ops::Range<u32> {
+        0..self.0.len() as u32
+    }
+
     /// The indices in use, ascending, as they stand now.
     pub(crate) fn keys(&self) -> std::vec::IntoIter<u32> {
         self.iter().map(|(index, _)| index).collect::<Vec<u32>>().into_iter()
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -125,6 +125,8 @@
 #[derive(Default)]
 pub(crate) struct Allocation {
     pub(crate) volume: VolumeId,
+    /// What the volume is due in this window.
+    pub(crate) due: Entitlement,
     /// Cost still to be spent in this window; a debt below 0.
     pub(crate) balance: f64,
     /// Cost spent in this window.
@@ -333,6 +335,7 @@
 }
 
 /// What a volume is due at one node in one window.
+#[derive(Default)]
 pub(crate) struct Entitlement {
     /// Cost that its reservation stands for.
     pub(crate) base: f64,
