--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -4,8 +4,8 @@
 pub const BHS_LEN: usize = 48;
 /// The reserved tag: of a PDU that belongs to no task, or of unsolicited data.
 pub const RESERVED_TAG: u32 = 0xffff_ffff;
-/// Largest status qualifier that is a time, in units of 100 ms; those above have other meanings (RFC 7144,
-/// section 5.2).
+/// Largest status qualifier that is a time, in units of 100 ms; those above have other meanings (RFC 7144;
+/// SAM-5, 5.3.2).
 pub(crate) const MAX_RETRY_AFTER: u16 = 0x3fef;
 
 /// Opcodes (section 11.2.1.2).
@@ -146,7 +146,7 @@
     16: itt, with_itt;
     /// Target transfer tag.
     20: target_transfer_tag, with_target_transfer_tag;
-    /// Referenced task tag of a task management request (section 11.5.5).
+    /// Referenced task tag of a task management request (section 11.5.4).
     20: referenced_task_tag, with_referenced_task_tag;
     /// Expected data transfer length of a SCSI command in bytes (section 11.3.4).
     20: expected_data_len, with_expected_data_len;
@@ -154,21 +154,21 @@
     24: cmd_sn, with_cmd_sn;
     /// Status sequence number of a response (section 4.2.2.2).
     24: stat_sn, with_stat_sn;
-    /// In a response, the CmdSN that the target expects next.
+    /// In a response, the `CmdSN` that the target expects next.
     28: exp_cmd_sn, with_exp_cmd_sn;
-    /// In a request, the StatSN that the initiator expects next.
+    /// In a request, the `StatSN` that the initiator expects next.
     28: exp_stat_sn, with_exp_stat_sn;
-    /// In a response, the last CmdSN of the command window.
+    /// In a response, the last `CmdSN` of the command window.
     32: max_cmd_sn, with_max_cmd_sn;
-    /// In a task management request, the CmdSN of the referenced task (section 11.5.6).
+    /// In a task management request, the `CmdSN` of the referenced task (section 11.5.5).
     32: ref_cmd_sn, with_ref_cmd_sn;
-    /// Number of a Data-In, Data-Out or R2T PDU within its sequence (DataSN, R2TSN).
+    /// Number of a Data-In, Data-Out or R2T PDU within its sequence (`DataSN`, `R2TSN`).
     36: data_sn, with_data_sn;
     /// Buffer offset in bytes.
     40: buffer_offset, with_buffer_offset;
     /// Residual count of a response in bytes (section 11.4.5).
     44: residual_count, with_residual_count;
-    /// Desired data transfer length of an R2T in bytes (section 11.8.5).
+    /// Desired data transfer length of an R2T in bytes (section 11.8.4).
     44: desired_data_len, with_desired_data_len;
 }
 
@@ -180,7 +180,7 @@
         Bhs(bytes)
     }
 
-    /// A header as it came from a stream.
+    /// A header from its bytes in a stream.
     pub fn from_bytes(bytes: [u8; BHS_LEN]) -> Self {
         Bhs(bytes)
     }
@@ -200,7 +200,7 @@
         self.0[0] & OPCODE_BITS
     }
 
-    /// Whether a request is for immediate delivery: it takes no CmdSN of its own.
+    /// Whether a request is for immediate delivery: it takes no `CmdSN` of its own.
     pub fn is_immediate(&self) -> bool {
         self.0[0] & IMMEDIATE_BIT != 0
     }
@@ -323,7 +323,7 @@
         self.with_byte(3, status)
     }
 
-    /// Status qualifier of a SCSI response (RFC 7144, section 5.2).
+    /// Status qualifier of a SCSI response (RFC 7144).
     pub fn status_qualifier(&self) -> u16 {
         self.u16_at(8)
     }
@@ -386,7 +386,7 @@
         self.with_byte(36, event).with_u16(42, parameter3)
     }
 
-    /// Sets Time2Wait and Time2Retain of a logout response, in seconds.
+    /// Sets `Time2Wait` and `Time2Retain` of a logout response, in seconds.
     pub(crate) fn with_logout_times(self, time2wait: u16, time2retain: u16) -> Self {
         self.with_u16(40, time2wait).with_u16(42, time2retain)
     }
@@ -394,7 +394,7 @@
 
 /// First byte of a LUN by extended flat space addressing with 24 bits (SAM-5, 4.7.11).
 const EXTENDED_FLAT: u8 = 0xd2;
-/// Bits of the first byte that name flat space addressing (SAM-5, 4.7.8).
+/// Bits of the first byte that name flat space addressing (SAM-5, 4.7).
 const FLAT_SPACE: u8 = 0x40;
 
 /// Encodes a LUN of up to 24 bits in its eight bytes: by peripheral device addressing below 256, flat space
@@ -426,12 +426,12 @@
     }
 }
 
-/// Whether serial number `a` comes before `b` (RFC 1982, as section 4.2.2.1 asks for).
+/// Whether serial number `a` is before `b` in serial number arithmetic (RFC 1982; section 4.2.2.1).
 pub(crate) fn serial_before(a: u32, b: u32) -> bool {
     (a.wrapping_sub(b) as i32) < 0
 }
 
-/// A whole PDU. Additional header segments are skipped: no command here needs one.
+/// A complete PDU. Additional header segments are skipped: no command here needs one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pdu {
     /// Its basic header segment.
--- a/crates/scheduler/src/policy/endpoint_polling.rs
+++ b/crates/scheduler/src/policy/endpoint_polling.rs
@@ -16,7 +16,7 @@
 const SPREAD_AFTER_MOVE: Tick = 20_000; // ticks at most, of hosts that learn of another service
 
 impl PollSchedule {
-    pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &mut Pcg) -> Self {
+    pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &Pcg) -> Self {
         let limited = config.max_poll_delay > 0;
         let max_delay = if limited { DELAY_USED * config.max_poll_delay as f64 } else { f64::INFINITY };
         let max_spread = if config.endpoints_pushed { MIN_SPREAD } else { max_delay as Tick };
@@ -46,7 +46,7 @@
 
     /// A poll failed, or the watch broke or went silent. Who had a watch lost it with all others and draws a
     /// turn among them; later polls keep it, so that all have polled within a spread of the service's return.
-    pub(super) fn on_failure(&mut self, now: Tick, event: EndpointEvent, rng: &mut Pcg) {
+    pub(super) fn on_failure(&mut self, now: Tick, event: EndpointEvent, rng: &Pcg) {
         // Only the first silence counts: else a service that accepts polls and is silent is polled for ever.
         let newly_silent = event == EndpointEvent::WatchSilent && !std::mem::replace(&mut self.silent, true);
         let most = if newly_silent { SPREAD_AFTER_SILENCE } else { Tick::MAX };
@@ -60,7 +60,7 @@
     }
 
     /// The list is served from elsewhere from now on, of which all hosts learn at about one time.
-    pub(super) fn on_moved(&mut self, now: Tick, rng: &mut Pcg) {
+    pub(super) fn on_moved(&mut self, now: Tick, rng: &Pcg) {
         self.next_poll = now + rng.below(self.spread.min(SPREAD_AFTER_MOVE) as u64) as Tick;
     }
 }
--- a/crates/scheduler/src/policy/setup.rs
+++ b/crates/scheduler/src/policy/setup.rs
@@ -13,7 +13,7 @@
         let objectives = config.classes.iter().map(|c| c.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(WINDOW).max(1) as f64;
         let fleet_latency = WIDEN_BELOW * shortest_objective;
-        let mut rng = Pcg::new(seed);
+        let rng = Pcg::new(seed);
         Scheduler {
             config: config.clone(),
             plans: config.plans.iter().map(PlanRates::from).collect(),
@@ -31,7 +31,7 @@
             retry_after: if config.allow_retry_after { config.max_retry_after.min(WINDOW) } else { 0 },
             started_at: now,
             next_window: now + WINDOW,
-            polling: PollSchedule::new(config, now, &mut rng),
+            polling: PollSchedule::new(config, now, &rng),
             rng,
             armed_for: Tick::MAX,
             losing_answers_until: now,
--- a/crates/scheduler/src/slab.rs
+++ b/crates/scheduler/src/slab.rs
@@ -1,5 +1,5 @@
 //! Entries by small index. Indices are assigned outside, and used again once their entry is removed.
-use std::ops::{Index, IndexMut};
+use std::ops::{Index, IndexMut, Range};
 
 pub(crate) struct Slab<T>(Vec<Option<T>>);
 
@@ -31,16 +31,12 @@
         self.0[index as usize] = None;
     }
 
-    /// All indices up to the highest that was ever in use, those without an entry included.
-    pub(crate) fn indices(&self) -> std::ops::Range<u32> {
+    /// All indices that were ever used, ascending; an entry may be gone. Nothing is borrowed, so that entries may be
+    /// changed on the way.
+    pub(crate) fn indices(&self) -> Range<u32> {
         0..self.0.len() as u32
     }
 
-    /// The indices in use, ascending, as they stand now.
-    pub(crate) fn keys(&self) -> std::vec::IntoIter<u32> {
-        self.iter().map(|(index, _)| index).collect::<Vec<u32>>().into_iter()
-    }
-
     /// Puts an entry in the place of an index, or frees it.
     pub(crate) fn set(&mut self, index: u32, entry: Option<T>) {
         let index = index as usize;
