--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -44,9 +44,9 @@
         let capacity = self.slow_start_capacity(now, id);
         let retry_allowed = self.retry_budget.allows(now);
         let node = &self.nodes[id.0];
-        let live = node.live_attempts(now, self.shortest_objective, now < self.losing_answers_until);
-        let window_full = f64::from(live) + 1.0 > node.concurrency_window.max(1.0);
-        if now < node.paused_until || node.queue.is_empty() || window_full {
+        let live = || node.live_attempts(now, self.shortest_objective, now < self.losing_answers_until);
+        let window_full = || f64::from(live()) + 1.0 > node.concurrency_window.max(1.0);
+        if now < node.paused_until || node.queue.is_empty() || window_full() {
             return None;
         }
         let threshold = self.admission_threshold(node);
