--- a/crates/lab/src/cold_start_model.rs
+++ b/crates/lab/src/cold_start_model.rs
@@ -1,4 +1,4 @@
-//! A cold start in simulated time: thousands of schedulers, the same code that hosts run, poll a list service that
+//! A cold start in simulated time: thousands of schedulers, the same code that hosts run, poll a discovery service that
 //! serves one poll at a time. No sockets, no processes, no clocks.
 #![warn(missing_docs)]
 
@@ -18,7 +18,7 @@
 
 /// Microseconds in a tick of the scheduler.
 const TICK: Micros = 100;
-/// Latency between a host and the service, and the upper bound of a random addition on the way there.
+/// Latency between a host and the service, and the upper bound of a random addition to it for polls.
 const LINK_LATENCY: Micros = 300;
 /// All processes start within this time.
 const START_SPREAD: Micros = 1_000_000;
@@ -33,7 +33,7 @@
     pub hosts: u32,
     /// Microseconds that a poll takes at the service.
     pub service_time: Micros,
-    /// Microseconds that hosts are told a poll takes; none: they are not told.
+    /// Microseconds that hosts are configured to assume for a poll; none: their default.
     pub advertised_service_time: Option<Micros>,
     /// The service is down until then.
     pub down_until: Micros,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`scenario`]: a script of a run, parsed. [`fault_schedule`]: scripts drawn by a seed.
 //! - [`links`]: what faults do to the bytes and datagrams of one direction of a link.
-//! - [`discovery_queue`], [`simulated_node`], [`client_load`]: the list service, a node and the clients as models
+//! - [`discovery_queue`], [`simulated_node`], [`client_load`]: the discovery service, a node and the clients as models
 //!   without sockets or clocks. The cold-start model in simulated time uses the same queue.
 //! - [`peers`]: their sockets, on one event loop. [`processes`]: the host processes.
 //! - [`testbed`]: plays a scenario. [`outcome`]: what a run brought, and its report.
--- a/crates/lab/src/fleet/addresses.rs
+++ b/crates/lab/src/fleet/addresses.rs
@@ -43,7 +43,7 @@
         self.socket_address(host, PORT_HOST)
     }
 
-    /// Where a host reaches a list service.
+    /// Where a host reaches a discovery service.
     pub fn list(self, host: u32, list: u32) -> SocketAddr {
         self.socket_address(host, PORT_LIST + list as u16)
     }
--- a/crates/lab/src/fleet/audit.rs
+++ b/crates/lab/src/fleet/audit.rs
@@ -28,7 +28,7 @@
     Responses,
     /// A write is executed once at most, and no operation has two attempts in flight.
     Effects,
-    /// No attempt goes to a node that the host was told is draining, past the grace time.
+    /// No attempt goes to a node that the host was notified is draining, past the grace time.
     Drains,
     /// No cold node collapses under hosts that knew of its start.
     ColdNodes,
@@ -53,7 +53,7 @@
     pub refused: u32,
     /// Operations for which no host accepted clients.
     pub no_host: u32,
-    /// Polls of the list service.
+    /// Polls of the discovery service.
     pub polls: u32,
     /// The most polls that waited at one time.
     pub queued: u32,
@@ -91,13 +91,13 @@
     pub no_host: u64,
     /// Collapses of cold nodes.
     pub collapses: u64,
-    /// Polls of the list service.
+    /// Polls of the discovery service.
     pub polls: u64,
     /// Polls that it rejected.
     pub rejected: u64,
     /// The most polls that waited at one time.
     pub max_queued: u32,
-    /// Microseconds from each start of a host to its first response of the list service.
+    /// Microseconds from each start of a host to its first response of the discovery service.
     pub list_delays: Vec<Micros>,
     /// Starts of hosts that were not stopped before that response.
     pub host_starts: u64,
--- a/crates/lab/src/fleet/audit/node_rules.rs
+++ b/crates/lab/src/fleet/audit/node_rules.rs
@@ -16,7 +16,7 @@
     accepting: bool,
 }
 
-/// A message of the list service to a host.
+/// A message of the discovery service to a host.
 #[derive(Clone, Copy)]
 struct SentVersion {
     at: Micros,
@@ -42,7 +42,7 @@
 type Notifications = BTreeMap<(u32, u32), Vec<Notification>>;
 
 impl Audit<'_> {
-    /// Rule 3: no attempt to a node that its host was told is draining, past the grace time.
+    /// Rule 3: no attempt to a node that its host was notified is draining, past the grace time.
     pub(super) fn check_drains(&self) -> Vec<String> {
         let notifications = self.notifications();
         let grace = DRAIN_GRACE_MS * MICROS_PER_MS + self.slack;
--- a/crates/lab/src/fleet/audit/timeline.rs
+++ b/crates/lab/src/fleet/audit/timeline.rs
@@ -7,7 +7,7 @@
 const SECOND: Micros = 1_000_000;
 
 impl Audit<'_> {
-    /// Times from each start of a host to the first response of the list service.
+    /// Times from each start of a host to the first response of the discovery service.
     pub(super) fn measure_list_delays(&self, verdict: &mut Verdict) {
         let mut waiting: BTreeMap<u32, Micros> = BTreeMap::new();
         for Observation { at, event } in self.observations {
--- a/crates/lab/src/fleet/discovery_queue.rs
+++ b/crates/lab/src/fleet/discovery_queue.rs
@@ -1,4 +1,4 @@
-//! The list service as a queue: it serves one poll at a time, and rejects polls that have waited for too long.
+//! The discovery service as a queue: it serves one poll at a time, and rejects polls that have waited for too long.
 use crate::trace::Micros;
 use rand::{Rng, RngExt};
 use std::collections::VecDeque;
--- a/crates/lab/src/fleet/host_config.rs
+++ b/crates/lab/src/fleet/host_config.rs
@@ -4,11 +4,11 @@
 use super::scenario::{MembershipScenario, Scenario};
 use serde_json::{Value, json};
 
-/// Time after which a host must not send to a node that it was told is draining, in milliseconds.
+/// Time after which a host must not send to a node that it was notified is draining, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 250;
 /// Pause between two writes of one key, in milliseconds.
 const ORDER_PAUSE_MS: u64 = 200;
-/// Time within which hosts are told of a node's start, in milliseconds.
+/// Time within which hosts are notified of a node's start, in milliseconds.
 pub const POLL_DEADLINE_MS: u64 = 10_000;
 /// Latency objective of reads, in milliseconds.
 pub const READ_OBJECTIVE_MS: u64 = 300;
@@ -47,7 +47,7 @@
     pub host: u32,
     /// Number in the host's name: its index, except in runs with two hosts of one name.
     pub name_number: u32,
-    /// The list service that it polls.
+    /// The discovery service that it polls.
     pub list: u32,
     /// Seed of its random numbers.
     pub seed: u64,
--- a/crates/lab/src/fleet/links.rs
+++ b/crates/lab/src/fleet/links.rs
@@ -14,7 +14,7 @@
     Host(u32),
     /// A node, by its index.
     Node(u32),
-    /// A list service, by its index; hosts may be redirected from the first to the second one.
+    /// A discovery service, by its index; hosts may be redirected from the first to the second one.
     List(u32),
     /// All clients.
     Clients,
@@ -29,7 +29,7 @@
     Hosts,
     /// Every node.
     Nodes,
-    /// Every list service.
+    /// Every discovery service.
     Lists,
     /// One peer.
     Single(Peer),
--- a/crates/lab/src/fleet/membership_audit.rs
+++ b/crates/lab/src/fleet/membership_audit.rs
@@ -102,7 +102,7 @@
     observations: &[Observation],
     samples: &[MembershipSample],
 ) -> MembershipVerdict {
-    // All hosts are told to end when the run is over.
+    // All hosts are terminated when the run is over.
     let samples: Vec<&MembershipSample> =
         samples.iter().filter(|s| s.requested_at < scenario.duration).collect();
     let audit = MembershipAudit {
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -14,13 +14,13 @@
     pub verdict: Verdict,
     /// All observations.
     pub observations: Vec<Observation>,
-    /// Host processes that ended without having been told to, or not when told to.
+    /// Host processes that ended without SIGTERM, or did not end after it.
     pub crashed: Vec<String>,
     /// What each host used at the end of the run.
     pub usage: Vec<ResourceUsage>,
     /// The longest delay of the event loop, in microseconds.
     pub max_lag: Micros,
-    /// Watches of the list service that were open at the end.
+    /// Watches of the discovery service that were open at the end.
     pub open_watches: usize,
     /// The hosts' membership tables, query by query.
     pub membership_samples: Vec<MembershipSample>,
@@ -131,7 +131,7 @@
         Some(format!("hosts with a view: {with}\nhosts without: {without}"))
     }
 
-    /// The run second by second, and what came of it.
+    /// The run second by second, and its totals.
     pub fn table(&self) -> String {
         let mut out = String::new();
         self.write_table(&mut out).expect("writing to a string succeeds");
--- a/crates/lab/src/fleet/peers.rs
+++ b/crates/lab/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The peers of the hosts, simulated on one event loop: list services, nodes and clients. Every connection and
+//! The peers of the hosts, simulated on one event loop: discovery services, nodes and clients. Every connection and
 //! datagram passes a link with faults of its own. The owner drives the loop one iteration at a time.
 mod clients;
 mod connections;
@@ -65,7 +65,7 @@
     last_serial: u64,
     links: Links,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
-    /// The list services.
+    /// The discovery services.
     pub(super) discovery: [DiscoveryQueue<ConnectionId>; LIST_SERVICES as usize],
     endpoints: EndpointList,
     undelivered: Vec<Undelivered>,
@@ -180,7 +180,7 @@
         self.paused[host as usize] || fault(Peer::Clients, host_peer) || fault(host_peer, Peer::Clients)
     }
 
-    /// Changes how a list service behaves.
+    /// Changes how a discovery service behaves.
     pub fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
         let now = self.now();
         self.discovery[list].set_behavior(now, behavior);
--- a/crates/lab/src/fleet/peers/connections.rs
+++ b/crates/lab/src/fleet/peers/connections.rs
@@ -20,7 +20,7 @@
 
 /// What a connection is for.
 pub(super) enum ConnectionRole {
-    /// From a host to a list service.
+    /// From a host to a discovery service.
     Poll {
         list: u32,
         reader: RequestReader,
--- a/crates/lab/src/fleet/peers/discovery.rs
+++ b/crates/lab/src/fleet/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! The list services: polls in turn, watches, and what counts as delivered to a host.
+//! The discovery services: polls in turn, watches, and what counts as delivered to a host.
 use super::connections::{Connection, ConnectionId};
 use super::{ConnectionRole, Event, HTTP_LIMITS, ListedNode, SimulatedPeers, Timer};
 use crate::fleet::discovery_queue::{PollOutcome, ServiceBehavior};
@@ -229,7 +229,7 @@
         })
     }
 
-    /// Whether bytes of the list service to a host are in flight.
+    /// Whether bytes of the discovery service to a host are in flight.
     pub fn has_discovery_bytes_in_flight(&self, host: u32) -> bool {
         let is_poll = |c: &Connection| c.host == host && matches!(c.role, ConnectionRole::Poll { .. });
         self.connections.iter().any(|(_, c)| is_poll(c) && c.to_host.next_due().is_some())
--- a/crates/lab/src/fleet/peers/endpoint_list.rs
+++ b/crates/lab/src/fleet/peers/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the list service knows it: entries, version, recent changes and updates to come.
+//! The endpoint list as the discovery service knows it: entries, version, recent changes and updates to come.
 use super::SimulatedPeers;
 use crate::fleet::host_config::HostConfig;
 use crate::fleet::scenario::InitialList;
--- a/crates/lab/src/fleet/peers/event_loop.rs
+++ b/crates/lab/src/fleet/peers/event_loop.rs
@@ -27,7 +27,7 @@
     CheckReadiness(u32),
     /// Idle watches get a keep-alive line.
     WatchKeepAlive,
-    /// The list service learns of updates and sends them.
+    /// The discovery service learns of updates and sends them.
     PublishUpdates,
     /// A datagram arrives: its place.
     DeliverDatagram(u32),
--- a/crates/lab/src/fleet/peers/nodes.rs
+++ b/crates/lab/src/fleet/peers/nodes.rs
@@ -40,12 +40,12 @@
         Ok(node)
     }
 
-    /// A node as the list service knows it.
+    /// A node as the discovery service knows it.
     pub fn listed_node(&self, node: u32) -> ListedNode {
         self.endpoints.node(node)
     }
 
-    /// The list service learns of a node's change once its lag is over.
+    /// The discovery service learns of a node's change once its lag is over.
     pub fn schedule_update(&mut self, node: u32, entry: ListedNode) {
         self.schedule_update_from(self.now(), node, entry);
     }
--- a/crates/lab/src/fleet/record.rs
+++ b/crates/lab/src/fleet/record.rs
@@ -1,5 +1,5 @@
-//! What was observed of a run: messages on the sockets of clients, nodes and list services, and the starts and ends
-//! of processes.
+//! What was observed of a run: messages on the sockets of clients, nodes and discovery services, and the starts and
+//! ends of processes.
 use crate::trace::Micros;
 
 /// How a host process ended.
@@ -113,7 +113,7 @@
         /// The node.
         node: u32,
     },
-    /// The list service sent a node's entry to a host.
+    /// The discovery service sent a node's entry to a host.
     EndpointSent {
         /// The host.
         host: u32,
@@ -126,8 +126,8 @@
         /// Start of the node's process; 0: long ago.
         started_at: Micros,
     },
-    /// The list service has an entry that it can't send to a host. The host counts as notified from a later time on,
-    /// unless an entry of that version or a newer one was sent before.
+    /// The discovery service has an entry that it can't send to a host. The host counts as notified from a later time
+    /// on, unless an entry of that version or a newer one was sent before.
     EndpointUndeliverable {
         /// The host.
         host: u32,
@@ -140,21 +140,21 @@
         /// When the host counts as notified.
         effective_at: Micros,
     },
-    /// The list service received a whole poll of a host.
+    /// The discovery service received a whole poll of a host.
     PollReceived {
         /// The host.
         host: u32,
         /// Polls that wait at the service, with this one.
         queued: u32,
     },
-    /// The list service sent a host a full snapshot or an incremental update.
+    /// The discovery service sent a host a full snapshot or an incremental update.
     PollServed {
         /// The host.
         host: u32,
         /// Version of the list.
         version: u64,
     },
-    /// The list service rejected a host's poll.
+    /// The discovery service rejected a host's poll.
     PollRejected {
         /// The host.
         host: u32,
@@ -169,7 +169,7 @@
         /// The host.
         host: u32,
     },
-    /// A host's process ended, or was told to.
+    /// A host's process ended, or was sent SIGTERM.
     HostStopped {
         /// The host.
         host: u32,
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -48,11 +48,11 @@
     pub nodes_start_cold: bool,
     /// What clients do.
     pub load: LoadProfile,
-    /// Time that a poll takes at the list service.
+    /// Time that a poll takes at the discovery service.
     pub service_time: Micros,
     /// Time after which a queued poll is rejected.
     pub queue_timeout: Micros,
-    /// Time until the list service learns of a node's change.
+    /// Time until the discovery service learns of a node's change.
     pub discovery_lag: Micros,
     /// Memory limit of a host in megabytes.
     pub memory_mb: u32,
@@ -123,7 +123,7 @@
     PauseHosts(IndexRange),
     /// SIGCONT to hosts.
     ResumeHosts(IndexRange),
-    /// SIGHUP to hosts with a configuration that names the other list service.
+    /// SIGHUP to hosts with a configuration that names the other discovery service.
     RedirectHosts(IndexRange),
     /// Stops nodes.
     StopNodes(IndexRange),
@@ -135,7 +135,7 @@
     ReplaceNodes(IndexRange),
     /// Removes drained nodes.
     RemoveNodes(IndexRange),
-    /// Changes how the list service behaves.
+    /// Changes how the discovery service behaves.
     SetDiscoveryBehavior(ServiceBehavior),
     /// Open watches of these hosts stay open and send nothing any more.
     StallWatches(IndexRange),
--- a/crates/lab/src/fleet/testbed.rs
+++ b/crates/lab/src/fleet/testbed.rs
@@ -17,7 +17,7 @@
 const ITERATION: Duration = Duration::from_millis(20);
 /// After the run, time for requests in flight, and then for hosts to end: longer than the longest deadline.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
-/// A host that was told to end is killed so long after the longest deadline, as on the users' platform.
+/// A host that was sent SIGTERM is killed so long after the longest deadline, as on the users' platform.
 const KILL_DELAY: Micros = 700_000;
 /// The longest deadline counts as so much at most.
 const MAX_LONGEST_DEADLINE: Micros = 3_000_000;
@@ -44,9 +44,9 @@
     /// The host processes.
     pub processes: HostProcesses,
     host_seeds: Pcg64Mcg,
-    /// The list service that each host is configured with.
+    /// The discovery service that each host is configured with.
     lists: Vec<u32>,
-    /// When each host was told to end, while it runs on.
+    /// When each host was sent SIGTERM, while it still runs.
     terminated_at: Vec<Option<Micros>>,
     crashed: Vec<String>,
     max_lag: Micros,
@@ -162,8 +162,8 @@
         self.max_lag = self.max_lag.max(elapsed.saturating_sub(ITERATION.as_micros() as Micros));
         self.kill_overdue(before);
         for (host, code) in self.processes.reap_exited() {
-            let was_told = self.terminated_at[host as usize].take().is_some();
-            if !was_told || code != 0 {
+            let was_requested = self.terminated_at[host as usize].take().is_some();
+            if !was_requested || code != 0 {
                 let log = self.processes.log(host);
                 self.crashed.push(format!("host {host} ended with {code}, see {}", log.display()));
             }
@@ -171,12 +171,12 @@
         }
     }
 
-    /// Kills the hosts that were told to end and have not in time.
+    /// Kills the hosts that have not ended in time after SIGTERM.
     fn kill_overdue(&mut self, now: Micros) {
         let load = &self.scenario.load;
         let longest = load.write_timeout.max(load.read_timeout).min(MAX_LONGEST_DEADLINE);
         for host in 0..self.scenario.hosts {
-            if self.terminated_at[host as usize].is_some_and(|told| now >= told + longest + KILL_DELAY) {
+            if self.terminated_at[host as usize].is_some_and(|at| now >= at + longest + KILL_DELAY) {
                 self.terminated_at[host as usize] = None;
                 self.kill(host);
             }
@@ -274,7 +274,7 @@
         range.below(self.scenario.nodes)
     }
 
-    /// Reloads a host's configuration with the second list service in it.
+    /// Reloads a host's configuration with the second discovery service in it.
     fn redirect(&mut self, host: u32) -> Result<(), TestbedError> {
         self.lists[host as usize] = 1;
         let config = self.draw_config(host);
@@ -289,7 +289,7 @@
         Ok(())
     }
 
-    /// Ends the run: clients send no more, requests in flight get their responses, and hosts are told to end.
+    /// Ends the run: clients send no more, requests in flight get their responses, and hosts are terminated.
     pub fn finish(mut self) -> Outcome {
         self.peers.set_clients_active(false);
         self.wait_for(DRAIN_TIMEOUT, |testbed| testbed.peers.in_flight() == 0);
--- a/crates/lab/tests/fleet/discovery_outages.rs
+++ b/crates/lab/tests/fleet/discovery_outages.rs
@@ -1,5 +1,5 @@
-//! Twenty hosts and a list service that serves ten polls a second, which each host is told. In every outage no more polls
-//! wait than the service serves in a second, and every host has a list in time.
+//! Twenty hosts and a discovery service that serves ten polls a second, and hosts configured for that. In every outage no
+//! more polls wait than the service serves in a second, and every host has a list in time.
 use crate::support::{assert_clean, play, program, replaced};
 use mallowseam_lab::fleet::outcome::Outcome;
 
@@ -29,7 +29,7 @@
     outcome
 }
 
-/// Plays a script with a fast service that hosts are told takes 250 ms a poll, and checks that no rule is violated.
+/// Plays a script with a fast service that hosts assume to take 250 ms a poll, and checks that no rule is violated.
 fn play_with_slow_pacing(text: &str) {
     let program = program().with_arguments(&["--list-turn", "250"]);
     let text = format!("{HEAD}{text}").replace("takes 100ms", "takes 20ms");
@@ -47,7 +47,7 @@
 fn hosts_that_start_at_once_poll_once_each() {
     let outcome = play_clean("day 4s\n");
     assert_eq!(outcome.verdict.polls, 20);
-    // Half as much again as twenty calls take, and the start of the processes.
+    // One and a half times what twenty polls take, and the start of the processes.
     assert_lists_within(&outcome, 3_000 + 300);
     let unpaced = play_with("day 4s\n", "0");
     assert!(
@@ -71,14 +71,13 @@
 
 #[test]
 fn updates_during_an_outage_are_received_within_six_seconds_of_recovery() {
-    // With 250 ms of the service for each host, turns of all of them take 5 s. Three nodes drain as it comes back, and
-    // stay up.
+    // At 250 ms a poll, the polls of all hosts take 5 s. Three nodes drain as the service recovers, and stay up.
     play_with_slow_pacing("day 19s\nat 4s list away for 5s\nat 8500ms node 0..3 replace for 9s\n");
 }
 
 #[test]
 fn a_service_that_hangs_and_recovers_is_watched_by_all() {
-    // It handles none meanwhile: so many wait as call within the time that a host gives a call, by chance some more.
+    // It serves none meanwhile: as many wait as hosts poll within the timeout of a poll, and by chance some more.
     let outcome = play_clean_with_queue("day 12s\nat 0s list mute for 3s\n", 16);
     assert_eq!(outcome.open_watches, 20);
 }
@@ -155,7 +154,7 @@
 
 #[test]
 fn link_latency_delays_the_list_without_a_second_poll() {
-    // Half a second there and back, with as much spread: within what a host gives a call.
+    // 400 ms of latency and 200 ms of jitter: within the timeout of a poll.
     let outcome = play_clean("day 9s\nat 0s link lists hosts one-way slow 400ms spread 200ms for 6s\n");
     assert_eq!((outcome.verdict.polls, outcome.open_watches), (20, 20));
     assert_lists_within(&outcome, 3_000 + 300 + 600);
@@ -169,8 +168,8 @@
         ("rate 60/s", "rate 150/s"),
     ];
     let head = replaced(HEAD, &cold);
-    // Nodes 1 and 3 and the odd hosts: hosts start anew two seconds after the nodes, with a list that knows of it.
-    // Those killed in the middle of an answer leave it and their end on one connection, which clients use no more.
+    // Nodes 1 and 3 and the odd hosts: hosts restart two seconds after the nodes, with a list that has their start.
+    // A host that is killed in the middle of a response closes the connection behind it; clients do not reuse it.
     let zone = "at 4s node 1 kill for 2s\nat 4s node 3 kill for 2s\n";
     let hosts: String = (0..10).map(|n| format!("at 4s host {} kill for 4s\n", 2 * n + 1)).collect();
     let program = program().with_arguments(&["--list-turn", "120"]);
@@ -183,7 +182,7 @@
 
 #[test]
 fn hosts_with_stalled_watches_poll_again_before_the_notification_deadline() {
-    // Of 20 hosts 12 hear no more from 6 s on, and three nodes drain at 9 s. With 250 ms of the service for each host, a
-    // draw over all of it (5 s) would leave some of them asking later than at 12 s.
+    // The watches of 12 of 20 hosts stall at 6 s, and three nodes drain at 9 s. At 250 ms a poll, a jitter over the time
+    // of all polls (5 s) would let some of them poll later than at 12 s.
     play_with_slow_pacing("day 15s\nat 6s list forgets 0..12\nat 9s node 0..3 replace for 5s\n");
 }
--- a/crates/lab/tests/fleet/membership.rs
+++ b/crates/lab/tests/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! The view that hosts keep of their fleet, with processes and faults between them; told by each one's own view.
+//! Membership of host processes with faults between them, as each host's own table shows it.
 use crate::support::{changed, finish, open, wait_for};
 use mallowseam_fleet::MemberState;
 use mallowseam_lab::fleet::links::{LinkFault, Peer, PeerSet};
@@ -7,13 +7,13 @@
 use mallowseam_lab::fleet::testbed::Testbed;
 use std::net::SocketAddr;
 
-/// Periods of 100 ms, so that a suspicion stands for half a second to one and a half.
+/// The small fleet with membership: periods of 100 ms, so that a suspicion lasts half a second to one and a half.
 fn with_membership(hosts: u32) -> Scenario {
     let hosts = format!("hosts {hosts} known now");
     changed(&[("hosts 5 known now", hosts.as_str()), ("zones 2", "zones 2\nview period 100ms seeds 2")])
 }
 
-/// How a host saw another one in its last look.
+/// The state of another host in the last table that a host reported.
 fn observed_state(testbed: &Testbed, host: u32, other: u32) -> Option<MemberState> {
     let name = format!("n{}", testbed.peers.name_numbers[other as usize]);
     testbed
@@ -26,17 +26,17 @@
         .map(|m| m.state)
 }
 
-/// Looks at all of these until each sees each other one so.
+/// Queries the observers until each has each of the others in this state.
 fn wait_until_all_see(
     testbed: &mut Testbed,
-    event: &str,
+    what: &str,
     observers: &[u32],
     others: &[u32],
     state: MemberState,
 ) {
-    // What was asked for before tells of another time, maybe of an earlier life.
+    // A table that was requested before may be that of an earlier process.
     let from = testbed.peers.now();
-    wait_for(testbed, event, |testbed| {
+    wait_for(testbed, what, |testbed| {
         observers.iter().for_each(|h| testbed.peers.query_membership(*h));
         let fresh = |h: &u32| testbed.peers.last_view(*h).is_some_and(|v| v.requested_at >= from);
         observers
@@ -67,15 +67,15 @@
 
 const FIVE: [u32; 5] = [0, 1, 2, 3, 4];
 
-fn cut(testbed: &mut Testbed, from: u32, to: u32, blackholed: bool) {
+fn set_blackholed(testbed: &mut Testbed, from: u32, to: u32, blackholed: bool) {
     let fault = LinkFault { blackholed, ..LinkFault::default() };
     testbed.peers.set_link(PeerSet::Single(Peer::Host(from)), PeerSet::Single(Peer::Host(to)), fault);
 }
 
-/// Cuts every pair of which `apart` says so, both ways; none: heals all.
-fn split(testbed: &mut Testbed, hosts: u32, apart: impl Fn(u32, u32) -> bool) {
+/// Cuts both directions between the pairs that are to be apart, and heals all others.
+fn partition(testbed: &mut Testbed, hosts: u32, apart: impl Fn(u32, u32) -> bool) {
     for a in 0..hosts {
-        (0..hosts).filter(|b| *b != a).for_each(|b| cut(testbed, a, b, apart(a, b)));
+        (0..hosts).filter(|b| *b != a).for_each(|b| set_blackholed(testbed, a, b, apart(a, b)));
     }
 }
 
@@ -90,8 +90,8 @@
             .iter()
             .all(|h| matches!(observed_state(testbed, *h, 3), Some(MemberState::Leaving | MemberState::Left)))
     });
-    let took = testbed.peers.now() - from;
-    assert!(took < 650_000, "{took}");
+    let elapsed = testbed.peers.now() - from;
+    assert!(elapsed < 650_000, "{elapsed}");
     wait_until_all_see(&mut testbed, "left", &[0, 1, 2, 4], &[3], MemberState::Left);
     finish(testbed);
 }
@@ -104,12 +104,12 @@
     wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
     testbed.kill(3);
     testbed.start(5).expect("a process");
-    let at = testbed.peers.addresses.membership_advertise(5);
+    let address = testbed.peers.addresses.membership_advertise(5);
     wait_for(&mut testbed, "at its new address", |testbed| {
         [0, 1, 2, 4].iter().for_each(|h| testbed.peers.query_membership(*h));
         let there = |h: &u32| {
             testbed.peers.last_view(*h).is_some_and(|v| {
-                v.table.members.iter().any(|m| m.record.address == at && m.state == MemberState::Alive)
+                v.table.members.iter().any(|m| m.record.address == address && m.state == MemberState::Alive)
             })
         };
         [0, 1, 2, 4].iter().all(there)
@@ -127,16 +127,16 @@
     wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
     testbed.peers.set_clients_active(true);
     testbed.start(5).expect("a process");
-    wait_for(&mut testbed, "the earlier one gives way", |testbed| {
+    wait_for(&mut testbed, "the earlier process is superseded", |testbed| {
         testbed.peers.query_membership(3);
         testbed.peers.last_view(3).is_some_and(|v| v.table.superseded)
     });
     let mark = testbed.peers.observations.len();
-    wait_for(&mut testbed, "and serves on", |testbed| {
+    wait_for(&mut testbed, "it serves on", |testbed| {
         testbed.peers.executed_since(mark).any(|(_, host)| host == 3)
     });
     testbed.peers.query_membership(5);
-    wait_for(&mut testbed, "the later one stays", |testbed| {
+    wait_for(&mut testbed, "the later process stays", |testbed| {
         testbed.peers.last_view(5).is_some_and(|v| !v.table.superseded)
     });
     let log = std::fs::read_to_string(dir.path().join("h3.log")).expect("a log");
@@ -147,23 +147,21 @@
 #[test]
 fn a_paused_member_suspects_nobody_after_it_resumes() {
     let (mut testbed, _dir) = started(&with_membership(5), 5, &FIVE);
-    testbed.processes.signal(2, nix::sys::signal::Signal::SIGSTOP);
-    testbed.peers.set_paused(2, true);
+    testbed.set_paused(2, true);
     wait_until_all_see(
         &mut testbed,
-        "a stop longer than any suspicion",
+        "a pause longer than any suspicion",
         &[0, 1, 3, 4],
         &[2],
         MemberState::Unreachable,
     );
-    testbed.processes.signal(2, nix::sys::signal::Signal::SIGCONT);
-    testbed.peers.set_paused(2, false);
+    testbed.set_paused(2, false);
     let mark = testbed.peers.membership.samples.len();
     wait_until_all_see(&mut testbed, "all see all again", &FIVE, &FIVE, MemberState::Alive);
     let wrong = testbed.peers.membership.samples[mark..].iter().filter(|v| v.host == 2);
     let wrong: usize =
         wrong.map(|v| v.members.iter().filter(|m| m.state == MemberState::Unreachable).count()).sum();
-    assert_eq!(wrong, 0, "the one that was stopped doubted itself");
+    assert_eq!(wrong, 0, "the paused host holds others unreachable");
     finish(testbed);
 }
 
@@ -174,10 +172,10 @@
     wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
     testbed.kill(0);
     testbed.kill(1);
-    wait_until_all_see(&mut testbed, "both are out of reach", &[2, 3, 4], &[0, 1], MemberState::Unreachable);
-    wait_until_all_see(&mut testbed, "the rest is there", &[2, 3, 4], &[2, 3, 4], MemberState::Alive);
+    wait_until_all_see(&mut testbed, "both are unreachable", &[2, 3, 4], &[0, 1], MemberState::Unreachable);
+    wait_until_all_see(&mut testbed, "the others are alive", &[2, 3, 4], &[2, 3, 4], MemberState::Alive);
     testbed.start(5).expect("a process");
-    wait_for(&mut testbed, "it knows itself alone", |testbed| {
+    wait_for(&mut testbed, "it is its only member", |testbed| {
         testbed.peers.query_membership(5);
         testbed.peers.last_view(5).is_some_and(|v| v.table.members.len() == 1)
     });
@@ -190,20 +188,26 @@
 fn partitions_into_two_and_three_sides_heal() {
     let (mut testbed, _dir) = started(&with_membership(6), 7, &[0, 1, 2, 3, 4, 5]);
     for sides in [2, 3] {
-        split(&mut testbed, 6, |a, b| a % sides != b % sides);
+        partition(&mut testbed, 6, |a, b| a % sides != b % sides);
         for side in 0..sides {
-            let of: Vec<u32> = (0..6).filter(|h| h % sides == side).collect();
+            let side_members: Vec<u32> = (0..6).filter(|h| h % sides == side).collect();
             let others: Vec<u32> = (0..6).filter(|h| h % sides != side).collect();
             wait_until_all_see(
                 &mut testbed,
-                "the other sides are out of reach",
-                &of,
+                "the other sides are unreachable",
+                &side_members,
                 &others,
                 MemberState::Unreachable,
             );
-            wait_until_all_see(&mut testbed, "its own side is there", &of, &of, MemberState::Alive);
+            wait_until_all_see(
+                &mut testbed,
+                "its own side is alive",
+                &side_members,
+                &side_members,
+                MemberState::Alive,
+            );
         }
-        split(&mut testbed, 6, |_, _| false);
+        partition(&mut testbed, 6, |_, _| false);
         let all: Vec<u32> = (0..6).collect();
         wait_until_all_see(&mut testbed, "healed", &all, &all, MemberState::Alive);
     }
@@ -213,24 +217,25 @@
 #[test]
 fn one_way_and_partial_partitions_make_no_member_unreachable() {
     let (mut testbed, _dir) = started(&with_membership(6), 8, &[0, 1, 2, 3, 4, 5]);
-    cut(&mut testbed, 1, 2, true);
-    // Host 5 reaches the even ones alone, both ways.
+    set_blackholed(&mut testbed, 1, 2, true);
+    // Host 5 and the even hosts reach each other; the others are cut off from it in both directions.
     [1, 3].iter().for_each(|h| {
-        cut(&mut testbed, 5, *h, true);
-        cut(&mut testbed, *h, 5, true);
+        set_blackholed(&mut testbed, 5, *h, true);
+        set_blackholed(&mut testbed, *h, 5, true);
     });
     let from = testbed.peers.now();
     let mark = testbed.peers.membership.samples.len();
-    // Forty periods: each pair is asked some eight times over.
+    // Forty periods: each pair is pinged some eight times.
     testbed.wait_for(std::time::Duration::from_secs(4), |testbed| {
         (0..6).for_each(|h| testbed.peers.query_membership(h));
         testbed.peers.now() > from + 4_000_000
     });
-    let out = |v: &&MembershipSample| v.members.iter().any(|m| m.state == MemberState::Unreachable);
-    let observations = testbed.peers.membership.samples[mark..].len();
-    let wrong = testbed.peers.membership.samples[mark..].iter().filter(out).count();
-    assert!(observations > 60 && wrong == 0, "{wrong} of {observations} looks");
-    split(&mut testbed, 6, |_, _| false);
+    let has_unreachable =
+        |s: &&MembershipSample| s.members.iter().any(|m| m.state == MemberState::Unreachable);
+    let total = testbed.peers.membership.samples[mark..].len();
+    let wrong = testbed.peers.membership.samples[mark..].iter().filter(has_unreachable).count();
+    assert!(total > 60 && wrong == 0, "{wrong} of {total} samples");
+    partition(&mut testbed, 6, |_, _| false);
     finish(testbed);
 }
 
@@ -252,12 +257,12 @@
 #[test]
 fn datagrams_from_strangers_change_nothing() {
     let (mut testbed, _dir) = started(&with_membership(5), 10, &FIVE);
-    let mut noise = mallowseam_fleet::wire::encode_query(0).to_vec();
+    let mut bytes = mallowseam_fleet::wire::encode_query(0).to_vec();
     for n in 0..4_000u32 {
-        let at = n as usize % noise.len();
-        noise[at] = noise[at].wrapping_mul(31).wrapping_add(n as u8);
-        let len = 1 + (n as usize * 7) % noise.len();
-        testbed.peers.send_from_stranger(n % 5, &noise[..len]);
+        let index = n as usize % bytes.len();
+        bytes[index] = bytes[index].wrapping_mul(31).wrapping_add(n as u8);
+        let len = 1 + (n as usize * 7) % bytes.len();
+        testbed.peers.send_from_stranger(n % 5, &bytes[..len]);
         if n % 50 == 0 {
             testbed.run_once();
         }
@@ -274,48 +279,49 @@
     testbed.peers.set_clients_active(true);
     for pair in [0, 2, 4, 6] {
         [pair, pair + 1].iter().for_each(|h| testbed.terminate(*h));
-        wait_for(&mut testbed, "both are over", |testbed| {
+        wait_for(&mut testbed, "both have ended", |testbed| {
             !testbed.processes.running(pair) && !testbed.processes.running(pair + 1)
         });
         if pair == 2 {
-            split(&mut testbed, 8, |a, b| a % 2 != b % 2);
+            partition(&mut testbed, 8, |a, b| a % 2 != b % 2);
         }
         [pair, pair + 1].iter().for_each(|h| testbed.start(*h).expect("a process"));
     }
-    split(&mut testbed, 8, |_, _| false);
+    partition(&mut testbed, 8, |_, _| false);
     let all: Vec<u32> = (0..8).collect();
     wait_until_all_see(&mut testbed, "all see all", &all, &all, MemberState::Alive);
-    wait_for(&mut testbed, "one view", |testbed| {
+    wait_for(&mut testbed, "one table", |testbed| {
         all.iter().for_each(|h| testbed.peers.query_membership(*h));
-        let sums: Vec<_> = all.iter().map(|h| testbed.peers.last_view(*h).map(|v| v.table.digest)).collect();
-        sums.iter().all(|v| v.is_some() && *v == sums[0])
+        let digests: Vec<_> =
+            all.iter().map(|h| testbed.peers.last_view(*h).map(|v| v.table.digest)).collect();
+        digests.iter().all(|digest| digest.is_some() && *digest == digests[0])
     });
     finish(testbed);
 }
 
+/// Whether any process of this machine has a UDP socket bound to an address.
+fn is_udp_bound(address: SocketAddr) -> bool {
+    let SocketAddr::V4(address) = address else { panic!("an IPv4 address") };
+    let sockets = std::fs::read_to_string("/proc/net/udp").expect("sockets");
+    let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
+    sockets.contains(&listed)
+}
+
 #[test]
 fn a_host_without_membership_opens_no_socket_and_logs_nothing_of_it() {
     let (mut testbed, dir) = open(&changed(&[]), 12);
     testbed.start_all().expect("processes");
     wait_for(&mut testbed, "all watch", |testbed| testbed.peers.watch_count() == 5);
-    let of = |host: u32| testbed.processes.usage(host).expect("it runs");
-    let without = of(0).descriptors;
+    let descriptors = |testbed: &Testbed| testbed.processes.usage(0).expect("it runs").descriptors;
+    let without = descriptors(&testbed);
     let log = std::fs::read_to_string(dir.path().join("h0.log")).expect("a log");
     assert!(!["fleet", "member"].iter().any(|topic| log.contains(topic)), "{log}");
-    let udp = std::fs::read_to_string("/proc/net/udp").expect("sockets");
-    let SocketAddr::V4(address) = testbed.peers.addresses.membership_listen(0) else {
-        panic!("of the fourth version")
-    };
-    let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
-    assert!(!udp.contains(&listed), "it listens for datagrams");
+    let address = testbed.peers.addresses.membership_listen(0);
+    assert!(!is_udp_bound(address), "it listens for datagrams");
     finish(testbed);
     let (testbed, _dir) = started(&with_membership(5), 12, &FIVE);
-    let udp = std::fs::read_to_string("/proc/net/udp").expect("sockets");
-    let SocketAddr::V4(address) = testbed.peers.addresses.membership_listen(0) else {
-        panic!("of the fourth version")
-    };
-    let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
-    assert!(udp.contains(&listed), "with one it does");
-    assert!(testbed.processes.usage(0).expect("it runs").descriptors > without);
+    let address = testbed.peers.addresses.membership_listen(0);
+    assert!(is_udp_bound(address), "with membership it listens");
+    assert!(descriptors(&testbed) > without);
     finish(testbed);
 }
--- a/crates/lab/tests/fleet/readiness.rs
+++ b/crates/lab/tests/fleet/readiness.rs
@@ -1,4 +1,5 @@
-//! When restarted hosts are ready: twenty processes, with and without an initial list, in every state of the list service.
+//! When restarted hosts are ready: twenty processes, with and without an initial list, in every state of the discovery
+//! service.
 use crate::support::{play, program};
 use mallowseam_lab::fleet::outcome::Outcome;
 use mallowseam_lab::fleet::record::Event;
@@ -34,7 +35,7 @@
     delays
 }
 
-/// States of the list service while hosts restart at 3 s.
+/// States of the discovery service while hosts restart at 3 s.
 const SERVICE_STATES: [(&str, &str); 5] = [
     ("up", ""),
     ("away until 8 s into the start", "at 2900ms list away for 8300ms\n"),
--- a/crates/lab/tests/fleet/support.rs
+++ b/crates/lab/tests/fleet/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet for the tests: five hosts, three nodes, a list service that serves ten polls a second.
+//! A small fleet for the tests: five hosts, three nodes, a discovery service that serves ten polls a second.
 use mallowseam_lab::fleet::outcome::Outcome;
 use mallowseam_lab::fleet::processes::Program;
 use mallowseam_lab::fleet::scenario::{self, Scenario};
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -325,7 +325,7 @@
 const POLLS: u64 = 300;
 
 #[test]
-fn polls_of_the_list_service_take_turns_as_recorded() {
+fn polls_of_the_discovery_service_take_turns_as_recorded() {
     let mut digest = Digest::new();
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
