--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -16,13 +16,13 @@
     pub const CHECK_CONDITION: u8 = 0x02;
     /// The logical unit cannot take the command now.
     pub const BUSY: u8 = 0x08;
-    /// The logical unit has no room for another command.
+    /// The logical unit cannot queue another command.
     pub const TASK_SET_FULL: u8 = 0x28;
     /// The command was aborted by another initiator.
     pub const TASK_ABORTED: u8 = 0x40;
 }
 
-/// Response code of sense data in fixed format, of a current error (SPC-4, 4.5.1).
+/// Response code of sense data in fixed format, of a current error (SPC-4, 4.5).
 const FIXED_CURRENT: u8 = 0x70;
 /// The same, of a deferred error.
 const FIXED_DEFERRED: u8 = 0x71;
