--- a/crates/scheduler/src/policy/endpoints.rs
+++ b/crates/scheduler/src/policy/endpoints.rs
@@ -16,7 +16,7 @@
         endpoints: &[NodeEndpoint],
     ) {
         if matches!(event, EndpointEvent::PollFailed | EndpointEvent::WatchSilent) {
-            self.polling.on_failure(now, event, &mut self.rng);
+            self.polling.on_failure(now, event, &self.rng);
             return self.arm_timer(host, now);
         }
         if event != EndpointEvent::Cached {
@@ -39,7 +39,7 @@
 
     /// Another discovery service serves the endpoint list from now on; all hosts learn it at about one time.
     pub fn on_discovery_moved(&mut self, host: &mut dyn Host, now: Tick) {
-        self.polling.on_moved(now, &mut self.rng);
+        self.polling.on_moved(now, &self.rng);
         self.arm_timer(host, now);
     }
 
