--- a/crates/fleet-udp/src/snapshot.rs
+++ b/crates/fleet-udp/src/snapshot.rs
@@ -20,7 +20,7 @@
 pub struct MembershipSnapshot {
     /// Name of the host.
     pub host: String,
-    /// Whether the host hears no other member.
+    /// Whether the host receives nothing from any other member.
     pub isolated: bool,
     /// Whether a later process under the host's name superseded it.
     pub superseded: bool,
@@ -136,7 +136,7 @@
 
 fn write_row(table: &mut String, member: &MemberStatus, now_ms: u64) {
     let record = &member.record;
-    let last_heard = member.last_heard_ms.map_or("-".to_owned(), |ms| format!("{:.1}", ms as f64 / 1e3));
+    let last_contact = member.last_contact_ms.map_or("-".to_owned(), |ms| format!("{:.1}", ms as f64 / 1e3));
     let _ = writeln!(
         table,
         "{:<20}{:<13}{:<10}{:<22}{:>8}{:>8}{:>9}{:>9}",
@@ -147,7 +147,7 @@
         record.versions.endpoint_list,
         record.versions.plans,
         now_ms.saturating_sub(record.started_ms) / 1_000,
-        last_heard
+        last_contact
     );
 }
 
@@ -163,6 +163,6 @@
         "list": record.versions.endpoint_list,
         "plans": record.versions.plans,
         "started": record.started_ms,
-        "heard_ms": member.last_heard_ms,
+        "heard_ms": member.last_contact_ms,
     })
 }
--- a/crates/fleet-udp/tests/pinned_snapshot.rs
+++ b/crates/fleet-udp/tests/pinned_snapshot.rs
@@ -10,7 +10,7 @@
     Name::try_from(text).expect("short")
 }
 
-fn status(host: &str, state: MemberState, heard: Option<u64>) -> MemberStatus {
+fn status(host: &str, state: MemberState, last_contact_ms: Option<u64>) -> MemberStatus {
     let record = MemberRecord {
         name: name(host),
         generation: 70_000,
@@ -22,7 +22,7 @@
         // In the future, so that the time that it is up is zero at whatever time this runs.
         started_ms: 9_999_999_999_999,
     };
-    MemberStatus { record, state, last_heard_ms: heard }
+    MemberStatus { record, state, last_contact_ms }
 }
 
 fn sample() -> MembershipSnapshot {
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -65,7 +65,7 @@
 pub enum Mutant {
     /// A suspected member does not refute the suspicion.
     NoRefutation,
-    /// No tombstones are kept of members that are gone.
+    /// No tombstones are kept of members that were removed.
     NoTombstones,
     /// An older record replaces a newer one.
     AcceptStaleRecords,
@@ -95,7 +95,7 @@
         self.mutant == Some(mutant)
     }
 
-    /// How long a suspicion stands before its member counts as unreachable, in milliseconds.
+    /// How long a suspicion may stay unrefuted before its member counts as unreachable, in milliseconds.
     ///
     /// Lifeguard's LHA-Suspicion: the timeout falls from its longest value to its shortest one with the logarithm of the
     /// number of members that `confirmed` the suspicion independently.
--- a/crates/fleet/src/config/validation.rs
+++ b/crates/fleet/src/config/validation.rs
@@ -34,7 +34,7 @@
     /// Protocol period; none: the default.
     pub period: Option<Millis>,
     /// Retention of unreachable members; none: the default.
-    pub keep: Option<Millis>,
+    pub unreachable_retention: Option<Millis>,
 }
 
 /// What is wrong with a fleet configuration. The text names the setting and what was expected.
@@ -111,7 +111,7 @@
     }
 
     fn retention(&self) -> Millis {
-        self.keep.unwrap_or(DEFAULT_RETENTION)
+        self.unreachable_retention.unwrap_or(DEFAULT_RETENTION)
     }
 }
 
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -28,8 +28,8 @@
         /// Address of the later process.
         address: SocketAddr,
     },
-    /// No other member was heard for some periods: the network of this host itself may have failed.
+    /// Nothing was received from any other member for some periods: the network of this host itself may have failed.
     IsolationStarted,
-    /// A member was heard again.
+    /// A message of another member was received again.
     IsolationEnded,
 }
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -43,13 +43,13 @@
         u64::from(self.health_multiplier) + 1
     }
 
-    /// A ping was answered: this host itself is well.
-    pub fn raise_health(&mut self) {
+    /// A ping was answered, so this host itself is healthy: the periods become shorter again.
+    pub fn decrease_health_multiplier(&mut self) {
         self.health_multiplier = self.health_multiplier.saturating_sub(1);
     }
 
-    /// A sign that this host itself is slow, stopped or cut off.
-    pub fn lower_health(&mut self, config: &MembershipConfig) {
+    /// A sign that this host itself is slow, stopped or partitioned: the periods become longer (Lifeguard, LHA-Probe).
+    pub fn increase_health_multiplier(&mut self, config: &MembershipConfig) {
         if config.local_health {
             self.health_multiplier = (self.health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,4 +1,4 @@
-//! Membership of a fleet, kept by its hosts themselves: which members are alive, unreachable, leaving or gone, and
+//! Membership of a fleet, kept by its hosts themselves: which members are alive, unreachable, leaving or left, and
 //! which versions each of them acts on.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala: *SWIM: Scalable Weakly-consistent Infection-style Process Group
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -56,15 +56,15 @@
 pub(crate) struct Member {
     pub record: MemberRecord,
     pub reachability: Reachability,
-    /// When this host last heard the member directly.
-    pub last_heard: Option<Millis>,
+    /// When this host last received a message from the member itself.
+    pub last_contact: Option<Millis>,
     /// When the member's state last changed.
     pub state_since: Millis,
 }
 
 impl Member {
     pub fn new(record: MemberRecord, reachability: Reachability, now: Millis) -> Self {
-        Member { record, reachability, last_heard: None, state_since: now }
+        Member { record, reachability, last_contact: None, state_since: now }
     }
 
     pub fn state(&self) -> MemberState {
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,6 +1,6 @@
 //! State machine of one member of the fleet.
 //!
-//! - `receive`: datagrams that come in. `send`: datagrams that go out, with the gossip that rides on them.
+//! - `receive`: received datagrams. `send`: datagrams to be sent, with the gossip that is piggybacked on them.
 //! - `timer`: what is due by time. `failure_detection`: pings, indirect pings and suspicions.
 //! - `joining`: seeds and the end of joining. `anti_entropy`: comparison of whole tables.
 //! - `name_conflict`: other processes under this host's name. `query`: the table for operators.
@@ -85,8 +85,8 @@
     /// Address of the process that superseded this one; set, this host takes no more part.
     superseded_by: Option<SocketAddr>,
     last_tick: Millis,
-    /// When any other member was last heard.
-    last_heard: Option<Millis>,
+    /// When a message of any other member was last received.
+    last_contact: Option<Millis>,
     isolated: bool,
     started: Millis,
     next_anti_entropy: Millis,
@@ -123,7 +123,7 @@
             name_conflict: None,
             superseded_by: None,
             last_tick: now,
-            last_heard: None,
+            last_contact: None,
             isolated: false,
             started: now,
             next_anti_entropy: now,
@@ -149,7 +149,7 @@
         self.counters
     }
 
-    /// Whether no other member was heard for some periods.
+    /// Whether nothing was received from any other member for some periods.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.isolated
--- a/crates/fleet/src/membership/failure_detection.rs
+++ b/crates/fleet/src/membership/failure_detection.rs
@@ -97,7 +97,7 @@
         let Some(ping) = self.failure_detector.pending.take() else { return };
         // None of the requested members reported a result: this host itself may be cut off.
         if ping.requested > 0 && ping.failed == 0 {
-            self.failure_detector.lower_health(&self.config);
+            self.failure_detector.increase_health_multiplier(&self.config);
         }
         let (accuser, isolated) = (self.own_accuser(), self.isolated);
         self.table.suspect(ping.target_id, accuser, isolated, now, &mut |event| sink.notify(event));
@@ -113,7 +113,7 @@
         self.failure_detector.next_target(&mut self.rng, is_eligible, members)
     }
 
-    /// Pings a member. One that is suspected hears of it first, so that it can refute that (Lifeguard's buddy system).
+    /// Pings a member. The datagram carries the suspicion of it first, if any, so that it can refute that (Lifeguard's buddy system).
     pub(super) fn ping(&mut self, id: u64, sequence: u32, sink: &mut dyn ActionSink) {
         let Some(member) = self.table.get(id) else { return };
         let (address, update) = (member.record.address, member.to_update());
@@ -142,7 +142,7 @@
         }
         let pending = &mut self.failure_detector.pending;
         if pending.take_if(|ping| ping.sequence == sequence && ping.target_id == sender_id).is_some() {
-            self.failure_detector.raise_health();
+            self.failure_detector.decrease_health_multiplier();
         }
     }
 
@@ -151,7 +151,7 @@
         let pending = &mut self.failure_detector.pending;
         if acknowledged {
             if pending.take_if(|ping| ping.sequence == sequence).is_some() {
-                self.failure_detector.raise_health();
+                self.failure_detector.decrease_health_multiplier();
             }
         } else if let Some(ping) = pending.as_mut().filter(|ping| ping.sequence == sequence) {
             ping.failed += 1;
@@ -175,7 +175,7 @@
         let sequence = self.next_sequence();
         let deadline = now + self.config.protocol_period / 2;
         self.indirect_pings.push(IndirectPing { sequence, requester, request_sequence, deadline });
-        // A suspected member hears of it from whoever pings it.
+        // Whoever pings a suspected member notifies it of the suspicion.
         let known: Vec<GossipUpdate> = self.table.get(target_id).map(Member::to_update).into_iter().collect();
         self.send(target_address, GossipBody::Ping { sequence }, &known, MAX_DATAGRAM_BYTES, sink);
     }
--- a/crates/fleet/src/membership/name_conflict.rs
+++ b/crates/fleet/src/membership/name_conflict.rs
@@ -66,7 +66,7 @@
         if is_ahead || is_suspected {
             self.own_record.incarnation = own.incarnation.max(record.incarnation);
             self.counters.refutations += 1;
-            self.failure_detector.lower_health(&self.config);
+            self.failure_detector.increase_health_multiplier(&self.config);
             self.publish(|_| {}, now, sink);
         }
     }
--- a/crates/fleet/src/membership/query.rs
+++ b/crates/fleet/src/membership/query.rs
@@ -36,7 +36,7 @@
             let status = MemberStatus {
                 record: member.record.clone(),
                 state: member.state(),
-                last_heard_ms: member.last_heard.map(|last_heard| now.saturating_sub(last_heard)),
+                last_contact_ms: member.last_contact.map(|last_contact| now.saturating_sub(last_contact)),
             };
             if page.members.push(status).is_err() {
                 page.next_id = Some(*id);
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come in.
+//! Received datagrams.
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
@@ -11,7 +11,7 @@
 struct Sender {
     address: SocketAddr,
     id: u64,
-    /// Whether the member was heard before at this very address. If not, the address may be forged: answers are no longer
+    /// Whether a message was received from the member at this address before. If not, the address may be forged: answers are no longer
     /// than the datagram, and no other datagram is sent on its account.
     is_known: bool,
     /// Longest answer, in bytes.
@@ -19,7 +19,7 @@
 }
 
 impl Membership {
-    /// Handles a datagram that came from an address.
+    /// Handles a datagram that was received from an address.
     pub fn receive(&mut self, from: SocketAddr, datagram: &[u8], now: Millis, sink: &mut dyn ActionSink) {
         match wire::decode(&self.config.fleet, datagram) {
             Ok(Message::Gossip(message)) => self.receive_gossip(from, message, datagram.len(), now, sink),
@@ -49,7 +49,7 @@
         }
         let id = member_id(&message.sender.name);
         let known = self.table.get(id);
-        let is_known = known.is_some_and(|m| m.last_heard.is_some() && m.record.address == from);
+        let is_known = known.is_some_and(|m| m.last_contact.is_some() && m.record.address == from);
         let max_reply_bytes = if is_known { MAX_DATAGRAM_BYTES } else { max_stranger_bytes };
         let sender = Sender { address: from, id, is_known, max_reply_bytes };
 
@@ -100,14 +100,14 @@
         is_newer.then(|| GossipUpdate { record: newest.clone(), suspected_by: None })
     }
 
-    /// A member was heard directly. That ends an isolation: what was suspected during it is void.
+    /// A message was received from a member itself. That ends an isolation, and clears the suspicions raised during it.
     fn record_contact(&mut self, id: u64, record: &MemberRecord, now: Millis, sink: &mut dyn ActionSink) {
         if let Some(member) = self.table.members.get_mut(&id)
             && member.record.precedence() == record.precedence()
         {
-            member.last_heard = Some(now);
+            member.last_contact = Some(now);
         }
-        self.last_heard = Some(now);
+        self.last_contact = Some(now);
         if self.isolated {
             self.isolated = false;
             sink.notify(MembershipEvent::IsolationEnded);
@@ -116,12 +116,12 @@
         }
     }
 
-    /// What a sender is to hear first of itself: that it is suspected (Lifeguard's buddy system), or that a newer record
+    /// Updates about the sender itself that go first in the answer: that it is suspected (Lifeguard's buddy system), or that a newer record
     /// under its name is known.
     fn corrections_for(&self, id: u64, sender: &MemberRecord) -> Vec<GossipUpdate> {
         let Some(member) = self.table.get(id) else {
-            let buried = self.table.newest_record(id);
-            return buried
+            let newest = self.table.newest_record(id);
+            return newest
                 .map(|record| GossipUpdate { record: record.clone(), suspected_by: None })
                 .into_iter()
                 .collect();
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! Datagrams that go out, and the gossip that rides on them.
+//! Datagrams to be sent, and the gossip that is piggybacked on them (SWIM, section 4.1).
 use super::{ActionSink, Membership};
 use crate::record::GossipUpdate;
 use crate::wire::{GossipBody, GossipMessage, GossipUpdates, MAX_DATAGRAM_BYTES, Message};
--- a/crates/fleet/src/membership/timer.rs
+++ b/crates/fleet/src/membership/timer.rs
@@ -32,17 +32,17 @@
         self.start_anti_entropy(now, sink);
     }
 
-    /// What fell due while this host was stopped says nothing about other members.
+    /// Timeouts that passed while this host was stopped say nothing about other members: their acks could not be read.
     fn resume_after_stop(&mut self, gap: Millis, now: Millis) {
         self.failure_detector.pending = None;
-        self.failure_detector.lower_health(&self.config);
+        self.failure_detector.increase_health_multiplier(&self.config);
         self.indirect_pings.clear();
         for member in self.table.members.values_mut() {
             if let Reachability::Suspect { since, .. } = &mut member.reachability {
                 *since += gap;
             }
         }
-        self.last_heard = self.last_heard.map(|last_heard| last_heard + gap);
+        self.last_contact = self.last_contact.map(|last_contact| last_contact + gap);
         self.next_anti_entropy = self.next_anti_entropy.min(now);
     }
 
@@ -56,16 +56,16 @@
         }
     }
 
-    /// A host that hears nobody takes itself for the one that is cut off.
+    /// A host that receives nothing from any member assumes that its own network has failed, and not that of all others.
     fn check_isolation(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        let Some(last_heard) = self.last_heard else { return };
-        let is_silent = now >= last_heard + self.periods(ISOLATION_PERIODS);
+        let Some(last_contact) = self.last_contact else { return };
+        let is_silent = now >= last_contact + self.periods(ISOLATION_PERIODS);
         let is_other = |member: &Member| {
             member.record.lifecycle != Lifecycle::Left && member.record.name != self.own_record.name
         };
         if is_silent && !self.isolated && self.table.members.values().any(is_other) {
             self.isolated = true;
-            self.table.keep_own_suspicions_local(self.own_accuser(), last_heard);
+            self.table.keep_own_suspicions_local(self.own_accuser(), last_contact);
             sink.notify(MembershipEvent::IsolationStarted);
         }
     }
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -39,8 +39,8 @@
     /// Merges an update.
     pub fn merge(&mut self, update: &GossipUpdate, now: Millis, notify: Notify) -> MergeOutcome {
         let id = member_id(&update.record.name);
-        let buried = self.tombstones.get(id);
-        if buried.is_some_and(|buried| update.record.precedence() <= buried.precedence()) {
+        let tombstone = self.tombstones.get(id);
+        if tombstone.is_some_and(|newest| update.record.precedence() <= newest.precedence()) {
             return MergeOutcome::Stale;
         }
         let Some(member) = self.members.get_mut(&id) else {
@@ -111,12 +111,12 @@
         notify(updated_event(member, Some(previous)));
     }
 
-    /// This host became isolated: suspicions that it alone raised since it last heard a member may be its own fault, and
+    /// This host became isolated: suspicions that it alone raised since its last contact with a member may be its own fault, and
     /// are not gossiped any further.
-    pub fn keep_own_suspicions_local(&mut self, own_accuser: u32, last_heard: Millis) {
+    pub fn keep_own_suspicions_local(&mut self, own_accuser: u32, last_contact: Millis) {
         for (id, member) in &mut self.members {
             if let Reachability::Suspect { since, accusers, local } = &mut member.reachability
-                && *since >= last_heard
+                && *since >= last_contact
                 && accusers.iter().all(|accuser| *accuser == own_accuser)
             {
                 *local = true;
@@ -162,7 +162,7 @@
         self.members.remove(&id);
     }
 
-    /// Gossips a member's record anew.
+    /// Queues a member's record for gossip, as if it had not been sent yet.
     pub fn enqueue_gossip(&mut self, id: u64) {
         self.gossip_queue.enqueue(id);
     }
--- a/crates/fleet/src/membership_table/gossip_queue.rs
+++ b/crates/fleet/src/membership_table/gossip_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of updates that ride on datagrams to other members (SWIM, section 4.1).
+//! Queue of updates that are piggybacked on datagrams to other members (SWIM, section 4.1).
 use std::collections::BTreeMap;
 
 /// Members whose update is to be gossiped, and how often it was sent.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -98,7 +98,7 @@
     pub sender: MemberRecord,
     /// What the message is for.
     pub body: GossipBody,
-    /// Updates that ride on the message.
+    /// Updates that are piggybacked on the message (SWIM, section 4.1).
     pub updates: GossipUpdates,
 }
 
@@ -109,8 +109,8 @@
     pub record: MemberRecord,
     /// State of the member as the host sees it.
     pub state: MemberState,
-    /// Milliseconds since the host last heard the member directly; none: never.
-    pub last_heard_ms: Option<u64>,
+    /// Milliseconds since the host last received a message from the member itself; none: never.
+    pub last_contact_ms: Option<u64>,
 }
 
 /// A page of a host's membership table.
@@ -118,7 +118,7 @@
 pub struct MembershipPage {
     /// Name of the host.
     pub host: Name,
-    /// Whether the host hears no other member.
+    /// Whether the host receives nothing from any other member.
     pub isolated: bool,
     /// Whether a later process under the host's name superseded it.
     pub superseded: bool,
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -676,7 +676,7 @@
         if fleet.recorder.datagrams > before {
             pings.push((fleet.now, fleet.recorder.datagrams - before));
         }
-        // Others are heard, so that it does not count as isolated.
+        // Others are in contact, so that it does not count as isolated.
         let sender = record(1 + fleet.rng.below(39), 1, 1, Lifecycle::Alive);
         fleet.deliver(sender, GossipBody::Ack { sequence: 0 }, GossipUpdates::new());
     }
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -133,7 +133,7 @@
     ];
     let members = states.into_iter().enumerate().map(|(n, state)| {
         let record = MemberRecord { name: name(&format!("h{n}")), ..record(Lifecycle::Alive) };
-        MemberStatus { record, state, last_heard_ms: [None, Some(900)][n % 2] }
+        MemberStatus { record, state, last_contact_ms: [None, Some(900)][n % 2] }
     });
     let mut page = MembershipPage {
         host: name("host-a"),
@@ -199,7 +199,7 @@
         zone: "z".repeat(25),
         seeds: vec![ipv4(); MAX_SEEDS + 1],
         period: Some(49),
-        keep: Some(1),
+        unreachable_retention: Some(1),
     };
     let problems = unchecked.validate().expect_err("all of it is wrong");
     assert_eq!(
@@ -234,8 +234,13 @@
     );
     assert!(config.membership.local_health && config.membership.suspicion_confirmations);
     assert!(config.membership.seeds.is_empty() && config.membership.zone.is_empty());
-    let least = UncheckedFleetConfig { period: Some(60_000), keep: Some(6_000_000), ..unchecked.clone() };
+    let least = UncheckedFleetConfig {
+        period: Some(60_000),
+        unreachable_retention: Some(6_000_000),
+        ..unchecked.clone()
+    };
     assert!(least.validate().is_ok());
-    let short = UncheckedFleetConfig { period: Some(60_000), keep: Some(5_999_999), ..unchecked };
+    let short =
+        UncheckedFleetConfig { period: Some(60_000), unreachable_retention: Some(5_999_999), ..unchecked };
     assert_eq!(short.validate().expect_err("too short").len(), 1);
 }
--- a/crates/platform/src/config/fleet.rs
+++ b/crates/platform/src/config/fleet.rs
@@ -24,7 +24,7 @@
         zone: text("zone"),
         seeds: seeds(&value["seeds"], errors),
         period: duration(value, "period_ms", 1, errors),
-        keep: duration(value, "keep_s", 1_000, errors),
+        unreachable_retention: duration(value, "keep_s", 1_000, errors),
     };
     match unchecked.validate() {
         Ok(config) => Some(config),
--- a/crates/settings/src/parser/directives.rs
+++ b/crates/settings/src/parser/directives.rs
@@ -132,7 +132,7 @@
         } else if args.accept("period") {
             config.period = args.duration("a duration such as 1s").map(|us| us / 1_000);
         } else if args.accept("keep") {
-            config.keep = args.duration("a duration such as 1h").map(|us| us / 1_000);
+            config.unreachable_retention = args.duration("a duration such as 1h").map(|us| us / 1_000);
         } else {
             args.reject("listen, reached-at, zone, seed, period or keep");
             return None;
