--- a/crates/lab/src/fleet/addresses.rs
+++ b/crates/lab/src/fleet/addresses.rs
@@ -39,17 +39,17 @@
     }
 
     /// Where clients reach a host.
-    pub fn host(self, host: u32) -> SocketAddr {
+    pub(crate) fn host(self, host: u32) -> SocketAddr {
         self.socket_address(host, PORT_HOST)
     }
 
     /// Where a host reaches a discovery service.
-    pub fn list(self, host: u32, list: u32) -> SocketAddr {
+    pub(crate) fn list(self, host: u32, list: u32) -> SocketAddr {
         self.socket_address(host, PORT_LIST + list as u16)
     }
 
     /// Where a host reaches a node.
-    pub fn node(self, host: u32, node: u32) -> SocketAddr {
+    pub(crate) fn node(self, host: u32, node: u32) -> SocketAddr {
         self.socket_address(host, PORT_NODE + node as u16)
     }
 
--- a/crates/lab/src/fleet/host_config.rs
+++ b/crates/lab/src/fleet/host_config.rs
@@ -5,22 +5,23 @@
 use serde_json::{Value, json};
 
 /// Time after which a host must not send to a node that it was notified is draining, in milliseconds.
-pub const DRAIN_GRACE_MS: u64 = 250;
+pub(crate) const DRAIN_GRACE_MS: u64 = 250;
 /// Pause between two writes of one key, in milliseconds.
 const ORDER_PAUSE_MS: u64 = 200;
 /// Time within which hosts are notified of a node's start, in milliseconds.
-pub const POLL_DEADLINE_MS: u64 = 10_000;
+pub(crate) const POLL_DEADLINE_MS: u64 = 10_000;
 /// Latency objective of reads, in milliseconds.
-pub const READ_OBJECTIVE_MS: u64 = 300;
+pub(crate) const READ_OBJECTIVE_MS: u64 = 300;
 /// Latency objective of writes, in milliseconds.
-pub const WRITE_OBJECTIVE_MS: u64 = 400;
+pub(crate) const WRITE_OBJECTIVE_MS: u64 = 400;
 /// The retry budget of a host.
-pub const RETRY_BUDGET: RetryBudget = RetryBudget { free_retries: 3.0, retry_ratio: 0.25, window_ms: 5_000 };
+pub(crate) const RETRY_BUDGET: RetryBudget =
+    RetryBudget { free_retries: 3.0, retry_ratio: 0.25, window_ms: 5_000 };
 /// The limit of each volume on the limited plan.
-pub const VOLUME_LIMIT: VolumeLimit = VolumeLimit { units_per_second: 12.0, burst: 24.0 };
+pub(crate) const VOLUME_LIMIT: VolumeLimit = VolumeLimit { units_per_second: 12.0, burst: 24.0 };
 
 /// How many retries a host may send within a time window.
-pub struct RetryBudget {
+pub(crate) struct RetryBudget {
     /// Retries that are always allowed.
     pub free_retries: f64,
     /// Further retries for each admitted operation.
@@ -30,7 +31,7 @@
 }
 
 /// A token bucket.
-pub struct VolumeLimit {
+pub(crate) struct VolumeLimit {
     /// Refill rate.
     pub units_per_second: f64,
     /// Capacity.
--- a/crates/lab/src/fleet/membership_audit.rs
+++ b/crates/lab/src/fleet/membership_audit.rs
@@ -19,7 +19,7 @@
 
 /// Protocol periods until a killed host is unreachable for all: a suspicion that nobody confirms, and its
 /// dissemination.
-pub fn detection_periods(hosts: u32) -> f64 {
+fn detection_periods(hosts: u32) -> f64 {
     15.0 * f64::from(hosts.max(10)).log10() + 20.0
 }
 
--- a/crates/lab/src/fleet/peers.rs
+++ b/crates/lab/src/fleet/peers.rs
@@ -37,7 +37,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 pub use discovery::NOTIFICATION_DEADLINE;
-pub use endpoint_list::{ListedNode, NodeStatus};
+pub(crate) use endpoint_list::{ListedNode, NodeStatus};
 pub use membership::{MembershipSample, MembershipView, SampledMember};
 
 const HTTP_LIMITS: Limits = Limits { head: 16 * 1024, body: 1 << 20 };
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// A socket can't be opened, or all loopback addresses are in use.
-    pub fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
+    pub(crate) fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let poll = Poll::new().map_err(TestbedError::Poll)?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -181,7 +181,7 @@
     }
 
     /// Changes how a discovery service behaves.
-    pub fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
+    pub(crate) fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
         let now = self.now();
         self.discovery[list].set_behavior(now, behavior);
         if behavior == ServiceBehavior::Down {
--- a/crates/lab/src/fleet/peers/clients.rs
+++ b/crates/lab/src/fleet/peers/clients.rs
@@ -19,7 +19,7 @@
     }
 
     /// Requests of clients without a response yet.
-    pub fn in_flight(&self) -> usize {
+    pub(crate) fn in_flight(&self) -> usize {
         self.request_hosts.len()
     }
 
--- a/crates/lab/src/fleet/peers/connections.rs
+++ b/crates/lab/src/fleet/peers/connections.rs
@@ -13,7 +13,7 @@
 
 /// A connection: its place in the table, and a number that tells it from later ones in the same place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId {
+pub(crate) struct ConnectionId {
     pub(super) index: u32,
     pub(super) serial: u64,
 }
--- a/crates/lab/src/fleet/peers/discovery.rs
+++ b/crates/lab/src/fleet/peers/discovery.rs
@@ -181,7 +181,7 @@
     }
 
     /// Open watches of these hosts stay open and send nothing any more; new ones work.
-    pub fn stall_watches(&mut self, hosts: std::ops::Range<u32>) {
+    pub(crate) fn stall_watches(&mut self, hosts: std::ops::Range<u32>) {
         let now = self.now();
         for index in self.active_watches() {
             if let Some(connection) = self.connections.get_mut(index).filter(|c| hosts.contains(&c.host))
--- a/crates/lab/src/fleet/peers/endpoint_list.rs
+++ b/crates/lab/src/fleet/peers/endpoint_list.rs
@@ -16,7 +16,7 @@
 
 /// Status of a node in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodeStatus {
+pub(crate) enum NodeStatus {
     /// It accepts block I/Os.
     Ready,
     /// It finishes those in flight.
@@ -37,7 +37,7 @@
 
 /// A node's entry.
 #[derive(Clone, Copy, Debug)]
-pub struct ListedNode {
+pub(crate) struct ListedNode {
     /// The shard that it serves.
     pub shard: u32,
     /// Its status.
@@ -170,7 +170,7 @@
     }
 
     /// The configuration of a host that is started or reloaded now.
-    pub fn host_config(&self, host: u32, list: u32, seed: u64) -> String {
+    pub(crate) fn host_config(&self, host: u32, list: u32, seed: u64) -> String {
         let config = HostConfig {
             scenario: &self.scenario,
             addresses: self.addresses,
--- a/crates/lab/src/fleet/peers/event_loop.rs
+++ b/crates/lab/src/fleet/peers/event_loop.rs
@@ -46,7 +46,7 @@
     ///
     /// # Panics
     /// If the operating system's poll fails.
-    pub fn run_once(&mut self, max_wait: Duration) {
+    pub(crate) fn run_once(&mut self, max_wait: Duration) {
         let until_due = |due: Micros| Duration::from_micros(due.saturating_sub(self.now()));
         let wait = self.next_due().map_or(max_wait, |due| until_due(due).min(max_wait));
         let mut events = Events::with_capacity(EVENT_CAPACITY);
--- a/crates/lab/src/fleet/peers/hosts.rs
+++ b/crates/lab/src/fleet/peers/hosts.rs
@@ -23,7 +23,7 @@
 
 impl SimulatedPeers {
     /// A host's process was started. Its readiness is polled from now on.
-    pub fn host_started(&mut self, host: u32) {
+    pub(crate) fn host_started(&mut self, host: u32) {
         self.record(Event::HostStarted { host });
         // Its configuration has all that the service had by now.
         if self.scenario.initial_list == InitialList::Current {
@@ -34,13 +34,13 @@
     }
 
     /// A host's process ended: clients use it no more.
-    pub fn host_stopped(&mut self, host: u32) {
+    pub(crate) fn host_stopped(&mut self, host: u32) {
         self.host_states[host as usize] = HostState::Stopped;
         self.idle_connections.remove(&host);
     }
 
     /// A host was paused or resumed. Its requests in flight are excused.
-    pub fn set_paused(&mut self, host: u32, paused: bool) {
+    pub(crate) fn set_paused(&mut self, host: u32, paused: bool) {
         self.paused[host as usize] = paused;
         let in_flight = self.request_hosts.iter().filter(|(_, h)| **h == host);
         let in_flight: Vec<u64> = in_flight.map(|(op, _)| *op).collect();
--- a/crates/lab/src/fleet/peers/nodes.rs
+++ b/crates/lab/src/fleet/peers/nodes.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// A listener can't be opened.
-    pub fn add_node(&mut self, shard: u32, cold: bool) -> Result<u32, TestbedError> {
+    pub(crate) fn add_node(&mut self, shard: u32, cold: bool) -> Result<u32, TestbedError> {
         let node = self.nodes.len() as u32;
         let now = self.now();
         let mut simulated = SimulatedNode::new(self.scenario.node_model.clone(), self.scenario.node_limits);
@@ -41,12 +41,12 @@
     }
 
     /// A node as the discovery service knows it.
-    pub fn listed_node(&self, node: u32) -> ListedNode {
+    pub(crate) fn listed_node(&self, node: u32) -> ListedNode {
         self.endpoints.node(node)
     }
 
     /// The discovery service learns of a node's change once its lag is over.
-    pub fn schedule_update(&mut self, node: u32, entry: ListedNode) {
+    pub(crate) fn schedule_update(&mut self, node: u32, entry: ListedNode) {
         self.schedule_update_from(self.now(), node, entry);
     }
 
--- a/crates/lab/src/fleet/processes.rs
+++ b/crates/lab/src/fleet/processes.rs
@@ -62,18 +62,18 @@
 
 impl HostProcesses {
     /// No host runs at first. Configurations and logs are written to `dir`.
-    pub fn new(program: Program, dir: &Path, hosts: u32, max_descriptors: u32) -> Self {
+    pub(crate) fn new(program: Program, dir: &Path, hosts: u32, max_descriptors: u32) -> Self {
         let children = (0..hosts).map(|_| None).collect();
         HostProcesses { program, dir: dir.to_owned(), children, max_descriptors }
     }
 
     /// Path of a host's configuration.
-    pub fn config(&self, host: u32) -> PathBuf {
+    pub(crate) fn config(&self, host: u32) -> PathBuf {
         self.dir.join(format!("h{host}.json"))
     }
 
     /// Path of a host's log.
-    pub fn log(&self, host: u32) -> PathBuf {
+    pub(crate) fn log(&self, host: u32) -> PathBuf {
         self.dir.join(format!("h{host}.log"))
     }
 
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// Configuration or log can't be written, or the process can't be started.
-    pub fn start(&mut self, host: u32, config: &str) -> Result<(), TestbedError> {
+    pub(crate) fn start(&mut self, host: u32, config: &str) -> Result<(), TestbedError> {
         self.kill(host);
         let failed = |source: std::io::Error| TestbedError::Host { host, source };
         std::fs::write(self.config(host), config).map_err(failed)?;
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// The configuration can't be written.
-    pub fn reload(&self, host: u32, config: &str) -> Result<(), TestbedError> {
+    pub(crate) fn reload(&self, host: u32, config: &str) -> Result<(), TestbedError> {
         let failed = |source| TestbedError::Host { host, source };
         std::fs::write(self.config(host), config).map_err(failed)?;
         self.signal(host, Signal::SIGHUP);
@@ -118,14 +118,14 @@
     }
 
     /// Sends a signal to a host that runs.
-    pub fn signal(&self, host: u32, signal: Signal) {
+    pub(crate) fn signal(&self, host: u32, signal: Signal) {
         if let Some(child) = &self.children[host as usize] {
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
     /// Kills a host that runs, and waits for its end.
-    pub fn kill(&mut self, host: u32) {
+    pub(crate) fn kill(&mut self, host: u32) {
         if let Some(mut child) = self.children[host as usize].take() {
             let _ = child.kill();
             let _ = child.wait();
@@ -133,7 +133,7 @@
     }
 
     /// Hosts that have exited since the last call, with their exit codes (-1: by a signal).
-    pub fn reap_exited(&mut self) -> Vec<(u32, i32)> {
+    pub(crate) fn reap_exited(&mut self) -> Vec<(u32, i32)> {
         let mut exited = Vec::new();
         for (host, slot) in self.children.iter_mut().enumerate() {
             if let Some(child) = slot
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -100,12 +100,12 @@
     pub const ALL: IndexRange = IndexRange { start: 0, end: u32::MAX };
 
     /// Whether it contains an index.
-    pub fn contains(self, index: u32) -> bool {
+    pub(crate) fn contains(self, index: u32) -> bool {
         (self.start..self.end).contains(&index)
     }
 
     /// The indexes below `count`.
-    pub fn below(self, count: u32) -> std::ops::Range<u32> {
+    pub(crate) fn below(self, count: u32) -> std::ops::Range<u32> {
         self.start.min(count)..self.end.min(count)
     }
 }
@@ -175,12 +175,12 @@
     }
 
     /// Whether a host takes part in the membership protocol.
-    pub fn has_membership(&self, host: u32) -> bool {
+    pub(crate) fn has_membership(&self, host: u32) -> bool {
         self.membership.is_some_and(|m| m.participants.contains(host))
     }
 
     /// How many polls may wait: what the service handles in about a second.
-    pub fn max_queued_polls(&self) -> u32 {
+    pub(crate) fn max_queued_polls(&self) -> u32 {
         (1_000_000 / self.service_time.max(1)).max(1) as u32
     }
 }
--- a/crates/lab/src/fleet/testbed.rs
+++ b/crates/lab/src/fleet/testbed.rs
@@ -226,7 +226,7 @@
     ///
     /// # Errors
     /// A process can't be started or configured, or a socket can't be opened.
-    pub fn apply(&mut self, fault: &ScheduledFault) -> Result<(), TestbedError> {
+    fn apply(&mut self, fault: &ScheduledFault) -> Result<(), TestbedError> {
         match fault.action {
             FaultAction::KillHosts(hosts) => self.hosts(hosts).for_each(|host| self.kill(host)),
             FaultAction::StartHosts(hosts) => {
