--- a/crates/lab/tests/fleet/audit.rs
+++ b/crates/lab/tests/fleet/audit.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_violation_of_each_rule_is_found() {
+fn requests_without_one_timely_authentic_response_violate_the_rule_on_responses() {
     assert_eq!(
         violated(vec![request_sent(1, 10, false), observed(1_011, Event::ClientTimedOut { op: 1 })]),
         [Rule::Responses],
@@ -87,6 +87,10 @@
         observed(31, Event::ConnectionLost { op: 1 }),
     ];
     assert_eq!(violated(ended), [Rule::Responses], "exited with a request in flight");
+}
+
+#[test]
+fn a_write_that_may_be_executed_twice_violates_the_rule_on_effects() {
     let repeated = vec![
         request_sent(1, 10, true),
         node_received(1, 0, 12, 1),
@@ -96,58 +100,58 @@
         response_received(1, 100),
     ];
     assert_eq!(violated(repeated), [Rule::Effects], "a write that may have been executed is sent again");
-    let notified = |at, accepting| {
-        observed(at, Event::EndpointSent { host: 0, node: 0, accepting, version: 5, started_at: 0 })
-    };
-    let drained = |at| {
-        vec![
-            notified(5, false),
-            request_sent(1, at - 1, true),
-            node_received(1, 0, at, 1),
-            node_responded(1, 0, at + 1),
-            response_received(1, at + 2),
-        ]
-    };
-    assert_eq!(
-        (violated(drained(400)), violated(drained(900))),
-        (vec![], vec![Rule::Drains]),
-        "past the grace time"
-    );
-    let undeliverable = |from| {
-        observed(
-            300,
-            Event::EndpointUndeliverable {
-                host: 0,
-                node: 0,
-                accepting: false,
-                version: 7,
-                effective_at: from * MS,
-            },
-        )
-    };
-    let not_received = |from, at| {
-        vec![
-            undeliverable(from),
-            request_sent(1, at - 1, true),
-            node_received(1, 0, at, 1),
-            node_responded(1, 0, at + 1),
-            response_received(1, at + 2),
-        ]
-    };
-    assert_eq!(
-        (violated(not_received(900, 1_000)), violated(not_received(900, 1_500))),
-        (vec![], vec![Rule::Drains]),
-        "counts as notified"
-    );
-    let mut received = not_received(900, 1_500);
-    received.push(observed(
-        600,
-        Event::EndpointSent { host: 0, node: 0, accepting: true, version: 8, started_at: 0 },
-    ));
-    assert_eq!(violated(received), [], "a newer entry was sent in time");
-    let mut reopened = drained(900);
-    reopened.push(notified(800, true));
+}
+
+fn notified(at: u64, accepting: bool, version: u64) -> Observation {
+    observed(at, Event::EndpointSent { host: 0, node: 0, accepting, version, started_at: 0 })
+}
+
+/// A write that is served by the node at this time.
+fn served_write(at: u64) -> Vec<Observation> {
+    vec![
+        request_sent(1, at - 1, true),
+        node_received(1, 0, at, 1),
+        node_responded(1, 0, at + 1),
+        response_received(1, at + 2),
+    ]
+}
+
+/// A write that is served by a node that the host was notified is draining, at 5 ms.
+fn served_while_draining(at: u64) -> Vec<Observation> {
+    let mut observations = served_write(at);
+    observations.insert(0, notified(5, false, 5));
+    observations
+}
+
+/// A write that is served by a node that is draining; the host was not notified, and counts as notified later.
+fn served_while_undeliverable(effective_at: u64, at: u64) -> Vec<Observation> {
+    let effective_at = effective_at * MS;
+    let event = Event::EndpointUndeliverable { host: 0, node: 0, accepting: false, version: 7, effective_at };
+    let mut observations = served_write(at);
+    observations.insert(0, observed(300, event));
+    observations
+}
+
+#[test]
+fn attempts_to_a_draining_node_violate_the_rule_on_drains_past_the_grace_time() {
+    assert_eq!(violated(served_while_draining(400)), []);
+    assert_eq!(violated(served_while_draining(900)), [Rule::Drains], "past the grace time");
+    let mut reopened = served_while_draining(900);
+    reopened.push(notified(800, true, 5));
     assert_eq!(violated(reopened), []);
+}
+
+#[test]
+fn a_host_that_counts_as_notified_is_held_to_the_rule_on_drains() {
+    assert_eq!(violated(served_while_undeliverable(900, 1_000)), []);
+    assert_eq!(violated(served_while_undeliverable(900, 1_500)), [Rule::Drains], "counts as notified");
+    let mut received = served_while_undeliverable(900, 1_500);
+    received.push(notified(600, true, 8));
+    assert_eq!(violated(received), [], "a newer entry was sent in time");
+}
+
+#[test]
+fn a_collapse_under_informed_hosts_violates_the_rule_on_cold_nodes() {
     let started_at = 2 * MS;
     let mut collapsed = vec![
         observed(2, Event::NodeStarted { node: 0 }),
@@ -169,6 +173,10 @@
         !violated(collapsed).contains(&Rule::ColdNodes),
         "hosts that did not know of the start are not to blame"
     );
+}
+
+#[test]
+fn two_writes_of_one_key_in_flight_violate_the_rule_on_write_order() {
     let crossed = vec![
         request_sent(1, 10, true),
         request_sent(2, 100, true),
@@ -180,6 +188,10 @@
         response_received(2, 403),
     ];
     assert_eq!(violated(crossed), [Rule::WriteOrder], "both in flight at once");
+}
+
+#[test]
+fn too_many_retries_violate_the_retry_budget() {
     let mut busy = Vec::new();
     for op in 0..8 {
         busy.extend([
@@ -194,6 +206,10 @@
         ]);
     }
     assert_eq!(violated(busy), [Rule::RetryBudget], "eight retries of eight admitted operations");
+}
+
+#[test]
+fn a_burst_beyond_the_token_bucket_violates_the_volume_limit() {
     let mut limited = Vec::new();
     for op in 0..12 {
         let event = Event::RequestSent {
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -13,8 +13,8 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn party(digest: &mut Digest, party: Peer) {
-    let (kind, number) = match party {
+fn add_peer(digest: &mut Digest, peer: Peer) {
+    let (kind, number) = match peer {
         Peer::Host(n) => (0, n),
         Peer::Node(n) => (1, n),
         Peer::List(n) => (2, n),
@@ -23,15 +23,15 @@
     digest.numbers(&[kind, u64::from(number)]);
 }
 
-fn side(digest: &mut Digest, side: PeerSet) {
-    match side {
+fn add_peer_set(digest: &mut Digest, peers: PeerSet) {
+    match peers {
         PeerSet::All => digest.number(0),
         PeerSet::Hosts => digest.number(1),
         PeerSet::Nodes => digest.number(2),
         PeerSet::Lists => digest.number(3),
-        PeerSet::Single(one) => {
+        PeerSet::Single(peer) => {
             digest.number(4);
-            party(digest, one);
+            add_peer(digest, peer);
         }
         PeerSet::Zone(zone) => digest.numbers(&[5, u64::from(zone)]),
         PeerSet::HostRange(from, to) => digest.numbers(&[6, u64::from(from), u64::from(to)]),
@@ -39,131 +39,131 @@
     }
 }
 
-fn fault(digest: &mut Digest, f: &LinkFault) {
+fn add_link_fault(digest: &mut Digest, fault: &LinkFault) {
     digest.numbers(&[
-        f.latency,
-        f.jitter,
-        u64::from(f.blackholed),
-        u64::from(f.refuses_connections),
-        f.reset_after_bytes,
+        fault.latency,
+        fault.jitter,
+        u64::from(fault.blackholed),
+        u64::from(fault.refuses_connections),
+        fault.reset_after_bytes,
     ]);
-    digest.float(f.bytes_per_second);
-    digest.float(f.loss);
-    digest.float(f.duplication);
+    digest.float(fault.bytes_per_second);
+    digest.float(fault.loss);
+    digest.float(fault.duplication);
 }
 
-fn behavior(digest: &mut Digest, behavior: ServiceBehavior) {
+fn add_behavior(digest: &mut Digest, behavior: ServiceBehavior) {
     match behavior {
         ServiceBehavior::Normal => digest.number(0),
         ServiceBehavior::Down => digest.number(1),
         ServiceBehavior::Hung => digest.number(2),
-        ServiceBehavior::Rejecting(part) => {
+        ServiceBehavior::Rejecting(fraction) => {
             digest.number(3);
-            digest.float(part);
+            digest.float(fraction);
         }
     }
 }
 
-fn action(digest: &mut Digest, action: &FaultAction) {
-    let hosts = |digest: &mut Digest, kind: u64, range: IndexRange| {
+fn add_action(digest: &mut Digest, action: &FaultAction) {
+    let add_range = |digest: &mut Digest, kind: u64, range: IndexRange| {
         digest.numbers(&[kind, u64::from(range.start), u64::from(range.end)]);
     };
     match *action {
-        FaultAction::KillHosts(s) => hosts(digest, 0, s),
-        FaultAction::StartHosts(s) => hosts(digest, 1, s),
-        FaultAction::TerminateHosts(s) => hosts(digest, 2, s),
-        FaultAction::ResumeHosts(s) => hosts(digest, 3, s),
-        FaultAction::PauseHosts(s) => hosts(digest, 4, s),
-        FaultAction::RedirectHosts(s) => hosts(digest, 5, s),
-        FaultAction::StopNodes(s) => hosts(digest, 6, s),
-        FaultAction::StartNodes(s) => hosts(digest, 7, s),
-        FaultAction::SlowNodes(s, times) => {
-            hosts(digest, 8, s);
-            digest.float(times);
+        FaultAction::KillHosts(range) => add_range(digest, 0, range),
+        FaultAction::StartHosts(range) => add_range(digest, 1, range),
+        FaultAction::TerminateHosts(range) => add_range(digest, 2, range),
+        FaultAction::ResumeHosts(range) => add_range(digest, 3, range),
+        FaultAction::PauseHosts(range) => add_range(digest, 4, range),
+        FaultAction::RedirectHosts(range) => add_range(digest, 5, range),
+        FaultAction::StopNodes(range) => add_range(digest, 6, range),
+        FaultAction::StartNodes(range) => add_range(digest, 7, range),
+        FaultAction::SlowNodes(range, factor) => {
+            add_range(digest, 8, range);
+            digest.float(factor);
         }
-        FaultAction::ReplaceNodes(s) => hosts(digest, 9, s),
-        FaultAction::RemoveNodes(s) => hosts(digest, 10, s),
-        FaultAction::SetDiscoveryBehavior(m) => {
+        FaultAction::ReplaceNodes(range) => add_range(digest, 9, range),
+        FaultAction::RemoveNodes(range) => add_range(digest, 10, range),
+        FaultAction::SetDiscoveryBehavior(behavior) => {
             digest.number(11);
-            behavior(digest, m);
+            add_behavior(digest, behavior);
         }
-        FaultAction::StallWatches(s) => hosts(digest, 12, s),
-        FaultAction::SlowDiscovery(times) => {
+        FaultAction::StallWatches(range) => add_range(digest, 12, range),
+        FaultAction::SlowDiscovery(factor) => {
             digest.number(13);
-            digest.float(times);
+            digest.float(factor);
         }
-        FaultAction::SetLink { from, to, fault: f } => {
+        FaultAction::SetLink { from, to, fault } => {
             digest.number(14);
-            side(digest, from);
-            side(digest, to);
-            fault(digest, &f);
+            add_peer_set(digest, from);
+            add_peer_set(digest, to);
+            add_link_fault(digest, &fault);
         }
-        FaultAction::ScaleLoad(times) => {
+        FaultAction::ScaleLoad(factor) => {
             digest.number(15);
-            digest.float(times);
+            digest.float(factor);
         }
     }
 }
 
-fn scenario(digest: &mut Digest, text: &str) {
-    let s = scenario::parse("pinned", text).expect("a sound script");
+fn add_scenario(digest: &mut Digest, text: &str) {
+    let scenario = scenario::parse("pinned", text).expect("a sound script");
     digest.numbers(&[
-        s.duration,
-        u64::from(s.hosts),
-        s.initial_list as u64,
-        u64::from(s.zones),
-        u64::from(s.nodes),
+        scenario.duration,
+        u64::from(scenario.hosts),
+        scenario.initial_list as u64,
+        u64::from(scenario.zones),
+        u64::from(scenario.nodes),
     ]);
     digest.numbers(&[
-        s.node_limits.max_connections as u64,
-        s.node_limits.handshake,
-        s.node_limits.restart_after,
-        u64::from(s.nodes_start_cold),
+        scenario.node_limits.max_connections as u64,
+        scenario.node_limits.handshake,
+        scenario.node_limits.restart_after,
+        u64::from(scenario.nodes_start_cold),
     ]);
     digest.numbers(&[
-        s.node_model.cores as u64,
-        s.node_model.queue as u64,
-        s.node_model.cold_span,
-        s.node_model.fall_span,
+        scenario.node_model.cores as u64,
+        scenario.node_model.queue as u64,
+        scenario.node_model.cold_span,
+        scenario.node_model.fall_span,
     ]);
-    digest.float(s.node_model.unit_work);
-    digest.float(s.node_model.cold_from);
-    digest.float(s.node_model.fall_multiple);
-    let w = &s.load;
-    digest.float(w.operations_per_second);
-    digest.float(w.write_fraction);
-    digest.float(w.skew);
+    digest.float(scenario.node_model.unit_work);
+    digest.float(scenario.node_model.cold_from);
+    digest.float(scenario.node_model.fall_multiple);
+    let load = &scenario.load;
+    digest.float(load.operations_per_second);
+    digest.float(load.write_fraction);
+    digest.float(load.skew);
     digest.numbers(&[
-        u64::from(w.volumes),
-        u64::from(w.max_retries),
-        u64::from(w.backs_off),
-        w.read_timeout,
-        w.write_timeout,
+        u64::from(load.volumes),
+        u64::from(load.max_retries),
+        u64::from(load.backs_off),
+        load.read_timeout,
+        load.write_timeout,
     ]);
     digest.numbers(&[
-        s.service_time,
-        s.queue_timeout,
-        s.discovery_lag,
-        u64::from(s.memory_mb),
-        u64::from(s.max_descriptors),
+        scenario.service_time,
+        scenario.queue_timeout,
+        scenario.discovery_lag,
+        u64::from(scenario.memory_mb),
+        u64::from(scenario.max_descriptors),
     ]);
-    if let Some(v) = s.membership {
+    if let Some(membership) = scenario.membership {
         digest.numbers(&[
-            v.period,
-            u64::from(v.seeds),
-            v.retention,
-            u64::from(v.participants.start),
-            u64::from(v.participants.end),
+            membership.period,
+            u64::from(membership.seeds),
+            membership.retention,
+            u64::from(membership.participants.start),
+            u64::from(membership.participants.end),
         ]);
     }
-    for event in &s.faults {
+    for event in &scenario.faults {
         digest.number(event.at);
-        action(digest, &event.action);
+        add_action(digest, &event.action);
     }
-    for host in 0..s.hosts.min(3) {
+    for host in 0..scenario.hosts.min(3) {
         let known = "{\"seq\":1}";
         let config = HostConfig {
-            scenario: &s,
+            scenario: &scenario,
             addresses: Addresses::new(9),
             host,
             name_number: host + 1,
@@ -173,7 +173,7 @@
         };
         digest.bytes(config.to_json().as_bytes());
     }
-    let scaled = s.scaled(90);
+    let scaled = scenario.scaled(90);
     digest.numbers(&[u64::from(scaled.hosts), u64::from(scaled.nodes), u64::from(scaled.load.volumes)]);
     digest.float(scaled.load.operations_per_second);
 }
@@ -191,12 +191,12 @@
 #[test]
 fn scenario_scripts_are_parsed_as_recorded() {
     let mut digest = Digest::new();
-    scenario(&mut digest, include_str!("../../scripts/cold-start.fleet"));
-    scenario(&mut digest, include_str!("../../scripts/cold-overload.fleet"));
-    scenario(&mut digest, include_str!("../../scripts/cold-sum.fleet"));
-    scenario(&mut digest, EVERY_DIRECTIVE);
+    add_scenario(&mut digest, include_str!("../../scripts/cold-start.fleet"));
+    add_scenario(&mut digest, include_str!("../../scripts/cold-overload.fleet"));
+    add_scenario(&mut digest, include_str!("../../scripts/cold-sum.fleet"));
+    add_scenario(&mut digest, EVERY_DIRECTIVE);
     for seed in 0..10 {
-        scenario(&mut digest, &fault_schedule::random_script(30, seed));
+        add_scenario(&mut digest, &fault_schedule::random_script(30, seed));
     }
     assert_eq!(format!("{:016x}", digest.0), "995479e908099fbb");
 }
@@ -227,7 +227,7 @@
     assert_eq!(format!("{:016x}", digest.0), "dec4785db152f611");
 }
 
-fn drawn_party(rng: &mut Pcg64Mcg) -> Peer {
+fn draw_peer(rng: &mut Pcg64Mcg) -> Peer {
     match rng.random_range(0..4) {
         0 => Peer::Host(rng.random_range(0..6)),
         1 => Peer::Node(rng.random_range(0..4)),
@@ -236,21 +236,21 @@
     }
 }
 
-fn drawn_side(rng: &mut Pcg64Mcg) -> PeerSet {
+fn draw_peer_set(rng: &mut Pcg64Mcg) -> PeerSet {
     let (from, to) = (rng.random_range(0..4), rng.random_range(2..6));
     match rng.random_range(0..8) {
         0 => PeerSet::All,
         1 => PeerSet::Hosts,
         2 => PeerSet::Nodes,
         3 => PeerSet::Lists,
-        4 => PeerSet::Single(drawn_party(rng)),
+        4 => PeerSet::Single(draw_peer(rng)),
         5 => PeerSet::Zone(from),
         6 => PeerSet::HostRange(from, to),
         _ => PeerSet::NodeRange(from, to),
     }
 }
 
-fn drawn_fault(rng: &mut Pcg64Mcg) -> LinkFault {
+fn draw_fault(rng: &mut Pcg64Mcg) -> LinkFault {
     let mut some = |most: u64| if rng.random_bool(0.4) { rng.random_range(0..most) } else { 0 };
     let (latency, jitter, rate, reset_after_bytes) = (some(5_000), some(3_000), some(900_000), some(2_000));
     LinkFault {
@@ -272,12 +272,12 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut links = Links::new(3);
         for _ in 0..30 {
-            let (from, to) = (drawn_side(&mut rng), drawn_side(&mut rng));
-            let set = if rng.random_bool(0.3) { LinkFault::default() } else { drawn_fault(&mut rng) };
+            let (from, to) = (draw_peer_set(&mut rng), draw_peer_set(&mut rng));
+            let set = if rng.random_bool(0.3) { LinkFault::default() } else { draw_fault(&mut rng) };
             links.set(from, to, set);
             for _ in 0..10 {
-                let (from, to) = (drawn_party(&mut rng), drawn_party(&mut rng));
-                fault(&mut digest, &links.fault_between(from, to));
+                let (from, to) = (draw_peer(&mut rng), draw_peer(&mut rng));
+                add_link_fault(&mut digest, &links.fault_between(from, to));
                 digest.number(match links.connect_outcome(from, to) {
                     ConnectOutcome::Accepted => 0,
                     ConnectOutcome::Refused => 1,
@@ -295,11 +295,11 @@
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut pipe = Pipe::default();
-        let mut set = drawn_fault(&mut rng);
+        let mut set = draw_fault(&mut rng);
         for step in 0..200u64 {
             let now = step * 40;
             if step % 50 == 49 {
-                set = drawn_fault(&mut rng);
+                set = draw_fault(&mut rng);
             }
             let len = rng.random_range(1..400);
             pipe.push(now, &vec![step as u8; len], &set, &mut rng);
@@ -318,8 +318,8 @@
     assert_eq!(format!("{:016x}", digest.0), "98a5ef2fe7411314");
 }
 
-fn handled(digest: &mut Digest, how: PollOutcome) {
-    digest.number(u64::from(how == PollOutcome::Served));
+fn add_outcome(digest: &mut Digest, outcome: PollOutcome) {
+    digest.number(u64::from(outcome == PollOutcome::Served));
 }
 
 const POLLS: u64 = 300;
@@ -330,8 +330,8 @@
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut queue = DiscoveryQueue::new(900, 20_000);
-        for call in 0..POLLS {
-            let now = call * 500;
+        for poll in 0..POLLS {
+            let now = poll * 500;
             if rng.random_bool(0.03) {
                 let behavior = match rng.random_range(0..4) {
                     0 => ServiceBehavior::Normal,
@@ -341,15 +341,15 @@
                 };
                 queue.set_behavior(now, behavior);
             }
-            if let Some(how) = queue.enqueue(now, call, &mut rng) {
-                handled(&mut digest, how);
+            if let Some(outcome) = queue.enqueue(now, poll, &mut rng) {
+                add_outcome(&mut digest, outcome);
             }
             if rng.random_bool(0.1) {
-                queue.cancel(call.saturating_sub(3));
+                queue.cancel(poll.saturating_sub(3));
             }
-            while let Some((call, how)) = queue.complete_next(now) {
-                digest.number(call);
-                handled(&mut digest, how);
+            while let Some((poll, outcome)) = queue.complete_next(now) {
+                digest.number(poll);
+                add_outcome(&mut digest, outcome);
             }
             digest.numbers(&[queue.next_due().map_or(0, |due| due + 1), queue.queued() as u64]);
         }
@@ -358,13 +358,13 @@
     let mut full = DiscoveryQueue::new(1_000, u64::MAX);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     (0..5_000u32)
-        .filter_map(|call| full.enqueue(0, call, &mut rng))
-        .for_each(|how| handled(&mut digest, how));
+        .filter_map(|poll| full.enqueue(0, poll, &mut rng))
+        .for_each(|outcome| add_outcome(&mut digest, outcome));
     digest.numbers(&[full.rejected, full.max_queued as u64]);
     assert_eq!(format!("{:016x}", digest.0), "bdbd5a2ee34b0321");
 }
 
-fn operation(digest: &mut Digest, op: &Operation) {
+fn add_operation(digest: &mut Digest, op: &Operation) {
     digest.numbers(&[op.id, u64::from(op.volume), op.extent, u64::from(op.write), u64::from(op.units)]);
     digest.numbers(&[u64::from(op.shard), u64::from(op.hosts), op.timeout, u64::from(op.retries)]);
 }
@@ -395,14 +395,14 @@
         for now in (700..60_000).step_by(100) {
             client_load.intensity = if now > 30_000 { 2.0 } else { 1.0 };
             let Some(op) = client_load.next_operation(now, &mut rng) else { continue };
-            operation(&mut digest, &op);
+            add_operation(&mut digest, &op);
             let host = client_load.choose_host(&op, |h| h % 3 != 0, &mut rng);
             digest.numbers(&[host.map_or(0, |h| u64::from(h) + 1), client_load.next_due()]);
             let retry_after = rng.random_bool(0.3).then_some(5_000);
             let mut tried = op;
             while let Some((at, next)) = client_load.retry(now, &tried, retry_after, &mut rng) {
                 digest.number(at);
-                operation(&mut digest, &next);
+                add_operation(&mut digest, &next);
                 tried = next;
             }
         }
@@ -410,7 +410,7 @@
     assert_eq!(format!("{:016x}", digest.0), "0eebf65522231b01");
 }
 
-fn drawn_job(rng: &mut impl Rng, op: u64) -> NodeRequest<u32> {
+fn draw_request(rng: &mut impl Rng, op: u64) -> NodeRequest<u32> {
     NodeRequest {
         connection: rng.random_range(0..6),
         operation: op,
@@ -446,7 +446,7 @@
                 4 => digest.number(u64::from(node.connection_opened())),
                 _ => {}
             }
-            digest.number(match node.receive(now, drawn_job(&mut rng, op)) {
+            digest.number(match node.receive(now, draw_request(&mut rng, op)) {
                 Arrival::Queued => 0,
                 Arrival::Rejected => 1,
                 Arrival::Collapsed => 2,
