--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -14,9 +14,8 @@
             return None;
         };
         let request = self.requests[id.0];
-        let first_wait = self.expected_wait(now, first, &request);
-        let second_wait = self.expected_wait(now, second, &request);
-        let chosen = if first_wait <= second_wait { first } else { second };
+        let waits = [first, second].map(|node| self.expected_wait(now, node, &request));
+        let chosen = if waits[0] <= waits[1] { first } else { second };
         self.enqueue(id, chosen);
         Some(chosen)
     }
