--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -30,7 +30,7 @@
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The host cannot take part in the membership of its fleet.
-    #[error("the fleet's view: {0}")]
+    #[error("fleet membership: {0}")]
     Membership(#[source] io::Error),
     /// The configuration lacks the section of the service that is to run.
     #[error("no section {0}")]
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -145,6 +145,6 @@
         cached_endpoints = config.cached_list.as_ref().map_or(0, |cached| cached.endpoints.len()),
         endpoints_pushed = config.settings.scheduler.endpoints_pushed,
         max_poll_delay_ms = ticks_to_millis(config.settings.scheduler.max_poll_delay),
-        "host starts"
+        "host started"
     );
 }
--- a/crates/platform-host/tests/log.rs
+++ b/crates/platform-host/tests/log.rs
@@ -26,7 +26,7 @@
 }
 
 fn expect_start(host: &Host, service: SocketAddr) {
-    let line = host.log.line("host starts");
+    let line = host.log.line("host started");
     assert_eq!(line.level, "INFO");
     let (listen, discovery) = (host.address.to_string(), service.to_string());
     let expected = [
--- a/crates/platform-host/tests/support/mod.rs
+++ b/crates/platform-host/tests/support/mod.rs
@@ -285,7 +285,7 @@
                 mallowseam_platform_host::run(&path, None).map_err(|e| e.to_string())
             })
         });
-        log.line("host starts");
+        log.line("host started");
         Host { address, log, thread, directory }
     }
 
