--- a/crates/connection-policy/src/admission.rs
+++ b/crates/connection-policy/src/admission.rs
@@ -1,19 +1,19 @@
 //! Admission of client sessions: which logins are admitted, when a connection is closed, and how a host drains.
 use crate::Millis;
 
-/// Milliseconds from the first byte of a connection to the end of its login. A slow link takes a tenth of it.
-/// Guards against logins that are never finished.
+/// Milliseconds from the connect to the end of the login. A slow link takes a tenth of it. Guards against logins that
+/// are never finished.
 pub const LOGIN_TIMEOUT: Millis = 5_000;
-/// Milliseconds within which a PDU that has begun must be complete, and within which the client must take some
-/// of what is written to it. Longer than a link's retransmissions, short enough that stalled clients do not
+/// Milliseconds within which a PDU that has begun must be complete, and within which the client must receive
+/// some of the bytes that wait for it. Longer than a link's retransmissions, short enough that stalled clients do not
 /// pile up.
 pub const STALL_TIMEOUT: Millis = 10_000;
 /// Milliseconds without a byte from the client after which it is pinged.
 pub const PING_INTERVAL: Millis = 30_000;
 /// Unanswered pings after which a silent connection is closed.
 pub const MAX_UNANSWERED_PINGS: u32 = 2;
-/// Bytes waiting to be written to a client at which nothing more is read from it: a few of its longest reads.
-/// What is in flight for it is bounded by its command window.
+/// Bytes that wait to be written to a client from which on nothing more is read from it: a few of its longest reads.
+/// Its commands in flight are bounded by its command window.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
 /// Milliseconds that a draining host leaves its clients to log out.
 pub const LOGOUT_TIMEOUT: Millis = 2_000;
@@ -24,10 +24,10 @@
 /// Why a login is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoginRejection {
-    /// The client asks for a target with another name.
+    /// The client requests a target with another name.
     #[error("no target of this name")]
     NoSuchTarget,
-    /// The client wants to go on with a session that does not exist here.
+    /// The client wants to continue a session that does not exist here.
     #[error("no session with this handle")]
     NoSuchSession,
     /// The host is draining.
@@ -81,7 +81,7 @@
 pub enum TimeoutAction {
     /// Nothing is due.
     Nothing,
-    /// Ask the client for a sign of life.
+    /// Send the client a ping (NOP-In).
     Ping,
     /// Close the connection.
     Close(CloseReason),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn holds_handle(&self, handle: u16) -> bool {
+    fn has_handle(&self, handle: u16) -> bool {
         self.logged_in && self.handle == handle
     }
 
@@ -168,7 +168,7 @@
 }
 
 impl AdmissionController {
-    /// `target`: the name that clients must ask for. `max_connections`: how many are open at once at most.
+    /// `target`: the name that clients must request. `max_connections`: how many are open at once at most.
     #[must_use]
     pub fn new(target: &str, max_connections: usize) -> Self {
         AdmissionController {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Whether an accepted connection may stay. False: there are too many, and the caller closes it at once.
+    /// Whether an accepted connection is admitted. False: there are too many, and the caller closes it at once.
     #[must_use]
     pub fn admit_connection(&mut self, index: ConnectionIndex, now: Millis) -> bool {
         if self.count >= self.max_connections {
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Decides on a login. `target` is absent in a discovery session. `handle` other than 0 names a session to
-    /// go on with; sessions end with their connection, so there is never one.
+    /// Decides on a login. `target` is absent in a discovery session. A `handle` other than 0 requests
+    /// to continue a session; sessions end with their connection, so there never is one.
     ///
     /// # Errors
     /// Why the login is rejected.
@@ -239,7 +239,7 @@
     }
 
     /// A login from the same initiator port ends its old session (RFC 7143, 6.3.5), also where the old
-    /// connection still looks alive.
+    /// connection still seems to be alive.
     fn session_to_replace(
         &self,
         index: ConnectionIndex,
@@ -252,7 +252,7 @@
     }
 
     fn next_free_handle(&self) -> Option<u16> {
-        let in_use = |handle: u16| self.connections.iter().flatten().any(|c| c.holds_handle(handle));
+        let in_use = |handle: u16| self.connections.iter().flatten().any(|c| c.has_handle(handle));
         (0..=u16::MAX)
             .map(|offset| self.last_handle.wrapping_add(offset).wrapping_add(1))
             .find(|handle| *handle != 0 && !in_use(*handle))
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Whether to go on reading from a connection that has this many bytes waiting to be written.
+    /// Whether to continue to read from a connection that has this many bytes waiting to be written.
     #[must_use]
     pub fn may_read(&self, unsent_bytes: usize) -> bool {
         unsent_bytes < MAX_UNSENT_BYTES
@@ -323,7 +323,7 @@
     }
 
     /// Whether new commands are admitted. A draining host admits them for [`LOGOUT_TIMEOUT`], while its
-    /// clients have time to log out; later ones would keep it from ever ending.
+    /// clients have time to log out; later ones could keep it from ever stopping.
     #[must_use]
     pub fn admits_commands(&self, now: Millis) -> bool {
         match self.state {
--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -1,10 +1,11 @@
 //! Lifecycle of a client's connection that carries one request at a time: its timeouts, and which connection is
-//! evicted when there are too many. Requests themselves are the scheduler's once it has taken them.
+//! evicted when there are too many. Decisions on a request itself are the scheduler's once it was admitted.
 use crate::Millis;
 use crate::graceful_shutdown::GracefulShutdown;
 
 /// Milliseconds from connecting to the first complete request, and from a later request's first byte to its
-/// last. Clients send a request at once; the platform allows 3 s before a connection that does not hears of it.
+/// last. Clients send a request at once; the platform requires that a connection which does not is closed or
+/// answered within 3 s.
 pub const REQUEST_TIMEOUT: Millis = 2_000;
 /// Milliseconds within which a client takes its whole response.
 pub const RESPONSE_TIMEOUT: Millis = 4_000;
@@ -16,12 +17,13 @@
 /// Milliseconds for which the result of a poll is taken as current. A client's disconnect must be noticed within
 /// 100 ms (platform's rule), also while the loop is busy; this is a third of it.
 pub const POLL_RESULT_LIFETIME: Millis = 30;
-/// Milliseconds for which a closed connection is read on, so that the error sent on it reaches the client.
+/// Milliseconds for which a closed connection is still read: closing a socket with unread bytes would reset it, and
+/// the client could lose the error that was sent on it.
 pub const LINGER_TIMEOUT: Millis = 500;
-/// Bytes that a closed connection may still send before it is cut off.
+/// Bytes that a client may still send on a closed connection before it is reset.
 pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Milliseconds before the next request is read behind a rejected one, doubled by each further one: a client
-/// that comes back at once costs little.
+/// Milliseconds before the next request is read after a rejected one, doubled by each further one: a client that
+/// retries at once costs little.
 pub const REJECTION_BACKOFF: Millis = 50;
 /// Longest backoff, in milliseconds.
 pub const MAX_REJECTION_BACKOFF: Millis = 1_600;
@@ -98,7 +100,7 @@
 
     /// It enters a phase.
     pub fn enter_phase(&mut self, phase: Phase, now: Millis) {
-        // A first request that comes in pieces has its time from connecting on.
+        // The timeout of a first request that arrives in pieces counts from the connect.
         let continues = phase == Phase::ReceivingRequest
             && matches!(self.phase, Phase::AwaitingFirstRequest | Phase::ReceivingRequest);
         self.phase = phase;
@@ -127,7 +129,7 @@
         now >= self.read_after && awaits_request
     }
 
-    /// Bytes were received behind its end and discarded. True: it has sent enough to be cut off.
+    /// Bytes were received after its end and discarded. True: it has sent so many that it is to be reset.
     pub fn bytes_discarded(&mut self, bytes: usize) -> bool {
         self.discarded_bytes += bytes;
         self.discarded_bytes >= MAX_DISCARDED_BYTES
@@ -170,8 +172,8 @@
 }
 
 /// Which connection is evicted for a new one: one that is finished, then the longest idle of those idle for
-/// long, then the one that has waited longest for its first request, then the longest idle. Clients that send
-/// nothing, or stay after one request, so evict each other.
+/// long, then the one that has waited longest for its first request, then the longest idle. So clients that send
+/// nothing, or stay connected after one request, evict only each other.
 ///
 /// `connections`: index and state of those that were checked and had nothing to read. None: nothing may be
 /// evicted, and the new connection is closed at once.
--- a/crates/connection-policy/src/command_progress.rs
+++ b/crates/connection-policy/src/command_progress.rs
@@ -3,7 +3,7 @@
 //! A command has completed once all its sub-requests have. The first that is shed or fails decides the answer at
 //! once. A command is shed only where retrying all of it is harmless: no non-idempotent sub-request may have run.
 
-/// How a sub-request, or the command as a whole, came out.
+/// Outcome of a sub-request, or of a whole command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// It completed.
@@ -27,7 +27,7 @@
 }
 
 impl CommandProgress {
-    /// A command of so many sub-requests.
+    /// The progress of a command with this many sub-requests.
     #[must_use]
     pub fn new(sub_requests: u32) -> Self {
         CommandProgress { open: sub_requests, ..CommandProgress::default() }
--- a/crates/connection-policy/src/endpoint_list_request.rs
+++ b/crates/connection-policy/src/endpoint_list_request.rs
@@ -21,7 +21,7 @@
         self.sent = None;
     }
 
-    /// Whether a request is under way and has timed out.
+    /// Whether a request is pending and has timed out.
     #[must_use]
     pub fn has_timed_out(&self, now: Millis) -> bool {
         self.sent.is_some_and(|sent| now >= sent + RESPONSE_TIMEOUT)
--- a/crates/connection-policy/src/graceful_shutdown.rs
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -1,16 +1,16 @@
-//! Graceful shutdown: a host that was asked to end admits block I/Os for as long as their answers can be out
-//! before it is killed. A host that ends sooner leaves its clients without one until it is started anew.
+//! Graceful shutdown: a host that was asked to stop admits block I/Os for as long as they can be answered before it
+//! is killed. If it stopped sooner, its clients would have no host until it is restarted.
 use crate::Millis;
 
 /// Milliseconds for which a host stopped by an operator still admits clients. The platform counts what comes
-/// later than 0.7 s as the host's own loss should it stay unanswered.
+/// later than 0.7 s as lost by the host if it stays unanswered.
 pub const OPERATOR_GRACE: Millis = 650;
 /// After SIGTERM the platform sends SIGKILL no sooner than the longest deadline, counted as this at most, and
 /// [`KILL_DELAY`]. Milliseconds.
 pub const MAX_COUNTED_DEADLINE: Millis = 3_000;
 /// Milliseconds from the end of the longest deadline to SIGKILL.
 pub const KILL_DELAY: Millis = 700;
-/// Milliseconds before SIGKILL by which the last answer is out: a busy machine's way to the client.
+/// Milliseconds before SIGKILL by which the last answer is sent: what a busy machine takes to deliver it.
 pub const KILL_MARGIN: Millis = 60;
 
 /// A graceful shutdown that has begun.
@@ -22,8 +22,8 @@
 
 impl GracefulShutdown {
     /// Requested at `now` by the platform (SIGTERM), which kills after a while. `longest_deadline`: of any
-    /// block I/O. `longest_objective`: the longest latency objective; a client that has less time left than
-    /// that is better served by a closed connection, on which it goes to another host.
+    /// block I/O. `longest_objective`: the longest latency objective; a client that has less time left than that is
+    /// better served by a closed connection, after which it retries at another host.
     #[must_use]
     pub fn by_platform(now: Millis, longest_deadline: Millis, longest_objective: Millis) -> Self {
         let answer_deadline = now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Requested at `now` by an operator (SIGINT): nobody kills, and somebody waits for the end.
+    /// Requested at `now` by an operator (SIGINT), who waits for the end; no SIGKILL follows.
     #[must_use]
     pub fn by_operator(now: Millis) -> Self {
         GracefulShutdown { admits_until: now + OPERATOR_GRACE, answer_deadline: None }
--- a/crates/connection-policy/src/keep_alive.rs
+++ b/crates/connection-policy/src/keep_alive.rs
@@ -1,22 +1,22 @@
 //! Keep-alive of connections to nodes: how long idle ones are kept, and which one carries the next attempt.
 use crate::Millis;
 
-/// Milliseconds that a connection rests after a response: bytes that do not belong to that response show
-/// themselves within an iteration of the node's loop.
+/// Milliseconds after a response before a connection is reused: stray bytes that do not belong to that response
+/// arrive within one iteration of the node's event loop.
 pub const SETTLING_TIME: Millis = 2;
-/// Fraction of a node's own idle timeout after which a connection is given up, one in this many: well before
-/// the node does, so that no attempt is sent on a connection that is being closed.
+/// Divisor of a node's own idle timeout: an idle connection is closed well before the node closes it, so that no
+/// attempt is sent on a connection that is being closed.
 const NODE_TIMEOUT_DIVISOR: Millis = 2;
 /// Idle timeout in milliseconds where the settings name none for nodes.
 pub const DEFAULT_IDLE_TIMEOUT: Millis = 15_000;
-/// Shortest idle timeout in milliseconds: under load a connection is reused by then, and a new one costs its
-/// node work.
+/// Shortest idle timeout in milliseconds: under load a connection is reused within it, and opening a new one costs
+/// its node work.
 pub const MIN_IDLE_TIMEOUT: Millis = 25;
-/// A node that has forgotten a connection answers the first bytes on it with a reset, within this many
-/// milliseconds (a round trip).
+/// A node that has dropped a connection answers the first bytes on it with a reset, within this many milliseconds (a
+/// round trip).
 pub const RESET_WITHIN: Millis = 5;
-/// Milliseconds in which rejections of new connections count once: closing idle connections takes that long to
-/// show an effect.
+/// Milliseconds within which several rejections of new connections count as one: closing idle connections takes that
+/// long to show an effect.
 pub const REJECTION_INTERVAL: Millis = 1_000;
 /// Milliseconds without a lost or rejected connection after which the idle timeout doubles.
 pub const RECOVERY_INTERVAL: Millis = 10_000;
@@ -24,8 +24,8 @@
 /// For how long idle connections are kept.
 ///
 /// The idle timeout starts from what the settings say of nodes. It is lowered when connections turn out to have
-/// been closed unnoticed: a node, or a middlebox before it, may forget a connection earlier than the settings
-/// say and tell so only to the next request on it, which may then have run.
+/// been closed unnoticed: a node, or a middlebox before it, may drop a connection earlier than the settings say
+/// and reset only the next request on it, which may then have run.
 #[derive(Clone, Copy, Debug)]
 pub struct KeepAlivePolicy {
     idle_timeout: Millis,
@@ -61,9 +61,9 @@
         }
     }
 
-    /// A node rejected the first attempt on a new connection: it may have no place for one more, and the idle
-    /// connections of all hosts are what fills it. Each host that is rejected halves its own idle timeout, so
-    /// that together they come to what fits. A node whose queue is full looks the same; that costs some new
+    /// A node rejected the first attempt on a new connection: it may have reached its limit of connections, most
+    /// of which are idle ones of all hosts. Each host that is rejected halves its own idle timeout, until together
+    /// they stay below the limit. A full queue at the node looks the same from here; that case costs some new
     /// connections.
     pub fn new_connection_rejected(&mut self, now: Millis) {
         if now >= self.last_rejection + REJECTION_INTERVAL {
@@ -107,12 +107,12 @@
     }
 }
 
-/// Whether a connection is kept after a response. `rejected`: the node turned the request away for want of
+/// Whether a connection is kept after a response. `rejected`: the node rejected the request for want of
 /// capacity.
 ///
-/// A node holds only so many connections and rejects what comes on the others; hosts that retried on those
-/// would keep them open for good and never be served. Closed, the retry finds whatever place has become free.
-/// The cost is a new connection where the node's queue was full, when hosts come more slowly anyway.
+/// A node serves a limited number of connections and rejects requests on the others. A host that retried on such a
+/// connection would keep it open and never be served; a new connection gets a place as soon as one is free. The cost
+/// is a new connection also where the node's queue was full, when hosts send less anyway.
 #[must_use]
 pub fn keep_after_response(rejected: bool) -> bool {
     !rejected
--- a/crates/connection-policy/src/lib.rs
+++ b/crates/connection-policy/src/lib.rs
@@ -1,14 +1,14 @@
 //! Decisions that a host makes about its connections, free of I/O, clocks and threads.
 //!
-//! Each type here is a state machine: the host's event loop tells it what happened and when, and does what
-//! it answers. The same events at the same times always give the same decisions. Decisions on block I/Os
+//! Each type here is a state machine: the host's event loop reports what happened and when, and carries out
+//! the decision that is returned. The same events at the same times always give the same decisions. Decisions on block I/Os
 //! themselves are the scheduler's.
 //!
 //! For clients that keep a session open (iSCSI):
 //! - [`admission`]: which logins are admitted and when a connection is closed.
 //! - [`request_splitting`]: how a command is split into sub-requests.
 //! - [`command_progress`]: how the outcomes of sub-requests make one answer.
-//! - [`node_connection`]: when a connection to a storage node is opened and given up.
+//! - [`node_connection`]: when a connection to a storage node is opened and closed.
 //! - [`endpoint_list_request`]: when a request for the endpoint list has timed out.
 //!
 //! For clients that send one request at a time (HTTP):
--- a/crates/connection-policy/src/node_connection.rs
+++ b/crates/connection-policy/src/node_connection.rs
@@ -1,13 +1,12 @@
-//! When the connection to a storage node is opened and given up. Whether a node is healthy, and what is sent to
-//! it, is the scheduler's: a connection is opened when an attempt needs it, and closed when it does not do what
-//! it must.
+//! When the connection to a storage node is opened and closed. Whether a node is healthy, and what is sent to it, is
+//! the scheduler's decision: a connection is opened when an attempt needs it, and closed on a timeout of its own.
 use crate::Millis;
 
 /// Milliseconds from opening a connection to the end of its login. Shorter than a deadline, so that an attempt
 /// behind a connect that hangs is followed by a fresh connect.
 pub const LOGIN_TIMEOUT: Millis = 1_000;
-/// Milliseconds within which an abort is answered. A healthy node answers at once; one that does not is stuck,
-/// and what it occupies of the command window would never come back.
+/// Milliseconds within which an abort is answered. A healthy node answers at once; one that does not hangs,
+/// and would never free the slots of the command window that its commands occupy.
 pub const ABORT_TIMEOUT: Millis = 1_000;
 
 /// Why a connection is closed.
@@ -47,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeConnection {
     state: State,
-    /// Since when an abort has waited for its answer.
+    /// Since when an abort is unanswered.
     abort_waits_since: Option<Millis>,
     unanswered_aborts: u32,
     node_removed: bool,
@@ -86,7 +85,7 @@
         self.abort_waits_since = self.abort_waits_since.or(Some(now));
     }
 
-    /// An abort was answered: the node works on aborts, so the others have their time from now on.
+    /// An abort was answered: the node does process aborts, so the timeout of the others starts again.
     pub fn abort_answered(&mut self, now: Millis) {
         self.unanswered_aborts = self.unanswered_aborts.saturating_sub(1);
         self.abort_waits_since = (self.unanswered_aborts > 0).then_some(now);
--- a/crates/connection-policy/src/request_splitting.rs
+++ b/crates/connection-policy/src/request_splitting.rs
@@ -1,9 +1,9 @@
 //! How a client's command is split into block I/Os.
 //!
-//! A command may cross extents, ordering keys and classification rules; each sub-request lies within one of
+//! A command may cross extents, ordering keys and classification rules; each sub-request is within one of
 //! each.
 
-/// A run of a volume's blocks that a shard holds without gap.
+/// A contiguous range of a volume's blocks that one shard stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
     /// The first block, counted in the volume.
@@ -12,7 +12,7 @@
     pub blocks: u64,
     /// The shard whose nodes hold it.
     pub shard: u32,
-    /// Where the first block lies on the nodes, in blocks.
+    /// Address of the first block on the nodes, in blocks.
     pub first_node_block: u64,
 }
 
@@ -46,7 +46,7 @@
 /// A volume's layout.
 #[derive(Clone, Debug, Default)]
 pub struct VolumeLayout {
-    /// Extents in order, without gap.
+    /// Extents in ascending order, without gaps.
     pub extents: Vec<Extent>,
     /// Rules, of which the first that applies to a block counts.
     pub rules: Vec<ClassRule>,
@@ -69,7 +69,7 @@
     pub ordering_key: Option<u64>,
 }
 
-/// The command does not lie wholly within the volume's extents and rules, or it has no blocks.
+/// The command is not completely within the volume's extents and rules, or it has no blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the command lies outside the volume's layout")]
 pub struct OutsideLayout;
@@ -79,8 +79,8 @@
     /// begins in the volume and how long it is, in blocks.
     ///
     /// # Errors
-    /// A block lies outside the volume, no rule applies to it, or there are no blocks; `sub_requests` then holds
-    /// nothing of use.
+    /// A block is outside the volume, no rule applies to it, or there are no blocks; the contents of `sub_requests`
+    /// are then unspecified.
     pub fn split(
         &self,
         write: bool,
--- a/crates/connection-policy/src/resource_budget.rs
+++ b/crates/connection-policy/src/resource_budget.rs
@@ -1,7 +1,7 @@
 //! How a host's descriptors and memory are divided between clients and nodes.
 
 /// Descriptors that are neither clients' nor nodes': standard streams, poll, listener, signals, two watches of
-/// the endpoint list, the configuration's file, and as many again for what the system's libraries open.
+/// the endpoint list, the configuration's file, and as many again for what system libraries open.
 pub const RESERVED_DESCRIPTORS: u64 = 24;
 /// Tenths of the other descriptors that clients get. More than half of their connections may be idle or silent,
 /// while a request in flight has one attempt in flight at most, and most requests are queued.
--- a/crates/connection-policy/src/watch_liveness.rs
+++ b/crates/connection-policy/src/watch_liveness.rs
@@ -1,15 +1,15 @@
 //! When a watch of the endpoint list has failed.
 use crate::Millis;
 
-/// Milliseconds from a request to the head of its response. The service lets a request wait its turn for a
-/// second at most, and whoever waits longer only stands in the way of others.
+/// Milliseconds from a request to the head of its response. The service queues a request for a second at most; one
+/// that waits longer only delays those of other hosts.
 pub const RESPONSE_TIMEOUT: Millis = 1_200;
 /// Milliseconds from a request to its first complete event, a list of any length, once the head of the response
 /// was received.
 pub const FIRST_EVENT_TIMEOUT: Millis = 4_000;
 /// Milliseconds without an event after which a watch has failed. The service sends a heartbeat every 2 s: one
-/// missed, and 1.2 s more for a slow one. What the watch misses counts as notified 6 s after it fell silent,
-/// and a new request takes the rest.
+/// missed, and 1.2 s more for a slow one. The platform counts what a stalled watch misses as received 6 s after
+/// the stall; the rest of that time is for a new request.
 pub const HEARTBEAT_TIMEOUT: Millis = 3_200;
 
 /// Liveness of one watch.
@@ -17,7 +17,7 @@
 pub struct WatchLiveness {
     requested: Millis,
     response_started: bool,
-    /// When its last complete event was received: bytes without a line's end are no sign of life.
+    /// When its last complete event was received; an incomplete line does not count.
     last_event: Option<Millis>,
     failure_reported: bool,
 }
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether an event was received. A request without one only waits for its turn at the service; given up, it
-    /// stands in nobody's way.
+    /// Whether an event was received. A request without one is still queued by the service; closing it frees its
+    /// place in that queue.
     #[must_use]
     pub fn is_established(&self) -> bool {
         self.last_event.is_some()
--- a/crates/connection-policy/src/watch_slots.rs
+++ b/crates/connection-policy/src/watch_slots.rs
@@ -1,8 +1,8 @@
 //! Two slots for watches of the endpoint list.
 //!
-//! One holds the latest watch, the other the one before it, which is read on until the latest has delivered an
-//! event. A host whose watch has fallen silent so always has a request open on which a service that recovers
-//! could notify it. A third request takes the slot of the oldest.
+//! One holds the latest watch, the other the one before it, which is read until the latest has delivered an
+//! event. So a host whose watch has fallen silent always has a request open on which a service that recovers can
+//! notify it. A third request takes the slot of the oldest.
 
 /// Which of the two slots holds the latest watch.
 #[derive(Clone, Copy, Debug, Default)]
@@ -11,7 +11,7 @@
 }
 
 impl WatchSlots {
-    /// The slot of the next request, which is the latest from now on; a watch that is still there is given up.
+    /// The slot of the next request, which is the latest from now on; a watch that still has the slot is to be closed.
     /// `keep_latest`: the latest watch is open and keeps its slot.
     pub fn next_slot(&mut self, keep_latest: bool) -> usize {
         if keep_latest {
--- a/crates/sockets/src/arrival_estimator.rs
+++ b/crates/sockets/src/arrival_estimator.rs
@@ -1,5 +1,5 @@
-//! When the events that a poll returns arrived. A loop that is kept from running would otherwise take its own
-//! lateness for that of others.
+//! When the events that a poll returns arrived. Without the estimate, an event loop that was delayed would
+//! attribute its own delay to clients and nodes.
 use mallowseam_scheduler::interface::Tick;
 
 /// A poll that lasted longer than this many ticks slept until something arrived.
@@ -18,7 +18,7 @@
     }
 
     /// When the events of the poll that lasted from `began` to `returned` arrived: where the poll slept, when it
-    /// returned; else at some time since the last poll, of which half way is the best guess.
+    /// returned; else at some time since the last poll, of which the midpoint is the best estimate.
     pub fn estimate(&mut self, began: Tick, returned: Tick) -> Tick {
         let last_poll = std::mem::replace(&mut self.last_poll, returned);
         if returned - began > SLEEP_THRESHOLD { returned } else { last_poll + (returned - last_poll) / 2 }
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -5,7 +5,7 @@
 /// Microseconds in a tick.
 const MICROS_PER_TICK: u64 = 100;
 
-/// A clock that never goes back.
+/// A monotonic clock.
 pub struct Clock {
     started: Instant,
     first_tick: Tick,
@@ -19,7 +19,7 @@
     }
 
     /// A clock that counts from the Unix epoch, by the system's clock now and steadily from there: for a host
-    /// that is told times of day, also ones before its own start.
+    /// that receives times of day, also ones before its own start.
     #[must_use]
     pub fn from_unix_epoch() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/sockets/src/descriptors.rs
+++ b/crates/sockets/src/descriptors.rs
@@ -6,7 +6,7 @@
 /// limit allows; the resulting limit, which may be lower or higher than `wanted`.
 ///
 /// # Errors
-/// The system's error where it does not tell its limit.
+/// The system's error where the limit cannot be read.
 pub fn raise_limit(wanted: u64) -> io::Result<u64> {
     let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE)?;
     let raised = wanted.min(hard);
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -4,8 +4,8 @@
 //! - [`clock`]: ticks of a tenth of a millisecond.
 //! - [`arrival_estimator`]: when the events that a poll returns arrived.
 //! - [`descriptors`]: the process's limit of descriptors.
-//! - [`signals`]: signals as something to read.
-//! - [`listener`]: a listener with a long queue.
+//! - [`signals`]: signals as bytes on a stream.
+//! - [`listener`]: a TCP listener with a long accept queue.
 //! - [`nonblocking`]: reads and writes that do not block.
 //! - [`outgoing_message`]: a message that is written piece by piece.
 #![warn(missing_docs)]
--- a/crates/sockets/src/nonblocking.rs
+++ b/crates/sockets/src/nonblocking.rs
@@ -1,7 +1,7 @@
 //! Reads and writes on sockets that do not block. Interrupted calls are repeated.
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Why a connection is of no further use.
+/// Why a connection has to be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     /// The other side closed it.
@@ -25,14 +25,14 @@
     pub source: ConnectionError,
 }
 
-/// What an attempt to read came to.
+/// Outcome of an attempt to read.
 #[derive(Debug)]
 pub enum ReadOutcome {
     /// Nothing more has arrived for now.
     WouldBlock,
     /// So many bytes were read; there may be more.
     Read(usize),
-    /// The connection is of no further use.
+    /// The connection has ended.
     Closed(ConnectionError),
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// Writes until no bytes are left or the socket takes no more for now; how many were written.
+/// Writes until no bytes are left or the socket would block, and returns how many were written.
 ///
 /// # Errors
-/// The connection is of no further use.
+/// The connection has failed.
 pub fn write(socket: &mut impl Write, bytes: &[u8]) -> Result<usize, WriteError> {
     let mut written = 0;
     while written < bytes.len() {
@@ -65,10 +65,10 @@
     Ok(written)
 }
 
-/// Writes bytes off the front of a buffer until it is empty or the socket takes no more for now.
+/// Writes bytes from the front of a buffer, and removes them, until it is empty or the socket would block.
 ///
 /// # Errors
-/// The connection is of no further use; the buffer is as it was.
+/// The connection has failed; the buffer is unchanged.
 pub fn write_buffer(socket: &mut impl Write, buffer: &mut Vec<u8>) -> Result<(), ConnectionError> {
     let written = write(socket, buffer).map_err(|error| error.source)?;
     buffer.drain(..written);
--- a/crates/sockets/src/outgoing_message.rs
+++ b/crates/sockets/src/outgoing_message.rs
@@ -3,14 +3,14 @@
 use std::io::{IoSlice, Write};
 use std::ops::Range;
 
-/// A message on its way out: a head that is composed anew each time, and a body that is forwarded in the buffer
-/// it was read into.
+/// An outgoing message: a head that is composed for each message, and a body that is forwarded in the buffer it was
+/// read into.
 #[derive(Default)]
 pub struct OutgoingMessage {
     /// The head. Bytes may be added to it until the message is written in full.
     pub head: Vec<u8>,
     body: Vec<u8>,
-    /// Where the body stands in its buffer.
+    /// Position of the body in its buffer.
     body_range: Range<usize>,
     /// Bytes of head and body that were written.
     written: usize,
@@ -35,10 +35,10 @@
         self.head.capacity() + self.body.capacity()
     }
 
-    /// Writes until nothing is left, when it is ready to be used again, or the socket takes no more for now.
+    /// Writes until the message is complete, after which it can be reused, or until the socket would block.
     ///
     /// # Errors
-    /// The connection is of no further use.
+    /// The connection has failed.
     pub fn write_to(&mut self, socket: &mut impl Write) -> Result<(), ConnectionError> {
         while !self.is_empty() {
             let head = &self.head[self.written.min(self.head.len())..];
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    /// Keeps the head's memory for the next message and gives the body's back.
+    /// Keeps the head's buffer for the next message and frees that of the body.
     fn clear(&mut self) {
         self.head.clear();
         self.body = Vec::new();
--- a/crates/sockets/src/signals.rs
+++ b/crates/sockets/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as something to read, beside all else that a poll waits for (the self-pipe trick).
+//! Signals as bytes on a stream that the event loop polls (the self-pipe trick).
 use mio::net::UnixStream;
 use mio::{Interest, Poll, Token};
 use std::io;
@@ -6,7 +6,7 @@
 /// A stream, registered with `poll` under `token`, on which a byte arrives for each of these signals.
 ///
 /// # Errors
-/// The system's error where a stream or a handler cannot be had.
+/// The system's error where the stream or a signal handler cannot be set up.
 pub fn pipe(poll: &Poll, token: Token, signals: &[i32]) -> io::Result<UnixStream> {
     let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
--- a/crates/sockets/src/slab.rs
+++ b/crates/sockets/src/slab.rs
@@ -1,6 +1,6 @@
 //! A table whose entries have small indices, which are reused once they are free.
 
-/// A table of values. The index of the value removed last is the next to be given out.
+/// A table of values. The index that was freed last is the next to be assigned.
 pub struct Slab<T> {
     entries: Vec<Option<T>>,
     free: Vec<u32>,
@@ -40,7 +40,7 @@
         self.entries.get_mut(index as usize)?.as_mut()
     }
 
-    /// Takes the value at an index out, if there is one, and frees the index.
+    /// Removes the value at an index, if there is one, and frees the index.
     pub fn remove(&mut self, index: u32) -> Option<T> {
         let value = self.entries.get_mut(index as usize)?.take();
         if value.is_some() {
