--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -30,7 +30,7 @@
 use extent_copies::ExtentCopy;
 use mallowseam_connection_policy::request_splitting::{SubRequest, VolumeLayout};
 use mallowseam_cow::copy_budget::CopyBudget;
-use mallowseam_cow::tree::LayerId;
+use mallowseam_cow::tree::LayerExtent;
 use mallowseam_iscsi::target::TargetEvent;
 use mallowseam_scheduler::Interner;
 use mallowseam_scheduler::Scheduler;
@@ -148,7 +148,7 @@
     lookup_revision: u64,
     next_lookup: Tick,
     copy_budget: CopyBudget,
-    copies: BTreeMap<(LayerId, u32), ExtentCopy>,
+    copies: BTreeMap<LayerExtent, ExtentCopy>,
 }
 
 impl Dispatcher {
--- a/crates/gateway/src/dispatcher/block_io.rs
+++ b/crates/gateway/src/dispatcher/block_io.rs
@@ -4,7 +4,7 @@
 use mallowseam_connection_policy::command_progress::CommandProgress;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::split_write::SplitWrite;
-use mallowseam_cow::tree::{LayerId, Location};
+use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_scheduler::interface::Tick;
 use std::rc::Rc;
@@ -83,7 +83,7 @@
     /// The layer and location that it goes to, where the catalog knows it.
     pub(super) location: Option<(LayerId, Location)>,
     /// The extent whose copy it is a step of.
-    pub(super) copy: Option<(LayerId, u32)>,
+    pub(super) copy: Option<LayerExtent>,
     /// Withdrawn from the scheduler, to have its location looked up again.
     pub(super) relocating: bool,
     pub(super) request: SubRequest,
--- a/crates/gateway/src/dispatcher/extent_copies.rs
+++ b/crates/gateway/src/dispatcher/extent_copies.rs
@@ -6,7 +6,7 @@
 use mallowseam_cow::Millis;
 use mallowseam_cow::copy_budget::FAILURE_MEMORY;
 use mallowseam_cow::messages::ToCatalog;
-use mallowseam_cow::tree::{LayerId, Location};
+use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
 use mallowseam_cow::tree_replica::RESEND_AFTER;
 use mallowseam_iscsi::initiator::Payload;
 
@@ -57,7 +57,7 @@
     /// Starts to copy an extent into a layer, unless that is under way or the budget is used up.
     pub(super) fn start_copy(
         &mut self,
-        extent: (LayerId, u32),
+        extent: LayerExtent,
         volume: usize,
         from: Option<(LayerId, Location)>,
     ) {
@@ -90,7 +90,7 @@
     }
 
     /// Queues the block I/O of a copy's present state.
-    fn start_copy_step(&mut self, extent: (LayerId, u32)) {
+    fn start_copy_step(&mut self, extent: LayerExtent) {
         let copy = &self.copies[&extent];
         let request = SubRequest {
             offset: 0,
@@ -132,7 +132,7 @@
         }
     }
 
-    fn propose_location(&mut self, (layer, extent): (LayerId, u32), location: Location) {
+    fn propose_location(&mut self, (layer, extent): LayerExtent, location: Location) {
         if let Some(catalog) = &mut self.catalog {
             catalog.send(&ToCatalog::ProposeLocation { layer, extent, location });
         }
@@ -143,7 +143,7 @@
     pub(super) fn update_copies(&mut self) {
         let now = ticks_to_millis(self.now);
         let Some(tree) = self.catalog.as_ref().and_then(|catalog| catalog.replica.tree()) else { return };
-        let is_settled = |(layer, extent): &(LayerId, u32)| {
+        let is_settled = |(layer, extent): &LayerExtent| {
             tree.layers.get(layer).is_none_or(|layer| layer.frozen || layer.locations.contains_key(extent))
         };
         let mut unanswered = Vec::new();
