--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -119,7 +119,7 @@
 }
 
 /// The change that sets figures of a plan and keeps its others, and the version that it is made for: the one
-/// that the kept figures were read from.
+/// that the unchanged figures were read from.
 fn change_of_figures(
     file: &Path,
     plan: String,
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -14,7 +14,7 @@
 pub(crate) const MAX_CONNECTIONS: usize = 16;
 /// Longest request in bytes.
 const MAX_REQUEST: usize = 8_192;
-/// What every answer ends with, so that a truncated one is told from a complete one.
+/// Ends every answer, which makes a truncated one recognizable.
 const END_OF_ANSWER: &str = "\n\n";
 /// Begins the answer to a request that was refused; the reason follows.
 const REFUSED: &str = "error: ";
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -34,7 +34,7 @@
     pub(crate) nodes: Vec<NodeEndpoint>,
 }
 
-/// The connection to the endpoint list service and what it has told.
+/// The connection to the endpoint list service, and the list as last received.
 pub(crate) struct EndpointList {
     host: String,
     /// None: the nodes are those of the configuration.
@@ -227,7 +227,7 @@
     fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<NodeEndpoint> {
         let index = self.nodes.iter().position(|node| node.name == entry.name)?;
         let node = &mut self.nodes[index];
-        // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It
+        // Updates take a while to arrive: of one run, the earliest start that was reported is the truest. It
         // never moves up, which would look like a restart.
         let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
         if entry.incarnation == 0 {
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -80,14 +80,14 @@
     accepting: bool,
     control: Option<ControlSocket>,
     signals: UnixStream,
-    /// How often it was told to stop.
+    /// Signals and requests to stop so far.
     stop_requests: u32,
     pending_reads: VecDeque<PendingRead>,
     read_buffer: Vec<u8>,
     last_check: Tick,
 }
 
-/// Runs a host until it is told to stop.
+/// Runs a host until SIGTERM, SIGINT or a request to stop.
 ///
 /// # Errors
 /// An address or path of the configuration cannot be had.
@@ -221,7 +221,7 @@
         self.after_events();
     }
 
-    /// Told to stop and nothing is left to be done, or told twice.
+    /// Asked to stop with nothing left in flight, or asked twice.
     fn is_finished(&self) -> bool {
         let idle =
             self.dispatcher.clients.admission.connection_count() == 0 && self.dispatcher.in_flight() == 0;
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -77,7 +77,7 @@
     read_buffer: Vec<u8>,
 }
 
-/// Runs the plan service of a site until it is told to stop.
+/// Runs the plan service of a site until SIGTERM, SIGINT or a request to stop.
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Allocates slots of a layer to a host. The host is told behind the change, once that is on disk.
+    /// Allocates slots of a layer to a host. The host is notified after the change, once that is on disk.
     fn allocate_slots(&mut self, host: PeerId, layer: LayerId, count: u32) {
         let first = self.tree().layers.get(&layer).map_or(0, |l| l.next_slot);
         if self.propose(Change::SlotsAllocated { layer, first, count }).is_ok() {
