--- a/crates/cow/src/consistent_cut.rs
+++ b/crates/cow/src/consistent_cut.rs
@@ -2,14 +2,14 @@
 //!
 //! A cut freezes the head in the tree first; then every node that holds a location through which the snapshot is read
 //! closes its layer to writes. A cut is granted if all of them have closed within the timeout; otherwise it fails and
-//! leaves no name. The frozen layer stays as it is: going on from it is always safe, while reopening closed layers is
-//! not, since late writes may be in flight.
+//! no snapshot is created. The frozen layer stays frozen: that is always safe, while reopening closed layers is not,
+//! since late writes may be in flight.
 use crate::Millis;
 use crate::tree::{Change, ChangeError, LayerId, Tree};
 use std::collections::BTreeSet;
 
-/// A snapshot is granted or fails within this: a healthy node closes a layer at once, and an operator would not wait
-/// for one that does not answer for so long.
+/// Milliseconds within which a snapshot is granted or fails: a healthy node closes a layer at once, and an operator
+/// would not wait longer for one that does not answer.
 pub const CUT_TIMEOUT: Millis = 5_000;
 
 /// Why a snapshot failed.
@@ -35,9 +35,9 @@
     pub name: String,
     /// The frozen layer.
     pub layer: LayerId,
-    /// Hosts that have not confirmed yet that no write of theirs is half in the layer.
+    /// Hosts that have not confirmed yet that no incomplete write of theirs has a part in the layer.
     unquiesced_hosts: BTreeSet<String>,
-    /// A write is half in the layer and is being completed behind it.
+    /// An incomplete write has a part in the layer, and is being completed in a later one.
     is_stale: bool,
     deadline: Millis,
 }
@@ -47,7 +47,7 @@
 pub enum CutProgress {
     /// Nodes or hosts still have to answer.
     Wait,
-    /// Every host has completed what was half in the layer: freeze the present head instead.
+    /// Every host has completed its writes with a part in the layer: freeze the present head instead.
     Restart,
     /// Apply this change, which creates the snapshot.
     Grant(Change),
@@ -102,13 +102,13 @@
         &self.unquiesced_hosts
     }
 
-    /// A write is half in the layer and will be completed in the present head.
+    /// An incomplete write has a part in the layer, and will be completed in the present head.
     pub fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Restarts the cut behind writes that were half in its layer: the change that freezes the present head. None: the
-    /// branch is gone.
+    /// Restarts the cut after the writes that had a part in its layer: the change that freezes the present head. None:
+    /// the branch was deleted.
     pub fn restart(&mut self, tree: &Tree, hosts: BTreeSet<String>) -> Option<Change> {
         self.layer = tree.branch(&self.branch).ok()?.head;
         self.unquiesced_hosts = hosts;
--- a/crates/cow/src/copy_budget.rs
+++ b/crates/cow/src/copy_budget.rs
@@ -1,19 +1,20 @@
 //! When a host may start to copy an extent before its first write. Retries of failed copies come out of a budget of
-//! their own, so that a node in trouble is not asked for the same extents over and over at the expense of clients:
-//! each copy reads and writes a whole extent.
+//! their own, so that a failing node does not receive the same copies repeatedly at the expense of clients: each copy
+//! reads and writes an entire extent.
 use crate::Millis;
 
-/// Copies of one host in flight: enough to keep some nodes busy, few enough to leave them to clients.
+/// Copies of one host in flight at most: enough to use some nodes in parallel, few enough to leave them capacity for
+/// clients.
 pub const MAX_CONCURRENT_COPIES: usize = 8;
-/// After a failed copy, the next one of that extent waits so long.
+/// Milliseconds between a failed copy and the next one of that extent.
 pub const RETRY_DELAY: Millis = 20;
-/// How long a host remembers that a copy failed, when no write asks for it again.
+/// Milliseconds for which a host retains that a copy failed, if no write needs it again.
 pub const FAILURE_MEMORY: Millis = 5_000;
 /// Retries that may be in the budget: one for each copy that can be in flight.
 const MAX_RETRIES: f64 = MAX_CONCURRENT_COPIES as f64;
 /// What a successful copy adds to the budget: the retry ratio that the fleet is usually allowed.
 const RETRIES_PER_SUCCESS: f64 = 0.1;
-/// With an empty budget one retry is let through in this interval, so that a recovered node is noticed.
+/// Milliseconds in which one retry is admitted even with an empty budget, so that a recovered node is noticed.
 const PROBE_INTERVAL: Millis = 250;
 
 /// The copies that one host may start, and its budget of retries (a token bucket).
@@ -31,7 +32,7 @@
 }
 
 impl CopyBudget {
-    /// Whether a copy may start now, with so many in flight. `is_retry`: the last attempt at it failed.
+    /// Whether a copy may start now, with this many in flight. `is_retry`: the last attempt at it failed.
     #[must_use]
     pub fn may_start(&mut self, in_flight: usize, is_retry: bool, now: Millis) -> bool {
         if in_flight >= MAX_CONCURRENT_COPIES {
--- a/crates/cow/src/leases.rs
+++ b/crates/cow/src/leases.rs
@@ -2,16 +2,16 @@
 //! longer act on what it knew before (Gray and Cheriton, "Leases", SOSP 1989).
 //!
 //! A host may act on its replica for the duration of its lease, from the moment at which it *sent* its last renewal.
-//! The catalog grants a little less than it waits itself, so that clocks may run apart by a part in a hundred. Between
+//! The catalog grants a little less than it waits itself, which allows for clock drift of one per cent. Between
 //! a host's last act on an old tree and the first act of anybody on a change there is always a moment at which that
 //! host had no lease.
 use crate::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a host may act without hearing from the catalog: clients do not notice a catalog that restarts within
-/// it, and a host that is cut off delays a first write for no longer.
+/// Milliseconds for which a host may act without contact to the catalog: clients do not notice a catalog that restarts
+/// within it, and a partitioned host delays a first write for no longer.
 pub const LEASE_DURATION: Millis = 3_000;
-/// What the catalog waits beyond: clocks that run apart by one in a hundred, and a step of its own clock.
+/// Milliseconds that the catalog waits beyond that: for clock drift of one per cent, and a step of its own clock.
 pub const LEASE_MARGIN: Millis = 50;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/cow/src/lib.rs
+++ b/crates/cow/src/lib.rs
@@ -5,12 +5,12 @@
 //! changes.
 //!
 //! - [`tree`]: layers, branches and snapshots, and the changes that lead from one tree to the next.
-//! - [`tree_replica`]: what a host does with a block I/O, by what it knows of the tree.
+//! - [`tree_replica`]: a host's replica of the tree, and where it sends a block I/O by that.
 //! - [`copy_budget`]: when a host may start, or retry, the copy of an extent.
 //! - [`consistent_cut`]: when a snapshot may be granted.
-//! - [`split_write`]: keeps a write of several parts whole with regard to cuts.
-//! - [`leases`]: when every host acts on a change, or on nothing older.
-//! - [`reclaim`]: when space that nobody can read may be released.
+//! - [`split_write`]: keeps a write of several parts atomic with regard to cuts.
+//! - [`leases`]: when a change is effective: no host acts on an older tree any more.
+//! - [`reclaim`]: when the space of unreachable locations may be released.
 //! - [`messages`]: the messages between hosts and catalog.
 #![warn(missing_docs)]
 
--- a/crates/cow/src/messages.rs
+++ b/crates/cow/src/messages.rs
@@ -1,10 +1,10 @@
-//! The messages between hosts and catalog: one JSON object a line. Releases of both sides talk to each other, so
-//! `serde(rename)` keeps the names on the wire.
+//! The messages between hosts and catalog: one JSON object a line. Hosts and catalog of different releases
+//! exchange them, so `serde(rename)` keeps the names on the wire.
 use crate::Millis;
 use crate::tree::{Change, ExtentLocation, LayerId, Location, Tree};
 use serde::{Deserialize, Serialize};
 
-/// Which tree a host holds. Sent as a JSON array of two.
+/// The tree of which a host has a replica. Sent as a JSON array of two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct TreeVersion {
@@ -34,7 +34,7 @@
     Hello {
         /// Name of the host.
         host: String,
-        /// The tree that it holds, if any.
+        /// The version of its replica, if it has one.
         #[serde(rename = "have", default)]
         known: Option<TreeVersion>,
     },
@@ -92,7 +92,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum ToHost {
     /// Begins a full tree: without its locations, which follow in parts, then `FullTreeEnd`. Until then the host acts
-    /// on the tree that it held before.
+    /// on the tree that it had before.
     #[serde(rename = "whole")]
     FullTree {
         /// Id of the catalog.
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -1,5 +1,6 @@
-//! When locations that nobody can read any more may be released: once no host acts on a tree in which they were read,
-//! and what was sent by such a tree has run out of time. In small batches, so that nodes are left to clients.
+//! When unreachable locations may be released: once no host acts on a tree in which they are reachable, and every
+//! block I/O that was sent by such a tree is past its deadline. In small batches, so that nodes keep capacity for
+//! clients.
 use crate::Millis;
 use crate::leases::HostLeases;
 use crate::tree::{ChangeEffects, LayerExtent, LayerId, Tree};
@@ -7,7 +8,7 @@
 
 /// Extents released at once: a node takes some milliseconds for as many.
 pub const BATCH_SIZE: usize = 64;
-/// Entries of the queue that one call looks at.
+/// Entries of the queue that one call examines.
 const MAX_SCANNED: usize = BATCH_SIZE * 4;
 
 /// A location that waits for its version to be effective.
@@ -24,23 +25,23 @@
     extent: LayerExtent,
 }
 
-/// Locations on their way to be released. Each step looks at those that are due and at no others, however many wait.
+/// Locations on their way to be released. Each step examines only those that are due, however many wait.
 #[derive(Default)]
 pub struct Reclaimer {
     /// Version at which each location was last found to be unreachable. Only the entry of a queue with this version
-    /// is valid: a location that was read again in between has to wait again.
+    /// is valid: a location that was reachable again in between has to wait again.
     unreachable_since: BTreeMap<LayerExtent, u64>,
     /// In order of versions: those whose version is not effective yet.
     waiting: VecDeque<Unreachable>,
     /// In order of the time since which their version is effective.
     ready: VecDeque<Ready>,
     in_flight: BTreeSet<LayerExtent>,
-    /// Layers that may hold nothing.
+    /// Layers that may be empty.
     maybe_empty: BTreeSet<LayerId>,
 }
 
 impl Reclaimer {
-    /// Begins with everything that is unreachable in a tree that has just been opened.
+    /// A reclaimer of everything that is unreachable in a tree that has just been opened.
     #[must_use]
     pub fn from_tree(tree: &Tree) -> Reclaimer {
         let mut reclaimer = Reclaimer::default();
@@ -81,7 +82,7 @@
     ) -> Vec<LayerExtent> {
         self.promote_effective(leases, now);
         let mut batch = Vec::new();
-        // A retained location goes to the back of the queue, and is not met twice in one call.
+        // A retained location goes to the back of the queue, and is not examined twice in one call.
         for _ in 0..self.ready.len().min(MAX_SCANNED) {
             if self.in_flight.len() >= BATCH_SIZE {
                 break;
@@ -113,39 +114,39 @@
         entry: &Ready,
         now: Millis,
     ) -> Option<LayerExtent> {
-        let Ready { version, extent: at, .. } = *entry;
-        if self.unreachable_since.get(&at) != Some(&version) {
+        let Ready { version, extent: layer_extent, .. } = *entry;
+        if self.unreachable_since.get(&layer_extent) != Some(&version) {
             return None;
         }
-        let (layer, extent) = at;
+        let (layer, extent) = layer_extent;
         if !tree.is_unreachable(layer, extent, &BTreeSet::new()) {
-            // Gone, or a snapshot was granted that reads it. When that is deleted, the location is found again.
-            self.unreachable_since.remove(&at);
+            // Already released, or read by a snapshot that was granted since. Deleting that snapshot enqueues it again.
+            self.unreachable_since.remove(&layer_extent);
             return None;
         }
         if !tree.is_unreachable(layer, extent, retained) {
-            self.ready.push_back(Ready { effective_at: now, version, extent: at });
+            self.ready.push_back(Ready { effective_at: now, version, extent: layer_extent });
             return None;
         }
-        self.in_flight.insert(at).then_some(at)
+        self.in_flight.insert(layer_extent).then_some(layer_extent)
     }
 
     /// A node has released a location.
-    pub fn completed(&mut self, at: LayerExtent) {
-        self.in_flight.remove(&at);
-        self.unreachable_since.remove(&at);
+    pub fn completed(&mut self, extent: LayerExtent) {
+        self.in_flight.remove(&extent);
+        self.unreachable_since.remove(&extent);
     }
 
     /// A node did not release a location: it is retried.
-    pub fn failed(&mut self, at: LayerExtent, now: Millis) {
-        if self.in_flight.remove(&at)
-            && let Some(version) = self.unreachable_since.get(&at)
+    pub fn failed(&mut self, extent: LayerExtent, now: Millis) {
+        if self.in_flight.remove(&extent)
+            && let Some(version) = self.unreachable_since.get(&extent)
         {
-            self.ready.push_back(Ready { effective_at: now, version: *version, extent: at });
+            self.ready.push_back(Ready { effective_at: now, version: *version, extent });
         }
     }
 
-    /// Layers that hold nothing and that nothing refers to.
+    /// Empty layers that nothing refers to.
     pub fn removable_layers(&mut self, tree: &Tree, retained: &BTreeSet<LayerId>) -> Vec<LayerId> {
         self.maybe_empty.retain(|layer| tree.layers.contains_key(layer) && !tree.is_referenced(*layer));
         let removable = |layer: &LayerId| tree.is_removable(*layer) && !retained.contains(layer);
--- a/crates/cow/src/split_write.rs
+++ b/crates/cow/src/split_write.rs
@@ -1,11 +1,11 @@
-//! A write of several parts, with regard to cuts: a snapshot holds all of it or none.
+//! A write of several parts, with regard to cuts: a snapshot contains all of it or none.
 //!
-//! Parts in different extents may land in different layers when a cut comes between them. A part may not follow
-//! into a newer layer while another may still land in the older one, nor after one has, unless the catalog permits
-//! it. It does if no snapshot has been granted in between, and restarts a cut that is still pending once the write is
+//! Parts in different extents may be written to different layers when a cut comes between them. A part may not follow
+//! into a newer layer while another may still be written to the older one, nor after one has been, unless the catalog
+//! permits it. It does if no snapshot has been granted in between, and restarts a cut that is still pending once the write is
 //! complete. The permission is for one layer: after the next cut it has to be requested again. Until a host has no
-//! such write in flight, it delays a grant. While a cut is pending a host begins no such write, or each restarted cut
-//! would meet the next one.
+//! such write in flight, it delays a grant. While a cut is pending a host begins no such write; otherwise each
+//! restarted cut could be delayed by the next one.
 use crate::Millis;
 use crate::tree::LayerId;
 use crate::tree_replica::RESEND_AFTER;
@@ -33,7 +33,7 @@
     RequestPermission(LayerId),
     /// Not yet.
     Wait,
-    /// A snapshot holds a part of the write already: it cannot be completed.
+    /// A snapshot already contains a part of the write: it cannot be completed.
     Reject,
 }
 
--- a/crates/cow/src/tree/change.rs
+++ b/crates/cow/src/tree/change.rs
@@ -106,7 +106,7 @@
     },
 }
 
-/// What a change has affected: a store writes these records again as they stand now, or deletes what is gone.
+/// What a change has affected: a store writes the present state of these records, or deletes those that no longer exist.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangeEffects {
     /// Layers, but for their locations.
--- a/crates/cow/src/tree/consistency.rs
+++ b/crates/cow/src/tree/consistency.rs
@@ -11,7 +11,7 @@
     StaleIndex,
     /// The parent is missing or takes writes.
     #[error("layer {0}: its parent is missing or not frozen")]
-    BadParent(LayerId),
+    InvalidParent(LayerId),
     /// Parents are created first, so that no layer can be its own ancestor.
     #[error("layer {0}: its parent is a later layer")]
     ParentIsLater(LayerId),
@@ -33,7 +33,7 @@
     },
     /// The head of the branch is missing or frozen.
     #[error("branch {0}: its head is missing or frozen")]
-    BadHead(String),
+    InvalidHead(String),
     /// The layer of the snapshot is missing or takes new locations.
     #[error("snapshot {0}: its layer is missing or not frozen")]
     SnapshotNotFrozen(String),
@@ -43,7 +43,7 @@
 }
 
 impl Tree {
-    /// The rules that the tree breaks; empty for a sound one.
+    /// The rules that the tree breaks; empty for a consistent tree.
     #[must_use]
     pub fn inconsistencies(&self) -> Vec<Inconsistency> {
         let mut found = Vec::new();
@@ -55,7 +55,7 @@
         }
         for (name, branch) in &self.branches {
             if self.layers.get(&branch.head).is_none_or(|head| head.frozen) {
-                found.push(Inconsistency::BadHead(name.clone()));
+                found.push(Inconsistency::InvalidHead(name.clone()));
             }
         }
         for (name, snapshot) in &self.snapshots {
@@ -67,7 +67,7 @@
     fn check_layer(&self, id: LayerId, layer: &Layer, found: &mut Vec<Inconsistency>) {
         if let Some(parent) = layer.parent {
             if !self.layers.get(&parent).is_some_and(|parent| parent.frozen) {
-                found.push(Inconsistency::BadParent(id));
+                found.push(Inconsistency::InvalidParent(id));
             }
             if parent >= id {
                 found.push(Inconsistency::ParentIsLater(id));
--- a/crates/cow/src/tree/error.rs
+++ b/crates/cow/src/tree/error.rs
@@ -13,10 +13,10 @@
     /// Another branch or snapshot has the name.
     #[error("`{0}`: the name is in use")]
     NameInUse(String),
-    /// The name is too long or holds other characters.
+    /// The name is empty, too long, or has a character that is not allowed.
     #[error("`{0}`: expected 1 to 64 letters, digits and -_.")]
-    BadName(String),
-    /// The layer is gone or never was.
+    InvalidName(String),
+    /// The layer was removed or never existed.
     #[error("layer {0}: no such layer")]
     NoSuchLayer(LayerId),
     /// The state of the layer does not allow the change, for instance a new location in a frozen layer.
@@ -31,7 +31,7 @@
     /// The branch still has this snapshot.
     #[error("`{0}`: still in use")]
     StillInUse(String),
-    /// All layer ids have been used.
+    /// All layer ids have been assigned.
     #[error("no layer numbers are left")]
     LayerIdsExhausted,
 }
--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -3,7 +3,7 @@
 //! A *branch* is what clients write to: a volume or a clone. Its head *layer* takes new locations for extents; an
 //! extent that the head lacks is found in the nearest ancestor. A consistent cut freezes the head and puts a new
 //! layer under it. A layer is a logical unit of its own at every storage node (its id is the LUN), so that a node can
-//! close it to writes as a whole. Locations in it are numbered slots, and no slot is allocated twice, so that no late
+//! close all of it to writes. Locations in it are numbered slots, and no slot is allocated twice, so that no late
 //! write of an abandoned copy can reach a location that is in use.
 //!
 //! - `model`: the stored data types.
--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -8,7 +8,7 @@
 fn check_name(name: &str) -> Result<(), ChangeError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(allowed) {
-        return Err(ChangeError::BadName(name.to_owned()));
+        return Err(ChangeError::InvalidName(name.to_owned()));
     }
     Ok(())
 }
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -1,4 +1,4 @@
-//! What a host does with a block I/O, by what it knows of the tree.
+//! A host's replica of the tree, and where it sends a block I/O by that.
 use crate::Millis;
 use crate::leases::LEASE_DURATION;
 use crate::messages::TreeVersion;
@@ -6,17 +6,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// A host renews its lease when this much of it is left: one renewal may be lost.
+/// A host renews its lease when this many milliseconds of it are left: one renewal may be lost.
 const RENEWAL_LEAD: Millis = LEASE_DURATION / 2;
-/// A renewal without an answer is sent again after this.
+/// An unanswered renewal is sent again after this many milliseconds.
 const RENEWAL_RETRY: Millis = RENEWAL_LEAD / 2;
 /// Slots requested at once: some seconds of first writes, and little lost with a host that dies.
 pub const SLOT_BATCH: u32 = 64;
 /// With fewer slots left, more are requested.
 const SLOTS_LOW_WATERMARK: usize = 16;
-/// Lookups remembered, over all heads and snapshots: some 100 MiB at most. Past that all are forgotten.
-const MAX_REMEMBERED_LOOKUPS: usize = 1 << 21;
-/// A request that the catalog has not answered is sent again after this: it may have restarted.
+/// Cached lookups over all heads and snapshots: some 100 MiB at most. Beyond that the cache is cleared.
+const MAX_CACHED_LOOKUPS: usize = 1 << 21;
+/// An unanswered request is sent again after this many milliseconds: the catalog may have restarted.
 pub const RESEND_AFTER: Millis = 500;
 
 /// Where a block I/O goes.
@@ -35,7 +35,7 @@
     },
     /// Not yet: the location may not be written yet, or the source of the copy may still change.
     Blocked,
-    /// The host has no lease, and so may not act on what it knows.
+    /// The host has no lease, and so may not act on its replica.
     NoLease,
     /// No branch or snapshot has this name.
     UnknownName,
@@ -56,17 +56,17 @@
     lease_expires_at: Millis,
     renewal_sent_at: Option<Millis>,
     slots: BTreeMap<LayerId, Vec<Range<u32>>>,
-    remembered: usize,
+    cached_lookups: usize,
     /// Extents looked up so far through heads of branches and snapshots, so that a read behind a thousand snapshots
     /// costs what one behind none does.
     lookups: BTreeMap<LayerId, HashMap<u32, Option<(LayerId, Location)>>>,
 }
 
 impl TreeReplica {
-    /// How long to wait before the next attempt to connect to the catalog.
+    /// Milliseconds between two attempts to connect to the catalog.
     pub const RECONNECT_INTERVAL: Millis = 200;
 
-    /// The tree that is held: the catalog needs to know it when a connection opens.
+    /// The version of the replica; the host sends it to the catalog when a connection opens.
     #[must_use]
     pub fn known(&self) -> Option<TreeVersion> {
         let tree = self.tree.as_ref()?;
@@ -97,7 +97,7 @@
         true
     }
 
-    /// What is known does not fit what the catalog sends: the full tree is needed, whatever its version.
+    /// The replica contradicts what the catalog sends: the full tree is needed, whatever its version.
     pub fn invalidate(&mut self) {
         self.catalog_id = 0;
         self.incoming = None;
@@ -107,13 +107,13 @@
     pub fn replace_tree(&mut self, tree: Tree) {
         // Slots allocated before still belong to this host; those of frozen and removed layers are of no use.
         self.slots.retain(|layer, _| tree.layers.get(layer).is_some_and(|layer| !layer.frozen));
-        self.forget_lookups();
+        self.clear_lookups();
         self.tree = Some(tree);
     }
 
-    fn forget_lookups(&mut self) {
+    fn clear_lookups(&mut self) {
         self.lookups.clear();
-        self.remembered = 0;
+        self.cached_lookups = 0;
     }
 
     /// Applies one change. False: it does not follow what is known, so the full tree has to be requested.
@@ -136,7 +136,7 @@
         true
     }
 
-    /// Keeps the remembered lookups true after a change.
+    /// Updates the cached lookups after a change.
     fn update_lookups(&mut self, change: &Change, old_head: Option<LayerId>) {
         match change {
             // The new head shows what the old one did.
@@ -159,13 +159,13 @@
         }
     }
 
-    /// Version of the tree that is held.
+    /// Version of the replica.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.tree.as_ref().map(|tree| tree.version)
     }
 
-    /// The tree that is held.
+    /// The replica.
     #[must_use]
     pub fn tree(&self) -> Option<&Tree> {
         self.tree.as_ref()
@@ -189,13 +189,13 @@
         self.renewal_sent_at = None;
     }
 
-    /// Whether the host may act on what it knows.
+    /// Whether the host may act on its replica.
     #[must_use]
     pub fn has_lease(&self, now: Millis) -> bool {
         self.tree.is_some() && now < self.lease_expires_at
     }
 
-    /// The catalog is out of reach: what is known may be used until the lease expires.
+    /// The connection to the catalog was lost: the replica may be used until the lease expires.
     pub fn connection_lost(&mut self) {
         self.renewal_sent_at = None;
         self.incoming = None;
@@ -204,8 +204,8 @@
     /// Where an extent of a branch, or of a snapshot (`branch@name`), is read or written.
     #[must_use]
     pub fn look_up(&mut self, name: &str, extent: u32, is_write: bool, now: Millis) -> Lookup {
-        if self.remembered >= MAX_REMEMBERED_LOOKUPS {
-            self.forget_lookups();
+        if self.cached_lookups >= MAX_CACHED_LOOKUPS {
+            self.clear_lookups();
         }
         let Some(tree) = self.tree.as_ref().filter(|_| now < self.lease_expires_at) else {
             return Lookup::NoLease;
@@ -213,7 +213,7 @@
         let Some(head) = tree.layer_read_by(name) else { return Lookup::UnknownName };
         let lookups = self.lookups.entry(head).or_default();
         let found = *lookups.entry(extent).or_insert_with(|| {
-            self.remembered += 1;
+            self.cached_lookups += 1;
             tree.locate(head, extent)
         });
         match found {
@@ -250,7 +250,7 @@
     }
 }
 
-/// Where a write to an extent goes that was found in a layer, for a branch with this head.
+/// The target of a write to an extent that was found in a layer, for a branch with this head.
 fn write_target(tree: &Tree, head: LayerId, extent: u32, layer: LayerId, location: Location) -> Lookup {
     if layer == head {
         // Until every host reads the extent here, a write would be missed by one that reads it elsewhere.
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -172,7 +172,7 @@
         self.record
             .numbers(host.replica.known().into_iter().flat_map(|known| [known.catalog_id, known.version]));
         for message in full_tree_messages(7, &self.tree) {
-            let sound = match message {
+            let valid = match message {
                 ToHost::FullTree { catalog_id, tree } => {
                     host.replica.begin_full_tree(catalog_id, *tree);
                     true
@@ -180,7 +180,7 @@
                 ToHost::Locations { layer, locations } => host.replica.add_locations(layer, &locations),
                 _ => host.replica.finish_full_tree(),
             };
-            self.record.number(sound.into());
+            self.record.number(valid.into());
         }
         host.inbox.clear();
     }
