--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -5,9 +5,9 @@
 pub enum EndpointState {
     /// It takes requests.
     Active,
-    /// It completes what it has and takes nothing new.
+    /// It completes its requests in flight and takes no new ones.
     Draining,
-    /// It is no longer there.
+    /// It was removed from the fleet.
     Removed,
 }
 
@@ -37,8 +37,8 @@
     pub name: String,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// Tells one run of the node's process from another, and grows from run to run; 0: started long ago.
-    pub incarnation: u64,
+    /// Number of this run of the node's process, which grows from run to run; 0: started long ago.
+    pub generation: u64,
     /// How long this run has been up, in milliseconds, when the service sent it.
     pub uptime_ms: u64,
 }
@@ -46,7 +46,7 @@
 /// Version of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListVersion {
-    /// Drawn by the service at its start.
+    /// Drawn at random by the service at its start.
     pub epoch: u64,
     /// Counts up within the epoch; 0: nothing was received on this connection.
     pub version: u64,
@@ -61,7 +61,7 @@
     Incremental,
 }
 
-/// A version of the list, newer than all before.
+/// An update that leads to a newer version of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointUpdate {
     /// Full or incremental.
--- a/crates/endpoint-list/src/lib.rs
+++ b/crates/endpoint-list/src/lib.rs
@@ -6,11 +6,11 @@
 //!
 //! ```text
 //! list EPOCH VERSION whole|changes COUNT
-//! node NAME active|leaving|left INCARNATION UPTIME
+//! node NAME active|leaving|left GENERATION UPTIME
 //! ```
 //!
-//! EPOCH is drawn by the service at its start, VERSION counts up within it. INCARNATION tells one run of a node's
-//! process from another and is 0 for one that started long ago; UPTIME is how long that run has been up, in
+//! EPOCH is drawn by the service at its start, VERSION counts up within it. GENERATION is the number of a
+//! run of a node's process, and 0 for one that started long ago; UPTIME is how long that run has been up, in
 //! milliseconds, as the service knows at sending. The clocks of host and service are never compared.
 //!
 //! - [`endpoint`]: what the service says of a node.
--- a/crates/endpoint-list/src/watcher.rs
+++ b/crates/endpoint-list/src/watcher.rs
@@ -1,5 +1,5 @@
-//! A host's side of the protocol. It remembers what it was sent last, so that old or repeated updates are
-//! recognised, and writes it down in a form that the next start can read.
+//! A host's side of the protocol. It retains the last version and endpoints that it received, so that old or repeated
+//! updates are recognized, and writes them as a cache for the next start.
 use crate::endpoint::{Endpoint, EndpointUpdate, ListVersion, UpdateKind};
 use crate::wire::{MAX_LINE_BYTES, ProtocolError, UpdateHead, parse_endpoint, parse_head, write_endpoint};
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// A line is not as the protocol asks for. The caller closes the connection.
+    /// A line violates the protocol. The caller closes the connection.
     pub fn receive(&mut self, bytes: &[u8], mut notify: impl FnMut(WatchEvent)) -> Result<(), ProtocolError> {
         for byte in bytes {
             if *byte == b'\n' {
@@ -69,7 +69,7 @@
                 if let Some(event) = self.receive_line(&line)? {
                     notify(event);
                 }
-                // The buffer is used again.
+                // Reuses the buffer.
                 line.clear();
                 self.partial_line = line;
             } else if self.partial_line.len() == MAX_LINE_BYTES {
@@ -94,8 +94,8 @@
         Ok(complete.and_then(|update| self.apply(update)))
     }
 
-    /// Applies a complete message. What is not newer than what was received before is dropped. An older
-    /// incarnation than the known one belongs to a run that is over, whatever the version of the message.
+    /// Applies a complete message. A version that is not newer than the last one is dropped, and so is an endpoint of
+    /// an older generation than the known one: that process has ended, whatever the version of the message.
     fn apply(&mut self, update: PartialUpdate) -> Option<WatchEvent> {
         let PartialUpdate { head, endpoints } = update;
         let known = self.version;
@@ -110,7 +110,7 @@
         self.version = head.version;
         let known = &self.endpoints;
         let is_current =
-            |e: &Endpoint| known.get(&e.name).is_none_or(|known| e.incarnation >= known.incarnation);
+            |e: &Endpoint| known.get(&e.name).is_none_or(|known| e.generation >= known.generation);
         let endpoints: Vec<Endpoint> = endpoints.into_iter().filter(is_current).collect();
         for endpoint in &endpoints {
             self.endpoints.insert(endpoint.name.clone(), endpoint.clone());
@@ -118,14 +118,14 @@
         Some(WatchEvent::Update(EndpointUpdate { kind: head.kind, endpoints }))
     }
 
-    /// The known endpoints as a text for [`EndpointWatcher::restore_cache`].
+    /// The known endpoints as the text of a cache for [`EndpointWatcher::restore_cache`].
     #[must_use]
     pub fn write_cache(&self) -> String {
         let mut out = format!("kept {}\n", self.endpoints.len());
         for endpoint in self.endpoints.values() {
             write_endpoint(&mut out, endpoint);
         }
-        // A truncated number would read as another number: the last line says that nothing is missing.
+        // A truncated number would be read as another number: the last line shows that nothing is missing.
         out.push_str("end\n");
         out
     }
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -8,13 +8,13 @@
 /// Most endpoints in one message.
 pub const MAX_ENDPOINTS: usize = 4096;
 
-/// A line that is not as the protocol asks for. The stream cannot be trusted from there on.
+/// A line that violates the protocol. The rest of the stream cannot be interpreted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("node list, line {line}: expected {expected}")]
 pub struct ProtocolError {
     /// Number of the line on its connection or in its file, counted from 1.
     pub line: u64,
-    /// What the protocol asks for in its place.
+    /// What the protocol requires in its place.
     pub expected: &'static str,
 }
 
@@ -60,17 +60,17 @@
 pub(crate) fn parse_endpoint(text: &str, line: u64) -> Result<Endpoint, ProtocolError> {
     let error = ProtocolError::on_line(line);
     let fields: Vec<&str> = text.split(' ').collect();
-    let ["node", name, state, incarnation, uptime] = fields[..] else {
-        // The protocol's first names of the incarnation and the uptime.
+    let ["node", name, state, generation, uptime] = fields[..] else {
+        // The protocol's first names of the generation and the uptime.
         return Err(error("node NAME active|leaving|left BORN AGE"));
     };
     if name.is_empty() {
         return Err(error("a name"));
     }
     let state = EndpointState::from_wire(state).ok_or_else(|| error("active, leaving or left"))?;
-    let incarnation = incarnation.parse().map_err(|_| error("a start"))?;
+    let generation = generation.parse().map_err(|_| error("a start"))?;
     let uptime_ms = uptime.parse().map_err(|_| error("an age"))?;
-    Ok(Endpoint { name: name.to_owned(), state, incarnation, uptime_ms })
+    Ok(Endpoint { name: name.to_owned(), state, generation, uptime_ms })
 }
 
 /// Appends a message of the service to a text.
@@ -88,7 +88,7 @@
 }
 
 pub(crate) fn write_endpoint(out: &mut String, endpoint: &Endpoint) {
-    let Endpoint { name, state, incarnation, uptime_ms } = endpoint;
+    let Endpoint { name, state, generation, uptime_ms } = endpoint;
     let state = state.as_str();
-    writeln!(out, "node {name} {state} {incarnation} {uptime_ms}").expect("writing to memory");
+    writeln!(out, "node {name} {state} {generation} {uptime_ms}").expect("writing to memory");
 }
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -17,8 +17,8 @@
 const CHANGES: &str = "list 9 4 changes 1\nnode a1 left 5 20\n";
 const EMPTY: &str = "list 18446744073709551615 0 whole 0\n";
 
-fn entry(name: &str, state: EndpointState, incarnation: u64, uptime_ms: u64) -> Endpoint {
-    Endpoint { name: name.into(), state, incarnation, uptime_ms }
+fn entry(name: &str, state: EndpointState, generation: u64, uptime_ms: u64) -> Endpoint {
+    Endpoint { name: name.into(), state, generation, uptime_ms }
 }
 
 fn entries() -> Vec<Endpoint> {
@@ -38,7 +38,7 @@
         }
     );
     for e in &update.endpoints {
-        write!(text, " [{} {} {} {}]", e.name, e.state.as_str(), e.incarnation, e.uptime_ms)
+        write!(text, " [{} {} {} {}]", e.name, e.state.as_str(), e.generation, e.uptime_ms)
             .expect("writing to memory");
     }
     text
@@ -99,7 +99,7 @@
 #[test]
 fn the_cached_list_is_written_and_read_as_recorded() {
     let mut watcher = EndpointWatcher::default();
-    watcher.receive(WHOLE.as_bytes(), |_| {}).expect("sound");
+    watcher.receive(WHOLE.as_bytes(), |_| {}).expect("valid");
     assert_eq!(watcher.write_cache(), CACHED);
     let mut back = EndpointWatcher::default();
     assert_eq!(
@@ -126,7 +126,7 @@
         record += &receive(&mut watcher, &stream.as_bytes()[..cut]);
         // A connection that is lost here forgets half a line and half a list.
         let mut reconnected = EndpointWatcher::default();
-        reconnected.receive(&stream.as_bytes()[..cut], |_| {}).expect("sound");
+        reconnected.receive(&stream.as_bytes()[..cut], |_| {}).expect("valid");
         reconnected.on_reconnect();
         record += &receive(&mut reconnected, stream.as_bytes());
         receive(&mut watcher, &stream.as_bytes()[cut..]);
--- a/crates/endpoint-list/tests/watcher.rs
+++ b/crates/endpoint-list/tests/watcher.rs
@@ -6,8 +6,8 @@
 
 const UPTIME_MS: u64 = 10;
 
-fn endpoint(name: &str, state: EndpointState, incarnation: u64) -> Endpoint {
-    Endpoint { name: name.into(), state, incarnation, uptime_ms: UPTIME_MS }
+fn endpoint(name: &str, state: EndpointState, generation: u64) -> Endpoint {
+    Endpoint { name: name.into(), state, generation, uptime_ms: UPTIME_MS }
 }
 
 fn snapshot(epoch: u64, version: u64, endpoints: &[Endpoint]) -> String {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_older_incarnation_does_not_replace_a_newer_one() {
+fn an_older_generation_does_not_replace_a_newer_one() {
     let mut watcher = EndpointWatcher::default();
     receive(&mut watcher, &snapshot(9, 1, &[endpoint("a", EndpointState::Active, 8)]));
     let events = receive(&mut watcher, &snapshot(9, 2, &[endpoint("a", EndpointState::Removed, 7)]));
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -23,7 +23,7 @@
     zone: u32,
     shard: u32,
     /// Tells one run of the node's process from another; 0 for one long past.
-    incarnation: u64,
+    generation: u64,
     /// When that run began, by this host's clock.
     up_since: Tick,
 }
@@ -61,7 +61,7 @@
             zones.len() - 1
         });
         let (name, zone) = (node.name.clone(), zone as u32);
-        known.push(KnownNode { name, zone, shard: node.shard, incarnation: 0, up_since: 0 });
+        known.push(KnownNode { name, zone, shard: node.shard, generation: 0, up_since: 0 });
     }
     known
 }
@@ -230,10 +230,10 @@
         // Updates take a while to arrive: of one run, the earliest start that was told is the truest. It
         // never moves up, which would look like a restart.
         let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
-        if entry.incarnation == 0 {
-            (node.incarnation, node.up_since) = (0, 0);
-        } else if entry.incarnation != node.incarnation {
-            (node.incarnation, node.up_since) = (entry.incarnation, began);
+        if entry.generation == 0 {
+            (node.generation, node.up_since) = (0, 0);
+        } else if entry.generation != node.generation {
+            (node.generation, node.up_since) = (entry.generation, began);
         } else {
             node.up_since = node.up_since.min(began);
         }
--- a/crates/lab/src/listd.rs
+++ b/crates/lab/src/listd.rs
@@ -188,7 +188,7 @@
         let entry = |k: &Known| Endpoint {
             name: k.name.clone(),
             state: k.condition,
-            incarnation: k.run,
+            generation: k.run,
             uptime_ms: (now - k.since) / 1000,
         };
         let pick = |(i, _): &(usize, &Known)| only.is_none_or(|n| n as usize == *i);
