--- a/crates/plans/src/error.rs
+++ b/crates/plans/src/error.rs
@@ -81,7 +81,7 @@
     InvalidChange(#[from] ChangeError),
 }
 
-/// Why a host gives up its connection to the control service. The next connection asks for a full snapshot.
+/// Why a host gives up its connection to the control service. The next connection requests a full snapshot.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
     /// What was received is no message.
--- a/crates/plans/src/host_quota.rs
+++ b/crates/plans/src/host_quota.rs
@@ -1,23 +1,23 @@
 //! A host's quota of one rate limit, with lending and borrowing between hosts.
 //!
 //! Each host owns a nominal quota, an even part of the limit that nobody can take from it. What it does not use
-//! it lends for a short time, by its own decision and its own clock; what it is leased beyond it may use for a
-//! shorter time. So a host that is cut off falls back to its nominal quota by itself, and the quotas of all hosts
+//! it lends for a short time, by its own decision and its own clock; what it is leased in addition it may use
+//! for a shorter time. So a partitioned host falls back to its nominal quota by itself, and the quotas of all hosts
 //! never add up to more than the limit. (Nominal quota, lending and borrowing as in Kueue's cohorts; expiry by
 //! both clocks with a margin as in Gray and Cheriton, "Leases", SOSP 1989.)
 use crate::expiring::{ExpiringAmount, largest_alive};
 use crate::{MilliUnits, Millis};
 
-/// How long a loan lasts from the moment at which the service polled for it. Long enough that a few polls may be
-/// lost while a lease that it backs is renewed.
+/// Milliseconds that a loan lasts from the moment at which the service polled for it: long enough that a few polls may
+/// be lost while a lease that it backs is renewed.
 pub const LOAN_DURATION: Millis = 3_000;
-/// What the lender waits beyond [`LOAN_DURATION`]: covers clocks that run apart by one per cent, and one step of
-/// its own clock.
+/// Milliseconds that the lender waits beyond [`LOAN_DURATION`]: covers clock drift of one per cent, and one step of its
+/// own clock.
 pub const CLOCK_SKEW_MARGIN: Millis = 50;
-/// Thousandths of the nominal quota that are never lent, so that a first surge is served before anything is back.
+/// Thousandths of the nominal quota that are never lent, so that a sudden demand is served until loans have expired.
 const RESERVED_PER_MILLE: MilliUnits = 250;
-/// Thousandths of the present demand that are not lent: demand grows by a quarter in a second at a busy start of
-/// day.
+/// Thousandths of the present demand that are not lent: at the start of a working day demand grows by a quarter in a
+/// second.
 const HEADROOM_PER_MILLE: MilliUnits = 1_250;
 
 /// A host's quota of one limit.
--- a/crates/plans/src/quota_pool.rs
+++ b/crates/plans/src/quota_pool.rs
@@ -1,25 +1,26 @@
 //! The control service's part in lending: it leases what hosts lend of one limit to hosts that need more than
 //! their nominal quota, each lease for less time than every loan behind it still lasts. It owns no quota itself:
-//! a service that dies or forgets leaves every host with its own.
+//! if it crashes or loses its state, every host still has its nominal quota.
 use crate::expiring::{ExpiringAmount, largest_alive};
 use crate::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
 use crate::{MilliUnits, Millis};
 use std::collections::BTreeMap;
 
-/// How long a lease lasts. Two renewals in a row may be lost before a lease holder falls back.
+/// Milliseconds that a lease lasts. Two renewals in a row may be lost before a lease holder falls back to its nominal
+/// quota.
 pub const LEASE_DURATION: Millis = 1_500;
-/// How long the service counts a lease, as the holder's clock may be slow.
-const LEASE_HOLD: Millis = LEASE_DURATION + CLOCK_SKEW_MARGIN;
-/// The service polls all hosts this often.
+/// Milliseconds for which the service counts a lease as in use, as the holder's clock may be slow.
+const LEASE_DURATION_WITH_MARGIN: Millis = LEASE_DURATION + CLOCK_SKEW_MARGIN;
+/// Milliseconds between two polls of all hosts.
 pub const POLL_INTERVAL: Millis = 500;
-/// Thousandths that stay, at each renewal, of what a lease holder has beyond its fair share: demand that wavers
-/// does not move quota to and fro.
+/// Thousandths of what a lease holder has beyond its fair share that it keeps at each renewal: fluctuating demand does
+/// not move quota back and forth.
 const DAMPING_PER_MILLE: MilliUnits = 500;
 
 /// Number by which the service names a host.
 pub type HostNumber = u32;
 
-/// What a host needs beyond its nominal quota, and when it said so.
+/// What a host needs beyond its nominal quota, and when it reported that.
 #[derive(Clone, Debug)]
 struct Request {
     amount: MilliUnits,
@@ -29,9 +30,9 @@
 /// The loans and leases of one limit as the service sees them.
 #[derive(Clone, Debug)]
 pub struct QuotaPool {
-    /// Nothing is leased before: leases of an earlier service, which nobody knows of, have to expire.
+    /// Nothing is leased before this time: leases of an earlier run, which this one does not know, have to expire.
     leases_start_at: Millis,
-    /// By lender: amounts, and until when they surely last.
+    /// By lender: amounts, and until when they last at least.
     loans: BTreeMap<HostNumber, Vec<ExpiringAmount>>,
     /// By lease holder: amounts that it may still use.
     leases: BTreeMap<HostNumber, Vec<ExpiringAmount>>,
@@ -42,7 +43,7 @@
     /// An empty pool. `is_first_start`: no service ran before this one, so no earlier lease can be in use.
     #[must_use]
     pub fn new(now: Millis, is_first_start: bool) -> QuotaPool {
-        let leases_start_at = if is_first_start { now } else { now + LEASE_HOLD };
+        let leases_start_at = if is_first_start { now } else { now + LEASE_DURATION_WITH_MARGIN };
         QuotaPool {
             leases_start_at,
             loans: BTreeMap::new(),
@@ -52,7 +53,7 @@
     }
 
     /// Takes a host's answer to the poll that was sent at `polled_at`: what it lends, and what it needs beyond its
-    /// nominal quota. The loan counts from the poll, which came before the answer whatever the clocks say.
+    /// nominal quota. The loan counts from the poll, which preceded the answer by whatever clock.
     pub fn on_report(
         &mut self,
         host: HostNumber,
@@ -77,18 +78,18 @@
             return 0;
         }
         let requested = self.requests.get(&host).map_or(0, |r| r.amount);
-        let lent = self.lent_until(now + LEASE_HOLD);
+        let lent = self.lent_until(now + LEASE_DURATION_WITH_MARGIN);
         let target = damped(self.fair_share(requested, lent), self.leased_to(host, now));
-        // What others may still be using cannot be leased, whoever it should belong to.
+        // Quota that others may still be using cannot be leased again, whatever the fair shares are.
         let amount = target.min(requested).min(lent.saturating_sub(self.leased_to_others(host, now)));
         if amount > 0 {
-            let lease = ExpiringAmount { amount, expires_at: now + LEASE_HOLD };
+            let lease = ExpiringAmount { amount, expires_at: now + LEASE_DURATION_WITH_MARGIN };
             self.leases.entry(host).or_default().push(lease);
         }
         amount
     }
 
-    /// What all lenders together surely leave unused up to a moment.
+    /// What all lenders together leave unused at least until a moment.
     fn lent_until(&self, until: Millis) -> MilliUnits {
         let lent_by = |loans: &Vec<ExpiringAmount>| {
             let lasting = loans.iter().filter(|loan| until <= loan.expires_at);
@@ -125,7 +126,11 @@
     }
 }
 
-/// What a lease holder should have next: its fair share, or on the way down only a part of the step towards it.
-fn damped(fair_share: MilliUnits, held: MilliUnits) -> MilliUnits {
-    if fair_share < held { fair_share + (held - fair_share) * DAMPING_PER_MILLE / 1000 } else { fair_share }
+/// What a lease holder should have next: its fair share, or where that is less than it has, only a part of the step down.
+fn damped(fair_share: MilliUnits, current: MilliUnits) -> MilliUnits {
+    if fair_share < current {
+        fair_share + (current - fair_share) * DAMPING_PER_MILLE / 1000
+    } else {
+        fair_share
+    }
 }
--- a/crates/plans/src/replica.rs
+++ b/crates/plans/src/replica.rs
@@ -7,8 +7,8 @@
 use crate::state::State;
 use crate::{MilliUnits, Millis};
 
-/// Longest wait before the next connection attempt; each attempt in vain doubles the wait. Hosts that all lose
-/// the service at once do not all come back at once: half of each wait is jitter.
+/// Longest delay in milliseconds before the next connection attempt; each failed attempt doubles the delay. Half of
+/// each delay is jitter, so that hosts that lost the service at the same time do not reconnect at the same time.
 pub const MAX_RECONNECT_DELAY: Millis = 5_000;
 const MIN_RECONNECT_DELAY: Millis = 100;
 /// The delay stops doubling after so many attempts.
@@ -16,7 +16,7 @@
 /// The largest value of the jitter that a caller passes in.
 const FULL_JITTER: u64 = 1_000;
 
-/// What a message asks of the caller.
+/// What the caller has to do after a message.
 #[derive(Debug)]
 pub enum ReplicaAction {
     /// Nothing.
@@ -25,7 +25,7 @@
     ApplyPending,
     /// Send this message.
     Send(HostMessage),
-    /// Close the connection; the next one asks for a full snapshot.
+    /// Close the connection; the next one requests a full snapshot.
     Disconnect(ReplicaError),
 }
 
@@ -55,7 +55,7 @@
     volumes: Vec<VolumeQuota>,
     /// Until then, other hosts may still use what was lent before this start.
     unknown_loans_until: Millis,
-    attempts_in_vain: u32,
+    failed_attempts: u32,
     next_attempt: Millis,
 }
 
@@ -69,7 +69,7 @@
             pending: None,
             volumes: volumes.into_iter().map(|volume| VolumeQuota { volume, quota: None }).collect(),
             unknown_loans_until: now + LOAN_DURATION + CLOCK_SKEW_MARGIN,
-            attempts_in_vain: 0,
+            failed_attempts: 0,
             next_attempt: 0,
         };
         replica.update_quotas(now);
@@ -106,9 +106,9 @@
     }
 
     /// Takes a message. `demand` is used for a poll only: for each volume, in the order given to
-    /// [`PlanReplica::new`], the thousandths of units a second that clients ask for, served or not.
+    /// [`PlanReplica::new`], the thousandths of units a second that clients request, served or not.
     pub fn receive(&mut self, message: ServiceMessage, demand: &[MilliUnits], now: Millis) -> ReplicaAction {
-        self.attempts_in_vain = 0;
+        self.failed_attempts = 0;
         match message {
             ServiceMessage::Snapshot { state, last_hash } => self.on_snapshot(*state, last_hash),
             ServiceMessage::LogEntry { text } => match self.append_to_pending(&text) {
@@ -214,8 +214,8 @@
         if now < self.next_attempt {
             return false;
         }
-        let delay = (MIN_RECONNECT_DELAY << self.attempts_in_vain).min(MAX_RECONNECT_DELAY);
-        self.attempts_in_vain = (self.attempts_in_vain + 1).min(MAX_BACKOFF_EXPONENT);
+        let delay = (MIN_RECONNECT_DELAY << self.failed_attempts).min(MAX_RECONNECT_DELAY);
+        self.failed_attempts = (self.failed_attempts + 1).min(MAX_BACKOFF_EXPONENT);
         self.next_attempt = now + delay / 2 + delay / 2 * jitter.min(FULL_JITTER) / FULL_JITTER;
         true
     }
--- a/crates/plans/src/rollout.rs
+++ b/crates/plans/src/rollout.rs
@@ -9,7 +9,7 @@
 use crate::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
 use std::collections::BTreeMap;
 
-/// A host from which nothing has been received for so long is silent.
+/// Milliseconds without contact after which a host counts as silent.
 pub const SILENT_AFTER: Millis = 3_000;
 
 /// A version that a host has rejected.
@@ -37,7 +37,7 @@
     }
 }
 
-/// Why a version is not effective everywhere yet.
+/// What prevents a version from being effective at all hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutBlocker {
     /// A host has not accepted the version and is silent.
@@ -46,7 +46,7 @@
         host: String,
         /// The newest version that it is known to have accepted.
         accepted_version: u64,
-        /// When it was last heard from.
+        /// When something was last received from it.
         last_contact: Millis,
     },
     /// A host answers, and has not accepted the version yet.
@@ -70,7 +70,7 @@
     },
 }
 
-/// What the control service knows of its hosts' versions.
+/// The versions that the hosts have accepted or rejected, as the control service knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
     hosts: BTreeMap<String, Host>,
@@ -149,7 +149,7 @@
         self.limit_lowering_versions.push(version);
     }
 
-    /// What a version waits for; empty if it is effective everywhere.
+    /// What prevents a version from being effective at all hosts; empty if it is.
     #[must_use]
     pub fn blockers(&self, version: u64, now: Millis) -> Vec<RolloutBlocker> {
         let blockers: Vec<RolloutBlocker> =
--- a/crates/plans/src/state.rs
+++ b/crates/plans/src/state.rs
@@ -167,8 +167,8 @@
         Ok(())
     }
 
-    /// The change that reverts a change which was made to this state. What has changed since is not touched; the
-    /// caller checks the answer against the present state like any other change.
+    /// The change that reverts a change which was made to this state. Changes made since are not reverted; the
+    /// caller checks the result against the present state like any other change.
     #[must_use]
     pub fn revert(&self, change: &Change) -> Change {
         match change {
--- a/crates/plans/tests/quota_pool.rs
+++ b/crates/plans/tests/quota_pool.rs
@@ -4,12 +4,14 @@
 use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
 
 /// How long the pool counts a lease.
-const LEASE_HOLD: u64 = LEASE_DURATION + CLOCK_SKEW_MARGIN;
+const LEASE_DURATION_WITH_MARGIN: u64 = LEASE_DURATION + CLOCK_SKEW_MARGIN;
 
 #[test]
 fn a_restarted_service_leases_nothing_that_may_still_be_in_use() {
     let mut pool = QuotaPool::new(1_000, false);
-    for (now, leased) in [(1_000, 0), (1_000 + LEASE_HOLD - 1, 0), (1_000 + LEASE_HOLD, 300)] {
+    for (now, leased) in
+        [(1_000, 0), (1_000 + LEASE_DURATION_WITH_MARGIN - 1, 0), (1_000 + LEASE_DURATION_WITH_MARGIN, 300)]
+    {
         pool.on_report(0, now, 300, 0, now);
         pool.on_report(1, now, 0, 400, now);
         assert_eq!(pool.grant(1, now), leased, "at {now}");
@@ -29,10 +31,10 @@
 fn no_lease_outlasts_the_loans_behind_it() {
     let mut pool = QuotaPool::new(0, true);
     pool.on_report(0, 0, 300, 0, 10);
-    pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_HOLD);
-    assert_eq!(pool.grant(1, LOAN_DURATION - LEASE_HOLD), 300);
-    pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_HOLD + 1);
-    assert_eq!(pool.grant(1, LOAN_DURATION - LEASE_HOLD + 1), 0);
+    pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN);
+    assert_eq!(pool.grant(1, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN), 300);
+    pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN + 1);
+    assert_eq!(pool.grant(1, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN + 1), 0);
 }
 
 #[test]
