--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether the volumes placed so far fit. Those that follow only ever ask for more.
+    /// Whether the volumes placed so far fit. Further volumes only add load.
     fn fits_so_far(&self, placed: &[VolumeIndex], placement: &Placement) -> bool {
         let assignments: Vec<Assignment> =
             placed.iter().map(|volume| Assignment { volume: *volume, nodes: &placement[*volume] }).collect();
--- a/crates/placement/src/feasibility.rs
+++ b/crates/placement/src/feasibility.rs
@@ -7,7 +7,7 @@
 /// The capacities as they are, in thousandths of themselves.
 pub const FULL_CAPACITY: u64 = 1000;
 
-/// What is lost.
+/// The loss of a node or a zone.
 #[derive(Clone, Copy)]
 enum Loss<'a> {
     Nothing,
@@ -59,7 +59,7 @@
     losses
 }
 
-/// The rates that reserves ask of each node in a loss, scaled; none if a volume that must survive the loss has no
+/// The rates that are reserved at each node in a loss, scaled; none if a volume that must survive the loss has no
 /// node left.
 fn node_loads(
     problem: &Problem,
@@ -108,7 +108,7 @@
     })
 }
 
-/// How far the reserves are from fitting: what they ask beyond each node's capacity, scaled, summed over no loss
+/// By how much the reserves exceed the capacities: reserved rates beyond each node's capacity, scaled, summed over no loss
 /// and every loss; 0 if they fit. A volume without a node left in a loss that it must survive lacks its whole
 /// reserve.
 #[must_use]
--- a/crates/placement/src/infeasibility.rs
+++ b/crates/placement/src/infeasibility.rs
@@ -1,25 +1,25 @@
-//! Why nothing fits: an irreducible set of constraints that contradict each other, and the least relaxation of
-//! capacities that would do.
+//! Why no placement is feasible: an irreducible set of constraints that contradict each other, and the least relaxation of
+//! capacities that makes it feasible.
 use crate::branch_and_bound::is_feasible;
 use crate::constraint::Constraint;
 use crate::feasibility::FULL_CAPACITY;
 use crate::problem::Problem;
 use std::collections::BTreeSet;
 
-/// Capacities are raised to a thousand times themselves at most: beyond, it is not capacity that lacks.
+/// Largest relaxation of capacities, a thousandfold: beyond it, capacity is not the reason.
 const MAX_CAPACITY_PER_MILLE: u64 = 1_000_000;
 
-/// Why nothing fits.
+/// Why no placement is feasible.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Infeasibility {
     /// Constraints that contradict each other. Without any one of them the others can be met.
     pub constraints: Vec<Constraint>,
-    /// Least thousandths of all capacities with which the whole problem fits; none if no capacity would do.
+    /// Least thousandths of all capacities with which the problem is feasible; none if no capacity is enough.
     pub least_capacity_per_mille: Option<u64>,
 }
 
-/// Explains a problem in which nothing fits. None: something fits, or the steps ran out; each of the searches that
-/// this takes may have `max_steps`.
+/// Explains why a problem is infeasible. None: it is feasible, or a search has exceeded `max_steps`, which bounds each of
+/// the searches.
 #[must_use]
 pub fn explain(problem: &Problem, max_steps: u64) -> Option<Infeasibility> {
     let all: BTreeSet<Constraint> = problem.constraints().into_iter().collect();
@@ -29,7 +29,7 @@
     if is_possible(&all, FULL_CAPACITY)? {
         return None;
     }
-    // A constraint that can be removed without making it possible is no part of the contradiction. One pass is
+    // A constraint whose removal leaves the problem infeasible is no part of the contradiction. One pass is
     // enough: what could not be removed from a larger set cannot be removed from a smaller one.
     let mut contradiction = all.clone();
     for constraint in problem.constraints().into_iter().rev() {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -3,14 +3,14 @@
 //!
 //! A placement must fit: the volumes' reserved rates fit at every node, also with any one node or zone lost where
 //! a volume must survive that. Of those that fit, the best one has the most gain when all volumes surge at once,
-//! then the least cost, then the least data moved, then the least names. All numbers are integers, so that what
+//! then the least cost, then the least data moved, then the first in order of names. All numbers are integers, so that what
 //! fits and what ties is exact, and the same problem always has the same answer, in whatever order it is written.
 //!
 //! - [`problem`]: nodes, volumes and hosts, checked and put in order; [`constraint`]: what a placement must meet.
-//! - [`feasibility`]: whether a placement fits; [`objective`]: what it is worth.
-//! - [`branch_and_bound`]: the optimal placement of a small problem, proven; [`upper_bound`]: the bound of it.
+//! - [`feasibility`]: whether a placement fits; [`objective`]: how good it is.
+//! - [`branch_and_bound`]: the optimal placement of a small problem, proven; [`upper_bound`]: an upper bound of the gain.
 //! - [`local_search`]: good placements of large problems.
-//! - [`infeasibility`]: why nothing fits.
+//! - [`infeasibility`]: why no placement fits.
 //! - [`tuning`]: weights and reserves that the problem leaves open; [`limit_split`]: a limit divided over hosts.
 //! - [`migration`]: the steps from the current placement to another one.
 //!
--- a/crates/placement/src/local_search.rs
+++ b/crates/placement/src/local_search.rs
@@ -1,5 +1,5 @@
-//! Placements of large problems: a first one that fits, then better ones by local search for as long as steps are
-//! given. With [`crate::upper_bound`] the gap to the optimum is bounded at any moment. The same seed and steps
+//! Placements of large problems: a first feasible one, then better ones by local search for a given number of steps.
+//! With [`crate::upper_bound`] the gap to the optimum is bounded at any moment. The same seed and steps
 //! always lead to the same placement.
 use crate::constraint::Constraint;
 use crate::feasibility::{FULL_CAPACITY, fits};
@@ -9,20 +9,20 @@
 use crate::{NodeIndex, Placement, VolumeIndex, assignments};
 use std::cmp::{Ordering, Reverse};
 
-/// Node sets that are tried for one volume in the first pass, each with one more random exchange in the order of
-/// nodes by load.
+/// Node sets that are tried for one volume in the first pass. Each has one more random exchange in the order of nodes by
+/// load than the one before.
 const MAX_TRIES: usize = 24;
-/// Rounds in which volumes that did not fit may push others out.
+/// Rounds in which a volume that did not fit may evict others.
 const MAX_REPAIRS: usize = 40;
-/// Volumes that are pushed out in such a round, at most.
-const PUSHED_OUT: usize = 3;
+/// Volumes that are evicted in such a round, at most.
+const EVICTIONS_PER_REPAIR: usize = 3;
 
 /// A xorshift generator (Marsaglia 2003). Only which steps are tried depends on it.
-struct Random(u64);
+struct XorShift(u64);
 
-impl Random {
-    fn new(seed: u64) -> Random {
-        Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+impl XorShift {
+    fn new(seed: u64) -> Self {
+        XorShift(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
     /// A number below `bound`.
@@ -60,7 +60,7 @@
     loads: LoadTable<'a>,
     /// Per node its part of the gain.
     node_gains: Vec<i128>,
-    random: Random,
+    rng: XorShift,
 }
 
 impl<'a> LocalSearch<'a> {
@@ -73,7 +73,7 @@
             volumes_at: vec![Vec::new(); problem.nodes.len()],
             loads: LoadTable::new(problem),
             node_gains: vec![0; problem.nodes.len()],
-            random: Random::new(seed),
+            rng: XorShift::new(seed),
         }
     }
 
@@ -89,7 +89,7 @@
         let mut unplaced = self.place_each(order);
         for _ in 0..MAX_REPAIRS {
             let Some(volume) = unplaced.pop() else { break };
-            self.push_out_others(volume, &mut unplaced);
+            self.evict_others(volume, &mut unplaced);
             if !self.place(volume) {
                 unplaced.insert(0, volume);
             }
@@ -105,7 +105,7 @@
             let current = &self.problem.volumes[volume].current_nodes;
             let is_current = |node: &NodeIndex| current.contains(&self.problem.nodes[*node].name);
             let nodes: Vec<NodeIndex> = (0..self.problem.nodes.len()).filter(is_current).collect();
-            // A volume without a reserve would fit on a lost node, and be served by nobody.
+            // A volume without a reserve would be feasible on a lost node, which cannot serve it.
             let is_on_lost_node = nodes.iter().any(|node| self.problem.nodes[*node].capacity == 0);
             let is_complete = nodes.len() == self.problem.volumes[volume].spread;
             if !is_on_lost_node && is_complete && self.is_allowed(volume, &nodes) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Places the volumes that have no nodes yet. Returns false if some did not fit.
+    /// Places the volumes that have no nodes yet. Returns false if some could not be placed.
     pub fn place_missing(&mut self) -> bool {
         let missing = (0..self.placement.len()).filter(|volume| self.placement[*volume].is_empty()).collect();
         let unplaced = self.place_each(missing);
@@ -122,12 +122,12 @@
         unplaced.is_empty()
     }
 
-    /// Tries so many random changes, each a new node for one volume or an exchange of two, and keeps those that
-    /// make the placement better.
+    /// Tries this many random changes, each a new node for one volume or an exchange of two, and accepts those that
+    /// improve the placement (hill climbing).
     pub fn improve(&mut self, attempts: u64) {
         for _ in 0..attempts {
-            if let Some(change) = self.draw_change() {
-                self.keep_if_better(&change);
+            if let Some(change) = self.random_change() {
+                self.accept_if_better(&change);
             }
         }
     }
@@ -139,7 +139,7 @@
         is_complete.then(|| objective(self.problem, &self.placement))
     }
 
-    /// Whether the placement fits, computed anew and not from the running loads.
+    /// Whether the placement is feasible, computed from the problem and not from the incremental loads.
     #[must_use]
     pub fn is_feasible(&self) -> bool {
         fits(self.problem, &assignments(&self.placement), &|_: Constraint| true, FULL_CAPACITY)
@@ -187,10 +187,10 @@
         })
     }
 
-    /// Makes room by taking out others at random; they are placed anew after the volume.
-    fn push_out_others(&mut self, volume: VolumeIndex, unplaced: &mut Vec<VolumeIndex>) {
-        for _ in 0..PUSHED_OUT {
-            let other = self.random.below(self.problem.volumes.len());
+    /// Frees capacity by evicting random volumes, which are placed again after this one.
+    fn evict_others(&mut self, volume: VolumeIndex, unplaced: &mut Vec<VolumeIndex>) {
+        for _ in 0..EVICTIONS_PER_REPAIR {
+            let other = self.rng.below(self.problem.volumes.len());
             if other != volume && !self.placement[other].is_empty() {
                 self.unassign(other);
                 unplaced.insert(0, other);
@@ -204,8 +204,8 @@
         let mut by_load: Vec<NodeIndex> = (0..self.problem.nodes.len()).collect();
         by_load.sort_by(|a, b| self.compare_load(*a, *b));
         for _ in 0..exchanges {
-            let first = self.random.below(by_load.len());
-            let second = self.random.below(by_load.len());
+            let first = self.rng.below(by_load.len());
+            let second = self.rng.below(by_load.len());
             by_load.swap(first, second);
         }
         let spread = self.problem.volumes[volume].spread;
@@ -274,16 +274,16 @@
         self.node_gains = (0..self.problem.nodes.len()).map(|node| self.node_gain(node)).collect();
     }
 
-    /// Draws a change: one volume leaves a node for another, and every other time a volume of that one comes in
-    /// its place. None if the draw leads to none that is allowed.
-    fn draw_change(&mut self) -> Option<Vec<Reassignment>> {
-        let volume = self.random.below(self.problem.volumes.len());
+    /// A random change: one volume moves from a node to another one, and every other time a volume of that node moves
+    /// the opposite way. None if the constraints do not allow it.
+    fn random_change(&mut self) -> Option<Vec<Reassignment>> {
+        let volume = self.rng.below(self.problem.volumes.len());
         let before = self.placement[volume].clone();
         if before.is_empty() {
             return None;
         }
-        let source = before[self.random.below(before.len())];
-        let target = self.random.below(self.problem.nodes.len());
+        let source = before[self.rng.below(before.len())];
+        let target = self.rng.below(self.problem.nodes.len());
         if before.contains(&target) {
             return None;
         }
@@ -294,18 +294,18 @@
         let is_not_at_source = |other: &&VolumeIndex| !self.placement[**other].contains(&source);
         let partners: Vec<VolumeIndex> =
             self.volumes_at[target].iter().filter(is_not_at_source).copied().collect();
-        let is_exchange = self.random.below(2) == 0 && !partners.is_empty();
+        let is_exchange = self.rng.below(2) == 0 && !partners.is_empty();
         if !is_exchange {
             return Some(vec![first]);
         }
-        let partner = partners[self.random.below(partners.len())];
+        let partner = partners[self.rng.below(partners.len())];
         let second = Reassignment::replace(partner, self.placement[partner].clone(), target, source);
         self.is_allowed(partner, &second.after).then(|| vec![first, second])
     }
 
-    /// Makes a change, and takes it back unless the placement fits and is better: more gain, or the same gain and
-    /// less data moved.
-    fn keep_if_better(&mut self, change: &[Reassignment]) {
+    /// Makes a change, and reverts it unless the placement is feasible and better: more gain, or the same gain and less
+    /// data moved.
+    fn accept_if_better(&mut self, change: &[Reassignment]) {
         for step in change {
             self.reassign(step.volume, &step.after);
         }
--- a/crates/placement/src/migration.rs
+++ b/crates/placement/src/migration.rs
@@ -1,6 +1,6 @@
-//! The way from the current placement to another one, a part of a volume at a time, so that no step breaks a
-//! reserve, a loss that a volume must survive, or a zone constraint. What is broken now may stay broken until its
-//! step comes, and gets no worse. The steps are data for whatever moves extents.
+//! The steps from the current placement to another one, a part of a volume at a time, so that no step violates a
+//! reserve, a loss that a volume must survive, or a zone constraint. A constraint that is violated now may stay violated
+//! until its step, and not more than now. The steps are input for whatever moves extents.
 use crate::feasibility::excess;
 use crate::objective::node_gain;
 use crate::problem::{Problem, SCALE};
@@ -13,22 +13,22 @@
 pub struct MigrationStep {
     /// The volume.
     pub volume: VolumeIndex,
-    /// The node that it leaves; none: the part is new.
+    /// The node that it moves from; none: the part is new.
     pub from: Option<NodeIndex>,
-    /// The node that it moves to; none: the part is given up.
+    /// The node that it moves to; none: the part is removed.
     pub to: Option<NodeIndex>,
     /// Data that is copied, times [`SCALE`].
     pub data: u128,
 }
 
-/// Steps in an order that keeps what holds.
+/// Steps in an order in which none violates a constraint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MigrationPlan {
     /// The steps in their order.
     pub steps: Vec<MigrationStep>,
     /// The placement after the last step.
     pub final_placement: Placement,
-    /// Volumes that stay where they are, since the data that may be moved is not enough for them.
+    /// Volumes that do not move, since the data budget is not enough for them.
     pub deferred: Vec<VolumeIndex>,
     /// Volumes that no order of steps was found for. They may have moved in part.
     pub blocked: Vec<VolumeIndex>,
@@ -49,10 +49,11 @@
     problem.volumes.iter().map(|volume| volume.current_nodes.iter().filter_map(index_of).collect()).collect()
 }
 
-/// Plans the way from one placement to another, with at most so much data moved (times [`SCALE`]).
+/// Plans the steps from one placement to another, with at most `max_data` moved (times [`SCALE`]).
 ///
-/// Volumes on lost nodes go first, then those whose moves gain most for their data; what the data is not enough for
-/// stays. Where two volumes block each other, one takes a detour by a third node, which moves its data twice.
+/// Volumes on lost nodes are first, then those whose moves gain most for their data; those for which the data budget is
+/// not enough are deferred. Where two volumes block each other, one takes a detour over a third node, which copies its
+/// data twice.
 #[must_use]
 pub fn plan_migration(
     problem: &Problem,
@@ -76,41 +77,52 @@
             break;
         }
     }
-    // What could not be finished moves no further, but fits where it is.
+    // Volumes that could not be finished stay at an intermediate placement, which is feasible.
     MigrationPlan { steps: planner.steps, final_placement: planner.placement, deferred, blocked: open }
 }
 
+/// A volume that is to move. Derived order: by the fields from the first to the last.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    has_lost_part: Reverse<bool>,
+    gain_for_data: Reverse<i128>,
+    volume: VolumeIndex,
+    /// Data that it has to copy, times [`SCALE`].
+    data: u128,
+}
+
 /// Data that a volume still has to copy, times [`SCALE`].
 fn remaining_data(problem: &Problem, volume: VolumeIndex, at: &[NodeIndex], to: &[NodeIndex]) -> u128 {
     let part = u128::from(problem.volumes[volume].size) * SCALE as u128 / to.len().max(1) as u128;
     part * to.iter().filter(|node| !at.contains(node)).count() as u128
 }
 
-/// Which volumes move.
+/// The volumes that move, and those that do not.
 struct Selection {
     /// Those that move, the most worthwhile first.
     open: Vec<VolumeIndex>,
-    /// Those that the data is not enough for.
+    /// Those for which the data budget is not enough.
     deferred: Vec<VolumeIndex>,
 }
 
 fn select_volumes(problem: &Problem, from: &Placement, to: &Placement, max_data: Option<u128>) -> Selection {
     let is_lost = |node: &NodeIndex| problem.nodes[*node].capacity == 0;
     let has_lost_part = |volume: VolumeIndex| from[volume].is_empty() || from[volume].iter().any(is_lost);
-    let mut candidates: Vec<_> = (0..problem.volumes.len())
+    let mut candidates: Vec<Candidate> = (0..problem.volumes.len())
         .filter(|volume| from[*volume] != to[*volume])
         .map(|volume| {
             let data = remaining_data(problem, volume, &from[volume], &to[volume]);
-            // Without a bound on the data only the order matters, and any will do.
+            // Without a data budget all volumes are selected, so that their order by gain does not matter.
             let gain = if max_data.is_some() { gain_of_move(problem, from, to, volume) } else { 0 };
             let gain_for_data = gain / (data as i128 / SCALE).max(1);
-            (Reverse(has_lost_part(volume)), Reverse(gain_for_data), volume, data)
+            let has_lost_part = Reverse(has_lost_part(volume));
+            Candidate { has_lost_part, gain_for_data: Reverse(gain_for_data), volume, data }
         })
         .collect();
     candidates.sort_unstable();
     let mut selection = Selection { open: Vec::new(), deferred: Vec::new() };
     let mut selected_data = 0;
-    for (_, _, volume, data) in candidates {
+    for Candidate { volume, data, .. } in candidates {
         if max_data.is_none_or(|max| selected_data + data <= max) {
             selected_data += data;
             selection.open.push(volume);
@@ -145,9 +157,9 @@
     outside + if wanted.distinct_zones { nodes.len() - zones.len() } else { 0 }
 }
 
-/// How far the reserves are from fitting, now and in every loss that is survived.
+/// By how much the reserves exceed the capacities, now and in every loss that must be survived.
 fn current_excess(problem: &Problem, placement: &Placement) -> i128 {
-    // A new volume counts once all of it is there: nobody is served by a part of it.
+    // A new volume counts once all its parts are placed: it is not served before.
     let counts = |assignment: &Assignment| {
         let volume = &problem.volumes[assignment.volume];
         let is_complete = assignment.nodes.len() == volume.spread;
@@ -181,13 +193,13 @@
         self.placement[volume] == self.target[volume]
     }
 
-    /// Nodes that a volume still has to leave.
+    /// Nodes from which a volume still has to move.
     fn sources(&self, volume: VolumeIndex) -> Vec<NodeIndex> {
         let target = &self.target[volume];
         self.placement[volume].iter().copied().filter(|node| !target.contains(node)).collect()
     }
 
-    /// Nodes that a volume still has to come to.
+    /// Nodes to which a volume still has to move.
     fn destinations(&self, volume: VolumeIndex) -> Vec<NodeIndex> {
         let placed = &self.placement[volume];
         self.target[volume].iter().copied().filter(|node| !placed.contains(node)).collect()
@@ -199,7 +211,7 @@
         u128::from(volume.size) * SCALE as u128 / volume.spread.max(1) as u128
     }
 
-    /// Data that is left for detours once all open volumes have moved straight.
+    /// Data budget that is left for detours once all open volumes have moved directly.
     fn spare_data(&self, max_data: u128, open: &[VolumeIndex]) -> u128 {
         let needed = |volume: &VolumeIndex| {
             remaining_data(self.problem, *volume, &self.placement[*volume], &self.target[*volume])
@@ -208,7 +220,7 @@
         max_data.saturating_sub(moved).saturating_sub(open.iter().map(needed).sum())
     }
 
-    /// Takes a step if nothing gets worse by it.
+    /// Takes a step if it violates no more constraints and exceeds no more capacity than before.
     fn try_step(&mut self, volume: VolumeIndex, from: Option<NodeIndex>, to: Option<NodeIndex>) -> bool {
         let is_kept = |node: &NodeIndex| Some(*node) != from;
         let mut nodes: Vec<NodeIndex> =
@@ -231,7 +243,7 @@
         true
     }
 
-    /// Takes back the last step, which moved a part between two nodes.
+    /// Reverts the last step, which moved a part between two nodes.
     fn undo_step(&mut self, volume: VolumeIndex, from: NodeIndex, to: NodeIndex) {
         self.steps.pop();
         let nodes = &mut self.placement[volume];
@@ -254,8 +266,7 @@
         sources.iter().any(|from| destinations.iter().any(|to| self.try_step(volume, Some(*from), Some(*to))))
     }
 
-    /// Moves a part of some open volume out of the way to a third node, the least data first, so that another one
-    /// can advance. Returns false if no detour helps.
+    /// Moves a part of some open volume to a third node, the least data first, so that another volume can advance. Returns false if no detour helps.
     fn detour(&mut self, open: &[VolumeIndex], spare_data: Option<u128>) -> bool {
         let is_affordable = |volume: &VolumeIndex| spare_data.is_none_or(|s| self.part_data(*volume) <= s);
         let mut by_data: Vec<VolumeIndex> = open.iter().copied().filter(is_affordable).collect();
--- a/crates/placement/src/objective.rs
+++ b/crates/placement/src/objective.rs
@@ -1,4 +1,4 @@
-//! What a placement is worth.
+//! The objective: how good a placement is.
 use crate::problem::{Problem, SCALE};
 use crate::{NodeIndex, Placement, VolumeIndex, volumes_at};
 use std::cmp::Reverse;
@@ -13,7 +13,7 @@
 pub(crate) const SHARED_NUMERATOR: i128 = 9;
 pub(crate) const SHARED_DENOMINATOR: i128 = 10;
 
-/// What a placement is worth; the greater the better.
+/// The objective value of a placement; the greater the better.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Objective {
     /// See [`gain`].
@@ -35,7 +35,7 @@
     pub weight: u64,
 }
 
-/// What a whole placement is worth.
+/// The objective value of a placement.
 #[must_use]
 pub fn objective(problem: &Problem, placement: &Placement) -> Objective {
     let moved = placement.iter().enumerate().map(|(volume, nodes)| moved_data(problem, volume, nodes));
@@ -74,7 +74,7 @@
     gain(&changed, placement)
 }
 
-/// What a volume has not got from its reserve and its share.
+/// Demand of a volume beyond its reserve and its share.
 struct Unserved {
     priority_factor: i128,
     rate: i128,
@@ -89,7 +89,7 @@
 ) -> i128 {
     let volume = |index: VolumeIndex| &problem.volumes[index];
     let per_node = |index: VolumeIndex, rate: u64| scaled_rate_per_node(placement, index, rate);
-    // A reserve that is not asked for is free for others.
+    // An unused part of a reserve is free for others.
     let used_reserve = |index| per_node(index, volume(index).reserved_rate.min(volume(index).surge_rate));
     let reserved: i128 = volumes.iter().map(|index| used_reserve(*index)).sum();
     let capacity = i128::from(problem.nodes[node].capacity) * SCALE;
--- a/crates/placement/src/tuning.rs
+++ b/crates/placement/src/tuning.rs
@@ -1,5 +1,5 @@
-//! Weights and reserves that a problem leaves open, chosen for a placement that is settled. A choice is kept only
-//! if it gains: the given numbers stay where nothing better is found.
+//! Weights and reserves that a problem leaves open, chosen for a fixed placement. A choice is accepted only if it
+//! increases the gain; otherwise the given numbers stay.
 use crate::constraint::Constraint;
 use crate::feasibility::{FULL_CAPACITY, fits};
 use crate::objective::{SHARED_DENOMINATOR, SHARED_NUMERATOR, gain, scaled_rate_per_node};
@@ -7,7 +7,7 @@
 use crate::{Placement, VolumeIndex, assignments, volumes_at};
 use std::cmp::Reverse;
 
-/// Weights that are chosen are between 1 and this: fine enough for parts of a thousandth.
+/// Weights that are chosen are between 1 and this: fine enough for shares of a thousandth.
 pub const MAX_WEIGHT: u64 = 1_000;
 /// Rounds of the hill climb, at most.
 const MAX_ROUNDS: usize = 8;
--- a/crates/placement/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -51,7 +51,7 @@
             }
         })
         .collect();
-    let mut problem = Problem::new(nodes, volumes).expect("sound");
+    let mut problem = Problem::new(nodes, volumes).expect("valid");
     problem.hosts = vec![Host::default()];
     problem
 }
@@ -180,7 +180,7 @@
         ..Volume::default()
     };
     let volumes = (0..4).map(|v| volume(v, 3 + rng.below(7), rng.below(100))).collect();
-    let p = Problem::new(nodes, volumes).expect("sound");
+    let p = Problem::new(nodes, volumes).expect("valid");
     let mut to: Vec<usize> = vec![0, 1, 2, 3];
     for last in (1..4).rev() {
         to.swap(last, rng.below(last as u64 + 1) as usize);
@@ -222,7 +222,7 @@
             ..Volume::default()
         });
     }
-    let p = Problem::new(nodes, volumes).expect("sound");
+    let p = Problem::new(nodes, volumes).expect("valid");
     let mut search = LocalSearch::new(&p, seed);
     let complete = search.place_all();
     search.improve(20);
@@ -356,20 +356,20 @@
 fn errors_of_a_problem_are_the_recorded_texts() {
     let node = |name: &str, capacity| Node { name: name.into(), zone: "z".into(), capacity, cost: 0 };
     let nodes = vec![node("b", MAX_NUMBER + 1), node("a", 1), node("a", 2)];
-    let sound = Volume { name: "s".into(), spread: 1, ..Volume::default() };
+    let valid = Volume { name: "s".into(), spread: 1, ..Volume::default() };
     let volumes = vec![
-        Volume { name: "big".into(), size: MAX_NUMBER + 1, ..sound.clone() },
-        Volume { name: "none".into(), spread: 0, ..sound.clone() },
-        Volume { name: "wide".into(), spread: 9, ..sound.clone() },
-        Volume { name: "low".into(), reserved_rate: 2, surge_rate: 1, ..sound.clone() },
-        Volume { name: "alone".into(), survives_node_loss: true, ..sound.clone() },
-        Volume { name: "far".into(), zone: Some("y".into()), ..sound.clone() },
-        Volume { name: "lost".into(), current_nodes: ["q".to_owned()].into(), ..sound.clone() },
-        sound.clone(),
-        sound,
+        Volume { name: "big".into(), size: MAX_NUMBER + 1, ..valid.clone() },
+        Volume { name: "none".into(), spread: 0, ..valid.clone() },
+        Volume { name: "wide".into(), spread: 9, ..valid.clone() },
+        Volume { name: "low".into(), reserved_rate: 2, surge_rate: 1, ..valid.clone() },
+        Volume { name: "alone".into(), survives_node_loss: true, ..valid.clone() },
+        Volume { name: "far".into(), zone: Some("y".into()), ..valid.clone() },
+        Volume { name: "lost".into(), current_nodes: ["q".to_owned()].into(), ..valid.clone() },
+        valid.clone(),
+        valid,
     ];
     let wrong: Vec<String> =
-        Problem::new(nodes, volumes).expect_err("unsound").iter().map(|w| w.to_string()).collect();
+        Problem::new(nodes, volumes).expect_err("invalid").iter().map(ToString::to_string).collect();
     let expected = [
         "`a`: expected one node of this name",
         "`s`: expected one volume of this name",
