--- a/crates/archive/src/error.rs
+++ b/crates/archive/src/error.rs
@@ -7,12 +7,12 @@
     /// The input or output has failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The stream is damaged or cut off there, or its header would be out of bounds.
+    /// The stream is damaged or truncated at that offset, or a header to be written is out of bounds.
     #[error("byte {offset}: expected {expected}")]
     Damaged {
         /// Offset of the record, in bytes from the beginning of the stream.
         offset: u64,
-        /// What a sound stream has there.
+        /// What a valid stream has there.
         expected: &'static str,
     },
 }
--- a/crates/archive/src/format.rs
+++ b/crates/archive/src/format.rs
@@ -15,7 +15,7 @@
 /// Longest name of a snapshot, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What a stream holds.
+/// The header of a stream: what it contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
     /// Name of the snapshot, at most 256 bytes.
--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -1,5 +1,5 @@
 //! A snapshot as a stream: a header, frames of extents compressed with zstd (RFC 8878), and an end record, each with
-//! a BLAKE3 hash. A stream that was cut off is read up to its last complete frame and can be resumed from there.
+//! a BLAKE3 hash. A truncated stream is read up to its last complete frame and can be resumed from there.
 //!
 //! | record | fields, all numbers little-endian |
 //! | --- | --- |
--- a/crates/archive/src/reader.rs
+++ b/crates/archive/src/reader.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Damaged`]: this is no stream, or its header is damaged or cut off.
+    /// [`Error::Damaged`]: the input is no stream, or its header is damaged or truncated.
     pub fn new(mut input: R) -> Result<Self, Error> {
         let no_header = || Error::damaged(0, "the head of a snapshot stream");
         let mut fixed = [0; FIXED_HEADER_BYTES];
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Damaged`]: the record is damaged or cut off. The resume point stays before it.
+    /// [`Error::Damaged`]: the record is damaged or truncated. The resume point stays before it.
     pub fn next_record(&mut self) -> Result<Record, Error> {
         // The extent of a frame, or the number of frames at the end.
         let [tag, value @ ..] = self.read_array::<5>()?;
@@ -93,7 +93,7 @@
         }
         let length = u32::from_le_bytes(self.read_array()?) as usize;
         let extent_bytes = self.header.extent_bytes as usize;
-        // Compressed data is never much longer than what it holds.
+        // Incompressible data grows by a small overhead only: a longer frame is damaged, and must not allocate memory.
         if length > extent_bytes + extent_bytes / 8 + 1024 {
             return Err(self.damaged("a length that fits an extent"));
         }
--- a/crates/archive/tests/damaged_streams.rs
+++ b/crates/archive/tests/damaged_streams.rs
@@ -42,8 +42,8 @@
 #[test]
 fn complete_stream_reads_back() {
     let bytes = stream();
-    assert_eq!(Reader::new(&bytes[..]).expect("sound").header(), &header());
-    assert_eq!(read(&bytes).expect("sound"), (extents(), true));
+    assert_eq!(Reader::new(&bytes[..]).expect("valid").header(), &header());
+    assert_eq!(read(&bytes).expect("valid"), (extents(), true));
 }
 
 #[test]
@@ -86,7 +86,7 @@
         Writer::new(&mut out, &header()).expect("memory").write_extent(0, &extents()[0].1).expect("memory");
         out.len()
     };
-    let head_len = Reader::new(&whole[..]).expect("sound").resume_point().valid_bytes as usize;
+    let head_len = Reader::new(&whole[..]).expect("valid").resume_point().valid_bytes as usize;
     let left_out = [&whole[..head_len], &whole[one..]].concat();
     assert!(!read(&left_out).expect("a head").1);
     let doubled = [&whole[..one], &whole[head_len..]].concat();
@@ -107,6 +107,6 @@
         let mut writer = Writer::new(&mut out, &header()).expect("memory");
         data.iter().for_each(|(i, d)| writer.write_extent(*i, d).expect("memory"));
         writer.finish().expect("memory");
-        prop_assert_eq!(read(&out).expect("sound"), (data.into_iter().collect(), true));
+        prop_assert_eq!(read(&out).expect("valid"), (data.into_iter().collect(), true));
     }
 }
--- a/crates/archive/tests/pinned_stream.rs
+++ b/crates/archive/tests/pinned_stream.rs
@@ -23,11 +23,11 @@
     let mut reader = Reader::new(std::fs::File::open(&path).expect("a file")).expect("a head");
     assert_eq!(*reader.header(), header());
     for (index, data) in extents() {
-        assert_eq!(reader.next_record().expect("sound"), Record::Extent { index, data });
+        assert_eq!(reader.next_record().expect("valid"), Record::Extent { index, data });
     }
     assert_eq!((reader.resume_point().frame_count, reader.resume_point().last_extent), (4, Some(39)));
     assert_eq!(reader.resume_point().valid_bytes, STORED.len() as u64 - 37);
-    assert_eq!(reader.next_record().expect("sound"), Record::End);
+    assert_eq!(reader.next_record().expect("valid"), Record::End);
 }
 
 #[test]
--- a/crates/change-log/src/error.rs
+++ b/crates/change-log/src/error.rs
@@ -5,7 +5,7 @@
 /// Why the store cannot be opened, read or written. Operators read these texts on the control socket.
 pub type Error = StoreError<LogDamage>;
 
-/// How the contents of the store do not fit together.
+/// A damage of the contents of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum LogDamage {
     /// An entry does not follow the one before it.
@@ -28,7 +28,7 @@
         /// Version of the checkpoint.
         version: u64,
     },
-    /// Replaying the log leads to another state than the one in force.
+    /// Replaying the log leads to another state than the stored one.
     #[error("the trail does not lead to the state in force")]
     StateDiffers,
 }
--- a/crates/change-log/src/lib.rs
+++ b/crates/change-log/src/lib.rs
@@ -1,6 +1,6 @@
 //! The change log of plans on disk: its entries, and now and then a checkpoint, which is the full state after one of
-//! them, so that opening reads few entries however long the log is. What `append` has returned for is there after any
-//! crash.
+//! them, so that opening reads few entries however long the log is. An entry for which `append` has returned is on disk after
+//! any crash.
 #![warn(missing_docs)]
 
 mod error;
@@ -17,8 +17,8 @@
 const ENTRIES: TableDefinition<u64, &str> = TableDefinition::new("lines");
 /// Checkpoints by version: the state as JSON, and the hash of its entry.
 const CHECKPOINTS: TableDefinition<u64, (&str, &str)> = TableDefinition::new("states");
-/// Names of the hosts that follow the log: a service that restarts must not take those that have not connected yet
-/// for none.
+/// Names of the hosts that replicate the log: after a restart the service must wait also for those that have not
+/// connected yet.
 const MEMBERS: TableDefinition<&str, ()> = TableDefinition::new("members");
 const FORMAT: Format = Format { key: "plans", current: 1, oldest: 1 };
 /// Entries between two checkpoints: replaying as many takes some tens of milliseconds.
@@ -55,7 +55,7 @@
         Ok(ChangeLogStore { store, log })
     }
 
-    /// The state in force, with the hash of the last entry.
+    /// The newest state, with the hash of the last entry.
     #[must_use]
     pub fn log(&self) -> &ChangeLog {
         &self.log
@@ -82,7 +82,7 @@
         Ok(entry)
     }
 
-    /// Names of the hosts that follow the log.
+    /// Names of the hosts that replicate the log.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
         members.iter()?.map(|row| Ok(row?.0.value().to_owned())).collect()
     }
 
-    /// A host follows the log from now on.
+    /// A host replicates the log from now on.
     ///
     /// # Errors
     ///
@@ -104,7 +104,7 @@
         })
     }
 
-    /// A host has stopped to follow the log for good.
+    /// A host has permanently stopped to replicate the log.
     ///
     /// # Errors
     ///
@@ -126,7 +126,7 @@
         entries.range(from.max(1)..)?.take(limit).map(|row| Ok(row?.1.value().to_owned())).collect()
     }
 
-    /// The log as it stood at a version. None: there is no such version yet.
+    /// The log as it was at a version. None: there is no such version yet.
     ///
     /// # Errors
     ///
@@ -138,7 +138,7 @@
         read_log(&self.store, version).map(Some)
     }
 
-    /// Replays all entries from nothing and compares the result with every checkpoint and with the state in force.
+    /// Replays all entries from nothing and compares the result with every checkpoint and with the newest state.
     /// Returns how many entries there are.
     ///
     /// # Errors
@@ -166,7 +166,7 @@
     }
 }
 
-/// There is one format so far, so that a stored one is the current one.
+/// Creates the tables. There is one format so far, so that nothing is converted.
 fn create_tables(transaction: &WriteTransaction, _stored: StoredFormat) -> Result<(), Error> {
     transaction.open_table(ENTRIES)?;
     transaction.open_table(CHECKPOINTS)?;
--- a/crates/change-log/tests/crash_recovery.rs
+++ b/crates/change-log/tests/crash_recovery.rs
@@ -46,7 +46,7 @@
             let backend = RecordingBackend::with_contents(half);
             let store = ChangeLogStore::open_with_backend(backend).expect("it opens");
             assert!(allowed.iter().any(|a| a.1 == *store.log()), "write {index} torn at {length}");
-            store.verify().expect("sound");
+            store.verify().expect("valid");
             torn += 1;
         }
         apply_call(&mut contents, call);
@@ -73,12 +73,12 @@
     store.remove_member("b").expect("written");
     drop(store);
     let store = ChangeLogStore::open(&path).expect("there");
-    let entries = store.verify().expect("sound");
+    let entries = store.verify().expect("valid");
     assert_eq!((store.log(), entries), (&last, CHECKPOINT_INTERVAL + 50));
-    assert_eq!(store.members().expect("sound"), ["a"]);
-    assert_eq!(store.log_at(701).expect("sound"), middle);
-    assert_eq!(store.log_at(CHECKPOINT_INTERVAL + 51).expect("sound"), None);
-    assert_eq!(store.entries(CHECKPOINT_INTERVAL + 40, 5).expect("sound").len(), 5);
+    assert_eq!(store.members().expect("valid"), ["a"]);
+    assert_eq!(store.log_at(701).expect("valid"), middle);
+    assert_eq!(store.log_at(CHECKPOINT_INTERVAL + 51).expect("valid"), None);
+    assert_eq!(store.entries(CHECKPOINT_INTERVAL + 40, 5).expect("valid").len(), 5);
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let store = ChangeLogStore::open(&path).expect("there");
     let opened = start.elapsed();
     let start = std::time::Instant::now();
-    store.verify().expect("sound");
+    store.verify().expect("valid");
     let bytes = std::fs::metadata(&path).expect("there").len();
     println!(
         "{entries} entries: written in {:.0} us each, {} bytes an entry, opened in {opened:.1?}, verified in {:.1?}",
--- a/crates/change-log/tests/pinned_files.rs
+++ b/crates/change-log/tests/pinned_files.rs
@@ -63,13 +63,13 @@
 fn stored_log_opens_takes_changes_and_keeps_its_layout() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
-    let mut store = ChangeLogStore::open(&path).expect("sound");
+    let mut store = ChangeLogStore::open(&path).expect("valid");
     assert_eq!((state(&store).as_str(), store.log().last_hash()), (STATE, LAST));
-    assert_eq!(store.members().expect("sound"), ["host-a", "host-c"]);
-    assert_eq!(store.entries(0, 1).expect("sound"), [FIRST_LINE]);
-    assert_eq!(store.entries(1_026, 9).expect("sound"), [LINE_1_026]);
-    assert_eq!(store.verify().expect("sound"), 1_026);
-    let early = store.log_at(3).expect("sound").expect("a version");
+    assert_eq!(store.members().expect("valid"), ["host-a", "host-c"]);
+    assert_eq!(store.entries(0, 1).expect("valid"), [FIRST_LINE]);
+    assert_eq!(store.entries(1_026, 9).expect("valid"), [LINE_1_026]);
+    assert_eq!(store.verify().expect("valid"), 1_026);
+    let early = store.log_at(3).expect("valid").expect("a version");
     assert_eq!(early.state.volumes.keys().collect::<Vec<_>>(), ["v", "w"]);
     let change = Change::AssignPlan { volume: "x".into(), plan: "gold".into() };
     let text = store.log().propose(1_026, "c", "d", 1_800_000_000, change).expect("fits");
@@ -79,10 +79,10 @@
     let log = store.log().clone();
     drop(store);
     check_rows(&path);
-    let store = ChangeLogStore::open(&path).expect("sound");
+    let store = ChangeLogStore::open(&path).expect("valid");
     assert_eq!(*store.log(), log);
-    assert_eq!(store.verify().expect("sound"), 1_027);
-    assert_eq!(store.members().expect("sound"), ["host-c", "host-d"]);
+    assert_eq!(store.verify().expect("valid"), 1_027);
+    assert_eq!(store.members().expect("valid"), ["host-c", "host-d"]);
 }
 
 #[test]
@@ -94,7 +94,7 @@
 fn error_texts() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
-    let mut store = ChangeLogStore::open(&path).expect("sound");
+    let mut store = ChangeLogStore::open(&path).expect("valid");
     let why = store.append(LINE_1_026).expect_err("does not follow").to_string();
     assert_eq!(why, "plan store is damaged: trail line 1027: does not follow the line before");
     assert_eq!(state(&store), STATE);
--- a/crates/durable-store/src/error.rs
+++ b/crates/durable-store/src/error.rs
@@ -22,13 +22,13 @@
     Commit(#[from] redb::CommitError),
 }
 
-/// The ways in which the contents of one kind of store can be damaged.
+/// The damages that the contents of one kind of store can have: implemented by its error enum.
 pub trait Damage: Error + 'static {
     /// Name of the store in error texts.
     const STORE_NAME: &'static str;
 }
 
-/// An error of a store whose contents can be damaged in the ways of `D`.
+/// An error of a store; `D` are the damages that its contents can have.
 #[derive(Debug)]
 pub enum StoreError<D> {
     /// The database has failed or cannot be read.
@@ -44,7 +44,7 @@
         /// The format that is written.
         expected: u64,
     },
-    /// The contents do not fit together.
+    /// The contents are damaged.
     Damaged(D),
 }
 
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the crash-safe stores on `redb` have in common: opening a file, the row that says in which format it is,
-//! transactions, and errors.
+//! What the crash-safe stores on `redb` have in common: opening a file, the row with its format, transactions, and
+//! errors.
 //!
 //! A transaction that was committed is on disk after any crash. After a commit that failed, it is not known what is on
 //! disk: the store is then *poisoned*, and takes no more guarded transactions until it is reopened.
@@ -31,10 +31,10 @@
     pub oldest: u64,
 }
 
-/// In which format a file was found.
+/// The format in which a file was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredFormat {
-    /// The file holds no such store yet.
+    /// The file contains no such store yet.
     Missing,
     /// The current format.
     Current,
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct DurableStore {
     database: Database,
-    /// A guarded transaction failed halfway: what is on disk may be more than what is known in memory.
+    /// A guarded transaction has failed: it may be on disk although the copy in memory does not include it.
     is_poisoned: bool,
 }
 
--- a/crates/durable-store/src/testing.rs
+++ b/crates/durable-store/src/testing.rs
@@ -1,5 +1,5 @@
-//! A storage backend in memory that records every call made on it, so that a test can replay any part of them: what
-//! a disk holds after power was lost there.
+//! A storage backend in memory that records every call made on it, so that a test can replay any part of them and
+//! gets the contents of a disk after a power loss at that point.
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -20,7 +20,7 @@
     Sync,
 }
 
-/// A storage in memory that keeps every call made on it. Clones share their contents.
+/// A storage in memory that records every call made on it. Clones share their contents.
 #[derive(Clone, Debug, Default)]
 pub struct RecordingBackend {
     contents: Arc<Mutex<Vec<u8>>>,
@@ -34,7 +34,7 @@
         RecordingBackend { contents: Arc::new(Mutex::new(contents)), ..RecordingBackend::default() }
     }
 
-    /// What the storage holds now.
+    /// The present contents of the storage.
     #[must_use]
     pub fn contents(&self) -> Vec<u8> {
         self.lock_contents().clone()
--- a/crates/durable-store/tests/durable_store.rs
+++ b/crates/durable-store/tests/durable_store.rs
@@ -37,9 +37,9 @@
     let backend = RecordingBackend::default();
     let stored = |format| open(&backend, format).map(|opened| opened.1);
     assert_eq!(stored(Format { current: 2, ..FORMAT }).expect("new"), StoredFormat::Missing);
-    assert_eq!(stored(Format { current: 2, ..FORMAT }).expect("sound"), StoredFormat::Current);
-    assert_eq!(stored(FORMAT).expect("sound"), StoredFormat::Older(2));
-    assert_eq!(stored(FORMAT).expect("sound"), StoredFormat::Current);
+    assert_eq!(stored(Format { current: 2, ..FORMAT }).expect("valid"), StoredFormat::Current);
+    assert_eq!(stored(FORMAT).expect("valid"), StoredFormat::Older(2));
+    assert_eq!(stored(FORMAT).expect("valid"), StoredFormat::Current);
     let newer = stored(Format { current: 5, oldest: 4, ..FORMAT }).expect_err("too old");
     assert_eq!(newer.to_string(), "test store is damaged: format 3, expected 5");
 }
@@ -73,7 +73,7 @@
     assert_eq!(poisoned.to_string(), "test store: an earlier write has failed; open it anew");
     store.write(insert(4)).expect("unguarded");
     drop(store);
-    let (store, _) = open(&backend, FORMAT).expect("sound");
+    let (store, _) = open(&backend, FORMAT).expect("valid");
     assert_eq!((row(&store, 1).expect("there"), row(&store, 4).expect("there")), (10, 40));
     let missing = row(&store, 2).expect_err("rolled back");
     assert_eq!(missing.source().expect("the damage").to_string(), "row 2 is missing");
--- a/crates/snapshot-catalog/src/error.rs
+++ b/crates/snapshot-catalog/src/error.rs
@@ -5,7 +5,7 @@
 /// Why the catalog cannot be opened, read or written.
 pub type Error = StoreError<CatalogDamage>;
 
-/// How the contents of the catalog do not fit together.
+/// A damage of the contents of the catalog.
 #[derive(Debug, thiserror::Error)]
 pub enum CatalogDamage {
     /// A row is not the JSON that belongs there.
--- a/crates/snapshot-catalog/src/lib.rs
+++ b/crates/snapshot-catalog/src/lib.rs
@@ -1,6 +1,6 @@
 //! The tree of snapshots and clones on disk: each layer, location, branch and snapshot has a row of its own, and each
-//! batch of changes writes those rows that it affects, in one transaction. What `commit` has returned for is there
-//! after any crash, and nothing that was not committed. Opening reads all rows once.
+//! batch of changes writes those rows that it affects, in one transaction. A batch for which `commit` has returned is
+//! on disk after any crash, and an uncommitted one never is. Opening reads all rows once.
 //!
 //! - `rows`: the tables, and which rows a batch has to write.
 //! - `load`: the tree from the tables.
@@ -23,7 +23,7 @@
 use std::path::Path;
 
 const FORMAT: Format = Format { key: "catalog", current: 2, oldest: format_1::FORMAT };
-/// Changes remembered for hosts that were disconnected for a moment: some seconds of first writes.
+/// Changes retained for hosts that reconnect after a short interruption: some seconds of first writes.
 const MAX_RECENT_CHANGES: usize = 4_096;
 
 /// An open catalog.
@@ -137,8 +137,8 @@
         Ok(CommittedBatch { first_version, changes })
     }
 
-    /// The changes after a version up to what is on disk, each with the version that it leads to. None: they are too
-    /// long ago, or the version is not one of this catalog.
+    /// The changes after a version up to what is on disk, each with the version that it leads to. None: they are no
+    /// longer retained, or the version is not one of this catalog.
     #[must_use]
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = (u64, &Change)>> {
         let missing = self.committed_version.checked_sub(version)?;
--- a/crates/snapshot-catalog/tests/crash_recovery.rs
+++ b/crates/snapshot-catalog/tests/crash_recovery.rs
@@ -158,9 +158,9 @@
     catalog.stage(created.clone()).expect("fits");
     assert!(catalog.stage(created).is_err());
     assert_eq!((catalog.tree().version, catalog.committed_version()), (1, 0));
-    assert_eq!(reopen(backend.contents()).expect("sound").version, 0);
+    assert_eq!(reopen(backend.contents()).expect("valid").version, 0);
     catalog.commit().expect("written");
-    assert_eq!(reopen(backend.contents()).expect("sound"), *catalog.tree());
+    assert_eq!(reopen(backend.contents()).expect("valid"), *catalog.tree());
 }
 
 #[test]
--- a/crates/snapshot-catalog/tests/pinned_files.rs
+++ b/crates/snapshot-catalog/tests/pinned_files.rs
@@ -127,7 +127,7 @@
 fn stored_catalog_opens_takes_changes_and_keeps_its_layout() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-2.redb");
-    let mut catalog = Catalog::open(&path).expect("sound");
+    let mut catalog = Catalog::open(&path).expect("valid");
     assert_eq!((catalog.id(), catalog.committed_version()), (FORMAT_2_ID, 23));
     assert_eq!(json(catalog.tree()), FORMAT_2_TREE);
     commit(
@@ -142,7 +142,7 @@
     let tree = catalog.tree().clone();
     drop(catalog);
     check_rows(&path);
-    let catalog = Catalog::open(&path).expect("sound");
+    let catalog = Catalog::open(&path).expect("valid");
     assert_eq!((catalog.tree(), catalog.id()), (&tree, FORMAT_2_ID));
 }
 
@@ -151,7 +151,7 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-1.redb");
     assert_eq!(tables(&Database::open(&path).expect("there")), ["changes", "format", "tree"]);
-    let mut catalog = Catalog::open(&path).expect("sound");
+    let mut catalog = Catalog::open(&path).expect("valid");
     assert_eq!(catalog.committed_version(), 4_104);
     assert_eq!(json(catalog.tree()), FORMAT_1_TREE);
     let id = catalog.id();
@@ -162,7 +162,7 @@
     assert_eq!(tables(&db), ["branches", "counts", "format", "layers", "places", "snapshots"]);
     assert_eq!(numbers(&db, FORMATS), [("catalog".to_owned(), 2)]);
     drop(db);
-    let catalog = Catalog::open(&path).expect("sound");
+    let catalog = Catalog::open(&path).expect("valid");
     assert_eq!((catalog.tree(), catalog.id()), (&tree, id));
 }
 
@@ -186,18 +186,18 @@
     set("units", None, COUNTS);
     assert_eq!(why(), "catalog store is damaged: no count `units`");
     set("units", Some(5), COUNTS);
-    assert_eq!(json(Catalog::open(&path).expect("sound").tree()), FORMAT_2_TREE);
+    assert_eq!(json(Catalog::open(&path).expect("valid").tree()), FORMAT_2_TREE);
 }
 
 #[test]
-fn last_4_096_changes_are_remembered() {
+fn last_4_096_changes_are_retained() {
     let dir = tempfile::tempdir().expect("a directory");
     let mut catalog = Catalog::open(&dir.path().join("catalog")).expect("new");
     commit(&mut catalog, [Change::BranchCreated { branch: "a".into(), extent_count: 8 }]);
     commit(&mut catalog, (0..4_100).map(|n| Change::SlotsAllocated { layer: 1024, first: n, count: 1 }));
     assert_eq!(catalog.committed_version(), 4_101);
     assert!(catalog.changes_since(4).is_none());
-    let missed: Vec<(u64, &Change)> = catalog.changes_since(5).expect("remembered").collect();
+    let missed: Vec<(u64, &Change)> = catalog.changes_since(5).expect("retained").collect();
     assert_eq!(missed.len(), 4_096);
     assert_eq!(missed[0], (6, &Change::SlotsAllocated { layer: 1024, first: 4, count: 1 }));
 }
