--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -34,7 +34,7 @@
     fn new(now: Tick) -> Self {
         let poll = Poll::new().expect("a poll");
         let registry = || poll.registry().try_clone().expect("a poll");
-        let settings = mallowseam_platform::settings::parse(SETTINGS).expect("sound settings");
+        let settings = mallowseam_platform::settings::parse(SETTINGS).expect("valid settings");
         let (node, listener) = (listen(), listen());
         let clients = ClientConnections::new(registry(), 64, 1 << 20);
         let keep_alive = KeepAlivePolicy::new(15_000, ticks_to_millis(now));
@@ -45,7 +45,7 @@
         let list = format!(
             r#"{{"seq":1,"whole":true,"hosts":[{{"host":"s","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}]}}"#
         );
-        let update = mallowseam_platform::endpoints::parse(list.as_bytes()).expect("a sound list");
+        let update = mallowseam_platform::endpoints::parse(list.as_bytes()).expect("a valid list");
         dispatcher.on_endpoints(&mut scheduler, EndpointEvent::FullSnapshot, &update);
         Fixture { _poll: poll, dispatcher, scheduler, node, listener }
     }
--- a/crates/platform-host/tests/support/mod.rs
+++ b/crates/platform-host/tests/support/mod.rs
@@ -129,12 +129,12 @@
     }
 
     pub fn answers_next(&self, answer: &'static str) {
-        self.answers.lock().expect("sound").push(answer);
+        self.answers.lock().expect("not poisoned").push(answer);
     }
 
     /// The requests that have come, with the figure of the wait in each replaced by `*`.
     pub fn requests(&self) -> Vec<String> {
-        self.requests.lock().expect("sound").iter().map(|text| without_wait(text)).collect()
+        self.requests.lock().expect("not poisoned").iter().map(|text| without_wait(text)).collect()
     }
 
     pub fn entry(&self) -> String {
@@ -161,8 +161,8 @@
         if head_end(&request).is_none() {
             return;
         }
-        seen.lock().expect("sound").push(request);
-        let set = next.lock().expect("sound").pop();
+        seen.lock().expect("not poisoned").push(request);
+        let set = next.lock().expect("not poisoned").pop();
         let answer = set.unwrap_or("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Iops-Used: 3.5\r\n\r\ndata");
         if answer.is_empty() {
             continue;
@@ -197,7 +197,7 @@
 
 impl Log {
     pub fn lines(&self) -> Vec<LogLine> {
-        self.0.lock().expect("sound").clone()
+        self.0.lock().expect("not poisoned").clone()
     }
 
     /// Waits for a line with this message; the first of them.
@@ -246,7 +246,7 @@
         let level = event.metadata().level().to_string();
         let mut line = LogLine { level, message: String::new(), fields: Vec::new() };
         event.record(&mut Fields(&mut line));
-        self.0.lock().expect("sound").push(line);
+        self.0.lock().expect("not poisoned").push(line);
     }
 
     fn enter(&self, _: &Id) {}
