--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -24,6 +24,17 @@
 #[cfg(test)]
 mod tests;
 
+/// What the poll has reported of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SocketEvent {
+    /// It may be written to.
+    Writable,
+    /// It may be read.
+    Readable,
+    /// The client has closed its side, or the connection has failed. There may be bytes to read before that.
+    Disconnected,
+}
+
 /// The result of reading a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
@@ -51,7 +62,7 @@
     connections: Slab<Client>,
     registry: Registry,
     max_connections: usize,
-    /// Bytes held for all clients, and their bound.
+    /// Bytes in memory for all clients, and their limit.
     bytes: usize,
     max_bytes: usize,
     /// Set once the graceful shutdown has begun.
@@ -76,12 +87,12 @@
         }
     }
 
-    /// Connections held.
+    /// Open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Bytes held for all clients.
+    /// Bytes in memory for all clients.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -101,7 +112,7 @@
         self.connections.len() >= self.max_connections
     }
 
-    /// Whether this many more bytes can be held for clients.
+    /// Whether the memory limit of clients allows this many more bytes.
     pub fn has_capacity(&self, bytes: usize) -> bool {
         self.bytes + bytes <= self.max_bytes
     }
@@ -139,11 +150,12 @@
     /// another is picked next. False: none can be evicted.
     fn evict_one(&mut self, now: Millis) -> bool {
         // A connection with something to read may have a request.
-        let looked_at =
+        let candidates =
             self.connections.iter().filter(|(_, client)| !client.is_queued && !client.is_readable);
-        let Some(slot) =
-            client_connection::eviction_candidate(looked_at.map(|(slot, client)| (slot, &client.state)), now)
-        else {
+        let Some(slot) = client_connection::eviction_candidate(
+            candidates.map(|(slot, client)| (slot, &client.state)),
+            now,
+        ) else {
             return false;
         };
         if self.connections.get_mut(slot).is_some_and(Client::has_unread_request) {
@@ -181,17 +193,11 @@
     }
 
     /// Handles an event on a connection. Some: the client has disconnected while this block I/O is in flight.
-    pub fn on_event(
-        &mut self,
-        slot: u32,
-        is_readable: bool,
-        is_disconnected: bool,
-        now: Millis,
-    ) -> Option<BioId> {
+    pub fn on_event(&mut self, slot: u32, event: SocketEvent, now: Millis) -> Option<BioId> {
         let client = self.connections.get_mut(slot)?;
         client.is_polled = true;
-        client.is_readable |= is_readable || is_disconnected;
-        client.is_disconnected |= is_disconnected;
+        client.is_readable |= event != SocketEvent::Writable;
+        client.is_disconnected |= event == SocketEvent::Disconnected;
         if !client.output.is_empty() {
             self.flush(slot, now);
         }
@@ -213,7 +219,7 @@
             }
             return RequestStatus::Incomplete;
         }
-        // While the client is slowed down, or has a request in flight, what it sends waits in the socket.
+        // While the client is slowed down, or has a request in flight, its bytes stay in the socket.
         if !client.state.may_read(now) {
             return RequestStatus::Incomplete;
         }
@@ -221,17 +227,17 @@
         let read = client.read_request(scratch, now);
         self.bytes = self.bytes + client.bytes() - before;
         match read {
-            Ok(true) => return RequestStatus::Complete,
+            Ok(RequestStatus::Complete) => return RequestStatus::Complete,
             Err(ReadError::Closed) => self.close(slot),
             Err(ReadError::Invalid(fault)) => {
                 self.counters.malformed += 1;
                 self.respond_with_error(slot, responses::fault_status(fault), fault.message(), now);
             }
             // All clients share a memory limit: the request that exceeds it is shed.
-            Ok(false) if self.bytes > self.max_bytes => {
+            Ok(RequestStatus::Incomplete) if self.bytes > self.max_bytes => {
                 self.respond_with_error(slot, response::SHED_STATUS, "no room", now);
             }
-            Ok(false) => {}
+            Ok(RequestStatus::Incomplete) => {}
         }
         RequestStatus::Incomplete
     }
@@ -275,7 +281,7 @@
         for slot in 0..self.connections.index_bound() {
             let Some(client) = self.connections.get_mut(slot) else { continue };
             match client.state.check_timeouts(now, self.shutdown) {
-                // What is in the socket is read first: it may be a complete request.
+                // The socket is read first: it may contain a complete request.
                 TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.is_queued => {}
                 TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.has_unread_request() => {
                     self.enqueue(slot);
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -1,4 +1,5 @@
 //! One connection of a client.
+use super::RequestStatus;
 use crate::buffers::{REQUEST_LIMITS, recycle};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection::{ClientConnection, Phase};
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Bytes of memory held.
+    /// Bytes of its buffers.
     pub fn bytes(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
@@ -84,8 +85,8 @@
         self.is_readable
     }
 
-    /// Whether the client has disconnected, without waiting for the poll; peeks at the socket, which shows the end of
-    /// the stream once all before it was read.
+    /// Whether the client has disconnected, without waiting for the poll; peeks at the socket, which shows the end of the
+    /// stream once all bytes before it were read.
     pub fn check_disconnected(&mut self) -> bool {
         self.is_disconnected |= match self.socket.peek(&mut [0]) {
             Ok(count) => count == 0,
@@ -94,14 +95,14 @@
         self.is_disconnected
     }
 
-    /// Reads until a request is complete (true) or the socket is empty (false).
-    pub fn read_request(&mut self, scratch: &mut [u8], now: Millis) -> Result<bool, ReadError> {
+    /// Reads until a request is complete or the socket is empty.
+    pub fn read_request(&mut self, scratch: &mut [u8], now: Millis) -> Result<RequestStatus, ReadError> {
         loop {
-            if !self.input.is_empty() && self.advance(now)? {
-                return Ok(true);
+            if !self.input.is_empty() && self.advance(now)? == RequestStatus::Complete {
+                return Ok(RequestStatus::Complete);
             }
             if !self.is_readable {
-                return Ok(false);
+                return Ok(RequestStatus::Incomplete);
             }
             let limit = (REQUEST_LIMITS.buffer_capacity() - self.input.len()).min(scratch.len());
             match nonblocking::read(&mut self.socket, &mut scratch[..limit]) {
@@ -117,20 +118,20 @@
         }
     }
 
-    /// Parses what was read; true once a request is complete. A client that expects it gets 100 Continue.
-    fn advance(&mut self, now: Millis) -> Result<bool, ReadError> {
+    /// Parses what was read. A client that expects it gets 100 Continue.
+    fn advance(&mut self, now: Millis) -> Result<RequestStatus, ReadError> {
         if self.state.phase() != Phase::ReceivingRequest {
             self.state.enter_phase(Phase::ReceivingRequest, now);
         }
         self.request = self.reader.advance(&mut self.input, REQUEST_LIMITS).map_err(ReadError::Invalid)?;
         if self.request.is_some() {
-            return Ok(true);
+            return Ok(RequestStatus::Complete);
         }
         if self.reader.take_expect_continue() {
             self.output.head.extend_from_slice(response::CONTINUE);
             self.output.write_to(&mut self.socket).map_err(|_| ReadError::Closed)?;
         }
-        Ok(false)
+        Ok(RequestStatus::Incomplete)
     }
 
     /// Reads and drops what a client sends after its last response. False: the connection is to be closed.
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -113,7 +113,7 @@
         self.respond(slot, response, now);
     }
 
-    /// Responds to a message that cannot be parsed or is not taken, and closes the connection.
+    /// Responds to a message that cannot be parsed or is not accepted, and closes the connection.
     pub(super) fn respond_with_error(&mut self, slot: u32, status: u16, text: &str, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
             self.bytes -= client.bytes();
@@ -127,12 +127,12 @@
     pub(super) fn flush(&mut self, slot: u32, now: Millis) {
         let Some(client) = self.connections.get_mut(slot) else { return };
         let before = client.bytes();
-        let pushed = client.output.write_to(&mut client.socket);
+        let written = client.output.write_to(&mut client.socket);
         if client.output.is_empty() {
             recycle(&mut client.output.head);
         }
         self.bytes = self.bytes + client.bytes() - before;
-        if pushed.is_err() {
+        if written.is_err() {
             return self.close(slot);
         }
         if !client.output.is_empty() || client.state.phase() != Phase::SendingResponse {
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -1,4 +1,4 @@
-//! Connections that give way to new ones. The test itself decides when the poll reports something.
+//! Connections that are evicted for new ones. The test itself decides when the poll reports something.
 use super::*;
 use mio::Poll;
 use std::io::{Read, Write};
@@ -31,18 +31,18 @@
         peer
     }
 
-    /// Writes a request, and waits until it stands in the host's socket.
+    /// Writes a request, and waits until it has arrived in the host's socket.
     fn send_request(&mut self, mut peer: &Peer, slot: u32) {
         peer.write_all(READINESS_CHECK.as_bytes()).expect("open");
         let client = self.clients.connections.get(slot).expect("accepted");
         let began = Instant::now();
         let len = READINESS_CHECK.len();
         while !matches!(client.socket.peek(&mut [0; 256]), Ok(count) if count == len) {
-            assert!(began.elapsed() < Duration::from_secs(5), "its request never came");
+            assert!(began.elapsed() < Duration::from_secs(5), "its request did not arrive");
         }
     }
 
-    /// Reads all queued connections; those with a whole request.
+    /// Reads all queued connections; returns those with a complete request.
     fn read_queued(&mut self, now: Millis) -> Vec<u32> {
         let queued: Vec<u32> = self.clients.read_queue.drain(..).collect();
         let clients = &mut self.clients;
@@ -53,7 +53,7 @@
     /// Sends one request, is answered, and becomes idle.
     fn make_idle(&mut self, peer: &Peer, slot: u32) {
         self.send_request(peer, slot);
-        assert!(self.clients.on_event(slot, true, false, 0).is_none());
+        assert!(self.clients.on_event(slot, SocketEvent::Readable, 0).is_none());
         assert!(self.read_queued(0).contains(&slot));
         self.clients.respond(slot, Response::empty(response::SHED_STATUS), 0);
         assert!(self.read_queued(0).is_empty());
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_connection_picked_to_give_way_is_kept_if_a_request_was_just_written_to_it() {
+fn a_connection_picked_for_eviction_stays_open_if_a_request_was_just_written_to_it() {
     let mut fixture = Fixture::with_max_connections(2);
     let (active, idle) = (fixture.connect(0), fixture.connect(0));
     fixture.make_idle(&active, 0);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_new_connection_is_rejected_if_a_request_waits_on_each_that_could_give_way() {
+fn a_new_connection_is_rejected_if_a_request_waits_on_each_that_could_be_evicted() {
     let mut fixture = Fixture::with_max_connections(2);
     let (one, other) = (fixture.connect(0), fixture.connect(0));
     fixture.make_idle(&one, 0);
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -40,7 +40,7 @@
 /// Block I/Os by outcome, counted for the status log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IoCounters {
-    /// Block I/Os handed to the scheduler.
+    /// Block I/Os passed to the scheduler.
     pub admitted: u64,
     /// Completed with a node's good response.
     pub completed: u64,
@@ -64,7 +64,7 @@
     pub events_arrived_at: Tick,
     /// When the poll returned.
     pub polled_at: Tick,
-    /// The settings in force.
+    /// The current settings.
     pub settings: PlatformSettings,
     /// Connections of clients.
     pub clients: ClientConnections,
@@ -138,8 +138,8 @@
         std::mem::take(&mut self.wants_watch)
     }
 
-    /// Fires the scheduler's timer if it is due. Nothing else may: the scheduler sets each timer once, and would take an
-    /// earlier call for the one that it waits for.
+    /// Fires the scheduler's timer if it is due. Nothing else may call `on_timer`: the scheduler sets each timer once, and
+    /// would mistake an earlier call for it.
     pub fn fire_timer(&mut self, scheduler: &mut Scheduler) {
         if self.timer.is_some_and(|at| at <= self.now) {
             self.timer = None;
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -14,7 +14,7 @@
         let now = self.now_ms();
         let Some((head, body)) = self.clients.request(slot) else { return };
         match request::parse(&head, body.len(), &self.settings) {
-            Err(wrong) => self.clients.reject_request(slot, wrong.status(), wrong.message(), now),
+            Err(rejection) => self.clients.reject_request(slot, rejection.status(), rejection.message(), now),
             Ok(ClientRequest::Readiness) => self.respond_readiness(slot, is_ready),
             // Nothing is started for a client that has disconnected.
             Ok(ClientRequest::BlockIo(_)) if self.clients.is_disconnected(slot, self.is_poll_stale()) => {
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -23,7 +23,7 @@
         };
         let closed: Vec<NodeId> = self.nodes.ids().filter(is_closed).collect();
         for node in closed {
-            self.nodes.recall_unconnected(node, |completion| self.completions.push_back(completion));
+            self.nodes.withdraw_unconnected(node, |completion| self.completions.push_back(completion));
         }
         let now = self.now;
         scheduler.on_endpoints(self, now, event, &endpoints);
@@ -38,7 +38,7 @@
         self.report_completions(scheduler);
     }
 
-    /// The configuration names another discovery service.
+    /// A reloaded configuration has another discovery service.
     pub fn on_discovery_moved(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
         scheduler.on_discovery_moved(self, now);
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -1,6 +1,6 @@
 //! Clients that disconnect while the poll's last report is old. The test itself decides when the poll reports something.
 use super::*;
-use crate::clients::RequestStatus;
+use crate::clients::{RequestStatus, SocketEvent};
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_scheduler::interface::EndpointEvent;
 use mio::Poll;
@@ -50,7 +50,7 @@
         Fixture { _poll: poll, dispatcher, scheduler, node, listener }
     }
 
-    /// A client's connection with a whole request on it, and its slot. `is_polled`: the poll has reported it.
+    /// A client's connection with a complete request on it, and its slot. `is_polled`: the poll has reported it.
     fn connect_and_request(&mut self, is_polled: bool) -> (std::net::TcpStream, u32) {
         let address = self.listener.local_addr().expect("bound");
         let mut client = std::net::TcpStream::connect(address).expect("it listens");
@@ -60,7 +60,7 @@
              X-Placement: units=1,shard=0,hosts=1\r\n\r\n";
         client.write_all(text.as_bytes()).expect("open");
         wait_until(
-            "its request comes",
+            "its request arrives",
             || matches!(socket.peek(&mut [0; 1_024]), Ok(count) if count == text.len()),
         );
         socket.set_nonblocking(true).expect("a socket");
@@ -68,7 +68,7 @@
         self.dispatcher.clients.add(TcpStream::from_std(socket), now);
         let slot = self.dispatcher.clients.next_queued().expect("queued");
         if is_polled {
-            assert!(self.dispatcher.clients.on_event(slot, true, false, now).is_none());
+            assert!(self.dispatcher.clients.on_event(slot, SocketEvent::Readable, now).is_none());
         }
         (client, slot)
     }
@@ -100,9 +100,9 @@
         let host = self.listener.local_addr().expect("bound");
         let own = client.local_addr().expect("bound");
         drop(client);
-        // Its end has come where the host's socket waits for the close of its own side (CLOSE_WAIT).
+        // The close has arrived where the host's socket waits for the close of its own side (CLOSE_WAIT).
         let closed = format!("{} {} 08", table_address(host), table_address(own));
-        wait_until("its end comes", || {
+        wait_until("the close arrives", || {
             std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&closed)
         });
     }
@@ -114,10 +114,10 @@
     format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port())
 }
 
-fn wait_until(what: &str, holds: impl Fn() -> bool) {
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < Duration::from_secs(5), "waited in vain: {what}");
+    while !condition() {
+        assert!(began.elapsed() < Duration::from_secs(5), "timed out: {what}");
     }
 }
 
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn nothing_is_started_for_a_client_that_disconnected_unseen_once_the_polls_report_is_stale() {
+fn nothing_is_started_for_a_client_that_disconnected_unnoticed_once_the_polls_report_is_stale() {
     for (age, is_admitted) in [(FRESH, true), (STALE, false)] {
         let mut fixture = Fixture::new(1_000_000);
         fixture.advance(4_000, 0);
@@ -144,13 +144,13 @@
         fixture.disconnect(client);
         fixture.dispatcher.polled_at = fixture.dispatcher.now - age;
         fixture.handle_request(slot);
-        let seen = (fixture.was_attempted(), fixture.dispatcher.in_flight() > 0);
-        assert_eq!(seen, (is_admitted, is_admitted), "{age} ticks after the poll");
+        let observed = (fixture.was_attempted(), fixture.dispatcher.in_flight() > 0);
+        assert_eq!(observed, (is_admitted, is_admitted), "{age} ticks after the poll");
     }
 }
 
 #[test]
-fn a_queued_io_is_not_started_for_a_client_that_disconnected_unseen_once_the_polls_report_is_stale() {
+fn a_queued_io_is_not_started_for_a_client_that_disconnected_unnoticed_once_the_polls_report_is_stale() {
     for (age, is_started) in [(FRESH, true), (STALE, false)] {
         let mut fixture = Fixture::new(1_000_000);
         let (client, slot) = fixture.connect_and_request(true);
--- a/crates/platform-host/src/error.rs
+++ b/crates/platform-host/src/error.rs
@@ -13,15 +13,15 @@
     ReadConfig {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The configuration has faults, one a line.
+    /// The configuration is invalid; one problem a line.
     #[error("{}:\n{problems}", path.display())]
     InvalidConfig {
         /// The file.
         path: PathBuf,
-        /// All faults that were found.
+        /// All problems that were found.
         problems: ConfigError,
     },
     /// The limit of descriptors could not be read.
@@ -46,7 +46,7 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The socket of fleet membership could not be opened.
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -15,7 +15,7 @@
 mod status_log;
 mod timers;
 
-use crate::clients::RequestStatus;
+use crate::clients::{RequestStatus, SocketEvent};
 use crate::dispatcher::Dispatcher;
 use crate::error::HostError;
 use crate::signals::SignalPipes;
@@ -100,7 +100,8 @@
     fn handle(&mut self, events: &Events) {
         self.update_now();
         self.dispatcher.polled_at = self.dispatcher.now;
-        // Fleet timers come first: by them a host that was suspended notices it, ahead of the datagrams that waited.
+        // Fleet timers run first: by them the host notices that it was suspended, before it handles datagrams that were
+        // queued meanwhile.
         if let Some(fleet) = &mut self.fleet {
             fleet.tick();
         }
@@ -142,8 +143,12 @@
             }
             self.update_now();
             let now = self.dispatcher.now_ms();
-            let gone = self.dispatcher.clients.on_event(slot, event.is_readable(), is_disconnected, now);
-            if let Some(io) = gone {
+            let socket_event = match is_disconnected {
+                true => SocketEvent::Disconnected,
+                false if event.is_readable() => SocketEvent::Readable,
+                false => SocketEvent::Writable,
+            };
+            if let Some(io) = self.dispatcher.clients.on_event(slot, socket_event, now) {
                 self.dispatcher.on_disconnected(&mut self.scheduler, io);
             }
         }
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -88,10 +88,10 @@
 
     /// Reads the watches that have events.
     pub(super) fn read_watches(&mut self, events: &Events) {
-        // With all events used up, the poll may have left out that of a watch.
-        let may_miss_some = events.iter().count() >= MAX_EVENTS;
+        // A poll that returns the most events it may could have omitted that of a watch.
+        let may_be_truncated = events.iter().count() >= MAX_EVENTS;
         for (index, token) in tokens::DISCOVERY.into_iter().enumerate() {
-            if may_miss_some || events.iter().any(|event| event.token() == token) {
+            if may_be_truncated || events.iter().any(|event| event.token() == token) {
                 self.read_watch(index);
             }
         }
@@ -134,8 +134,8 @@
         if is_first {
             // Even without changes the scheduler has to know that the list is current: it matters when the watch is
             // lost.
-            let nothing_new = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
-            self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, &nothing_new);
+            let no_changes = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
+            self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, &no_changes);
         }
     }
 
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -40,9 +40,9 @@
     let mut config = read_config(path)?;
     config.settings.scheduler.poll_service_time = discovery_call_ms.map(ticks_from_millis);
     // With fewer descriptors than budgeted, the host would run out of them at points where it cannot reject anything.
-    let given = descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
-    if given < config.max_sockets {
-        return Err(HostError::TooFewDescriptors { wanted: config.max_sockets, given });
+    let granted = descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
+    if granted < config.max_sockets {
+        return Err(HostError::TooFewDescriptors { wanted: config.max_sockets, given: granted });
     }
     Ok(config)
 }
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -10,8 +10,8 @@
         self.log_host();
         let nodes: Vec<NodeId> = self.dispatcher.nodes.ids().collect();
         for node in nodes {
-            if let Some(view) = self.scheduler.node_status(self.dispatcher.now, node) {
-                self.log_node(node, &view);
+            if let Some(status) = self.scheduler.node_status(self.dispatcher.now, node) {
+                self.log_node(node, &status);
             }
         }
     }
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -35,13 +35,13 @@
     pub requests_written: u64,
     /// Responses read.
     pub responses: u64,
-    /// Responses that could not be read.
+    /// Responses that could not be parsed.
     pub corrupt_responses: u64,
     /// Longest time to a good response since the last log line.
     pub slowest: Tick,
 }
 
-/// A node as the endpoint list names it, with its idle connections.
+/// A node of the endpoint list, with its idle connections.
 #[derive(Default)]
 struct Endpoint {
     address: Option<SocketAddr>,
@@ -56,7 +56,7 @@
     connections: Slab<NodeConnection>,
     registry: Registry,
     max_connections: usize,
-    /// Bytes of responses held, and their bound.
+    /// Bytes of responses in memory, and their limit.
     bytes: usize,
     max_bytes: usize,
     connect_timeout: Tick,
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Connections held.
+    /// Connections that are open or being opened.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Bytes of responses held.
+    /// Bytes of responses in memory.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -117,7 +117,7 @@
         indexed.filter(|(_, endpoint)| endpoint.is_some()).map(|(index, _)| NodeId(index as u32))
     }
 
-    /// The endpoint list names a node's address. Idle connections are kept only where new attempts may use them.
+    /// Sets a node's address from the endpoint list. Idle connections are kept only where new attempts may use them.
     pub fn update_endpoint(&mut self, node: NodeId, address: SocketAddr, accepts_attempts: bool) {
         let index = node.0 as usize;
         if self.endpoints.len() <= index {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Forgets a node that was removed.
+    /// Drops a node that was removed.
     pub fn release(&mut self, node: NodeId) {
         self.close_idle(node);
         if let Some(endpoint) = self.endpoints.get_mut(node.0 as usize) {
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Completes the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
-    pub fn recall_unconnected(&mut self, node: NodeId, mut completed: impl FnMut(Completion)) {
+    /// Withdraws the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
+    pub fn withdraw_unconnected(&mut self, node: NodeId, mut completed: impl FnMut(Completion)) {
         for slot in 0..self.connections.index_bound() {
             let connection = self.connections.get(slot);
             let is_waiting = connection.is_some_and(|c| c.node == node && !c.is_up);
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -126,21 +126,21 @@
     ) -> Option<NodeEvent> {
         loop {
             let connection = self.connections.get_mut(slot)?;
-            let had = connection.response.len();
+            let len = connection.response.len();
             let capacity = connection.response.capacity();
-            // Of a long response exactly the rest is read; bytes behind it are found when the connection is idle.
-            let missing = connection.reader.remaining(had).filter(|missing| *missing > 0);
+            // Of a long response exactly the rest is read; stray bytes after it are found when the connection is idle.
+            let missing = connection.reader.remaining(len).filter(|missing| *missing > 0);
             let max_buffer = RESPONSE_LIMITS.buffer_capacity() + 1;
             let limit =
-                missing.unwrap_or(FIRST_READ).min(max_buffer - had.min(RESPONSE_LIMITS.buffer_capacity()));
+                missing.unwrap_or(FIRST_READ).min(max_buffer - len.min(RESPONSE_LIMITS.buffer_capacity()));
             let limit = limit.min(scratch.len());
-            let tried = nonblocking::read(&mut connection.socket, &mut scratch[..limit]);
-            if let ReadOutcome::Read(count) = tried {
+            let outcome = nonblocking::read(&mut connection.socket, &mut scratch[..limit]);
+            if let ReadOutcome::Read(count) = outcome {
                 connection.response.reserve_exact(missing.unwrap_or(0));
                 connection.response.extend_from_slice(&scratch[..count]);
             }
             self.bytes = self.bytes + connection.response.capacity() - capacity;
-            let count = match tried {
+            let count = match outcome {
                 ReadOutcome::Read(count) => count,
                 ReadOutcome::WouldBlock => return None,
                 ReadOutcome::Closed(_) => return self.on_broken(slot, now, arrival),
@@ -211,14 +211,7 @@
         }
         let completion = Completion { response: Some(response), ..arrival.complete(response.result) };
         let is_success = response.result == AttemptResult::Completed;
-        if let Some(endpoint) = self.endpoint_mut(arrival.node) {
-            let counters = &mut endpoint.counters;
-            counters.responses += 1;
-            if is_success {
-                let latency = completion.received_at.unwrap_or(now) - completion.started_at;
-                counters.slowest = counters.slowest.max(latency);
-            }
-        }
+        self.count_response(&completion, now);
         if is_success {
             return Some(NodeEvent::Success(Success { completion, slot, message, close }));
         }
@@ -226,6 +219,16 @@
         Some(NodeEvent::Completed(completion))
     }
 
+    /// Counts a response for the status log.
+    fn count_response(&mut self, completion: &Completion, now: Tick) {
+        let Some(endpoint) = self.endpoint_mut(completion.node) else { return };
+        endpoint.counters.responses += 1;
+        if completion.result == AttemptResult::Completed {
+            let latency = completion.received_at.unwrap_or(now) - completion.started_at;
+            endpoint.counters.slowest = endpoint.counters.slowest.max(latency);
+        }
+    }
+
     /// The body of a good response.
     pub fn body(&self, success: &Success) -> &[u8] {
         let body = success.message.body..success.message.end;
--- a/crates/platform-host/tests/support/mod.rs
+++ b/crates/platform-host/tests/support/mod.rs
@@ -12,8 +12,8 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// Bound of every wait: far above any time that a test needs.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of every wait: far above any time that a test needs.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Settings as the platform writes them: a read class (`look`) and a write class (`book`).
 pub const SETTINGS: &str = r#"{"balancers": 1, "localities": ["a"], "registry_mode": "on_request",
@@ -25,15 +25,15 @@
   "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after_us": 1000000, "idle_close_us": 30000000, "connect_timeout_us": 250000},
   "rules": {"drain_grace_us": 250000, "ask_within_us": 10000000}}"#;
 
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+    while !condition() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A loopback address that is this process's alone.
+/// A loopback address that no other process of the tests uses.
 fn own_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id();
@@ -58,11 +58,11 @@
     });
     let (socket, _) = accepted.expect("waited for");
     socket.set_nonblocking(false).expect("a socket");
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
     socket
 }
 
-/// Where the body of a message begins.
+/// Offset of the body of a message.
 fn head_end(text: &str) -> Option<usize> {
     text.find("\r\n\r\n").map(|end| end + 4)
 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads what comes until the other side closes.
+/// Reads until the other side closes the connection.
 pub fn read_to_close(socket: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -106,7 +106,8 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A storage node: keeps every request as it came, and answers each with the next of its answers, or well.
+/// A storage node: records every request as received, and sends the queued responses, or a successful one if none is
+/// queued.
 pub struct Node {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -118,11 +119,11 @@
         let listener = listen();
         let address = listener.local_addr().expect("bound");
         let (requests, answers) = (Arc::<Mutex<Vec<String>>>::default(), Arc::<Mutex<Vec<&str>>>::default());
-        let (seen, next) = (requests.clone(), answers.clone());
+        let (received, next) = (requests.clone(), answers.clone());
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (seen, next) = (seen.clone(), next.clone());
-                thread::spawn(move || serve(socket, &seen, &next));
+                let (received, next) = (received.clone(), next.clone());
+                thread::spawn(move || serve(socket, &received, &next));
             }
         });
         Node { address, requests, answers }
@@ -132,9 +133,9 @@
         self.answers.lock().expect("not poisoned").push(answer);
     }
 
-    /// The requests that have come, with the figure of the wait in each replaced by `*`.
+    /// The requests received so far, with the value of `X-Timeout-Ms` in each replaced by `*`.
     pub fn requests(&self) -> Vec<String> {
-        self.requests.lock().expect("not poisoned").iter().map(|text| without_wait(text)).collect()
+        self.requests.lock().expect("not poisoned").iter().map(|text| without_timeout(text)).collect()
     }
 
     pub fn entry(&self) -> String {
@@ -145,23 +146,23 @@
     }
 }
 
-/// How long the host waits is what is left of a time that passes: between 1 and 900 ms here.
-fn without_wait(text: &str) -> String {
+/// Replaces the value of `X-Timeout-Ms`, which depends on the time that has passed: between 1 and 900 ms here.
+fn without_timeout(text: &str) -> String {
     const NAME: &str = "X-Timeout-Ms: ";
-    let from = text.find(NAME).expect("a wait") + NAME.len();
+    let from = text.find(NAME).expect("a timeout") + NAME.len();
     let to = from + text[from..].find("\r\n").expect("its end");
     let wait: u64 = text[from..to].parse().expect("whole milliseconds");
     assert!((1..=900).contains(&wait), "{wait} ms");
     format!("{}*{}", &text[..from], &text[to..])
 }
 
-fn serve(mut socket: TcpStream, seen: &Mutex<Vec<String>>, next: &Mutex<Vec<&'static str>>) {
+fn serve(mut socket: TcpStream, received: &Mutex<Vec<String>>, next: &Mutex<Vec<&'static str>>) {
     loop {
         let request = read_message(&mut socket);
         if head_end(&request).is_none() {
             return;
         }
-        seen.lock().expect("not poisoned").push(request);
+        received.lock().expect("not poisoned").push(request);
         let set = next.lock().expect("not poisoned").pop();
         let answer = set.unwrap_or("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Iops-Used: 3.5\r\n\r\ndata");
         if answer.is_empty() {
@@ -254,7 +255,7 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// A host that runs on a thread of this process until the process ends, or a signal ends it.
+/// A host that runs on a thread of this process, until the process ends or a signal stops the host.
 pub struct Host {
     pub address: SocketAddr,
     pub log: Log,
@@ -262,7 +263,7 @@
     directory: tempfile::TempDir,
 }
 
-/// The configuration of a host; `known`: the list that it has at its start.
+/// The configuration of a host; `known`: its cached endpoint list at startup.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: Option<&str>) -> String {
     let known = known.map_or(String::new(), |list| format!(r#""known":{list},"#));
     format!(
@@ -272,7 +273,7 @@
 }
 
 impl Host {
-    /// A host that calls this discovery service, and knows this list at its start.
+    /// A host that watches this discovery service, with this cached endpoint list at startup.
     pub fn new(discovery: SocketAddr, known: Option<&str>) -> Self {
         let address = free_address();
         let directory = tempfile::tempdir().expect("a directory");
@@ -295,7 +296,7 @@
 
     pub fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).expect("the host listens");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
         socket.set_nodelay(true).expect("a socket");
         socket
     }
@@ -307,7 +308,7 @@
         read_message(&mut socket)
     }
 
-    /// All that comes behind a request until the host closes the connection.
+    /// All bytes that the host sends after a request until it closes the connection.
     pub fn answer_and_close(&self, request: &str) -> String {
         let mut socket = self.connect();
         socket.write_all(request.as_bytes()).expect("open");
--- a/crates/platform-host/tests/wire.rs
+++ b/crates/platform-host/tests/wire.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_node_gets_the_request_with_the_forwarded_headers_in_their_order() {
+fn a_node_receives_the_forwarded_headers_in_their_order() {
     let (host, node, _discovery) = host_with_node();
     let mut client = host.connect();
     let mut exchange = |request: &str| {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_discovery_service_is_asked_for_changes_since_the_known_version_or_for_all() {
+fn a_watch_requests_changes_since_the_known_version_or_a_full_snapshot() {
     for known in [None, Some(r#"{"seq":41,"whole":true,"hosts":[]}"#)] {
         let discovery = listen();
         let address = discovery.local_addr().expect("bound");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn readiness_is_answered_by_whether_a_list_is_known_and_closes_the_connection() {
+fn a_readiness_check_reports_whether_a_list_is_known_and_closes_the_connection() {
     let request = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
     let (host, _node, _discovery) = host_with_node();
     assert_eq!(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn requests_that_cannot_be_taken_are_answered_and_their_connections_stay_open() {
+fn rejected_requests_are_answered_and_their_connections_stay_open() {
     let (host, node, _discovery) = host_with_node();
     let write = write_request("w");
     let put = |from: &str, to: &str| write.replace(from, to);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn messages_that_cannot_be_read_are_answered_and_their_connections_closed() {
+fn malformed_messages_are_answered_and_their_connections_closed() {
     let (host, node, _discovery) = host_with_node();
     let write = write_request("w");
     let put = |to: &str| write.replace("Content-Length: 4", to);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn half_a_request_is_answered_as_late() {
+fn an_incomplete_request_times_out_with_408() {
     let (host, _node, _discovery) = host_with_node();
     assert_eq!(
         host.answer_and_close("PUT /book/00"),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_client_that_expects_it_is_told_to_go_on() {
+fn a_client_that_expects_it_gets_100_continue() {
     let (host, _node, _discovery) = host_with_node();
     let mut client = host.connect();
     let request =
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn the_last_answer_for_a_client_that_closes_says_so() {
+fn the_last_response_to_a_client_that_closes_has_connection_close() {
     let (host, _node, _discovery) = host_with_node();
     let close = read_request("r-1").replace("Host: s\r\n", "Host: s\r\nConnection: close\r\n");
     let last = GOOD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn an_id_that_is_in_flight_is_refused() {
+fn a_duplicate_request_id_in_flight_is_rejected() {
     let (host, node, _discovery) = host_with_node();
     node.answers_next("");
     let mut first = host.connect();
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_is_shed_names_a_time_to_come_back_and_what_failed_does_not() {
+fn shed_responses_have_retry_after_and_failed_ones_do_not() {
     let (host, node, _discovery) = host_with_node();
     let elsewhere = write_request("w-1").replace("shard=0", "shard=7");
     assert_eq!(host.answer(&elsewhere), format!("{SHED}Retry-After: 0.100\r\n\r\n"));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn clients_whose_requests_pass_the_bound_of_memory_are_shed() {
+fn requests_beyond_the_memory_limit_are_shed() {
     let (host, node, _discovery) = host_with_node();
     // A quarter of 16 MiB is for clients' bytes: 64 bodies of 64 KiB.
     let head = write_request("w").replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65536\r\n\r\n");
