--- /dev/null
+++ b/crates/lab/src/cli/fleet_rehearsal.rs
@@ -0,0 +1,115 @@
+//! `rehearse` of a fleet.
+use super::{CommandResult, Finding, RehearseOptions};
+use mallowseam_lab::fleet::outcome::Outcome;
+use mallowseam_lab::fleet::scenario::{self, IndexRange, Scenario};
+use mallowseam_lab::fleet::{fault_schedule, membership_audit, processes, testbed};
+use std::error::Error;
+
+/// A script that each seed draws anew, and its usual number of hosts.
+const STORM: &str = "fleet-storm";
+const STORM_HOSTS: u32 = 40;
+
+/// Fleet scripts that come with the program.
+const SCRIPTS: [(&str, &str); 3] = [
+    ("cold-start", include_str!("../../scripts/cold-start.fleet")),
+    ("cold-overload", include_str!("../../scripts/cold-overload.fleet")),
+    ("cold-sum", include_str!("../../scripts/cold-sum.fleet")),
+];
+
+/// The text of a fleet's script, by its name or from a file; none where the name is of another kind of script.
+pub(super) fn script_text(name: &str) -> Result<Option<String>, Box<dyn Error>> {
+    if name == STORM {
+        return Ok(Some(String::new()));
+    }
+    if let Some((_, text)) = SCRIPTS.iter().find(|(script, _)| *script == name) {
+        return Ok(Some((*text).to_owned()));
+    }
+    if !name.ends_with(".fleet") {
+        return Ok(None);
+    }
+    let text = std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?;
+    Ok(Some(text))
+}
+
+/// Plays a fleet's script with some seeds in a row.
+pub(super) fn play(text: &str, options: &RehearseOptions) -> CommandResult {
+    let this = std::env::current_exe()?;
+    let program = processes::Program::next_to(&this);
+    let program = if options.as_before { program.with_arguments(&["--list-turn", "0"]) } else { program };
+    let mut passed = true;
+    for seed in options.seed..options.seed + options.seeds {
+        passed &= play_seed(text, options, seed, &program)?;
+    }
+    Ok(Finding::from(passed))
+}
+
+fn parse_scenario(text: &str, options: &RehearseOptions, seed: u64) -> Result<Scenario, Box<dyn Error>> {
+    let name = &options.script;
+    if name == STORM {
+        let text = fault_schedule::random_script(options.hosts.unwrap_or(STORM_HOSTS), seed);
+        return Ok(scenario::parse(name, &text)?);
+    }
+    let scenario = scenario::parse(name, text)?;
+    Ok(options.hosts.map_or(scenario.clone(), |hosts| scenario.scaled(hosts)))
+}
+
+fn play_seed(
+    text: &str,
+    options: &RehearseOptions,
+    seed: u64,
+    program: &processes::Program,
+) -> Result<bool, Box<dyn Error>> {
+    let scenario = parse_scenario(text, options, seed)?;
+    println!(
+        "{}, seed {seed}: {} hosts, {} nodes, {} s",
+        options.script,
+        scenario.hosts,
+        scenario.nodes,
+        scenario.duration / 1_000_000
+    );
+    let dir = tempfile::tempdir()?;
+    let outcome = testbed::run(&scenario, seed, program, dir.path(), &mut |at, line| {
+        if !options.quiet {
+            println!("{:>7.2} s  {line}", at as f64 / 1e6);
+        }
+    })?;
+    if !options.quiet {
+        print!("{}", outcome.table());
+    }
+    let evidence = report(&options.script, &scenario, &outcome);
+    if !evidence.is_empty() {
+        evidence.iter().for_each(|line| println!("{line}"));
+        println!("logs and configurations: {}", dir.keep().display());
+    }
+    Ok(evidence.is_empty())
+}
+
+/// Prints what a run came to, and returns the evidence against it.
+fn report(name: &str, scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
+    outcome.compare_membership_groups(scenario).iter().for_each(|text| println!("{text}"));
+    if name == STORM {
+        // Polls are many here as hosts come and go, and are not what is tried.
+        let mut evidence = outcome.violations();
+        let membership =
+            membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples);
+        let verdict = &outcome.verdict;
+        evidence.extend(membership.evidence());
+        println!(
+            "{} looks; {:.0} bytes a second and host",
+            outcome.membership_samples.len(),
+            outcome.membership_bytes_per_second
+        );
+        println!(
+            "{membership}; rules kept: {} of 7; unanswered {}, doubled {}",
+            verdict.rules_upheld(),
+            verdict.unanswered,
+            verdict.duplicated
+        );
+        return evidence;
+    }
+    if scenario.membership.is_some_and(|m| m.participants == IndexRange::ALL) {
+        println!("{}", membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples));
+    }
+    println!("{}", outcome.summary(scenario));
+    outcome.evidence(scenario)
+}
