--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -1,25 +1,25 @@
-//! What a scheduler asks of its host, written as lines of actions.
+//! The scheduler's host: writes its calls as lines of actions.
 use crate::fields::MICROS_PER_TICK;
 use crate::instance::Names;
 use mallowseam_scheduler::interface::{BioId, Host, KeyId, NodeId, Tick, VolumeId};
 use std::fmt;
 use std::io::Write;
 
-/// What stands for an absent deadline.
-const NONE: i64 = -1;
+/// An absent timeout.
+const NO_TIMEOUT: i64 = -1;
 
-/// Writes the actions of one instance as they come.
+/// Writes the actions of one instance.
 pub struct ActionWriter<'a> {
     /// Index of the instance.
     pub instance: u64,
     /// The names that the scheduler's indices stand for.
     pub names: &'a mut Names,
-    /// Where the lines go.
+    /// Receives the lines.
     pub output: &'a mut Vec<u8>,
 }
 
 impl ActionWriter<'_> {
-    /// The scheduler panicked; its last words on one line.
+    /// The scheduler panicked: writes the message of the panic on one line.
     pub fn panicked(&mut self, text: &str) {
         write_line(self.output, format_args!("broken {} {}", self.instance, text.replace('\n', " ")));
     }
@@ -37,7 +37,7 @@
 impl Host for ActionWriter<'_> {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         let (request, node) = (self.request_id(bio), self.names.nodes.resolve(node.0));
-        let timeout = if timeout > 0 { timeout * MICROS_PER_TICK } else { NONE };
+        let timeout = if timeout > 0 { timeout * MICROS_PER_TICK } else { NO_TIMEOUT };
         write_line(self.output, format_args!("relay {} {request} {node} {timeout}", self.instance));
     }
 
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,8 +1,8 @@
-//! Batches of lines, and the instances that they are for.
+//! Batches of lines, dispatched to instances.
 //!
-//! A batch begins with a `clock` line, which says what time it is, and ends with `eof_batch`; all actions that its
-//! events lead to are written behind it, `next` and the batch's number last. A `membership` line is followed by
-//! as many `entry` lines as it says.
+//! A batch begins with a `clock` line, which states the time, and ends with `eof_batch`. The response is all actions that
+//! its events lead to, then `next` and the batch's number. A `membership` line states the number of `entry` lines that
+//! follow it.
 use crate::action_writer::write_line;
 use crate::error::InputError;
 use crate::fields::Fields;
@@ -10,7 +10,7 @@
 use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, Tick};
 use std::collections::BTreeMap;
 
-/// What a line leaves to be done.
+/// State of a batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// More lines follow.
@@ -19,7 +19,7 @@
     BatchComplete,
 }
 
-/// An endpoint list of which entries are still to come.
+/// An endpoint list of which entries are still to be read.
 struct PartialList {
     instance: u64,
     form: EndpointEvent,
@@ -29,7 +29,7 @@
 
 impl PartialList {
     fn read(instance: u64, fields: &mut Fields) -> Result<Self, InputError> {
-        fields.whole_number("generation")?;
+        fields.unsigned_integer("generation")?;
         let forms = [
             ("diff", EndpointEvent::Incremental),
             ("snapshot", EndpointEvent::FullSnapshot),
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a line about an instance asks for.
+/// The kinds of lines that are about an instance.
 #[derive(Clone, Copy)]
 enum Message {
     OpenInstance,
@@ -52,7 +52,7 @@
 }
 
 impl Message {
-    fn named(name: &str) -> Option<Message> {
+    fn from_name(name: &str) -> Option<Message> {
         Some(match name {
             "open_instance" => Message::OpenInstance,
             "teardown" => Message::TearDown,
@@ -81,13 +81,13 @@
 }
 
 impl Adapter {
-    /// The answer to the batch that the last line completed.
+    /// The response to the batch that the last line completed.
     pub fn complete_batch(&mut self) -> &[u8] {
         write_line(&mut self.output, format_args!("next {}", self.batch_number));
         &self.output
     }
 
-    /// Takes one line, without its end.
+    /// Handles one line, without its line end.
     pub fn take_line(&mut self, line: &str) -> Result<Progress, InputError> {
         let mut fields = Fields::new(line);
         let message = fields.message();
@@ -125,10 +125,10 @@
     }
 
     fn instance_message(&mut self, now: Tick, fields: &mut Fields) -> Result<(), InputError> {
-        let Some(message) = Message::named(fields.message()) else {
+        let Some(message) = Message::from_name(fields.message()) else {
             return Err(InputError::unexpected(fields.message(), "a message of the wire"));
         };
-        let index = fields.whole_number("i")?;
+        let index = fields.unsigned_integer("i")?;
         match message {
             Message::OpenInstance => {
                 self.instances.insert(index, Instance::open(index, now, fields)?);
@@ -162,11 +162,11 @@
         Ok(())
     }
 
-    /// Passes the list on once its last entry is in.
+    /// Passes the list to the instance once its last entry was read.
     fn finish_list(&mut self, now: Tick) {
         if let Some(list) = self.partial_list.take_if(|list| list.entries_left == 0) {
             let instance = self.instances.get_mut(&list.instance).expect("open while its list is read");
-            instance.endpoints_listed(now, list.form, &list.entries, &mut self.output);
+            instance.on_endpoint_list(now, list.form, &list.entries, &mut self.output);
         }
     }
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,19 +1,19 @@
-//! Faults of the input.
+//! Errors of the input.
 use mallowseam_platform::settings::SettingsError;
 use std::io;
 
-/// Why a line of the input cannot be taken. The texts are what the simulator's users read.
+/// Why a line of the input is rejected. The simulator's users read these texts.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
     /// The input cannot be read, or is not UTF-8.
     #[error("the input: {0}")]
     Read(#[from] io::Error),
-    /// The message is unknown, or does not belong here.
+    /// The message is unknown, or is not expected at this point.
     #[error("{message}: expected {expected}")]
     UnexpectedMessage {
         /// The message's name as it was read.
         message: String,
-        /// What would have been taken.
+        /// What is expected instead.
         expected: &'static str,
     },
     /// A value of a message is missing or invalid.
@@ -23,7 +23,7 @@
         message: String,
         /// The field's name in the protocol.
         field: &'static str,
-        /// What would have been taken.
+        /// What is expected instead.
         expected: String,
     },
     /// The settings of a new instance are invalid.
@@ -32,7 +32,7 @@
 }
 
 impl InputError {
-    /// The message is unknown, or does not belong here.
+    /// The message is unknown, or is not expected at this point.
     pub fn unexpected(message: &str, expected: &'static str) -> Self {
         InputError::UnexpectedMessage { message: message.to_owned(), expected }
     }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,5 +1,4 @@
-//! The values of one line: a message's name and its fields in order, each behind one space. `-` stands for an
-//! absent value.
+//! The values of one line: a message's name and its fields in order, separated by one space. `-` is an absent value.
 use crate::error::InputError;
 use mallowseam_scheduler::interface::{AttemptResult, LoadReport, Tick};
 use std::str::FromStr;
@@ -7,7 +6,7 @@
 /// Microseconds in a tick of the scheduler.
 pub const MICROS_PER_TICK: i64 = 100;
 
-const ENDINGS: [(&str, AttemptResult); 8] = [
+const ATTEMPT_RESULTS: [(&str, AttemptResult); 8] = [
     ("done", AttemptResult::Completed),
     ("err", AttemptResult::Error),
     ("busy", AttemptResult::Rejected),
@@ -18,7 +17,7 @@
     ("skipped", AttemptResult::NotSent),
 ];
 
-/// A line, of which values are taken one after the other.
+/// A line whose values are read one after the other.
 pub struct Fields<'a> {
     message: &'a str,
     rest: Option<&'a str>,
@@ -38,7 +37,7 @@
         self.message
     }
 
-    /// All that follows, spaces and all.
+    /// The rest of the line, with its spaces.
     pub fn remainder(&self) -> &'a str {
         self.rest.unwrap_or_default()
     }
@@ -59,18 +58,18 @@
         Some(value).filter(|value| *value != "-" && !value.is_empty())
     }
 
-    /// Passes over a field that nothing here needs.
+    /// Skips a field that is not used here.
     pub fn skip(&mut self) {
         self.next_value();
     }
 
-    /// A value that must be there.
+    /// A value that must be present.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, InputError> {
         self.next_value().ok_or_else(|| self.invalid(field, "a value"))
     }
 
-    /// A whole number.
-    pub fn whole_number(&mut self, field: &'static str) -> Result<u64, InputError> {
+    /// An unsigned integer.
+    pub fn unsigned_integer(&mut self, field: &'static str) -> Result<u64, InputError> {
         self.parsed(field, "a whole number")
     }
 
@@ -92,19 +91,19 @@
         number.map(Some).ok_or_else(|| self.invalid(field, "a number"))
     }
 
-    /// One of some words, as what it stands for.
-    pub fn one_of<T: Copy>(&mut self, field: &'static str, words: &[(&str, T)]) -> Result<T, InputError> {
+    /// One of some names; returns what it stands for.
+    pub fn one_of<T: Copy>(&mut self, field: &'static str, names: &[(&str, T)]) -> Result<T, InputError> {
         let value = self.next_value().unwrap_or("-");
-        let found = words.iter().find(|(word, _)| *word == value);
+        let found = names.iter().find(|(name, _)| *name == value);
         found.map(|(_, meaning)| *meaning).ok_or_else(|| {
-            let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
+            let known: Vec<&str> = names.iter().map(|(name, _)| *name).collect();
             self.invalid(field, &known.join(", "))
         })
     }
 
-    /// How an attempt or a probe ended.
-    pub fn ending(&mut self) -> Result<AttemptResult, InputError> {
-        self.one_of("ending", &ENDINGS)
+    /// Result of an attempt or a probe.
+    pub fn attempt_result(&mut self) -> Result<AttemptResult, InputError> {
+        self.one_of("ending", &ATTEMPT_RESULTS)
     }
 
     /// A node's load report: name and value pairs, of which unknown ones are skipped.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One scheduler and the names it knows: events become calls on it, its actions lines of output.
+//! One scheduler and its interned names: events become calls on it, its actions lines of output.
 use crate::action_writer::ActionWriter;
 use crate::error::InputError;
 use crate::fields::Fields;
@@ -56,9 +56,9 @@
 }
 
 impl Instance {
-    /// Opens an instance with the seed and the settings that the fields hold.
+    /// Opens an instance with the seed and the settings in the fields.
     pub fn open(index: u64, now: Tick, fields: &mut Fields) -> Result<Self, InputError> {
-        let seed = fields.whole_number("init_seed")?;
+        let seed = fields.unsigned_integer("init_seed")?;
         let PlatformSettings { scheduler: config, class_names, plan_names, .. } =
             settings::parse(fields.remainder())?;
         let names = Names { classes: class_names, plans: plan_names, ..Names::default() };
@@ -86,7 +86,7 @@
     }
 
     /// An endpoint list was received in full.
-    pub fn endpoints_listed(
+    pub fn on_endpoint_list(
         &mut self,
         now: Tick,
         form: EndpointEvent,
@@ -106,17 +106,17 @@
     ) -> Result<(), InputError> {
         match event {
             Event::Request => self.request(now, fields, output),
-            Event::AttemptEnded => self.attempt_ended(now, fields, output),
-            Event::ClientTimedOut => self.client_timed_out(now, fields, output),
-            Event::TimerFired => self.timer_fired(now, fields, output),
-            Event::ProbeEnded => self.probe_ended(fields),
+            Event::AttemptEnded => self.on_attempt_ended(now, fields, output),
+            Event::ClientTimedOut => self.on_client_timeout(now, fields, output),
+            Event::TimerFired => self.on_timer_fired(now, fields, output),
+            Event::ProbeEnded => self.on_probe_ended(fields),
             Event::PeerMessage => peer_message(fields),
             Event::FirstByte => first_byte(fields),
         }
     }
 
     fn request(&mut self, now: Tick, fields: &mut Fields, output: &mut Vec<u8>) -> Result<(), InputError> {
-        let request = fields.whole_number("xid")?;
+        let request = fields.unsigned_integer("xid")?;
         let class = position(&self.names.classes, "tier_class", fields)?;
         let plan = position(&self.names.plans, "contract", fields)?;
         let key = fields.next_value().map(|key| KeyId(self.names.keys.intern(&key.to_owned())));
@@ -134,14 +134,14 @@
         Ok(())
     }
 
-    fn attempt_ended(
+    fn on_attempt_ended(
         &mut self,
         now: Tick,
         fields: &mut Fields,
         output: &mut Vec<u8>,
     ) -> Result<(), InputError> {
-        let request = fields.whole_number("xid")?;
-        let result = fields.ending()?;
+        let request = fields.unsigned_integer("xid")?;
+        let result = fields.attempt_result()?;
         let units_by_other_hosts = fields.optional_number("by_others")?.unwrap_or(0.0);
         let node_name = fields.text("brick")?.to_owned();
         let client_answered = fields.one_of("closed", &[("1", true), ("0", false)])?;
@@ -162,40 +162,40 @@
                 load_report,
             };
             self.call(output, |scheduler, host| {
-                scheduler.on_attempt_finished(host, now, BioId(id), &outcome)
+                scheduler.on_attempt_finished(host, now, BioId(id), &outcome);
             });
         }
         Ok(())
     }
 
-    fn client_timed_out(
+    fn on_client_timeout(
         &mut self,
         now: Tick,
         fields: &mut Fields,
         output: &mut Vec<u8>,
     ) -> Result<(), InputError> {
-        let request = fields.whole_number("xid")?;
+        let request = fields.unsigned_integer("xid")?;
         if let Some(id) = self.names.requests.find(&request) {
             self.call(output, |scheduler, host| scheduler.on_disconnect(host, now, BioId(id)));
         }
         Ok(())
     }
 
-    fn timer_fired(
+    fn on_timer_fired(
         &mut self,
         now: Tick,
         fields: &mut Fields,
         output: &mut Vec<u8>,
     ) -> Result<(), InputError> {
-        fields.whole_number("mark")?;
+        fields.unsigned_integer("mark")?;
         self.call(output, |scheduler, host| scheduler.on_timer(host, now));
         Ok(())
     }
 
-    /// The scheduler sends no probes; an outcome of one is checked, and no more.
-    fn probe_ended(&self, fields: &mut Fields) -> Result<(), InputError> {
+    /// The scheduler sends no probes: the outcome of one is validated and ignored.
+    fn on_probe_ended(&self, fields: &mut Fields) -> Result<(), InputError> {
         let node_name = fields.text("brick")?.to_owned();
-        fields.ending()?;
+        fields.attempt_result()?;
         fields.ticks("wait_time_us")?;
         fields.load_report()?;
         self.known_node(&node_name, fields).map(|_| ())
@@ -206,7 +206,7 @@
         node.map(NodeId).ok_or_else(|| fields.invalid("brick", "a node of the list"))
     }
 
-    /// Calls the scheduler; its panic becomes an action.
+    /// Calls the scheduler. A panic is reported as an action, so that the other instances continue.
     fn call(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Scheduler, &mut ActionWriter)) {
         let mut host = ActionWriter { instance: self.index, names: &mut self.names, output };
         let called = catch_unwind(AssertUnwindSafe(|| call(&mut self.scheduler, &mut host)));
@@ -216,19 +216,19 @@
     }
 }
 
-/// The scheduler sends nothing to other instances; what arrives is checked, and no more.
+/// The scheduler sends nothing to other instances: a message of one is validated and ignored.
 fn peer_message(fields: &mut Fields) -> Result<(), InputError> {
-    fields.whole_number("author")?;
+    fields.unsigned_integer("author")?;
     let bytes = STANDARD.decode(fields.next_value().unwrap_or_default());
     bytes.map(|_| ()).map_err(|_| fields.invalid("octets", "base64 with padding"))
 }
 
 /// No I/O class streams its answers: the first byte of one changes nothing.
 fn first_byte(fields: &mut Fields) -> Result<(), InputError> {
-    fields.whole_number("xid").map(|_| ())
+    fields.unsigned_integer("xid").map(|_| ())
 }
 
-/// The position of the next value among the names that the settings give.
+/// The index of the next value among the names of the settings.
 fn position(names: &[String], field: &'static str, fields: &mut Fields) -> Result<u16, InputError> {
     let name = fields.text(field)?;
     let position = names.iter().position(|known| known == name);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,13 +2,13 @@
 //! `deploy/sites/wire.json`: lines of events on standard input, lines of actions on standard output.
 //!
 //! Modules, from the outside in:
-//! - `adapter`: batches of lines, and the instances that they are for.
+//! - `adapter`: batches of lines, dispatched to instances.
 //! - `fields`: the values of one line.
-//! - `instance`: one scheduler and the names it knows; events become calls on it.
-//! - `action_writer`: what the scheduler asks of its host becomes lines.
+//! - `instance`: one scheduler and its interned names; translates events to calls on it.
+//! - `action_writer`: the scheduler's host; writes its calls as lines.
 //!
-//! Exit status: 0 at the end of the input, 1 where the output takes nothing more, 2 where the input is at fault;
-//! the fault is then on standard error.
+//! Exit status: 0 at the end of the input, 1 if the output cannot be written, 2 if the input is invalid, with the error
+//! on standard error.
 mod action_writer;
 mod adapter;
 mod error;
@@ -21,7 +21,7 @@
 use std::process::ExitCode;
 
 const OUTPUT_CLOSED: u8 = 1;
-const INPUT_AT_FAULT: u8 = 2;
+const INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     // A panic of a scheduler is reported as an action of its instance, not on standard error.
@@ -41,7 +41,7 @@
             }
             Err(error) => {
                 eprintln!("line {number}: {error}");
-                return ExitCode::from(INPUT_AT_FAULT);
+                return ExitCode::from(INVALID_INPUT);
             }
         }
     }
