--- a/crates/archive/src/reader.rs
+++ b/crates/archive/src/reader.rs
@@ -33,6 +33,10 @@
     /// # Errors
     ///
     /// [`Error::Damaged`]: the input is no stream, or its header is damaged or truncated.
+    ///
+    /// # Panics
+    ///
+    /// Never: the fields of the header have fixed sizes.
     pub fn new(mut input: R) -> Result<Self, Error> {
         let no_header = || Error::damaged(0, "the head of a snapshot stream");
         let mut fixed = [0; FIXED_HEADER_BYTES];
--- a/crates/archive/tests/damaged_streams.rs
+++ b/crates/archive/tests/damaged_streams.rs
@@ -18,7 +18,9 @@
 fn stream() -> Vec<u8> {
     let mut out = Vec::new();
     let mut writer = Writer::new(&mut out, &header()).expect("memory");
-    extents().iter().for_each(|(i, d)| writer.write_extent(*i, d).expect("memory"));
+    for (index, data) in &extents() {
+        writer.write_extent(*index, data).expect("memory");
+    }
     let len = writer.finish().expect("memory");
     assert_eq!(len, out.len() as u64);
     out
@@ -105,7 +107,9 @@
     fn any_extents_read_back(data in prop::collection::btree_map(0u32..40, prop::collection::vec(any::<u8>(), EXTENT_BYTES), 0..10)) {
         let mut out = Vec::new();
         let mut writer = Writer::new(&mut out, &header()).expect("memory");
-        data.iter().for_each(|(i, d)| writer.write_extent(*i, d).expect("memory"));
+        for (index, extent) in &data {
+            writer.write_extent(*index, extent).expect("memory");
+        }
         writer.finish().expect("memory");
         prop_assert_eq!(read(&out).expect("valid"), (data.into_iter().collect(), true));
     }
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -33,7 +33,9 @@
     fn numbers(&mut self, values: impl IntoIterator<Item = u64>) {
         let values: Vec<u64> = values.into_iter().collect();
         self.number(values.len() as u64);
-        values.into_iter().for_each(|v| self.number(v));
+        for value in values {
+            self.number(value);
+        }
     }
 
     fn text(&mut self, text: &str) {
@@ -81,7 +83,9 @@
             }
             CutFailure::HostsNotQuiesced(hosts) => {
                 self.number(3);
-                hosts.iter().for_each(|h| self.text(h));
+                for host in hosts {
+                    self.text(host);
+                }
             }
         }
     }
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -115,7 +115,7 @@
             (5 | 6, _) => {
                 let name = format!("s{}", self.tree.version);
                 let (change, cut) =
-                    ConsistentCut::begin(&self.tree, &branch, &name, Default::default(), 0).expect("a cut");
+                    ConsistentCut::begin(&self.tree, &branch, &name, BTreeSet::default(), 0).expect("a cut");
                 self.apply(change);
                 self.close_all();
                 let CutProgress::Grant(change) = cut.progress(&self.tree, 0) else {
@@ -205,7 +205,7 @@
     for extent in 0..3 {
         model.write("a", extent);
     }
-    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 100).expect("a cut");
+    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
     model.apply(change);
     assert_eq!(model.tree.pending_closes().collect::<Vec<_>>(), [(1024, 0), (1024, 1), (1024, 2)]);
     for node in 0..3 {
@@ -219,7 +219,7 @@
 fn cut_fails_with_the_nodes_that_did_not_close() {
     let mut model = model();
     model.write("a", 0);
-    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 100).expect("a cut");
+    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
     model.apply(change);
     assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT - 1), CutProgress::Wait);
     let failed = CutProgress::Fail(CutFailure::NodesNotClosed([1].into()));
@@ -238,9 +238,10 @@
 fn concurrent_cuts_wait_for_the_same_nodes() {
     let mut model = model();
     model.write("a", 0);
-    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).expect("a cut");
+    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
     model.apply(change);
-    let (change, second) = ConsistentCut::begin(&model.tree, "a", "t", Default::default(), 0).expect("a cut");
+    let (change, second) =
+        ConsistentCut::begin(&model.tree, "a", "t", BTreeSet::default(), 0).expect("a cut");
     model.apply(change);
     assert_eq!(
         (first.progress(&model.tree, 0), second.progress(&model.tree, 0)),
@@ -257,15 +258,15 @@
 #[test]
 fn second_snapshot_of_a_name_is_rejected() {
     let mut model = model();
-    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).expect("a cut");
+    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
     model.apply(change);
     let (change, second) =
-        ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).expect("not granted yet");
+        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("not granted yet");
     model.apply(change);
     let CutProgress::Grant(change) = first.progress(&model.tree, 0) else { panic!("nothing to close") };
     model.apply(change);
     assert!(matches!(second.progress(&model.tree, 0), CutProgress::Fail(CutFailure::Rejected(_))));
-    assert!(ConsistentCut::begin(&model.tree, "a", "s", Default::default(), 0).is_err());
+    assert!(ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).is_err());
 }
 
 #[test]
--- a/crates/fleet-udp/src/event_log.rs
+++ b/crates/fleet-udp/src/event_log.rs
@@ -27,10 +27,10 @@
                  protocol and continues to serve"
             ),
             MembershipEvent::IsolationStarted => {
-                tracing::warn!("isolated: nothing received from any other member of the fleet")
+                tracing::warn!("isolated: nothing received from any other member of the fleet");
             }
             MembershipEvent::IsolationEnded => {
-                tracing::info!("isolation ended: a message of another member was received")
+                tracing::info!("isolation ended: a message of another member was received");
             }
             MembershipEvent::MemberUpdated { name, address, previous, current, .. } => {
                 // A new record without a change of state is not logged.
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -82,8 +82,8 @@
         self.membership.next_tick().saturating_sub(self.now())
     }
 
-    /// Does what is due by time. Must come before [`on_readable`](UdpMembership::on_readable) in each iteration of the
-    /// event loop: by that the protocol notices that its process was stopped.
+    /// Runs the timers that are due. Must be called before [`on_readable`](UdpMembership::on_readable) in each iteration of the
+    /// event loop, so that the protocol notices if its process was stopped.
     pub fn tick(&mut self) {
         let now = self.now();
         if now >= self.membership.next_tick() {
@@ -127,7 +127,7 @@
     pub fn reload(&mut self, config: Option<FleetConfig>) {
         match config {
             Some(config) if config.listen == self.listen => {
-                self.membership.set_seeds(config.membership.seeds)
+                self.membership.set_seeds(config.membership.seeds);
             }
             _ => tracing::warn!("a changed fleet configuration takes effect after a restart"),
         }
--- a/crates/fleet/src/membership/timer.rs
+++ b/crates/fleet/src/membership/timer.rs
@@ -1,4 +1,4 @@
-//! What is due by time.
+//! Timers: everything that is due at a time.
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
@@ -7,11 +7,11 @@
 
 /// Periods without any message of another member after which this host counts as isolated.
 const ISOLATION_PERIODS: u64 = 4;
-/// Periods for which a member that left is shown.
+/// Periods for which a member that left stays in the table.
 const LEFT_SHOWN_PERIODS: u64 = 120;
 
 impl Membership {
-    /// Does what is due. A call that comes later than a whole period means that this host's process was stopped.
+    /// Runs the timers that are due. A call that is late by more than a period means that this host's process was stopped.
     pub fn tick(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let gap = now.saturating_sub(self.last_tick);
         self.last_tick = now;
--- a/crates/placement/src/feasibility.rs
+++ b/crates/placement/src/feasibility.rs
@@ -109,22 +109,24 @@
 }
 
 /// By how much the reserves exceed the capacities: reserved rates beyond each node's capacity, scaled, summed over no loss
-/// and every loss; 0 if they fit. A volume without a node left in a loss that it must survive lacks its whole
-/// reserve.
+/// and every loss; 0 if they fit. The reserve of a volume that has no node left
+/// in a loss which it must survive counts in full.
+///
+/// # Panics
+/// Never: loads are computed for volumes that have a node left.
 #[must_use]
 pub fn excess(problem: &Problem, assignments: &[Assignment]) -> i128 {
     let is_active = |_: Constraint| true;
     let excess_in = |loss: Loss| {
-        let is_gone =
+        let is_lost =
             |assignment: &Assignment| assignment.nodes.iter().all(|node| loss.includes(problem, *node));
-        let (gone, left): (Vec<Assignment>, Vec<Assignment>) = assignments.iter().copied().partition(is_gone);
-        let lacking = gone.iter().filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
-        let lacking: i128 =
-            lacking.map(|a| i128::from(problem.volumes[a.volume].reserved_rate) * SCALE).sum();
+        let (lost, left): (Vec<Assignment>, Vec<Assignment>) = assignments.iter().copied().partition(is_lost);
+        let unmet = lost.iter().filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
+        let unmet: i128 = unmet.map(|a| i128::from(problem.volumes[a.volume].reserved_rate) * SCALE).sum();
         let loads = node_loads(problem, &left, &is_active, loss).expect("each has a node left");
         let capacity = |node: NodeIndex| i128::from(problem.nodes[node].capacity) * SCALE;
         let beyond = loads.iter().enumerate().map(|(node, load)| (load - capacity(node)).max(0));
-        lacking + beyond.sum::<i128>()
+        unmet + beyond.sum::<i128>()
     };
     losses(problem, assignments, &is_active).into_iter().map(excess_in).sum()
 }
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -85,12 +85,16 @@
         &self.last_hash
     }
 
-    /// The text of the entry that a change would be, made by an author who has seen version `expected`. Nothing is
-    /// changed: of two entries that were proposed for the same version, the one that is appended first wins.
+    /// The text of the next entry for a change, by an author who has read version `expected`. The log is not changed: of
+    /// two entries that were proposed for the same version, the one that is appended first is accepted.
     ///
     /// # Errors
     ///
     /// The log is at another version, author or reason are missing or too long, or the change cannot be made.
+    ///
+    /// # Panics
+    ///
+    /// Never: encoding an entry as JSON cannot fail.
     pub fn propose(
         &self,
         expected: u64,
@@ -115,7 +119,8 @@
             change,
             previous_hash: self.last_hash.clone(),
         };
-        Ok(serde_json::to_string(&entry).expect("an entry is plain data"))
+        Ok(serde_json::to_string(&entry)
+            .expect("an entry has only string keys, so that it can always be encoded"))
     }
 
     /// Appends the next entry, as it was written, and makes its change.
--- a/crates/snapshot-catalog/tests/crash_recovery.rs
+++ b/crates/snapshot-catalog/tests/crash_recovery.rs
@@ -132,7 +132,9 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("catalog");
     let mut catalog = Catalog::open(&path).expect("new");
-    batches().into_iter().for_each(|changes| commit(&mut catalog, changes));
+    for changes in batches() {
+        commit(&mut catalog, changes);
+    }
     let (tree, id) = (catalog.tree().clone(), catalog.id());
     let mut replayed = Tree::default();
     for (version, change) in catalog.changes_since(0).expect("few changes") {
