--- a/crates/archive/tests/damaged_streams.rs
+++ b/crates/archive/tests/damaged_streams.rs
@@ -50,28 +50,28 @@
 
 #[test]
 fn stream_cut_at_any_byte_resumes_to_the_same_bytes() {
-    let whole = stream();
-    for cut in 0..whole.len() {
-        let Ok(mut reader) = Reader::new(&whole[..cut]) else { continue };
+    let complete = stream();
+    for cut in 0..complete.len() {
+        let Ok(mut reader) = Reader::new(&complete[..cut]) else { continue };
         while let Ok(Record::Extent { .. }) = reader.next_record() {}
         let resume_point = reader.resume_point().clone();
         assert!(resume_point.valid_bytes <= cut as u64);
-        let mut out = whole[..resume_point.valid_bytes as usize].to_vec();
+        let mut out = complete[..resume_point.valid_bytes as usize].to_vec();
         let last = resume_point.last_extent;
         let mut writer = Writer::resume(&mut out, resume_point);
         for (i, data) in extents().iter().filter(|e| last.is_none_or(|l| e.0 > l)) {
             writer.write_extent(*i, data).expect("memory");
         }
         writer.finish().expect("memory");
-        assert_eq!(out, whole, "cut at {cut}");
+        assert_eq!(out, complete, "cut at {cut}");
     }
 }
 
 #[test]
 fn flipped_bit_is_never_read_as_data() {
-    let whole = stream();
-    for bit in 0..whole.len() * 8 {
-        let mut bytes = whole.clone();
+    let complete = stream();
+    for bit in 0..complete.len() * 8 {
+        let mut bytes = complete.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
         if let Ok((found, ended)) = read(&bytes) {
             assert!(!ended, "bit {bit}");
@@ -82,17 +82,17 @@
 
 #[test]
 fn missing_or_duplicate_frame_is_detected() {
-    let whole = stream();
+    let complete = stream();
     let one = {
         let mut out = Vec::new();
         Writer::new(&mut out, &header()).expect("memory").write_extent(0, &extents()[0].1).expect("memory");
         out.len()
     };
-    let head_len = Reader::new(&whole[..]).expect("valid").resume_point().valid_bytes as usize;
-    let left_out = [&whole[..head_len], &whole[one..]].concat();
-    assert!(!read(&left_out).expect("a head").1);
-    let doubled = [&whole[..one], &whole[head_len..]].concat();
-    assert!(!read(&doubled).expect("a head").1);
+    let head_len = Reader::new(&complete[..]).expect("valid").resume_point().valid_bytes as usize;
+    let missing = [&complete[..head_len], &complete[one..]].concat();
+    assert!(!read(&missing).expect("a head").1);
+    let duplicate = [&complete[..one], &complete[head_len..]].concat();
+    assert!(!read(&duplicate).expect("a head").1);
 }
 
 proptest! {
--- a/crates/change-log/tests/crash_recovery.rs
+++ b/crates/change-log/tests/crash_recovery.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn long_log_opens_from_its_last_checkpoint_and_verifies_from_nothing() {
+fn long_log_opens_from_its_last_checkpoint_and_verifies_from_its_first_entry() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("plans");
     let mut store = ChangeLogStore::open(&path).expect("new");
--- a/crates/connection-policy/tests/client_connection.rs
+++ b/crates/connection-policy/tests/client_connection.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn connection_without_complete_request_is_ended_within_three_seconds() {
+fn connection_without_complete_request_is_closed_within_three_seconds() {
     let mut connection = ClientConnection::new(0);
     assert_eq!(connection.check_timeouts(REQUEST_TIMEOUT - 1, None), TimeoutAction::Nothing);
     assert_eq!(connection.check_timeouts(REQUEST_TIMEOUT, None), TimeoutAction::Close);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn request_that_comes_byte_by_byte_has_the_same_timeout() {
+fn request_that_arrives_byte_by_byte_has_the_same_timeout() {
     let mut connection = connection_in(Phase::Idle, 0);
     for now in (10_000..11_900).step_by(100) {
         connection.enter_phase(Phase::ReceivingRequest, now);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn request_in_flight_is_never_closed_and_untaken_response_is() {
+fn request_in_flight_never_times_out_and_unread_response_does() {
     let in_flight = connection_in(Phase::InFlight, 0);
     let shutdown = Some(GracefulShutdown::by_operator(5));
     assert_eq!(in_flight.check_timeouts(1_000_000, shutdown), TimeoutAction::Nothing);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn bytes_behind_an_error_are_read_within_bounds() {
+fn bytes_after_an_error_are_read_within_limits() {
     let mut connection = connection_in(Phase::Lingering, 0);
     assert!(!connection.bytes_discarded(MAX_DISCARDED_BYTES - 1) && connection.bytes_discarded(1));
     let lingering = connection_in(Phase::Lingering, 0);
--- a/crates/connection-policy/tests/keep_alive.rs
+++ b/crates/connection-policy/tests/keep_alive.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn connection_is_given_up_well_before_its_node_does() {
+fn idle_connection_expires_well_before_its_node_closes_it() {
     assert_eq!(KeepAlivePolicy::new(30_000, 0).idle_timeout(99), 15_000);
     assert_eq!(reusability(14_999, 15_000), Reusability::Reusable);
     assert_eq!(reusability(15_000, 15_000), Reusability::Expired);
--- a/crates/connection-policy/tests/node_connection.rs
+++ b/crates/connection-policy/tests/node_connection.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn hanging_connect_is_given_up_and_reopened_by_the_next_attempt() {
+fn hanging_connect_times_out_and_the_next_attempt_reopens_it() {
     let mut connection = NodeConnection::default();
     assert!(connection.open_if_closed(10) && !connection.open_if_closed(11));
     assert_eq!(connection.check_timeouts(10 + LOGIN_TIMEOUT - 1, 1), None);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn node_that_leaves_aborts_unanswered_loses_its_connection_and_slow_node_does_not() {
+fn connection_is_closed_on_unanswered_aborts_and_not_on_slow_ones() {
     let mut connection = ready_connection();
     assert_eq!(connection.check_timeouts(100_000, 30), None);
     connection.abort_sent(100);
--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -37,16 +37,16 @@
         for _ in 0..EVENTS {
             now += step(rng, &spans);
             admission_event(rng, digest, &mut admission, now);
-            for place in 0..8 {
+            for index in 0..8 {
                 let state = ConnectionState {
                     pdu_incomplete: rng.one_in(3),
                     unsent_bytes: rng.pick(&[0, 0, 1, 1 << 20]),
                     in_flight: rng.pick(&[0, 0, 1, 5]),
                 };
-                let action = admission.check_timeouts(place, now, state);
+                let action = admission.check_timeouts(index, now, state);
                 digest.add(admission_code(action));
                 if matches!(action, TimeoutAction::Close(_)) {
-                    admission.connection_closed(place);
+                    admission.connection_closed(index);
                 }
             }
             digest.add(u64::from(admission.admits_commands(now)));
@@ -62,19 +62,19 @@
 }
 
 fn admission_event(rng: &mut SeededRng, digest: &mut Digest, admission: &mut AdmissionController, now: u64) {
-    let place = rng.below(8) as usize;
+    let index = rng.below(8) as usize;
     match rng.below(60) {
-        0..=9 => digest.add(u64::from(admission.admit_connection(place, now))),
-        10 => admission.connection_closed(place),
+        0..=9 => digest.add(u64::from(admission.admit_connection(index, now))),
+        10 => admission.connection_closed(index),
         11..=30 => {
             let name = rng.pick(&["iqn.a", "iqn.b", "iqn.c"]);
             let target = rng.pick(&[None, Some("iqn.target"), Some("iqn.target"), Some("iqn.other")]);
             let isid = [rng.below(2) as u8; 6];
             let handle = rng.pick(&[0, 0, 0, 7]);
-            match admission.login(place, name, target, isid, handle) {
+            match admission.login(index, name, target, isid, handle) {
                 Ok(session) => {
                     digest.add(u64::from(session.handle));
-                    digest.add_option(session.replaces.map(|place| place as u64));
+                    digest.add_option(session.replaces.map(|index| index as u64));
                 }
                 Err(rejection) => digest.add(match rejection {
                     LoginRejection::NoSuchTarget => 101,
@@ -84,8 +84,8 @@
                 }),
             }
         }
-        31..=40 => admission.bytes_received(place, now),
-        41..=57 => admission.bytes_sent(place, now),
+        31..=40 => admission.bytes_received(index, now),
+        41..=57 => admission.bytes_sent(index, now),
         58 if rng.one_in(4) => digest.add(u64::from(admission.start_draining(now))),
         _ => {
             if rng.one_in(3) {
@@ -110,25 +110,25 @@
 }
 
 #[test]
-fn silent_sessions_are_asked_and_ended_as_recorded() {
+fn silent_sessions_are_pinged_and_closed_as_recorded() {
     assert_pinned(&SILENT_SESSIONS, |rng, digest| {
         let mut admission = AdmissionController::new("iqn.target", 4);
         let mut now = 0;
         for _ in 0..EVENTS {
             now += step(rng, &[30_000, 15_000]);
-            let place = rng.below(4) as usize;
-            if admission.admit_connection(place, now) {
-                let isid = [place as u8; 6];
-                digest.add(u64::from(admission.login(place, "iqn.a", Some("iqn.target"), isid, 0).is_ok()));
+            let index = rng.below(4) as usize;
+            if admission.admit_connection(index, now) {
+                let isid = [index as u8; 6];
+                digest.add(u64::from(admission.login(index, "iqn.a", Some("iqn.target"), isid, 0).is_ok()));
             }
-            for place in 0..4 {
+            for index in 0..4 {
                 if rng.one_in(2_000) {
-                    admission.bytes_received(place, now);
+                    admission.bytes_received(index, now);
                 }
-                let action = admission.check_timeouts(place, now, ConnectionState::default());
+                let action = admission.check_timeouts(index, now, ConnectionState::default());
                 digest.add(admission_code(action));
                 if matches!(action, TimeoutAction::Close(_)) {
-                    admission.connection_closed(place);
+                    admission.connection_closed(index);
                 }
             }
         }
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn reasons_for_an_end_have_the_recorded_texts() {
+fn close_reasons_have_the_recorded_texts() {
     let whys = [
         CloseReason::LoginTimeout,
         CloseReason::IncompletePdu,
@@ -172,8 +172,8 @@
         let mut connections: Vec<ClientConnection> = (0..8).map(|_| ClientConnection::new(now)).collect();
         for _ in 0..EVENTS {
             now += step(rng, &spans);
-            let place = rng.below(8) as usize;
-            client_event(rng, digest, &mut connections[place], now);
+            let index = rng.below(8) as usize;
+            client_event(rng, digest, &mut connections[index], now);
             if rng.one_in(200) {
                 shutdown = rng.pick(&[None, Some(GracefulShutdown::by_operator(now))]);
             }
@@ -190,28 +190,29 @@
                     *connection = ClientConnection::new(now);
                 }
             }
-            let looked = connections.iter().enumerate().map(|(place, connection)| (place as u32, connection));
-            digest.add_option(client_connection::eviction_candidate(looked, now).map(u64::from));
+            let candidates =
+                connections.iter().enumerate().map(|(index, connection)| (index as u32, connection));
+            digest.add_option(client_connection::eviction_candidate(candidates, now).map(u64::from));
             digest.add(u64::from(client_connection::poll_result_is_stale(rng.below(60))));
         }
     });
 }
 
 #[test]
-fn which_new_connection_gives_way_is_the_recorded_one() {
+fn eviction_candidates_are_the_recorded_ones() {
     assert_pinned(&NEW_CONNECTIONS, |rng, digest| {
         for _ in 0..EVENTS {
             let now = 100;
             let mut connections = Vec::new();
-            for place in 0..2 + rng.below(3) as u32 {
+            for index in 0..2 + rng.below(3) as u32 {
                 let mut connection = ClientConnection::new(now - rng.below(9));
                 if rng.one_in(3) {
                     connection.enter_phase(Phase::Idle, now - rng.below(9));
                 }
-                connections.push((place, connection));
+                connections.push((index, connection));
             }
-            let looked = connections.iter().map(|(place, connection)| (*place, connection));
-            digest.add_option(client_connection::eviction_candidate(looked, now).map(u64::from));
+            let candidates = connections.iter().map(|(index, connection)| (*index, connection));
+            digest.add_option(client_connection::eviction_candidate(candidates, now).map(u64::from));
         }
     });
 }
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn how_many_bytes_are_dropped_behind_an_error_is_the_recorded_figure() {
+fn discarded_bytes_after_an_error_have_the_recorded_limit() {
     let mut connection = ClientConnection::new(0);
     assert!(!connection.bytes_discarded(256 * 1024 - 1));
     assert!(connection.bytes_discarded(1));
@@ -260,20 +261,20 @@
 fn decisions_on_shutdown_are_the_recorded_ones() {
     assert_pinned(&SHUTDOWN, |rng, digest| {
         for _ in 0..400 {
-            let told = rng.below(100_000);
-            let (longest, goal) = (rng.below(4_000), rng.below(4_000));
+            let requested_at = rng.below(100_000);
+            let (longest, longest_objective) = (rng.below(4_000), rng.below(4_000));
             let shutdown = if rng.one_in(3) {
-                GracefulShutdown::by_operator(told)
+                GracefulShutdown::by_operator(requested_at)
             } else {
-                GracefulShutdown::by_platform(told, longest, goal)
+                GracefulShutdown::by_platform(requested_at, longest, longest_objective)
             };
             digest.add_option(shutdown.answer_deadline());
-            for now in told..told + 3_700 {
+            for now in requested_at..requested_at + 3_700 {
                 if shutdown.admits_clients(now) != shutdown.admits_clients(now + 1) {
                     digest.add(now);
                 }
             }
-            let (now, clients) = (told + rng.below(4_000), rng.below(2) as usize);
+            let (now, clients) = (requested_at + rng.below(4_000), rng.below(2) as usize);
             digest.add(u64::from(shutdown.is_complete(now, clients)));
             digest.add(u64::from(GracefulShutdown::is_safe_to_retry(rng.below(3) as u32)));
         }
@@ -356,7 +357,7 @@
 }
 
 #[test]
-fn how_commands_are_split_is_the_recorded_way() {
+fn commands_are_split_as_recorded() {
     assert_pinned(&SPLITTING, |rng, digest| {
         let mut out = Vec::new();
         for _ in 0..100 {
@@ -418,7 +419,7 @@
 }
 
 #[test]
-fn how_parts_make_one_answer_is_the_recorded_way() {
+fn outcomes_of_sub_requests_are_combined_as_recorded() {
     let code = |outcome: RequestOutcome| match outcome {
         RequestOutcome::Completed => 1,
         RequestOutcome::Failed => 2,
@@ -461,25 +462,25 @@
         let mut watches = [WatchLiveness::new(0), WatchLiveness::new(0)];
         for _ in 0..EVENTS {
             now += step(rng, &[1_200, 2_000, 3_200, 4_000]);
-            let place = rng.below(2) as usize;
+            let slot = rng.below(2) as usize;
             match rng.below(40) {
                 0 => {
-                    let next = slots.next_slot(watches[place].is_established());
+                    let next = slots.next_slot(watches[slot].is_established());
                     watches[next] = WatchLiveness::new(now);
                     digest.add(next as u64);
                 }
-                1 | 2 => watches[place].response_started(),
+                1 | 2 => watches[slot].response_started(),
                 3 => {
-                    digest.add(u64::from(watches[place].event_received(now)));
-                    digest.add_option(slots.superseded_by(place).map(|place| place as u64));
+                    digest.add(u64::from(watches[slot].event_received(now)));
+                    digest.add_option(slots.superseded_by(slot).map(|slot| slot as u64));
                 }
                 _ => {}
             }
-            for (place, watch) in watches.iter_mut().enumerate() {
+            for (slot, watch) in watches.iter_mut().enumerate() {
                 digest.add(watch.fails_at());
                 digest.add(u64::from(watch.is_established()));
                 digest.add(u64::from(watch.check_failure(now)));
-                digest.add(u64::from(slots.is_latest(place)));
+                digest.add(u64::from(slots.is_latest(slot)));
             }
         }
     });
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -96,10 +96,16 @@
     replica: TreeReplica,
     budget: CopyBudget,
     split_write: SplitWrite,
-    /// Changes on their way.
+    /// Changes that were sent and not received yet.
     inbox: VecDeque<(u64, Change)>,
-    /// Extents being copied: into which layer, whether tried before.
-    copying: Vec<(LayerId, u32, bool)>,
+    copying: Vec<ExtentCopy>,
+}
+
+/// An extent that is being copied into a layer.
+struct ExtentCopy {
+    layer: LayerId,
+    extent: u32,
+    has_failed: bool,
 }
 
 struct Run {
@@ -113,7 +119,7 @@
     hosts: Vec<Host>,
     awaiting_writable: Vec<(u64, LayerId, u32)>,
     in_flight: Vec<(LayerId, u32)>,
-    made: u64,
+    names_created: u64,
 }
 
 impl Run {
@@ -137,7 +143,7 @@
             hosts: (0..HOSTS).map(host).collect(),
             awaiting_writable: Vec::new(),
             in_flight: Vec::new(),
-            made: 0,
+            names_created: 0,
         };
         run.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
         (0..HOSTS).for_each(|h| run.connect(h));
@@ -205,8 +211,8 @@
     }
 
     fn name(&mut self) -> String {
-        self.made += 1;
-        format!("n{}", self.made)
+        self.names_created += 1;
+        format!("n{}", self.names_created)
     }
 
     /// A block I/O: looked up, and copied first where that is needed.
@@ -222,11 +228,11 @@
         self.record.lookup(lookup);
         self.record.number(host.replica.has_lease(self.now).into());
         let Lookup::CopyFirst { into, .. } = lookup else { return };
-        let is_retry = host.copying.iter().any(|c| (c.0, c.1, c.2) == (into, extent, true));
+        let is_retry = host.copying.iter().any(|c| c.layer == into && c.extent == extent && c.has_failed);
         let starts = host.budget.may_start(host.copying.len(), is_retry, self.now);
         self.record.numbers([starts.into(), host.budget.rejected_retries]);
         if starts && !is_retry {
-            host.copying.push((into, extent, false));
+            host.copying.push(ExtentCopy { layer: into, extent, has_failed: false });
         }
         if host.replica.needs_slots(into) {
             self.record.number(8);
@@ -245,12 +251,12 @@
         if host.copying.is_empty() {
             return;
         }
-        let at = self.rng.below(host.copying.len() as u64) as usize;
+        let index = self.rng.below(host.copying.len() as u64) as usize;
         if !succeeds {
-            host.copying[at].2 = true;
+            host.copying[index].has_failed = true;
             return;
         }
-        let (layer, extent, _) = host.copying.remove(at);
+        let ExtentCopy { layer, extent, .. } = host.copying.remove(index);
         host.budget.record_success();
         let slot = host.replica.take_slot(layer);
         self.record.numbers(slot.map(u64::from));
@@ -300,10 +306,10 @@
             let due = host.replica.renewal_due(self.now);
             self.record.number(due.into());
             if due && self.rng.below(8) > 0 {
-                let seen = host.replica.version().unwrap_or(0);
-                let span = self.leases.renew(&host.name, seen, self.now);
-                self.record.number(span);
-                host.replica.lease_granted(self.now, span);
+                let version = host.replica.version().unwrap_or(0);
+                let duration = self.leases.renew(&host.name, version, self.now);
+                self.record.number(duration);
+                host.replica.lease_granted(self.now, duration);
             }
         }
     }
@@ -416,13 +422,13 @@
     }
 
     fn finish_reclaims(&mut self) {
-        for at in std::mem::take(&mut self.in_flight) {
+        for (layer, extent) in std::mem::take(&mut self.in_flight) {
             match self.rng.below(4) {
-                0 => self.in_flight.push(at),
-                1 => self.reclaimer.failed(at, self.now),
+                0 => self.in_flight.push((layer, extent)),
+                1 => self.reclaimer.failed((layer, extent), self.now),
                 _ => {
-                    self.reclaimer.completed(at);
-                    self.apply(Change::ExtentsReclaimed { layer: at.0, extents: vec![at.1] });
+                    self.reclaimer.completed((layer, extent));
+                    self.apply(Change::ExtentsReclaimed { layer, extents: vec![extent] });
                 }
             }
         }
@@ -633,7 +639,8 @@
     }
     apply(&mut tree, Change::BranchDeleted { branch: "a".into() });
     assert_eq!(free.next_batch(&tree, &[1_024].into(), &leases, 0, 10), []);
-    let extents = |lot: Vec<(LayerId, u32)>| lot.into_iter().map(|at| at.1).collect::<Vec<_>>();
+    let extents =
+        |batch: Vec<(LayerId, u32)>| batch.into_iter().map(|(_, extent)| extent).collect::<Vec<_>>();
     assert_eq!(
         extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         (256..320).collect::<Vec<_>>()
--- a/crates/cow/tests/pinned_messages.rs
+++ b/crates/cow/tests/pinned_messages.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_large_layer_is_sent_in_messages_of_a_thousand_places() {
+fn a_large_layer_is_sent_in_messages_of_a_thousand_locations() {
     let mut tree = Tree::default();
     tree.apply(&Change::BranchCreated { branch: "a".into(), extent_count: 4_096 }).expect("fits");
     tree.apply(&Change::SlotsAllocated { layer: 1024, first: 0, count: 4_096 }).expect("fits");
@@ -193,30 +193,30 @@
     assert_eq!(sizes, [1_000, 1_000, 1]);
 }
 
-/// The texts that operators read on the control socket when a request is refused.
+/// The texts that operators read on the control socket when a request is rejected.
 #[test]
-fn refusals() {
+fn rejections() {
     let mut tree = tree();
-    let refused = |tree: &Tree, change: Change| tree.check(&change).expect_err("refused").to_string();
-    let made = |branch: &str| Change::BranchCreated { branch: branch.into(), extent_count: 8 };
-    assert_eq!(refused(&tree, Change::HeadFrozen { branch: "x".into() }), "`x`: no such volume or clone");
-    assert_eq!(refused(&tree, Change::SnapshotDeleted { snapshot: "x".into() }), "`x`: no such snapshot");
-    assert_eq!(refused(&tree, made("a")), "`a`: the name is in use");
-    assert_eq!(refused(&tree, made("a/b")), "`a/b`: expected 1 to 64 letters, digits and -_.");
-    assert_eq!(refused(&tree, Change::LayerClosed { layer: 9, node: 0 }), "layer 9: no such layer");
+    let rejection = |tree: &Tree, change: Change| tree.check(&change).expect_err("a rejection").to_string();
+    let created = |branch: &str| Change::BranchCreated { branch: branch.into(), extent_count: 8 };
+    assert_eq!(rejection(&tree, Change::HeadFrozen { branch: "x".into() }), "`x`: no such volume or clone");
+    assert_eq!(rejection(&tree, Change::SnapshotDeleted { snapshot: "x".into() }), "`x`: no such snapshot");
+    assert_eq!(rejection(&tree, created("a")), "`a`: the name is in use");
+    assert_eq!(rejection(&tree, created("a/b")), "`a/b`: expected 1 to 64 letters, digits and -_.");
+    assert_eq!(rejection(&tree, Change::LayerClosed { layer: 9, node: 0 }), "layer 9: no such layer");
     assert_eq!(
-        refused(&tree, Change::ExtentWritable { layer: 1024, extent: 3 }),
+        rejection(&tree, Change::ExtentWritable { layer: 1024, extent: 3 }),
         "layer 1024: takes no new places"
     );
     let location = Location { node: 1, slot: 2 };
     let placed = |extent| Change::ExtentPlaced { layer: 1025, extent, location };
-    assert_eq!(refused(&tree, placed(3)), "the extent lies at node 0, place 1");
-    assert_eq!(refused(&tree, placed(8)), "past the end");
-    assert_eq!(refused(&tree, Change::BranchDeleted { branch: "a".into() }), "`a@s`: still in use");
+    assert_eq!(rejection(&tree, placed(3)), "the extent lies at node 0, place 1");
+    assert_eq!(rejection(&tree, placed(8)), "past the end");
+    assert_eq!(rejection(&tree, Change::BranchDeleted { branch: "a".into() }), "`a@s`: still in use");
     let text = serde_json::to_string(&tree).expect("plain data").replace(r#""made":3"#, r#""made":16776192"#);
     tree = serde_json::from_str(&text).expect("a tree");
-    assert_eq!(refused(&tree, made("d")), "no layer numbers are left");
+    assert_eq!(rejection(&tree, created("d")), "no layer numbers are left");
     let text = text.replace(r#""made":16776192"#, r#""made":16776191"#);
     tree = serde_json::from_str(&text).expect("a tree");
-    assert_eq!(tree.check(&made("d")), Ok(()));
+    assert_eq!(tree.check(&created("d")), Ok(()));
 }
--- a/crates/cow/tests/split_write.rs
+++ b/crates/cow/tests/split_write.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn write_that_is_half_in_a_snapshot_is_rejected_for_good() {
+fn write_with_a_part_in_a_snapshot_is_rejected_for_good() {
     let mut write = SplitWrite::default();
     write.part_completed(5);
     assert_eq!(write.admit(6, false, 0), PartAdmission::RequestPermission(5));
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -175,16 +175,16 @@
             model.step(step(10, 0, 0));
         }
         model.check();
-        let held: usize = model.tree.layers.values().map(|l| l.locations.len()).sum();
-        prop_assert_eq!(held, model.stored.len());
+        let location_count: usize = model.tree.layers.values().map(|l| l.locations.len()).sum();
+        prop_assert_eq!(location_count, model.stored.len());
         let mut read = std::collections::BTreeSet::new();
         let roots = model.tree.branches.values().map(|b| b.head);
         for root in roots.chain(model.tree.snapshots.values().map(|s| s.layer)) {
             read.extend((0..EXTENTS).filter_map(|e| model.tree.locate(root, e)));
         }
-        prop_assert_eq!(held, read.len());
+        prop_assert_eq!(location_count, read.len());
         let names = model.tree.branches.len() + model.tree.snapshots.len();
-        prop_assert!(model.tree.layers.len() <= names + held, "empty layers pile up");
+        prop_assert!(model.tree.layers.len() <= names + location_count, "empty layers pile up");
     }
 
     /// The same changes give the same tree, also when it is written down and read back in between.
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn split_write_is_completed_behind_a_pending_cut_only() {
+fn split_write_is_completed_after_a_pending_cut_only() {
     use mallowseam_cow::consistent_cut::{CompletionDecision, decide_completion};
     let decision = |is_granted, frozen_layers: &[LayerId]| {
         let frozen_layers = frozen_layers.iter().copied().collect();
@@ -352,8 +352,8 @@
     ));
     cut.host_quiesced(1024, "g");
     assert_eq!(cut.progress(&model.tree, 0), CutProgress::Restart);
-    let anew = cut.restart(&model.tree, ["g".to_owned()].into()).expect("a branch");
-    model.apply(anew);
+    let freeze = cut.restart(&model.tree, ["g".to_owned()].into()).expect("a branch");
+    model.apply(freeze);
     assert_eq!(cut.layer, 1025);
     assert_eq!(decide_completion(&model.tree, 1024), decision(true, &[1024, 1025]));
     cut.host_quiesced(1025, "g");
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -560,7 +560,7 @@
 }
 
 #[test]
-fn ranges_deeper_than_sixty_bits_are_passed_over() {
+fn ranges_with_prefixes_over_sixty_bits_are_ignored() {
     let mut found = Vec::new();
     for depth in 58..=64u8 {
         let mut fleet = LargeFleet::new(10);
@@ -613,7 +613,7 @@
 }
 
 #[test]
-fn the_leave_is_sent_to_as_many_members_as_recorded() {
+fn the_leave_announcement_is_sent_to_as_many_members_as_recorded() {
     let mut fleet = LargeFleet::new(5);
     fleet.introduce(1..600);
     fleet.with(|f, now, out| f.announce_leaving(now, out));
@@ -641,7 +641,7 @@
 }
 
 #[test]
-fn a_member_out_of_reach_is_pinged_ever_more_seldom_and_given_up() {
+fn an_unreachable_member_is_pinged_at_growing_intervals_and_removed() {
     let mut fleet = LargeFleet::new(7);
     fleet.introduce(1..2);
     let mut events = Vec::new();
@@ -663,7 +663,7 @@
 }
 
 #[test]
-fn a_host_that_is_stopped_again_and_again_stretches_its_periods_up_to_the_bound() {
+fn a_host_that_is_stopped_repeatedly_stretches_its_periods_up_to_the_limit() {
     let mut fleet = LargeFleet::new(8);
     fleet.introduce(1..40);
     for _ in 0..12 {
@@ -704,7 +704,7 @@
 }
 
 #[test]
-fn a_page_for_operators_holds_as_many_members_as_recorded() {
+fn a_membership_page_has_as_many_members_as_recorded() {
     let mut fleet = LargeFleet::new(9);
     fleet.introduce(1..40);
     let mut actions = Actions { recorder: &mut fleet.recorder, sent: Vec::new() };
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_configuration_that_leaves_things_out_gets_the_same_defaults() {
+fn missing_settings_get_the_same_defaults() {
     let unchecked = UncheckedFleetConfig {
         fleet: "f".into(),
         host: "h".into(),
--- a/crates/placement/tests/migration.rs
+++ b/crates/placement/tests/migration.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn volumes_on_lost_nodes_go_first_and_those_beyond_the_data_are_deferred() {
+fn volumes_on_lost_nodes_are_first_and_those_beyond_the_data_budget_are_deferred() {
     let nodes = vec![node("a", "x", 20), node("b", "x", 0), node("c", "x", 20)];
     let volumes = vec![volume("u", 3, &["a"]), volume("v", 3, &["b"]), volume("w", 3, &["a"])];
     let problem = Problem::new(nodes, volumes).expect("valid");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_volume_in_distinct_zones_is_never_in_one_zone_on_the_way() {
+fn a_volume_in_distinct_zones_is_never_in_one_zone_during_a_migration() {
     let nodes = vec![node("a", "x", 20), node("b", "y", 20), node("c", "x", 20), node("d", "y", 20)];
     let volume = Volume { spread: 2, distinct_zones: true, ..volume("u", 4, &["a", "b"]) };
     let problem = Problem::new(nodes, vec![volume]).expect("valid");
@@ -143,7 +143,7 @@
 
     /// Whatever the current placement is, each step keeps what holds, and what is not reached is reported.
     #[test]
-    fn no_step_breaks_what_held_before(seed in any::<u64>(), max_size in prop::option::of(0u64..600)) {
+    fn no_step_violates_a_constraint_that_was_met(seed in any::<u64>(), max_size in prop::option::of(0u64..600)) {
         let problem = random_problem(seed);
         let from = current_placement(&problem);
         if let SolveOutcome::Optimal(best) = solve(&problem, 100_000) {
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -21,7 +21,7 @@
 struct Scenario {
     rng: SeededRng,
     now: Millis,
-    trail: ChangeLog,
+    log: ChangeLog,
     lines: Vec<String>,
     hosts: Rollout,
     pools: Vec<QuotaPool>,
@@ -35,7 +35,7 @@
         let mut scenario = Scenario {
             rng: SeededRng::new(seed),
             now: 10_000,
-            trail: ChangeLog::default(),
+            log: ChangeLog::default(),
             lines: Vec::new(),
             hosts: Rollout::default(),
             pools: VOLUMES.iter().map(|_| QuotaPool::new(10_000, true)).collect(),
@@ -77,26 +77,23 @@
     }
 
     fn change_plans(&mut self) {
-        let expected = self.trail.state.version.saturating_sub(self.rng.below(8) / 7);
+        let expected = self.log.state.version.saturating_sub(self.rng.below(8) / 7);
         let change = self.random_change();
         let author = if self.rng.below(30) == 0 { " " } else { "board" };
         let reason = "x".repeat(if self.rng.below(10) == 0 { 500 + self.rng.below(2) as usize } else { 10 });
         let seconds = 1_800_000_000 + self.now / 1_000;
-        match self.trail.propose(expected, author, &reason, seconds, change.clone()) {
+        match self.log.propose(expected, author, &reason, seconds, change.clone()) {
             Ok(line) => {
                 self.note(&line);
-                let undo = serde_json::to_string(&self.trail.state.revert(&change)).expect("plain");
-                let before = self.trail.state.clone();
-                self.trail.append(&line).expect("it was proposed");
-                let differs = serde_json::to_string(&before.diff(&self.trail.state)).expect("plain");
-                let state = serde_json::to_string(&self.trail.state).expect("plain");
-                self.note(&format!(
-                    "undo {undo} diff {differs} state {state} last {}",
-                    self.trail.last_hash()
-                ));
+                let undo = serde_json::to_string(&self.log.state.revert(&change)).expect("plain");
+                let before = self.log.state.clone();
+                self.log.append(&line).expect("it was proposed");
+                let differs = serde_json::to_string(&before.diff(&self.log.state)).expect("plain");
+                let state = serde_json::to_string(&self.log.state).expect("plain");
+                self.note(&format!("undo {undo} diff {differs} state {state} last {}", self.log.last_hash()));
                 self.lines.push(line);
                 if self.rng.below(2) == 0 {
-                    self.hosts.mark_limit_lowered(self.trail.state.version);
+                    self.hosts.mark_limit_lowered(self.log.state.version);
                 }
             }
             Err(refused) => self.note(&format!("refused {refused}")),
@@ -136,9 +133,8 @@
         let host = self.rng.below(HOSTS) as usize;
         let HostMessage::Hello { version, .. } = self.replicas[host].hello() else { unreachable!() };
         let message = if self.rng.below(5) == 0 {
-            let last =
-                if self.rng.below(6) == 0 { "x".to_owned() } else { self.trail.last_hash().to_owned() };
-            ServiceMessage::Snapshot { state: Box::new(self.trail.state.clone()), last_hash: last }
+            let last = if self.rng.below(6) == 0 { "x".to_owned() } else { self.log.last_hash().to_owned() };
+            ServiceMessage::Snapshot { state: Box::new(self.log.state.clone()), last_hash: last }
         } else {
             let skipped = self.rng.below(8) / 7;
             let Some(text) = self.lines.get((version + skipped) as usize) else { return };
@@ -184,9 +180,9 @@
             _ => {}
         }
         let answer = serde_json::to_string(&answer).expect("plain");
-        let stands = self.replicas[host].state().version;
-        self.note(&format!("{host} next {next:?} stands {stands}: {answer}"));
-        let everywhere = self.hosts.effective_version(self.trail.state.version, self.now);
+        let version = self.replicas[host].state().version;
+        self.note(&format!("{host} next {next:?} stands {version}: {answer}"));
+        let everywhere = self.hosts.effective_version(self.log.state.version, self.now);
         self.note(&format!("{everywhere} everywhere"));
     }
 
@@ -240,12 +236,12 @@
         match self.rng.below(4) {
             0 => self.hosts.on_contact(&host, self.now),
             1 => {
-                let gone = self.hosts.declare_removed(&host, self.now);
-                self.note(&format!("{host} gone {gone}"));
+                let removed = self.hosts.declare_removed(&host, self.now);
+                self.note(&format!("{host} gone {removed}"));
             }
-            2 => self.hosts.on_accepted(&host, self.rng.below(self.trail.state.version + 1), self.now),
+            2 => self.hosts.on_accepted(&host, self.rng.below(self.log.state.version + 1), self.now),
             _ => {
-                let version = self.trail.state.version + self.rng.below(2);
+                let version = self.log.state.version + self.rng.below(2);
                 self.hosts.on_rejected(&host, version, "not now", self.now);
             }
         }
@@ -255,7 +251,7 @@
     }
 
     fn note_rollout(&mut self) {
-        let newest = self.trail.state.version;
+        let newest = self.log.state.version;
         for later in [0, 2_999, 3_000, 3_049, 3_050] {
             let now = self.now + later;
             for version in newest.saturating_sub(2)..=newest {
@@ -281,8 +277,8 @@
     fn connect(&mut self) {
         let host = self.rng.below(HOSTS) as usize;
         for step in 0..self.rng.below(300) {
-            let chance = self.rng.below(1_100);
-            if self.replicas[host].should_connect(self.now + step * 17, chance) {
+            let jitter = self.rng.below(1_100);
+            if self.replicas[host].should_connect(self.now + step * 17, jitter) {
                 self.note(&format!("{host} connects at {}", self.now + step * 17));
             }
         }
@@ -406,15 +402,15 @@
 }
 
 #[test]
-fn connection_attempts_come_at_the_recorded_milliseconds() {
-    for (chance, expected) in [
+fn connection_attempts_are_made_at_the_recorded_milliseconds() {
+    for (jitter, expected) in [
         (0, [0, 50, 150, 350, 750, 1_550, 3_150, 5_650, 8_150]),
         (1_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
         (5_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
     ] {
         let mut replica = PlanReplica::new("h", Vec::new(), None, 0);
         let attempts: Vec<Millis> =
-            (0..20_000).filter(|now| replica.should_connect(*now, chance)).take(9).collect();
-        assert_eq!(attempts, expected, "chance {chance}");
+            (0..20_000).filter(|now| replica.should_connect(*now, jitter)).take(9).collect();
+        assert_eq!(attempts, expected, "chance {jitter}");
     }
 }
--- a/crates/plans/tests/pinned_stored.rs
+++ b/crates/plans/tests/pinned_stored.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_field_that_is_missing_or_unknown_is_refused() {
+fn a_field_that_is_missing_or_unknown_is_rejected() {
     let first = STORED.lines().next().expect("not empty");
     for field in ["version", "at", "author", "reason", "change", "after", "name", "figures", "usual", "price"]
     {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn messages_to_a_member_are_the_recorded_bytes() {
+fn messages_to_a_host_are_the_recorded_bytes() {
     let state: State = serde_json::from_str(STATE).expect("reads");
     pin(
         &ServiceMessage::Snapshot { state: Box::new(state), last_hash: "cd".into() },
@@ -206,13 +206,13 @@
     assert_eq!(broken(second), "trail line 1: does not follow the line before");
     let later = first.replacen("\"version\":1", "\"version\":2", 1);
     assert_eq!(broken(&later), "trail line 1: version 2 where 1 is due");
-    let gone = first.replacen("{\"Plan\":", "{\"PlanGone\":{\"name\":\"q\"}}", 1);
-    let gone = format!(
+    let removal = first.replacen("{\"Plan\":", "{\"PlanGone\":{\"name\":\"q\"}}", 1);
+    let removal = format!(
         "{}{}",
-        &gone[..gone.find("}}{").expect("cut") + 2],
+        &removal[..removal.find("}}{").expect("cut") + 2],
         &first[first.find(",\"after\"").expect("cut")..]
     );
-    assert_eq!(broken(&gone), "trail line 1: `q`: no such plan");
+    assert_eq!(broken(&removal), "trail line 1: `q`: no such plan");
     assert_eq!(
         LogError { line: 7, kind: LogErrorKind::HashMismatch }.to_string(),
         "trail line 7: does not follow the line before"
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn figures_that_no_plan_can_have_are_refused_with_the_recorded_texts() {
+fn invalid_parameters_are_rejected_with_the_recorded_texts() {
     let check = |plan: Plan| {
         let change = Change::SetPlan { name: "basic".into(), plan };
         State::default().check(&change).map_err(|refused| refused.to_string())
--- a/crates/plans/tests/replica.rs
+++ b/crates/plans/tests/replica.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_rejected_version_is_mended_by_a_later_one() {
+fn a_rejected_version_is_superseded_by_a_later_one() {
     let (mut log, mut replica) = service_and_replica();
     replica.receive(append(&mut log, change_limit(600)), &[], NOW);
     let rejected = HostMessage::Rejected { version: 3, reason: "no".into() };
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_entry_that_does_not_follow_asks_for_a_snapshot_and_changes_nothing() {
+fn an_entry_that_does_not_follow_requests_a_snapshot_and_changes_nothing() {
     let (mut log, mut replica) = service_and_replica();
     append(&mut log, change_limit(600));
     let after_a_gap = append(&mut log, change_limit(500));
--- a/crates/simulator-adapter/tests/pinned_wire.rs
+++ b/crates/simulator-adapter/tests/pinned_wire.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn answers_are_the_recorded_ones_where_the_list_is_had_on_request() {
+fn responses_are_the_recorded_ones_with_a_polled_list() {
     assert_transcript(
         include_str!("transcripts/listed_on_request.in"),
         include_str!("transcripts/listed_on_request.out"),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn answers_are_the_recorded_ones_where_the_list_is_pushed() {
+fn responses_are_the_recorded_ones_with_a_pushed_list() {
     assert_transcript(
         include_str!("transcripts/listed_by_push.in"),
         include_str!("transcripts/listed_by_push.out"),
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn input_that_is_no_text_ends_the_adapter() {
+fn input_that_is_not_utf_8_exits_with_an_error() {
     let output = run(b"clock 5 1\n\xff\n");
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(output.stderr, b"line 2: the input: stream did not contain valid UTF-8\n");
 }
 
 #[test]
-fn adapter_whose_output_takes_nothing_ends() {
+fn closed_output_exits_with_an_error() {
     let full = std::fs::File::options().write(true).open("/dev/full").expect("a Linux system");
     let mut command = Command::new(ADAPTER);
     let command = command.stdin(Stdio::piped()).stdout(full).stderr(Stdio::piped());
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn faults_of_the_input_end_the_adapter_with_their_recorded_texts() {
+fn invalid_input_exits_with_the_recorded_error_texts() {
     for (name, before, lines, expected) in FAULTS {
         let output = run(format!("{}{lines}\n", before.replace("SETTINGS", SETTINGS)).as_bytes());
         assert_eq!(String::from_utf8_lossy(&output.stderr), format!("{expected}\n"), "{name}");
