--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -11,12 +11,12 @@
 pub const RESPONSE_TIMEOUT: Millis = 4_000;
 /// Milliseconds after which a connection without a request may be closed (platform's rule); it is closed when
 /// others need its place.
-pub const EVICTABLE_AFTER_IDLE: Millis = 2_000;
+const EVICTABLE_AFTER_IDLE: Millis = 2_000;
 /// Milliseconds after which an idle connection is closed in any case: past any client's pause.
-pub const IDLE_TIMEOUT: Millis = 30_000;
+const IDLE_TIMEOUT: Millis = 30_000;
 /// Milliseconds for which the result of a poll is taken as current. A client's disconnect must be noticed within
 /// 100 ms (platform's rule), also while the loop is busy; this is a third of it.
-pub const POLL_RESULT_LIFETIME: Millis = 30;
+const POLL_RESULT_LIFETIME: Millis = 30;
 /// Milliseconds for which a closed connection is still read: closing a socket with unread bytes would reset it, and
 /// the client could lose the error that was sent on it.
 pub const LINGER_TIMEOUT: Millis = 500;
@@ -24,9 +24,9 @@
 pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Milliseconds before the next request is read after a rejected one, doubled by each further one: a client that
 /// retries at once costs little.
-pub const REJECTION_BACKOFF: Millis = 50;
+const REJECTION_BACKOFF: Millis = 50;
 /// Longest backoff, in milliseconds.
-pub const MAX_REJECTION_BACKOFF: Millis = 1_600;
+const MAX_REJECTION_BACKOFF: Millis = 1_600;
 /// Rejections after which the backoff is not doubled any more. Keeps the shift within the type.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
--- a/crates/connection-policy/src/graceful_shutdown.rs
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -7,11 +7,11 @@
 pub const OPERATOR_GRACE: Millis = 650;
 /// After SIGTERM the platform sends SIGKILL no sooner than the longest deadline, counted as this at most, and
 /// [`KILL_DELAY`]. Milliseconds.
-pub const MAX_COUNTED_DEADLINE: Millis = 3_000;
+const MAX_COUNTED_DEADLINE: Millis = 3_000;
 /// Milliseconds from the end of the longest deadline to SIGKILL.
 pub const KILL_DELAY: Millis = 700;
 /// Milliseconds before SIGKILL by which the last answer is sent: what a busy machine takes to deliver it.
-pub const KILL_MARGIN: Millis = 60;
+const KILL_MARGIN: Millis = 60;
 
 /// A graceful shutdown that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/connection-policy/src/keep_alive.rs
+++ b/crates/connection-policy/src/keep_alive.rs
@@ -17,7 +17,7 @@
 pub const RESET_WITHIN: Millis = 5;
 /// Milliseconds within which several rejections of new connections count as one: closing idle connections takes that
 /// long to show an effect.
-pub const REJECTION_INTERVAL: Millis = 1_000;
+const REJECTION_INTERVAL: Millis = 1_000;
 /// Milliseconds without a lost or rejected connection after which the idle timeout doubles.
 pub const RECOVERY_INTERVAL: Millis = 10_000;
 
--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -83,8 +83,7 @@
     }
 
     /// The tree without its locations, which [`Tree::insert_locations`] adds again.
-    #[must_use]
-    pub fn without_locations(&self) -> Tree {
+    pub(crate) fn without_locations(&self) -> Tree {
         let empty = |layer: &Layer| Layer {
             parent: layer.parent,
             frozen: layer.frozen,
@@ -105,7 +104,7 @@
 
     /// Adds locations to a tree that was sent without them. False: there is no such layer.
     #[must_use]
-    pub fn insert_locations(&mut self, layer_id: LayerId, locations: &[ExtentLocation]) -> bool {
+    pub(crate) fn insert_locations(&mut self, layer_id: LayerId, locations: &[ExtentLocation]) -> bool {
         let Some(layer) = self.layers.get_mut(&layer_id) else { return false };
         for entry in locations {
             if layer.locations.insert(entry.extent, entry.location).is_none() {
--- a/crates/cow/src/tree/model.rs
+++ b/crates/cow/src/tree/model.rs
@@ -69,7 +69,7 @@
 
 impl Layer {
     /// The locations of the layer with whether they may be written, in order of extents.
-    pub fn extent_locations(&self) -> impl Iterator<Item = ExtentLocation> + '_ {
+    pub(crate) fn extent_locations(&self) -> impl Iterator<Item = ExtentLocation> + '_ {
         self.locations.iter().map(|(extent, location)| ExtentLocation {
             extent: *extent,
             location: *location,
--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -23,8 +23,7 @@
     }
 
     /// The state that has this name on the wire.
-    #[must_use]
-    pub fn from_wire(name: &str) -> Option<EndpointState> {
+    pub(crate) fn from_wire(name: &str) -> Option<EndpointState> {
         let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
         states.into_iter().find(|state| state.as_str() == name)
     }
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -19,17 +19,14 @@
 /// Carries out the actions of one call of the state machine.
 struct SocketActions<'a> {
     socket: &'a UdpSocket,
-    send_failures: &'a mut u64,
     event_log: &'a mut EventLog,
     now: Millis,
 }
 
 impl ActionSink for SocketActions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        // A datagram that can't be sent is lost, as it may be on the network.
-        if self.socket.send_to(bytes, to).is_err() {
-            *self.send_failures += 1;
-        }
+        // A datagram that can't be sent counts as lost on the network; the protocol copes with that.
+        let _ = self.socket.send_to(bytes, to);
     }
 
     fn notify(&mut self, event: MembershipEvent) {
@@ -44,7 +41,6 @@
     membership: Membership,
     start: Instant,
     event_log: EventLog,
-    send_failures: u64,
     receive_buffer: [u8; RECEIVE_BUFFER_BYTES],
 }
 
@@ -71,7 +67,6 @@
             membership: Membership::new(config, rand::random(), 0, unix_ms),
             start: Instant::now(),
             event_log: EventLog::default(),
-            send_failures: 0,
             receive_buffer: [0; RECEIVE_BUFFER_BYTES],
         })
     }
@@ -139,12 +134,6 @@
         &self.membership
     }
 
-    /// Datagrams that could not be sent, since the start.
-    #[must_use]
-    pub fn send_failures(&self) -> u64 {
-        self.send_failures
-    }
-
     /// Milliseconds since the start.
     fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis
@@ -153,7 +142,7 @@
     /// Calls the state machine and carries out its actions.
     fn act(&mut self, call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let now = self.now();
-        let UdpMembership { socket, membership, event_log, send_failures, .. } = self;
-        call(membership, now, &mut SocketActions { socket, send_failures, event_log, now });
+        let UdpMembership { socket, membership, event_log, .. } = self;
+        call(membership, now, &mut SocketActions { socket, event_log, now });
     }
 }
