--- a/crates/lab/tests/pinned.rs
+++ b/crates/lab/tests/pinned.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
@@ -396,16 +396,17 @@
     pinned("capacity", &out, 0xfe30_b396_54e7_44bc);
 }
 
-fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    listener.local_addr().expect("bound")
+/// An address of this process alone, for each seed another one.
+fn node_address(seed: u64) -> SocketAddr {
+    let process = std::process::id();
+    SocketAddr::from(([127, 100 + (process >> 8) as u8 % 60, process as u8, 200 + seed as u8], 3260))
 }
 
 #[test]
 fn failures_of_a_node_by_its_seed() {
     let mut out = String::new();
     for seed in 1..4 {
-        let address = free_address();
+        let address = node_address(seed);
         let model = Model::quick(2, 0.5, 64);
         let node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         // Faults are taken up before anything that is sent after them.
@@ -433,7 +434,7 @@
     const REQUESTS: usize = 60;
     let mut out = String::new();
     for seed in 1..3 {
-        let address = free_address();
+        let address = node_address(seed);
         let model = Model::quick(4, 0.0, 4096);
         let _node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         let volume = |lun, plan: &str| VolumeTarget {
