--- a/crates/lab/tests/pinned.rs
+++ b/crates/lab/tests/pinned.rs
@@ -16,6 +16,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::process::Command;
+use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
 /// FNV-1a, 64 bits.
@@ -396,17 +397,19 @@
     pinned("capacity", &out, 0xfe30_b396_54e7_44bc);
 }
 
-/// An address of this process alone, for each seed another one.
-fn node_address(seed: u64) -> SocketAddr {
+/// An address of this process alone, another one at each call.
+fn node_address() -> SocketAddr {
+    static NEXT: AtomicU8 = AtomicU8::new(200);
     let process = std::process::id();
-    SocketAddr::from(([127, 100 + (process >> 8) as u8 % 60, process as u8, 200 + seed as u8], 3260))
+    let last = NEXT.fetch_add(1, Ordering::Relaxed);
+    SocketAddr::from(([127, 100 + (process >> 8) as u8 % 60, process as u8, last], 3260))
 }
 
 #[test]
 fn failures_of_a_node_by_its_seed() {
     let mut out = String::new();
     for seed in 1..4 {
-        let address = node_address(seed);
+        let address = node_address();
         let model = Model::quick(2, 0.5, 64);
         let node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         // Faults are taken up before anything that is sent after them.
@@ -434,7 +437,7 @@
     const REQUESTS: usize = 60;
     let mut out = String::new();
     for seed in 1..3 {
-        let address = node_address(seed);
+        let address = node_address();
         let model = Model::quick(4, 0.0, 4096);
         let _node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         let volume = |lun, plan: &str| VolumeTarget {
