--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -136,8 +136,7 @@
         }
         let data = write_data.bytes();
         let unsolicited = data.len().min(self.params.first_burst_len);
-        let immediate =
-            if self.params.immediate_data { unsolicited.min(self.params.max_send_data_segment) } else { 0 };
+        let immediate = self.immediate_len(unsolicited);
         let data_out_follows = !self.params.initial_r2t && immediate < unsolicited;
         let (index, itt) = self.commands.reserve();
         let bhs = command_header(lun, cdb, read_len, data.len(), data_out_follows)
@@ -165,7 +164,12 @@
         true
     }
 
-    /// Sends a command's data from what is sent on up to an offset.
+    /// How much of a command's unsolicited data goes into the PDU of the command itself.
+    fn immediate_len(&self, unsolicited_len: usize) -> usize {
+        if self.params.immediate_data { unsolicited_len.min(self.params.max_send_data_segment) } else { 0 }
+    }
+
+    /// Sends a command's unsent data up to an offset.
     fn send_burst(&mut self, command: &mut InFlightCommand, transfer_tag: u32, end: usize) {
         let mut data_sn = 0;
         while command.sent < end {
