--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -80,14 +80,14 @@
     accepting: bool,
     control: Option<ControlSocket>,
     signals: UnixStream,
-    /// How often it was told to stop.
+    /// Signals and requests to stop so far.
     stop_requests: u32,
     pending_reads: VecDeque<PendingRead>,
     read_buffer: Vec<u8>,
     last_check: Tick,
 }
 
-/// Runs a host until it is told to stop.
+/// Runs a host until SIGTERM, SIGINT or a request to stop.
 ///
 /// # Errors
 /// An address or path of the configuration cannot be had.
@@ -118,14 +118,14 @@
 }
 
 /// What every session is negotiated with.
-fn session_wishes(site: &GatewayConfig) -> ProposedParams {
+fn session_proposal(site: &GatewayConfig) -> ProposedParams {
     let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
     ProposedParams { digests, ..ProposedParams::default() }
 }
 
 fn open_clients(site: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
     let terms = Rc::new(TargetConfig {
-        proposal: session_wishes(site),
+        proposal: session_proposal(site),
         command_window: site.host.command_window,
         max_transfer_bytes: site.host.max_transfer_bytes as usize,
         target_names: vec![site.host.target.clone()],
@@ -139,7 +139,7 @@
 fn open_nodes(site: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
     let initiator = format!("{}:{}", site.host.target, site.host.name);
     let registry = startup::registry(poll)?;
-    Ok(Nodes::new(&site.nodes, initiator, session_wishes(site), registry, FIRST_NODE))
+    Ok(Nodes::new(&site.nodes, initiator, session_proposal(site), registry, FIRST_NODE))
 }
 
 /// The catalog's client, where the site has a catalog and a volume of the host is mapped.
@@ -221,7 +221,7 @@
         self.after_events();
     }
 
-    /// Told to stop and nothing is left to be done, or told twice.
+    /// Asked to stop with nothing left in flight, or asked twice.
     fn is_finished(&self) -> bool {
         let idle =
             self.dispatcher.clients.admission.connection_count() == 0 && self.dispatcher.in_flight() == 0;
--- a/crates/lab/src/endpoint_list_service.rs
+++ b/crates/lab/src/endpoint_list_service.rs
@@ -248,7 +248,7 @@
             .map(|node| Endpoint {
                 name: node_name(node.node),
                 state: node.state,
-                incarnation: node.incarnation,
+                generation: node.incarnation,
                 uptime_ms: (now - node.started_at) / 1000,
             })
             .collect();
--- a/crates/lab/src/fleet/membership_audit.rs
+++ b/crates/lab/src/fleet/membership_audit.rs
@@ -19,7 +19,7 @@
 
 /// Protocol periods until a killed host is unreachable for all: a suspicion that nobody confirms, and its
 /// dissemination.
-pub fn detection_periods(hosts: u32) -> f64 {
+fn detection_periods(hosts: u32) -> f64 {
     15.0 * f64::from(hosts.max(10)).log10() + 20.0
 }
 
@@ -102,7 +102,7 @@
     observations: &[Observation],
     samples: &[MembershipSample],
 ) -> MembershipVerdict {
-    // All hosts are told to end when the run is over.
+    // All hosts are terminated when the run is over.
     let samples: Vec<&MembershipSample> =
         samples.iter().filter(|s| s.requested_at < scenario.duration).collect();
     let audit = MembershipAudit {
--- a/crates/lab/src/fleet/peers.rs
+++ b/crates/lab/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The peers of the hosts, simulated on one event loop: list services, nodes and clients. Every connection and
+//! The peers of the hosts, simulated on one event loop: discovery services, nodes and clients. Every connection and
 //! datagram passes a link with faults of its own. The owner drives the loop one iteration at a time.
 mod clients;
 mod connections;
@@ -37,7 +37,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 pub use discovery::NOTIFICATION_DEADLINE;
-pub use endpoint_list::{ListedNode, NodeStatus};
+pub(crate) use endpoint_list::{ListedNode, NodeStatus};
 pub use membership::{MembershipSample, MembershipView, SampledMember};
 
 const HTTP_LIMITS: Limits = Limits { head: 16 * 1024, body: 1 << 20 };
@@ -65,7 +65,7 @@
     last_serial: u64,
     links: Links,
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
-    /// The list services.
+    /// The discovery services.
     pub(super) discovery: [DiscoveryQueue<ConnectionId>; LIST_SERVICES as usize],
     endpoints: EndpointList,
     undelivered: Vec<Undelivered>,
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// A socket can't be opened, or all loopback addresses are in use.
-    pub fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
+    pub(crate) fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let poll = Poll::new().map_err(TestbedError::Poll)?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -180,8 +180,8 @@
         self.paused[host as usize] || fault(Peer::Clients, host_peer) || fault(host_peer, Peer::Clients)
     }
 
-    /// Changes how a list service behaves.
-    pub fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
+    /// Changes how a discovery service behaves.
+    pub(crate) fn set_discovery_behavior(&mut self, list: usize, behavior: ServiceBehavior) {
         let now = self.now();
         self.discovery[list].set_behavior(now, behavior);
         if behavior == ServiceBehavior::Down {
--- a/crates/lab/src/fleet/peers/connections.rs
+++ b/crates/lab/src/fleet/peers/connections.rs
@@ -13,14 +13,14 @@
 
 /// A connection: its place in the table, and a number that tells it from later ones in the same place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId {
+pub(crate) struct ConnectionId {
     pub(super) index: u32,
     pub(super) serial: u64,
 }
 
 /// What a connection is for.
 pub(super) enum ConnectionRole {
-    /// From a host to a list service.
+    /// From a host to a discovery service.
     Poll {
         list: u32,
         reader: RequestReader,
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -48,11 +48,11 @@
     pub nodes_start_cold: bool,
     /// What clients do.
     pub load: LoadProfile,
-    /// Time that a poll takes at the list service.
+    /// Time that a poll takes at the discovery service.
     pub service_time: Micros,
     /// Time after which a queued poll is rejected.
     pub queue_timeout: Micros,
-    /// Time until the list service learns of a node's change.
+    /// Time until the discovery service learns of a node's change.
     pub discovery_lag: Micros,
     /// Memory limit of a host in megabytes.
     pub memory_mb: u32,
@@ -100,12 +100,12 @@
     pub const ALL: IndexRange = IndexRange { start: 0, end: u32::MAX };
 
     /// Whether it contains an index.
-    pub fn contains(self, index: u32) -> bool {
+    pub(crate) fn contains(self, index: u32) -> bool {
         (self.start..self.end).contains(&index)
     }
 
     /// The indexes below `count`.
-    pub fn below(self, count: u32) -> std::ops::Range<u32> {
+    pub(crate) fn below(self, count: u32) -> std::ops::Range<u32> {
         self.start.min(count)..self.end.min(count)
     }
 }
@@ -123,7 +123,7 @@
     PauseHosts(IndexRange),
     /// SIGCONT to hosts.
     ResumeHosts(IndexRange),
-    /// SIGHUP to hosts with a configuration that names the other list service.
+    /// SIGHUP to hosts with a configuration that names the other discovery service.
     RedirectHosts(IndexRange),
     /// Stops nodes.
     StopNodes(IndexRange),
@@ -135,7 +135,7 @@
     ReplaceNodes(IndexRange),
     /// Removes drained nodes.
     RemoveNodes(IndexRange),
-    /// Changes how the list service behaves.
+    /// Changes how the discovery service behaves.
     SetDiscoveryBehavior(ServiceBehavior),
     /// Open watches of these hosts stay open and send nothing any more.
     StallWatches(IndexRange),
@@ -175,12 +175,12 @@
     }
 
     /// Whether a host takes part in the membership protocol.
-    pub fn has_membership(&self, host: u32) -> bool {
+    pub(crate) fn has_membership(&self, host: u32) -> bool {
         self.membership.is_some_and(|m| m.participants.contains(host))
     }
 
     /// How many polls may wait: what the service handles in about a second.
-    pub fn max_queued_polls(&self) -> u32 {
+    pub(crate) fn max_queued_polls(&self) -> u32 {
         (1_000_000 / self.service_time.max(1)).max(1) as u32
     }
 }
