--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Runs a host on a thread of its own for so many reads and writes; the allocations of that thread.
+/// Runs a host on a thread of its own for this many reads or writes; the number of allocations of that thread.
 fn allocations(run: u8, write: bool, ios: u64) -> u64 {
     let pid = std::process::id();
     let address = |n| SocketAddr::from(([127, 252, pid as u8, run * 4 + n], 3260));
@@ -51,8 +51,8 @@
 
 #[test]
 fn block_io_allocates_its_data_buffers_only() {
-    // A read: the buffer that takes its data. A write: the same, and the count of those who share it. TraceEvent
-    // else grows does so ever more seldom.
+    // A read: the buffer that takes its data. A write: the same, and the reference count of it.
+    // Collections that grow do so ever more seldom.
     for (run, write, most) in [(1, false, 1.05), (3, true, 2.05)] {
         let few = allocations(run, write, 2_000);
         let many = allocations(run + 1, write, 12_000);
--- a/crates/lab/tests/audit/budgets.rs
+++ b/crates/lab/tests/audit/budgets.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn lower_limit_counts_once_all_hosts_apply_it() {
-    // Six units at 100 ms, where four may be saved up and two are slack; then two at once, from 50 ms on or later.
+    // Six units at 100 ms, where the token bucket holds four and two are tolerance; then two at once, from 50 ms on or later.
     for (in_force, broken) in [(Micros::MAX, 0), (150_000, 0), (50_000, 1)] {
         let mut run = sound_record();
         for op in 0..6 {
--- a/crates/lab/tests/audit/data.rs
+++ b/crates/lab/tests/audit/data.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn read_that_does_not_show_the_last_write_is_reported() {
-    // Altered bytes, a write that was overwritten, one lost, one from elsewhere.
+    // Corrupt bytes, a write that was overwritten, a lost one, one to another address.
     for shows in [None, Some(1), Some(0), Some(9)] {
         let mut run = sound_record();
         run.send(100, 5, false, 0);
@@ -32,7 +32,7 @@
 
 #[test]
 fn snapshot_without_an_acknowledged_write_or_with_a_later_one_is_reported() {
-    // Writes 1 and 3 end at 10 and 50.
+    // Writes 1 and 3 complete at 10 and 50.
     for (asked, granted, shows, inexact) in [
         (15, 18, 1, false),
         (15, 18, 0, true),
@@ -60,7 +60,7 @@
 
 #[test]
 fn snapshot_with_a_later_write_but_not_the_earlier_one_is_reported() {
-    // Two posts of one account under way at the cut, in order: the first touches more blocks than the second.
+    // Two writes of one key in flight at the cut, in order: the first covers more blocks than the second.
     for (shows, inexact) in [([6, 6, 5, 5, 5, 5, 5, 5], false), ([6, 6, 3, 3, 3, 3, 3, 3], true)] {
         let mut run = sound_record();
         run.send(100, 5, true, 0);
--- a/crates/lab/tests/audit/record.rs
+++ b/crates/lab/tests/audit/record.rs
@@ -66,7 +66,7 @@
 
 pub(crate) const MS: Micros = 1_000;
 
-/// A run, written down step by step.
+/// Builds the record of a run step by step; times are in milliseconds.
 #[derive(Default)]
 pub(crate) struct RecordBuilder {
     pub(crate) seen: Vec<TraceEntry>,
@@ -103,7 +103,7 @@
         )
     }
 
-    /// The node of the command's volume gets it; the number of that submit.
+    /// The node of the command's volume receives it; the task tag of that attempt.
     pub(crate) fn node_receives(&mut self, at: Micros, op: u64) -> u32 {
         let (_, write, lba, volume, group_number) = *self.asked.iter().find(|a| a.0 == op).expect("asked");
         self.tasks += 1;
@@ -139,7 +139,7 @@
         self.note(at, TraceEvent::CommandAnswered { command: op, status: code, read })
     }
 
-    /// A command from asking to its end, in ten milliseconds.
+    /// A command that completes in ten milliseconds.
     pub(crate) fn complete_command(
         &mut self,
         at: Micros,
@@ -176,7 +176,7 @@
         judge(&site, &model, &seen, places)
     }
 
-    /// Which rules the audit holds broken; 8 stands for wrong bytes.
+    /// Numbers of the violated rules; 8 means wrong data.
     pub(crate) fn violated_rules(&self) -> Vec<usize> {
         let v = self.judge();
         let mut rules: Vec<usize> = (1..=7).filter(|r| !v.violations[r - 1].is_empty()).collect();
@@ -195,7 +195,7 @@
 }
 
 impl RecordBuilder {
-    /// A snapshot of volume 0, asked for and granted at these times; what its first eight blocks show.
+    /// A snapshot of volume 0 with the times of its request and grant, and what its first eight blocks show.
     pub(crate) fn snapshot(&mut self, asked: Micros, granted: Micros, shows: [u64; 8]) -> &mut Self {
         let mut blocks = vec![Some(0); 64];
         for (block, id) in blocks.iter_mut().zip(shows) {
--- a/crates/lab/tests/host/block_io.rs
+++ b/crates/lab/tests/host/block_io.rs
@@ -13,18 +13,18 @@
 fn writes_across_nodes_keys_and_bursts_read_back() {
     let site = Site::new(10.0);
     let mut client = site.client(1);
-    // 512 KiB across the border of two nodes: immediate data, unsolicited data and R2Ts.
+    // 512 KiB across the boundary of two nodes: immediate data, unsolicited data and R2Ts.
     assert_eq!(write(&mut client, 5, 7_500, 1_024), status::GOOD);
     assert_eq!(write(&mut client, 6, 7_997, 6), status::GOOD);
     let shown = read(&mut client, 7_400, 1_200);
     for (i, id) in shown.iter().enumerate() {
         let lba = 7_400 + i as u64;
-        let wanted = match lba {
+        let expected = match lba {
             7_997..8_003 => 6,
             7_500..8_524 => 5,
             _ => 0,
         };
-        assert_eq!(*id, Some(wanted), "block {lba}");
+        assert_eq!(*id, Some(expected), "block {lba}");
     }
 }
 
@@ -62,10 +62,10 @@
 #[test]
 fn client_that_stops_reading_delays_no_other_and_loses_nothing() {
     let site = Site::new(10.0);
-    let mut deaf = site.client(1);
+    let mut stalled = site.client(1);
     let mut other = site.client(2);
     for tag in 0..48 {
-        assert!(deaf.conn.send_command(
+        assert!(stalled.conn.send_command(
             tag,
             0,
             &scsi::read_or_write_16(false, 0, 2048, 0),
@@ -73,20 +73,20 @@
             vec![].into()
         ));
     }
-    deaf.flush().expect("sent");
+    stalled.flush().expect("sent");
     let full = site.wait_for("buffers fill", |s| s.buffer_bytes > 8 << 20);
-    // What one connection may hold: its window of the longest reads.
+    // The limit of one connection: its command window, full of the longest reads.
     assert!(full.buffer_bytes < 80 << 20, "{}", full.buffer_bytes);
     for _ in 0..50 {
         assert_eq!(read(&mut other, 9_000, 8), [Some(0); 8]);
     }
-    let mut whole = 0;
-    while whole < 48 {
+    let mut completed = 0;
+    while completed < 48 {
         if let InitiatorEvent::CommandCompleted { status: code, data, .. } =
-            deaf.next_event().expect("an answer")
+            stalled.next_event().expect("an answer")
         {
             assert_eq!((code, data.len()), (status::GOOD, 1 << 20));
-            whole += 1;
+            completed += 1;
         }
     }
     site.wait_for("buffers are given back", |s| s.buffer_bytes < 1 << 20);
--- a/crates/lab/tests/host/lifecycle.rs
+++ b/crates/lab/tests/host/lifecycle.rs
@@ -17,13 +17,13 @@
 
 #[test]
 fn timer_due_during_start_is_followed_by_later_timers() {
-    // By this seed the first wake-up is due at once, and to read so long a kept list takes far longer.
+    // With this seed the first timer is due at once, and reading so long a cached list takes far longer.
     let site = Site::with(10.0, |dir, conf| {
         let names = (0..2).map(|n| format!("node{n}")).chain((0..4_000).map(|n| format!("other{n}")));
         let lines: String = names.map(|name| format!("node {name} active 0 10\n")).collect();
-        let kept = dir.join("kept");
-        std::fs::write(&kept, format!("kept 4002\n{lines}end\n")).expect("a file");
-        let service = format!("node-list 127.0.0.1:9\n  kept-list \"{}\"", kept.display());
+        let cached_list = dir.join("kept");
+        std::fs::write(&cached_list, format!("kept 4002\n{lines}end\n")).expect("a file");
+        let service = format!("node-list 127.0.0.1:9\n  kept-list \"{}\"", cached_list.display());
         conf.replace("node-list static", &service).replace("seed 1\n", "seed 3879\n")
     });
     site.nodes[0].inject(NodeFault::Silent(true));
@@ -33,7 +33,7 @@
     }
     client.flush().expect("sent");
     let began = Instant::now();
-    // What is held for the silent node is given up at its goal of 1 s, by a wake-up and by nothing else.
+    // Commands queued for the silent node fail at their latency objective of 1 s, by a timer and by nothing else.
     for _ in 1..40 {
         let Ok(InitiatorEvent::CommandCompleted { status: code, .. }) = client.next_event() else {
             panic!("an answer")
@@ -50,10 +50,10 @@
     client.conn.send_command(1, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
     client.flush().expect("sent");
     site.wait_for("the read is out", |s| s.nodes[0].attempts == 1);
-    assert_eq!(send_request(&site.control(), "drain").expect("told"), "draining");
+    assert_eq!(send_request(&site.control(), "drain").expect("an answer"), "draining");
     let refused = BlockingClient::open(site.address, Some(TARGET), 2).err().expect("refused");
     assert!(refused.to_string().contains("0301"), "{refused}");
-    assert_eq!(send_request(&site.control(), "undrain").expect("told"), "open");
+    assert_eq!(send_request(&site.control(), "undrain").expect("an answer"), "open");
     site.client(3);
     kill(Pid::from_raw(site.host.id() as i32), Signal::SIGTERM).expect("a signal");
     let mut answered = false;
@@ -127,18 +127,18 @@
     assert_eq!(reload(), (true, "nothing is different\n".into()));
     let tight = "plan free\n  reserve 1/s\n  weight 4\n  limit 1/s burst 8\n";
     std::fs::write(&file, text.replace("plan free\n  reserve 9999/s\n", tight)).expect("a file");
-    let (done, told) = reload();
-    assert!(done && told.contains("plan free: reserve 1 instead of 9999, limit 1"), "{told}");
+    let (succeeded, output) = reload();
+    assert!(succeeded && output.contains("plan free: reserve 1 instead of 9999, limit 1"), "{output}");
     let plan = &site.status().plans[0];
     assert_eq!((plan.reserve, plan.limit, plan.weight), (1.0, 1.0, 4.0));
-    // A unit a second from an empty store, while each of twenty in a row waits for half a second at most.
+    // A unit a second from an empty token bucket, while each of twenty in a row waits for half a second at most.
     let shed = (0..20).filter(|i| write(&mut client, 2 + i, 8 * i, 8) == status::BUSY).count();
     assert!((10..=17).contains(&shed), "{shed} of 20");
     std::fs::write(&file, text.replace("longest 1MiB", "longest 2MiB").replace("9999/s", "5/s"))
         .expect("a file");
-    let (done, told) = reload();
-    assert!(!done && told.contains("section host: differs"), "{told}");
-    assert_eq!(site.status().plans[0].reserve, 1.0, "nothing was taken up");
+    let (succeeded, output) = reload();
+    assert!(!succeeded && output.contains("section host: differs"), "{output}");
+    assert_eq!(site.status().plans[0].reserve, 1.0, "nothing was applied");
     std::fs::write(&file, &text).expect("a file");
     assert!(reload().0);
     assert!((0..20).all(|i| write(&mut client, 50 + i, 8 * i, 8) == status::GOOD));
@@ -160,12 +160,12 @@
     }
     let out = recorder.wait_with_output().expect("it ends");
     let record = String::from_utf8_lossy(&out.stdout).into_owned();
-    let asked = record
+    let demand = record
         .lines()
         .filter(|l| l.contains(" a asked "))
         .filter_map(|l| l.split(' ').nth(4)?.trim_end_matches("/s").parse::<f64>().ok());
-    let asked: Vec<f64> = asked.collect();
-    assert!(asked.len() == 2 && asked.iter().all(|a| *a > 10.0), "{record}");
+    let demand: Vec<f64> = demand.collect();
+    assert!(demand.len() == 2 && demand.iter().all(|a| *a > 10.0), "{record}");
     let put = |name: &str, text: &str| {
         let path = site.dir.path().join(name);
         std::fs::write(&path, text).expect("a file");
@@ -176,20 +176,24 @@
     let (worse, better) = (put("one", "place a n\nplace b m\n"), put("two", "place a m\nplace b n\n"));
     let record = put("log", &record);
     let out = lab(&["shares", "replay", &problem, &record, &worse, &better]).output().expect("a run");
-    let told = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
-    let best: Vec<&str> = told.lines().skip(1).take(2).filter_map(|l| l.split_whitespace().last()).collect();
-    assert_eq!(best, ["0", "2"], "{told}");
+    let output = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
+    let best: Vec<&str> =
+        output.lines().skip(1).take(2).filter_map(|l| l.split_whitespace().last()).collect();
+    assert_eq!(best, ["0", "2"], "{output}");
 }
 
 #[test]
 fn hosts_find_each_other_and_see_a_terminated_one_leave() {
     use mallowseam_fleet::MemberState;
     use mallowseam_fleet_udp::query_membership;
-    let place = |n: u8| SocketAddr::from(([127, 219, std::process::id() as u8, n], 7000));
+    let fleet_address = |n: u8| SocketAddr::from(([127, 219, std::process::id() as u8, n], 7000));
     let with = |n: u8| {
         Site::with(10.0, |_, conf| {
-            let line =
-                format!("  fleet south listen {} seed {} zone z{n} period 100ms\n", place(n), place(3 - n));
+            let line = format!(
+                "  fleet south listen {} seed {} zone z{n} period 100ms\n",
+                fleet_address(n),
+                fleet_address(3 - n)
+            );
             conf.replacen("host gw0\n", &format!("host gw{n}\n{line}"), 1)
         })
     };
@@ -197,7 +201,7 @@
     let sees = |n: u8, name: &str, state: MemberState| {
         let began = Instant::now();
         loop {
-            let seen = query_membership(place(n)).ok();
+            let seen = query_membership(fleet_address(n)).ok();
             let seen = seen.and_then(|v| v.members.iter().find(|m| m.record.name == name).map(|m| m.state));
             if seen == Some(state) {
                 return began.elapsed();
@@ -217,13 +221,16 @@
         let out = lab(args).output().expect("it runs");
         (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
     };
-    let at = place(1).to_string();
-    let (well, table) = shown(&["fleet", &at]);
-    assert!(well && table.contains("gw2") && table.contains("left") && table.contains("1 alive"), "{table}");
-    let (well, json) = shown(&["fleet", &at, "--json"]);
+    let at = fleet_address(1).to_string();
+    let (succeeded, table) = shown(&["fleet", &at]);
+    assert!(
+        succeeded && table.contains("gw2") && table.contains("left") && table.contains("1 alive"),
+        "{table}"
+    );
+    let (succeeded, json) = shown(&["fleet", &at, "--json"]);
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
-    assert!(well && json["members"].as_array().is_some_and(|m| m.len() == 2), "{json}");
+    assert!(succeeded && json["members"].as_array().is_some_and(|m| m.len() == 2), "{json}");
     assert!(shown(&["fleet", &at, &at, "--agree"]).0, "one agrees with itself");
-    assert!(!shown(&["fleet", &place(2).to_string()]).0, "nobody is there");
+    assert!(!shown(&["fleet", &fleet_address(2).to_string()]).0, "nobody is there");
     drop(one);
 }
--- a/crates/lab/tests/host/protocol.rs
+++ b/crates/lab/tests/host/protocol.rs
@@ -83,7 +83,7 @@
         ("a command far ahead", write.with_cmd_sn(3).with_itt(9).with_expected_data_len(4096), 0),
         ("the reserved tag", write.with_itt(0xffff_ffff).with_expected_data_len(4096), 4096),
         ("more immediate data than the write", write.with_expected_data_len(512), 4096),
-        ("data nobody asked for", write.with_expected_data_len(1 << 19), 100_000),
+        ("unsolicited data", write.with_expected_data_len(1 << 19), 100_000),
         ("a write past the longest", longest.with_expected_data_len(64 << 20).with_byte(1, flag::WRITE), 0),
         ("a segment past the agreed length", write.with_expected_data_len(1 << 20), 600_000),
         ("a text that is none", Bhs::new(opcode::TEXT_REQUEST, flag::FINAL), 64),
@@ -102,7 +102,7 @@
         );
         assert_eq!(read(&mut other, 0, 8), [Some(0); 8], "{what}");
     }
-    // What has an answer of its own is rejected, and the connection goes on.
+    // An opcode that is not supported is rejected, and the connection stays open.
     let mut client = site.client(200);
     let mut out = SendBuffer::default();
     out.push(Bhs::new(opcode::SNACK, flag::FINAL), &[]);
@@ -115,14 +115,14 @@
 #[test]
 fn unfinished_login_times_out_and_a_second_login_replaces_the_session() {
     let site = Site::new(10.0);
-    let mut half = TcpStream::connect(site.address).expect("a connection");
+    let mut unfinished = TcpStream::connect(site.address).expect("a connection");
     let mut conn = InitiatorConnection::new("iqn.half", Some(TARGET), [0; 6], &ProposedParams::default());
     let bytes = conn.send_buffer().unsent();
-    half.write_all(&bytes[..bytes.len() / 2]).expect("sent");
-    half.set_read_timeout(Some(Duration::from_secs(12))).expect("a socket");
+    unfinished.write_all(&bytes[..bytes.len() / 2]).expect("sent");
+    unfinished.set_read_timeout(Some(Duration::from_secs(12))).expect("a socket");
     let mut first = site.client(1);
     let mut second = site.client(1);
     assert_eq!(read(&mut second, 0, 1), [Some(0)]);
     assert!(first.next_event().is_err(), "the old connection is closed");
-    assert_eq!(half.read(&mut [0; 8]).expect("closed"), 0);
+    assert_eq!(unfinished.read(&mut [0; 8]).expect("closed"), 0);
 }
--- a/crates/lab/tests/host/site.rs
+++ b/crates/lab/tests/host/site.rs
@@ -86,7 +86,7 @@
         BlockingClient::open(self.address, Some(TARGET), n).expect("a login")
     }
 
-    /// Asks until what is told matches; a host takes a moment for what came in on another socket.
+    /// Polls the status until it matches; a host takes a moment for what arrives on another socket.
     pub(crate) fn wait_for(&self, what: &str, matches: impl Fn(&Status) -> bool) -> Status {
         let began = Instant::now();
         loop {
--- a/crates/lab/tests/plan_service.rs
+++ b/crates/lab/tests/plan_service.rs
@@ -172,17 +172,17 @@
         };
         (0..12).map(counter).collect::<Vec<_>>()
     };
-    // An even part is 20; of the other host's, three quarters are lent.
-    site.wait_for("an even part, or less of it", |r| r.quota(0) <= 20.0);
+    // An even quota is 20; three quarters of the other host's are leased.
+    site.wait_for("an even quota, or less", |r| r.quota(0) <= 20.0);
     let stop = Arc::new(AtomicBool::new(false));
     let first = surge(0, &stop);
-    site.wait_for("the lead's part", |r| r.quota(0) > 30.0 && r.quota(1) < 10.0);
+    site.wait_for("the quota of the busy host", |r| r.quota(0) > 30.0 && r.quota(1) < 10.0);
     stop.store(true, Ordering::Relaxed);
     first.into_iter().for_each(|t| t.join().expect("no panic"));
-    // The lead moves to the other host, and the parts follow it.
+    // The demand moves to the other host, and the quotas follow it.
     let stop = Arc::new(AtomicBool::new(false));
     let second = surge(1, &stop);
-    site.wait_for("the new lead's part", |r| r.quota(1) > 30.0 && r.quota(0) < 10.0);
+    site.wait_for("the quota of the newly busy host", |r| r.quota(1) > 30.0 && r.quota(0) < 10.0);
     stop.store(true, Ordering::Relaxed);
     second.into_iter().for_each(|t| t.join().expect("no panic"));
 }
@@ -197,14 +197,14 @@
     Site::kill(&mut site.hosts[0]);
     site.start_host(0);
     assert_eq!((site.limit(0), site.limit(1)), (60.0, 60.0));
-    site.wait_for("even parts", |r| r.quota(0) == 30.0 && r.quota(1) == 30.0);
+    site.wait_for("even quotas", |r| r.quota(0) == 30.0 && r.quota(1) == 30.0);
     site.start_service();
     assert!(site.plan(&["replay"], &[]).1.contains("trail replays: 3 of 3"));
-    // A service that has just started knows whom it has not heard of yet.
+    // A service that has just started knows which hosts have not reported yet.
     let (succeeded, output) = site.set(&["limit=20"], &["--wait"]);
     assert!(succeeded && output.contains("version 4 in force at all 2 hosts"), "{output}");
     assert_eq!((site.limit(0), site.limit(1)), (20.0, 20.0));
-    // With a host away it is said which one, and that the version stands.
+    // With a host down the answer names it, and says that the version stands.
     Site::kill(&mut site.hosts[1]);
     let (succeeded, output) = site.set(&["limit=25"], &["--wait"]);
     assert!(
--- a/crates/lab/tests/snapshots/archives.rs
+++ b/crates/lab/tests/snapshots/archives.rs
@@ -15,13 +15,13 @@
     let export = |name: &str| site.run(&["snapshot", "export"], &[name, &file]);
     let (code, text) = export("a@march");
     assert!(code == 0 && text.contains("10 extents written"), "{text}");
-    let whole = std::fs::read(&to).expect("a file");
+    let archive = std::fs::read(&to).expect("a file");
     assert!(export("a@march").1.contains("whole already"));
-    for cut in [whole.len() - 1, whole.len() / 2, 70] {
-        std::fs::write(&to, &whole[..cut]).expect("a file");
+    for cut in [archive.len() - 1, archive.len() / 2, 70] {
+        std::fs::write(&to, &archive[..cut]).expect("a file");
         let (code, text) = export("a@march");
         assert!(code == 0, "cut at {cut}: {text}");
-        assert!(std::fs::read(&to).expect("a file") == whole, "cut at {cut}");
+        assert!(std::fs::read(&to).expect("a file") == archive, "cut at {cut}");
     }
     site.request_lun("snapshot a april");
     let (code, text) = export("a@april");
@@ -37,8 +37,8 @@
     assert_eq!(read_ids(&mut client, clone, 8, 8), [1; 8]);
     assert_eq!(read_ids(&mut client, clone, 480, 8), [0; 8]);
     assert_eq!(read_ids(&mut client, 0, 8, 8), [50; 8]);
-    let mut bad = whole.clone();
-    bad[whole.len() / 2] ^= 1;
+    let mut bad = archive.clone();
+    bad[archive.len() / 2] ^= 1;
     std::fs::write(&to, bad).expect("a file");
     let (code, text) = import();
     assert!(code == 1 && text.contains("expected data that fits its hash"), "{text}");
--- a/crates/lab/tests/snapshots/crash_points.rs
+++ b/crates/lab/tests/snapshots/crash_points.rs
@@ -11,7 +11,7 @@
 const BLOCKS: usize = 64;
 /// Threads that try steps beside each other.
 const THREADS: usize = 32;
-/// A catalog's answer that was lost with it contains one of these.
+/// The error of a request whose answer was lost with the catalog contains one of these.
 const LOST_ANSWERS: [&str; 4] = ["reset", "whole", "refused", "pipe"];
 
 /// Per block the id of the last write that was acknowledged.
--- a/crates/lab/tests/snapshots/failures.rs
+++ b/crates/lab/tests/snapshots/failures.rs
@@ -12,12 +12,13 @@
     for extent in 0..8 {
         write_good(&mut client, 0, extent + 1, extent * EXTENT, 8);
     }
-    let tree: serde_json::Value = serde_json::from_str(&site.request("tree").expect("told")).expect("JSON");
+    let tree: serde_json::Value =
+        serde_json::from_str(&site.request("tree").expect("an answer")).expect("JSON");
     let node = tree["layers"]["1024"]["places"]["0"]["node"].as_u64().expect("a place") as usize;
     site.nodes[node].inject(NodeFault::Silent(true));
     let failed = site.request("snapshot a march").expect_err("a node is silent");
     assert!(failed.contains(&format!("not closed in time by node{node}")), "{failed}");
-    assert!(!site.request("list").expect("told").contains("march"));
+    assert!(!site.request("list").expect("an answer").contains("march"));
     site.nodes[node].inject(NodeFault::Silent(false));
     let march = site.request_lun("snapshot a march");
     for extent in 0..8 {
@@ -38,7 +39,7 @@
     write_good(&mut client, 0, 3, 0, 8);
     assert_eq!(read_ids(&mut client, 0, 0, 8), [3; 8]);
     site.start_catalog();
-    assert!(site.request("list").expect("told").contains("a@march"));
+    assert!(site.request("list").expect("an answer").contains("a@march"));
     assert_eq!(read_ids(&mut client, march, 0, 8), [1; 8]);
     // A first write waits until hosts that the new catalog cannot know have lost their leases.
     let april = site.request_lun("snapshot a april");
@@ -89,7 +90,8 @@
     for extent in 0..12 {
         assert_eq!(read_ids(&mut client, 0, extent * EXTENT, 8), [extent + 50; 8]);
     }
-    let tree: serde_json::Value = serde_json::from_str(&site.request("tree").expect("told")).expect("JSON");
+    let tree: serde_json::Value =
+        serde_json::from_str(&site.request("tree").expect("an answer")).expect("JSON");
     let placed = tree["layers"]["1025"]["places"].as_object().expect("places").clone();
     assert_eq!(placed.len(), 12);
     assert!(placed.values().all(|p| p["node"] != 2), "{placed:?}");
--- a/crates/lab/tests/snapshots/isolation.rs
+++ b/crates/lab/tests/snapshots/isolation.rs
@@ -28,8 +28,8 @@
     }
     let refused = write(&mut one, march, 4, 0, 8);
     assert_eq!(refused.sense, Some(Sense::WRITE_PROTECTED));
-    assert_eq!(site.request("diff a a@march").expect("told"), "32-63");
-    assert_eq!(site.request("rollback a a@march").expect("told"), "a shows a@march");
+    assert_eq!(site.request("diff a a@march").expect("an answer"), "32-63");
+    assert_eq!(site.request("rollback a a@march").expect("an answer"), "a shows a@march");
     assert_eq!(read_ids(&mut two, 0, 26, 12), [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]);
 }
 
@@ -38,24 +38,24 @@
     let site = Site::new();
     let mut clients = [site.client(0), site.client(1)];
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let mut stands = vec![0; 512];
-    let mut kept: Vec<(u32, Vec<u64>)> = Vec::new();
+    let mut written = vec![0; 512];
+    let mut snapshots: Vec<(u32, Vec<u64>)> = Vec::new();
     for id in 1..=400 {
         let client = &mut clients[rng.random_range(0..2)];
         let lba = rng.random_range(0..60) * 8;
         if rng.random_range(0..40) == 0 {
             let unit = site.request_lun(&format!("snapshot a s{id}"));
-            kept.push((unit, stands.clone()));
+            snapshots.push((unit, written.clone()));
         }
         write_good(client, 0, id, lba, 8);
-        stands[lba as usize..lba as usize + 8].fill(id);
+        written[lba as usize..lba as usize + 8].fill(id);
         let lba = rng.random_range(0..60) * 8;
         let client = &mut clients[rng.random_range(0..2)];
-        assert_eq!(read_ids(client, 0, lba, 8), stands[lba as usize..lba as usize + 8], "before write {id}");
+        assert_eq!(read_ids(client, 0, lba, 8), written[lba as usize..lba as usize + 8], "before write {id}");
     }
-    assert!(kept.len() > 3, "{} snapshots", kept.len());
-    for (unit, stood) in kept {
-        assert_eq!(read_ids(&mut clients[0], unit, 0, 512), stood, "LUN {unit}");
+    assert!(snapshots.len() > 3, "{} snapshots", snapshots.len());
+    for (unit, expected) in snapshots {
+        assert_eq!(read_ids(&mut clients[0], unit, 0, 512), expected, "LUN {unit}");
     }
 }
 
@@ -70,14 +70,14 @@
     site.request_lun("snapshot one s");
     let two = site.request_lun("clone one@s two");
     write_good(&mut client, two, 3, 16, 8);
-    let kept = site.request_lun("snapshot two s");
+    let snapshots = site.request_lun("snapshot two s");
     for (lun, id) in [(0, 4), (one, 5), (two, 6)] {
         write_good(&mut client, lun, id, 0, 8);
     }
     let firsts = |client: &mut BlockingClient, lun| -> Vec<u64> {
         read_ids(client, lun, 0, 24).into_iter().step_by(8).collect()
     };
-    assert_eq!(firsts(&mut client, kept), [1, 2, 3]);
+    assert_eq!(firsts(&mut client, snapshots), [1, 2, 3]);
     assert_eq!(firsts(&mut client, two), [6, 2, 3]);
     assert_eq!(firsts(&mut client, one), [5, 2, 0]);
     assert_eq!(firsts(&mut client, 0), [4, 0, 0]);
@@ -88,12 +88,12 @@
 fn write_across_extents_is_atomic_in_every_snapshot() {
     let site = Site::new();
     let over = std::sync::atomic::AtomicBool::new(false);
-    let mut kept: Vec<(u32, [(u64, u64); 2])> = Vec::new();
-    // Of each area the last write acknowledged, and the last one begun.
-    let stands: [[std::sync::atomic::AtomicU64; 2]; 2] = Default::default();
+    let mut snapshots: Vec<(u32, [(u64, u64); 2])> = Vec::new();
+    // Per area the last write that was acknowledged, and the last one that was started.
+    let written: [[std::sync::atomic::AtomicU64; 2]; 2] = Default::default();
     let order = Ordering::SeqCst;
     std::thread::scope(|scope| {
-        for (area, [acked, begun]) in stands.iter().enumerate() {
+        for (area, [acked, begun]) in written.iter().enumerate() {
             let (at, over) = (site.host_addresses[area], &over);
             scope.spawn(move || {
                 let mut client = BlockingClient::open(at, Some(TARGET), 20 + area as u32).expect("a login");
@@ -111,22 +111,22 @@
         }
         for n in 0..25 {
             std::thread::sleep(Duration::from_millis(20));
-            let before = [0, 1].map(|a: usize| stands[a][0].load(order));
+            let before = [0, 1].map(|a: usize| written[a][0].load(order));
             match site.request(&format!("snapshot a s{n}")) {
                 Ok(told) => {
                     let unit = told.rsplit(' ').next().and_then(|u| u.parse().ok()).expect("a LUN");
-                    let after = [0, 1].map(|a: usize| stands[a][1].load(order));
-                    kept.push((unit, [(before[0], after[0]), (before[1], after[1])]));
+                    let after = [0, 1].map(|a: usize| written[a][1].load(order));
+                    snapshots.push((unit, [(before[0], after[0]), (before[1], after[1])]));
                 }
                 Err(why) => assert!(why.contains("no snapshot was made"), "{why}"),
             }
         }
         over.store(true, order);
     });
-    assert!(kept.len() > 15, "{} of 25", kept.len());
+    assert!(snapshots.len() > 15, "{} of 25", snapshots.len());
     let mut client = site.client(0);
     let mut differ = std::collections::BTreeSet::new();
-    for (unit, areas) in kept {
+    for (unit, areas) in snapshots {
         for (area, (before, after)) in areas.into_iter().enumerate() {
             let shown = read_ids(&mut client, unit, area as u64 * 256 + 16, 96);
             assert!(shown.iter().all(|id| *id == shown[0]), "LUN {unit}: {shown:?}");
--- a/crates/lab/tests/snapshots/site.rs
+++ b/crates/lab/tests/snapshots/site.rs
@@ -37,7 +37,7 @@
         Site::with(2, None)
     }
 
-    /// So many hosts; the catalog aborts at this step.
+    /// Starts this many hosts and a catalog that aborts at a step.
     pub(crate) fn with(hosts: usize, crash_at: Option<u64>) -> Site {
         static NEXT: AtomicU16 = AtomicU16::new(0);
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -68,7 +68,7 @@
                 text += &format!("node node{n}\n  address {}\n  target iqn.t:node{n}\n", address(n));
             }
             if crash_at.is_some() {
-                // Space is given back after the longest hard limit.
+                // Space is reclaimed after the longest deadline.
                 text = text
                     .replace("hard-limit 4s", "hard-limit 2100ms")
                     .replace("hard-limit 3s", "hard-limit 2100ms");
@@ -115,7 +115,7 @@
         self.catalog = Some(self.start(&["catalog", &at], 0, "catalog.sock", "list"));
     }
 
-    /// Whether the catalog has died; if so it is started again.
+    /// Starts the catalog again if it has crashed; whether it had.
     pub(crate) fn restart_crashed(&mut self) -> bool {
         let died = self.catalog.as_mut().is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
         if died {
@@ -141,7 +141,7 @@
         told.rsplit(' ').next().and_then(|n| n.parse().ok()).expect("a LUN")
     }
 
-    /// What the catalog lists, which is started again if it has died.
+    /// The list of the catalog, which is started again if it has crashed.
     pub(crate) fn list(&mut self) -> String {
         let began = Instant::now();
         loop {
@@ -187,7 +187,7 @@
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
 }
 
-/// Which write each block shows.
+/// Per block the id of the write it shows.
 pub(crate) fn read_ids(client: &mut BlockingClient, lun: u32, lba: u64, blocks: u32) -> Vec<u64> {
     let room = blocks as usize * 512;
     let answer =
--- a/crates/lab/tests/snapshots/space.rs
+++ b/crates/lab/tests/snapshots/space.rs
@@ -47,7 +47,7 @@
     site.kill_catalog();
     let (code, text) = site.run(&["verify"], &[]);
     assert!(code == 0 && text.contains("places 7, of which hold data 7; leaked 0; faults 0"), "{text}");
-    // What a host that died halfway through a copy leaves behind.
+    // A host that crashed during an extent copy leaves this behind.
     let node = site.node_addresses[1];
     let mut straight = BlockingClient::open(node, Some("iqn.t:node1"), 9).expect("a login");
     let cdb = scsi::read_or_write_16(true, 900 * EXTENT, 8, 0);
