--- a/crates/scheduler/src/policy/allocation.rs
+++ b/crates/scheduler/src/policy/allocation.rs
@@ -1,10 +1,10 @@
 //! The paper's Algorithm 1 for each node: a budget a window, divided among volumes, and who pays.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use super::node_health::{MAX_WINDOW, NARROW_ABOVE, WIDEN_BELOW};
 use crate::interface::{Bio, NodeId, VolumeId};
 use crate::state::{Allocation, Entitlement, Node, Scheduler};
 
-const HISTORY_KEPT: f64 = 0.5; // part of its history that an idle volume keeps a window (paper)
+const HISTORY_DECAY: f64 = 0.5; // part of its history that an idle volume keeps a window (paper)
 const QUEUED_WEIGHT: f64 = 2.0; // a queued unit counts as two used: more will follow (paper)
 const POOL_SHARE: f64 = 0.05; // part of a node's budget that is kept for volumes that return (paper)
 pub(super) const MIN_EXTRA_IOS: f64 = 4.0; // mean block I/Os a window beyond all bases, at least (paper)
@@ -29,8 +29,8 @@
             node.allocations[own].queued += bio.units;
         }
         for index in 0..self.nodes[id.0].allocations.len() {
-            let due = self.entitlement(self.nodes[id.0].allocations[index].volume);
-            self.nodes[id.0].allocations[index].due = due;
+            let entitlement = self.entitlement(self.nodes[id.0].allocations[index].volume);
+            self.nodes[id.0].allocations[index].entitlement = entitlement;
         }
         redistribute(&mut self.nodes[id.0]);
     }
@@ -41,8 +41,8 @@
         let plan = &self.plans[volume.plan];
         let quota = volume.limit_rate(plan);
         let rate = volume.other_hosts_rate.map_or(quota, |others| (plan.limit - others).max(quota));
-        let base = plan.reserved * WINDOW as f64 / volume.hosts;
-        let ceiling = rate * WINDOW as f64 + plan.burst_units / volume.hosts;
+        let base = plan.reserved * ALLOCATION_INTERVAL as f64 / volume.hosts;
+        let ceiling = rate * ALLOCATION_INTERVAL as f64 + plan.burst_units / volume.hosts;
         Entitlement { base, ceiling, weight: plan.weight }
     }
 
@@ -83,18 +83,18 @@
 
 /// Both passes of Algorithm 1 (lines 2 to 13).
 fn redistribute(node: &mut Node) {
-    let total = node.allocations.iter().map(|a| a.due.base).sum::<f64>() + node.extra_budget;
+    let total = node.allocations.iter().map(|a| a.entitlement.base).sum::<f64>() + node.extra_budget;
     node.pool = total * POOL_SHARE;
     let (mut unused, mut total_demand) = (total - node.pool, 0.0);
     let idle = node.allocations.iter().all(|a| a.used == 0.0 && a.queued == 0.0);
     let demand = |a: &Allocation| {
-        if idle { a.due.weight } else { (a.used + a.queued * QUEUED_WEIGHT) * a.due.weight }
+        if idle { a.entitlement.weight } else { (a.used + a.queued * QUEUED_WEIGHT) * a.entitlement.weight }
     };
     for a in &mut node.allocations {
         let debt = a.balance.min(0.0);
-        a.history = a.used.max(a.history * HISTORY_KEPT);
+        a.history = a.used.max(a.history * HISTORY_DECAY);
         let busy = a.bursting || a.queued > 0.0;
-        let granted = if busy { a.due.base } else { a.history * HISTORY_KEPT };
+        let granted = if busy { a.entitlement.base } else { a.history * HISTORY_DECAY };
         a.balance = granted + debt;
         unused -= granted;
         total_demand += demand(a);
@@ -102,8 +102,8 @@
     let unused = unused.max(0.0);
     for a in &mut node.allocations {
         let share = if total_demand > 0.0 { unused * demand(a) / total_demand } else { 0.0 };
-        a.balance = (a.balance + share).min(a.due.ceiling);
-        a.bursting = a.balance > a.due.base;
+        a.balance = (a.balance + share).min(a.entitlement.ceiling);
+        a.bursting = a.balance > a.entitlement.base;
         a.used = 0.0;
     }
 }
--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -77,19 +77,18 @@
 
     /// The fraction of the typical priority below which a crowded node is left to other hosts' block I/Os.
     fn admission_threshold(&self, node: &Node) -> f64 {
-        let above_best = (node.mean_latency - self.fleet.best) / self.shortest_objective;
+        let above_best = (node.mean_latency - self.fleet_latency.best) / self.shortest_objective;
         let excess = (above_best - THRESHOLD_FROM) / THRESHOLD_SPAN;
         let own = excess / (node.concurrency_window.powi(2) * node.recent_answers.max(1.0));
-        ((own.max(0.0) + self.fleet.threshold) * self.load_by_other_hosts).min(MAX_THRESHOLD)
+        ((own.max(0.0) + self.fleet_latency.threshold) * self.load_by_other_hosts).min(MAX_THRESHOLD)
     }
 
     /// What a unit of a block I/O would earn if sent now: all of it inside the volume's reservation; beyond,
     /// the share's part while the own allocation lasts, then the spare part.
     fn priority(&self, request: &Request, allocation: &Allocation) -> f64 {
         let volume = &self.volumes[request.bio.volume.0];
-        let has_balance = allocation.balance > 0.0;
-        let beyond =
-            if has_balance { self.config.share_weight_factor } else { self.config.spare_weight_factor };
+        let (config, has_balance) = (&self.config, allocation.balance > 0.0);
+        let beyond = if has_balance { config.share_weight_factor } else { config.spare_weight_factor };
         let inside = (volume.reserve_tokens / request.bio.units.max(self.mean_io_units / 8.0)).min(1.0);
         let factor = inside + (1.0 - inside) * beyond;
         factor * self.class(request).priority_weight * self.plans[volume.plan].priority_factor
@@ -119,7 +118,7 @@
         }
         let node = &mut self.nodes[node_id.0];
         node.in_flight.push(Attempt { sent_at: now, bio: id });
-        node.window_units += bio.units;
+        node.interval_units += bio.units;
         self.timers.push(now + node.lost_after(self.shortest_objective) + 1, id);
         if node.started_at > 0 {
             node.slow_start_units.add(now, bio.units);
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -1,6 +1,6 @@
 //! The entry points, one for each kind of event; those of endpoints and plans stand with their concern.
-use super::constants::WINDOW;
-use super::slow_start::WARM_DEMAND_KEPT;
+use super::constants::ALLOCATION_INTERVAL;
+use super::slow_start::WARM_DEMAND_DECAY;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, BioId, Host, NodeId, Tick, VolumeId};
 use crate::state::{Request, Scheduler};
 
@@ -24,8 +24,7 @@
         self.arm_timer(host, now);
     }
 
-    /// An attempt is over. Each attempt has one outcome; it is ignored if its block I/O has no attempt in
-    /// flight, also where the index is used again.
+    /// An attempt is over. Ignored if its block I/O has no attempt in flight, also where the index is reused.
     pub fn on_attempt_finished(
         &mut self,
         host: &mut dyn Host,
@@ -37,10 +36,10 @@
         request.in_flight = false;
         let (finished, bio) = (request.finished, request.bio);
         let completed = outcome.result == AttemptResult::Completed;
-        self.learn(now, &bio, outcome);
-        self.note_possible_run(now, id, outcome);
+        self.record_outcome(now, &bio, outcome);
+        self.record_possible_run(now, id, outcome);
         if self.config.other_hosts_usage_reported && completed {
-            self.note_other_hosts_usage(bio.volume, outcome.units_by_other_hosts);
+            self.record_other_hosts_usage(bio.volume, outcome.units_by_other_hosts);
         }
         self.cool_key_down(now, id, outcome.result);
         self.watch_for_loss(host, now, outcome);
@@ -70,9 +69,9 @@
             host.poll_endpoints();
         }
         self.give_up_overdue(host, now);
-        if now >= self.next_window {
-            self.next_window = now + WINDOW;
-            self.start_window(host, now);
+        if now >= self.next_allocation {
+            self.next_allocation = now + ALLOCATION_INTERVAL;
+            self.start_allocation_interval(host, now);
         } else {
             self.dispatch_all(host, now);
         }
@@ -91,9 +90,9 @@
     }
 
     /// Forgets what is of no more use, then grants each node's allocations and sends by them.
-    fn start_window(&mut self, host: &mut dyn Host, now: Tick) {
-        self.warm_demand.sent *= WARM_DEMAND_KEPT;
-        self.warm_demand.total *= WARM_DEMAND_KEPT;
+    fn start_allocation_interval(&mut self, host: &mut dyn Host, now: Tick) {
+        self.warm_demand.sent *= WARM_DEMAND_DECAY;
+        self.warm_demand.total *= WARM_DEMAND_DECAY;
         self.recently_shed.retain(|shed| shed.deadline > now);
         self.forget_nodes(host, now);
         self.forget_volumes(host, now);
@@ -112,7 +111,7 @@
             let Some(volume) = self.volumes.get_mut(id.0) else { continue };
             let plan = &self.plans[volume.plan];
             volume.refill(now, plan, self.max_io_units);
-            volume.average_other_hosts();
+            volume.record_other_hosts_rate();
             let idle = volume.in_progress == 0 && now - volume.last_arrival > FORGET_VOLUME;
             if idle && volume.tokens >= plan.burst_units / volume.hosts {
                 self.volumes.remove(id.0);
@@ -126,7 +125,7 @@
     pub(super) fn arm_timer(&mut self, host: &mut dyn Host, now: Tick) {
         let paused = self.nodes.iter().filter(|(_, n)| !n.queue.is_empty() && n.paused_until > now);
         let pause_end = paused.map(|(_, n)| n.paused_until).min().unwrap_or(Tick::MAX);
-        let due = self.next_window.min(self.timers.next()).min(self.polling.next_poll);
+        let due = self.next_allocation.min(self.timers.next()).min(self.polling.next_poll);
         let due = due.min(pause_end).max(now + 1);
         if due < self.armed_for {
             self.armed_for = due;
--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -1,5 +1,5 @@
 //! What is learned of nodes from outcomes: latency, concurrency window, cost, backoff and lost answers.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
 use crate::state::{Node, Scheduler};
 
@@ -20,13 +20,13 @@
 const MIN_BACKOFF: Tick = 100; // ticks after a second failure in a row, doubled by each further one
 pub(super) const MAX_BACKOFF: f64 = 3_000.0; // ticks, times the root of the host count, as all hosts try
 
-const LATENCY_STEP: f64 = 0.15; // weight of one answer in a node's mean latency
-const ANSWERS_KEPT: f64 = 0.9; // of the count of recent answers, a window: about the last second's
-const FADE: f64 = 0.90; // what a window without attempts leaves of a mean latency: half after 0.7 s
-const FAILURE_STEP: f64 = 0.4; // weight of an attempt without an answer: it may be lost as well
+const LATENCY_ALPHA: f64 = 0.15; // weight of one answer in a node's mean latency
+const ANSWER_COUNT_DECAY: f64 = 0.9; // of the count of recent answers, a window: about the last second's
+const IDLE_LATENCY_DECAY: f64 = 0.90; // fraction kept an interval without attempts: half after 0.7 s
+const FAILURE_ALPHA: f64 = 0.4; // weight of an attempt without an answer: it may be lost as well
 const TIMEOUT_MEANS: f64 = 3.0; // fleet means that a time-out counts as, at most: a loss closes no quick node
 
-const FLEET_STEP: f64 = 0.05; // weight of one answer in the fleet's mean latency
+const FLEET_ALPHA: f64 = 0.05; // weight of one answer in the fleet's mean latency
 const BEST_RISE: f64 = 1.0005; // an answer, of the fleet's best mean: a tenth in a minute
 const MAX_FLEET_LATENCY: f64 = 0.9; // of the shortest objective: the most that an answer counts as
 const THRESHOLD_UP: f64 = 0.1; // of the fleet's threshold, by a late answer;
@@ -49,7 +49,7 @@
         self.in_flight.iter().filter(|a| !losing_answers || now - a.sent_at <= lost_after).count() as u32
     }
 
-    fn learn_cost(&mut self, unit_latency: f64) {
+    fn record_unit_latency(&mut self, unit_latency: f64) {
         let slow = unit_latency > 2.0 * self.unit_latency.get();
         let factor = if slow { COST_MULTIPLIER_UP } else { COST_MULTIPLIER_DOWN };
         self.cost_multiplier =
@@ -82,30 +82,30 @@
 
 impl Scheduler {
     /// Learns from an outcome about its node.
-    pub(super) fn learn(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
+    pub(super) fn record_outcome(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
         let node = &mut self.nodes[outcome.node.0];
         let was_full = node.in_flight.len() as f64 + 1.0 > node.concurrency_window;
         node.in_flight.retain(|a| a.bio != bio.id);
         match outcome.result {
-            AttemptResult::Completed => self.learn_completion(now, bio.units, was_full, outcome),
+            AttemptResult::Completed => self.record_completion(now, bio.units, was_full, outcome),
             AttemptResult::NotSent | AttemptResult::Cancelled => {}
-            _ => self.learn_failure(outcome),
+            _ => self.record_failure(outcome),
         }
         self.nodes[outcome.node.0].pause(now, self.shortest_objective, self.max_backoff);
     }
 
-    fn learn_completion(&mut self, now: Tick, units: f64, was_full: bool, outcome: &AttemptOutcome) {
-        let (latency, fleet) = (outcome.latency as f64, &mut self.fleet);
-        fleet.mean += (latency.min(MAX_FLEET_LATENCY * self.shortest_objective) - fleet.mean) * FLEET_STEP;
+    fn record_completion(&mut self, now: Tick, units: f64, was_full: bool, outcome: &AttemptOutcome) {
+        let (latency, fleet) = (outcome.latency as f64, &mut self.fleet_latency);
+        fleet.mean += (latency.min(MAX_FLEET_LATENCY * self.shortest_objective) - fleet.mean) * FLEET_ALPHA;
         fleet.best = (fleet.best * BEST_RISE).min(fleet.mean);
         let step = if latency > self.shortest_objective { THRESHOLD_UP } else { -THRESHOLD_DOWN };
         fleet.threshold = (fleet.threshold + step).clamp(0.0, MAX_THRESHOLD);
         let node = &mut self.nodes[outcome.node.0];
         // Many hosts leave each of them few answers: then the last one says more than the mean.
         node.recent_answers += 1.0;
-        let step = (1.0 / node.recent_answers).max(LATENCY_STEP);
+        let step = (1.0 / node.recent_answers).max(LATENCY_ALPHA);
         node.mean_latency += (latency - node.mean_latency) * step;
-        node.learn_cost(latency / units.max(1.0));
+        node.record_unit_latency(latency / units.max(1.0));
         node.consecutive_failures = 0;
         node.latest_completed_sent_at = node.latest_completed_sent_at.max(now - outcome.latency);
         node.adjust_window(latency, was_full, self.shortest_objective);
@@ -113,15 +113,15 @@
 
     /// A quick failure is no quick answer: it narrows the window. A full queue or no answer says that the
     /// latency is high: else a node that is jammed would look as quick as it was.
-    fn learn_failure(&mut self, outcome: &AttemptOutcome) {
-        let (node, fleet) = (&mut self.nodes[outcome.node.0], &mut self.fleet);
+    fn record_failure(&mut self, outcome: &AttemptOutcome) {
+        let (node, fleet) = (&mut self.nodes[outcome.node.0], &mut self.fleet_latency);
         let implied = match outcome.result {
             AttemptResult::Rejected => self.shortest_objective,
             AttemptResult::TimedOut => (outcome.latency as f64).min(TIMEOUT_MEANS * fleet.mean),
             _ => 0.0,
         };
-        node.mean_latency += (implied - node.mean_latency).max(0.0) * FAILURE_STEP;
-        fleet.mean += (implied * MAX_FLEET_LATENCY - fleet.mean).max(0.0) * FLEET_STEP;
+        node.mean_latency += (implied - node.mean_latency).max(0.0) * FAILURE_ALPHA;
+        fleet.mean += (implied * MAX_FLEET_LATENCY - fleet.mean).max(0.0) * FLEET_ALPHA;
         node.concurrency_window = (node.concurrency_window * (1.0 - NARROW_STEP)).max(MIN_WINDOW);
         node.consecutive_failures += 1;
     }
@@ -129,23 +129,24 @@
     /// Ages what is known of a node by one window.
     pub(super) fn age_node(&mut self, now: Tick, id: NodeId) {
         let (warm, node) = (self.is_warm(now, id), &mut self.nodes[id.0]);
-        node.recent_answers *= ANSWERS_KEPT;
+        node.recent_answers *= ANSWER_COUNT_DECAY;
         // Without attempts the mean grows old: else a node once slow would stay closed to what is urgent.
         if node.in_flight.is_empty() {
-            let fleet = self.fleet.best + (self.fleet.mean - self.fleet.best) * self.load_by_other_hosts;
-            node.mean_latency = node.mean_latency * FADE + fleet * (1.0 - FADE);
+            let fleet = &self.fleet_latency;
+            let expected = fleet.best + (fleet.mean - fleet.best) * self.load_by_other_hosts;
+            node.mean_latency =
+                node.mean_latency * IDLE_LATENCY_DECAY + expected * (1.0 - IDLE_LATENCY_DECAY);
             let window = node.concurrency_window;
-            node.concurrency_window = window.max((window * (2.0 - FADE)).min(1.0));
+            node.concurrency_window = window.max((window * (2.0 - IDLE_LATENCY_DECAY)).min(1.0));
         }
         let quick = node.mean_latency < NARROW_ABOVE * self.shortest_objective;
-        let rate = std::mem::take(&mut node.window_units) / WINDOW as f64;
+        let rate = std::mem::take(&mut node.interval_units) / ALLOCATION_INTERVAL as f64;
         if quick && node.consecutive_failures == 0 && warm {
-            node.learn_usual_rate(rate, now - self.started_at);
+            node.record_usual_rate(rate, now - self.started_at);
         }
     }
 
-    /// An attempt that timed out after a later one was answered shows that answers get lost; while they do,
-    /// each answer is a chance to look for others that are.
+    /// A time-out after a later attempt was answered shows loss: further answers then prompt a search for it.
     pub(super) fn watch_for_loss(&mut self, host: &mut dyn Host, now: Tick, outcome: &AttemptOutcome) {
         let (node, sent_at) = (&self.nodes[outcome.node.0], now - outcome.latency);
         if outcome.result == AttemptResult::Completed && now < self.losing_answers_until {
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -1,5 +1,5 @@
 //! Which node a block I/O is queued for.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Node, Request, Scheduler};
 
@@ -54,7 +54,8 @@
         request.node = Some(node_id);
         let bio = request.bio;
         self.timers.push(request.queued_until(), id);
-        let base = self.plans[bio.plan as usize].reserved * WINDOW as f64 / self.volumes[bio.volume.0].hosts;
+        let reserved = self.plans[bio.plan as usize].reserved;
+        let base = reserved * ALLOCATION_INTERVAL as f64 / self.volumes[bio.volume.0].hosts;
         let node = &mut self.nodes[node_id.0];
         if !node.allocations.iter().any(|a| a.volume == bio.volume) {
             let (volume, balance, history) = (bio.volume, base, base);
--- a/crates/scheduler/src/policy/rate_limits.rs
+++ b/crates/scheduler/src/policy/rate_limits.rs
@@ -1,10 +1,10 @@
 //! Rate limits and reservations of volumes, each a token bucket on this host.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{Bio, Plan, Tick, VolumeId};
 use crate::state::{PlanRates, Request, Scheduler, TICKS_PER_SECOND, Volume};
 
 const KEPT_FOR_TOP_CLASS: Tick = 30_000; // ticks for which tokens that ran short serve only the top class
-const OTHER_HOSTS_STEP: f64 = 0.1; // weight of one window in the other hosts' mean rate: about a second
+const OTHER_HOSTS_ALPHA: f64 = 0.1; // weight of one window in the other hosts' mean rate: about a second
 
 impl Volume {
     /// This host's part of the limit, in units a tick: an even share where there is no quota.
@@ -22,9 +22,9 @@
     }
 
     /// Takes what other hosts were reported to use in a window into their mean rate.
-    pub(super) fn average_other_hosts(&mut self) {
-        let rate = std::mem::take(&mut self.reported_by_others) / WINDOW as f64;
-        self.other_hosts_rate = self.other_hosts_rate.map(|mean| mean + (rate - mean) * OTHER_HOSTS_STEP);
+    pub(super) fn record_other_hosts_rate(&mut self) {
+        let rate = std::mem::take(&mut self.reported_by_others) / ALLOCATION_INTERVAL as f64;
+        self.other_hosts_rate = self.other_hosts_rate.map(|mean| mean + (rate - mean) * OTHER_HOSTS_ALPHA);
     }
 }
 
@@ -73,14 +73,13 @@
     }
 
     /// Takes in a report of what other hosts used. After a silence, more than a burst says no more than that.
-    pub(super) fn note_other_hosts_usage(&mut self, id: VolumeId, units: f64) {
+    pub(super) fn record_other_hosts_usage(&mut self, id: VolumeId, units: f64) {
         let volume = &mut self.volumes[id.0];
         volume.reported_by_others += units.clamp(0.0, self.plans[volume.plan].burst_units);
         volume.other_hosts_rate = volume.other_hosts_rate.or(Some(0.0));
     }
 
-    /// Whether the limit leaves no tokens for a block I/O. While they are too few for the class of the
-    /// highest weight, what refills them goes to no other.
+    /// Whether the limit leaves too few tokens; a lower class gets none while they are kept for the top one.
     pub(super) fn over_limit(&self, now: Tick, request: &Request) -> bool {
         let volume = &self.volumes[request.bio.volume.0];
         let lower_class = self.class(request).weight_deficit > 0.0;
--- a/crates/scheduler/src/policy/retries.rs
+++ b/crates/scheduler/src/policy/retries.rs
@@ -1,6 +1,8 @@
 //! Deadlines, attempts after the first, the retry budget, and final answers.
 use super::constants::DEADLINE_MARGIN;
-use crate::interface::*;
+use crate::interface::{
+    AttemptOutcome, AttemptResult, Bio, BioId, DeduplicationScope, Host, Idempotency, NodeId, Tick,
+};
 use crate::state::{Node, PossibleRun, Request, RetryBudget, Scheduler, ShedRecord};
 
 const SAME_DEADLINE: Tick = 5; // ticks by which a retry's deadline differs from the first one's, at most
@@ -37,7 +39,7 @@
     }
 
     /// Notes that an attempt may have run. With an idempotency key, the objective ends with the key's window.
-    pub(super) fn note_possible_run(&mut self, now: Tick, id: BioId, outcome: &AttemptOutcome) {
+    pub(super) fn record_possible_run(&mut self, now: Tick, id: BioId, outcome: &AttemptOutcome) {
         use AttemptResult::{ConnectFailed, NotSent, Rejected};
         if matches!(outcome.result, Rejected | ConnectFailed | NotSent) {
             return;
@@ -73,8 +75,7 @@
         let request = &self.requests[id.0];
         let class = self.class(request);
         let may_repeat = request.possible_run.is_none() || class.idempotency != Idempotency::NonIdempotent;
-        let time_left = request.objective_end > now;
-        if may_repeat && time_left && request.attempts < class.max_attempts {
+        if may_repeat && request.objective_end > now && request.attempts < class.max_attempts {
             self.place(host, now, id);
         } else {
             self.give_up(host, now, id);
--- a/crates/scheduler/src/policy/setup.rs
+++ b/crates/scheduler/src/policy/setup.rs
@@ -1,5 +1,5 @@
 //! The scheduler as it starts, from the deployment's configuration.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use super::node_health::{INITIAL_WINDOW, MAX_BACKOFF, WIDEN_BELOW};
 use crate::interface::{IoClass, SchedulerConfig, Tick};
 use crate::pcg::Pcg;
@@ -11,8 +11,9 @@
     pub fn new(config: &SchedulerConfig, seed: u64, now: Tick) -> Self {
         let hosts = f64::from(config.hosts.max(1));
         let objectives = config.classes.iter().map(|c| c.latency_objective);
-        let shortest_objective = objectives.min().unwrap_or(WINDOW).max(1) as f64;
-        let fleet_latency = WIDEN_BELOW * shortest_objective;
+        let shortest_objective = objectives.min().unwrap_or(ALLOCATION_INTERVAL).max(1) as f64;
+        let initial_latency = WIDEN_BELOW * shortest_objective;
+        let max_retry_after = if config.allow_retry_after { config.max_retry_after } else { 0 };
         let rng = Pcg::new(seed);
         Scheduler {
             config: config.clone(),
@@ -28,14 +29,14 @@
             max_backoff: (MAX_BACKOFF * hosts.sqrt()) as Tick,
             slow_start: SlowStart::new(config, hosts),
             retry_budget: RetryBudget::from(config),
-            retry_after: if config.allow_retry_after { config.max_retry_after.min(WINDOW) } else { 0 },
+            retry_after: max_retry_after.min(ALLOCATION_INTERVAL),
             started_at: now,
-            next_window: now + WINDOW,
+            next_allocation: now + ALLOCATION_INTERVAL,
             polling: PollSchedule::new(config, now, &rng),
             rng,
             armed_for: Tick::MAX,
             losing_answers_until: now,
-            fleet: FleetLatency { mean: fleet_latency, best: fleet_latency, threshold: 0.0 },
+            fleet_latency: FleetLatency { mean: initial_latency, best: initial_latency, threshold: 0.0 },
             ..Scheduler::default()
         }
     }
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -1,13 +1,13 @@
 //! Slow start: how much this host may send to a node whose process has just started.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{NodeId, SchedulerConfig, Tick};
 use crate::state::{Node, Scheduler, SlowStart, SlowStartCapacity};
 
 const SAFE_LOAD: f64 = 0.8; // of the load at which a warming node fails; the rest is for surges
 const UNUSED_LOAD: f64 = 0.5; // of that, for a host with no rate there: demand may be twice what a node does
 const WARM_DEMAND_PRIOR: f64 = 4.0; // block I/Os for warm nodes that outweigh the value above
-pub(super) const WARM_DEMAND_KEPT: f64 = 0.99; // a window, of the counts of demand: the last ten seconds'
-const USUAL_RATE_STEP: f64 = 0.01; // weight of one window in what a host usually sends: ten seconds' worth
+pub(super) const WARM_DEMAND_DECAY: f64 = 0.99; // a window, of the counts of demand: the last ten seconds'
+const USUAL_RATE_ALPHA: f64 = 0.01; // weight of one window in what a host usually sends: ten seconds' worth
 
 impl SlowStart {
     pub(super) fn new(config: &SchedulerConfig, hosts: f64) -> Self {
@@ -30,9 +30,9 @@
 
 impl Node {
     /// Takes a window's rate into the usual one; a host that is itself young weighs windows by its age.
-    pub(super) fn learn_usual_rate(&mut self, rate: f64, host_age: Tick) {
-        let young = WINDOW as f64 / host_age.max(WINDOW) as f64;
-        self.usual_rate += (rate - self.usual_rate) * young.max(USUAL_RATE_STEP);
+    pub(super) fn record_usual_rate(&mut self, rate: f64, host_age: Tick) {
+        let young = ALLOCATION_INTERVAL as f64 / host_age.max(ALLOCATION_INTERVAL) as f64;
+        self.usual_rate += (rate - self.usual_rate) * young.max(USUAL_RATE_ALPHA);
     }
 }
 
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -48,12 +48,12 @@
     pub(crate) recently_shed: Vec<ShedRecord>,
     /// When to look at a block I/O again: it may have to be shed, or a node be free.
     pub(crate) timers: TimerQueue,
-    pub(crate) next_window: Tick,
+    pub(crate) next_allocation: Tick,
     pub(crate) polling: PollSchedule,
     /// The earliest time for which the host's timer is set.
     pub(crate) armed_for: Tick,
     pub(crate) losing_answers_until: Tick,
-    pub(crate) fleet: FleetLatency,
+    pub(crate) fleet_latency: FleetLatency,
     /// Number of the dispatch that runs.
     pub(crate) dispatch_pass: u64,
     pub(crate) warm_demand: WarmDemand,
@@ -125,8 +125,8 @@
 #[derive(Default)]
 pub(crate) struct Allocation {
     pub(crate) volume: VolumeId,
-    /// What it was due when this window began.
-    pub(crate) due: Entitlement,
+    /// The entitlement as of the start of this allocation interval.
+    pub(crate) entitlement: Entitlement,
     /// Cost still to be spent in this window; a debt below 0.
     pub(crate) balance: f64,
     /// Cost spent in this window.
@@ -164,7 +164,7 @@
     /// Units sent since its start.
     pub(crate) slow_start_units: SlidingSum,
     /// Units sent in this window.
-    pub(crate) window_units: f64,
+    pub(crate) interval_units: f64,
     /// Mean rate at which this host sends to it while it is well, in units a tick.
     pub(crate) usual_rate: f64,
     /// A random number above 0 and up to 1, and until when it stands.
@@ -334,7 +334,7 @@
     }
 }
 
-/// What a volume is due at one node in one window.
+/// What a volume is entitled to at one node in one allocation interval.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Entitlement {
     /// Cost that its reservation stands for.
