--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -3,7 +3,7 @@
 //! A *branch* is what clients write to: a volume or a clone. Its head *layer* takes new locations for extents; an
 //! extent that the head lacks is found in the nearest ancestor. A consistent cut freezes the head and puts a new
 //! layer under it. A layer is a logical unit of its own at every storage node (its id is the LUN), so that a node can
-//! close it to writes as a whole. Locations in it are numbered slots, and no slot is allocated twice, so that no late
+//! close all of it to writes. Locations in it are numbered slots, and no slot is allocated twice, so that no late
 //! write of an abandoned copy can reach a location that is in use.
 //!
 //! - `model`: the stored data types.
@@ -83,8 +83,7 @@
     }
 
     /// The tree without its locations, which [`Tree::insert_locations`] adds again.
-    #[must_use]
-    pub fn without_locations(&self) -> Tree {
+    pub(crate) fn without_locations(&self) -> Tree {
         let empty = |layer: &Layer| Layer {
             parent: layer.parent,
             frozen: layer.frozen,
@@ -105,7 +104,7 @@
 
     /// Adds locations to a tree that was sent without them. False: there is no such layer.
     #[must_use]
-    pub fn insert_locations(&mut self, layer_id: LayerId, locations: &[ExtentLocation]) -> bool {
+    pub(crate) fn insert_locations(&mut self, layer_id: LayerId, locations: &[ExtentLocation]) -> bool {
         let Some(layer) = self.layers.get_mut(&layer_id) else { return false };
         for entry in locations {
             if layer.locations.insert(entry.extent, entry.location).is_none() {
