--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -31,8 +31,8 @@
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick);
     /// Stop waiting for an attempt of a block I/O; attempts are counted from 0.
     fn cancel(&mut self, bio: BioId, attempt: u32);
-    /// Answer the client for good: not done, and trying again is harmless. The answer may name a time after
-    /// which to retry; 0 names none.
+    /// Answer the client for good: not done, and trying again is harmless. `retry_after` is the
+    /// time after which to retry that the answer names; 0: it names none.
     fn shed(&mut self, bio: BioId, retry_after: Tick);
     /// Answer the client for good: failed, and it is not known whether the block I/O took effect.
     fn fail(&mut self, bio: BioId);
@@ -276,7 +276,7 @@
     pub shard: u32,
     /// Whether it takes block I/Os.
     pub state: NodeState,
-    /// When its process started; 0 when long ago.
+    /// When its process started; 0: long ago, so that no slow start applies.
     pub started_at: Tick,
 }
 
--- a/crates/scheduler/src/policy/allocation.rs
+++ b/crates/scheduler/src/policy/allocation.rs
@@ -1,17 +1,17 @@
-//! The paper's Algorithm 1 for each node: a budget a window, divided among volumes, and who pays.
+//! The paper's Algorithm 1 for each node: a budget per interval, divided among volumes, and who pays.
 use super::constants::ALLOCATION_INTERVAL;
 use super::node_health::{MAX_WINDOW, NARROW_ABOVE, WIDEN_BELOW};
 use crate::interface::{Bio, NodeId, VolumeId};
 use crate::state::{Allocation, Entitlement, Node, Scheduler};
 
-const HISTORY_DECAY: f64 = 0.5; // part of its history that an idle volume keeps a window (paper)
-const QUEUED_WEIGHT: f64 = 2.0; // a queued unit counts as two used: more will follow (paper)
-const POOL_SHARE: f64 = 0.05; // part of a node's budget that is kept for volumes that return (paper)
-pub(super) const MIN_EXTRA_IOS: f64 = 4.0; // mean block I/Os a window beyond all bases, at least (paper)
-const BUDGET_STEP: f64 = 0.05; // growth of the budget a window: it doubles in 1.5 s
+const HISTORY_DECAY: f64 = 0.5; // fraction of its history that an idle volume keeps per interval (paper)
+const QUEUED_WEIGHT: f64 = 2.0; // weight of a queued unit against a used one: more will follow (paper)
+const POOL_SHARE: f64 = 0.05; // fraction of a node's budget that is kept for volumes that return (paper)
+pub(super) const MIN_EXTRA_IOS: f64 = 4.0; // mean block I/Os per interval: least extra budget (paper)
+const BUDGET_STEP: f64 = 0.05; // fraction by which the budget changes per interval: it doubles in 1.5 s
 
 impl Scheduler {
-    /// Grants each volume at a node its allocation for the next window.
+    /// Grants each volume at a node its allocation for the next interval.
     pub(super) fn reallocate(&mut self, id: NodeId) {
         let node = &mut self.nodes[id.0];
         // The budget grows while the node answers in time and the budget is what keeps block I/Os queued.
@@ -59,7 +59,7 @@
         } else if node.pool >= cost {
             node.pool -= cost;
         } else if node.in_flight.is_empty() || node.mean_latency < WIDEN_BELOW * self.shortest_objective {
-            // On credit: to wait for the next window would only leave the node idle.
+            // On credit: to wait for the next interval would only leave the node idle.
             node.allocations[own].balance -= cost;
         } else {
             return false;
--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -4,8 +4,8 @@
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Attempt, Candidate, Node, Request, Scheduler};
 
-const THRESHOLD_FROM: f64 = 0.08; // of the shortest objective, above the best mean latency: threshold 0,
-const THRESHOLD_SPAN: f64 = 0.4; // and threshold 1 this much further
+const THRESHOLD_FROM: f64 = 0.08; // fraction of shortest_objective: excess over the best mean at threshold 0
+const THRESHOLD_SPAN: f64 = 0.4; // fraction of shortest_objective: further excess at threshold 1 (window 1)
 
 impl Candidate {
     /// The highest priority goes first, and of equal priority the earliest end of objective.
@@ -123,6 +123,6 @@
         if node.started_at > 0 {
             node.slow_start_units.add(now, bio.units);
         }
-        host.forward(id, node_id, bio.deadline - now - DEADLINE_MARGIN / 3);
+        host.forward(id, node_id, bio.deadline - now - DEADLINE_MARGIN / 3); // 2 ms before the deadline
     }
 }
--- a/crates/scheduler/src/policy/endpoint_polling.rs
+++ b/crates/scheduler/src/policy/endpoint_polling.rs
@@ -7,13 +7,13 @@
 use crate::state::PollSchedule;
 
 const MIN_SPREAD: Tick = 2_000; // ticks over which hosts that start together spread their polls, at least
-const SERVICE_TIME: Tick = 300; // ticks that a poll may take of the service, where it is not known
-const MAX_BACKOFF: Tick = 10_000; // ticks of the longest backoff between failed polls of few hosts
-const DELAY_USED: f64 = 0.8; // of the time for which a host may go without polling: the rest is for the poll
-const MAX_INTERVAL: Tick = 46_000; // ticks from a failed poll to the next: 1.2 s of the 6 s are for that one
-const SERVED_IN_TIME: Tick = 54_000; // ticks of polls: of more that are known to come, some take over 6 s
-const SPREAD_AFTER_SILENCE: Tick = 16_000; // ticks at most: 3.2 s to notice and 1.2 s to poll, of 6 s
-const SPREAD_AFTER_MOVE: Tick = 20_000; // ticks at most, of hosts that learn of another service
+const SERVICE_TIME: Tick = 300; // ticks of the service's time that a poll takes, where that is not configured
+const MAX_BACKOFF: Tick = 10_000; // ticks: longest backoff between failed polls where hosts are few
+const DELAY_USED: f64 = 0.8; // fraction of max_poll_delay that a host waits: the rest is for the poll
+const MAX_INTERVAL: Tick = 46_000; // ticks, at most, from a failed poll to the next: that needs 1.2 s of 6 s
+const SERVED_IN_TIME: Tick = 54_000; // ticks of service time for all polls: with more, some take over 6 s
+const SPREAD_AFTER_SILENCE: Tick = 16_000; // ticks, at most: of 6 s, 3.2 s are to notice it and 1.2 s to poll
+const SPREAD_AFTER_MOVE: Tick = 20_000; // ticks, at most, over which hosts poll a service in place of another
 
 impl PollSchedule {
     pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &Pcg) -> Self {
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -4,7 +4,7 @@
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, BioId, Host, NodeId, Tick, VolumeId};
 use crate::state::{Request, Scheduler};
 
-const FORGET_VOLUME: Tick = 100_000; // ticks without an arrival after which a volume is forgotten, once full
+const FORGET_VOLUME: Tick = 100_000; // ticks without an arrival until a volume with full tokens is forgotten
 
 impl Scheduler {
     /// A block I/O has arrived.
--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -1,41 +1,41 @@
-//! What is learned of nodes from outcomes: latency, concurrency window, cost, backoff and lost answers.
+//! What outcomes tell of nodes: latency, concurrency window, cost, backoff and lost answers.
 use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
 use crate::state::{Node, Scheduler};
 
-const COST_MULTIPLIER_UP: f64 = 1.15; // by a latency a unit over twice the median: one in four by chance;
-const COST_MULTIPLIER_DOWN: f64 = 0.955; // by any other: on a steady node the two cancel out
-const COST_MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // bounds (paper)
-pub(crate) const RECENT_ANSWERS: usize = 32; // answers in the median: about a second's worth
-
-// Concurrency window, in attempts; latencies as parts of the shortest latency objective.
-pub(super) const MAX_WINDOW: f64 = 32.0;
-const MIN_WINDOW: f64 = 0.1; // at a node crowded by many hosts: one attempt in flight for a tenth of the time
-pub(super) const INITIAL_WINDOW: f64 = 4.0; // at a node not yet known, over all hosts and beyond one of each
-pub(super) const WIDEN_BELOW: f64 = 0.24; // a latency below it leaves capacity at the node
-pub(super) const NARROW_ABOVE: f64 = 0.32; // the rest of the objective is for time in the queue here
-const WIDEN_STEP: f64 = 0.05; // additive increase of a full window by a round of quick answers
-const NARROW_STEP: f64 = 0.1; // multiplicative decrease by a round of slow answers, or by a failure
-
-const MIN_BACKOFF: Tick = 100; // ticks after a second failure in a row, doubled by each further one
+const COST_MULTIPLIER_UP: f64 = 1.15; // factor for a unit latency over 2 medians: by chance one answer in four
+const COST_MULTIPLIER_DOWN: f64 = 0.955; // factor for any other answer: on a steady node the two cancel out
+const COST_MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // lower and upper bound (paper)
+pub(crate) const RECENT_ANSWERS: usize = 32; // answers in the median of unit latency: about one second's
+
+// Concurrency window, in attempts in flight from this host to a node.
+pub(super) const MAX_WINDOW: f64 = 32.0; // attempts in flight at a node, at most
+const MIN_WINDOW: f64 = 0.1; // attempts, at a node crowded by many hosts: one in flight a tenth of the time
+pub(super) const INITIAL_WINDOW: f64 = 4.0; // attempts of all hosts at an unknown node, beyond one of each
+pub(super) const WIDEN_BELOW: f64 = 0.24; // fraction of shortest_objective: below it, capacity is left
+pub(super) const NARROW_ABOVE: f64 = 0.32; // fraction of shortest_objective: the rest is for the queue here
+const WIDEN_STEP: f64 = 0.05; // attempts: additive increase of a full window by a round of quick answers
+const NARROW_STEP: f64 = 0.1; // fraction: multiplicative decrease by a round of slow answers, or by a failure
+
+const MIN_BACKOFF: Tick = 100; // ticks after the second failure in a row; each further one doubles it
 pub(super) const MAX_BACKOFF: f64 = 3_000.0; // ticks, times the root of the host count, as all hosts try
 
 const LATENCY_ALPHA: f64 = 0.15; // weight of one answer in a node's mean latency
-const ANSWER_COUNT_DECAY: f64 = 0.9; // of the count of recent answers, a window: about the last second's
-const IDLE_LATENCY_DECAY: f64 = 0.90; // fraction kept an interval without attempts: half after 0.7 s
+const ANSWER_COUNT_DECAY: f64 = 0.9; // fraction of the count kept per interval: about the last second's
+const IDLE_LATENCY_DECAY: f64 = 0.90; // fraction kept per interval without attempts: half after 0.7 s
 const FAILURE_ALPHA: f64 = 0.4; // weight of an attempt without an answer: it may be lost as well
 const TIMEOUT_MEANS: f64 = 3.0; // fleet means that a time-out counts as, at most: a loss closes no quick node
 
 const FLEET_ALPHA: f64 = 0.05; // weight of one answer in the fleet's mean latency
-const BEST_RISE: f64 = 1.0005; // an answer, of the fleet's best mean: a tenth in a minute
-const MAX_FLEET_LATENCY: f64 = 0.9; // of the shortest objective: the most that an answer counts as
-const THRESHOLD_UP: f64 = 0.1; // of the fleet's threshold, by a late answer;
-const THRESHOLD_DOWN: f64 = 0.008; // by one in time: it settles where one answer in thirteen is late
-pub(super) const MAX_THRESHOLD: f64 = 0.9; // of the typical priority: what earns that much may always go
+const BEST_RISE: f64 = 1.0005; // factor on the fleet's best mean latency per answer: a tenth in a minute
+const MAX_FLEET_LATENCY: f64 = 0.9; // fraction of shortest_objective: the most that one answer counts as
+const THRESHOLD_UP: f64 = 0.1; // fraction of typical_priority: rise of the fleet's threshold by a late answer
+const THRESHOLD_DOWN: f64 = 0.008; // the same: fall by one in time; steady where one in thirteen is late
+pub(super) const MAX_THRESHOLD: f64 = 0.9; // fraction of typical_priority: what earns that much may always go
 
-const LOSS_WATCH: Tick = 50_000; // ticks for which one lost answer makes the scheduler look out for others
+const LOSS_WATCH: Tick = 50_000; // ticks after a lost answer in which the scheduler looks for others
 const LOST_AFTER_MEANS: f64 = 4.0; // mean latencies after which an attempt counts as lost: few take that long
-const LOST_AFTER_OBJECTIVE: f64 = 0.5; // of the shortest objective, at least: a pause of a node is no loss
+const LOST_AFTER_OBJECTIVE: f64 = 0.5; // fraction of shortest_objective, at least: a pause is no loss
 
 impl Node {
     /// How long an attempt may take here before it counts as lost.
@@ -81,7 +81,7 @@
 }
 
 impl Scheduler {
-    /// Learns from an outcome about its node.
+    /// Records an attempt's outcome in the state of its node.
     pub(super) fn record_outcome(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
         let node = &mut self.nodes[outcome.node.0];
         let was_full = node.in_flight.len() as f64 + 1.0 > node.concurrency_window;
@@ -126,7 +126,7 @@
         node.consecutive_failures += 1;
     }
 
-    /// Ages what is known of a node by one window.
+    /// Ages what is known of a node by one allocation interval.
     pub(super) fn age_node(&mut self, now: Tick, id: NodeId) {
         let (warm, node) = (self.is_warm(now, id), &mut self.nodes[id.0]);
         node.recent_answers *= ANSWER_COUNT_DECAY;
@@ -157,7 +157,7 @@
     }
 
     /// Cancels attempts far older than the node's latency that an answer to a later one has overtaken, since
-    /// another may still be in time. Hurts where a node serves far out of turn.
+    /// another may still be in time. Drawback: costly where a node serves far out of turn.
     fn cancel_lost(&self, host: &mut dyn Host, now: Tick, node: &Node) {
         let sent_before = (now - node.lost_after(self.shortest_objective)).min(node.latest_completed_sent_at);
         for attempt in &node.in_flight {
--- a/crates/scheduler/src/policy/ordering.rs
+++ b/crates/scheduler/src/policy/ordering.rs
@@ -41,7 +41,7 @@
         let until = now + self.config.ordering_cooldown + 1;
         self.keys[key.0].cooldown_until = until;
         self.cooling_keys.push(key);
-        // The next block I/O of the key goes when the cooldown ends, not a window later.
+        // The next block I/O of the key goes when the cooldown ends, not an allocation interval later.
         self.timers.push(until, id);
     }
 
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -3,7 +3,7 @@
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Node, Request, Scheduler};
 
-const LONG_PAUSE: f64 = 0.25; // of the shortest objective: a node paused for longer comes after any other
+const LONG_PAUSE: f64 = 0.25; // fraction of shortest_objective: a node paused for longer is chosen last
 
 impl Scheduler {
     /// Queues a block I/O for a node, or answers it if there is none. Of two drawn at random it is the one
--- a/crates/scheduler/src/policy/rate_limits.rs
+++ b/crates/scheduler/src/policy/rate_limits.rs
@@ -4,7 +4,7 @@
 use crate::state::{PlanRates, Request, Scheduler, TICKS_PER_SECOND, Volume};
 
 const KEPT_FOR_TOP_CLASS: Tick = 30_000; // ticks for which tokens that ran short serve only the top class
-const OTHER_HOSTS_ALPHA: f64 = 0.1; // weight of one window in the other hosts' mean rate: about a second
+const OTHER_HOSTS_ALPHA: f64 = 0.1; // weight of one interval in the other hosts' mean rate: about a second
 
 impl Volume {
     /// This host's part of the limit, in units a tick: an even share where there is no quota.
@@ -21,7 +21,7 @@
         self.reserve_tokens = (self.reserve_tokens + span * plan.reserved).min(most);
     }
 
-    /// Takes what other hosts were reported to use in a window into their mean rate.
+    /// Records what other hosts were reported to use in an interval in their mean rate.
     pub(super) fn record_other_hosts_rate(&mut self) {
         let rate = std::mem::take(&mut self.reported_by_others) / ALLOCATION_INTERVAL as f64;
         self.other_hosts_rate = self.other_hosts_rate.map(|mean| mean + (rate - mean) * OTHER_HOSTS_ALPHA);
@@ -40,7 +40,7 @@
     }
 
     /// The plans from now on, and the volumes that change to another one. Tokens saved under the old figures
-    /// stay, cut to the new ones at once; bases and ceilings follow with the next window.
+    /// stay, cut to the new ones at once; bases and ceilings follow with the next interval.
     pub fn on_plans_changed(&mut self, now: Tick, plans: &[Plan], moved: &[(VolumeId, u16)]) {
         self.refill_all(now);
         self.plans = plans.iter().map(PlanRates::from).collect();
@@ -66,13 +66,13 @@
         let new = || Volume { plan, hosts, refilled_at: self.started_at, quota, ..Volume::default() };
         let volume = self.volumes.get_or_insert_with(bio.volume.0, new);
         volume.refill(now, &self.plans[plan], self.max_io_units);
-        // The hosts' shares add up to the limit only if none is ever larger than the smallest that was due.
+        // The hosts' shares add up to the limit only if none is ever larger than the smallest allotted.
         volume.hosts = volume.hosts.max(hosts);
         volume.last_arrival = now;
         volume.in_progress += 1;
     }
 
-    /// Takes in a report of what other hosts used. After a silence, more than a burst says no more than that.
+    /// Records a report of what other hosts used. After a silence, more than a burst says no more than that.
     pub(super) fn record_other_hosts_usage(&mut self, id: VolumeId, units: f64) {
         let volume = &mut self.volumes[id.0];
         volume.reported_by_others += units.clamp(0.0, self.plans[volume.plan].burst_units);
--- a/crates/scheduler/src/policy/retries.rs
+++ b/crates/scheduler/src/policy/retries.rs
@@ -5,7 +5,7 @@
 };
 use crate::state::{Node, PossibleRun, Request, RetryBudget, Scheduler, ShedRecord};
 
-const SAME_DEADLINE: Tick = 5; // ticks by which a retry's deadline differs from the first one's, at most
+const SAME_DEADLINE: Tick = 5; // ticks, at most, between the deadlines of a block I/O and its client's retry
 
 impl RetryBudget {
     /// Whether it allows another retry at this moment.
@@ -18,7 +18,7 @@
 
 impl Request {
     /// Until when it may be queued. A client that is answered in the first half of its time can go elsewhere,
-    /// if nothing was tried; later, it has waited in vain. Hurts where capacity comes just in time.
+    /// if nothing was tried; later, it waited in vain. Drawback: costly where capacity comes just in time.
     pub(super) fn queued_until(&self) -> Tick {
         if self.attempts == 0 { self.objective_end.min(self.unsent_until) } else { self.objective_end }
     }
@@ -38,7 +38,7 @@
         Request { bio, objective_end, unsent_until, ..Request::default() }
     }
 
-    /// Notes that an attempt may have run. With an idempotency key, the objective ends with the key's window.
+    /// Records that an attempt may have run. With an idempotency key, the objective ends with its window.
     pub(super) fn record_possible_run(&mut self, now: Tick, id: BioId, outcome: &AttemptOutcome) {
         use AttemptResult::{ConnectFailed, NotSent, Rejected};
         if matches!(outcome.result, Rejected | ConnectFailed | NotSent) {
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -3,11 +3,11 @@
 use crate::interface::{NodeId, SchedulerConfig, Tick};
 use crate::state::{Node, Scheduler, SlowStart, SlowStartCapacity};
 
-const SAFE_LOAD: f64 = 0.8; // of the load at which a warming node fails; the rest is for surges
-const UNUSED_LOAD: f64 = 0.5; // of that, for a host with no rate there: demand may be twice what a node does
-const WARM_DEMAND_PRIOR: f64 = 4.0; // block I/Os for warm nodes that outweigh the value above
-pub(super) const WARM_DEMAND_DECAY: f64 = 0.99; // a window, of the counts of demand: the last ten seconds'
-const USUAL_RATE_ALPHA: f64 = 0.01; // weight of one window in what a host usually sends: ten seconds' worth
+const SAFE_LOAD: f64 = 0.8; // fraction of the load at which a warming node fails: the rest is for surges
+const UNUSED_LOAD: f64 = 0.5; // prior fraction of demand that is accepted: it may be twice what a node does
+const WARM_DEMAND_PRIOR: f64 = 4.0; // weight of UNUSED_LOAD, in block I/Os for warm nodes
+pub(super) const WARM_DEMAND_DECAY: f64 = 0.99; // fraction of the counts kept per interval: the last 10 s
+const USUAL_RATE_ALPHA: f64 = 0.01; // weight of one interval in the usual rate: about ten seconds' worth
 
 impl SlowStart {
     pub(super) fn new(config: &SchedulerConfig, hosts: f64) -> Self {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The rate as a multiple of the first one, by the slowest growth allowed and half a window late.
+    /// The rate as a multiple of the first one, by the slowest growth allowed, half an overload window late.
     fn growth(&self, age: Tick) -> f64 {
         let grown = (age - self.overload_window / 2).max(0) as f64 / self.duration.max(1) as f64;
         (self.initial_rate + (1.0 - self.initial_rate) * grown.min(1.0)) / self.initial_rate
@@ -29,7 +29,7 @@
 }
 
 impl Node {
-    /// Takes a window's rate into the usual one; a host that is itself young weighs windows by its age.
+    /// Records an interval's rate in the usual one; a host that is itself young weighs intervals by its age.
     pub(super) fn record_usual_rate(&mut self, rate: f64, host_age: Tick) {
         let young = ALLOCATION_INTERVAL as f64 / host_age.max(ALLOCATION_INTERVAL) as f64;
         self.usual_rate += (rate - self.usual_rate) * young.max(USUAL_RATE_ALPHA);
@@ -61,7 +61,7 @@
 
     /// A share below the largest block I/O goes out whole, by a number drawn each overload window. A host
     /// that never sent here sends less often, by the fraction that warm nodes accept: even shares
-    /// fall to hosts with nothing to send. Hurts where all hosts surge at a return.
+    /// fall to hosts with nothing to send. Drawback: costly where all hosts surge at a return.
     fn rounded_share(&mut self, now: Tick, id: NodeId, share: f64, sent: f64, growth: f64) -> f64 {
         let (limits, node) = (&self.slow_start, &mut self.nodes[id.0]);
         if now >= node.slow_start_draw_until {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -48,11 +48,14 @@
     pub(crate) recently_shed: Vec<ShedRecord>,
     /// When to look at a block I/O again: it may have to be shed, or a node be free.
     pub(crate) timers: TimerQueue,
+    /// When the next allocation interval starts.
     pub(crate) next_allocation: Tick,
     pub(crate) polling: PollSchedule,
     /// The earliest time for which the host's timer is set.
     pub(crate) armed_for: Tick,
+    /// Until then answers count as being lost: an attempt timed out that a later answer had overtaken.
     pub(crate) losing_answers_until: Tick,
+    /// Latencies over all nodes, as this host has seen them.
     pub(crate) fleet_latency: FleetLatency,
     /// Number of the dispatch that runs.
     pub(crate) dispatch_pass: u64,
@@ -113,7 +116,7 @@
     pub(crate) in_progress: u32,
     /// Until then its tokens are for the class of the highest weight.
     pub(crate) kept_for_top_class_until: Tick,
-    /// Units served through other hosts, as reported in this window.
+    /// Units served through other hosts, as reported in this allocation interval.
     pub(crate) reported_by_others: f64,
     /// Mean rate of the same, in units a tick; none before the first report.
     pub(crate) other_hosts_rate: Option<f64>,
@@ -121,23 +124,23 @@
     pub(crate) quota: Option<f64>,
 }
 
-/// The allocation of one volume at one node: a share of this window's budget.
+/// The allocation of one volume at one node: a share of the budget of this allocation interval.
 #[derive(Default)]
 pub(crate) struct Allocation {
     pub(crate) volume: VolumeId,
     /// The entitlement as of the start of this allocation interval.
     pub(crate) entitlement: Entitlement,
-    /// Cost still to be spent in this window; a debt below 0.
+    /// Cost still to be spent in this interval; a debt below 0.
     pub(crate) balance: f64,
-    /// Cost spent in this window.
+    /// Cost spent in this interval.
     pub(crate) used: f64,
-    /// Units queued as the window began.
+    /// Units queued as the interval began.
     pub(crate) queued: f64,
-    /// Decaying maximum of the cost spent a window.
+    /// Decaying maximum of the cost spent per interval.
     pub(crate) history: f64,
-    /// Was granted more than its base for this window.
+    /// Was granted more than its base for this interval.
     pub(crate) bursting: bool,
-    /// The dispatch pass in which it was refused.
+    /// The dispatch pass in which it was last refused; 0: in none, since passes count from 1.
     pub(crate) refused_in_pass: u64,
 }
 
@@ -157,13 +160,13 @@
     pub(crate) active: bool,
     /// Since when it does not; none while it is active.
     pub(crate) inactive_since: Option<Tick>,
-    /// Start of its process; 0 when long ago.
+    /// Start of its process; 0: long ago, so that no slow start applies.
     pub(crate) started_at: Tick,
     /// Nothing is sent before this time.
     pub(crate) paused_until: Tick,
     /// Units sent since its start.
     pub(crate) slow_start_units: SlidingSum,
-    /// Units sent in this window.
+    /// Units sent in this allocation interval.
     pub(crate) interval_units: f64,
     /// Mean rate at which this host sends to it while it is well, in units a tick.
     pub(crate) usual_rate: f64,
@@ -186,9 +189,9 @@
     pub(crate) unit_latency: RecentMedian<RECENT_ANSWERS>,
     /// Mean latency in ticks.
     pub(crate) mean_latency: f64,
-    /// Budget of a window beyond the bases of all volumes.
+    /// Budget of an allocation interval beyond the bases of all volumes.
     pub(crate) extra_budget: f64,
-    /// What is left of the window's pool for volumes without a balance.
+    /// What is left of the interval's pool for volumes without a balance.
     pub(crate) pool: f64,
     /// Block I/Os that wait here to be sent to it.
     pub(crate) queue: Vec<BioId>,
@@ -244,7 +247,7 @@
     pub(crate) queue: KeyQueue,
     /// Block I/Os that name it.
     pub(crate) users: u32,
-    /// Until then no other block I/O of the key starts; 0 when none was cut off.
+    /// Until then no other block I/O of the key starts; 0: no attempt was cut off, the key does not cool down.
     pub(crate) cooldown_until: Tick,
 }
 
