--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -3,7 +3,7 @@
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, Host, Idempotency, NodeId, Tick};
 use crate::state::{Node, Scheduler};
 
-const COST_MULTIPLIER_UP: f64 = 1.15; // factor for a unit latency over 2 medians: by chance one answer in four
+const COST_MULTIPLIER_UP: f64 = 1.15; // factor for a unit latency over two medians: by chance one in four
 const COST_MULTIPLIER_DOWN: f64 = 0.955; // factor for any other answer: on a steady node the two cancel out
 const COST_MULTIPLIER_RANGE: (f64, f64) = (0.25, 4.0); // lower and upper bound (paper)
 pub(crate) const RECENT_ANSWERS: usize = 32; // answers in the median of unit latency: about one second's
