--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -21,30 +21,38 @@
     pub(crate) config: SchedulerConfig,
     pub(crate) plans: Vec<PlanRates>,
     pub(crate) classes: Vec<ClassPolicy>,
+    /// Mean units of a block I/O.
     pub(crate) mean_io_units: f64,
+    /// Units of the largest block I/O.
     pub(crate) max_io_units: f64,
     /// The shortest latency objective of all classes, in ticks: the measure of every latency.
     pub(crate) shortest_objective: f64,
     /// What a block I/O of mean class and plan earns in full.
     pub(crate) typical_priority: f64,
+    /// Hosts that share the nodes, this one included; `u32::MAX` where not configured.
     pub(crate) hosts: u32,
     /// Fraction of a node's load that is assumed to come from the other hosts.
     pub(crate) load_by_other_hosts: f64,
+    /// Concurrency window of a node not yet known, in attempts.
     pub(crate) initial_window: f64,
+    /// The longest pause after failures in a row, in ticks.
     pub(crate) max_backoff: Tick,
     pub(crate) slow_start: SlowStart,
     pub(crate) retry_budget: RetryBudget,
     /// The Retry-After of shed block I/Os; 0 names none.
     pub(crate) retry_after: Tick,
     pub(crate) rng: Pcg,
+    /// When this scheduler started.
     pub(crate) started_at: Tick,
     pub(crate) nodes: Slab<Node>,
     pub(crate) volumes: Slab<Volume>,
     /// Quotas by volume, in units a tick.
     pub(crate) quotas: Slab<f64>,
     pub(crate) keys: Slab<OrderingKey>,
+    /// Keys with a cooldown that may have ended.
     pub(crate) cooling_keys: Vec<KeyId>,
     pub(crate) requests: Slab<Request>,
+    /// Block I/Os shed here, kept until their deadlines are past.
     pub(crate) recently_shed: Vec<ShedRecord>,
     /// When to look at a block I/O again: it may have to be shed, or a node be free.
     pub(crate) timers: TimerQueue,
@@ -59,6 +67,7 @@
     pub(crate) fleet_latency: FleetLatency,
     /// Number of the dispatch that runs.
     pub(crate) dispatch_pass: u64,
+    /// What was sent to warm nodes, of what was there for them.
     pub(crate) warm_demand: WarmDemand,
 }
 
