--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -115,8 +115,8 @@
         (split, exchanged)
     }
 
-    /// Sends records in as many datagrams as one answer may take, the first one with `body`. What does not fit is left
-    /// to the next comparison.
+    /// Sends records in as many datagrams as one answer may take, the first one with `body`. The rest is sent
+    /// after the next comparison.
     fn send_records(
         &mut self,
         to: SocketAddr,
--- a/crates/fleet/src/membership/name_conflict.rs
+++ b/crates/fleet/src/membership/name_conflict.rs
@@ -1,6 +1,6 @@
-//! Several processes under one name: the one that started later stays. An earlier one asks the later whether it is alive;
-//! if it answers, the earlier one takes no more part. If not, it was an earlier run of this very host, and this host
-//! raises its generation past it.
+//! Several processes under one name: the one with the highest generation remains a member. A process with a lower one
+//! pings it; if it answers, this process leaves the protocol (it is superseded). If it does not, its record was left by
+//! an earlier run of this host, and this host raises its generation above it.
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
@@ -20,7 +20,7 @@
 }
 
 impl Membership {
-    /// A message of a sender under this host's own name: another process, or its own record come back.
+    /// A message of a sender under this host's own name: another process, or this host's own record reflected.
     pub(super) fn receive_own_name(
         &mut self,
         from: SocketAddr,
@@ -33,9 +33,9 @@
         let conflict = self.name_conflict.as_ref();
         match body {
             GossipBody::Ack { .. } if conflict.is_some_and(|c| c.record.generation <= sender.generation) => {
-                self.give_way(sender.address, sink);
+                self.leave_superseded(sender.address, sink);
             }
-            // An earlier process asks whether this one is alive.
+            // A process with a lower generation checks whether this one is alive.
             GossipBody::Ping { sequence }
                 if sender.generation < self.own_record.generation && self.superseded_by.is_none() =>
             {
@@ -46,7 +46,8 @@
         self.merge_own_name(&GossipUpdate { record: sender, suspected_by: None }, now, sink);
     }
 
-    /// An update about a process under this host's own name. Refutes what is wrong of this host (SWIM, section 4.2).
+    /// An update about a process under this host's own name. Refutes suspicions of this host, and records of it that it
+    /// did not issue (SWIM, section 4.2).
     pub(super) fn merge_own_name(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
         let record = &update.record;
         if self.superseded_by.is_some() || record.generation < self.own_record.generation {
@@ -73,7 +74,7 @@
 
     fn merge_later_generation(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
         let record = &update.record;
-        // One at this very address, or one that is reported as ended, can't be another process that is alive.
+        // A record with this address, or of a process that has left or is suspected, is no other live process.
         let has_ended = record.address == self.own_record.address
             || record.lifecycle == Lifecycle::Left
             || update.suspected_by.is_some();
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Pings the other process, or takes it for ended once it left all pings unanswered.
+    /// Pings the other process, or assumes that it has ended once all pings were unanswered.
     pub(super) fn ping_name_conflict(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let period = self.config.protocol_period;
         let Some(conflict) = self.name_conflict.as_mut().filter(|conflict| now >= conflict.next_ping) else {
@@ -102,14 +103,14 @@
         self.send_first_ping(address, sink);
     }
 
-    /// This process is the latest under its name.
+    /// This process is the only one under its name: takes a generation above all known ones.
     fn raise_generation(&mut self, past: u64, now: Millis, sink: &mut dyn ActionSink) {
         self.name_conflict = None;
         self.own_record.generation = self.own_record.generation.max(past + 1);
         self.publish(|_| {}, now, sink);
     }
 
-    fn give_way(&mut self, address: SocketAddr, sink: &mut dyn ActionSink) {
+    fn leave_superseded(&mut self, address: SocketAddr, sink: &mut dyn ActionSink) {
         if self.superseded_by.is_none() {
             self.superseded_by = Some(address);
             self.name_conflict = None;
--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -1,5 +1,5 @@
-//! The optimal placement, proven by branch and bound: volumes are placed one by one, the hardest first, and what
-//! cannot fit or cannot be optimal any more is pruned.
+//! The optimal placement, proven by branch and bound: volumes are placed one by one, the hardest first, and partial
+//! placements that are infeasible or cannot be optimal are pruned.
 use crate::constraint::{Constraint, ConstraintFilter};
 use crate::feasibility::{FULL_CAPACITY, fits};
 use crate::objective::{Objective, cost, moved_data, objective};
@@ -13,9 +13,9 @@
 pub enum SolveOutcome {
     /// The optimal placement, proven.
     Optimal(Objective),
-    /// Proven that no placement fits.
+    /// Proven that no placement is feasible.
     Infeasible,
-    /// The steps ran out.
+    /// The search has exceeded its steps.
     StepsExhausted {
         /// The best placement so far.
         best: Option<Objective>,
@@ -32,10 +32,10 @@
     order: Vec<VolumeIndex>,
     /// The node sets that each volume's own constraints allow.
     allowed: Vec<Vec<Vec<NodeIndex>>>,
-    /// For each position in the order, the last position before it with a volume that differs by its name only. Of
-    /// two such volumes the first is never placed behind the second: exchanged, they would be worth the same, and
-    /// the first placement in order of names is the better one.
-    twins: Vec<Option<usize>>,
+    /// For each position in the order, the last position before it with a volume that differs by its name only. The
+    /// node set of such a volume is never before that of its predecessor (symmetry breaking): with the two exchanged the
+    /// objective would be the same, and the first placement in order of names is the better one.
+    identical_predecessors: Vec<Option<usize>>,
     /// For each position in the order, the index of the chosen node set.
     chosen: Vec<usize>,
     gain_upper_bound: i128,
@@ -45,7 +45,7 @@
     best: Option<Objective>,
 }
 
-/// Finds the optimal placement within so many steps. A step is one node set tried for one volume.
+/// Finds the optimal placement within `max_steps`. A step is one node set tried for one volume.
 #[must_use]
 pub fn solve(problem: &Problem, max_steps: u64) -> SolveOutcome {
     let mut search = Search::new(problem, &|_| true, FULL_CAPACITY, false, max_steps);
@@ -57,8 +57,8 @@
     }
 }
 
-/// Whether any placement meets the active constraints, with capacities in thousandths of what they are. None: the
-/// steps ran out.
+/// Whether any placement meets the active constraints, with capacities in thousandths of the given ones. None:
+/// `max_steps` was exceeded.
 #[must_use]
 pub fn is_feasible(
     problem: &Problem,
@@ -87,9 +87,9 @@
         let allowed: Vec<_> =
             volumes.clone().map(|volume| problem.allowed_node_sets(volume, is_active)).collect();
         let mut order: Vec<VolumeIndex> = volumes.collect();
-        // Volumes without an allowed set and those with much reserve first: what cannot fit shows early.
+        // Volumes without an allowed set and those with much reserve first, so that infeasible branches are pruned early.
         order.sort_by_key(|v| (allowed[*v].len().min(1), Reverse(problem.volumes[*v].reserved_rate), *v));
-        let twins = find_twins(problem, &order, is_active);
+        let identical_predecessors = find_identical_predecessors(problem, &order, is_active);
         Search {
             problem,
             is_active,
@@ -97,7 +97,7 @@
             chosen: vec![0; order.len()],
             order,
             allowed,
-            twins,
+            identical_predecessors,
             gain_upper_bound: gain_upper_bound(problem),
             stop_at_first,
             steps_left: max_steps,
@@ -117,10 +117,10 @@
     /// Places the volumes from a position in the order on, in every way that is not pruned.
     fn place_from(&mut self, position: usize, placement: &mut Placement) {
         if position == self.order.len() {
-            return self.offer(placement);
+            return self.consider(placement);
         }
         let volume = self.order[position];
-        let first = self.twins[position].map_or(0, |twin| self.chosen[twin]);
+        let first = self.identical_predecessors[position].map_or(0, |earlier| self.chosen[earlier]);
         for choice in first..self.allowed[volume].len() {
             if self.is_done() {
                 return;
@@ -136,8 +136,8 @@
         placement[volume] = Vec::new();
     }
 
-    /// Takes a complete placement if it is the best so far.
-    fn offer(&mut self, placement: &Placement) {
+    /// Retains a complete placement if it is the best so far.
+    fn consider(&mut self, placement: &Placement) {
         let found = objective(self.problem, placement);
         if self.best.as_ref().is_none_or(|best| found > *best) {
             self.best = Some(found);
@@ -151,7 +151,7 @@
         fits(self.problem, &assignments, self.is_active, self.capacity_per_mille)
     }
 
-    /// Whether a placement that begins like this can be better than the best so far: no gain is above the upper
+    /// Whether a completion of this partial placement can be better than the best so far: no gain is above the upper
     /// bound, and cost and moved data never shrink.
     fn may_be_optimal(&self, placed: &[VolumeIndex], placement: &Placement) -> bool {
         let Some(best) = self.best.as_ref().filter(|_| !self.stop_at_first) else { return true };
@@ -167,7 +167,11 @@
 }
 
 /// For each position in the order, the last position before it with a volume that differs by its name only.
-fn find_twins(problem: &Problem, order: &[VolumeIndex], is_active: ConstraintFilter) -> Vec<Option<usize>> {
+fn find_identical_predecessors(
+    problem: &Problem,
+    order: &[VolumeIndex],
+    is_active: ConstraintFilter,
+) -> Vec<Option<usize>> {
     let active_constraints = |volume: VolumeIndex| {
         [
             Constraint::Reserve(volume),
@@ -178,12 +182,12 @@
         ]
         .map(is_active)
     };
-    let are_twins = |a: VolumeIndex, b: VolumeIndex| {
+    let are_identical = |a: VolumeIndex, b: VolumeIndex| {
         let (first, second) = (&problem.volumes[a], &problem.volumes[b]);
         Volume { name: second.name.clone(), ..first.clone() } == *second
             && active_constraints(a) == active_constraints(b)
     };
-    let last_twin =
-        |position: usize| (0..position).rev().find(|earlier| are_twins(order[*earlier], order[position]));
-    (0..order.len()).map(last_twin).collect()
+    let last_identical =
+        |position: usize| (0..position).rev().find(|earlier| are_identical(order[*earlier], order[position]));
+    (0..order.len()).map(last_identical).collect()
 }
--- a/crates/placement/src/constraint.rs
+++ b/crates/placement/src/constraint.rs
@@ -1,4 +1,4 @@
-//! The constraints that a placement must meet, each of which can be left out to find out why nothing fits.
+//! The constraints that a placement must meet, each of which can be left out to explain why a problem is infeasible.
 use crate::problem::Problem;
 use crate::{NodeIndex, VolumeIndex};
 
@@ -19,7 +19,7 @@
     SurvivesZoneLoss(VolumeIndex),
 }
 
-/// Tells which constraints count.
+/// Whether a constraint is active.
 pub type ConstraintFilter<'a> = &'a dyn Fn(Constraint) -> bool;
 
 impl Problem {
@@ -41,7 +41,7 @@
         constraints
     }
 
-    /// A constraint as a text for operators.
+    /// A constraint as text for operators.
     #[must_use]
     pub fn describe(&self, constraint: Constraint) -> String {
         let name = |volume: VolumeIndex| &self.volumes[volume].name;
--- a/crates/placement/src/limit_split.rs
+++ b/crates/placement/src/limit_split.rs
@@ -2,8 +2,8 @@
 use std::cmp::Reverse;
 
 /// Divides a limit over hosts in proportion to what each sends to the volume, in integer quotas that add up to the
-/// limit. No quota is below `floor_per_mille` thousandths of an even one: a host that sends nothing now may begin
-/// at any moment.
+/// limit. No quota is below `floor_per_mille` thousandths of an even one: a host that is idle now may send at
+/// any moment.
 #[must_use]
 pub fn split_limit(limit: u64, sent: &[u64], floor_per_mille: u64) -> Vec<u64> {
     let hosts = sent.len() as u128;
@@ -16,7 +16,7 @@
     let proportional =
         |rate: u64| (above_floors * u128::from(rate)).checked_div(total_sent).unwrap_or(above_floors / hosts);
     let mut quotas: Vec<u64> = sent.iter().map(|rate| (floor + proportional(*rate)) as u64).collect();
-    // What rounding leaves over goes to the hosts that send most, a thousandth of a unit each.
+    // The remainder of the rounding goes to the hosts that send most, a thousandth of a unit each.
     let mut by_rate: Vec<usize> = (0..sent.len()).collect();
     by_rate.sort_by_key(|host| (Reverse(sent[*host]), *host));
     let remainder = limit - quotas.iter().sum::<u64>();
--- a/crates/placement/src/load_table.rs
+++ b/crates/placement/src/load_table.rs
@@ -1,4 +1,4 @@
-//! The load that reserves put on nodes, kept up to date while volumes are assigned and unassigned one by one.
+//! The load of reserves at nodes, updated incrementally while volumes are assigned and unassigned.
 use crate::problem::{Problem, SCALE};
 use crate::{NodeIndex, VolumeIndex};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
         self.change(volume, nodes, 1);
     }
 
-    /// Takes the load of a volume away again.
+    /// Removes the load of a volume.
     pub fn remove(&mut self, volume: VolumeIndex, nodes: &[NodeIndex]) {
         self.change(volume, nodes, -1);
     }
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -1,11 +1,11 @@
-//! The problem: nodes, volumes and hosts. Rates are integers in thousandths of a unit a second, so that nothing is
-//! rounded.
+//! The problem: nodes, volumes and hosts. Rates are integers in thousandths of a unit a second, so that sums
+//! are exact.
 use crate::constraint::{Constraint, ConstraintFilter};
 use crate::{NodeIndex, VolumeIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Largest rate, priority factor, cost and size: sums over thousands of volumes stay far inside 128 bits.
+/// Largest rate, priority factor, cost and size: sums over thousands of volumes fit into 128 bits.
 pub const MAX_NUMBER: u64 = 1_000_000_000_000;
 /// Nodes that one volume can be spread over, at most.
 pub const MAX_SPREAD: usize = 8;
@@ -32,7 +32,7 @@
     pub name: String,
     /// The reserved rate.
     pub reserved_rate: u64,
-    /// The reserve may be raised up to this; a value below the reserve leaves no choice.
+    /// The reserve may be raised up to this; a value below the reserve leaves it fixed.
     pub max_reserved_rate: u64,
     /// What it may use at most, over all hosts; 0: no limit.
     pub rate_limit: u64,
@@ -67,17 +67,17 @@
     pub sends: BTreeMap<String, u64>,
 }
 
-/// A mistake in a problem.
+/// An error in a problem.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{name}`: expected {kind}")]
 pub struct ProblemError {
     /// Name of the node or volume.
     pub name: String,
-    /// What is wrong with it.
+    /// The error.
     pub kind: ProblemErrorKind,
 }
 
-/// What is wrong with a node or volume; the text says what was expected.
+/// An error of a node or volume; the text states what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProblemErrorKind {
     /// Two nodes have the name.
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// All mistakes in it.
+    /// All errors in it.
     pub fn new(mut nodes: Vec<Node>, mut volumes: Vec<Volume>) -> Result<Problem, Vec<ProblemError>> {
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
         volumes.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/placement/src/upper_bound.rs
+++ b/crates/placement/src/upper_bound.rs
@@ -1,9 +1,9 @@
-//! An upper bound on the gain of any placement: all nodes taken as one.
+//! An upper bound on the gain of any placement: all nodes are treated as one.
 use crate::objective::{RESERVE_GAIN, REST_GAIN, SHARE_GAIN, SHARED_DENOMINATOR, SHARED_NUMERATOR};
 use crate::problem::{Problem, SCALE};
 
-/// The most gain that any placement can have, scaled as [`crate::objective::gain`] is. Reserves gain in full. What
-/// capacity they leave goes to the demand of the highest priority factor: nine tenths of it at most as shares, since
+/// The most gain that any placement can have, scaled as [`crate::objective::gain`] is. Reserves gain in full. The
+/// remaining capacity goes to the demand of the highest priority factor: nine tenths of it at most as shares, since
 /// no node gives more than nine tenths of its own, and the rest after it.
 #[must_use]
 pub fn gain_upper_bound(problem: &Problem) -> i128 {
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -19,7 +19,7 @@
 use crate::state::{Change, State};
 use serde::{Deserialize, Serialize};
 
-/// Stands in place of the hash of an entry before the first one.
+/// The previous hash of the first entry.
 pub const GENESIS_HASH: &str = "0000000000000000000000000000000000000000000000000000000000000000";
 /// Longest author and longest reason, in bytes.
 const MAX_TEXT_BYTES: usize = 500;
@@ -60,13 +60,13 @@
 }
 
 impl ChangeLog {
-    /// Continues from a state that was stored at some entry, with the hash of that entry.
+    /// The log that ends with this state, which was stored with the hash of its last entry.
     #[must_use]
     pub fn from_snapshot(state: State, last_hash: String) -> ChangeLog {
         ChangeLog { state, last_hash }
     }
 
-    /// Replays entries from nothing.
+    /// Replays entries from the empty state.
     ///
     /// # Errors
     ///
@@ -135,7 +135,7 @@
 
     fn try_append(&mut self, text: &str) -> Result<LogEntry, LogErrorKind> {
         let entry: LogEntry = serde_json::from_str(text)?;
-        // The hash is taken over the text that was read: an entry that could be written otherwise is none of ours.
+        // The hash covers the text as it was read. Text that the service would encode differently was not written by it.
         if serde_json::to_string(&entry).ok().as_deref() != Some(text) {
             return Err(LogErrorKind::NotCanonical);
         }
