--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -7,7 +7,7 @@
 /// last. Clients send a request at once; the platform requires that a connection which does not is closed or
 /// answered within 3 s.
 pub const REQUEST_TIMEOUT: Millis = 2_000;
-/// Milliseconds within which a client takes its whole response.
+/// Milliseconds within which a client must receive its complete response.
 pub const RESPONSE_TIMEOUT: Millis = 4_000;
 /// Milliseconds after which a connection without a request may be closed (platform's rule); it is closed when
 /// others need its place.
@@ -63,7 +63,7 @@
 enum EvictionRank {
     Lingering,
     LongIdle,
-    /// A new connection most likely has a request on its way, so it outlives the long idle.
+    /// A new connection most likely carries a request soon, so it is evicted after the long idle.
     AwaitingFirstRequest,
     /// One that was just served may not send another request.
     RecentlyIdle,
--- a/crates/cow/src/consistent_cut.rs
+++ b/crates/cow/src/consistent_cut.rs
@@ -26,7 +26,7 @@
     HostsNotQuiesced(BTreeSet<String>),
 }
 
-/// A requested snapshot on its way to be granted.
+/// A requested snapshot that is not granted yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConsistentCut {
     /// The branch that it shows.
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -25,7 +25,7 @@
     extent: LayerExtent,
 }
 
-/// Locations on their way to be released. Each step examines only those that are due, however many wait.
+/// Unreachable locations that are to be released. Each step examines only those that are due, however many wait.
 #[derive(Default)]
 pub struct Reclaimer {
     /// Version at which each location was last found to be unreachable. Only the entry of a queue with this version
--- a/crates/cow/src/tree/index.rs
+++ b/crates/cow/src/tree/index.rs
@@ -2,7 +2,7 @@
 use super::model::{Branch, Layer, LayerId, Snapshot};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Counts and links by layer. Entries that have come to zero are removed: two indexes of one tree are equal.
+/// Counts and links by layer. Entries that are zero are removed, so that two indexes of one tree are equal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Index {
     /// How many branches and snapshots refer to each layer.
--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -9,7 +9,7 @@
 //! - `model`: the stored data types.
 //! - `change`: the numbered changes and their effects.
 //! - `validate` and `apply`: whether a change fits a tree, and the tree after it.
-//! - `reachability`: what nobody can read any more.
+//! - `reachability`: which locations are unreachable.
 //! - `index`: what follows from layers and names, maintained beside them.
 //! - `consistency`: checks of a whole tree, for stores that were just opened and for tests.
 mod apply;
--- a/crates/cow/src/tree/reachability.rs
+++ b/crates/cow/src/tree/reachability.rs
@@ -1,4 +1,4 @@
-//! Which locations can be read through a branch or a snapshot, and which by nobody any more.
+//! Which locations can be read through a branch or a snapshot, and which are unreachable.
 use super::{ChangeEffects, LayerExtent, LayerId, Tree};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
         empty && !self.is_referenced(layer_id)
     }
 
-    /// Whether an extent has a location in a layer and nobody can read it. `retained`: layers that may yet become
+    /// Whether an extent has a location in a layer that no branch and no snapshot reads. `retained`: layers that may yet become
     /// snapshots, which count as if they were.
     #[must_use]
     pub fn is_unreachable(&self, layer: LayerId, extent: u32, retained: &BTreeSet<LayerId>) -> bool {
@@ -42,8 +42,8 @@
         self.layers.get(&layer_id).is_some_and(|layer| layer.locations.contains_key(&extent))
     }
 
-    /// All extents whose location nobody can read any more, by layer. A layer with an empty set holds no location
-    /// and may be removed itself.
+    /// All extents with an unreachable location, by layer. A layer with an empty set has no locations and may be removed
+    /// itself.
     #[must_use]
     pub fn unreachable_extents(&self) -> BTreeMap<LayerId, BTreeSet<u32>> {
         let none_retained = BTreeSet::new();
@@ -59,7 +59,7 @@
         found
     }
 
-    /// Extents whose location nobody can read any more, of those that a change may have made unreachable.
+    /// Extents whose location a change has made unreachable.
     #[must_use]
     pub fn newly_unreachable(&self, effects: &ChangeEffects) -> Vec<LayerExtent> {
         let none_retained = BTreeSet::new();
--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -1,4 +1,4 @@
-//! Whether a change fits the tree as it stands.
+//! Whether a change can be applied to the present tree.
 use super::{Change, ChangeError, FIRST_LAYER_ID, LAST_LAYER_ID, LayerId, Location, Tree};
 use std::collections::BTreeSet;
 
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -57,8 +57,8 @@
     renewal_sent_at: Option<Millis>,
     slots: BTreeMap<LayerId, Vec<Range<u32>>>,
     cached_lookups: usize,
-    /// Extents looked up so far through heads of branches and snapshots, so that a read behind a thousand snapshots
-    /// costs what one behind none does.
+    /// Extents looked up so far through heads of branches and snapshots, so that a read costs the same with
+    /// a thousand snapshots as with none.
     lookups: BTreeMap<LayerId, HashMap<u32, Option<(LayerId, Location)>>>,
 }
 
--- a/crates/durable-store/src/error.rs
+++ b/crates/durable-store/src/error.rs
@@ -2,7 +2,7 @@
 use std::error::Error;
 use std::fmt;
 
-/// An error of the database, whichever call it came from.
+/// An error of the database, from any of its calls.
 #[derive(Debug, thiserror::Error)]
 pub enum DatabaseError {
     /// The file cannot be opened as a database.
--- a/crates/endpoint-list/src/watcher.rs
+++ b/crates/endpoint-list/src/watcher.rs
@@ -147,7 +147,7 @@
             let expected = "as many nodes as the head says, then end";
             return Err(ProtocolError { line: lines.len() as u64 + 1, expected });
         }
-        // The lines are those of a message, behind another head.
+        // The lines are those of a message, after another head.
         let head = UpdateHead {
             version: ListVersion { epoch: 0, version: 1 },
             kind: UpdateKind::FullSnapshot,
--- a/crates/fleet-udp/src/query.rs
+++ b/crates/fleet-udp/src/query.rs
@@ -13,7 +13,7 @@
 /// Why a host's membership table could not be queried.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// The socket failed, for instance because nobody listens at the host's address.
+    /// The socket failed, for instance because no process listens at the host's address.
     #[error(transparent)]
     Socket(#[from] io::Error),
     /// The host did not answer.
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -13,7 +13,7 @@
 /// Datagrams received in one iteration of the event loop. The others wait in the socket's buffer; the kernel drops what
 /// does not fit into it.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
-/// One byte more than the largest datagram, so that a longer one is not taken for a valid one.
+/// One byte more than the largest datagram, so that a longer one is not truncated to a valid one.
 const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
 /// Carries out the actions of one call of the state machine.
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -13,7 +13,7 @@
 pub const MAX_SEEDS: usize = 32;
 /// Protocol periods that may be set, in milliseconds.
 pub const PROTOCOL_PERIOD_RANGE: std::ops::RangeInclusive<Millis> = 50..=60_000;
-/// Shortest retention of unreachable members, in protocol periods: with less, a member would be given up while it is
+/// Shortest retention of unreachable members, in protocol periods: with less, a member would be removed while it is
 /// still suspected.
 pub const MIN_RETENTION_PERIODS: u64 = 100;
 
@@ -24,7 +24,7 @@
 /// Lifeguard's alpha: the shortest suspicion timeout in periods, times the decimal logarithm of the number of members.
 /// Chosen so that a process may be stopped for five seconds.
 const MIN_SUSPICION_PERIODS: f64 = 5.0;
-/// Lifeguard's beta: the timeout of a suspicion that nobody confirmed, as a multiple of the shortest one.
+/// Lifeguard's beta: the timeout of an unconfirmed suspicion, as a multiple of the shortest one.
 const MAX_SUSPICION_FACTOR: f64 = 3.0;
 /// Lifeguard's K: independent confirmations with which a suspicion has its shortest timeout.
 pub(crate) const SUSPICION_CONFIRMATIONS: usize = 3;
--- a/crates/fleet/src/membership/failure_detection.rs
+++ b/crates/fleet/src/membership/failure_detection.rs
@@ -10,7 +10,7 @@
 const INDIRECT_PING_MEMBERS: usize = 3;
 /// Draws by which those members are chosen at most.
 const INDIRECT_PING_DRAWS: usize = 2 * INDIRECT_PING_MEMBERS;
-/// Pings for other members under way at most; further requests are dropped and counted.
+/// Pending pings on behalf of other members at most; further requests are dropped and counted.
 const MAX_INDIRECT_PINGS: usize = 64;
 /// Periods until an unreachable member is first pinged.
 const UNREACHABLE_PING_FIRST_PERIODS: u64 = 2;
@@ -95,7 +95,7 @@
     /// The period ended without an ack: the pinged member is suspected.
     fn conclude_ping(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let Some(ping) = self.failure_detector.pending.take() else { return };
-        // None of the requested members reported a result: this host itself may be cut off.
+        // None of the requested members reported a result: this host itself may be partitioned.
         if ping.requested > 0 && ping.failed == 0 {
             self.failure_detector.increase_health_multiplier(&self.config);
         }
@@ -193,7 +193,7 @@
         self.send(ping.requester, result, &[], MAX_DATAGRAM_BYTES, sink);
     }
 
-    /// Suspicions that nobody refuted in time.
+    /// Concludes suspicions that were not refuted in time.
     pub(super) fn conclude_suspicions(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let count = self.table.members.len();
         let is_over = |member: &Member| match &member.reachability {
--- a/crates/fleet/src/membership/query.rs
+++ b/crates/fleet/src/membership/query.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Answers a query by somebody who is no member: with the members from `first_id` on that fit into `max_bytes`, the
+    /// Answers a query of a program that is no member: with the members from `first_id` on that fit into `max_bytes`, the
     /// query's own length.
     pub(super) fn send_page(
         &mut self,
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -33,7 +33,7 @@
 
 impl Membership {
     /// Sends a message of at most `max_bytes`, filled up with gossip: the updates of `first`, then the queued ones that
-    /// were sent least often. A message that is longer than that by itself is not sent.
+    /// were sent least often. A message that is longer than that without gossip is not sent.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -94,7 +94,7 @@
     }
 
     /// A suspicion was not refuted in time: the member is unreachable, or has left if it was leaving. That is not
-    /// gossiped: each host concludes it by itself from the suspicion.
+    /// gossiped: each host concludes it from the gossiped suspicion.
     pub fn conclude_suspicion(&mut self, id: u64, ping_interval: Millis, now: Millis, notify: Notify) {
         let Some(member) = self.members.get_mut(&id) else { return };
         let previous = member.state();
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -12,7 +12,7 @@
 
 /// Name of a host or of a fleet.
 pub type Name = heapless::String<MAX_NAME_BYTES>;
-/// Name of a zone: a part of the fleet that may fail or be cut off as a whole. Empty: none.
+/// Name of a zone: a part of the fleet that may fail or be partitioned at once (a failure domain). Empty: none.
 pub type Zone = heapless::String<MAX_ZONE_BYTES>;
 
 /// Lifecycle state that a member declares for itself.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -126,7 +126,7 @@
     pub digest: u64,
     /// Members on this page, by id.
     pub members: heapless::Vec<MemberStatus, MAX_PAGE_MEMBERS>,
-    /// Id from which the next page goes on; none: this is the last page.
+    /// First id of the next page; none: this is the last page.
     pub next_id: Option<u64>,
 }
 
@@ -139,7 +139,8 @@
 pub enum Message {
     /// A message of another member.
     Gossip(GossipMessage),
-    /// A query for the membership table by somebody who is no member. The answer is no longer than the query.
+    /// A query for the membership table by a program that is no member. The answer is no longer than the query, so that a
+    /// forged sender address amplifies nothing.
     Query {
         /// Lowest member id of the wanted page.
         first_id: u64,
--- a/crates/fleet/src/wire/codec.rs
+++ b/crates/fleet/src/wire/codec.rs
@@ -39,7 +39,7 @@
     Some(&buffer[..HEAD_BYTES + len])
 }
 
-/// Decodes a datagram of a fleet, or a membership query by somebody who does not know the fleet's name.
+/// Decodes a datagram of a fleet, or a membership query of a program that does not know the fleet's name.
 ///
 /// # Errors
 /// The datagram has another version, belongs to another fleet, or is malformed.
--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -114,7 +114,7 @@
         self.steps_left == 0 || self.stop_at_first && self.best.is_some()
     }
 
-    /// Places the volumes from a position in the order on, in every way that is not pruned.
+    /// Searches all placements, but for pruned ones, of the volumes from a position in the order on.
     fn place_from(&mut self, position: usize, placement: &mut Placement) {
         if position == self.order.len() {
             return self.consider(placement);
--- a/crates/placement/src/local_search.rs
+++ b/crates/placement/src/local_search.rs
@@ -99,7 +99,7 @@
         unplaced.is_empty()
     }
 
-    /// Places the current placement of volumes where it fits; [`LocalSearch::place_missing`] goes on from there.
+    /// Adopts the current placement of each volume where it is feasible; [`LocalSearch::place_missing`] places the others.
     pub fn start_from_current(&mut self) {
         for volume in 0..self.problem.volumes.len() {
             let current = &self.problem.volumes[volume].current_nodes;
--- a/crates/plans/src/error.rs
+++ b/crates/plans/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the package. Their texts reach operators on the control socket and hosts as reasons.
 use thiserror::Error;
 
-/// Why a change cannot be made to the plans as they stand.
+/// Why a change cannot be made to the present plans.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
     /// Another change was made first.
@@ -9,7 +9,7 @@
     VersionConflict {
         /// The version that the author had seen.
         expected: u64,
-        /// The version that stands.
+        /// The present version.
         current: u64,
     },
     /// There is no plan of this name.
@@ -37,7 +37,7 @@
         /// The values that it may have.
         expected: &'static str,
     },
-    /// The state after the change would be the one that stands.
+    /// The change would not change the state.
     #[error("nothing would be different")]
     NoEffect,
     /// Author or reason are missing or too long.
@@ -81,7 +81,7 @@
     InvalidChange(#[from] ChangeError),
 }
 
-/// Why a host gives up its connection to the control service. The next connection requests a full snapshot.
+/// Why a host closes its connection to the control service. The next connection requests a full snapshot.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
     /// What was received is no message.
--- a/crates/plans/src/host_quota.rs
+++ b/crates/plans/src/host_quota.rs
@@ -1,8 +1,8 @@
 //! A host's quota of one rate limit, with lending and borrowing between hosts.
 //!
-//! Each host owns a nominal quota, an even part of the limit that nobody can take from it. What it does not use
+//! Each host owns a nominal quota, an even part of the limit that is never leased without its consent. What it does not use
 //! it lends for a short time, by its own decision and its own clock; what it is leased in addition it may use
-//! for a shorter time. So a partitioned host falls back to its nominal quota by itself, and the quotas of all hosts
+//! for a shorter time. So a partitioned host falls back to its nominal quota without a message, and the quotas of all hosts
 //! never add up to more than the limit. (Nominal quota, lending and borrowing as in Kueue's cohorts; expiry by
 //! both clocks with a margin as in Gray and Cheriton, "Leases", SOSP 1989.)
 use crate::expiring::{ExpiringAmount, largest_alive};
--- a/crates/plans/src/messages.rs
+++ b/crates/plans/src/messages.rs
@@ -24,7 +24,7 @@
         /// The version.
         version: u64,
     },
-    /// The host has rejected a version (NACK) and goes on with the one before.
+    /// The host has rejected a version (NACK) and continues with the one before.
     #[serde(rename = "against")]
     Rejected {
         /// The version.
@@ -88,7 +88,7 @@
     /// The next entry of the change log.
     #[serde(rename = "line")]
     LogEntry {
-        /// The entry as it stands in the log.
+        /// The text of the entry, as it is in the log.
         text: String,
     },
     /// Asks for a [`HostMessage::QuotaReport`].
--- a/crates/plans/src/quota_pool.rs
+++ b/crates/plans/src/quota_pool.rs
@@ -1,5 +1,5 @@
 //! The control service's part in lending: it leases what hosts lend of one limit to hosts that need more than
-//! their nominal quota, each lease for less time than every loan behind it still lasts. It owns no quota itself:
+//! their nominal quota, each lease for less time than every loan that backs it. It owns no quota itself:
 //! if it crashes or loses its state, every host still has its nominal quota.
 use crate::expiring::{ExpiringAmount, largest_alive};
 use crate::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
--- a/crates/plans/src/rollout.rs
+++ b/crates/plans/src/rollout.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// An operator knows that a host has stopped for good and declares it removed. Returns false, and changes
+    /// An operator knows that a host has stopped permanently and declares it removed. Returns false, and changes
     /// nothing, if the host is unknown or not silent.
     pub fn declare_removed(&mut self, host: &str, now: Millis) -> bool {
         match self.hosts.get_mut(host) {
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -106,7 +106,7 @@
         self.address
     }
 
-    /// The version that it was asked to go on from.
+    /// The version after which it was asked for changes.
     pub fn since(&self) -> Option<u64> {
         self.since
     }
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -1,6 +1,6 @@
 //! One storage host on the users' platform: a single thread with one event loop on `mio`.
 //!
-//! Clients and storage nodes speak HTTP/1.1, the discovery service streams the endpoint list. Every decision about a
+//! Clients and storage nodes use HTTP/1.1, the discovery service streams the endpoint list. Every decision about a
 //! block I/O is the scheduler's; every decision about a connection comes from `mallowseam-connection-policy`. This package
 //! carries them out on sockets.
 //!
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -60,8 +60,8 @@
         self.deadlines.push(Deadline { at, slot, serial });
     }
 
-    /// Drops the deadlines of completed attempts once they are the majority: requests with a long wait would otherwise
-    /// leave one each behind.
+    /// Drops the deadlines of completed attempts once they are the majority: requests with a long timeout would otherwise
+    /// leave one deadline each.
     fn drop_stale_deadlines(&mut self) {
         if self.deadlines.len() <= 4 * self.max_connections + STALE_DEADLINES {
             return;
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -53,7 +53,7 @@
 }
 
 impl NodeConnections {
-    /// Handles an event on a connection; none: the attempt goes on.
+    /// Handles an event on a connection; none: the attempt is not completed yet.
     ///
     /// `is_closed`: the node has closed its side, which the poll reports once. `arrived_at`: when the event arrived at
     /// the socket.
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -12,7 +12,7 @@
 pub struct ActionWriter<'a> {
     /// Index of the instance.
     pub instance: u64,
-    /// The names that the scheduler's indices stand for.
+    /// The names by the scheduler's indices.
     pub names: &'a mut Names,
     /// Receives the lines.
     pub output: &'a mut Vec<u8>,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -13,7 +13,7 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The names that the scheduler's small indices stand for.
+/// The names by the scheduler's indices.
 #[derive(Default)]
 pub struct Names {
     /// Requests, by the simulator's numbers.
@@ -48,7 +48,7 @@
     PeerMessage,
 }
 
-/// One scheduler behind the protocol.
+/// One scheduler of the simulator.
 pub struct Instance {
     index: u64,
     scheduler: Scheduler,
