--- a/crates/lab/tests/fleet/discovery_outages.rs
+++ b/crates/lab/tests/fleet/discovery_outages.rs
@@ -1,5 +1,5 @@
-//! Twenty hosts and a discovery service that serves ten polls a second, and hosts configured for that. In every outage no
-//! more polls wait than the service serves in a second, and every host has a list in time.
+//! Twenty hosts and a discovery service that serves ten polls a second, for which the hosts are configured. In every
+//! outage no more polls wait than the service serves in a second, and every host has a list in time.
 use crate::support::{assert_clean, play, program, replaced};
 use mallowseam_lab::fleet::outcome::Outcome;
 
@@ -182,7 +182,7 @@
 
 #[test]
 fn hosts_with_stalled_watches_poll_again_before_the_notification_deadline() {
-    // The watches of 12 of 20 hosts stall at 6 s, and three nodes drain at 9 s. At 250 ms a poll, a jitter over the time
-    // of all polls (5 s) would let some of them poll later than at 12 s.
+    // The watches of 12 of 20 hosts stall at 6 s, and three nodes drain at 9 s. At 250 ms a poll, a jitter over the
+    // time of all polls (5 s) would let some of them poll later than at 12 s.
     play_with_slow_pacing("day 15s\nat 6s list forgets 0..12\nat 9s node 0..3 replace for 5s\n");
 }
