--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -14,6 +14,7 @@
 use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
+use mallowseam_test_support::{Digest, SeededRng};
 use std::collections::{BTreeSet, VecDeque};
 
 const STEPS: usize = 2_000;
@@ -21,51 +22,25 @@
 const NODES: u64 = 3;
 const HOSTS: usize = 3;
 
-/// SplitMix64.
-struct Rng(u64);
-
-impl Rng {
-    fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
-    }
-
-    fn below(&mut self, bound: u64) -> u64 {
-        self.next() % bound.max(1)
-    }
-
-    fn pick<'a, T>(&mut self, from: &'a [T]) -> Option<&'a T> {
-        if from.is_empty() {
-            return None;
-        }
-        from.get(self.below(from.len() as u64) as usize)
-    }
-}
-
-/// FNV-1a over values of eight bytes and over texts with their lengths.
-struct Record(u64);
+/// A digest of values of eight bytes, and of texts with their lengths.
+struct Record(Digest);
 
 impl Record {
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    }
-
     fn number(&mut self, value: u64) {
-        value.to_le_bytes().into_iter().for_each(|b| self.byte(b));
+        self.0.add(value);
     }
 
     fn numbers(&mut self, values: impl IntoIterator<Item = u64>) {
         let values: Vec<u64> = values.into_iter().collect();
         self.number(values.len() as u64);
-        values.into_iter().for_each(|v| self.number(v));
+        for value in values {
+            self.number(value);
+        }
     }
 
     fn text(&mut self, text: &str) {
         self.number(text.len() as u64);
-        text.bytes().for_each(|b| self.byte(b));
+        self.0.add_bytes(text.as_bytes());
     }
 
     fn location(&mut self, layer: LayerId, location: Location) {
@@ -108,7 +83,9 @@
             }
             CutFailure::HostsNotQuiesced(hosts) => {
                 self.number(3);
-                hosts.iter().for_each(|h| self.text(h));
+                for host in hosts {
+                    self.text(host);
+                }
             }
         }
     }
@@ -119,14 +96,20 @@
     replica: TreeReplica,
     budget: CopyBudget,
     split_write: SplitWrite,
-    /// Changes on their way.
+    /// Changes that were sent and not received yet.
     inbox: VecDeque<(u64, Change)>,
-    /// Extents being copied: into which layer, whether tried before.
-    copying: Vec<(LayerId, u32, bool)>,
+    copying: Vec<ExtentCopy>,
+}
+
+/// An extent that is being copied into a layer.
+struct ExtentCopy {
+    layer: LayerId,
+    extent: u32,
+    has_failed: bool,
 }
 
 struct Run {
-    rng: Rng,
+    rng: SeededRng,
     record: Record,
     now: u64,
     tree: Tree,
@@ -136,7 +119,7 @@
     hosts: Vec<Host>,
     awaiting_writable: Vec<(u64, LayerId, u32)>,
     in_flight: Vec<(LayerId, u32)>,
-    made: u64,
+    names_created: u64,
 }
 
 impl Run {
@@ -150,8 +133,8 @@
             copying: Vec::new(),
         };
         let mut run = Run {
-            rng: Rng(seed),
-            record: Record(0xcbf2_9ce4_8422_2325),
+            rng: SeededRng::new(seed),
+            record: Record(Digest::default()),
             now: 10,
             tree: Tree::default(),
             leases: HostLeases::new(10, seed.is_multiple_of(2)),
@@ -160,7 +143,7 @@
             hosts: (0..HOSTS).map(host).collect(),
             awaiting_writable: Vec::new(),
             in_flight: Vec::new(),
-            made: 0,
+            names_created: 0,
         };
         run.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
         (0..HOSTS).for_each(|h| run.connect(h));
@@ -199,7 +182,7 @@
         self.record
             .numbers(host.replica.known().into_iter().flat_map(|known| [known.catalog_id, known.version]));
         for message in full_tree_messages(7, &self.tree) {
-            let sound = match message {
+            let valid = match message {
                 ToHost::FullTree { catalog_id, tree } => {
                     host.replica.begin_full_tree(catalog_id, *tree);
                     true
@@ -207,29 +190,29 @@
                 ToHost::Locations { layer, locations } => host.replica.add_locations(layer, &locations),
                 _ => host.replica.finish_full_tree(),
             };
-            self.record.number(sound.into());
+            self.record.number(valid.into());
         }
         host.inbox.clear();
     }
 
     fn branch(&mut self) -> String {
         let names: Vec<String> = self.tree.branches.keys().cloned().collect();
-        self.rng.pick(&names).cloned().unwrap_or_default()
+        self.rng.choose(&names).cloned().unwrap_or_default()
     }
 
     fn snapshot(&mut self) -> Option<String> {
         let names: Vec<String> = self.tree.snapshots.keys().cloned().collect();
-        self.rng.pick(&names).cloned()
+        self.rng.choose(&names).cloned()
     }
 
     fn layer(&mut self) -> LayerId {
         let layers: Vec<LayerId> = self.tree.layers.keys().copied().collect();
-        self.rng.pick(&layers).copied().unwrap_or_default()
+        self.rng.choose(&layers).copied().unwrap_or_default()
     }
 
     fn name(&mut self) -> String {
-        self.made += 1;
-        format!("n{}", self.made)
+        self.names_created += 1;
+        format!("n{}", self.names_created)
     }
 
     /// A block I/O: looked up, and copied first where that is needed.
@@ -245,11 +228,11 @@
         self.record.lookup(lookup);
         self.record.number(host.replica.has_lease(self.now).into());
         let Lookup::CopyFirst { into, .. } = lookup else { return };
-        let is_retry = host.copying.iter().any(|c| (c.0, c.1, c.2) == (into, extent, true));
+        let is_retry = host.copying.iter().any(|c| c.layer == into && c.extent == extent && c.has_failed);
         let starts = host.budget.may_start(host.copying.len(), is_retry, self.now);
         self.record.numbers([starts.into(), host.budget.rejected_retries]);
         if starts && !is_retry {
-            host.copying.push((into, extent, false));
+            host.copying.push(ExtentCopy { layer: into, extent, has_failed: false });
         }
         if host.replica.needs_slots(into) {
             self.record.number(8);
@@ -268,12 +251,12 @@
         if host.copying.is_empty() {
             return;
         }
-        let at = self.rng.below(host.copying.len() as u64) as usize;
+        let index = self.rng.below(host.copying.len() as u64) as usize;
         if !succeeds {
-            host.copying[at].2 = true;
+            host.copying[index].has_failed = true;
             return;
         }
-        let (layer, extent, _) = host.copying.remove(at);
+        let ExtentCopy { layer, extent, .. } = host.copying.remove(index);
         host.budget.record_success();
         let slot = host.replica.take_slot(layer);
         self.record.numbers(slot.map(u64::from));
@@ -323,10 +306,10 @@
             let due = host.replica.renewal_due(self.now);
             self.record.number(due.into());
             if due && self.rng.below(8) > 0 {
-                let seen = host.replica.version().unwrap_or(0);
-                let span = self.leases.renew(&host.name, seen, self.now);
-                self.record.number(span);
-                host.replica.lease_granted(self.now, span);
+                let version = host.replica.version().unwrap_or(0);
+                let duration = self.leases.renew(&host.name, version, self.now);
+                self.record.number(duration);
+                host.replica.lease_granted(self.now, duration);
             }
         }
     }
@@ -439,13 +422,13 @@
     }
 
     fn finish_reclaims(&mut self) {
-        for at in std::mem::take(&mut self.in_flight) {
+        for (layer, extent) in std::mem::take(&mut self.in_flight) {
             match self.rng.below(4) {
-                0 => self.in_flight.push(at),
-                1 => self.reclaimer.failed(at, self.now),
+                0 => self.in_flight.push((layer, extent)),
+                1 => self.reclaimer.failed((layer, extent), self.now),
                 _ => {
-                    self.reclaimer.completed(at);
-                    self.apply(Change::ExtentsReclaimed { layer: at.0, extents: vec![at.1] });
+                    self.reclaimer.completed((layer, extent));
+                    self.apply(Change::ExtentsReclaimed { layer, extents: vec![extent] });
                 }
             }
         }
@@ -565,7 +548,7 @@
     let mut run = Run::new(seed);
     (0..STEPS).for_each(|_| run.step());
     run.query();
-    run.record.0
+    run.record.0.value()
 }
 
 const RECORDED: [u64; 20] = [
@@ -656,7 +639,8 @@
     }
     apply(&mut tree, Change::BranchDeleted { branch: "a".into() });
     assert_eq!(free.next_batch(&tree, &[1_024].into(), &leases, 0, 10), []);
-    let extents = |lot: Vec<(LayerId, u32)>| lot.into_iter().map(|at| at.1).collect::<Vec<_>>();
+    let extents =
+        |batch: Vec<(LayerId, u32)>| batch.into_iter().map(|(_, extent)| extent).collect::<Vec<_>>();
     assert_eq!(
         extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         (256..320).collect::<Vec<_>>()
--- a/crates/snapshot-catalog/tests/crash_recovery.rs
+++ b/crates/snapshot-catalog/tests/crash_recovery.rs
@@ -132,7 +132,9 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("catalog");
     let mut catalog = Catalog::open(&path).expect("new");
-    batches().into_iter().for_each(|changes| commit(&mut catalog, changes));
+    for changes in batches() {
+        commit(&mut catalog, changes);
+    }
     let (tree, id) = (catalog.tree().clone(), catalog.id());
     let mut replayed = Tree::default();
     for (version, change) in catalog.changes_since(0).expect("few changes") {
@@ -158,9 +160,9 @@
     catalog.stage(created.clone()).expect("fits");
     assert!(catalog.stage(created).is_err());
     assert_eq!((catalog.tree().version, catalog.committed_version()), (1, 0));
-    assert_eq!(reopen(backend.contents()).expect("sound").version, 0);
+    assert_eq!(reopen(backend.contents()).expect("valid").version, 0);
     catalog.commit().expect("written");
-    assert_eq!(reopen(backend.contents()).expect("sound"), *catalog.tree());
+    assert_eq!(reopen(backend.contents()).expect("valid"), *catalog.tree());
 }
 
 #[test]
