--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -1,9 +1,9 @@
 //! Which node a block I/O is queued for.
-use super::constants::WINDOW;
+use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{BioId, Host, NodeId, Tick};
 use crate::state::{Allocation, Node, Request, Scheduler};
 
-const LONG_PAUSE: f64 = 0.25; // of the shortest objective: a node paused for longer comes after any other
+const LONG_PAUSE: f64 = 0.25; // fraction of shortest_objective: a node paused for longer is chosen last
 
 impl Scheduler {
     /// Queues a block I/O for a node, or answers it if there is none. Of two drawn at random it is the one
@@ -54,7 +54,8 @@
         request.node = Some(node_id);
         let bio = request.bio;
         self.timers.push(request.queued_until(), id);
-        let base = self.plans[bio.plan as usize].reserved * WINDOW as f64 / self.volumes[bio.volume.0].hosts;
+        let reserved = self.plans[bio.plan as usize].reserved;
+        let base = reserved * ALLOCATION_INTERVAL as f64 / self.volumes[bio.volume.0].hosts;
         let node = &mut self.nodes[node_id.0];
         if !node.allocations.iter().any(|a| a.volume == bio.volume) {
             let (volume, balance, history) = (bio.volume, base, base);
