--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// What the network and a busy machine may add between two sockets.
-pub const SLACK: Micros = 250_000;
+pub(crate) const SLACK: Micros = 250_000;
 /// How long a host may take to act on the news that a node drains.
 const DRAIN_GRACE: Micros = 250_000;
 /// Part by which a limit may be exceeded, or one of the largest block I/Os.
@@ -27,7 +27,7 @@
 const COOLDOWN_SLACK: Micros = 150_000;
 
 /// GROUP NUMBER of extent copies and of what is read back at the end, which no client uses.
-pub const EXTENT_COPY_GROUP: u8 = 31;
+pub(crate) const EXTENT_COPY_GROUP: u8 = 31;
 
 /// A limit and its burst, from the request for it until all hosts apply a later one.
 #[derive(Clone, Copy, Debug)]
--- a/crates/lab/src/block.rs
+++ b/crates/lab/src/block.rs
@@ -7,7 +7,7 @@
 const HEADER_BYTES: usize = 16;
 
 /// Fills a block as write `id` leaves it at `lba`. Id 0 means a block never written: all zeros.
-pub fn fill(id: u64, lba: u64, out: &mut [u8]) {
+fn fill(id: u64, lba: u64, out: &mut [u8]) {
     if id == 0 {
         return out.fill(0);
     }
--- a/crates/lab/src/exhaustive_placement.rs
+++ b/crates/lab/src/exhaustive_placement.rs
@@ -56,10 +56,10 @@
 }
 
 /// Value of a placement: gain, then cost and data moved, both negative. A greater one is better.
-pub type Value = (i128, i128, i128);
+type Value = (i128, i128, i128);
 
 /// The value of a placement, given the nodes of each volume; none where it does not fit.
-pub fn value(nodes: &[Node], volumes: &[Volume], placement: &[Vec<usize>]) -> Option<Value> {
+fn value(nodes: &[Node], volumes: &[Volume], placement: &[Vec<usize>]) -> Option<Value> {
     if !zones_fit(nodes, volumes, placement) || !loads_fit(nodes, volumes, placement) {
         return None;
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -22,7 +22,7 @@
 /// Blocks of an account.
 const ACCOUNT_BLOCKS: u64 = 8;
 /// What a client grants a host beyond the deadline, for the network and a busy machine.
-pub const DEADLINE_GRACE: Micros = 250_000;
+pub(crate) const DEADLINE_GRACE: Micros = 250_000;
 
 /// What clients need to know of a volume.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/trace.rs
+++ b/crates/lab/src/trace.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether events are recorded.
-    pub fn is_recording(&self) -> bool {
+    pub(crate) fn is_recording(&self) -> bool {
         self.recording
     }
 
