--- a/crates/lab/src/node/queue.rs
+++ b/crates/lab/src/node/queue.rs
@@ -50,7 +50,7 @@
         while i < self.running.len() {
             if self.running[i].due <= now {
                 let done = self.running.swap_remove(i);
-                self.finish(done.command);
+                self.finish(&done.command);
             } else {
                 i += 1;
             }
@@ -66,11 +66,14 @@
             return self.reject_protected(&command);
         }
         let lifecycle = *self.lifecycle();
-        let warmth =
-            if lifecycle.incarnation == 0 { 1.0 } else { self.model.warmth(now - lifecycle.started_at) };
-        let work = command.work * self.faults.slowdown / warmth;
+        let speed = if lifecycle.incarnation == 0 {
+            1.0
+        } else {
+            self.model.speed_fraction(now - lifecycle.started_at)
+        };
+        let work = command.work * self.faults.slowdown / speed;
         if work < MIN_WORK {
-            self.finish(command);
+            self.finish(&command);
         } else {
             self.running.push(Running { due: now + work as Micros, command });
         }
@@ -87,7 +90,7 @@
         }
     }
 
-    fn finish(&mut self, command: QueuedCommand) {
+    fn finish(&mut self, command: &QueuedCommand) {
         let Transfer { write, lba, blocks, .. } = command.transfer;
         let mut data = Vec::new();
         for i in 0..u64::from(blocks) {
@@ -126,15 +129,15 @@
         let lifecycle = *self.lifecycle();
         let now = self.trace.now();
         let age = now - lifecycle.started_at;
-        if lifecycle.incarnation == 0 || age > self.model.cold_span {
+        if lifecycle.incarnation == 0 || age > self.model.warm_up {
             return false;
         }
         self.received.push_back((now, units));
-        while self.received.front().is_some_and(|(at, _)| at + self.model.fall_span < now) {
+        while self.received.front().is_some_and(|(at, _)| at + self.model.overload_window < now) {
             self.received.pop_front();
         }
         let sum: f64 = self.received.iter().map(|(_, units)| units).sum();
-        if sum > self.model.bears(age) {
+        if sum > self.model.overload_units(age) {
             self.overloaded = true;
             self.trace.record(TraceEvent::NodeOverloaded { node: self.index });
             self.crash();
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -2,16 +2,16 @@
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Model, Node};
+use mallowseam_lab::node::{Node, ServiceModel};
 use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Runs a host on a thread of its own for so many reads and writes; the allocations of that thread.
+/// Runs a host on a thread of its own for this many reads or writes; the number of allocations of that thread.
 fn allocations(run: u8, write: bool, ios: u64) -> u64 {
     let pid = std::process::id();
     let address = |n| SocketAddr::from(([127, 252, pid as u8, run * 4 + n], 3260));
-    let model = Model::quick(8, 0.0, 64);
+    let model = ServiceModel::warm(8, 0.0, 64);
     let _node = Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
     let dir = tempfile::tempdir().expect("a directory");
     let control = dir.path().join("sock");
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_block_io_costs_no_allocation_but_its_data_buffers() {
-    // A read: the buffer that takes its data. A write: the same, and the count of those who share it. TraceEvent
-    // else grows does so ever more seldom.
+fn block_io_allocates_its_data_buffers_only() {
+    // A read: the buffer that takes its data. A write: the same, and the reference count of it.
+    // Collections that grow do so ever more seldom.
     for (run, write, most) in [(1, false, 1.05), (3, true, 2.05)] {
         let few = allocations(run, write, 2_000);
         let many = allocations(run + 1, write, 12_000);
