--- a/crates/connection-policy/src/admission.rs
+++ b/crates/connection-policy/src/admission.rs
@@ -363,7 +363,7 @@
         return Some(CloseReason::IncompletePdu);
     }
     if let HostState::Draining { since } = host {
-        // Commands in flight have deadlines of their own; nothing else keeps a client connected.
+        // Commands in flight end by their own deadlines; a client without any is disconnected.
         let is_idle = state.in_flight == 0 && state.unsent_bytes == 0;
         return (is_idle && now >= since + LOGOUT_TIMEOUT).then_some(CloseReason::Drained);
     }
--- a/crates/connection-policy/src/keep_alive.rs
+++ b/crates/connection-policy/src/keep_alive.rs
@@ -54,7 +54,7 @@
     /// A reused connection broke before the first byte of its response. `idle`: milliseconds it had been idle;
     /// `after`: milliseconds from sending the attempt to the break.
     pub fn connection_lost(&mut self, idle: Millis, after: Millis, now: Millis) {
-        // Later, or on a fresh connection, the request was reset, not a connection long closed.
+        // A later reset, or one on a connection that was hardly idle, concerns the request and not a closed connection.
         if after <= RESET_WITHIN && idle >= MIN_IDLE_TIMEOUT {
             self.idle_timeout = (self.idle_timeout.min(idle) / 2).max(MIN_IDLE_TIMEOUT);
             self.last_change = now;
--- a/crates/connection-policy/tests/admission.rs
+++ b/crates/connection-policy/tests/admission.rs
@@ -40,7 +40,7 @@
     let mut admission = controller_with_session();
     assert!(admission.admit_connection(1, 0));
     assert!(admission.admit_connection(2, 0));
-    // Handles are given out in turn; connection 0 holds handle 1.
+    // Handles are assigned in ascending order; connection 0 has handle 1.
     let mut latest = 1;
     while latest != u16::MAX - 1 {
         latest = admission.login(1, "iqn.b", Some("iqn.t"), [1; 6], 0).expect("open").handle;
--- a/crates/connection-policy/tests/watch_liveness.rs
+++ b/crates/connection-policy/tests/watch_liveness.rs
@@ -16,7 +16,7 @@
 #[test]
 fn list_that_arrives_slowly_has_its_time_from_the_request_on() {
     let mut watch = WatchLiveness::new(0);
-    // The head, and then bytes without a line's end, which are no events.
+    // The head, and then an incomplete line, which is no event.
     watch.response_started();
     assert_eq!(watch.fails_at(), FIRST_EVENT_TIMEOUT);
     assert!(watch.event_received(3_900) && !watch.event_received(5_900));
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -89,7 +89,7 @@
     pub fn finish_full_tree(&mut self) -> bool {
         let Some(IncomingTree { catalog_id, tree }) = self.incoming.take() else { return false };
         if catalog_id != self.catalog_id {
-            // The slots were allocated by another catalog, and mean nothing to this one.
+            // The slots were allocated by another catalog, and are invalid at this one.
             self.slots.clear();
         }
         self.catalog_id = catalog_id;
--- a/crates/cow/tests/copy_budget.rs
+++ b/crates/cow/tests/copy_budget.rs
@@ -20,7 +20,7 @@
 #[test]
 fn successes_earn_retries_up_to_a_bound() {
     let mut budget = CopyBudget::default();
-    // The budget is used up, and a probe has been let through at the same time.
+    // The budget is exhausted, and a probe was admitted at the same time.
     (0..=MAX_CONCURRENT_COPIES).for_each(|_| assert!(budget.may_start(0, true, 1_000)));
     (0..9).for_each(|_| budget.record_success());
     assert!(!budget.may_start(0, true, 1_000));
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -170,7 +170,7 @@
             model.step(step);
             model.check();
         }
-        // Nothing is kept that nobody can read.
+        // No unreachable location is retained.
         while !model.tree.unreachable_extents().is_empty() {
             model.step(step(10, 0, 0));
         }
@@ -225,7 +225,7 @@
     let failed = CutProgress::Fail(CutFailure::NodesNotClosed([1].into()));
     assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT), failed);
     assert!(model.tree.snapshots.is_empty());
-    // Clients go on in the new head, but copy nothing from where late writes may still land.
+    // Clients continue in the new head, but copy nothing from layers that may still receive late writes.
     let head = model.tree.branches["a"].head;
     model.apply(Change::SlotsAllocated { layer: head, first: 0, count: 1 });
     let placed = Change::ExtentPlaced { layer: head, extent: 0, location: Location { node: 2, slot: 0 } };
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -61,7 +61,7 @@
     let error = ProtocolError::on_line(line);
     let fields: Vec<&str> = text.split(' ').collect();
     let ["node", name, state, generation, uptime] = fields[..] else {
-        // The protocol's first names of the generation and the uptime.
+        // The error texts use the names that the first version of the protocol had for generation and uptime.
         return Err(error("node NAME active|leaving|left BORN AGE"));
     };
     if name.is_empty() {
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -124,7 +124,7 @@
     for cut in 0..=stream.len() {
         let mut watcher = EndpointWatcher::default();
         record += &receive(&mut watcher, &stream.as_bytes()[..cut]);
-        // A connection that is lost here forgets half a line and half a list.
+        // A reconnect drops the partial line and the partial list.
         let mut reconnected = EndpointWatcher::default();
         reconnected.receive(&stream.as_bytes()[..cut], |_| {}).expect("valid");
         reconnected.on_reconnect();
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -79,7 +79,7 @@
             return;
         }
         self.reply_budget.renew(now, self.config.protocol_period);
-        // A sender that is not known yet will be by its next comparison.
+        // An unknown sender is known by its next comparison, since its record was merged.
         if !is_known || self.reply_budget.is_spent() {
             return;
         }
--- a/crates/fleet/src/membership/failure_detection.rs
+++ b/crates/fleet/src/membership/failure_detection.rs
@@ -65,7 +65,7 @@
         let helpers = self.indirect_ping_members(target_id);
         if let Some(ping) = &mut self.failure_detector.pending {
             ping.requested = helpers.len() as u32;
-            // Not tried again, also where no member was found.
+            // Requested once a period, also if no member was found to ask.
             ping.indirect_at = Millis::MAX;
         }
         let Some(target_address) = self.table.get(target_id).map(|target| target.record.address) else {
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -159,7 +159,7 @@
             GossipBody::RangeRecords { ranges, reply_wanted: true } if sender.is_known => {
                 self.send_newer_records(sender.address, &ranges, &message.updates, sink);
             }
-            // The sender may still hold records of members that left, which no other member has in its table.
+            // The sender may still have records of members that left, which other members have only as tombstones.
             GossipBody::RangeRecords { .. } | GossipBody::UpdatesOnly
                 if sender.is_known && !corrections.is_empty() =>
             {
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -633,7 +633,7 @@
     assert_eq!(fleet.member.members().count(), 4_201, "shown for 120 periods");
     fleet.tick(1);
     assert_eq!(fleet.member.members().count(), 1);
-    // What is older than a kept record stays out; what was dropped for want of room comes back.
+    // A record older than a tombstone is rejected; one whose tombstone was dropped at the limit is accepted again.
     fleet.introduce(1..4_201);
     assert_eq!(fleet.member.members().count(), 1 + 104);
     let lowest = fleet.member.members().next().expect("one is back").0.name.clone();
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -166,7 +166,7 @@
     assert_eq!(wire::decode("pins", &[&bytes[..], &[0, 0, 1]].concat()), Err(DecodeError::Malformed));
     assert_eq!(wire::decode("pins", &[&[2], &bytes[1..]].concat()), Err(DecodeError::UnsupportedVersion));
     assert!(wire::decode("pins", &[&bytes[..], &[0, 0, 0]].concat()).is_ok());
-    // The fleet's name may be left out by somebody who only queries the membership table.
+    // A query for the membership table may omit the fleet's name.
     let query = wire::encode_query(1);
     assert!(wire::decode("pins", &query).is_ok() && wire::decode("other", &query).is_ok());
     assert_eq!((MAX_DATAGRAM_BYTES, FORMAT_VERSION), (1_200, 1));
--- a/crates/placement/tests/migration.rs
+++ b/crates/placement/tests/migration.rs
@@ -83,7 +83,7 @@
     check(&problem, &from, &plan);
     assert_eq!((plan.final_placement.clone(), plan.steps.len()), (to.clone(), 3));
     assert_eq!(plan.data(), data(300));
-    // With data for the two straight moves only there is no detour, and both stay.
+    // With a data budget for the two direct moves only, there is no detour and both volumes stay.
     let plan = plan_migration(&problem, &from, &to, Some(data(200)));
     assert_eq!((plan.steps.len(), plan.blocked), (0, vec![0, 1]));
 }
--- a/crates/plans/tests/host_quota.rs
+++ b/crates/plans/tests/host_quota.rs
@@ -6,7 +6,7 @@
     let mut quota = HostQuota::new(900, 3);
     assert_eq!(quota.lend(200, 1_000), 200);
     assert_eq!(quota.available(1_000), 100);
-    // Lending less takes nothing back: others may still use the first loan.
+    // A smaller loan does not end the first one: others may still use that.
     quota.lend(50, 1_500);
     assert_eq!(quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN - 1), 100);
     assert_eq!(quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN), 250);
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -374,7 +374,7 @@
         pool.on_report(1, now, 0, 400, now);
         assert_eq!(pool.grant(1, now), amount, "loan at {now}");
     }
-    // What a host wants is known for 1,500 ms: until then it takes its part from the other's.
+    // A request counts for 1,500 ms: until then it reduces the share of the other host.
     for (later, amount) in [(1_499, 150), (1_500, 300)] {
         let mut pool = QuotaPool::new(0, true);
         pool.on_report(1, 0, 0, 400, 0);
--- a/crates/plans/tests/quota_safety.rs
+++ b/crates/plans/tests/quota_safety.rs
@@ -89,7 +89,7 @@
 
     fn step(&mut self, real: Millis) {
         if self.random.below(400) == 0 {
-            // The service dies and forgets everything; messages in transit to it are lost.
+            // The service crashes and loses its state; messages in transit to it are lost.
             self.service_down_until = real + self.random.below(6_000);
             self.pool = QuotaPool::new(self.service_down_until, false);
         }
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -66,10 +66,10 @@
     let (active, idle) = (fixture.connect(0), fixture.connect(0));
     fixture.make_idle(&active, 0);
     fixture.make_idle(&idle, 1);
-    // The longest idle of the two, by its slot; the poll has not reported what it sends now.
+    // The longer idle of the two (they are equal, and slot 0 is first); the poll has not reported its new request.
     fixture.send_request(&active, 0);
     let _third = fixture.connect(5_000);
-    assert_eq!(fixture.clients.counters.rejected, 0, "another gave way");
+    assert_eq!(fixture.clients.counters.rejected, 0, "another one was evicted");
     assert_eq!(fixture.read_queued(5_000), [0], "its request is read");
     let mut received = Vec::new();
     (&idle).read_to_end(&mut received).expect("closed in order");
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -174,7 +174,7 @@
         match &mut self.stage {
             Stage::Head => Ok(()),
             Stage::Snapshot(len) if self.response.len() < *len => Ok(()),
-            // Such a service sends nothing after the list: a new watch has to ask for changes.
+            // Such a service sends nothing after the list: a new watch has to request changes.
             Stage::Snapshot(len) => {
                 read_updates(&self.response[..*len], true, on_message)?;
                 Err(WatchError::ListEnded)
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -56,7 +56,7 @@
         let Some(entry) = self.in_flight.get_mut(bio.0).filter(|entry| attempt + 1 == entry.attempts) else {
             return;
         };
-        // Without a connection its completion is queued already.
+        // An attempt without a connection has completed, and its completion is queued.
         let cancelled = entry.node_connection.take().and_then(|slot| self.nodes.cancel(slot, bio));
         self.completions.extend(cancelled);
     }
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -148,7 +148,7 @@
             return self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, update);
         }
         if !update.full_snapshot && since.is_some_and(|since| update.version < since) {
-            // The service has restarted with lower versions: the next watch asks for a full snapshot.
+            // The service has restarted with lower versions: the next watch requests a full snapshot.
             self.watch.version = None;
             return self.on_watch_failed(index, &WatchError::VersionsRestarted);
         }
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -58,7 +58,7 @@
         tracing::info!(discovery = %config.discovery, moved = is_moved, "configuration reloaded");
         self.config.discovery = config.discovery;
         if is_moved {
-            // The watch on the old service stays open until the new one is called.
+            // The watch on the old service stays open until the scheduler has requested one on the new service.
             self.dispatcher.on_discovery_moved(&mut self.scheduler);
         }
     }
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -80,8 +80,8 @@
     /// Runs once, before the first iteration.
     pub(super) fn start(&mut self) {
         self.update_now();
-        // The scheduler's timer fires once before anything else; from then on it sets its timers itself, and asks for
-        // the endpoint list.
+        // The scheduler's timer fires once before anything else; from then on the scheduler sets its timers itself, and
+        // requests the endpoint list.
         self.dispatcher.set_timer(0);
         self.dispatcher.fire_timer(&mut self.scheduler);
         if let Some(cached) = self.config.cached_list.take() {
--- a/crates/simulator-adapter/tests/pinned_wire.rs
+++ b/crates/simulator-adapter/tests/pinned_wire.rs
@@ -14,7 +14,7 @@
     let mut adapter = command.spawn().expect("the adapter starts");
     let mut stdin = adapter.stdin.take().expect("piped");
     std::thread::scope(|scope| {
-        // An adapter that meets a fault reads no further.
+        // An adapter stops reading at an error.
         scope.spawn(move || drop(stdin.write_all(input)));
         adapter.wait_with_output().expect("the adapter ends")
     })
