--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -106,6 +106,7 @@
 ///
 /// # Panics
 /// A digest differs from the recorded one. The message lists all measured ones.
+#[track_caller]
 pub fn assert_pinned(recorded: &[u64], scenario: impl Fn(&mut SeededRng, &mut Digest)) {
     let run = |seed: u64| {
         let (mut rng, mut digest) = (SeededRng::new(seed), Digest::default());
