--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -54,11 +54,11 @@
         }
     }
 
-    fn socket(self, site: GatewayConfig) -> Option<PathBuf> {
+    fn socket(self, config: GatewayConfig) -> Option<PathBuf> {
         match self {
-            Service::Host => site.host.control_socket,
-            Service::SnapshotCatalog => site.catalog?.control_socket,
-            Service::Plans => site.plan_service?.control_socket,
+            Service::Host => config.host.control_socket,
+            Service::SnapshotCatalog => config.catalog?.control_socket,
+            Service::Plans => config.plan_service?.control_socket,
         }
     }
 }
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -72,14 +72,14 @@
 
 /// `mallowseam check`
 pub(super) fn check(file: &Path) -> Result<String, CommandError> {
-    let site = read_configuration(file)?;
+    let config = read_configuration(file)?;
     Ok(format!(
         "{}: sound; host {}, {} volumes on {} nodes, {} plans, {} groups",
         file.display(),
-        site.host.name,
-        site.volumes.len(),
-        site.nodes.len(),
-        site.plans.len(),
-        site.io_classes.len()
+        config.host.name,
+        config.volumes.len(),
+        config.nodes.len(),
+        config.plans.len(),
+        config.io_classes.len()
     ))
 }
--- a/crates/gateway/src/cli/verify.rs
+++ b/crates/gateway/src/cli/verify.rs
@@ -6,12 +6,12 @@
 
 /// Walks the catalog's store and all nodes; with `reclaim`, unmaps what nothing refers to.
 pub(super) fn execute(file: &Path, reclaim: bool) -> Result<(), CommandError> {
-    let site = read_configuration(file)?;
-    let findings = verify::run(&site, reclaim)?;
+    let config = read_configuration(file)?;
+    let findings = verify::run(&config, reclaim)?;
     findings.faults.iter().for_each(|fault| println!("fault: {fault}"));
     let label = if reclaim { "given back" } else { "leaked" };
     for (layer, location) in &findings.leaked {
-        let node = &site.nodes[location.node as usize].name;
+        let node = &config.nodes[location.node as usize].name;
         println!("{label}: layer {layer}, place {} at {node}", location.slot);
     }
     println!(
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -57,7 +57,7 @@
     all: Slab<Client>,
     /// Decides who may connect, log in and send commands.
     pub admission: AdmissionController,
-    terms: Rc<TargetConfig>,
+    target_config: Rc<TargetConfig>,
     registry: Registry,
     first_token: usize,
     /// Clients with something to write.
@@ -95,14 +95,14 @@
     #[must_use]
     pub fn new(
         admission: AdmissionController,
-        terms: Rc<TargetConfig>,
+        target_config: Rc<TargetConfig>,
         registry: Registry,
         first_token: usize,
     ) -> Self {
         Clients {
             all: Slab::default(),
             admission,
-            terms,
+            target_config,
             registry,
             first_token,
             dirty: Vec::new(),
@@ -114,7 +114,7 @@
     /// Takes a connection that was accepted, unless there are too many.
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
-        let conn = TargetConnection::new(Rc::clone(&self.terms));
+        let conn = TargetConnection::new(Rc::clone(&self.target_config));
         let id = self.all.next_index();
         if !self.admission.admit_connection(id as usize, ticks_to_millis(now)) {
             tracing::warn!(%peer, "connection rejected: too many connections");
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -58,9 +58,9 @@
 }
 
 impl Volume {
-    fn new(site: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
+    fn new(config: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
         let layout =
-            if volume.mapped { mapped_layout(volume, extent_blocks) } else { volume_layout(site, volume) };
+            if volume.mapped { mapped_layout(volume, extent_blocks) } else { volume_layout(config, volume) };
         Volume {
             name: volume.name.clone(),
             plan: volume.plan as u16,
@@ -154,27 +154,27 @@
 impl Dispatcher {
     /// Nothing is in flight.
     pub(crate) fn new(
-        site: &GatewayConfig,
+        config: &GatewayConfig,
         clients: Clients,
         nodes: Nodes,
         catalog: Option<CatalogClient>,
     ) -> Self {
-        let catalog_config = site.catalog.clone().unwrap_or_default();
+        let catalog_config = config.catalog.clone().unwrap_or_default();
         let extent_blocks = catalog_config.extent_blocks;
         Dispatcher {
             now: 0,
             clients,
             nodes,
-            metrics: Metrics::new(site.io_classes.len(), site.nodes.len(), site.volumes.len()),
+            metrics: Metrics::new(config.io_classes.len(), config.nodes.len(), config.volumes.len()),
             catalog,
             wakeup_at: None,
             endpoint_list_requested: false,
-            volumes: site.volumes.iter().map(|volume| Volume::new(site, volume, extent_blocks)).collect(),
-            classes: site.io_classes.iter().map(IoClassConfig::new).collect(),
-            unit_bytes: site.fleet.unit_bytes,
-            max_transfer_bytes: site.host.max_transfer_bytes,
-            max_attempts: site.fleet.max_attempts,
-            shards: site.nodes.iter().map(|node| node.shard).collect(),
+            volumes: config.volumes.iter().map(|volume| Volume::new(config, volume, extent_blocks)).collect(),
+            classes: config.io_classes.iter().map(IoClassConfig::new).collect(),
+            unit_bytes: config.fleet.unit_bytes,
+            max_transfer_bytes: config.host.max_transfer_bytes,
+            max_attempts: config.fleet.max_attempts,
+            shards: config.nodes.iter().map(|node| node.shard).collect(),
             block_ios: Slab::default(),
             commands: Slab::default(),
             ordering_keys: Interner::default(),
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -45,9 +45,9 @@
 const PLANS: Token = Token(5);
 const MEMBERSHIP: Token = Token(6);
 /// First token of connections to the control socket.
-const FIRST_CALLER: usize = 7;
+const FIRST_CONTROL_CONNECTION: usize = 7;
 /// First token of connections to nodes; those of clients follow.
-const FIRST_NODE: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 /// Bytes read from a socket in one go; each ready socket has its turn.
 const READ_BUFFER: usize = 128 * 1024;
 const MAX_EVENTS: usize = 1024;
@@ -63,7 +63,7 @@
 }
 
 struct HostProcess {
-    site: GatewayConfig,
+    config: GatewayConfig,
     clock: Clock,
     scheduler: Scheduler,
     dispatcher: Dispatcher,
@@ -91,9 +91,9 @@
 ///
 /// # Errors
 /// An address or path of the configuration cannot be had.
-pub fn run(site: GatewayConfig) -> Result<(), Error> {
+pub fn run(config: GatewayConfig) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
-    let mut host = HostProcess::open(site, &poll)?;
+    let mut host = HostProcess::open(config, &poll)?;
     let mut events = Events::with_capacity(MAX_EVENTS);
     host.start();
     while !host.is_finished() {
@@ -118,78 +118,82 @@
 }
 
 /// What every session is negotiated with.
-fn session_proposal(site: &GatewayConfig) -> ProposedParams {
-    let digests = Digests { header: site.host.header_digest, data: site.host.data_digest };
+fn session_proposal(config: &GatewayConfig) -> ProposedParams {
+    let digests = Digests { header: config.host.header_digest, data: config.host.data_digest };
     ProposedParams { digests, ..ProposedParams::default() }
 }
 
-fn open_clients(site: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
-    let terms = Rc::new(TargetConfig {
-        proposal: session_proposal(site),
-        command_window: site.host.command_window,
-        max_transfer_bytes: site.host.max_transfer_bytes as usize,
-        target_names: vec![site.host.target.clone()],
+fn open_clients(config: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
+    let target_config = Rc::new(TargetConfig {
+        proposal: session_proposal(config),
+        command_window: config.host.command_window,
+        max_transfer_bytes: config.host.max_transfer_bytes as usize,
+        target_names: vec![config.host.target.clone()],
         portal_address: bound.to_string(),
     });
-    let admission = AdmissionController::new(&site.host.target, site.host.max_connections as usize);
-    let first_token = FIRST_NODE + site.nodes.len();
-    Ok(Clients::new(admission, terms, startup::registry(poll)?, first_token))
+    let admission = AdmissionController::new(&config.host.target, config.host.max_connections as usize);
+    let first_token = FIRST_NODE + config.nodes.len();
+    Ok(Clients::new(admission, target_config, startup::registry(poll)?, first_token))
 }
 
-fn open_nodes(site: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
-    let initiator = format!("{}:{}", site.host.target, site.host.name);
+fn open_nodes(config: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
+    let initiator = format!("{}:{}", config.host.target, config.host.name);
     let registry = startup::registry(poll)?;
-    Ok(Nodes::new(&site.nodes, initiator, session_proposal(site), registry, FIRST_NODE))
+    Ok(Nodes::new(&config.nodes, initiator, session_proposal(config), registry, FIRST_NODE))
 }
 
-/// The catalog's client, where the site has a catalog and a volume of the host is mapped.
-fn open_catalog_client(site: &GatewayConfig, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
-    let Some(catalog) = &site.catalog else { return Ok(None) };
-    if !site.volumes.iter().any(|volume| volume.mapped) {
+/// The catalog's client, where the configuration has a catalog and a volume of the host is mapped.
+fn open_catalog_client(config: &GatewayConfig, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
+    let Some(catalog) = &config.catalog else { return Ok(None) };
+    if !config.volumes.iter().any(|volume| volume.mapped) {
         return Ok(None);
     }
     let address = catalog.listen.expect("a checked configuration names it");
-    Ok(Some(CatalogClient::new(&site.host.name, address, startup::registry(poll)?, CATALOG)))
+    Ok(Some(CatalogClient::new(&config.host.name, address, startup::registry(poll)?, CATALOG)))
 }
 
 /// The replica of the plans, where the configuration names a plan service.
-fn open_plan_replication(site: &GatewayConfig, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
-    let Some(address) = site.host.plan_service else { return Ok(None) };
+fn open_plan_replication(config: &GatewayConfig, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
+    let Some(address) = config.host.plan_service else { return Ok(None) };
     let hosted = |volume: &Volume| HostedVolume { name: volume.name.clone(), host_count: volume.host_count };
-    let volumes = site.volumes.iter().map(hosted).collect();
-    let cache_file = site.host.plan_cache_path.clone();
+    let volumes = config.volumes.iter().map(hosted).collect();
+    let cache_file = config.host.plan_cache_path.clone();
     let registry = startup::registry(poll)?;
-    Ok(Some(PlanReplication::new(&site.host.name, address, cache_file, volumes, registry, PLANS)))
+    Ok(Some(PlanReplication::new(&config.host.name, address, cache_file, volumes, registry, PLANS)))
 }
 
-fn open_membership(site: &GatewayConfig, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
-    let Some(settings) = site.host.fleet.clone() else { return Ok(None) };
+fn open_membership(config: &GatewayConfig, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
+    let Some(settings) = config.host.fleet.clone() else { return Ok(None) };
     let opened = UdpMembership::open(poll.registry(), MEMBERSHIP, settings);
     opened.map(|service| Some(Box::new(service))).map_err(Error::Membership)
 }
 
 impl HostProcess {
-    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let address = site.host.listen.expect("a checked configuration names it");
+    fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let address = config.host.listen.expect("a checked configuration names it");
         let (listener, _) = startup::listen(address, poll, LISTENER)?;
         let bound = listener.local_addr().map_err(|source| Error::Listen { address, source })?;
-        let control =
-            startup::control_socket(site.host.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let control = startup::control_socket(
+            config.host.control_socket.as_deref(),
+            poll,
+            CONTROL,
+            FIRST_CONTROL_CONNECTION,
+        )?;
         let signals = startup::signals(poll, SIGNALS)?;
-        let clients = open_clients(&site, bound, poll)?;
-        let nodes = open_nodes(&site, poll)?;
-        let catalog = open_catalog_client(&site, poll)?;
+        let clients = open_clients(&config, bound, poll)?;
+        let nodes = open_nodes(&config, poll)?;
+        let catalog = open_catalog_client(&config, poll)?;
         let registry = startup::registry(poll)?;
-        let endpoint_list = EndpointList::new(&site.host, &site.nodes, registry, ENDPOINT_LIST);
-        let plan_replication = open_plan_replication(&site, poll)?;
-        let membership = open_membership(&site, poll)?;
-        let seed = site.host.seed.unwrap_or_else(|| rand::rng().next_u64());
+        let endpoint_list = EndpointList::new(&config.host, &config.nodes, registry, ENDPOINT_LIST);
+        let plan_replication = open_plan_replication(&config, poll)?;
+        let membership = open_membership(&config, poll)?;
+        let seed = config.host.seed.unwrap_or_else(|| rand::rng().next_u64());
         let clock = Clock::from_zero();
-        tracing::info!(host = site.host.name, listen = %bound, seed, "host started");
-        let volumes = site.volumes.len();
+        tracing::info!(host = config.host.name, listen = %bound, seed, "host started");
+        let volumes = config.volumes.len();
         Ok(HostProcess {
-            scheduler: Scheduler::new(&scheduler_config::scheduler_terms(&site), seed, clock.now()),
-            dispatcher: Dispatcher::new(&site, clients, nodes, catalog),
+            scheduler: Scheduler::new(&scheduler_config::scheduler_config(&config), seed, clock.now()),
+            dispatcher: Dispatcher::new(&config, clients, nodes, catalog),
             endpoint_list,
             plan_replication,
             membership,
@@ -205,7 +209,7 @@
             read_buffer: vec![0; READ_BUFFER],
             last_check: 0,
             clock,
-            site,
+            config,
         })
     }
 
@@ -258,11 +262,11 @@
             }
             SIGNALS => self.read_signals(),
             Token(token) if token < FIRST_NODE => {
-                let caller = (token - FIRST_CALLER) as ConnectionId;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
+                let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
                     let answer = self.on_request(&line);
                     if let Some(control) = &mut self.control {
-                        control.answer(caller, &answer);
+                        control.answer(connection, &answer);
                     }
                 }
             }
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -49,13 +49,13 @@
     }
 
     fn status(&self) -> Status {
-        let (dispatcher, site) = (&self.dispatcher, &self.site);
+        let (dispatcher, config) = (&self.dispatcher, &self.config);
         let (admission, metrics) = (&dispatcher.clients.admission, &dispatcher.metrics);
         let list = self.endpoint_list.version();
-        let classes = site.io_classes.iter().zip(&metrics.classes);
+        let classes = config.io_classes.iter().zip(&metrics.classes);
         let nodes = metrics.nodes.iter().enumerate();
         Status {
-            host: site.host.name.clone(),
+            host: config.host.name.clone(),
             up_seconds: ticks_to_millis(dispatcher.now) as f64 / MILLIS_PER_SECOND,
             draining: admission.is_draining(),
             connections: admission.connection_count(),
@@ -66,8 +66,8 @@
             commands: metrics.commands,
             classes: classes.map(|(class, metrics)| class_status(class, metrics)).collect(),
             nodes: nodes.map(|(index, metrics)| self.node_status(index, metrics)).collect(),
-            plans: site.plans.iter().map(plan_status).collect(),
-            volumes: (0..site.volumes.len()).map(|index| self.volume_status(index)).collect(),
+            plans: config.plans.iter().map(plan_status).collect(),
+            volumes: (0..config.volumes.len()).map(|index| self.volume_status(index)).collect(),
         }
     }
 
@@ -98,7 +98,7 @@
     fn volume_status(&self, index: usize) -> VolumeStatus {
         let metrics = &self.dispatcher.metrics.volumes[index];
         VolumeStatus {
-            name: self.site.volumes[index].name.clone(),
+            name: self.config.volumes[index].name.clone(),
             requested_units: metrics.requested,
             completed_units: metrics.completed,
             quota: self.quotas[index].map(|thousandths| thousandths as f64 / THOUSANDTHS),
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -119,7 +119,7 @@
 
     /// What is to be applied of a replicated state.
     fn check_state(&self, state: &State) -> Result<ReloadOutcome, ApplyError> {
-        let mut wanted = self.site.clone();
+        let mut wanted = self.config.clone();
         wanted.plans =
             state.plans.iter().map(|(name, plan)| scheduler_config::configured_plan(name, plan)).collect();
         for volume in &mut wanted.volumes {
@@ -127,16 +127,16 @@
             let index = plan.and_then(|name| wanted.plans.iter().position(|plan| plan.name == *name));
             volume.plan = index.ok_or_else(|| ApplyError::NoPlan(volume.name.clone()))?;
         }
-        reload::evaluate(&self.site, &wanted).map_err(ApplyError::Rejected)
+        reload::evaluate(&self.config, &wanted).map_err(ApplyError::Rejected)
     }
 
     fn apply(&mut self, plans: ReloadOutcome) {
-        self.site.plans = plans.plans;
-        for (volume, plan) in self.site.volumes.iter_mut().zip(&plans.volume_plans) {
+        self.config.plans = plans.plans;
+        for (volume, plan) in self.config.volumes.iter_mut().zip(&plans.volume_plans) {
             volume.plan = *plan;
         }
         let changed = self.dispatcher.apply_plans(&plans.volume_plans);
-        let all = scheduler_config::scheduler_plans(&self.site);
+        let all = scheduler_config::scheduler_plans(&self.config);
         self.scheduler.on_plans_changed(self.dispatcher.now, &all, &changed);
         plans.changes.iter().for_each(|change| tracing::info!(change = change.to_string(), "plans applied"));
     }
@@ -148,7 +148,7 @@
             return Err(ApplyError::Replicated);
         }
         let wanted = read_configuration(Path::new(file))?;
-        let plans = reload::evaluate(&self.site, &wanted).map_err(ApplyError::NeedsRestart)?;
+        let plans = reload::evaluate(&self.config, &wanted).map_err(ApplyError::NeedsRestart)?;
         if plans.changes.is_empty() {
             return Ok("nothing is different".to_owned());
         }
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -25,16 +25,16 @@
         mallowseam_settings::parse(&name, text)
             .map_err(|problems| PlacementError::File(FileError::Malformed(problems)))
     };
-    let site = parse(&text)?;
-    let mut contradictions = misplaced_volumes(&problem, &answer, &site);
-    let edited = edit::apply_shares(&text, &site, &answer.shares).unwrap_or_else(|unknown| {
+    let config = parse(&text)?;
+    let mut contradictions = misplaced_volumes(&problem, &answer, &config);
+    let edited = edit::apply_shares(&text, &config, &answer.shares).unwrap_or_else(|unknown| {
         contradictions.push(unknown.to_string());
         String::new()
     });
     if !contradictions.is_empty() {
         return Err(PlacementError::Contradicted(contradictions));
     }
-    let outcome = reload::evaluate(&site, &parse(&edited)?)
+    let outcome = reload::evaluate(&config, &parse(&edited)?)
         .map_err(|error| PlacementError::Contradicted(vec![error.to_string()]))?;
     if outcome.changes.is_empty() {
         return Ok("nothing is different".to_owned());
@@ -50,13 +50,13 @@
 
 /// Volumes whose data lies on other nodes than the answer places them on, a line each. Where blocks of mapped
 /// volumes lie is up to the snapshot catalog.
-fn misplaced_volumes(problem: &Problem, answer: &Answer, site: &GatewayConfig) -> Vec<String> {
+fn misplaced_volumes(problem: &Problem, answer: &Answer, config: &GatewayConfig) -> Vec<String> {
     let mut misplaced = Vec::new();
     for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
-        let configured = site.volumes.iter().find(|other| other.name == volume.name && !other.mapped);
+        let configured = config.volumes.iter().find(|other| other.name == volume.name && !other.mapped);
         let Some(configured) = configured else { continue };
         let present: BTreeSet<&str> =
-            configured.extents.iter().map(|extent| site.nodes[extent.node].name.as_str()).collect();
+            configured.extents.iter().map(|extent| config.nodes[extent.node].name.as_str()).collect();
         let wanted: BTreeSet<&str> = nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect();
         if present != wanted {
             let names = |set: &BTreeSet<&str>| set.iter().copied().collect::<Vec<_>>().join(" ");
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -31,9 +31,9 @@
 const CONTROL: Token = Token(1);
 const SIGNALS: Token = Token(2);
 /// First token of connections to the control socket.
-const FIRST_CALLER: usize = 3;
+const FIRST_CONTROL_CONNECTION: usize = 3;
 /// First token of hosts.
-const FIRST_PEER: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+const FIRST_PEER: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 const LIMITS: Limits = Limits { max_line: 1 << 20, max_unsent: 32 << 20 };
 /// Lines sent to a host that comes back, at most; one that lacks more gets a full snapshot.
 const MAX_CATCH_UP: u64 = 256;
@@ -47,7 +47,7 @@
 
 /// An operator who waits for a version to be in effect at all hosts.
 struct RolloutWait {
-    caller: ConnectionId,
+    connection: ConnectionId,
     version: u64,
     deadline: Millis,
 }
@@ -81,9 +81,9 @@
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
-pub(crate) fn run(site: &GatewayConfig) -> Result<(), Error> {
+pub(crate) fn run(config: &GatewayConfig) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
-    let mut service = PlanService::open(site, &poll)?;
+    let mut service = PlanService::open(config, &poll)?;
     let mut events = Events::with_capacity(MAX_EVENTS);
     while !service.stopping {
         if let Err(e) = poll.poll(&mut events, Some(PERIOD))
@@ -102,12 +102,12 @@
 }
 
 /// Opens the store. A new one gets the plans of the configuration as its first versions; whether it is new.
-fn open_store(site: &GatewayConfig, path: &std::path::Path) -> Result<(ChangeLogStore, bool), Error> {
+fn open_store(config: &GatewayConfig, path: &std::path::Path) -> Result<(ChangeLogStore, bool), Error> {
     let failed = |source| Error::OpenPlanStore { path: path.to_owned(), source };
     let mut store = ChangeLogStore::open(path).map_err(failed)?;
     let fresh = store.log().state.version == 0;
     if fresh {
-        for change in configured_changes(site) {
+        for change in configured_changes(config) {
             let version = store.log().state.version;
             let (author, reason) = (CONFIGURATION_AUTHOR, CONFIGURATION_REASON);
             let line = store.log().propose(version, author, reason, wall_clock(), change);
@@ -118,26 +118,30 @@
 }
 
 /// The changes that make the plans of a configuration.
-fn configured_changes(site: &GatewayConfig) -> impl Iterator<Item = Change> {
-    let plans = site.plans.iter().map(|plan| Change::SetPlan {
+fn configured_changes(config: &GatewayConfig) -> impl Iterator<Item = Change> {
+    let plans = config.plans.iter().map(|plan| Change::SetPlan {
         name: plan.name.clone(),
         plan: scheduler_config::replicated_plan(plan),
     });
     let plan_of = |volume: &Volume| Change::AssignPlan {
         volume: volume.name.clone(),
-        plan: site.plans[volume.plan].name.clone(),
+        plan: config.plans[volume.plan].name.clone(),
     };
-    plans.chain(site.volumes.iter().map(plan_of))
+    plans.chain(config.volumes.iter().map(plan_of))
 }
 
 impl PlanService {
-    fn open(site: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let settings = site.plan_service.clone().ok_or(Error::MissingSection("tariffs"))?;
+    fn open(config: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let settings = config.plan_service.clone().ok_or(Error::MissingSection("tariffs"))?;
         let address = settings.listen.expect("a checked configuration names it");
         let peers = Peers::open(address, poll, LISTENER, FIRST_PEER, LIMITS)?;
-        let control =
-            startup::control_socket(settings.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
-        let (store, fresh) = open_store(site, &settings.store_path)?;
+        let control = startup::control_socket(
+            settings.control_socket.as_deref(),
+            poll,
+            CONTROL,
+            FIRST_CONTROL_CONNECTION,
+        )?;
+        let (store, fresh) = open_store(config, &settings.store_path)?;
         let clock = Clock::from_zero();
         let now = ticks_to_millis(clock.now());
         let mut rollout = Rollout::default();
@@ -183,11 +187,11 @@
                 self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
             }
             Token(token) if token < FIRST_PEER => {
-                let caller = (token - FIRST_CALLER) as ConnectionId;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
-                    let answer = self.on_request(caller, &line)?;
+                let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
+                    let answer = self.on_request(connection, &line)?;
                     if let (Some(text), Some(control)) = (answer, &mut self.control) {
-                        control.answer(caller, &text);
+                        control.answer(connection, &text);
                     }
                 }
             }
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -49,27 +49,27 @@
 
 impl PlanService {
     /// Handles a line on the control socket. Error: the store has failed.
-    pub(super) fn on_request(&mut self, caller: ConnectionId, line: &str) -> Result<Answer, Error> {
+    pub(super) fn on_request(&mut self, connection: ConnectionId, line: &str) -> Result<Answer, Error> {
         if line == "stop" {
             self.stopping = true;
             return Ok(Some("stopping".to_owned()));
         }
         let request = serde_json::from_str(line).map_err(RequestError::from);
-        match request.and_then(|request| self.execute(caller, request)) {
+        match request.and_then(|request| self.execute(connection, request)) {
             Ok(answer) => Ok(answer),
             Err(RequestError::WriteStore(fault)) => Err(Error::PlanStore(fault)),
             Err(refusal) => Ok(Some(format!("error: {refusal}"))),
         }
     }
 
-    fn execute(&mut self, caller: ConnectionId, request: PlanRequest) -> Result<Answer, RequestError> {
+    fn execute(&mut self, connection: ConnectionId, request: PlanRequest) -> Result<Answer, RequestError> {
         match request {
             PlanRequest::Set { change, expected, author, reason, dry_run, wait } => {
-                self.set(caller, ChangeRequest { change, expected, author, reason, dry_run, wait })
+                self.set(connection, ChangeRequest { change, expected, author, reason, dry_run, wait })
             }
             PlanRequest::Undo { version, author, reason, dry_run, wait } => {
                 let change = self.reverse_change(version)?;
-                self.set(caller, ChangeRequest { change, expected: None, author, reason, dry_run, wait })
+                self.set(connection, ChangeRequest { change, expected: None, author, reason, dry_run, wait })
             }
             PlanRequest::Show { version } => {
                 let state = match version {
@@ -102,8 +102,8 @@
         found.ok_or(RequestError::NoSuchVersion(version))
     }
 
-    /// Makes a change, sends it to the hosts and answers, or has the caller wait for the rollout.
-    fn set(&mut self, caller: ConnectionId, request: ChangeRequest) -> Result<Answer, RequestError> {
+    /// Makes a change, sends it to the hosts and answers, or has the operator wait for the rollout.
+    fn set(&mut self, connection: ConnectionId, request: ChangeRequest) -> Result<Answer, RequestError> {
         let ChangeRequest { change, expected, author, reason, dry_run, wait } = request;
         let log = self.store.log();
         let expected = expected.unwrap_or(log.state.version);
@@ -124,7 +124,7 @@
             return Ok(Some(format!("version {}", line.version)));
         }
         let deadline = self.now + MAX_ROLLOUT_WAIT;
-        self.rollout_waits.push(RolloutWait { caller, version: line.version, deadline });
+        self.rollout_waits.push(RolloutWait { connection, version: line.version, deadline });
         Ok(None)
     }
 
@@ -157,7 +157,7 @@
         Ok(format!("{host} is taken for gone"))
     }
 
-    /// Answers callers whose version is in effect at all hosts, or whose deadline has passed.
+    /// Answers operators whose version is in effect at all hosts, or whose deadline has passed.
     pub(super) fn answer_rollout_waits(&mut self) {
         for wait in std::mem::take(&mut self.rollout_waits) {
             let version = wait.version;
@@ -172,7 +172,7 @@
                 continue;
             };
             if let Some(control) = &mut self.control {
-                control.answer(wait.caller, &text);
+                control.answer(wait.connection, &text);
             }
         }
     }
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -1,4 +1,4 @@
-//! From the configuration to the scheduler's terms, the volumes' layouts and the replicated form of plans.
+//! Converts the configuration to the scheduler's, to layouts of volumes and to the replicated form of plans.
 use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_plans::state;
@@ -9,13 +9,13 @@
 /// Replicated figures are in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// The terms that the scheduler decides by.
-pub(crate) fn scheduler_terms(site: &GatewayConfig) -> SchedulerConfig {
-    let fleet = &site.fleet;
+/// The configuration that the scheduler decides by.
+pub(crate) fn scheduler_config(config: &GatewayConfig) -> SchedulerConfig {
+    let fleet = &config.fleet;
     SchedulerConfig {
         hosts: fleet.hosts,
-        classes: site.io_classes.iter().map(io_class).collect(),
-        plans: scheduler_plans(site),
+        classes: config.io_classes.iter().map(io_class).collect(),
+        plans: scheduler_plans(config),
         mean_io_units: fleet.mean_io_units,
         max_io_units: fleet.max_io_units,
         share_weight_factor: fleet.share_weight_factor,
@@ -27,7 +27,7 @@
         allow_retry_after: fleet.max_retry_after > 0,
         max_retry_after: ticks_from_micros_floor(fleet.max_retry_after),
         max_attempts: fleet.max_attempts,
-        endpoints_polled: site.host.endpoint_service.is_some(),
+        endpoints_polled: config.host.endpoint_service.is_some(),
         poll_service_time: None,
         endpoints_pushed: false,
         max_poll_delay: 0,
@@ -60,7 +60,7 @@
 }
 
 /// The plans as the scheduler takes them.
-pub(crate) fn scheduler_plans(site: &GatewayConfig) -> Vec<Plan> {
+pub(crate) fn scheduler_plans(config: &GatewayConfig) -> Vec<Plan> {
     let plan = |plan: &config::Plan| Plan {
         usual_rate: plan.usual_rate,
         reserved_rate: plan.reserved_rate,
@@ -69,15 +69,15 @@
         weight: plan.weight,
         priority_factor: plan.priority_factor,
     };
-    site.plans.iter().map(plan).collect()
+    config.plans.iter().map(plan).collect()
 }
 
 /// Where a volume's blocks lie, and which I/O class they belong to.
-pub(crate) fn volume_layout(site: &GatewayConfig, volume: &config::Volume) -> VolumeLayout {
+pub(crate) fn volume_layout(config: &GatewayConfig, volume: &config::Volume) -> VolumeLayout {
     let extent = |extent: &config::Extent| Extent {
         first_block: extent.first_block,
         blocks: extent.block_count,
-        shard: site.nodes[extent.node].shard,
+        shard: config.nodes[extent.node].shard,
         first_node_block: extent.first_node_block,
     };
     VolumeLayout { extents: volume.extents.iter().map(extent).collect(), rules: class_rules(volume) }
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -81,8 +81,8 @@
 }
 
 /// The tree as the catalog has it now.
-fn fetch_tree(site: &GatewayConfig) -> Result<Tree, ArchiveError> {
-    let socket = site.catalog.as_ref().and_then(|catalog| catalog.control_socket.clone());
+fn fetch_tree(config: &GatewayConfig) -> Result<Tree, ArchiveError> {
+    let socket = config.catalog.as_ref().and_then(|catalog| catalog.control_socket.clone());
     let socket = socket.ok_or(ArchiveError::NoControlSocket)?;
     let text = control_socket::send_request(&socket, "tree")
         .map_err(|source| ArchiveError::Catalog { socket: socket.clone(), source })?;
@@ -99,18 +99,18 @@
 }
 
 impl RemoteUnit {
-    fn open(site: &GatewayConfig, tree: &Tree, name: &str) -> Result<RemoteUnit, ArchiveError> {
-        let blocks_per_extent = site.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks);
-        let configured = site.volumes.iter().find(|volume| volume.mapped && volume.name == name);
+    fn open(config: &GatewayConfig, tree: &Tree, name: &str) -> Result<RemoteUnit, ArchiveError> {
+        let blocks_per_extent = config.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks);
+        let configured = config.volumes.iter().find(|volume| volume.mapped && volume.name == name);
         let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
             (Some(volume), ..) => (volume.lun.into(), (volume.block_count / blocks_per_extent) as u32),
             (None, Some(branch), _) => (branch.lun, branch.extent_count),
             (None, None, Some(snapshot)) => (snapshot.lun, snapshot.extent_count),
             (None, None, None) => return Err(ArchiveError::NoSuchUnit(name.to_owned())),
         };
-        let volume = site.volumes.iter().find(|v| v.mapped).ok_or(ArchiveError::NoMappedVolume)?;
-        let address = site.host.listen.expect("a checked configuration names it");
-        let client = BlockingClient::open(address, Some(&site.host.target), std::process::id())
+        let volume = config.volumes.iter().find(|v| v.mapped).ok_or(ArchiveError::NoMappedVolume)?;
+        let address = config.host.listen.expect("a checked configuration names it");
+        let client = BlockingClient::open(address, Some(&config.host.target), std::process::id())
             .map_err(|source| ArchiveError::Login { address, source })?;
         Ok(RemoteUnit { client, lun, block_size: volume.block_size.into(), blocks_per_extent, extents })
     }
@@ -206,10 +206,10 @@
 }
 
 /// Writes a snapshot to a file. An incomplete export of the same snapshot is resumed. Returns what was done.
-pub(crate) fn export(site: &GatewayConfig, name: &str, file: &Path) -> Result<String, ArchiveError> {
-    let tree = fetch_tree(site)?;
+pub(crate) fn export(config: &GatewayConfig, name: &str, file: &Path) -> Result<String, ArchiveError> {
+    let tree = fetch_tree(config)?;
     let snapshot = tree.snapshot(name).map_err(ArchiveError::NoSuchSnapshot)?;
-    let mut unit = RemoteUnit::open(site, &tree, name)?;
+    let mut unit = RemoteUnit::open(config, &tree, name)?;
     let head = Header {
         name: name.to_owned(),
         extent_bytes: unit.extent_bytes() as u32,
@@ -243,13 +243,13 @@
 
 /// Writes a file into a volume or clone, which then reads as the exported snapshot. Extents that read so
 /// already are left alone, so that an import that broke off is resumed. Returns what was done.
-pub(crate) fn import(site: &GatewayConfig, file: &Path, name: &str) -> Result<String, ArchiveError> {
+pub(crate) fn import(config: &GatewayConfig, file: &Path, name: &str) -> Result<String, ArchiveError> {
     let path = ArchivePath(file);
     // All of it is read once before anything is written.
     let mut check = path.reader()?;
     while check.next_record().map_err(|e| path.archive_error(e))? != Record::End {}
-    let tree = fetch_tree(site)?;
-    let mut unit = RemoteUnit::open(site, &tree, name)?;
+    let tree = fetch_tree(config)?;
+    let mut unit = RemoteUnit::open(config, &tree, name)?;
     let head = check.header();
     if u64::from(head.extent_bytes) != unit.extent_bytes() || head.extent_count != unit.extents {
         return Err(ArchiveError::AnotherSize {
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -37,9 +37,9 @@
 const CONTROL: Token = Token(1);
 const SIGNALS: Token = Token(2);
 /// First token of connections to the control socket.
-const FIRST_CALLER: usize = 3;
+const FIRST_CONTROL_CONNECTION: usize = 3;
 /// First token of connections to nodes; those of hosts follow.
-const FIRST_NODE: usize = FIRST_CALLER + control_socket::MAX_CONNECTIONS;
+const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 const READ_BUFFER: usize = 64 * 1024;
 const MAX_EVENTS: usize = 256;
 const LIMITS: Limits = Limits { max_line: 64 * 1024, max_unsent: 128 << 20 };
@@ -66,7 +66,7 @@
 }
 
 struct CatalogService {
-    site: GatewayConfig,
+    config: GatewayConfig,
     clock: Clock,
     now: Tick,
     catalog: Catalog,
@@ -104,9 +104,9 @@
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
-pub(crate) fn run(site: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
+pub(crate) fn run(config: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
-    let mut service = CatalogService::open(site, &poll)?;
+    let mut service = CatalogService::open(config, &poll)?;
     service.crash_at = crash_at;
     let mut events = Events::with_capacity(MAX_EVENTS);
     while !service.stopping {
@@ -128,24 +128,28 @@
 }
 
 impl CatalogService {
-    fn open(site: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let settings = site.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
+    fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let settings = config.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
         let address = settings.listen.expect("a checked configuration names it");
-        let first_host_token = FIRST_NODE + site.nodes.len();
+        let first_host_token = FIRST_NODE + config.nodes.len();
         let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
-        let control =
-            startup::control_socket(settings.control_socket.as_deref(), poll, CONTROL, FIRST_CALLER)?;
+        let control = startup::control_socket(
+            settings.control_socket.as_deref(),
+            poll,
+            CONTROL,
+            FIRST_CONTROL_CONNECTION,
+        )?;
         let catalog = Catalog::open(&settings.store_path)
             .map_err(|source| Error::OpenCatalogStore { path: settings.store_path.clone(), source })?;
-        let initiator = format!("{}:catalog", site.host.target);
+        let initiator = format!("{}:catalog", config.host.target);
         let registry = startup::registry(poll)?;
-        let nodes = Nodes::new(&site.nodes, initiator, ProposedParams::default(), registry, FIRST_NODE);
+        let nodes = Nodes::new(&config.nodes, initiator, ProposedParams::default(), registry, FIRST_NODE);
         let clock = Clock::from_zero();
         let now = clock.now();
         let fresh = catalog.tree().version == 0;
         tracing::info!(listen = %address, version = catalog.tree().version, "snapshot catalog started");
         let mut service = CatalogService {
-            site,
+            config,
             clock,
             now,
             reclaimer: Reclaimer::from_tree(catalog.tree()),
@@ -189,7 +193,7 @@
 
     /// Creates a branch for each mapped volume that has none yet.
     fn create_configured_branches(&mut self, settings: &config::Catalog) -> Result<(), Error> {
-        let mapped: Vec<Volume> = self.site.volumes.iter().filter(|v| v.mapped).cloned().collect();
+        let mapped: Vec<Volume> = self.config.volumes.iter().filter(|v| v.mapped).cloned().collect();
         for volume in mapped {
             if !self.tree().branches.contains_key(&volume.name) {
                 let extent_count = (volume.block_count / settings.extent_blocks) as u32;
@@ -214,7 +218,7 @@
 
     /// Blocks of an extent.
     fn extent_blocks(&self) -> u64 {
-        self.site.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks)
+        self.config.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks)
     }
 
     fn on_event(&mut self, token: Token, readable: bool) {
@@ -230,9 +234,9 @@
                 self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
             }
             Token(token) if token < FIRST_NODE => {
-                let caller = (token - FIRST_CALLER) as ConnectionId;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(caller)) {
-                    self.on_request(caller, &line);
+                let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
+                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
+                    self.on_request(connection, &line);
                 }
             }
             Token(token) if token < self.first_host_token => {
@@ -320,9 +324,9 @@
                         host.connection.send(&message);
                     }
                 }
-                Reply::Operator(caller, text) => {
+                Reply::Operator(connection, text) => {
                     if let Some(control) = &mut self.control {
-                        control.answer(caller, &text);
+                        control.answer(connection, &text);
                     }
                 }
             }
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -58,7 +58,7 @@
 
     /// Has nodes unmap extents that nothing refers to any more.
     pub(super) fn reclaim_extents(&mut self, now: u64) {
-        let deadlines = self.site.io_classes.iter().map(|class| class.deadline / MICROS_PER_MILLI);
+        let deadlines = self.config.io_classes.iter().map(|class| class.deadline / MICROS_PER_MILLI);
         let longest_write = deadlines.max().unwrap_or(0);
         let layer_of_cut = |operation: &Operation| match operation {
             Operation::Cut(cut) => Some(cut.layer),
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -11,7 +11,7 @@
 
 /// An operation whose end an operator waits for.
 pub(super) struct PendingOperation {
-    caller: ConnectionId,
+    connection: ConnectionId,
     pub(super) operation: Operation,
 }
 
@@ -57,20 +57,20 @@
 
 impl CatalogService {
     /// Handles a line on the control socket.
-    pub(super) fn on_request(&mut self, caller: ConnectionId, line: &str) {
-        match self.execute(caller, line) {
-            Ok(Some(answer)) => self.replies.push(Reply::Operator(caller, answer)),
+    pub(super) fn on_request(&mut self, connection: ConnectionId, line: &str) {
+        match self.execute(connection, line) {
+            Ok(Some(answer)) => self.replies.push(Reply::Operator(connection, answer)),
             Ok(None) => {}
-            Err(e) => self.replies.push(Reply::Operator(caller, format!("error: {e}"))),
+            Err(e) => self.replies.push(Reply::Operator(connection, format!("error: {e}"))),
         }
     }
 
-    fn execute(&mut self, caller: ConnectionId, line: &str) -> Result<Answer, OperatorError> {
+    fn execute(&mut self, connection: ConnectionId, line: &str) -> Result<Answer, OperatorError> {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
-            ["snapshot", branch, name] => self.request_snapshot(caller, branch, name),
-            ["clone", snapshot, branch] => self.create_clone(caller, snapshot, branch),
-            ["rollback", branch, snapshot] => self.roll_back(caller, branch, snapshot),
+            ["snapshot", branch, name] => self.request_snapshot(connection, branch, name),
+            ["clone", snapshot, branch] => self.create_clone(connection, snapshot, branch),
+            ["rollback", branch, snapshot] => self.roll_back(connection, branch, snapshot),
             ["delete", name] => self.delete(name).map(Some),
             ["list"] => Ok(Some(list(self.tree()))),
             ["diff", one, other] => self.diff(one, other).map(Some),
@@ -83,41 +83,41 @@
         }
     }
 
-    fn wait(&mut self, caller: ConnectionId, operation: Operation) {
-        self.pending_operations.push(PendingOperation { caller, operation });
+    fn wait(&mut self, connection: ConnectionId, operation: Operation) {
+        self.pending_operations.push(PendingOperation { connection, operation });
     }
 
     fn request_snapshot(
         &mut self,
-        caller: ConnectionId,
+        connection: ConnectionId,
         branch: &str,
         name: &str,
     ) -> Result<Answer, OperatorError> {
         if self.leases.all_hosts_known(ticks_to_millis(self.now)) {
-            self.begin_cut(caller, branch, name)?;
+            self.begin_cut(connection, branch, name)?;
         } else {
             let (branch, name) = (branch.to_owned(), name.to_owned());
-            self.wait(caller, Operation::BeginCut { branch, name });
+            self.wait(connection, Operation::BeginCut { branch, name });
         }
         Ok(None)
     }
 
     fn create_clone(
         &mut self,
-        caller: ConnectionId,
+        connection: ConnectionId,
         snapshot: &str,
         branch: &str,
     ) -> Result<Answer, OperatorError> {
         let change = Change::CloneCreated { snapshot: snapshot.to_owned(), branch: branch.to_owned() };
         let version = self.propose(change)?;
         let answer = format!("{branch} made, LUN {}", self.tree().branches[branch].lun);
-        self.wait(caller, Operation::Rollout { version, closing: None, answer });
+        self.wait(connection, Operation::Rollout { version, closing: None, answer });
         Ok(None)
     }
 
     fn roll_back(
         &mut self,
-        caller: ConnectionId,
+        connection: ConnectionId,
         branch: &str,
         snapshot: &str,
     ) -> Result<Answer, OperatorError> {
@@ -125,7 +125,7 @@
         let change = Change::BranchRolledBack { branch: branch.to_owned(), snapshot: snapshot.to_owned() };
         let version = self.propose(change)?;
         let answer = format!("{branch} shows {snapshot}");
-        self.wait(caller, Operation::Rollout { version, closing: Some(old_head), answer });
+        self.wait(connection, Operation::Rollout { version, closing: Some(old_head), answer });
         self.close_layers();
         Ok(None)
     }
@@ -133,7 +133,7 @@
     fn delete(&mut self, name: &str) -> Result<String, OperatorError> {
         let change = if name.contains('@') {
             Change::SnapshotDeleted { snapshot: name.to_owned() }
-        } else if self.site.volumes.iter().any(|volume| volume.name == name) {
+        } else if self.config.volumes.iter().any(|volume| volume.name == name) {
             return Err(OperatorError::ConfiguredVolume(name.to_owned()));
         } else {
             Change::BranchDeleted { branch: name.to_owned() }
@@ -156,12 +156,12 @@
     }
 
     /// Freezes the head of a branch; the snapshot is granted once nodes and hosts have answered.
-    fn begin_cut(&mut self, caller: ConnectionId, branch: &str, name: &str) -> Result<(), OperatorError> {
+    fn begin_cut(&mut self, connection: ConnectionId, branch: &str, name: &str) -> Result<(), OperatorError> {
         let now = ticks_to_millis(self.now);
         let begun = ConsistentCut::begin(self.tree(), branch, name, self.leases.active_hosts(now), now);
         let (change, cut) = begun.map_err(|failure| self.failure(failure))?;
         self.propose(change)?;
-        self.wait(caller, Operation::Cut(cut));
+        self.wait(connection, Operation::Cut(cut));
         // No time is lost: requests go to nodes and hosts in this iteration.
         self.close_layers();
         self.quiesce_hosts(now);
@@ -206,19 +206,19 @@
     pub(super) fn advance_operations(&mut self, now: u64) {
         let mut ended_cuts: Vec<String> = Vec::new();
         for pending in std::mem::take(&mut self.pending_operations) {
-            let PendingOperation { caller, operation } = pending;
+            let PendingOperation { connection, operation } = pending;
             match operation {
-                Operation::BeginCut { branch, name } => self.advance_begin_cut(caller, branch, name, now),
-                Operation::Cut(cut) => ended_cuts.extend(self.advance_cut(caller, cut, now)),
+                Operation::BeginCut { branch, name } => self.advance_begin_cut(connection, branch, name, now),
+                Operation::Cut(cut) => ended_cuts.extend(self.advance_cut(connection, cut, now)),
                 Operation::Rollout { version, closing, answer } => {
                     let open = |layer: LayerId| {
                         self.tree().layers.contains_key(&layer)
                             && self.tree().pending_closes().any(|(other, _)| other == layer)
                     };
                     if !closing.is_some_and(open) && self.leases.is_effective(version, now) {
-                        self.replies.push(Reply::Operator(caller, answer));
+                        self.replies.push(Reply::Operator(connection, answer));
                     } else {
-                        self.wait(caller, Operation::Rollout { version, closing, answer });
+                        self.wait(connection, Operation::Rollout { version, closing, answer });
                     }
                 }
             }
@@ -226,53 +226,53 @@
         ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
     }
 
-    fn advance_begin_cut(&mut self, caller: ConnectionId, branch: String, name: String, now: u64) {
+    fn advance_begin_cut(&mut self, connection: ConnectionId, branch: String, name: String, now: u64) {
         if !self.leases.all_hosts_known(now) {
-            self.wait(caller, Operation::BeginCut { branch, name });
-        } else if let Err(e) = self.begin_cut(caller, &branch, &name) {
-            self.replies.push(Reply::Operator(caller, format!("error: {e}")));
+            self.wait(connection, Operation::BeginCut { branch, name });
+        } else if let Err(e) = self.begin_cut(connection, &branch, &name) {
+            self.replies.push(Reply::Operator(connection, format!("error: {e}")));
         }
     }
 
     /// The next step of a snapshot that is under way. Its branch, if the cut has ended.
-    fn advance_cut(&mut self, caller: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
+    fn advance_cut(&mut self, connection: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
         match cut.progress(self.tree(), now) {
             CutProgress::Wait => {
-                self.wait(caller, Operation::Cut(cut));
+                self.wait(connection, Operation::Cut(cut));
                 None
             }
             CutProgress::Restart => {
                 if let Some(change) = cut.restart(self.tree(), self.leases.active_hosts(now)) {
                     let _ = self.propose(change);
                 }
-                self.wait(caller, Operation::Cut(cut));
+                self.wait(connection, Operation::Cut(cut));
                 self.close_layers();
                 self.quiesce_hosts(now);
                 None
             }
             CutProgress::Grant(change) => {
-                self.grant(caller, &cut, change);
+                self.grant(connection, &cut, change);
                 Some(cut.branch)
             }
             CutProgress::Fail(failure) => {
                 let reason = self.failure(failure);
                 tracing::warn!(snapshot = format!("{}@{}", cut.branch, cut.name), %reason, "snapshot failed");
-                self.replies.push(Reply::Operator(caller, format!("error: {reason}")));
+                self.replies.push(Reply::Operator(connection, format!("error: {reason}")));
                 Some(cut.branch)
             }
         }
     }
 
-    /// Names the frozen layer. The caller is answered once every host knows the snapshot's unit.
-    fn grant(&mut self, caller: ConnectionId, cut: &ConsistentCut, change: Change) {
+    /// Names the frozen layer. The operator is answered once every host knows the snapshot's unit.
+    fn grant(&mut self, connection: ConnectionId, cut: &ConsistentCut, change: Change) {
         let snapshot = format!("{}@{}", cut.branch, cut.name);
         match self.propose(change) {
             Ok(version) => {
                 tracing::info!(snapshot, "snapshot granted");
                 let answer = format!("{snapshot} granted, LUN {}", self.tree().snapshots[&snapshot].lun);
-                self.wait(caller, Operation::Rollout { version, closing: None, answer });
+                self.wait(connection, Operation::Rollout { version, closing: None, answer });
             }
-            Err(refused) => self.replies.push(Reply::Operator(caller, format!("error: {refused}"))),
+            Err(refused) => self.replies.push(Reply::Operator(connection, format!("error: {refused}"))),
         }
     }
 
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -43,8 +43,8 @@
 
 /// Walks the store of a stopped catalog and all nodes. With `reclaim`, locations that nothing refers to are
 /// unmapped.
-pub(crate) fn run(site: &GatewayConfig, reclaim: bool) -> Result<Findings, VerifyError> {
-    let settings = site.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
+pub(crate) fn run(config: &GatewayConfig, reclaim: bool) -> Result<Findings, VerifyError> {
+    let settings = config.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
     let catalog = Catalog::open(&settings.store_path)
         .map_err(|source| VerifyError::Store { path: settings.store_path.clone(), source })?;
     let tree = catalog.tree();
@@ -52,8 +52,8 @@
         faults: tree.inconsistencies().iter().map(ToString::to_string).collect(),
         ..Findings::default()
     };
-    let mut references = collect_references(tree, site.nodes.len(), &mut findings);
-    for (index, node) in site.nodes.iter().enumerate() {
+    let mut references = collect_references(tree, config.nodes.len(), &mut findings);
+    for (index, node) in config.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
         let mut walk = NodeWalk::open(node, index as u32, settings.extent_blocks)?;
         // Removed layers may have leaked locations as well: every layer that was ever created is checked.
