--- a/crates/gateway/src/atomic_file.rs
+++ b/crates/gateway/src/atomic_file.rs
@@ -5,7 +5,7 @@
 /// Extension of the file that is written before it takes the place of the old one.
 const NEW_FILE_EXTENSION: &str = "new";
 
-/// Replaces a file by way of a rename: a reader sees either the old contents or the new ones.
+/// Replaces a file by a rename: a reader sees either the old contents or the new ones.
 pub(crate) fn replace(path: &Path, contents: &[u8]) -> io::Result<()> {
     let new_file = path.with_extension(NEW_FILE_EXTENSION);
     std::fs::write(&new_file, contents)?;
--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -48,7 +48,7 @@
     last_tag: u32,
 }
 
-/// How a command came out.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// SCSI status code.
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Longest line of the catalog in bytes: a whole tree without its places, of some hundred thousand layers and
-/// names. A longer one ends the connection.
+/// Longest line of the catalog in bytes: a whole tree without its locations, of some hundred thousand layers
+/// and names. A longer one ends the connection.
 const MAX_LINE: usize = 32 << 20;
 /// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in
 /// pieces.
 const READS_PER_TURN: usize = 4;
 
-/// A layer of which the catalog wants to hear that no write of several parts lies half in it.
+/// The catalog's request to quiesce a layer: to report once no split write is partly completed in it.
 pub(crate) struct QuiesceRequest {
     pub(crate) layer: LayerId,
     pub(crate) branch: String,
@@ -42,11 +42,11 @@
     pub(crate) replica: TreeReplica,
     /// Counts up with every message that may let a waiting block I/O go on.
     pub(crate) revision: u64,
-    /// Layers that the catalog waits to hear are clear.
+    /// Layers that the catalog waits for this host to quiesce.
     pub(crate) quiesce_requests: Vec<QuiesceRequest>,
     /// Answers that the dispatcher has not taken yet.
     pub(crate) completion_decisions: Vec<CompletionDecision>,
-    /// Branches with a pending cut, and until when that holds back writes of several parts at most.
+    /// Branches with a pending cut, and the time until which it delays split writes at most.
     pending_cuts: BTreeMap<String, Millis>,
     /// When slots of a layer were last requested.
     slots_requested: BTreeMap<LayerId, Millis>,
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -18,8 +18,9 @@
 }
 
 /// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with
-/// three decimals). A host that does not answer, or has restarted, is skipped in that interval and named in a
-/// comment. Ends after `count` intervals; 0: never.
+/// three decimals; `asked` are requested units, `ended` completed ones). [`read`] and scripts read this text
+/// form. A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
+/// Ends after `count` intervals; 0: never.
 pub(crate) fn record(
     control_sockets: &[PathBuf],
     every: Duration,
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The block I/Os in flight: which client each came from, and its attempt at a node. Carries out the
+//! The block I/Os in flight: the client of each, and its attempt at a node. Carries out the
 //! scheduler's decisions; their outcomes are queued and passed to the scheduler once its present call has
 //! returned.
 //!
@@ -105,8 +105,8 @@
     pub(crate) metrics: Metrics,
     /// The client of the snapshot catalog, where the host has mapped volumes.
     pub(crate) catalog: Option<CatalogClient>,
-    /// When the scheduler wants to be called.
-    pub(crate) wakeup_at: Option<Tick>,
+    /// When the timer that the scheduler has set is due.
+    pub(crate) timer_due: Option<Tick>,
     /// The scheduler has requested the endpoint list.
     pub(crate) endpoint_list_requested: bool,
     volumes: Vec<Volume>,
@@ -167,7 +167,7 @@
             nodes,
             metrics: Metrics::new(config.io_classes.len(), config.nodes.len(), config.volumes.len()),
             catalog,
-            wakeup_at: None,
+            timer_due: None,
             endpoint_list_requested: false,
             volumes: config.volumes.iter().map(|volume| Volume::new(config, volume, extent_blocks)).collect(),
             classes: config.io_classes.iter().map(IoClassConfig::new).collect(),
@@ -238,11 +238,12 @@
         }
     }
 
-    /// Calls the scheduler at the time that it has set. Nothing else calls its timer: it sets each time once,
-    /// and would take an earlier or later call for the one that it has set, and wait for the next in vain.
-    pub(crate) fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
-        if self.wakeup_at.is_some_and(|time| time <= self.now) {
-            self.wakeup_at = None;
+    /// Calls the scheduler's timer once it is due. Nothing else may call it: the scheduler sets each time
+    /// once, would mistake an earlier or later call for the one that it has set, and would wait in vain for
+    /// the next.
+    pub(crate) fn on_timer(&mut self, scheduler: &mut Scheduler) {
+        if self.timer_due.is_some_and(|time| time <= self.now) {
+            self.timer_due = None;
             let now = self.now;
             scheduler.on_timer(self, now);
             self.process_pending(scheduler);
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -205,7 +205,7 @@
 
     fn set_timer(&mut self, after: Tick) {
         let time = self.now + after;
-        self.wakeup_at = Some(self.wakeup_at.map_or(time, |other| other.min(time)));
+        self.timer_due = Some(self.timer_due.map_or(time, |other| other.min(time)));
     }
 
     fn poll_endpoints(&mut self) {
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -28,7 +28,7 @@
     /// None: the LUN cannot be parsed.
     pub(super) lun: Option<u32>,
     pub(super) cdb: [u8; 16],
-    /// Bytes that the client takes.
+    /// Expected data-in length (RFC 7143, 11.3.4): bytes that the client takes at most.
     pub(super) read_len: usize,
     /// Bytes that it writes.
     pub(super) data: Vec<u8>,
--- a/crates/gateway/src/dispatcher/exported_units.rs
+++ b/crates/gateway/src/dispatcher/exported_units.rs
@@ -53,7 +53,7 @@
     units
 }
 
-/// The volume that a branch comes from, by way of clones of clones.
+/// The volume that a branch descends from, directly or through clones of clones.
 fn volume_of(volumes: &[Volume], tree: &Tree, branch: &str) -> Option<usize> {
     let mut name = branch;
     for _ in 0..=tree.branches.len() {
--- a/crates/gateway/src/dispatcher/extent_copies.rs
+++ b/crates/gateway/src/dispatcher/extent_copies.rs
@@ -54,7 +54,7 @@
         io.copy.and_then(|extent| self.copies.get(&extent)).is_some_and(ExtentCopy::is_writing)
     }
 
-    /// Starts to copy an extent into a layer, unless that is under way or the budget is used up.
+    /// Starts to copy an extent into a layer, unless a copy is in progress or the budget is used up.
     pub(super) fn start_copy(
         &mut self,
         extent: LayerExtent,
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -11,8 +11,9 @@
 /// Nothing to report.
 const NO_SENSE: Sense = Sense::NO_ADDITIONAL_SENSE;
 
-fn truncated(mut data: Vec<u8>, room: usize) -> Vec<u8> {
-    data.truncate(room);
+/// Data-in is truncated to the allocation length of the CDB (SPC-4).
+fn truncated(mut data: Vec<u8>, allocation_len: usize) -> Vec<u8> {
+    data.truncate(allocation_len);
     data
 }
 
@@ -38,19 +39,19 @@
     /// Commands that are answered also where there is no unit.
     fn answer_without_unit(&mut self, volume: Option<usize>, command: Command) -> Option<Vec<u8>> {
         match command {
-            Command::ReportLuns { select_report, allocation_len: room } => {
+            Command::ReportLuns { select_report, allocation_len } => {
                 self.update_units();
                 let luns = self.volumes.iter().map(|volume| volume.lun).chain(self.units.keys().copied());
-                Some(truncated(scsi::report_luns(luns, select_report), room))
+                Some(truncated(scsi::report_luns(luns, select_report), allocation_len))
             }
-            Command::RequestSense { allocation_len: room } => {
+            Command::RequestSense { allocation_len } => {
                 let sense = if volume.is_some() { NO_SENSE } else { Sense::LOGICAL_UNIT_NOT_SUPPORTED };
-                Some(truncated(sense.to_fixed_format().to_vec(), room))
+                Some(truncated(sense.to_fixed_format().to_vec(), allocation_len))
             }
-            Command::Inquiry { page: None, allocation_len: room } if volume.is_none() => {
+            Command::Inquiry { page: None, allocation_len } if volume.is_none() => {
                 let mut data = NO_UNIT_INQUIRY.to_vec();
                 data.resize(INQUIRY_LEN, 0);
-                Some(truncated(data, room))
+                Some(truncated(data, allocation_len))
             }
             _ => None,
         }
@@ -69,15 +70,15 @@
                 }
                 Some(Vec::new())
             }
-            Command::Inquiry { page, allocation_len: room } => {
-                unit.inquiry(page).map(|data| truncated(data, room))
+            Command::Inquiry { page, allocation_len } => {
+                unit.inquiry(page).map(|data| truncated(data, allocation_len))
             }
             Command::ReadCapacity10 => Some(unit.read_capacity_10()),
-            Command::ReadCapacity16 { allocation_len: room } => {
-                Some(truncated(unit.read_capacity_16(), room))
+            Command::ReadCapacity16 { allocation_len } => {
+                Some(truncated(unit.read_capacity_16(), allocation_len))
             }
-            Command::ModeSense { form, page, allocation_len: room } => {
-                unit.mode_sense(form, page).map(|data| truncated(data, room))
+            Command::ModeSense { form, page, allocation_len } => {
+                unit.mode_sense(form, page).map(|data| truncated(data, allocation_len))
             }
             Command::ModeSelect
             | Command::Unmap
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -104,7 +104,9 @@
             return Err(Error::Poll(e));
         }
         host.dispatcher.now = host.clock.now();
-        // Time first: a host that was suspended must not take what has come since for late.
+        // The timer runs before datagrams are read: after the process was suspended (SIGSTOP, a pause of the
+        // virtual machine), the timer extends its timeouts by the gap. Otherwise members whose
+        // acknowledgements are still queued in the socket would be suspected.
         host.membership.iter_mut().for_each(|membership| membership.tick());
         for event in &events {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
@@ -215,10 +217,10 @@
 
     fn start(&mut self) {
         self.dispatcher.now = self.clock.now();
-        // The first wake-up, ahead of all that makes the scheduler ask for one: it asks for the endpoint list
-        // and its windows from here on.
+        // The first timer runs before anything else makes the scheduler set one: it requests the endpoint
+        // list, and allocation intervals count from it.
         self.dispatcher.set_timer(0);
-        self.dispatcher.on_wakeup(&mut self.scheduler);
+        self.dispatcher.on_timer(&mut self.scheduler);
         self.endpoint_list.start(self.dispatcher.now);
         self.apply_endpoint_updates();
         self.apply_cached_plans();
@@ -238,7 +240,7 @@
             return Duration::ZERO;
         }
         let dispatcher = &self.dispatcher;
-        let timers = [dispatcher.wakeup_at, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
+        let timers = [dispatcher.timer_due, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
         let due = timers.into_iter().flatten().fold(self.last_check + CHECK_PERIOD, Tick::min);
         let due = ticks_to_duration(due - self.clock.now());
         let membership_due =
@@ -376,7 +378,7 @@
         self.dispatcher.now = self.clock.now();
         self.dispatcher.expire_attempts();
         self.dispatcher.process_pending(&mut self.scheduler);
-        self.dispatcher.on_wakeup(&mut self.scheduler);
+        self.dispatcher.on_timer(&mut self.scheduler);
         if std::mem::take(&mut self.dispatcher.endpoint_list_requested) {
             self.endpoint_list.watch(self.dispatcher.now);
             self.apply_endpoint_updates();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -8,7 +8,7 @@
 /// Decimal digits that a histogram keeps of a latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// How commands, or block I/Os, came out.
+/// Outcomes of commands, or of block I/Os, counted.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct CommandCounts {
     /// Admitted.
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -41,7 +41,7 @@
     /// None: the unit that the configuration names.
     pub(crate) lun: Option<u32>,
     pub(crate) cdb: [u8; 16],
-    /// Bytes that are read.
+    /// Expected data-in length (RFC 7143, 11.3.4) in bytes.
     pub(crate) read_len: usize,
     /// Bytes that are written.
     pub(crate) data: Payload,
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -99,8 +99,8 @@
 
 /// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop.
 ///
-/// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after hosts
-/// and operators have been notified, and after a node has answered a command.
+/// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after
+/// hosts and operators have been notified, and after a node has answered a command.
 ///
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -19,7 +19,7 @@
 pub(super) enum Operation {
     /// A snapshot is begun once all hosts that may act are known.
     BeginCut { branch: String, name: String },
-    /// A snapshot is under way.
+    /// A snapshot is in progress.
     Cut(ConsistentCut),
     /// A version is in effect at all hosts, and nodes have closed a layer.
     Rollout { version: u64, closing: Option<LayerId>, answer: String },
@@ -36,7 +36,7 @@
 enum OperatorError {
     #[error(transparent)]
     Refused(#[from] ChangeError),
-    /// These hosts have writes of several parts under way, or do not say that they have none.
+    /// These hosts have split writes in flight, or have not reported that their writes are quiesced.
     #[error("writes under way at {}; no snapshot was made", .0.join(", "))]
     HostsNotQuiesced(Vec<String>),
     /// These nodes have not closed their layers in time.
@@ -234,7 +234,7 @@
         }
     }
 
-    /// The next step of a snapshot that is under way. Its branch, if the cut has ended.
+    /// Takes the next step of a snapshot in progress. Returns its branch if the cut has ended.
     fn advance_cut(&mut self, connection: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
         match cut.progress(self.tree(), now) {
             CutProgress::Wait => {
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -144,6 +144,7 @@
         serde_json::from_str(text)
     }
 
+    // The text form is read by scripts: its words stay, also where the fields have other names.
     fn write_summary(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let draining = if self.draining { "  draining" } else { "" };
         writeln!(
@@ -165,6 +166,7 @@
     }
 }
 
+// The text form is read by scripts: headers stay, also where the fields have other names.
 const CLASS_HEADER: [&str; 8] =
     ["group", "taken", "ended", "shed", "failed", "past goal", "median ms", "p99 ms"];
 const NODE_HEADER: [&str; 12] = [
@@ -190,6 +192,7 @@
 }
 
 impl NodeStatus {
+    /// State in the text form, which is read by scripts: "cold" is a node in slow start.
     fn state(&self) -> &'static str {
         match (self.open, self.warming_up, self.connected) {
             (false, ..) => "closed",
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -65,6 +65,7 @@
                 }
                 findings.leaked.push((layer, Location { node: walk.index, slot }));
                 if reclaim && !walk.unmap(layer, slot)? {
+                    // Printed output, whose form is fixed: it calls a slot "place".
                     findings.faults.push(format!("{}: does not give place {slot} back", node.name));
                 }
             }
