--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The block I/Os in flight: which client each came from, and its attempt at a node. Carries out the
+//! The block I/Os in flight: the client of each, and its attempt at a node. Carries out the
 //! scheduler's decisions; their outcomes are queued and passed to the scheduler once its present call has
 //! returned.
 //!
@@ -58,9 +58,9 @@
 }
 
 impl Volume {
-    fn new(site: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
+    fn new(config: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
         let layout =
-            if volume.mapped { mapped_layout(volume, extent_blocks) } else { volume_layout(site, volume) };
+            if volume.mapped { mapped_layout(volume, extent_blocks) } else { volume_layout(config, volume) };
         Volume {
             name: volume.name.clone(),
             plan: volume.plan as u16,
@@ -105,8 +105,8 @@
     pub(crate) metrics: Metrics,
     /// The client of the snapshot catalog, where the host has mapped volumes.
     pub(crate) catalog: Option<CatalogClient>,
-    /// When the scheduler wants to be called.
-    pub(crate) wakeup_at: Option<Tick>,
+    /// When the timer that the scheduler has set is due.
+    pub(crate) timer_due: Option<Tick>,
     /// The scheduler has requested the endpoint list.
     pub(crate) endpoint_list_requested: bool,
     volumes: Vec<Volume>,
@@ -154,27 +154,27 @@
 impl Dispatcher {
     /// Nothing is in flight.
     pub(crate) fn new(
-        site: &GatewayConfig,
+        config: &GatewayConfig,
         clients: Clients,
         nodes: Nodes,
         catalog: Option<CatalogClient>,
     ) -> Self {
-        let catalog_config = site.catalog.clone().unwrap_or_default();
+        let catalog_config = config.catalog.clone().unwrap_or_default();
         let extent_blocks = catalog_config.extent_blocks;
         Dispatcher {
             now: 0,
             clients,
             nodes,
-            metrics: Metrics::new(site.io_classes.len(), site.nodes.len(), site.volumes.len()),
+            metrics: Metrics::new(config.io_classes.len(), config.nodes.len(), config.volumes.len()),
             catalog,
-            wakeup_at: None,
+            timer_due: None,
             endpoint_list_requested: false,
-            volumes: site.volumes.iter().map(|volume| Volume::new(site, volume, extent_blocks)).collect(),
-            classes: site.io_classes.iter().map(IoClassConfig::new).collect(),
-            unit_bytes: site.fleet.unit_bytes,
-            max_transfer_bytes: site.host.max_transfer_bytes,
-            max_attempts: site.fleet.max_attempts,
-            shards: site.nodes.iter().map(|node| node.shard).collect(),
+            volumes: config.volumes.iter().map(|volume| Volume::new(config, volume, extent_blocks)).collect(),
+            classes: config.io_classes.iter().map(IoClassConfig::new).collect(),
+            unit_bytes: config.fleet.unit_bytes,
+            max_transfer_bytes: config.host.max_transfer_bytes,
+            max_attempts: config.fleet.max_attempts,
+            shards: config.nodes.iter().map(|node| node.shard).collect(),
             block_ios: Slab::default(),
             commands: Slab::default(),
             ordering_keys: Interner::default(),
@@ -238,11 +238,12 @@
         }
     }
 
-    /// Calls the scheduler at the time that it has set. Nothing else calls its timer: it sets each time once,
-    /// and would take an earlier or later call for the one that it has set, and wait for the next in vain.
-    pub(crate) fn on_wakeup(&mut self, scheduler: &mut Scheduler) {
-        if self.wakeup_at.is_some_and(|time| time <= self.now) {
-            self.wakeup_at = None;
+    /// Calls the scheduler's timer once it is due. Nothing else may call it: the scheduler sets each time
+    /// once, would mistake an earlier or later call for the one that it has set, and would wait in vain for
+    /// the next.
+    pub(crate) fn on_timer(&mut self, scheduler: &mut Scheduler) {
+        if self.timer_due.is_some_and(|time| time <= self.now) {
+            self.timer_due = None;
             let now = self.now;
             scheduler.on_timer(self, now);
             self.process_pending(scheduler);
