--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -32,7 +32,7 @@
         #[command(flatten)]
         log: LogOptions,
     },
-    /// Run a real host of the users' platform in the foreground, by the configuration that GW_CONFIG names;
+    /// Run a real host of the users' platform in the foreground, by the configuration that `GW_CONFIG` names;
     /// SIGHUP reads it anew, SIGTERM ends it once all it took is answered
     Host {
         /// Log lines as JSON objects
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -14,7 +14,7 @@
 /// Ticks between two measurements of what clients request.
 const MEASURE_PERIOD: Tick = 2_500;
 const TICKS_PER_SECOND: f64 = 10_000.0;
-/// MilliUnits are replicated in thousandths.
+/// `MilliUnits` are replicated in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
 /// Values that the jitter of a reconnect may have.
 const JITTER_RANGE: u64 = 1_000;
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -296,7 +296,7 @@
                     self.end(index, tag, AttemptResult::Error);
                 }
                 InitiatorEvent::CommandAborted { .. } => {
-                    self.all[index].connection.abort_answered(ticks_to_millis(now))
+                    self.all[index].connection.abort_answered(ticks_to_millis(now));
                 }
                 InitiatorEvent::LogoutRequested => {
                     if let Some(link) = &mut self.all[index].link {
--- a/crates/gateway/tests/platform/descriptor_limits.rs
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -43,7 +43,7 @@
         with_min_descriptors(&config, unused_address())
     });
     let wait_until_served = || {
-        wait_until("the host serves", || host.client().read(&format!("r{}", host.next_number()), 0).0 == 200)
+        wait_until("the host serves", || host.client().read(&format!("r{}", host.next_number()), 0).0 == 200);
     };
     let mut idle = Vec::new();
     wait_until("the host listens", || std::net::TcpStream::connect(host.address()).is_ok());
--- a/crates/gateway/tests/platform/races.rs
+++ b/crates/gateway/tests/platform/races.rs
@@ -141,7 +141,7 @@
         clients.iter_mut().enumerate().for_each(|(n, client)| client.send(&says(n)));
         // Clients are read in their order: once the last one is served, all before it were read.
         let served = host.client().try_read(&format!("last{}", host.next_number()), 0).is_some();
-        if served && start.elapsed() < Duration::from_millis(1_000) {
+        if served && start.elapsed() < Duration::from_secs(1) {
             return (clients, Instant::now());
         }
     }
--- a/crates/gateway/tests/platform/shutdown.rs
+++ b/crates/gateway/tests/platform/shutdown.rs
@@ -167,5 +167,5 @@
     host.signal(nix::sys::signal::Signal::SIGINT);
     let signalled = Instant::now();
     assert_eq!(host.exit_code(), Some(0));
-    assert!(signalled.elapsed() < Duration::from_millis(2_000), "{:?}", signalled.elapsed());
+    assert!(signalled.elapsed() < Duration::from_secs(2), "{:?}", signalled.elapsed());
 }
--- a/crates/http1/tests/pinned_parsing.rs
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -8,7 +8,7 @@
 
 const LIMITS: Limits = Limits { head: 512, body: 256 };
 
-/// SplitMix64.
+/// `SplitMix64`.
 struct Rng(u64);
 
 impl Rng {
--- a/crates/iscsi/tests/pinned_wire/harness.rs
+++ b/crates/iscsi/tests/pinned_wire/harness.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// SplitMix64.
+/// `SplitMix64`.
 pub struct Rng(pub u64);
 
 impl Rng {
--- a/crates/iscsi/tests/sessions/malformed_input.rs
+++ b/crates/iscsi/tests/sessions/malformed_input.rs
@@ -7,7 +7,7 @@
 use mallowseam_iscsi::target::TargetEvent;
 use proptest::prelude::*;
 
-/// Bit of the opcode's byte by which a request takes no CmdSN.
+/// Bit of the opcode's byte by which a request takes no `CmdSN`.
 const IMMEDIATE_BIT: u8 = 0x40;
 
 proptest! {
--- a/crates/lab/src/membership/measurements.rs
+++ b/crates/lab/src/membership/measurements.rs
@@ -194,7 +194,7 @@
     let awake: Vec<usize> = fleet.running().filter(|host| !fleet.is_stopped(*host)).collect();
     let names: BTreeSet<Name> = awake.iter().map(|host| simulation::name(*host)).collect();
     let memberships = awake.iter().filter_map(|host| fleet.membership(*host));
-    let members = memberships.flat_map(|membership| membership.members());
+    let members = memberships.flat_map(mallowseam_fleet::Membership::members);
     let wrong =
         members.filter(|(record, state)| *state == MemberState::Unreachable && names.contains(&record.name));
     wrong.count() as u64
--- a/crates/lab/tests/snapshots/site.rs
+++ b/crates/lab/tests/snapshots/site.rs
@@ -111,7 +111,7 @@
     }
 
     pub(crate) fn start_catalog_crashing(&mut self, at: Option<u64>) {
-        let at = at.map(|n| format!("--die-at={n}")).unwrap_or("--log=error".into());
+        let at = at.map_or("--log=error".into(), |n| format!("--die-at={n}"));
         self.catalog = Some(self.start(&["catalog", &at], 0, "catalog.sock", "list"));
     }
 
@@ -159,7 +159,7 @@
         let Ok(text) = self.request("tree") else { return 0 };
         let tree: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         let layers = tree["layers"].as_object().expect("layers");
-        layers.values().map(|l| l["places"].as_object().map_or(0, |p| p.len())).sum()
+        layers.values().map(|l| l["places"].as_object().map_or(0, serde_json::Map::len)).sum()
     }
 
     pub(crate) fn client(&self, host: usize) -> BlockingClient {
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -172,7 +172,7 @@
         };
         match &answer {
             Some(HostMessage::Accepted { version }) => {
-                self.hosts.on_accepted(&host_name(host as u64), *version, self.now)
+                self.hosts.on_accepted(&host_name(host as u64), *version, self.now);
             }
             Some(HostMessage::Rejected { version, reason }) => {
                 self.hosts.on_rejected(&host_name(host as u64), *version, reason, self.now);
--- a/crates/platform/tests/endpoint_lists.rs
+++ b/crates/platform/tests/endpoint_lists.rs
@@ -19,7 +19,7 @@
         format!("{ENDPOINT},{}", ENDPOINT.replace("born_ms\":5", "born_ms\":\"x\"")),
         vec![ENDPOINT; 5_000].join(","),
     ] {
-        assert!(event(&bad).is_err(), "{:.80}", bad);
+        assert!(event(&bad).is_err(), "{bad:.80}");
     }
     assert!(endpoints::parse(b"{\"seq\":4,\"whole\":tr").is_err() && endpoints::parse(b"[]").is_err());
 }
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -31,7 +31,7 @@
     assert!(recorded == *found, "{name}: {} bytes recorded, {} found", recorded.len(), found.len());
 }
 
-/// SplitMix64.
+/// `SplitMix64`.
 struct Rng(u64);
 
 impl Rng {
@@ -308,12 +308,12 @@
     let mut found = String::new();
     for (name, text) in lists() {
         let read = endpoints::parse(text.as_bytes())
-            .map_or_else(|why| format!("refused: {}", why), |n| show_event(&n));
+            .map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
         writeln!(found, "{name}, read: {}", truncated(read)).expect("memory");
         writeln!(found, "{name}, front: {}", truncated(show_frame(text.as_bytes()))).expect("memory");
         if let Ok(value) = serde_json::from_str(&text) {
-            let of = endpoints::from_json(value)
-                .map_or_else(|why| format!("refused: {}", why), |n| show_event(&n));
+            let of =
+                endpoints::from_json(value).map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
             writeln!(found, "{name}, of: {}", truncated(of)).expect("memory");
         }
     }
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -1,4 +1,4 @@
-//! SplitMix64: the simulation's own random numbers, independent of the scheduler's.
+//! `SplitMix64`: the simulation's own random numbers, independent of the scheduler's.
 use mallowseam_scheduler::interface::Tick;
 
 pub struct Random(u64);
