--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -93,11 +93,11 @@
             continue;
         }
         let mut args = Arguments::new(&tokens, &mut problems);
-        let Some((seconds, volume, requested)) = read_line(&mut args) else { continue };
-        if intervals.last().is_none_or(|(last, _)| *last != seconds) {
-            intervals.push((seconds, Interval::new()));
+        let Some(line) = read_line(&mut args) else { continue };
+        if intervals.last().is_none_or(|(last, _)| *last != line.seconds) {
+            intervals.push((line.seconds, Interval::new()));
         }
-        intervals.last_mut().expect("just pushed").1.insert(volume, requested);
+        intervals.last_mut().expect("just pushed").1.insert(line.volume, line.requested);
     }
     if problems.is_empty() {
         Ok(intervals.into_iter().map(|(_, interval)| interval).collect())
@@ -106,8 +106,17 @@
     }
 }
 
-/// Seconds, volume and requested units a second of a line. All its arguments are checked.
-fn read_line(args: &mut Arguments) -> Option<(u64, String, f64)> {
+/// A line of a record.
+struct DemandLine {
+    /// Seconds from the start of the record to the end of the interval.
+    seconds: u64,
+    volume: String,
+    /// Requested units a second.
+    requested: f64,
+}
+
+/// Reads a line. All its arguments are checked, also after one is refused.
+fn read_line(args: &mut Arguments) -> Option<DemandLine> {
     let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
     args.value("asked", |text| (text == "asked").then_some(()));
@@ -115,5 +124,5 @@
     args.value("ended", |text| (text == "ended").then_some(()));
     args.rate("units a second");
     args.expect_end();
-    Some((seconds?, volume?.text, requested?))
+    Some(DemandLine { seconds: seconds?, volume: volume?.text, requested: requested? })
 }
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -150,7 +150,7 @@
     if !config.volumes.iter().any(|volume| volume.mapped) {
         return Ok(None);
     }
-    let address = catalog.listen.expect("a checked configuration names it");
+    let address = startup::validated_address(catalog.listen);
     Ok(Some(CatalogClient::new(&config.host.name, address, startup::registry(poll)?, CATALOG)))
 }
 
@@ -172,7 +172,7 @@
 
 impl HostProcess {
     fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let address = config.host.listen.expect("a checked configuration names it");
+        let address = startup::validated_address(config.host.listen);
         let (listener, _) = startup::listen(address, poll, LISTENER)?;
         let bound = listener.local_addr().map_err(|source| Error::Listen { address, source })?;
         let control = startup::control_socket(
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -2,6 +2,7 @@
 //! attempts wait for its login in a queue that their own timeouts bound.
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
+use crate::startup;
 use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent, Payload};
 use mallowseam_iscsi::params::ProposedParams;
@@ -106,7 +107,7 @@
     ) -> Self {
         let node = |node: &config::Node| Node {
             name: node.name.clone(),
-            address: node.address.expect("a checked configuration names it"),
+            address: startup::validated_address(node.address),
             target: node.target.clone(),
             lun: node.lun.into(),
             connection: NodeConnection::default(),
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -133,7 +133,7 @@
 impl PlanService {
     fn open(config: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let settings = config.plan_service.clone().ok_or(Error::MissingSection("tariffs"))?;
-        let address = settings.listen.expect("a checked configuration names it");
+        let address = startup::validated_address(settings.listen);
         let peers = Peers::open(address, poll, LISTENER, FIRST_PEER, LIMITS)?;
         let control = startup::control_socket(
             settings.control_socket.as_deref(),
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -1,6 +1,7 @@
 //! Exports of snapshots to files and imports from them, through a host as any client reads and writes.
 use crate::blocking_client::{BlockingClient, ClientError};
 use crate::control_socket::{self, RequestError};
+use crate::startup;
 use mallowseam_archive::{Header, Reader, Record, ResumePoint, Writer};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, Sense, status};
@@ -109,7 +110,7 @@
             (None, None, None) => return Err(ArchiveError::NoSuchUnit(name.to_owned())),
         };
         let volume = config.volumes.iter().find(|v| v.mapped).ok_or(ArchiveError::NoMappedVolume)?;
-        let address = config.host.listen.expect("a checked configuration names it");
+        let address = startup::validated_address(config.host.listen);
         let client = BlockingClient::open(address, Some(&config.host.target), std::process::id())
             .map_err(|source| ArchiveError::Login { address, source })?;
         Ok(RemoteUnit { client, lun, block_size: volume.block_size.into(), blocks_per_extent, extents })
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -17,6 +17,7 @@
 use crate::node_connections::Nodes;
 use crate::startup;
 use hosts::Hello;
+use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::messages::ToHost;
 use mallowseam_cow::reclaim::Reclaimer;
@@ -130,7 +131,7 @@
 impl CatalogService {
     fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let settings = config.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
-        let address = settings.listen.expect("a checked configuration names it");
+        let address = startup::validated_address(settings.listen);
         let first_host_token = FIRST_NODE + config.nodes.len();
         let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
         let control = startup::control_socket(
@@ -267,7 +268,7 @@
     }
 
     /// Periodic checks.
-    fn on_timer(&mut self, now: u64) {
+    fn on_timer(&mut self, now: Millis) {
         self.leases.remove_expired(now);
         if self.last_quiesce + QUIESCE_PERIOD <= self.now {
             self.last_quiesce = self.now;
@@ -279,7 +280,7 @@
     }
 
     /// Makes locations writable once no host acts on a tree without them.
-    fn make_locations_writable(&mut self, now: u64) {
+    fn make_locations_writable(&mut self, now: Millis) {
         for pending in std::mem::take(&mut self.pending_locations) {
             if self.leases.is_effective(pending.version, now) {
                 let _ = self.propose(Change::ExtentWritable { layer: pending.layer, extent: pending.extent });
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -3,6 +3,7 @@
 use super::operator::Operation;
 use crate::clock::ticks_to_millis;
 use crate::node_connections::NodeRequest;
+use mallowseam_cow::Millis;
 use mallowseam_cow::tree::{Change, LayerId};
 use mallowseam_iscsi::scsi;
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
@@ -57,7 +58,7 @@
     }
 
     /// Has nodes unmap extents that nothing refers to any more.
-    pub(super) fn reclaim_extents(&mut self, now: u64) {
+    pub(super) fn reclaim_extents(&mut self, now: Millis) {
         let deadlines = self.config.io_classes.iter().map(|class| class.deadline / MICROS_PER_MILLI);
         let longest_write = deadlines.max().unwrap_or(0);
         let layer_of_cut = |operation: &Operation| match operation {
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -5,6 +5,7 @@
 use crate::clock::ticks_to_millis;
 use crate::control_socket::ConnectionId;
 use crate::json_lines::PeerId;
+use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::{ConsistentCut, CutFailure, CutProgress};
 use mallowseam_cow::messages::ToHost;
 use mallowseam_cow::tree::{Change, ChangeError, LayerId};
@@ -182,7 +183,7 @@
     }
 
     /// Asks hosts that pending cuts wait for to quiesce the cut's layer.
-    pub(super) fn quiesce_hosts(&mut self, now: u64) {
+    pub(super) fn quiesce_hosts(&mut self, now: Millis) {
         let holding = self.leases.active_hosts(now);
         let mut questions = Vec::new();
         for pending in &mut self.pending_operations {
@@ -203,7 +204,7 @@
     }
 
     /// Advances pending operations as far as possible now.
-    pub(super) fn advance_operations(&mut self, now: u64) {
+    pub(super) fn advance_operations(&mut self, now: Millis) {
         let mut ended_cuts: Vec<String> = Vec::new();
         for pending in std::mem::take(&mut self.pending_operations) {
             let PendingOperation { connection, operation } = pending;
@@ -226,7 +227,7 @@
         ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
     }
 
-    fn advance_begin_cut(&mut self, connection: ConnectionId, branch: String, name: String, now: u64) {
+    fn advance_begin_cut(&mut self, connection: ConnectionId, branch: String, name: String, now: Millis) {
         if !self.leases.all_hosts_known(now) {
             self.wait(connection, Operation::BeginCut { branch, name });
         } else if let Err(e) = self.begin_cut(connection, &branch, &name) {
@@ -235,7 +236,12 @@
     }
 
     /// Takes the next step of a snapshot in progress. Returns its branch if the cut has ended.
-    fn advance_cut(&mut self, connection: ConnectionId, mut cut: ConsistentCut, now: u64) -> Option<String> {
+    fn advance_cut(
+        &mut self,
+        connection: ConnectionId,
+        mut cut: ConsistentCut,
+        now: Millis,
+    ) -> Option<String> {
         match cut.progress(self.tree(), now) {
             CutProgress::Wait => {
                 self.wait(connection, Operation::Cut(cut));
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -19,6 +19,14 @@
     Ok((listener, registry))
 }
 
+/// An address that the checks of the configuration require, such as where a service listens.
+///
+/// # Panics
+/// If there is no address, which means that the configuration was not validated.
+pub(crate) fn validated_address(address: Option<SocketAddr>) -> SocketAddr {
+    address.expect("validated configuration has an address")
+}
+
 /// A handle to register sockets with the event loop.
 pub(crate) fn registry(poll: &Poll) -> Result<Registry, Error> {
     poll.registry().try_clone().map_err(Error::Poll)
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,6 +1,7 @@
 //! Verification of the snapshot catalog against the nodes: every location of the tree, and every block that
 //! nodes hold.
 use crate::blocking_client::{BlockingClient, ClientError};
+use crate::startup;
 use mallowseam_cow::tree::{FIRST_LAYER_ID, LayerId, Location, Tree};
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_settings::GatewayConfig;
@@ -103,7 +104,7 @@
 
 impl<'a> NodeWalk<'a> {
     fn open(node: &'a Node, index: u32, extent_blocks: u64) -> Result<Self, VerifyError> {
-        let address = node.address.expect("a checked configuration names it");
+        let address = startup::validated_address(node.address);
         let client = BlockingClient::open(address, Some(&node.target), std::process::id())
             .map_err(|source| VerifyError::Node { node: node.name.clone(), source })?;
         Ok(NodeWalk { name: &node.name, index, client, extent_blocks })
