--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -129,7 +129,8 @@
         self.replica.connection_lost();
     }
 
-    /// Reads what has come, and writes. True: there is more to read.
+    /// The catalog's socket is ready: reads up to `READS_PER_TURN` times if `readable`, or if the turn before
+    /// left data unread, and writes. True: there is more to read, in another turn.
     pub(crate) fn on_ready(&mut self, readable: bool, buffer: &mut [u8], now: Millis) -> bool {
         self.readable |= readable;
         self.flush();
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -138,7 +138,8 @@
         self.all.get(id).is_some()
     }
 
-    /// A client's socket is ready. True: there may be more to read.
+    /// A client's socket is ready, to be read if `readable`, and to be written in any case.
+    /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
     pub fn on_ready(&mut self, id: ClientId, readable: bool, buffer: &mut [u8], now: Tick) -> bool {
         if let Some(client) = self.all.get_mut(id) {
             client.readable |= readable;
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -247,7 +247,8 @@
         self.close(index);
     }
 
-    /// The node's socket is ready. True: there may be more to read.
+    /// The node's socket is ready, to be read if `readable`, and to be written in any case.
+    /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
     pub(crate) fn on_ready(
         &mut self,
         index: NodeIndex,
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Reads what has come. `requested`: units a second that clients request of each volume. True: a new
-    /// state is to be applied.
+    /// The plan service's socket is ready: reads until it has no more data. `requested`: units a second that
+    /// clients request of each volume. True: a new state is to be applied.
     pub(crate) fn on_ready(&mut self, buffer: &mut [u8], requested: &[MilliUnits], now: Millis) -> bool {
         let mut has_state = false;
         while let Some(connection) = &mut self.connection {
