--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -2,6 +2,7 @@
 //! attempts wait for its login in a queue that their own timeouts bound.
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
+use crate::startup;
 use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent, Payload};
 use mallowseam_iscsi::params::ProposedParams;
@@ -106,7 +107,7 @@
     ) -> Self {
         let node = |node: &config::Node| Node {
             name: node.name.clone(),
-            address: node.address.expect("a checked configuration names it"),
+            address: startup::validated_address(node.address),
             target: node.target.clone(),
             lun: node.lun.into(),
             connection: NodeConnection::default(),
@@ -246,7 +247,8 @@
         self.close(index);
     }
 
-    /// The node's socket is ready. True: there may be more to read.
+    /// The node's socket is ready, to be read if `readable`, and to be written in any case.
+    /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
     pub(crate) fn on_ready(
         &mut self,
         index: NodeIndex,
