--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -24,6 +24,7 @@
 }
 
 #[derive(Subcommand)]
+#[allow(clippy::doc_markdown, reason = "the comments are the help texts")]
 enum Command {
     /// Run this host in the foreground until SIGTERM or SIGINT; a second one ends it at once
     Run {
@@ -32,7 +33,7 @@
         #[command(flatten)]
         log: LogOptions,
     },
-    /// Run a real host of the users' platform in the foreground, by the configuration that `GW_CONFIG` names;
+    /// Run a real host of the users' platform in the foreground, by the configuration that GW_CONFIG names;
     /// SIGHUP reads it anew, SIGTERM ends it once all it took is answered
     Host {
         /// Log lines as JSON objects
