--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -24,7 +24,7 @@
 use mio::net::UnixStream;
 use mio::{Events, Poll, Token};
 use std::collections::BTreeMap;
-use std::io::{ErrorKind, Read};
+use std::io::ErrorKind;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const LISTENER: Token = Token(0);
@@ -182,10 +182,7 @@
                     control.accept();
                 }
             }
-            SIGNALS => {
-                let mut bytes = [0; 16];
-                self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
-            }
+            SIGNALS => self.stopping |= startup::take_signal(&mut self.signals),
             Token(token) if token < FIRST_PEER => {
                 let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
                 if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -32,7 +32,7 @@
 use node_commands::NodeCommand;
 use operator::PendingOperation;
 use std::collections::BTreeMap;
-use std::io::{ErrorKind, Read};
+use std::io::ErrorKind;
 
 const LISTENER: Token = Token(0);
 const CONTROL: Token = Token(1);
@@ -230,10 +230,7 @@
                     control.accept();
                 }
             }
-            SIGNALS => {
-                let mut bytes = [0; 16];
-                self.stopping |= matches!(self.signals.read(&mut bytes), Ok(n) if n > 0);
-            }
+            SIGNALS => self.stopping |= startup::take_signal(&mut self.signals),
             Token(token) if token < FIRST_NODE => {
                 let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
                 if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -4,6 +4,7 @@
 use mio::net::{TcpListener, UnixStream};
 use mio::{Interest, Poll, Registry, Token};
 use signal_hook::consts::{SIGINT, SIGTERM};
+use std::io::Read;
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -44,6 +45,11 @@
     socket.map(Some).map_err(|source| Error::ControlSocket { path: path.to_owned(), source })
 }
 
+/// Whether a signal has arrived on the socket of [`signals`].
+pub(crate) fn take_signal(signals: &mut UnixStream) -> bool {
+    matches!(signals.read(&mut [0; 16]), Ok(count) if count > 0)
+}
+
 /// A socket on which a byte comes for each SIGTERM and SIGINT.
 pub(crate) fn signals(poll: &Poll, token: Token) -> Result<UnixStream, Error> {
     mallowseam_sockets::signals::pipe(poll, token, &[SIGTERM, SIGINT]).map_err(Error::Signals)
--- a/crates/http1/tests/pinned_parsing.rs
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -5,22 +5,20 @@
     ChunkedDecoder, Framing, Limits, MessageSpan, ParseError, RequestHead, RequestReader, ResponseHead,
     ResponseReader,
 };
+use mallowseam_test_support::{Digest, SeededRng};
 
 const LIMITS: Limits = Limits { head: 512, body: 256 };
 
-/// `SplitMix64`.
-struct Rng(u64);
+/// Seeded random choices by index.
+struct Rng(SeededRng);
 
 impl Rng {
-    fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
+    fn new(seed: u64) -> Self {
+        Rng(SeededRng::new(seed))
     }
 
     fn below(&mut self, bound: usize) -> usize {
-        (self.next() % bound as u64) as usize
+        self.0.below(bound as u64) as usize
     }
 
     fn one_of<'a>(&mut self, all: &[&'a str]) -> &'a str {
@@ -28,22 +26,17 @@
     }
 }
 
-/// FNV-1a over all that is recorded, and counts of the cases, to show that the input reaches each.
+/// A digest of all that is recorded, and counts of the cases, to show that the input reaches each.
 #[derive(Default)]
 struct Record {
-    hash: u64,
+    digest: Digest,
     seen: std::collections::BTreeMap<&'static str, u32>,
 }
 
 impl Record {
-    fn new() -> Self {
-        Record { hash: 0xcbf2_9ce4_8422_2325, ..Record::default() }
-    }
-
     fn bytes(&mut self, bytes: &[u8]) {
-        for byte in bytes.iter().chain(&[0xff]) {
-            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
-        }
+        self.digest.add_bytes(bytes);
+        self.digest.add_bytes(&[0xff]);
     }
 
     fn number(&mut self, number: usize) {
@@ -191,7 +184,7 @@
 
 #[test]
 fn request_and_response_heads() {
-    let (mut rng, mut record) = (Rng(1), Record::new());
+    let (mut rng, mut record) = (Rng::new(1), Record::default());
     let names = ["Host", "x", "Content-Length", "Connection", "Transfer-Encoding", "Expect", "None"];
     for round in 0..4_000 {
         let bytes = almost_message(&mut rng, round % 2 == 0);
@@ -253,7 +246,7 @@
         "no length",
     ];
     assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
-    assert_eq!(record.hash, HEADS, "{:#x} {:?}", record.hash, record.seen);
+    assert_eq!(record.digest.value(), HEADS, "{:#x} {:?}", record.digest.value(), record.seen);
 }
 
 /// Feeds a message in segments that end at these offsets, and records every step.
@@ -288,7 +281,7 @@
 
 #[test]
 fn messages_segmented_at_every_byte() {
-    let (mut rng, mut record) = (Rng(2), Record::new());
+    let (mut rng, mut record) = (Rng::new(2), Record::default());
     for round in 0..160 {
         let bytes = almost_message(&mut rng, round % 2 == 0);
         let feed = if round % 2 == 0 { feed_requests } else { feed_responses };
@@ -301,12 +294,12 @@
     let cases =
         ["body too large", "expects", "framing", "head too large", "no length", "unsupported", "whole"];
     assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
-    assert_eq!(record.hash, MESSAGES, "{:#x} {:?}", record.hash, record.seen);
+    assert_eq!(record.digest.value(), MESSAGES, "{:#x} {:?}", record.digest.value(), record.seen);
 }
 
 #[test]
 fn chunked_bodies_at_an_offset() {
-    let (mut rng, mut record) = (Rng(3), Record::new());
+    let (mut rng, mut record) = (Rng::new(3), Record::default());
     for _ in 0..500 {
         let mut bytes = b"ahead".to_vec();
         bytes.extend(chunks(&mut rng).into_bytes());
@@ -334,7 +327,7 @@
     }
     let cases = ["body too large", "framing", "goes on", "head too large", "over"];
     assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
-    assert_eq!(record.hash, CHUNKS, "{:#x} {:?}", record.hash, record.seen);
+    assert_eq!(record.digest.value(), CHUNKS, "{:#x} {:?}", record.digest.value(), record.seen);
 }
 
 #[test]
--- a/crates/iscsi/tests/pinned_wire/drawn_pdus.rs
+++ b/crates/iscsi/tests/pinned_wire/drawn_pdus.rs
@@ -27,7 +27,7 @@
 }
 
 fn drawn_to_target(seed: u64) -> u64 {
-    let (mut rng, mut record) = (Rng(seed ^ 0x7a), Record::new());
+    let (mut rng, mut record) = (Rng::new(seed ^ 0x7a), Record::new());
     for _ in 0..60 {
         let (mut target, _) = logged_in(small());
         let mut serial = 1;
@@ -52,7 +52,7 @@
         let out = target.send_buffer().unsent().to_vec();
         record.bytes(b'<', &out);
     }
-    record.0
+    record.value()
 }
 
 #[test]
@@ -62,7 +62,7 @@
 }
 
 fn drawn_to_initiator(seed: u64) -> u64 {
-    let (mut rng, mut record) = (Rng(seed ^ 0x1a5), Record::new());
+    let (mut rng, mut record) = (Rng::new(seed ^ 0x1a5), Record::new());
     for _ in 0..60 {
         let (_, mut initiator) = logged_in(small());
         initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 9, 0), 0, vec![3; 9000].into());
@@ -97,7 +97,7 @@
         let out = initiator.send_buffer().unsent().to_vec();
         record.bytes(b'>', &out);
     }
-    record.0
+    record.value()
 }
 
 #[test]
--- a/crates/iscsi/tests/pinned_wire/framing.rs
+++ b/crates/iscsi/tests/pinned_wire/framing.rs
@@ -38,7 +38,7 @@
         let bytes = stream(digests);
         let mut record = Record::new();
         record.raw(&bytes);
-        assert_eq!(record.0, expected, "{:#018x}", record.0);
+        assert_eq!(record.value(), expected, "{:#018x}", record.value());
         let whole = decoded(digests, &bytes, &[]);
         assert_eq!((whole.0.len(), &whole.1), (3, &None));
         for cut in 0..bytes.len() {
@@ -58,7 +58,7 @@
         record.number(b'n', pdus.len() as u64);
         record.bytes(b'!', error.unwrap_or_default().as_bytes());
     }
-    assert_eq!(record.0, FLIPPED, "{:#018x}", record.0);
+    assert_eq!(record.value(), FLIPPED, "{:#018x}", record.value());
 }
 
 #[test]
@@ -80,7 +80,7 @@
         let received = initiator.receive(&down);
         record.bytes(b'?', received.err().map_or(String::new(), |fault| fault.to_string()).as_bytes());
     }
-    assert_eq!(record.0, CORRUPT_DIGESTS, "{:#018x}", record.0);
+    assert_eq!(record.value(), CORRUPT_DIGESTS, "{:#018x}", record.value());
 }
 
 #[test]
--- a/crates/iscsi/tests/pinned_wire/harness.rs
+++ b/crates/iscsi/tests/pinned_wire/harness.rs
@@ -6,6 +6,7 @@
 use mallowseam_iscsi::pdu::Bhs;
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_iscsi::target::{TargetConfig, TargetConnection, TargetEvent};
+use mallowseam_test_support::{Digest, SeededRng};
 use std::rc::Rc;
 
 /// Admits every initiator to the target `iqn.t`; each session gets the handle 7.
@@ -21,20 +22,20 @@
     }
 }
 
-/// `SplitMix64`.
-pub struct Rng(pub u64);
+/// Seeded random choices by index, percentage and length.
+pub struct Rng(SeededRng);
 
 impl Rng {
+    pub fn new(seed: u64) -> Self {
+        Rng(SeededRng::new(seed))
+    }
+
     pub fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.0;
-        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        mixed ^ (mixed >> 31)
+        self.0.next_u64()
     }
 
     pub fn below(&mut self, limit: usize) -> usize {
-        (self.next() % limit as u64) as usize
+        self.0.below(limit as u64) as usize
     }
 
     pub fn chance(&mut self, percent: usize) -> bool {
@@ -46,18 +47,20 @@
     }
 }
 
-/// FNV-1a over everything that is recorded, each piece behind its tag and length.
-pub struct Record(pub u64);
+/// A digest of everything that is recorded, each piece behind its tag and length.
+pub struct Record(Digest);
 
 impl Record {
     pub fn new() -> Self {
-        Record(0xcbf2_9ce4_8422_2325)
+        Record(Digest::default())
+    }
+
+    pub fn value(&self) -> u64 {
+        self.0.value()
     }
 
     pub fn raw(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
+        self.0.add_bytes(bytes);
     }
 
     pub fn bytes(&mut self, tag: u8, bytes: &[u8]) {
--- a/crates/iscsi/tests/pinned_wire/scsi_data.rs
+++ b/crates/iscsi/tests/pinned_wire/scsi_data.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn command_descriptor_blocks() {
-    let (mut rng, mut record) = (Rng(4), Record::new());
+    let (mut rng, mut record) = (Rng::new(4), Record::new());
     for opcode in 0..=255 {
         for draw in 0..24 {
             let mut cdb = [0; 16];
@@ -54,7 +54,7 @@
     ] {
         record.bytes(b'b', &cdb);
     }
-    assert_eq!(record.0, CDBS, "{:#018x}", record.0);
+    assert_eq!(record.value(), CDBS, "{:#018x}", record.value());
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let statuses =
         [status::GOOD, status::CHECK_CONDITION, status::BUSY, status::TASK_SET_FULL, status::TASK_ABORTED];
     record.bytes(b'S', &statuses);
-    assert_eq!(record.0, PARAMETER_DATA, "{:#018x}", record.0);
+    assert_eq!(record.value(), PARAMETER_DATA, "{:#018x}", record.value());
 }
 
 #[test]
--- a/crates/iscsi/tests/pinned_wire/sessions.rs
+++ b/crates/iscsi/tests/pinned_wire/sessions.rs
@@ -30,7 +30,7 @@
 
 impl Session {
     fn new(seed: u64) -> Self {
-        let mut rng = Rng(seed);
+        let mut rng = Rng::new(seed);
         let (at_target, at_initiator) = (drawn_wishes(&mut rng), drawn_wishes(&mut rng));
         let window = 1 + rng.below(6) as u32;
         let name = if rng.chance(90) { Some("iqn.t") } else { None };
@@ -224,7 +224,7 @@
             self.initiator.send_logout_request();
             self.drain();
         }
-        self.record.0
+        self.record.value()
     }
 }
 
--- a/crates/iscsi/tests/pinned_wire/tasks.rs
+++ b/crates/iscsi/tests/pinned_wire/tasks.rs
@@ -26,7 +26,7 @@
         }
         record.bytes(b'<', target.send_buffer().unsent());
     }
-    assert_eq!(record.0, TASK_MANAGEMENT, "{:#018x}", record.0);
+    assert_eq!(record.value(), TASK_MANAGEMENT, "{:#018x}", record.value());
     let codes = [
         task_response::FUNCTION_COMPLETE,
         task_response::TASK_DOES_NOT_EXIST,
@@ -69,7 +69,7 @@
         initiator.receive(&frame(answer, &[])).expect("an answer");
         assert!(initiator.next_event().is_some());
     }
-    assert_eq!(record.0, TASK_TAGS, "{:#018x}", record.0);
+    assert_eq!(record.value(), TASK_TAGS, "{:#018x}", record.value());
 }
 
 #[test]
--- a/crates/lab/tests/fleet_model/digest.rs
+++ b/crates/lab/tests/fleet_model/digest.rs
@@ -1,21 +1,23 @@
 //! A digest that depends on values alone, not on the names of types or fields.
 
-/// FNV-1a over 64 bits.
-pub struct Digest(pub u64);
+/// A digest of numbers.
+pub struct Digest(mallowseam_test_support::Digest);
 
 impl Digest {
     pub fn new() -> Self {
-        Digest(0xcbf2_9ce4_8422_2325)
+        Digest(mallowseam_test_support::Digest::default())
+    }
+
+    pub fn value(&self) -> u64 {
+        self.0.value()
     }
 
     pub fn bytes(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
+        self.0.add_bytes(bytes);
     }
 
     pub fn number(&mut self, number: u64) {
-        self.bytes(&number.to_le_bytes());
+        self.0.add(number);
     }
 
     pub fn float(&mut self, number: f64) {
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -198,7 +198,7 @@
     for seed in 0..10 {
         add_scenario(&mut digest, &fault_schedule::random_script(30, seed));
     }
-    assert_eq!(format!("{:016x}", digest.0), "995479e908099fbb");
+    assert_eq!(format!("{:016x}", digest.value()), "995479e908099fbb");
 }
 
 #[test]
@@ -215,7 +215,7 @@
         }
     }
     digest.bytes(scenario::parse("empty", "").expect_err("nothing in it").to_string().as_bytes());
-    assert_eq!(format!("{:016x}", digest.0), "64a0922afe91b49e");
+    assert_eq!(format!("{:016x}", digest.value()), "64a0922afe91b49e");
 }
 
 #[test]
@@ -224,7 +224,7 @@
     for hosts in [3, 10, 40, 300] {
         (0..20).for_each(|seed| digest.bytes(fault_schedule::random_script(hosts, seed).as_bytes()));
     }
-    assert_eq!(format!("{:016x}", digest.0), "dec4785db152f611");
+    assert_eq!(format!("{:016x}", digest.value()), "dec4785db152f611");
 }
 
 fn draw_peer(rng: &mut Pcg64Mcg) -> Peer {
@@ -286,7 +286,7 @@
             }
         }
     }
-    assert_eq!(format!("{:016x}", digest.0), "b666e40e9b067225");
+    assert_eq!(format!("{:016x}", digest.value()), "b666e40e9b067225");
 }
 
 #[test]
@@ -315,7 +315,7 @@
             digest.numbers(&[pipe.next_due().map_or(0, |due| due + 1), u64::from(pipe.is_full())]);
         }
     }
-    assert_eq!(format!("{:016x}", digest.0), "98a5ef2fe7411314");
+    assert_eq!(format!("{:016x}", digest.value()), "98a5ef2fe7411314");
 }
 
 fn add_outcome(digest: &mut Digest, outcome: PollOutcome) {
@@ -361,7 +361,7 @@
         .filter_map(|poll| full.enqueue(0, poll, &mut rng))
         .for_each(|outcome| add_outcome(&mut digest, outcome));
     digest.numbers(&[full.rejected, full.max_queued as u64]);
-    assert_eq!(format!("{:016x}", digest.0), "bdbd5a2ee34b0321");
+    assert_eq!(format!("{:016x}", digest.value()), "bdbd5a2ee34b0321");
 }
 
 fn add_operation(digest: &mut Digest, op: &Operation) {
@@ -407,7 +407,7 @@
             }
         }
     }
-    assert_eq!(format!("{:016x}", digest.0), "0eebf65522231b01");
+    assert_eq!(format!("{:016x}", digest.value()), "0eebf65522231b01");
 }
 
 fn draw_request(rng: &mut impl Rng, op: u64) -> NodeRequest<u32> {
@@ -464,7 +464,7 @@
         digest.number(node.collapses);
         digest.float(node.peak_cold_load);
     }
-    assert_eq!(format!("{:016x}", digest.0), "40c4c261142c5026");
+    assert_eq!(format!("{:016x}", digest.value()), "40c4c261142c5026");
 }
 
 #[test]
@@ -491,5 +491,5 @@
             outcome.hosts_with_list_by(3_000_000) as u64,
         ]);
     }
-    assert_eq!(format!("{:016x}", digest.0), "8b12ea733e600aa3");
+    assert_eq!(format!("{:016x}", digest.value()), "8b12ea733e600aa3");
 }
--- a/crates/lab/tests/pinned/digest.rs
+++ b/crates/lab/tests/pinned/digest.rs
@@ -1,11 +1,12 @@
 //! Digests of texts, and texts of values that are pinned in several places.
 use mallowseam_lab::node::ServiceModel;
+use mallowseam_test_support::Digest;
 
-/// FNV-1a, 64 bits.
+/// The digest of bytes alone.
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
-    bytes
-        .iter()
-        .fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3))
+    let mut digest = Digest::default();
+    digest.add_bytes(bytes);
+    digest.value()
 }
 
 pub(crate) fn pinned(name: &str, text: &str, expected: u64) {
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -10,6 +10,7 @@
 use mallowseam_scheduler::interface::{
     AttemptResult, BioId, DeduplicationScope, Idempotency, IoClass, LoadReport, NodeState, Plan,
 };
+use mallowseam_test_support::{Digest, SeededRng};
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 
@@ -31,34 +32,27 @@
     assert!(recorded == *found, "{name}: {} bytes recorded, {} found", recorded.len(), found.len());
 }
 
-/// `SplitMix64`.
-struct Rng(u64);
+/// Seeded random choices by index.
+struct Rng(SeededRng);
 
 impl Rng {
-    fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
+    fn new(seed: u64) -> Self {
+        Rng(SeededRng::new(seed))
     }
 
     fn below(&mut self, bound: usize) -> usize {
-        (self.next() % bound as u64) as usize
+        self.0.below(bound as u64) as usize
     }
 }
 
-/// FNV-1a over all texts that it is handed.
-struct Hash(u64);
+/// A digest of all texts that it is handed.
+#[derive(Default)]
+struct Hash(Digest);
 
 impl Hash {
-    fn new() -> Self {
-        Hash(0xcbf2_9ce4_8422_2325)
-    }
-
     fn add(&mut self, text: &str) {
-        for byte in without_types(text).bytes().chain([0xff]) {
-            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
-        }
+        self.0.add_bytes(without_types(text).as_bytes());
+        self.0.add_bytes(&[0xff]);
     }
 }
 
@@ -328,8 +322,8 @@
 
 #[test]
 fn truncated_and_corrupted_endpoint_lists() {
-    let mut hash = Hash::new();
-    let mut rng = Rng(7);
+    let mut hash = Hash::default();
+    let mut rng = Rng::new(7);
     for (_, text) in lists().into_iter().filter(|l| l.1.len() < 1_000) {
         for end in 0..text.len() {
             let cut = &text.as_bytes()[..end];
@@ -345,7 +339,7 @@
             hash.add(&show_frame(&corrupted));
         }
     }
-    assert_eq!(hash.0, HASHES[0], "{:#x}", hash.0);
+    assert_eq!(hash.0.value(), HASHES[0], "{:#x}", hash.0.value());
 }
 
 #[test]
@@ -557,7 +551,7 @@
 
 #[test]
 fn corrupted_requests() {
-    let (settings, mut hash, mut rng) = (small_settings(), Hash::new(), Rng(11));
+    let (settings, mut hash, mut rng) = (small_settings(), Hash::default(), Rng::new(11));
     let valid = request_with("\0", "");
     for _ in 0..6_000 {
         let mut text = valid.clone().into_bytes();
@@ -567,7 +561,7 @@
         }
         hash.add(&show_request(&String::from_utf8(text).expect("ASCII"), rng.below(2) * 5, &settings));
     }
-    assert_eq!(hash.0, HASHES[1], "{:#x}", hash.0);
+    assert_eq!(hash.0.value(), HASHES[1], "{:#x}", hash.0.value());
 }
 
 #[test]
@@ -847,9 +841,9 @@
     }
     .expect("memory");
     let settings = show_settings(&c.settings);
-    let mut hash = Hash::new();
+    let mut hash = Hash::default();
     hash.add(&settings);
-    writeln!(out, "  settings {:x}", hash.0).expect("memory");
+    writeln!(out, "  settings {:x}", hash.0.value()).expect("memory");
     out
 }
 
@@ -902,7 +896,7 @@
 
 #[test]
 fn corrupted_configurations() {
-    let (mut hash, mut rng) = (Hash::new(), Rng(13));
+    let (mut hash, mut rng) = (Hash::default(), Rng::new(13));
     let valid = every_config().to_string();
     for _ in 0..3_000 {
         let mut text = valid.clone().into_bytes();
@@ -914,7 +908,7 @@
         }
         hash.add(&read_config(&String::from_utf8(text).expect("ASCII")));
     }
-    assert_eq!(hash.0, HASHES[2], "{:#x}", hash.0);
+    assert_eq!(hash.0.value(), HASHES[2], "{:#x}", hash.0.value());
 }
 
 /// Hashes of what is too long to be written out: lists, requests and configurations, cut and corrupted.
--- a/crates/scheduler/tests/pin/mod.rs
+++ b/crates/scheduler/tests/pin/mod.rs
@@ -1,5 +1,4 @@
 //! A seeded simulation that drives a `Scheduler` through thousands of events and hashes every action it takes.
-mod hash;
 mod nodes;
 mod random;
 mod recorder;
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -1,24 +1,17 @@
-//! `SplitMix64`: the simulation's own random numbers, independent of the scheduler's.
+//! The simulation's own random numbers, independent of the scheduler's.
 use mallowseam_scheduler::interface::Tick;
+use mallowseam_test_support::SeededRng;
 
-pub struct Random(u64);
+pub struct Random(SeededRng);
 
 impl Random {
     pub fn new(seed: u64) -> Self {
-        Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995)
-    }
-
-    fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        z ^ (z >> 31)
+        Random(SeededRng::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995))
     }
 
     /// A number in 0..n.
     pub fn below(&mut self, n: u64) -> u64 {
-        self.next() % n
+        self.0.below(n)
     }
 
     /// A number from `least` to `most`, both included.
--- a/crates/scheduler/tests/pin/recorder.rs
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -1,8 +1,8 @@
 //! The program around the scheduler in a simulation.
-use super::hash::ActionHash;
 use super::nodes::{Ending, Mode, NODES, SimulatedNode, first_endpoint};
 use super::random::Random;
 use mallowseam_scheduler::interface::*;
+use mallowseam_test_support::Digest;
 use std::collections::BTreeMap;
 
 /// What the scheduler asked for; the numbers go into the hash.
@@ -63,7 +63,7 @@
 pub struct Recorder {
     pub now: Tick,
     pub random: Random,
-    pub hash: ActionHash,
+    pub hash: Digest,
     pub counts: [u32; ACTION_KINDS],
     pub events: BTreeMap<(Tick, u64), Event>,
     next_event: u64,
@@ -83,7 +83,7 @@
         Recorder {
             now,
             random,
-            hash: ActionHash::default(),
+            hash: Digest::default(),
             counts: [0; ACTION_KINDS],
             events: BTreeMap::new(),
             next_event: 0,
--- a/crates/settings/tests/pinned_parsing.rs
+++ b/crates/settings/tests/pinned_parsing.rs
@@ -4,6 +4,7 @@
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{Arguments, Diagnostics, tokenize};
 use mallowseam_settings::{parse, reload};
+use mallowseam_test_support::Digest;
 use std::fmt::Write as _;
 
 /// Compares with the text that was recorded.
@@ -276,7 +277,7 @@
         ] {
             write!(found, "{} {what}:\n{}", index + 1, attempt(index, line)).expect("memory");
         }
-        let mut hash = 0xcbf2_9ce4_8422_2325u64;
+        let mut digest = Digest::default();
         let count = line.split_whitespace().count();
         for word in 0..count {
             for put in ["", "0", "-1", "x", "9999999999999999999", "0.3", "5%", "1us", "7/s", "\"open"] {
@@ -284,13 +285,12 @@
                 all[word] = put;
                 let indent = if line.starts_with(' ') { "    " } else { "" };
                 let changed = format!("{indent}{}", all.join(" "));
-                // FNV-1a: written out, all these would fill hundreds of pages.
-                for byte in attempt(index, Some(&changed)).bytes().chain([0xff]) {
-                    hash = (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
-                }
+                // Written out, all these would fill hundreds of pages.
+                digest.add_bytes(attempt(index, Some(&changed)).as_bytes());
+                digest.add_bytes(&[0xff]);
             }
         }
-        writeln!(found, "{} with words changed: {hash:#018x}", index + 1).expect("memory");
+        writeln!(found, "{} with words changed: {:#018x}", index + 1, digest.value()).expect("memory");
     }
     pinned("changed.txt", &found);
 }
