--- a/crates/archive/src/format.rs
+++ b/crates/archive/src/format.rs
@@ -62,7 +62,12 @@
         let mut hasher = Hasher::new();
         hasher.update(header_hash.as_bytes());
         let valid_bytes = (header_bytes + HASH_BYTES) as u64;
-        ResumePoint { valid_bytes, last_extent: None, frame_count: 0, hasher }
+        ResumePoint {
+            valid_bytes,
+            last_extent: None,
+            frame_count: 0,
+            hasher,
+        }
     }
 
     /// Moves on past a frame.
--- a/crates/archive/src/reader.rs
+++ b/crates/archive/src/reader.rs
@@ -61,7 +61,15 @@
         let name = String::from_utf8(name.to_vec())
             .map_err(|_| Error::damaged(FIXED_HEADER_BYTES as u64, "a name"))?;
         let position = ResumePoint::after_header(bytes.len(), &hash);
-        Ok(Reader { input, header: Header { name, extent_bytes, extent_count }, position })
+        Ok(Reader {
+            input,
+            header: Header {
+                name,
+                extent_bytes,
+                extent_count,
+            },
+            position,
+        })
     }
 
     /// The header.
@@ -118,7 +126,9 @@
 
     fn read_end(&mut self, frame_count: u32) -> Result<Record, Error> {
         let stored_hash: [u8; HASH_BYTES] = self.read_array()?;
-        if frame_count != self.position.frame_count || *self.position.end_hash().as_bytes() != stored_hash {
+        if frame_count != self.position.frame_count
+            || *self.position.end_hash().as_bytes() != stored_hash
+        {
             return Err(self.damaged("an end that fits the frames before it"));
         }
         Ok(Record::End)
@@ -131,7 +141,9 @@
     }
 
     fn read(&mut self, out: &mut [u8]) -> Result<(), Error> {
-        self.input.read_exact(out).map_err(|_| self.damaged("a whole frame or the end"))
+        self.input
+            .read_exact(out)
+            .map_err(|_| self.damaged("a whole frame or the end"))
     }
 
     fn damaged(&self, expected: &'static str) -> Error {
--- a/crates/archive/src/writer.rs
+++ b/crates/archive/src/writer.rs
@@ -20,13 +20,19 @@
     /// A name longer than 256 bytes, an extent of no bytes or of more than 256 MiB; those of the output.
     pub fn new(mut out: W, header: &Header) -> Result<Self, Error> {
         if !Header::is_within_bounds(header.name.len(), header.extent_bytes) {
-            return Err(Error::damaged(0, "a name of up to 256 bytes and extents of up to 256 MiB"));
+            return Err(Error::damaged(
+                0,
+                "a name of up to 256 bytes and extents of up to 256 MiB",
+            ));
         }
         let bytes = header.encode();
         let hash = blake3::hash(&bytes);
         out.write_all(&bytes)?;
         out.write_all(hash.as_bytes())?;
-        Ok(Writer { out, position: ResumePoint::after_header(bytes.len(), &hash) })
+        Ok(Writer {
+            out,
+            position: ResumePoint::after_header(bytes.len(), &hash),
+        })
     }
 
     /// Resumes a stream. The output must be positioned after its last complete record.
@@ -44,7 +50,8 @@
         let hash = frame_hash(index, &compressed);
         self.out.write_all(&[FRAME_TAG])?;
         self.out.write_all(&index.to_le_bytes())?;
-        self.out.write_all(&(compressed.len() as u32).to_le_bytes())?;
+        self.out
+            .write_all(&(compressed.len() as u32).to_le_bytes())?;
         self.out.write_all(&compressed)?;
         self.out.write_all(hash.as_bytes())?;
         self.position.add_frame(index, compressed.len(), &hash);
@@ -58,7 +65,8 @@
     /// Those of the output.
     pub fn finish(mut self) -> Result<u64, Error> {
         self.out.write_all(&[END_TAG])?;
-        self.out.write_all(&self.position.frame_count.to_le_bytes())?;
+        self.out
+            .write_all(&self.position.frame_count.to_le_bytes())?;
         self.out.write_all(self.position.end_hash().as_bytes())?;
         self.out.flush()?;
         Ok(self.position.valid_bytes + END_BYTES)
--- a/crates/archive/tests/damaged_streams.rs
+++ b/crates/archive/tests/damaged_streams.rs
@@ -5,13 +5,24 @@
 const EXTENT_BYTES: usize = 64;
 
 fn header() -> Header {
-    Header { name: "water@march".into(), extent_bytes: EXTENT_BYTES as u32, extent_count: 40 }
+    Header {
+        name: "water@march".into(),
+        extent_bytes: EXTENT_BYTES as u32,
+        extent_count: 40,
+    }
 }
 
 fn extents() -> Extents {
     [0u32, 3, 4, 17, 39]
         .iter()
-        .map(|i| (*i, (0..EXTENT_BYTES).map(|b| (b as u32 * (i + 3)) as u8).collect()))
+        .map(|i| {
+            (
+                *i,
+                (0..EXTENT_BYTES)
+                    .map(|b| (b as u32 * (i + 3)) as u8)
+                    .collect(),
+            )
+        })
         .collect()
 }
 
@@ -52,7 +63,9 @@
 fn stream_cut_at_any_byte_resumes_to_the_same_bytes() {
     let complete = stream();
     for cut in 0..complete.len() {
-        let Ok(mut reader) = Reader::new(&complete[..cut]) else { continue };
+        let Ok(mut reader) = Reader::new(&complete[..cut]) else {
+            continue;
+        };
         while let Ok(Record::Extent { .. }) = reader.next_record() {}
         let resume_point = reader.resume_point().clone();
         assert!(resume_point.valid_bytes <= cut as u64);
@@ -85,10 +98,16 @@
     let complete = stream();
     let one = {
         let mut out = Vec::new();
-        Writer::new(&mut out, &header()).expect("memory").write_extent(0, &extents()[0].1).expect("memory");
+        Writer::new(&mut out, &header())
+            .expect("memory")
+            .write_extent(0, &extents()[0].1)
+            .expect("memory");
         out.len()
     };
-    let head_len = Reader::new(&complete[..]).expect("valid").resume_point().valid_bytes as usize;
+    let head_len = Reader::new(&complete[..])
+        .expect("valid")
+        .resume_point()
+        .valid_bytes as usize;
     let missing = [&complete[..head_len], &complete[one..]].concat();
     assert!(!read(&missing).expect("a head").1);
     let duplicate = [&complete[..one], &complete[head_len..]].concat();
--- a/crates/archive/tests/pinned_stream.rs
+++ b/crates/archive/tests/pinned_stream.rs
@@ -5,12 +5,18 @@
 const STORED: &[u8] = include_bytes!("fixtures/ledger-march.mseam");
 
 fn header() -> Header {
-    Header { name: "ledger@march".into(), extent_bytes: 4_096, extent_count: 40 }
+    Header {
+        name: "ledger@march".into(),
+        extent_bytes: 4_096,
+        extent_count: 40,
+    }
 }
 
 fn extents() -> impl Iterator<Item = (u32, Vec<u8>)> {
     [0u32, 3, 17, 39].into_iter().map(|index| {
-        let data = (0..4_096u32).map(|b| ((b / 16) * (index + 3) + b % 7) as u8).collect();
+        let data = (0..4_096u32)
+            .map(|b| ((b / 16) * (index + 3) + b % 7) as u8)
+            .collect();
         (index, data)
     })
 }
@@ -23,9 +29,18 @@
     let mut reader = Reader::new(std::fs::File::open(&path).expect("a file")).expect("a head");
     assert_eq!(*reader.header(), header());
     for (index, data) in extents() {
-        assert_eq!(reader.next_record().expect("valid"), Record::Extent { index, data });
+        assert_eq!(
+            reader.next_record().expect("valid"),
+            Record::Extent { index, data }
+        );
     }
-    assert_eq!((reader.resume_point().frame_count, reader.resume_point().last_extent), (4, Some(39)));
+    assert_eq!(
+        (
+            reader.resume_point().frame_count,
+            reader.resume_point().last_extent
+        ),
+        (4, Some(39))
+    );
     assert_eq!(reader.resume_point().valid_bytes, STORED.len() as u64 - 37);
     assert_eq!(reader.next_record().expect("valid"), Record::End);
 }
@@ -46,7 +61,10 @@
     let mut reader = Reader::new(&STORED[..cut]).expect("a head");
     while let Ok(Record::Extent { .. }) = reader.next_record() {}
     let resume_point = reader.resume_point().clone();
-    let (last, mut out) = (resume_point.last_extent, STORED[..resume_point.valid_bytes as usize].to_vec());
+    let (last, mut out) = (
+        resume_point.last_extent,
+        STORED[..resume_point.valid_bytes as usize].to_vec(),
+    );
     assert_eq!(last, Some(17));
     let mut writer = Writer::resume(&mut out, resume_point);
     for (index, data) in extents().filter(|e| Some(e.0) > last) {
@@ -78,21 +96,73 @@
         bytes
     };
     assert_eq!(error(STORED), "whole");
-    assert_eq!(error(b"MSEAM1"), "byte 0: expected the head of a snapshot stream");
-    assert_eq!(error(&with(0, b'X')), "byte 0: expected the head of a snapshot stream");
-    assert_eq!(error(&with(20, b'X')), "byte 30: expected the hash of the head");
-    assert_eq!(error(&with(62, b'X')), "byte 62: expected a frame or the end");
-    assert_eq!(error(&with(63, 200)), "byte 62: expected an extent of the snapshot, in order");
-    assert_eq!(error(&with(69, 200)), "byte 62: expected a length that fits an extent");
-    assert_eq!(error(&with(80, 1)), "byte 62: expected data that fits its hash");
-    assert_eq!(error(&STORED[..100]), "byte 62: expected a whole frame or the end");
-    assert_eq!(error(&with(4_443 - 1, 0)), "byte 4406: expected an end that fits the frames before it");
-    let large = Header { extent_bytes: (256 << 20) + 1, ..header() };
-    let why = Writer::new(Vec::new(), &large).map(drop).expect_err("too large").to_string();
-    assert_eq!(why, "byte 0: expected a name of up to 256 bytes and extents of up to 256 MiB");
+    assert_eq!(
+        error(b"MSEAM1"),
+        "byte 0: expected the head of a snapshot stream"
+    );
+    assert_eq!(
+        error(&with(0, b'X')),
+        "byte 0: expected the head of a snapshot stream"
+    );
+    assert_eq!(
+        error(&with(20, b'X')),
+        "byte 30: expected the hash of the head"
+    );
+    assert_eq!(
+        error(&with(62, b'X')),
+        "byte 62: expected a frame or the end"
+    );
+    assert_eq!(
+        error(&with(63, 200)),
+        "byte 62: expected an extent of the snapshot, in order"
+    );
+    assert_eq!(
+        error(&with(69, 200)),
+        "byte 62: expected a length that fits an extent"
+    );
+    assert_eq!(
+        error(&with(80, 1)),
+        "byte 62: expected data that fits its hash"
+    );
+    assert_eq!(
+        error(&STORED[..100]),
+        "byte 62: expected a whole frame or the end"
+    );
+    assert_eq!(
+        error(&with(4_443 - 1, 0)),
+        "byte 4406: expected an end that fits the frames before it"
+    );
+    let large = Header {
+        extent_bytes: (256 << 20) + 1,
+        ..header()
+    };
+    let why = Writer::new(Vec::new(), &large)
+        .map(drop)
+        .expect_err("too large")
+        .to_string();
+    assert_eq!(
+        why,
+        "byte 0: expected a name of up to 256 bytes and extents of up to 256 MiB"
+    );
     assert!(
-        Writer::new(Vec::new(), &Header { extent_bytes: 256 << 20, name: "n".repeat(256), ..header() })
-            .is_ok()
+        Writer::new(
+            Vec::new(),
+            &Header {
+                extent_bytes: 256 << 20,
+                name: "n".repeat(256),
+                ..header()
+            }
+        )
+        .is_ok()
+    );
+    assert!(
+        Writer::new(
+            Vec::new(),
+            &Header {
+                name: "n".repeat(257),
+                ..header()
+            }
+        )
+        .is_err()
     );
-    assert!(Writer::new(Vec::new(), &Header { name: "n".repeat(257), ..header() }).is_err());
 }
--- a/crates/change-log/src/lib.rs
+++ b/crates/change-log/src/lib.rs
@@ -20,7 +20,11 @@
 /// Names of the hosts that replicate the log: after a restart the service must wait also for those that have not
 /// connected yet.
 const MEMBERS: TableDefinition<&str, ()> = TableDefinition::new("members");
-const FORMAT: Format = Format { key: "plans", current: 1, oldest: 1 };
+const FORMAT: Format = Format {
+    key: "plans",
+    current: 1,
+    oldest: 1,
+};
 /// Entries between two checkpoints: replaying as many takes some tens of milliseconds.
 pub const CHECKPOINT_INTERVAL: u64 = 1_024;
 
@@ -47,7 +51,11 @@
     ///
     /// As [`ChangeLogStore::open`].
     pub fn open_with_backend(backend: impl StorageBackend) -> Result<ChangeLogStore, Error> {
-        ChangeLogStore::read(DurableStore::open_with_backend(backend, FORMAT, create_tables)?)
+        ChangeLogStore::read(DurableStore::open_with_backend(
+            backend,
+            FORMAT,
+            create_tables,
+        )?)
     }
 
     fn read(store: DurableStore) -> Result<ChangeLogStore, Error> {
@@ -72,7 +80,9 @@
         let mut next = self.log.clone();
         let entry = next.append(text).map_err(LogDamage::from)?;
         self.store.write_or_poison(|transaction| {
-            transaction.open_table(ENTRIES)?.insert(entry.version, text)?;
+            transaction
+                .open_table(ENTRIES)?
+                .insert(entry.version, text)?;
             if entry.version.is_multiple_of(CHECKPOINT_INTERVAL) {
                 write_checkpoint(transaction, &next)?;
             }
@@ -89,7 +99,10 @@
     /// Those of the database.
     pub fn members(&self) -> Result<Vec<String>, Error> {
         let members = self.store.begin_read()?.open_table(MEMBERS)?;
-        members.iter()?.map(|row| Ok(row?.0.value().to_owned())).collect()
+        members
+            .iter()?
+            .map(|row| Ok(row?.0.value().to_owned()))
+            .collect()
     }
 
     /// A host replicates the log from now on.
@@ -123,7 +136,11 @@
     /// Those of the database.
     pub fn entries(&self, from: u64, limit: usize) -> Result<Vec<String>, Error> {
         let entries = self.store.begin_read()?.open_table(ENTRIES)?;
-        entries.range(from.max(1)..)?.take(limit).map(|row| Ok(row?.1.value().to_owned())).collect()
+        entries
+            .range(from.max(1)..)?
+            .take(limit)
+            .map(|row| Ok(row?.1.value().to_owned()))
+            .collect()
     }
 
     /// The log as it was at a version. None: there is no such version yet.
@@ -178,7 +195,11 @@
 fn read_log(store: &DurableStore, version: u64) -> Result<ChangeLog, Error> {
     let transaction = store.begin_read()?;
     let mut log = ChangeLog::default();
-    if let Some(row) = transaction.open_table(CHECKPOINTS)?.range(..=version)?.next_back() {
+    if let Some(row) = transaction
+        .open_table(CHECKPOINTS)?
+        .range(..=version)?
+        .next_back()
+    {
         let (key, checkpoint) = row?;
         let (state, hash) = checkpoint.value();
         log = read_checkpoint(key.value(), state, hash)?;
@@ -193,7 +214,10 @@
 fn read_checkpoint(version: u64, state: &str, hash: &str) -> Result<ChangeLog, LogDamage> {
     let state: State = serde_json::from_str(state)?;
     if state.version != version {
-        return Err(LogDamage::CheckpointVersion { found: state.version, expected: version });
+        return Err(LogDamage::CheckpointVersion {
+            found: state.version,
+            expected: version,
+        });
     }
     Ok(ChangeLog::from_snapshot(state, hash.to_owned()))
 }
--- a/crates/change-log/tests/crash_recovery.rs
+++ b/crates/change-log/tests/crash_recovery.rs
@@ -9,12 +9,22 @@
 const SECTOR: usize = 512;
 
 fn change(n: u64) -> Change {
-    let plan = Plan { rate_limit: 1_000 + n, burst_units: 1, ..Plan::default() };
-    Change::SetPlan { name: format!("p{}", n % 3), plan }
+    let plan = Plan {
+        rate_limit: 1_000 + n,
+        burst_units: 1,
+        ..Plan::default()
+    };
+    Change::SetPlan {
+        name: format!("p{}", n % 3),
+        plan,
+    }
 }
 
 fn entry(store: &ChangeLogStore, n: u64) -> String {
-    store.log().propose(store.log().state.version, "a", "b", n, change(n)).expect("fits")
+    store
+        .log()
+        .propose(store.log().state.version, "a", "b", n, change(n))
+        .expect("fits")
 }
 
 fn append(store: &mut ChangeLogStore, n: u64) {
@@ -37,15 +47,29 @@
     let calls = backend.calls();
     let mut torn = 0;
     for (index, call) in calls.iter().enumerate().skip(opened) {
-        let Call::Write { offset, data } = call else { continue };
-        let done = acknowledged.iter().rposition(|a| a.0 <= index).expect("the first");
+        let Call::Write { offset, data } = call else {
+            continue;
+        };
+        let done = acknowledged
+            .iter()
+            .rposition(|a| a.0 <= index)
+            .expect("the first");
         let allowed = &acknowledged[done..(done + 2).min(acknowledged.len())];
         for length in (0..=data.len()).step_by(SECTOR) {
             let mut half = contents.clone();
-            apply_call(&mut half, &Call::Write { offset: *offset, data: data[..length].to_vec() });
+            apply_call(
+                &mut half,
+                &Call::Write {
+                    offset: *offset,
+                    data: data[..length].to_vec(),
+                },
+            );
             let backend = RecordingBackend::with_contents(half);
             let store = ChangeLogStore::open_with_backend(backend).expect("it opens");
-            assert!(allowed.iter().any(|a| a.1 == *store.log()), "write {index} torn at {length}");
+            assert!(
+                allowed.iter().any(|a| a.1 == *store.log()),
+                "write {index} torn at {length}"
+            );
             store.verify().expect("valid");
             torn += 1;
         }
@@ -78,7 +102,13 @@
     assert_eq!(store.members().expect("valid"), ["a"]);
     assert_eq!(store.log_at(701).expect("valid"), middle);
     assert_eq!(store.log_at(CHECKPOINT_INTERVAL + 51).expect("valid"), None);
-    assert_eq!(store.entries(CHECKPOINT_INTERVAL + 40, 5).expect("valid").len(), 5);
+    assert_eq!(
+        store
+            .entries(CHECKPOINT_INTERVAL + 40, 5)
+            .expect("valid")
+            .len(),
+        5
+    );
 }
 
 #[test]
@@ -92,11 +122,21 @@
     let db = redb::Database::create(&path).expect("there");
     let old = {
         let read = db.begin_read().expect("open");
-        read.open_table(table).expect("there").get(17).expect("there").expect("an entry").value().to_owned()
+        read.open_table(table)
+            .expect("there")
+            .get(17)
+            .expect("there")
+            .expect("an entry")
+            .value()
+            .to_owned()
     };
     let write = db.begin_write().expect("open");
     let altered = old.replace("\"a\"", "\"c\"");
-    write.open_table(table).expect("there").insert(17, altered.as_str()).expect("fits");
+    write
+        .open_table(table)
+        .expect("there")
+        .insert(17, altered.as_str())
+        .expect("fits");
     write.commit().expect("written");
     drop(db);
     // The state in force does not depend on that entry, since a checkpoint follows it; verification finds it.
--- a/crates/change-log/tests/pinned_files.rs
+++ b/crates/change-log/tests/pinned_files.rs
@@ -34,28 +34,49 @@
 fn check_rows(path: &Path) {
     let db = Database::open(path).expect("there");
     let read = db.begin_read().expect("open");
-    let mut tables: Vec<String> =
-        read.list_tables().expect("tables").map(|table| table.name().to_owned()).collect();
+    let mut tables: Vec<String> = read
+        .list_tables()
+        .expect("tables")
+        .map(|table| table.name().to_owned())
+        .collect();
     tables.sort();
     assert_eq!(tables, ["format", "lines", "members", "states"]);
     let formats = read.open_table(FORMATS).expect("there");
-    assert_eq!(formats.get("plans").expect("a row").map(|f| f.value()), Some(1));
+    assert_eq!(
+        formats.get("plans").expect("a row").map(|f| f.value()),
+        Some(1)
+    );
     let lines = read.open_table(LINES).expect("there");
-    let line = |version| lines.get(version).expect("a row").map(|l| l.value().to_owned());
+    let line = |version| {
+        lines
+            .get(version)
+            .expect("a row")
+            .map(|l| l.value().to_owned())
+    };
     assert_eq!(line(1).as_deref(), Some(FIRST_LINE));
     assert_eq!(line(1_024).as_deref(), Some(LINE_1_024));
     assert_eq!(line(1_027).as_deref(), Some(LINE_1_027));
     assert_eq!(line(1_028), None);
     let states = read.open_table(STATES).expect("there");
-    let rows: Vec<u64> = states.iter().expect("rows").map(|r| r.expect("a row").0.value()).collect();
+    let rows: Vec<u64> = states
+        .iter()
+        .expect("rows")
+        .map(|r| r.expect("a row").0.value())
+        .collect();
     assert_eq!(rows, [CHECKPOINT_INTERVAL]);
-    let row = states.get(CHECKPOINT_INTERVAL).expect("a row").expect("a state");
+    let row = states
+        .get(CHECKPOINT_INTERVAL)
+        .expect("a row")
+        .expect("a state");
     let expected = STATE.replace("1026", "1024");
     let hash = "e95afa00fa9018f3b0c9c32208876624d2daaf982f972ef5fca34c2c7547cad8";
     assert_eq!(row.value(), (expected.as_str(), hash));
     let members = read.open_table(MEMBERS).expect("there");
-    let members: Vec<String> =
-        members.iter().expect("rows").map(|m| m.expect("a row").0.value().to_owned()).collect();
+    let members: Vec<String> = members
+        .iter()
+        .expect("rows")
+        .map(|m| m.expect("a row").0.value().to_owned())
+        .collect();
     assert_eq!(members, ["host-c", "host-d"]);
 }
 
@@ -64,15 +85,24 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
     let mut store = ChangeLogStore::open(&path).expect("valid");
-    assert_eq!((state(&store).as_str(), store.log().last_hash()), (STATE, LAST));
+    assert_eq!(
+        (state(&store).as_str(), store.log().last_hash()),
+        (STATE, LAST)
+    );
     assert_eq!(store.members().expect("valid"), ["host-a", "host-c"]);
     assert_eq!(store.entries(0, 1).expect("valid"), [FIRST_LINE]);
     assert_eq!(store.entries(1_026, 9).expect("valid"), [LINE_1_026]);
     assert_eq!(store.verify().expect("valid"), 1_026);
     let early = store.log_at(3).expect("valid").expect("a version");
     assert_eq!(early.state.volumes.keys().collect::<Vec<_>>(), ["v", "w"]);
-    let change = Change::AssignPlan { volume: "x".into(), plan: "gold".into() };
-    let text = store.log().propose(1_026, "c", "d", 1_800_000_000, change).expect("fits");
+    let change = Change::AssignPlan {
+        volume: "x".into(),
+        plan: "gold".into(),
+    };
+    let text = store
+        .log()
+        .propose(1_026, "c", "d", 1_800_000_000, change)
+        .expect("fits");
     assert_eq!(store.append(&text).expect("kept").version, 1_027);
     store.add_member("host-d").expect("kept");
     store.remove_member("host-a").expect("kept");
@@ -95,8 +125,14 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path());
     let mut store = ChangeLogStore::open(&path).expect("valid");
-    let why = store.append(LINE_1_026).expect_err("does not follow").to_string();
-    assert_eq!(why, "plan store is damaged: trail line 1027: does not follow the line before");
+    let why = store
+        .append(LINE_1_026)
+        .expect_err("does not follow")
+        .to_string();
+    assert_eq!(
+        why,
+        "plan store is damaged: trail line 1027: does not follow the line before"
+    );
     assert_eq!(state(&store), STATE);
     drop(store);
     let db = Database::open(&path).expect("there");
@@ -106,26 +142,49 @@
         states
             .insert(
                 CHECKPOINT_INTERVAL,
-                (STATE.replace("1026", "1024").replace("9000", "9001").as_str(), "x"),
+                (
+                    STATE
+                        .replace("1026", "1024")
+                        .replace("9000", "9001")
+                        .as_str(),
+                    "x",
+                ),
             )
             .expect("fits");
     }
     write.commit().expect("kept");
     drop(db);
-    let why = ChangeLogStore::open(&path).expect_err("does not follow").to_string();
-    assert_eq!(why, "plan store is damaged: trail line 1025: does not follow the line before");
+    let why = ChangeLogStore::open(&path)
+        .expect_err("does not follow")
+        .to_string();
+    assert_eq!(
+        why,
+        "plan store is damaged: trail line 1025: does not follow the line before"
+    );
     let db = Database::open(&path).expect("there");
     let write = db.begin_write().expect("open");
-    write.open_table(STATES).expect("there").insert(CHECKPOINT_INTERVAL, (STATE, LAST)).expect("fits");
+    write
+        .open_table(STATES)
+        .expect("there")
+        .insert(CHECKPOINT_INTERVAL, (STATE, LAST))
+        .expect("fits");
     write.commit().expect("kept");
     drop(db);
-    let why = ChangeLogStore::open(&path).expect_err("wrong version").to_string();
+    let why = ChangeLogStore::open(&path)
+        .expect_err("wrong version")
+        .to_string();
     assert_eq!(why, "plan store is damaged: state 1026 under 1024");
     let db = Database::open(&path).expect("there");
     let write = db.begin_write().expect("open");
-    write.open_table(FORMATS).expect("there").insert("plans", 2).expect("fits");
+    write
+        .open_table(FORMATS)
+        .expect("there")
+        .insert("plans", 2)
+        .expect("fits");
     write.commit().expect("kept");
     drop(db);
-    let why = ChangeLogStore::open(&path).expect_err("unknown").to_string();
+    let why = ChangeLogStore::open(&path)
+        .expect_err("unknown")
+        .to_string();
     assert_eq!(why, "plan store is damaged: format 2, expected 1");
 }
--- a/crates/connection-policy/src/admission.rs
+++ b/crates/connection-policy/src/admission.rs
@@ -197,7 +197,12 @@
 
     /// A connection was closed; its index is free.
     pub fn connection_closed(&mut self, index: ConnectionIndex) {
-        if self.connections.get_mut(index).and_then(Option::take).is_some() {
+        if self
+            .connections
+            .get_mut(index)
+            .and_then(Option::take)
+            .is_some()
+        {
             self.count -= 1;
         }
     }
@@ -228,9 +233,13 @@
             Some(_) => self.session_to_replace(index, initiator, isid),
             None => None,
         };
-        let handle = self.next_free_handle().ok_or(LoginRejection::OutOfResources)?;
+        let handle = self
+            .next_free_handle()
+            .ok_or(LoginRejection::OutOfResources)?;
         self.last_handle = handle;
-        let connection = self.connection_mut(index).ok_or(LoginRejection::OutOfResources)?;
+        let connection = self
+            .connection_mut(index)
+            .ok_or(LoginRejection::OutOfResources)?;
         initiator.clone_into(&mut connection.initiator);
         connection.isid = isid;
         connection.handle = handle;
@@ -246,13 +255,22 @@
         initiator: &str,
         isid: [u8; 6],
     ) -> Option<ConnectionIndex> {
-        let is_same =
-            |other: &Option<Connection>| other.as_ref().is_some_and(|c| c.is_session_of(initiator, isid));
-        (0..self.connections.len()).find(|other| *other != index && is_same(&self.connections[*other]))
+        let is_same = |other: &Option<Connection>| {
+            other
+                .as_ref()
+                .is_some_and(|c| c.is_session_of(initiator, isid))
+        };
+        (0..self.connections.len())
+            .find(|other| *other != index && is_same(&self.connections[*other]))
     }
 
     fn next_free_handle(&self) -> Option<u16> {
-        let in_use = |handle: u16| self.connections.iter().flatten().any(|c| c.has_handle(handle));
+        let in_use = |handle: u16| {
+            self.connections
+                .iter()
+                .flatten()
+                .any(|c| c.has_handle(handle))
+        };
         (0..=u16::MAX)
             .map(|offset| self.last_handle.wrapping_add(offset).wrapping_add(1))
             .find(|handle| *handle != 0 && !in_use(*handle))
@@ -291,7 +309,9 @@
         state: ConnectionState,
     ) -> TimeoutAction {
         let host = self.state;
-        let Some(connection) = self.connection_mut(index) else { return TimeoutAction::Nothing };
+        let Some(connection) = self.connection_mut(index) else {
+            return TimeoutAction::Nothing;
+        };
         if state.unsent_bytes == 0 {
             connection.last_sent = now;
         }
--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -102,7 +102,10 @@
     pub fn enter_phase(&mut self, phase: Phase, now: Millis) {
         // The timeout of a first request that arrives in pieces counts from the connect.
         let continues = phase == Phase::ReceivingRequest
-            && matches!(self.phase, Phase::AwaitingFirstRequest | Phase::ReceivingRequest);
+            && matches!(
+                self.phase,
+                Phase::AwaitingFirstRequest | Phase::ReceivingRequest
+            );
         self.phase = phase;
         if !continues {
             self.phase_began = now;
@@ -124,8 +127,10 @@
     /// Whether its next request is read now.
     #[must_use]
     pub fn may_read(&self, now: Millis) -> bool {
-        let awaits_request =
-            matches!(self.phase, Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle);
+        let awaits_request = matches!(
+            self.phase,
+            Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle
+        );
         now >= self.read_after && awaits_request
     }
 
@@ -141,7 +146,9 @@
         let age = now.saturating_sub(self.phase_began);
         let rejects_clients = shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
         match self.phase {
-            Phase::AwaitingFirstRequest if age >= REQUEST_TIMEOUT || rejects_clients => TimeoutAction::Close,
+            Phase::AwaitingFirstRequest if age >= REQUEST_TIMEOUT || rejects_clients => {
+                TimeoutAction::Close
+            }
             Phase::ReceivingRequest if age >= REQUEST_TIMEOUT => TimeoutAction::RejectLateRequest,
             Phase::SendingResponse if age >= RESPONSE_TIMEOUT => TimeoutAction::Close,
             Phase::Idle if age >= IDLE_TIMEOUT || rejects_clients => TimeoutAction::Close,
--- a/crates/connection-policy/src/command_progress.rs
+++ b/crates/connection-policy/src/command_progress.rs
@@ -30,7 +30,10 @@
     /// The progress of a command with this many sub-requests.
     #[must_use]
     pub fn new(sub_requests: u32) -> Self {
-        CommandProgress { open: sub_requests, ..CommandProgress::default() }
+        CommandProgress {
+            open: sub_requests,
+            ..CommandProgress::default()
+        }
     }
 
     /// An attempt of a non-idempotent sub-request is sent, and so may run from now on.
--- a/crates/connection-policy/src/graceful_shutdown.rs
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -26,7 +26,8 @@
     /// better served by a closed connection, after which it retries at another host.
     #[must_use]
     pub fn by_platform(now: Millis, longest_deadline: Millis, longest_objective: Millis) -> Self {
-        let answer_deadline = now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+        let answer_deadline =
+            now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         GracefulShutdown {
             admits_until: answer_deadline - longest_objective.min(longest_deadline),
             answer_deadline: Some(answer_deadline),
@@ -36,7 +37,10 @@
     /// Requested at `now` by an operator (SIGINT), who waits for the end; no SIGKILL follows.
     #[must_use]
     pub fn by_operator(now: Millis) -> Self {
-        GracefulShutdown { admits_until: now + OPERATOR_GRACE, answer_deadline: None }
+        GracefulShutdown {
+            admits_until: now + OPERATOR_GRACE,
+            answer_deadline: None,
+        }
     }
 
     /// Whether clients are still admitted, and responses are not yet the last on their connections.
--- a/crates/connection-policy/src/keep_alive.rs
+++ b/crates/connection-policy/src/keep_alive.rs
@@ -76,7 +76,9 @@
     /// The idle timeout in milliseconds as of now; it doubles after each [`RECOVERY_INTERVAL`] without a lost or
     /// rejected connection.
     pub fn idle_timeout(&mut self, now: Millis) -> Millis {
-        while self.idle_timeout < self.max_idle_timeout && now >= self.last_change + RECOVERY_INTERVAL {
+        while self.idle_timeout < self.max_idle_timeout
+            && now >= self.last_change + RECOVERY_INTERVAL
+        {
             self.idle_timeout = (self.idle_timeout * 2).min(self.max_idle_timeout);
             self.last_change += RECOVERY_INTERVAL;
         }
@@ -125,5 +127,8 @@
     idle_timeout: Millis,
 ) -> Option<usize> {
     let is_reusable = |idle: Millis| reusability(idle, idle_timeout) == Reusability::Reusable;
-    idle.enumerate().rev().find(|(_, idle)| is_reusable(*idle)).map(|(position, _)| position)
+    idle.enumerate()
+        .rev()
+        .find(|(_, idle)| is_reusable(*idle))
+        .map(|(position, _)| position)
 }
--- a/crates/connection-policy/src/node_connection.rs
+++ b/crates/connection-policy/src/node_connection.rs
@@ -76,7 +76,10 @@
 
     /// It was closed, by either side.
     pub fn closed(&mut self) {
-        *self = NodeConnection { node_removed: self.node_removed, ..NodeConnection::default() };
+        *self = NodeConnection {
+            node_removed: self.node_removed,
+            ..NodeConnection::default()
+        };
     }
 
     /// An abort was sent.
@@ -100,8 +103,14 @@
     #[must_use]
     pub fn check_timeouts(&self, now: Millis, in_flight: usize) -> Option<CloseReason> {
         match self.state {
-            State::Opening { since } if now >= since + LOGIN_TIMEOUT => Some(CloseReason::LoginTimeout),
-            State::Ready if self.abort_waits_since.is_some_and(|since| now >= since + ABORT_TIMEOUT) => {
+            State::Opening { since } if now >= since + LOGIN_TIMEOUT => {
+                Some(CloseReason::LoginTimeout)
+            }
+            State::Ready
+                if self
+                    .abort_waits_since
+                    .is_some_and(|since| now >= since + ABORT_TIMEOUT) =>
+            {
                 Some(CloseReason::AbortTimeout)
             }
             State::Ready if self.node_removed && in_flight == 0 => Some(CloseReason::NodeRemoved),
--- a/crates/connection-policy/src/request_splitting.rs
+++ b/crates/connection-policy/src/request_splitting.rs
@@ -35,7 +35,11 @@
 
 impl ClassRule {
     fn matches(&self, write: bool) -> bool {
-        if write { self.matches_writes } else { self.matches_reads }
+        if write {
+            self.matches_writes
+        } else {
+            self.matches_reads
+        }
     }
 
     fn contains(&self, block: u64) -> bool {
@@ -97,7 +101,9 @@
             if extent_end <= block {
                 return Err(OutsideLayout);
             }
-            let (rule, rule_end) = self.rule_of(write, block, extent_end).ok_or(OutsideLayout)?;
+            let (rule, rule_end) = self
+                .rule_of(write, block, extent_end)
+                .ok_or(OutsideLayout)?;
             let ordering_key = block.checked_div(rule.blocks_per_key);
             let until = match ordering_key {
                 Some(key) => rule_end.min((key + 1).saturating_mul(rule.blocks_per_key)),
@@ -113,12 +119,18 @@
             });
             block = until;
         }
-        if sub_requests.is_empty() { Err(OutsideLayout) } else { Ok(()) }
+        if sub_requests.is_empty() {
+            Err(OutsideLayout)
+        } else {
+            Ok(())
+        }
     }
 
     /// The last extent that begins at or before a block.
     fn extent_of(&self, block: u64) -> Option<Extent> {
-        let following = self.extents.partition_point(|extent| extent.first_block <= block);
+        let following = self
+            .extents
+            .partition_point(|extent| extent.first_block <= block);
         following.checked_sub(1).map(|index| self.extents[index])
     }
 
--- a/crates/connection-policy/src/watch_liveness.rs
+++ b/crates/connection-policy/src/watch_liveness.rs
@@ -26,7 +26,12 @@
     /// A watch requested at `now`.
     #[must_use]
     pub fn new(now: Millis) -> Self {
-        WatchLiveness { requested: now, response_started: false, last_event: None, failure_reported: false }
+        WatchLiveness {
+            requested: now,
+            response_started: false,
+            last_event: None,
+            failure_reported: false,
+        }
     }
 
     /// The head of the response was received.
--- a/crates/connection-policy/tests/admission.rs
+++ b/crates/connection-policy/tests/admission.rs
@@ -1,17 +1,27 @@
 //! Admission of logins, timeouts of sessions, and draining.
 use mallowseam_connection_policy::admission::{
-    AdmissionController, CloseReason, ConnectionState, LOGIN_TIMEOUT, LOGOUT_TIMEOUT, LoginRejection,
-    MAX_UNSENT_BYTES, PING_INTERVAL, STALL_TIMEOUT, TimeoutAction,
+    AdmissionController, CloseReason, ConnectionState, LOGIN_TIMEOUT, LOGOUT_TIMEOUT,
+    LoginRejection, MAX_UNSENT_BYTES, PING_INTERVAL, STALL_TIMEOUT, TimeoutAction,
 };
 
-const BUSY: ConnectionState = ConnectionState { pdu_incomplete: false, unsent_bytes: 0, in_flight: 1 };
-const IDLE: ConnectionState = ConnectionState { pdu_incomplete: false, unsent_bytes: 0, in_flight: 0 };
+const BUSY: ConnectionState = ConnectionState {
+    pdu_incomplete: false,
+    unsent_bytes: 0,
+    in_flight: 1,
+};
+const IDLE: ConnectionState = ConnectionState {
+    pdu_incomplete: false,
+    unsent_bytes: 0,
+    in_flight: 0,
+};
 
 /// A controller of three connections, of which connection 0 has logged in at time 0.
 fn controller_with_session() -> AdmissionController {
     let mut admission = AdmissionController::new("iqn.t", 3);
     assert!(admission.admit_connection(0, 0));
-    let session = admission.login(0, "iqn.a", Some("iqn.t"), [1; 6], 0).expect("open");
+    let session = admission
+        .login(0, "iqn.a", Some("iqn.t"), [1; 6], 0)
+        .expect("open");
     assert_eq!(session.replaces, None);
     admission
 }
@@ -20,10 +30,16 @@
 fn unfinished_login_times_out_and_finished_login_does_not() {
     let mut admission = controller_with_session();
     assert!(admission.admit_connection(1, 0));
-    assert_eq!(admission.check_timeouts(1, LOGIN_TIMEOUT - 1, IDLE), TimeoutAction::Nothing);
+    assert_eq!(
+        admission.check_timeouts(1, LOGIN_TIMEOUT - 1, IDLE),
+        TimeoutAction::Nothing
+    );
     let closed = TimeoutAction::Close(CloseReason::LoginTimeout);
     assert_eq!(admission.check_timeouts(1, LOGIN_TIMEOUT, IDLE), closed);
-    assert_eq!(admission.check_timeouts(0, LOGIN_TIMEOUT, IDLE), TimeoutAction::Nothing);
+    assert_eq!(
+        admission.check_timeouts(0, LOGIN_TIMEOUT, IDLE),
+        TimeoutAction::Nothing
+    );
 }
 
 #[test]
@@ -31,8 +47,20 @@
     let mut admission = controller_with_session();
     assert!(admission.admit_connection(1, 0));
     assert!(admission.admit_connection(2, 0));
-    assert_eq!(admission.login(2, "iqn.a", Some("iqn.t"), [2; 6], 0).expect("open").replaces, None);
-    assert_eq!(admission.login(1, "iqn.a", Some("iqn.t"), [1; 6], 0).expect("open").replaces, Some(0));
+    assert_eq!(
+        admission
+            .login(2, "iqn.a", Some("iqn.t"), [2; 6], 0)
+            .expect("open")
+            .replaces,
+        None
+    );
+    assert_eq!(
+        admission
+            .login(1, "iqn.a", Some("iqn.t"), [1; 6], 0)
+            .expect("open")
+            .replaces,
+        Some(0)
+    );
 }
 
 #[test]
@@ -43,10 +71,19 @@
     // Handles are assigned in ascending order; connection 0 has handle 1.
     let mut latest = 1;
     while latest != u16::MAX - 1 {
-        latest = admission.login(1, "iqn.b", Some("iqn.t"), [1; 6], 0).expect("open").handle;
+        latest = admission
+            .login(1, "iqn.b", Some("iqn.t"), [1; 6], 0)
+            .expect("open")
+            .handle;
     }
-    let second = admission.login(1, "iqn.b", Some("iqn.t"), [1; 6], 0).expect("open").handle;
-    let third = admission.login(2, "iqn.c", Some("iqn.t"), [1; 6], 0).expect("open").handle;
+    let second = admission
+        .login(1, "iqn.b", Some("iqn.t"), [1; 6], 0)
+        .expect("open")
+        .handle;
+    let third = admission
+        .login(2, "iqn.c", Some("iqn.t"), [1; 6], 0)
+        .expect("open")
+        .handle;
     let all_differ = second != third && second != 1 && third != 1;
     assert!(all_differ && second != 0 && third != 0, "{second} {third}");
 }
@@ -68,34 +105,64 @@
 #[test]
 fn client_that_stops_reading_is_closed_and_slow_reader_is_kept() {
     let mut admission = controller_with_session();
-    let unsent = ConnectionState { unsent_bytes: 9, ..BUSY };
+    let unsent = ConnectionState {
+        unsent_bytes: 9,
+        ..BUSY
+    };
     assert!(admission.may_read(MAX_UNSENT_BYTES - 1) && !admission.may_read(MAX_UNSENT_BYTES));
     admission.bytes_sent(0, 4_000);
-    assert_eq!(admission.check_timeouts(0, 4_000 + STALL_TIMEOUT - 1, unsent), TimeoutAction::Nothing);
+    assert_eq!(
+        admission.check_timeouts(0, 4_000 + STALL_TIMEOUT - 1, unsent),
+        TimeoutAction::Nothing
+    );
     let closed = TimeoutAction::Close(CloseReason::WriteTimeout);
-    assert_eq!(admission.check_timeouts(0, 4_000 + STALL_TIMEOUT, unsent), closed);
+    assert_eq!(
+        admission.check_timeouts(0, 4_000 + STALL_TIMEOUT, unsent),
+        closed
+    );
 }
 
 #[test]
 fn stall_within_a_pdu_closes_connection_and_pause_between_pdus_does_not() {
     let mut admission = controller_with_session();
-    let incomplete = ConnectionState { pdu_incomplete: true, ..BUSY };
+    let incomplete = ConnectionState {
+        pdu_incomplete: true,
+        ..BUSY
+    };
     admission.bytes_received(0, 1_000);
-    assert_eq!(admission.check_timeouts(0, 1_000 + STALL_TIMEOUT, IDLE), TimeoutAction::Nothing);
+    assert_eq!(
+        admission.check_timeouts(0, 1_000 + STALL_TIMEOUT, IDLE),
+        TimeoutAction::Nothing
+    );
     let closed = TimeoutAction::Close(CloseReason::IncompletePdu);
-    assert_eq!(admission.check_timeouts(0, 1_000 + STALL_TIMEOUT, incomplete), closed);
+    assert_eq!(
+        admission.check_timeouts(0, 1_000 + STALL_TIMEOUT, incomplete),
+        closed
+    );
 }
 
 #[test]
 fn silent_client_is_pinged_twice_and_then_closed() {
     let mut admission = controller_with_session();
-    assert_eq!(admission.check_timeouts(0, PING_INTERVAL, IDLE), TimeoutAction::Ping);
-    assert_eq!(admission.check_timeouts(0, PING_INTERVAL + 1, IDLE), TimeoutAction::Nothing);
-    assert_eq!(admission.check_timeouts(0, 2 * PING_INTERVAL, IDLE), TimeoutAction::Ping);
+    assert_eq!(
+        admission.check_timeouts(0, PING_INTERVAL, IDLE),
+        TimeoutAction::Ping
+    );
+    assert_eq!(
+        admission.check_timeouts(0, PING_INTERVAL + 1, IDLE),
+        TimeoutAction::Nothing
+    );
+    assert_eq!(
+        admission.check_timeouts(0, 2 * PING_INTERVAL, IDLE),
+        TimeoutAction::Ping
+    );
     let closed = TimeoutAction::Close(CloseReason::KeepAliveTimeout);
     assert_eq!(admission.check_timeouts(0, 3 * PING_INTERVAL, IDLE), closed);
     admission.bytes_received(0, 3 * PING_INTERVAL);
-    assert_eq!(admission.check_timeouts(0, 4 * PING_INTERVAL, IDLE), TimeoutAction::Ping);
+    assert_eq!(
+        admission.check_timeouts(0, 4 * PING_INTERVAL, IDLE),
+        TimeoutAction::Ping
+    );
 }
 
 #[test]
@@ -107,12 +174,21 @@
     assert_eq!(login, Err(LoginRejection::Draining));
     let no_login = TimeoutAction::Close(CloseReason::LoginTimeout);
     assert_eq!(admission.check_timeouts(1, 101, IDLE), no_login);
-    assert_eq!(admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, BUSY), TimeoutAction::Nothing);
+    assert_eq!(
+        admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, BUSY),
+        TimeoutAction::Nothing
+    );
     let drained = TimeoutAction::Close(CloseReason::Drained);
-    assert_eq!(admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, IDLE), drained);
+    assert_eq!(
+        admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, IDLE),
+        drained
+    );
     assert!(admission.admits_commands(99 + LOGOUT_TIMEOUT));
     assert!(!admission.admits_commands(100 + LOGOUT_TIMEOUT));
     admission.stop_draining();
     assert!(admission.admits_commands(100 + LOGOUT_TIMEOUT));
-    assert_eq!(admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, IDLE), TimeoutAction::Nothing);
+    assert_eq!(
+        admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, IDLE),
+        TimeoutAction::Nothing
+    );
 }
--- a/crates/connection-policy/tests/command_progress.rs
+++ b/crates/connection-policy/tests/command_progress.rs
@@ -4,8 +4,14 @@
 #[test]
 fn command_completes_with_its_last_sub_request() {
     let mut progress = CommandProgress::new(2);
-    assert_eq!(progress.sub_request_finished(RequestOutcome::Completed), None);
-    assert_eq!(progress.sub_request_finished(RequestOutcome::Completed), Some(RequestOutcome::Completed));
+    assert_eq!(
+        progress.sub_request_finished(RequestOutcome::Completed),
+        None
+    );
+    assert_eq!(
+        progress.sub_request_finished(RequestOutcome::Completed),
+        Some(RequestOutcome::Completed)
+    );
     assert!(progress.is_finished());
 }
 
@@ -16,7 +22,10 @@
     assert_eq!(progress.sub_request_finished(shed), Some(shed));
     assert_eq!(progress.sub_request_finished(RequestOutcome::Failed), None);
     assert!(!progress.is_finished());
-    assert_eq!(progress.sub_request_finished(RequestOutcome::Completed), None);
+    assert_eq!(
+        progress.sub_request_finished(RequestOutcome::Completed),
+        None
+    );
     assert!(progress.is_finished());
 }
 
@@ -25,7 +34,10 @@
     let shed = RequestOutcome::Shed { retry_after: 0 };
     let mut progress = CommandProgress::new(2);
     progress.attempt_sent();
-    assert_eq!(progress.sub_request_finished(shed), Some(RequestOutcome::Failed));
+    assert_eq!(
+        progress.sub_request_finished(shed),
+        Some(RequestOutcome::Failed)
+    );
     let mut progress = CommandProgress::new(2);
     progress.attempt_sent();
     progress.attempt_did_not_run();
--- a/crates/connection-policy/tests/endpoint_list_request.rs
+++ b/crates/connection-policy/tests/endpoint_list_request.rs
@@ -6,7 +6,9 @@
     let mut request = EndpointListRequest::default();
     assert!(!request.has_timed_out(9_999));
     request.sent(5);
-    assert!(!request.has_timed_out(4 + RESPONSE_TIMEOUT) && request.has_timed_out(5 + RESPONSE_TIMEOUT));
+    assert!(
+        !request.has_timed_out(4 + RESPONSE_TIMEOUT) && request.has_timed_out(5 + RESPONSE_TIMEOUT)
+    );
     request.finished();
     assert!(!request.has_timed_out(99_999));
 }
--- a/crates/connection-policy/tests/graceful_shutdown.rs
+++ b/crates/connection-policy/tests/graceful_shutdown.rs
@@ -13,18 +13,27 @@
     assert!(!shutdown.admits_clients(1_000 + OPERATOR_GRACE));
     assert!(!shutdown.is_complete(999 + OPERATOR_GRACE, 0));
     assert!(shutdown.is_complete(1_000 + OPERATOR_GRACE, 0));
-    assert!(!shutdown.is_complete(9_000, 1), "what was admitted is answered first");
+    assert!(
+        !shutdown.is_complete(9_000, 1),
+        "what was admitted is answered first"
+    );
     assert_eq!(shutdown.answer_deadline(), None);
 }
 
 #[test]
 fn platform_shutdown_admits_what_can_be_answered_before_the_kill() {
-    for (longest_deadline, killed) in [(200, 900), (1_000, 1_700), (2_000, 2_700), (60_000, 3_700)] {
+    for (longest_deadline, killed) in [(200, 900), (1_000, 1_700), (2_000, 2_700), (60_000, 3_700)]
+    {
         let shutdown = GracefulShutdown::by_platform(10_000, longest_deadline, 250);
         let answer_deadline = shutdown.answer_deadline().expect("the platform kills");
         assert!(answer_deadline < 10_000 + killed, "{longest_deadline}");
-        let last = (0..9_000).rfind(|after| shutdown.admits_clients(10_000 + after)).expect("it admits");
-        assert_eq!(10_000 + last + 250.min(longest_deadline), answer_deadline - 1);
+        let last = (0..9_000)
+            .rfind(|after| shutdown.admits_clients(10_000 + after))
+            .expect("it admits");
+        assert_eq!(
+            10_000 + last + 250.min(longest_deadline),
+            answer_deadline - 1
+        );
     }
     assert!(GracefulShutdown::by_platform(0, 2_000, 250).admits_clients(2_300));
 }
--- a/crates/connection-policy/tests/keep_alive.rs
+++ b/crates/connection-policy/tests/keep_alive.rs
@@ -1,16 +1,24 @@
 //! Idle timeout of connections to nodes and the choice among idle ones.
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::keep_alive::{
-    DEFAULT_IDLE_TIMEOUT, KeepAlivePolicy, MIN_IDLE_TIMEOUT, RECOVERY_INTERVAL, RESET_WITHIN, Reusability,
-    SETTLING_TIME, keep_after_response, reusability, select_idle_connection,
+    DEFAULT_IDLE_TIMEOUT, KeepAlivePolicy, MIN_IDLE_TIMEOUT, RECOVERY_INTERVAL, RESET_WITHIN,
+    Reusability, SETTLING_TIME, keep_after_response, reusability, select_idle_connection,
 };
 
 #[test]
 fn most_recently_used_settled_connection_carries_the_next_attempt() {
     let select = |idle: &[Millis]| select_idle_connection(idle.iter().copied(), 30_000);
     assert_eq!(select(&[9_000, 300, 40]), Some(2));
-    assert_eq!(select(&[9_000, 300, SETTLING_TIME - 1]), Some(1), "stray bytes may still come on the last");
-    assert_eq!(select(&[30_000, 1]), None, "one that its node may close is not used");
+    assert_eq!(
+        select(&[9_000, 300, SETTLING_TIME - 1]),
+        Some(1),
+        "stray bytes may still come on the last"
+    );
+    assert_eq!(
+        select(&[30_000, 1]),
+        None,
+        "one that its node may close is not used"
+    );
     assert_eq!(select(&[]), None);
 }
 
@@ -20,7 +28,10 @@
     assert_eq!(reusability(14_999, 15_000), Reusability::Reusable);
     assert_eq!(reusability(15_000, 15_000), Reusability::Expired);
     let unknown = KeepAlivePolicy::new(0, 0).idle_timeout(99);
-    assert_eq!(unknown, DEFAULT_IDLE_TIMEOUT, "where the settings name no time");
+    assert_eq!(
+        unknown, DEFAULT_IDLE_TIMEOUT,
+        "where the settings name no time"
+    );
 }
 
 #[test]
@@ -34,7 +45,10 @@
         policy.connection_lost(40, 0, 3_000 + after);
     }
     assert_eq!(policy.idle_timeout(3_100), MIN_IDLE_TIMEOUT);
-    assert_eq!(policy.idle_timeout(3_004 + RECOVERY_INTERVAL), 2 * MIN_IDLE_TIMEOUT);
+    assert_eq!(
+        policy.idle_timeout(3_004 + RECOVERY_INTERVAL),
+        2 * MIN_IDLE_TIMEOUT
+    );
     assert_eq!(policy.idle_timeout(900_000), 15_000);
 }
 
@@ -47,7 +61,9 @@
     assert_eq!(policy.idle_timeout(7_200), 15_000 / 8);
     let recovered = policy.idle_timeout(7_100 + RECOVERY_INTERVAL);
     assert_eq!(recovered, 15_000 / 4, "it doubles once none is rejected");
-    (8_000..30_000).step_by(1_000).for_each(|now| policy.new_connection_rejected(now));
+    (8_000..30_000)
+        .step_by(1_000)
+        .for_each(|now| policy.new_connection_rejected(now));
     assert_eq!(policy.idle_timeout(30_000), MIN_IDLE_TIMEOUT);
     assert!(keep_after_response(false) && !keep_after_response(true));
 }
--- a/crates/connection-policy/tests/node_connection.rs
+++ b/crates/connection-policy/tests/node_connection.rs
@@ -15,7 +15,10 @@
     let mut connection = NodeConnection::default();
     assert!(connection.open_if_closed(10) && !connection.open_if_closed(11));
     assert_eq!(connection.check_timeouts(10 + LOGIN_TIMEOUT - 1, 1), None);
-    assert_eq!(connection.check_timeouts(10 + LOGIN_TIMEOUT, 1), Some(CloseReason::LoginTimeout));
+    assert_eq!(
+        connection.check_timeouts(10 + LOGIN_TIMEOUT, 1),
+        Some(CloseReason::LoginTimeout)
+    );
     connection.closed();
     assert!(connection.open_if_closed(2_000));
     connection.login_finished();
@@ -30,7 +33,10 @@
     connection.abort_sent(200);
     connection.abort_answered(900);
     assert_eq!(connection.check_timeouts(900 + ABORT_TIMEOUT - 1, 1), None);
-    assert_eq!(connection.check_timeouts(900 + ABORT_TIMEOUT, 1), Some(CloseReason::AbortTimeout));
+    assert_eq!(
+        connection.check_timeouts(900 + ABORT_TIMEOUT, 1),
+        Some(CloseReason::AbortTimeout)
+    );
     connection.abort_answered(1_000);
     assert_eq!(connection.check_timeouts(100_000, 1), None);
 }
@@ -40,7 +46,10 @@
     let mut connection = ready_connection();
     connection.set_node_removed(true);
     assert_eq!(connection.check_timeouts(1, 1), None);
-    assert_eq!(connection.check_timeouts(1, 0), Some(CloseReason::NodeRemoved));
+    assert_eq!(
+        connection.check_timeouts(1, 0),
+        Some(CloseReason::NodeRemoved)
+    );
     connection.set_node_removed(false);
     assert_eq!(connection.check_timeouts(1, 0), None);
 }
--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -61,14 +61,24 @@
     });
 }
 
-fn admission_event(rng: &mut SeededRng, digest: &mut Digest, admission: &mut AdmissionController, now: u64) {
+fn admission_event(
+    rng: &mut SeededRng,
+    digest: &mut Digest,
+    admission: &mut AdmissionController,
+    now: u64,
+) {
     let index = rng.below(8) as usize;
     match rng.below(60) {
         0..=9 => digest.add(u64::from(admission.admit_connection(index, now))),
         10 => admission.connection_closed(index),
         11..=30 => {
             let name = rng.pick(&["iqn.a", "iqn.b", "iqn.c"]);
-            let target = rng.pick(&[None, Some("iqn.target"), Some("iqn.target"), Some("iqn.other")]);
+            let target = rng.pick(&[
+                None,
+                Some("iqn.target"),
+                Some("iqn.target"),
+                Some("iqn.other"),
+            ]);
             let isid = [rng.below(2) as u8; 6];
             let handle = rng.pick(&[0, 0, 0, 7]);
             match admission.login(index, name, target, isid, handle) {
@@ -119,7 +129,11 @@
             let index = rng.below(4) as usize;
             if admission.admit_connection(index, now) {
                 let isid = [index as u8; 6];
-                digest.add(u64::from(admission.login(index, "iqn.a", Some("iqn.target"), isid, 0).is_ok()));
+                digest.add(u64::from(
+                    admission
+                        .login(index, "iqn.a", Some("iqn.target"), isid, 0)
+                        .is_ok(),
+                ));
             }
             for index in 0..4 {
                 if rng.one_in(2_000) {
@@ -159,7 +173,11 @@
     ];
     assert_eq!(
         whys.map(node_connection::CloseReason::as_str),
-        ["login not finished in time", "aborts unanswered", "node has left"]
+        [
+            "login not finished in time",
+            "aborts unanswered",
+            "node has left"
+        ]
     );
 }
 
@@ -169,7 +187,8 @@
         let spans = [5, 50, 100, 200, 400, 500, 800, 1_600, 2_000, 4_000, 30_000];
         let mut now = 1_000;
         let mut shutdown = None;
-        let mut connections: Vec<ClientConnection> = (0..8).map(|_| ClientConnection::new(now)).collect();
+        let mut connections: Vec<ClientConnection> =
+            (0..8).map(|_| ClientConnection::new(now)).collect();
         for _ in 0..EVENTS {
             now += step(rng, &spans);
             let index = rng.below(8) as usize;
@@ -190,10 +209,15 @@
                     *connection = ClientConnection::new(now);
                 }
             }
-            let candidates =
-                connections.iter().enumerate().map(|(index, connection)| (index as u32, connection));
-            digest.add_option(client_connection::eviction_candidate(candidates, now).map(u64::from));
-            digest.add(u64::from(client_connection::poll_result_is_stale(rng.below(60))));
+            let candidates = connections
+                .iter()
+                .enumerate()
+                .map(|(index, connection)| (index as u32, connection));
+            digest
+                .add_option(client_connection::eviction_candidate(candidates, now).map(u64::from));
+            digest.add(u64::from(client_connection::poll_result_is_stale(
+                rng.below(60),
+            )));
         }
     });
 }
@@ -211,13 +235,21 @@
                 }
                 connections.push((index, connection));
             }
-            let candidates = connections.iter().map(|(index, connection)| (*index, connection));
-            digest.add_option(client_connection::eviction_candidate(candidates, now).map(u64::from));
+            let candidates = connections
+                .iter()
+                .map(|(index, connection)| (*index, connection));
+            digest
+                .add_option(client_connection::eviction_candidate(candidates, now).map(u64::from));
         }
     });
 }
 
-fn client_event(rng: &mut SeededRng, digest: &mut Digest, connection: &mut ClientConnection, now: u64) {
+fn client_event(
+    rng: &mut SeededRng,
+    digest: &mut Digest,
+    connection: &mut ClientConnection,
+    now: u64,
+) {
     match rng.below(12) {
         0..=6 => {
             let phases = [
@@ -233,7 +265,9 @@
         }
         7 | 8 => connection.request_rejected(now),
         9 if rng.one_in(6) => connection.request_accepted(),
-        10 => digest.add(u64::from(connection.bytes_discarded(rng.below(70_000) as usize))),
+        10 => digest.add(u64::from(
+            connection.bytes_discarded(rng.below(70_000) as usize),
+        )),
         _ if rng.one_in(5) => *connection = ClientConnection::new(now),
         _ => {}
     }
@@ -276,7 +310,9 @@
             }
             let (now, clients) = (requested_at + rng.below(4_000), rng.below(2) as usize);
             digest.add(u64::from(shutdown.is_complete(now, clients)));
-            digest.add(u64::from(GracefulShutdown::is_safe_to_retry(rng.below(3) as u32)));
+            digest.add(u64::from(GracefulShutdown::is_safe_to_retry(
+                rng.below(3) as u32
+            )));
         }
     });
 }
@@ -285,7 +321,8 @@
 fn decisions_on_node_connections_are_the_recorded_ones() {
     assert_pinned(&NODE_CONNECTIONS, |rng, digest| {
         let spans = [1_000, 1_001, 2_000];
-        let (mut connection, mut request) = (NodeConnection::default(), EndpointListRequest::default());
+        let (mut connection, mut request) =
+            (NodeConnection::default(), EndpointListRequest::default());
         let mut now = 0;
         for _ in 0..EVENTS {
             now += step(rng, &spans);
@@ -318,8 +355,12 @@
     assert_pinned(&BUDGETS, |rng, digest| {
         for _ in 0..300 {
             let budget = ResourceBudget::new(rng.below(5_000), rng.below(4_096));
-            let figures =
-                [budget.client_connections, budget.node_connections, budget.client_bytes, budget.node_bytes];
+            let figures = [
+                budget.client_connections,
+                budget.node_connections,
+                budget.client_bytes,
+                budget.node_bytes,
+            ];
             for figure in figures {
                 digest.add(figure as u64);
             }
@@ -332,7 +373,9 @@
                 0 => keep_alive.connection_lost(rng.below(60), rng.below(8), now),
                 1 => keep_alive.connection_lost(rng.below(20_000), rng.below(8), now),
                 2 | 3 => keep_alive.new_connection_rejected(now),
-                4 if rng.one_in(20) => keep_alive = KeepAlivePolicy::new(rng.pick(&[0, 30_000, 7_000]), now),
+                4 if rng.one_in(20) => {
+                    keep_alive = KeepAlivePolicy::new(rng.pick(&[0, 30_000, 7_000]), now)
+                }
                 _ => {}
             }
             let kept = keep_alive.idle_timeout(now);
@@ -341,7 +384,8 @@
             idle.push(rng.below(4));
             idle.sort_unstable_by(|a, b| b.cmp(a));
             digest.add_option(
-                keep_alive::select_idle_connection(idle.iter().copied(), kept).map(|nth| nth as u64),
+                keep_alive::select_idle_connection(idle.iter().copied(), kept)
+                    .map(|nth| nth as u64),
             );
             for idle in [rng.below(4), kept - 1, kept, kept + 1] {
                 digest.add(match keep_alive::reusability(idle, kept) {
--- a/crates/connection-policy/tests/request_splitting.rs
+++ b/crates/connection-policy/tests/request_splitting.rs
@@ -5,7 +5,14 @@
 use proptest::prelude::*;
 
 fn rule(first_block: u64, last_block: u64, class: u16, blocks_per_key: u64) -> ClassRule {
-    ClassRule { matches_reads: true, matches_writes: true, first_block, last_block, class, blocks_per_key }
+    ClassRule {
+        matches_reads: true,
+        matches_writes: true,
+        first_block,
+        last_block,
+        class,
+        blocks_per_key,
+    }
 }
 
 fn layout() -> VolumeLayout {
@@ -23,19 +30,40 @@
 
 fn split(lba: u64, blocks: u32) -> Vec<SubRequest> {
     let mut sub_requests = Vec::new();
-    layout().split(true, lba, blocks, &mut sub_requests).expect("inside the volume");
+    layout()
+        .split(true, lba, blocks, &mut sub_requests)
+        .expect("inside the volume");
     sub_requests
 }
 
 fn unclassified(offset: u32, blocks: u32, shard: u32, node_lba: u64) -> SubRequest {
-    SubRequest { offset, blocks, shard, node_lba, class: 0, ordering_key: None }
+    SubRequest {
+        offset,
+        blocks,
+        shard,
+        node_lba,
+        class: 0,
+        ordering_key: None,
+    }
 }
 
 #[test]
 fn command_is_split_where_extent_rule_or_ordering_key_changes() {
     assert_eq!(split(2, 3), [unclassified(0, 3, 0, 102)]);
-    let keyed = SubRequest { offset: 4, blocks: 4, shard: 1, node_lba: 2, class: 1, ordering_key: Some(3) };
-    let expected = [unclassified(0, 2, 0, 108), unclassified(2, 2, 1, 0), keyed, unclassified(8, 2, 1, 6)];
+    let keyed = SubRequest {
+        offset: 4,
+        blocks: 4,
+        shard: 1,
+        node_lba: 2,
+        class: 1,
+        ordering_key: Some(3),
+    };
+    let expected = [
+        unclassified(0, 2, 0, 108),
+        unclassified(2, 2, 1, 0),
+        keyed,
+        unclassified(8, 2, 1, 6),
+    ];
     assert_eq!(split(8, 10), expected);
 }
 
@@ -53,10 +81,19 @@
     let mut first_block = 0;
     for (shard, blocks) in lengths.iter().enumerate() {
         let first_node_block = 1000 * shard as u64;
-        layout.extents.push(Extent { first_block, blocks: *blocks, shard: shard as u32, first_node_block });
+        layout.extents.push(Extent {
+            first_block,
+            blocks: *blocks,
+            shard: shard as u32,
+            first_node_block,
+        });
         first_block += blocks;
     }
-    layout.rules.extend(rules.iter().map(|(first, length, key)| rule(*first, first + length, 1, *key)));
+    layout.rules.extend(
+        rules
+            .iter()
+            .map(|(first, length, key)| rule(*first, first + length, 1, *key)),
+    );
     layout.rules.push(rule(0, u64::MAX, 0, 0));
     layout
 }
--- a/crates/connection-policy/tests/resource_budget.rs
+++ b/crates/connection-policy/tests/resource_budget.rs
@@ -9,7 +9,10 @@
         for memory in [16, 32, 48, 192, 2_048] {
             let budget = ResourceBudget::new(descriptors, memory);
             let connections = budget.client_connections + budget.node_connections;
-            assert!(connections <= (descriptors - RESERVED_DESCRIPTORS) as usize, "{descriptors} {budget:?}");
+            assert!(
+                connections <= (descriptors - RESERVED_DESCRIPTORS) as usize,
+                "{descriptors} {budget:?}"
+            );
             let bytes = budget.client_bytes + budget.node_bytes;
             assert!(bytes as u64 <= memory * MIB / 2, "{memory} {budget:?}");
             assert!(budget.node_connections >= 1 && budget.client_connections >= 1);
@@ -17,5 +20,8 @@
     }
     // Clients use a third of the descriptors at most for requests.
     let budget = ResourceBudget::new(256, 32);
-    assert!(budget.client_connections > 256 / 2 && budget.node_connections >= 256 / 4, "{budget:?}");
+    assert!(
+        budget.client_connections > 256 / 2 && budget.node_connections >= 256 / 4,
+        "{budget:?}"
+    );
 }
--- a/crates/cow/src/consistent_cut.rs
+++ b/crates/cow/src/consistent_cut.rs
@@ -70,13 +70,19 @@
         now: Millis,
     ) -> Result<(Change, ConsistentCut), CutFailure> {
         let layer = tree.branch(branch)?.head;
-        let grant = Change::SnapshotCreated { branch: branch.into(), name: name.into(), layer };
+        let grant = Change::SnapshotCreated {
+            branch: branch.into(),
+            name: name.into(),
+            layer,
+        };
         match tree.check(&grant) {
             // The head is not frozen yet.
             Ok(()) | Err(ChangeError::LayerNotAccepting(_)) => {}
             Err(error) => return Err(error.into()),
         }
-        let freeze = Change::HeadFrozen { branch: branch.to_owned() };
+        let freeze = Change::HeadFrozen {
+            branch: branch.to_owned(),
+        };
         tree.check(&freeze)?;
         let cut = ConsistentCut {
             branch: branch.to_owned(),
@@ -98,7 +104,8 @@
 
     /// Hosts that still have to confirm. One whose lease has expired will complete no write and is not waited for.
     pub fn unquiesced_hosts(&mut self, active_hosts: &BTreeSet<String>) -> &BTreeSet<String> {
-        self.unquiesced_hosts.retain(|host| active_hosts.contains(host));
+        self.unquiesced_hosts
+            .retain(|host| active_hosts.contains(host));
         &self.unquiesced_hosts
     }
 
@@ -113,14 +120,17 @@
         self.layer = tree.branch(&self.branch).ok()?.head;
         self.unquiesced_hosts = hosts;
         self.is_stale = false;
-        Some(Change::HeadFrozen { branch: self.branch.clone() })
+        Some(Change::HeadFrozen {
+            branch: self.branch.clone(),
+        })
     }
 
     /// What is to be done now.
     #[must_use]
     pub fn progress(&self, tree: &Tree, now: Millis) -> CutProgress {
         let is_late = now >= self.deadline;
-        let hosts_failed = || CutProgress::Fail(CutFailure::HostsNotQuiesced(self.unquiesced_hosts.clone()));
+        let hosts_failed =
+            || CutProgress::Fail(CutFailure::HostsNotQuiesced(self.unquiesced_hosts.clone()));
         if self.is_stale {
             return match (is_late, self.unquiesced_hosts.is_empty()) {
                 (true, _) => hosts_failed(),
@@ -132,16 +142,20 @@
         match (unclosed.is_empty(), self.unquiesced_hosts.is_empty()) {
             (true, true) => self.grant(tree),
             (true, false) if is_late => hosts_failed(),
-            (false, _) if is_late => {
-                CutProgress::Fail(CutFailure::NodesNotClosed(unclosed.into_values().flatten().collect()))
-            }
+            (false, _) if is_late => CutProgress::Fail(CutFailure::NodesNotClosed(
+                unclosed.into_values().flatten().collect(),
+            )),
             _ => CutProgress::Wait,
         }
     }
 
     fn grant(&self, tree: &Tree) -> CutProgress {
         let (branch, name) = (self.branch.clone(), self.name.clone());
-        let change = Change::SnapshotCreated { branch, name, layer: self.layer };
+        let change = Change::SnapshotCreated {
+            branch,
+            name,
+            layer: self.layer,
+        };
         match tree.check(&change) {
             Ok(()) => CutProgress::Grant(change),
             Err(error) => CutProgress::Fail(error.into()),
@@ -163,9 +177,19 @@
 #[must_use]
 pub fn decide_completion(tree: &Tree, layer: LayerId) -> Option<CompletionDecision> {
     let reads_layer = |head: LayerId| tree.ancestors(head).any(|(id, _)| id == layer);
-    let head = tree.branches.values().map(|branch| branch.head).find(|head| reads_layer(*head))?;
+    let head = tree
+        .branches
+        .values()
+        .map(|branch| branch.head)
+        .find(|head| reads_layer(*head))?;
     let chain = tree.ancestors(head).map(|(id, _)| id);
     let frozen_layers: BTreeSet<LayerId> = chain.filter(|id| *id != head && *id >= layer).collect();
-    let snapshot_between = tree.snapshots.values().any(|snapshot| frozen_layers.contains(&snapshot.layer));
-    Some(CompletionDecision { is_granted: !snapshot_between, frozen_layers })
+    let snapshot_between = tree
+        .snapshots
+        .values()
+        .any(|snapshot| frozen_layers.contains(&snapshot.layer));
+    Some(CompletionDecision {
+        is_granted: !snapshot_between,
+        frozen_layers,
+    })
 }
--- a/crates/cow/src/copy_budget.rs
+++ b/crates/cow/src/copy_budget.rs
@@ -27,7 +27,11 @@
 
 impl Default for CopyBudget {
     fn default() -> Self {
-        CopyBudget { retries_left: MAX_RETRIES, last_probe: 0, rejected_retries: 0 }
+        CopyBudget {
+            retries_left: MAX_RETRIES,
+            last_probe: 0,
+            rejected_retries: 0,
+        }
     }
 }
 
--- a/crates/cow/src/leases.rs
+++ b/crates/cow/src/leases.rs
@@ -33,8 +33,15 @@
     /// can hold a lease.
     #[must_use]
     pub fn new(now: Millis, is_first_start: bool) -> Self {
-        let unknown_hosts_until = if is_first_start { now } else { now + LEASE_DURATION + LEASE_MARGIN };
-        HostLeases { hosts: BTreeMap::new(), unknown_hosts_until }
+        let unknown_hosts_until = if is_first_start {
+            now
+        } else {
+            now + LEASE_DURATION + LEASE_MARGIN
+        };
+        HostLeases {
+            hosts: BTreeMap::new(),
+            unknown_hosts_until,
+        }
     }
 
     /// Renews the lease of a host that acts on a version. Returns how long it may act, from when it sent its request.
@@ -69,20 +76,27 @@
     /// The known hosts that may act now.
     #[must_use]
     pub fn active_hosts(&self, now: Millis) -> BTreeSet<String> {
-        let active = self.hosts.iter().filter(|(_, lease)| now < lease.expires_at);
+        let active = self
+            .hosts
+            .iter()
+            .filter(|(_, lease)| now < lease.expires_at);
         active.map(|(host, _)| host.clone()).collect()
     }
 
     /// The hosts because of which a version is not effective yet, each with when its lease expires.
     #[must_use]
     pub fn blocking_hosts(&self, version: u64, now: Millis) -> Vec<(&str, Millis)> {
-        let blocks = |lease: &HostLease| lease.acknowledged_version < version && now < lease.expires_at;
+        let blocks =
+            |lease: &HostLease| lease.acknowledged_version < version && now < lease.expires_at;
         let blocking = self.hosts.iter().filter(|(_, lease)| blocks(lease));
-        blocking.map(|(host, lease)| (host.as_str(), lease.expires_at)).collect()
+        blocking
+            .map(|(host, lease)| (host.as_str(), lease.expires_at))
+            .collect()
     }
 
     /// Forgets hosts whose lease has long expired.
     pub fn remove_expired(&mut self, now: Millis) {
-        self.hosts.retain(|_, lease| now < lease.expires_at + LEASE_DURATION);
+        self.hosts
+            .retain(|_, lease| now < lease.expires_at + LEASE_DURATION);
     }
 }
--- a/crates/cow/src/messages.rs
+++ b/crates/cow/src/messages.rs
@@ -16,7 +16,10 @@
 
 impl From<(u64, u64)> for TreeVersion {
     fn from((catalog_id, version): (u64, u64)) -> TreeVersion {
-        TreeVersion { catalog_id, version }
+        TreeVersion {
+            catalog_id,
+            version,
+        }
     }
 }
 
@@ -183,12 +186,22 @@
 
 /// The messages that send a full tree to a host.
 pub fn full_tree_messages(catalog_id: u64, tree: &Tree) -> impl Iterator<Item = ToHost> + '_ {
-    let begin = ToHost::FullTree { catalog_id, tree: Box::new(tree.without_locations()) };
+    let begin = ToHost::FullTree {
+        catalog_id,
+        tree: Box::new(tree.without_locations()),
+    };
     let locations = tree.layers.iter().flat_map(|(layer_id, layer)| {
         let entries: Vec<ExtentLocation> = layer.extent_locations().collect();
-        let message =
-            |part: &[ExtentLocation]| ToHost::Locations { layer: *layer_id, locations: part.to_vec() };
-        entries.chunks(LOCATIONS_PER_MESSAGE).map(message).collect::<Vec<_>>()
+        let message = |part: &[ExtentLocation]| ToHost::Locations {
+            layer: *layer_id,
+            locations: part.to_vec(),
+        };
+        entries
+            .chunks(LOCATIONS_PER_MESSAGE)
+            .map(message)
+            .collect::<Vec<_>>()
     });
-    std::iter::once(begin).chain(locations).chain([ToHost::FullTreeEnd])
+    std::iter::once(begin)
+        .chain(locations)
+        .chain([ToHost::FullTreeEnd])
 }
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -64,7 +64,12 @@
         for extent in tree.newly_unreachable(effects) {
             self.enqueue(tree.version, extent);
         }
-        self.maybe_empty.extend(effects.layers.iter().filter(|layer| tree.is_removable(**layer)));
+        self.maybe_empty.extend(
+            effects
+                .layers
+                .iter()
+                .filter(|layer| tree.is_removable(**layer)),
+        );
     }
 
     /// The next batch to release.
@@ -87,7 +92,9 @@
             if self.in_flight.len() >= BATCH_SIZE {
                 break;
             }
-            let Some(entry) = self.ready.pop_front_if(|entry| now >= entry.effective_at + max_in_flight)
+            let Some(entry) = self
+                .ready
+                .pop_front_if(|entry| now >= entry.effective_at + max_in_flight)
             else {
                 break;
             };
@@ -100,9 +107,16 @@
 
     /// Moves on the locations whose version has become effective.
     fn promote_effective(&mut self, leases: &HostLeases, now: Millis) {
-        while let Some(entry) = self.waiting.pop_front_if(|entry| leases.is_effective(entry.version, now)) {
+        while let Some(entry) = self
+            .waiting
+            .pop_front_if(|entry| leases.is_effective(entry.version, now))
+        {
             let Unreachable { version, extent } = entry;
-            self.ready.push_back(Ready { effective_at: now, version, extent });
+            self.ready.push_back(Ready {
+                effective_at: now,
+                version,
+                extent,
+            });
         }
     }
 
@@ -114,7 +128,11 @@
         entry: &Ready,
         now: Millis,
     ) -> Option<LayerExtent> {
-        let Ready { version, extent: layer_extent, .. } = *entry;
+        let Ready {
+            version,
+            extent: layer_extent,
+            ..
+        } = *entry;
         if self.unreachable_since.get(&layer_extent) != Some(&version) {
             return None;
         }
@@ -125,7 +143,11 @@
             return None;
         }
         if !tree.is_unreachable(layer, extent, retained) {
-            self.ready.push_back(Ready { effective_at: now, version, extent: layer_extent });
+            self.ready.push_back(Ready {
+                effective_at: now,
+                version,
+                extent: layer_extent,
+            });
             return None;
         }
         self.in_flight.insert(layer_extent).then_some(layer_extent)
@@ -142,13 +164,18 @@
         if self.in_flight.remove(&extent)
             && let Some(version) = self.unreachable_since.get(&extent)
         {
-            self.ready.push_back(Ready { effective_at: now, version: *version, extent });
+            self.ready.push_back(Ready {
+                effective_at: now,
+                version: *version,
+                extent,
+            });
         }
     }
 
     /// Empty layers that nothing refers to.
     pub fn removable_layers(&mut self, tree: &Tree, retained: &BTreeSet<LayerId>) -> Vec<LayerId> {
-        self.maybe_empty.retain(|layer| tree.layers.contains_key(layer) && !tree.is_referenced(*layer));
+        self.maybe_empty
+            .retain(|layer| tree.layers.contains_key(layer) && !tree.is_referenced(*layer));
         let removable = |layer: &LayerId| tree.is_removable(*layer) && !retained.contains(layer);
         self.maybe_empty.iter().copied().filter(removable).collect()
     }
--- a/crates/cow/src/split_write.rs
+++ b/crates/cow/src/split_write.rs
@@ -53,7 +53,12 @@
 
     /// Whether a part may be sent into a layer. `in_flight_elsewhere`: another part is in flight to a different layer.
     #[must_use]
-    pub fn admit(&mut self, into: LayerId, in_flight_elsewhere: bool, now: Millis) -> PartAdmission {
+    pub fn admit(
+        &mut self,
+        into: LayerId,
+        in_flight_elsewhere: bool,
+        now: Millis,
+    ) -> PartAdmission {
         if in_flight_elsewhere {
             return PartAdmission::Wait;
         }
@@ -63,9 +68,10 @@
         match self.permission {
             Permission::Granted { into: granted } if granted == into => PartAdmission::Send,
             Permission::Refused => PartAdmission::Reject,
-            Permission::Requested { at, into: requested } if requested == into && now < at + RESEND_AFTER => {
-                PartAdmission::Wait
-            }
+            Permission::Requested {
+                at,
+                into: requested,
+            } if requested == into && now < at + RESEND_AFTER => PartAdmission::Wait,
             _ => {
                 self.permission = Permission::Requested { at: now, into };
                 PartAdmission::RequestPermission(older)
@@ -78,7 +84,11 @@
         if let (true, Permission::Requested { into, .. }) =
             (self.oldest_layer == Some(layer), self.permission)
         {
-            self.permission = if granted { Permission::Granted { into } } else { Permission::Refused };
+            self.permission = if granted {
+                Permission::Granted { into }
+            } else {
+                Permission::Refused
+            };
         }
     }
 
--- a/crates/cow/src/tree/apply.rs
+++ b/crates/cow/src/tree/apply.rs
@@ -1,5 +1,7 @@
 //! The tree after a change.
-use super::{Branch, Change, ChangeEffects, ChangeError, FIRST_LAYER_ID, Layer, LayerId, Snapshot, Tree};
+use super::{
+    Branch, Change, ChangeEffects, ChangeError, FIRST_LAYER_ID, Layer, LayerId, Snapshot, Tree,
+};
 
 impl Tree {
     /// Applies a change and returns what it has affected.
@@ -12,15 +14,28 @@
         self.version += 1;
         let mut effects = ChangeEffects::default();
         match change {
-            Change::BranchCreated { branch, extent_count } => {
+            Change::BranchCreated {
+                branch,
+                extent_count,
+            } => {
                 self.add_branch(branch, None, *extent_count, None, &mut effects);
             }
-            Change::SlotsAllocated { layer, first, count } => {
+            Change::SlotsAllocated {
+                layer,
+                first,
+                count,
+            } => {
                 self.checked_layer(*layer).next_slot = first + count;
                 effects.layers.insert(*layer);
             }
-            Change::ExtentPlaced { layer, extent, location } => {
-                self.checked_layer(*layer).locations.insert(*extent, *location);
+            Change::ExtentPlaced {
+                layer,
+                extent,
+                location,
+            } => {
+                self.checked_layer(*layer)
+                    .locations
+                    .insert(*extent, *location);
                 self.index.add_location(*layer, location.node);
                 effects.locations.push((*layer, *extent));
                 effects.placed = Some((*layer, *extent));
@@ -37,12 +52,26 @@
                 self.checked_layer(*layer).closed_nodes.insert(*node);
                 effects.layers.insert(*layer);
             }
-            Change::SnapshotCreated { branch, name, layer } => {
+            Change::SnapshotCreated {
+                branch,
+                name,
+                layer,
+            } => {
                 self.add_snapshot(branch, name, *layer, &mut effects);
             }
             Change::CloneCreated { snapshot, branch } => {
-                let Snapshot { layer, extent_count, .. } = self.snapshots[snapshot];
-                self.add_branch(branch, Some(layer), extent_count, Some(snapshot.clone()), &mut effects);
+                let Snapshot {
+                    layer,
+                    extent_count,
+                    ..
+                } = self.snapshots[snapshot];
+                self.add_branch(
+                    branch,
+                    Some(layer),
+                    extent_count,
+                    Some(snapshot.clone()),
+                    &mut effects,
+                );
             }
             Change::BranchRolledBack { branch, snapshot } => {
                 let parent = self.snapshots[snapshot].layer;
@@ -50,7 +79,9 @@
             }
             Change::SnapshotDeleted { snapshot } => self.delete_snapshot(snapshot, &mut effects),
             Change::BranchDeleted { branch } => self.delete_branch(branch, &mut effects),
-            Change::ExtentsReclaimed { layer, extents } => self.reclaim(*layer, extents, &mut effects),
+            Change::ExtentsReclaimed { layer, extents } => {
+                self.reclaim(*layer, extents, &mut effects)
+            }
         }
         Ok(effects)
     }
@@ -68,7 +99,13 @@
     fn add_layer(&mut self, parent: Option<LayerId>, effects: &mut ChangeEffects) -> LayerId {
         let id = FIRST_LAYER_ID + self.layers_created;
         self.layers_created += 1;
-        self.layers.insert(id, Layer { parent, ..Layer::default() });
+        self.layers.insert(
+            id,
+            Layer {
+                parent,
+                ..Layer::default()
+            },
+        );
         self.index.add_layer(id, parent);
         effects.layers.insert(id);
         id
@@ -85,14 +122,30 @@
         let head = self.add_layer(parent, effects);
         self.index.add_reference(head);
         effects.branches.push(name.to_owned());
-        let branch = Branch { head, lun: self.assign_lun(), extent_count, origin };
+        let branch = Branch {
+            head,
+            lun: self.assign_lun(),
+            extent_count,
+            origin,
+        };
         self.branches.insert(name.to_owned(), branch);
     }
 
-    fn add_snapshot(&mut self, branch: &str, name: &str, layer: LayerId, effects: &mut ChangeEffects) {
+    fn add_snapshot(
+        &mut self,
+        branch: &str,
+        name: &str,
+        layer: LayerId,
+        effects: &mut ChangeEffects,
+    ) {
         let extent_count = self.branches[branch].extent_count;
         let lun = self.assign_lun();
-        let snapshot = Snapshot { branch: branch.to_owned(), lun, layer, extent_count };
+        let snapshot = Snapshot {
+            branch: branch.to_owned(),
+            lun,
+            layer,
+            extent_count,
+        };
         self.index.add_reference(layer);
         let full_name = format!("{branch}@{name}");
         effects.snapshots.push(full_name.clone());
@@ -121,7 +174,11 @@
     }
 
     fn delete_snapshot(&mut self, name: &str, effects: &mut ChangeEffects) {
-        let layer = self.snapshots.remove(name).expect("check has found the snapshot").layer;
+        let layer = self
+            .snapshots
+            .remove(name)
+            .expect("check has found the snapshot")
+            .layer;
         self.index.remove_reference(layer);
         effects.layers.insert(layer);
         effects.snapshots.push(name.to_owned());
@@ -129,14 +186,21 @@
     }
 
     fn delete_branch(&mut self, name: &str, effects: &mut ChangeEffects) {
-        let head = self.branches.remove(name).expect("check has found the branch").head;
+        let head = self
+            .branches
+            .remove(name)
+            .expect("check has found the branch")
+            .head;
         self.freeze_head(head, effects);
         effects.branches.push(name.to_owned());
         effects.dereferenced = Some(head);
     }
 
     fn reclaim(&mut self, layer_id: LayerId, extents: &[u32], effects: &mut ChangeEffects) {
-        let layer = self.layers.get_mut(&layer_id).expect("check has found the layer");
+        let layer = self
+            .layers
+            .get_mut(&layer_id)
+            .expect("check has found the layer");
         for extent in extents {
             if let Some(location) = layer.locations.remove(extent) {
                 self.index.remove_location(layer_id, location.node);
@@ -154,7 +218,10 @@
         let parent = self.layers.remove(&layer_id).and_then(|layer| layer.parent);
         effects.layers.insert(layer_id);
         for child in self.index.remove_layer(layer_id, parent) {
-            self.layers.get_mut(&child).expect("children are layers").parent = parent;
+            self.layers
+                .get_mut(&child)
+                .expect("children are layers")
+                .parent = parent;
             effects.layers.insert(child);
         }
     }
--- a/crates/cow/src/tree/consistency.rs
+++ b/crates/cow/src/tree/consistency.rs
@@ -47,7 +47,13 @@
     #[must_use]
     pub fn inconsistencies(&self) -> Vec<Inconsistency> {
         let mut found = Vec::new();
-        if self.index != Index::build(&self.layers, self.branches.values(), self.snapshots.values()) {
+        if self.index
+            != Index::build(
+                &self.layers,
+                self.branches.values(),
+                self.snapshots.values(),
+            )
+        {
             found.push(Inconsistency::StaleIndex);
         }
         for (id, layer) in &self.layers {
@@ -76,16 +82,26 @@
         let mut seen = BTreeSet::new();
         for (extent, location) in &layer.locations {
             if location.slot >= layer.next_slot {
-                found.push(Inconsistency::SlotNotAllocated { layer: id, extent: *extent });
+                found.push(Inconsistency::SlotNotAllocated {
+                    layer: id,
+                    extent: *extent,
+                });
             }
             if !seen.insert(location) {
-                found.push(Inconsistency::SharedLocation { layer: id, extent: *extent });
+                found.push(Inconsistency::SharedLocation {
+                    layer: id,
+                    extent: *extent,
+                });
             }
         }
     }
 
     fn check_granted(&self, name: &str, snapshot: &Snapshot) -> Option<Inconsistency> {
-        if !self.layers.get(&snapshot.layer).is_some_and(|layer| layer.frozen) {
+        if !self
+            .layers
+            .get(&snapshot.layer)
+            .is_some_and(|layer| layer.frozen)
+        {
             return Some(Inconsistency::SnapshotNotFrozen(name.to_owned()));
         }
         let closed = self.unclosed_nodes(snapshot.layer).is_empty();
--- a/crates/cow/src/tree/index.rs
+++ b/crates/cow/src/tree/index.rs
@@ -23,7 +23,10 @@
         snapshots.for_each(|snapshot| index.add_reference(snapshot.layer));
         for (id, layer) in layers {
             index.add_layer(*id, layer.parent);
-            layer.locations.values().for_each(|location| index.add_location(*id, location.node));
+            layer
+                .locations
+                .values()
+                .for_each(|location| index.add_location(*id, location.node));
         }
         index
     }
@@ -52,7 +55,11 @@
     }
 
     /// Removes a layer. Its children, which are returned, become those of its parent.
-    pub(super) fn remove_layer(&mut self, layer: LayerId, parent: Option<LayerId>) -> BTreeSet<LayerId> {
+    pub(super) fn remove_layer(
+        &mut self,
+        layer: LayerId,
+        parent: Option<LayerId>,
+    ) -> BTreeSet<LayerId> {
         let moved = self.children.remove(&layer).unwrap_or_default();
         self.locations_by_node.remove(&layer);
         if let Some(parent) = parent
@@ -72,11 +79,18 @@
     }
 
     pub(super) fn add_location(&mut self, layer: LayerId, node: u32) {
-        *self.locations_by_node.entry(layer).or_default().entry(node).or_default() += 1;
+        *self
+            .locations_by_node
+            .entry(layer)
+            .or_default()
+            .entry(node)
+            .or_default() += 1;
     }
 
     pub(super) fn remove_location(&mut self, layer: LayerId, node: u32) {
-        let Some(nodes) = self.locations_by_node.get_mut(&layer) else { return };
+        let Some(nodes) = self.locations_by_node.get_mut(&layer) else {
+            return;
+        };
         if let Some(count) = nodes.get_mut(&node) {
             *count -= 1;
             if *count == 0 {
@@ -90,6 +104,9 @@
 
     /// Nodes that hold locations of a layer.
     pub(super) fn nodes(&self, layer: LayerId) -> impl Iterator<Item = u32> + '_ {
-        self.locations_by_node.get(&layer).into_iter().flat_map(|nodes| nodes.keys().copied())
+        self.locations_by_node
+            .get(&layer)
+            .into_iter()
+            .flat_map(|nodes| nodes.keys().copied())
     }
 }
--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -25,8 +25,8 @@
 pub use consistency::Inconsistency;
 pub use error::ChangeError;
 pub use model::{
-    Branch, ExtentLocation, FIRST_LAYER_ID, LAST_LAYER_ID, Layer, LayerExtent, LayerId, Location, Snapshot,
-    TreeData,
+    Branch, ExtentLocation, FIRST_LAYER_ID, LAST_LAYER_ID, Layer, LayerExtent, LayerId, Location,
+    Snapshot, TreeData,
 };
 
 use index::Index;
@@ -57,9 +57,24 @@
 
 impl From<TreeData> for Tree {
     fn from(data: TreeData) -> Tree {
-        let TreeData { version, layers, branches, snapshots, layers_created, luns_assigned } = data;
+        let TreeData {
+            version,
+            layers,
+            branches,
+            snapshots,
+            layers_created,
+            luns_assigned,
+        } = data;
         let index = Index::build(&layers, branches.values(), snapshots.values());
-        Tree { version, layers, branches, snapshots, layers_created, luns_assigned, index }
+        Tree {
+            version,
+            layers,
+            branches,
+            snapshots,
+            layers_created,
+            luns_assigned,
+            index,
+        }
     }
 }
 
@@ -93,7 +108,11 @@
         };
         let data = TreeData {
             version: self.version,
-            layers: self.layers.iter().map(|(id, layer)| (*id, empty(layer))).collect(),
+            layers: self
+                .layers
+                .iter()
+                .map(|(id, layer)| (*id, empty(layer)))
+                .collect(),
             branches: self.branches.clone(),
             snapshots: self.snapshots.clone(),
             layers_created: self.layers_created,
@@ -104,10 +123,20 @@
 
     /// Adds locations to a tree that was sent without them. False: there is no such layer.
     #[must_use]
-    pub(crate) fn insert_locations(&mut self, layer_id: LayerId, locations: &[ExtentLocation]) -> bool {
-        let Some(layer) = self.layers.get_mut(&layer_id) else { return false };
+    pub(crate) fn insert_locations(
+        &mut self,
+        layer_id: LayerId,
+        locations: &[ExtentLocation],
+    ) -> bool {
+        let Some(layer) = self.layers.get_mut(&layer_id) else {
+            return false;
+        };
         for entry in locations {
-            if layer.locations.insert(entry.extent, entry.location).is_none() {
+            if layer
+                .locations
+                .insert(entry.extent, entry.location)
+                .is_none()
+            {
                 self.index.add_location(layer_id, entry.location.node);
             }
             if entry.writable {
@@ -123,7 +152,9 @@
     ///
     /// [`ChangeError::NoSuchBranch`].
     pub fn branch(&self, name: &str) -> Result<&Branch, ChangeError> {
-        self.branches.get(name).ok_or_else(|| ChangeError::NoSuchBranch(name.to_owned()))
+        self.branches
+            .get(name)
+            .ok_or_else(|| ChangeError::NoSuchBranch(name.to_owned()))
     }
 
     /// A snapshot by its full name, `branch@name`.
@@ -132,7 +163,9 @@
     ///
     /// [`ChangeError::NoSuchSnapshot`].
     pub fn snapshot(&self, name: &str) -> Result<&Snapshot, ChangeError> {
-        self.snapshots.get(name).ok_or_else(|| ChangeError::NoSuchSnapshot(name.to_owned()))
+        self.snapshots
+            .get(name)
+            .ok_or_else(|| ChangeError::NoSuchSnapshot(name.to_owned()))
     }
 
     fn layer(&self, id: LayerId) -> Result<&Layer, ChangeError> {
@@ -160,7 +193,8 @@
     /// The location of an extent as read through a layer: the nearest one. None: the extent was never written.
     #[must_use]
     pub fn locate(&self, from: LayerId, extent: u32) -> Option<(LayerId, Location)> {
-        self.ancestors(from).find_map(|(id, layer)| Some((id, *layer.locations.get(&extent)?)))
+        self.ancestors(from)
+            .find_map(|(id, layer)| Some((id, *layer.locations.get(&extent)?)))
     }
 
     /// The nodes that hold locations read through a layer and may still take writes to them, by the layer that they
@@ -178,8 +212,14 @@
     }
 
     /// Nodes that hold locations of a layer and have not closed it.
-    fn nodes_not_closed<'a>(&'a self, id: LayerId, layer: &'a Layer) -> impl Iterator<Item = u32> + 'a {
-        self.index.nodes(id).filter(|node| !layer.closed_nodes.contains(node))
+    fn nodes_not_closed<'a>(
+        &'a self,
+        id: LayerId,
+        layer: &'a Layer,
+    ) -> impl Iterator<Item = u32> + 'a {
+        self.index
+            .nodes(id)
+            .filter(|node| !layer.closed_nodes.contains(node))
     }
 
     /// Every frozen layer with the nodes that still have to close it. Until they have, no extent can be copied from
@@ -192,6 +232,8 @@
     /// Extents below `extent_count` that are found at different locations through two layers.
     #[must_use]
     pub fn diff(&self, a: LayerId, b: LayerId, extent_count: u32) -> Vec<u32> {
-        (0..extent_count).filter(|extent| self.locate(a, *extent) != self.locate(b, *extent)).collect()
+        (0..extent_count)
+            .filter(|extent| self.locate(a, *extent) != self.locate(b, *extent))
+            .collect()
     }
 }
--- a/crates/cow/src/tree/model.rs
+++ b/crates/cow/src/tree/model.rs
@@ -36,7 +36,11 @@
 
 impl From<(u32, Location, bool)> for ExtentLocation {
     fn from((extent, location, writable): (u32, Location, bool)) -> ExtentLocation {
-        ExtentLocation { extent, location, writable }
+        ExtentLocation {
+            extent,
+            location,
+            writable,
+        }
     }
 }
 
@@ -70,11 +74,13 @@
 impl Layer {
     /// The locations of the layer with whether they may be written, in order of extents.
     pub(crate) fn extent_locations(&self) -> impl Iterator<Item = ExtentLocation> + '_ {
-        self.locations.iter().map(|(extent, location)| ExtentLocation {
-            extent: *extent,
-            location: *location,
-            writable: self.writable.contains(extent),
-        })
+        self.locations
+            .iter()
+            .map(|(extent, location)| ExtentLocation {
+                extent: *extent,
+                location: *location,
+                writable: self.writable.contains(extent),
+            })
     }
 }
 
--- a/crates/cow/src/tree/reachability.rs
+++ b/crates/cow/src/tree/reachability.rs
@@ -12,14 +12,22 @@
     /// Whether a layer holds no location and nothing refers to it: it may be removed.
     #[must_use]
     pub fn is_removable(&self, layer_id: LayerId) -> bool {
-        let empty = self.layers.get(&layer_id).is_some_and(|layer| layer.locations.is_empty());
+        let empty = self
+            .layers
+            .get(&layer_id)
+            .is_some_and(|layer| layer.locations.is_empty());
         empty && !self.is_referenced(layer_id)
     }
 
     /// Whether an extent has a location in a layer that no branch and no snapshot reads. `retained`: layers that may yet become
     /// snapshots, which count as if they were.
     #[must_use]
-    pub fn is_unreachable(&self, layer: LayerId, extent: u32, retained: &BTreeSet<LayerId>) -> bool {
+    pub fn is_unreachable(
+        &self,
+        layer: LayerId,
+        extent: u32,
+        retained: &BTreeSet<LayerId>,
+    ) -> bool {
         let is_read = |id: LayerId| self.is_referenced(id) || retained.contains(&id);
         if !self.has_location(layer, extent) || is_read(layer) {
             return false;
@@ -39,7 +47,9 @@
     }
 
     fn has_location(&self, layer_id: LayerId, extent: u32) -> bool {
-        self.layers.get(&layer_id).is_some_and(|layer| layer.locations.contains_key(&extent))
+        self.layers
+            .get(&layer_id)
+            .is_some_and(|layer| layer.locations.contains_key(&extent))
     }
 
     /// All extents with an unreachable location, by layer. A layer with an empty set has no locations and may be removed
@@ -48,10 +58,15 @@
     pub fn unreachable_extents(&self) -> BTreeMap<LayerId, BTreeSet<u32>> {
         let none_retained = BTreeSet::new();
         let mut found = BTreeMap::new();
-        for (id, layer) in self.layers.iter().filter(|(id, _)| !self.is_referenced(**id)) {
+        for (id, layer) in self
+            .layers
+            .iter()
+            .filter(|(id, _)| !self.is_referenced(**id))
+        {
             let unreachable = layer.locations.keys().copied();
-            let unreachable: BTreeSet<u32> =
-                unreachable.filter(|extent| self.is_unreachable(*id, *extent, &none_retained)).collect();
+            let unreachable: BTreeSet<u32> = unreachable
+                .filter(|extent| self.is_unreachable(*id, *extent, &none_retained))
+                .collect();
             if !unreachable.is_empty() || layer.locations.is_empty() {
                 found.insert(*id, unreachable);
             }
@@ -73,9 +88,13 @@
         }
         if let Some(from) = effects.dereferenced {
             // What is read through a referenced ancestor stays readable through it.
-            for (id, layer) in self.ancestors(from).take_while(|(id, _)| !self.is_referenced(*id)) {
+            for (id, layer) in self
+                .ancestors(from)
+                .take_while(|(id, _)| !self.is_referenced(*id))
+            {
                 let extents = layer.locations.keys().copied();
-                let unreachable = extents.filter(|extent| self.is_unreachable(id, *extent, &none_retained));
+                let unreachable =
+                    extents.filter(|extent| self.is_unreachable(id, *extent, &none_retained));
                 found.extend(unreachable.map(|extent| (id, extent)));
             }
         }
--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -22,17 +22,27 @@
     pub fn check(&self, change: &Change) -> Result<(), ChangeError> {
         match change {
             Change::BranchCreated { branch, .. } => self.check_new_branch(branch),
-            Change::SlotsAllocated { layer, first, count } => self.check_slots(*layer, *first, *count),
-            Change::ExtentPlaced { layer, extent, location } => {
-                self.check_placement(*layer, *extent, *location)
-            }
+            Change::SlotsAllocated {
+                layer,
+                first,
+                count,
+            } => self.check_slots(*layer, *first, *count),
+            Change::ExtentPlaced {
+                layer,
+                extent,
+                location,
+            } => self.check_placement(*layer, *extent, *location),
             Change::ExtentWritable { layer, extent } => self.check_writable(*layer, *extent),
             Change::HeadFrozen { branch } => {
                 self.branch(branch)?;
                 self.check_layer_ids_left()
             }
             Change::LayerClosed { layer, .. } => self.check_frozen(*layer),
-            Change::SnapshotCreated { branch, name, layer } => self.check_snapshot(branch, name, *layer),
+            Change::SnapshotCreated {
+                branch,
+                name,
+                layer,
+            } => self.check_snapshot(branch, name, *layer),
             Change::CloneCreated { snapshot, branch } => {
                 self.snapshot(snapshot)?;
                 self.check_new_branch(branch)
@@ -82,12 +92,20 @@
         Ok(())
     }
 
-    fn check_placement(&self, layer_id: LayerId, extent: u32, location: Location) -> Result<(), ChangeError> {
+    fn check_placement(
+        &self,
+        layer_id: LayerId,
+        extent: u32,
+        location: Location,
+    ) -> Result<(), ChangeError> {
         let layer = self.layer(layer_id)?;
         if let Some(first) = layer.locations.get(&extent) {
             return Err(ChangeError::AlreadyPlaced(*first));
         }
-        let branch = self.branches.values().find(|branch| branch.head == layer_id);
+        let branch = self
+            .branches
+            .values()
+            .find(|branch| branch.head == layer_id);
         let branch = branch.ok_or(ChangeError::LayerNotAccepting(layer_id))?;
         if extent >= branch.extent_count || location.slot >= layer.next_slot {
             return Err(ChangeError::OutOfRange);
@@ -111,10 +129,19 @@
     }
 
     fn check_frozen(&self, layer_id: LayerId) -> Result<(), ChangeError> {
-        if self.layer(layer_id)?.frozen { Ok(()) } else { Err(ChangeError::LayerNotAccepting(layer_id)) }
+        if self.layer(layer_id)?.frozen {
+            Ok(())
+        } else {
+            Err(ChangeError::LayerNotAccepting(layer_id))
+        }
     }
 
-    fn check_snapshot(&self, branch: &str, name: &str, layer_id: LayerId) -> Result<(), ChangeError> {
+    fn check_snapshot(
+        &self,
+        branch: &str,
+        name: &str,
+        layer_id: LayerId,
+    ) -> Result<(), ChangeError> {
         check_name(name)?;
         self.branch(branch)?;
         let full_name = format!("{branch}@{name}");
@@ -137,7 +164,11 @@
 
     fn check_branch_deletion(&self, branch: &str) -> Result<(), ChangeError> {
         self.branch(branch)?;
-        match self.snapshots.iter().find(|(_, snapshot)| snapshot.branch == branch) {
+        match self
+            .snapshots
+            .iter()
+            .find(|(_, snapshot)| snapshot.branch == branch)
+        {
             Some((name, _)) => Err(ChangeError::StillInUse(name.clone())),
             None => Ok(()),
         }
@@ -149,8 +180,14 @@
         let allowed = if extents.is_empty() {
             self.is_removable(layer_id)
         } else {
-            extents.iter().all(|extent| self.is_unreachable(layer_id, *extent, &none_retained))
+            extents
+                .iter()
+                .all(|extent| self.is_unreachable(layer_id, *extent, &none_retained))
         };
-        if allowed { Ok(()) } else { Err(ChangeError::LayerNotAccepting(layer_id)) }
+        if allowed {
+            Ok(())
+        } else {
+            Err(ChangeError::LayerNotAccepting(layer_id))
+        }
     }
 }
--- a/crates/cow/src/tree_replica.rs
+++ b/crates/cow/src/tree_replica.rs
@@ -70,7 +70,10 @@
     #[must_use]
     pub fn known(&self) -> Option<TreeVersion> {
         let tree = self.tree.as_ref()?;
-        Some(TreeVersion { catalog_id: self.catalog_id, version: tree.version })
+        Some(TreeVersion {
+            catalog_id: self.catalog_id,
+            version: tree.version,
+        })
     }
 
     /// A full tree begins to arrive, without locations.
@@ -81,13 +84,17 @@
     /// Locations of the tree that is arriving. False: they do not belong to it.
     #[must_use]
     pub fn add_locations(&mut self, layer: LayerId, locations: &[ExtentLocation]) -> bool {
-        self.incoming.as_mut().is_some_and(|incoming| incoming.tree.insert_locations(layer, locations))
+        self.incoming
+            .as_mut()
+            .is_some_and(|incoming| incoming.tree.insert_locations(layer, locations))
     }
 
     /// The tree that was arriving is complete and is used from now on. False: none was arriving.
     #[must_use]
     pub fn finish_full_tree(&mut self) -> bool {
-        let Some(IncomingTree { catalog_id, tree }) = self.incoming.take() else { return false };
+        let Some(IncomingTree { catalog_id, tree }) = self.incoming.take() else {
+            return false;
+        };
         if catalog_id != self.catalog_id {
             // The slots were allocated by another catalog, and are invalid at this one.
             self.slots.clear();
@@ -106,7 +113,8 @@
     /// Uses another tree from now on.
     pub fn replace_tree(&mut self, tree: Tree) {
         // Slots allocated before still belong to this host; those of frozen and removed layers are of no use.
-        self.slots.retain(|layer, _| tree.layers.get(layer).is_some_and(|layer| !layer.frozen));
+        self.slots
+            .retain(|layer, _| tree.layers.get(layer).is_some_and(|layer| !layer.frozen));
         self.clear_lookups();
         self.tree = Some(tree);
     }
@@ -119,14 +127,18 @@
     /// Applies one change. False: it does not follow what is known, so the full tree has to be requested.
     #[must_use]
     pub fn apply_change(&mut self, version: u64, change: &Change) -> bool {
-        let Some(tree) = &mut self.tree else { return false };
+        let Some(tree) = &mut self.tree else {
+            return false;
+        };
         if version <= tree.version {
             return true;
         }
         let old_head = match change {
             Change::HeadFrozen { branch }
             | Change::BranchRolledBack { branch, .. }
-            | Change::BranchDeleted { branch } => tree.branches.get(branch).map(|branch| branch.head),
+            | Change::BranchDeleted { branch } => {
+                tree.branches.get(branch).map(|branch| branch.head)
+            }
             _ => None,
         };
         if version != tree.version + 1 || tree.apply(change).is_err() {
@@ -142,12 +154,20 @@
             // The new head shows what the old one did.
             Change::HeadFrozen { branch } => {
                 let lookups = old_head.and_then(|head| self.lookups.remove(&head));
-                let new_head = self.tree.as_ref().and_then(|tree| tree.branches.get(branch)).map(|b| b.head);
+                let new_head = self
+                    .tree
+                    .as_ref()
+                    .and_then(|tree| tree.branches.get(branch))
+                    .map(|b| b.head);
                 if let (Some(lookups), Some(head)) = (lookups, new_head) {
                     self.lookups.insert(head, lookups);
                 }
             }
-            Change::ExtentPlaced { layer, extent, location } => {
+            Change::ExtentPlaced {
+                layer,
+                extent,
+                location,
+            } => {
                 if let Some(lookups) = self.lookups.get_mut(layer) {
                     lookups.insert(*extent, Some((*layer, *location)));
                 }
@@ -176,7 +196,9 @@
     pub fn renewal_due(&mut self, now: Millis) -> bool {
         let due = self.tree.is_some()
             && now + RENEWAL_LEAD >= self.lease_expires_at
-            && self.renewal_sent_at.is_none_or(|sent_at| now >= sent_at + RENEWAL_RETRY);
+            && self
+                .renewal_sent_at
+                .is_none_or(|sent_at| now >= sent_at + RENEWAL_RETRY);
         if due {
             self.renewal_sent_at = Some(now);
         }
@@ -210,7 +232,9 @@
         let Some(tree) = self.tree.as_ref().filter(|_| now < self.lease_expires_at) else {
             return Lookup::NoLease;
         };
-        let Some(head) = tree.layer_read_by(name) else { return Lookup::UnknownName };
+        let Some(head) = tree.layer_read_by(name) else {
+            return Lookup::UnknownName;
+        };
         let lookups = self.lookups.entry(head).or_default();
         let found = *lookups.entry(extent).or_insert_with(|| {
             self.cached_lookups += 1;
@@ -218,7 +242,10 @@
         });
         match found {
             None if !is_write => Lookup::Zeros,
-            None => Lookup::CopyFirst { into: head, from: None },
+            None => Lookup::CopyFirst {
+                into: head,
+                from: None,
+            },
             Some((layer, location)) if !is_write => Lookup::Found(layer, location),
             Some((layer, location)) => write_target(tree, head, extent, layer, location),
         }
@@ -228,13 +255,18 @@
     #[must_use]
     pub fn needs_slots(&self, layer: LayerId) -> bool {
         let ranges = self.slots.get(&layer);
-        let left: usize = ranges.map_or(0, |ranges| ranges.iter().map(|r| (r.end - r.start) as usize).sum());
+        let left: usize = ranges.map_or(0, |ranges| {
+            ranges.iter().map(|r| (r.end - r.start) as usize).sum()
+        });
         left < SLOTS_LOW_WATERMARK
     }
 
     /// The catalog has allocated slots of a layer to this host.
     pub fn add_slots(&mut self, layer: LayerId, first: u32, count: u32) {
-        self.slots.entry(layer).or_default().push(first..first + count);
+        self.slots
+            .entry(layer)
+            .or_default()
+            .push(first..first + count);
     }
 
     /// A slot of a layer that no attempt has used yet.
@@ -251,13 +283,30 @@
 }
 
 /// The target of a write to an extent that was found in a layer, for a branch with this head.
-fn write_target(tree: &Tree, head: LayerId, extent: u32, layer: LayerId, location: Location) -> Lookup {
+fn write_target(
+    tree: &Tree,
+    head: LayerId,
+    extent: u32,
+    layer: LayerId,
+    location: Location,
+) -> Lookup {
     if layer == head {
         // Until every host reads the extent here, a write would be missed by one that reads it elsewhere.
         let is_writable = tree.layers[&layer].writable.contains(&extent);
-        return if is_writable { Lookup::Found(layer, location) } else { Lookup::Blocked };
+        return if is_writable {
+            Lookup::Found(layer, location)
+        } else {
+            Lookup::Blocked
+        };
     }
     // A copy taken before its node has closed the layer could miss a late write.
     let is_closed = tree.layers[&layer].closed_nodes.contains(&location.node);
-    if is_closed { Lookup::CopyFirst { into: head, from: Some((layer, location)) } } else { Lookup::Blocked }
+    if is_closed {
+        Lookup::CopyFirst {
+            into: head,
+            from: Some((layer, location)),
+        }
+    } else {
+        Lookup::Blocked
+    }
 }
--- a/crates/cow/tests/copy_budget.rs
+++ b/crates/cow/tests/copy_budget.rs
@@ -11,10 +11,15 @@
 #[test]
 fn retries_are_bounded_by_the_budget_and_then_probe() {
     let mut budget = CopyBudget::default();
-    let started = (0..1_000).filter(|now| budget.may_start(0, true, 1_000 + now)).count();
+    let started = (0..1_000)
+        .filter(|now| budget.may_start(0, true, 1_000 + now))
+        .count();
     assert_eq!(started, MAX_CONCURRENT_COPIES + 4);
     assert_eq!(budget.rejected_retries, 1_000 - started as u64);
-    assert!(budget.may_start(0, false, 2_000), "a first attempt takes nothing from the budget");
+    assert!(
+        budget.may_start(0, false, 2_000),
+        "a first attempt takes nothing from the budget"
+    );
 }
 
 #[test]
@@ -27,5 +32,10 @@
     (0..2).for_each(|_| budget.record_success());
     assert!(budget.may_start(0, true, 1_000));
     (0..1_000).for_each(|_| budget.record_success());
-    assert_eq!((0..100).filter(|_| budget.may_start(0, true, 1_000)).count(), MAX_CONCURRENT_COPIES);
+    assert_eq!(
+        (0..100)
+            .filter(|_| budget.may_start(0, true, 1_000))
+            .count(),
+        MAX_CONCURRENT_COPIES
+    );
 }
--- a/crates/cow/tests/host_leases.rs
+++ b/crates/cow/tests/host_leases.rs
@@ -18,7 +18,10 @@
     let duration = leases.renew("a", 4, 100);
     assert!(!leases.is_effective(5, 100 + duration + LEASE_MARGIN - 1));
     assert!(leases.is_effective(5, 100 + duration + LEASE_MARGIN));
-    assert_eq!(leases.blocking_hosts(5, 200), [("a", 100 + duration + LEASE_MARGIN)]);
+    assert_eq!(
+        leases.blocking_hosts(5, 200),
+        [("a", 100 + duration + LEASE_MARGIN)]
+    );
 }
 
 #[test]
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -145,14 +145,18 @@
             in_flight: Vec::new(),
             names_created: 0,
         };
-        run.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
+        run.apply(Change::BranchCreated {
+            branch: "a".into(),
+            extent_count: EXTENTS,
+        });
         (0..HOSTS).for_each(|h| run.connect(h));
         run
     }
 
     /// Applies a change if the tree allows it, and sends it to the hosts. Whether it was applied.
     fn apply(&mut self, change: Change) -> bool {
-        self.record.text(&serde_json::to_string(&change).expect("plain data"));
+        self.record
+            .text(&serde_json::to_string(&change).expect("plain data"));
         let effects = match self.tree.apply(&change) {
             Ok(effects) => effects,
             Err(error) => {
@@ -163,31 +167,56 @@
         let record = &mut self.record;
         record.number(self.tree.version);
         record.numbers(effects.layers.iter().map(|l| u64::from(*l)));
-        record.numbers(effects.locations.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
-        effects.branches.iter().chain(&effects.snapshots).for_each(|n| record.text(n));
+        record.numbers(
+            effects
+                .locations
+                .iter()
+                .flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]),
+        );
+        effects
+            .branches
+            .iter()
+            .chain(&effects.snapshots)
+            .for_each(|n| record.text(n));
         record.numbers(effects.dereferenced.map(u64::from));
-        record.numbers(effects.placed.into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]));
         record.numbers(
-            self.tree.newly_unreachable(&effects).into_iter().flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
+            effects
+                .placed
+                .into_iter()
+                .flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
+        );
+        record.numbers(
+            self.tree
+                .newly_unreachable(&effects)
+                .into_iter()
+                .flat_map(|(l, e)| [u64::from(l), u64::from(e)]),
         );
         self.reclaimer.record_change(&self.tree, &effects);
         let version = self.tree.version;
-        self.hosts.iter_mut().for_each(|h| h.inbox.push_back((version, change.clone())));
+        self.hosts
+            .iter_mut()
+            .for_each(|h| h.inbox.push_back((version, change.clone())));
         true
     }
 
     /// A host receives the full tree.
     fn connect(&mut self, host: usize) {
         let host = &mut self.hosts[host];
-        self.record
-            .numbers(host.replica.known().into_iter().flat_map(|known| [known.catalog_id, known.version]));
+        self.record.numbers(
+            host.replica
+                .known()
+                .into_iter()
+                .flat_map(|known| [known.catalog_id, known.version]),
+        );
         for message in full_tree_messages(7, &self.tree) {
             let valid = match message {
                 ToHost::FullTree { catalog_id, tree } => {
                     host.replica.begin_full_tree(catalog_id, *tree);
                     true
                 }
-                ToHost::Locations { layer, locations } => host.replica.add_locations(layer, &locations),
+                ToHost::Locations { layer, locations } => {
+                    host.replica.add_locations(layer, &locations)
+                }
                 _ => host.replica.finish_full_tree(),
             };
             self.record.number(valid.into());
@@ -221,23 +250,42 @@
             0 => self.snapshot().unwrap_or_else(|| "nobody".into()),
             _ => self.branch(),
         };
-        let (h, extent) = (self.rng.below(HOSTS as u64) as usize, self.rng.below(EXTENTS.into()) as u32);
+        let (h, extent) = (
+            self.rng.below(HOSTS as u64) as usize,
+            self.rng.below(EXTENTS.into()) as u32,
+        );
         let write = self.rng.below(3) > 0;
         let host = &mut self.hosts[h];
         let lookup = host.replica.look_up(&name, extent, write, self.now);
         self.record.lookup(lookup);
         self.record.number(host.replica.has_lease(self.now).into());
-        let Lookup::CopyFirst { into, .. } = lookup else { return };
-        let is_retry = host.copying.iter().any(|c| c.layer == into && c.extent == extent && c.has_failed);
-        let starts = host.budget.may_start(host.copying.len(), is_retry, self.now);
-        self.record.numbers([starts.into(), host.budget.rejected_retries]);
+        let Lookup::CopyFirst { into, .. } = lookup else {
+            return;
+        };
+        let is_retry = host
+            .copying
+            .iter()
+            .any(|c| c.layer == into && c.extent == extent && c.has_failed);
+        let starts = host
+            .budget
+            .may_start(host.copying.len(), is_retry, self.now);
+        self.record
+            .numbers([starts.into(), host.budget.rejected_retries]);
         if starts && !is_retry {
-            host.copying.push(ExtentCopy { layer: into, extent, has_failed: false });
+            host.copying.push(ExtentCopy {
+                layer: into,
+                extent,
+                has_failed: false,
+            });
         }
         if host.replica.needs_slots(into) {
             self.record.number(8);
             let first = self.tree.layers.get(&into).map_or(0, |l| l.next_slot);
-            if self.apply(Change::SlotsAllocated { layer: into, first, count: SLOT_BATCH }) {
+            if self.apply(Change::SlotsAllocated {
+                layer: into,
+                first,
+                count: SLOT_BATCH,
+            }) {
                 self.hosts[h].replica.add_slots(into, first, SLOT_BATCH);
             }
         }
@@ -261,12 +309,20 @@
         let slot = host.replica.take_slot(layer);
         self.record.numbers(slot.map(u64::from));
         let Some(slot) = slot else { return };
-        let location = Location { node: self.rng.below(NODES) as u32, slot };
-        let change = Change::ExtentPlaced { layer, extent, location };
+        let location = Location {
+            node: self.rng.below(NODES) as u32,
+            slot,
+        };
+        let change = Change::ExtentPlaced {
+            layer,
+            extent,
+            location,
+        };
         match self.tree.conflicting_location(&change) {
             Ok(None) => {
                 if self.apply(change) {
-                    self.awaiting_writable.push((self.tree.version, layer, extent));
+                    self.awaiting_writable
+                        .push((self.tree.version, layer, extent));
                 }
             }
             Ok(Some(first)) => self.record.location(layer, first),
@@ -290,14 +346,17 @@
         let count = self.rng.below(12);
         for _ in 0..count {
             let h = &mut self.hosts[host];
-            let Some((version, change)) = h.inbox.pop_front() else { return };
+            let Some((version, change)) = h.inbox.pop_front() else {
+                return;
+            };
             let follows = h.replica.apply_change(version, &change);
             self.record.number(follows.into());
             if !follows {
                 h.replica.invalidate();
                 return self.connect(host);
             }
-            self.leases.acknowledge(&h.name, h.replica.version().unwrap_or(0));
+            self.leases
+                .acknowledge(&h.name, h.replica.version().unwrap_or(0));
         }
     }
 
@@ -316,7 +375,8 @@
 
     fn close_layers(&mut self) {
         let due: Vec<(LayerId, u32)> = self.tree.pending_closes().collect();
-        self.record.numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
+        self.record
+            .numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
         for (layer, node) in due {
             if self.rng.below(3) > 0 {
                 self.apply(Change::LayerClosed { layer, node });
@@ -326,7 +386,11 @@
 
     fn begin_cut(&mut self) {
         let branch = self.branch();
-        let name = if self.rng.below(12) == 0 { "twice".into() } else { self.name() };
+        let name = if self.rng.below(12) == 0 {
+            "twice".into()
+        } else {
+            self.name()
+        };
         let hosts = self.leases.active_hosts(self.now);
         match ConsistentCut::begin(&self.tree, &branch, &name, hosts, self.now) {
             Ok((change, cut)) => {
@@ -347,7 +411,8 @@
                 }
             }
             let holding = self.leases.active_hosts(self.now);
-            self.record.number(cut.unquiesced_hosts(&holding).len() as u64);
+            self.record
+                .number(cut.unquiesced_hosts(&holding).len() as u64);
             match cut.progress(&self.tree, self.now) {
                 CutProgress::Wait => {
                     self.record.number(1);
@@ -389,9 +454,11 @@
                         self.record.numbers([4, layer.into()]);
                         let found = decide_completion(&self.tree, layer);
                         let granted = found.as_ref().is_some_and(|found| found.is_granted);
-                        let frozen_layers = found.map(|found| found.frozen_layers).unwrap_or_default();
+                        let frozen_layers =
+                            found.map(|found| found.frozen_layers).unwrap_or_default();
                         self.record.number(granted.into());
-                        self.record.numbers(frozen_layers.iter().map(|l| u64::from(*l)));
+                        self.record
+                            .numbers(frozen_layers.iter().map(|l| u64::from(*l)));
                         if granted {
                             self.cuts
                                 .iter_mut()
@@ -405,19 +472,29 @@
                 }
             }
         }
-        self.record.number(self.hosts[h].split_write.started_in_or_before(other).into());
+        self.record
+            .number(self.hosts[h].split_write.started_in_or_before(other).into());
     }
 
     fn reclaim(&mut self) {
         let retained: BTreeSet<LayerId> = self.cuts.iter().map(|c| c.layer).collect();
         let max_in_flight = 50 * self.rng.below(4);
-        let batch = self.reclaimer.next_batch(&self.tree, &retained, &self.leases, max_in_flight, self.now);
-        self.record.numbers(batch.iter().flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]));
+        let batch =
+            self.reclaimer
+                .next_batch(&self.tree, &retained, &self.leases, max_in_flight, self.now);
+        self.record.numbers(
+            batch
+                .iter()
+                .flat_map(|(l, e)| [u64::from(*l), u64::from(*e)]),
+        );
         self.in_flight.extend(batch);
         let removable = self.reclaimer.removable_layers(&self.tree, &retained);
         self.record.numbers(removable.iter().map(|l| u64::from(*l)));
         for layer in removable {
-            self.apply(Change::ExtentsReclaimed { layer, extents: Vec::new() });
+            self.apply(Change::ExtentsReclaimed {
+                layer,
+                extents: Vec::new(),
+            });
         }
     }
 
@@ -428,7 +505,10 @@
                 1 => self.reclaimer.failed((layer, extent), self.now),
                 _ => {
                     self.reclaimer.completed((layer, extent));
-                    self.apply(Change::ExtentsReclaimed { layer, extents: vec![extent] });
+                    self.apply(Change::ExtentsReclaimed {
+                        layer,
+                        extents: vec![extent],
+                    });
                 }
             }
         }
@@ -438,18 +518,25 @@
     fn change_names(&mut self) {
         let (branch, snapshot, name) = (self.branch(), self.snapshot(), self.name());
         let change = match (self.rng.below(10), snapshot) {
-            (0, _) if self.tree.branches.len() < 5 => {
-                Change::BranchCreated { branch: name, extent_count: EXTENTS }
-            }
-            (1..=3, Some(snapshot)) if self.tree.branches.len() < 5 => {
-                Change::CloneCreated { snapshot, branch: name }
-            }
+            (0, _) if self.tree.branches.len() < 5 => Change::BranchCreated {
+                branch: name,
+                extent_count: EXTENTS,
+            },
+            (1..=3, Some(snapshot)) if self.tree.branches.len() < 5 => Change::CloneCreated {
+                snapshot,
+                branch: name,
+            },
             (4, Some(snapshot)) => Change::BranchRolledBack { branch, snapshot },
             (5 | 6, Some(snapshot)) => Change::SnapshotDeleted { snapshot },
             (7, _) if self.tree.branches.len() > 1 => Change::BranchDeleted { branch },
-            (8, _) => Change::BranchCreated { branch: "no name".into(), extent_count: EXTENTS },
+            (8, _) => Change::BranchCreated {
+                branch: "no name".into(),
+                extent_count: EXTENTS,
+            },
             (9, _) => Change::HeadFrozen { branch: name },
-            (_, Some(snapshot)) if self.tree.snapshots.len() > 6 => Change::SnapshotDeleted { snapshot },
+            (_, Some(snapshot)) if self.tree.snapshots.len() > 6 => {
+                Change::SnapshotDeleted { snapshot }
+            }
             _ => return,
         };
         self.apply(change);
@@ -458,16 +545,40 @@
     /// A change that need not fit the tree.
     fn check_arbitrary_change(&mut self) {
         let (layer, extent) = (self.layer(), self.rng.below(u64::from(EXTENTS) + 4) as u32);
-        let location = Location { node: self.rng.below(NODES) as u32, slot: self.rng.below(300) as u32 };
+        let location = Location {
+            node: self.rng.below(NODES) as u32,
+            slot: self.rng.below(300) as u32,
+        };
         let (branch, name) = (self.branch(), "x".to_owned());
         let change = match self.rng.below(7) {
-            0 => Change::ExtentPlaced { layer, extent, location },
+            0 => Change::ExtentPlaced {
+                layer,
+                extent,
+                location,
+            },
             1 => Change::ExtentWritable { layer, extent },
-            2 => Change::LayerClosed { layer, node: location.node },
-            3 => Change::ExtentsReclaimed { layer, extents: vec![extent] },
-            4 => Change::SlotsAllocated { layer, first: location.slot, count: 3 },
-            5 => Change::SnapshotCreated { branch, name, layer },
-            _ => Change::ExtentsReclaimed { layer: layer + 9, extents: Vec::new() },
+            2 => Change::LayerClosed {
+                layer,
+                node: location.node,
+            },
+            3 => Change::ExtentsReclaimed {
+                layer,
+                extents: vec![extent],
+            },
+            4 => Change::SlotsAllocated {
+                layer,
+                first: location.slot,
+                count: 3,
+            },
+            5 => Change::SnapshotCreated {
+                branch,
+                name,
+                layer,
+            },
+            _ => Change::ExtentsReclaimed {
+                layer: layer + 9,
+                extents: Vec::new(),
+            },
         };
         match self.tree.check(&change) {
             Ok(()) => self.record.number(1),
@@ -492,7 +603,10 @@
             self.tree.layers_created().into(),
             self.tree.luns_assigned().into(),
         ]);
-        record.numbers([self.tree.is_referenced(a).into(), self.tree.is_removable(b).into()]);
+        record.numbers([
+            self.tree.is_referenced(a).into(),
+            self.tree.is_removable(b).into(),
+        ]);
         record.numbers(self.tree.ancestors(b).map(|(id, _)| u64::from(id)));
         for (host, until) in self.leases.blocking_hosts(self.tree.version, self.now) {
             record.text(host);
@@ -500,8 +614,10 @@
         }
         record.number(self.leases.all_hosts_known(self.now).into());
         let name = self.branch();
-        self.record.numbers(self.tree.layer_read_by(&name).map(u64::from));
-        self.record.text(&serde_json::to_string(&self.tree).expect("plain data"));
+        self.record
+            .numbers(self.tree.layer_read_by(&name).map(u64::from));
+        self.record
+            .text(&serde_json::to_string(&self.tree).expect("plain data"));
         assert_eq!(self.tree.inconsistencies(), Vec::new());
     }
 
@@ -584,17 +700,32 @@
 
 #[test]
 fn constants_match() {
-    assert_eq!((LEASE_DURATION, LEASE_MARGIN, CUT_TIMEOUT), (3_000, 50, 5_000));
     assert_eq!(
-        (copy_budget::MAX_CONCURRENT_COPIES, copy_budget::RETRY_DELAY, copy_budget::FAILURE_MEMORY),
+        (LEASE_DURATION, LEASE_MARGIN, CUT_TIMEOUT),
+        (3_000, 50, 5_000)
+    );
+    assert_eq!(
+        (
+            copy_budget::MAX_CONCURRENT_COPIES,
+            copy_budget::RETRY_DELAY,
+            copy_budget::FAILURE_MEMORY
+        ),
         (8, 20, 5_000)
     );
     assert_eq!(
-        (BATCH_SIZE, SLOT_BATCH, mallowseam_cow::tree_replica::RESEND_AFTER, TreeReplica::RECONNECT_INTERVAL),
+        (
+            BATCH_SIZE,
+            SLOT_BATCH,
+            mallowseam_cow::tree_replica::RESEND_AFTER,
+            TreeReplica::RECONNECT_INTERVAL
+        ),
         (64, 64, 500, 200)
     );
     assert_eq!(
-        (mallowseam_cow::tree::FIRST_LAYER_ID, mallowseam_cow::tree::LAST_LAYER_ID),
+        (
+            mallowseam_cow::tree::FIRST_LAYER_ID,
+            mallowseam_cow::tree::LAST_LAYER_ID
+        ),
         (1_024, 0xff_ffff)
     );
 }
@@ -613,10 +744,15 @@
 #[test]
 fn retry_budget_matches() {
     let mut copies = CopyBudget::default();
-    let begun: Vec<u64> = (1..=1_000).filter(|now| copies.may_start(0, true, *now)).collect();
+    let begun: Vec<u64> = (1..=1_000)
+        .filter(|now| copies.may_start(0, true, *now))
+        .collect();
     assert_eq!(begun, [1, 2, 3, 4, 5, 6, 7, 8, 250, 500, 750, 1_000]);
     (0..10).for_each(|_| copies.record_success());
-    assert!(!copies.may_start(0, true, 1_000), "ten times 0.1 is just below 1");
+    assert!(
+        !copies.may_start(0, true, 1_000),
+        "ten times 0.1 is just below 1"
+    );
     copies.record_success();
     assert!(copies.may_start(0, true, 1_000));
     assert!(!copies.may_start(0, true, 1_000));
@@ -626,26 +762,60 @@
 /// One call looks at 256 locations and releases 64; those that a pending cut retains go to the back of the queue.
 #[test]
 fn reclaim_batch_size_matches() {
-    let (mut tree, mut free, leases) = (Tree::default(), Reclaimer::default(), HostLeases::new(0, true));
+    let (mut tree, mut free, leases) = (
+        Tree::default(),
+        Reclaimer::default(),
+        HostLeases::new(0, true),
+    );
     let mut apply = |tree: &mut Tree, change: Change| {
         let effects = tree.apply(&change).expect("fits");
         free.record_change(tree, &effects);
     };
-    apply(&mut tree, Change::BranchCreated { branch: "a".into(), extent_count: 600 });
-    apply(&mut tree, Change::SlotsAllocated { layer: 1_024, first: 0, count: 600 });
+    apply(
+        &mut tree,
+        Change::BranchCreated {
+            branch: "a".into(),
+            extent_count: 600,
+        },
+    );
+    apply(
+        &mut tree,
+        Change::SlotsAllocated {
+            layer: 1_024,
+            first: 0,
+            count: 600,
+        },
+    );
     for extent in 0..600 {
-        let location = Location { node: 0, slot: extent };
-        apply(&mut tree, Change::ExtentPlaced { layer: 1_024, extent, location });
+        let location = Location {
+            node: 0,
+            slot: extent,
+        };
+        apply(
+            &mut tree,
+            Change::ExtentPlaced {
+                layer: 1_024,
+                extent,
+                location,
+            },
+        );
     }
     apply(&mut tree, Change::BranchDeleted { branch: "a".into() });
     assert_eq!(free.next_batch(&tree, &[1_024].into(), &leases, 0, 10), []);
-    let extents =
-        |batch: Vec<(LayerId, u32)>| batch.into_iter().map(|(_, extent)| extent).collect::<Vec<_>>();
+    let extents = |batch: Vec<(LayerId, u32)>| {
+        batch
+            .into_iter()
+            .map(|(_, extent)| extent)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(
         extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
         (256..320).collect::<Vec<_>>()
     );
-    assert_eq!(extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)), Vec::<u32>::new());
+    assert_eq!(
+        extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
+        Vec::<u32>::new()
+    );
     (256..266).for_each(|extent| free.completed((1_024, extent)));
     assert_eq!(
         extents(free.next_batch(&tree, &BTreeSet::new(), &leases, 0, 10)),
--- a/crates/cow/tests/reclaim.rs
+++ b/crates/cow/tests/reclaim.rs
@@ -17,22 +17,47 @@
         self.reclaimer.record_change(&self.tree, &effects);
     }
 
-    fn next_batch(&mut self, retained: &[LayerId], max_in_flight: Millis, now: Millis) -> Vec<LayerExtent> {
+    fn next_batch(
+        &mut self,
+        retained: &[LayerId],
+        max_in_flight: Millis,
+        now: Millis,
+    ) -> Vec<LayerExtent> {
         let retained = retained.iter().copied().collect();
-        self.reclaimer.next_batch(&self.tree, &retained, &self.leases, max_in_flight, now)
+        self.reclaimer
+            .next_batch(&self.tree, &retained, &self.leases, max_in_flight, now)
     }
 }
 
 /// A branch with two written extents.
 fn catalog() -> Catalog {
     let leases = HostLeases::new(0, true);
-    let mut catalog = Catalog { tree: Tree::default(), reclaimer: Reclaimer::default(), leases };
+    let mut catalog = Catalog {
+        tree: Tree::default(),
+        reclaimer: Reclaimer::default(),
+        leases,
+    };
     let location = |slot| Location { node: 0, slot };
     for change in [
-        Change::BranchCreated { branch: "a".into(), extent_count: 9 },
-        Change::SlotsAllocated { layer: 1024, first: 0, count: 9 },
-        Change::ExtentPlaced { layer: 1024, extent: 4, location: location(1) },
-        Change::ExtentPlaced { layer: 1024, extent: 5, location: location(2) },
+        Change::BranchCreated {
+            branch: "a".into(),
+            extent_count: 9,
+        },
+        Change::SlotsAllocated {
+            layer: 1024,
+            first: 0,
+            count: 9,
+        },
+        Change::ExtentPlaced {
+            layer: 1024,
+            extent: 4,
+            location: location(1),
+        },
+        Change::ExtentPlaced {
+            layer: 1024,
+            extent: 5,
+            location: location(2),
+        },
     ] {
         catalog.apply(change);
     }
@@ -44,9 +69,20 @@
     let mut catalog = catalog();
     for change in [
         Change::HeadFrozen { branch: "a".into() },
-        Change::LayerClosed { layer: 1024, node: 0 },
-        Change::SlotsAllocated { layer: 1025, first: 0, count: 9 },
-        Change::ExtentPlaced { layer: 1025, extent: 4, location: Location { node: 0, slot: 1 } },
+        Change::LayerClosed {
+            layer: 1024,
+            node: 0,
+        },
+        Change::SlotsAllocated {
+            layer: 1025,
+            first: 0,
+            count: 9,
+        },
+        Change::ExtentPlaced {
+            layer: 1025,
+            extent: 4,
+            location: Location { node: 0, slot: 1 },
+        },
     ] {
         catalog.apply(change);
     }
@@ -64,10 +100,16 @@
 fn location_read_by_a_deleted_snapshot_waits_for_every_host_again() {
     let mut catalog = catalog_after_cut();
     assert_eq!(catalog.next_batch(&[1024], 0, 10), []);
-    catalog.apply(Change::SnapshotCreated { branch: "a".into(), name: "s".into(), layer: 1024 });
+    catalog.apply(Change::SnapshotCreated {
+        branch: "a".into(),
+        name: "s".into(),
+        layer: 1024,
+    });
     // A host that has not received the deletion yet may still serve the snapshot.
     catalog.leases.renew("h", catalog.tree.version, 20);
-    catalog.apply(Change::SnapshotDeleted { snapshot: "a@s".into() });
+    catalog.apply(Change::SnapshotDeleted {
+        snapshot: "a@s".into(),
+    });
     assert_eq!(catalog.next_batch(&[], 0, 30), []);
     catalog.leases.acknowledge("h", catalog.tree.version);
     assert_eq!(catalog.next_batch(&[], 0, 40), [(1024, 4)]);
@@ -100,10 +142,24 @@
     let mut catalog = catalog();
     catalog.apply(Change::HeadFrozen { branch: "a".into() });
     catalog.apply(Change::HeadFrozen { branch: "a".into() });
-    let Catalog { tree, reclaimer, .. } = &mut catalog;
-    assert_eq!(reclaimer.removable_layers(tree, &[1025].into()), [], "a pending cut");
+    let Catalog {
+        tree, reclaimer, ..
+    } = &mut catalog;
+    assert_eq!(
+        reclaimer.removable_layers(tree, &[1025].into()),
+        [],
+        "a pending cut"
+    );
     assert_eq!(reclaimer.removable_layers(tree, &BTreeSet::new()), [1025]);
-    catalog.apply(Change::ExtentsReclaimed { layer: 1025, extents: vec![] });
+    catalog.apply(Change::ExtentsReclaimed {
+        layer: 1025,
+        extents: vec![],
+    });
     assert_eq!(catalog.tree.layers[&1026].parent, Some(1024));
-    assert_eq!(catalog.reclaimer.removable_layers(&catalog.tree, &BTreeSet::new()), []);
+    assert_eq!(
+        catalog
+            .reclaimer
+            .removable_layers(&catalog.tree, &BTreeSet::new()),
+        []
+    );
 }
--- a/crates/cow/tests/split_write.rs
+++ b/crates/cow/tests/split_write.rs
@@ -14,20 +14,35 @@
 fn part_in_a_newer_layer_needs_permission() {
     let mut write = SplitWrite::default();
     write.part_completed(5);
-    assert_eq!(write.admit(6, false, 10), PartAdmission::RequestPermission(5));
+    assert_eq!(
+        write.admit(6, false, 10),
+        PartAdmission::RequestPermission(5)
+    );
     assert_eq!(write.admit(6, false, 11), PartAdmission::Wait);
-    assert_eq!(write.admit(6, false, 10 + RESEND_AFTER), PartAdmission::RequestPermission(5));
+    assert_eq!(
+        write.admit(6, false, 10 + RESEND_AFTER),
+        PartAdmission::RequestPermission(5)
+    );
     write.permission_decided(4, true);
-    assert_eq!(write.admit(6, false, 20 + RESEND_AFTER), PartAdmission::Wait);
+    assert_eq!(
+        write.admit(6, false, 20 + RESEND_AFTER),
+        PartAdmission::Wait
+    );
     write.permission_decided(5, true);
-    assert_eq!(write.admit(6, false, 20 + RESEND_AFTER), PartAdmission::Send);
+    assert_eq!(
+        write.admit(6, false, 20 + RESEND_AFTER),
+        PartAdmission::Send
+    );
 }
 
 #[test]
 fn write_with_a_part_in_a_snapshot_is_rejected_for_good() {
     let mut write = SplitWrite::default();
     write.part_completed(5);
-    assert_eq!(write.admit(6, false, 0), PartAdmission::RequestPermission(5));
+    assert_eq!(
+        write.admit(6, false, 0),
+        PartAdmission::RequestPermission(5)
+    );
     write.permission_decided(5, false);
     write.permission_decided(5, true);
     assert_eq!(write.admit(6, false, 9_999), PartAdmission::Reject);
@@ -37,11 +52,17 @@
 fn permission_expires_with_the_next_cut_and_names_the_oldest_layer() {
     let mut write = SplitWrite::default();
     write.part_completed(5);
-    assert_eq!(write.admit(6, false, 0), PartAdmission::RequestPermission(5));
+    assert_eq!(
+        write.admit(6, false, 0),
+        PartAdmission::RequestPermission(5)
+    );
     write.permission_decided(5, true);
     write.part_completed(6);
     assert_eq!(write.admit(6, false, 0), PartAdmission::Send);
-    assert_eq!(write.admit(7, false, 0), PartAdmission::RequestPermission(5));
+    assert_eq!(
+        write.admit(7, false, 0),
+        PartAdmission::RequestPermission(5)
+    );
 }
 
 #[test]
@@ -51,5 +72,8 @@
     assert!(!write.started_in_or_before(6));
     write.part_completed(5);
     assert!(write.started_in_or_before(5) && !write.started_in_or_before(4));
-    assert_eq!(write.admit(6, false, 0), PartAdmission::RequestPermission(5));
+    assert_eq!(
+        write.admit(6, false, 0),
+        PartAdmission::RequestPermission(5)
+    );
 }
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -38,16 +38,30 @@
 impl TreeModel {
     fn apply(&mut self, change: Change) {
         let before = self.tree.unreachable_extents();
-        let effects = self.tree.apply(&change).unwrap_or_else(|r| panic!("{change:?}: {r}"));
+        let effects = self
+            .tree
+            .apply(&change)
+            .unwrap_or_else(|r| panic!("{change:?}: {r}"));
         // What a change has made unreachable is found without visiting the whole tree.
-        let fresh = |(layer, extent): &(LayerId, u32)| !before.get(layer).is_some_and(|b| b.contains(extent));
+        let fresh = |(layer, extent): &(LayerId, u32)| {
+            !before.get(layer).is_some_and(|b| b.contains(extent))
+        };
         let all = self
             .tree
             .unreachable_extents()
             .into_iter()
             .flat_map(|(l, es)| es.into_iter().map(move |e| (l, e)));
-        let found: BTreeSet<_> = self.tree.newly_unreachable(&effects).into_iter().filter(fresh).collect();
-        assert_eq!(found, all.filter(fresh).collect::<BTreeSet<_>>(), "{change:?}");
+        let found: BTreeSet<_> = self
+            .tree
+            .newly_unreachable(&effects)
+            .into_iter()
+            .filter(fresh)
+            .collect();
+        assert_eq!(
+            found,
+            all.filter(fresh).collect::<BTreeSet<_>>(),
+            "{change:?}"
+        );
         if self.host.version().is_none() {
             self.host.replace_tree(Tree::default());
             self.host.lease_granted(0, 1);
@@ -70,12 +84,26 @@
             Some((layer, location)) if layer == head => location,
             from => {
                 let slot = self.tree.layers[&head].next_slot;
-                self.apply(Change::SlotsAllocated { layer: head, first: slot, count: 1 });
-                let location = Location { node: self.writes as u32 % 3, slot };
+                self.apply(Change::SlotsAllocated {
+                    layer: head,
+                    first: slot,
+                    count: 1,
+                });
+                let location = Location {
+                    node: self.writes as u32 % 3,
+                    slot,
+                };
                 let copied = from.map_or(0, |f| self.stored[&f]);
                 self.stored.insert((head, location), copied);
-                self.apply(Change::ExtentPlaced { layer: head, extent, location });
-                self.apply(Change::ExtentWritable { layer: head, extent });
+                self.apply(Change::ExtentPlaced {
+                    layer: head,
+                    extent,
+                    location,
+                });
+                self.apply(Change::ExtentWritable {
+                    layer: head,
+                    extent,
+                });
                 location
             }
         };
@@ -84,7 +112,9 @@
     }
 
     fn shows(&self, layer: LayerId) -> Vec<u64> {
-        (0..EXTENTS).map(|e| self.tree.locate(layer, e).map_or(0, |f| self.stored[&f])).collect()
+        (0..EXTENTS)
+            .map(|e| self.tree.locate(layer, e).map_or(0, |f| self.stored[&f]))
+            .collect()
     }
 
     fn check(&mut self) {
@@ -94,7 +124,11 @@
                     Some((layer, location)) => Lookup::Found(layer, location),
                     None => Lookup::Zeros,
                 };
-                assert_eq!(self.host.look_up(name, extent, false, 0), wanted, "{name} extent {extent}");
+                assert_eq!(
+                    self.host.look_up(name, extent, false, 0),
+                    wanted,
+                    "{name} extent {extent}"
+                );
             }
         }
         assert_eq!(self.tree.inconsistencies(), Vec::new());
@@ -107,7 +141,9 @@
     }
 
     fn step(&mut self, Step { kind, name, extent }: Step) {
-        let pick = |map: &BTreeMap<String, Vec<u64>>, n: usize| map.keys().nth(n % map.len().max(1)).cloned();
+        let pick = |map: &BTreeMap<String, Vec<u64>>, n: usize| {
+            map.keys().nth(n % map.len().max(1)).cloned()
+        };
         let branch = pick(&self.branches, name).unwrap_or_default();
         let snapshot = pick(&self.snapshots, name);
         match (kind, snapshot) {
@@ -115,28 +151,40 @@
             (5 | 6, _) => {
                 let name = format!("s{}", self.tree.version);
                 let (change, cut) =
-                    ConsistentCut::begin(&self.tree, &branch, &name, BTreeSet::default(), 0).expect("a cut");
+                    ConsistentCut::begin(&self.tree, &branch, &name, BTreeSet::default(), 0)
+                        .expect("a cut");
                 self.apply(change);
                 self.close_all();
                 let CutProgress::Grant(change) = cut.progress(&self.tree, 0) else {
                     panic!("closed everywhere")
                 };
                 self.apply(change);
-                self.snapshots.insert(format!("{branch}@{name}"), self.branches[&branch].clone());
+                self.snapshots
+                    .insert(format!("{branch}@{name}"), self.branches[&branch].clone());
             }
             (7, Some(snapshot)) if self.branches.len() < 4 => {
                 let name = format!("c{}", self.tree.version);
-                self.apply(Change::CloneCreated { snapshot: snapshot.clone(), branch: name.clone() });
-                self.branches.insert(name, self.snapshots[&snapshot].clone());
+                self.apply(Change::CloneCreated {
+                    snapshot: snapshot.clone(),
+                    branch: name.clone(),
+                });
+                self.branches
+                    .insert(name, self.snapshots[&snapshot].clone());
             }
             (8, Some(snapshot)) => {
                 let branch = self.tree.snapshots[&snapshot].branch.clone();
-                self.apply(Change::BranchRolledBack { branch: branch.clone(), snapshot: snapshot.clone() });
+                self.apply(Change::BranchRolledBack {
+                    branch: branch.clone(),
+                    snapshot: snapshot.clone(),
+                });
                 self.close_all();
-                self.branches.insert(branch, self.snapshots[&snapshot].clone());
+                self.branches
+                    .insert(branch, self.snapshots[&snapshot].clone());
             }
             (9, Some(snapshot)) => {
-                self.apply(Change::SnapshotDeleted { snapshot: snapshot.clone() });
+                self.apply(Change::SnapshotDeleted {
+                    snapshot: snapshot.clone(),
+                });
                 self.snapshots.remove(&snapshot);
             }
             _ => {
@@ -145,7 +193,10 @@
                         let location = self.tree.layers[&layer].locations[extent];
                         self.stored.remove(&(layer, location));
                     }
-                    self.apply(Change::ExtentsReclaimed { layer, extents: extents.into_iter().collect() });
+                    self.apply(Change::ExtentsReclaimed {
+                        layer,
+                        extents: extents.into_iter().collect(),
+                    });
                 }
             }
         }
@@ -154,7 +205,10 @@
 
 fn model() -> TreeModel {
     let mut model = TreeModel::default();
-    model.apply(Change::BranchCreated { branch: "a".into(), extent_count: EXTENTS });
+    model.apply(Change::BranchCreated {
+        branch: "a".into(),
+        extent_count: EXTENTS,
+    });
     model.branches.insert("a".into(), vec![0; EXTENTS as usize]);
     model
 }
@@ -205,32 +259,57 @@
     for extent in 0..3 {
         model.write("a", extent);
     }
-    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
+    let (change, cut) =
+        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
     model.apply(change);
-    assert_eq!(model.tree.pending_closes().collect::<Vec<_>>(), [(1024, 0), (1024, 1), (1024, 2)]);
+    assert_eq!(
+        model.tree.pending_closes().collect::<Vec<_>>(),
+        [(1024, 0), (1024, 1), (1024, 2)]
+    );
     for node in 0..3 {
         assert_eq!(cut.progress(&model.tree, 200), CutProgress::Wait);
         model.apply(Change::LayerClosed { layer: 1024, node });
     }
-    assert!(matches!(cut.progress(&model.tree, 200), CutProgress::Grant(_)));
+    assert!(matches!(
+        cut.progress(&model.tree, 200),
+        CutProgress::Grant(_)
+    ));
 }
 
 #[test]
 fn cut_fails_with_the_nodes_that_did_not_close() {
     let mut model = model();
     model.write("a", 0);
-    let (change, cut) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
+    let (change, cut) =
+        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
     model.apply(change);
-    assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT - 1), CutProgress::Wait);
+    assert_eq!(
+        cut.progress(&model.tree, 100 + CUT_TIMEOUT - 1),
+        CutProgress::Wait
+    );
     let failed = CutProgress::Fail(CutFailure::NodesNotClosed([1].into()));
     assert_eq!(cut.progress(&model.tree, 100 + CUT_TIMEOUT), failed);
     assert!(model.tree.snapshots.is_empty());
     // Clients continue in the new head, but copy nothing from layers that may still receive late writes.
     let head = model.tree.branches["a"].head;
-    model.apply(Change::SlotsAllocated { layer: head, first: 0, count: 1 });
-    let placed = Change::ExtentPlaced { layer: head, extent: 0, location: Location { node: 2, slot: 0 } };
-    assert_eq!(model.tree.check(&placed), Err(ChangeError::LayerNotAccepting(1024)));
-    model.apply(Change::LayerClosed { layer: 1024, node: 1 });
+    model.apply(Change::SlotsAllocated {
+        layer: head,
+        first: 0,
+        count: 1,
+    });
+    let placed = Change::ExtentPlaced {
+        layer: head,
+        extent: 0,
+        location: Location { node: 2, slot: 0 },
+    };
+    assert_eq!(
+        model.tree.check(&placed),
+        Err(ChangeError::LayerNotAccepting(1024))
+    );
+    model.apply(Change::LayerClosed {
+        layer: 1024,
+        node: 1,
+    });
     assert_eq!(model.tree.check(&placed), Ok(()));
 }
 
@@ -238,18 +317,24 @@
 fn concurrent_cuts_wait_for_the_same_nodes() {
     let mut model = model();
     model.write("a", 0);
-    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
+    let (change, first) =
+        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
     model.apply(change);
     let (change, second) =
         ConsistentCut::begin(&model.tree, "a", "t", BTreeSet::default(), 0).expect("a cut");
     model.apply(change);
     assert_eq!(
-        (first.progress(&model.tree, 0), second.progress(&model.tree, 0)),
+        (
+            first.progress(&model.tree, 0),
+            second.progress(&model.tree, 0)
+        ),
         (CutProgress::Wait, CutProgress::Wait)
     );
     model.close_all();
     for cut in [first, second] {
-        let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else { panic!("closed") };
+        let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else {
+            panic!("closed")
+        };
         model.apply(change);
     }
     model.check();
@@ -258,14 +343,20 @@
 #[test]
 fn second_snapshot_of_a_name_is_rejected() {
     let mut model = model();
-    let (change, first) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
+    let (change, first) =
+        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
     model.apply(change);
-    let (change, second) =
-        ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("not granted yet");
+    let (change, second) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0)
+        .expect("not granted yet");
     model.apply(change);
-    let CutProgress::Grant(change) = first.progress(&model.tree, 0) else { panic!("nothing to close") };
+    let CutProgress::Grant(change) = first.progress(&model.tree, 0) else {
+        panic!("nothing to close")
+    };
     model.apply(change);
-    assert!(matches!(second.progress(&model.tree, 0), CutProgress::Fail(CutFailure::Rejected(_))));
+    assert!(matches!(
+        second.progress(&model.tree, 0),
+        CutProgress::Fail(CutFailure::Rejected(_))
+    ));
     assert!(ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).is_err());
 }
 
@@ -273,22 +364,54 @@
 fn first_location_of_an_extent_wins() {
     let mut model = model();
     let layer = model.tree.branches["a"].head;
-    model.apply(Change::SlotsAllocated { layer, first: 0, count: 9 });
+    model.apply(Change::SlotsAllocated {
+        layer,
+        first: 0,
+        count: 9,
+    });
     let first = Location { node: 1, slot: 2 };
-    model.apply(Change::ExtentPlaced { layer, extent: 0, location: first });
-    let second = Change::ExtentPlaced { layer, extent: 0, location: Location { node: 2, slot: 7 } };
-    assert_eq!(model.tree.check(&second), Err(ChangeError::AlreadyPlaced(first)));
+    model.apply(Change::ExtentPlaced {
+        layer,
+        extent: 0,
+        location: first,
+    });
+    let second = Change::ExtentPlaced {
+        layer,
+        extent: 0,
+        location: Location { node: 2, slot: 7 },
+    };
+    assert_eq!(
+        model.tree.check(&second),
+        Err(ChangeError::AlreadyPlaced(first))
+    );
 }
 
 #[test]
 fn slots_are_allocated_once_and_required() {
     let mut model = model();
     let layer = model.tree.branches["a"].head;
-    model.apply(Change::SlotsAllocated { layer, first: 0, count: 9 });
-    assert!(model.tree.check(&Change::SlotsAllocated { layer, first: 8, count: 1 }).is_err());
+    model.apply(Change::SlotsAllocated {
+        layer,
+        first: 0,
+        count: 9,
+    });
+    assert!(
+        model
+            .tree
+            .check(&Change::SlotsAllocated {
+                layer,
+                first: 8,
+                count: 1
+            })
+            .is_err()
+    );
     let location = Location { node: 0, slot: 9 };
     assert_eq!(
-        model.tree.check(&Change::ExtentPlaced { layer, extent: 0, location }),
+        model.tree.check(&Change::ExtentPlaced {
+            layer,
+            extent: 0,
+            location
+        }),
         Err(ChangeError::OutOfRange)
     );
 }
@@ -300,11 +423,15 @@
     model.step(step(5, 0, 0));
     let snapshot = model.snapshots.keys().next().expect("one").clone();
     assert!(matches!(
-        model.tree.check(&Change::BranchDeleted { branch: "a".into() }),
+        model
+            .tree
+            .check(&Change::BranchDeleted { branch: "a".into() }),
         Err(ChangeError::StillInUse(_))
     ));
     model.step(step(7, 0, 0));
-    model.apply(Change::SnapshotDeleted { snapshot: snapshot.clone() });
+    model.apply(Change::SnapshotDeleted {
+        snapshot: snapshot.clone(),
+    });
     model.snapshots.remove(&snapshot);
     model.apply(Change::BranchDeleted { branch: "a".into() });
     model.branches.remove("a");
@@ -328,8 +455,14 @@
         cut.progress(&model.tree, CUT_TIMEOUT),
         CutProgress::Fail(CutFailure::HostsNotQuiesced(["h".to_owned()].into()))
     );
-    assert!(cut.unquiesced_hosts(&["g".to_owned()].into()).is_empty(), "h may not act any more");
-    assert!(matches!(cut.progress(&model.tree, 0), CutProgress::Grant(_)));
+    assert!(
+        cut.unquiesced_hosts(&["g".to_owned()].into()).is_empty(),
+        "h may not act any more"
+    );
+    assert!(matches!(
+        cut.progress(&model.tree, 0),
+        CutProgress::Grant(_)
+    ));
 }
 
 #[test]
@@ -337,29 +470,49 @@
     use mallowseam_cow::consistent_cut::{CompletionDecision, decide_completion};
     let decision = |is_granted, frozen_layers: &[LayerId]| {
         let frozen_layers = frozen_layers.iter().copied().collect();
-        Some(CompletionDecision { is_granted, frozen_layers })
+        Some(CompletionDecision {
+            is_granted,
+            frozen_layers,
+        })
     };
     let mut model = model();
     let (change, mut cut) =
         ConsistentCut::begin(&model.tree, "a", "s", ["g".to_owned()].into(), 0).expect("a cut");
     model.apply(change);
-    assert_eq!(decide_completion(&model.tree, 1024), decision(true, &[1024]));
+    assert_eq!(
+        decide_completion(&model.tree, 1024),
+        decision(true, &[1024])
+    );
     cut.mark_stale();
-    assert_eq!(cut.progress(&model.tree, 0), CutProgress::Wait, "the write is not through");
+    assert_eq!(
+        cut.progress(&model.tree, 0),
+        CutProgress::Wait,
+        "the write is not through"
+    );
     assert!(matches!(
         cut.progress(&model.tree, CUT_TIMEOUT),
         CutProgress::Fail(CutFailure::HostsNotQuiesced(_))
     ));
     cut.host_quiesced(1024, "g");
     assert_eq!(cut.progress(&model.tree, 0), CutProgress::Restart);
-    let freeze = cut.restart(&model.tree, ["g".to_owned()].into()).expect("a branch");
+    let freeze = cut
+        .restart(&model.tree, ["g".to_owned()].into())
+        .expect("a branch");
     model.apply(freeze);
     assert_eq!(cut.layer, 1025);
-    assert_eq!(decide_completion(&model.tree, 1024), decision(true, &[1024, 1025]));
+    assert_eq!(
+        decide_completion(&model.tree, 1024),
+        decision(true, &[1024, 1025])
+    );
     cut.host_quiesced(1025, "g");
-    let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else { panic!("clear and closed") };
+    let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else {
+        panic!("clear and closed")
+    };
     model.apply(change);
-    assert_eq!(decide_completion(&model.tree, 1024), decision(false, &[1024, 1025]));
+    assert_eq!(
+        decide_completion(&model.tree, 1024),
+        decision(false, &[1024, 1025])
+    );
     assert_eq!(decide_completion(&model.tree, 1026), decision(true, &[]));
     assert_eq!(decide_completion(&model.tree, 9_999), None);
 }
@@ -372,11 +525,34 @@
     for snapshots in [1, 10, 1_000] {
         let mut tree = Tree::default();
         let apply = |tree: &mut Tree, change: Change| drop(tree.apply(&change).expect("fits"));
-        apply(&mut tree, Change::BranchCreated { branch: "a".into(), extent_count: 1 << 20 });
-        apply(&mut tree, Change::SlotsAllocated { layer: 1024, first: 0, count: 1_000 });
+        apply(
+            &mut tree,
+            Change::BranchCreated {
+                branch: "a".into(),
+                extent_count: 1 << 20,
+            },
+        );
+        apply(
+            &mut tree,
+            Change::SlotsAllocated {
+                layer: 1024,
+                first: 0,
+                count: 1_000,
+            },
+        );
         for extent in 0..1_000 {
-            let location = Location { node: extent % 6, slot: extent };
-            apply(&mut tree, Change::ExtentPlaced { layer: 1024, extent: extent * 1_000, location });
+            let location = Location {
+                node: extent % 6,
+                slot: extent,
+            };
+            apply(
+                &mut tree,
+                Change::ExtentPlaced {
+                    layer: 1024,
+                    extent: extent * 1_000,
+                    location,
+                },
+            );
         }
         for _ in 0..snapshots {
             apply(&mut tree, Change::HeadFrozen { branch: "a".into() });
--- a/crates/cow/tests/tree_replica.rs
+++ b/crates/cow/tests/tree_replica.rs
@@ -8,12 +8,27 @@
 /// A branch of four extents, of which extent 2 is written.
 fn tree() -> Tree {
     let mut tree = Tree::default();
-    tree.apply(&Change::BranchCreated { branch: "a".into(), extent_count: 4 }).expect("fits");
+    tree.apply(&Change::BranchCreated {
+        branch: "a".into(),
+        extent_count: 4,
+    })
+    .expect("fits");
     let layer = tree.branches["a"].head;
-    tree.apply(&Change::SlotsAllocated { layer, first: 0, count: 8 }).expect("fits");
+    tree.apply(&Change::SlotsAllocated {
+        layer,
+        first: 0,
+        count: 8,
+    })
+    .expect("fits");
     let location = Location { node: 1, slot: 3 };
-    tree.apply(&Change::ExtentPlaced { layer, extent: 2, location }).expect("fits");
-    tree.apply(&Change::ExtentWritable { layer, extent: 2 }).expect("fits");
+    tree.apply(&Change::ExtentPlaced {
+        layer,
+        extent: 2,
+        location,
+    })
+    .expect("fits");
+    tree.apply(&Change::ExtentWritable { layer, extent: 2 })
+        .expect("fits");
     tree
 }
 
@@ -31,7 +46,10 @@
 #[test]
 fn lookup_requires_a_lease() {
     let mut replica = replica();
-    assert!(matches!(replica.look_up("a", 2, false, 999), Lookup::Found(..)));
+    assert!(matches!(
+        replica.look_up("a", 2, false, 999),
+        Lookup::Found(..)
+    ));
     assert_eq!(replica.look_up("a", 2, false, 1_000), Lookup::NoLease);
 }
 
@@ -39,14 +57,39 @@
 fn lookups_before_and_after_a_cut() {
     let mut replica = replica();
     let (old_head, location) = (FIRST_HEAD, Location { node: 1, slot: 3 });
-    assert_eq!(replica.look_up("a", 2, true, 0), Lookup::Found(old_head, location));
+    assert_eq!(
+        replica.look_up("a", 2, true, 0),
+        Lookup::Found(old_head, location)
+    );
     assert_eq!(replica.look_up("a", 0, false, 0), Lookup::Zeros);
-    assert_eq!(replica.look_up("a", 0, true, 0), Lookup::CopyFirst { into: old_head, from: None });
+    assert_eq!(
+        replica.look_up("a", 0, true, 0),
+        Lookup::CopyFirst {
+            into: old_head,
+            from: None
+        }
+    );
     assert!(replica.apply_change(5, &freeze_head()));
-    assert_eq!(replica.look_up("a", 2, false, 0), Lookup::Found(old_head, location));
-    assert_eq!(replica.look_up("a", 2, true, 0), Lookup::Blocked, "its node may still take late writes");
-    assert!(replica.apply_change(6, &Change::LayerClosed { layer: old_head, node: 1 }));
-    let copy = Lookup::CopyFirst { into: old_head + 1, from: Some((old_head, location)) };
+    assert_eq!(
+        replica.look_up("a", 2, false, 0),
+        Lookup::Found(old_head, location)
+    );
+    assert_eq!(
+        replica.look_up("a", 2, true, 0),
+        Lookup::Blocked,
+        "its node may still take late writes"
+    );
+    assert!(replica.apply_change(
+        6,
+        &Change::LayerClosed {
+            layer: old_head,
+            node: 1
+        }
+    ));
+    let copy = Lookup::CopyFirst {
+        into: old_head + 1,
+        from: Some((old_head, location)),
+    };
     assert_eq!(replica.look_up("a", 2, true, 0), copy);
     assert_eq!(replica.look_up("b", 2, true, 0), Lookup::UnknownName);
 }
@@ -55,11 +98,24 @@
 fn new_location_is_readable_at_once_and_writable_after_the_second_change() {
     let mut replica = replica();
     let (layer, location) = (FIRST_HEAD, Location { node: 0, slot: 5 });
-    assert!(replica.apply_change(5, &Change::ExtentPlaced { layer, extent: 1, location }));
-    assert_eq!(replica.look_up("a", 1, false, 0), Lookup::Found(layer, location));
+    assert!(replica.apply_change(
+        5,
+        &Change::ExtentPlaced {
+            layer,
+            extent: 1,
+            location
+        }
+    ));
+    assert_eq!(
+        replica.look_up("a", 1, false, 0),
+        Lookup::Found(layer, location)
+    );
     assert_eq!(replica.look_up("a", 1, true, 0), Lookup::Blocked);
     assert!(replica.apply_change(6, &Change::ExtentWritable { layer, extent: 1 }));
-    assert_eq!(replica.look_up("a", 1, true, 0), Lookup::Found(layer, location));
+    assert_eq!(
+        replica.look_up("a", 1, true, 0),
+        Lookup::Found(layer, location)
+    );
 }
 
 #[test]
--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -12,8 +12,8 @@
 pub use error::{Damage, DatabaseError, StoreError};
 
 use redb::{
-    Builder, Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
-    WriteTransaction,
+    Builder, Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend,
+    TableDefinition, WriteTransaction,
 };
 use std::path::Path;
 
@@ -75,7 +75,11 @@
         format: Format,
         prepare: impl FnOnce(&WriteTransaction, StoredFormat) -> Result<(), StoreError<D>>,
     ) -> Result<DurableStore, StoreError<D>> {
-        DurableStore::prepare(Builder::new().create_with_backend(backend)?, format, prepare)
+        DurableStore::prepare(
+            Builder::new().create_with_backend(backend)?,
+            format,
+            prepare,
+        )
     }
 
     fn prepare<D: Damage>(
@@ -90,8 +94,15 @@
             let stored = match found {
                 None => StoredFormat::Missing,
                 Some(found) if found == format.current => StoredFormat::Current,
-                Some(found) if (format.oldest..format.current).contains(&found) => StoredFormat::Older(found),
-                Some(found) => return Err(StoreError::UnknownFormat { found, expected: format.current }),
+                Some(found) if (format.oldest..format.current).contains(&found) => {
+                    StoredFormat::Older(found)
+                }
+                Some(found) => {
+                    return Err(StoreError::UnknownFormat {
+                        found,
+                        expected: format.current,
+                    });
+                }
             };
             prepare(&transaction, stored)?;
             if stored != StoredFormat::Current {
@@ -99,7 +110,10 @@
             }
         }
         transaction.commit()?;
-        Ok(DurableStore { database, is_poisoned: false })
+        Ok(DurableStore {
+            database,
+            is_poisoned: false,
+        })
     }
 
     /// Begins to read what is on disk.
@@ -148,6 +162,10 @@
     ///
     /// [`StoreError::Poisoned`] after a guarded transaction that failed.
     pub fn check_not_poisoned<D: Damage>(&self) -> Result<(), StoreError<D>> {
-        if self.is_poisoned { Err(StoreError::Poisoned) } else { Ok(()) }
+        if self.is_poisoned {
+            Err(StoreError::Poisoned)
+        } else {
+            Ok(())
+        }
     }
 }
--- a/crates/durable-store/src/testing.rs
+++ b/crates/durable-store/src/testing.rs
@@ -31,7 +31,10 @@
     /// A storage with contents, and no calls yet.
     #[must_use]
     pub fn with_contents(contents: Vec<u8>) -> Self {
-        RecordingBackend { contents: Arc::new(Mutex::new(contents)), ..RecordingBackend::default() }
+        RecordingBackend {
+            contents: Arc::new(Mutex::new(contents)),
+            ..RecordingBackend::default()
+        }
     }
 
     /// The present contents of the storage.
@@ -102,7 +105,10 @@
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
         let start = as_index(offset);
         self.lock_contents()[start..start + data.len()].copy_from_slice(data);
-        self.lock_calls().push(Call::Write { offset, data: data.to_vec() });
+        self.lock_calls().push(Call::Write {
+            offset,
+            data: data.to_vec(),
+        });
         Ok(())
     }
 }
--- a/crates/durable-store/tests/durable_store.rs
+++ b/crates/durable-store/tests/durable_store.rs
@@ -5,7 +5,11 @@
 use std::error::Error;
 
 const ROWS: TableDefinition<u64, u64> = TableDefinition::new("rows");
-const FORMAT: Format = Format { key: "test", current: 3, oldest: 2 };
+const FORMAT: Format = Format {
+    key: "test",
+    current: 3,
+    oldest: 2,
+};
 
 #[derive(Debug, thiserror::Error)]
 #[error("row {0} is missing")]
@@ -17,7 +21,10 @@
 
 type TestError = StoreError<MissingRow>;
 
-fn open(backend: &RecordingBackend, format: Format) -> Result<(DurableStore, StoredFormat), TestError> {
+fn open(
+    backend: &RecordingBackend,
+    format: Format,
+) -> Result<(DurableStore, StoredFormat), TestError> {
     let mut found = None;
     let store = DurableStore::open_with_backend(backend.clone(), format, |transaction, stored| {
         transaction.open_table(ROWS)?;
@@ -36,12 +43,34 @@
 fn format_is_stored_and_older_ones_are_converted() {
     let backend = RecordingBackend::default();
     let stored = |format| open(&backend, format).map(|opened| opened.1);
-    assert_eq!(stored(Format { current: 2, ..FORMAT }).expect("new"), StoredFormat::Missing);
-    assert_eq!(stored(Format { current: 2, ..FORMAT }).expect("valid"), StoredFormat::Current);
+    assert_eq!(
+        stored(Format {
+            current: 2,
+            ..FORMAT
+        })
+        .expect("new"),
+        StoredFormat::Missing
+    );
+    assert_eq!(
+        stored(Format {
+            current: 2,
+            ..FORMAT
+        })
+        .expect("valid"),
+        StoredFormat::Current
+    );
     assert_eq!(stored(FORMAT).expect("valid"), StoredFormat::Older(2));
     assert_eq!(stored(FORMAT).expect("valid"), StoredFormat::Current);
-    let newer = stored(Format { current: 5, oldest: 4, ..FORMAT }).expect_err("too old");
-    assert_eq!(newer.to_string(), "test store is damaged: format 3, expected 5");
+    let newer = stored(Format {
+        current: 5,
+        oldest: 4,
+        ..FORMAT
+    })
+    .expect_err("too old");
+    assert_eq!(
+        newer.to_string(),
+        "test store is damaged: format 3, expected 5"
+    );
 }
 
 #[test]
@@ -49,8 +78,14 @@
     let backend = RecordingBackend::default();
     let failed: Result<DurableStore, TestError> =
         DurableStore::open_with_backend(backend.clone(), FORMAT, |_, _| Err(MissingRow(7).into()));
-    assert_eq!(failed.expect_err("failed").to_string(), "test store is damaged: row 7 is missing");
-    assert_eq!(open(&backend, FORMAT).expect("new").1, StoredFormat::Missing);
+    assert_eq!(
+        failed.expect_err("failed").to_string(),
+        "test store is damaged: row 7 is missing"
+    );
+    assert_eq!(
+        open(&backend, FORMAT).expect("new").1,
+        StoredFormat::Missing
+    );
 }
 
 #[test]
@@ -70,13 +105,25 @@
     });
     assert!(matches!(failed, Err(TestError::Damaged(MissingRow(9)))));
     let poisoned = store.write_or_poison(insert(3)).expect_err("poisoned");
-    assert_eq!(poisoned.to_string(), "test store: an earlier write has failed; open it anew");
+    assert_eq!(
+        poisoned.to_string(),
+        "test store: an earlier write has failed; open it anew"
+    );
     store.write(insert(4)).expect("unguarded");
     drop(store);
     let (store, _) = open(&backend, FORMAT).expect("valid");
-    assert_eq!((row(&store, 1).expect("there"), row(&store, 4).expect("there")), (10, 40));
+    assert_eq!(
+        (
+            row(&store, 1).expect("there"),
+            row(&store, 4).expect("there")
+        ),
+        (10, 40)
+    );
     let missing = row(&store, 2).expect_err("rolled back");
-    assert_eq!(missing.source().expect("the damage").to_string(), "row 2 is missing");
+    assert_eq!(
+        missing.source().expect("the damage").to_string(),
+        "row 2 is missing"
+    );
 }
 
 #[test]
--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -24,7 +24,11 @@
 
     /// The state that has this name on the wire.
     pub(crate) fn from_wire(name: &str) -> Option<EndpointState> {
-        let states = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
+        let states = [
+            EndpointState::Active,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ];
         states.into_iter().find(|state| state.as_str() == name)
     }
 }
--- a/crates/endpoint-list/src/watcher.rs
+++ b/crates/endpoint-list/src/watcher.rs
@@ -1,7 +1,9 @@
 //! A host's side of the protocol. It retains the last version and endpoints that it received, so that old or repeated
 //! updates are recognized, and writes them as a cache for the next start.
 use crate::endpoint::{Endpoint, EndpointUpdate, ListVersion, UpdateKind};
-use crate::wire::{MAX_LINE_BYTES, ProtocolError, UpdateHead, parse_endpoint, parse_head, write_endpoint};
+use crate::wire::{
+    MAX_LINE_BYTES, ProtocolError, UpdateHead, parse_endpoint, parse_head, write_endpoint,
+};
 use std::collections::BTreeMap;
 
 /// What the service's messages lead to.
@@ -21,7 +23,10 @@
 
 impl PartialUpdate {
     fn new(head: UpdateHead) -> PartialUpdate {
-        PartialUpdate { head, endpoints: Vec::new() }
+        PartialUpdate {
+            head,
+            endpoints: Vec::new(),
+        }
     }
 
     fn is_complete(&self) -> bool {
@@ -61,7 +66,11 @@
     /// # Errors
     ///
     /// A line violates the protocol. The caller closes the connection.
-    pub fn receive(&mut self, bytes: &[u8], mut notify: impl FnMut(WatchEvent)) -> Result<(), ProtocolError> {
+    pub fn receive(
+        &mut self,
+        bytes: &[u8],
+        mut notify: impl FnMut(WatchEvent),
+    ) -> Result<(), ProtocolError> {
         for byte in bytes {
             if *byte == b'\n' {
                 let mut line = std::mem::take(&mut self.partial_line);
@@ -73,7 +82,10 @@
                 line.clear();
                 self.partial_line = line;
             } else if self.partial_line.len() == MAX_LINE_BYTES {
-                return Err(ProtocolError { line: self.lines + 1, expected: "a line of up to 256 bytes" });
+                return Err(ProtocolError {
+                    line: self.lines + 1,
+                    expected: "a line of up to 256 bytes",
+                });
             } else {
                 self.partial_line.push(*byte);
             }
@@ -84,7 +96,10 @@
     fn receive_line(&mut self, line: &[u8]) -> Result<Option<WatchEvent>, ProtocolError> {
         let number = self.lines;
         let text = std::str::from_utf8(line);
-        let text = text.map_err(|_| ProtocolError { line: number, expected: "text" })?;
+        let text = text.map_err(|_| ProtocolError {
+            line: number,
+            expected: "text",
+        })?;
         let text = text.trim_end_matches('\r');
         match &mut self.partial_update {
             None => self.partial_update = Some(PartialUpdate::new(parse_head(text, number)?)),
@@ -109,13 +124,20 @@
         }
         self.version = head.version;
         let known = &self.endpoints;
-        let is_current =
-            |e: &Endpoint| known.get(&e.name).is_none_or(|known| e.generation >= known.generation);
+        let is_current = |e: &Endpoint| {
+            known
+                .get(&e.name)
+                .is_none_or(|known| e.generation >= known.generation)
+        };
         let endpoints: Vec<Endpoint> = endpoints.into_iter().filter(is_current).collect();
         for endpoint in &endpoints {
-            self.endpoints.insert(endpoint.name.clone(), endpoint.clone());
+            self.endpoints
+                .insert(endpoint.name.clone(), endpoint.clone());
         }
-        Some(WatchEvent::Update(EndpointUpdate { kind: head.kind, endpoints }))
+        Some(WatchEvent::Update(EndpointUpdate {
+            kind: head.kind,
+            endpoints,
+        }))
     }
 
     /// The known endpoints as the text of a cache for [`EndpointWatcher::restore_cache`].
@@ -141,15 +163,24 @@
         let head = lines.next().and_then(|line| line.strip_prefix("kept "));
         let count: usize = head
             .and_then(|count| count.parse().ok())
-            .ok_or(ProtocolError { line: 1, expected: "kept COUNT" })?;
+            .ok_or(ProtocolError {
+                line: 1,
+                expected: "kept COUNT",
+            })?;
         let mut lines: Vec<&str> = lines.collect();
         if lines.pop() != Some("end") || lines.len() != count || !text.ends_with('\n') {
             let expected = "as many nodes as the head says, then end";
-            return Err(ProtocolError { line: lines.len() as u64 + 1, expected });
+            return Err(ProtocolError {
+                line: lines.len() as u64 + 1,
+                expected,
+            });
         }
         // The lines are those of a message, after another head.
         let head = UpdateHead {
-            version: ListVersion { epoch: 0, version: 1 },
+            version: ListVersion {
+                epoch: 0,
+                version: 1,
+            },
             kind: UpdateKind::FullSnapshot,
             count,
         };
@@ -158,7 +189,10 @@
             partial_update: Some(PartialUpdate::new(head)),
             ..EndpointWatcher::default()
         };
-        let mut update = EndpointUpdate { kind: UpdateKind::FullSnapshot, endpoints: Vec::new() };
+        let mut update = EndpointUpdate {
+            kind: UpdateKind::FullSnapshot,
+            endpoints: Vec::new(),
+        };
         for line in lines {
             restored.lines += 1;
             if let Some(WatchEvent::Update(complete)) = restored.receive_line(line.as_bytes())? {
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -53,7 +53,11 @@
     }
     let epoch = epoch.parse().map_err(|_| error("an epoch"))?;
     let version = version.parse().map_err(|_| error("a version"))?;
-    Ok(UpdateHead { version: ListVersion { epoch, version }, kind, count })
+    Ok(UpdateHead {
+        version: ListVersion { epoch, version },
+        kind,
+        count,
+    })
 }
 
 /// Parses the line of one endpoint; `line` is its number.
@@ -70,11 +74,21 @@
     let state = EndpointState::from_wire(state).ok_or_else(|| error("active, leaving or left"))?;
     let generation = generation.parse().map_err(|_| error("a start"))?;
     let uptime_ms = uptime.parse().map_err(|_| error("an age"))?;
-    Ok(Endpoint { name: name.to_owned(), state, generation, uptime_ms })
+    Ok(Endpoint {
+        name: name.to_owned(),
+        state,
+        generation,
+        uptime_ms,
+    })
 }
 
 /// Appends a message of the service to a text.
-pub fn write_update(out: &mut String, version: ListVersion, kind: UpdateKind, endpoints: &[Endpoint]) {
+pub fn write_update(
+    out: &mut String,
+    version: ListVersion,
+    kind: UpdateKind,
+    endpoints: &[Endpoint],
+) {
     let ListVersion { epoch, version } = version;
     let kind = match kind {
         UpdateKind::FullSnapshot => "whole",
@@ -88,7 +102,12 @@
 }
 
 pub(crate) fn write_endpoint(out: &mut String, endpoint: &Endpoint) {
-    let Endpoint { name, state, generation, uptime_ms } = endpoint;
+    let Endpoint {
+        name,
+        state,
+        generation,
+        uptime_ms,
+    } = endpoint;
     let state = state.as_str();
     writeln!(out, "node {name} {state} {generation} {uptime_ms}").expect("writing to memory");
 }
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -1,24 +1,32 @@
 //! Pins the protocol: every line that is written, and what is read from every form of it, cut at every byte and
 //! with every byte changed, compared with what commit 01f3988 wrote and read.
 use mallowseam_endpoint_list::{
-    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, MAX_ENDPOINTS, MAX_LINE_BYTES,
-    ProtocolError, UpdateKind, WatchEvent, write_update,
+    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, MAX_ENDPOINTS,
+    MAX_LINE_BYTES, ProtocolError, UpdateKind, WatchEvent, write_update,
 };
 use mallowseam_test_support::{Digest, SeededRng};
 use std::fmt::Write;
 
-const STATES: [EndpointState; 3] = [EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
+const STATES: [EndpointState; 3] = [
+    EndpointState::Active,
+    EndpointState::Draining,
+    EndpointState::Removed,
+];
 
 /// What the host knows after `WHOLE`, as it is cached for the next start.
 const CACHED: &str =
     "kept 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\nend\n";
-const WHOLE: &str =
-    "list 9 3 whole 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\n";
+const WHOLE: &str = "list 9 3 whole 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\n";
 const CHANGES: &str = "list 9 4 changes 1\nnode a1 left 5 20\n";
 const EMPTY: &str = "list 18446744073709551615 0 whole 0\n";
 
 fn entry(name: &str, state: EndpointState, generation: u64, uptime_ms: u64) -> Endpoint {
-    Endpoint { name: name.into(), state, generation, uptime_ms }
+    Endpoint {
+        name: name.into(),
+        state,
+        generation,
+        uptime_ms,
+    }
 }
 
 fn entries() -> Vec<Endpoint> {
@@ -38,8 +46,15 @@
         }
     );
     for e in &update.endpoints {
-        write!(text, " [{} {} {} {}]", e.name, e.state.as_str(), e.generation, e.uptime_ms)
-            .expect("writing to memory");
+        write!(
+            text,
+            " [{} {} {} {}]",
+            e.name,
+            e.state.as_str(),
+            e.generation,
+            e.uptime_ms
+        )
+        .expect("writing to memory");
     }
     text
 }
@@ -62,7 +77,12 @@
         writeln!(text, "error {} {wrong}", wrong.line).expect("writing to memory");
     }
     let ListVersion { epoch, version } = watcher.version();
-    writeln!(text, "at {epoch} {version} knows {:?}", watcher.write_cache()).expect("writing to memory");
+    writeln!(
+        text,
+        "at {epoch} {version} knows {:?}",
+        watcher.write_cache()
+    )
+    .expect("writing to memory");
     text
 }
 
@@ -73,26 +93,52 @@
         Err(wrong) => format!("error {} {wrong}", wrong.line),
     };
     let ListVersion { epoch, version } = watcher.version();
-    format!("{result} at {:?} knows {:?}", (epoch, version), watcher.write_cache())
+    format!(
+        "{result} at {:?} knows {:?}",
+        (epoch, version),
+        watcher.write_cache()
+    )
 }
 
 #[test]
 fn every_line_is_written_as_recorded() {
     let mut out = String::new();
-    write_update(&mut out, ListVersion { epoch: 9, version: 3 }, UpdateKind::FullSnapshot, &entries());
+    write_update(
+        &mut out,
+        ListVersion {
+            epoch: 9,
+            version: 3,
+        },
+        UpdateKind::FullSnapshot,
+        &entries(),
+    );
     assert_eq!(out, WHOLE);
     out.clear();
     write_update(
         &mut out,
-        ListVersion { epoch: 9, version: 4 },
+        ListVersion {
+            epoch: 9,
+            version: 4,
+        },
         UpdateKind::Incremental,
         &[entry("a1", EndpointState::Removed, 5, 20)],
     );
     assert_eq!(out, CHANGES);
     out.clear();
-    write_update(&mut out, ListVersion { epoch: u64::MAX, version: 0 }, UpdateKind::FullSnapshot, &[]);
+    write_update(
+        &mut out,
+        ListVersion {
+            epoch: u64::MAX,
+            version: 0,
+        },
+        UpdateKind::FullSnapshot,
+        &[],
+    );
     assert_eq!(out, EMPTY);
-    assert_eq!(STATES.map(EndpointState::as_str), ["active", "leaving", "left"]);
+    assert_eq!(
+        STATES.map(EndpointState::as_str),
+        ["active", "leaving", "left"]
+    );
     assert_eq!((MAX_LINE_BYTES, MAX_ENDPOINTS), (256, 4096));
 }
 
@@ -104,9 +150,15 @@
     let mut back = EndpointWatcher::default();
     assert_eq!(
         back.restore_cache(CACHED),
-        Ok(EndpointUpdate { kind: UpdateKind::FullSnapshot, endpoints: entries() })
+        Ok(EndpointUpdate {
+            kind: UpdateKind::FullSnapshot,
+            endpoints: entries()
+        })
+    );
+    assert_eq!(
+        (back.write_cache().as_str(), back.version()),
+        (CACHED, ListVersion::default())
     );
-    assert_eq!((back.write_cache().as_str(), back.version()), (CACHED, ListVersion::default()));
     assert_eq!(EndpointWatcher::default().write_cache(), "kept 0\nend\n");
     assert_eq!(restore("kept 0\nend\n"), RESTORED_EMPTY);
 }
@@ -126,7 +178,9 @@
         record += &receive(&mut watcher, &stream.as_bytes()[..cut]);
         // A reconnect drops the partial line and the partial list.
         let mut reconnected = EndpointWatcher::default();
-        reconnected.receive(&stream.as_bytes()[..cut], |_| {}).expect("valid");
+        reconnected
+            .receive(&stream.as_bytes()[..cut], |_| {})
+            .expect("valid");
         reconnected.on_reconnect();
         record += &receive(&mut reconnected, stream.as_bytes());
         receive(&mut watcher, &stream.as_bytes()[cut..]);
@@ -168,37 +222,81 @@
 #[test]
 fn every_error_is_the_recorded_text() {
     let expected = [
-        ("hello\n".to_owned(), "line 1: expected list EPOCH VERSION whole|changes COUNT"),
-        ("list 1 1 half 0\n".to_owned(), "line 1: expected whole or changes"),
+        (
+            "hello\n".to_owned(),
+            "line 1: expected list EPOCH VERSION whole|changes COUNT",
+        ),
+        (
+            "list 1 1 half 0\n".to_owned(),
+            "line 1: expected whole or changes",
+        ),
         ("list 1 1 whole x\n".to_owned(), "line 1: expected a count"),
-        ("list 1 1 whole 4097\n".to_owned(), "line 1: expected at most 4096 nodes"),
+        (
+            "list 1 1 whole 4097\n".to_owned(),
+            "line 1: expected at most 4096 nodes",
+        ),
         ("list x 1 whole 1\n".to_owned(), "line 1: expected an epoch"),
-        ("list 1 x whole 1\n".to_owned(), "line 1: expected a version"),
+        (
+            "list 1 x whole 1\n".to_owned(),
+            "line 1: expected a version",
+        ),
         (
             "list 1 1 whole 1\nlist 1 1 whole 1\n".to_owned(),
             "line 2: expected node NAME active|leaving|left BORN AGE",
         ),
-        ("list 1 1 whole 1\nnode  active 1 1\n".to_owned(), "line 2: expected a name"),
-        ("list 1 1 whole 1\nnode a up 1 1\n".to_owned(), "line 2: expected active, leaving or left"),
-        ("list 1 1 whole 1\nnode a left -1 1\n".to_owned(), "line 2: expected a start"),
-        ("list 1 1 whole 1\nnode a left 1 -1\n".to_owned(), "line 2: expected an age"),
-        ("x".repeat(257), "line 1: expected a line of up to 256 bytes"),
+        (
+            "list 1 1 whole 1\nnode  active 1 1\n".to_owned(),
+            "line 2: expected a name",
+        ),
+        (
+            "list 1 1 whole 1\nnode a up 1 1\n".to_owned(),
+            "line 2: expected active, leaving or left",
+        ),
+        (
+            "list 1 1 whole 1\nnode a left -1 1\n".to_owned(),
+            "line 2: expected a start",
+        ),
+        (
+            "list 1 1 whole 1\nnode a left 1 -1\n".to_owned(),
+            "line 2: expected an age",
+        ),
+        (
+            "x".repeat(257),
+            "line 1: expected a line of up to 256 bytes",
+        ),
     ];
     for (text, error) in expected {
-        let wrong = EndpointWatcher::default().receive(text.as_bytes(), |_| {}).expect_err(&text);
+        let wrong = EndpointWatcher::default()
+            .receive(text.as_bytes(), |_| {})
+            .expect_err(&text);
         assert_eq!(wrong.to_string(), format!("node list, {error}"));
     }
-    assert_eq!(EndpointWatcher::default().receive("x".repeat(256).as_bytes(), |_| {}), Ok(()));
+    assert_eq!(
+        EndpointWatcher::default().receive("x".repeat(256).as_bytes(), |_| {}),
+        Ok(())
+    );
     let text = EndpointWatcher::default().receive(b"\xff\n", |_| {});
-    assert_eq!(text, Err(ProtocolError { line: 1, expected: "text" }));
+    assert_eq!(
+        text,
+        Err(ProtocolError {
+            line: 1,
+            expected: "text"
+        })
+    );
     let mut full = EndpointWatcher::default();
     assert_eq!(full.receive(b"list 1 1 whole 4096\n", |_| {}), Ok(()));
     assert_eq!(
-        EndpointWatcher::default().restore_cache("kept x\nend\n").expect_err("no count").to_string(),
+        EndpointWatcher::default()
+            .restore_cache("kept x\nend\n")
+            .expect_err("no count")
+            .to_string(),
         "node list, line 1: expected kept COUNT"
     );
     assert_eq!(
-        EndpointWatcher::default().restore_cache("kept 1\nend\n").expect_err("no node").to_string(),
+        EndpointWatcher::default()
+            .restore_cache("kept 1\nend\n")
+            .expect_err("no node")
+            .to_string(),
         "node list, line 1: expected as many nodes as the head says, then end"
     );
 }
@@ -230,7 +328,11 @@
             })
             .collect();
         let mut text = String::new();
-        let kind = if rng.below(4) == 0 { UpdateKind::FullSnapshot } else { UpdateKind::Incremental };
+        let kind = if rng.below(4) == 0 {
+            UpdateKind::FullSnapshot
+        } else {
+            UpdateKind::Incremental
+        };
         write_update(&mut text, ListVersion { epoch, version }, kind, &entries);
         let cut = rng.below(text.len() as u64 + 1) as usize;
         record += &receive(&mut watcher, &text.as_bytes()[..cut]);
--- a/crates/fleet-udp/src/event_log.rs
+++ b/crates/fleet-udp/src/event_log.rs
@@ -32,7 +32,13 @@
             MembershipEvent::IsolationEnded => {
                 tracing::info!("isolation ended: a message of another member was received");
             }
-            MembershipEvent::MemberUpdated { name, address, previous, current, .. } => {
+            MembershipEvent::MemberUpdated {
+                name,
+                address,
+                previous,
+                current,
+                ..
+            } => {
                 // A new record without a change of state is not logged.
                 if previous != Some(current) && self.admit(current.as_str()) {
                     let previous = previous.map_or("unknown", MemberState::as_str);
--- a/crates/fleet-udp/src/query.rs
+++ b/crates/fleet-udp/src/query.rs
@@ -66,7 +66,11 @@
                 Ok(Message::Page(page)) => return Ok(page),
                 _ => last_error = QueryError::UnreadableAnswer,
             },
-            Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                ) => {}
             Err(error) => last_error = QueryError::Socket(error),
         }
     }
--- a/crates/fleet-udp/src/snapshot.rs
+++ b/crates/fleet-udp/src/snapshot.rs
@@ -45,7 +45,11 @@
     pub fn state_counts(&self) -> String {
         let mut counts = Vec::new();
         for state in COUNTED_STATES {
-            let count = self.members.iter().filter(|member| member.state == state).count();
+            let count = self
+                .members
+                .iter()
+                .filter(|member| member.state == state)
+                .count();
             if count > 0 {
                 counts.push(format!("{count} {}", state.as_str()));
             }
@@ -56,7 +60,10 @@
     /// The table for operators: a line for each member by name, and a line of totals.
     #[must_use]
     pub fn to_table(&self) -> String {
-        let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let now_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
         let mut members: Vec<&MemberStatus> = self.members.iter().collect();
         members.sort_by(|a, b| a.record.name.cmp(&b.record.name));
         let mut table = String::new();
@@ -68,10 +75,21 @@
         for member in members {
             write_row(&mut table, member, now_ms);
         }
-        let isolated = if self.isolated { "; hears from nobody" } else { "" };
-        let superseded = if self.superseded { "; another process has its name" } else { "" };
+        let isolated = if self.isolated {
+            "; hears from nobody"
+        } else {
+            ""
+        };
+        let superseded = if self.superseded {
+            "; another process has its name"
+        } else {
+            ""
+        };
         let (host, counts, digest) = (&self.host, self.state_counts(), self.digest);
-        let _ = writeln!(table, "as {host} sees it: {counts}{isolated}{superseded}; view {digest:016x}");
+        let _ = writeln!(
+            table,
+            "as {host} sees it: {counts}{isolated}{superseded}; view {digest:016x}"
+        );
         table
     }
 
@@ -93,14 +111,21 @@
         let mut changes = Vec::new();
         for member in &self.members {
             let name = &member.record.name;
-            let (was, is) =
-                (earlier.find(name).map_or("unknown", |m| m.state.as_str()), member.state.as_str());
+            let (was, is) = (
+                earlier.find(name).map_or("unknown", |m| m.state.as_str()),
+                member.state.as_str(),
+            );
             if was != is {
                 changes.push(format!("{name}: {was} -> {is}"));
             }
         }
-        let forgotten = earlier.members.iter().filter(|member| self.find(&member.record.name).is_none());
-        changes.extend(forgotten.map(|m| format!("{}: {} -> forgotten", m.record.name, m.state.as_str())));
+        let forgotten = earlier
+            .members
+            .iter()
+            .filter(|member| self.find(&member.record.name).is_none());
+        changes.extend(
+            forgotten.map(|m| format!("{}: {} -> forgotten", m.record.name, m.state.as_str())),
+        );
         changes
     }
 
@@ -115,28 +140,37 @@
         for name in names {
             let (here, there) = (self.describe(name), other.describe(name));
             if here != there {
-                differences
-                    .push(format!("{name}: {} has it {here}, {} has it {there}", self.host, other.host));
+                differences.push(format!(
+                    "{name}: {} has it {here}, {} has it {there}",
+                    self.host, other.host
+                ));
             }
         }
         differences
     }
 
     fn find(&self, name: &str) -> Option<&MemberStatus> {
-        self.members.iter().find(|member| member.record.name == name)
+        self.members
+            .iter()
+            .find(|member| member.record.name == name)
     }
 
     fn describe(&self, name: &str) -> String {
         self.find(name).map_or("unknown".to_owned(), |member| {
             let (state, record) = (member.state.as_str(), &member.record);
-            format!("{state} (generation {}, word {})", record.generation, record.incarnation)
+            format!(
+                "{state} (generation {}, word {})",
+                record.generation, record.incarnation
+            )
         })
     }
 }
 
 fn write_row(table: &mut String, member: &MemberStatus, now_ms: u64) {
     let record = &member.record;
-    let last_contact = member.last_contact_ms.map_or("-".to_owned(), |ms| format!("{:.1}", ms as f64 / 1e3));
+    let last_contact = member
+        .last_contact_ms
+        .map_or("-".to_owned(), |ms| format!("{:.1}", ms as f64 / 1e3));
     let _ = writeln!(
         table,
         "{:<20}{:<13}{:<10}{:<22}{:>8}{:>8}{:>9}{:>9}",
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -50,7 +50,10 @@
     /// # Errors
     /// The address can't be listened on, or the socket can't be registered.
     pub fn open(registry: &Registry, token: Token, config: FleetConfig) -> io::Result<Self> {
-        let FleetConfig { listen, membership: config } = config;
+        let FleetConfig {
+            listen,
+            membership: config,
+        } = config;
         let mut socket = UdpSocket::bind(listen)?;
         registry.register(&mut socket, token, Interest::READABLE)?;
         tracing::info!(
@@ -60,7 +63,10 @@
             seeds = config.seeds.len(),
             "membership protocol started"
         );
-        let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let unix_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis() as u64;
         Ok(UdpMembership {
             socket,
             listen,
@@ -93,7 +99,9 @@
             match self.socket.recv_from(&mut self.receive_buffer) {
                 Ok((len, from)) => {
                     let buffer = self.receive_buffer;
-                    self.act(|membership, now, sink| membership.receive(from, &buffer[..len], now, sink));
+                    self.act(|membership, now, sink| {
+                        membership.receive(from, &buffer[..len], now, sink)
+                    });
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 // Reported by the network for an earlier datagram, such as an unreachable port.
@@ -142,7 +150,20 @@
     /// Calls the state machine and carries out its actions.
     fn act(&mut self, call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
         let now = self.now();
-        let UdpMembership { socket, membership, event_log, .. } = self;
-        call(membership, now, &mut SocketActions { socket, event_log, now });
+        let UdpMembership {
+            socket,
+            membership,
+            event_log,
+            ..
+        } = self;
+        call(
+            membership,
+            now,
+            &mut SocketActions {
+                socket,
+                event_log,
+                now,
+            },
+        );
     }
 }
