--- a/crates/fleet-udp/tests/pinned_snapshot.rs
+++ b/crates/fleet-udp/tests/pinned_snapshot.rs
@@ -18,11 +18,18 @@
         lifecycle: Lifecycle::Alive,
         address: "10.1.2.3:7400".parse().expect("an address"),
         zone: Zone::try_from("east").expect("short"),
-        versions: ActiveVersions { endpoint_list: 12, plans: 4 },
+        versions: ActiveVersions {
+            endpoint_list: 12,
+            plans: 4,
+        },
         // In the future, so that the time that it is up is zero at whatever time this runs.
         started_ms: 9_999_999_999_999,
     };
-    MemberStatus { record, state, last_contact_ms }
+    MemberStatus {
+        record,
+        state,
+        last_contact_ms,
+    }
 }
 
 fn sample() -> MembershipSnapshot {
@@ -56,7 +63,14 @@
         ]
     );
     assert_eq!(
-        MembershipSnapshot { isolated: false, superseded: false, ..sample() }.to_table().lines().last(),
+        MembershipSnapshot {
+            isolated: false,
+            superseded: false,
+            ..sample()
+        }
+        .to_table()
+        .lines()
+        .last(),
         Some("as host-a sees it: 2 alive, 1 suspect, 1 unreachable; view 000000000000abcd")
     );
     assert_eq!(
@@ -72,10 +86,16 @@
     after.members.remove(3);
     after.members[0].state = MemberState::Left;
     after.members[1].record.incarnation = 4;
-    after.members.push(status("host-e", MemberState::Joining, None));
+    after
+        .members
+        .push(status("host-e", MemberState::Joining, None));
     assert_eq!(
         after.changes_since(&before),
-        vec!["host-c: unreachable -> left", "host-e: unknown -> joining", "host-d: alive -> forgotten"]
+        vec![
+            "host-c: unreachable -> left",
+            "host-e: unknown -> joining",
+            "host-d: alive -> forgotten"
+        ]
     );
     assert_eq!(
         before.differences(&after),
@@ -97,7 +117,9 @@
 
 fn server() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    socket.set_read_timeout(Some(Duration::from_secs(10))).expect("a bound");
+    socket
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .expect("a bound");
     let address = socket.local_addr().expect("bound");
     (socket, address)
 }
@@ -131,11 +153,20 @@
         ]
     );
     assert_eq!(
-        (found.host.as_str(), found.isolated, found.superseded, found.digest),
+        (
+            found.host.as_str(),
+            found.isolated,
+            found.superseded,
+            found.digest
+        ),
         ("host-a", true, false, 2)
     );
     assert_eq!(
-        found.members.iter().map(|m| m.record.name.as_str()).collect::<Vec<_>>(),
+        found
+            .members
+            .iter()
+            .map(|m| m.record.name.as_str())
+            .collect::<Vec<_>>(),
         vec!["h0", "h1", "h2"]
     );
 }
@@ -152,7 +183,10 @@
     let error = client.join().expect("no panic").expect_err("no table");
     assert_eq!(error.to_string(), "no view of this version of the program");
     socket.set_nonblocking(true).expect("set");
-    assert!(socket.recv_from(&mut [0; 2 * MAX_DATAGRAM_BYTES]).is_err(), "not sent a fifth time");
+    assert!(
+        socket.recv_from(&mut [0; 2 * MAX_DATAGRAM_BYTES]).is_err(),
+        "not sent a fifth time"
+    );
 }
 
 #[test]
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -109,7 +109,8 @@
             return shortest as Millis;
         }
         let progress = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
-        (shortest * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * progress.min(1.0))) as Millis
+        (shortest * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * progress.min(1.0)))
+            as Millis
     }
 
     /// How often each member forwards an update (SWIM, section 4.1).
--- a/crates/fleet/src/config/validation.rs
+++ b/crates/fleet/src/config/validation.rs
@@ -72,8 +72,12 @@
     /// # Errors
     /// Every problem that was found, in the order of the settings.
     pub fn validate(&self) -> Result<FleetConfig, Vec<ConfigProblem>> {
-        let fleet = Name::try_from(self.fleet.as_str()).ok().filter(|name| !name.is_empty());
-        let name = Name::try_from(self.host.as_str()).ok().filter(|name| !name.is_empty());
+        let fleet = Name::try_from(self.fleet.as_str())
+            .ok()
+            .filter(|name| !name.is_empty());
+        let name = Name::try_from(self.host.as_str())
+            .ok()
+            .filter(|name| !name.is_empty());
         let zone = Zone::try_from(self.zone.as_str()).ok();
         let address = self.advertise_address.or(self.listen);
         let checks = [
@@ -81,18 +85,29 @@
             (name.is_some(), ConfigProblem::HostName),
             (zone.is_some(), ConfigProblem::Zone),
             (self.listen.is_some(), ConfigProblem::Listen),
-            (address.is_none_or(is_reachable_address), ConfigProblem::AdvertiseAddress),
+            (
+                address.is_none_or(is_reachable_address),
+                ConfigProblem::AdvertiseAddress,
+            ),
             (self.seeds.len() <= MAX_SEEDS, ConfigProblem::TooManySeeds),
-            (PROTOCOL_PERIOD_RANGE.contains(&self.protocol_period()), ConfigProblem::Period),
+            (
+                PROTOCOL_PERIOD_RANGE.contains(&self.protocol_period()),
+                ConfigProblem::Period,
+            ),
             (
                 self.retention() >= MIN_RETENTION_PERIODS * self.protocol_period(),
                 ConfigProblem::RetentionTooShort,
             ),
         ];
-        let problems: Vec<ConfigProblem> =
-            checks.into_iter().filter(|(holds, _)| !holds).map(|(_, problem)| problem).collect();
+        let problems: Vec<ConfigProblem> = checks
+            .into_iter()
+            .filter(|(holds, _)| !holds)
+            .map(|(_, problem)| problem)
+            .collect();
         match (fleet, name, zone, self.listen, address) {
-            (Some(fleet), Some(name), Some(zone), Some(listen), Some(address)) if problems.is_empty() => {
+            (Some(fleet), Some(name), Some(zone), Some(listen), Some(address))
+                if problems.is_empty() =>
+            {
                 let membership = MembershipConfig {
                     zone,
                     seeds: self.seeds.clone(),
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -35,7 +35,10 @@
 
 impl FailureDetector {
     pub fn new(next_period: Millis) -> Self {
-        FailureDetector { next_period, ..FailureDetector::default() }
+        FailureDetector {
+            next_period,
+            ..FailureDetector::default()
+        }
     }
 
     /// Factor by which this host stretches its own timeouts.
@@ -76,9 +79,21 @@
     }
 
     /// A ping was sent: waits for its ack.
-    pub fn await_ack(&mut self, target_id: u64, sequence: u32, now: Millis, config: &MembershipConfig) {
-        let timeout = (config.protocol_period as f64 * DIRECT_PING_TIMEOUT) as Millis * self.timeout_factor();
-        self.pending =
-            Some(PendingPing { target_id, sequence, indirect_at: now + timeout, requested: 0, failed: 0 });
+    pub fn await_ack(
+        &mut self,
+        target_id: u64,
+        sequence: u32,
+        now: Millis,
+        config: &MembershipConfig,
+    ) {
+        let timeout =
+            (config.protocol_period as f64 * DIRECT_PING_TIMEOUT) as Millis * self.timeout_factor();
+        self.pending = Some(PendingPing {
+            target_id,
+            sequence,
+            indirect_at: now + timeout,
+            requested: 0,
+            failed: 0,
+        });
     }
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -37,7 +37,11 @@
     }
 
     pub fn suspected_by(accuser: u32, local: bool, now: Millis) -> Self {
-        Reachability::Suspect { since: now, accusers: Accusers::from_iter([accuser]), local }
+        Reachability::Suspect {
+            since: now,
+            accusers: Accusers::from_iter([accuser]),
+            local,
+        }
     }
 }
 
@@ -64,7 +68,12 @@
 
 impl Member {
     pub fn new(record: MemberRecord, reachability: Reachability, now: Millis) -> Self {
-        Member { record, reachability, last_contact: None, state_since: now }
+        Member {
+            record,
+            reachability,
+            last_contact: None,
+            state_since: now,
+        }
     }
 
     pub fn state(&self) -> MemberState {
@@ -87,22 +96,34 @@
     pub fn is_locally_suspected(&self) -> bool {
         matches!(
             self.reachability,
-            Reachability::Suspect { local: true, .. } | Reachability::Unreachable { local: true, .. }
+            Reachability::Suspect { local: true, .. }
+                | Reachability::Unreachable { local: true, .. }
         )
     }
 
     /// The accuser that gossip about this member names.
     pub fn gossiped_accuser(&self) -> Option<u32> {
         match &self.reachability {
-            Reachability::Suspect { accusers, local: false, .. } => accusers.last().copied(),
-            Reachability::Unreachable { accuser, local: false, .. } => Some(*accuser),
+            Reachability::Suspect {
+                accusers,
+                local: false,
+                ..
+            } => accusers.last().copied(),
+            Reachability::Unreachable {
+                accuser,
+                local: false,
+                ..
+            } => Some(*accuser),
             _ => None,
         }
     }
 
     /// What is gossiped about the member.
     pub fn to_update(&self) -> GossipUpdate {
-        GossipUpdate { record: self.record.clone(), suspected_by: self.gossiped_accuser() }
+        GossipUpdate {
+            record: self.record.clone(),
+            suspected_by: self.gossiped_accuser(),
+        }
     }
 
     /// Merges an update about this member: newer records replace older ones and clear their suspicions; a suspicion of
@@ -129,7 +150,9 @@
             Reachability::Reachable => {
                 self.reachability = Reachability::suspected_by(accuser, false, now);
             }
-            Reachability::Suspect { accusers, local, .. } => {
+            Reachability::Suspect {
+                accusers, local, ..
+            } => {
                 let is_new = !accusers.contains(&accuser) && accusers.push(accuser).is_ok();
                 if !is_new && !*local {
                     return MergeOutcome::Unchanged;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -101,7 +101,8 @@
     #[must_use]
     pub fn new(config: MembershipConfig, seed: u64, now: Millis, started_ms: u64) -> Self {
         let mut rng = SeededRng::new(seed);
-        let generation = started_ms << GENERATION_RANDOM_BITS | rng.below(1 << GENERATION_RANDOM_BITS);
+        let generation =
+            started_ms << GENERATION_RANDOM_BITS | rng.below(1 << GENERATION_RANDOM_BITS);
         let own_record = MemberRecord {
             name: config.name.clone(),
             generation,
@@ -169,7 +170,10 @@
 
     /// Members as this host sees them, itself included, by id.
     pub fn members(&self) -> impl Iterator<Item = (&MemberRecord, MemberState)> {
-        self.table.members.values().map(|member| (&member.record, member.state()))
+        self.table
+            .members
+            .values()
+            .map(|member| (&member.record, member.state()))
     }
 
     /// Digest of the whole table: the same at hosts whose tables are the same.
@@ -179,7 +183,12 @@
     }
 
     /// The host acts on other versions than before.
-    pub fn set_active_versions(&mut self, versions: ActiveVersions, now: Millis, sink: &mut dyn ActionSink) {
+    pub fn set_active_versions(
+        &mut self,
+        versions: ActiveVersions,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
         if versions != self.own_record.versions && self.superseded_by.is_none() {
             self.publish(|own| own.versions = versions, now, sink);
         }
@@ -206,25 +215,55 @@
             return;
         }
         self.publish(|own| own.lifecycle = lifecycle, now, sink);
-        let others =
-            self.table.members.iter().filter(|(id, member)| **id != self.own_id && member.is_reachable());
+        let others = self
+            .table
+            .members
+            .iter()
+            .filter(|(id, member)| **id != self.own_id && member.is_reachable());
         let others: Vec<SocketAddr> = others.map(|(_, member)| member.record.address).collect();
         let first = self.rng.index(others.len());
-        for address in others.iter().cycle().skip(first).take(others.len().min(MAX_LEAVE_DATAGRAMS)) {
-            self.send(*address, GossipBody::UpdatesOnly, &[], MAX_DATAGRAM_BYTES, sink);
+        for address in others
+            .iter()
+            .cycle()
+            .skip(first)
+            .take(others.len().min(MAX_LEAVE_DATAGRAMS))
+        {
+            self.send(
+                *address,
+                GossipBody::UpdatesOnly,
+                &[],
+                MAX_DATAGRAM_BYTES,
+                sink,
+            );
         }
     }
 
     /// Issues a new record of this host, with the next incarnation.
-    fn publish(&mut self, change: impl FnOnce(&mut MemberRecord), now: Millis, sink: &mut dyn ActionSink) {
+    fn publish(
+        &mut self,
+        change: impl FnOnce(&mut MemberRecord),
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
         let previous = self.table.get(self.own_id).map(Member::state);
         change(&mut self.own_record);
         self.own_record.incarnation += 1;
         self.store_own_record(now);
         let current = self.table.get(self.own_id).map(Member::state);
         if let Some(current) = current.filter(|state| Some(*state) != previous) {
-            let MemberRecord { name, address, versions, .. } = self.own_record.clone();
-            sink.notify(MembershipEvent::MemberUpdated { name, address, versions, previous, current });
+            let MemberRecord {
+                name,
+                address,
+                versions,
+                ..
+            } = self.own_record.clone();
+            sink.notify(MembershipEvent::MemberUpdated {
+                name,
+                address,
+                versions,
+                previous,
+                current,
+            });
         }
     }
 
@@ -243,11 +282,17 @@
     /// A random member that is reachable and fits the condition.
     fn random_reachable(&mut self, fits: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
         let own_id = self.own_id;
-        let is_candidate =
-            |(id, member): &(&u64, &Member)| **id != own_id && member.is_reachable() && fits(member);
+        let is_candidate = |(id, member): &(&u64, &Member)| {
+            **id != own_id && member.is_reachable() && fits(member)
+        };
         let count = self.table.members.iter().filter(is_candidate).count();
         let index = self.rng.index(count);
-        self.table.members.iter().filter(is_candidate).nth(index).map(|(_, member)| member.record.address)
+        self.table
+            .members
+            .iter()
+            .filter(is_candidate)
+            .nth(index)
+            .map(|(_, member)| member.record.address)
     }
 
     /// Milliseconds of a number of protocol periods.
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -4,7 +4,9 @@
 use crate::member::Member;
 use crate::membership_table::{CHILD_RANGES, MAX_PREFIX_BITS, WHOLE_TABLE};
 use crate::record::{GossipUpdate, Lifecycle};
-use crate::wire::{GossipBody, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, MAX_RANGES, RangeDigest};
+use crate::wire::{
+    GossipBody, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, MAX_RANGES, RangeDigest,
+};
 use std::net::SocketAddr;
 
 /// Periods between two comparisons that a host starts.
@@ -30,7 +32,10 @@
 
 impl ReplyBudget {
     pub fn new(now: Millis) -> Self {
-        ReplyBudget { since: now, replies: 0 }
+        ReplyBudget {
+            since: now,
+            replies: 0,
+        }
     }
 
     /// Begins a new period once the last one is over.
@@ -58,7 +63,13 @@
         self.next_anti_entropy = now + interval + self.rng.below(interval / 4);
         if let Some(address) = self.random_reachable(|_| true) {
             let digests = Digests::from_iter([self.table.range_digest(WHOLE_TABLE)]);
-            self.send(address, GossipBody::RangeDigests(digests), &[], MAX_DATAGRAM_BYTES, sink);
+            self.send(
+                address,
+                GossipBody::RangeDigests(digests),
+                &[],
+                MAX_DATAGRAM_BYTES,
+                sink,
+            );
         }
     }
 
@@ -86,12 +97,23 @@
         self.reply_budget.replies += 1;
         let (split, exchanged) = self.differing_ranges(digests);
         if !split.is_empty() || exchanged.is_empty() {
-            self.send(from, GossipBody::RangeDigests(split), &[], MAX_DATAGRAM_BYTES, sink);
+            self.send(
+                from,
+                GossipBody::RangeDigests(split),
+                &[],
+                MAX_DATAGRAM_BYTES,
+                sink,
+            );
         }
         if !exchanged.is_empty() {
-            let members = exchanged.iter().flat_map(|range| self.table.members_in(*range));
+            let members = exchanged
+                .iter()
+                .flat_map(|range| self.table.members_in(*range));
             let updates: Vec<GossipUpdate> = members.map(Member::to_update).collect();
-            let body = GossipBody::RangeRecords { ranges: exchanged, reply_wanted: true };
+            let body = GossipBody::RangeRecords {
+                ranges: exchanged,
+                reply_wanted: true,
+            };
             self.send_records(from, body, &updates, sink);
         }
     }
@@ -100,7 +122,10 @@
     /// to be exchanged.
     fn differing_ranges(&self, digests: &Digests) -> (Digests, Ranges) {
         let (mut split, mut exchanged) = (Digests::new(), Ranges::new());
-        for theirs in digests.iter().filter(|theirs| theirs.range.prefix_bits <= MAX_PREFIX_BITS) {
+        for theirs in digests
+            .iter()
+            .filter(|theirs| theirs.range.prefix_bits <= MAX_PREFIX_BITS)
+        {
             let own = self.table.range_digest(theirs.range);
             if own == *theirs {
                 continue;
@@ -152,8 +177,12 @@
                     && other.suspected_by.is_some() >= own.suspected_by.is_some()
             })
         };
-        let ranges = ranges.iter().filter(|range| range.prefix_bits <= MAX_PREFIX_BITS);
-        let own = ranges.flat_map(|range| self.table.members_in(*range)).map(Member::to_update);
+        let ranges = ranges
+            .iter()
+            .filter(|range| range.prefix_bits <= MAX_PREFIX_BITS);
+        let own = ranges
+            .flat_map(|range| self.table.members_in(*range))
+            .map(Member::to_update);
         let newer: Vec<GossipUpdate> = own
             .filter(|update| !is_known_to_them(update))
             .take(MAX_REPLY_DATAGRAMS * RECORDS_PER_DATAGRAM)
--- a/crates/fleet/src/membership/joining.rs
+++ b/crates/fleet/src/membership/joining.rs
@@ -17,7 +17,11 @@
     /// Ends joining in time, and pings seeds.
     pub(super) fn join(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let knows_no_member = self.random_reachable(|_| true).is_none();
-        let timeout = self.periods(if knows_no_member { FIRST_MEMBER_PERIODS } else { JOIN_TIMEOUT_PERIODS });
+        let timeout = self.periods(if knows_no_member {
+            FIRST_MEMBER_PERIODS
+        } else {
+            JOIN_TIMEOUT_PERIODS
+        });
         if self.own_record.lifecycle == Lifecycle::Joining && now >= self.started + timeout {
             self.publish(|own| own.lifecycle = Lifecycle::Alive, now, sink);
         }
@@ -34,7 +38,8 @@
             self.seed_index = (self.seed_index + 1) % self.config.seeds.len();
             let address = self.config.seeds[self.seed_index];
             let mut members = self.table.members.values();
-            let is_member = members.any(|member| member.is_reachable() && member.record.address == address);
+            let is_member =
+                members.any(|member| member.is_reachable() && member.record.address == address);
             if address == self.own_record.address || is_member {
                 continue;
             }
--- a/crates/fleet/src/membership/name_conflict.rs
+++ b/crates/fleet/src/membership/name_conflict.rs
@@ -32,23 +32,44 @@
         let GossipMessage { sender, body, .. } = message;
         let conflict = self.name_conflict.as_ref();
         match body {
-            GossipBody::Ack { .. } if conflict.is_some_and(|c| c.record.generation <= sender.generation) => {
+            GossipBody::Ack { .. }
+                if conflict.is_some_and(|c| c.record.generation <= sender.generation) =>
+            {
                 self.leave_superseded(sender.address, sink);
             }
             // A process with a lower generation checks whether this one is alive.
             GossipBody::Ping { sequence }
-                if sender.generation < self.own_record.generation && self.superseded_by.is_none() =>
+                if sender.generation < self.own_record.generation
+                    && self.superseded_by.is_none() =>
             {
-                self.send(from, GossipBody::Ack { sequence }, &[], max_reply_bytes, sink);
+                self.send(
+                    from,
+                    GossipBody::Ack { sequence },
+                    &[],
+                    max_reply_bytes,
+                    sink,
+                );
             }
             _ => {}
         }
-        self.merge_own_name(&GossipUpdate { record: sender, suspected_by: None }, now, sink);
+        self.merge_own_name(
+            &GossipUpdate {
+                record: sender,
+                suspected_by: None,
+            },
+            now,
+            sink,
+        );
     }
 
     /// An update about a process under this host's own name. Refutes suspicions of this host, and records of it that it
     /// did not issue (SWIM, section 4.2).
-    pub(super) fn merge_own_name(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
+    pub(super) fn merge_own_name(
+        &mut self,
+        update: &GossipUpdate,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
         let record = &update.record;
         if self.superseded_by.is_some() || record.generation < self.own_record.generation {
             return;
@@ -67,12 +88,18 @@
         if is_ahead || is_suspected {
             self.own_record.incarnation = own.incarnation.max(record.incarnation);
             self.counters.refutations += 1;
-            self.failure_detector.increase_health_multiplier(&self.config);
+            self.failure_detector
+                .increase_health_multiplier(&self.config);
             self.publish(|_| {}, now, sink);
         }
     }
 
-    fn merge_later_generation(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
+    fn merge_later_generation(
+        &mut self,
+        update: &GossipUpdate,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
         let record = &update.record;
         // A record with this address, or of a process that has left or is suspected, is no other live process.
         let has_ended = record.address == self.own_record.address
@@ -83,14 +110,22 @@
         }
         let known = self.name_conflict.as_ref();
         if known.is_none_or(|conflict| conflict.record.generation < record.generation) {
-            self.name_conflict = Some(NameConflict { record: record.clone(), pings_sent: 0, next_ping: now });
+            self.name_conflict = Some(NameConflict {
+                record: record.clone(),
+                pings_sent: 0,
+                next_ping: now,
+            });
         }
     }
 
     /// Pings the other process, or assumes that it has ended once all pings were unanswered.
     pub(super) fn ping_name_conflict(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let period = self.config.protocol_period;
-        let Some(conflict) = self.name_conflict.as_mut().filter(|conflict| now >= conflict.next_ping) else {
+        let Some(conflict) = self
+            .name_conflict
+            .as_mut()
+            .filter(|conflict| now >= conflict.next_ping)
+        else {
             return;
         };
         if conflict.pings_sent >= NAME_CONFLICT_PINGS {
--- a/crates/fleet/src/membership/query.rs
+++ b/crates/fleet/src/membership/query.rs
@@ -17,7 +17,10 @@
     ) {
         let page = self.page(first_id, max_bytes, now);
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        if let Some(len) = self.page_bytes(page, &mut buffer).filter(|len| *len <= max_bytes) {
+        if let Some(len) = self
+            .page_bytes(page, &mut buffer)
+            .filter(|len| *len <= max_bytes)
+        {
             self.send_padded(to, &mut buffer, len, 0, sink);
         }
     }
@@ -36,7 +39,9 @@
             let status = MemberStatus {
                 record: member.record.clone(),
                 state: member.state(),
-                last_contact_ms: member.last_contact.map(|last_contact| now.saturating_sub(last_contact)),
+                last_contact_ms: member
+                    .last_contact
+                    .map(|last_contact| now.saturating_sub(last_contact)),
             };
             if page.members.push(status).is_err() {
                 page.next_id = Some(*id);
@@ -52,7 +57,11 @@
         page
     }
 
-    fn page_bytes(&self, page: MembershipPage, buffer: &mut [u8; MAX_DATAGRAM_BYTES]) -> Option<usize> {
+    fn page_bytes(
+        &self,
+        page: MembershipPage,
+        buffer: &mut [u8; MAX_DATAGRAM_BYTES],
+    ) -> Option<usize> {
         self.config.encode(&Message::Page(page), buffer)
     }
 }
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -23,7 +23,12 @@
         let size = postcard::to_slice(update, &mut [0; MAX_DATAGRAM_BYTES])
             .map_or(MAX_DATAGRAM_BYTES, |encoded| encoded.len());
         let fits = self.bytes + size <= self.max_bytes;
-        if !fits || self.updates.iter().any(|other| other.record.name == update.record.name) {
+        if !fits
+            || self
+                .updates
+                .iter()
+                .any(|other| other.record.name == update.record.name)
+        {
             return fits;
         }
         self.bytes += size;
@@ -42,19 +47,35 @@
         max_bytes: usize,
         sink: &mut dyn ActionSink,
     ) {
-        let min_bytes = if matches!(body, GossipBody::Ping { .. }) { MIN_PING_BYTES } else { 0 };
-        let mut message =
-            GossipMessage { sender: self.own_record.clone(), body, updates: GossipUpdates::new() };
+        let min_bytes = if matches!(body, GossipBody::Ping { .. }) {
+            MIN_PING_BYTES
+        } else {
+            0
+        };
+        let mut message = GossipMessage {
+            sender: self.own_record.clone(),
+            body,
+            updates: GossipUpdates::new(),
+        };
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        let bare_bytes = self.config.encode(&Message::Gossip(message.clone()), &mut buffer);
-        let Some(bytes) = bare_bytes.filter(|bytes| *bytes <= max_bytes) else { return };
+        let bare_bytes = self
+            .config
+            .encode(&Message::Gossip(message.clone()), &mut buffer);
+        let Some(bytes) = bare_bytes.filter(|bytes| *bytes <= max_bytes) else {
+            return;
+        };
 
-        let mut packer = UpdatePacker { updates: GossipUpdates::new(), bytes, max_bytes };
+        let mut packer = UpdatePacker {
+            updates: GossipUpdates::new(),
+            bytes,
+            max_bytes,
+        };
         for update in first {
             packer.add(update);
         }
         let max_transmissions = self.config.max_transmissions(self.table.members.len());
-        self.table.take_gossip(max_transmissions, |update| packer.add(update));
+        self.table
+            .take_gossip(max_transmissions, |update| packer.add(update));
 
         message.updates = packer.updates;
         if let Some(len) = self.config.encode(&Message::Gossip(message), &mut buffer) {
@@ -64,8 +85,14 @@
 
     /// Pings an address where no member is known, without gossip.
     pub(super) fn send_first_ping(&mut self, to: SocketAddr, sink: &mut dyn ActionSink) {
-        let body = GossipBody::Ping { sequence: self.next_sequence() };
-        let message = GossipMessage { sender: self.own_record.clone(), body, updates: GossipUpdates::new() };
+        let body = GossipBody::Ping {
+            sequence: self.next_sequence(),
+        };
+        let message = GossipMessage {
+            sender: self.own_record.clone(),
+            body,
+            updates: GossipUpdates::new(),
+        };
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         if let Some(len) = self.config.encode(&Message::Gossip(message), &mut buffer) {
             self.send_padded(to, &mut buffer, len, MIN_FIRST_PING_BYTES, sink);
--- a/crates/fleet/src/membership/timer.rs
+++ b/crates/fleet/src/membership/timer.rs
@@ -35,7 +35,8 @@
     /// Timeouts that passed while this host was stopped say nothing about other members: their acks could not be read.
     fn resume_after_stop(&mut self, gap: Millis, now: Millis) {
         self.failure_detector.pending = None;
-        self.failure_detector.increase_health_multiplier(&self.config);
+        self.failure_detector
+            .increase_health_multiplier(&self.config);
         self.indirect_pings.clear();
         for member in self.table.members.values_mut() {
             if let Reachability::Suspect { since, .. } = &mut member.reachability {
@@ -49,7 +50,8 @@
     fn remove_expired(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let left_shown = self.periods(LEFT_SHOWN_PERIODS);
         let retention = self.config.unreachable_retention;
-        self.table.remove_expired(now, left_shown, retention, &mut |event| sink.notify(event));
+        self.table
+            .remove_expired(now, left_shown, retention, &mut |event| sink.notify(event));
         #[cfg(feature = "mutants")]
         if self.config.is_mutant(crate::config::Mutant::NoTombstones) {
             self.table.forget_tombstones();
@@ -58,14 +60,17 @@
 
     /// A host that receives nothing from any member assumes that its own network has failed, and not that of all others.
     fn check_isolation(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        let Some(last_contact) = self.last_contact else { return };
+        let Some(last_contact) = self.last_contact else {
+            return;
+        };
         let is_silent = now >= last_contact + self.periods(ISOLATION_PERIODS);
         let is_other = |member: &Member| {
             member.record.lifecycle != Lifecycle::Left && member.record.name != self.own_record.name
         };
         if is_silent && !self.isolated && self.table.members.values().any(is_other) {
             self.isolated = true;
-            self.table.keep_own_suspicions_local(self.own_accuser(), last_contact);
+            self.table
+                .keep_own_suspicions_local(self.own_accuser(), last_contact);
             sink.notify(MembershipEvent::IsolationStarted);
         }
     }
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -33,7 +33,10 @@
 
     /// The newest record known of a member, also of one that is no longer in the table.
     pub fn newest_record(&self, id: u64) -> Option<&MemberRecord> {
-        self.members.get(&id).map(|member| &member.record).or_else(|| self.tombstones.get(id))
+        self.members
+            .get(&id)
+            .map(|member| &member.record)
+            .or_else(|| self.tombstones.get(id))
     }
 
     /// Merges an update.
@@ -54,7 +57,13 @@
         outcome
     }
 
-    fn insert(&mut self, id: u64, update: &GossipUpdate, now: Millis, notify: Notify) -> MergeOutcome {
+    fn insert(
+        &mut self,
+        id: u64,
+        update: &GossipUpdate,
+        now: Millis,
+        notify: Notify,
+    ) -> MergeOutcome {
         // A member that has left is of no use to a host that never knew it, and no older record can follow.
         if update.record.lifecycle == Lifecycle::Left {
             return MergeOutcome::Unchanged;
@@ -73,7 +82,9 @@
 
     /// A member's record or reachability changed: reports it, and gossips it unless only this host suspects the member.
     fn updated(&mut self, id: u64, previous: MemberState, now: Millis, notify: Notify) {
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         if member.state() != previous {
             member.state_since = now;
         }
@@ -87,7 +98,13 @@
 
     /// A member did not answer this host's pings. `local`: this host is isolated and keeps the suspicion to itself.
     pub fn suspect(&mut self, id: u64, accuser: u32, local: bool, now: Millis, notify: Notify) {
-        let Some(member) = self.members.get_mut(&id).filter(|member| member.is_reachable()) else { return };
+        let Some(member) = self
+            .members
+            .get_mut(&id)
+            .filter(|member| member.is_reachable())
+        else {
+            return;
+        };
         let previous = member.state();
         member.reachability = Reachability::suspected_by(accuser, local, now);
         self.updated(id, previous, now, notify);
@@ -95,17 +112,35 @@
 
     /// A suspicion was not refuted in time: the member is unreachable, or has left if it was leaving. That is not
     /// gossiped: each host concludes it from the gossiped suspicion.
-    pub fn conclude_suspicion(&mut self, id: u64, ping_interval: Millis, now: Millis, notify: Notify) {
-        let Some(member) = self.members.get_mut(&id) else { return };
+    pub fn conclude_suspicion(
+        &mut self,
+        id: u64,
+        ping_interval: Millis,
+        now: Millis,
+        notify: Notify,
+    ) {
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         let previous = member.state();
-        let Reachability::Suspect { accusers, local, .. } = &member.reachability else { return };
+        let Reachability::Suspect {
+            accusers, local, ..
+        } = &member.reachability
+        else {
+            return;
+        };
         let (accuser, local) = (accusers.first().copied().unwrap_or(0), *local);
         if member.record.lifecycle == Lifecycle::Leaving && !local {
             member.record.lifecycle = Lifecycle::Left;
             member.reachability = Reachability::Reachable;
         } else {
             let next_ping = now + ping_interval;
-            member.reachability = Reachability::Unreachable { accuser, next_ping, ping_interval, local };
+            member.reachability = Reachability::Unreachable {
+                accuser,
+                next_ping,
+                ping_interval,
+                local,
+            };
         }
         member.state_since = now;
         notify(updated_event(member, Some(previous)));
@@ -115,7 +150,11 @@
     /// are not gossiped any further.
     pub fn keep_own_suspicions_local(&mut self, own_accuser: u32, last_contact: Millis) {
         for (id, member) in &mut self.members {
-            if let Reachability::Suspect { since, accusers, local } = &mut member.reachability
+            if let Reachability::Suspect {
+                since,
+                accusers,
+                local,
+            } = &mut member.reachability
                 && *since >= last_contact
                 && accusers.iter().all(|accuser| *accuser == own_accuser)
             {
@@ -127,7 +166,11 @@
 
     /// This host is no longer isolated: what it suspected meanwhile was its own fault.
     pub fn clear_local_suspicions(&mut self, now: Millis, notify: Notify) {
-        for member in self.members.values_mut().filter(|member| member.is_locally_suspected()) {
+        for member in self
+            .members
+            .values_mut()
+            .filter(|member| member.is_locally_suspected())
+        {
             let previous = member.state();
             member.reachability = Reachability::Reachable;
             member.state_since = now;
@@ -136,7 +179,13 @@
     }
 
     /// Removes members that left `left_shown` ago, and those that were unreachable for the time of `retention`.
-    pub fn remove_expired(&mut self, now: Millis, left_shown: Millis, retention: Millis, notify: Notify) {
+    pub fn remove_expired(
+        &mut self,
+        now: Millis,
+        left_shown: Millis,
+        retention: Millis,
+        notify: Notify,
+    ) {
         let is_expired = |member: &Member| match member.state() {
             MemberState::Left => now >= member.state_since + left_shown,
             MemberState::Unreachable => now >= member.state_since + retention,
@@ -145,7 +194,9 @@
         for (id, member) in self.members.extract_if(.., |_, member| is_expired(member)) {
             self.gossip_queue.remove(id);
             if member.record.lifecycle != Lifecycle::Left {
-                notify(MembershipEvent::MemberForgotten { name: member.record.name.clone() });
+                notify(MembershipEvent::MemberForgotten {
+                    name: member.record.name.clone(),
+                });
             }
             self.tombstones.insert(id, member.record, now);
         }
@@ -174,9 +225,15 @@
 
     /// Offers queued updates to `accept`, the least often sent ones first (SWIM, section 4.1), until it declines one.
     /// Each accepted update counts as sent once more; after `max_transmissions` it leaves the queue.
-    pub fn take_gossip(&mut self, max_transmissions: u32, mut accept: impl FnMut(&GossipUpdate) -> bool) {
+    pub fn take_gossip(
+        &mut self,
+        max_transmissions: u32,
+        mut accept: impl FnMut(&GossipUpdate) -> bool,
+    ) {
         for id in self.gossip_queue.least_sent_first(max_transmissions) {
-            let Some(member) = self.members.get(&id) else { continue };
+            let Some(member) = self.members.get(&id) else {
+                continue;
+            };
             if !accept(&member.to_update()) {
                 return;
             }
@@ -186,7 +243,12 @@
 }
 
 fn updated_event(member: &Member, previous: Option<MemberState>) -> MembershipEvent {
-    let MemberRecord { name, address, versions, .. } = &member.record;
+    let MemberRecord {
+        name,
+        address,
+        versions,
+        ..
+    } = &member.record;
     MembershipEvent::MemberUpdated {
         name: name.clone(),
         address: *address,
--- a/crates/fleet/src/membership_table/digests.rs
+++ b/crates/fleet/src/membership_table/digests.rs
@@ -12,12 +12,18 @@
 /// Longest prefix of a range that can still be split.
 pub(crate) const MAX_PREFIX_BITS: u8 = 64 - BITS_PER_LEVEL;
 /// The range of all members.
-pub(crate) const WHOLE_TABLE: IdRange = IdRange { prefix_bits: 0, prefix: 0 };
+pub(crate) const WHOLE_TABLE: IdRange = IdRange {
+    prefix_bits: 0,
+    prefix: 0,
+};
 
 impl MembershipTable {
     pub fn members_in(&self, range: IdRange) -> impl Iterator<Item = &Member> {
         let prefix_bits = u32::from(range.prefix_bits);
-        let first = range.prefix.checked_shl(64 - prefix_bits.min(64)).unwrap_or(0);
+        let first = range
+            .prefix
+            .checked_shl(64 - prefix_bits.min(64))
+            .unwrap_or(0);
         let last = first | u64::MAX.checked_shr(prefix_bits).unwrap_or(0);
         let members = self.members.range(first..=last).map(|(_, member)| member);
         members.filter(|member| member.record.lifecycle != Lifecycle::Left)
@@ -29,7 +35,11 @@
             digest ^= member.record.digest(member.gossiped_accuser().is_some());
             count += 1;
         }
-        RangeDigest { range, digest, count }
+        RangeDigest {
+            range,
+            digest,
+            count,
+        }
     }
 
     /// Digests of the ranges that a range is split into.
--- a/crates/fleet/src/membership_table/gossip_queue.rs
+++ b/crates/fleet/src/membership_table/gossip_queue.rs
@@ -23,8 +23,13 @@
 
     /// Drops updates that were sent `max_transmissions` times; returns the rest, the least often sent ones first.
     pub fn least_sent_first(&mut self, max_transmissions: u32) -> Vec<u64> {
-        self.transmissions.retain(|_, count| *count < max_transmissions);
-        let mut order: Vec<(u32, u64)> = self.transmissions.iter().map(|(id, count)| (*count, *id)).collect();
+        self.transmissions
+            .retain(|_, count| *count < max_transmissions);
+        let mut order: Vec<(u32, u64)> = self
+            .transmissions
+            .iter()
+            .map(|(id, count)| (*count, *id))
+            .collect();
         order.sort_unstable();
         order.into_iter().map(|(_, id)| id).collect()
     }
--- a/crates/fleet/src/membership_table/tombstones.rs
+++ b/crates/fleet/src/membership_table/tombstones.rs
@@ -33,9 +33,14 @@
 
     /// Drops tombstones that are older than `retention`, and the oldest ones beyond the bound.
     pub fn expire(&mut self, now: Millis, retention: Millis) {
-        self.by_id.retain(|_, tombstone| now < tombstone.since + retention);
+        self.by_id
+            .retain(|_, tombstone| now < tombstone.since + retention);
         while self.by_id.len() > MAX_TOMBSTONES {
-            let oldest = self.by_id.iter().min_by_key(|(_, tombstone)| tombstone.since).map(|(id, _)| *id);
+            let oldest = self
+                .by_id
+                .iter()
+                .min_by_key(|(_, tombstone)| tombstone.since)
+                .map(|(id, _)| *id);
             oldest.and_then(|id| self.by_id.remove(&id));
         }
     }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -134,7 +134,13 @@
     #[must_use]
     pub fn digest(&self, suspected: bool) -> u64 {
         let mut hash = Xxh3Default::new();
-        (member_id(&self.name), self.generation, self.incarnation, self.lifecycle as u8, suspected)
+        (
+            member_id(&self.name),
+            self.generation,
+            self.incarnation,
+            self.lifecycle as u8,
+            suspected,
+        )
             .hash(&mut hash);
         hash.finish()
     }
--- a/crates/fleet/src/wire/codec.rs
+++ b/crates/fleet/src/wire/codec.rs
@@ -35,7 +35,9 @@
     buffer: &'a mut [u8; MAX_DATAGRAM_BYTES],
 ) -> Option<&'a [u8]> {
     buffer[..HEAD_BYTES].copy_from_slice(&head(fleet));
-    let len = postcard::to_slice(message, &mut buffer[HEAD_BYTES..]).ok()?.len();
+    let len = postcard::to_slice(message, &mut buffer[HEAD_BYTES..])
+        .ok()?
+        .len();
     Some(&buffer[..HEAD_BYTES + len])
 }
 
@@ -44,7 +46,9 @@
 /// # Errors
 /// The datagram has another version, belongs to another fleet, or is malformed.
 pub fn decode(fleet: &str, datagram: &[u8]) -> Result<Message, DecodeError> {
-    let (found, body) = datagram.split_at_checked(HEAD_BYTES).ok_or(DecodeError::Malformed)?;
+    let (found, body) = datagram
+        .split_at_checked(HEAD_BYTES)
+        .ok_or(DecodeError::Malformed)?;
     if found[0] != FORMAT_VERSION {
         return Err(DecodeError::UnsupportedVersion);
     }
@@ -61,7 +65,9 @@
 /// # Errors
 /// The datagram has another version or is malformed.
 pub fn decode_any_fleet(datagram: &[u8]) -> Result<Message, DecodeError> {
-    let (found, body) = datagram.split_at_checked(HEAD_BYTES).ok_or(DecodeError::Malformed)?;
+    let (found, body) = datagram
+        .split_at_checked(HEAD_BYTES)
+        .ok_or(DecodeError::Malformed)?;
     if found[0] != FORMAT_VERSION {
         return Err(DecodeError::UnsupportedVersion);
     }
@@ -87,7 +93,11 @@
 
 impl MembershipConfig {
     /// Encodes a message of this member's fleet and returns its length in bytes. `None`: it does not fit in.
-    pub(crate) fn encode(&self, message: &Message, buffer: &mut [u8; MAX_DATAGRAM_BYTES]) -> Option<usize> {
+    pub(crate) fn encode(
+        &self,
+        message: &Message,
+        buffer: &mut [u8; MAX_DATAGRAM_BYTES],
+    ) -> Option<usize> {
         encode(&self.fleet, message, buffer).map(<[u8]>::len)
     }
 }
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -4,7 +4,8 @@
     ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Precedence, Zone,
 };
 use mallowseam_fleet::wire::{
-    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message, RangeDigest,
+    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message,
+    RangeDigest,
 };
 use mallowseam_fleet::{ActionSink, MemberState, Membership, MembershipEvent};
 use proptest::prelude::*;
@@ -31,13 +32,22 @@
 }
 
 fn new_member() -> Membership {
-    Membership::new(MembershipConfig::new(name("f"), name("me"), address(1)), 1, 0, 1_000)
+    Membership::new(
+        MembershipConfig::new(name("f"), name("me"), address(1)),
+        1,
+        0,
+        1_000,
+    )
 }
 
 /// A record of another member; host 0 has the name of the member under test.
 fn record(host: u8, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
     MemberRecord {
-        name: if host == 0 { name("me") } else { name(&format!("h{host}")) },
+        name: if host == 0 {
+            name("me")
+        } else {
+            name(&format!("h{host}"))
+        },
         generation,
         incarnation,
         lifecycle,
@@ -49,7 +59,11 @@
 }
 
 fn bare_message(sender: MemberRecord, body: GossipBody) -> GossipMessage {
-    GossipMessage { sender, body, updates: GossipUpdates::new() }
+    GossipMessage {
+        sender,
+        body,
+        updates: GossipUpdates::new(),
+    }
 }
 
 /// The message's datagram; none: it does not fit.
@@ -71,11 +85,16 @@
 }
 
 fn bodies() -> impl Strategy<Value = GossipBody> {
-    let range = (any::<u8>(), any::<u64>()).prop_map(|(prefix_bits, prefix)| IdRange { prefix_bits, prefix });
-    let digest = (range.clone(), any::<u64>(), any::<u32>()).prop_map(|(range, digest, count)| RangeDigest {
-        range,
-        digest,
-        count,
+    let range = (any::<u8>(), any::<u64>()).prop_map(|(prefix_bits, prefix)| IdRange {
+        prefix_bits,
+        prefix,
+    });
+    let digest = (range.clone(), any::<u64>(), any::<u32>()).prop_map(|(range, digest, count)| {
+        RangeDigest {
+            range,
+            digest,
+            count,
+        }
     });
     prop_oneof![
         any::<u32>().prop_map(|sequence| GossipBody::Ping { sequence }),
@@ -85,23 +104,40 @@
             target_id,
             target_address: address(9)
         }),
-        (0..20u32, any::<bool>())
-            .prop_map(|(sequence, acknowledged)| GossipBody::PingRequestResult { sequence, acknowledged }),
+        (0..20u32, any::<bool>()).prop_map(|(sequence, acknowledged)| {
+            GossipBody::PingRequestResult {
+                sequence,
+                acknowledged,
+            }
+        }),
         proptest::collection::vec(digest, 0..20)
             .prop_map(|digests| GossipBody::RangeDigests(heapless::Vec::from_iter(digests))),
-        (proptest::collection::vec(range, 0..20), any::<bool>()).prop_map(|(ranges, reply_wanted)| {
-            GossipBody::RangeRecords { ranges: heapless::Vec::from_iter(ranges), reply_wanted }
-        }),
+        (proptest::collection::vec(range, 0..20), any::<bool>()).prop_map(
+            |(ranges, reply_wanted)| {
+                GossipBody::RangeRecords {
+                    ranges: heapless::Vec::from_iter(ranges),
+                    reply_wanted,
+                }
+            }
+        ),
         Just(GossipBody::UpdatesOnly),
     ]
 }
 
 fn messages() -> impl Strategy<Value = GossipMessage> {
-    let update = (records(), proptest::option::of(0..3u32))
-        .prop_map(|(record, suspected_by)| GossipUpdate { record, suspected_by });
-    (records(), bodies(), proptest::collection::vec(update, 0..6)).prop_map(|(sender, body, updates)| {
-        GossipMessage { sender, body, updates: GossipUpdates::from_iter(updates) }
-    })
+    let update = (records(), proptest::option::of(0..3u32)).prop_map(|(record, suspected_by)| {
+        GossipUpdate {
+            record,
+            suspected_by,
+        }
+    });
+    (records(), bodies(), proptest::collection::vec(update, 0..6)).prop_map(
+        |(sender, body, updates)| GossipMessage {
+            sender,
+            body,
+            updates: GossipUpdates::from_iter(updates),
+        },
+    )
 }
 
 proptest! {
@@ -180,6 +216,9 @@
         let datagram = encode(bare_message(sender, GossipBody::UpdatesOnly)).expect("it fits");
         member.receive(address(2), &datagram, 1, &mut sent);
     }
-    assert_eq!((member.members().count(), member.counters().capacity_drops), (MAX_MEMBERS, 51));
+    assert_eq!(
+        (member.members().count(), member.counters().capacity_drops),
+        (MAX_MEMBERS, 51)
+    );
     assert!(sent.0.is_empty());
 }
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -5,7 +5,8 @@
     ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Zone, member_id,
 };
 use mallowseam_fleet::wire::{
-    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message, RangeDigest,
+    self, GossipBody, GossipMessage, GossipUpdates, IdRange, MAX_DATAGRAM_BYTES, Message,
+    RangeDigest,
 };
 use mallowseam_fleet::{ActionSink, Membership, MembershipEvent, Millis};
 use mallowseam_test_support::SeededRng;
@@ -22,7 +23,11 @@
 
 impl Recorder {
     fn new() -> Self {
-        Recorder { hash: Xxh3Default::new(), datagrams: 0, changes: 0 }
+        Recorder {
+            hash: Xxh3Default::new(),
+            datagrams: 0,
+            changes: 0,
+        }
     }
 
     fn number(&mut self, number: u64) {
@@ -44,7 +49,13 @@
     fn change(&mut self, change: &MembershipEvent) {
         self.changes += 1;
         match change {
-            MembershipEvent::MemberUpdated { name, address, versions, previous, current } => {
+            MembershipEvent::MemberUpdated {
+                name,
+                address,
+                versions,
+                previous,
+                current,
+            } => {
                 self.text("member");
                 self.text(name);
                 self.text(&address.to_string());
@@ -73,7 +84,11 @@
         self.number(fleet.next_tick());
         self.number(fleet.digest());
         self.number(u64::from(fleet.is_isolated()));
-        self.text(&fleet.superseded_by().map_or("-".to_owned(), |a| a.to_string()));
+        self.text(
+            &fleet
+                .superseded_by()
+                .map_or("-".to_owned(), |a| a.to_string()),
+        );
         let counters = fleet.counters();
         for count in [
             counters.received,
@@ -88,8 +103,10 @@
             self.number(count);
         }
         self.number(now);
-        let members: Vec<(MemberRecord, &str)> =
-            fleet.members().map(|(w, s)| (w.clone(), s.as_str())).collect();
+        let members: Vec<(MemberRecord, &str)> = fleet
+            .members()
+            .map(|(w, s)| (w.clone(), s.as_str()))
+            .collect();
         for (record, state) in members {
             self.text(&record.name);
             self.text(state);
@@ -160,7 +177,13 @@
     fn new(seed: u64) -> Self {
         let mut rng = SeededRng::new(seed);
         let count = 3 + rng.below(5);
-        let hosts = (0..count).map(|n| Host { fleet: None, stopped_until: 0, name: n }).collect();
+        let hosts = (0..count)
+            .map(|n| Host {
+                fleet: None,
+                stopped_until: 0,
+                name: n,
+            })
+            .collect();
         let period = [100, 250, 1_000][rng.below(3) as usize];
         Simulation {
             rng,
@@ -178,7 +201,9 @@
         let named = name(&format!("host-{}", self.hosts[host].name));
         let mut config = MembershipConfig::new(name("pins"), named, address(host as u64 + 1));
         config.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
-        config.seeds = (0..3.min(self.hosts.len() as u64)).map(|n| address(n + 1)).collect();
+        config.seeds = (0..3.min(self.hosts.len() as u64))
+            .map(|n| address(n + 1))
+            .collect();
         if host == 5 {
             config.seeds.clear();
         }
@@ -187,14 +212,28 @@
         config.local_health = host != 2 || self.period != 250;
         config.suspicion_confirmations = host != 1 || self.period != 250;
         let seed = self.rng.next_u64();
-        self.hosts[host].fleet = Some(Membership::new(config, seed, self.now, 1_700_000_000_000 + self.now));
-    }
-
-    fn with(&mut self, host: usize, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
+        self.hosts[host].fleet = Some(Membership::new(
+            config,
+            seed,
+            self.now,
+            1_700_000_000_000 + self.now,
+        ));
+    }
+
+    fn with(
+        &mut self,
+        host: usize,
+        act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink),
+    ) {
         let now = self.now;
-        let Some(fleet) = self.hosts[host].fleet.as_mut() else { return };
+        let Some(fleet) = self.hosts[host].fleet.as_mut() else {
+            return;
+        };
         self.recorder.number(host as u64);
-        let mut actions = Actions { recorder: &mut self.recorder, sent: Vec::new() };
+        let mut actions = Actions {
+            recorder: &mut self.recorder,
+            sent: Vec::new(),
+        };
         act(fleet, now, &mut actions);
         for (to, bytes) in actions.sent {
             self.carry(host, to, bytes);
@@ -216,27 +255,44 @@
             bytes.truncate(self.rng.below(bytes.len() as u64) as usize);
         }
         for _ in 0..1 + u64::from(self.rng.one_in(25)) {
-            let wait = if self.rng.one_in(12) { self.rng.below(self.period) } else { self.rng.below(8) };
+            let wait = if self.rng.one_in(12) {
+                self.rng.below(self.period)
+            } else {
+                self.rng.below(8)
+            };
             let due = self.now + wait;
-            self.network.push_back(Datagram { due, from, to, bytes: bytes.clone() });
+            self.network.push_back(Datagram {
+                due,
+                from,
+                to,
+                bytes: bytes.clone(),
+            });
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.network).into_iter().partition(|d| d.due <= now);
+        let (due, rest): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.network)
+            .into_iter()
+            .partition(|d| d.due <= now);
         self.network = rest;
         for datagram in due {
             let receiver = (0..self.hosts.len()).find(|n| address(*n as u64 + 1) == datagram.to);
-            let Some(host) = receiver.filter(|h| self.hosts[*h].stopped_until <= now) else { continue };
-            self.with(host, |f, now, out| f.receive(datagram.from, &datagram.bytes, now, out));
+            let Some(host) = receiver.filter(|h| self.hosts[*h].stopped_until <= now) else {
+                continue;
+            };
+            self.with(host, |f, now, out| {
+                f.receive(datagram.from, &datagram.bytes, now, out)
+            });
         }
     }
 
     fn tick(&mut self) {
         for host in 0..self.hosts.len() {
-            let due = self.hosts[host].fleet.as_ref().is_some_and(|f| f.next_tick() <= self.now);
+            let due = self.hosts[host]
+                .fleet
+                .as_ref()
+                .is_some_and(|f| f.next_tick() <= self.now);
             if due && self.hosts[host].stopped_until <= self.now {
                 self.with(host, |f, now, out| f.tick(now, out));
             }
@@ -266,15 +322,27 @@
                 self.hosts[host].name = host as u64;
             }
             11 => {
-                let versions = ActiveVersions { endpoint_list: self.rng.below(9), plans: self.rng.below(9) };
-                self.with(host, |f, now, out| f.set_active_versions(versions, now, out));
+                let versions = ActiveVersions {
+                    endpoint_list: self.rng.below(9),
+                    plans: self.rng.below(9),
+                };
+                self.with(host, |f, now, out| {
+                    f.set_active_versions(versions, now, out)
+                });
             }
             12 => {
-                let seeds = vec![address(self.rng.below(8) + 1), address(self.rng.below(8) + 1)];
+                let seeds = vec![
+                    address(self.rng.below(8) + 1),
+                    address(self.rng.below(8) + 1),
+                ];
                 self.with(host, |f, _, _| f.set_seeds(seeds));
             }
             13 => {
-                let query = wire::encode_query(if self.rng.one_in(2) { 0 } else { self.rng.next_u64() });
+                let query = wire::encode_query(if self.rng.one_in(2) {
+                    0
+                } else {
+                    self.rng.next_u64()
+                });
                 let from = address(200);
                 self.with(host, |f, now, out| f.receive(from, &query, now, out));
             }
@@ -335,7 +403,11 @@
 
 fn small_fleets(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        assert_eq!(Simulation::new(seed).run(2_500), SMALL_FLEETS[seed as usize], "seed {seed}");
+        assert_eq!(
+            Simulation::new(seed).run(2_500),
+            SMALL_FLEETS[seed as usize],
+            "seed {seed}"
+        );
     }
 }
 
@@ -366,7 +438,10 @@
 
 fn record(host: u64, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
     let zone = Zone::try_from(["a", "b"][host as usize % 2]).expect("short");
-    let versions = ActiveVersions { endpoint_list: host, plans: 0 };
+    let versions = ActiveVersions {
+        endpoint_list: host,
+        plans: 0,
+    };
     let named = name(&format!("member-{host}"));
     MemberRecord {
         name: named,
@@ -384,11 +459,20 @@
     fn new(seed: u64) -> Self {
         let config = MembershipConfig::new(name("pins"), name("own"), address(0));
         let member = Membership::new(config, seed, 0, 1_700_000_000_000);
-        LargeFleet { rng: SeededRng::new(seed), member, now: 0, recorder: Recorder::new(), sent: 0 }
+        LargeFleet {
+            rng: SeededRng::new(seed),
+            member,
+            now: 0,
+            recorder: Recorder::new(),
+            sent: 0,
+        }
     }
 
     fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
-        let mut actions = Actions { recorder: &mut self.recorder, sent: Vec::new() };
+        let mut actions = Actions {
+            recorder: &mut self.recorder,
+            sent: Vec::new(),
+        };
         act(&mut self.member, self.now, &mut actions);
         self.sent = actions.sent.len();
     }
@@ -396,8 +480,14 @@
     fn deliver(&mut self, from: MemberRecord, body: GossipBody, updates: GossipUpdates) {
         let address = from.address;
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        let message = Message::Gossip(GossipMessage { sender: from, body, updates });
-        let Some(bytes) = wire::encode("pins", &message, &mut buffer) else { return };
+        let message = Message::Gossip(GossipMessage {
+            sender: from,
+            body,
+            updates,
+        });
+        let Some(bytes) = wire::encode("pins", &message, &mut buffer) else {
+            return;
+        };
         self.with(|f, now, out| f.receive(address, bytes, now, out));
     }
 
@@ -408,14 +498,21 @@
 
     fn introduce(&mut self, hosts: std::ops::Range<u64>) {
         for host in hosts {
-            self.deliver(record(host, 1, 1, Lifecycle::Alive), GossipBody::UpdatesOnly, GossipUpdates::new());
+            self.deliver(
+                record(host, 1, 1, Lifecycle::Alive),
+                GossipBody::UpdatesOnly,
+                GossipUpdates::new(),
+            );
         }
     }
 
     fn random_body(&mut self) -> GossipBody {
         let range = |rng: &mut SeededRng| {
             let depth = [0, 4, 8, 60, 64][rng.below(5) as usize];
-            IdRange { prefix_bits: depth, prefix: rng.below(16) }
+            IdRange {
+                prefix_bits: depth,
+                prefix: rng.below(16),
+            }
         };
         let number = self.rng.below(40) as u32;
         match self.rng.below(10) {
@@ -426,7 +523,10 @@
                 target_id: self.rng.next_u64(),
                 target_address: address(self.rng.below(700)),
             },
-            4 => GossipBody::PingRequestResult { sequence: number, acknowledged: self.rng.one_in(2) },
+            4 => GossipBody::PingRequestResult {
+                sequence: number,
+                acknowledged: self.rng.one_in(2),
+            },
             5 | 6 => {
                 let count = self.rng.below(20);
                 let digests = (0..count).map(|_| RangeDigest {
@@ -439,22 +539,36 @@
             7 | 8 => {
                 let count = 1 + self.rng.below(3);
                 let ranges = heapless::Vec::from_iter((0..count).map(|_| range(&mut self.rng)));
-                GossipBody::RangeRecords { ranges, reply_wanted: !self.rng.one_in(3) }
+                GossipBody::RangeRecords {
+                    ranges,
+                    reply_wanted: !self.rng.one_in(3),
+                }
             }
             _ => GossipBody::UpdatesOnly,
         }
     }
 
     fn random_updates(&mut self) -> GossipUpdates {
-        let states = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
+        let states = [
+            Lifecycle::Joining,
+            Lifecycle::Alive,
+            Lifecycle::Leaving,
+            Lifecycle::Left,
+        ];
         let count = self.rng.below(4);
         GossipUpdates::from_iter((0..count).map(|_| {
             let host = 1 + self.rng.below(720);
-            let lifecycle =
-                if self.rng.one_in(5) { states[self.rng.below(4) as usize] } else { Lifecycle::Alive };
+            let lifecycle = if self.rng.one_in(5) {
+                states[self.rng.below(4) as usize]
+            } else {
+                Lifecycle::Alive
+            };
             let record = record(host, 1, self.rng.below(4) as u32, lifecycle);
             let suspected_by = self.rng.one_in(3).then(|| self.rng.below(6) as u32);
-            GossipUpdate { record, suspected_by }
+            GossipUpdate {
+                record,
+                suspected_by,
+            }
         }))
     }
 
@@ -464,7 +578,11 @@
             let host = 1 + self.rng.below(members + 20);
             let incarnation = self.rng.below(3) as u32;
             let (body, updates) = (self.random_body(), self.random_updates());
-            self.deliver(record(host, 1, incarnation, Lifecycle::Alive), body, updates);
+            self.deliver(
+                record(host, 1, incarnation, Lifecycle::Alive),
+                body,
+                updates,
+            );
             if self.rng.one_in(6) {
                 let pause = 20 + self.rng.below(300);
                 self.tick(pause);
@@ -490,8 +608,10 @@
 
 #[test]
 fn a_member_of_a_large_fleet_acts_as_recorded() {
-    let found: Vec<_> =
-        [6, 40, 200, 640].into_iter().map(|members| LargeFleet::new(members).run(members, 700)).collect();
+    let found: Vec<_> = [6, 40, 200, 640]
+        .into_iter()
+        .map(|members| LargeFleet::new(members).run(members, 700))
+        .collect();
     assert_eq!(found, LARGE_FLEETS);
 }
 
@@ -501,8 +621,15 @@
     fleet.introduce(1..400);
     let mut sent = Vec::new();
     for round in 0..20 {
-        let root = IdRange { prefix_bits: 0, prefix: 0 };
-        let parts = heapless::Vec::from_iter([RangeDigest { range: root, digest: 0, count: 3 + round % 12 }]);
+        let root = IdRange {
+            prefix_bits: 0,
+            prefix: 0,
+        };
+        let parts = heapless::Vec::from_iter([RangeDigest {
+            range: root,
+            digest: 0,
+            count: 3 + round % 12,
+        }]);
         fleet.deliver(
             record(1 + u64::from(round), 1, 1, Lifecycle::Alive),
             GossipBody::RangeDigests(parts),
@@ -510,14 +637,25 @@
         );
         sent.push(fleet.sent);
     }
-    let ranges = heapless::Vec::from_iter([IdRange { prefix_bits: 0, prefix: 0 }]);
+    let ranges = heapless::Vec::from_iter([IdRange {
+        prefix_bits: 0,
+        prefix: 0,
+    }]);
     fleet.deliver(
         record(1, 1, 1, Lifecycle::Alive),
-        GossipBody::RangeRecords { ranges, reply_wanted: true },
+        GossipBody::RangeRecords {
+            ranges,
+            reply_wanted: true,
+        },
         GossipUpdates::new(),
     );
     sent.push(fleet.sent);
-    assert_eq!(sent, vec![4, 4, 4, 4, 4, 4, 1, 1, 1, 1, 1, 1, 4, 4, 4, 4, 0, 0, 0, 0, 4]);
+    assert_eq!(
+        sent,
+        vec![
+            4, 4, 4, 4, 4, 4, 1, 1, 1, 1, 1, 1, 4, 4, 4, 4, 0, 0, 0, 0, 4
+        ]
+    );
     assert_eq!(fleet.recorder.result(), (12177555412540437504, 50, 399));
 }
 
@@ -537,12 +675,17 @@
         while state(&fleet) != "suspect" {
             assert!(fleet.now < 20_000, "not suspected in time");
             fleet.tick(100);
-            let confirm = GossipUpdate { record: record(2, 1, 1, Lifecycle::Alive), suspected_by: Some(5) };
+            let confirm = GossipUpdate {
+                record: record(2, 1, 1, Lifecycle::Alive),
+                suspected_by: Some(5),
+            };
             let suspected = confirmed && state(&fleet) == "suspect";
             let updates = GossipUpdates::from_iter(suspected.then_some(confirm));
             fleet.deliver(
                 record(1, 1, 1, Lifecycle::Alive),
-                GossipBody::Ack { sequence: fleet.now as u32 / 100 },
+                GossipBody::Ack {
+                    sequence: fleet.now as u32 / 100,
+                },
                 updates,
             );
         }
@@ -565,15 +708,32 @@
     for depth in 58..=64u8 {
         let mut fleet = LargeFleet::new(10);
         fleet.introduce(1..4);
-        let range = IdRange { prefix_bits: depth, prefix: member_id("member-2") >> (64 - depth) };
-        let digest = RangeDigest { range, digest: 0, count: 0 };
+        let range = IdRange {
+            prefix_bits: depth,
+            prefix: member_id("member-2") >> (64 - depth),
+        };
+        let digest = RangeDigest {
+            range,
+            digest: 0,
+            count: 0,
+        };
         let parts = GossipBody::RangeDigests(heapless::Vec::from_iter([digest]));
-        let ranges =
-            GossipBody::RangeRecords { ranges: heapless::Vec::from_iter([range]), reply_wanted: true };
+        let ranges = GossipBody::RangeRecords {
+            ranges: heapless::Vec::from_iter([range]),
+            reply_wanted: true,
+        };
         for body in [parts, ranges] {
             let before = fleet.recorder.result();
-            fleet.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
-            found.push((depth, fleet.recorder.result().1 - before.1, fleet.recorder.result().0));
+            fleet.deliver(
+                record(1, 1, 1, Lifecycle::Alive),
+                body,
+                GossipUpdates::new(),
+            );
+            found.push((
+                depth,
+                fleet.recorder.result().1 - before.1,
+                fleet.recorder.result().0,
+            ));
         }
     }
     assert_eq!(
@@ -603,8 +763,16 @@
     fleet.introduce(1..5);
     let full = fleet.member.counters().capacity_drops;
     for nr in 0..100 {
-        let body = GossipBody::PingRequest { sequence: nr, target_id: 7, target_address: address(9) };
-        fleet.deliver(record(1, 1, 1, Lifecycle::Alive), body, GossipUpdates::new());
+        let body = GossipBody::PingRequest {
+            sequence: nr,
+            target_id: 7,
+            target_address: address(9),
+        };
+        fleet.deliver(
+            record(1, 1, 1, Lifecycle::Alive),
+            body,
+            GossipUpdates::new(),
+        );
     }
     assert_eq!(fleet.member.counters().capacity_drops - full, 36);
     // Without an answer each is reported as failed after half a period.
@@ -626,17 +794,32 @@
     let mut fleet = LargeFleet::new(6);
     fleet.introduce(1..4_201);
     for host in 1..4_201 {
-        fleet.deliver(record(host, 1, 2, Lifecycle::Left), GossipBody::UpdatesOnly, GossipUpdates::new());
+        fleet.deliver(
+            record(host, 1, 2, Lifecycle::Left),
+            GossipBody::UpdatesOnly,
+            GossipUpdates::new(),
+        );
     }
     assert_eq!(fleet.member.members().count(), 4_201);
     fleet.tick(119_999);
-    assert_eq!(fleet.member.members().count(), 4_201, "shown for 120 periods");
+    assert_eq!(
+        fleet.member.members().count(),
+        4_201,
+        "shown for 120 periods"
+    );
     fleet.tick(1);
     assert_eq!(fleet.member.members().count(), 1);
     // A record older than a tombstone is rejected; one whose tombstone was dropped at the limit is accepted again.
     fleet.introduce(1..4_201);
     assert_eq!(fleet.member.members().count(), 1 + 104);
-    let lowest = fleet.member.members().next().expect("one is back").0.name.clone();
+    let lowest = fleet
+        .member
+        .members()
+        .next()
+        .expect("one is back")
+        .0
+        .name
+        .clone();
     assert_eq!(member_id(&lowest), 1_422_182_093_192_228);
 }
 
@@ -678,7 +861,11 @@
         }
         // Others are in contact, so that it does not count as isolated.
         let sender = record(1 + fleet.rng.below(39), 1, 1, Lifecycle::Alive);
-        fleet.deliver(sender, GossipBody::Ack { sequence: 0 }, GossipUpdates::new());
+        fleet.deliver(
+            sender,
+            GossipBody::Ack { sequence: 0 },
+            GossipUpdates::new(),
+        );
     }
     assert_eq!(
         pings,
@@ -707,11 +894,21 @@
 fn a_membership_page_has_as_many_members_as_recorded() {
     let mut fleet = LargeFleet::new(9);
     fleet.introduce(1..40);
-    let mut actions = Actions { recorder: &mut fleet.recorder, sent: Vec::new() };
-    fleet.member.receive(address(200), &wire::encode_query(0), 10, &mut actions);
+    let mut actions = Actions {
+        recorder: &mut fleet.recorder,
+        sent: Vec::new(),
+    };
+    fleet
+        .member
+        .receive(address(200), &wire::encode_query(0), 10, &mut actions);
     let (_, bytes) = actions.sent.pop().expect("a page");
-    let Ok(Message::Page(page)) = wire::decode("pins", &bytes) else { panic!("a page") };
-    assert_eq!((page.members.len(), page.next_id), (16, Some(7_902_301_331_805_623_971)));
+    let Ok(Message::Page(page)) = wire::decode("pins", &bytes) else {
+        panic!("a page")
+    };
+    assert_eq!(
+        (page.members.len(), page.next_id),
+        (16, Some(7_902_301_331_805_623_971))
+    );
 }
 
 #[test]
@@ -726,14 +923,17 @@
     }
     config.suspicion_confirmations = false;
     found.push(config.suspicion_timeout(300, 0));
-    assert_eq!((config.protocol_period, config.unreachable_retention), (1_000, 3_600_000));
+    assert_eq!(
+        (config.protocol_period, config.unreachable_retention),
+        (1_000, 3_600_000)
+    );
     assert_eq!(
         found,
         vec![
-            5000, 5000, 5000, 5000, 5000, 4, 5000, 5000, 5000, 5000, 5000, 4, 15000, 5000, 5000, 5000, 5000,
-            4, 15000, 8690, 5000, 5000, 5000, 4, 15000, 10000, 7075, 5000, 5000, 8, 15620, 10413, 7368, 5206,
-            5206, 8, 26672, 17781, 12580, 8890, 8890, 8, 37156, 24771, 17526, 12385, 12385, 12, 63216, 42144,
-            29817, 21072, 21072, 20, 12385
+            5000, 5000, 5000, 5000, 5000, 4, 5000, 5000, 5000, 5000, 5000, 4, 15000, 5000, 5000,
+            5000, 5000, 4, 15000, 8690, 5000, 5000, 5000, 4, 15000, 10000, 7075, 5000, 5000, 8,
+            15620, 10413, 7368, 5206, 5206, 8, 26672, 17781, 12580, 8890, 8890, 8, 37156, 24771,
+            17526, 12385, 12385, 12, 63216, 42144, 29817, 21072, 21072, 20, 12385
         ]
     );
 }
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -1,12 +1,14 @@
 //! Pins the bytes of each gossip datagram and the texts of a configuration's check, as recorded at 01f3988.
 use mallowseam_fleet::MemberState;
-use mallowseam_fleet::config::{MAX_MEMBERS, MAX_SEEDS, PROTOCOL_PERIOD_RANGE, UncheckedFleetConfig};
+use mallowseam_fleet::config::{
+    MAX_MEMBERS, MAX_SEEDS, PROTOCOL_PERIOD_RANGE, UncheckedFleetConfig,
+};
 use mallowseam_fleet::record::{
     ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Precedence, Zone, member_id,
 };
 use mallowseam_fleet::wire::{
-    self, DecodeError, FORMAT_VERSION, GossipBody, GossipMessage, IdRange, MAX_DATAGRAM_BYTES, MemberStatus,
-    MembershipPage, Message, RangeDigest,
+    self, DecodeError, FORMAT_VERSION, GossipBody, GossipMessage, IdRange, MAX_DATAGRAM_BYTES,
+    MemberStatus, MembershipPage, Message, RangeDigest,
 };
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -31,7 +33,10 @@
         lifecycle,
         address: ipv4(),
         zone: Zone::try_from("z1").expect("short"),
-        versions: ActiveVersions { endpoint_list: 5, plans: 700 },
+        versions: ActiveVersions {
+            endpoint_list: 5,
+            plans: 700,
+        },
         started_ms: 1_700_000_000_123,
     }
 }
@@ -53,24 +58,43 @@
 }
 
 fn body(body: GossipBody) -> String {
-    let from = MemberRecord { address: ipv6(), ..record(Lifecycle::Alive) };
-    let bare = Message::Gossip(GossipMessage { sender: from, body, updates: heapless::Vec::new() });
+    let from = MemberRecord {
+        address: ipv6(),
+        ..record(Lifecycle::Alive)
+    };
+    let bare = Message::Gossip(GossipMessage {
+        sender: from,
+        body,
+        updates: heapless::Vec::new(),
+    });
     let bytes = encoded(&bare);
     // The head and the sender's record are the same in each.
     let sender = "0183e5c0bb1fcb76ad0006686f73742d61ab939eabb424ac02010120010db8000000000000000000000007e839027a3105bc05fbd095ffbc31";
-    bytes.strip_prefix(sender).expect("the same head").to_owned()
+    bytes
+        .strip_prefix(sender)
+        .expect("the same head")
+        .to_owned()
 }
 
 #[test]
 fn each_kind_of_body_keeps_its_bytes() {
     let ranges = || {
         heapless::Vec::from_iter([
-            IdRange { prefix_bits: 4, prefix: 9 },
-            IdRange { prefix_bits: 60, prefix: 1 << 50 },
+            IdRange {
+                prefix_bits: 4,
+                prefix: 9,
+            },
+            IdRange {
+                prefix_bits: 60,
+                prefix: 1 << 50,
+            },
         ])
     };
     let digest = RangeDigest {
-        range: IdRange { prefix_bits: 8, prefix: 200 },
+        range: IdRange {
+            prefix_bits: 8,
+            prefix: 200,
+        },
         digest: 0xfedc_ba98_7654_3210,
         count: 77,
     };
@@ -85,19 +109,40 @@
         }),
         "020288ef99abc5e88c9111000a010203e83900"
     );
-    assert_eq!(body(GossipBody::PingRequestResult { sequence: 3, acknowledged: true }), "03030100");
-    assert_eq!(body(GossipBody::PingRequestResult { sequence: 3, acknowledged: false }), "03030000");
+    assert_eq!(
+        body(GossipBody::PingRequestResult {
+            sequence: 3,
+            acknowledged: true
+        }),
+        "03030100"
+    );
+    assert_eq!(
+        body(GossipBody::PingRequestResult {
+            sequence: 3,
+            acknowledged: false
+        }),
+        "03030000"
+    );
     assert_eq!(
         body(GossipBody::RangeDigests(digests)),
         "040208c80190e4d0b287d3aeeefe014d08c80190e4d0b287d3aeeefe014d00"
     );
-    assert_eq!(body(GossipBody::RangeDigests(heapless::Vec::new())), "040000");
     assert_eq!(
-        body(GossipBody::RangeRecords { ranges: ranges(), reply_wanted: true }),
+        body(GossipBody::RangeDigests(heapless::Vec::new())),
+        "040000"
+    );
+    assert_eq!(
+        body(GossipBody::RangeRecords {
+            ranges: ranges(),
+            reply_wanted: true
+        }),
         "050204093c80808080808080020100"
     );
     assert_eq!(
-        body(GossipBody::RangeRecords { ranges: ranges(), reply_wanted: false }),
+        body(GossipBody::RangeRecords {
+            ranges: ranges(),
+            reply_wanted: false
+        }),
         "050204093c80808080808080020000"
     );
     assert_eq!(body(GossipBody::UpdatesOnly), "0600");
@@ -105,10 +150,18 @@
 
 #[test]
 fn records_in_each_state_keep_their_bytes() {
-    let states = [Lifecycle::Joining, Lifecycle::Alive, Lifecycle::Leaving, Lifecycle::Left];
+    let states = [
+        Lifecycle::Joining,
+        Lifecycle::Alive,
+        Lifecycle::Leaving,
+        Lifecycle::Left,
+    ];
     let updates = states.into_iter().enumerate().map(|(n, lifecycle)| {
         let suspected_by = [None, Some(0), Some(0xdead_beef), Some(7)][n];
-        GossipUpdate { record: record(lifecycle), suspected_by }
+        GossipUpdate {
+            record: record(lifecycle),
+            suspected_by,
+        }
     });
     let message = GossipMessage {
         sender: record(Lifecycle::Joining),
@@ -132,8 +185,15 @@
         MemberState::Left,
     ];
     let members = states.into_iter().enumerate().map(|(n, state)| {
-        let record = MemberRecord { name: name(&format!("h{n}")), ..record(Lifecycle::Alive) };
-        MemberStatus { record, state, last_contact_ms: [None, Some(900)][n % 2] }
+        let record = MemberRecord {
+            name: name(&format!("h{n}")),
+            ..record(Lifecycle::Alive)
+        };
+        MemberStatus {
+            record,
+            state,
+            last_contact_ms: [None, Some(900)][n % 2],
+        }
     });
     let mut page = MembershipPage {
         host: name("host-a"),
@@ -149,8 +209,16 @@
     );
     page.members.clear();
     (page.isolated, page.superseded, page.next_id) = (false, true, None);
-    assert_eq!(encoded(&Message::Page(page)), "0183e5c0bb1fcb76ad0206686f73742d610001888e98a8c0e08081010000");
-    assert_eq!(encoded(&Message::Query { first_id: 0x0a0b_0c0d }), "0183e5c0bb1fcb76ad018d98ac50");
+    assert_eq!(
+        encoded(&Message::Page(page)),
+        "0183e5c0bb1fcb76ad0206686f73742d610001888e98a8c0e08081010000"
+    );
+    assert_eq!(
+        encoded(&Message::Query {
+            first_id: 0x0a0b_0c0d
+        }),
+        "0183e5c0bb1fcb76ad018d98ac50"
+    );
     let query = wire::encode_query(5);
     assert_eq!(hex(&query[..16]), "01000000000000000001050000000000");
     assert!(query[16..].iter().all(|b| *b == 0));
@@ -159,12 +227,26 @@
 #[test]
 fn each_decode_error_is_distinguished() {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
-    let bytes = wire::encode("pins", &Message::Query { first_id: 1 }, &mut buffer).expect("it fits").to_vec();
+    let bytes = wire::encode("pins", &Message::Query { first_id: 1 }, &mut buffer)
+        .expect("it fits")
+        .to_vec();
     assert_eq!(wire::decode("other", &bytes), Err(DecodeError::OtherFleet));
-    assert_eq!(wire::decode("pins", &bytes[..8]), Err(DecodeError::Malformed));
-    assert_eq!(wire::decode("pins", &bytes[..9]), Err(DecodeError::Malformed));
-    assert_eq!(wire::decode("pins", &[&bytes[..], &[0, 0, 1]].concat()), Err(DecodeError::Malformed));
-    assert_eq!(wire::decode("pins", &[&[2], &bytes[1..]].concat()), Err(DecodeError::UnsupportedVersion));
+    assert_eq!(
+        wire::decode("pins", &bytes[..8]),
+        Err(DecodeError::Malformed)
+    );
+    assert_eq!(
+        wire::decode("pins", &bytes[..9]),
+        Err(DecodeError::Malformed)
+    );
+    assert_eq!(
+        wire::decode("pins", &[&bytes[..], &[0, 0, 1]].concat()),
+        Err(DecodeError::Malformed)
+    );
+    assert_eq!(
+        wire::decode("pins", &[&[2], &bytes[1..]].concat()),
+        Err(DecodeError::UnsupportedVersion)
+    );
     assert!(wire::decode("pins", &[&bytes[..], &[0, 0, 0]].concat()).is_ok());
     // A query for the membership table may omit the fleet's name.
     let query = wire::encode_query(1);
@@ -177,15 +259,31 @@
     let leaving = record(Lifecycle::Leaving);
     assert_eq!(
         leaving.precedence(),
-        Precedence { generation: 0x0123_4567_89ab, left: false, incarnation: 300 }
+        Precedence {
+            generation: 0x0123_4567_89ab,
+            left: false,
+            incarnation: 300
+        }
     );
     assert_eq!(
         record(Lifecycle::Left).precedence(),
-        Precedence { generation: 0x0123_4567_89ab, left: true, incarnation: 300 }
+        Precedence {
+            generation: 0x0123_4567_89ab,
+            left: true,
+            incarnation: 300
+        }
     );
     assert_eq!(
-        (member_id("host-a"), leaving.digest(false), leaving.digest(true)),
-        (4472532690978852926, 945285092397138476, 14635447440896951457)
+        (
+            member_id("host-a"),
+            leaving.digest(false),
+            leaving.digest(true)
+        ),
+        (
+            4472532690978852926,
+            945285092397138476,
+            14635447440896951457
+        )
     );
 }
 
@@ -215,7 +313,10 @@
             "keep: expected 100 periods or more",
         ]
     );
-    assert_eq!((MAX_MEMBERS, MAX_SEEDS, PROTOCOL_PERIOD_RANGE), (16_384, 32, 50..=60_000));
+    assert_eq!(
+        (MAX_MEMBERS, MAX_SEEDS, PROTOCOL_PERIOD_RANGE),
+        (16_384, 32, 50..=60_000)
+    );
 }
 
 #[test]
@@ -229,7 +330,10 @@
     let config = unchecked.validate().expect("valid");
     assert_eq!((config.listen, config.membership.address), (ipv4(), ipv4()));
     assert_eq!(
-        (config.membership.protocol_period, config.membership.unreachable_retention),
+        (
+            config.membership.protocol_period,
+            config.membership.unreachable_retention
+        ),
         (1_000, 3_600_000)
     );
     assert!(config.membership.local_health && config.membership.suspicion_confirmations);
@@ -240,7 +344,10 @@
         ..unchecked.clone()
     };
     assert!(least.validate().is_ok());
-    let short =
-        UncheckedFleetConfig { period: Some(60_000), unreachable_retention: Some(5_999_999), ..unchecked };
+    let short = UncheckedFleetConfig {
+        period: Some(60_000),
+        unreachable_retention: Some(5_999_999),
+        ..unchecked
+    };
     assert_eq!(short.validate().expect_err("too short").len(), 1);
 }
--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -66,14 +66,23 @@
     ///
     /// # Errors
     /// The connection cannot be opened, or the login is refused.
-    pub fn open(address: SocketAddr, target: Option<&str>, index: u32) -> Result<Self, ClientError> {
+    pub fn open(
+        address: SocketAddr,
+        target: Option<&str>,
+        index: u32,
+    ) -> Result<Self, ClientError> {
         let socket = TcpStream::connect(address)?;
         let _ = socket.set_nodelay(true);
         socket.set_read_timeout(Some(READ_TIMEOUT))?;
         let name = format!("iqn.2026-12.example.lab:client{index}");
         let conn = InitiatorConnection::new(&name, target, ISID, &ProposedParams::default());
         let read_buffer = vec![0; READ_BUFFER];
-        let mut client = BlockingClient { socket, conn, read_buffer, last_tag: FIRST_TAG };
+        let mut client = BlockingClient {
+            socket,
+            conn,
+            read_buffer,
+            last_tag: FIRST_TAG,
+        };
         while !client.conn.is_logged_in() {
             client.exchange()?;
         }
@@ -102,7 +111,9 @@
         if len == 0 {
             return Err(ClientError::Closed);
         }
-        self.conn.receive(&self.read_buffer[..len]).map_err(|fault| ClientError::Protocol(fault.to_string()))
+        self.conn
+            .receive(&self.read_buffer[..len])
+            .map_err(|fault| ClientError::Protocol(fault.to_string()))
     }
 
     /// Waits for the next event of the session.
@@ -132,15 +143,27 @@
     ) -> Result<Answer, ClientError> {
         self.last_tag += 1;
         let own_tag = self.last_tag;
-        if !self.conn.send_command(own_tag, lun, cdb, read_len, data.into()) {
+        if !self
+            .conn
+            .send_command(own_tag, lun, cdb, read_len, data.into())
+        {
             return Err(ClientError::WindowClosed);
         }
         loop {
             match self.next_event()? {
-                InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after }
-                    if tag == own_tag =>
-                {
-                    return Ok(Answer { status, sense, data, retry_after });
+                InitiatorEvent::CommandCompleted {
+                    tag,
+                    status,
+                    sense,
+                    data,
+                    retry_after,
+                } if tag == own_tag => {
+                    return Ok(Answer {
+                        status,
+                        sense,
+                        data,
+                        retry_after,
+                    });
                 }
                 InitiatorEvent::CommandRejected { tag, reason } if tag == own_tag => {
                     return Err(ClientError::Rejected { reason });
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -81,7 +81,9 @@
 
     /// Whether a cut of a branch is pending.
     pub(crate) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
-        self.pending_cuts.get(branch).is_some_and(|until| now < *until)
+        self.pending_cuts
+            .get(branch)
+            .is_some_and(|until| now < *until)
     }
 
     /// Connects and renews the lease where that is due, and writes what is queued.
@@ -100,18 +102,26 @@
         }
         if self.connection.is_some() && self.replica.renewal_due(now) {
             let seen_version = self.replica.version().unwrap_or(0);
-            self.send(&ToCatalog::RenewLease { sent_at: now, seen_version });
+            self.send(&ToCatalog::RenewLease {
+                sent_at: now,
+                seen_version,
+            });
         }
         self.flush();
     }
 
     /// Requests place slots of a layer while few are left.
     pub(crate) fn request_slots(&mut self, layer: LayerId, now: Millis) {
-        let due =
-            self.slots_requested.get(&layer).is_none_or(|last| now >= last + TreeReplica::RECONNECT_INTERVAL);
+        let due = self
+            .slots_requested
+            .get(&layer)
+            .is_none_or(|last| now >= last + TreeReplica::RECONNECT_INTERVAL);
         if self.replica.needs_slots(layer) && due {
             self.slots_requested.insert(layer, now);
-            self.send(&ToCatalog::AllocateSlots { layer, count: SLOT_BATCH });
+            self.send(&ToCatalog::AllocateSlots {
+                layer,
+                count: SLOT_BATCH,
+            });
         }
     }
 
@@ -176,7 +186,9 @@
     fn on_message(&mut self, message: ToHost, now: Millis) {
         self.revision += 1;
         match message {
-            ToHost::FullTree { catalog_id, tree } => self.replica.begin_full_tree(catalog_id, *tree),
+            ToHost::FullTree { catalog_id, tree } => {
+                self.replica.begin_full_tree(catalog_id, *tree)
+            }
             ToHost::Locations { layer, locations } => {
                 if !self.replica.add_locations(layer, &locations) {
                     self.resynchronize();
@@ -191,8 +203,14 @@
                     self.resynchronize();
                 }
             }
-            ToHost::LeaseGranted { sent_at, duration } => self.replica.lease_granted(sent_at, duration),
-            ToHost::SlotsAllocated { layer, first, count } => {
+            ToHost::LeaseGranted { sent_at, duration } => {
+                self.replica.lease_granted(sent_at, duration)
+            }
+            ToHost::SlotsAllocated {
+                layer,
+                first,
+                count,
+            } => {
                 self.slots_requested.remove(&layer);
                 self.replica.add_slots(layer, first, count);
             }
@@ -200,12 +218,17 @@
             ToHost::CutFinished { branch } => drop(self.pending_cuts.remove(&branch)),
             ToHost::Quiesce { layer, branch } => {
                 self.pending_cuts.insert(branch.clone(), now + CUT_TIMEOUT);
-                if !self.quiesce_requests.iter().any(|request| request.layer == layer) {
+                if !self
+                    .quiesce_requests
+                    .iter()
+                    .any(|request| request.layer == layer)
+                {
                     self.quiesce_requests.push(QuiesceRequest { layer, branch });
                 }
             }
             ToHost::CompletionDecision { layer, granted } => {
-                self.completion_decisions.push(CompletionDecision { layer, granted });
+                self.completion_decisions
+                    .push(CompletionDecision { layer, granted });
             }
         }
     }
@@ -216,7 +239,10 @@
         tracing::info!(version, "snapshot catalog synchronized");
         self.replica.connection_lost();
         if self.replica.renewal_due(now) {
-            self.send(&ToCatalog::RenewLease { sent_at: now, seen_version: version });
+            self.send(&ToCatalog::RenewLease {
+                sent_at: now,
+                seen_version: version,
+            });
         }
         self.send(&ToCatalog::Acknowledge { version });
     }
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -17,7 +17,12 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "mallowseam", version, about = "A storage gateway for small sites", max_term_width = 100)]
+#[command(
+    name = "mallowseam",
+    version,
+    about = "A storage gateway for small sites",
+    max_term_width = 100
+)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -159,7 +164,11 @@
         Command::Check { file } => process::check(&file).map(print),
         Command::Fleet(options) => Ok(fleet::execute(&options)?),
         Command::Status { target, json } => control::print_status(&target, json),
-        Command::Demand { files, every, count } => control::record_demand(&files, every, count),
+        Command::Demand {
+            files,
+            every,
+            count,
+        } => control::record_demand(&files, every, count),
         Command::Reload { file } => control::reload(&file).map(print),
         Command::Drain { target } => target.send_request("drain").map(print),
         Command::Undrain { target } => target.send_request("undrain").map(print),
--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -67,7 +67,10 @@
 fn socket_of(file: &Path, service: Service) -> Result<PathBuf, CommandError> {
     service
         .socket(read_configuration(file)?)
-        .ok_or_else(|| CommandError::NoControlSocket { file: file.to_owned(), section: service.section() })
+        .ok_or_else(|| CommandError::NoControlSocket {
+            file: file.to_owned(),
+            section: service.section(),
+        })
 }
 
 fn host_socket(file: &Path) -> Result<PathBuf, CommandError> {
@@ -75,8 +78,15 @@
 }
 
 /// Sends a request to the process whose control socket a configuration names.
-pub(super) fn send_request(file: &Path, service: Service, request: &str) -> Result<String, CommandError> {
-    Ok(control_socket::send_request(&socket_of(file, service)?, request)?)
+pub(super) fn send_request(
+    file: &Path,
+    service: Service,
+    request: &str,
+) -> Result<String, CommandError> {
+    Ok(control_socket::send_request(
+        &socket_of(file, service)?,
+        request,
+    )?)
 }
 
 /// `mallowseam status`
@@ -86,14 +96,23 @@
         println!("{text}");
     } else {
         let status = Status::from_json(&text);
-        print!("{}", status.map_err(|source| CommandError::Answer { from: "host", source })?);
+        print!(
+            "{}",
+            status.map_err(|source| CommandError::Answer {
+                from: "host",
+                source
+            })?
+        );
     }
     Ok(())
 }
 
 /// `mallowseam demand`
 pub(super) fn record_demand(files: &[PathBuf], every: u64, count: u64) -> Result<(), CommandError> {
-    let sockets = files.iter().map(|file| host_socket(file)).collect::<Result<Vec<_>, _>>()?;
+    let sockets = files
+        .iter()
+        .map(|file| host_socket(file))
+        .collect::<Result<Vec<_>, _>>()?;
     let interval = Duration::from_secs(every.max(1));
     demand::record(&sockets, interval, count, &mut |line| println!("{line}"));
     Ok(())
@@ -102,5 +121,9 @@
 /// `mallowseam reload`
 pub(super) fn reload(file: &Path) -> Result<String, CommandError> {
     let absolute = std::path::absolute(file).map_err(CommandError::CurrentDirectory)?;
-    send_request(file, Service::Host, &format!("plans {}", absolute.display()))
+    send_request(
+        file,
+        Service::Host,
+        &format!("plans {}", absolute.display()),
+    )
 }
--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -23,7 +23,10 @@
     #[error(transparent)]
     File(#[from] FileError),
     #[error("{}: no `control` in section {section}", file.display())]
-    NoControlSocket { file: PathBuf, section: &'static str },
+    NoControlSocket {
+        file: PathBuf,
+        section: &'static str,
+    },
     #[error("GW_CONFIG: names no configuration")]
     NoConfiguration,
     #[error("{}", join_lines(.0))]
@@ -35,9 +38,15 @@
     #[error(transparent)]
     Request(#[from] RequestError),
     #[error("{}: {source}", socket.display())]
-    RequestAt { socket: PathBuf, source: RequestError },
+    RequestAt {
+        socket: PathBuf,
+        source: RequestError,
+    },
     #[error("the {from}'s answer: {source}")]
-    Answer { from: &'static str, source: serde_json::Error },
+    Answer {
+        from: &'static str,
+        source: serde_json::Error,
+    },
     #[error(transparent)]
     CurrentDirectory(io::Error),
     #[error(transparent)]
@@ -54,7 +63,11 @@
 
 /// One problem a line.
 fn join_lines(problems: &[impl Display]) -> String {
-    problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+    problems
+        .iter()
+        .map(ToString::to_string)
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 impl CommandError {
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -22,7 +22,12 @@
     #[arg(long)]
     agree: bool,
     /// With --watch: end after so many looks, half a second apart (0: never)
-    #[arg(long = "looks", value_name = "LOOKS", default_value_t = 0, requires = "watch")]
+    #[arg(
+        long = "looks",
+        value_name = "LOOKS",
+        default_value_t = 0,
+        requires = "watch"
+    )]
     polls: u64,
 }
 
@@ -30,7 +35,10 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FleetError {
     #[error("{host}: {source}")]
-    Query { host: SocketAddr, source: QueryError },
+    Query {
+        host: SocketAddr,
+        source: QueryError,
+    },
     #[error("several hosts are asked with --agree alone")]
     SeveralHosts,
     #[error("{differ} of {all} views differ from the first")]
@@ -46,7 +54,9 @@
     if options.agree {
         return compare(&options.hosts);
     }
-    let [host] = options.hosts[..] else { return Err(FleetError::SeveralHosts) };
+    let [host] = options.hosts[..] else {
+        return Err(FleetError::SeveralHosts);
+    };
     let first = query(host)?;
     match (options.json, options.watch) {
         (true, _) => println!("{}", first.to_json()),
@@ -65,7 +75,9 @@
         polled += 1;
         match query(host) {
             Ok(view) => {
-                view.changes_since(&last).iter().for_each(|change| println!("{change}"));
+                view.changes_since(&last)
+                    .iter()
+                    .for_each(|change| println!("{change}"));
                 last = view;
             }
             Err(e) => println!("{e}"),
@@ -75,13 +87,28 @@
 
 /// Prints where the views of hosts differ from that of the first.
 fn compare(hosts: &[SocketAddr]) -> Result<(), FleetError> {
-    let views: Vec<MembershipSnapshot> = hosts.iter().map(|host| query(*host)).collect::<Result<_, _>>()?;
+    let views: Vec<MembershipSnapshot> = hosts
+        .iter()
+        .map(|host| query(*host))
+        .collect::<Result<_, _>>()?;
     let mut differ = 0;
     for other in &views[1..] {
         let lines = views[0].differences(other);
         differ += usize::from(!lines.is_empty());
         lines.iter().for_each(|line| println!("{line}"));
     }
-    println!("{} hosts asked, {} see what {} sees", views.len(), views.len() - differ, views[0].host);
-    if differ == 0 { Ok(()) } else { Err(FleetError::Disagreement { differ, all: views.len() }) }
+    println!(
+        "{} hosts asked, {} see what {} sees",
+        views.len(),
+        views.len() - differ,
+        views[0].host
+    );
+    if differ == 0 {
+        Ok(())
+    } else {
+        Err(FleetError::Disagreement {
+            differ,
+            all: views.len(),
+        })
+    }
 }
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -88,18 +88,51 @@
 /// Sends the request to the plan service; its answer.
 pub(super) fn execute(command: Command) -> Result<String, CommandError> {
     let (file, request) = match command {
-        Command::Set { file, plan, figures, expected, by } => {
+        Command::Set {
+            file,
+            plan,
+            figures,
+            expected,
+            by,
+        } => {
             let (change, version) = change_of_figures(&file, plan, &figures, expected)?;
             (file, set(change, Some(version), by))
         }
-        Command::Of { file, volume, plan, by } => (file, set(Change::AssignPlan { volume, plan }, None, by)),
-        Command::Drop { file, plan, by } => (file, set(Change::RemovePlan { name: plan }, None, by)),
+        Command::Of {
+            file,
+            volume,
+            plan,
+            by,
+        } => (file, set(Change::AssignPlan { volume, plan }, None, by)),
+        Command::Drop { file, plan, by } => {
+            (file, set(Change::RemovePlan { name: plan }, None, by))
+        }
         Command::Show { file, version } => (file, PlanRequest::Show { version }),
         Command::History { file, from, most } => (file, PlanRequest::History { from, limit: most }),
-        Command::Diff { file, one, other } => (file, PlanRequest::Diff { from: one, to: other }),
+        Command::Diff { file, one, other } => (
+            file,
+            PlanRequest::Diff {
+                from: one,
+                to: other,
+            },
+        ),
         Command::Undo { file, version, by } => {
-            let ChangeOptions { author, reason, dry_run, wait } = by;
-            (file, PlanRequest::Undo { version, author, reason, dry_run, wait })
+            let ChangeOptions {
+                author,
+                reason,
+                dry_run,
+                wait,
+            } = by;
+            (
+                file,
+                PlanRequest::Undo {
+                    version,
+                    author,
+                    reason,
+                    dry_run,
+                    wait,
+                },
+            )
         }
         Command::Hosts { file } => (file, PlanRequest::Hosts),
         Command::Gone { file, host } => (file, PlanRequest::RemoveHost { host }),
@@ -114,8 +147,20 @@
 }
 
 fn set(change: Change, expected: Option<u64>, by: ChangeOptions) -> PlanRequest {
-    let ChangeOptions { author, reason, dry_run, wait } = by;
-    PlanRequest::Set { change, expected, author, reason, dry_run, wait }
+    let ChangeOptions {
+        author,
+        reason,
+        dry_run,
+        wait,
+    } = by;
+    PlanRequest::Set {
+        change,
+        expected,
+        author,
+        reason,
+        dry_run,
+        wait,
+    }
 }
 
 /// The change that sets figures of a plan and keeps its others, and the version that it is made for: the one
@@ -127,19 +172,29 @@
     expected: Option<u64>,
 ) -> Result<(Change, u64), CommandError> {
     let answer = send_request(file, &PlanRequest::Show { version: expected })?;
-    let state: State =
-        serde_json::from_str(&answer).map_err(|source| CommandError::Answer { from: "service", source })?;
+    let state: State = serde_json::from_str(&answer).map_err(|source| CommandError::Answer {
+        from: "service",
+        source,
+    })?;
     let mut changed = state.plans.get(&plan).cloned().unwrap_or(Plan {
         weight: DEFAULT_FACTOR,
         priority_factor: DEFAULT_FACTOR,
         ..Plan::default()
     });
-    let problems: Vec<FigureError> =
-        figures.iter().filter_map(|text| set_figure(&mut changed, text).err()).collect();
+    let problems: Vec<FigureError> = figures
+        .iter()
+        .filter_map(|text| set_figure(&mut changed, text).err())
+        .collect();
     if !problems.is_empty() {
         return Err(CommandError::PlanFigures(problems));
     }
-    Ok((Change::SetPlan { name: plan, plan: changed }, expected.unwrap_or(state.version)))
+    Ok((
+        Change::SetPlan {
+            name: plan,
+            plan: changed,
+        },
+        expected.unwrap_or(state.version),
+    ))
 }
 
 /// Why a figure on the command line cannot be set.
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -34,8 +34,10 @@
             Level::Info => tracing::Level::INFO,
             Level::Debug => tracing::Level::DEBUG,
         };
-        let log =
-            tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_target(false);
+        let log = tracing_subscriber::fmt()
+            .with_max_level(level)
+            .with_writer(std::io::stderr)
+            .with_target(false);
         if self.json {
             log.json().init();
         } else {
@@ -52,16 +54,30 @@
 
 /// `mallowseam host`
 pub(super) fn run_platform_host(json: bool, list_turn: Option<u16>) -> Result<(), CommandError> {
-    LogOptions { level: Level::Info, json }.start();
+    LogOptions {
+        level: Level::Info,
+        json,
+    }
+    .start();
     let path = std::env::var_os(PLATFORM_CONFIGURATION).map(PathBuf::from);
     let path = path.ok_or(CommandError::NoConfiguration)?;
-    Ok(mallowseam_platform_host::run(&path, list_turn.map(u64::from))?)
+    Ok(mallowseam_platform_host::run(
+        &path,
+        list_turn.map(u64::from),
+    )?)
 }
 
 /// `mallowseam catalog`
-pub(super) fn run_catalog(file: &Path, die_at: Option<u64>, log: &LogOptions) -> Result<(), CommandError> {
+pub(super) fn run_catalog(
+    file: &Path,
+    die_at: Option<u64>,
+    log: &LogOptions,
+) -> Result<(), CommandError> {
     log.start();
-    Ok(crate::snapshot_catalog::run(read_configuration(file)?, die_at)?)
+    Ok(crate::snapshot_catalog::run(
+        read_configuration(file)?,
+        die_at,
+    )?)
 }
 
 /// `mallowseam control`
--- a/crates/gateway/src/cli/shares.rs
+++ b/crates/gateway/src/cli/shares.rs
@@ -20,7 +20,11 @@
     /// How full each node is with a placement
     Explain { file: PathBuf, placement: PathBuf },
     /// What two placements are worth, side by side
-    Compare { file: PathBuf, one: PathBuf, other: PathBuf },
+    Compare {
+        file: PathBuf,
+        one: PathBuf,
+        other: PathBuf,
+    },
     /// Write the shares of an answer into a host's configuration; without --write, tell what would change
     Apply {
         file: PathBuf,
@@ -51,14 +55,29 @@
 /// Carries a subcommand out; the text to print.
 pub(super) fn execute(command: &Command) -> Result<String, CommandError> {
     let text = match command {
-        Command::WorkOut { file, seconds, seed } => {
-            placement::solve(file, Duration::from_secs(*seconds), *seed)
-        }
+        Command::WorkOut {
+            file,
+            seconds,
+            seed,
+        } => placement::solve(file, Duration::from_secs(*seconds), *seed),
         Command::Explain { file, placement } => placement::explain(file, placement),
         Command::Compare { file, one, other } => placement::compare(file, one, other),
-        Command::Apply { file, answer, conf, write } => placement::apply(file, answer, conf, *write),
-        Command::Replay { file, record, answers } => placement::replay(file, record, answers),
-        Command::Moves { file, placement, data } => placement::migration_steps(file, placement, *data),
+        Command::Apply {
+            file,
+            answer,
+            conf,
+            write,
+        } => placement::apply(file, answer, conf, *write),
+        Command::Replay {
+            file,
+            record,
+            answers,
+        } => placement::replay(file, record, answers),
+        Command::Moves {
+            file,
+            placement,
+            data,
+        } => placement::migration_steps(file, placement, *data),
     };
     Ok(text?)
 }
--- a/crates/gateway/src/cli/verify.rs
+++ b/crates/gateway/src/cli/verify.rs
@@ -8,7 +8,10 @@
 pub(super) fn execute(file: &Path, reclaim: bool) -> Result<(), CommandError> {
     let config = read_configuration(file)?;
     let findings = verify::run(&config, reclaim)?;
-    findings.faults.iter().for_each(|fault| println!("fault: {fault}"));
+    findings
+        .faults
+        .iter()
+        .for_each(|fault| println!("fault: {fault}"));
     let label = if reclaim { "given back" } else { "leaked" };
     for (layer, location) in &findings.leaked {
         let node = &config.nodes[location.node as usize].name;
@@ -22,5 +25,9 @@
         findings.faults.len()
     );
     let sound = findings.faults.is_empty() && (reclaim || findings.leaked.is_empty());
-    if sound { Ok(()) } else { Err(CommandError::Unsound) }
+    if sound {
+        Ok(())
+    } else {
+        Err(CommandError::Unsound)
+    }
 }
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -78,14 +78,21 @@
 impl LoginPolicy for LoginAdmission<'_> {
     fn admit(&mut self, who: &LoginIdentity) -> Result<u16, LoginStatus> {
         let index = self.client as usize;
-        let session = self.admission.login(index, &who.initiator, who.target.as_deref(), who.isid, who.tsih);
+        let session = self.admission.login(
+            index,
+            &who.initiator,
+            who.target.as_deref(),
+            who.isid,
+            who.tsih,
+        );
         let session = session.map_err(|rejection| match rejection {
             LoginRejection::NoSuchTarget => LoginStatus::NOT_FOUND,
             LoginRejection::NoSuchSession => LoginStatus::NO_SESSION,
             LoginRejection::Draining => LoginStatus::UNAVAILABLE,
             LoginRejection::OutOfResources => LoginStatus::OUT_OF_RESOURCES,
         })?;
-        self.replaced.extend(session.replaces.map(|index| index as ClientId));
+        self.replaced
+            .extend(session.replaces.map(|index| index as ClientId));
         Ok(session.handle)
     }
 }
@@ -116,19 +123,33 @@
         let _ = socket.set_nodelay(true);
         let conn = TargetConnection::new(Rc::clone(&self.target_config));
         let id = self.all.next_index();
-        if !self.admission.admit_connection(id as usize, ticks_to_millis(now)) {
+        if !self
+            .admission
+            .admit_connection(id as usize, ticks_to_millis(now))
+        {
             tracing::warn!(%peer, "connection rejected: too many connections");
             return;
         }
         let token = Token(self.first_token + id as usize);
-        if let Err(e) = self.registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE) {
+        if let Err(e) =
+            self.registry
+                .register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)
+        {
             tracing::warn!(%peer, error = %e, "connection rejected");
             self.admission.connection_closed(id as usize);
             return;
         }
         let name = String::new();
         let commands = Vec::new();
-        self.all.insert(Client { socket, peer, name, conn, dirty: false, readable: false, commands });
+        self.all.insert(Client {
+            socket,
+            peer,
+            name,
+            conn,
+            dirty: false,
+            readable: false,
+            commands,
+        });
         tracing::debug!(%peer, client = id, "connection opened");
     }
 
@@ -150,7 +171,9 @@
 
     /// Reads once, unless the client has to read its answers first. True: there may be more to read.
     pub fn read(&mut self, id: ClientId, buffer: &mut [u8], now: Tick) -> bool {
-        let Some(client) = self.all.get_mut(id) else { return false };
+        let Some(client) = self.all.get_mut(id) else {
+            return false;
+        };
         let unsent = client.conn.send_buffer().unsent().len();
         if !client.readable || !self.admission.may_read(unsent) {
             return false;
@@ -158,9 +181,14 @@
         match socket_io::read(&mut client.socket, buffer) {
             ReadOutcome::WouldBlock => client.readable = false,
             ReadOutcome::Read(len) => {
-                self.admission.bytes_received(id as usize, ticks_to_millis(now));
+                self.admission
+                    .bytes_received(id as usize, ticks_to_millis(now));
                 let (admission, replaced) = (&mut self.admission, &mut self.replaced);
-                let mut login = LoginAdmission { admission, client: id, replaced };
+                let mut login = LoginAdmission {
+                    admission,
+                    client: id,
+                    replaced,
+                };
                 let received = client.conn.receive(&buffer[..len], &mut login);
                 self.mark_dirty(id);
                 match received {
@@ -226,7 +254,9 @@
     }
 
     fn flush_client(&mut self, id: ClientId, now: Tick) {
-        let Some(client) = self.all.get_mut(id) else { return };
+        let Some(client) = self.all.get_mut(id) else {
+            return;
+        };
         client.dirty = false;
         match socket_io::write(&mut client.socket, client.conn.send_buffer()) {
             Ok(0) => {}
@@ -245,7 +275,9 @@
             self.flush_client(id, now);
             if let Some(client) = self.all.get_mut(id)
                 && client.readable
-                && self.admission.may_read(client.conn.send_buffer().unsent().len())
+                && self
+                    .admission
+                    .may_read(client.conn.send_buffer().unsent().len())
             {
                 resumed.push(id);
             }
@@ -283,13 +315,18 @@
     /// Pings silent clients and closes connections that have timed out.
     pub fn on_timer(&mut self, now: Tick) {
         for id in self.all.indices() {
-            let Some(client) = self.all.get_mut(id) else { continue };
+            let Some(client) = self.all.get_mut(id) else {
+                continue;
+            };
             let state = ConnectionState {
                 pdu_incomplete: client.conn.has_partial_request(),
                 unsent_bytes: client.conn.send_buffer().unsent().len(),
                 in_flight: client.conn.in_flight(),
             };
-            match self.admission.check_timeouts(id as usize, ticks_to_millis(now), state) {
+            match self
+                .admission
+                .check_timeouts(id as usize, ticks_to_millis(now), state)
+            {
                 TimeoutAction::Nothing => {}
                 TimeoutAction::Ping => {
                     client.conn.send_ping();
@@ -307,7 +344,11 @@
         }
         let within = self.admission.logout_seconds();
         for id in self.all.indices() {
-            if let Some(client) = self.all.get_mut(id).filter(|client| client.conn.is_logged_in()) {
+            if let Some(client) = self
+                .all
+                .get_mut(id)
+                .filter(|client| client.conn.is_logged_in())
+            {
                 client.conn.request_logout(within);
                 self.mark_dirty(id);
             }
@@ -318,6 +359,9 @@
     /// Bytes buffered for all clients.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        self.all.iter().map(|(_, client)| client.conn.allocated_bytes()).sum()
+        self.all
+            .iter()
+            .map(|(_, client)| client.conn.allocated_bytes())
+            .sum()
     }
 }
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -42,9 +42,17 @@
 impl ControlSocket {
     /// Listens at a path; connections get tokens from `first_token` on. A socket file whose process is gone
     /// is replaced; one at which a process still answers is an error.
-    pub(crate) fn open(path: &Path, registry: Registry, own: Token, first_token: usize) -> io::Result<Self> {
+    pub(crate) fn open(
+        path: &Path,
+        registry: Registry,
+        own: Token,
+        first_token: usize,
+    ) -> io::Result<Self> {
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
-            return Err(io::Error::new(ErrorKind::AddrInUse, "another host runs here"));
+            return Err(io::Error::new(
+                ErrorKind::AddrInUse,
+                "another host runs here",
+            ));
         }
         match std::fs::remove_file(path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
@@ -66,13 +74,18 @@
     pub(crate) fn accept(&mut self) {
         while let Ok((mut socket, _)) = self.listener.accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
-                let _ = socket.write(format!("{REFUSED}too many callers{END_OF_ANSWER}").as_bytes());
+                let _ =
+                    socket.write(format!("{REFUSED}too many callers{END_OF_ANSWER}").as_bytes());
                 continue;
             }
             let token = Token(self.first_token + self.connections.next_index() as usize);
             let interest = Interest::READABLE | Interest::WRITABLE;
             if self.registry.register(&mut socket, token, interest).is_ok() {
-                self.connections.insert(Connection { socket, request: Vec::new(), answer: Vec::new() });
+                self.connections.insert(Connection {
+                    socket,
+                    request: Vec::new(),
+                    answer: Vec::new(),
+                });
             }
         }
     }
@@ -87,7 +100,9 @@
                 Ok(len) => {
                     connection.request.extend_from_slice(&buffer[..len]);
                     if let Some(end) = connection.request.iter().position(|b| *b == b'\n') {
-                        let line = String::from_utf8_lossy(&connection.request[..end]).trim().to_owned();
+                        let line = String::from_utf8_lossy(&connection.request[..end])
+                            .trim()
+                            .to_owned();
                         connection.request.clear();
                         return Some(line);
                     }
@@ -112,7 +127,9 @@
     }
 
     fn flush(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         if connection.answer.is_empty() {
             return;
         }
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -40,9 +40,18 @@
             *last = status;
         }
         if interval > 0 {
-            for (volume, Rates { requested, completed }) in &rates {
+            for (
+                volume,
+                Rates {
+                    requested,
+                    completed,
+                },
+            ) in &rates
+            {
                 let seconds = began.elapsed().as_secs();
-                write_line(&format!("at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"));
+                write_line(&format!(
+                    "at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"
+                ));
             }
         }
         if count > 0 && interval == count {
@@ -60,7 +69,9 @@
         Ok(text) => Status::from_json(&text).map_err(|e| e.to_string()),
         Err(e) => Err(e.to_string()),
     };
-    status.inspect_err(|e| write_line(&format!("# {}: {e}", socket.display()))).ok()
+    status
+        .inspect_err(|e| write_line(&format!("# {}: {e}", socket.display())))
+        .ok()
 }
 
 fn add_rates(
@@ -87,20 +98,38 @@
     let mut intervals: Vec<(u64, Interval)> = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let tokens = tokenize(index + 1, line, &mut problems);
-        let Some(first) = tokens.first() else { continue };
+        let Some(first) = tokens.first() else {
+            continue;
+        };
         if first.text != "at" {
-            problems.add(first.position, "at SECONDS VOLUME asked R ended R", format!("`{}`", first.text));
+            problems.add(
+                first.position,
+                "at SECONDS VOLUME asked R ended R",
+                format!("`{}`", first.text),
+            );
             continue;
         }
         let mut args = Arguments::new(&tokens, &mut problems);
-        let Some(line) = read_line(&mut args) else { continue };
-        if intervals.last().is_none_or(|(last, _)| *last != line.seconds) {
+        let Some(line) = read_line(&mut args) else {
+            continue;
+        };
+        if intervals
+            .last()
+            .is_none_or(|(last, _)| *last != line.seconds)
+        {
             intervals.push((line.seconds, Interval::new()));
         }
-        intervals.last_mut().expect("just pushed").1.insert(line.volume, line.requested);
+        intervals
+            .last_mut()
+            .expect("just pushed")
+            .1
+            .insert(line.volume, line.requested);
     }
     if problems.is_empty() {
-        Ok(intervals.into_iter().map(|(_, interval)| interval).collect())
+        Ok(intervals
+            .into_iter()
+            .map(|(_, interval)| interval)
+            .collect())
     } else {
         Err(FileError::Malformed(problems.sorted()))
     }
@@ -124,5 +153,9 @@
     args.value("ended", |text| (text == "ended").then_some(()));
     args.rate("units a second");
     args.expect_end();
-    Some(DemandLine { seconds: seconds?, volume: volume?.text, requested: requested? })
+    Some(DemandLine {
+        seconds: seconds?,
+        volume: volume?.text,
+        requested: requested?,
+    })
 }
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -59,8 +59,11 @@
 
 impl Volume {
     fn new(config: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
-        let layout =
-            if volume.mapped { mapped_layout(volume, extent_blocks) } else { volume_layout(config, volume) };
+        let layout = if volume.mapped {
+            mapped_layout(volume, extent_blocks)
+        } else {
+            volume_layout(config, volume)
+        };
         Volume {
             name: volume.name.clone(),
             plan: volume.plan as u16,
@@ -165,11 +168,19 @@
             now: 0,
             clients,
             nodes,
-            metrics: Metrics::new(config.io_classes.len(), config.nodes.len(), config.volumes.len()),
+            metrics: Metrics::new(
+                config.io_classes.len(),
+                config.nodes.len(),
+                config.volumes.len(),
+            ),
             catalog,
             timer_due: None,
             endpoint_list_requested: false,
-            volumes: config.volumes.iter().map(|volume| Volume::new(config, volume, extent_blocks)).collect(),
+            volumes: config
+                .volumes
+                .iter()
+                .map(|volume| Volume::new(config, volume, extent_blocks))
+                .collect(),
             classes: config.io_classes.iter().map(IoClassConfig::new).collect(),
             unit_bytes: config.fleet.unit_bytes,
             max_transfer_bytes: config.host.max_transfer_bytes,
@@ -225,8 +236,21 @@
     ) {
         match event {
             TargetEvent::LoggedIn(who) => self.clients.on_login(client, who.initiator),
-            TargetEvent::Command { task, lun, cdb, read_len, data } => {
-                let request = commands::ClientRequest { client, task, lun, cdb, read_len, data };
+            TargetEvent::Command {
+                task,
+                lun,
+                cdb,
+                read_len,
+                data,
+            } => {
+                let request = commands::ClientRequest {
+                    client,
+                    task,
+                    lun,
+                    cdb,
+                    read_len,
+                    data,
+                };
                 self.on_command(scheduler, request);
             }
             TargetEvent::CommandAborted { task } => {
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -49,19 +49,37 @@
         let parsed = scsi::parse_cdb(&request.cdb);
         let unit = request.lun.and_then(|lun| self.find_unit(lun));
         let transfer = match parsed {
-            Ok(scsi::Command::Read { lba, blocks, group_number: group }) => {
-                Transfer { write: false, lba, blocks, group_number: group }
-            }
-            Ok(scsi::Command::Write { lba, blocks, group_number: group }) => {
-                Transfer { write: true, lba, blocks, group_number: group }
-            }
+            Ok(scsi::Command::Read {
+                lba,
+                blocks,
+                group_number: group,
+            }) => Transfer {
+                write: false,
+                lba,
+                blocks,
+                group_number: group,
+            },
+            Ok(scsi::Command::Write {
+                lba,
+                blocks,
+                group_number: group,
+            }) => Transfer {
+                write: true,
+                lba,
+                blocks,
+                group_number: group,
+            },
             parsed => {
                 let volume = unit.map(|unit| unit.volume);
                 return self.answer_locally(request.client, request.task, volume, parsed);
             }
         };
         let Some(unit) = unit else {
-            return self.reject(request.client, request.task, Sense::LOGICAL_UNIT_NOT_SUPPORTED);
+            return self.reject(
+                request.client,
+                request.task,
+                Sense::LOGICAL_UNIT_NOT_SUPPORTED,
+            );
         };
         if let Err(sense) = self.check_transfer(&transfer, &unit, &request) {
             return self.reject(request.client, request.task, sense);
@@ -70,8 +88,12 @@
             return self.answer_good(request.client, request.task, &[]);
         }
         let mut sub_requests = std::mem::take(&mut self.sub_requests);
-        let Transfer { write, lba, blocks, .. } = transfer;
-        let split = self.volumes[unit.volume].layout.split(write, lba, blocks, &mut sub_requests);
+        let Transfer {
+            write, lba, blocks, ..
+        } = transfer;
+        let split = self.volumes[unit.volume]
+            .layout
+            .split(write, lba, blocks, &mut sub_requests);
         if split.is_err() {
             self.reject(request.client, request.task, Sense::LBA_OUT_OF_RANGE);
         } else if !self.admits(sub_requests.len()) {
@@ -94,17 +116,25 @@
         unit: &ExportedUnit,
         request: &ClientRequest,
     ) -> Result<(), Sense> {
-        let Transfer { write, lba, blocks, .. } = *transfer;
+        let Transfer {
+            write, lba, blocks, ..
+        } = *transfer;
         if write && !unit.writable {
             return Err(Sense::WRITE_PROTECTED);
         }
         let volume = &self.volumes[unit.volume];
         let bytes = u64::from(blocks) * u64::from(volume.block_size);
-        if lba.checked_add(blocks.into()).is_none_or(|end| end > volume.block_count) {
+        if lba
+            .checked_add(blocks.into())
+            .is_none_or(|end| end > volume.block_count)
+        {
             return Err(Sense::LBA_OUT_OF_RANGE);
         }
-        let fits_client =
-            if write { request.data.len() as u64 == bytes } else { request.read_len as u64 >= bytes };
+        let fits_client = if write {
+            request.data.len() as u64 == bytes
+        } else {
+            request.read_len as u64 >= bytes
+        };
         if bytes > self.max_transfer_bytes || !fits_client {
             return Err(Sense::INVALID_FIELD_IN_CDB);
         }
@@ -113,7 +143,9 @@
 
     /// Whether a command of so many block I/Os is admitted now.
     fn admits(&self, sub_requests: usize) -> bool {
-        self.clients.admission.admits_commands(ticks_to_millis(self.now))
+        self.clients
+            .admission
+            .admits_commands(ticks_to_millis(self.now))
             && self.block_ios.len() + sub_requests <= MAX_BLOCK_IOS
     }
 
@@ -128,8 +160,14 @@
         let block_size = self.volumes[unit.volume].block_size as usize;
         let count = sub_requests.len() as u32;
         let collects = !transfer.write && count > 1;
-        let read = if collects { vec![0; transfer.blocks as usize * block_size] } else { Vec::new() };
-        let ClientRequest { client, task, data, .. } = request;
+        let read = if collects {
+            vec![0; transfer.blocks as usize * block_size]
+        } else {
+            Vec::new()
+        };
+        let ClientRequest {
+            client, task, data, ..
+        } = request;
         let index = self.commands.insert(Command {
             client: Some(client),
             task,
@@ -144,7 +182,13 @@
             data: data.into(),
             read,
         });
-        self.clients.add_command(client, InFlightCommand { task, command: index });
+        self.clients.add_command(
+            client,
+            InFlightCommand {
+                task,
+                command: index,
+            },
+        );
         let mut first = None;
         for sub_request in sub_requests.iter().rev() {
             first = Some(self.block_ios.insert(BlockIo {
@@ -163,12 +207,18 @@
     fn start_command(&mut self, scheduler: &mut Scheduler, command: CommandIndex) {
         let mut next = self.commands.get(command).and_then(|command| command.first);
         while let Some(index) = next {
-            let Some(io) = self.block_ios.get_mut(index) else { return };
+            let Some(io) = self.block_ios.get_mut(index) else {
+                return;
+            };
             next = io.next;
             self.last_sequence += 1;
             io.sequence = self.last_sequence;
             let mapped = io.branch.is_some();
-            if self.commands.get(command).is_some_and(|command| command.progress.is_answered()) {
+            if self
+                .commands
+                .get(command)
+                .is_some_and(|command| command.progress.is_answered())
+            {
                 // An earlier block I/O has decided the answer: this one is not passed to the scheduler.
                 self.release(index);
             } else if mapped {
@@ -181,11 +231,15 @@
 
     /// Passes a block I/O to the scheduler.
     pub(super) fn pass_to_scheduler(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) {
-        let Some(io) = self.block_ios.get_mut(index) else { return };
+        let Some(io) = self.block_ios.get_mut(index) else {
+            return;
+        };
         io.scheduled = true;
         let (request, volume) = (io.request, &self.volumes[io.volume]);
         let lun = io.lun.unwrap_or_default();
-        let key = request.ordering_key.map(|key| KeyId(self.ordering_keys.intern(&(lun, key))));
+        let key = request
+            .ordering_key
+            .map(|key| KeyId(self.ordering_keys.intern(&(lun, key))));
         let bytes = u64::from(request.blocks) * u64::from(volume.block_size);
         let shard = match (io.location, io.copy) {
             (Some((_, location)), _) => Some(self.shards[location.node as usize]),
@@ -214,7 +268,10 @@
 
     /// The client of a command does not wait for its answer any more.
     pub(super) fn abandon_command(&mut self, index: CommandIndex) {
-        let command = self.commands.get_mut(index).filter(|command| !command.progress.is_answered());
+        let command = self
+            .commands
+            .get_mut(index)
+            .filter(|command| !command.progress.is_answered());
         let Some(command) = command else { return };
         command.progress.client_disconnected();
         command.client = None;
@@ -226,7 +283,10 @@
     fn withdraw_block_ios(&mut self, command: CommandIndex) {
         let mut next = self.commands.get(command).and_then(|command| command.first);
         while let Some(index) = next {
-            let io = self.block_ios.get_mut(index).filter(|io| io.command == Some(command));
+            let io = self
+                .block_ios
+                .get_mut(index)
+                .filter(|io| io.command == Some(command));
             let Some(io) = io else { return };
             next = io.next;
             if !io.answered {
@@ -247,12 +307,15 @@
         let metrics = &mut self.metrics.classes[class];
         metrics.counts.completed += 1;
         if io.copy.is_none() {
-            let bytes = u64::from(io.request.blocks) * u64::from(self.volumes[io.volume].block_size);
+            let bytes =
+                u64::from(io.request.blocks) * u64::from(self.volumes[io.volume].block_size);
             self.metrics.volumes[io.volume].completed += bytes.div_ceil(self.unit_bytes) as f64;
         }
         let latency = self.now - io.arrived;
         metrics.late += u64::from(latency > self.classes[class].latency_objective);
-        metrics.latencies.saturating_record(latency.max(0) as u64 * MICROS_PER_TICK);
+        metrics
+            .latencies
+            .saturating_record(latency.max(0) as u64 * MICROS_PER_TICK);
         match io.command {
             Some(command) => self.on_sub_request_completed(index, command, data),
             None => self.on_copy_step_completed(index, data),
@@ -266,7 +329,9 @@
         mut data: Vec<u8>,
     ) {
         let io = self.block_ios.get(index).expect("in flight");
-        let Some(command) = self.commands.get_mut(command_index) else { return };
+        let Some(command) = self.commands.get_mut(command_index) else {
+            return;
+        };
         if let Some(layer) = io.layer() {
             command.split_write.part_completed(layer);
         }
@@ -281,8 +346,12 @@
 
     /// A block I/O of a command is finished; the client gets its answer if this decides it.
     fn finish_sub_request(&mut self, index: CommandIndex, outcome: RequestOutcome, data: &[u8]) {
-        let Some(command) = self.commands.get_mut(index) else { return };
-        let Some(answer) = command.progress.sub_request_finished(outcome) else { return };
+        let Some(command) = self.commands.get_mut(index) else {
+            return;
+        };
+        let Some(answer) = command.progress.sub_request_finished(outcome) else {
+            return;
+        };
         let (client, task) = (command.client, command.task);
         let read = std::mem::take(&mut command.read);
         let counts = &mut self.metrics.commands;
@@ -293,7 +362,12 @@
         }
         if let Some(client) = client {
             self.clients.remove_command(client, task);
-            self.send_answer(client, task, answer, if read.is_empty() { data } else { &read });
+            self.send_answer(
+                client,
+                task,
+                answer,
+                if read.is_empty() { data } else { &read },
+            );
         }
         if answer != RequestOutcome::Completed {
             self.withdraw_block_ios(index);
@@ -301,7 +375,9 @@
     }
 
     fn send_answer(&mut self, client: ClientId, task: u32, answer: RequestOutcome, data: &[u8]) {
-        let Some(session) = self.clients.session_mut(client) else { return };
+        let Some(session) = self.clients.session_mut(client) else {
+            return;
+        };
         match answer {
             RequestOutcome::Completed => session.complete(task, data),
             RequestOutcome::Shed { retry_after } => {
@@ -326,7 +402,9 @@
 
     /// Answers the client of a block I/O that is shed or has failed.
     pub(super) fn answer_not_completed(&mut self, id: BioId, outcome: RequestOutcome) {
-        let Some(io) = self.block_ios.get_mut(id.0).filter(|io| !io.answered) else { return };
+        let Some(io) = self.block_ios.get_mut(id.0).filter(|io| !io.answered) else {
+            return;
+        };
         // A step of a copy has no client: its copy is given up when the step is released.
         io.answered = io.copy.is_none();
         let counts = &mut self.metrics.classes[io.class()].counts;
@@ -341,14 +419,20 @@
 
     /// Releases a block I/O, and its command with the last one.
     pub(super) fn release(&mut self, index: BlockIoIndex) {
-        let Some(io) = self.block_ios.remove(index) else { return };
+        let Some(io) = self.block_ios.remove(index) else {
+            return;
+        };
         if let Some(copy) = io.copy.and_then(|extent| self.copies.get_mut(&extent))
             && matches!(copy.state, CopyState::Reading | CopyState::Writing)
             && !io.answered
         {
-            copy.state = CopyState::Failed { retry_at: ticks_to_millis(self.now) + RETRY_DELAY };
+            copy.state = CopyState::Failed {
+                retry_at: ticks_to_millis(self.now) + RETRY_DELAY,
+            };
         }
-        let Some(command_index) = io.command else { return };
+        let Some(command_index) = io.command else {
+            return;
+        };
         if let Some(command) = self.commands.get_mut(command_index) {
             command.unreleased -= 1;
             if command.unreleased == 0 {
--- a/crates/gateway/src/dispatcher/exported_units.rs
+++ b/crates/gateway/src/dispatcher/exported_units.rs
@@ -20,7 +20,12 @@
     pub(super) fn find_unit(&mut self, lun: u32) -> Option<ExportedUnit> {
         if let Some(volume) = self.volumes.iter().position(|volume| volume.lun == lun) {
             let branch = self.volumes[volume].branch.clone();
-            return Some(ExportedUnit { volume, lun, branch, writable: true });
+            return Some(ExportedUnit {
+                volume,
+                lun,
+                branch,
+                writable: true,
+            });
         }
         self.update_units();
         self.units.get(&lun).cloned()
@@ -28,7 +33,13 @@
 
     /// Takes snapshots and clones from the tree, if that has changed.
     pub(super) fn update_units(&mut self) {
-        let Some(tree) = self.catalog.as_ref().and_then(|catalog| catalog.replica.tree()) else { return };
+        let Some(tree) = self
+            .catalog
+            .as_ref()
+            .and_then(|catalog| catalog.replica.tree())
+        else {
+            return;
+        };
         if self.units_version != Some(tree.version) {
             self.units_version = Some(tree.version);
             self.units = snapshots_and_clones(&self.volumes, tree);
@@ -41,13 +52,33 @@
     for (name, snapshot) in &tree.snapshots {
         if let Some(volume) = volume_of(volumes, tree, &snapshot.branch) {
             let (lun, branch) = (snapshot.lun, Some(name.as_str().into()));
-            units.insert(lun, ExportedUnit { volume, lun, branch, writable: false });
+            units.insert(
+                lun,
+                ExportedUnit {
+                    volume,
+                    lun,
+                    branch,
+                    writable: false,
+                },
+            );
         }
     }
-    for (name, branch) in tree.branches.iter().filter(|(_, branch)| branch.origin.is_some()) {
+    for (name, branch) in tree
+        .branches
+        .iter()
+        .filter(|(_, branch)| branch.origin.is_some())
+    {
         if let Some(volume) = volume_of(volumes, tree, name) {
             let (lun, branch) = (branch.lun, Some(name.as_str().into()));
-            units.insert(lun, ExportedUnit { volume, lun, branch, writable: true });
+            units.insert(
+                lun,
+                ExportedUnit {
+                    volume,
+                    lun,
+                    branch,
+                    writable: true,
+                },
+            );
         }
     }
     units
@@ -57,10 +88,19 @@
 fn volume_of(volumes: &[Volume], tree: &Tree, branch: &str) -> Option<usize> {
     let mut name = branch;
     for _ in 0..=tree.branches.len() {
-        if let Some(volume) = volumes.iter().position(|volume| volume.branch.as_deref() == Some(name)) {
+        if let Some(volume) = volumes
+            .iter()
+            .position(|volume| volume.branch.as_deref() == Some(name))
+        {
             return Some(volume);
         }
-        name = tree.branches.get(name)?.origin.as_deref()?.split('@').next()?;
+        name = tree
+            .branches
+            .get(name)?
+            .origin
+            .as_deref()?
+            .split('@')
+            .next()?;
     }
     None
 }
--- a/crates/gateway/src/dispatcher/extent_copies.rs
+++ b/crates/gateway/src/dispatcher/extent_copies.rs
@@ -51,7 +51,9 @@
 impl Dispatcher {
     /// Whether a step of a copy writes.
     pub(super) fn writes_copy(&self, io: &BlockIo) -> bool {
-        io.copy.and_then(|extent| self.copies.get(&extent)).is_some_and(ExtentCopy::is_writing)
+        io.copy
+            .and_then(|extent| self.copies.get(&extent))
+            .is_some_and(ExtentCopy::is_writing)
     }
 
     /// Starts to copy an extent into a layer, unless a copy is in progress or the budget is used up.
@@ -62,19 +64,26 @@
         from: Option<(LayerId, Location)>,
     ) {
         let now = ticks_to_millis(self.now);
-        let Some(catalog) = &mut self.catalog else { return };
+        let Some(catalog) = &mut self.catalog else {
+            return;
+        };
         let is_retry = match self.copies.get(&extent).map(|copy| copy.state) {
             None => false,
             Some(CopyState::Failed { retry_at }) if now >= retry_at => true,
             Some(_) => return,
         };
-        let in_flight = self.copies.values().filter(|copy| !copy.has_failed()).count();
+        let in_flight = self
+            .copies
+            .values()
+            .filter(|copy| !copy.has_failed())
+            .count();
         if !self.copy_budget.may_start(in_flight, is_retry, now) {
             return;
         }
         let wanted = self.max_attempts as usize;
-        let slots: Vec<u32> =
-            std::iter::from_fn(|| catalog.replica.take_slot(extent.0)).take(wanted).collect();
+        let slots: Vec<u32> = std::iter::from_fn(|| catalog.replica.take_slot(extent.0))
+            .take(wanted)
+            .collect();
         if slots.len() < wanted {
             // These slots are lost, which costs nothing; more were requested.
             self.copies.remove(&extent);
@@ -83,9 +92,21 @@
         let (state, data) = match from {
             Some(_) => (CopyState::Reading, Vec::new()),
             // One block is enough to have the node know the location: the others read as zeros anyway.
-            None => (CopyState::Writing, vec![0; self.volumes[volume].block_size as usize]),
+            None => (
+                CopyState::Writing,
+                vec![0; self.volumes[volume].block_size as usize],
+            ),
         };
-        self.copies.insert(extent, ExtentCopy { volume, from, data: data.into(), slots, state });
+        self.copies.insert(
+            extent,
+            ExtentCopy {
+                volume,
+                from,
+                data: data.into(),
+                slots,
+                state,
+            },
+        );
         self.start_copy_step(extent);
     }
 
@@ -94,7 +115,11 @@
         let copy = &self.copies[&extent];
         let request = SubRequest {
             offset: 0,
-            blocks: if copy.from.is_some() { self.extent_blocks as u32 } else { 1 },
+            blocks: if copy.from.is_some() {
+                self.extent_blocks as u32
+            } else {
+                1
+            },
             shard: extent.1,
             node_lba: 0,
             class: self.copy_class as u16,
@@ -103,7 +128,11 @@
         self.last_sequence += 1;
         let io = BlockIo {
             sequence: self.last_sequence,
-            location: if copy.state == CopyState::Reading { copy.from } else { None },
+            location: if copy.state == CopyState::Reading {
+                copy.from
+            } else {
+                None
+            },
             copy: Some(extent),
             ..BlockIo::new(copy.volume, request, self.now)
         };
@@ -114,8 +143,12 @@
     /// A step of a copy has completed.
     pub(super) fn on_copy_step_completed(&mut self, index: BlockIoIndex, data: Vec<u8>) {
         let io = self.block_ios.get(index).expect("in flight");
-        let (Some(extent), location) = (io.copy, io.location) else { return };
-        let Some(copy) = self.copies.get_mut(&extent) else { return };
+        let (Some(extent), location) = (io.copy, io.location) else {
+            return;
+        };
+        let Some(copy) = self.copies.get_mut(&extent) else {
+            return;
+        };
         match (copy.state, location) {
             (CopyState::Reading, _) => {
                 copy.data = data.into();
@@ -134,7 +167,11 @@
 
     fn propose_location(&mut self, (layer, extent): LayerExtent, location: Location) {
         if let Some(catalog) = &mut self.catalog {
-            catalog.send(&ToCatalog::ProposeLocation { layer, extent, location });
+            catalog.send(&ToCatalog::ProposeLocation {
+                layer,
+                extent,
+                location,
+            });
         }
     }
 
@@ -142,9 +179,17 @@
     /// answered.
     pub(super) fn update_copies(&mut self) {
         let now = ticks_to_millis(self.now);
-        let Some(tree) = self.catalog.as_ref().and_then(|catalog| catalog.replica.tree()) else { return };
+        let Some(tree) = self
+            .catalog
+            .as_ref()
+            .and_then(|catalog| catalog.replica.tree())
+        else {
+            return;
+        };
         let is_settled = |(layer, extent): &LayerExtent| {
-            tree.layers.get(layer).is_none_or(|layer| layer.frozen || layer.locations.contains_key(extent))
+            tree.layers
+                .get(layer)
+                .is_none_or(|layer| layer.frozen || layer.locations.contains_key(extent))
         };
         let mut unanswered = Vec::new();
         self.copies.retain(|extent, copy| match &mut copy.state {
@@ -156,7 +201,9 @@
                 }
                 !settled
             }
-            CopyState::Failed { retry_at } => !is_settled(extent) && now < *retry_at + FAILURE_MEMORY,
+            CopyState::Failed { retry_at } => {
+                !is_settled(extent) && now < *retry_at + FAILURE_MEMORY
+            }
             CopyState::Reading | CopyState::Writing => true,
         });
         for (extent, location) in unanswered {
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -39,16 +39,33 @@
     /// Commands that are answered also where there is no unit.
     fn answer_without_unit(&mut self, volume: Option<usize>, command: Command) -> Option<Vec<u8>> {
         match command {
-            Command::ReportLuns { select_report, allocation_len } => {
+            Command::ReportLuns {
+                select_report,
+                allocation_len,
+            } => {
                 self.update_units();
-                let luns = self.volumes.iter().map(|volume| volume.lun).chain(self.units.keys().copied());
-                Some(truncated(scsi::report_luns(luns, select_report), allocation_len))
+                let luns = self
+                    .volumes
+                    .iter()
+                    .map(|volume| volume.lun)
+                    .chain(self.units.keys().copied());
+                Some(truncated(
+                    scsi::report_luns(luns, select_report),
+                    allocation_len,
+                ))
             }
             Command::RequestSense { allocation_len } => {
-                let sense = if volume.is_some() { NO_SENSE } else { Sense::LOGICAL_UNIT_NOT_SUPPORTED };
+                let sense = if volume.is_some() {
+                    NO_SENSE
+                } else {
+                    Sense::LOGICAL_UNIT_NOT_SUPPORTED
+                };
                 Some(truncated(sense.to_fixed_format().to_vec(), allocation_len))
             }
-            Command::Inquiry { page: None, allocation_len } if volume.is_none() => {
+            Command::Inquiry {
+                page: None,
+                allocation_len,
+            } if volume.is_none() => {
                 let mut data = NO_UNIT_INQUIRY.to_vec();
                 data.resize(INQUIRY_LEN, 0);
                 Some(truncated(data, allocation_len))
@@ -58,7 +75,9 @@
     }
 
     fn answer_of_unit(&self, volume: Option<usize>, command: Command) -> Result<Vec<u8>, Sense> {
-        let volume = volume.map(|index| &self.volumes[index]).ok_or(Sense::LOGICAL_UNIT_NOT_SUPPORTED)?;
+        let volume = volume
+            .map(|index| &self.volumes[index])
+            .ok_or(Sense::LOGICAL_UNIT_NOT_SUPPORTED)?;
         let unit = self.describe_unit(volume);
         let data = match command {
             Command::TestUnitReady => Some(Vec::new()),
@@ -70,16 +89,23 @@
                 }
                 Some(Vec::new())
             }
-            Command::Inquiry { page, allocation_len } => {
-                unit.inquiry(page).map(|data| truncated(data, allocation_len))
-            }
+            Command::Inquiry {
+                page,
+                allocation_len,
+            } => unit
+                .inquiry(page)
+                .map(|data| truncated(data, allocation_len)),
             Command::ReadCapacity10 => Some(unit.read_capacity_10()),
             Command::ReadCapacity16 { allocation_len } => {
                 Some(truncated(unit.read_capacity_16(), allocation_len))
             }
-            Command::ModeSense { form, page, allocation_len } => {
-                unit.mode_sense(form, page).map(|data| truncated(data, allocation_len))
-            }
+            Command::ModeSense {
+                form,
+                page,
+                allocation_len,
+            } => unit
+                .mode_sense(form, page)
+                .map(|data| truncated(data, allocation_len)),
             Command::ModeSelect
             | Command::Unmap
             | Command::GetLbaStatus { .. }
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -14,7 +14,10 @@
 impl Dispatcher {
     /// When block I/Os that wait for their location are to be looked up again.
     pub(crate) fn next_lookup(&self) -> Option<Tick> {
-        let quiescing = self.catalog.as_ref().is_some_and(|catalog| !catalog.quiesce_requests.is_empty());
+        let quiescing = self
+            .catalog
+            .as_ref()
+            .is_some_and(|catalog| !catalog.quiesce_requests.is_empty());
         (quiescing || !self.waiting.is_empty()).then_some(self.next_lookup)
     }
 
@@ -27,8 +30,11 @@
     fn insert_waiting(&mut self, index: BlockIoIndex) {
         let sequence = self.block_ios.get(index).map_or(0, |io| io.sequence);
         let block_ios = &self.block_ios;
-        let arrived_before =
-            |other: &BlockIoIndex| block_ios.get(*other).is_some_and(|io| io.sequence < sequence);
+        let arrived_before = |other: &BlockIoIndex| {
+            block_ios
+                .get(*other)
+                .is_some_and(|io| io.sequence < sequence)
+        };
         let position = self.waiting.partition_point(arrived_before);
         self.waiting.insert(position, index);
     }
@@ -39,7 +45,9 @@
         let io = self.block_ios.get(index).expect("in flight");
         let is_ahead = |other: &BlockIoIndex| {
             self.block_ios.get(*other).is_some_and(|other| {
-                other.lun == io.lun && other.request.shard == io.request.shard && other.sequence < io.sequence
+                other.lun == io.lun
+                    && other.request.shard == io.request.shard
+                    && other.sequence < io.sequence
             })
         };
         if self.waiting.iter().any(is_ahead) || !self.try_locate(scheduler, index) {
@@ -52,15 +60,21 @@
     fn try_locate(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) -> bool {
         let io = self.block_ios.get(index).expect("in flight");
         let (write, extent, volume) = (self.is_write(io), io.request.shard, io.volume);
-        let Some(catalog) = &mut self.catalog else { return false };
+        let Some(catalog) = &mut self.catalog else {
+            return false;
+        };
         let now = ticks_to_millis(self.now);
-        match catalog.replica.look_up(io.branch.as_deref().unwrap_or_default(), extent, write, now) {
+        match catalog
+            .replica
+            .look_up(io.branch.as_deref().unwrap_or_default(), extent, write, now)
+        {
             Lookup::Found(layer, location) => {
                 if write && !self.may_write_to(index, layer, now) {
                     // A write that was failed is released; else it waits.
                     return self.block_ios.get(index).is_none();
                 }
-                self.block_ios.get_mut(index).expect("in flight").location = Some((layer, location));
+                self.block_ios.get_mut(index).expect("in flight").location =
+                    Some((layer, location));
                 self.pass_to_scheduler(scheduler, index);
                 true
             }
@@ -95,7 +109,9 @@
     /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has
     /// passed. True if any of them waits no more, or a copy has started.
     pub(super) fn retry_lookups(&mut self, scheduler: &mut Scheduler) -> bool {
-        let Some(catalog) = &self.catalog else { return false };
+        let Some(catalog) = &self.catalog else {
+            return false;
+        };
         if self.lookup_revision == catalog.revision && self.now < self.next_lookup {
             return false;
         }
@@ -106,7 +122,9 @@
         let mut blocked: Vec<(Option<u32>, u32)> = Vec::new();
         let mut moved = false;
         for index in std::mem::take(&mut self.waiting) {
-            let Some(io) = self.block_ios.get(index) else { continue };
+            let Some(io) = self.block_ios.get(index) else {
+                continue;
+            };
             let unit_and_extent = (io.lun, io.request.shard);
             if io.answered {
                 self.release(index);
@@ -134,8 +152,11 @@
         let layer = io.layer();
         self.finish_attempt(index, AttemptResult::NotSent);
         for other in self.block_ios.indices() {
-            let Some(io) = self.block_ios.get(other) else { continue };
-            let queued = io.layer() == layer && io.scheduled && io.attempt.is_none() && !io.relocating;
+            let Some(io) = self.block_ios.get(other) else {
+                continue;
+            };
+            let queued =
+                io.layer() == layer && io.scheduled && io.attempt.is_none() && !io.relocating;
             if queued && !io.answered && io.copy.is_none() && self.is_write(io) {
                 self.block_ios.get_mut(other).expect("just seen").relocating = true;
                 self.withdrawn.push_back(BioId(other));
--- a/crates/gateway/src/dispatcher/split_writes.rs
+++ b/crates/gateway/src/dispatcher/split_writes.rs
@@ -12,25 +12,45 @@
 impl Dispatcher {
     /// Whether a block I/O is part of a client's write.
     pub(super) fn is_write(&self, io: &BlockIo) -> bool {
-        io.command.and_then(|command| self.commands.get(command)).is_some_and(|command| command.write)
+        io.command
+            .and_then(|command| self.commands.get(command))
+            .is_some_and(|command| command.write)
     }
 
     /// Whether a part of a write may be sent into a layer, as far as cuts are concerned. A write that can
     /// never be completed is failed, and its block I/O released.
-    pub(super) fn may_write_to(&mut self, index: BlockIoIndex, layer: LayerId, now: Millis) -> bool {
-        let Some(io) = self.block_ios.get(index) else { return false };
-        let Some(command_index) = io.command else { return true };
-        let Some(command) = self.commands.get(command_index).filter(|command| command.sub_requests > 1)
+    pub(super) fn may_write_to(
+        &mut self,
+        index: BlockIoIndex,
+        layer: LayerId,
+        now: Millis,
+    ) -> bool {
+        let Some(io) = self.block_ios.get(index) else {
+            return false;
+        };
+        let Some(command_index) = io.command else {
+            return true;
+        };
+        let Some(command) = self
+            .commands
+            .get(command_index)
+            .filter(|command| command.sub_requests > 1)
         else {
             return true;
         };
         let branch = io.branch.as_deref().unwrap_or_default();
-        let cut_pending = self.catalog.as_ref().is_some_and(|catalog| catalog.has_pending_cut(branch, now));
+        let cut_pending = self
+            .catalog
+            .as_ref()
+            .is_some_and(|catalog| catalog.has_pending_cut(branch, now));
         let mut started = command.split_write.started_in_or_before(LayerId::MAX);
         let mut in_flight_elsewhere = false;
         let mut next = command.first;
         while let Some(other_index) = next {
-            let other = self.block_ios.get(other_index).filter(|other| other.command == Some(command_index));
+            let other = self
+                .block_ios
+                .get(other_index)
+                .filter(|other| other.command == Some(command_index));
             let Some(other) = other else { break };
             // One that the scheduler has queued may be sent any moment.
             let in_flight = other.scheduled && !other.answered;
@@ -61,8 +81,12 @@
 
     /// Applies the catalog's decisions about writes, and reports which layers this host has quiesced.
     pub(super) fn apply_cut_decisions(&mut self) {
-        let Some(catalog) = &mut self.catalog else { return };
-        for CompletionDecision { layer, granted } in std::mem::take(&mut catalog.completion_decisions) {
+        let Some(catalog) = &mut self.catalog else {
+            return;
+        };
+        for CompletionDecision { layer, granted } in
+            std::mem::take(&mut catalog.completion_decisions)
+        {
             for index in self.commands.indices() {
                 if let Some(command) = self.commands.get_mut(index) {
                     command.split_write.permission_decided(layer, granted);
@@ -70,9 +94,12 @@
             }
         }
         let requests = std::mem::take(&mut catalog.quiesce_requests);
-        let (pending, quiesced): (Vec<QuiesceRequest>, Vec<QuiesceRequest>) =
-            requests.into_iter().partition(|request| self.has_split_write(request));
-        let Some(catalog) = &mut self.catalog else { return };
+        let (pending, quiesced): (Vec<QuiesceRequest>, Vec<QuiesceRequest>) = requests
+            .into_iter()
+            .partition(|request| self.has_split_write(request));
+        let Some(catalog) = &mut self.catalog else {
+            return;
+        };
         catalog.quiesce_requests = pending;
         for QuiesceRequest { layer, .. } in quiesced {
             catalog.send(&ToCatalog::Quiesced { layer });
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -56,19 +56,33 @@
     let mut zones: Vec<&str> = Vec::new();
     let mut known = Vec::new();
     for node in nodes {
-        let zone = zones.iter().position(|zone| *zone == node.zone).unwrap_or_else(|| {
-            zones.push(&node.zone);
-            zones.len() - 1
-        });
+        let zone = zones
+            .iter()
+            .position(|zone| *zone == node.zone)
+            .unwrap_or_else(|| {
+                zones.push(&node.zone);
+                zones.len() - 1
+            });
         let (name, zone) = (node.name.clone(), zone as u32);
-        known.push(KnownNode { name, zone, shard: node.shard, generation: 0, up_since: 0 });
+        known.push(KnownNode {
+            name,
+            zone,
+            shard: node.shard,
+            generation: 0,
+            up_since: 0,
+        });
     }
     known
 }
 
 impl EndpointList {
     /// The client of a host; it does not connect yet.
-    pub(crate) fn new(host: &config::Host, nodes: &[config::Node], registry: Registry, token: Token) -> Self {
+    pub(crate) fn new(
+        host: &config::Host,
+        nodes: &[config::Node],
+        registry: Registry,
+        token: Token,
+    ) -> Self {
         EndpointList {
             host: host.name.clone(),
             address: host.endpoint_service,
@@ -97,7 +111,10 @@
                 started_at: 0,
             };
             let nodes = self.nodes.iter().enumerate().map(listed).collect();
-            self.updates.push_back(ListUpdate { event: EndpointEvent::FullSnapshot, nodes });
+            self.updates.push_back(ListUpdate {
+                event: EndpointEvent::FullSnapshot,
+                nodes,
+            });
             return;
         }
         self.restore_cache(now);
@@ -108,7 +125,10 @@
         match std::fs::read_to_string(path) {
             Ok(text) => match self.watcher.restore_cache(&text) {
                 Ok(update) => {
-                    tracing::info!(nodes = update.endpoints.len(), "cached endpoint list loaded");
+                    tracing::info!(
+                        nodes = update.endpoints.len(),
+                        "cached endpoint list loaded"
+                    );
                     self.queue(EndpointEvent::Cached, &update, now);
                 }
                 Err(e) => tracing::warn!(error = %e, "cached endpoint list not used"),
@@ -136,7 +156,8 @@
         {
             return self.fail(&e.to_string());
         }
-        self.unsent.extend_from_slice(format!("watch {}\n", self.host).as_bytes());
+        self.unsent
+            .extend_from_slice(format!("watch {}\n", self.host).as_bytes());
         self.flush();
     }
 
@@ -157,7 +178,10 @@
             let _ = self.registry.deregister(&mut socket);
         }
         self.request.finished();
-        self.updates.push_back(ListUpdate { event: EndpointEvent::PollFailed, nodes: Vec::new() });
+        self.updates.push_back(ListUpdate {
+            event: EndpointEvent::PollFailed,
+            nodes: Vec::new(),
+        });
     }
 
     /// Writes and reads as far as the socket lets it.
@@ -165,12 +189,16 @@
         self.readable |= readable;
         self.flush();
         while self.readable {
-            let Some(socket) = &mut self.socket else { return };
+            let Some(socket) = &mut self.socket else {
+                return;
+            };
             match socket_io::read(socket, buffer) {
                 ReadOutcome::WouldBlock => self.readable = false,
                 ReadOutcome::Read(len) => {
                     let mut events = Vec::new();
-                    let received = self.watcher.receive(&buffer[..len], |event| events.push(event));
+                    let received = self
+                        .watcher
+                        .receive(&buffer[..len], |event| events.push(event));
                     for event in events {
                         self.on_watch_event(event, now);
                     }
@@ -184,7 +212,9 @@
     }
 
     fn flush(&mut self) {
-        let Some(socket) = &mut self.socket else { return };
+        let Some(socket) = &mut self.socket else {
+            return;
+        };
         if let Err(reason) = socket_io::write_buffer(socket, &mut self.unsent) {
             self.fail(&reason.to_string());
         }
@@ -194,7 +224,8 @@
         match event {
             WatchEvent::SnapshotRequired => {
                 self.request.sent(ticks_to_millis(now));
-                self.unsent.extend_from_slice(format!("all {}\n", self.host).as_bytes());
+                self.unsent
+                    .extend_from_slice(format!("all {}\n", self.host).as_bytes());
                 self.flush();
             }
             WatchEvent::Update(update) => {
@@ -217,7 +248,10 @@
                 tracing::info!(node, state, age = entry.uptime_ms, "endpoint updated");
                 nodes.push(listed);
             } else {
-                tracing::warn!(node, "endpoint list names a node that the configuration lacks");
+                tracing::warn!(
+                    node,
+                    "endpoint list names a node that the configuration lacks"
+                );
             }
         }
         self.updates.push_back(ListUpdate { event, nodes });
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -78,7 +78,10 @@
 
 /// Reads a text file.
 pub(crate) fn read_text(path: &Path) -> Result<String, FileError> {
-    std::fs::read_to_string(path).map_err(|source| FileError::Io { path: path.to_owned(), source })
+    std::fs::read_to_string(path).map_err(|source| FileError::Io {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// Reads and checks a configuration file.
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -107,22 +107,32 @@
         // The timer runs before datagrams are read: after the process was suspended (SIGSTOP, a pause of the
         // virtual machine), the timer extends its timeouts by the gap. Otherwise members whose
         // acknowledgements are still queued in the socket would be suspected.
-        host.membership.iter_mut().for_each(|membership| membership.tick());
+        host.membership
+            .iter_mut()
+            .for_each(|membership| membership.tick());
         for event in &events {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
             host.on_event(event.token(), readable);
         }
         host.after_events();
     }
-    host.membership.iter_mut().for_each(|membership| membership.announce_left());
+    host.membership
+        .iter_mut()
+        .for_each(|membership| membership.announce_left());
     tracing::info!("host stopped");
     Ok(())
 }
 
 /// What every session is negotiated with.
 fn session_proposal(config: &GatewayConfig) -> ProposedParams {
-    let digests = Digests { header: config.host.header_digest, data: config.host.data_digest };
-    ProposedParams { digests, ..ProposedParams::default() }
+    let digests = Digests {
+        header: config.host.header_digest,
+        data: config.host.data_digest,
+    };
+    ProposedParams {
+        digests,
+        ..ProposedParams::default()
+    }
 }
 
 fn open_clients(config: &GatewayConfig, bound: SocketAddr, poll: &Poll) -> Result<Clients, Error> {
@@ -133,48 +143,94 @@
         target_names: vec![config.host.target.clone()],
         portal_address: bound.to_string(),
     });
-    let admission = AdmissionController::new(&config.host.target, config.host.max_connections as usize);
+    let admission =
+        AdmissionController::new(&config.host.target, config.host.max_connections as usize);
     let first_token = FIRST_NODE + config.nodes.len();
-    Ok(Clients::new(admission, target_config, startup::registry(poll)?, first_token))
+    Ok(Clients::new(
+        admission,
+        target_config,
+        startup::registry(poll)?,
+        first_token,
+    ))
 }
 
 fn open_nodes(config: &GatewayConfig, poll: &Poll) -> Result<Nodes, Error> {
     let initiator = format!("{}:{}", config.host.target, config.host.name);
     let registry = startup::registry(poll)?;
-    Ok(Nodes::new(&config.nodes, initiator, session_proposal(config), registry, FIRST_NODE))
+    Ok(Nodes::new(
+        &config.nodes,
+        initiator,
+        session_proposal(config),
+        registry,
+        FIRST_NODE,
+    ))
 }
 
 /// The catalog's client, where the configuration has a catalog and a volume of the host is mapped.
-fn open_catalog_client(config: &GatewayConfig, poll: &Poll) -> Result<Option<CatalogClient>, Error> {
-    let Some(catalog) = &config.catalog else { return Ok(None) };
+fn open_catalog_client(
+    config: &GatewayConfig,
+    poll: &Poll,
+) -> Result<Option<CatalogClient>, Error> {
+    let Some(catalog) = &config.catalog else {
+        return Ok(None);
+    };
     if !config.volumes.iter().any(|volume| volume.mapped) {
         return Ok(None);
     }
     let address = startup::validated_address(catalog.listen);
-    Ok(Some(CatalogClient::new(&config.host.name, address, startup::registry(poll)?, CATALOG)))
+    Ok(Some(CatalogClient::new(
+        &config.host.name,
+        address,
+        startup::registry(poll)?,
+        CATALOG,
+    )))
 }
 
 /// The replica of the plans, where the configuration names a plan service.
-fn open_plan_replication(config: &GatewayConfig, poll: &Poll) -> Result<Option<PlanReplication>, Error> {
-    let Some(address) = config.host.plan_service else { return Ok(None) };
-    let hosted = |volume: &Volume| HostedVolume { name: volume.name.clone(), host_count: volume.host_count };
+fn open_plan_replication(
+    config: &GatewayConfig,
+    poll: &Poll,
+) -> Result<Option<PlanReplication>, Error> {
+    let Some(address) = config.host.plan_service else {
+        return Ok(None);
+    };
+    let hosted = |volume: &Volume| HostedVolume {
+        name: volume.name.clone(),
+        host_count: volume.host_count,
+    };
     let volumes = config.volumes.iter().map(hosted).collect();
     let cache_file = config.host.plan_cache_path.clone();
     let registry = startup::registry(poll)?;
-    Ok(Some(PlanReplication::new(&config.host.name, address, cache_file, volumes, registry, PLANS)))
+    Ok(Some(PlanReplication::new(
+        &config.host.name,
+        address,
+        cache_file,
+        volumes,
+        registry,
+        PLANS,
+    )))
 }
 
-fn open_membership(config: &GatewayConfig, poll: &Poll) -> Result<Option<Box<UdpMembership>>, Error> {
-    let Some(settings) = config.host.fleet.clone() else { return Ok(None) };
+fn open_membership(
+    config: &GatewayConfig,
+    poll: &Poll,
+) -> Result<Option<Box<UdpMembership>>, Error> {
+    let Some(settings) = config.host.fleet.clone() else {
+        return Ok(None);
+    };
     let opened = UdpMembership::open(poll.registry(), MEMBERSHIP, settings);
-    opened.map(|service| Some(Box::new(service))).map_err(Error::Membership)
+    opened
+        .map(|service| Some(Box::new(service)))
+        .map_err(Error::Membership)
 }
 
 impl HostProcess {
     fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let address = startup::validated_address(config.host.listen);
         let (listener, _) = startup::listen(address, poll, LISTENER)?;
-        let bound = listener.local_addr().map_err(|source| Error::Listen { address, source })?;
+        let bound = listener
+            .local_addr()
+            .map_err(|source| Error::Listen { address, source })?;
         let control = startup::control_socket(
             config.host.control_socket.as_deref(),
             poll,
@@ -194,7 +250,11 @@
         tracing::info!(host = config.host.name, listen = %bound, seed, "host started");
         let volumes = config.volumes.len();
         Ok(HostProcess {
-            scheduler: Scheduler::new(&scheduler_config::scheduler_config(&config), seed, clock.now()),
+            scheduler: Scheduler::new(
+                &scheduler_config::scheduler_config(&config),
+                seed,
+                clock.now(),
+            ),
             dispatcher: Dispatcher::new(&config, clients, nodes, catalog),
             endpoint_list,
             plan_replication,
@@ -229,8 +289,8 @@
 
     /// Asked to stop with nothing left in flight, or asked twice.
     fn is_finished(&self) -> bool {
-        let idle =
-            self.dispatcher.clients.admission.connection_count() == 0 && self.dispatcher.in_flight() == 0;
+        let idle = self.dispatcher.clients.admission.connection_count() == 0
+            && self.dispatcher.in_flight() == 0;
         self.stop_requests > 1 || self.stop_requests == 1 && idle
     }
 
@@ -240,11 +300,20 @@
             return Duration::ZERO;
         }
         let dispatcher = &self.dispatcher;
-        let timers = [dispatcher.timer_due, dispatcher.next_attempt_timeout(), dispatcher.next_lookup()];
-        let due = timers.into_iter().flatten().fold(self.last_check + CHECK_PERIOD, Tick::min);
+        let timers = [
+            dispatcher.timer_due,
+            dispatcher.next_attempt_timeout(),
+            dispatcher.next_lookup(),
+        ];
+        let due = timers
+            .into_iter()
+            .flatten()
+            .fold(self.last_check + CHECK_PERIOD, Tick::min);
         let due = ticks_to_duration(due - self.clock.now());
-        let membership_due =
-            self.membership.as_ref().map(|membership| Duration::from_millis(membership.millis_until_tick()));
+        let membership_due = self
+            .membership
+            .as_ref()
+            .map(|membership| Duration::from_millis(membership.millis_until_tick()));
         membership_due.map_or(due, |other| due.min(other))
     }
 
@@ -260,12 +329,17 @@
             CATALOG => self.read_catalog(readable),
             PLANS => self.read_plans(),
             ENDPOINT_LIST => {
-                self.endpoint_list.on_ready(readable, &mut self.read_buffer, self.dispatcher.now);
+                self.endpoint_list
+                    .on_ready(readable, &mut self.read_buffer, self.dispatcher.now);
             }
             SIGNALS => self.read_signals(),
             Token(token) if token < FIRST_NODE => {
                 let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
+                if let Some(line) = self
+                    .control
+                    .as_mut()
+                    .and_then(|c| c.read_request(connection))
+                {
                     let answer = self.on_request(&line);
                     if let Some(control) = &mut self.control {
                         control.answer(connection, &answer);
@@ -274,13 +348,19 @@
             }
             Token(token) if token < FIRST_NODE + self.dispatcher.nodes.len() => {
                 let (node, now) = (token - FIRST_NODE, self.dispatcher.now);
-                let more = self.dispatcher.nodes.on_ready(node, readable, &mut self.read_buffer, now);
+                let more =
+                    self.dispatcher
+                        .nodes
+                        .on_ready(node, readable, &mut self.read_buffer, now);
                 self.after_node_read(node, more);
             }
             Token(token) => {
                 let client = (token - FIRST_NODE - self.dispatcher.nodes.len()) as ClientId;
                 let now = self.dispatcher.now;
-                let more = self.dispatcher.clients.on_ready(client, readable, &mut self.read_buffer, now);
+                let more =
+                    self.dispatcher
+                        .clients
+                        .on_ready(client, readable, &mut self.read_buffer, now);
                 self.after_client_read(client, more);
             }
         }
@@ -326,7 +406,8 @@
             self.read_again(PendingRead::Client(client));
         }
         while let Some(event) = self.dispatcher.clients.next_event(client) {
-            self.dispatcher.on_client_event(&mut self.scheduler, client, event);
+            self.dispatcher
+                .on_client_event(&mut self.scheduler, client, event);
         }
         self.dispatcher.process_pending(&mut self.scheduler);
     }
@@ -337,7 +418,11 @@
             self.accept();
         }
         self.resume_reads();
-        if let Some(membership) = self.membership.as_mut().filter(|_| self.membership_readable) {
+        if let Some(membership) = self
+            .membership
+            .as_mut()
+            .filter(|_| self.membership_readable)
+        {
             self.membership_readable = membership.on_readable();
         }
         self.apply_endpoint_updates();
@@ -366,7 +451,10 @@
                 }
                 Some(PendingRead::Catalog) => self.read_catalog(false),
                 Some(PendingRead::Client(client)) => {
-                    let more = self.dispatcher.clients.read(client, &mut self.read_buffer, now);
+                    let more = self
+                        .dispatcher
+                        .clients
+                        .read(client, &mut self.read_buffer, now);
                     self.after_client_read(client, more);
                 }
                 None => break,
@@ -399,7 +487,11 @@
         self.accepting = false;
         loop {
             match self.listener.accept() {
-                Ok((socket, peer)) => self.dispatcher.clients.accept(socket, peer, self.dispatcher.now),
+                Ok((socket, peer)) => {
+                    self.dispatcher
+                        .clients
+                        .accept(socket, peer, self.dispatcher.now)
+                }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
@@ -414,19 +506,30 @@
         while let Some(update) = self.endpoint_list.next_update() {
             for listed in &update.nodes {
                 let removed = listed.state == NodeState::Removed;
-                self.dispatcher.nodes.set_removed(listed.node.0 as usize, removed);
+                self.dispatcher
+                    .nodes
+                    .set_removed(listed.node.0 as usize, removed);
             }
             let now = self.dispatcher.now;
-            self.scheduler.on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
+            self.scheduler
+                .on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
             self.dispatcher.process_pending(&mut self.scheduler);
         }
     }
 
     /// Tells the fleet's membership which versions this host acts on.
     fn publish_facts(&mut self) {
-        let Some(membership) = &mut self.membership else { return };
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
         let endpoint_list = self.endpoint_list.version().version;
-        let plans = self.plan_replication.as_ref().map_or(0, |plans| plans.replica.state().version);
-        membership.set_active_versions(ActiveVersions { endpoint_list, plans });
+        let plans = self
+            .plan_replication
+            .as_ref()
+            .map_or(0, |plans| plans.replica.state().version);
+        membership.set_active_versions(ActiveVersions {
+            endpoint_list,
+            plans,
+        });
     }
 }
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -17,7 +17,9 @@
     pub(super) fn drain(&mut self, cause: &str) -> bool {
         let drained = self.dispatcher.clients.drain(self.dispatcher.now);
         if drained && self.stop_requests > 0 {
-            self.membership.iter_mut().for_each(|membership| membership.announce_leaving());
+            self.membership
+                .iter_mut()
+                .for_each(|membership| membership.announce_leaving());
         }
         if drained {
             tracing::info!(cause, "draining: closed to new logins");
@@ -28,8 +30,15 @@
     /// Handles a line on the control socket; the answer.
     pub(super) fn on_request(&mut self, line: &str) -> String {
         match line {
-            "status" => serde_json::to_string(&self.status()).unwrap_or_else(|e| format!("error: {e}")),
-            "drain" => if self.drain("operator") { "draining" } else { "draining already" }.to_owned(),
+            "status" => {
+                serde_json::to_string(&self.status()).unwrap_or_else(|e| format!("error: {e}"))
+            }
+            "drain" => if self.drain("operator") {
+                "draining"
+            } else {
+                "draining already"
+            }
+            .to_owned(),
             "undrain" if self.stop_requests > 0 => "error: the host is stopping".to_owned(),
             "undrain" => {
                 self.dispatcher.clients.admission.stop_draining();
@@ -43,7 +52,9 @@
             }
             other => match other.strip_prefix("plans ") {
                 Some(file) => self.reload(file).unwrap_or_else(|e| format!("error: {e}")),
-                None => format!("error: `{other}`: expected status, drain, undrain, plans FILE or stop"),
+                None => {
+                    format!("error: `{other}`: expected status, drain, undrain, plans FILE or stop")
+                }
             },
         }
     }
@@ -64,16 +75,25 @@
             list_epoch: list.epoch,
             list_version: list.version,
             commands: metrics.commands,
-            classes: classes.map(|(class, metrics)| class_status(class, metrics)).collect(),
-            nodes: nodes.map(|(index, metrics)| self.node_status(index, metrics)).collect(),
+            classes: classes
+                .map(|(class, metrics)| class_status(class, metrics))
+                .collect(),
+            nodes: nodes
+                .map(|(index, metrics)| self.node_status(index, metrics))
+                .collect(),
             plans: config.plans.iter().map(plan_status).collect(),
-            volumes: (0..config.volumes.len()).map(|index| self.volume_status(index)).collect(),
+            volumes: (0..config.volumes.len())
+                .map(|index| self.volume_status(index))
+                .collect(),
         }
     }
 
     fn node_status(&self, index: usize, metrics: &NodeMetrics) -> NodeStatus {
         let dispatcher = &self.dispatcher;
-        let status = self.scheduler.node_status(dispatcher.now, NodeId(index as u32)).unwrap_or_default();
+        let status = self
+            .scheduler
+            .node_status(dispatcher.now, NodeId(index as u32))
+            .unwrap_or_default();
         NodeStatus {
             name: dispatcher.nodes.name(index).to_owned(),
             connected: dispatcher.nodes.is_connected(index),
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/gateway/src/event_loop/plans.rs
@@ -30,7 +30,11 @@
 
 impl DemandMeter {
     pub(super) fn new(volumes: usize) -> Self {
-        DemandMeter { rates: vec![0; volumes], began: 0, counts: vec![0.0; volumes] }
+        DemandMeter {
+            rates: vec![0; volumes],
+            began: 0,
+            counts: vec![0.0; volumes],
+        }
     }
 
     /// Ends a period that is over. True: the rates are new.
@@ -79,7 +83,9 @@
 
     /// Measures what clients request, and has the scheduler keep to this host's quotas.
     pub(super) fn update_quotas(&mut self) {
-        let Some(replication) = &mut self.plan_replication else { return };
+        let Some(replication) = &mut self.plan_replication else {
+            return;
+        };
         let now = self.dispatcher.now;
         if self.demand.measure(now, &self.dispatcher.metrics.volumes) {
             replication.on_timer(ticks_to_millis(now), rand::rng().next_u64() % JITTER_RANGE);
@@ -89,15 +95,22 @@
             if quota != *current {
                 *current = quota;
                 let quota = quota.map(|thousandths| thousandths as f64 / THOUSANDTHS);
-                self.scheduler.on_quota_changed(now, VolumeId(volume as u32), quota);
+                self.scheduler
+                    .on_quota_changed(now, VolumeId(volume as u32), quota);
             }
         }
     }
 
     /// Applies the cached plans, which are in effect until the plan service sends a newer state.
     pub(super) fn apply_cached_plans(&mut self) {
-        let cached = self.plan_replication.as_ref().map(|replication| replication.replica.state());
-        match cached.filter(|state| state.version > 0).map(|state| self.check_state(state)) {
+        let cached = self
+            .plan_replication
+            .as_ref()
+            .map(|replication| replication.replica.state());
+        match cached
+            .filter(|state| state.version > 0)
+            .map(|state| self.check_state(state))
+        {
             Some(Ok(plans)) => self.apply(plans),
             Some(Err(e)) => tracing::warn!(error = %e, "cached plans not used"),
             None => {}
@@ -106,10 +119,16 @@
 
     /// Applies the state that the plan service has sent, or rejects it.
     fn apply_next_state(&mut self) {
-        let Some(replication) = &self.plan_replication else { return };
-        let Some(state) = replication.replica.pending() else { return };
+        let Some(replication) = &self.plan_replication else {
+            return;
+        };
+        let Some(state) = replication.replica.pending() else {
+            return;
+        };
         let applied = self.check_state(state).map(|plans| self.apply(plans));
-        let Some(replication) = &mut self.plan_replication else { return };
+        let Some(replication) = &mut self.plan_replication else {
+            return;
+        };
         match applied {
             Ok(()) => replication.accept(ticks_to_millis(self.dispatcher.now)),
             Err(e) => replication.reject(&e.to_string()),
@@ -120,11 +139,15 @@
     /// What is to be applied of a replicated state.
     fn check_state(&self, state: &State) -> Result<ReloadOutcome, ApplyError> {
         let mut wanted = self.config.clone();
-        wanted.plans =
-            state.plans.iter().map(|(name, plan)| scheduler_config::configured_plan(name, plan)).collect();
+        wanted.plans = state
+            .plans
+            .iter()
+            .map(|(name, plan)| scheduler_config::configured_plan(name, plan))
+            .collect();
         for volume in &mut wanted.volumes {
             let plan = state.volumes.get(&volume.name);
-            let index = plan.and_then(|name| wanted.plans.iter().position(|plan| plan.name == *name));
+            let index =
+                plan.and_then(|name| wanted.plans.iter().position(|plan| plan.name == *name));
             volume.plan = index.ok_or_else(|| ApplyError::NoPlan(volume.name.clone()))?;
         }
         reload::evaluate(&self.config, &wanted).map_err(ApplyError::Rejected)
@@ -137,8 +160,12 @@
         }
         let changed = self.dispatcher.apply_plans(&plans.volume_plans);
         let all = scheduler_config::scheduler_plans(&self.config);
-        self.scheduler.on_plans_changed(self.dispatcher.now, &all, &changed);
-        plans.changes.iter().for_each(|change| tracing::info!(change = change.to_string(), "plans applied"));
+        self.scheduler
+            .on_plans_changed(self.dispatcher.now, &all, &changed);
+        plans
+            .changes
+            .iter()
+            .for_each(|change| tracing::info!(change = change.to_string(), "plans applied"));
     }
 
     /// Applies the plans of a configuration that differs from the running one in nothing else. Returns what
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/gateway/src/json_lines.rs
@@ -70,14 +70,22 @@
 
 impl LineConnection {
     /// Begins to connect.
-    pub(crate) fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Self> {
+    pub(crate) fn connect(
+        address: SocketAddr,
+        registry: &Registry,
+        token: Token,
+    ) -> io::Result<Self> {
         LineConnection::over(TcpStream::connect(address)?, registry, token)
     }
 
     fn over(mut socket: TcpStream, registry: &Registry, token: Token) -> io::Result<Self> {
         let _ = socket.set_nodelay(true);
         registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(LineConnection { socket, partial: Vec::new(), unsent: Vec::new() })
+        Ok(LineConnection {
+            socket,
+            partial: Vec::new(),
+            unsent: Vec::new(),
+        })
     }
 
     /// Queues a message; `flush` writes it.
@@ -158,7 +166,13 @@
         limits: Limits,
     ) -> Result<Self, Error> {
         let (listener, registry) = listen(address, poll, own)?;
-        Ok(Peers { listener, registry, first_token, limits, all: Slab::default() })
+        Ok(Peers {
+            listener,
+            registry,
+            first_token,
+            limits,
+            all: Slab::default(),
+        })
     }
 
     /// Accepts all pending connections.
@@ -167,7 +181,11 @@
             let token = Token(self.first_token + self.all.next_index() as usize);
             if let Ok(connection) = LineConnection::over(socket, &self.registry, token) {
                 tracing::info!(%peer, "host connected");
-                self.all.insert(Peer { connection, name: String::new(), state: T::default() });
+                self.all.insert(Peer {
+                    connection,
+                    name: String::new(),
+                    state: T::default(),
+                });
             }
         }
     }
@@ -188,7 +206,11 @@
     }
 
     /// Queues a message for every peer that `selects` picks.
-    pub(crate) fn broadcast(&mut self, message: &impl Serialize, selects: impl Fn(&Peer<T>) -> bool) {
+    pub(crate) fn broadcast(
+        &mut self,
+        message: &impl Serialize,
+        selects: impl Fn(&Peer<T>) -> bool,
+    ) {
         for id in self.all.indices() {
             if let Some(peer) = self.all.get_mut(id).filter(|peer| selects(peer)) {
                 peer.connection.send(message);
@@ -207,7 +229,12 @@
     /// Reads once from a peer; its complete lines. None: there is no more for now, or the peer is
     /// disconnected.
     pub(crate) fn read(&mut self, id: PeerId, buffer: &mut [u8]) -> Option<Vec<Vec<u8>>> {
-        match self.all.get_mut(id)?.connection.read(buffer, self.limits.max_line) {
+        match self
+            .all
+            .get_mut(id)?
+            .connection
+            .read(buffer, self.limits.max_line)
+        {
             LineRead::Lines(lines) => return Some(lines),
             LineRead::Closed(reason) => self.disconnect(id, &reason),
             LineRead::WouldBlock => {}
@@ -218,7 +245,9 @@
     /// Writes what is queued for all peers.
     pub(crate) fn flush(&mut self) {
         for id in self.all.indices() {
-            let Some(peer) = self.all.get_mut(id) else { continue };
+            let Some(peer) = self.all.get_mut(id) else {
+                continue;
+            };
             let flushed = if peer.connection.unsent.len() > self.limits.max_unsent {
                 Err(Disconnect::NotReading)
             } else {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -37,9 +37,13 @@
 
 impl Default for ClassMetrics {
     fn default() -> Self {
-        let latencies =
-            Histogram::new_with_bounds(1, MAX_LATENCY, SIGNIFICANT_DIGITS).expect("the bounds are in order");
-        ClassMetrics { counts: CommandCounts::default(), late: 0, latencies }
+        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
+            .expect("the bounds are in order");
+        ClassMetrics {
+            counts: CommandCounts::default(),
+            late: 0,
+            latencies,
+        }
     }
 }
 
@@ -92,7 +96,9 @@
     pub(crate) fn new(classes: usize, nodes: usize, volumes: usize) -> Self {
         Metrics {
             commands: CommandCounts::default(),
-            classes: std::iter::repeat_with(ClassMetrics::default).take(classes).collect(),
+            classes: std::iter::repeat_with(ClassMetrics::default)
+                .take(classes)
+                .collect(),
             nodes: vec![NodeMetrics::default(); nodes],
             volumes: vec![VolumeMetrics::default(); volumes],
         }
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -60,7 +60,13 @@
 
 impl FinishedAttempt {
     fn without_data(node: NodeIndex, tag: u32, result: AttemptResult) -> Self {
-        FinishedAttempt { node, tag, result, write_protected: false, data: Vec::new() }
+        FinishedAttempt {
+            node,
+            tag,
+            result,
+            write_protected: false,
+            data: Vec::new(),
+        }
     }
 }
 
@@ -158,7 +164,8 @@
     }
 
     fn end(&mut self, node: NodeIndex, tag: u32, result: AttemptResult) {
-        self.finished.push_back(FinishedAttempt::without_data(node, tag, result));
+        self.finished
+            .push_back(FinishedAttempt::without_data(node, tag, result));
     }
 
     /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be
@@ -166,9 +173,21 @@
     pub(crate) fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
         let node = &mut self.all[index];
         if node.connection.is_ready() {
-            let link = node.link.as_mut().expect("a connection that is ready has a link");
-            let NodeRequest { tag, lun, cdb, read_len, data } = request;
-            if link.conn.send_command(tag, lun.unwrap_or(node.lun), &cdb, read_len, data) {
+            let link = node
+                .link
+                .as_mut()
+                .expect("a connection that is ready has a link");
+            let NodeRequest {
+                tag,
+                lun,
+                cdb,
+                read_len,
+                data,
+            } = request;
+            if link
+                .conn
+                .send_command(tag, lun.unwrap_or(node.lun), &cdb, read_len, data)
+            {
                 self.mark_dirty(index);
             } else {
                 // The node's own command window is closed: it has rejected the command before it was sent.
@@ -189,8 +208,10 @@
         let mut socket = TcpStream::connect(node.address)?;
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry.register(&mut socket, Token(self.first_token + index), interest)?;
-        let conn = InitiatorConnection::new(&self.initiator, Some(&node.target), ISID, &self.proposal);
+        self.registry
+            .register(&mut socket, Token(self.first_token + index), interest)?;
+        let conn =
+            InitiatorConnection::new(&self.initiator, Some(&node.target), ISID, &self.proposal);
         node.link = Some(Link { socket, conn });
         node.readable = false;
         self.mark_dirty(index);
@@ -235,9 +256,13 @@
             let _ = self.registry.deregister(&mut link.socket);
             for tag in link.conn.in_flight_tags().collect::<Vec<_>>() {
                 let may_have_run = link.conn.has_started_sending(tag);
-                let result =
-                    if may_have_run { AttemptResult::ConnectionReset } else { AttemptResult::ConnectFailed };
-                self.finished.push_back(FinishedAttempt::without_data(index, tag, result));
+                let result = if may_have_run {
+                    AttemptResult::ConnectionReset
+                } else {
+                    AttemptResult::ConnectFailed
+                };
+                self.finished
+                    .push_back(FinishedAttempt::without_data(index, tag, result));
             }
         }
     }
@@ -264,7 +289,9 @@
     /// Reads once. True: there may be more to read.
     pub(crate) fn read(&mut self, index: NodeIndex, buffer: &mut [u8], now: Tick) -> bool {
         let node = &mut self.all[index];
-        let Some(link) = node.link.as_mut().filter(|_| node.readable) else { return false };
+        let Some(link) = node.link.as_mut().filter(|_| node.readable) else {
+            return false;
+        };
         match socket_io::read(&mut link.socket, buffer) {
             ReadOutcome::WouldBlock => node.readable = false,
             ReadOutcome::Read(len) => {
@@ -281,7 +308,11 @@
     }
 
     fn on_events(&mut self, index: NodeIndex, now: Tick) {
-        while let Some(event) = self.all[index].link.as_mut().and_then(|link| link.conn.next_event()) {
+        while let Some(event) = self.all[index]
+            .link
+            .as_mut()
+            .and_then(|link| link.conn.next_event())
+        {
             match event {
                 InitiatorEvent::LoggedIn => {
                     tracing::info!(node = self.all[index].name, "node connected");
@@ -290,7 +321,13 @@
                         self.submit(index, request, now);
                     }
                 }
-                InitiatorEvent::CommandCompleted { tag, status, sense, data, .. } => {
+                InitiatorEvent::CommandCompleted {
+                    tag,
+                    status,
+                    sense,
+                    data,
+                    ..
+                } => {
                     self.on_answer(index, tag, status, sense, data);
                 }
                 InitiatorEvent::CommandRejected { tag, reason } => {
@@ -298,7 +335,9 @@
                     self.end(index, tag, AttemptResult::Error);
                 }
                 InitiatorEvent::CommandAborted { .. } => {
-                    self.all[index].connection.abort_answered(ticks_to_millis(now));
+                    self.all[index]
+                        .connection
+                        .abort_answered(ticks_to_millis(now));
                 }
                 InitiatorEvent::LogoutRequested => {
                     if let Some(link) = &mut self.all[index].link {
@@ -312,10 +351,20 @@
         }
     }
 
-    fn on_answer(&mut self, node: NodeIndex, tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>) {
+    fn on_answer(
+        &mut self,
+        node: NodeIndex,
+        tag: u32,
+        status: u8,
+        sense: Option<Sense>,
+        data: Vec<u8>,
+    ) {
         if sense == Some(Sense::WRITE_PROTECTED) {
             let result = FinishedAttempt::without_data(node, tag, AttemptResult::NotSent);
-            self.finished.push_back(FinishedAttempt { write_protected: true, ..result });
+            self.finished.push_back(FinishedAttempt {
+                write_protected: true,
+                ..result
+            });
             return;
         }
         let result = match status {
@@ -323,7 +372,13 @@
             status::BUSY | status::TASK_SET_FULL => AttemptResult::Rejected,
             _ => AttemptResult::Error,
         };
-        self.finished.push_back(FinishedAttempt { node, tag, result, write_protected: false, data });
+        self.finished.push_back(FinishedAttempt {
+            node,
+            tag,
+            result,
+            write_protected: false,
+            data,
+        });
     }
 
     /// Writes what waits for the nodes.
@@ -343,7 +398,10 @@
         for index in 0..self.all.len() {
             let node = &self.all[index];
             let in_flight = node.link.as_ref().map_or(0, |link| link.conn.in_flight());
-            if let Some(reason) = node.connection.check_timeouts(ticks_to_millis(now), in_flight) {
+            if let Some(reason) = node
+                .connection
+                .check_timeouts(ticks_to_millis(now), in_flight)
+            {
                 self.disconnect(index, &Disconnect::Timeout(reason));
             }
         }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -47,7 +47,11 @@
     #[error("{}: {source}", file.display())]
     Write { file: PathBuf, source: io::Error },
     #[error("{}: volume {volume} is not in {}", record.display(), problem.display())]
-    UnknownVolumeRecorded { record: PathBuf, volume: String, problem: PathBuf },
+    UnknownVolumeRecorded {
+        record: PathBuf,
+        volume: String,
+        problem: PathBuf,
+    },
     #[error("{}: no intervals", .0.display())]
     NoIntervals(PathBuf),
 }
