--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -20,7 +20,10 @@
 pub(super) fn read(problem: &Problem, file: &Path) -> Result<Answer, PlacementError> {
     let text = read_text(file)?;
     let mut problems = Diagnostics::new(&display_name(file));
-    let mut answer = Answer { placement: vec![Vec::new(); problem.volumes.len()], shares: Vec::new() };
+    let mut answer = Answer {
+        placement: vec![Vec::new(); problem.volumes.len()],
+        shares: Vec::new(),
+    };
     for (index, line) in text.lines().enumerate() {
         let words = tokenize(index + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
@@ -38,7 +41,11 @@
             problems.add(top, format!("a line for volume {}", volume.name), "none");
         }
     }
-    if problems.is_empty() { Ok(answer) } else { Err(PlacementError::malformed(problems)) }
+    if problems.is_empty() {
+        Ok(answer)
+    } else {
+        Err(PlacementError::malformed(problems))
+    }
 }
 
 /// Reads the placement of an answer alone.
@@ -47,7 +54,9 @@
 }
 
 fn read_volume(problem: &Problem, args: &mut Arguments) -> Option<usize> {
-    args.value("the name of a volume", |word| problem.volumes.iter().position(|v| v.name == word))
+    args.value("the name of a volume", |word| {
+        problem.volumes.iter().position(|v| v.name == word)
+    })
 }
 
 /// `place VOLUME NODE …`
@@ -64,7 +73,11 @@
     if let Some(volume) = volume {
         let spread = problem.volumes[volume].spread;
         if nodes.len() != spread {
-            problems.add(words[0].position, format!("{spread} nodes"), nodes.len().to_string());
+            problems.add(
+                words[0].position,
+                format!("{spread} nodes"),
+                nodes.len().to_string(),
+            );
         }
         answer.placement[volume] = nodes;
     }
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -41,8 +41,12 @@
     }
     let mut text = outcome.summary();
     if write {
-        atomic_file::replace(configuration, edited.as_bytes())
-            .map_err(|source| PlacementError::Write { file: configuration.to_owned(), source })?;
+        atomic_file::replace(configuration, edited.as_bytes()).map_err(|source| {
+            PlacementError::Write {
+                file: configuration.to_owned(),
+                source,
+            }
+        })?;
         text += &format!("\nwritten; `mallowseam reload {name}` has the host take it up");
     }
     Ok(text)
@@ -53,11 +57,22 @@
 fn misplaced_volumes(problem: &Problem, answer: &Answer, config: &GatewayConfig) -> Vec<String> {
     let mut misplaced = Vec::new();
     for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
-        let configured = config.volumes.iter().find(|other| other.name == volume.name && !other.mapped);
-        let Some(configured) = configured else { continue };
-        let present: BTreeSet<&str> =
-            configured.extents.iter().map(|extent| config.nodes[extent.node].name.as_str()).collect();
-        let wanted: BTreeSet<&str> = nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect();
+        let configured = config
+            .volumes
+            .iter()
+            .find(|other| other.name == volume.name && !other.mapped);
+        let Some(configured) = configured else {
+            continue;
+        };
+        let present: BTreeSet<&str> = configured
+            .extents
+            .iter()
+            .map(|extent| config.nodes[extent.node].name.as_str())
+            .collect();
+        let wanted: BTreeSet<&str> = nodes
+            .iter()
+            .map(|node| problem.nodes[*node].name.as_str())
+            .collect();
         if present != wanted {
             let names = |set: &BTreeSet<&str>| set.iter().copied().collect::<Vec<_>>().join(" ");
             misplaced.push(format!(
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -84,7 +84,8 @@
         self.section = Section::of(&first.text).unwrap_or(Section::Skipped);
         if self.section == Section::Skipped {
             let found = format!("`{}`", first.text);
-            self.problems.add(first.position, "a section: node, volume or host", found);
+            self.problems
+                .add(first.position, "a section: node, volume or host", found);
         }
         let mut args = Arguments::new(words, &mut self.problems);
         let name = args.name("a name of letters, digits and -_.:");
@@ -96,12 +97,22 @@
         self.positions.push((name.text.clone(), first.position));
         match self.section {
             Section::Skipped => {}
-            Section::Node => self.nodes.push(Node { name: name.text, ..Node::default() }),
+            Section::Node => self.nodes.push(Node {
+                name: name.text,
+                ..Node::default()
+            }),
             Section::Host => {
                 if self.hosts.iter().any(|host| host.name == name.text) {
-                    self.problems.add(first.position, "one host of this name", format!("`{}`", name.text));
+                    self.problems.add(
+                        first.position,
+                        "one host of this name",
+                        format!("`{}`", name.text),
+                    );
                 }
-                self.hosts.push(Host { name: name.text, ..Host::default() });
+                self.hosts.push(Host {
+                    name: name.text,
+                    ..Host::default()
+                });
             }
             Section::Volume => self.volumes.push(Volume {
                 name: name.text,
@@ -118,21 +129,28 @@
         let mut args = Arguments::new(words, &mut self.problems);
         let known = match self.section {
             Section::Skipped => true,
-            Section::Node => {
-                read_node(self.nodes.last_mut().expect("a section is open"), &first.text, &mut args)
-            }
-            Section::Host => {
-                read_host(self.hosts.last_mut().expect("a section is open"), &first.text, &mut args)
-            }
-            Section::Volume => {
-                read_volume(self.volumes.last_mut().expect("a section is open"), &first.text, &mut args)
-            }
+            Section::Node => read_node(
+                self.nodes.last_mut().expect("a section is open"),
+                &first.text,
+                &mut args,
+            ),
+            Section::Host => read_host(
+                self.hosts.last_mut().expect("a section is open"),
+                &first.text,
+                &mut args,
+            ),
+            Section::Volume => read_volume(
+                self.volumes.last_mut().expect("a section is open"),
+                &first.text,
+                &mut args,
+            ),
         };
         if known {
             args.expect_end();
         } else {
             let expected = format!("a directive of section `{}`", self.section.name());
-            self.problems.add(first.position, expected, format!("`{}`", first.text));
+            self.problems
+                .add(first.position, expected, format!("`{}`", first.text));
         }
     }
 
@@ -145,17 +163,29 @@
         }
         self.hosts.sort_by(|a, b| a.name.cmp(&b.name));
         let unknown = |name: &&String| !self.volumes.iter().any(|volume| volume.name == **name);
-        if let Some(volume) = self.hosts.iter().flat_map(|host| host.sends.keys()).find(unknown) {
+        if let Some(volume) = self
+            .hosts
+            .iter()
+            .flat_map(|host| host.sends.keys())
+            .find(unknown)
+        {
             let (file, volume) = (file.to_owned(), volume.clone());
             return Err(PlacementError::UnknownVolumeSent { file, volume });
         }
         match Problem::new(self.nodes, self.volumes) {
-            Ok(problem) => Ok(Problem { hosts: self.hosts, ..problem }),
+            Ok(problem) => Ok(Problem {
+                hosts: self.hosts,
+                ..problem
+            }),
             Err(contradictions) => {
                 for wrong in contradictions {
                     let position = self.positions.iter().find(|(name, _)| *name == wrong.name);
                     let position = position.map_or(TOP, |(_, at)| *at);
-                    self.problems.add(position, wrong.kind.to_string(), format!("`{}`", wrong.name));
+                    self.problems.add(
+                        position,
+                        wrong.kind.to_string(),
+                        format!("`{}`", wrong.name),
+                    );
                 }
                 Err(PlacementError::malformed(self.problems))
             }
@@ -168,7 +198,12 @@
     match directive {
         "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
         "cost" => node.cost = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
-        "zone" => node.zone = args.name("a name").map(|word| word.text).unwrap_or_default(),
+        "zone" => {
+            node.zone = args
+                .name("a name")
+                .map(|word| word.text)
+                .unwrap_or_default()
+        }
         _ => return false,
     }
     true
@@ -194,15 +229,18 @@
         "surge" => volume.surge_rate = args.exact_rate(RATE).unwrap_or(0),
         "weight" => volume.weight = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
         "price" => {
-            volume.priority_factor =
-                args.integer("thousandths, 1000 for the plain price", 0, MAX_NUMBER).unwrap_or(0);
+            volume.priority_factor = args
+                .integer("thousandths, 1000 for the plain price", 0, MAX_NUMBER)
+                .unwrap_or(0);
         }
         "spread" => volume.spread = args.integer("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
         "size" => volume.size = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
         "apart" => volume.distinct_zones = true,
         "zone" => volume.zone = args.name("a name").map(|word| word.text),
         "survives" => {
-            match args.value("node or zone", |word| matches!(word, "node" | "zone").then(|| word == "node")) {
+            match args.value("node or zone", |word| {
+                matches!(word, "node" | "zone").then(|| word == "node")
+            }) {
                 Some(true) => volume.survives_node_loss = true,
                 Some(false) => volume.survives_zone_loss = true,
                 None => {}
@@ -210,7 +248,9 @@
         }
         "today" => {
             while args.has_more() {
-                volume.current_nodes.extend(args.name("the name of a node").map(|word| word.text));
+                volume
+                    .current_nodes
+                    .extend(args.name("the name of a node").map(|word| word.text));
             }
         }
         _ => return false,
--- a/crates/gateway/src/placement/replay.rs
+++ b/crates/gateway/src/placement/replay.rs
@@ -9,7 +9,11 @@
 use std::path::{Path, PathBuf};
 
 /// For each answer the gain a second over all intervals, in the worst of them, and how many it was best in.
-pub(crate) fn replay(file: &Path, record: &Path, answers: &[PathBuf]) -> Result<String, PlacementError> {
+pub(crate) fn replay(
+    file: &Path,
+    record: &Path,
+    answers: &[PathBuf],
+) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let intervals = demand::read(record)?;
     check_volumes(&problem, &intervals, file, record)?;
@@ -21,15 +25,25 @@
         let answer = answer_file::read(&problem, path)?;
         gains.push(gains_of(&problem, &answer, &intervals));
     }
-    let mut out = format!("{:<28}{:>14}{:>14}{:>10}", "answer", "gain a second", "worst", "best in");
+    let mut out = format!(
+        "{:<28}{:>14}{:>14}{:>10}",
+        "answer", "gain a second", "worst", "best in"
+    );
     for (path, own) in answers.iter().zip(&gains) {
         let mean = own.iter().sum::<i128>() as f64 / own.len() as f64 / GAIN_SCALE;
         let worst = gain_per_second(*own.iter().min().expect("there are intervals"));
-        let best = (0..own.len()).filter(|i| gains.iter().all(|other| other[*i] <= own[*i])).count();
+        let best = (0..own.len())
+            .filter(|i| gains.iter().all(|other| other[*i] <= own[*i]))
+            .count();
         let name = path.display().to_string();
         write!(out, "\n{name:<28}{mean:>14.3}{worst:>14.3}{best:>10}").expect("writing to memory");
     }
-    write!(out, "\n# {} intervals; gains are the model's", intervals.len()).expect("writing to memory");
+    write!(
+        out,
+        "\n# {} intervals; gains are the model's",
+        intervals.len()
+    )
+    .expect("writing to memory");
     Ok(out)
 }
 
@@ -40,8 +54,11 @@
     record: &Path,
 ) -> Result<(), PlacementError> {
     let known = |name: &String| problem.volumes.iter().any(|volume| volume.name == *name);
-    let unknown: BTreeSet<&String> =
-        intervals.iter().flat_map(|interval| interval.keys()).filter(|name| !known(name)).collect();
+    let unknown: BTreeSet<&String> = intervals
+        .iter()
+        .flat_map(|interval| interval.keys())
+        .filter(|name| !known(name))
+        .collect();
     match unknown.first() {
         None => Ok(()),
         Some(volume) => Err(PlacementError::UnknownVolumeRecorded {
@@ -55,8 +72,14 @@
 /// The gain of an answer in each interval.
 fn gains_of(problem: &Problem, answer: &Answer, intervals: &[Interval]) -> Vec<i128> {
     let share_of = |volume: &Volume| {
-        let own = answer.shares.iter().find(|share| share.volume == volume.name);
-        let given = VolumeShare { reserved_rate: volume.reserved_rate, weight: volume.weight };
+        let own = answer
+            .shares
+            .iter()
+            .find(|share| share.volume == volume.name);
+        let given = VolumeShare {
+            reserved_rate: volume.reserved_rate,
+            weight: volume.weight,
+        };
         own.map_or(given, |share| VolumeShare {
             reserved_rate: share.reserved_milliunits,
             weight: share.weight,
@@ -65,7 +88,8 @@
     let shares: Vec<VolumeShare> = problem.volumes.iter().map(share_of).collect();
     let gain = |interval: &Interval| {
         let requested = |volume: &Volume| {
-            (interval.get(&volume.name).copied().unwrap_or(0.0) * 1000.0).min(MAX_NUMBER as f64) as u64
+            (interval.get(&volume.name).copied().unwrap_or(0.0) * 1000.0).min(MAX_NUMBER as f64)
+                as u64
         };
         let requested: Vec<u64> = problem.volumes.iter().map(requested).collect();
         gain_at_demand(problem, &answer.placement, &shares, &requested)
--- a/crates/gateway/src/placement/report.rs
+++ b/crates/gateway/src/placement/report.rs
@@ -14,17 +14,28 @@
 }
 
 fn node_names(problem: &Problem, nodes: &[usize]) -> String {
-    nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect::<Vec<_>>().join(" ")
+    nodes
+        .iter()
+        .map(|node| problem.nodes[*node].name.as_str())
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 fn volume_names(problem: &Problem, volumes: &[usize]) -> String {
-    volumes.iter().map(|volume| problem.volumes[*volume].name.as_str()).collect::<Vec<_>>().join(" ")
+    volumes
+        .iter()
+        .map(|volume| problem.volumes[*volume].name.as_str())
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 /// `shares compare`: what two placements of one problem are worth, side by side.
 pub(crate) fn compare(file: &Path, one: &Path, other: &Path) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
-    let mut out = format!("{:<24}{:>16}{:>10}{:>14}{:>8}", "placement", "gain", "cost", "data moved", "fits");
+    let mut out = format!(
+        "{:<24}{:>16}{:>10}{:>14}{:>8}",
+        "placement", "gain", "cost", "data moved", "fits"
+    );
     let mut placements = Vec::new();
     for file in [one, other] {
         let placement = answer_file::read_placement(&problem, file)?;
@@ -36,7 +47,11 @@
             gain_per_second(value.gain),
             value.cost.0,
             data_units(value.moved_data.0),
-            if all_reserves_fit(&problem, &placement) { "yes" } else { "no" }
+            if all_reserves_fit(&problem, &placement) {
+                "yes"
+            } else {
+                "no"
+            }
         )
         .expect("writing to memory");
         placements.push(placement);
@@ -55,14 +70,24 @@
 pub(crate) fn explain(file: &Path, answer: &Path) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let placement = answer_file::read_placement(&problem, answer)?;
-    let mut out = format!("{:<16}{:>12}{:>12}{:>8}  volumes", "node", "capacity", "reserved", "part");
+    let mut out = format!(
+        "{:<16}{:>12}{:>12}{:>8}  volumes",
+        "node", "capacity", "reserved", "part"
+    );
     for (index, node) in problem.nodes.iter().enumerate() {
-        let here: Vec<usize> = (0..placement.len()).filter(|v| placement[*v].contains(&index)).collect();
-        let share =
-            |volume: &usize| problem.volumes[*volume].reserved_rate as f64 / placement[*volume].len() as f64;
+        let here: Vec<usize> = (0..placement.len())
+            .filter(|v| placement[*v].contains(&index))
+            .collect();
+        let share = |volume: &usize| {
+            problem.volumes[*volume].reserved_rate as f64 / placement[*volume].len() as f64
+        };
         let reserved: f64 = here.iter().map(share).sum::<f64>() / 1000.0;
         let capacity = node.capacity as f64 / 1000.0;
-        let percent = if capacity > 0.0 { 100.0 * reserved / capacity } else { 0.0 };
+        let percent = if capacity > 0.0 {
+            100.0 * reserved / capacity
+        } else {
+            0.0
+        };
         write!(
             out,
             "\n{:<16}{capacity:>10.1}/s{reserved:>10.1}/s{percent:>7.1}%  {}",
@@ -72,7 +97,11 @@
         .expect("writing to memory");
     }
     let fits = all_reserves_fit(&problem, &placement);
-    out += if fits { "\nall reserves fit" } else { "\nreserves do not fit" };
+    out += if fits {
+        "\nall reserves fit"
+    } else {
+        "\nreserves do not fit"
+    };
     Ok(out)
 }
 
@@ -86,23 +115,33 @@
     let target = answer_file::read_placement(&problem, answer)?;
     let max_data = max_data.map(|data| u128::from(data) * SCALE as u128);
     let plan = plan_migration(&problem, &current_placement(&problem), &target, max_data);
-    let node_name = |node: Option<usize>| node.map_or("-", |node| problem.nodes[node].name.as_str());
+    let node_name =
+        |node: Option<usize>| node.map_or("-", |node| problem.nodes[node].name.as_str());
     let mut out = String::new();
     for step in &plan.steps {
         let volume = &problem.volumes[step.volume].name;
         let (from, to) = (node_name(step.from), node_name(step.to));
-        writeln!(out, "move {volume} {from} {to} {}", data_units(step.data)).expect("writing to memory");
+        writeln!(out, "move {volume} {from} {to} {}", data_units(step.data))
+            .expect("writing to memory");
     }
     for (reason, volumes) in [
         ("stays, beyond the data that may be moved", &plan.deferred),
-        ("no order of steps was found that breaks nothing", &plan.blocked),
+        (
+            "no order of steps was found that breaks nothing",
+            &plan.blocked,
+        ),
     ] {
         if !volumes.is_empty() {
             let names = volume_names(&problem, volumes);
             writeln!(out, "# {reason}: {names}").expect("writing to memory");
         }
     }
-    write!(out, "# {} steps, data moved {}", plan.steps.len(), data_units(plan.data()))
-        .expect("writing to memory");
+    write!(
+        out,
+        "# {} steps, data moved {}",
+        plan.steps.len(),
+        data_units(plan.data())
+    )
+    .expect("writing to memory");
     Ok(out)
 }
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -52,7 +52,9 @@
     while placed && goes_on() {
         search.improve(MOVES_PER_CHECK);
     }
-    search.objective().filter(|_| placed && search.is_feasible())
+    search
+        .objective()
+        .filter(|_| placed && search.is_feasible())
 }
 
 /// The demands that cannot be met together, and how much more capacity would do.
@@ -60,8 +62,9 @@
     let Some(infeasibility) = explain(problem, EXACT_STEPS) else {
         return PlacementError::ContradictionTooLarge;
     };
-    let mut text =
-        String::from("nothing fits; these contradict, and without any one of them the rest would do:");
+    let mut text = String::from(
+        "nothing fits; these contradict, and without any one of them the rest would do:",
+    );
     for constraint in &infeasibility.constraints {
         text += &format!("\n  {}", problem.describe(*constraint));
     }
@@ -80,15 +83,25 @@
     let placement = &best.placement.0;
     let mut out = String::new();
     for (volume, nodes) in problem.volumes.iter().zip(placement) {
-        let names: Vec<&str> = nodes.iter().map(|node| problem.nodes[*node].name.as_str()).collect();
+        let names: Vec<&str> = nodes
+            .iter()
+            .map(|node| problem.nodes[*node].name.as_str())
+            .collect();
         writeln!(out, "place {} {}", volume.name, names.join(" ")).expect("writing to memory");
     }
     let tuning = tune(problem, placement);
-    for (volume, (reserve, weight)) in
-        problem.volumes.iter().zip(tuning.reserved_rates.iter().zip(&tuning.weights))
+    for (volume, (reserve, weight)) in problem
+        .volumes
+        .iter()
+        .zip(tuning.reserved_rates.iter().zip(&tuning.weights))
     {
-        writeln!(out, "share {} reserve {} weight {weight}", volume.name, rate(*reserve))
-            .expect("writing to memory");
+        writeln!(
+            out,
+            "share {} reserve {} weight {weight}",
+            volume.name,
+            rate(*reserve)
+        )
+        .expect("writing to memory");
     }
     describe_quotas(problem, &mut out);
     if tuning.gain > tuning.gain_before {
@@ -109,19 +122,31 @@
     if problem.hosts.is_empty() {
         return;
     }
-    for volume in problem.volumes.iter().filter(|volume| volume.rate_limit > 0) {
-        let sent: Vec<u64> =
-            problem.hosts.iter().map(|host| host.sends.get(&volume.name).copied().unwrap_or(0)).collect();
+    for volume in problem
+        .volumes
+        .iter()
+        .filter(|volume| volume.rate_limit > 0)
+    {
+        let sent: Vec<u64> = problem
+            .hosts
+            .iter()
+            .map(|host| host.sends.get(&volume.name).copied().unwrap_or(0))
+            .collect();
         let quotas = split_limit(volume.rate_limit, &sent, MIN_QUOTA_THOUSANDTHS);
         for (host, quota) in problem.hosts.iter().zip(quotas) {
-            writeln!(out, "part {} {} {}", volume.name, host.name, rate(quota)).expect("writing to memory");
+            writeln!(out, "part {} {} {}", volume.name, host.name, rate(quota))
+                .expect("writing to memory");
         }
     }
 }
 
 fn describe_quality(problem: &Problem, best: &Objective, proven: bool, out: &mut String) {
     let bound = gain_upper_bound(problem);
-    let gap = if bound > 0 { 100.0 * (bound - best.gain) as f64 / bound as f64 } else { 0.0 };
+    let gap = if bound > 0 {
+        100.0 * (bound - best.gain) as f64 / bound as f64
+    } else {
+        0.0
+    };
     write!(
         out,
         "# gain {:.3} a second in a surge of all, bound {:.3}, gap {gap:.2} %{}; cost {}; data moved {}",
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -45,7 +45,14 @@
     ) -> Self {
         let cached = cache_file.as_deref().and_then(read_cache);
         let replica = PlanReplica::new(host, volumes, cached, 0);
-        PlanReplication { address, cache_file, registry, token, connection: None, replica }
+        PlanReplication {
+            address,
+            cache_file,
+            registry,
+            token,
+            connection: None,
+            replica,
+        }
     }
 
     fn send(&mut self, message: &HostMessage) {
@@ -85,7 +92,12 @@
 
     /// The plan service's socket is ready: reads until it has no more data. `requested`: units a second that
     /// clients request of each volume. True: a new state is to be applied.
-    pub(crate) fn on_ready(&mut self, buffer: &mut [u8], requested: &[MilliUnits], now: Millis) -> bool {
+    pub(crate) fn on_ready(
+        &mut self,
+        buffer: &mut [u8],
+        requested: &[MilliUnits],
+        now: Millis,
+    ) -> bool {
         let mut has_state = false;
         while let Some(connection) = &mut self.connection {
             match connection.read(buffer, MAX_LINE) {
@@ -155,6 +167,14 @@
 }
 
 fn write_cache(path: &Path, log: &ChangeLog) -> io::Result<()> {
-    let cached = CachedPlans { state: log.state.clone(), last: log.last_hash().to_owned() };
-    atomic_file::replace(path, serde_json::to_string(&cached).map_err(io::Error::other)?.as_bytes())
+    let cached = CachedPlans {
+        state: log.state.clone(),
+        last: log.last_hash().to_owned(),
+    };
+    atomic_file::replace(
+        path,
+        serde_json::to_string(&cached)
+            .map_err(io::Error::other)?
+            .as_bytes(),
+    )
 }
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -34,7 +34,10 @@
 const FIRST_CONTROL_CONNECTION: usize = 3;
 /// First token of hosts.
 const FIRST_PEER: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
-const LIMITS: Limits = Limits { max_line: 1 << 20, max_unsent: 32 << 20 };
+const LIMITS: Limits = Limits {
+    max_line: 1 << 20,
+    max_unsent: 32 << 20,
+};
 /// Lines sent to a host that comes back, at most; one that lacks more gets a full snapshot.
 const MAX_CATCH_UP: u64 = 256;
 /// Longest sleep of the event loop.
@@ -102,16 +105,26 @@
 }
 
 /// Opens the store. A new one gets the plans of the configuration as its first versions; whether it is new.
-fn open_store(config: &GatewayConfig, path: &std::path::Path) -> Result<(ChangeLogStore, bool), Error> {
-    let failed = |source| Error::OpenPlanStore { path: path.to_owned(), source };
+fn open_store(
+    config: &GatewayConfig,
+    path: &std::path::Path,
+) -> Result<(ChangeLogStore, bool), Error> {
+    let failed = |source| Error::OpenPlanStore {
+        path: path.to_owned(),
+        source,
+    };
     let mut store = ChangeLogStore::open(path).map_err(failed)?;
     let fresh = store.log().state.version == 0;
     if fresh {
         for change in configured_changes(config) {
             let version = store.log().state.version;
             let (author, reason) = (CONFIGURATION_AUTHOR, CONFIGURATION_REASON);
-            let line = store.log().propose(version, author, reason, wall_clock(), change);
-            store.append(&line.map_err(Error::ConfiguredPlan)?).map_err(failed)?;
+            let line = store
+                .log()
+                .propose(version, author, reason, wall_clock(), change);
+            store
+                .append(&line.map_err(Error::ConfiguredPlan)?)
+                .map_err(failed)?;
         }
     }
     Ok((store, fresh))
@@ -132,7 +145,10 @@
 
 impl PlanService {
     fn open(config: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let settings = config.plan_service.clone().ok_or(Error::MissingSection("tariffs"))?;
+        let settings = config
+            .plan_service
+            .clone()
+            .ok_or(Error::MissingSection("tariffs"))?;
         let address = startup::validated_address(settings.listen);
         let peers = Peers::open(address, poll, LISTENER, FIRST_PEER, LIMITS)?;
         let control = startup::control_socket(
@@ -145,10 +161,13 @@
         let clock = Clock::from_zero();
         let now = ticks_to_millis(clock.now());
         let mut rollout = Rollout::default();
-        let members = store
-            .members()
-            .map_err(|source| Error::OpenPlanStore { path: settings.store_path.clone(), source })?;
-        members.iter().for_each(|host| rollout.on_contact(host, now));
+        let members = store.members().map_err(|source| Error::OpenPlanStore {
+            path: settings.store_path.clone(),
+            source,
+        })?;
+        members
+            .iter()
+            .for_each(|host| rollout.on_contact(host, now));
         tracing::info!(listen = %address, version = store.log().state.version, "plan service started");
         Ok(PlanService {
             clock,
@@ -185,7 +204,11 @@
             SIGNALS => self.stopping |= startup::take_signal(&mut self.signals),
             Token(token) if token < FIRST_PEER => {
                 let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
+                if let Some(line) = self
+                    .control
+                    .as_mut()
+                    .and_then(|c| c.read_request(connection))
+                {
                     let answer = self.on_request(connection, &line)?;
                     if let (Some(text), Some(control)) = (answer, &mut self.control) {
                         control.answer(connection, &text);
@@ -211,10 +234,17 @@
     }
 
     fn on_message(&mut self, id: PeerId, message: HostMessage) {
-        if let HostMessage::Hello { host, version, last_hash } = message {
+        if let HostMessage::Hello {
+            host,
+            version,
+            last_hash,
+        } = message
+        {
             return self.on_hello(id, &host, version, &last_hash);
         }
-        let Some(peer) = self.peers.get_mut(id) else { return };
+        let Some(peer) = self.peers.get_mut(id) else {
+            return;
+        };
         if !is_known(peer) {
             return self.peers.disconnect(id, &Disconnect::HelloExpected);
         }
@@ -229,7 +259,12 @@
                 tracing::warn!(host, version, reason, "version rejected");
                 self.rollout.on_rejected(&host, version, &reason, self.now);
             }
-            HostMessage::QuotaReport { polled_at, sent_at, version: _, volumes } => {
+            HostMessage::QuotaReport {
+                polled_at,
+                sent_at,
+                version: _,
+                volumes,
+            } => {
                 self.rollout.on_contact(&host, self.now);
                 self.on_report(id, lender, polled_at, sent_at, volumes);
             }
@@ -237,7 +272,9 @@
     }
 
     fn on_hello(&mut self, id: PeerId, host: &str, version: u64, last: &str) {
-        let Some(peer) = self.peers.get_mut(id) else { return };
+        let Some(peer) = self.peers.get_mut(id) else {
+            return;
+        };
         if !self.rollout.is_member(host)
             && let Err(e) = self.store.add_member(host)
         {
@@ -262,13 +299,21 @@
         volumes: Vec<VolumeReport>,
     ) {
         let mut granted: Vec<VolumeLease> = Vec::new();
-        for VolumeReport { volume, lent, requested } in volumes {
+        for VolumeReport {
+            volume,
+            lent,
+            requested,
+        } in volumes
+        {
             // Pools only for volumes that exist: a host cannot make this service grow without bound.
             if !self.store.log().state.volumes.contains_key(&volume) {
                 continue;
             }
             let (started, fresh) = (self.started, self.fresh);
-            let pool = self.pools.entry(volume.clone()).or_insert_with(|| QuotaPool::new(started, fresh));
+            let pool = self
+                .pools
+                .entry(volume.clone())
+                .or_insert_with(|| QuotaPool::new(started, fresh));
             pool.on_report(lender, polled_at, lent, requested, self.now);
             let amount = pool.grant(lender, self.now);
             if amount > 0 {
@@ -288,23 +333,32 @@
     /// is in it, else a full snapshot.
     fn catch_up(&mut self, id: PeerId, version: u64, last: &str) {
         let log = self.store.log();
-        let missing = log.state.version.checked_sub(version).filter(|n| *n <= MAX_CATCH_UP);
-        let lines = missing.and_then(|_| self.store.entries(version + 1, MAX_CATCH_UP as usize).ok());
+        let missing = log
+            .state
+            .version
+            .checked_sub(version)
+            .filter(|n| *n <= MAX_CATCH_UP);
+        let lines =
+            missing.and_then(|_| self.store.entries(version + 1, MAX_CATCH_UP as usize).ok());
         // Each line bears the hash of the one before it.
         let follows = |lines: &Vec<String>| match lines.first() {
-            Some(first) => {
-                serde_json::from_str::<LogEntry>(first).is_ok_and(|entry| entry.previous_hash == last)
-            }
+            Some(first) => serde_json::from_str::<LogEntry>(first)
+                .is_ok_and(|entry| entry.previous_hash == last),
             None => log.last_hash() == last,
         };
-        let Some(peer) = self.peers.get_mut(id) else { return };
+        let Some(peer) = self.peers.get_mut(id) else {
+            return;
+        };
         match lines.filter(follows) {
             Some(lines) => {
-                lines.into_iter().for_each(|text| peer.connection.send(&ServiceMessage::LogEntry { text }));
+                lines
+                    .into_iter()
+                    .for_each(|text| peer.connection.send(&ServiceMessage::LogEntry { text }));
             }
             None => {
                 let (state, last_hash) = (Box::new(log.state.clone()), log.last_hash().to_owned());
-                peer.connection.send(&ServiceMessage::Snapshot { state, last_hash });
+                peer.connection
+                    .send(&ServiceMessage::Snapshot { state, last_hash });
             }
         }
     }
@@ -313,7 +367,12 @@
     fn after_events(&mut self) {
         if self.now >= self.last_poll + POLL_INTERVAL {
             self.last_poll = self.now;
-            self.peers.broadcast(&ServiceMessage::QuotaPoll { polled_at: self.now }, is_known);
+            self.peers.broadcast(
+                &ServiceMessage::QuotaPoll {
+                    polled_at: self.now,
+                },
+                is_known,
+            );
         }
         self.answer_rollout_waits();
         self.peers.flush();
@@ -327,5 +386,7 @@
 
 /// Seconds since 1970, for readers of the change log.
 fn wall_clock() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_secs())
 }
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -49,7 +49,11 @@
 
 impl PlanService {
     /// Handles a line on the control socket. Error: the store has failed.
-    pub(super) fn on_request(&mut self, connection: ConnectionId, line: &str) -> Result<Answer, Error> {
+    pub(super) fn on_request(
+        &mut self,
+        connection: ConnectionId,
+        line: &str,
+    ) -> Result<Answer, Error> {
         if line == "stop" {
             self.stopping = true;
             return Ok(Some("stopping".to_owned()));
@@ -62,14 +66,49 @@
         }
     }
 
-    fn execute(&mut self, connection: ConnectionId, request: PlanRequest) -> Result<Answer, RequestError> {
+    fn execute(
+        &mut self,
+        connection: ConnectionId,
+        request: PlanRequest,
+    ) -> Result<Answer, RequestError> {
         match request {
-            PlanRequest::Set { change, expected, author, reason, dry_run, wait } => {
-                self.set(connection, ChangeRequest { change, expected, author, reason, dry_run, wait })
-            }
-            PlanRequest::Undo { version, author, reason, dry_run, wait } => {
+            PlanRequest::Set {
+                change,
+                expected,
+                author,
+                reason,
+                dry_run,
+                wait,
+            } => self.set(
+                connection,
+                ChangeRequest {
+                    change,
+                    expected,
+                    author,
+                    reason,
+                    dry_run,
+                    wait,
+                },
+            ),
+            PlanRequest::Undo {
+                version,
+                author,
+                reason,
+                dry_run,
+                wait,
+            } => {
                 let change = self.reverse_change(version)?;
-                self.set(connection, ChangeRequest { change, expected: None, author, reason, dry_run, wait })
+                self.set(
+                    connection,
+                    ChangeRequest {
+                        change,
+                        expected: None,
+                        author,
+                        reason,
+                        dry_run,
+                        wait,
+                    },
+                )
             }
             PlanRequest::Show { version } => {
                 let state = match version {
@@ -79,32 +118,58 @@
                 Ok(Some(to_json(&state)))
             }
             PlanRequest::History { from, limit } => {
-                let lines =
-                    self.store.entries(from, limit.min(MAX_HISTORY)).map_err(RequestError::ReadStore)?;
+                let lines = self
+                    .store
+                    .entries(from, limit.min(MAX_HISTORY))
+                    .map_err(RequestError::ReadStore)?;
                 Ok(Some(lines.join("\n")))
             }
             PlanRequest::Diff { from, to } => {
-                let changes = self.at_version(from)?.state.diff(&self.at_version(to)?.state);
+                let changes = self
+                    .at_version(from)?
+                    .state
+                    .diff(&self.at_version(to)?.state);
                 let lines: Vec<String> = changes.iter().map(to_json).collect();
-                Ok(Some(if lines.is_empty() { "no difference".to_owned() } else { lines.join("\n") }))
+                Ok(Some(if lines.is_empty() {
+                    "no difference".to_owned()
+                } else {
+                    lines.join("\n")
+                }))
             }
             PlanRequest::Hosts => Ok(Some(self.describe_hosts())),
             PlanRequest::RemoveHost { host } => self.remove_host(host).map(Some),
             PlanRequest::Replay => {
                 let lines = self.store.verify().map_err(RequestError::ReadStore)?;
-                Ok(Some(format!("trail replays: {lines} of {}", self.version())))
+                Ok(Some(format!(
+                    "trail replays: {lines} of {}",
+                    self.version()
+                )))
             }
         }
     }
 
     fn at_version(&self, version: u64) -> Result<ChangeLog, RequestError> {
-        let found = self.store.log_at(version).map_err(RequestError::ReadStore)?;
+        let found = self
+            .store
+            .log_at(version)
+            .map_err(RequestError::ReadStore)?;
         found.ok_or(RequestError::NoSuchVersion(version))
     }
 
     /// Makes a change, sends it to the hosts and answers, or has the operator wait for the rollout.
-    fn set(&mut self, connection: ConnectionId, request: ChangeRequest) -> Result<Answer, RequestError> {
-        let ChangeRequest { change, expected, author, reason, dry_run, wait } = request;
+    fn set(
+        &mut self,
+        connection: ConnectionId,
+        request: ChangeRequest,
+    ) -> Result<Answer, RequestError> {
+        let ChangeRequest {
+            change,
+            expected,
+            author,
+            reason,
+            dry_run,
+            wait,
+        } = request;
         let log = self.store.log();
         let expected = expected.unwrap_or(log.state.version);
         let text = log
@@ -115,22 +180,36 @@
         }
         let lowers = lowers_a_limit(&log.state, &change);
         let line = self.store.append(&text).map_err(RequestError::WriteStore)?;
-        tracing::info!(version = line.version, author = line.author, reason = line.reason, "plans changed");
+        tracing::info!(
+            version = line.version,
+            author = line.author,
+            reason = line.reason,
+            "plans changed"
+        );
         if lowers {
             self.rollout.mark_limit_lowered(line.version);
         }
-        self.peers.broadcast(&ServiceMessage::LogEntry { text }, is_known);
+        self.peers
+            .broadcast(&ServiceMessage::LogEntry { text }, is_known);
         if !wait {
             return Ok(Some(format!("version {}", line.version)));
         }
         let deadline = self.now + MAX_ROLLOUT_WAIT;
-        self.rollout_waits.push(RolloutWait { connection, version: line.version, deadline });
+        self.rollout_waits.push(RolloutWait {
+            connection,
+            version: line.version,
+            deadline,
+        });
         Ok(None)
     }
 
     /// The change that takes back the change of a version.
     fn reverse_change(&self, version: u64) -> Result<Change, RequestError> {
-        let line = self.store.entries(version, 1).map_err(RequestError::ReadStore)?.pop();
+        let line = self
+            .store
+            .entries(version, 1)
+            .map_err(RequestError::ReadStore)?
+            .pop();
         let line: LogEntry = line
             .and_then(|text| serde_json::from_str(&text).ok())
             .ok_or(RequestError::NoSuchVersion(version))?;
@@ -141,7 +220,8 @@
         let newest = self.version();
         let count = self.rollout.member_count();
         let everywhere = self.rollout.effective_version(newest, self.now);
-        let mut text = format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
+        let mut text =
+            format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
         let blockers = self.rollout.blockers(newest, self.now);
         if !blockers.is_empty() {
             text += &format!("\nwaits: {}", describe_blockers(&blockers));
@@ -153,7 +233,9 @@
         if !self.rollout.declare_removed(&host, self.now) {
             return Err(RequestError::HostNotRemovable(host));
         }
-        self.store.remove_member(&host).map_err(RequestError::WriteStore)?;
+        self.store
+            .remove_member(&host)
+            .map_err(RequestError::WriteStore)?;
         Ok(format!("{host} is taken for gone"))
     }
 
@@ -163,10 +245,15 @@
             let version = wait.version;
             let pending = self.rollout.blockers(version, self.now);
             let text = if pending.is_empty() {
-                format!("version {version} in force at all {} hosts", self.rollout.member_count())
+                format!(
+                    "version {version} in force at all {} hosts",
+                    self.rollout.member_count()
+                )
             } else if self.now >= wait.deadline {
                 let pending = describe_blockers(&pending);
-                format!("error: version {version} stands, and is not in force everywhere: {pending}")
+                format!(
+                    "error: version {version} stands, and is not in force everywhere: {pending}"
+                )
             } else {
                 self.rollout_waits.push(wait);
                 continue;
@@ -197,10 +284,17 @@
 
 fn describe_blockers(blockers: &[RolloutBlocker]) -> String {
     let describe = |blocker: &RolloutBlocker| match blocker {
-        RolloutBlocker::Silent { host, accepted_version, .. } => {
+        RolloutBlocker::Silent {
+            host,
+            accepted_version,
+            ..
+        } => {
             format!("{host} is silent, acts on {accepted_version}")
         }
-        RolloutBlocker::Behind { host, accepted_version } => {
+        RolloutBlocker::Behind {
+            host,
+            accepted_version,
+        } => {
             format!("{host} acts on {accepted_version}")
         }
         RolloutBlocker::Rejected { host, reason } => format!("{host} turned it down: {reason}"),
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -80,7 +80,10 @@
         shard: config.nodes[extent.node].shard,
         first_node_block: extent.first_node_block,
     };
-    VolumeLayout { extents: volume.extents.iter().map(extent).collect(), rules: class_rules(volume) }
+    VolumeLayout {
+        extents: volume.extents.iter().map(extent).collect(),
+        rules: class_rules(volume),
+    }
 }
 
 /// The layout of a mapped volume: extents of `extent_blocks` blocks, each a shard of its own until it is
@@ -93,7 +96,10 @@
         first_node_block: 0,
     };
     let count = volume.block_count / extent_blocks.max(1);
-    VolumeLayout { extents: (0..count).map(extent).collect(), rules: class_rules(volume) }
+    VolumeLayout {
+        extents: (0..count).map(extent).collect(),
+        rules: class_rules(volume),
+    }
 }
 
 fn class_rules(volume: &config::Volume) -> Vec<ClassRule> {
@@ -111,8 +117,11 @@
 /// A plan of a configuration in the form that the plan service keeps: figures in thousandths.
 #[must_use]
 pub fn replicated_plan(plan: &config::Plan) -> state::Plan {
-    let thousandths =
-        |figure: f64| (figure * THOUSANDTHS).round().clamp(0.0, state::MAX_PARAMETER as f64) as u64;
+    let thousandths = |figure: f64| {
+        (figure * THOUSANDTHS)
+            .round()
+            .clamp(0.0, state::MAX_PARAMETER as f64) as u64
+    };
     state::Plan {
         usual_rate: thousandths(plan.usual_rate),
         reserved_rate: thousandths(plan.reserved_rate),
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -25,7 +25,10 @@
     #[error("no `control` in section catalog")]
     NoControlSocket,
     #[error("{}: {source}", socket.display())]
-    Catalog { socket: PathBuf, source: RequestError },
+    Catalog {
+        socket: PathBuf,
+        source: RequestError,
+    },
     #[error("the catalog's answer: {0}")]
     Tree(#[source] serde_json::Error),
     #[error("`{0}`: no such volume, clone or snapshot")]
@@ -35,7 +38,10 @@
     #[error(transparent)]
     NoSuchSnapshot(mallowseam_cow::tree::ChangeError),
     #[error("{address}: {source}")]
-    Login { address: SocketAddr, source: ClientError },
+    Login {
+        address: SocketAddr,
+        source: ClientError,
+    },
     #[error(transparent)]
     Client(#[from] ClientError),
     #[error("block {lba}: {sense:?}")]
@@ -45,9 +51,16 @@
     #[error("{}: {source}", file.display())]
     File { file: PathBuf, source: io::Error },
     #[error("{}: {source}", file.display())]
-    Archive { file: PathBuf, source: mallowseam_archive::Error },
+    Archive {
+        file: PathBuf,
+        source: mallowseam_archive::Error,
+    },
     #[error("{}: holds `{held}`, not `{wanted}`", file.display())]
-    AnotherSnapshot { file: PathBuf, held: String, wanted: String },
+    AnotherSnapshot {
+        file: PathBuf,
+        held: String,
+        wanted: String,
+    },
     #[error(
         "{}: {extents} extents of {extent_bytes} bytes, `{name}` has {unit_extents} of {unit_extent_bytes}",
         file.display()
@@ -68,11 +81,17 @@
 
 impl ArchivePath<'_> {
     fn io(self, source: io::Error) -> ArchiveError {
-        ArchiveError::File { file: self.0.to_owned(), source }
+        ArchiveError::File {
+            file: self.0.to_owned(),
+            source,
+        }
     }
 
     fn archive_error(self, source: mallowseam_archive::Error) -> ArchiveError {
-        ArchiveError::Archive { file: self.0.to_owned(), source }
+        ArchiveError::Archive {
+            file: self.0.to_owned(),
+            source,
+        }
     }
 
     fn reader(self) -> Result<Reader<BufReader<File>>, ArchiveError> {
@@ -83,10 +102,16 @@
 
 /// The tree as the catalog has it now.
 fn fetch_tree(config: &GatewayConfig) -> Result<Tree, ArchiveError> {
-    let socket = config.catalog.as_ref().and_then(|catalog| catalog.control_socket.clone());
+    let socket = config
+        .catalog
+        .as_ref()
+        .and_then(|catalog| catalog.control_socket.clone());
     let socket = socket.ok_or(ArchiveError::NoControlSocket)?;
-    let text = control_socket::send_request(&socket, "tree")
-        .map_err(|source| ArchiveError::Catalog { socket: socket.clone(), source })?;
+    let text =
+        control_socket::send_request(&socket, "tree").map_err(|source| ArchiveError::Catalog {
+            socket: socket.clone(),
+            source,
+        })?;
     serde_json::from_str(&text).map_err(ArchiveError::Tree)
 }
 
@@ -101,19 +126,42 @@
 
 impl RemoteUnit {
     fn open(config: &GatewayConfig, tree: &Tree, name: &str) -> Result<RemoteUnit, ArchiveError> {
-        let blocks_per_extent = config.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks);
-        let configured = config.volumes.iter().find(|volume| volume.mapped && volume.name == name);
-        let (lun, extents) = match (configured, tree.branches.get(name), tree.snapshots.get(name)) {
-            (Some(volume), ..) => (volume.lun.into(), (volume.block_count / blocks_per_extent) as u32),
+        let blocks_per_extent = config
+            .catalog
+            .as_ref()
+            .map_or(1, |catalog| catalog.extent_blocks);
+        let configured = config
+            .volumes
+            .iter()
+            .find(|volume| volume.mapped && volume.name == name);
+        let (lun, extents) = match (
+            configured,
+            tree.branches.get(name),
+            tree.snapshots.get(name),
+        ) {
+            (Some(volume), ..) => (
+                volume.lun.into(),
+                (volume.block_count / blocks_per_extent) as u32,
+            ),
             (None, Some(branch), _) => (branch.lun, branch.extent_count),
             (None, None, Some(snapshot)) => (snapshot.lun, snapshot.extent_count),
             (None, None, None) => return Err(ArchiveError::NoSuchUnit(name.to_owned())),
         };
-        let volume = config.volumes.iter().find(|v| v.mapped).ok_or(ArchiveError::NoMappedVolume)?;
+        let volume = config
+            .volumes
+            .iter()
+            .find(|v| v.mapped)
+            .ok_or(ArchiveError::NoMappedVolume)?;
         let address = startup::validated_address(config.host.listen);
         let client = BlockingClient::open(address, Some(&config.host.target), std::process::id())
             .map_err(|source| ArchiveError::Login { address, source })?;
-        Ok(RemoteUnit { client, lun, block_size: volume.block_size.into(), blocks_per_extent, extents })
+        Ok(RemoteUnit {
+            client,
+            lun,
+            block_size: volume.block_size.into(),
+            blocks_per_extent,
+            extents,
+        })
     }
 
     fn extent_bytes(&self) -> u64 {
@@ -122,26 +170,45 @@
 
     /// One read or write of `bytes` bytes, attempted again while the host rejects it. Reads are attempted
     /// again after any failure, writes only where the host says that they have not run.
-    fn transfer(&mut self, write: bool, lba: u64, data: &[u8], bytes: u64) -> Result<Vec<u8>, ArchiveError> {
+    fn transfer(
+        &mut self,
+        write: bool,
+        lba: u64,
+        data: &[u8],
+        bytes: u64,
+    ) -> Result<Vec<u8>, ArchiveError> {
         let cdb = scsi::read_or_write_16(write, lba, (bytes / self.block_size) as u32, 0);
         let read_len = if write { 0 } else { bytes as usize };
         let mut last_status = status::GOOD;
         for _ in 0..MAX_ATTEMPTS {
-            let answer = self.client.execute(self.lun, &cdb, read_len, data.to_vec())?;
+            let answer = self
+                .client
+                .execute(self.lun, &cdb, read_len, data.to_vec())?;
             match answer.status {
                 status::GOOD => return Ok(answer.data),
                 status::BUSY | status::TASK_SET_FULL => {}
                 _ if !write => {}
-                _ => return Err(ArchiveError::Failed { lba, sense: answer.sense }),
+                _ => {
+                    return Err(ArchiveError::Failed {
+                        lba,
+                        sense: answer.sense,
+                    });
+                }
             }
             last_status = answer.status;
             std::thread::sleep(RETRY_PAUSE);
         }
-        Err(ArchiveError::RetriesExhausted { lba, status: last_status })
+        Err(ArchiveError::RetriesExhausted {
+            lba,
+            status: last_status,
+        })
     }
 
     fn read(&mut self, extent: u32) -> Result<Vec<u8>, ArchiveError> {
-        let (first, bytes) = (u64::from(extent) * self.blocks_per_extent, self.extent_bytes());
+        let (first, bytes) = (
+            u64::from(extent) * self.blocks_per_extent,
+            self.extent_bytes(),
+        );
         let mut out = Vec::with_capacity(bytes as usize);
         while (out.len() as u64) < bytes {
             let len = TRANSFER_LEN.min(bytes - out.len() as u64);
@@ -177,7 +244,11 @@
     let mut reader = Reader::new(BufReader::new(file)).map_err(|e| path.archive_error(e))?;
     if reader.header() != head {
         let (held, wanted) = (reader.header().name.clone(), head.name.clone());
-        return Err(ArchiveError::AnotherSnapshot { file: path.0.to_owned(), held, wanted });
+        return Err(ArchiveError::AnotherSnapshot {
+            file: path.0.to_owned(),
+            held,
+            wanted,
+        });
     }
     loop {
         match reader.next_record() {
@@ -195,10 +266,16 @@
     resume_point: Option<ResumePoint>,
 ) -> Result<Writer<BufWriter<File>>, ArchiveError> {
     let mut options = OpenOptions::new();
-    let mut file = options.create(true).write(true).truncate(false).open(path.0).map_err(|e| path.io(e))?;
+    let mut file = options
+        .create(true)
+        .write(true)
+        .truncate(false)
+        .open(path.0)
+        .map_err(|e| path.io(e))?;
     match resume_point {
         Some(resume_point) => {
-            file.set_len(resume_point.valid_bytes).map_err(|e| path.io(e))?;
+            file.set_len(resume_point.valid_bytes)
+                .map_err(|e| path.io(e))?;
             file.seek(SeekFrom::End(0)).map_err(|e| path.io(e))?;
             Ok(Writer::resume(BufWriter::new(file), resume_point))
         }
@@ -207,7 +284,11 @@
 }
 
 /// Writes a snapshot to a file. An incomplete export of the same snapshot is resumed. Returns what was done.
-pub(crate) fn export(config: &GatewayConfig, name: &str, file: &Path) -> Result<String, ArchiveError> {
+pub(crate) fn export(
+    config: &GatewayConfig,
+    name: &str,
+    file: &Path,
+) -> Result<String, ArchiveError> {
     let tree = fetch_tree(config)?;
     let snapshot = tree.snapshot(name).map_err(ArchiveError::NoSuchSnapshot)?;
     let mut unit = RemoteUnit::open(config, &tree, name)?;
@@ -222,8 +303,10 @@
         Existing::Partial(resume_point) => Some(*resume_point),
         Existing::Nothing => None,
     };
-    let first =
-        resume_point.as_ref().and_then(|resume_point| resume_point.last_extent).map_or(0, |last| last + 1);
+    let first = resume_point
+        .as_ref()
+        .and_then(|resume_point| resume_point.last_extent)
+        .map_or(0, |last| last + 1);
     let mut writer = open_writer(path, &head, resume_point)?;
     let mut written = 0;
     for extent in first..unit.extents {
@@ -233,18 +316,30 @@
         }
         let data = unit.read(extent)?;
         if data.iter().any(|byte| *byte != 0) {
-            writer.write_extent(extent, &data).map_err(|e| path.archive_error(e))?;
+            writer
+                .write_extent(extent, &data)
+                .map_err(|e| path.archive_error(e))?;
             written += 1;
         }
     }
     let bytes = writer.finish().map_err(|e| path.archive_error(e))?;
-    let resumed = if first > 0 { format!(", gone on from extent {first}") } else { String::new() };
-    Ok(format!("{name}: {written} extents written{resumed}; {bytes} bytes in all"))
+    let resumed = if first > 0 {
+        format!(", gone on from extent {first}")
+    } else {
+        String::new()
+    };
+    Ok(format!(
+        "{name}: {written} extents written{resumed}; {bytes} bytes in all"
+    ))
 }
 
 /// Writes a file into a volume or clone, which then reads as the exported snapshot. Extents that read so
 /// already are left alone, so that an import that broke off is resumed. Returns what was done.
-pub(crate) fn import(config: &GatewayConfig, file: &Path, name: &str) -> Result<String, ArchiveError> {
+pub(crate) fn import(
+    config: &GatewayConfig,
+    file: &Path,
+    name: &str,
+) -> Result<String, ArchiveError> {
     let path = ArchivePath(file);
     // All of it is read once before anything is written.
     let mut check = path.reader()?;
@@ -284,5 +379,8 @@
         put(&mut unit, end, &data)?;
         next = end + 1;
     }
-    Ok(format!("{name}: shows {}; {written} extents written", reader.header().name))
+    Ok(format!(
+        "{name}: shows {}; {written} extents written",
+        reader.header().name
+    ))
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -43,7 +43,10 @@
 const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 const READ_BUFFER: usize = 64 * 1024;
 const MAX_EVENTS: usize = 256;
-const LIMITS: Limits = Limits { max_line: 64 * 1024, max_unsent: 128 << 20 };
+const LIMITS: Limits = Limits {
+    max_line: 64 * 1024,
+    max_unsent: 128 << 20,
+};
 /// Ticks between two periodic checks of leases, connections and layers.
 const CHECK_PERIOD: Tick = 100;
 /// Ticks after which hosts that have not quiesced a layer get the request again.
@@ -111,7 +114,8 @@
     service.crash_at = crash_at;
     let mut events = Events::with_capacity(MAX_EVENTS);
     while !service.stopping {
-        let timeout = ticks_to_duration((service.last_check + CHECK_PERIOD - service.clock.now()).max(0));
+        let timeout =
+            ticks_to_duration((service.last_check + CHECK_PERIOD - service.clock.now()).max(0));
         if let Err(e) = poll.poll(&mut events, Some(timeout))
             && e.kind() != ErrorKind::Interrupted
         {
@@ -130,7 +134,10 @@
 
 impl CatalogService {
     fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let settings = config.catalog.clone().ok_or(Error::MissingSection("catalog"))?;
+        let settings = config
+            .catalog
+            .clone()
+            .ok_or(Error::MissingSection("catalog"))?;
         let address = startup::validated_address(settings.listen);
         let first_host_token = FIRST_NODE + config.nodes.len();
         let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
@@ -140,11 +147,20 @@
             CONTROL,
             FIRST_CONTROL_CONNECTION,
         )?;
-        let catalog = Catalog::open(&settings.store_path)
-            .map_err(|source| Error::OpenCatalogStore { path: settings.store_path.clone(), source })?;
+        let catalog =
+            Catalog::open(&settings.store_path).map_err(|source| Error::OpenCatalogStore {
+                path: settings.store_path.clone(),
+                source,
+            })?;
         let initiator = format!("{}:catalog", config.host.target);
         let registry = startup::registry(poll)?;
-        let nodes = Nodes::new(&config.nodes, initiator, ProposedParams::default(), registry, FIRST_NODE);
+        let nodes = Nodes::new(
+            &config.nodes,
+            initiator,
+            ProposedParams::default(),
+            registry,
+            FIRST_NODE,
+        );
         let clock = Clock::from_zero();
         let now = clock.now();
         let fresh = catalog.tree().version == 0;
@@ -185,20 +201,37 @@
     fn resume_pending_locations(&mut self) {
         let tree = self.catalog.tree();
         for (id, layer) in &tree.layers {
-            for extent in layer.locations.keys().filter(|extent| !layer.writable.contains(extent)) {
+            for extent in layer
+                .locations
+                .keys()
+                .filter(|extent| !layer.writable.contains(extent))
+            {
                 let (version, layer, extent) = (tree.version, *id, *extent);
-                self.pending_locations.push(PendingLocation { version, layer, extent });
+                self.pending_locations.push(PendingLocation {
+                    version,
+                    layer,
+                    extent,
+                });
             }
         }
     }
 
     /// Creates a branch for each mapped volume that has none yet.
     fn create_configured_branches(&mut self, settings: &config::Catalog) -> Result<(), Error> {
-        let mapped: Vec<Volume> = self.config.volumes.iter().filter(|v| v.mapped).cloned().collect();
+        let mapped: Vec<Volume> = self
+            .config
+            .volumes
+            .iter()
+            .filter(|v| v.mapped)
+            .cloned()
+            .collect();
         for volume in mapped {
             if !self.tree().branches.contains_key(&volume.name) {
                 let extent_count = (volume.block_count / settings.extent_blocks) as u32;
-                let created = Change::BranchCreated { branch: volume.name, extent_count };
+                let created = Change::BranchCreated {
+                    branch: volume.name,
+                    extent_count,
+                };
                 self.propose(created).map_err(Error::ConfiguredVolume)?;
             }
         }
@@ -219,7 +252,10 @@
 
     /// Blocks of an extent.
     fn extent_blocks(&self) -> u64 {
-        self.config.catalog.as_ref().map_or(1, |catalog| catalog.extent_blocks)
+        self.config
+            .catalog
+            .as_ref()
+            .map_or(1, |catalog| catalog.extent_blocks)
     }
 
     fn on_event(&mut self, token: Token, readable: bool) {
@@ -233,13 +269,19 @@
             SIGNALS => self.stopping |= startup::take_signal(&mut self.signals),
             Token(token) if token < FIRST_NODE => {
                 let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
-                if let Some(line) = self.control.as_mut().and_then(|c| c.read_request(connection)) {
+                if let Some(line) = self
+                    .control
+                    .as_mut()
+                    .and_then(|c| c.read_request(connection))
+                {
                     self.on_request(connection, &line);
                 }
             }
             Token(token) if token < self.first_host_token => {
                 let node = token - FIRST_NODE;
-                let mut more = self.nodes.on_ready(node, readable, &mut self.read_buffer, self.now);
+                let mut more = self
+                    .nodes
+                    .on_ready(node, readable, &mut self.read_buffer, self.now);
                 while more {
                     more = self.nodes.read(node, &mut self.read_buffer, self.now);
                 }
@@ -280,7 +322,10 @@
     fn make_locations_writable(&mut self, now: Millis) {
         for pending in std::mem::take(&mut self.pending_locations) {
             if self.leases.is_effective(pending.version, now) {
-                let _ = self.propose(Change::ExtentWritable { layer: pending.layer, extent: pending.extent });
+                let _ = self.propose(Change::ExtentWritable {
+                    layer: pending.layer,
+                    extent: pending.extent,
+                });
             } else {
                 self.pending_locations.push(pending);
             }
@@ -307,7 +352,8 @@
             self.crash_point();
         }
         for (version, change) in (batch.first_version..).zip(batch.changes) {
-            self.hosts.broadcast(&ToHost::TreeChanged { version, change }, |host| host.state);
+            self.hosts
+                .broadcast(&ToHost::TreeChanged { version, change }, |host| host.state);
         }
         self.welcome_hosts();
         Ok(())
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -31,15 +31,21 @@
 
     fn on_message(&mut self, id: PeerId, message: ToCatalog) {
         let now = ticks_to_millis(self.now);
-        let Some(host) = self.hosts.get_mut(id) else { return };
+        let Some(host) = self.hosts.get_mut(id) else {
+            return;
+        };
         match message {
             ToCatalog::Hello { host: name, known } => {
                 host.name = name;
                 self.hellos.push(Hello { host: id, known });
             }
-            ToCatalog::RenewLease { sent_at, seen_version } => {
+            ToCatalog::RenewLease {
+                sent_at,
+                seen_version,
+            } => {
                 let duration = self.leases.renew(&host.name, seen_version, now);
-                host.connection.send(&ToHost::LeaseGranted { sent_at, duration });
+                host.connection
+                    .send(&ToHost::LeaseGranted { sent_at, duration });
             }
             ToCatalog::Acknowledge { version } => self.leases.acknowledge(&host.name, version),
             ToCatalog::AllocateSlots { layer, count } => self.allocate_slots(id, layer, count),
@@ -51,7 +57,11 @@
                 }
             }
             ToCatalog::RequestCompletion { layer } => self.on_completion_request(id, layer),
-            ToCatalog::ProposeLocation { layer, extent, location } => {
+            ToCatalog::ProposeLocation {
+                layer,
+                extent,
+                location,
+            } => {
                 self.on_proposed_location(id, layer, extent, location);
             }
         }
@@ -60,8 +70,22 @@
     /// Allocates slots of a layer to a host. The host is notified after the change, once that is on disk.
     fn allocate_slots(&mut self, host: PeerId, layer: LayerId, count: u32) {
         let first = self.tree().layers.get(&layer).map_or(0, |l| l.next_slot);
-        if self.propose(Change::SlotsAllocated { layer, first, count }).is_ok() {
-            self.replies.push(Reply::Host(host, ToHost::SlotsAllocated { layer, first, count }));
+        if self
+            .propose(Change::SlotsAllocated {
+                layer,
+                first,
+                count,
+            })
+            .is_ok()
+        {
+            self.replies.push(Reply::Host(
+                host,
+                ToHost::SlotsAllocated {
+                    layer,
+                    first,
+                    count,
+                },
+            ));
         }
     }
 
@@ -69,7 +93,9 @@
     /// are restarted behind the write.
     fn on_completion_request(&mut self, host: PeerId, layer: LayerId) {
         let decision = decide_completion(self.tree(), layer);
-        let granted = decision.as_ref().is_some_and(|decision| decision.is_granted);
+        let granted = decision
+            .as_ref()
+            .is_some_and(|decision| decision.is_granted);
         if let Some(decision) = decision.filter(|_| granted) {
             for pending in &mut self.pending_operations {
                 if let Operation::Cut(cut) = &mut pending.operation
@@ -79,22 +105,42 @@
                 }
             }
         }
-        self.replies.push(Reply::Host(host, ToHost::CompletionDecision { layer, granted }));
+        self.replies.push(Reply::Host(
+            host,
+            ToHost::CompletionDecision { layer, granted },
+        ));
     }
 
     /// A host has copied an extent. A copy that came second is unmapped again.
-    fn on_proposed_location(&mut self, host: PeerId, layer: LayerId, extent: u32, location: Location) {
-        let change = Change::ExtentPlaced { layer, extent, location };
+    fn on_proposed_location(
+        &mut self,
+        host: PeerId,
+        layer: LayerId,
+        extent: u32,
+        location: Location,
+    ) {
+        let change = Change::ExtentPlaced {
+            layer,
+            extent,
+            location,
+        };
         match self.tree().conflicting_location(&change) {
             Ok(None) => {
                 if let Ok(version) = self.propose(change) {
-                    self.pending_locations.push(PendingLocation { version, layer, extent });
+                    self.pending_locations.push(PendingLocation {
+                        version,
+                        layer,
+                        extent,
+                    });
                 }
             }
             Ok(Some(first)) if first == location => {}
             _ => {
                 // Nothing has ever referred to it, and nothing will.
-                self.replies.push(Reply::Host(host, ToHost::LocationRejected { layer, extent }));
+                self.replies.push(Reply::Host(
+                    host,
+                    ToHost::LocationRejected { layer, extent },
+                ));
                 if (location.node as usize) < self.nodes.len() {
                     let unmap = scsi::unmap(&[self.blocks_of(location)]);
                     self.send_command(Purpose::UnmapLateCopy, location.node, layer, unmap);
@@ -106,20 +152,28 @@
     /// First block and length of a location.
     pub(super) fn blocks_of(&self, location: Location) -> (u64, u32) {
         let extent_blocks = self.extent_blocks();
-        (u64::from(location.slot) * extent_blocks, extent_blocks as u32)
+        (
+            u64::from(location.slot) * extent_blocks,
+            extent_blocks as u32,
+        )
     }
 
     /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
     pub(super) fn welcome_hosts(&mut self) {
         for hello in std::mem::take(&mut self.hellos) {
-            let Some(host) = self.hosts.get_mut(hello.host) else { continue };
+            let Some(host) = self.hosts.get_mut(hello.host) else {
+                continue;
+            };
             host.state = true;
             let catalog = self.catalog.id();
             let known = hello.known.filter(|known| known.catalog_id == catalog);
             match known.and_then(|known| self.catalog.changes_since(known.version)) {
                 Some(missed) => {
                     for (version, change) in missed {
-                        host.connection.send(&ToHost::TreeChanged { version, change: change.clone() });
+                        host.connection.send(&ToHost::TreeChanged {
+                            version,
+                            change: change.clone(),
+                        });
                     }
                     host.connection.send(&ToHost::CaughtUp);
                 }
--- a/crates/gateway/src/snapshot_catalog/listing.rs
+++ b/crates/gateway/src/snapshot_catalog/listing.rs
@@ -5,14 +5,24 @@
 pub(super) fn list(tree: &Tree) -> String {
     let mut lines = Vec::new();
     for (name, branch) in &tree.branches {
-        let origin =
-            branch.origin.as_deref().map_or(String::new(), |snapshot| format!("  clone of {snapshot}"));
-        let own = tree.layers.get(&branch.head).map_or(0, |layer| layer.locations.len());
+        let origin = branch
+            .origin
+            .as_deref()
+            .map_or(String::new(), |snapshot| format!("  clone of {snapshot}"));
+        let own = tree
+            .layers
+            .get(&branch.head)
+            .map_or(0, |layer| layer.locations.len());
         let (unit, extents) = (branch.lun, branch.extent_count);
-        lines.push(format!("{name}  LUN {unit}  {own} of {extents} extents its own{origin}"));
+        lines.push(format!(
+            "{name}  LUN {unit}  {own} of {extents} extents its own{origin}"
+        ));
     }
     for (name, snapshot) in &tree.snapshots {
-        lines.push(format!("{name}  LUN {}  layer {}", snapshot.lun, snapshot.layer));
+        lines.push(format!(
+            "{name}  LUN {}  layer {}",
+            snapshot.lun, snapshot.layer
+        ));
     }
     lines.join("\n")
 }
@@ -31,5 +41,8 @@
     if runs.is_empty() {
         return "no difference".to_owned();
     }
-    runs.iter().map(|(first, last)| format!("{first}-{last}")).collect::<Vec<_>>().join("\n")
+    runs.iter()
+        .map(|(first, last)| format!("{first}-{last}"))
+        .collect::<Vec<_>>()
+        .join("\n")
 }
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -41,9 +41,20 @@
     ) {
         self.last_tag = self.last_tag.wrapping_add(1);
         let (cdb, data) = command;
-        let request =
-            NodeRequest { tag: self.last_tag, lun: Some(layer), cdb, read_len: 0, data: data.into() };
-        self.commands.insert(self.last_tag, NodeCommand { purpose, deadline: self.now + COMMAND_TIMEOUT });
+        let request = NodeRequest {
+            tag: self.last_tag,
+            lun: Some(layer),
+            cdb,
+            read_len: 0,
+            data: data.into(),
+        };
+        self.commands.insert(
+            self.last_tag,
+            NodeCommand {
+                purpose,
+                deadline: self.now + COMMAND_TIMEOUT,
+            },
+        );
         self.nodes.submit(node as usize, request, self.now);
     }
 
@@ -51,7 +62,11 @@
     pub(super) fn close_layers(&mut self) {
         for (layer, node) in self.tree().pending_closes().collect::<Vec<_>>() {
             let purpose = Purpose::CloseLayer { layer, node };
-            if !self.commands.values().any(|command| command.purpose == purpose) {
+            if !self
+                .commands
+                .values()
+                .any(|command| command.purpose == purpose)
+            {
                 self.send_command(purpose, node, layer, scsi::mode_select_write_protect(true));
             }
         }
@@ -59,23 +74,49 @@
 
     /// Has nodes unmap extents that nothing refers to any more.
     pub(super) fn reclaim_extents(&mut self, now: Millis) {
-        let deadlines = self.config.io_classes.iter().map(|class| class.deadline / MICROS_PER_MILLI);
+        let deadlines = self
+            .config
+            .io_classes
+            .iter()
+            .map(|class| class.deadline / MICROS_PER_MILLI);
         let longest_write = deadlines.max().unwrap_or(0);
         let layer_of_cut = |operation: &Operation| match operation {
             Operation::Cut(cut) => Some(cut.layer),
             Operation::Rollout { .. } | Operation::BeginCut { .. } => None,
         };
-        let in_use =
-            self.pending_operations.iter().filter_map(|pending| layer_of_cut(&pending.operation)).collect();
+        let in_use = self
+            .pending_operations
+            .iter()
+            .filter_map(|pending| layer_of_cut(&pending.operation))
+            .collect();
         let tree = self.catalog.tree();
-        for (layer, extent) in self.reclaimer.next_batch(tree, &in_use, &self.leases, longest_write, now) {
-            let location = self.tree().layers.get(&layer).and_then(|l| l.locations.get(&extent)).copied();
+        for (layer, extent) in
+            self.reclaimer
+                .next_batch(tree, &in_use, &self.leases, longest_write, now)
+        {
+            let location = self
+                .tree()
+                .layers
+                .get(&layer)
+                .and_then(|l| l.locations.get(&extent))
+                .copied();
             let Some(location) = location else { continue };
             let unmap = scsi::unmap(&[self.blocks_of(location)]);
-            self.send_command(Purpose::UnmapExtent { layer, extent }, location.node, layer, unmap);
+            self.send_command(
+                Purpose::UnmapExtent { layer, extent },
+                location.node,
+                layer,
+                unmap,
+            );
         }
-        for layer in self.reclaimer.removable_layers(self.catalog.tree(), &in_use) {
-            let _ = self.propose(Change::ExtentsReclaimed { layer, extents: Vec::new() });
+        for layer in self
+            .reclaimer
+            .removable_layers(self.catalog.tree(), &in_use)
+        {
+            let _ = self.propose(Change::ExtentsReclaimed {
+                layer,
+                extents: Vec::new(),
+            });
         }
     }
 
@@ -87,10 +128,16 @@
             }
         }
         let is_late = |command: &NodeCommand| command.deadline <= self.now;
-        let late: Vec<u32> =
-            self.commands.iter().filter(|(_, command)| is_late(command)).map(|(tag, _)| *tag).collect();
+        let late: Vec<u32> = self
+            .commands
+            .iter()
+            .filter(|(_, command)| is_late(command))
+            .map(|(tag, _)| *tag)
+            .collect();
         for tag in late {
-            let Some(NodeCommand { purpose, .. }) = self.commands.remove(&tag) else { continue };
+            let Some(NodeCommand { purpose, .. }) = self.commands.remove(&tag) else {
+                continue;
+            };
             if let Some(node) = self.node_of(purpose) {
                 self.nodes.cancel(node as usize, tag, self.now);
             }
@@ -104,7 +151,11 @@
             Purpose::CloseLayer { node, .. } => Some(node),
             Purpose::UnmapLateCopy => None,
             Purpose::UnmapExtent { layer, extent } => {
-                let location = self.tree().layers.get(&layer).and_then(|l| l.locations.get(&extent));
+                let location = self
+                    .tree()
+                    .layers
+                    .get(&layer)
+                    .and_then(|l| l.locations.get(&extent));
                 location.map(|location| location.node)
             }
         }
@@ -118,10 +169,14 @@
             }
             Purpose::UnmapExtent { layer, extent } if done => {
                 self.reclaimer.completed((layer, extent));
-                let _ = self.propose(Change::ExtentsReclaimed { layer, extents: vec![extent] });
+                let _ = self.propose(Change::ExtentsReclaimed {
+                    layer,
+                    extents: vec![extent],
+                });
             }
             Purpose::UnmapExtent { layer, extent } => {
-                self.reclaimer.failed((layer, extent), ticks_to_millis(self.now));
+                self.reclaimer
+                    .failed((layer, extent), ticks_to_millis(self.now));
             }
             Purpose::CloseLayer { .. } | Purpose::UnmapLateCopy => {}
         }
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -23,7 +23,11 @@
     /// A snapshot is in progress.
     Cut(ConsistentCut),
     /// A version is in effect at all hosts, and nodes have closed a layer.
-    Rollout { version: u64, closing: Option<LayerId>, answer: String },
+    Rollout {
+        version: u64,
+        closing: Option<LayerId>,
+        answer: String,
+    },
 }
 
 impl Operation {
@@ -62,7 +66,9 @@
         match self.execute(connection, line) {
             Ok(Some(answer)) => self.replies.push(Reply::Operator(connection, answer)),
             Ok(None) => {}
-            Err(e) => self.replies.push(Reply::Operator(connection, format!("error: {e}"))),
+            Err(e) => self
+                .replies
+                .push(Reply::Operator(connection, format!("error: {e}"))),
         }
     }
 
@@ -85,7 +91,10 @@
     }
 
     fn wait(&mut self, connection: ConnectionId, operation: Operation) {
-        self.pending_operations.push(PendingOperation { connection, operation });
+        self.pending_operations.push(PendingOperation {
+            connection,
+            operation,
+        });
     }
 
     fn request_snapshot(
@@ -109,10 +118,20 @@
         snapshot: &str,
         branch: &str,
     ) -> Result<Answer, OperatorError> {
-        let change = Change::CloneCreated { snapshot: snapshot.to_owned(), branch: branch.to_owned() };
+        let change = Change::CloneCreated {
+            snapshot: snapshot.to_owned(),
+            branch: branch.to_owned(),
+        };
         let version = self.propose(change)?;
         let answer = format!("{branch} made, LUN {}", self.tree().branches[branch].lun);
-        self.wait(connection, Operation::Rollout { version, closing: None, answer });
+        self.wait(
+            connection,
+            Operation::Rollout {
+                version,
+                closing: None,
+                answer,
+            },
+        );
         Ok(None)
     }
 
@@ -123,43 +142,78 @@
         snapshot: &str,
     ) -> Result<Answer, OperatorError> {
         let old_head = self.tree().branch(branch)?.head;
-        let change = Change::BranchRolledBack { branch: branch.to_owned(), snapshot: snapshot.to_owned() };
+        let change = Change::BranchRolledBack {
+            branch: branch.to_owned(),
+            snapshot: snapshot.to_owned(),
+        };
         let version = self.propose(change)?;
         let answer = format!("{branch} shows {snapshot}");
-        self.wait(connection, Operation::Rollout { version, closing: Some(old_head), answer });
+        self.wait(
+            connection,
+            Operation::Rollout {
+                version,
+                closing: Some(old_head),
+                answer,
+            },
+        );
         self.close_layers();
         Ok(None)
     }
 
     fn delete(&mut self, name: &str) -> Result<String, OperatorError> {
         let change = if name.contains('@') {
-            Change::SnapshotDeleted { snapshot: name.to_owned() }
+            Change::SnapshotDeleted {
+                snapshot: name.to_owned(),
+            }
         } else if self.config.volumes.iter().any(|volume| volume.name == name) {
             return Err(OperatorError::ConfiguredVolume(name.to_owned()));
         } else {
-            Change::BranchDeleted { branch: name.to_owned() }
+            Change::BranchDeleted {
+                branch: name.to_owned(),
+            }
         };
         self.propose(change)?;
-        Ok(format!("{name} deleted; its space is given back in the background"))
+        Ok(format!(
+            "{name} deleted; its space is given back in the background"
+        ))
     }
 
     /// Runs of blocks in which two volumes, clones or snapshots may differ.
     fn diff(&self, one: &str, other: &str) -> Result<String, OperatorError> {
         let tree = self.tree();
-        let layer =
-            |name: &str| tree.layer_read_by(name).ok_or_else(|| OperatorError::NoSuchName(name.to_owned()));
+        let layer = |name: &str| {
+            tree.layer_read_by(name)
+                .ok_or_else(|| OperatorError::NoSuchName(name.to_owned()))
+        };
         let extents = |name: &str| {
             let branch = tree.branches.get(name).map(|branch| branch.extent_count);
-            branch.or_else(|| tree.snapshots.get(name).map(|snapshot| snapshot.extent_count)).unwrap_or(0)
+            branch
+                .or_else(|| {
+                    tree.snapshots
+                        .get(name)
+                        .map(|snapshot| snapshot.extent_count)
+                })
+                .unwrap_or(0)
         };
         let differing = tree.diff(layer(one)?, layer(other)?, extents(one).max(extents(other)));
         Ok(block_runs(&differing, self.extent_blocks()))
     }
 
     /// Freezes the head of a branch; the snapshot is granted once nodes and hosts have answered.
-    fn begin_cut(&mut self, connection: ConnectionId, branch: &str, name: &str) -> Result<(), OperatorError> {
+    fn begin_cut(
+        &mut self,
+        connection: ConnectionId,
+        branch: &str,
+        name: &str,
+    ) -> Result<(), OperatorError> {
         let now = ticks_to_millis(self.now);
-        let begun = ConsistentCut::begin(self.tree(), branch, name, self.leases.active_hosts(now), now);
+        let begun = ConsistentCut::begin(
+            self.tree(),
+            branch,
+            name,
+            self.leases.active_hosts(now),
+            now,
+        );
         let (change, cut) = begun.map_err(|failure| self.failure(failure))?;
         self.propose(change)?;
         self.wait(connection, Operation::Cut(cut));
@@ -189,14 +243,21 @@
         for pending in &mut self.pending_operations {
             if let Operation::Cut(cut) = &mut pending.operation {
                 let unquiesced = cut.unquiesced_hosts(&holding).clone();
-                let question = ToHost::Quiesce { layer: cut.layer, branch: cut.branch.clone() };
+                let question = ToHost::Quiesce {
+                    layer: cut.layer,
+                    branch: cut.branch.clone(),
+                };
                 questions.push((unquiesced, question));
             }
         }
         for (unquiesced, question) in questions {
             let is_unquiesced = |name: &String| unquiesced.contains(name);
-            let hosts: Vec<PeerId> =
-                self.hosts.iter().filter(|(_, host)| is_unquiesced(&host.name)).map(|(id, _)| id).collect();
+            let hosts: Vec<PeerId> = self
+                .hosts
+                .iter()
+                .filter(|(_, host)| is_unquiesced(&host.name))
+                .map(|(id, _)| id)
+                .collect();
             for host in hosts {
                 self.replies.push(Reply::Host(host, question.clone()));
             }
@@ -207,19 +268,38 @@
     pub(super) fn advance_operations(&mut self, now: Millis) {
         let mut ended_cuts: Vec<String> = Vec::new();
         for pending in std::mem::take(&mut self.pending_operations) {
-            let PendingOperation { connection, operation } = pending;
+            let PendingOperation {
+                connection,
+                operation,
+            } = pending;
             match operation {
-                Operation::BeginCut { branch, name } => self.advance_begin_cut(connection, branch, name, now),
+                Operation::BeginCut { branch, name } => {
+                    self.advance_begin_cut(connection, branch, name, now)
+                }
                 Operation::Cut(cut) => ended_cuts.extend(self.advance_cut(connection, cut, now)),
-                Operation::Rollout { version, closing, answer } => {
+                Operation::Rollout {
+                    version,
+                    closing,
+                    answer,
+                } => {
                     let open = |layer: LayerId| {
                         self.tree().layers.contains_key(&layer)
-                            && self.tree().pending_closes().any(|(other, _)| other == layer)
+                            && self
+                                .tree()
+                                .pending_closes()
+                                .any(|(other, _)| other == layer)
                     };
                     if !closing.is_some_and(open) && self.leases.is_effective(version, now) {
                         self.replies.push(Reply::Operator(connection, answer));
                     } else {
-                        self.wait(connection, Operation::Rollout { version, closing, answer });
+                        self.wait(
+                            connection,
+                            Operation::Rollout {
+                                version,
+                                closing,
+                                answer,
+                            },
+                        );
                     }
                 }
             }
@@ -227,11 +307,18 @@
         ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
     }
 
-    fn advance_begin_cut(&mut self, connection: ConnectionId, branch: String, name: String, now: Millis) {
+    fn advance_begin_cut(
+        &mut self,
+        connection: ConnectionId,
+        branch: String,
+        name: String,
+        now: Millis,
+    ) {
         if !self.leases.all_hosts_known(now) {
             self.wait(connection, Operation::BeginCut { branch, name });
         } else if let Err(e) = self.begin_cut(connection, &branch, &name) {
-            self.replies.push(Reply::Operator(connection, format!("error: {e}")));
+            self.replies
+                .push(Reply::Operator(connection, format!("error: {e}")));
         }
     }
 
@@ -263,7 +350,8 @@
             CutProgress::Fail(failure) => {
                 let reason = self.failure(failure);
                 tracing::warn!(snapshot = format!("{}@{}", cut.branch, cut.name), %reason, "snapshot failed");
-                self.replies.push(Reply::Operator(connection, format!("error: {reason}")));
+                self.replies
+                    .push(Reply::Operator(connection, format!("error: {reason}")));
                 Some(cut.branch)
             }
         }
@@ -275,20 +363,41 @@
         match self.propose(change) {
             Ok(version) => {
                 tracing::info!(snapshot, "snapshot granted");
-                let answer = format!("{snapshot} granted, LUN {}", self.tree().snapshots[&snapshot].lun);
-                self.wait(connection, Operation::Rollout { version, closing: None, answer });
+                let answer = format!(
+                    "{snapshot} granted, LUN {}",
+                    self.tree().snapshots[&snapshot].lun
+                );
+                self.wait(
+                    connection,
+                    Operation::Rollout {
+                        version,
+                        closing: None,
+                        answer,
+                    },
+                );
             }
-            Err(refused) => self.replies.push(Reply::Operator(connection, format!("error: {refused}"))),
+            Err(refused) => self
+                .replies
+                .push(Reply::Operator(connection, format!("error: {refused}"))),
         }
     }
 
     /// A cut has ended: hosts may begin split writes again, if no other cut of the branch is pending.
     fn on_cut_end(&mut self, branch: &str) {
-        if self.pending_operations.iter().any(|pending| pending.operation.is_cut_of(branch)) {
+        if self
+            .pending_operations
+            .iter()
+            .any(|pending| pending.operation.is_cut_of(branch))
+        {
             return;
         }
         for host in self.hosts.ids() {
-            self.replies.push(Reply::Host(host, ToHost::CutFinished { branch: branch.to_owned() }));
+            self.replies.push(Reply::Host(
+                host,
+                ToHost::CutFinished {
+                    branch: branch.to_owned(),
+                },
+            ));
         }
     }
 }
--- a/crates/gateway/src/socket_io.rs
+++ b/crates/gateway/src/socket_io.rs
@@ -11,8 +11,8 @@
     let mut total = 0;
     while !out.unsent().is_empty() {
         let wanted = out.unsent().len();
-        let written =
-            mallowseam_sockets::nonblocking::write(socket, out.unsent()).map_err(|error| error.source)?;
+        let written = mallowseam_sockets::nonblocking::write(socket, out.unsent())
+            .map_err(|error| error.source)?;
         out.mark_sent(written);
         total += written;
         if written < wanted {
--- a/crates/gateway/src/startup.rs
+++ b/crates/gateway/src/startup.rs
@@ -14,9 +14,12 @@
     poll: &Poll,
     token: Token,
 ) -> Result<(TcpListener, Registry), Error> {
-    let mut listener = TcpListener::bind(address).map_err(|source| Error::Listen { address, source })?;
+    let mut listener =
+        TcpListener::bind(address).map_err(|source| Error::Listen { address, source })?;
     let registry = registry(poll)?;
-    registry.register(&mut listener, token, Interest::READABLE).map_err(Error::Poll)?;
+    registry
+        .register(&mut listener, token, Interest::READABLE)
+        .map_err(Error::Poll)?;
     Ok((listener, registry))
 }
 
@@ -42,7 +45,10 @@
 ) -> Result<Option<ControlSocket>, Error> {
     let Some(path) = path else { return Ok(None) };
     let socket = ControlSocket::open(path, registry(poll)?, own, first_token);
-    socket.map(Some).map_err(|source| Error::ControlSocket { path: path.to_owned(), source })
+    socket.map(Some).map_err(|source| Error::ControlSocket {
+        path: path.to_owned(),
+        source,
+    })
 }
 
 /// Whether a signal has arrived on the socket of [`signals`].
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -167,11 +167,19 @@
 }
 
 // The text form is read by scripts: headers stay, also where the fields have other names.
-const CLASS_HEADER: [&str; 8] =
-    ["group", "taken", "ended", "shed", "failed", "past goal", "median ms", "p99 ms"];
+const CLASS_HEADER: [&str; 8] = [
+    "group",
+    "taken",
+    "ended",
+    "shed",
+    "failed",
+    "past goal",
+    "median ms",
+    "p99 ms",
+];
 const NODE_HEADER: [&str; 12] = [
-    "node", "state", "out", "held", "window", "wait ms", "submits", "done", "busy", "no conn", "reset",
-    "timeout",
+    "node", "state", "out", "held", "window", "wait ms", "submits", "done", "busy", "no conn",
+    "reset", "timeout",
 ];
 
 impl fmt::Display for ClassStatus {
@@ -232,8 +240,23 @@
             f,
             "\n{name:<12}{admitted:>9}{completed:>9}{shed:>9}{failed:>9}{late:>10}{median:>11}{p99:>10}"
         )?;
-        self.classes.iter().try_for_each(|class| writeln!(f, "{class}"))?;
-        let [name, state, out, held, window, wait, sent, done, busy, no_conn, reset, timeout] = NODE_HEADER;
+        self.classes
+            .iter()
+            .try_for_each(|class| writeln!(f, "{class}"))?;
+        let [
+            name,
+            state,
+            out,
+            held,
+            window,
+            wait,
+            sent,
+            done,
+            busy,
+            no_conn,
+            reset,
+            timeout,
+        ] = NODE_HEADER;
         writeln!(
             f,
             "\n{name:<12}{state:<12}{out:>5}{held:>6}{window:>8}{wait:>9}{sent:>9}{done:>8}{busy:>7}{no_conn:>9}\
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -19,7 +19,10 @@
     #[error("no section catalog")]
     NoCatalog,
     #[error("{}: {source}", path.display())]
-    Store { path: PathBuf, source: mallowseam_snapshot_catalog::Error },
+    Store {
+        path: PathBuf,
+        source: mallowseam_snapshot_catalog::Error,
+    },
     #[error("{node}: {source}")]
     Node { node: String, source: ClientError },
     #[error("{node}: no sound answer to GET LBA STATUS")]
@@ -46,11 +49,17 @@
 /// unmapped.
 pub(crate) fn run(config: &GatewayConfig, reclaim: bool) -> Result<Findings, VerifyError> {
     let settings = config.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
-    let catalog = Catalog::open(&settings.store_path)
-        .map_err(|source| VerifyError::Store { path: settings.store_path.clone(), source })?;
+    let catalog = Catalog::open(&settings.store_path).map_err(|source| VerifyError::Store {
+        path: settings.store_path.clone(),
+        source,
+    })?;
     let tree = catalog.tree();
     let mut findings = Findings {
-        faults: tree.inconsistencies().iter().map(ToString::to_string).collect(),
+        faults: tree
+            .inconsistencies()
+            .iter()
+            .map(ToString::to_string)
+            .collect(),
         ..Findings::default()
     };
     let mut references = collect_references(tree, config.nodes.len(), &mut findings);
@@ -64,10 +73,18 @@
                     findings.locations_with_data += 1;
                     continue;
                 }
-                findings.leaked.push((layer, Location { node: walk.index, slot }));
+                findings.leaked.push((
+                    layer,
+                    Location {
+                        node: walk.index,
+                        slot,
+                    },
+                ));
                 if reclaim && !walk.unmap(layer, slot)? {
                     // Printed output, whose form is fixed: it calls a slot "place".
-                    findings.faults.push(format!("{}: does not give place {slot} back", node.name));
+                    findings
+                        .faults
+                        .push(format!("{}: does not give place {slot} back", node.name));
                 }
             }
         }
@@ -81,13 +98,21 @@
     for (id, layer) in &tree.layers {
         for location in layer.locations.values() {
             findings.locations += 1;
-            if !references.entry(location.node).or_default().insert((*id, location.slot)) {
-                findings.faults.push(format!("layer {id}: place {} is referred to twice", location.slot));
+            if !references
+                .entry(location.node)
+                .or_default()
+                .insert((*id, location.slot))
+            {
+                findings.faults.push(format!(
+                    "layer {id}: place {} is referred to twice",
+                    location.slot
+                ));
             }
             if location.node as usize >= nodes {
-                findings
-                    .faults
-                    .push(format!("layer {id}: lies on node {}, which is not there", location.node));
+                findings.faults.push(format!(
+                    "layer {id}: lies on node {}, which is not there",
+                    location.node
+                ));
             }
         }
     }
@@ -106,12 +131,23 @@
     fn open(node: &'a Node, index: u32, extent_blocks: u64) -> Result<Self, VerifyError> {
         let address = startup::validated_address(node.address);
         let client = BlockingClient::open(address, Some(&node.target), std::process::id())
-            .map_err(|source| VerifyError::Node { node: node.name.clone(), source })?;
-        Ok(NodeWalk { name: &node.name, index, client, extent_blocks })
+            .map_err(|source| VerifyError::Node {
+                node: node.name.clone(),
+                source,
+            })?;
+        Ok(NodeWalk {
+            name: &node.name,
+            index,
+            client,
+            extent_blocks,
+        })
     }
 
     fn error(&self, source: ClientError) -> VerifyError {
-        VerifyError::Node { node: self.name.to_owned(), source }
+        VerifyError::Node {
+            node: self.name.to_owned(),
+            source,
+        }
     }
 
     /// Slots of a layer in which the node holds data.
@@ -120,13 +156,19 @@
         let mut from = 0;
         loop {
             let cdb = scsi::get_lba_status(from, LBA_STATUS_LEN);
-            let answer = self.client.execute(layer, &cdb, LBA_STATUS_LEN as usize, Vec::new());
+            let answer = self
+                .client
+                .execute(layer, &cdb, LBA_STATUS_LEN as usize, Vec::new());
             let answer = answer.map_err(|e| self.error(e))?;
             let data = Some(answer.data).filter(|_| answer.status == status::GOOD);
             let Some(runs) = data.as_deref().and_then(scsi::parse_lba_status) else {
-                return Err(VerifyError::LbaStatus { node: self.name.to_owned() });
+                return Err(VerifyError::LbaStatus {
+                    node: self.name.to_owned(),
+                });
+            };
+            let Some((last_lba, last_blocks)) = runs.last().copied() else {
+                return Ok(slots);
             };
-            let Some((last_lba, last_blocks)) = runs.last().copied() else { return Ok(slots) };
             for (lba, blocks) in runs {
                 let last = lba + u64::from(blocks.max(1)) - 1;
                 let covered = lba / self.extent_blocks..=last / self.extent_blocks;
@@ -138,8 +180,14 @@
 
     /// Has the node unmap a slot. False: it refuses to.
     fn unmap(&mut self, layer: LayerId, slot: u32) -> Result<bool, VerifyError> {
-        let (cdb, data) = scsi::unmap(&[(u64::from(slot) * self.extent_blocks, self.extent_blocks as u32)]);
-        let answer = self.client.execute(layer, &cdb, 0, data).map_err(|e| self.error(e))?;
+        let (cdb, data) = scsi::unmap(&[(
+            u64::from(slot) * self.extent_blocks,
+            self.extent_blocks as u32,
+        )]);
+        let answer = self
+            .client
+            .execute(layer, &cdb, 0, data)
+            .map_err(|e| self.error(e))?;
         Ok(answer.status == status::GOOD)
     }
 }
--- a/crates/gateway/tests/pinned/command_line.rs
+++ b/crates/gateway/tests/pinned/command_line.rs
@@ -47,20 +47,32 @@
 
 fn transcript(runs: &[Vec<&str>]) -> String {
     let one = |arguments: &Vec<&str>| {
-        format!("$ mallowseam {}\n{}\n", arguments.join(" "), describe(&run(arguments)))
+        format!(
+            "$ mallowseam {}\n{}\n",
+            arguments.join(" "),
+            describe(&run(arguments))
+        )
     };
     runs.iter().map(one).collect()
 }
 
 #[test]
 fn help_of_every_subcommand_is_as_it_was() {
-    let runs: Vec<Vec<&str>> = SUBCOMMANDS.iter().map(|path| [*path, &["--help"]].concat()).collect();
+    let runs: Vec<Vec<&str>> = SUBCOMMANDS
+        .iter()
+        .map(|path| [*path, &["--help"]].concat())
+        .collect();
     assert_pinned("help.txt", &transcript(&runs));
 }
 
 #[test]
 fn checks_of_configurations_are_as_they_were() {
-    let files = ["every-directive.conf", "refused-values.conf", "refused-references.conf", "missing.conf"];
+    let files = [
+        "every-directive.conf",
+        "refused-values.conf",
+        "refused-references.conf",
+        "missing.conf",
+    ];
     let runs: Vec<Vec<&str>> = files.iter().map(|file| vec!["check", file]).collect();
     assert_pinned("checks.txt", &transcript(&runs));
 }
--- a/crates/gateway/tests/pinned/harness.rs
+++ b/crates/gateway/tests/pinned/harness.rs
@@ -21,7 +21,9 @@
 }
 
 pub fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 pub fn read_fixture(name: &str) -> String {
@@ -41,8 +43,14 @@
 /// The program with these arguments, its working directory that of the fixtures.
 pub fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam"));
-    command.args(arguments).current_dir(fixture("")).stdin(Stdio::null());
-    command.env_remove("COLUMNS").env_remove("GW_CONFIG").env_remove("RUST_BACKTRACE");
+    command
+        .args(arguments)
+        .current_dir(fixture(""))
+        .stdin(Stdio::null());
+    command
+        .env_remove("COLUMNS")
+        .env_remove("GW_CONFIG")
+        .env_remove("RUST_BACKTRACE");
     command
 }
 
@@ -54,7 +62,11 @@
 pub fn describe(output: &Output) -> String {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let code = output.status.code().expect("it ended by itself");
-    format!("{}{}exit code {code}\n", text(&output.stdout), text(&output.stderr))
+    format!(
+        "{}{}exit code {code}\n",
+        text(&output.stdout),
+        text(&output.stderr)
+    )
 }
 
 /// A running instance of the program; killed when dropped.
@@ -71,7 +83,11 @@
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut code = None;
         wait_for("the end of the process", || {
-            code = self.0.try_wait().expect("a child").map(|status| status.code());
+            code = self
+                .0
+                .try_wait()
+                .expect("a child")
+                .map(|status| status.code());
             code.is_some()
         });
         code.flatten()
@@ -114,12 +130,16 @@
 
 /// Asks the control socket at a path and gives the raw answer.
 pub fn control(path: &Path, line: &str) -> String {
-    Question::ask(path, line).and_then(Question::answer).expect("an answer")
+    Question::ask(path, line)
+        .and_then(Question::answer)
+        .expect("an answer")
 }
 
 /// Waits until something answers at a control socket.
 pub fn wait_for_control(path: &Path) {
-    wait_for("the control socket", || Question::ask(path, "?").and_then(Question::answer).is_ok());
+    wait_for("the control socket", || {
+        Question::ask(path, "?").and_then(Question::answer).is_ok()
+    });
 }
 
 /// One end of a connection that speaks lines of text.
@@ -153,7 +173,10 @@
     }
 
     pub fn send(&mut self, line: &str) {
-        self.0.get_mut().write_all(format!("{line}\n").as_bytes()).expect("sent");
+        self.0
+            .get_mut()
+            .write_all(format!("{line}\n").as_bytes())
+            .expect("sent");
     }
 
     /// The next line; empty once the other end has closed the connection.
@@ -192,7 +215,11 @@
 
 /// Replaces the value behind a JSON key by `#`, wherever the key stands, also in JSON that is quoted in JSON.
 pub fn mask(text: &str, key: &str) -> String {
-    mask_behind(&mask_behind(text, &format!("\"{key}\":"), "\""), &format!("\\\"{key}\\\":"), "\\\"")
+    mask_behind(
+        &mask_behind(text, &format!("\"{key}\":"), "\""),
+        &format!("\\\"{key}\\\":"),
+        "\\\"",
+    )
 }
 
 fn mask_behind(text: &str, key: &str, quote: &str) -> String {
@@ -210,5 +237,7 @@
 
 /// Masks what depends on the time of the run: wall-clock times of change log lines, and the hashes over them.
 pub fn mask_times(text: &str) -> String {
-    ["at", "after", "last", "asked", "sent"].iter().fold(text.to_owned(), |text, key| mask(&text, key))
+    ["at", "after", "last", "asked", "sent"]
+        .iter()
+        .fold(text.to_owned(), |text, key| mask(&text, key))
 }
--- a/crates/gateway/tests/pinned/host.rs
+++ b/crates/gateway/tests/pinned/host.rs
@@ -1,7 +1,7 @@
 //! A host: its control socket, what it says to services, and the files that it keeps for its next start.
 use crate::harness::{
-    Peer, Process, Transcript, addresses, assert_pinned, control, mask, mask_times, program, read_fixture,
-    wait_for, wait_for_control,
+    Peer, Process, Transcript, addresses, assert_pinned, control, mask, mask_times, program,
+    read_fixture, wait_for, wait_for_control,
 };
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -29,8 +29,10 @@
             address(1),
             address(2)
         );
-        let catalog =
-            format!("catalog\n  listen {}\n  store \"{root}/tree\"\n  extent 64\n  copies all\n", address(3));
+        let catalog = format!(
+            "catalog\n  listen {}\n  store \"{root}/tree\"\n  extent 64\n  copies all\n",
+            address(3)
+        );
         let rest = format!(
             "fleet\n  hosts 2\n  unit 4KiB\n  mean-units 1\n  largest-units 8\n  submits 3\nplan basic\n  usual 20/s\n  \
              limit 40/s burst 8\n  price 2\nplan free\ngroup all\n  effect idempotent\n  goal 100ms\n  hard-limit 1s\n\
@@ -42,15 +44,31 @@
             address(5)
         );
         let alone = rest.replace("mapped", "extent 0 256 node1 at 0");
-        let write = |name: &str, text: String| fs::write(directory.path().join(name), text).expect("a file");
+        let write = |name: &str, text: String| {
+            fs::write(directory.path().join(name), text).expect("a file")
+        };
         write("conf", format!("{host}{services}{catalog}{rest}"));
         write("alone", format!("{host}  node-list static\n{alone}"));
-        write("changed", format!("{host}  node-list static\n{}", alone.replace("limit 40/s", "limit 60/s")));
+        write(
+            "changed",
+            format!(
+                "{host}  node-list static\n{}",
+                alone.replace("limit 40/s", "limit 60/s")
+            ),
+        );
         write(
             "larger",
-            format!("{host}  node-list static\n{}", alone.replace("hosts 2\n  unit", "hosts 3\n  unit")),
+            format!(
+                "{host}  node-list static\n{}",
+                alone.replace("hosts 2\n  unit", "hosts 3\n  unit")
+            ),
         );
-        Setup { directory, endpoints: address(1), plans: address(2), catalog: address(3) }
+        Setup {
+            directory,
+            endpoints: address(1),
+            plans: address(2),
+            catalog: address(3),
+        }
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -77,7 +95,9 @@
 
 /// Replaces the seconds since the start in a status for people.
 fn mask_uptime(text: &str) -> String {
-    let Some((before, rest)) = text.split_once("  up ") else { return text.to_owned() };
+    let Some((before, rest)) = text.split_once("  up ") else {
+        return text.to_owned();
+    };
     let (_, after) = rest.split_once(" s").expect("a time in seconds");
     format!("{before}  up # s{after}")
 }
@@ -108,7 +128,10 @@
         t.answered(&setup.mask(&answer));
     }
     let socket_text = socket.to_str().expect("text");
-    for arguments in [vec!["status", "--control", socket_text], vec!["drain", "--control", socket_text]] {
+    for arguments in [
+        vec!["status", "--control", socket_text],
+        vec!["drain", "--control", socket_text],
+    ] {
         let output = program(&arguments).output().expect("the program runs");
         t.add("run:", arguments[0]);
         let text = String::from_utf8(output.stdout).expect("text");
@@ -139,7 +162,9 @@
     let mut service = Peer::accept(&endpoints);
     add(&mut t, "to the endpoint service:", &service.line());
     service.send("list 9 3 whole 2\nnode node0 active 5 1000\nnode node1 leaving 6 2000");
-    wait_for("the whole list", || kept("list") != read_fixture("kept-list-before"));
+    wait_for("the whole list", || {
+        kept("list") != read_fixture("kept-list-before")
+    });
     assert_pinned("kept-list-after", &kept("list"));
     service.send("list 9 5 changes 1\nnode node1 left 6 3000");
     add(&mut t, "to the endpoint service:", &service.line());
@@ -162,12 +187,24 @@
     service.send("{\"ask\":{\"asked\":77}}");
     let report = service.line();
     add(&mut t, "to the plan service:", &report);
-    let sent = report.split("\"sent\":").nth(1).and_then(|rest| rest.split(',').next()).expect("a report");
-    service.send(&format!("{{\"granted\":{{\"sent\":{sent},\"span\":600000,\"volumes\":[[\"a\",9000]]}}}}"));
+    let sent = report
+        .split("\"sent\":")
+        .nth(1)
+        .and_then(|rest| rest.split(',').next())
+        .expect("a report");
+    service.send(&format!(
+        "{{\"granted\":{{\"sent\":{sent},\"span\":600000,\"volumes\":[[\"a\",9000]]}}}}"
+    ));
     // A quarter of the even part, which is never lent, and what was granted.
-    wait_for("the granted part", || control(&setup.control(), "status").contains("\"part\":16.5"));
+    wait_for("the granted part", || {
+        control(&setup.control(), "status").contains("\"part\":16.5")
+    });
     service.send("{\"line\":{\"text\":\"none\"}}");
-    assert_eq!(service.line(), "", "a line that does not follow ends the connection");
+    assert_eq!(
+        service.line(),
+        "",
+        "a line that does not follow ends the connection"
+    );
     let mut service = Peer::accept(&plans);
     add(&mut t, "to the plan service:", &service.line());
 
@@ -192,9 +229,14 @@
     service.send("\"filled\"");
     // The lease that is granted lasts to the end of this test, so that it is not renewed again.
     let renewal = catalog_hears(&mut t, &mut service);
-    let sent = renewal.strip_prefix("{\"renew\":{\"sent\":").and_then(|rest| rest.split(',').next());
+    let sent = renewal
+        .strip_prefix("{\"renew\":{\"sent\":")
+        .and_then(|rest| rest.split(',').next());
     catalog_hears(&mut t, &mut service);
-    service.send(&format!("{{\"lease\":{{\"sent\":{},\"span\":600000}}}}", sent.expect("a renewal")));
+    service.send(&format!(
+        "{{\"lease\":{{\"sent\":{},\"span\":600000}}}}",
+        sent.expect("a renewal")
+    ));
     service.send(
         "{\"changed\":{\"version\":2,\"change\":{\"Numbers\":{\"layer\":1024,\"first\":0,\"count\":4}}}}",
     );
@@ -203,7 +245,11 @@
     catalog_hears(&mut t, &mut service);
     service.send("{\"over\":{\"branch\":\"b\"}}");
     service.send("{\"changed\":{\"version\":9,\"change\":{\"Cut\":{\"branch\":\"b\"}}}}");
-    assert_eq!(service.line(), "", "a change that does not follow ends the connection");
+    assert_eq!(
+        service.line(),
+        "",
+        "a change that does not follow ends the connection"
+    );
     let mut service = Peer::accept(&catalog);
     catalog_hears(&mut t, &mut service);
     let status = setup.mask(&control(&setup.control(), "status"));
--- a/crates/gateway/tests/pinned/plan_service.rs
+++ b/crates/gateway/tests/pinned/plan_service.rs
@@ -1,6 +1,7 @@
 //! The control service of plans: its control socket, and what it says to hosts.
 use crate::harness::{
-    Peer, Process, Question, Transcript, addresses, assert_pinned, mask_times, wait_for, wait_for_control,
+    Peer, Process, Question, Transcript, addresses, assert_pinned, mask_times, wait_for,
+    wait_for_control,
 };
 use std::fs;
 use std::net::SocketAddr;
@@ -28,7 +29,10 @@
             address(2),
         );
         fs::write(directory.path().join("conf"), text).expect("a file");
-        Setup { directory, address: address(1) }
+        Setup {
+            directory,
+            address: address(1),
+        }
     }
 
     fn control(&self) -> PathBuf {
@@ -51,7 +55,10 @@
 
 impl Host {
     fn connect(name: &'static str, address: SocketAddr) -> Host {
-        Host { name, peer: Peer::connect(address) }
+        Host {
+            name,
+            peer: Peer::connect(address),
+        }
     }
 
     fn send(&mut self, transcript: &mut Transcript, line: &str) {
@@ -74,8 +81,12 @@
     fn asked(&mut self, transcript: &mut Transcript) -> u64 {
         let line = self.peer.line();
         transcript.add(&format!("{} receives:", self.name), &mask_times(&line));
-        let number = line.strip_prefix("{\"ask\":{\"asked\":").and_then(|rest| rest.strip_suffix("}}"));
-        number.and_then(|digits| digits.parse().ok()).expect("a question")
+        let number = line
+            .strip_prefix("{\"ask\":{\"asked\":")
+            .and_then(|rest| rest.strip_suffix("}}"));
+        number
+            .and_then(|digits| digits.parse().ok())
+            .expect("a question")
     }
 }
 
@@ -91,11 +102,20 @@
     let mut process = setup.start();
     let control = setup.control();
     let mut t = Transcript::default();
-    for line in ["status", "{\"walk\":{}}", "{\"show\":{\"version\":null}}", "\"hosts\"", "\"replay\""] {
+    for line in [
+        "status",
+        "{\"walk\":{}}",
+        "{\"show\":{\"version\":null}}",
+        "\"hosts\"",
+        "\"replay\"",
+    ] {
         t.ask(&control, line);
     }
     let mut one = Host::connect("gw0", setup.address);
-    one.send(&mut t, "{\"hello\":{\"host\":\"gw0\",\"version\":0,\"last\":\"\"}}");
+    one.send(
+        &mut t,
+        "{\"hello\":{\"host\":\"gw0\",\"version\":0,\"last\":\"\"}}",
+    );
     let whole = one.receive(&mut t);
     ask_until(&mut t, &control, "\"hosts\"", "1 hosts");
     one.send(&mut t, "{\"acts-on\":{\"version\":2}}");
@@ -116,25 +136,57 @@
     t.ask(&control, &set(&plan("gold", 30), "2", true, false));
     t.ask(&control, &set(&plan("gold", 30), "1", false, false));
     t.ask(&control, &set(&plan("two words", 30), "2", false, false));
-    t.ask(&control, &set("{\"PlanGone\":{\"name\":\"basic\"}}", "null", false, false));
-    t.ask(&control, &set("{\"PlanGone\":{\"name\":\"none\"}}", "null", false, false));
-    t.ask(&control, &set("{\"VolumeGone\":{\"name\":\"none\"}}", "null", false, false));
-    t.ask(&control, &set("{\"Volume\":{\"name\":\"a\",\"plan\":\"basic\"}}", "null", false, false));
+    t.ask(
+        &control,
+        &set("{\"PlanGone\":{\"name\":\"basic\"}}", "null", false, false),
+    );
+    t.ask(
+        &control,
+        &set("{\"PlanGone\":{\"name\":\"none\"}}", "null", false, false),
+    );
+    t.ask(
+        &control,
+        &set("{\"VolumeGone\":{\"name\":\"none\"}}", "null", false, false),
+    );
+    t.ask(
+        &control,
+        &set(
+            "{\"Volume\":{\"name\":\"a\",\"plan\":\"basic\"}}",
+            "null",
+            false,
+            false,
+        ),
+    );
     t.ask(&control, &set(&plan("gold", 30), "2", false, false));
     one.receive(&mut t);
     t.ask(&control, "\"hosts\"");
-    one.send(&mut t, "{\"against\":{\"version\":3,\"why\":\"no such node\"}}");
+    one.send(
+        &mut t,
+        "{\"against\":{\"version\":3,\"why\":\"no such node\"}}",
+    );
     ask_until(&mut t, &control, "\"hosts\"", "turned it down");
     one.send(&mut t, "{\"acts-on\":{\"version\":3}}");
     ask_until(&mut t, &control, "\"hosts\"", "all of them: 3");
 
     // A host that holds the first two versions is sent the third alone.
     let mut two = Host::connect("gw1", setup.address);
-    let last = whole.split("\"last\":\"").nth(1).and_then(|rest| rest.split('"').next()).expect("a hash");
-    two.send(&mut t, &format!("{{\"hello\":{{\"host\":\"gw1\",\"version\":2,\"last\":\"{last}\"}}}}"));
+    let last = whole
+        .split("\"last\":\"")
+        .nth(1)
+        .and_then(|rest| rest.split('"').next())
+        .expect("a hash");
+    two.send(
+        &mut t,
+        &format!("{{\"hello\":{{\"host\":\"gw1\",\"version\":2,\"last\":\"{last}\"}}}}"),
+    );
     two.receive(&mut t);
     two.send(&mut t, "{\"acts-on\":{\"version\":3}}");
-    ask_until(&mut t, &control, "\"hosts\"", "2 hosts; in force at all of them: 3");
+    ask_until(
+        &mut t,
+        &control,
+        "\"hosts\"",
+        "2 hosts; in force at all of them: 3",
+    );
 
     // What the first lends is granted to the second.
     let asked = one.asked(&mut t);
@@ -150,13 +202,19 @@
     assert!(granted.contains("\"sent\":8,\"span\":1500"), "{granted}");
     // What the second may still use of it is not granted to the first.
     let asked = one.asked(&mut t);
-    let report =
-        format!("{{\"report\":{{\"asked\":{asked},\"sent\":9,\"version\":3,\"volumes\":[[\"a\",0,8000]]}}}}");
+    let report = format!(
+        "{{\"report\":{{\"asked\":{asked},\"sent\":9,\"version\":3,\"volumes\":[[\"a\",0,8000]]}}}}"
+    );
     one.send(&mut t, &report);
     one.receive(&mut t);
 
     // An operator who waits is answered once both act on the version.
-    let line = set("{\"Volume\":{\"name\":\"b\",\"plan\":\"gold\"}}", "null", false, true);
+    let line = set(
+        "{\"Volume\":{\"name\":\"b\",\"plan\":\"gold\"}}",
+        "null",
+        false,
+        true,
+    );
     t.add("ask:", &line);
     let waiting = Question::ask(&control, &line).expect("a connection");
     for host in [&mut one, &mut two] {
@@ -196,7 +254,12 @@
 
     // The store is read back, with the hosts that were known.
     let mut process = setup.start();
-    for line in ["{\"show\":{\"version\":null}}", "\"hosts\"", "\"replay\"", "stop"] {
+    for line in [
+        "{\"show\":{\"version\":null}}",
+        "\"hosts\"",
+        "\"replay\"",
+        "stop",
+    ] {
         t.ask(&control, line);
     }
     assert_eq!(process.exit_code(), Some(0));
--- a/crates/gateway/tests/pinned/scsi.rs
+++ b/crates/gateway/tests/pinned/scsi.rs
@@ -18,7 +18,10 @@
 fn answers_to_commands_are_as_they_were() {
     let address = addresses();
     let directory = tempfile::tempdir().expect("a directory");
-    let (conf, control) = (directory.path().join("conf"), directory.path().join("control.sock"));
+    let (conf, control) = (
+        directory.path().join("conf"),
+        directory.path().join("control.sock"),
+    );
     let text = format!(
         "host gw0\n  listen {}\n  target iqn.t:gateway\n  control \"{}\"\n  node-list static\n  window 32\n  \
          connections 40\n  longest 64KiB\n  seed 1\nfleet\n  hosts 1\n  unit 4KiB\n  mean-units 1\n  largest-units 16\n  \
@@ -39,7 +42,9 @@
     let mut t = Transcript::default();
     let mut ask = |what: &str, lun: u32, cdb: [u8; 16], room: usize, data: Vec<u8>| {
         let answer = client.execute(lun, &cdb, room, data).expect("an answer");
-        let sense = answer.sense.map_or("none".to_owned(), |sense| hex(&sense.to_fixed_format()));
+        let sense = answer
+            .sense
+            .map_or("none".to_owned(), |sense| hex(&sense.to_fixed_format()));
         let text = format!(
             "status {} sense {sense} retry after {} data {}",
             answer.status,
@@ -53,22 +58,100 @@
         ask("request sense", lun, cdb(&[0x03, 0, 0, 0, 18]), 18, vec![]);
         ask("inquiry", lun, cdb(&[0x12, 0, 0, 0, 96]), 96, vec![]);
         ask("inquiry page 0", lun, cdb(&[0x12, 1, 0, 0, 96]), 96, vec![]);
-        ask("inquiry page 83", lun, cdb(&[0x12, 1, 0x83, 0, 96]), 96, vec![]);
-        ask("inquiry page b0", lun, cdb(&[0x12, 1, 0xb0, 0, 96]), 96, vec![]);
-        ask("inquiry page ff", lun, cdb(&[0x12, 1, 0xff, 0, 96]), 96, vec![]);
+        ask(
+            "inquiry page 83",
+            lun,
+            cdb(&[0x12, 1, 0x83, 0, 96]),
+            96,
+            vec![],
+        );
+        ask(
+            "inquiry page b0",
+            lun,
+            cdb(&[0x12, 1, 0xb0, 0, 96]),
+            96,
+            vec![],
+        );
+        ask(
+            "inquiry page ff",
+            lun,
+            cdb(&[0x12, 1, 0xff, 0, 96]),
+            96,
+            vec![],
+        );
         ask("read capacity 10", lun, cdb(&[0x25]), 8, vec![]);
-        ask("read capacity 16", lun, cdb(&[0x9e, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]), 32, vec![]);
-        ask("mode sense 6", lun, cdb(&[0x1a, 0, 0x3f, 0, 64]), 64, vec![]);
-        ask("mode sense 10", lun, cdb(&[0x5a, 0, 0x08, 0, 0, 0, 0, 0, 64]), 64, vec![]);
-        ask("report luns", lun, cdb(&[0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64]), 64, vec![]);
+        ask(
+            "read capacity 16",
+            lun,
+            cdb(&[0x9e, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]),
+            32,
+            vec![],
+        );
+        ask(
+            "mode sense 6",
+            lun,
+            cdb(&[0x1a, 0, 0x3f, 0, 64]),
+            64,
+            vec![],
+        );
+        ask(
+            "mode sense 10",
+            lun,
+            cdb(&[0x5a, 0, 0x08, 0, 0, 0, 0, 0, 64]),
+            64,
+            vec![],
+        );
+        ask(
+            "report luns",
+            lun,
+            cdb(&[0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64]),
+            64,
+            vec![],
+        );
         ask("synchronize cache", lun, cdb(&[0x35]), 0, vec![]);
-        ask("synchronize cache past the end", lun, cdb(&[0x35, 0, 0, 0, 1, 1, 0, 0, 1]), 0, vec![]);
-        ask("unmap", lun, cdb(&[0x42, 0, 0, 0, 0, 0, 0, 0, 8]), 0, vec![0, 6, 0, 0, 0, 0, 0, 0]);
-        ask("get lba status", lun, cdb(&[0x9e, 0x12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]), 32, vec![]);
+        ask(
+            "synchronize cache past the end",
+            lun,
+            cdb(&[0x35, 0, 0, 0, 1, 1, 0, 0, 1]),
+            0,
+            vec![],
+        );
+        ask(
+            "unmap",
+            lun,
+            cdb(&[0x42, 0, 0, 0, 0, 0, 0, 0, 8]),
+            0,
+            vec![0, 6, 0, 0, 0, 0, 0, 0],
+        );
+        ask(
+            "get lba status",
+            lun,
+            cdb(&[0x9e, 0x12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]),
+            32,
+            vec![],
+        );
         ask("unknown", lun, cdb(&[0xff]), 0, vec![]);
-        ask("read of nothing", lun, read_or_write_16(false, 0, 0, 0), 0, vec![]);
-        ask("read past the end", lun, read_or_write_16(false, 255, 2, 0), 8192, vec![]);
-        ask("read without room", lun, read_or_write_16(false, 0, 2, 0), 512, vec![]);
+        ask(
+            "read of nothing",
+            lun,
+            read_or_write_16(false, 0, 0, 0),
+            0,
+            vec![],
+        );
+        ask(
+            "read past the end",
+            lun,
+            read_or_write_16(false, 255, 2, 0),
+            8192,
+            vec![],
+        );
+        ask(
+            "read without room",
+            lun,
+            read_or_write_16(false, 0, 2, 0),
+            512,
+            vec![],
+        );
         ask(
             "read that is too long",
             lun,
@@ -76,10 +159,34 @@
             1 << 20,
             vec![],
         );
-        ask("write without its data", lun, read_or_write_16(true, 0, 2, 0), 0, vec![0; 512]);
+        ask(
+            "write without its data",
+            lun,
+            read_or_write_16(true, 0, 2, 0),
+            0,
+            vec![0; 512],
+        );
     }
-    ask("read, node away", 0, read_or_write_16(false, 0, 2, 0), 1024, vec![]);
-    ask("write, node away", 0, read_or_write_16(true, 0, 2, 0), 0, vec![0; 1024]);
-    ask("read, catalog away", 2, read_or_write_16(false, 0, 2, 0), 8192, vec![]);
+    ask(
+        "read, node away",
+        0,
+        read_or_write_16(false, 0, 2, 0),
+        1024,
+        vec![],
+    );
+    ask(
+        "write, node away",
+        0,
+        read_or_write_16(true, 0, 2, 0),
+        0,
+        vec![0; 1024],
+    );
+    ask(
+        "read, catalog away",
+        2,
+        read_or_write_16(false, 0, 2, 0),
+        8192,
+        vec![],
+    );
     assert_pinned("scsi-answers.txt", t.text());
 }
--- a/crates/gateway/tests/pinned/shares.rs
+++ b/crates/gateway/tests/pinned/shares.rs
@@ -28,7 +28,10 @@
     let directory = tempfile::tempdir().expect("a directory");
     for entry in fs::read_dir(fixture("")).expect("the fixtures") {
         let path = entry.expect("a fixture").path();
-        let name = path.file_name().and_then(|name| name.to_str()).expect("a name");
+        let name = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .expect("a name");
         if name.starts_with("shares-") {
             fs::copy(&path, directory.path().join(name)).expect("a copy");
         }
@@ -36,10 +39,14 @@
     let mut transcript = String::new();
     for line in RUNS {
         let arguments: Vec<&str> = ["shares"].into_iter().chain(line.split(' ')).collect();
-        let output = program(&arguments).current_dir(directory.path()).output().expect("the program runs");
+        let output = program(&arguments)
+            .current_dir(directory.path())
+            .output()
+            .expect("the program runs");
         transcript += &format!("$ mallowseam shares {line}\n{}\n", describe(&output));
     }
     assert_pinned("shares.txt", &transcript);
-    let written = fs::read_to_string(directory.path().join("shares-host-placed.conf")).expect("written");
+    let written =
+        fs::read_to_string(directory.path().join("shares-host-placed.conf")).expect("written");
     assert_pinned("written-shares-host.conf", &written);
 }
--- a/crates/gateway/tests/pinned/snapshot_catalog.rs
+++ b/crates/gateway/tests/pinned/snapshot_catalog.rs
@@ -1,5 +1,7 @@
 //! The snapshot catalog service: its control socket, and what it says to hosts.
-use crate::harness::{Peer, Process, Question, Transcript, addresses, assert_pinned, mask, wait_for_control};
+use crate::harness::{
+    Peer, Process, Question, Transcript, addresses, assert_pinned, mask, wait_for_control,
+};
 use std::fs;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,7 +28,10 @@
             address(2),
         );
         fs::write(directory.path().join("conf"), text).expect("a file");
-        Setup { directory, address: address(1) }
+        Setup {
+            directory,
+            address: address(1),
+        }
     }
 
     fn control(&self) -> PathBuf {
@@ -60,7 +65,11 @@
             t.add("host receives:", &mask(&line, "catalog"));
             assert!(!line.is_empty(), "closed before {begin}");
             if let Some(rest) = line.strip_prefix("{\"changed\":{\"version\":") {
-                self.version = rest.split(',').next().and_then(|n| n.parse().ok()).expect("a version");
+                self.version = rest
+                    .split(',')
+                    .next()
+                    .and_then(|n| n.parse().ok())
+                    .expect("a version");
                 self.send(t, &format!("{{\"seen\":{{\"version\":{}}}}}", self.version));
             }
             if line.starts_with(begin) {
@@ -76,15 +85,30 @@
     let mut process = setup.start();
     let control = setup.control();
     let mut t = Transcript::default();
-    for line in ["list", "tree", "status", "diff a none", "delete a", "delete none", "delete a@none"] {
+    for line in [
+        "list",
+        "tree",
+        "status",
+        "diff a none",
+        "delete a",
+        "delete none",
+        "delete a@none",
+    ] {
         t.ask(&control, line);
     }
-    for line in
-        ["clone a@none c", "rollback a a@none", "rollback none a@s", "snapshot none s", "snapshot a s/s"]
-    {
+    for line in [
+        "clone a@none c",
+        "rollback a a@none",
+        "rollback none a@s",
+        "snapshot none s",
+        "snapshot a s/s",
+    ] {
         t.ask(&control, line);
     }
-    let mut host = Host { peer: Peer::connect(setup.address), version: 0 };
+    let mut host = Host {
+        peer: Peer::connect(setup.address),
+        version: 0,
+    };
     host.send(&mut t, "{\"hello\":{\"host\":\"gw0\",\"have\":null}}");
     host.receive_until(&mut t, "\"filled\"");
     host.send(&mut t, "{\"renew\":{\"sent\":12,\"seen\":1}}");
@@ -115,7 +139,9 @@
     host.send(&mut t, "{\"numbers\":{\"layer\":1026,\"count\":8}}");
     host.receive_until(&mut t, "{\"numbers\"");
     let place = |number: u32| {
-        format!("{{\"placed\":{{\"layer\":1026,\"extent\":2,\"place\":{{\"node\":0,\"number\":{number}}}}}}}")
+        format!(
+            "{{\"placed\":{{\"layer\":1026,\"extent\":2,\"place\":{{\"node\":0,\"number\":{number}}}}}}}"
+        )
     };
     host.send(&mut t, &place(3));
     host.receive_until(&mut t, "{\"changed\":{\"version\":9,");
@@ -125,7 +151,15 @@
     host.receive_until(&mut t, "{\"leave\"");
     host.send(&mut t, "{\"leave\":{\"layer\":9999}}");
     host.receive_until(&mut t, "{\"leave\"");
-    for line in ["list", "tree", "diff a a@s", "diff c a@s", "snapshot a s", "clone a@s a", "delete a@s"] {
+    for line in [
+        "list",
+        "tree",
+        "diff a a@s",
+        "diff c a@s",
+        "snapshot a s",
+        "clone a@s a",
+        "delete a@s",
+    ] {
         t.ask(&control, line);
     }
     // The layer of the snapshot is empty, and goes by itself as well.
@@ -135,12 +169,19 @@
 
     // The same host comes back with what it holds.
     drop(host);
-    let mut host = Host { peer: Peer::connect(setup.address), version: 0 };
+    let mut host = Host {
+        peer: Peer::connect(setup.address),
+        version: 0,
+    };
     host.send(&mut t, "{\"hello\":{\"host\":\"gw0\",\"have\":[0,1]}}");
     host.receive_until(&mut t, "\"filled\"");
     let mut stranger = Peer::connect(setup.address);
     stranger.send("hello");
-    assert_eq!(stranger.line(), "", "what cannot be read ends the connection");
+    assert_eq!(
+        stranger.line(),
+        "",
+        "what cannot be read ends the connection"
+    );
     t.ask(&control, "stop");
     assert_eq!(process.exit_code(), Some(0));
 
--- a/crates/gateway/tests/platform/client_requests.rs
+++ b/crates/gateway/tests/platform/client_requests.rs
@@ -8,16 +8,26 @@
 #[test]
 fn clients_that_do_not_read_long_responses_do_not_exhaust_memory() {
     let host = HostProcess::new(1);
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n{}", "x".repeat(900_000));
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n{}",
+        "x".repeat(900_000)
+    );
     let mut clients = Vec::new();
     for n in 0..40 {
         let mut client = host.client();
         host.nodes[0].behave_next(Behavior::Raw(text.clone()));
         client.send(&read_text(&format!("r{n}"), 0, 900));
-        wait_until("it is at the node", || host.nodes[0].received().len() == n + 1);
+        wait_until("it is at the node", || {
+            host.nodes[0].received().len() == n + 1
+        });
         clients.push(client);
     }
-    wait_until("the host serves on", || host.client().read(&format!("ok{}", host.next_number()), 0).0 == 200);
+    wait_until("the host serves on", || {
+        host.client()
+            .read(&format!("ok{}", host.next_number()), 0)
+            .0
+            == 200
+    });
     assert!(host.memory_kb() < 32 * 1024, "{} kB", host.memory_kb());
 }
 
@@ -31,10 +41,19 @@
         "GET / HTTP/1.1\r\n\r\n".to_owned(),
         format!("GET /{} HTTP/1.1\r\n", "a".repeat(20_000)),
         put("Content-Length: 1", "Content-Length: -1"),
-        put("Content-Length: 1", "Content-Length: 1\r\nContent-Length: 1"),
-        put("Content-Length: 1", "Content-Length: 1\r\nTransfer-Encoding: chunked"),
+        put(
+            "Content-Length: 1",
+            "Content-Length: 1\r\nContent-Length: 1",
+        ),
+        put(
+            "Content-Length: 1",
+            "Content-Length: 1\r\nTransfer-Encoding: chunked",
+        ),
         put("Content-Length: 1", "Content-Length: 62914560"),
-        put("Content-Length: 1", "Content-Length: 99999999999999999999999999"),
+        put(
+            "Content-Length: 1",
+            "Content-Length: 99999999999999999999999999",
+        ),
         put("Content-Length: 1\r\n", ""),
         put("X-Priority-Class: book", "X-Priority-Class: nope"),
         put("X-Priority-Class: book", "X-Priority-Class: look"),
@@ -51,18 +70,33 @@
         let start = Instant::now();
         client.send(text);
         let status = client.answer().map(|a| a.0);
-        assert!(status.is_none_or(|s| (400..600).contains(&s)), "{status:?} to {text:.80}");
+        assert!(
+            status.is_none_or(|s| (400..600).contains(&s)),
+            "{status:?} to {text:.80}"
+        );
         assert!(start.elapsed() < Duration::from_secs(3), "{text:.80}");
-        assert_eq!(host.client().write(&format!("ok{}", host.next_number()), 0, "x").0, 200);
+        assert_eq!(
+            host.client()
+                .write(&format!("ok{}", host.next_number()), 0, "x")
+                .0,
+            200
+        );
     }
-    assert!(host.nodes[0].received().iter().all(|s| s.id.starts_with("ok")));
+    assert!(
+        host.nodes[0]
+            .received()
+            .iter()
+            .all(|s| s.id.starts_with("ok"))
+    );
 }
 
 #[test]
 fn an_oversized_body_is_rejected_at_its_header_with_a_readable_error() {
     let host = HostProcess::new(1);
     let mut client = host.client();
-    client.send(&write_text("g", 0, "x", 400).replace("Content-Length: 1", "Content-Length: 62914560"));
+    client.send(
+        &write_text("g", 0, "x", 400).replace("Content-Length: 1", "Content-Length: 62914560"),
+    );
     let block = vec![b'x'; 64 * 1024];
     for _ in 0..960 {
         if client.socket.write_all(&block).is_err() {
@@ -105,7 +139,11 @@
     let mut clients: Vec<Client> = (0..400).map(|_| host.client()).collect();
     for n in 0..20 {
         clients.extend((0..40).map(|_| host.client()));
-        assert_eq!(host.client().read(&format!("new{n}"), 0).0, 200, "behind forty silent connections");
+        assert_eq!(
+            host.client().read(&format!("new{n}"), 0).0,
+            200,
+            "behind forty silent connections"
+        );
         assert_eq!(usual.read(&format!("kept{n}"), 0).0, 200);
     }
     assert!(host.descriptors() <= 256, "{}", host.descriptors());
@@ -128,10 +166,15 @@
 fn pipelined_requests_are_answered_in_order() {
     let host = HostProcess::new(1);
     let mut client = host.client();
-    let all: String = (0..300).map(|n| read_text(&format!("p{n}"), 0, 900)).collect();
+    let all: String = (0..300)
+        .map(|n| read_text(&format!("p{n}"), 0, 900))
+        .collect();
     client.send(&all);
     for n in 0..300 {
         let (status, body) = client.answer().expect("an answer to each");
-        assert!(status == 503 || body == format!("made for p{n}"), "{n}: {status}");
+        assert!(
+            status == 503 || body == format!("made for p{n}"),
+            "{n}: {status}"
+        );
     }
 }
--- a/crates/gateway/tests/platform/configuration.rs
+++ b/crates/gateway/tests/platform/configuration.rs
@@ -9,7 +9,8 @@
     assert_eq!(client.read("first", 0).0, 200);
     wait_until("a watch is open", || host.endpoint_service.watchers() > 0);
     let entry = |n: usize, health: &str| host.nodes[n].entry(&format!("s-{n}"), 0, health);
-    host.endpoint_service.publish(&format!("{},{}", entry(0, "draining"), entry(1, "ready")));
+    host.endpoint_service
+        .publish(&format!("{},{}", entry(0, "draining"), entry(1, "ready")));
     wait_until("the successor serves", || {
         client.read(&format!("r{}", host.next_number()), 0);
         host.nodes[1].received().len() > 3
@@ -27,8 +28,11 @@
     let mut client = host.client();
     wait_until("a watch is open", || host.endpoint_service.watchers() > 0);
     let before = host.endpoint_service.requests();
-    host.endpoint_service.send_raw("{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");
-    wait_until("it requests again", || host.endpoint_service.requests() > before);
+    host.endpoint_service
+        .send_raw("{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");
+    wait_until("it requests again", || {
+        host.endpoint_service.requests() > before
+    });
     assert_eq!(client.read("after", 0).0, 200);
 }
 
@@ -65,5 +69,8 @@
     let output = run_with_config(&text).wait_with_output().expect("output");
     let log = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
-    assert!(log.contains("limits.sockets") && log.contains("settings"), "{log}");
+    assert!(
+        log.contains("limits.sockets") && log.contains("settings"),
+        "{log}"
+    );
 }
--- a/crates/gateway/tests/platform/descriptor_limits.rs
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -13,7 +13,9 @@
 
 /// An address where nobody listens.
 fn unused_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("an address")
 }
 
 fn with_min_descriptors(config: &str, endpoint_service: SocketAddr) -> String {
@@ -43,14 +45,21 @@
         with_min_descriptors(&config, unused_address())
     });
     let wait_until_served = || {
-        wait_until("the host serves", || host.client().read(&format!("r{}", host.next_number()), 0).0 == 200);
+        wait_until("the host serves", || {
+            host.client().read(&format!("r{}", host.next_number()), 0).0 == 200
+        });
     };
     let mut idle = Vec::new();
-    wait_until("the host listens", || std::net::TcpStream::connect(host.address()).is_ok());
+    wait_until("the host listens", || {
+        std::net::TcpStream::connect(host.address()).is_ok()
+    });
     connect_idle_clients(&host, &mut idle);
     wait_until_served();
     // The new configuration names a running service, and idle clients go on connecting.
-    host.write_config(&with_min_descriptors(&host.config(&host.endpoint_service), service.address));
+    host.write_config(&with_min_descriptors(
+        &host.config(&host.endpoint_service),
+        service.address,
+    ));
     host.signal(Signal::SIGHUP);
     connect_idle_clients(&host, &mut idle);
     service.wait_for_request(0);
@@ -64,7 +73,9 @@
     service.wait_for_request(1);
     service.send(1, HEAD);
     service.send_line(1, 51, false, &host.nodes[0].entry("s-0", 0, "draining"));
-    wait_until("the drain is obeyed", || host.client().read(&format!("d{}", host.next_number()), 0).0 == 503);
+    wait_until("the drain is obeyed", || {
+        host.client().read(&format!("d{}", host.next_number()), 0).0 == 503
+    });
     assert!(host.descriptors() as u64 <= MIN_DESCRIPTORS);
 }
 
@@ -77,7 +88,8 @@
     let refused = |text: &str, descriptors: Option<u64>| {
         let mut host = run_with_descriptors(text, descriptors);
         let mut log = String::new();
-        std::io::Read::read_to_string(&mut host.stderr.take().expect("piped"), &mut log).expect("text");
+        std::io::Read::read_to_string(&mut host.stderr.take().expect("piped"), &mut log)
+            .expect("text");
         assert_eq!(host.wait().expect("a child").code(), Some(1), "{log}");
         log
     };
--- a/crates/gateway/tests/platform/endpoint_list.rs
+++ b/crates/gateway/tests/platform/endpoint_list.rs
@@ -9,7 +9,11 @@
 use std::time::{Duration, Instant};
 
 /// A host that watches this service; all nodes are in its cached list, each with the shard of its own index.
-fn host(service: &ScriptedEndpointService, nodes: usize, change: impl Fn(String) -> String) -> HostProcess {
+fn host(
+    service: &ScriptedEndpointService,
+    nodes: usize,
+    change: impl Fn(String) -> String,
+) -> HostProcess {
     let nodes: Vec<Node> = (0..nodes).map(|_| Node::new()).collect();
     let all = entries(&nodes, "ready");
     HostProcess::with_nodes(nodes, |config, entry| {
@@ -38,14 +42,21 @@
 }
 
 fn entries(nodes: &[Node], health: &str) -> String {
-    (0..nodes.len()).map(|at| entry(nodes, at, health)).collect::<Vec<_>>().join(",")
+    (0..nodes.len())
+        .map(|at| entry(nodes, at, health))
+        .collect::<Vec<_>>()
+        .join(",")
 }
 
 /// Waits until a node's drain is obeyed: it alone has its shard, so every read of the shard is shed from then
 /// on.
 fn assert_drained(host: &HostProcess, at: usize) {
     let mut client = host.client();
-    let mut read = || client.read(&format!("d{}", host.next_number()), at as u32).0;
+    let mut read = || {
+        client
+            .read(&format!("d{}", host.next_number()), at as u32)
+            .0
+    };
     wait_until("the node is closed", || read() == 503);
     let before = host.nodes[at].received().len();
     assert!((0..20).all(|_| read() == 503), "and stays so");
@@ -63,7 +74,10 @@
             service.send_line(next, 51, false, &entry(&host.nodes, at, "draining"));
             next += 1;
         }
-        client.read(&format!("t{}", host.next_number()), at as u32).0 == 503
+        client
+            .read(&format!("t{}", host.next_number()), at as u32)
+            .0
+            == 503
     });
     assert_drained(host, at);
 }
@@ -73,14 +87,20 @@
     let mut client = host.client();
     for at in 0..host.nodes.len() {
         wait_until("the node serves", || {
-            client.read(&format!("s{}", host.next_number()), at as u32).0 == 200
+            client
+                .read(&format!("s{}", host.next_number()), at as u32)
+                .0
+                == 200
         });
     }
 }
 
 #[test]
 fn a_new_service_is_asked_for_a_full_snapshot() {
-    let (old, new) = (ScriptedEndpointService::new(), ScriptedEndpointService::new());
+    let (old, new) = (
+        ScriptedEndpointService::new(),
+        ScriptedEndpointService::new(),
+    );
     let host = host(&old, 2, |config| config);
     old.send(0, HEAD);
     old.send_line(0, 50, true, &entries(&host.nodes, "ready"));
@@ -88,7 +108,11 @@
     host.write_config(&moved(&host.config(&host.endpoint_service), &new));
     host.signal(Signal::SIGHUP);
     old.send_line(0, 51, false, &entry(&host.nodes, 1, "ready"));
-    assert!(!new.wait_for_request(0).contains("since"), "{}", new.wait_for_request(0));
+    assert!(
+        !new.wait_for_request(0).contains("since"),
+        "{}",
+        new.wait_for_request(0)
+    );
     new.send(0, HEAD);
     new.send_line(0, 5, true, &entries(&host.nodes, "ready"));
     new.send_line(0, 6, false, &entry(&host.nodes, 0, "draining"));
@@ -98,14 +122,19 @@
 
 #[test]
 fn the_end_of_the_old_watch_does_not_delay_the_new_service() {
-    let (old, new) = (ScriptedEndpointService::new(), ScriptedEndpointService::new());
+    let (old, new) = (
+        ScriptedEndpointService::new(),
+        ScriptedEndpointService::new(),
+    );
     // Three hundred hosts spread their requests over as long as the rule on drains lets them wait, 4 s here.
     let many = |config: String| {
         let config = config.replace("\"balancers\": 1", "\"balancers\": 300");
         config.replace("\"ask_within_us\": 10000000", "\"ask_within_us\": 5000000")
     };
     for seed in ["1", "2", "3"] {
-        let host = host(&old, 1, |config| many(config).replace("8c1f30d27a5be964", seed));
+        let host = host(&old, 1, |config| {
+            many(config).replace("8c1f30d27a5be964", seed)
+        });
         let first = old.requests();
         old.send(first, HEAD);
         old.send_line(first, 50, true, &entries(&host.nodes, "ready"));
@@ -115,14 +144,20 @@
         let signalled = Instant::now();
         old.close(first);
         new.wait_for_request(before);
-        assert!(signalled.elapsed() < Duration::from_millis(2_500), "seed {seed}: {:?}", signalled.elapsed());
+        assert!(
+            signalled.elapsed() < Duration::from_millis(2_500),
+            "seed {seed}: {:?}",
+            signalled.elapsed()
+        );
     }
 }
 
 #[test]
 fn failed_polls_are_retried_in_time_after_the_service_returns() {
     let service = ScriptedEndpointService::new();
-    let host = host(&service, 1, |config| config.replace("\"balancers\": 1", "\"balancers\": 300"));
+    let host = host(&service, 1, |config| {
+        config.replace("\"balancers\": 1", "\"balancers\": 300")
+    });
     service.send(0, HEAD);
     service.send_line(0, 50, true, &entries(&host.nodes, "ready"));
     service.close(0);
@@ -130,7 +165,11 @@
     for call in 1..=2 {
         let from = Instant::now();
         service.wait_for_request(call);
-        assert!(from.elapsed() < Duration::from_millis(4_800), "request {call}: {:?}", from.elapsed());
+        assert!(
+            from.elapsed() < Duration::from_millis(4_800),
+            "request {call}: {:?}",
+            from.elapsed()
+        );
         service.send(call, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
     }
     service.wait_for_request(3);
@@ -143,16 +182,28 @@
     wait_until_served(&host);
     service.close(0);
     // The service has restarted: it counts from 5, and has nothing newer than 50.
-    assert!(service.wait_for_request(1).contains("since=50"), "{}", service.wait_for_request(1));
+    assert!(
+        service.wait_for_request(1).contains("since=50"),
+        "{}",
+        service.wait_for_request(1)
+    );
     service.send(1, HEAD);
     service.send_line(1, 5, false, "");
-    assert!(!service.wait_for_request(2).contains("since"), "{}", service.wait_for_request(2));
+    assert!(
+        !service.wait_for_request(2).contains("since"),
+        "{}",
+        service.wait_for_request(2)
+    );
     service.send(2, HEAD);
     service.send_line(
         2,
         5,
         true,
-        &format!("{},{}", entry(&host.nodes, 0, "draining"), entry(&host.nodes, 1, "ready")),
+        &format!(
+            "{},{}",
+            entry(&host.nodes, 0, "draining"),
+            entry(&host.nodes, 1, "ready")
+        ),
     );
     assert_drained(&host, 0);
 }
@@ -174,7 +225,13 @@
     let service = ScriptedEndpointService::new();
     let host = host(&service, 2, |config| config);
     let list = line(50, true, &entries(&host.nodes, "ready"));
-    service.send(0, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
+    service.send(
+        0,
+        &format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+            list.len()
+        ),
+    );
     assert!(service.wait_for_request(1).contains("since=50"));
     publish_drain(&host, &service, 1, 0);
 }
@@ -196,10 +253,18 @@
     // The service accepts requests and answers none. Each request but the first comes while another one is
     // open.
     wait_until("there were several requests", || {
-        assert!(service.open_requests() > 0, "no open request after {}", service.requests());
+        assert!(
+            service.open_requests() > 0,
+            "no open request after {}",
+            service.requests()
+        );
         service.requests() > 3
     });
-    assert!(service.open_requests() <= 2, "{} requests at once", service.open_requests());
+    assert!(
+        service.open_requests() <= 2,
+        "{} requests at once",
+        service.open_requests()
+    );
     // The first answer to the last request makes it the watch.
     publish_drain(&host, &service, service.requests() - 1, 0);
     wait_until("one request is open", || service.open_requests() == 1);
@@ -213,7 +278,9 @@
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
     assert_drained(&host, 0);
     service.send_line(1, 52, false, &entry(&host.nodes, 1, "draining"));
-    wait_until("the silent watch is closed", || service.open_requests() == 1);
+    wait_until("the silent watch is closed", || {
+        service.open_requests() == 1
+    });
     assert_drained(&host, 1);
     assert_eq!(service.requests(), 2);
 }
@@ -227,7 +294,11 @@
     service.send_line(0, 51, false, &format!("{drain},{unread}"));
     assert_drained(&host, 0);
     // Nothing else of the line is applied: the changes since 50 are requested again.
-    assert!(service.wait_for_request(1).contains("since=50"), "{}", service.wait_for_request(1));
+    assert!(
+        service.wait_for_request(1).contains("since=50"),
+        "{}",
+        service.wait_for_request(1)
+    );
 }
 
 #[test]
@@ -240,7 +311,14 @@
     service.send(0, &chunk(&whole[..whole.len() / 2]));
     service.send(0, &chunk(&whole[whole.len() / 2..]));
     service.send(0, &chunk("\n"));
-    service.send(0, &chunk(&indented(&line(51, false, &entry(&host.nodes, 0, "draining")))));
+    service.send(
+        0,
+        &chunk(&indented(&line(
+            51,
+            false,
+            &entry(&host.nodes, 0, "draining"),
+        ))),
+    );
     assert_drained(&host, 0);
     assert_eq!((service.requests(), service.open_requests()), (1, 1));
 }
@@ -266,7 +344,11 @@
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
     service.close(0);
     host.resume();
-    assert!(service.wait_for_request(1).contains("since=51"), "{}", service.wait_for_request(1));
+    assert!(
+        service.wait_for_request(1).contains("since=51"),
+        "{}",
+        service.wait_for_request(1)
+    );
     assert_drained(&host, 0);
 }
 
@@ -282,7 +364,9 @@
 #[test]
 fn a_received_drain_is_applied_before_requests_received_with_it() {
     let service = ScriptedEndpointService::new();
-    let host = host(&service, 2, |config| config.replace("\"sockets\":256", "\"sockets\":2048"));
+    let host = host(&service, 2, |config| {
+        config.replace("\"sockets\":256", "\"sockets\":2048")
+    });
     service.send(0, HEAD);
     service.send_line(0, 50, true, &entries(&host.nodes, "ready"));
     wait_until_served(&host);
@@ -300,15 +384,24 @@
     }
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
     host.resume();
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer().map(|a| a.0), Some(503)));
-    assert_eq!(host.nodes[0].received().len(), before, "none went to the node that drains");
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.answer().map(|a| a.0), Some(503)));
+    assert_eq!(
+        host.nodes[0].received().len(),
+        before,
+        "none went to the node that drains"
+    );
 }
 
 #[test]
 fn a_node_replaced_at_its_address_is_used_under_its_new_name() {
     let (service, host) = state(1);
     wait_until_served(&host);
-    let (gone, new) = (entry(&host.nodes, 0, "gone"), host.nodes[0].entry("s-9", 0, "ready"));
+    let (gone, new) = (
+        entry(&host.nodes, 0, "gone"),
+        host.nodes[0].entry("s-9", 0, "ready"),
+    );
     host.suspend();
     host.nodes[0].close_connections();
     service.send_line(0, 51, false, &format!("{gone},{new}"));
@@ -316,5 +409,12 @@
     client.send(&write_text("w", 0, "x", 1_900));
     host.resume();
     assert_eq!(client.answer(), Some((200, "made for w".into())));
-    assert_eq!(host.nodes[0].received().iter().filter(|s| s.id == "w").count(), 1);
+    assert_eq!(
+        host.nodes[0]
+            .received()
+            .iter()
+            .filter(|s| s.id == "w")
+            .count(),
+        1
+    );
 }
--- a/crates/gateway/tests/platform/event_loop.rs
+++ b/crates/gateway/tests/platform/event_loop.rs
@@ -13,7 +13,10 @@
             })
             .collect();
         let config = config.replace("8c1f30d27a5be964", "f27");
-        config.replace(&format!("[{entry}]"), &format!("[{entry},{}]", rest.join(",")))
+        config.replace(
+            &format!("[{entry}]"),
+            &format!("[{entry},{}]", rest.join(",")),
+        )
     });
     (0..12).for_each(|_| host.nodes[0].behave_next(Behavior::StaySilent));
     let mut clients: Vec<Client> = (0..12).map(|_| host.client()).collect();
--- a/crates/gateway/tests/platform/node_responses.rs
+++ b/crates/gateway/tests/platform/node_responses.rs
@@ -12,13 +12,23 @@
         let id = format!("r{n}");
         assert_eq!(client.read(&id, 0), (200, format!("made for {id}")));
         let id = format!("w{n}");
-        assert_eq!(client.write(&id, 0, "posted"), (200, format!("made for {id}")));
+        assert_eq!(
+            client.write(&id, 0, "posted"),
+            (200, format!("made for {id}"))
+        );
     }
     let seen = host.nodes[0].received();
     assert_eq!(seen.len(), 40);
-    assert!(seen.iter().all(|s| s.target.starts_with("/look/") || s.body == "posted"));
+    assert!(
+        seen.iter()
+            .all(|s| s.target.starts_with("/look/") || s.body == "posted")
+    );
     // One that has just been used rests; apart from that they are used again.
-    assert!(host.nodes[0].connections() <= 12, "{} connections", host.nodes[0].connections());
+    assert!(
+        host.nodes[0].connections() <= 12,
+        "{} connections",
+        host.nodes[0].connections()
+    );
 }
 
 #[test]
@@ -33,31 +43,59 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbody",
         "HTTP/9.9 200 OK\r\nContent-Length: 4\r\n\r\nbody",
     ];
-    let endless = format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: 0123456789\r\n".repeat(1_000));
+    let endless = format!(
+        "HTTP/1.1 200 OK\r\n{}",
+        "X-Pad: 0123456789\r\n".repeat(1_000)
+    );
     let many = "HTTP/1.1 100 Continue\r\n\r\n".repeat(50);
     let host = HostProcess::new(1);
     let mut client = host.client();
-    for (n, text) in corrupt.iter().copied().chain([&*endless, &*many]).enumerate() {
+    for (n, text) in corrupt
+        .iter()
+        .copied()
+        .chain([&*endless, &*many])
+        .enumerate()
+    {
         host.nodes[0].behave_next(Behavior::Raw(text.to_owned()));
         let (status, body) = client.write(&format!("w{n}"), 0, "x");
         assert_eq!((status, &*body), (500, ""), "{text:.60}");
         host.nodes[0].behave_next(Behavior::Raw(text.to_owned()));
         let id = format!("r{n}");
         let (status, body) = client.read(&id, 0);
-        assert!(status == 200 && body == format!("made for {id}") || status == 503, "{status} {text:.60}");
+        assert!(
+            status == 200 && body == format!("made for {id}") || status == 503,
+            "{status} {text:.60}"
+        );
     }
-    let writes = host.nodes[0].received().iter().filter(|s| s.target.starts_with("/book/")).count();
-    assert_eq!(writes, corrupt.len() + 2, "each write reached the node once");
+    let writes = host.nodes[0]
+        .received()
+        .iter()
+        .filter(|s| s.target.starts_with("/book/"))
+        .count();
+    assert_eq!(
+        writes,
+        corrupt.len() + 2,
+        "each write reached the node once"
+    );
 }
 
 #[test]
 fn a_response_with_trailing_bytes_is_used_but_its_connection_is_not_reused() {
     let host = HostProcess::new(1);
     let mut client = host.client();
-    for (n, tail) in ["noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"].iter().enumerate() {
+    for (n, tail) in ["noise", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"]
+        .iter()
+        .enumerate()
+    {
         host.nodes[0].behave_next(Behavior::AnswerBetween(String::new(), (*tail).to_owned()));
-        assert_eq!(client.read(&format!("a{n}"), 0), (200, format!("made for a{n}")));
-        assert_eq!(client.read(&format!("b{n}"), 0), (200, format!("made for b{n}")));
+        assert_eq!(
+            client.read(&format!("a{n}"), 0),
+            (200, format!("made for a{n}"))
+        );
+        assert_eq!(
+            client.read(&format!("b{n}"), 0),
+            (200, format!("made for b{n}"))
+        );
     }
     let ahead = "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
     host.nodes[0].behave_next(Behavior::AnswerBetween(ahead.to_owned(), String::new()));
@@ -71,13 +109,18 @@
 fn long_responses_reach_slow_clients_complete_and_release_their_memory() {
     let host = HostProcess::new(1);
     let long: String = (0..50_000).map(|n| format!("{n:08}")).collect();
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len());
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
+        long.len()
+    );
     // In sum far more than the host may buffer.
     for n in 0..60 {
         let mut client = host.client();
         host.nodes[0].behave_next(Behavior::Raw(text.clone()));
         client.send(&read_text(&format!("r{n}"), 0, 900));
-        wait_until("it is at the node", || host.nodes[0].received().len() == n + 1);
+        wait_until("it is at the node", || {
+            host.nodes[0].received().len() == n + 1
+        });
         assert!(client.answer() == Some((200, long.clone())), "answer {n}");
     }
 }
@@ -90,7 +133,9 @@
     assert_eq!(client.write("w", 0, "x").0, 500, "it may have run");
     assert_eq!(host.nodes[0].received().len(), 1);
     host.nodes[0].stop();
-    wait_until("refused", || client.write(&format!("w{}", host.next_number()), 0, "x").0 == 503);
+    wait_until("refused", || {
+        client.write(&format!("w{}", host.next_number()), 0, "x").0 == 503
+    });
 }
 
 #[test]
@@ -100,7 +145,14 @@
     let busy = "HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
     host.nodes[0].behave_next(Behavior::Raw(busy.into()));
     assert_eq!(client.write("w", 0, "x"), (200, "made for w".into()));
-    assert_eq!(host.nodes[0].received().iter().filter(|s| s.id == "w").count(), 2);
+    assert_eq!(
+        host.nodes[0]
+            .received()
+            .iter()
+            .filter(|s| s.id == "w")
+            .count(),
+        2
+    );
 }
 
 #[test]
@@ -111,8 +163,14 @@
     let start = Instant::now();
     let (status, _) = client.write_within("w", 0, "x", 400);
     assert_eq!(status, 500);
-    assert!(start.elapsed() < Duration::from_millis(450), "{:?}", start.elapsed());
-    wait_until("the attempt is given up by closing", || host.nodes[0].closed_connections() == 1);
+    assert!(
+        start.elapsed() < Duration::from_millis(450),
+        "{:?}",
+        start.elapsed()
+    );
+    wait_until("the attempt is given up by closing", || {
+        host.nodes[0].closed_connections() == 1
+    });
 }
 
 #[test]
@@ -120,13 +178,27 @@
     let host = HostProcess::new(1);
     let (mut lost, mut client) = (host.client(), host.client());
     lost.send(&write_text("lost", 7, "x", 9_000));
-    assert_eq!(lost.answer(), Some((503, String::new())), "no node holds its shard");
+    assert_eq!(
+        lost.answer(),
+        Some((503, String::new())),
+        "no node holds its shard"
+    );
     assert_eq!(lost.retry_after, Some(0.1));
     let start = Instant::now();
-    host.nodes[0].behave_next(Behavior::Raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n".into()));
-    assert_eq!(client.write_within("w", 0, "x", 9_000).0, 500, "it may have run, and may not run again");
+    host.nodes[0].behave_next(Behavior::Raw(
+        "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n".into(),
+    ));
+    assert_eq!(
+        client.write_within("w", 0, "x", 9_000).0,
+        500,
+        "it may have run, and may not run again"
+    );
     // Its latency objective is 300 ms, its deadline 2 s, and its client waits for 9 s.
-    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        start.elapsed()
+    );
     assert!(host.nodes[0].received().iter().all(|s| s.id == "w"));
 }
 
@@ -138,6 +210,8 @@
     client.send(&read_text("gone", 0, 900));
     wait_until("it is at the node", || host.nodes[0].received().len() == 1);
     drop(client);
-    wait_until("its connection is closed", || host.nodes[0].closed_connections() == 1);
+    wait_until("its connection is closed", || {
+        host.nodes[0].closed_connections() == 1
+    });
     assert_eq!(host.client().read("next", 0).0, 200);
 }
--- a/crates/gateway/tests/platform/races.rs
+++ b/crates/gateway/tests/platform/races.rs
@@ -12,7 +12,10 @@
 fn with_long_timeouts(config: String) -> String {
     let config = config.replace("\"deadline_us\": 1000000", "\"deadline_us\": 60000000");
     let config = config.replace("\"aim_us\": 300000", "\"aim_us\": 30000000");
-    config.replace("\"connect_timeout_us\": 250000", "\"connect_timeout_us\": 60000000")
+    config.replace(
+        "\"connect_timeout_us\": 250000",
+        "\"connect_timeout_us\": 60000000",
+    )
 }
 
 /// Ways to disconnect.
@@ -23,20 +26,28 @@
         std::mem::forget(client);
     },
     // A reset.
-    |client| SockRef::from(&client.socket).set_linger(Some(Duration::ZERO)).expect("open"),
+    |client| {
+        SockRef::from(&client.socket)
+            .set_linger(Some(Duration::ZERO))
+            .expect("open")
+    },
     |mut client| client.send("GET /behind HTTP/1.1\r\n"),
 ];
 
 #[test]
 fn an_attempt_waiting_for_a_connection_is_withdrawn_when_its_client_disconnects() {
     for cancel in ["\"cancel\": true", "\"cancel\": false"] {
-        let change = |config: String, _: &str| with_long_timeouts(config).replace("\"cancel\": true", cancel);
+        let change = |config: String, _: &str| {
+            with_long_timeouts(config).replace("\"cancel\": true", cancel)
+        };
         let host = HostProcess::with_nodes(vec![Node::not_accepting().with_full_backlog()], change);
         let node = &host.nodes[0];
         for (n, leave) in DISCONNECTS.into_iter().enumerate() {
             let mut client = host.client();
             client.send(&read_text(&format!("gone{n}"), 0, 50_000));
-            wait_until("its attempt waits for a connection", || node.pending_count() == 1);
+            wait_until("its attempt waits for a connection", || {
+                node.pending_count() == 1
+            });
             leave(client);
             wait_until("the attempt is withdrawn", || node.pending_count() == 0);
         }
@@ -44,40 +55,56 @@
         let mut next = host.client();
         next.send(&read_text("next", 0, 50_000));
         assert_eq!(next.answer(), Some((200, "made for next".into())));
-        assert!(node.received().iter().all(|s| s.id == "next"), "nothing of the disconnected clients");
+        assert!(
+            node.received().iter().all(|s| s.id == "next"),
+            "nothing of the disconnected clients"
+        );
     }
 }
 
 #[test]
 fn an_attempt_that_waited_for_a_connection_sends_the_remaining_timeout() {
-    let host = HostProcess::with_nodes(vec![Node::not_accepting().with_full_backlog()], |config, _| {
-        with_long_timeouts(config)
-    });
+    let host = HostProcess::with_nodes(
+        vec![Node::not_accepting().with_full_backlog()],
+        |config, _| with_long_timeouts(config),
+    );
     let node = &host.nodes[0];
     let mut client = host.client();
     let from = Instant::now();
     client.send(&read_text("r", 0, 50_000));
     wait_until("it waits for a connection", || node.pending_count() == 1);
-    wait_until("some time has passed", || from.elapsed() > Duration::from_millis(400));
+    wait_until("some time has passed", || {
+        from.elapsed() > Duration::from_millis(400)
+    });
     node.start_accepting();
     assert_eq!(client.answer(), Some((200, "made for r".into())));
     let timeout = node.received()[0].timeout_ms;
-    assert!(timeout <= 50_000 - 400 && timeout > 30_000, "{timeout} ms of 50 s, 0.4 s after the request");
+    assert!(
+        timeout <= 50_000 - 400 && timeout > 30_000,
+        "{timeout} ms of 50 s, 0.4 s after the request"
+    );
 }
 
 #[test]
 fn draining_withdraws_an_attempt_waiting_for_a_connection() {
-    let host =
-        HostProcess::with_nodes(vec![Node::not_accepting().with_full_backlog(), Node::new()], |config, _| {
-            with_long_timeouts(config)
-        });
+    let host = HostProcess::with_nodes(
+        vec![Node::not_accepting().with_full_backlog(), Node::new()],
+        |config, _| with_long_timeouts(config),
+    );
     let mut client = host.client();
     client.send(&read_text("r", 0, 50_000));
-    wait_until("it waits for a connection", || host.nodes[0].pending_count() == 1);
+    wait_until("it waits for a connection", || {
+        host.nodes[0].pending_count() == 1
+    });
     wait_until("a watch is open", || host.endpoint_service.watchers() > 0);
     let entry = |n: usize, health: &str| host.nodes[n].entry(&format!("s-{n}"), 0, health);
-    host.endpoint_service.publish(&format!("{},{}", entry(0, "draining"), entry(1, "ready")));
-    assert_eq!(client.answer(), Some((200, "made for r".into())), "the other node serves it");
+    host.endpoint_service
+        .publish(&format!("{},{}", entry(0, "draining"), entry(1, "ready")));
+    assert_eq!(
+        client.answer(),
+        Some((200, "made for r".into())),
+        "the other node serves it"
+    );
     assert_eq!(host.nodes[0].pending_count(), 0);
 }
 
@@ -96,8 +123,17 @@
     assert_eq!(host.client().read("next", 0).0, 200);
     host.nodes[0].release_held();
     // Both are found in one iteration, so a retry may have begun; it is cancelled, and none follows.
-    wait_until("its connections are closed", || host.nodes[0].closed_connections() >= 1);
-    assert!(host.nodes[0].received().iter().filter(|s| s.id == "r").count() <= 2);
+    wait_until("its connections are closed", || {
+        host.nodes[0].closed_connections() >= 1
+    });
+    assert!(
+        host.nodes[0]
+            .received()
+            .iter()
+            .filter(|s| s.id == "r")
+            .count()
+            <= 2
+    );
 }
 
 #[test]
@@ -119,12 +155,15 @@
 
 #[test]
 fn connections_to_a_suspended_host_are_not_delayed_by_a_retransmission() {
-    let host = HostProcess::with_config(1, |config, _| config.replace("\"sockets\":256", "\"sockets\":2048"));
+    let host = HostProcess::with_config(1, |config, _| {
+        config.replace("\"sockets\":256", "\"sockets\":2048")
+    });
     host.suspend();
     // The system retransmits a dropped SYN after a second at the earliest.
     let clients: Vec<_> = (0..400)
         .map(|_| {
-            TcpStream::connect_timeout(&host.address(), Duration::from_millis(900)).expect("it is queued")
+            TcpStream::connect_timeout(&host.address(), Duration::from_millis(900))
+                .expect("it is queued")
         })
         .collect();
     host.resume();
@@ -138,9 +177,15 @@
     for _ in 0..20 {
         let start = Instant::now();
         let mut clients: Vec<Client> = (0..120).map(|_| host.client()).collect();
-        clients.iter_mut().enumerate().for_each(|(n, client)| client.send(&says(n)));
+        clients
+            .iter_mut()
+            .enumerate()
+            .for_each(|(n, client)| client.send(&says(n)));
         // Clients are read in their order: once the last one is served, all before it were read.
-        let served = host.client().try_read(&format!("last{}", host.next_number()), 0).is_some();
+        let served = host
+            .client()
+            .try_read(&format!("last{}", host.next_number()), 0)
+            .is_some();
         if served && start.elapsed() < Duration::from_secs(1) {
             return (clients, Instant::now());
         }
@@ -168,12 +213,17 @@
         settled
     });
     let out: Vec<String> = node.received().iter().map(|s| s.id.clone()).collect();
-    assert!(!out.is_empty() && out.len() < 20, "some are queued: {out:?}");
+    assert!(
+        !out.is_empty() && out.len() < 20,
+        "some are queued: {out:?}"
+    );
     for n in (0..20).rev().filter(|n| !out.contains(&format!("r{n}"))) {
         drop(clients.remove(n));
     }
     node.release_held();
-    wait_until("the node has answered", || node.responses_sent() == out.len());
+    wait_until("the node has answered", || {
+        node.responses_sent() == out.len()
+    });
     host.resume();
     for client in &mut clients {
         assert_eq!(client.answer().map(|a| a.0), Some(200));
@@ -181,19 +231,28 @@
     let mut next = host.client();
     next.send(&read_text("next", 0, 50_000));
     assert_eq!(next.answer(), Some((200, "made for next".into())));
-    let seen: Vec<String> = node.received().into_iter().map(|s| s.id).filter(|id| id != "next").collect();
+    let seen: Vec<String> = node
+        .received()
+        .into_iter()
+        .map(|s| s.id)
+        .filter(|id| id != "next")
+        .collect();
     assert_eq!(seen, out, "nothing of the disconnected clients");
 }
 
 #[test]
 fn requests_received_before_the_idle_timeout_is_checked_are_answered() {
-    let host = HostProcess::with_config(1, |config, _| config.replace("\"sockets\":256", "\"sockets\":2048"));
+    let host = HostProcess::with_config(1, |config, _| {
+        config.replace("\"sockets\":256", "\"sockets\":2048")
+    });
     let (mut clients, admitted_at) = connect_many(&host, |_| String::new());
     host.suspend();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&read_text(&format!("r{n}"), 0, 5_000));
     }
-    wait_until("their idle timeout has passed", || admitted_at.elapsed() > Duration::from_millis(2_100));
+    wait_until("their idle timeout has passed", || {
+        admitted_at.elapsed() > Duration::from_millis(2_100)
+    });
     host.resume();
     for client in &mut clients {
         assert!(matches!(client.answer(), Some((200 | 503, _))));
@@ -202,12 +261,19 @@
 
 #[test]
 fn an_incomplete_request_completed_before_its_timeout_is_checked_is_admitted() {
-    let host = HostProcess::with_config(1, |config, _| config.replace("\"sockets\":256", "\"sockets\":2048"));
+    let host = HostProcess::with_config(1, |config, _| {
+        config.replace("\"sockets\":256", "\"sockets\":2048")
+    });
     let text = |n: usize| read_text(&format!("r{n}"), 0, 5_000);
     let (mut clients, admitted_at) = connect_many(&host, |n| text(n)[..60].to_owned());
     host.suspend();
-    clients.iter_mut().enumerate().for_each(|(n, client)| client.send(&text(n)[60..]));
-    wait_until("their timeout has passed", || admitted_at.elapsed() > Duration::from_millis(2_100));
+    clients
+        .iter_mut()
+        .enumerate()
+        .for_each(|(n, client)| client.send(&text(n)[60..]));
+    wait_until("their timeout has passed", || {
+        admitted_at.elapsed() > Duration::from_millis(2_100)
+    });
     host.resume();
     for client in &mut clients {
         assert!(matches!(client.answer(), Some((200 | 503, _))));
@@ -216,9 +282,10 @@
 
 #[test]
 fn bytes_from_a_node_before_its_request_are_not_its_response() {
-    let host = HostProcess::with_nodes(vec![Node::not_accepting().with_full_backlog()], |config, _| {
-        with_long_timeouts(config)
-    });
+    let host = HostProcess::with_nodes(
+        vec![Node::not_accepting().with_full_backlog()],
+        |config, _| with_long_timeouts(config),
+    );
     let node = &host.nodes[0];
     node.set_greeting("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
     let mut client = host.client();
@@ -228,11 +295,16 @@
     host.suspend();
     node.start_accepting();
     // The greeting is in the host's socket before the host reads it.
-    wait_until("the greeting is received", || node.has_unread_bytes_for(&waiter));
+    wait_until("the greeting is received", || {
+        node.has_unread_bytes_for(&waiter)
+    });
     node.set_greeting("");
     host.resume();
     let (status, body) = client.answer().expect("an answer");
-    assert!(status == 200 && body == "made for r" || status == 503, "{status} {body}");
+    assert!(
+        status == 200 && body == "made for r" || status == 503,
+        "{status} {body}"
+    );
 }
 
 #[test]
@@ -268,23 +340,30 @@
 
 /// Two groups of which one may be repeated within its cell only.
 fn with_keyed_writes(config: String) -> String {
-    let with_keyed_writes =
-        "\"repeat\": \"deduplicated\", \"key_scope\": \"cell\", \"key_ttl_us\": 20000000, \"worth\": 3.0}]";
-    config.replace("\"repeat\": \"at_most_once\", \"worth\": 3.0}]", with_keyed_writes)
+    let with_keyed_writes = "\"repeat\": \"deduplicated\", \"key_scope\": \"cell\", \"key_ttl_us\": 20000000, \"worth\": 3.0}]";
+    config.replace(
+        "\"repeat\": \"at_most_once\", \"worth\": 3.0}]",
+        with_keyed_writes,
+    )
 }
 
 #[test]
 fn a_keyed_write_is_retried_in_its_scope_or_answered_at_once() {
     let nodes: Vec<Node> = (0..4).map(|_| Node::new()).collect();
-    let all: Vec<String> =
-        nodes.iter().enumerate().map(|(n, node)| node.entry(&format!("s-{n}"), n as u32, "ready")).collect();
+    let all: Vec<String> = nodes
+        .iter()
+        .enumerate()
+        .map(|(n, node)| node.entry(&format!("s-{n}"), n as u32, "ready"))
+        .collect();
     let host = HostProcess::with_nodes(nodes, |config, entry| {
         let config = config.replace("\"aim_us\": 300000", "\"aim_us\": 1500000");
         with_keyed_writes(config).replace(&format!("[{entry}]"), &format!("[{}]", all.join(",")))
     });
     let mut client = host.client();
     for n in 0..20 {
-        host.nodes.iter().for_each(|node| node.behave_next(Behavior::Close));
+        host.nodes
+            .iter()
+            .for_each(|node| node.behave_next(Behavior::Close));
         let start = Instant::now();
         let text = write_text(&format!("w{n}"), 0, "x", 1_900).replace("shard=0", "shard=-1");
         client.send(&text);
@@ -296,7 +375,10 @@
                 std::iter::repeat_n(at, count)
             })
             .collect();
-        assert!(ran.windows(2).all(|w| w[0] == w[1]), "it ran in cells {ran:?}");
+        assert!(
+            ran.windows(2).all(|w| w[0] == w[1]),
+            "it ran in cells {ran:?}"
+        );
         assert!(
             status == 200 || start.elapsed() < Duration::from_millis(700),
             "{status} {:?}",
--- a/crates/gateway/tests/platform/shutdown.rs
+++ b/crates/gateway/tests/platform/shutdown.rs
@@ -43,8 +43,9 @@
 
 #[test]
 fn requests_received_before_connections_close_are_answered() {
-    let mut host =
-        HostProcess::with_config(1, |config, _| config.replace("\"sockets\":256", "\"sockets\":2048"));
+    let mut host = HostProcess::with_config(1, |config, _| {
+        config.replace("\"sockets\":256", "\"sockets\":2048")
+    });
     let mut idle: Vec<Client> = (0..100).map(|_| host.client()).collect();
     for (n, client) in idle.iter_mut().enumerate() {
         assert_eq!(client.read(&format!("a{n}"), 0).0, 200);
@@ -54,7 +55,9 @@
     assert_eq!(host.client().read("on", 0).0, 200);
     host.suspend();
     // Past the time for which it lets in, on connections old and new.
-    wait_until("it would close them", || signalled.elapsed() > Duration::from_millis(800));
+    wait_until("it would close them", || {
+        signalled.elapsed() > Duration::from_millis(800)
+    });
     let mut new: Vec<Client> = (0..100).map(|_| host.client()).collect();
     for (n, client) in idle.iter_mut().chain(&mut new).enumerate() {
         client.send(&read_text(&format!("b{n}"), 0, 5_000));
@@ -76,7 +79,12 @@
     client.send(&write_text("w", 0, "x", 1_900));
     wait_until("it is at the node", || host.nodes[0].received().len() == 1);
     host.suspend();
-    for signal in [Signal::SIGTERM, Signal::SIGHUP, Signal::SIGTERM, Signal::SIGINT] {
+    for signal in [
+        Signal::SIGTERM,
+        Signal::SIGHUP,
+        Signal::SIGTERM,
+        Signal::SIGINT,
+    ] {
         host.signal(signal);
     }
     host.resume();
@@ -89,9 +97,12 @@
 
 #[test]
 fn a_host_without_an_endpoint_list_shuts_down() {
-    let mut host =
-        HostProcess::start(vec![Node::new()], |config, entry| config.replace(&format!("[{entry}]"), "[]"));
-    wait_until("it listens", || std::net::TcpStream::connect(host.address()).is_ok());
+    let mut host = HostProcess::start(vec![Node::new()], |config, entry| {
+        config.replace(&format!("[{entry}]"), "[]")
+    });
+    wait_until("it listens", || {
+        std::net::TcpStream::connect(host.address()).is_ok()
+    });
     host.signal(Signal::SIGTERM);
     assert_eq!(host.exit_code(), Some(0));
 }
@@ -100,7 +111,10 @@
 fn a_slow_reader_gets_its_response_complete_during_shutdown() {
     let mut host = HostProcess::new(1);
     let long: String = (0..100_000).map(|n| format!("{n:08}")).collect();
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}", long.len());
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
+        long.len()
+    );
     host.nodes[0].behave_next(Behavior::Raw(text));
     let mut client = host.client();
     client.send(&read_text("r", 0, 900));
@@ -110,7 +124,10 @@
     wait_until("the host has begun to close connections", || {
         signalled.elapsed() > Duration::from_millis(900)
     });
-    assert!(client.answer() == Some((200, long)), "the complete response");
+    assert!(
+        client.answer() == Some((200, long)),
+        "the complete response"
+    );
     drop(client);
     assert_eq!(host.exit_code(), Some(0));
 }
@@ -125,10 +142,18 @@
     host.signal(nix::sys::signal::Signal::SIGINT);
     let mut late = host.client();
     host.nodes[0].behave_next(Behavior::AnswerBetween(String::new(), String::new()));
-    assert_eq!(late.read("late", 0), (200, "made for late".into()), "new connections are still let in");
+    assert_eq!(
+        late.read("late", 0),
+        (200, "made for late".into()),
+        "new connections are still let in"
+    );
     assert_eq!(late.answer(), None, "idle connections end after a while");
     host.nodes[0].release_held();
-    assert_eq!(client.answer(), Some((200, "made for w".into())), "what was admitted is answered");
+    assert_eq!(
+        client.answer(),
+        Some((200, "made for w".into())),
+        "what was admitted is answered"
+    );
     assert!(client.closes, "and that is the last answer");
     drop((client, late));
     assert_eq!(host.exit_code(), Some(0));
@@ -145,15 +170,27 @@
     let signalled = Instant::now();
     let after = |ms: u64| signalled.elapsed() > Duration::from_millis(ms);
     wait_until("well past the time of an operator's shutdown", || {
-        assert_eq!(client.read(&format!("r{}", host.next_number()), 0).0, 200, "it keeps serving");
+        assert_eq!(
+            client.read(&format!("r{}", host.next_number()), 0).0,
+            200,
+            "it keeps serving"
+        );
         after(1_500)
     });
     host.nodes[0].behave_next(Behavior::StaySilent);
     host.nodes[1].behave_next(Behavior::StaySilent);
     long.send(&write_text("w", 0, "x", 1_900));
-    assert_eq!(long.answer(), Some((500, String::new())), "its node is silent past the kill");
+    assert_eq!(
+        long.answer(),
+        Some((500, String::new())),
+        "its node is silent past the kill"
+    );
     assert!(!after(2_700), "{:?}", signalled.elapsed());
-    wait_until("idle connections end", || client.try_read(&format!("s{}", host.next_number()), 0).is_none());
+    wait_until("idle connections end", || {
+        client
+            .try_read(&format!("s{}", host.next_number()), 0)
+            .is_none()
+    });
     drop((client, long));
     assert_eq!(host.exit_code(), Some(0));
     assert!(!after(2_700), "{:?}", signalled.elapsed());
@@ -167,5 +204,9 @@
     host.signal(nix::sys::signal::Signal::SIGINT);
     let signalled = Instant::now();
     assert_eq!(host.exit_code(), Some(0));
-    assert!(signalled.elapsed() < Duration::from_secs(2), "{:?}", signalled.elapsed());
+    assert!(
+        signalled.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        signalled.elapsed()
+    );
 }
--- a/crates/gateway/tests/platform/support/client.rs
+++ b/crates/gateway/tests/platform/support/client.rs
@@ -39,7 +39,12 @@
         let socket = TcpStream::connect(address).ok()?;
         socket.set_read_timeout(Some(PATIENCE)).expect("a socket");
         socket.set_nodelay(true).expect("a socket");
-        Some(Client { socket, buffer: Vec::new(), closes: false, retry_after: None })
+        Some(Client {
+            socket,
+            buffer: Vec::new(),
+            closes: false,
+            retry_after: None,
+        })
     }
 
     /// Sends text; a connection that the host has closed is no error.
@@ -51,11 +56,13 @@
     pub fn answer(&mut self) -> Option<(u16, String)> {
         let mut reader = ResponseReader::default();
         loop {
-            if let Some(response) =
-                reader.advance(&mut self.buffer, MESSAGE_LIMITS).expect("the host speaks HTTP")
+            if let Some(response) = reader
+                .advance(&mut self.buffer, MESSAGE_LIMITS)
+                .expect("the host speaks HTTP")
             {
-                let head =
-                    ResponseHead::parse(&self.buffer, MESSAGE_LIMITS).expect("valid").expect("complete");
+                let head = ResponseHead::parse(&self.buffer, MESSAGE_LIMITS)
+                    .expect("valid")
+                    .expect("complete");
                 self.closes = head.close;
                 let retry_after = head.headers.single("Retry-After").expect("once at most");
                 self.retry_after = retry_after.map(|text| text.parse().expect("seconds"));
@@ -70,7 +77,9 @@
             match self.socket.read(&mut bytes) {
                 Ok(0) => return None,
                 Ok(n) => self.buffer.extend_from_slice(&bytes[..n]),
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock) => panic!("no answer, no close"),
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock) => {
+                    panic!("no answer, no close")
+                }
                 Err(_) => return None,
             }
         }
@@ -93,7 +102,13 @@
     }
 
     /// The same with a timeout in milliseconds.
-    pub fn write_within(&mut self, id: &str, shard: u32, body: &str, timeout_ms: u64) -> (u16, String) {
+    pub fn write_within(
+        &mut self,
+        id: &str,
+        shard: u32,
+        body: &str,
+        timeout_ms: u64,
+    ) -> (u16, String) {
         self.send(&write_text(id, shard, body, timeout_ms));
         self.answer().expect("an answer")
     }
--- a/crates/gateway/tests/platform/support/endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/endpoint_service.rs
@@ -19,7 +19,8 @@
 impl WatchState {
     /// Sends text to all watchers; those that have disconnected are forgotten.
     fn send(&mut self, text: &str) {
-        self.watchers.retain_mut(|watcher| watcher.write_all(chunk(text).as_bytes()).is_ok());
+        self.watchers
+            .retain_mut(|watcher| watcher.write_all(chunk(text).as_bytes()).is_ok());
     }
 }
 
@@ -35,7 +36,11 @@
     pub fn new(entries: &str, version: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
         let address = listener.local_addr().expect("bound");
-        let state = WatchState { entries: entries.to_owned(), version, watchers: Vec::new() };
+        let state = WatchState {
+            entries: entries.to_owned(),
+            version,
+            watchers: Vec::new(),
+        };
         let (state, requests) = (Arc::new(Mutex::new(state)), Arc::new(AtomicUsize::new(0)));
         let (served, counter) = (state.clone(), requests.clone());
         thread::spawn(move || serve(&listener, &served, &counter));
@@ -47,7 +52,11 @@
                 thread::sleep(HEARTBEAT_PERIOD);
             }
         });
-        EndpointService { address, state, requests }
+        EndpointService {
+            address,
+            state,
+            requests,
+        }
     }
 
     /// Where it listens.
@@ -94,7 +103,10 @@
         }
         let mut state = state.lock().expect("no panic");
         let list = line(state.version, true, &state.entries);
-        if socket.write_all(format!("{HEAD}{}", chunk(&list)).as_bytes()).is_ok() {
+        if socket
+            .write_all(format!("{HEAD}{}", chunk(&list)).as_bytes())
+            .is_ok()
+        {
             state.watchers.push(socket);
         }
         requests.fetch_add(1, Ordering::SeqCst);
--- a/crates/gateway/tests/platform/support/host_process.rs
+++ b/crates/gateway/tests/platform/support/host_process.rs
@@ -39,7 +39,11 @@
         None => Command::new(host),
         Some(limit) => {
             let mut shell = Command::new("sh");
-            shell.args(["-c", &format!("ulimit -n {limit} && exec \"$0\" \"$@\""), host]);
+            shell.args([
+                "-c",
+                &format!("ulimit -n {limit} && exec \"$0\" \"$@\""),
+                host,
+            ]);
             shell
         }
     };
@@ -88,9 +92,14 @@
     let endpoint_service = EndpointService::new(&node.entry("s-0", 0, "ready"), 41);
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, config(address, std::slice::from_ref(&node), &endpoint_service)).expect("a file");
+    std::fs::write(
+        &path,
+        config(address, std::slice::from_ref(&node), &endpoint_service),
+    )
+    .expect("a file");
     let host = thread::spawn(move || {
-        allocation_counter::measure(|| mallowseam_platform_host::run(&path, None).expect("a run")).count_total
+        allocation_counter::measure(|| mallowseam_platform_host::run(&path, None).expect("a run"))
+            .count_total
     });
     wait_until("the host is ready", || is_ready(address));
     let mut client = Client::connect(address).expect("the host listens");
@@ -138,11 +147,22 @@
         let endpoint_service = EndpointService::new(&entry, 41);
         let directory = tempfile::tempdir().expect("a directory");
         let path = directory.path().join("config.json");
-        std::fs::write(&path, change(config(address, &nodes, &endpoint_service), &entry)).expect("a file");
+        std::fs::write(
+            &path,
+            change(config(address, &nodes, &endpoint_service), &entry),
+        )
+        .expect("a file");
         let mut child = spawn(&path, descriptors);
         let mut log = child.stderr.take().expect("piped");
         thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        HostProcess { directory, child, address, nodes, endpoint_service, numbers: AtomicU64::new(0) }
+        HostProcess {
+            directory,
+            child,
+            address,
+            nodes,
+            endpoint_service,
+            numbers: AtomicU64::new(0),
+        }
     }
 
     /// The usual configuration with another endpoint list service.
@@ -172,14 +192,23 @@
 
     /// Descriptors that the host has open.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a process").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("a process")
+            .count()
     }
 
     /// Resident memory of the host in kilobytes.
     pub fn memory_kb(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a process");
-        let line = status.lines().find(|l| l.starts_with("VmRSS")).expect("a figure");
-        line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("a process");
+        let line = status
+            .lines()
+            .find(|l| l.starts_with("VmRSS"))
+            .expect("a figure");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|n| n.parse().ok())
+            .expect("a number")
     }
 
     /// Suspends the host: it finds what is received meanwhile in one iteration, once it is resumed.
@@ -188,7 +217,9 @@
         let path = format!("/proc/{}/stat", self.child.id());
         wait_until("the host is suspended", || {
             let stat = std::fs::read_to_string(&path).expect("a process");
-            stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
+            stat.rsplit(')')
+                .next()
+                .is_some_and(|rest| rest.trim_start().starts_with('T'))
         });
     }
 
@@ -196,7 +227,9 @@
     pub fn resume(&self) {
         let own = table_address(self.address);
         let is_undelivered = |row: &SocketRow| row.remote == own && row.undelivered;
-        wait_until("all bytes are delivered", || !sockets().iter().any(is_undelivered));
+        wait_until("all bytes are delivered", || {
+            !sockets().iter().any(is_undelivered)
+        });
         self.signal(Signal::SIGCONT);
     }
 
--- a/crates/gateway/tests/platform/support/mod.rs
+++ b/crates/gateway/tests/platform/support/mod.rs
@@ -11,7 +11,10 @@
 use std::time::{Duration, Instant};
 
 /// Limits of messages that the peers accept.
-pub const MESSAGE_LIMITS: Limits = Limits { head: 16_384, body: 1 << 20 };
+pub const MESSAGE_LIMITS: Limits = Limits {
+    head: 16_384,
+    body: 1 << 20,
+};
 /// How long a single wait may last: far longer than any time that a test depends on.
 const PATIENCE: Duration = Duration::from_secs(10);
 
--- a/crates/gateway/tests/platform/support/node.rs
+++ b/crates/gateway/tests/platform/support/node.rs
@@ -1,6 +1,8 @@
 //! A storage node that a test controls.
 use super::MESSAGE_LIMITS;
-use super::socket_table::{ESTABLISHED, SYN_SENT, SocketRow, sockets, table_address, wait_until_delivered};
+use super::socket_table::{
+    ESTABLISHED, SYN_SENT, SocketRow, sockets, table_address, wait_until_delivered,
+};
 use mallowseam_http1::{RequestHead, RequestReader};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::collections::VecDeque;
@@ -78,12 +80,18 @@
         let listener = TcpListener::from(listener);
         let address = listener.local_addr().expect("bound");
         let listener = Mutex::new(Some(listener));
-        Node { address, state: Arc::default(), backlog: Mutex::default(), listener }
+        Node {
+            address,
+            state: Arc::default(),
+            backlog: Mutex::default(),
+            listener,
+        }
     }
 
     /// Fills the backlog: from here on a connection to the node stays pending.
     pub fn with_full_backlog(self) -> Self {
-        while let Ok(socket) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100)) {
+        while let Ok(socket) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100))
+        {
             self.backlog.lock().expect("no panic").push(socket);
         }
         self
@@ -98,19 +106,28 @@
     pub fn pending_connections(&self) -> Vec<String> {
         let own = table_address(self.address);
         let is_pending = |row: &SocketRow| row.remote == own && row.state == SYN_SENT;
-        sockets().into_iter().filter(is_pending).map(|row| row.local).collect()
+        sockets()
+            .into_iter()
+            .filter(is_pending)
+            .map(|row| row.local)
+            .collect()
     }
 
     /// Whether the connection with this local address has received bytes that are not read.
     pub fn has_unread_bytes_for(&self, local: &str) -> bool {
         let own = table_address(self.address);
-        sockets().iter().any(|row| row.local == local && row.remote == own && row.unread)
+        sockets()
+            .iter()
+            .any(|row| row.local == local && row.remote == own && row.unread)
     }
 
     /// Established connections.
     pub fn established(&self) -> usize {
         let own = table_address(self.address);
-        sockets().iter().filter(|row| row.local == own && row.state == ESTABLISHED).count()
+        sockets()
+            .iter()
+            .filter(|row| row.local == own && row.state == ESTABLISHED)
+            .count()
     }
 
     /// Sends this text on every new connection before anything is read.
@@ -122,7 +139,9 @@
     pub fn push(&self, connection: usize, text: &str) {
         let open = self.state.open.lock().expect("no panic");
         let mut socket = &open[connection];
-        socket.write_all(text.as_bytes()).expect("an open connection");
+        socket
+            .write_all(text.as_bytes())
+            .expect("an open connection");
         wait_until_delivered(socket);
     }
 
@@ -135,7 +154,9 @@
 
     /// Accepts connections from now on; those that fill the backlog are closed.
     pub fn start_accepting(&self) {
-        let Some(listener) = self.listener.lock().expect("no panic").take() else { return };
+        let Some(listener) = self.listener.lock().expect("no panic").take() else {
+            return;
+        };
         SockRef::from(&listener).listen(1_024).expect("a backlog");
         self.backlog.lock().expect("no panic").clear();
         let state = self.state.clone();
@@ -157,7 +178,11 @@
 
     /// Queues a behavior for one of the next requests.
     pub fn behave_next(&self, behavior: Behavior) {
-        self.state.behaviors.lock().expect("no panic").push_back(behavior);
+        self.state
+            .behaviors
+            .lock()
+            .expect("no panic")
+            .push_back(behavior);
     }
 
     /// The requests received so far.
@@ -218,9 +243,12 @@
 
 impl NodeState {
     fn serve(&self, mut socket: TcpStream, connection: usize) {
-        let (mut buffer, mut reader, mut bytes) = (Vec::new(), RequestReader::default(), [0; 4_096]);
+        let (mut buffer, mut reader, mut bytes) =
+            (Vec::new(), RequestReader::default(), [0; 4_096]);
         loop {
-            let Some(request) = reader.advance(&mut buffer, MESSAGE_LIMITS).expect("the host speaks HTTP")
+            let Some(request) = reader
+                .advance(&mut buffer, MESSAGE_LIMITS)
+                .expect("the host speaks HTTP")
             else {
                 match socket.read(&mut bytes) {
                     Ok(n) if n > 0 => buffer.extend_from_slice(&bytes[..n]),
@@ -231,7 +259,9 @@
             if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
-            let head = RequestHead::parse(&buffer, MESSAGE_LIMITS).expect("valid").expect("complete");
+            let head = RequestHead::parse(&buffer, MESSAGE_LIMITS)
+                .expect("valid")
+                .expect("complete");
             let header = |name| head.headers.single(name).expect("valid").expect("present");
             let received = ReceivedRequest {
                 id: header("X-Request-ID").to_owned(),
@@ -244,7 +274,10 @@
             self.received.lock().expect("no panic").push(received);
             buffer.drain(..request.end);
             reader.reset();
-            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+            let response = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+                text.len()
+            );
             if !self.respond(&mut socket, response) {
                 return;
             }
@@ -263,7 +296,12 @@
             Some(Behavior::StaySilent) => return true,
             Some(Behavior::Hold) => {
                 let released = self.released.0.lock().expect("no panic");
-                drop(self.released.1.wait_while(released, |released| !*released).expect("no panic"));
+                drop(
+                    self.released
+                        .1
+                        .wait_while(released, |released| !*released)
+                        .expect("no panic"),
+                );
                 response
             }
         };
--- a/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
@@ -42,7 +42,10 @@
         thread::spawn(move || {
             for mut socket in listener.incoming().flatten() {
                 let target = read_target(&mut socket);
-                received.lock().expect("no panic").push(Request { target, socket });
+                received
+                    .lock()
+                    .expect("no panic")
+                    .push(Request { target, socket });
             }
         });
         ScriptedEndpointService { address, requests }
@@ -55,8 +58,12 @@
 
     /// Waits for a request; its path and query.
     pub fn wait_for_request(&self, number: usize) -> String {
-        wait_until("the endpoint service gets a request", || self.requests() > number);
-        self.requests.lock().expect("no panic")[number].target.clone()
+        wait_until("the endpoint service gets a request", || {
+            self.requests() > number
+        });
+        self.requests.lock().expect("no panic")[number]
+            .target
+            .clone()
     }
 
     /// Sends text on the connection of a request, and waits until it is delivered.
@@ -76,7 +83,9 @@
 
     /// Closes the connection of a request.
     pub fn close(&self, number: usize) {
-        let _ = self.requests.lock().expect("no panic")[number].socket.shutdown(Shutdown::Both);
+        let _ = self.requests.lock().expect("no panic")[number]
+            .socket
+            .shutdown(Shutdown::Both);
     }
 
     /// Requests whose connection neither side has closed.
@@ -88,7 +97,10 @@
             socket.set_nonblocking(false).expect("a socket");
             matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
         };
-        requests.iter().filter(|request| is_open(&request.socket)).count()
+        requests
+            .iter()
+            .filter(|request| is_open(&request.socket))
+            .count()
     }
 }
 
