--- a/crates/gateway/tests/platform/support/socket_table.rs
+++ b/crates/gateway/tests/platform/support/socket_table.rs
@@ -28,20 +28,38 @@
     let mut fields = line.split_whitespace().skip(1).map(str::to_owned);
     let (local, remote, state) = (fields.next()?, fields.next()?, fields.next()?);
     let queues = fields.next()?;
-    let (undelivered, unread) = (!queues.starts_with("00000000:"), !queues.ends_with(":00000000"));
-    Some(SocketRow { local, remote, state, undelivered, unread })
+    let (undelivered, unread) = (
+        !queues.starts_with("00000000:"),
+        !queues.ends_with(":00000000"),
+    );
+    Some(SocketRow {
+        local,
+        remote,
+        state,
+        undelivered,
+        unread,
+    })
 }
 
 /// An address in the notation of the table.
 pub fn table_address(address: SocketAddr) -> String {
-    let SocketAddr::V4(address) = address else { panic!("IPv4") };
-    format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
+    let SocketAddr::V4(address) = address else {
+        panic!("IPv4")
+    };
+    format!(
+        "{:08X}:{:04X}",
+        u32::from_le_bytes(address.ip().octets()),
+        address.port()
+    )
 }
 
 /// Waits until all bytes that were written to a socket are in the other side's socket.
 pub fn wait_until_delivered(socket: &TcpStream) {
     let local = table_address(socket.local_addr().expect("bound"));
     let remote = table_address(socket.peer_addr().expect("connected"));
-    let is_undelivered = |row: &SocketRow| row.local == local && row.remote == remote && row.undelivered;
-    wait_until("all bytes are delivered", || !sockets().iter().any(is_undelivered));
+    let is_undelivered =
+        |row: &SocketRow| row.local == local && row.remote == remote && row.undelivered;
+    wait_until("all bytes are delivered", || {
+        !sockets().iter().any(is_undelivered)
+    });
 }
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -43,7 +43,10 @@
     /// A decoder for a body that begins at this offset of its buffer.
     #[must_use]
     pub fn new(start: usize) -> Self {
-        ChunkedDecoder { decoded_end: start, state: State::Size }
+        ChunkedDecoder {
+            decoded_end: start,
+            state: State::Size,
+        }
     }
 
     /// The offset behind the last decoded byte.
@@ -88,7 +91,9 @@
                 State::Size => self.read_size(&buffer[*consumed..], max_end, consumed)?,
                 State::Data(remaining) => self.copy_data(buffer, remaining, consumed),
                 State::DataEnd => self.read_data_end(&buffer[*consumed..], consumed)?,
-                State::Trailers(before) => self.read_trailer(&buffer[*consumed..], before, consumed)?,
+                State::Trailers(before) => {
+                    self.read_trailer(&buffer[*consumed..], before, consumed)?
+                }
             };
             if progress == Progress::NeedsMore {
                 return Ok(());
@@ -112,7 +117,11 @@
                 let room = max_end.saturating_sub(self.decoded_end);
                 let size = usize::try_from(size).ok().filter(|s| *s <= room);
                 let size = size.ok_or(ParseError::BodyTooLarge)?;
-                self.state = if size == 0 { State::Trailers(0) } else { State::Data(size) };
+                self.state = if size == 0 {
+                    State::Trailers(0)
+                } else {
+                    State::Data(size)
+                };
                 Ok(Progress::Advanced)
             }
             Ok(Status::Partial) if rest.len() < MAX_SIZE_LINE => Ok(Progress::NeedsMore),
@@ -152,7 +161,11 @@
         before: usize,
         consumed: &mut usize,
     ) -> Result<Progress, ParseError> {
-        let Some(newline) = rest.iter().take(MAX_TRAILERS - before).position(|b| *b == b'\n') else {
+        let Some(newline) = rest
+            .iter()
+            .take(MAX_TRAILERS - before)
+            .position(|b| *b == b'\n')
+        else {
             if rest.len() + before >= MAX_TRAILERS {
                 return Err(ParseError::HeadTooLarge);
             }
@@ -163,7 +176,11 @@
         }
         *consumed += newline + 1;
         let is_last = newline == 1;
-        self.state = if is_last { State::Complete } else { State::Trailers(before + newline + 1) };
+        self.state = if is_last {
+            State::Complete
+        } else {
+            State::Trailers(before + newline + 1)
+        };
         Ok(Progress::Advanced)
     }
 }
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -30,7 +30,9 @@
             (Some(length), None) => parse_length(length, limits).map(|n| Some(Framing::Length(n))),
             (Some(_), Some(_)) => Err(ParseError::AmbiguousFraming),
             (None, Some(_)) if http_10 => Err(ParseError::AmbiguousFraming),
-            (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
+            (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => {
+                Ok(Some(Framing::Chunked))
+            }
             (None, Some(_)) => Err(ParseError::Unsupported),
         }
     }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -33,8 +33,11 @@
         let window = &bytes[..bytes.len().min(limits.head)];
         let mut headers = Headers::empty();
         let mut request = httparse::Request::new(headers.lines_mut());
-        let Some(len) = head_length(request.parse(window), bytes.len(), limits)? else { return Ok(None) };
-        let (Some(method), Some(target), Some(version)) = (request.method, request.path, request.version)
+        let Some(len) = head_length(request.parse(window), bytes.len(), limits)? else {
+            return Ok(None);
+        };
+        let (Some(method), Some(target), Some(version)) =
+            (request.method, request.path, request.version)
         else {
             return Err(ParseError::Malformed);
         };
@@ -48,7 +51,15 @@
         }
         let close = headers.close_connection(http_10);
         let expects_continue = !http_10 && headers.has_element("Expect", b"100-continue");
-        Ok(Some(RequestHead { method, target, headers, close, expects_continue, framing, len }))
+        Ok(Some(RequestHead {
+            method,
+            target,
+            headers,
+            close,
+            expects_continue,
+            framing,
+            len,
+        }))
     }
 
     /// Whether the head declares a body, an empty one included (RFC 9112, section 6).
@@ -83,7 +94,9 @@
         let window = &bytes[..bytes.len().min(limits.head)];
         let mut headers = Headers::empty();
         let mut response = httparse::Response::new(headers.lines_mut());
-        let Some(len) = head_length(response.parse(window), bytes.len(), limits)? else { return Ok(None) };
+        let Some(len) = head_length(response.parse(window), bytes.len(), limits)? else {
+            return Ok(None);
+        };
         let (Some(status), Some(version)) = (response.code, response.version) else {
             return Err(ParseError::Malformed);
         };
@@ -98,7 +111,13 @@
             Some(framing) => framing,
             None => return Err(ParseError::MissingLength),
         };
-        Ok(Some(ResponseHead { status, headers, close: headers.close_connection(http_10), framing, len }))
+        Ok(Some(ResponseHead {
+            status,
+            headers,
+            close: headers.close_connection(http_10),
+            framing,
+            len,
+        }))
     }
 
     /// Whether this is an interim (1xx) response: the final one is still to come (RFC 9110, section 15.2).
--- a/crates/http1/src/headers.rs
+++ b/crates/http1/src/headers.rs
@@ -14,7 +14,10 @@
 
 impl<'b> Headers<'b> {
     pub(crate) fn empty() -> Self {
-        Headers { lines: [EMPTY_HEADER; MAX_HEADERS], count: 0 }
+        Headers {
+            lines: [EMPTY_HEADER; MAX_HEADERS],
+            count: 0,
+        }
     }
 
     /// The lines that a parser fills. What it has filled counts only after `set_count`.
@@ -32,7 +35,9 @@
     }
 
     fn values<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'b [u8]> + 's {
-        self.iter().filter(move |h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1)
+        self.iter()
+            .filter(move |h| h.0.eq_ignore_ascii_case(name))
+            .map(|h| h.1)
     }
 
     /// The value of a header that may occur once, without blanks around it; `None` if it is absent.
@@ -43,23 +48,30 @@
     /// and blanks.
     pub fn single(&self, name: &str) -> Result<Option<&'b str>, ParseError> {
         let mut values = self.values(name);
-        let Some(value) = values.next() else { return Ok(None) };
+        let Some(value) = values.next() else {
+            return Ok(None);
+        };
         if values.next().is_some() || !value.iter().all(|b| (b' '..=b'~').contains(b)) {
             return Err(ParseError::Malformed);
         }
-        std::str::from_utf8(value).map(|v| Some(v.trim())).map_err(|_| ParseError::Malformed)
+        std::str::from_utf8(value)
+            .map(|v| Some(v.trim()))
+            .map_err(|_| ParseError::Malformed)
     }
 
     /// Whether a comma-separated header has this element, in any case (RFC 9110, section 5.6.1).
     pub(crate) fn has_element(&self, name: &str, element: &[u8]) -> bool {
         let has = |value: &[u8]| {
-            value.split(|b| *b == b',').any(|part| part.trim_ascii().eq_ignore_ascii_case(element))
+            value
+                .split(|b| *b == b',')
+                .any(|part| part.trim_ascii().eq_ignore_ascii_case(element))
         };
         self.values(name).any(has)
     }
 
     /// Whether the connection ends behind this message (RFC 9112, section 9.3).
     pub(crate) fn close_connection(&self, http_10: bool) -> bool {
-        self.has_element("Connection", b"close") || http_10 && !self.has_element("Connection", b"keep-alive")
+        self.has_element("Connection", b"close")
+            || http_10 && !self.has_element("Connection", b"keep-alive")
     }
 }
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -36,7 +36,10 @@
         match framing {
             Framing::None => State::SizedBody { body, len: 0 },
             Framing::Length(len) => State::SizedBody { body, len },
-            Framing::Chunked => State::ChunkedBody { body, decoder: ChunkedDecoder::new(body) },
+            Framing::Chunked => State::ChunkedBody {
+                body,
+                decoder: ChunkedDecoder::new(body),
+            },
         }
     }
 
@@ -58,11 +61,19 @@
             State::Head => Ok(None),
             State::SizedBody { body, len } => {
                 let end = *body + *len;
-                Ok((buffer.len() >= end).then_some(MessageSpan { start, body: *body, end }))
+                Ok((buffer.len() >= end).then_some(MessageSpan {
+                    start,
+                    body: *body,
+                    end,
+                }))
             }
             State::ChunkedBody { body, decoder } => {
                 decoder.decode(buffer, *body + limits.body)?;
-                let span = MessageSpan { start, body: *body, end: decoder.decoded_end() };
+                let span = MessageSpan {
+                    start,
+                    body: *body,
+                    end: decoder.decoded_end(),
+                };
                 Ok(decoder.is_complete().then_some(span))
             }
         }
@@ -81,7 +92,8 @@
     /// Whether to try now: at a new line end, at twice the bytes of the last attempt, or at the limit.
     fn should_parse(&mut self, bytes: &[u8], limits: Limits) -> bool {
         let new = &bytes[self.parsed.min(bytes.len())..];
-        let due = new.contains(&b'\n') || bytes.len() >= 2 * self.parsed || bytes.len() >= limits.head;
+        let due =
+            new.contains(&b'\n') || bytes.len() >= 2 * self.parsed || bytes.len() >= limits.head;
         if due {
             self.parsed = bytes.len();
         }
@@ -125,7 +137,9 @@
             if !self.throttle.should_parse(buffer, limits) {
                 return Ok(None);
             }
-            let Some(head) = RequestHead::parse(buffer, limits)? else { return Ok(None) };
+            let Some(head) = RequestHead::parse(buffer, limits)? else {
+                return Ok(None);
+            };
             self.state = State::of_body(head.framing, head.len);
             (self.expects_continue, self.close) = (head.expects_continue, head.close);
         }
@@ -167,11 +181,16 @@
         while let State::Head = self.state {
             let rest = &buffer[self.start..];
             // The heads of interim responses count against the same limit.
-            let limits = Limits { head: limits.head.saturating_sub(self.start), ..limits };
+            let limits = Limits {
+                head: limits.head.saturating_sub(self.start),
+                ..limits
+            };
             if !self.throttle.should_parse(rest, limits) {
                 return Ok(None);
             }
-            let Some(head) = ResponseHead::parse(rest, limits)? else { return Ok(None) };
+            let Some(head) = ResponseHead::parse(rest, limits)? else {
+                return Ok(None);
+            };
             if head.is_interim() {
                 self.interim_responses += 1;
                 if self.interim_responses > MAX_INTERIM_RESPONSES {
--- a/crates/http1/tests/pinned_parsing.rs
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -2,12 +2,15 @@
 //! step by step, are hashed and compared with a recorded hash. The hashed texts name results in words of their own,
 //! so that renaming a variant changes nothing here.
 use mallowseam_http1::{
-    ChunkedDecoder, Framing, Limits, MessageSpan, ParseError, RequestHead, RequestReader, ResponseHead,
-    ResponseReader,
+    ChunkedDecoder, Framing, Limits, MessageSpan, ParseError, RequestHead, RequestReader,
+    ResponseHead, ResponseReader,
 };
 use mallowseam_test_support::{Digest, SeededRng};
 
-const LIMITS: Limits = Limits { head: 512, body: 256 };
+const LIMITS: Limits = Limits {
+    head: 512,
+    body: 256,
+};
 
 /// Seeded random choices by index.
 struct Rng(SeededRng);
@@ -77,7 +80,9 @@
             Ok(None) => return true,
             Ok(Some(whole)) => {
                 self.case("whole");
-                [whole.start, whole.body, whole.end].into_iter().for_each(|n| self.number(n));
+                [whole.start, whole.body, whole.end]
+                    .into_iter()
+                    .for_each(|n| self.number(n));
             }
             Err(error) => self.error(error),
         }
@@ -93,18 +98,36 @@
         text += rng.one_of(&["GET", "PUT", "POST", "PU T"][..methods]);
         text += rng.one_of(&[" /a", " /book/0/1?x=%20", " *"]);
         let version = rng.below(24).saturating_sub(19);
-        text += [" HTTP/1.1\r\n", " HTTP/1.0\r\n", " HTTP/1.0\r\n", " HTTP/2.0\r\n", "\r\n"][version];
+        text += [
+            " HTTP/1.1\r\n",
+            " HTTP/1.0\r\n",
+            " HTTP/1.0\r\n",
+            " HTTP/2.0\r\n",
+            "\r\n",
+        ][version];
         if rng.below(12) > 0 {
             text += "Host: s\r\n";
         }
     } else {
         for _ in 0..[0, 0, 0, 1, 2, 9][rng.below(6)] {
-            text += rng.one_of(&["HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"]);
+            text += rng.one_of(&[
+                "HTTP/1.1 100 Continue\r\n\r\n",
+                "HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n",
+            ]);
         }
-        text += rng.one_of(&["HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.1 ", "HTTP/1.0 "]);
+        text += rng.one_of(&[
+            "HTTP/1.1 ",
+            "HTTP/1.1 ",
+            "HTTP/1.1 ",
+            "HTTP/1.1 ",
+            "HTTP/1.1 ",
+            "HTTP/1.0 ",
+        ]);
         let status = rng.below(30).saturating_sub(20);
-        text += ["200 OK", "200", "503 X", "204 X", "304 X", "101 X", "099 X", "600 X", "2x0 X", "500 Y Z"]
-            [status];
+        text += [
+            "200 OK", "200", "503 X", "204 X", "304 X", "101 X", "099 X", "600 X", "2x0 X",
+            "500 Y Z",
+        ][status];
         text += "\r\n";
     }
     for _ in 0..rng.below(4) {
@@ -126,11 +149,18 @@
     }
     let chunked = rng.below(3) == 0;
     if chunked {
-        text += rng.one_of(&["Transfer-Encoding: chunked\r\n", "transfer-encoding: Chunked \r\n"]);
+        text += rng.one_of(&[
+            "Transfer-Encoding: chunked\r\n",
+            "transfer-encoding: Chunked \r\n",
+        ]);
     }
     if !chunked && rng.below(3) > 0 {
-        text +=
-            rng.one_of(&["", "Content-Length: 0\r\n", "content-length:  12 \r\n", "Content-Length: 256\r\n"]);
+        text += rng.one_of(&[
+            "",
+            "Content-Length: 0\r\n",
+            "content-length:  12 \r\n",
+            "Content-Length: 256\r\n",
+        ]);
     } else if !chunked || rng.below(10) == 0 {
         text += rng.one_of(&[
             "Content-Length: 5\r\n",
@@ -146,7 +176,11 @@
         ]);
     }
     text += "\r\n";
-    text += &if chunked { chunks(rng) } else { "hello, and more of a body".repeat(rng.below(13)) };
+    text += &if chunked {
+        chunks(rng)
+    } else {
+        "hello, and more of a body".repeat(rng.below(13))
+    };
     text += rng.one_of(&["", "", "GET /next HTTP/1.1\r\n"]);
     let mut bytes = text.into_bytes();
     if rng.below(8) == 0 {
@@ -170,8 +204,16 @@
         text += &"abcdefghij".repeat(26)[..len];
         text += if rng.below(30) == 0 { "\n" } else { "\r\n" };
     }
-    text +=
-        rng.one_of(&["0\r\n", "0\r\n", "0\r\n", "0\r\n", "00;last\r\n", "x\r\n", "fffffffff\r\n", "-1\r\n"]);
+    text += rng.one_of(&[
+        "0\r\n",
+        "0\r\n",
+        "0\r\n",
+        "0\r\n",
+        "00;last\r\n",
+        "x\r\n",
+        "fffffffff\r\n",
+        "-1\r\n",
+    ]);
     if rng.below(30) == 0 {
         text += &format!("1;{}", "x".repeat(240 + rng.below(30)));
     }
@@ -185,7 +227,15 @@
 #[test]
 fn request_and_response_heads() {
     let (mut rng, mut record) = (Rng::new(1), Record::default());
-    let names = ["Host", "x", "Content-Length", "Connection", "Transfer-Encoding", "Expect", "None"];
+    let names = [
+        "Host",
+        "x",
+        "Content-Length",
+        "Connection",
+        "Transfer-Encoding",
+        "Expect",
+        "None",
+    ];
     for round in 0..4_000 {
         let bytes = almost_message(&mut rng, round % 2 == 0);
         let headers = if round % 2 == 0 {
@@ -196,8 +246,16 @@
                     record.framing(head.framing);
                     record.number(head.len);
                     record.case(if head.close { "closes" } else { "stays" });
-                    record.case(if head.expects_continue { "expects" } else { "expects nothing" });
-                    record.case(if head.declares_body() { "states a length" } else { "states none" });
+                    record.case(if head.expects_continue {
+                        "expects"
+                    } else {
+                        "expects nothing"
+                    });
+                    record.case(if head.declares_body() {
+                        "states a length"
+                    } else {
+                        "states none"
+                    });
                     Ok(head.headers)
                 }
                 Ok(None) => continue,
@@ -245,8 +303,18 @@
         "malformed",
         "no length",
     ];
-    assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
-    assert_eq!(record.digest.value(), HEADS, "{:#x} {:?}", record.digest.value(), record.seen);
+    assert!(
+        cases.iter().all(|c| record.seen.contains_key(c)),
+        "{:?}",
+        record.seen
+    );
+    assert_eq!(
+        record.digest.value(),
+        HEADS,
+        "{:#x} {:?}",
+        record.digest.value(),
+        record.seen
+    );
 }
 
 /// Feeds a message in segments that end at these offsets, and records every step.
@@ -256,14 +324,26 @@
         buffer.extend_from_slice(&bytes[from..*cut]);
         from = *cut;
         let step = reader.advance(&mut buffer, LIMITS);
-        record.case(if reader.closes_connection() { "closes" } else { "stays" });
-        record.case(if reader.take_expect_continue() { "expects" } else { "expects nothing" });
+        record.case(if reader.closes_connection() {
+            "closes"
+        } else {
+            "stays"
+        });
+        record.case(if reader.take_expect_continue() {
+            "expects"
+        } else {
+            "expects nothing"
+        });
         if !record.step(step, &buffer) {
             return;
         }
     }
     reader.reset();
-    record.case(if reader.closes_connection() { "closes" } else { "stays" });
+    record.case(if reader.closes_connection() {
+        "closes"
+    } else {
+        "stays"
+    });
 }
 
 fn feed_responses(bytes: &[u8], cuts: &[usize], record: &mut Record) {
@@ -284,17 +364,38 @@
     let (mut rng, mut record) = (Rng::new(2), Record::default());
     for round in 0..160 {
         let bytes = almost_message(&mut rng, round % 2 == 0);
-        let feed = if round % 2 == 0 { feed_requests } else { feed_responses };
+        let feed = if round % 2 == 0 {
+            feed_requests
+        } else {
+            feed_responses
+        };
         feed(&bytes, &[], &mut record);
         feed(&bytes, &(1..bytes.len()).collect::<Vec<_>>(), &mut record);
         for cut in 1..bytes.len().min(700) {
             feed(&bytes, &[cut], &mut record);
         }
     }
-    let cases =
-        ["body too large", "expects", "framing", "head too large", "no length", "unsupported", "whole"];
-    assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
-    assert_eq!(record.digest.value(), MESSAGES, "{:#x} {:?}", record.digest.value(), record.seen);
+    let cases = [
+        "body too large",
+        "expects",
+        "framing",
+        "head too large",
+        "no length",
+        "unsupported",
+        "whole",
+    ];
+    assert!(
+        cases.iter().all(|c| record.seen.contains_key(c)),
+        "{:?}",
+        record.seen
+    );
+    assert_eq!(
+        record.digest.value(),
+        MESSAGES,
+        "{:#x} {:?}",
+        record.digest.value(),
+        record.seen
+    );
 }
 
 #[test]
@@ -312,7 +413,11 @@
             let done = body.decode(&mut buffer, 400);
             record.bytes(&buffer);
             record.number(body.decoded_end());
-            record.case(if body.is_complete() { "over" } else { "goes on" });
+            record.case(if body.is_complete() {
+                "over"
+            } else {
+                "goes on"
+            });
             if let Err(error) = done {
                 record.error(error);
                 break;
@@ -325,9 +430,25 @@
             }
         }
     }
-    let cases = ["body too large", "framing", "goes on", "head too large", "over"];
-    assert!(cases.iter().all(|c| record.seen.contains_key(c)), "{:?}", record.seen);
-    assert_eq!(record.digest.value(), CHUNKS, "{:#x} {:?}", record.digest.value(), record.seen);
+    let cases = [
+        "body too large",
+        "framing",
+        "goes on",
+        "head too large",
+        "over",
+    ];
+    assert!(
+        cases.iter().all(|c| record.seen.contains_key(c)),
+        "{:?}",
+        record.seen
+    );
+    assert_eq!(
+        record.digest.value(),
+        CHUNKS,
+        "{:#x} {:?}",
+        record.digest.value(),
+        record.seen
+    );
 }
 
 #[test]
@@ -342,8 +463,14 @@
         ParseError::Unsupported,
     ]
     .map(ParseError::message);
-    let expected =
-        ["malformed", "head too large", "body too large", "ambiguous framing", "no length", "unsupported"];
+    let expected = [
+        "malformed",
+        "head too large",
+        "body too large",
+        "ambiguous framing",
+        "no length",
+        "unsupported",
+    ];
     assert_eq!(words, expected);
 }
 
--- a/crates/http1/tests/readers.rs
+++ b/crates/http1/tests/readers.rs
@@ -4,7 +4,10 @@
 };
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { head: 512, body: 256 };
+const LIMITS: Limits = Limits {
+    head: 512,
+    body: 256,
+};
 
 type Outcome = Result<Option<(Vec<u8>, Vec<u8>)>, ParseError>;
 
@@ -71,14 +74,21 @@
     let text = "PUT /a HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n\
                 4;x=y\r\nwiki\r\n5\r\npedia\r\n0\r\nT: 1\r\n\r\nGET /b";
     let (mut reader, mut buffer) = (RequestReader::default(), text.as_bytes().to_vec());
-    let span = reader.advance(&mut buffer, LIMITS).expect("valid").expect("complete");
+    let span = reader
+        .advance(&mut buffer, LIMITS)
+        .expect("valid")
+        .expect("complete");
     assert_eq!(&buffer[span.body..span.end], b"wikipedia");
     assert_eq!(&buffer[span.end..], b"GET /b");
 }
 
 #[test]
 fn ambiguous_framing_is_rejected() {
-    let with = |lines: &str| request(&format!("PUT /a HTTP/1.1\r\nHost: s\r\n{lines}\r\n\r\nhello"));
+    let with = |lines: &str| {
+        request(&format!(
+            "PUT /a HTTP/1.1\r\nHost: s\r\n{lines}\r\n\r\nhello"
+        ))
+    };
     let both = "Content-Length: 5\r\nTransfer-Encoding: chunked";
     for lines in [
         both,
@@ -93,15 +103,30 @@
     ] {
         assert_eq!(with(lines), Err(ParseError::AmbiguousFraming), "{lines}");
     }
-    assert_eq!(with("Transfer-Encoding: gzip, chunked"), Err(ParseError::Unsupported));
-    assert_eq!(with("Transfer-Encoding : chunked"), Err(ParseError::Malformed));
-    assert_eq!(with("Content-Length: 5\r\nTransfer-Encoding: \u{b}chunked"), Err(ParseError::Malformed));
+    assert_eq!(
+        with("Transfer-Encoding: gzip, chunked"),
+        Err(ParseError::Unsupported)
+    );
+    assert_eq!(
+        with("Transfer-Encoding : chunked"),
+        Err(ParseError::Malformed)
+    );
+    assert_eq!(
+        with("Content-Length: 5\r\nTransfer-Encoding: \u{b}chunked"),
+        Err(ParseError::Malformed)
+    );
     assert_eq!(
         with("Content-Length: 5\r\nTransfer-Encoding: chunk\u{e9}d"),
         Err(ParseError::AmbiguousFraming)
     );
-    assert_eq!(with("Content-Length: 99999999999999999999999"), Err(ParseError::BodyTooLarge));
-    assert_eq!(with("Content-Length: 62914560"), Err(ParseError::BodyTooLarge));
+    assert_eq!(
+        with("Content-Length: 99999999999999999999999"),
+        Err(ParseError::BodyTooLarge)
+    );
+    assert_eq!(
+        with("Content-Length: 62914560"),
+        Err(ParseError::BodyTooLarge)
+    );
     let old = "PUT /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(request(old), Err(ParseError::AmbiguousFraming));
 }
@@ -109,13 +134,21 @@
 #[test]
 fn malformed_or_oversized_chunks_are_rejected() {
     let with = |body: &str| {
-        request(&format!("PUT /a HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n{body}"))
+        request(&format!(
+            "PUT /a HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n{body}"
+        ))
     };
     assert_eq!(with("3\r\nfour\r\n"), Err(ParseError::AmbiguousFraming));
     assert_eq!(with("-3\r\n"), Err(ParseError::AmbiguousFraming));
     assert_eq!(with("ffffffff\r\n"), Err(ParseError::BodyTooLarge));
-    assert_eq!(with("ffffffffffffffffffff\r\n"), Err(ParseError::AmbiguousFraming));
-    assert_eq!(with(&format!("1;{}", "x".repeat(300))), Err(ParseError::AmbiguousFraming));
+    assert_eq!(
+        with("ffffffffffffffffffff\r\n"),
+        Err(ParseError::AmbiguousFraming)
+    );
+    assert_eq!(
+        with(&format!("1;{}", "x".repeat(300))),
+        Err(ParseError::AmbiguousFraming)
+    );
     let endless = format!("0\r\n{}", "T: 1\r\n".repeat(400));
     assert_eq!(with(&endless), Err(ParseError::HeadTooLarge));
 }
@@ -127,8 +160,15 @@
     let many = format!("GET / HTTP/1.1\r\n{}", "A: 1\r\n".repeat(70));
     assert_eq!(request(&many), Err(ParseError::HeadTooLarge));
     assert_eq!(request("\u{1}\u{2}\u{3}"), Err(ParseError::Malformed));
-    assert_eq!(request("GET / HTTP/3.0\r\n\r\n"), Err(ParseError::Unsupported));
-    assert_eq!(request("GET / HTTP/1.1\r\n\r\n"), Err(ParseError::Malformed), "no host");
+    assert_eq!(
+        request("GET / HTTP/3.0\r\n\r\n"),
+        Err(ParseError::Unsupported)
+    );
+    assert_eq!(
+        request("GET / HTTP/1.1\r\n\r\n"),
+        Err(ParseError::Malformed),
+        "no host"
+    );
 }
 
 #[test]
@@ -138,12 +178,18 @@
     assert_eq!(body(response(&format!("{ahead}{good}"))), "body");
     let noise = format!("{}{good}", "HTTP/1.1 100 Continue\r\n\r\n".repeat(9));
     assert_eq!(response(&noise), Err(ParseError::HeadTooLarge));
-    assert_eq!(response("HTTP/1.1 101 Switching Protocols\r\n\r\n"), Err(ParseError::Unsupported));
+    assert_eq!(
+        response("HTTP/1.1 101 Switching Protocols\r\n\r\n"),
+        Err(ParseError::Unsupported)
+    );
 }
 
 #[test]
 fn response_without_length_is_rejected() {
-    assert_eq!(response("HTTP/1.1 200 OK\r\n\r\nbody"), Err(ParseError::MissingLength));
+    assert_eq!(
+        response("HTTP/1.1 200 OK\r\n\r\nbody"),
+        Err(ParseError::MissingLength)
+    );
     assert_eq!(
         response("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"),
         Err(ParseError::BodyTooLarge)
@@ -151,8 +197,15 @@
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(response(both), Err(ParseError::AmbiguousFraming));
     assert_eq!(response("garbage\r\n\r\n"), Err(ParseError::Unsupported));
-    assert_eq!(response("HTTP/1.1 2x0 OK\r\n\r\n"), Err(ParseError::Malformed));
-    assert_eq!(response("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"), Ok(None), "cut short");
+    assert_eq!(
+        response("HTTP/1.1 2x0 OK\r\n\r\n"),
+        Err(ParseError::Malformed)
+    );
+    assert_eq!(
+        response("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"),
+        Ok(None),
+        "cut short"
+    );
 }
 
 #[test]
--- a/crates/iscsi/src/frame.rs
+++ b/crates/iscsi/src/frame.rs
@@ -128,7 +128,10 @@
             return Err(FrameError::HeaderDigest);
         }
         if data_len > self.max_data_segment {
-            return Err(FrameError::DataSegmentTooLong { len: data_len, limit: self.max_data_segment });
+            return Err(FrameError::DataSegmentTooLong {
+                len: data_len,
+                limit: self.max_data_segment,
+            });
         }
         Ok(())
     }
@@ -137,7 +140,12 @@
     fn fill_data(&mut self, input: &mut &[u8], len: usize) -> bool {
         let missing = len - self.data.len();
         self.data.extend_from_slice(take_front(input, missing));
-        let trailer_len = padded(len) - len + if self.has_data_digest(len) { DIGEST_LEN } else { 0 };
+        let trailer_len = padded(len) - len
+            + if self.has_data_digest(len) {
+                DIGEST_LEN
+            } else {
+                0
+            };
         let bytes = take_front(input, trailer_len - self.trailer_len);
         self.trailer[self.trailer_len..self.trailer_len + bytes.len()].copy_from_slice(bytes);
         self.trailer_len += bytes.len();
@@ -194,7 +202,8 @@
         bhs.set_data_len(data.len());
         self.bytes.extend_from_slice(bhs.as_bytes());
         if self.digests.header {
-            self.bytes.extend_from_slice(&crc32c::crc32c(bhs.as_bytes()).to_le_bytes());
+            self.bytes
+                .extend_from_slice(&crc32c::crc32c(bhs.as_bytes()).to_le_bytes());
         }
         if data.is_empty() {
             return;
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -166,7 +166,11 @@
 
     /// How much of a command's unsolicited data goes into the PDU of the command itself.
     fn immediate_len(&self, unsolicited_len: usize) -> usize {
-        if self.params.immediate_data { unsolicited_len.min(self.params.max_send_data_segment) } else { 0 }
+        if self.params.immediate_data {
+            unsolicited_len.min(self.params.max_send_data_segment)
+        } else {
+            0
+        }
     }
 
     /// Sends a command's unsent data up to an offset.
@@ -182,7 +186,10 @@
                 .with_exp_stat_sn(self.exp_stat_sn)
                 .with_data_sn(data_sn)
                 .with_buffer_offset(command.sent as u32);
-            self.send_buffer.push(bhs, &command.write_data.bytes()[command.sent..command.sent + len]);
+            self.send_buffer.push(
+                bhs,
+                &command.write_data.bytes()[command.sent..command.sent + len],
+            );
             command.sent += len;
             data_sn += 1;
         }
@@ -191,15 +198,22 @@
     /// Whether any byte of a command has been written to the stream. False for one that is not in flight.
     pub fn has_started_sending(&self, tag: u32) -> bool {
         let sent = self.send_buffer.sent_bytes();
-        self.commands.iter().any(|command| command.tag == tag && command.stream_offset < sent)
+        self.commands
+            .iter()
+            .any(|command| command.tag == tag && command.stream_offset < sent)
     }
 
     /// Asks the target to abort a command. No completion is reported for it any more.
     pub fn abort_task(&mut self, tag: u32) {
-        let Some(command) = self.commands.start_abort(tag) else { return };
+        let Some(command) = self.commands.start_abort(tag) else {
+            return;
+        };
         let (lun, itt) = (command.lun, command.itt);
         let bhs = self
-            .immediate_request(opcode::TASK_MANAGEMENT_REQUEST, itt | reserved_itt::ABORT_TASK_BIT)
+            .immediate_request(
+                opcode::TASK_MANAGEMENT_REQUEST,
+                itt | reserved_itt::ABORT_TASK_BIT,
+            )
             .with_byte(1, flag::FINAL | task_function::ABORT_TASK)
             .with_lun(lun)
             .with_referenced_task_tag(itt)
@@ -210,7 +224,10 @@
     /// Resets a logical unit: the target answers none of its commands any more.
     pub fn reset_logical_unit(&mut self, lun: u32) {
         let bhs = self
-            .immediate_request(opcode::TASK_MANAGEMENT_REQUEST, reserved_itt::LOGICAL_UNIT_RESET)
+            .immediate_request(
+                opcode::TASK_MANAGEMENT_REQUEST,
+                reserved_itt::LOGICAL_UNIT_RESET,
+            )
             .with_byte(1, flag::FINAL | task_function::LOGICAL_UNIT_RESET)
             .with_lun(lun)
             .with_referenced_task_tag(RESERVED_TAG);
@@ -245,7 +262,10 @@
 
     /// Tags of the commands in flight that have not been aborted.
     pub fn in_flight_tags(&self) -> impl Iterator<Item = u32> + '_ {
-        self.commands.iter().filter(|command| !command.aborted).map(|command| command.tag)
+        self.commands
+            .iter()
+            .filter(|command| !command.aborted)
+            .map(|command| command.tag)
     }
 
     /// Number of commands in flight, with those aborted that the target has not confirmed.
--- a/crates/iscsi/src/initiator/command_table.rs
+++ b/crates/iscsi/src/initiator/command_table.rs
@@ -55,7 +55,11 @@
 
     fn index_of(&self, itt: u32) -> Option<usize> {
         let index = (itt & INDEX_BITS) as usize;
-        self.slots.get(index)?.as_ref().filter(|command| command.itt == itt).map(|_| index)
+        self.slots
+            .get(index)?
+            .as_ref()
+            .filter(|command| command.itt == itt)
+            .map(|_| index)
     }
 
     pub fn get_mut(&mut self, itt: u32) -> Option<&mut InFlightCommand> {
--- a/crates/iscsi/src/initiator/payload.rs
+++ b/crates/iscsi/src/initiator/payload.rs
@@ -15,17 +15,27 @@
     #[must_use]
     pub fn slice(&self, offset: usize, len: usize) -> Payload {
         let start = self.start + offset;
-        Payload { bytes: self.bytes.clone(), start, end: start + len }
+        Payload {
+            bytes: self.bytes.clone(),
+            start,
+            end: start + len,
+        }
     }
 
     /// The data itself.
     pub fn bytes(&self) -> &[u8] {
-        self.bytes.as_ref().map_or(&[], |bytes| &bytes[self.start..self.end])
+        self.bytes
+            .as_ref()
+            .map_or(&[], |bytes| &bytes[self.start..self.end])
     }
 }
 
 impl From<Vec<u8>> for Payload {
     fn from(bytes: Vec<u8>) -> Self {
-        Payload { start: 0, end: bytes.len(), bytes: (!bytes.is_empty()).then(|| Rc::new(bytes)) }
+        Payload {
+            start: 0,
+            end: bytes.len(),
+            bytes: (!bytes.is_empty()).then(|| Rc::new(bytes)),
+        }
     }
 }
--- a/crates/iscsi/src/initiator/receive.rs
+++ b/crates/iscsi/src/initiator/receive.rs
@@ -1,7 +1,9 @@
 //! What an initiator does with the target's PDUs.
 use super::{InitiatorConnection, InitiatorEvent, Phase, reserved_itt};
 use crate::error::ProtocolError;
-use crate::pdu::{Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode, serial_before};
+use crate::pdu::{
+    Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode, serial_before,
+};
 use crate::scsi::{Sense, status};
 
 /// The lower 14 bits of the status qualifier; the upper two are its scope (SAM-5, 5.3.2).
@@ -43,25 +45,32 @@
                 self.phase = Phase::LoggedOut;
                 self.events.push_back(InitiatorEvent::LoggedOut);
             }
-            opcode::TEXT_RESPONSE => self.events.push_back(InitiatorEvent::TextResponse(pdu.data)),
+            opcode::TEXT_RESPONSE => self
+                .events
+                .push_back(InitiatorEvent::TextResponse(pdu.data)),
             opcode => return Err(ProtocolError::UnexpectedResponse { opcode }),
         }
         Ok(())
     }
 
     fn on_login_response(&mut self, pdu: &Pdu) -> Result<(), ProtocolError> {
-        let Phase::Login(login) = &mut self.phase else { return Ok(()) };
+        let Phase::Login(login) = &mut self.phase else {
+            return Ok(());
+        };
         let next_request = login.on_response(pdu)?;
         self.exp_stat_sn = pdu.bhs.stat_sn().wrapping_add(1);
         self.max_cmd_sn = pdu.bhs.max_cmd_sn();
         self.cmd_sn = pdu.bhs.exp_cmd_sn();
         if let Some(request) = next_request {
-            let request = request.with_cmd_sn(self.cmd_sn).with_exp_stat_sn(self.exp_stat_sn);
+            let request = request
+                .with_cmd_sn(self.cmd_sn)
+                .with_exp_stat_sn(self.exp_stat_sn);
             self.send_buffer.push(request, &[]);
             return Ok(());
         }
         self.params = login.params.clone();
-        self.decoder.set_limits(self.params.digests, self.params.max_recv_data_segment);
+        self.decoder
+            .set_limits(self.params.digests, self.params.max_recv_data_segment);
         self.send_buffer.set_digests(self.params.digests);
         self.phase = Phase::FullFeature;
         self.events.push_back(InitiatorEvent::LoggedIn);
@@ -95,7 +104,9 @@
         };
         if !command.aborted {
             let received = command.read_data.len();
-            if bhs.buffer_offset() as usize != received || received + pdu.data.len() > command.read_len {
+            if bhs.buffer_offset() as usize != received
+                || received + pdu.data.len() > command.read_len
+            {
                 return Err(ProtocolError::ReadDataOutOfOrder {
                     offset: bhs.buffer_offset(),
                     expected: received,
@@ -122,9 +133,16 @@
             self.unmatched_responses += 1;
             return;
         }
-        let sense = pdu.data.get(SENSE_LENGTH_FIELD..).and_then(Sense::from_fixed_format);
+        let sense = pdu
+            .data
+            .get(SENSE_LENGTH_FIELD..)
+            .and_then(Sense::from_fixed_format);
         // Any response but "completed at target" says that the target failed, whatever the status is.
-        let status = if pdu.bhs.response() == 0 { pdu.bhs.status() } else { status::CHECK_CONDITION };
+        let status = if pdu.bhs.response() == 0 {
+            pdu.bhs.status()
+        } else {
+            status::CHECK_CONDITION
+        };
         self.complete(pdu.bhs.itt(), status, sense, self.retry_after(&pdu.bhs));
     }
 
@@ -133,25 +151,51 @@
             return 0;
         }
         let qualifier = bhs.status_qualifier() & QUALIFIER_BITS;
-        if qualifier <= MAX_RETRY_AFTER { qualifier } else { 0 }
+        if qualifier <= MAX_RETRY_AFTER {
+            qualifier
+        } else {
+            0
+        }
     }
 
     /// Reports a command's end. One that is aborted stays until its task management response.
     fn complete(&mut self, itt: u32, status: u8, sense: Option<Sense>, retry_after: u16) {
-        if self.commands.get_mut(itt).is_none_or(|command| command.aborted) {
+        if self
+            .commands
+            .get_mut(itt)
+            .is_none_or(|command| command.aborted)
+        {
             return;
         }
-        let Some(command) = self.commands.remove(itt) else { return };
+        let Some(command) = self.commands.remove(itt) else {
+            return;
+        };
         let (tag, data) = (command.tag, command.read_data);
-        self.events.push_back(InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after });
+        self.events.push_back(InitiatorEvent::CommandCompleted {
+            tag,
+            status,
+            sense,
+            data,
+            retry_after,
+        });
     }
 
     fn on_ready_to_transfer(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
-        let Some(mut command) = self.commands.remove(bhs.itt()) else { return Ok(()) };
+        let Some(mut command) = self.commands.remove(bhs.itt()) else {
+            return Ok(());
+        };
         if !command.aborted {
-            let (offset, len) = (bhs.buffer_offset() as usize, bhs.desired_data_len() as usize);
-            if offset != command.sent || offset + len > command.write_data.bytes().len() || len == 0 {
-                return Err(ProtocolError::InvalidReadyToTransfer { len, offset, sent: command.sent });
+            let (offset, len) = (
+                bhs.buffer_offset() as usize,
+                bhs.desired_data_len() as usize,
+            );
+            if offset != command.sent || offset + len > command.write_data.bytes().len() || len == 0
+            {
+                return Err(ProtocolError::InvalidReadyToTransfer {
+                    len,
+                    offset,
+                    sent: command.sent,
+                });
             }
             self.send_burst(&mut command, bhs.target_transfer_tag(), offset + len);
         }
@@ -172,10 +216,14 @@
 
     fn on_task_management_response(&mut self, bhs: &Bhs) {
         let itt = bhs.itt() & !reserved_itt::ABORT_TASK_BIT;
-        if self.commands.get_mut(itt).is_some_and(|command| command.aborted)
+        if self
+            .commands
+            .get_mut(itt)
+            .is_some_and(|command| command.aborted)
             && let Some(command) = self.commands.remove(itt)
         {
-            self.events.push_back(InitiatorEvent::CommandAborted { tag: command.tag });
+            self.events
+                .push_back(InitiatorEvent::CommandAborted { tag: command.tag });
         }
     }
 
@@ -190,10 +238,15 @@
 
     /// The data of a Reject is the header of what was rejected.
     fn on_reject(&mut self, pdu: &Pdu) {
-        let Some(itt) = pdu.data.get(ITT_OFFSET..ITT_OFFSET + 4) else { return };
+        let Some(itt) = pdu.data.get(ITT_OFFSET..ITT_OFFSET + 4) else {
+            return;
+        };
         let itt = u32::from_be_bytes([itt[0], itt[1], itt[2], itt[3]]);
         if let Some(command) = self.commands.remove(itt) {
-            let event = InitiatorEvent::CommandRejected { tag: command.tag, reason: pdu.bhs.response() };
+            let event = InitiatorEvent::CommandRejected {
+                tag: command.tag,
+                reason: pdu.bhs.response(),
+            };
             self.events.push_back(event);
         }
     }
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -44,23 +44,50 @@
 
 impl LoginStatus {
     /// Initiator error: something else is wrong with the request.
-    pub const INITIATOR_ERROR: LoginStatus = LoginStatus { class: 2, detail: 0 };
+    pub const INITIATOR_ERROR: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 0,
+    };
     /// Authentication failure: the target does not support any method that was offered.
-    pub const AUTHENTICATION: LoginStatus = LoginStatus { class: 2, detail: 1 };
+    pub const AUTHENTICATION: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 1,
+    };
     /// The target does not exist.
-    pub const NOT_FOUND: LoginStatus = LoginStatus { class: 2, detail: 3 };
+    pub const NOT_FOUND: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 3,
+    };
     /// The target does not support the versions in the request.
-    pub const VERSION: LoginStatus = LoginStatus { class: 2, detail: 5 };
+    pub const VERSION: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 5,
+    };
     /// Missing parameter, such as a name.
-    pub const MISSING: LoginStatus = LoginStatus { class: 2, detail: 7 };
+    pub const MISSING: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 7,
+    };
     /// The session that the TSIH names does not exist.
-    pub const NO_SESSION: LoginStatus = LoginStatus { class: 2, detail: 10 };
+    pub const NO_SESSION: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 10,
+    };
     /// The request is invalid in the present stage of the login.
-    pub const INVALID: LoginStatus = LoginStatus { class: 2, detail: 11 };
+    pub const INVALID: LoginStatus = LoginStatus {
+        class: 2,
+        detail: 11,
+    };
     /// The target is not operational.
-    pub const UNAVAILABLE: LoginStatus = LoginStatus { class: 3, detail: 1 };
+    pub const UNAVAILABLE: LoginStatus = LoginStatus {
+        class: 3,
+        detail: 1,
+    };
     /// The target lacks the resources for another session.
-    pub const OUT_OF_RESOURCES: LoginStatus = LoginStatus { class: 3, detail: 2 };
+    pub const OUT_OF_RESOURCES: LoginStatus = LoginStatus {
+        class: 3,
+        detail: 2,
+    };
 }
 
 impl fmt::Display for LoginStatus {
@@ -126,12 +153,14 @@
     pub fn status(&self) -> LoginStatus {
         match self {
             LoginError::Version => LoginStatus::VERSION,
-            LoginError::TransitAndContinue | LoginError::WrongStage | LoginError::WrongNextStage => {
-                LoginStatus::INVALID
-            }
+            LoginError::TransitAndContinue
+            | LoginError::WrongStage
+            | LoginError::WrongNextStage => LoginStatus::INVALID,
             LoginError::TextTooLong => LoginStatus::OUT_OF_RESOURCES,
             LoginError::Text(_) | LoginError::Param(_) => LoginStatus::INITIATOR_ERROR,
-            LoginError::MissingInitiatorName | LoginError::MissingTargetName => LoginStatus::MISSING,
+            LoginError::MissingInitiatorName | LoginError::MissingTargetName => {
+                LoginStatus::MISSING
+            }
             LoginError::NotAdmitted { status, .. } => *status,
             LoginError::AuthenticationRequired => LoginStatus::AUTHENTICATION,
         }
--- a/crates/iscsi/src/login/initiator.rs
+++ b/crates/iscsi/src/login/initiator.rs
@@ -38,20 +38,29 @@
         }
         SessionParams::offer(proposal, &mut data);
         let params = SessionParams::before_negotiation(proposal);
-        let login = InitiatorLogin { params, isid, further_requests: 0 };
+        let login = InitiatorLogin {
+            params,
+            isid,
+            further_requests: 0,
+        };
         let bhs = login.request();
         (login, bhs, data)
     }
 
     fn request(&self) -> Bhs {
-        Bhs::new(opcode::LOGIN_REQUEST, REQUEST_FLAGS).with_immediate().with_isid(self.isid).with_itt(0)
+        Bhs::new(opcode::LOGIN_REQUEST, REQUEST_FLAGS)
+            .with_immediate()
+            .with_isid(self.isid)
+            .with_itt(0)
     }
 
     /// Takes a response; returns the header of the next request, or none once logged in.
     pub fn on_response(&mut self, pdu: &Pdu) -> Result<Option<Bhs>, ProtocolError> {
         let bhs = &pdu.bhs;
         if bhs.opcode() != opcode::LOGIN_RESPONSE {
-            return Err(ProtocolError::ExpectedLoginResponse { opcode: bhs.opcode() });
+            return Err(ProtocolError::ExpectedLoginResponse {
+                opcode: bhs.opcode(),
+            });
         }
         let (class, detail) = (bhs.login_status_class(), bhs.login_status_detail());
         if class != 0 {
--- a/crates/iscsi/src/login/target.rs
+++ b/crates/iscsi/src/login/target.rs
@@ -77,18 +77,30 @@
             let bhs = self
                 .response(pdu, pdu.bhs.flags() & CURRENT_STAGE_BITS)
                 .with_login_status(status.class, status.detail);
-            LoginReply { bhs, data: Vec::new(), outcome: LoginOutcome::Rejected(error) }
+            LoginReply {
+                bhs,
+                data: Vec::new(),
+                outcome: LoginOutcome::Rejected(error),
+            }
         })
     }
 
     fn response(&self, pdu: &Pdu, flags: u8) -> Bhs {
         Bhs::new(opcode::LOGIN_RESPONSE, flags)
             .with_isid(pdu.bhs.isid())
-            .with_tsih(if self.tsih != 0 { self.tsih } else { pdu.bhs.tsih() })
+            .with_tsih(if self.tsih != 0 {
+                self.tsih
+            } else {
+                pdu.bhs.tsih()
+            })
             .with_itt(pdu.bhs.itt())
     }
 
-    fn try_request(&mut self, pdu: &Pdu, policy: &mut dyn LoginPolicy) -> Result<LoginReply, LoginError> {
+    fn try_request(
+        &mut self,
+        pdu: &Pdu,
+        policy: &mut dyn LoginPolicy,
+    ) -> Result<LoginReply, LoginError> {
         let stages = Stages::of(&pdu.bhs);
         self.check_stages(pdu, &stages)?;
         self.stage = stages.current;
@@ -98,16 +110,22 @@
         self.text.extend_from_slice(&pdu.data);
         if stages.to_be_continued {
             let bhs = self.response(pdu, stages.current << 2);
-            return Ok(LoginReply { bhs, data: Vec::new(), outcome: LoginOutcome::InProgress });
+            return Ok(LoginReply {
+                bhs,
+                data: Vec::new(),
+                outcome: LoginOutcome::InProgress,
+            });
         }
         let text = std::mem::take(&mut self.text);
         let pairs = text::parse_pairs(&text)?;
         if self.identity.is_none() {
             let identity = identify(&pdu.bhs, &pairs)?;
-            self.tsih = policy.admit(&identity).map_err(|status| LoginError::NotAdmitted {
-                initiator: identity.initiator.clone(),
-                status,
-            })?;
+            self.tsih = policy
+                .admit(&identity)
+                .map_err(|status| LoginError::NotAdmitted {
+                    initiator: identity.initiator.clone(),
+                    status,
+                })?;
             self.identity = Some(identity);
         }
         let data = self.answer_keys(&pairs, stages.current)?;
@@ -132,7 +150,11 @@
     }
 
     /// The text that answers the keys of one request.
-    fn answer_keys(&mut self, pairs: &[(&str, &str)], current_stage: u8) -> Result<Vec<u8>, LoginError> {
+    fn answer_keys(
+        &mut self,
+        pairs: &[(&str, &str)],
+        current_stage: u8,
+    ) -> Result<Vec<u8>, LoginError> {
         let mut out = Vec::new();
         for (key, value) in pairs {
             match *key {
@@ -162,18 +184,25 @@
             flags |= flag::FINAL | stages.next;
             self.stage = stages.next;
             if stages.next == stage::FULL_FEATURE {
-                outcome = LoginOutcome::Completed(self.identity.clone().expect("set by the first request"));
+                outcome = LoginOutcome::Completed(
+                    self.identity.clone().expect("set by the first request"),
+                );
             }
         }
-        LoginReply { bhs: self.response(pdu, flags), data, outcome }
+        LoginReply {
+            bhs: self.response(pdu, flags),
+            data,
+            outcome,
+        }
     }
 }
 
 /// Reads from the first request who logs in.
 fn identify(bhs: &Bhs, pairs: &[(&str, &str)]) -> Result<LoginIdentity, LoginError> {
     let find = |key| pairs.iter().find(|pair| pair.0 == key).map(|pair| pair.1);
-    let initiator =
-        find("InitiatorName").filter(|name| !name.is_empty()).ok_or(LoginError::MissingInitiatorName)?;
+    let initiator = find("InitiatorName")
+        .filter(|name| !name.is_empty())
+        .ok_or(LoginError::MissingInitiatorName)?;
     let discovery = find("SessionType") == Some("Discovery");
     let target = find("TargetName");
     if target.is_none() && !discovery {
--- a/crates/iscsi/src/params.rs
+++ b/crates/iscsi/src/params.rs
@@ -115,15 +115,25 @@
 }
 
 fn parse_length(value: &str) -> Result<usize, ExpectedValue> {
-    let length = match value.strip_prefix("0x").or_else(|| value.strip_prefix("0X")) {
+    let length = match value
+        .strip_prefix("0x")
+        .or_else(|| value.strip_prefix("0X"))
+    {
         Some(digits) => usize::from_str_radix(digits, 16),
         None => value.parse(),
     };
-    length.ok().filter(|length| LENGTH_RANGE.contains(length)).ok_or(ExpectedValue::Length)
+    length
+        .ok()
+        .filter(|length| LENGTH_RANGE.contains(length))
+        .ok_or(ExpectedValue::Length)
 }
 
 fn parse_number(value: &str, max: u16) -> Result<u16, ExpectedValue> {
-    value.parse().ok().filter(|number| *number <= max).ok_or(ExpectedValue::UpTo(max))
+    value
+        .parse()
+        .ok()
+        .filter(|number| *number <= max)
+        .ok_or(ExpectedValue::UpTo(max))
 }
 
 /// Parses the digest that a target selected.
@@ -142,7 +152,11 @@
     let has_none = list.split(',').any(|name| name == "None");
     let prefers_crc = list.split(',').next() == Some("CRC32C");
     let selected = has_crc && (proposed || prefers_crc || !has_none);
-    if selected || has_none { Ok(selected) } else { Err(ExpectedValue::Digest) }
+    if selected || has_none {
+        Ok(selected)
+    } else {
+        Err(ExpectedValue::Digest)
+    }
 }
 
 fn boolean_text(value: bool) -> String {
@@ -156,7 +170,10 @@
 impl SessionParams {
     /// What holds at the start of a login, by the proposal of this side.
     pub fn before_negotiation(proposal: &ProposedParams) -> Self {
-        SessionParams { max_recv_data_segment: proposal.max_recv_data_segment, ..SessionParams::default() }
+        SessionParams {
+            max_recv_data_segment: proposal.max_recv_data_segment,
+            ..SessionParams::default()
+        }
     }
 
     /// Whether responses carry a status qualifier.
@@ -173,11 +190,13 @@
         value: &str,
         out: &mut Vec<u8>,
     ) -> Result<(), ParamError> {
-        let answer = self.negotiate(proposal, key, value).map_err(|expected| ParamError {
-            key: key.to_owned(),
-            value: value.to_owned(),
-            expected,
-        })?;
+        let answer = self
+            .negotiate(proposal, key, value)
+            .map_err(|expected| ParamError {
+                key: key.to_owned(),
+                value: value.to_owned(),
+                expected,
+            })?;
         if let Some(answer) = answer {
             text::push_pair(out, key, &answer);
         }
@@ -258,11 +277,19 @@
         let digest_list = |wanted| if wanted { "CRC32C,None" } else { "None,CRC32C" };
         text::push_pair(out, "HeaderDigest", digest_list(proposal.digests.header));
         text::push_pair(out, "DataDigest", digest_list(proposal.digests.data));
-        text::push_pair(out, "MaxRecvDataSegmentLength", &proposal.max_recv_data_segment.to_string());
+        text::push_pair(
+            out,
+            "MaxRecvDataSegmentLength",
+            &proposal.max_recv_data_segment.to_string(),
+        );
         text::push_pair(out, "InitialR2T", "No");
         text::push_pair(out, "ImmediateData", "Yes");
         text::push_pair(out, "MaxBurstLength", &proposal.max_burst_len.to_string());
-        text::push_pair(out, "FirstBurstLength", &proposal.first_burst_len.to_string());
+        text::push_pair(
+            out,
+            "FirstBurstLength",
+            &proposal.first_burst_len.to_string(),
+        );
         text::push_pair(out, "MaxConnections", "1");
         text::push_pair(out, "MaxOutstandingR2T", "1");
         text::push_pair(out, "ErrorRecoveryLevel", "0");
@@ -276,11 +303,12 @@
         if matches!(value, "NotUnderstood" | "Irrelevant") {
             return Ok(());
         }
-        self.apply_answer(key, value).map_err(|expected| ParamError {
-            key: key.to_owned(),
-            value: value.to_owned(),
-            expected,
-        })
+        self.apply_answer(key, value)
+            .map_err(|expected| ParamError {
+                key: key.to_owned(),
+                value: value.to_owned(),
+                expected,
+            })
     }
 
     fn apply_answer(&mut self, key: &str, value: &str) -> Result<(), ExpectedValue> {
@@ -292,7 +320,9 @@
             "ImmediateData" => self.immediate_data = parse_boolean(value)?,
             "MaxBurstLength" => self.max_burst_len = parse_length(value)?,
             "FirstBurstLength" => self.first_burst_len = parse_length(value)?,
-            "iSCSIProtocolLevel" => self.protocol_level = parse_number(value, MAX_PROTOCOL_LEVEL)? as u8,
+            "iSCSIProtocolLevel" => {
+                self.protocol_level = parse_number(value, MAX_PROTOCOL_LEVEL)? as u8
+            }
             _ => {}
         }
         Ok(())
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -65,7 +65,11 @@
     pub const UNRECOVERED_READ_ERROR: Sense = Sense::new(0x03, 0x11, 0x00);
 
     const fn new(key: u8, code: u8, qualifier: u8) -> Self {
-        Sense { key, code, qualifier }
+        Sense {
+            key,
+            code,
+            qualifier,
+        }
     }
 
     /// Encodes in fixed format, as a current error.
--- a/crates/iscsi/src/scsi/cdb.rs
+++ b/crates/iscsi/src/scsi/cdb.rs
@@ -138,20 +138,29 @@
     let page = cdb[2] & PAGE_CODE_BITS;
     match cdb[0] {
         operation::TEST_UNIT_READY => Ok(Command::TestUnitReady),
-        operation::REQUEST_SENSE => Ok(Command::RequestSense { allocation_len: len_8 }),
+        operation::REQUEST_SENSE => Ok(Command::RequestSense {
+            allocation_len: len_8,
+        }),
         operation::INQUIRY => parse_inquiry(cdb),
         operation::MODE_SELECT_6 if cdb[1] & PAGE_FORMAT != 0 => Ok(Command::ModeSelect),
-        operation::MODE_SENSE_6 => {
-            Ok(Command::ModeSense { form: ModeSenseForm::Six, page, allocation_len: len_8 })
-        }
-        operation::MODE_SENSE_10 => {
-            Ok(Command::ModeSense { form: ModeSenseForm::Ten, page, allocation_len: len_16 })
-        }
+        operation::MODE_SENSE_6 => Ok(Command::ModeSense {
+            form: ModeSenseForm::Six,
+            page,
+            allocation_len: len_8,
+        }),
+        operation::MODE_SENSE_10 => Ok(Command::ModeSense {
+            form: ModeSenseForm::Ten,
+            page,
+            allocation_len: len_16,
+        }),
         operation::UNMAP => Ok(Command::Unmap),
         operation::READ_CAPACITY_10 => Ok(Command::ReadCapacity10),
         operation::REPORT_LUNS => {
             let allocation_len = capped(&cdb[6..], MAX_ALLOCATION_LEN);
-            Ok(Command::ReportLuns { select_report: cdb[2], allocation_len })
+            Ok(Command::ReportLuns {
+                select_report: cdb[2],
+                allocation_len,
+            })
         }
         operation::SERVICE_ACTION_IN_16 => parse_service_action(cdb),
         operation::READ_10 | operation::WRITE_10 | operation::SYNCHRONIZE_CACHE_10 => {
@@ -171,25 +180,39 @@
     if page.is_none() && cdb[2] != 0 {
         return Err(Sense::INVALID_FIELD_IN_CDB);
     }
-    Ok(Command::Inquiry { page, allocation_len: usize::from(big_endian::u16(&cdb[3..])) })
+    Ok(Command::Inquiry {
+        page,
+        allocation_len: usize::from(big_endian::u16(&cdb[3..])),
+    })
 }
 
 fn parse_service_action(cdb: &[u8; 16]) -> Result<Command, Sense> {
     match cdb[1] & SERVICE_ACTION_BITS {
         service_action::GET_LBA_STATUS => {
             let allocation_len = capped(&cdb[10..], MAX_LBA_STATUS_LEN);
-            Ok(Command::GetLbaStatus { lba: big_endian::u64(&cdb[2..]), allocation_len })
-        }
-        service_action::READ_CAPACITY_16 => {
-            Ok(Command::ReadCapacity16 { allocation_len: capped(&cdb[10..], MAX_ALLOCATION_LEN) })
+            Ok(Command::GetLbaStatus {
+                lba: big_endian::u64(&cdb[2..]),
+                allocation_len,
+            })
         }
+        service_action::READ_CAPACITY_16 => Ok(Command::ReadCapacity16 {
+            allocation_len: capped(&cdb[10..], MAX_ALLOCATION_LEN),
+        }),
         _ => Err(Sense::INVALID_OPERATION_CODE),
     }
 }
 
 /// The rest of a command that names a run of blocks.
-fn parse_block_command(cdb: &[u8; 16], lba: u64, blocks: u32, group_byte: u8) -> Result<Command, Sense> {
-    if matches!(cdb[0], operation::SYNCHRONIZE_CACHE_10 | operation::SYNCHRONIZE_CACHE_16) {
+fn parse_block_command(
+    cdb: &[u8; 16],
+    lba: u64,
+    blocks: u32,
+    group_byte: u8,
+) -> Result<Command, Sense> {
+    if matches!(
+        cdb[0],
+        operation::SYNCHRONIZE_CACHE_10 | operation::SYNCHRONIZE_CACHE_16
+    ) {
         return Ok(Command::SynchronizeCache { lba, blocks });
     }
     if cdb[1] & PROTECT_BITS != 0 {
@@ -197,9 +220,17 @@
     }
     let group_number = group_byte & GROUP_NUMBER_BITS;
     if matches!(cdb[0], operation::READ_10 | operation::READ_16) {
-        Ok(Command::Read { lba, blocks, group_number })
+        Ok(Command::Read {
+            lba,
+            blocks,
+            group_number,
+        })
     } else {
-        Ok(Command::Write { lba, blocks, group_number })
+        Ok(Command::Write {
+            lba,
+            blocks,
+            group_number,
+        })
     }
 }
 
@@ -211,7 +242,11 @@
 /// Builds a READ (16), or a WRITE (16), with a group number of up to 31.
 pub fn read_or_write_16(write: bool, lba: u64, blocks: u32, group_number: u8) -> [u8; 16] {
     let mut cdb = [0; 16];
-    cdb[0] = if write { operation::WRITE_16 } else { operation::READ_16 };
+    cdb[0] = if write {
+        operation::WRITE_16
+    } else {
+        operation::READ_16
+    };
     cdb[2..10].copy_from_slice(&lba.to_be_bytes());
     cdb[10..14].copy_from_slice(&blocks.to_be_bytes());
     cdb[14] = group_number & GROUP_NUMBER_BITS;
--- a/crates/iscsi/src/scsi/logical_unit.rs
+++ b/crates/iscsi/src/scsi/logical_unit.rs
@@ -31,7 +31,28 @@
 }
 
 /// Caching page. The write cache is off: a write is answered only once a storage node holds it.
-const CACHING_PAGE: [u8; 20] = [mode_page::CACHING, 18, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
+const CACHING_PAGE: [u8; 20] = [
+    mode_page::CACHING,
+    18,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+    0,
+];
 /// Control page: commands may be reordered without restriction.
 const CONTROL_PAGE: [u8; 12] = [mode_page::CONTROL, 10, 0, 0x10, 0, 0, 0, 0, 0, 0, 0, 0];
 /// Software write protect, in byte 4 of the control page.
@@ -57,7 +78,13 @@
 
 /// Appends `width` characters of printable ASCII, with blanks behind a shorter text.
 fn push_ascii(out: &mut Vec<u8>, text: &str, width: usize) {
-    let printable = |byte| if (0x20..0x7f).contains(&byte) { byte } else { b'?' };
+    let printable = |byte| {
+        if (0x20..0x7f).contains(&byte) {
+            byte
+        } else {
+            b'?'
+        }
+    };
     let characters = text.bytes().map(printable).chain(std::iter::repeat(b' '));
     out.extend(characters.take(width));
 }
@@ -65,7 +92,9 @@
 impl LogicalUnit<'_> {
     /// Standard INQUIRY data, or a page of vital product data; none for a page that is not supported.
     pub fn inquiry(&self, page: Option<u8>) -> Option<Vec<u8>> {
-        let Some(page) = page else { return Some(self.standard_inquiry()) };
+        let Some(page) = page else {
+            return Some(self.standard_inquiry());
+        };
         let body = match page {
             vpd_page::SUPPORTED_PAGES => vec![
                 vpd_page::SUPPORTED_PAGES,
@@ -88,7 +117,16 @@
 
     fn standard_inquiry(&self) -> Vec<u8> {
         // Direct access device, SPC-4, response format 2 with HISUP, additional length, CMDQUE.
-        let mut out = vec![0x00, 0x00, 0x06, 0x12, STANDARD_INQUIRY_LEN as u8 - 5, 0, 0, 0x02];
+        let mut out = vec![
+            0x00,
+            0x00,
+            0x06,
+            0x12,
+            STANDARD_INQUIRY_LEN as u8 - 5,
+            0,
+            0,
+            0x02,
+        ];
         push_ascii(&mut out, VENDOR, 8);
         push_ascii(&mut out, self.product, 16);
         push_ascii(&mut out, REVISION, 4);
@@ -150,7 +188,9 @@
                 out.resize(MODE_HEADER_6_LEN, 0);
             }
             ModeSenseForm::Ten => {
-                out.extend_from_slice(&((pages.len() + MODE_HEADER_10_LEN - 2) as u16).to_be_bytes());
+                out.extend_from_slice(
+                    &((pages.len() + MODE_HEADER_10_LEN - 2) as u16).to_be_bytes(),
+                );
                 out.resize(MODE_HEADER_10_LEN, 0);
             }
         }
--- a/crates/iscsi/src/scsi/provisioning.rs
+++ b/crates/iscsi/src/scsi/provisioning.rs
@@ -41,13 +41,21 @@
     let len = usize::from(big_endian::u16(data.get(2..4)?));
     let descriptors = data.get(HEADER_LEN..)?;
     let fits = len == descriptors.len() && len.is_multiple_of(DESCRIPTOR_LEN);
-    fits.then(|| descriptors.chunks_exact(DESCRIPTOR_LEN).map(parse_descriptor).collect())
+    fits.then(|| {
+        descriptors
+            .chunks_exact(DESCRIPTOR_LEN)
+            .map(parse_descriptor)
+            .collect()
+    })
 }
 
 /// Builds a GET LBA STATUS (SBC-3, 5.4) from a block on; `allocation_len` in bytes.
 pub fn get_lba_status(lba: u64, allocation_len: u32) -> [u8; 16] {
     let mut cdb = [0; 16];
-    (cdb[0], cdb[1]) = (operation::SERVICE_ACTION_IN_16, service_action::GET_LBA_STATUS);
+    (cdb[0], cdb[1]) = (
+        operation::SERVICE_ACTION_IN_16,
+        service_action::GET_LBA_STATUS,
+    );
     cdb[2..10].copy_from_slice(&lba.to_be_bytes());
     cdb[10..14].copy_from_slice(&allocation_len.to_be_bytes());
     cdb
@@ -57,7 +65,9 @@
 pub fn lba_status_data(runs: &[(u64, u32)], allocation_len: usize) -> Vec<u8> {
     let fitting = allocation_len.saturating_sub(HEADER_LEN) / DESCRIPTOR_LEN;
     let runs = &runs[..runs.len().min(fitting)];
-    let mut out = ((runs.len() * DESCRIPTOR_LEN + 4) as u32).to_be_bytes().to_vec();
+    let mut out = ((runs.len() * DESCRIPTOR_LEN + 4) as u32)
+        .to_be_bytes()
+        .to_vec();
     out.extend_from_slice(&[0; 4]);
     push_descriptors(&mut out, runs);
     out
@@ -68,8 +78,11 @@
     let len = big_endian::u32(data.get(..4)?) as usize;
     let descriptors = data.get(HEADER_LEN..len + 4)?;
     let is_mapped = |descriptor: &&[u8]| descriptor[12] & PROVISIONING_STATUS_BITS == 0;
-    descriptors
-        .len()
-        .is_multiple_of(DESCRIPTOR_LEN)
-        .then(|| descriptors.chunks_exact(DESCRIPTOR_LEN).filter(is_mapped).map(parse_descriptor).collect())
+    descriptors.len().is_multiple_of(DESCRIPTOR_LEN).then(|| {
+        descriptors
+            .chunks_exact(DESCRIPTOR_LEN)
+            .filter(is_mapped)
+            .map(parse_descriptor)
+            .collect()
+    })
 }
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -138,7 +138,9 @@
 
     /// Sends a NOP-In that asks for an answer. Returns how many of them, with this one, are unanswered.
     pub fn send_ping(&mut self) -> u32 {
-        let bhs = Bhs::new(opcode::NOP_IN, flag::FINAL).with_itt(RESERVED_TAG).with_target_transfer_tag(1);
+        let bhs = Bhs::new(opcode::NOP_IN, flag::FINAL)
+            .with_itt(RESERVED_TAG)
+            .with_target_transfer_tag(1);
         self.send_request(bhs, &[]);
         self.unanswered_pings += 1;
         self.unanswered_pings
@@ -165,7 +167,10 @@
 
     fn send_numbered(&mut self, bhs: Bhs, stat_sn: u32, data: &[u8]) {
         self.open_command_window();
-        let bhs = bhs.with_stat_sn(stat_sn).with_exp_cmd_sn(self.exp_cmd_sn).with_max_cmd_sn(self.max_cmd_sn);
+        let bhs = bhs
+            .with_stat_sn(stat_sn)
+            .with_exp_cmd_sn(self.exp_cmd_sn)
+            .with_max_cmd_sn(self.max_cmd_sn);
         self.send_buffer.push(bhs, data);
     }
 
--- a/crates/iscsi/src/target/complete.rs
+++ b/crates/iscsi/src/target/complete.rs
@@ -16,10 +16,16 @@
     /// Of a command that completes with `len` bytes of data.
     fn of_data(task: &Task, len: usize) -> Residual {
         if len > task.read_len {
-            return Residual { count: len - task.read_len, flag: flag::OVERFLOW };
+            return Residual {
+                count: len - task.read_len,
+                flag: flag::OVERFLOW,
+            };
         }
         if task.is_read && len < task.read_len {
-            return Residual { count: task.read_len - len, flag: flag::UNDERFLOW };
+            return Residual {
+                count: task.read_len - len,
+                flag: flag::UNDERFLOW,
+            };
         }
         Residual::NONE
     }
@@ -28,7 +34,10 @@
     fn of_no_data(task: &Task) -> Residual {
         match task.read_len {
             0 => Residual::NONE,
-            count => Residual { count, flag: flag::UNDERFLOW },
+            count => Residual {
+                count,
+                flag: flag::UNDERFLOW,
+            },
         }
     }
 }
@@ -41,7 +50,9 @@
     /// Completes a command with GOOD, and with the data of a read, of which no more than the initiator
     /// expects is sent. Does nothing if the command was aborted.
     pub fn complete(&mut self, task: u32, data: &[u8]) {
-        let Some(task) = self.remove_task(task) else { return };
+        let Some(task) = self.remove_task(task) else {
+            return;
+        };
         let residual = Residual::of_data(&task, data.len());
         let data = &data[..data.len().min(task.read_len)];
         if data.is_empty() {
@@ -60,7 +71,11 @@
         let last_index = data.len().div_ceil(max_len) - 1;
         for (index, segment) in data.chunks(max_len).enumerate() {
             let is_last = index == last_index;
-            let flags = if is_last { flag::FINAL | flag::STATUS | residual.flag } else { 0 };
+            let flags = if is_last {
+                flag::FINAL | flag::STATUS | residual.flag
+            } else {
+                0
+            };
             let bhs = Bhs::new(opcode::DATA_IN, flags)
                 .with_itt(itt)
                 .with_target_transfer_tag(RESERVED_TAG)
@@ -78,10 +93,22 @@
     /// Ends a command with any other status. `retry_after` says of a BUSY or TASK SET FULL when to retry, in
     /// units of 100 ms; it is sent only where the session has status qualifiers (RFC 7144). Does nothing if
     /// the command was aborted.
-    pub fn complete_with_status(&mut self, task: u32, status: u8, sense: Option<Sense>, retry_after: u16) {
-        let Some(task) = self.remove_task(task) else { return };
+    pub fn complete_with_status(
+        &mut self,
+        task: u32,
+        status: u8,
+        sense: Option<Sense>,
+        retry_after: u16,
+    ) {
+        let Some(task) = self.remove_task(task) else {
+            return;
+        };
         let residual = Residual::of_no_data(&task);
-        let qualifier = if self.params.has_status_qualifier() { retry_after.min(MAX_RETRY_AFTER) } else { 0 };
+        let qualifier = if self.params.has_status_qualifier() {
+            retry_after.min(MAX_RETRY_AFTER)
+        } else {
+            0
+        };
         let bhs = Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL | residual.flag)
             .with_status(status)
             .with_status_qualifier(qualifier)
@@ -95,8 +122,9 @@
 
     /// Answers a command that never became a task.
     pub(super) fn send_check_condition(&mut self, itt: u32, sense: Sense) {
-        let bhs =
-            Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL).with_status(status::CHECK_CONDITION).with_itt(itt);
+        let bhs = Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL)
+            .with_status(status::CHECK_CONDITION)
+            .with_itt(itt);
         self.send_response(bhs, &sense_segment(sense));
     }
 }
--- a/crates/iscsi/src/target/data_out.rs
+++ b/crates/iscsi/src/target/data_out.rs
@@ -8,7 +8,9 @@
     /// Goes on with a command behind a burst of data: asks for the next burst, or hands the command to the
     /// caller once all its data is there.
     pub(super) fn request_data_or_deliver(&mut self, index: usize) {
-        let Some(task) = self.tasks.get_mut(index) else { return };
+        let Some(task) = self.tasks.get_mut(index) else {
+            return;
+        };
         let received = task.write_data.len();
         if received >= task.write_len {
             task.phase = DataPhase::Delivered;
@@ -40,8 +42,12 @@
     pub(super) fn on_data_out(&mut self, pdu: &Pdu) -> Result<(), ProtocolError> {
         let bhs = pdu.bhs;
         // Data may still be in transit for a command that was aborted or completed meanwhile.
-        let Some(index) = self.tasks.index_of(bhs.itt()) else { return Ok(()) };
-        let Some(task) = self.tasks.get_mut(index) else { return Ok(()) };
+        let Some(index) = self.tasks.index_of(bhs.itt()) else {
+            return Ok(());
+        };
+        let Some(task) = self.tasks.get_mut(index) else {
+            return Ok(());
+        };
         if task.phase == DataPhase::Delivered {
             return Ok(());
         }
@@ -72,10 +78,16 @@
     }
     let (offset, received) = (bhs.buffer_offset() as usize, task.write_data.len());
     if bhs.data_sn() != task.next_data_sn || offset != received {
-        return Err(ProtocolError::WriteDataOutOfOrder { offset, expected: received });
+        return Err(ProtocolError::WriteDataOutOfOrder {
+            offset,
+            expected: received,
+        });
     }
     if offset + len > task.burst_end {
-        return Err(ProtocolError::DataPastBurst { end: offset + len, limit: task.burst_end });
+        return Err(ProtocolError::DataPastBurst {
+            end: offset + len,
+            limit: task.burst_end,
+        });
     }
     if len == 0 && !bhs.is_final() {
         return Err(ProtocolError::EmptyDataOut);
--- a/crates/iscsi/src/target/receive.rs
+++ b/crates/iscsi/src/target/receive.rs
@@ -17,7 +17,11 @@
     /// # Errors
     /// The initiator violated the protocol, or its login was rejected; the connection is to be closed once
     /// the send buffer is sent.
-    pub fn receive(&mut self, mut input: &[u8], policy: &mut dyn LoginPolicy) -> Result<(), ProtocolError> {
+    pub fn receive(
+        &mut self,
+        mut input: &[u8],
+        policy: &mut dyn LoginPolicy,
+    ) -> Result<(), ProtocolError> {
         while !input.is_empty() && !self.is_closing() {
             match self.decoder.decode(&mut input) {
                 Ok(None) => break,
@@ -81,26 +85,41 @@
             return Ok(false);
         }
         if cmd_sn != self.exp_cmd_sn {
-            return Err(ProtocolError::CommandSequenceGap { received: cmd_sn, expected: self.exp_cmd_sn });
+            return Err(ProtocolError::CommandSequenceGap {
+                received: cmd_sn,
+                expected: self.exp_cmd_sn,
+            });
         }
         self.exp_cmd_sn = self.exp_cmd_sn.wrapping_add(1);
         Ok(true)
     }
 
-    fn on_login_request(&mut self, pdu: &Pdu, policy: &mut dyn LoginPolicy) -> Result<(), ProtocolError> {
-        let Phase::Login(login) = &mut self.phase else { return Ok(()) };
+    fn on_login_request(
+        &mut self,
+        pdu: &Pdu,
+        policy: &mut dyn LoginPolicy,
+    ) -> Result<(), ProtocolError> {
+        let Phase::Login(login) = &mut self.phase else {
+            return Ok(());
+        };
         if pdu.bhs.opcode() != opcode::LOGIN_REQUEST {
-            return Err(ProtocolError::ExpectedLoginRequest { opcode: pdu.bhs.opcode() });
+            return Err(ProtocolError::ExpectedLoginRequest {
+                opcode: pdu.bhs.opcode(),
+            });
         }
         let reply = login.on_request(pdu, policy);
         let params = login.params.clone();
         self.exp_cmd_sn = pdu.bhs.cmd_sn();
-        self.max_cmd_sn = self.exp_cmd_sn.wrapping_add(self.config.command_window).wrapping_sub(1);
+        self.max_cmd_sn = self
+            .exp_cmd_sn
+            .wrapping_add(self.config.command_window)
+            .wrapping_sub(1);
         self.send_response(reply.bhs, &reply.data);
         match reply.outcome {
             LoginOutcome::InProgress => {}
             LoginOutcome::Completed(identity) => {
-                self.decoder.set_limits(params.digests, params.max_recv_data_segment);
+                self.decoder
+                    .set_limits(params.digests, params.max_recv_data_segment);
                 self.send_buffer.set_digests(params.digests);
                 self.params = params;
                 self.discovery = identity.discovery;
@@ -109,14 +128,19 @@
             }
             LoginOutcome::Rejected(reason) => {
                 self.phase = Phase::Closing;
-                return Err(ProtocolError::LoginRejected { status: reason.status(), reason });
+                return Err(ProtocolError::LoginRejected {
+                    status: reason.status(),
+                    reason,
+                });
             }
         }
         Ok(())
     }
 
     fn reject(&mut self, rejected: &Bhs, reason: u8) {
-        let bhs = Bhs::new(opcode::REJECT, flag::FINAL).with_response(reason).with_itt(RESERVED_TAG);
+        let bhs = Bhs::new(opcode::REJECT, flag::FINAL)
+            .with_response(reason)
+            .with_itt(RESERVED_TAG);
         self.send_response(bhs, rejected.as_bytes());
     }
 
@@ -136,7 +160,10 @@
 
     fn on_scsi_command(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
         let bhs = pdu.bhs;
-        let (is_read, is_write) = (bhs.flags() & flag::READ != 0, bhs.flags() & flag::WRITE != 0);
+        let (is_read, is_write) = (
+            bhs.flags() & flag::READ != 0,
+            bhs.flags() & flag::WRITE != 0,
+        );
         let expected_len = bhs.expected_data_len() as usize;
         if self.tasks.index_of(bhs.itt()).is_some() || bhs.itt() == RESERVED_TAG {
             return Err(ProtocolError::TaskTagInUse { itt: bhs.itt() });
@@ -144,7 +171,9 @@
         if is_write && (is_read || expected_len > self.config.max_transfer_bytes) {
             return self.on_unservable_write(&bhs);
         }
-        if bhs.is_immediate() && self.tasks.len() >= self.config.command_window + MAX_IMMEDIATE_COMMANDS {
+        if bhs.is_immediate()
+            && self.tasks.len() >= self.config.command_window + MAX_IMMEDIATE_COMMANDS
+        {
             self.reject(&bhs, reject_reason::IMMEDIATE_COMMAND_REJECT);
             return Ok(());
         }
@@ -182,7 +211,10 @@
             return Ok(());
         }
         let limit = self.config.max_transfer_bytes;
-        Err(ProtocolError::WriteTooLong { len: bhs.expected_data_len() as usize, limit })
+        Err(ProtocolError::WriteTooLong {
+            len: bhs.expected_data_len() as usize,
+            limit,
+        })
     }
 
     /// Checks a command's immediate data, and the unsolicited data it announces, against what was negotiated.
@@ -193,7 +225,8 @@
         unsolicited_len: usize,
     ) -> Result<(), ProtocolError> {
         let is_write = bhs.flags() & flag::WRITE != 0;
-        let immediate_allowed = self.params.immediate_data && is_write && immediate_len <= unsolicited_len;
+        let immediate_allowed =
+            self.params.immediate_data && is_write && immediate_len <= unsolicited_len;
         if immediate_len > 0 && !immediate_allowed {
             return Err(ProtocolError::ImmediateDataTooLong);
         }
@@ -226,7 +259,12 @@
     fn push_targets(&self, wanted: &str, out: &mut Vec<u8>) {
         let all = wanted == "All" || wanted.is_empty();
         let address = format!("{},1", self.config.portal_address);
-        for name in self.config.target_names.iter().filter(|name| all || *name == wanted) {
+        for name in self
+            .config
+            .target_names
+            .iter()
+            .filter(|name| all || *name == wanted)
+        {
             text::push_pair(out, "TargetName", name);
             text::push_pair(out, "TargetAddress", &address);
         }
--- a/crates/iscsi/src/target/task_management.rs
+++ b/crates/iscsi/src/target/task_management.rs
@@ -45,7 +45,8 @@
         if let Some(task) = self.tasks.remove(index)
             && task.phase == DataPhase::Delivered
         {
-            self.events.push_back(TargetEvent::CommandAborted { task: index as u32 });
+            self.events
+                .push_back(TargetEvent::CommandAborted { task: index as u32 });
         }
     }
 }
--- a/crates/iscsi/src/target/task_table.rs
+++ b/crates/iscsi/src/target/task_table.rs
@@ -76,11 +76,16 @@
     }
 
     pub fn index_of(&self, itt: u32) -> Option<usize> {
-        self.slots.iter().position(|slot| slot.as_ref().is_some_and(|task| task.itt == itt))
+        self.slots
+            .iter()
+            .position(|slot| slot.as_ref().is_some_and(|task| task.itt == itt))
     }
 
     /// Whether any command is not delivered yet.
     pub fn any_awaits_data(&self) -> bool {
-        self.slots.iter().flatten().any(|task| task.phase != DataPhase::Delivered)
+        self.slots
+            .iter()
+            .flatten()
+            .any(|task| task.phase != DataPhase::Delivered)
     }
 }
--- a/crates/iscsi/src/text.rs
+++ b/crates/iscsi/src/text.rs
@@ -34,7 +34,10 @@
 /// Splits a data segment into its pairs of key and value.
 pub(crate) fn parse_pairs(data: &[u8]) -> Result<Vec<(&str, &str)>, TextError> {
     let mut pairs: Vec<(&str, &str)> = Vec::new();
-    for bytes in data.split(|byte| *byte == 0).filter(|bytes| !bytes.is_empty()) {
+    for bytes in data
+        .split(|byte| *byte == 0)
+        .filter(|bytes| !bytes.is_empty())
+    {
         let (key, value) = parse_pair(bytes)?;
         if pairs.iter().any(|pair| pair.0 == key) {
             return Err(TextError::DuplicateKey(key.to_owned()));
@@ -49,7 +52,9 @@
 
 fn parse_pair(bytes: &[u8]) -> Result<(&str, &str), TextError> {
     let text = std::str::from_utf8(bytes).map_err(|_| TextError::NotUtf8)?;
-    let (key, value) = text.split_once('=').ok_or_else(|| TextError::MissingEqualsSign(text.to_owned()))?;
+    let (key, value) = text
+        .split_once('=')
+        .ok_or_else(|| TextError::MissingEqualsSign(text.to_owned()))?;
     if key.is_empty() || key.len() > MAX_KEY_LEN || !key.bytes().all(is_key_byte) {
         return Err(TextError::InvalidKey(key.to_owned()));
     }
--- a/crates/iscsi/tests/pinned_wire/drawn_pdus.rs
+++ b/crates/iscsi/tests/pinned_wire/drawn_pdus.rs
@@ -8,7 +8,8 @@
 fn drawn_pdu(rng: &mut Rng, opcode: u8, serial: u32) -> Vec<u8> {
     let flags = [0x80, 0x81, 0xa0, 0xc0, 0x20, 0x00, 0x82, 0x85, 0x86, 0x83][rng.below(10)];
     let len = [0, 0, 4, 512, 700, 1024, 1025][rng.below(7)];
-    let tag = |rng: &mut Rng| [0, 1, 2, 3, 0x1_0000, 0x1_0001, 0x2_0000, RESERVED_TAG][rng.below(8)];
+    let tag =
+        |rng: &mut Rng| [0, 1, 2, 3, 0x1_0000, 0x1_0001, 0x2_0000, RESERVED_TAG][rng.below(8)];
     let (itt, tag_or_len) = (tag(rng), [tag(rng), 0, 512, 9000, 80_000][rng.below(5)]);
     let immediate = if rng.chance(30) { 0x40 } else { 0 };
     let mut bhs = Bhs::new(opcode | immediate, flags)
@@ -32,14 +33,22 @@
         let (mut target, _) = logged_in(small());
         let mut serial = 1;
         for _ in 0..8 {
-            let opcode =
-                [0x00, 0x01, 0x01, 0x02, 0x04, 0x05, 0x05, 0x06, 0x10, 0x03, 0x1c, 0x25][rng.below(12)];
-            let skew = if rng.chance(5) { rng.below(12) as u32 } else { 0 };
+            let opcode = [
+                0x00, 0x01, 0x01, 0x02, 0x04, 0x05, 0x05, 0x06, 0x10, 0x03, 0x1c, 0x25,
+            ][rng.below(12)];
+            let skew = if rng.chance(5) {
+                rng.below(12) as u32
+            } else {
+                0
+            };
             let bytes = drawn_pdu(&mut rng, opcode, serial + skew);
             let received = target.receive(&bytes, &mut AdmitKnownTarget);
-            serial +=
-                u32::from(bytes[0] & 0x40 == 0 && opcode != opcode::DATA_OUT && opcode != opcode::SNACK);
-            let text = received.err().map_or(String::new(), |fault| fault.to_string());
+            serial += u32::from(
+                bytes[0] & 0x40 == 0 && opcode != opcode::DATA_OUT && opcode != opcode::SNACK,
+            );
+            let text = received
+                .err()
+                .map_or(String::new(), |fault| fault.to_string());
             record.bytes(b'!', text.as_bytes());
             while let Some(event) = target.next_event() {
                 record.target_event(&event);
@@ -65,18 +74,34 @@
     let (mut rng, mut record) = (Rng::new(seed ^ 0x1a5), Record::new());
     for _ in 0..60 {
         let (_, mut initiator) = logged_in(small());
-        initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 9, 0), 0, vec![3; 9000].into());
-        initiator.send_command(2, 0, &scsi::read_or_write_16(false, 0, 9, 0), 1024, vec![].into());
+        initiator.send_command(
+            1,
+            0,
+            &scsi::read_or_write_16(true, 0, 9, 0),
+            0,
+            vec![3; 9000].into(),
+        );
+        initiator.send_command(
+            2,
+            0,
+            &scsi::read_or_write_16(false, 0, 9, 0),
+            1024,
+            vec![].into(),
+        );
         if rng.chance(30) {
             initiator.abort_task(1 + rng.below(2) as u32);
         }
         let mut serial = 2;
         for _ in 0..8 {
-            let opcode =
-                [0x20, 0x21, 0x22, 0x24, 0x25, 0x25, 0x26, 0x31, 0x31, 0x32, 0x3f, 0x23][rng.below(12)];
+            let opcode = [
+                0x20, 0x21, 0x22, 0x24, 0x25, 0x25, 0x26, 0x31, 0x31, 0x32, 0x3f, 0x23,
+            ][rng.below(12)];
             let skew = u32::from(rng.chance(4));
             let bytes = drawn_pdu(&mut rng, opcode, serial + skew);
-            let text = initiator.receive(&bytes).err().map_or(String::new(), |fault| fault.to_string());
+            let text = initiator
+                .receive(&bytes)
+                .err()
+                .map_or(String::new(), |fault| fault.to_string());
             let counts = match opcode {
                 opcode::DATA_IN => bytes[1] & 1 != 0,
                 opcode::R2T => false,
--- a/crates/iscsi/tests/pinned_wire/framing.rs
+++ b/crates/iscsi/tests/pinned_wire/framing.rs
@@ -21,14 +21,23 @@
     (pdus, None)
 }
 
-const BOTH: Digests = Digests { header: true, data: true };
+const BOTH: Digests = Digests {
+    header: true,
+    data: true,
+};
 
 fn stream(digests: Digests) -> Vec<u8> {
     let mut out = SendBuffer::default();
     out.set_digests(digests);
-    out.push(Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE).with_itt(9), &[1, 2, 3, 4, 5]);
+    out.push(
+        Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE).with_itt(9),
+        &[1, 2, 3, 4, 5],
+    );
     out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL).with_itt(10), &[]);
-    out.push(Bhs::new(opcode::DATA_OUT, flag::FINAL).with_buffer_offset(5), &[6; 8]);
+    out.push(
+        Bhs::new(opcode::DATA_OUT, flag::FINAL).with_buffer_offset(5),
+        &[6; 8],
+    );
     out.unsent().to_vec()
 }
 
@@ -42,7 +51,11 @@
         let whole = decoded(digests, &bytes, &[]);
         assert_eq!((whole.0.len(), &whole.1), (3, &None));
         for cut in 0..bytes.len() {
-            assert_eq!(decoded(digests, &bytes[..cut], &bytes[cut..]), whole, "cut at {cut}");
+            assert_eq!(
+                decoded(digests, &bytes[..cut], &bytes[cut..]),
+                whole,
+                "cut at {cut}"
+            );
         }
     }
 }
@@ -63,22 +76,43 @@
 
 #[test]
 fn a_corrupt_digest_at_both_sides() {
-    let wishes = ProposedParams { digests: BOTH, ..small() };
+    let wishes = ProposedParams {
+        digests: BOTH,
+        ..small()
+    };
     let mut record = Record::new();
     for bit in 0..8 * (52 + 16 + 4) {
         let (mut target, mut initiator) = logged_in(wishes);
-        initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 1, 0), 0, vec![7; 16].into());
+        initiator.send_command(
+            1,
+            0,
+            &scsi::read_or_write_16(true, 0, 1, 0),
+            0,
+            vec![7; 16].into(),
+        );
         let mut up = initiator.send_buffer().unsent().to_vec();
         up[bit / 8] ^= 1 << (bit % 8);
         let received = target.receive(&up, &mut AdmitKnownTarget);
-        record.bytes(b'!', received.err().map_or(String::new(), |fault| fault.to_string()).as_bytes());
+        record.bytes(
+            b'!',
+            received
+                .err()
+                .map_or(String::new(), |fault| fault.to_string())
+                .as_bytes(),
+        );
         let mut down = target.send_buffer().unsent().to_vec();
         record.bytes(b'<', &down);
         if let Some(byte) = down.get_mut(bit / 8) {
             *byte ^= 1 << (bit % 8);
         }
         let received = initiator.receive(&down);
-        record.bytes(b'?', received.err().map_or(String::new(), |fault| fault.to_string()).as_bytes());
+        record.bytes(
+            b'?',
+            received
+                .err()
+                .map_or(String::new(), |fault| fault.to_string())
+                .as_bytes(),
+        );
     }
     assert_eq!(record.value(), CORRUPT_DIGESTS, "{:#018x}", record.value());
 }
@@ -89,7 +123,10 @@
     out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL), &[0; 16_384]);
     assert!(out.allocated_bytes() >= 16_432);
     out.mark_sent(16_385);
-    assert_eq!((out.unsent().len(), out.sent_bytes(), out.end_offset()), (47, 16_385, 16_432));
+    assert_eq!(
+        (out.unsent().len(), out.sent_bytes(), out.end_offset()),
+        (47, 16_385, 16_432)
+    );
     out.mark_sent(47);
     assert_eq!(out.allocated_bytes(), 0);
     out.push(Bhs::new(opcode::NOP_OUT, flag::FINAL), &[0; 8]);
--- a/crates/iscsi/tests/pinned_wire/harness.rs
+++ b/crates/iscsi/tests/pinned_wire/harness.rs
@@ -74,7 +74,10 @@
     }
 
     pub fn sense(&mut self, sense: Option<Sense>) {
-        self.bytes(b's', &sense.map_or(vec![], |sense| sense.to_fixed_format().to_vec()));
+        self.bytes(
+            b's',
+            &sense.map_or(vec![], |sense| sense.to_fixed_format().to_vec()),
+        );
     }
 
     pub fn who(&mut self, who: &LoginIdentity) {
@@ -87,7 +90,13 @@
     pub fn target_event(&mut self, event: &TargetEvent) {
         match event {
             TargetEvent::LoggedIn(who) => self.who(who),
-            TargetEvent::Command { task, lun, cdb, read_len: room, data } => {
+            TargetEvent::Command {
+                task,
+                lun,
+                cdb,
+                read_len: room,
+                data,
+            } => {
                 self.number(b'c', u64::from(*task));
                 self.number(b'c', lun.map_or(u64::MAX, u64::from));
                 self.bytes(b'c', cdb);
@@ -103,7 +112,13 @@
     pub fn initiator_event(&mut self, event: &InitiatorEvent) {
         match event {
             InitiatorEvent::LoggedIn => self.number(b'I', 0),
-            InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after } => {
+            InitiatorEvent::CommandCompleted {
+                tag,
+                status,
+                sense,
+                data,
+                retry_after,
+            } => {
                 self.number(b'R', u64::from(*tag));
                 self.number(b'R', u64::from(*status) << 16 | u64::from(*retry_after));
                 self.sense(*sense);
@@ -136,7 +151,9 @@
     let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &wishes);
     let request = initiator.send_buffer().unsent().to_vec();
     initiator.send_buffer().mark_sent(request.len());
-    target.receive(&request, &mut AdmitKnownTarget).expect("login request");
+    target
+        .receive(&request, &mut AdmitKnownTarget)
+        .expect("login request");
     let response = target.send_buffer().unsent().to_vec();
     target.send_buffer().mark_sent(response.len());
     initiator.receive(&response).expect("login response");
--- a/crates/iscsi/tests/pinned_wire/login.rs
+++ b/crates/iscsi/tests/pinned_wire/login.rs
@@ -9,9 +9,16 @@
 
 /// A login request with the text `keys`; `/` stands for the NUL between pairs.
 fn login_request(flags: u8, keys: &str) -> Request {
-    let data: Vec<u8> = keys.bytes().map(|byte| if byte == b'/' { 0 } else { byte }).collect();
+    let data: Vec<u8> = keys
+        .bytes()
+        .map(|byte| if byte == b'/' { 0 } else { byte })
+        .collect();
     Request(
-        Bhs::new(opcode::LOGIN_REQUEST, flags).with_immediate().with_isid([9; 6]).with_itt(3).with_cmd_sn(5),
+        Bhs::new(opcode::LOGIN_REQUEST, flags)
+            .with_immediate()
+            .with_isid([9; 6])
+            .with_itt(3)
+            .with_cmd_sn(5),
         data,
     )
 }
@@ -21,7 +28,13 @@
 
 /// The target's answer to login requests: `status flags keys`, then the fault's text where there is one.
 fn login_answers(requests: &[Request]) -> String {
-    let wishes = ProposedParams { digests: Digests { header: false, data: true }, ..small() };
+    let wishes = ProposedParams {
+        digests: Digests {
+            header: false,
+            data: true,
+        },
+        ..small()
+    };
     let mut target = TargetConnection::new(config(wishes, 4));
     let mut said = Vec::new();
     for Request(bhs, data) in requests {
@@ -32,7 +45,10 @@
         if let Ok(Some(pdu)) = decoder.decode(&mut &waiting[..]) {
             let keys = String::from_utf8_lossy(&pdu.data).replace('\0', "/");
             let (class, detail) = (pdu.bhs.byte(36), pdu.bhs.byte(37));
-            said.push(format!("{class:02x}{detail:02x} {:02x} {keys}", pdu.bhs.flags()));
+            said.push(format!(
+                "{class:02x}{detail:02x} {:02x} {keys}",
+                pdu.bhs.flags()
+            ));
         }
         if let Err(fault) = received {
             said.push(fault.to_string());
@@ -68,7 +84,10 @@
         vec![login_request(0x87, "TargetName=iqn.t/")],
         vec![login_request(0x87, "InitiatorName=/TargetName=iqn.t/")],
         vec![login_request(0x87, "InitiatorName=iqn.i/")],
-        vec![login_request(0x87, "InitiatorName=iqn.i/SessionType=Discovery/")],
+        vec![login_request(
+            0x87,
+            "InitiatorName=iqn.i/SessionType=Discovery/",
+        )],
         vec![login_request(0x87, "InitiatorName=iqn.i/TargetName=iqn.x/")],
         vec![login_request(0x87, &format!("{NAMES}no pair/"))],
         vec![login_request(0x87, &format!("{NAMES}b d=1/"))],
@@ -82,15 +101,38 @@
             login_request(0x87, "DataDigest=None/"),
         ],
         vec![login_request(0x81, &format!("{NAMES}AuthMethod=CHAP/"))],
-        vec![login_request(0x04, NAMES), login_request(0x04, "ImmediateData=No/"), login_request(0x87, "")],
-        vec![login_request(0x04, NAMES), login_request(0x00, "ImmediateData=No/")],
-        vec![login_request(0x44, "InitiatorName=iqn.i/Tar"), login_request(0x87, "getName=iqn.t/")],
-        vec![login_request(0x44, &chunk), login_request(0x44, &chunk), login_request(0x44, &chunk)],
+        vec![
+            login_request(0x04, NAMES),
+            login_request(0x04, "ImmediateData=No/"),
+            login_request(0x87, ""),
+        ],
+        vec![
+            login_request(0x04, NAMES),
+            login_request(0x00, "ImmediateData=No/"),
+        ],
+        vec![
+            login_request(0x44, "InitiatorName=iqn.i/Tar"),
+            login_request(0x87, "getName=iqn.t/"),
+        ],
+        vec![
+            login_request(0x44, &chunk),
+            login_request(0x44, &chunk),
+            login_request(0x44, &chunk),
+        ],
         vec![Request(Bhs::new(opcode::NOP_OUT, 0x80), vec![])],
-        vec![Request(Bhs::new(opcode::LOGIN_REQUEST, 0x87), vec![0xff, 0xfe, b'=', b'1', 0])],
-        vec![Request(Bhs::new(opcode::LOGIN_REQUEST, 0x87), vec![b'x'; 8193])],
+        vec![Request(
+            Bhs::new(opcode::LOGIN_REQUEST, 0x87),
+            vec![0xff, 0xfe, b'=', b'1', 0],
+        )],
+        vec![Request(
+            Bhs::new(opcode::LOGIN_REQUEST, 0x87),
+            vec![b'x'; 8193],
+        )],
     ];
-    let found: Vec<String> = cases.iter().map(|requests| login_answers(requests)).collect();
+    let found: Vec<String> = cases
+        .iter()
+        .map(|requests| login_answers(requests))
+        .collect();
     assert_eq!(found, LOGIN_STAGES);
 }
 
@@ -99,10 +141,17 @@
     let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &small());
     let request = initiator.send_buffer().unsent().len();
     initiator.send_buffer().mark_sent(request);
-    let data: Vec<u8> = keys.bytes().map(|byte| if byte == b'/' { 0 } else { byte }).collect();
+    let data: Vec<u8> = keys
+        .bytes()
+        .map(|byte| if byte == b'/' { 0 } else { byte })
+        .collect();
     match initiator.receive(&frame(bhs, &data)) {
         Err(fault) => fault.to_string(),
-        Ok(()) => format!("{} {}", initiator.is_logged_in(), initiator.send_buffer().unsent().len()),
+        Ok(()) => format!(
+            "{} {}",
+            initiator.is_logged_in(),
+            initiator.send_buffer().unsent().len()
+        ),
     }
 }
 
@@ -139,7 +188,10 @@
             break;
         }
     }
-    let offer = InitiatorConnection::new("iqn.i", None, [0; 6], &small()).send_buffer().unsent().to_vec();
+    let offer = InitiatorConnection::new("iqn.i", None, [0; 6], &small())
+        .send_buffer()
+        .unsent()
+        .to_vec();
     found.push(String::from_utf8_lossy(&offer[48..]).replace('\0', "/"));
     assert_eq!(found, LOGIN_RESPONSES);
 }
@@ -147,15 +199,26 @@
 #[test]
 fn unsolicited_data_where_none_was_agreed() {
     let mut target = TargetConnection::new(config(small(), 4));
-    let Request(bhs, data) = login_request(0x87, &format!("{NAMES}InitialR2T=Yes/ImmediateData=No/"));
-    target.receive(&frame(bhs, &data), &mut AdmitKnownTarget).expect("login");
-    let command = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_expected_data_len(900).with_cmd_sn(5);
+    let Request(bhs, data) =
+        login_request(0x87, &format!("{NAMES}InitialR2T=Yes/ImmediateData=No/"));
+    target
+        .receive(&frame(bhs, &data), &mut AdmitKnownTarget)
+        .expect("login");
+    let command = Bhs::new(opcode::SCSI_COMMAND, 0xa0)
+        .with_itt(1)
+        .with_expected_data_len(900)
+        .with_cmd_sn(5);
     let mut faults = Vec::new();
     for (bhs, len) in [(command.with_byte(1, 0x20), 0), (command.with_cmd_sn(6), 4)] {
-        let fault = target.receive(&frame(bhs, &vec![1; len]), &mut AdmitKnownTarget).expect_err("unasked");
+        let fault = target
+            .receive(&frame(bhs, &vec![1; len]), &mut AdmitKnownTarget)
+            .expect_err("unasked");
         faults.push(fault.to_string());
     }
-    let expected = ["unsolicited data where none was agreed", "immediate data past what was agreed"];
+    let expected = [
+        "unsolicited data where none was agreed",
+        "immediate data past what was agreed",
+    ];
     assert_eq!(faults, expected);
 }
 
@@ -163,18 +226,27 @@
 fn an_initiator_gives_up_after_eight_more_login_requests() {
     let mut initiator = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &small());
     let response = frame(Bhs::new(opcode::LOGIN_RESPONSE, 0x04), &[]);
-    let taken = (0..20).take_while(|_| initiator.receive(&response).is_ok()).count();
+    let taken = (0..20)
+        .take_while(|_| initiator.receive(&response).is_ok())
+        .count();
     assert_eq!(taken, 8);
 }
 
 #[test]
 fn defaults_of_both_sides() {
-    let offer = InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &ProposedParams::default())
-        .send_buffer()
-        .unsent()
-        .to_vec();
-    assert_eq!(String::from_utf8_lossy(&offer[48..]).replace('\0', "/"), DEFAULT_OFFER);
-    for (immediate, expected) in [(65_536, "none"), (65_537, "immediate data past what was agreed")] {
+    let offer =
+        InitiatorConnection::new("iqn.i", Some("iqn.t"), [0; 6], &ProposedParams::default())
+            .send_buffer()
+            .unsent()
+            .to_vec();
+    assert_eq!(
+        String::from_utf8_lossy(&offer[48..]).replace('\0', "/"),
+        DEFAULT_OFFER
+    );
+    for (immediate, expected) in [
+        (65_536, "none"),
+        (65_537, "immediate data past what was agreed"),
+    ] {
         let mut target = TargetConnection::new(Rc::new(TargetConfig {
             proposal: ProposedParams::default(),
             command_window: 4,
@@ -183,17 +255,32 @@
             portal_address: String::new(),
         }));
         let Request(bhs, data) = login_request(0x87, NAMES);
-        target.receive(&frame(bhs, &data), &mut AdmitKnownTarget).expect("login");
+        target
+            .receive(&frame(bhs, &data), &mut AdmitKnownTarget)
+            .expect("login");
         let answer = target.send_buffer().unsent().to_vec();
         target.send_buffer().mark_sent(answer.len());
-        assert_eq!(&answer[48..], b"TargetPortalGroupTag=1\0MaxRecvDataSegmentLength=262144\0\0");
-        let write =
-            Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_expected_data_len(600_000).with_cmd_sn(5);
+        assert_eq!(
+            &answer[48..],
+            b"TargetPortalGroupTag=1\0MaxRecvDataSegmentLength=262144\0\0"
+        );
+        let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0)
+            .with_itt(1)
+            .with_expected_data_len(600_000)
+            .with_cmd_sn(5);
         let received = target.receive(&frame(write, &vec![1; immediate]), &mut AdmitKnownTarget);
-        assert_eq!(received.err().map_or("none".into(), |fault| fault.to_string()), expected);
+        assert_eq!(
+            received
+                .err()
+                .map_or("none".into(), |fault| fault.to_string()),
+            expected
+        );
         if expected == "none" {
             let transfer = target.send_buffer().unsent();
-            assert_eq!((transfer[0], &transfer[44..48]), (opcode::R2T, &262_144_u32.to_be_bytes()[..]));
+            assert_eq!(
+                (transfer[0], &transfer[44..48]),
+                (opcode::R2T, &262_144_u32.to_be_bytes()[..])
+            );
         }
     }
 }
@@ -207,24 +294,42 @@
         "HeaderDigest=None,CRC32C",
         "0000 87 HeaderDigest=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("HeaderDigest=None", "0000 87 HeaderDigest=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
+    (
+        "HeaderDigest=None",
+        "0000 87 HeaderDigest=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
     (
         "HeaderDigest=CRC32C",
         "0000 87 HeaderDigest=CRC32C/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("HeaderDigest=Other", "0200 04  | login refused (0200): HeaderDigest=Other: expected CRC32C or None"),
+    (
+        "HeaderDigest=Other",
+        "0200 04  | login refused (0200): HeaderDigest=Other: expected CRC32C or None",
+    ),
     (
         "DataDigest=None,CRC32C",
         "0000 87 DataDigest=CRC32C/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("DataDigest=None", "0000 87 DataDigest=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
+    (
+        "DataDigest=None",
+        "0000 87 DataDigest=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
     (
         "DataDigest=Other,CRC32C",
         "0000 87 DataDigest=CRC32C/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("DataDigest=", "0200 04  | login refused (0200): DataDigest=: expected CRC32C or None"),
-    ("MaxRecvDataSegmentLength=512", "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("MaxRecvDataSegmentLength=0xffffff", "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
+    (
+        "DataDigest=",
+        "0200 04  | login refused (0200): DataDigest=: expected CRC32C or None",
+    ),
+    (
+        "MaxRecvDataSegmentLength=512",
+        "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "MaxRecvDataSegmentLength=0xffffff",
+        "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
     (
         "MaxRecvDataSegmentLength=511",
         "0200 04  | login refused (0200): MaxRecvDataSegmentLength=511: expected 512 to 16777215",
@@ -237,12 +342,30 @@
         "MaxRecvDataSegmentLength=0Xzz",
         "0200 04  | login refused (0200): MaxRecvDataSegmentLength=0Xzz: expected 512 to 16777215",
     ),
-    ("InitialR2T=Yes", "0000 87 InitialR2T=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("InitialR2T=No", "0000 87 InitialR2T=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("InitialR2T=yes", "0200 04  | login refused (0200): InitialR2T=yes: expected Yes or No"),
-    ("ImmediateData=Yes", "0000 87 ImmediateData=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("ImmediateData=No", "0000 87 ImmediateData=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("ImmediateData=0", "0200 04  | login refused (0200): ImmediateData=0: expected Yes or No"),
+    (
+        "InitialR2T=Yes",
+        "0000 87 InitialR2T=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "InitialR2T=No",
+        "0000 87 InitialR2T=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "InitialR2T=yes",
+        "0200 04  | login refused (0200): InitialR2T=yes: expected Yes or No",
+    ),
+    (
+        "ImmediateData=Yes",
+        "0000 87 ImmediateData=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "ImmediateData=No",
+        "0000 87 ImmediateData=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "ImmediateData=0",
+        "0200 04  | login refused (0200): ImmediateData=0: expected Yes or No",
+    ),
     (
         "MaxBurstLength=512",
         "0000 87 MaxBurstLength=512/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
@@ -251,7 +374,10 @@
         "MaxBurstLength=100000",
         "0000 87 MaxBurstLength=4096/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("MaxBurstLength=9", "0200 04  | login refused (0200): MaxBurstLength=9: expected 512 to 16777215"),
+    (
+        "MaxBurstLength=9",
+        "0200 04  | login refused (0200): MaxBurstLength=9: expected 512 to 16777215",
+    ),
     (
         "FirstBurstLength=512",
         "0000 87 FirstBurstLength=512/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
@@ -260,7 +386,10 @@
         "FirstBurstLength=100000",
         "0000 87 FirstBurstLength=2048/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("FirstBurstLength=-1", "0200 04  | login refused (0200): FirstBurstLength=-1: expected 512 to 16777215"),
+    (
+        "FirstBurstLength=-1",
+        "0200 04  | login refused (0200): FirstBurstLength=-1: expected 512 to 16777215",
+    ),
     (
         "MaxBurstLength=1024/FirstBurstLength=2000",
         "0000 87 MaxBurstLength=1024/FirstBurstLength=1024/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
@@ -277,7 +406,10 @@
         "DefaultTime2Wait=5",
         "0000 87 DefaultTime2Wait=5/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("DefaultTime2Wait=3601", "0200 04  | login refused (0200): DefaultTime2Wait=3601: expected 0 to 3600"),
+    (
+        "DefaultTime2Wait=3601",
+        "0200 04  | login refused (0200): DefaultTime2Wait=3601: expected 0 to 3600",
+    ),
     (
         "DefaultTime2Retain=0",
         "0000 87 DefaultTime2Retain=0/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
@@ -286,21 +418,42 @@
         "DefaultTime2Retain=20",
         "0000 87 DefaultTime2Retain=0/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("DefaultTime2Retain=x", "0200 04  | login refused (0200): DefaultTime2Retain=x: expected 0 to 3600"),
-    ("MaxConnections=8", "0000 87 MaxConnections=1/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("MaxConnections=65536", "0200 04  | login refused (0200): MaxConnections=65536: expected 0 to 65535"),
+    (
+        "DefaultTime2Retain=x",
+        "0200 04  | login refused (0200): DefaultTime2Retain=x: expected 0 to 3600",
+    ),
+    (
+        "MaxConnections=8",
+        "0000 87 MaxConnections=1/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "MaxConnections=65536",
+        "0200 04  | login refused (0200): MaxConnections=65536: expected 0 to 65535",
+    ),
     (
         "MaxOutstandingR2T=3",
         "0000 87 MaxOutstandingR2T=1/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("MaxOutstandingR2T=no", "0200 04  | login refused (0200): MaxOutstandingR2T=no: expected 0 to 65535"),
+    (
+        "MaxOutstandingR2T=no",
+        "0200 04  | login refused (0200): MaxOutstandingR2T=no: expected 0 to 65535",
+    ),
     (
         "ErrorRecoveryLevel=2",
         "0000 87 ErrorRecoveryLevel=0/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("ErrorRecoveryLevel=3", "0200 04  | login refused (0200): ErrorRecoveryLevel=3: expected 0 to 2"),
-    ("DataPDUInOrder=No", "0000 87 DataPDUInOrder=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("DataPDUInOrder=2", "0200 04  | login refused (0200): DataPDUInOrder=2: expected Yes or No"),
+    (
+        "ErrorRecoveryLevel=3",
+        "0200 04  | login refused (0200): ErrorRecoveryLevel=3: expected 0 to 2",
+    ),
+    (
+        "DataPDUInOrder=No",
+        "0000 87 DataPDUInOrder=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "DataPDUInOrder=2",
+        "0200 04  | login refused (0200): DataPDUInOrder=2: expected Yes or No",
+    ),
     (
         "DataSequenceInOrder=Yes",
         "0000 87 DataSequenceInOrder=Yes/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
@@ -317,9 +470,18 @@
         "iSCSIProtocolLevel=31",
         "0000 87 iSCSIProtocolLevel=2/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("iSCSIProtocolLevel=32", "0200 04  | login refused (0200): iSCSIProtocolLevel=32: expected 0 to 31"),
-    ("IFMarker=Yes", "0000 87 IFMarker=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("OFMarker=Yes", "0000 87 OFMarker=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
+    (
+        "iSCSIProtocolLevel=32",
+        "0200 04  | login refused (0200): iSCSIProtocolLevel=32: expected 0 to 31",
+    ),
+    (
+        "IFMarker=Yes",
+        "0000 87 IFMarker=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "OFMarker=Yes",
+        "0000 87 OFMarker=No/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
     (
         "TaskReporting=RFC3720",
         "0000 87 TaskReporting=NotUnderstood/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
@@ -328,9 +490,18 @@
         "X-com.example=1",
         "0000 87 X-com.example=NotUnderstood/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
     ),
-    ("InitiatorAlias=me", "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("AuthMethod=None", "0000 87 AuthMethod=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
-    ("SessionType=Normal", "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/"),
+    (
+        "InitiatorAlias=me",
+        "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "AuthMethod=None",
+        "0000 87 AuthMethod=None/TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
+    (
+        "SessionType=Normal",
+        "0000 87 TargetPortalGroupTag=1/MaxRecvDataSegmentLength=1024/",
+    ),
 ];
 
 const LOGIN_STAGES: &[&str] = &[
--- a/crates/iscsi/tests/pinned_wire/protocol_errors.rs
+++ b/crates/iscsi/tests/pinned_wire/protocol_errors.rs
@@ -20,11 +20,21 @@
 
 #[test]
 fn faults_of_a_target() {
-    let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0).with_itt(1).with_expected_data_len(9000).with_cmd_sn(1);
-    let open_write =
-        Bhs::new(opcode::SCSI_COMMAND, 0x20).with_itt(1).with_expected_data_len(9000).with_cmd_sn(1);
-    let read = Bhs::new(opcode::SCSI_COMMAND, 0xc0).with_itt(1).with_expected_data_len(512).with_cmd_sn(1);
-    let data = Bhs::new(opcode::DATA_OUT, 0).with_itt(1).with_target_transfer_tag(0);
+    let write = Bhs::new(opcode::SCSI_COMMAND, 0xa0)
+        .with_itt(1)
+        .with_expected_data_len(9000)
+        .with_cmd_sn(1);
+    let open_write = Bhs::new(opcode::SCSI_COMMAND, 0x20)
+        .with_itt(1)
+        .with_expected_data_len(9000)
+        .with_cmd_sn(1);
+    let read = Bhs::new(opcode::SCSI_COMMAND, 0xc0)
+        .with_itt(1)
+        .with_expected_data_len(512)
+        .with_cmd_sn(1);
+    let data = Bhs::new(opcode::DATA_OUT, 0)
+        .with_itt(1)
+        .with_target_transfer_tag(0);
     let unasked = data.with_target_transfer_tag(RESERVED_TAG);
     let found: Vec<String> = [
         &[(Bhs::new(opcode::LOGIN_REQUEST, 0x87), 0)][..],
@@ -72,31 +82,56 @@
         proposal: small(),
         command_window: 4,
         max_transfer_bytes: 1 << 16,
-        target_names: (0..40).map(|n| format!("iqn.2026-01.example:{n}")).collect(),
+        target_names: (0..40)
+            .map(|n| format!("iqn.2026-01.example:{n}"))
+            .collect(),
         portal_address: "127.0.0.1:3260".into(),
     }));
     let mut initiator = InitiatorConnection::new("iqn.i", None, [0; 6], &small());
     let request = initiator.send_buffer().unsent().to_vec();
-    target.receive(&request, &mut AdmitKnownTarget).expect("login");
+    target
+        .receive(&request, &mut AdmitKnownTarget)
+        .expect("login");
     let text = Bhs::new(opcode::TEXT_REQUEST, 0x80).with_cmd_sn(1);
     let one = frame(text, b"SendTargets=iqn.2026-01.example:7\0");
-    target.receive(&one, &mut AdmitKnownTarget).expect("one target");
+    target
+        .receive(&one, &mut AdmitKnownTarget)
+        .expect("one target");
     let all = frame(text.with_cmd_sn(2), b"SendTargets=All\0");
-    let fault = target.receive(&all, &mut AdmitKnownTarget).expect_err("too long");
-    assert_eq!(fault.to_string(), "list of targets past the initiator's segment");
+    let fault = target
+        .receive(&all, &mut AdmitKnownTarget)
+        .expect_err("too long");
+    assert_eq!(
+        fault.to_string(),
+        "list of targets past the initiator's segment"
+    );
 }
 
 #[test]
 fn faults_of_an_initiator() {
     let found: Vec<String> = [
         (Bhs::new(opcode::SCSI_RESPONSE, 0x80).with_stat_sn(9), 0),
-        (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001).with_buffer_offset(4), 512),
+        (
+            Bhs::new(opcode::DATA_IN, 0x80)
+                .with_itt(0x2_0001)
+                .with_buffer_offset(4),
+            512,
+        ),
         (Bhs::new(opcode::DATA_IN, 0x80).with_itt(0x2_0001), 513),
         (
-            Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_buffer_offset(512).with_desired_data_len(512),
+            Bhs::new(opcode::R2T, 0x80)
+                .with_itt(0x1_0000)
+                .with_buffer_offset(512)
+                .with_desired_data_len(512),
+            0,
+        ),
+        (
+            Bhs::new(opcode::R2T, 0x80)
+                .with_itt(0x1_0000)
+                .with_buffer_offset(2048)
+                .with_desired_data_len(0),
             0,
         ),
-        (Bhs::new(opcode::R2T, 0x80).with_itt(0x1_0000).with_buffer_offset(2048).with_desired_data_len(0), 0),
         (
             Bhs::new(opcode::R2T, 0x80)
                 .with_itt(0x1_0000)
@@ -104,17 +139,42 @@
                 .with_desired_data_len(90_000),
             0,
         ),
-        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_stat_sn(2).with_byte(36, 2), 0),
-        (Bhs::new(opcode::ASYNC_MESSAGE, 0x80).with_stat_sn(2).with_byte(36, 4), 0),
+        (
+            Bhs::new(opcode::ASYNC_MESSAGE, 0x80)
+                .with_stat_sn(2)
+                .with_byte(36, 2),
+            0,
+        ),
+        (
+            Bhs::new(opcode::ASYNC_MESSAGE, 0x80)
+                .with_stat_sn(2)
+                .with_byte(36, 4),
+            0,
+        ),
         (Bhs::new(opcode::SCSI_COMMAND, 0x80).with_cmd_sn(2), 0),
         (Bhs::new(opcode::NOP_IN, 0x80).with_itt(RESERVED_TAG), 1025),
     ]
     .iter()
     .map(|(bhs, len)| {
         let (_, mut initiator) = logged_in(small());
-        initiator.send_command(1, 0, &scsi::read_or_write_16(true, 0, 9, 0), 0, vec![3; 9000].into());
-        initiator.send_command(2, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
-        initiator.receive(&frame(*bhs, &vec![1; *len])).err().map_or("none".into(), |fault| fault.to_string())
+        initiator.send_command(
+            1,
+            0,
+            &scsi::read_or_write_16(true, 0, 9, 0),
+            0,
+            vec![3; 9000].into(),
+        );
+        initiator.send_command(
+            2,
+            0,
+            &scsi::read_or_write_16(false, 0, 1, 0),
+            512,
+            vec![].into(),
+        );
+        initiator
+            .receive(&frame(*bhs, &vec![1; *len]))
+            .err()
+            .map_or("none".into(), |fault| fault.to_string())
     })
     .collect();
     assert_eq!(found, INITIATOR_FAULTS);
--- a/crates/iscsi/tests/pinned_wire/scsi_data.rs
+++ b/crates/iscsi/tests/pinned_wire/scsi_data.rs
@@ -6,28 +6,58 @@
     let fields: Vec<u64> = match command {
         Err(sense) => return record.sense(Some(sense)),
         Ok(Command::TestUnitReady) => vec![0],
-        Ok(Command::RequestSense { allocation_len: room }) => vec![1, room as u64],
-        Ok(Command::Inquiry { page, allocation_len: room }) => {
+        Ok(Command::RequestSense {
+            allocation_len: room,
+        }) => vec![1, room as u64],
+        Ok(Command::Inquiry {
+            page,
+            allocation_len: room,
+        }) => {
             vec![2, page.map_or(999, u64::from), room as u64]
         }
-        Ok(Command::ReportLuns { select_report: select, allocation_len: room }) => {
+        Ok(Command::ReportLuns {
+            select_report: select,
+            allocation_len: room,
+        }) => {
             vec![3, u64::from(select), room as u64]
         }
         Ok(Command::ReadCapacity10) => vec![4],
-        Ok(Command::ReadCapacity16 { allocation_len: room }) => vec![5, room as u64],
-        Ok(Command::Read { lba, blocks, group_number: group }) => {
+        Ok(Command::ReadCapacity16 {
+            allocation_len: room,
+        }) => vec![5, room as u64],
+        Ok(Command::Read {
+            lba,
+            blocks,
+            group_number: group,
+        }) => {
             vec![6, lba, u64::from(blocks), u64::from(group)]
         }
-        Ok(Command::Write { lba, blocks, group_number: group }) => {
+        Ok(Command::Write {
+            lba,
+            blocks,
+            group_number: group,
+        }) => {
             vec![7, lba, u64::from(blocks), u64::from(group)]
         }
         Ok(Command::SynchronizeCache { lba, blocks }) => vec![8, lba, u64::from(blocks)],
-        Ok(Command::ModeSense { form, page, allocation_len }) => {
-            vec![9, u64::from(form == ModeSenseForm::Ten), u64::from(page), allocation_len as u64]
+        Ok(Command::ModeSense {
+            form,
+            page,
+            allocation_len,
+        }) => {
+            vec![
+                9,
+                u64::from(form == ModeSenseForm::Ten),
+                u64::from(page),
+                allocation_len as u64,
+            ]
         }
         Ok(Command::ModeSelect) => vec![10],
         Ok(Command::Unmap) => vec![11],
-        Ok(Command::GetLbaStatus { lba, allocation_len: room }) => vec![12, lba, room as u64],
+        Ok(Command::GetLbaStatus {
+            lba,
+            allocation_len: room,
+        }) => vec![12, lba, room as u64],
     };
     for field in fields {
         record.number(b'C', field);
@@ -60,9 +90,19 @@
 #[test]
 fn parameter_data() {
     let mut record = Record::new();
-    for (product, serial) in [("vol", "s1"), ("a product of a long name", "\u{e9}\n"), ("", "")] {
+    for (product, serial) in [
+        ("vol", "s1"),
+        ("a product of a long name", "\u{e9}\n"),
+        ("", ""),
+    ] {
         for (blocks, block_size) in [(1, 512), (1 << 33, 4096)] {
-            let unit = LogicalUnit { blocks, block_size, product, serial, max_transfer_blocks: 2048 };
+            let unit = LogicalUnit {
+                blocks,
+                block_size,
+                product,
+                serial,
+                max_transfer_blocks: 2048,
+            };
             let pages = (0..=255).map(Some).chain([None]);
             for page in pages {
                 record.bytes(b'q', &unit.inquiry(page).unwrap_or_default());
@@ -70,13 +110,26 @@
             record.bytes(b'q', &unit.read_capacity_10());
             record.bytes(b'q', &unit.read_capacity_16());
             for page in 0..64 {
-                record.bytes(b'm', &unit.mode_sense(ModeSenseForm::Six, page).unwrap_or_default());
-                record.bytes(b'm', &unit.mode_sense(ModeSenseForm::Ten, page).unwrap_or_default());
+                record.bytes(
+                    b'm',
+                    &unit
+                        .mode_sense(ModeSenseForm::Six, page)
+                        .unwrap_or_default(),
+                );
+                record.bytes(
+                    b'm',
+                    &unit
+                        .mode_sense(ModeSenseForm::Ten, page)
+                        .unwrap_or_default(),
+                );
             }
         }
     }
     for select in 0..3 {
-        record.bytes(b'l', &scsi::report_luns([0, 1, 300, 70_000].into_iter(), select));
+        record.bytes(
+            b'l',
+            &scsi::report_luns([0, 1, 300, 70_000].into_iter(), select),
+        );
     }
     let runs = [(1 << 35, 9), (4, 1), (77, u32::MAX)];
     for room in [0, 8, 24, 39, 40, 400] {
@@ -87,9 +140,11 @@
             record.number(b'g', u64::from(blocks));
         }
     }
-    for (cdb, data) in
-        [scsi::unmap(&runs), scsi::mode_select_write_protect(true), scsi::mode_select_write_protect(false)]
-    {
+    for (cdb, data) in [
+        scsi::unmap(&runs),
+        scsi::mode_select_write_protect(true),
+        scsi::mode_select_write_protect(false),
+    ] {
         record.bytes(b'd', &cdb);
         record.bytes(b'd', &data);
     }
@@ -106,10 +161,18 @@
         Sense::UNRECOVERED_READ_ERROR,
     ] {
         record.sense(Some(sense));
-        assert_eq!(Sense::from_fixed_format(&sense.to_fixed_format()), Some(sense));
+        assert_eq!(
+            Sense::from_fixed_format(&sense.to_fixed_format()),
+            Some(sense)
+        );
     }
-    let statuses =
-        [status::GOOD, status::CHECK_CONDITION, status::BUSY, status::TASK_SET_FULL, status::TASK_ABORTED];
+    let statuses = [
+        status::GOOD,
+        status::CHECK_CONDITION,
+        status::BUSY,
+        status::TASK_SET_FULL,
+        status::TASK_ABORTED,
+    ];
     record.bytes(b'S', &statuses);
     assert_eq!(record.value(), PARAMETER_DATA, "{:#018x}", record.value());
 }
--- a/crates/iscsi/tests/pinned_wire/sessions.rs
+++ b/crates/iscsi/tests/pinned_wire/sessions.rs
@@ -9,7 +9,10 @@
 
 fn drawn_wishes(rng: &mut Rng) -> ProposedParams {
     ProposedParams {
-        digests: Digests { header: rng.chance(50), data: rng.chance(50) },
+        digests: Digests {
+            header: rng.chance(50),
+            data: rng.chance(50),
+        },
         max_recv_data_segment: 512 + rng.below(3000),
         max_burst_len: 2048 + rng.below(6000),
         first_burst_len: 512 + rng.below(3000),
@@ -36,7 +39,12 @@
         let name = if rng.chance(90) { Some("iqn.t") } else { None };
         Session {
             target: TargetConnection::new(config(at_target, window)),
-            initiator: InitiatorConnection::new("iqn.i", name, [1, 2, 3, 4, 5, seed as u8], &at_initiator),
+            initiator: InitiatorConnection::new(
+                "iqn.i",
+                name,
+                [1, 2, 3, 4, 5, seed as u8],
+                &at_initiator,
+            ),
             rng,
             record: Record::new(),
             pending: Vec::new(),
@@ -77,8 +85,14 @@
         while let Some(event) = self.target.next_event() {
             self.record.target_event(&event);
             match event {
-                TargetEvent::Command { task, read_len: room, .. } => self.pending.push((task, room)),
-                TargetEvent::CommandAborted { task } => self.pending.retain(|pending| pending.0 != task),
+                TargetEvent::Command {
+                    task,
+                    read_len: room,
+                    ..
+                } => self.pending.push((task, room)),
+                TargetEvent::CommandAborted { task } => {
+                    self.pending.retain(|pending| pending.0 != task)
+                }
                 _ => {}
             }
         }
@@ -98,8 +112,13 @@
         self.record.bytes(b'f', &flags.map(u8::from));
         self.record.number(b'f', u64::from(self.target.in_flight()));
         self.record.number(b'f', self.initiator.in_flight() as u64);
-        self.record.number(b'f', self.initiator.unmatched_responses());
-        let tags: Vec<u8> = self.initiator.in_flight_tags().map(|tag| tag as u8).collect();
+        self.record
+            .number(b'f', self.initiator.unmatched_responses());
+        let tags: Vec<u8> = self
+            .initiator
+            .in_flight_tags()
+            .map(|tag| tag as u8)
+            .collect();
         self.record.bytes(b'f', &tags);
         for buffer in [self.target.send_buffer(), self.initiator.send_buffer()] {
             self.record.number(b'p', buffer.sent_bytes());
@@ -120,7 +139,9 @@
         let lun = [0, 1, 255, 256, 16_383, 70_000][self.rng.below(6)];
         self.next_tag += 1;
         let payload = Payload::from(data);
-        let sent = self.initiator.send_command(self.next_tag, lun, cdb, room, payload);
+        let sent = self
+            .initiator
+            .send_command(self.next_tag, lun, cdb, room, payload);
         self.record.number(
             b'S',
             u64::from(sent) << 1 | u64::from(self.initiator.has_started_sending(self.next_tag)),
@@ -132,12 +153,20 @@
         match self.rng.below(6) {
             0 | 1 => {
                 let room = self.rng.below(9000);
-                self.send(&scsi::read_or_write_16(false, lba, room as u32 / 512, 3), room, vec![]);
+                self.send(
+                    &scsi::read_or_write_16(false, lba, room as u32 / 512, 3),
+                    room,
+                    vec![],
+                );
             }
             2 | 3 => {
                 let len = self.rng.below(12_000);
                 let data = self.rng.bytes(len);
-                self.send(&scsi::read_or_write_16(true, lba, len as u32 / 512, 40), 0, data);
+                self.send(
+                    &scsi::read_or_write_16(true, lba, len as u32 / 512, 40),
+                    0,
+                    data,
+                );
             }
             4 => {
                 let (cdb, data) = scsi::unmap(&[(lba, 8), (lba + 9, 1)]);
@@ -158,8 +187,12 @@
         let index = self.rng.below(self.pending.len());
         let (task, room) = self.pending.swap_remove(index);
         match self.rng.below(8) {
-            0 => self.target.complete_with_status(task, status::BUSY, None, self.rng.next() as u16),
-            1 => self.target.complete_with_status(task, status::TASK_SET_FULL, None, 12),
+            0 => self
+                .target
+                .complete_with_status(task, status::BUSY, None, self.rng.next() as u16),
+            1 => self
+                .target
+                .complete_with_status(task, status::TASK_SET_FULL, None, 12),
             2 => self.target.complete_with_status(
                 task,
                 status::CHECK_CONDITION,
@@ -195,7 +228,9 @@
             6..10 => self.answer(),
             10 => self.abort_one(),
             11 if self.rng.chance(30) => self.initiator.reset_logical_unit(1),
-            12 => self.initiator.send_text_request(b"SendTargets=All\0Other=1\0"),
+            12 => self
+                .initiator
+                .send_text_request(b"SendTargets=All\0Other=1\0"),
             13 => {
                 let unanswered = self.target.send_ping();
                 self.record.number(b'P', u64::from(unanswered));
--- a/crates/iscsi/tests/pinned_wire/tasks.rs
+++ b/crates/iscsi/tests/pinned_wire/tasks.rs
@@ -10,16 +10,29 @@
     for function in 0..10 {
         let (mut target, mut initiator) = logged_in(small());
         for (tag, lun) in [(1, 0), (2, 1), (3, 1)] {
-            initiator.send_command(tag, lun, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
+            initiator.send_command(
+                tag,
+                lun,
+                &scsi::read_or_write_16(false, 0, 1, 0),
+                512,
+                vec![].into(),
+            );
         }
         let up = initiator.send_buffer().unsent().to_vec();
-        target.receive(&up, &mut AdmitKnownTarget).expect("commands");
+        target
+            .receive(&up, &mut AdmitKnownTarget)
+            .expect("commands");
         for referenced in [0x2_0001, 0x7_0007] {
             let bhs = Bhs::new(opcode::TASK_MANAGEMENT_REQUEST, flag::FINAL | function)
                 .with_immediate()
                 .with_lun(1);
-            let bhs = bhs.with_itt(0x99).with_referenced_task_tag(referenced).with_cmd_sn(4);
-            target.receive(&frame(bhs, &[]), &mut AdmitKnownTarget).expect("task request");
+            let bhs = bhs
+                .with_itt(0x99)
+                .with_referenced_task_tag(referenced)
+                .with_cmd_sn(4);
+            target
+                .receive(&frame(bhs, &[]), &mut AdmitKnownTarget)
+                .expect("task request");
         }
         while let Some(event) = target.next_event() {
             record.target_event(&event);
@@ -46,9 +59,14 @@
             .with_itt(itt)
             .with_expected_data_len(512)
             .with_cmd_sn(1);
-        target.receive(&frame(bhs, &[]), &mut AdmitKnownTarget).expect("command");
+        target
+            .receive(&frame(bhs, &[]), &mut AdmitKnownTarget)
+            .expect("command");
     }
-    assert_eq!((target.in_flight(), target.send_buffer().unsent().len()), (12, 2 * 96));
+    assert_eq!(
+        (target.in_flight(), target.send_buffer().unsent().len()),
+        (12, 2 * 96)
+    );
     assert_eq!(target.send_buffer().unsent()[2], 6);
 }
 
@@ -57,7 +75,13 @@
     let (_, mut initiator) = logged_in(small());
     let mut record = Record::new();
     for serial in 2..0x8004_u32 {
-        assert!(initiator.send_command(7, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into()));
+        assert!(initiator.send_command(
+            7,
+            0,
+            &scsi::read_or_write_16(false, 0, 1, 0),
+            512,
+            vec![].into()
+        ));
         let request = initiator.send_buffer().unsent().to_vec();
         initiator.send_buffer().mark_sent(request.len());
         record.raw(&request[16..20]);
@@ -77,12 +101,20 @@
     let mut found = Vec::new();
     for qualifier in [0, 1, 0x3fef, 0x3ff0, 0x3fff, 0x4005, 0xc007] {
         let (_, mut initiator) = logged_in(small());
-        initiator.send_command(7, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
+        initiator.send_command(
+            7,
+            0,
+            &scsi::read_or_write_16(false, 0, 1, 0),
+            512,
+            vec![].into(),
+        );
         let answer = Bhs::new(opcode::SCSI_RESPONSE, 0x80)
             .with_itt(0x1_0000)
             .with_stat_sn(2)
             .with_byte(3, status::BUSY);
-        initiator.receive(&frame(answer.with_status_qualifier(qualifier), &[])).expect("an answer");
+        initiator
+            .receive(&frame(answer.with_status_qualifier(qualifier), &[]))
+            .expect("an answer");
         match initiator.next_event() {
             Some(InitiatorEvent::CommandCompleted { retry_after, .. }) => found.push(retry_after),
             other => panic!("expected an answer, found {other:?}"),
--- a/crates/iscsi/tests/sessions/commands.rs
+++ b/crates/iscsi/tests/sessions/commands.rs
@@ -6,31 +6,67 @@
 use mallowseam_iscsi::scsi::{self, Command, Sense, status};
 use mallowseam_iscsi::target::TargetEvent;
 
-fn completed(tag: u32, status: u8, sense: Option<Sense>, data: Vec<u8>, retry_after: u16) -> InitiatorEvent {
-    InitiatorEvent::CommandCompleted { tag, status, sense, data, retry_after }
+fn completed(
+    tag: u32,
+    status: u8,
+    sense: Option<Sense>,
+    data: Vec<u8>,
+    retry_after: u16,
+) -> InitiatorEvent {
+    InitiatorEvent::CommandCompleted {
+        tag,
+        status,
+        sense,
+        data,
+        retry_after,
+    }
 }
 
 #[test]
 fn long_write_is_sent_in_bursts_and_long_read_is_reassembled() {
-    for digests in [Digests::default(), Digests { header: true, data: true }] {
-        let proposal = ProposedParams { digests, ..short_lengths() };
+    for digests in [
+        Digests::default(),
+        Digests {
+            header: true,
+            data: true,
+        },
+    ] {
+        let proposal = ProposedParams {
+            digests,
+            ..short_lengths()
+        };
         let mut pair = ConnectedPair::new(proposal, 613);
         let bytes: Vec<u8> = (0..40_001u32).map(|index| (index * 7) as u8).collect();
         let write = scsi::read_or_write_16(true, 9, 80, 5);
-        assert!(pair.initiator.send_command(1, 3, &write, 0, bytes.clone().into()));
+        assert!(
+            pair.initiator
+                .send_command(1, 3, &write, 0, bytes.clone().into())
+        );
         pair.run();
         let command = pair.next_command();
-        assert_eq!(scsi::parse_cdb(&command.cdb), Ok(Command::Write { lba: 9, blocks: 80, group_number: 5 }));
+        assert_eq!(
+            scsi::parse_cdb(&command.cdb),
+            Ok(Command::Write {
+                lba: 9,
+                blocks: 80,
+                group_number: 5
+            })
+        );
         assert!(command.data == bytes);
         pair.target.complete(command.task, &[]);
         let read = scsi::read_or_write_16(false, 9, 80, 5);
-        assert!(pair.initiator.send_command(2, 3, &read, bytes.len(), vec![].into()));
+        assert!(
+            pair.initiator
+                .send_command(2, 3, &read, bytes.len(), vec![].into())
+        );
         pair.run();
         let command = pair.next_command();
         pair.target.complete(command.task, &bytes);
         pair.run();
         for (tag, data) in [(1, vec![]), (2, bytes)] {
-            assert!(pair.initiator.next_event() == Some(completed(tag, status::GOOD, None, data, 0)));
+            assert!(
+                pair.initiator.next_event() == Some(completed(tag, status::GOOD, None, data, 0))
+            );
         }
     }
 }
@@ -44,10 +80,15 @@
     pair.run();
     let (first, second) = (pair.next_command(), pair.next_command());
     let timeout = Some(Sense::COMMUNICATION_TIMEOUT);
-    pair.target.complete_with_status(second.task, status::BUSY, None, 12);
-    pair.target.complete_with_status(first.task, status::CHECK_CONDITION, timeout, 0);
+    pair.target
+        .complete_with_status(second.task, status::BUSY, None, 12);
+    pair.target
+        .complete_with_status(first.task, status::CHECK_CONDITION, timeout, 0);
     pair.run();
-    assert_eq!(pair.initiator.next_event(), Some(completed(1, status::BUSY, None, vec![], 12)));
+    assert_eq!(
+        pair.initiator.next_event(),
+        Some(completed(1, status::BUSY, None, vec![], 12))
+    );
     let failed = completed(0, status::CHECK_CONDITION, timeout, vec![], 0);
     assert_eq!(pair.initiator.next_event(), Some(failed));
 }
@@ -61,12 +102,21 @@
     pair.initiator.abort_task(5);
     pair.initiator.abort_task(5);
     pair.run();
-    assert_eq!(pair.target.next_event(), Some(TargetEvent::CommandAborted { task }));
+    assert_eq!(
+        pair.target.next_event(),
+        Some(TargetEvent::CommandAborted { task })
+    );
     pair.target.complete(task, &[]);
     pair.run();
-    assert_eq!(pair.initiator.next_event(), Some(InitiatorEvent::CommandAborted { tag: 5 }));
+    assert_eq!(
+        pair.initiator.next_event(),
+        Some(InitiatorEvent::CommandAborted { tag: 5 })
+    );
     assert_eq!(pair.initiator.next_event(), None);
-    assert_eq!((pair.initiator.in_flight(), pair.target.in_flight()), (0, 0));
+    assert_eq!(
+        (pair.initiator.in_flight(), pair.target.in_flight()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -78,7 +128,10 @@
     pair.target.complete(task, &[7; 512]);
     pair.initiator.abort_task(5);
     pair.run();
-    assert_eq!(pair.initiator.next_event(), Some(InitiatorEvent::CommandAborted { tag: 5 }));
+    assert_eq!(
+        pair.initiator.next_event(),
+        Some(InitiatorEvent::CommandAborted { tag: 5 })
+    );
     assert_eq!(pair.initiator.next_event(), None);
 }
 
@@ -107,7 +160,9 @@
     pair.run();
     let at_first_unit = pair.next_command();
     let _at_second_unit = pair.next_command();
-    let aborted = TargetEvent::CommandAborted { task: at_first_unit.task };
+    let aborted = TargetEvent::CommandAborted {
+        task: at_first_unit.task,
+    };
     assert_eq!(pair.target.next_event(), Some(aborted));
     assert_eq!(pair.target.in_flight(), 1);
 }
--- a/crates/iscsi/tests/sessions/connected_pair.rs
+++ b/crates/iscsi/tests/sessions/connected_pair.rs
@@ -14,7 +14,11 @@
 
 impl LoginPolicy for AdmitKnownTarget {
     fn admit(&mut self, identity: &LoginIdentity) -> Result<u16, LoginStatus> {
-        if identity.target.as_deref().is_none_or(|target| target == TARGET) {
+        if identity
+            .target
+            .as_deref()
+            .is_none_or(|target| target == TARGET)
+        {
             Ok(7)
         } else {
             Err(LoginStatus::NOT_FOUND)
@@ -44,11 +48,17 @@
 }
 
 /// Carries the next piece of what waits at either side, of up to `max_len` bytes; whether there was any.
-pub fn carry(target: &mut TargetConnection, initiator: &mut InitiatorConnection, max_len: usize) -> bool {
+pub fn carry(
+    target: &mut TargetConnection,
+    initiator: &mut InitiatorConnection,
+    max_len: usize,
+) -> bool {
     let unsent = initiator.send_buffer().unsent();
     let up = unsent[..unsent.len().min(max_len)].to_vec();
     initiator.send_buffer().mark_sent(up.len());
-    target.receive(&up, &mut AdmitKnownTarget).expect("a valid initiator");
+    target
+        .receive(&up, &mut AdmitKnownTarget)
+        .expect("a valid initiator");
     let unsent = target.send_buffer().unsent();
     let down = unsent[..unsent.len().min(max_len)].to_vec();
     target.send_buffer().mark_sent(down.len());
@@ -79,7 +89,10 @@
         };
         pair.run();
         assert_eq!(pair.initiator.next_event(), Some(InitiatorEvent::LoggedIn));
-        assert!(matches!(pair.target.next_event(), Some(TargetEvent::LoggedIn(_))));
+        assert!(matches!(
+            pair.target.next_event(),
+            Some(TargetEvent::LoggedIn(_))
+        ));
         pair
     }
 
@@ -91,19 +104,23 @@
     /// Sends a read of one block.
     pub fn send_read(&mut self, tag: u32, lun: u32) -> bool {
         let cdb = scsi::read_or_write_16(false, 0, 1, 0);
-        self.initiator.send_command(tag, lun, &cdb, 512, vec![].into())
+        self.initiator
+            .send_command(tag, lun, &cdb, 512, vec![].into())
     }
 
     /// Sends a write of one block.
     pub fn send_write(&mut self, tag: u32, lba: u64) -> bool {
         let cdb = scsi::read_or_write_16(true, lba, 1, 0);
-        self.initiator.send_command(tag, 0, &cdb, 0, vec![1; 512].into())
+        self.initiator
+            .send_command(tag, 0, &cdb, 0, vec![1; 512].into())
     }
 
     /// The target's next event, which has to be a command.
     pub fn next_command(&mut self) -> ReceivedCommand {
         match self.target.next_event() {
-            Some(TargetEvent::Command { task, cdb, data, .. }) => ReceivedCommand { task, cdb, data },
+            Some(TargetEvent::Command {
+                task, cdb, data, ..
+            }) => ReceivedCommand { task, cdb, data },
             other => panic!("expected a command, found {other:?}"),
         }
     }
--- a/crates/iscsi/tests/sessions/framing.rs
+++ b/crates/iscsi/tests/sessions/framing.rs
@@ -5,7 +5,10 @@
 
 #[test]
 fn digests_detect_every_flipped_bit() {
-    let digests = Digests { header: true, data: true };
+    let digests = Digests {
+        header: true,
+        data: true,
+    };
     let mut buffer = SendBuffer::default();
     buffer.set_digests(digests);
     buffer.push(Bhs::new(opcode::NOP_OUT, flag::FINAL), &[1, 2, 3, 4, 5]);
@@ -19,7 +22,10 @@
         // A length that grew leaves the PDU incomplete; it is never accepted.
         assert!(!matches!(decoded, Ok(Some(_))), "bit {bit}: {decoded:?}");
         if bit >= 52 * 8 {
-            assert!(matches!(decoded, Err(FrameError::DataDigest(_))), "bit {bit}");
+            assert!(
+                matches!(decoded, Err(FrameError::DataDigest(_))),
+                "bit {bit}"
+            );
         }
     }
 }
@@ -27,7 +33,10 @@
 #[test]
 fn lun_round_trips_in_each_addressing_method() {
     for lun in [0, 1, 255, 256, 16_383, 16_384, 0xff_ffff] {
-        assert_eq!(Bhs::new(opcode::SCSI_COMMAND, 0).with_lun(lun).lun(), Some(lun));
+        assert_eq!(
+            Bhs::new(opcode::SCSI_COMMAND, 0).with_lun(lun).lun(),
+            Some(lun)
+        );
     }
     let mut bhs = Bhs::new(opcode::SCSI_COMMAND, 0);
     bhs.bytes_mut()[8..16].copy_from_slice(&lun_bytes(3));
--- a/crates/iscsi/tests/sessions/login.rs
+++ b/crates/iscsi/tests/sessions/login.rs
@@ -24,9 +24,21 @@
     while carry(&mut target, &mut initiator, usize::MAX) {}
     initiator.next_event();
     initiator.send_text_request(b"SendTargets=All\0");
-    initiator.send_command(1, 0, &scsi::read_or_write_16(false, 0, 1, 0), 512, vec![].into());
+    initiator.send_command(
+        1,
+        0,
+        &scsi::read_or_write_16(false, 0, 1, 0),
+        512,
+        vec![].into(),
+    );
     while carry(&mut target, &mut initiator, usize::MAX) {}
     let listed = b"TargetName=iqn.t\0TargetAddress=127.0.0.1:3260,1\0".to_vec();
-    assert_eq!(initiator.next_event(), Some(InitiatorEvent::TextResponse(listed)));
-    assert!(matches!(initiator.next_event(), Some(InitiatorEvent::CommandRejected { tag: 1, .. })));
+    assert_eq!(
+        initiator.next_event(),
+        Some(InitiatorEvent::TextResponse(listed))
+    );
+    assert!(matches!(
+        initiator.next_event(),
+        Some(InitiatorEvent::CommandRejected { tag: 1, .. })
+    ));
 }
--- a/crates/iscsi/tests/sessions/scsi_data.rs
+++ b/crates/iscsi/tests/sessions/scsi_data.rs
@@ -14,12 +14,21 @@
     assert_eq!(unit.inquiry(None).expect("standard data")[4], 91);
     for page in &unit.inquiry(Some(0)).expect("the list of pages")[4..] {
         let data = unit.inquiry(Some(*page)).expect("a listed page");
-        assert_eq!(usize::from(u16::from_be_bytes([data[2], data[3]])), data.len() - 4, "page {page:#x}");
+        assert_eq!(
+            usize::from(u16::from_be_bytes([data[2], data[3]])),
+            data.len() - 4,
+            "page {page:#x}"
+        );
     }
     assert_eq!(unit.inquiry(Some(0x42)), None);
     assert_eq!(unit.read_capacity_10()[..4], [0xff; 4]);
-    assert_eq!(unit.read_capacity_16()[..8], ((1u64 << 33) - 1).to_be_bytes());
-    let mode = unit.mode_sense(ModeSenseForm::Six, 0x3f).expect("all pages");
+    assert_eq!(
+        unit.read_capacity_16()[..8],
+        ((1u64 << 33) - 1).to_be_bytes()
+    );
+    let mode = unit
+        .mode_sense(ModeSenseForm::Six, 0x3f)
+        .expect("all pages");
     assert_eq!(usize::from(mode[0]), mode.len() - 1);
 }
 
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -54,8 +54,19 @@
 }
 
 /// Judges the record of a run, in order of time, with this configuration and these nodes.
-pub fn judge(config: &GatewayConfig, model: &ServiceModel, trace: &[TraceEntry], layout: &Layout) -> Verdict {
-    let mut audit = Audit { config, model, layout, verdict: Verdict::default(), commands: Vec::new() };
+pub fn judge(
+    config: &GatewayConfig,
+    model: &ServiceModel,
+    trace: &[TraceEntry],
+    layout: &Layout,
+) -> Verdict {
+    let mut audit = Audit {
+        config,
+        model,
+        layout,
+        verdict: Verdict::default(),
+        commands: Vec::new(),
+    };
     audit.gather(trace);
     audit.check_answers(trace);
     audit.check_effects();
--- a/crates/lab/src/audit/budgets.rs
+++ b/crates/lab/src/audit/budgets.rs
@@ -39,13 +39,17 @@
         let fleet = &self.config.fleet;
         let window = fleet.retry_budget_window;
         retries.iter().enumerate().find_map(|(i, end)| {
-            let count = retries[..=i].iter().filter(|at| **at + window >= *end + SLACK).count() as f64;
+            let count = retries[..=i]
+                .iter()
+                .filter(|at| **at + window >= *end + SLACK)
+                .count() as f64;
             let recent = |at: &&Micros| **at + window + SLACK > *end && **at <= *end + SLACK;
             let commands = sent.iter().filter(recent).count() as f64;
             let allowed = fleet.retry_budget_min + fleet.retry_budget_ratio * commands;
             let by = seconds(*end);
-            (count > allowed)
-                .then(|| format!("gw{host} sent {count} further submits by {by}, {allowed:.1} allowed"))
+            (count > allowed).then(|| {
+                format!("gw{host} sent {count} further submits by {by}, {allowed:.1} allowed")
+            })
         })
     }
 
@@ -59,7 +63,11 @@
                 limit: plan.rate_limit,
                 burst: plan.burst_units,
             }];
-            let limits = self.layout.limits.get(&plan.name).map_or(&constant[..], Vec::as_slice);
+            let limits = self
+                .layout
+                .limits
+                .get(&plan.name)
+                .map_or(&constant[..], Vec::as_slice);
             // Without a limit at some time, nothing can be said of the tokens that were saved up.
             if limits.iter().any(|l| l.limit <= 0.0) {
                 continue;
@@ -95,7 +103,11 @@
             for attempt in &command.attempts {
                 first.entry(attempt.lba).or_insert(attempt);
             }
-            out.extend(first.values().map(|attempt| (attempt.at, self.units(attempt.blocks))));
+            out.extend(
+                first
+                    .values()
+                    .map(|attempt| (attempt.at, self.units(attempt.blocks))),
+            );
         }
         out.sort_by_key(|(at, _)| *at);
         out
--- a/crates/lab/src/audit/commands.rs
+++ b/crates/lab/src/audit/commands.rs
@@ -43,12 +43,16 @@
 impl Command {
     /// Attempts that their node did not reject, so that they may have run.
     pub(super) fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| !a.answered.is_some_and(|(_, code)| is_shed(code)))
+        self.attempts
+            .iter()
+            .filter(|a| !a.answered.is_some_and(|(_, code)| is_shed(code)))
     }
 
     /// When it completed well.
     pub(super) fn completed_at(&self) -> Option<Micros> {
-        self.answered.filter(|(_, code)| *code == status::GOOD).map(|(at, _)| at)
+        self.answered
+            .filter(|(_, code)| *code == status::GOOD)
+            .map(|(at, _)| at)
     }
 
     pub(super) fn was_shed(&self) -> bool {
@@ -98,8 +102,16 @@
     }
 
     /// Reads of a volume with a group number, in order of time.
-    fn reads_of(&self, volume: usize, group_number: u8) -> impl DoubleEndedIterator<Item = usize> + '_ {
-        self.reads.get(&(volume, group_number)).into_iter().flatten().copied()
+    fn reads_of(
+        &self,
+        volume: usize,
+        group_number: u8,
+    ) -> impl DoubleEndedIterator<Item = usize> + '_ {
+        self.reads
+            .get(&(volume, group_number))
+            .into_iter()
+            .flatten()
+            .copied()
     }
 }
 
@@ -110,7 +122,11 @@
         for entry in trace {
             match &entry.event {
                 TraceEvent::CommandSent { .. } => self.command_sent(&mut index, entry),
-                TraceEvent::CommandAnswered { command, status, read } => {
+                TraceEvent::CommandAnswered {
+                    command,
+                    status,
+                    read,
+                } => {
                     if let Some(i) = index.by_id.get(command) {
                         self.command_answered(*i, (entry.at, *status), read);
                     }
@@ -128,20 +144,38 @@
                         format!("at {at} client {client} got an answer too many"),
                     );
                 }
-                TraceEvent::NodeReceived { group_number: EXTENT_COPY_GROUP, .. }
-                    if self.layout.extent > 0 =>
-                {
+                TraceEvent::NodeReceived {
+                    group_number: EXTENT_COPY_GROUP,
+                    ..
+                } if self.layout.extent > 0 => {
                     self.verdict.extent_copies += 1;
                 }
                 TraceEvent::NodeReceived { .. } => self.node_received(&mut index, entry),
-                TraceEvent::NodeAnswered { node, connection, task, status } => {
-                    let id = TaskId { node: *node, connection: *connection, task: *task };
+                TraceEvent::NodeAnswered {
+                    node,
+                    connection,
+                    task,
+                    status,
+                } => {
+                    let id = TaskId {
+                        node: *node,
+                        connection: *connection,
+                        task: *task,
+                    };
                     if let Some(open) = index.open.remove(&id) {
                         self.attempt_mut(open).answered = Some((entry.at, *status));
                     }
                 }
-                TraceEvent::NodeAborted { node, connection, task } => {
-                    let id = TaskId { node: *node, connection: *connection, task: *task };
+                TraceEvent::NodeAborted {
+                    node,
+                    connection,
+                    task,
+                } => {
+                    let id = TaskId {
+                        node: *node,
+                        connection: *connection,
+                        task: *task,
+                    };
                     if let Some(open) = index.open.remove(&id) {
                         self.attempt_mut(open).cut_off = Some(entry.at);
                     }
@@ -162,21 +196,39 @@
     }
 
     fn command_sent(&mut self, index: &mut CommandIndex, entry: &TraceEntry) {
-        let TraceEvent::CommandSent { command, host, volume, write, lba, blocks, group_number, .. } =
-            entry.event
+        let TraceEvent::CommandSent {
+            command,
+            host,
+            volume,
+            write,
+            lba,
+            blocks,
+            group_number,
+            ..
+        } = entry.event
         else {
             return;
         };
         let volume = volume as usize;
-        let direction = if write { Direction::Write } else { Direction::Read };
+        let direction = if write {
+            Direction::Write
+        } else {
+            Direction::Read
+        };
         let applies = |rule: &&config::Rule| {
             (rule.direction == direction || rule.direction == Direction::Any)
                 && (rule.first_block..=rule.last_block).contains(&lba)
         };
-        let Some(rule) = self.config.volumes[volume].rules.iter().find(applies) else { return };
+        let Some(rule) = self.config.volumes[volume].rules.iter().find(applies) else {
+            return;
+        };
         index.by_id.insert(command, self.commands.len());
         if !write {
-            index.reads.entry((volume, group_number)).or_default().push(self.commands.len());
+            index
+                .reads
+                .entry((volume, group_number))
+                .or_default()
+                .push(self.commands.len());
         }
         self.commands.push(Command {
             id: command,
@@ -198,7 +250,11 @@
     fn command_answered(&mut self, i: usize, answer: (Micros, u8), shown: &[Option<u64>]) {
         if self.commands[i].answered.is_some() {
             self.verdict.duplicated += 1;
-            let line = format!("at {} a second answer to {}", seconds(answer.0), self.commands[i].id);
+            let line = format!(
+                "at {} a second answer to {}",
+                seconds(answer.0),
+                self.commands[i].id
+            );
             self.violation(Rule::OneAnswer, line);
         }
         self.commands[i].answered = Some(answer);
@@ -248,9 +304,26 @@
             let line = format!("at {at} node{node} got from gw{host} what nobody asked");
             return self.violation(Rule::OneAnswer, line);
         };
-        let open = AttemptIndex { command: i, attempt: self.commands[i].attempts.len() };
-        index.open.insert(TaskId { node, connection, task }, open);
-        let attempt = Attempt { at: entry.at, node, lba, blocks, answered: None, cut_off: None };
+        let open = AttemptIndex {
+            command: i,
+            attempt: self.commands[i].attempts.len(),
+        };
+        index.open.insert(
+            TaskId {
+                node,
+                connection,
+                task,
+            },
+            open,
+        );
+        let attempt = Attempt {
+            at: entry.at,
+            node,
+            lba,
+            blocks,
+            answered: None,
+            cut_off: None,
+        };
         self.commands[i].attempts.push(attempt);
     }
 
@@ -261,14 +334,19 @@
             let (volume, extent) = self.layout.locations.get(&(lun, node, slot))?;
             return Some((*volume, extent * self.layout.extent + offset));
         }
-        self.config.volumes.iter().enumerate().find_map(|(v, volume)| {
-            let contains = |extent: &&config::Extent| {
-                extent.node == node as usize
-                    && (extent.first_node_block..extent.first_node_block + extent.block_count).contains(&lba)
-            };
-            let extent = volume.extents.iter().find(contains)?;
-            Some((v, extent.first_block + lba - extent.first_node_block))
-        })
+        self.config
+            .volumes
+            .iter()
+            .enumerate()
+            .find_map(|(v, volume)| {
+                let contains = |extent: &&config::Extent| {
+                    extent.node == node as usize
+                        && (extent.first_node_block..extent.first_node_block + extent.block_count)
+                            .contains(&lba)
+                };
+                let extent = volume.extents.iter().find(contains)?;
+                Some((v, extent.first_block + lba - extent.first_node_block))
+            })
     }
 
     fn violation(&mut self, rule: Rule, line: String) {
@@ -278,15 +356,29 @@
 
 impl Verdict {
     /// Counts commands by I/O class and by how they came out.
-    pub(super) fn count(&mut self, config: &mallowseam_settings::GatewayConfig, commands: &[Command]) {
+    pub(super) fn count(
+        &mut self,
+        config: &mallowseam_settings::GatewayConfig,
+        commands: &[Command],
+    ) {
         use super::verdict::{ClassCount, CommandOutcome};
-        let class = |c: &config::IoClass| ClassCount { name: c.name.clone(), ..ClassCount::default() };
+        let class = |c: &config::IoClass| ClassCount {
+            name: c.name.clone(),
+            ..ClassCount::default()
+        };
         self.classes = config.io_classes.iter().map(class).collect();
         for command in commands {
             let objective = config.io_classes[command.io_class].latency_objective;
             let (volume, io_class, sent_at) = (command.volume, command.io_class, command.sent_at);
-            let in_time = command.completed_at().is_some_and(|at| at - sent_at <= objective);
-            self.outcomes.push(CommandOutcome { volume, io_class, sent_at, in_time });
+            let in_time = command
+                .completed_at()
+                .is_some_and(|at| at - sent_at <= objective);
+            self.outcomes.push(CommandOutcome {
+                volume,
+                io_class,
+                sent_at,
+                in_time,
+            });
             let count = &mut self.classes[io_class];
             count.sent += 1;
             match command.answered {
@@ -301,7 +393,8 @@
             }
         }
         let sum = |of: fn(&ClassCount) -> u64| self.classes.iter().map(of).sum::<u64>();
-        (self.completed, self.shed, self.failed) = (sum(|c| c.completed), sum(|c| c.shed), sum(|c| c.failed));
+        (self.completed, self.shed, self.failed) =
+            (sum(|c| c.completed), sum(|c| c.shed), sum(|c| c.failed));
         self.abandoned = sum(|c| c.abandoned) - self.unanswered;
         self.accepted = self.completed + self.shed + self.failed + self.unanswered;
         for class in &mut self.classes {
--- a/crates/lab/src/audit/data.rs
+++ b/crates/lab/src/audit/data.rs
@@ -21,7 +21,10 @@
         let mut writes = Writes::new();
         for command in self.commands.iter().filter(|c| c.write) {
             for lba in command.lba..command.lba + u64::from(command.blocks) {
-                writes.entry((command.volume, lba)).or_default().push(command);
+                writes
+                    .entry((command.volume, lba))
+                    .or_default()
+                    .push(command);
             }
         }
         writes
@@ -33,17 +36,31 @@
         let mut lines = Vec::new();
         let mut checked = 0;
         for read in self.commands.iter().filter(|c| !c.write) {
-            let Some(ended) = read.completed_at() else { continue };
+            let Some(ended) = read.completed_at() else {
+                continue;
+            };
             if read.shown.len() != read.blocks as usize {
-                lines.push(format!("{} came back with {} blocks", read.id, read.shown.len()));
+                lines.push(format!(
+                    "{} came back with {} blocks",
+                    read.id,
+                    read.shown.len()
+                ));
             }
-            let span = ReadSpan { began: read.sent_at, ended };
+            let span = ReadSpan {
+                began: read.sent_at,
+                ended,
+            };
             for (lba, shown) in (read.lba..).zip(&read.shown) {
                 checked += 1;
-                let all = writes.get(&(read.volume, lba)).map_or(&[][..], Vec::as_slice);
+                let all = writes
+                    .get(&(read.volume, lba))
+                    .map_or(&[][..], Vec::as_slice);
                 if let Some(why) = self.stale_or_wrong(span, *shown, all) {
                     let (volume, at) = (&self.config.volumes[read.volume].name, seconds(ended));
-                    lines.push(format!("{} of {volume} block {lba} at {at}: {why}", read.id));
+                    lines.push(format!(
+                        "{} of {volume} block {lba} at {at}: {why}",
+                        read.id
+                    ));
                 }
             }
         }
@@ -52,8 +69,15 @@
     }
 
     /// Why a block may not show this write, given all writes to it in the order in which they were sent.
-    fn stale_or_wrong(&self, span: ReadSpan, shown: Option<u64>, all: &[&Command]) -> Option<String> {
-        let Some(id) = shown else { return Some("bytes that no client wrote".into()) };
+    fn stale_or_wrong(
+        &self,
+        span: ReadSpan,
+        shown: Option<u64>,
+        all: &[&Command],
+    ) -> Option<String> {
+        let Some(id) = shown else {
+            return Some("bytes that no client wrote".into());
+        };
         // Completed before the read began.
         let settled = |c: &&&Command| c.completed_at().is_some_and(|at| at < span.began);
         if id == 0 {
@@ -77,7 +101,10 @@
                 && completed.is_some_and(|at| at < c.sent_at || io_class.ordered)
         };
         let newer = all.iter().find(supersedes)?;
-        Some(format!("shows {id}, though {} came after it and had ended", newer.id))
+        Some(format!(
+            "shows {id}, though {} came after it and had ended",
+            newer.id
+        ))
     }
 
     /// A snapshot shows every write that had completed before it was requested, none that began after it was
@@ -87,18 +114,31 @@
         let mut lines = Vec::new();
         let mut count = 0;
         for entry in trace {
-            let TraceEvent::SnapshotRead { volume, name, requested_at, blocks } = &entry.event else {
+            let TraceEvent::SnapshotRead {
+                volume,
+                name,
+                requested_at,
+                blocks,
+            } = &entry.event
+            else {
                 continue;
             };
             count += 1;
             // Like a read that began with the request and ended with the grant.
-            let span = ReadSpan { began: *requested_at, ended: entry.at };
+            let span = ReadSpan {
+                began: *requested_at,
+                ended: entry.at,
+            };
             for (lba, shown) in (0u64..).zip(blocks) {
-                let all = writes.get(&(*volume as usize, lba)).map_or(&[][..], Vec::as_slice);
+                let all = writes
+                    .get(&(*volume as usize, lba))
+                    .map_or(&[][..], Vec::as_slice);
                 if let Some(why) = self.stale_or_wrong(span, *shown, all) {
                     lines.push(format!("{name} block {lba}: {why}"));
                 }
-                let Some(writer) = shown.and_then(|id| all.iter().find(|c| c.id == id)) else { continue };
+                let Some(writer) = shown.and_then(|id| all.iter().find(|c| c.id == id)) else {
+                    continue;
+                };
                 lines.extend(self.torn_writes(name, blocks, lba, writer));
             }
         }
@@ -107,7 +147,13 @@
     }
 
     /// Blocks of the same sub-request that show neither the same write nor a later one.
-    fn torn_writes(&self, snapshot: &str, blocks: &[Option<u64>], lba: u64, writer: &Command) -> Vec<String> {
+    fn torn_writes(
+        &self,
+        snapshot: &str,
+        blocks: &[Option<u64>],
+        lba: u64,
+        writer: &Command,
+    ) -> Vec<String> {
         let extent = self.layout.extent.max(1);
         let mut lines = Vec::new();
         for other in writer.lba..writer.lba + u64::from(writer.blocks) {
@@ -118,7 +164,10 @@
             let shown = blocks.get(other as usize).copied().flatten().unwrap_or(0);
             let shown = self.commands.iter().find(|c| c.id == shown);
             if shown.is_none_or(|c| c.sent_at < writer.sent_at) {
-                lines.push(format!("{snapshot} shows {} in block {lba} and not in {other}", writer.id));
+                lines.push(format!(
+                    "{snapshot} shows {} in block {lba} and not in {other}",
+                    writer.id
+                ));
             }
         }
         lines
--- a/crates/lab/src/audit/delivery.rs
+++ b/crates/lab/src/audit/delivery.rs
@@ -17,7 +17,9 @@
             })
             .collect();
         for command in &self.commands {
-            let Some(line) = self.answer_violation(command, &host_ends) else { continue };
+            let Some(line) = self.answer_violation(command, &host_ends) else {
+                continue;
+            };
             if command.answered.is_none() {
                 self.verdict.unanswered += 1;
             }
@@ -29,13 +31,16 @@
         let deadline = self.config.io_classes[command.io_class].deadline;
         let due = command.sent_at + deadline + SLACK;
         let Some((at, _)) = command.answered else {
-            let host_ended = host_ends
-                .iter()
-                .any(|(host, at)| *host == command.host && at + SLACK >= command.sent_at && *at <= due);
+            let host_ended = host_ends.iter().any(|(host, at)| {
+                *host == command.host && at + SLACK >= command.sent_at && *at <= due
+            });
             let missing = !command.abandoned && !host_ended;
             return missing.then(|| {
                 let sent_at = seconds(command.sent_at);
-                format!("{} asked of gw{} at {sent_at} has no answer", command.id, command.host)
+                format!(
+                    "{} asked of gw{} at {sent_at} has no answer",
+                    command.id, command.host
+                )
             });
         };
         if at > due {
@@ -46,9 +51,15 @@
                 command.id
             ));
         }
-        let late = command.attempts.iter().find(|attempt| attempt.at > at + SLACK)?;
+        let late = command
+            .attempts
+            .iter()
+            .find(|attempt| attempt.at > at + SLACK)?;
         let (sent_at, at) = (seconds(late.at), seconds(at));
-        Some(format!("node{} got {} at {sent_at}, answered at {at}", late.node, command.id))
+        Some(format!(
+            "node{} got {} at {sent_at}, answered at {at}",
+            late.node, command.id
+        ))
     }
 
     /// Rule 2: a non-idempotent command is neither sent again nor shed once it may have run.
@@ -58,7 +69,9 @@
                 continue;
             }
             let mut runs: BTreeMap<u64, u32> = BTreeMap::new();
-            command.may_have_run().for_each(|attempt| *runs.entry(attempt.lba).or_default() += 1);
+            command
+                .may_have_run()
+                .for_each(|attempt| *runs.entry(attempt.lba).or_default() += 1);
             let id = command.id;
             if runs.values().any(|count| *count > 1) {
                 self.verdict.duplicated += 1;
--- a/crates/lab/src/audit/nodes.rs
+++ b/crates/lab/src/audit/nodes.rs
@@ -11,14 +11,24 @@
         let mut closed: HashMap<(u32, u32), Micros> = HashMap::new();
         for entry in trace {
             match entry.event {
-                TraceEvent::HostNotified { host, node, active: true } => drop(closed.remove(&(host, node))),
-                TraceEvent::HostNotified { host, node, active: false } => {
+                TraceEvent::HostNotified {
+                    host,
+                    node,
+                    active: true,
+                } => drop(closed.remove(&(host, node))),
+                TraceEvent::HostNotified {
+                    host,
+                    node,
+                    active: false,
+                } => {
                     closed.entry((host, node)).or_insert(entry.at);
                 }
                 // A host that starts again knows its cached list, and is notified anew.
                 TraceEvent::HostUp { host } => closed.retain(|(h, _), _| *h != host),
                 TraceEvent::NodeReceived { host, node, .. } => {
-                    let Some(since) = closed.get(&(host, node)) else { continue };
+                    let Some(since) = closed.get(&(host, node)) else {
+                        continue;
+                    };
                     if entry.at > since + DRAIN_GRACE + SLACK {
                         let (at, after) = (seconds(entry.at), (entry.at - since) / 1000);
                         let line = format!(
@@ -60,7 +70,8 @@
                     let bears = self.model.overload_units(age);
                     if sum > bears {
                         let by = seconds(entry.at);
-                        let line = format!("node{node} was sent {sum} units by {by}, bears {bears:.1}");
+                        let line =
+                            format!("node{node} was sent {sum} units by {by}, bears {bears:.1}");
                         self.verdict.violation(Rule::SlowStart, line);
                     }
                 }
--- a/crates/lab/src/audit/ordering.rs
+++ b/crates/lab/src/audit/ordering.rs
@@ -13,11 +13,20 @@
     pub(super) fn check_order(&mut self) {
         let mut keys: BTreeMap<(u32, usize, u64), Vec<&Command>> = BTreeMap::new();
         for command in &self.commands {
-            if let (true, Some(key)) = (self.config.io_classes[command.io_class].ordered, command.key) {
-                keys.entry((command.host, command.volume, key)).or_default().push(command);
+            if let (true, Some(key)) = (
+                self.config.io_classes[command.io_class].ordered,
+                command.key,
+            ) {
+                keys.entry((command.host, command.volume, key))
+                    .or_default()
+                    .push(command);
             }
         }
-        let cooldown = self.config.fleet.ordering_cooldown.saturating_sub(COOLDOWN_SLACK);
+        let cooldown = self
+            .config
+            .fleet
+            .ordering_cooldown
+            .saturating_sub(COOLDOWN_SLACK);
         for commands in keys.values() {
             for (i, later) in commands.iter().enumerate() {
                 for earlier in &commands[i.saturating_sub(PREDECESSORS)..i] {
@@ -33,13 +42,25 @@
 /// Attempts of an earlier command that were sent after a later one of its key, or were not over by then.
 fn order_violations(earlier: &Command, later: &Command, cooldown: Micros) -> Vec<String> {
     let mut lines = Vec::new();
-    let Some(first) = later.attempts.iter().map(|attempt| attempt.at).min() else { return lines };
+    let Some(first) = later.attempts.iter().map(|attempt| attempt.at).min() else {
+        return lines;
+    };
     for attempt in &earlier.attempts {
         if attempt.at > first {
-            lines.push(format!("{} was sent at {} after {}", earlier.id, seconds(attempt.at), later.id));
+            lines.push(format!(
+                "{} was sent at {} after {}",
+                earlier.id,
+                seconds(attempt.at),
+                later.id
+            ));
         }
         if over_at(attempt, cooldown) > first {
-            lines.push(format!("{} was sent at {} on top of {}", later.id, seconds(first), earlier.id));
+            lines.push(format!(
+                "{} was sent at {} on top of {}",
+                later.id,
+                seconds(first),
+                earlier.id
+            ));
         }
     }
     lines
--- a/crates/lab/src/audit/verdict.rs
+++ b/crates/lab/src/audit/verdict.rs
@@ -106,17 +106,26 @@
 impl Verdict {
     /// Whether all rules hold and all data is right.
     pub fn passed(&self) -> bool {
-        self.violations.iter().all(Vec::is_empty) && self.wrong_data.is_empty() && self.inexact.is_empty()
+        self.violations.iter().all(Vec::is_empty)
+            && self.wrong_data.is_empty()
+            && self.inexact.is_empty()
     }
 
     /// Number of rules without a violation.
     pub fn rules_upheld(&self) -> usize {
-        self.violations.iter().filter(|lines| lines.is_empty()).count()
+        self.violations
+            .iter()
+            .filter(|lines| lines.is_empty())
+            .count()
     }
 
     /// Number of snapshots with anything wrong in them.
     pub fn inexact_snapshots(&self) -> u64 {
-        let mut names: Vec<&str> = self.inexact.iter().filter_map(|line| line.split(' ').next()).collect();
+        let mut names: Vec<&str> = self
+            .inexact
+            .iter()
+            .filter_map(|line| line.split(' ').next())
+            .collect();
         names.dedup();
         names.len() as u64
     }
@@ -124,8 +133,18 @@
     /// A few lines of evidence for each rule.
     pub fn evidence(&self) -> Vec<String> {
         let mut out = broken_rules(&self.violations);
-        out.extend(self.wrong_data.iter().take(EVIDENCE_LIMIT).map(|line| format!("bytes wrong: {line}")));
-        out.extend(self.inexact.iter().take(EVIDENCE_LIMIT).map(|line| format!("snapshot: {line}")));
+        out.extend(
+            self.wrong_data
+                .iter()
+                .take(EVIDENCE_LIMIT)
+                .map(|line| format!("bytes wrong: {line}")),
+        );
+        out.extend(
+            self.inexact
+                .iter()
+                .take(EVIDENCE_LIMIT)
+                .map(|line| format!("snapshot: {line}")),
+        );
         out
     }
 
@@ -153,9 +172,17 @@
 /// A few lines of evidence for each rule that was broken.
 pub(crate) fn broken_rules(violations: &[Vec<String>; 7]) -> Vec<String> {
     let evidence = |(rule, lines): (&'static str, &Vec<String>)| -> Vec<String> {
-        lines.iter().take(EVIDENCE_LIMIT).map(|line| format!("broken: {rule}: {line}")).collect()
+        lines
+            .iter()
+            .take(EVIDENCE_LIMIT)
+            .map(|line| format!("broken: {rule}: {line}"))
+            .collect()
     };
-    RULES.into_iter().zip(violations).flat_map(evidence).collect()
+    RULES
+        .into_iter()
+        .zip(violations)
+        .flat_map(evidence)
+        .collect()
 }
 
 /// A time in seconds, to the millisecond.
--- a/crates/lab/src/benchmark.rs
+++ b/crates/lab/src/benchmark.rs
@@ -53,11 +53,24 @@
     let node_address = address(1);
     let host_address = address(101);
     let model = ServiceModel::warm(64, 0.0, 4096);
-    let node = Node::start(0, node_address, NODE_TARGET, model, Trace::disabled(), options.seed)
-        .map_err(RunError::io("node stand-in"))?;
+    let node = Node::start(
+        0,
+        node_address,
+        NODE_TARGET,
+        model,
+        Trace::disabled(),
+        options.seed,
+    )
+    .map_err(RunError::io("node stand-in"))?;
     let host = start_host(options, program, dir.path(), node_address, host_address)?;
-    let direct = Target { address: node_address, name: NODE_TARGET };
-    let through_host = Target { address: host_address, name: GATEWAY_TARGET };
+    let direct = Target {
+        address: node_address,
+        name: NODE_TARGET,
+    };
+    let through_host = Target {
+        address: host_address,
+        name: GATEWAY_TARGET,
+    };
     let mut measurements = Measurements::default();
     // Concurrency windows open first.
     clients::phase(through_host, options, options.connections, options.depth, 1)?;
@@ -83,7 +96,8 @@
     host: SocketAddr,
 ) -> Result<KilledOnDrop, RunError> {
     let file = dir.join("gw0.conf");
-    std::fs::write(&file, config_text(node, host, options)).map_err(RunError::io("configuration"))?;
+    std::fs::write(&file, config_text(node, host, options))
+        .map_err(RunError::io("configuration"))?;
     let process = KilledOnDrop::start(program, &["run", "--log", "warn"], &file)?;
     let began = Instant::now();
     while TcpStream::connect(host).is_err() {
@@ -104,8 +118,18 @@
     measurements: &mut Measurements,
 ) -> Result<(), RunError> {
     let single = |target| clients::phase(target, options, 1, 1, options.seconds);
-    let many = |target| clients::phase(target, options, options.connections, options.depth, options.seconds);
-    measurements.single.push(single(direct)?, single(through_host)?);
+    let many = |target| {
+        clients::phase(
+            target,
+            options,
+            options.connections,
+            options.depth,
+            options.seconds,
+        )
+    };
+    measurements
+        .single
+        .push(single(direct)?, single(through_host)?);
     let direct: Phase = many(direct)?;
     let cpu_before = process_figures::cpu_seconds(host.id())?;
     let through_host = many(through_host)?;
--- a/crates/lab/src/benchmark/clients.rs
+++ b/crates/lab/src/benchmark/clients.rs
@@ -60,12 +60,18 @@
             std::thread::spawn(move || drive_connection(target, index, depth, seconds, seed))
         })
         .collect();
-    let mut all = Phase { rate: 0.0, latencies: latency_histogram(), rejected: 0 };
+    let mut all = Phase {
+        rate: 0.0,
+        latencies: latency_histogram(),
+        rejected: 0,
+    };
     for thread in threads {
         let phase = thread.join().map_err(|_| RunError::Thread("a client"))??;
         all.rate += phase.rate;
         all.rejected += phase.rejected;
-        all.latencies.add(&phase.latencies).expect("the histograms have the same bounds");
+        all.latencies
+            .add(&phase.latencies)
+            .expect("the histograms have the same bounds");
     }
     Ok(all)
 }
@@ -98,8 +104,15 @@
         }
         client.exchange()?;
         while let Some(event) = client.conn.next_event() {
-            let InitiatorEvent::CommandCompleted { tag, status: code, .. } = event else { continue };
-            let Some(at) = sent_at[tag as usize].take() else { continue };
+            let InitiatorEvent::CommandCompleted {
+                tag, status: code, ..
+            } = event
+            else {
+                continue;
+            };
+            let Some(at) = sent_at[tag as usize].take() else {
+                continue;
+            };
             if code == status::GOOD {
                 latencies.saturating_record(at.elapsed().as_nanos() as u64);
                 completed += 1;
@@ -108,15 +121,29 @@
             }
         }
     }
-    Ok(Phase { rate: completed as f64 / began.elapsed().as_secs_f64(), latencies, rejected })
+    Ok(Phase {
+        rate: completed as f64 / began.elapsed().as_secs_f64(),
+        latencies,
+        rejected,
+    })
 }
 
 /// Sends a read, or a write of an id, of random blocks.
 fn send_random(client: &mut BlockingClient, tag: u32, write_id: u64, rng: &mut Pcg64Mcg) {
     let lba = rng.random_range(0..VOLUME_BLOCKS / u64::from(BLOCKS)) * u64::from(BLOCKS);
     let write = rng.random::<f64>() < WRITE_FRACTION;
-    let data = if write { block::write(write_id, lba, BLOCKS) } else { Vec::new() };
-    let read_len = if write { 0 } else { BLOCKS as usize * block::SIZE };
+    let data = if write {
+        block::write(write_id, lba, BLOCKS)
+    } else {
+        Vec::new()
+    };
+    let read_len = if write {
+        0
+    } else {
+        BLOCKS as usize * block::SIZE
+    };
     let cdb = scsi::read_or_write_16(write, lba, BLOCKS, 0);
-    client.conn.send_command(tag, 0, &cdb, read_len, data.into());
+    client
+        .conn
+        .send_command(tag, 0, &cdb, read_len, data.into());
 }
--- a/crates/lab/src/benchmark/process_figures.rs
+++ b/crates/lab/src/benchmark/process_figures.rs
@@ -17,8 +17,13 @@
     let text = read(pid, "stat")?;
     // The name in brackets may contain blanks; the fields behind it do not.
     let fields = text.rsplit(')').next().unwrap_or_default();
-    let ticks =
-        |n: usize| fields.split_whitespace().nth(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let ticks = |n: usize| {
+        fields
+            .split_whitespace()
+            .nth(n)
+            .and_then(|f| f.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     Ok((ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)) / TICKS_PER_SECOND)
 }
 
@@ -27,5 +32,8 @@
     let text = read(pid, "status")?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
-    kib.ok_or(RunError::NoProcessFigure { figure: "VmRSS", pid })
+    kib.ok_or(RunError::NoProcessFigure {
+        figure: "VmRSS",
+        pid,
+    })
 }
--- a/crates/lab/src/benchmark/report.rs
+++ b/crates/lab/src/benchmark/report.rs
@@ -14,18 +14,28 @@
 
 impl Pairs {
     pub(super) fn push(&mut self, direct: Phase, through_host: Phase) {
-        self.0.push(Pair { direct, through_host });
+        self.0.push(Pair {
+            direct,
+            through_host,
+        });
     }
 
     /// Medians over the rounds of a figure, directly and through the host.
     fn medians(&self, figure: impl Fn(&Phase) -> f64) -> [f64; 2] {
         let direct = median(self.0.iter().map(|pair| figure(&pair.direct)));
-        [direct, median(self.0.iter().map(|pair| figure(&pair.through_host)))]
+        [
+            direct,
+            median(self.0.iter().map(|pair| figure(&pair.through_host))),
+        ]
     }
 
     /// Median over the rounds of a figure of both phases of a pair.
     fn median_of_pairs(&self, figure: impl Fn(&Phase, &Phase) -> f64) -> f64 {
-        median(self.0.iter().map(|pair| figure(&pair.direct, &pair.through_host)))
+        median(
+            self.0
+                .iter()
+                .map(|pair| figure(&pair.direct, &pair.through_host)),
+        )
     }
 
     fn rejected_by_host(&self) -> u64 {
@@ -53,7 +63,8 @@
 impl Measurements {
     pub(super) fn table(&self, options: &Options) -> String {
         let mut out = String::new();
-        self.write(&mut out, options).expect("a string can be written to");
+        self.write(&mut out, options)
+            .expect("a string can be written to");
         out
     }
 
@@ -62,9 +73,20 @@
         let mut row = |name: &str, [direct, through_host]: [f64; 2], unit: &str| {
             writeln!(out, "{name:<44}{direct:>12.1}{through_host:>14.1}  {unit}")
         };
-        row("one command in flight: median", self.single.medians(|p| latency_us(p, 0.5)), "us")?;
-        row("one command in flight: p99", self.single.medians(|p| latency_us(p, 0.99)), "us")?;
-        let name = format!("{} x {} commands in flight: rate", options.connections, options.depth);
+        row(
+            "one command in flight: median",
+            self.single.medians(|p| latency_us(p, 0.5)),
+            "us",
+        )?;
+        row(
+            "one command in flight: p99",
+            self.single.medians(|p| latency_us(p, 0.99)),
+            "us",
+        )?;
+        let name = format!(
+            "{} x {} commands in flight: rate",
+            options.connections, options.depth
+        );
         row(&name, self.many.medians(|p| p.rate), "block I/Os a second")?;
         let added = |quantile| {
             self.single.median_of_pairs(|direct, through_host| {
@@ -79,13 +101,21 @@
             added(0.5),
             added(0.99)
         )?;
-        let ratio = self.many.median_of_pairs(|direct, through_host| through_host.rate / direct.rate);
-        writeln!(out, "rate through the host over direct, pair by pair: {ratio:.2}")?;
+        let ratio = self
+            .many
+            .median_of_pairs(|direct, through_host| through_host.rate / direct.rate);
+        writeln!(
+            out,
+            "rate through the host over direct, pair by pair: {ratio:.2}"
+        )?;
         let cpu_us = self.host_cpu_seconds * 1e6 / self.host_commands.max(1.0);
         writeln!(out, "CPU of the host: {cpu_us:.1} us a block I/O")?;
         let (before, after, idle) = (self.memory_kib, self.memory_with_idle_kib, options.idle);
         let each = after.saturating_sub(before) as f64 / f64::from(idle.max(1));
-        writeln!(out, "memory: {before} KiB, with {idle} idle connections {after} KiB: {each:.1} KiB each")?;
+        writeln!(
+            out,
+            "memory: {before} KiB, with {idle} idle connections {after} KiB: {each:.1} KiB each"
+        )?;
         let rejected = self.many.rejected_by_host() + self.single.rejected_by_host();
         writeln!(out, "rejected by the host: {rejected}")
     }
--- a/crates/lab/src/cli.rs
+++ b/crates/lab/src/cli.rs
@@ -26,7 +26,11 @@
 
 impl From<bool> for Finding {
     fn from(passed: bool) -> Self {
-        if passed { Finding::Passed } else { Finding::Failed }
+        if passed {
+            Finding::Passed
+        } else {
+            Finding::Failed
+        }
     }
 }
 
@@ -152,7 +156,11 @@
 #[derive(clap::Args)]
 struct ColdStartOptions {
     /// How many hosts, each in turn
-    #[arg(long, value_delimiter = ',', default_value = "10,30,100,300,1000,3000,10000")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "10,30,100,300,1000,3000,10000"
+    )]
     hosts: Vec<u32>,
     /// Milliseconds that a poll takes of the list service
     #[arg(long, default_value_t = 25)]
@@ -171,15 +179,26 @@
     let result = match CommandLine::parse().command {
         Command::Demo { seed } => rehearsal::demo(seed),
         Command::Rehearse(options) => rehearse(&options),
-        Command::Model { model: Model::ColdStart(options) } => models::cold_start(&options),
-        Command::Model { model: Model::FleetView(options) } => models::membership(&options),
-        Command::Search { search: Search::FleetView { states, ends_every, passes } } => {
-            Ok(search::membership(states, ends_every, passes))
-        }
+        Command::Model {
+            model: Model::ColdStart(options),
+        } => models::cold_start(&options),
+        Command::Model {
+            model: Model::FleetView(options),
+        } => models::membership(&options),
+        Command::Search {
+            search:
+                Search::FleetView {
+                    states,
+                    ends_every,
+                    passes,
+                },
+        } => Ok(search::membership(states, ends_every, passes)),
         Command::SharesCheck { seed, count } => Ok(placement::check(seed, count)),
         Command::SharesDay { seed, seeds } => placement::day(seed, seeds),
         Command::Bench(options) => print_table(benchmark::run(&options, &program())),
-        Command::BenchSnapshots(options) => print_table(snapshot_benchmark::run(&options, &program())),
+        Command::BenchSnapshots(options) => {
+            print_table(snapshot_benchmark::run(&options, &program()))
+        }
         Command::Host { args } => {
             return mallowseam_gateway::cli::main(std::iter::once("mallowseam".into()).chain(args));
         }
@@ -209,5 +228,8 @@
 /// This executable file, as a rehearsal starts it for its hosts.
 fn program() -> Program {
     let path = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("mallowseam-lab"));
-    Program { path, args: vec!["host".into()] }
+    Program {
+        path,
+        args: vec!["host".into()],
+    }
 }
--- a/crates/lab/src/cli/fleet_rehearsal.rs
+++ b/crates/lab/src/cli/fleet_rehearsal.rs
@@ -12,7 +12,10 @@
 /// Fleet scripts that come with the program.
 const SCRIPTS: [(&str, &str); 3] = [
     ("cold-start", include_str!("../../scripts/cold-start.fleet")),
-    ("cold-overload", include_str!("../../scripts/cold-overload.fleet")),
+    (
+        "cold-overload",
+        include_str!("../../scripts/cold-overload.fleet"),
+    ),
     ("cold-sum", include_str!("../../scripts/cold-sum.fleet")),
 ];
 
@@ -35,7 +38,11 @@
 pub(super) fn play(text: &str, options: &RehearseOptions) -> CommandResult {
     let this = std::env::current_exe()?;
     let program = processes::Program::next_to(&this);
-    let program = if options.as_before { program.with_arguments(&["--list-turn", "0"]) } else { program };
+    let program = if options.as_before {
+        program.with_arguments(&["--list-turn", "0"])
+    } else {
+        program
+    };
     let mut passed = true;
     for seed in options.seed..options.seed + options.seeds {
         passed &= play_seed(text, options, seed, &program)?;
@@ -43,14 +50,20 @@
     Ok(Finding::from(passed))
 }
 
-fn parse_scenario(text: &str, options: &RehearseOptions, seed: u64) -> Result<Scenario, Box<dyn Error>> {
+fn parse_scenario(
+    text: &str,
+    options: &RehearseOptions,
+    seed: u64,
+) -> Result<Scenario, Box<dyn Error>> {
     let name = &options.script;
     if name == STORM {
         let text = fault_schedule::random_script(options.hosts.unwrap_or(STORM_HOSTS), seed);
         return Ok(scenario::parse(name, &text)?);
     }
     let scenario = scenario::parse(name, text)?;
-    Ok(options.hosts.map_or(scenario.clone(), |hosts| scenario.scaled(hosts)))
+    Ok(options
+        .hosts
+        .map_or(scenario.clone(), |hosts| scenario.scaled(hosts)))
 }
 
 fn play_seed(
@@ -86,7 +99,10 @@
 
 /// Prints what a run came to, and returns the evidence against it.
 fn report(name: &str, scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
-    outcome.compare_membership_groups(scenario).iter().for_each(|text| println!("{text}"));
+    outcome
+        .compare_membership_groups(scenario)
+        .iter()
+        .for_each(|text| println!("{text}"));
     if name == STORM {
         // Polls are many here as hosts come and go, and are not what is tried.
         let mut evidence = outcome.violations();
@@ -107,8 +123,14 @@
         );
         return evidence;
     }
-    if scenario.membership.is_some_and(|m| m.participants == IndexRange::ALL) {
-        println!("{}", membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples));
+    if scenario
+        .membership
+        .is_some_and(|m| m.participants == IndexRange::ALL)
+    {
+        println!(
+            "{}",
+            membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples)
+        );
     }
     println!("{}", outcome.summary(scenario));
     outcome.evidence(scenario)
--- a/crates/lab/src/cli/models.rs
+++ b/crates/lab/src/cli/models.rs
@@ -16,10 +16,20 @@
 
 pub(super) fn cold_start(options: &ColdStartOptions) -> CommandResult {
     let (takes, down, seed) = (options.takes, options.down, options.seed);
-    println!("simulated, seed {seed}, {takes} ms a call, down for {down} s; bound: 1.5 * hosts * {takes} ms");
+    println!(
+        "simulated, seed {seed}, {takes} ms a call, down for {down} s; bound: 1.5 * hosts * {takes} ms"
+    );
     println!(
         "{:>7}{:>10}{:>8}{:>14}{:>9}{:>11}{:>11}{:>9}{:>11}",
-        "hosts", "calls", "a host", "most waiting", "away", "95 % s", "last s", "bound s", "within 6 s"
+        "hosts",
+        "calls",
+        "a host",
+        "most waiting",
+        "away",
+        "95 % s",
+        "last s",
+        "bound s",
+        "within 6 s"
     );
     let mut passed = true;
     for &hosts in &options.hosts {
@@ -28,7 +38,10 @@
     Ok(Finding::from(passed))
 }
 
-fn cold_start_of(hosts: u32, options: &ColdStartOptions) -> Result<bool, Box<dyn std::error::Error>> {
+fn cold_start_of(
+    hosts: u32,
+    options: &ColdStartOptions,
+) -> Result<bool, Box<dyn std::error::Error>> {
     let (takes, down) = (options.takes * 1_000, options.down * 1_000_000);
     let case = ColdStartCase {
         hosts,
@@ -38,12 +51,22 @@
         already_running: false,
     };
     let run = |case| cold_start_model::run(case, options.seed, MAX_SIMULATED);
-    let paced = run(ColdStartCase { advertised_service_time: Some(takes), ..case });
+    let paced = run(ColdStartCase {
+        advertised_service_time: Some(takes),
+        ..case
+    });
     let untold = run(case);
-    let before = run(ColdStartCase { advertised_service_time: Some(0), ..case });
+    let before = run(ColdStartCase {
+        advertised_service_time: Some(0),
+        ..case
+    });
     let bound = 1.5 * f64::from(hosts) * takes as f64 / 1e6;
     for (name, result) in [("told", &paced), ("untold", &untold), ("before", &before)] {
-        let seconds = |part| result.list_delay_within(part).map_or(f64::NAN, |at| at as f64 / 1e6);
+        let seconds = |part| {
+            result
+                .list_delay_within(part)
+                .map_or(f64::NAN, |at| at as f64 / 1e6)
+        };
         println!(
             "{hosts:>7}{:>10}{:>8.2}{:>14}{:>9}{:>11.2}{:>11.2}{bound:>9.2}{:>11}  {name}",
             result.polls,
@@ -63,7 +86,10 @@
 }
 
 pub(super) fn membership(options: &MembershipModelOptions) -> CommandResult {
-    println!("simulated, seed {}, periods of 1 s; T(N) = 100 + 20 log10 N periods", options.seed);
+    println!(
+        "simulated, seed {}, periods of 1 s; T(N) = 100 + 20 log10 N periods",
+        options.seed
+    );
     println!(
         "{:>7}{:>9}{:>9}{:>9}{:>8}{:>10}{:>8}{:>13}{:>13}",
         "hosts", "start s", "kill s", "heal s", "T(N)", "bytes/s", "dgr/s", "false/h", "false part"
@@ -71,7 +97,11 @@
     let protocols: &[Protocol] = if options.built {
         &[Protocol::Lifeguard]
     } else {
-        &[Protocol::Lifeguard, Protocol::PlainSwim, Protocol::Heartbeats]
+        &[
+            Protocol::Lifeguard,
+            Protocol::PlainSwim,
+            Protocol::Heartbeats,
+        ]
     };
     let mut passed = true;
     let mut all: Vec<(Protocol, Measurements)> = Vec::new();
@@ -103,11 +133,16 @@
         m.false_positive_fraction,
         protocol.name()
     );
-    let settled = [m.start_s, m.kill_s, m.heal_s].iter().all(|seconds| *seconds <= bound);
+    let settled = [m.start_s, m.kill_s, m.heal_s]
+        .iter()
+        .all(|seconds| *seconds <= bound);
     protocol != Protocol::Lifeguard || settled && m.bytes_s <= MAX_MEMBERSHIP_BYTES
 }
 
-fn write_csv(dir: &Path, all: &[(Protocol, Measurements)]) -> Result<(), Box<dyn std::error::Error>> {
+fn write_csv(
+    dir: &Path,
+    all: &[(Protocol, Measurements)],
+) -> Result<(), Box<dyn std::error::Error>> {
     let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", dir.display());
     std::fs::create_dir_all(dir).map_err(|e| failed(&e))?;
     let mut table = csv::Writer::from_path(dir.join("fleet-view.csv")).map_err(|e| failed(&e))?;
@@ -125,13 +160,23 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     let line = |protocol: Protocol, of: fn(&Measurements) -> f64| -> plots::Line<'static> {
         let measured = all.iter().filter(|(p, _)| *p == protocol);
-        (protocol.name(), measured.map(|(_, m)| (m.hosts as f64, of(m))).collect())
+        (
+            protocol.name(),
+            measured.map(|(_, m)| (m.hosts as f64, of(m))).collect(),
+        )
     };
-    let bound = hosts.iter().map(|hosts| (*hosts as f64, convergence_periods(*hosts as u32))).collect();
+    let bound = hosts
+        .iter()
+        .map(|hosts| (*hosts as f64, convergence_periods(*hosts as u32)))
+        .collect();
     let mut settle = vec![("T(N)", bound)];
     let mut bytes = Vec::new();
     let mut wrong = Vec::new();
-    for protocol in [Protocol::Lifeguard, Protocol::PlainSwim, Protocol::Heartbeats] {
+    for protocol in [
+        Protocol::Lifeguard,
+        Protocol::PlainSwim,
+        Protocol::Heartbeats,
+    ] {
         if protocol != Protocol::Heartbeats {
             settle.push(line(protocol, |m| m.start_s.max(m.kill_s).max(m.heal_s)));
         }
@@ -139,10 +184,21 @@
         wrong.push(line(protocol, |m| m.false_positive_fraction));
     }
     let sheet = [
-        ("seconds until all memberships agree, the longest of three", settle),
+        (
+            "seconds until all memberships agree, the longest of three",
+            settle,
+        ),
         ("bytes a second and host, at rest", bytes),
-        ("part of the time that a running host is held unreachable, under loss and stops", wrong),
+        (
+            "part of the time that a running host is held unreachable, under loss and stops",
+            wrong,
+        ),
     ];
-    plots::write(&dir.join("fleet-view.svg"), "hosts", HorizontalScale::Logarithmic, &sheet)?;
+    plots::write(
+        &dir.join("fleet-view.svg"),
+        "hosts",
+        HorizontalScale::Logarithmic,
+        &sheet,
+    )?;
     Ok(())
 }
--- a/crates/lab/src/cli/rehearsal.rs
+++ b/crates/lab/src/cli/rehearsal.rs
@@ -7,7 +7,10 @@
 const SCRIPTS: [(&str, &str); 5] = [
     ("bad-day", include_str!("../../scripts/bad-day.script")),
     ("month-end", include_str!("../../scripts/month-end.script")),
-    ("tariff-night", include_str!("../../scripts/tariff-night.script")),
+    (
+        "tariff-night",
+        include_str!("../../scripts/tariff-night.script"),
+    ),
     ("demo", include_str!("../../scripts/demo.script")),
     ("short", include_str!("../../scripts/short.script")),
 ];
