--- a/crates/lab/src/cli/rehearsal_report.rs
+++ b/crates/lab/src/cli/rehearsal_report.rs
@@ -7,8 +7,14 @@
     if !quiet {
         print_classes(verdict);
     }
-    outcome.failures.iter().for_each(|failure| println!("unclean: {failure}"));
-    verdict.evidence().iter().for_each(|line| println!("{line}"));
+    outcome
+        .failures
+        .iter()
+        .for_each(|failure| println!("unclean: {failure}"));
+    verdict
+        .evidence()
+        .iter()
+        .for_each(|line| println!("{line}"));
     println!("{verdict}");
     let snapshots = &outcome.snapshots;
     if verdict.snapshots + snapshots.clones > 0 || !snapshots.refused.is_empty() {
@@ -22,7 +28,15 @@
 fn print_classes(verdict: &Verdict) {
     println!(
         "\n{:<10}{:>8}{:>10}{:>9}{:>7}{:>8}{:>10}{:>12}{:>9}",
-        "class", "sent", "completed", "in time", "shed", "failed", "abandoned", "median ms", "p99 ms"
+        "class",
+        "sent",
+        "completed",
+        "in time",
+        "shed",
+        "failed",
+        "abandoned",
+        "median ms",
+        "p99 ms"
     );
     verdict.classes.iter().for_each(print_class);
     println!(
@@ -32,7 +46,8 @@
 }
 
 fn print_class(class: &ClassCount) {
-    let latency_ms = |part| quantile(&class.latencies, part).map_or(0.0, |latency| latency as f64 / 1000.0);
+    let latency_ms =
+        |part| quantile(&class.latencies, part).map_or(0.0, |latency| latency as f64 / 1000.0);
     println!(
         "{:<10}{:>8}{:>10}{:>8.1}%{:>7}{:>8}{:>10}{:>12.1}{:>9.1}",
         class.name,
@@ -48,12 +63,21 @@
 }
 
 fn print_snapshots(verdict: &Verdict, report: &SnapshotReport) {
-    report.refused.iter().for_each(|line| println!("refused: {line}"));
-    report.wrong_clones.iter().for_each(|line| println!("clone: {line}"));
+    report
+        .refused
+        .iter()
+        .for_each(|line| println!("refused: {line}"));
+    report
+        .wrong_clones
+        .iter()
+        .for_each(|line| println!("clone: {line}"));
     let mut grant_ms = report.grant_ms.clone();
     grant_ms.sort_unstable();
     if let (Some(median), Some(last)) = (quantile(&grant_ms, 0.5), quantile(&grant_ms, 1.0)) {
-        println!("leaked by hosts that were killed, and reclaimed: {} slots", report.leaked_slots);
+        println!(
+            "leaked by hosts that were killed, and reclaimed: {} slots",
+            report.leaked_slots
+        );
         println!(
             "copies at the nodes: {}; granted after {median} ms in the median, {last} ms at most",
             verdict.extent_copies
--- a/crates/lab/src/cold_start_model.rs
+++ b/crates/lab/src/cold_start_model.rs
@@ -171,13 +171,26 @@
         }
         let mut events = BinaryHeap::new();
         for host in 0..case.hosts {
-            let at = if case.already_running { 0 } else { rng.random_range(0..START_SPREAD) };
+            let at = if case.already_running {
+                0
+            } else {
+                rng.random_range(0..START_SPREAD)
+            };
             events.push(Reverse((at, ModelEvent::Start(host))));
         }
         events.push(Reverse((case.down_until, ModelEvent::ServiceUp)));
         let hosts = (0..case.hosts).map(|_| ModelHost::default()).collect();
         let outcome = ColdStartOutcome::default();
-        Model { case, now: 0, events, hosts, queue, last_poll: 0, outcome, rng }
+        Model {
+            case,
+            now: 0,
+            events,
+            hosts,
+            queue,
+            last_poll: 0,
+            outcome,
+            rng,
+        }
     }
 
     fn schedule(&mut self, after: Micros, event: ModelEvent) {
@@ -214,7 +227,10 @@
         let config = SchedulerConfig {
             hosts: self.case.hosts,
             endpoints_polled: true,
-            poll_service_time: self.case.advertised_service_time.map(|t| (t / TICK) as Tick),
+            poll_service_time: self
+                .case
+                .advertised_service_time
+                .map(|t| (t / TICK) as Tick),
             ..SchedulerConfig::default()
         };
         let scheduler = Scheduler::new(&config, self.rng.random(), (self.now / TICK) as Tick);
@@ -228,15 +244,24 @@
 
     /// Ends a host's poll, if it is the one in flight.
     fn end_poll(&mut self, host: u32, poll: u64) -> bool {
-        self.hosts[host as usize].poll.take_if(|p| *p == poll).is_some()
+        self.hosts[host as usize]
+            .poll
+            .take_if(|p| *p == poll)
+            .is_some()
     }
 
     fn on_response(&mut self, host: u32, has_list: bool) {
         if has_list && !std::mem::replace(&mut self.hosts[host as usize].has_list, true) {
-            self.outcome.list_delays.push(self.now.saturating_sub(self.case.down_until));
+            self.outcome
+                .list_delays
+                .push(self.now.saturating_sub(self.case.down_until));
             self.current_second().fresh += 1;
         }
-        let event = if has_list { EndpointEvent::FullSnapshot } else { EndpointEvent::PollFailed };
+        let event = if has_list {
+            EndpointEvent::FullSnapshot
+        } else {
+            EndpointEvent::PollFailed
+        };
         self.notify(host, event);
     }
 
@@ -272,19 +297,26 @@
     fn current_second(&mut self) -> &mut Second {
         let index = (self.now / SECOND) as usize;
         for second in self.outcome.seconds.len()..=index {
-            self.outcome.seconds.push(Second { second: second as u64, ..Second::default() });
+            self.outcome.seconds.push(Second {
+                second: second as u64,
+                ..Second::default()
+            });
         }
         &mut self.outcome.seconds[index]
     }
 
     fn notify(&mut self, host: u32, event: EndpointEvent) {
-        self.step(host, |s, actions, now| s.on_endpoints(actions, now, event, &[]));
+        self.step(host, |s, actions, now| {
+            s.on_endpoints(actions, now, event, &[])
+        });
     }
 
     /// Lets a scheduler act, and does what it asks for.
     fn step(&mut self, host: u32, act: impl FnOnce(&mut Scheduler, &mut RequestedActions, Tick)) {
         let mut actions = RequestedActions::default();
-        let Some(scheduler) = &mut self.hosts[host as usize].scheduler else { return };
+        let Some(scheduler) = &mut self.hosts[host as usize].scheduler else {
+            return;
+        };
         act(scheduler, &mut actions, (self.now / TICK) as Tick);
         if let Some(after) = actions.timer_after {
             self.schedule(after as Micros * TICK, ModelEvent::Timer(host));
@@ -300,7 +332,10 @@
         self.hosts[host as usize].poll = Some(poll);
         let latency = LINK_LATENCY + self.rng.random_range(0..LINK_LATENCY);
         self.schedule(latency, ModelEvent::PollArrives(host, poll));
-        self.schedule(WatchLiveness::new(0).fails_at() * 1_000, ModelEvent::PollTimeout(host, poll));
+        self.schedule(
+            WatchLiveness::new(0).fails_at() * 1_000,
+            ModelEvent::PollTimeout(host, poll),
+        );
     }
 }
 
@@ -322,18 +357,37 @@
         ("calls waiting", lines(cases, polls_waiting)),
         ("hosts with a list", lines(cases, hosts_with_list)),
     ];
-    plots::write(&dir.join(format!("{name}.svg")), "s", HorizontalScale::Linear, &sheet)
+    plots::write(
+        &dir.join(format!("{name}.svg")),
+        "s",
+        HorizontalScale::Linear,
+        &sheet,
+    )
 }
 
 fn write_seconds(path: &Path, seconds: &[Second]) -> Result<(), csv::Error> {
     let mut out = csv::Writer::from_path(path)?;
-    seconds.iter().try_for_each(|second| out.serialize(second))?;
+    seconds
+        .iter()
+        .try_for_each(|second| out.serialize(second))?;
     Ok(out.flush()?)
 }
 
-fn lines<'a>(cases: &[NamedOutcome<'a>], series: fn(&ColdStartOutcome) -> Vec<f64>) -> Vec<plots::Line<'a>> {
-    let numbered = |outcome| series(outcome).into_iter().enumerate().map(|(s, v)| (s as f64, v)).collect();
-    cases.iter().map(|(name, outcome)| (*name, numbered(outcome))).collect()
+fn lines<'a>(
+    cases: &[NamedOutcome<'a>],
+    series: fn(&ColdStartOutcome) -> Vec<f64>,
+) -> Vec<plots::Line<'a>> {
+    let numbered = |outcome| {
+        series(outcome)
+            .into_iter()
+            .enumerate()
+            .map(|(s, v)| (s as f64, v))
+            .collect()
+    };
+    cases
+        .iter()
+        .map(|(name, outcome)| (*name, numbered(outcome)))
+        .collect()
 }
 
 fn polls_waiting(outcome: &ColdStartOutcome) -> Vec<f64> {
--- a/crates/lab/src/endpoint_list_service.rs
+++ b/crates/lab/src/endpoint_list_service.rs
@@ -54,7 +54,12 @@
     pub fn start(address: SocketAddr, nodes: u32, lag: Micros, trace: Trace) -> io::Result<Self> {
         let (messages, receiver) = channel();
         let listener = listen(address)?;
-        let node = |n| NodeState { node: n, state: EndpointState::Active, incarnation: 0, started_at: 0 };
+        let node = |n| NodeState {
+            node: n,
+            state: EndpointState::Active,
+            incarnation: 0,
+            started_at: 0,
+        };
         let mut server = Server {
             address,
             listener: Some(listener),
@@ -62,12 +67,20 @@
             nodes: (0..nodes).map(node).collect(),
             pending: VecDeque::new(),
             lag,
-            version: ListVersion { epoch: 1, version: 1 },
+            version: ListVersion {
+                epoch: 1,
+                version: 1,
+            },
             old_list: String::new(),
             trace,
         };
-        let thread = std::thread::Builder::new().name("list".into()).spawn(move || server.run(&receiver))?;
-        Ok(EndpointListService { messages, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("list".into())
+            .spawn(move || server.run(&receiver))?;
+        Ok(EndpointListService {
+            messages,
+            thread: Some(thread),
+        })
     }
 
     /// Sends the stand-in a message.
@@ -162,7 +175,10 @@
     fn on_message(&mut self, message: Message) {
         match message {
             Message::Node(node) => {
-                self.pending.push_back(PendingChange { due: self.trace.now() + self.lag, node });
+                self.pending.push_back(PendingChange {
+                    due: self.trace.now() + self.lag,
+                    node,
+                });
             }
             Message::Lag(lag) => self.lag = lag,
             Message::Away(true) => {
@@ -171,7 +187,10 @@
             }
             Message::Away(false) => {
                 self.listener = listen(self.address).ok();
-                self.version = ListVersion { epoch: self.version.epoch + 1, version: 1 };
+                self.version = ListVersion {
+                    epoch: self.version.epoch + 1,
+                    version: 1,
+                };
             }
             Message::SendOldList => {
                 let bytes = self.old_list.as_bytes();
@@ -187,7 +206,9 @@
     fn apply_due_changes(&mut self) {
         let now = self.trace.now();
         while self.pending.front().is_some_and(|change| change.due <= now) {
-            let Some(PendingChange { node, .. }) = self.pending.pop_front() else { return };
+            let Some(PendingChange { node, .. }) = self.pending.pop_front() else {
+                return;
+            };
             if self.old_list.is_empty() {
                 self.old_list = self.update(UpdateKind::FullSnapshot, Scope::All);
             }
@@ -206,7 +227,12 @@
     fn accept(&mut self) {
         while let Some(Ok((socket, _))) = self.listener.as_ref().map(TcpListener::accept) {
             if socket.set_nonblocking(true).is_ok() {
-                self.connections.push(Connection { socket, line: Vec::new(), host: 0, watches: false });
+                self.connections.push(Connection {
+                    socket,
+                    line: Vec::new(),
+                    host: 0,
+                    watches: false,
+                });
             }
         }
     }
@@ -263,7 +289,11 @@
         let host = connection.host;
         for node in self.nodes.iter().filter(|node| scope.contains(node.node)) {
             let active = node.state == EndpointState::Active;
-            self.trace.record(TraceEvent::HostNotified { host, node: node.node, active });
+            self.trace.record(TraceEvent::HostNotified {
+                host,
+                node: node.node,
+                active,
+            });
         }
     }
 }
--- a/crates/lab/src/exhaustive_placement.rs
+++ b/crates/lab/src/exhaustive_placement.rs
@@ -25,7 +25,9 @@
         })
         .collect();
     let max_volumes: i32 = if node_count == 4 { 5 } else { 8 };
-    let volumes = (0..rng.random_range(1..=max_volumes)).map(|i| draw_volume(rng, i, &nodes)).collect();
+    let volumes = (0..rng.random_range(1..=max_volumes))
+        .map(|i| draw_volume(rng, i, &nodes))
+        .collect();
     (nodes, volumes)
 }
 
@@ -45,7 +47,8 @@
         survives_node_loss: spread > 1 && rng.random_range(0..4) == 0,
         survives_zone_loss: rng.random_range(0..8) == 0,
         distinct_zones: rng.random_range(0..4) == 0,
-        zone: (rng.random_range(0..6) == 0).then(|| nodes[rng.random_range(0..nodes.len())].zone.clone()),
+        zone: (rng.random_range(0..6) == 0)
+            .then(|| nodes[rng.random_range(0..nodes.len())].zone.clone()),
         size: rng.random_range(0..3) * 100,
         current_nodes: nodes
             .iter()
@@ -63,11 +66,16 @@
     if !zones_fit(nodes, volumes, placement) || !loads_fit(nodes, volumes, placement) {
         return None;
     }
-    let gain = (0..nodes.len()).map(|n| node_gain(nodes, volumes, placement, n)).sum();
+    let gain = (0..nodes.len())
+        .map(|n| node_gain(nodes, volumes, placement, n))
+        .sum();
     let used: BTreeSet<usize> = placement.iter().flatten().copied().collect();
     let cost: i128 = used.iter().map(|n| i128::from(nodes[*n].cost)).sum();
     let moved = volumes.iter().zip(placement).map(|(volume, set)| {
-        let new = set.iter().filter(|n| !volume.current_nodes.contains(&nodes[**n].name)).count();
+        let new = set
+            .iter()
+            .filter(|n| !volume.current_nodes.contains(&nodes[**n].name))
+            .count();
         scaled(volume.size) / set.len() as i128 * new as i128
     });
     Some((gain, -cost, -moved.sum::<i128>()))
@@ -81,7 +89,11 @@
     volumes.iter().zip(placement).all(|(volume, set)| {
         let zones: BTreeSet<&str> = set.iter().map(|n| nodes[*n].zone.as_str()).collect();
         let distinct = !volume.distinct_zones || zones.len() == set.len();
-        distinct && volume.zone.as_ref().is_none_or(|zone| zones.iter().all(|z| z == zone))
+        distinct
+            && volume
+                .zone
+                .as_ref()
+                .is_none_or(|zone| zones.iter().all(|z| z == zone))
     })
 }
 
@@ -93,17 +105,28 @@
 
 /// Each loss that some volume has to survive, and none at all.
 fn losses(nodes: &[Node], volumes: &[Volume]) -> Vec<Loss> {
-    let mut losses = vec![Loss { nodes: vec![], must_survive: vec![false; volumes.len()] }];
+    let mut losses = vec![Loss {
+        nodes: vec![],
+        must_survive: vec![false; volumes.len()],
+    }];
     if volumes.iter().any(|v| v.survives_node_loss) {
         let must_survive: Vec<bool> = volumes.iter().map(|v| v.survives_node_loss).collect();
-        let loss = |n| Loss { nodes: vec![n], must_survive: must_survive.clone() };
+        let loss = |n| Loss {
+            nodes: vec![n],
+            must_survive: must_survive.clone(),
+        };
         losses.extend((0..nodes.len()).map(loss));
     }
     if volumes.iter().any(|v| v.survives_zone_loss) {
         let must_survive: Vec<bool> = volumes.iter().map(|v| v.survives_zone_loss).collect();
         for zone in nodes.iter().map(|n| &n.zone).collect::<BTreeSet<_>>() {
-            let lost = (0..nodes.len()).filter(|n| nodes[*n].zone == *zone).collect();
-            losses.push(Loss { nodes: lost, must_survive: must_survive.clone() });
+            let lost = (0..nodes.len())
+                .filter(|n| nodes[*n].zone == *zone)
+                .collect();
+            losses.push(Loss {
+                nodes: lost,
+                must_survive: must_survive.clone(),
+            });
         }
     }
     losses
@@ -114,7 +137,11 @@
     losses(nodes, volumes).iter().all(|loss| {
         let mut load = vec![0i128; nodes.len()];
         for (v, set) in placement.iter().enumerate() {
-            let left: Vec<usize> = set.iter().filter(|n| !loss.nodes.contains(n)).copied().collect();
+            let left: Vec<usize> = set
+                .iter()
+                .filter(|n| !loss.nodes.contains(n))
+                .copied()
+                .collect();
             let survives = loss.must_survive[v];
             if survives && left.is_empty() && volumes[v].reserved_rate > 0 {
                 return false;
@@ -124,15 +151,22 @@
                 load[*n] += scaled(volumes[v].reserved_rate) / parts as i128;
             }
         }
-        load.iter().zip(nodes).all(|(load, node)| *load <= scaled(node.capacity))
+        load.iter()
+            .zip(nodes)
+            .all(|(load, node)| *load <= scaled(node.capacity))
     })
 }
 
 /// Gain at one node when all volumes surge at once.
 fn node_gain(nodes: &[Node], volumes: &[Volume], placement: &[Vec<usize>], n: usize) -> i128 {
-    let here: Vec<usize> = (0..placement.len()).filter(|v| placement[*v].contains(&n)).collect();
+    let here: Vec<usize> = (0..placement.len())
+        .filter(|v| placement[*v].contains(&n))
+        .collect();
     let part = |v: usize, rate: u64| scaled(rate) / placement[v].len() as i128;
-    let reserved: i128 = here.iter().map(|v| part(*v, volumes[*v].reserved_rate)).sum();
+    let reserved: i128 = here
+        .iter()
+        .map(|v| part(*v, volumes[*v].reserved_rate))
+        .sum();
     let spare = scaled(nodes[n].capacity) - reserved;
     let weights: i128 = here.iter().map(|v| i128::from(volumes[*v].weight)).sum();
     let mut gain = 0;
@@ -142,7 +176,11 @@
         let factor = i128::from(volumes[v].priority_factor);
         let reserved = part(v, volumes[v].reserved_rate);
         let beyond = part(v, volumes[v].surge_rate) - reserved;
-        let share = if weights == 0 { 0 } else { spare * 9 * i128::from(volumes[v].weight) / (10 * weights) };
+        let share = if weights == 0 {
+            0
+        } else {
+            spare * 9 * i128::from(volumes[v].weight) / (10 * weights)
+        };
         let within_share = beyond.min(share);
         gain += 100 * factor * reserved + 35 * factor * within_share;
         left -= within_share;
@@ -162,32 +200,47 @@
         return vec![vec![]];
     }
     let starting_with = |n: usize| {
-        node_sets(count, size - 1, n + 1).into_iter().map(move |mut set| {
-            set.insert(0, n);
-            set
-        })
+        node_sets(count, size - 1, n + 1)
+            .into_iter()
+            .map(move |mut set| {
+                set.insert(0, n);
+                set
+            })
     };
     (from..count).flat_map(starting_with).collect()
 }
 
 /// The best of all placements, the first by name among equals; none where none fits.
 pub fn enumerate(nodes: &[Node], volumes: &[Volume]) -> Option<Vec<Vec<usize>>> {
-    let choices: Vec<Vec<Vec<usize>>> = volumes.iter().map(|v| node_sets(nodes.len(), v.spread, 0)).collect();
+    let choices: Vec<Vec<Vec<usize>>> = volumes
+        .iter()
+        .map(|v| node_sets(nodes.len(), v.spread, 0))
+        .collect();
     if choices.iter().any(Vec::is_empty) {
         return None;
     }
     let mut chosen: Vec<usize> = vec![0; volumes.len()];
     let mut best: Option<(Value, Vec<Vec<usize>>)> = None;
     loop {
-        let placement: Vec<Vec<usize>> =
-            chosen.iter().zip(&choices).map(|(i, sets)| sets[*i].clone()).collect();
+        let placement: Vec<Vec<usize>> = chosen
+            .iter()
+            .zip(&choices)
+            .map(|(i, sets)| sets[*i].clone())
+            .collect();
         if let Some(value) = value(nodes, volumes, &placement)
-            && best.as_ref().is_none_or(|b| value > b.0 || value == b.0 && placement < b.1)
+            && best
+                .as_ref()
+                .is_none_or(|b| value > b.0 || value == b.0 && placement < b.1)
         {
             best = Some((value, placement));
         }
         // The next choice, like a counter.
-        let Some(i) = (0..chosen.len()).rev().find(|i| chosen[*i] + 1 < choices[*i].len()) else { break };
+        let Some(i) = (0..chosen.len())
+            .rev()
+            .find(|i| chosen[*i] + 1 < choices[*i].len())
+        else {
+            break;
+        };
         chosen[i] += 1;
         chosen[i + 1..].fill(0);
     }
--- a/crates/lab/src/fleet/addresses.rs
+++ b/crates/lab/src/fleet/addresses.rs
@@ -28,14 +28,22 @@
     /// A port of a host's own IP address.
     pub(super) fn socket_address(self, host: u32, port: u16) -> SocketAddr {
         let (subnet, number) = (1 + host / HOSTS_PER_SUBNET, 1 + host % HOSTS_PER_SUBNET);
-        SocketAddr::from((Ipv4Addr::new(127, self.network, subnet as u8, number as u8), port))
+        SocketAddr::from((
+            Ipv4Addr::new(127, self.network, subnet as u8, number as u8),
+            port,
+        ))
     }
 
     /// The host whose IP address this is, if it is one of this run's hosts.
     pub(super) fn host_of(address: SocketAddr) -> Option<u32> {
-        let SocketAddr::V4(address) = address else { return None };
+        let SocketAddr::V4(address) = address else {
+            return None;
+        };
         let [_, _, subnet, number] = address.ip().octets();
-        Some(u32::from(subnet.checked_sub(1)?) * HOSTS_PER_SUBNET + u32::from(number.checked_sub(1)?))
+        Some(
+            u32::from(subnet.checked_sub(1)?) * HOSTS_PER_SUBNET
+                + u32::from(number.checked_sub(1)?),
+        )
     }
 
     /// Where clients reach a host.
--- a/crates/lab/src/fleet/audit.rs
+++ b/crates/lab/src/fleet/audit.rs
@@ -113,7 +113,10 @@
 
     /// How many rules were not violated.
     pub fn rules_upheld(&self) -> usize {
-        self.violations.iter().filter(|violations| violations.is_empty()).count()
+        self.violations
+            .iter()
+            .filter(|violations| violations.is_empty())
+            .count()
     }
 
     /// Lines that describe the violations.
@@ -132,12 +135,14 @@
     /// The second from which on three seconds in a row brought nine tenths of the success rate of the run's last
     /// quarter. None if there is none, or if the run is too short to tell.
     pub fn steady_from(&self) -> Option<usize> {
-        let seconds: Vec<&SecondSummary> = self.timeline.iter().filter(|s| s.offered() > 0).collect();
+        let seconds: Vec<&SecondSummary> =
+            self.timeline.iter().filter(|s| s.offered() > 0).collect();
         // The last second is cut off by the end of the run.
         let seconds = seconds.split_last()?.1;
         let usual = success_rate(&seconds[seconds.len() - seconds.len() / 4..]);
-        let is_steady =
-            |window: &[&SecondSummary]| usual > 0.0 && success_rate(window) >= usual * STEADY_FRACTION;
+        let is_steady = |window: &[&SecondSummary]| {
+            usual > 0.0 && success_rate(window) >= usual * STEADY_FRACTION
+        };
         let first = seconds.windows(STEADY_SECONDS).position(is_steady)?;
         (seconds.len() >= 4 * STEADY_SECONDS).then_some(first)
     }
@@ -170,7 +175,12 @@
 pub fn check(scenario: &Scenario, observations: &[Observation], machine_lag: Micros) -> Verdict {
     let mut verdict = Verdict::default();
     let trace = RunTrace::collect(observations, &mut verdict);
-    let audit = Audit { scenario, observations, trace, slack: SLACK + machine_lag };
+    let audit = Audit {
+        scenario,
+        observations,
+        trace,
+        slack: SLACK + machine_lag,
+    };
     audit.check_responses(&mut verdict);
     verdict.violate(Rule::Effects, audit.check_effects());
     verdict.violate(Rule::Drains, audit.check_drains());
--- a/crates/lab/src/fleet/audit/client_rules.rs
+++ b/crates/lab/src/fleet/audit/client_rules.rs
@@ -21,10 +21,16 @@
             verdict.requests += 1;
             if operation.responses.len() > 1 {
                 verdict.duplicated += 1;
-                violations.push(format!("{} was answered {} times", operation.id, operation.responses.len()));
+                violations.push(format!(
+                    "{} was answered {} times",
+                    operation.id,
+                    operation.responses.len()
+                ));
             }
             match operation.responses.first() {
-                Some(response) => violations.extend(self.check_response(operation, response, verdict)),
+                Some(response) => {
+                    violations.extend(self.check_response(operation, response, verdict))
+                }
                 None => violations.extend(self.check_unanswered(operation, verdict)),
             }
         }
@@ -48,10 +54,16 @@
                 verdict.served += 1;
                 let latency = response.at - operation.sent_at;
                 verdict.within_objective += u64::from(latency <= operation.objective());
-                let executed = operation.attempts.iter().any(|a| a.was_executed_by(response.at));
+                let executed = operation
+                    .attempts
+                    .iter()
+                    .any(|a| a.was_executed_by(response.at));
                 (!response.authentic || !executed).then(|| {
                     let at = seconds(response.at);
-                    format!("{} was served what no node made for it, at {at}", operation.id)
+                    format!(
+                        "{} was served what no node made for it, at {at}",
+                        operation.id
+                    )
                 })
             }
             429 | 503 => {
@@ -66,29 +78,52 @@
     }
 
     /// A host that was killed need not respond; one that exited by itself must have.
-    fn check_unanswered(&self, operation: &OperationTrace, verdict: &mut Verdict) -> Option<String> {
+    fn check_unanswered(
+        &self,
+        operation: &OperationTrace,
+        verdict: &mut Verdict,
+    ) -> Option<String> {
         let deadline = operation.sent_at + operation.timeout;
-        let killed =
-            self.trace.host_run_of(operation).is_some_and(|run| run.killed_by(deadline + self.slack));
+        let killed = self
+            .trace
+            .host_run_of(operation)
+            .is_some_and(|run| run.killed_by(deadline + self.slack));
         if killed || operation.excused {
             return None;
         }
         verdict.unanswered += 1;
-        let how = if operation.timed_out { "not answered in time" } else { "its connection ended" };
+        let how = if operation.timed_out {
+            "not answered in time"
+        } else {
+            "its connection ended"
+        };
         let sent_at = seconds(operation.sent_at);
-        Some(format!("{} at host {}, asked at {sent_at}: {how}", operation.id, operation.host))
+        Some(format!(
+            "{} at host {}, asked at {sent_at}: {how}",
+            operation.id, operation.host
+        ))
     }
 
     /// Rule 2: a write is executed once at most, and no operation has two attempts in flight.
     pub(super) fn check_effects(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for operation in self.trace.operations.values() {
-            let may_be_executed = operation.attempts.iter().filter(|a| !a.was_rejected()).count();
+            let may_be_executed = operation
+                .attempts
+                .iter()
+                .filter(|a| !a.was_rejected())
+                .count();
             if operation.write && may_be_executed > 1 {
-                violations.push(format!("{} may have run {may_be_executed} times", operation.id));
+                violations.push(format!(
+                    "{} may have run {may_be_executed} times",
+                    operation.id
+                ));
             }
             for pair in operation.attempts.windows(2) {
-                if pair[0].ended_at().is_none_or(|ended_at| ended_at > pair[1].at + ORDER_SLACK) {
+                if pair[0]
+                    .ended_at()
+                    .is_none_or(|ended_at| ended_at > pair[1].at + ORDER_SLACK)
+                {
                     let at = seconds(pair[1].at);
                     violations.push(format!("{} had two submits out at {at}", operation.id));
                 }
@@ -101,7 +136,10 @@
     pub(super) fn check_write_order(&self) -> Vec<String> {
         let mut by_key: BTreeMap<(u32, u32, u64), Vec<&OperationTrace>> = BTreeMap::new();
         for write in self.trace.operations.values().filter(|o| o.write) {
-            by_key.entry((write.host, write.volume, write.extent)).or_default().push(write);
+            by_key
+                .entry((write.host, write.volume, write.extent))
+                .or_default()
+                .push(write);
         }
         let mut violations = Vec::new();
         for writes in by_key.values_mut() {
@@ -117,14 +155,17 @@
 
     /// Rule 6: each host's retries within its budget.
     pub(super) fn check_retry_budget(&self) -> Vec<String> {
-        (0..self.scenario.hosts).filter_map(|host| self.check_retries_of(host)).collect()
+        (0..self.scenario.hosts)
+            .filter_map(|host| self.check_retries_of(host))
+            .collect()
     }
 
     fn check_retries_of(&self, host: u32) -> Option<String> {
         let operations = || self.trace.operations.values().filter(|o| o.host == host);
         let mut admitted: Vec<Micros> = operations().map(|o| o.sent_at).collect();
-        let mut retries: Vec<Micros> =
-            operations().flat_map(|o| o.attempts.iter().skip(1).map(|a| a.at)).collect();
+        let mut retries: Vec<Micros> = operations()
+            .flat_map(|o| o.attempts.iter().skip(1).map(|a| a.at))
+            .collect();
         admitted.sort_unstable();
         retries.sort_unstable();
         let count_between = |times: &[Micros], from: Micros, to: Micros| {
@@ -145,12 +186,21 @@
     /// Rule 7: what all hosts send for a limited volume; each operation counts when it is first sent.
     pub(super) fn check_volume_limits(&self) -> Vec<String> {
         let mut sent: BTreeMap<u32, Vec<(Micros, f64)>> = BTreeMap::new();
-        for operation in self.trace.operations.values().filter(|o| o.volume % LIMITED_VOLUME_EVERY == 0) {
+        for operation in self
+            .trace
+            .operations
+            .values()
+            .filter(|o| o.volume % LIMITED_VOLUME_EVERY == 0)
+        {
             if let Some(attempt) = operation.attempts.first() {
-                sent.entry(operation.volume).or_default().push((attempt.at, f64::from(operation.units)));
+                sent.entry(operation.volume)
+                    .or_default()
+                    .push((attempt.at, f64::from(operation.units)));
             }
         }
-        sent.into_iter().filter_map(|(volume, sent)| self.check_limit_of(volume, sent)).collect()
+        sent.into_iter()
+            .filter_map(|(volume, sent)| self.check_limit_of(volume, sent))
+            .collect()
     }
 
     fn check_limit_of(&self, volume: u32, mut sent: Vec<(Micros, f64)>) -> Option<String> {
@@ -165,7 +215,10 @@
             last = at;
             if tokens < -tolerance {
                 let at = seconds(at);
-                return Some(format!("volume {volume} was {:.1} units past its limit at {at}", -tokens));
+                return Some(format!(
+                    "volume {volume} was {:.1} units past its limit at {at}",
+                    -tokens
+                ));
             }
         }
         None
@@ -173,16 +226,26 @@
 }
 
 fn check_order(earlier: &OperationTrace, later: &OperationTrace, violations: &mut Vec<String>) {
-    let (Some(first), Some(last)) = (later.attempts.first(), earlier.attempts.last()) else { return };
+    let (Some(first), Some(last)) = (later.attempts.first(), earlier.attempts.last()) else {
+        return;
+    };
     // Either of two that are sent within the link's slack may have arrived first.
     if later.sent_at <= earlier.sent_at + ORDER_SLACK {
         return;
     }
     let ended_at = last.ended_at().unwrap_or(Micros::MAX);
     if last.at < first.at && ended_at > first.at + ORDER_SLACK {
-        violations.push(format!("{} went out at {} with {} out", later.id, seconds(first.at), earlier.id));
+        violations.push(format!(
+            "{} went out at {} with {} out",
+            later.id,
+            seconds(first.at),
+            earlier.id
+        ));
     }
     if last.at > first.at + ORDER_SLACK {
-        violations.push(format!("{} went out behind {}, which came later", earlier.id, later.id));
+        violations.push(format!(
+            "{} went out behind {}, which came later",
+            earlier.id, later.id
+        ));
     }
 }
--- a/crates/lab/src/fleet/audit/node_rules.rs
+++ b/crates/lab/src/fleet/audit/node_rules.rs
@@ -49,11 +49,14 @@
         let mut violations = Vec::new();
         for operation in self.trace.operations.values() {
             for attempt in &operation.attempts {
-                let of_node = notifications.get(&(attempt.host, attempt.node)).map_or(&[][..], Vec::as_slice);
+                let of_node = notifications
+                    .get(&(attempt.host, attempt.node))
+                    .map_or(&[][..], Vec::as_slice);
                 // The last notification before the grace time, unless a later one opened the node again.
                 let last = of_node.iter().rev().find(|n| n.at + grace < attempt.at);
-                let reopened =
-                    of_node.iter().any(|n| n.accepting && n.at + grace >= attempt.at && n.at <= attempt.at);
+                let reopened = of_node
+                    .iter()
+                    .any(|n| n.accepting && n.at + grace >= attempt.at && n.at <= attempt.at);
                 if let Some(last) = last.filter(|n| !n.accepting && !reopened) {
                     let after_ms = (attempt.at - last.at) / MICROS_PER_MS;
                     violations.push(format!(
@@ -71,22 +74,37 @@
         let mut sent: BTreeMap<(u32, Subject), Vec<SentVersion>> = BTreeMap::new();
         for Observation { at, event } in self.observations {
             match *event {
-                Event::EndpointSent { host, node, accepting, version, .. } => {
+                Event::EndpointSent {
+                    host,
+                    node,
+                    accepting,
+                    version,
+                    ..
+                } => {
                     let notification = Notification { at: *at, accepting };
-                    notifications.entry((host, node)).or_default().push(notification);
+                    notifications
+                        .entry((host, node))
+                        .or_default()
+                        .push(notification);
                     let message = SentVersion { at: *at, version };
-                    sent.entry((host, Subject::Node(node))).or_default().push(message);
+                    sent.entry((host, Subject::Node(node)))
+                        .or_default()
+                        .push(message);
                 }
                 Event::PollServed { host, version } => {
                     let message = SentVersion { at: *at, version };
-                    sent.entry((host, Subject::AllNodes)).or_default().push(message);
+                    sent.entry((host, Subject::AllNodes))
+                        .or_default()
+                        .push(message);
                 }
                 Event::HostStarted { host } => notifications.retain(|key, _| key.0 != host),
                 _ => {}
             }
         }
         self.add_undeliverable(&sent, &mut notifications);
-        notifications.values_mut().for_each(|of_node| of_node.sort_by_key(|n| n.at));
+        notifications
+            .values_mut()
+            .for_each(|of_node| of_node.sort_by_key(|n| n.at));
         notifications
     }
 
@@ -97,7 +115,14 @@
         notifications: &mut Notifications,
     ) {
         for Observation { at, event } in self.observations {
-            let Event::EndpointUndeliverable { host, node, accepting, version, effective_at } = *event else {
+            let Event::EndpointUndeliverable {
+                host,
+                node,
+                accepting,
+                version,
+                effective_at,
+            } = *event
+            else {
                 continue;
             };
             let mut messages = [Subject::Node(node), Subject::AllNodes]
@@ -109,11 +134,19 @@
             let was_running = self.trace.host_runs.iter().any(|run| {
                 run.host == host
                     && run.started_at <= *at
-                    && run.ended.is_none_or(|(ended_at, _)| ended_at > effective_at)
+                    && run
+                        .ended
+                        .is_none_or(|(ended_at, _)| ended_at > effective_at)
             });
             if was_running && !received {
-                let notification = Notification { at: effective_at, accepting };
-                notifications.entry((host, node)).or_default().push(notification);
+                let notification = Notification {
+                    at: effective_at,
+                    accepting,
+                };
+                notifications
+                    .entry((host, node))
+                    .or_default()
+                    .push(notification);
             }
         }
     }
@@ -127,12 +160,24 @@
         for Observation { at, event } in self.observations {
             match *event {
                 Event::NodeStarted { node } => drop(started.insert(node, *at)),
-                Event::EndpointSent { host, node, started_at, .. } if started_at > 0 => {
+                Event::EndpointSent {
+                    host,
+                    node,
+                    started_at,
+                    ..
+                } if started_at > 0 => {
                     notified.insert((host, node), *at);
                 }
                 Event::HostStarted { host } => notified.retain(|key, _| key.0 != host),
-                Event::NodeReceived { node, host, units, .. } => {
-                    recent.push_back(NodeLoad { at: *at, node, host, units: f64::from(units) });
+                Event::NodeReceived {
+                    node, host, units, ..
+                } => {
+                    recent.push_back(NodeLoad {
+                        at: *at,
+                        node,
+                        host,
+                        units: f64::from(units),
+                    });
                     let span = self.scenario.node_model.overload_window;
                     while recent.front().is_some_and(|load| load.at + span < *at) {
                         recent.pop_front();
@@ -140,7 +185,9 @@
                 }
                 Event::NodeCollapsed { node } => {
                     let started_at = started.get(&node).copied().unwrap_or(0);
-                    let loads = recent.iter().filter(|load| load.node == node && load.at >= started_at);
+                    let loads = recent
+                        .iter()
+                        .filter(|load| load.node == node && load.at >= started_at);
                     violations.extend(check_collapse(*at, node, started_at, loads, &notified));
                 }
                 _ => {}
@@ -165,6 +212,9 @@
     let total: f64 = loads.clone().map(|load| load.units).sum();
     let informed: f64 = loads.filter(was_informed).map(|load| load.units).sum();
     (informed >= total * INFORMED_LOAD_FRACTION).then(|| {
-        format!("node{node} fell at {} by {total} units, {informed} of hosts that knew", seconds(at))
+        format!(
+            "node{node} fell at {} by {total} units, {informed} of hosts that knew",
+            seconds(at)
+        )
     })
 }
--- a/crates/lab/src/fleet/audit/timeline.rs
+++ b/crates/lab/src/fleet/audit/timeline.rs
@@ -17,7 +17,9 @@
                     waiting.insert(host, *at);
                 }
                 Event::PollServed { host, .. } => {
-                    verdict.list_delays.extend(waiting.remove(&host).map(|started_at| at - started_at));
+                    verdict
+                        .list_delays
+                        .extend(waiting.remove(&host).map(|started_at| at - started_at));
                 }
                 // A process that was stopped before it could have a list does not count as waiting for one.
                 Event::HostStopped { host, .. } => {
--- a/crates/lab/src/fleet/audit/trace.rs
+++ b/crates/lab/src/fleet/audit/trace.rs
@@ -26,7 +26,12 @@
 impl OperationTrace {
     /// Latency objective in microseconds.
     pub fn objective(&self) -> Micros {
-        super::MICROS_PER_MS * if self.write { WRITE_OBJECTIVE_MS } else { READ_OBJECTIVE_MS }
+        super::MICROS_PER_MS
+            * if self.write {
+                WRITE_OBJECTIVE_MS
+            } else {
+                READ_OBJECTIVE_MS
+            }
     }
 }
 
@@ -58,7 +63,9 @@
 impl Attempt {
     pub fn ended_at(&self) -> Option<Micros> {
         self.end.map(|end| match end {
-            AttemptEnd::Executed(at) | AttemptEnd::Rejected(at) | AttemptEnd::ConnectionLost(at) => at,
+            AttemptEnd::Executed(at)
+            | AttemptEnd::Rejected(at)
+            | AttemptEnd::ConnectionLost(at) => at,
         })
     }
 
@@ -86,7 +93,8 @@
 
     /// Whether it was killed before a time.
     pub fn killed_by(&self, time: Micros) -> bool {
-        self.ended.is_some_and(|(at, how)| how == Termination::Killed && at <= time)
+        self.ended
+            .is_some_and(|(at, how)| how == Termination::Killed && at <= time)
     }
 }
 
@@ -110,32 +118,83 @@
 
     fn add(&mut self, at: Micros, event: &Event, verdict: &mut Verdict) {
         match *event {
-            Event::RequestSent { op: id, host, volume, extent, write, units, timeout } => {
+            Event::RequestSent {
+                op: id,
+                host,
+                volume,
+                extent,
+                write,
+                units,
+                timeout,
+            } => {
                 let new = OperationTrace::default();
-                let sent = OperationTrace { id, host, volume, extent, write, units, timeout, ..new };
-                self.operations.insert(id, OperationTrace { sent_at: at, ..sent });
+                let sent = OperationTrace {
+                    id,
+                    host,
+                    volume,
+                    extent,
+                    write,
+                    units,
+                    timeout,
+                    ..new
+                };
+                self.operations.insert(
+                    id,
+                    OperationTrace {
+                        sent_at: at,
+                        ..sent
+                    },
+                );
             }
-            Event::ResponseReceived { op, status, authentic } => {
-                self.update(op, |o| o.responses.push(Response { at, status, authentic }));
+            Event::ResponseReceived {
+                op,
+                status,
+                authentic,
+            } => {
+                self.update(op, |o| {
+                    o.responses.push(Response {
+                        at,
+                        status,
+                        authentic,
+                    })
+                });
             }
             Event::ClientTimedOut { op } => self.update(op, |o| o.timed_out = true),
             Event::Excused { op } => self.update(op, |o| o.excused = true),
             Event::NodeReceived { node, host, op, .. } => {
                 if !self.operations.contains_key(&op) {
-                    let violation = format!("node{node} got {op}, which no client asked, at {}", seconds(at));
+                    let violation = format!(
+                        "node{node} got {op}, which no client asked, at {}",
+                        seconds(at)
+                    );
                     verdict.violate(Rule::Responses, vec![violation]);
                 }
-                self.update(op, |o| o.attempts.push(Attempt { at, node, host, end: None }));
+                self.update(op, |o| {
+                    o.attempts.push(Attempt {
+                        at,
+                        node,
+                        host,
+                        end: None,
+                    })
+                });
             }
             Event::NodeResponded { node, op, executed } => {
-                let end = if executed { AttemptEnd::Executed(at) } else { AttemptEnd::Rejected(at) };
+                let end = if executed {
+                    AttemptEnd::Executed(at)
+                } else {
+                    AttemptEnd::Rejected(at)
+                };
                 self.end_attempt(op, node, end);
             }
             Event::NodeConnectionLost { node, op } => {
                 self.end_attempt(op, node, AttemptEnd::ConnectionLost(at));
             }
             Event::HostStarted { host } => {
-                self.host_runs.push(HostRun { host, started_at: at, ended: None });
+                self.host_runs.push(HostRun {
+                    host,
+                    started_at: at,
+                    ended: None,
+                });
             }
             Event::HostStopped { host, by } if by != Termination::Requested => {
                 if let Some(run) = self.host_runs.iter_mut().rev().find(|run| run.host == host) {
--- a/crates/lab/src/fleet/client_load.rs
+++ b/crates/lab/src/fleet/client_load.rs
@@ -96,7 +96,14 @@
                 limited: volume % LIMITED_VOLUME_EVERY == 0,
             }
         });
-        ClientLoad { volumes: volumes.collect(), profile, shards, next_due: 0, last_id: 0, intensity: 1.0 }
+        ClientLoad {
+            volumes: volumes.collect(),
+            profile,
+            shards,
+            next_due: 0,
+            last_id: 0,
+            intensity: 1.0,
+        }
     }
 
     /// A volume by its index.
@@ -131,15 +138,31 @@
         let extent = rng.random_range(0..EXTENTS_PER_VOLUME);
         let hosts = self.volumes[volume as usize].hosts.len() as u32;
         let shard = ((u64::from(volume) + extent) % u64::from(self.shards)) as u32;
-        let timeout = if write { self.profile.write_timeout } else { self.profile.read_timeout };
+        let timeout = if write {
+            self.profile.write_timeout
+        } else {
+            self.profile.read_timeout
+        };
         self.last_id += 1;
-        Some(Operation { id: self.last_id, volume, extent, write, units, shard, hosts, timeout, retries: 0 })
+        Some(Operation {
+            id: self.last_id,
+            volume,
+            extent,
+            write,
+            units,
+            shard,
+            hosts,
+            timeout,
+            retries: 0,
+        })
     }
 
     /// A volume, by weight.
     fn draw_volume(&self, rng: &mut impl Rng) -> Option<u32> {
         let drawn = rng.random::<f64>() * self.volumes.last()?.cumulative_weight;
-        let index = self.volumes.partition_point(|v| v.cumulative_weight < drawn);
+        let index = self
+            .volumes
+            .partition_point(|v| v.cumulative_weight < drawn);
         Some(index.min(self.volumes.len() - 1) as u32)
     }
 
@@ -152,7 +175,9 @@
     ) -> Option<u32> {
         let hosts = &self.volumes[operation.volume as usize].hosts;
         let first = rng.random_range(0..hosts.len());
-        (0..hosts.len()).map(|n| hosts[(first + n) % hosts.len()]).find(|host| ready(*host))
+        (0..hosts.len())
+            .map(|n| hosts[(first + n) % hosts.len()])
+            .find(|host| ready(*host))
     }
 
     /// The retry of a rejected operation and when it is issued, unless there were enough. `retry_after`: the time that
@@ -176,7 +201,14 @@
             }
         };
         self.last_id += 1;
-        Some((now + backoff, Operation { id: self.last_id, retries: operation.retries + 1, ..*operation }))
+        Some((
+            now + backoff,
+            Operation {
+                id: self.last_id,
+                retries: operation.retries + 1,
+                ..*operation
+            },
+        ))
     }
 }
 
@@ -184,7 +216,9 @@
 fn draw_hosts(volume: u32, hosts: u32, rng: &mut impl Rng) -> Vec<u32> {
     let first = volume % hosts;
     let count = rng.random_range(1..=MAX_HOSTS_PER_VOLUME.min(hosts));
-    let mut chosen: Vec<u32> = (0..count).map(|k| (first + k * (1 + volume / hosts)) % hosts).collect();
+    let mut chosen: Vec<u32> = (0..count)
+        .map(|k| (first + k * (1 + volume / hosts)) % hosts)
+        .collect();
     chosen.sort_unstable();
     chosen.dedup();
     chosen
--- a/crates/lab/src/fleet/discovery_queue.rs
+++ b/crates/lab/src/fleet/discovery_queue.rs
@@ -66,8 +66,7 @@
 
     /// A poll has arrived. Returns its outcome if that is known at once.
     pub fn enqueue(&mut self, now: Micros, poll: P, rng: &mut impl Rng) -> Option<PollOutcome> {
-        let refused =
-            matches!(self.behavior, ServiceBehavior::Rejecting(fraction) if rng.random_bool(fraction));
+        let refused = matches!(self.behavior, ServiceBehavior::Rejecting(fraction) if rng.random_bool(fraction));
         if refused || self.waiting.len() >= MAX_QUEUED {
             self.rejected += 1;
             return Some(PollOutcome::Rejected);
@@ -82,10 +81,19 @@
         if self.in_service.is_some() || self.behavior == ServiceBehavior::Hung {
             return;
         }
-        let Some((arrived_at, poll)) = self.waiting.pop_front() else { return };
+        let Some((arrived_at, poll)) = self.waiting.pop_front() else {
+            return;
+        };
         let expired = now - arrived_at > self.queue_timeout;
         // Rejecting a poll takes no time.
-        self.in_service = Some((if expired { now } else { now + self.service_time }, poll));
+        self.in_service = Some((
+            if expired {
+                now
+            } else {
+                now + self.service_time
+            },
+            poll,
+        ));
         if expired {
             self.waiting.push_front((arrived_at, poll));
         }
@@ -110,13 +118,23 @@
     pub fn complete_next(&mut self, now: Micros) -> Option<(P, PollOutcome)> {
         let (_, poll) = self.in_service.take_if(|(due, _)| *due <= now)?;
         // An expired poll is still the first that waits.
-        let expired = self.waiting.front().is_some_and(|(_, first)| *first == poll);
+        let expired = self
+            .waiting
+            .front()
+            .is_some_and(|(_, first)| *first == poll);
         if expired {
             self.waiting.pop_front();
             self.rejected += 1;
         }
         self.start_next(now);
-        Some((poll, if expired { PollOutcome::Rejected } else { PollOutcome::Served }))
+        Some((
+            poll,
+            if expired {
+                PollOutcome::Rejected
+            } else {
+                PollOutcome::Served
+            },
+        ))
     }
 
     /// Changes the behavior. A service that goes down loses all polls; one that hangs keeps them.
--- a/crates/lab/src/fleet/fault_schedule.rs
+++ b/crates/lab/src/fleet/fault_schedule.rs
@@ -84,10 +84,18 @@
 
     /// Up to a tenth of the hosts, of those that are free; one may be drawn twice.
     fn draw_hosts(&mut self, at: u64) -> Vec<u32> {
-        let count = self.rng.random_range(1..=(self.host_free_at.len() as u32 / 10).max(1));
-        let free: Vec<u32> =
-            (0..self.host_free_at.len() as u32).filter(|h| self.host_free_at[*h as usize] <= at).collect();
-        (0..count).filter_map(|_| free.get(self.rng.random_range(0..free.len().max(1))).copied()).collect()
+        let count = self
+            .rng
+            .random_range(1..=(self.host_free_at.len() as u32 / 10).max(1));
+        let free: Vec<u32> = (0..self.host_free_at.len() as u32)
+            .filter(|h| self.host_free_at[*h as usize] <= at)
+            .collect();
+        (0..count)
+            .filter_map(|_| {
+                free.get(self.rng.random_range(0..free.len().max(1)))
+                    .copied()
+            })
+            .collect()
     }
 
     fn add_host_faults(&mut self, at: u64, hosts: &[u32], fault: &str, span: u64) {
@@ -109,7 +117,10 @@
 
     fn add_link_fault(&mut self, at: u64, kind: u32, span: u64) {
         self.links_free_at = at + span + LINK_RECOVERY_MS;
-        let (zone, offset) = (self.rng.random_range(0..ZONES), self.rng.random_range(1..ZONES));
+        let (zone, offset) = (
+            self.rng.random_range(0..ZONES),
+            self.rng.random_range(1..ZONES),
+        );
         let other = (zone + offset) % ZONES;
         let fault = match (kind, self.rng.random_bool(0.5)) {
             (5, true) => format!("link zone{zone} zone{other} silent"),
--- a/crates/lab/src/fleet/host_config.rs
+++ b/crates/lab/src/fleet/host_config.rs
@@ -15,10 +15,16 @@
 /// Latency objective of writes, in milliseconds.
 pub(crate) const WRITE_OBJECTIVE_MS: u64 = 400;
 /// The retry budget of a host.
-pub(crate) const RETRY_BUDGET: RetryBudget =
-    RetryBudget { free_retries: 3.0, retry_ratio: 0.25, window_ms: 5_000 };
+pub(crate) const RETRY_BUDGET: RetryBudget = RetryBudget {
+    free_retries: 3.0,
+    retry_ratio: 0.25,
+    window_ms: 5_000,
+};
 /// The limit of each volume on the limited plan.
-pub(crate) const VOLUME_LIMIT: VolumeLimit = VolumeLimit { units_per_second: 12.0, burst: 24.0 };
+pub(crate) const VOLUME_LIMIT: VolumeLimit = VolumeLimit {
+    units_per_second: 12.0,
+    burst: 24.0,
+};
 
 /// How many retries a host may send within a time window.
 pub(crate) struct RetryBudget {
@@ -59,7 +65,15 @@
 impl HostConfig<'_> {
     /// The configuration as JSON text.
     pub fn to_json(&self) -> String {
-        let HostConfig { scenario, addresses, host, name_number, list, seed, initial_list } = self;
+        let HostConfig {
+            scenario,
+            addresses,
+            host,
+            name_number,
+            list,
+            seed,
+            initial_list,
+        } = self;
         let membership = match scenario.membership {
             Some(membership) if scenario.has_membership(*host) => {
                 format!(",\"fleet\":{}", self.membership(membership))
@@ -81,7 +95,9 @@
     fn membership(&self, membership: MembershipScenario) -> Value {
         let (scenario, host) = (self.scenario, self.host);
         let advertise = |host| self.addresses.membership_advertise(host).to_string();
-        let seeds: Vec<String> = (0..membership.seeds.min(scenario.hosts)).map(advertise).collect();
+        let seeds: Vec<String> = (0..membership.seeds.min(scenario.hosts))
+            .map(advertise)
+            .collect();
         json!({
             "name": "rig", "listen": self.addresses.membership_listen(host).to_string(),
             "reached_at": advertise(host), "zone": format!("z{}", host % scenario.zones), "seeds": seeds,
--- a/crates/lab/src/fleet/links.rs
+++ b/crates/lab/src/fleet/links.rs
@@ -104,7 +104,10 @@
 impl Links {
     /// No faults, with peers in so many zones.
     pub fn new(zones: u32) -> Self {
-        Links { zones, rules: Vec::new() }
+        Links {
+            zones,
+            rules: Vec::new(),
+        }
     }
 
     /// Sets the fault of all links from one set of peers to another; the default fault heals them. Each pair of sets
@@ -118,9 +121,14 @@
 
     /// The fault of the direction from one peer to another.
     pub fn fault_between(&self, from: Peer, to: Peer) -> LinkFault {
-        let applies =
-            |rule: &&LinkRule| rule.from.contains(from, self.zones) && rule.to.contains(to, self.zones);
-        self.rules.iter().rev().find(applies).map_or_else(LinkFault::default, |rule| rule.fault)
+        let applies = |rule: &&LinkRule| {
+            rule.from.contains(from, self.zones) && rule.to.contains(to, self.zones)
+        };
+        self.rules
+            .iter()
+            .rev()
+            .find(applies)
+            .map_or_else(LinkFault::default, |rule| rule.fault)
     }
 
     /// What becomes of new connections from one peer to another. A handshake needs both directions.
@@ -190,7 +198,13 @@
             0
         };
         self.buffered_bytes += bytes.len();
-        self.enqueue(now, transmission, Segment::Bytes(bytes.to_vec()), fault, rng);
+        self.enqueue(
+            now,
+            transmission,
+            Segment::Bytes(bytes.to_vec()),
+            fault,
+            rng,
+        );
     }
 
     /// The sender has closed the connection; the receiver learns of it behind all bytes.
@@ -206,10 +220,20 @@
         fault: &LinkFault,
         rng: &mut impl Rng,
     ) {
-        let jitter = if fault.jitter > 0 { rng.random_range(0..=fault.jitter) } else { 0 };
+        let jitter = if fault.jitter > 0 {
+            rng.random_range(0..=fault.jitter)
+        } else {
+            0
+        };
         // With limited bandwidth, transmission starts behind the segments before.
-        let start = if transmission > 0 { now.max(self.busy_until) } else { now };
-        self.busy_until = self.busy_until.max(start + transmission + fault.latency + jitter);
+        let start = if transmission > 0 {
+            now.max(self.busy_until)
+        } else {
+            now
+        };
+        self.busy_until = self
+            .busy_until
+            .max(start + transmission + fault.latency + jitter);
         self.segments.push_back((self.busy_until, segment));
     }
 
--- a/crates/lab/src/fleet/membership_audit.rs
+++ b/crates/lab/src/fleet/membership_audit.rs
@@ -74,7 +74,9 @@
         let mut lines = Vec::new();
         if self.converged_hosts < self.running_hosts {
             let others = self.running_hosts - self.converged_hosts;
-            lines.push(format!("{others} running hosts have another view than the rest"));
+            lines.push(format!(
+                "{others} running hosts have another view than the rest"
+            ));
         }
         lines.extend(self.differences.iter().take(MAX_DIFFERENCES).cloned());
         if self.convergence_seconds > self.convergence_bound_seconds {
@@ -90,7 +92,11 @@
             ));
         }
         lines.extend(
-            self.undetected_kills.iter().chain(&self.resurrections).take(MAX_OTHER_EVIDENCE).cloned(),
+            self.undetected_kills
+                .iter()
+                .chain(&self.resurrections)
+                .take(MAX_OTHER_EVIDENCE)
+                .cloned(),
         );
         lines
     }
@@ -103,8 +109,10 @@
     samples: &[MembershipSample],
 ) -> MembershipVerdict {
     // All hosts are terminated when the run is over.
-    let samples: Vec<&MembershipSample> =
-        samples.iter().filter(|s| s.requested_at < scenario.duration).collect();
+    let samples: Vec<&MembershipSample> = samples
+        .iter()
+        .filter(|s| s.requested_at < scenario.duration)
+        .collect();
     let audit = MembershipAudit {
         scenario,
         period: scenario.membership.map_or(1.0, |m| m.period as f64),
@@ -129,13 +137,20 @@
 
 /// Whether a state is one that members pass through.
 fn is_transient(state: MemberState) -> bool {
-    matches!(state, MemberState::Suspect | MemberState::Joining | MemberState::Leaving)
+    matches!(
+        state,
+        MemberState::Suspect | MemberState::Joining | MemberState::Leaving
+    )
 }
 
 /// Whether a table holds exactly the running hosts as alive, and no member in a transient state.
 fn is_correct(sample: &MembershipSample, running: &BTreeSet<u32>) -> bool {
-    let alive: BTreeSet<u32> =
-        sample.members.iter().filter(|m| m.state == MemberState::Alive).map(|m| m.host).collect();
+    let alive: BTreeSet<u32> = sample
+        .members
+        .iter()
+        .filter(|m| m.state == MemberState::Alive)
+        .map(|m| m.host)
+        .collect();
     alive == *running && !sample.members.iter().any(|m| is_transient(m.state))
 }
 
@@ -159,7 +174,8 @@
         for sample in self.samples.iter().filter(|s| running.contains(&s.host)) {
             last.insert(sample.host, sample);
         }
-        let shared = most_frequent_digest(last.values().copied().filter(|s| is_correct(s, &running)));
+        let shared =
+            most_frequent_digest(last.values().copied().filter(|s| is_correct(s, &running)));
         let converged = |s: &MembershipSample| is_correct(s, &running) && Some(s.digest) == shared;
         verdict.differences = last
             .values()
@@ -173,14 +189,21 @@
             .samples
             .iter()
             .filter(|s| s.requested_at >= last_fault && running.contains(&s.host) && !converged(s));
-        let longest = differing.map(|s| s.requested_at - last_fault).max().unwrap_or(0);
+        let longest = differing
+            .map(|s| s.requested_at - last_fault)
+            .max()
+            .unwrap_or(0);
         verdict.convergence_seconds = longest as f64 / 1e6;
-        verdict.convergence_bound_seconds = convergence_periods(self.scenario.hosts) * self.period / 1e6;
+        verdict.convergence_bound_seconds =
+            convergence_periods(self.scenario.hosts) * self.period / 1e6;
     }
 
     fn last_fault_at(&self) -> Micros {
         let times = self.scenario.faults.iter().map(|fault| fault.at);
-        times.filter(|at| *at < self.scenario.duration).max().unwrap_or(0)
+        times
+            .filter(|at| *at < self.scenario.duration)
+            .max()
+            .unwrap_or(0)
     }
 
     fn false_unreachable_seconds(&self) -> f64 {
@@ -198,7 +221,9 @@
                 .members
                 .iter()
                 .filter(|m| m.state == MemberState::Unreachable && m.host != sample.host);
-            let wrong = unreachable.filter(|m| self.ran_in_reach(sample.host, m.host, from, now)).count();
+            let wrong = unreachable
+                .filter(|m| self.ran_in_reach(sample.host, m.host, from, now))
+                .count();
             seconds += wrong as f64 * (now - before) as f64 / 1e6;
         }
         seconds
@@ -216,7 +241,9 @@
                     && s.requested_at < restarted_at
                     && self.history.ran(s.host, killed.ended_at, s.requested_at)
                     && self.reached(s.host, killed.host, killed.ended_at, s.requested_at)
-                    && s.members.iter().any(|m| m.host == killed.host && m.state == MemberState::Alive)
+                    && s.members
+                        .iter()
+                        .any(|m| m.host == killed.host && m.state == MemberState::Alive)
             };
             if let Some(sample) = self.samples.iter().find(holds_alive) {
                 undetected.push(format!(
@@ -263,16 +290,34 @@
 fn most_frequent_digest<'a>(samples: impl Iterator<Item = &'a MembershipSample>) -> Option<u64> {
     let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
     samples.for_each(|sample| *counts.entry(sample.digest).or_default() += 1);
-    counts.iter().max_by_key(|(_, count)| *count).map(|(digest, _)| *digest)
+    counts
+        .iter()
+        .max_by_key(|(_, count)| *count)
+        .map(|(digest, _)| *digest)
 }
 
 fn describe_difference(sample: &MembershipSample, running: &BTreeSet<u32>, hosts: u32) -> String {
     let difference = |host: u32| {
-        let state = sample.members.iter().find(|m| m.host == host).map(|m| m.state);
+        let state = sample
+            .members
+            .iter()
+            .find(|m| m.host == host)
+            .map(|m| m.state);
         let runs = running.contains(&host);
-        let is_right = runs == (state == Some(MemberState::Alive)) && !state.is_some_and(is_transient);
-        (!is_right).then(|| format!("{host} {}: {state:?}", if runs { "runs" } else { "does not run" }))
+        let is_right =
+            runs == (state == Some(MemberState::Alive)) && !state.is_some_and(is_transient);
+        (!is_right).then(|| {
+            format!(
+                "{host} {}: {state:?}",
+                if runs { "runs" } else { "does not run" }
+            )
+        })
     };
     let differences: Vec<String> = (0..hosts).filter_map(difference).collect();
-    format!("host {} last told {:016x} with {}", sample.host, sample.digest, differences.join(", "))
+    format!(
+        "host {} last told {:016x} with {}",
+        sample.host,
+        sample.digest,
+        differences.join(", ")
+    )
 }
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -41,7 +41,9 @@
 impl GroupFigures {
     fn quantile_ms(&self, quantile: f64) -> f64 {
         let index = (self.latencies.len() as f64 * quantile) as usize;
-        self.latencies.get(index).map_or(0.0, |micros| *micros as f64 / 1e3)
+        self.latencies
+            .get(index)
+            .map_or(0.0, |micros| *micros as f64 / 1e3)
     }
 
     fn describe(&mut self, run_seconds: f64) -> String {
@@ -74,11 +76,16 @@
         let mut lines = self.violations();
         let without_list = verdict.host_starts.saturating_sub(self.hosts_with_list());
         if without_list > 0 {
-            lines.push(format!("{without_list} starts without a list of the service"));
+            lines.push(format!(
+                "{without_list} starts without a list of the service"
+            ));
         }
         let allowed = scenario.max_queued_polls();
         if verdict.max_queued > allowed {
-            lines.push(format!("{} calls waited, of {allowed} at most", verdict.max_queued));
+            lines.push(format!(
+                "{} calls waited, of {allowed} at most",
+                verdict.max_queued
+            ));
         }
         if verdict.collapses > 0 {
             lines.push(format!("{} nodes fell", verdict.collapses));
@@ -112,9 +119,15 @@
         for Observation { at, event } in &self.observations {
             match *event {
                 Event::RequestSent { op, host, .. } => drop(sent.insert(op, (*at, host))),
-                Event::ResponseReceived { op, status: 200, .. } => {
+                Event::ResponseReceived {
+                    op, status: 200, ..
+                } => {
                     if let Some((sent_at, host)) = sent.remove(&op) {
-                        let group = if participants.contains(host) { &mut with } else { &mut without };
+                        let group = if participants.contains(host) {
+                            &mut with
+                        } else {
+                            &mut without
+                        };
                         group.latencies.push(at - sent_at);
                     }
                 }
@@ -122,13 +135,19 @@
             }
         }
         for (host, usage) in self.usage.iter().enumerate() {
-            let group = if participants.contains(host as u32) { &mut with } else { &mut without };
+            let group = if participants.contains(host as u32) {
+                &mut with
+            } else {
+                &mut without
+            };
             group.cpu_ms += usage.cpu_ms;
             group.hosts += 1;
         }
         let seconds = scenario.duration as f64 / 1e6;
         let (with, without) = (with.describe(seconds), without.describe(seconds));
-        Some(format!("hosts with a view: {with}\nhosts without: {without}"))
+        Some(format!(
+            "hosts with a view: {with}\nhosts without: {without}"
+        ))
     }
 
     /// The run second by second, and its totals.
@@ -153,10 +172,13 @@
             ms(0.95),
             ms(1.0)
         )?;
-        let steady = verdict.steady_from().map_or("never".to_owned(), |s| format!("from {s} s on"));
+        let steady = verdict
+            .steady_from()
+            .map_or("never".to_owned(), |s| format!("from {s} s on"));
         writeln!(out, "nine tenths of usual service: {steady}")?;
         let count = self.usage.len().max(1) as f64;
-        let mean = |figure: fn(&ResourceUsage) -> f64| self.usage.iter().map(figure).sum::<f64>() / count;
+        let mean =
+            |figure: fn(&ResourceUsage) -> f64| self.usage.iter().map(figure).sum::<f64>() / count;
         writeln!(
             out,
             "a host at the end: {:.1} MB, {:.0} ms of processor time, {:.0} descriptors; most to a cold node: {:.0} \
--- a/crates/lab/src/fleet/peers.rs
+++ b/crates/lab/src/fleet/peers.rs
@@ -40,7 +40,10 @@
 pub(crate) use endpoint_list::{ListedNode, NodeStatus};
 pub use membership::{MembershipSample, MembershipView, SampledMember};
 
-const HTTP_LIMITS: Limits = Limits { head: 16 * 1024, body: 1 << 20 };
+const HTTP_LIMITS: Limits = Limits {
+    head: 16 * 1024,
+    body: 1 << 20,
+};
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// List services of a run: hosts start with the first and may be redirected to the second.
 const LIST_SERVICES: u32 = 2;
@@ -99,7 +102,9 @@
     pub(crate) fn open(scenario: &Scenario, seed: u64) -> Result<SimulatedPeers, TestbedError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let poll = Poll::new().map_err(TestbedError::Poll)?;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let queue = || DiscoveryQueue::new(scenario.service_time, scenario.queue_timeout);
         let (addresses, address_claim) = claim_addresses()?;
         let mut peers = SimulatedPeers {
@@ -116,7 +121,12 @@
             endpoints: EndpointList::new(),
             undelivered: Vec::new(),
             nodes: Vec::new(),
-            client_load: ClientLoad::new(scenario.load.clone(), scenario.hosts, scenario.nodes, &mut rng),
+            client_load: ClientLoad::new(
+                scenario.load.clone(),
+                scenario.hosts,
+                scenario.nodes,
+                &mut rng,
+            ),
             clients_active: false,
             pending_retries: Slab::default(),
             host_states: vec![HostState::Stopped; scenario.hosts as usize],
@@ -170,14 +180,18 @@
         let impaired = |host: &u32| self.is_impaired(*host);
         let excused = self.request_hosts.iter().filter(|(_, host)| impaired(host));
         let excused: Vec<u64> = excused.map(|(op, _)| *op).collect();
-        excused.into_iter().for_each(|op| self.record(Event::Excused { op }));
+        excused
+            .into_iter()
+            .for_each(|op| self.record(Event::Excused { op }));
     }
 
     /// Whether the link between clients and a host has a fault, or the host is paused.
     fn is_impaired(&self, host: u32) -> bool {
         let fault = |from, to| self.links.fault_between(from, to) != LinkFault::default();
         let host_peer = Peer::Host(host);
-        self.paused[host as usize] || fault(Peer::Clients, host_peer) || fault(host_peer, Peer::Clients)
+        self.paused[host as usize]
+            || fault(Peer::Clients, host_peer)
+            || fault(host_peer, Peer::Clients)
     }
 
     /// Changes how a discovery service behaves.
--- a/crates/lab/src/fleet/peers/clients.rs
+++ b/crates/lab/src/fleet/peers/clients.rs
@@ -33,8 +33,24 @@
         {
             *request = Some(operation);
         }
-        let Operation { id, volume, extent, write, units, timeout, .. } = operation;
-        self.record(Event::RequestSent { op: id, host, volume, extent, write, units, timeout });
+        let Operation {
+            id,
+            volume,
+            extent,
+            write,
+            units,
+            timeout,
+            ..
+        } = operation;
+        self.record(Event::RequestSent {
+            op: id,
+            host,
+            volume,
+            extent,
+            write,
+            units,
+            timeout,
+        });
         self.request_hosts.insert(id, host);
         if self.is_impaired(host) {
             self.record(Event::Excused { op: id });
@@ -51,15 +67,30 @@
         let is_ready = |host: u32| states[host as usize] == HostState::Ready;
         let host = self.client_load.choose_host(operation, is_ready, rng)?;
         let idle = self.idle_connections.get_mut(&host).and_then(Vec::pop);
-        let new_role = || ConnectionRole::Client { reader: ResponseReader::default(), request: None };
+        let new_role = || ConnectionRole::Client {
+            reader: ResponseReader::default(),
+            request: None,
+        };
         let index = idle.or_else(|| self.connect(host, new_role()))?;
         Some((host, index))
     }
 
     fn request_text(&self, operation: &Operation) -> String {
-        let (method, class) = if operation.write { ("PUT", "book") } else { ("GET", "look") };
-        let plan = if self.client_load.volume(operation.volume).limited { "basic" } else { "priority" };
-        let body = if operation.write { "Content-Length: 6\r\n\r\nposted" } else { "\r\n" };
+        let (method, class) = if operation.write {
+            ("PUT", "book")
+        } else {
+            ("GET", "look")
+        };
+        let plan = if self.client_load.volume(operation.volume).limited {
+            "basic"
+        } else {
+            "priority"
+        };
+        let body = if operation.write {
+            "Content-Length: 6\r\n\r\nposted"
+        } else {
+            "\r\n"
+        };
         format!(
             "{method} /{class}/{:016x}/{:016x} HTTP/1.1\r\nHost: lab\r\nX-Request-ID: {:016x}\r\n\
              X-Priority-Class: {class}\r\nX-Qos-Policy: {plan}\r\nX-Timeout-Ms: {}\r\n\
@@ -76,7 +107,9 @@
 
     pub(super) fn schedule_retry(&mut self, operation: &Operation, retry_after: Option<Micros>) {
         let now = self.now();
-        let retry = self.client_load.retry(now, operation, retry_after, &mut self.rng);
+        let retry = self
+            .client_load
+            .retry(now, operation, retry_after, &mut self.rng);
         if let Some((at, operation)) = retry.filter(|_| self.clients_active) {
             let place = self.pending_retries.insert(operation);
             self.timers.push(Reverse((at, Timer::Retry(place))));
@@ -88,19 +121,32 @@
         let Ok(Some(head)) = ResponseHead::parse(response, HTTP_LIMITS) else {
             return self.close(index, true);
         };
-        let retry_after =
-            head.headers.single("Retry-After").ok().flatten().and_then(|t| t.parse::<f64>().ok());
+        let retry_after = head
+            .headers
+            .single("Retry-After")
+            .ok()
+            .flatten()
+            .and_then(|t| t.parse::<f64>().ok());
         let (status, closes) = (head.status, head.close);
-        let Some(connection) = self.connections.get_mut(index) else { return };
+        let Some(connection) = self.connections.get_mut(index) else {
+            return;
+        };
         let host = connection.host;
         connection.timeout_id = 0;
         let ConnectionRole::Client { request, .. } = &mut connection.role else {
             return self.on_readiness_response(index, host, status);
         };
-        let Some(operation) = request.take() else { return self.close(index, true) };
-        let authentic = status == 200 && response[body..] == *format!("{:016x}", operation.id).as_bytes();
+        let Some(operation) = request.take() else {
+            return self.close(index, true);
+        };
+        let authentic =
+            status == 200 && response[body..] == *format!("{:016x}", operation.id).as_bytes();
         self.request_hosts.remove(&operation.id);
-        self.record(Event::ResponseReceived { op: operation.id, status, authentic });
+        self.record(Event::ResponseReceived {
+            op: operation.id,
+            status,
+            authentic,
+        });
         let idle = self.idle_connections.entry(host).or_default();
         if closes || idle.len() >= MAX_IDLE_PER_HOST {
             self.close(index, false);
@@ -108,12 +154,19 @@
             idle.push(index);
         }
         if status != 200 {
-            self.schedule_retry(&operation, retry_after.map(|seconds| (seconds * 1e6) as Micros));
+            self.schedule_retry(
+                &operation,
+                retry_after.map(|seconds| (seconds * 1e6) as Micros),
+            );
         }
     }
 
     pub(super) fn on_timeout(&mut self, index: u32, timeout_id: u64) {
-        let Some(connection) = self.connections.get_mut(index).filter(|c| c.timeout_id == timeout_id) else {
+        let Some(connection) = self
+            .connections
+            .get_mut(index)
+            .filter(|c| c.timeout_id == timeout_id)
+        else {
             return;
         };
         if let ConnectionRole::Client { request, .. } = &mut connection.role
--- a/crates/lab/src/fleet/peers/connections.rs
+++ b/crates/lab/src/fleet/peers/connections.rs
@@ -40,7 +40,10 @@
         over_limit: bool,
     },
     /// From clients to a host.
-    Client { reader: ResponseReader, request: Option<Operation> },
+    Client {
+        reader: ResponseReader,
+        request: Option<Operation>,
+    },
     /// A readiness check of a host.
     Readiness { reader: ResponseReader },
 }
@@ -90,7 +93,11 @@
     ) -> u32 {
         self.last_serial += 1;
         let token = Token(2 * self.connections.next_index() as usize + 1);
-        let _ = self.poll.registry().register(&mut socket, token, Interest::READABLE | Interest::WRITABLE);
+        let _ = self.poll.registry().register(
+            &mut socket,
+            token,
+            Interest::READABLE | Interest::WRITABLE,
+        );
         self.connections.insert(Connection {
             host,
             socket,
@@ -107,7 +114,9 @@
 
     /// The connection of this identifier, unless it was closed.
     pub(super) fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
-        self.connections.get_mut(id.index).filter(|c| c.serial == id.serial)
+        self.connections
+            .get_mut(id.index)
+            .filter(|c| c.serial == id.serial)
     }
 
     /// Sets the timeout of a connection, which replaces an earlier one.
@@ -116,7 +125,10 @@
         let timeout_id = self.last_serial;
         if let Some(connection) = self.connections.get_mut(index) {
             connection.timeout_id = timeout_id;
-            self.timers.push(Reverse((self.now() + after, Timer::Timeout(index, timeout_id))));
+            self.timers.push(Reverse((
+                self.now() + after,
+                Timer::Timeout(index, timeout_id),
+            )));
         }
     }
 
@@ -128,12 +140,17 @@
             ConnectionRole::Node { node, .. } => Peer::Node(node),
             ConnectionRole::Client { .. } | ConnectionRole::Readiness { .. } => Peer::Clients,
         };
-        (self.links.fault_between(host, peer), self.links.fault_between(peer, host))
+        (
+            self.links.fault_between(host, peer),
+            self.links.fault_between(peer, host),
+        )
     }
 
     /// A peer sends bytes to a host.
     pub(super) fn send(&mut self, index: u32, bytes: &[u8]) {
-        let Some(connection) = self.connections.get(index) else { return };
+        let Some(connection) = self.connections.get(index) else {
+            return;
+        };
         let (_, to_host) = self.link_faults(connection);
         let now = self.now();
         if let Some(connection) = self.connections.get_mut(index) {
@@ -147,7 +164,8 @@
         let now = self.now();
         for index in self.connections.indices() {
             let serial = self.connections.get(index).map_or(0, |c| c.serial);
-            self.timers.push(Reverse((now, Timer::Pump(ConnectionId { index, serial }))));
+            self.timers
+                .push(Reverse((now, Timer::Pump(ConnectionId { index, serial }))));
         }
     }
 
@@ -164,10 +182,14 @@
     }
 
     fn pump_once(&mut self, index: u32, now: Micros) -> Pumped {
-        let Some(connection) = self.connections.get(index) else { return Pumped::Closed };
+        let Some(connection) = self.connections.get(index) else {
+            return Pumped::Closed;
+        };
         let serial = connection.serial;
         let (to_peer, to_host) = self.link_faults(connection);
-        let Some(connection) = self.connections.get_mut(index) else { return Pumped::Closed };
+        let Some(connection) = self.connections.get_mut(index) else {
+            return Pumped::Closed;
+        };
         let mut moved = true;
         match connection.to_host.poll(now, &to_host) {
             PipeOutput::Bytes(bytes) => connection.unsent.extend_from_slice(&bytes),
@@ -200,10 +222,20 @@
     }
 
     fn schedule_pump(&mut self, index: u32, now: Micros) {
-        let Some(connection) = self.connections.get_mut(index) else { return };
+        let Some(connection) = self.connections.get_mut(index) else {
+            return;
+        };
         let pipes = [&connection.to_peer, &connection.to_host];
-        if let Some(due) = pipes.into_iter().filter_map(Pipe::next_due).filter(|due| *due > now).min() {
-            let id = ConnectionId { index, serial: connection.serial };
+        if let Some(due) = pipes
+            .into_iter()
+            .filter_map(Pipe::next_due)
+            .filter(|due| *due > now)
+            .min()
+        {
+            let id = ConnectionId {
+                index,
+                serial: connection.serial,
+            };
             self.timers.push(Reverse((due, Timer::Pump(id))));
         }
         if std::mem::take(&mut connection.read_paused) && !connection.to_peer.is_full() {
@@ -214,17 +246,26 @@
     /// Reads what a host has sent.
     pub(super) fn read_socket(&mut self, index: u32) {
         loop {
-            let Some(connection) = self.connections.get(index) else { return };
+            let Some(connection) = self.connections.get(index) else {
+                return;
+            };
             let (to_peer, _) = self.link_faults(connection);
             let now = self.now();
-            let Some(connection) = self.connections.get_mut(index) else { return };
+            let Some(connection) = self.connections.get_mut(index) else {
+                return;
+            };
             if connection.to_peer.is_full() {
                 connection.read_paused = true;
                 return;
             }
             match nonblocking::read(&mut connection.socket, &mut self.read_buffer) {
                 ReadOutcome::Read(count) => {
-                    connection.to_peer.push(now, &self.read_buffer[..count], &to_peer, &mut self.rng);
+                    connection.to_peer.push(
+                        now,
+                        &self.read_buffer[..count],
+                        &to_peer,
+                        &mut self.rng,
+                    );
                 }
                 ReadOutcome::WouldBlock => return self.pump(index),
                 ReadOutcome::Closed(_) => {
@@ -237,7 +278,9 @@
 
     /// A peer has received bytes: handles the message that they complete.
     fn on_received(&mut self, index: u32) {
-        let Some(connection) = self.connections.get_mut(index) else { return };
+        let Some(connection) = self.connections.get_mut(index) else {
+            return;
+        };
         let received = &mut connection.received;
         match &mut connection.role {
             ConnectionRole::Poll { reader, .. } | ConnectionRole::Node { reader, .. } => {
@@ -268,17 +311,24 @@
     pub(super) fn reset_connections(&mut self, matches: impl Fn(&ConnectionRole) -> bool) {
         let matching = self.connections.iter().filter(|(_, c)| matches(&c.role));
         let indexes: Vec<u32> = matching.map(|(index, _)| index).collect();
-        indexes.into_iter().for_each(|index| self.close(index, true));
+        indexes
+            .into_iter()
+            .for_each(|index| self.close(index, true));
     }
 
     /// Closes a connection, whoever ended it.
     pub(super) fn close(&mut self, index: u32, reset: bool) {
-        let Some(mut connection) = self.connections.remove(index) else { return };
+        let Some(mut connection) = self.connections.remove(index) else {
+            return;
+        };
         let _ = self.poll.registry().deregister(&mut connection.socket);
         if reset {
             let _ = SockRef::from(&connection.socket).set_linger(Some(Duration::ZERO));
         }
-        let id = ConnectionId { index, serial: connection.serial };
+        let id = ConnectionId {
+            index,
+            serial: connection.serial,
+        };
         match connection.role {
             ConnectionRole::Poll { list, .. } => self.discovery[list as usize].cancel(id),
             ConnectionRole::Node { node, pending, .. } => {
--- a/crates/lab/src/fleet/peers/discovery.rs
+++ b/crates/lab/src/fleet/peers/discovery.rs
@@ -25,14 +25,16 @@
 
 impl SimulatedPeers {
     pub(super) fn start_watch_keep_alive(&mut self) {
-        self.timers.push(Reverse((WATCH_KEEP_ALIVE, Timer::WatchKeepAlive)));
+        self.timers
+            .push(Reverse((WATCH_KEEP_ALIVE, Timer::WatchKeepAlive)));
     }
 
     pub(super) fn send_watch_keep_alive(&mut self, now: Micros) {
         for index in self.active_watches() {
             self.send(index, http_chunk("\n").as_bytes());
         }
-        self.timers.push(Reverse((now + WATCH_KEEP_ALIVE, Timer::WatchKeepAlive)));
+        self.timers
+            .push(Reverse((now + WATCH_KEEP_ALIVE, Timer::WatchKeepAlive)));
     }
 
     /// A whole poll of a host has arrived.
@@ -41,9 +43,19 @@
             return self.close(index, true);
         };
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(index) else { return };
-        let (id, host) = (ConnectionId { index, serial: connection.serial }, connection.host);
-        let ConnectionRole::Poll { list, is_watch, .. } = &mut connection.role else { return };
+        let Some(connection) = self.connections.get_mut(index) else {
+            return;
+        };
+        let (id, host) = (
+            ConnectionId {
+                index,
+                serial: connection.serial,
+            },
+            connection.host,
+        );
+        let ConnectionRole::Poll { list, is_watch, .. } = &mut connection.role else {
+            return;
+        };
         *is_watch = head.target.contains("follow=1");
         // Kept until the poll is served.
         connection.received = head.target.as_bytes().to_vec();
@@ -57,28 +69,46 @@
     }
 
     pub(super) fn finish_poll(&mut self, id: ConnectionId, outcome: PollOutcome) {
-        let Some(connection) = self.connection(id) else { return };
+        let Some(connection) = self.connection(id) else {
+            return;
+        };
         let host = connection.host;
-        let target = String::from_utf8_lossy(&std::mem::take(&mut connection.received)).into_owned();
-        let ConnectionRole::Poll { is_watch, .. } = connection.role else { return };
+        let target =
+            String::from_utf8_lossy(&std::mem::take(&mut connection.received)).into_owned();
+        let ConnectionRole::Poll { is_watch, .. } = connection.role else {
+            return;
+        };
         if outcome == PollOutcome::Rejected {
             self.record(Event::PollRejected { host });
             let head = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
             return self.send(id.index, head.as_bytes());
         }
-        let since = target.split("since=").nth(1).and_then(|n| n.parse::<u64>().ok());
-        let changed = since.filter(|_| is_watch).and_then(|since| self.endpoints.changed_since(since));
+        let since = target
+            .split("since=")
+            .nth(1)
+            .and_then(|n| n.parse::<u64>().ok());
+        let changed = since
+            .filter(|_| is_watch)
+            .and_then(|since| self.endpoints.changed_since(since));
         let line = match changed {
             Some(nodes) => self.list_line(host, false, &nodes),
             None => self.list_line(host, true, &self.endpoints.current_nodes()),
         };
-        self.record(Event::PollServed { host, version: self.endpoints.version });
+        self.record(Event::PollServed {
+            host,
+            version: self.endpoints.version,
+        });
         if is_watch {
-            self.send(id.index, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            self.send(
+                id.index,
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            );
             self.send(id.index, http_chunk(&line).as_bytes());
         } else {
-            let head =
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", line.len());
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+                line.len()
+            );
             self.send(id.index, (head + &line).as_bytes());
         }
     }
@@ -95,7 +125,13 @@
 
     fn record_endpoint_sent(&mut self, host: u32, node: u32, entry: ListedNode, version: u64) {
         let (accepting, started_at) = (entry.accepting(), entry.started_at);
-        self.record(Event::EndpointSent { host, node, accepting, version, started_at });
+        self.record(Event::EndpointSent {
+            host,
+            node,
+            accepting,
+            version,
+            started_at,
+        });
     }
 
     /// Applies the updates that are due and sends them to all watches.
@@ -106,7 +142,11 @@
             for index in self.active_watches() {
                 let host = self.connections.get(index).map_or(0, |c| c.host);
                 // What a blackholed link holds back does not count as sent.
-                let line = if self.links.fault_between(Peer::List(0), Peer::Host(host)).blackholed {
+                let line = if self
+                    .links
+                    .fault_between(Peer::List(0), Peer::Host(host))
+                    .blackholed
+                {
                     self.list_text(host, false, self.endpoints.version, &[node])
                 } else {
                     notified.push(index);
@@ -122,7 +162,10 @@
     fn record_undelivered(&mut self, notified: &[u32], node: u32, entry: ListedNode) {
         let (now, version) = (self.now(), self.endpoints.version);
         for host in 0..self.scenario.hosts {
-            if notified.iter().any(|i| self.connections.get(*i).is_some_and(|c| c.host == host)) {
+            if notified
+                .iter()
+                .any(|i| self.connections.get(*i).is_some_and(|c| c.host == host))
+            {
                 continue;
             }
             let stall_of = |c: &Connection| match c.role {
@@ -144,7 +187,12 @@
                         effective_at,
                     });
                 }
-                None => self.undelivered.push(Undelivered { host, node, entry, version }),
+                None => self.undelivered.push(Undelivered {
+                    host,
+                    node,
+                    entry,
+                    version,
+                }),
             }
         }
         self.settle_undelivered();
@@ -166,16 +214,31 @@
     pub(super) fn settle_undelivered(&mut self) {
         let effective_at = self.now() + NOTIFICATION_DEADLINE;
         let host_of = |index: u32| self.connections.get(index).map(|c| c.host);
-        let watching: Vec<u32> = self.active_watches().into_iter().filter_map(host_of).collect();
+        let watching: Vec<u32> = self
+            .active_watches()
+            .into_iter()
+            .filter_map(host_of)
+            .collect();
         for update in std::mem::take(&mut self.undelivered) {
-            let Undelivered { host, node, entry, version } = update;
+            let Undelivered {
+                host,
+                node,
+                entry,
+                version,
+            } = update;
             if !self.can_reach_discovery(host) {
                 self.undelivered.push(update);
             } else if watching.contains(&host) {
                 self.record_endpoint_sent(host, node, entry, version);
             } else {
                 let accepting = entry.accepting();
-                self.record(Event::EndpointUndeliverable { host, node, accepting, version, effective_at });
+                self.record(Event::EndpointUndeliverable {
+                    host,
+                    node,
+                    accepting,
+                    version,
+                    effective_at,
+                });
             }
         }
     }
@@ -184,7 +247,10 @@
     pub(crate) fn stall_watches(&mut self, hosts: std::ops::Range<u32>) {
         let now = self.now();
         for index in self.active_watches() {
-            if let Some(connection) = self.connections.get_mut(index).filter(|c| hosts.contains(&c.host))
+            if let Some(connection) = self
+                .connections
+                .get_mut(index)
+                .filter(|c| hosts.contains(&c.host))
                 && let ConnectionRole::Poll { stalled_since, .. } = &mut connection.role
             {
                 *stalled_since = Some(now);
@@ -195,10 +261,20 @@
     /// Watches that send updates. One whose poll still waits will get all of them when it is served.
     fn active_watches(&self) -> Vec<u32> {
         let is_active = |c: &Connection| {
-            matches!(c.role, ConnectionRole::Poll { is_watch: true, stalled_since: None, .. })
-                && c.received.is_empty()
+            matches!(
+                c.role,
+                ConnectionRole::Poll {
+                    is_watch: true,
+                    stalled_since: None,
+                    ..
+                }
+            ) && c.received.is_empty()
         };
-        self.connections.iter().filter(|(_, c)| is_active(c)).map(|(index, _)| index).collect()
+        self.connections
+            .iter()
+            .filter(|(_, c)| is_active(c))
+            .map(|(index, _)| index)
+            .collect()
     }
 
     /// Number of watches that send updates.
@@ -209,7 +285,9 @@
     /// The last version that was sent to a host; 0: none.
     pub fn last_version_sent(&self, host: u32) -> u64 {
         let sent = |o: &Observation| match o.event {
-            Event::EndpointSent { host: h, version, .. } if h == host => Some(version),
+            Event::EndpointSent {
+                host: h, version, ..
+            } if h == host => Some(version),
             _ => None,
         };
         self.observations.iter().rev().find_map(sent).unwrap_or(0)
@@ -224,15 +302,22 @@
                 hosts.insert((node, op), host);
                 None
             }
-            Event::NodeResponded { node, op, executed: true } => Some((node, *hosts.get(&(node, op))?)),
+            Event::NodeResponded {
+                node,
+                op,
+                executed: true,
+            } => Some((node, *hosts.get(&(node, op))?)),
             _ => None,
         })
     }
 
     /// Whether bytes of the discovery service to a host are in flight.
     pub fn has_discovery_bytes_in_flight(&self, host: u32) -> bool {
-        let is_poll = |c: &Connection| c.host == host && matches!(c.role, ConnectionRole::Poll { .. });
-        self.connections.iter().any(|(_, c)| is_poll(c) && c.to_host.next_due().is_some())
+        let is_poll =
+            |c: &Connection| c.host == host && matches!(c.role, ConnectionRole::Poll { .. });
+        self.connections
+            .iter()
+            .any(|(_, c)| is_poll(c) && c.to_host.next_due().is_some())
     }
 
     /// Current version of the endpoint list.
--- a/crates/lab/src/fleet/peers/endpoint_list.rs
+++ b/crates/lab/src/fleet/peers/endpoint_list.rs
@@ -98,10 +98,14 @@
 
     /// Applies the next update that is due, and returns the node and its entry.
     pub fn apply_next(&mut self, now: Micros) -> Option<(u32, ListedNode)> {
-        let PendingUpdate { node, entry, .. } = self.pending.pop_front_if(|update| update.at <= now)?;
+        let PendingUpdate { node, entry, .. } =
+            self.pending.pop_front_if(|update| update.at <= now)?;
         self.nodes[node as usize] = entry;
         self.version += 1;
-        self.changes.push_back(Change { version: self.version, node });
+        self.changes.push_back(Change {
+            version: self.version,
+            node,
+        });
         if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
@@ -110,16 +114,24 @@
 
     /// Nodes that are not removed.
     pub fn current_nodes(&self) -> Vec<u32> {
-        (0..self.nodes.len() as u32).filter(|n| self.node(*n).status != NodeStatus::Removed).collect()
+        (0..self.nodes.len() as u32)
+            .filter(|n| self.node(*n).status != NodeStatus::Removed)
+            .collect()
     }
 
     /// Nodes that changed since a version; none if that is not known.
     pub fn changed_since(&self, version: u64) -> Option<Vec<u32>> {
-        let oldest = self.changes.front().map_or(self.version, |change| change.version - 1);
+        let oldest = self
+            .changes
+            .front()
+            .map_or(self.version, |change| change.version - 1);
         if !(oldest..=self.version).contains(&version) {
             return None;
         }
-        let changed = self.changes.iter().filter(|change| change.version > version);
+        let changed = self
+            .changes
+            .iter()
+            .filter(|change| change.version > version);
         let mut nodes: Vec<u32> = changed.map(|change| change.node).collect();
         nodes.sort_unstable();
         nodes.dedup();
@@ -161,10 +173,15 @@
             InitialList::Current => list(current, &self.endpoints.current_nodes()),
             InitialList::Ahead => list(current + VERSIONS_AHEAD, &self.endpoints.current_nodes()),
             InitialList::Stale => {
-                let nodes: Vec<u32> =
-                    self.endpoints.current_nodes().into_iter().filter(|n| n % 2 == 0).collect();
+                let nodes: Vec<u32> = self
+                    .endpoints
+                    .current_nodes()
+                    .into_iter()
+                    .filter(|n| n % 2 == 0)
+                    .collect();
                 // It names a node that is no more.
-                list(current.saturating_sub(VERSIONS_STALE), &nodes).replace("node0\"", "node-of-old\"")
+                list(current.saturating_sub(VERSIONS_STALE), &nodes)
+                    .replace("node0\"", "node-of-old\"")
             }
         }
     }
--- a/crates/lab/src/fleet/peers/event_loop.rs
+++ b/crates/lab/src/fleet/peers/event_loop.rs
@@ -39,7 +39,12 @@
         let discovery = self.discovery.iter().filter_map(DiscoveryQueue::next_due);
         let nodes = self.nodes.iter().filter_map(SimulatedNode::next_due);
         let clients = self.clients_active.then(|| self.client_load.next_due());
-        timer.into_iter().chain(discovery).chain(nodes).chain(clients).min()
+        timer
+            .into_iter()
+            .chain(discovery)
+            .chain(nodes)
+            .chain(clients)
+            .min()
     }
 
     /// One iteration: waits for something to happen, for so long at most, and handles it.
@@ -48,7 +53,9 @@
     /// If the operating system's poll fails.
     pub(crate) fn run_once(&mut self, max_wait: Duration) {
         let until_due = |due: Micros| Duration::from_micros(due.saturating_sub(self.now()));
-        let wait = self.next_due().map_or(max_wait, |due| until_due(due).min(max_wait));
+        let wait = self
+            .next_due()
+            .map_or(max_wait, |due| until_due(due).min(max_wait));
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         if let Err(e) = self.poll.poll(&mut events, Some(wait)) {
             assert!(e.kind() == io::ErrorKind::Interrupted, "poll: {e}");
@@ -90,7 +97,11 @@
             }
             Timer::Timeout(index, timeout_id) => self.on_timeout(index, timeout_id),
             Timer::Retry(place) => {
-                if let Some(operation) = self.pending_retries.remove(place).filter(|_| self.clients_active) {
+                if let Some(operation) = self
+                    .pending_retries
+                    .remove(place)
+                    .filter(|_| self.clients_active)
+                {
                     self.send_request(operation);
                 }
             }
@@ -116,7 +127,12 @@
         for node in 0..self.nodes.len() {
             while let Some(request) = self.nodes[node].complete_next(now) {
                 if self.connection(request.connection).is_some() {
-                    self.respond(request.connection.index, node as u32, request.operation, true);
+                    self.respond(
+                        request.connection.index,
+                        node as u32,
+                        request.operation,
+                        true,
+                    );
                 }
             }
         }
@@ -127,7 +143,9 @@
             if !self.clients_active {
                 break;
             }
-            let Some(operation) = self.client_load.next_operation(now, &mut self.rng) else { break };
+            let Some(operation) = self.client_load.next_operation(now, &mut self.rng) else {
+                break;
+            };
             self.send_request(operation);
         }
     }
--- a/crates/lab/src/fleet/peers/hosts.rs
+++ b/crates/lab/src/fleet/peers/hosts.rs
@@ -44,7 +44,9 @@
         self.paused[host as usize] = paused;
         let in_flight = self.request_hosts.iter().filter(|(_, h)| **h == host);
         let in_flight: Vec<u64> = in_flight.map(|(op, _)| *op).collect();
-        in_flight.into_iter().for_each(|op| self.record(Event::Excused { op }));
+        in_flight
+            .into_iter()
+            .for_each(|op| self.record(Event::Excused { op }));
     }
 
     /// Whether a host has reported readiness.
@@ -61,7 +63,9 @@
         if self.host_states[host as usize] != HostState::Starting {
             return;
         }
-        let role = ConnectionRole::Readiness { reader: ResponseReader::default() };
+        let role = ConnectionRole::Readiness {
+            reader: ResponseReader::default(),
+        };
         if let Some(index) = self.connect(host, role) {
             self.send(index, b"GET /ready HTTP/1.1\r\nHost: lab\r\n\r\n");
             self.set_timeout(index, READINESS_TIMEOUT);
--- a/crates/lab/src/fleet/peers/listeners.rs
+++ b/crates/lab/src/fleet/peers/listeners.rs
@@ -50,13 +50,19 @@
     }
 
     fn listener_state(&self, listener: &PeerListener) -> ConnectOutcome {
-        let by_link = self.links.connect_outcome(Peer::Host(listener.host), listener.peer);
+        let by_link = self
+            .links
+            .connect_outcome(Peer::Host(listener.host), listener.peer);
         let peer_is_down = match listener.peer {
             Peer::Node(node) => !self.nodes[node as usize].is_up(self.now()),
             Peer::List(list) => self.discovery[list as usize].behavior() == ServiceBehavior::Down,
             _ => false,
         };
-        if by_link == ConnectOutcome::Accepted && peer_is_down { ConnectOutcome::Refused } else { by_link }
+        if by_link == ConnectOutcome::Accepted && peer_is_down {
+            ConnectOutcome::Refused
+        } else {
+            by_link
+        }
     }
 
     /// Opens and closes listeners as links and peers are now.
@@ -81,7 +87,9 @@
         let mut listener = match entry.listener.take() {
             Some(listener) => listener,
             None => {
-                let Ok(mut listener) = TcpListener::bind(entry.address) else { return };
+                let Ok(mut listener) = TcpListener::bind(entry.address) else {
+                    return;
+                };
                 let _ = registry.register(&mut listener, token, Interest::READABLE);
                 listener
             }
@@ -102,9 +110,14 @@
 
     pub(super) fn accept(&mut self, index: usize) {
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
-            let entry = self.listeners.get(index).filter(|l| l.state == ConnectOutcome::Accepted);
+            let entry = self
+                .listeners
+                .get(index)
+                .filter(|l| l.state == ConnectOutcome::Accepted);
             let Some(entry) = entry else { return };
-            let Some(Ok((socket, _))) = entry.listener.as_ref().map(TcpListener::accept) else { return };
+            let Some(Ok((socket, _))) = entry.listener.as_ref().map(TcpListener::accept) else {
+                return;
+            };
             let _ = socket.set_nodelay(true);
             let (host, peer) = (entry.host, entry.peer);
             self.on_accepted(host, peer, socket);
@@ -112,7 +125,10 @@
         // More may wait, which an edge-triggered poll would not report again.
         if let Some(Some(listener)) = self.listeners.get_mut(index).map(|l| l.listener.as_mut()) {
             let token = listener_token(index);
-            let _ = self.poll.registry().reregister(listener, token, Interest::READABLE);
+            let _ = self
+                .poll
+                .registry()
+                .reregister(listener, token, Interest::READABLE);
         }
     }
 
@@ -122,9 +138,20 @@
             Peer::Node(node) => {
                 let over_limit = self.nodes[node as usize].connection_opened();
                 self.record(Event::NodeConnectionOpened { node, host });
-                ConnectionRole::Node { node, reader, pending: None, is_new: true, over_limit }
+                ConnectionRole::Node {
+                    node,
+                    reader,
+                    pending: None,
+                    is_new: true,
+                    over_limit,
+                }
             }
-            Peer::List(list) => ConnectionRole::Poll { list, reader, is_watch: false, stalled_since: None },
+            Peer::List(list) => ConnectionRole::Poll {
+                list,
+                reader,
+                is_watch: false,
+                stalled_since: None,
+            },
             Peer::Host(_) | Peer::Clients => return,
         };
         let index = self.register_connection(host, socket, role);
--- a/crates/lab/src/fleet/peers/membership.rs
+++ b/crates/lab/src/fleet/peers/membership.rs
@@ -102,9 +102,13 @@
     }
 
     fn bind_datagrams(&self, address: SocketAddr, index: u32) -> Result<UdpSocket, TestbedError> {
-        let mut socket = UdpSocket::bind(address).map_err(|source| TestbedError::Bind { address, source })?;
+        let mut socket =
+            UdpSocket::bind(address).map_err(|source| TestbedError::Bind { address, source })?;
         let token = Token(FIRST_DATAGRAM_TOKEN + index as usize);
-        let registered = self.poll.registry().register(&mut socket, token, Interest::READABLE);
+        let registered = self
+            .poll
+            .registry()
+            .register(&mut socket, token, Interest::READABLE);
         registered.map_err(TestbedError::Poll)?;
         Ok(socket)
     }
@@ -117,7 +121,9 @@
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
             let socket = self.membership.sockets.get(index);
-            let Some(Ok((len, address))) = socket.map(|s| s.recv_from(&mut bytes)) else { return };
+            let Some(Ok((len, address))) = socket.map(|s| s.recv_from(&mut bytes)) else {
+                return;
+            };
             let is_listener = |host: &u32| self.addresses.membership_listen(*host) == address;
             if let Some(from) = Addresses::host_of(address).filter(is_listener) {
                 self.forward_datagram(from, index as u32, &bytes[..len]);
@@ -126,7 +132,10 @@
         // More may wait, which an edge-triggered poll would not report again.
         if let Some(socket) = self.membership.sockets.get_mut(index) {
             let token = Token(FIRST_DATAGRAM_TOKEN + index);
-            let _ = self.poll.registry().reregister(socket, token, Interest::READABLE);
+            let _ = self
+                .poll
+                .registry()
+                .reregister(socket, token, Interest::READABLE);
         }
     }
 
@@ -139,13 +148,22 @@
             return;
         }
         for _ in 0..copies {
-            let jitter = if fault.jitter > 0 { self.rng.random_range(0..=fault.jitter) } else { 0 };
+            let jitter = if fault.jitter > 0 {
+                self.rng.random_range(0..=fault.jitter)
+            } else {
+                0
+            };
             let at = self.now() + fault.latency + jitter;
-            let place = self.membership.in_flight.insert(Datagram { to, from, bytes: bytes.to_vec() });
+            let place = self.membership.in_flight.insert(Datagram {
+                to,
+                from,
+                bytes: bytes.to_vec(),
+            });
             if fault.latency + jitter == 0 {
                 self.deliver_datagram(place);
             } else {
-                self.timers.push(Reverse((at, Timer::DeliverDatagram(place))));
+                self.timers
+                    .push(Reverse((at, Timer::DeliverDatagram(place))));
             }
         }
     }
@@ -162,7 +180,9 @@
     }
 
     pub(super) fn deliver_datagram(&mut self, place: u32) {
-        let Some(Datagram { to, from, bytes }) = self.membership.in_flight.remove(place) else { return };
+        let Some(Datagram { to, from, bytes }) = self.membership.in_flight.remove(place) else {
+            return;
+        };
         let address = self.addresses.membership_listen(to);
         if let Some(socket) = self.membership.sockets.get(from as usize) {
             let _ = socket.send_to(&bytes, address);
@@ -181,7 +201,10 @@
     pub fn query_membership(&mut self, host: u32) {
         let now = self.now();
         let queries = &mut self.membership.queries;
-        if queries.get(&host).is_some_and(|query| now < query.requested_at + QUERY_TIMEOUT) {
+        if queries
+            .get(&host)
+            .is_some_and(|query| now < query.requested_at + QUERY_TIMEOUT)
+        {
             return;
         }
         let table = MembershipSnapshot {
@@ -191,7 +214,13 @@
             digest: 0,
             members: Vec::new(),
         };
-        queries.insert(host, Query { requested_at: now, table });
+        queries.insert(
+            host,
+            Query {
+                requested_at: now,
+                table,
+            },
+        );
         self.send_from_stranger(host, &wire::encode_query(0));
     }
 
@@ -199,8 +228,12 @@
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
             let observer = self.membership.observer.as_ref();
-            let Some(Ok((len, address))) = observer.map(|s| s.recv_from(&mut bytes)) else { return };
-            let Ok(Message::Page(page)) = wire::decode_any_fleet(&bytes[..len]) else { continue };
+            let Some(Ok((len, address))) = observer.map(|s| s.recv_from(&mut bytes)) else {
+                return;
+            };
+            let Ok(Message::Page(page)) = wire::decode_any_fleet(&bytes[..len]) else {
+                continue;
+            };
             let mut queried = self.membership.queries.keys().copied();
             if let Some(host) = queried.find(|h| self.addresses.membership_listen(*h) == address) {
                 self.on_page(host, page);
@@ -209,19 +242,36 @@
     }
 
     fn on_page(&mut self, host: u32, page: MembershipPage) {
-        let Some(mut query) = self.membership.queries.remove(&host) else { return };
+        let Some(mut query) = self.membership.queries.remove(&host) else {
+            return;
+        };
         let table = &mut query.table;
         table.host = page.host.as_str().to_owned();
-        (table.isolated, table.superseded, table.digest) = (page.isolated, page.superseded, page.digest);
+        (table.isolated, table.superseded, table.digest) =
+            (page.isolated, page.superseded, page.digest);
         table.members.extend(page.members);
         if let Some(next) = page.next_id {
             self.membership.queries.insert(host, query);
             return self.send_from_stranger(host, &wire::encode_query(next));
         }
-        let Query { requested_at, table } = query;
+        let Query {
+            requested_at,
+            table,
+        } = query;
         let members = sampled_members(&table);
-        self.membership.samples.push(MembershipSample { requested_at, host, digest: table.digest, members });
-        self.membership.views.insert(host, MembershipView { requested_at, table });
+        self.membership.samples.push(MembershipSample {
+            requested_at,
+            host,
+            digest: table.digest,
+            members,
+        });
+        self.membership.views.insert(
+            host,
+            MembershipView {
+                requested_at,
+                table,
+            },
+        );
     }
 
     /// The last membership table that a host reported.
@@ -234,7 +284,11 @@
     let number = |name: &str| name.strip_prefix('n').and_then(|n| n.parse().ok());
     let members = table.members.iter().filter_map(|m| {
         let host = number(&m.record.name)?;
-        Some(SampledMember { host, state: m.state, generation: m.record.generation })
+        Some(SampledMember {
+            host,
+            state: m.state,
+            generation: m.record.generation,
+        })
     });
     members.collect()
 }
--- a/crates/lab/src/fleet/peers/nodes.rs
+++ b/crates/lab/src/fleet/peers/nodes.rs
@@ -19,7 +19,8 @@
     pub(crate) fn add_node(&mut self, shard: u32, cold: bool) -> Result<u32, TestbedError> {
         let node = self.nodes.len() as u32;
         let now = self.now();
-        let mut simulated = SimulatedNode::new(self.scenario.node_model.clone(), self.scenario.node_limits);
+        let mut simulated =
+            SimulatedNode::new(self.scenario.node_model.clone(), self.scenario.node_limits);
         let started_at = if cold { now.max(1) } else { 0 };
         if cold {
             simulated.start(now);
@@ -29,12 +30,20 @@
         for host in 0..self.scenario.hosts {
             self.add_listener(host, Peer::Node(node), self.addresses.node(host, node))?;
         }
-        let entry = ListedNode { shard, status: NodeStatus::Ready, started_at };
-        let is_initial = now < INITIAL_NODES_WITHIN || self.nodes.len() <= self.scenario.nodes as usize;
+        let entry = ListedNode {
+            shard,
+            status: NodeStatus::Ready,
+            started_at,
+        };
+        let is_initial =
+            now < INITIAL_NODES_WITHIN || self.nodes.len() <= self.scenario.nodes as usize;
         if is_initial {
             self.endpoints.add(entry);
         } else {
-            self.endpoints.add(ListedNode { status: NodeStatus::Removed, ..entry });
+            self.endpoints.add(ListedNode {
+                status: NodeStatus::Removed,
+                ..entry
+            });
             self.schedule_update(node, entry);
         }
         Ok(node)
@@ -62,7 +71,13 @@
         self.reset_node_connections(node);
         self.record(Event::NodeStopped { node });
         let entry = self.listed_node(node);
-        self.schedule_update(node, ListedNode { status: NodeStatus::Removed, ..entry });
+        self.schedule_update(
+            node,
+            ListedNode {
+                status: NodeStatus::Removed,
+                ..entry
+            },
+        );
         self.update_listeners();
     }
 
@@ -72,12 +87,21 @@
         self.nodes[node as usize].start(now);
         self.record(Event::NodeStarted { node });
         let entry = self.listed_node(node);
-        self.schedule_update(node, ListedNode { status: NodeStatus::Ready, started_at: now, ..entry });
+        self.schedule_update(
+            node,
+            ListedNode {
+                status: NodeStatus::Ready,
+                started_at: now,
+                ..entry
+            },
+        );
         self.update_listeners();
     }
 
     fn reset_node_connections(&mut self, node: u32) {
-        self.reset_connections(|role| matches!(role, ConnectionRole::Node { node: n, .. } if *n == node));
+        self.reset_connections(
+            |role| matches!(role, ConnectionRole::Node { node: n, .. } if *n == node),
+        );
         self.nodes[node as usize].connections = 0;
     }
 
@@ -91,9 +115,24 @@
         let units = placement_units(header("X-Placement")).unwrap_or(1);
         let write = head.method == "PUT";
         let now = self.now();
-        let Some(connection) = self.connections.get_mut(index) else { return };
-        let (id, host) = (ConnectionId { index, serial: connection.serial }, connection.host);
-        let ConnectionRole::Node { node, pending, is_new, over_limit, .. } = &mut connection.role else {
+        let Some(connection) = self.connections.get_mut(index) else {
+            return;
+        };
+        let (id, host) = (
+            ConnectionId {
+                index,
+                serial: connection.serial,
+            },
+            connection.host,
+        );
+        let ConnectionRole::Node {
+            node,
+            pending,
+            is_new,
+            over_limit,
+            ..
+        } = &mut connection.role
+        else {
             return;
         };
         *pending = Some(op);
@@ -105,7 +144,13 @@
             first_on_connection: std::mem::take(is_new),
             over_limit: *over_limit,
         };
-        self.record(Event::NodeReceived { node, host, op, units, write });
+        self.record(Event::NodeReceived {
+            node,
+            host,
+            op,
+            units,
+            write,
+        });
         match self.nodes[node as usize].receive(now, request) {
             Arrival::Queued => {}
             Arrival::Rejected => self.respond(index, node, op, false),
@@ -119,7 +164,11 @@
         self.update_listeners();
         let restarts_at = now + self.scenario.node_limits.restart_after;
         let entry = self.listed_node(node);
-        let entry = ListedNode { started_at: restarts_at, status: NodeStatus::Ready, ..entry };
+        let entry = ListedNode {
+            started_at: restarts_at,
+            status: NodeStatus::Ready,
+            ..entry
+        };
         self.schedule_update_from(restarts_at, node, entry);
     }
 
@@ -141,5 +190,10 @@
 }
 
 fn placement_units(placement: &str) -> Option<u32> {
-    placement.strip_prefix("units=")?.split(',').next()?.parse().ok()
+    placement
+        .strip_prefix("units=")?
+        .split(',')
+        .next()?
+        .parse()
+        .ok()
 }
--- a/crates/lab/src/fleet/processes.rs
+++ b/crates/lab/src/fleet/processes.rs
@@ -26,9 +26,15 @@
     pub fn next_to(this: &Path) -> Self {
         let gateway = this.with_file_name("mallowseam");
         if gateway.is_file() {
-            Program { path: gateway, args: vec!["host".into()] }
+            Program {
+                path: gateway,
+                args: vec!["host".into()],
+            }
         } else {
-            Program { path: this.to_owned(), args: vec!["host".into(), "host".into()] }
+            Program {
+                path: this.to_owned(),
+                args: vec!["host".into(), "host".into()],
+            }
         }
     }
 
@@ -64,7 +70,12 @@
     /// No host runs at first. Configurations and logs are written to `dir`.
     pub(crate) fn new(program: Program, dir: &Path, hosts: u32, max_descriptors: u32) -> Self {
         let children = (0..hosts).map(|_| None).collect();
-        HostProcesses { program, dir: dir.to_owned(), children, max_descriptors }
+        HostProcesses {
+            program,
+            dir: dir.to_owned(),
+            children,
+            max_descriptors,
+        }
     }
 
     /// Path of a host's configuration.
@@ -85,10 +96,17 @@
         self.kill(host);
         let failed = |source: std::io::Error| TestbedError::Host { host, source };
         std::fs::write(self.config(host), config).map_err(failed)?;
-        let log = File::options().create(true).append(true).open(self.log(host)).map_err(failed)?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log(host))
+            .map_err(failed)?;
         // The shell sets the limit and becomes the program, so that its process id is the host's.
         let child = Command::new("/bin/sh")
-            .args(["-c", &format!("ulimit -n {}; exec \"$0\" \"$@\"", self.max_descriptors)])
+            .args([
+                "-c",
+                &format!("ulimit -n {}; exec \"$0\" \"$@\"", self.max_descriptors),
+            ])
             .arg(&self.program.path)
             .args(&self.program.args)
             .env("GW_CONFIG", self.config(host))
@@ -154,11 +172,19 @@
         let memory_kb = memory.split_whitespace().next()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         // The process name stands in brackets and may contain spaces.
-        let mut fields = stat.rsplit(')').next()?.split_whitespace().skip(STAT_FIELDS_BEFORE_CPU_TIME);
+        let mut fields = stat
+            .rsplit(')')
+            .next()?
+            .split_whitespace()
+            .skip(STAT_FIELDS_BEFORE_CPU_TIME);
         let mut ticks = || fields.next()?.parse::<u64>().ok();
         let cpu_ms = (ticks()? + ticks()?) * MS_PER_TICK;
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count();
-        Some(ResourceUsage { memory_kb, cpu_ms, descriptors })
+        Some(ResourceUsage {
+            memory_kb,
+            cpu_ms,
+            descriptors,
+        })
     }
 }
 
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -97,7 +97,10 @@
 
 impl IndexRange {
     /// Every index.
-    pub const ALL: IndexRange = IndexRange { start: 0, end: u32::MAX };
+    pub const ALL: IndexRange = IndexRange {
+        start: 0,
+        end: u32::MAX,
+    };
 
     /// Whether it contains an index.
     pub(crate) fn contains(self, index: u32) -> bool {
@@ -176,7 +179,8 @@
 
     /// Whether a host takes part in the membership protocol.
     pub(crate) fn has_membership(&self, host: u32) -> bool {
-        self.membership.is_some_and(|m| m.participants.contains(host))
+        self.membership
+            .is_some_and(|m| m.participants.contains(host))
     }
 
     /// How many polls may wait: what the service handles in about a second.
--- a/crates/lab/src/fleet/scenario/faults.rs
+++ b/crates/lab/src/fleet/scenario/faults.rs
@@ -13,11 +13,17 @@
 
 impl FaultActions {
     fn lasting(begin: FaultAction, end: FaultAction) -> Self {
-        FaultActions { begin: vec![begin], end: vec![end] }
+        FaultActions {
+            begin: vec![begin],
+            end: vec![end],
+        }
     }
 
     fn momentary(action: FaultAction) -> Self {
-        FaultActions { begin: vec![action], end: Vec::new() }
+        FaultActions {
+            begin: vec![action],
+            end: Vec::new(),
+        }
     }
 }
 
@@ -36,8 +42,11 @@
             FaultActions::lasting(FaultAction::ScaleLoad(factor), FaultAction::ScaleLoad(1.0))
         }
     };
-    let schedule =
-        |at, actions: Vec<FaultAction>| actions.into_iter().map(move |action| ScheduledFault { at, action });
+    let schedule = |at, actions: Vec<FaultAction>| {
+        actions
+            .into_iter()
+            .map(move |action| ScheduledFault { at, action })
+    };
     let has_end = !end.is_empty();
     let mut faults: Vec<ScheduledFault> = schedule(at, begin).collect();
     if has_end {
@@ -45,23 +54,40 @@
             args.value::<()>("for DURATION", |_| None);
             return Some(faults);
         }
-        let Some(duration) = args.duration(DURATION) else { return Some(faults) };
+        let Some(duration) = args.duration(DURATION) else {
+            return Some(faults);
+        };
         faults.extend(schedule(at + duration, end));
     }
     Some(faults)
 }
 
 fn keyword<'a>(args: &mut Arguments, expected: &str, keywords: &[&'a str]) -> Option<&'a str> {
-    args.value(expected, |word| keywords.iter().copied().find(|keyword| *keyword == word))
+    args.value(expected, |word| {
+        keywords.iter().copied().find(|keyword| *keyword == word)
+    })
 }
 
 fn host_fault(args: &mut Arguments) -> Option<FaultActions> {
     let hosts = index_range(args)?;
-    let kind = keyword(args, "kill, term, stall or move", &["kill", "term", "stall", "move"])?;
+    let kind = keyword(
+        args,
+        "kill, term, stall or move",
+        &["kill", "term", "stall", "move"],
+    )?;
     Some(match kind {
-        "kill" => FaultActions::lasting(FaultAction::KillHosts(hosts), FaultAction::StartHosts(hosts)),
-        "term" => FaultActions::lasting(FaultAction::TerminateHosts(hosts), FaultAction::StartHosts(hosts)),
-        "stall" => FaultActions::lasting(FaultAction::PauseHosts(hosts), FaultAction::ResumeHosts(hosts)),
+        "kill" => FaultActions::lasting(
+            FaultAction::KillHosts(hosts),
+            FaultAction::StartHosts(hosts),
+        ),
+        "term" => FaultActions::lasting(
+            FaultAction::TerminateHosts(hosts),
+            FaultAction::StartHosts(hosts),
+        ),
+        "stall" => FaultActions::lasting(
+            FaultAction::PauseHosts(hosts),
+            FaultAction::ResumeHosts(hosts),
+        ),
         _ => FaultActions::momentary(FaultAction::RedirectHosts(hosts)),
     })
 }
@@ -70,12 +96,21 @@
     let nodes = index_range(args)?;
     let kind = keyword(args, "kill, slow or replace", &["kill", "slow", "replace"])?;
     Some(match kind {
-        "kill" => FaultActions::lasting(FaultAction::StopNodes(nodes), FaultAction::StartNodes(nodes)),
+        "kill" => FaultActions::lasting(
+            FaultAction::StopNodes(nodes),
+            FaultAction::StartNodes(nodes),
+        ),
         "slow" => {
             let factor = args.number("a multiple", 0.01, 1_000.0)?;
-            FaultActions::lasting(FaultAction::SlowNodes(nodes, factor), FaultAction::SlowNodes(nodes, 1.0))
+            FaultActions::lasting(
+                FaultAction::SlowNodes(nodes, factor),
+                FaultAction::SlowNodes(nodes, 1.0),
+            )
         }
-        _ => FaultActions::lasting(FaultAction::ReplaceNodes(nodes), FaultAction::RemoveNodes(nodes)),
+        _ => FaultActions::lasting(
+            FaultAction::ReplaceNodes(nodes),
+            FaultAction::RemoveNodes(nodes),
+        ),
     })
 }
 
@@ -86,25 +121,39 @@
         "away" => ServiceBehavior::Down,
         "mute" => ServiceBehavior::Hung,
         "refuses" => ServiceBehavior::Rejecting(args.percent("a percentage")?),
-        "forgets" => return Some(FaultActions::momentary(FaultAction::StallWatches(index_range(args)?))),
+        "forgets" => {
+            return Some(FaultActions::momentary(FaultAction::StallWatches(
+                index_range(args)?,
+            )));
+        }
         _ => {
             let factor = args.number("a multiple", 0.01, 1_000.0)?;
-            let (begin, end) = (FaultAction::SlowDiscovery(factor), FaultAction::SlowDiscovery(1.0));
+            let (begin, end) = (
+                FaultAction::SlowDiscovery(factor),
+                FaultAction::SlowDiscovery(1.0),
+            );
             return Some(FaultActions::lasting(begin, end));
         }
     };
     let normal = FaultAction::SetDiscoveryBehavior(ServiceBehavior::Normal);
-    Some(FaultActions::lasting(FaultAction::SetDiscoveryBehavior(behavior), normal))
+    Some(FaultActions::lasting(
+        FaultAction::SetDiscoveryBehavior(behavior),
+        normal,
+    ))
 }
 
 fn link_fault(args: &mut Arguments) -> Option<FaultActions> {
-    const PEERS: &str = "all, hosts, nodes, lists, clients, hostN, nodeN, listN, zoneN, hostN..M or nodeN..M";
+    const PEERS: &str =
+        "all, hosts, nodes, lists, clients, hostN, nodeN, listN, zoneN, hostN..M or nodeN..M";
     let from = args.value(PEERS, peer_set)?;
     let to = args.value(PEERS, peer_set)?;
     let one_way = args.accept("one-way");
     let fault = link_properties(args)?;
     if fault == LinkFault::default() {
-        args.value::<()>("silent, refused, slow, spread, bytes, loss, repeats or cut-after", |_| None);
+        args.value::<()>(
+            "silent, refused, slow, spread, bytes, loss, repeats or cut-after",
+            |_| None,
+        );
         return None;
     }
     let mut directions = vec![(from, to)];
@@ -114,10 +163,17 @@
     let set = |fault| {
         directions
             .iter()
-            .map(move |(from, to)| FaultAction::SetLink { from: *from, to: *to, fault })
+            .map(move |(from, to)| FaultAction::SetLink {
+                from: *from,
+                to: *to,
+                fault,
+            })
             .collect()
     };
-    Some(FaultActions { begin: set(fault), end: set(LinkFault::default()) })
+    Some(FaultActions {
+        begin: set(fault),
+        end: set(LinkFault::default()),
+    })
 }
 
 fn link_properties(args: &mut Arguments) -> Option<LinkFault> {
@@ -152,14 +208,23 @@
             return Some(IndexRange::ALL);
         }
         match word.split_once("..") {
-            Some((start, end)) => Some(IndexRange { start: start.parse().ok()?, end: end.parse().ok()? }),
-            None => word.parse().ok().map(|n: u32| IndexRange { start: n, end: n.saturating_add(1) }),
+            Some((start, end)) => Some(IndexRange {
+                start: start.parse().ok()?,
+                end: end.parse().ok()?,
+            }),
+            None => word.parse().ok().map(|n: u32| IndexRange {
+                start: n,
+                end: n.saturating_add(1),
+            }),
         }
     })
 }
 
 fn peer_set(word: &str) -> Option<PeerSet> {
-    let number = |prefix: &str| word.strip_prefix(prefix).and_then(|n| n.parse::<u32>().ok());
+    let number = |prefix: &str| {
+        word.strip_prefix(prefix)
+            .and_then(|n| n.parse::<u32>().ok())
+    };
     let range = |prefix: &str| {
         let (start, end) = word.strip_prefix(prefix)?.split_once("..")?;
         Some((start.parse().ok()?, end.parse().ok()?))
@@ -174,7 +239,8 @@
     }
     let single = || {
         let host = number("host").map(Peer::Host);
-        host.or_else(|| number("node").map(Peer::Node)).or_else(|| number("list").map(Peer::List))
+        host.or_else(|| number("node").map(Peer::Node))
+            .or_else(|| number("list").map(Peer::List))
     };
     range("host")
         .map(|(start, end)| PeerSet::HostRange(start, end))
--- a/crates/lab/src/fleet/scenario/parse.rs
+++ b/crates/lab/src/fleet/scenario/parse.rs
@@ -32,7 +32,11 @@
     require_directives(&scenario, &mut problems);
     scenario.load.volumes = scenario.load.volumes.max(VOLUMES_PER_HOST * scenario.hosts);
     scenario.faults.sort_by_key(|fault| fault.at);
-    if problems.is_empty() { Ok(scenario) } else { Err(problems.sorted()) }
+    if problems.is_empty() {
+        Ok(scenario)
+    } else {
+        Err(problems.sorted())
+    }
 }
 
 fn defaults(file: &str) -> Scenario {
@@ -44,7 +48,11 @@
         zones: 1,
         nodes: 0,
         node_model: ServiceModel::warm(1, 20_000.0, 32),
-        node_limits: NodeLimits { max_connections: 64, handshake: 1_000, restart_after: 4_000_000 },
+        node_limits: NodeLimits {
+            max_connections: 64,
+            handshake: 1_000,
+            restart_after: 4_000_000,
+        },
         nodes_start_cold: false,
         load: LoadProfile {
             operations_per_second: 0.0,
@@ -88,18 +96,23 @@
         "hosts" => hosts(scenario, args),
         "limits" => {
             scenario.memory_mb = args.integer("megabytes from 16", 16, 65_536).unwrap_or(32) as u32;
-            scenario.max_descriptors = args.integer("descriptors from 64", 64, 65_536).unwrap_or(256) as u32;
+            scenario.max_descriptors = args
+                .integer("descriptors from 64", 64, 65_536)
+                .unwrap_or(256) as u32;
         }
         "zones" => scenario.zones = args.integer("1 to 16", 1, 16).unwrap_or(1) as u32,
         "nodes" => nodes(scenario, args),
         "lines" => {
             let limits = &mut scenario.node_limits;
-            limits.max_connections = args.integer("connections at a node", 1, 65_536).unwrap_or(1) as usize;
+            limits.max_connections = args
+                .integer("connections at a node", 1, 65_536)
+                .unwrap_or(1) as usize;
             limits.handshake = args.duration("the work of a new connection").unwrap_or(0);
         }
         "cold" => {
             script::cold_start(&mut scenario.node_model, args);
-            scenario.node_limits.restart_after = args.duration("how long one that fell is down").unwrap_or(0);
+            scenario.node_limits.restart_after =
+                args.duration("how long one that fell is down").unwrap_or(0);
         }
         "clients" => clients(scenario, args),
         "list" => discovery(scenario, args),
@@ -143,7 +156,8 @@
     let load = &mut scenario.load;
     while args.has_more() {
         if args.accept("rate") {
-            load.operations_per_second = args.rate("block I/Os a second such as 50/s").unwrap_or(0.0);
+            load.operations_per_second =
+                args.rate("block I/Os a second such as 50/s").unwrap_or(0.0);
         } else if args.accept("posts") {
             load.write_fraction = args.percent("a percentage").unwrap_or(0.0);
         } else if args.accept("again") {
@@ -151,7 +165,9 @@
         } else if args.accept("at-once") {
             load.backs_off = false;
         } else if args.accept("uneven") {
-            load.skew = args.number("a multiple from 1 up", 1.0, 1_000.0).unwrap_or(1.0);
+            load.skew = args
+                .number("a multiple from 1 up", 1.0, 1_000.0)
+                .unwrap_or(1.0);
         } else {
             args.value::<()>("rate, posts, again, at-once or uneven", |_| None);
         }
--- a/crates/lab/src/fleet/simulated_node.rs
+++ b/crates/lab/src/fleet/simulated_node.rs
@@ -102,7 +102,8 @@
     }
 
     fn age(&self, now: Micros) -> Micros {
-        self.started_at.map_or(Micros::MAX / 2, |started_at| now.saturating_sub(started_at))
+        self.started_at
+            .map_or(Micros::MAX / 2, |started_at| now.saturating_sub(started_at))
     }
 
     /// Its speed as a fraction of a warm node's.
@@ -138,7 +139,11 @@
         if age > self.model.warm_up || self.model.overload_window == 0 {
             return false;
         }
-        while self.recent.front().is_some_and(|(at, _)| at + self.model.overload_window < now) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, _)| at + self.model.overload_window < now)
+        {
             self.recent.pop_front();
         }
         self.recent.push_back((now, units));
@@ -150,9 +155,15 @@
 
     fn start_queued(&mut self, now: Micros) {
         while self.running.len() < self.model.cores {
-            let Some(request) = self.queue.pop_front() else { return };
+            let Some(request) = self.queue.pop_front() else {
+                return;
+            };
             let work = request.units * self.model.unit_work * self.slowdown;
-            let handshake = if request.first_on_connection { self.limits.handshake } else { 0 };
+            let handshake = if request.first_on_connection {
+                self.limits.handshake
+            } else {
+                0
+            };
             let duration = (work + handshake as f64) / self.speed_fraction(now);
             self.running.push((now + duration as Micros, request));
         }
@@ -177,6 +188,7 @@
 
     /// A connection was closed: its queued requests are not executed.
     pub fn connection_closed(&mut self, connection: C) {
-        self.queue.retain(|request| request.connection != connection);
+        self.queue
+            .retain(|request| request.connection != connection);
     }
 }
--- a/crates/lab/src/fleet/testbed.rs
+++ b/crates/lab/src/fleet/testbed.rs
@@ -68,7 +68,11 @@
     testbed.start_all()?;
     testbed.peers.set_clients_active(true);
     testbed.next_query = scenario.membership.map(|_| NextQuery { host: 0, at: 0 });
-    for fault in scenario.faults.iter().filter(|fault| fault.at < scenario.duration) {
+    for fault in scenario
+        .faults
+        .iter()
+        .filter(|fault| fault.at < scenario.duration)
+    {
         testbed.run_until(fault.at);
         on_fault(testbed.peers.now(), &format!("{:?}", fault.action));
         testbed.apply(fault)?;
@@ -82,11 +86,21 @@
     ///
     /// # Errors
     /// A socket can't be opened.
-    pub fn open(scenario: &Scenario, seed: u64, program: &Program, dir: &Path) -> Result<Self, TestbedError> {
+    pub fn open(
+        scenario: &Scenario,
+        seed: u64,
+        program: &Program,
+        dir: &Path,
+    ) -> Result<Self, TestbedError> {
         let hosts = scenario.hosts as usize;
         Ok(Testbed {
             peers: SimulatedPeers::open(scenario, seed)?,
-            processes: HostProcesses::new(program.clone(), dir, scenario.hosts, scenario.max_descriptors),
+            processes: HostProcesses::new(
+                program.clone(),
+                dir,
+                scenario.hosts,
+                scenario.max_descriptors,
+            ),
             host_seeds: Pcg64Mcg::seed_from_u64(seed ^ HOST_SEED_SALT),
             lists: vec![0; hosts],
             terminated_at: vec![None; hosts],
@@ -119,7 +133,8 @@
     }
 
     fn draw_config(&mut self, host: u32) -> String {
-        self.peers.host_config(host, self.lists[host as usize], self.host_seeds.random())
+        self.peers
+            .host_config(host, self.lists[host as usize], self.host_seeds.random())
     }
 
     /// Sends SIGKILL to a host that runs.
@@ -141,13 +156,23 @@
 
     /// Stops a host's process by SIGSTOP, or lets it continue by SIGCONT.
     pub fn set_paused(&mut self, host: u32, paused: bool) {
-        self.processes.signal(host, if paused { Signal::SIGSTOP } else { Signal::SIGCONT });
+        self.processes.signal(
+            host,
+            if paused {
+                Signal::SIGSTOP
+            } else {
+                Signal::SIGCONT
+            },
+        );
         self.peers.set_paused(host, paused);
     }
 
     fn record_stop(&mut self, host: u32, by: Termination) {
         let at = self.peers.now();
-        self.peers.observations.push(Observation { at, event: Event::HostStopped { host, by } });
+        self.peers.observations.push(Observation {
+            at,
+            event: Event::HostStopped { host, by },
+        });
         if by != Termination::Requested {
             self.peers.host_stopped(host);
         }
@@ -159,13 +184,18 @@
         let before = self.peers.now();
         self.peers.run_once(ITERATION);
         let elapsed = self.peers.now() - before;
-        self.max_lag = self.max_lag.max(elapsed.saturating_sub(ITERATION.as_micros() as Micros));
+        self.max_lag = self
+            .max_lag
+            .max(elapsed.saturating_sub(ITERATION.as_micros() as Micros));
         self.kill_overdue(before);
         for (host, code) in self.processes.reap_exited() {
             let was_requested = self.terminated_at[host as usize].take().is_some();
             if !was_requested || code != 0 {
                 let log = self.processes.log(host);
-                self.crashed.push(format!("host {host} ended with {code}, see {}", log.display()));
+                self.crashed.push(format!(
+                    "host {host} ended with {code}, see {}",
+                    log.display()
+                ));
             }
             self.record_stop(host, Termination::Exited(code));
         }
@@ -174,9 +204,13 @@
     /// Kills the hosts that have not ended in time after SIGTERM.
     fn kill_overdue(&mut self, now: Micros) {
         let load = &self.scenario.load;
-        let longest = load.write_timeout.max(load.read_timeout).min(MAX_LONGEST_DEADLINE);
+        let longest = load
+            .write_timeout
+            .max(load.read_timeout)
+            .min(MAX_LONGEST_DEADLINE);
         for host in 0..self.scenario.hosts {
-            if self.terminated_at[host as usize].is_some_and(|at| now >= at + longest + KILL_DELAY) {
+            if self.terminated_at[host as usize].is_some_and(|at| now >= at + longest + KILL_DELAY)
+            {
                 self.terminated_at[host as usize] = None;
                 self.kill(host);
             }
@@ -185,7 +219,9 @@
 
     /// Queries the membership tables of hosts, one after the other.
     fn query_memberships(&mut self) {
-        let Some(NextQuery { mut host, mut at }) = self.next_query else { return };
+        let Some(NextQuery { mut host, mut at }) = self.next_query else {
+            return;
+        };
         let now = self.peers.now();
         let gap = QUERY_INTERVAL / Micros::from(self.scenario.hosts.min(MAX_QUERIES_PER_INTERVAL));
         for _ in 0..self.scenario.hosts {
@@ -209,7 +245,11 @@
     }
 
     /// Runs until a condition holds, for so long at most. Returns whether it does.
-    pub fn wait_for(&mut self, timeout: Duration, mut condition: impl FnMut(&mut Testbed) -> bool) -> bool {
+    pub fn wait_for(
+        &mut self,
+        timeout: Duration,
+        mut condition: impl FnMut(&mut Testbed) -> bool,
+    ) -> bool {
         let end = self.peers.now() + timeout.as_micros() as Micros;
         loop {
             if condition(self) {
@@ -232,29 +272,39 @@
             FaultAction::StartHosts(hosts) => {
                 self.hosts(hosts).try_for_each(|host| self.start(host))?;
             }
-            FaultAction::TerminateHosts(hosts) => self.hosts(hosts).for_each(|host| self.terminate(host)),
+            FaultAction::TerminateHosts(hosts) => {
+                self.hosts(hosts).for_each(|host| self.terminate(host))
+            }
             FaultAction::PauseHosts(hosts) => {
-                self.hosts(hosts).for_each(|host| self.set_paused(host, true));
+                self.hosts(hosts)
+                    .for_each(|host| self.set_paused(host, true));
             }
             FaultAction::ResumeHosts(hosts) => {
-                self.hosts(hosts).for_each(|host| self.set_paused(host, false));
+                self.hosts(hosts)
+                    .for_each(|host| self.set_paused(host, false));
             }
             FaultAction::RedirectHosts(hosts) => {
                 self.hosts(hosts).try_for_each(|host| self.redirect(host))?;
             }
             FaultAction::StopNodes(nodes) | FaultAction::RemoveNodes(nodes) => {
-                self.nodes(nodes).for_each(|node| self.peers.stop_node(node));
+                self.nodes(nodes)
+                    .for_each(|node| self.peers.stop_node(node));
             }
             FaultAction::StartNodes(nodes) => {
-                self.nodes(nodes).for_each(|node| self.peers.start_node(node));
+                self.nodes(nodes)
+                    .for_each(|node| self.peers.start_node(node));
             }
             FaultAction::SlowNodes(nodes, factor) => {
-                self.nodes(nodes).for_each(|node| self.peers.nodes[node as usize].slowdown = factor);
+                self.nodes(nodes)
+                    .for_each(|node| self.peers.nodes[node as usize].slowdown = factor);
             }
             FaultAction::ReplaceNodes(nodes) => {
-                self.nodes(nodes).try_for_each(|node| self.replace_node(node))?;
+                self.nodes(nodes)
+                    .try_for_each(|node| self.replace_node(node))?;
+            }
+            FaultAction::SetDiscoveryBehavior(behavior) => {
+                self.peers.set_discovery_behavior(0, behavior)
             }
-            FaultAction::SetDiscoveryBehavior(behavior) => self.peers.set_discovery_behavior(0, behavior),
             FaultAction::StallWatches(hosts) => self.peers.stall_watches(self.hosts(hosts)),
             FaultAction::SlowDiscovery(factor) => {
                 let service_time = (self.scenario.service_time as f64 * factor) as Micros;
@@ -285,7 +335,13 @@
     fn replace_node(&mut self, node: u32) -> Result<(), TestbedError> {
         let entry = self.peers.listed_node(node);
         self.peers.add_node(entry.shard, true)?;
-        self.peers.schedule_update(node, ListedNode { status: NodeStatus::Draining, ..entry });
+        self.peers.schedule_update(
+            node,
+            ListedNode {
+                status: NodeStatus::Draining,
+                ..entry
+            },
+        );
         Ok(())
     }
 
@@ -293,13 +349,19 @@
     pub fn finish(mut self) -> Outcome {
         self.peers.set_clients_active(false);
         self.wait_for(DRAIN_TIMEOUT, |testbed| testbed.peers.in_flight() == 0);
-        let usage = (0..self.scenario.hosts).filter_map(|host| self.processes.usage(host)).collect();
+        let usage = (0..self.scenario.hosts)
+            .filter_map(|host| self.processes.usage(host))
+            .collect();
         let open_watches = self.peers.watch_count();
         let observations = std::mem::take(&mut self.peers.observations);
         self.terminate_all();
         let bytes_sent: u64 = self.peers.membership.bytes_sent.iter().sum();
         let host_seconds = f64::from(self.scenario.hosts) * self.peers.now() as f64 / 1e6;
-        let lag = if self.max_lag > LAG_TOLERANCE { self.max_lag } else { 0 };
+        let lag = if self.max_lag > LAG_TOLERANCE {
+            self.max_lag
+        } else {
+            0
+        };
         Outcome {
             verdict: audit::check(&self.scenario, &observations, lag),
             observations,
@@ -308,7 +370,12 @@
             open_watches,
             membership_samples: std::mem::take(&mut self.peers.membership.samples),
             membership_bytes_per_second: bytes_sent as f64 / host_seconds,
-            peak_cold_load: self.peers.nodes.iter().map(|node| node.peak_cold_load).fold(0.0, f64::max),
+            peak_cold_load: self
+                .peers
+                .nodes
+                .iter()
+                .map(|node| node.peak_cold_load)
+                .fold(0.0, f64::max),
             crashed: self.crashed,
         }
     }
@@ -316,10 +383,12 @@
     fn terminate_all(&mut self) {
         let hosts = 0..self.scenario.hosts;
         hosts.clone().for_each(|host| self.terminate(host));
-        let all_ended = |testbed: &mut Testbed| !hosts.clone().any(|host| testbed.processes.running(host));
+        let all_ended =
+            |testbed: &mut Testbed| !hosts.clone().any(|host| testbed.processes.running(host));
         if !self.wait_for(DRAIN_TIMEOUT, all_ended) {
             let left = hosts.filter(|host| self.processes.running(*host)).count();
-            self.crashed.push(format!("{left} hosts did not end when told to"));
+            self.crashed
+                .push(format!("{left} hosts did not end when told to"));
         }
     }
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -103,7 +103,11 @@
         let thread = std::thread::Builder::new()
             .name("load".into())
             .spawn(move || Generator::new(config, trace, poll, seed).run(&receiver))?;
-        Ok(Load { behaviours, waker, thread: Some(thread) })
+        Ok(Load {
+            behaviours,
+            waker,
+            thread: Some(thread),
+        })
     }
 
     /// Changes the clients' behaviour.
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -68,7 +68,8 @@
         let volume = index as usize % volumes;
         let position = u64::from(index) / volumes as u64;
         let clients_per_volume = u64::from(config.clients).div_ceil(volumes as u64);
-        let area = config.volumes[volume].blocks / clients_per_volume / ACCOUNT_BLOCKS * ACCOUNT_BLOCKS;
+        let area =
+            config.volumes[volume].blocks / clients_per_volume / ACCOUNT_BLOCKS * ACCOUNT_BLOCKS;
         Client {
             index,
             host: index as usize % config.hosts.len(),
@@ -93,9 +94,23 @@
 
     /// When something is next due for the client.
     pub(super) fn next_timer(&self) -> Micros {
-        let retry = self.retries.iter().map(|r| r.at).min().unwrap_or(Micros::MAX);
-        let deadline = self.in_flight.iter().map(|c| c.deadline).min().unwrap_or(Micros::MAX);
-        let next = if self.link.is_some() { self.next_command_at } else { self.connect_at };
+        let retry = self
+            .retries
+            .iter()
+            .map(|r| r.at)
+            .min()
+            .unwrap_or(Micros::MAX);
+        let deadline = self
+            .in_flight
+            .iter()
+            .map(|c| c.deadline)
+            .min()
+            .unwrap_or(Micros::MAX);
+        let next = if self.link.is_some() {
+            self.next_command_at
+        } else {
+            self.connect_at
+        };
         next.min(retry).min(deadline)
     }
 }
--- a/crates/lab/src/load/commands.rs
+++ b/crates/lab/src/load/commands.rs
@@ -82,7 +82,9 @@
 
     fn half_logins(&mut self, count: usize) {
         for i in 0..count {
-            let Ok(mut socket) = TcpStream::connect(self.host_of_stranger(i)) else { continue };
+            let Ok(mut socket) = TcpStream::connect(self.host_of_stranger(i)) else {
+                continue;
+            };
             let mut session =
                 InitiatorConnection::new("iqn.half", Some("iqn.x"), [0; 6], &self.config.proposal);
             let bytes = session.send_buffer().unsent();
@@ -107,12 +109,21 @@
     /// A login and, behind it, a malformed PDU.
     fn garbage(&mut self, i: usize) -> Vec<u8> {
         let name = format!("iqn.garbage{i}");
-        let mut session =
-            InitiatorConnection::new(&name, Some(&self.config.target), [1; 6], &self.config.proposal);
+        let mut session = InitiatorConnection::new(
+            &name,
+            Some(&self.config.target),
+            [1; 6],
+            &self.config.proposal,
+        );
         let mut bytes = session.send_buffer().unsent().to_vec();
         let mut malformed = SendBuffer::default();
         let rng = &mut self.clients[0].rng;
-        let opcodes = [opcode::SCSI_COMMAND, opcode::DATA_OUT, opcode::SNACK, UNDEFINED_OPCODE];
+        let opcodes = [
+            opcode::SCSI_COMMAND,
+            opcode::DATA_OUT,
+            opcode::SNACK,
+            UNDEFINED_OPCODE,
+        ];
         let mut bhs = Bhs::new(opcodes[i % opcodes.len()], flag::WRITE);
         for byte in &mut bhs.bytes_mut()[8..] {
             *byte = rng.random();
--- a/crates/lab/src/load/generator.rs
+++ b/crates/lab/src/load/generator.rs
@@ -32,7 +32,9 @@
 impl Generator {
     pub(super) fn new(config: LoadConfig, trace: Trace, poll: Poll, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let clients = (0..config.clients).map(|i| Client::new(i, &config, &mut rng)).collect();
+        let clients = (0..config.clients)
+            .map(|i| Client::new(i, &config, &mut rng))
+            .collect();
         Generator {
             surges: vec![1.0; config.volumes.len()],
             config,
@@ -52,10 +54,17 @@
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             let now = self.trace.now();
-            let due = self.clients.iter().map(Client::next_timer).min().unwrap_or(now);
+            let due = self
+                .clients
+                .iter()
+                .map(Client::next_timer)
+                .min()
+                .unwrap_or(now);
             let wait = due.saturating_sub(now).clamp(WAIT.0, WAIT.1);
             // An interrupted wait is like an early one.
-            let _ = self.poll.poll(&mut events, Some(Duration::from_micros(wait)));
+            let _ = self
+                .poll
+                .poll(&mut events, Some(Duration::from_micros(wait)));
             while let Ok(behaviour) = behaviours.try_recv() {
                 if behaviour == Behaviour::Stop {
                     return;
--- a/crates/lab/src/load/requests.rs
+++ b/crates/lab/src/load/requests.rs
@@ -37,7 +37,11 @@
         self.abort_late(index, now);
         let client = &mut self.clients[index];
         if client.logout_requested {
-            if let Some(link) = client.link.as_mut().filter(|link| link.session.in_flight() == 0) {
+            if let Some(link) = client
+                .link
+                .as_mut()
+                .filter(|link| link.session.in_flight() == 0)
+            {
                 link.session.send_logout_request();
                 client.logout_requested = false;
             }
@@ -69,7 +73,11 @@
 
     /// Sends the retries and the new command that are due.
     fn send_due(&mut self, index: usize, now: Micros) {
-        while let Some(i) = self.clients[index].retries.iter().position(|retry| retry.at <= now) {
+        while let Some(i) = self.clients[index]
+            .retries
+            .iter()
+            .position(|retry| retry.at <= now)
+        {
             let Retry { command, .. } = self.clients[index].retries.swap_remove(i);
             self.send_command(index, command.write, command.lba, command.blocks, true);
             if self.clients[index].link.is_none() {
@@ -98,7 +106,11 @@
         }
         let pair = client.rng.random::<f64>() < PAIR_FRACTION;
         let whole = client.rng.random::<f64>() < WHOLE_ACCOUNT_FRACTION;
-        let blocks = if whole { ACCOUNT_BLOCKS as u32 } else { PART_OF_ACCOUNT };
+        let blocks = if whole {
+            ACCOUNT_BLOCKS as u32
+        } else {
+            PART_OF_ACCOUNT
+        };
         for _ in 0..1 + usize::from(pair) {
             self.send_command(index, true, account, blocks, false);
         }
@@ -108,20 +120,39 @@
         let client = &mut self.clients[index];
         let volume = &self.config.volumes[client.volume];
         let blocks = blocks.min((volume.blocks - lba) as u32);
-        let Some(link) = client.link.as_mut().filter(|link| link.session.can_send()) else { return };
+        let Some(link) = client.link.as_mut().filter(|link| link.session.can_send()) else {
+            return;
+        };
         // Two reads of the same blocks in flight differ in their group number, so that a trace can tell them apart.
         for _ in 0..GROUP_NUMBERS {
             client.last_group_number = (client.last_group_number + 1) % GROUP_NUMBERS;
-            if !client.in_flight.iter().any(|c| c.group_number == client.last_group_number) {
+            if !client
+                .in_flight
+                .iter()
+                .any(|c| c.group_number == client.last_group_number)
+            {
                 break;
             }
         }
         client.last_tag = client.last_tag.wrapping_add(1);
-        let (id, tag, group_number) = (self.next_command, client.last_tag, client.last_group_number);
+        let (id, tag, group_number) =
+            (self.next_command, client.last_tag, client.last_group_number);
         self.next_command += 1;
-        let deadline = if write { volume.write_deadline } else { volume.read_deadline };
-        let data = if write { block::write(id, lba, blocks) } else { Vec::new() };
-        let read_len = if write { 0 } else { blocks as usize * block::SIZE };
+        let deadline = if write {
+            volume.write_deadline
+        } else {
+            volume.read_deadline
+        };
+        let data = if write {
+            block::write(id, lba, blocks)
+        } else {
+            Vec::new()
+        };
+        let read_len = if write {
+            0
+        } else {
+            blocks as usize * block::SIZE
+        };
         self.trace.record(TraceEvent::CommandSent {
             command: id,
             client: client.index,
@@ -133,23 +164,53 @@
             group_number,
         });
         let cdb = scsi::read_or_write_16(write, lba, blocks, group_number);
-        link.session.send_command(tag, volume.lun, &cdb, read_len, data.into());
+        link.session
+            .send_command(tag, volume.lun, &cdb, read_len, data.into());
         let deadline = self.trace.now() + deadline + DEADLINE_GRACE;
-        let command = InFlightCommand { id, tag, write, lba, blocks, group_number, deadline, retried };
+        let command = InFlightCommand {
+            id,
+            tag,
+            write,
+            lba,
+            blocks,
+            group_number,
+            deadline,
+            retried,
+        };
         client.in_flight.push(command);
     }
 
     /// Records an answer, and retries a command that was shed.
-    pub(super) fn on_answer(&mut self, index: usize, tag: u32, code: u8, data: &[u8], retry_after: u16) {
+    pub(super) fn on_answer(
+        &mut self,
+        index: usize,
+        tag: u32,
+        code: u8,
+        data: &[u8],
+        retry_after: u16,
+    ) {
         let client = &mut self.clients[index];
-        let Some(i) = client.in_flight.iter().position(|c| c.tag == tag) else { return };
+        let Some(i) = client.in_flight.iter().position(|c| c.tag == tag) else {
+            return;
+        };
         let command = client.in_flight.swap_remove(i);
-        let read = data.chunks(block::SIZE).zip(command.lba..).map(|(b, lba)| block::read(b, lba)).collect();
-        self.trace.record(TraceEvent::CommandAnswered { command: command.id, status: code, read });
+        let read = data
+            .chunks(block::SIZE)
+            .zip(command.lba..)
+            .map(|(b, lba)| block::read(b, lba))
+            .collect();
+        self.trace.record(TraceEvent::CommandAnswered {
+            command: command.id,
+            status: code,
+            read,
+        });
         if matches!(code, status::BUSY | status::TASK_SET_FULL) && !command.retried {
             let hint = u64::from(retry_after) * RETRY_HINT_UNIT;
             let wait = hint + client.rng.random_range(50_000..150_000);
-            client.retries.push(Retry { at: self.trace.now() + wait, command });
+            client.retries.push(Retry {
+                at: self.trace.now() + wait,
+                command,
+            });
         }
     }
 }
--- a/crates/lab/src/load/transport.rs
+++ b/crates/lab/src/load/transport.rs
@@ -20,10 +20,17 @@
     pub(super) fn connect(&mut self, index: usize) {
         let client = &mut self.clients[index];
         client.connect_at = self.trace.now() + client.rng.random_range(100_000..300_000);
-        let Ok(mut socket) = TcpStream::connect(self.config.hosts[client.host]) else { return };
+        let Ok(mut socket) = TcpStream::connect(self.config.hosts[client.host]) else {
+            return;
+        };
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if self.poll.registry().register(&mut socket, Token(FIRST_CLIENT + index), interest).is_err() {
+        if self
+            .poll
+            .registry()
+            .register(&mut socket, Token(FIRST_CLIENT + index), interest)
+            .is_err()
+        {
             return;
         }
         let name = format!("iqn.2026-12.example.lab:counter{}", client.index);
@@ -35,7 +42,9 @@
     /// The client will receive no answer to what it has sent.
     pub(super) fn abandon_all(&mut self, index: usize) {
         for command in self.clients[index].in_flight.drain(..) {
-            self.trace.record(TraceEvent::CommandAbandoned { command: command.id });
+            self.trace.record(TraceEvent::CommandAbandoned {
+                command: command.id,
+            });
         }
         self.clients[index].retries.clear();
     }
@@ -58,10 +67,15 @@
 
     pub(super) fn flush(&mut self, index: usize) {
         let client = &mut self.clients[index];
-        let Some(Link { socket, session }) = &mut client.link else { return };
+        let Some(Link { socket, session }) = &mut client.link else {
+            return;
+        };
         loop {
             let buffer = session.send_buffer();
-            let len = client.stall_after.unwrap_or(usize::MAX).min(buffer.unsent().len());
+            let len = client
+                .stall_after
+                .unwrap_or(usize::MAX)
+                .min(buffer.unsent().len());
             if len == 0 {
                 return;
             }
@@ -79,7 +93,12 @@
     }
 
     pub(super) fn read(&mut self, index: usize) {
-        while let Client { not_reading: false, link: Some(link), .. } = &mut self.clients[index] {
+        while let Client {
+            not_reading: false,
+            link: Some(link),
+            ..
+        } = &mut self.clients[index]
+        {
             match link.socket.read(&mut self.scratch) {
                 Ok(0) => return self.on_connection_lost(index),
                 Ok(len) => {
@@ -96,9 +115,19 @@
     }
 
     fn on_received(&mut self, index: usize) {
-        while let Some(event) = self.clients[index].link.as_mut().and_then(|link| link.session.next_event()) {
+        while let Some(event) = self.clients[index]
+            .link
+            .as_mut()
+            .and_then(|link| link.session.next_event())
+        {
             match event {
-                InitiatorEvent::CommandCompleted { tag, status: code, data, retry_after, .. } => {
+                InitiatorEvent::CommandCompleted {
+                    tag,
+                    status: code,
+                    data,
+                    retry_after,
+                    ..
+                } => {
                     self.on_answer(index, tag, code, &data, retry_after);
                 }
                 InitiatorEvent::CommandRejected { tag, .. } => {
@@ -112,9 +141,14 @@
             }
         }
         let client = &mut self.clients[index];
-        let unmatched = client.link.as_ref().map_or(0, |link| link.session.unmatched_responses());
+        let unmatched = client
+            .link
+            .as_ref()
+            .map_or(0, |link| link.session.unmatched_responses());
         if unmatched > client.unmatched_responses {
-            self.trace.record(TraceEvent::UnexpectedAnswer { client: client.index });
+            self.trace.record(TraceEvent::UnexpectedAnswer {
+                client: client.index,
+            });
         }
         client.unmatched_responses = unmatched;
     }
--- a/crates/lab/src/membership/exhaustive.rs
+++ b/crates/lab/src/membership/exhaustive.rs
@@ -150,9 +150,18 @@
 pub fn initial_states(budget: Budget, mutant: Option<Mutant>) -> [(&'static str, ThreeMembers); 4] {
     [
         ("all joined", ThreeMembers::joined(budget, mutant)),
-        ("one killed 14 periods ago", ThreeMembers::after_kill(budget, mutant, 14)),
-        ("one cut off for 40 periods", ThreeMembers::after_partition(budget, mutant, 40)),
-        ("one left, and an old record of it in flight", ThreeMembers::after_leave(budget, mutant)),
+        (
+            "one killed 14 periods ago",
+            ThreeMembers::after_kill(budget, mutant, 14),
+        ),
+        (
+            "one cut off for 40 periods",
+            ThreeMembers::after_partition(budget, mutant, 40),
+        ),
+        (
+            "one left, and an old record of it in flight",
+            ThreeMembers::after_leave(budget, mutant),
+        ),
     ]
 }
 
@@ -201,39 +210,72 @@
     fn after_leave(budget: Budget, mutant: Option<Mutant>) -> Self {
         let mut members = ThreeMembers::joined(budget, mutant);
         members.tick();
-        let delayed: Vec<InFlight> =
-            members.in_flight.iter().filter(|datagram| datagram.from == 2).cloned().collect();
+        let delayed: Vec<InFlight> = members
+            .in_flight
+            .iter()
+            .filter(|datagram| datagram.from == 2)
+            .cloned()
+            .collect();
         members.run(1);
         members.act(2, Membership::announce_left);
         members.deliver_all();
         members.hosts[2] = None;
         members.run(FORGOTTEN_PERIODS);
-        members.in_flight =
-            delayed.into_iter().map(|datagram| InFlight { delayed: true, ..datagram }).collect();
+        members.in_flight = delayed
+            .into_iter()
+            .map(|datagram| InFlight {
+                delayed: true,
+                ..datagram
+            })
+            .collect();
         members
     }
 
     fn start(&mut self, host: usize) {
         self.starts += 1;
-        let config = MembershipConfig { name: name(host), address: address(host), ..self.config.clone() };
-        self.hosts[host] = Some(Membership::new(config, self.starts, self.now, EPOCH_MS + self.starts));
+        let config = MembershipConfig {
+            name: name(host),
+            address: address(host),
+            ..self.config.clone()
+        };
+        self.hosts[host] = Some(Membership::new(
+            config,
+            self.starts,
+            self.now,
+            EPOCH_MS + self.starts,
+        ));
         self.held.retain(|(observer, _), _| *observer != host);
         self.left.retain(|(observer, ..)| *observer != host);
         self.check_host(host);
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.partitioned.is_some_and(|one| (from == one) != (to == one))
+        self.partitioned
+            .is_some_and(|one| (from == one) != (to == one))
     }
 
-    fn act(&mut self, host: usize, call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
+    fn act(
+        &mut self,
+        host: usize,
+        call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink),
+    ) {
         let mut sent = SentDatagrams::default();
-        let Some(membership) = &mut self.hosts[host] else { return };
+        let Some(membership) = &mut self.hosts[host] else {
+            return;
+        };
         call(membership, self.now, &mut sent);
         for (to, bytes) in sent.0 {
-            let Some(to) = (0..HOSTS).find(|other| address(*other) == to) else { continue };
+            let Some(to) = (0..HOSTS).find(|other| address(*other) == to) else {
+                continue;
+            };
             if !self.is_cut(host, to) && self.in_flight.len() < MAX_IN_FLIGHT {
-                self.in_flight.push(InFlight { from: host, to, bytes, age: 0, delayed: false });
+                self.in_flight.push(InFlight {
+                    from: host,
+                    to,
+                    bytes,
+                    age: 0,
+                    delayed: false,
+                });
             }
         }
         self.check_host(host);
@@ -258,8 +300,11 @@
 
     fn tick(&mut self) {
         self.now += TICK;
-        self.in_flight.iter_mut().for_each(|datagram| datagram.age += 1);
-        self.in_flight.retain(|datagram| datagram.delayed || datagram.age < MAX_AGE);
+        self.in_flight
+            .iter_mut()
+            .for_each(|datagram| datagram.age += 1);
+        self.in_flight
+            .retain(|datagram| datagram.delayed || datagram.age < MAX_AGE);
         (0..HOSTS).for_each(|host| self.act(host, Membership::tick));
     }
 
@@ -285,32 +330,51 @@
 
     /// Whether all running hosts hold the same table, in which exactly they are alive.
     fn is_converged(&self) -> bool {
-        let running: BTreeSet<Name> =
-            (0..HOSTS).filter(|host| self.hosts[*host].is_some()).map(name).collect();
-        let is_passing =
-            |state| matches!(state, MemberState::Joining | MemberState::Suspect | MemberState::Leaving);
+        let running: BTreeSet<Name> = (0..HOSTS)
+            .filter(|host| self.hosts[*host].is_some())
+            .map(name)
+            .collect();
+        let is_passing = |state| {
+            matches!(
+                state,
+                MemberState::Joining | MemberState::Suspect | MemberState::Leaving
+            )
+        };
         let is_right = |membership: &Membership| {
-            let alive = membership.members().filter(|(_, state)| *state == MemberState::Alive);
+            let alive = membership
+                .members()
+                .filter(|(_, state)| *state == MemberState::Alive);
             let alive: BTreeSet<Name> = alive.map(|(record, _)| record.name.clone()).collect();
             alive == running && !membership.members().any(|(_, state)| is_passing(state))
         };
         let memberships = || self.hosts.iter().flatten();
         memberships().all(is_right)
-            && memberships().all(|m| Some(m.digest()) == memberships().next().map(Membership::digest))
+            && memberships()
+                .all(|m| Some(m.digest()) == memberships().next().map(Membership::digest))
     }
 
     /// Checks a host's table against all that was published and all that it held before.
     fn check_host(&mut self, observer: usize) {
-        let Some(membership) = &self.hosts[observer] else { return };
+        let Some(membership) = &self.hosts[observer] else {
+            return;
+        };
         let own = membership.own_record();
-        self.published.insert((own.name.clone(), own.generation), own.incarnation);
+        self.published
+            .insert((own.name.clone(), own.generation), own.incarnation);
         let mut violation = None;
         for (record, state) in membership.members() {
             let member = record.name.clone();
             violation = self.published_violation(observer, record).or(violation);
             let held = (observer, member.clone());
-            if self.held.get(&held).is_some_and(|before| *before > record.precedence()) {
-                violation = Some(Violation::RecordRegressed { observer, member: member.clone() });
+            if self
+                .held
+                .get(&held)
+                .is_some_and(|before| *before > record.precedence())
+            {
+                violation = Some(Violation::RecordRegressed {
+                    observer,
+                    member: member.clone(),
+                });
             }
             self.held.insert(held, record.precedence());
             let generation = (observer, member.clone(), record.generation);
@@ -338,11 +402,17 @@
     fn describe_tables(&self) -> String {
         let describe = |membership: &Membership| {
             let members = membership.members();
-            let states: Vec<String> =
-                members.map(|(record, state)| format!("{} {}", record.name, state.as_str())).collect();
+            let states: Vec<String> = members
+                .map(|(record, state)| format!("{} {}", record.name, state.as_str()))
+                .collect();
             format!("{}: {}", membership.own_record().name, states.join(", "))
         };
-        self.hosts.iter().flatten().map(describe).collect::<Vec<_>>().join("; ")
+        self.hosts
+            .iter()
+            .flatten()
+            .map(describe)
+            .collect::<Vec<_>>()
+            .join("; ")
     }
 }
 
@@ -359,10 +429,18 @@
             actions.push(Action::Tick);
         }
         if self.budget.kills > 0 {
-            actions.extend((0..HOSTS).filter(|host| self.hosts[*host].is_some()).map(Action::Kill));
+            actions.extend(
+                (0..HOSTS)
+                    .filter(|host| self.hosts[*host].is_some())
+                    .map(Action::Kill),
+            );
         }
         if self.budget.starts > 0 {
-            actions.extend((0..HOSTS).filter(|host| self.hosts[*host].is_none()).map(Action::Start));
+            actions.extend(
+                (0..HOSTS)
+                    .filter(|host| self.hosts[*host].is_none())
+                    .map(Action::Start),
+            );
         }
         match self.partitioned {
             Some(_) => actions.push(Action::Heal),
@@ -413,6 +491,8 @@
         if end.run_until(CONVERGENCE_PERIODS, ThreeMembers::is_converged) {
             return end.check_safety();
         }
-        Err(Violation::NotConverged { tables: end.describe_tables() })
+        Err(Violation::NotConverged {
+            tables: end.describe_tables(),
+        })
     }
 }
--- a/crates/lab/src/membership/measurements.rs
+++ b/crates/lab/src/membership/measurements.rs
@@ -107,7 +107,11 @@
     fleet.config.local_health = protocol == Protocol::Lifeguard;
     fleet.config.suspicion_confirmations = protocol == Protocol::Lifeguard;
 
-    let mut measured = Measurements { protocol: protocol.name(), hosts, ..Measurements::default() };
+    let mut measured = Measurements {
+        protocol: protocol.name(),
+        hosts,
+        ..Measurements::default()
+    };
     measured.start_s = start_all(&mut fleet);
     fleet.record_events = false;
     (measured.bytes_s, measured.datagrams_s) = cost_at_rest(&mut fleet);
@@ -122,7 +126,9 @@
 
 /// Seconds until convergence; NaN where the fleet does not converge.
 fn converge_s(fleet: &mut Simulation) -> f64 {
-    fleet.time_to_converge(MAX_CONVERGENCE).map_or(f64::NAN, |millis| millis as f64 / 1e3)
+    fleet
+        .time_to_converge(MAX_CONVERGENCE)
+        .map_or(f64::NAN, |millis| millis as f64 / 1e3)
 }
 
 fn start_all(fleet: &mut Simulation) -> f64 {
@@ -140,7 +146,10 @@
     let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
     fleet.run_until(fleet.now + REST);
     let host_seconds = fleet.len() as f64 * REST as f64 / 1e3;
-    ((fleet.bytes - bytes) as f64 / host_seconds, (fleet.datagrams - datagrams) as f64 / host_seconds)
+    (
+        (fleet.bytes - bytes) as f64 / host_seconds,
+        (fleet.datagrams - datagrams) as f64 / host_seconds,
+    )
 }
 
 fn kill_some(fleet: &mut Simulation) -> f64 {
@@ -180,9 +189,19 @@
         pair_seconds += wrongly_unreachable(fleet);
     }
     let is_positive = |event: &MembershipEvent| {
-        matches!(event, MembershipEvent::MemberUpdated { current: MemberState::Unreachable, .. })
+        matches!(
+            event,
+            MembershipEvent::MemberUpdated {
+                current: MemberState::Unreachable,
+                ..
+            }
+        )
     };
-    let positives = fleet.events.iter().filter(|observed| is_positive(&observed.event)).count();
+    let positives = fleet
+        .events
+        .iter()
+        .filter(|observed| is_positive(&observed.event))
+        .count();
     fleet.loss = 0.0;
     fleet.record_events = false;
     fleet.events.clear();
@@ -191,12 +210,16 @@
 
 /// Pairs of running hosts, neither of them stopped, of which one holds the other unreachable.
 fn wrongly_unreachable(fleet: &Simulation) -> u64 {
-    let awake: Vec<usize> = fleet.running().filter(|host| !fleet.is_stopped(*host)).collect();
+    let awake: Vec<usize> = fleet
+        .running()
+        .filter(|host| !fleet.is_stopped(*host))
+        .collect();
     let names: BTreeSet<Name> = awake.iter().map(|host| simulation::name(*host)).collect();
     let memberships = awake.iter().filter_map(|host| fleet.membership(*host));
     let members = memberships.flat_map(mallowseam_fleet::Membership::members);
-    let wrong =
-        members.filter(|(record, state)| *state == MemberState::Unreachable && names.contains(&record.name));
+    let wrong = members.filter(|(record, state)| {
+        *state == MemberState::Unreachable && names.contains(&record.name)
+    });
     wrong.count() as u64
 }
 
@@ -231,7 +254,9 @@
             let until = now + rng.random_range(0..=(MAX_STOP / PERIOD) as usize);
             stopped_until[rng.random_range(0..hosts)] = until;
         }
-        let awake: Vec<usize> = (0..hosts).filter(|host| stopped_until[*host] <= now).collect();
+        let awake: Vec<usize> = (0..hosts)
+            .filter(|host| stopped_until[*host] <= now)
+            .collect();
         for &sender in &awake {
             for receiver in (0..hosts).filter(|host| *host != sender) {
                 if !rng.random_bool(LOSS) {
--- a/crates/lab/src/membership/simulation.rs
+++ b/crates/lab/src/membership/simulation.rs
@@ -25,8 +25,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Datagram { to: usize, from: usize, bytes: Vec<u8> },
-    Tick { host: usize, run: u32 },
+    Datagram {
+        to: usize,
+        from: usize,
+        bytes: Vec<u8>,
+    },
+    Tick {
+        host: usize,
+        run: u32,
+    },
 }
 
 impl Event {
@@ -117,9 +124,9 @@
 
 fn host_at(address: SocketAddr) -> Option<usize> {
     match address {
-        SocketAddr::V4(address) => {
-            (u32::from(*address.ip()) & ADDRESS_MASK).checked_sub(1).map(|host| host as usize)
-        }
+        SocketAddr::V4(address) => (u32::from(*address.ip()) & ADDRESS_MASK)
+            .checked_sub(1)
+            .map(|host| host as usize),
         SocketAddr::V6(_) => None,
     }
 }
@@ -130,7 +137,12 @@
         let fleet = Name::try_from("model").unwrap_or_default();
         let mut config = MembershipConfig::new(fleet, Name::new(), address(0));
         config.seeds = (0..seeds).map(address).collect();
-        let host = |_| Host { membership: None, run: 0, stopped_until: 0, side: 0 };
+        let host = |_| Host {
+            membership: None,
+            run: 0,
+            stopped_until: 0,
+            side: 0,
+        };
         Simulation {
             now: 0,
             loss: 0.0,
@@ -167,8 +179,12 @@
     /// Starts a host under the name of another one, which makes a name conflict.
     pub fn start_as(&mut self, host: usize, name_of: usize) {
         let zone = Zone::try_from(format!("z{}", host % self.zones).as_str()).unwrap_or_default();
-        let config =
-            MembershipConfig { name: name(name_of), address: address(host), zone, ..self.config.clone() };
+        let config = MembershipConfig {
+            name: name(name_of),
+            address: address(host),
+            zone,
+            ..self.config.clone()
+        };
         let membership = Membership::new(config, self.rng.random(), self.now, EPOCH_MS + self.now);
         let slot = &mut self.hosts[host];
         slot.run += 1;
@@ -227,7 +243,10 @@
     /// State of a host in the table of another one.
     pub fn observed_state(&self, observer: usize, host: usize) -> Option<MemberState> {
         let name = name(host);
-        self.membership(observer)?.members().find(|(record, _)| record.name == name).map(|(_, state)| state)
+        self.membership(observer)?
+            .members()
+            .find(|(record, _)| record.name == name)
+            .map(|(_, state)| state)
     }
 
     fn schedule(&mut self, time: Millis, event: Event) {
@@ -235,14 +254,21 @@
         self.queue.push(Reverse((time, self.queued, event)));
     }
 
-    fn act(&mut self, host: usize, call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
+    fn act(
+        &mut self,
+        host: usize,
+        call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink),
+    ) {
         let time = self.now;
-        let Some(membership) = &mut self.hosts[host].membership else { return };
+        let Some(membership) = &mut self.hosts[host].membership else {
+            return;
+        };
         let mut actions = Actions::default();
         call(membership, time, &mut actions);
         if self.record_events {
             let events = actions.events.into_iter();
-            self.events.extend(events.map(|event| ObservedEvent { time, host, event }));
+            self.events
+                .extend(events.map(|event| ObservedEvent { time, host, event }));
         }
         for (to, bytes) in actions.sent {
             self.send(host, to, bytes);
@@ -252,7 +278,9 @@
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.datagrams += 1;
         self.bytes += bytes.len() as u64;
-        let Some(to) = host_at(to).filter(|to| *to < self.hosts.len()) else { return };
+        let Some(to) = host_at(to).filter(|to| *to < self.hosts.len()) else {
+            return;
+        };
         let is_partitioned = self.hosts[from].side != self.hosts[to].side;
         if is_partitioned || self.loss > 0.0 && self.rng.random_bool(self.loss) {
             return;
@@ -264,7 +292,9 @@
     /// Runs until a time.
     pub fn run_until(&mut self, end: Millis) {
         while self.queue.peek().is_some_and(|next| next.0.0 <= end) {
-            let Some(Reverse((time, _, event))) = self.queue.pop() else { break };
+            let Some(Reverse((time, _, event))) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(time);
             self.handle(event);
         }
@@ -278,7 +308,9 @@
         }
         match event {
             Event::Datagram { to, from, bytes } => {
-                self.act(to, |membership, now, sink| membership.receive(address(from), &bytes, now, sink));
+                self.act(to, |membership, now, sink| {
+                    membership.receive(address(from), &bytes, now, sink)
+                });
             }
             Event::Tick { host, run } if run == self.hosts[host].run => {
                 self.act(host, Membership::tick);
@@ -296,7 +328,9 @@
         running.sort();
         // Digests last: where the fleet has not converged, some host shows it before all digests are computed.
         let memberships = || self.running().filter_map(|host| self.membership(host));
-        if !memberships().all(|membership| is_settled(membership) && alive_names(membership) == running) {
+        if !memberships()
+            .all(|membership| is_settled(membership) && alive_names(membership) == running)
+        {
             return false;
         }
         let mut digests = memberships().map(Membership::digest);
@@ -319,13 +353,19 @@
 
 /// Whether no member is in a state that only passes.
 fn is_settled(membership: &Membership) -> bool {
-    let is_passing =
-        |state| matches!(state, MemberState::Suspect | MemberState::Joining | MemberState::Leaving);
+    let is_passing = |state| {
+        matches!(
+            state,
+            MemberState::Suspect | MemberState::Joining | MemberState::Leaving
+        )
+    };
     !membership.members().any(|(_, state)| is_passing(state))
 }
 
 fn alive_names(membership: &Membership) -> Vec<Name> {
-    let alive = membership.members().filter(|(_, state)| *state == MemberState::Alive);
+    let alive = membership
+        .members()
+        .filter(|(_, state)| *state == MemberState::Alive);
     let mut names: Vec<Name> = alive.map(|(record, _)| record.name.clone()).collect();
     names.sort();
     names
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -87,7 +87,11 @@
         let (faults, receiver) = channel();
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-        let lifecycle = Arc::new(Mutex::new(Lifecycle { up: true, incarnation: 0, started_at: 0 }));
+        let lifecycle = Arc::new(Mutex::new(Lifecycle {
+            up: true,
+            incarnation: 0,
+            started_at: 0,
+        }));
         let setup = ServerSetup {
             index,
             address,
@@ -103,7 +107,12 @@
         let thread = std::thread::Builder::new()
             .name(format!("node{index}"))
             .spawn(move || Server::new(setup).run(&receiver))?;
-        Ok(Node { faults, waker, lifecycle, thread: Some(thread) })
+        Ok(Node {
+            faults,
+            waker,
+            lifecycle,
+            thread: Some(thread),
+        })
     }
 
     /// Injects a fault, or ends it.
@@ -115,7 +124,10 @@
 
     /// Whether its process runs, and since when.
     pub fn lifecycle(&self) -> Lifecycle {
-        *self.lifecycle.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .lifecycle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -130,6 +142,7 @@
 
 fn listen(address: SocketAddr, poll: &Poll) -> io::Result<TcpListener> {
     let mut listener = TcpListener::bind(address)?;
-    poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut listener, LISTENER, Interest::READABLE)?;
     Ok(listener)
 }
--- a/crates/lab/src/node/commands.rs
+++ b/crates/lab/src/node/commands.rs
@@ -27,7 +27,10 @@
             Some(transfer) => self.on_transfer(origin, lun, transfer, data),
             None => match scsi::parse_cdb(cdb) {
                 Ok(Command::ModeSelect) => self.set_write_protect(origin, lun, &data),
-                Ok(Command::GetLbaStatus { lba, allocation_len }) => {
+                Ok(Command::GetLbaStatus {
+                    lba,
+                    allocation_len,
+                }) => {
                     self.report_mapped(origin, lun, lba, allocation_len);
                 }
                 Ok(Command::Unmap) => self.unmap(origin, lun, &data),
@@ -53,15 +56,37 @@
             return self.answer(origin, status::TASK_SET_FULL, &[]);
         }
         let work = units * self.model.unit_work * self.rng.random_range(0.8..1.2);
-        self.waiting.push_back(QueuedCommand { origin, lun, transfer, data, work, orphan: false });
+        self.waiting.push_back(QueuedCommand {
+            origin,
+            lun,
+            transfer,
+            data,
+            work,
+            orphan: false,
+        });
     }
 
     /// Queues an aborted command that may have been started before its abort.
-    pub(super) fn queue_orphan(&mut self, origin: TaskRef, lun: u32, cdb: &[u8; 16], data: Vec<u8>) {
-        let Some(transfer) = Transfer::parse(cdb) else { return };
+    pub(super) fn queue_orphan(
+        &mut self,
+        origin: TaskRef,
+        lun: u32,
+        cdb: &[u8; 16],
+        data: Vec<u8>,
+    ) {
+        let Some(transfer) = Transfer::parse(cdb) else {
+            return;
+        };
         if self.waiting.len() < self.model.queue && data.len() as u64 == transfer.bytes() {
             let work = self.model.unit_work;
-            self.waiting.push_back(QueuedCommand { origin, lun, transfer, data, work, orphan: true });
+            self.waiting.push_back(QueuedCommand {
+                origin,
+                lun,
+                transfer,
+                data,
+                work,
+                orphan: true,
+            });
         }
     }
 
@@ -87,7 +112,8 @@
         };
         for (lba, blocks) in runs {
             let unmapped = lba..lba + u64::from(blocks);
-            self.blocks.retain(|(unit, block), _| *unit != lun || !unmapped.contains(block));
+            self.blocks
+                .retain(|(unit, block), _| *unit != lun || !unmapped.contains(block));
         }
         if let Some(session) = self.clients.session_mut(origin.client) {
             session.complete(origin.task, &[]);
@@ -125,7 +151,9 @@
             Ok(Command::ReadCapacity10) => Some(LOGICAL_UNIT.read_capacity_10()),
             _ => None,
         };
-        let Some(data) = data else { return self.fail(origin, Sense::INVALID_OPERATION_CODE) };
+        let Some(data) = data else {
+            return self.fail(origin, Sense::INVALID_OPERATION_CODE);
+        };
         if let Some(session) = self.clients.session_mut(origin.client) {
             session.complete(origin.task, &data[..data.len().min(read_len)]);
         }
@@ -140,13 +168,28 @@
 
     /// Answers a read or write, and records the answer.
     pub(super) fn answer(&mut self, origin: TaskRef, status: u8, data: &[u8]) {
-        let TaskRef { client, connection, task } = origin;
+        let TaskRef {
+            client,
+            connection,
+            task,
+        } = origin;
         // The client id may belong to another connection by now.
-        if self.sessions.get(&client).is_none_or(|session| session.connection != connection) {
+        if self
+            .sessions
+            .get(&client)
+            .is_none_or(|session| session.connection != connection)
+        {
             return;
         }
-        let Some(session) = self.clients.session_mut(client) else { return };
-        self.trace.record(TraceEvent::NodeAnswered { node: self.index, connection, task, status });
+        let Some(session) = self.clients.session_mut(client) else {
+            return;
+        };
+        self.trace.record(TraceEvent::NodeAnswered {
+            node: self.index,
+            connection,
+            task,
+            status,
+        });
         match status {
             status::GOOD => session.complete(task, data),
             status::CHECK_CONDITION => {
--- a/crates/lab/src/node/faults.rs
+++ b/crates/lab/src/node/faults.rs
@@ -98,7 +98,11 @@
         self.received.clear();
         let started_at = self.trace.now();
         let incarnation = self.lifecycle().incarnation + 1;
-        *self.lifecycle() = Lifecycle { up: true, incarnation, started_at };
+        *self.lifecycle() = Lifecycle {
+            up: true,
+            incarnation,
+            started_at,
+        };
         self.trace.record(TraceEvent::NodeUp { node: self.index });
     }
 }
--- a/crates/lab/src/node/queue.rs
+++ b/crates/lab/src/node/queue.rs
@@ -56,7 +56,9 @@
             }
         }
         while self.running.len() < self.model.cores {
-            let Some(command) = self.waiting.pop_front() else { break };
+            let Some(command) = self.waiting.pop_front() else {
+                break;
+            };
             self.start(command, now);
         }
     }
@@ -75,29 +77,49 @@
         if work < MIN_WORK {
             self.finish(&command);
         } else {
-            self.running.push(Running { due: now + work as Micros, command });
+            self.running.push(Running {
+                due: now + work as Micros,
+                command,
+            });
         }
     }
 
     fn reject_protected(&mut self, command: &QueuedCommand) {
-        let TaskRef { client, connection, task } = command.origin;
-        let open = self.sessions.get(&client).is_some_and(|s| s.connection == connection);
+        let TaskRef {
+            client,
+            connection,
+            task,
+        } = command.origin;
+        let open = self
+            .sessions
+            .get(&client)
+            .is_some_and(|s| s.connection == connection);
         if open && !command.orphan {
             // It has not run and never will, so that it counts as rejected.
             let (node, status) = (self.index, status::BUSY);
-            self.trace.record(TraceEvent::NodeAnswered { node, connection, task, status });
+            self.trace.record(TraceEvent::NodeAnswered {
+                node,
+                connection,
+                task,
+                status,
+            });
             self.fail(command.origin, Sense::WRITE_PROTECTED);
         }
     }
 
     fn finish(&mut self, command: &QueuedCommand) {
-        let Transfer { write, lba, blocks, .. } = command.transfer;
+        let Transfer {
+            write, lba, blocks, ..
+        } = command.transfer;
         let mut data = Vec::new();
         for i in 0..u64::from(blocks) {
             let offset = i as usize * block::SIZE;
             let key = (command.lun, lba + i);
             if write {
-                let stored = self.blocks.entry(key).or_insert_with(|| Box::new([0; block::SIZE]));
+                let stored = self
+                    .blocks
+                    .entry(key)
+                    .or_insert_with(|| Box::new([0; block::SIZE]));
                 stored.copy_from_slice(&command.data[offset..offset + block::SIZE]);
             } else {
                 match self.blocks.get(&key) {
@@ -133,13 +155,18 @@
             return false;
         }
         self.received.push_back((now, units));
-        while self.received.front().is_some_and(|(at, _)| at + self.model.overload_window < now) {
+        while self
+            .received
+            .front()
+            .is_some_and(|(at, _)| at + self.model.overload_window < now)
+        {
             self.received.pop_front();
         }
         let sum: f64 = self.received.iter().map(|(_, units)| units).sum();
         if sum > self.model.overload_units(age) {
             self.overloaded = true;
-            self.trace.record(TraceEvent::NodeOverloaded { node: self.index });
+            self.trace
+                .record(TraceEvent::NodeOverloaded { node: self.index });
             self.crash();
         }
         self.overloaded
