--- a/crates/lab/src/node/server.rs
+++ b/crates/lab/src/node/server.rs
@@ -42,11 +42,24 @@
 impl Transfer {
     pub(super) fn parse(cdb: &[u8; 16]) -> Option<Transfer> {
         let (write, lba, blocks, group_number) = match scsi::parse_cdb(cdb) {
-            Ok(Command::Read { lba, blocks, group_number }) => (false, lba, blocks, group_number),
-            Ok(Command::Write { lba, blocks, group_number }) => (true, lba, blocks, group_number),
+            Ok(Command::Read {
+                lba,
+                blocks,
+                group_number,
+            }) => (false, lba, blocks, group_number),
+            Ok(Command::Write {
+                lba,
+                blocks,
+                group_number,
+            }) => (true, lba, blocks, group_number),
             _ => return None,
         };
-        Some(Transfer { write, lba, blocks, group_number })
+        Some(Transfer {
+            write,
+            lba,
+            blocks,
+            group_number,
+        })
     }
 
     pub(super) fn bytes(&self) -> u64 {
@@ -120,7 +133,17 @@
 
 impl Server {
     pub(super) fn new(setup: ServerSetup) -> Server {
-        let ServerSetup { index, address, target, poll, listener, model, trace, seed, lifecycle } = setup;
+        let ServerSetup {
+            index,
+            address,
+            target,
+            poll,
+            listener,
+            model,
+            trace,
+            seed,
+            lifecycle,
+        } = setup;
         Server {
             clients: new_clients(&poll, &target, address),
             index,
@@ -160,7 +183,8 @@
                 }
                 self.apply(fault);
             }
-            self.ready.extend(events.iter().map(|event| event.token().0));
+            self.ready
+                .extend(events.iter().map(|event| event.token().0));
             if self.listener.is_none() {
                 self.ready.clear();
                 continue;
@@ -173,7 +197,11 @@
             self.serve();
             if !self.faults.silent {
                 let unsent = self.clients.flush(self.ticks());
-                self.ready.extend(unsent.into_iter().map(|client| FIRST_CONNECTION + client as usize));
+                self.ready.extend(
+                    unsent
+                        .into_iter()
+                        .map(|client| FIRST_CONNECTION + client as usize),
+                );
             }
             self.record_closed();
         }
@@ -182,12 +210,21 @@
     /// Time until the first running command is due.
     fn wait(&self) -> Duration {
         let now = self.trace.now();
-        let due = self.running.iter().map(|r| r.due).min().filter(|_| self.faults.frozen_since.is_none());
-        Duration::from_micros(due.map_or(MAX_WAIT, |due| due.saturating_sub(now).clamp(0, MAX_WAIT)))
+        let due = self
+            .running
+            .iter()
+            .map(|r| r.due)
+            .min()
+            .filter(|_| self.faults.frozen_since.is_none());
+        Duration::from_micros(
+            due.map_or(MAX_WAIT, |due| due.saturating_sub(now).clamp(0, MAX_WAIT)),
+        )
     }
 
     pub(super) fn lifecycle(&self) -> MutexGuard<'_, Lifecycle> {
-        self.lifecycle.lock().unwrap_or_else(PoisonError::into_inner)
+        self.lifecycle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn ticks(&self) -> i64 {
@@ -201,7 +238,10 @@
         self.sessions.retain(|client, session| {
             let open = clients.is_open(*client);
             if !open {
-                trace.record(TraceEvent::ConnectionClosed { node, connection: session.connection });
+                trace.record(TraceEvent::ConnectionClosed {
+                    node,
+                    connection: session.connection,
+                });
             }
             open
         });
@@ -246,24 +286,45 @@
         if let TargetEvent::LoggedIn(who) = &event {
             return self.on_login(client, &who.initiator);
         }
-        let Some(session) = self.sessions.get(&client).copied() else { return };
+        let Some(session) = self.sessions.get(&client).copied() else {
+            return;
+        };
         let connection = session.connection;
         match &event {
-            TargetEvent::Command { task, lun, cdb, data, .. } => {
+            TargetEvent::Command {
+                task,
+                lun,
+                cdb,
+                data,
+                ..
+            } => {
                 self.record_command(session, *task, lun.unwrap_or(0), cdb, data);
             }
             TargetEvent::CommandAborted { task } => {
                 let (node, task) = (self.index, *task);
-                self.trace.record(TraceEvent::NodeAborted { node, connection, task });
+                self.trace.record(TraceEvent::NodeAborted {
+                    node,
+                    connection,
+                    task,
+                });
             }
             _ => {}
         }
         match event {
             TargetEvent::CommandAborted { task } if self.faults.silent => {
-                self.abort_deferred(TaskRef { client, connection, task });
+                self.abort_deferred(TaskRef {
+                    client,
+                    connection,
+                    task,
+                });
             }
             event if self.faults.silent => {
-                self.deferred.push_back(DeferredEvent { client, connection, event, aborted: false });
+                self.deferred.push_back(DeferredEvent {
+                    client,
+                    connection,
+                    event,
+                    aborted: false,
+                });
             }
             event => self.process(client, connection, event),
         }
@@ -272,8 +333,18 @@
     fn on_login(&mut self, client: u32, initiator: &str) {
         self.last_connection += 1;
         // Hosts are named gwN by the scripts.
-        let host = initiator.rsplit(":gw").next().and_then(|n| n.parse().ok()).unwrap_or(0);
-        self.sessions.insert(client, Session { connection: self.last_connection, host });
+        let host = initiator
+            .rsplit(":gw")
+            .next()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
+        self.sessions.insert(
+            client,
+            Session {
+                connection: self.last_connection,
+                host,
+            },
+        );
         self.clients.close_replaced();
     }
 
@@ -281,9 +352,20 @@
         if !self.trace.is_recording() {
             return;
         }
-        let Some(Transfer { write, lba, blocks, group_number }) = Transfer::parse(cdb) else { return };
+        let Some(Transfer {
+            write,
+            lba,
+            blocks,
+            group_number,
+        }) = Transfer::parse(cdb)
+        else {
+            return;
+        };
         let id = |bytes: &[u8]| bytes.first_chunk().map_or(0, |id| u64::from_le_bytes(*id));
-        let first_lba = data.get(8..16).and_then(|b| b.first_chunk()).map(|b| u64::from_le_bytes(*b));
+        let first_lba = data
+            .get(8..16)
+            .and_then(|b| b.first_chunk())
+            .map(|b| u64::from_le_bytes(*b));
         self.trace.record(TraceEvent::NodeReceived {
             node: self.index,
             host: session.host,
@@ -308,8 +390,7 @@
             .filter(|command| command.origin == aborted)
             .for_each(|command| command.orphan = true);
         for deferred in &mut self.deferred {
-            let same_task =
-                matches!(&deferred.event, TargetEvent::Command { task, .. } if *task == aborted.task);
+            let same_task = matches!(&deferred.event, TargetEvent::Command { task, .. } if *task == aborted.task);
             if deferred.connection == aborted.connection && same_task {
                 deferred.aborted = true;
             }
@@ -318,15 +399,31 @@
 
     fn process(&mut self, client: u32, connection: u64, event: TargetEvent) {
         match event {
-            TargetEvent::Command { task, lun, cdb, read_len, data } => {
-                let origin = TaskRef { client, connection, task };
+            TargetEvent::Command {
+                task,
+                lun,
+                cdb,
+                read_len,
+                data,
+            } => {
+                let origin = TaskRef {
+                    client,
+                    connection,
+                    task,
+                };
                 self.on_command(origin, lun.unwrap_or(0), &cdb, read_len, data);
             }
             TargetEvent::CommandAborted { task } => {
-                let aborted = TaskRef { client, connection, task };
+                let aborted = TaskRef {
+                    client,
+                    connection,
+                    task,
+                };
                 self.waiting.retain(|command| command.origin != aborted);
                 let running = self.running.iter_mut().map(|r| &mut r.command);
-                running.filter(|command| command.origin == aborted).for_each(|command| command.orphan = true);
+                running
+                    .filter(|command| command.origin == aborted)
+                    .for_each(|command| command.orphan = true);
             }
             TargetEvent::LoggedIn(_) | TargetEvent::Logout | TargetEvent::NopOut => {}
         }
@@ -334,11 +431,27 @@
 
     /// Processes what came in while the node was silent.
     pub(super) fn process_deferred(&mut self) {
-        while let Some(DeferredEvent { client, connection, event, aborted }) = self.deferred.pop_front() {
+        while let Some(DeferredEvent {
+            client,
+            connection,
+            event,
+            aborted,
+        }) = self.deferred.pop_front()
+        {
             match event {
                 // It may have been started before its abort was read: it runs without an answer.
-                TargetEvent::Command { task, lun, cdb, data, .. } if aborted => {
-                    let origin = TaskRef { client, connection, task };
+                TargetEvent::Command {
+                    task,
+                    lun,
+                    cdb,
+                    data,
+                    ..
+                } if aborted => {
+                    let origin = TaskRef {
+                        client,
+                        connection,
+                        task,
+                    };
                     self.queue_orphan(origin, lun.unwrap_or(0), &cdb, data);
                 }
                 event => self.process(client, connection, event),
@@ -365,7 +478,10 @@
         target_names: vec![target.to_owned()],
         portal_address: address.to_string(),
     };
-    let registry = poll.registry().try_clone().expect("a registry can be cloned");
+    let registry = poll
+        .registry()
+        .try_clone()
+        .expect("a registry can be cloned");
     let admission = AdmissionController::new(target, MAX_CONNECTIONS);
     Clients::new(admission, Rc::new(config), registry, FIRST_CONNECTION)
 }
--- a/crates/lab/src/placement_day.rs
+++ b/crates/lab/src/placement_day.rs
@@ -119,7 +119,11 @@
 }
 
 /// Each volume's share; its reserved rate stays.
-fn shares(scenario: &Scenario, config: &GatewayConfig, weights: Weights) -> Result<Vec<Share>, RunError> {
+fn shares(
+    scenario: &Scenario,
+    config: &GatewayConfig,
+    weights: Weights,
+) -> Result<Vec<Share>, RunError> {
     let (problem, placement) = placement_problem(scenario, config)?;
     let tuned = tune(&problem, &placement).weights;
     let share = |volume: &config::Volume| {
@@ -131,7 +135,11 @@
             Weights::Tuned => tuned[index.expect("the problem has every volume")],
         };
         let reserved_milliunits = milliunits(plan.reserved_rate);
-        Share { volume: volume.name.clone(), reserved_milliunits, weight }
+        Share {
+            volume: volume.name.clone(),
+            reserved_milliunits,
+            weight,
+        }
     };
     Ok(config.volumes.iter().map(share).collect())
 }
@@ -141,7 +149,10 @@
 }
 
 /// The day as a placement problem: the nodes' capacity, and what each volume requests in its own surge.
-fn placement_problem(scenario: &Scenario, config: &GatewayConfig) -> Result<(Problem, Placement), RunError> {
+fn placement_problem(
+    scenario: &Scenario,
+    config: &GatewayConfig,
+) -> Result<(Problem, Placement), RunError> {
     let capacity = scenario.model.cores as f64 * 1e6 / scenario.model.unit_work.max(1.0);
     let node = |node: &config::Node| Node {
         name: node.name.clone(),
@@ -150,7 +161,11 @@
         cost: 0,
     };
     let nodes = config.nodes.iter().map(node).collect();
-    let volumes = config.volumes.iter().map(|volume| problem_volume(scenario, config, volume)).collect();
+    let volumes = config
+        .volumes
+        .iter()
+        .map(|volume| problem_volume(scenario, config, volume))
+        .collect();
     let problem = Problem::new(nodes, volumes).map_err(RunError::Placement)?;
     let placement = mallowseam_placement::migration::current_placement(&problem);
     Ok((problem, placement))
@@ -158,7 +173,8 @@
 
 fn problem_volume(scenario: &Scenario, config: &GatewayConfig, volume: &config::Volume) -> Volume {
     let plan = &config.plans[volume.plan];
-    let usual_rate = f64::from(scenario.clients) * scenario.command_rate / config.volumes.len() as f64;
+    let usual_rate =
+        f64::from(scenario.clients) * scenario.command_rate / config.volumes.len() as f64;
     let surges = scenario.events.iter().filter_map(|e| match &e.fault {
         Fault::Surge(name, times) if *name == plan.name => Some(*times),
         _ => None,
@@ -172,7 +188,10 @@
         weight: plan.weight as u64,
         priority_factor: milliunits(plan.priority_factor),
         spread: nodes.len(),
-        current_nodes: nodes.iter().map(|n| config.nodes[*n].name.clone()).collect(),
+        current_nodes: nodes
+            .iter()
+            .map(|n| config.nodes[*n].name.clone())
+            .collect(),
         ..Volume::default()
     }
 }
@@ -198,18 +217,28 @@
     let mut gain = 0.0;
     for command in &outcome.verdict.outcomes {
         let plan = &config.plans[config.volumes[command.volume].plan];
-        let second = seconds.entry((command.volume, command.sent_at / 1_000_000)).or_default();
+        let second = seconds
+            .entry((command.volume, command.sent_at / 1_000_000))
+            .or_default();
         second.sent += 1.0;
         volumes[command.volume].sent += 1.0;
         if command.in_time {
-            let tier = if second.in_time < plan.reserved_rate { 1.0 } else { BEYOND_RESERVE };
+            let tier = if second.in_time < plan.reserved_rate {
+                1.0
+            } else {
+                BEYOND_RESERVE
+            };
             second.in_time += 1.0;
             volumes[command.volume].in_time += 1.0;
-            gain += config.io_classes[command.io_class].priority_weight * plan.priority_factor * tier;
+            gain +=
+                config.io_classes[command.io_class].priority_weight * plan.priority_factor * tier;
         }
     }
-    let by_fraction =
-        |a: &usize, b: &usize| volumes[*a].fraction_in_time().total_cmp(&volumes[*b].fraction_in_time());
+    let by_fraction = |a: &usize, b: &usize| {
+        volumes[*a]
+            .fraction_in_time()
+            .total_cmp(&volumes[*b].fraction_in_time())
+    };
     let worst = (0..volumes.len()).min_by(by_fraction);
     DayResult {
         gain,
@@ -224,7 +253,9 @@
 fn reserve_fraction(config: &GatewayConfig, seconds: &BTreeMap<(usize, u64), Count>) -> f64 {
     let (mut due, mut completed) = (0.0, 0.0);
     for ((volume, _), count) in seconds {
-        let reserved = count.sent.min(config.plans[config.volumes[*volume].plan].reserved_rate);
+        let reserved = count
+            .sent
+            .min(config.plans[config.volumes[*volume].plan].reserved_rate);
         due += reserved;
         completed += count.in_time.min(reserved);
     }
--- a/crates/lab/src/plots.rs
+++ b/crates/lab/src/plots.rs
@@ -30,8 +30,13 @@
 
 impl WriteError {
     /// Wraps an error that occurred for a path.
-    pub fn for_path<E: Into<Box<dyn Error + Send + Sync>>>(path: &Path) -> impl Fn(E) -> WriteError + Copy {
-        move |source| WriteError { path: path.to_owned(), source: source.into() }
+    pub fn for_path<E: Into<Box<dyn Error + Send + Sync>>>(
+        path: &Path,
+    ) -> impl Fn(E) -> WriteError + Copy {
+        move |source| WriteError {
+            path: path.to_owned(),
+            source: source.into(),
+        }
     }
 }
 
@@ -86,8 +91,11 @@
     let x = |x: f64| if logarithmic { x.max(1.0).log10() } else { x };
     let points = || lines.iter().flat_map(|line| line.1.iter());
     let top = points().map(|p| p.1).fold(1e-9, f64::max);
-    let (from, to) =
-        points().map(|p| x(p.0)).fold((f64::MAX, f64::MIN), |(min, max), p| (min.min(p), max.max(p)));
+    let (from, to) = points()
+        .map(|p| x(p.0))
+        .fold((f64::MAX, f64::MIN), |(min, max), p| {
+            (min.min(p), max.max(p))
+        });
     let (from, to) = if from < to { (from, to) } else { (0.0, 1.0) };
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
@@ -96,13 +104,32 @@
         .y_label_area_size(60)
         .build_cartesian_2d(from..to, 0.0..top * 1.05)
         .map_err(as_text)?;
-    let label = |v: &f64| if logarithmic { format!("{:.0}", 10f64.powf(*v)) } else { format!("{v:.0}") };
-    chart.configure_mesh().x_desc(horizontal_label).x_label_formatter(&label).draw().map_err(as_text)?;
+    let label = |v: &f64| {
+        if logarithmic {
+            format!("{:.0}", 10f64.powf(*v))
+        } else {
+            format!("{v:.0}")
+        }
+    };
+    chart
+        .configure_mesh()
+        .x_desc(horizontal_label)
+        .x_label_formatter(&label)
+        .draw()
+        .map_err(as_text)?;
     for (i, (name, values)) in lines.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
         let points = values.iter().map(|(a, b)| (x(*a), *b));
-        let drawn = chart.draw_series(LineSeries::new(points, color)).map_err(as_text)?;
-        drawn.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], color));
+        let drawn = chart
+            .draw_series(LineSeries::new(points, color))
+            .map_err(as_text)?;
+        drawn
+            .label(*name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], color));
     }
-    chart.configure_series_labels().border_style(BLACK).draw().map_err(as_text)
+    chart
+        .configure_series_labels()
+        .border_style(BLACK)
+        .draw()
+        .map_err(as_text)
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -28,10 +28,16 @@
 
 impl KilledOnDrop {
     /// Starts a subcommand on a configuration file.
-    pub(crate) fn start(program: &Program, subcommand: &[&str], file: &Path) -> Result<Self, RunError> {
+    pub(crate) fn start(
+        program: &Program,
+        subcommand: &[&str],
+        file: &Path,
+    ) -> Result<Self, RunError> {
         let mut command = program.command();
         command.args(subcommand).arg(file).stdout(Stdio::null());
-        let child = command.spawn().map_err(RunError::io(program.path.display().to_string()))?;
+        let child = command
+            .spawn()
+            .map_err(RunError::io(program.path.display().to_string()))?;
         Ok(KilledOnDrop(child))
     }
 
@@ -50,7 +56,9 @@
 
 /// Kills a process, if it runs; whether it did.
 pub(crate) fn kill_now(child: &mut Option<Child>) -> bool {
-    let Some(mut child) = child.take() else { return false };
+    let Some(mut child) = child.take() else {
+        return false;
+    };
     let _ = child.kill();
     let _ = child.wait();
     true
@@ -63,7 +71,9 @@
 
 /// Terminates a process and waits for it; whether it ended with code 0. True where none runs.
 pub(crate) fn terminate(child: &mut Option<Child>) -> bool {
-    let Some(mut child) = child.take() else { return true };
+    let Some(mut child) = child.take() else {
+        return true;
+    };
     send_signal(&child, Signal::SIGTERM);
     child.wait().is_ok_and(|status| status.success())
 }
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -165,31 +165,58 @@
     /// Lets commands in flight complete, terminates the processes, and judges the run.
     fn finish(mut self) -> Outcome {
         self.load.send(Behaviour::Drain);
-        let longest = self.config.io_classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = self
+            .config
+            .io_classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         std::thread::sleep(Duration::from_micros(longest + 2 * load::DEADLINE_GRACE));
         let mut layout = Layout::default();
         let mut snapshots = SnapshotReport::default();
         if self.scenario.catalog.is_some() {
             snapshots = self.read_back(&mut layout);
         }
-        let change_log = self.scenario.plan_change_interval.map(|_| self.read_change_log(&mut layout));
+        let change_log = self
+            .scenario
+            .plan_change_interval
+            .map(|_| self.read_change_log(&mut layout));
         self.terminate_all();
         if self.scenario.catalog.is_some() {
             self.verify(&mut snapshots);
         }
         let rollouts = self.rollouts();
-        let Rehearsal { trace, load, nodes, list, config, failures, scenario, .. } = self;
+        let Rehearsal {
+            trace,
+            load,
+            nodes,
+            list,
+            config,
+            failures,
+            scenario,
+            ..
+        } = self;
         drop((load, nodes, list));
         let trace = trace.take();
         let mut model = scenario.model.clone();
         model.unit_work *= FASTEST_NODE;
         let verdict = audit::judge(&config, &model, &trace, &layout);
-        Outcome { verdict, trace, config, failures, snapshots, change_log, rollouts }
+        Outcome {
+            verdict,
+            trace,
+            config,
+            failures,
+            snapshots,
+            change_log,
+            rollouts,
+        }
     }
 
     fn terminate_all(&mut self) {
         if !terminate(&mut self.plan_service) {
-            self.failures.push("the control service did not end well".into());
+            self.failures
+                .push("the control service did not end well".into());
         }
         for n in 0..self.scenario.hosts {
             self.signal_host(n, Signal::SIGTERM);
--- a/crates/lab/src/rehearsal/config.rs
+++ b/crates/lab/src/rehearsal/config.rs
@@ -20,12 +20,20 @@
 
 impl Addresses {
     pub(super) fn new() -> Self {
-        let n = std::process::id().wrapping_mul(31).wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed));
-        Addresses { second_byte: 16 + (n >> 8) as u8 % 200, third_byte: n as u8 }
+        let n = std::process::id()
+            .wrapping_mul(31)
+            .wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed));
+        Addresses {
+            second_byte: 16 + (n >> 8) as u8 % 200,
+            third_byte: n as u8,
+        }
     }
 
     fn address(&self, last: u32) -> SocketAddr {
-        SocketAddr::from((Ipv4Addr::new(127, self.second_byte, self.third_byte, last as u8), PORT))
+        SocketAddr::from((
+            Ipv4Addr::new(127, self.second_byte, self.third_byte, last as u8),
+            PORT,
+        ))
     }
 
     pub(super) fn node(&self, n: u32) -> SocketAddr {
@@ -58,7 +66,8 @@
     seed: u64,
 ) -> String {
     let mut out = String::new();
-    write_config(&mut out, scenario, addresses, dir, host, seed).expect("a string can be written to");
+    write_config(&mut out, scenario, addresses, dir, host, seed)
+        .expect("a string can be written to");
     out
 }
 
@@ -74,30 +83,59 @@
     // The script's own sections first: their lines keep their numbers.
     writeln!(out, "{}\n", scenario.config_sections)?;
     if let Some(catalog) = &scenario.catalog {
-        writeln!(out, "catalog\n    listen {}\n    store \"{dir}/store\"", addresses.catalog())?;
+        writeln!(
+            out,
+            "catalog\n    listen {}\n    store \"{dir}/store\"",
+            addresses.catalog()
+        )?;
         writeln!(out, "    control \"{dir}/catalog.sock\"")?;
-        writeln!(out, "    extent {}\n    copies {}", catalog.extent, catalog.copy_class)?;
+        writeln!(
+            out,
+            "    extent {}\n    copies {}",
+            catalog.extent, catalog.copy_class
+        )?;
     }
     if scenario.plan_change_interval.is_some() {
-        writeln!(out, "tariffs\n    listen {}\n    store \"{dir}/plans\"", addresses.plan_service())?;
+        writeln!(
+            out,
+            "tariffs\n    listen {}\n    store \"{dir}/plans\"",
+            addresses.plan_service()
+        )?;
         writeln!(out, "    control \"{dir}/control.sock\"")?;
     }
-    writeln!(out, "host gw{host}\n    listen {}\n    target {TARGET}", addresses.host(host))?;
-    writeln!(out, "    control \"{dir}/gw{host}.sock\"\n    node-list {}", addresses.list())?;
+    writeln!(
+        out,
+        "host gw{host}\n    listen {}\n    target {TARGET}",
+        addresses.host(host)
+    )?;
+    writeln!(
+        out,
+        "    control \"{dir}/gw{host}.sock\"\n    node-list {}",
+        addresses.list()
+    )?;
     if scenario.plan_change_interval.is_some() {
         let service = addresses.plan_service();
-        writeln!(out, "    follow {service}\n    kept-plans \"{dir}/gw{host}.plans\"")?;
+        writeln!(
+            out,
+            "    follow {service}\n    kept-plans \"{dir}/gw{host}.plans\""
+        )?;
     }
     if scenario.cached_list {
         writeln!(out, "    kept-list \"{dir}/gw{host}.list\"")?;
     }
-    writeln!(out, "    window 32\n    connections 256\n    longest 1MiB\n    seed {seed}")?;
+    writeln!(
+        out,
+        "    window 32\n    connections 256\n    longest 1MiB\n    seed {seed}"
+    )?;
     if scenario.digests {
         writeln!(out, "    digests header data")?;
     }
     for n in 0..scenario.nodes {
         let (name, address) = (node_name(n), addresses.node(n));
-        writeln!(out, "node {name}\n    address {address}\n    target iqn.2026-12.example.lab:{name}")?;
+        writeln!(
+            out,
+            "node {name}\n    address {address}\n    target iqn.2026-12.example.lab:{name}"
+        )?;
     }
     Ok(())
 }
--- a/crates/lab/src/rehearsal/faults.rs
+++ b/crates/lab/src/rehearsal/faults.rs
@@ -42,7 +42,11 @@
                 self.note_failure(started);
             }
             Fault::HostStall(n, on) => {
-                let signal = if *on { Signal::SIGSTOP } else { Signal::SIGCONT };
+                let signal = if *on {
+                    Signal::SIGSTOP
+                } else {
+                    Signal::SIGCONT
+                };
                 self.signal_host(self.order.host(*n), signal);
             }
             Fault::HostDrain(n) => self.drain_host(self.order.host(*n)),
@@ -50,8 +54,10 @@
             Fault::ListLag(lag) => self.list.send(Message::Lag(*lag)),
             Fault::ListAway(on) => self.list.send(Message::Away(*on)),
             Fault::ListBackwards => self.list.send(Message::SendOldList),
-            Fault::Snapshot(volume, name) => self
-                .request_from_catalog(CatalogChange::Snapshot { volume: volume.clone(), name: name.clone() }),
+            Fault::Snapshot(volume, name) => self.request_from_catalog(CatalogChange::Snapshot {
+                volume: volume.clone(),
+                name: name.clone(),
+            }),
             Fault::Clone(snapshot, name) => self.request_from_catalog(CatalogChange::Clone {
                 snapshot: snapshot.clone(),
                 name: name.clone(),
--- a/crates/lab/src/rehearsal/hosts.rs
+++ b/crates/lab/src/rehearsal/hosts.rs
@@ -47,8 +47,14 @@
             .open(self.dir.join(log))
             .map_err(RunError::io(log))?;
         let mut command = self.program.command();
-        command.arg(subcommand).arg(file).stdout(Stdio::null()).stderr(log_file);
-        command.spawn().map_err(RunError::io(self.program.path.display().to_string()))
+        command
+            .arg(subcommand)
+            .arg(file)
+            .stdout(Stdio::null())
+            .stderr(log_file);
+        command
+            .spawn()
+            .map_err(RunError::io(self.program.path.display().to_string()))
     }
 
     pub(super) fn kill_host(&mut self, n: u32) {
@@ -65,7 +71,9 @@
 
     /// Waits for a terminated host; it must end by itself, with code 0.
     pub(super) fn await_host_end(&mut self, n: u32) {
-        let Some(mut child) = self.hosts[n as usize].child.take() else { return };
+        let Some(mut child) = self.hosts[n as usize].child.take() else {
+            return;
+        };
         for _ in 0..END_POLLS {
             if let Ok(Some(status)) = child.try_wait() {
                 if !status.success() {
@@ -76,7 +84,8 @@
             }
             std::thread::sleep(END_POLL);
         }
-        self.failures.push(format!("gw{n} did not end within 15 s of SIGTERM"));
+        self.failures
+            .push(format!("gw{n} did not end within 15 s of SIGTERM"));
         let _ = child.kill();
         let _ = child.wait();
         self.trace.record(TraceEvent::HostDown { host: n });
@@ -92,15 +101,23 @@
                 command.arg("--mend");
             }
             let (good, text) = match command.output() {
-                Ok(output) => (output.status.success(), String::from_utf8_lossy(&output.stdout).into_owned()),
+                Ok(output) => (
+                    output.status.success(),
+                    String::from_utf8_lossy(&output.stdout).into_owned(),
+                ),
                 Err(e) => (false, e.to_string()),
             };
             if mend {
-                report.leaked_slots =
-                    text.lines().filter(|line| line.starts_with("given back")).count() as u64;
+                report.leaked_slots = text
+                    .lines()
+                    .filter(|line| line.starts_with("given back"))
+                    .count() as u64;
             }
             if !good {
-                self.failures.push(format!("verify: {}", text.lines().last().unwrap_or_default()));
+                self.failures.push(format!(
+                    "verify: {}",
+                    text.lines().last().unwrap_or_default()
+                ));
             }
         }
     }
--- a/crates/lab/src/rehearsal/plan_changes.rs
+++ b/crates/lab/src/rehearsal/plan_changes.rs
@@ -29,17 +29,26 @@
 
 /// Changes of limits over a rehearsal, as the seed draws them.
 pub fn plan_changes(scenario: &Scenario, config: &GatewayConfig, seed: u64) -> Vec<Event> {
-    let Some(interval) = scenario.plan_change_interval else { return Vec::new() };
+    let Some(interval) = scenario.plan_change_interval else {
+        return Vec::new();
+    };
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT);
-    let limited: Vec<usize> = (0..config.plans.len()).filter(|p| config.plans[*p].rate_limit > 0.0).collect();
+    let limited: Vec<usize> = (0..config.plans.len())
+        .filter(|p| config.plans[*p].rate_limit > 0.0)
+        .collect();
     if limited.is_empty() {
         return Vec::new();
     }
-    let times = (1..).map(|n| n * interval).take_while(|at| at + QUIET_END < scenario.duration);
+    let times = (1..)
+        .map(|n| n * interval)
+        .take_while(|at| at + QUIET_END < scenario.duration);
     times
         .map(|at| {
             let plan = limited[rng.random_range(0..limited.len())];
-            Event { at, fault: Fault::PlanChange(plan, rng.random_range(0.4..1.6)) }
+            Event {
+                at,
+                fault: Fault::PlanChange(plan, rng.random_range(0.4..1.6)),
+            }
         })
         .collect()
 }
@@ -48,7 +57,11 @@
 fn scaled_plan(plan: config::Plan, times: f64) -> Plan {
     let rate_limit = (plan.rate_limit * times).max(plan.reserved_rate);
     let burst_units = plan.burst_units * times;
-    mallowseam_gateway::replicated_plan(&config::Plan { rate_limit, burst_units, ..plan })
+    mallowseam_gateway::replicated_plan(&config::Plan {
+        rate_limit,
+        burst_units,
+        ..plan
+    })
 }
 
 fn request(socket: &Path, request: &PlanRequest) -> Result<String, RequestError> {
@@ -67,7 +80,10 @@
         self.requesters.push(std::thread::spawn(move || {
             let reason = format!("change {number}");
             let set = PlanRequest::Set {
-                change: Change::SetPlan { name: plan.name.clone(), plan: scaled_plan(plan, times) },
+                change: Change::SetPlan {
+                    name: plan.name.clone(),
+                    plan: scaled_plan(plan, times),
+                },
                 expected: None,
                 author: "rehearsal".into(),
                 reason: reason.clone(),
@@ -77,33 +93,62 @@
             let at = trace.now();
             let applied = request(&socket, &set).is_ok();
             let effective_at = applied.then(|| trace.now());
-            let mut requested = requested_changes.lock().unwrap_or_else(PoisonError::into_inner);
-            requested.push(RequestedChange { reason, at, effective_at });
+            let mut requested = requested_changes
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            requested.push(RequestedChange {
+                reason,
+                at,
+                effective_at,
+            });
         }));
     }
 
     /// How long the requested changes took to reach all hosts.
     pub(super) fn rollouts(&self) -> Rollouts {
-        let requested = self.requested_changes.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut durations_ms: Vec<u64> =
-            requested.iter().filter_map(|change| Some((change.effective_at? - change.at) / 1_000)).collect();
+        let requested = self
+            .requested_changes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let mut durations_ms: Vec<u64> = requested
+            .iter()
+            .filter_map(|change| Some((change.effective_at? - change.at) / 1_000))
+            .collect();
         durations_ms.sort_unstable();
-        Rollouts { durations_ms, requested: requested.len() }
+        Rollouts {
+            durations_ms,
+            requested: requested.len(),
+        }
     }
 
     /// Works out which limits were effective when, by the change log and the answers, and has the log replayed.
     pub(super) fn read_change_log(&mut self, layout: &mut Layout) -> ChangeLogReport {
         self.join_requesters();
         let socket = self.dir.join("control.sock");
-        let history = match request(&socket, &PlanRequest::History { from: 1, limit: MAX_LOG_ENTRIES }) {
+        let history = match request(
+            &socket,
+            &PlanRequest::History {
+                from: 1,
+                limit: MAX_LOG_ENTRIES,
+            },
+        ) {
             Ok(text) => text,
             Err(e) => {
                 self.failures.push(format!("the trail: {e}"));
-                return ChangeLogReport { versions: 0, replayed: 0 };
+                return ChangeLogReport {
+                    versions: 0,
+                    replayed: 0,
+                };
             }
         };
-        let log: Vec<LogEntry> = history.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-        let requested = self.requested_changes.lock().unwrap_or_else(PoisonError::into_inner);
+        let log: Vec<LogEntry> = history
+            .lines()
+            .filter_map(|l| serde_json::from_str(l).ok())
+            .collect();
+        let requested = self
+            .requested_changes
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         for (plan, limit) in effective_limits(&log, &requested) {
             layout.limits.entry(plan).or_default().push(limit);
         }
@@ -111,28 +156,43 @@
         let versions = log.len() as u64;
         let failure = match request(&socket, &PlanRequest::Replay) {
             Ok(text) if text == format!("trail replays: {versions} of {versions}") => {
-                return ChangeLogReport { versions, replayed: versions };
+                return ChangeLogReport {
+                    versions,
+                    replayed: versions,
+                };
             }
             Ok(text) => text,
             Err(e) => format!("the trail: {e}"),
         };
         self.failures.push(failure);
-        ChangeLogReport { versions, replayed: 0 }
+        ChangeLogReport {
+            versions,
+            replayed: 0,
+        }
     }
 }
 
 /// Each limit in the log, by plan, with the time in which some host may have applied it.
-fn effective_limits(log: &[LogEntry], requested: &[RequestedChange]) -> Vec<(String, EffectiveLimit)> {
+fn effective_limits(
+    log: &[LogEntry],
+    requested: &[RequestedChange],
+) -> Vec<(String, EffectiveLimit)> {
     let request_of = |entry: &LogEntry| requested.iter().find(|r| r.reason == entry.reason);
     // Once all hosts apply a version, none of them applies an earlier one.
     let superseded_at = |version: u64| {
         let later = log.iter().filter(|e| e.version >= version);
-        later.filter_map(|e| request_of(e)?.effective_at).min().unwrap_or(Micros::MAX)
+        later
+            .filter_map(|e| request_of(e)?.effective_at)
+            .min()
+            .unwrap_or(Micros::MAX)
     };
     let mut limits = Vec::new();
     for (i, entry) in log.iter().enumerate() {
-        let Change::SetPlan { name, plan } = &entry.change else { continue };
-        let same_plan = |e: &&LogEntry| matches!(&e.change, Change::SetPlan { name: n, .. } if n == name);
+        let Change::SetPlan { name, plan } = &entry.change else {
+            continue;
+        };
+        let same_plan =
+            |e: &&LogEntry| matches!(&e.change, Change::SetPlan { name: n, .. } if n == name);
         let next = log[i + 1..].iter().find(same_plan);
         let limit = EffectiveLimit {
             from: request_of(entry).map_or(0, |r| r.at),
--- a/crates/lab/src/rehearsal/read_back.rs
+++ b/crates/lab/src/rehearsal/read_back.rs
@@ -60,18 +60,23 @@
     pub(super) fn read_back(&mut self, layout: &mut Layout) -> SnapshotReport {
         self.join_requesters();
         let mut report = SnapshotReport::default();
-        let mut client = match BlockingClient::open(self.host_addresses[0], Some(TARGET), CLIENT_INDEX) {
-            Ok(client) => client,
-            Err(e) => {
-                self.failures.push(format!("reading back: {e}"));
-                return report;
-            }
-        };
+        let mut client =
+            match BlockingClient::open(self.host_addresses[0], Some(TARGET), CLIENT_INDEX) {
+                Ok(client) => client,
+                Err(e) => {
+                    self.failures.push(format!("reading back: {e}"));
+                    return report;
+                }
+            };
         match self.catalog_tree() {
             Ok(tree) => self.locate_extents(&tree, layout),
             Err(e) => self.failures.push(format!("the catalog's tree: {e}")),
         }
-        let FirstReading { snapshots, clones, shown } = self.read_first(&mut client, &mut report);
+        let FirstReading {
+            snapshots,
+            clones,
+            shown,
+        } = self.read_first(&mut client, &mut report);
         for (number, clone) in (0..).zip(&clones) {
             check_clone(&mut client, number, clone, &shown, &mut report);
         }
@@ -85,7 +90,11 @@
     }
 
     /// Reads every snapshot and clone once.
-    fn read_first(&mut self, client: &mut BlockingClient, report: &mut SnapshotReport) -> FirstReading {
+    fn read_first(
+        &mut self,
+        client: &mut BlockingClient,
+        report: &mut SnapshotReport,
+    ) -> FirstReading {
         let mut reading = FirstReading::default();
         for request in self.take_catalog_requests() {
             let name = request.change.listed_name();
@@ -104,9 +113,16 @@
                 }
             };
             if let CatalogChange::Clone { snapshot, .. } = &request.change {
-                reading.clones.push(CloneUnit { name, snapshot: snapshot.clone(), lun, shown });
+                reading.clones.push(CloneUnit {
+                    name,
+                    snapshot: snapshot.clone(),
+                    lun,
+                    shown,
+                });
             } else {
-                report.grant_ms.push((request.answered_at - request.requested_at) / 1000);
+                report
+                    .grant_ms
+                    .push((request.answered_at - request.requested_at) / 1000);
                 reading.shown.insert(name.clone(), shown);
                 reading.snapshots.push(SnapshotUnit { request, name, lun });
             }
@@ -121,10 +137,24 @@
 
     /// Where the extents of mapped volumes are, in their heads and snapshots.
     fn locate_extents(&self, tree: &Tree, layout: &mut Layout) {
-        layout.extent = self.scenario.catalog.as_ref().map_or(1, |catalog| catalog.extent);
-        for (volume, mapped) in self.config.volumes.iter().enumerate().filter(|v| v.1.mapped) {
+        layout.extent = self
+            .scenario
+            .catalog
+            .as_ref()
+            .map_or(1, |catalog| catalog.extent);
+        for (volume, mapped) in self
+            .config
+            .volumes
+            .iter()
+            .enumerate()
+            .filter(|v| v.1.mapped)
+        {
             let head = tree.branches.get(&mapped.name).map(|branch| branch.head);
-            let snapshots = tree.snapshots.values().filter(|s| s.branch == mapped.name).map(|s| s.layer);
+            let snapshots = tree
+                .snapshots
+                .values()
+                .filter(|s| s.branch == mapped.name)
+                .map(|s| s.layer);
             for root in head.into_iter().chain(snapshots) {
                 for (layer_id, layer) in tree.ancestors(root) {
                     for (extent, location) in &layer.locations {
@@ -137,11 +167,20 @@
     }
 
     fn take_catalog_requests(&self) -> Vec<CatalogRequest> {
-        std::mem::take(&mut *self.catalog_requests.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(
+            &mut *self
+                .catalog_requests
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
     fn block_count(&self, volume: &str) -> u64 {
-        self.config.volumes.iter().find(|v| v.name == volume).map_or(0, |v| v.block_count)
+        self.config
+            .volumes
+            .iter()
+            .find(|v| v.name == volume)
+            .map_or(0, |v| v.block_count)
     }
 
     /// What a snapshot shows stays the same, whatever its clones write; the second reading is what is judged.
@@ -161,9 +200,19 @@
         if first_reading.get(&name) != Some(&blocks) {
             report.wrong_clones.push(format!("{name} has changed"));
         }
-        let volume = self.config.volumes.iter().position(|v| v.name == volume).unwrap_or(0) as u32;
+        let volume = self
+            .config
+            .volumes
+            .iter()
+            .position(|v| v.name == volume)
+            .unwrap_or(0) as u32;
         let requested_at = request.requested_at;
-        let event = TraceEvent::SnapshotRead { volume, name, requested_at, blocks };
+        let event = TraceEvent::SnapshotRead {
+            volume,
+            name,
+            requested_at,
+            blocks,
+        };
         self.trace.record_at(request.answered_at, event);
     }
 }
@@ -177,10 +226,16 @@
     report: &mut SnapshotReport,
 ) {
     report.clones += 1;
-    let mut expected = first_reading.get(&clone.snapshot).cloned().unwrap_or_default();
+    let mut expected = first_reading
+        .get(&clone.snapshot)
+        .cloned()
+        .unwrap_or_default();
     let mut wrong = (clone.shown != expected).then(|| "does not show its snapshot".to_owned());
     for i in 0..CLONE_WRITES {
-        let (id, lba) = (CLONE_WRITE_IDS + number * IDS_PER_CLONE + i, i * CLONE_WRITE_STRIDE);
+        let (id, lba) = (
+            CLONE_WRITE_IDS + number * IDS_PER_CLONE + i,
+            i * CLONE_WRITE_STRIDE,
+        );
         match write_clone(client, clone.lun, id, lba) {
             Ok(status::GOOD) => {
                 expected[lba as usize..lba as usize + CLONE_WRITE_BLOCKS as usize].fill(Some(id));
@@ -200,12 +255,20 @@
 }
 
 /// Writes to a clone, and again where it is shed; the last status.
-fn write_clone(client: &mut BlockingClient, lun: u32, id: u64, lba: u64) -> Result<u8, ClientError> {
+fn write_clone(
+    client: &mut BlockingClient,
+    lun: u32,
+    id: u64,
+    lba: u64,
+) -> Result<u8, ClientError> {
     let cdb = read_or_write_16(true, lba, CLONE_WRITE_BLOCKS, EXTENT_COPY_GROUP);
     let mut write = || client.execute(lun, &cdb, 0, block::write(id, lba, CLONE_WRITE_BLOCKS));
     let mut answer = write();
     for _ in 1..WRITE_ATTEMPTS {
-        if answer.as_ref().is_ok_and(|answer| answer.status == status::GOOD) {
+        if answer
+            .as_ref()
+            .is_ok_and(|answer| answer.status == status::GOOD)
+        {
             break;
         }
         answer = write();
@@ -220,18 +283,31 @@
     while lba < blocks {
         let count = (blocks - lba).min(READ_BLOCKS) as u32;
         let data = read_blocks(client, lun, lba, count)?;
-        shown.extend(data.chunks(block::SIZE).zip(lba..).map(|(b, at)| block::read(b, at)));
+        shown.extend(
+            data.chunks(block::SIZE)
+                .zip(lba..)
+                .map(|(b, at)| block::read(b, at)),
+        );
         lba += u64::from(count);
     }
     Ok(shown)
 }
 
-fn read_blocks(client: &mut BlockingClient, lun: u32, lba: u64, count: u32) -> Result<Vec<u8>, RunError> {
+fn read_blocks(
+    client: &mut BlockingClient,
+    lun: u32,
+    lba: u64,
+    count: u32,
+) -> Result<Vec<u8>, RunError> {
     let cdb = read_or_write_16(false, lba, count, EXTENT_COPY_GROUP);
     let mut attempt = 1;
     loop {
-        let Answer { status, sense, data, .. } =
-            client.execute(lun, &cdb, count as usize * block::SIZE, Vec::new())?;
+        let Answer {
+            status,
+            sense,
+            data,
+            ..
+        } = client.execute(lun, &cdb, count as usize * block::SIZE, Vec::new())?;
         if status == status::GOOD {
             return Ok(data);
         }
--- a/crates/lab/src/rehearsal/snapshots.rs
+++ b/crates/lab/src/rehearsal/snapshots.rs
@@ -63,8 +63,16 @@
                 }
                 Err(e) => Err(CatalogRefusal(e.to_string())),
             };
-            let request = CatalogRequest { change, requested_at, answered_at, lun };
-            requests.lock().unwrap_or_else(PoisonError::into_inner).push(request);
+            let request = CatalogRequest {
+                change,
+                requested_at,
+                answered_at,
+                lun,
+            };
+            requests
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(request);
         }));
     }
 }
--- a/crates/lab/src/rehearsal/start.rs
+++ b/crates/lab/src/rehearsal/start.rs
@@ -35,12 +35,17 @@
         let config = mallowseam_settings::parse(&scenario.name, &text)?;
         let trace = Trace::default();
         let nodes = start_nodes(scenario, &config, &addresses, &trace, &mut rng)?;
-        let list =
-            EndpointListService::start(addresses.list(), scenario.nodes, scenario.list_lag, trace.clone())
-                .map_err(RunError::io("node list stand-in"))?;
+        let list = EndpointListService::start(
+            addresses.list(),
+            scenario.nodes,
+            scenario.list_lag,
+            trace.clone(),
+        )
+        .map_err(RunError::io("node list stand-in"))?;
         let hosts = write_host_configs(scenario, &addresses, dir, &mut rng)?;
         let load_config = load_config(scenario, &config, &addresses);
-        let load = Load::start(load_config, trace.clone(), rng.random()).map_err(RunError::io("clients"))?;
+        let load = Load::start(load_config, trace.clone(), rng.random())
+            .map_err(RunError::io("clients"))?;
         let mut rehearsal = Rehearsal {
             scenario,
             trace,
@@ -53,7 +58,9 @@
             requested_changes: Arc::default(),
             catalog_requests: Arc::default(),
             requesters: Vec::new(),
-            host_addresses: (0..scenario.hosts).map(|host| addresses.host(host)).collect(),
+            host_addresses: (0..scenario.hosts)
+                .map(|host| addresses.host(host))
+                .collect(),
             program: program.clone(),
             dir: dir.to_owned(),
             order,
@@ -91,7 +98,14 @@
         // No two machines are alike.
         model.unit_work *= rng.random_range(0.85..1.15);
         let target = &config.nodes[n as usize].target;
-        let node = Node::start(n, addresses.node(n), target, model, trace.clone(), rng.random());
+        let node = Node::start(
+            n,
+            addresses.node(n),
+            target,
+            model,
+            trace.clone(),
+            rng.random(),
+        );
         nodes.push(node.map_err(RunError::io("node stand-in"))?);
     }
     Ok(nodes)
@@ -109,7 +123,11 @@
         let text = config_text(scenario, addresses, dir, host, rng.random());
         std::fs::write(&config_file, text).map_err(RunError::io("configuration"))?;
         let control_socket = dir.join(format!("gw{host}.sock"));
-        hosts.push(HostProcess { child: None, config_file, control_socket });
+        hosts.push(HostProcess {
+            child: None,
+            config_file,
+            control_socket,
+        });
     }
     Ok(hosts)
 }
@@ -119,7 +137,11 @@
         let applies = |r: &&mallowseam_settings::config::Rule| {
             r.direction == direction || r.direction == Direction::Any
         };
-        let rule = volume.rules.iter().find(applies).expect("parsing checks that rules cover a volume");
+        let rule = volume
+            .rules
+            .iter()
+            .find(applies)
+            .expect("parsing checks that rules cover a volume");
         config.io_classes[rule.io_class].deadline
     };
     let volume = |volume: &Volume| VolumeTarget {
@@ -130,14 +152,19 @@
         write_deadline: deadline(volume, Direction::Write),
     };
     LoadConfig {
-        hosts: (0..scenario.hosts).map(|host| addresses.host(host)).collect(),
+        hosts: (0..scenario.hosts)
+            .map(|host| addresses.host(host))
+            .collect(),
         target: TARGET.into(),
         volumes: config.volumes.iter().map(volume).collect(),
         clients: scenario.clients,
         command_rate: scenario.command_rate,
         write_fraction: scenario.write_fraction,
         proposal: ProposedParams {
-            digests: Digests { header: scenario.digests, data: scenario.digests },
+            digests: Digests {
+                header: scenario.digests,
+                data: scenario.digests,
+            },
             ..ProposedParams::default()
         },
     }
--- a/crates/lab/src/script/faults.rs
+++ b/crates/lab/src/script/faults.rs
@@ -4,8 +4,7 @@
 use crate::trace::Micros;
 use mallowseam_settings::Arguments;
 
-const KINDS: &str =
-    "node, host, client, list, surge, load, half-logins, garbage, snapshot, clone, catalog or control";
+const KINDS: &str = "node, host, client, list, surge, load, half-logins, garbage, snapshot, clone, catalog or control";
 const KIND_WORDS: [&str; 12] = [
     "node",
     "host",
@@ -29,11 +28,17 @@
 
 impl FaultSpan {
     fn instant(fault: Fault) -> Self {
-        FaultSpan { begins: fault, ends: None }
+        FaultSpan {
+            begins: fault,
+            ends: None,
+        }
     }
 
     fn lasting(begins: Fault, ends: Fault) -> Self {
-        FaultSpan { begins, ends: Some(ends) }
+        FaultSpan {
+            begins,
+            ends: Some(ends),
+        }
     }
 
     /// A fault whose variant takes a bool: true at its beginning, false at its end.
@@ -53,7 +58,10 @@
             args.value::<()>("for DURATION", |_| None);
             return None;
         }
-        events.push(Event { at: at + args.duration(DURATION)?, fault });
+        events.push(Event {
+            at: at + args.duration(DURATION)?,
+            fault,
+        });
     }
     Some(events)
 }
@@ -69,8 +77,14 @@
             let times = args.number("a multiple", 0.0, 100.0)?;
             FaultSpan::lasting(Fault::Surge(plan.clone(), times), Fault::Surge(plan, 1.0))
         }
-        "snapshot" => FaultSpan::instant(Fault::Snapshot(args.text("a volume")?, args.text("a name")?)),
-        "clone" => FaultSpan::instant(Fault::Clone(args.text("VOLUME@NAME")?, args.text("a name")?)),
+        "snapshot" => FaultSpan::instant(Fault::Snapshot(
+            args.text("a volume")?,
+            args.text("a name")?,
+        )),
+        "clone" => FaultSpan::instant(Fault::Clone(
+            args.text("VOLUME@NAME")?,
+            args.text("a name")?,
+        )),
         "catalog" => {
             kill(args)?;
             FaultSpan::lasting(Fault::CatalogKill, Fault::CatalogStart)
@@ -79,8 +93,13 @@
             kill(args)?;
             FaultSpan::lasting(Fault::ControlKill, Fault::ControlStart)
         }
-        "load" => FaultSpan::lasting(Fault::Load(args.number("a multiple", 0.0, 100.0)?), Fault::Load(1.0)),
-        "half-logins" => FaultSpan::instant(Fault::HalfLogins(args.integer("a number", 1, 1000)? as u32)),
+        "load" => FaultSpan::lasting(
+            Fault::Load(args.number("a multiple", 0.0, 100.0)?),
+            Fault::Load(1.0),
+        ),
+        "half-logins" => {
+            FaultSpan::instant(Fault::HalfLogins(args.integer("a number", 1, 1000)? as u32))
+        }
         _ => FaultSpan::instant(Fault::Garbage(args.integer("a number", 1, 1000)? as u32)),
     })
 }
@@ -90,10 +109,12 @@
 }
 
 fn selector(args: &mut Arguments) -> Option<Selector> {
-    args.value("a number, or any or anyN", |word| match word.strip_prefix("any") {
-        Some("") => Some(Selector::Any(0)),
-        Some(n) => n.parse().ok().map(Selector::Any),
-        None => word.parse().ok().map(Selector::Number),
+    args.value("a number, or any or anyN", |word| {
+        match word.strip_prefix("any") {
+            Some("") => Some(Selector::Any(0)),
+            Some(n) => n.parse().ok().map(Selector::Any),
+            None => word.parse().ok().map(Selector::Number),
+        }
     })
 }
 
@@ -105,8 +126,8 @@
 
 fn node(args: &mut Arguments) -> Option<FaultSpan> {
     let node = selector(args)?;
-    let what =
-        args.text("silent, still, deaf, slow, errors, loses, crash, start, reset, drain or undrain")?;
+    let what = args
+        .text("silent, still, deaf, slow, errors, loses, crash, start, reset, drain or undrain")?;
     Some(match what.as_str() {
         "silent" => FaultSpan::switched(|on| Fault::NodeSilent(node, on)),
         "still" => FaultSpan::switched(|on| Fault::NodeStill(node, on)),
@@ -126,7 +147,12 @@
         "crash" => FaultSpan::lasting(Fault::NodeCrash(node), Fault::NodeStart(node)),
         "reset" => FaultSpan::instant(Fault::NodeReset(node)),
         "drain" => FaultSpan::lasting(Fault::NodeDrain(node), Fault::NodeUndrain(node)),
-        _ => return unknown(args, "silent, still, deaf, slow, errors, loses, crash, reset or drain"),
+        _ => {
+            return unknown(
+                args,
+                "silent, still, deaf, slow, errors, loses, crash, reset or drain",
+            );
+        }
     })
 }
 
--- a/crates/lab/src/script/parse.rs
+++ b/crates/lab/src/script/parse.rs
@@ -35,7 +35,11 @@
     scenario.config_sections = text.lines().skip(start).collect::<Vec<_>>().join("\n");
     check_required(&scenario, &mut diagnostics);
     scenario.events.sort_by_key(|e| e.at);
-    if diagnostics.is_empty() { Ok(scenario) } else { Err(diagnostics.sorted()) }
+    if diagnostics.is_empty() {
+        Ok(scenario)
+    } else {
+        Err(diagnostics.sorted())
+    }
 }
 
 fn default_scenario(name: &str) -> Scenario {
@@ -86,14 +90,17 @@
         "catalog" => {
             let extent = args.integer("blocks of an extent", 1, 65536);
             let copy_class = args.text("the name of a group");
-            scenario.catalog =
-                extent.zip(copy_class).map(|(extent, copy_class)| CatalogScenario { extent, copy_class });
+            scenario.catalog = extent
+                .zip(copy_class)
+                .map(|(extent, copy_class)| CatalogScenario { extent, copy_class });
         }
         "tariffs" => {
             args.value("every", |word| (word == "every").then_some(()));
             scenario.plan_change_interval = args.duration(DURATION).filter(|n| *n > 0);
         }
-        "at" => scenario.events.extend(faults::parse(args).into_iter().flatten()),
+        "at" => scenario
+            .events
+            .extend(faults::parse(args).into_iter().flatten()),
         _ => return false,
     }
     true
--- a/crates/lab/src/search.rs
+++ b/crates/lab/src/search.rs
@@ -58,7 +58,10 @@
 /// Hash of a state, of 128 bits: in a search of millions no two states are expected to share one.
 fn hash(state: &impl Hash) -> (u64, u64) {
     let first = foldhash::fast::FixedState::with_seed(HASH_SEED).hash_one(state);
-    (first, foldhash::fast::FixedState::with_seed(first).hash_one(state))
+    (
+        first,
+        foldhash::fast::FixedState::with_seed(first).hash_one(state),
+    )
 }
 
 /// How each state was reached: the index of the state before it, and the action. None: the initial state.
@@ -91,9 +94,16 @@
         explored.states += 1;
         explored.depth = depth;
         let is_followed = explored.states.is_multiple_of(liveness_interval.max(1));
-        let liveness = if is_followed { state.check_liveness() } else { Ok(()) };
+        let liveness = if is_followed {
+            state.check_liveness()
+        } else {
+            Ok(())
+        };
         if let Err(violation) = state.check_safety().and(liveness) {
-            return Err(Counterexample { violation, actions: path_to(&paths, index) });
+            return Err(Counterexample {
+                violation,
+                actions: path_to(&paths, index),
+            });
         }
         for action in state.actions() {
             explored.steps += 1;
--- a/crates/lab/src/snapshot_benchmark/catalog.rs
+++ b/crates/lab/src/snapshot_benchmark/catalog.rs
@@ -37,7 +37,8 @@
 }
 
 fn store_bytes(dir: &Path) -> Result<u64, RunError> {
-    let metadata = std::fs::metadata(store_path(dir)).map_err(RunError::io("the catalog's store"))?;
+    let metadata =
+        std::fs::metadata(store_path(dir)).map_err(RunError::io("the catalog's store"))?;
     Ok(metadata.len())
 }
 
@@ -46,7 +47,10 @@
 }
 
 fn create_volume(catalog: &mut Catalog) -> Result<(), RunError> {
-    catalog.stage(Change::BranchCreated { branch: VOLUME.into(), extent_count: EXTENTS })?;
+    catalog.stage(Change::BranchCreated {
+        branch: VOLUME.into(),
+        extent_count: EXTENTS,
+    })?;
     Ok(())
 }
 
@@ -54,20 +58,37 @@
 fn place_extent(catalog: &mut Catalog, extent: u32) -> Result<(), RunError> {
     let layer = catalog.tree().branches[VOLUME].head;
     let slot = catalog.tree().layers[&layer].next_slot;
-    catalog.stage(Change::SlotsAllocated { layer, first: slot, count: 1 })?;
-    let location = Location { node: extent % NODES, slot };
-    catalog.stage(Change::ExtentPlaced { layer, extent, location })?;
+    catalog.stage(Change::SlotsAllocated {
+        layer,
+        first: slot,
+        count: 1,
+    })?;
+    let location = Location {
+        node: extent % NODES,
+        slot,
+    };
+    catalog.stage(Change::ExtentPlaced {
+        layer,
+        extent,
+        location,
+    })?;
     catalog.stage(Change::ExtentWritable { layer, extent })?;
     Ok(())
 }
 
 fn cut(catalog: &mut Catalog, number: u32) -> Result<(), RunError> {
     let layer = catalog.tree().branches[VOLUME].head;
-    catalog.stage(Change::HeadFrozen { branch: VOLUME.into() })?;
+    catalog.stage(Change::HeadFrozen {
+        branch: VOLUME.into(),
+    })?;
     for (layer, node) in catalog.tree().pending_closes().collect::<Vec<_>>() {
         catalog.stage(Change::LayerClosed { layer, node })?;
     }
-    catalog.stage(Change::SnapshotCreated { branch: VOLUME.into(), name: format!("s{number}"), layer })?;
+    catalog.stage(Change::SnapshotCreated {
+        branch: VOLUME.into(),
+        name: format!("s{number}"),
+        layer,
+    })?;
     Ok(())
 }
 
@@ -94,7 +115,12 @@
         catalog.commit()?;
         first_writes.push(milliseconds_since(began));
     }
-    let locations: usize = catalog.tree().layers.values().map(|layer| layer.locations.len()).sum();
+    let locations: usize = catalog
+        .tree()
+        .layers
+        .values()
+        .map(|layer| layer.locations.len())
+        .sum();
     let kib = store_bytes(dir.path())? / 1024;
     drop(catalog);
     let began = Instant::now();
@@ -121,10 +147,16 @@
     let cut = milliseconds_since(began);
     let replication = replicate(&catalog)?;
     let began = Instant::now();
-    catalog.stage(Change::SnapshotDeleted { snapshot: format!("{VOLUME}@s0") })?;
+    catalog.stage(Change::SnapshotDeleted {
+        snapshot: format!("{VOLUME}@s0"),
+    })?;
     catalog.commit()?;
     let deleted = milliseconds_since(began);
-    let Replication { total_ms, longest_ms, bytes } = replication;
+    let Replication {
+        total_ms,
+        longest_ms,
+        bytes,
+    } = replication;
     Ok(format!(
         "catalog, 1 TiB written in full ({EXTENTS} locations): {mib} MiB, opened in {opened:.0} ms; a cut committed in \
          {cut:.2} ms, a snapshot deleted in {deleted:.2} ms; a host replicates it in {total_ms:.0} ms, \
@@ -165,11 +197,17 @@
         let began = Instant::now();
         match serde_json::from_str(line)? {
             ToHost::FullTree { catalog_id, tree } => replica.begin_full_tree(catalog_id, *tree),
-            ToHost::Locations { layer, locations } => drop(replica.add_locations(layer, &locations)),
+            ToHost::Locations { layer, locations } => {
+                drop(replica.add_locations(layer, &locations))
+            }
             _ => drop(replica.finish_full_tree()),
         }
         longest_ms = longest_ms.max(milliseconds_since(began));
     }
     let bytes = lines.iter().map(String::len).sum();
-    Ok(Replication { total_ms: milliseconds_since(began), longest_ms, bytes })
+    Ok(Replication {
+        total_ms: milliseconds_since(began),
+        longest_ms,
+        bytes,
+    })
 }
--- a/crates/lab/src/snapshot_benchmark/sockets.rs
+++ b/crates/lab/src/snapshot_benchmark/sockets.rs
@@ -62,12 +62,19 @@
             nodes.push(node.map_err(RunError::io("node stand-in"))?);
         }
         let file = dir.path().join("conf");
-        std::fs::write(&file, config_text(options, dir.path())).map_err(RunError::io("configuration"))?;
+        std::fs::write(&file, config_text(options, dir.path()))
+            .map_err(RunError::io("configuration"))?;
         let catalog = KilledOnDrop::start(program, &["catalog", "--log", "warn"], &file)?;
         wait_for_answer(&dir.path().join("catalog.sock"), "list")?;
         let host = KilledOnDrop::start(program, &["run", "--log", "warn"], &file)?;
         wait_for_answer(&dir.path().join("gw.sock"), "status")?;
-        Ok(Site { dir, host_address: address(101), _host: host, _catalog: catalog, _nodes: nodes })
+        Ok(Site {
+            dir,
+            host_address: address(101),
+            _host: host,
+            _catalog: catalog,
+            _nodes: nodes,
+        })
     }
 
     fn catalog_socket(&self) -> PathBuf {
@@ -95,7 +102,11 @@
         EXTENT * EXTENTS,
     );
     for i in 0..NODES {
-        text += &format!("node node{i}\n  address {}\n  target {}\n", address(1 + i), node_target(i));
+        text += &format!(
+            "node node{i}\n  address {}\n  target {}\n",
+            address(1 + i),
+            node_target(i)
+        );
     }
     text
 }
@@ -146,7 +157,8 @@
         EXTENT / 2,
         options.depth
     );
-    let columns = ["commands", "median", "p99", "longest", "cuts"].map(|name| format!("{name:>10}"));
+    let columns =
+        ["commands", "median", "p99", "longest", "cuts"].map(|name| format!("{name:>10}"));
     out += &format!("{:<28}{}\n", "", columns.concat());
     let mut taken = 0;
     for wanted in &options.snapshots {
@@ -161,11 +173,17 @@
         let writes = drive(&mut client, options, true, &mut rng, Instant::now())?;
         let reads = drive(&mut client, options, false, &mut rng, Instant::now())?;
         let first_snapshot = FIRST_LOADED_SNAPSHOT + taken * SNAPSHOTS_PER_MEASUREMENT;
-        let (loaded, cuts) = drive_with_cuts(&mut client, options, &mut rng, &socket, first_snapshot)?;
+        let (loaded, cuts) =
+            drive_with_cuts(&mut client, options, &mut rng, &socket, first_snapshot)?;
         let split = LatenciesAroundCuts::split(&loaded, &cuts);
         taken += cuts.len() as u32;
-        let latencies = |commands: &[Completed]| commands.iter().map(|c| c.latency).collect::<Vec<_>>();
-        out += &row(&format!("behind {wanted}: reads, no cuts"), &latencies(&reads), 0);
+        let latencies =
+            |commands: &[Completed]| commands.iter().map(|c| c.latency).collect::<Vec<_>>();
+        out += &row(
+            &format!("behind {wanted}: reads, no cuts"),
+            &latencies(&reads),
+            0,
+        );
         out += &row("  writes, no cuts", &latencies(&writes), 0);
         out += &row("  writes 20 ms around cuts", &split.near_cuts, cuts.len());
         out += &row("  first writes after cuts", &split.first_writes, cuts.len());
@@ -189,7 +207,10 @@
         // Cuts before a write, and the extent written.
         let mut written = BTreeSet::new();
         for write in writes {
-            let cuts_before = cuts.iter().filter(|cut| cut.requested <= write.sent).count();
+            let cuts_before = cuts
+                .iter()
+                .filter(|cut| cut.requested <= write.sent)
+                .count();
             if cuts_before > 0 && written.insert((cuts_before, write.extent)) {
                 split.first_writes.push(write.latency);
             } else if cuts.iter().any(|cut| cut.is_near(write.sent)) {
@@ -204,7 +225,9 @@
 
 fn row(name: &str, latencies: &[Duration], cuts: usize) -> String {
     let mut histogram = latency_histogram();
-    latencies.iter().for_each(|latency| histogram.saturating_record(latency.as_nanos() as u64));
+    latencies
+        .iter()
+        .for_each(|latency| histogram.saturating_record(latency.as_nanos() as u64));
     let ms = |ns: u64| ns as f64 / 1e6;
     let [median, p99] = [0.5, 0.99].map(|quantile| ms(histogram.value_at_quantile(quantile)));
     let longest = ms(histogram.max());
@@ -232,13 +255,18 @@
                 std::thread::sleep(Duration::from_millis(options.every));
                 let requested = began.elapsed();
                 take_snapshot(socket, number)?;
-                cuts.push(Cut { requested, granted: began.elapsed() });
+                cuts.push(Cut {
+                    requested,
+                    granted: began.elapsed(),
+                });
             }
             Ok(cuts)
         });
         let completed = drive(client, options, true, rng, began);
         over.store(true, Ordering::Relaxed);
-        let cuts = cutter.join().map_err(|_| RunError::Thread("the snapshot thread"))??;
+        let cuts = cutter
+            .join()
+            .map_err(|_| RunError::Thread("the snapshot thread"))??;
         Ok((completed?, cuts))
     })
 }
@@ -253,7 +281,10 @@
     if answer.status == status::GOOD {
         Ok(())
     } else {
-        Err(RunError::CommandFailed { status: answer.status, sense: answer.sense })
+        Err(RunError::CommandFailed {
+            status: answer.status,
+            sense: answer.sense,
+        })
     }
 }
 
@@ -281,13 +312,28 @@
         }
         client.exchange()?;
         while let Some(event) = client.conn.next_event() {
-            let InitiatorEvent::CommandCompleted { tag, status: code, sense, .. } = event else { continue };
+            let InitiatorEvent::CommandCompleted {
+                tag,
+                status: code,
+                sense,
+                ..
+            } = event
+            else {
+                continue;
+            };
             if code != status::GOOD {
-                return Err(RunError::CommandFailed { status: code, sense });
+                return Err(RunError::CommandFailed {
+                    status: code,
+                    sense,
+                });
             }
             if let Some((sent, extent)) = in_flight[tag as usize].take() {
                 let latency = began.elapsed().saturating_sub(sent);
-                completed.push(Completed { sent, latency, extent });
+                completed.push(Completed {
+                    sent,
+                    latency,
+                    extent,
+                });
             }
         }
     }
@@ -296,9 +342,19 @@
 /// Sends a command to random blocks; the extent that they are in.
 fn send_random(client: &mut BlockingClient, tag: u32, write: bool, rng: &mut Pcg64Mcg) -> u64 {
     let lba = rng.random_range(0..EXTENT * EXTENTS / u64::from(BLOCKS)) * u64::from(BLOCKS);
-    let data = if write { block::write(2, lba, BLOCKS) } else { Vec::new() };
-    let read_len = if write { 0 } else { BLOCKS as usize * block::SIZE };
+    let data = if write {
+        block::write(2, lba, BLOCKS)
+    } else {
+        Vec::new()
+    };
+    let read_len = if write {
+        0
+    } else {
+        BLOCKS as usize * block::SIZE
+    };
     let cdb = scsi::read_or_write_16(write, lba, BLOCKS, 0);
-    client.conn.send_command(tag, 0, &cdb, read_len, data.into());
+    client
+        .conn
+        .send_command(tag, 0, &cdb, read_len, data.into());
     lba / EXTENT
 }
--- a/crates/lab/src/trace.rs
+++ b/crates/lab/src/trace.rs
@@ -164,14 +164,21 @@
 
 impl Default for Trace {
     fn default() -> Self {
-        Trace { began: Instant::now(), recording: true, entries: Arc::default() }
+        Trace {
+            began: Instant::now(),
+            recording: true,
+            entries: Arc::default(),
+        }
     }
 }
 
 impl Trace {
     /// A clock that records nothing.
     pub fn disabled() -> Self {
-        Trace { recording: false, ..Trace::default() }
+        Trace {
+            recording: false,
+            ..Trace::default()
+        }
     }
 
     /// Whether events are recorded.
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -12,7 +12,8 @@
     let pid = std::process::id();
     let address = |n| SocketAddr::from(([127, 252, pid as u8, run * 4 + n], 3260));
     let model = ServiceModel::warm(8, 0.0, 64);
-    let _node = Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
+    let _node =
+        Node::start(0, address(1), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
     let dir = tempfile::tempdir().expect("a directory");
     let control = dir.path().join("sock");
     let text = format!(
@@ -37,9 +38,18 @@
         }
     };
     for i in 0..ios {
-        let (room, data) = if write { (0, vec![1; 4096]) } else { (4096, vec![]) };
+        let (room, data) = if write {
+            (0, vec![1; 4096])
+        } else {
+            (4096, vec![])
+        };
         let answer = client
-            .execute(0, &scsi::read_or_write_16(write, i % 8 * 8, 8, 0), room, data)
+            .execute(
+                0,
+                &scsi::read_or_write_16(write, i % 8 * 8, 8, 0),
+                room,
+                data,
+            )
             .expect("an answer");
         assert_eq!(answer.status, status::GOOD);
     }
--- a/crates/lab/tests/audit/budgets.rs
+++ b/crates/lab/tests/audit/budgets.rs
@@ -14,7 +14,8 @@
             let task = run.node_receives(101, op);
             run.node_answers(102, 0, task, status::CHECK_CONDITION);
             let task = run.node_receives(103, op);
-            run.node_answers(104, 0, task, status::GOOD).answer(105, op, status::GOOD, Some(0));
+            run.node_answers(104, 0, task, status::GOOD)
+                .answer(105, op, status::GOOD, Some(0));
         }
         assert_eq!(run.violated_rules(), broken, "{n} further");
     }
@@ -39,10 +40,18 @@
         for op in 0..6 {
             run.complete_command(100, 10 + op, false, 1, 8, 0);
         }
-        let window = |from, until, burst| EffectiveLimit { from, until, limit: 2.0, burst };
+        let window = |from, until, burst| EffectiveLimit {
+            from,
+            until,
+            limit: 2.0,
+            burst,
+        };
         let limits = vec![window(0, in_force, 4.0), window(20_000, Micros::MAX, 2.0)];
         let limits = [("basic".to_owned(), limits)].into();
-        let verdict = run.judge_with(&Layout { limits, ..Layout::default() });
+        let verdict = run.judge_with(&Layout {
+            limits,
+            ..Layout::default()
+        });
         assert_eq!(
             verdict.violations[6].len(),
             broken,
--- a/crates/lab/tests/audit/data.rs
+++ b/crates/lab/tests/audit/data.rs
@@ -10,7 +10,8 @@
         let mut run = sound_record();
         run.send(100, 5, false, 0);
         let task = run.node_receives(101, 5);
-        run.node_answers(102, 0, task, status::GOOD).answer(103, 5, status::GOOD, shows);
+        run.node_answers(102, 0, task, status::GOOD)
+            .answer(103, 5, status::GOOD, shows);
         assert_eq!(run.violated_rules(), [8], "{shows:?}");
     }
 }
@@ -44,7 +45,12 @@
     ] {
         let mut run = sound_record();
         run.snapshot(asked, granted, [shows; 8]);
-        assert_eq!(run.inexact(), inexact, "asked at {asked}, shows {shows}: {:?}", run.judge().inexact);
+        assert_eq!(
+            run.inexact(),
+            inexact,
+            "asked at {asked}, shows {shows}: {:?}",
+            run.judge().inexact
+        );
     }
 }
 
@@ -54,18 +60,24 @@
     run.snapshot(41, 45, [3, 3, 3, 3, 1, 1, 1, 1]);
     assert!(run.inexact());
     let mut run = sound_record();
-    run.send(100, 5, true, 0).answer(110, 5, status::BUSY, None).snapshot(105, 120, [5; 8]);
+    run.send(100, 5, true, 0)
+        .answer(110, 5, status::BUSY, None)
+        .snapshot(105, 120, [5; 8]);
     assert!(run.inexact());
 }
 
 #[test]
 fn snapshot_with_a_later_write_but_not_the_earlier_one_is_reported() {
     // Two writes of one key in flight at the cut, in order: the first covers more blocks than the second.
-    for (shows, inexact) in [([6, 6, 5, 5, 5, 5, 5, 5], false), ([6, 6, 3, 3, 3, 3, 3, 3], true)] {
+    for (shows, inexact) in [
+        ([6, 6, 5, 5, 5, 5, 5, 5], false),
+        ([6, 6, 3, 3, 3, 3, 3, 3], true),
+    ] {
         let mut run = sound_record();
         run.send(100, 5, true, 0);
         let five = run.node_receives(101, 5);
-        run.node_answers(102, 0, five, status::GOOD).answer(103, 5, status::GOOD, None);
+        run.node_answers(102, 0, five, status::GOOD)
+            .answer(103, 5, status::GOOD, None);
         run.note(
             104,
             TraceEvent::CommandSent {
--- a/crates/lab/tests/audit/delivery.rs
+++ b/crates/lab/tests/audit/delivery.rs
@@ -23,7 +23,8 @@
 #[test]
 fn commands_in_flight_at_a_killed_host_need_no_answer() {
     let mut run = sound_record();
-    run.send(100, 5, false, 8).note(300, TraceEvent::HostDown { host: 0 });
+    run.send(100, 5, false, 8)
+        .note(300, TraceEvent::HostDown { host: 0 });
     assert!(run.violated_rules().is_empty(), "{:?}", run.judge());
 }
 
@@ -32,7 +33,8 @@
     let mut run = sound_record();
     run.send(100, 5, false, 8);
     let task = run.node_receives(101, 5);
-    run.node_answers(1_390, 0, task, status::GOOD).answer(1_400, 5, status::GOOD, Some(0));
+    run.node_answers(1_390, 0, task, status::GOOD)
+        .answer(1_400, 5, status::GOOD, Some(0));
     assert_eq!(run.violated_rules(), [1]);
 }
 
@@ -56,7 +58,8 @@
 #[test]
 fn attempt_without_a_command_is_reported() {
     let mut run = sound_record();
-    run.send(100, 5, false, 8).note(105, TraceEvent::CommandAbandoned { command: 5 });
+    run.send(100, 5, false, 8)
+        .note(105, TraceEvent::CommandAbandoned { command: 5 });
     run.asked[4].4 = 30;
     run.node_receives(110, 5);
     assert_eq!(run.violated_rules(), [1]);
@@ -69,7 +72,8 @@
     let task = run.node_receives(101, 5);
     run.node_answers(102, 0, task, status::TASK_SET_FULL);
     let task = run.node_receives(150, 5);
-    run.node_answers(160, 0, task, status::GOOD).answer(161, 5, status::GOOD, None);
+    run.node_answers(160, 0, task, status::GOOD)
+        .answer(161, 5, status::GOOD, None);
     assert!(run.violated_rules().is_empty(), "{:?}", run.judge());
     run.node_receives(155, 5);
     assert_eq!((run.violated_rules(), run.judge().duplicated), (vec![2], 1));
--- a/crates/lab/tests/audit/nodes.rs
+++ b/crates/lab/tests/audit/nodes.rs
@@ -6,11 +6,32 @@
 fn attempt_at_a_draining_node_is_reported_after_the_grace() {
     for (at, broken) in [(400, vec![]), (700, vec![3])] {
         let mut run = sound_record();
-        run.note(100, TraceEvent::HostNotified { host: 0, node: 0, active: false });
-        run.note(120, TraceEvent::HostNotified { host: 1, node: 0, active: true });
+        run.note(
+            100,
+            TraceEvent::HostNotified {
+                host: 0,
+                node: 0,
+                active: false,
+            },
+        );
+        run.note(
+            120,
+            TraceEvent::HostNotified {
+                host: 1,
+                node: 0,
+                active: true,
+            },
+        );
         run.complete_command(at, 5, false, 0, 8, 0);
         assert_eq!(run.violated_rules(), broken, "at {at}");
-        run.note(at - 50, TraceEvent::HostNotified { host: 0, node: 0, active: true });
+        run.note(
+            at - 50,
+            TraceEvent::HostNotified {
+                host: 0,
+                node: 0,
+                active: true,
+            },
+        );
         assert!(run.violated_rules().is_empty(), "{:?}", run.judge());
     }
 }
--- a/crates/lab/tests/audit/ordering.rs
+++ b/crates/lab/tests/audit/ordering.rs
@@ -9,15 +9,18 @@
     run.send(100, 5, true, 8).send(101, 6, true, 8);
     let five = run.node_receives(110, 5);
     let six = run.node_receives(115, 6);
-    run.node_answers(120, 0, five, status::GOOD).node_answers(125, 0, six, status::GOOD);
-    run.answer(130, 5, status::GOOD, None).answer(131, 6, status::GOOD, None);
+    run.node_answers(120, 0, five, status::GOOD)
+        .node_answers(125, 0, six, status::GOOD);
+    run.answer(130, 5, status::GOOD, None)
+        .answer(131, 6, status::GOOD, None);
     assert_eq!(run.violated_rules(), [5]);
 
     let mut run = sound_record();
     run.send(100, 5, true, 8).send(101, 6, true, 8);
     for (at, op) in [(110, 6), (130, 5)] {
         let task = run.node_receives(at, op);
-        run.node_answers(at + 5, 0, task, status::GOOD).answer(at + 6, op, status::GOOD, None);
+        run.node_answers(at + 5, 0, task, status::GOOD)
+            .answer(at + 6, op, status::GOOD, None);
     }
     assert_eq!(run.violated_rules(), [5]);
 }
@@ -26,16 +29,29 @@
 fn attempt_within_the_cooldown_of_a_key_is_reported() {
     for (next, broken) in [(1_010, vec![5]), (1_210, vec![])] {
         let cuts = [
-            TraceEvent::NodeAborted { node: 0, connection: 1, task: 5 },
-            TraceEvent::ConnectionClosed { node: 0, connection: 1 },
+            TraceEvent::NodeAborted {
+                node: 0,
+                connection: 1,
+                task: 5,
+            },
+            TraceEvent::ConnectionClosed {
+                node: 0,
+                connection: 1,
+            },
         ];
         for cut in cuts {
             let mut run = sound_record();
             run.send(100, 5, true, 8).send(101, 6, true, 8);
             assert_eq!(run.node_receives(110, 5), 5);
-            run.note(1_000, cut).answer(1_001, 5, status::CHECK_CONDITION, None);
+            run.note(1_000, cut)
+                .answer(1_001, 5, status::CHECK_CONDITION, None);
             let task = run.node_receives(next, 6);
-            run.node_answers(next + 5, 0, task, status::GOOD).answer(next + 6, 6, status::GOOD, None);
+            run.node_answers(next + 5, 0, task, status::GOOD).answer(
+                next + 6,
+                6,
+                status::GOOD,
+                None,
+            );
             assert_eq!(run.violated_rules(), broken, "at {next}");
         }
     }
--- a/crates/lab/tests/audit/record.rs
+++ b/crates/lab/tests/audit/record.rs
@@ -85,7 +85,14 @@
         self.send_to(at, op, write, 0, lba)
     }
 
-    pub(crate) fn send_to(&mut self, at: Micros, op: u64, write: bool, volume: u32, lba: u64) -> &mut Self {
+    pub(crate) fn send_to(
+        &mut self,
+        at: Micros,
+        op: u64,
+        write: bool,
+        volume: u32,
+        lba: u64,
+    ) -> &mut Self {
         let group_number = (op % 32) as u8;
         self.asked.push((op, write, lba, volume, group_number));
         self.note(
@@ -105,7 +112,8 @@
 
     /// The node of the command's volume receives it; the task tag of that attempt.
     pub(crate) fn node_receives(&mut self, at: Micros, op: u64) -> u32 {
-        let (_, write, lba, volume, group_number) = *self.asked.iter().find(|a| a.0 == op).expect("asked");
+        let (_, write, lba, volume, group_number) =
+            *self.asked.iter().find(|a| a.0 == op).expect("asked");
         self.tasks += 1;
         let write_ids = if write { vec![op; 8] } else { vec![] };
         let task = self.tasks;
@@ -130,13 +138,38 @@
     }
 
     pub(crate) fn node_answers(&mut self, at: Micros, node: u32, task: u32, code: u8) -> &mut Self {
-        self.note(at, TraceEvent::NodeAnswered { node, connection: 1, task, status: code })
+        self.note(
+            at,
+            TraceEvent::NodeAnswered {
+                node,
+                connection: 1,
+                task,
+                status: code,
+            },
+        )
     }
 
-    pub(crate) fn answer(&mut self, at: Micros, op: u64, code: u8, shows: Option<u64>) -> &mut Self {
+    pub(crate) fn answer(
+        &mut self,
+        at: Micros,
+        op: u64,
+        code: u8,
+        shows: Option<u64>,
+    ) -> &mut Self {
         let write = self.asked.iter().find(|a| a.0 == op).expect("asked").1;
-        let read = if write || code != status::GOOD { vec![] } else { vec![shows; 8] };
-        self.note(at, TraceEvent::CommandAnswered { command: op, status: code, read })
+        let read = if write || code != status::GOOD {
+            vec![]
+        } else {
+            vec![shows; 8]
+        };
+        self.note(
+            at,
+            TraceEvent::CommandAnswered {
+                command: op,
+                status: code,
+                read,
+            },
+        )
     }
 
     /// A command that completes in ten milliseconds.
@@ -151,7 +184,8 @@
     ) -> &mut Self {
         self.send_to(at, op, write, volume, lba);
         let task = self.node_receives(at + 1, op);
-        self.node_answers(at + 9, volume, task, status::GOOD).answer(at + 10, op, status::GOOD, Some(shows))
+        self.node_answers(at + 9, volume, task, status::GOOD)
+            .answer(at + 10, op, status::GOOD, Some(shows))
     }
 
     pub(crate) fn judge(&self) -> Verdict {
@@ -179,7 +213,9 @@
     /// Numbers of the violated rules; 8 means wrong data.
     pub(crate) fn violated_rules(&self) -> Vec<usize> {
         let v = self.judge();
-        let mut rules: Vec<usize> = (1..=7).filter(|r| !v.violations[r - 1].is_empty()).collect();
+        let mut rules: Vec<usize> = (1..=7)
+            .filter(|r| !v.violations[r - 1].is_empty())
+            .collect();
         rules.extend((!v.wrong_data.is_empty()).then_some(8));
         rules
     }
@@ -196,12 +232,22 @@
 
 impl RecordBuilder {
     /// A snapshot of volume 0 with the times of its request and grant, and what its first eight blocks show.
-    pub(crate) fn snapshot(&mut self, asked: Micros, granted: Micros, shows: [u64; 8]) -> &mut Self {
+    pub(crate) fn snapshot(
+        &mut self,
+        asked: Micros,
+        granted: Micros,
+        shows: [u64; 8],
+    ) -> &mut Self {
         let mut blocks = vec![Some(0); 64];
         for (block, id) in blocks.iter_mut().zip(shows) {
             *block = Some(id);
         }
-        let kept = TraceEvent::SnapshotRead { volume: 0, name: "s".into(), requested_at: asked * MS, blocks };
+        let kept = TraceEvent::SnapshotRead {
+            volume: 0,
+            name: "s".into(),
+            requested_at: asked * MS,
+            blocks,
+        };
         self.note(granted, kept)
     }
 
--- a/crates/lab/tests/fleet/audit.rs
+++ b/crates/lab/tests/fleet/audit.rs
@@ -15,8 +15,15 @@
 ];
 
 fn request_sent(op: u64, at: u64, write: bool) -> Observation {
-    let event =
-        Event::RequestSent { op, host: 0, volume: 1, extent: 7, write, units: 1, timeout: 1_000 * MS };
+    let event = Event::RequestSent {
+        op,
+        host: 0,
+        volume: 1,
+        extent: 7,
+        write,
+        units: 1,
+        timeout: 1_000 * MS,
+    };
     Observation { at: at * MS, event }
 }
 
@@ -25,15 +32,38 @@
 }
 
 fn node_received(op: u64, node: u32, at: u64, units: u32) -> Observation {
-    observed(at, Event::NodeReceived { node, host: 0, op, units, write: true })
+    observed(
+        at,
+        Event::NodeReceived {
+            node,
+            host: 0,
+            op,
+            units,
+            write: true,
+        },
+    )
 }
 
 fn node_responded(op: u64, node: u32, at: u64) -> Observation {
-    observed(at, Event::NodeResponded { node, op, executed: true })
+    observed(
+        at,
+        Event::NodeResponded {
+            node,
+            op,
+            executed: true,
+        },
+    )
 }
 
 fn response_received(op: u64, at: u64) -> Observation {
-    observed(at, Event::ResponseReceived { op, status: 200, authentic: true })
+    observed(
+        at,
+        Event::ResponseReceived {
+            op,
+            status: 200,
+            authentic: true,
+        },
+    )
 }
 
 /// The rules that these observations violate.
@@ -41,7 +71,10 @@
     record.insert(0, observed(0, Event::HostStarted { host: 0 }));
     record.sort_by_key(|o| o.at);
     let verdict = check(&changed(&[]), &record, 0);
-    RULES.into_iter().filter(|rule| !verdict.violations[*rule as usize].is_empty()).collect()
+    RULES
+        .into_iter()
+        .filter(|rule| !verdict.violations[*rule as usize].is_empty())
+        .collect()
 }
 
 #[test]
@@ -55,7 +88,13 @@
     assert_eq!(violated(good), []);
     let killed = vec![
         request_sent(1, 10, true),
-        observed(30, Event::HostStopped { host: 0, by: Termination::Killed }),
+        observed(
+            30,
+            Event::HostStopped {
+                host: 0,
+                by: Termination::Killed,
+            },
+        ),
         observed(31, Event::ConnectionLost { op: 1 }),
     ];
     assert_eq!(violated(killed), [], "a killed host need not respond");
@@ -64,7 +103,10 @@
 #[test]
 fn requests_without_one_timely_authentic_response_violate_the_rule_on_responses() {
     assert_eq!(
-        violated(vec![request_sent(1, 10, false), observed(1_011, Event::ClientTimedOut { op: 1 })]),
+        violated(vec![
+            request_sent(1, 10, false),
+            observed(1_011, Event::ClientTimedOut { op: 1 })
+        ]),
         [Rule::Responses],
         "no response"
     );
@@ -78,15 +120,36 @@
     assert_eq!(violated(twice), [Rule::Responses], "two responses");
     let made_up = vec![
         request_sent(1, 10, true),
-        observed(11, Event::ResponseReceived { op: 1, status: 200, authentic: true }),
+        observed(
+            11,
+            Event::ResponseReceived {
+                op: 1,
+                status: 200,
+                authentic: true,
+            },
+        ),
     ];
-    assert_eq!(violated(made_up), [Rule::Responses], "a success that no node produced");
+    assert_eq!(
+        violated(made_up),
+        [Rule::Responses],
+        "a success that no node produced"
+    );
     let ended = vec![
         request_sent(1, 10, true),
-        observed(30, Event::HostStopped { host: 0, by: Termination::Exited(0) }),
+        observed(
+            30,
+            Event::HostStopped {
+                host: 0,
+                by: Termination::Exited(0),
+            },
+        ),
         observed(31, Event::ConnectionLost { op: 1 }),
     ];
-    assert_eq!(violated(ended), [Rule::Responses], "exited with a request in flight");
+    assert_eq!(
+        violated(ended),
+        [Rule::Responses],
+        "exited with a request in flight"
+    );
 }
 
 #[test]
@@ -99,11 +162,24 @@
         node_responded(1, 1, 99),
         response_received(1, 100),
     ];
-    assert_eq!(violated(repeated), [Rule::Effects], "a write that may have been executed is sent again");
+    assert_eq!(
+        violated(repeated),
+        [Rule::Effects],
+        "a write that may have been executed is sent again"
+    );
 }
 
 fn notified(at: u64, accepting: bool, version: u64) -> Observation {
-    observed(at, Event::EndpointSent { host: 0, node: 0, accepting, version, started_at: 0 })
+    observed(
+        at,
+        Event::EndpointSent {
+            host: 0,
+            node: 0,
+            accepting,
+            version,
+            started_at: 0,
+        },
+    )
 }
 
 /// A write that is served by the node at this time.
@@ -126,7 +202,13 @@
 /// A write that is served by a node that is draining; the host was not notified, and counts as notified later.
 fn served_while_undeliverable(effective_at: u64, at: u64) -> Vec<Observation> {
     let effective_at = effective_at * MS;
-    let event = Event::EndpointUndeliverable { host: 0, node: 0, accepting: false, version: 7, effective_at };
+    let event = Event::EndpointUndeliverable {
+        host: 0,
+        node: 0,
+        accepting: false,
+        version: 7,
+        effective_at,
+    };
     let mut observations = served_write(at);
     observations.insert(0, observed(300, event));
     observations
@@ -135,7 +217,11 @@
 #[test]
 fn attempts_to_a_draining_node_violate_the_rule_on_drains_past_the_grace_time() {
     assert_eq!(violated(served_while_draining(400)), []);
-    assert_eq!(violated(served_while_draining(900)), [Rule::Drains], "past the grace time");
+    assert_eq!(
+        violated(served_while_draining(900)),
+        [Rule::Drains],
+        "past the grace time"
+    );
     let mut reopened = served_while_draining(900);
     reopened.push(notified(800, true, 5));
     assert_eq!(violated(reopened), []);
@@ -144,7 +230,11 @@
 #[test]
 fn a_host_that_counts_as_notified_is_held_to_the_rule_on_drains() {
     assert_eq!(violated(served_while_undeliverable(900, 1_000)), []);
-    assert_eq!(violated(served_while_undeliverable(900, 1_500)), [Rule::Drains], "counts as notified");
+    assert_eq!(
+        violated(served_while_undeliverable(900, 1_500)),
+        [Rule::Drains],
+        "counts as notified"
+    );
     let mut received = served_while_undeliverable(900, 1_500);
     received.push(notified(600, true, 8));
     assert_eq!(violated(received), [], "a newer entry was sent in time");
@@ -155,7 +245,16 @@
     let started_at = 2 * MS;
     let mut collapsed = vec![
         observed(2, Event::NodeStarted { node: 0 }),
-        observed(3, Event::EndpointSent { host: 0, node: 0, accepting: true, version: 6, started_at }),
+        observed(
+            3,
+            Event::EndpointSent {
+                host: 0,
+                node: 0,
+                accepting: true,
+                version: 6,
+                started_at,
+            },
+        ),
     ];
     for op in 0..20 {
         collapsed.extend([
@@ -163,7 +262,14 @@
             node_received(op, 0, 101 + op, 4),
             observed(140, Event::NodeConnectionLost { node: 0, op }),
         ]);
-        collapsed.extend([observed(150, Event::ResponseReceived { op, status: 500, authentic: false })]);
+        collapsed.extend([observed(
+            150,
+            Event::ResponseReceived {
+                op,
+                status: 500,
+                authentic: false,
+            },
+        )]);
     }
     collapsed.push(observed(140, Event::NodeCollapsed { node: 0 }));
     let rules = violated(collapsed.clone());
@@ -187,7 +293,11 @@
         node_responded(2, 0, 402),
         response_received(2, 403),
     ];
-    assert_eq!(violated(crossed), [Rule::WriteOrder], "both in flight at once");
+    assert_eq!(
+        violated(crossed),
+        [Rule::WriteOrder],
+        "both in flight at once"
+    );
 }
 
 #[test]
@@ -197,7 +307,14 @@
         busy.extend([
             request_sent(op, 10 + op, false),
             node_received(op, 0, 20 + op, 1),
-            observed(30 + op, Event::NodeResponded { node: 0, op, executed: false }),
+            observed(
+                30 + op,
+                Event::NodeResponded {
+                    node: 0,
+                    op,
+                    executed: false,
+                },
+            ),
         ]);
         busy.extend([
             node_received(op, 1, 400 + op, 1),
@@ -205,7 +322,11 @@
             response_received(op, 501 + op),
         ]);
     }
-    assert_eq!(violated(busy), [Rule::RetryBudget], "eight retries of eight admitted operations");
+    assert_eq!(
+        violated(busy),
+        [Rule::RetryBudget],
+        "eight retries of eight admitted operations"
+    );
 }
 
 #[test]
@@ -228,5 +349,9 @@
             response_received(op, 31),
         ]);
     }
-    assert_eq!(violated(limited), [Rule::VolumeLimits], "48 units at once, and a burst of 24");
+    assert_eq!(
+        violated(limited),
+        [Rule::VolumeLimits],
+        "48 units at once, and a burst of 24"
+    );
 }
--- a/crates/lab/tests/fleet/discovery_outages.rs
+++ b/crates/lab/tests/fleet/discovery_outages.rs
@@ -24,7 +24,11 @@
     assert_clean(&outcome);
     let v = &outcome.verdict;
     assert_eq!(v.collapses, 0);
-    assert_eq!(v.list_delays.len() as u64, v.host_starts, "every start had its list");
+    assert_eq!(
+        v.list_delays.len() as u64,
+        v.host_starts,
+        "every start had its list"
+    );
     assert!(v.max_queued <= queued, "{} polls waited", v.max_queued);
     outcome
 }
@@ -34,7 +38,11 @@
     let program = program().with_arguments(&["--list-turn", "250"]);
     let text = format!("{HEAD}{text}").replace("takes 100ms", "takes 20ms");
     let outcome = play(&text, 5, &program);
-    assert!(outcome.crashed.is_empty() && outcome.verdict.is_clean(), "{:?}", outcome.verdict.evidence());
+    assert!(
+        outcome.crashed.is_empty() && outcome.verdict.is_clean(),
+        "{:?}",
+        outcome.verdict.evidence()
+    );
     assert_eq!(outcome.open_watches, 20, "all watch again");
 }
 
@@ -109,11 +117,20 @@
 
 #[test]
 fn a_rolling_restart_of_hosts_overlaps_with_node_replacements() {
-    let terms =
-        (0..5).map(|n| format!("at {}ms host {}..{} term for 2800ms\n", 3_500 + 700 * n, 4 * n, 4 * n + 4));
+    let terms = (0..5).map(|n| {
+        format!(
+            "at {}ms host {}..{} term for 2800ms\n",
+            3_500 + 700 * n,
+            4 * n,
+            4 * n + 4
+        )
+    });
     let nodes = "at 4s node 0..2 replace for 2s\n";
     let outcome = play_clean(&format!("day 13s\n{}{nodes}", terms.collect::<String>()));
-    assert_eq!((outcome.verdict.host_starts, outcome.open_watches), (40, 20));
+    assert_eq!(
+        (outcome.verdict.host_starts, outcome.open_watches),
+        (40, 20)
+    );
 }
 
 #[test]
@@ -148,14 +165,19 @@
             v.evidence()
         );
         let late: Vec<_> = v.timeline.iter().skip(4).collect();
-        assert!(late.iter().any(|l| l.served * 2 > l.requests), "{known}: {:?}", v.timeline);
+        assert!(
+            late.iter().any(|l| l.served * 2 > l.requests),
+            "{known}: {:?}",
+            v.timeline
+        );
     }
 }
 
 #[test]
 fn link_latency_delays_the_list_without_a_second_poll() {
     // 400 ms of latency and 200 ms of jitter: within the timeout of a poll.
-    let outcome = play_clean("day 9s\nat 0s link lists hosts one-way slow 400ms spread 200ms for 6s\n");
+    let outcome =
+        play_clean("day 9s\nat 0s link lists hosts one-way slow 400ms spread 200ms for 6s\n");
     assert_eq!((outcome.verdict.polls, outcome.open_watches), (20, 20));
     assert_lists_within(&outcome, 3_000 + 300 + 600);
 }
@@ -163,7 +185,10 @@
 #[test]
 fn a_zone_that_recovers_cold_under_load_is_not_overloaded() {
     let cold = [
-        ("nodes 4 cores 2 work 5ms queue 32", "nodes 4 cores 1 work 20ms queue 32"),
+        (
+            "nodes 4 cores 2 work 5ms queue 32",
+            "nodes 4 cores 1 work 20ms queue 32",
+        ),
         ("cold 25% 3s 4 1s 60 3s", "cold 25% 8s 1.5 2s 37 4s"),
         ("rate 60/s", "rate 150/s"),
     ];
@@ -171,13 +196,19 @@
     // Nodes 1 and 3 and the odd hosts: hosts restart two seconds after the nodes, with a list that has their start.
     // A host that is killed in the middle of a response closes the connection behind it; clients do not reuse it.
     let zone = "at 4s node 1 kill for 2s\nat 4s node 3 kill for 2s\n";
-    let hosts: String = (0..10).map(|n| format!("at 4s host {} kill for 4s\n", 2 * n + 1)).collect();
+    let hosts: String = (0..10)
+        .map(|n| format!("at 4s host {} kill for 4s\n", 2 * n + 1))
+        .collect();
     let program = program().with_arguments(&["--list-turn", "120"]);
     let text = format!("{head}day 15s\n{zone}{hosts}");
     let outcome = play(&text, 5, &program);
     assert_clean(&outcome);
     assert_eq!(outcome.verdict.collapses, 0);
-    assert!(outcome.peak_cold_load > 0.1 && outcome.peak_cold_load < 1.0, "{}", outcome.peak_cold_load);
+    assert!(
+        outcome.peak_cold_load > 0.1 && outcome.peak_cold_load < 1.0,
+        "{}",
+        outcome.peak_cold_load
+    );
 }
 
 #[test]
--- a/crates/lab/tests/fleet/membership.rs
+++ b/crates/lab/tests/fleet/membership.rs
@@ -10,7 +10,10 @@
 /// The small fleet with membership: periods of 100 ms, so that a suspicion lasts half a second to one and a half.
 fn with_membership(hosts: u32) -> Scenario {
     let hosts = format!("hosts {hosts} known now");
-    changed(&[("hosts 5 known now", hosts.as_str()), ("zones 2", "zones 2\nview period 100ms seeds 2")])
+    changed(&[
+        ("hosts 5 known now", hosts.as_str()),
+        ("zones 2", "zones 2\nview period 100ms seeds 2"),
+    ])
 }
 
 /// The state of another host in the last table that a host reported.
@@ -37,11 +40,21 @@
     // A table that was requested before may be that of an earlier process.
     let from = testbed.peers.now();
     wait_for(testbed, what, |testbed| {
-        observers.iter().for_each(|h| testbed.peers.query_membership(*h));
-        let fresh = |h: &u32| testbed.peers.last_view(*h).is_some_and(|v| v.requested_at >= from);
         observers
             .iter()
-            .all(|h| fresh(h) && others.iter().all(|o| observed_state(testbed, *h, *o) == Some(state)))
+            .for_each(|h| testbed.peers.query_membership(*h));
+        let fresh = |h: &u32| {
+            testbed
+                .peers
+                .last_view(*h)
+                .is_some_and(|v| v.requested_at >= from)
+        };
+        observers.iter().all(|h| {
+            fresh(h)
+                && others
+                    .iter()
+                    .all(|o| observed_state(testbed, *h, *o) == Some(state))
+        })
     });
 }
 
@@ -50,7 +63,13 @@
     for host in hosts {
         testbed.start(*host).expect("a process");
     }
-    wait_until_all_see(&mut testbed, "all see all", hosts, hosts, MemberState::Alive);
+    wait_until_all_see(
+        &mut testbed,
+        "all see all",
+        hosts,
+        hosts,
+        MemberState::Alive,
+    );
     (testbed, dir)
 }
 
@@ -59,23 +78,44 @@
     let (mut testbed, _dir) = started(&with_membership(5), 1, &[0, 1, 2, 3, 4]);
     testbed.peers.set_clients_active(true);
     testbed.kill(3);
-    wait_until_all_see(&mut testbed, "a kill", &[0, 1, 2, 4], &[3], MemberState::Unreachable);
+    wait_until_all_see(
+        &mut testbed,
+        "a kill",
+        &[0, 1, 2, 4],
+        &[3],
+        MemberState::Unreachable,
+    );
     testbed.start(3).expect("a process");
-    wait_until_all_see(&mut testbed, "a start", &[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4], MemberState::Alive);
+    wait_until_all_see(
+        &mut testbed,
+        "a start",
+        &[0, 1, 2, 3, 4],
+        &[0, 1, 2, 3, 4],
+        MemberState::Alive,
+    );
     finish(testbed);
 }
 
 const FIVE: [u32; 5] = [0, 1, 2, 3, 4];
 
 fn set_blackholed(testbed: &mut Testbed, from: u32, to: u32, blackholed: bool) {
-    let fault = LinkFault { blackholed, ..LinkFault::default() };
-    testbed.peers.set_link(PeerSet::Single(Peer::Host(from)), PeerSet::Single(Peer::Host(to)), fault);
+    let fault = LinkFault {
+        blackholed,
+        ..LinkFault::default()
+    };
+    testbed.peers.set_link(
+        PeerSet::Single(Peer::Host(from)),
+        PeerSet::Single(Peer::Host(to)),
+        fault,
+    );
 }
 
 /// Cuts both directions between the pairs that are to be apart, and heals all others.
 fn partition(testbed: &mut Testbed, hosts: u32, apart: impl Fn(u32, u32) -> bool) {
     for a in 0..hosts {
-        (0..hosts).filter(|b| *b != a).for_each(|b| set_blackholed(testbed, a, b, apart(a, b)));
+        (0..hosts)
+            .filter(|b| *b != a)
+            .for_each(|b| set_blackholed(testbed, a, b, apart(a, b)));
     }
 }
 
@@ -85,10 +125,15 @@
     testbed.terminate(3);
     let from = testbed.peers.now();
     wait_for(&mut testbed, "leaving", |testbed| {
-        [0, 1, 2, 4].iter().for_each(|h| testbed.peers.query_membership(*h));
         [0, 1, 2, 4]
             .iter()
-            .all(|h| matches!(observed_state(testbed, *h, 3), Some(MemberState::Leaving | MemberState::Left)))
+            .for_each(|h| testbed.peers.query_membership(*h));
+        [0, 1, 2, 4].iter().all(|h| {
+            matches!(
+                observed_state(testbed, *h, 3),
+                Some(MemberState::Leaving | MemberState::Left)
+            )
+        })
     });
     let elapsed = testbed.peers.now() - from;
     assert!(elapsed < 650_000, "{elapsed}");
@@ -100,16 +145,28 @@
 fn a_member_that_returns_at_another_address_replaces_its_old_record() {
     let (mut testbed, _dir) = open(&with_membership(6), 3);
     testbed.peers.name_numbers[5] = 3;
-    FIVE.iter().for_each(|h| testbed.start(*h).expect("a process"));
-    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    FIVE.iter()
+        .for_each(|h| testbed.start(*h).expect("a process"));
+    wait_until_all_see(
+        &mut testbed,
+        "all see all",
+        &FIVE,
+        &FIVE,
+        MemberState::Alive,
+    );
     testbed.kill(3);
     testbed.start(5).expect("a process");
     let address = testbed.peers.addresses.membership_advertise(5);
     wait_for(&mut testbed, "at its new address", |testbed| {
-        [0, 1, 2, 4].iter().for_each(|h| testbed.peers.query_membership(*h));
+        [0, 1, 2, 4]
+            .iter()
+            .for_each(|h| testbed.peers.query_membership(*h));
         let there = |h: &u32| {
             testbed.peers.last_view(*h).is_some_and(|v| {
-                v.table.members.iter().any(|m| m.record.address == address && m.state == MemberState::Alive)
+                v.table
+                    .members
+                    .iter()
+                    .any(|m| m.record.address == address && m.state == MemberState::Alive)
             })
         };
         [0, 1, 2, 4].iter().all(there)
@@ -123,24 +180,47 @@
 fn on_a_name_conflict_the_earlier_process_is_superseded_and_serves_on() {
     let (mut testbed, dir) = open(&with_membership(6), 4);
     testbed.peers.name_numbers[5] = 3;
-    FIVE.iter().for_each(|h| testbed.start(*h).expect("a process"));
-    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    FIVE.iter()
+        .for_each(|h| testbed.start(*h).expect("a process"));
+    wait_until_all_see(
+        &mut testbed,
+        "all see all",
+        &FIVE,
+        &FIVE,
+        MemberState::Alive,
+    );
     testbed.peers.set_clients_active(true);
     testbed.start(5).expect("a process");
-    wait_for(&mut testbed, "the earlier process is superseded", |testbed| {
-        testbed.peers.query_membership(3);
-        testbed.peers.last_view(3).is_some_and(|v| v.table.superseded)
-    });
+    wait_for(
+        &mut testbed,
+        "the earlier process is superseded",
+        |testbed| {
+            testbed.peers.query_membership(3);
+            testbed
+                .peers
+                .last_view(3)
+                .is_some_and(|v| v.table.superseded)
+        },
+    );
     let mark = testbed.peers.observations.len();
     wait_for(&mut testbed, "it serves on", |testbed| {
-        testbed.peers.executed_since(mark).any(|(_, host)| host == 3)
+        testbed
+            .peers
+            .executed_since(mark)
+            .any(|(_, host)| host == 3)
     });
     testbed.peers.query_membership(5);
     wait_for(&mut testbed, "the later process stays", |testbed| {
-        testbed.peers.last_view(5).is_some_and(|v| !v.table.superseded)
+        testbed
+            .peers
+            .last_view(5)
+            .is_some_and(|v| !v.table.superseded)
     });
     let log = std::fs::read_to_string(dir.path().join("h3.log")).expect("a log");
-    assert!(log.contains("name conflict: a process that started later has this host's name"), "{log}");
+    assert!(
+        log.contains("name conflict: a process that started later has this host's name"),
+        "{log}"
+    );
     finish(testbed);
 }
 
@@ -157,10 +237,24 @@
     );
     testbed.set_paused(2, false);
     let mark = testbed.peers.membership.samples.len();
-    wait_until_all_see(&mut testbed, "all see all again", &FIVE, &FIVE, MemberState::Alive);
-    let wrong = testbed.peers.membership.samples[mark..].iter().filter(|v| v.host == 2);
-    let wrong: usize =
-        wrong.map(|v| v.members.iter().filter(|m| m.state == MemberState::Unreachable).count()).sum();
+    wait_until_all_see(
+        &mut testbed,
+        "all see all again",
+        &FIVE,
+        &FIVE,
+        MemberState::Alive,
+    );
+    let wrong = testbed.peers.membership.samples[mark..]
+        .iter()
+        .filter(|v| v.host == 2);
+    let wrong: usize = wrong
+        .map(|v| {
+            v.members
+                .iter()
+                .filter(|m| m.state == MemberState::Unreachable)
+                .count()
+        })
+        .sum();
     assert_eq!(wrong, 0, "the paused host holds others unreachable");
     finish(testbed);
 }
@@ -168,19 +262,47 @@
 #[test]
 fn members_stay_connected_without_seeds_and_new_ones_join_by_a_restarted_seed() {
     let (mut testbed, _dir) = open(&with_membership(6), 6);
-    FIVE.iter().for_each(|h| testbed.start(*h).expect("a process"));
-    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    FIVE.iter()
+        .for_each(|h| testbed.start(*h).expect("a process"));
+    wait_until_all_see(
+        &mut testbed,
+        "all see all",
+        &FIVE,
+        &FIVE,
+        MemberState::Alive,
+    );
     testbed.kill(0);
     testbed.kill(1);
-    wait_until_all_see(&mut testbed, "both are unreachable", &[2, 3, 4], &[0, 1], MemberState::Unreachable);
-    wait_until_all_see(&mut testbed, "the others are alive", &[2, 3, 4], &[2, 3, 4], MemberState::Alive);
+    wait_until_all_see(
+        &mut testbed,
+        "both are unreachable",
+        &[2, 3, 4],
+        &[0, 1],
+        MemberState::Unreachable,
+    );
+    wait_until_all_see(
+        &mut testbed,
+        "the others are alive",
+        &[2, 3, 4],
+        &[2, 3, 4],
+        MemberState::Alive,
+    );
     testbed.start(5).expect("a process");
     wait_for(&mut testbed, "it is its only member", |testbed| {
         testbed.peers.query_membership(5);
-        testbed.peers.last_view(5).is_some_and(|v| v.table.members.len() == 1)
+        testbed
+            .peers
+            .last_view(5)
+            .is_some_and(|v| v.table.members.len() == 1)
     });
     testbed.start(1).expect("a process");
-    wait_until_all_see(&mut testbed, "all five", &[1, 2, 3, 4, 5], &[1, 2, 3, 4, 5], MemberState::Alive);
+    wait_until_all_see(
+        &mut testbed,
+        "all five",
+        &[1, 2, 3, 4, 5],
+        &[1, 2, 3, 4, 5],
+        MemberState::Alive,
+    );
     finish(testbed);
 }
 
@@ -230,10 +352,16 @@
         (0..6).for_each(|h| testbed.peers.query_membership(h));
         testbed.peers.now() > from + 4_000_000
     });
-    let has_unreachable =
-        |s: &&MembershipSample| s.members.iter().any(|m| m.state == MemberState::Unreachable);
+    let has_unreachable = |s: &&MembershipSample| {
+        s.members
+            .iter()
+            .any(|m| m.state == MemberState::Unreachable)
+    };
     let total = testbed.peers.membership.samples[mark..].len();
-    let wrong = testbed.peers.membership.samples[mark..].iter().filter(has_unreachable).count();
+    let wrong = testbed.peers.membership.samples[mark..]
+        .iter()
+        .filter(has_unreachable)
+        .count();
     assert!(total > 60 && wrong == 0, "{wrong} of {total} samples");
     partition(&mut testbed, 6, |_, _| false);
     finish(testbed);
@@ -242,13 +370,26 @@
 #[test]
 fn members_recover_from_latency_and_half_of_all_datagrams_lost() {
     let (mut testbed, _dir) = started(&with_membership(5), 9, &FIVE);
-    let bad =
-        LinkFault { loss: 0.5, duplication: 0.2, latency: 30_000, jitter: 30_000, ..LinkFault::default() };
+    let bad = LinkFault {
+        loss: 0.5,
+        duplication: 0.2,
+        latency: 30_000,
+        jitter: 30_000,
+        ..LinkFault::default()
+    };
     testbed.peers.set_link(PeerSet::Hosts, PeerSet::Hosts, bad);
     let from = testbed.peers.now();
     testbed.run_until(from + 3_000_000);
-    testbed.peers.set_link(PeerSet::Hosts, PeerSet::Hosts, LinkFault::default());
-    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    testbed
+        .peers
+        .set_link(PeerSet::Hosts, PeerSet::Hosts, LinkFault::default());
+    wait_until_all_see(
+        &mut testbed,
+        "all see all",
+        &FIVE,
+        &FIVE,
+        MemberState::Alive,
+    );
     let lost = testbed.peers.membership.lost;
     assert!(lost > 50, "{lost}");
     finish(testbed);
@@ -267,7 +408,13 @@
             testbed.run_once();
         }
     }
-    wait_until_all_see(&mut testbed, "all see all", &FIVE, &FIVE, MemberState::Alive);
+    wait_until_all_see(
+        &mut testbed,
+        "all see all",
+        &FIVE,
+        &FIVE,
+        MemberState::Alive,
+    );
     let members = testbed.peers.last_view(2).map(|v| v.table.members.len());
     assert_eq!(members, Some(5));
     finish(testbed);
@@ -285,25 +432,37 @@
         if pair == 2 {
             partition(&mut testbed, 8, |a, b| a % 2 != b % 2);
         }
-        [pair, pair + 1].iter().for_each(|h| testbed.start(*h).expect("a process"));
+        [pair, pair + 1]
+            .iter()
+            .for_each(|h| testbed.start(*h).expect("a process"));
     }
     partition(&mut testbed, 8, |_, _| false);
     let all: Vec<u32> = (0..8).collect();
     wait_until_all_see(&mut testbed, "all see all", &all, &all, MemberState::Alive);
     wait_for(&mut testbed, "one table", |testbed| {
         all.iter().for_each(|h| testbed.peers.query_membership(*h));
-        let digests: Vec<_> =
-            all.iter().map(|h| testbed.peers.last_view(*h).map(|v| v.table.digest)).collect();
-        digests.iter().all(|digest| digest.is_some() && *digest == digests[0])
+        let digests: Vec<_> = all
+            .iter()
+            .map(|h| testbed.peers.last_view(*h).map(|v| v.table.digest))
+            .collect();
+        digests
+            .iter()
+            .all(|digest| digest.is_some() && *digest == digests[0])
     });
     finish(testbed);
 }
 
 /// Whether any process of this machine has a UDP socket bound to an address.
 fn is_udp_bound(address: SocketAddr) -> bool {
-    let SocketAddr::V4(address) = address else { panic!("an IPv4 address") };
+    let SocketAddr::V4(address) = address else {
+        panic!("an IPv4 address")
+    };
     let sockets = std::fs::read_to_string("/proc/net/udp").expect("sockets");
-    let listed = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
+    let listed = format!(
+        "{:08X}:{:04X}",
+        u32::from(*address.ip()).swap_bytes(),
+        address.port()
+    );
     sockets.contains(&listed)
 }
 
@@ -311,11 +470,16 @@
 fn a_host_without_membership_opens_no_socket_and_logs_nothing_of_it() {
     let (mut testbed, dir) = open(&changed(&[]), 12);
     testbed.start_all().expect("processes");
-    wait_for(&mut testbed, "all watch", |testbed| testbed.peers.watch_count() == 5);
+    wait_for(&mut testbed, "all watch", |testbed| {
+        testbed.peers.watch_count() == 5
+    });
     let descriptors = |testbed: &Testbed| testbed.processes.usage(0).expect("it runs").descriptors;
     let without = descriptors(&testbed);
     let log = std::fs::read_to_string(dir.path().join("h0.log")).expect("a log");
-    assert!(!["fleet", "member"].iter().any(|topic| log.contains(topic)), "{log}");
+    assert!(
+        !["fleet", "member"].iter().any(|topic| log.contains(topic)),
+        "{log}"
+    );
     let address = testbed.peers.addresses.membership_listen(0);
     assert!(!is_udp_bound(address), "it listens for datagrams");
     finish(testbed);
--- a/crates/lab/tests/fleet/readiness.rs
+++ b/crates/lab/tests/fleet/readiness.rs
@@ -22,8 +22,9 @@
     let mut delays: Vec<u64> = (0..20)
         .filter_map(|host| {
             let started_at = outcome.observations.iter().find_map(|o| {
-                (o.at > restarted_after && matches!(o.event, Event::HostStarted { host: h } if h == host))
-                    .then_some(o.at)
+                (o.at > restarted_after
+                    && matches!(o.event, Event::HostStarted { host: h } if h == host))
+                .then_some(o.at)
             })?;
             outcome.observations.iter().find_map(|o| {
                 let ready = matches!(o.event, Event::HostReady { host: h } if h == host);
@@ -38,10 +39,16 @@
 /// States of the discovery service while hosts restart at 3 s.
 const SERVICE_STATES: [(&str, &str); 5] = [
     ("up", ""),
-    ("away until 8 s into the start", "at 2900ms list away for 8300ms\n"),
+    (
+        "away until 8 s into the start",
+        "at 2900ms list away for 8300ms\n",
+    ),
     ("three times slower", "at 2900ms list slow 3 for 12s\n"),
     ("mute", "at 2900ms list mute for 12s\n"),
-    ("refusing nine in ten", "at 2900ms list refuses 90% for 12s\n"),
+    (
+        "refusing nine in ten",
+        "at 2900ms list refuses 90% for 12s\n",
+    ),
 ];
 
 /// Plays all states at the same time.
@@ -55,7 +62,10 @@
                 println!("{state}, knowing {known}: {delays:?}");
                 check(state, &outcome, &delays);
                 let evidence = outcome.verdict.evidence();
-                assert!(outcome.crashed.is_empty() && outcome.verdict.is_clean(), "{state}: {evidence:?}");
+                assert!(
+                    outcome.crashed.is_empty() && outcome.verdict.is_clean(),
+                    "{state}: {evidence:?}"
+                );
             });
         }
     });
@@ -64,7 +74,10 @@
 #[test]
 fn restarted_hosts_with_a_cached_list_are_ready_in_every_service_state() {
     in_all_service_states("now", |state, _, delays| {
-        assert!(delays.len() == 20 && delays[19] < 2_000_000, "{state}: {delays:?}");
+        assert!(
+            delays.len() == 20 && delays[19] < 2_000_000,
+            "{state}: {delays:?}"
+        );
     });
 }
 
@@ -75,7 +88,9 @@
         match state {
             "mute" => assert_eq!(within, 0, "no host has learned of a node"),
             // Each poll is served with a chance of one in ten.
-            "refusing nine in ten" => assert!(within > 0 && outcome.verdict.polls > 40, "{delays:?}"),
+            "refusing nine in ten" => {
+                assert!(within > 0 && outcome.verdict.polls > 40, "{delays:?}")
+            }
             _ => assert!(within >= READY_HOSTS_REQUIRED, "{state}: {delays:?}"),
         }
     });
--- a/crates/lab/tests/fleet/support.rs
+++ b/crates/lab/tests/fleet/support.rs
@@ -32,12 +32,18 @@
 
 /// The host that was built with these tests.
 pub fn program() -> Program {
-    Program { path: env!("CARGO_BIN_EXE_mallowseam-lab").into(), args: vec!["host".into(), "host".into()] }
+    Program {
+        path: env!("CARGO_BIN_EXE_mallowseam-lab").into(),
+        args: vec!["host".into(), "host".into()],
+    }
 }
 
 pub fn open(scenario: &Scenario, seed: u64) -> (Testbed, TempDir) {
     let dir = tempfile::tempdir().expect("a directory");
-    (Testbed::open(scenario, seed, &program(), dir.path()).expect("a testbed"), dir)
+    (
+        Testbed::open(scenario, seed, &program(), dir.path()).expect("a testbed"),
+        dir,
+    )
 }
 
 /// Plays a script to its end.
@@ -54,8 +60,15 @@
 /// Fails unless no process crashed, no rule was violated, and each request got one response.
 pub fn assert_clean(outcome: &Outcome) {
     assert!(outcome.crashed.is_empty(), "{:?}", outcome.crashed);
-    assert!(outcome.verdict.is_clean(), "{}", outcome.verdict.evidence().join("\n"));
-    assert_eq!((outcome.verdict.unanswered, outcome.verdict.duplicated), (0, 0));
+    assert!(
+        outcome.verdict.is_clean(),
+        "{}",
+        outcome.verdict.evidence().join("\n")
+    );
+    assert_eq!(
+        (outcome.verdict.unanswered, outcome.verdict.duplicated),
+        (0, 0)
+    );
 }
 
 /// Ends a run and checks it.
--- a/crates/lab/tests/fleet_model/cold_start.rs
+++ b/crates/lab/tests/fleet_model/cold_start.rs
@@ -18,11 +18,25 @@
         let paced = run(case(hosts), 1, MAX_DURATION);
         let bound = 1.5 * f64::from(hosts) * 25_000.0;
         assert!(paced.max_queued <= 40, "{hosts}: {}", paced.max_queued);
-        assert!(paced.polls * 10 <= u64::from(hosts) * 12, "{hosts}: {} polls", paced.polls);
+        assert!(
+            paced.polls * 10 <= u64::from(hosts) * 12,
+            "{hosts}: {} polls",
+            paced.polls
+        );
         let last = paced.list_delay_within(1.0);
-        assert!(last.is_some_and(|t| (t as f64) < bound + 1e6), "{hosts}: {last:?}");
+        assert!(
+            last.is_some_and(|t| (t as f64) < bound + 1e6),
+            "{hosts}: {last:?}"
+        );
         assert_eq!(paced.list_delays.len(), hosts as usize);
-        let unpaced = run(ColdStartCase { advertised_service_time: Some(0), ..case(hosts) }, 1, MAX_DURATION);
+        let unpaced = run(
+            ColdStartCase {
+                advertised_service_time: Some(0),
+                ..case(hosts)
+            },
+            1,
+            MAX_DURATION,
+        );
         assert!(unpaced.max_queued > 40, "{hosts}: {}", unpaced.max_queued);
     }
 }
@@ -30,7 +44,11 @@
 #[test]
 fn after_an_outage_all_hosts_have_a_list_within_the_bound() {
     for already_running in [false, true] {
-        let outage = ColdStartCase { down_until: 20_000_000, already_running, ..case(300) };
+        let outage = ColdStartCase {
+            down_until: 20_000_000,
+            already_running,
+            ..case(300)
+        };
         let outcome = run(outage, 2, MAX_DURATION);
         assert!(outcome.max_queued <= 40, "{}", outcome.max_queued);
         let last = outcome.list_delay_within(1.0);
@@ -49,14 +67,25 @@
         };
         let outcome = run(fast, 4, MAX_DURATION);
         let last = outcome.list_delay_within(1.0);
-        assert_eq!(outcome.hosts_with_list_by(6_000_000), hosts as usize, "{last:?}");
+        assert_eq!(
+            outcome.hosts_with_list_by(6_000_000),
+            hosts as usize,
+            "{last:?}"
+        );
         assert!(outcome.max_queued <= 500, "{hosts}: {}", outcome.max_queued);
     }
 }
 
 #[test]
 fn a_service_three_times_slower_than_advertised_serves_all_hosts() {
-    let outcome = run(ColdStartCase { service_time: 75_000, ..case(300) }, 3, MAX_DURATION);
+    let outcome = run(
+        ColdStartCase {
+            service_time: 75_000,
+            ..case(300)
+        },
+        3,
+        MAX_DURATION,
+    );
     assert_eq!(outcome.list_delays.len(), 300);
     let last = outcome.list_delay_within(1.0);
     assert!(last.is_some_and(|t| t <= 1_500 * 300 * 75), "{last:?}");
--- a/crates/lab/tests/fleet_model/discovery_queue.rs
+++ b/crates/lab/tests/fleet_model/discovery_queue.rs
@@ -14,7 +14,11 @@
     let (mut now, mut finished) = (0, Vec::new());
     while let Some(due) = queue.next_due() {
         now = due;
-        finished.extend(queue.complete_next(now).map(|(poll, outcome)| (poll, outcome, now)));
+        finished.extend(
+            queue
+                .complete_next(now)
+                .map(|(poll, outcome)| (poll, outcome, now)),
+        );
     }
     let expected = [
         (0, Served, 400_000),
@@ -28,7 +32,11 @@
     queue.set_behavior(now, ServiceBehavior::Rejecting(1.0));
     assert_eq!(queue.enqueue(now, 9, &mut rng), Some(Rejected));
     queue.set_behavior(now, ServiceBehavior::Hung);
-    assert_eq!((queue.enqueue(now, 10, &mut rng), queue.next_due()), (None, None), "no response");
+    assert_eq!(
+        (queue.enqueue(now, 10, &mut rng), queue.next_due()),
+        (None, None),
+        "no response"
+    );
     queue.set_behavior(now, ServiceBehavior::Down);
     queue.set_behavior(now, ServiceBehavior::Normal);
     assert_eq!(queue.next_due(), None, "the outage dropped what waited");
--- a/crates/lab/tests/fleet_model/fault_schedule.rs
+++ b/crates/lab/tests/fleet_model/fault_schedule.rs
@@ -2,10 +2,20 @@
 
 #[test]
 fn each_seed_draws_a_valid_script_and_every_kind_of_fault_occurs() {
-    let scripts: Vec<String> = (0..20).map(|seed| fault_schedule::random_script(40, seed)).collect();
-    assert!(scripts.iter().all(|text| scenario::parse("storm", text).is_ok()), "{}", scripts[0]);
+    let scripts: Vec<String> = (0..20)
+        .map(|seed| fault_schedule::random_script(40, seed))
+        .collect();
+    assert!(
+        scripts
+            .iter()
+            .all(|text| scenario::parse("storm", text).is_ok()),
+        "{}",
+        scripts[0]
+    );
     assert!(scripts.windows(2).all(|pair| pair[0] != pair[1]));
-    for fault in ["kill", "term", "stall", "silent", "one-way", "loss 10%", "slow", "zone"] {
+    for fault in [
+        "kill", "term", "stall", "silent", "one-way", "loss 10%", "slow", "zone",
+    ] {
         assert!(scripts.iter().any(|text| text.contains(fault)), "{fault}");
     }
 }
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -6,7 +6,9 @@
 use mallowseam_lab::fleet::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
 use mallowseam_lab::fleet::fault_schedule;
 use mallowseam_lab::fleet::host_config::HostConfig;
-use mallowseam_lab::fleet::links::{ConnectOutcome, LinkFault, Links, Peer, PeerSet, Pipe, PipeOutput};
+use mallowseam_lab::fleet::links::{
+    ConnectOutcome, LinkFault, Links, Peer, PeerSet, Pipe, PipeOutput,
+};
 use mallowseam_lab::fleet::scenario::{self, FaultAction, IndexRange};
 use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
 use mallowseam_lab::node::ServiceModel;
@@ -174,7 +176,11 @@
         digest.bytes(config.to_json().as_bytes());
     }
     let scaled = scenario.scaled(90);
-    digest.numbers(&[u64::from(scaled.hosts), u64::from(scaled.nodes), u64::from(scaled.load.volumes)]);
+    digest.numbers(&[
+        u64::from(scaled.hosts),
+        u64::from(scaled.nodes),
+        u64::from(scaled.load.volumes),
+    ]);
     digest.float(scaled.load.operations_per_second);
 }
 
@@ -192,7 +198,10 @@
 fn scenario_scripts_are_parsed_as_recorded() {
     let mut digest = Digest::new();
     add_scenario(&mut digest, include_str!("../../scripts/cold-start.fleet"));
-    add_scenario(&mut digest, include_str!("../../scripts/cold-overload.fleet"));
+    add_scenario(
+        &mut digest,
+        include_str!("../../scripts/cold-overload.fleet"),
+    );
     add_scenario(&mut digest, include_str!("../../scripts/cold-sum.fleet"));
     add_scenario(&mut digest, EVERY_DIRECTIVE);
     for seed in 0..10 {
@@ -207,14 +216,23 @@
     for line in EVERY_DIRECTIVE.lines() {
         let words: Vec<&str> = line.split(' ').collect();
         for cut in 1..words.len() {
-            let broken = format!("{} nonsense {}", words[..cut].join(" "), words[cut..].join(" "));
+            let broken = format!(
+                "{} nonsense {}",
+                words[..cut].join(" "),
+                words[cut..].join(" ")
+            );
             let text = EVERY_DIRECTIVE.replacen(line, &broken, 1);
             let found = scenario::parse("pinned", &text)
                 .map_or_else(|problems| problems.to_string(), |_| String::new());
             digest.bytes(found.as_bytes());
         }
     }
-    digest.bytes(scenario::parse("empty", "").expect_err("nothing in it").to_string().as_bytes());
+    digest.bytes(
+        scenario::parse("empty", "")
+            .expect_err("nothing in it")
+            .to_string()
+            .as_bytes(),
+    );
     assert_eq!(format!("{:016x}", digest.value()), "64a0922afe91b49e");
 }
 
@@ -222,7 +240,8 @@
 fn drawn_fault_schedules_are_as_recorded() {
     let mut digest = Digest::new();
     for hosts in [3, 10, 40, 300] {
-        (0..20).for_each(|seed| digest.bytes(fault_schedule::random_script(hosts, seed).as_bytes()));
+        (0..20)
+            .for_each(|seed| digest.bytes(fault_schedule::random_script(hosts, seed).as_bytes()));
     }
     assert_eq!(format!("{:016x}", digest.value()), "dec4785db152f611");
 }
@@ -251,8 +270,15 @@
 }
 
 fn draw_fault(rng: &mut Pcg64Mcg) -> LinkFault {
-    let mut some = |most: u64| if rng.random_bool(0.4) { rng.random_range(0..most) } else { 0 };
-    let (latency, jitter, rate, reset_after_bytes) = (some(5_000), some(3_000), some(900_000), some(2_000));
+    let mut some = |most: u64| {
+        if rng.random_bool(0.4) {
+            rng.random_range(0..most)
+        } else {
+            0
+        }
+    };
+    let (latency, jitter, rate, reset_after_bytes) =
+        (some(5_000), some(3_000), some(900_000), some(2_000));
     LinkFault {
         latency,
         jitter,
@@ -273,7 +299,11 @@
         let mut links = Links::new(3);
         for _ in 0..30 {
             let (from, to) = (draw_peer_set(&mut rng), draw_peer_set(&mut rng));
-            let set = if rng.random_bool(0.3) { LinkFault::default() } else { draw_fault(&mut rng) };
+            let set = if rng.random_bool(0.3) {
+                LinkFault::default()
+            } else {
+                draw_fault(&mut rng)
+            };
             links.set(from, to, set);
             for _ in 0..10 {
                 let (from, to) = (draw_peer(&mut rng), draw_peer(&mut rng));
@@ -312,7 +342,10 @@
                 PipeOutput::Closed => digest.number(2),
                 PipeOutput::Reset => digest.number(3),
             }
-            digest.numbers(&[pipe.next_due().map_or(0, |due| due + 1), u64::from(pipe.is_full())]);
+            digest.numbers(&[
+                pipe.next_due().map_or(0, |due| due + 1),
+                u64::from(pipe.is_full()),
+            ]);
         }
     }
     assert_eq!(format!("{:016x}", digest.value()), "98a5ef2fe7411314");
@@ -351,7 +384,10 @@
                 digest.number(poll);
                 add_outcome(&mut digest, outcome);
             }
-            digest.numbers(&[queue.next_due().map_or(0, |due| due + 1), queue.queued() as u64]);
+            digest.numbers(&[
+                queue.next_due().map_or(0, |due| due + 1),
+                queue.queued() as u64,
+            ]);
         }
         digest.numbers(&[POLLS, queue.rejected, queue.max_queued as u64]);
     }
@@ -365,8 +401,19 @@
 }
 
 fn add_operation(digest: &mut Digest, op: &Operation) {
-    digest.numbers(&[op.id, u64::from(op.volume), op.extent, u64::from(op.write), u64::from(op.units)]);
-    digest.numbers(&[u64::from(op.shard), u64::from(op.hosts), op.timeout, u64::from(op.retries)]);
+    digest.numbers(&[
+        op.id,
+        u64::from(op.volume),
+        op.extent,
+        u64::from(op.write),
+        u64::from(op.units),
+    ]);
+    digest.numbers(&[
+        u64::from(op.shard),
+        u64::from(op.hosts),
+        op.timeout,
+        u64::from(op.retries),
+    ]);
 }
 
 #[test]
@@ -388,13 +435,18 @@
         let mut client_load = ClientLoad::new(load, 9, 4, &mut rng);
         for volume in 0..20 {
             let volume = client_load.volume(volume);
-            volume.hosts.iter().for_each(|h| digest.number(u64::from(*h)));
+            volume
+                .hosts
+                .iter()
+                .for_each(|h| digest.number(u64::from(*h)));
             digest.number(u64::from(volume.limited));
         }
         client_load.resume(700);
         for now in (700..60_000).step_by(100) {
             client_load.intensity = if now > 30_000 { 2.0 } else { 1.0 };
-            let Some(op) = client_load.next_operation(now, &mut rng) else { continue };
+            let Some(op) = client_load.next_operation(now, &mut rng) else {
+                continue;
+            };
             add_operation(&mut digest, &op);
             let host = client_load.choose_host(&op, |h| h % 3 != 0, &mut rng);
             digest.numbers(&[host.map_or(0, |h| u64::from(h) + 1), client_load.next_due()]);
@@ -434,7 +486,11 @@
         };
         let mut node = SimulatedNode::new(
             model,
-            NodeLimits { max_connections: 2, handshake: 5_000, restart_after: 300_000 },
+            NodeLimits {
+                max_connections: 2,
+                handshake: 5_000,
+                restart_after: 300_000,
+            },
         );
         for op in 0..400u64 {
             let now = op * 4_000;
@@ -470,9 +526,11 @@
 #[test]
 fn the_cold_start_model_plays_as_recorded() {
     let mut digest = Digest::new();
-    for (hosts, told, down, running) in
-        [(40, Some(25_000), 0, false), (60, None, 4_000_000, true), (60, Some(0), 2_000_000, false)]
-    {
+    for (hosts, told, down, running) in [
+        (40, Some(25_000), 0, false),
+        (60, None, 4_000_000, true),
+        (60, Some(0), 2_000_000, false),
+    ] {
         let case = ColdStartCase {
             hosts,
             service_time: 25_000,
@@ -484,7 +542,12 @@
         digest.numbers(&[outcome.polls, outcome.rejected, outcome.max_queued as u64]);
         digest.numbers(&outcome.list_delays);
         for second in &outcome.seconds {
-            digest.numbers(&[second.second, second.polls, second.queued as u64, u64::from(second.fresh)]);
+            digest.numbers(&[
+                second.second,
+                second.polls,
+                second.queued as u64,
+                u64::from(second.fresh),
+            ]);
         }
         digest.numbers(&[
             outcome.list_delay_within(0.5).unwrap_or(0),
--- a/crates/lab/tests/fleet_model/simulated_node.rs
+++ b/crates/lab/tests/fleet_model/simulated_node.rs
@@ -9,24 +9,46 @@
         overload_window: 2_000_000,
         ..ServiceModel::warm(1, 10_000.0, 3)
     };
-    SimulatedNode::new(model, NodeLimits { max_connections: 2, handshake: 5_000, restart_after: 3_000_000 })
+    SimulatedNode::new(
+        model,
+        NodeLimits {
+            max_connections: 2,
+            handshake: 5_000,
+            restart_after: 3_000_000,
+        },
+    )
 }
 
 fn request(connection: u32, units: f64) -> NodeRequest<u32> {
-    NodeRequest { connection, operation: 0, units, first_on_connection: false, over_limit: false }
+    NodeRequest {
+        connection,
+        operation: 0,
+        units,
+        first_on_connection: false,
+        over_limit: false,
+    }
 }
 
 #[test]
 fn a_cold_node_is_slow_and_collapses_by_the_load_that_arrives() {
     let mut node = node();
-    let first = NodeRequest { first_on_connection: true, ..request(1, 1.0) };
+    let first = NodeRequest {
+        first_on_connection: true,
+        ..request(1, 1.0)
+    };
     assert_eq!(node.receive(0, first), Arrival::Queued);
     assert_eq!(node.next_due(), Some(15_000), "work and handshake, warm");
     node.start(0);
-    assert_eq!((node.receive(0, request(1, 1.0)), node.next_due()), (Arrival::Queued, Some(40_000)));
+    assert_eq!(
+        (node.receive(0, request(1, 1.0)), node.next_due()),
+        (Arrival::Queued, Some(40_000))
+    );
     // It sustains four times a quarter of 100 units a second, for two seconds.
     let collapsed = (1..400).find(|n| node.receive(*n, request(1, 1.0)) == Arrival::Collapsed);
-    assert!(collapsed.is_some_and(|n| (199..=201).contains(&n)), "{collapsed:?}");
+    assert!(
+        collapsed.is_some_and(|n| (199..=201).contains(&n)),
+        "{collapsed:?}"
+    );
     assert!(!node.is_up(2_000_000) && node.is_up(3_000_500) && node.next_due().is_none());
 }
 
@@ -39,7 +61,20 @@
     full.connection_closed(2);
     assert_eq!(full.receive(1, request(6, 1.0)), Queued);
     let mut node = node();
-    let over_limit = [node.connection_opened(), node.connection_opened(), node.connection_opened()];
+    let over_limit = [
+        node.connection_opened(),
+        node.connection_opened(),
+        node.connection_opened(),
+    ];
     assert_eq!(over_limit, [false, false, true]);
-    assert_eq!(node.receive(1, NodeRequest { over_limit: true, ..request(7, 1.0) }), Rejected);
+    assert_eq!(
+        node.receive(
+            1,
+            NodeRequest {
+                over_limit: true,
+                ..request(7, 1.0)
+            }
+        ),
+        Rejected
+    );
 }
--- a/crates/lab/tests/host/block_io.rs
+++ b/crates/lab/tests/host/block_io.rs
@@ -36,9 +36,18 @@
     site.nodes[0].inject(NodeFault::Silent(true));
     let began = Instant::now();
     let cdb = scsi::read_or_write_16(true, 0, 8, 0);
-    let answer = client.execute(0, &cdb, 0, block::write(2, 0, 8)).expect("an answer");
-    assert_eq!((answer.status, answer.sense), (status::CHECK_CONDITION, Some(Sense::COMMUNICATION_TIMEOUT)));
-    assert!(began.elapsed() < Duration::from_millis(1_250), "{:?}", began.elapsed());
+    let answer = client
+        .execute(0, &cdb, 0, block::write(2, 0, 8))
+        .expect("an answer");
+    assert_eq!(
+        (answer.status, answer.sense),
+        (status::CHECK_CONDITION, Some(Sense::COMMUNICATION_TIMEOUT))
+    );
+    assert!(
+        began.elapsed() < Duration::from_millis(1_250),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(read(&mut client, 9_000, 4), [Some(0); 4]);
     let status = site.status();
     assert_eq!(status.nodes[0].attempts, 2, "the post was sent once");
@@ -48,9 +57,17 @@
 fn read_is_retried_after_a_connection_reset() {
     let site = Site::new(100_000.0);
     let mut client = site.client(1);
-    client.conn.send_command(1, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
+    client.conn.send_command(
+        1,
+        0,
+        &scsi::read_or_write_16(false, 0, 8, 0),
+        4096,
+        vec![].into(),
+    );
     client.flush().expect("sent");
-    site.wait_for("the read is out", |s| s.nodes[0].attempts == 1 && s.nodes[0].connected);
+    site.wait_for("the read is out", |s| {
+        s.nodes[0].attempts == 1 && s.nodes[0].connected
+    });
     site.nodes[0].inject(NodeFault::Reset);
     let Ok(InitiatorEvent::CommandCompleted { status: code, .. }) = client.next_event() else {
         panic!("an answer")
@@ -82,8 +99,9 @@
     }
     let mut completed = 0;
     while completed < 48 {
-        if let InitiatorEvent::CommandCompleted { status: code, data, .. } =
-            stalled.next_event().expect("an answer")
+        if let InitiatorEvent::CommandCompleted {
+            status: code, data, ..
+        } = stalled.next_event().expect("an answer")
         {
             assert_eq!((code, data.len()), (status::GOOD, 1 << 20));
             completed += 1;
--- a/crates/lab/tests/host/lifecycle.rs
+++ b/crates/lab/tests/host/lifecycle.rs
@@ -19,17 +19,31 @@
 fn timer_due_during_start_is_followed_by_later_timers() {
     // With this seed the first timer is due at once, and reading so long a cached list takes far longer.
     let site = Site::with(10.0, |dir, conf| {
-        let names = (0..2).map(|n| format!("node{n}")).chain((0..4_000).map(|n| format!("other{n}")));
-        let lines: String = names.map(|name| format!("node {name} active 0 10\n")).collect();
+        let names = (0..2)
+            .map(|n| format!("node{n}"))
+            .chain((0..4_000).map(|n| format!("other{n}")));
+        let lines: String = names
+            .map(|name| format!("node {name} active 0 10\n"))
+            .collect();
         let cached_list = dir.join("kept");
         std::fs::write(&cached_list, format!("kept 4002\n{lines}end\n")).expect("a file");
-        let service = format!("node-list 127.0.0.1:9\n  kept-list \"{}\"", cached_list.display());
-        conf.replace("node-list static", &service).replace("seed 1\n", "seed 3879\n")
+        let service = format!(
+            "node-list 127.0.0.1:9\n  kept-list \"{}\"",
+            cached_list.display()
+        );
+        conf.replace("node-list static", &service)
+            .replace("seed 1\n", "seed 3879\n")
     });
     site.nodes[0].inject(NodeFault::Silent(true));
     let mut client = site.client(1);
     for id in 1..40 {
-        client.conn.send_command(id, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
+        client.conn.send_command(
+            id,
+            0,
+            &scsi::read_or_write_16(false, 0, 8, 0),
+            4096,
+            vec![].into(),
+        );
     }
     client.flush().expect("sent");
     let began = Instant::now();
@@ -40,26 +54,46 @@
         };
         assert_ne!(code, status::GOOD);
     }
-    assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
 fn draining_host_rejects_logins_and_completes_commands_in_flight() {
     let mut site = Site::new(400_000.0);
     let mut client = site.client(1);
-    client.conn.send_command(1, 0, &scsi::read_or_write_16(false, 0, 8, 0), 4096, vec![].into());
+    client.conn.send_command(
+        1,
+        0,
+        &scsi::read_or_write_16(false, 0, 8, 0),
+        4096,
+        vec![].into(),
+    );
     client.flush().expect("sent");
     site.wait_for("the read is out", |s| s.nodes[0].attempts == 1);
-    assert_eq!(send_request(&site.control(), "drain").expect("an answer"), "draining");
-    let refused = BlockingClient::open(site.address, Some(TARGET), 2).err().expect("refused");
+    assert_eq!(
+        send_request(&site.control(), "drain").expect("an answer"),
+        "draining"
+    );
+    let refused = BlockingClient::open(site.address, Some(TARGET), 2)
+        .err()
+        .expect("refused");
     assert!(refused.to_string().contains("0301"), "{refused}");
-    assert_eq!(send_request(&site.control(), "undrain").expect("an answer"), "open");
+    assert_eq!(
+        send_request(&site.control(), "undrain").expect("an answer"),
+        "open"
+    );
     site.client(3);
     kill(Pid::from_raw(site.host.id() as i32), Signal::SIGTERM).expect("a signal");
     let mut answered = false;
     loop {
         match client.next_event() {
-            Ok(InitiatorEvent::CommandCompleted { status: code, .. }) => answered = code == status::GOOD,
+            Ok(InitiatorEvent::CommandCompleted { status: code, .. }) => {
+                answered = code == status::GOOD
+            }
             Ok(InitiatorEvent::LogoutRequested) if answered => client.conn.send_logout_request(),
             Ok(InitiatorEvent::LogoutRequested | InitiatorEvent::LoggedOut) => {}
             Ok(other) => panic!("{other:?}"),
@@ -100,8 +134,16 @@
     for what in ["check", "run"] {
         let bad = run(&[what, &path]);
         assert_eq!(bad.status.code(), Some(2));
-        assert!(text(&bad).contains("conf:2:10: expected an address and port"), "{}", text(&bad));
-        assert!(text(&bad).contains("conf:3:3: expected a directive of section `host`"), "{}", text(&bad));
+        assert!(
+            text(&bad).contains("conf:2:10: expected an address and port"),
+            "{}",
+            text(&bad)
+        );
+        assert!(
+            text(&bad).contains("conf:3:3: expected a directive of section `host`"),
+            "{}",
+            text(&bad)
+        );
     }
     let missing = run(&["status", "--control", "/nonexistent/sock"]);
     assert_eq!(missing.status.code(), Some(1));
@@ -110,7 +152,10 @@
     let path = site.dir.path().join("conf").display().to_string();
     let status = run(&["status", &path]);
     let shown = String::from_utf8_lossy(&status.stdout).into_owned();
-    assert!(status.status.success() && shown.contains("node1"), "{shown}");
+    assert!(
+        status.status.success() && shown.contains("node1"),
+        "{shown}"
+    );
 }
 
 #[test]
@@ -121,23 +166,40 @@
     let file = site.dir.path().join("conf");
     let text = std::fs::read_to_string(&file).expect("there");
     let reload = || {
-        let out = lab(&["reload", &file.display().to_string()]).output().expect("a run");
-        (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+        let out = lab(&["reload", &file.display().to_string()])
+            .output()
+            .expect("a run");
+        (
+            out.status.success(),
+            String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+        )
     };
     assert_eq!(reload(), (true, "nothing is different\n".into()));
     let tight = "plan free\n  reserve 1/s\n  weight 4\n  limit 1/s burst 8\n";
     std::fs::write(&file, text.replace("plan free\n  reserve 9999/s\n", tight)).expect("a file");
     let (succeeded, output) = reload();
-    assert!(succeeded && output.contains("plan free: reserve 1 instead of 9999, limit 1"), "{output}");
+    assert!(
+        succeeded && output.contains("plan free: reserve 1 instead of 9999, limit 1"),
+        "{output}"
+    );
     let plan = &site.status().plans[0];
     assert_eq!((plan.reserve, plan.limit, plan.weight), (1.0, 1.0, 4.0));
     // A unit a second from an empty token bucket, while each of twenty in a row waits for half a second at most.
-    let shed = (0..20).filter(|i| write(&mut client, 2 + i, 8 * i, 8) == status::BUSY).count();
+    let shed = (0..20)
+        .filter(|i| write(&mut client, 2 + i, 8 * i, 8) == status::BUSY)
+        .count();
     assert!((10..=17).contains(&shed), "{shed} of 20");
-    std::fs::write(&file, text.replace("longest 1MiB", "longest 2MiB").replace("9999/s", "5/s"))
-        .expect("a file");
+    std::fs::write(
+        &file,
+        text.replace("longest 1MiB", "longest 2MiB")
+            .replace("9999/s", "5/s"),
+    )
+    .expect("a file");
     let (succeeded, output) = reload();
-    assert!(!succeeded && output.contains("section host: differs"), "{output}");
+    assert!(
+        !succeeded && output.contains("section host: differs"),
+        "{output}"
+    );
     assert_eq!(site.status().plans[0].reserve, 1.0, "nothing was applied");
     std::fs::write(&file, &text).expect("a file");
     assert!(reload().0);
@@ -148,7 +210,9 @@
 fn recorded_demand_is_replayed_against_placements() {
     let site = Site::new(50.0);
     let file = site.dir.path().join("conf").display().to_string();
-    let recorder = lab(&["demand", &file, "--every", "1", "--count", "2"]).stdout(Stdio::piped()).spawn();
+    let recorder = lab(&["demand", &file, "--every", "1", "--count", "2"])
+        .stdout(Stdio::piped())
+        .spawn();
     let recorder = recorder.expect("a run");
     let mut client = site.client(0);
     let began = Instant::now();
@@ -163,22 +227,42 @@
     let demand = record
         .lines()
         .filter(|l| l.contains(" a asked "))
-        .filter_map(|l| l.split(' ').nth(4)?.trim_end_matches("/s").parse::<f64>().ok());
+        .filter_map(|l| {
+            l.split(' ')
+                .nth(4)?
+                .trim_end_matches("/s")
+                .parse::<f64>()
+                .ok()
+        });
     let demand: Vec<f64> = demand.collect();
-    assert!(demand.len() == 2 && demand.iter().all(|a| *a > 10.0), "{record}");
+    assert!(
+        demand.len() == 2 && demand.iter().all(|a| *a > 10.0),
+        "{record}"
+    );
     let put = |name: &str, text: &str| {
         let path = site.dir.path().join(name);
         std::fs::write(&path, text).expect("a file");
         path.display().to_string()
     };
-    let problem =
-        put("p", "node n\n  capacity 5/s\nnode m\n  capacity 1000/s\nvolume a\n  reserve 1/s\nvolume b\n");
-    let (worse, better) = (put("one", "place a n\nplace b m\n"), put("two", "place a m\nplace b n\n"));
+    let problem = put(
+        "p",
+        "node n\n  capacity 5/s\nnode m\n  capacity 1000/s\nvolume a\n  reserve 1/s\nvolume b\n",
+    );
+    let (worse, better) = (
+        put("one", "place a n\nplace b m\n"),
+        put("two", "place a m\nplace b n\n"),
+    );
     let record = put("log", &record);
-    let out = lab(&["shares", "replay", &problem, &record, &worse, &better]).output().expect("a run");
+    let out = lab(&["shares", "replay", &problem, &record, &worse, &better])
+        .output()
+        .expect("a run");
     let output = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
-    let best: Vec<&str> =
-        output.lines().skip(1).take(2).filter_map(|l| l.split_whitespace().last()).collect();
+    let best: Vec<&str> = output
+        .lines()
+        .skip(1)
+        .take(2)
+        .filter_map(|l| l.split_whitespace().last())
+        .collect();
     assert_eq!(best, ["0", "2"], "{output}");
 }
 
@@ -202,11 +286,19 @@
         let began = Instant::now();
         loop {
             let seen = query_membership(fleet_address(n)).ok();
-            let seen = seen.and_then(|v| v.members.iter().find(|m| m.record.name == name).map(|m| m.state));
+            let seen = seen.and_then(|v| {
+                v.members
+                    .iter()
+                    .find(|m| m.record.name == name)
+                    .map(|m| m.state)
+            });
             if seen == Some(state) {
                 return began.elapsed();
             }
-            assert!(began.elapsed() < Duration::from_secs(10), "{n} has {name} as {seen:?}, not {state:?}");
+            assert!(
+                began.elapsed() < Duration::from_secs(10),
+                "{n} has {name} as {seen:?}, not {state:?}"
+            );
         }
     };
     sees(1, "gw2", MemberState::Alive);
@@ -219,7 +311,10 @@
     sees(1, "gw2", MemberState::Left);
     let shown = |args: &[&str]| {
         let out = lab(args).output().expect("it runs");
-        (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
+        (
+            out.status.success(),
+            String::from_utf8_lossy(&out.stdout).into_owned(),
+        )
     };
     let at = fleet_address(1).to_string();
     let (succeeded, table) = shown(&["fleet", &at]);
@@ -229,8 +324,17 @@
     );
     let (succeeded, json) = shown(&["fleet", &at, "--json"]);
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
-    assert!(succeeded && json["members"].as_array().is_some_and(|m| m.len() == 2), "{json}");
-    assert!(shown(&["fleet", &at, &at, "--agree"]).0, "one agrees with itself");
-    assert!(!shown(&["fleet", &fleet_address(2).to_string()]).0, "nobody is there");
+    assert!(
+        succeeded && json["members"].as_array().is_some_and(|m| m.len() == 2),
+        "{json}"
+    );
+    assert!(
+        shown(&["fleet", &at, &at, "--agree"]).0,
+        "one agrees with itself"
+    );
+    assert!(
+        !shown(&["fleet", &fleet_address(2).to_string()]).0,
+        "nobody is there"
+    );
     drop(one);
 }
--- a/crates/lab/tests/host/protocol.rs
+++ b/crates/lab/tests/host/protocol.rs
@@ -21,7 +21,9 @@
     let site = Site::new(10.0);
     let mut found = BlockingClient::open(site.address, None, 1).expect("discovery");
     found.conn.send_text_request(b"SendTargets=All\0");
-    let Ok(InitiatorEvent::TextResponse(text)) = found.next_event() else { panic!("a list of targets") };
+    let Ok(InitiatorEvent::TextResponse(text)) = found.next_event() else {
+        panic!("a list of targets")
+    };
     assert!(String::from_utf8_lossy(&text).starts_with(&format!("TargetName={TARGET}\0")));
 
     let mut client = site.client(1);
@@ -35,8 +37,14 @@
     assert_eq!(capacity[..8], (BLOCKS - 1).to_be_bytes());
     let mut cdb = [0; 16];
     (cdb[0], cdb[4]) = (0x12, 36);
-    assert_eq!(client.execute(0, &cdb, 36, vec![]).expect("inquiry").data[0], 0);
-    assert_eq!(client.execute(3, &cdb, 36, vec![]).expect("no unit").data[0], 0x7f);
+    assert_eq!(
+        client.execute(0, &cdb, 36, vec![]).expect("inquiry").data[0],
+        0
+    );
+    assert_eq!(
+        client.execute(3, &cdb, 36, vec![]).expect("no unit").data[0],
+        0x7f
+    );
 }
 
 #[test]
@@ -48,9 +56,17 @@
         assert_eq!(answer.status, status::CHECK_CONDITION);
         answer.sense.expect("sense")
     };
-    assert_eq!(refused(0, scsi::read_or_write_16(false, BLOCKS, 1, 0), 512, vec![]), Sense::LBA_OUT_OF_RANGE);
     assert_eq!(
-        refused(0, scsi::read_or_write_16(false, u64::MAX, 2, 0), 1024, vec![]),
+        refused(0, scsi::read_or_write_16(false, BLOCKS, 1, 0), 512, vec![]),
+        Sense::LBA_OUT_OF_RANGE
+    );
+    assert_eq!(
+        refused(
+            0,
+            scsi::read_or_write_16(false, u64::MAX, 2, 0),
+            1024,
+            vec![]
+        ),
         Sense::LBA_OUT_OF_RANGE
     );
     assert_eq!(
@@ -58,14 +74,22 @@
         Sense::LOGICAL_UNIT_NOT_SUPPORTED
     );
     assert_eq!(
-        refused(0, scsi::read_or_write_16(false, 0, 4096, 0), 2 << 20, vec![]),
+        refused(
+            0,
+            scsi::read_or_write_16(false, 0, 4096, 0),
+            2 << 20,
+            vec![]
+        ),
         Sense::INVALID_FIELD_IN_CDB
     );
     assert_eq!(
         refused(0, scsi::read_or_write_16(true, 0, 2, 0), 0, vec![1; 512]),
         Sense::INVALID_FIELD_IN_CDB
     );
-    assert_eq!(refused(0, [0xfe; 16], 0, vec![]), Sense::INVALID_OPERATION_CODE);
+    assert_eq!(
+        refused(0, [0xfe; 16], 0, vec![]),
+        Sense::INVALID_OPERATION_CODE
+    );
     assert_eq!(site.status().commands.admitted, 0);
 }
 
@@ -77,21 +101,66 @@
     let write = Bhs::new(opcode::SCSI_COMMAND, flag::FINAL | flag::WRITE)
         .with_cdb(&scsi::read_or_write_16(true, 0, 8, 0));
     let corpus: Vec<(&str, Bhs, usize)> = vec![
-        ("a login after login", Bhs::new(opcode::LOGIN_REQUEST, 0x87), 0),
-        ("a target's opcode", Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL), 0),
+        (
+            "a login after login",
+            Bhs::new(opcode::LOGIN_REQUEST, 0x87),
+            0,
+        ),
+        (
+            "a target's opcode",
+            Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL),
+            0,
+        ),
         ("an opcode that is none", Bhs::new(0x3b, flag::FINAL), 0),
-        ("a command far ahead", write.with_cmd_sn(3).with_itt(9).with_expected_data_len(4096), 0),
-        ("the reserved tag", write.with_itt(0xffff_ffff).with_expected_data_len(4096), 4096),
-        ("more immediate data than the write", write.with_expected_data_len(512), 4096),
-        ("unsolicited data", write.with_expected_data_len(1 << 19), 100_000),
-        ("a write past the longest", longest.with_expected_data_len(64 << 20).with_byte(1, flag::WRITE), 0),
-        ("a segment past the agreed length", write.with_expected_data_len(1 << 20), 600_000),
-        ("a text that is none", Bhs::new(opcode::TEXT_REQUEST, flag::FINAL), 64),
+        (
+            "a command far ahead",
+            write
+                .with_cmd_sn(3)
+                .with_itt(9)
+                .with_expected_data_len(4096),
+            0,
+        ),
+        (
+            "the reserved tag",
+            write.with_itt(0xffff_ffff).with_expected_data_len(4096),
+            4096,
+        ),
+        (
+            "more immediate data than the write",
+            write.with_expected_data_len(512),
+            4096,
+        ),
+        (
+            "unsolicited data",
+            write.with_expected_data_len(1 << 19),
+            100_000,
+        ),
+        (
+            "a write past the longest",
+            longest
+                .with_expected_data_len(64 << 20)
+                .with_byte(1, flag::WRITE),
+            0,
+        ),
+        (
+            "a segment past the agreed length",
+            write.with_expected_data_len(1 << 20),
+            600_000,
+        ),
+        (
+            "a text that is none",
+            Bhs::new(opcode::TEXT_REQUEST, flag::FINAL),
+            64,
+        ),
     ];
     for (i, (what, bhs, len)) in corpus.into_iter().enumerate() {
         let mut client = site.client(100 + i as u32);
         let mut out = SendBuffer::default();
-        let bhs = if bhs.cmd_sn() == 0 { bhs.with_cmd_sn(1) } else { bhs };
+        let bhs = if bhs.cmd_sn() == 0 {
+            bhs.with_cmd_sn(1)
+        } else {
+            bhs
+        };
         out.push(bhs, &vec![0xff; len]);
         let _ = client.socket.write_all(out.unsent());
         let mut rest = Vec::new();
@@ -116,10 +185,15 @@
 fn unfinished_login_times_out_and_a_second_login_replaces_the_session() {
     let site = Site::new(10.0);
     let mut unfinished = TcpStream::connect(site.address).expect("a connection");
-    let mut conn = InitiatorConnection::new("iqn.half", Some(TARGET), [0; 6], &ProposedParams::default());
+    let mut conn =
+        InitiatorConnection::new("iqn.half", Some(TARGET), [0; 6], &ProposedParams::default());
     let bytes = conn.send_buffer().unsent();
-    unfinished.write_all(&bytes[..bytes.len() / 2]).expect("sent");
-    unfinished.set_read_timeout(Some(Duration::from_secs(12))).expect("a socket");
+    unfinished
+        .write_all(&bytes[..bytes.len() / 2])
+        .expect("sent");
+    unfinished
+        .set_read_timeout(Some(Duration::from_secs(12)))
+        .expect("a socket");
     let mut first = site.client(1);
     let mut second = site.client(1);
     assert_eq!(read(&mut second, 0, 1), [Some(0)]);
--- a/crates/lab/tests/host/site.rs
+++ b/crates/lab/tests/host/site.rs
@@ -41,16 +41,30 @@
     }
 
     /// The same with another configuration, made of the usual one; the path is the site's directory.
-    pub(crate) fn with(unit_work: f64, change: impl Fn(&std::path::Path, String) -> String) -> Site {
+    pub(crate) fn with(
+        unit_work: f64,
+        change: impl Fn(&std::path::Path, String) -> String,
+    ) -> Site {
         static NEXT: AtomicU8 = AtomicU8::new(1);
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-        let address =
-            |n| SocketAddr::from(([127, 220 + (pid >> 8) as u8 % 30, pid as u8, run * 4 + n], 3260));
+        let address = |n| {
+            SocketAddr::from((
+                [127, 220 + (pid >> 8) as u8 % 30, pid as u8, run * 4 + n],
+                3260,
+            ))
+        };
         let model = ServiceModel::warm(8, unit_work, 64);
         let node = |n: u8| {
             let target = format!("iqn.t:node{n}");
-            Node::start(n.into(), address(1 + n), &target, model.clone(), Trace::disabled(), 1)
-                .expect("a node")
+            Node::start(
+                n.into(),
+                address(1 + n),
+                &target,
+                model.clone(),
+                Trace::disabled(),
+                1,
+            )
+            .expect("a node")
         };
         let dir = tempfile::tempdir().expect("a directory");
         let text = format!(
@@ -71,7 +85,12 @@
         );
         std::fs::write(dir.path().join("conf"), change(dir.path(), text)).expect("a file");
         let host = start(&dir);
-        Site { address: address(0), host, nodes: vec![node(0), node(1)], dir }
+        Site {
+            address: address(0),
+            host,
+            nodes: vec![node(0), node(1)],
+            dir,
+        }
     }
 
     pub(crate) fn control(&self) -> std::path::PathBuf {
@@ -79,7 +98,8 @@
     }
 
     pub(crate) fn status(&self) -> Status {
-        Status::from_json(&send_request(&self.control(), "status").expect("a status")).expect("sound")
+        Status::from_json(&send_request(&self.control(), "status").expect("a status"))
+            .expect("sound")
     }
 
     pub(crate) fn client(&self, n: u32) -> BlockingClient {
@@ -94,7 +114,10 @@
             if matches(&status) {
                 return status;
             }
-            assert!(began.elapsed() < Duration::from_secs(10), "{what}: {status:?}");
+            assert!(
+                began.elapsed() < Duration::from_secs(10),
+                "{what}: {status:?}"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -105,7 +128,10 @@
             if let Some(status) = self.host.try_wait().expect("a child") {
                 return status;
             }
-            assert!(began.elapsed() < Duration::from_secs(15), "the host does not end");
+            assert!(
+                began.elapsed() < Duration::from_secs(15),
+                "the host does not end"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -120,10 +146,16 @@
 
 pub(crate) fn start(dir: &tempfile::TempDir) -> Child {
     let file = dir.path().join("conf").display().to_string();
-    let child = lab(&["run", "--log", "error", &file]).stderr(Stdio::null()).spawn().expect("a host");
+    let child = lab(&["run", "--log", "error", &file])
+        .stderr(Stdio::null())
+        .spawn()
+        .expect("a host");
     let began = Instant::now();
     while send_request(&dir.path().join("sock"), "status").is_err() {
-        assert!(began.elapsed() < Duration::from_secs(10), "the host does not start");
+        assert!(
+            began.elapsed() < Duration::from_secs(10),
+            "the host does not start"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     child
@@ -131,13 +163,22 @@
 
 pub(crate) fn write(client: &mut BlockingClient, id: u64, lba: u64, blocks: u32) -> u8 {
     let cdb = scsi::read_or_write_16(true, lba, blocks, 0);
-    client.execute(0, &cdb, 0, block::write(id, lba, blocks)).expect("an answer").status
+    client
+        .execute(0, &cdb, 0, block::write(id, lba, blocks))
+        .expect("an answer")
+        .status
 }
 
 pub(crate) fn read(client: &mut BlockingClient, lba: u64, blocks: u32) -> Vec<Option<u64>> {
     let room = blocks as usize * 512;
-    let answer =
-        client.execute(0, &scsi::read_or_write_16(false, lba, blocks, 0), room, vec![]).expect("an answer");
+    let answer = client
+        .execute(
+            0,
+            &scsi::read_or_write_16(false, lba, blocks, 0),
+            room,
+            vec![],
+        )
+        .expect("an answer");
     assert_eq!(answer.status, status::GOOD);
     let shown = answer.data.chunks(512).enumerate();
     shown.map(|(i, b)| block::read(b, lba + i as u64)).collect()
--- a/crates/lab/tests/membership_simulation.rs
+++ b/crates/lab/tests/membership_simulation.rs
@@ -13,7 +13,13 @@
 }
 
 fn is_unreachable(event: &MembershipEvent) -> bool {
-    matches!(event, MembershipEvent::MemberUpdated { current: MemberState::Unreachable, .. })
+    matches!(
+        event,
+        MembershipEvent::MemberUpdated {
+            current: MemberState::Unreachable,
+            ..
+        }
+    )
 }
 
 #[test]
@@ -32,7 +38,9 @@
     for seed in 0..SEEDS {
         let mut fleet = five_hosts(seed);
         let all_observe = |fleet: &Simulation, state| {
-            [0, 1, 3, 4].iter().all(|host| fleet.observed_state(*host, 2) == Some(state))
+            [0, 1, 3, 4]
+                .iter()
+                .all(|host| fleet.observed_state(*host, 2) == Some(state))
         };
         fleet.announce_leaving(2);
         fleet.run_until(fleet.now + 50);
@@ -52,10 +60,17 @@
         let mut fleet = five_hosts(seed);
         (0..5).for_each(|host| fleet.set_side(host, (host as u32) % 2));
         fleet.run_until(fleet.now + 120_000);
-        assert_eq!(fleet.observed_state(0, 1), Some(MemberState::Unreachable), "seed {seed}");
+        assert_eq!(
+            fleet.observed_state(0, 1),
+            Some(MemberState::Unreachable),
+            "seed {seed}"
+        );
         (0..5).for_each(|host| {
             fleet.set_side(host, 0);
-            fleet.membership_mut(host).expect("it runs").set_seeds(Vec::new());
+            fleet
+                .membership_mut(host)
+                .expect("it runs")
+                .set_seeds(Vec::new());
         });
         assert!(fleet.time_to_converge(90_000).is_some(), "seed {seed}");
     }
@@ -67,18 +82,28 @@
         let mut fleet = five_hosts(seed);
         fleet.set_side(4, 1);
         fleet.run_until(fleet.now + 60_000);
-        assert!(fleet.membership(4).is_some_and(Membership::is_isolated), "seed {seed}");
+        assert!(
+            fleet.membership(4).is_some_and(Membership::is_isolated),
+            "seed {seed}"
+        );
         fleet.events.clear();
         fleet.set_side(4, 0);
         assert!(fleet.time_to_converge(90_000).is_some(), "seed {seed}");
         let accuses_another = |event: &MembershipEvent| match event {
-            MembershipEvent::MemberUpdated { name: member, current, .. } => {
-                *member != name(4) && matches!(current, MemberState::Suspect | MemberState::Unreachable)
+            MembershipEvent::MemberUpdated {
+                name: member,
+                current,
+                ..
+            } => {
+                *member != name(4)
+                    && matches!(current, MemberState::Suspect | MemberState::Unreachable)
             }
             _ => false,
         };
         let observed = fleet.events.iter().filter(|observed| observed.host != 4);
-        let wrong: Vec<_> = observed.filter(|observed| accuses_another(&observed.event)).collect();
+        let wrong: Vec<_> = observed
+            .filter(|observed| accuses_another(&observed.event))
+            .collect();
         assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
     }
 }
@@ -96,9 +121,16 @@
         assert_eq!(superseded_by(5), None, "seed {seed}");
         let known_address = |host: usize| {
             let mut members = fleet.membership(host)?.members();
-            members.find(|(record, _)| record.name == name(3)).map(|(record, _)| record.address)
+            members
+                .find(|(record, _)| record.name == name(3))
+                .map(|(record, _)| record.address)
         };
-        assert!([0, 1, 2, 4].iter().all(|host| known_address(*host) == Some(address(5))), "seed {seed}");
+        assert!(
+            [0, 1, 2, 4]
+                .iter()
+                .all(|host| known_address(*host) == Some(address(5))),
+            "seed {seed}"
+        );
     }
 }
 
@@ -110,7 +142,10 @@
         fleet.stop(1, 5_000);
         fleet.run_until(fleet.now + 30_000);
         assert!(
-            !fleet.events.iter().any(|observed| is_unreachable(&observed.event)),
+            !fleet
+                .events
+                .iter()
+                .any(|observed| is_unreachable(&observed.event)),
             "seed {seed}: {:?}",
             fleet.events
         );
@@ -128,7 +163,11 @@
         fleet.events.clear();
         (fleet.min_delay, fleet.delay_spread) = (300, 100);
         fleet.run_until(fleet.now + 60 * period);
-        fleet.events.iter().filter(|observed| is_unreachable(&observed.event)).count()
+        fleet
+            .events
+            .iter()
+            .filter(|observed| is_unreachable(&observed.event))
+            .count()
     };
     assert_eq!(false_positives(1_000), 0);
     let slow = false_positives(250);
--- a/crates/lab/tests/pinned/command_line.rs
+++ b/crates/lab/tests/pinned/command_line.rs
@@ -5,8 +5,11 @@
 
 /// The form of a help text: usage, subcommands, arguments, options and defaults, without what describes them.
 fn help_form(args: &[&str]) -> String {
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_mallowseam-lab")).args(args).arg("--help").output().expect("a run");
+    let output = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"))
+        .args(args)
+        .arg("--help")
+        .output()
+        .expect("a run");
     let text = String::from_utf8(output.stdout).expect("text");
     let mut out = String::new();
     for line in text.lines() {
@@ -37,6 +40,10 @@
         (&["bench-snapshots"], 0x63f8_cb5d_1dec_ba7f),
     ];
     for (args, expected) in lines {
-        pinned(&format!("help {}", args.join(" ")), &help_form(args), expected);
+        pinned(
+            &format!("help {}", args.join(" ")),
+            &help_form(args),
+            expected,
+        );
     }
 }
--- a/crates/lab/tests/pinned/content.rs
+++ b/crates/lab/tests/pinned/content.rs
@@ -8,13 +8,25 @@
     let mut out = String::new();
     for seed in 0..150 {
         let (nodes, volumes) = exhaustive_placement::draw(seed);
-        writeln!(out, "{:?}", exhaustive_placement::enumerate(&nodes, &volumes)).expect("memory");
+        writeln!(
+            out,
+            "{:?}",
+            exhaustive_placement::enumerate(&nodes, &volumes)
+        )
+        .expect("memory");
     }
     pinned("placements", &out, 0x31cf_0c75_d1ec_4a77);
 }
 
 #[test]
 fn bytes_of_a_block() {
-    let bytes: Vec<u8> = (0..50).flat_map(|id| block::write(id, id * 1_000, 3)).collect();
-    assert_eq!(hash(&bytes), 0xba08_4c8b_20c4_35cc, "bytes: {:#018x}", hash(&bytes));
+    let bytes: Vec<u8> = (0..50)
+        .flat_map(|id| block::write(id, id * 1_000, 3))
+        .collect();
+    assert_eq!(
+        hash(&bytes),
+        0xba08_4c8b_20c4_35cc,
+        "bytes: {:#018x}",
+        hash(&bytes)
+    );
 }
--- a/crates/lab/tests/pinned/digest.rs
+++ b/crates/lab/tests/pinned/digest.rs
@@ -11,7 +11,12 @@
 
 pub(crate) fn pinned(name: &str, text: &str, expected: u64) {
     let found = hash(text.as_bytes());
-    assert_eq!(found, expected, "{name}: {found:#018x}, text begins\n{}", &text[..text.len().min(600)]);
+    assert_eq!(
+        found,
+        expected,
+        "{name}: {found:#018x}, text begins\n{}",
+        &text[..text.len().min(600)]
+    );
 }
 
 pub(crate) fn model_text(model: &ServiceModel) -> String {
--- a/crates/lab/tests/pinned/record.rs
+++ b/crates/lab/tests/pinned/record.rs
@@ -63,9 +63,27 @@
         let (command, client) = (id, 0);
         self.note(
             at,
-            TraceEvent::CommandSent { command, client, host, volume, write, lba, blocks, group_number },
+            TraceEvent::CommandSent {
+                command,
+                client,
+                host,
+                volume,
+                write,
+                lba,
+                blocks,
+                group_number,
+            },
         );
-        Command { id, at, host, volume, write, lba, blocks, group_number }
+        Command {
+            id,
+            at,
+            host,
+            volume,
+            write,
+            lba,
+            blocks,
+            group_number,
+        }
     }
 
     /// Up to two attempts at a node; the time at which the last one is over.
@@ -78,14 +96,31 @@
     }
 
     fn run_attempt(&mut self, command: &Command, at: u64) -> u64 {
-        let &Command { id, host, volume: node, write, lba, blocks, group_number, .. } = command;
+        let &Command {
+            id,
+            host,
+            volume: node,
+            write,
+            lba,
+            blocks,
+            group_number,
+            ..
+        } = command;
         self.last_task += 1;
         let task = self.last_task;
         let rng = &mut self.rng;
         let connection = u64::from(rng.random_range(1..3u32));
-        let write_ids = if write { vec![id; blocks as usize] } else { vec![] };
+        let write_ids = if write {
+            vec![id; blocks as usize]
+        } else {
+            vec![]
+        };
         let first_lba = write.then(|| lba + u64::from(rng.random_range(0..12u32) == 0));
-        let host = if rng.random_range(0..12) == 0 { 1 - host } else { host };
+        let host = if rng.random_range(0..12) == 0 {
+            1 - host
+        } else {
+            host
+        };
         let received = TraceEvent::NodeReceived {
             node,
             host,
@@ -102,13 +137,28 @@
         self.note(at, received);
         let after = at + self.rng.random_range(1_000..200_000u64);
         match self.rng.random_range(0..8) {
-            0 => self.note(after, TraceEvent::NodeAborted { node, connection, task }),
+            0 => self.note(
+                after,
+                TraceEvent::NodeAborted {
+                    node,
+                    connection,
+                    task,
+                },
+            ),
             1 => self.note(after, TraceEvent::ConnectionClosed { node, connection }),
             2 => {}
             n => {
                 let codes = [status::BUSY, status::TASK_SET_FULL, status::CHECK_CONDITION];
                 let status = codes.get(n - 3).copied().unwrap_or(status::GOOD);
-                self.note(after, TraceEvent::NodeAnswered { node, connection, task, status });
+                self.note(
+                    after,
+                    TraceEvent::NodeAnswered {
+                        node,
+                        connection,
+                        task,
+                        status,
+                    },
+                );
             }
         }
         after
@@ -116,7 +166,13 @@
 
     /// The command's answer, which may be missing, late or that of an abandoned command.
     fn end_command(&mut self, command: &Command, end: u64) {
-        let codes = [status::GOOD, status::GOOD, status::GOOD, status::BUSY, status::CHECK_CONDITION];
+        let codes = [
+            status::GOOD,
+            status::GOOD,
+            status::GOOD,
+            status::BUSY,
+            status::CHECK_CONDITION,
+        ];
         let status = codes[self.rng.random_range(0..codes.len())];
         let shown: Vec<Option<u64>> = (0..command.blocks)
             .map(|_| {
@@ -124,23 +180,61 @@
                 (self.rng.random_range(0..20) != 0).then_some(id)
             })
             .collect();
-        let read = if command.write || status != status::GOOD { vec![] } else { shown };
+        let read = if command.write || status != status::GOOD {
+            vec![]
+        } else {
+            shown
+        };
         let command = command.id;
         match self.rng.random_range(0..10) {
             0 => self.note(end, TraceEvent::CommandAbandoned { command }),
             1 => {}
-            2 => self.note(end + 2_300_000, TraceEvent::CommandAnswered { command, status, read }),
-            _ => self.note(end, TraceEvent::CommandAnswered { command, status, read }),
+            2 => self.note(
+                end + 2_300_000,
+                TraceEvent::CommandAnswered {
+                    command,
+                    status,
+                    read,
+                },
+            ),
+            _ => self.note(
+                end,
+                TraceEvent::CommandAnswered {
+                    command,
+                    status,
+                    read,
+                },
+            ),
         }
     }
 
     /// What else may happen at the time of a command.
     fn disturb(&mut self, command: &Command) {
-        let &Command { id, at, host, volume, .. } = command;
+        let &Command {
+            id,
+            at,
+            host,
+            volume,
+            ..
+        } = command;
         let node = self.rng.random_range(0..2u32);
         match self.rng.random_range(0..24) {
-            0 => self.note(at, TraceEvent::HostNotified { host, node, active: false }),
-            1 => self.note(at, TraceEvent::HostNotified { host, node, active: true }),
+            0 => self.note(
+                at,
+                TraceEvent::HostNotified {
+                    host,
+                    node,
+                    active: false,
+                },
+            ),
+            1 => self.note(
+                at,
+                TraceEvent::HostNotified {
+                    host,
+                    node,
+                    active: true,
+                },
+            ),
             2 | 3 => self.note(at, TraceEvent::NodeUp { node }),
             4 => self.note(at, TraceEvent::NodeDown { node }),
             5 => self.note(at, TraceEvent::NodeOverloaded { node }),
@@ -154,7 +248,15 @@
                 }
                 let requested_at = at - self.rng.random_range(0..60_000u64);
                 let name = format!("s{id}");
-                self.note(at, TraceEvent::SnapshotRead { volume, name, requested_at, blocks });
+                self.note(
+                    at,
+                    TraceEvent::SnapshotRead {
+                        volume,
+                        name,
+                        requested_at,
+                        blocks,
+                    },
+                );
             }
             _ => {}
         }
--- a/crates/lab/tests/pinned/scripts.rs
+++ b/crates/lab/tests/pinned/scripts.rs
@@ -73,34 +73,72 @@
 #[test]
 fn scripts_and_their_schedules() {
     let scripts = [
-        ("bad-day", include_str!("../../scripts/bad-day.script"), 0xdab0_02b6_01ac_bf97),
-        ("month-end", include_str!("../../scripts/month-end.script"), 0x4933_23c1_a2c1_4729),
-        ("tariff-night", include_str!("../../scripts/tariff-night.script"), 0x19ba_2266_42e8_7508),
-        ("demo", include_str!("../../scripts/demo.script"), 0xa172_84d9_b284_ed68),
-        ("short", include_str!("../../scripts/short.script"), 0xb765_a4a8_b0c5_ce29),
-        ("due-date", include_str!("../../scripts/due-date.script"), 0x934a_317b_96a5_d735),
+        (
+            "bad-day",
+            include_str!("../../scripts/bad-day.script"),
+            0xdab0_02b6_01ac_bf97,
+        ),
+        (
+            "month-end",
+            include_str!("../../scripts/month-end.script"),
+            0x4933_23c1_a2c1_4729,
+        ),
+        (
+            "tariff-night",
+            include_str!("../../scripts/tariff-night.script"),
+            0x19ba_2266_42e8_7508,
+        ),
+        (
+            "demo",
+            include_str!("../../scripts/demo.script"),
+            0xa172_84d9_b284_ed68,
+        ),
+        (
+            "short",
+            include_str!("../../scripts/short.script"),
+            0xb765_a4a8_b0c5_ce29,
+        ),
+        (
+            "due-date",
+            include_str!("../../scripts/due-date.script"),
+            0x934a_317b_96a5_d735,
+        ),
         ("every fault", EVERY_FAULT, 0x982f_4ca2_a802_b4fb),
     ];
     for (name, text, expected) in scripts {
-        pinned(name, &scenario_text(&parse(name, text).expect("a sound script")), expected);
+        pinned(
+            name,
+            &scenario_text(&parse(name, text).expect("a sound script")),
+            expected,
+        );
     }
-    let mistakes = EVERY_FAULT.replace(" for 1s", "").replace("any0", "anyone").replace("day 9s", "dey 9s");
+    let mistakes = EVERY_FAULT
+        .replace(" for 1s", "")
+        .replace("any0", "anyone")
+        .replace("day 9s", "dey 9s");
     pinned(
         "mistakes",
-        &parse("mistakes", &mistakes).expect_err("mistakes").to_string(),
+        &parse("mistakes", &mistakes)
+            .expect_err("mistakes")
+            .to_string(),
         0xa7b2_ca97_22db_5839,
     );
 }
 
 #[test]
 fn plan_changes_by_the_seed() {
-    let scenario =
-        parse("tariff-night", include_str!("../../scripts/tariff-night.script")).expect("a sound script");
+    let scenario = parse(
+        "tariff-night",
+        include_str!("../../scripts/tariff-night.script"),
+    )
+    .expect("a sound script");
     let site = shared_config(&scenario).expect("a sound site");
     let mut out = String::new();
     for seed in 0..20 {
         for event in plan_changes(&scenario, &site, seed) {
-            let Fault::PlanChange(plan, times) = event.fault else { panic!("a change of a plan") };
+            let Fault::PlanChange(plan, times) = event.fault else {
+                panic!("a change of a plan")
+            };
             writeln!(out, "{} {plan} {:x}", event.at, times.to_bits()).expect("memory");
         }
     }
--- a/crates/lab/tests/pinned/stand_ins.rs
+++ b/crates/lab/tests/pinned/stand_ins.rs
@@ -35,7 +35,10 @@
     static NEXT: AtomicU8 = AtomicU8::new(200);
     let process = std::process::id();
     let last = NEXT.fetch_add(1, Ordering::Relaxed);
-    SocketAddr::from(([127, 100 + (process >> 8) as u8 % 60, process as u8, last], 3260))
+    SocketAddr::from((
+        [127, 100 + (process >> 8) as u8 % 60, process as u8, last],
+        3260,
+    ))
 }
 
 #[test]
@@ -44,15 +47,21 @@
     for seed in 1..4 {
         let address = node_address();
         let model = ServiceModel::warm(2, 0.5, 64);
-        let node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
+        let node =
+            Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         // Faults are taken up before anything that is sent after them.
         node.inject(NodeFault::Errors(0.3));
         let mut client = BlockingClient::open(address, Some("iqn.t"), 1).expect("a login");
         for i in 0..300u64 {
             let (write, lba) = (i % 3 == 0, i % 7 * 8);
-            let data = if write { block::write(i + 1, lba, 8) } else { Vec::new() };
-            let answer =
-                client.execute(0, &read_or_write_16(write, lba, 8, 0), 4096, data).expect("an answer");
+            let data = if write {
+                block::write(i + 1, lba, 8)
+            } else {
+                Vec::new()
+            };
+            let answer = client
+                .execute(0, &read_or_write_16(write, lba, 8, 0), 4096, data)
+                .expect("an answer");
             write!(out, "{:x}", answer.status).expect("memory");
             out.extend(answer.data.chunks(block::SIZE).zip(lba..).map(|(b, at)| {
                 let id = block::read(b, at).expect("one write's bytes");
@@ -72,7 +81,8 @@
     for seed in 1..3 {
         let address = node_address();
         let model = ServiceModel::warm(4, 0.0, 4096);
-        let _node = Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
+        let _node =
+            Node::start(0, address, "iqn.t", model, Trace::disabled(), seed).expect("a node");
         let volume = |lun, plan: &str| VolumeTarget {
             lun,
             blocks: 4096,
@@ -94,10 +104,21 @@
         let mut requests = vec![Vec::new(); CLIENTS as usize];
         let began = Instant::now();
         while requests.iter().any(|r| r.len() < REQUESTS) {
-            assert!(began.elapsed() < Duration::from_secs(20), "too few requests");
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "too few requests"
+            );
             std::thread::sleep(Duration::from_millis(20));
             for s in trace.take() {
-                if let TraceEvent::CommandSent { client, volume, write, lba, blocks, .. } = s.event {
+                if let TraceEvent::CommandSent {
+                    client,
+                    volume,
+                    write,
+                    lba,
+                    blocks,
+                    ..
+                } = s.event
+                {
                     requests[client as usize].push((volume, write, lba, blocks));
                 }
             }
--- a/crates/lab/tests/pinned/verdicts.rs
+++ b/crates/lab/tests/pinned/verdicts.rs
@@ -69,7 +69,14 @@
         lines.sort_unstable();
         writeln!(out, "{rule} {lines:?}").expect("memory");
     }
-    writeln!(out, "{:?} {:?} {}", v.wrong_data, v.inexact, v.inexact_snapshots()).expect("memory");
+    writeln!(
+        out,
+        "{:?} {:?} {}",
+        v.wrong_data,
+        v.inexact,
+        v.inexact_snapshots()
+    )
+    .expect("memory");
     writeln!(
         out,
         "{} {} {} {} {} {} {} {} {} {} {:x} {} {}",
@@ -89,11 +96,23 @@
     )
     .expect("memory");
     for g in &v.classes {
-        let counts = (g.sent, g.completed, g.in_time, g.shed, g.failed, g.abandoned);
+        let counts = (
+            g.sent,
+            g.completed,
+            g.in_time,
+            g.shed,
+            g.failed,
+            g.abandoned,
+        );
         writeln!(out, "{} {counts:?} {:?}", g.name, g.latencies).expect("memory");
     }
     for got in &v.outcomes {
-        writeln!(out, "{} {} {} {}", got.volume, got.io_class, got.sent_at, got.in_time).expect("memory");
+        writeln!(
+            out,
+            "{} {} {} {}",
+            got.volume, got.io_class, got.sent_at, got.in_time
+        )
+        .expect("memory");
     }
     out
 }
@@ -101,9 +120,20 @@
 #[test]
 fn verdicts_over_seeded_records() {
     let site = mallowseam_settings::parse("site", SITE).expect("sound");
-    let window = |from, until, limit, burst| EffectiveLimit { from, until, limit, burst };
-    let limits = vec![window(0, 900_000, 4.0, 6.0), window(400_000, u64::MAX, 2.0, 3.0)];
-    let changing = Layout { limits: [("basic".to_owned(), limits)].into(), ..Layout::default() };
+    let window = |from, until, limit, burst| EffectiveLimit {
+        from,
+        until,
+        limit,
+        burst,
+    };
+    let limits = vec![
+        window(0, 900_000, 4.0, 6.0),
+        window(400_000, u64::MAX, 2.0, 3.0),
+    ];
+    let changing = Layout {
+        limits: [("basic".to_owned(), limits)].into(),
+        ..Layout::default()
+    };
     let mut out = String::new();
     let mut broken = [0; 7];
     for seed in 0..1_200 {
@@ -116,6 +146,9 @@
             out += &verdict_text(&verdict);
         }
     }
-    assert!(broken.iter().all(|n| (20..=2_380).contains(n)), "each rule is kept and broken: {broken:?}");
+    assert!(
+        broken.iter().all(|n| (20..=2_380).contains(n)),
+        "each rule is kept and broken: {broken:?}"
+    );
     pinned("verdicts", &out, 0xffa9_811d_54fe_8be6);
 }
--- a/crates/lab/tests/placement_cli.rs
+++ b/crates/lab/tests/placement_cli.rs
@@ -18,19 +18,29 @@
     }
     let out = command.output().expect("a run");
     let text = [out.stdout, out.stderr].concat();
-    (out.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
+    (
+        out.status.code().unwrap_or(-1),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
 }
 
 #[test]
 fn work_out_explain_and_compare_agree() {
     let (code, best) = shares("work-out", &[PROBLEM]);
     assert!(code == 0 && best.contains("proven best"), "{best}");
-    assert!(best.lines().any(|l| l.starts_with("place water ") && l.ends_with(" c")), "apart: {best}");
+    assert!(
+        best.lines()
+            .any(|l| l.starts_with("place water ") && l.ends_with(" c")),
+        "apart: {best}"
+    );
     let (code, output) = shares("explain", &[PROBLEM, &best]);
     assert!(code == 0 && output.contains("all reserves fit"), "{output}");
     let worse = "place water a c\nplace gas a\nplace tax a\n";
     let (code, output) = shares("compare", &[PROBLEM, &best, worse]);
-    assert!(code == 0 && output.contains("water:") || output.contains("gas:"), "{output}");
+    assert!(
+        code == 0 && output.contains("water:") || output.contains("gas:"),
+        "{output}"
+    );
 }
 
 #[test]
@@ -41,9 +51,15 @@
         .replace("surge 9/s", "surge 10/s");
     let (code, output) = shares("work-out", &[&tight]);
     assert_eq!(code, 3, "{output}");
-    let named =
-        ["volume gas reserves 9.001/s", "volume tax reserves 9.000/s", "volume water reserves 6.000/s"];
-    for wanted in named.into_iter().chain(["least relaxation: all capacities times"]) {
+    let named = [
+        "volume gas reserves 9.001/s",
+        "volume tax reserves 9.000/s",
+        "volume water reserves 6.000/s",
+    ];
+    for wanted in named
+        .into_iter()
+        .chain(["least relaxation: all capacities times"])
+    {
         assert!(output.contains(wanted), "{wanted} in\n{output}");
     }
 }
@@ -62,29 +78,51 @@
     ] {
         assert!(output.contains(wanted), "{wanted} in\n{output}");
     }
-    let (code, output) = shares("work-out", &["node a\n  capacity 1/s\nnode a\n  capacity 2/s\n"]);
-    assert!(code == 2 && output.contains("expected one node of this name"), "{output}");
+    let (code, output) = shares(
+        "work-out",
+        &["node a\n  capacity 1/s\nnode a\n  capacity 2/s\n"],
+    );
+    assert!(
+        code == 2 && output.contains("expected one node of this name"),
+        "{output}"
+    );
 }
 
 #[test]
 fn migration_steps_keep_every_intermediate_placement_feasible() {
     let (code, best) = shares("work-out", &[PROBLEM]);
     assert_eq!(code, 0, "{best}");
-    let (code, output) = shares("moves", &[&PROBLEM.replace("today a", "size 30\n  today c"), &best]);
-    assert!(code == 0 && output.contains("move tax c ") && output.contains("move water - "), "{output}");
+    let (code, output) = shares(
+        "moves",
+        &[&PROBLEM.replace("today a", "size 30\n  today c"), &best],
+    );
+    assert!(
+        code == 0 && output.contains("move tax c ") && output.contains("move water - "),
+        "{output}"
+    );
     assert!(output.contains("steps, data moved 30"), "{output}");
 }
 
 #[test]
 fn chosen_shares_are_written_into_a_configuration_that_a_host_can_load() {
-    let problem =
-        PROBLEM.replace("volume tax\n", "volume tax\n  reserve-most 3/s\n").replace("today a", "today c");
+    let problem = PROBLEM
+        .replace("volume tax\n", "volume tax\n  reserve-most 3/s\n")
+        .replace("today a", "today c");
     let (code, answer) = shares("work-out", &[&problem]);
-    assert!(code == 0 && answer.contains("share tax reserve 3.000/s weight "), "{answer}");
+    assert!(
+        code == 0 && answer.contains("share tax reserve 3.000/s weight "),
+        "{answer}"
+    );
     assert!(answer.contains("# with these shares "), "{answer}");
     let lies = |volume: &str| {
-        let line = answer.lines().find(|l| l.starts_with(&format!("place {volume} "))).expect("placed");
-        line.split(' ').skip(2).map(str::to_owned).collect::<Vec<_>>()
+        let line = answer
+            .lines()
+            .find(|l| l.starts_with(&format!("place {volume} ")))
+            .expect("placed");
+        line.split(' ')
+            .skip(2)
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
     };
     let mut conf = String::from(
         "host gw0\n  listen 127.0.0.1:3260\n  target iqn.t:g\n  node-list static\n  window 8\n  connections 4\n  \
@@ -100,7 +138,10 @@
         );
     }
     for (i, n) in ["a", "b", "c"].iter().enumerate() {
-        conf += &format!("node {n}\n  address 127.0.0.1:{}\n  target iqn.t:{n}\n", 4000 + i);
+        conf += &format!(
+            "node {n}\n  address 127.0.0.1:{}\n  target iqn.t:{n}\n",
+            4000 + i
+        );
     }
     // Water is not in this configuration.
     let (code, output) = shares("apply", &[&problem, &answer, &conf]);
@@ -108,19 +149,33 @@
         code == 2 && output.contains("volume water: the configuration has none of this name"),
         "{output}"
     );
-    let two = |text: &str| text.lines().filter(|l| !l.contains(" water ")).collect::<Vec<_>>().join("\n");
-    let few = problem
-        .replace("volume water\n  reserve 6/s\n  surge 12/s\n  spread 2\n  survives node\n  apart\n", "");
+    let two = |text: &str| {
+        text.lines()
+            .filter(|l| !l.contains(" water "))
+            .collect::<Vec<_>>()
+            .join("\n")
+    };
+    let few = problem.replace(
+        "volume water\n  reserve 6/s\n  surge 12/s\n  spread 2\n  survives node\n  apart\n",
+        "",
+    );
     let (code, output) = shares("apply", &[&few, &two(&answer), &conf]);
     assert!(
-        code == 0 && output.contains("plan free-tax: new") && output.contains("volume gas: plan free-gas"),
+        code == 0
+            && output.contains("plan free-tax: new")
+            && output.contains("volume gas: plan free-gas"),
         "{output}"
     );
     let other = if lies("tax") == ["b"] { "c" } else { "b" };
-    let moved = two(&answer).replace(&format!("place tax {}", lies("tax")[0]), &format!("place tax {other}"));
+    let moved = two(&answer).replace(
+        &format!("place tax {}", lies("tax")[0]),
+        &format!("place tax {other}"),
+    );
     let (code, output) = shares("apply", &[&few, &moved, &conf]);
     assert!(
-        code == 2 && output.contains("volume tax: lies on ") && output.contains("move its data first"),
+        code == 2
+            && output.contains("volume tax: lies on ")
+            && output.contains("move its data first"),
         "{output}"
     );
 }
@@ -131,11 +186,21 @@
     let problem = PROBLEM.replace("volume tax\n", "volume tax\n  limit 9/s\n") + hosts;
     let (code, answer) = shares("work-out", &[&problem]);
     assert_eq!(code, 0, "{answer}");
-    for part in ["part tax h1 6.750/s", "part tax h2 1.500/s", "part tax h3 0.750/s"] {
+    for part in [
+        "part tax h1 6.750/s",
+        "part tax h2 1.500/s",
+        "part tax h3 0.750/s",
+    ] {
         assert!(answer.contains(part), "{part} in\n{answer}");
     }
     let (code, output) = shares("explain", &[&problem, &answer]);
     assert_eq!(code, 0, "{output}");
-    let (code, output) = shares("work-out", &[&problem.replace("sends tax 1/s", "sends oil 1/s")]);
-    assert!(code == 2 && output.contains("volume oil, which the file lacks"), "{output}");
+    let (code, output) = shares(
+        "work-out",
+        &[&problem.replace("sends tax 1/s", "sends oil 1/s")],
+    );
+    assert!(
+        code == 2 && output.contains("volume oil, which the file lacks"),
+        "{output}"
+    );
 }
