--- a/crates/lab/tests/plan_service.rs
+++ b/crates/lab/tests/plan_service.rs
@@ -26,8 +26,17 @@
     fn new() -> Site {
         static NEXT: AtomicU8 = AtomicU8::new(0);
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-        let address =
-            |n| SocketAddr::from(([127, 100 + (pid >> 8) as u8 % 60, pid as u8, run * 10 + 1 + n], 3260));
+        let address = |n| {
+            SocketAddr::from((
+                [
+                    127,
+                    100 + (pid >> 8) as u8 % 60,
+                    pid as u8,
+                    run * 10 + 1 + n,
+                ],
+                3260,
+            ))
+        };
         let dir = tempfile::tempdir().expect("a directory");
         let d = dir.path().display();
         for i in 0..2 {
@@ -47,13 +56,22 @@
             std::fs::write(dir.path().join(format!("conf{i}")), text).expect("a file");
         }
         let model = ServiceModel::warm(4, 50.0, 64);
-        let node = Node::start(0, address(5), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
+        let node =
+            Node::start(0, address(5), "iqn.t:node0", model, Trace::disabled(), 1).expect("a node");
         let host_addresses = vec![address(0), address(1)];
-        let mut site = Site { dir, service: None, hosts: vec![None, None], host_addresses, _node: node };
+        let mut site = Site {
+            dir,
+            service: None,
+            hosts: vec![None, None],
+            host_addresses,
+            _node: node,
+        };
         site.start_service();
         (0..2).for_each(|i| site.start_host(i));
         site.wait_for("both hosts", |r| {
-            r.plan(&["hosts"], &[]).1.contains("2 hosts; in force at all of them: 2")
+            r.plan(&["hosts"], &[])
+                .1
+                .contains("2 hosts; in force at all of them: 2")
         });
         site
     }
@@ -64,8 +82,14 @@
 
     fn start(&self, what: &str, conf: usize) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
-        command.args(["host", what, "--log", "error"]).arg(self.path(&format!("conf{conf}")));
-        command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("a process")
+        command
+            .args(["host", what, "--log", "error"])
+            .arg(self.path(&format!("conf{conf}")));
+        command
+            .stdin(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .expect("a process")
     }
 
     fn start_service(&mut self) {
@@ -75,7 +99,9 @@
 
     fn start_host(&mut self, i: usize) {
         self.hosts[i] = Some(self.start("run", i));
-        self.wait_for("a host", |r| send_request(&r.path(&format!("gw{i}.sock")), "status").is_ok());
+        self.wait_for("a host", |r| {
+            send_request(&r.path(&format!("gw{i}.sock")), "status").is_ok()
+        });
     }
 
     fn kill(child: &mut Option<Child>) {
@@ -96,9 +122,16 @@
     /// `mallowseam plan …`; whether it succeeded, and what was printed.
     fn plan(&self, what: &[&str], rest: &[&str]) -> (bool, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
-        command.args(["host", "plan"]).args(what).arg(self.path("conf0")).args(rest);
+        command
+            .args(["host", "plan"])
+            .args(what)
+            .arg(self.path("conf0"))
+            .args(rest);
         let out = command.output().expect("a run");
-        (out.status.success(), String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+        (
+            out.status.success(),
+            String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned(),
+        )
     }
 
     fn set(&self, figures: &[&str], rest: &[&str]) -> (bool, String) {
@@ -117,7 +150,12 @@
     }
 
     fn limit(&self, host: usize) -> f64 {
-        self.status(host).plans.iter().find(|p| p.name == "basic").expect("there").limit
+        self.status(host)
+            .plans
+            .iter()
+            .find(|p| p.name == "basic")
+            .expect("there")
+            .limit
     }
 }
 
@@ -126,7 +164,9 @@
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(seconds) {
         let cdb = scsi::read_or_write_16(true, 0, 8, 0);
-        client.execute(0, &cdb, 0, block::write(1, 0, 8)).expect("an answer");
+        client
+            .execute(0, &cdb, 0, block::write(1, 0, 8))
+            .expect("an answer");
     }
 }
 
@@ -141,20 +181,47 @@
 fn change_is_effective_at_all_hosts_when_its_author_is_told() {
     let site = Site::new();
     let (succeeded, output) = site.set(&["limit=30", "burst=6"], &["--dry-run"]);
-    assert!(succeeded && output.contains("would be version 3") && site.limit(0) == 40.0, "{output}");
+    assert!(
+        succeeded && output.contains("would be version 3") && site.limit(0) == 40.0,
+        "{output}"
+    );
     let (succeeded, output) = site.set(&["limit=30", "burst=6"], &["--wait"]);
-    assert!(succeeded && output.contains("version 3 in force at all 2 hosts"), "{output}");
+    assert!(
+        succeeded && output.contains("version 3 in force at all 2 hosts"),
+        "{output}"
+    );
     assert_eq!((site.limit(0), site.limit(1)), (30.0, 30.0));
     let (succeeded, output) = site.set(&["limit=50"], &["--expected", "2"]);
-    assert!(!succeeded && output.contains("version 3 stands"), "{output}");
+    assert!(
+        !succeeded && output.contains("version 3 stands"),
+        "{output}"
+    );
     let (succeeded, output) = site.set(&["limit=50", "weigth=3"], &[]);
-    assert!(!succeeded && output.contains("`weigth=3`: expected usual, reserve, limit"), "{output}");
+    assert!(
+        !succeeded && output.contains("`weigth=3`: expected usual, reserve, limit"),
+        "{output}"
+    );
     let by = ["3", "--author", "board", "--reason", "too soon", "--wait"];
     let (succeeded, output) = site.plan(&["undo"], &by);
-    assert!(succeeded && output.contains("version 4 in force") && site.limit(1) == 40.0, "{output}");
-    assert!(site.plan(&["diff"], &["2", "4"]).1.contains("no difference"));
-    assert!(site.plan(&["history"], &["--from", "3"]).1.contains("tariff night"));
-    assert!(site.plan(&["replay"], &[]).1.contains("trail replays: 4 of 4"));
+    assert!(
+        succeeded && output.contains("version 4 in force") && site.limit(1) == 40.0,
+        "{output}"
+    );
+    assert!(
+        site.plan(&["diff"], &["2", "4"])
+            .1
+            .contains("no difference")
+    );
+    assert!(
+        site.plan(&["history"], &["--from", "3"])
+            .1
+            .contains("tariff night")
+    );
+    assert!(
+        site.plan(&["replay"], &[])
+            .1
+            .contains("trail replays: 4 of 4")
+    );
 }
 
 #[test]
@@ -176,13 +243,17 @@
     site.wait_for("an even quota, or less", |r| r.quota(0) <= 20.0);
     let stop = Arc::new(AtomicBool::new(false));
     let first = surge(0, &stop);
-    site.wait_for("the quota of the busy host", |r| r.quota(0) > 30.0 && r.quota(1) < 10.0);
+    site.wait_for("the quota of the busy host", |r| {
+        r.quota(0) > 30.0 && r.quota(1) < 10.0
+    });
     stop.store(true, Ordering::Relaxed);
     first.into_iter().for_each(|t| t.join().expect("no panic"));
     // The demand moves to the other host, and the quotas follow it.
     let stop = Arc::new(AtomicBool::new(false));
     let second = surge(1, &stop);
-    site.wait_for("the quota of the newly busy host", |r| r.quota(1) > 30.0 && r.quota(0) < 10.0);
+    site.wait_for("the quota of the newly busy host", |r| {
+        r.quota(1) > 30.0 && r.quota(0) < 10.0
+    });
     stop.store(true, Ordering::Relaxed);
     second.into_iter().for_each(|t| t.join().expect("no panic"));
 }
@@ -191,7 +262,10 @@
 fn hosts_run_without_the_service_and_start_with_cached_plans() {
     let mut site = Site::new();
     let (succeeded, output) = site.set(&["limit=60"], &["--wait"]);
-    assert!(succeeded && output.contains("version 3 in force"), "{output}");
+    assert!(
+        succeeded && output.contains("version 3 in force"),
+        "{output}"
+    );
     assert_eq!((site.limit(0), site.limit(1)), (60.0, 60.0));
     Site::kill(&mut site.service);
     Site::kill(&mut site.hosts[0]);
@@ -199,20 +273,33 @@
     assert_eq!((site.limit(0), site.limit(1)), (60.0, 60.0));
     site.wait_for("even quotas", |r| r.quota(0) == 30.0 && r.quota(1) == 30.0);
     site.start_service();
-    assert!(site.plan(&["replay"], &[]).1.contains("trail replays: 3 of 3"));
+    assert!(
+        site.plan(&["replay"], &[])
+            .1
+            .contains("trail replays: 3 of 3")
+    );
     // A service that has just started knows which hosts have not reported yet.
     let (succeeded, output) = site.set(&["limit=20"], &["--wait"]);
-    assert!(succeeded && output.contains("version 4 in force at all 2 hosts"), "{output}");
+    assert!(
+        succeeded && output.contains("version 4 in force at all 2 hosts"),
+        "{output}"
+    );
     assert_eq!((site.limit(0), site.limit(1)), (20.0, 20.0));
     // With a host down the answer names it, and says that the version stands.
     Site::kill(&mut site.hosts[1]);
     let (succeeded, output) = site.set(&["limit=25"], &["--wait"]);
     assert!(
-        !succeeded && output.contains("version 5 stands") && output.contains("gw1 is silent, acts on 4"),
+        !succeeded
+            && output.contains("version 5 stands")
+            && output.contains("gw1 is silent, acts on 4"),
         "{output}"
     );
     assert!(site.plan(&["gone"], &["gw1"]).0);
-    assert!(site.plan(&["hosts"], &[]).1.contains("1 hosts; in force at all of them: 5"));
+    assert!(
+        site.plan(&["hosts"], &[])
+            .1
+            .contains("1 hosts; in force at all of them: 5")
+    );
     site.start_host(1);
     site.wait_for("it comes back to the newest", |r| r.limit(1) == 25.0);
 }
@@ -222,10 +309,19 @@
     let site = Site::new();
     let by = ["--author", "board", "--reason", "tidying"];
     let (succeeded, output) = site.plan(&["drop"], &[&["basic"], &by[..]].concat());
-    assert!(!succeeded && output.contains("volume a has this plan"), "{output}");
+    assert!(
+        !succeeded && output.contains("volume a has this plan"),
+        "{output}"
+    );
     let gold = [&["gold", "limit=8", "burst=2"], &by[..]].concat();
     assert!(site.plan(&["set"], &gold).0);
     let (succeeded, output) = site.plan(&["of"], &[&["a", "gold"], &by[..], &["--wait"]].concat());
-    assert!(succeeded && output.contains("version 4 in force"), "{output}");
-    assert!(site.plan(&["drop"], &[&["basic"], &by[..], &["--wait"]].concat()).0);
+    assert!(
+        succeeded && output.contains("version 4 in force"),
+        "{output}"
+    );
+    assert!(
+        site.plan(&["drop"], &[&["basic"], &by[..], &["--wait"]].concat())
+            .0
+    );
 }
--- a/crates/lab/tests/rehearsal.rs
+++ b/crates/lab/tests/rehearsal.rs
@@ -6,12 +6,26 @@
 fn play(text: &str, seed: u64) -> Outcome {
     let scenario = script::parse("test", text).expect("a sound script");
     let path = env!("CARGO_BIN_EXE_mallowseam-lab").into();
-    run(&scenario, seed, &Program { path, args: vec!["host".into()] }, &mut |_, _| {}).expect("a run")
+    run(
+        &scenario,
+        seed,
+        &Program {
+            path,
+            args: vec!["host".into()],
+        },
+        &mut |_, _| {},
+    )
+    .expect("a run")
 }
 
 fn kept(outcome: &Outcome) {
     assert!(outcome.failures.is_empty(), "{:?}", outcome.failures);
-    assert!(outcome.verdict.passed(), "{}\n{}", outcome.verdict.evidence().join("\n"), outcome.verdict);
+    assert!(
+        outcome.verdict.passed(),
+        "{}\n{}",
+        outcome.verdict.evidence().join("\n"),
+        outcome.verdict
+    );
 }
 
 const SHORT: &str = include_str!("../scripts/short.script");
@@ -20,16 +34,28 @@
 fn short_scenario_with_faults_keeps_all_rules() {
     let outcome = play(SHORT, 3);
     kept(&outcome);
-    assert!(outcome.verdict.completed > 100 && outcome.verdict.blocks_checked > 500, "{}", outcome.verdict);
+    assert!(
+        outcome.verdict.completed > 100 && outcome.verdict.blocks_checked > 500,
+        "{}",
+        outcome.verdict
+    );
 }
 
 #[test]
 fn scenario_without_faults_completes_nearly_all_and_fails_none() {
-    let quiet: String = SHORT.lines().filter(|l| !l.starts_with("at ")).map(|l| format!("{l}\n")).collect();
+    let quiet: String = SHORT
+        .lines()
+        .filter(|l| !l.starts_with("at "))
+        .map(|l| format!("{l}\n"))
+        .collect();
     let outcome = play(&quiet, 4);
     kept(&outcome);
     assert_eq!(outcome.verdict.failed, 0);
-    assert!(outcome.verdict.completed * 10 > outcome.verdict.accepted * 7, "{}", outcome.verdict);
+    assert!(
+        outcome.verdict.completed * 10 > outcome.verdict.accepted * 7,
+        "{}",
+        outcome.verdict
+    );
 }
 
 #[test]
@@ -52,8 +78,10 @@
 fn changing_limits_are_kept_and_the_change_log_replays() {
     let night = include_str!("../scripts/tariff-night.script");
     // A quarter of it: four hosts, and the control service killed once.
-    let text =
-        night.replace("hosts 16", "hosts 4").replace("day 34s", "day 9s").replace("clients 48", "clients 16");
+    let text = night
+        .replace("hosts 16", "hosts 4")
+        .replace("day 34s", "day 9s")
+        .replace("clients 48", "clients 16");
     let short: String = text
         .lines()
         .filter(|l| !l.starts_with("at ") || l.starts_with("at 3s") || l.starts_with("at 6s"))
@@ -62,5 +90,8 @@
     let outcome = play(&short, 5);
     kept(&outcome);
     let ChangeLogReport { versions, replayed } = outcome.change_log.expect("a plan service ran");
-    assert!(versions > 8 && versions == replayed, "{replayed} of {versions}");
+    assert!(
+        versions > 8 && versions == replayed,
+        "{replayed} of {versions}"
+    );
 }
--- a/crates/lab/tests/snapshots/archives.rs
+++ b/crates/lab/tests/snapshots/archives.rs
@@ -21,7 +21,10 @@
         std::fs::write(&to, &archive[..cut]).expect("a file");
         let (code, text) = export("a@march");
         assert!(code == 0, "cut at {cut}: {text}");
-        assert!(std::fs::read(&to).expect("a file") == archive, "cut at {cut}");
+        assert!(
+            std::fs::read(&to).expect("a file") == archive,
+            "cut at {cut}"
+        );
     }
     site.request_lun("snapshot a april");
     let (code, text) = export("a@april");
@@ -41,5 +44,8 @@
     bad[archive.len() / 2] ^= 1;
     std::fs::write(&to, bad).expect("a file");
     let (code, text) = import();
-    assert!(code == 1 && text.contains("expected data that fits its hash"), "{text}");
+    assert!(
+        code == 1 && text.contains("expected data that fits its hash"),
+        "{text}"
+    );
 }
--- a/crates/lab/tests/snapshots/crash_points.rs
+++ b/crates/lab/tests/snapshots/crash_points.rs
@@ -30,7 +30,12 @@
         let mut site = Site::with(1, Some(step));
         site.restart_crashed();
         let client = site.client(0);
-        Day { step, site, client, last_id: 0 }
+        Day {
+            step,
+            site,
+            client,
+            last_id: 0,
+        }
     }
 
     /// Writes eight blocks, again while the write is shed because the catalog is away: nothing was sent then.
@@ -39,7 +44,10 @@
         let (step, id) = (self.step, self.last_id);
         let began = Instant::now();
         while write(&mut self.client, lun, id, lba, 8).status != status::GOOD {
-            assert!(began.elapsed() < Duration::from_secs(20), "step {step}: write {id} never completes");
+            assert!(
+                began.elapsed() < Duration::from_secs(20),
+                "step {step}: write {id} never completes"
+            );
             self.site.restart_crashed();
         }
         written[lba as usize..lba as usize + 8].fill(id);
@@ -59,8 +67,14 @@
 
     fn lun(&mut self, name: &str) -> u32 {
         let list = self.site.list();
-        let line = list.lines().find(|line| line.starts_with(&format!("{name} "))).expect("listed");
-        let lun = line.split("LUN ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+        let line = list
+            .lines()
+            .find(|line| line.starts_with(&format!("{name} ")))
+            .expect("listed");
+        let lun = line
+            .split("LUN ")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next()?.parse().ok());
         lun.expect("a LUN")
     }
 
@@ -71,7 +85,11 @@
             if let Some(ids) = try_read_ids(&mut self.client, lun) {
                 return ids;
             }
-            assert!(began.elapsed() < Duration::from_secs(30), "step {}: LUN {lun} never reads", self.step);
+            assert!(
+                began.elapsed() < Duration::from_secs(30),
+                "step {}: LUN {lun} never reads",
+                self.step
+            );
             self.site.restart_crashed();
         }
     }
@@ -80,7 +98,11 @@
         let began = Instant::now();
         while self.site.location_count() != count {
             let found = self.site.location_count();
-            assert!(began.elapsed() < Duration::from_secs(30), "step {}: {found} locations", self.step);
+            assert!(
+                began.elapsed() < Duration::from_secs(30),
+                "step {}: {found} locations",
+                self.step
+            );
             std::thread::sleep(Duration::from_millis(20));
             self.site.restart_crashed();
         }
@@ -131,9 +153,12 @@
 
 fn try_read_ids(client: &mut BlockingClient, lun: u32) -> Option<Vec<u64>> {
     let cdb = scsi::read_or_write_16(false, 0, BLOCKS as u32, 0);
-    let answer = client.execute(lun, &cdb, BLOCKS * block::SIZE, vec![]).expect("an answer");
+    let answer = client
+        .execute(lun, &cdb, BLOCKS * block::SIZE, vec![])
+        .expect("an answer");
     let id = |(lba, bytes): (u64, &[u8])| block::read(bytes, lba).expect("a whole write");
-    (answer.status == status::GOOD).then(|| (0..).zip(answer.data.chunks(block::SIZE)).map(id).collect())
+    (answer.status == status::GOOD)
+        .then(|| (0..).zip(answer.data.chunks(block::SIZE)).map(id).collect())
 }
 
 #[test]
--- a/crates/lab/tests/snapshots/failures.rs
+++ b/crates/lab/tests/snapshots/failures.rs
@@ -14,17 +14,30 @@
     }
     let tree: serde_json::Value =
         serde_json::from_str(&site.request("tree").expect("an answer")).expect("JSON");
-    let node = tree["layers"]["1024"]["places"]["0"]["node"].as_u64().expect("a place") as usize;
+    let node = tree["layers"]["1024"]["places"]["0"]["node"]
+        .as_u64()
+        .expect("a place") as usize;
     site.nodes[node].inject(NodeFault::Silent(true));
-    let failed = site.request("snapshot a march").expect_err("a node is silent");
-    assert!(failed.contains(&format!("not closed in time by node{node}")), "{failed}");
+    let failed = site
+        .request("snapshot a march")
+        .expect_err("a node is silent");
+    assert!(
+        failed.contains(&format!("not closed in time by node{node}")),
+        "{failed}"
+    );
     assert!(!site.request("list").expect("an answer").contains("march"));
     site.nodes[node].inject(NodeFault::Silent(false));
     let march = site.request_lun("snapshot a march");
     for extent in 0..8 {
-        assert_eq!(read_ids(&mut client, march, extent * EXTENT, 8), [extent + 1; 8]);
+        assert_eq!(
+            read_ids(&mut client, march, extent * EXTENT, 8),
+            [extent + 1; 8]
+        );
         write_good(&mut client, 0, 100, extent * EXTENT, 8);
-        assert_eq!(read_ids(&mut client, march, extent * EXTENT, 8), [extent + 1; 8]);
+        assert_eq!(
+            read_ids(&mut client, march, extent * EXTENT, 8),
+            [extent + 1; 8]
+        );
     }
 }
 
@@ -51,7 +64,10 @@
         assert_eq!(answer.status, status::BUSY);
     }
     assert_eq!(
-        (read_ids(&mut client, april, 0, 8), read_ids(&mut client, 0, 0, 8)),
+        (
+            read_ids(&mut client, april, 0, 8),
+            read_ids(&mut client, 0, 0, 8)
+        ),
         (vec![3; 8], vec![4; 8])
     );
 }
@@ -67,7 +83,11 @@
     site.hosts[0].wait().expect("a child");
     let began = Instant::now();
     while write(&mut two, 0, 3, 0, 8).status != status::GOOD {
-        assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_secs(6),
+            "{:?}",
+            began.elapsed()
+        );
     }
     assert_eq!(read_ids(&mut two, 0, 0, 8), [3; 8]);
 }
@@ -88,11 +108,17 @@
         }
     }
     for extent in 0..12 {
-        assert_eq!(read_ids(&mut client, 0, extent * EXTENT, 8), [extent + 50; 8]);
+        assert_eq!(
+            read_ids(&mut client, 0, extent * EXTENT, 8),
+            [extent + 50; 8]
+        );
     }
     let tree: serde_json::Value =
         serde_json::from_str(&site.request("tree").expect("an answer")).expect("JSON");
-    let placed = tree["layers"]["1025"]["places"].as_object().expect("places").clone();
+    let placed = tree["layers"]["1025"]["places"]
+        .as_object()
+        .expect("places")
+        .clone();
     assert_eq!(placed.len(), 12);
     assert!(placed.values().all(|p| p["node"] != 2), "{placed:?}");
 }
--- a/crates/lab/tests/snapshots/isolation.rs
+++ b/crates/lab/tests/snapshots/isolation.rs
@@ -15,22 +15,40 @@
     let (mut one, mut two) = (site.client(0), site.client(1));
     assert_eq!(read_ids(&mut one, 0, 0, 64), [0; 64]);
     write_good(&mut one, 0, 1, 28, 8);
-    assert_eq!(read_ids(&mut two, 0, 26, 12), [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]);
+    assert_eq!(
+        read_ids(&mut two, 0, 26, 12),
+        [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]
+    );
     let march = site.request_lun("snapshot a march");
     write_good(&mut two, 0, 2, 32, 8);
-    assert_eq!(read_ids(&mut one, 0, 28, 12), [1, 1, 1, 1, 2, 2, 2, 2, 2, 2, 2, 2]);
+    assert_eq!(
+        read_ids(&mut one, 0, 28, 12),
+        [1, 1, 1, 1, 2, 2, 2, 2, 2, 2, 2, 2]
+    );
     let clone = site.request_lun("clone a@march c");
     write_good(&mut one, clone, 3, 24, 8);
     for client in [&mut one, &mut two] {
-        assert_eq!(read_ids(client, march, 26, 12), [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]);
-        assert_eq!(read_ids(client, clone, 24, 12), [3, 3, 3, 3, 3, 3, 3, 3, 1, 1, 1, 1]);
+        assert_eq!(
+            read_ids(client, march, 26, 12),
+            [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]
+        );
+        assert_eq!(
+            read_ids(client, clone, 24, 12),
+            [3, 3, 3, 3, 3, 3, 3, 3, 1, 1, 1, 1]
+        );
         assert_eq!(read_ids(client, 0, 24, 8), [0, 0, 0, 0, 1, 1, 1, 1]);
     }
     let refused = write(&mut one, march, 4, 0, 8);
     assert_eq!(refused.sense, Some(Sense::WRITE_PROTECTED));
     assert_eq!(site.request("diff a a@march").expect("an answer"), "32-63");
-    assert_eq!(site.request("rollback a a@march").expect("an answer"), "a shows a@march");
-    assert_eq!(read_ids(&mut two, 0, 26, 12), [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]);
+    assert_eq!(
+        site.request("rollback a a@march").expect("an answer"),
+        "a shows a@march"
+    );
+    assert_eq!(
+        read_ids(&mut two, 0, 26, 12),
+        [0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 0, 0]
+    );
 }
 
 #[test]
@@ -51,11 +69,19 @@
         written[lba as usize..lba as usize + 8].fill(id);
         let lba = rng.random_range(0..60) * 8;
         let client = &mut clients[rng.random_range(0..2)];
-        assert_eq!(read_ids(client, 0, lba, 8), written[lba as usize..lba as usize + 8], "before write {id}");
+        assert_eq!(
+            read_ids(client, 0, lba, 8),
+            written[lba as usize..lba as usize + 8],
+            "before write {id}"
+        );
     }
     assert!(snapshots.len() > 3, "{} snapshots", snapshots.len());
     for (unit, expected) in snapshots {
-        assert_eq!(read_ids(&mut clients[0], unit, 0, 512), expected, "LUN {unit}");
+        assert_eq!(
+            read_ids(&mut clients[0], unit, 0, 512),
+            expected,
+            "LUN {unit}"
+        );
     }
 }
 
@@ -75,13 +101,20 @@
         write_good(&mut client, lun, id, 0, 8);
     }
     let firsts = |client: &mut BlockingClient, lun| -> Vec<u64> {
-        read_ids(client, lun, 0, 24).into_iter().step_by(8).collect()
+        read_ids(client, lun, 0, 24)
+            .into_iter()
+            .step_by(8)
+            .collect()
     };
     assert_eq!(firsts(&mut client, snapshots), [1, 2, 3]);
     assert_eq!(firsts(&mut client, two), [6, 2, 3]);
     assert_eq!(firsts(&mut client, one), [5, 2, 0]);
     assert_eq!(firsts(&mut client, 0), [4, 0, 0]);
-    assert!(site.request("delete one").expect_err("in use").contains("one@s"));
+    assert!(
+        site.request("delete one")
+            .expect_err("in use")
+            .contains("one@s")
+    );
 }
 
 #[test]
@@ -96,14 +129,17 @@
         for (area, [acked, begun]) in written.iter().enumerate() {
             let (at, over) = (site.host_addresses[area], &over);
             scope.spawn(move || {
-                let mut client = BlockingClient::open(at, Some(TARGET), 20 + area as u32).expect("a login");
+                let mut client =
+                    BlockingClient::open(at, Some(TARGET), 20 + area as u32).expect("a login");
                 let mut id = 0;
                 while !over.load(order) {
                     id += 2;
                     let mine = id + area as u64;
                     begun.store(mine, order);
                     // Four extents at a time, two of them in part.
-                    if write(&mut client, 0, mine, area as u64 * 256 + 16, 96).status == status::GOOD {
+                    if write(&mut client, 0, mine, area as u64 * 256 + 16, 96).status
+                        == status::GOOD
+                    {
                         acked.store(mine, order);
                     }
                 }
@@ -114,7 +150,11 @@
             let before = [0, 1].map(|a: usize| written[a][0].load(order));
             match site.request(&format!("snapshot a s{n}")) {
                 Ok(told) => {
-                    let unit = told.rsplit(' ').next().and_then(|u| u.parse().ok()).expect("a LUN");
+                    let unit = told
+                        .rsplit(' ')
+                        .next()
+                        .and_then(|u| u.parse().ok())
+                        .expect("a LUN");
                     let after = [0, 1].map(|a: usize| written[a][1].load(order));
                     snapshots.push((unit, [(before[0], after[0]), (before[1], after[1])]));
                 }
@@ -129,10 +169,21 @@
     for (unit, areas) in snapshots {
         for (area, (before, after)) in areas.into_iter().enumerate() {
             let shown = read_ids(&mut client, unit, area as u64 * 256 + 16, 96);
-            assert!(shown.iter().all(|id| *id == shown[0]), "LUN {unit}: {shown:?}");
-            assert!((before..=after).contains(&shown[0]), "LUN {unit}: {} in {before}..={after}", shown[0]);
+            assert!(
+                shown.iter().all(|id| *id == shown[0]),
+                "LUN {unit}: {shown:?}"
+            );
+            assert!(
+                (before..=after).contains(&shown[0]),
+                "LUN {unit}: {} in {before}..={after}",
+                shown[0]
+            );
             differ.insert(shown[0]);
         }
     }
-    assert!(differ.len() > 20, "{} different writes were caught", differ.len());
+    assert!(
+        differ.len() > 20,
+        "{} different writes were caught",
+        differ.len()
+    );
 }
--- a/crates/lab/tests/snapshots/site.rs
+++ b/crates/lab/tests/snapshots/site.rs
@@ -42,11 +42,24 @@
         static NEXT: AtomicU16 = AtomicU16::new(0);
         let (pid, run) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let (last, port) = ((run % 20 * 10 + 10) as u8, 3260 + run / 20);
-        let address = |n| SocketAddr::from(([127, 180 + (pid >> 8) as u8 % 30, pid as u8, last + n], port));
+        let address = |n| {
+            SocketAddr::from((
+                [127, 180 + (pid >> 8) as u8 % 30, pid as u8, last + n],
+                port,
+            ))
+        };
         let model = ServiceModel::warm(4, 50.0, 64);
         let node = |n: u8| {
             let target = format!("iqn.t:node{n}");
-            Node::start(n.into(), address(n), &target, model.clone(), Trace::disabled(), 1).expect("a node")
+            Node::start(
+                n.into(),
+                address(n),
+                &target,
+                model.clone(),
+                Trace::disabled(),
+                1,
+            )
+            .expect("a node")
         };
         let dir = tempfile::tempdir().expect("a directory");
         let host_addresses = vec![address(5), address(6)];
@@ -65,7 +78,10 @@
                 address(4)
             );
             for n in 0..3 {
-                text += &format!("node node{n}\n  address {}\n  target iqn.t:node{n}\n", address(n));
+                text += &format!(
+                    "node node{n}\n  address {}\n  target iqn.t:node{n}\n",
+                    address(n)
+                );
             }
             if crash_at.is_some() {
                 // Space is reclaimed after the longest deadline.
@@ -77,11 +93,23 @@
         }
         let nodes = (0..3).map(node).collect();
         let node_addresses = (0..3).map(address).collect();
-        let mut site =
-            Site { dir, catalog: None, hosts: Vec::new(), host_addresses, nodes, node_addresses, crashes: 0 };
+        let mut site = Site {
+            dir,
+            catalog: None,
+            hosts: Vec::new(),
+            host_addresses,
+            nodes,
+            node_addresses,
+            crashes: 0,
+        };
         site.start_catalog_crashing(crash_at);
         for i in 0..hosts {
-            site.hosts.push(site.start(&["run", "--log", "error"], i, &format!("gw{i}.sock"), "status"));
+            site.hosts.push(site.start(
+                &["run", "--log", "error"],
+                i,
+                &format!("gw{i}.sock"),
+                "status",
+            ));
         }
         site
     }
@@ -92,15 +120,27 @@
 
     pub(crate) fn start(&self, what: &[&str], conf: usize, sock: &str, asked: &str) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
-        command.arg("host").args(what).arg(self.path(&format!("conf{conf}")));
-        let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("a process");
+        command
+            .arg("host")
+            .args(what)
+            .arg(self.path(&format!("conf{conf}")));
+        let child = command
+            .stdin(Stdio::null())
+            .stderr(Stdio::null())
+            .spawn()
+            .expect("a process");
         let began = Instant::now();
         let mut child = child;
         while send_request(&self.path(sock), asked).is_err() {
-            if !matches!(child.try_wait(), Ok(None)) && what.iter().any(|w| w.starts_with("--die-at")) {
+            if !matches!(child.try_wait(), Ok(None))
+                && what.iter().any(|w| w.starts_with("--die-at"))
+            {
                 break;
             }
-            assert!(began.elapsed() < Duration::from_secs(10), "{what:?} does not start");
+            assert!(
+                began.elapsed() < Duration::from_secs(10),
+                "{what:?} does not start"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
         child
@@ -117,7 +157,10 @@
 
     /// Starts the catalog again if it has crashed; whether it had.
     pub(crate) fn restart_crashed(&mut self) -> bool {
-        let died = self.catalog.as_mut().is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
+        let died = self
+            .catalog
+            .as_mut()
+            .is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
         if died {
             self.crashes += 1;
             self.start_catalog();
@@ -138,7 +181,10 @@
     /// Takes a snapshot, or makes a clone; its LUN.
     pub(crate) fn request_lun(&self, line: &str) -> u32 {
         let told = self.request(line).expect(line);
-        told.rsplit(' ').next().and_then(|n| n.parse().ok()).expect("a LUN")
+        told.rsplit(' ')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .expect("a LUN")
     }
 
     /// The list of the catalog, which is started again if it has crashed.
@@ -156,10 +202,15 @@
 
     /// Extent locations of the catalog's tree; none while it does not answer.
     pub(crate) fn location_count(&self) -> usize {
-        let Ok(text) = self.request("tree") else { return 0 };
+        let Ok(text) = self.request("tree") else {
+            return 0;
+        };
         let tree: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         let layers = tree["layers"].as_object().expect("layers");
-        layers.values().map(|l| l["places"].as_object().map_or(0, serde_json::Map::len)).sum()
+        layers
+            .values()
+            .map(|l| l["places"].as_object().map_or(0, serde_json::Map::len))
+            .sum()
     }
 
     pub(crate) fn client(&self, host: usize) -> BlockingClient {
@@ -176,9 +227,20 @@
     }
 }
 
-pub(crate) fn write(client: &mut BlockingClient, lun: u32, id: u64, lba: u64, blocks: u32) -> Answer {
+pub(crate) fn write(
+    client: &mut BlockingClient,
+    lun: u32,
+    id: u64,
+    lba: u64,
+    blocks: u32,
+) -> Answer {
     client
-        .execute(lun, &scsi::read_or_write_16(true, lba, blocks, 0), 0, block::write(id, lba, blocks))
+        .execute(
+            lun,
+            &scsi::read_or_write_16(true, lba, blocks, 0),
+            0,
+            block::write(id, lba, blocks),
+        )
         .expect("an answer")
 }
 
@@ -190,11 +252,19 @@
 /// Per block the id of the write it shows.
 pub(crate) fn read_ids(client: &mut BlockingClient, lun: u32, lba: u64, blocks: u32) -> Vec<u64> {
     let room = blocks as usize * 512;
-    let answer =
-        client.execute(lun, &scsi::read_or_write_16(false, lba, blocks, 0), room, vec![]).expect("an answer");
+    let answer = client
+        .execute(
+            lun,
+            &scsi::read_or_write_16(false, lba, blocks, 0),
+            room,
+            vec![],
+        )
+        .expect("an answer");
     assert_eq!(answer.status, status::GOOD, "{:?}", answer.sense);
     let shown = answer.data.chunks(512).enumerate();
-    shown.map(|(i, b)| block::read(b, lba + i as u64).expect("a whole write")).collect()
+    shown
+        .map(|(i, b)| block::read(b, lba + i as u64).expect("a whole write"))
+        .collect()
 }
 
 impl Site {
@@ -202,8 +272,17 @@
     pub(crate) fn run(&self, what: &[&str], rest: &[&str]) -> (i32, String) {
         let conf = self.path("conf0").display().to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
-        let output = command.arg("host").args(what).arg(conf).args(rest).output().expect("a run");
+        let output = command
+            .arg("host")
+            .args(what)
+            .arg(conf)
+            .args(rest)
+            .output()
+            .expect("a run");
         let text = [output.stdout, output.stderr].concat();
-        (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
+        (
+            output.status.code().unwrap_or(-1),
+            String::from_utf8_lossy(&text).into_owned(),
+        )
     }
 }
--- a/crates/lab/tests/snapshots/space.rs
+++ b/crates/lab/tests/snapshots/space.rs
@@ -26,7 +26,11 @@
     let began = Instant::now();
     // What the volume shows: four extents, of which one has been written since.
     while site.location_count() != 4 {
-        assert!(began.elapsed() < Duration::from_secs(20), "{} places", site.location_count());
+        assert!(
+            began.elapsed() < Duration::from_secs(20),
+            "{} places",
+            site.location_count()
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(read_ids(&mut client, 0, 0, 8), [99; 8]);
@@ -43,17 +47,32 @@
     site.request_lun("snapshot a march");
     write_good(&mut client, 0, 50, 0, 8);
     let (code, text) = site.run(&["verify"], &[]);
-    assert!(code == 1 && !text.contains("places"), "the catalog runs: {text}");
+    assert!(
+        code == 1 && !text.contains("places"),
+        "the catalog runs: {text}"
+    );
     site.kill_catalog();
     let (code, text) = site.run(&["verify"], &[]);
-    assert!(code == 0 && text.contains("places 7, of which hold data 7; leaked 0; faults 0"), "{text}");
+    assert!(
+        code == 0 && text.contains("places 7, of which hold data 7; leaked 0; faults 0"),
+        "{text}"
+    );
     // A host that crashed during an extent copy leaves this behind.
     let node = site.node_addresses[1];
     let mut straight = BlockingClient::open(node, Some("iqn.t:node1"), 9).expect("a login");
     let cdb = scsi::read_or_write_16(true, 900 * EXTENT, 8, 0);
-    assert_eq!(straight.execute(1025, &cdb, 0, vec![7; 4096]).expect("an answer").status, status::GOOD);
+    assert_eq!(
+        straight
+            .execute(1025, &cdb, 0, vec![7; 4096])
+            .expect("an answer")
+            .status,
+        status::GOOD
+    );
     let (code, text) = site.run(&["verify"], &[]);
-    assert!(code == 1 && text.contains("leaked: layer 1025, place 900 at node1"), "{text}");
+    assert!(
+        code == 1 && text.contains("leaked: layer 1025, place 900 at node1"),
+        "{text}"
+    );
     assert_eq!(site.run(&["verify", "--mend"], &[]).0, 0);
     let (code, text) = site.run(&["verify"], &[]);
     assert!(code == 0 && text.contains("leaked 0"), "{text}");
--- a/crates/placement/src/branch_and_bound.rs
+++ b/crates/placement/src/branch_and_bound.rs
@@ -51,7 +51,10 @@
     let mut search = Search::new(problem, &|_| true, FULL_CAPACITY, false, max_steps);
     search.run();
     match (search.steps_left, search.best) {
-        (0, best) => SolveOutcome::StepsExhausted { best, gain_upper_bound: search.gain_upper_bound },
+        (0, best) => SolveOutcome::StepsExhausted {
+            best,
+            gain_upper_bound: search.gain_upper_bound,
+        },
         (_, Some(best)) => SolveOutcome::Optimal(best),
         (_, None) => SolveOutcome::Infeasible,
     }
@@ -84,11 +87,19 @@
         max_steps: u64,
     ) -> Self {
         let volumes = 0..problem.volumes.len();
-        let allowed: Vec<_> =
-            volumes.clone().map(|volume| problem.allowed_node_sets(volume, is_active)).collect();
+        let allowed: Vec<_> = volumes
+            .clone()
+            .map(|volume| problem.allowed_node_sets(volume, is_active))
+            .collect();
         let mut order: Vec<VolumeIndex> = volumes.collect();
         // Volumes without an allowed set and those with much reserve first, so that infeasible branches are pruned early.
-        order.sort_by_key(|v| (allowed[*v].len().min(1), Reverse(problem.volumes[*v].reserved_rate), *v));
+        order.sort_by_key(|v| {
+            (
+                allowed[*v].len().min(1),
+                Reverse(problem.volumes[*v].reserved_rate),
+                *v,
+            )
+        });
         let identical_predecessors = find_identical_predecessors(problem, &order, is_active);
         Search {
             problem,
@@ -146,23 +157,40 @@
 
     /// Whether the volumes placed so far fit. Further volumes only add load.
     fn fits_so_far(&self, placed: &[VolumeIndex], placement: &Placement) -> bool {
-        let assignments: Vec<Assignment> =
-            placed.iter().map(|volume| Assignment { volume: *volume, nodes: &placement[*volume] }).collect();
-        fits(self.problem, &assignments, self.is_active, self.capacity_per_mille)
+        let assignments: Vec<Assignment> = placed
+            .iter()
+            .map(|volume| Assignment {
+                volume: *volume,
+                nodes: &placement[*volume],
+            })
+            .collect();
+        fits(
+            self.problem,
+            &assignments,
+            self.is_active,
+            self.capacity_per_mille,
+        )
     }
 
     /// Whether a completion of this partial placement can be better than the best so far: no gain is above the upper
     /// bound, and cost and moved data never shrink.
     fn may_be_optimal(&self, placed: &[VolumeIndex], placement: &Placement) -> bool {
-        let Some(best) = self.best.as_ref().filter(|_| !self.stop_at_first) else { return true };
+        let Some(best) = self.best.as_ref().filter(|_| !self.stop_at_first) else {
+            return true;
+        };
         if self.gain_upper_bound > best.gain {
             return true;
         }
-        let used = placed.iter().flat_map(|volume| placement[*volume].iter().copied());
+        let used = placed
+            .iter()
+            .flat_map(|volume| placement[*volume].iter().copied());
         let cost = cost(self.problem, used);
-        let moved: u128 =
-            placed.iter().map(|volume| moved_data(self.problem, *volume, &placement[*volume])).sum();
-        (self.gain_upper_bound, Reverse(cost), Reverse(moved)) >= (best.gain, best.cost, best.moved_data)
+        let moved: u128 = placed
+            .iter()
+            .map(|volume| moved_data(self.problem, *volume, &placement[*volume]))
+            .sum();
+        (self.gain_upper_bound, Reverse(cost), Reverse(moved))
+            >= (best.gain, best.cost, best.moved_data)
     }
 }
 
@@ -184,10 +212,16 @@
     };
     let are_identical = |a: VolumeIndex, b: VolumeIndex| {
         let (first, second) = (&problem.volumes[a], &problem.volumes[b]);
-        Volume { name: second.name.clone(), ..first.clone() } == *second
+        Volume {
+            name: second.name.clone(),
+            ..first.clone()
+        } == *second
             && active_constraints(a) == active_constraints(b)
     };
-    let last_identical =
-        |position: usize| (0..position).rev().find(|earlier| are_identical(order[*earlier], order[position]));
+    let last_identical = |position: usize| {
+        (0..position)
+            .rev()
+            .find(|earlier| are_identical(order[*earlier], order[position]))
+    };
     (0..order.len()).map(last_identical).collect()
 }
--- a/crates/placement/src/constraint.rs
+++ b/crates/placement/src/constraint.rs
@@ -26,14 +26,21 @@
     /// All constraints of the problem, in ascending order of nodes, then of volumes.
     #[must_use]
     pub fn constraints(&self) -> Vec<Constraint> {
-        let mut constraints: Vec<Constraint> = (0..self.nodes.len()).map(Constraint::Capacity).collect();
+        let mut constraints: Vec<Constraint> =
+            (0..self.nodes.len()).map(Constraint::Capacity).collect();
         for (index, volume) in self.volumes.iter().enumerate() {
             let of_volume = [
                 (volume.reserved_rate > 0, Constraint::Reserve(index)),
                 (volume.zone.is_some(), Constraint::Zone(index)),
                 (volume.distinct_zones, Constraint::DistinctZones(index)),
-                (volume.survives_node_loss, Constraint::SurvivesNodeLoss(index)),
-                (volume.survives_zone_loss, Constraint::SurvivesZoneLoss(index)),
+                (
+                    volume.survives_node_loss,
+                    Constraint::SurvivesNodeLoss(index),
+                ),
+                (
+                    volume.survives_zone_loss,
+                    Constraint::SurvivesZoneLoss(index),
+                ),
             ];
             let present = of_volume.into_iter().filter(|(is_present, _)| *is_present);
             constraints.extend(present.map(|(_, constraint)| constraint));
--- a/crates/placement/src/feasibility.rs
+++ b/crates/placement/src/feasibility.rs
@@ -25,7 +25,12 @@
     }
 
     /// Whether a volume's reserve must fit in spite of the loss.
-    fn is_survived_by(self, problem: &Problem, volume: VolumeIndex, is_active: ConstraintFilter) -> bool {
+    fn is_survived_by(
+        self,
+        problem: &Problem,
+        volume: VolumeIndex,
+        is_active: ConstraintFilter,
+    ) -> bool {
         match self {
             Loss::Nothing => false,
             Loss::Node(_) => must_survive_node_loss(problem, volume, is_active),
@@ -34,11 +39,19 @@
     }
 }
 
-fn must_survive_node_loss(problem: &Problem, volume: VolumeIndex, is_active: ConstraintFilter) -> bool {
+fn must_survive_node_loss(
+    problem: &Problem,
+    volume: VolumeIndex,
+    is_active: ConstraintFilter,
+) -> bool {
     problem.volumes[volume].survives_node_loss && is_active(Constraint::SurvivesNodeLoss(volume))
 }
 
-fn must_survive_zone_loss(problem: &Problem, volume: VolumeIndex, is_active: ConstraintFilter) -> bool {
+fn must_survive_zone_loss(
+    problem: &Problem,
+    volume: VolumeIndex,
+    is_active: ConstraintFilter,
+) -> bool {
     problem.volumes[volume].survives_zone_loss && is_active(Constraint::SurvivesZoneLoss(volume))
 }
 
@@ -49,11 +62,21 @@
     is_active: ConstraintFilter,
 ) -> Vec<Loss<'a>> {
     let mut losses = vec![Loss::Nothing];
-    if assignments.iter().any(|a| must_survive_node_loss(problem, a.volume, is_active)) {
+    if assignments
+        .iter()
+        .any(|a| must_survive_node_loss(problem, a.volume, is_active))
+    {
         losses.extend((0..problem.nodes.len()).map(Loss::Node));
     }
-    if assignments.iter().any(|a| must_survive_zone_loss(problem, a.volume, is_active)) {
-        let zones: BTreeSet<&str> = problem.nodes.iter().map(|node| node.zone.as_str()).collect();
+    if assignments
+        .iter()
+        .any(|a| must_survive_zone_loss(problem, a.volume, is_active))
+    {
+        let zones: BTreeSet<&str> = problem
+            .nodes
+            .iter()
+            .map(|node| node.zone.as_str())
+            .collect();
         losses.extend(zones.into_iter().map(Loss::Zone));
     }
     losses
@@ -99,13 +122,21 @@
     capacity_per_mille: u64,
 ) -> bool {
     let fits_at = |node: NodeIndex, load: i128| {
-        let capacity = i128::from(problem.nodes[node].capacity) * SCALE * i128::from(capacity_per_mille);
+        let capacity =
+            i128::from(problem.nodes[node].capacity) * SCALE * i128::from(capacity_per_mille);
         !is_active(Constraint::Capacity(node)) || load * i128::from(FULL_CAPACITY) <= capacity
     };
-    losses(problem, assignments, is_active).into_iter().all(|loss| {
-        let loads = node_loads(problem, assignments, is_active, loss);
-        loads.is_some_and(|loads| loads.iter().enumerate().all(|(node, load)| fits_at(node, *load)))
-    })
+    losses(problem, assignments, is_active)
+        .into_iter()
+        .all(|loss| {
+            let loads = node_loads(problem, assignments, is_active, loss);
+            loads.is_some_and(|loads| {
+                loads
+                    .iter()
+                    .enumerate()
+                    .all(|(node, load)| fits_at(node, *load))
+            })
+        })
 }
 
 /// By how much the reserves exceed the capacities: reserved rates beyond each node's capacity, scaled, summed over no loss
@@ -118,15 +149,30 @@
 pub fn excess(problem: &Problem, assignments: &[Assignment]) -> i128 {
     let is_active = |_: Constraint| true;
     let excess_in = |loss: Loss| {
-        let is_lost =
-            |assignment: &Assignment| assignment.nodes.iter().all(|node| loss.includes(problem, *node));
-        let (lost, left): (Vec<Assignment>, Vec<Assignment>) = assignments.iter().copied().partition(is_lost);
-        let unmet = lost.iter().filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
-        let unmet: i128 = unmet.map(|a| i128::from(problem.volumes[a.volume].reserved_rate) * SCALE).sum();
+        let is_lost = |assignment: &Assignment| {
+            assignment
+                .nodes
+                .iter()
+                .all(|node| loss.includes(problem, *node))
+        };
+        let (lost, left): (Vec<Assignment>, Vec<Assignment>) =
+            assignments.iter().copied().partition(is_lost);
+        let unmet = lost
+            .iter()
+            .filter(|a| loss.is_survived_by(problem, a.volume, &is_active));
+        let unmet: i128 = unmet
+            .map(|a| i128::from(problem.volumes[a.volume].reserved_rate) * SCALE)
+            .sum();
         let loads = node_loads(problem, &left, &is_active, loss).expect("each has a node left");
         let capacity = |node: NodeIndex| i128::from(problem.nodes[node].capacity) * SCALE;
-        let beyond = loads.iter().enumerate().map(|(node, load)| (load - capacity(node)).max(0));
+        let beyond = loads
+            .iter()
+            .enumerate()
+            .map(|(node, load)| (load - capacity(node)).max(0));
         unmet + beyond.sum::<i128>()
     };
-    losses(problem, assignments, &is_active).into_iter().map(excess_in).sum()
+    losses(problem, assignments, &is_active)
+        .into_iter()
+        .map(excess_in)
+        .sum()
 }
--- a/crates/placement/src/infeasibility.rs
+++ b/crates/placement/src/infeasibility.rs
@@ -24,7 +24,12 @@
 pub fn explain(problem: &Problem, max_steps: u64) -> Option<Infeasibility> {
     let all: BTreeSet<Constraint> = problem.constraints().into_iter().collect();
     let is_possible = |constraints: &BTreeSet<Constraint>, capacity_per_mille| {
-        is_feasible(problem, &|c| constraints.contains(&c), capacity_per_mille, max_steps)
+        is_feasible(
+            problem,
+            &|c| constraints.contains(&c),
+            capacity_per_mille,
+            max_steps,
+        )
     };
     if is_possible(&all, FULL_CAPACITY)? {
         return None;
@@ -52,5 +57,8 @@
         }
         least_capacity_per_mille = Some(enough);
     }
-    Some(Infeasibility { constraints: contradiction.into_iter().collect(), least_capacity_per_mille })
+    Some(Infeasibility {
+        constraints: contradiction.into_iter().collect(),
+        least_capacity_per_mille,
+    })
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -73,10 +73,16 @@
 /// The assignments of all volumes of a placement.
 #[must_use]
 pub fn assignments(placement: &Placement) -> Vec<Assignment<'_>> {
-    placement.iter().enumerate().map(|(volume, nodes)| Assignment { volume, nodes }).collect()
+    placement
+        .iter()
+        .enumerate()
+        .map(|(volume, nodes)| Assignment { volume, nodes })
+        .collect()
 }
 
 /// The volumes that a placement puts on a node, in ascending order.
 fn volumes_at(placement: &Placement, node: NodeIndex) -> Vec<VolumeIndex> {
-    (0..placement.len()).filter(|volume| placement[*volume].contains(&node)).collect()
+    (0..placement.len())
+        .filter(|volume| placement[*volume].contains(&node))
+        .collect()
 }
--- a/crates/placement/src/limit_split.rs
+++ b/crates/placement/src/limit_split.rs
@@ -13,9 +13,15 @@
     let floor = u128::from(limit) / hosts * u128::from(floor_per_mille.min(1000)) / 1000;
     let above_floors = u128::from(limit) - floor * hosts;
     let total_sent: u128 = sent.iter().map(|rate| u128::from(*rate)).sum();
-    let proportional =
-        |rate: u64| (above_floors * u128::from(rate)).checked_div(total_sent).unwrap_or(above_floors / hosts);
-    let mut quotas: Vec<u64> = sent.iter().map(|rate| (floor + proportional(*rate)) as u64).collect();
+    let proportional = |rate: u64| {
+        (above_floors * u128::from(rate))
+            .checked_div(total_sent)
+            .unwrap_or(above_floors / hosts)
+    };
+    let mut quotas: Vec<u64> = sent
+        .iter()
+        .map(|rate| (floor + proportional(*rate)) as u64)
+        .collect();
     // The remainder of the rounding goes to the hosts that send most, a thousandth of a unit each.
     let mut by_rate: Vec<usize> = (0..sent.len()).collect();
     by_rate.sort_by_key(|host| (Reverse(sent[*host]), *host));
--- a/crates/placement/src/load_table.rs
+++ b/crates/placement/src/load_table.rs
@@ -27,7 +27,11 @@
         let nodes = problem.nodes.len();
         LoadTable {
             problem,
-            zone_of: problem.nodes.iter().map(|node| zones[node.zone.as_str()]).collect(),
+            zone_of: problem
+                .nodes
+                .iter()
+                .map(|node| zones[node.zone.as_str()])
+                .collect(),
             load: vec![0; nodes],
             added_by_node_loss: vec![vec![0; nodes]; nodes],
             added_by_zone_loss: vec![vec![0; nodes]; zones.len()],
@@ -86,7 +90,11 @@
         nodes.iter().all(|node| {
             let capacity = i128::from(self.problem.nodes[*node].capacity) * SCALE;
             let free = capacity - self.load[*node];
-            let fits_in_node_losses = || self.added_by_node_loss.iter().all(|added| added[*node] <= free);
+            let fits_in_node_losses = || {
+                self.added_by_node_loss
+                    .iter()
+                    .all(|added| added[*node] <= free)
+            };
             let fits_in_zone_losses = || {
                 let mut losses = self.added_by_zone_loss.iter().enumerate();
                 losses.all(|(zone, added)| self.zone_of[*node] == zone || added[*node] <= free)
--- a/crates/placement/src/local_search.rs
+++ b/crates/placement/src/local_search.rs
@@ -42,11 +42,22 @@
 }
 
 impl Reassignment {
-    fn replace(volume: VolumeIndex, before: Vec<NodeIndex>, source: NodeIndex, target: NodeIndex) -> Self {
-        let mut after: Vec<NodeIndex> =
-            before.iter().map(|node| if *node == source { target } else { *node }).collect();
+    fn replace(
+        volume: VolumeIndex,
+        before: Vec<NodeIndex>,
+        source: NodeIndex,
+        target: NodeIndex,
+    ) -> Self {
+        let mut after: Vec<NodeIndex> = before
+            .iter()
+            .map(|node| if *node == source { target } else { *node })
+            .collect();
         after.sort_unstable();
-        Reassignment { volume, before, after }
+        Reassignment {
+            volume,
+            before,
+            after,
+        }
     }
 }
 
@@ -84,7 +95,11 @@
             let volume = &self.problem.volumes[*index];
             let is_bound_to_zones =
                 volume.zone.is_some() || volume.distinct_zones || volume.survives_zone_loss;
-            (Reverse(is_bound_to_zones), Reverse(volume.reserved_rate), *index)
+            (
+                Reverse(is_bound_to_zones),
+                Reverse(volume.reserved_rate),
+                *index,
+            )
         });
         let mut unplaced = self.place_each(order);
         for _ in 0..MAX_REPAIRS {
@@ -106,7 +121,9 @@
             let is_current = |node: &NodeIndex| current.contains(&self.problem.nodes[*node].name);
             let nodes: Vec<NodeIndex> = (0..self.problem.nodes.len()).filter(is_current).collect();
             // A volume without a reserve would be feasible on a lost node, which cannot serve it.
-            let is_on_lost_node = nodes.iter().any(|node| self.problem.nodes[*node].capacity == 0);
+            let is_on_lost_node = nodes
+                .iter()
+                .any(|node| self.problem.nodes[*node].capacity == 0);
             let is_complete = nodes.len() == self.problem.volumes[volume].spread;
             if !is_on_lost_node && is_complete && self.is_allowed(volume, &nodes) {
                 self.assign_if_fitting(volume, nodes);
@@ -116,7 +133,9 @@
 
     /// Places the volumes that have no nodes yet. Returns false if some could not be placed.
     pub fn place_missing(&mut self) -> bool {
-        let missing = (0..self.placement.len()).filter(|volume| self.placement[*volume].is_empty()).collect();
+        let missing = (0..self.placement.len())
+            .filter(|volume| self.placement[*volume].is_empty())
+            .collect();
         let unplaced = self.place_each(missing);
         self.update_node_gains();
         unplaced.is_empty()
@@ -142,7 +161,12 @@
     /// Whether the placement is feasible, computed from the problem and not from the incremental loads.
     #[must_use]
     pub fn is_feasible(&self) -> bool {
-        fits(self.problem, &assignments(&self.placement), &|_: Constraint| true, FULL_CAPACITY)
+        fits(
+            self.problem,
+            &assignments(&self.placement),
+            &|_: Constraint| true,
+            FULL_CAPACITY,
+        )
     }
 
     fn assign(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) {
@@ -177,7 +201,10 @@
 
     /// Places volumes one by one. Returns those that did not fit.
     fn place_each(&mut self, volumes: Vec<VolumeIndex>) -> Vec<VolumeIndex> {
-        volumes.into_iter().filter(|volume| !self.place(*volume)).collect()
+        volumes
+            .into_iter()
+            .filter(|volume| !self.place(*volume))
+            .collect()
     }
 
     fn place(&mut self, volume: VolumeIndex) -> bool {
@@ -200,7 +227,11 @@
 
     /// The least loaded node set that a volume's own constraints allow, after so many random exchanges in the
     /// order of nodes by load.
-    fn least_loaded_set(&mut self, volume: VolumeIndex, exchanges: usize) -> Option<Vec<NodeIndex>> {
+    fn least_loaded_set(
+        &mut self,
+        volume: VolumeIndex,
+        exchanges: usize,
+    ) -> Option<Vec<NodeIndex>> {
         let mut by_load: Vec<NodeIndex> = (0..self.problem.nodes.len()).collect();
         by_load.sort_by(|a, b| self.compare_load(*a, *b));
         for _ in 0..exchanges {
@@ -250,7 +281,8 @@
     fn is_allowed_with(&self, volume: VolumeIndex, nodes: &[NodeIndex], node: NodeIndex) -> bool {
         let zone = self.loads.zone_of(node);
         let is_new_zone = || nodes.iter().all(|other| self.loads.zone_of(*other) != zone);
-        self.is_in_zone(volume, node) && (!self.problem.volumes[volume].distinct_zones || is_new_zone())
+        self.is_in_zone(volume, node)
+            && (!self.problem.volumes[volume].distinct_zones || is_new_zone())
     }
 
     /// Whether a volume's own constraints allow a node set.
@@ -271,7 +303,9 @@
     }
 
     fn update_node_gains(&mut self) {
-        self.node_gains = (0..self.problem.nodes.len()).map(|node| self.node_gain(node)).collect();
+        self.node_gains = (0..self.problem.nodes.len())
+            .map(|node| self.node_gain(node))
+            .collect();
     }
 
     /// A random change: one volume moves from a node to another one, and every other time a volume of that node moves
@@ -292,15 +326,20 @@
             return None;
         }
         let is_not_at_source = |other: &&VolumeIndex| !self.placement[**other].contains(&source);
-        let partners: Vec<VolumeIndex> =
-            self.volumes_at[target].iter().filter(is_not_at_source).copied().collect();
+        let partners: Vec<VolumeIndex> = self.volumes_at[target]
+            .iter()
+            .filter(is_not_at_source)
+            .copied()
+            .collect();
         let is_exchange = self.rng.below(2) == 0 && !partners.is_empty();
         if !is_exchange {
             return Some(vec![first]);
         }
         let partner = partners[self.rng.below(partners.len())];
-        let second = Reassignment::replace(partner, self.placement[partner].clone(), target, source);
-        self.is_allowed(partner, &second.after).then(|| vec![first, second])
+        let second =
+            Reassignment::replace(partner, self.placement[partner].clone(), target, source);
+        self.is_allowed(partner, &second.after)
+            .then(|| vec![first, second])
     }
 
     /// Makes a change, and reverts it unless the placement is feasible and better: more gain, or the same gain and less
@@ -309,14 +348,20 @@
         for step in change {
             self.reassign(step.volume, &step.after);
         }
-        let mut touched: Vec<NodeIndex> =
-            change.iter().flat_map(|step| step.before.iter().chain(&step.after)).copied().collect();
+        let mut touched: Vec<NodeIndex> = change
+            .iter()
+            .flat_map(|step| step.before.iter().chain(&step.after))
+            .copied()
+            .collect();
         touched.sort_unstable();
         touched.dedup();
         let gain_before: i128 = touched.iter().map(|node| self.node_gains[*node]).sum();
         let gains: Vec<i128> = touched.iter().map(|node| self.node_gain(*node)).collect();
         let gain_after: i128 = gains.iter().sum();
-        let is_better = gain_after.cmp(&gain_before).then_with(|| self.saved_data(change).cmp(&0)).is_gt();
+        let is_better = gain_after
+            .cmp(&gain_before)
+            .then_with(|| self.saved_data(change).cmp(&0))
+            .is_gt();
         if is_better && self.loads.fits_at(&touched) {
             for (node, gain) in touched.into_iter().zip(gains) {
                 self.node_gains[node] = gain;
@@ -331,7 +376,10 @@
     /// How much less data has to move after a change, scaled.
     fn saved_data(&self, change: &[Reassignment]) -> i128 {
         let moved = |volume, nodes: &[NodeIndex]| moved_data(self.problem, volume, nodes) as i128;
-        change.iter().map(|step| moved(step.volume, &step.before) - moved(step.volume, &step.after)).sum()
+        change
+            .iter()
+            .map(|step| moved(step.volume, &step.before) - moved(step.volume, &step.after))
+            .sum()
     }
 }
 
--- a/crates/placement/src/migration.rs
+++ b/crates/placement/src/migration.rs
@@ -46,7 +46,11 @@
 #[must_use]
 pub fn current_placement(problem: &Problem) -> Placement {
     let index_of = |name: &String| problem.nodes.iter().position(|node| node.name == *name);
-    problem.volumes.iter().map(|volume| volume.current_nodes.iter().filter_map(index_of).collect()).collect()
+    problem
+        .volumes
+        .iter()
+        .map(|volume| volume.current_nodes.iter().filter_map(index_of).collect())
+        .collect()
 }
 
 /// Plans the steps from one placement to another, with at most `max_data` moved (times [`SCALE`]).
@@ -78,7 +82,12 @@
         }
     }
     // Volumes that could not be finished stay at an intermediate placement, which is feasible.
-    MigrationPlan { steps: planner.steps, final_placement: planner.placement, deferred, blocked: open }
+    MigrationPlan {
+        steps: planner.steps,
+        final_placement: planner.placement,
+        deferred,
+        blocked: open,
+    }
 }
 
 /// A volume that is to move. Derived order: by the fields from the first to the last.
@@ -92,7 +101,12 @@
 }
 
 /// Data that a volume still has to copy, times [`SCALE`].
-fn remaining_data(problem: &Problem, volume: VolumeIndex, at: &[NodeIndex], to: &[NodeIndex]) -> u128 {
+fn remaining_data(
+    problem: &Problem,
+    volume: VolumeIndex,
+    at: &[NodeIndex],
+    to: &[NodeIndex],
+) -> u128 {
     let part = u128::from(problem.volumes[volume].size) * SCALE as u128 / to.len().max(1) as u128;
     part * to.iter().filter(|node| !at.contains(node)).count() as u128
 }
@@ -105,22 +119,40 @@
     deferred: Vec<VolumeIndex>,
 }
 
-fn select_volumes(problem: &Problem, from: &Placement, to: &Placement, max_data: Option<u128>) -> Selection {
+fn select_volumes(
+    problem: &Problem,
+    from: &Placement,
+    to: &Placement,
+    max_data: Option<u128>,
+) -> Selection {
     let is_lost = |node: &NodeIndex| problem.nodes[*node].capacity == 0;
-    let has_lost_part = |volume: VolumeIndex| from[volume].is_empty() || from[volume].iter().any(is_lost);
+    let has_lost_part =
+        |volume: VolumeIndex| from[volume].is_empty() || from[volume].iter().any(is_lost);
     let mut candidates: Vec<Candidate> = (0..problem.volumes.len())
         .filter(|volume| from[*volume] != to[*volume])
         .map(|volume| {
             let data = remaining_data(problem, volume, &from[volume], &to[volume]);
             // Without a data budget all volumes are selected, so that their order by gain does not matter.
-            let gain = if max_data.is_some() { gain_of_move(problem, from, to, volume) } else { 0 };
+            let gain = if max_data.is_some() {
+                gain_of_move(problem, from, to, volume)
+            } else {
+                0
+            };
             let gain_for_data = gain / (data as i128 / SCALE).max(1);
             let has_lost_part = Reverse(has_lost_part(volume));
-            Candidate { has_lost_part, gain_for_data: Reverse(gain_for_data), volume, data }
+            Candidate {
+                has_lost_part,
+                gain_for_data: Reverse(gain_for_data),
+                volume,
+                data,
+            }
         })
         .collect();
     candidates.sort_unstable();
-    let mut selection = Selection { open: Vec::new(), deferred: Vec::new() };
+    let mut selection = Selection {
+        open: Vec::new(),
+        deferred: Vec::new(),
+    };
     let mut selected_data = 0;
     for Candidate { volume, data, .. } in candidates {
         if max_data.is_none_or(|max| selected_data + data <= max) {
@@ -138,7 +170,8 @@
 fn gain_of_move(problem: &Problem, from: &Placement, to: &Placement, volume: VolumeIndex) -> i128 {
     let touched: BTreeSet<NodeIndex> = from[volume].iter().chain(&to[volume]).copied().collect();
     let gain = |placement: &Placement| -> i128 {
-        let gain_at = |node: &NodeIndex| node_gain(problem, placement, *node, &volumes_at(placement, *node));
+        let gain_at =
+            |node: &NodeIndex| node_gain(problem, placement, *node, &volumes_at(placement, *node));
         touched.iter().map(gain_at).sum()
     };
     let mut moved = from.clone();
@@ -151,10 +184,20 @@
 fn violations(problem: &Problem, volume: VolumeIndex, nodes: &[NodeIndex]) -> usize {
     let wanted = &problem.volumes[volume];
     let zone_of = |node: &NodeIndex| problem.nodes[*node].zone.as_str();
-    let is_outside = |node: &&NodeIndex| wanted.zone.as_deref().is_some_and(|zone| zone != zone_of(node));
+    let is_outside = |node: &&NodeIndex| {
+        wanted
+            .zone
+            .as_deref()
+            .is_some_and(|zone| zone != zone_of(node))
+    };
     let outside = nodes.iter().filter(is_outside).count();
     let zones: BTreeSet<&str> = nodes.iter().map(zone_of).collect();
-    outside + if wanted.distinct_zones { nodes.len() - zones.len() } else { 0 }
+    outside
+        + if wanted.distinct_zones {
+            nodes.len() - zones.len()
+        } else {
+            0
+        }
 }
 
 /// By how much the reserves exceed the capacities, now and in every loss that must be survived.
@@ -196,13 +239,21 @@
     /// Nodes from which a volume still has to move.
     fn sources(&self, volume: VolumeIndex) -> Vec<NodeIndex> {
         let target = &self.target[volume];
-        self.placement[volume].iter().copied().filter(|node| !target.contains(node)).collect()
+        self.placement[volume]
+            .iter()
+            .copied()
+            .filter(|node| !target.contains(node))
+            .collect()
     }
 
     /// Nodes to which a volume still has to move.
     fn destinations(&self, volume: VolumeIndex) -> Vec<NodeIndex> {
         let placed = &self.placement[volume];
-        self.target[volume].iter().copied().filter(|node| !placed.contains(node)).collect()
+        self.target[volume]
+            .iter()
+            .copied()
+            .filter(|node| !placed.contains(node))
+            .collect()
     }
 
     /// Data of one part of a volume, times [`SCALE`].
@@ -214,17 +265,33 @@
     /// Data budget that is left for detours once all open volumes have moved directly.
     fn spare_data(&self, max_data: u128, open: &[VolumeIndex]) -> u128 {
         let needed = |volume: &VolumeIndex| {
-            remaining_data(self.problem, *volume, &self.placement[*volume], &self.target[*volume])
+            remaining_data(
+                self.problem,
+                *volume,
+                &self.placement[*volume],
+                &self.target[*volume],
+            )
         };
         let moved = self.steps.iter().map(|step| step.data).sum();
-        max_data.saturating_sub(moved).saturating_sub(open.iter().map(needed).sum())
+        max_data
+            .saturating_sub(moved)
+            .saturating_sub(open.iter().map(needed).sum())
     }
 
     /// Takes a step if it violates no more constraints and exceeds no more capacity than before.
-    fn try_step(&mut self, volume: VolumeIndex, from: Option<NodeIndex>, to: Option<NodeIndex>) -> bool {
+    fn try_step(
+        &mut self,
+        volume: VolumeIndex,
+        from: Option<NodeIndex>,
+        to: Option<NodeIndex>,
+    ) -> bool {
         let is_kept = |node: &NodeIndex| Some(*node) != from;
-        let mut nodes: Vec<NodeIndex> =
-            self.placement[volume].iter().copied().filter(is_kept).chain(to).collect();
+        let mut nodes: Vec<NodeIndex> = self.placement[volume]
+            .iter()
+            .copied()
+            .filter(is_kept)
+            .chain(to)
+            .collect();
         nodes.sort_unstable();
         nodes.dedup();
         let violations = |nodes: &[NodeIndex]| violations(self.problem, volume, nodes);
@@ -239,7 +306,12 @@
         }
         self.excess = excess;
         let data = to.map_or(0, |_| self.part_data(volume));
-        self.steps.push(MigrationStep { volume, from, to, data });
+        self.steps.push(MigrationStep {
+            volume,
+            from,
+            to,
+            data,
+        });
         true
     }
 
@@ -258,31 +330,45 @@
         let sources = self.sources(volume);
         let destinations = self.destinations(volume);
         if destinations.is_empty() {
-            return sources.iter().any(|from| self.try_step(volume, Some(*from), None));
+            return sources
+                .iter()
+                .any(|from| self.try_step(volume, Some(*from), None));
         }
         if sources.is_empty() {
-            return destinations.iter().any(|to| self.try_step(volume, None, Some(*to)));
+            return destinations
+                .iter()
+                .any(|to| self.try_step(volume, None, Some(*to)));
         }
-        sources.iter().any(|from| destinations.iter().any(|to| self.try_step(volume, Some(*from), Some(*to))))
+        sources.iter().any(|from| {
+            destinations
+                .iter()
+                .any(|to| self.try_step(volume, Some(*from), Some(*to)))
+        })
     }
 
     /// Moves a part of some open volume to a third node, the least data first, so that another volume can advance. Returns false if no detour helps.
     fn detour(&mut self, open: &[VolumeIndex], spare_data: Option<u128>) -> bool {
-        let is_affordable = |volume: &VolumeIndex| spare_data.is_none_or(|s| self.part_data(*volume) <= s);
+        let is_affordable =
+            |volume: &VolumeIndex| spare_data.is_none_or(|s| self.part_data(*volume) <= s);
         let mut by_data: Vec<VolumeIndex> = open.iter().copied().filter(is_affordable).collect();
         by_data.sort_unstable_by_key(|volume| (self.part_data(*volume), *volume));
-        by_data.into_iter().any(|volume| self.detour_of(volume, open))
+        by_data
+            .into_iter()
+            .any(|volume| self.detour_of(volume, open))
     }
 
     fn detour_of(&mut self, volume: VolumeIndex, open: &[VolumeIndex]) -> bool {
         for from in self.sources(volume) {
             for third in 0..self.problem.nodes.len() {
-                let is_third =
-                    !self.target[volume].contains(&third) && !self.placement[volume].contains(&third);
+                let is_third = !self.target[volume].contains(&third)
+                    && !self.placement[volume].contains(&third);
                 if !is_third || !self.try_step(volume, Some(from), Some(third)) {
                     continue;
                 }
-                if open.iter().any(|other| *other != volume && self.advance(*other)) {
+                if open
+                    .iter()
+                    .any(|other| *other != volume && self.advance(*other))
+                {
                     return true;
                 }
                 self.undo_step(volume, from, third);
--- a/crates/placement/src/objective.rs
+++ b/crates/placement/src/objective.rs
@@ -38,7 +38,10 @@
 /// The objective value of a placement.
 #[must_use]
 pub fn objective(problem: &Problem, placement: &Placement) -> Objective {
-    let moved = placement.iter().enumerate().map(|(volume, nodes)| moved_data(problem, volume, nodes));
+    let moved = placement
+        .iter()
+        .enumerate()
+        .map(|(volume, nodes)| moved_data(problem, volume, nodes));
     Objective {
         gain: gain(problem, placement),
         cost: Reverse(cost(problem, placement.iter().flatten().copied())),
@@ -90,11 +93,19 @@
     let volume = |index: VolumeIndex| &problem.volumes[index];
     let per_node = |index: VolumeIndex, rate: u64| scaled_rate_per_node(placement, index, rate);
     // An unused part of a reserve is free for others.
-    let used_reserve = |index| per_node(index, volume(index).reserved_rate.min(volume(index).surge_rate));
+    let used_reserve = |index| {
+        per_node(
+            index,
+            volume(index).reserved_rate.min(volume(index).surge_rate),
+        )
+    };
     let reserved: i128 = volumes.iter().map(|index| used_reserve(*index)).sum();
     let capacity = i128::from(problem.nodes[node].capacity) * SCALE;
     let unreserved = (capacity - reserved).max(0);
-    let weights: i128 = volumes.iter().map(|index| i128::from(volume(*index).weight)).sum();
+    let weights: i128 = volumes
+        .iter()
+        .map(|index| i128::from(volume(*index).weight))
+        .sum();
 
     let mut gain = 0;
     let mut free = unreserved;
@@ -107,10 +118,17 @@
         let used_share = share.min(beyond_reserve);
         gain += (used_reserve(index) * RESERVE_GAIN + used_share * SHARE_GAIN) * priority_factor;
         free -= used_share;
-        unserved.push(Unserved { priority_factor, rate: beyond_reserve - used_share });
+        unserved.push(Unserved {
+            priority_factor,
+            rate: beyond_reserve - used_share,
+        });
     }
     unserved.sort_unstable_by_key(|unserved| Reverse((unserved.priority_factor, unserved.rate)));
-    for Unserved { priority_factor, rate } in unserved {
+    for Unserved {
+        priority_factor,
+        rate,
+    } in unserved
+    {
         let served = rate.min(free);
         gain += served * REST_GAIN * priority_factor;
         free -= served;
@@ -138,5 +156,8 @@
     let mut nodes: Vec<NodeIndex> = used.collect();
     nodes.sort_unstable();
     nodes.dedup();
-    nodes.iter().map(|node| u128::from(problem.nodes[*node].cost)).sum()
+    nodes
+        .iter()
+        .map(|node| u128::from(problem.nodes[*node].cost))
+        .sum()
 }
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -123,18 +123,32 @@
     /// # Errors
     ///
     /// All errors in it.
-    pub fn new(mut nodes: Vec<Node>, mut volumes: Vec<Volume>) -> Result<Problem, Vec<ProblemError>> {
+    pub fn new(
+        mut nodes: Vec<Node>,
+        mut volumes: Vec<Volume>,
+    ) -> Result<Problem, Vec<ProblemError>> {
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
         volumes.sort_by(|a, b| a.name.cmp(&b.name));
         let mut errors = Vec::new();
-        let mut add = |name: &str, kind| errors.push(ProblemError { name: name.to_owned(), kind });
+        let mut add = |name: &str, kind| {
+            errors.push(ProblemError {
+                name: name.to_owned(),
+                kind,
+            })
+        };
         for pair in nodes.windows(2).filter(|pair| pair[0].name == pair[1].name) {
             add(&pair[0].name, ProblemErrorKind::DuplicateNode);
         }
-        for pair in volumes.windows(2).filter(|pair| pair[0].name == pair[1].name) {
+        for pair in volumes
+            .windows(2)
+            .filter(|pair| pair[0].name == pair[1].name)
+        {
             add(&pair[0].name, ProblemErrorKind::DuplicateVolume);
         }
-        for node in nodes.iter().filter(|node| node.capacity.max(node.cost) > MAX_NUMBER) {
+        for node in nodes
+            .iter()
+            .filter(|node| node.capacity.max(node.cost) > MAX_NUMBER)
+        {
             add(&node.name, ProblemErrorKind::NumberTooLarge);
         }
         for volume in &volumes {
@@ -142,19 +156,38 @@
                 add(&volume.name, kind);
             }
         }
-        if errors.is_empty() { Ok(Problem { nodes, volumes, hosts: Vec::new() }) } else { Err(errors) }
+        if errors.is_empty() {
+            Ok(Problem {
+                nodes,
+                volumes,
+                hosts: Vec::new(),
+            })
+        } else {
+            Err(errors)
+        }
     }
 
     /// The node sets that a volume's own constraints allow, in ascending order. Constraints that the filter leaves
     /// out do not count.
     #[must_use]
-    pub fn allowed_node_sets(&self, volume: VolumeIndex, is_active: ConstraintFilter) -> Vec<Vec<NodeIndex>> {
+    pub fn allowed_node_sets(
+        &self,
+        volume: VolumeIndex,
+        is_active: ConstraintFilter,
+    ) -> Vec<Vec<NodeIndex>> {
         let wanted = &self.volumes[volume];
-        let zone = wanted.zone.as_deref().filter(|_| is_active(Constraint::Zone(volume)));
+        let zone = wanted
+            .zone
+            .as_deref()
+            .filter(|_| is_active(Constraint::Zone(volume)));
         let distinct_zones = wanted.distinct_zones && is_active(Constraint::DistinctZones(volume));
         let mut sets = Vec::new();
-        let mut enumeration =
-            NodeSetEnumeration { nodes: &self.nodes, spread: wanted.spread, zone, distinct_zones };
+        let mut enumeration = NodeSetEnumeration {
+            nodes: &self.nodes,
+            spread: wanted.spread,
+            zone,
+            distinct_zones,
+        };
         enumeration.extend(0, &mut Vec::new(), &mut sets);
         sets
     }
@@ -184,7 +217,11 @@
         if self.survives_node_loss && self.spread < 2 {
             kinds.push(ProblemErrorKind::SpreadTooSmallToSurvive);
         }
-        if self.zone.as_ref().is_some_and(|zone| !nodes.iter().any(|node| node.zone == *zone)) {
+        if self
+            .zone
+            .as_ref()
+            .is_some_and(|zone| !nodes.iter().any(|node| node.zone == *zone))
+        {
             kinds.push(ProblemErrorKind::UnknownZone);
         }
         let is_unknown = |name: &&String| !nodes.iter().any(|node| node.name == **name);
@@ -205,7 +242,12 @@
 
 impl NodeSetEnumeration<'_> {
     /// Adds to `sets` all sets that begin with `set` and go on with nodes from `first` on.
-    fn extend(&mut self, first: NodeIndex, set: &mut Vec<NodeIndex>, sets: &mut Vec<Vec<NodeIndex>>) {
+    fn extend(
+        &mut self,
+        first: NodeIndex,
+        set: &mut Vec<NodeIndex>,
+        sets: &mut Vec<Vec<NodeIndex>>,
+    ) {
         if set.len() == self.spread {
             return sets.push(set.clone());
         }
--- a/crates/placement/src/tuning.rs
+++ b/crates/placement/src/tuning.rs
@@ -44,10 +44,18 @@
     let given = WeightChoice::new(given, &gain_with);
     let guess = WeightChoice::new(guess_weights(&raised, placement), &gain_with);
     let climbed = hill_climb(guess, &gain_with);
-    let best = if climbed.gain > given.gain { climbed } else { given };
+    let best = if climbed.gain > given.gain {
+        climbed
+    } else {
+        given
+    };
     Tuning {
         weights: best.weights,
-        reserved_rates: raised.volumes.iter().map(|volume| volume.reserved_rate).collect(),
+        reserved_rates: raised
+            .volumes
+            .iter()
+            .map(|volume| volume.reserved_rate)
+            .collect(),
         gain: best.gain,
         gain_before,
     }
@@ -60,7 +68,12 @@
     let mut order: Vec<VolumeIndex> = (0..problem.volumes.len()).collect();
     order.sort_by_key(|index| by_priority(problem, *index));
     for index in order {
-        let Volume { reserved_rate, max_reserved_rate, surge_rate, .. } = problem.volumes[index];
+        let Volume {
+            reserved_rate,
+            max_reserved_rate,
+            surge_rate,
+            ..
+        } = problem.volumes[index];
         let mut fitting = reserved_rate;
         let mut highest = max_reserved_rate.min(surge_rate).max(reserved_rate);
         while fitting < highest {
@@ -106,7 +119,10 @@
     }
     let most = served.iter().copied().max().unwrap_or(0).max(1);
     // No volume is left without a share: the one of the highest priority factor may have no demand for a while.
-    served.iter().map(|s| ((s * i128::from(MAX_WEIGHT) / most) as u64).max(1)).collect()
+    served
+        .iter()
+        .map(|s| ((s * i128::from(MAX_WEIGHT) / most) as u64).max(1))
+        .collect()
 }
 
 /// Weights, and the gain that they lead to.
@@ -117,7 +133,10 @@
 
 impl WeightChoice {
     fn new(weights: Vec<u64>, gain_with: &dyn Fn(&[u64]) -> i128) -> WeightChoice {
-        WeightChoice { gain: gain_with(&weights), weights }
+        WeightChoice {
+            gain: gain_with(&weights),
+            weights,
+        }
     }
 }
 
--- a/crates/placement/src/upper_bound.rs
+++ b/crates/placement/src/upper_bound.rs
@@ -8,7 +8,11 @@
 #[must_use]
 pub fn gain_upper_bound(problem: &Problem) -> i128 {
     let scaled = |rate: u64| i128::from(rate) * SCALE;
-    let reserved: i128 = problem.volumes.iter().map(|volume| scaled(volume.reserved_rate)).sum();
+    let reserved: i128 = problem
+        .volumes
+        .iter()
+        .map(|volume| scaled(volume.reserved_rate))
+        .sum();
     let capacity: i128 = problem.nodes.iter().map(|node| scaled(node.capacity)).sum();
     let mut free = (capacity - reserved).max(0);
     // Shares are rounded down at each node, so rounding up here keeps it a bound.
@@ -22,7 +26,12 @@
     let mut beyond_reserve: Vec<(i128, i128)> = problem
         .volumes
         .iter()
-        .map(|v| (i128::from(v.priority_factor), scaled(v.surge_rate - v.reserved_rate)))
+        .map(|v| {
+            (
+                i128::from(v.priority_factor),
+                scaled(v.surge_rate - v.reserved_rate),
+            )
+        })
         .collect();
     beyond_reserve.sort_unstable_by(|a, b| b.cmp(a));
     for (priority_factor, demand) in beyond_reserve {
--- a/crates/placement/tests/branch_and_bound.rs
+++ b/crates/placement/tests/branch_and_bound.rs
@@ -4,7 +4,12 @@
 
 #[test]
 fn identical_volumes_are_not_exchanged() {
-    let node = |name: &str, capacity| Node { name: name.into(), zone: "z".into(), capacity, cost: 1 };
+    let node = |name: &str, capacity| Node {
+        name: name.into(),
+        zone: "z".into(),
+        capacity,
+        cost: 1,
+    };
     let nodes = vec![node("a", 30_000), node("b", 30_000), node("c", 12_000)];
     let volume = |index: usize| Volume {
         name: format!("v{index:02}"),
@@ -23,7 +28,10 @@
     };
     assert!(best.placement.0.is_sorted(), "the first in order of names");
     // One unit more than all nodes can serve, and the proof is as short.
-    let larger = |volume: &Volume| Volume { reserved_rate: 3_601, ..volume.clone() };
+    let larger = |volume: &Volume| Volume {
+        reserved_rate: 3_601,
+        ..volume.clone()
+    };
     let volumes = problem.volumes.iter().map(larger).collect();
     let infeasible = Problem::new(problem.nodes, volumes).expect("valid");
     assert_eq!(solve(&infeasible, 100_000), SolveOutcome::Infeasible);
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -9,7 +9,11 @@
     let node = |index: usize| Node {
         name: format!("n{index:03}"),
         zone: format!("z{}", index % 4),
-        capacity: if index.is_multiple_of(2) { 400_000 } else { 250_000 },
+        capacity: if index.is_multiple_of(2) {
+            400_000
+        } else {
+            250_000
+        },
         cost: 1,
     };
     let nodes: Vec<Node> = (0..nodes).map(node).collect();
--- a/crates/placement/tests/local_search.rs
+++ b/crates/placement/tests/local_search.rs
@@ -20,10 +20,18 @@
     assert!(search.place_all());
     search.improve(20_000);
     let placement = search.objective().expect("complete").placement.0;
-    let nodes: Vec<Node> = problem.nodes.iter().filter(|node| node.name != LOST).cloned().collect();
+    let nodes: Vec<Node> = problem
+        .nodes
+        .iter()
+        .filter(|node| node.name != LOST)
+        .cloned()
+        .collect();
     let volumes = problem.volumes.iter().zip(&placement).map(|(volume, set)| {
         let names = set.iter().map(|node| problem.nodes[*node].name.clone());
-        Volume { current_nodes: names.filter(|name| name != LOST).collect(), ..volume.clone() }
+        Volume {
+            current_nodes: names.filter(|name| name != LOST).collect(),
+            ..volume.clone()
+        }
     });
     Problem::new(nodes, volumes.collect()).expect("valid")
 }
@@ -39,7 +47,10 @@
             search.improve(2_000);
             assert!(search.is_feasible(), "seed {seed}");
             let now = search.objective().expect("complete");
-            assert!(now.gain >= last.gain && now.gain <= gain_upper_bound(&problem), "seed {seed}");
+            assert!(
+                now.gain >= last.gain && now.gain <= gain_upper_bound(&problem),
+                "seed {seed}"
+            );
             last = now;
         }
     }
@@ -62,7 +73,9 @@
     let mut compared = 0;
     for seed in 0..30 {
         let problem = random_problem(5, 4, seed);
-        let SolveOutcome::Optimal(optimum) = solve(&problem, 50_000_000) else { continue };
+        let SolveOutcome::Optimal(optimum) = solve(&problem, 50_000_000) else {
+            continue;
+        };
         assert!(optimum.gain <= gain_upper_bound(&problem), "seed {seed}");
         let mut search = LocalSearch::new(&problem, seed);
         if search.place_all() {
@@ -79,16 +92,29 @@
 #[test]
 fn the_loss_of_a_node_moves_only_what_was_on_it() {
     let problem = problem_after_node_loss();
-    let affected = problem.volumes.iter().filter(|v| v.current_nodes.len() < v.spread).count();
+    let affected = problem
+        .volumes
+        .iter()
+        .filter(|v| v.current_nodes.len() < v.spread)
+        .count();
     let mut repaired = LocalSearch::new(&problem, 3);
     repaired.start_from_current();
     assert!(repaired.place_missing() && repaired.is_feasible());
     let placement = repaired.objective().expect("complete").placement.0;
     let has_moved = |(volume, set): &(&Volume, &Vec<usize>)| {
-        set.iter().any(|node| !volume.current_nodes.contains(&problem.nodes[*node].name))
+        set.iter()
+            .any(|node| !volume.current_nodes.contains(&problem.nodes[*node].name))
     };
-    let moved = problem.volumes.iter().zip(&placement).filter(has_moved).count();
-    assert!(moved <= affected, "{moved} moved, {affected} were on the node");
+    let moved = problem
+        .volumes
+        .iter()
+        .zip(&placement)
+        .filter(has_moved)
+        .count();
+    assert!(
+        moved <= affected,
+        "{moved} moved, {affected} were on the node"
+    );
 }
 
 #[test]
@@ -97,7 +123,11 @@
     let mut problem = problem_after_node_loss();
     problem.nodes[LOST].capacity = 0;
     let volume = &mut problem.volumes[0];
-    (volume.reserved_rate, volume.survives_node_loss, volume.spread) = (0, false, 1);
+    (
+        volume.reserved_rate,
+        volume.survives_node_loss,
+        volume.spread,
+    ) = (0, false, 1);
     volume.current_nodes = [problem.nodes[LOST].name.clone()].into();
     let mut search = LocalSearch::new(&problem, 3);
     search.start_from_current();
@@ -110,7 +140,9 @@
 fn peak_memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0) / 1024
+    line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok())
+        .unwrap_or(0)
+        / 1024
 }
 
 /// Measures one size: the first placement, improvement, tuning, and the repair after the loss of a node.
@@ -118,7 +150,9 @@
     let problem = random_problem(volumes, nodes, 1);
     let bound = gain_upper_bound(&problem);
     let gap = |search: &LocalSearch| {
-        search.objective().map_or(f64::NAN, |o| 100.0 * (bound - o.gain) as f64 / bound as f64)
+        search
+            .objective()
+            .map_or(f64::NAN, |o| 100.0 * (bound - o.gain) as f64 / bound as f64)
     };
     let start = Instant::now();
     let mut search = LocalSearch::new(&problem, 1);
@@ -147,8 +181,14 @@
     let mut nodes = problem.nodes.clone();
     nodes[LOST].capacity = 0;
     let volumes = problem.volumes.iter().zip(placement).map(|(volume, set)| {
-        let current_nodes = set.iter().map(|node| problem.nodes[*node].name.clone()).collect();
-        Volume { current_nodes, ..volume.clone() }
+        let current_nodes = set
+            .iter()
+            .map(|node| problem.nodes[*node].name.clone())
+            .collect();
+        Volume {
+            current_nodes,
+            ..volume.clone()
+        }
     });
     let problem = Problem::new(nodes, volumes.collect()).expect("valid");
     let start = Instant::now();
@@ -156,7 +196,9 @@
     repaired.start_from_current();
     let is_complete = repaired.place_missing();
     let repair_time = start.elapsed();
-    let plan = repaired.objective().map(|o| plan_migration(&problem, placement, &o.placement.0, None));
+    let plan = repaired
+        .objective()
+        .map(|o| plan_migration(&problem, placement, &o.placement.0, None));
     println!(
         "  a node lost: complete {is_complete} in {repair_time:.2?}; with {} steps planned after {:.2?}, blocked {}",
         plan.as_ref().map_or(0, |plan| plan.steps.len()),
@@ -175,6 +217,11 @@
     }
     let sent: Vec<u64> = (0..180).map(|host| host * host).collect();
     let start = Instant::now();
-    let quotas = (0..1_000u64).map(|volume| split_limit(1_000_000 + volume, &sent, 250).len()).sum::<usize>();
-    println!("limits of 1,000 volumes divided over 180 hosts: {quotas} quotas in {:.2?}", start.elapsed());
+    let quotas = (0..1_000u64)
+        .map(|volume| split_limit(1_000_000 + volume, &sent, 250).len())
+        .sum::<usize>();
+    println!(
+        "limits of 1,000 volumes divided over 180 hosts: {quotas} quotas in {:.2?}",
+        start.elapsed()
+    );
 }
--- a/crates/placement/tests/migration.rs
+++ b/crates/placement/tests/migration.rs
@@ -8,7 +8,12 @@
 use std::collections::BTreeSet;
 
 fn node(name: &str, zone: &str, capacity: u64) -> Node {
-    Node { name: name.into(), zone: zone.into(), capacity, cost: 0 }
+    Node {
+        name: name.into(),
+        zone: zone.into(),
+        capacity,
+        cost: 0,
+    }
 }
 
 fn volume(name: &str, reserved_rate: u64, current_nodes: &[&str]) -> Volume {
@@ -19,7 +24,10 @@
         priority_factor: 1000,
         spread: 1,
         size: 100,
-        current_nodes: current_nodes.iter().map(|node| (*node).to_owned()).collect(),
+        current_nodes: current_nodes
+            .iter()
+            .map(|node| (*node).to_owned())
+            .collect(),
         ..Volume::default()
     }
 }
@@ -38,10 +46,21 @@
 /// How many zone constraints of a volume a node set violates.
 fn violations(problem: &Problem, volume: usize, nodes: &[usize]) -> usize {
     let volume = &problem.volumes[volume];
-    let zones: Vec<&str> = nodes.iter().map(|node| problem.nodes[*node].zone.as_str()).collect();
+    let zones: Vec<&str> = nodes
+        .iter()
+        .map(|node| problem.nodes[*node].zone.as_str())
+        .collect();
     let distinct: BTreeSet<&str> = zones.iter().copied().collect();
-    let outside = volume.zone.as_deref().map_or(0, |wanted| zones.iter().filter(|z| **z != wanted).count());
-    outside + if volume.distinct_zones { nodes.len() - distinct.len() } else { 0 }
+    let outside = volume
+        .zone
+        .as_deref()
+        .map_or(0, |wanted| zones.iter().filter(|z| **z != wanted).count());
+    outside
+        + if volume.distinct_zones {
+            nodes.len() - distinct.len()
+        } else {
+            0
+        }
 }
 
 /// Takes the steps one by one and checks after each that nothing got worse.
@@ -51,7 +70,10 @@
     for step in &plan.steps {
         let before = placement[step.volume].clone();
         if let Some(from) = step.from {
-            assert!(before.contains(&from), "{step:?} leaves a node that the volume is not on");
+            assert!(
+                before.contains(&from),
+                "{step:?} leaves a node that the volume is not on"
+            );
         }
         placement[step.volume].retain(|node| Some(*node) != step.from);
         placement[step.volume].extend(step.to);
@@ -70,8 +92,13 @@
 
 /// Two volumes that exchange their nodes, and a third node with this capacity.
 fn exchange(third_capacity: u64) -> (Problem, Placement, Placement) {
-    let nodes = vec![node("a", "x", 10), node("b", "x", 10), node("c", "x", third_capacity)];
-    let problem = Problem::new(nodes, vec![volume("u", 6, &["a"]), volume("v", 6, &["b"])]).expect("valid");
+    let nodes = vec![
+        node("a", "x", 10),
+        node("b", "x", 10),
+        node("c", "x", third_capacity),
+    ];
+    let problem =
+        Problem::new(nodes, vec![volume("u", 6, &["a"]), volume("v", 6, &["b"])]).expect("valid");
     let from = current_placement(&problem);
     (problem, from, vec![vec![1], vec![0]])
 }
@@ -81,7 +108,10 @@
     let (problem, from, to) = exchange(6);
     let plan = plan_migration(&problem, &from, &to, None);
     check(&problem, &from, &plan);
-    assert_eq!((plan.final_placement.clone(), plan.steps.len()), (to.clone(), 3));
+    assert_eq!(
+        (plan.final_placement.clone(), plan.steps.len()),
+        (to.clone(), 3)
+    );
     assert_eq!(plan.data(), data(300));
     // With a data budget for the two direct moves only, there is no detour and both volumes stay.
     let plan = plan_migration(&problem, &from, &to, Some(data(200)));
@@ -97,18 +127,39 @@
 #[test]
 fn volumes_on_lost_nodes_are_first_and_those_beyond_the_data_budget_are_deferred() {
     let nodes = vec![node("a", "x", 20), node("b", "x", 0), node("c", "x", 20)];
-    let volumes = vec![volume("u", 3, &["a"]), volume("v", 3, &["b"]), volume("w", 3, &["a"])];
+    let volumes = vec![
+        volume("u", 3, &["a"]),
+        volume("v", 3, &["b"]),
+        volume("w", 3, &["a"]),
+    ];
     let problem = Problem::new(nodes, volumes).expect("valid");
     let from = current_placement(&problem);
-    let plan = plan_migration(&problem, &from, &vec![vec![2], vec![2], vec![2]], Some(data(150)));
+    let plan = plan_migration(
+        &problem,
+        &from,
+        &vec![vec![2], vec![2], vec![2]],
+        Some(data(150)),
+    );
     check(&problem, &from, &plan);
-    assert_eq!((plan.final_placement, plan.deferred), (vec![vec![0], vec![2], vec![0]], vec![0, 2]));
+    assert_eq!(
+        (plan.final_placement, plan.deferred),
+        (vec![vec![0], vec![2], vec![0]], vec![0, 2])
+    );
 }
 
 #[test]
 fn a_volume_in_distinct_zones_is_never_in_one_zone_during_a_migration() {
-    let nodes = vec![node("a", "x", 20), node("b", "y", 20), node("c", "x", 20), node("d", "y", 20)];
-    let volume = Volume { spread: 2, distinct_zones: true, ..volume("u", 4, &["a", "b"]) };
+    let nodes = vec![
+        node("a", "x", 20),
+        node("b", "y", 20),
+        node("c", "x", 20),
+        node("d", "y", 20),
+    ];
+    let volume = Volume {
+        spread: 2,
+        distinct_zones: true,
+        ..volume("u", 4, &["a", "b"])
+    };
     let problem = Problem::new(nodes, vec![volume]).expect("valid");
     let from = current_placement(&problem);
     let plan = plan_migration(&problem, &from, &vec![vec![2, 3]], None);
@@ -120,19 +171,29 @@
 fn random_problem(seed: u64) -> Problem {
     let mut state = seed | 1;
     let mut below = |bound: u64| {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        state = state
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) % bound
     };
     let names = ["a", "b", "c", "d"];
-    let nodes: Vec<Node> =
-        names.iter().map(|name| node(name, ["x", "y"][below(2) as usize], 8 + below(8))).collect();
+    let nodes: Vec<Node> = names
+        .iter()
+        .map(|name| node(name, ["x", "y"][below(2) as usize], 8 + below(8)))
+        .collect();
     let volumes = (0..3 + below(4))
         .map(|index| {
             let spread = 1 + below(2) as usize;
             let first = below(4) as usize;
-            let current: Vec<&str> = (0..spread).map(|offset| names[(first + offset) % 4]).collect();
+            let current: Vec<&str> = (0..spread)
+                .map(|offset| names[(first + offset) % 4])
+                .collect();
             let survives_node_loss = spread > 1 && below(2) == 0;
-            Volume { spread, survives_node_loss, ..volume(&format!("v{index}"), below(5), &current) }
+            Volume {
+                spread,
+                survives_node_loss,
+                ..volume(&format!("v{index}"), below(5), &current)
+            }
         })
         .collect();
     Problem::new(nodes, volumes).expect("valid")
--- a/crates/placement/tests/pinned_placements.rs
+++ b/crates/placement/tests/pinned_placements.rs
@@ -7,7 +7,9 @@
 use mallowseam_placement::limit_split::split_limit;
 use mallowseam_placement::local_search::LocalSearch;
 use mallowseam_placement::migration::{current_placement, plan_migration};
-use mallowseam_placement::objective::{Objective, VolumeShare, cost, gain_at_demand, moved_data, objective};
+use mallowseam_placement::objective::{
+    Objective, VolumeShare, cost, gain_at_demand, moved_data, objective,
+};
 use mallowseam_placement::problem::{Host, MAX_NUMBER, MAX_SPREAD, Node, Problem, SCALE, Volume};
 use mallowseam_placement::tuning::{MAX_WEIGHT, tune};
 use mallowseam_placement::upper_bound::gain_upper_bound;
@@ -20,7 +22,11 @@
         .map(|n| Node {
             name: format!("n{n:02}"),
             zone: format!("z{}", n % 3),
-            capacity: if rng.one_in(12) { 0 } else { 20_000 + rng.below(30_000) },
+            capacity: if rng.one_in(12) {
+                0
+            } else {
+                20_000 + rng.below(30_000)
+            },
             cost: rng.below(5),
         })
         .collect();
@@ -30,7 +36,11 @@
     let volumes = (0..volumes)
         .map(|v| {
             let spread = 1 + rng.below(3.min(names.len() as u64)) as usize;
-            let reserve = if rng.one_in(4) { 0 } else { rng.below(most_reserved * mean / 100) };
+            let reserve = if rng.one_in(4) {
+                0
+            } else {
+                rng.below(most_reserved * mean / 100)
+            };
             let first = rng.below(names.len() as u64) as usize;
             let placed_on = if rng.one_in(5) { 0 } else { spread };
             Volume {
@@ -46,8 +56,14 @@
                 survives_zone_loss: spread > 1 && rng.one_in(6),
                 distinct_zones: spread > 1 && rng.one_in(4),
                 zone: rng.one_in(8).then(|| format!("z{}", rng.below(2))),
-                size: if rng.one_in(4) { rng.below(3) } else { rng.below(300) },
-                current_nodes: (0..placed_on).map(|n| names[(first + n) % names.len()].clone()).collect(),
+                size: if rng.one_in(4) {
+                    rng.below(3)
+                } else {
+                    rng.below(300)
+                },
+                current_nodes: (0..placed_on)
+                    .map(|n| names[(first + n) % names.len()].clone())
+                    .collect(),
             }
         })
         .collect();
@@ -57,7 +73,10 @@
 }
 
 fn describe_objective(objective: &Objective) -> String {
-    format!("{} {} {} {:?}", objective.gain, objective.cost.0, objective.moved_data.0, objective.placement.0)
+    format!(
+        "{} {} {} {:?}",
+        objective.gain, objective.cost.0, objective.moved_data.0, objective.placement.0
+    )
 }
 
 /// Everything that can be said of one placement, and the migration to it from the current one.
@@ -65,18 +84,29 @@
     let mut text = describe_objective(&objective(p, placement));
     let all = assignments(placement);
     let chosen = tune(p, placement);
-    let asked: Vec<u64> = p.volumes.iter().map(|v| rng.below(v.surge_rate * 2 + 1)).collect();
+    let asked: Vec<u64> = p
+        .volumes
+        .iter()
+        .map(|v| rng.below(v.surge_rate * 2 + 1))
+        .collect();
     let shares: Vec<VolumeShare> = chosen
         .reserved_rates
         .iter()
         .zip(&chosen.weights)
-        .map(|(reserve, weight)| VolumeShare { reserved_rate: *reserve, weight: *weight })
+        .map(|(reserve, weight)| VolumeShare {
+            reserved_rate: *reserve,
+            weight: *weight,
+        })
         .collect();
     let gained = gain_at_demand(p, placement, &shares, &asked);
     write!(text, " excess {} moment {gained}", excess(p, &all)).expect("writing to memory");
     let (weights, reserves) = (&chosen.weights, &chosen.reserved_rates);
-    write!(text, " chosen {weights:?} {reserves:?} {} {}", chosen.gain, chosen.gain_before)
-        .expect("writing to memory");
+    write!(
+        text,
+        " chosen {weights:?} {reserves:?} {} {}",
+        chosen.gain, chosen.gain_before
+    )
+    .expect("writing to memory");
     for stretch in [500, 999, 1000, 1001] {
         write!(text, " {}", fits(p, &all, &|_| true, stretch)).expect("writing to memory");
     }
@@ -89,11 +119,20 @@
     for most in [None, Some(u128::from(rng.below(800)) * SCALE as u128)] {
         let plan = plan_migration(p, &from, placement, most);
         for step in &plan.steps {
-            write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
+            write!(
+                text,
+                " [{} {:?} {:?} {}]",
+                step.volume, step.from, step.to, step.data
+            )
+            .expect("memory");
         }
         let (end, deferred, blocked) = (&plan.final_placement, &plan.deferred, &plan.blocked);
-        write!(text, " ends {end:?} left {deferred:?} stuck {blocked:?} data {}", plan.data())
-            .expect("memory");
+        write!(
+            text,
+            " ends {end:?} left {deferred:?} stuck {blocked:?} data {}",
+            plan.data()
+        )
+        .expect("memory");
     }
     text
 }
@@ -113,8 +152,12 @@
     let steps = 1 + rng.below(most_steps);
     match solve(&p, steps) {
         SolveOutcome::Optimal(best) => {
-            write!(text, " best {}", describe_placement(&p, &best.placement.0, rng))
-                .expect("writing to memory");
+            write!(
+                text,
+                " best {}",
+                describe_placement(&p, &best.placement.0, rng)
+            )
+            .expect("writing to memory");
         }
         SolveOutcome::Infeasible => {
             let conflict = explain(&p, 3_000);
@@ -124,7 +167,10 @@
             });
             write!(text, " none {conflict:?}").expect("writing to memory");
         }
-        SolveOutcome::StepsExhausted { best: found, gain_upper_bound: bound } => {
+        SolveOutcome::StepsExhausted {
+            best: found,
+            gain_upper_bound: bound,
+        } => {
             let found = found.as_ref().map(describe_objective);
             write!(text, " open {bound} {found:?}").expect("writing to memory");
         }
@@ -153,8 +199,13 @@
         for attempts in [50, 300] {
             search.improve(attempts);
             let found = search.objective();
-            write!(text, " {:?} {}", found.as_ref().map(describe_objective), search.is_feasible())
-                .expect("memory");
+            write!(
+                text,
+                " {:?} {}",
+                found.as_ref().map(describe_objective),
+                search.is_feasible()
+            )
+            .expect("memory");
         }
         if let Some(best) = search.objective().filter(|_| volumes < 30) {
             text += &describe_placement(&p, &best.placement.0, rng);
@@ -166,9 +217,15 @@
 /// Volumes that fill over half of a node each change places, with little room to pass.
 fn exchange(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
-    let node =
-        |n: u64, capacity| Node { name: format!("n{n}"), zone: format!("z{}", n % 2), capacity, cost: 0 };
-    let nodes: Vec<Node> = (0..5).map(|n| node(n, if n == 4 { 4 + rng.below(10) } else { 10 })).collect();
+    let node = |n: u64, capacity| Node {
+        name: format!("n{n}"),
+        zone: format!("z{}", n % 2),
+        capacity,
+        cost: 0,
+    };
+    let nodes: Vec<Node> = (0..5)
+        .map(|n| node(n, if n == 4 { 4 + rng.below(10) } else { 10 }))
+        .collect();
     let volume = |v: u64, reserve, size| Volume {
         name: format!("v{v}"),
         reserved_rate: reserve,
@@ -179,7 +236,9 @@
         current_nodes: [format!("n{v}")].into(),
         ..Volume::default()
     };
-    let volumes = (0..4).map(|v| volume(v, 3 + rng.below(7), rng.below(100))).collect();
+    let volumes = (0..4)
+        .map(|v| volume(v, 3 + rng.below(7), rng.below(100)))
+        .collect();
     let p = Problem::new(nodes, volumes).expect("valid");
     let mut to: Vec<usize> = vec![0, 1, 2, 3];
     for last in (1..4).rev() {
@@ -195,7 +254,12 @@
     let plan = plan_migration(&p, &current_placement(&p), &to, most);
     let mut text = String::new();
     for step in &plan.steps {
-        write!(text, " [{} {:?} {:?} {}]", step.volume, step.from, step.to, step.data).expect("memory");
+        write!(
+            text,
+            " [{} {:?} {:?} {}]",
+            step.volume, step.from, step.to, step.data
+        )
+        .expect("memory");
     }
     let (end, deferred, blocked) = (&plan.final_placement, &plan.deferred, &plan.blocked);
     write!(text, " ends {end:?} left {deferred:?} stuck {blocked:?}").expect("memory");
@@ -205,7 +269,12 @@
 /// Reserves that nearly fill all nodes: a first placement needs repairs, and may not be found.
 fn tight(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
-    let node = |n: u64| Node { name: format!("n{n}"), zone: "z".into(), capacity: 1_000, cost: 0 };
+    let node = |n: u64| Node {
+        name: format!("n{n}"),
+        zone: "z".into(),
+        capacity: 1_000,
+        cost: 0,
+    };
     let nodes: Vec<Node> = (0..4).map(node).collect();
     let mut volumes = Vec::new();
     let mut left = 3_700 + rng.below(300);
@@ -226,14 +295,19 @@
     let mut search = LocalSearch::new(&p, seed);
     let complete = search.place_all();
     search.improve(20);
-    format!("{complete} {:?}", search.objective().as_ref().map(describe_objective))
+    format!(
+        "{complete} {:?}",
+        search.objective().as_ref().map(describe_objective)
+    )
 }
 
 fn split_limits(seed: u64) -> String {
     let rng = &mut SeededRng::new(seed);
     let mut text = String::new();
     for _ in 0..50 {
-        let sent: Vec<u64> = (0..rng.below(7)).map(|_| rng.below(4) * rng.below(1_000_000)).collect();
+        let sent: Vec<u64> = (0..rng.below(7))
+            .map(|_| rng.below(4) * rng.below(1_000_000))
+            .collect();
         let (limit, floor) = (rng.below(MAX_NUMBER), rng.below(1_200));
         write!(text, "{:?} ", split_limit(limit, &sent, floor)).expect("writing to memory");
     }
@@ -243,7 +317,14 @@
 #[test]
 fn small_problems_are_answered_as_recorded() {
     let digests: Vec<String> = (0..20)
-        .map(|seed| Digest::of_text(&(0..15).map(|n| small(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .map(|seed| {
+            Digest::of_text(
+                &(0..15)
+                    .map(|n| small(seed * 1_000 + n))
+                    .collect::<Vec<_>>()
+                    .join("\n"),
+            )
+        })
         .collect();
     assert_eq!(
         digests,
@@ -296,7 +377,12 @@
 fn exchanges_are_planned_as_recorded() {
     let digests: Vec<String> = (0..10)
         .map(|seed| {
-            Digest::of_text(&(0..20).map(|n| exchange(seed * 1_000 + n)).collect::<Vec<_>>().join("\n"))
+            Digest::of_text(
+                &(0..20)
+                    .map(|n| exchange(seed * 1_000 + n))
+                    .collect::<Vec<_>>()
+                    .join("\n"),
+            )
         })
         .collect();
     assert_eq!(
@@ -319,7 +405,14 @@
 #[test]
 fn tight_problems_are_repaired_as_recorded() {
     let digests: Vec<String> = (0..10)
-        .map(|seed| Digest::of_text(&(0..30).map(|n| tight(seed * 1_000 + n)).collect::<Vec<_>>().join("\n")))
+        .map(|seed| {
+            Digest::of_text(
+                &(0..30)
+                    .map(|n| tight(seed * 1_000 + n))
+                    .collect::<Vec<_>>()
+                    .join("\n"),
+            )
+        })
         .collect();
     assert_eq!(
         digests,
@@ -340,36 +433,88 @@
 
 #[test]
 fn limits_are_split_as_recorded() {
-    let digests: Vec<String> = (0..5).map(|seed| Digest::of_text(&split_limits(seed))).collect();
+    let digests: Vec<String> = (0..5)
+        .map(|seed| Digest::of_text(&split_limits(seed)))
+        .collect();
     assert_eq!(
         digests,
-        ["69098107eaa51e6a", "63445d223f22b005", "3e42016aacd52221", "d1056cf63894c585", "ffc60d86e8869e9e"]
+        [
+            "69098107eaa51e6a",
+            "63445d223f22b005",
+            "3e42016aacd52221",
+            "d1056cf63894c585",
+            "ffc60d86e8869e9e"
+        ]
     );
 }
 
 #[test]
 fn constants_are_the_recorded_ones() {
-    assert_eq!((MAX_NUMBER, MAX_SPREAD, SCALE, MAX_WEIGHT), (1_000_000_000_000, 8, 840, 1_000));
+    assert_eq!(
+        (MAX_NUMBER, MAX_SPREAD, SCALE, MAX_WEIGHT),
+        (1_000_000_000_000, 8, 840, 1_000)
+    );
 }
 
 #[test]
 fn errors_of_a_problem_are_the_recorded_texts() {
-    let node = |name: &str, capacity| Node { name: name.into(), zone: "z".into(), capacity, cost: 0 };
+    let node = |name: &str, capacity| Node {
+        name: name.into(),
+        zone: "z".into(),
+        capacity,
+        cost: 0,
+    };
     let nodes = vec![node("b", MAX_NUMBER + 1), node("a", 1), node("a", 2)];
-    let valid = Volume { name: "s".into(), spread: 1, ..Volume::default() };
+    let valid = Volume {
+        name: "s".into(),
+        spread: 1,
+        ..Volume::default()
+    };
     let volumes = vec![
-        Volume { name: "big".into(), size: MAX_NUMBER + 1, ..valid.clone() },
-        Volume { name: "none".into(), spread: 0, ..valid.clone() },
-        Volume { name: "wide".into(), spread: 9, ..valid.clone() },
-        Volume { name: "low".into(), reserved_rate: 2, surge_rate: 1, ..valid.clone() },
-        Volume { name: "alone".into(), survives_node_loss: true, ..valid.clone() },
-        Volume { name: "far".into(), zone: Some("y".into()), ..valid.clone() },
-        Volume { name: "lost".into(), current_nodes: ["q".to_owned()].into(), ..valid.clone() },
+        Volume {
+            name: "big".into(),
+            size: MAX_NUMBER + 1,
+            ..valid.clone()
+        },
+        Volume {
+            name: "none".into(),
+            spread: 0,
+            ..valid.clone()
+        },
+        Volume {
+            name: "wide".into(),
+            spread: 9,
+            ..valid.clone()
+        },
+        Volume {
+            name: "low".into(),
+            reserved_rate: 2,
+            surge_rate: 1,
+            ..valid.clone()
+        },
+        Volume {
+            name: "alone".into(),
+            survives_node_loss: true,
+            ..valid.clone()
+        },
+        Volume {
+            name: "far".into(),
+            zone: Some("y".into()),
+            ..valid.clone()
+        },
+        Volume {
+            name: "lost".into(),
+            current_nodes: ["q".to_owned()].into(),
+            ..valid.clone()
+        },
         valid.clone(),
         valid,
     ];
-    let wrong: Vec<String> =
-        Problem::new(nodes, volumes).expect_err("invalid").iter().map(ToString::to_string).collect();
+    let wrong: Vec<String> = Problem::new(nodes, volumes)
+        .expect_err("invalid")
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     let expected = [
         "`a`: expected one node of this name",
         "`s`: expected one volume of this name",
--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -55,7 +55,10 @@
 
 impl Default for ChangeLog {
     fn default() -> Self {
-        ChangeLog { state: State::default(), last_hash: GENESIS_HASH.to_owned() }
+        ChangeLog {
+            state: State::default(),
+            last_hash: GENESIS_HASH.to_owned(),
+        }
     }
 }
 
@@ -104,7 +107,10 @@
         change: Change,
     ) -> Result<String, ChangeError> {
         if expected != self.state.version {
-            return Err(ChangeError::VersionConflict { expected, current: self.state.version });
+            return Err(ChangeError::VersionConflict {
+                expected,
+                current: self.state.version,
+            });
         }
         let is_acceptable = |text: &str| !text.trim().is_empty() && text.len() <= MAX_TEXT_BYTES;
         if !is_acceptable(author) || !is_acceptable(reason) {
@@ -130,7 +136,8 @@
     /// The entry does not follow the last one; nothing is changed then.
     pub fn append(&mut self, text: &str) -> Result<LogEntry, LogError> {
         let line = self.state.version + 1;
-        self.try_append(text).map_err(|kind| LogError { line, kind })
+        self.try_append(text)
+            .map_err(|kind| LogError { line, kind })
     }
 
     fn try_append(&mut self, text: &str) -> Result<LogEntry, LogErrorKind> {
@@ -144,7 +151,10 @@
         }
         let expected = self.state.version + 1;
         if entry.version != expected {
-            return Err(LogErrorKind::VersionMismatch { found: entry.version, expected });
+            return Err(LogErrorKind::VersionMismatch {
+                found: entry.version,
+                expected,
+            });
         }
         self.state.apply(&entry.change)?;
         self.last_hash = blake3::hash(text.as_bytes()).to_hex().to_string();
--- a/crates/plans/src/host_quota.rs
+++ b/crates/plans/src/host_quota.rs
@@ -33,7 +33,8 @@
 
 /// Adds an amount, and drops what has expired or is covered by the new amount.
 fn insert(amounts: &mut Vec<ExpiringAmount>, added: ExpiringAmount, now: Millis) {
-    let is_covered = |a: &ExpiringAmount| a.amount <= added.amount && a.expires_at <= added.expires_at;
+    let is_covered =
+        |a: &ExpiringAmount| a.amount <= added.amount && a.expires_at <= added.expires_at;
     amounts.retain(|a| a.is_alive(now) && !is_covered(a));
     amounts.push(added);
 }
@@ -42,14 +43,24 @@
     /// The quota of one of `hosts` hosts that share a limit of so many units a second.
     #[must_use]
     pub fn new(limit: MilliUnits, hosts: u32) -> Self {
-        HostQuota { nominal: nominal_quota(limit, hosts), ..HostQuota::default() }
+        HostQuota {
+            nominal: nominal_quota(limit, hosts),
+            ..HostQuota::default()
+        }
     }
 
     /// Restricts a host that has just started and does not know what it lent before to the part that it never
     /// lends, until all earlier loans have expired.
     pub fn restrict_until(&mut self, until: Millis, now: Millis) {
         let amount = self.nominal - self.never_lent();
-        insert(&mut self.loans, ExpiringAmount { amount, expires_at: until }, now);
+        insert(
+            &mut self.loans,
+            ExpiringAmount {
+                amount,
+                expires_at: until,
+            },
+            now,
+        );
     }
 
     /// The nominal quota, in thousandths of a unit a second.
@@ -67,14 +78,16 @@
     /// What this host may use now, in thousandths of a unit a second.
     #[must_use]
     pub fn available(&self, now: Millis) -> MilliUnits {
-        self.nominal.saturating_sub(largest_alive(&self.loans, now)) + largest_alive(&self.leases, now)
+        self.nominal.saturating_sub(largest_alive(&self.loans, now))
+            + largest_alive(&self.leases, now)
     }
 
     /// What the host can lend if its demand stays the same. `demand` counts rejected block I/Os as well.
     #[must_use]
     pub fn lendable(&self, demand: MilliUnits) -> MilliUnits {
         let with_headroom = demand.saturating_mul(HEADROOM_PER_MILLE) / 1000;
-        self.nominal.saturating_sub(with_headroom.max(self.never_lent()))
+        self.nominal
+            .saturating_sub(with_headroom.max(self.never_lent()))
     }
 
     /// Lends an amount, at most the nominal quota, in answer to a poll that is received now. The quota is smaller
@@ -88,8 +101,17 @@
 
     /// Takes a lease for `duration` from `requested_at`, the moment by this host's clock at which it sent the
     /// report that the lease answers.
-    pub fn add_lease(&mut self, amount: MilliUnits, requested_at: Millis, duration: Millis, now: Millis) {
-        let lease = ExpiringAmount { amount, expires_at: requested_at + duration };
+    pub fn add_lease(
+        &mut self,
+        amount: MilliUnits,
+        requested_at: Millis,
+        duration: Millis,
+        now: Millis,
+    ) {
+        let lease = ExpiringAmount {
+            amount,
+            expires_at: requested_at + duration,
+        };
         if lease.is_alive(now) {
             insert(&mut self.leases, lease, now);
         }
--- a/crates/plans/src/messages.rs
+++ b/crates/plans/src/messages.rs
@@ -51,7 +51,10 @@
 
 /// What a host reports of one volume. Written as an array: name, lent, requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(String, MilliUnits, MilliUnits)", into = "(String, MilliUnits, MilliUnits)")]
+#[serde(
+    from = "(String, MilliUnits, MilliUnits)",
+    into = "(String, MilliUnits, MilliUnits)"
+)]
 pub struct VolumeReport {
     /// Name of the volume.
     pub volume: String,
@@ -63,7 +66,11 @@
 
 impl From<(String, MilliUnits, MilliUnits)> for VolumeReport {
     fn from((volume, lent, requested): (String, MilliUnits, MilliUnits)) -> Self {
-        VolumeReport { volume, lent, requested }
+        VolumeReport {
+            volume,
+            lent,
+            requested,
+        }
     }
 }
 
--- a/crates/plans/src/quota_pool.rs
+++ b/crates/plans/src/quota_pool.rs
@@ -43,7 +43,11 @@
     /// An empty pool. `is_first_start`: no service ran before this one, so no earlier lease can be in use.
     #[must_use]
     pub fn new(now: Millis, is_first_start: bool) -> QuotaPool {
-        let leases_start_at = if is_first_start { now } else { now + LEASE_DURATION_WITH_MARGIN };
+        let leases_start_at = if is_first_start {
+            now
+        } else {
+            now + LEASE_DURATION_WITH_MARGIN
+        };
         QuotaPool {
             leases_start_at,
             loans: BTreeMap::new(),
@@ -64,11 +68,20 @@
     ) {
         let loans = self.loans.entry(host).or_default();
         loans.retain(|loan| loan.is_alive(now));
-        let loan = ExpiringAmount { amount: lent, expires_at: polled_at + LOAN_DURATION };
+        let loan = ExpiringAmount {
+            amount: lent,
+            expires_at: polled_at + LOAN_DURATION,
+        };
         if lent > 0 && loan.is_alive(now) {
             loans.push(loan);
         }
-        self.requests.insert(host, Request { amount: requested, received_at: now });
+        self.requests.insert(
+            host,
+            Request {
+                amount: requested,
+                received_at: now,
+            },
+        );
     }
 
     /// Leases quota to a host for [`LEASE_DURATION`] from its report on. Returns the amount; 0: nothing.
@@ -81,9 +94,14 @@
         let lent = self.lent_until(now + LEASE_DURATION_WITH_MARGIN);
         let target = damped(self.fair_share(requested, lent), self.leased_to(host, now));
         // Quota that others may still be using cannot be leased again, whatever the fair shares are.
-        let amount = target.min(requested).min(lent.saturating_sub(self.leased_to_others(host, now)));
+        let amount = target
+            .min(requested)
+            .min(lent.saturating_sub(self.leased_to_others(host, now)));
         if amount > 0 {
-            let lease = ExpiringAmount { amount, expires_at: now + LEASE_DURATION_WITH_MARGIN };
+            let lease = ExpiringAmount {
+                amount,
+                expires_at: now + LEASE_DURATION_WITH_MARGIN,
+            };
             self.leases.entry(host).or_default().push(lease);
         }
         amount
@@ -101,13 +119,17 @@
     /// The part of `lent` that goes with a request, in proportion to all requests.
     fn fair_share(&self, requested: MilliUnits, lent: MilliUnits) -> MilliUnits {
         let total: u128 = self.requests.values().map(|r| u128::from(r.amount)).sum();
-        let share = (u128::from(lent) * u128::from(requested)).checked_div(total).unwrap_or(0);
+        let share = (u128::from(lent) * u128::from(requested))
+            .checked_div(total)
+            .unwrap_or(0);
         MilliUnits::try_from(share).expect("a part of `lent`")
     }
 
     /// What a host may still be using of its leases.
     fn leased_to(&self, host: HostNumber, now: Millis) -> MilliUnits {
-        self.leases.get(&host).map_or(0, |leases| largest_alive(leases, now))
+        self.leases
+            .get(&host)
+            .map_or(0, |leases| largest_alive(leases, now))
     }
 
     fn leased_to_others(&self, host: HostNumber, now: Millis) -> MilliUnits {
@@ -122,7 +144,8 @@
             }
             amounts.retain(|_, of_host| !of_host.is_empty());
         }
-        self.requests.retain(|_, request| now < request.received_at + LEASE_DURATION);
+        self.requests
+            .retain(|_, request| now < request.received_at + LEASE_DURATION);
     }
 }
 
--- a/crates/plans/src/replica.rs
+++ b/crates/plans/src/replica.rs
@@ -62,12 +62,23 @@
 impl PlanReplica {
     /// A replica that starts with what was stored on disk, if anything.
     #[must_use]
-    pub fn new(host: &str, volumes: Vec<HostedVolume>, stored: Option<ChangeLog>, now: Millis) -> Self {
+    pub fn new(
+        host: &str,
+        volumes: Vec<HostedVolume>,
+        stored: Option<ChangeLog>,
+        now: Millis,
+    ) -> Self {
         let mut replica = PlanReplica {
             host: host.to_owned(),
             log: stored.unwrap_or_default(),
             pending: None,
-            volumes: volumes.into_iter().map(|volume| VolumeQuota { volume, quota: None }).collect(),
+            volumes: volumes
+                .into_iter()
+                .map(|volume| VolumeQuota {
+                    volume,
+                    quota: None,
+                })
+                .collect(),
             unknown_loans_until: now + LOAN_DURATION + CLOCK_SKEW_MARGIN,
             failed_attempts: 0,
             next_attempt: 0,
@@ -107,7 +118,12 @@
 
     /// Takes a message. `demand` is used for a poll only: for each volume, in the order given to
     /// [`PlanReplica::new`], the thousandths of units a second that clients request, served or not.
-    pub fn receive(&mut self, message: ServiceMessage, demand: &[MilliUnits], now: Millis) -> ReplicaAction {
+    pub fn receive(
+        &mut self,
+        message: ServiceMessage,
+        demand: &[MilliUnits],
+        now: Millis,
+    ) -> ReplicaAction {
         self.failed_attempts = 0;
         match message {
             ServiceMessage::Snapshot { state, last_hash } => self.on_snapshot(*state, last_hash),
@@ -118,7 +134,11 @@
             ServiceMessage::QuotaPoll { polled_at } => {
                 ReplicaAction::Send(self.quota_report(polled_at, demand, now))
             }
-            ServiceMessage::QuotaLeases { requested_at, duration, volumes } => {
+            ServiceMessage::QuotaLeases {
+                requested_at,
+                duration,
+                volumes,
+            } => {
                 self.add_leases(volumes, requested_at, duration, now);
                 ReplicaAction::None
             }
@@ -146,10 +166,17 @@
     }
 
     /// Lends what is not needed, and reports it with what is needed beyond the nominal quotas.
-    fn quota_report(&mut self, polled_at: Millis, demand: &[MilliUnits], now: Millis) -> HostMessage {
+    fn quota_report(
+        &mut self,
+        polled_at: Millis,
+        demand: &[MilliUnits],
+        now: Millis,
+    ) -> HostMessage {
         let mut volumes = Vec::new();
         for (index, entry) in self.volumes.iter_mut().enumerate() {
-            let Some(quota) = &mut entry.quota else { continue };
+            let Some(quota) = &mut entry.quota else {
+                continue;
+            };
             let demand = demand.get(index).copied().unwrap_or(0);
             volumes.push(VolumeReport {
                 volume: entry.volume.name.clone(),
@@ -157,12 +184,26 @@
                 requested: demand.saturating_sub(quota.nominal()),
             });
         }
-        HostMessage::QuotaReport { polled_at, sent_at: now, version: self.log.state.version, volumes }
+        HostMessage::QuotaReport {
+            polled_at,
+            sent_at: now,
+            version: self.log.state.version,
+            volumes,
+        }
     }
 
-    fn add_leases(&mut self, leases: Vec<VolumeLease>, requested_at: Millis, duration: Millis, now: Millis) {
+    fn add_leases(
+        &mut self,
+        leases: Vec<VolumeLease>,
+        requested_at: Millis,
+        duration: Millis,
+        now: Millis,
+    ) {
         for lease in leases {
-            let own = self.volumes.iter_mut().find(|own| own.volume.name == lease.volume);
+            let own = self
+                .volumes
+                .iter_mut()
+                .find(|own| own.volume.name == lease.volume);
             if let Some(quota) = own.and_then(|own| own.quota.as_mut()) {
                 quota.add_lease(lease.amount, requested_at, duration, now);
             }
@@ -173,7 +214,9 @@
     pub fn accept_pending(&mut self, now: Millis) -> Option<HostMessage> {
         self.log = self.pending.take()?;
         self.update_quotas(now);
-        Some(HostMessage::Accepted { version: self.log.state.version })
+        Some(HostMessage::Accepted {
+            version: self.log.state.version,
+        })
     }
 
     /// The host cannot act on the pending state, which stays pending: a later log entry may make it acceptable.
@@ -205,7 +248,9 @@
     /// For each volume, in the order given to [`PlanReplica::new`], what the host may use now, in thousandths of a
     /// unit a second; none if the volume has no limit.
     pub fn available_quotas(&self, now: Millis) -> impl Iterator<Item = Option<MilliUnits>> {
-        self.volumes.iter().map(move |entry| entry.quota.as_ref().map(|quota| quota.available(now)))
+        self.volumes
+            .iter()
+            .map(move |entry| entry.quota.as_ref().map(|quota| quota.available(now)))
     }
 
     /// Whether the caller should try to connect now; if so, the next attempt is due after an exponential backoff.
--- a/crates/plans/src/rollout.rs
+++ b/crates/plans/src/rollout.rs
@@ -120,7 +120,10 @@
         if version > host.accepted_version {
             host.accepted_version = version;
             host.accepted_at = now;
-            host.rejection = host.rejection.take().filter(|rejection| rejection.version > version);
+            host.rejection = host
+                .rejection
+                .take()
+                .filter(|rejection| rejection.version > version);
         }
     }
 
@@ -128,7 +131,10 @@
     pub fn on_rejected(&mut self, host: &str, version: u64, reason: &str, now: Millis) {
         let host = self.contacted(host, now);
         if version > host.accepted_version {
-            host.rejection = Some(Rejection { version, reason: reason.to_owned() });
+            host.rejection = Some(Rejection {
+                version,
+                reason: reason.to_owned(),
+            });
         }
     }
 
@@ -152,15 +158,25 @@
     /// What prevents a version from being effective at all hosts; empty if it is.
     #[must_use]
     pub fn blockers(&self, version: u64, now: Millis) -> Vec<RolloutBlocker> {
-        let blockers: Vec<RolloutBlocker> =
-            self.members().filter_map(|(name, host)| blocker(name, host, version, now)).collect();
+        let blockers: Vec<RolloutBlocker> = self
+            .members()
+            .filter_map(|(name, host)| blocker(name, host, version, now))
+            .collect();
         if !blockers.is_empty() || !self.limit_lowering_versions.contains(&version) {
             return blockers;
         }
         // A host that has accepted a later version has had this one for at least as long.
-        let all_accepted_at = self.members().map(|(_, host)| host.accepted_at).max().unwrap_or(0);
+        let all_accepted_at = self
+            .members()
+            .map(|(_, host)| host.accepted_at)
+            .max()
+            .unwrap_or(0);
         let until = all_accepted_at + LOAN_DURATION + CLOCK_SKEW_MARGIN;
-        if now < until { vec![RolloutBlocker::UnexpiredLeases { until }] } else { Vec::new() }
+        if now < until {
+            vec![RolloutBlocker::UnexpiredLeases { until }]
+        } else {
+            Vec::new()
+        }
     }
 
     /// The last version up to `newest` that is effective at all hosts.
@@ -182,12 +198,18 @@
     }
     let name = name.to_owned();
     Some(match &host.rejection {
-        Some(rejection) if rejection.version >= version => {
-            RolloutBlocker::Rejected { host: name, reason: rejection.reason.clone() }
-        }
-        _ if host.is_silent(now) => {
-            RolloutBlocker::Silent { host: name, accepted_version, last_contact: host.last_contact }
-        }
-        _ => RolloutBlocker::Behind { host: name, accepted_version },
+        Some(rejection) if rejection.version >= version => RolloutBlocker::Rejected {
+            host: name,
+            reason: rejection.reason.clone(),
+        },
+        _ if host.is_silent(now) => RolloutBlocker::Silent {
+            host: name,
+            accepted_version,
+            last_contact: host.last_contact,
+        },
+        _ => RolloutBlocker::Behind {
+            host: name,
+            accepted_version,
+        },
     })
 }
--- a/crates/plans/src/state.rs
+++ b/crates/plans/src/state.rs
@@ -91,8 +91,16 @@
             ("weight", self.weight),
             ("price", self.priority_factor),
         ];
-        let invalid = |parameter, expected| Err(ChangeError::InvalidParameter { parameter, expected });
-        if let Some((parameter, _)) = parameters.into_iter().find(|(_, value)| *value > MAX_PARAMETER) {
+        let invalid = |parameter, expected| {
+            Err(ChangeError::InvalidParameter {
+                parameter,
+                expected,
+            })
+        };
+        if let Some((parameter, _)) = parameters
+            .into_iter()
+            .find(|(_, value)| *value > MAX_PARAMETER)
+        {
             return invalid(parameter, "at most a thousand million units");
         }
         // A limit without a burst would let nothing through.
@@ -143,9 +151,10 @@
             return Err(ChangeError::UnknownPlan(name.to_owned()));
         }
         match self.volumes.iter().find(|(_, plan)| *plan == name) {
-            Some((volume, _)) => {
-                Err(ChangeError::PlanInUse { plan: name.to_owned(), volume: volume.clone() })
-            }
+            Some((volume, _)) => Err(ChangeError::PlanInUse {
+                plan: name.to_owned(),
+                volume: volume.clone(),
+            }),
             None => Ok(()),
         }
     }
@@ -172,14 +181,24 @@
     #[must_use]
     pub fn revert(&self, change: &Change) -> Change {
         match change {
-            Change::SetPlan { name, .. } | Change::RemovePlan { name } => match self.plans.get(name) {
-                Some(plan) => Change::SetPlan { name: name.clone(), plan: plan.clone() },
-                None => Change::RemovePlan { name: name.clone() },
-            },
+            Change::SetPlan { name, .. } | Change::RemovePlan { name } => {
+                match self.plans.get(name) {
+                    Some(plan) => Change::SetPlan {
+                        name: name.clone(),
+                        plan: plan.clone(),
+                    },
+                    None => Change::RemovePlan { name: name.clone() },
+                }
+            }
             Change::AssignPlan { volume, .. } | Change::RemoveVolume { volume } => {
                 match self.volumes.get(volume) {
-                    Some(plan) => Change::AssignPlan { volume: volume.clone(), plan: plan.clone() },
-                    None => Change::RemoveVolume { volume: volume.clone() },
+                    Some(plan) => Change::AssignPlan {
+                        volume: volume.clone(),
+                        plan: plan.clone(),
+                    },
+                    None => Change::RemoveVolume {
+                        volume: volume.clone(),
+                    },
                 }
             }
         }
@@ -188,20 +207,36 @@
     /// The changes that lead from this state to another one, in the order in which they can be applied.
     #[must_use]
     pub fn diff(&self, target: &State) -> Vec<Change> {
-        let plans_to_set = target.plans.iter().filter(|(name, plan)| self.plans.get(*name) != Some(plan));
-        let plans_to_assign =
-            target.volumes.iter().filter(|(volume, plan)| self.volumes.get(*volume) != Some(plan));
-        let removed_volumes = self.volumes.keys().filter(|volume| !target.volumes.contains_key(*volume));
-        let removed_plans = self.plans.keys().filter(|name| !target.plans.contains_key(*name));
+        let plans_to_set = target
+            .plans
+            .iter()
+            .filter(|(name, plan)| self.plans.get(*name) != Some(plan));
+        let plans_to_assign = target
+            .volumes
+            .iter()
+            .filter(|(volume, plan)| self.volumes.get(*volume) != Some(plan));
+        let removed_volumes = self
+            .volumes
+            .keys()
+            .filter(|volume| !target.volumes.contains_key(*volume));
+        let removed_plans = self
+            .plans
+            .keys()
+            .filter(|name| !target.plans.contains_key(*name));
 
-        let set = |(name, plan): (&String, &Plan)| Change::SetPlan { name: name.clone(), plan: plan.clone() };
+        let set = |(name, plan): (&String, &Plan)| Change::SetPlan {
+            name: name.clone(),
+            plan: plan.clone(),
+        };
         let assign = |(volume, plan): (&String, &String)| Change::AssignPlan {
             volume: volume.clone(),
             plan: plan.clone(),
         };
         let mut changes: Vec<Change> = plans_to_set.map(set).collect();
         changes.extend(plans_to_assign.map(assign));
-        changes.extend(removed_volumes.map(|volume| Change::RemoveVolume { volume: volume.clone() }));
+        changes.extend(removed_volumes.map(|volume| Change::RemoveVolume {
+            volume: volume.clone(),
+        }));
         changes.extend(removed_plans.map(|name| Change::RemovePlan { name: name.clone() }));
         changes
     }
@@ -216,5 +251,9 @@
 }
 
 fn expect_difference<T: PartialEq>(current: Option<&T>, next: &T) -> Result<(), ChangeError> {
-    if current == Some(next) { Err(ChangeError::NoEffect) } else { Ok(()) }
+    if current == Some(next) {
+        Err(ChangeError::NoEffect)
+    } else {
+        Ok(())
+    }
 }
--- a/crates/plans/tests/change_log.rs
+++ b/crates/plans/tests/change_log.rs
@@ -4,15 +4,25 @@
 use mallowseam_plans::state::{Change, Plan};
 
 fn plan(limit: u64) -> Plan {
-    Plan { rate_limit: limit, burst_units: 1_000, ..Plan::default() }
+    Plan {
+        rate_limit: limit,
+        burst_units: 1_000,
+        ..Plan::default()
+    }
 }
 
 fn set(name: &str, plan: Plan) -> Change {
-    Change::SetPlan { name: name.into(), plan }
+    Change::SetPlan {
+        name: name.into(),
+        plan,
+    }
 }
 
 fn assign(volume: &str, plan: &str) -> Change {
-    Change::AssignPlan { volume: volume.into(), plan: plan.into() }
+    Change::AssignPlan {
+        volume: volume.into(),
+        plan: plan.into(),
+    }
 }
 
 /// A log of some changes, and its entries.
@@ -22,13 +32,19 @@
         assign("water", "basic"),
         set("gold", plan(0)),
         assign("water", "gold"),
-        Change::RemovePlan { name: "basic".into() },
-        Change::RemoveVolume { volume: "water".into() },
+        Change::RemovePlan {
+            name: "basic".into(),
+        },
+        Change::RemoveVolume {
+            volume: "water".into(),
+        },
     ];
     changes.extend((0..20).map(|n| set("gold", plan(1_000 + n))));
     let (mut log, mut entries) = (ChangeLog::default(), Vec::new());
     for (version, change) in (0..).zip(changes) {
-        let entry = log.propose(version, "board", "tariff night", 1_800_000_000, change).expect("valid");
+        let entry = log
+            .propose(version, "board", "tariff night", 1_800_000_000, change)
+            .expect("valid");
         log.append(&entry).expect("follows");
         entries.push(entry);
     }
@@ -45,7 +61,8 @@
     assert_eq!(replay(&entries), log);
     for version in 0..entries.len() {
         let start = replay(&entries[..version]);
-        let mut continued = ChangeLog::from_snapshot(start.state.clone(), start.last_hash().to_owned());
+        let mut continued =
+            ChangeLog::from_snapshot(start.state.clone(), start.last_hash().to_owned());
         for entry in &entries[version..] {
             continued.append(entry).expect("follows");
         }
@@ -60,7 +77,9 @@
         for position in 0..entries[index].len() {
             let mut bytes = entries[index].clone().into_bytes();
             bytes[position] ^= 1;
-            let Ok(altered) = String::from_utf8(bytes) else { continue };
+            let Ok(altered) = String::from_utf8(bytes) else {
+                continue;
+            };
             let mut all: Vec<&str> = entries.iter().map(String::as_str).collect();
             all[index] = &altered;
             let error = ChangeLog::replay(all.into_iter()).expect_err("altered");
@@ -84,12 +103,22 @@
 fn of_two_concurrent_changes_one_wins_and_the_other_is_a_conflict() {
     let (mut log, _) = log_with_entries();
     let version = log.state.version;
-    let first = log.propose(version, "a", "x", 0, set("gold", plan(7))).expect("valid");
-    let second = log.propose(version, "b", "y", 0, set("gold", plan(8))).expect("valid");
+    let first = log
+        .propose(version, "a", "x", 0, set("gold", plan(7)))
+        .expect("valid");
+    let second = log
+        .propose(version, "b", "y", 0, set("gold", plan(8)))
+        .expect("valid");
     log.append(&first).expect("first");
     assert!(log.append(&second).is_err());
     let late = log.propose(version, "b", "y", 0, set("gold", plan(8)));
-    assert_eq!(late, Err(ChangeError::VersionConflict { expected: version, current: version + 1 }));
+    assert_eq!(
+        late,
+        Err(ChangeError::VersionConflict {
+            expected: version,
+            current: version + 1
+        })
+    );
     let anonymous = log.propose(version + 1, "", "y", 0, set("gold", plan(8)));
     assert_eq!(anonymous, Err(ChangeError::MissingReason));
 }
@@ -98,10 +127,23 @@
 fn parameters_out_of_range_are_rejected() {
     let (log, _) = log_with_entries();
     let check = |plan| log.state.check(&set("gold", plan));
-    let without_burst = Plan { rate_limit: 5, burst_units: 0, ..Plan::default() };
-    assert!(matches!(check(without_burst), Err(ChangeError::InvalidParameter { .. })));
-    let reserve_above_limit = Plan { reserved_rate: 9_000, ..plan(5) };
-    assert!(matches!(check(reserve_above_limit), Err(ChangeError::InvalidParameter { .. })));
+    let without_burst = Plan {
+        rate_limit: 5,
+        burst_units: 0,
+        ..Plan::default()
+    };
+    assert!(matches!(
+        check(without_burst),
+        Err(ChangeError::InvalidParameter { .. })
+    ));
+    let reserve_above_limit = Plan {
+        reserved_rate: 9_000,
+        ..plan(5)
+    };
+    assert!(matches!(
+        check(reserve_above_limit),
+        Err(ChangeError::InvalidParameter { .. })
+    ));
 }
 
 #[test]
@@ -110,10 +152,15 @@
     let change = set("tin", plan(3));
     let mut after = before.clone();
     after.apply(&change).expect("valid");
-    after.check(&before.revert(&change)).expect("nothing depends on it");
+    after
+        .check(&before.revert(&change))
+        .expect("nothing depends on it");
     after.apply(&assign("gas", "tin")).expect("valid");
     let revert = before.revert(&change);
-    assert!(matches!(after.check(&revert), Err(ChangeError::PlanInUse { .. })), "a volume has it by now");
+    assert!(
+        matches!(after.check(&revert), Err(ChangeError::PlanInUse { .. })),
+        "a volume has it by now"
+    );
 }
 
 #[test]
--- a/crates/plans/tests/host_quota.rs
+++ b/crates/plans/tests/host_quota.rs
@@ -8,9 +8,18 @@
     assert_eq!(quota.available(1_000), 100);
     // A smaller loan does not end the first one: others may still use that.
     quota.lend(50, 1_500);
-    assert_eq!(quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN - 1), 100);
-    assert_eq!(quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN), 250);
-    assert_eq!(quota.available(1_500 + LOAN_DURATION + CLOCK_SKEW_MARGIN), 300);
+    assert_eq!(
+        quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN - 1),
+        100
+    );
+    assert_eq!(
+        quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN),
+        250
+    );
+    assert_eq!(
+        quota.available(1_500 + LOAN_DURATION + CLOCK_SKEW_MARGIN),
+        300
+    );
 }
 
 #[test]
@@ -26,9 +35,20 @@
 fn a_host_that_starts_uses_only_what_it_cannot_have_lent() {
     let mut quota = HostQuota::new(900, 3);
     quota.restrict_until(3_050, 0);
-    assert_eq!((quota.available(0), quota.available(3_049), quota.available(3_050)), (75, 75, 300));
+    assert_eq!(
+        (
+            quota.available(0),
+            quota.available(3_049),
+            quota.available(3_050)
+        ),
+        (75, 75, 300)
+    );
     let mut other = HostQuota::new(900, 3);
-    assert_eq!(other.lend(other.lendable(0), 0), 225, "no more is ever lent");
+    assert_eq!(
+        other.lend(other.lendable(0), 0),
+        225,
+        "no more is ever lent"
+    );
 }
 
 #[test]
@@ -37,5 +57,9 @@
     assert_eq!(quota.lendable(0), 225);
     assert_eq!(quota.lendable(200), 50);
     assert_eq!(quota.lendable(10_000), 0);
-    assert_eq!(HostQuota::new(900, 3).lend(5_000, 0), 300, "nobody lends what it does not have");
+    assert_eq!(
+        HostQuota::new(900, 3).lend(5_000, 0),
+        300,
+        "nobody lends what it does not have"
+    );
 }
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -38,7 +38,10 @@
             log: ChangeLog::default(),
             lines: Vec::new(),
             hosts: Rollout::default(),
-            pools: VOLUMES.iter().map(|_| QuotaPool::new(10_000, true)).collect(),
+            pools: VOLUMES
+                .iter()
+                .map(|_| QuotaPool::new(10_000, true))
+                .collect(),
             replicas: Vec::new(),
             quotas: (0..HOSTS).map(|_| HostQuota::new(1_000_003, 7)).collect(),
             record: String::new(),
@@ -79,10 +82,21 @@
     fn change_plans(&mut self) {
         let expected = self.log.state.version.saturating_sub(self.rng.below(8) / 7);
         let change = self.random_change();
-        let author = if self.rng.below(30) == 0 { " " } else { "board" };
-        let reason = "x".repeat(if self.rng.below(10) == 0 { 500 + self.rng.below(2) as usize } else { 10 });
+        let author = if self.rng.below(30) == 0 {
+            " "
+        } else {
+            "board"
+        };
+        let reason = "x".repeat(if self.rng.below(10) == 0 {
+            500 + self.rng.below(2) as usize
+        } else {
+            10
+        });
         let seconds = 1_800_000_000 + self.now / 1_000;
-        match self.log.propose(expected, author, &reason, seconds, change.clone()) {
+        match self
+            .log
+            .propose(expected, author, &reason, seconds, change.clone())
+        {
             Ok(line) => {
                 self.note(&line);
                 let undo = serde_json::to_string(&self.log.state.revert(&change)).expect("plain");
@@ -90,7 +104,10 @@
                 self.log.append(&line).expect("it was proposed");
                 let differs = serde_json::to_string(&before.diff(&self.log.state)).expect("plain");
                 let state = serde_json::to_string(&self.log.state).expect("plain");
-                self.note(&format!("undo {undo} diff {differs} state {state} last {}", self.log.last_hash()));
+                self.note(&format!(
+                    "undo {undo} diff {differs} state {state} last {}",
+                    self.log.last_hash()
+                ));
                 self.lines.push(line);
                 if self.rng.below(2) == 0 {
                     self.hosts.mark_limit_lowered(self.log.state.version);
@@ -111,13 +128,20 @@
             0 => Change::RemovePlan { name: plan },
             1 => Change::RemoveVolume { volume },
             2..6 => Change::AssignPlan { volume, plan },
-            _ => Change::SetPlan { name: plan, plan: self.random_figures() },
+            _ => Change::SetPlan {
+                name: plan,
+                plan: self.random_figures(),
+            },
         }
     }
 
     fn random_figures(&mut self) -> Plan {
         let limit = self.rng.below(8) * 123_457;
-        let price = if self.rng.below(10) == 0 { MAX_PARAMETER + self.rng.below(2) } else { 1_000 };
+        let price = if self.rng.below(10) == 0 {
+            MAX_PARAMETER + self.rng.below(2)
+        } else {
+            1_000
+        };
         Plan {
             usual_rate: self.rng.below(1_000),
             reserved_rate: self.rng.below(200_000),
@@ -131,13 +155,24 @@
     /// A replica receives lines or a whole state.
     fn replicate(&mut self) {
         let host = self.rng.below(HOSTS) as usize;
-        let HostMessage::Hello { version, .. } = self.replicas[host].hello() else { unreachable!() };
+        let HostMessage::Hello { version, .. } = self.replicas[host].hello() else {
+            unreachable!()
+        };
         let message = if self.rng.below(5) == 0 {
-            let last = if self.rng.below(6) == 0 { "x".to_owned() } else { self.log.last_hash().to_owned() };
-            ServiceMessage::Snapshot { state: Box::new(self.log.state.clone()), last_hash: last }
+            let last = if self.rng.below(6) == 0 {
+                "x".to_owned()
+            } else {
+                self.log.last_hash().to_owned()
+            };
+            ServiceMessage::Snapshot {
+                state: Box::new(self.log.state.clone()),
+                last_hash: last,
+            }
         } else {
             let skipped = self.rng.below(8) / 7;
-            let Some(text) = self.lines.get((version + skipped) as usize) else { return };
+            let Some(text) = self.lines.get((version + skipped) as usize) else {
+                return;
+            };
             let mut text = text.clone();
             if self.rng.below(20) == 0 {
                 text.insert(1, ' ');
@@ -150,12 +185,17 @@
     }
 
     fn send_to_replica(&mut self, host: usize, message: ServiceMessage) -> Option<HostMessage> {
-        let wanted: Vec<MilliUnits> =
-            VOLUMES.iter().map(|_| self.rng.below(4) * self.rng.below(90_000)).collect();
+        let wanted: Vec<MilliUnits> = VOLUMES
+            .iter()
+            .map(|_| self.rng.below(4) * self.rng.below(90_000))
+            .collect();
         let (text, report) = match self.replicas[host].receive(message, &wanted, self.now) {
             ReplicaAction::None => ("nothing".to_owned(), None),
             ReplicaAction::ApplyPending => ("state".to_owned(), None),
-            ReplicaAction::Send(message) => (serde_json::to_string(&message).expect("plain"), Some(message)),
+            ReplicaAction::Send(message) => (
+                serde_json::to_string(&message).expect("plain"),
+                Some(message),
+            ),
             ReplicaAction::Disconnect(why) => (format!("lost {why}"), None),
         };
         self.note(&format!("{host} at {}: {text}", self.now));
@@ -172,17 +212,21 @@
         };
         match &answer {
             Some(HostMessage::Accepted { version }) => {
-                self.hosts.on_accepted(&host_name(host as u64), *version, self.now);
+                self.hosts
+                    .on_accepted(&host_name(host as u64), *version, self.now);
             }
             Some(HostMessage::Rejected { version, reason }) => {
-                self.hosts.on_rejected(&host_name(host as u64), *version, reason, self.now);
+                self.hosts
+                    .on_rejected(&host_name(host as u64), *version, reason, self.now);
             }
             _ => {}
         }
         let answer = serde_json::to_string(&answer).expect("plain");
         let version = self.replicas[host].state().version;
         self.note(&format!("{host} next {next:?} stands {version}: {answer}"));
-        let everywhere = self.hosts.effective_version(self.log.state.version, self.now);
+        let everywhere = self
+            .hosts
+            .effective_version(self.log.state.version, self.now);
         self.note(&format!("{everywhere} everywhere"));
     }
 
@@ -192,13 +236,27 @@
         let latest = if self.rng.below(10) == 0 { 3_200 } else { 200 };
         let polled_at = self.now - self.rng.below(latest);
         let report = self.send_to_replica(host, ServiceMessage::QuotaPoll { polled_at });
-        let Some(HostMessage::QuotaReport { polled_at, sent_at, volumes, .. }) = report else {
+        let Some(HostMessage::QuotaReport {
+            polled_at,
+            sent_at,
+            volumes,
+            ..
+        }) = report
+        else {
             return;
         };
         self.now += self.rng.below(100);
         let mut granted = Vec::new();
-        for VolumeReport { volume, lent, requested } in volumes {
-            let place = VOLUMES.iter().position(|name| *name == volume).expect("own volumes only");
+        for VolumeReport {
+            volume,
+            lent,
+            requested,
+        } in volumes
+        {
+            let place = VOLUMES
+                .iter()
+                .position(|name| *name == volume)
+                .expect("own volumes only");
             let pool = &mut self.pools[place];
             pool.on_report(host as u32, polled_at, lent, requested, self.now);
             let amount = pool.grant(host as u32, self.now);
@@ -212,11 +270,19 @@
         }
         self.note(&format!("granted to {host}: {granted:?}"));
         self.now += self.rng.below(100);
-        let span = if self.rng.below(20) == 0 { self.rng.below(50) } else { 1_500 };
+        let span = if self.rng.below(20) == 0 {
+            self.rng.below(50)
+        } else {
+            1_500
+        };
         let volumes = granted.into_iter().map(VolumeLease::from).collect();
         self.send_to_replica(
             host,
-            ServiceMessage::QuotaLeases { requested_at: sent_at, duration: span, volumes },
+            ServiceMessage::QuotaLeases {
+                requested_at: sent_at,
+                duration: span,
+                volumes,
+            },
         );
     }
 
@@ -228,7 +294,8 @@
         }
         let host = self.rng.below(HOSTS);
         let stored = (self.rng.below(4) > 0).then(|| self.replicas[host as usize].log().clone());
-        self.replicas[host as usize] = PlanReplica::new(&host_name(host), volumes_of(host), stored, self.now);
+        self.replicas[host as usize] =
+            PlanReplica::new(&host_name(host), volumes_of(host), stored, self.now);
     }
 
     fn follow_hosts(&mut self) {
@@ -239,7 +306,10 @@
                 let removed = self.hosts.declare_removed(&host, self.now);
                 self.note(&format!("{host} gone {removed}"));
             }
-            2 => self.hosts.on_accepted(&host, self.rng.below(self.log.state.version + 1), self.now),
+            2 => {
+                self.hosts
+                    .on_accepted(&host, self.rng.below(self.log.state.version + 1), self.now)
+            }
             _ => {
                 let version = self.log.state.version + self.rng.below(2);
                 self.hosts.on_rejected(&host, version, "not now", self.now);
@@ -257,13 +327,22 @@
             for version in newest.saturating_sub(2)..=newest {
                 for wait in self.hosts.blockers(version, now) {
                     let text = match wait {
-                        RolloutBlocker::Silent { host, accepted_version, last_contact } => {
+                        RolloutBlocker::Silent {
+                            host,
+                            accepted_version,
+                            last_contact,
+                        } => {
                             format!("silent {host} {accepted_version} {last_contact}")
                         }
-                        RolloutBlocker::Behind { host, accepted_version } => {
+                        RolloutBlocker::Behind {
+                            host,
+                            accepted_version,
+                        } => {
                             format!("behind {host} {accepted_version}")
                         }
-                        RolloutBlocker::Rejected { host, reason } => format!("against {host} {reason}"),
+                        RolloutBlocker::Rejected { host, reason } => {
+                            format!("against {host} {reason}")
+                        }
                         RolloutBlocker::UnexpiredLeases { until } => format!("lapses {until}"),
                     };
                     self.note(&text);
@@ -315,8 +394,12 @@
             let at = self.now + later;
             for replica in &self.replicas {
                 for part in replica.available_quotas(at) {
-                    write!(self.record, "{} ", part.map_or("-".to_owned(), |p| p.to_string()))
-                        .expect("memory");
+                    write!(
+                        self.record,
+                        "{} ",
+                        part.map_or("-".to_owned(), |p| p.to_string())
+                    )
+                    .expect("memory");
                 }
             }
             for quota in &self.quotas {
@@ -334,8 +417,15 @@
 /// Volumes of a host, each with the number of hosts that have it.
 fn volumes_of(host: u64) -> Vec<HostedVolume> {
     let skipped = host as usize % (VOLUMES.len() + 1);
-    let own = VOLUMES.iter().enumerate().filter(|(place, _)| *place != skipped);
-    own.map(|(place, name)| HostedVolume { name: (*name).to_owned(), host_count: place as u32 + 3 }).collect()
+    let own = VOLUMES
+        .iter()
+        .enumerate()
+        .filter(|(place, _)| *place != skipped);
+    own.map(|(place, name)| HostedVolume {
+        name: (*name).to_owned(),
+        host_count: place as u32 + 3,
+    })
+    .collect()
 }
 
 fn digest(seed: u64) -> String {
@@ -357,7 +447,14 @@
 #[test]
 fn constants_are_the_recorded_ones() {
     assert_eq!(
-        (LOAN_DURATION, CLOCK_SKEW_MARGIN, LEASE_DURATION, POLL_INTERVAL, SILENT_AFTER, MAX_RECONNECT_DELAY),
+        (
+            LOAN_DURATION,
+            CLOCK_SKEW_MARGIN,
+            LEASE_DURATION,
+            POLL_INTERVAL,
+            SILENT_AFTER,
+            MAX_RECONNECT_DELAY
+        ),
         (3_000, 50, 1_500, 500, 3_000, 5_000)
     );
     assert_eq!(MAX_PARAMETER, 1_000_000_000_000);
@@ -405,12 +502,20 @@
 fn connection_attempts_are_made_at_the_recorded_milliseconds() {
     for (jitter, expected) in [
         (0, [0, 50, 150, 350, 750, 1_550, 3_150, 5_650, 8_150]),
-        (1_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
-        (5_000, [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300]),
+        (
+            1_000,
+            [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300],
+        ),
+        (
+            5_000,
+            [0, 100, 300, 700, 1_500, 3_100, 6_300, 11_300, 16_300],
+        ),
     ] {
         let mut replica = PlanReplica::new("h", Vec::new(), None, 0);
-        let attempts: Vec<Millis> =
-            (0..20_000).filter(|now| replica.should_connect(*now, jitter)).take(9).collect();
+        let attempts: Vec<Millis> = (0..20_000)
+            .filter(|now| replica.should_connect(*now, jitter))
+            .take(9)
+            .collect();
         assert_eq!(attempts, expected, "chance {jitter}");
     }
 }
--- a/crates/plans/tests/quota_pool.rs
+++ b/crates/plans/tests/quota_pool.rs
@@ -9,9 +9,11 @@
 #[test]
 fn a_restarted_service_leases_nothing_that_may_still_be_in_use() {
     let mut pool = QuotaPool::new(1_000, false);
-    for (now, leased) in
-        [(1_000, 0), (1_000 + LEASE_DURATION_WITH_MARGIN - 1, 0), (1_000 + LEASE_DURATION_WITH_MARGIN, 300)]
-    {
+    for (now, leased) in [
+        (1_000, 0),
+        (1_000 + LEASE_DURATION_WITH_MARGIN - 1, 0),
+        (1_000 + LEASE_DURATION_WITH_MARGIN, 300),
+    ] {
         pool.on_report(0, now, 300, 0, now);
         pool.on_report(1, now, 0, 400, now);
         assert_eq!(pool.grant(1, now), leased, "at {now}");
@@ -24,7 +26,10 @@
     pool.on_report(0, 0, 300, 0, 10);
     pool.on_report(1, 0, 0, 400, 10);
     pool.on_report(2, 0, 0, 200, 10);
-    assert_eq!((pool.grant(1, 10), pool.grant(2, 10), pool.grant(0, 10)), (200, 100, 0));
+    assert_eq!(
+        (pool.grant(1, 10), pool.grant(2, 10), pool.grant(0, 10)),
+        (200, 100, 0)
+    );
 }
 
 #[test]
@@ -32,9 +37,15 @@
     let mut pool = QuotaPool::new(0, true);
     pool.on_report(0, 0, 300, 0, 10);
     pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN);
-    assert_eq!(pool.grant(1, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN), 300);
+    assert_eq!(
+        pool.grant(1, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN),
+        300
+    );
     pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN + 1);
-    assert_eq!(pool.grant(1, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN + 1), 0);
+    assert_eq!(
+        pool.grant(1, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN + 1),
+        0
+    );
 }
 
 #[test]
@@ -68,5 +79,8 @@
         last = leased;
     }
     assert_eq!(last, (0, 300));
-    assert!(rises <= 4, "{rises} rises: one for each holder, in steps as leases expire");
+    assert!(
+        rises <= 4,
+        "{rises} rises: one for each holder, in steps as leases expire"
+    );
 }
--- a/crates/plans/tests/quota_safety.rs
+++ b/crates/plans/tests/quota_safety.rs
@@ -21,15 +21,27 @@
 impl Host {
     fn clock(&self, real: Millis) -> Millis {
         let drift = real as i64 * self.drift_per_mille / 1000;
-        (self.clock_offset + real).checked_add_signed(drift).expect("a clock past its start")
+        (self.clock_offset + real)
+            .checked_add_signed(drift)
+            .expect("a clock past its start")
     }
 }
 
 #[derive(Clone, Debug)]
 enum Message {
-    Poll { polled_at: Millis },
-    Report { polled_at: Millis, sent_at: Millis, lent: MilliUnits, requested: MilliUnits },
-    Lease { requested_at: Millis, amount: MilliUnits },
+    Poll {
+        polled_at: Millis,
+    },
+    Report {
+        polled_at: Millis,
+        sent_at: Millis,
+        lent: MilliUnits,
+        requested: MilliUnits,
+    },
+    Lease {
+        requested_at: Millis,
+        amount: MilliUnits,
+    },
 }
 
 /// A linear congruential generator.
@@ -37,7 +49,10 @@
 
 impl Random {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound.max(1)
     }
 }
@@ -72,17 +87,33 @@
             })
             .collect();
         let (pool, in_transit) = (QuotaPool::new(0, true), BTreeMap::new());
-        Simulation { random, hosts, pool, service_down_until: 0, in_transit, sent: 0, loss_percent }
+        Simulation {
+            random,
+            hosts,
+            pool,
+            service_down_until: 0,
+            in_transit,
+            sent: 0,
+            loss_percent,
+        }
     }
 
     fn run(mut self, duration: Millis) -> Outcome {
-        let mut outcome = Outcome { largest_sum: 0, largest_quota: 0 };
+        let mut outcome = Outcome {
+            largest_sum: 0,
+            largest_quota: 0,
+        };
         for real in (0..duration).step_by(STEP as usize) {
             self.step(real);
-            let quotas: Vec<MilliUnits> =
-                self.hosts.iter().map(|host| host.quota.available(host.clock(real))).collect();
+            let quotas: Vec<MilliUnits> = self
+                .hosts
+                .iter()
+                .map(|host| host.quota.available(host.clock(real)))
+                .collect();
             outcome.largest_sum = outcome.largest_sum.max(quotas.iter().sum());
-            outcome.largest_quota = outcome.largest_quota.max(quotas.into_iter().max().unwrap_or(0));
+            outcome.largest_quota = outcome
+                .largest_quota
+                .max(quotas.into_iter().max().unwrap_or(0));
         }
         outcome
     }
@@ -98,7 +129,10 @@
             for host in 0..self.hosts.len() {
                 self.sent += 1;
                 let arrival = real + self.random.below(900);
-                self.in_transit.insert((arrival, self.sent), (host, Message::Poll { polled_at: real }));
+                self.in_transit.insert(
+                    (arrival, self.sent),
+                    (host, Message::Poll { polled_at: real }),
+                );
             }
         }
         while let Some(first) = self.in_transit.first_entry() {
@@ -123,21 +157,42 @@
                 let quota = &mut self.hosts[index].quota;
                 let lent = quota.lend(quota.lendable(demand), host_time);
                 let requested = demand.saturating_sub(quota.nominal());
-                let report = Message::Report { polled_at, sent_at: host_time, lent, requested };
-                self.in_transit.insert((arrival, self.sent), (index, report.clone()));
+                let report = Message::Report {
+                    polled_at,
+                    sent_at: host_time,
+                    lent,
+                    requested,
+                };
+                self.in_transit
+                    .insert((arrival, self.sent), (index, report.clone()));
                 if self.random.below(10) == 0 {
                     let again = arrival + self.random.below(3_000);
-                    self.in_transit.insert((again, self.sent + REPEATED), (index, report));
+                    self.in_transit
+                        .insert((again, self.sent + REPEATED), (index, report));
                 }
             }
-            Message::Report { polled_at, sent_at, lent, requested } if is_up => {
-                self.pool.on_report(index as u32, polled_at, lent, requested, real);
+            Message::Report {
+                polled_at,
+                sent_at,
+                lent,
+                requested,
+            } if is_up => {
+                self.pool
+                    .on_report(index as u32, polled_at, lent, requested, real);
                 let amount = self.pool.grant(index as u32, real);
-                let lease = Message::Lease { requested_at: sent_at, amount };
+                let lease = Message::Lease {
+                    requested_at: sent_at,
+                    amount,
+                };
                 self.in_transit.insert((arrival, self.sent), (index, lease));
             }
-            Message::Lease { requested_at, amount } => {
-                self.hosts[index].quota.add_lease(amount, requested_at, LEASE_DURATION, host_time);
+            Message::Lease {
+                requested_at,
+                amount,
+            } => {
+                self.hosts[index]
+                    .quota
+                    .add_lease(amount, requested_at, LEASE_DURATION, host_time);
             }
             Message::Report { .. } => {}
         }
@@ -146,7 +201,11 @@
     /// One host after the other has a demand of the whole limit.
     fn demand(&mut self, index: usize, real: Millis) -> MilliUnits {
         let leader = (real / 4_000) as usize % self.hosts.len();
-        if leader == index { LIMIT } else { self.random.below(LIMIT / 40) }
+        if leader == index {
+            LIMIT
+        } else {
+            self.random.below(LIMIT / 40)
+        }
     }
 }
 
@@ -154,7 +213,11 @@
 fn quota_follows_demand_when_messages_arrive() {
     let outcome = Simulation::new(4, 1, 0).run(40_000);
     assert!(outcome.largest_sum <= LIMIT);
-    assert!(outcome.largest_quota > LIMIT / 2, "{} of {LIMIT}", outcome.largest_quota);
+    assert!(
+        outcome.largest_quota > LIMIT / 2,
+        "{} of {LIMIT}",
+        outcome.largest_quota
+    );
 }
 
 proptest! {
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -104,7 +104,10 @@
 
     /// Number of connections in a state, for the status log.
     pub fn count_in_state(&self, state: Phase) -> usize {
-        self.connections.iter().filter(|(_, client)| client.state.phase() == state).count()
+        self.connections
+            .iter()
+            .filter(|(_, client)| client.state.phase() == state)
+            .count()
     }
 
     /// Whether the next connection needs another one to be evicted.
@@ -139,7 +142,11 @@
         let _ = socket.set_nodelay(true);
         let slot = self.connections.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if self.registry.register(&mut socket, tokens::client(slot), interest).is_err() {
+        if self
+            .registry
+            .register(&mut socket, tokens::client(slot), interest)
+            .is_err()
+        {
             return;
         }
         self.connections.insert(Client::new(socket, now));
@@ -150,15 +157,21 @@
     /// another is picked next. False: none can be evicted.
     fn evict_one(&mut self, now: Millis) -> bool {
         // A connection with something to read may have a request.
-        let candidates =
-            self.connections.iter().filter(|(_, client)| !client.is_queued && !client.is_readable);
+        let candidates = self
+            .connections
+            .iter()
+            .filter(|(_, client)| !client.is_queued && !client.is_readable);
         let Some(slot) = client_connection::eviction_candidate(
             candidates.map(|(slot, client)| (slot, &client.state)),
             now,
         ) else {
             return false;
         };
-        if self.connections.get_mut(slot).is_some_and(Client::has_unread_request) {
+        if self
+            .connections
+            .get_mut(slot)
+            .is_some_and(Client::has_unread_request)
+        {
             self.enqueue(slot);
         } else {
             self.close(slot);
@@ -211,7 +224,9 @@
 
     /// Reads a queued connection until a request is complete or the socket is empty.
     pub fn read(&mut self, slot: u32, scratch: &mut [u8], now: Millis) -> RequestStatus {
-        let Some(client) = self.connections.get_mut(slot) else { return RequestStatus::Incomplete };
+        let Some(client) = self.connections.get_mut(slot) else {
+            return RequestStatus::Incomplete;
+        };
         client.is_queued = false;
         if client.state.phase() == Phase::Lingering {
             if !client.drain_input(scratch) {
@@ -246,7 +261,9 @@
     pub fn request(&self, slot: u32) -> Option<(RequestHead<'_>, &[u8])> {
         let client = self.connections.get(slot)?;
         let request = client.request?;
-        let head = RequestHead::parse(&client.input, REQUEST_LIMITS).ok().flatten()?;
+        let head = RequestHead::parse(&client.input, REQUEST_LIMITS)
+            .ok()
+            .flatten()?;
         Some((head, &client.input[request.body..request.end]))
     }
 
@@ -254,7 +271,8 @@
     /// so the socket is checked.
     pub fn is_disconnected(&mut self, slot: u32, is_poll_stale: bool) -> bool {
         self.connections.get_mut(slot).is_none_or(|client| {
-            client.is_disconnected || (is_poll_stale || !client.is_polled) && client.check_disconnected()
+            client.is_disconnected
+                || (is_poll_stale || !client.is_polled) && client.check_disconnected()
         })
     }
 
@@ -279,19 +297,29 @@
     /// Applies the timeouts of all connections.
     pub fn check_timeouts(&mut self, now: Millis) {
         for slot in 0..self.connections.index_bound() {
-            let Some(client) = self.connections.get_mut(slot) else { continue };
+            let Some(client) = self.connections.get_mut(slot) else {
+                continue;
+            };
             match client.state.check_timeouts(now, self.shutdown) {
                 // The socket is read first: it may contain a complete request.
                 TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.is_queued => {}
-                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.has_unread_request() => {
+                TimeoutAction::Close | TimeoutAction::RejectLateRequest
+                    if client.has_unread_request() =>
+                {
                     self.enqueue(slot);
                 }
                 TimeoutAction::Close => self.close(slot),
                 TimeoutAction::RejectLateRequest => {
-                    self.respond_with_error(slot, responses::REQUEST_TIMEOUT, "the request is late", now);
+                    self.respond_with_error(
+                        slot,
+                        responses::REQUEST_TIMEOUT,
+                        "the request is late",
+                        now,
+                    );
                 }
                 TimeoutAction::Nothing
-                    if client.state.may_read(now) && (client.is_readable || !client.input.is_empty()) =>
+                    if client.state.may_read(now)
+                        && (client.is_readable || !client.input.is_empty()) =>
                 {
                     self.enqueue(slot);
                 }
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -77,8 +77,10 @@
 
     /// Whether part of a request waits in the socket; peeks at it.
     pub fn has_unread_request(&mut self) -> bool {
-        if !matches!(self.state.phase(), Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle)
-        {
+        if !matches!(
+            self.state.phase(),
+            Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle
+        ) {
             return false;
         }
         self.is_readable |= matches!(self.socket.peek(&mut [0]), Ok(count) if count > 0);
@@ -96,7 +98,11 @@
     }
 
     /// Reads until a request is complete or the socket is empty.
-    pub fn read_request(&mut self, scratch: &mut [u8], now: Millis) -> Result<RequestStatus, ReadError> {
+    pub fn read_request(
+        &mut self,
+        scratch: &mut [u8],
+        now: Millis,
+    ) -> Result<RequestStatus, ReadError> {
         loop {
             if !self.input.is_empty() && self.advance(now)? == RequestStatus::Complete {
                 return Ok(RequestStatus::Complete);
@@ -123,13 +129,18 @@
         if self.state.phase() != Phase::ReceivingRequest {
             self.state.enter_phase(Phase::ReceivingRequest, now);
         }
-        self.request = self.reader.advance(&mut self.input, REQUEST_LIMITS).map_err(ReadError::Invalid)?;
+        self.request = self
+            .reader
+            .advance(&mut self.input, REQUEST_LIMITS)
+            .map_err(ReadError::Invalid)?;
         if self.request.is_some() {
             return Ok(RequestStatus::Complete);
         }
         if self.reader.take_expect_continue() {
             self.output.head.extend_from_slice(response::CONTINUE);
-            self.output.write_to(&mut self.socket).map_err(|_| ReadError::Closed)?;
+            self.output
+                .write_to(&mut self.socket)
+                .map_err(|_| ReadError::Closed)?;
         }
         Ok(RequestStatus::Incomplete)
     }
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -49,7 +49,11 @@
 impl<'b> Response<'b> {
     /// A response whose body is copied.
     pub fn new(status: u16, body: &'b [u8]) -> Self {
-        Response { status, body: Body::Copied(body), retry_after_ms: 0 }
+        Response {
+            status,
+            body: Body::Copied(body),
+            retry_after_ms: 0,
+        }
     }
 
     /// A response without a body.
@@ -59,12 +63,19 @@
 
     /// A good response whose body is moved with its buffer.
     pub fn from_buffer(buffer: Vec<u8>, body: Range<usize>) -> Self {
-        Response { status: OK, body: Body::Buffer(buffer, body), retry_after_ms: 0 }
+        Response {
+            status: OK,
+            body: Body::Buffer(buffer, body),
+            retry_after_ms: 0,
+        }
     }
 
     /// Adds Retry-After, in milliseconds; 0: none.
     pub fn with_retry_after(self, retry_after_ms: u64) -> Self {
-        Response { retry_after_ms, ..self }
+        Response {
+            retry_after_ms,
+            ..self
+        }
     }
 }
 
@@ -82,8 +93,12 @@
 impl ClientConnections {
     /// Responds to the request of a connection.
     pub fn respond(&mut self, slot: u32, response: Response, now: Millis) {
-        let is_ending = self.shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
-        let Some(client) = self.connections.get_mut(slot) else { return };
+        let is_ending = self
+            .shutdown
+            .is_some_and(|shutdown| !shutdown.admits_clients(now));
+        let Some(client) = self.connections.get_mut(slot) else {
+            return;
+        };
         let before = client.bytes();
         client.close_after_response |=
             is_ending || client.is_disconnected || client.reader.closes_connection();
@@ -125,7 +140,9 @@
 
     /// Writes the output. After the last byte the connection is read again, or lingers before it is closed.
     pub(super) fn flush(&mut self, slot: u32, now: Millis) {
-        let Some(client) = self.connections.get_mut(slot) else { return };
+        let Some(client) = self.connections.get_mut(slot) else {
+            return;
+        };
         let before = client.bytes();
         let written = client.output.write_to(&mut client.socket);
         if client.output.is_empty() {
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -19,7 +19,11 @@
         let registry = poll.registry().try_clone().expect("a poll");
         let clients = ClientConnections::new(registry, max_connections, 1 << 20);
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("an address");
-        Fixture { _poll: poll, clients, listener }
+        Fixture {
+            _poll: poll,
+            clients,
+            listener,
+        }
     }
 
     /// A client that connects.
@@ -38,7 +42,10 @@
         let began = Instant::now();
         let len = READINESS_CHECK.len();
         while !matches!(client.socket.peek(&mut [0; 256]), Ok(count) if count == len) {
-            assert!(began.elapsed() < Duration::from_secs(5), "its request did not arrive");
+            assert!(
+                began.elapsed() < Duration::from_secs(5),
+                "its request did not arrive"
+            );
         }
     }
 
@@ -46,16 +53,22 @@
     fn read_queued(&mut self, now: Millis) -> Vec<u32> {
         let queued: Vec<u32> = self.clients.read_queue.drain(..).collect();
         let clients = &mut self.clients;
-        let has_request = |slot: &u32| clients.read(*slot, &mut [0; 4_096], now) == RequestStatus::Complete;
+        let has_request =
+            |slot: &u32| clients.read(*slot, &mut [0; 4_096], now) == RequestStatus::Complete;
         queued.into_iter().filter(has_request).collect()
     }
 
     /// Sends one request, is answered, and becomes idle.
     fn make_idle(&mut self, peer: &Peer, slot: u32) {
         self.send_request(peer, slot);
-        assert!(self.clients.on_event(slot, SocketEvent::Readable, 0).is_none());
+        assert!(
+            self.clients
+                .on_event(slot, SocketEvent::Readable, 0)
+                .is_none()
+        );
         assert!(self.read_queued(0).contains(&slot));
-        self.clients.respond(slot, Response::empty(response::SHED_STATUS), 0);
+        self.clients
+            .respond(slot, Response::empty(response::SHED_STATUS), 0);
         assert!(self.read_queued(0).is_empty());
     }
 }
@@ -69,11 +82,17 @@
     // The longer idle of the two (they are equal, and slot 0 is first); the poll has not reported its new request.
     fixture.send_request(&active, 0);
     let _third = fixture.connect(5_000);
-    assert_eq!(fixture.clients.counters.rejected, 0, "another one was evicted");
+    assert_eq!(
+        fixture.clients.counters.rejected, 0,
+        "another one was evicted"
+    );
     assert_eq!(fixture.read_queued(5_000), [0], "its request is read");
     let mut received = Vec::new();
     (&idle).read_to_end(&mut received).expect("closed in order");
-    assert!(received.starts_with(b"HTTP/1.1 503"), "the other had its response, and was closed");
+    assert!(
+        received.starts_with(b"HTTP/1.1 503"),
+        "the other had its response, and was closed"
+    );
 }
 
 #[test]
--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -11,7 +11,10 @@
 use std::net::SocketAddr;
 
 /// An endpoint list is far longer than a message of clients or nodes.
-const LIST_LIMITS: Limits = Limits { head: REQUEST_LIMITS.head, body: endpoints::MAX_LIST_BYTES };
+const LIST_LIMITS: Limits = Limits {
+    head: REQUEST_LIMITS.head,
+    body: endpoints::MAX_LIST_BYTES,
+};
 
 /// Why a watch is over.
 #[derive(Debug, thiserror::Error)]
@@ -87,7 +90,9 @@
     ) -> Result<Self, WatchError> {
         let mut socket = TcpStream::connect(address).map_err(WatchError::Open)?;
         let interest = Interest::READABLE | Interest::WRITABLE;
-        registry.register(&mut socket, token, interest).map_err(WatchError::Open)?;
+        registry
+            .register(&mut socket, token, interest)
+            .map_err(WatchError::Open)?;
         let mut request = Vec::new();
         endpoints::write_watch_request(&mut request, address, since);
         Ok(WatchConnection {
@@ -134,7 +139,8 @@
                 Ok(None) => Ok(()),
             };
         }
-        nonblocking::write_buffer(&mut self.socket, &mut self.request).map_err(WatchError::Socket)?;
+        nonblocking::write_buffer(&mut self.socket, &mut self.request)
+            .map_err(WatchError::Socket)?;
         loop {
             let count = match nonblocking::read(&mut self.socket, scratch) {
                 ReadOutcome::Read(count) => count,
@@ -150,7 +156,8 @@
     /// Reads the head of the response, past any 1xx before it.
     fn read_head(&mut self) -> Result<(), WatchError> {
         while let Stage::Head = self.stage {
-            let head = ResponseHead::parse(&self.response, LIST_LIMITS).map_err(WatchError::Malformed)?;
+            let head =
+                ResponseHead::parse(&self.response, LIST_LIMITS).map_err(WatchError::Malformed)?;
             let Some(head) = head else { return Ok(()) };
             let is_interim = head.is_interim();
             if !is_interim && head.status != 200 {
@@ -180,15 +187,22 @@
                 Err(WatchError::ListEnded)
             }
             Stage::Stream(chunks) => {
-                chunks.decode(&mut self.response, LIST_LIMITS.body).map_err(WatchError::Malformed)?;
+                chunks
+                    .decode(&mut self.response, LIST_LIMITS.body)
+                    .map_err(WatchError::Malformed)?;
                 let is_over = chunks.is_complete();
-                let consumed = read_updates(&self.response[..chunks.decoded_end()], is_over, on_message)?;
+                let consumed =
+                    read_updates(&self.response[..chunks.decoded_end()], is_over, on_message)?;
                 chunks.discard_front(consumed);
                 drop(self.response.drain(..consumed));
                 if self.response.is_empty() {
                     recycle(&mut self.response);
                 }
-                if is_over { Err(WatchError::StreamEnded) } else { Ok(()) }
+                if is_over {
+                    Err(WatchError::StreamEnded)
+                } else {
+                    Ok(())
+                }
             }
         }
     }
@@ -208,7 +222,11 @@
     is_over: bool,
     on_message: &mut impl FnMut(WatchMessage),
 ) -> Result<usize, WatchError> {
-    let last_line_end = || text.iter().rposition(|b| *b == b'\n').map_or(0, |index| index + 1);
+    let last_line_end = || {
+        text.iter()
+            .rposition(|b| *b == b'\n')
+            .map_or(0, |index| index + 1)
+    };
     let end = if is_over { text.len() } else { last_line_end() };
     let mut consumed = 0;
     loop {
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -156,7 +156,10 @@
 
     /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
     fn respond_final(&mut self, io: BioId, response: Response) -> bool {
-        let client = self.in_flight.get_mut(io.0).and_then(|entry| entry.client.take());
+        let client = self
+            .in_flight
+            .get_mut(io.0)
+            .and_then(|entry| entry.client.take());
         if let Some(slot) = client {
             self.clients.respond(slot, response, self.now_ms());
         }
@@ -166,8 +169,13 @@
     /// Withdraws an attempt whose request is not completely written. The settings may forbid to cancel attempts, but
     /// this one was never executed.
     fn withdraw_unsent(&mut self, io: BioId) {
-        let Some(entry) = self.in_flight.get_mut(io.0) else { return };
-        if let Some(slot) = entry.node_connection.filter(|slot| self.nodes.is_unsent(*slot, io)) {
+        let Some(entry) = self.in_flight.get_mut(io.0) else {
+            return;
+        };
+        if let Some(slot) = entry
+            .node_connection
+            .filter(|slot| self.nodes.is_unsent(*slot, io))
+        {
             entry.node_connection = None;
             self.completions.extend(self.nodes.cancel(slot, io));
         }
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -15,7 +15,10 @@
         is_closed: bool,
         scratch: &mut [u8],
     ) {
-        match self.nodes.on_event(slot, is_closed, scratch, self.now, self.events_arrived_at) {
+        match self
+            .nodes
+            .on_event(slot, is_closed, scratch, self.now, self.events_arrived_at)
+        {
             None => {}
             Some(NodeEvent::Completed(completion)) => self.completions.push_back(completion),
             Some(NodeEvent::Success(success)) => self.forward(&success),
@@ -26,7 +29,11 @@
     /// Forwards a good response to its client.
     fn forward(&mut self, success: &Success) {
         let io = success.completion.io;
-        if let Some(slot) = self.in_flight.get_mut(io.0).and_then(|entry| entry.client.take()) {
+        if let Some(slot) = self
+            .in_flight
+            .get_mut(io.0)
+            .and_then(|entry| entry.client.take())
+        {
             self.forward_to(slot, success);
         }
         self.nodes.finish(success, self.now);
@@ -38,12 +45,19 @@
         // Clients that do not read their responses may have used up the memory limit.
         if !self.clients.has_capacity(self.nodes.body(success).len()) {
             self.counters.failed += 1;
-            return self.clients.respond(slot, Response::empty(response::FAILED_STATUS), now);
+            return self
+                .clients
+                .respond(slot, Response::empty(response::FAILED_STATUS), now);
         }
         self.counters.completed += 1;
         match self.nodes.take_long_body(success) {
-            Some((buffer, body)) => self.clients.respond(slot, Response::from_buffer(buffer, body), now),
-            None => self.clients.respond(slot, Response::new(OK, self.nodes.body(success)), now),
+            Some((buffer, body)) => {
+                self.clients
+                    .respond(slot, Response::from_buffer(buffer, body), now)
+            }
+            None => self
+                .clients
+                .respond(slot, Response::new(OK, self.nodes.body(success)), now),
         }
     }
 
@@ -58,7 +72,9 @@
     /// Reports completed attempts to the scheduler, whose reactions may complete more, until there are none.
     pub fn report_completions(&mut self, scheduler: &mut Scheduler) {
         while let Some(completion) = self.completions.pop_front() {
-            let Some(entry) = self.in_flight.get_mut(completion.io.0) else { continue };
+            let Some(entry) = self.in_flight.get_mut(completion.io.0) else {
+                continue;
+            };
             entry.node_connection = None;
             let response = completion.response;
             let outcome = AttemptOutcome {
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -6,13 +6,20 @@
 
 impl Dispatcher {
     /// Applies an update of the endpoint list.
-    pub fn on_endpoints(&mut self, scheduler: &mut Scheduler, event: EndpointEvent, update: &WatchEvent) {
+    pub fn on_endpoints(
+        &mut self,
+        scheduler: &mut Scheduler,
+        event: EndpointEvent,
+        update: &WatchEvent,
+    ) {
         let mut endpoints = std::mem::take(&mut self.endpoints);
-        self.names.intern_endpoints(update, &self.settings, &mut endpoints);
+        self.names
+            .intern_endpoints(update, &self.settings, &mut endpoints);
         for entry in &update.endpoints {
             let accepts_attempts = entry.health == Health::Ready;
             if let Some(node) = self.names.find_node(&entry.name) {
-                self.nodes.update_endpoint(node, entry.address, accepts_attempts);
+                self.nodes
+                    .update_endpoint(node, entry.address, accepts_attempts);
             }
         }
         // An attempt that still waits for its connection is withdrawn when its node begins to drain.
@@ -23,7 +30,8 @@
         };
         let closed: Vec<NodeId> = self.nodes.ids().filter(is_closed).collect();
         for node in closed {
-            self.nodes.withdraw_unconnected(node, |completion| self.completions.push_back(completion));
+            self.nodes
+                .withdraw_unconnected(node, |completion| self.completions.push_back(completion));
         }
         let now = self.now;
         scheduler.on_endpoints(self, now, event, &endpoints);
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -9,20 +9,31 @@
 
 impl Dispatcher {
     /// Sends a block I/O to a node, or returns the reason why nothing was sent.
-    fn start_attempt(&mut self, io: BioId, node: NodeId, timeout: Tick) -> Result<(), AttemptResult> {
+    fn start_attempt(
+        &mut self,
+        io: BioId,
+        node: NodeId,
+        timeout: Tick,
+    ) -> Result<(), AttemptResult> {
         let now = self.now;
         // During a shutdown all responses are due before the host is killed, so attempts expire by then.
-        let responses_by = self.clients.shutdown().and_then(|shutdown| shutdown.answer_deadline());
+        let responses_by = self
+            .clients
+            .shutdown()
+            .and_then(|shutdown| shutdown.answer_deadline());
         let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
         self.check_client(io);
         let max_attempts = self.settings.scheduler.max_attempts;
-        let Some(entry) = self.in_flight.get_mut(io.0) else { return Ok(()) };
+        let Some(entry) = self.in_flight.get_mut(io.0) else {
+            return Ok(());
+        };
         entry.attempts += 1;
         let is_over = entry.deadline <= now || timeout <= 0;
         let is_one_too_many = max_attempts > 0 && entry.attempts > max_attempts;
         let client = entry.client.filter(|_| !is_over && !is_one_too_many);
-        let (head, body) =
-            client.and_then(|slot| self.clients.request(slot)).ok_or(AttemptResult::NotSent)?;
+        let (head, body) = client
+            .and_then(|slot| self.clients.request(slot))
+            .ok_or(AttemptResult::NotSent)?;
         let wait_ms = ticks_to_millis(timeout).max(1);
         let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
         let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
@@ -34,9 +45,12 @@
     /// Checks whether the client has disconnected, if the last poll is too old to rely on.
     fn check_client(&mut self, io: BioId) {
         let is_poll_stale = self.is_poll_stale();
-        let Some(entry) = self.in_flight.get_mut(io.0) else { return };
-        let disconnected =
-            entry.client.filter(|slot| is_poll_stale && self.clients.is_disconnected(*slot, true));
+        let Some(entry) = self.in_flight.get_mut(io.0) else {
+            return;
+        };
+        let disconnected = entry
+            .client
+            .filter(|slot| is_poll_stale && self.clients.is_disconnected(*slot, true));
         if let Some(slot) = disconnected {
             entry.client = None;
             self.respond_disconnected(slot);
@@ -48,26 +62,36 @@
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         if let Err(result) = self.start_attempt(bio, node, timeout) {
             self.counters.unsent_attempts += 1;
-            self.completions.push_back(Completion::unsent(bio, node, result, self.now));
+            self.completions
+                .push_back(Completion::unsent(bio, node, result, self.now));
         }
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
-        let Some(entry) = self.in_flight.get_mut(bio.0).filter(|entry| attempt + 1 == entry.attempts) else {
+        let Some(entry) = self
+            .in_flight
+            .get_mut(bio.0)
+            .filter(|entry| attempt + 1 == entry.attempts)
+        else {
             return;
         };
         // An attempt without a connection has completed, and its completion is queued.
-        let cancelled = entry.node_connection.take().and_then(|slot| self.nodes.cancel(slot, bio));
+        let cancelled = entry
+            .node_connection
+            .take()
+            .and_then(|slot| self.nodes.cancel(slot, bio));
         self.completions.extend(cancelled);
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
-        let response = Response::empty(response::SHED_STATUS).with_retry_after(ticks_to_millis(retry_after));
+        let response =
+            Response::empty(response::SHED_STATUS).with_retry_after(ticks_to_millis(retry_after));
         self.counters.shed += u64::from(self.respond_final(bio, response));
     }
 
     fn fail(&mut self, bio: BioId) {
-        self.counters.failed += u64::from(self.respond_final(bio, Response::empty(response::FAILED_STATUS)));
+        self.counters.failed +=
+            u64::from(self.respond_final(bio, Response::empty(response::FAILED_STATUS)));
     }
 
     fn set_timer(&mut self, after: Tick) {
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -47,7 +47,13 @@
         );
         let update = mallowseam_platform::endpoints::parse(list.as_bytes()).expect("a valid list");
         dispatcher.on_endpoints(&mut scheduler, EndpointEvent::FullSnapshot, &update);
-        Fixture { _poll: poll, dispatcher, scheduler, node, listener }
+        Fixture {
+            _poll: poll,
+            dispatcher,
+            scheduler,
+            node,
+            listener,
+        }
     }
 
     /// A client's connection with a complete request on it, and its slot. `is_polled`: the poll has reported it.
@@ -65,10 +71,17 @@
         );
         socket.set_nonblocking(true).expect("a socket");
         let now = self.dispatcher.now_ms();
-        self.dispatcher.clients.add(TcpStream::from_std(socket), now);
+        self.dispatcher
+            .clients
+            .add(TcpStream::from_std(socket), now);
         let slot = self.dispatcher.clients.next_queued().expect("queued");
         if is_polled {
-            assert!(self.dispatcher.clients.on_event(slot, SocketEvent::Readable, now).is_none());
+            assert!(
+                self.dispatcher
+                    .clients
+                    .on_event(slot, SocketEvent::Readable, now)
+                    .is_none()
+            );
         }
         (client, slot)
     }
@@ -103,21 +116,32 @@
         // The close has arrived where the host's socket waits for the close of its own side (CLOSE_WAIT).
         let closed = format!("{} {} 08", table_address(host), table_address(own));
         wait_until("the close arrives", || {
-            std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&closed)
+            std::fs::read_to_string("/proc/net/tcp")
+                .expect("a table")
+                .contains(&closed)
         });
     }
 }
 
 /// An address as the system's table of sockets has it.
 fn table_address(address: SocketAddr) -> String {
-    let SocketAddr::V4(address) = address else { unreachable!("IPv4") };
-    format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port())
+    let SocketAddr::V4(address) = address else {
+        unreachable!("IPv4")
+    };
+    format!(
+        "{:08X}:{:04X}",
+        u32::from(*address.ip()).swap_bytes(),
+        address.port()
+    )
 }
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < Duration::from_secs(5), "timed out: {what}");
+        assert!(
+            began.elapsed() < Duration::from_secs(5),
+            "timed out: {what}"
+        );
     }
 }
 
@@ -145,22 +169,37 @@
         fixture.dispatcher.polled_at = fixture.dispatcher.now - age;
         fixture.handle_request(slot);
         let observed = (fixture.was_attempted(), fixture.dispatcher.in_flight() > 0);
-        assert_eq!(observed, (is_admitted, is_admitted), "{age} ticks after the poll");
+        assert_eq!(
+            observed,
+            (is_admitted, is_admitted),
+            "{age} ticks after the poll"
+        );
     }
 }
 
 #[test]
-fn a_queued_io_is_not_started_for_a_client_that_disconnected_unnoticed_once_the_polls_report_is_stale() {
+fn a_queued_io_is_not_started_for_a_client_that_disconnected_unnoticed_once_the_polls_report_is_stale()
+ {
     for (age, is_started) in [(FRESH, true), (STALE, false)] {
         let mut fixture = Fixture::new(1_000_000);
         let (client, slot) = fixture.connect_and_request(true);
         fixture.handle_request(slot);
-        assert!(!fixture.was_attempted() && fixture.dispatcher.in_flight() == 1, "queued: the node is new");
+        assert!(
+            !fixture.was_attempted() && fixture.dispatcher.in_flight() == 1,
+            "queued: the node is new"
+        );
         fixture.disconnect(client);
         fixture.advance(4_000, age);
-        assert_eq!(fixture.was_attempted(), is_started, "{age} ticks after the poll");
+        assert_eq!(
+            fixture.was_attempted(),
+            is_started,
+            "{age} ticks after the poll"
+        );
         assert_eq!(fixture.dispatcher.in_flight() > 0, is_started);
-        assert_eq!(fixture.dispatcher.counters.disconnected, u64::from(!is_started));
+        assert_eq!(
+            fixture.dispatcher.counters.disconnected,
+            u64::from(!is_started)
+        );
     }
     // With its client connected it is started, however old the poll's report is.
     let mut fixture = Fixture::new(1_000_000);
