--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -136,7 +136,9 @@
     /// Handles the events of clients that have disconnected, or those of all others.
     fn handle_client_events(&mut self, events: &Events, disconnects: Disconnects) {
         for event in events {
-            let Some(Connection::Client(slot)) = tokens::connection(event.token()) else { continue };
+            let Some(Connection::Client(slot)) = tokens::connection(event.token()) else {
+                continue;
+            };
             let is_disconnected = is_closed(event);
             if is_disconnected != (disconnects == Disconnects::Only) {
                 continue;
@@ -157,22 +159,32 @@
     /// Handles the events of connections to nodes.
     fn handle_node_events(&mut self, events: &Events) {
         for event in events {
-            let Some(Connection::Node(slot)) = tokens::connection(event.token()) else { continue };
+            let Some(Connection::Node(slot)) = tokens::connection(event.token()) else {
+                continue;
+            };
             self.update_now();
-            self.dispatcher.on_node_event(&mut self.scheduler, slot, is_closed(event), &mut self.scratch);
+            self.dispatcher.on_node_event(
+                &mut self.scheduler,
+                slot,
+                is_closed(event),
+                &mut self.scratch,
+            );
         }
     }
 
     /// Reads clients that may have something to read, up to a number of them.
     fn read_clients(&mut self, max: usize) {
         for _ in 0..self.dispatcher.clients.queue_len().min(max) {
-            let Some(slot) = self.dispatcher.clients.next_queued() else { break };
+            let Some(slot) = self.dispatcher.clients.next_queued() else {
+                break;
+            };
             self.update_now();
             let now = self.dispatcher.now_ms();
             let read = self.dispatcher.clients.read(slot, &mut self.scratch, now);
             if read == RequestStatus::Complete {
                 let is_ready = self.watch.has_endpoints();
-                self.dispatcher.on_request(&mut self.scheduler, slot, is_ready);
+                self.dispatcher
+                    .on_request(&mut self.scheduler, slot, is_ready);
             }
         }
     }
--- a/crates/platform-host/src/event_loop/admission.rs
+++ b/crates/platform-host/src/event_loop/admission.rs
@@ -21,9 +21,14 @@
     pub(super) fn open(poll: &Poll, address: SocketAddr) -> Result<Self, HostError> {
         let listened = listener::listen(address);
         let mut socket = listened.map_err(|source| HostError::Listen { address, source })?;
-        let registered = poll.registry().register(&mut socket, tokens::LISTENER, Interest::READABLE);
+        let registered =
+            poll.registry()
+                .register(&mut socket, tokens::LISTENER, Interest::READABLE);
         registered.map_err(HostError::Poll)?;
-        Ok(Listener { socket: Some(socket), is_readable: false })
+        Ok(Listener {
+            socket: Some(socket),
+            is_readable: false,
+        })
     }
 
     /// The next waiting connection; none once the listener is closed.
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -64,7 +64,13 @@
             self.watch.version_source = address;
         }
         let since = self.watch.version;
-        match WatchConnection::open(&self.registry, tokens::DISCOVERY[index], address, since, now) {
+        match WatchConnection::open(
+            &self.registry,
+            tokens::DISCOVERY[index],
+            address,
+            since,
+            now,
+        ) {
             Ok(connection) => self.watch.connections[index] = Some(connection),
             Err(error) => self.on_watch_failed(index, &error),
         }
@@ -82,7 +88,8 @@
         self.close_watch(index);
         // A predecessor was reported as silent when its successor was opened.
         if self.watch.slots.is_latest(index) {
-            self.dispatcher.on_watch_lost(&mut self.scheduler, EndpointEvent::PollFailed);
+            self.dispatcher
+                .on_watch_lost(&mut self.scheduler, EndpointEvent::PollFailed);
         }
     }
 
@@ -98,7 +105,9 @@
     }
 
     fn read_watch(&mut self, index: usize) {
-        let Some(connection) = &mut self.watch.connections[index] else { return };
+        let Some(connection) = &mut self.watch.connections[index] else {
+            return;
+        };
         let mut received = Vec::new();
         connection.on_event(&mut self.scratch, &mut |message| received.push(message));
         for message in received {
@@ -117,8 +126,16 @@
             WatchMessage::Update(update) => self.on_update(index, &update),
             WatchMessage::Heartbeat => self.on_watch_alive(index),
             WatchMessage::Closings(endpoints) => {
-                let update = WatchEvent { version: 0, full_snapshot: false, endpoints };
-                self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, &update);
+                let update = WatchEvent {
+                    version: 0,
+                    full_snapshot: false,
+                    endpoints,
+                };
+                self.dispatcher.on_endpoints(
+                    &mut self.scheduler,
+                    EndpointEvent::Incremental,
+                    &update,
+                );
             }
             WatchMessage::Failed(error) => self.on_watch_failed(index, &error),
         }
@@ -127,25 +144,41 @@
     /// A watch has sent a complete line: it supersedes the one before it.
     fn on_watch_alive(&mut self, index: usize) {
         let now = self.dispatcher.now_ms();
-        let is_first = self.watch.connections[index].as_mut().is_some_and(|c| c.watch.event_received(now));
+        let is_first = self.watch.connections[index]
+            .as_mut()
+            .is_some_and(|c| c.watch.event_received(now));
         if let Some(superseded) = self.watch.slots.superseded_by(index) {
             self.close_watch(superseded);
         }
         if is_first {
             // Even without changes the scheduler has to know that the list is current: it matters when the watch is
             // lost.
-            let no_changes = WatchEvent { version: 0, full_snapshot: false, endpoints: Vec::new() };
-            self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, &no_changes);
+            let no_changes = WatchEvent {
+                version: 0,
+                full_snapshot: false,
+                endpoints: Vec::new(),
+            };
+            self.dispatcher.on_endpoints(
+                &mut self.scheduler,
+                EndpointEvent::Incremental,
+                &no_changes,
+            );
         }
     }
 
     fn on_update(&mut self, index: usize, update: &WatchEvent) {
         self.on_watch_alive(index);
-        let Some(connection) = &self.watch.connections[index] else { return };
+        let Some(connection) = &self.watch.connections[index] else {
+            return;
+        };
         let (service, since) = (connection.address(), connection.since());
         if service != self.watch.version_source {
             // Updates of the previous service are applied as changes, without their version.
-            return self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Incremental, update);
+            return self.dispatcher.on_endpoints(
+                &mut self.scheduler,
+                EndpointEvent::Incremental,
+                update,
+            );
         }
         if !update.full_snapshot && since.is_some_and(|since| update.version < since) {
             // The service has restarted with lower versions: the next watch requests a full snapshot.
@@ -154,23 +187,37 @@
         }
         // Changes older than the list are ignored. A full snapshot is applied whatever its version: it was requested
         // after everything that was received before.
-        if !update.full_snapshot && self.watch.version.is_some_and(|version| update.version <= version) {
+        if !update.full_snapshot
+            && self
+                .watch
+                .version
+                .is_some_and(|version| update.version <= version)
+        {
             return;
         }
         self.watch.version = Some(update.version);
         self.watch.has_endpoints |= !update.endpoints.is_empty();
         if let Some(fleet) = &mut self.fleet {
-            fleet.set_active_versions(ActiveVersions { endpoint_list: update.version, plans: 0 });
+            fleet.set_active_versions(ActiveVersions {
+                endpoint_list: update.version,
+                plans: 0,
+            });
         }
-        let event =
-            if update.full_snapshot { EndpointEvent::FullSnapshot } else { EndpointEvent::Incremental };
-        self.dispatcher.on_endpoints(&mut self.scheduler, event, update);
+        let event = if update.full_snapshot {
+            EndpointEvent::FullSnapshot
+        } else {
+            EndpointEvent::Incremental
+        };
+        self.dispatcher
+            .on_endpoints(&mut self.scheduler, event, update);
     }
 
     /// Applies the timeouts of the watches.
     pub(super) fn check_watches(&mut self, now: Millis) {
         for index in 0..self.watch.connections.len() {
-            let Some(connection) = &mut self.watch.connections[index] else { continue };
+            let Some(connection) = &mut self.watch.connections[index] else {
+                continue;
+            };
             if !connection.watch.check_failure(now) {
                 continue;
             }
@@ -184,7 +231,8 @@
                 self.close_watch(index);
             }
             if self.watch.slots.is_latest(index) {
-                self.dispatcher.on_watch_lost(&mut self.scheduler, EndpointEvent::WatchSilent);
+                self.dispatcher
+                    .on_watch_lost(&mut self.scheduler, EndpointEvent::WatchSilent);
             }
         }
     }
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -29,9 +29,14 @@
     /// Applies the figures of plans, if the plans are the same.
     fn reload_plans(&mut self, settings: &PlatformSettings) {
         let current = &mut self.dispatcher.settings;
-        if settings.class_names == current.class_names && settings.plan_names == current.plan_names {
-            self.scheduler.on_plans_changed(self.dispatcher.now, &settings.scheduler.plans, &[]);
-            current.scheduler.plans.clone_from(&settings.scheduler.plans);
+        if settings.class_names == current.class_names && settings.plan_names == current.plan_names
+        {
+            self.scheduler
+                .on_plans_changed(self.dispatcher.now, &settings.scheduler.plans, &[]);
+            current
+                .scheduler
+                .plans
+                .clone_from(&settings.scheduler.plans);
         } else {
             tracing::warn!("other I/O classes or plans need a restart");
         }
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -9,12 +9,23 @@
     /// The platform asks the host to stop, and will kill it later.
     pub(super) fn on_sigterm(&mut self) {
         let settings = &self.dispatcher.settings;
-        let longest_objective =
-            settings.scheduler.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0);
-        let (longest_deadline, longest_objective) =
-            (ticks_to_millis(settings.longest_deadline), ticks_to_millis(longest_objective));
+        let longest_objective = settings
+            .scheduler
+            .classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .max()
+            .unwrap_or(0);
+        let (longest_deadline, longest_objective) = (
+            ticks_to_millis(settings.longest_deadline),
+            ticks_to_millis(longest_objective),
+        );
         let now = self.dispatcher.now_ms();
-        self.begin_shutdown(GracefulShutdown::by_platform(now, longest_deadline, longest_objective));
+        self.begin_shutdown(GracefulShutdown::by_platform(
+            now,
+            longest_deadline,
+            longest_objective,
+        ));
     }
 
     /// An operator asks the host to stop.
@@ -51,7 +62,9 @@
 
     /// Sends all final responses once they are due.
     pub(super) fn respond_before_kill(&mut self) {
-        let is_due = self.responses_due().is_some_and(|due| due <= self.dispatcher.now);
+        let is_due = self
+            .responses_due()
+            .is_some_and(|due| due <= self.dispatcher.now);
         if is_due && self.dispatcher.in_flight() > 0 {
             self.dispatcher.respond_to_all(&mut self.scheduler);
         }
@@ -60,7 +73,12 @@
     /// Closes the listener once the host accepts no more clients.
     pub(super) fn stop_accepting(&mut self) {
         let now = self.dispatcher.now_ms();
-        if self.dispatcher.clients.shutdown().is_some_and(|shutdown| !shutdown.admits_clients(now)) {
+        if self
+            .dispatcher
+            .clients
+            .shutdown()
+            .is_some_and(|shutdown| !shutdown.admits_clients(now))
+        {
             self.close_listener();
         }
     }
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -36,13 +36,20 @@
 }
 
 /// Loads the configuration at startup, and raises the limit of descriptors to what it asks for.
-pub(super) fn load_config(path: &Path, discovery_call_ms: Option<u64>) -> Result<HostConfig, HostError> {
+pub(super) fn load_config(
+    path: &Path,
+    discovery_call_ms: Option<u64>,
+) -> Result<HostConfig, HostError> {
     let mut config = read_config(path)?;
     config.settings.scheduler.poll_service_time = discovery_call_ms.map(ticks_from_millis);
     // With fewer descriptors than budgeted, the host would run out of them at points where it cannot reject anything.
-    let granted = descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
+    let granted =
+        descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
     if granted < config.max_sockets {
-        return Err(HostError::TooFewDescriptors { wanted: config.max_sockets, given: granted });
+        return Err(HostError::TooFewDescriptors {
+            wanted: config.max_sockets,
+            given: granted,
+        });
     }
     Ok(config)
 }
@@ -86,7 +93,8 @@
         self.dispatcher.fire_timer(&mut self.scheduler);
         if let Some(cached) = self.config.cached_list.take() {
             self.watch.use_cached(&cached);
-            self.dispatcher.on_endpoints(&mut self.scheduler, EndpointEvent::Cached, &cached);
+            self.dispatcher
+                .on_endpoints(&mut self.scheduler, EndpointEvent::Cached, &cached);
         }
         self.run_timers();
     }
@@ -106,8 +114,13 @@
     registry.try_clone().map_err(HostError::Poll)
 }
 
-fn open_fleet(config: &HostConfig, registry: &Registry) -> Result<Option<Box<UdpMembership>>, HostError> {
-    let Some(fleet) = config.fleet.clone() else { return Ok(None) };
+fn open_fleet(
+    config: &HostConfig,
+    registry: &Registry,
+) -> Result<Option<Box<UdpMembership>>, HostError> {
+    let Some(fleet) = config.fleet.clone() else {
+        return Ok(None);
+    };
     let fleet = UdpMembership::open(registry, tokens::FLEET, fleet).map_err(HostError::Fleet)?;
     Ok(Some(Box::new(fleet)))
 }
@@ -118,9 +131,13 @@
     registry: &Registry,
     now: Tick,
 ) -> Result<(ClientConnections, NodeConnections), HostError> {
-    let keep_alive = KeepAlivePolicy::new(ticks_to_millis(settings.idle_timeout), ticks_to_millis(now));
-    let clients =
-        ClientConnections::new(clone_registry(registry)?, budget.client_connections, budget.client_bytes);
+    let keep_alive =
+        KeepAlivePolicy::new(ticks_to_millis(settings.idle_timeout), ticks_to_millis(now));
+    let clients = ClientConnections::new(
+        clone_registry(registry)?,
+        budget.client_connections,
+        budget.client_bytes,
+    );
     let nodes = NodeConnections::new(
         clone_registry(registry)?,
         budget.node_connections,
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -36,7 +36,9 @@
     }
 
     fn log_node(&mut self, node: NodeId, status: &NodeStatus) {
-        let Some(counters) = self.dispatcher.nodes.counters_mut(node) else { return };
+        let Some(counters) = self.dispatcher.nodes.counters_mut(node) else {
+            return;
+        };
         tracing::info!(
             node = node.0,
             active = status.active,
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -18,7 +18,10 @@
 impl PeriodicTimers {
     /// Both periods start now.
     pub(super) fn new(now: Tick) -> Self {
-        PeriodicTimers { checked_at: now, status_logged_at: now }
+        PeriodicTimers {
+            checked_at: now,
+            status_logged_at: now,
+        }
     }
 
     /// Whether the connections are to be checked; if so, the next period starts.
@@ -44,11 +47,16 @@
     /// How long the poll may wait; zero while sockets may have more to read.
     pub(super) fn poll_timeout(&self) -> Duration {
         let dispatcher = &self.dispatcher;
-        if self.listener.is_readable || self.is_fleet_readable || dispatcher.clients.queue_len() > 0 {
+        if self.listener.is_readable || self.is_fleet_readable || dispatcher.clients.queue_len() > 0
+        {
             return Duration::ZERO;
         }
         let responses_due = self.responses_due().filter(|due| *due > dispatcher.now);
-        let timers = [dispatcher.timer(), dispatcher.nodes.next_deadline(), responses_due];
+        let timers = [
+            dispatcher.timer(),
+            dispatcher.nodes.next_deadline(),
+            responses_due,
+        ];
         let next_check = self.periodic.checked_at + CHECK_PERIOD;
         let next = timers.into_iter().flatten().fold(next_check, Tick::min);
         let timeout = ticks_to_duration(next - self.clock.now());
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -108,13 +108,16 @@
 
     /// The counters of a node.
     pub fn counters_mut(&mut self, node: NodeId) -> Option<&mut NodeCounters> {
-        self.endpoint_mut(node).map(|endpoint| &mut endpoint.counters)
+        self.endpoint_mut(node)
+            .map(|endpoint| &mut endpoint.counters)
     }
 
     /// The nodes that are known.
     pub fn ids(&self) -> impl Iterator<Item = NodeId> {
         let indexed = self.endpoints.iter().enumerate();
-        indexed.filter(|(_, endpoint)| endpoint.is_some()).map(|(index, _)| NodeId(index as u32))
+        indexed
+            .filter(|(_, endpoint)| endpoint.is_some())
+            .map(|(index, _)| NodeId(index as u32))
     }
 
     /// Sets a node's address from the endpoint list. Idle connections are kept only where new attempts may use them.
@@ -124,7 +127,10 @@
             self.endpoints.resize_with(index + 1, || None);
         }
         let endpoint = self.endpoints[index].get_or_insert_with(Endpoint::default);
-        let is_moved = endpoint.address.replace(address).is_some_and(|old| old != address);
+        let is_moved = endpoint
+            .address
+            .replace(address)
+            .is_some_and(|old| old != address);
         if is_moved || !accepts_attempts {
             self.close_idle(node);
         }
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -48,8 +48,15 @@
         self.add_deadline(attempt.deadline, slot, attempt.serial);
         self.drop_stale_deadlines();
         if !is_up {
-            self.add_deadline(attempt.connect_deadline.min(attempt.deadline), slot, attempt.serial);
-            return Ok(StartedAttempt { slot, completion: None });
+            self.add_deadline(
+                attempt.connect_deadline.min(attempt.deadline),
+                slot,
+                attempt.serial,
+            );
+            return Ok(StartedAttempt {
+                slot,
+                completion: None,
+            });
         }
         // A pooled connection that breaks before the request is written proves nothing about the node.
         let completion = self.write_request(slot, AttemptResult::NotSent);
@@ -75,14 +82,21 @@
 
     /// Writes the rest of the request. A completion: the connection broke, with `if_unwritten` as the result if the last
     /// byte was not written.
-    pub(super) fn write_request(&mut self, slot: u32, if_unwritten: AttemptResult) -> Option<Completion> {
+    pub(super) fn write_request(
+        &mut self,
+        slot: u32,
+        if_unwritten: AttemptResult,
+    ) -> Option<Completion> {
         let connection = self.connections.get_mut(slot)?;
         let attempt = connection.attempt?;
         if connection.sent == connection.request.len() {
             return None;
         }
         let node = connection.node;
-        let sent = nonblocking::write(&mut connection.socket, &connection.request[connection.sent..]);
+        let sent = nonblocking::write(
+            &mut connection.socket,
+            &connection.request[connection.sent..],
+        );
         let (sent, is_broken) = match sent {
             Ok(sent) => (sent, false),
             Err(error) => (error.written, true),
@@ -97,13 +111,19 @@
         }
         self.close(slot);
         // Before the last byte is written the node has not executed it; after it, it may have.
-        let result = if is_written { AttemptResult::ConnectionReset } else { if_unwritten };
+        let result = if is_written {
+            AttemptResult::ConnectionReset
+        } else {
+            if_unwritten
+        };
         Some(attempt.complete(node, result))
     }
 
     /// Whether a connection carries an attempt of this block I/O whose request is not completely written.
     pub fn is_unsent(&self, slot: u32, io: BioId) -> bool {
-        self.connections.get(slot).is_some_and(|c| c.carries(io) && !c.is_request_written())
+        self.connections
+            .get(slot)
+            .is_some_and(|c| c.carries(io) && !c.is_request_written())
     }
 
     /// Cancels the attempt of a block I/O, if this connection carries it, by closing the connection.
@@ -111,7 +131,11 @@
         let connection = self.connections.get(slot).filter(|c| c.carries(io))?;
         let (is_written, node) = (connection.is_request_written(), connection.node);
         let attempt = self.close(slot)?;
-        let result = if is_written { AttemptResult::Cancelled } else { AttemptResult::NotSent };
+        let result = if is_written {
+            AttemptResult::Cancelled
+        } else {
+            AttemptResult::NotSent
+        };
         Some(attempt.complete(node, result))
     }
 
@@ -123,9 +147,15 @@
     /// Completes an attempt that has expired; to be called until there is none.
     pub fn expire_attempt(&mut self, now: Tick) -> Option<Completion> {
         while let Some(deadline) = self.deadlines.pop_passed(now) {
-            let Some(connection) = self.connections.get(deadline.slot) else { continue };
-            let Some(attempt) = connection.attempt.filter(|a| a.serial == deadline.serial) else { continue };
-            let Some(result) = expired(connection, attempt, now) else { continue };
+            let Some(connection) = self.connections.get(deadline.slot) else {
+                continue;
+            };
+            let Some(attempt) = connection.attempt.filter(|a| a.serial == deadline.serial) else {
+                continue;
+            };
+            let Some(result) = expired(connection, attempt, now) else {
+                continue;
+            };
             let node = connection.node;
             self.close(deadline.slot);
             return Some(attempt.complete(node, result));
--- a/crates/platform-host/src/nodes/connection.rs
+++ b/crates/platform-host/src/nodes/connection.rs
@@ -53,7 +53,14 @@
 impl Completion {
     /// The completion of an attempt that was not sent.
     pub fn unsent(io: BioId, node: NodeId, result: AttemptResult, now: Tick) -> Self {
-        Completion { io, node, result, started_at: now, received_at: None, response: None }
+        Completion {
+            io,
+            node,
+            result,
+            started_at: now,
+            received_at: None,
+            response: None,
+        }
     }
 }
 
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -26,7 +26,10 @@
 
     /// Closes all idle connections to a node.
     pub(super) fn close_idle(&mut self, node: NodeId) {
-        while let Some(slot) = self.endpoint(node).and_then(|endpoint| endpoint.idle.last().copied()) {
+        while let Some(slot) = self
+            .endpoint(node)
+            .and_then(|endpoint| endpoint.idle.last().copied())
+        {
             self.close(slot);
         }
     }
@@ -45,7 +48,10 @@
         loop {
             let endpoint = self.endpoint(node)?;
             let idle_since = |slot: &u32| self.connections.get(*slot).map_or(now, |c| c.idle_since);
-            let idle_times = endpoint.idle.iter().map(|slot| ticks_to_millis(now - idle_since(slot)));
+            let idle_times = endpoint
+                .idle
+                .iter()
+                .map(|slot| ticks_to_millis(now - idle_since(slot)));
             let chosen = keep_alive::select_idle_connection(idle_times, keep_alive)?;
             let slot = endpoint.idle[chosen];
             if self.is_quiet(slot) {
@@ -58,20 +64,28 @@
 
     /// Whether a connection is open and has nothing to read.
     fn is_quiet(&mut self, slot: u32) -> bool {
-        let read = self.connections.get_mut(slot).map(|c| nonblocking::read(&mut c.socket, &mut [0]));
+        let read = self
+            .connections
+            .get_mut(slot)
+            .map(|c| nonblocking::read(&mut c.socket, &mut [0]));
         matches!(read, Some(ReadOutcome::WouldBlock))
     }
 
     /// Opens a connection. At the limit the connection that has been idle longest is closed first.
     fn connect(&mut self, node: NodeId, now: Tick) -> Result<u32, AttemptResult> {
         if self.connections.len() >= self.max_connections {
-            let idle = self.connections.iter().filter(|(_, c)| c.is_up && c.attempt.is_none());
+            let idle = self
+                .connections
+                .iter()
+                .filter(|(_, c)| c.is_up && c.attempt.is_none());
             let longest_idle = idle.min_by_key(|(_, c)| c.idle_since).map(|(slot, _)| slot);
             // With none idle, this host lacks capacity, not the node.
             self.close(longest_idle.ok_or(AttemptResult::NotSent)?);
         }
-        let address =
-            self.endpoint(node).and_then(|endpoint| endpoint.address).ok_or(AttemptResult::NotSent)?;
+        let address = self
+            .endpoint(node)
+            .and_then(|endpoint| endpoint.address)
+            .ok_or(AttemptResult::NotSent)?;
         let mut socket = TcpStream::connect(address).map_err(|_| AttemptResult::ConnectFailed)?;
         let _ = socket.set_nodelay(true);
         let slot = self.connections.next_index();
@@ -79,7 +93,8 @@
         self.registry
             .register(&mut socket, tokens::node(slot), interest)
             .map_err(|_| AttemptResult::NotSent)?;
-        self.connections.insert(NodeConnection::new(socket, node, now));
+        self.connections
+            .insert(NodeConnection::new(socket, node, now));
         if let Some(endpoint) = self.endpoint_mut(node) {
             endpoint.counters.connections += 1;
             endpoint.counters.connections_opened += 1;
@@ -93,7 +108,9 @@
             self.close(slot);
             return;
         }
-        let Some(connection) = self.connections.get_mut(slot) else { return };
+        let Some(connection) = self.connections.get_mut(slot) else {
+            return;
+        };
         connection.attempt = None;
         connection.sent = 0;
         connection.idle_since = now;
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -44,7 +44,10 @@
 
 impl Arrival {
     fn complete(&self, result: AttemptResult) -> Completion {
-        Completion { received_at: Some(self.received_at), ..self.attempt.complete(self.node, result) }
+        Completion {
+            received_at: Some(self.received_at),
+            ..self.attempt.complete(self.node, result)
+        }
     }
 
     fn completed_event(&self, result: AttemptResult) -> NodeEvent {
@@ -70,8 +73,11 @@
             self.on_idle_event(slot);
             return None;
         };
-        let arrival =
-            Arrival { attempt, node: connection.node, received_at: arrived_at.max(attempt.started_at) };
+        let arrival = Arrival {
+            attempt,
+            node: connection.node,
+            received_at: arrived_at.max(attempt.started_at),
+        };
         if !connection.is_up {
             match self.finish_connect(slot, attempt, now) {
                 Connect::Up => {}
@@ -91,7 +97,10 @@
     /// Closes an idle connection that has unexpected bytes or was closed by the node.
     fn on_idle_event(&mut self, slot: u32) {
         if let Some(connection) = self.connections.get_mut(slot)
-            && !matches!(nonblocking::read(&mut connection.socket, &mut [0]), ReadOutcome::WouldBlock)
+            && !matches!(
+                nonblocking::read(&mut connection.socket, &mut [0]),
+                ReadOutcome::WouldBlock
+            )
         {
             self.close(slot);
         }
@@ -99,19 +108,31 @@
 
     /// Checks a connect in progress. When it has succeeded, the wait stated in the request is updated to the time left.
     fn finish_connect(&mut self, slot: u32, attempt: Attempt, now: Tick) -> Connect {
-        let Some(connection) = self.connections.get_mut(slot) else { return Connect::Failed };
-        if connection.socket.take_error().map_or(true, |error| error.is_some()) {
+        let Some(connection) = self.connections.get_mut(slot) else {
+            return Connect::Failed;
+        };
+        if connection
+            .socket
+            .take_error()
+            .map_or(true, |error| error.is_some())
+        {
             return Connect::Failed;
         }
         if connection.socket.peer_addr().is_err() {
             return Connect::Pending;
         }
         // Whatever a node sends before the request is not a response to it.
-        if !matches!(nonblocking::read(&mut connection.socket, &mut [0]), ReadOutcome::WouldBlock) {
+        if !matches!(
+            nonblocking::read(&mut connection.socket, &mut [0]),
+            ReadOutcome::WouldBlock
+        ) {
             return Connect::Failed;
         }
         connection.is_up = true;
-        request::rewrite_timeout(&mut connection.request, ticks_to_millis(attempt.deadline - now).max(1));
+        request::rewrite_timeout(
+            &mut connection.request,
+            ticks_to_millis(attempt.deadline - now).max(1),
+        );
         Connect::Up
     }
 
@@ -129,10 +150,14 @@
             let len = connection.response.len();
             let capacity = connection.response.capacity();
             // Of a long response exactly the rest is read; stray bytes after it are found when the connection is idle.
-            let missing = connection.reader.remaining(len).filter(|missing| *missing > 0);
+            let missing = connection
+                .reader
+                .remaining(len)
+                .filter(|missing| *missing > 0);
             let max_buffer = RESPONSE_LIMITS.buffer_capacity() + 1;
-            let limit =
-                missing.unwrap_or(FIRST_READ).min(max_buffer - len.min(RESPONSE_LIMITS.buffer_capacity()));
+            let limit = missing
+                .unwrap_or(FIRST_READ)
+                .min(max_buffer - len.min(RESPONSE_LIMITS.buffer_capacity()));
             let limit = limit.min(scratch.len());
             let outcome = nonblocking::read(&mut connection.socket, &mut scratch[..limit]);
             if let ReadOutcome::Read(count) = outcome {
@@ -145,11 +170,16 @@
                 ReadOutcome::WouldBlock => return None,
                 ReadOutcome::Closed(_) => return self.on_broken(slot, now, arrival),
             };
-            match connection.reader.advance(&mut connection.response, RESPONSE_LIMITS) {
+            match connection
+                .reader
+                .advance(&mut connection.response, RESPONSE_LIMITS)
+            {
                 Ok(Some(message)) => return self.on_response(slot, message, now, arrival),
                 Err(_) => return Some(self.on_corrupt(slot, arrival)),
                 // All responses share a memory limit: the one that exceeds it counts as corrupt.
-                Ok(None) if self.bytes > self.max_bytes => return Some(self.on_corrupt(slot, arrival)),
+                Ok(None) if self.bytes > self.max_bytes => {
+                    return Some(self.on_corrupt(slot, arrival));
+                }
                 // A short read has emptied the socket; the poll reports what arrives later.
                 Ok(None) if count < limit && !is_closed => return None,
                 Ok(None) => {}
@@ -168,7 +198,11 @@
         if connection.is_reused && connection.response.is_empty() {
             let started_at = arrival.attempt.started_at;
             let idle = ticks_to_millis(started_at - connection.idle_since);
-            self.keep_alive.connection_lost(idle, ticks_to_millis(now - started_at), ticks_to_millis(now));
+            self.keep_alive.connection_lost(
+                idle,
+                ticks_to_millis(now - started_at),
+                ticks_to_millis(now),
+            );
         }
         self.close(slot);
         Some(arrival.completed_event(result))
@@ -193,8 +227,10 @@
     ) -> Option<NodeEvent> {
         let connection = self.connections.get(slot)?;
         let bytes = &connection.response[message.start..];
-        let head =
-            ResponseHead::parse(bytes, RESPONSE_LIMITS).ok().flatten().expect("the reader has read it");
+        let head = ResponseHead::parse(bytes, RESPONSE_LIMITS)
+            .ok()
+            .flatten()
+            .expect("the reader has read it");
         let response = response::parse(&head);
         let is_busy = response.result == AttemptResult::Rejected;
         let is_written = connection.is_request_written();
@@ -207,13 +243,22 @@
         let has_more = connection.response.len() > message.end;
         let close = head.close || !is_kept || has_more || !is_written;
         if !is_kept && !connection.is_reused {
-            self.keep_alive.new_connection_rejected(ticks_to_millis(now));
+            self.keep_alive
+                .new_connection_rejected(ticks_to_millis(now));
         }
-        let completion = Completion { response: Some(response), ..arrival.complete(response.result) };
+        let completion = Completion {
+            response: Some(response),
+            ..arrival.complete(response.result)
+        };
         let is_success = response.result == AttemptResult::Completed;
         self.count_response(&completion, now);
         if is_success {
-            return Some(NodeEvent::Success(Success { completion, slot, message, close }));
+            return Some(NodeEvent::Success(Success {
+                completion,
+                slot,
+                message,
+                close,
+            }));
         }
         self.check_in(slot, close, now);
         Some(NodeEvent::Completed(completion))
@@ -221,7 +266,9 @@
 
     /// Counts a response for the status log.
     fn count_response(&mut self, completion: &Completion, now: Tick) {
-        let Some(endpoint) = self.endpoint_mut(completion.node) else { return };
+        let Some(endpoint) = self.endpoint_mut(completion.node) else {
+            return;
+        };
         endpoint.counters.responses += 1;
         if completion.result == AttemptResult::Completed {
             let latency = completion.received_at.unwrap_or(now) - completion.started_at;
@@ -232,7 +279,9 @@
     /// The body of a good response.
     pub fn body(&self, success: &Success) -> &[u8] {
         let body = success.message.body..success.message.end;
-        self.connections.get(success.slot).map_or(&[], |connection| &connection.response[body])
+        self.connections
+            .get(success.slot)
+            .map_or(&[], |connection| &connection.response[body])
     }
 
     /// Moves out the buffer of a good response whose body is long, with the position of the body in it.
--- a/crates/platform-host/src/tokens.rs
+++ b/crates/platform-host/src/tokens.rs
@@ -39,5 +39,9 @@
 pub fn connection(token: Token) -> Option<Connection> {
     let offset = token.0.checked_sub(FIRST_CONNECTION)?;
     let slot = (offset / 2) as u32;
-    Some(if offset.is_multiple_of(2) { Connection::Client(slot) } else { Connection::Node(slot) })
+    Some(if offset.is_multiple_of(2) {
+        Connection::Client(slot)
+    } else {
+        Connection::Node(slot)
+    })
 }
--- a/crates/platform-host/tests/log.rs
+++ b/crates/platform-host/tests/log.rs
@@ -13,7 +13,10 @@
     expect_start(&host, service);
 
     assert!(host.answer(&read_request("r-1")).ends_with("\r\n\r\ndata"));
-    assert!(host.answer(&read_request("r-2").replace("gold", "lead")).ends_with("no such plan"));
+    assert!(
+        host.answer(&read_request("r-2").replace("gold", "lead"))
+            .ends_with("no such plan")
+    );
 
     let _silent = expect_failed_watches(&host, &discovery);
     // The status is logged every 5 s, which is what this test waits for.
@@ -43,7 +46,11 @@
         ("endpoints_pushed", "false"),
         ("max_poll_delay_ms", "10000"),
     ];
-    let logged: Vec<(&str, &str)> = line.fields.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
+    let logged: Vec<(&str, &str)> = line
+        .fields
+        .iter()
+        .map(|(n, v)| (n.as_str(), v.as_str()))
+        .collect();
     assert_eq!(logged, expected);
 }
 
@@ -52,14 +59,22 @@
     let service = discovery.local_addr().expect("bound").to_string();
     let mut refused = accept(discovery);
     read_message(&mut refused);
-    refused.write_all(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n").expect("open");
+    refused
+        .write_all(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n")
+        .expect("open");
     let line = host.log.line("discovery watch failed");
     assert_eq!(line.level, "WARN");
     let expected = [("error", "answered 404"), ("address", &*service)];
-    assert_eq!(line.fields, expected.map(|(n, v)| (n.to_owned(), v.to_owned())));
+    assert_eq!(
+        line.fields,
+        expected.map(|(n, v)| (n.to_owned(), v.to_owned()))
+    );
     let silent = accept(discovery);
     let line = host.log.line("discovery watch is silent");
-    assert_eq!((&*line.level, line.names(), line.field("address")), ("WARN", vec!["address"], &*service));
+    assert_eq!(
+        (&*line.level, line.names(), line.field("address")),
+        ("WARN", vec!["address"], &*service)
+    );
     silent
 }
 
@@ -107,9 +122,18 @@
         "corrupt_responses",
     ];
     assert_eq!(line.names(), names);
-    let counters =
-        ["node", "attempts", "connections_opened", "requests_written", "responses", "corrupt_responses"];
-    assert_eq!(counters.map(|name| line.field(name)), ["0", "1", "1", "1", "1", "0"]);
+    let counters = [
+        "node",
+        "attempts",
+        "connections_opened",
+        "requests_written",
+        "responses",
+        "corrupt_responses",
+    ];
+    assert_eq!(
+        counters.map(|name| line.field(name)),
+        ["0", "1", "1", "1", "1", "0"]
+    );
 }
 
 fn expect_rejected_reload(host: &Host) {
@@ -117,19 +141,31 @@
     raise(Signal::SIGHUP).expect("a signal");
     let line = host.log.line("configuration rejected");
     assert_eq!((&*line.level, line.names()), ("ERROR", vec!["error"]));
-    assert!(line.field("error").contains("listen: expected address:port"), "{line:?}");
+    assert!(
+        line.field("error")
+            .contains("listen: expected address:port"),
+        "{line:?}"
+    );
 }
 
 /// The configuration moves to another discovery service, which is returned.
 fn expect_reload(host: &Host) -> TcpListener {
     let discovery = listen();
     let moved = discovery.local_addr().expect("bound");
-    let text = config(host.address, moved, None).replace("\"n0\"", "\"n1\"").replace("gold", "lead");
+    let text = config(host.address, moved, None)
+        .replace("\"n0\"", "\"n1\"")
+        .replace("gold", "lead");
     host.write_config(&text);
     raise(Signal::SIGHUP).expect("a signal");
     let line = host.log.line("configuration reloaded");
-    assert_eq!((&*line.level, line.names()), ("INFO", vec!["discovery", "moved"]));
-    assert_eq!((line.field("discovery"), line.field("moved")), (&*moved.to_string(), "true"));
+    assert_eq!(
+        (&*line.level, line.names()),
+        ("INFO", vec!["discovery", "moved"])
+    );
+    assert_eq!(
+        (line.field("discovery"), line.field("moved")),
+        (&*moved.to_string(), "true")
+    );
     let warnings = [
         "another name or address to listen on needs a restart",
         "other I/O classes or plans need a restart",
@@ -145,9 +181,15 @@
 fn expect_end(host: Host) {
     raise(Signal::SIGINT).expect("a signal");
     let line = host.log.line("graceful shutdown begins");
-    assert_eq!((&*line.level, line.names()), ("INFO", vec!["clients", "in_flight"]));
+    assert_eq!(
+        (&*line.level, line.names()),
+        ("INFO", vec!["clients", "in_flight"])
+    );
     assert_eq!((line.field("clients"), line.field("in_flight")), ("0", "0"));
     assert_eq!(host.thread.join().expect("no panic"), Ok(()));
     let last = host.log.lines().pop().expect("some");
-    assert_eq!((&*last.level, &*last.message, last.names()), ("INFO", "host stopped", vec![]));
+    assert_eq!(
+        (&*last.level, &*last.message, last.names()),
+        ("INFO", "host stopped", vec![])
+    );
 }
--- a/crates/platform-host/tests/support/mod.rs
+++ b/crates/platform-host/tests/support/mod.rs
@@ -37,7 +37,12 @@
 fn own_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id();
-    Ipv4Addr::new(127, 210 + (pid >> 8) as u8 % 40, pid as u8, NEXT.fetch_add(1, Ordering::Relaxed))
+    Ipv4Addr::new(
+        127,
+        210 + (pid >> 8) as u8 % 40,
+        pid as u8,
+        NEXT.fetch_add(1, Ordering::Relaxed),
+    )
 }
 
 pub fn listen() -> TcpListener {
@@ -58,7 +63,9 @@
     });
     let (socket, _) = accepted.expect("waited for");
     socket.set_nonblocking(false).expect("a socket");
-    socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+    socket
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a timeout");
     socket
 }
 
@@ -68,7 +75,9 @@
 }
 
 fn content_length(head: &str) -> usize {
-    let value = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+    let value = head
+        .lines()
+        .find_map(|line| line.strip_prefix("Content-Length: "));
     value.map_or(0, |value| value.parse().expect("a number"))
 }
 
@@ -118,7 +127,10 @@
     pub fn new() -> Self {
         let listener = listen();
         let address = listener.local_addr().expect("bound");
-        let (requests, answers) = (Arc::<Mutex<Vec<String>>>::default(), Arc::<Mutex<Vec<&str>>>::default());
+        let (requests, answers) = (
+            Arc::<Mutex<Vec<String>>>::default(),
+            Arc::<Mutex<Vec<&str>>>::default(),
+        );
         let (received, next) = (requests.clone(), answers.clone());
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
@@ -126,7 +138,11 @@
                 thread::spawn(move || serve(socket, &received, &next));
             }
         });
-        Node { address, requests, answers }
+        Node {
+            address,
+            requests,
+            answers,
+        }
     }
 
     pub fn answers_next(&self, answer: &'static str) {
@@ -135,7 +151,12 @@
 
     /// The requests received so far, with the value of `X-Timeout-Ms` in each replaced by `*`.
     pub fn requests(&self) -> Vec<String> {
-        self.requests.lock().expect("not poisoned").iter().map(|text| without_timeout(text)).collect()
+        self.requests
+            .lock()
+            .expect("not poisoned")
+            .iter()
+            .map(|text| without_timeout(text))
+            .collect()
     }
 
     pub fn entry(&self) -> String {
@@ -164,7 +185,8 @@
         }
         received.lock().expect("not poisoned").push(request);
         let set = next.lock().expect("not poisoned").pop();
-        let answer = set.unwrap_or("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Iops-Used: 3.5\r\n\r\ndata");
+        let answer =
+            set.unwrap_or("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Iops-Used: 3.5\r\n\r\ndata");
         if answer.is_empty() {
             continue;
         }
@@ -205,7 +227,10 @@
     pub fn line(&self, message: &str) -> LogLine {
         let mut found = None;
         wait_until(message, || {
-            found = self.lines().into_iter().find(|line| line.message == message);
+            found = self
+                .lines()
+                .into_iter()
+                .find(|line| line.message == message);
             found.is_some()
         });
         found.expect("waited for")
@@ -245,7 +270,11 @@
 
     fn event(&self, event: &Event<'_>) {
         let level = event.metadata().level().to_string();
-        let mut line = LogLine { level, message: String::new(), fields: Vec::new() };
+        let mut line = LogLine {
+            level,
+            message: String::new(),
+            fields: Vec::new(),
+        };
         event.record(&mut Fields(&mut line));
         self.0.lock().expect("not poisoned").push(line);
     }
@@ -287,7 +316,12 @@
             })
         });
         log.line("host started");
-        Host { address, log, thread, directory }
+        Host {
+            address,
+            log,
+            thread,
+            directory,
+        }
     }
 
     pub fn write_config(&self, text: &str) {
@@ -296,7 +330,9 @@
 
     pub fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).expect("the host listens");
-        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+        socket
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a timeout");
         socket.set_nodelay(true).expect("a socket");
         socket
     }
--- a/crates/platform-host/tests/wire.rs
+++ b/crates/platform-host/tests/wire.rs
@@ -54,7 +54,16 @@
         "Content-Type: text/plain\r\nIdempotency-Key: k-1\r\nContent-Length: 4",
     );
     let with_length = read("r-2").replace("hosts=1\r\n", "hosts=1\r\nContent-Length: 0\r\n");
-    assert_eq!(node.requests(), [with_all, write("w-2"), read("r-1"), with_length, write("w-3")]);
+    assert_eq!(
+        node.requests(),
+        [
+            with_all,
+            write("w-2"),
+            read("r-1"),
+            with_length,
+            write("w-3")
+        ]
+    );
 }
 
 #[test]
@@ -64,7 +73,8 @@
         let address = discovery.local_addr().expect("bound");
         let _host = Host::new(address, known);
         let since = if known.is_some() { "&since=41" } else { "" };
-        let request = format!("GET /v1/endpoints?follow=1{since} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+        let request =
+            format!("GET /v1/endpoints?follow=1{since} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         assert_eq!(read_message(&mut accept(&discovery)), request);
     }
 }
@@ -91,26 +101,61 @@
     let write = write_request("w");
     let put = |from: &str, to: &str| write.replace(from, to);
     let wrong = [
-        (put("/book/00", "/book/x/00"), 404, "Not Found", "no such path"),
-        (put("PUT", "DELETE"), 405, "Method Not Allowed", "method does not fit"),
-        (put("Class: book", "Class: look"), 400, "Bad Request", "no such class, or another one in the path"),
+        (
+            put("/book/00", "/book/x/00"),
+            404,
+            "Not Found",
+            "no such path",
+        ),
+        (
+            put("PUT", "DELETE"),
+            405,
+            "Method Not Allowed",
+            "method does not fit",
+        ),
+        (
+            put("Class: book", "Class: look"),
+            400,
+            "Bad Request",
+            "no such class, or another one in the path",
+        ),
         (put("gold", "lead"), 400, "Bad Request", "no such plan"),
-        (put("0000bb", "0000zz"), 400, "Bad Request", "volume and piece are 16 hex digits each"),
-        (put("Ms: 900", "Ms: 0"), 400, "Bad Request", "X-Timeout-Ms is a whole number above 0"),
+        (
+            put("0000bb", "0000zz"),
+            400,
+            "Bad Request",
+            "volume and piece are 16 hex digits each",
+        ),
+        (
+            put("Ms: 900", "Ms: 0"),
+            400,
+            "Bad Request",
+            "X-Timeout-Ms is a whole number above 0",
+        ),
         (
             put("X-Request-ID: w\r\n", ""),
             400,
             "Bad Request",
             "one X-Request-ID of 1 to 40 visible characters",
         ),
-        (put("units=1", "units=many"), 400, "Bad Request", "X-Placement is units=N,shard=N,hosts=N"),
+        (
+            put("units=1", "units=many"),
+            400,
+            "Bad Request",
+            "X-Placement is units=N,shard=N,hosts=N",
+        ),
         (
             read_request("r").replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"),
             400,
             "Bad Request",
             "a read has no body",
         ),
-        (put("Content-Length: 4\r\n\r\nbody", "\r\n"), 411, "Length Required", "a write states its length"),
+        (
+            put("Content-Length: 4\r\n\r\nbody", "\r\n"),
+            411,
+            "Length Required",
+            "a write states its length",
+        ),
     ];
     for (request, status, reason, body) in wrong {
         let len = body.len();
@@ -127,20 +172,36 @@
     let put = |to: &str| write.replace("Content-Length: 4", to);
     let wrong = [
         ("noise\r\n\r\n".to_owned(), 400, "Bad Request", "malformed"),
-        (put("Content-Length: 4\r\nContent-Length: 4"), 400, "Bad Request", "ambiguous framing"),
-        (put("Content-Length: 65537"), 413, "Content Too Large", "body too large"),
+        (
+            put("Content-Length: 4\r\nContent-Length: 4"),
+            400,
+            "Bad Request",
+            "ambiguous framing",
+        ),
+        (
+            put("Content-Length: 65537"),
+            413,
+            "Content Too Large",
+            "body too large",
+        ),
         (
             format!("GET /{} HTTP/1.1\r\n", "a".repeat(9_000)),
             431,
             "Request Header Fields Too Large",
             "head too large",
         ),
-        (put("Transfer-Encoding: gzip"), 501, "Not Implemented", "unsupported"),
+        (
+            put("Transfer-Encoding: gzip"),
+            501,
+            "Not Implemented",
+            "unsupported",
+        ),
     ];
     for (request, status, reason, body) in wrong {
         let len = body.len();
-        let answer =
-            format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {len}\r\nConnection: close\r\n\r\n{body}");
+        let answer = format!(
+            "HTTP/1.1 {status} {reason}\r\nContent-Length: {len}\r\nConnection: close\r\n\r\n{body}"
+        );
         assert_eq!(host.answer_and_close(&request), answer, "{request:.80}");
     }
     assert_eq!(node.requests(), [""; 0]);
@@ -159,8 +220,10 @@
 fn a_client_that_expects_it_gets_100_continue() {
     let (host, _node, _discovery) = host_with_node();
     let mut client = host.connect();
-    let request =
-        write_request("w").replace("Content-Length: 4", "Expect: 100-continue\r\nContent-Length: 4");
+    let request = write_request("w").replace(
+        "Content-Length: 4",
+        "Expect: 100-continue\r\nContent-Length: 4",
+    );
     let (head, body) = request.split_at(request.len() - 4);
     client.write_all(head.as_bytes()).expect("open");
     assert_eq!(read_message(&mut client), "HTTP/1.1 100 Continue\r\n\r\n");
@@ -183,7 +246,9 @@
     let (host, node, _discovery) = host_with_node();
     node.answers_next("");
     let mut first = host.connect();
-    first.write_all(write_request("same").as_bytes()).expect("open");
+    first
+        .write_all(write_request("same").as_bytes())
+        .expect("open");
     support::wait_until("the first is at its node", || node.requests().len() == 1);
     assert_eq!(
         host.answer(&write_request("same")),
@@ -195,13 +260,20 @@
 fn shed_responses_have_retry_after_and_failed_ones_do_not() {
     let (host, node, _discovery) = host_with_node();
     let elsewhere = write_request("w-1").replace("shard=0", "shard=7");
-    assert_eq!(host.answer(&elsewhere), format!("{SHED}Retry-After: 0.100\r\n\r\n"));
+    assert_eq!(
+        host.answer(&elsewhere),
+        format!("{SHED}Retry-After: 0.100\r\n\r\n")
+    );
     node.answers_next("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(host.answer(&write_request("w-2")), FAILED);
     node.answers_next("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n");
     assert_eq!(host.answer(&write_request("w-3")), FAILED);
     node.answers_next("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(host.answer(&write_request("w-4")), FAILED, "it does not say that it did not run it");
+    assert_eq!(
+        host.answer(&write_request("w-4")),
+        FAILED,
+        "it does not say that it did not run it"
+    );
     let sent = node.requests().len();
     node.answers_next("HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(host.answer(&write_request("w-5")), GOOD);
@@ -212,7 +284,10 @@
 fn requests_beyond_the_memory_limit_are_shed() {
     let (host, node, _discovery) = host_with_node();
     // A quarter of 16 MiB is for clients' bytes: 64 bodies of 64 KiB.
-    let head = write_request("w").replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65536\r\n\r\n");
+    let head = write_request("w").replace(
+        "Content-Length: 4\r\n\r\nbody",
+        "Content-Length: 65536\r\n\r\n",
+    );
     let part = head + &"x".repeat(65_535);
     let mut clients: Vec<_> = (0..70)
         .map(|_| {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -116,7 +116,10 @@
     }
 
     fn text(&mut self, object: &Value, field: &str) -> Option<String> {
-        let text = object[field].as_str().filter(|t| !t.is_empty()).map(str::to_owned);
+        let text = object[field]
+            .as_str()
+            .filter(|t| !t.is_empty())
+            .map(str::to_owned);
         self.require(field, text, "expected a text")
     }
 
@@ -127,13 +130,24 @@
 
     fn seed(&mut self, root: &Value) -> Option<u64> {
         let text = self.text(root, "seed")?;
-        self.require("seed", u64::from_str_radix(&text, 16).ok(), "expected up to 16 hex digits")
+        self.require(
+            "seed",
+            u64::from_str_radix(&text, 16).ok(),
+            "expected up to 16 hex digits",
+        )
     }
 
     /// A limit of the machine, cut to a whole number.
     fn limit(&mut self, root: &Value, field: &str, min: u64) -> Option<u64> {
-        let limit = root["limits"][field].as_f64().filter(|n| *n >= min as f64).map(|n| n as u64);
-        self.require(&format!("limits.{field}"), limit, &format!("expected {min} or more"))
+        let limit = root["limits"][field]
+            .as_f64()
+            .filter(|n| *n >= min as f64)
+            .map(|n| n as u64);
+        self.require(
+            &format!("limits.{field}"),
+            limit,
+            &format!("expected {min} or more"),
+        )
     }
 
     /// The cached list, which may be absent.
@@ -142,7 +156,8 @@
             return None;
         }
         let list = endpoints::from_json(value);
-        list.map_err(|error| self.reject("known", error.to_string())).ok()
+        list.map_err(|error| self.reject("known", error.to_string()))
+            .ok()
     }
 
     /// The settings, which need at least one I/O class and one plan here.
@@ -165,6 +180,10 @@
 
     /// The host's part in the membership, which may be absent.
     fn fleet(&mut self, value: &Value, host: &str) -> Option<FleetConfig> {
-        if value.is_null() { None } else { fleet::read(value, host, &mut self.errors) }
+        if value.is_null() {
+            None
+        } else {
+            fleet::read(value, host, &mut self.errors)
+        }
     }
 }
--- a/crates/platform/src/config/fleet.rs
+++ b/crates/platform/src/config/fleet.rs
@@ -4,7 +4,15 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-const FIELDS: [&str; 7] = ["name", "listen", "reached_at", "zone", "seeds", "period_ms", "keep_s"];
+const FIELDS: [&str; 7] = [
+    "name",
+    "listen",
+    "reached_at",
+    "zone",
+    "seeds",
+    "period_ms",
+    "keep_s",
+];
 
 /// Reads the object; what is wrong with it is added to `errors`.
 pub(super) fn read(value: &Value, host: &str, errors: &mut Vec<FieldError>) -> Option<FleetConfig> {
@@ -42,7 +50,10 @@
 }
 
 fn reject(errors: &mut Vec<FieldError>, field: &str, expected: &str) {
-    errors.push(FieldError::new(format!("fleet.{field}"), format!("expected {expected}")));
+    errors.push(FieldError::new(
+        format!("fleet.{field}"),
+        format!("expected {expected}"),
+    ));
 }
 
 /// An address, which may be absent.
@@ -58,7 +69,10 @@
 fn seeds(value: &Value, errors: &mut Vec<FieldError>) -> Vec<SocketAddr> {
     match value {
         Value::Null => Vec::new(),
-        Value::Array(all) => all.iter().filter_map(|seed| address("seeds", seed, errors)).collect(),
+        Value::Array(all) => all
+            .iter()
+            .filter_map(|seed| address("seeds", seed, errors))
+            .collect(),
         _ => {
             reject(errors, "seeds", "address:port");
             Vec::new()
@@ -67,7 +81,12 @@
 }
 
 /// A time in milliseconds, which may be absent. `unit_ms`: the milliseconds that 1 stands for in this field.
-fn duration(object: &Value, field: &str, unit_ms: u64, errors: &mut Vec<FieldError>) -> Option<u64> {
+fn duration(
+    object: &Value,
+    field: &str,
+    unit_ms: u64,
+    errors: &mut Vec<FieldError>,
+) -> Option<u64> {
     let value = &object[field];
     let number = value.as_u64();
     if number.is_none() && !value.is_null() {
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -164,7 +164,10 @@
     match values.next() {
         None => WatchFrame::Incomplete,
         Some(Err(error)) if error.is_eof() => WatchFrame::Incomplete,
-        Some(Err(error)) => WatchFrame::Corrupt { error: error.into(), closing: Vec::new() },
+        Some(Err(error)) => WatchFrame::Corrupt {
+            error: error.into(),
+            closing: Vec::new(),
+        },
         Some(Ok(value)) => parse_event(&value, values.byte_offset()),
     }
 }
@@ -173,15 +176,24 @@
     let event = WatchEvent::deserialize(value).map_err(EndpointListError::from);
     match event.and_then(WatchEvent::validated) {
         Ok(event) => WatchFrame::Event { event, len },
-        Err(error) => WatchFrame::Corrupt { error, closing: closing_endpoints(value) },
+        Err(error) => WatchFrame::Corrupt {
+            error,
+            closing: closing_endpoints(value),
+        },
     }
 }
 
 /// The endpoints of a rejected event that are draining or removed, each parsed by itself.
 fn closing_endpoints(event: &Value) -> Vec<Endpoint> {
-    let endpoints = event["hosts"].as_array().map_or(&[][..], Vec::as_slice).iter().take(MAX_ENDPOINTS);
+    let endpoints = event["hosts"]
+        .as_array()
+        .map_or(&[][..], Vec::as_slice)
+        .iter()
+        .take(MAX_ENDPOINTS);
     let parsed = endpoints.filter_map(|e| Endpoint::deserialize(e).ok());
-    parsed.filter(|e| e.health != Health::Ready && e.has_valid_name()).collect()
+    parsed
+        .filter(|e| e.health != Health::Ready && e.has_valid_name())
+        .collect()
 }
 
 /// Writes the request that opens a watch. `since`: the version of the list that this host has; without one the
@@ -192,5 +204,9 @@
 /// Never: writing to memory does not fail.
 pub fn write_watch_request(out: &mut Vec<u8>, discovery: SocketAddr, since: Option<u64>) {
     let since = since.map_or(String::new(), |version| format!("&since={version}"));
-    write!(out, "GET /v1/endpoints?follow=1{since} HTTP/1.1\r\nHost: {discovery}\r\n\r\n").expect(INFALLIBLE);
+    write!(
+        out,
+        "GET /v1/endpoints?follow=1{since} HTTP/1.1\r\nHost: {discovery}\r\n\r\n"
+    )
+    .expect(INFALLIBLE);
 }
--- a/crates/platform/src/field_error.rs
+++ b/crates/platform/src/field_error.rs
@@ -13,7 +13,10 @@
 
 impl FieldError {
     pub(crate) fn new(field: impl Into<String>, reason: impl Into<String>) -> Self {
-        FieldError { field: field.into(), reason: reason.into() }
+        FieldError {
+            field: field.into(),
+            reason: reason.into(),
+        }
     }
 }
 
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -3,7 +3,9 @@
 use crate::request::{BlockRequest, RequestId};
 use crate::settings::PlatformSettings;
 use mallowseam_scheduler::Interner;
-use mallowseam_scheduler::interface::{Bio, BioId, KeyId, NodeEndpoint, NodeId, NodeState, Tick, VolumeId};
+use mallowseam_scheduler::interface::{
+    Bio, BioId, KeyId, NodeEndpoint, NodeId, NodeState, Tick, VolumeId,
+};
 use std::collections::HashMap;
 use thiserror::Error;
 
@@ -131,18 +133,31 @@
     /// How many names are in use: nodes, volumes, data keys, requests in flight.
     #[must_use]
     pub fn counts(&self) -> [usize; 4] {
-        [self.nodes.len(), self.volumes.len(), self.keys.len(), self.in_flight.len()]
+        [
+            self.nodes.len(),
+            self.volumes.len(),
+            self.keys.len(),
+            self.in_flight.len(),
+        ]
     }
 }
 
 fn timeout(request: &BlockRequest, settings: &PlatformSettings) -> Tick {
     let timeout = request.timeout_ms as Tick * TICKS_PER_MS;
-    if settings.longest_deadline > 0 { timeout.min(settings.longest_deadline) } else { timeout }
+    if settings.longest_deadline > 0 {
+        timeout.min(settings.longest_deadline)
+    } else {
+        timeout
+    }
 }
 
 /// The index of an endpoint's zone. An endpoint in a zone that the settings do not name gets a zone of its own: nothing
 /// says that two such endpoints are in the same one.
 fn zone_index(endpoint: &Endpoint, node: NodeId, settings: &PlatformSettings) -> u32 {
     let own = settings.zone_names.len() + node.0 as usize;
-    settings.zone_names.iter().position(|z| *z == endpoint.zone).unwrap_or(own) as u32
+    settings
+        .zone_names
+        .iter()
+        .position(|z| *z == endpoint.zone)
+        .unwrap_or(own) as u32
 }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -39,10 +39,16 @@
     /// The id with this text, if it is valid.
     #[must_use]
     pub fn new(text: &str) -> Option<Self> {
-        let valid = (1..=MAX_ID_LEN).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+        let valid =
+            (1..=MAX_ID_LEN).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
         let mut bytes = [0; MAX_ID_LEN];
-        bytes.get_mut(..text.len())?.copy_from_slice(text.as_bytes());
-        valid.then_some(RequestId { bytes, len: text.len() as u8 })
+        bytes
+            .get_mut(..text.len())?
+            .copy_from_slice(text.as_bytes());
+        valid.then_some(RequestId {
+            bytes,
+            len: text.len() as u8,
+        })
     }
 
     /// Its text.
@@ -160,22 +166,31 @@
         };
     }
     let mut segments = path.split('/');
-    let (Some(class), Some(volume), Some(object), None) =
-        (segments.next(), segments.next(), segments.next(), segments.next())
-    else {
+    let (Some(class), Some(volume), Some(object), None) = (
+        segments.next(),
+        segments.next(),
+        segments.next(),
+        segments.next(),
+    ) else {
         return Err(RequestError::UnknownPath);
     };
     let id = required_header(head, "X-Request-ID", RequestError::InvalidRequestId)?;
     let id = RequestId::new(id).ok_or(RequestError::InvalidRequestId)?;
     let io_class = parse_class(head, class, settings)?;
     let plan = required_header(head, "X-Qos-Policy", RequestError::UnknownPlan)?;
-    let plan = settings.plan_names.iter().position(|p| p == plan).ok_or(RequestError::UnknownPlan)?;
-    let (volume, object) = parse_hex(volume).zip(parse_hex(object)).ok_or(RequestError::InvalidAddress)?;
+    let plan = settings
+        .plan_names
+        .iter()
+        .position(|p| p == plan)
+        .ok_or(RequestError::UnknownPlan)?;
+    let (volume, object) = parse_hex(volume)
+        .zip(parse_hex(object))
+        .ok_or(RequestError::InvalidAddress)?;
     check_method(head, body_len, settings.scheduler.classes[io_class].writes)?;
     let timeout_ms = parse_timeout(head)?;
     let placement = required_header(head, "X-Placement", RequestError::InvalidPlacement)?;
-    let placement =
-        Placement::parse(placement, settings.scheduler.max_io_units).ok_or(RequestError::InvalidPlacement)?;
+    let placement = Placement::parse(placement, settings.scheduler.max_io_units)
+        .ok_or(RequestError::InvalidPlacement)?;
     Ok(ClientRequest::BlockIo(BlockRequest {
         id,
         io_class: io_class as u16,
@@ -207,7 +222,11 @@
     if required_header(head, "X-Priority-Class", unknown)? != in_path {
         return Err(unknown);
     }
-    settings.class_names.iter().position(|class| class == in_path).ok_or(unknown)
+    settings
+        .class_names
+        .iter()
+        .position(|class| class == in_path)
+        .ok_or(unknown)
 }
 
 /// Writes of a class that writes are `PUT` with a declared body, all others `GET` without one.
@@ -237,7 +256,10 @@
 
 /// Digits alone; `FromStr` would accept a sign.
 fn parse_integer<N: FromStr>(text: &str) -> Option<N> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 /// The value of `X-Placement`.
@@ -267,7 +289,11 @@
         }
         let (units, shard, host_count) = (f64::from(units?), shard?, host_count?);
         let valid = units >= 1.0 && (max_units <= 0.0 || units <= max_units) && host_count >= 1;
-        valid.then_some(Placement { units, shard, host_count })
+        valid.then_some(Placement {
+            units,
+            shard,
+            host_count,
+        })
     }
 }
 
@@ -279,7 +305,11 @@
 /// Never: writing to memory does not fail.
 pub fn write_forwarded(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], timeout_ms: u64) {
     let (method, target) = (head.method, head.target);
-    write!(out, "{method} {target} HTTP/1.1\r\n{TIMEOUT_LINE}{timeout_ms}\r\n").expect(INFALLIBLE);
+    write!(
+        out,
+        "{method} {target} HTTP/1.1\r\n{TIMEOUT_LINE}{timeout_ms}\r\n"
+    )
+    .expect(INFALLIBLE);
     for name in FORWARDED_HEADERS {
         if let Ok(Some(value)) = head.headers.single(name) {
             write!(out, "{name}: {value}\r\n").expect(INFALLIBLE);
@@ -295,10 +325,20 @@
 /// Replaces the timeout in a request that `write_forwarded` wrote and that has not been sent yet, since some of it has
 /// passed by now.
 pub fn rewrite_timeout(out: &mut Vec<u8>, timeout_ms: u64) {
-    let line_end = |start: usize| out[start..].windows(2).position(|w| w == b"\r\n").map(|i| start + i);
-    let Some(start) = line_end(0).map(|end| end + 2) else { return };
+    let line_end = |start: usize| {
+        out[start..]
+            .windows(2)
+            .position(|w| w == b"\r\n")
+            .map(|i| start + i)
+    };
+    let Some(start) = line_end(0).map(|end| end + 2) else {
+        return;
+    };
     let is_timeout = out[start..].starts_with(TIMEOUT_LINE.as_bytes());
     if let Some(end) = line_end(start).filter(|_| is_timeout) {
-        drop(out.splice(start + TIMEOUT_LINE.len()..end, timeout_ms.to_string().into_bytes()));
+        drop(out.splice(
+            start + TIMEOUT_LINE.len()..end,
+            timeout_ms.to_string().into_bytes(),
+        ));
     }
 }
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -28,7 +28,10 @@
 /// never ran. A figure that can't be read counts as absent: the response as such is valid.
 #[must_use]
 pub fn parse(head: &ResponseHead) -> NodeResponse {
-    let not_processed = head.headers.single("X-Not-Processed").is_ok_and(|v| v == Some("1"));
+    let not_processed = head
+        .headers
+        .single("X-Not-Processed")
+        .is_ok_and(|v| v == Some("1"));
     let result = match head.status {
         200 => AttemptResult::Completed,
         503 | 504 if not_processed => AttemptResult::Rejected,
@@ -43,13 +46,20 @@
 }
 
 fn figure(head: &ResponseHead, name: &str) -> f64 {
-    let value = head.headers.single(name).ok().flatten().and_then(|v| v.parse::<f64>().ok());
+    let value = head
+        .headers
+        .single(name)
+        .ok()
+        .flatten()
+        .and_then(|v| v.parse::<f64>().ok());
     value.filter(|v| is_figure(*v)).unwrap_or(0.0)
 }
 
 fn load_report(head: &ResponseHead) -> LoadReport {
     let text = head.headers.single("X-Server-Load").ok().flatten();
-    let value = text.and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok()).unwrap_or_default();
+    let value = text
+        .and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok())
+        .unwrap_or_default();
     let figure = |name: &str| value[name].as_f64().filter(|v| is_figure(*v));
     LoadReport {
         backlog: figure("backlog"),
@@ -70,9 +80,19 @@
 /// # Panics
 ///
 /// Never: writing to memory does not fail.
-pub fn write_head(out: &mut Vec<u8>, status: u16, body_len: usize, retry_after_ms: u64, close: bool) {
+pub fn write_head(
+    out: &mut Vec<u8>,
+    status: u16,
+    body_len: usize,
+    retry_after_ms: u64,
+    close: bool,
+) {
     let reason = reason_phrase(status);
-    write!(out, "HTTP/1.1 {status} {reason}\r\nContent-Length: {body_len}\r\n").expect(INFALLIBLE);
+    write!(
+        out,
+        "HTTP/1.1 {status} {reason}\r\nContent-Length: {body_len}\r\n"
+    )
+    .expect(INFALLIBLE);
     if retry_after_ms > 0 {
         let (seconds, millis) = (retry_after_ms / 1000, retry_after_ms % 1000);
         write!(out, "Retry-After: {seconds}.{millis:03}\r\n").expect(INFALLIBLE);
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -45,8 +45,8 @@
 ///
 /// The text is not a JSON object, or fields of it are missing or invalid.
 pub fn parse(text: &str) -> Result<PlatformSettings, SettingsError> {
-    let value: Value =
-        serde_json::from_str(text).map_err(|e| not_an_object(&format!("expected a JSON object ({e})")))?;
+    let value: Value = serde_json::from_str(text)
+        .map_err(|e| not_an_object(&format!("expected a JSON object ({e})")))?;
     from_json(&value)
 }
 
@@ -67,7 +67,10 @@
     let endpoints_polled =
         reader.choice(&root, "registry_mode", &["on_request", "pushed"]) == Some("on_request");
     let rules = root.object("rules");
-    reader.all_or_none(&rules, &["cold_from", "cold_us", "fall_multiple", "fall_us"]);
+    reader.all_or_none(
+        &rules,
+        &["cold_from", "cold_us", "fall_multiple", "fall_us"],
+    );
     reader.all_or_none(&rules, &["extra_ratio", "look_back_us"]);
     let scheduler = SchedulerConfig {
         classes: classes.configs,
@@ -75,7 +78,10 @@
         ..read_scheduler(&mut reader, &root, endpoints_polled)
     };
     let limits = root.object("limits");
-    let zones = array(value, "localities").iter().filter_map(|z| z.as_str().map(str::to_owned)).collect();
+    let zones = array(value, "localities")
+        .iter()
+        .filter_map(|z| z.as_str().map(str::to_owned))
+        .collect();
     let settings = PlatformSettings {
         scheduler,
         class_names: classes.names,
@@ -87,7 +93,11 @@
         longest_deadline: classes.longest_deadline,
     };
     let errors = reader.into_errors();
-    if errors.is_empty() { Ok(settings) } else { Err(SettingsError(errors)) }
+    if errors.is_empty() {
+        Ok(settings)
+    } else {
+        Err(SettingsError(errors))
+    }
 }
 
 fn not_an_object(reason: &str) -> SettingsError {
@@ -127,7 +137,10 @@
     let writes = array(&root.value["extra"], "class_writes");
     let mut classes = Classes::default();
     for (i, value) in array(root.value, "profiles").iter().enumerate() {
-        let class = Object { value, path: format!("profiles[{i}].") };
+        let class = Object {
+            value,
+            path: format!("profiles[{i}]."),
+        };
         reader.unique_name(&class, &mut classes.names);
         let writes = writes.get(i).and_then(Value::as_bool).unwrap_or(false);
         classes.configs.push(read_class(reader, &class, writes));
@@ -174,7 +187,10 @@
 fn read_plans(reader: &mut Reader, root: &Object) -> Plans {
     let mut plans = Plans::default();
     for (i, value) in array(root.value, "service_levels").iter().enumerate() {
-        let plan = Object { value, path: format!("service_levels[{i}].") };
+        let plan = Object {
+            value,
+            path: format!("service_levels[{i}]."),
+        };
         reader.unique_name(&plan, &mut plans.names);
         plans.configs.push(read_plan(reader, &plan));
     }
@@ -202,7 +218,11 @@
 
 /// The scheduler's configuration without classes and plans, field by field.
 fn read_scheduler(reader: &mut Reader, root: &Object, endpoints_polled: bool) -> SchedulerConfig {
-    let (extra, limits, rules) = (root.object("extra"), root.object("limits"), root.object("rules"));
+    let (extra, limits, rules) = (
+        root.object("extra"),
+        root.object("limits"),
+        root.object("rules"),
+    );
     SchedulerConfig {
         hosts: reader.positive(root, "balancers") as u32,
         mean_io_units: reader.number(&extra, "mean_units"),
--- a/crates/platform/src/settings/reader.rs
+++ b/crates/platform/src/settings/reader.rs
@@ -12,12 +12,18 @@
 
 impl<'a> Object<'a> {
     pub(super) fn root(value: &'a Value) -> Self {
-        Object { value, path: String::new() }
+        Object {
+            value,
+            path: String::new(),
+        }
     }
 
     /// An object inside this one; empty if it is absent.
     pub(super) fn object(&self, key: &str) -> Object<'a> {
-        Object { value: &self.value[key], path: format!("{}{key}.", self.path) }
+        Object {
+            value: &self.value[key],
+            path: format!("{}{key}.", self.path),
+        }
     }
 
     fn field(&self, key: &str) -> String {
@@ -39,7 +45,10 @@
 
     /// Notes that a field should be something else.
     pub(super) fn reject(&mut self, object: &Object, key: &str, expected: &str) {
-        self.errors.push(FieldError::new(object.field(key), format!("expected {expected}")));
+        self.errors.push(FieldError::new(
+            object.field(key),
+            format!("expected {expected}"),
+        ));
     }
 
     /// A number of 0 or more.
@@ -85,7 +94,12 @@
     }
 
     /// One of several words, or none.
-    pub(super) fn choice<'a>(&mut self, object: &Object<'a>, key: &str, choices: &[&str]) -> Option<&'a str> {
+    pub(super) fn choice<'a>(
+        &mut self,
+        object: &Object<'a>,
+        key: &str,
+        choices: &[&str],
+    ) -> Option<&'a str> {
         let value = &object.value[key];
         let found = value.as_str().filter(|w| choices.contains(w));
         if found.is_none() && !value.is_null() {
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -4,7 +4,10 @@
 use mallowseam_platform::request::{self, BlockRequest, ClientRequest, RequestError};
 use mallowseam_platform::settings::{self, PlatformSettings};
 
-pub const LIMITS: Limits = Limits { head: 8192, body: 65536 };
+pub const LIMITS: Limits = Limits {
+    head: 8192,
+    body: 65536,
+};
 
 /// Two I/O classes, one plan.
 pub const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a"],
@@ -36,7 +39,9 @@
 }
 
 pub fn parse(text: &str) -> Result<ClientRequest, RequestError> {
-    let head = RequestHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete");
+    let head = RequestHead::parse(text.as_bytes(), LIMITS)
+        .expect("valid")
+        .expect("complete");
     request::parse(&head, text.len() - head.len, &settings())
 }
 
--- a/crates/platform/tests/configurations.rs
+++ b/crates/platform/tests/configurations.rs
@@ -9,7 +9,11 @@
 fn all_invalid_fields_are_reported_at_once() {
     let valid = config::parse(&config_text()).expect("valid");
     assert_eq!(
-        (valid.seed, valid.max_sockets, valid.cached_list.map(|k| k.version)),
+        (
+            valid.seed,
+            valid.max_sockets,
+            valid.cached_list.map(|k| k.version)
+        ),
         (0x8c1f_30d2_7a5b_e964, 256, Some(41))
     );
     let bad = config_text()
@@ -20,25 +24,48 @@
         .replace("at_most_once", "often");
     let errors = config::parse(&bad).expect_err("five errors").to_string();
     for field in ["listen", "limits.sockets", "seed", "known", "settings"] {
-        assert!(errors.lines().any(|l| l.starts_with(field)), "{field} in {errors}");
+        assert!(
+            errors.lines().any(|l| l.starts_with(field)),
+            "{field} in {errors}"
+        );
     }
-    assert!(config::parse("").is_err() && config::parse("{}").is_err() && config::parse("[1]").is_err());
+    assert!(
+        config::parse("").is_err() && config::parse("{}").is_err() && config::parse("[1]").is_err()
+    );
 }
 
 #[test]
 fn fleet_object_is_optional_and_reports_all_its_errors() {
     assert_eq!(config::parse(&config_text()).expect("valid").fleet, None);
-    let with = |fleet: &str| config_text().replace("\"known\"", &format!("\"fleet\":{fleet},\"known\""));
+    let with =
+        |fleet: &str| config_text().replace("\"known\"", &format!("\"fleet\":{fleet},\"known\""));
     let valid = with(
         r#"{"name":"south","listen":"127.0.0.4:7000","seeds":["127.0.0.5:7000"],"zone":"z1","period_ms":500}"#,
     );
-    let fleet = config::parse(&valid).expect("valid").fleet.expect("present");
-    assert_eq!((fleet.membership.name.as_str(), fleet.membership.protocol_period), ("n3", 500));
-    assert_eq!(fleet.membership.address, fleet.listen, "advertises the address that it listens on");
+    let fleet = config::parse(&valid)
+        .expect("valid")
+        .fleet
+        .expect("present");
+    assert_eq!(
+        (
+            fleet.membership.name.as_str(),
+            fleet.membership.protocol_period
+        ),
+        ("n3", 500)
+    );
+    assert_eq!(
+        fleet.membership.address, fleet.listen,
+        "advertises the address that it listens on"
+    );
     let bad = r#"{"name":"","listen":"0.0.0.0:7000","seeds":["x"],"zone":"a zone of far more than its bytes","period_ms":3,"keep":1}"#;
     let errors = config::parse(&with(bad)).expect_err("errors").to_string();
     for field in ["name", "reached_at", "seeds", "zone", "period", "keep"] {
-        assert!(errors.lines().any(|l| l.starts_with(&format!("fleet.{field}"))), "{field} in {errors}");
+        assert!(
+            errors
+                .lines()
+                .any(|l| l.starts_with(&format!("fleet.{field}"))),
+            "{field} in {errors}"
+        );
     }
 }
 
--- a/crates/platform/tests/endpoint_lists.rs
+++ b/crates/platform/tests/endpoint_lists.rs
@@ -6,8 +6,9 @@
 
 #[test]
 fn list_is_accepted_as_a_whole_or_not_at_all() {
-    let event =
-        |entry: &str| endpoints::parse(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes());
+    let event = |entry: &str| {
+        endpoints::parse(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes())
+    };
     let valid = event(ENDPOINT).expect("valid");
     assert_eq!((valid.version, valid.endpoints[0].shard), (4, 3));
     for bad in [
@@ -16,10 +17,15 @@
         ENDPOINT.replace("\"block\":3", "\"block\":-3"),
         ENDPOINT.replace("s-1", ""),
         ENDPOINT.replace("s-1", &"x".repeat(500)),
-        format!("{ENDPOINT},{}", ENDPOINT.replace("born_ms\":5", "born_ms\":\"x\"")),
+        format!(
+            "{ENDPOINT},{}",
+            ENDPOINT.replace("born_ms\":5", "born_ms\":\"x\"")
+        ),
         vec![ENDPOINT; 5_000].join(","),
     ] {
         assert!(event(&bad).is_err(), "{bad:.80}");
     }
-    assert!(endpoints::parse(b"{\"seq\":4,\"whole\":tr").is_err() && endpoints::parse(b"[]").is_err());
+    assert!(
+        endpoints::parse(b"{\"seq\":4,\"whole\":tr").is_err() && endpoints::parse(b"[]").is_err()
+    );
 }
--- a/crates/platform/tests/interner.rs
+++ b/crates/platform/tests/interner.rs
@@ -14,10 +14,22 @@
         let entry = ENDPOINT.replace("s-1", &format!("s-{n}"));
         entry.replace("\"site\":\"a\"", &format!("\"site\":\"{zone}\""))
     };
-    let all = [node(1, "a"), node(2, "a"), node(3, "x"), node(4, "x"), node(5, "y"), node(6, "")].join(",");
+    let all = [
+        node(1, "a"),
+        node(2, "a"),
+        node(3, "x"),
+        node(4, "x"),
+        node(5, "y"),
+        node(6, ""),
+    ]
+    .join(",");
     let text = format!(r#"{{"seq":1,"whole":true,"hosts":[{all}]}}"#);
     let mut nodes = Vec::new();
-    names.intern_endpoints(&endpoints::parse(text.as_bytes()).expect("valid"), &settings(), &mut nodes);
+    names.intern_endpoints(
+        &endpoints::parse(text.as_bytes()).expect("valid"),
+        &settings(),
+        &mut nodes,
+    );
     let mut zones: Vec<u32> = nodes.iter().map(|l| l.zone).collect();
     assert_eq!(zones[0], zones[1]);
     zones.dedup();
@@ -31,30 +43,57 @@
     let mut names = NameInterner::default();
     let gone = ENDPOINT.replace("ready", "gone");
     let event =
-        endpoints::parse(format!(r#"{{"seq":1,"whole":false,"hosts":[{gone}]}}"#).as_bytes()).expect("valid");
+        endpoints::parse(format!(r#"{{"seq":1,"whole":false,"hosts":[{gone}]}}"#).as_bytes())
+            .expect("valid");
     let mut nodes = Vec::new();
     names.intern_endpoints(&event, &settings(), &mut nodes);
     assert!(nodes.is_empty() && names.counts()[0] == 0);
-    let event = endpoints::parse(format!(r#"{{"seq":1,"whole":true,"hosts":[{ENDPOINT}]}}"#).as_bytes())
-        .expect("valid");
+    let event =
+        endpoints::parse(format!(r#"{{"seq":1,"whole":true,"hosts":[{ENDPOINT}]}}"#).as_bytes())
+            .expect("valid");
     names.intern_endpoints(&event, &settings(), &mut nodes);
-    assert_eq!((nodes[0].started_at, nodes[0].state), (50, NodeState::Active));
+    assert_eq!(
+        (nodes[0].started_at, nodes[0].state),
+        (50, NodeState::Active)
+    );
 }
 
 #[test]
 fn request_id_in_flight_is_rejected_until_released() {
     let (mut names, b) = (NameInterner::default(), block_request());
-    let bio = names.intern_request(BioId(0), &b, 1_000, &settings()).expect("new");
+    let bio = names
+        .intern_request(BioId(0), &b, 1_000, &settings())
+        .expect("new");
     assert_eq!(bio.deadline, 1_000 + 4_800);
-    assert!(names.intern_request(BioId(1), &b, 1_000, &settings()).is_err());
+    assert!(
+        names
+            .intern_request(BioId(1), &b, 1_000, &settings())
+            .is_err()
+    );
     names.release_request(&b.id);
-    assert!(names.intern_request(BioId(1), &b, 1_000, &settings()).is_ok());
+    assert!(
+        names
+            .intern_request(BioId(1), &b, 1_000, &settings())
+            .is_ok()
+    );
 }
 
 #[test]
 fn client_timeout_is_capped_at_the_longest_deadline() {
-    let (mut names, b) = (NameInterner::default(), BlockRequest { timeout_ms: 3_600_000, ..block_request() });
-    assert_eq!(names.intern_request(BioId(0), &b, 0, &settings()).expect("new").deadline, 20_000);
+    let (mut names, b) = (
+        NameInterner::default(),
+        BlockRequest {
+            timeout_ms: 3_600_000,
+            ..block_request()
+        },
+    );
+    assert_eq!(
+        names
+            .intern_request(BioId(0), &b, 0, &settings())
+            .expect("new")
+            .deadline,
+        20_000
+    );
 }
 
 #[test]
@@ -62,8 +101,14 @@
     let (mut names, mut b) = (NameInterner::default(), block_request());
     for n in 0..100_000u64 {
         (b.id, b.volume, b.object) = (RequestId::new(&format!("{n:x}")).expect("fits"), n, n);
-        let bio = names.intern_request(BioId(0), &b, 0, &settings()).expect("new");
-        assert_eq!((bio.volume, bio.key), (VolumeId(0), Some(KeyId(0))), "indices are reused");
+        let bio = names
+            .intern_request(BioId(0), &b, 0, &settings())
+            .expect("new");
+        assert_eq!(
+            (bio.volume, bio.key),
+            (VolumeId(0), Some(KeyId(0))),
+            "indices are reused"
+        );
         names.release_request(&b.id);
         names.release_key(KeyId(0));
         names.release_volume(VolumeId(0));
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -14,11 +14,15 @@
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 
-const LIMITS: Limits = Limits { head: 8192, body: 65536 };
+const LIMITS: Limits = Limits {
+    head: 8192,
+    body: 65536,
+};
 
 /// A text without the names of types, which serde puts into its messages.
 fn without_types(text: &str) -> String {
-    text.replace("struct WatchEvent", "struct LIST").replace("struct Endpoint", "struct ENTRY")
+    text.replace("struct WatchEvent", "struct LIST")
+        .replace("struct Endpoint", "struct ENTRY")
 }
 
 /// Compares with the text that was recorded.
@@ -29,7 +33,12 @@
     for (line, (a, b)) in recorded.lines().zip(found.lines()).enumerate() {
         assert_eq!(a, b, "{name}, line {}", line + 1);
     }
-    assert!(recorded == *found, "{name}: {} bytes recorded, {} found", recorded.len(), found.len());
+    assert!(
+        recorded == *found,
+        "{name}: {} bytes recorded, {} found",
+        recorded.len(),
+        found.len()
+    );
 }
 
 /// Seeded random choices by index.
@@ -61,7 +70,9 @@
 }
 
 fn request_head(text: &str) -> RequestHead<'_> {
-    RequestHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete")
+    RequestHead::parse(text.as_bytes(), LIMITS)
+        .expect("valid")
+        .expect("complete")
 }
 
 const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a", "b"],
@@ -79,12 +90,22 @@
 #[test]
 fn response_bytes() {
     let mut found = String::new();
-    for (name, status) in [("shed", response::SHED_STATUS), ("failed", response::FAILED_STATUS)] {
+    for (name, status) in [
+        ("shed", response::SHED_STATUS),
+        ("failed", response::FAILED_STATUS),
+    ] {
         writeln!(found, "{name}: {status}").expect("memory");
     }
     writeln!(found, "continue: {}", bytes(response::CONTINUE)).expect("memory");
-    for status in [200, 204, 400, 404, 405, 408, 409, 411, 413, 429, 431, 500, 501, 502, 503, 504] {
-        for (body, come_back, close) in [(0, 0, false), (65_536, 0, true), (5, 1, false), (9, 61_234, true)] {
+    for status in [
+        200, 204, 400, 404, 405, 408, 409, 411, 413, 429, 431, 500, 501, 502, 503, 504,
+    ] {
+        for (body, come_back, close) in [
+            (0, 0, false),
+            (65_536, 0, true),
+            (5, 1, false),
+            (9, 61_234, true),
+        ] {
             let mut out = Vec::from(&b"ahead "[..]);
             response::write_head(&mut out, status, body, come_back, close);
             writeln!(found, "{}", bytes(&out)).expect("memory");
@@ -106,13 +127,17 @@
     let target = "/book/00000003b4d60021/7f3a9c21e0b4d655";
     let sent = [
         format!("PUT {target} HTTP/1.1\r\n{headers}Content-Length: 5\r\n{placement}\r\n"),
-        format!("PUT {target}?a=%20b HTTP/1.1\r\n{headers}Transfer-Encoding: chunked\r\n{placement}\r\n"),
+        format!(
+            "PUT {target}?a=%20b HTTP/1.1\r\n{headers}Transfer-Encoding: chunked\r\n{placement}\r\n"
+        ),
         format!("PUT {target} HTTP/1.1\r\n{headers}Content-Length: 0\r\n\r\n"),
         format!(
             "PUT {target} HTTP/1.1\r\nCONTENT-TYPE:  a/b ; c \r\nidempotency-key: cd869d0740eecfe7\r\n{headers}\
              Content-Length: 5\r\nX-Retried: 1\r\nX-Other: 1\r\nExpect: 100-continue\r\n{placement}\r\n"
         ),
-        format!("PUT {target} HTTP/1.1\r\n{headers}X-Qos-Policy: gold\r\nContent-Length: 5\r\n\r\n"),
+        format!(
+            "PUT {target} HTTP/1.1\r\n{headers}X-Qos-Policy: gold\r\nContent-Length: 5\r\n\r\n"
+        ),
         format!("GET /look/0/1?x HTTP/1.1\r\n{headers}{placement}Connection: close\r\n\r\n"),
         "GET /look HTTP/1.0\r\n\r\n".to_owned(),
     ];
@@ -128,16 +153,24 @@
             writeln!(found, "then: {}", bytes(&out)).expect("memory");
         }
     }
-    for text in
-        ["", "no line", "GET / HTTP/1.1\r\n", "GET / HTTP/1.1\r\nHost: s\r\n\r\n", "a\r\nX-Timeout-Ms: 9"]
-    {
+    for text in [
+        "",
+        "no line",
+        "GET / HTTP/1.1\r\n",
+        "GET / HTTP/1.1\r\nHost: s\r\n\r\n",
+        "a\r\nX-Timeout-Ms: 9",
+    ] {
         let mut out = text.as_bytes().to_vec();
         request::rewrite_timeout(&mut out, 5);
         writeln!(found, "wait in {}: {}", bytes(text.as_bytes()), bytes(&out)).expect("memory");
     }
     for since in [None, Some(0), Some(41), Some(u64::MAX)] {
         let mut out = Vec::new();
-        endpoints::write_watch_request(&mut out, "127.2.0.1:8500".parse().expect("an address"), since);
+        endpoints::write_watch_request(
+            &mut out,
+            "127.2.0.1:8500".parse().expect("an address"),
+            since,
+        );
         writeln!(found, "{}", bytes(&out)).expect("memory");
     }
     pinned("requests_written.txt", &found);
@@ -161,9 +194,15 @@
     let mut found = String::new();
     let mut record = |lines: &str| {
         let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
-        let head = ResponseHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete");
+        let head = ResponseHead::parse(text.as_bytes(), LIMITS)
+            .expect("valid")
+            .expect("complete");
         let response = response::parse(&head);
-        let LoadReport { backlog, service_time_ms, utilization } = response.load_report;
+        let LoadReport {
+            backlog,
+            service_time_ms,
+            utilization,
+        } = response.load_report;
         writeln!(
             found,
             "{}: {} used {} by others {} waiting {backlog:?} service {service_time_ms:?} busy {utilization:?}",
@@ -174,7 +213,9 @@
         )
         .expect("memory");
     };
-    for status in [100, 200, 201, 204, 304, 400, 404, 409, 429, 500, 502, 503, 504, 505, 599] {
+    for status in [
+        100, 200, 201, 204, 304, 400, 404, 409, 429, 500, 502, 503, 504, 505, 599,
+    ] {
         record(&format!("{status} X"));
         record(&format!("{status} X\r\nX-Not-Processed: 1"));
     }
@@ -229,7 +270,12 @@
 
 fn show_event(n: &WatchEvent) -> String {
     let entries: Vec<String> = n.endpoints.iter().map(show_endpoint).collect();
-    format!("seq {} whole {} {}", n.version, n.full_snapshot, entries.concat())
+    format!(
+        "seq {} whole {} {}",
+        n.version,
+        n.full_snapshot,
+        entries.concat()
+    )
 }
 
 fn show_frame(text: &[u8]) -> String {
@@ -246,10 +292,12 @@
 
 const ENTRY: &str = r#"{"host":"s-1","dial":"10.1.0.18:8443","site":"a","class":"m","block":3,"health":"ready","share":1.0,"born_ms":5}"#;
 const BARE: &str = r#"{"host":"s-2","dial":"[::1]:1","block":0,"health":"draining"}"#;
-const GONE: &str = r#"{"host":"s-3","dial":"1.2.3.4:5","block":4294967295,"health":"gone","born_ms":-7}"#;
+const GONE: &str =
+    r#"{"host":"s-3","dial":"1.2.3.4:5","block":4294967295,"health":"gone","born_ms":-7}"#;
 
 fn lists() -> Vec<(&'static str, String)> {
-    let of = |whole: bool, entries: &str| format!(r#"{{"seq":41,"whole":{whole},"hosts":[{entries}]}}"#);
+    let of =
+        |whole: bool, entries: &str| format!(r#"{{"seq":41,"whole":{whole},"hosts":[{entries}]}}"#);
     let all = [ENTRY, BARE, GONE].join(",");
     let many = |count: usize| {
         let entries: Vec<String> = (0..count)
@@ -258,9 +306,15 @@
         of(true, &entries.join(","))
     };
     let named = |len: usize| of(true, &ENTRY.replace("s-1", &"x".repeat(len)));
-    let indented =
-        serde_json::to_string_pretty(&serde_json::from_str::<Value>(&of(true, &all)).expect("valid"));
-    let closing = |bad: &str| of(false, &[bad, BARE, GONE, &BARE.replace("s-2", "")].join(","));
+    let indented = serde_json::to_string_pretty(
+        &serde_json::from_str::<Value>(&of(true, &all)).expect("valid"),
+    );
+    let closing = |bad: &str| {
+        of(
+            false,
+            &[bad, BARE, GONE, &BARE.replace("s-2", "")].join(","),
+        )
+    };
     vec![
         ("full", of(true, &all)),
         ("incremental", of(false, &all)),
@@ -271,16 +325,34 @@
         ("a name of 128", named(128)),
         ("a name of 129", named(129)),
         ("no name", named(0)),
-        ("a health that is unknown", closing(&ENTRY.replace("ready", "asleep"))),
+        (
+            "a health that is unknown",
+            closing(&ENTRY.replace("ready", "asleep")),
+        ),
         ("a dial without port", closing(&ENTRY.replace(":8443", ""))),
-        ("a block below 0", closing(&ENTRY.replace("\"block\":3", "\"block\":-3"))),
-        ("a birth that is no figure", closing(&ENTRY.replace("born_ms\":5", "born_ms\":\"x\""))),
+        (
+            "a block below 0",
+            closing(&ENTRY.replace("\"block\":3", "\"block\":-3")),
+        ),
+        (
+            "a birth that is no figure",
+            closing(&ENTRY.replace("born_ms\":5", "born_ms\":\"x\"")),
+        ),
         ("no host", closing(&ENTRY.replace("\"host\"", "\"hose\""))),
-        ("no health", closing(&ENTRY.replace("\"health\"", "\"heal\""))),
+        (
+            "no health",
+            closing(&ENTRY.replace("\"health\"", "\"heal\"")),
+        ),
         ("no seq", of(true, ENTRY).replace("\"seq\"", "\"sequ\"")),
         ("no whole", of(true, ENTRY).replace("\"whole\"", "\"hole\"")),
-        ("no hosts", of(true, ENTRY).replace("\"hosts\"", "\"guests\"")),
-        ("hosts that are no list", r#"{"seq":1,"whole":true,"hosts":3}"#.into()),
+        (
+            "no hosts",
+            of(true, ENTRY).replace("\"hosts\"", "\"guests\""),
+        ),
+        (
+            "hosts that are no list",
+            r#"{"seq":1,"whole":true,"hosts":3}"#.into(),
+        ),
         ("an array", "[]".into()),
         ("an array of three", "[1,true,[]]".into()),
         ("a text", "\"x\"".into()),
@@ -294,7 +366,11 @@
 
 /// The front of a text, so much of it.
 fn truncated(text: String) -> String {
-    if text.len() <= 600 { text } else { format!("{}… {} bytes", &text[..200], text.len()) }
+    if text.len() <= 600 {
+        text
+    } else {
+        format!("{}… {} bytes", &text[..200], text.len())
+    }
 }
 
 #[test]
@@ -304,16 +380,31 @@
         let read = endpoints::parse(text.as_bytes())
             .map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
         writeln!(found, "{name}, read: {}", truncated(read)).expect("memory");
-        writeln!(found, "{name}, front: {}", truncated(show_frame(text.as_bytes()))).expect("memory");
+        writeln!(
+            found,
+            "{name}, front: {}",
+            truncated(show_frame(text.as_bytes()))
+        )
+        .expect("memory");
         if let Ok(value) = serde_json::from_str(&text) {
-            let of =
-                endpoints::from_json(value).map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
+            let of = endpoints::from_json(value)
+                .map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
             writeln!(found, "{name}, of: {}", truncated(of)).expect("memory");
         }
     }
-    for text in
-        [&b""[..], b"\n", b"\r\n", b" ", b" \n ", b"\n\n{", b"\xff", b"{\"seq\":\xff", b"nul", b"nulx", b"12"]
-    {
+    for text in [
+        &b""[..],
+        b"\n",
+        b"\r\n",
+        b" ",
+        b" \n ",
+        b"\n\n{",
+        b"\xff",
+        b"{\"seq\":\xff",
+        b"nul",
+        b"nulx",
+        b"12",
+    ] {
         writeln!(found, "front of {}: {}", bytes(text), show_frame(text)).expect("memory");
     }
     writeln!(found, "bytes: {}", endpoints::MAX_LIST_BYTES).expect("memory");
@@ -347,7 +438,8 @@
     let settings = small_settings();
     let mut names = NameInterner::default();
     let mut found = String::new();
-    let site = |entry: &str, site: &str| entry.replace("\"site\":\"a\"", &format!("\"site\":\"{site}\""));
+    let site =
+        |entry: &str, site: &str| entry.replace("\"site\":\"a\"", &format!("\"site\":\"{site}\""));
     let other = |name: &str, zone: &str| site(&ENTRY.replace("s-1", name), zone);
     let lines = [
         format!(
@@ -356,7 +448,10 @@
             other("s-5", "c"),
             GONE
         ),
-        format!(r#"{{"seq":2,"whole":false,"hosts":[{BARE},{}]}}"#, GONE.replace("s-3", "s-4")),
+        format!(
+            r#"{{"seq":2,"whole":false,"hosts":[{BARE},{}]}}"#,
+            GONE.replace("s-3", "s-4")
+        ),
         format!(
             r#"{{"seq":3,"whole":false,"hosts":[{},{}]}}"#,
             other("s-6", ""),
@@ -365,7 +460,11 @@
     ];
     let mut listed = Vec::new();
     for line in &lines {
-        names.intern_endpoints(&endpoints::parse(line.as_bytes()).expect("valid"), &settings, &mut listed);
+        names.intern_endpoints(
+            &endpoints::parse(line.as_bytes()).expect("valid"),
+            &settings,
+            &mut listed,
+        );
         for l in &listed {
             let state = match l.state {
                 NodeState::Active => "active",
@@ -373,12 +472,19 @@
                 NodeState::Removed => "left",
             };
             let id = l.node.0;
-            writeln!(found, "node {id} zone {} shard {} {state} up {}", l.zone, l.shard, l.started_at)
-                .expect("memory");
+            writeln!(
+                found,
+                "node {id} zone {} shard {} {state} up {}",
+                l.zone, l.shard, l.started_at
+            )
+            .expect("memory");
         }
         writeln!(found, "sizes {:?}", names.counts()).expect("memory");
     }
-    let (a, b) = (names.find_node(&"s-1".to_owned()), names.find_node(&"s-9".to_owned()));
+    let (a, b) = (
+        names.find_node(&"s-1".to_owned()),
+        names.find_node(&"s-9".to_owned()),
+    );
     writeln!(found, "s-1 {:?} s-9 {:?}", a.map(|n| n.0), b.map(|n| n.0)).expect("memory");
     pinned("lists_heard.txt", &found);
 }
@@ -395,7 +501,13 @@
         "X-Placement: units=2,shard=5,hosts=3",
         "Content-Length: 5",
     ];
-    let change = |l: &&str| if l.starts_with(prefix) { line.to_owned() } else { (*l).to_owned() };
+    let change = |l: &&str| {
+        if l.starts_with(prefix) {
+            line.to_owned()
+        } else {
+            (*l).to_owned()
+        }
+    };
     let all: Vec<String> = lines.iter().map(change).filter(|l| !l.is_empty()).collect();
     format!("{}\r\n\r\n", all.join("\r\n"))
 }
@@ -427,7 +539,13 @@
 fn changed_requests() -> Vec<(&'static str, String)> {
     let mut all: Vec<(&str, String)> = Vec::new();
     let mut with = |prefix: &'static str, line: &str| all.push((prefix, line.to_owned()));
-    for name in ["X-Request-ID", "X-Priority-Class", "X-Qos-Policy", "X-Timeout-Ms", "X-Placement"] {
+    for name in [
+        "X-Request-ID",
+        "X-Priority-Class",
+        "X-Qos-Policy",
+        "X-Timeout-Ms",
+        "X-Placement",
+    ] {
         with(name, "");
         with(name, "X-Nothing: 1");
         with(name, &format!("{name}:"));
@@ -513,24 +631,42 @@
 #[test]
 fn parsed_requests_and_their_errors() {
     let settings = small_settings();
-    let unbounded = settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("valid");
+    let unbounded =
+        settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("valid");
     let mut found = String::new();
     for (prefix, line) in changed_requests() {
         let text = request_with(prefix, &line);
         let shown = bytes(line.as_bytes());
-        writeln!(found, "{prefix} -> {shown}: {}", show_request(&text, 5, &settings)).expect("memory");
+        writeln!(
+            found,
+            "{prefix} -> {shown}: {}",
+            show_request(&text, 5, &settings)
+        )
+        .expect("memory");
     }
     let read = "GET /look/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: s\r\nX-Request-ID: a\r\n\
                 X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 9\r\n\
                 X-Placement: units=80,shard=-1,hosts=1\r\n\r\n";
     for body in [0, 1] {
-        writeln!(found, "a read of 80 units, body {body}: {}", show_request(read, body, &unbounded))
-            .expect("memory");
-        writeln!(found, "a read of 80 units, body {body}: {}", show_request(read, body, &settings))
-            .expect("memory");
+        writeln!(
+            found,
+            "a read of 80 units, body {body}: {}",
+            show_request(read, body, &unbounded)
+        )
+        .expect("memory");
+        writeln!(
+            found,
+            "a read of 80 units, body {body}: {}",
+            show_request(read, body, &settings)
+        )
+        .expect("memory");
         let put = read.replace("GET", "PUT").replace("units=80", "units=8");
-        writeln!(found, "a write of a class that reads: {}", show_request(&put, body, &settings))
-            .expect("memory");
+        writeln!(
+            found,
+            "a write of a class that reads: {}",
+            show_request(&put, body, &settings)
+        )
+        .expect("memory");
     }
     for wrong in [
         RequestError::UnknownPath,
@@ -559,7 +695,11 @@
             let place = rng.below(text.len());
             text[place] = b"05aX,=-/ :\r\n"[rng.below(12)];
         }
-        hash.add(&show_request(&String::from_utf8(text).expect("ASCII"), rng.below(2) * 5, &settings));
+        hash.add(&show_request(
+            &String::from_utf8(text).expect("ASCII"),
+            rng.below(2) * 5,
+            &settings,
+        ));
     }
     assert_eq!(hash.0.value(), HASHES[1], "{:#x}", hash.0.value());
 }
@@ -573,7 +713,11 @@
         ("\0", "", 0),
         ("\0", "", 5),
         ("X-Request", "X-Request-ID: b", 1_000),
-        ("PUT", "PUT /book/0000000000000001/7f3a9c21e0b4d655 HTTP/1.1\r\nX-A: b", 1_000),
+        (
+            "PUT",
+            "PUT /book/0000000000000001/7f3a9c21e0b4d655 HTTP/1.1\r\nX-A: b",
+            1_000,
+        ),
     ];
     for (ids, (prefix, line, now)) in (0..).zip(requests) {
         let mut text = request_with(prefix, line);
@@ -608,15 +752,23 @@
     for volume in 0..5_000u64 {
         let text = request_with("\0", "").replace("00000003b4d60021", &format!("{volume:016x}"));
         let text = text.replace("9b1f", &format!("v{volume}"));
-        let Ok(ClientRequest::BlockIo(block)) = request::parse(&request_head(&text), 5, &settings) else {
+        let Ok(ClientRequest::BlockIo(block)) = request::parse(&request_head(&text), 5, &settings)
+        else {
             panic!("valid")
         };
         took += u32::from(names.intern_request(BioId(9), &block, 0, &settings).is_ok());
     }
     writeln!(found, "volumes taken {took}, sizes {:?}", names.counts()).expect("memory");
     let id = |text: &str| RequestId::new(text).map(|id| bytes(id.bytes()));
-    writeln!(found, "ids {:?} {:?} {:?} {:?}", id(""), id("a"), id("a b"), id(&"x".repeat(41)))
-        .expect("memory");
+    writeln!(
+        found,
+        "ids {:?} {:?} {:?} {:?}",
+        id(""),
+        id("a"),
+        id("a b"),
+        id(&"x".repeat(41))
+    )
+    .expect("memory");
     pinned("block_ios.txt", &found);
 }
 
@@ -634,11 +786,15 @@
         }
     };
     let (goal, late, gain) = (g.latency_objective, g.late_weight_ratio, g.priority_weight);
-    format!("{effect} goal {goal} late {late} gain {gain} ordered {} writes {}", g.ordered, g.writes)
+    format!(
+        "{effect} goal {goal} late {late} gain {gain} ordered {} writes {}",
+        g.ordered, g.writes
+    )
 }
 
 fn plan(p: &Plan) -> String {
-    let (usual, reserve, limit, burst) = (p.usual_rate, p.reserved_rate, p.rate_limit, p.burst_units);
+    let (usual, reserve, limit, burst) =
+        (p.usual_rate, p.reserved_rate, p.rate_limit, p.burst_units);
     format!(
         "usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}",
         p.weight, p.priority_factor
@@ -655,7 +811,15 @@
         writeln!(out, "  plan {name}: {}", plan(p)).expect("memory");
     }
     let figures: [(&str, &dyn std::fmt::Debug); 34] = [
-        ("counts", &(n.class_names.len(), t.classes.len(), n.plan_names.len(), t.plans.len())),
+        (
+            "counts",
+            &(
+                n.class_names.len(),
+                t.classes.len(),
+                n.plan_names.len(),
+                t.plans.len(),
+            ),
+        ),
         ("zones", &n.zone_names),
         ("connect within", &n.connect_timeout),
         ("idle close", &n.idle_timeout),
@@ -723,7 +887,13 @@
 fn read_settings(v: &Value) -> String {
     match settings::from_json(v) {
         Ok(named) => show_settings(&named),
-        Err(why) => format!("  refused: {why}\n").replace('\n', "\n  ").trim_end().to_owned() + "\n",
+        Err(why) => {
+            format!("  refused: {why}\n")
+                .replace('\n', "\n  ")
+                .trim_end()
+                .to_owned()
+                + "\n"
+        }
     }
 }
 
@@ -736,7 +906,10 @@
     };
     match v {
         Value::Object(fields) => fields.iter().for_each(|(k, v)| visit(k.clone(), v)),
-        Value::Array(all) => all.iter().enumerate().for_each(|(i, v)| visit(i.to_string(), v)),
+        Value::Array(all) => all
+            .iter()
+            .enumerate()
+            .for_each(|(i, v)| visit(i.to_string(), v)),
         _ => {}
     }
 }
@@ -758,7 +931,11 @@
 /// Only the lines that differ from those of the valid text.
 fn differing(valid: &str, found: &str) -> String {
     let valid: Vec<&str> = valid.lines().collect();
-    found.lines().filter(|l| !valid.contains(l)).map(|l| format!("{l}\n")).collect()
+    found
+        .lines()
+        .filter(|l| !valid.contains(l))
+        .map(|l| format!("{l}\n"))
+        .collect()
 }
 
 #[test]
@@ -816,14 +993,24 @@
         Err(problems) => return format!("{problems}\n"),
     };
     let mut out = String::new();
-    writeln!(out, "  name {} listen {} discovery {}", c.name, c.listen, c.discovery).expect("memory");
+    writeln!(
+        out,
+        "  name {} listen {} discovery {}",
+        c.name, c.listen, c.discovery
+    )
+    .expect("memory");
     writeln!(
         out,
         "  seed {:x} cores {} memory {} sockets {}",
         c.seed, c.cpu_cores, c.memory_mb, c.max_sockets
     )
     .expect("memory");
-    writeln!(out, "  known {}", c.cached_list.as_ref().map_or("none".into(), show_event)).expect("memory");
+    writeln!(
+        out,
+        "  known {}",
+        c.cached_list.as_ref().map_or("none".into(), show_event)
+    )
+    .expect("memory");
     match &c.fleet {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
@@ -912,4 +1099,8 @@
 }
 
 /// Hashes of what is too long to be written out: lists, requests and configurations, cut and corrupted.
-const HASHES: [u64; 3] = [0xab7b_744b_2ec9_f362, 0x14f2_7b91_2242_e283, 0x17a0_7aa9_ee86_50da];
+const HASHES: [u64; 3] = [
+    0xab7b_744b_2ec9_f362,
+    0x14f2_7b91_2242_e283,
+    0x17a0_7aa9_ee86_50da,
+];
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -9,7 +9,10 @@
 #[test]
 fn valid_write_becomes_a_block_request() {
     let b = block_request();
-    assert_eq!((b.io_class, b.plan, b.volume, b.object), (1, 0, 0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655));
+    assert_eq!(
+        (b.io_class, b.plan, b.volume, b.object),
+        (1, 0, 0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655)
+    );
     assert_eq!(
         (b.timeout_ms, b.units, b.shard, b.host_count, b.id.bytes()),
         (480, 2.0, Some(5), 3, &b"9b1f"[..])
@@ -18,14 +21,28 @@
 
 #[test]
 fn missing_repeated_or_invalid_field_is_named() {
-    let without = |name: &str| error(&write_request_with(|l| (!l.starts_with(name)).then(|| l.to_owned())));
+    let without = |name: &str| {
+        error(&write_request_with(|l| {
+            (!l.starts_with(name)).then(|| l.to_owned())
+        }))
+    };
     let doubled = |name: &str| {
         error(&write_request_with(|l| {
-            Some(if l.starts_with(name) { format!("{l}\r\n{l}") } else { l.to_owned() })
+            Some(if l.starts_with(name) {
+                format!("{l}\r\n{l}")
+            } else {
+                l.to_owned()
+            })
         }))
     };
     let as_is = |name: &str, line: &str| {
-        error(&write_request_with(|l| Some(if l.starts_with(name) { line.to_owned() } else { l.to_owned() })))
+        error(&write_request_with(|l| {
+            Some(if l.starts_with(name) {
+                line.to_owned()
+            } else {
+                l.to_owned()
+            })
+        }))
     };
     for (name, why) in [
         ("X-Request-ID", RequestError::InvalidRequestId),
@@ -38,8 +55,19 @@
         assert_eq!(doubled(name), Some(why), "{name} twice");
         assert_eq!(as_is(name, &format!("{name}:")), Some(why), "{name} empty");
     }
-    assert_eq!(without("Content-Length"), Some(RequestError::LengthRequired));
-    for wait in ["0", "-5", "+5", "1e3", "soon", "3600001", "99999999999999999999999"] {
+    assert_eq!(
+        without("Content-Length"),
+        Some(RequestError::LengthRequired)
+    );
+    for wait in [
+        "0",
+        "-5",
+        "+5",
+        "1e3",
+        "soon",
+        "3600001",
+        "99999999999999999999999",
+    ] {
         assert_eq!(
             as_is("X-Timeout", &format!("X-Timeout-Ms: {wait}")),
             Some(RequestError::InvalidTimeout),
@@ -65,19 +93,43 @@
         );
     }
     let path = |target: &str| as_is("PUT", &format!("PUT {target} HTTP/1.1"));
-    assert_eq!(path("/look/00000003b4d60021/7f3a9c21e0b4d655"), Some(RequestError::UnknownClass));
-    assert_eq!(path("/nope/00000003b4d60021/7f3a9c21e0b4d655"), Some(RequestError::UnknownClass));
-    assert_eq!(path("/book/0003b4d60021/7f3a9c21e0b4d655"), Some(RequestError::InvalidAddress));
-    assert_eq!(path("/book/00000003b4d6002g/7f3a9c21e0b4d655"), Some(RequestError::InvalidAddress));
-    assert_eq!(path("/book/00000003b4d60021"), Some(RequestError::UnknownPath));
-    assert_eq!(path("/book/00000003b4d60021/7f3a9c21e0b4d655/x"), Some(RequestError::UnknownPath));
+    assert_eq!(
+        path("/look/00000003b4d60021/7f3a9c21e0b4d655"),
+        Some(RequestError::UnknownClass)
+    );
+    assert_eq!(
+        path("/nope/00000003b4d60021/7f3a9c21e0b4d655"),
+        Some(RequestError::UnknownClass)
+    );
+    assert_eq!(
+        path("/book/0003b4d60021/7f3a9c21e0b4d655"),
+        Some(RequestError::InvalidAddress)
+    );
+    assert_eq!(
+        path("/book/00000003b4d6002g/7f3a9c21e0b4d655"),
+        Some(RequestError::InvalidAddress)
+    );
+    assert_eq!(
+        path("/book/00000003b4d60021"),
+        Some(RequestError::UnknownPath)
+    );
+    assert_eq!(
+        path("/book/00000003b4d60021/7f3a9c21e0b4d655/x"),
+        Some(RequestError::UnknownPath)
+    );
     assert_eq!(path("*"), Some(RequestError::UnknownPath));
     assert_eq!(
-        as_is("PUT", "GET /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"),
+        as_is(
+            "PUT",
+            "GET /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"
+        ),
         Some(RequestError::MethodNotAllowed)
     );
     assert_eq!(
-        as_is("PUT", "POST /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"),
+        as_is(
+            "PUT",
+            "POST /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"
+        ),
         Some(RequestError::MethodNotAllowed)
     );
     assert_eq!(
@@ -96,32 +148,51 @@
         )
     };
     assert_eq!(error(&read("\r\n")), None);
-    assert_eq!(error(&read("Content-Length: 1\r\n\r\nx")), Some(RequestError::UnexpectedBody));
+    assert_eq!(
+        error(&read("Content-Length: 1\r\n\r\nx")),
+        Some(RequestError::UnexpectedBody)
+    );
 }
 
 #[test]
 fn method_target_body_and_id_are_forwarded_unchanged() {
     let text = write_request_with(|l| Some(l.replace("d655 HTTP", "d655?a=%20b HTTP")));
-    let head = RequestHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete");
+    let head = RequestHead::parse(text.as_bytes(), LIMITS)
+        .expect("valid")
+        .expect("complete");
     let mut out = Vec::new();
     request::write_forwarded(&mut out, &head, b"hello", 77);
-    let sent = RequestHead::parse(&out, LIMITS).expect("valid").expect("complete");
+    let sent = RequestHead::parse(&out, LIMITS)
+        .expect("valid")
+        .expect("complete");
     assert_eq!((sent.method, sent.target), (head.method, head.target));
     assert_eq!(sent.headers.single("X-Request-ID"), Ok(Some("9b1f")));
     assert_eq!(sent.headers.single("X-Timeout-Ms"), Ok(Some("77")));
     assert_eq!(&out[sent.len..], b"hello");
-    assert_eq!(sent.headers.single("Idempotency-Key"), Ok(None), "none is made up");
+    assert_eq!(
+        sent.headers.single("Idempotency-Key"),
+        Ok(None),
+        "none is made up"
+    );
 }
 
 #[test]
 fn idempotency_key_is_forwarded() {
-    let text =
-        write_request_with(|l| Some(l.replace("Host: ", "Idempotency-Key: cd869d0740eecfe7\r\nHost: ")));
-    let head = RequestHead::parse(text.as_bytes(), LIMITS).expect("valid").expect("complete");
+    let text = write_request_with(|l| {
+        Some(l.replace("Host: ", "Idempotency-Key: cd869d0740eecfe7\r\nHost: "))
+    });
+    let head = RequestHead::parse(text.as_bytes(), LIMITS)
+        .expect("valid")
+        .expect("complete");
     let mut out = Vec::new();
     request::write_forwarded(&mut out, &head, b"hello", 77);
-    let sent = RequestHead::parse(&out, LIMITS).expect("valid").expect("complete");
-    assert_eq!(sent.headers.single("Idempotency-Key"), Ok(Some("cd869d0740eecfe7")));
+    let sent = RequestHead::parse(&out, LIMITS)
+        .expect("valid")
+        .expect("complete");
+    assert_eq!(
+        sent.headers.single("Idempotency-Key"),
+        Ok(Some("cd869d0740eecfe7"))
+    );
 }
 
 proptest! {
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -20,7 +20,11 @@
 fn with(path: &str, value: Option<Value>) -> Value {
     let mut all = complete_settings();
     let (parent, key) = path.rsplit_once('/').expect("a path");
-    let parent = all.pointer_mut(parent).expect("there").as_object_mut().expect("an object");
+    let parent = all
+        .pointer_mut(parent)
+        .expect("there")
+        .as_object_mut()
+        .expect("an object");
     match value {
         Some(value) => drop(parent.insert(key.to_owned(), value)),
         None => drop(parent.remove(key).expect("it was there")),
@@ -33,7 +37,10 @@
     let settings = settings::from_json(&complete_settings()).expect("valid");
     assert_eq!(
         (settings.class_names, settings.plan_names),
-        (vec!["scan".into(), "stamp".into()], vec!["copper".into(), "steel".into()])
+        (
+            vec!["scan".into(), "stamp".into()],
+            vec!["copper".into(), "steel".into()]
+        )
     );
     assert!(
         !settings.scheduler.endpoints_pushed
@@ -57,10 +64,18 @@
         "/rules/fall_us",
         "/rules/look_back_us",
     ] {
-        let why = settings::from_json(&with(path, None)).expect_err(path).to_string();
-        let field = path[1..].replace("/0/", "[0].").replace("/1/", "[1].").replace('/', ".");
+        let why = settings::from_json(&with(path, None))
+            .expect_err(path)
+            .to_string();
+        let field = path[1..]
+            .replace("/0/", "[0].")
+            .replace("/1/", "[1].")
+            .replace('/', ".");
         assert_eq!(why.lines().count(), 1, "{path}: {why}");
-        assert!(why.starts_with(&format!("settings.{field}: expected ")), "{path}: {why}");
+        assert!(
+            why.starts_with(&format!("settings.{field}: expected ")),
+            "{path}: {why}"
+        );
     }
 }
 
@@ -78,10 +93,15 @@
         ("/limits/max_attempts", json!(-3)),
         ("/rules/cold_us", json!([])),
     ] {
-        let why = settings::from_json(&with(path, Some(value))).expect_err(path).to_string();
+        let why = settings::from_json(&with(path, Some(value)))
+            .expect_err(path)
+            .to_string();
         let field = path.rsplit('/').next().expect("a field");
         assert_eq!(why.lines().count(), 1, "{path}: {why}");
-        assert!(why.contains(&format!("{field}: expected ")), "{path}: {why}");
+        assert!(
+            why.contains(&format!("{field}: expected ")),
+            "{path}: {why}"
+        );
     }
 }
 
@@ -89,7 +109,14 @@
 fn all_errors_are_reported_at_once() {
     let mut all = with("/profiles/0/repeat", Some(json!("twice")));
     all["limits"]["cancel"] = json!(3);
-    assert_eq!(settings::from_json(&all).expect_err("two errors").to_string().lines().count(), 2);
+    assert_eq!(
+        settings::from_json(&all)
+            .expect_err("two errors")
+            .to_string()
+            .lines()
+            .count(),
+        2
+    );
 }
 
 #[test]
@@ -98,13 +125,25 @@
     let effect = |path: &str| read(path).scheduler.classes[1].idempotency;
     assert_eq!(
         effect("/profiles/1/key_scope"),
-        Idempotency::IdempotentByKey { scope: DeduplicationScope::Shard, window: 9_000 }
+        Idempotency::IdempotentByKey {
+            scope: DeduplicationScope::Shard,
+            window: 9_000
+        }
     );
     assert_eq!(
         effect("/profiles/1/key_ttl_us"),
-        Idempotency::IdempotentByKey { scope: DeduplicationScope::Zone, window: 0 }
+        Idempotency::IdempotentByKey {
+            scope: DeduplicationScope::Zone,
+            window: 0
+        }
+    );
+    assert!(
+        read("/registry_mode").scheduler.endpoints_pushed,
+        "counts as soon as the service knows"
     );
-    assert!(read("/registry_mode").scheduler.endpoints_pushed, "counts as soon as the service knows");
     assert!(!read("/limits/cancel").scheduler.allow_cancel);
-    assert_eq!(read("/service_levels/0/limit_burst").scheduler.plans[0].burst_units, 0.0);
+    assert_eq!(
+        read("/service_levels/0/limit_burst").scheduler.plans[0].burst_units,
+        0.0
+    );
 }
--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -56,12 +56,19 @@
         harness.on_endpoints(EndpointEvent::FullSnapshot, nodes);
         harness.advance(5_000);
         for id in 0..before {
-            harness.arrive(Bio { shard, ..harness.bio(1_000 + id) });
+            harness.arrive(Bio {
+                shard,
+                ..harness.bio(1_000 + id)
+            });
             complete_all(&mut harness, 20);
             harness.advance(100);
         }
         harness.host.actions.clear();
-        harness.arrive(Bio { class: 3, shard, ..harness.bio(0) });
+        harness.arrive(Bio {
+            class: 3,
+            shard,
+            ..harness.bio(0)
+        });
         let first = harness.nodes_of(0)[0];
         harness.advance(50);
         harness.finish_attempt(0, first, AttemptResult::ConnectionReset, 50);
@@ -74,7 +81,9 @@
         }
     }
     let latest = answered.iter().max();
-    let when = latest.map_or(String::new(), |ms| format!(", the rest answered after up to {ms} ms"));
+    let when = latest.map_or(String::new(), |ms| {
+        format!(", the rest answered after up to {ms} ms")
+    });
     println!("reset, {what}: sent again {retried} of 200{when}");
 }
 
@@ -82,13 +91,19 @@
     let mut settings = config();
     settings.classes[3].latency_objective = 8_000;
     let mut harness = Harness::new(&settings);
-    harness.arrive(Bio { class: 3, ..harness.bio(0) });
+    harness.arrive(Bio {
+        class: 3,
+        ..harness.bio(0)
+    });
     harness.advance(2_990);
     harness.finish_attempt(0, 0, AttemptResult::ConnectionReset, 2_990);
     let reset = harness.host.now;
     harness.advance(DEADLINE);
     let answer = harness.answered_at(0)[0];
-    println!("reset with the idempotency window over: answered after {} ms", (answer - reset) / 10);
+    println!(
+        "reset with the idempotency window over: answered after {} ms",
+        (answer - reset) / 10
+    );
 }
 
 fn three_nodes_of_one_shard() {
@@ -103,7 +118,10 @@
         }
         harness.advance(100);
         if [299, 999, 2_999].contains(&id) {
-            println!("three nodes of one shard, up to block I/O {}: {served:?}", id + 1);
+            println!(
+                "three nodes of one shard, up to block I/O {}: {served:?}",
+                id + 1
+            );
             served = [0; 3];
         }
     }
@@ -115,16 +133,28 @@
     let mut settings = config();
     settings.classes.truncate(2);
     settings.classes[0].latency_objective = shortest;
-    settings.classes[1] = IoClass { latency_objective: 20_000, ..settings.classes[0].clone() };
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 50, ..settings });
+    settings.classes[1] = IoClass {
+        latency_objective: 20_000,
+        ..settings.classes[0].clone()
+    };
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 50,
+        ..settings
+    });
     let (mut in_flight, mut completed): (Vec<Forwarded>, u32) = (Vec::new(), 0);
     for step in 0..2_000 {
         if step % 4 == 0 {
             let deadline = harness.host.now + 40_000;
-            harness.arrive(Bio { class: 1, deadline, ..harness.bio(step / 4) });
+            harness.arrive(Bio {
+                class: 1,
+                deadline,
+                ..harness.bio(step / 4)
+            });
         }
         let now = harness.host.now;
-        let (due, rest) = in_flight.into_iter().partition::<Vec<_>, _>(|a| a.time + LATENCY <= now);
+        let (due, rest) = in_flight
+            .into_iter()
+            .partition::<Vec<_>, _>(|a| a.time + LATENCY <= now);
         in_flight = rest;
         for attempt in &due {
             harness.finish_attempt(attempt.bio, 0, AttemptResult::Completed, LATENCY);
@@ -133,13 +163,23 @@
         harness.advance(100);
         in_flight.extend(take_forwarded(&mut harness));
     }
-    println!("objectives of {} and 2000 ms, latency of 30 ms: completed {completed} of 500", shortest / 10);
+    println!(
+        "objectives of {} and 2000 ms, latency of 30 ms: completed {completed} of 500",
+        shortest / 10
+    );
 }
 
 fn volume_of_fewer_hosts(first: u32, then: u32) {
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 4, ..config() });
-    let limited =
-        |harness: &Harness, id, hosts| Bio { plan: 1, volume: VolumeId(5), hosts, ..harness.bio(id) };
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 4,
+        ..config()
+    });
+    let limited = |harness: &Harness, id, hosts| Bio {
+        plan: 1,
+        volume: VolumeId(5),
+        hosts,
+        ..harness.bio(id)
+    };
     harness.arrive(limited(&harness, 0, first));
     harness.advance(30_000);
     complete_all(&mut harness, 20);
@@ -149,11 +189,16 @@
         attempts += complete_all(&mut harness, 20).len();
         harness.advance(230);
     }
-    println!("limited volume stated with {first} hosts, then with {then}: {attempts} attempts in 5 s");
+    println!(
+        "limited volume stated with {first} hosts, then with {then}: {attempts} attempts in 5 s"
+    );
 }
 
 fn warming_node(what: &str, change: impl Fn(&mut SchedulerConfig)) {
-    let mut settings = SchedulerConfig { overload_multiple: 2.0, ..slow_start_config() };
+    let mut settings = SchedulerConfig {
+        overload_multiple: 2.0,
+        ..slow_start_config()
+    };
     change(&mut settings);
     let mut harness = Harness::new(&settings);
     let started = node(0, NodeState::Active, harness.host.now);
@@ -172,15 +217,25 @@
     let mut settings = config();
     settings.plans[1].burst_units = 0.0;
     let mut harness = Harness::new(&settings);
-    harness.arrive(Bio { plan: 1, volume: VolumeId(9), ..harness.bio(0) });
+    harness.arrive(Bio {
+        plan: 1,
+        volume: VolumeId(9),
+        ..harness.bio(0)
+    });
     let arrival = harness.host.now;
     harness.advance(DEADLINE);
     let (attempts, answer) = (harness.forwarded().len(), harness.answered_at(0)[0]);
-    println!("limit with a burst of 0: attempts {attempts}, answered after {} ms", (answer - arrival) / 10);
+    println!(
+        "limit with a burst of 0: attempts {attempts}, answered after {} ms",
+        (answer - arrival) / 10
+    );
 }
 
 fn main() {
-    let by_key = |scope| Idempotency::IdempotentByKey { scope, window: 30_000 };
+    let by_key = |scope| Idempotency::IdempotentByKey {
+        scope,
+        window: 30_000,
+    };
     let scopes = [
         ("shard", by_key(DeduplicationScope::Shard)),
         ("zone", by_key(DeduplicationScope::Zone)),
@@ -203,9 +258,13 @@
     three_nodes_of_one_shard();
     objectives_far_apart(500);
     objectives_far_apart(20_000);
-    [(4, 4), (4, 1), (1, 1)].into_iter().for_each(|(first, then)| volume_of_fewer_hosts(first, then));
+    [(4, 4), (4, 1), (1, 1)]
+        .into_iter()
+        .for_each(|(first, then)| volume_of_fewer_hosts(first, then));
     warming_node("as configured", |_| {});
     warming_node("overload_window 0", |settings| settings.overload_window = 0);
-    warming_node("slow_start_capacity 0", |settings| settings.slow_start_capacity = 0.0);
+    warming_node("slow_start_capacity 0", |settings| {
+        settings.slow_start_capacity = 0.0
+    });
     limit_without_a_burst();
 }
--- a/crates/scheduler/src/interner.rs
+++ b/crates/scheduler/src/interner.rs
@@ -11,7 +11,11 @@
 
 impl<N> Default for Interner<N> {
     fn default() -> Self {
-        Interner { names: Vec::new(), indices: HashMap::new(), free: Vec::new() }
+        Interner {
+            names: Vec::new(),
+            indices: HashMap::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -43,7 +47,9 @@
     /// If the index is not assigned.
     #[must_use]
     pub fn resolve(&self, index: u32) -> &N {
-        self.names[index as usize].as_ref().expect("an index in use")
+        self.names[index as usize]
+            .as_ref()
+            .expect("an index in use")
     }
 
     /// Number of names that have an index.
--- a/crates/scheduler/src/pcg.rs
+++ b/crates/scheduler/src/pcg.rs
@@ -18,7 +18,8 @@
 
     fn next(&self) -> u32 {
         let state = self.0.get();
-        self.0.set(state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT));
+        self.0
+            .set(state.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT));
         ((((state >> 18) ^ state) >> 27) as u32).rotate_right((state >> 59) as u32)
     }
 
--- a/crates/scheduler/src/policy/allocation.rs
+++ b/crates/scheduler/src/policy/allocation.rs
@@ -40,25 +40,40 @@
         let volume = &self.volumes[volume.0];
         let plan = &self.plans[volume.plan];
         let quota = volume.limit_rate(plan);
-        let rate = volume.other_hosts_rate.map_or(quota, |others| (plan.limit - others).max(quota));
+        let rate = volume
+            .other_hosts_rate
+            .map_or(quota, |others| (plan.limit - others).max(quota));
         let base = plan.reserved * ALLOCATION_INTERVAL as f64 / volume.hosts;
         let ceiling = rate * ALLOCATION_INTERVAL as f64 + plan.burst_units / volume.hosts;
-        Entitlement { base, ceiling, weight: plan.weight }
+        Entitlement {
+            base,
+            ceiling,
+            weight: plan.weight,
+        }
     }
 
     /// Takes the cost of a block I/O in the paper's order (lines 14 to 25): own allocation, the richer of two
     /// bursting volumes', the pool; else it waits. A balance above 0 may be overdrawn and is paid back later.
     pub(super) fn charge(&mut self, id: NodeId, bio: &Bio) -> bool {
         let node = &self.nodes[id.0];
-        let (cost, own) = (bio.units * node.cost_multiplier, node.allocation_index(bio.volume));
+        let (cost, own) = (
+            bio.units * node.cost_multiplier,
+            node.allocation_index(bio.volume),
+        );
         let has_balance = node.allocations[own].balance > 0.0;
-        let payer = if has_balance { Some(own) } else { self.bursting_payer(id, cost) };
+        let payer = if has_balance {
+            Some(own)
+        } else {
+            self.bursting_payer(id, cost)
+        };
         let node = &mut self.nodes[id.0];
         if let Some(payer) = payer {
             node.allocations[payer].balance -= cost;
         } else if node.pool >= cost {
             node.pool -= cost;
-        } else if node.in_flight.is_empty() || node.mean_latency < WIDEN_BELOW * self.shortest_objective {
+        } else if node.in_flight.is_empty()
+            || node.mean_latency < WIDEN_BELOW * self.shortest_objective
+        {
             // On credit: to wait for the next interval would only leave the node idle.
             node.allocations[own].balance -= cost;
         } else {
@@ -76,32 +91,56 @@
         let draw = || bursting().nth(self.rng.below(count) as usize);
         let (first, second) = (draw(), draw());
         let (first, second) = (first?, second?);
-        let richer = if allocations[first].balance >= allocations[second].balance { first } else { second };
+        let richer = if allocations[first].balance >= allocations[second].balance {
+            first
+        } else {
+            second
+        };
         Some(richer).filter(|index| allocations[*index].balance >= cost)
     }
 }
 
 /// Both passes of Algorithm 1 (lines 2 to 13).
 fn redistribute(node: &mut Node) {
-    let total = node.allocations.iter().map(|a| a.entitlement.base).sum::<f64>() + node.extra_budget;
+    let total = node
+        .allocations
+        .iter()
+        .map(|a| a.entitlement.base)
+        .sum::<f64>()
+        + node.extra_budget;
     node.pool = total * POOL_SHARE;
     let (mut unused, mut total_demand) = (total - node.pool, 0.0);
-    let idle = node.allocations.iter().all(|a| a.used == 0.0 && a.queued == 0.0);
+    let idle = node
+        .allocations
+        .iter()
+        .all(|a| a.used == 0.0 && a.queued == 0.0);
     let demand = |a: &Allocation| {
-        if idle { a.entitlement.weight } else { (a.used + a.queued * QUEUED_WEIGHT) * a.entitlement.weight }
+        if idle {
+            a.entitlement.weight
+        } else {
+            (a.used + a.queued * QUEUED_WEIGHT) * a.entitlement.weight
+        }
     };
     for a in &mut node.allocations {
         let debt = a.balance.min(0.0);
         a.history = a.used.max(a.history * HISTORY_DECAY);
         let busy = a.bursting || a.queued > 0.0;
-        let granted = if busy { a.entitlement.base } else { a.history * HISTORY_DECAY };
+        let granted = if busy {
+            a.entitlement.base
+        } else {
+            a.history * HISTORY_DECAY
+        };
         a.balance = granted + debt;
         unused -= granted;
         total_demand += demand(a);
     }
     let unused = unused.max(0.0);
     for a in &mut node.allocations {
-        let share = if total_demand > 0.0 { unused * demand(a) / total_demand } else { 0.0 };
+        let share = if total_demand > 0.0 {
+            unused * demand(a) / total_demand
+        } else {
+            0.0
+        };
         a.balance = (a.balance + share).min(a.entitlement.ceiling);
         a.bursting = a.balance > a.entitlement.base;
         a.used = 0.0;
--- a/crates/scheduler/src/policy/dispatch.rs
+++ b/crates/scheduler/src/policy/dispatch.rs
@@ -44,7 +44,13 @@
         let capacity = self.slow_start_capacity(now, id);
         let retry_allowed = self.retry_budget.allows(now);
         let node = &self.nodes[id.0];
-        let live = || node.live_attempts(now, self.shortest_objective, now < self.losing_answers_until);
+        let live = || {
+            node.live_attempts(
+                now,
+                self.shortest_objective,
+                now < self.losing_answers_until,
+            )
+        };
         let window_full = || f64::from(live()) + 1.0 > node.concurrency_window.max(1.0);
         if now < node.paused_until || node.queue.is_empty() || window_full() {
             return None;
@@ -64,10 +70,16 @@
             let priority = self.priority(request, allocation);
             let deficit = (1.0 - priority / self.typical_priority).max(0.0);
             // What is left of a slow start's share is kept for the highest priority.
-            if 1.0 - deficit < threshold || request.bio.units + capacity.share * deficit > capacity.left {
+            if 1.0 - deficit < threshold
+                || request.bio.units + capacity.share * deficit > capacity.left
+            {
                 continue;
             }
-            let candidate = Candidate { priority, objective_end: request.objective_end, position };
+            let candidate = Candidate {
+                priority,
+                objective_end: request.objective_end,
+                position,
+            };
             if best.as_ref().is_none_or(|best| candidate.precedes(best)) {
                 best = Some(candidate);
             }
@@ -80,7 +92,8 @@
         let above_best = (node.mean_latency - self.fleet_latency.best) / self.shortest_objective;
         let excess = (above_best - THRESHOLD_FROM) / THRESHOLD_SPAN;
         let own = excess / (node.concurrency_window.powi(2) * node.recent_answers.max(1.0));
-        ((own.max(0.0) + self.fleet_latency.threshold) * self.load_by_other_hosts).min(MAX_THRESHOLD)
+        ((own.max(0.0) + self.fleet_latency.threshold) * self.load_by_other_hosts)
+            .min(MAX_THRESHOLD)
     }
 
     /// What a unit of a block I/O would earn if sent now: all of it inside the volume's reservation; beyond,
@@ -88,8 +101,13 @@
     fn priority(&self, request: &Request, allocation: &Allocation) -> f64 {
         let volume = &self.volumes[request.bio.volume.0];
         let (config, has_balance) = (&self.config, allocation.balance > 0.0);
-        let beyond = if has_balance { config.share_weight_factor } else { config.spare_weight_factor };
-        let inside = (volume.reserve_tokens / request.bio.units.max(self.mean_io_units / 8.0)).min(1.0);
+        let beyond = if has_balance {
+            config.share_weight_factor
+        } else {
+            config.spare_weight_factor
+        };
+        let inside =
+            (volume.reserve_tokens / request.bio.units.max(self.mean_io_units / 8.0)).min(1.0);
         let factor = inside + (1.0 - inside) * beyond;
         factor * self.class(request).priority_weight * self.plans[volume.plan].priority_factor
     }
@@ -117,9 +135,13 @@
             self.take_tokens(now, &bio);
         }
         let node = &mut self.nodes[node_id.0];
-        node.in_flight.push(Attempt { sent_at: now, bio: id });
+        node.in_flight.push(Attempt {
+            sent_at: now,
+            bio: id,
+        });
         node.interval_units += bio.units;
-        self.timers.push(now + node.lost_after(self.shortest_objective) + 1, id);
+        self.timers
+            .push(now + node.lost_after(self.shortest_objective) + 1, id);
         if node.started_at > 0 {
             node.slow_start_units.add(now, bio.units);
         }
--- a/crates/scheduler/src/policy/endpoint_polling.rs
+++ b/crates/scheduler/src/policy/endpoint_polling.rs
@@ -18,16 +18,38 @@
 impl PollSchedule {
     pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &Pcg) -> Self {
         let limited = config.max_poll_delay > 0;
-        let max_delay = if limited { DELAY_USED * config.max_poll_delay as f64 } else { f64::INFINITY };
-        let max_spread = if config.endpoints_pushed { MIN_SPREAD } else { max_delay as Tick };
+        let max_delay = if limited {
+            DELAY_USED * config.max_poll_delay as f64
+        } else {
+            f64::INFINITY
+        };
+        let max_spread = if config.endpoints_pushed {
+            MIN_SPREAD
+        } else {
+            max_delay as Tick
+        };
         let all_polls = config.poll_service_time.unwrap_or(SERVICE_TIME) * Tick::from(config.hosts);
         // To poll in a crowd is of use only where the service may be quick: where nobody says that it is not.
         let known_too_many = config.poll_service_time.is_some() && all_polls > SERVED_IN_TIME;
-        let max_interval = if known_too_many { all_polls } else { MAX_INTERVAL };
+        let max_interval = if known_too_many {
+            all_polls
+        } else {
+            MAX_INTERVAL
+        };
         let spread = all_polls.min(max_spread).min(max_interval).max(MIN_SPREAD);
         let first = rng.below(spread as u64) as Tick;
-        let next_poll = if config.endpoints_polled { now + first } else { Tick::MAX };
-        PollSchedule { next_poll, spread, max_interval, backoff: spread, ..PollSchedule::default() }
+        let next_poll = if config.endpoints_polled {
+            now + first
+        } else {
+            Tick::MAX
+        };
+        PollSchedule {
+            next_poll,
+            spread,
+            max_interval,
+            backoff: spread,
+            ..PollSchedule::default()
+        }
     }
 
     /// Whether a poll is due; it then counts as made.
@@ -48,12 +70,23 @@
     /// turn among them; later polls keep it, so that all have polled within a spread of the service's return.
     pub(super) fn on_failure(&mut self, now: Tick, event: EndpointEvent, rng: &Pcg) {
         // Only the first silence counts: else a service that accepts polls and is silent is polled for ever.
-        let newly_silent = event == EndpointEvent::WatchSilent && !std::mem::replace(&mut self.silent, true);
-        let most = if newly_silent { SPREAD_AFTER_SILENCE } else { Tick::MAX };
+        let newly_silent =
+            event == EndpointEvent::WatchSilent && !std::mem::replace(&mut self.silent, true);
+        let most = if newly_silent {
+            SPREAD_AFTER_SILENCE
+        } else {
+            Tick::MAX
+        };
         let drawn = rng.below(self.spread.min(most) as u64) as Tick;
-        let wait = if newly_silent || self.backoff == 0 { drawn } else { self.backoff };
+        let wait = if newly_silent || self.backoff == 0 {
+            drawn
+        } else {
+            self.backoff
+        };
         // The service may have returned just after the failed poll began: the time since then is lost.
-        let latest = self.pending_since.map_or(Tick::MAX, |t| (t + self.max_interval).max(now + 1));
+        let latest = self
+            .pending_since
+            .map_or(Tick::MAX, |t| (t + self.max_interval).max(now + 1));
         // A poll that is due sooner, of another service or after silence, is not put off.
         self.next_poll = self.next_poll.min(now + wait).min(latest);
         self.backoff = (self.backoff * 2).clamp(self.spread, self.spread.max(MAX_BACKOFF));
--- a/crates/scheduler/src/policy/endpoints.rs
+++ b/crates/scheduler/src/policy/endpoints.rs
@@ -15,7 +15,10 @@
         event: EndpointEvent,
         endpoints: &[NodeEndpoint],
     ) {
-        if matches!(event, EndpointEvent::PollFailed | EndpointEvent::WatchSilent) {
+        if matches!(
+            event,
+            EndpointEvent::PollFailed | EndpointEvent::WatchSilent
+        ) {
             self.polling.on_failure(now, event, &self.rng);
             return self.arm_timer(host, now);
         }
@@ -25,10 +28,14 @@
         if event != EndpointEvent::Incremental {
             self.nodes.values_mut().for_each(|node| node.active = false);
         }
-        endpoints.iter().for_each(|endpoint| self.update_node(now, event, endpoint));
+        endpoints
+            .iter()
+            .for_each(|endpoint| self.update_node(now, event, endpoint));
         // Nothing new goes to an inactive node: what was queued for it moves on or gets its answer.
         for id in self.nodes.indices() {
-            let Some(node) = self.nodes.get_mut(id).filter(|node| !node.active) else { continue };
+            let Some(node) = self.nodes.get_mut(id).filter(|node| !node.active) else {
+                continue;
+            };
             for bio in std::mem::take(&mut node.queue) {
                 self.place(host, now, bio);
             }
@@ -46,10 +53,17 @@
     fn update_node(&mut self, now: Tick, event: EndpointEvent, endpoint: &NodeEndpoint) {
         let spread = self.rng.below(RETURN_SPREAD) as Tick;
         // A node that replaces another holds its shard, and what this host sends there goes on.
-        let of_shard = self.nodes.iter().filter(|(_, node)| node.shard == endpoint.shard);
-        let shard_rate = of_shard.map(|(_, node)| node.usual_rate).fold(0.0, f64::max);
+        let of_shard = self
+            .nodes
+            .iter()
+            .filter(|(_, node)| node.shard == endpoint.shard);
+        let shard_rate = of_shard
+            .map(|(_, node)| node.usual_rate)
+            .fold(0.0, f64::max);
         let is_new = self.nodes.get(endpoint.node.0).is_none();
-        let node = self.nodes.get_or_insert_with(endpoint.node.0, Node::default);
+        let node = self
+            .nodes
+            .get_or_insert_with(endpoint.node.0, Node::default);
         node.usual_rate = node.usual_rate.max(shard_rate);
         (node.shard, node.zone) = (endpoint.shard, endpoint.zone);
         node.active = endpoint.state == NodeState::Active;
@@ -71,10 +85,20 @@
     /// Forgets nodes that were removed long ago.
     pub(super) fn forget_nodes(&mut self, host: &mut dyn Host, now: Tick) {
         for id in self.nodes.indices() {
-            let Some(node) = self.nodes.get_mut(id) else { continue };
-            node.inactive_since = if node.active { None } else { node.inactive_since.or(Some(now)) };
+            let Some(node) = self.nodes.get_mut(id) else {
+                continue;
+            };
+            node.inactive_since = if node.active {
+                None
+            } else {
+                node.inactive_since.or(Some(now))
+            };
             let unused = node.in_flight.is_empty() && node.queue.is_empty();
-            if unused && node.inactive_since.is_some_and(|since| now - since > FORGET_NODE) {
+            if unused
+                && node
+                    .inactive_since
+                    .is_some_and(|since| now - since > FORGET_NODE)
+            {
                 self.nodes.remove(id);
                 host.release_node(NodeId(id));
             }
--- a/crates/scheduler/src/policy/events.rs
+++ b/crates/scheduler/src/policy/events.rs
@@ -32,7 +32,9 @@
         id: BioId,
         outcome: &AttemptOutcome,
     ) {
-        let Some(request) = self.requests.get_mut(id.0).filter(|r| r.in_flight) else { return };
+        let Some(request) = self.requests.get_mut(id.0).filter(|r| r.in_flight) else {
+            return;
+        };
         request.in_flight = false;
         let (finished, bio) = (request.finished, request.bio);
         let completed = outcome.result == AttemptResult::Completed;
@@ -108,14 +110,18 @@
 
     fn forget_volumes(&mut self, host: &mut dyn Host, now: Tick) {
         for id in self.volumes.indices().map(VolumeId) {
-            let Some(volume) = self.volumes.get_mut(id.0) else { continue };
+            let Some(volume) = self.volumes.get_mut(id.0) else {
+                continue;
+            };
             let plan = &self.plans[volume.plan];
             volume.refill(now, plan, self.max_io_units);
             volume.record_other_hosts_rate();
             let idle = volume.in_progress == 0 && now - volume.last_arrival > FORGET_VOLUME;
             if idle && volume.tokens >= plan.burst_units / volume.hosts {
                 self.volumes.remove(id.0);
-                self.nodes.values_mut().for_each(|n| n.allocations.retain(|a| a.volume != id));
+                self.nodes
+                    .values_mut()
+                    .for_each(|n| n.allocations.retain(|a| a.volume != id));
                 host.release_volume(id);
             }
         }
@@ -123,9 +129,18 @@
 
     /// Arms the host's timer for the next thing that is due.
     pub(super) fn arm_timer(&mut self, host: &mut dyn Host, now: Tick) {
-        let paused = self.nodes.iter().filter(|(_, n)| !n.queue.is_empty() && n.paused_until > now);
-        let pause_end = paused.map(|(_, n)| n.paused_until).min().unwrap_or(Tick::MAX);
-        let due = self.next_allocation.min(self.timers.next()).min(self.polling.next_poll);
+        let paused = self
+            .nodes
+            .iter()
+            .filter(|(_, n)| !n.queue.is_empty() && n.paused_until > now);
+        let pause_end = paused
+            .map(|(_, n)| n.paused_until)
+            .min()
+            .unwrap_or(Tick::MAX);
+        let due = self
+            .next_allocation
+            .min(self.timers.next())
+            .min(self.polling.next_poll);
         let due = due.min(pause_end).max(now + 1);
         if due < self.armed_for {
             self.armed_for = due;
--- a/crates/scheduler/src/policy/node_health.rs
+++ b/crates/scheduler/src/policy/node_health.rs
@@ -40,18 +40,31 @@
 impl Node {
     /// How long an attempt may take here before it counts as lost.
     pub(super) fn lost_after(&self, shortest_objective: f64) -> Tick {
-        (self.mean_latency * LOST_AFTER_MEANS).max(shortest_objective * LOST_AFTER_OBJECTIVE) as Tick
+        (self.mean_latency * LOST_AFTER_MEANS).max(shortest_objective * LOST_AFTER_OBJECTIVE)
+            as Tick
     }
 
     /// Attempts that may still be answered: all, or while answers get lost, those that do not count as lost.
-    pub(super) fn live_attempts(&self, now: Tick, shortest_objective: f64, losing_answers: bool) -> u32 {
+    pub(super) fn live_attempts(
+        &self,
+        now: Tick,
+        shortest_objective: f64,
+        losing_answers: bool,
+    ) -> u32 {
         let lost_after = self.lost_after(shortest_objective);
-        self.in_flight.iter().filter(|a| !losing_answers || now - a.sent_at <= lost_after).count() as u32
+        self.in_flight
+            .iter()
+            .filter(|a| !losing_answers || now - a.sent_at <= lost_after)
+            .count() as u32
     }
 
     fn record_unit_latency(&mut self, unit_latency: f64) {
         let slow = unit_latency > 2.0 * self.unit_latency.get();
-        let factor = if slow { COST_MULTIPLIER_UP } else { COST_MULTIPLIER_DOWN };
+        let factor = if slow {
+            COST_MULTIPLIER_UP
+        } else {
+            COST_MULTIPLIER_DOWN
+        };
         self.cost_multiplier =
             (self.cost_multiplier * factor).clamp(COST_MULTIPLIER_RANGE.0, COST_MULTIPLIER_RANGE.1);
         self.unit_latency.add(unit_latency);
@@ -61,10 +74,12 @@
         let window = self.concurrency_window;
         if self.mean_latency.max(latency) < WIDEN_BELOW * shortest_objective {
             if was_full {
-                self.concurrency_window = (window + WIDEN_STEP * (1.0 / window).min(1.0)).min(MAX_WINDOW);
+                self.concurrency_window =
+                    (window + WIDEN_STEP * (1.0 / window).min(1.0)).min(MAX_WINDOW);
             }
         } else if self.mean_latency > NARROW_ABOVE * shortest_objective {
-            self.concurrency_window = (window * (1.0 - NARROW_STEP / window.max(1.0))).max(MIN_WINDOW);
+            self.concurrency_window =
+                (window * (1.0 - NARROW_STEP / window.max(1.0))).max(MIN_WINDOW);
         }
     }
 
@@ -72,10 +87,18 @@
     /// meanwhile. A node that fails again and again is tried ever more seldom, until it answers.
     fn pause(&mut self, now: Tick, shortest_objective: f64, max_backoff: Tick) {
         let (window, failures) = (self.concurrency_window, self.consecutive_failures);
-        let idle_times = if window < 1.0 { 1.0 / window - 1.0 } else { 0.0 };
+        let idle_times = if window < 1.0 {
+            1.0 / window - 1.0
+        } else {
+            0.0
+        };
         let spacing = (self.mean_latency.min(shortest_objective) * idle_times) as Tick;
         let doublings = failures.saturating_sub(2).min(16);
-        let backoff = if failures > 1 { (MIN_BACKOFF << doublings).min(max_backoff) } else { 0 };
+        let backoff = if failures > 1 {
+            (MIN_BACKOFF << doublings).min(max_backoff)
+        } else {
+            0
+        };
         self.paused_until = self.paused_until.max(now + backoff.max(spacing));
     }
 }
@@ -94,11 +117,22 @@
         self.nodes[outcome.node.0].pause(now, self.shortest_objective, self.max_backoff);
     }
 
-    fn record_completion(&mut self, now: Tick, units: f64, was_full: bool, outcome: &AttemptOutcome) {
+    fn record_completion(
+        &mut self,
+        now: Tick,
+        units: f64,
+        was_full: bool,
+        outcome: &AttemptOutcome,
+    ) {
         let (latency, fleet) = (outcome.latency as f64, &mut self.fleet_latency);
-        fleet.mean += (latency.min(MAX_FLEET_LATENCY * self.shortest_objective) - fleet.mean) * FLEET_ALPHA;
+        fleet.mean +=
+            (latency.min(MAX_FLEET_LATENCY * self.shortest_objective) - fleet.mean) * FLEET_ALPHA;
         fleet.best = (fleet.best * BEST_RISE).min(fleet.mean);
-        let step = if latency > self.shortest_objective { THRESHOLD_UP } else { -THRESHOLD_DOWN };
+        let step = if latency > self.shortest_objective {
+            THRESHOLD_UP
+        } else {
+            -THRESHOLD_DOWN
+        };
         fleet.threshold = (fleet.threshold + step).clamp(0.0, MAX_THRESHOLD);
         let node = &mut self.nodes[outcome.node.0];
         // Many hosts leave each of them few answers: then the last one says more than the mean.
@@ -147,11 +181,18 @@
     }
 
     /// A time-out after a later attempt was answered shows loss: further answers then prompt a search for it.
-    pub(super) fn watch_for_loss(&mut self, host: &mut dyn Host, now: Tick, outcome: &AttemptOutcome) {
+    pub(super) fn watch_for_loss(
+        &mut self,
+        host: &mut dyn Host,
+        now: Tick,
+        outcome: &AttemptOutcome,
+    ) {
         let (node, sent_at) = (&self.nodes[outcome.node.0], now - outcome.latency);
         if outcome.result == AttemptResult::Completed && now < self.losing_answers_until {
             self.cancel_lost(host, now, node);
-        } else if outcome.result == AttemptResult::TimedOut && node.latest_completed_sent_at > sent_at {
+        } else if outcome.result == AttemptResult::TimedOut
+            && node.latest_completed_sent_at > sent_at
+        {
             self.losing_answers_until = now + LOSS_WATCH;
         }
     }
@@ -159,11 +200,16 @@
     /// Cancels attempts far older than the node's latency that an answer to a later one has overtaken, since
     /// another may still be in time. Drawback: costly where a node serves far out of turn.
     fn cancel_lost(&self, host: &mut dyn Host, now: Tick, node: &Node) {
-        let sent_before = (now - node.lost_after(self.shortest_objective)).min(node.latest_completed_sent_at);
+        let sent_before =
+            (now - node.lost_after(self.shortest_objective)).min(node.latest_completed_sent_at);
         for attempt in &node.in_flight {
             let request = &self.requests[attempt.bio.0];
             let idempotent = self.class(request).idempotency == Idempotency::Idempotent;
-            if attempt.sent_at < sent_before && idempotent && !request.finished && self.config.allow_cancel {
+            if attempt.sent_at < sent_before
+                && idempotent
+                && !request.finished
+                && self.config.allow_cancel
+            {
                 host.cancel(attempt.bio, request.attempts - 1);
             }
         }
--- a/crates/scheduler/src/policy/ordering.rs
+++ b/crates/scheduler/src/policy/ordering.rs
@@ -25,7 +25,9 @@
 
     /// Whether a block I/O is the first of its key, and the key is not cooling down for it.
     pub(super) fn is_its_turn(&self, request: &Request, now: Tick) -> bool {
-        let Some(key) = request.bio.key.filter(|_| self.class(request).ordered) else { return true };
+        let Some(key) = request.bio.key.filter(|_| self.class(request).ordered) else {
+            return true;
+        };
         let key = &self.keys[key.0];
         let cooling_down = request.attempts == 0 && now < key.cooldown_until;
         key.queue.first() == Some(request.bio.id) && !cooling_down
@@ -37,7 +39,9 @@
         let request = &self.requests[id.0];
         let cut_off = matches!(result, TimedOut | ConnectionReset | Cancelled);
         let concerned = cut_off && self.class(request).ordered;
-        let Some(key) = request.bio.key.filter(|_| concerned) else { return };
+        let Some(key) = request.bio.key.filter(|_| concerned) else {
+            return;
+        };
         let until = now + self.config.ordering_cooldown + 1;
         self.keys[key.0].cooldown_until = until;
         self.cooling_keys.push(key);
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -23,13 +23,20 @@
     /// Two nodes that may run a block I/O; both are the same if there is only one.
     fn draw_nodes(&mut self, now: Tick, id: BioId) -> Option<(NodeId, NodeId)> {
         let request = &self.requests[id.0];
-        let holds = |node: &Node| node.active && request.bio.shard.is_none_or(|shard| node.shard == shard);
+        let holds =
+            |node: &Node| node.active && request.bio.shard.is_none_or(|shard| node.shard == shard);
         let fits = |(_, node): &(u32, &Node)| holds(node) && self.may_run_at(request, now, node);
         let count = self.nodes.iter().filter(fits).count();
         let others = count.checked_sub(1)?;
         let first = self.rng.below(count as u64) as usize;
         let second = (first + 1 + self.rng.below(others as u64) as usize) % count;
-        let nth = |position| self.nodes.iter().filter(fits).nth(position).map(|(index, _)| NodeId(index));
+        let nth = |position| {
+            self.nodes
+                .iter()
+                .filter(fits)
+                .nth(position)
+                .map(|(index, _)| NodeId(index))
+        };
         nth(first).zip(nth(second))
     }
 
@@ -44,7 +51,9 @@
         }
         let oldest = node.in_flight.first().map_or(0, |a| now - a.sent_at) as f64;
         let ahead = (node.in_flight.len() + node.queue.len() + 1) as f64;
-        let work = ahead * f64::from(node.consecutive_failures + 1) * (node.mean_latency.max(oldest) + 1.0);
+        let work = ahead
+            * f64::from(node.consecutive_failures + 1)
+            * (node.mean_latency.max(oldest) + 1.0);
         work / node.concurrency_window
     }
 
@@ -59,7 +68,12 @@
         let node = &mut self.nodes[node_id.0];
         if !node.allocations.iter().any(|a| a.volume == bio.volume) {
             let (volume, balance, history) = (bio.volume, base, base);
-            node.allocations.push(Allocation { volume, balance, history, ..Allocation::default() });
+            node.allocations.push(Allocation {
+                volume,
+                balance,
+                history,
+                ..Allocation::default()
+            });
         }
         node.queue.push(id);
     }
--- a/crates/scheduler/src/policy/rate_limits.rs
+++ b/crates/scheduler/src/policy/rate_limits.rs
@@ -16,7 +16,8 @@
     pub(super) fn refill(&mut self, now: Tick, plan: &PlanRates, max_io_units: f64) {
         let span = (now - self.refilled_at) as f64;
         self.refilled_at = now;
-        self.tokens = (self.tokens + span * self.limit_rate(plan)).min(plan.burst_units / self.hosts);
+        self.tokens =
+            (self.tokens + span * self.limit_rate(plan)).min(plan.burst_units / self.hosts);
         let most = plan.reserved * TICKS_PER_SECOND + max_io_units;
         self.reserve_tokens = (self.reserve_tokens + span * plan.reserved).min(most);
     }
@@ -24,7 +25,9 @@
     /// Records what other hosts were reported to use in an interval in their mean rate.
     pub(super) fn record_other_hosts_rate(&mut self) {
         let rate = std::mem::take(&mut self.reported_by_others) / ALLOCATION_INTERVAL as f64;
-        self.other_hosts_rate = self.other_hosts_rate.map(|mean| mean + (rate - mean) * OTHER_HOSTS_ALPHA);
+        self.other_hosts_rate = self
+            .other_hosts_rate
+            .map(|mean| mean + (rate - mean) * OTHER_HOSTS_ALPHA);
     }
 }
 
@@ -63,7 +66,13 @@
         let plan = bio.plan as usize;
         let hosts = f64::from(bio.hosts.clamp(1, self.hosts));
         let quota = self.quotas.get(bio.volume.0).copied();
-        let new = || Volume { plan, hosts, refilled_at: self.started_at, quota, ..Volume::default() };
+        let new = || Volume {
+            plan,
+            hosts,
+            refilled_at: self.started_at,
+            quota,
+            ..Volume::default()
+        };
         let volume = self.volumes.get_or_insert_with(bio.volume.0, new);
         volume.refill(now, &self.plans[plan], self.max_io_units);
         // The hosts' shares add up to the limit only if none is ever larger than the smallest allotted.
--- a/crates/scheduler/src/policy/retries.rs
+++ b/crates/scheduler/src/policy/retries.rs
@@ -20,7 +20,11 @@
     /// Until when it may be queued. A client that is answered in the first half of its time can go elsewhere,
     /// if nothing was tried; later, it waited in vain. Drawback: costly where capacity comes just in time.
     pub(super) fn queued_until(&self) -> Tick {
-        if self.attempts == 0 { self.objective_end.min(self.unsent_until) } else { self.objective_end }
+        if self.attempts == 0 {
+            self.objective_end.min(self.unsent_until)
+        } else {
+            self.objective_end
+        }
     }
 }
 
@@ -28,14 +32,28 @@
     /// The request for a block I/O that arrives. A client's retry is known by the deadline of its first try,
     /// and keeps its objective too. A short time left proves nothing: some clients give up early.
     pub(super) fn new_request(&self, now: Tick, bio: Bio) -> Request {
-        let same =
-            |s: &&ShedRecord| s.volume == bio.volume && (s.deadline - bio.deadline).abs() <= SAME_DEADLINE;
+        let same = |s: &&ShedRecord| {
+            s.volume == bio.volume && (s.deadline - bio.deadline).abs() <= SAME_DEADLINE
+        };
         let fresh = now + self.classes[bio.class as usize].latency_objective;
-        let objective_end = self.recently_shed.iter().find(same).map_or(fresh, |s| s.objective_end);
+        let objective_end = self
+            .recently_shed
+            .iter()
+            .find(same)
+            .map_or(fresh, |s| s.objective_end);
         let objective_end = objective_end.min(bio.deadline - DEADLINE_MARGIN);
         let half_time = now + (bio.deadline - now) / 2 - DEADLINE_MARGIN;
-        let unsent_until = if self.config.shed_at_half_deadline { half_time } else { bio.deadline };
-        Request { bio, objective_end, unsent_until, ..Request::default() }
+        let unsent_until = if self.config.shed_at_half_deadline {
+            half_time
+        } else {
+            bio.deadline
+        };
+        Request {
+            bio,
+            objective_end,
+            unsent_until,
+            ..Request::default()
+        }
     }
 
     /// Records that an attempt may have run. With an idempotency key, the objective ends with its window.
@@ -46,16 +64,23 @@
         }
         let sent_at = now - outcome.latency;
         let request = &mut self.requests[id.0];
-        let first = *request.possible_run.get_or_insert(PossibleRun { sent_at, node: outcome.node });
+        let first = *request.possible_run.get_or_insert(PossibleRun {
+            sent_at,
+            node: outcome.node,
+        });
         let class = &self.classes[request.bio.class as usize];
         if let Idempotency::IdempotentByKey { window, .. } = class.idempotency {
-            request.objective_end = request.objective_end.min(first.sent_at + window - DEADLINE_MARGIN);
+            request.objective_end = request
+                .objective_end
+                .min(first.sent_at + window - DEADLINE_MARGIN);
         }
     }
 
     /// The rule on idempotency: whether a node may get a block I/O that may have run elsewhere.
     pub(super) fn may_run_at(&self, request: &Request, now: Tick, node: &Node) -> bool {
-        let Some(first) = request.possible_run else { return true };
+        let Some(first) = request.possible_run else {
+            return true;
+        };
         let first_node = self.nodes.get(first.node.0);
         let in_scope = |scope| match scope {
             DeduplicationScope::All => true,
@@ -74,7 +99,8 @@
     pub(super) fn retry_or_give_up(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
         let request = &self.requests[id.0];
         let class = self.class(request);
-        let may_repeat = request.possible_run.is_none() || class.idempotency != Idempotency::NonIdempotent;
+        let may_repeat =
+            request.possible_run.is_none() || class.idempotency != Idempotency::NonIdempotent;
         if may_repeat && request.objective_end > now && request.attempts < class.max_attempts {
             self.place(host, now, id);
         } else {
@@ -89,8 +115,18 @@
         if request.attempts == 0 && request.node.is_some_and(sendable) {
             self.warm_demand.total += 1.0;
         }
-        let Request { bio: Bio { volume, deadline, .. }, objective_end, .. } = request;
-        self.recently_shed.push(ShedRecord { volume, deadline, objective_end });
+        let Request {
+            bio: Bio {
+                volume, deadline, ..
+            },
+            objective_end,
+            ..
+        } = request;
+        self.recently_shed.push(ShedRecord {
+            volume,
+            deadline,
+            objective_end,
+        });
         self.keep_tokens_for_top_class(now, &request);
         let repeats_dropped = match self.class(&request).idempotency {
             Idempotency::IdempotentByKey { scope, .. } => scope == DeduplicationScope::All,
--- a/crates/scheduler/src/policy/setup.rs
+++ b/crates/scheduler/src/policy/setup.rs
@@ -3,7 +3,9 @@
 use super::node_health::{INITIAL_WINDOW, MAX_BACKOFF, WIDEN_BELOW};
 use crate::interface::{IoClass, SchedulerConfig, Tick};
 use crate::pcg::Pcg;
-use crate::state::{ClassPolicy, FleetLatency, PlanRates, PollSchedule, RetryBudget, Scheduler, SlowStart};
+use crate::state::{
+    ClassPolicy, FleetLatency, PlanRates, PollSchedule, RetryBudget, Scheduler, SlowStart,
+};
 
 impl Scheduler {
     /// A scheduler that starts at `now`, with no node known. The seed decides all that it draws at random.
@@ -13,17 +15,29 @@
         let objectives = config.classes.iter().map(|c| c.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(ALLOCATION_INTERVAL).max(1) as f64;
         let initial_latency = WIDEN_BELOW * shortest_objective;
-        let max_retry_after = if config.allow_retry_after { config.max_retry_after } else { 0 };
+        let max_retry_after = if config.allow_retry_after {
+            config.max_retry_after
+        } else {
+            0
+        };
         let rng = Pcg::new(seed);
         Scheduler {
             config: config.clone(),
             plans: config.plans.iter().map(PlanRates::from).collect(),
             classes: class_policies(config),
-            mean_io_units: if config.mean_io_units > 0.0 { config.mean_io_units } else { 1.0 },
+            mean_io_units: if config.mean_io_units > 0.0 {
+                config.mean_io_units
+            } else {
+                1.0
+            },
             max_io_units: config.max_io_units.max(1.0),
             shortest_objective,
             typical_priority: typical_priority(config),
-            hosts: if config.hosts > 0 { config.hosts } else { u32::MAX },
+            hosts: if config.hosts > 0 {
+                config.hosts
+            } else {
+                u32::MAX
+            },
             load_by_other_hosts: 1.0 - 1.0 / hosts.sqrt(),
             initial_window: 1.0 + INITIAL_WINDOW / hosts,
             max_backoff: (MAX_BACKOFF * hosts.sqrt()) as Tick,
@@ -36,7 +50,11 @@
             rng,
             armed_for: Tick::MAX,
             losing_answers_until: now,
-            fleet_latency: FleetLatency { mean: initial_latency, best: initial_latency, threshold: 0.0 },
+            fleet_latency: FleetLatency {
+                mean: initial_latency,
+                best: initial_latency,
+                threshold: 0.0,
+            },
             ..Scheduler::default()
         }
     }
@@ -60,7 +78,12 @@
             priority_weight: c.priority_weight,
             weight_deficit: 1.0 - c.priority_weight / highest,
             ordered: c.ordered,
-            max_attempts: if few { config.max_attempts.min(2) } else { config.max_attempts }.max(1),
+            max_attempts: if few {
+                config.max_attempts.min(2)
+            } else {
+                config.max_attempts
+            }
+            .max(1),
         }
     };
     config.classes.iter().map(policy).collect()
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -49,14 +49,27 @@
         let (limits, node) = (&self.slow_start, &mut self.nodes[id.0]);
         let (window, age) = (limits.overload_window, now - node.started_at);
         if node.started_at == 0 || window == 0 || age >= limits.duration + window / 2 {
-            return SlowStartCapacity { left: f64::INFINITY, share: 0.0 };
+            return SlowStartCapacity {
+                left: f64::INFINITY,
+                share: 0.0,
+            };
         }
         let growth = limits.growth(age);
-        let share = limits.even_share.max(node.usual_rate * limits.per_usual_rate) * growth;
+        let share = limits
+            .even_share
+            .max(node.usual_rate * limits.per_usual_rate)
+            * growth;
         let sent = node.slow_start_units.after(now - window - 1);
         let small = share < self.max_io_units;
-        let share = if small { self.rounded_share(now, id, share, sent, growth) } else { share };
-        SlowStartCapacity { left: share - sent, share }
+        let share = if small {
+            self.rounded_share(now, id, share, sent, growth)
+        } else {
+            share
+        };
+        SlowStartCapacity {
+            left: share - sent,
+            share,
+        }
     }
 
     /// A share below the largest block I/O goes out whole, by a number drawn each overload window. A host
@@ -69,7 +82,8 @@
             node.slow_start_draw = self.rng.fraction();
         }
         let demand = &self.warm_demand;
-        let taken = (demand.sent + UNUSED_LOAD * WARM_DEMAND_PRIOR) / (demand.total + WARM_DEMAND_PRIOR);
+        let taken =
+            (demand.sent + UNUSED_LOAD * WARM_DEMAND_PRIOR) / (demand.total + WARM_DEMAND_PRIOR);
         let used = if node.usual_rate > 0.0 { 1.0 } else { taken };
         let flow = limits.per_usual_rate * growth / limits.overload_window as f64 * used;
         if node.slow_start_draw + f64::from(sent > 0.0) < flow {
--- a/crates/scheduler/src/recent_median.rs
+++ b/crates/scheduler/src/recent_median.rs
@@ -9,7 +9,11 @@
 
 impl<const N: usize> Default for RecentMedian<N> {
     fn default() -> Self {
-        RecentMedian { samples: [0.0; N], count: 0, median: 0.0 }
+        RecentMedian {
+            samples: [0.0; N],
+            count: 0,
+            median: 0.0,
+        }
     }
 }
 
@@ -20,7 +24,9 @@
         self.count += 1;
         let mut sorted = self.samples;
         let kept = self.count.min(N);
-        self.median = *sorted[..kept].select_nth_unstable_by(kept / 2, f64::total_cmp).1;
+        self.median = *sorted[..kept]
+            .select_nth_unstable_by(kept / 2, f64::total_cmp)
+            .1;
     }
 
     /// The median of the samples kept.
--- a/crates/scheduler/src/slab.rs
+++ b/crates/scheduler/src/slab.rs
@@ -47,7 +47,10 @@
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &T)> + Clone {
-        self.0.iter().enumerate().filter_map(|(index, entry)| Some((index as u32, entry.as_ref()?)))
+        self.0
+            .iter()
+            .enumerate()
+            .filter_map(|(index, entry)| Some((index as u32, entry.as_ref()?)))
     }
 
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,6 +1,8 @@
 //! What the scheduler keeps: its configuration, and the state of nodes, volumes, block I/Os and keys. Plain
 //! data: the decisions stand in `policy`.
-use crate::interface::{Bio, BioId, Idempotency, KeyId, NodeId, Plan, SchedulerConfig, Tick, VolumeId};
+use crate::interface::{
+    Bio, BioId, Idempotency, KeyId, NodeId, Plan, SchedulerConfig, Tick, VolumeId,
+};
 use crate::key_queue::KeyQueue;
 use crate::pcg::Pcg;
 use crate::policy::RECENT_ANSWERS;
@@ -87,7 +89,11 @@
     fn from(plan: &Plan) -> Self {
         PlanRates {
             reserved: plan.reserved_rate / TICKS_PER_SECOND,
-            limit: if plan.rate_limit > 0.0 { plan.rate_limit / TICKS_PER_SECOND } else { f64::INFINITY },
+            limit: if plan.rate_limit > 0.0 {
+                plan.rate_limit / TICKS_PER_SECOND
+            } else {
+                f64::INFINITY
+            },
             burst_units: plan.burst_units,
             weight: if plan.weight > 0.0 { plan.weight } else { 1.0 },
             priority_factor: plan.priority_factor,
@@ -218,7 +224,10 @@
 impl Node {
     /// Index of a volume's allocation; each volume with a block I/O queued here has one.
     pub(crate) fn allocation_index(&self, volume: VolumeId) -> usize {
-        self.allocations.iter().position(|a| a.volume == volume).expect("made when queued")
+        self.allocations
+            .iter()
+            .position(|a| a.volume == volume)
+            .expect("made when queued")
     }
 }
 
--- a/crates/scheduler/tests/dispatch.rs
+++ b/crates/scheduler/tests/dispatch.rs
@@ -8,9 +8,19 @@
 #[test]
 fn highest_priority_goes_first() {
     let mut settings = config();
-    settings.plans[1] = Plan { priority_factor: 0.5, ..settings.plans[0].clone() };
+    settings.plans[1] = Plan {
+        priority_factor: 0.5,
+        ..settings.plans[0].clone()
+    };
     let mut harness = Harness::new(&settings);
-    (0..8).for_each(|id| harness.arrive(Bio { plan: 1, volume: VolumeId(3), units: 1.0, ..harness.bio(id) }));
+    (0..8).for_each(|id| {
+        harness.arrive(Bio {
+            plan: 1,
+            volume: VolumeId(3),
+            units: 1.0,
+            ..harness.bio(id)
+        })
+    });
     harness.arrive(harness.bio(9));
     let first = harness.forwarded().len();
     let id = harness.forwarded()[0];
@@ -21,60 +31,117 @@
 #[test_case(4.0, 1; "high priority is sent")]
 #[test_case(0.2, 0; "low priority leaves the node to others")]
 fn crowded_node_is_left_to_the_highest_priority(priority_factor: f64, sends: usize) {
-    let mut settings = SchedulerConfig { hosts: 9, ..config() };
+    let mut settings = SchedulerConfig {
+        hosts: 9,
+        ..config()
+    };
     settings.plans[0].priority_factor = 4.0;
-    settings.plans[1] = Plan { priority_factor, ..settings.plans[0].clone() };
+    settings.plans[1] = Plan {
+        priority_factor,
+        ..settings.plans[0].clone()
+    };
     let mut harness = Harness::new(&settings);
     harness.complete_each(0..60, 900);
     harness.advance(1_500);
     harness.host.actions.clear();
-    harness.arrive(Bio { plan: 1, volume: VolumeId(1), ..harness.bio(500) });
+    harness.arrive(Bio {
+        plan: 1,
+        volume: VolumeId(1),
+        ..harness.bio(500)
+    });
     harness.advance(1);
     assert_eq!(harness.forwarded().len(), sends);
 }
 
 #[test]
 fn one_slow_answer_after_a_silence_keeps_low_priority_away() {
-    let mut settings = SchedulerConfig { hosts: 160, ..config() };
-    settings.plans[1] = Plan { priority_factor: 0.02, ..settings.plans[0].clone() };
+    let mut settings = SchedulerConfig {
+        hosts: 160,
+        ..config()
+    };
+    settings.plans[1] = Plan {
+        priority_factor: 0.02,
+        ..settings.plans[0].clone()
+    };
     let mut harness = Harness::new(&settings);
     harness.complete_each(0..3, 200);
     harness.advance(30_000);
     harness.arrive(harness.bio(30));
     harness.advance(1_500);
     harness.finish_attempt(30, 0, AttemptResult::Completed, 1_500);
-    harness.arrive(Bio { plan: 1, volume: VolumeId(9), ..harness.bio(31) });
+    harness.arrive(Bio {
+        plan: 1,
+        volume: VolumeId(9),
+        ..harness.bio(31)
+    });
     harness.advance(300);
     assert_eq!(harness.count(Action::Forwarded(31, 0)), 0);
-    harness.arrive(Bio { volume: VolumeId(8), ..harness.bio(32) });
+    harness.arrive(Bio {
+        volume: VolumeId(8),
+        ..harness.bio(32)
+    });
     harness.advance(300);
     assert_eq!(harness.count(Action::Forwarded(32, 0)), 1);
 }
 
 #[test]
 fn block_io_that_would_be_late_is_not_sent_even_with_nothing_in_flight() {
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 160, ..config() });
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 160,
+        ..config()
+    });
     harness.complete_each(0..20, 1_000);
     harness.host.actions.clear();
-    harness.arrive(Bio { deadline: harness.host.now + 600, ..harness.bio(40) });
+    harness.arrive(Bio {
+        deadline: harness.host.now + 600,
+        ..harness.bio(40)
+    });
     harness.advance(DEADLINE);
-    assert_eq!((harness.count(Action::Forwarded(40, 0)), harness.count(Action::Shed(40))), (0, 1));
+    assert_eq!(
+        (
+            harness.count(Action::Forwarded(40, 0)),
+            harness.count(Action::Shed(40))
+        ),
+        (0, 1)
+    );
 }
 
 #[test]
 fn late_answers_at_many_nodes_keep_low_priority_from_all() {
-    let mut settings = SchedulerConfig { hosts: 160, ..config() };
-    settings.plans[1] = Plan { priority_factor: 0.02, ..settings.plans[0].clone() };
+    let mut settings = SchedulerConfig {
+        hosts: 160,
+        ..config()
+    };
+    settings.plans[1] = Plan {
+        priority_factor: 0.02,
+        ..settings.plans[0].clone()
+    };
     let mut harness = Harness::new(&settings);
     for id in 0..8 {
-        harness.arrive(Bio { shard: Some(1), ..harness.bio(id) });
+        harness.arrive(Bio {
+            shard: Some(1),
+            ..harness.bio(id)
+        });
         harness.advance(OBJECTIVE + 100);
         harness.finish_attempt(id, 1, AttemptResult::Completed, OBJECTIVE + 100);
         harness.advance(5_000);
     }
     harness.complete_each(100..150, 50);
-    harness.arrive(Bio { plan: 1, volume: VolumeId(9), ..harness.bio(31) });
-    harness.arrive(Bio { volume: VolumeId(8), ..harness.bio(32) });
+    harness.arrive(Bio {
+        plan: 1,
+        volume: VolumeId(9),
+        ..harness.bio(31)
+    });
+    harness.arrive(Bio {
+        volume: VolumeId(8),
+        ..harness.bio(32)
+    });
     harness.advance(300);
-    assert_eq!((harness.count(Action::Forwarded(31, 0)), harness.count(Action::Forwarded(32, 0))), (0, 1));
+    assert_eq!(
+        (
+            harness.count(Action::Forwarded(31, 0)),
+            harness.count(Action::Forwarded(32, 0))
+        ),
+        (0, 1)
+    );
 }
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -13,7 +13,9 @@
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
     let before = harness.forwarded();
     harness.on_endpoints(event, endpoints);
-    before.iter().for_each(|id| harness.finish_attempt(*id, 0, AttemptResult::Completed, 50));
+    before
+        .iter()
+        .for_each(|id| harness.finish_attempt(*id, 0, AttemptResult::Completed, 50));
     harness.arrive(harness.bio(7));
     assert_eq!(
         (harness.forwarded(), harness.count(Action::Shed(7))),
@@ -25,17 +27,37 @@
 #[test]
 fn new_object_queued_for_a_removed_node_moves_to_another() {
     let mut harness = Harness::new(&config());
-    (0..12).for_each(|id| harness.arrive(Bio { shard: None, ..harness.bio(id) }));
-    harness.on_endpoints(EndpointEvent::Incremental, &[node(0, NodeState::Removed, 0)]);
+    (0..12).for_each(|id| {
+        harness.arrive(Bio {
+            shard: None,
+            ..harness.bio(id)
+        })
+    });
+    harness.on_endpoints(
+        EndpointEvent::Incremental,
+        &[node(0, NodeState::Removed, 0)],
+    );
     for _ in 0..40 {
         let all = harness.forwarded();
-        let on_one = harness.host.actions.iter().filter(|d| matches!(d.1, Action::Forwarded(_, 1))).count();
+        let on_one = harness
+            .host
+            .actions
+            .iter()
+            .filter(|d| matches!(d.1, Action::Forwarded(_, 1)))
+            .count();
         assert!(on_one <= all.len());
-        if let Some(id) = all.iter().rev().find(|id| harness.count(Action::ReleasedBio(**id)) == 0).copied() {
+        if let Some(id) = all
+            .iter()
+            .rev()
+            .find(|id| harness.count(Action::ReleasedBio(**id)) == 0)
+            .copied()
+        {
             harness.finish_attempt(id, 1, AttemptResult::Completed, 100);
         }
     }
-    assert!((0..12).all(|id| harness.forwarded().contains(&id) && harness.count(Action::Shed(id)) == 0));
+    assert!(
+        (0..12).all(|id| harness.forwarded().contains(&id) && harness.count(Action::Shed(id)) == 0)
+    );
 }
 
 #[test]
@@ -44,13 +66,19 @@
     harness.arrive(harness.bio(0));
     harness.on_endpoints(
         EndpointEvent::Incremental,
-        &[node(0, NodeState::Removed, 0), node(1, NodeState::Removed, 0)],
+        &[
+            node(0, NodeState::Removed, 0),
+            node(1, NodeState::Removed, 0),
+        ],
     );
     harness.advance(599_000);
     assert_eq!(harness.count(Action::ReleasedNode(1)), 0);
     harness.advance(3_000);
     assert_eq!(
-        (harness.count(Action::ReleasedNode(1)), harness.count(Action::ReleasedNode(0))),
+        (
+            harness.count(Action::ReleasedNode(1)),
+            harness.count(Action::ReleasedNode(0))
+        ),
         (1, 0),
         "node 0 still has an attempt in flight"
     );
@@ -67,7 +95,10 @@
 fn node_that_returns_within_a_minute_keeps_its_index() {
     let mut harness = Harness::new(&config());
     for _ in 0..3 {
-        harness.on_endpoints(EndpointEvent::Incremental, &[node(1, NodeState::Removed, 0)]);
+        harness.on_endpoints(
+            EndpointEvent::Incremental,
+            &[node(1, NodeState::Removed, 0)],
+        );
         harness.advance(500_000);
         harness.on_endpoints(EndpointEvent::Incremental, &[node(1, NodeState::Active, 0)]);
         harness.advance(2_000);
--- a/crates/scheduler/tests/final_answers.rs
+++ b/crates/scheduler/tests/final_answers.rs
@@ -13,12 +13,20 @@
     let start = harness.host.now;
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
     harness.advance(OBJECTIVE + 10);
-    let queued: Vec<u32> = (0..6).filter(|id| !harness.forwarded().contains(id)).collect();
+    let queued: Vec<u32> = (0..6)
+        .filter(|id| !harness.forwarded().contains(id))
+        .collect();
     assert!(!queued.is_empty());
-    assert!(queued.iter().all(|id| harness.count(Action::Shed(*id)) == 1));
+    assert!(
+        queued
+            .iter()
+            .all(|id| harness.count(Action::Shed(*id)) == 1)
+    );
     harness.advance(DEADLINE);
     assert!(
-        queued.iter().all(|id| harness.answered_at(*id) == [start + OBJECTIVE]),
+        queued
+            .iter()
+            .all(|id| harness.answered_at(*id) == [start + OBJECTIVE]),
         "as its objective ends, not near its deadline"
     );
 }
@@ -44,11 +52,22 @@
     harness.finish_attempt(0, 0, AttemptResult::Completed, 200);
     harness.finish_attempt(0, 0, AttemptResult::TimedOut, 200);
     harness.disconnect(0);
-    (1..9).for_each(|id| harness.arrive(Bio { volume: VolumeId(id), ..harness.bio(id) }));
+    (1..9).for_each(|id| {
+        harness.arrive(Bio {
+            volume: VolumeId(id),
+            ..harness.bio(id)
+        })
+    });
     harness.arrive(harness.bio(0));
     harness.finish_attempt(0, 0, AttemptResult::Completed, 200);
     harness.advance(DEADLINE);
-    assert_eq!((harness.count(Action::ReleasedBio(0)), harness.count(Action::Shed(0))), (2, 1));
+    assert_eq!(
+        (
+            harness.count(Action::ReleasedBio(0)),
+            harness.count(Action::Shed(0))
+        ),
+        (2, 1)
+    );
 }
 
 #[test]
@@ -56,9 +75,21 @@
     let mut harness = Harness::new(&config());
     harness.arrive(harness.bio(0));
     harness.disconnect(0);
-    assert_eq!((harness.count(Action::Cancelled(0)), harness.count(Action::ReleasedBio(0))), (1, 0));
+    assert_eq!(
+        (
+            harness.count(Action::Cancelled(0)),
+            harness.count(Action::ReleasedBio(0))
+        ),
+        (1, 0)
+    );
     harness.finish_attempt(0, 0, AttemptResult::Cancelled, 30);
-    assert_eq!((harness.count(Action::ReleasedBio(0)), harness.count(Action::Shed(0))), (1, 0));
+    assert_eq!(
+        (
+            harness.count(Action::ReleasedBio(0)),
+            harness.count(Action::Shed(0))
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -69,22 +100,38 @@
         plans: vec![Plan::default()],
         ..SchedulerConfig::default()
     });
-    harness.arrive(Bio { units: 0.0, hosts: 0, ..harness.bio(0) });
+    harness.arrive(Bio {
+        units: 0.0,
+        hosts: 0,
+        ..harness.bio(0)
+    });
     harness.advance(1_000);
     assert_eq!(harness.forwarded(), [0]);
     harness.finish_attempt(0, 0, AttemptResult::Completed, 0);
     let mut harness = Harness::new(&config());
-    (0..4).for_each(|id| harness.arrive(Bio { hosts: 0, units: 8.0, ..limited(&harness, id) }));
+    (0..4).for_each(|id| {
+        harness.arrive(Bio {
+            hosts: 0,
+            units: 8.0,
+            ..limited(&harness, id)
+        })
+    });
     harness.advance(1_000);
     assert_eq!(harness.forwarded().len(), 1);
 }
 
 #[test]
 fn unsent_block_io_is_shed_at_half_of_its_deadline() {
-    let mut harness = Harness::new(&SchedulerConfig { shed_at_half_deadline: true, ..config() });
+    let mut harness = Harness::new(&SchedulerConfig {
+        shed_at_half_deadline: true,
+        ..config()
+    });
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
     // Time for its objective, and little more.
-    let hasty = Bio { deadline: harness.host.now + OBJECTIVE + 200, ..harness.bio(9) };
+    let hasty = Bio {
+        deadline: harness.host.now + OBJECTIVE + 200,
+        ..harness.bio(9)
+    };
     harness.arrive(hasty);
     assert!(!harness.forwarded().contains(&9));
     harness.advance(OBJECTIVE / 2);
@@ -96,35 +143,69 @@
 #[test_case(0, AttemptResult::Rejected; "rejected by the node")]
 #[test_case(0, AttemptResult::ConnectionReset; "cut off")]
 #[test_case(1, AttemptResult::TimedOut; "a non-idempotent one that may have run")]
-fn block_io_without_attempts_left_is_answered_as_the_last_one_finishes(class: u16, result: AttemptResult) {
-    let mut settings =
-        SchedulerConfig { max_attempts: 1, allow_retry_after: true, max_retry_after: 5_000, ..config() };
+fn block_io_without_attempts_left_is_answered_as_the_last_one_finishes(
+    class: u16,
+    result: AttemptResult,
+) {
+    let mut settings = SchedulerConfig {
+        max_attempts: 1,
+        allow_retry_after: true,
+        max_retry_after: 5_000,
+        ..config()
+    };
     settings.classes[0].latency_objective = DEADLINE;
     let mut harness = Harness::new(&settings);
-    harness.arrive(Bio { class, ..harness.bio(0) });
+    harness.arrive(Bio {
+        class,
+        ..harness.bio(0)
+    });
     harness.advance(700);
     let now = harness.host.now;
     harness.finish_attempt(0, 0, result, 700);
-    assert_eq!(harness.answered_at(0), [now], "not queued back while its client might retry");
+    assert_eq!(
+        harness.answered_at(0),
+        [now],
+        "not queued back while its client might retry"
+    );
     let shed = class == 0;
-    assert_eq!(harness.host.retry_after, if shed { vec![1_000] } else { vec![] }, "a Retry-After is named");
+    assert_eq!(
+        harness.host.retry_after,
+        if shed { vec![1_000] } else { vec![] },
+        "a Retry-After is named"
+    );
 }
 
 #[test]
 fn block_io_that_cannot_be_served_is_answered_at_once() {
     let mut harness = Harness::new(&config());
     let start = harness.host.now;
-    harness.arrive(Bio { shard: Some(9), ..harness.bio(0) });
-    harness.arrive(Bio { deadline: start + 50, ..harness.bio(1) });
+    harness.arrive(Bio {
+        shard: Some(9),
+        ..harness.bio(0)
+    });
+    harness.arrive(Bio {
+        deadline: start + 50,
+        ..harness.bio(1)
+    });
     assert_eq!(
         (harness.answered_at(0), harness.answered_at(1)),
         (vec![start], vec![start]),
         "no node holds it; no time is left"
     );
     (2..9).for_each(|id| harness.arrive(harness.bio(id)));
-    let queued: Vec<u32> = (2..9).filter(|id| !harness.forwarded().contains(id)).collect();
+    let queued: Vec<u32> = (2..9)
+        .filter(|id| !harness.forwarded().contains(id))
+        .collect();
     harness.advance(900);
-    harness.on_endpoints(EndpointEvent::Incremental, &[node(0, NodeState::Removed, 0)]);
+    harness.on_endpoints(
+        EndpointEvent::Incremental,
+        &[node(0, NodeState::Removed, 0)],
+    );
     assert!(!queued.is_empty());
-    assert!(queued.iter().all(|id| harness.answered_at(*id) == [start + 900]), "its node is removed");
+    assert!(
+        queued
+            .iter()
+            .all(|id| harness.answered_at(*id) == [start + 900]),
+        "its node is removed"
+    );
 }
--- a/crates/scheduler/tests/idempotency.rs
+++ b/crates/scheduler/tests/idempotency.rs
@@ -27,44 +27,79 @@
     let mut settings = config();
     settings.classes[3].latency_objective = 8_000;
     let mut harness = Harness::new(&settings);
-    harness.arrive(Bio { class: 3, ..harness.bio(0) });
+    harness.arrive(Bio {
+        class: 3,
+        ..harness.bio(0)
+    });
     harness.advance(2_990);
     harness.finish_attempt(0, 0, AttemptResult::ConnectionReset, 2_990);
     harness.advance(DEADLINE);
     assert_eq!(harness.forwarded(), [0]);
-    assert_eq!((harness.count(Action::Failed(0)), harness.count(Action::Shed(0))), (1, 0));
+    assert_eq!(
+        (
+            harness.count(Action::Failed(0)),
+            harness.count(Action::Shed(0))
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
 fn keyed_block_io_whose_window_ends_in_the_queue_is_answered_then_and_not_at_its_objective() {
     let mut settings = config();
     settings.classes[3].latency_objective = 8_000;
-    settings.classes[3].idempotency =
-        Idempotency::IdempotentByKey { scope: DeduplicationScope::Shard, window: 1_000 };
+    settings.classes[3].idempotency = Idempotency::IdempotentByKey {
+        scope: DeduplicationScope::Shard,
+        window: 1_000,
+    };
     let mut harness = Harness::new(&settings);
     let start = harness.host.now;
-    harness.arrive(Bio { class: 3, ..harness.bio(0) });
+    harness.arrive(Bio {
+        class: 3,
+        ..harness.bio(0)
+    });
     (1..5).for_each(|id| harness.arrive(harness.bio(id)));
     harness.advance(500);
     // Its node fails again and again, and is paused for longer than it remembers keys.
     (1..5).for_each(|id| harness.finish_attempt(id, 0, AttemptResult::Error, 500));
     harness.finish_attempt(0, 0, AttemptResult::ConnectionReset, 500);
     harness.advance(DEADLINE);
-    assert_eq!((harness.count(Action::Failed(0)), harness.nodes_of(0)), (1, vec![0]));
-    assert!(harness.answered_at(0)[0] <= start + 1_000, "{:?} from {start}", harness.answered_at(0));
+    assert_eq!(
+        (harness.count(Action::Failed(0)), harness.nodes_of(0)),
+        (1, vec![0])
+    );
+    assert!(
+        harness.answered_at(0)[0] <= start + 1_000,
+        "{:?} from {start}",
+        harness.answered_at(0)
+    );
 }
 
 #[test]
 fn new_object_that_may_have_run_is_retried_in_its_shard_or_answered_at_once() {
     for seed in 0..20 {
         let mut harness = Harness::new(&config());
-        let new = |harness: &Harness, id| Bio { class: 3, shard: None, ..harness.bio(id) };
-        (0..seed).for_each(|id| harness.arrive(Bio { class: 0, ..new(&harness, id) }));
+        let new = |harness: &Harness, id| Bio {
+            class: 3,
+            shard: None,
+            ..harness.bio(id)
+        };
+        (0..seed).for_each(|id| {
+            harness.arrive(Bio {
+                class: 0,
+                ..new(&harness, id)
+            })
+        });
         harness.host.actions.clear();
         harness.arrive(new(&harness, 100));
-        let Some(first) = harness.nodes_of(100).first().copied() else { continue };
+        let Some(first) = harness.nodes_of(100).first().copied() else {
+            continue;
+        };
         // The only node of its shard drains while the outcome is on its way.
-        harness.on_endpoints(EndpointEvent::Incremental, &[node(first, NodeState::Draining, 0)]);
+        harness.on_endpoints(
+            EndpointEvent::Incremental,
+            &[node(first, NodeState::Draining, 0)],
+        );
         let now = harness.host.now;
         harness.finish_attempt(100, first, AttemptResult::ConnectionReset, 10);
         assert_eq!(
--- a/crates/scheduler/tests/node_health.rs
+++ b/crates/scheduler/tests/node_health.rs
@@ -7,7 +7,10 @@
 
 #[test]
 fn node_that_was_slow_is_tried_again() {
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 9, ..config() });
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 9,
+        ..config()
+    });
     harness.complete_each(0..40, 2_500);
     harness.advance(80_000);
     harness.host.actions.clear();
@@ -37,23 +40,49 @@
 #[test]
 fn node_with_an_unanswered_attempt_gets_no_new_objects() {
     let mut harness = Harness::new(&config());
-    harness.arrive(Bio { volume: VolumeId(20), ..harness.bio(0) });
+    harness.arrive(Bio {
+        volume: VolumeId(20),
+        ..harness.bio(0)
+    });
     harness.advance(1_500);
     for id in 1..17 {
-        harness.arrive(Bio { volume: VolumeId(id), shard: None, ..harness.bio(id) });
+        harness.arrive(Bio {
+            volume: VolumeId(id),
+            shard: None,
+            ..harness.bio(id)
+        });
         harness.advance(20);
-        if harness.host.actions.contains(&(harness.host.now - 20, Action::Forwarded(id, 1))) {
+        if harness
+            .host
+            .actions
+            .contains(&(harness.host.now - 20, Action::Forwarded(id, 1)))
+        {
             harness.finish_attempt(id, 1, AttemptResult::Completed, 20);
         }
     }
-    let on_one = harness.host.actions.iter().filter(|d| matches!(d.1, Action::Forwarded(_, 1))).count();
-    assert!(on_one >= 10, "{on_one} of 16; all but those that draw the other node twice");
+    let on_one = harness
+        .host
+        .actions
+        .iter()
+        .filter(|d| matches!(d.1, Action::Forwarded(_, 1)))
+        .count();
+    assert!(
+        on_one >= 10,
+        "{on_one} of 16; all but those that draw the other node twice"
+    );
 }
 
 #[test]
 fn node_that_answers_nothing_in_time_does_not_count_as_quick() {
-    let mut settings = SchedulerConfig { hosts: 160, max_attempts: 1, ..config() };
-    settings.plans[1] = Plan { priority_factor: 0.02, ..settings.plans[0].clone() };
+    let mut settings = SchedulerConfig {
+        hosts: 160,
+        max_attempts: 1,
+        ..config()
+    };
+    settings.plans[1] = Plan {
+        priority_factor: 0.02,
+        ..settings.plans[0].clone()
+    };
     let mut harness = Harness::new(&settings);
     harness.complete_each(0..3, 100);
     for id in 30..33 {
@@ -61,7 +90,11 @@
         harness.advance(OBJECTIVE);
         harness.finish_attempt(id, 0, AttemptResult::TimedOut, OBJECTIVE);
     }
-    harness.arrive(Bio { plan: 1, volume: VolumeId(9), ..harness.bio(40) });
+    harness.arrive(Bio {
+        plan: 1,
+        volume: VolumeId(9),
+        ..harness.bio(40)
+    });
     harness.advance(OBJECTIVE / 2);
     assert_eq!(harness.count(Action::Forwarded(40, 0)), 0);
 }
--- a/crates/scheduler/tests/pin/nodes.rs
+++ b/crates/scheduler/tests/pin/nodes.rs
@@ -44,9 +44,18 @@
                 (timeout, AttemptResult::TimedOut)
             }
             Mode::Prompt => (random.between(5, 35), AttemptResult::Completed),
-            Mode::Quick => (random.between(30, 400) + 10 * load, AttemptResult::Completed),
-            Mode::Middle => (random.between(400, 640) + 5 * load, AttemptResult::Completed),
-            Mode::Slow => (random.between(500, 2_600) + 20 * load, AttemptResult::Completed),
+            Mode::Quick => (
+                random.between(30, 400) + 10 * load,
+                AttemptResult::Completed,
+            ),
+            Mode::Middle => (
+                random.between(400, 640) + 5 * load,
+                AttemptResult::Completed,
+            ),
+            Mode::Slow => (
+                random.between(500, 2_600) + 20 * load,
+                AttemptResult::Completed,
+            ),
             Mode::Full if random.percent(40) => (random.between(5, 30), AttemptResult::Rejected),
             Mode::Full => (random.between(200, 900), AttemptResult::Completed),
             Mode::Broken => match random.below(7) {
@@ -60,11 +69,18 @@
             Mode::Lossy => (random.between(10, 300), AttemptResult::Completed),
         };
         match result {
-            AttemptResult::Completed if random.percent(2) => {
-                Ending { latency: wait.min(timeout), result: AttemptResult::Error }
-            }
-            _ if wait >= timeout => Ending { latency: timeout, result: AttemptResult::TimedOut },
-            _ => Ending { latency: wait, result },
+            AttemptResult::Completed if random.percent(2) => Ending {
+                latency: wait.min(timeout),
+                result: AttemptResult::Error,
+            },
+            _ if wait >= timeout => Ending {
+                latency: timeout,
+                result: AttemptResult::TimedOut,
+            },
+            _ => Ending {
+                latency: wait,
+                result,
+            },
         }
     }
 }
@@ -80,7 +96,11 @@
 
 impl Pattern {
     pub fn of(seed: u64) -> Self {
-        if seed % 4 == 3 { Pattern::RareLoss } else { Pattern::Mixed }
+        if seed % 4 == 3 {
+            Pattern::RareLoss
+        } else {
+            Pattern::Mixed
+        }
     }
 }
 
@@ -91,7 +111,21 @@
 
 /// Nodes 0 to 3 hold a shard each; 4 holds the shard of 0 as well, 5 that of 1. Two zones.
 pub fn first_endpoint(node: u32) -> NodeEndpoint {
-    let state = if node < 5 { NodeState::Active } else { NodeState::Removed };
-    let shard = if node == ALWAYS_WARMING_UP { 9 } else { node % 4 };
-    NodeEndpoint { node: NodeId(node), zone: node % 2, shard, state, started_at: 0 }
+    let state = if node < 5 {
+        NodeState::Active
+    } else {
+        NodeState::Removed
+    };
+    let shard = if node == ALWAYS_WARMING_UP {
+        9
+    } else {
+        node % 4
+    };
+    NodeEndpoint {
+        node: NodeId(node),
+        zone: node % 2,
+        shard,
+        state,
+        started_at: 0,
+    }
 }
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -6,7 +6,9 @@
 
 impl Random {
     pub fn new(seed: u64) -> Self {
-        Random(SeededRng::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995))
+        Random(SeededRng::new(
+            seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5bd1_e995,
+        ))
     }
 
     /// A number in 0..n.
