--- a/crates/scheduler/tests/pin/recorder.rs
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -79,7 +79,10 @@
 
 impl Recorder {
     pub fn new(now: Tick, random: Random) -> Self {
-        let node = |index| SimulatedNode { endpoint: first_endpoint(index), mode: Mode::Quick };
+        let node = |index| SimulatedNode {
+            endpoint: first_endpoint(index),
+            mode: Mode::Quick,
+        };
         Recorder {
             now,
             random,
@@ -113,7 +116,8 @@
 
     pub fn schedule(&mut self, after: Tick, event: Event) {
         self.next_event += 1;
-        self.events.insert((self.now + after, self.next_event), event);
+        self.events
+            .insert((self.now + after, self.next_event), event);
     }
 
     /// Schedules the end of an attempt.
@@ -127,31 +131,60 @@
 
 impl Host for Recorder {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
-        self.record(Action::Forward, [bio.0.into(), node.0.into(), timeout as u64]);
-        let current = self.current.get_mut(&bio).expect("a block I/O that was released is not submitted");
+        self.record(
+            Action::Forward,
+            [bio.0.into(), node.0.into(), timeout as u64],
+        );
+        let current = self
+            .current
+            .get_mut(&bio)
+            .expect("a block I/O that was released is not submitted");
         let attempt = current.attempts;
         current.attempts += 1;
         let request = current.bio;
         self.next_attempt += 1;
         let serial = self.next_attempt;
         self.schedule_ending(serial, &request, node, timeout);
-        self.in_flight.insert(serial, Attempt { bio, node, sent_at: self.now, attempt });
+        self.in_flight.insert(
+            serial,
+            Attempt {
+                bio,
+                node,
+                sent_at: self.now,
+                attempt,
+            },
+        );
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
         self.record(Action::Cancel, [bio.0.into(), attempt.into(), 0]);
-        let mut attempts = self.in_flight.iter().filter(|(_, a)| a.bio == bio && a.attempt == attempt);
+        let mut attempts = self
+            .in_flight
+            .iter()
+            .filter(|(_, a)| a.bio == bio && a.attempt == attempt);
         let found = attempts.next().map(|(serial, _)| *serial);
         if let Some(serial) = found {
             let after = self.random.between(1, 40);
-            self.schedule(after, Event::AttemptOutcome { serial, result: AttemptResult::Cancelled });
+            self.schedule(
+                after,
+                Event::AttemptOutcome {
+                    serial,
+                    result: AttemptResult::Cancelled,
+                },
+            );
         }
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
         self.record(Action::Shed, [bio.0.into(), retry_after as u64, 0]);
-        let current = self.current.get_mut(&bio).expect("a block I/O in use is shed");
-        assert!(!std::mem::replace(&mut current.answered, true), "answered once");
+        let current = self
+            .current
+            .get_mut(&bio)
+            .expect("a block I/O in use is shed");
+        assert!(
+            !std::mem::replace(&mut current.answered, true),
+            "answered once"
+        );
         self.shed.push(current.bio);
         if self.shed.len() > 20 {
             self.shed.remove(0);
@@ -160,8 +193,14 @@
 
     fn fail(&mut self, bio: BioId) {
         self.record(Action::Fail, [bio.0.into(), 0, 0]);
-        let current = self.current.get_mut(&bio).expect("a block I/O in use fails");
-        assert!(!std::mem::replace(&mut current.answered, true), "answered once");
+        let current = self
+            .current
+            .get_mut(&bio)
+            .expect("a block I/O in use fails");
+        assert!(
+            !std::mem::replace(&mut current.answered, true),
+            "answered once"
+        );
     }
 
     fn set_timer(&mut self, after: Tick) {
--- a/crates/scheduler/tests/pin/settings.rs
+++ b/crates/scheduler/tests/pin/settings.rs
@@ -75,14 +75,23 @@
 }
 
 pub fn config(seed: u64, random: &mut Random) -> SchedulerConfig {
-    let Polling { hosts, poll_service_time, max_poll_delay, endpoints_pushed } = polling(seed);
+    let Polling {
+        hosts,
+        poll_service_time,
+        max_poll_delay,
+        endpoints_pushed,
+    } = polling(seed);
     let one_in = |n: u64| seed.is_multiple_of(n);
     SchedulerConfig {
         hosts,
         classes: classes(),
         plans: plans(),
         // Small means make small budgets, so that these decide.
-        mean_io_units: if one_in(7) { 0.0 } else { 0.5 + random.fraction() * 2.0 },
+        mean_io_units: if one_in(7) {
+            0.0
+        } else {
+            0.5 + random.fraction() * 2.0
+        },
         max_io_units: 8.0,
         share_weight_factor: 0.35 + random.fraction() / 4.0,
         spare_weight_factor: 0.1 + random.fraction() / 4.0,
@@ -100,7 +109,11 @@
         endpoints_pushed,
         max_poll_delay,
         shed_at_half_deadline: one_in(3),
-        slow_start_capacity: if one_in(9) { 0.0 } else { 6.0 + random.fraction() * 30.0 },
+        slow_start_capacity: if one_in(9) {
+            0.0
+        } else {
+            6.0 + random.fraction() * 30.0
+        },
         slow_start_initial_rate: 0.2,
         slow_start_duration: 60_000,
         overload_window: if one_in(13) { 0 } else { 8_000 },
--- a/crates/scheduler/tests/pin/simulation.rs
+++ b/crates/scheduler/tests/pin/simulation.rs
@@ -25,7 +25,11 @@
         let mut random = Random::new(seed);
         let config = settings::config(seed, &mut random);
         let pattern = Pattern::of(seed);
-        let plans = if pattern == Pattern::Mixed { settings::PLANS } else { 1 };
+        let plans = if pattern == Pattern::Mixed {
+            settings::PLANS
+        } else {
+            1
+        };
         let now = 50_000 + 7 * seed as Tick;
         let recorder = Recorder::new(now, random);
         Simulation {
@@ -69,7 +73,12 @@
             Event::Arrival => self.arrive(),
             Event::AttemptOutcome { serial, result } => self.finish_attempt(serial, result),
             Event::Disconnect { bio, arrival } => {
-                if self.recorder.current.get(&bio).is_some_and(|c| c.arrival == arrival) {
+                if self
+                    .recorder
+                    .current
+                    .get(&bio)
+                    .is_some_and(|c| c.arrival == arrival)
+                {
                     self.scheduler.on_disconnect(&mut self.recorder, now, bio);
                 }
             }
@@ -88,7 +97,11 @@
 
     fn change_mode(&mut self, node: u32) {
         let random = &mut self.recorder.random;
-        let mode = if self.pattern == Pattern::Mixed { Mode::draw(random) } else { Mode::Prompt };
+        let mode = if self.pattern == Pattern::Mixed {
+            Mode::draw(random)
+        } else {
+            Mode::Prompt
+        };
         let after = random.between(8_000, 40_000);
         self.recorder.nodes[node as usize].mode = mode;
         self.recorder.schedule(after, Event::NodeMode(node));
@@ -97,14 +110,20 @@
     /// Hashes the status of each node.
     fn record_node_status(&mut self) {
         for node in 0..NODES {
-            let Some(status) = self.scheduler.node_status(self.recorder.now, NodeId(node)) else { continue };
+            let Some(status) = self.scheduler.node_status(self.recorder.now, NodeId(node)) else {
+                continue;
+            };
             let hash = &mut self.recorder.hash;
             hash.add(u64::from(status.active) | u64::from(status.warming_up) << 1);
             hash.add(u64::from(status.in_flight) | u64::from(status.queued) << 32);
             hash.add(u64::from(status.consecutive_failures));
-            [status.concurrency_window, status.mean_latency, status.cost_multiplier]
-                .iter()
-                .for_each(|f| hash.add(f.to_bits()));
+            [
+                status.concurrency_window,
+                status.mean_latency,
+                status.cost_multiplier,
+            ]
+            .iter()
+            .for_each(|f| hash.add(f.to_bits()));
         }
     }
 
@@ -112,12 +131,26 @@
         self.arrivals += 1;
         let bio = self.draw_bio();
         let arrival = self.arrivals as u64;
-        self.recorder.current.insert(bio.id, Current { bio, arrival, answered: false, attempts: 0 });
+        self.recorder.current.insert(
+            bio.id,
+            Current {
+                bio,
+                arrival,
+                answered: false,
+                attempts: 0,
+            },
+        );
         let now = self.recorder.now;
         self.scheduler.on_arrival(&mut self.recorder, now, bio);
         if self.recorder.random.percent(4) {
             let after = self.recorder.random.between(10, 3_000);
-            self.recorder.schedule(after, Event::Disconnect { bio: bio.id, arrival });
+            self.recorder.schedule(
+                after,
+                Event::Disconnect {
+                    bio: bio.id,
+                    arrival,
+                },
+            );
         }
         if self.arrivals < ARRIVALS {
             let after = self.draw_gap();
@@ -146,7 +179,11 @@
             && first.deadline > r.now
         {
             let deadline = first.deadline + r.random.between(-7, 7);
-            return Bio { id, deadline, ..first };
+            return Bio {
+                id,
+                deadline,
+                ..first
+            };
         }
         let class = r.random.below(self.config.classes.len() as u64) as u16;
         // Volumes take turns, so that some are idle for long.
@@ -167,7 +204,10 @@
             key,
             deadline: r.now + r.random.between(least, most),
             units: r.random.between(1, 32) as f64 / 4.0,
-            shard: r.random.percent(75).then(|| r.random.below(shards).min(3) as u32),
+            shard: r
+                .random
+                .percent(75)
+                .then(|| r.random.below(shards).min(3) as u32),
             hosts: r.random.below(5) as u32,
         }
     }
@@ -175,7 +215,9 @@
     fn finish_attempt(&mut self, serial: u64, result: AttemptResult) {
         let r = &mut self.recorder;
         // After a cancel there are two events: the first counts.
-        let Some(attempt) = r.in_flight.remove(&serial) else { return };
+        let Some(attempt) = r.in_flight.remove(&serial) else {
+            return;
+        };
         let (id, random) = (attempt.bio, &mut r.random);
         let load_report = LoadReport {
             backlog: Some(random.fraction()),
@@ -196,7 +238,8 @@
         let sent_again = self.recorder.in_flight.values().any(|s| s.bio == id);
         if self.recorder.random.percent(2) && !sent_again {
             // A repeated outcome finds no attempt in flight.
-            self.scheduler.on_attempt_finished(&mut self.recorder, now, id, &outcome);
+            self.scheduler
+                .on_attempt_finished(&mut self.recorder, now, id, &outcome);
         }
     }
 
@@ -212,7 +255,8 @@
                 .collect(),
         };
         let now = self.recorder.now;
-        self.scheduler.on_endpoints(&mut self.recorder, now, event, &entries);
+        self.scheduler
+            .on_endpoints(&mut self.recorder, now, event, &entries);
     }
 
     fn change_endpoint(&mut self) {
@@ -226,10 +270,16 @@
             2 => self.send_endpoints(EndpointEvent::WatchSilent),
             3 => self.send_endpoints(EndpointEvent::Cached),
             _ => {
-                let node = if choice >= 12 { ALWAYS_WARMING_UP as usize } else { r.random.below(6) as usize };
+                let node = if choice >= 12 {
+                    ALWAYS_WARMING_UP as usize
+                } else {
+                    r.random.below(6) as usize
+                };
                 let endpoint = &mut r.nodes[node].endpoint;
                 match (choice, endpoint.state) {
-                    (12..15, NodeState::Active) => endpoint.started_at = now - r.random.between(0, 20_000),
+                    (12..15, NodeState::Active) => {
+                        endpoint.started_at = now - r.random.between(0, 20_000)
+                    }
                     (4, NodeState::Active) => endpoint.state = NodeState::Draining,
                     (_, NodeState::Draining) => endpoint.state = NodeState::Removed,
                     (_, NodeState::Removed) if choice < 7 => {}
@@ -239,7 +289,12 @@
                     }
                 }
                 let entry = *endpoint;
-                self.scheduler.on_endpoints(&mut self.recorder, now, EndpointEvent::Incremental, &[entry]);
+                self.scheduler.on_endpoints(
+                    &mut self.recorder,
+                    now,
+                    EndpointEvent::Incremental,
+                    &[entry],
+                );
             }
         }
     }
@@ -259,12 +314,17 @@
         r.schedule(after, Event::PlanChange);
         let factor = 0.75 + r.random.fraction() / 2.0;
         for plan in &mut self.config.plans {
-            (plan.reserved_rate, plan.rate_limit) = (plan.reserved_rate * factor, plan.rate_limit * factor);
+            (plan.reserved_rate, plan.rate_limit) =
+                (plan.reserved_rate * factor, plan.rate_limit * factor);
         }
         let volume = r.random.below(VOLUMES);
         let plan = r.random.below(settings::PLANS) as u16;
         self.volume_plans[volume as usize] = plan;
-        let moved = [(VolumeId(volume as u32), plan), (VolumeId(VOLUMES as u32), 0)];
-        self.scheduler.on_plans_changed(now, &self.config.plans, &moved);
+        let moved = [
+            (VolumeId(volume as u32), plan),
+            (VolumeId(VOLUMES as u32), 0),
+        ];
+        self.scheduler
+            .on_plans_changed(now, &self.config.plans, &moved);
     }
 }
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -42,15 +42,24 @@
         }
         counts.iter_mut().zip(of_run).for_each(|(sum, n)| *sum += n);
     }
-    assert!(counts[1..].iter().all(|n| *n > 0), "some action was never taken: {counts:?}");
-    assert!(differing.is_empty(), "other actions than recorded with seeds {differing:?}");
+    assert!(
+        counts[1..].iter().all(|n| *n > 0),
+        "some action was never taken: {counts:?}"
+    );
+    assert!(
+        differing.is_empty(),
+        "other actions than recorded with seeds {differing:?}"
+    );
 }
 
 /// The floor of the window, which the seeded runs do not reach.
 #[test]
 fn the_window_of_a_node_that_times_out_on_everything_ends_at_a_tenth() {
     let mut harness = Harness::new(&config());
-    let patient = |harness: &Harness, id| Bio { deadline: harness.host.now + 400_000, ..harness.bio(id) };
+    let patient = |harness: &Harness, id| Bio {
+        deadline: harness.host.now + 400_000,
+        ..harness.bio(id)
+    };
     // An answer to a later submit shows that the first one's was lost.
     harness.arrive(patient(&harness, 0));
     harness.advance(10);
@@ -60,10 +69,20 @@
     harness.finish_attempt(0, 0, AttemptResult::TimedOut, 20);
     // Submits long overdue then take no room, and pile up.
     for id in 2..62 {
-        harness.arrive(Bio { class: 3, ..patient(&harness, id) });
+        harness.arrive(Bio {
+            class: 3,
+            ..patient(&harness, id)
+        });
         harness.advance(600);
     }
-    assert_eq!(harness.forwarded().len(), 63, "each once, and the first one again");
+    assert_eq!(
+        harness.forwarded().len(),
+        63,
+        "each once, and the first one again"
+    );
     (2..62).for_each(|id| harness.finish_attempt(id, 0, AttemptResult::TimedOut, 36_000));
-    assert_eq!(harness.node_status(0).concurrency_window.to_bits(), 0.1_f64.to_bits());
+    assert_eq!(
+        harness.node_status(0).concurrency_window.to_bits(),
+        0.1_f64.to_bits()
+    );
 }
--- a/crates/scheduler/tests/rate_limits.rs
+++ b/crates/scheduler/tests/rate_limits.rs
@@ -7,10 +7,17 @@
 
 #[test]
 fn host_spends_no_more_than_its_share_of_a_limit() {
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 2, ..config() });
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 2,
+        ..config()
+    });
     (0..4).for_each(|id| harness.arrive(limited(&harness, id)));
     harness.advance(100);
-    assert_eq!(harness.forwarded().len(), 1, "half of the limit has refilled for a second");
+    assert_eq!(
+        harness.forwarded().len(),
+        1,
+        "half of the limit has refilled for a second"
+    );
 }
 
 #[test_case(10.0, 10.0, 1; "unchanged")]
@@ -18,17 +25,31 @@
 #[test_case(10.0, 40.0, 2; "raised, it refills from then on")]
 fn changed_limit_is_never_exceeded(before: f64, after: f64, sends: usize) {
     let mut settings = config();
-    let limit =
-        |rate_limit: f64| Plan { rate_limit, burst_units: rate_limit * 1.6, ..config().plans[1].clone() };
+    let limit = |rate_limit: f64| Plan {
+        rate_limit,
+        burst_units: rate_limit * 1.6,
+        ..config().plans[1].clone()
+    };
     settings.plans[1] = limit(before);
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 2, ..settings });
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 2,
+        ..settings
+    });
     // Long enough that any token bucket is full by now.
-    harness.arrive(Bio { units: 0.1, ..limited(&harness, 0) });
+    harness.arrive(Bio {
+        units: 0.1,
+        ..limited(&harness, 0)
+    });
     harness.advance(20_000);
     harness.change_plans(&[config().plans[0].clone(), limit(after)], &[]);
     harness.advance(10_000 * usize::from(after > before) as Tick);
     let sent = harness.forwarded().len();
-    (10..20).for_each(|id| harness.arrive(Bio { units: 8.0, ..limited(&harness, id) }));
+    (10..20).for_each(|id| {
+        harness.arrive(Bio {
+            units: 8.0,
+            ..limited(&harness, id)
+        })
+    });
     assert_eq!(harness.forwarded().len() - sent, sends);
 }
 
@@ -36,14 +57,23 @@
 #[test_case(Some(2.0), 8; "less than the even share")]
 #[test_case(Some(10.0), 40; "all of the limit")]
 fn quota_holds_from_the_moment_it_is_granted(quota: Option<f64>, units: usize) {
-    let mut harness = Harness::new(&SchedulerConfig { hosts: 2, ..config() });
-    harness.arrive(Bio { units: 0.1, ..limited(&harness, 0) });
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: 2,
+        ..config()
+    });
+    harness.arrive(Bio {
+        units: 0.1,
+        ..limited(&harness, 0)
+    });
     harness.change_quota(VolumeId(5), quota);
     let before = harness.forwarded().len();
     let mut ended = 0;
     // Twenty units a second are in demand, during four seconds.
     for id in 10..90 {
-        harness.arrive(Bio { units: 1.0, ..limited(&harness, id) });
+        harness.arrive(Bio {
+            units: 1.0,
+            ..limited(&harness, id)
+        });
         harness.advance(500);
         for sent in harness.forwarded().split_off(ended) {
             harness.finish_attempt(sent, 0, AttemptResult::Completed, 200);
@@ -52,21 +82,41 @@
     }
     // Besides what the quota refills, what had been saved: eight units at most.
     let sent = harness.forwarded().len() - before;
-    assert!((units.saturating_sub(2)..=units + 9).contains(&sent), "{sent} for {units}");
+    assert!(
+        (units.saturating_sub(2)..=units + 9).contains(&sent),
+        "{sent} for {units}"
+    );
 }
 
 #[test]
 fn volume_that_changes_its_plan_is_served_by_it_at_once() {
     let mut settings = config();
-    settings.plans.push(Plan { priority_factor: 0.5, ..settings.plans[0].clone() });
+    settings.plans.push(Plan {
+        priority_factor: 0.5,
+        ..settings.plans[0].clone()
+    });
     let mut harness = Harness::new(&settings);
-    (0..8).for_each(|id| harness.arrive(Bio { plan: 2, volume: VolumeId(3), units: 1.0, ..harness.bio(id) }));
+    (0..8).for_each(|id| {
+        harness.arrive(Bio {
+            plan: 2,
+            volume: VolumeId(3),
+            units: 1.0,
+            ..harness.bio(id)
+        })
+    });
     harness.arrive(harness.bio(9));
-    harness.change_plans(&settings.plans, &[(VolumeId(3), 0), (harness.bio(9).volume, 2)]);
+    harness.change_plans(
+        &settings.plans,
+        &[(VolumeId(3), 0), (harness.bio(9).volume, 2)],
+    );
     let first = harness.forwarded().len();
     let id = harness.forwarded()[0];
     harness.finish_attempt(id, 0, AttemptResult::Completed, 200);
-    assert_ne!(harness.forwarded().get(first), Some(&9), "it has less priority than the others now");
+    assert_ne!(
+        harness.forwarded().get(first),
+        Some(&9),
+        "it has less priority than the others now"
+    );
 }
 
 #[test]
@@ -100,8 +150,14 @@
 #[test_case(3, 1_000; "more hosts than configured")]
 #[test_case(0, 1_000; "no host count configured")]
 fn host_count_of_a_block_io_is_bounded_by_the_config(configured: u32, stated: u32) {
-    let mut harness = Harness::new(&SchedulerConfig { hosts: configured, ..config() });
-    harness.arrive(Bio { hosts: stated, ..limited(&harness, 0) });
+    let mut harness = Harness::new(&SchedulerConfig {
+        hosts: configured,
+        ..config()
+    });
+    harness.arrive(Bio {
+        hosts: stated,
+        ..limited(&harness, 0)
+    });
     harness.advance(DEADLINE);
     assert_eq!(
         (harness.forwarded().len(), harness.count(Action::Shed(0))),
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -27,13 +27,22 @@
         .host
         .actions
         .iter()
-        .filter_map(|d| if let Action::Forwarded(id, _) = d.1 { Some((d.0, id)) } else { None })
+        .filter_map(|d| {
+            if let Action::Forwarded(id, _) = d.1 {
+                Some((d.0, id))
+            } else {
+                None
+            }
+        })
         .collect();
     let is_retry = |i: &usize| sends[..*i].iter().any(|e| e.1 == sends[*i].1);
     let retries: Vec<usize> = (0..sends.len()).filter(is_retry).collect();
     assert!(!retries.is_empty());
     for i in &retries {
-        let spent = retries.iter().filter(|j| *j <= i && sends[**j].0 > sends[*i].0 - 3_000).count();
+        let spent = retries
+            .iter()
+            .filter(|j| *j <= i && sends[**j].0 > sends[*i].0 - 3_000)
+            .count();
         assert!(spent <= 2, "two block I/Os at most arrive in the window");
     }
 }
@@ -46,7 +55,10 @@
     let deadline = harness.host.now + DEADLINE + sooner;
     harness.advance(OBJECTIVE + 10);
     assert_eq!(harness.count(Action::Shed(5)), 1);
-    harness.arrive(Bio { deadline: deadline.max(harness.host.now + 900), ..harness.bio(9) });
+    harness.arrive(Bio {
+        deadline: deadline.max(harness.host.now + 900),
+        ..harness.bio(9)
+    });
     harness.advance(600);
     assert_eq!(harness.count(Action::Shed(9)), usize::from(retry));
 }
@@ -54,7 +66,10 @@
 #[test]
 fn after_a_lost_answer_the_next_overtaken_attempt_is_cancelled() {
     let mut harness = Harness::new(&config());
-    let volume = |id: u32, harness: &Harness| Bio { volume: VolumeId(id), ..harness.bio(id) };
+    let volume = |id: u32, harness: &Harness| Bio {
+        volume: VolumeId(id),
+        ..harness.bio(id)
+    };
     harness.arrive(volume(0, &harness));
     harness.arrive(volume(1, &harness));
     harness.advance(100);
@@ -66,7 +81,12 @@
     harness.arrive(volume(3, &harness));
     harness.advance(100);
     harness.finish_attempt(3, 0, AttemptResult::Completed, 50);
-    assert_eq!(harness.count(Action::Cancelled(2)), 1, "{:?}", harness.host.actions);
+    assert_eq!(
+        harness.count(Action::Cancelled(2)),
+        1,
+        "{:?}",
+        harness.host.actions
+    );
     harness.finish_attempt(2, 0, AttemptResult::Cancelled, OBJECTIVE / 2 + 150);
     assert_eq!(harness.forwarded().iter().filter(|id| **id == 2).count(), 2);
 }
@@ -74,7 +94,10 @@
 #[test]
 fn slow_node_alone_does_not_count_as_losing_answers() {
     let mut harness = Harness::new(&config());
-    let volume = |id: u32, harness: &Harness| Bio { volume: VolumeId(id), ..harness.bio(id) };
+    let volume = |id: u32, harness: &Harness| Bio {
+        volume: VolumeId(id),
+        ..harness.bio(id)
+    };
     harness.arrive(volume(0, &harness));
     harness.advance(OBJECTIVE);
     harness.arrive(volume(1, &harness));
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -47,7 +47,8 @@
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
         self.record(Action::Shed(bio.0));
-        self.retry_after.extend(Some(retry_after).filter(|t| *t > 0));
+        self.retry_after
+            .extend(Some(retry_after).filter(|t| *t > 0));
     }
 
     fn fail(&mut self, bio: BioId) {
@@ -91,9 +92,17 @@
         ordered,
         writes: ordered,
     };
-    let by_key = Idempotency::IdempotentByKey { scope: DeduplicationScope::Shard, window: 3_000 };
-    let reserved =
-        Plan { usual_rate: 20.0, reserved_rate: 20.0, weight: 3.0, priority_factor: 1.0, ..Plan::default() };
+    let by_key = Idempotency::IdempotentByKey {
+        scope: DeduplicationScope::Shard,
+        window: 3_000,
+    };
+    let reserved = Plan {
+        usual_rate: 20.0,
+        reserved_rate: 20.0,
+        weight: 3.0,
+        priority_factor: 1.0,
+        ..Plan::default()
+    };
     let limited = Plan {
         usual_rate: 10.0,
         rate_limit: 10.0,
@@ -137,7 +146,13 @@
 
 /// An endpoint whose shard has the number of the node.
 pub fn node(node: u32, state: NodeState, started_at: Tick) -> NodeEndpoint {
-    NodeEndpoint { node: NodeId(node), zone: 0, shard: node, state, started_at }
+    NodeEndpoint {
+        node: NodeId(node),
+        zone: 0,
+        shard: node,
+        state,
+        started_at,
+    }
 }
 
 /// A scheduler and its host.
@@ -149,8 +164,14 @@
 impl Harness {
     /// A host that started a long second ago and knows two nodes, each with the shard of its own number.
     pub fn new(config: &SchedulerConfig) -> Self {
-        let host = RecordingHost { now: 100_000, ..RecordingHost::default() };
-        let mut harness = Harness { scheduler: Scheduler::new(config, 7, host.now), host };
+        let host = RecordingHost {
+            now: 100_000,
+            ..RecordingHost::default()
+        };
+        let mut harness = Harness {
+            scheduler: Scheduler::new(config, 7, host.now),
+            host,
+        };
         let both = [node(0, NodeState::Active, 0), node(1, NodeState::Active, 0)];
         harness.on_endpoints(EndpointEvent::Cached, &both);
         harness.advance(12_000);
@@ -161,8 +182,14 @@
 
     /// A host that starts now with this seed, and knows no node.
     pub fn starting(config: &SchedulerConfig, seed: u64) -> Self {
-        let host = RecordingHost { now: 100_000, ..RecordingHost::default() };
-        let mut harness = Harness { scheduler: Scheduler::new(config, seed, host.now), host };
+        let host = RecordingHost {
+            now: 100_000,
+            ..RecordingHost::default()
+        };
+        let mut harness = Harness {
+            scheduler: Scheduler::new(config, seed, host.now),
+            host,
+        };
         harness.scheduler.on_timer(&mut harness.host, 100_000);
         harness
     }
@@ -174,7 +201,8 @@
 
     pub fn on_endpoints(&mut self, event: EndpointEvent, endpoints: &[NodeEndpoint]) {
         let now = self.host.now;
-        self.scheduler.on_endpoints(&mut self.host, now, event, endpoints);
+        self.scheduler
+            .on_endpoints(&mut self.host, now, event, endpoints);
     }
 
     /// A block I/O of two units for node 0.
@@ -208,7 +236,8 @@
             load_report: LoadReport::default(),
         };
         let now = self.host.now;
-        self.scheduler.on_attempt_finished(&mut self.host, now, BioId(id), &outcome);
+        self.scheduler
+            .on_attempt_finished(&mut self.host, now, BioId(id), &outcome);
     }
 
     pub fn change_plans(&mut self, plans: &[Plan], moved: &[(VolumeId, u16)]) {
@@ -216,7 +245,8 @@
     }
 
     pub fn change_quota(&mut self, volume: VolumeId, quota: Option<f64>) {
-        self.scheduler.on_quota_changed(self.host.now, volume, quota);
+        self.scheduler
+            .on_quota_changed(self.host.now, volume, quota);
     }
 
     pub fn disconnect(&mut self, id: u32) {
@@ -225,13 +255,22 @@
     }
 
     pub fn node_status(&self, node: u32) -> NodeStatus {
-        self.scheduler.node_status(self.host.now, NodeId(node)).expect("a node of the list")
+        self.scheduler
+            .node_status(self.host.now, NodeId(node))
+            .expect("a node of the list")
     }
 
     /// Lets time go by, with every timer that was set.
     pub fn advance(&mut self, span: Tick) {
         let end = self.host.now + span;
-        while let Some(time) = self.host.timers.iter().copied().min().filter(|time| *time <= end) {
+        while let Some(time) = self
+            .host
+            .timers
+            .iter()
+            .copied()
+            .min()
+            .filter(|time| *time <= end)
+        {
             self.host.timers.retain(|timer| *timer != time);
             self.host.now = time;
             self.scheduler.on_timer(&mut self.host, time);
@@ -240,7 +279,11 @@
     }
 
     pub fn count(&self, action: Action) -> usize {
-        self.host.actions.iter().filter(|(_, taken)| *taken == action).count()
+        self.host
+            .actions
+            .iter()
+            .filter(|(_, taken)| *taken == action)
+            .count()
     }
 
     /// The block I/Os that were forwarded, once for each attempt.
@@ -255,7 +298,11 @@
     /// When a block I/O got its final answer.
     pub fn answered_at(&self, id: u32) -> Vec<Tick> {
         let answers = [Action::Shed(id), Action::Failed(id)];
-        let answered = self.host.actions.iter().filter(|(_, action)| answers.contains(action));
+        let answered = self
+            .host
+            .actions
+            .iter()
+            .filter(|(_, action)| answers.contains(action));
         answered.map(|(time, _)| *time).collect()
     }
 
@@ -288,10 +335,20 @@
 
 /// A block I/O of this class with ordering key 1.
 pub fn with_key(harness: &Harness, id: u32, class: u16) -> Bio {
-    Bio { class, key: Some(KeyId(1)), ..harness.bio(id) }
+    Bio {
+        class,
+        key: Some(KeyId(1)),
+        ..harness.bio(id)
+    }
 }
 
 /// A block I/O of a volume with a limit, used through two hosts.
 pub fn limited(harness: &Harness, id: u32) -> Bio {
-    Bio { plan: 1, volume: VolumeId(5), hosts: 2, units: 4.0, ..harness.bio(id) }
+    Bio {
+        plan: 1,
+        volume: VolumeId(5),
+        hosts: 2,
+        units: 4.0,
+        ..harness.bio(id)
+    }
 }
--- a/crates/settings/src/arguments.rs
+++ b/crates/settings/src/arguments.rs
@@ -28,8 +28,17 @@
     pub fn new(tokens: &'a [Token], diagnostics: &'a mut Diagnostics) -> Self {
         let last = tokens.last().expect("a directive");
         let Position { line, column } = last.position;
-        let end = Position { line, column: column + last.text.chars().count() };
-        Arguments { tokens, next: 1, end, failed: false, diagnostics }
+        let end = Position {
+            line,
+            column: column + last.text.chars().count(),
+        };
+        Arguments {
+            tokens,
+            next: 1,
+            end,
+            failed: false,
+            diagnostics,
+        }
     }
 
     /// Where the next token begins, or the line ends.
@@ -81,15 +90,18 @@
     pub fn name(&mut self, expected: &str) -> Option<Token> {
         let position = self.position();
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-        let is_name =
-            |text: &str| !text.is_empty() && text.len() <= MAX_NAME_LEN && text.chars().all(is_allowed);
+        let is_name = |text: &str| {
+            !text.is_empty() && text.len() <= MAX_NAME_LEN && text.chars().all(is_allowed)
+        };
         let text = self.value(expected, |text| is_name(text).then(|| text.to_owned()))?;
         Some(Token { text, position })
     }
 
     /// An integer within bounds, both included.
     pub fn integer(&mut self, expected: &str, min: u64, max: u64) -> Option<u64> {
-        self.value(expected, |text| text.parse().ok().filter(|n| (min..=max).contains(n)))
+        self.value(expected, |text| {
+            text.parse().ok().filter(|n| (min..=max).contains(n))
+        })
     }
 
     /// A number within bounds, both included.
@@ -136,8 +148,11 @@
         }
         let position = self.tokens.first().map_or(self.end, |t| t.position);
         for conflict in conflicts {
-            let (field, expected) = conflict.split_once(": expected ").unwrap_or(("the line", conflict));
-            self.diagnostics.add(position, expected, format!("another {field}"));
+            let (field, expected) = conflict
+                .split_once(": expected ")
+                .unwrap_or(("the line", conflict));
+            self.diagnostics
+                .add(position, expected, format!("another {field}"));
         }
     }
 
@@ -145,7 +160,11 @@
     pub fn expect_end(&mut self) {
         if self.has_more() {
             let token = &self.tokens[self.next];
-            self.diagnostics.add(token.position, "the end of the line", format!("`{}`", token.text));
+            self.diagnostics.add(
+                token.position,
+                "the end of the line",
+                format!("`{}`", token.text),
+            );
         }
     }
 }
--- a/crates/settings/src/diagnostics.rs
+++ b/crates/settings/src/diagnostics.rs
@@ -36,7 +36,10 @@
     /// No errors yet.
     #[must_use]
     pub fn new(file: &str) -> Self {
-        Diagnostics { file: file.to_owned(), diagnostics: Vec::new() }
+        Diagnostics {
+            file: file.to_owned(),
+            diagnostics: Vec::new(),
+        }
     }
 
     /// Whether there are none.
@@ -46,10 +49,20 @@
     }
 
     /// Adds an error.
-    pub fn add(&mut self, position: Position, expected: impl Into<String>, found: impl Into<String>) {
+    pub fn add(
+        &mut self,
+        position: Position,
+        expected: impl Into<String>,
+        found: impl Into<String>,
+    ) {
         let Position { line, column } = position;
         let (expected, found) = (expected.into(), found.into());
-        self.diagnostics.push(Diagnostic { line, column, expected, found });
+        self.diagnostics.push(Diagnostic {
+            line,
+            column,
+            expected,
+            found,
+        });
     }
 
     /// The same in the order of the file, each error once.
@@ -65,7 +78,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, d) in self.diagnostics.iter().enumerate() {
             let separator = if i == 0 { "" } else { "\n" };
-            write!(f, "{separator}{}:{}:{}: expected {}", self.file, d.line, d.column, d.expected)?;
+            write!(
+                f,
+                "{separator}{}:{}:{}: expected {}",
+                self.file, d.line, d.column, d.expected
+            )?;
             if !d.found.is_empty() {
                 write!(f, ", found {}", d.found)?;
             }
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -35,9 +35,17 @@
 /// # Errors
 ///
 /// Some of the volumes are not in the configuration.
-pub fn apply_shares(text: &str, config: &GatewayConfig, shares: &[Share]) -> Result<String, UnknownVolumes> {
+pub fn apply_shares(
+    text: &str,
+    config: &GatewayConfig,
+    shares: &[Share],
+) -> Result<String, UnknownVolumes> {
     let is_unknown = |s: &&Share| !config.volumes.iter().any(|v| v.name == s.volume);
-    let unknown: Vec<String> = shares.iter().filter(is_unknown).map(|s| s.volume.clone()).collect();
+    let unknown: Vec<String> = shares
+        .iter()
+        .filter(is_unknown)
+        .map(|s| s.volume.clone())
+        .collect();
     if !unknown.is_empty() {
         return Err(UnknownVolumes(unknown));
     }
@@ -45,13 +53,19 @@
     let mut added_plans: Vec<String> = Vec::new();
     for (plan, volumes) in volumes_by_plan(config) {
         let plan = &config.plans[plan];
-        let wanted: Vec<Option<&Share>> =
-            volumes.iter().map(|volume| shares.iter().find(|s| s.volume == *volume)).collect();
+        let wanted: Vec<Option<&Share>> = volumes
+            .iter()
+            .map(|volume| shares.iter().find(|s| s.volume == *volume))
+            .collect();
         if let Some(share) = common_share(&wanted) {
             set_figures(&mut lines, &plan.name, share);
             continue;
         }
-        for share in wanted.into_iter().flatten().filter(|s| !has_figures(plan, s)) {
+        for share in wanted
+            .into_iter()
+            .flatten()
+            .filter(|s| !has_figures(plan, s))
+        {
             let name = free_plan_name(config, &format!("{}-{}", plan.name, share.volume));
             added_plans.extend(derived_plan(&lines, &plan.name, &name, share));
             assign_plan(&mut lines, &share.volume, &name);
@@ -77,11 +91,15 @@
 fn common_share<'a>(wanted: &[Option<&'a Share>]) -> Option<&'a Share> {
     let figures = |s: Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
     let first = wanted[0]?;
-    wanted.iter().all(|w| figures(*w) == figures(wanted[0])).then_some(first)
+    wanted
+        .iter()
+        .all(|w| figures(*w) == figures(wanted[0]))
+        .then_some(first)
 }
 
 fn has_figures(plan: &Plan, share: &Share) -> bool {
-    plan.reserved_rate * 1000.0 == share.reserved_milliunits as f64 && plan.weight == share.weight as f64
+    plan.reserved_rate * 1000.0 == share.reserved_milliunits as f64
+        && plan.weight == share.weight as f64
 }
 
 /// This name, or with a number behind it if a plan has it already.
@@ -122,45 +140,73 @@
             last.end = index;
         }
         let text = |n: usize| tokens.get(n).map(|t| t.text.clone()).unwrap_or_default();
-        sections.push(Section { keyword: text(0), name: text(1), first: index, end: lines.len() });
+        sections.push(Section {
+            keyword: text(0),
+            name: text(1),
+            first: index,
+            end: lines.len(),
+        });
     }
     sections
 }
 
 fn find_section(lines: &[String], keyword: &str, name: &str) -> Option<Section> {
-    sections(lines).into_iter().find(|s| s.keyword == keyword && s.name == name)
+    sections(lines)
+        .into_iter()
+        .find(|s| s.keyword == keyword && s.name == name)
 }
 
 /// The index of the line with a directive in a section.
 fn find_directive(lines: &[String], section: &Section, directive: &str) -> Option<usize> {
-    let is_directive = |index: &usize| tokens_of(&lines[*index]).first().is_some_and(|t| t.text == directive);
+    let is_directive = |index: &usize| {
+        tokens_of(&lines[*index])
+            .first()
+            .is_some_and(|t| t.text == directive)
+    };
     (section.first + 1..section.end).find(is_directive)
 }
 
 /// The indent of the first directive in a section.
 fn indent(lines: &[String], section: &Section) -> String {
-    let first = lines[section.first + 1..section.end].iter().find(|l| !l.trim().is_empty());
+    let first = lines[section.first + 1..section.end]
+        .iter()
+        .find(|l| !l.trim().is_empty());
     let blanks = first.map_or(DEFAULT_INDENT, |l| l.len() - l.trim_start().len());
     " ".repeat(blanks)
 }
 
 /// The directives `reserve` and `weight` of a share, each with its line.
 fn figure_lines(share: &Share, indent: &str) -> [(&'static str, String); 2] {
-    let (whole, thousandths) = (share.reserved_milliunits / 1000, share.reserved_milliunits % 1000);
-    let rate = if thousandths == 0 { format!("{whole}/s") } else { format!("{whole}.{thousandths:03}/s") };
-    [("reserve", format!("{indent}reserve {rate}")), ("weight", format!("{indent}weight {}", share.weight))]
+    let (whole, thousandths) = (
+        share.reserved_milliunits / 1000,
+        share.reserved_milliunits % 1000,
+    );
+    let rate = if thousandths == 0 {
+        format!("{whole}/s")
+    } else {
+        format!("{whole}.{thousandths:03}/s")
+    };
+    [
+        ("reserve", format!("{indent}reserve {rate}")),
+        ("weight", format!("{indent}weight {}", share.weight)),
+    ]
 }
 
 /// Sets the figures of a plan in place. A comment behind a figure stays.
 fn set_figures(lines: &mut Vec<String>, plan: &str, share: &Share) {
-    let Some(section) = find_section(lines, "plan", plan) else { return };
+    let Some(section) = find_section(lines, "plan", plan) else {
+        return;
+    };
     for (directive, line) in figure_lines(share, &indent(lines, &section)) {
         // The line before may have been inserted: the section has another end now.
         let section = find_section(lines, "plan", plan).expect("just found");
         match find_directive(lines, &section, directive) {
             Some(index) => {
                 let old = &lines[index];
-                let comment = old.find('#').map(|i| format!("  {}", &old[i..])).unwrap_or_default();
+                let comment = old
+                    .find('#')
+                    .map(|i| format!("  {}", &old[i..]))
+                    .unwrap_or_default();
                 lines[index] = line + &comment;
             }
             None => lines.insert(section.first + 1, line),
@@ -170,20 +216,32 @@
 
 /// The lines of a plan like another one, with the figures of a share.
 fn derived_plan(lines: &[String], plan: &str, name: &str, share: &Share) -> Vec<String> {
-    let Some(section) = find_section(lines, "plan", plan) else { return Vec::new() };
-    let replaced: Vec<usize> =
-        ["reserve", "weight"].iter().filter_map(|d| find_directive(lines, &section, d)).collect();
+    let Some(section) = find_section(lines, "plan", plan) else {
+        return Vec::new();
+    };
+    let replaced: Vec<usize> = ["reserve", "weight"]
+        .iter()
+        .filter_map(|d| find_directive(lines, &section, d))
+        .collect();
     let mut derived = vec![format!("plan {name}")];
     derived.extend(figure_lines(share, &indent(lines, &section)).map(|(_, line)| line));
     let copied = (section.first + 1..section.end).filter(|index| !replaced.contains(index));
-    let is_directive = |line: &&String| !line.trim().is_empty() && line.starts_with(char::is_whitespace);
-    derived.extend(copied.map(|index| &lines[index]).filter(is_directive).cloned());
+    let is_directive =
+        |line: &&String| !line.trim().is_empty() && line.starts_with(char::is_whitespace);
+    derived.extend(
+        copied
+            .map(|index| &lines[index])
+            .filter(is_directive)
+            .cloned(),
+    );
     derived
 }
 
 /// Gives a volume another plan.
 fn assign_plan(lines: &mut [String], volume: &str, plan: &str) {
-    let Some(section) = find_section(lines, "volume", volume) else { return };
+    let Some(section) = find_section(lines, "volume", volume) else {
+        return;
+    };
     if let Some(index) = find_directive(lines, &section, "plan") {
         lines[index] = format!("{}plan {plan}", indent(lines, &section));
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -43,5 +43,9 @@
     let mut diagnostics = Diagnostics::new(file);
     let draft = parser::parse(text, &mut diagnostics);
     let config = validation::validate(draft, &mut diagnostics);
-    if diagnostics.is_empty() { Ok(config) } else { Err(diagnostics.sorted()) }
+    if diagnostics.is_empty() {
+        Ok(config)
+    } else {
+        Err(diagnostics.sorted())
+    }
 }
--- a/crates/settings/src/parser.rs
+++ b/crates/settings/src/parser.rs
@@ -8,7 +8,9 @@
 use crate::tokens::{Token, tokenize};
 use std::collections::HashSet;
 
-pub(crate) use draft::{Draft, DraftCatalog, DraftRule, DraftVolume, Located, OpenedSection, SectionKind};
+pub(crate) use draft::{
+    Draft, DraftCatalog, DraftRule, DraftVolume, Located, OpenedSection, SectionKind,
+};
 
 /// Directives that a section may have more than once.
 const REPEATABLE: [&str; 2] = ["extent", "rule"];
@@ -32,9 +34,12 @@
     let mut state = State::Start;
     for (index, line) in text.lines().enumerate() {
         let tokens = tokenize(index + 1, line, diagnostics);
-        let Some(first) = tokens.first() else { continue };
+        let Some(first) = tokens.first() else {
+            continue;
+        };
         if !line.starts_with(char::is_whitespace) {
-            state = open_section(&mut draft, &tokens, diagnostics).map_or(State::Skipping, State::Section);
+            state = open_section(&mut draft, &tokens, diagnostics)
+                .map_or(State::Skipping, State::Section);
             continue;
         }
         match state {
@@ -47,21 +52,39 @@
 }
 
 /// Opens a section; none if it can't be opened.
-fn open_section(draft: &mut Draft, tokens: &[Token], diagnostics: &mut Diagnostics) -> Option<SectionKind> {
-    let Token { text: keyword, position } = &tokens[0];
+fn open_section(
+    draft: &mut Draft,
+    tokens: &[Token],
+    diagnostics: &mut Diagnostics,
+) -> Option<SectionKind> {
+    let Token {
+        text: keyword,
+        position,
+    } = &tokens[0];
     let Some(kind) = SectionKind::from_keyword(keyword) else {
         diagnostics.add(*position, A_SECTION, format!("`{keyword}`"));
         return None;
     };
     let mut args = Arguments::new(tokens, diagnostics);
-    let name =
-        if kind.is_named() { args.name("a name of letters, digits and -_.:")?.text } else { String::new() };
+    let name = if kind.is_named() {
+        args.name("a name of letters, digits and -_.:")?.text
+    } else {
+        String::new()
+    };
     args.expect_end();
     if draft.has_single(kind) {
-        diagnostics.add(*position, format!("one section `{}`", kind.keyword()), "a second one");
+        diagnostics.add(
+            *position,
+            format!("one section `{}`", kind.keyword()),
+            "a second one",
+        );
         return None;
     }
-    draft.opened.push(OpenedSection { position: *position, kind, directives: HashSet::new() });
+    draft.opened.push(OpenedSection {
+        position: *position,
+        kind,
+        directives: HashSet::new(),
+    });
     add_section(draft, kind, name, *position);
     Some(kind)
 }
@@ -70,38 +93,83 @@
 fn add_section(draft: &mut Draft, kind: SectionKind, name: String, position: Position) {
     match kind {
         SectionKind::Host => {
-            draft.host = Some(Located { position, value: Host { name, ..Host::default() } });
+            draft.host = Some(Located {
+                position,
+                value: Host {
+                    name,
+                    ..Host::default()
+                },
+            });
+        }
+        SectionKind::Fleet => {
+            draft.fleet = Some(Located {
+                position,
+                value: Fleet::default(),
+            })
         }
-        SectionKind::Fleet => draft.fleet = Some(Located { position, value: Fleet::default() }),
         SectionKind::Catalog => draft.catalog = Some(DraftCatalog::default()),
         SectionKind::PlanService => draft.plan_service = Some(PlanService::default()),
         SectionKind::Plan => {
-            let value = Plan { name, weight: 1.0, priority_factor: 1.0, ..Plan::default() };
+            let value = Plan {
+                name,
+                weight: 1.0,
+                priority_factor: 1.0,
+                ..Plan::default()
+            };
             draft.plans.push(Located { position, value });
         }
         SectionKind::IoClass => {
-            let value = IoClass { name, priority_weight: 1.0, ..IoClass::default() };
+            let value = IoClass {
+                name,
+                priority_weight: 1.0,
+                ..IoClass::default()
+            };
             draft.io_classes.push(Located { position, value });
         }
         SectionKind::Volume => {
-            let volume = Volume { name, ..Volume::default() };
-            draft.volumes.push(DraftVolume { position, volume, ..DraftVolume::default() });
+            let volume = Volume {
+                name,
+                ..Volume::default()
+            };
+            draft.volumes.push(DraftVolume {
+                position,
+                volume,
+                ..DraftVolume::default()
+            });
         }
         SectionKind::Node => {
             // Without a directive `shard`, a node holds a shard of its own.
             let shard = draft.nodes.len() as u32;
-            draft.nodes.push(Located { position, value: Node { name, shard, ..Node::default() } });
+            draft.nodes.push(Located {
+                position,
+                value: Node {
+                    name,
+                    shard,
+                    ..Node::default()
+                },
+            });
         }
     }
 }
 
 /// Reads a line of the section that was opened last.
-fn read_directive(draft: &mut Draft, kind: SectionKind, tokens: &[Token], diagnostics: &mut Diagnostics) {
-    let Token { text: directive, position } = &tokens[0];
+fn read_directive(
+    draft: &mut Draft,
+    kind: SectionKind,
+    tokens: &[Token],
+    diagnostics: &mut Diagnostics,
+) {
+    let Token {
+        text: directive,
+        position,
+    } = &tokens[0];
     let opened = draft.opened.last_mut().expect("a section is open");
     let is_first = opened.directives.insert(directive.clone());
     if !is_first && !REPEATABLE.contains(&directive.as_str()) {
-        let expected = format!("`{directive}` once in the section of line {}", opened.position.line);
+        let expected = format!(
+            "`{directive}` once in the section of line {}",
+            opened.position.line
+        );
         diagnostics.add(*position, expected, "a second one");
         return;
     }
@@ -109,7 +177,11 @@
     match directives::read(draft, kind, directive, &mut args) {
         Ok(()) => args.expect_end(),
         Err(unknown) => {
-            let expected = format!("a directive of section `{}` ({})", kind.keyword(), unknown.known);
+            let expected = format!(
+                "a directive of section `{}` ({})",
+                kind.keyword(),
+                unknown.known
+            );
             diagnostics.add(*position, expected, format!("`{directive}`"));
         }
     }
--- a/crates/settings/src/parser/directives.rs
+++ b/crates/settings/src/parser/directives.rs
@@ -1,7 +1,9 @@
 //! The directives of each section. `docs/configuration.md` lists them.
 use super::draft::{Draft, DraftCatalog, DraftRule, DraftVolume, SectionKind};
 use crate::arguments::Arguments;
-use crate::config::{Direction, Extent, Fleet, Host, Idempotency, IoClass, Node, Plan, PlanService};
+use crate::config::{
+    Direction, Extent, Fleet, Host, Idempotency, IoClass, Node, Plan, PlanService,
+};
 use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 
 // What diagnostics ask for.
@@ -34,15 +36,26 @@
 }
 
 /// Reads a directive of the section that was opened last.
-pub(super) fn read(draft: &mut Draft, kind: SectionKind, name: &str, args: &mut Arguments) -> Recognized {
+pub(super) fn read(
+    draft: &mut Draft,
+    kind: SectionKind,
+    name: &str,
+    args: &mut Arguments,
+) -> Recognized {
     const OPEN: &str = "the section is open";
     match kind {
         SectionKind::Host => host(&mut draft.host.as_mut().expect(OPEN).value, name, args),
         SectionKind::Fleet => fleet(&mut draft.fleet.as_mut().expect(OPEN).value, name, args),
         SectionKind::Catalog => catalog(draft.catalog.as_mut().expect(OPEN), name, args),
-        SectionKind::PlanService => plan_service(draft.plan_service.as_mut().expect(OPEN), name, args),
+        SectionKind::PlanService => {
+            plan_service(draft.plan_service.as_mut().expect(OPEN), name, args)
+        }
         SectionKind::Plan => plan(&mut draft.plans.last_mut().expect(OPEN).value, name, args),
-        SectionKind::IoClass => io_class(&mut draft.io_classes.last_mut().expect(OPEN).value, name, args),
+        SectionKind::IoClass => io_class(
+            &mut draft.io_classes.last_mut().expect(OPEN).value,
+            name,
+            args,
+        ),
         SectionKind::Volume => volume(draft.volumes.last_mut().expect(OPEN), name, args),
         SectionKind::Node => node(&mut draft.nodes.last_mut().expect(OPEN).value, name, args),
     }
@@ -57,7 +70,8 @@
 
 /// An integer within bounds, both included.
 fn small_integer(args: &mut Arguments, expected: &str, min: u32, max: u32) -> Option<u32> {
-    args.integer(expected, min.into(), max.into()).and_then(|n| n.try_into().ok())
+    args.integer(expected, min.into(), max.into())
+        .and_then(|n| n.try_into().ok())
 }
 
 fn lun(args: &mut Arguments) -> Option<u16> {
@@ -81,9 +95,18 @@
         "follow" => host.plan_service = args.address(AN_ADDRESS),
         "kept-plans" => host.plan_cache_path = args.text(A_PATH).map(Into::into),
         "kept-list" => host.endpoint_cache_path = args.text(A_PATH).map(Into::into),
-        "window" => set(&mut host.command_window, small_integer(args, "1 to 1024", 1, 1024)),
-        "connections" => set(&mut host.max_connections, small_integer(args, "1 to 65536", 1, 65_536)),
-        "longest" => set(&mut host.max_transfer_bytes, args.size("a size such as 1MiB")),
+        "window" => set(
+            &mut host.command_window,
+            small_integer(args, "1 to 1024", 1, 1024),
+        ),
+        "connections" => set(
+            &mut host.max_connections,
+            small_integer(args, "1 to 65536", 1, 65_536),
+        ),
+        "longest" => set(
+            &mut host.max_transfer_bytes,
+            args.size("a size such as 1MiB"),
+        ),
         "digests" => digests(host, args),
         "seed" => host.seed = args.integer("a whole number", 0, u64::MAX),
         "fleet" => host.fleet = fleet_membership(&host.name, args),
@@ -132,7 +155,8 @@
         } else if args.accept("period") {
             config.period = args.duration("a duration such as 1s").map(|us| us / 1_000);
         } else if args.accept("keep") {
-            config.unreachable_retention = args.duration("a duration such as 1h").map(|us| us / 1_000);
+            config.unreachable_retention =
+                args.duration("a duration such as 1h").map(|us| us / 1_000);
         } else {
             args.reject("listen, reached-at, zone, seed, period or keep");
             return None;
@@ -150,12 +174,30 @@
 fn fleet(fleet: &mut Fleet, name: &str, args: &mut Arguments) -> Recognized {
     match name {
         "hosts" => set(&mut fleet.hosts, host_count(args)),
-        "unit" => set(&mut fleet.unit_bytes, args.size("a size such as 4KiB").filter(|n| *n > 0)),
-        "mean-units" => set(&mut fleet.mean_io_units, args.number("a number above 0", 1e-6, 1e9)),
-        "largest-units" => set(&mut fleet.max_io_units, args.number("a number above 0", 1e-6, 1e9)),
-        "share-gain" => set(&mut fleet.share_weight_factor, args.percent("a percentage such as 35%")),
-        "spare-gain" => set(&mut fleet.spare_weight_factor, args.percent("a percentage such as 10%")),
-        "submits" => set(&mut fleet.max_attempts, small_integer(args, "1 to 16", 1, 16)),
+        "unit" => set(
+            &mut fleet.unit_bytes,
+            args.size("a size such as 4KiB").filter(|n| *n > 0),
+        ),
+        "mean-units" => set(
+            &mut fleet.mean_io_units,
+            args.number("a number above 0", 1e-6, 1e9),
+        ),
+        "largest-units" => set(
+            &mut fleet.max_io_units,
+            args.number("a number above 0", 1e-6, 1e9),
+        ),
+        "share-gain" => set(
+            &mut fleet.share_weight_factor,
+            args.percent("a percentage such as 35%"),
+        ),
+        "spare-gain" => set(
+            &mut fleet.spare_weight_factor,
+            args.percent("a percentage such as 10%"),
+        ),
+        "submits" => set(
+            &mut fleet.max_attempts,
+            small_integer(args, "1 to 16", 1, 16),
+        ),
         "come-back" => set(&mut fleet.max_retry_after, args.duration(A_SPAN)),
         "order-rest" => set(&mut fleet.ordering_cooldown, args.duration(A_SPAN)),
         "cold" => slow_start(fleet, args),
@@ -171,17 +213,41 @@
 }
 
 fn slow_start(fleet: &mut Fleet, args: &mut Arguments) {
-    set(&mut fleet.slow_start_initial_rate, args.percent("a percentage: what a cold node can do"));
-    set(&mut fleet.slow_start_duration, args.duration("a duration: until a node is warm"));
-    set(&mut fleet.overload_multiple, args.number("a multiple from 1 up", 1.0, 1e6));
-    set(&mut fleet.overload_window, args.duration("a duration: within which it falls"));
-    set(&mut fleet.slow_start_capacity, args.number("units that it always bears", 0.0, 1e9));
+    set(
+        &mut fleet.slow_start_initial_rate,
+        args.percent("a percentage: what a cold node can do"),
+    );
+    set(
+        &mut fleet.slow_start_duration,
+        args.duration("a duration: until a node is warm"),
+    );
+    set(
+        &mut fleet.overload_multiple,
+        args.number("a multiple from 1 up", 1.0, 1e6),
+    );
+    set(
+        &mut fleet.overload_window,
+        args.duration("a duration: within which it falls"),
+    );
+    set(
+        &mut fleet.slow_start_capacity,
+        args.number("units that it always bears", 0.0, 1e9),
+    );
 }
 
 fn retry_budget(fleet: &mut Fleet, args: &mut Arguments) {
-    set(&mut fleet.retry_budget_min, args.number("a number of further submits", 0.0, 1e9));
-    set(&mut fleet.retry_budget_ratio, args.percent("a percentage of the block I/Os taken"));
-    set(&mut fleet.retry_budget_window, args.duration("a duration above 0").filter(|n| *n > 0));
+    set(
+        &mut fleet.retry_budget_min,
+        args.number("a number of further submits", 0.0, 1e9),
+    );
+    set(
+        &mut fleet.retry_budget_ratio,
+        args.percent("a percentage of the block I/Os taken"),
+    );
+    set(
+        &mut fleet.retry_budget_window,
+        args.duration("a duration above 0").filter(|n| *n > 0),
+    );
 }
 
 fn catalog(draft: &mut DraftCatalog, name: &str, args: &mut Arguments) -> Recognized {
@@ -191,7 +257,10 @@
         "store" => set(&mut catalog.store_path, args.text(A_PATH).map(Into::into)),
         "control" => catalog.control_socket = args.text(A_PATH).map(Into::into),
         "extent" => {
-            set(&mut catalog.extent_blocks, args.integer("a number of blocks from 1 to 65536", 1, 65_536));
+            set(
+                &mut catalog.extent_blocks,
+                args.integer("a number of blocks from 1 to 65536", 1, 65_536),
+            );
         }
         "copies" => draft.copy_class = args.name("the name of a group"),
         _ => return unknown("listen, store, control, extent, copies"),
@@ -215,7 +284,11 @@
         "reserve" => set(&mut plan.reserved_rate, args.rate(A_RATE)),
         "limit" => {
             set(&mut plan.rate_limit, args.rate(A_RATE));
-            let burst = if args.accept("burst") { args.number("units at once", 0.0, 1e12) } else { None };
+            let burst = if args.accept("burst") {
+                args.number("units at once", 0.0, 1e12)
+            } else {
+                None
+            };
             if burst.is_none() {
                 args.reject("burst UNITS");
             }
@@ -241,7 +314,10 @@
         "goal" => set(&mut class.latency_objective, args.duration(A_SPAN)),
         "hard-limit" => set(&mut class.deadline, args.duration("a duration such as 2s")),
         "gain" => set(&mut class.priority_weight, args.number(A_NUMBER, 0.0, 1e6)),
-        "late-gain" => set(&mut class.late_weight_ratio, args.percent("a percentage such as 15%")),
+        "late-gain" => set(
+            &mut class.late_weight_ratio,
+            args.percent("a percentage such as 15%"),
+        ),
         "ordered" => class.ordered = true,
         _ => return unknown("effect, goal, hard-limit, gain, late-gain, ordered"),
     }
@@ -253,7 +329,10 @@
     match name {
         "lun" => set(&mut volume.lun, lun(args)),
         "plan" => draft.plan = args.name("the name of a plan"),
-        "blocks" => set(&mut volume.block_count, args.integer(A_BLOCK_COUNT, 1, MAX_BLOCKS)),
+        "blocks" => set(
+            &mut volume.block_count,
+            args.integer(A_BLOCK_COUNT, 1, MAX_BLOCKS),
+        ),
         "block-size" => {
             let size = args.value("512B or 4KiB", |text| match text {
                 "512B" => Some(512),
@@ -276,7 +355,11 @@
     let first_block = args.integer(A_BLOCK, 0, MAX_BLOCKS);
     let block_count = args.integer(A_BLOCK_COUNT, 1, MAX_BLOCKS);
     let node = args.name("the name of a node");
-    let first_node_block = if args.accept("at") { args.integer(A_BLOCK, 0, MAX_BLOCKS) } else { None };
+    let first_node_block = if args.accept("at") {
+        args.integer(A_BLOCK, 0, MAX_BLOCKS)
+    } else {
+        None
+    };
     if first_node_block.is_none() {
         args.reject("at BLOCK");
     }
@@ -298,10 +381,17 @@
         "any" => Some(Direction::Any),
         _ => None,
     });
-    let range = if args.accept("blocks") { args.value("FIRST-LAST", parse_range) } else { None };
+    let range = if args.accept("blocks") {
+        args.value("FIRST-LAST", parse_range)
+    } else {
+        None
+    };
     let io_class = args.name("the name of a group");
-    let blocks_per_key =
-        if args.accept("key") { args.integer("blocks of one key", 1, MAX_BLOCKS) } else { Some(0) };
+    let blocks_per_key = if args.accept("key") {
+        args.integer("blocks of one key", 1, MAX_BLOCKS)
+    } else {
+        Some(0)
+    };
     Some(DraftRule {
         position,
         direction: direction?,
@@ -323,7 +413,10 @@
         "target" => set(&mut node.target, args.name(AN_ISCSI_NAME).map(|t| t.text)),
         "lun" => set(&mut node.lun, lun(args)),
         "zone" => set(&mut node.zone, args.name("a name").map(|t| t.text)),
-        "shard" => set(&mut node.shard, small_integer(args, "0 to 65535", 0, 65_535)),
+        "shard" => set(
+            &mut node.shard,
+            small_integer(args, "0 to 65535", 0, 65_535),
+        ),
         _ => return unknown("address, target, lun, zone, shard"),
     }
     Ok(())
--- a/crates/settings/src/parser/draft.rs
+++ b/crates/settings/src/parser/draft.rs
@@ -1,5 +1,7 @@
 //! A configuration whose sections still refer to each other by name.
-use crate::config::{Catalog, Direction, Extent, Fleet, Host, IoClass, Node, Plan, PlanService, Volume};
+use crate::config::{
+    Catalog, Direction, Extent, Fleet, Host, IoClass, Node, Plan, PlanService, Volume,
+};
 use crate::diagnostics::Position;
 use crate::tokens::Token;
 use std::collections::HashSet;
@@ -103,13 +105,23 @@
 
     /// Whether a name follows the keyword.
     pub(crate) fn is_named(self) -> bool {
-        !matches!(self, SectionKind::Fleet | SectionKind::Catalog | SectionKind::PlanService)
+        !matches!(
+            self,
+            SectionKind::Fleet | SectionKind::Catalog | SectionKind::PlanService
+        )
     }
 
     /// The directives that such a section needs.
     pub(crate) fn required_directives(self) -> &'static [&'static str] {
         match self {
-            SectionKind::Host => &["listen", "target", "node-list", "window", "connections", "longest"],
+            SectionKind::Host => &[
+                "listen",
+                "target",
+                "node-list",
+                "window",
+                "connections",
+                "longest",
+            ],
             SectionKind::Fleet => &["hosts", "unit", "mean-units", "largest-units", "submits"],
             SectionKind::Catalog => &["listen", "store", "extent", "copies"],
             SectionKind::PlanService => &["listen", "store"],
@@ -129,7 +141,9 @@
             SectionKind::Fleet => self.fleet.is_some(),
             SectionKind::Catalog => self.catalog.is_some(),
             SectionKind::PlanService => self.plan_service.is_some(),
-            SectionKind::Plan | SectionKind::IoClass | SectionKind::Volume | SectionKind::Node => false,
+            SectionKind::Plan | SectionKind::IoClass | SectionKind::Volume | SectionKind::Node => {
+                false
+            }
         }
     }
 }
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -66,7 +66,11 @@
                 write!(f, "plan {plan}: {}", figures.join(", "))
             }
             Change::PlanAdded { plan } => write!(f, "plan {plan}: new"),
-            Change::VolumePlan { volume, plan, old_plan } => {
+            Change::VolumePlan {
+                volume,
+                plan,
+                old_plan,
+            } => {
                 write!(f, "volume {volume}: plan {plan} instead of {old_plan}")
             }
         }
@@ -117,7 +121,10 @@
 /// # Panics
 ///
 /// Never on validated configurations.
-pub fn evaluate(running: &GatewayConfig, wanted: &GatewayConfig) -> Result<ReloadOutcome, RestartRequired> {
+pub fn evaluate(
+    running: &GatewayConfig,
+    wanted: &GatewayConfig,
+) -> Result<ReloadOutcome, RestartRequired> {
     let mut reasons = differing_sections(running, wanted);
     reasons.extend(differing_volumes(running, wanted));
     if !reasons.is_empty() {
@@ -129,7 +136,10 @@
     for volume in &running.volumes {
         let wanted_volume = find_volume(wanted, &volume.name).expect("the volumes are the same");
         let name = &wanted.plans[wanted_volume.plan].name;
-        let plan = plans.iter().position(|p| p.name == *name).expect("all wanted plans are merged");
+        let plan = plans
+            .iter()
+            .position(|p| p.name == *name)
+            .expect("all wanted plans are merged");
         if plan != volume.plan {
             changes.push(Change::VolumePlan {
                 volume: volume.name.clone(),
@@ -139,7 +149,11 @@
         }
         volume_plans.push(plan);
     }
-    Ok(ReloadOutcome { plans, volume_plans, changes })
+    Ok(ReloadOutcome {
+        plans,
+        volume_plans,
+        changes,
+    })
 }
 
 fn differing_sections(running: &GatewayConfig, wanted: &GatewayConfig) -> Vec<RestartReason> {
@@ -147,12 +161,17 @@
         ("section host", running.host != wanted.host),
         ("section fleet", running.fleet != wanted.fleet),
         ("section catalog", running.catalog != wanted.catalog),
-        ("section tariffs", running.plan_service != wanted.plan_service),
+        (
+            "section tariffs",
+            running.plan_service != wanted.plan_service,
+        ),
         ("groups", running.io_classes != wanted.io_classes),
         ("nodes", running.nodes != wanted.nodes),
     ];
     let differing = sections.into_iter().filter(|s| s.1);
-    differing.map(|s| RestartReason::SectionDiffers(s.0)).collect()
+    differing
+        .map(|s| RestartReason::SectionDiffers(s.0))
+        .collect()
 }
 
 fn differing_volumes(running: &GatewayConfig, wanted: &GatewayConfig) -> Vec<RestartReason> {
@@ -160,13 +179,21 @@
     for volume in &running.volumes {
         match find_volume(wanted, &volume.name) {
             None => reasons.push(RestartReason::VolumeRemoved(volume.name.clone())),
-            Some(found) if Volume { plan: volume.plan, ..found.clone() } != *volume => {
+            Some(found)
+                if Volume {
+                    plan: volume.plan,
+                    ..found.clone()
+                } != *volume =>
+            {
                 reasons.push(RestartReason::VolumeDiffers(volume.name.clone()));
             }
             Some(_) => {}
         }
     }
-    let added = wanted.volumes.iter().filter(|v| find_volume(running, &v.name).is_none());
+    let added = wanted
+        .volumes
+        .iter()
+        .filter(|v| find_volume(running, &v.name).is_none());
     reasons.extend(added.map(|v| RestartReason::VolumeAdded(v.name.clone())));
     reasons
 }
@@ -176,18 +203,27 @@
 }
 
 /// The running plans with the wanted figures, and the wanted plans that are new behind them.
-fn merge_plans(running: &GatewayConfig, wanted: &GatewayConfig, changes: &mut Vec<Change>) -> Vec<Plan> {
+fn merge_plans(
+    running: &GatewayConfig,
+    wanted: &GatewayConfig,
+    changes: &mut Vec<Change>,
+) -> Vec<Plan> {
     let mut plans = running.plans.clone();
     for wanted in &wanted.plans {
         match plans.iter_mut().find(|p| p.name == wanted.name) {
             Some(plan) if plan == wanted => {}
             Some(plan) => {
                 let figures = figure_changes(plan, wanted);
-                changes.push(Change::PlanFigures { plan: wanted.name.clone(), figures });
+                changes.push(Change::PlanFigures {
+                    plan: wanted.name.clone(),
+                    figures,
+                });
                 plan.clone_from(wanted);
             }
             None => {
-                changes.push(Change::PlanAdded { plan: wanted.name.clone() });
+                changes.push(Change::PlanAdded {
+                    plan: wanted.name.clone(),
+                });
                 plans.push(wanted.clone());
             }
         }
@@ -205,5 +241,11 @@
         ("price", old.priority_factor, new.priority_factor),
     ];
     let changed = figures.into_iter().filter(|(_, old, new)| old != new);
-    changed.map(|(directive, old, new)| FigureChange { directive, old, new }).collect()
+    changed
+        .map(|(directive, old, new)| FigureChange {
+            directive,
+            old,
+            new,
+        })
+        .collect()
 }
--- a/crates/settings/src/tokens.rs
+++ b/crates/settings/src/tokens.rs
@@ -16,9 +16,15 @@
 /// is the line's number for the diagnostics.
 pub fn tokenize(line: usize, text: &str, diagnostics: &mut Diagnostics) -> Vec<Token> {
     let mut tokens = Vec::new();
-    let mut characters = Characters { rest: text.chars().peekable(), column: 0 };
+    let mut characters = Characters {
+        rest: text.chars().peekable(),
+        column: 0,
+    };
     while let Some(first) = characters.next() {
-        let position = Position { line, column: characters.column };
+        let position = Position {
+            line,
+            column: characters.column,
+        };
         match first {
             c if c.is_whitespace() => {}
             '#' => break,
@@ -29,7 +35,10 @@
                 }
                 tokens.push(Token { text, position });
             }
-            first => tokens.push(Token { text: characters.unquoted(first), position }),
+            first => tokens.push(Token {
+                text: characters.unquoted(first),
+                position,
+            }),
         }
     }
     tokens
--- a/crates/settings/src/units.rs
+++ b/crates/settings/src/units.rs
@@ -4,13 +4,23 @@
 type Unit = (&'static str, u64);
 
 /// Units of durations, in microseconds.
-const DURATION_UNITS: [Unit; 5] =
-    [("us", 1), ("ms", 1000), ("s", 1_000_000), ("m", 60_000_000), ("h", 3_600_000_000)];
+const DURATION_UNITS: [Unit; 5] = [
+    ("us", 1),
+    ("ms", 1000),
+    ("s", 1_000_000),
+    ("m", 60_000_000),
+    ("h", 3_600_000_000),
+];
 /// The longest duration: a day, in microseconds.
 const MAX_DURATION: u64 = 86_400_000_000;
 /// Units of sizes, in bytes.
-const SIZE_UNITS: [Unit; 5] =
-    [("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30), ("TiB", 1 << 40)];
+const SIZE_UNITS: [Unit; 5] = [
+    ("B", 1),
+    ("KiB", 1 << 10),
+    ("MiB", 1 << 20),
+    ("GiB", 1 << 30),
+    ("TiB", 1 << 40),
+];
 /// The largest size, in bytes.
 const MAX_SIZE: u64 = 1 << 60;
 /// Digits behind a decimal point.
@@ -43,7 +53,11 @@
         return None;
     }
     let thousandths: u64 = format!("{decimals:0<3}").parse().ok()?;
-    whole.parse::<u64>().ok()?.checked_mul(1000)?.checked_add(thousandths)
+    whole
+        .parse::<u64>()
+        .ok()?
+        .checked_mul(1000)?
+        .checked_add(thousandths)
 }
 
 /// A percentage such as `35%`, as a ratio from 0 to 1.
@@ -63,7 +77,11 @@
         return None;
     }
     let whole: u64 = whole.parse().ok()?;
-    let fraction: u64 = if decimals.is_empty() { 0 } else { decimals.parse().ok()? };
+    let fraction: u64 = if decimals.is_empty() {
+        0
+    } else {
+        decimals.parse().ok()?
+    };
     let denominator = 10u128.pow(decimals.len() as u32);
     let scaled_fraction = u128::from(fraction) * scale;
     if scaled_fraction % denominator != 0 {
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -16,9 +16,14 @@
     check_unique_names(&draft, diagnostics);
     check_classes(&draft.io_classes, diagnostics);
     check_plans(&draft.plans, diagnostics);
-    let Located { position, value: fleet } = draft.fleet.unwrap_or_default();
+    let Located {
+        position,
+        value: fleet,
+    } = draft.fleet.unwrap_or_default();
     check_unit_sizes(&fleet, position, diagnostics);
-    let catalog = draft.catalog.map(|c| resolve_catalog(c, &draft.io_classes, diagnostics));
+    let catalog = draft
+        .catalog
+        .map(|c| resolve_catalog(c, &draft.io_classes, diagnostics));
     for volume in &draft.volumes {
         check_mapping(volume, catalog.as_ref(), diagnostics);
     }
@@ -47,7 +52,11 @@
     for section in sections {
         for name in section.kind.required_directives() {
             if !section.directives.contains(*name) {
-                diagnostics.add(section.position, format!("`{name}` in this section"), "none");
+                diagnostics.add(
+                    section.position,
+                    format!("`{name}` in this section"),
+                    "none",
+                );
             }
         }
     }
@@ -70,13 +79,49 @@
 }
 
 fn check_unique_names(draft: &Draft, diagnostics: &mut Diagnostics) {
-    check_unique(diagnostics, "plan", draft.plans.iter().map(|p| (p.position, p.value.name.as_str())));
-    check_unique(diagnostics, "group", draft.io_classes.iter().map(|c| (c.position, c.value.name.as_str())));
-    check_unique(diagnostics, "node", draft.nodes.iter().map(|n| (n.position, n.value.name.as_str())));
-    check_unique(diagnostics, "volume", draft.volumes.iter().map(|v| (v.position, v.volume.name.as_str())));
-    let luns: Vec<String> = draft.volumes.iter().map(|v| v.volume.lun.to_string()).collect();
+    check_unique(
+        diagnostics,
+        "plan",
+        draft
+            .plans
+            .iter()
+            .map(|p| (p.position, p.value.name.as_str())),
+    );
+    check_unique(
+        diagnostics,
+        "group",
+        draft
+            .io_classes
+            .iter()
+            .map(|c| (c.position, c.value.name.as_str())),
+    );
+    check_unique(
+        diagnostics,
+        "node",
+        draft
+            .nodes
+            .iter()
+            .map(|n| (n.position, n.value.name.as_str())),
+    );
+    check_unique(
+        diagnostics,
+        "volume",
+        draft
+            .volumes
+            .iter()
+            .map(|v| (v.position, v.volume.name.as_str())),
+    );
+    let luns: Vec<String> = draft
+        .volumes
+        .iter()
+        .map(|v| v.volume.lun.to_string())
+        .collect();
     let positions = draft.volumes.iter().map(|v| v.position);
-    check_unique(diagnostics, "lun", positions.zip(luns.iter().map(String::as_str)));
+    check_unique(
+        diagnostics,
+        "lun",
+        positions.zip(luns.iter().map(String::as_str)),
+    );
 }
 
 fn check_unique<'a>(
@@ -96,24 +141,44 @@
 }
 
 fn check_classes(classes: &[Located<IoClass>], diagnostics: &mut Diagnostics) {
-    for Located { position, value: class } in classes {
+    for Located {
+        position,
+        value: class,
+    } in classes
+    {
         if class.deadline > 0 && class.latency_objective > class.deadline {
-            diagnostics.add(*position, "a goal no longer than the hard limit", "a longer one");
+            diagnostics.add(
+                *position,
+                "a goal no longer than the hard limit",
+                "a longer one",
+            );
         }
     }
 }
 
 fn check_plans(plans: &[Located<Plan>], diagnostics: &mut Diagnostics) {
-    for Located { position, value: plan } in plans {
+    for Located {
+        position,
+        value: plan,
+    } in plans
+    {
         if plan.rate_limit > 0.0 && plan.reserved_rate > plan.rate_limit {
-            diagnostics.add(*position, "a reserve no higher than the limit", "a higher one");
+            diagnostics.add(
+                *position,
+                "a reserve no higher than the limit",
+                "a higher one",
+            );
         }
     }
 }
 
 fn check_unit_sizes(fleet: &Fleet, position: Position, diagnostics: &mut Diagnostics) {
     if fleet.hosts > 0 && fleet.max_io_units < fleet.mean_io_units {
-        diagnostics.add(position, "largest-units of at least mean-units", fleet.max_io_units.to_string());
+        diagnostics.add(
+            position,
+            "largest-units of at least mean-units",
+            fleet.max_io_units.to_string(),
+        );
     }
 }
 
@@ -128,9 +193,16 @@
         catalog.copy_class = resolve("group", &token, names, diagnostics);
         // A copy that is interrupted is repeated, to another place.
         let is_repeatable = |c: &IoClass| c.idempotency == Idempotency::Idempotent && !c.ordered;
-        if !classes.get(catalog.copy_class).is_some_and(|c| is_repeatable(&c.value)) {
+        if !classes
+            .get(catalog.copy_class)
+            .is_some_and(|c| is_repeatable(&c.value))
+        {
             let found = format!("`{}`", token.text);
-            diagnostics.add(token.position, "an idempotent group that is not ordered", found);
+            diagnostics.add(
+                token.position,
+                "an idempotent group that is not ordered",
+                found,
+            );
         }
     }
     catalog
@@ -138,17 +210,30 @@
 
 /// Checks that a volume is either mapped or has extents, and that it fits the catalog if it is mapped.
 fn check_mapping(draft: &DraftVolume, catalog: Option<&Catalog>, diagnostics: &mut Diagnostics) {
-    let DraftVolume { position, volume, extents, .. } = draft;
+    let DraftVolume {
+        position,
+        volume,
+        extents,
+        ..
+    } = draft;
     if volume.mapped != extents.is_empty() {
         let found = if volume.mapped { "both" } else { "neither" };
-        diagnostics.add(*position, "either `extent` or `mapped` in this section", found);
+        diagnostics.add(
+            *position,
+            "either `extent` or `mapped` in this section",
+            found,
+        );
     }
     if !volume.mapped {
         return;
     }
     match catalog {
         None => {
-            diagnostics.add(*position, "a section `catalog`, since the volume is mapped", "none");
+            diagnostics.add(
+                *position,
+                "a section `catalog`, since the volume is mapped",
+                "none",
+            );
         }
         Some(c) if c.extent_blocks > 0 && !volume.block_count.is_multiple_of(c.extent_blocks) => {
             let expected = format!("blocks in extents of {}", c.extent_blocks);
@@ -179,7 +264,11 @@
     let index = names.position(|name| name == token.text);
     if index.is_none() {
         let found = format!("`{}`", token.text);
-        diagnostics.add(token.position, format!("the name of a {kind} in this file"), found);
+        diagnostics.add(
+            token.position,
+            format!("the name of a {kind} in this file"),
+            found,
+        );
     }
     index.unwrap_or(0)
 }
@@ -198,12 +287,21 @@
     locations: &mut Vec<ExtentLocation>,
     diagnostics: &mut Diagnostics,
 ) -> Volume {
-    let DraftVolume { position, mut volume, plan, extents, rules } = draft;
+    let DraftVolume {
+        position,
+        mut volume,
+        plan,
+        extents,
+        rules,
+    } = draft;
     if let Some(plan) = &plan {
         volume.plan = resolve("plan", plan, names.plans.iter().copied(), diagnostics);
     }
     volume.extents = resolve_extents(extents, names, locations, diagnostics);
-    let end = volume.extents.last().map_or(0, |e| e.first_block + e.block_count);
+    let end = volume
+        .extents
+        .last()
+        .map_or(0, |e| e.first_block + e.block_count);
     if volume.block_count > 0 && end != volume.block_count && !volume.extents.is_empty() {
         let expected = format!("extents of {} blocks in all", volume.block_count);
         diagnostics.add(position, expected, end.to_string());
@@ -249,7 +347,11 @@
         let (one, other) = (&pair[0], &pair[1]);
         if one.node == other.node && one.first_block + one.block_count > other.first_block {
             let expected = "blocks of the node that no other extent uses";
-            diagnostics.add(other.position, expected, format!("block {}", other.first_block));
+            diagnostics.add(
+                other.position,
+                expected,
+                format!("block {}", other.first_block),
+            );
         }
     }
 }
@@ -260,7 +362,13 @@
     names: &SectionNames,
     diagnostics: &mut Diagnostics,
 ) -> Rule {
-    let DraftRule { position, direction, range, io_class, blocks_per_key } = draft;
+    let DraftRule {
+        position,
+        direction,
+        range,
+        io_class,
+        blocks_per_key,
+    } = draft;
     let class_names = names.classes.iter().map(|c| c.name.as_str());
     let io_class = resolve("group", &io_class, class_names, diagnostics);
     if names.classes.get(io_class).is_some_and(|c| c.ordered) && blocks_per_key == 0 {
@@ -268,9 +376,19 @@
     }
     let (first_block, last_block) = range.unwrap_or((0, u64::MAX));
     if range.is_some() && last_block >= block_count && block_count > 0 {
-        diagnostics.add(position, format!("blocks up to {}", block_count - 1), last_block.to_string());
+        diagnostics.add(
+            position,
+            format!("blocks up to {}", block_count - 1),
+            last_block.to_string(),
+        );
+    }
+    Rule {
+        direction,
+        first_block,
+        last_block,
+        io_class,
+        blocks_per_key,
     }
-    Rule { direction, first_block, last_block, io_class, blocks_per_key }
 }
 
 /// Checks that the rules of a volume leave no read and no write without a class.
@@ -280,11 +398,20 @@
     }
     for (direction, word) in [(Direction::Read, "read"), (Direction::Write, "write")] {
         let covers_all_blocks = |r: &Rule| {
-            r.first_block == 0 && (r.last_block == u64::MAX || r.last_block + 1 >= volume.block_count)
+            r.first_block == 0
+                && (r.last_block == u64::MAX || r.last_block + 1 >= volume.block_count)
         };
         let covers_direction = |r: &Rule| r.direction == direction || r.direction == Direction::Any;
-        if !volume.rules.iter().any(|r| covers_direction(r) && covers_all_blocks(r)) {
-            diagnostics.add(position, format!("a rule for every {word}, of all blocks"), "none");
+        if !volume
+            .rules
+            .iter()
+            .any(|r| covers_direction(r) && covers_all_blocks(r))
+        {
+            diagnostics.add(
+                position,
+                format!("a rule for every {word}, of all blocks"),
+                "none",
+            );
         }
     }
 }
--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -62,23 +62,46 @@
 #[test]
 fn valid_file_is_parsed() {
     let site = parse("f", VALID).expect("valid");
-    assert_eq!(site.host.control_socket.as_deref(), Some(std::path::Path::new("/run/mallow seam/gw1.sock")));
     assert_eq!(
-        (site.io_classes[0].latency_objective, site.io_classes[1].idempotency),
+        site.host.control_socket.as_deref(),
+        Some(std::path::Path::new("/run/mallow seam/gw1.sock"))
+    );
+    assert_eq!(
+        (
+            site.io_classes[0].latency_objective,
+            site.io_classes[1].idempotency
+        ),
         (200_000, Idempotency::NonIdempotent)
     );
     let water = &site.volumes[0];
     assert_eq!(
-        water.extents.iter().map(|e| (e.first_block, e.node, e.first_node_block)).collect::<Vec<_>>(),
+        water
+            .extents
+            .iter()
+            .map(|e| (e.first_block, e.node, e.first_node_block))
+            .collect::<Vec<_>>(),
         [(0, 0, 64), (1024, 1, 0)]
     );
     assert_eq!(
-        (water.rules[1].direction, water.rules[1].last_block, water.rules[1].blocks_per_key),
+        (
+            water.rules[1].direction,
+            water.rules[1].last_block,
+            water.rules[1].blocks_per_key
+        ),
         (Direction::Write, 99, 8)
     );
-    assert_eq!((site.fleet.slow_start_initial_rate, site.fleet.overload_window), (0.23, 3_000_000));
+    assert_eq!(
+        (
+            site.fleet.slow_start_initial_rate,
+            site.fleet.overload_window
+        ),
+        (0.23, 3_000_000)
+    );
     assert!(site.host.header_digest && site.host.data_digest);
-    assert_eq!(site.nodes.iter().map(|n| n.shard).collect::<Vec<_>>(), [0, 1]);
+    assert_eq!(
+        site.nodes.iter().map(|n| n.shard).collect::<Vec<_>>(),
+        [0, 1]
+    );
 }
 
 /// The diagnostics of the valid file with one change.
@@ -91,44 +114,157 @@
 #[test]
 fn diagnostic_has_line_column_and_what_was_expected() {
     for (from, to, wanted) in [
-        ("window 32", "window 0", "f:8:12: expected 1 to 1024, found `0`"),
-        ("window 32", "window 32\n fleet south seed x", "f:9:19: expected an address and port, found `x`"),
-        ("window 32", "window 32\n fleet south", "f:9:2: expected address:port, found another listen"),
-        ("window 32", "window 32\n fleet s listen 1.2.3.4:5 period 1ms", "f:9:2: expected 50 to 60000 ms"),
-        ("window 32", "windows 32", "f:8:5: expected a directive of section `host` (listen"),
-        ("window 32", "window 32 33", "f:8:15: expected the end of the line, found `33`"),
-        ("window 32", "window", "f:8:11: expected 1 to 1024, found the end of the line"),
-        ("    window 32\n", "", "f:3:1: expected `window` in this section, found none"),
-        ("    hosts 3\n    unit", "    unit", "f:12:1: expected `hosts` in this section"),
-        ("goal 0.2s", "goal 200", "f:28:10: expected a duration such as 200ms, found `200`"),
-        ("goal 0.2s", "goal 5s", "f:26:1: expected a goal no longer than the hard limit"),
-        ("plan basic\n    blocks", "plan bsic\n    blocks", "f:38:10: expected the name of a plan in this"),
-        ("brick2 at 0", "brick9 at 0", "f:42:22: expected the name of a node in this file, found `brick9`"),
-        ("extent 1024 1024", "extent 1000 1024", "f:42:22: expected an extent from block 1024 on"),
-        ("blocks 2048", "blocks 4096", "f:36:1: expected extents of 4096 blocks in all, found 2048"),
-        ("brick2 at 0", "brick1 at 1000", "f:42:22: expected blocks of the node that no other extent uses"),
-        (" key 8", "", "f:45:10: expected `key BLOCKS`, since the group is ordered"),
-        ("blocks 0-99", "blocks 9-2", "f:45:23: expected FIRST-LAST, found `9-2`"),
-        ("    rule write lookup\n", "", "f:36:1: expected a rule for every write"),
-        ("node brick2", "node brick1", "f:50:1: expected a node other than that of line 47"),
-        ("fleet\n", "fleets\n", "f:12:1: expected a section: host, fleet"),
-        ("limit 40/s burst 16", "limit 40/s", "f:25:15: expected burst UNITS"),
-        ("\"/run/mallow seam/gw1.sock\"", "\"/run", "f:6:13: expected a closing quote"),
-        ("digests header data", "digests header full", "f:11:20: expected header, data or none"),
-        ("    gain 3", "    gain 3\n    gain 4", "f:31:5: expected `gain` once in the section of line 26"),
-        ("unit 4KiB", "unit 0.3B", "f:14:10: expected a size such as 4KiB, found `0.3B`"),
+        (
+            "window 32",
+            "window 0",
+            "f:8:12: expected 1 to 1024, found `0`",
+        ),
+        (
+            "window 32",
+            "window 32\n fleet south seed x",
+            "f:9:19: expected an address and port, found `x`",
+        ),
+        (
+            "window 32",
+            "window 32\n fleet south",
+            "f:9:2: expected address:port, found another listen",
+        ),
+        (
+            "window 32",
+            "window 32\n fleet s listen 1.2.3.4:5 period 1ms",
+            "f:9:2: expected 50 to 60000 ms",
+        ),
+        (
+            "window 32",
+            "windows 32",
+            "f:8:5: expected a directive of section `host` (listen",
+        ),
+        (
+            "window 32",
+            "window 32 33",
+            "f:8:15: expected the end of the line, found `33`",
+        ),
+        (
+            "window 32",
+            "window",
+            "f:8:11: expected 1 to 1024, found the end of the line",
+        ),
+        (
+            "    window 32\n",
+            "",
+            "f:3:1: expected `window` in this section, found none",
+        ),
+        (
+            "    hosts 3\n    unit",
+            "    unit",
+            "f:12:1: expected `hosts` in this section",
+        ),
+        (
+            "goal 0.2s",
+            "goal 200",
+            "f:28:10: expected a duration such as 200ms, found `200`",
+        ),
+        (
+            "goal 0.2s",
+            "goal 5s",
+            "f:26:1: expected a goal no longer than the hard limit",
+        ),
+        (
+            "plan basic\n    blocks",
+            "plan bsic\n    blocks",
+            "f:38:10: expected the name of a plan in this",
+        ),
+        (
+            "brick2 at 0",
+            "brick9 at 0",
+            "f:42:22: expected the name of a node in this file, found `brick9`",
+        ),
+        (
+            "extent 1024 1024",
+            "extent 1000 1024",
+            "f:42:22: expected an extent from block 1024 on",
+        ),
+        (
+            "blocks 2048",
+            "blocks 4096",
+            "f:36:1: expected extents of 4096 blocks in all, found 2048",
+        ),
+        (
+            "brick2 at 0",
+            "brick1 at 1000",
+            "f:42:22: expected blocks of the node that no other extent uses",
+        ),
+        (
+            " key 8",
+            "",
+            "f:45:10: expected `key BLOCKS`, since the group is ordered",
+        ),
+        (
+            "blocks 0-99",
+            "blocks 9-2",
+            "f:45:23: expected FIRST-LAST, found `9-2`",
+        ),
+        (
+            "    rule write lookup\n",
+            "",
+            "f:36:1: expected a rule for every write",
+        ),
+        (
+            "node brick2",
+            "node brick1",
+            "f:50:1: expected a node other than that of line 47",
+        ),
+        (
+            "fleet\n",
+            "fleets\n",
+            "f:12:1: expected a section: host, fleet",
+        ),
+        (
+            "limit 40/s burst 16",
+            "limit 40/s",
+            "f:25:15: expected burst UNITS",
+        ),
+        (
+            "\"/run/mallow seam/gw1.sock\"",
+            "\"/run",
+            "f:6:13: expected a closing quote",
+        ),
+        (
+            "digests header data",
+            "digests header full",
+            "f:11:20: expected header, data or none",
+        ),
+        (
+            "    gain 3",
+            "    gain 3\n    gain 4",
+            "f:31:5: expected `gain` once in the section of line 26",
+        ),
+        (
+            "unit 4KiB",
+            "unit 0.3B",
+            "f:14:10: expected a size such as 4KiB, found `0.3B`",
+        ),
     ] {
         let found = diagnostics(from, to);
-        assert!(found.iter().any(|f| f.starts_with(wanted)), "{to}: {found:#?}");
+        assert!(
+            found.iter().any(|f| f.starts_with(wanted)),
+            "{to}: {found:#?}"
+        );
     }
 }
 
 #[test]
 fn all_diagnostics_are_reported_in_the_order_of_the_file() {
-    let text = VALID.replace("window 32", "window x").replace("hosts 3\n    unit", "hosts 0\n    unit");
+    let text = VALID
+        .replace("window 32", "window x")
+        .replace("hosts 3\n    unit", "hosts 0\n    unit");
     let text = text.replace("zone b", "zone b c");
-    let lines: Vec<usize> =
-        parse("f", &text).expect_err("three").diagnostics.iter().map(|p| p.line).collect();
+    let lines: Vec<usize> = parse("f", &text)
+        .expect_err("three")
+        .diagnostics
+        .iter()
+        .map(|p| p.line)
+        .collect();
     assert_eq!(lines, [8, 13, 53]);
 }
 
@@ -156,12 +292,18 @@
 fn two() -> String {
     let other = "volume gas   # the other one\n    lun 2\n    plan basic\n    blocks 64\n    block-size 512B\n    hosts 3\n    \
                  extent 0 64 brick1 at 9000\n    rule any lookup\n";
-    format!("{VALID}{other}")
-        .replace("plan basic\n    usual", "plan basic\n    weight 2  # as agreed\n    usual")
+    format!("{VALID}{other}").replace(
+        "plan basic\n    usual",
+        "plan basic\n    weight 2  # as agreed\n    usual",
+    )
 }
 
 fn share(volume: &str, reserve: u64, weight: u64) -> Share {
-    Share { volume: volume.into(), reserved_milliunits: reserve, weight }
+    Share {
+        volume: volume.into(),
+        reserved_milliunits: reserve,
+        weight,
+    }
 }
 
 #[test]
@@ -170,24 +312,71 @@
     let site = parse("site", &text).expect("valid");
     let both = [share("water", 5_500, 7), share("gas", 5_500, 7)];
     let same = edit::apply_shares(&text, &site, &both).expect("known");
-    assert!(same.contains("    weight 7  # as agreed\n") && same.contains("    reserve 5.500/s\n"), "{same}");
+    assert!(
+        same.contains("    weight 7  # as agreed\n") && same.contains("    reserve 5.500/s\n"),
+        "{same}"
+    );
     let edited = parse("site", &same).expect("valid");
-    assert_eq!((edited.plans.len(), edited.plans[0].reserved_rate, edited.plans[0].weight), (1, 5.5, 7.0));
+    assert_eq!(
+        (
+            edited.plans.len(),
+            edited.plans[0].reserved_rate,
+            edited.plans[0].weight
+        ),
+        (1, 5.5, 7.0)
+    );
     let own = edit::apply_shares(&text, &site, &[share("gas", 3_000, 9)]).expect("known");
     let edited = parse("site", &own).expect("valid");
-    let plan = |v: &str| &edited.plans[edited.volumes.iter().find(|w| w.name == v).expect("there").plan];
+    let plan = |v: &str| {
+        &edited.plans[edited
+            .volumes
+            .iter()
+            .find(|w| w.name == v)
+            .expect("there")
+            .plan]
+    };
     assert_eq!(
-        (plan("gas").name.as_str(), plan("gas").reserved_rate, plan("gas").weight),
+        (
+            plan("gas").name.as_str(),
+            plan("gas").reserved_rate,
+            plan("gas").weight
+        ),
         ("basic-gas", 3.0, 9.0)
     );
-    assert_eq!((plan("gas").usual_rate, plan("gas").rate_limit, plan("gas").burst_units), (20.0, 40.0, 16.0));
-    assert_eq!((plan("water").name.as_str(), plan("water").weight), ("basic", 2.0));
-    assert!(reload::evaluate(&site, &edited).is_ok(), "a running host can take it over");
+    assert_eq!(
+        (
+            plan("gas").usual_rate,
+            plan("gas").rate_limit,
+            plan("gas").burst_units
+        ),
+        (20.0, 40.0, 16.0)
+    );
+    assert_eq!(
+        (plan("water").name.as_str(), plan("water").weight),
+        ("basic", 2.0)
+    );
+    assert!(
+        reload::evaluate(&site, &edited).is_ok(),
+        "a running host can take it over"
+    );
     // Once more: the volume has a plan of its own now, which is edited in place.
     let again = edit::apply_shares(&own, &edited, &[share("gas", 4_000, 9)]).expect("known");
     let edited = parse("site", &again).expect("valid");
-    assert_eq!((edited.plans.len(), edited.plans[1].reserved_rate), (2, 4.0));
-    assert!(again.starts_with(&text[..text.find("volume gas").expect("there")]), "the rest is as it was");
+    assert_eq!(
+        (edited.plans.len(), edited.plans[1].reserved_rate),
+        (2, 4.0)
+    );
+    assert!(
+        again.starts_with(&text[..text.find("volume gas").expect("there")]),
+        "the rest is as it was"
+    );
     let unknown = edit::apply_shares(&text, &site, &[share("oil", 1, 1), share("tax", 1, 1)]);
-    assert_eq!(unknown.expect_err("neither is there").to_string().lines().count(), 2);
+    assert_eq!(
+        unknown
+            .expect_err("neither is there")
+            .to_string()
+            .lines()
+            .count(),
+        2
+    );
 }
--- a/crates/settings/tests/pinned_parsing.rs
+++ b/crates/settings/tests/pinned_parsing.rs
@@ -14,7 +14,12 @@
     for (line, (a, b)) in recorded.lines().zip(found.lines()).enumerate() {
         assert_eq!(a, b, "{name}, line {}", line + 1);
     }
-    assert!(recorded == found, "{name}: {} bytes recorded, {} found", recorded.len(), found.len());
+    assert!(
+        recorded == found,
+        "{name}: {} bytes recorded, {} found",
+        recorded.len(),
+        found.len()
+    );
 }
 
 /// A file with every directive.
@@ -107,8 +112,12 @@
 fn shown(site: &GatewayConfig) -> String {
     let mut out = String::new();
     let h = &site.host;
-    writeln!(out, "host {} listen {:?} target {} control {:?}", h.name, h.listen, h.target, h.control_socket)
-        .expect("memory");
+    writeln!(
+        out,
+        "host {} listen {:?} target {} control {:?}",
+        h.name, h.listen, h.target, h.control_socket
+    )
+    .expect("memory");
     writeln!(
         out,
         "  list {:?} kept list {:?} follow {:?}",
@@ -121,8 +130,12 @@
         h.plan_cache_path, h.command_window, h.max_connections
     )
     .expect("memory");
-    writeln!(out, "  longest {} digests {} {}", h.max_transfer_bytes, h.header_digest, h.data_digest)
-        .expect("memory");
+    writeln!(
+        out,
+        "  longest {} digests {} {}",
+        h.max_transfer_bytes, h.header_digest, h.data_digest
+    )
+    .expect("memory");
     writeln!(out, "  seed {:?}", h.seed).expect("memory");
     match &h.fleet {
         None => writeln!(out, "  no place"),
@@ -153,7 +166,12 @@
         f.share_weight_factor, f.spare_weight_factor, f.max_attempts
     )
     .expect("memory");
-    writeln!(out, "  come back {} order rest {}", f.max_retry_after, f.ordering_cooldown).expect("memory");
+    writeln!(
+        out,
+        "  come back {} order rest {}",
+        f.max_retry_after, f.ordering_cooldown
+    )
+    .expect("memory");
     writeln!(
         out,
         "  cold {} {} fall {} {} bears {}",
@@ -164,8 +182,12 @@
         f.slow_start_capacity
     )
     .expect("memory");
-    writeln!(out, "  further {} {} {}", f.retry_budget_min, f.retry_budget_ratio, f.retry_budget_window)
-        .expect("memory");
+    writeln!(
+        out,
+        "  further {} {} {}",
+        f.retry_budget_min, f.retry_budget_ratio, f.retry_budget_window
+    )
+    .expect("memory");
     if let Some(c) = &site.catalog {
         writeln!(
             out,
@@ -175,13 +197,24 @@
         .expect("memory");
     }
     if let Some(t) = &site.plan_service {
-        writeln!(out, "tariffs {:?} {:?} {:?}", t.listen, t.store_path, t.control_socket).expect("memory");
+        writeln!(
+            out,
+            "tariffs {:?} {:?} {:?}",
+            t.listen, t.store_path, t.control_socket
+        )
+        .expect("memory");
     }
     for p in &site.plans {
         writeln!(
             out,
             "plan {} usual {} reserve {} limit {} burst {} weight {} price {}",
-            p.name, p.usual_rate, p.reserved_rate, p.rate_limit, p.burst_units, p.weight, p.priority_factor
+            p.name,
+            p.usual_rate,
+            p.reserved_rate,
+            p.rate_limit,
+            p.burst_units,
+            p.weight,
+            p.priority_factor
         )
         .expect("memory");
     }
@@ -193,7 +226,12 @@
         writeln!(
             out,
             "group {} {effect} goal {} hard limit {} gain {} late {} ordered {}",
-            g.name, g.latency_objective, g.deadline, g.priority_weight, g.late_weight_ratio, g.ordered
+            g.name,
+            g.latency_objective,
+            g.deadline,
+            g.priority_weight,
+            g.late_weight_ratio,
+            g.ordered
         )
         .expect("memory");
     }
@@ -242,9 +280,17 @@
     match parse("f", text) {
         Ok(site) => {
             let known: Vec<&str> = valid.lines().collect();
-            shown(&site).lines().filter(|l| !known.contains(l)).map(|l| format!("  {l}\n")).collect()
+            shown(&site)
+                .lines()
+                .filter(|l| !known.contains(l))
+                .map(|l| format!("  {l}\n"))
+                .collect()
         }
-        Err(diagnostics) => diagnostics.to_string().lines().map(|l| format!("  {l}\n")).collect(),
+        Err(diagnostics) => diagnostics
+            .to_string()
+            .lines()
+            .map(|l| format!("  {l}\n"))
+            .collect(),
     }
 }
 
@@ -280,7 +326,18 @@
         let mut digest = Digest::default();
         let count = line.split_whitespace().count();
         for word in 0..count {
-            for put in ["", "0", "-1", "x", "9999999999999999999", "0.3", "5%", "1us", "7/s", "\"open"] {
+            for put in [
+                "",
+                "0",
+                "-1",
+                "x",
+                "9999999999999999999",
+                "0.3",
+                "5%",
+                "1us",
+                "7/s",
+                "\"open",
+            ] {
                 let mut all: Vec<&str> = line.split_whitespace().collect();
                 all[word] = put;
                 let indent = if line.starts_with(' ') { "    " } else { "" };
@@ -290,7 +347,13 @@
                 digest.add_bytes(&[0xff]);
             }
         }
-        writeln!(found, "{} with words changed: {:#018x}", index + 1, digest.value()).expect("memory");
+        writeln!(
+            found,
+            "{} with words changed: {:#018x}",
+            index + 1,
+            digest.value()
+        )
+        .expect("memory");
     }
     pinned("changed.txt", &found);
 }
@@ -308,7 +371,10 @@
         ("extent 64", "extent 100"),
         ("lun 2\n", "lun 1024\n"),
         ("lun 2\n", "lun 1\n"),
-        ("    mapped\n", "    mapped\n    extent 0 128 brick1 at 4000\n"),
+        (
+            "    mapped\n",
+            "    mapped\n    extent 0 128 brick1 at 4000\n",
+        ),
         ("    mapped\n", ""),
         ("volume clones", "volume water"),
         ("plan bare\ngroup", "plan basic\ngroup"),
@@ -349,15 +415,37 @@
         let start = EVERY.find(&format!("\n{section}")).expect("a section") + 1;
         let rest = &EVERY[start..];
         let len = rest.find('\n').expect("a line") + 1;
-        let body = rest[len..].lines().take_while(|l| l.starts_with(' ')).map(|l| l.len() + 1).sum::<usize>();
+        let body = rest[len..]
+            .lines()
+            .take_while(|l| l.starts_with(' '))
+            .map(|l| l.len() + 1)
+            .sum::<usize>();
         format!("{}{}", &EVERY[..start], &rest[len + body..])
     };
-    for section in
-        ["host", "fleet", "catalog", "tariffs", "plan basic", "group lookup", "volume water", "node brick1"]
-    {
-        write!(found, "without {section}:\n{}", outcome(&without(section), &valid)).expect("memory");
+    for section in [
+        "host",
+        "fleet",
+        "catalog",
+        "tariffs",
+        "plan basic",
+        "group lookup",
+        "volume water",
+        "node brick1",
+    ] {
+        write!(
+            found,
+            "without {section}:\n{}",
+            outcome(&without(section), &valid)
+        )
+        .expect("memory");
     }
-    for text in ["", "\n\n# nothing\n", "    listen 1.2.3.4:5\n", "fleet\nfleet\n", "host \"a b\"\n"] {
+    for text in [
+        "",
+        "\n\n# nothing\n",
+        "    listen 1.2.3.4:5\n",
+        "fleet\nfleet\n",
+        "host \"a b\"\n",
+    ] {
         write!(found, "{text:?}:\n{}", outcome(text, &valid)).expect("memory");
     }
     pinned("contradictions.txt", &found);
@@ -447,12 +535,24 @@
         value!("duration", a, a.duration("d"));
         value!("size", a, a.size("s"));
         value!("address", a, a.address("a"));
-        value!("name", a, a.name("n").map(|w| (w.text, w.position.line, w.position.column)));
+        value!(
+            "name",
+            a,
+            a.name("n")
+                .map(|w| (w.text, w.position.line, w.position.column))
+        );
         value!("word", a, a.text("w"));
         writeln!(found, "{word}:{values}").expect("memory");
     }
     let mut diagnostics = Diagnostics::new("g");
-    for text in ["a  \"b c\" d#e # f", "\u{e9} \"x", "", "#", " \t a", "\"\" b\"c"] {
+    for text in [
+        "a  \"b c\" d#e # f",
+        "\u{e9} \"x",
+        "",
+        "#",
+        " \t a",
+        "\"\" b\"c",
+    ] {
         let all: Vec<String> = tokenize(7, text, &mut diagnostics)
             .iter()
             .map(|w| format!("{}@{}:{}", w.text, w.position.line, w.position.column))
@@ -468,11 +568,20 @@
         args.has_more(),
         args.integer("a number", 1, 5),
     );
-    writeln!(found, "{steps:?} more {} then {:?}", args.has_more(), args.text("a word")).expect("memory");
+    writeln!(
+        found,
+        "{steps:?} more {} then {:?}",
+        args.has_more(),
+        args.text("a word")
+    )
+    .expect("memory");
     args.expect_end();
     args.report_conflicts(&["spoiled: expected nothing".to_owned()]);
     let mut args = Arguments::new(&line, &mut diagnostics);
-    args.report_conflicts(&["field: expected a thing".to_owned(), "no such form".to_owned()]);
+    args.report_conflicts(&[
+        "field: expected a thing".to_owned(),
+        "no such form".to_owned(),
+    ]);
     args.expect_end();
     let end = args.position();
     diagnostics.add(end, "an end", "");
@@ -491,7 +600,10 @@
         ("limit 40/s burst 16", "limit 41/s burst 17"),
         ("price 1.5", "price 2"),
         ("    price 1.5\n", ""),
-        ("plan bare\ngroup", "plan bare\nplan third\n    reserve 1/s\ngroup"),
+        (
+            "plan bare\ngroup",
+            "plan bare\nplan third\n    reserve 1/s\ngroup",
+        ),
         ("plan basic\n    hosts", "plan bare\n    hosts"),
         ("plan bare\ngroup", "plan bare\n    weight 9\ngroup"),
         ("window 32", "window 33"),
@@ -510,7 +622,11 @@
             Ok(t) => {
                 let plans: Vec<&str> = t.plans.iter().map(|p| p.name.as_str()).collect();
                 let changes: Vec<String> = t.changes.iter().map(ToString::to_string).collect();
-                writeln!(found, "{from:?} -> {to:?}: {plans:?} {:?} {changes:?}", t.volume_plans)
+                writeln!(
+                    found,
+                    "{from:?} -> {to:?}: {plans:?} {:?} {changes:?}",
+                    t.volume_plans
+                )
             }
             Err(error) => {
                 let against: Vec<String> = error.to_string().lines().map(str::to_owned).collect();
@@ -527,8 +643,11 @@
     let text = EVERY.replace("plan bare\n    hosts", "plan basic  # shared\n    hosts");
     let text = text.replace("    weight 2\n", "    weight 2   # as agreed\n");
     let site = parse("f", &text).expect("valid");
-    let share =
-        |volume: &str, reserve, weight| Share { volume: volume.into(), reserved_milliunits: reserve, weight };
+    let share = |volume: &str, reserve, weight| Share {
+        volume: volume.into(),
+        reserved_milliunits: reserve,
+        weight,
+    };
     let mut found = String::new();
     for shares in [
         vec![],
@@ -538,8 +657,10 @@
         vec![share("clones", 1, 0)],
         vec![share("oil", 1, 1), share("water", 1, 1), share("gas", 1, 1)],
     ] {
-        let given: Vec<String> =
-            shares.iter().map(|s| format!("{} {} {}", s.volume, s.reserved_milliunits, s.weight)).collect();
+        let given: Vec<String> = shares
+            .iter()
+            .map(|s| format!("{} {} {}", s.volume, s.reserved_milliunits, s.weight))
+            .collect();
         match edit::apply_shares(&text, &site, &shares) {
             Ok(edited) => {
                 let known: Vec<&str> = text.lines().collect();
@@ -549,7 +670,12 @@
                     .filter(|l| !known.contains(&l.1))
                     .map(|(i, l)| format!("  {}: {l}\n", i + 1))
                     .collect();
-                write!(found, "{given:?}, {} lines:\n{}", edited.lines().count(), new.concat())
+                write!(
+                    found,
+                    "{given:?}, {} lines:\n{}",
+                    edited.lines().count(),
+                    new.concat()
+                )
             }
             Err(error) => {
                 let against: Vec<String> = error.to_string().lines().map(str::to_owned).collect();
@@ -569,18 +695,49 @@
     let beyond = ((1u64 << 50) + 1).to_string();
     let (name, long_name) = ("n".repeat(223), "n".repeat(224));
     for (from, values) in [
-        ("window 32", vec!["window 1", "window 0", "window 1024", "window 1025"]),
-        ("connections 100", vec!["connections 1", "connections 0", "connections 65536", "connections 65537"]),
-        ("longest 1.5MiB", vec!["longest 0B", "longest 1048576TiB", "longest 1048577TiB"]),
-        ("hosts 3\n    unit", vec!["hosts 65536\n    unit", "hosts 65537\n    unit"]),
+        (
+            "window 32",
+            vec!["window 1", "window 0", "window 1024", "window 1025"],
+        ),
+        (
+            "connections 100",
+            vec![
+                "connections 1",
+                "connections 0",
+                "connections 65536",
+                "connections 65537",
+            ],
+        ),
+        (
+            "longest 1.5MiB",
+            vec!["longest 0B", "longest 1048576TiB", "longest 1048577TiB"],
+        ),
+        (
+            "hosts 3\n    unit",
+            vec!["hosts 65536\n    unit", "hosts 65537\n    unit"],
+        ),
         ("unit 4KiB", vec!["unit 1B", "unit 0B"]),
         (
             "mean-units 2.19",
-            vec!["mean-units 0.000001", "mean-units 0.0000009", "mean-units 1e9", "mean-units 1000000000.1"],
+            vec![
+                "mean-units 0.000001",
+                "mean-units 0.0000009",
+                "mean-units 1e9",
+                "mean-units 1000000000.1",
+            ],
+        ),
+        (
+            "largest-units 64",
+            vec!["largest-units 1e9", "largest-units 1000000000.1"],
+        ),
+        (
+            "submits 3",
+            vec!["submits 1", "submits 0", "submits 16", "submits 17"],
+        ),
+        (
+            "come-back 4s",
+            vec!["come-back 24h", "come-back 86400000001us"],
         ),
-        ("largest-units 64", vec!["largest-units 1e9", "largest-units 1000000000.1"]),
-        ("submits 3", vec!["submits 1", "submits 0", "submits 16", "submits 17"]),
-        ("come-back 4s", vec!["come-back 24h", "come-back 86400000001us"]),
         (
             "cold 23% 18s 2.5 3s 4",
             vec![
@@ -601,15 +758,30 @@
                 "further 1000000000.1 10% 10s",
             ],
         ),
-        ("extent 64", vec!["extent 1", "extent 0", "extent 65536", "extent 65537"]),
-        ("burst 16", vec!["burst 0", "burst 1e12", "burst 1000000000000.1"]),
-        ("weight 2", vec!["weight 0", "weight 1e6", "weight 1000000.1"]),
+        (
+            "extent 64",
+            vec!["extent 1", "extent 0", "extent 65536", "extent 65537"],
+        ),
+        (
+            "burst 16",
+            vec!["burst 0", "burst 1e12", "burst 1000000000000.1"],
+        ),
+        (
+            "weight 2",
+            vec!["weight 0", "weight 1e6", "weight 1000000.1"],
+        ),
         ("price 1.5", vec!["price 0", "price 1e6", "price 1000000.1"]),
-        ("    gain 3", vec!["    gain 0", "    gain 1e6", "    gain 1000000.1"]),
+        (
+            "    gain 3",
+            vec!["    gain 0", "    gain 1e6", "    gain 1000000.1"],
+        ),
         ("lun 1\n", vec!["lun 0\n", "lun 16383\n", "lun 16384\n"]),
         ("lun 2\n", vec!["lun 1023\n", "lun 1024\n"]),
         ("lun 7\n", vec!["lun 16383\n", "lun 16384\n"]),
-        ("hosts 3\n    blocks", vec!["hosts 65536\n    blocks", "hosts 65537\n    blocks"]),
+        (
+            "hosts 3\n    blocks",
+            vec!["hosts 65536\n    blocks", "hosts 65537\n    blocks"],
+        ),
         ("shard 9", vec!["shard 65535", "shard 65536"]),
     ] {
         let from: &str = from;
@@ -621,10 +793,26 @@
     record(&mut found, "key 8", &format!("key {beyond}"));
     record(&mut found, "blocks 2048", &format!("blocks {far}"));
     record(&mut found, "blocks 2048", &format!("blocks {beyond}"));
-    record(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {far}"));
-    record(&mut found, "1024 brick2 at 0", &format!("1024 brick2 at {beyond}"));
-    record(&mut found, "extent 1024 1024", &format!("extent {far} {far}"));
-    record(&mut found, "extent 1024 1024", &format!("extent {beyond} {beyond}"));
+    record(
+        &mut found,
+        "1024 brick2 at 0",
+        &format!("1024 brick2 at {far}"),
+    );
+    record(
+        &mut found,
+        "1024 brick2 at 0",
+        &format!("1024 brick2 at {beyond}"),
+    );
+    record(
+        &mut found,
+        "extent 1024 1024",
+        &format!("extent {far} {far}"),
+    );
+    record(
+        &mut found,
+        "extent 1024 1024",
+        &format!("extent {beyond} {beyond}"),
+    );
     record(&mut found, "host gw1", &format!("host {name}"));
     record(&mut found, "zone b", &format!("zone {name}"));
     record(&mut found, "zone b", &format!("zone {long_name}"));
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -4,8 +4,18 @@
 use mallowseam_settings::reload::evaluate;
 
 fn config() -> GatewayConfig {
-    let plan = |name: &str| Plan { name: name.into(), reserved_rate: 5.0, weight: 1.0, ..Plan::default() };
-    let volume = |name: &str, plan| Volume { name: name.into(), plan, block_count: 8, ..Volume::default() };
+    let plan = |name: &str| Plan {
+        name: name.into(),
+        reserved_rate: 5.0,
+        weight: 1.0,
+        ..Plan::default()
+    };
+    let volume = |name: &str, plan| Volume {
+        name: name.into(),
+        plan,
+        block_count: 8,
+        ..Volume::default()
+    };
     GatewayConfig {
         plans: vec![plan("gold"), plan("tin")],
         volumes: vec![volume("a", 0), volume("b", 1)],
@@ -19,12 +29,18 @@
     wanted.plans.reverse();
     wanted.plans[1].weight = 3.0;
     wanted.plans[1].reserved_rate = 7.0;
-    wanted.plans.push(Plan { name: "gold-b".into(), ..Plan::default() });
+    wanted.plans.push(Plan {
+        name: "gold-b".into(),
+        ..Plan::default()
+    });
     wanted.volumes[0].plan = 1;
     wanted.volumes[1].plan = 2;
     let outcome = evaluate(&running, &wanted).expect("plans only");
     let names: Vec<&str> = outcome.plans.iter().map(|p| p.name.as_str()).collect();
-    assert_eq!((names, &outcome.volume_plans), (vec!["gold", "tin", "gold-b"], &vec![0, 2]));
+    assert_eq!(
+        (names, &outcome.volume_plans),
+        (vec!["gold", "tin", "gold-b"], &vec![0, 2])
+    );
     let changes = [
         "plan gold: reserve 7 instead of 5, weight 3 instead of 1",
         "plan gold-b: new",
@@ -52,6 +68,11 @@
     let error = evaluate(&running, &wanted).expect_err("more than plans");
     let lines: Vec<String> = error.0.iter().map(ToString::to_string).collect();
     let named = |what: &str| lines.iter().any(|a| a.starts_with(what));
-    assert!(["section fleet", "volume a", "volume b", "volume c"].into_iter().all(named), "{lines:?}");
+    assert!(
+        ["section fleet", "volume a", "volume b", "volume c"]
+            .into_iter()
+            .all(named),
+        "{lines:?}"
+    );
     assert_eq!(lines.len(), 4);
 }
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -21,7 +21,10 @@
 impl ActionWriter<'_> {
     /// The scheduler panicked: writes the message of the panic on one line.
     pub fn panicked(&mut self, text: &str) {
-        write_line(self.output, format_args!("broken {} {}", self.instance, text.replace('\n', " ")));
+        write_line(
+            self.output,
+            format_args!("broken {} {}", self.instance, text.replace('\n', " ")),
+        );
     }
 
     fn request_id(&self, bio: BioId) -> u64 {
@@ -37,32 +40,54 @@
 impl Host for ActionWriter<'_> {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         let (request, node) = (self.request_id(bio), self.names.nodes.resolve(node.0));
-        let timeout = if timeout > 0 { timeout * MICROS_PER_TICK } else { NO_TIMEOUT };
-        write_line(self.output, format_args!("relay {} {request} {node} {timeout}", self.instance));
+        let timeout = if timeout > 0 {
+            timeout * MICROS_PER_TICK
+        } else {
+            NO_TIMEOUT
+        };
+        write_line(
+            self.output,
+            format_args!("relay {} {request} {node} {timeout}", self.instance),
+        );
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
         let request = self.request_id(bio);
-        write_line(self.output, format_args!("cancel {} {request} {attempt}", self.instance));
+        write_line(
+            self.output,
+            format_args!("cancel {} {request} {attempt}", self.instance),
+        );
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
         let (request, retry_after) = (self.request_id(bio), retry_after * MICROS_PER_TICK);
-        write_line(self.output, format_args!("bounce {} {request} {retry_after}", self.instance));
+        write_line(
+            self.output,
+            format_args!("bounce {} {request} {retry_after}", self.instance),
+        );
     }
 
     fn fail(&mut self, bio: BioId) {
         let request = self.request_id(bio);
-        write_line(self.output, format_args!("abort {} {request}", self.instance));
+        write_line(
+            self.output,
+            format_args!("abort {} {request}", self.instance),
+        );
     }
 
     fn set_timer(&mut self, after: Tick) {
         let delay = after * MICROS_PER_TICK;
-        write_line(self.output, format_args!("set_timer {} 0 {delay}", self.instance));
+        write_line(
+            self.output,
+            format_args!("set_timer {} 0 {delay}", self.instance),
+        );
     }
 
     fn poll_endpoints(&mut self) {
-        write_line(self.output, format_args!("stream_changes {} 1", self.instance));
+        write_line(
+            self.output,
+            format_args!("stream_changes {} 1", self.instance),
+        );
     }
 
     fn release_bio(&mut self, bio: BioId) {
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -38,7 +38,12 @@
         ];
         let form = fields.one_of("form", &forms)?;
         let entries_left = fields.optional_number("members_list")?.unwrap_or(0.0) as u64;
-        Ok(PartialList { instance, form, entries_left, entries: Vec::new() })
+        Ok(PartialList {
+            instance,
+            form,
+            entries_left,
+            entries: Vec::new(),
+        })
     }
 }
 
@@ -92,7 +97,10 @@
         let mut fields = Fields::new(line);
         let message = fields.message();
         if self.partial_list.is_some() && message != "entry" {
-            return Err(InputError::unexpected(message, "another entry of the membership"));
+            return Err(InputError::unexpected(
+                message,
+                "another entry of the membership",
+            ));
         }
         if message == "clock" {
             return self.open_batch(&mut fields).map(|()| Progress::WithinBatch);
@@ -101,7 +109,10 @@
             return Ok(Progress::WithinBatch);
         }
         let Some(now) = self.now else {
-            return Err(InputError::unexpected(message, "a clock line to open the batch"));
+            return Err(InputError::unexpected(
+                message,
+                "a clock line to open the batch",
+            ));
         };
         match message {
             "eof_batch" => {
@@ -116,22 +127,31 @@
 
     fn open_batch(&mut self, fields: &mut Fields) -> Result<(), InputError> {
         if self.now.is_some() {
-            return Err(InputError::unexpected(fields.message(), "eof_batch before the next batch"));
+            return Err(InputError::unexpected(
+                fields.message(),
+                "eof_batch before the next batch",
+            ));
         }
         self.now = Some(fields.ticks("clock")?);
-        fields.text("batch number")?.clone_into(&mut self.batch_number);
+        fields
+            .text("batch number")?
+            .clone_into(&mut self.batch_number);
         self.output.clear();
         Ok(())
     }
 
     fn instance_message(&mut self, now: Tick, fields: &mut Fields) -> Result<(), InputError> {
         let Some(message) = Message::from_name(fields.message()) else {
-            return Err(InputError::unexpected(fields.message(), "a message of the wire"));
+            return Err(InputError::unexpected(
+                fields.message(),
+                "a message of the wire",
+            ));
         };
         let index = fields.unsigned_integer("i")?;
         match message {
             Message::OpenInstance => {
-                self.instances.insert(index, Instance::open(index, now, fields)?);
+                self.instances
+                    .insert(index, Instance::open(index, now, fields)?);
                 Ok(())
             }
             Message::TearDown => {
@@ -153,9 +173,15 @@
 
     fn list_entry(&mut self, now: Tick, fields: &mut Fields) -> Result<(), InputError> {
         let Some(list) = &mut self.partial_list else {
-            return Err(InputError::unexpected(fields.message(), "a membership line before it"));
+            return Err(InputError::unexpected(
+                fields.message(),
+                "a membership line before it",
+            ));
         };
-        let instance = self.instances.get_mut(&list.instance).expect("open while its list is read");
+        let instance = self
+            .instances
+            .get_mut(&list.instance)
+            .expect("open while its list is read");
         list.entries.push(instance.endpoint(fields)?);
         list.entries_left -= 1;
         self.finish_list(now);
@@ -165,7 +191,10 @@
     /// Passes the list to the instance once its last entry was read.
     fn finish_list(&mut self, now: Tick) {
         if let Some(list) = self.partial_list.take_if(|list| list.entries_left == 0) {
-            let instance = self.instances.get_mut(&list.instance).expect("open while its list is read");
+            let instance = self
+                .instances
+                .get_mut(&list.instance)
+                .expect("open while its list is read");
             instance.on_endpoint_list(now, list.form, &list.entries, &mut self.output);
         }
     }
@@ -176,5 +205,7 @@
     index: u64,
     fields: &Fields,
 ) -> Result<&'a mut Instance, InputError> {
-    instances.get_mut(&index).ok_or_else(|| fields.invalid("i", "an instance that is open"))
+    instances
+        .get_mut(&index)
+        .ok_or_else(|| fields.invalid("i", "an instance that is open"))
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -34,6 +34,9 @@
 impl InputError {
     /// The message is unknown, or is not expected at this point.
     pub fn unexpected(message: &str, expected: &'static str) -> Self {
-        InputError::UnexpectedMessage { message: message.to_owned(), expected }
+        InputError::UnexpectedMessage {
+            message: message.to_owned(),
+            expected,
+        }
     }
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -27,8 +27,14 @@
     /// The fields of a line.
     pub fn new(line: &'a str) -> Self {
         match line.split_once(' ') {
-            Some((message, rest)) => Fields { message, rest: Some(rest) },
-            None => Fields { message: line, rest: None },
+            Some((message, rest)) => Fields {
+                message,
+                rest: Some(rest),
+            },
+            None => Fields {
+                message: line,
+                rest: None,
+            },
         }
     }
 
@@ -44,7 +50,11 @@
 
     /// The error for a field that is missing or invalid.
     pub fn invalid(&self, field: &'static str, expected: &str) -> InputError {
-        InputError::InvalidField { message: self.message.to_owned(), field, expected: expected.to_owned() }
+        InputError::InvalidField {
+            message: self.message.to_owned(),
+            field,
+            expected: expected.to_owned(),
+        }
     }
 
     /// The next value; none where it is absent.
@@ -65,7 +75,8 @@
 
     /// A value that must be present.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, InputError> {
-        self.next_value().ok_or_else(|| self.invalid(field, "a value"))
+        self.next_value()
+            .ok_or_else(|| self.invalid(field, "a value"))
     }
 
     /// An unsigned integer.
@@ -86,13 +97,21 @@
 
     /// A finite number that may be absent.
     pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, InputError> {
-        let Some(value) = self.next_value() else { return Ok(None) };
+        let Some(value) = self.next_value() else {
+            return Ok(None);
+        };
         let number = value.parse().ok().filter(|number: &f64| number.is_finite());
-        number.map(Some).ok_or_else(|| self.invalid(field, "a number"))
+        number
+            .map(Some)
+            .ok_or_else(|| self.invalid(field, "a number"))
     }
 
     /// One of some names; returns what it stands for.
-    pub fn one_of<T: Copy>(&mut self, field: &'static str, names: &[(&str, T)]) -> Result<T, InputError> {
+    pub fn one_of<T: Copy>(
+        &mut self,
+        field: &'static str,
+        names: &[(&str, T)],
+    ) -> Result<T, InputError> {
         let value = self.next_value().unwrap_or("-");
         let found = names.iter().find(|(name, _)| *name == value);
         found.map(|(_, meaning)| *meaning).ok_or_else(|| {
@@ -109,10 +128,17 @@
     /// A node's load report: name and value pairs, of which unknown ones are skipped.
     pub fn load_report(&mut self) -> Result<LoadReport, InputError> {
         let mut report = LoadReport::default();
-        for pair in self.next_value().unwrap_or_default().split(',').filter(|pair| !pair.is_empty()) {
-            let parsed =
-                pair.split_once(':').and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
-            let (name, value) = parsed.ok_or_else(|| self.invalid("pressure", "name:value pairs"))?;
+        for pair in self
+            .next_value()
+            .unwrap_or_default()
+            .split(',')
+            .filter(|pair| !pair.is_empty())
+        {
+            let parsed = pair
+                .split_once(':')
+                .and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
+            let (name, value) =
+                parsed.ok_or_else(|| self.invalid("pressure", "name:value pairs"))?;
             let value = Some(value).filter(|value| value.is_finite() && *value >= 0.0);
             match name {
                 "backlog" => report.backlog = value,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -8,7 +8,8 @@
 use mallowseam_scheduler::Interner;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{
-    AttemptOutcome, Bio, BioId, EndpointEvent, KeyId, NodeEndpoint, NodeId, NodeState, Tick, VolumeId,
+    AttemptOutcome, Bio, BioId, EndpointEvent, KeyId, NodeEndpoint, NodeId, NodeState, Tick,
+    VolumeId,
 };
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -59,20 +60,38 @@
     /// Opens an instance with the seed and the settings in the fields.
     pub fn open(index: u64, now: Tick, fields: &mut Fields) -> Result<Self, InputError> {
         let seed = fields.unsigned_integer("init_seed")?;
-        let PlatformSettings { scheduler: config, class_names, plan_names, .. } =
-            settings::parse(fields.remainder())?;
-        let names = Names { classes: class_names, plans: plan_names, ..Names::default() };
-        Ok(Instance { index, scheduler: Scheduler::new(&config, seed, now), names })
+        let PlatformSettings {
+            scheduler: config,
+            class_names,
+            plan_names,
+            ..
+        } = settings::parse(fields.remainder())?;
+        let names = Names {
+            classes: class_names,
+            plans: plan_names,
+            ..Names::default()
+        };
+        Ok(Instance {
+            index,
+            scheduler: Scheduler::new(&config, seed, now),
+            names,
+        })
     }
 
     /// Reads one entry of an endpoint list.
     pub fn endpoint(&mut self, fields: &mut Fields) -> Result<NodeEndpoint, InputError> {
         let node = NodeId(self.names.nodes.intern(&fields.text("brick")?.to_owned()));
-        let zone = self.names.zones.intern(&fields.next_value().unwrap_or_default().to_owned());
+        let zone = self
+            .names
+            .zones
+            .intern(&fields.next_value().unwrap_or_default().to_owned());
         fields.skip();
         let shard = fields.optional_number("cohort")?.unwrap_or(0.0) as u32;
-        let states =
-            [("active", NodeState::Active), ("leaving", NodeState::Draining), ("left", NodeState::Removed)];
+        let states = [
+            ("active", NodeState::Active),
+            ("leaving", NodeState::Draining),
+            ("left", NodeState::Removed),
+        ];
         let state = fields.one_of("condition", &states)?;
         fields.optional_number("scale")?;
         let started_at_micros = fields.optional_number("came_up_us")?.unwrap_or(0.0) as i64;
@@ -93,7 +112,9 @@
         endpoints: &[NodeEndpoint],
         output: &mut Vec<u8>,
     ) {
-        self.call(output, |scheduler, host| scheduler.on_endpoints(host, now, form, endpoints));
+        self.call(output, |scheduler, host| {
+            scheduler.on_endpoints(host, now, form, endpoints)
+        });
     }
 
     /// Passes an event to the scheduler.
@@ -115,22 +136,46 @@
         }
     }
 
-    fn request(&mut self, now: Tick, fields: &mut Fields, output: &mut Vec<u8>) -> Result<(), InputError> {
+    fn request(
+        &mut self,
+        now: Tick,
+        fields: &mut Fields,
+        output: &mut Vec<u8>,
+    ) -> Result<(), InputError> {
         let request = fields.unsigned_integer("xid")?;
         let class = position(&self.names.classes, "tier_class", fields)?;
         let plan = position(&self.names.plans, "contract", fields)?;
-        let key = fields.next_value().map(|key| KeyId(self.names.keys.intern(&key.to_owned())));
+        let key = fields
+            .next_value()
+            .map(|key| KeyId(self.names.keys.intern(&key.to_owned())));
         let deadline = fields.ticks("client_deadline_us")?;
         let volume_name = fields.next_value().unwrap_or_default().to_owned();
         let volume = VolumeId(self.names.volumes.intern(&volume_name));
-        let units = fields.optional_number("weight")?.filter(|units| *units >= 0.0).unwrap_or(1.0);
-        let shard = fields.optional_number("placement")?.filter(|shard| *shard >= 0.0);
+        let units = fields
+            .optional_number("weight")?
+            .filter(|units| *units >= 0.0)
+            .unwrap_or(1.0);
+        let shard = fields
+            .optional_number("placement")?
+            .filter(|shard| *shard >= 0.0);
         let shard = shard.map(|shard| shard as u32);
         let hosts = fields.optional_number("attached")?.unwrap_or(1.0).max(1.0) as u32;
         fields.optional_number("opts")?;
         let id = BioId(self.names.requests.intern(&request));
-        let bio = Bio { id, class, plan, volume, key, deadline, units, shard, hosts };
-        self.call(output, |scheduler, host| scheduler.on_arrival(host, now, bio));
+        let bio = Bio {
+            id,
+            class,
+            plan,
+            volume,
+            key,
+            deadline,
+            units,
+            shard,
+            hosts,
+        };
+        self.call(output, |scheduler, host| {
+            scheduler.on_arrival(host, now, bio)
+        });
         Ok(())
     }
 
@@ -176,7 +221,9 @@
     ) -> Result<(), InputError> {
         let request = fields.unsigned_integer("xid")?;
         if let Some(id) = self.names.requests.find(&request) {
-            self.call(output, |scheduler, host| scheduler.on_disconnect(host, now, BioId(id)));
+            self.call(output, |scheduler, host| {
+                scheduler.on_disconnect(host, now, BioId(id))
+            });
         }
         Ok(())
     }
@@ -203,12 +250,17 @@
 
     fn known_node(&self, name: &String, fields: &Fields) -> Result<NodeId, InputError> {
         let node = self.names.nodes.find(name);
-        node.map(NodeId).ok_or_else(|| fields.invalid("brick", "a node of the list"))
+        node.map(NodeId)
+            .ok_or_else(|| fields.invalid("brick", "a node of the list"))
     }
 
     /// Calls the scheduler. A panic is reported as an action, so that the other instances continue.
     fn call(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Scheduler, &mut ActionWriter)) {
-        let mut host = ActionWriter { instance: self.index, names: &mut self.names, output };
+        let mut host = ActionWriter {
+            instance: self.index,
+            names: &mut self.names,
+            output,
+        };
         let called = catch_unwind(AssertUnwindSafe(|| call(&mut self.scheduler, &mut host)));
         if let Err(panic) = called {
             host.panicked(panic_text(panic.as_ref()));
@@ -220,7 +272,9 @@
 fn peer_message(fields: &mut Fields) -> Result<(), InputError> {
     fields.unsigned_integer("author")?;
     let bytes = STANDARD.decode(fields.next_value().unwrap_or_default());
-    bytes.map(|_| ()).map_err(|_| fields.invalid("octets", "base64 with padding"))
+    bytes
+        .map(|_| ())
+        .map_err(|_| fields.invalid("octets", "base64 with padding"))
 }
 
 /// No I/O class streams its answers: the first byte of one changes nothing.
@@ -232,10 +286,13 @@
 fn position(names: &[String], field: &'static str, fields: &mut Fields) -> Result<u16, InputError> {
     let name = fields.text(field)?;
     let position = names.iter().position(|known| known == name);
-    position.map(|position| position as u16).ok_or_else(|| fields.invalid(field, "a name of the settings"))
+    position
+        .map(|position| position as u16)
+        .ok_or_else(|| fields.invalid(field, "a name of the settings"))
 }
 
 fn panic_text(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic")
+    text.or_else(|| panic.downcast_ref::<&str>().copied())
+        .unwrap_or("panic")
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -53,12 +53,18 @@
     Line(Progress),
 }
 
-fn read_line(input: &mut impl BufRead, line: &mut String, adapter: &mut Adapter) -> Result<Step, InputError> {
+fn read_line(
+    input: &mut impl BufRead,
+    line: &mut String,
+    adapter: &mut Adapter,
+) -> Result<Step, InputError> {
     line.clear();
     if input.read_line(line)? == 0 {
         return Ok(Step::EndOfInput);
     }
-    adapter.take_line(line.trim_end_matches(['\n', '\r'])).map(Step::Line)
+    adapter
+        .take_line(line.trim_end_matches(['\n', '\r']))
+        .map(Step::Line)
 }
 
 fn write_batch(output: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
--- a/crates/simulator-adapter/tests/pinned_wire.rs
+++ b/crates/simulator-adapter/tests/pinned_wire.rs
@@ -10,7 +10,10 @@
 /// Runs the adapter on an input until it ends.
 fn run(input: &[u8]) -> Output {
     let mut command = Command::new(ADAPTER);
-    let command = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    let command = command
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     let mut adapter = command.spawn().expect("the adapter starts");
     let mut stdin = adapter.stdin.take().expect("piped");
     std::thread::scope(|scope| {
@@ -27,7 +30,10 @@
         assert_eq!(line, expected, "line {}", number + 1);
     }
     assert!(written == expected, "one is longer");
-    assert_eq!((output.status.code(), output.stderr.as_slice()), (Some(0), &b""[..]));
+    assert_eq!(
+        (output.status.code(), output.stderr.as_slice()),
+        (Some(0), &b""[..])
+    );
 }
 
 #[test]
@@ -58,7 +64,11 @@
     for (input, expected) in answered {
         let output = run(input);
         assert_eq!(output.stdout, expected, "{input:?}");
-        assert_eq!((output.status.code(), output.stderr.as_slice()), (Some(0), &b""[..]), "{input:?}");
+        assert_eq!(
+            (output.status.code(), output.stderr.as_slice()),
+            (Some(0), &b""[..]),
+            "{input:?}"
+        );
     }
 }
 
@@ -66,28 +76,50 @@
 fn input_that_is_not_utf_8_exits_with_an_error() {
     let output = run(b"clock 5 1\n\xff\n");
     assert_eq!(output.status.code(), Some(2));
-    assert_eq!(output.stderr, b"line 2: the input: stream did not contain valid UTF-8\n");
+    assert_eq!(
+        output.stderr,
+        b"line 2: the input: stream did not contain valid UTF-8\n"
+    );
 }
 
 #[test]
 fn closed_output_exits_with_an_error() {
-    let full = std::fs::File::options().write(true).open("/dev/full").expect("a Linux system");
+    let full = std::fs::File::options()
+        .write(true)
+        .open("/dev/full")
+        .expect("a Linux system");
     let mut command = Command::new(ADAPTER);
-    let command = command.stdin(Stdio::piped()).stdout(full).stderr(Stdio::piped());
+    let command = command
+        .stdin(Stdio::piped())
+        .stdout(full)
+        .stderr(Stdio::piped());
     let mut adapter = command.spawn().expect("the adapter starts");
     let mut stdin = adapter.stdin.take().expect("piped");
-    stdin.write_all(b"clock 5 1\neof_batch\n").expect("the adapter reads");
+    stdin
+        .write_all(b"clock 5 1\neof_batch\n")
+        .expect("the adapter reads");
     drop(stdin);
     let output = adapter.wait_with_output().expect("the adapter ends");
-    assert_eq!((output.status.code(), output.stderr.as_slice()), (Some(1), &b""[..]));
+    assert_eq!(
+        (output.status.code(), output.stderr.as_slice()),
+        (Some(1), &b""[..])
+    );
 }
 
 #[test]
 fn invalid_input_exits_with_the_recorded_error_texts() {
     for (name, before, lines, expected) in FAULTS {
         let output = run(format!("{}{lines}\n", before.replace("SETTINGS", SETTINGS)).as_bytes());
-        assert_eq!(String::from_utf8_lossy(&output.stderr), format!("{expected}\n"), "{name}");
-        assert_eq!((output.status.code(), output.stdout.as_slice()), (Some(2), &b""[..]), "{name}");
+        assert_eq!(
+            String::from_utf8_lossy(&output.stderr),
+            format!("{expected}\n"),
+            "{name}"
+        );
+        assert_eq!(
+            (output.status.code(), output.stdout.as_slice()),
+            (Some(2), &b""[..]),
+            "{name}"
+        );
     }
 }
 
@@ -121,8 +153,18 @@
         "fired 1 0",
         "line 1: fired: expected a clock line to open the batch",
     ),
-    ("clock without a time", NO_BATCH, "clock", "line 1: clock: clock: expected a time in microseconds"),
-    ("clock without a batch number", NO_BATCH, "clock 5", "line 1: clock: batch number: expected a value"),
+    (
+        "clock without a time",
+        NO_BATCH,
+        "clock",
+        "line 1: clock: clock: expected a time in microseconds",
+    ),
+    (
+        "clock without a batch number",
+        NO_BATCH,
+        "clock 5",
+        "line 1: clock: batch number: expected a value",
+    ),
     (
         "clock within a batch",
         NO_BATCH,
@@ -135,7 +177,12 @@
         "clock 5 1\nfrobnicate 1",
         "line 2: frobnicate: expected a message of the wire",
     ),
-    ("instance index missing", NO_BATCH, "clock 5 1\nfired", "line 2: fired: i: expected a whole number"),
+    (
+        "instance index missing",
+        NO_BATCH,
+        "clock 5 1\nfired",
+        "line 2: fired: i: expected a whole number",
+    ),
     (
         "instance not open",
         NO_BATCH,
@@ -220,14 +267,24 @@
         "request 7 1 sing copper - 6000000 - 1 - - -",
         "line 5: request: tier_class: expected a name of the settings",
     ),
-    ("class missing", WITH_NODE, "request 7 1", "line 5: request: tier_class: expected a value"),
+    (
+        "class missing",
+        WITH_NODE,
+        "request 7 1",
+        "line 5: request: tier_class: expected a value",
+    ),
     (
         "plan unknown",
         WITH_NODE,
         "request 7 1 scan tin - 6000000 - 1 - - -",
         "line 5: request: contract: expected a name of the settings",
     ),
-    ("plan missing", WITH_NODE, "request 7 1 scan -", "line 5: request: contract: expected a value"),
+    (
+        "plan missing",
+        WITH_NODE,
+        "request 7 1 scan -",
+        "line 5: request: contract: expected a value",
+    ),
     (
         "deadline missing",
         WITH_NODE,
@@ -282,8 +339,18 @@
         "heard 7 1 %%%",
         "line 5: heard: octets: expected base64 with padding",
     ),
-    ("peer missing", WITH_NODE, "heard 7", "line 5: heard: author: expected a whole number"),
-    ("timer mark missing", WITH_NODE, "fired 7", "line 5: fired: mark: expected a whole number"),
+    (
+        "peer missing",
+        WITH_NODE,
+        "heard 7",
+        "line 5: heard: author: expected a whole number",
+    ),
+    (
+        "timer mark missing",
+        WITH_NODE,
+        "fired 7",
+        "line 5: fired: mark: expected a whole number",
+    ),
     (
         "first byte without a request",
         WITH_NODE,
--- a/crates/snapshot-catalog/src/format_1.rs
+++ b/crates/snapshot-catalog/src/format_1.rs
@@ -32,9 +32,13 @@
 
 fn apply(tree: &mut Tree, version: u64, bytes: &[u8]) -> Result<(), CatalogDamage> {
     let change: Change = serde_json::from_slice(bytes)?;
-    tree.apply(&change).map_err(|source| CatalogDamage::InvalidChange { version, source })?;
+    tree.apply(&change)
+        .map_err(|source| CatalogDamage::InvalidChange { version, source })?;
     if tree.version != version {
-        return Err(CatalogDamage::ChangeOutOfOrder { found: version, expected: tree.version });
+        return Err(CatalogDamage::ChangeOutOfOrder {
+            found: version,
+            expected: tree.version,
+        });
     }
     Ok(())
 }
--- a/crates/snapshot-catalog/src/lib.rs
+++ b/crates/snapshot-catalog/src/lib.rs
@@ -22,7 +22,11 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::path::Path;
 
-const FORMAT: Format = Format { key: "catalog", current: 2, oldest: format_1::FORMAT };
+const FORMAT: Format = Format {
+    key: "catalog",
+    current: 2,
+    oldest: format_1::FORMAT,
+};
 /// Changes retained for hosts that reconnect after a short interruption: some seconds of first writes.
 const MAX_RECENT_CHANGES: usize = 4_096;
 
@@ -125,16 +129,25 @@
         self.store.check_not_poisoned()?;
         let first_version = self.committed_version + 1;
         if self.staged.is_empty() {
-            return Ok(CommittedBatch { first_version, changes: Vec::new() });
+            return Ok(CommittedBatch {
+                first_version,
+                changes: Vec::new(),
+            });
         }
-        let Catalog { store, tree, dirty, .. } = self;
+        let Catalog {
+            store, tree, dirty, ..
+        } = self;
         store.write_or_poison(|transaction| dirty.write(transaction, tree))?;
         self.committed_version = self.tree.version;
         self.dirty = DirtyRows::default();
         let changes = std::mem::take(&mut self.staged);
         self.recent.extend(changes.iter().cloned());
-        self.recent.drain(..self.recent.len().saturating_sub(MAX_RECENT_CHANGES));
-        Ok(CommittedBatch { first_version, changes })
+        self.recent
+            .drain(..self.recent.len().saturating_sub(MAX_RECENT_CHANGES));
+        Ok(CommittedBatch {
+            first_version,
+            changes,
+        })
     }
 
     /// The changes after a version up to what is on disk, each with the version that it leads to. None: they are no
@@ -142,7 +155,10 @@
     #[must_use]
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = (u64, &Change)>> {
         let missing = self.committed_version.checked_sub(version)?;
-        let from = self.recent.len().checked_sub(usize::try_from(missing).ok()?)?;
+        let from = self
+            .recent
+            .len()
+            .checked_sub(usize::try_from(missing).ok()?)?;
         Some((version + 1..).zip(self.recent.range(from..)))
     }
 }
--- a/crates/snapshot-catalog/src/load.rs
+++ b/crates/snapshot-catalog/src/load.rs
@@ -1,6 +1,7 @@
 //! Reading the tree from the tables.
 use crate::rows::{
-    BRANCHES, COUNTERS, ID, LAYERS, LAYERS_CREATED, LOCATIONS, LUNS_ASSIGNED, LayerRow, SNAPSHOTS, VERSION,
+    BRANCHES, COUNTERS, ID, LAYERS, LAYERS_CREATED, LOCATIONS, LUNS_ASSIGNED, LayerRow, SNAPSHOTS,
+    VERSION,
 };
 use crate::{CatalogDamage, Error};
 use mallowseam_cow::tree::{ExtentLocation, Layer, LayerId, Location, Tree, TreeData};
@@ -14,7 +15,10 @@
     let transaction = store.begin_read()?;
     let counters = transaction.open_table(COUNTERS)?;
     let counter = |name: &'static str| -> Result<u64, Error> {
-        Ok(counters.get(name)?.ok_or(CatalogDamage::MissingCounter(name))?.value())
+        Ok(counters
+            .get(name)?
+            .ok_or(CatalogDamage::MissingCounter(name))?
+            .value())
     };
     let small_counter = |name: &'static str| -> Result<u32, Error> {
         Ok(u32::try_from(counter(name)?).map_err(CatalogDamage::from)?)
@@ -36,7 +40,16 @@
         let (id, bytes) = row?;
         let row: LayerRow = decode(bytes.value())?;
         let (parent, frozen, next_slot, closed_nodes) = row;
-        layers.insert(id.value(), Layer { parent, frozen, next_slot, closed_nodes, ..Layer::default() });
+        layers.insert(
+            id.value(),
+            Layer {
+                parent,
+                frozen,
+                next_slot,
+                closed_nodes,
+                ..Layer::default()
+            },
+        );
     }
     // Rows are in order of layers and extents: collecting those of one layer first builds its maps in bulk.
     let mut run: (LayerId, Vec<ExtentLocation>) = (0, Vec::new());
@@ -44,9 +57,16 @@
         let (key, value) = row?;
         let ((layer, extent), (node, slot, writable)) = (key.value(), value.value());
         if layer != run.0 {
-            add_locations(&mut layers, std::mem::replace(&mut run, (layer, Vec::new())))?;
+            add_locations(
+                &mut layers,
+                std::mem::replace(&mut run, (layer, Vec::new())),
+            )?;
         }
-        run.1.push(ExtentLocation { extent, location: Location { node, slot }, writable });
+        run.1.push(ExtentLocation {
+            extent,
+            location: Location { node, slot },
+            writable,
+        });
     }
     add_locations(&mut layers, run)?;
     Ok(layers)
@@ -59,9 +79,18 @@
     if entries.is_empty() {
         return Ok(());
     }
-    let layer = layers.get_mut(&id).ok_or(CatalogDamage::LocationsWithoutLayer(id))?;
-    layer.writable = entries.iter().filter(|entry| entry.writable).map(|entry| entry.extent).collect();
-    layer.locations = entries.into_iter().map(|entry| (entry.extent, entry.location)).collect();
+    let layer = layers
+        .get_mut(&id)
+        .ok_or(CatalogDamage::LocationsWithoutLayer(id))?;
+    layer.writable = entries
+        .iter()
+        .filter(|entry| entry.writable)
+        .map(|entry| entry.extent)
+        .collect();
+    layer.locations = entries
+        .into_iter()
+        .map(|entry| (entry.extent, entry.location))
+        .collect();
     Ok(())
 }
 
--- a/crates/snapshot-catalog/src/rows.rs
+++ b/crates/snapshot-catalog/src/rows.rs
@@ -20,7 +20,8 @@
 /// Layers without their locations, as JSON of a [`LayerRow`].
 pub(crate) const LAYERS: TableDefinition<LayerId, &[u8]> = TableDefinition::new("layers");
 /// Node, slot, and whether it may be written, by layer and extent.
-pub(crate) const LOCATIONS: TableDefinition<LayerExtent, (u32, u32, bool)> = TableDefinition::new("places");
+pub(crate) const LOCATIONS: TableDefinition<LayerExtent, (u32, u32, bool)> =
+    TableDefinition::new("places");
 /// Branches by name, as JSON.
 pub(crate) const BRANCHES: TableDefinition<&str, &[u8]> = TableDefinition::new("branches");
 /// Snapshots by `branch@name`, as JSON.
@@ -51,7 +52,11 @@
     pub(crate) fn all(tree: &Tree) -> DirtyRows {
         let extents = |(id, layer): (&LayerId, &Layer)| {
             let id = *id;
-            layer.locations.keys().map(move |extent| (id, *extent)).collect::<Vec<_>>()
+            layer
+                .locations
+                .keys()
+                .map(move |extent| (id, *extent))
+                .collect::<Vec<_>>()
         };
         DirtyRows {
             layers: tree.layers.keys().copied().collect(),
@@ -66,8 +71,16 @@
         write_counters(transaction, tree)?;
         self.write_layers(transaction, tree)?;
         self.write_locations(transaction, tree)?;
-        write_named(transaction.open_table(BRANCHES)?, &self.branches, &tree.branches)?;
-        write_named(transaction.open_table(SNAPSHOTS)?, &self.snapshots, &tree.snapshots)
+        write_named(
+            transaction.open_table(BRANCHES)?,
+            &self.branches,
+            &tree.branches,
+        )?;
+        write_named(
+            transaction.open_table(SNAPSHOTS)?,
+            &self.snapshots,
+            &tree.snapshots,
+        )
     }
 
     fn write_layers(&self, transaction: &WriteTransaction, tree: &Tree) -> Result<(), Error> {
@@ -109,14 +122,23 @@
 
 /// A [`LayerRow`] as JSON.
 fn layer_row(layer: &Layer) -> Result<Vec<u8>, Error> {
-    let row = (layer.parent, layer.frozen, layer.next_slot, &layer.closed_nodes);
+    let row = (
+        layer.parent,
+        layer.frozen,
+        layer.next_slot,
+        &layer.closed_nodes,
+    );
     serde_json::to_vec(&row).map_err(Error::Encode)
 }
 
 fn location_row(tree: &Tree, (layer, extent): LayerExtent) -> Option<(u32, u32, bool)> {
     let layer = tree.layers.get(&layer)?;
     let location = layer.locations.get(&extent)?;
-    Some((location.node, location.slot, layer.writable.contains(&extent)))
+    Some((
+        location.node,
+        location.slot,
+        layer.writable.contains(&extent),
+    ))
 }
 
 fn write_named<T: Serialize>(
--- a/crates/snapshot-catalog/tests/crash_recovery.rs
+++ b/crates/snapshot-catalog/tests/crash_recovery.rs
@@ -21,24 +21,59 @@
 /// Batches of changes as they come up in use: volumes, first writes, snapshots, a clone, a deletion, and two changes
 /// that name the same layers.
 fn batches() -> Vec<Vec<Change>> {
-    let created = |branch: &str| Change::BranchCreated { branch: branch.into(), extent_count: 8 };
+    let created = |branch: &str| Change::BranchCreated {
+        branch: branch.into(),
+        extent_count: 8,
+    };
     let placed = |layer, extent, slot| {
-        let location = Location { node: extent % 3, slot };
-        vec![Change::ExtentPlaced { layer, extent, location }, Change::ExtentWritable { layer, extent }]
+        let location = Location {
+            node: extent % 3,
+            slot,
+        };
+        vec![
+            Change::ExtentPlaced {
+                layer,
+                extent,
+                location,
+            },
+            Change::ExtentWritable { layer, extent },
+        ]
     };
     let freeze = || vec![Change::HeadFrozen { branch: "a".into() }];
-    let close = |layer| (0..3).map(|node| Change::LayerClosed { layer, node }).collect::<Vec<_>>();
-    let snapshot =
-        |name: &str, layer| vec![Change::SnapshotCreated { branch: "a".into(), name: name.into(), layer }];
+    let close = |layer| {
+        (0..3)
+            .map(|node| Change::LayerClosed { layer, node })
+            .collect::<Vec<_>>()
+    };
+    let snapshot = |name: &str, layer| {
+        vec![Change::SnapshotCreated {
+            branch: "a".into(),
+            name: name.into(),
+            layer,
+        }]
+    };
     let mut batches = vec![vec![created("a"), created("b")]];
-    batches.push(vec![Change::SlotsAllocated { layer: 1024, first: 0, count: 8 }]);
+    batches.push(vec![Change::SlotsAllocated {
+        layer: 1024,
+        first: 0,
+        count: 8,
+    }]);
     batches.extend((0..4).map(|extent| placed(1024, extent, extent)));
     batches.extend([freeze(), close(1024), snapshot("march", 1024)]);
-    batches.push(vec![Change::SlotsAllocated { layer: 1026, first: 0, count: 8 }]);
+    batches.push(vec![Change::SlotsAllocated {
+        layer: 1026,
+        first: 0,
+        count: 8,
+    }]);
     batches.extend((1..3).map(|extent| placed(1026, extent, extent)));
-    batches.push(vec![Change::CloneCreated { snapshot: "a@march".into(), branch: "c".into() }]);
+    batches.push(vec![Change::CloneCreated {
+        snapshot: "a@march".into(),
+        branch: "c".into(),
+    }]);
     batches.extend([freeze(), close(1026), snapshot("april", 1026)]);
-    batches.push(vec![Change::SnapshotDeleted { snapshot: "a@april".into() }]);
+    batches.push(vec![Change::SnapshotDeleted {
+        snapshot: "a@april".into(),
+    }]);
     batches
 }
 
@@ -53,10 +88,16 @@
 fn recorded() -> (RecordingBackend, Vec<Acknowledged>) {
     let backend = RecordingBackend::default();
     let mut catalog = Catalog::open_with_backend(backend.clone()).expect("a new catalog");
-    let mut acknowledged = vec![Acknowledged { calls: backend.calls().len(), tree: Tree::default() }];
+    let mut acknowledged = vec![Acknowledged {
+        calls: backend.calls().len(),
+        tree: Tree::default(),
+    }];
     for changes in batches() {
         commit(&mut catalog, changes);
-        acknowledged.push(Acknowledged { calls: backend.calls().len(), tree: catalog.tree().clone() });
+        acknowledged.push(Acknowledged {
+            calls: backend.calls().len(),
+            tree: catalog.tree().clone(),
+        });
     }
     (backend, acknowledged)
 }
@@ -64,8 +105,14 @@
 /// The trees that may be there after a crash when so many calls had been made: the last one acknowledged, or the one
 /// that was being committed.
 fn allowed(acknowledged: &[Acknowledged], calls: usize) -> Vec<&Tree> {
-    let done = acknowledged.iter().rposition(|a| a.calls <= calls).unwrap_or(0);
-    acknowledged[done..(done + 2).min(acknowledged.len())].iter().map(|a| &a.tree).collect()
+    let done = acknowledged
+        .iter()
+        .rposition(|a| a.calls <= calls)
+        .unwrap_or(0);
+    acknowledged[done..(done + 2).min(acknowledged.len())]
+        .iter()
+        .map(|a| &a.tree)
+        .collect()
 }
 
 fn check(acknowledged: &[Acknowledged], calls: usize, contents: Vec<u8>, how: &str) {
@@ -89,18 +136,41 @@
     for (index, call) in calls.iter().enumerate() {
         if let Call::Write { offset, data } = call {
             // Torn at each sector, and at odd offsets within the first.
-            let lengths = (0..data.len()).step_by(SECTOR).chain([1, 7, 63, 200]).filter(|c| *c < data.len());
+            let lengths = (0..data.len())
+                .step_by(SECTOR)
+                .chain([1, 7, 63, 200])
+                .filter(|c| *c < data.len());
             for length in lengths {
                 let mut half = contents.clone();
-                apply_call(&mut half, &Call::Write { offset: *offset, data: data[..length].to_vec() });
-                check(&acknowledged, index, half, &format!("write {index} torn at {length}"));
+                apply_call(
+                    &mut half,
+                    &Call::Write {
+                        offset: *offset,
+                        data: data[..length].to_vec(),
+                    },
+                );
+                check(
+                    &acknowledged,
+                    index,
+                    half,
+                    &format!("write {index} torn at {length}"),
+                );
                 torn += 1;
             }
         }
         apply_call(&mut contents, call);
-        check(&acknowledged, index + 1, contents.clone(), "cut between calls");
+        check(
+            &acknowledged,
+            index + 1,
+            contents.clone(),
+            "cut between calls",
+        );
     }
-    assert!(calls.len() > 100 && torn > 300, "{} calls, {torn} torn", calls.len());
+    assert!(
+        calls.len() > 100 && torn > 300,
+        "{} calls, {torn} torn",
+        calls.len()
+    );
 }
 
 #[test]
@@ -118,9 +188,15 @@
             for only_one in [true, false] {
                 let mut contents = synced.clone();
                 let taken = unsynced.iter().enumerate();
-                let taken = taken.filter(|(i, c)| (*i == one) == only_one || matches!(c, Call::Resize(_)));
+                let taken =
+                    taken.filter(|(i, c)| (*i == one) == only_one || matches!(c, Call::Resize(_)));
                 taken.for_each(|(_, c)| apply_call(&mut contents, c));
-                check(&acknowledged, index, contents, &format!("unsynced {one}, only one {only_one}"));
+                check(
+                    &acknowledged,
+                    index,
+                    contents,
+                    &format!("unsynced {one}, only one {only_one}"),
+                );
             }
         }
         unsynced.drain(..).for_each(|c| apply_call(&mut synced, &c));
@@ -145,9 +221,21 @@
     drop(catalog);
     let catalog = Catalog::open(&path).expect("there");
     assert_eq!((catalog.tree(), catalog.id()), (&tree, id));
-    assert_eq!(catalog.changes_since(tree.version).expect("nothing is missing").count(), 0);
-    assert!(catalog.changes_since(tree.version - 1).is_none(), "not known any more");
-    assert!(catalog.changes_since(tree.version + 1).is_none(), "not a version of this catalog");
+    assert_eq!(
+        catalog
+            .changes_since(tree.version)
+            .expect("nothing is missing")
+            .count(),
+        0
+    );
+    assert!(
+        catalog.changes_since(tree.version - 1).is_none(),
+        "not known any more"
+    );
+    assert!(
+        catalog.changes_since(tree.version + 1).is_none(),
+        "not a version of this catalog"
+    );
     let other = Catalog::open_with_backend(RecordingBackend::default()).expect("new");
     assert_ne!(id, other.id());
 }
@@ -156,10 +244,16 @@
 fn rejected_change_leaves_the_catalog_unchanged() {
     let backend = RecordingBackend::default();
     let mut catalog = Catalog::open_with_backend(backend.clone()).expect("new");
-    let created = Change::BranchCreated { branch: "a".into(), extent_count: 8 };
+    let created = Change::BranchCreated {
+        branch: "a".into(),
+        extent_count: 8,
+    };
     catalog.stage(created.clone()).expect("fits");
     assert!(catalog.stage(created).is_err());
-    assert_eq!((catalog.tree().version, catalog.committed_version()), (1, 0));
+    assert_eq!(
+        (catalog.tree().version, catalog.committed_version()),
+        (1, 0)
+    );
     assert_eq!(reopen(backend.contents()).expect("valid").version, 0);
     catalog.commit().expect("written");
     assert_eq!(reopen(backend.contents()).expect("valid"), *catalog.tree());
@@ -170,12 +264,18 @@
     let backend = RecordingBackend::default();
     let mut tree = Tree::default();
     {
-        let db = redb::Builder::new().create_with_backend(backend.clone()).expect("new");
+        let db = redb::Builder::new()
+            .create_with_backend(backend.clone())
+            .expect("new");
         let write = db.begin_write().expect("open");
         {
             let table = |name| redb::TableDefinition::<u64, &[u8]>::new(name);
             let formats = redb::TableDefinition::<&str, u64>::new("format");
-            write.open_table(formats).expect("new").insert("catalog", 1).expect("fits");
+            write
+                .open_table(formats)
+                .expect("new")
+                .insert("catalog", 1)
+                .expect("fits");
             let mut log = write.open_table(table("changes")).expect("new");
             let mut base = write.open_table(table("tree")).expect("new");
             for (i, change) in batches().into_iter().flatten().enumerate() {
--- a/crates/snapshot-catalog/tests/pinned_files.rs
+++ b/crates/snapshot-catalog/tests/pinned_files.rs
@@ -22,7 +22,9 @@
 
 /// A copy of a fixture that a test may write to.
 fn copy(dir: &Path, fixture: &str) -> PathBuf {
-    let from = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(fixture);
+    let from = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(fixture);
     let path = dir.join("catalog");
     std::fs::copy(from, &path).expect("a copy");
     path
@@ -63,8 +65,11 @@
 
 fn tables(db: &Database) -> Vec<String> {
     let read = db.begin_read().expect("open");
-    let mut names: Vec<String> =
-        read.list_tables().expect("tables").map(|table| table.name().to_owned()).collect();
+    let mut names: Vec<String> = read
+        .list_tables()
+        .expect("tables")
+        .map(|table| table.name().to_owned())
+        .collect();
     names.sort();
     names
 }
@@ -76,17 +81,40 @@
 /// The layout of a stored catalog after the same changes as `FORMAT_2_TREE` and those of the test below.
 fn check_rows(path: &Path) {
     let db = Database::open(path).expect("there");
-    assert_eq!(tables(&db), ["branches", "counts", "format", "layers", "places", "snapshots"]);
+    assert_eq!(
+        tables(&db),
+        [
+            "branches",
+            "counts",
+            "format",
+            "layers",
+            "places",
+            "snapshots"
+        ]
+    );
     assert_eq!(numbers(&db, FORMATS), [("catalog".to_owned(), 2)]);
-    let counts = [("catalog", FORMAT_2_ID), ("made", 7), ("units", 6), ("version", 27)];
-    assert_eq!(numbers(&db, COUNTS), counts.map(|(name, value)| (name.to_owned(), value)));
+    let counts = [
+        ("catalog", FORMAT_2_ID),
+        ("made", 7),
+        ("units", 6),
+        ("version", 27),
+    ];
+    assert_eq!(
+        numbers(&db, COUNTS),
+        counts.map(|(name, value)| (name.to_owned(), value))
+    );
     let read = db.begin_read().expect("open");
     let layers = read.open_table(LAYERS).expect("there");
     let layers: Vec<(u32, String)> = layers
         .iter()
         .expect("rows")
         .map(|row| row.expect("a row"))
-        .map(|(id, value)| (id.value(), String::from_utf8(value.value().to_vec()).expect("JSON")))
+        .map(|(id, value)| {
+            (
+                id.value(),
+                String::from_utf8(value.value().to_vec()).expect("JSON"),
+            )
+        })
         .collect();
     let expected = [
         (1024, "[null,true,64,[0,2]]"),
@@ -113,10 +141,22 @@
     ];
     assert_eq!(locations, expected);
     let branches = [
-        row("audit", r#"{"head":1027,"unit":1027,"extents":4096,"origin":"ledger@march"}"#),
-        row("ledger", r#"{"head":1029,"unit":1024,"extents":4096,"origin":null}"#),
-        row("mail", r#"{"head":1025,"unit":1025,"extents":64,"origin":null}"#),
-        row("spare", r#"{"head":1030,"unit":1029,"extents":16,"origin":null}"#),
+        row(
+            "audit",
+            r#"{"head":1027,"unit":1027,"extents":4096,"origin":"ledger@march"}"#,
+        ),
+        row(
+            "ledger",
+            r#"{"head":1029,"unit":1024,"extents":4096,"origin":null}"#,
+        ),
+        row(
+            "mail",
+            r#"{"head":1025,"unit":1025,"extents":64,"origin":null}"#,
+        ),
+        row(
+            "spare",
+            r#"{"head":1030,"unit":1029,"extents":16,"origin":null}"#,
+        ),
     ];
     assert_eq!(bytes(&db, BRANCHES), branches);
     let march = r#"{"branch":"ledger","unit":1026,"layer":1024,"extents":4096}"#;
@@ -128,15 +168,32 @@
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-2.redb");
     let mut catalog = Catalog::open(&path).expect("valid");
-    assert_eq!((catalog.id(), catalog.committed_version()), (FORMAT_2_ID, 23));
+    assert_eq!(
+        (catalog.id(), catalog.committed_version()),
+        (FORMAT_2_ID, 23)
+    );
     assert_eq!(json(catalog.tree()), FORMAT_2_TREE);
     commit(
         &mut catalog,
         [
-            Change::SlotsAllocated { layer: 1029, first: 0, count: 64 },
-            Change::ExtentPlaced { layer: 1029, extent: 9, location: Location { node: 1, slot: 5 } },
-            Change::ExtentWritable { layer: 1029, extent: 9 },
-            Change::BranchCreated { branch: "spare".into(), extent_count: 16 },
+            Change::SlotsAllocated {
+                layer: 1029,
+                first: 0,
+                count: 64,
+            },
+            Change::ExtentPlaced {
+                layer: 1029,
+                extent: 9,
+                location: Location { node: 1, slot: 5 },
+            },
+            Change::ExtentWritable {
+                layer: 1029,
+                extent: 9,
+            },
+            Change::BranchCreated {
+                branch: "spare".into(),
+                extent_count: 16,
+            },
         ],
     );
     let tree = catalog.tree().clone();
@@ -150,16 +207,34 @@
 fn stored_catalog_of_format_1_is_converted() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = copy(dir.path(), "format-1.redb");
-    assert_eq!(tables(&Database::open(&path).expect("there")), ["changes", "format", "tree"]);
+    assert_eq!(
+        tables(&Database::open(&path).expect("there")),
+        ["changes", "format", "tree"]
+    );
     let mut catalog = Catalog::open(&path).expect("valid");
     assert_eq!(catalog.committed_version(), 4_104);
     assert_eq!(json(catalog.tree()), FORMAT_1_TREE);
     let id = catalog.id();
-    commit(&mut catalog, [Change::SnapshotDeleted { snapshot: "ledger@march".into() }]);
+    commit(
+        &mut catalog,
+        [Change::SnapshotDeleted {
+            snapshot: "ledger@march".into(),
+        }],
+    );
     let tree = catalog.tree().clone();
     drop(catalog);
     let db = Database::open(&path).expect("there");
-    assert_eq!(tables(&db), ["branches", "counts", "format", "layers", "places", "snapshots"]);
+    assert_eq!(
+        tables(&db),
+        [
+            "branches",
+            "counts",
+            "format",
+            "layers",
+            "places",
+            "snapshots"
+        ]
+    );
     assert_eq!(numbers(&db, FORMATS), [("catalog".to_owned(), 2)]);
     drop(db);
     let catalog = Catalog::open(&path).expect("valid");
@@ -174,8 +249,20 @@
         let db = Database::open(&path).expect("there");
         let write = db.begin_write().expect("open");
         match value {
-            Some(value) => drop(write.open_table(table).expect("there").insert(name, value).expect("fits")),
-            None => drop(write.open_table(table).expect("there").remove(name).expect("there")),
+            Some(value) => drop(
+                write
+                    .open_table(table)
+                    .expect("there")
+                    .insert(name, value)
+                    .expect("fits"),
+            ),
+            None => drop(
+                write
+                    .open_table(table)
+                    .expect("there")
+                    .remove(name)
+                    .expect("there"),
+            ),
         }
         write.commit().expect("kept");
     };
@@ -186,18 +273,44 @@
     set("units", None, COUNTS);
     assert_eq!(why(), "catalog store is damaged: no count `units`");
     set("units", Some(5), COUNTS);
-    assert_eq!(json(Catalog::open(&path).expect("valid").tree()), FORMAT_2_TREE);
+    assert_eq!(
+        json(Catalog::open(&path).expect("valid").tree()),
+        FORMAT_2_TREE
+    );
 }
 
 #[test]
 fn last_4_096_changes_are_retained() {
     let dir = tempfile::tempdir().expect("a directory");
     let mut catalog = Catalog::open(&dir.path().join("catalog")).expect("new");
-    commit(&mut catalog, [Change::BranchCreated { branch: "a".into(), extent_count: 8 }]);
-    commit(&mut catalog, (0..4_100).map(|n| Change::SlotsAllocated { layer: 1024, first: n, count: 1 }));
+    commit(
+        &mut catalog,
+        [Change::BranchCreated {
+            branch: "a".into(),
+            extent_count: 8,
+        }],
+    );
+    commit(
+        &mut catalog,
+        (0..4_100).map(|n| Change::SlotsAllocated {
+            layer: 1024,
+            first: n,
+            count: 1,
+        }),
+    );
     assert_eq!(catalog.committed_version(), 4_101);
     assert!(catalog.changes_since(4).is_none());
     let missed: Vec<(u64, &Change)> = catalog.changes_since(5).expect("retained").collect();
     assert_eq!(missed.len(), 4_096);
-    assert_eq!(missed[0], (6, &Change::SlotsAllocated { layer: 1024, first: 4, count: 1 }));
+    assert_eq!(
+        missed[0],
+        (
+            6,
+            &Change::SlotsAllocated {
+                layer: 1024,
+                first: 4,
+                count: 1
+            }
+        )
+    );
 }
--- a/crates/sockets/src/arrival_estimator.rs
+++ b/crates/sockets/src/arrival_estimator.rs
@@ -21,6 +21,10 @@
     /// returned; else at some time since the last poll, of which the midpoint is the best estimate.
     pub fn estimate(&mut self, began: Tick, returned: Tick) -> Tick {
         let last_poll = std::mem::replace(&mut self.last_poll, returned);
-        if returned - began > SLEEP_THRESHOLD { returned } else { last_poll + (returned - last_poll) / 2 }
+        if returned - began > SLEEP_THRESHOLD {
+            returned
+        } else {
+            last_poll + (returned - last_poll) / 2
+        }
     }
 }
--- a/crates/sockets/src/clock.rs
+++ b/crates/sockets/src/clock.rs
@@ -15,15 +15,23 @@
     /// A clock that counts from 0.
     #[must_use]
     pub fn from_zero() -> Self {
-        Clock { started: Instant::now(), first_tick: 0 }
+        Clock {
+            started: Instant::now(),
+            first_tick: 0,
+        }
     }
 
     /// A clock that counts from the Unix epoch, by the system's clock now and steadily from there: for a host
     /// that receives times of day, also ones before its own start.
     #[must_use]
     pub fn from_unix_epoch() -> Self {
-        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), first_tick: whole_ticks(since_epoch) }
+        let since_epoch = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            first_tick: whole_ticks(since_epoch),
+        }
     }
 
     /// The present tick.
--- a/crates/sockets/src/listener.rs
+++ b/crates/sockets/src/listener.rs
@@ -13,7 +13,11 @@
 /// # Errors
 /// The system's error where the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM,
+        Some(Protocol::TCP),
+    )?;
     socket.set_nonblocking(true)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
--- a/crates/sockets/src/signals.rs
+++ b/crates/sockets/src/signals.rs
@@ -14,6 +14,7 @@
         signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
     }
     let mut receiver = UnixStream::from_std(receiver);
-    poll.registry().register(&mut receiver, token, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut receiver, token, Interest::READABLE)?;
     Ok(receiver)
 }
--- a/crates/sockets/src/slab.rs
+++ b/crates/sockets/src/slab.rs
@@ -8,7 +8,10 @@
 
 impl<T> Default for Slab<T> {
     fn default() -> Self {
-        Slab { entries: Vec::new(), free: Vec::new() }
+        Slab {
+            entries: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -26,7 +29,10 @@
     /// The index that the next value will get.
     #[must_use]
     pub fn next_index(&self) -> u32 {
-        self.free.last().copied().unwrap_or(self.entries.len() as u32)
+        self.free
+            .last()
+            .copied()
+            .unwrap_or(self.entries.len() as u32)
     }
 
     /// The value at an index, if there is one.
@@ -69,7 +75,10 @@
 
     /// All values with their indices, by index.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
-        self.entries.iter().enumerate().filter_map(|(index, value)| Some((index as u32, value.as_ref()?)))
+        self.entries
+            .iter()
+            .enumerate()
+            .filter_map(|(index, value)| Some((index as u32, value.as_ref()?)))
     }
 
     /// The indices of all values, in order.
--- a/crates/sockets/tests/pinned_decisions.rs
+++ b/crates/sockets/tests/pinned_decisions.rs
@@ -30,8 +30,11 @@
             digest.add(u64::from(slab.is_empty()));
             digest.add(u64::from(slab.index_bound()));
             if rng.one_in(16) {
-                slab.indices().iter().for_each(|index| digest.add(u64::from(*index)));
-                slab.iter().for_each(|(index, value)| digest.add(u64::from(index) ^ *value));
+                slab.indices()
+                    .iter()
+                    .for_each(|index| digest.add(u64::from(*index)));
+                slab.iter()
+                    .for_each(|(index, value)| digest.add(u64::from(index) ^ *value));
             }
         }
     });
@@ -63,7 +66,9 @@
 fn a_clock_counts_ticks_of_a_tenth_of_a_millisecond_from_its_start_or_from_the_epoch() {
     let (steady, from_epoch) = (clock::Clock::from_zero(), clock::Clock::from_unix_epoch());
     assert!((0..600_000).contains(&steady.now()));
-    let epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
+    let epoch = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("after 1970");
     assert!((epoch.as_millis() as i64 * 10 - from_epoch.now()).abs() < 600_000);
 }
 
@@ -93,7 +98,12 @@
     }
 
     fn write_vectored(&mut self, slices: &[IoSlice]) -> std::io::Result<usize> {
-        self.write(&slices.iter().flat_map(|slice| slice.iter().copied()).collect::<Vec<u8>>())
+        self.write(
+            &slices
+                .iter()
+                .flat_map(|slice| slice.iter().copied())
+                .collect::<Vec<u8>>(),
+        )
     }
 
     fn flush(&mut self) -> std::io::Result<()> {
@@ -121,7 +131,10 @@
 
 fn transfer(rng: &mut SeededRng, digest: &mut Digest, bytes: &[u8]) {
     let (from, small) = (rng.below(20) as usize, rng.below(10) as usize);
-    let mut socket = ScriptedSocket { rng, moved: Vec::new() };
+    let mut socket = ScriptedSocket {
+        rng,
+        moved: Vec::new(),
+    };
 
     match nonblocking::read(&mut socket, &mut [0; 16]) {
         ReadOutcome::WouldBlock => digest.add(1),
@@ -142,7 +155,9 @@
     }
     let mut message = OutgoingMessage::default();
     for _ in 0..2 {
-        message.head.extend_from_slice(&bytes[..small.min(bytes.len())]);
+        message
+            .head
+            .extend_from_slice(&bytes[..small.min(bytes.len())]);
         message.set_body(bytes.to_vec(), from.min(bytes.len()), bytes.len());
         digest.add(u64::from(message.capacity() >= bytes.len()));
         let mut tries = 0;
@@ -157,7 +172,10 @@
 }
 
 fn add_error(digest: &mut Digest, result: Result<(), ConnectionError>) {
-    let text = result.err().map(|error| error.to_string()).unwrap_or_default();
+    let text = result
+        .err()
+        .map(|error| error.to_string())
+        .unwrap_or_default();
     digest.add_bytes(text.as_bytes());
 }
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -114,6 +114,13 @@
         digest.value()
     };
     let measured: Vec<u64> = (1..=recorded.len() as u64).map(run).collect();
-    let text: Vec<String> = measured.iter().map(|value| format!("{value:#018x}")).collect();
-    assert!(measured == recorded, "decisions changed; measured:\n{}", text.join(",\n"));
+    let text: Vec<String> = measured
+        .iter()
+        .map(|value| format!("{value:#018x}"))
+        .collect();
+    assert!(
+        measured == recorded,
+        "decisions changed; measured:\n{}",
+        text.join(",\n")
+    );
 }
--- a/crates/test-support/tests/published_values.rs
+++ b/crates/test-support/tests/published_values.rs
@@ -6,7 +6,14 @@
 fn generator_gives_the_published_sequence() {
     let mut rng = SeededRng::new(1_234_567);
     let first: Vec<u64> = (0..3).map(|_| rng.next_u64()).collect();
-    assert_eq!(first, [6_457_827_717_110_365_317, 3_203_168_211_198_807_973, 9_817_491_932_198_370_423]);
+    assert_eq!(
+        first,
+        [
+            6_457_827_717_110_365_317,
+            3_203_168_211_198_807_973,
+            9_817_491_932_198_370_423
+        ]
+    );
 }
 
 /// Test vectors of the FNV reference code.
