--- a/crates/cow/src/tree/apply.rs
+++ b/crates/cow/src/tree/apply.rs
@@ -80,7 +80,7 @@
             Change::SnapshotDeleted { snapshot } => self.delete_snapshot(snapshot, &mut effects),
             Change::BranchDeleted { branch } => self.delete_branch(branch, &mut effects),
             Change::ExtentsReclaimed { layer, extents } => {
-                self.reclaim(*layer, extents, &mut effects)
+                self.reclaim(*layer, extents, &mut effects);
             }
         }
         Ok(effects)
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -100,7 +100,7 @@
                 Ok((len, from)) => {
                     let buffer = self.receive_buffer;
                     self.act(|membership, now, sink| {
-                        membership.receive(from, &buffer[..len], now, sink)
+                        membership.receive(from, &buffer[..len], now, sink);
                     });
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
--- a/crates/fleet/src/membership/failure_detection.rs
+++ b/crates/fleet/src/membership/failure_detection.rs
@@ -122,7 +122,7 @@
         let (accuser, isolated) = (self.own_accuser(), self.isolated);
         self.table
             .suspect(ping.target_id, accuser, isolated, now, &mut |event| {
-                sink.notify(event)
+                sink.notify(event);
             });
     }
 
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -29,10 +29,10 @@
     ) {
         match wire::decode(&self.config.fleet, datagram) {
             Ok(Message::Gossip(message)) => {
-                self.receive_gossip(from, message, datagram.len(), now, sink)
+                self.receive_gossip(from, message, datagram.len(), now, sink);
             }
             Ok(Message::Query { first_id }) => {
-                self.send_page(from, first_id, datagram.len(), now, sink)
+                self.send_page(from, first_id, datagram.len(), now, sink);
             }
             Ok(Message::Page(_)) | Err(DecodeError::Malformed) => self.counters.malformed += 1,
             Err(DecodeError::OtherFleet) => self.counters.other_fleet += 1,
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -187,7 +187,7 @@
         self.revision += 1;
         match message {
             ToHost::FullTree { catalog_id, tree } => {
-                self.replica.begin_full_tree(catalog_id, *tree)
+                self.replica.begin_full_tree(catalog_id, *tree);
             }
             ToHost::Locations { layer, locations } => {
                 if !self.replica.add_locations(layer, &locations) {
@@ -204,7 +204,7 @@
                 }
             }
             ToHost::LeaseGranted { sent_at, duration } => {
-                self.replica.lease_granted(sent_at, duration)
+                self.replica.lease_granted(sent_at, duration);
             }
             ToHost::SlotsAllocated {
                 layer,
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -490,7 +490,7 @@
                 Ok((socket, peer)) => {
                     self.dispatcher
                         .clients
-                        .accept(socket, peer, self.dispatcher.now)
+                        .accept(socket, peer, self.dispatcher.now);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -202,7 +202,7 @@
             node.zone = args
                 .name("a name")
                 .map(|word| word.text)
-                .unwrap_or_default()
+                .unwrap_or_default();
         }
         _ => return false,
     }
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -274,7 +274,7 @@
             } = pending;
             match operation {
                 Operation::BeginCut { branch, name } => {
-                    self.advance_begin_cut(connection, branch, name, now)
+                    self.advance_begin_cut(connection, branch, name, now);
                 }
                 Operation::Cut(cut) => ended_cuts.extend(self.advance_cut(connection, cut, now)),
                 Operation::Rollout {
--- a/crates/iscsi/src/params.rs
+++ b/crates/iscsi/src/params.rs
@@ -321,7 +321,7 @@
             "MaxBurstLength" => self.max_burst_len = parse_length(value)?,
             "FirstBurstLength" => self.first_burst_len = parse_length(value)?,
             "iSCSIProtocolLevel" => {
-                self.protocol_level = parse_number(value, MAX_PROTOCOL_LEVEL)? as u8
+                self.protocol_level = parse_number(value, MAX_PROTOCOL_LEVEL)? as u8;
             }
             _ => {}
         }
--- a/crates/lab/src/cold_start_model.rs
+++ b/crates/lab/src/cold_start_model.rs
@@ -307,7 +307,7 @@
 
     fn notify(&mut self, host: u32, event: EndpointEvent) {
         self.step(host, |s, actions, now| {
-            s.on_endpoints(actions, now, event, &[])
+            s.on_endpoints(actions, now, event, &[]);
         });
     }
 
--- a/crates/lab/src/fleet/audit/trace.rs
+++ b/crates/lab/src/fleet/audit/trace.rs
@@ -156,7 +156,7 @@
                         at,
                         status,
                         authentic,
-                    })
+                    });
                 });
             }
             Event::ClientTimedOut { op } => self.update(op, |o| o.timed_out = true),
@@ -175,7 +175,7 @@
                         node,
                         host,
                         end: None,
-                    })
+                    });
                 });
             }
             Event::NodeResponded { node, op, executed } => {
--- a/crates/lab/src/fleet/testbed.rs
+++ b/crates/lab/src/fleet/testbed.rs
@@ -273,7 +273,7 @@
                 self.hosts(hosts).try_for_each(|host| self.start(host))?;
             }
             FaultAction::TerminateHosts(hosts) => {
-                self.hosts(hosts).for_each(|host| self.terminate(host))
+                self.hosts(hosts).for_each(|host| self.terminate(host));
             }
             FaultAction::PauseHosts(hosts) => {
                 self.hosts(hosts)
@@ -303,7 +303,7 @@
                     .try_for_each(|node| self.replace_node(node))?;
             }
             FaultAction::SetDiscoveryBehavior(behavior) => {
-                self.peers.set_discovery_behavior(0, behavior)
+                self.peers.set_discovery_behavior(0, behavior);
             }
             FaultAction::StallWatches(hosts) => self.peers.stall_watches(self.hosts(hosts)),
             FaultAction::SlowDiscovery(factor) => {
--- a/crates/lab/src/membership/simulation.rs
+++ b/crates/lab/src/membership/simulation.rs
@@ -309,7 +309,7 @@
         match event {
             Event::Datagram { to, from, bytes } => {
                 self.act(to, |membership, now, sink| {
-                    membership.receive(address(from), &bytes, now, sink)
+                    membership.receive(address(from), &bytes, now, sink);
                 });
             }
             Event::Tick { host, run } if run == self.hosts[host].run => {
--- a/crates/lab/src/snapshot_benchmark/catalog.rs
+++ b/crates/lab/src/snapshot_benchmark/catalog.rs
@@ -198,7 +198,7 @@
         match serde_json::from_str(line)? {
             ToHost::FullTree { catalog_id, tree } => replica.begin_full_tree(catalog_id, *tree),
             ToHost::Locations { layer, locations } => {
-                drop(replica.add_locations(layer, &locations))
+                let _ = replica.add_locations(layer, &locations);
             }
             _ => drop(replica.finish_full_tree()),
         }
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -134,7 +134,7 @@
             errors.push(ProblemError {
                 name: name.to_owned(),
                 kind,
-            })
+            });
         };
         for pair in nodes.windows(2).filter(|pair| pair[0].name == pair[1].name) {
             add(&pair[0].name, ProblemErrorKind::DuplicateNode);
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -18,7 +18,7 @@
         match request::parse(&head, body.len(), &self.settings) {
             Err(rejection) => {
                 self.clients
-                    .reject_request(slot, rejection.status(), rejection.message(), now)
+                    .reject_request(slot, rejection.status(), rejection.message(), now);
             }
             Ok(ClientRequest::Readiness) => self.respond_readiness(slot, is_ready),
             // Nothing is started for a client that has disconnected.
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -53,7 +53,7 @@
         match self.nodes.take_long_body(success) {
             Some((buffer, body)) => {
                 self.clients
-                    .respond(slot, Response::from_buffer(buffer, body), now)
+                    .respond(slot, Response::from_buffer(buffer, body), now);
             }
             None => self
                 .clients
--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -264,7 +264,7 @@
     warming_node("as configured", |_| {});
     warming_node("overload_window 0", |settings| settings.overload_window = 0);
     warming_node("slow_start_capacity 0", |settings| {
-        settings.slow_start_capacity = 0.0
+        settings.slow_start_capacity = 0.0;
     });
     limit_without_a_burst();
 }
--- a/crates/scheduler/tests/dispatch.rs
+++ b/crates/scheduler/tests/dispatch.rs
@@ -19,7 +19,7 @@
             volume: VolumeId(3),
             units: 1.0,
             ..harness.bio(id)
-        })
+        });
     });
     harness.arrive(harness.bio(9));
     let first = harness.forwarded().len();
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -31,7 +31,7 @@
         harness.arrive(Bio {
             shard: None,
             ..harness.bio(id)
-        })
+        });
     });
     harness.on_endpoints(
         EndpointEvent::Incremental,
--- a/crates/scheduler/tests/final_answers.rs
+++ b/crates/scheduler/tests/final_answers.rs
@@ -56,7 +56,7 @@
         harness.arrive(Bio {
             volume: VolumeId(id),
             ..harness.bio(id)
-        })
+        });
     });
     harness.arrive(harness.bio(0));
     harness.finish_attempt(0, 0, AttemptResult::Completed, 200);
@@ -114,7 +114,7 @@
             hosts: 0,
             units: 8.0,
             ..limited(&harness, id)
-        })
+        });
     });
     harness.advance(1_000);
     assert_eq!(harness.forwarded().len(), 1);
--- a/crates/scheduler/tests/idempotency.rs
+++ b/crates/scheduler/tests/idempotency.rs
@@ -88,7 +88,7 @@
             harness.arrive(Bio {
                 class: 0,
                 ..new(&harness, id)
-            })
+            });
         });
         harness.host.actions.clear();
         harness.arrive(new(&harness, 100));
--- a/crates/scheduler/tests/rate_limits.rs
+++ b/crates/scheduler/tests/rate_limits.rs
@@ -48,7 +48,7 @@
         harness.arrive(Bio {
             units: 8.0,
             ..limited(&harness, id)
-        })
+        });
     });
     assert_eq!(harness.forwarded().len() - sent, sends);
 }
@@ -102,7 +102,7 @@
             volume: VolumeId(3),
             units: 1.0,
             ..harness.bio(id)
-        })
+        });
     });
     harness.arrive(harness.bio(9));
     harness.change_plans(
--- a/crates/settings/src/parser.rs
+++ b/crates/settings/src/parser.rs
@@ -105,7 +105,7 @@
             draft.fleet = Some(Located {
                 position,
                 value: Fleet::default(),
-            })
+            });
         }
         SectionKind::Catalog => draft.catalog = Some(DraftCatalog::default()),
         SectionKind::PlanService => draft.plan_service = Some(PlanService::default()),
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -113,7 +113,7 @@
         output: &mut Vec<u8>,
     ) {
         self.call(output, |scheduler, host| {
-            scheduler.on_endpoints(host, now, form, endpoints)
+            scheduler.on_endpoints(host, now, form, endpoints);
         });
     }
 
@@ -174,7 +174,7 @@
             hosts,
         };
         self.call(output, |scheduler, host| {
-            scheduler.on_arrival(host, now, bio)
+            scheduler.on_arrival(host, now, bio);
         });
         Ok(())
     }
@@ -222,7 +222,7 @@
         let request = fields.unsigned_integer("xid")?;
         if let Some(id) = self.names.requests.find(&request) {
             self.call(output, |scheduler, host| {
-                scheduler.on_disconnect(host, now, BioId(id))
+                scheduler.on_disconnect(host, now, BioId(id));
             });
         }
         Ok(())
