--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -21,6 +21,9 @@
 
 /// The previous hash of the first entry.
 pub const GENESIS_HASH: &str = "0000000000000000000000000000000000000000000000000000000000000000";
+/// Stands in messages and in the cached plans of a host for the hash of a log that does not lead to the service's. It is
+/// the hash of no entry, so that the service answers with a full snapshot.
+pub const UNKNOWN_HASH: &str = "";
 /// Longest author and longest reason, in bytes.
 const MAX_TEXT_BYTES: usize = 500;
 
@@ -50,23 +53,28 @@
 pub struct ChangeLog {
     /// The state after the last entry.
     pub state: State,
-    last_hash: String,
+    /// None: the log has diverged from the service's. No entry follows it.
+    last_hash: Option<String>,
 }
 
 impl Default for ChangeLog {
     fn default() -> Self {
         ChangeLog {
             state: State::default(),
-            last_hash: GENESIS_HASH.to_owned(),
+            last_hash: Some(GENESIS_HASH.to_owned()),
         }
     }
 }
 
 impl ChangeLog {
-    /// The log that ends with this state, which was stored with the hash of its last entry.
+    /// The log that ends with this state, which was stored or sent with the hash of its last entry or with
+    /// [`UNKNOWN_HASH`].
     #[must_use]
     pub fn from_snapshot(state: State, last_hash: String) -> ChangeLog {
-        ChangeLog { state, last_hash }
+        ChangeLog {
+            state,
+            last_hash: Some(last_hash).filter(|hash| hash != UNKNOWN_HASH),
+        }
     }
 
     /// Replays entries from the empty state.
@@ -82,10 +90,15 @@
         Ok(log)
     }
 
-    /// Hash of the last entry, in hexadecimal digits.
+    /// Hash of the last entry, in hexadecimal digits; [`UNKNOWN_HASH`] if the log has diverged from the service's.
     #[must_use]
     pub fn last_hash(&self) -> &str {
-        &self.last_hash
+        self.last_hash.as_deref().unwrap_or(UNKNOWN_HASH)
+    }
+
+    /// The service's next entry does not follow: the log has diverged, and only its state is of use.
+    pub(crate) fn forget_hash(&mut self) {
+        self.last_hash = None;
     }
 
     /// The text of the next entry for a change, by an author who has read version `expected`. The log is not changed: of
@@ -123,7 +136,7 @@
             author: author.to_owned(),
             reason: reason.to_owned(),
             change,
-            previous_hash: self.last_hash.clone(),
+            previous_hash: self.last_hash().to_owned(),
         };
         Ok(serde_json::to_string(&entry)
             .expect("an entry has only string keys, so that it can always be encoded"))
@@ -146,7 +159,7 @@
         if serde_json::to_string(&entry).ok().as_deref() != Some(text) {
             return Err(LogErrorKind::NotCanonical);
         }
-        if entry.previous_hash != self.last_hash {
+        if self.last_hash.as_ref() != Some(&entry.previous_hash) {
             return Err(LogErrorKind::HashMismatch);
         }
         let expected = self.state.version + 1;
@@ -157,7 +170,7 @@
             });
         }
         self.state.apply(&entry.change)?;
-        self.last_hash = blake3::hash(text.as_bytes()).to_hex().to_string();
+        self.last_hash = Some(blake3::hash(text.as_bytes()).to_hex().to_string());
         Ok(entry)
     }
 }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -12,8 +12,10 @@
 //!
 //! Host side:
 //!
-//! - [`replica`]: a host's replica of the plans, and its quotas.
+//! - [`replica`]: a host's replica of the plans.
+//! - `volume_quotas`: the host's quotas of all volumes that it serves.
 //! - [`host_quota`]: a host's quota of one limit: what it owns, lends and leases.
+//! - `reconnect_backoff`: when the host tries again to connect to the service.
 //!
 //! Both: [`messages`], the protocol between them, and [`error`].
 //!
@@ -24,7 +26,8 @@
 //! use mallowseam_plans::host_quota::HostQuota;
 //! use mallowseam_plans::quota_pool::{LEASE_DURATION, QuotaPool};
 //!
-//! let (mut idle, mut busy) = (HostQuota::new(900_000, 3), HostQuota::new(900_000, 3));
+//! let mut idle = HostQuota::new(900_000, 3);
+//! let mut busy = HostQuota::new(900_000, 3);
 //! let mut pool = QuotaPool::new(0, true);
 //!
 //! // The service polls at 0 ms. Both hosts report, host 0 no demand, host 1 twice its nominal quota.
@@ -47,9 +50,11 @@
 pub mod host_quota;
 pub mod messages;
 pub mod quota_pool;
+mod reconnect_backoff;
 pub mod replica;
 pub mod rollout;
 pub mod state;
+mod volume_quotas;
 
 /// Milliseconds: a moment on the reader's own monotonic clock, or a duration.
 pub type Millis = u64;
--- a/crates/plans/src/messages.rs
+++ b/crates/plans/src/messages.rs
@@ -14,7 +14,7 @@
         host: String,
         /// Newest version that the host has.
         version: u64,
-        /// Hash of the log entry that led to this version.
+        /// Hash of the log entry that led to this version; [`UNKNOWN_HASH`](crate::change_log::UNKNOWN_HASH) to request a full snapshot.
         #[serde(rename = "last")]
         last_hash: String,
     },
--- a/crates/plans/src/quota_pool.rs
+++ b/crates/plans/src/quota_pool.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes a host's answer to the poll that was sent at `polled_at`: what it lends, and what it needs beyond its
-    /// nominal quota. The loan counts from the poll, which preceded the answer by whatever clock.
+    /// nominal quota. The loan counts from the poll: the host lent after it, so that its own count of the loan ends later.
     pub fn on_report(
         &mut self,
         host: HostNumber,
@@ -122,7 +122,8 @@
         let share = (u128::from(lent) * u128::from(requested))
             .checked_div(total)
             .unwrap_or(0);
-        MilliUnits::try_from(share).expect("a part of `lent`")
+        MilliUnits::try_from(share)
+            .expect("no share is larger than `lent`: the request is one of the total")
     }
 
     /// What a host may still be using of its leases.
--- a/crates/plans/src/replica.rs
+++ b/crates/plans/src/replica.rs
@@ -2,19 +2,14 @@
 //! the limits in it.
 use crate::change_log::{ChangeLog, GENESIS_HASH};
 use crate::error::{LogError, ReplicaError};
-use crate::host_quota::{CLOCK_SKEW_MARGIN, HostQuota, LOAN_DURATION};
-use crate::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
+use crate::messages::{HostMessage, ServiceMessage};
+use crate::reconnect_backoff::ReconnectBackoff;
 use crate::state::State;
+use crate::volume_quotas::VolumeQuotas;
 use crate::{MilliUnits, Millis};
 
-/// Longest delay in milliseconds before the next connection attempt; each failed attempt doubles the delay. Half of
-/// each delay is jitter, so that hosts that lost the service at the same time do not reconnect at the same time.
-pub const MAX_RECONNECT_DELAY: Millis = 5_000;
-const MIN_RECONNECT_DELAY: Millis = 100;
-/// The delay stops doubling after so many attempts.
-const MAX_BACKOFF_EXPONENT: u32 = 10;
-/// The largest value of the jitter that a caller passes in.
-const FULL_JITTER: u64 = 1_000;
+pub use crate::reconnect_backoff::MAX_RECONNECT_DELAY;
+pub use crate::volume_quotas::HostedVolume;
 
 /// What the caller has to do after a message.
 #[derive(Debug)]
@@ -29,21 +24,6 @@
     Disconnect(ReplicaError),
 }
 
-/// A volume that the host serves.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HostedVolume {
-    /// Name of the volume.
-    pub name: String,
-    /// Number of hosts that serve it, this one included.
-    pub host_count: u32,
-}
-
-/// A volume with the host's quota of its limit, if its plan has one.
-struct VolumeQuota {
-    volume: HostedVolume,
-    quota: Option<HostQuota>,
-}
-
 /// A host's replica of the plans.
 pub struct PlanReplica {
     host: String,
@@ -51,12 +31,8 @@
     log: ChangeLog,
     /// What the host has received and neither accepted nor replaced yet.
     pending: Option<ChangeLog>,
-    /// In the caller's order.
-    volumes: Vec<VolumeQuota>,
-    /// Until then, other hosts may still use what was lent before this start.
-    unknown_loans_until: Millis,
-    failed_attempts: u32,
-    next_attempt: Millis,
+    quotas: VolumeQuotas,
+    backoff: ReconnectBackoff,
 }
 
 impl PlanReplica {
@@ -68,23 +44,16 @@
         stored: Option<ChangeLog>,
         now: Millis,
     ) -> Self {
-        let mut replica = PlanReplica {
+        let log = stored.unwrap_or_default();
+        let mut quotas = VolumeQuotas::new(volumes, now);
+        quotas.set_limits(&log.state, now);
+        PlanReplica {
             host: host.to_owned(),
-            log: stored.unwrap_or_default(),
+            log,
             pending: None,
-            volumes: volumes
-                .into_iter()
-                .map(|volume| VolumeQuota {
-                    volume,
-                    quota: None,
-                })
-                .collect(),
-            unknown_loans_until: now + LOAN_DURATION + CLOCK_SKEW_MARGIN,
-            failed_attempts: 0,
-            next_attempt: 0,
-        };
-        replica.update_quotas(now);
-        replica
+            quotas,
+            backoff: ReconnectBackoff::default(),
+        }
     }
 
     /// The state that the host acts on.
@@ -124,7 +93,7 @@
         demand: &[MilliUnits],
         now: Millis,
     ) -> ReplicaAction {
-        self.failed_attempts = 0;
+        self.backoff.reset();
         match message {
             ServiceMessage::Snapshot { state, last_hash } => self.on_snapshot(*state, last_hash),
             ServiceMessage::LogEntry { text } => match self.append_to_pending(&text) {
@@ -139,7 +108,7 @@
                 duration,
                 volumes,
             } => {
-                self.add_leases(volumes, requested_at, duration, now);
+                self.quotas.add_leases(volumes, requested_at, duration, now);
                 ReplicaAction::None
             }
         }
@@ -159,8 +128,8 @@
         if appended.is_ok() {
             self.pending = Some(newest);
         } else {
-            // An empty hash matches no entry, so the service answers the next hello with a full snapshot.
-            self.log = ChangeLog::from_snapshot(self.log.state.clone(), String::new());
+            // The service answers the next hello with a full snapshot.
+            self.log.forget_hash();
         }
         appended.map(drop)
     }
@@ -172,48 +141,18 @@
         demand: &[MilliUnits],
         now: Millis,
     ) -> HostMessage {
-        let mut volumes = Vec::new();
-        for (index, entry) in self.volumes.iter_mut().enumerate() {
-            let Some(quota) = &mut entry.quota else {
-                continue;
-            };
-            let demand = demand.get(index).copied().unwrap_or(0);
-            volumes.push(VolumeReport {
-                volume: entry.volume.name.clone(),
-                lent: quota.lend(quota.lendable(demand), now),
-                requested: demand.saturating_sub(quota.nominal()),
-            });
-        }
         HostMessage::QuotaReport {
             polled_at,
             sent_at: now,
             version: self.log.state.version,
-            volumes,
-        }
-    }
-
-    fn add_leases(
-        &mut self,
-        leases: Vec<VolumeLease>,
-        requested_at: Millis,
-        duration: Millis,
-        now: Millis,
-    ) {
-        for lease in leases {
-            let own = self
-                .volumes
-                .iter_mut()
-                .find(|own| own.volume.name == lease.volume);
-            if let Some(quota) = own.and_then(|own| own.quota.as_mut()) {
-                quota.add_lease(lease.amount, requested_at, duration, now);
-            }
+            volumes: self.quotas.lend(demand, now),
         }
     }
 
     /// The host acts on the pending state from now on. Returns the message to send; none if nothing is pending.
     pub fn accept_pending(&mut self, now: Millis) -> Option<HostMessage> {
         self.log = self.pending.take()?;
-        self.update_quotas(now);
+        self.quotas.set_limits(&self.log.state, now);
         Some(HostMessage::Accepted {
             version: self.log.state.version,
         })
@@ -226,42 +165,15 @@
         Some(HostMessage::Rejected { version, reason })
     }
 
-    fn update_quotas(&mut self, now: Millis) {
-        for entry in &mut self.volumes {
-            let plan = self.log.state.plan_of(&entry.volume.name);
-            let Some(limit) = plan.map(|plan| plan.rate_limit).filter(|limit| *limit > 0) else {
-                entry.quota = None;
-                continue;
-            };
-            let hosts = entry.volume.host_count;
-            if let Some(quota) = &mut entry.quota {
-                quota.set_limit(limit, hosts);
-                continue;
-            }
-            let quota = entry.quota.insert(HostQuota::new(limit, hosts));
-            if now < self.unknown_loans_until {
-                quota.restrict_until(self.unknown_loans_until, now);
-            }
-        }
-    }
-
     /// For each volume, in the order given to [`PlanReplica::new`], what the host may use now, in thousandths of a
     /// unit a second; none if the volume has no limit.
     pub fn available_quotas(&self, now: Millis) -> impl Iterator<Item = Option<MilliUnits>> {
-        self.volumes
-            .iter()
-            .map(move |entry| entry.quota.as_ref().map(|quota| quota.available(now)))
+        self.quotas.available(now)
     }
 
     /// Whether the caller should try to connect now; if so, the next attempt is due after an exponential backoff.
     /// `jitter`, from 0 to 1,000, spreads the attempts of different hosts.
     pub fn should_connect(&mut self, now: Millis, jitter: u64) -> bool {
-        if now < self.next_attempt {
-            return false;
-        }
-        let delay = (MIN_RECONNECT_DELAY << self.failed_attempts).min(MAX_RECONNECT_DELAY);
-        self.failed_attempts = (self.failed_attempts + 1).min(MAX_BACKOFF_EXPONENT);
-        self.next_attempt = now + delay / 2 + delay / 2 * jitter.min(FULL_JITTER) / FULL_JITTER;
-        true
+        self.backoff.attempt_due(now, jitter)
     }
 }
--- a/crates/plans/src/rollout.rs
+++ b/crates/plans/src/rollout.rs
@@ -63,7 +63,8 @@
         /// The reason that it gave.
         reason: String,
     },
-    /// All hosts have accepted the version, which lowered a limit; loans and leases of the older one run on.
+    /// All hosts have accepted the version, which lowered a limit; loans and leases of the older version have not
+    /// expired yet.
     UnexpiredLeases {
         /// When the last of them has expired.
         until: Millis,
--- a/crates/plans/src/state.rs
+++ b/crates/plans/src/state.rs
@@ -21,7 +21,7 @@
     /// The rate that is reserved for a volume.
     #[serde(rename = "reserve")]
     pub reserved_rate: MilliUnits,
-    /// The rate that a volume may not exceed; 0: no limit.
+    /// The rate that a volume may not exceed, as it is stored: 0 stands for no limit. [`Plan::limit`] reads it.
     #[serde(rename = "limit")]
     pub rate_limit: MilliUnits,
     /// Thousandths of units that may be used at once within the limit.
@@ -82,6 +82,12 @@
 }
 
 impl Plan {
+    /// The rate that a volume may not exceed, if the plan has a limit.
+    #[must_use]
+    pub fn limit(&self) -> Option<MilliUnits> {
+        (self.rate_limit > 0).then_some(self.rate_limit)
+    }
+
     fn check(&self) -> Result<(), ChangeError> {
         let parameters = [
             ("usual", self.usual_rate),
@@ -91,24 +97,30 @@
             ("weight", self.weight),
             ("price", self.priority_factor),
         ];
-        let invalid = |parameter, expected| {
-            Err(ChangeError::InvalidParameter {
-                parameter,
-                expected,
-            })
-        };
-        if let Some((parameter, _)) = parameters
+        let too_large = parameters
             .into_iter()
-            .find(|(_, value)| *value > MAX_PARAMETER)
-        {
-            return invalid(parameter, "at most a thousand million units");
+            .find(|(_, value)| *value > MAX_PARAMETER);
+        if let Some((parameter, _)) = too_large {
+            return Err(ChangeError::InvalidParameter {
+                parameter,
+                expected: "at most a thousand million units",
+            });
         }
+        let Some(limit) = self.limit() else {
+            return Ok(());
+        };
         // A limit without a burst would let nothing through.
-        if self.rate_limit > 0 && self.burst_units == 0 {
-            return invalid("burst", "above 0 where there is a limit");
+        if self.burst_units == 0 {
+            return Err(ChangeError::InvalidParameter {
+                parameter: "burst",
+                expected: "above 0 where there is a limit",
+            });
         }
-        if self.rate_limit > 0 && self.reserved_rate > self.rate_limit {
-            return invalid("reserve", "no more than the limit");
+        if self.reserved_rate > limit {
+            return Err(ChangeError::InvalidParameter {
+                parameter: "reserve",
+                expected: "no more than the limit",
+            });
         }
         Ok(())
     }
@@ -207,37 +219,35 @@
     /// The changes that lead from this state to another one, in the order in which they can be applied.
     #[must_use]
     pub fn diff(&self, target: &State) -> Vec<Change> {
-        let plans_to_set = target
-            .plans
-            .iter()
-            .filter(|(name, plan)| self.plans.get(*name) != Some(plan));
-        let plans_to_assign = target
-            .volumes
-            .iter()
-            .filter(|(volume, plan)| self.volumes.get(*volume) != Some(plan));
-        let removed_volumes = self
-            .volumes
-            .keys()
-            .filter(|volume| !target.volumes.contains_key(*volume));
-        let removed_plans = self
-            .plans
-            .keys()
-            .filter(|name| !target.plans.contains_key(*name));
-
-        let set = |(name, plan): (&String, &Plan)| Change::SetPlan {
-            name: name.clone(),
-            plan: plan.clone(),
-        };
-        let assign = |(volume, plan): (&String, &String)| Change::AssignPlan {
-            volume: volume.clone(),
-            plan: plan.clone(),
-        };
-        let mut changes: Vec<Change> = plans_to_set.map(set).collect();
-        changes.extend(plans_to_assign.map(assign));
-        changes.extend(removed_volumes.map(|volume| Change::RemoveVolume {
-            volume: volume.clone(),
-        }));
-        changes.extend(removed_plans.map(|name| Change::RemovePlan { name: name.clone() }));
+        let mut changes = Vec::new();
+        for (name, plan) in &target.plans {
+            if self.plans.get(name) != Some(plan) {
+                changes.push(Change::SetPlan {
+                    name: name.clone(),
+                    plan: plan.clone(),
+                });
+            }
+        }
+        for (volume, plan) in &target.volumes {
+            if self.volumes.get(volume) != Some(plan) {
+                changes.push(Change::AssignPlan {
+                    volume: volume.clone(),
+                    plan: plan.clone(),
+                });
+            }
+        }
+        for volume in self.volumes.keys() {
+            if !target.volumes.contains_key(volume) {
+                changes.push(Change::RemoveVolume {
+                    volume: volume.clone(),
+                });
+            }
+        }
+        for name in self.plans.keys() {
+            if !target.plans.contains_key(name) {
+                changes.push(Change::RemovePlan { name: name.clone() });
+            }
+        }
         changes
     }
 }
