--- a/crates/cow/src/consistent_cut.rs
+++ b/crates/cow/src/consistent_cut.rs
@@ -129,19 +129,13 @@
     #[must_use]
     pub fn progress(&self, tree: &Tree, now: Millis) -> CutProgress {
         let is_late = now >= self.deadline;
-        let hosts_failed =
-            || CutProgress::Fail(CutFailure::HostsNotQuiesced(self.unquiesced_hosts.clone()));
         if self.is_stale {
-            return match (is_late, self.unquiesced_hosts.is_empty()) {
-                (true, _) => hosts_failed(),
-                (false, true) => CutProgress::Restart,
-                (false, false) => CutProgress::Wait,
-            };
+            return self.progress_when_stale(is_late);
         }
         let unclosed = tree.unclosed_nodes(self.layer);
         match (unclosed.is_empty(), self.unquiesced_hosts.is_empty()) {
             (true, true) => self.grant(tree),
-            (true, false) if is_late => hosts_failed(),
+            (true, false) if is_late => self.fail_on_hosts(),
             (false, _) if is_late => CutProgress::Fail(CutFailure::NodesNotClosed(
                 unclosed.into_values().flatten().collect(),
             )),
@@ -149,11 +143,24 @@
         }
     }
 
+    fn progress_when_stale(&self, is_late: bool) -> CutProgress {
+        if is_late {
+            self.fail_on_hosts()
+        } else if self.unquiesced_hosts.is_empty() {
+            CutProgress::Restart
+        } else {
+            CutProgress::Wait
+        }
+    }
+
+    fn fail_on_hosts(&self) -> CutProgress {
+        CutProgress::Fail(CutFailure::HostsNotQuiesced(self.unquiesced_hosts.clone()))
+    }
+
     fn grant(&self, tree: &Tree) -> CutProgress {
-        let (branch, name) = (self.branch.clone(), self.name.clone());
         let change = Change::SnapshotCreated {
-            branch,
-            name,
+            branch: self.branch.clone(),
+            name: self.name.clone(),
             layer: self.layer,
         };
         match tree.check(&change) {
--- a/crates/cow/src/copy_budget.rs
+++ b/crates/cow/src/copy_budget.rs
@@ -20,6 +20,8 @@
 /// The copies that one host may start, and its budget of retries (a token bucket).
 pub struct CopyBudget {
     retries_left: f64,
+    /// When a retry was last admitted with an empty budget. It starts as the zero of the caller's clock: the first one
+    /// is admitted once the clock shows [`PROBE_INTERVAL`].
     last_probe: Millis,
     /// Retries that the budget has rejected so far.
     pub rejected_retries: u64,
--- a/crates/cow/src/leases.rs
+++ b/crates/cow/src/leases.rs
@@ -20,6 +20,17 @@
     expires_at: Millis,
 }
 
+impl HostLease {
+    fn is_alive(&self, now: Millis) -> bool {
+        now < self.expires_at
+    }
+
+    /// Whether the host may still act on something older than a version.
+    fn blocks(&self, version: u64, now: Millis) -> bool {
+        self.acknowledged_version < version && self.is_alive(now)
+    }
+}
+
 /// The leases that the catalog has granted.
 #[derive(Clone, Debug)]
 pub struct HostLeases {
@@ -62,9 +73,8 @@
     /// Whether no host acts on anything older than a version.
     #[must_use]
     pub fn is_effective(&self, version: u64, now: Millis) -> bool {
-        let acts_on_older =
-            |lease: &HostLease| lease.acknowledged_version < version && now < lease.expires_at;
-        self.all_hosts_known(now) && !self.hosts.values().any(acts_on_older)
+        let is_blocked = self.hosts.values().any(|lease| lease.blocks(version, now));
+        self.all_hosts_known(now) && !is_blocked
     }
 
     /// Whether every host that may act is known.
@@ -76,19 +86,17 @@
     /// The known hosts that may act now.
     #[must_use]
     pub fn active_hosts(&self, now: Millis) -> BTreeSet<String> {
-        let active = self
-            .hosts
-            .iter()
-            .filter(|(_, lease)| now < lease.expires_at);
+        let active = self.hosts.iter().filter(|(_, lease)| lease.is_alive(now));
         active.map(|(host, _)| host.clone()).collect()
     }
 
     /// The hosts because of which a version is not effective yet, each with when its lease expires.
     #[must_use]
     pub fn blocking_hosts(&self, version: u64, now: Millis) -> Vec<(&str, Millis)> {
-        let blocks =
-            |lease: &HostLease| lease.acknowledged_version < version && now < lease.expires_at;
-        let blocking = self.hosts.iter().filter(|(_, lease)| blocks(lease));
+        let blocking = self
+            .hosts
+            .iter()
+            .filter(|(_, lease)| lease.blocks(version, now));
         blocking
             .map(|(host, lease)| (host.as_str(), lease.expires_at))
             .collect()
--- a/crates/cow/src/messages.rs
+++ b/crates/cow/src/messages.rs
@@ -4,11 +4,17 @@
 use crate::tree::{Change, ExtentLocation, LayerId, Location, Tree};
 use serde::{Deserialize, Serialize};
 
+/// Id that no catalog has. A host whose replica contradicts the catalog sends it in its [`TreeVersion`], so that the
+/// full tree follows.
+pub const NO_CATALOG: u64 = 0;
+/// Locations in one message: some tens of kilobytes, read between two block I/Os without a noticeable delay.
+const LOCATIONS_PER_MESSAGE: usize = 1_000;
+
 /// The tree of which a host has a replica. Sent as a JSON array of two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct TreeVersion {
-    /// Id of the catalog: the trees of two catalogs have nothing in common.
+    /// Id of the catalog, or [`NO_CATALOG`]: the trees of two catalogs have nothing in common.
     pub catalog_id: u64,
     /// Changes applied to it.
     pub version: u64,
@@ -181,9 +187,6 @@
     },
 }
 
-/// Locations in one message: some tens of kilobytes, read between two block I/Os without a noticeable delay.
-const LOCATIONS_PER_MESSAGE: usize = 1_000;
-
 /// The messages that send a full tree to a host.
 pub fn full_tree_messages(catalog_id: u64, tree: &Tree) -> impl Iterator<Item = ToHost> + '_ {
     let begin = ToHost::FullTree {
--- a/crates/cow/src/split_write.rs
+++ b/crates/cow/src/split_write.rs
@@ -1,26 +1,27 @@
 //! A write of several parts, with regard to cuts: a snapshot contains all of it or none.
 //!
-//! Parts in different extents may be written to different layers when a cut comes between them. A part may not follow
-//! into a newer layer while another may still be written to the older one, nor after one has been, unless the catalog
-//! permits it. It does if no snapshot has been granted in between, and restarts a cut that is still pending once the write is
-//! complete. The permission is for one layer: after the next cut it has to be requested again. Until a host has no
-//! such write in flight, it delays a grant. While a cut is pending a host begins no such write; otherwise each
-//! restarted cut could be delayed by the next one.
+//! When a cut comes between the parts of a write, they may be sent to different layers. A part is not sent into a newer
+//! layer while another part is in flight to an older one. Once a part has completed in an older layer, the others need
+//! the catalog's permission to go to a newer one. The catalog grants it if no snapshot was granted in between, and
+//! restarts a pending cut when the write is complete. The permission is for one layer: after the next cut it is
+//! requested again.
+//!
+//! A host with such a write in flight delays the grant of a snapshot. While a cut is pending a host begins no such
+//! write; otherwise each restarted cut could be delayed by the next one.
 use crate::Millis;
 use crate::tree::LayerId;
 use crate::tree_replica::RESEND_AFTER;
 
+/// The catalog's permission to go on in a newer layer than that of the parts that have completed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Permission {
     #[default]
     NotNeeded,
-    Requested {
-        at: Millis,
-        into: LayerId,
-    },
-    Granted {
-        into: LayerId,
-    },
+    /// It was requested at a time and is not decided.
+    Requested { at: Millis, into: LayerId },
+    /// Parts may go into this layer.
+    Granted { into: LayerId },
+    /// No part may be sent any more.
     Refused,
 }
 
@@ -81,8 +82,8 @@
 
     /// The catalog has decided about writes with parts in a layer.
     pub fn permission_decided(&mut self, layer: LayerId, granted: bool) {
-        if let (true, Permission::Requested { into, .. }) =
-            (self.oldest_layer == Some(layer), self.permission)
+        if self.oldest_layer == Some(layer)
+            && let Permission::Requested { into, .. } = self.permission
         {
             self.permission = if granted {
                 Permission::Granted { into }
--- a/crates/cow/src/tree/apply.rs
+++ b/crates/cow/src/tree/apply.rs
@@ -1,6 +1,7 @@
 //! The tree after a change.
 use super::{
-    Branch, Change, ChangeEffects, ChangeError, FIRST_LAYER_ID, Layer, LayerId, Snapshot, Tree,
+    Branch, Change, ChangeEffects, ChangeError, FIRST_LAYER_ID, Layer, LayerId, Location, Snapshot,
+    Tree,
 };
 
 impl Tree {
@@ -13,77 +14,52 @@
         self.check(change)?;
         self.version += 1;
         let mut effects = ChangeEffects::default();
+        self.apply_checked(change, &mut effects);
+        Ok(effects)
+    }
+
+    /// Makes a change that `check` allows. Longer than other functions, as it has one arm for each change.
+    fn apply_checked(&mut self, change: &Change, effects: &mut ChangeEffects) {
         match change {
             Change::BranchCreated {
                 branch,
                 extent_count,
-            } => {
-                self.add_branch(branch, None, *extent_count, None, &mut effects);
-            }
+            } => self.add_branch(branch, None, *extent_count, None, effects),
             Change::SlotsAllocated {
                 layer,
                 first,
                 count,
-            } => {
-                self.checked_layer(*layer).next_slot = first + count;
-                effects.layers.insert(*layer);
-            }
+            } => self.allocate_slots(*layer, first + count, effects),
             Change::ExtentPlaced {
                 layer,
                 extent,
                 location,
-            } => {
-                self.checked_layer(*layer)
-                    .locations
-                    .insert(*extent, *location);
-                self.index.add_location(*layer, location.node);
-                effects.locations.push((*layer, *extent));
-                effects.placed = Some((*layer, *extent));
-            }
+            } => self.place_extent(*layer, *extent, *location, effects),
             Change::ExtentWritable { layer, extent } => {
-                self.checked_layer(*layer).writable.insert(*extent);
-                effects.locations.push((*layer, *extent));
+                self.make_writable(*layer, *extent, effects);
             }
             Change::HeadFrozen { branch } => {
-                let head = self.branches[branch].head;
-                self.replace_head(branch, head, &mut effects);
-            }
-            Change::LayerClosed { layer, node } => {
-                self.checked_layer(*layer).closed_nodes.insert(*node);
-                effects.layers.insert(*layer);
+                let head = self.checked_head(branch);
+                self.replace_head(branch, head, effects);
             }
+            Change::LayerClosed { layer, node } => self.close_layer(*layer, *node, effects),
             Change::SnapshotCreated {
                 branch,
                 name,
                 layer,
-            } => {
-                self.add_snapshot(branch, name, *layer, &mut effects);
-            }
+            } => self.add_snapshot(branch, name, *layer, effects),
             Change::CloneCreated { snapshot, branch } => {
-                let Snapshot {
-                    layer,
-                    extent_count,
-                    ..
-                } = self.snapshots[snapshot];
-                self.add_branch(
-                    branch,
-                    Some(layer),
-                    extent_count,
-                    Some(snapshot.clone()),
-                    &mut effects,
-                );
+                self.add_clone(snapshot, branch, effects);
             }
             Change::BranchRolledBack { branch, snapshot } => {
-                let parent = self.snapshots[snapshot].layer;
-                effects.dereferenced = self.replace_head(branch, parent, &mut effects);
-            }
-            Change::SnapshotDeleted { snapshot } => self.delete_snapshot(snapshot, &mut effects),
-            Change::BranchDeleted { branch } => self.delete_branch(branch, &mut effects),
-            Change::ExtentsReclaimed { layer, extents } => {
-                self.reclaim(*layer, extents, &mut effects);
+                let parent = self.checked_snapshot(snapshot).layer;
+                let old_head = self.replace_head(branch, parent, effects);
+                effects.dereferenced = Some(old_head);
             }
+            Change::SnapshotDeleted { snapshot } => self.delete_snapshot(snapshot, effects),
+            Change::BranchDeleted { branch } => self.delete_branch(branch, effects),
+            Change::ExtentsReclaimed { layer, extents } => self.reclaim(*layer, extents, effects),
         }
-        Ok(effects)
     }
 
     /// A layer that `check` has found.
@@ -91,6 +67,46 @@
         self.layers.get_mut(&id).expect("check has found the layer")
     }
 
+    /// The head of a branch that `check` has found.
+    fn checked_head(&self, branch: &str) -> LayerId {
+        let branch = self.branches.get(branch);
+        branch.expect("check has found the branch").head
+    }
+
+    /// A snapshot that `check` has found.
+    fn checked_snapshot(&self, name: &str) -> &Snapshot {
+        let snapshot = self.snapshots.get(name);
+        snapshot.expect("check has found the snapshot")
+    }
+
+    fn allocate_slots(&mut self, layer: LayerId, next_slot: u32, effects: &mut ChangeEffects) {
+        self.checked_layer(layer).next_slot = next_slot;
+        effects.layers.insert(layer);
+    }
+
+    fn place_extent(
+        &mut self,
+        layer: LayerId,
+        extent: u32,
+        location: Location,
+        effects: &mut ChangeEffects,
+    ) {
+        self.checked_layer(layer).place(extent, location);
+        self.index.add_location(layer, location.node);
+        effects.locations.push((layer, extent));
+        effects.placed = Some((layer, extent));
+    }
+
+    fn make_writable(&mut self, layer: LayerId, extent: u32, effects: &mut ChangeEffects) {
+        self.checked_layer(layer).make_writable(extent);
+        effects.locations.push((layer, extent));
+    }
+
+    fn close_layer(&mut self, layer: LayerId, node: u32, effects: &mut ChangeEffects) {
+        self.checked_layer(layer).closed_nodes.insert(node);
+        effects.layers.insert(layer);
+    }
+
     fn assign_lun(&mut self) -> u32 {
         self.luns_assigned += 1;
         FIRST_LAYER_ID + self.luns_assigned - 1
@@ -131,6 +147,14 @@
         self.branches.insert(name.to_owned(), branch);
     }
 
+    fn add_clone(&mut self, snapshot_name: &str, branch: &str, effects: &mut ChangeEffects) {
+        let snapshot = self.checked_snapshot(snapshot_name);
+        let layer = snapshot.layer;
+        let extent_count = snapshot.extent_count;
+        let origin = Some(snapshot_name.to_owned());
+        self.add_branch(branch, Some(layer), extent_count, origin, effects);
+    }
+
     fn add_snapshot(
         &mut self,
         branch: &str,
@@ -138,7 +162,11 @@
         layer: LayerId,
         effects: &mut ChangeEffects,
     ) {
-        let extent_count = self.branches[branch].extent_count;
+        let extent_count = self
+            .branches
+            .get(branch)
+            .expect("check has found the branch")
+            .extent_count;
         let lun = self.assign_lun();
         let snapshot = Snapshot {
             branch: branch.to_owned(),
@@ -152,19 +180,23 @@
         self.snapshots.insert(full_name, snapshot);
     }
 
-    /// Gives a branch a new head under a layer and freezes the old head, which is returned.
+    /// Gives a branch a new head that has a layer as its parent, and freezes the old head, which is returned.
     fn replace_head(
         &mut self,
         branch: &str,
         parent: LayerId,
         effects: &mut ChangeEffects,
-    ) -> Option<LayerId> {
+    ) -> LayerId {
         let head = self.add_layer(Some(parent), effects);
         self.index.add_reference(head);
         effects.branches.push(branch.to_owned());
-        let old_head = std::mem::replace(&mut self.branches.get_mut(branch)?.head, head);
+        let branch = self
+            .branches
+            .get_mut(branch)
+            .expect("check has found the branch");
+        let old_head = std::mem::replace(&mut branch.head, head);
         self.freeze_head(old_head, effects);
-        Some(old_head)
+        old_head
     }
 
     fn freeze_head(&mut self, head: LayerId, effects: &mut ChangeEffects) {
@@ -197,18 +229,13 @@
     }
 
     fn reclaim(&mut self, layer_id: LayerId, extents: &[u32], effects: &mut ChangeEffects) {
-        let layer = self
-            .layers
-            .get_mut(&layer_id)
-            .expect("check has found the layer");
         for extent in extents {
-            if let Some(location) = layer.locations.remove(extent) {
+            if let Some(location) = self.checked_layer(layer_id).release(*extent) {
                 self.index.remove_location(layer_id, location.node);
             }
-            layer.writable.remove(extent);
             effects.locations.push((layer_id, *extent));
         }
-        if layer.locations.is_empty() && !self.index.is_referenced(layer_id) {
+        if self.is_removable(layer_id) {
             self.remove_layer(layer_id, effects);
         }
     }
@@ -220,7 +247,7 @@
         for child in self.index.remove_layer(layer_id, parent) {
             self.layers
                 .get_mut(&child)
-                .expect("children are layers")
+                .expect("the index has as children only layers of the tree")
                 .parent = parent;
             effects.layers.insert(child);
         }
--- a/crates/cow/src/tree/mod.rs
+++ b/crates/cow/src/tree/mod.rs
@@ -132,15 +132,11 @@
             return false;
         };
         for entry in locations {
-            if layer
-                .locations
-                .insert(entry.extent, entry.location)
-                .is_none()
-            {
+            if layer.place(entry.extent, entry.location).is_none() {
                 self.index.add_location(layer_id, entry.location.node);
             }
             if entry.writable {
-                layer.writable.insert(entry.extent);
+                layer.make_writable(entry.extent);
             }
         }
         true
@@ -168,6 +164,11 @@
             .ok_or_else(|| ChangeError::NoSuchSnapshot(name.to_owned()))
     }
 
+    /// The head layer of a branch.
+    fn head(&self, branch: &str) -> Result<&Layer, ChangeError> {
+        self.layer(self.branch(branch)?.head)
+    }
+
     fn layer(&self, id: LayerId) -> Result<&Layer, ChangeError> {
         self.layers.get(&id).ok_or(ChangeError::NoSuchLayer(id))
     }
--- a/crates/cow/src/tree/model.rs
+++ b/crates/cow/src/tree/model.rs
@@ -72,6 +72,22 @@
 }
 
 impl Layer {
+    /// Gives an extent a location. Returns the one that it had.
+    pub(super) fn place(&mut self, extent: u32, location: Location) -> Option<Location> {
+        self.locations.insert(extent, location)
+    }
+
+    /// Allows writes to the location of an extent.
+    pub(super) fn make_writable(&mut self, extent: u32) {
+        self.writable.insert(extent);
+    }
+
+    /// Removes the location of an extent and returns it.
+    pub(super) fn release(&mut self, extent: u32) -> Option<Location> {
+        self.writable.remove(&extent);
+        self.locations.remove(&extent)
+    }
+
     /// The locations of the layer with whether they may be written, in order of extents.
     pub(crate) fn extent_locations(&self) -> impl Iterator<Item = ExtentLocation> + '_ {
         self.locations
--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -34,7 +34,7 @@
             } => self.check_placement(*layer, *extent, *location),
             Change::ExtentWritable { layer, extent } => self.check_writable(*layer, *extent),
             Change::HeadFrozen { branch } => {
-                self.branch(branch)?;
+                self.head(branch)?;
                 self.check_layer_ids_left()
             }
             Change::LayerClosed { layer, .. } => self.check_frozen(*layer),
@@ -155,7 +155,7 @@
     }
 
     fn check_rollback(&self, branch: &str, snapshot: &str) -> Result<(), ChangeError> {
-        self.branch(branch)?;
+        self.head(branch)?;
         if self.snapshot(snapshot)?.branch != branch {
             return Err(ChangeError::NoSuchSnapshot(snapshot.to_owned()));
         }
@@ -163,7 +163,7 @@
     }
 
     fn check_branch_deletion(&self, branch: &str) -> Result<(), ChangeError> {
-        self.branch(branch)?;
+        self.head(branch)?;
         match self
             .snapshots
             .iter()
