--- a/crates/cow/tests/pinned_messages.rs
+++ b/crates/cow/tests/pinned_messages.rs
@@ -13,35 +13,28 @@
     );
 }
 
+const LAYER: u32 = 1024;
+const EXTENT: u32 = 3;
+const LOCATION: Location = Location { node: 2, slot: 11 };
+
 #[test]
 fn messages_to_the_catalog() {
-    let location = Location { node: 2, slot: 11 };
-    pinned(
-        &ToCatalog::Hello {
-            host: "h1".into(),
-            known: Some(TreeVersion {
-                catalog_id: 7,
-                version: 9,
-            }),
-        },
-        r#"{"hello":{"host":"h1","have":[7,9]}}"#,
-    );
+    let hello = |known| ToCatalog::Hello {
+        host: "h1".into(),
+        known,
+    };
+    let known = TreeVersion {
+        catalog_id: 7,
+        version: 9,
+    };
     pinned(
-        &ToCatalog::Hello {
-            host: "h1".into(),
-            known: None,
-        },
-        r#"{"hello":{"host":"h1","have":null}}"#,
+        &hello(Some(known)),
+        r#"{"hello":{"host":"h1","have":[7,9]}}"#,
     );
+    pinned(&hello(None), r#"{"hello":{"host":"h1","have":null}}"#);
     let without: ToCatalog =
         serde_json::from_str(r#"{"hello":{"host":"h1"}}"#).expect("`have` may lack");
-    assert_eq!(
-        without,
-        ToCatalog::Hello {
-            host: "h1".into(),
-            known: None
-        }
-    );
+    assert_eq!(without, hello(None));
     pinned(
         &ToCatalog::RenewLease {
             sent_at: 12,
@@ -55,24 +48,24 @@
     );
     pinned(
         &ToCatalog::AllocateSlots {
-            layer: 1024,
+            layer: LAYER,
             count: 64,
         },
         r#"{"numbers":{"layer":1024,"count":64}}"#,
     );
     pinned(
-        &ToCatalog::Quiesced { layer: 1024 },
+        &ToCatalog::Quiesced { layer: LAYER },
         r#"{"clear":{"layer":1024}}"#,
     );
     pinned(
-        &ToCatalog::RequestCompletion { layer: 1024 },
+        &ToCatalog::RequestCompletion { layer: LAYER },
         r#"{"leave":{"layer":1024}}"#,
     );
     pinned(
         &ToCatalog::ProposeLocation {
-            layer: 1024,
-            extent: 3,
-            location,
+            layer: LAYER,
+            extent: EXTENT,
+            location: LOCATION,
         },
         r#"{"placed":{"layer":1024,"extent":3,"place":{"node":2,"number":11}}}"#,
     );
@@ -80,7 +73,6 @@
 
 #[test]
 fn messages_to_a_host() {
-    let location = Location { node: 2, slot: 11 };
     pinned(
         &ToHost::FullTree {
             catalog_id: 7,
@@ -90,16 +82,16 @@
     );
     pinned(
         &ToHost::Locations {
-            layer: 1024,
+            layer: LAYER,
             locations: vec![
                 ExtentLocation {
-                    extent: 3,
-                    location,
+                    extent: EXTENT,
+                    location: LOCATION,
                     writable: true,
                 },
                 ExtentLocation {
                     extent: 4,
-                    location,
+                    location: LOCATION,
                     writable: false,
                 },
             ],
@@ -124,7 +116,7 @@
     );
     pinned(
         &ToHost::SlotsAllocated {
-            layer: 1024,
+            layer: LAYER,
             first: 64,
             count: 64,
         },
@@ -132,7 +124,7 @@
     );
     pinned(
         &ToHost::Quiesce {
-            layer: 1024,
+            layer: LAYER,
             branch: "a".into(),
         },
         r#"{"ask-clear":{"layer":1024,"branch":"a"}}"#,
@@ -143,15 +135,15 @@
     );
     pinned(
         &ToHost::CompletionDecision {
-            layer: 1024,
+            layer: LAYER,
             granted: true,
         },
         r#"{"leave":{"layer":1024,"given":true}}"#,
     );
     pinned(
         &ToHost::LocationRejected {
-            layer: 1024,
-            extent: 3,
+            layer: LAYER,
+            extent: EXTENT,
         },
         r#"{"not-placed":{"layer":1024,"extent":3}}"#,
     );
@@ -160,7 +152,6 @@
 #[test]
 fn changes() {
     let (a, s) = (|| "a".to_owned(), || "a@s".to_owned());
-    let location = Location { node: 2, slot: 11 };
     pinned(
         &Change::BranchCreated {
             branch: a(),
@@ -170,7 +161,7 @@
     );
     pinned(
         &Change::SlotsAllocated {
-            layer: 1024,
+            layer: LAYER,
             first: 0,
             count: 8,
         },
@@ -178,16 +169,16 @@
     );
     pinned(
         &Change::ExtentPlaced {
-            layer: 1024,
-            extent: 3,
-            location,
+            layer: LAYER,
+            extent: EXTENT,
+            location: LOCATION,
         },
         r#"{"Placed":{"layer":1024,"extent":3,"place":{"node":2,"number":11}}}"#,
     );
     pinned(
         &Change::ExtentWritable {
-            layer: 1024,
-            extent: 3,
+            layer: LAYER,
+            extent: EXTENT,
         },
         r#"{"Opened":{"layer":1024,"extent":3}}"#,
     );
@@ -197,7 +188,7 @@
     );
     pinned(
         &Change::LayerClosed {
-            layer: 1024,
+            layer: LAYER,
             node: 2,
         },
         r#"{"Closed":{"layer":1024,"node":2}}"#,
@@ -206,7 +197,7 @@
         &Change::SnapshotCreated {
             branch: a(),
             name: "s".into(),
-            layer: 1024,
+            layer: LAYER,
         },
         r#"{"Named":{"branch":"a","name":"s","layer":1024}}"#,
     );
@@ -234,7 +225,7 @@
     );
     pinned(
         &Change::ExtentsReclaimed {
-            layer: 1024,
+            layer: LAYER,
             extents: vec![3, 4],
         },
         r#"{"Freed":{"layer":1024,"extents":[3,4]}}"#,
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -35,6 +35,24 @@
     (0u8..11, 0usize..8, 0usize..8).prop_map(|(kind, name, extent)| step(kind, name, extent))
 }
 
+/// Allocates slots of a layer.
+fn allocated(layer: LayerId, first: u32, count: u32) -> Change {
+    Change::SlotsAllocated {
+        layer,
+        first,
+        count,
+    }
+}
+
+/// Gives an extent its location in a layer.
+fn placed(layer: LayerId, extent: u32, location: Location) -> Change {
+    Change::ExtentPlaced {
+        layer,
+        extent,
+        location,
+    }
+}
+
 impl TreeModel {
     fn apply(&mut self, change: Change) {
         let before = self.tree.unreachable_extents();
@@ -84,22 +102,14 @@
             Some((layer, location)) if layer == head => location,
             from => {
                 let slot = self.tree.layers[&head].next_slot;
-                self.apply(Change::SlotsAllocated {
-                    layer: head,
-                    first: slot,
-                    count: 1,
-                });
+                self.apply(allocated(head, slot, 1));
                 let location = Location {
                     node: self.writes as u32 % 3,
                     slot,
                 };
                 let copied = from.map_or(0, |f| self.stored[&f]);
                 self.stored.insert((head, location), copied);
-                self.apply(Change::ExtentPlaced {
-                    layer: head,
-                    extent,
-                    location,
-                });
+                self.apply(placed(head, extent, location));
                 self.apply(Change::ExtentWritable {
                     layer: head,
                     extent,
@@ -213,6 +223,14 @@
     model
 }
 
+/// A model with this many slots for its branch, and the head of that.
+fn model_with_slots(count: u32) -> (TreeModel, LayerId) {
+    let mut model = model();
+    let layer = model.tree.branches["a"].head;
+    model.apply(allocated(layer, 0, count));
+    (model, layer)
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
@@ -292,16 +310,8 @@
     assert!(model.tree.snapshots.is_empty());
     // Clients continue in the new head, but copy nothing from layers that may still receive late writes.
     let head = model.tree.branches["a"].head;
-    model.apply(Change::SlotsAllocated {
-        layer: head,
-        first: 0,
-        count: 1,
-    });
-    let placed = Change::ExtentPlaced {
-        layer: head,
-        extent: 0,
-        location: Location { node: 2, slot: 0 },
-    };
+    model.apply(allocated(head, 0, 1));
+    let placed = placed(head, 0, Location { node: 2, slot: 0 });
     assert_eq!(
         model.tree.check(&placed),
         Err(ChangeError::LayerNotAccepting(1024))
@@ -362,24 +372,10 @@
 
 #[test]
 fn first_location_of_an_extent_wins() {
-    let mut model = model();
-    let layer = model.tree.branches["a"].head;
-    model.apply(Change::SlotsAllocated {
-        layer,
-        first: 0,
-        count: 9,
-    });
+    let (mut model, layer) = model_with_slots(9);
     let first = Location { node: 1, slot: 2 };
-    model.apply(Change::ExtentPlaced {
-        layer,
-        extent: 0,
-        location: first,
-    });
-    let second = Change::ExtentPlaced {
-        layer,
-        extent: 0,
-        location: Location { node: 2, slot: 7 },
-    };
+    model.apply(placed(layer, 0, first));
+    let second = placed(layer, 0, Location { node: 2, slot: 7 });
     assert_eq!(
         model.tree.check(&second),
         Err(ChangeError::AlreadyPlaced(first))
@@ -388,30 +384,11 @@
 
 #[test]
 fn slots_are_allocated_once_and_required() {
-    let mut model = model();
-    let layer = model.tree.branches["a"].head;
-    model.apply(Change::SlotsAllocated {
-        layer,
-        first: 0,
-        count: 9,
-    });
-    assert!(
-        model
-            .tree
-            .check(&Change::SlotsAllocated {
-                layer,
-                first: 8,
-                count: 1
-            })
-            .is_err()
-    );
+    let (mut model, layer) = model_with_slots(9);
+    assert!(model.tree.check(&allocated(layer, 8, 1)).is_err());
     let location = Location { node: 0, slot: 9 };
     assert_eq!(
-        model.tree.check(&Change::ExtentPlaced {
-            layer,
-            extent: 0,
-            location
-        }),
+        model.tree.check(&placed(layer, 0, location)),
         Err(ChangeError::OutOfRange)
     );
 }
@@ -532,27 +509,13 @@
                 extent_count: 1 << 20,
             },
         );
-        apply(
-            &mut tree,
-            Change::SlotsAllocated {
-                layer: 1024,
-                first: 0,
-                count: 1_000,
-            },
-        );
+        apply(&mut tree, allocated(1024, 0, 1_000));
         for extent in 0..1_000 {
             let location = Location {
                 node: extent % 6,
                 slot: extent,
             };
-            apply(
-                &mut tree,
-                Change::ExtentPlaced {
-                    layer: 1024,
-                    extent: extent * 1_000,
-                    location,
-                },
-            );
+            apply(&mut tree, placed(1024, extent * 1_000, location));
         }
         for _ in 0..snapshots {
             apply(&mut tree, Change::HeadFrozen { branch: "a".into() });
