--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -384,7 +384,7 @@
 
 #[test]
 fn slots_are_allocated_once_and_required() {
-    let (mut model, layer) = model_with_slots(9);
+    let (model, layer) = model_with_slots(9);
     assert!(model.tree.check(&allocated(layer, 8, 1)).is_err());
     let location = Location { node: 0, slot: 9 };
     assert_eq!(
