--- a/crates/change-log/src/lib.rs
+++ b/crates/change-log/src/lib.rs
@@ -1,6 +1,6 @@
-//! The change log of plans on disk: its entries, and now and then a checkpoint, which is the full state after one of
-//! them, so that opening reads few entries however long the log is. An entry for which `append` has returned is on disk after
-//! any crash.
+//! The change log of plans on disk: its entries and, at regular intervals, a checkpoint, which is the full state after
+//! an entry. Opening the store reads the last checkpoint and the entries after it, however long the log is. An entry
+//! for which `append` has returned is on disk after any crash.
 #![warn(missing_docs)]
 
 mod error;
@@ -11,6 +11,7 @@
 use mallowseam_plans::change_log::{ChangeLog, LogEntry};
 use mallowseam_plans::state::State;
 use redb::{ReadableTable, StorageBackend, TableDefinition, WriteTransaction};
+use std::ops::Bound;
 use std::path::Path;
 
 /// The text of each entry, by version.
@@ -20,6 +21,7 @@
 /// Names of the hosts that replicate the log: after a restart the service must wait also for those that have not
 /// connected yet.
 const MEMBERS: TableDefinition<&str, ()> = TableDefinition::new("members");
+/// The format of the store; no other one exists yet.
 const FORMAT: Format = Format {
     key: "plans",
     current: 1,
@@ -59,7 +61,7 @@
     }
 
     fn read(store: DurableStore) -> Result<ChangeLogStore, Error> {
-        let log = read_log(&store, u64::MAX)?;
+        let log = read_log(&store, Bound::Unbounded)?;
         Ok(ChangeLogStore { store, log })
     }
 
@@ -152,7 +154,7 @@
         if version > self.log.state.version {
             return Ok(None);
         }
-        read_log(&self.store, version).map(Some)
+        read_log(&self.store, Bound::Included(version)).map(Some)
     }
 
     /// Replays all entries from nothing and compares the result with every checkpoint and with the newest state.
@@ -192,20 +194,18 @@
 }
 
 /// The log up to a version, from the last checkpoint and the entries after it.
-fn read_log(store: &DurableStore, version: u64) -> Result<ChangeLog, Error> {
+fn read_log(store: &DurableStore, up_to: Bound<u64>) -> Result<ChangeLog, Error> {
     let transaction = store.begin_read()?;
     let mut log = ChangeLog::default();
-    if let Some(row) = transaction
-        .open_table(CHECKPOINTS)?
-        .range(..=version)?
-        .next_back()
-    {
+    let checkpoints = transaction.open_table(CHECKPOINTS)?;
+    if let Some(row) = checkpoints.range((Bound::Unbounded, up_to))?.next_back() {
         let (key, checkpoint) = row?;
         let (state, hash) = checkpoint.value();
         log = read_checkpoint(key.value(), state, hash)?;
     }
     let entries = transaction.open_table(ENTRIES)?;
-    for row in entries.range(log.state.version + 1..=version)? {
+    let after_checkpoint = Bound::Included(log.state.version + 1);
+    for row in entries.range((after_checkpoint, up_to))? {
         log.append(row?.1.value()).map_err(LogDamage::from)?;
     }
     Ok(log)
--- a/crates/change-log/tests/pinned_files.rs
+++ b/crates/change-log/tests/pinned_files.rs
@@ -2,7 +2,9 @@
 //! that was stored, takes further changes, and keeps the layout of its tables.
 use mallowseam_change_log::{CHECKPOINT_INTERVAL, ChangeLogStore};
 use mallowseam_plans::state::Change;
-use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
+use redb::{
+    Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle, WriteTransaction,
+};
 use std::path::{Path, PathBuf};
 
 const LINES: TableDefinition<u64, &str> = TableDefinition::new("lines");
@@ -120,6 +122,14 @@
     assert_eq!(CHECKPOINT_INTERVAL, 1_024);
 }
 
+/// Edits a file in one transaction, behind the back of the store.
+fn edit_file(path: &Path, edit: &dyn Fn(&WriteTransaction)) {
+    let db = Database::open(path).expect("there");
+    let write = db.begin_write().expect("open");
+    edit(&write);
+    write.commit().expect("kept");
+}
+
 #[test]
 fn error_texts() {
     let dir = tempfile::tempdir().expect("a directory");
@@ -135,56 +145,32 @@
     );
     assert_eq!(state(&store), STATE);
     drop(store);
-    let db = Database::open(&path).expect("there");
-    let write = db.begin_write().expect("open");
-    {
-        let mut states = write.open_table(STATES).expect("there");
-        states
-            .insert(
-                CHECKPOINT_INTERVAL,
-                (
-                    STATE
-                        .replace("1026", "1024")
-                        .replace("9000", "9001")
-                        .as_str(),
-                    "x",
-                ),
-            )
-            .expect("fits");
-    }
-    write.commit().expect("kept");
-    drop(db);
-    let why = ChangeLogStore::open(&path)
-        .expect_err("does not follow")
-        .to_string();
+    let altered = STATE.replace("1026", "1024").replace("9000", "9001");
+    let open_after = |edit: &dyn Fn(&WriteTransaction)| {
+        edit_file(&path, edit);
+        ChangeLogStore::open(&path)
+            .expect_err("damaged")
+            .to_string()
+    };
+    let set_state = |state: &str, hash: &str| {
+        open_after(&|write| {
+            let mut states = write.open_table(STATES).expect("there");
+            states
+                .insert(CHECKPOINT_INTERVAL, (state, hash))
+                .expect("fits");
+        })
+    };
     assert_eq!(
-        why,
+        set_state(&altered, "x"),
         "plan store is damaged: trail line 1025: does not follow the line before"
     );
-    let db = Database::open(&path).expect("there");
-    let write = db.begin_write().expect("open");
-    write
-        .open_table(STATES)
-        .expect("there")
-        .insert(CHECKPOINT_INTERVAL, (STATE, LAST))
-        .expect("fits");
-    write.commit().expect("kept");
-    drop(db);
-    let why = ChangeLogStore::open(&path)
-        .expect_err("wrong version")
-        .to_string();
-    assert_eq!(why, "plan store is damaged: state 1026 under 1024");
-    let db = Database::open(&path).expect("there");
-    let write = db.begin_write().expect("open");
-    write
-        .open_table(FORMATS)
-        .expect("there")
-        .insert("plans", 2)
-        .expect("fits");
-    write.commit().expect("kept");
-    drop(db);
-    let why = ChangeLogStore::open(&path)
-        .expect_err("unknown")
-        .to_string();
+    assert_eq!(
+        set_state(STATE, LAST),
+        "plan store is damaged: state 1026 under 1024"
+    );
+    let why = open_after(&|write| {
+        let mut formats = write.open_table(FORMATS).expect("there");
+        formats.insert("plans", 2).expect("fits");
+    });
     assert_eq!(why, "plan store is damaged: format 2, expected 1");
 }
