--- a/crates/durable-store/src/lib.rs
+++ b/crates/durable-store/src/lib.rs
@@ -31,6 +31,23 @@
     pub oldest: u64,
 }
 
+impl Format {
+    /// What the number in a file's row says; there is no row in a file without such a store.
+    fn recognize<D>(&self, found: Option<u64>) -> Result<StoredFormat, StoreError<D>> {
+        match found {
+            None => Ok(StoredFormat::Missing),
+            Some(found) if found == self.current => Ok(StoredFormat::Current),
+            Some(found) if (self.oldest..self.current).contains(&found) => {
+                Ok(StoredFormat::Older(found))
+            }
+            Some(found) => Err(StoreError::UnknownFormat {
+                found,
+                expected: self.current,
+            }),
+        }
+    }
+}
+
 /// The format in which a file was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredFormat {
@@ -46,7 +63,7 @@
 #[derive(Debug)]
 pub struct DurableStore {
     database: Database,
-    /// A guarded transaction has failed: it may be on disk although the copy in memory does not include it.
+    /// A guarded transaction has failed. It may be on disk, while the caller's copy in memory does not include it.
     is_poisoned: bool,
 }
 
@@ -91,19 +108,7 @@
         {
             let mut formats = transaction.open_table(FORMATS)?;
             let found = formats.get(format.key)?.map(|row| row.value());
-            let stored = match found {
-                None => StoredFormat::Missing,
-                Some(found) if found == format.current => StoredFormat::Current,
-                Some(found) if (format.oldest..format.current).contains(&found) => {
-                    StoredFormat::Older(found)
-                }
-                Some(found) => {
-                    return Err(StoreError::UnknownFormat {
-                        found,
-                        expected: format.current,
-                    });
-                }
-            };
+            let stored = format.recognize(found)?;
             prepare(&transaction, stored)?;
             if stored != StoredFormat::Current {
                 formats.insert(format.key, format.current)?;
@@ -150,6 +155,7 @@
         write: impl FnOnce(&WriteTransaction) -> Result<(), StoreError<D>>,
     ) -> Result<(), StoreError<D>> {
         self.check_not_poisoned()?;
+        // Reset only after the commit, so that each way out by an error leaves the store poisoned.
         self.is_poisoned = true;
         self.write(write)?;
         self.is_poisoned = false;
