--- a/crates/snapshot-catalog/src/lib.rs
+++ b/crates/snapshot-catalog/src/lib.rs
@@ -4,44 +4,48 @@
 //!
 //! - `rows`: the tables, and which rows a batch has to write.
 //! - `load`: the tree from the tables.
+//! - `staged_batch`: the changes of the next commit.
+//! - `recent_changes`: the last changes on disk.
 //! - `format_1`: conversion of files of the first format.
 #![warn(missing_docs)]
 
 mod error;
 mod format_1;
 mod load;
+mod recent_changes;
 mod rows;
+mod staged_batch;
 
 pub use error::{CatalogDamage, Error};
 
+use mallowseam_cow::messages::NO_CATALOG;
 use mallowseam_cow::tree::{Change, ChangeEffects, ChangeError, Tree};
 use mallowseam_durable_store::{DurableStore, Format, StoredFormat};
+use recent_changes::RecentChanges;
 use redb::{StorageBackend, WriteTransaction};
 use rows::DirtyRows;
-use std::collections::VecDeque;
+use staged_batch::StagedBatch;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::path::Path;
 
+/// The format of the store: one row for each record of the tree. Format 1 is converted.
 const FORMAT: Format = Format {
     key: "catalog",
     current: 2,
     oldest: format_1::FORMAT,
 };
-/// Changes retained for hosts that reconnect after a short interruption: some seconds of first writes.
-const MAX_RECENT_CHANGES: usize = 4_096;
 
 /// An open catalog.
 #[derive(Debug)]
 pub struct Catalog {
     store: DurableStore,
     id: u64,
+    /// The tree after all staged changes.
     tree: Tree,
+    /// The version of the tree that is on disk.
     committed_version: u64,
-    /// Changes that are not on disk yet, and the rows that they affect.
-    staged: Vec<Change>,
-    dirty: DirtyRows,
-    /// The last changes on disk.
-    recent: VecDeque<Change>,
+    staged: StagedBatch,
+    recent: RecentChanges,
 }
 
 /// The changes of one commit.
@@ -83,9 +87,8 @@
             id,
             committed_version: tree.version,
             tree,
-            staged: Vec::new(),
-            dirty: DirtyRows::default(),
-            recent: VecDeque::new(),
+            staged: StagedBatch::default(),
+            recent: RecentChanges::default(),
         })
     }
 
@@ -114,8 +117,7 @@
     /// The change does not fit the tree, which is unchanged then.
     pub fn stage(&mut self, change: Change) -> Result<ChangeEffects, ChangeError> {
         let effects = self.tree.apply(&change)?;
-        self.dirty.add(&effects);
-        self.staged.push(change);
+        self.staged.add(change, &effects);
         Ok(effects)
     }
 
@@ -134,16 +136,13 @@
                 changes: Vec::new(),
             });
         }
-        let Catalog {
-            store, tree, dirty, ..
-        } = self;
-        store.write_or_poison(|transaction| dirty.write(transaction, tree))?;
+        let staged = &self.staged;
+        let tree = &self.tree;
+        self.store
+            .write_or_poison(|transaction| staged.write(transaction, tree))?;
         self.committed_version = self.tree.version;
-        self.dirty = DirtyRows::default();
-        let changes = std::mem::take(&mut self.staged);
-        self.recent.extend(changes.iter().cloned());
-        self.recent
-            .drain(..self.recent.len().saturating_sub(MAX_RECENT_CHANGES));
+        let changes = std::mem::take(&mut self.staged).into_changes();
+        self.recent.extend(&changes);
         Ok(CommittedBatch {
             first_version,
             changes,
@@ -155,11 +154,7 @@
     #[must_use]
     pub fn changes_since(&self, version: u64) -> Option<impl Iterator<Item = (u64, &Change)>> {
         let missing = self.committed_version.checked_sub(version)?;
-        let from = self
-            .recent
-            .len()
-            .checked_sub(usize::try_from(missing).ok()?)?;
-        Some((version + 1..).zip(self.recent.range(from..)))
+        Some((version + 1..).zip(self.recent.last(missing)?))
     }
 }
 
@@ -174,7 +169,9 @@
     rows::write_id(transaction, random_id())
 }
 
-/// A random id other than 0. It is not derived from the clock or the path: two catalogs that are created at the same time differ.
+/// A random id other than [`NO_CATALOG`]. It is not derived from the clock or the path, so that two catalogs that are
+/// created at the same time differ.
 fn random_id() -> u64 {
-    RandomState::new().build_hasher().finish().max(1)
+    let drawn = RandomState::new().build_hasher().finish();
+    drawn.max(NO_CATALOG + 1)
 }
--- a/crates/snapshot-catalog/src/load.rs
+++ b/crates/snapshot-catalog/src/load.rs
@@ -6,32 +6,38 @@
 use crate::{CatalogDamage, Error};
 use mallowseam_cow::tree::{ExtentLocation, Layer, LayerId, Location, Tree, TreeData};
 use mallowseam_durable_store::DurableStore;
-use redb::{ReadTransaction, ReadableTable};
+use redb::{ReadOnlyTable, ReadTransaction, ReadableTable};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
 /// The id of the catalog, and its tree.
 pub(crate) fn load(store: &DurableStore) -> Result<(u64, Tree), Error> {
     let transaction = store.begin_read()?;
-    let counters = transaction.open_table(COUNTERS)?;
-    let counter = |name: &'static str| -> Result<u64, Error> {
-        Ok(counters
-            .get(name)?
-            .ok_or(CatalogDamage::MissingCounter(name))?
-            .value())
-    };
-    let small_counter = |name: &'static str| -> Result<u32, Error> {
-        Ok(u32::try_from(counter(name)?).map_err(CatalogDamage::from)?)
-    };
+    let counters = Counters(transaction.open_table(COUNTERS)?);
     let data = TreeData {
-        version: counter(VERSION)?,
-        layers_created: small_counter(LAYERS_CREATED)?,
-        luns_assigned: small_counter(LUNS_ASSIGNED)?,
+        version: counters.get(VERSION)?,
+        layers_created: counters.get_small(LAYERS_CREATED)?,
+        luns_assigned: counters.get_small(LUNS_ASSIGNED)?,
         layers: load_layers(&transaction)?,
         branches: load_named(&transaction.open_table(BRANCHES)?)?,
         snapshots: load_named(&transaction.open_table(SNAPSHOTS)?)?,
     };
-    Ok((counter(ID)?, data.into()))
+    Ok((counters.get(ID)?, data.into()))
+}
+
+/// The table of the counters.
+struct Counters(ReadOnlyTable<&'static str, u64>);
+
+impl Counters {
+    fn get(&self, name: &'static str) -> Result<u64, Error> {
+        let row = self.0.get(name)?;
+        Ok(row.ok_or(CatalogDamage::MissingCounter(name))?.value())
+    }
+
+    /// A counter whose values have 32 bits.
+    fn get_small(&self, name: &'static str) -> Result<u32, Error> {
+        Ok(u32::try_from(self.get(name)?).map_err(CatalogDamage::from)?)
+    }
 }
 
 fn load_layers(transaction: &ReadTransaction) -> Result<BTreeMap<LayerId, Layer>, Error> {
@@ -39,49 +45,56 @@
     for row in transaction.open_table(LAYERS)?.iter()? {
         let (id, bytes) = row?;
         let row: LayerRow = decode(bytes.value())?;
-        let (parent, frozen, next_slot, closed_nodes) = row;
-        layers.insert(
-            id.value(),
-            Layer {
-                parent,
-                frozen,
-                next_slot,
-                closed_nodes,
-                ..Layer::default()
-            },
-        );
+        layers.insert(id.value(), row.into_layer());
     }
-    // Rows are in order of layers and extents: collecting those of one layer first builds its maps in bulk.
-    let mut run: (LayerId, Vec<ExtentLocation>) = (0, Vec::new());
+    load_locations(transaction, &mut layers)?;
+    Ok(layers)
+}
+
+/// The locations of one layer, in order of extents.
+struct LayerLocations {
+    layer: LayerId,
+    entries: Vec<ExtentLocation>,
+}
+
+/// Adds the locations to the layers. Rows are in order of layers and extents: collecting those of one layer first
+/// builds its maps in bulk.
+fn load_locations(
+    transaction: &ReadTransaction,
+    layers: &mut BTreeMap<LayerId, Layer>,
+) -> Result<(), Error> {
+    let mut collected: Option<LayerLocations> = None;
     for row in transaction.open_table(LOCATIONS)?.iter()? {
         let (key, value) = row?;
-        let ((layer, extent), (node, slot, writable)) = (key.value(), value.value());
-        if layer != run.0 {
-            add_locations(
-                &mut layers,
-                std::mem::replace(&mut run, (layer, Vec::new())),
-            )?;
+        let (layer, extent) = key.value();
+        let (node, slot, writable) = value.value();
+        if let Some(complete) = collected.take_if(|collected| collected.layer != layer) {
+            add_locations(layers, complete)?;
         }
-        run.1.push(ExtentLocation {
+        let collected = collected.get_or_insert_with(|| LayerLocations {
+            layer,
+            entries: Vec::new(),
+        });
+        collected.entries.push(ExtentLocation {
             extent,
             location: Location { node, slot },
             writable,
         });
     }
-    add_locations(&mut layers, run)?;
-    Ok(layers)
+    if let Some(complete) = collected {
+        add_locations(layers, complete)?;
+    }
+    Ok(())
 }
 
 fn add_locations(
     layers: &mut BTreeMap<LayerId, Layer>,
-    (id, entries): (LayerId, Vec<ExtentLocation>),
+    locations: LayerLocations,
 ) -> Result<(), CatalogDamage> {
-    if entries.is_empty() {
-        return Ok(());
-    }
+    let LayerLocations { layer, entries } = locations;
     let layer = layers
-        .get_mut(&id)
-        .ok_or(CatalogDamage::LocationsWithoutLayer(id))?;
+        .get_mut(&layer)
+        .ok_or(CatalogDamage::LocationsWithoutLayer(layer))?;
     layer.writable = entries
         .iter()
         .filter(|entry| entry.writable)
--- a/crates/snapshot-catalog/src/rows.rs
+++ b/crates/snapshot-catalog/src/rows.rs
@@ -3,7 +3,7 @@
 use crate::Error;
 use mallowseam_cow::tree::{ChangeEffects, Layer, LayerExtent, LayerId, Tree};
 use redb::{Table, TableDefinition, WriteTransaction};
-use serde::Serialize;
+use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Counters by name; see below.
@@ -27,10 +27,60 @@
 /// Snapshots by `branch@name`, as JSON.
 pub(crate) const SNAPSHOTS: TableDefinition<&str, &[u8]> = TableDefinition::new("snapshots");
 
-/// The stored part of a layer, but for its locations: parent, whether it is frozen, next slot, closed nodes.
-pub(crate) type LayerRow = (Option<LayerId>, bool, u32, BTreeSet<u32>);
+/// The fields of a [`LayerRow`] as they are stored: a JSON array.
+type LayerFields = (Option<LayerId>, bool, u32, BTreeSet<u32>);
 
-/// Rows that a batch of changes affects. They are written as the tree has them by then, or deleted.
+/// The stored part of a layer, but for its locations.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(from = "LayerFields", into = "LayerFields")]
+pub(crate) struct LayerRow {
+    parent: Option<LayerId>,
+    frozen: bool,
+    next_slot: u32,
+    closed_nodes: BTreeSet<u32>,
+}
+
+impl From<LayerFields> for LayerRow {
+    fn from((parent, frozen, next_slot, closed_nodes): LayerFields) -> LayerRow {
+        LayerRow {
+            parent,
+            frozen,
+            next_slot,
+            closed_nodes,
+        }
+    }
+}
+
+impl From<LayerRow> for LayerFields {
+    fn from(row: LayerRow) -> LayerFields {
+        (row.parent, row.frozen, row.next_slot, row.closed_nodes)
+    }
+}
+
+impl LayerRow {
+    fn of(layer: &Layer) -> LayerRow {
+        LayerRow {
+            parent: layer.parent,
+            frozen: layer.frozen,
+            next_slot: layer.next_slot,
+            closed_nodes: layer.closed_nodes.clone(),
+        }
+    }
+
+    /// The layer, without its locations.
+    pub(crate) fn into_layer(self) -> Layer {
+        Layer {
+            parent: self.parent,
+            frozen: self.frozen,
+            next_slot: self.next_slot,
+            closed_nodes: self.closed_nodes,
+            ..Layer::default()
+        }
+    }
+}
+
+/// Rows that a batch of changes affects. When the batch is written, each of them is written as the tree has it at that
+/// time, or deleted if the tree no longer has it.
 #[derive(Debug, Default)]
 pub(crate) struct DirtyRows {
     layers: BTreeSet<LayerId>,
@@ -50,17 +100,13 @@
 
     /// All rows of a tree.
     pub(crate) fn all(tree: &Tree) -> DirtyRows {
-        let extents = |(id, layer): (&LayerId, &Layer)| {
-            let id = *id;
-            layer
-                .locations
-                .keys()
-                .map(move |extent| (id, *extent))
-                .collect::<Vec<_>>()
-        };
+        let mut locations = BTreeSet::new();
+        for (id, layer) in &tree.layers {
+            locations.extend(layer.locations.keys().map(|extent| (*id, *extent)));
+        }
         DirtyRows {
             layers: tree.layers.keys().copied().collect(),
-            locations: tree.layers.iter().flat_map(extents).collect(),
+            locations,
             branches: tree.branches.keys().cloned().collect(),
             snapshots: tree.snapshots.keys().cloned().collect(),
         }
@@ -122,13 +168,7 @@
 
 /// A [`LayerRow`] as JSON.
 fn layer_row(layer: &Layer) -> Result<Vec<u8>, Error> {
-    let row = (
-        layer.parent,
-        layer.frozen,
-        layer.next_slot,
-        &layer.closed_nodes,
-    );
-    serde_json::to_vec(&row).map_err(Error::Encode)
+    serde_json::to_vec(&LayerRow::of(layer)).map_err(Error::Encode)
 }
 
 fn location_row(tree: &Tree, (layer, extent): LayerExtent) -> Option<(u32, u32, bool)> {
--- a/crates/snapshot-catalog/tests/pinned_files.rs
+++ b/crates/snapshot-catalog/tests/pinned_files.rs
@@ -78,11 +78,10 @@
     (key.to_owned(), value.to_owned())
 }
 
-/// The layout of a stored catalog after the same changes as `FORMAT_2_TREE` and those of the test below.
-fn check_rows(path: &Path) {
-    let db = Database::open(path).expect("there");
+/// The tables and the format number of a file of format 2.
+fn check_format_2(db: &Database) {
     assert_eq!(
-        tables(&db),
+        tables(db),
         [
             "branches",
             "counts",
@@ -92,7 +91,13 @@
             "snapshots"
         ]
     );
-    assert_eq!(numbers(&db, FORMATS), [("catalog".to_owned(), 2)]);
+    assert_eq!(numbers(db, FORMATS), [("catalog".to_owned(), 2)]);
+}
+
+/// The layout of a stored catalog after the same changes as `FORMAT_2_TREE` and those of the test below.
+fn check_rows(path: &Path) {
+    let db = Database::open(path).expect("there");
+    check_format_2(&db);
     let counts = [
         ("catalog", FORMAT_2_ID),
         ("made", 7),
@@ -224,18 +229,7 @@
     let tree = catalog.tree().clone();
     drop(catalog);
     let db = Database::open(&path).expect("there");
-    assert_eq!(
-        tables(&db),
-        [
-            "branches",
-            "counts",
-            "format",
-            "layers",
-            "places",
-            "snapshots"
-        ]
-    );
-    assert_eq!(numbers(&db, FORMATS), [("catalog".to_owned(), 2)]);
+    check_format_2(&db);
     drop(db);
     let catalog = Catalog::open(&path).expect("valid");
     assert_eq!((catalog.tree(), catalog.id()), (&tree, id));
