--- /dev/null
+++ b/crates/connection-policy/src/admission/connections.rs
@@ -0,0 +1,93 @@
+//! The open connections of a host.
+use super::ConnectionIndex;
+use super::draining::HostState;
+use super::session::Session;
+use super::timeouts::{ConnectionState, ConnectionTimeouts, TimeoutAction};
+use crate::Millis;
+use std::num::NonZeroU16;
+
+/// One connection.
+pub(super) struct Connection {
+    /// None: its login is not finished.
+    pub(super) session: Option<Session>,
+    pub(super) timeouts: ConnectionTimeouts,
+}
+
+impl Connection {
+    /// What is due for the connection now.
+    pub(super) fn check_timeouts(
+        &mut self,
+        now: Millis,
+        state: ConnectionState,
+        host: HostState,
+    ) -> TimeoutAction {
+        if state.unsent_bytes == 0 {
+            self.timeouts.nothing_unsent(now);
+        }
+        if self.session.is_some() {
+            self.timeouts.check_session(now, state, host)
+        } else {
+            self.timeouts.check_login(now, host)
+        }
+    }
+}
+
+/// The connections by their index.
+#[derive(Default)]
+pub(super) struct Connections {
+    slots: Vec<Option<Connection>>,
+    /// Slots that hold a connection.
+    count: usize,
+}
+
+impl Connections {
+    pub(super) fn count(&self) -> usize {
+        self.count
+    }
+
+    /// Adds a connection, in place of the one that had the index.
+    pub(super) fn insert(&mut self, index: ConnectionIndex, now: Millis) {
+        if self.slots.len() <= index {
+            self.slots.resize_with(index + 1, || None);
+        }
+        let connection = Connection {
+            session: None,
+            timeouts: ConnectionTimeouts::new(now),
+        };
+        if self.slots[index].replace(connection).is_none() {
+            self.count += 1;
+        }
+    }
+
+    pub(super) fn remove(&mut self, index: ConnectionIndex) {
+        let slot = self.slots.get_mut(index);
+        if slot.and_then(Option::take).is_some() {
+            self.count -= 1;
+        }
+    }
+
+    pub(super) fn get_mut(&mut self, index: ConnectionIndex) -> Option<&mut Connection> {
+        self.slots.get_mut(index)?.as_mut()
+    }
+
+    /// The first connection other than `index` with a session of an initiator port.
+    pub(super) fn other_session_of(
+        &self,
+        index: ConnectionIndex,
+        initiator: &str,
+        isid: [u8; 6],
+    ) -> Option<ConnectionIndex> {
+        self.sessions()
+            .find(|(other, session)| *other != index && session.is_of(initiator, isid))
+            .map(|(other, _)| other)
+    }
+
+    pub(super) fn is_handle_in_use(&self, handle: NonZeroU16) -> bool {
+        self.sessions().any(|(_, session)| session.handle == handle)
+    }
+
+    fn sessions(&self) -> impl Iterator<Item = (ConnectionIndex, &Session)> {
+        let slots = self.slots.iter().enumerate();
+        slots.filter_map(|(index, slot)| Some((index, slot.as_ref()?.session.as_ref()?)))
+    }
+}
--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -2,6 +2,7 @@
 //! evicted when there are too many. Decisions on a request itself are the scheduler's once it was admitted.
 use crate::Millis;
 use crate::graceful_shutdown::GracefulShutdown;
+use crate::rejection_backoff::RejectionBackoff;
 
 /// Milliseconds from connecting to the first complete request, and from a later request's first byte to its
 /// last. Clients send a request at once; the platform requires that a connection which does not is closed or
@@ -22,14 +23,6 @@
 pub const LINGER_TIMEOUT: Millis = 500;
 /// Bytes that a client may still send on a closed connection before it is reset.
 pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Milliseconds before the next request is read after a rejected one, doubled by each further one: a client that
-/// retries at once costs little.
-const REJECTION_BACKOFF: Millis = 50;
-/// Longest backoff, in milliseconds.
-const MAX_REJECTION_BACKOFF: Millis = 1_600;
-/// Rejections after which the backoff is not doubled any more. Keeps the shift within the type.
-const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-
 /// What a connection is occupied with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -74,8 +67,7 @@
 pub struct ClientConnection {
     phase: Phase,
     phase_began: Millis,
-    consecutive_rejections: u32,
-    read_after: Millis,
+    rejections: RejectionBackoff,
     discarded_bytes: usize,
 }
 
@@ -86,8 +78,7 @@
         ClientConnection {
             phase: Phase::AwaitingFirstRequest,
             phase_began: now,
-            consecutive_rejections: 0,
-            read_after: 0,
+            rejections: RejectionBackoff::default(),
             discarded_bytes: 0,
         }
     }
@@ -114,14 +105,12 @@
 
     /// A request was rejected; the next one is read after a backoff.
     pub fn request_rejected(&mut self, now: Millis) {
-        let doublings = self.consecutive_rejections.min(MAX_BACKOFF_DOUBLINGS);
-        self.read_after = now + (REJECTION_BACKOFF << doublings).min(MAX_REJECTION_BACKOFF);
-        self.consecutive_rejections += 1;
+        self.rejections.request_rejected(now);
     }
 
     /// A request was accepted, which resets the backoff.
     pub fn request_accepted(&mut self) {
-        self.consecutive_rejections = 0;
+        self.rejections.request_accepted();
     }
 
     /// Whether its next request is read now.
@@ -131,7 +120,7 @@
             self.phase,
             Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle
         );
-        now >= self.read_after && awaits_request
+        awaits_request && self.rejections.has_passed(now)
     }
 
     /// Bytes were received after its end and discarded. True: it has sent so many that it is to be reset.
@@ -178,9 +167,10 @@
     since_poll > POLL_RESULT_LIFETIME
 }
 
-/// Which connection is evicted for a new one: one that is finished, then the longest idle of those idle for
-/// long, then the one that has waited longest for its first request, then the longest idle. So clients that send
-/// nothing, or stay connected after one request, evict only each other.
+/// Which connection is evicted for a new one. In this order: one that lingers; one that has been idle for
+/// [`EVICTABLE_AFTER_IDLE`]; one that awaits its first request; one that is idle. Among several, the one that has been
+/// in its phase for the longest time. So clients that send nothing, or stay connected after one request, evict only
+/// each other.
 ///
 /// `connections`: index and state of those that were checked and had nothing to read. None: nothing may be
 /// evicted, and the new connection is closed at once.
--- a/crates/connection-policy/src/command_progress.rs
+++ b/crates/connection-policy/src/command_progress.rs
@@ -1,7 +1,8 @@
 //! How the outcomes of a command's sub-requests make one answer.
 //!
-//! A command has completed once all its sub-requests have. The first that is shed or fails decides the answer at
-//! once. A command is shed only where retrying all of it is harmless: no non-idempotent sub-request may have run.
+//! A command has completed once all its sub-requests have. The first sub-request that is shed or fails decides the
+//! answer at once. The answer is "shed" only if the client may retry the whole command without harm, that is, if no
+//! non-idempotent sub-request may have run; otherwise it is "failed".
 
 /// Outcome of a sub-request, or of a whole command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/connection-policy/src/keep_alive.rs
+++ b/crates/connection-policy/src/keep_alive.rs
@@ -31,17 +31,18 @@
     idle_timeout: Millis,
     max_idle_timeout: Millis,
     last_change: Millis,
+    /// When a rejection last counted. It starts as the zero of the caller's clock: the first rejection counts once the
+    /// clock shows [`REJECTION_INTERVAL`].
     last_rejection: Millis,
 }
 
 impl KeepAlivePolicy {
-    /// `node_idle_timeout`: milliseconds after which a node closes an idle connection at the latest; 0: unknown.
+    /// `node_idle_timeout`: milliseconds after which a node closes an idle connection at the latest, if that is known.
     #[must_use]
-    pub fn new(node_idle_timeout: Millis, now: Millis) -> Self {
-        let max_idle_timeout = if node_idle_timeout > 0 {
-            node_idle_timeout / NODE_TIMEOUT_DIVISOR
-        } else {
-            DEFAULT_IDLE_TIMEOUT
+    pub fn new(node_idle_timeout: Option<Millis>, now: Millis) -> Self {
+        let max_idle_timeout = match node_idle_timeout {
+            Some(node_idle_timeout) => node_idle_timeout / NODE_TIMEOUT_DIVISOR,
+            None => DEFAULT_IDLE_TIMEOUT,
         };
         KeepAlivePolicy {
             idle_timeout: max_idle_timeout,
--- a/crates/connection-policy/src/lib.rs
+++ b/crates/connection-policy/src/lib.rs
@@ -13,6 +13,7 @@
 //!
 //! For clients that send one request at a time (HTTP):
 //! - [`client_connection`]: timeouts of a connection, and which one is evicted when there are too many.
+//! - `rejection_backoff`: when the next request of a client is read after a rejected one.
 //! - [`graceful_shutdown`]: until when a host that shuts down admits requests.
 //! - [`resource_budget`]: how descriptors and memory are divided.
 //! - [`keep_alive`]: which idle connections to nodes are kept and reused.
@@ -37,6 +38,7 @@
 pub mod graceful_shutdown;
 pub mod keep_alive;
 pub mod node_connection;
+mod rejection_backoff;
 pub mod request_splitting;
 pub mod resource_budget;
 pub mod watch_liveness;
--- a/crates/connection-policy/src/request_splitting.rs
+++ b/crates/connection-policy/src/request_splitting.rs
@@ -2,6 +2,7 @@
 //!
 //! A command may cross extents, ordering keys and classification rules; each sub-request is within one of
 //! each.
+use std::num::NonZeroU64;
 
 /// A contiguous range of a volume's blocks that one shard stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,11 +30,26 @@
     pub last_block: u64,
     /// Index of the I/O class.
     pub class: u16,
-    /// Blocks that share an ordering key; 0: requests have no ordering key.
-    pub blocks_per_key: u64,
+    /// Blocks that share an ordering key. None: requests have no ordering key.
+    pub blocks_per_key: Option<NonZeroU64>,
+}
+
+/// The ordering key of a block, and the first block after it that has another one.
+struct OrderingKey {
+    number: u64,
+    end: u64,
 }
 
 impl ClassRule {
+    fn ordering_key(&self, block: u64) -> Option<OrderingKey> {
+        let blocks_per_key = self.blocks_per_key?.get();
+        let number = block / blocks_per_key;
+        Some(OrderingKey {
+            number,
+            end: (number + 1).saturating_mul(blocks_per_key),
+        })
+    }
+
     fn matches(&self, write: bool) -> bool {
         if write {
             self.matches_writes
@@ -104,18 +120,15 @@
             let (rule, rule_end) = self
                 .rule_of(write, block, extent_end)
                 .ok_or(OutsideLayout)?;
-            let ordering_key = block.checked_div(rule.blocks_per_key);
-            let until = match ordering_key {
-                Some(key) => rule_end.min((key + 1).saturating_mul(rule.blocks_per_key)),
-                None => rule_end,
-            };
+            let key = rule.ordering_key(block);
+            let until = key.as_ref().map_or(rule_end, |key| rule_end.min(key.end));
             sub_requests.push(SubRequest {
                 offset: (block - lba) as u32,
                 blocks: (until - block) as u32,
                 shard: extent.shard,
                 node_lba: extent.first_node_block + (block - extent.first_block),
                 class: rule.class,
-                ordering_key,
+                ordering_key: key.map(|key| key.number),
             });
             block = until;
         }
@@ -131,10 +144,11 @@
         let following = self
             .extents
             .partition_point(|extent| extent.first_block <= block);
-        following.checked_sub(1).map(|index| self.extents[index])
+        self.extents.get(following.checked_sub(1)?).copied()
     }
 
-    /// The rule that applies to a block, and where it ceases to, `end` at the latest.
+    /// The first rule that applies to a block, and the first later block that it does not decide about, `end` at the
+    /// latest.
     fn rule_of(&self, write: bool, block: u64, end: u64) -> Option<(&ClassRule, u64)> {
         let mut until = end;
         for rule in self.rules.iter().filter(|rule| rule.matches(write)) {
--- a/crates/connection-policy/tests/admission.rs
+++ b/crates/connection-policy/tests/admission.rs
@@ -1,4 +1,5 @@
 //! Admission of logins, timeouts of sessions, and draining.
+use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::admission::{
     AdmissionController, CloseReason, ConnectionState, LOGIN_TIMEOUT, LOGOUT_TIMEOUT,
     LoginRejection, MAX_UNSENT_BYTES, PING_INTERVAL, STALL_TIMEOUT, TimeoutAction,
@@ -26,6 +27,23 @@
     admission
 }
 
+/// Connection 0 is kept in the first state, and closed for a reason in the second, each at its time.
+fn assert_kept_and_closed(
+    admission: &mut AdmissionController,
+    (kept_at, kept): (Millis, ConnectionState),
+    (closed_at, closed): (Millis, ConnectionState),
+    reason: CloseReason,
+) {
+    assert_eq!(
+        admission.check_timeouts(0, kept_at, kept),
+        TimeoutAction::Nothing
+    );
+    assert_eq!(
+        admission.check_timeouts(0, closed_at, closed),
+        TimeoutAction::Close(reason)
+    );
+}
+
 #[test]
 fn unfinished_login_times_out_and_finished_login_does_not() {
     let mut admission = controller_with_session();
@@ -111,15 +129,9 @@
     };
     assert!(admission.may_read(MAX_UNSENT_BYTES - 1) && !admission.may_read(MAX_UNSENT_BYTES));
     admission.bytes_sent(0, 4_000);
-    assert_eq!(
-        admission.check_timeouts(0, 4_000 + STALL_TIMEOUT - 1, unsent),
-        TimeoutAction::Nothing
-    );
-    let closed = TimeoutAction::Close(CloseReason::WriteTimeout);
-    assert_eq!(
-        admission.check_timeouts(0, 4_000 + STALL_TIMEOUT, unsent),
-        closed
-    );
+    let limit = 4_000 + STALL_TIMEOUT;
+    let reason = CloseReason::WriteTimeout;
+    assert_kept_and_closed(&mut admission, (limit - 1, unsent), (limit, unsent), reason);
 }
 
 #[test]
@@ -130,15 +142,9 @@
         ..BUSY
     };
     admission.bytes_received(0, 1_000);
-    assert_eq!(
-        admission.check_timeouts(0, 1_000 + STALL_TIMEOUT, IDLE),
-        TimeoutAction::Nothing
-    );
-    let closed = TimeoutAction::Close(CloseReason::IncompletePdu);
-    assert_eq!(
-        admission.check_timeouts(0, 1_000 + STALL_TIMEOUT, incomplete),
-        closed
-    );
+    let limit = 1_000 + STALL_TIMEOUT;
+    let reason = CloseReason::IncompletePdu;
+    assert_kept_and_closed(&mut admission, (limit, IDLE), (limit, incomplete), reason);
 }
 
 #[test]
@@ -174,15 +180,9 @@
     assert_eq!(login, Err(LoginRejection::Draining));
     let no_login = TimeoutAction::Close(CloseReason::LoginTimeout);
     assert_eq!(admission.check_timeouts(1, 101, IDLE), no_login);
-    assert_eq!(
-        admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, BUSY),
-        TimeoutAction::Nothing
-    );
-    let drained = TimeoutAction::Close(CloseReason::Drained);
-    assert_eq!(
-        admission.check_timeouts(0, 100 + LOGOUT_TIMEOUT, IDLE),
-        drained
-    );
+    let limit = 100 + LOGOUT_TIMEOUT;
+    let reason = CloseReason::Drained;
+    assert_kept_and_closed(&mut admission, (limit, BUSY), (limit, IDLE), reason);
     assert!(admission.admits_commands(99 + LOGOUT_TIMEOUT));
     assert!(!admission.admits_commands(100 + LOGOUT_TIMEOUT));
     admission.stop_draining();
@@ -192,3 +192,29 @@
         TimeoutAction::Nothing
     );
 }
+
+#[test]
+fn time_before_the_login_does_not_count_as_a_stall() {
+    let mut admission = controller_with_session();
+    assert!(admission.admit_connection(1, 0));
+    let before_login = LOGIN_TIMEOUT - 1;
+    assert_eq!(
+        admission.check_timeouts(1, before_login, IDLE),
+        TimeoutAction::Nothing
+    );
+    admission
+        .login(1, "iqn.b", Some("iqn.t"), [1; 6], 0)
+        .expect("open");
+    let unsent = ConnectionState {
+        unsent_bytes: 9,
+        ..BUSY
+    };
+    assert_eq!(
+        admission.check_timeouts(1, STALL_TIMEOUT, unsent),
+        TimeoutAction::Nothing
+    );
+    assert_eq!(
+        admission.check_timeouts(1, before_login + STALL_TIMEOUT, unsent),
+        TimeoutAction::Close(CloseReason::WriteTimeout)
+    );
+}
--- a/crates/connection-policy/tests/keep_alive.rs
+++ b/crates/connection-policy/tests/keep_alive.rs
@@ -24,10 +24,13 @@
 
 #[test]
 fn idle_connection_expires_well_before_its_node_closes_it() {
-    assert_eq!(KeepAlivePolicy::new(30_000, 0).idle_timeout(99), 15_000);
+    assert_eq!(
+        KeepAlivePolicy::new(Some(30_000), 0).idle_timeout(99),
+        15_000
+    );
     assert_eq!(reusability(14_999, 15_000), Reusability::Reusable);
     assert_eq!(reusability(15_000, 15_000), Reusability::Expired);
-    let unknown = KeepAlivePolicy::new(0, 0).idle_timeout(99);
+    let unknown = KeepAlivePolicy::new(None, 0).idle_timeout(99);
     assert_eq!(
         unknown, DEFAULT_IDLE_TIMEOUT,
         "where the settings name no time"
@@ -36,7 +39,7 @@
 
 #[test]
 fn lost_connections_lower_the_idle_timeout_until_none_is_lost() {
-    let mut policy = KeepAlivePolicy::new(30_000, 0);
+    let mut policy = KeepAlivePolicy::new(Some(30_000), 0);
     policy.connection_lost(400, 1, 1_000);
     assert_eq!(policy.idle_timeout(1_000), 200);
     policy.connection_lost(120, 0, 2_000);
@@ -54,7 +57,7 @@
 
 #[test]
 fn rejected_new_connections_halve_the_idle_timeout_once_a_second() {
-    let mut policy = KeepAlivePolicy::new(30_000, 0);
+    let mut policy = KeepAlivePolicy::new(Some(30_000), 0);
     for now in [5_000, 5_010, 5_999, 6_000, 7_100] {
         policy.new_connection_rejected(now);
     }
@@ -70,7 +73,7 @@
 
 #[test]
 fn reset_of_a_running_request_or_fresh_connection_is_no_lost_idle_connection() {
-    let mut policy = KeepAlivePolicy::new(30_000, 0);
+    let mut policy = KeepAlivePolicy::new(Some(30_000), 0);
     policy.connection_lost(400, RESET_WITHIN + 1, 10);
     policy.connection_lost(MIN_IDLE_TIMEOUT - 1, 0, 10);
     assert_eq!(policy.idle_timeout(20), 15_000);
--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -15,6 +15,7 @@
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_connection_policy::watch_slots::WatchSlots;
 use mallowseam_test_support::{Digest, SeededRng, assert_pinned};
+use std::num::NonZeroU64;
 
 const EVENTS: usize = 4_000;
 
@@ -366,7 +367,8 @@
             }
         }
         let mut now = 1_000;
-        let mut keep_alive = KeepAlivePolicy::new(rng.pick(&[0, 30_000, 7_000, 60]), now);
+        let mut keep_alive =
+            KeepAlivePolicy::new(rng.pick(&[None, Some(30_000), Some(7_000), Some(60)]), now);
         for _ in 0..EVENTS {
             now += step(rng, &[1_000, 10_000, 20_000]);
             match rng.below(40) {
@@ -374,7 +376,8 @@
                 1 => keep_alive.connection_lost(rng.below(20_000), rng.below(8), now),
                 2 | 3 => keep_alive.new_connection_rejected(now),
                 4 if rng.one_in(20) => {
-                    keep_alive = KeepAlivePolicy::new(rng.pick(&[0, 30_000, 7_000]), now);
+                    keep_alive =
+                        KeepAlivePolicy::new(rng.pick(&[None, Some(30_000), Some(7_000)]), now);
                 }
                 _ => {}
             }
@@ -445,7 +448,7 @@
             first_block: first,
             last_block: last,
             class: group,
-            blocks_per_key: key,
+            blocks_per_key: NonZeroU64::new(key),
         });
     }
     if !rng.one_in(5) {
@@ -456,7 +459,7 @@
             first_block: first,
             last_block: last,
             class: group,
-            blocks_per_key: key,
+            blocks_per_key: NonZeroU64::new(key),
         });
     }
     layout
--- a/crates/connection-policy/tests/request_splitting.rs
+++ b/crates/connection-policy/tests/request_splitting.rs
@@ -3,6 +3,7 @@
     ClassRule, Extent, OutsideLayout, SubRequest, VolumeLayout,
 };
 use proptest::prelude::*;
+use std::num::NonZeroU64;
 
 fn rule(first_block: u64, last_block: u64, class: u16, blocks_per_key: u64) -> ClassRule {
     ClassRule {
@@ -11,7 +12,7 @@
         first_block,
         last_block,
         class,
-        blocks_per_key,
+        blocks_per_key: NonZeroU64::new(blocks_per_key),
     }
 }
 
@@ -127,7 +128,7 @@
                 for block in first..=last {
                     let applies = |rule: &&ClassRule| rule.first_block <= block && block <= rule.last_block;
                     let rule = layout.rules.iter().find(applies).expect("one applies to all");
-                    let expected = (rule.class, block.checked_div(rule.blocks_per_key));
+                    let expected = (rule.class, rule.blocks_per_key.map(|blocks| block / blocks));
                     prop_assert_eq!((sub_request.class, sub_request.ordering_key), expected);
                 }
             }
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/gateway/src/scheduler_config.rs
@@ -5,6 +5,7 @@
 use mallowseam_scheduler::interface::{Idempotency, IoClass, Plan, SchedulerConfig};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Direction};
+use std::num::NonZeroU64;
 
 /// Replicated figures are in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
@@ -109,7 +110,7 @@
         first_block: rule.first_block,
         last_block: rule.last_block,
         class: rule.io_class as u16,
-        blocks_per_key: rule.blocks_per_key,
+        blocks_per_key: NonZeroU64::new(rule.blocks_per_key),
     };
     volume.rules.iter().map(rule).collect()
 }
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -37,7 +37,7 @@
         let settings = mallowseam_platform::settings::parse(SETTINGS).expect("valid settings");
         let (node, listener) = (listen(), listen());
         let clients = ClientConnections::new(registry(), 64, 1 << 20);
-        let keep_alive = KeepAlivePolicy::new(15_000, ticks_to_millis(now));
+        let keep_alive = KeepAlivePolicy::new(Some(15_000), ticks_to_millis(now));
         let nodes = NodeConnections::new(registry(), 64, 1 << 20, 2_500, keep_alive);
         let mut scheduler = Scheduler::new(&settings.scheduler, 7, now);
         let mut dispatcher = Dispatcher::new(now, settings, clients, nodes);
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -131,8 +131,9 @@
     registry: &Registry,
     now: Tick,
 ) -> Result<(ClientConnections, NodeConnections), HostError> {
-    let keep_alive =
-        KeepAlivePolicy::new(ticks_to_millis(settings.idle_timeout), ticks_to_millis(now));
+    // The settings have 0 where they name no idle timeout of nodes.
+    let node_idle_timeout = Some(ticks_to_millis(settings.idle_timeout)).filter(|ms| *ms > 0);
+    let keep_alive = KeepAlivePolicy::new(node_idle_timeout, ticks_to_millis(now));
     let clients = ClientConnections::new(
         clone_registry(registry)?,
         budget.client_connections,
