--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -40,7 +40,8 @@
     pub name: String,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// Number of this run of the node's process, which grows from run to run; 0: started long ago.
+    /// Number of this run of the node's process as it is on the wire: it grows from run to run, and is 0 for one that
+    /// started long ago.
     pub generation: u64,
     /// How long this run has been up, in milliseconds, when the service sent it.
     pub uptime_ms: u64,
@@ -51,7 +52,7 @@
 pub struct ListVersion {
     /// Drawn at random by the service at its start.
     pub epoch: u64,
-    /// Counts up within the epoch; 0: nothing was received on this connection.
+    /// Counts up within the epoch. A host shows 0 while it has received nothing on its connection.
     pub version: u64,
 }
 
--- a/crates/endpoint-list/src/lib.rs
+++ b/crates/endpoint-list/src/lib.rs
@@ -10,12 +10,15 @@
 //! ```
 //!
 //! EPOCH is drawn by the service at its start, VERSION counts up within it. GENERATION is the number of a
-//! run of a node's process, and 0 for one that started long ago; UPTIME is how long that run has been up, in
-//! milliseconds, as the service knows at sending. The clocks of host and service are never compared.
+//! run of a node's process, and 0 for one that started long ago. UPTIME is how long that run has been up, in
+//! milliseconds, by the service's clock when it sends the line. The clocks of host and service are never compared.
 //!
 //! - [`endpoint`]: what the service says of a node.
 //! - [`wire`]: the lines, written and parsed.
-//! - [`watcher`]: a host's side, with a cache for the next start.
+//! - [`watcher`]: a host's side.
+//! - `line_buffer`: lines out of bytes that arrive in pieces.
+//! - `known_list`: the list as a host knows it, and which updates are newer.
+//! - `cache`: the known endpoints as text, for the next start.
 //!
 //! ```
 //! use mallowseam_endpoint_list::{EndpointState, EndpointWatcher, WatchEvent};
@@ -32,7 +35,10 @@
 //! ```
 #![warn(missing_docs)]
 
+mod cache;
 pub mod endpoint;
+mod known_list;
+mod line_buffer;
 pub mod watcher;
 pub mod wire;
 
--- a/crates/endpoint-list/src/watcher.rs
+++ b/crates/endpoint-list/src/watcher.rs
@@ -1,10 +1,10 @@
 //! A host's side of the protocol. It retains the last version and endpoints that it received, so that old or repeated
 //! updates are recognized, and writes them as a cache for the next start.
+use crate::cache;
 use crate::endpoint::{Endpoint, EndpointUpdate, ListVersion, UpdateKind};
-use crate::wire::{
-    MAX_LINE_BYTES, ProtocolError, UpdateHead, parse_endpoint, parse_head, write_endpoint,
-};
-use std::collections::BTreeMap;
+use crate::known_list::{KnownList, Outcome};
+use crate::line_buffer::LineBuffer;
+use crate::wire::{ProtocolError, UpdateHead, parse_endpoint, parse_head};
 
 /// What the service's messages lead to.
 #[derive(Debug, PartialEq, Eq)]
@@ -37,28 +37,23 @@
 /// A host's side of the protocol.
 #[derive(Default)]
 pub struct EndpointWatcher {
-    partial_line: Vec<u8>,
-    /// Lines that have arrived on this connection.
-    lines: u64,
+    lines: LineBuffer,
     partial_update: Option<PartialUpdate>,
-    version: ListVersion,
-    endpoints: BTreeMap<String, Endpoint>,
+    known: KnownList,
 }
 
 impl EndpointWatcher {
     /// A new connection to the service: a partial message of the last one is dropped, known endpoints stay.
     pub fn on_reconnect(&mut self) {
-        self.partial_line.clear();
-        self.lines = 0;
+        self.lines.reset();
         self.partial_update = None;
-        // A new connection opens with a full snapshot, which needs no version before it.
-        self.version.version = 0;
+        self.known.forget_version();
     }
 
     /// Version of the list.
     #[must_use]
     pub fn version(&self) -> ListVersion {
-        self.version
+        self.known.version()
     }
 
     /// Takes bytes as they arrive, in pieces of any size; `notify` gets the events that they lead to.
@@ -72,34 +67,20 @@
         mut notify: impl FnMut(WatchEvent),
     ) -> Result<(), ProtocolError> {
         for byte in bytes {
-            if *byte == b'\n' {
-                let mut line = std::mem::take(&mut self.partial_line);
-                self.lines += 1;
-                if let Some(event) = self.receive_line(&line)? {
-                    notify(event);
-                }
-                // Reuses the buffer.
-                line.clear();
-                self.partial_line = line;
-            } else if self.partial_line.len() == MAX_LINE_BYTES {
-                return Err(ProtocolError {
-                    line: self.lines + 1,
-                    expected: "a line of up to 256 bytes",
-                });
-            } else {
-                self.partial_line.push(*byte);
+            let Some(line) = self.lines.push(*byte)? else {
+                continue;
+            };
+            if let Some(event) = self.receive_line(&line)? {
+                notify(event);
             }
+            self.lines.recycle(line);
         }
         Ok(())
     }
 
     fn receive_line(&mut self, line: &[u8]) -> Result<Option<WatchEvent>, ProtocolError> {
-        let number = self.lines;
-        let text = std::str::from_utf8(line);
-        let text = text.map_err(|_| ProtocolError {
-            line: number,
-            expected: "text",
-        })?;
+        let number = self.lines.number();
+        let text = std::str::from_utf8(line).map_err(|_| ProtocolError::new(number, "text"))?;
         let text = text.trim_end_matches('\r');
         match &mut self.partial_update {
             None => self.partial_update = Some(PartialUpdate::new(parse_head(text, number)?)),
@@ -109,47 +90,18 @@
         Ok(complete.and_then(|update| self.apply(update)))
     }
 
-    /// Applies a complete message. A version that is not newer than the last one is dropped, and so is an endpoint of
-    /// an older generation than the known one: that process has ended, whatever the version of the message.
     fn apply(&mut self, update: PartialUpdate) -> Option<WatchEvent> {
-        let PartialUpdate { head, endpoints } = update;
-        let known = self.version;
-        let is_same_epoch = head.version.epoch == known.epoch && known.version > 0;
-        if is_same_epoch && head.version.version <= known.version {
-            return None;
+        match self.known.apply(&update.head, update.endpoints) {
+            Outcome::Dropped => None,
+            Outcome::VersionMissed => Some(WatchEvent::SnapshotRequired),
+            Outcome::Applied(update) => Some(WatchEvent::Update(update)),
         }
-        let is_next = is_same_epoch && head.version.version == known.version + 1;
-        if head.kind == UpdateKind::Incremental && !is_next {
-            return Some(WatchEvent::SnapshotRequired);
-        }
-        self.version = head.version;
-        let known = &self.endpoints;
-        let is_current = |e: &Endpoint| {
-            known
-                .get(&e.name)
-                .is_none_or(|known| e.generation >= known.generation)
-        };
-        let endpoints: Vec<Endpoint> = endpoints.into_iter().filter(is_current).collect();
-        for endpoint in &endpoints {
-            self.endpoints
-                .insert(endpoint.name.clone(), endpoint.clone());
-        }
-        Some(WatchEvent::Update(EndpointUpdate {
-            kind: head.kind,
-            endpoints,
-        }))
     }
 
     /// The known endpoints as the text of a cache for [`EndpointWatcher::restore_cache`].
     #[must_use]
     pub fn write_cache(&self) -> String {
-        let mut out = format!("kept {}\n", self.endpoints.len());
-        for endpoint in self.endpoints.values() {
-            write_endpoint(&mut out, endpoint);
-        }
-        // A truncated number would be read as another number: the last line shows that nothing is missing.
-        out.push_str("end\n");
-        out
+        cache::write(self.known.endpoints())
     }
 
     /// Restores the known endpoints from what [`EndpointWatcher::write_cache`] wrote, and returns them. Their
@@ -159,47 +111,11 @@
     ///
     /// The text is truncated or otherwise not as it was written; nothing is changed then.
     pub fn restore_cache(&mut self, text: &str) -> Result<EndpointUpdate, ProtocolError> {
-        let mut lines = text.lines();
-        let head = lines.next().and_then(|line| line.strip_prefix("kept "));
-        let count: usize = head
-            .and_then(|count| count.parse().ok())
-            .ok_or(ProtocolError {
-                line: 1,
-                expected: "kept COUNT",
-            })?;
-        let mut lines: Vec<&str> = lines.collect();
-        if lines.pop() != Some("end") || lines.len() != count || !text.ends_with('\n') {
-            let expected = "as many nodes as the head says, then end";
-            return Err(ProtocolError {
-                line: lines.len() as u64 + 1,
-                expected,
-            });
-        }
-        // The lines are those of a message, after another head.
-        let head = UpdateHead {
-            version: ListVersion {
-                epoch: 0,
-                version: 1,
-            },
+        let endpoints = cache::read(text)?;
+        self.known.restore(&endpoints);
+        Ok(EndpointUpdate {
             kind: UpdateKind::FullSnapshot,
-            count,
-        };
-        let mut restored = EndpointWatcher {
-            lines: 1,
-            partial_update: Some(PartialUpdate::new(head)),
-            ..EndpointWatcher::default()
-        };
-        let mut update = EndpointUpdate {
-            kind: UpdateKind::FullSnapshot,
-            endpoints: Vec::new(),
-        };
-        for line in lines {
-            restored.lines += 1;
-            if let Some(WatchEvent::Update(complete)) = restored.receive_line(line.as_bytes())? {
-                update = complete;
-            }
-        }
-        self.endpoints = restored.endpoints;
-        Ok(update)
+            endpoints,
+        })
     }
 }
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// Longest line, in bytes.
+/// Longest line, in bytes: several times a line with a name of usual length. Bounds what a host buffers of a line.
 pub const MAX_LINE_BYTES: usize = 256;
-/// Most endpoints in one message.
+/// Most endpoints in one message: far more than any fleet has. Bounds what a host buffers of a message.
 pub const MAX_ENDPOINTS: usize = 4096;
 
 /// A line that violates the protocol. The rest of the stream cannot be interpreted.
@@ -28,52 +28,65 @@
 }
 
 impl ProtocolError {
-    /// An error constructor for one line.
-    fn on_line(line: u64) -> impl Fn(&'static str) -> ProtocolError {
-        move |expected| ProtocolError { line, expected }
+    pub(crate) fn new(line: u64, expected: &'static str) -> ProtocolError {
+        ProtocolError { line, expected }
     }
 }
 
 /// Parses the head line of a message; `line` is its number.
 pub(crate) fn parse_head(text: &str, line: u64) -> Result<UpdateHead, ProtocolError> {
-    let error = ProtocolError::on_line(line);
     let fields: Vec<&str> = text.split(' ').collect();
     let ["list", epoch, version, kind, count] = fields[..] else {
-        return Err(error("list EPOCH VERSION whole|changes COUNT"));
+        return Err(ProtocolError::new(
+            line,
+            "list EPOCH VERSION whole|changes COUNT",
+        ));
     };
     let kind = match kind {
         "whole" => UpdateKind::FullSnapshot,
         "changes" => UpdateKind::Incremental,
-        _ => return Err(error("whole or changes")),
+        _ => return Err(ProtocolError::new(line, "whole or changes")),
     };
-    let count: u64 = count.parse().map_err(|_| error("a count"))?;
-    let count = usize::try_from(count).unwrap_or(usize::MAX);
-    if count > MAX_ENDPOINTS {
-        return Err(error("at most 4096 nodes"));
+    let count: u64 = count
+        .parse()
+        .map_err(|_| ProtocolError::new(line, "a count"))?;
+    if count > MAX_ENDPOINTS as u64 {
+        return Err(ProtocolError::new(line, "at most 4096 nodes"));
     }
-    let epoch = epoch.parse().map_err(|_| error("an epoch"))?;
-    let version = version.parse().map_err(|_| error("a version"))?;
+    let epoch = epoch
+        .parse()
+        .map_err(|_| ProtocolError::new(line, "an epoch"))?;
+    let version = version
+        .parse()
+        .map_err(|_| ProtocolError::new(line, "a version"))?;
     Ok(UpdateHead {
         version: ListVersion { epoch, version },
         kind,
-        count,
+        count: count as usize,
     })
 }
 
 /// Parses the line of one endpoint; `line` is its number.
 pub(crate) fn parse_endpoint(text: &str, line: u64) -> Result<Endpoint, ProtocolError> {
-    let error = ProtocolError::on_line(line);
     let fields: Vec<&str> = text.split(' ').collect();
     let ["node", name, state, generation, uptime] = fields[..] else {
         // The error texts use the names that the first version of the protocol had for generation and uptime.
-        return Err(error("node NAME active|leaving|left BORN AGE"));
+        return Err(ProtocolError::new(
+            line,
+            "node NAME active|leaving|left BORN AGE",
+        ));
     };
     if name.is_empty() {
-        return Err(error("a name"));
+        return Err(ProtocolError::new(line, "a name"));
     }
-    let state = EndpointState::from_wire(state).ok_or_else(|| error("active, leaving or left"))?;
-    let generation = generation.parse().map_err(|_| error("a start"))?;
-    let uptime_ms = uptime.parse().map_err(|_| error("an age"))?;
+    let state = EndpointState::from_wire(state)
+        .ok_or_else(|| ProtocolError::new(line, "active, leaving or left"))?;
+    let generation = generation
+        .parse()
+        .map_err(|_| ProtocolError::new(line, "a start"))?;
+    let uptime_ms = uptime
+        .parse()
+        .map_err(|_| ProtocolError::new(line, "an age"))?;
     Ok(Endpoint {
         name: name.to_owned(),
         state,
--- a/crates/endpoint-list/tests/watcher.rs
+++ b/crates/endpoint-list/tests/watcher.rs
@@ -45,6 +45,13 @@
     events
 }
 
+/// A watcher that has received a message.
+fn watcher_after(message: &str) -> EndpointWatcher {
+    let mut watcher = EndpointWatcher::default();
+    receive(&mut watcher, message);
+    watcher
+}
+
 #[test]
 fn an_update_is_notified_once_however_it_is_split_and_repeated() {
     let endpoints = [
@@ -68,11 +75,7 @@
 
 #[test]
 fn an_older_version_is_dropped_and_a_gap_is_noticed() {
-    let mut watcher = EndpointWatcher::default();
-    receive(
-        &mut watcher,
-        &snapshot(9, 3, &[endpoint("a", EndpointState::Active, 5)]),
-    );
+    let mut watcher = watcher_after(&snapshot(9, 3, &[endpoint("a", EndpointState::Active, 5)]));
     let removed = [endpoint("a", EndpointState::Removed, 5)];
     assert_eq!(receive(&mut watcher, &increment(9, 2, &removed)), []);
     assert_eq!(
@@ -85,11 +88,7 @@
 
 #[test]
 fn an_older_generation_does_not_replace_a_newer_one() {
-    let mut watcher = EndpointWatcher::default();
-    receive(
-        &mut watcher,
-        &snapshot(9, 1, &[endpoint("a", EndpointState::Active, 8)]),
-    );
+    let mut watcher = watcher_after(&snapshot(9, 1, &[endpoint("a", EndpointState::Active, 8)]));
     let events = receive(
         &mut watcher,
         &snapshot(9, 2, &[endpoint("a", EndpointState::Removed, 7)]),
@@ -104,11 +103,7 @@
 
 #[test]
 fn a_restarted_service_is_followed_from_its_first_snapshot() {
-    let mut watcher = EndpointWatcher::default();
-    receive(
-        &mut watcher,
-        &snapshot(9, 30, &[endpoint("a", EndpointState::Active, 8)]),
-    );
+    let mut watcher = watcher_after(&snapshot(9, 30, &[endpoint("a", EndpointState::Active, 8)]));
     let events = receive(
         &mut watcher,
         &snapshot(10, 1, &[endpoint("a", EndpointState::Draining, 8)]),
@@ -123,12 +118,11 @@
 
 #[test]
 fn a_cache_is_restored_and_a_truncated_one_is_rejected() {
-    let mut watcher = EndpointWatcher::default();
     let endpoints = [
         endpoint("a", EndpointState::Active, 5),
         endpoint("b", EndpointState::Removed, 0),
     ];
-    receive(&mut watcher, &snapshot(9, 3, &endpoints));
+    let watcher = watcher_after(&snapshot(9, 3, &endpoints));
     let cache = watcher.write_cache();
     let restored = EndpointWatcher::default()
         .restore_cache(&cache)
