--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -9,6 +9,9 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
+/// Stands for the name of a host that has none, so that the rest of `fleet` can be checked: the configuration is rejected
+/// in any case.
+const UNNAMED_HOST: &str = "?";
 /// Fewer descriptors than this are not enough for clients and nodes.
 const MIN_SOCKETS: u64 = 64;
 /// Less memory than this is not enough for a host, in MiB.
@@ -64,34 +67,60 @@
         return Err(ConfigError::NotAnObject);
     }
     let mut reader = Reader::default();
-    let name = reader.text(&root, "name");
-    let listen = reader.address(&root, "listen");
-    let discovery = reader.address(&root, "discovery");
-    let seed = reader.seed(&root);
-    let memory_mb = reader.limit(&root, "memory_mb", MIN_MEMORY_MB);
-    let max_sockets = reader.limit(&root, "sockets", MIN_SOCKETS);
-    let cached_list = reader.cached_list(root["known"].take());
-    let settings = reader.settings(&root["settings"]);
-    let fleet = reader.fleet(&root["fleet"], name.as_deref().unwrap_or("?"));
-    let errors = reader.errors;
-    // A required field without a value has left an error, so that both conditions fail together.
-    let assemble = || {
-        Some(HostConfig {
-            name: name?,
-            listen: listen?,
-            discovery: discovery?,
-            seed: seed?,
+    let fields = ConfigFields::read(&mut reader, &mut root);
+    match fields.complete() {
+        Some(config) if reader.errors.is_empty() => Ok(config),
+        _ => Err(ConfigError::Fields(reader.errors)),
+    }
+}
+
+/// The fields as they were read. A required field without a value has left an error.
+struct ConfigFields {
+    name: Option<String>,
+    listen: Option<SocketAddr>,
+    discovery: Option<SocketAddr>,
+    seed: Option<u64>,
+    cpu_cores: f64,
+    memory_mb: Option<u64>,
+    max_sockets: Option<u64>,
+    cached_list: Option<WatchEvent>,
+    settings: Option<PlatformSettings>,
+    fleet: Option<FleetConfig>,
+}
+
+impl ConfigFields {
+    /// Reads the fields in the order in which operators are told of errors.
+    fn read(reader: &mut Reader, root: &mut Value) -> ConfigFields {
+        let name = reader.text(root, "name");
+        let fleet_host = name.clone().unwrap_or_else(|| UNNAMED_HOST.to_owned());
+        ConfigFields {
+            name,
+            listen: reader.address(root, "listen"),
+            discovery: reader.address(root, "discovery"),
+            seed: reader.seed(root),
             cpu_cores: root["limits"]["cores"].as_f64().unwrap_or(0.0),
-            memory_mb: memory_mb?,
-            max_sockets: max_sockets?,
-            cached_list,
-            settings: settings?,
-            fleet,
+            memory_mb: reader.limit(root, "memory_mb", MIN_MEMORY_MB),
+            max_sockets: reader.limit(root, "sockets", MIN_SOCKETS),
+            cached_list: reader.cached_list(root["known"].take()),
+            settings: reader.settings(&root["settings"]),
+            fleet: reader.fleet(&root["fleet"], &fleet_host),
+        }
+    }
+
+    /// The configuration, if every required field has a value.
+    fn complete(self) -> Option<HostConfig> {
+        Some(HostConfig {
+            name: self.name?,
+            listen: self.listen?,
+            discovery: self.discovery?,
+            seed: self.seed?,
+            cpu_cores: self.cpu_cores,
+            memory_mb: self.memory_mb?,
+            max_sockets: self.max_sockets?,
+            cached_list: self.cached_list,
+            settings: self.settings?,
+            fleet: self.fleet,
         })
-    };
-    match assemble() {
-        Some(config) if errors.is_empty() => Ok(config),
-        _ => Err(ConfigError::Fields(errors)),
     }
 }
 
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -26,13 +26,28 @@
     TooManyVolumes,
 }
 
+/// The piece of data that a request is about.
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct DataKey {
+    volume: u64,
+    object: u64,
+}
+
+impl DataKey {
+    fn of(request: &BlockRequest) -> DataKey {
+        DataKey {
+            volume: request.volume,
+            object: request.object,
+        }
+    }
+}
+
 /// The names in use and their indices.
 #[derive(Default)]
 pub struct NameInterner {
     nodes: Interner<String>,
     volumes: Interner<u64>,
-    /// Data keys: volume and object.
-    keys: Interner<(u64, u64)>,
+    keys: Interner<DataKey>,
     /// Requests in flight, by their ids.
     in_flight: HashMap<RequestId, BioId>,
 }
@@ -63,7 +78,7 @@
             class: request.io_class,
             plan: request.plan,
             volume: VolumeId(self.volumes.intern(&request.volume)),
-            key: Some(KeyId(self.keys.intern(&(request.volume, request.object)))),
+            key: Some(KeyId(self.keys.intern(&DataKey::of(request)))),
             deadline: now + timeout(request, settings),
             units: request.units,
             shard: request.shard,
@@ -142,6 +157,7 @@
     }
 }
 
+/// The client's timeout in ticks, the longest deadline at most; the settings have 0 where there is none.
 fn timeout(request: &BlockRequest, settings: &PlatformSettings) -> Tick {
     let timeout = request.timeout_ms as Tick * TICKS_PER_MS;
     if settings.longest_deadline > 0 {
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,10 +1,19 @@
 //! A client's request: parsed as a block I/O, and written anew for a node.
-use crate::INFALLIBLE;
+//!
+//! - `error`: why a request is rejected.
+//! - `placement`: the value of `X-Placement`.
+//! - `forwarded`: the request as a node gets it.
+mod error;
+mod forwarded;
+mod placement;
+
+pub use error::RequestError;
+pub use forwarded::{rewrite_timeout, write_forwarded};
+
 use crate::settings::PlatformSettings;
 use mallowseam_http1::RequestHead;
-use std::io::Write;
+use placement::Placement;
 use std::str::FromStr;
-use thiserror::Error;
 
 /// Upper bound of a request id, in bytes. Ids are stored inline.
 const MAX_ID_LEN: usize = 40;
@@ -14,20 +23,6 @@
 /// for an error of the client.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// Headers that a node gets as the client sent them. `Idempotency-Key` is among them: by it a node recognizes repeated
-/// requests of a class that is idempotent by key, also a client's own retries, which have other request ids.
-const FORWARDED_HEADERS: [&str; 7] = [
-    "Host",
-    "X-Request-ID",
-    "X-Priority-Class",
-    "X-Qos-Policy",
-    "X-Placement",
-    "Content-Type",
-    "Idempotency-Key",
-];
-/// The start of the header line that tells a node how long this host waits, in milliseconds.
-const TIMEOUT_LINE: &str = "X-Timeout-Ms: ";
-
 /// The id of a request (`X-Request-ID`), the same at clients, hosts and nodes: 1 to 40 visible ASCII characters.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestId {
@@ -90,62 +85,6 @@
     pub host_count: u32,
 }
 
-/// Why a request is rejected. The client is told, and its connection goes on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{}", self.message())]
-pub enum RequestError {
-    /// The path is neither `/ready` nor `/CLASS/VOLUME/OBJECT`.
-    UnknownPath,
-    /// The method does not fit the path or the class.
-    MethodNotAllowed,
-    /// The class is not in the settings, or header and path name different ones.
-    UnknownClass,
-    /// The plan is not in the settings.
-    UnknownPlan,
-    /// Volume or object is not written in 16 hex digits.
-    InvalidAddress,
-    /// The timeout is absent, 0, or too large.
-    InvalidTimeout,
-    /// The request id is absent, or too long.
-    InvalidRequestId,
-    /// The placement is absent or incomplete, or the request too large.
-    InvalidPlacement,
-    /// A read with a body.
-    UnexpectedBody,
-    /// A write that does not declare its body.
-    LengthRequired,
-}
-
-impl RequestError {
-    /// The status of the response.
-    #[must_use]
-    pub fn status(self) -> u16 {
-        match self {
-            RequestError::UnknownPath => 404,
-            RequestError::MethodNotAllowed => 405,
-            RequestError::LengthRequired => 411,
-            _ => 400,
-        }
-    }
-
-    /// The text of the error, which is the body of the response; same as `Display`, without allocating.
-    #[must_use]
-    pub fn message(self) -> &'static str {
-        match self {
-            RequestError::UnknownPath => "no such path",
-            RequestError::MethodNotAllowed => "method does not fit",
-            RequestError::UnknownClass => "no such class, or another one in the path",
-            RequestError::UnknownPlan => "no such plan",
-            RequestError::InvalidAddress => "volume and piece are 16 hex digits each",
-            RequestError::InvalidTimeout => "X-Timeout-Ms is a whole number above 0",
-            RequestError::InvalidRequestId => "one X-Request-ID of 1 to 40 visible characters",
-            RequestError::InvalidPlacement => "X-Placement is units=N,shard=N,hosts=N",
-            RequestError::UnexpectedBody => "a read has no body",
-            RequestError::LengthRequired => "a write states its length",
-        }
-    }
-}
-
 /// Parses a client's request. `body_len`: bytes of its body.
 ///
 /// # Errors
@@ -158,40 +97,54 @@
 ) -> Result<ClientRequest, RequestError> {
     let path = head.target.split('?').next().unwrap_or_default();
     let path = path.strip_prefix('/').ok_or(RequestError::UnknownPath)?;
-    if path == "ready" {
-        return if head.method == "GET" {
-            Ok(ClientRequest::Readiness)
-        } else {
-            Err(RequestError::MethodNotAllowed)
+    if path != "ready" {
+        return parse_block_io(head, path, body_len, settings).map(ClientRequest::BlockIo);
+    }
+    if head.method == "GET" {
+        Ok(ClientRequest::Readiness)
+    } else {
+        Err(RequestError::MethodNotAllowed)
+    }
+}
+
+/// The segments of the path of a block I/O, `CLASS/VOLUME/OBJECT`.
+struct BlockPath<'b> {
+    class: &'b str,
+    volume: &'b str,
+    object: &'b str,
+}
+
+impl<'b> BlockPath<'b> {
+    fn split(path: &'b str) -> Option<Self> {
+        let mut segments = path.split('/');
+        let path = BlockPath {
+            class: segments.next()?,
+            volume: segments.next()?,
+            object: segments.next()?,
         };
+        segments.next().is_none().then_some(path)
     }
-    let mut segments = path.split('/');
-    let (Some(class), Some(volume), Some(object), None) = (
-        segments.next(),
-        segments.next(),
-        segments.next(),
-        segments.next(),
-    ) else {
-        return Err(RequestError::UnknownPath);
-    };
-    let id = required_header(head, "X-Request-ID", RequestError::InvalidRequestId)?;
-    let id = RequestId::new(id).ok_or(RequestError::InvalidRequestId)?;
-    let io_class = parse_class(head, class, settings)?;
-    let plan = required_header(head, "X-Qos-Policy", RequestError::UnknownPlan)?;
-    let plan = settings
-        .plan_names
-        .iter()
-        .position(|p| p == plan)
-        .ok_or(RequestError::UnknownPlan)?;
-    let (volume, object) = parse_hex(volume)
-        .zip(parse_hex(object))
-        .ok_or(RequestError::InvalidAddress)?;
-    check_method(head, body_len, settings.scheduler.classes[io_class].writes)?;
+}
+
+/// Parses a block I/O. The checks are in the order in which clients are told of them.
+fn parse_block_io(
+    head: &RequestHead,
+    path: &str,
+    body_len: usize,
+    settings: &PlatformSettings,
+) -> Result<BlockRequest, RequestError> {
+    let path = BlockPath::split(path).ok_or(RequestError::UnknownPath)?;
+    let id = parse_id(head)?;
+    let io_class = parse_class(head, path.class, settings)?;
+    let plan = parse_plan(head, settings)?;
+    let volume = parse_hex(path.volume).ok_or(RequestError::InvalidAddress)?;
+    let object = parse_hex(path.object).ok_or(RequestError::InvalidAddress)?;
+    let class = settings.scheduler.classes.get(io_class);
+    let class = class.ok_or(RequestError::UnknownClass)?;
+    check_method(head, body_len, class.writes)?;
     let timeout_ms = parse_timeout(head)?;
-    let placement = required_header(head, "X-Placement", RequestError::InvalidPlacement)?;
-    let placement = Placement::parse(placement, settings.scheduler.max_io_units)
-        .ok_or(RequestError::InvalidPlacement)?;
-    Ok(ClientRequest::BlockIo(BlockRequest {
+    let placement = parse_placement(head, settings)?;
+    Ok(BlockRequest {
         id,
         io_class: io_class as u16,
         plan: plan as u16,
@@ -201,7 +154,7 @@
         units: placement.units,
         shard: placement.shard,
         host_count: placement.host_count,
-    }))
+    })
 }
 
 fn required_header<'b>(
@@ -212,6 +165,30 @@
     head.headers.single(name).ok().flatten().ok_or(error)
 }
 
+fn parse_id(head: &RequestHead) -> Result<RequestId, RequestError> {
+    let text = required_header(head, "X-Request-ID", RequestError::InvalidRequestId)?;
+    RequestId::new(text).ok_or(RequestError::InvalidRequestId)
+}
+
+/// The index of the plan that the header names.
+fn parse_plan(head: &RequestHead, settings: &PlatformSettings) -> Result<usize, RequestError> {
+    let name = required_header(head, "X-Qos-Policy", RequestError::UnknownPlan)?;
+    let mut plans = settings.plan_names.iter();
+    plans
+        .position(|plan| plan == name)
+        .ok_or(RequestError::UnknownPlan)
+}
+
+fn parse_placement(
+    head: &RequestHead,
+    settings: &PlatformSettings,
+) -> Result<Placement, RequestError> {
+    let text = required_header(head, "X-Placement", RequestError::InvalidPlacement)?;
+    // The settings have 0 where they name no bound.
+    let max_units = Some(settings.scheduler.max_io_units).filter(|units| *units > 0.0);
+    Placement::parse(text, max_units).ok_or(RequestError::InvalidPlacement)
+}
+
 /// The index of the class that both the path and the header name.
 fn parse_class(
     head: &RequestHead,
@@ -261,84 +238,3 @@
         .then(|| text.parse().ok())
         .flatten()
 }
-
-/// The value of `X-Placement`.
-struct Placement {
-    units: f64,
-    /// None for a new object.
-    shard: Option<u32>,
-    host_count: u32,
-}
-
-impl Placement {
-    /// Each field once, in any order; unknown ones are ignored. `max_units`: of a block I/O, 0 for no bound.
-    fn parse(text: &str, max_units: f64) -> Option<Self> {
-        let (mut units, mut shard, mut host_count) = (None, None, None);
-        for field in text.split(',') {
-            let (name, value) = field.trim().split_once('=')?;
-            let repeated = match name {
-                "units" => units.replace(parse_integer::<u32>(value)?).is_some(),
-                "shard" if value == "-1" => shard.replace(None).is_some(),
-                "shard" => shard.replace(Some(parse_integer::<u32>(value)?)).is_some(),
-                "hosts" => host_count.replace(parse_integer::<u32>(value)?).is_some(),
-                _ => false,
-            };
-            if repeated {
-                return None;
-            }
-        }
-        let (units, shard, host_count) = (f64::from(units?), shard?, host_count?);
-        let valid = units >= 1.0 && (max_units <= 0.0 || units <= max_units) && host_count >= 1;
-        valid.then_some(Placement {
-            units,
-            shard,
-            host_count,
-        })
-    }
-}
-
-/// Writes a request as a node gets it: method, target, body and the forwarded headers unchanged, the rest anew.
-/// `timeout_ms`: how long this host waits, in milliseconds.
-///
-/// # Panics
-///
-/// Never: writing to memory does not fail.
-pub fn write_forwarded(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], timeout_ms: u64) {
-    let (method, target) = (head.method, head.target);
-    write!(
-        out,
-        "{method} {target} HTTP/1.1\r\n{TIMEOUT_LINE}{timeout_ms}\r\n"
-    )
-    .expect(INFALLIBLE);
-    for name in FORWARDED_HEADERS {
-        if let Ok(Some(value)) = head.headers.single(name) {
-            write!(out, "{name}: {value}\r\n").expect(INFALLIBLE);
-        }
-    }
-    if head.declares_body() {
-        write!(out, "Content-Length: {}\r\n", body.len()).expect(INFALLIBLE);
-    }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body);
-}
-
-/// Replaces the timeout in a request that `write_forwarded` wrote and that has not been sent yet, since some of it has
-/// passed by now.
-pub fn rewrite_timeout(out: &mut Vec<u8>, timeout_ms: u64) {
-    let line_end = |start: usize| {
-        out[start..]
-            .windows(2)
-            .position(|w| w == b"\r\n")
-            .map(|i| start + i)
-    };
-    let Some(start) = line_end(0).map(|end| end + 2) else {
-        return;
-    };
-    let is_timeout = out[start..].starts_with(TIMEOUT_LINE.as_bytes());
-    if let Some(end) = line_end(start).filter(|_| is_timeout) {
-        drop(out.splice(
-            start + TIMEOUT_LINE.len()..end,
-            timeout_ms.to_string().into_bytes(),
-        ));
-    }
-}
--- /dev/null
+++ b/crates/platform/src/request/placement.rs
@@ -0,0 +1,78 @@
+//! The value of the header `X-Placement`.
+use super::parse_integer;
+
+/// Where the data of a request is, and its size.
+pub(super) struct Placement {
+    /// Size of the request in units, 1 or more.
+    pub(super) units: f64,
+    /// The shard that holds the data. None: a new object.
+    pub(super) shard: Option<u32>,
+    /// Through how many hosts the volume is served, 1 or more.
+    pub(super) host_count: u32,
+}
+
+/// The fields of the header as far as they have been read.
+#[derive(Default)]
+struct Fields {
+    units: Option<u32>,
+    data: Option<DataLocation>,
+    host_count: Option<u32>,
+}
+
+impl Fields {
+    /// Reads one field. None: it is invalid, or stands for the second time.
+    fn read(&mut self, field: &str) -> Option<()> {
+        let (name, value) = field.trim().split_once('=')?;
+        let is_repeated = match name {
+            "units" => self.units.replace(parse_integer(value)?).is_some(),
+            "shard" => self.data.replace(DataLocation::parse(value)?).is_some(),
+            "hosts" => self.host_count.replace(parse_integer(value)?).is_some(),
+            _ => false,
+        };
+        (!is_repeated).then_some(())
+    }
+}
+
+/// What the field `shard` says.
+#[derive(Clone, Copy)]
+enum DataLocation {
+    /// -1: the object is new.
+    Nowhere,
+    /// This shard holds the data.
+    Shard(u32),
+}
+
+impl DataLocation {
+    fn parse(text: &str) -> Option<Self> {
+        if text == "-1" {
+            Some(DataLocation::Nowhere)
+        } else {
+            parse_integer(text).map(DataLocation::Shard)
+        }
+    }
+
+    fn shard(self) -> Option<u32> {
+        match self {
+            DataLocation::Nowhere => None,
+            DataLocation::Shard(shard) => Some(shard),
+        }
+    }
+}
+
+impl Placement {
+    /// Each field once, in any order; unknown ones are ignored. `max_units`: of a block I/O, if there is a bound.
+    pub(super) fn parse(text: &str, max_units: Option<f64>) -> Option<Self> {
+        let mut fields = Fields::default();
+        for field in text.split(',') {
+            fields.read(field)?;
+        }
+        let placement = Placement {
+            units: f64::from(fields.units?),
+            shard: fields.data?.shard(),
+            host_count: fields.host_count?,
+        };
+        let fits = max_units.is_none_or(|max_units| placement.units <= max_units);
+        let is_valid = placement.units >= 1.0 && fits && placement.host_count >= 1;
+        is_valid.then_some(placement)
+    }
+}
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -94,7 +94,8 @@
     )
     .expect(INFALLIBLE);
     if retry_after_ms > 0 {
-        let (seconds, millis) = (retry_after_ms / 1000, retry_after_ms % 1000);
+        let seconds = retry_after_ms / 1000;
+        let millis = retry_after_ms % 1000;
         write!(out, "Retry-After: {seconds}.{millis:03}\r\n").expect(INFALLIBLE);
     }
     if close {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -26,11 +26,11 @@
     pub zone_names: Vec<String>,
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Tick,
-    /// How long a node keeps an idle connection open.
+    /// How long a node keeps an idle connection open; 0: not stated.
     pub idle_timeout: Tick,
     /// Block I/Os that a host may have in flight; 0: not stated.
     pub max_in_flight: usize,
-    /// The longest deadline of any I/O class.
+    /// The longest deadline of any I/O class; 0: there is no class.
     pub longest_deadline: Tick,
 }
 
@@ -63,30 +63,22 @@
     let mut reader = Reader::default();
     let classes = read_classes(&mut reader, &root);
     let plans = read_plans(&mut reader, &root);
-    // Without a statement on how lists arrive, the strictest reading: what the service knows counts at once.
+    // Where the settings do not say how lists arrive, they are taken as pushed. That is the stricter case: what the
+    // service knows counts at once.
     let endpoints_polled =
         reader.choice(&root, "registry_mode", &["on_request", "pushed"]) == Some("on_request");
-    let rules = root.object("rules");
-    reader.all_or_none(
-        &rules,
-        &["cold_from", "cold_us", "fall_multiple", "fall_us"],
-    );
-    reader.all_or_none(&rules, &["extra_ratio", "look_back_us"]);
+    check_rules(&mut reader, &root.object("rules"));
     let scheduler = SchedulerConfig {
         classes: classes.configs,
         plans: plans.configs,
         ..read_scheduler(&mut reader, &root, endpoints_polled)
     };
     let limits = root.object("limits");
-    let zones = array(value, "localities")
-        .iter()
-        .filter_map(|z| z.as_str().map(str::to_owned))
-        .collect();
     let settings = PlatformSettings {
         scheduler,
         class_names: classes.names,
         plan_names: plans.names,
-        zone_names: zones,
+        zone_names: read_zones(value),
         connect_timeout: ticks_up(reader.positive(&limits, "connect_timeout_us")),
         idle_timeout: reader.ticks_down(&limits, "idle_close_us"),
         max_in_flight: reader.number(&limits, "open_cap") as usize,
@@ -100,6 +92,20 @@
     }
 }
 
+/// Checks that each rule has all of its figures or none.
+fn check_rules(reader: &mut Reader, rules: &Object) {
+    let slow_start = ["cold_from", "cold_us", "fall_multiple", "fall_us"];
+    reader.all_or_none(rules, &slow_start);
+    reader.all_or_none(rules, &["extra_ratio", "look_back_us"]);
+}
+
+fn read_zones(settings: &Value) -> Vec<String> {
+    let names = array(settings, "localities").iter();
+    names
+        .filter_map(|name| name.as_str().map(str::to_owned))
+        .collect()
+}
+
 fn not_an_object(reason: &str) -> SettingsError {
     SettingsError(vec![FieldError::new("settings", reason)])
 }
@@ -167,7 +173,7 @@
     let scope = match reader.choice(class, "key_scope", &["all", "zone", "cell"]) {
         Some("all") => DeduplicationScope::All,
         Some("zone") => DeduplicationScope::Zone,
-        // The narrowest, where nothing says how far repeats are recognized.
+        // Where the settings do not say how far repeats are recognized, the narrowest scope is safe.
         _ => DeduplicationScope::Shard,
     };
     let window = reader.ticks_down(class, "key_ttl_us");
@@ -218,11 +224,9 @@
 
 /// The scheduler's configuration without classes and plans, field by field.
 fn read_scheduler(reader: &mut Reader, root: &Object, endpoints_polled: bool) -> SchedulerConfig {
-    let (extra, limits, rules) = (
-        root.object("extra"),
-        root.object("limits"),
-        root.object("rules"),
-    );
+    let extra = root.object("extra");
+    let limits = root.object("limits");
+    let rules = root.object("rules");
     SchedulerConfig {
         hosts: reader.positive(root, "balancers") as u32,
         mean_io_units: reader.number(&extra, "mean_units"),
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -59,7 +59,13 @@
         without("Content-Length"),
         Some(RequestError::LengthRequired)
     );
-    for wait in [
+    let all_rejected = |start: &str, header: &str, values: &[&str], why: RequestError| {
+        for value in values {
+            let found = as_is(start, &format!("{header}: {value}"));
+            assert_eq!(found, Some(why), "{value}");
+        }
+    };
+    let timeouts = [
         "0",
         "-5",
         "+5",
@@ -67,14 +73,10 @@
         "soon",
         "3600001",
         "99999999999999999999999",
-    ] {
-        assert_eq!(
-            as_is("X-Timeout", &format!("X-Timeout-Ms: {wait}")),
-            Some(RequestError::InvalidTimeout),
-            "{wait}"
-        );
-    }
-    for placement in [
+    ];
+    let why = RequestError::InvalidTimeout;
+    all_rejected("X-Timeout", "X-Timeout-Ms", &timeouts, why);
+    let placements = [
         "units=0,shard=5,hosts=3",
         "units=9,shard=5,hosts=3",
         "units=2,shard=-2,hosts=3",
@@ -85,13 +87,9 @@
         "2,5,3",
         "units=NaN,shard=5,hosts=3",
         "units=2,shard=99999999999,hosts=3",
-    ] {
-        assert_eq!(
-            as_is("X-Place", &format!("X-Placement: {placement}")),
-            Some(RequestError::InvalidPlacement),
-            "{placement}"
-        );
-    }
+    ];
+    let why = RequestError::InvalidPlacement;
+    all_rejected("X-Place", "X-Placement", &placements, why);
     let path = |target: &str| as_is("PUT", &format!("PUT {target} HTTP/1.1"));
     assert_eq!(
         path("/look/00000003b4d60021/7f3a9c21e0b4d655"),
