--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -2,16 +2,20 @@
 mod command_table;
 mod payload;
 mod receive;
+mod sequence;
+mod transfer;
 
 pub use payload::Payload;
 
 use crate::frame::{PduDecoder, SendBuffer};
 use crate::login::InitiatorLogin;
 use crate::params::{DEFAULT_MAX_RECV_DATA_SEGMENT, ProposedParams, SessionParams};
-use crate::pdu::{Bhs, RESERVED_TAG, flag, opcode, serial_before, task_function};
+use crate::pdu::{Bhs, RESERVED_TAG, flag, opcode, task_function};
 use crate::scsi::Sense;
 use command_table::{CommandTable, InFlightCommand};
+use sequence::InitiatorSequence;
 use std::collections::VecDeque;
+use transfer::{ReadTransfer, WriteTransfer};
 
 /// Initiator task tags of requests that are no SCSI commands. A command's tag is below all of them.
 mod reserved_itt {
@@ -72,9 +76,7 @@
     params: SessionParams,
     decoder: PduDecoder,
     send_buffer: SendBuffer,
-    cmd_sn: u32,
-    exp_stat_sn: u32,
-    max_cmd_sn: u32,
+    sequence: InitiatorSequence,
     commands: CommandTable,
     unmatched_responses: u64,
     events: VecDeque<InitiatorEvent>,
@@ -85,16 +87,15 @@
     pub fn new(name: &str, target: Option<&str>, isid: [u8; 6], proposal: &ProposedParams) -> Self {
         let (login, bhs, data) = InitiatorLogin::start(name, target, isid, proposal);
         let mut send_buffer = SendBuffer::default();
-        send_buffer.push(bhs.with_cmd_sn(1), &data);
+        let sequence = InitiatorSequence::new();
+        send_buffer.push(bhs.with_cmd_sn(sequence.cmd_sn()), &data);
         let max_data_segment = DEFAULT_MAX_RECV_DATA_SEGMENT.max(proposal.max_recv_data_segment);
         InitiatorConnection {
             phase: Phase::Login(Box::new(login)),
             params: SessionParams::default(),
             decoder: PduDecoder::new(max_data_segment),
             send_buffer,
-            cmd_sn: 1,
-            exp_stat_sn: 0,
-            max_cmd_sn: 0,
+            sequence,
             commands: CommandTable::default(),
             unmatched_responses: 0,
             events: VecDeque::new(),
@@ -118,7 +119,7 @@
 
     /// Whether the target's command window takes another command now.
     pub fn can_send(&self) -> bool {
-        self.is_logged_in() && !serial_before(self.max_cmd_sn, self.cmd_sn)
+        self.is_logged_in() && self.sequence.is_window_open()
     }
 
     /// Sends a command: up to `read_len` bytes are expected back, `write_data` goes out with it. Returns
@@ -139,21 +140,17 @@
         let immediate = self.immediate_len(unsolicited);
         let data_out_follows = !self.params.initial_r2t && immediate < unsolicited;
         let (index, itt) = self.commands.reserve();
-        let bhs = command_header(lun, cdb, read_len, data.len(), data_out_follows)
-            .with_itt(itt)
-            .with_cmd_sn(self.cmd_sn)
-            .with_exp_stat_sn(self.exp_stat_sn);
-        self.cmd_sn = self.cmd_sn.wrapping_add(1);
+        let bhs = command_header(lun, cdb, read_len, data.len(), data_out_follows).with_itt(itt);
+        let bhs = self.sequence.number(bhs);
         let stream_offset = self.send_buffer.end_offset();
-        self.send_buffer.push(bhs, &data[..immediate]);
+        self.send_buffer
+            .push(bhs, data.get(..immediate).unwrap_or_default());
         let mut command = InFlightCommand {
             tag,
             itt,
             lun,
-            read_data: Vec::new(),
-            read_len,
-            write_data,
-            sent: immediate,
+            read: ReadTransfer::new(read_len),
+            write: WriteTransfer::new(write_data, immediate),
             stream_offset,
             aborted: false,
         };
@@ -175,22 +172,18 @@
 
     /// Sends a command's unsent data up to an offset.
     fn send_burst(&mut self, command: &mut InFlightCommand, transfer_tag: u32, end: usize) {
+        let max_len = self.params.max_send_data_segment;
         let mut data_sn = 0;
-        while command.sent < end {
-            let len = (end - command.sent).min(self.params.max_send_data_segment);
-            let is_last = command.sent + len == end;
-            let bhs = Bhs::new(opcode::DATA_OUT, if is_last { flag::FINAL } else { 0 })
+        while let Some(segment) = command.write.next_segment(end, max_len) {
+            let flags = if segment.is_last { flag::FINAL } else { 0 };
+            let bhs = Bhs::new(opcode::DATA_OUT, flags)
                 .with_lun(command.lun)
                 .with_itt(command.itt)
                 .with_target_transfer_tag(transfer_tag)
-                .with_exp_stat_sn(self.exp_stat_sn)
                 .with_data_sn(data_sn)
-                .with_buffer_offset(command.sent as u32);
-            self.send_buffer.push(
-                bhs,
-                &command.write_data.bytes()[command.sent..command.sent + len],
-            );
-            command.sent += len;
+                .with_buffer_offset(segment.offset as u32);
+            self.send_buffer
+                .push(self.sequence.acknowledge(bhs), segment.bytes);
             data_sn += 1;
         }
     }
@@ -208,7 +201,8 @@
         let Some(command) = self.commands.start_abort(tag) else {
             return;
         };
-        let (lun, itt) = (command.lun, command.itt);
+        let lun = command.lun;
+        let itt = command.itt;
         let bhs = self
             .immediate_request(
                 opcode::TASK_MANAGEMENT_REQUEST,
@@ -217,7 +211,7 @@
             .with_byte(1, flag::FINAL | task_function::ABORT_TASK)
             .with_lun(lun)
             .with_referenced_task_tag(itt)
-            .with_ref_cmd_sn(self.cmd_sn);
+            .with_ref_cmd_sn(self.sequence.cmd_sn());
         self.send_buffer.push(bhs, &[]);
     }
 
@@ -242,22 +236,16 @@
 
     /// The header of a request for immediate delivery.
     fn immediate_request(&self, opcode: u8, itt: u32) -> Bhs {
-        Bhs::new(opcode, flag::FINAL)
-            .with_immediate()
-            .with_itt(itt)
-            .with_cmd_sn(self.cmd_sn)
-            .with_exp_stat_sn(self.exp_stat_sn)
+        let bhs = Bhs::new(opcode, flag::FINAL).with_immediate().with_itt(itt);
+        self.sequence.number_immediate(bhs)
     }
 
     /// Sends a text request of one PDU, such as `SendTargets=All`.
     pub fn send_text_request(&mut self, data: &[u8]) {
         let bhs = Bhs::new(opcode::TEXT_REQUEST, flag::FINAL)
             .with_itt(reserved_itt::TEXT)
-            .with_target_transfer_tag(RESERVED_TAG)
-            .with_cmd_sn(self.cmd_sn)
-            .with_exp_stat_sn(self.exp_stat_sn);
-        self.cmd_sn = self.cmd_sn.wrapping_add(1);
-        self.send_buffer.push(bhs, data);
+            .with_target_transfer_tag(RESERVED_TAG);
+        self.send_buffer.push(self.sequence.number(bhs), data);
     }
 
     /// Tags of the commands in flight that have not been aborted.
--- a/crates/iscsi/src/initiator/command_table.rs
+++ b/crates/iscsi/src/initiator/command_table.rs
@@ -1,5 +1,5 @@
 //! The commands of a connection that have no final answer yet, by their initiator task tags.
-use super::Payload;
+use super::transfer::{ReadTransfer, WriteTransfer};
 
 /// Number of values that the upper half of a task tag takes in turn. Bit 31 stays clear, which marks task
 /// management requests.
@@ -13,13 +13,8 @@
     pub tag: u32,
     pub itt: u32,
     pub lun: u32,
-    /// Data that has been read so far.
-    pub read_data: Vec<u8>,
-    /// Bytes expected in all.
-    pub read_len: usize,
-    pub write_data: Payload,
-    /// Bytes of `write_data` sent so far.
-    pub sent: usize,
+    pub read: ReadTransfer,
+    pub write: WriteTransfer,
     /// Offset in the stream of the command's first byte.
     pub stream_offset: u64,
     /// Whether an ABORT TASK was sent. The command stays until that is answered: only then is it over.
@@ -45,37 +40,35 @@
         (index, (u32::from(self.tag_cycle) << 16) | index as u32)
     }
 
+    /// Puts a command into the slot that was reserved for it.
     pub fn insert(&mut self, index: usize, command: InFlightCommand) {
-        self.slots[index] = Some(command);
+        if let Some(slot) = self.slots.get_mut(index) {
+            *slot = Some(command);
+        }
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &InFlightCommand> {
         self.slots.iter().flatten()
     }
 
-    fn index_of(&self, itt: u32) -> Option<usize> {
-        let index = (itt & INDEX_BITS) as usize;
-        self.slots
-            .get(index)?
-            .as_ref()
-            .filter(|command| command.itt == itt)
-            .map(|_| index)
+    /// The slot of the command with a task tag.
+    fn slot_mut(&mut self, itt: u32) -> Option<&mut Option<InFlightCommand>> {
+        let slot = self.slots.get_mut((itt & INDEX_BITS) as usize)?;
+        let is_found = slot.as_ref().is_some_and(|command| command.itt == itt);
+        is_found.then_some(slot)
     }
 
     pub fn get_mut(&mut self, itt: u32) -> Option<&mut InFlightCommand> {
-        let index = self.index_of(itt)?;
-        self.slots[index].as_mut()
+        self.slot_mut(itt)?.as_mut()
     }
 
     pub fn remove(&mut self, itt: u32) -> Option<InFlightCommand> {
-        let index = self.index_of(itt)?;
-        self.slots[index].take()
+        self.slot_mut(itt)?.take()
     }
 
     /// Puts back a command that was removed for a moment.
     pub fn restore(&mut self, command: InFlightCommand) {
-        let index = (command.itt & INDEX_BITS) as usize;
-        self.slots[index] = Some(command);
+        self.insert((command.itt & INDEX_BITS) as usize, command);
     }
 
     /// Marks a command as aborted and drops its data; none if it is not in flight or already aborted.
@@ -83,8 +76,8 @@
         let mut commands = self.slots.iter_mut().flatten();
         let command = commands.find(|command| command.tag == tag && !command.aborted)?;
         command.aborted = true;
-        command.read_data = Vec::new();
-        command.write_data = Payload::default();
+        command.read.discard();
+        command.write.discard();
         Some(command)
     }
 }
--- a/crates/iscsi/src/initiator/receive.rs
+++ b/crates/iscsi/src/initiator/receive.rs
@@ -1,9 +1,7 @@
 //! What an initiator does with the target's PDUs.
 use super::{InitiatorConnection, InitiatorEvent, Phase, reserved_itt};
 use crate::error::ProtocolError;
-use crate::pdu::{
-    Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode, serial_before,
-};
+use crate::pdu::{Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode};
 use crate::scsi::{Sense, status};
 
 /// The lower 14 bits of the status qualifier; the upper two are its scope (SAM-5, 5.3.2).
@@ -32,7 +30,7 @@
         if let Phase::Login(_) = self.phase {
             return self.on_login_response(&pdu);
         }
-        self.check_sequence(&pdu.bhs)?;
+        self.sequence.receive(&pdu.bhs)?;
         match pdu.bhs.opcode() {
             opcode::DATA_IN => self.on_data_in(pdu)?,
             opcode::SCSI_RESPONSE => self.on_scsi_response(&pdu),
@@ -58,13 +56,9 @@
             return Ok(());
         };
         let next_request = login.on_response(pdu)?;
-        self.exp_stat_sn = pdu.bhs.stat_sn().wrapping_add(1);
-        self.max_cmd_sn = pdu.bhs.max_cmd_sn();
-        self.cmd_sn = pdu.bhs.exp_cmd_sn();
+        self.sequence.start(&pdu.bhs);
         if let Some(request) = next_request {
-            let request = request
-                .with_cmd_sn(self.cmd_sn)
-                .with_exp_stat_sn(self.exp_stat_sn);
+            let request = self.sequence.number_immediate(request);
             self.send_buffer.push(request, &[]);
             return Ok(());
         }
@@ -77,24 +71,6 @@
         Ok(())
     }
 
-    /// Takes over the command window and checks the status sequence number (sections 4.2.2.1 and 4.2.2.2).
-    fn check_sequence(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
-        if serial_before(self.max_cmd_sn, bhs.max_cmd_sn()) {
-            self.max_cmd_sn = bhs.max_cmd_sn();
-        }
-        if !has_own_stat_sn(bhs) {
-            return Ok(());
-        }
-        if bhs.stat_sn() != self.exp_stat_sn {
-            return Err(ProtocolError::StatusSequenceGap {
-                received: bhs.stat_sn(),
-                expected: self.exp_stat_sn,
-            });
-        }
-        self.exp_stat_sn = self.exp_stat_sn.wrapping_add(1);
-        Ok(())
-    }
-
     fn on_data_in(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
         let bhs = pdu.bhs;
         let has_status = bhs.flags() & flag::STATUS != 0;
@@ -103,24 +79,7 @@
             return Ok(());
         };
         if !command.aborted {
-            let received = command.read_data.len();
-            if bhs.buffer_offset() as usize != received
-                || received + pdu.data.len() > command.read_len
-            {
-                return Err(ProtocolError::ReadDataOutOfOrder {
-                    offset: bhs.buffer_offset(),
-                    expected: received,
-                });
-            }
-            if received == 0 && pdu.data.len() == command.read_len {
-                // The usual case, all data in one PDU: its buffer is handed on without a copy.
-                command.read_data = pdu.data;
-            } else {
-                if received == 0 {
-                    command.read_data.reserve_exact(command.read_len);
-                }
-                command.read_data.extend_from_slice(&pdu.data);
-            }
+            command.read.receive(&bhs, pdu.data)?;
         }
         if has_status {
             self.complete(bhs.itt(), bhs.status(), None, 0);
@@ -170,12 +129,11 @@
         let Some(command) = self.commands.remove(itt) else {
             return;
         };
-        let (tag, data) = (command.tag, command.read_data);
         self.events.push_back(InitiatorEvent::CommandCompleted {
-            tag,
+            tag: command.tag,
             status,
             sense,
-            data,
+            data: command.read.into_data(),
             retry_after,
         });
     }
@@ -185,19 +143,8 @@
             return Ok(());
         };
         if !command.aborted {
-            let (offset, len) = (
-                bhs.buffer_offset() as usize,
-                bhs.desired_data_len() as usize,
-            );
-            if offset != command.sent || offset + len > command.write_data.bytes().len() || len == 0
-            {
-                return Err(ProtocolError::InvalidReadyToTransfer {
-                    len,
-                    offset,
-                    sent: command.sent,
-                });
-            }
-            self.send_burst(&mut command, bhs.target_transfer_tag(), offset + len);
+            let end = command.write.burst_end(bhs)?;
+            self.send_burst(&mut command, bhs.target_transfer_tag(), end);
         }
         self.commands.restore(command);
         Ok(())
@@ -251,13 +198,3 @@
         }
     }
 }
-
-/// Whether a PDU takes a `StatSN` of its own.
-fn has_own_stat_sn(bhs: &Bhs) -> bool {
-    match bhs.opcode() {
-        opcode::DATA_IN => bhs.flags() & flag::STATUS != 0,
-        opcode::R2T => false,
-        opcode::NOP_IN => bhs.itt() != RESERVED_TAG,
-        _ => true,
-    }
-}
--- /dev/null
+++ b/crates/iscsi/src/initiator/sequence.rs
@@ -0,0 +1,83 @@
+//! The sequence numbers of a session at its initiator (section 4.2.2).
+use crate::error::ProtocolError;
+use crate::pdu::{Bhs, RESERVED_TAG, flag, opcode, serial_before};
+
+/// Numbers of commands and of statuses.
+pub(super) struct InitiatorSequence {
+    cmd_sn: u32,
+    exp_stat_sn: u32,
+    max_cmd_sn: u32,
+}
+
+impl InitiatorSequence {
+    /// The numbers of a connection that has had no response yet.
+    pub(super) fn new() -> Self {
+        InitiatorSequence {
+            cmd_sn: 1,
+            exp_stat_sn: 0,
+            max_cmd_sn: 0,
+        }
+    }
+
+    /// Takes all numbers over from a login response.
+    pub(super) fn start(&mut self, response: &Bhs) {
+        self.exp_stat_sn = response.stat_sn().wrapping_add(1);
+        self.max_cmd_sn = response.max_cmd_sn();
+        self.cmd_sn = response.exp_cmd_sn();
+    }
+
+    /// Whether the target's command window takes another command.
+    pub(super) fn is_window_open(&self) -> bool {
+        !serial_before(self.max_cmd_sn, self.cmd_sn)
+    }
+
+    /// The number of the next command.
+    pub(super) fn cmd_sn(&self) -> u32 {
+        self.cmd_sn
+    }
+
+    /// The header of an immediate request, which uses up no command number.
+    pub(super) fn number_immediate(&self, bhs: Bhs) -> Bhs {
+        self.acknowledge(bhs.with_cmd_sn(self.cmd_sn))
+    }
+
+    /// The header of a request that uses up the next command number.
+    pub(super) fn number(&mut self, bhs: Bhs) -> Bhs {
+        let numbered = self.number_immediate(bhs);
+        self.cmd_sn = self.cmd_sn.wrapping_add(1);
+        numbered
+    }
+
+    /// A header that acknowledges the statuses received so far.
+    pub(super) fn acknowledge(&self, bhs: Bhs) -> Bhs {
+        bhs.with_exp_stat_sn(self.exp_stat_sn)
+    }
+
+    /// Takes over the command window and checks the status number (sections 4.2.2.1 and 4.2.2.2).
+    pub(super) fn receive(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
+        if serial_before(self.max_cmd_sn, bhs.max_cmd_sn()) {
+            self.max_cmd_sn = bhs.max_cmd_sn();
+        }
+        if !has_own_stat_sn(bhs) {
+            return Ok(());
+        }
+        if bhs.stat_sn() != self.exp_stat_sn {
+            return Err(ProtocolError::StatusSequenceGap {
+                received: bhs.stat_sn(),
+                expected: self.exp_stat_sn,
+            });
+        }
+        self.exp_stat_sn = self.exp_stat_sn.wrapping_add(1);
+        Ok(())
+    }
+}
+
+/// Whether a PDU takes a `StatSN` of its own.
+fn has_own_stat_sn(bhs: &Bhs) -> bool {
+    match bhs.opcode() {
+        opcode::DATA_IN => bhs.flags() & flag::STATUS != 0,
+        opcode::R2T => false,
+        opcode::NOP_IN => bhs.itt() != RESERVED_TAG,
+        _ => true,
+    }
+}
--- a/crates/iscsi/src/login/initiator.rs
+++ b/crates/iscsi/src/login/initiator.rs
@@ -62,9 +62,12 @@
                 opcode: bhs.opcode(),
             });
         }
-        let (class, detail) = (bhs.login_status_class(), bhs.login_status_detail());
-        if class != 0 {
-            return Err(ProtocolError::LoginStatus(LoginStatus { class, detail }));
+        let status = LoginStatus {
+            class: bhs.login_status_class(),
+            detail: bhs.login_status_detail(),
+        };
+        if status.class != 0 {
+            return Err(ProtocolError::LoginStatus(status));
         }
         for (key, value) in text::parse_pairs(&pdu.data)? {
             self.params.accept_answer(key, value)?;
--- a/crates/iscsi/src/login/target.rs
+++ b/crates/iscsi/src/login/target.rs
@@ -16,14 +16,20 @@
     pub params: SessionParams,
     proposal: ProposedParams,
     /// Known from the end of the first request on.
-    identity: Option<LoginIdentity>,
-    tsih: u16,
+    admitted: Option<AdmittedLogin>,
     stage: u8,
     portal_group_sent: bool,
     /// Text of requests that are to be continued.
     text: Vec<u8>,
 }
 
+/// A login that the policy has admitted.
+struct AdmittedLogin {
+    identity: LoginIdentity,
+    /// Handle of its session.
+    tsih: u16,
+}
+
 /// The response to a login request, and how the login stands behind it.
 pub(crate) struct LoginReply {
     /// Header of the response, without its sequence numbers.
@@ -86,13 +92,10 @@
     }
 
     fn response(&self, pdu: &Pdu, flags: u8) -> Bhs {
+        let admitted = self.admitted.as_ref();
         Bhs::new(opcode::LOGIN_RESPONSE, flags)
             .with_isid(pdu.bhs.isid())
-            .with_tsih(if self.tsih != 0 {
-                self.tsih
-            } else {
-                pdu.bhs.tsih()
-            })
+            .with_tsih(admitted.map_or(pdu.bhs.tsih(), |login| login.tsih))
             .with_itt(pdu.bhs.itt())
     }
 
@@ -118,18 +121,33 @@
         }
         let text = std::mem::take(&mut self.text);
         let pairs = text::parse_pairs(&text)?;
-        if self.identity.is_none() {
-            let identity = identify(&pdu.bhs, &pairs)?;
-            self.tsih = policy
-                .admit(&identity)
-                .map_err(|status| LoginError::NotAdmitted {
-                    initiator: identity.initiator.clone(),
-                    status,
-                })?;
-            self.identity = Some(identity);
-        }
+        let identity = match &self.admitted {
+            Some(login) => login.identity.clone(),
+            None => self.admit(&pdu.bhs, &pairs, policy)?,
+        };
         let data = self.answer_keys(&pairs, stages.current)?;
-        Ok(self.reply(pdu, &stages, data))
+        Ok(self.reply(pdu, &stages, data, identity))
+    }
+
+    /// Asks the policy at the end of the first request.
+    fn admit(
+        &mut self,
+        bhs: &Bhs,
+        pairs: &[(&str, &str)],
+        policy: &mut dyn LoginPolicy,
+    ) -> Result<LoginIdentity, LoginError> {
+        let identity = identify(bhs, pairs)?;
+        let tsih = policy
+            .admit(&identity)
+            .map_err(|status| LoginError::NotAdmitted {
+                initiator: identity.initiator.clone(),
+                status,
+            })?;
+        self.admitted = Some(AdmittedLogin {
+            identity: identity.clone(),
+            tsih,
+        });
+        Ok(identity)
     }
 
     fn check_stages(&self, pdu: &Pdu, stages: &Stages) -> Result<(), LoginError> {
@@ -139,7 +157,7 @@
         if stages.transit && stages.to_be_continued {
             return Err(LoginError::TransitAndContinue);
         }
-        let is_first = self.identity.is_none() && stages.current <= stage::OPERATIONAL;
+        let is_first = self.admitted.is_none() && stages.current <= stage::OPERATIONAL;
         if stages.current != self.stage && !is_first {
             return Err(LoginError::WrongStage);
         }
@@ -177,16 +195,20 @@
         Ok(out)
     }
 
-    fn reply(&mut self, pdu: &Pdu, stages: &Stages, data: Vec<u8>) -> LoginReply {
+    fn reply(
+        &mut self,
+        pdu: &Pdu,
+        stages: &Stages,
+        data: Vec<u8>,
+        identity: LoginIdentity,
+    ) -> LoginReply {
         let mut flags = stages.current << 2;
         let mut outcome = LoginOutcome::InProgress;
         if stages.transit {
             flags |= flag::FINAL | stages.next;
             self.stage = stages.next;
             if stages.next == stage::FULL_FEATURE {
-                outcome = LoginOutcome::Completed(
-                    self.identity.clone().expect("set by the first request"),
-                );
+                outcome = LoginOutcome::Completed(identity);
             }
         }
         LoginReply {
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -2,13 +2,16 @@
 mod complete;
 mod data_out;
 mod receive;
+mod sequence;
 mod task_management;
 mod task_table;
+mod write_transfer;
 
 use crate::frame::{PduDecoder, SendBuffer};
 use crate::login::{LoginIdentity, TargetLogin};
 use crate::params::{DEFAULT_MAX_RECV_DATA_SEGMENT, ProposedParams, SessionParams};
-use crate::pdu::{Bhs, RESERVED_TAG, async_event, flag, opcode, serial_before};
+use crate::pdu::{Bhs, RESERVED_TAG, async_event, flag, opcode};
+use sequence::TargetSequence;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use task_table::TaskTable;
@@ -72,9 +75,7 @@
     discovery: bool,
     decoder: PduDecoder,
     send_buffer: SendBuffer,
-    stat_sn: u32,
-    exp_cmd_sn: u32,
-    max_cmd_sn: u32,
+    sequence: TargetSequence,
     tasks: TaskTable,
     events: VecDeque<TargetEvent>,
     /// NOP-Ins since the initiator last answered one.
@@ -92,9 +93,7 @@
             discovery: false,
             decoder: PduDecoder::new(DEFAULT_MAX_RECV_DATA_SEGMENT),
             send_buffer: SendBuffer::default(),
-            stat_sn: 1,
-            exp_cmd_sn: 0,
-            max_cmd_sn: 0,
+            sequence: TargetSequence::new(),
             tasks: TaskTable::default(),
             events: VecDeque::new(),
             unanswered_pings: 0,
@@ -156,30 +155,20 @@
 
     /// Sends a PDU that takes a `StatSN` of its own.
     fn send_response(&mut self, bhs: Bhs, data: &[u8]) {
-        self.send_numbered(bhs, self.stat_sn, data);
-        self.stat_sn = self.stat_sn.wrapping_add(1);
+        let stat_sn = self.sequence.take_stat_sn();
+        self.send_numbered(bhs, stat_sn, data);
     }
 
     /// Sends a PDU that names the next `StatSN` without taking it.
     fn send_request(&mut self, bhs: Bhs, data: &[u8]) {
-        self.send_numbered(bhs, self.stat_sn, data);
+        self.send_numbered(bhs, self.sequence.next_stat_sn(), data);
     }
 
+    /// Sends a PDU with a `StatSN`, and with the command window as far as the commands in flight allow.
     fn send_numbered(&mut self, bhs: Bhs, stat_sn: u32, data: &[u8]) {
-        self.open_command_window();
-        let bhs = bhs
-            .with_stat_sn(stat_sn)
-            .with_exp_cmd_sn(self.exp_cmd_sn)
-            .with_max_cmd_sn(self.max_cmd_sn);
-        self.send_buffer.push(bhs, data);
-    }
-
-    /// Moves `MaxCmdSN` up as far as the commands in flight allow. It never moves back (section 4.2.2.1).
-    fn open_command_window(&mut self) {
         let free = self.config.command_window.saturating_sub(self.tasks.len());
-        let max_cmd_sn = self.exp_cmd_sn.wrapping_add(free).wrapping_sub(1);
-        if serial_before(self.max_cmd_sn, max_cmd_sn) {
-            self.max_cmd_sn = max_cmd_sn;
-        }
+        self.sequence.open_window(free);
+        self.send_buffer
+            .push(self.sequence.number(bhs, stat_sn), data);
     }
 }
--- a/crates/iscsi/src/target/receive.rs
+++ b/crates/iscsi/src/target/receive.rs
@@ -1,10 +1,12 @@
 //! What a target does with the initiator's PDUs.
-use super::task_table::{DataPhase, Task};
+use super::task_table::Task;
+use super::write_transfer::WriteTransfer;
 use super::{Phase, TargetConnection, TargetEvent};
 use crate::error::ProtocolError;
 use crate::frame::FrameError;
-use crate::login::{LoginOutcome, LoginPolicy};
-use crate::pdu::{Bhs, Pdu, RESERVED_TAG, flag, opcode, reject_reason, serial_before};
+use crate::login::{LoginIdentity, LoginOutcome, LoginPolicy};
+use crate::params::SessionParams;
+use crate::pdu::{Bhs, Pdu, RESERVED_TAG, flag, opcode, reject_reason};
 use crate::scsi::Sense;
 use crate::text;
 
@@ -56,7 +58,7 @@
             | opcode::LOGOUT_REQUEST => {}
             _ => return self.on_unsupported(&pdu.bhs),
         }
-        if !pdu.bhs.is_immediate() && !self.accept_cmd_sn(pdu.bhs.cmd_sn())? {
+        if !pdu.bhs.is_immediate() && !self.sequence.accept(pdu.bhs.cmd_sn())? {
             return Ok(());
         }
         match opcode {
@@ -78,22 +80,6 @@
         Ok(())
     }
 
-    /// Takes the sequence number of a request that is not immediate; false where the request is to be
-    /// ignored because its number is outside the window (section 4.2.2.1).
-    fn accept_cmd_sn(&mut self, cmd_sn: u32) -> Result<bool, ProtocolError> {
-        if serial_before(cmd_sn, self.exp_cmd_sn) || serial_before(self.max_cmd_sn, cmd_sn) {
-            return Ok(false);
-        }
-        if cmd_sn != self.exp_cmd_sn {
-            return Err(ProtocolError::CommandSequenceGap {
-                received: cmd_sn,
-                expected: self.exp_cmd_sn,
-            });
-        }
-        self.exp_cmd_sn = self.exp_cmd_sn.wrapping_add(1);
-        Ok(true)
-    }
-
     fn on_login_request(
         &mut self,
         pdu: &Pdu,
@@ -109,23 +95,12 @@
         }
         let reply = login.on_request(pdu, policy);
         let params = login.params.clone();
-        self.exp_cmd_sn = pdu.bhs.cmd_sn();
-        self.max_cmd_sn = self
-            .exp_cmd_sn
-            .wrapping_add(self.config.command_window)
-            .wrapping_sub(1);
+        self.sequence
+            .start(pdu.bhs.cmd_sn(), self.config.command_window);
         self.send_response(reply.bhs, &reply.data);
         match reply.outcome {
             LoginOutcome::InProgress => {}
-            LoginOutcome::Completed(identity) => {
-                self.decoder
-                    .set_limits(params.digests, params.max_recv_data_segment);
-                self.send_buffer.set_digests(params.digests);
-                self.params = params;
-                self.discovery = identity.discovery;
-                self.phase = Phase::FullFeature;
-                self.events.push_back(TargetEvent::LoggedIn(identity));
-            }
+            LoginOutcome::Completed(identity) => self.enter_full_feature(params, identity),
             LoginOutcome::Rejected(reason) => {
                 self.phase = Phase::Closing;
                 return Err(ProtocolError::LoginRejected {
@@ -137,6 +112,17 @@
         Ok(())
     }
 
+    /// What was negotiated holds from the next PDU on.
+    fn enter_full_feature(&mut self, params: SessionParams, identity: LoginIdentity) {
+        self.decoder
+            .set_limits(params.digests, params.max_recv_data_segment);
+        self.send_buffer.set_digests(params.digests);
+        self.params = params;
+        self.discovery = identity.discovery;
+        self.phase = Phase::FullFeature;
+        self.events.push_back(TargetEvent::LoggedIn(identity));
+    }
+
     fn reject(&mut self, rejected: &Bhs, reason: u8) {
         let bhs = Bhs::new(opcode::REJECT, flag::FINAL)
             .with_response(reason)
@@ -155,15 +141,14 @@
             .with_target_transfer_tag(RESERVED_TAG)
             .with_lun_of(&pdu.bhs);
         let echoed = pdu.data.len().min(self.params.max_send_data_segment);
-        self.send_response(bhs, &pdu.data[..echoed]);
+        let echo = pdu.data.get(..echoed).unwrap_or_default();
+        self.send_response(bhs, echo);
     }
 
     fn on_scsi_command(&mut self, pdu: Pdu) -> Result<(), ProtocolError> {
         let bhs = pdu.bhs;
-        let (is_read, is_write) = (
-            bhs.flags() & flag::READ != 0,
-            bhs.flags() & flag::WRITE != 0,
-        );
+        let is_read = bhs.flags() & flag::READ != 0;
+        let is_write = bhs.flags() & flag::WRITE != 0;
         let expected_len = bhs.expected_data_len() as usize;
         if self.tasks.index_of(bhs.itt()).is_some() || bhs.itt() == RESERVED_TAG {
             return Err(ProtocolError::TaskTagInUse { itt: bhs.itt() });
@@ -180,22 +165,13 @@
         let unsolicited_len = self.params.first_burst_len.min(expected_len);
         self.check_unsolicited_data(&bhs, pdu.data.len(), unsolicited_len)?;
         let write_len = if is_write { expected_len } else { 0 };
-        let mut write_data = pdu.data;
-        if write_data.len() < write_len {
-            write_data.reserve_exact(write_len - write_data.len());
-        }
         let index = self.tasks.insert(Task {
             itt: bhs.itt(),
             lun: bhs.lun(),
             cdb: bhs.cdb(),
             read_len: if is_read { expected_len } else { 0 },
             is_read,
-            write_len,
-            write_data,
-            phase: DataPhase::Unsolicited,
-            burst_end: unsolicited_len,
-            next_data_sn: 0,
-            next_r2t_sn: 0,
+            write: WriteTransfer::new(pdu.data, write_len, unsolicited_len),
         });
         if !is_write || bhs.is_final() {
             self.request_data_or_deliver(index);
--- a/crates/iscsi/src/target/task_management.rs
+++ b/crates/iscsi/src/target/task_management.rs
@@ -1,5 +1,4 @@
 //! Task management functions (sections 11.5 and 11.6).
-use super::task_table::DataPhase;
 use super::{TargetConnection, TargetEvent};
 use crate::pdu::{Bhs, flag, opcode, task_function, task_response};
 
@@ -43,7 +42,7 @@
 
     fn abort(&mut self, index: usize) {
         if let Some(task) = self.tasks.remove(index)
-            && task.phase == DataPhase::Delivered
+            && task.write.is_delivered()
         {
             self.events
                 .push_back(TargetEvent::CommandAborted { task: index as u32 });
--- a/crates/iscsi/src/target/task_table.rs
+++ b/crates/iscsi/src/target/task_table.rs
@@ -1,4 +1,5 @@
 //! The commands of a connection that are neither completed nor aborted.
+use super::write_transfer::WriteTransfer;
 
 /// A command, called a task in SAM-5.
 pub(super) struct Task {
@@ -8,28 +9,8 @@
     /// Bytes that the initiator expects to read.
     pub read_len: usize,
     pub is_read: bool,
-    /// Bytes that it writes in all.
-    pub write_len: usize,
-    /// The data received so far, until it is delivered.
-    pub write_data: Vec<u8>,
-    pub phase: DataPhase,
-    /// Buffer offset at which the present burst ends at the latest.
-    pub burst_end: usize,
-    /// Number of the next Data-Out PDU in its burst.
-    pub next_data_sn: u32,
-    /// Number of the next R2T.
-    pub next_r2t_sn: u32,
-}
-
-/// How far the data of a command has come.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum DataPhase {
-    /// Unsolicited Data-Out may come.
-    Unsolicited,
-    /// An R2T is open.
-    Solicited,
-    /// The command and all its data were handed to the caller.
-    Delivered,
+    /// The data that it writes.
+    pub write: WriteTransfer,
 }
 
 /// Tasks by their index, which the caller knows as `task` and the initiator as the target transfer tag.
@@ -53,9 +34,11 @@
     /// Adds a task at the first free index, which is returned.
     pub fn insert(&mut self, task: Task) -> usize {
         self.len += 1;
-        if let Some(index) = self.slots.iter().position(Option::is_none) {
-            self.slots[index] = Some(task);
-            return index;
+        for (index, slot) in self.slots.iter_mut().enumerate() {
+            if slot.is_none() {
+                *slot = Some(task);
+                return index;
+            }
         }
         self.slots.push(Some(task));
         self.slots.len() - 1
@@ -86,6 +69,6 @@
         self.slots
             .iter()
             .flatten()
-            .any(|task| task.phase != DataPhase::Delivered)
+            .any(|task| !task.write.is_delivered())
     }
 }
