--- a/crates/iscsi/src/params.rs
+++ b/crates/iscsi/src/params.rs
@@ -1,12 +1,18 @@
 //! Operational parameters and how they are negotiated (section 13).
+mod value;
+
+pub use value::ExpectedValue;
+
 use crate::frame::Digests;
 use crate::text;
 use thiserror::Error;
+use value::{
+    boolean_text, digest_text, parse_boolean, parse_digest, parse_length, parse_number,
+    select_digest,
+};
 
 /// `MaxRecvDataSegmentLength` of a side that has not declared one, in bytes (section 13.12).
 pub(crate) const DEFAULT_MAX_RECV_DATA_SEGMENT: usize = 8192;
-/// Values of the keys that are lengths in bytes (sections 13.12 to 13.14).
-const LENGTH_RANGE: std::ops::RangeInclusive<usize> = 512..=0xff_ffff;
 /// Largest `DefaultTime2Wait` and `DefaultTime2Retain` in seconds (sections 13.15 and 13.16).
 const MAX_TIME: u16 = 3600;
 /// Largest `MaxConnections` and `MaxOutstandingR2T` (sections 13.2 and 13.17).
@@ -89,84 +95,16 @@
     pub expected: ExpectedValue,
 }
 
-/// The values that are valid for a key.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ExpectedValue {
-    /// A boolean.
-    #[error("expected Yes or No")]
-    Boolean,
-    /// A length in bytes, decimal or hexadecimal.
-    #[error("expected {} to {}", LENGTH_RANGE.start(), LENGTH_RANGE.end())]
-    Length,
-    /// A number from 0 to this one.
-    #[error("expected 0 to {0}")]
-    UpTo(u16),
-    /// A digest that is implemented here.
-    #[error("expected CRC32C or None")]
-    Digest,
-}
-
-fn parse_boolean(value: &str) -> Result<bool, ExpectedValue> {
-    match value {
-        "Yes" => Ok(true),
-        "No" => Ok(false),
-        _ => Err(ExpectedValue::Boolean),
-    }
-}
-
-fn parse_length(value: &str) -> Result<usize, ExpectedValue> {
-    let length = match value
-        .strip_prefix("0x")
-        .or_else(|| value.strip_prefix("0X"))
-    {
-        Some(digits) => usize::from_str_radix(digits, 16),
-        None => value.parse(),
-    };
-    length
-        .ok()
-        .filter(|length| LENGTH_RANGE.contains(length))
-        .ok_or(ExpectedValue::Length)
-}
-
-fn parse_number(value: &str, max: u16) -> Result<u16, ExpectedValue> {
-    value
-        .parse()
-        .ok()
-        .filter(|number| *number <= max)
-        .ok_or(ExpectedValue::UpTo(max))
-}
-
-/// Parses the digest that a target selected.
-fn parse_digest(value: &str) -> Result<bool, ExpectedValue> {
-    match value {
-        "CRC32C" => Ok(true),
-        "None" => Ok(false),
-        _ => Err(ExpectedValue::Digest),
-    }
-}
-
-/// Selects from an initiator's list, which is in its order of preference: a digest if either side prefers
-/// one, or the initiator accepts nothing else.
-fn select_digest(proposed: bool, list: &str) -> Result<bool, ExpectedValue> {
-    let has_crc = list.split(',').any(|name| name == "CRC32C");
-    let has_none = list.split(',').any(|name| name == "None");
-    let prefers_crc = list.split(',').next() == Some("CRC32C");
-    let selected = has_crc && (proposed || prefers_crc || !has_none);
-    if selected || has_none {
-        Ok(selected)
-    } else {
-        Err(ExpectedValue::Digest)
+impl ParamError {
+    fn new(key: &str, value: &str, expected: ExpectedValue) -> ParamError {
+        ParamError {
+            key: key.to_owned(),
+            value: value.to_owned(),
+            expected,
+        }
     }
 }
 
-fn boolean_text(value: bool) -> String {
-    if value { "Yes" } else { "No" }.to_owned()
-}
-
-fn digest_text(enabled: bool) -> String {
-    if enabled { "CRC32C" } else { "None" }.to_owned()
-}
-
 impl SessionParams {
     /// What holds at the start of a login, by the proposal of this side.
     pub fn before_negotiation(proposal: &ProposedParams) -> Self {
@@ -192,18 +130,15 @@
     ) -> Result<(), ParamError> {
         let answer = self
             .negotiate(proposal, key, value)
-            .map_err(|expected| ParamError {
-                key: key.to_owned(),
-                value: value.to_owned(),
-                expected,
-            })?;
+            .map_err(|expected| ParamError::new(key, value, expected))?;
         if let Some(answer) = answer {
             text::push_pair(out, key, &answer);
         }
         Ok(())
     }
 
-    /// Takes one key and returns its answer; none for a key that is only declared.
+    /// Takes one key and returns its answer; none for a key that is only declared. Longer than other functions, as it
+    /// has one arm for each key.
     fn negotiate(
         &mut self,
         proposal: &ProposedParams,
@@ -304,11 +239,7 @@
             return Ok(());
         }
         self.apply_answer(key, value)
-            .map_err(|expected| ParamError {
-                key: key.to_owned(),
-                value: value.to_owned(),
-                expected,
-            })
+            .map_err(|expected| ParamError::new(key, value, expected))
     }
 
     fn apply_answer(&mut self, key: &str, value: &str) -> Result<(), ExpectedValue> {
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -1,4 +1,15 @@
 //! PDUs and the fields of their basic header segment (section 11).
+//!
+//! - `codes`: the codes in these fields.
+//! - `lun`: LUNs as bytes.
+mod codes;
+mod lun;
+
+pub(crate) use codes::{async_event, reject_reason};
+pub use codes::{flag, opcode, task_function, task_response};
+pub use lun::lun_bytes;
+
+use lun::parse_lun;
 
 /// Bytes of a basic header segment.
 pub const BHS_LEN: usize = 48;
@@ -8,111 +19,9 @@
 /// SAM-5, 5.3.2).
 pub(crate) const MAX_RETRY_AFTER: u16 = 0x3fef;
 
-/// Opcodes (section 11.2.1.2).
-pub mod opcode {
-    /// NOP-Out.
-    pub const NOP_OUT: u8 = 0x00;
-    /// SCSI Command.
-    pub const SCSI_COMMAND: u8 = 0x01;
-    /// SCSI Task Management Function Request.
-    pub const TASK_MANAGEMENT_REQUEST: u8 = 0x02;
-    /// Login Request.
-    pub const LOGIN_REQUEST: u8 = 0x03;
-    /// Text Request.
-    pub const TEXT_REQUEST: u8 = 0x04;
-    /// SCSI Data-Out.
-    pub const DATA_OUT: u8 = 0x05;
-    /// Logout Request.
-    pub const LOGOUT_REQUEST: u8 = 0x06;
-    /// SNACK Request.
-    pub const SNACK: u8 = 0x10;
-    /// NOP-In.
-    pub const NOP_IN: u8 = 0x20;
-    /// SCSI Response.
-    pub const SCSI_RESPONSE: u8 = 0x21;
-    /// SCSI Task Management Function Response.
-    pub const TASK_MANAGEMENT_RESPONSE: u8 = 0x22;
-    /// Login Response.
-    pub const LOGIN_RESPONSE: u8 = 0x23;
-    /// Text Response.
-    pub const TEXT_RESPONSE: u8 = 0x24;
-    /// SCSI Data-In.
-    pub const DATA_IN: u8 = 0x25;
-    /// Logout Response.
-    pub const LOGOUT_RESPONSE: u8 = 0x26;
-    /// Ready To Transfer.
-    pub const R2T: u8 = 0x31;
-    /// Asynchronous Message.
-    pub const ASYNC_MESSAGE: u8 = 0x32;
-    /// Reject.
-    pub const REJECT: u8 = 0x3f;
-
-    /// Set in the opcodes that targets send.
-    pub(crate) const TARGET_BIT: u8 = 0x20;
-}
-
-/// Bits of byte 1. Which of them apply depends on the opcode.
-pub mod flag {
-    /// The last PDU of its sequence; of a login, the transit bit.
-    pub const FINAL: u8 = 0x80;
-    /// Text and login: the text goes on in the next PDU.
-    pub const CONTINUE: u8 = 0x40;
-    /// SCSI Command: data is to be read.
-    pub const READ: u8 = 0x40;
-    /// SCSI Command: data is written.
-    pub const WRITE: u8 = 0x20;
-    /// Data-In: this PDU carries the command's status as well.
-    pub const STATUS: u8 = 0x01;
-    /// SCSI Response and Data-In: less data than the initiator expected.
-    pub const UNDERFLOW: u8 = 0x02;
-    /// SCSI Response and Data-In: more data than the initiator expected.
-    pub const OVERFLOW: u8 = 0x04;
-    /// SCSI Command: simple task attribute.
-    pub const SIMPLE: u8 = 0x01;
-}
-
-/// Reasons of a Reject (section 11.17.1).
-pub(crate) mod reject_reason {
-    pub const DATA_DIGEST_ERROR: u8 = 0x02;
-    pub const PROTOCOL_ERROR: u8 = 0x04;
-    pub const COMMAND_NOT_SUPPORTED: u8 = 0x05;
-    pub const IMMEDIATE_COMMAND_REJECT: u8 = 0x06;
-}
-
-/// Task management functions (section 11.5.1).
-pub mod task_function {
-    /// ABORT TASK: one task.
-    pub const ABORT_TASK: u8 = 1;
-    /// ABORT TASK SET: all tasks of this session at a logical unit.
-    pub const ABORT_TASK_SET: u8 = 2;
-    /// LOGICAL UNIT RESET.
-    pub const LOGICAL_UNIT_RESET: u8 = 5;
-    /// TARGET WARM RESET.
-    pub const TARGET_WARM_RESET: u8 = 6;
-}
-
-/// Responses to task management functions (section 11.6.1).
-pub mod task_response {
-    /// Function complete.
-    pub const FUNCTION_COMPLETE: u8 = 0;
-    /// Task does not exist.
-    pub const TASK_DOES_NOT_EXIST: u8 = 1;
-    /// LUN does not exist.
-    pub const LUN_DOES_NOT_EXIST: u8 = 2;
-    /// Task management function not supported.
-    pub const FUNCTION_NOT_SUPPORTED: u8 = 5;
-    /// Function rejected.
-    pub const FUNCTION_REJECTED: u8 = 255;
-}
-
-/// Events of an asynchronous message (section 11.9.1).
-pub(crate) mod async_event {
-    pub const SCSI: u8 = 0;
-    pub const LOGOUT_REQUEST: u8 = 1;
-    pub const NEGOTIATION_REQUEST: u8 = 4;
-}
-
+/// Bit of byte 0 that marks a request for immediate delivery.
 const IMMEDIATE_BIT: u8 = 0x40;
+/// Bits of byte 0 that hold the opcode.
 const OPCODE_BITS: u8 = 0x3f;
 
 /// The basic header segment: the 48 bytes that open a PDU, with its fields by name.
@@ -176,7 +85,8 @@
     /// A header with an opcode and the flags of byte 1; all else is zero.
     pub fn new(opcode: u8, flags: u8) -> Self {
         let mut bytes = [0; BHS_LEN];
-        (bytes[0], bytes[1]) = (opcode, flags);
+        bytes[0] = opcode;
+        bytes[1] = flags;
         Bhs(bytes)
     }
 
@@ -271,7 +181,9 @@
 
     /// The LUN; none where its addressing method is unknown here.
     pub fn lun(&self) -> Option<u32> {
-        parse_lun(&self.0[8..16])
+        let mut bytes = [0; 8];
+        bytes.copy_from_slice(&self.0[8..16]);
+        parse_lun(bytes)
     }
 
     /// Sets the LUN.
@@ -392,40 +304,6 @@
     }
 }
 
-/// First byte of a LUN by extended flat space addressing with 24 bits (SAM-5, 4.7.11).
-const EXTENDED_FLAT: u8 = 0xd2;
-/// Bits of the first byte that name flat space addressing (SAM-5, 4.7).
-const FLAT_SPACE: u8 = 0x40;
-
-/// Encodes a LUN of up to 24 bits in its eight bytes: by peripheral device addressing below 256, flat space
-/// below 16384, extended flat space above (SAM-5, 4.7).
-pub fn lun_bytes(lun: u32) -> [u8; 8] {
-    let mut bytes = [0; 8];
-    match lun {
-        0..256 => bytes[1] = lun as u8,
-        256..16_384 => (bytes[0], bytes[1]) = (FLAT_SPACE | (lun >> 8) as u8, lun as u8),
-        _ => {
-            bytes[..4].copy_from_slice(&lun.to_be_bytes());
-            bytes[0] = EXTENDED_FLAT;
-        }
-    }
-    bytes
-}
-
-/// Decodes a LUN of the three addressing methods of `lun_bytes`.
-fn parse_lun(bytes: &[u8]) -> Option<u32> {
-    if bytes[4..8].iter().any(|byte| *byte != 0) {
-        return None;
-    }
-    let low = u32::from_be_bytes([0, bytes[1], bytes[2], bytes[3]]);
-    match bytes[0] {
-        EXTENDED_FLAT => Some(low),
-        0 if low & 0xffff == 0 => Some(low >> 16),
-        FLAT_SPACE..=0x7f if low & 0xffff == 0 => Some(u32::from(bytes[0] & 0x3f) << 8 | low >> 16),
-        _ => None,
-    }
-}
-
 /// Whether serial number `a` is before `b` in serial number arithmetic (RFC 1982; section 4.2.2.1).
 pub(crate) fn serial_before(a: u32, b: u32) -> bool {
     (a.wrapping_sub(b) as i32) < 0
--- /dev/null
+++ b/crates/iscsi/src/pdu/lun.rs
@@ -0,0 +1,38 @@
+//! LUNs as the eight bytes of a PDU (SAM-5, 4.7).
+
+/// First byte of a LUN by extended flat space addressing with 24 bits (SAM-5, 4.7.11).
+const EXTENDED_FLAT: u8 = 0xd2;
+/// Bits of the first byte that name flat space addressing (SAM-5, 4.7).
+const FLAT_SPACE: u8 = 0x40;
+
+/// Encodes a LUN of up to 24 bits in its eight bytes: by peripheral device addressing below 256, flat space
+/// below 16384, extended flat space above (SAM-5, 4.7).
+pub fn lun_bytes(lun: u32) -> [u8; 8] {
+    let mut bytes = [0; 8];
+    match lun {
+        0..256 => bytes[1] = lun as u8,
+        256..16_384 => {
+            bytes[0] = FLAT_SPACE | (lun >> 8) as u8;
+            bytes[1] = lun as u8;
+        }
+        _ => {
+            bytes[..4].copy_from_slice(&lun.to_be_bytes());
+            bytes[0] = EXTENDED_FLAT;
+        }
+    }
+    bytes
+}
+
+/// Decodes a LUN of the three addressing methods of [`lun_bytes`].
+pub(super) fn parse_lun(bytes: [u8; 8]) -> Option<u32> {
+    if bytes[4..8].iter().any(|byte| *byte != 0) {
+        return None;
+    }
+    let low = u32::from_be_bytes([0, bytes[1], bytes[2], bytes[3]]);
+    match bytes[0] {
+        EXTENDED_FLAT => Some(low),
+        0 if low & 0xffff == 0 => Some(low >> 16),
+        FLAT_SPACE..=0x7f if low & 0xffff == 0 => Some(u32::from(bytes[0] & 0x3f) << 8 | low >> 16),
+        _ => None,
+    }
+}
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -79,7 +79,8 @@
         bytes[2] = self.key;
         // Additional sense length: the bytes from offset 8 on.
         bytes[7] = SENSE_LEN as u8 - 8;
-        (bytes[12], bytes[13]) = (self.code, self.qualifier);
+        bytes[12] = self.code;
+        bytes[13] = self.qualifier;
         bytes
     }
 
--- a/crates/iscsi/src/scsi/cdb.rs
+++ b/crates/iscsi/src/scsi/cdb.rs
@@ -33,11 +33,15 @@
 const VITAL_PRODUCT_DATA: u8 = 0x01;
 /// RDPROTECT or WRPROTECT: anything but zero asks for protection information.
 const PROTECT_BITS: u8 = 0xe0;
+/// Bits of a READ or WRITE that hold the group number.
 const GROUP_NUMBER_BITS: u8 = 0x1f;
+/// Bits of byte 2 of a MODE SENSE that hold the page code.
 const PAGE_CODE_BITS: u8 = 0x3f;
+/// Bits of byte 1 that hold the service action.
 const SERVICE_ACTION_BITS: u8 = 0x1f;
-/// Caps of allocation lengths of 32 bits, so that no answer takes more memory.
+/// Most bytes of an answer to GET LBA STATUS, whatever allocation length is requested: bounds its memory.
 const MAX_LBA_STATUS_LEN: u32 = 1 << 20;
+/// Most bytes of any other answer with an allocation length of 32 bits, for the same reason.
 const MAX_ALLOCATION_LEN: u32 = 1 << 16;
 
 /// A command, as far as a block device serves it. Allocation lengths are in bytes, `lba` and `blocks` in
@@ -128,7 +132,7 @@
     Ten,
 }
 
-/// Parses a command descriptor block.
+/// Parses a command descriptor block. Longer than other functions, as it has one arm for each operation.
 ///
 /// # Errors
 /// The sense data to answer the command with.
@@ -155,21 +159,18 @@
         }),
         operation::UNMAP => Ok(Command::Unmap),
         operation::READ_CAPACITY_10 => Ok(Command::ReadCapacity10),
-        operation::REPORT_LUNS => {
-            let allocation_len = capped(&cdb[6..], MAX_ALLOCATION_LEN);
-            Ok(Command::ReportLuns {
-                select_report: cdb[2],
-                allocation_len,
-            })
-        }
+        operation::REPORT_LUNS => Ok(Command::ReportLuns {
+            select_report: cdb[2],
+            allocation_len: capped(&cdb[6..], MAX_ALLOCATION_LEN),
+        }),
         operation::SERVICE_ACTION_IN_16 => parse_service_action(cdb),
         operation::READ_10 | operation::WRITE_10 | operation::SYNCHRONIZE_CACHE_10 => {
             let lba = u64::from(big_endian::u32(&cdb[2..]));
             parse_block_command(cdb, lba, len_16 as u32, cdb[6])
         }
         operation::READ_16 | operation::WRITE_16 | operation::SYNCHRONIZE_CACHE_16 => {
-            let (lba, blocks) = (big_endian::u64(&cdb[2..]), big_endian::u32(&cdb[10..]));
-            parse_block_command(cdb, lba, blocks, cdb[14])
+            let lba = big_endian::u64(&cdb[2..]);
+            parse_block_command(cdb, lba, big_endian::u32(&cdb[10..]), cdb[14])
         }
         _ => Err(Sense::INVALID_OPERATION_CODE),
     }
--- a/crates/iscsi/src/scsi/logical_unit.rs
+++ b/crates/iscsi/src/scsi/logical_unit.rs
@@ -31,28 +31,13 @@
 }
 
 /// Caching page. The write cache is off: a write is answered only once a storage node holds it.
-const CACHING_PAGE: [u8; 20] = [
-    mode_page::CACHING,
-    18,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-    0,
-];
+const CACHING_PAGE: [u8; 20] = {
+    let mut page = [0; 20];
+    page[0] = mode_page::CACHING;
+    // Bytes behind this one.
+    page[1] = 18;
+    page
+};
 /// Control page: commands may be reordered without restriction.
 const CONTROL_PAGE: [u8; 12] = [mode_page::CONTROL, 10, 0, 0x10, 0, 0, 0, 0, 0, 0, 0, 0];
 /// Software write protect, in byte 4 of the control page.
@@ -223,10 +208,13 @@
 /// command descriptor block and its data.
 pub fn mode_select_write_protect(on: bool) -> ([u8; 16], Vec<u8>) {
     let mut data = vec![0; MODE_HEADER_6_LEN + CONTROL_PAGE.len()];
-    (data[4], data[5]) = (mode_page::CONTROL, CONTROL_PAGE.len() as u8 - 2);
+    data[4] = mode_page::CONTROL;
+    data[5] = CONTROL_PAGE.len() as u8 - 2;
     data[8] = if on { SOFTWARE_WRITE_PROTECT } else { 0 };
     let mut cdb = [0; 16];
-    (cdb[0], cdb[1], cdb[4]) = (operation::MODE_SELECT_6, PAGE_FORMAT, data.len() as u8);
+    cdb[0] = operation::MODE_SELECT_6;
+    cdb[1] = PAGE_FORMAT;
+    cdb[4] = data.len() as u8;
     (cdb, data)
 }
 
--- a/crates/iscsi/src/scsi/provisioning.rs
+++ b/crates/iscsi/src/scsi/provisioning.rs
@@ -52,10 +52,8 @@
 /// Builds a GET LBA STATUS (SBC-3, 5.4) from a block on; `allocation_len` in bytes.
 pub fn get_lba_status(lba: u64, allocation_len: u32) -> [u8; 16] {
     let mut cdb = [0; 16];
-    (cdb[0], cdb[1]) = (
-        operation::SERVICE_ACTION_IN_16,
-        service_action::GET_LBA_STATUS,
-    );
+    cdb[0] = operation::SERVICE_ACTION_IN_16;
+    cdb[1] = service_action::GET_LBA_STATUS;
     cdb[2..10].copy_from_slice(&lba.to_be_bytes());
     cdb[10..14].copy_from_slice(&allocation_len.to_be_bytes());
     cdb
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -61,9 +61,14 @@
     NopOut,
 }
 
+/// How far a connection has come.
 enum Phase {
     Login(Box<TargetLogin>),
+    /// Logged in to a discovery session, which has no commands.
+    Discovery,
+    /// Logged in to a normal session.
     FullFeature,
+    /// Nothing more is received.
     Closing,
 }
 
@@ -72,7 +77,6 @@
     config: Rc<TargetConfig>,
     phase: Phase,
     params: SessionParams,
-    discovery: bool,
     decoder: PduDecoder,
     send_buffer: SendBuffer,
     sequence: TargetSequence,
@@ -90,7 +94,6 @@
             config,
             phase: Phase::Login(Box::new(TargetLogin::new(proposal))),
             params: SessionParams::default(),
-            discovery: false,
             decoder: PduDecoder::new(DEFAULT_MAX_RECV_DATA_SEGMENT),
             send_buffer: SendBuffer::default(),
             sequence: TargetSequence::new(),
@@ -112,7 +115,7 @@
 
     /// Whether the session is in the full feature phase.
     pub fn is_logged_in(&self) -> bool {
-        matches!(self.phase, Phase::FullFeature)
+        matches!(self.phase, Phase::FullFeature | Phase::Discovery)
     }
 
     /// Whether the connection closes: nothing more is received, but the send buffer is still to be sent.
--- a/crates/iscsi/src/target/receive.rs
+++ b/crates/iscsi/src/target/receive.rs
@@ -47,7 +47,7 @@
         let opcode = pdu.bhs.opcode();
         match opcode {
             opcode::DATA_OUT => return self.on_data_out(&pdu),
-            opcode::SCSI_COMMAND | opcode::TASK_MANAGEMENT_REQUEST if self.discovery => {
+            opcode::SCSI_COMMAND | opcode::TASK_MANAGEMENT_REQUEST if self.is_discovery() => {
                 self.reject(&pdu.bhs, reject_reason::PROTOCOL_ERROR);
                 return Ok(());
             }
@@ -71,6 +71,10 @@
         Ok(())
     }
 
+    fn is_discovery(&self) -> bool {
+        matches!(self.phase, Phase::Discovery)
+    }
+
     fn on_unsupported(&mut self, bhs: &Bhs) -> Result<(), ProtocolError> {
         let opcode = bhs.opcode();
         if opcode == opcode::LOGIN_REQUEST || opcode & opcode::TARGET_BIT != 0 {
@@ -118,8 +122,11 @@
             .set_limits(params.digests, params.max_recv_data_segment);
         self.send_buffer.set_digests(params.digests);
         self.params = params;
-        self.discovery = identity.discovery;
-        self.phase = Phase::FullFeature;
+        self.phase = if identity.discovery {
+            Phase::Discovery
+        } else {
+            Phase::FullFeature
+        };
         self.events.push_back(TargetEvent::LoggedIn(identity));
     }
 
