--- a/crates/archive/src/format.rs
+++ b/crates/archive/src/format.rs
@@ -1,8 +1,11 @@
 //! What writer and reader share: constants of the format, the header, and the state of a stream.
 use blake3::{Hash, Hasher};
 
-pub(crate) const MAGIC: &[u8; 8] = b"MSEAM1\n\0";
+/// The first bytes of every stream.
+pub(crate) const MAGIC: [u8; 8] = *b"MSEAM1\n\0";
+/// The first byte of a frame.
 pub(crate) const FRAME_TAG: u8 = b'F';
+/// The first byte of the end record.
 pub(crate) const END_TAG: u8 = b'E';
 /// Bytes of a BLAKE3 hash.
 pub(crate) const HASH_BYTES: usize = blake3::OUT_LEN;
@@ -27,19 +30,77 @@
 }
 
 impl Header {
-    pub(crate) fn encode(&self) -> Vec<u8> {
-        let name_length = u16::try_from(self.name.len()).expect("within bounds");
-        let mut out = MAGIC.to_vec();
-        out.extend_from_slice(&self.extent_bytes.to_le_bytes());
-        out.extend_from_slice(&self.extent_count.to_le_bytes());
-        out.extend_from_slice(&name_length.to_le_bytes());
+    /// The bytes of the header but for its hash. None: the name or the extents are out of bounds.
+    pub(crate) fn encode(&self) -> Option<Vec<u8>> {
+        let fixed = FixedHeader {
+            extent_bytes: self.extent_bytes,
+            extent_count: self.extent_count,
+            name_bytes: u16::try_from(self.name.len()).ok()?,
+        };
+        if !fixed.is_within_bounds() {
+            return None;
+        }
+        let mut out = fixed.encode().to_vec();
         out.extend_from_slice(self.name.as_bytes());
+        Some(out)
+    }
+}
+
+/// The fields of a header in front of the name.
+pub(crate) struct FixedHeader {
+    pub(crate) extent_bytes: u32,
+    pub(crate) extent_count: u32,
+    /// Length of the name in bytes.
+    pub(crate) name_bytes: u16,
+}
+
+impl FixedHeader {
+    /// Bytes of all fields, with [`MAGIC`] in front.
+    pub(crate) const BYTES: usize = 18;
+
+    fn encode(&self) -> [u8; FixedHeader::BYTES] {
+        let mut out = [0; FixedHeader::BYTES];
+        out[..8].copy_from_slice(&MAGIC);
+        out[8..12].copy_from_slice(&self.extent_bytes.to_le_bytes());
+        out[12..16].copy_from_slice(&self.extent_count.to_le_bytes());
+        out[16..].copy_from_slice(&self.name_bytes.to_le_bytes());
         out
     }
 
-    /// Whether a header with these sizes is accepted.
-    pub(crate) fn is_within_bounds(name_length: usize, extent_bytes: u32) -> bool {
-        name_length <= MAX_NAME_BYTES && extent_bytes > 0 && extent_bytes <= MAX_EXTENT_BYTES
+    /// The fields in these bytes. None: they are no header, or its sizes are out of bounds.
+    pub(crate) fn decode(bytes: [u8; FixedHeader::BYTES]) -> Option<FixedHeader> {
+        let [
+            m0,
+            m1,
+            m2,
+            m3,
+            m4,
+            m5,
+            m6,
+            m7,
+            e0,
+            e1,
+            e2,
+            e3,
+            c0,
+            c1,
+            c2,
+            c3,
+            n0,
+            n1,
+        ] = bytes;
+        let header = FixedHeader {
+            extent_bytes: u32::from_le_bytes([e0, e1, e2, e3]),
+            extent_count: u32::from_le_bytes([c0, c1, c2, c3]),
+            name_bytes: u16::from_le_bytes([n0, n1]),
+        };
+        let is_header = [m0, m1, m2, m3, m4, m5, m6, m7] == MAGIC && header.is_within_bounds();
+        is_header.then_some(header)
+    }
+
+    fn is_within_bounds(&self) -> bool {
+        usize::from(self.name_bytes) <= MAX_NAME_BYTES
+            && (1..=MAX_EXTENT_BYTES).contains(&self.extent_bytes)
     }
 }
 
--- a/crates/archive/src/reader.rs
+++ b/crates/archive/src/reader.rs
@@ -1,11 +1,8 @@
 //! Reading a stream.
 use crate::error::Error;
-use crate::format::{END_TAG, FRAME_TAG, HASH_BYTES, Header, MAGIC, ResumePoint, frame_hash};
+use crate::format::{END_TAG, FRAME_TAG, FixedHeader, HASH_BYTES, Header, ResumePoint, frame_hash};
 use std::io::Read;
 
-/// Bytes of the header before the name.
-const FIXED_HEADER_BYTES: usize = 18;
-
 /// A record of a stream after its header.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Record {
@@ -33,23 +30,12 @@
     /// # Errors
     ///
     /// [`Error::Damaged`]: the input is no stream, or its header is damaged or truncated.
-    ///
-    /// # Panics
-    ///
-    /// Never: the fields of the header have fixed sizes.
     pub fn new(mut input: R) -> Result<Self, Error> {
         let no_header = || Error::damaged(0, "the head of a snapshot stream");
-        let mut fixed = [0; FIXED_HEADER_BYTES];
+        let mut fixed = [0; FixedHeader::BYTES];
         input.read_exact(&mut fixed).map_err(|_| no_header())?;
-        let read_u32 = |offset: usize| {
-            let bytes = &fixed[offset..offset + 4];
-            u32::from_le_bytes(bytes.try_into().expect("four bytes"))
-        };
-        let (extent_bytes, extent_count) = (read_u32(8), read_u32(12));
-        let name_length = usize::from(u16::from_le_bytes([fixed[16], fixed[17]]));
-        if fixed[..MAGIC.len()] != *MAGIC || !Header::is_within_bounds(name_length, extent_bytes) {
-            return Err(no_header());
-        }
+        let fields = FixedHeader::decode(fixed).ok_or_else(no_header)?;
+        let name_length = usize::from(fields.name_bytes);
         let mut rest = vec![0; name_length + HASH_BYTES];
         input.read_exact(&mut rest).map_err(|_| no_header())?;
         let (name, stored_hash) = rest.split_at(name_length);
@@ -59,14 +45,14 @@
             return Err(Error::damaged(bytes.len() as u64, "the hash of the head"));
         }
         let name = String::from_utf8(name.to_vec())
-            .map_err(|_| Error::damaged(FIXED_HEADER_BYTES as u64, "a name"))?;
+            .map_err(|_| Error::damaged(FixedHeader::BYTES as u64, "a name"))?;
         let position = ResumePoint::after_header(bytes.len(), &hash);
         Ok(Reader {
             input,
             header: Header {
                 name,
-                extent_bytes,
-                extent_count,
+                extent_bytes: fields.extent_bytes,
+                extent_count: fields.extent_count,
             },
             position,
         })
@@ -105,8 +91,7 @@
         }
         let length = u32::from_le_bytes(self.read_array()?) as usize;
         let extent_bytes = self.header.extent_bytes as usize;
-        // Incompressible data grows by a small overhead only: a longer frame is damaged, and must not allocate memory.
-        if length > extent_bytes + extent_bytes / 8 + 1024 {
+        if length > max_compressed_bytes(extent_bytes) {
             return Err(self.damaged("a length that fits an extent"));
         }
         let mut compressed = vec![0; length];
@@ -146,7 +131,14 @@
             .map_err(|_| self.damaged("a whole frame or the end"))
     }
 
+    /// An error at the record that is being read.
     fn damaged(&self, expected: &'static str) -> Error {
         Error::damaged(self.position.valid_bytes, expected)
     }
 }
+
+/// Most bytes that an extent has compressed. Data that cannot be compressed grows by a small overhead only: a longer
+/// frame is damaged, and must not allocate memory.
+fn max_compressed_bytes(extent_bytes: usize) -> usize {
+    extent_bytes + extent_bytes / 8 + 1024
+}
--- a/crates/archive/src/writer.rs
+++ b/crates/archive/src/writer.rs
@@ -3,7 +3,7 @@
 use crate::format::{END_BYTES, END_TAG, FRAME_TAG, Header, ResumePoint, frame_hash};
 use std::io::Write;
 
-/// The default of zstd: database pages gain little beyond it.
+/// Level of the compression: the default of zstd. Pages of databases become little smaller at higher levels.
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// Writes a stream to an output.
@@ -19,13 +19,8 @@
     ///
     /// A name longer than 256 bytes, an extent of no bytes or of more than 256 MiB; those of the output.
     pub fn new(mut out: W, header: &Header) -> Result<Self, Error> {
-        if !Header::is_within_bounds(header.name.len(), header.extent_bytes) {
-            return Err(Error::damaged(
-                0,
-                "a name of up to 256 bytes and extents of up to 256 MiB",
-            ));
-        }
-        let bytes = header.encode();
+        let out_of_bounds = "a name of up to 256 bytes and extents of up to 256 MiB";
+        let bytes = header.encode().ok_or(Error::damaged(0, out_of_bounds))?;
         let hash = blake3::hash(&bytes);
         out.write_all(&bytes)?;
         out.write_all(hash.as_bytes())?;
