--- a/crates/scheduler/tests/pin/recorder.rs
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// What the scheduler asked for; the numbers go into the hash.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, Debug)]
 pub enum Action {
     Forward = 1,
     Cancel,
@@ -65,6 +65,8 @@
     pub random: Random,
     pub hash: Digest,
     pub counts: [u32; ACTION_KINDS],
+    /// Actions since the last checkpoint, as text.
+    pub recent: Vec<String>,
     pub events: BTreeMap<(Tick, u64), Event>,
     next_event: u64,
     pub nodes: Vec<SimulatedNode>,
@@ -88,6 +90,7 @@
             random,
             hash: Digest::default(),
             counts: [0; ACTION_KINDS],
+            recent: Vec::new(),
             events: BTreeMap::new(),
             next_event: 0,
             nodes: (0..NODES).map(node).collect(),
@@ -109,6 +112,8 @@
 
     fn record(&mut self, action: Action, numbers: [u64; 3]) {
         self.counts[action as usize] += 1;
+        self.recent
+            .push(format!("at {}: {action:?} {numbers:?}", self.now));
         self.hash.add(self.now as u64);
         self.hash.add(action as u64);
         numbers.iter().for_each(|n| self.hash.add(*n));
--- a/crates/scheduler/tests/pin/simulation.rs
+++ b/crates/scheduler/tests/pin/simulation.rs
@@ -1,4 +1,5 @@
 //! Drives a scheduler through the events of one seeded run.
+use super::checkpoints::{Checkpoints, Departure, EVENTS_PER_CHECKPOINT};
 use super::nodes::{ALWAYS_WARMING_UP, Mode, NODES, Pattern};
 use super::random::Random;
 use super::recorder::{ACTION_KINDS, Current, Event, Recorder};
@@ -11,6 +12,16 @@
 const KEYS: u64 = 4;
 const VOLUMES: u64 = 14;
 
+/// What a run came to.
+pub struct Outcome {
+    /// The hash of all actions.
+    pub hash: u64,
+    /// How many actions of each kind there were.
+    pub counts: [u32; ACTION_KINDS],
+    /// Where the run departed from the recorded one.
+    pub departure: Option<Departure>,
+}
+
 pub struct Simulation {
     recorder: Recorder,
     scheduler: Scheduler,
@@ -42,29 +53,47 @@
         }
     }
 
-    /// Runs all events; the hash of the actions, and how many of each kind there were.
-    pub fn run(mut self) -> (u64, [u32; ACTION_KINDS]) {
-        let r = &mut self.recorder;
-        r.schedule(0, Event::PollAnswer(EndpointEvent::Cached));
-        r.schedule(0, Event::Timer);
-        r.schedule(2_000, Event::Arrival);
-        r.schedule(9_000, Event::EndpointChange);
-        r.schedule(70_000, Event::DiscoveryMove);
-        r.schedule(4_000, Event::QuotaChange);
-        r.schedule(100_000, Event::PlanChange);
-        (0..NODES).for_each(|n| r.schedule(5_000, Event::NodeMode(n)));
+    /// Runs all events, and compares the digest with the recorded one every [`EVENTS_PER_CHECKPOINT`] events.
+    pub fn run(mut self, recorded: &Checkpoints) -> Outcome {
+        self.schedule_first_events();
+        let mut departure = None;
+        let mut events = 0;
         while let Some(((at, number), event)) = self.recorder.events.pop_first() {
             self.recorder.now = at;
             self.step(event);
             if number.is_multiple_of(16) {
                 self.record_node_status();
             }
+            events += 1;
+            if events % EVENTS_PER_CHECKPOINT == 0 {
+                let actions = std::mem::take(&mut self.recorder.recent);
+                let digest = self.recorder.hash.value();
+                if departure.is_none() {
+                    departure = recorded.compare(events, digest, actions);
+                }
+            }
             // Timers go on for ever: a while after the last arrival is enough.
             if self.arrivals == ARRIVALS && self.recorder.current.is_empty() {
                 break;
             }
         }
-        (self.recorder.hash.value(), self.recorder.counts)
+        Outcome {
+            hash: self.recorder.hash.value(),
+            counts: self.recorder.counts,
+            departure,
+        }
+    }
+
+    fn schedule_first_events(&mut self) {
+        let r = &mut self.recorder;
+        r.schedule(0, Event::PollAnswer(EndpointEvent::Cached));
+        r.schedule(0, Event::Timer);
+        r.schedule(2_000, Event::Arrival);
+        r.schedule(9_000, Event::EndpointChange);
+        r.schedule(70_000, Event::DiscoveryMove);
+        r.schedule(4_000, Event::QuotaChange);
+        r.schedule(100_000, Event::PlanChange);
+        (0..NODES).for_each(|n| r.schedule(5_000, Event::NodeMode(n)));
     }
 
     fn step(&mut self, event: Event) {
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use mallowseam_scheduler::interface::*;
-use pin::{ACTION_KINDS, Simulation};
+use pin::{ACTION_KINDS, Checkpoints, Simulation};
 use support::{Harness, config};
 
 /// One hash a run, by its seed.
@@ -36,11 +36,16 @@
     let mut counts = [0; ACTION_KINDS];
     let mut differing = Vec::new();
     for (seed, recorded) in (0..).zip(RECORDED) {
-        let (hash, of_run) = Simulation::new(seed).run();
-        if hash != recorded {
-            differing.push(seed);
+        let outcome = Simulation::new(seed).run(&Checkpoints::of_seed(seed));
+        if let Some(departure) = outcome.departure {
+            differing.push(format!("seed {seed} {departure}"));
+        } else if outcome.hash != recorded {
+            differing.push(format!("seed {seed} departs after its last checkpoint"));
         }
-        counts.iter_mut().zip(of_run).for_each(|(sum, n)| *sum += n);
+        counts
+            .iter_mut()
+            .zip(outcome.counts)
+            .for_each(|(sum, n)| *sum += n);
     }
     assert!(
         counts[1..].iter().all(|n| *n > 0),
@@ -48,7 +53,10 @@
     );
     assert!(
         differing.is_empty(),
-        "other actions than recorded with seeds {differing:?}"
+        "other actions than recorded with {} of {} seeds:\n{}",
+        differing.len(),
+        RECORDED.len(),
+        differing.join("\n")
     );
 }
 
