--- a/crates/fleet/src/membership_table/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -1,9 +1,12 @@
 //! Queue of updates that are piggybacked on datagrams to other members (SWIM, section 4.1).
 use std::collections::BTreeMap;
 
+/// Queued updates from which on further datagrams are sent each period: about two datagrams full.
+const BACKLOG: usize = 16;
+
 /// Members whose update is to be gossiped, and how often it was sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(super) struct GossipQueue {
+pub(crate) struct GossipQueue {
     transmissions: BTreeMap<u64, u32>,
 }
 
@@ -13,12 +16,14 @@
         self.transmissions.insert(id, 0);
     }
 
-    pub fn remove(&mut self, id: u64) {
+    /// Takes a member's update out of the queue.
+    pub fn withdraw(&mut self, id: u64) {
         self.transmissions.remove(&id);
     }
 
-    pub fn len(&self) -> usize {
-        self.transmissions.len()
+    /// Whether more updates are queued than pings and acks carry in time.
+    pub fn has_backlog(&self) -> bool {
+        self.transmissions.len() > BACKLOG
     }
 
     /// Drops updates that were sent `max_transmissions` times; returns the rest, the least often sent ones first.
@@ -34,6 +39,7 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
+    /// A member's update was sent once more.
     pub fn count_transmission(&mut self, id: u64) {
         *self.transmissions.entry(id).or_default() += 1;
     }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,18 +17,31 @@
 //! - [`Membership`] is the state machine of one host.
 #![warn(missing_docs)]
 
+mod anti_entropy;
 pub mod config;
+mod counters;
 mod event;
 mod failure_detector;
+mod gossip_datagram;
+mod gossip_queue;
+mod indirect_pings;
+mod isolation;
+mod joining;
+mod local_member;
 mod member;
 mod membership;
+mod membership_page;
 mod membership_table;
+mod name_ownership;
 pub mod record;
 mod rng;
+mod sequence;
+mod suspicion;
 pub mod wire;
 
+pub use counters::Counters;
 pub use event::MembershipEvent;
-pub use membership::{ActionSink, Counters, Membership};
+pub use membership::{ActionSink, Membership};
 pub use record::MemberState;
 
 /// Milliseconds on the host's monotonic clock, or a span in milliseconds.
--- /dev/null
+++ b/crates/fleet/src/local_member.rs
@@ -0,0 +1,81 @@
+//! This host's own record, which it alone issues.
+use crate::config::MembershipConfig;
+use crate::record::{ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, member_id};
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct LocalMember {
+    id: u64,
+    record: MemberRecord,
+}
+
+impl LocalMember {
+    /// A member that starts to join.
+    pub fn new(config: &MembershipConfig, generation: u64, started_ms: u64) -> Self {
+        LocalMember {
+            id: member_id(&config.name),
+            record: MemberRecord {
+                name: config.name.clone(),
+                generation,
+                incarnation: 0,
+                lifecycle: Lifecycle::Joining,
+                address: config.address,
+                zone: config.zone.clone(),
+                versions: ActiveVersions::default(),
+                started_ms,
+            },
+        }
+    }
+
+    pub fn id(&self) -> u64 {
+        self.id
+    }
+
+    pub fn record(&self) -> &MemberRecord {
+        &self.record
+    }
+
+    /// This host as the accuser of a suspicion: the lower half of its id.
+    pub fn accuser(&self) -> u32 {
+        self.id as u32
+    }
+
+    pub fn is_joining(&self) -> bool {
+        self.record.lifecycle == Lifecycle::Joining
+    }
+
+    pub fn has_left(&self) -> bool {
+        self.record.lifecycle == Lifecycle::Left
+    }
+
+    /// Issues a record with another lifecycle state.
+    pub fn set_lifecycle(&mut self, lifecycle: Lifecycle) {
+        self.record.lifecycle = lifecycle;
+        self.record.incarnation += 1;
+    }
+
+    /// Issues a record with other versions.
+    pub fn set_versions(&mut self, versions: ActiveVersions) {
+        self.record.versions = versions;
+        self.record.incarnation += 1;
+    }
+
+    /// Issues a record of a generation above another one.
+    pub fn raise_generation(&mut self, past: u64) {
+        self.record.generation = self.record.generation.max(past + 1);
+        self.record.incarnation += 1;
+    }
+
+    /// Issues a record that refutes an update about this generation, if the update suspects this host or holds a record
+    /// that it did not issue (SWIM, section 4.2). Returns whether it does.
+    pub fn refute(&mut self, update: &GossipUpdate) -> bool {
+        let claimed = &update.record;
+        let is_ahead = claimed.incarnation > self.record.incarnation
+            || claimed.lifecycle == Lifecycle::Left && !self.has_left();
+        let is_suspected =
+            update.suspected_by.is_some() && claimed.incarnation == self.record.incarnation;
+        if is_ahead || is_suspected {
+            self.record.incarnation = self.record.incarnation.max(claimed.incarnation) + 1;
+        }
+        is_ahead || is_suspected
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/membership/answer.rs
@@ -0,0 +1,237 @@
+//! What each kind of message asks for, once its updates are merged.
+use super::receive::Sender;
+use super::{ActionSink, Membership};
+use crate::Millis;
+use crate::member::Member;
+use crate::membership_page;
+use crate::membership_table::{IdRanges, RangeDigests};
+use crate::record::GossipUpdate;
+use crate::wire::{
+    self, GossipBody, GossipMessage, GossipUpdates, MAX_DATAGRAM_BYTES, MembershipPage, Message,
+};
+use std::net::SocketAddr;
+
+/// Datagrams of records in one answer to a comparison at most.
+const MAX_REPLY_DATAGRAMS: usize = 4;
+/// Records in one datagram of such an answer.
+const RECORDS_PER_DATAGRAM: usize = 8;
+
+/// A member's request that this host pings another one.
+struct PingRequest {
+    sequence: u32,
+    target_id: u64,
+    target_address: SocketAddr,
+}
+
+impl Membership {
+    /// Does what a message asks for. `corrections`: updates that the sender lacks.
+    pub(super) fn answer(
+        &mut self,
+        sender: &Sender,
+        message: GossipMessage,
+        corrections: &[GossipUpdate],
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
+        match message.body {
+            GossipBody::Ping { sequence } => {
+                let ack = GossipBody::Ack { sequence };
+                let max_bytes = sender.max_reply_bytes;
+                self.send_gossip(sender.address, ack, corrections, max_bytes, sink);
+            }
+            GossipBody::Ack { sequence } => self.receive_ack(sender.id, sequence, sink),
+            GossipBody::PingRequest {
+                sequence,
+                target_id,
+                target_address,
+            } if sender.is_known => {
+                let request = PingRequest {
+                    sequence,
+                    target_id,
+                    target_address,
+                };
+                self.ping_for(sender.address, &request, now, sink);
+            }
+            GossipBody::PingRequestResult {
+                sequence,
+                acknowledged,
+            } => self
+                .failure_detector
+                .on_indirect_result(sequence, acknowledged),
+            GossipBody::RangeDigests(digests) => {
+                self.receive_digests(sender, &digests, now, sink);
+            }
+            GossipBody::RangeRecords {
+                ranges,
+                reply_wanted: true,
+            } if sender.is_known => {
+                self.send_newer_records(sender.address, &ranges, &message.updates, sink);
+            }
+            GossipBody::RangeRecords { .. } | GossipBody::UpdatesOnly if sender.is_known => {
+                self.send_corrections(sender.address, corrections, sink);
+            }
+            GossipBody::PingRequest { .. }
+            | GossipBody::RangeRecords { .. }
+            | GossipBody::UpdatesOnly => {}
+        }
+    }
+
+    /// A member answered: either this host's own ping, or one that it sent for another member.
+    fn receive_ack(&mut self, sender_id: u64, sequence: u32, sink: &mut dyn ActionSink) {
+        if let Some(ping) = self.indirect_pings.take_answered(sequence) {
+            self.report_indirect_ping(&ping, true, sink);
+        }
+        self.failure_detector.on_ack(sender_id, sequence);
+    }
+
+    /// Pings a member on behalf of another one.
+    fn ping_for(
+        &mut self,
+        requester: SocketAddr,
+        request: &PingRequest,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
+        if self.indirect_pings.is_full() {
+            self.counters.count_capacity_drop();
+            return;
+        }
+        let sequence = self.sequence_numbers.next();
+        self.indirect_pings
+            .add(sequence, requester, request.sequence, now);
+        // Whoever pings a suspected member notifies it of the suspicion.
+        let known = self.table.get(request.target_id).map(Member::to_update);
+        let ping = GossipBody::Ping { sequence };
+        self.send_gossip(
+            request.target_address,
+            ping,
+            known.as_slice(),
+            MAX_DATAGRAM_BYTES,
+            sink,
+        );
+    }
+
+    /// Answers another member's digests: with digests of smaller ranges where many members differ, with records where
+    /// few do, and with no digest at all where the tables are equal. None at all end this host's joining.
+    fn receive_digests(
+        &mut self,
+        sender: &Sender,
+        digests: &RangeDigests,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
+        if digests.is_empty() {
+            if self.local.is_joining() {
+                self.become_alive(now, sink);
+            }
+        } else if self.anti_entropy.admit_reply(sender.is_known, now) {
+            self.answer_digests(sender.address, digests, sink);
+        }
+    }
+
+    fn answer_digests(
+        &mut self,
+        to: SocketAddr,
+        digests: &RangeDigests,
+        sink: &mut dyn ActionSink,
+    ) {
+        let comparison = self.table.compare(digests);
+        if !comparison.split.is_empty() || comparison.exchanged.is_empty() {
+            self.send(to, GossipBody::RangeDigests(comparison.split), sink);
+        }
+        if !comparison.exchanged.is_empty() {
+            let updates = Vec::from_iter(self.table.updates_in(&comparison.exchanged));
+            let body = GossipBody::RangeRecords {
+                ranges: comparison.exchanged,
+                reply_wanted: true,
+            };
+            self.send_records(to, body, &updates, sink);
+        }
+    }
+
+    /// Sends the records in some ranges that are newer than those of the other member.
+    fn send_newer_records(
+        &mut self,
+        to: SocketAddr,
+        ranges: &IdRanges,
+        theirs: &GossipUpdates,
+        sink: &mut dyn ActionSink,
+    ) {
+        let newer: Vec<GossipUpdate> = self
+            .table
+            .updates_unknown_to(ranges, theirs)
+            .take(MAX_REPLY_DATAGRAMS * RECORDS_PER_DATAGRAM)
+            .collect();
+        if !newer.is_empty() {
+            self.send_records(to, GossipBody::UpdatesOnly, &newer, sink);
+        }
+    }
+
+    /// Sends records in as many datagrams as one answer may take, the first one with `body`. The rest is sent
+    /// after the next comparison.
+    fn send_records(
+        &mut self,
+        to: SocketAddr,
+        body: GossipBody,
+        updates: &[GossipUpdate],
+        sink: &mut dyn ActionSink,
+    ) {
+        let mut pages = updates.chunks(RECORDS_PER_DATAGRAM);
+        let first = pages.next().unwrap_or_default();
+        self.send_gossip(to, body, first, MAX_DATAGRAM_BYTES, sink);
+        for page in pages.take(MAX_REPLY_DATAGRAMS - 1) {
+            let body = GossipBody::UpdatesOnly;
+            self.send_gossip(to, body, page, MAX_DATAGRAM_BYTES, sink);
+        }
+    }
+
+    /// The sender may still have records of members that left, which other members have only as tombstones.
+    fn send_corrections(
+        &mut self,
+        to: SocketAddr,
+        corrections: &[GossipUpdate],
+        sink: &mut dyn ActionSink,
+    ) {
+        if !corrections.is_empty() {
+            let body = GossipBody::UpdatesOnly;
+            self.send_gossip(to, body, corrections, MAX_DATAGRAM_BYTES, sink);
+        }
+    }
+
+    /// Answers a query of a program that is no member: with the members from `first_id` on that fit into `max_bytes`, the
+    /// query's own length.
+    pub(super) fn send_page(
+        &mut self,
+        to: SocketAddr,
+        first_id: u64,
+        max_bytes: usize,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
+        let members = self.table.members_from(first_id);
+        let page = membership_page::fill(
+            self.empty_page(),
+            &self.config.fleet,
+            members,
+            max_bytes,
+            now,
+        );
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        let bytes = wire::encode(&self.config.fleet, &Message::Page(page), &mut buffer);
+        if let Some(bytes) = bytes.filter(|bytes| bytes.len() <= max_bytes) {
+            self.counters.count_sent(bytes.len());
+            sink.send(to, bytes);
+        }
+    }
+
+    fn empty_page(&self) -> MembershipPage {
+        MembershipPage {
+            host: self.local.record().name.clone(),
+            isolated: self.isolation.is_isolated(),
+            superseded: self.name_ownership.is_superseded(),
+            digest: self.digest(),
+            members: heapless::Vec::new(),
+            next_id: None,
+        }
+    }
+}
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -2,20 +2,21 @@
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
-use crate::member::{MergeOutcome, Reachability};
-use crate::record::{GossipUpdate, MemberRecord, member_id};
+use crate::member::Member;
+use crate::membership_table::MergeOutcome;
+use crate::record::{GossipUpdate, Lifecycle, MemberRecord, member_id};
 use crate::wire::{self, DecodeError, GossipBody, GossipMessage, MAX_DATAGRAM_BYTES, Message};
 use std::net::SocketAddr;
 
 /// The sender of a message that is being handled.
-struct Sender {
-    address: SocketAddr,
-    id: u64,
+pub(super) struct Sender {
+    pub address: SocketAddr,
+    pub id: u64,
     /// Whether a message was received from the member at this address before. If not, the address may be forged: answers are no longer
     /// than the datagram, and no other datagram is sent on its account.
-    is_known: bool,
+    pub is_known: bool,
     /// Longest answer, in bytes.
-    max_reply_bytes: usize,
+    pub max_reply_bytes: usize,
 }
 
 impl Membership {
@@ -34,9 +35,8 @@
             Ok(Message::Query { first_id }) => {
                 self.send_page(from, first_id, datagram.len(), now, sink);
             }
-            Ok(Message::Page(_)) | Err(DecodeError::Malformed) => self.counters.malformed += 1,
-            Err(DecodeError::OtherFleet) => self.counters.other_fleet += 1,
-            Err(DecodeError::UnsupportedVersion) => self.counters.unsupported_version += 1,
+            Ok(Message::Page(_)) => self.counters.count_undecodable(DecodeError::Malformed),
+            Err(error) => self.counters.count_undecodable(error),
         }
     }
 
@@ -48,35 +48,44 @@
         now: Millis,
         sink: &mut dyn ActionSink,
     ) {
-        self.counters.received += 1;
+        self.counters.count_received();
         let max_stranger_bytes = bytes.min(MAX_DATAGRAM_BYTES);
-        if message.sender.name == self.own_record.name {
-            return self.receive_own_name(from, message, max_stranger_bytes, now, sink);
+        if message.sender.name == self.local.record().name {
+            return self.receive_own_name(from, &message, max_stranger_bytes, now, sink);
         }
-        if self.superseded_by.is_some() {
+        if self.name_ownership.is_superseded() {
             self.merge_updates(&message, now, sink);
             return;
         }
-        let id = member_id(&message.sender.name);
-        let known = self.table.get(id);
-        let is_known = known.is_some_and(|m| m.last_contact.is_some() && m.record.address == from);
-        let max_reply_bytes = if is_known {
-            MAX_DATAGRAM_BYTES
-        } else {
-            max_stranger_bytes
-        };
-        let sender = Sender {
-            address: from,
-            id,
-            is_known,
-            max_reply_bytes,
-        };
-
+        let sender = self.identify(from, &message.sender, max_stranger_bytes);
         let newer = self.merge_updates(&message, now, sink);
-        self.record_contact(id, &message.sender, now, sink);
-        let mut corrections = self.corrections_for(id, &message.sender);
+        self.record_contact(sender.id, &message.sender, now, sink);
+        let mut corrections = Vec::from_iter(self.correction_for(sender.id, &message.sender));
         corrections.extend(newer);
-        self.handle_body(&sender, message, &corrections, now, sink);
+        self.answer(&sender, message, &corrections, now, sink);
+    }
+
+    /// Finds out whether a message's sender is known at its address, from before that message.
+    fn identify(
+        &self,
+        address: SocketAddr,
+        record: &MemberRecord,
+        max_stranger_bytes: usize,
+    ) -> Sender {
+        let id = member_id(&record.name);
+        let is_at_address =
+            |member: &Member| member.last_contact().is_some() && member.record().address == address;
+        let is_known = self.table.get(id).is_some_and(is_at_address);
+        Sender {
+            address,
+            id,
+            is_known,
+            max_reply_bytes: if is_known {
+                MAX_DATAGRAM_BYTES
+            } else {
+                max_stranger_bytes
+            },
+        }
     }
 
     /// Merges the sender's record and all updates. Returns the records of this host that are newer than what the sender
@@ -88,46 +97,48 @@
         sink: &mut dyn ActionSink,
     ) -> Vec<GossipUpdate> {
         let mut newer = Vec::new();
-        let sender = GossipUpdate {
-            record: message.sender.clone(),
-            suspected_by: None,
-        };
+        let sender = unsuspected(&message.sender);
         for update in std::iter::once(&sender).chain(&message.updates) {
-            let name = &update.record.name;
-            #[cfg(feature = "mutants")]
-            if self
-                .config
-                .is_mutant(crate::config::Mutant::AcceptStaleRecords)
-                && *name != self.own_record.name
-            {
-                self.table.drop_record(member_id(name));
-            }
-            if *name == self.own_record.name {
+            if update.record.name == self.local.record().name {
                 self.merge_own_name(update, now, sink);
                 continue;
             }
-            match self
-                .table
-                .merge(update, now, &mut |event| sink.notify(event))
-            {
-                MergeOutcome::TableFull => self.counters.capacity_drops += 1,
-                MergeOutcome::Stale if *name != message.sender.name => {
-                    newer.extend(self.newer_than(&update.record));
-                }
-                MergeOutcome::Applied | MergeOutcome::Unchanged | MergeOutcome::Stale => {}
+            let is_stale = self.merge_update(update, now, sink);
+            if is_stale && update.record.name != message.sender.name {
+                newer.extend(self.newer_than(&update.record));
             }
         }
         newer
     }
 
+    /// Merges an update about another member. Returns whether a newer record is known.
+    fn merge_update(
+        &mut self,
+        update: &GossipUpdate,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) -> bool {
+        #[cfg(feature = "mutants")]
+        if self
+            .config
+            .is_mutant(crate::config::Mutant::AcceptStaleRecords)
+        {
+            self.table.drop_record(member_id(&update.record.name));
+        }
+        match self.table.merge(update, now) {
+            MergeOutcome::Applied(change) => self.apply([change], sink),
+            MergeOutcome::TableFull => self.counters.count_capacity_drop(),
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::Stale => return true,
+        }
+        false
+    }
+
     /// The newest record known of a member, where it is newer than the given one.
     fn newer_than(&self, record: &MemberRecord) -> Option<GossipUpdate> {
         let newest = self.table.newest_record(member_id(&record.name))?;
         let is_newer = newest.precedence() > record.precedence();
-        is_newer.then(|| GossipUpdate {
-            record: newest.clone(),
-            suspected_by: None,
-        })
+        is_newer.then(|| unsuspected(newest))
     }
 
     /// A message was received from a member itself. That ends an isolation, and clears the suspicions raised during it.
@@ -138,105 +149,116 @@
         now: Millis,
         sink: &mut dyn ActionSink,
     ) {
-        if let Some(member) = self.table.members.get_mut(&id)
-            && member.record.precedence() == record.precedence()
-        {
-            member.last_contact = Some(now);
-        }
-        self.last_contact = Some(now);
-        if self.isolated {
-            self.isolated = false;
+        self.table.record_contact(id, record.precedence(), now);
+        if self.isolation.on_message(now) {
             sink.notify(MembershipEvent::IsolationEnded);
-            self.next_anti_entropy = now;
-            self.table
-                .clear_local_suspicions(now, &mut |event| sink.notify(event));
+            self.anti_entropy.start_now(now);
+            let cleared = self.table.clear_local_suspicions(now);
+            self.apply(cleared, sink);
         }
     }
 
-    /// Updates about the sender itself that go first in the answer: that it is suspected (Lifeguard's buddy system), or that a newer record
-    /// under its name is known.
-    fn corrections_for(&self, id: u64, sender: &MemberRecord) -> Vec<GossipUpdate> {
+    /// An update about the sender itself that goes first in the answer: that it is suspected (Lifeguard's buddy system),
+    /// or that a newer record under its name is known.
+    fn correction_for(&self, id: u64, sender: &MemberRecord) -> Option<GossipUpdate> {
         let Some(member) = self.table.get(id) else {
-            let newest = self.table.newest_record(id);
-            return newest
-                .map(|record| GossipUpdate {
-                    record: record.clone(),
-                    suspected_by: None,
-                })
-                .into_iter()
-                .collect();
+            return self.table.newest_record(id).map(unsuspected);
         };
-        let is_accused = member.reachability != Reachability::Reachable;
-        if is_accused || member.record.precedence() > sender.precedence() {
-            return vec![member.to_update()];
-        }
-        Vec::new()
+        let is_newer = member.record().precedence() > sender.precedence();
+        (member.is_accused() || is_newer).then(|| member.to_update())
     }
 
-    fn handle_body(
+    /// A message of a sender under this host's own name: another process, or this host's own record reflected.
+    fn receive_own_name(
         &mut self,
-        sender: &Sender,
-        message: GossipMessage,
-        corrections: &[GossipUpdate],
+        from: SocketAddr,
+        message: &GossipMessage,
+        max_reply_bytes: usize,
         now: Millis,
         sink: &mut dyn ActionSink,
     ) {
+        let sender = &message.sender;
         match message.body {
-            GossipBody::Ping { sequence } => {
+            GossipBody::Ack { .. } => self.receive_own_name_ack(sender, sink),
+            // A process with a lower generation checks whether this one is alive.
+            GossipBody::Ping { sequence } if self.is_later_than(sender) => {
                 let ack = GossipBody::Ack { sequence };
-                self.send(
-                    sender.address,
-                    ack,
-                    corrections,
-                    sender.max_reply_bytes,
-                    sink,
-                );
-            }
-            GossipBody::Ack { sequence } => self.receive_ack(sender.id, sequence, sink),
-            GossipBody::PingRequest {
-                sequence,
-                target_id,
-                target_address,
-            } if sender.is_known => {
-                self.ping_for(
-                    sender.address,
-                    sequence,
-                    target_id,
-                    target_address,
-                    now,
-                    sink,
-                );
-            }
-            GossipBody::PingRequestResult {
-                sequence,
-                acknowledged,
-            } => {
-                self.receive_indirect_result(sequence, acknowledged);
-            }
-            GossipBody::RangeDigests(digests) => {
-                self.compare_digests(sender.address, sender.is_known, &digests, now, sink);
-            }
-            GossipBody::RangeRecords {
-                ranges,
-                reply_wanted: true,
-            } if sender.is_known => {
-                self.send_newer_records(sender.address, &ranges, &message.updates, sink);
+                self.send_gossip(from, ack, &[], max_reply_bytes, sink);
             }
-            // The sender may still have records of members that left, which other members have only as tombstones.
-            GossipBody::RangeRecords { .. } | GossipBody::UpdatesOnly
-                if sender.is_known && !corrections.is_empty() =>
-            {
-                self.send(
-                    sender.address,
-                    GossipBody::UpdatesOnly,
-                    corrections,
-                    MAX_DATAGRAM_BYTES,
-                    sink,
-                );
-            }
-            GossipBody::PingRequest { .. }
-            | GossipBody::RangeRecords { .. }
-            | GossipBody::UpdatesOnly => {}
+            _ => {}
+        }
+        self.merge_own_name(&unsuspected(sender), now, sink);
+    }
+
+    /// The later process under this host's name is alive: this one leaves the protocol.
+    fn receive_own_name_ack(&mut self, sender: &MemberRecord, sink: &mut dyn ActionSink) {
+        if self.name_ownership.on_ack(sender) {
+            let address = sender.address;
+            sink.notify(MembershipEvent::Superseded { address });
+        }
+    }
+
+    /// Whether this process takes part in the protocol and started later than another one of its name.
+    fn is_later_than(&self, other: &MemberRecord) -> bool {
+        other.generation < self.local.record().generation && !self.name_ownership.is_superseded()
+    }
+
+    /// An update about a process under this host's own name: refutes it, or checks whether a later process is alive.
+    fn merge_own_name(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
+        let own_generation = self.local.record().generation;
+        let generation = update.record.generation;
+        if self.name_ownership.is_superseded() || generation < own_generation {
+            return;
+        }
+        if generation > own_generation {
+            return self.merge_later_generation(update, now, sink);
+        }
+        #[cfg(feature = "mutants")]
+        if self.config.is_mutant(crate::config::Mutant::NoRefutation) {
+            return;
+        }
+        if self.local.refute(update) {
+            self.counters.count_refutation();
+            self.failure_detector.on_refutation();
+            self.publish(now, sink);
         }
     }
+
+    fn merge_later_generation(
+        &mut self,
+        update: &GossipUpdate,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
+        let record = &update.record;
+        // A record with this address, or of a process that has left or is suspected, is no other live process.
+        let has_ended = record.address == self.local.record().address
+            || record.lifecycle == Lifecycle::Left
+            || update.suspected_by.is_some();
+        if has_ended {
+            self.take_over_name(record.generation, now, sink);
+        } else {
+            self.name_ownership.dispute(record, now);
+        }
+    }
+
+    /// This process is the only one under its name: takes a generation above all known ones.
+    pub(super) fn take_over_name(
+        &mut self,
+        past_generation: u64,
+        now: Millis,
+        sink: &mut dyn ActionSink,
+    ) {
+        self.name_ownership.settle();
+        self.local.raise_generation(past_generation);
+        self.publish(now, sink);
+    }
+}
+
+/// A record that is passed on without a suspicion.
+fn unsuspected(record: &MemberRecord) -> GossipUpdate {
+    GossipUpdate {
+        record: record.clone(),
+        suspected_by: None,
+    }
 }
--- a/crates/fleet/src/membership_table/digests.rs
+++ b/crates/fleet/src/membership_table/digests.rs
@@ -2,21 +2,37 @@
 //! count: hosts drop them at different times.
 use super::MembershipTable;
 use crate::member::Member;
-use crate::record::Lifecycle;
-use crate::wire::{IdRange, RangeDigest};
+use crate::record::GossipUpdate;
+use crate::wire::{GossipUpdates, IdRange, MAX_RANGES, RangeDigest};
 
 /// Bits by which a range is split into its children.
 const BITS_PER_LEVEL: u8 = 4;
 /// Children of a range.
-pub(crate) const CHILD_RANGES: usize = 1 << BITS_PER_LEVEL;
+const CHILD_RANGES: usize = 1 << BITS_PER_LEVEL;
 /// Longest prefix of a range that can still be split.
-pub(crate) const MAX_PREFIX_BITS: u8 = 64 - BITS_PER_LEVEL;
+const MAX_PREFIX_BITS: u8 = 64 - BITS_PER_LEVEL;
+/// Members of a range that is exchanged rather than split, at most: their records fit into one datagram.
+const MAX_EXCHANGED_MEMBERS: u32 = 8;
 /// The range of all members.
 pub(crate) const WHOLE_TABLE: IdRange = IdRange {
     prefix_bits: 0,
     prefix: 0,
 };
 
+/// Digests of one datagram.
+pub(crate) type RangeDigests = heapless::Vec<RangeDigest, MAX_RANGES>;
+/// Ranges of one datagram.
+pub(crate) type IdRanges = heapless::Vec<IdRange, MAX_RANGES>;
+
+/// Where the table differs from another member's.
+#[derive(Debug, Default, PartialEq)]
+pub(crate) struct Comparison {
+    /// Digests of the children of ranges in which many members differ.
+    pub split: RangeDigests,
+    /// Ranges whose records are to be exchanged.
+    pub exchanged: IdRanges,
+}
+
 impl MembershipTable {
     pub fn members_in(&self, range: IdRange) -> impl Iterator<Item = &Member> {
         let prefix_bits = u32::from(range.prefix_bits);
@@ -26,24 +42,76 @@
             .unwrap_or(0);
         let last = first | u64::MAX.checked_shr(prefix_bits).unwrap_or(0);
         let members = self.members.range(first..=last).map(|(_, member)| member);
-        members.filter(|member| member.record.lifecycle != Lifecycle::Left)
+        members.filter(|member| !member.has_left())
     }
 
     pub fn range_digest(&self, range: IdRange) -> RangeDigest {
-        let (mut digest, mut count) = (0, 0);
+        let mut total = RangeDigest {
+            range,
+            digest: 0,
+            count: 0,
+        };
         for member in self.members_in(range) {
-            digest ^= member.record.digest(member.gossiped_accuser().is_some());
-            count += 1;
+            total.digest ^= member.record().digest(member.gossiped_accuser().is_some());
+            total.count += 1;
         }
-        RangeDigest {
-            range,
-            digest,
-            count,
+        total
+    }
+
+    /// Compares the table with another member's digests. Ranges that can't be split are ignored.
+    pub fn compare(&self, digests: &RangeDigests) -> Comparison {
+        let mut comparison = Comparison::default();
+        for theirs in digests
+            .iter()
+            .filter(|theirs| theirs.range.prefix_bits <= MAX_PREFIX_BITS)
+        {
+            let own = self.range_digest(theirs.range);
+            if own == *theirs {
+                continue;
+            }
+            let is_small = own.count.min(theirs.count) <= MAX_EXCHANGED_MEMBERS;
+            if is_small || theirs.range.prefix_bits == MAX_PREFIX_BITS {
+                // There are no more ranges here than digests in one datagram, so there is room.
+                let _ = comparison.exchanged.push(theirs.range);
+            } else if comparison.split.len() + CHILD_RANGES <= MAX_RANGES {
+                comparison.split.extend(self.child_digests(theirs.range));
+            }
         }
+        comparison
+    }
+
+    /// What is gossiped about the members in some ranges.
+    pub fn updates_in(&self, ranges: &IdRanges) -> impl Iterator<Item = GossipUpdate> {
+        ranges
+            .iter()
+            .flat_map(|range| self.members_in(*range))
+            .map(Member::to_update)
+    }
+
+    /// What is gossiped about the members in some ranges and another member does not know, by the updates that it sent
+    /// about them. Ranges that can't be split are ignored.
+    pub fn updates_unknown_to(
+        &self,
+        ranges: &IdRanges,
+        theirs: &GossipUpdates,
+    ) -> impl Iterator<Item = GossipUpdate> {
+        let is_known_to_them = |own: &GossipUpdate| {
+            theirs.iter().any(|other| {
+                other.record.name == own.record.name
+                    && other.record.precedence() >= own.record.precedence()
+                    && other.suspected_by.is_some() >= own.suspected_by.is_some()
+            })
+        };
+        ranges
+            .iter()
+            .filter(|range| range.prefix_bits <= MAX_PREFIX_BITS)
+            .flat_map(|range| self.members_in(*range))
+            .map(Member::to_update)
+            .filter(move |update| !is_known_to_them(update))
     }
 
     /// Digests of the ranges that a range is split into.
-    pub fn child_digests(&self, range: IdRange) -> impl Iterator<Item = RangeDigest> {
+    fn child_digests(&self, range: IdRange) -> impl Iterator<Item = RangeDigest> {
         let child = move |index| IdRange {
             prefix_bits: range.prefix_bits + BITS_PER_LEVEL,
             prefix: range.prefix << BITS_PER_LEVEL | index,
--- a/crates/fleet/src/wire/codec.rs
+++ b/crates/fleet/src/wire/codec.rs
@@ -1,6 +1,5 @@
 //! Encoding and decoding of datagrams.
 use super::{FORMAT_VERSION, MAX_DATAGRAM_BYTES, Message};
-use crate::config::MembershipConfig;
 use crate::record::member_id;
 
 /// Bytes before the message: the version of the format, and the hash of the fleet's name.
@@ -90,14 +89,3 @@
     buffer[1..HEAD_BYTES].copy_from_slice(&ANY_FLEET);
     buffer
 }
-
-impl MembershipConfig {
-    /// Encodes a message of this member's fleet and returns its length in bytes. `None`: it does not fit in.
-    pub(crate) fn encode(
-        &self,
-        message: &Message,
-        buffer: &mut [u8; MAX_DATAGRAM_BYTES],
-    ) -> Option<usize> {
-        encode(&self.fleet, message, buffer).map(<[u8]>::len)
-    }
-}
