--- a/crates/fleet/src/anti_entropy.rs
+++ b/crates/fleet/src/anti_entropy.rs
@@ -1,4 +1,7 @@
 //! Anti-entropy: when this host compares its table with another member's, and how many comparisons it answers.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::rng::SeededRng;
 
@@ -39,6 +42,7 @@
     }
 }
 
+/// Schedule of the comparisons that a host starts, and budget of those that it answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AntiEntropy {
     protocol_period: Millis,
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,5 +1,8 @@
 //! SWIM's failure detector: which member is pinged in which period, which ping is pending, and Lifeguard's local health
 //! multiplier.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::config::MembershipConfig;
 use crate::rng::SeededRng;
@@ -28,6 +31,7 @@
     failed: u32,
 }
 
+/// Protocol periods of one host, the ping that is pending in the current one, and the local health multiplier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FailureDetector {
     protocol_period: Millis,
--- a/crates/fleet/src/gossip_datagram.rs
+++ b/crates/fleet/src/gossip_datagram.rs
@@ -1,4 +1,7 @@
 //! A datagram to be sent to another member, and the gossip that is piggybacked on it (SWIM, section 4.1).
+#[cfg(test)]
+mod tests;
+
 use crate::record::{GossipUpdate, MemberRecord};
 use crate::wire::{self, GossipBody, GossipMessage, GossipUpdates, MAX_DATAGRAM_BYTES, Message};
 
--- a/crates/fleet/src/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -1,4 +1,7 @@
 //! Queue of updates that are piggybacked on datagrams to other members (SWIM, section 4.1).
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeMap;
 
 /// Queued updates from which on further datagrams are sent each period: about two datagrams full.
--- /dev/null
+++ b/crates/fleet/src/gossip_queue/tests.rs
@@ -0,0 +1,26 @@
+//! Order and end of the transmissions.
+use super::*;
+
+#[test]
+fn the_least_sent_updates_come_first_and_each_leaves_after_its_transmissions() {
+    let mut queue = GossipQueue::default();
+    [5, 6, 7].into_iter().for_each(|id| queue.enqueue(id));
+    queue.count_transmission(5);
+    queue.count_transmission(5);
+    queue.count_transmission(6);
+    assert_eq!(queue.least_sent_first(3), [7, 6, 5]);
+    assert_eq!(queue.least_sent_first(2), [7, 6]);
+    queue.enqueue(6);
+    assert_eq!(queue.least_sent_first(1), [6, 7]);
+    queue.withdraw(6);
+    assert_eq!(queue.least_sent_first(1), [7]);
+}
+
+#[test]
+fn a_backlog_begins_with_the_seventeenth_update() {
+    let mut queue = GossipQueue::default();
+    (0..16).for_each(|id| queue.enqueue(id));
+    assert!(!queue.has_backlog());
+    queue.enqueue(16);
+    assert!(queue.has_backlog());
+}
--- a/crates/fleet/src/indirect_pings.rs
+++ b/crates/fleet/src/indirect_pings.rs
@@ -1,5 +1,8 @@
 //! Indirect pings (SWIM's ping-req): which members are asked to ping one that does not answer, and the pings that this
 //! host sent because others asked it to.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::member::Member;
 use crate::membership_table::MembershipTable;
--- a/crates/fleet/src/isolation.rs
+++ b/crates/fleet/src/isolation.rs
@@ -1,10 +1,14 @@
 //! Isolation: a host that receives nothing from any member assumes that its own network has failed, and not that of all
 //! others.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 
 /// Periods without any message of another member after which this host counts as isolated.
 const ISOLATION_PERIODS: u64 = 4;
 
+/// When this host last received a message, and whether it counts as isolated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Isolation {
     /// Time without any message after which this host counts as isolated.
--- a/crates/fleet/src/joining.rs
+++ b/crates/fleet/src/joining.rs
@@ -1,4 +1,7 @@
 //! Joining: when it ends, and which seeds are pinged.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::rng::SeededRng;
 use std::net::SocketAddr;
@@ -13,6 +16,7 @@
 /// Seeds that are pinged at a time as long as no member is known: the first few may be down.
 const SEEDS_AT_A_TIME: usize = 3;
 
+/// The seeds, and the times of joining.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Joining {
     protocol_period: Millis,
--- a/crates/fleet/src/local_member.rs
+++ b/crates/fleet/src/local_member.rs
@@ -1,7 +1,11 @@
 //! This host's own record, which it alone issues.
+#[cfg(test)]
+mod tests;
+
 use crate::config::MembershipConfig;
 use crate::record::{ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, member_id};
 
+/// This host as a member: its id and its own record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LocalMember {
     id: u64,
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,7 @@
 //! One member of the table: its newest record, and the verdict of the failure detectors.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::record::{GossipUpdate, Lifecycle, MemberRecord, MemberState, Precedence};
 use crate::suspicion::Suspicion;
@@ -39,7 +42,9 @@
 /// What an update did to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateOutcome {
+    /// The record was replaced, or a suspicion of it raised or confirmed.
     Applied,
+    /// Nothing that is known changed.
     Unchanged,
     /// A newer record is known.
     Stale,
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -2,6 +2,8 @@
 //! [`TableChange`]s, which the host reports and gossips.
 mod change;
 mod digests;
+#[cfg(test)]
+mod tests;
 mod tombstones;
 
 use crate::Millis;
@@ -19,7 +21,9 @@
 /// What an update did to the table.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum MergeOutcome {
+    /// The member was added, its record replaced, or a suspicion of it raised or confirmed.
     Applied(TableChange),
+    /// Nothing that is known changed.
     Unchanged,
     /// A newer record is known.
     Stale,
@@ -27,6 +31,7 @@
     TableFull,
 }
 
+/// Members that a host knows, itself included, and tombstones of those that it removed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct MembershipTable {
     /// Id of this host, whose own member is in the table too.
--- a/crates/fleet/src/name_ownership.rs
+++ b/crates/fleet/src/name_ownership.rs
@@ -1,6 +1,9 @@
 //! Several processes under one name: the one with the highest generation remains a member. A process with a lower one
 //! pings it; if it answers, this process leaves the protocol (it is superseded). If it does not, its record was left by
 //! an earlier run of this host, and this host raises its generation above it.
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::record::MemberRecord;
 use std::net::SocketAddr;
@@ -36,6 +39,7 @@
     Ended(u64),
 }
 
+/// Whether this process has its name for itself, and the conflict with a later process if there is one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct NameOwnership {
     protocol_period: Millis,
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,4 +1,7 @@
 //! Suspicions: a member did not answer pings, and has not yet refuted that (SWIM, section 4.2).
+#[cfg(test)]
+mod tests;
+
 use crate::Millis;
 use crate::config::SUSPICION_CONFIRMATIONS;
 
