--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -1,42 +1,31 @@
 //! The block I/Os in flight: carries out the scheduler's decisions and reports their results to it.
 //!
+//! - `block_io`: a client's block I/O.
 //! - `admission`: client requests become block I/Os; clients disconnect.
 //! - `completions`: forwards good responses to clients, reports completed attempts to the scheduler.
 //! - `endpoints`: applies updates of the endpoint list.
 //! - `scheduler_host`: the calls that the scheduler makes on its host.
 mod admission;
+mod block_io;
 mod completions;
 mod endpoints;
 mod scheduler_host;
 
 use crate::clients::{ClientConnections, Response};
-use crate::nodes::{Completion, NodeConnections};
+use crate::nodes::NodeConnections;
+use block_io::{BlockIo, NodeSlot};
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection;
 use mallowseam_platform::interner::NameInterner;
-use mallowseam_platform::request::RequestId;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{BioId, NodeEndpoint, Tick};
+use mallowseam_scheduler_driver::{DrivenHost, SchedulerDriver};
 use mallowseam_sockets::clock::ticks_to_millis;
-use mallowseam_sockets::slab::Slab;
-use std::collections::VecDeque;
 
 #[cfg(test)]
 mod tests;
 
-/// A block I/O, from the client's complete request until the scheduler releases it.
-struct InFlight {
-    id: RequestId,
-    /// The client's connection, until the final response or a disconnect.
-    client: Option<u32>,
-    attempts: u32,
-    /// The connection that carries its attempt.
-    node_connection: Option<u32>,
-    /// When the client gives up.
-    deadline: Tick,
-}
-
 /// Block I/Os by outcome, counted for the status log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IoCounters {
@@ -72,13 +61,8 @@
     pub nodes: NodeConnections,
     names: NameInterner,
     counters: IoCounters,
-    in_flight: Slab<InFlight>,
-    /// Completed attempts that were not reported to the scheduler yet.
-    completions: VecDeque<Completion>,
-    /// When the scheduler's timer fires.
-    timer: Option<Tick>,
-    /// The scheduler has asked for a watch on the discovery service.
-    wants_watch: bool,
+    /// The block I/Os in flight, and what the scheduler is to be told of them.
+    driver: SchedulerDriver<BlockIo, NodeSlot>,
     /// Reused from one update of the endpoint list to the next.
     endpoints: Vec<NodeEndpoint>,
 }
@@ -100,10 +84,7 @@
             nodes,
             names: NameInterner::default(),
             counters: IoCounters::default(),
-            in_flight: Slab::default(),
-            completions: VecDeque::new(),
-            timer: None,
-            wants_watch: false,
+            driver: SchedulerDriver::default(),
             endpoints: Vec::new(),
         }
     }
@@ -115,7 +96,7 @@
 
     /// Number of block I/Os in flight.
     pub fn in_flight(&self) -> usize {
-        self.in_flight.len()
+        self.driver.in_flight().len()
     }
 
     /// The counters for the status log.
@@ -130,23 +111,18 @@
 
     /// When the scheduler's timer fires.
     pub fn timer(&self) -> Option<Tick> {
-        self.timer
+        self.driver.timer_due()
     }
 
     /// Whether the scheduler has asked for a watch since the last call.
     pub fn take_watch_request(&mut self) -> bool {
-        std::mem::take(&mut self.wants_watch)
+        self.driver.take_endpoints_request()
     }
 
-    /// Fires the scheduler's timer if it is due. Nothing else may call `on_timer`: the scheduler sets each timer once, and
-    /// would mistake an earlier call for it.
-    pub fn fire_timer(&mut self, scheduler: &mut Scheduler) {
-        if self.timer.is_some_and(|at| at <= self.now) {
-            self.timer = None;
-            let now = self.now;
-            scheduler.on_timer(self, now);
-            self.report_completions(scheduler);
-        }
+    /// Fires the scheduler's timer if it is due.
+    pub fn run_scheduler_timer(&mut self, scheduler: &mut Scheduler) {
+        self.fire_timer(scheduler);
+        self.report_all(scheduler);
     }
 
     /// Whether the last poll is so old that a client's socket is checked before anything is started for it.
@@ -154,12 +130,16 @@
         client_connection::poll_result_is_stale(ticks_to_millis(self.now - self.polled_at))
     }
 
+    /// The client of a block I/O, if it waits for the final response. From now on it counts as answered: the caller sends
+    /// the response.
+    fn take_client(&mut self, io: BioId) -> Option<u32> {
+        let entry = self.driver.in_flight_mut().get_mut(io)?;
+        entry.answer().then_some(entry.data.client)
+    }
+
     /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
     fn respond_final(&mut self, io: BioId, response: Response) -> bool {
-        let client = self
-            .in_flight
-            .get_mut(io.0)
-            .and_then(|entry| entry.client.take());
+        let client = self.take_client(io);
         if let Some(slot) = client {
             self.clients.respond(slot, response, self.now_ms());
         }
@@ -169,15 +149,27 @@
     /// Withdraws an attempt whose request is not completely written. The settings may forbid to cancel attempts, but
     /// this one was never executed.
     fn withdraw_unsent(&mut self, io: BioId) {
-        let Some(entry) = self.in_flight.get_mut(io.0) else {
+        let entry = self.driver.in_flight().get(io);
+        let Some(slot) = entry.and_then(|entry| entry.attempt().copied()) else {
             return;
         };
-        if let Some(slot) = entry
-            .node_connection
-            .filter(|slot| self.nodes.is_unsent(*slot, io))
+        if self.nodes.is_unsent(slot, io)
+            && let Some(completion) = self.nodes.cancel(slot, io)
         {
-            entry.node_connection = None;
-            self.completions.extend(self.nodes.cancel(slot, io));
+            self.queue_completion(&completion);
         }
     }
 }
+
+impl DrivenHost for Dispatcher {
+    type BlockIo = BlockIo;
+    type Attempt = NodeSlot;
+
+    fn now(&self) -> Tick {
+        self.now
+    }
+
+    fn driver_mut(&mut self) -> &mut SchedulerDriver<BlockIo, NodeSlot> {
+        &mut self.driver
+    }
+}
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -1,5 +1,6 @@
 //! From a client's complete request to the scheduler; disconnects; final responses at the end of a shutdown.
-use super::{Dispatcher, InFlight};
+use super::Dispatcher;
+use super::block_io::BlockIo;
 use crate::clients::{CONFLICT, OK, Response};
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_platform::interner::InternError;
@@ -7,6 +8,7 @@
 use mallowseam_platform::response;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{BioId, Host};
+use mallowseam_scheduler_driver::DrivenHost;
 
 impl Dispatcher {
     /// Handles a complete request. `is_ready`: an endpoint list is known.
@@ -47,7 +49,7 @@
     /// Hands a request to the scheduler as a block I/O.
     fn admit(&mut self, scheduler: &mut Scheduler, slot: u32, block: &BlockRequest) {
         let now_ms = self.now_ms();
-        let id = BioId(self.in_flight.next_index());
+        let id = self.driver.in_flight().next_id();
         let io = match self
             .names
             .intern_request(id, block, self.now, &self.settings)
@@ -64,33 +66,28 @@
                     .reject_request(slot, response::SHED_STATUS, "no room", now_ms);
             }
         };
-        self.in_flight.insert(InFlight {
+        self.driver.in_flight_mut().insert(BlockIo {
             id: block.id,
-            client: Some(slot),
-            attempts: 0,
-            node_connection: None,
+            client: slot,
             deadline: io.deadline,
         });
         self.counters.admitted += 1;
         self.clients.on_admitted(slot, io.id, now_ms);
         let now = self.now;
         scheduler.on_arrival(self, now, io);
-        self.report_completions(scheduler);
+        self.report_all(scheduler);
     }
 
     /// The client of a block I/O in flight has disconnected.
     pub fn on_disconnected(&mut self, scheduler: &mut Scheduler, io: BioId) {
-        if let Some(slot) = self
-            .in_flight
-            .get_mut(io.0)
-            .and_then(|entry| entry.client.take())
-        {
-            let now = self.now;
-            self.withdraw_unsent(io);
-            scheduler.on_disconnect(self, now, io);
-            self.respond_disconnected(slot);
-            self.report_completions(scheduler);
-        }
+        let Some(slot) = self.take_client(io) else {
+            return;
+        };
+        self.withdraw_unsent(io);
+        self.driver.queue_withdrawal(io);
+        self.report_next(scheduler);
+        self.respond_disconnected(slot);
+        self.report_all(scheduler);
     }
 
     /// Responds to a client that may have closed only its sending side.
@@ -105,25 +102,20 @@
 
     /// Sends the final responses of all block I/Os in flight: the host is about to be killed.
     pub fn respond_to_all(&mut self, scheduler: &mut Scheduler) {
-        for slot in self.in_flight.indices() {
-            let Some(entry) = self
-                .in_flight
-                .get(slot)
-                .filter(|entry| entry.client.is_some())
-            else {
+        for io in self.driver.in_flight().ids() {
+            let entry = self.driver.in_flight().get(io);
+            let Some(entry) = entry.filter(|entry| !entry.is_answered()) else {
                 continue;
             };
-            let io = BioId(slot);
-            let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts);
+            let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts());
             self.withdraw_unsent(io);
             if is_harmless {
                 self.shed(io, 0);
             } else {
                 self.fail(io);
             }
-            let now = self.now;
-            scheduler.on_disconnect(self, now, io);
-            self.report_completions(scheduler);
+            self.driver.queue_withdrawal(io);
+            self.report_all(scheduler);
         }
     }
 }
--- a/crates/platform-host/src/dispatcher/completions.rs
+++ b/crates/platform-host/src/dispatcher/completions.rs
@@ -1,10 +1,10 @@
 //! Completed attempts: good responses are forwarded to clients, and every result is reported to the scheduler.
 use super::Dispatcher;
 use crate::clients::{OK, Response};
-use crate::nodes::{NodeEvent, Success};
+use crate::nodes::{Completion, NodeEvent, Success};
 use mallowseam_platform::response;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{AttemptOutcome, LoadReport};
+use mallowseam_scheduler_driver::{DrivenHost, FinishedAttempt};
 
 impl Dispatcher {
     /// Handles an event on a connection to a node.
@@ -20,24 +20,19 @@
             .on_event(slot, is_closed, scratch, self.now, self.events_arrived_at)
         {
             None => {}
-            Some(NodeEvent::Completed(completion)) => self.completions.push_back(completion),
+            Some(NodeEvent::Completed(completion)) => self.queue_completion(&completion),
             Some(NodeEvent::Success(success)) => self.forward(&success),
         }
-        self.report_completions(scheduler);
+        self.report_all(scheduler);
     }
 
     /// Forwards a good response to its client.
     fn forward(&mut self, success: &Success) {
-        let io = success.completion.io;
-        if let Some(slot) = self
-            .in_flight
-            .get_mut(io.0)
-            .and_then(|entry| entry.client.take())
-        {
+        if let Some(slot) = self.take_client(success.completion.io) {
             self.forward_to(slot, success);
         }
         self.nodes.finish(success, self.now);
-        self.completions.push_back(success.completion);
+        self.queue_completion(&success.completion);
     }
 
     fn forward_to(&mut self, slot: u32, success: &Success) {
@@ -64,30 +59,24 @@
     /// Completes the attempts that have expired.
     pub fn expire_attempts(&mut self, scheduler: &mut Scheduler) {
         while let Some(completion) = self.nodes.expire_attempt(self.now) {
-            self.completions.push_back(completion);
-            self.report_completions(scheduler);
+            self.queue_completion(&completion);
+            self.report_all(scheduler);
         }
     }
 
-    /// Reports completed attempts to the scheduler, whose reactions may complete more, until there are none.
-    pub fn report_completions(&mut self, scheduler: &mut Scheduler) {
-        while let Some(completion) = self.completions.pop_front() {
-            let Some(entry) = self.in_flight.get_mut(completion.io.0) else {
-                continue;
-            };
-            entry.node_connection = None;
-            let response = completion.response;
-            let outcome = AttemptOutcome {
-                result: completion.result,
-                node: completion.node,
-                client_answered: entry.client.is_none(),
-                latency: completion.received_at.unwrap_or(self.now) - completion.started_at,
-                units_by_other_hosts: response.map_or(0.0, |r| r.units_by_other_hosts),
-                volume_usage: response.map_or(0.0, |r| r.volume_usage),
-                load_report: response.map_or(LoadReport::default(), |r| r.load_report),
-            };
-            let now = self.now;
-            scheduler.on_attempt_finished(self, now, completion.io, &outcome);
-        }
+    /// Queues a completed attempt for the scheduler.
+    pub(super) fn queue_completion(&mut self, completion: &Completion) {
+        let latency = completion.received_at.unwrap_or(self.now) - completion.started_at;
+        let (io, node) = (completion.io, completion.node);
+        let finished = FinishedAttempt::new(io, node, completion.result, latency);
+        self.driver.queue_finished(match completion.response {
+            None => finished,
+            Some(response) => FinishedAttempt {
+                units_by_other_hosts: response.units_by_other_hosts,
+                volume_usage: response.volume_usage,
+                load_report: response.load_report,
+                ..finished
+            },
+        });
     }
 }
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -3,6 +3,7 @@
 use mallowseam_platform::endpoints::{Health, WatchEvent};
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{EndpointEvent, NodeId, NodeState};
+use mallowseam_scheduler_driver::DrivenHost;
 
 impl Dispatcher {
     /// Applies an update of the endpoint list.
@@ -30,26 +31,27 @@
         };
         let closed: Vec<NodeId> = self.nodes.ids().filter(is_closed).collect();
         for node in closed {
-            self.nodes
-                .withdraw_unconnected(node, |completion| self.completions.push_back(completion));
+            for completion in self.nodes.withdraw_unconnected(node) {
+                self.queue_completion(&completion);
+            }
         }
         let now = self.now;
         scheduler.on_endpoints(self, now, event, &endpoints);
         self.endpoints = endpoints;
-        self.report_completions(scheduler);
+        self.report_all(scheduler);
     }
 
     /// The watch has failed, or is silent, as `event` says.
     pub fn on_watch_lost(&mut self, scheduler: &mut Scheduler, event: EndpointEvent) {
         let now = self.now;
         scheduler.on_endpoints(self, now, event, &[]);
-        self.report_completions(scheduler);
+        self.report_all(scheduler);
     }
 
     /// A reloaded configuration has another discovery service.
     pub fn on_discovery_moved(&mut self, scheduler: &mut Scheduler) {
         let now = self.now;
         scheduler.on_discovery_moved(self, now);
-        self.report_completions(scheduler);
+        self.report_all(scheduler);
     }
 }
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -1,5 +1,6 @@
 //! The calls that the scheduler makes on its host.
 use super::Dispatcher;
+use super::block_io::waiting_client;
 use crate::clients::Response;
 use crate::nodes::Completion;
 use mallowseam_platform::request;
@@ -24,35 +25,33 @@
         let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
         self.check_client(io);
         let max_attempts = self.settings.scheduler.max_attempts;
-        let Some(entry) = self.in_flight.get_mut(io.0) else {
+        let Some(entry) = self.driver.in_flight_mut().get_mut(io) else {
             return Ok(());
         };
-        entry.attempts += 1;
-        let is_over = entry.deadline <= now || timeout <= 0;
-        let is_one_too_many = max_attempts > 0 && entry.attempts > max_attempts;
-        let client = entry.client.filter(|_| !is_over && !is_one_too_many);
+        let attempts = entry.count_attempt();
+        let is_over = entry.data.deadline <= now || timeout <= 0;
+        let is_one_too_many = max_attempts > 0 && attempts > max_attempts;
+        let client = waiting_client(entry).filter(|_| !is_over && !is_one_too_many);
         let (head, body) = client
             .and_then(|slot| self.clients.request(slot))
             .ok_or(AttemptResult::NotSent)?;
         let wait_ms = ticks_to_millis(timeout).max(1);
         let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
         let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
-        entry.node_connection = Some(started.slot);
-        self.completions.extend(started.completion);
+        entry.set_attempt(started.slot);
+        if let Some(completion) = started.completion {
+            self.queue_completion(&completion);
+        }
         Ok(())
     }
 
     /// Checks whether the client has disconnected, if the last poll is too old to rely on.
     fn check_client(&mut self, io: BioId) {
         let is_poll_stale = self.is_poll_stale();
-        let Some(entry) = self.in_flight.get_mut(io.0) else {
-            return;
-        };
-        let disconnected = entry
-            .client
-            .filter(|slot| is_poll_stale && self.clients.is_disconnected(*slot, true));
-        if let Some(slot) = disconnected {
-            entry.client = None;
+        let client = self.driver.in_flight().get(io).and_then(waiting_client);
+        let is_disconnected =
+            client.is_some_and(|slot| is_poll_stale && self.clients.is_disconnected(slot, true));
+        if is_disconnected && let Some(slot) = self.take_client(io) {
             self.respond_disconnected(slot);
         }
     }
@@ -62,25 +61,17 @@
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         if let Err(result) = self.start_attempt(bio, node, timeout) {
             self.counters.unsent_attempts += 1;
-            self.completions
-                .push_back(Completion::unsent(bio, node, result, self.now));
+            self.queue_completion(&Completion::unsent(bio, node, result, self.now));
         }
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
-        let Some(entry) = self
-            .in_flight
-            .get_mut(bio.0)
-            .filter(|entry| attempt + 1 == entry.attempts)
-        else {
-            return;
-        };
-        // An attempt without a connection has completed, and its completion is queued.
-        let cancelled = entry
-            .node_connection
-            .take()
-            .and_then(|slot| self.nodes.cancel(slot, bio));
-        self.completions.extend(cancelled);
+        // An attempt that is not in flight has completed, and its completion is queued.
+        let entry = self.driver.in_flight().get(bio);
+        let slot = entry.and_then(|entry| entry.attempt_numbered(attempt).copied());
+        if let Some(completion) = slot.and_then(|slot| self.nodes.cancel(slot, bio)) {
+            self.queue_completion(&completion);
+        }
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
@@ -95,18 +86,17 @@
     }
 
     fn set_timer(&mut self, after: Tick) {
-        let at = self.now + after;
-        self.timer = Some(self.timer.map_or(at, |set| set.min(at)));
+        self.driver.set_timer(self.now, after);
     }
 
     /// A new watch begins with the list, in full where that is needed.
     fn poll_endpoints(&mut self) {
-        self.wants_watch = true;
+        self.driver.request_endpoints();
     }
 
     fn release_bio(&mut self, bio: BioId) {
-        if let Some(entry) = self.in_flight.remove(bio.0) {
-            self.names.release_request(&entry.id);
+        if let Some(released) = self.driver.in_flight_mut().release(bio) {
+            self.names.release_request(&released.data.id);
         }
     }
 
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::clients::{RequestStatus, SocketEvent};
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
-use mallowseam_scheduler::interface::EndpointEvent;
+use mallowseam_scheduler::interface::{EndpointEvent, Host};
 use mio::Poll;
 use mio::net::TcpStream;
 use std::io::Write;
@@ -98,8 +98,8 @@
     fn advance(&mut self, by: Tick, since_poll: Tick) {
         self.dispatcher.now += by;
         self.dispatcher.polled_at = self.dispatcher.now - since_poll;
-        self.dispatcher.timer = Some(self.dispatcher.now);
-        self.dispatcher.fire_timer(&mut self.scheduler);
+        self.dispatcher.set_timer(0);
+        self.dispatcher.run_scheduler_timer(&mut self.scheduler);
     }
 
     /// Whether an attempt was started at the node.
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -90,7 +90,7 @@
         // The scheduler's timer fires once before anything else; from then on the scheduler sets its timers itself, and
         // requests the endpoint list.
         self.dispatcher.set_timer(0);
-        self.dispatcher.fire_timer(&mut self.scheduler);
+        self.dispatcher.run_scheduler_timer(&mut self.scheduler);
         if let Some(cached) = self.config.cached_list.take() {
             self.watch.use_cached(&cached);
             self.dispatcher
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -70,7 +70,7 @@
     pub(super) fn run_timers(&mut self) {
         self.update_now();
         self.dispatcher.expire_attempts(&mut self.scheduler);
-        self.dispatcher.fire_timer(&mut self.scheduler);
+        self.dispatcher.run_scheduler_timer(&mut self.scheduler);
         self.respond_before_kill();
         // A new watch begins with everything that was missed, as a full snapshot if needed.
         if self.dispatcher.take_watch_request() {
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -145,13 +145,15 @@
     }
 
     /// Withdraws the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
-    pub fn withdraw_unconnected(&mut self, node: NodeId, mut completed: impl FnMut(Completion)) {
+    pub fn withdraw_unconnected(&mut self, node: NodeId) -> Vec<Completion> {
+        let mut withdrawn = Vec::new();
         for slot in 0..self.connections.index_bound() {
             let connection = self.connections.get(slot);
             let is_waiting = connection.is_some_and(|c| c.node == node && !c.is_up);
             if is_waiting && let Some(attempt) = self.close(slot) {
-                completed(attempt.complete(node, AttemptResult::NotSent));
+                withdrawn.push(attempt.complete(node, AttemptResult::NotSent));
             }
         }
+        withdrawn
     }
 }
