--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -70,7 +70,7 @@
 /// A connection to the discovery service.
 pub struct WatchConnection {
     /// Timeouts of the watch.
-    pub watch: WatchLiveness,
+    liveness: WatchLiveness,
     socket: TcpStream,
     address: SocketAddr,
     since: Option<u64>,
@@ -96,7 +96,7 @@
         let mut request = Vec::new();
         endpoints::write_watch_request(&mut request, address, since);
         Ok(WatchConnection {
-            watch: WatchLiveness::new(now),
+            liveness: WatchLiveness::new(now),
             socket,
             address,
             since,
@@ -121,17 +121,35 @@
         self.request.is_empty() && self.socket.peer_addr().is_ok()
     }
 
-    /// Writes the request and reads the response as far as the socket allows. `Failed` is the last event.
-    pub fn on_event(&mut self, scratch: &mut [u8], on_message: &mut impl FnMut(WatchMessage)) {
-        if let Err(error) = self.exchange(scratch, on_message) {
-            on_message(WatchMessage::Failed(error));
+    /// A complete line was received; returns whether it is the first.
+    pub fn on_line_received(&mut self, now: Millis) -> bool {
+        self.liveness.event_received(now)
+    }
+
+    /// Whether the watch has just failed by its timeouts.
+    pub fn check_failure(&mut self, now: Millis) -> bool {
+        self.liveness.check_failure(now)
+    }
+
+    /// Whether a line was received.
+    pub fn is_established(&self) -> bool {
+        self.liveness.is_established()
+    }
+
+    /// Writes the request and reads the response as far as the socket allows; the messages that were received. `Failed`
+    /// is the last one.
+    pub fn on_event(&mut self, scratch: &mut [u8]) -> Vec<WatchMessage> {
+        let mut messages = Vec::new();
+        if let Err(error) = self.exchange(scratch, &mut messages) {
+            messages.push(WatchMessage::Failed(error));
         }
+        messages
     }
 
     fn exchange(
         &mut self,
         scratch: &mut [u8],
-        on_message: &mut impl FnMut(WatchMessage),
+        messages: &mut Vec<WatchMessage>,
     ) -> Result<(), WatchError> {
         if self.socket.peer_addr().is_err() {
             return match self.socket.take_error() {
@@ -149,7 +167,7 @@
             };
             self.response.extend_from_slice(&scratch[..count]);
             self.read_head()?;
-            self.read_body(on_message)?;
+            self.read_body(messages)?;
         }
     }
 
@@ -166,7 +184,7 @@
             let (len, framing) = (head.len, head.framing);
             drop(self.response.drain(..len));
             if !is_interim {
-                self.watch.response_started();
+                self.liveness.response_started();
                 self.stage = match framing {
                     Framing::Chunked => Stage::Stream(ChunkedDecoder::new(0)),
                     Framing::Length(len) => Stage::Snapshot(len),
@@ -177,13 +195,13 @@
         Ok(())
     }
 
-    fn read_body(&mut self, on_message: &mut impl FnMut(WatchMessage)) -> Result<(), WatchError> {
+    fn read_body(&mut self, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         match &mut self.stage {
             Stage::Head => Ok(()),
             Stage::Snapshot(len) if self.response.len() < *len => Ok(()),
             // Such a service sends nothing after the list: a new watch has to request changes.
             Stage::Snapshot(len) => {
-                read_updates(&self.response[..*len], true, on_message)?;
+                read_updates(&self.response[..*len], true, messages)?;
                 Err(WatchError::ListEnded)
             }
             Stage::Stream(chunks) => {
@@ -192,7 +210,7 @@
                     .map_err(WatchError::Malformed)?;
                 let is_over = chunks.is_complete();
                 let consumed =
-                    read_updates(&self.response[..chunks.decoded_end()], is_over, on_message)?;
+                    read_updates(&self.response[..chunks.decoded_end()], is_over, messages)?;
                 chunks.discard_front(consumed);
                 drop(self.response.drain(..consumed));
                 if self.response.is_empty() {
@@ -220,7 +238,7 @@
 fn read_updates(
     text: &[u8],
     is_over: bool,
-    on_message: &mut impl FnMut(WatchMessage),
+    messages: &mut Vec<WatchMessage>,
 ) -> Result<usize, WatchError> {
     let last_line_end = || {
         text.iter()
@@ -236,15 +254,15 @@
             }
             WatchFrame::Incomplete => return Ok(consumed),
             WatchFrame::Heartbeat { len } => {
-                on_message(WatchMessage::Heartbeat);
+                messages.push(WatchMessage::Heartbeat);
                 consumed += len;
             }
             WatchFrame::Event { event, len } => {
-                on_message(WatchMessage::Update(event));
+                messages.push(WatchMessage::Update(event));
                 consumed += len;
             }
             WatchFrame::Corrupt { error, closing } => {
-                on_message(WatchMessage::Closings(closing));
+                messages.push(WatchMessage::Closings(closing));
                 return Err(WatchError::InvalidUpdate(error));
             }
         }
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -1,69 +1,65 @@
-//! From a client's complete request to the scheduler; disconnects; final responses at the end of a shutdown.
-use super::Dispatcher;
-use super::block_io::BlockIo;
+//! From a client's complete request to a block I/O.
+use super::block_io::{BlockIo, ClientSlot};
+use super::scheduler_host::SchedulerHost;
 use crate::clients::{CONFLICT, OK, Response};
-use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_platform::interner::InternError;
 use mallowseam_platform::request::{self, BlockRequest, ClientRequest};
 use mallowseam_platform::response;
-use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{BioId, Host};
-use mallowseam_scheduler_driver::DrivenHost;
+use mallowseam_scheduler::interface::Bio;
 
-impl Dispatcher {
-    /// Handles a complete request. `is_ready`: an endpoint list is known.
-    pub fn on_request(&mut self, scheduler: &mut Scheduler, slot: u32, is_ready: bool) {
-        let now = self.now_ms();
-        let Some((head, body)) = self.clients.request(slot) else {
-            return;
-        };
-        match request::parse(&head, body.len(), &self.settings) {
-            Err(rejection) => {
-                self.clients
-                    .reject_request(slot, rejection.status(), rejection.message(), now);
+impl SchedulerHost {
+    /// The block I/O of a complete request, for the scheduler; none: the request has had its response. `is_ready`: an
+    /// endpoint list is known.
+    pub(super) fn admit_request(&mut self, slot: ClientSlot, is_ready: bool) -> Option<Bio> {
+        let now = self.times.now_ms();
+        let (head, body) = self.clients.request(slot)?;
+        let block = match request::parse(&head, body.len(), &self.settings) {
+            Ok(ClientRequest::BlockIo(block)) => block,
+            Ok(ClientRequest::Readiness) => {
+                self.respond_readiness(slot, is_ready);
+                return None;
             }
-            Ok(ClientRequest::Readiness) => self.respond_readiness(slot, is_ready),
-            // Nothing is started for a client that has disconnected.
-            Ok(ClientRequest::BlockIo(_))
-                if self.clients.is_disconnected(slot, self.is_poll_stale()) =>
-            {
-                self.clients
-                    .respond(slot, Response::empty(response::SHED_STATUS), now);
+            Err(rejection) => {
+                let (status, message) = (rejection.status(), rejection.message());
+                self.clients.reject_request(slot, status, message, now);
+                return None;
             }
-            Ok(ClientRequest::BlockIo(block)) => self.admit(scheduler, slot, &block),
+        };
+        // Nothing is started for a client that has disconnected.
+        let is_poll_stale = self.times.is_poll_stale();
+        if self.clients.is_disconnected(slot, is_poll_stale) {
+            let response = Response::empty(response::SHED_STATUS);
+            self.clients.respond(slot, response, now);
+            return None;
         }
+        self.admit(slot, &block)
     }
 
     /// Responds to a readiness check, and closes its connection: it carries no block I/Os.
-    fn respond_readiness(&mut self, slot: u32, is_ready: bool) {
+    fn respond_readiness(&mut self, slot: ClientSlot, is_ready: bool) {
         self.counters.readiness_checks += 1;
-        let (status, text) = if is_ready {
-            (OK, "ready")
+        let response = if is_ready {
+            Response::new(OK, b"ready")
         } else {
-            (response::SHED_STATUS, "no list yet")
+            Response::new(response::SHED_STATUS, b"no list yet")
         };
-        self.clients
-            .respond_and_close(slot, Response::new(status, text.as_bytes()), self.now_ms());
+        let now = self.times.now_ms();
+        self.clients.respond_and_close(slot, response, now);
     }
 
-    /// Hands a request to the scheduler as a block I/O.
-    fn admit(&mut self, scheduler: &mut Scheduler, slot: u32, block: &BlockRequest) {
-        let now_ms = self.now_ms();
+    /// The block I/O of a valid request, if there is room for it.
+    fn admit(&mut self, slot: ClientSlot, block: &BlockRequest) -> Option<Bio> {
+        let now = self.times.now_ms();
         let id = self.driver.in_flight().next_id();
         let io = match self
             .names
-            .intern_request(id, block, self.now, &self.settings)
+            .intern_request(id, block, self.times.now(), &self.settings)
         {
             Ok(io) => io,
-            Err(InternError::DuplicateRequestId) => {
-                return self
-                    .clients
-                    .reject_request(slot, CONFLICT, "this id is in hand", now_ms);
-            }
-            Err(InternError::TooManyVolumes) => {
-                return self
-                    .clients
-                    .reject_request(slot, response::SHED_STATUS, "no room", now_ms);
+            Err(error) => {
+                let (status, message) = intern_rejection(error);
+                self.clients.reject_request(slot, status, message, now);
+                return None;
             }
         };
         self.driver.in_flight_mut().insert(BlockIo {
@@ -72,50 +68,15 @@
             deadline: io.deadline,
         });
         self.counters.admitted += 1;
-        self.clients.on_admitted(slot, io.id, now_ms);
-        let now = self.now;
-        scheduler.on_arrival(self, now, io);
-        self.report_all(scheduler);
-    }
-
-    /// The client of a block I/O in flight has disconnected.
-    pub fn on_disconnected(&mut self, scheduler: &mut Scheduler, io: BioId) {
-        let Some(slot) = self.take_client(io) else {
-            return;
-        };
-        self.withdraw_unsent(io);
-        self.driver.queue_withdrawal(io);
-        self.report_next(scheduler);
-        self.respond_disconnected(slot);
-        self.report_all(scheduler);
-    }
-
-    /// Responds to a client that may have closed only its sending side.
-    pub(super) fn respond_disconnected(&mut self, slot: u32) {
-        self.counters.disconnected += 1;
-        self.clients.respond(
-            slot,
-            Response::empty(response::FAILED_STATUS),
-            self.now_ms(),
-        );
+        self.clients.on_admitted(slot, io.id, now);
+        Some(io)
     }
+}
 
-    /// Sends the final responses of all block I/Os in flight: the host is about to be killed.
-    pub fn respond_to_all(&mut self, scheduler: &mut Scheduler) {
-        for io in self.driver.in_flight().ids() {
-            let entry = self.driver.in_flight().get(io);
-            let Some(entry) = entry.filter(|entry| !entry.is_answered()) else {
-                continue;
-            };
-            let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts());
-            self.withdraw_unsent(io);
-            if is_harmless {
-                self.shed(io, 0);
-            } else {
-                self.fail(io);
-            }
-            self.driver.queue_withdrawal(io);
-            self.report_all(scheduler);
-        }
+/// Status and text for a request whose names cannot be interned.
+fn intern_rejection(error: InternError) -> (u16, &'static str) {
+    match error {
+        InternError::DuplicateRequestId => (CONFLICT, "this id is in hand"),
+        InternError::TooManyVolumes => (response::SHED_STATUS, "no room"),
     }
 }
--- /dev/null
+++ b/crates/platform-host/src/dispatcher/attempts.rs
@@ -0,0 +1,105 @@
+//! Attempts at nodes: from the scheduler's decision to the report of their completion.
+use super::block_io::waiting_client;
+use super::scheduler_host::SchedulerHost;
+use crate::nodes::{Completion, NodeEvent};
+use mallowseam_platform::request;
+use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
+use mallowseam_scheduler_driver::FinishedAttempt;
+use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
+
+impl SchedulerHost {
+    /// Sends a block I/O to a node, or returns the reason why nothing was sent.
+    pub(super) fn start_attempt(
+        &mut self,
+        io: BioId,
+        node: NodeId,
+        timeout: Tick,
+    ) -> Result<(), AttemptResult> {
+        let now = self.times.now();
+        let timeout = self.limit_timeout(timeout);
+        self.check_client(io);
+        let max_attempts = self.settings.scheduler.max_attempts;
+        let Some(entry) = self.driver.in_flight_mut().get_mut(io) else {
+            return Ok(());
+        };
+        let attempts = entry.count_attempt();
+        let is_over = entry.data.deadline <= now || timeout <= 0;
+        let is_one_too_many = max_attempts > 0 && attempts > max_attempts;
+        let client = waiting_client(entry).filter(|_| !is_over && !is_one_too_many);
+        let (head, body) = client
+            .and_then(|slot| self.clients.request(slot))
+            .ok_or(AttemptResult::NotSent)?;
+        let wait_ms = ticks_to_millis(timeout).max(1);
+        let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
+        let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
+        entry.set_attempt(started.slot);
+        if let Some(completion) = started.completion {
+            self.queue_completion(&completion);
+        }
+        Ok(())
+    }
+
+    /// The timeout of an attempt. During a shutdown all responses are due before the host is killed, so attempts expire
+    /// by then.
+    fn limit_timeout(&self, timeout: Tick) -> Tick {
+        let shutdown = self.clients.shutdown();
+        match shutdown.and_then(|shutdown| shutdown.answer_deadline()) {
+            Some(due) => timeout.min(ticks_from_millis(due) - self.times.now()),
+            None => timeout,
+        }
+    }
+
+    /// Checks whether the client has disconnected, if the last poll is too old to rely on.
+    fn check_client(&mut self, io: BioId) {
+        if !self.times.is_poll_stale() {
+            return;
+        }
+        let client = self.driver.in_flight().get(io).and_then(waiting_client);
+        let disconnected = client.filter(|slot| self.clients.is_disconnected(*slot, true));
+        if disconnected.is_some()
+            && let Some(slot) = self.take_client(io)
+        {
+            self.respond_disconnected(slot);
+        }
+    }
+
+    /// Withdraws an attempt whose request is not completely written. The settings may forbid to cancel attempts, but
+    /// this one was never executed.
+    pub(super) fn withdraw_unsent(&mut self, io: BioId) {
+        let entry = self.driver.in_flight().get(io);
+        let attempt = entry.and_then(|entry| entry.attempt().copied());
+        let unsent = attempt.filter(|slot| self.nodes.is_unsent(*slot, io));
+        if let Some(completion) = unsent.and_then(|slot| self.nodes.cancel(slot, io)) {
+            self.queue_completion(&completion);
+        }
+    }
+
+    /// Handles an event on a connection to a node; none: its attempt is not completed yet.
+    pub(super) fn on_node_event(
+        &mut self,
+        slot: u32,
+        is_closed: bool,
+        scratch: &mut [u8],
+    ) -> Option<NodeEvent> {
+        let (now, arrived_at) = (self.times.now(), self.times.events_arrived_at());
+        self.nodes
+            .on_event(slot, is_closed, scratch, now, arrived_at)
+    }
+
+    /// Queues a completed attempt for the scheduler.
+    pub(super) fn queue_completion(&mut self, completion: &Completion) {
+        let received_at = completion.received_at.unwrap_or(self.times.now());
+        let mut finished = FinishedAttempt::new(
+            completion.io,
+            completion.node,
+            completion.result,
+            received_at - completion.started_at,
+        );
+        if let Some(response) = completion.response {
+            finished.units_by_other_hosts = response.units_by_other_hosts;
+            finished.volume_usage = response.volume_usage;
+            finished.load_report = response.load_report;
+        }
+        self.driver.queue_finished(finished);
+    }
+}
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -1,21 +1,44 @@
 //! Updates of the endpoint list.
 use super::Dispatcher;
+use super::scheduler_host::SchedulerHost;
 use mallowseam_platform::endpoints::{Health, WatchEvent};
-use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{EndpointEvent, NodeId, NodeState};
+use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, NodeId, NodeState};
 use mallowseam_scheduler_driver::DrivenHost;
 
 impl Dispatcher {
     /// Applies an update of the endpoint list.
-    pub fn on_endpoints(
-        &mut self,
-        scheduler: &mut Scheduler,
-        event: EndpointEvent,
-        update: &WatchEvent,
-    ) {
+    pub fn on_endpoints(&mut self, event: EndpointEvent, update: &WatchEvent) {
         let mut endpoints = std::mem::take(&mut self.endpoints);
+        self.host.update_endpoints(update, &mut endpoints);
+        let is_snapshot = event != EndpointEvent::Incremental;
+        self.host.withdraw_unconnected(&endpoints, is_snapshot);
+        let now = self.now();
+        self.scheduler
+            .on_endpoints(&mut self.host, now, event, &endpoints);
+        self.endpoints = endpoints;
+        self.host.report_all(&mut self.scheduler);
+    }
+
+    /// The watch has failed, or is silent, as `event` says.
+    pub fn on_watch_lost(&mut self, event: EndpointEvent) {
+        let now = self.now();
+        self.scheduler.on_endpoints(&mut self.host, now, event, &[]);
+        self.host.report_all(&mut self.scheduler);
+    }
+
+    /// A reloaded configuration has another discovery service.
+    pub fn on_discovery_moved(&mut self) {
+        let now = self.now();
+        self.scheduler.on_discovery_moved(&mut self.host, now);
+        self.host.report_all(&mut self.scheduler);
+    }
+}
+
+impl SchedulerHost {
+    /// Passes an update on to the connections, and returns it as the scheduler's nodes in `endpoints`.
+    fn update_endpoints(&mut self, update: &WatchEvent, endpoints: &mut Vec<NodeEndpoint>) {
         self.names
-            .intern_endpoints(update, &self.settings, &mut endpoints);
+            .intern_endpoints(update, &self.settings, endpoints);
         for entry in &update.endpoints {
             let accepts_attempts = entry.health == Health::Ready;
             if let Some(node) = self.names.find_node(&entry.name) {
@@ -23,35 +46,22 @@
                     .update_endpoint(node, entry.address, accepts_attempts);
             }
         }
-        // An attempt that still waits for its connection is withdrawn when its node begins to drain.
-        let is_snapshot = event != EndpointEvent::Incremental;
-        let is_closed = |node: &NodeId| {
-            let listed = endpoints.iter().find(|endpoint| endpoint.node == *node);
-            listed.map_or(is_snapshot, |endpoint| endpoint.state != NodeState::Active)
-        };
-        let closed: Vec<NodeId> = self.nodes.ids().filter(is_closed).collect();
-        for node in closed {
+    }
+
+    /// Withdraws the attempts that still wait for a connection to a node that begins to drain or is removed.
+    /// `is_snapshot`: nodes that are missing were removed.
+    fn withdraw_unconnected(&mut self, endpoints: &[NodeEndpoint], is_snapshot: bool) {
+        let known: Vec<NodeId> = self.nodes.ids().collect();
+        for node in known {
+            let listed = endpoints.iter().find(|endpoint| endpoint.node == node);
+            let is_closed =
+                listed.map_or(is_snapshot, |endpoint| endpoint.state != NodeState::Active);
+            if !is_closed {
+                continue;
+            }
             for completion in self.nodes.withdraw_unconnected(node) {
                 self.queue_completion(&completion);
             }
         }
-        let now = self.now;
-        scheduler.on_endpoints(self, now, event, &endpoints);
-        self.endpoints = endpoints;
-        self.report_all(scheduler);
-    }
-
-    /// The watch has failed, or is silent, as `event` says.
-    pub fn on_watch_lost(&mut self, scheduler: &mut Scheduler, event: EndpointEvent) {
-        let now = self.now;
-        scheduler.on_endpoints(self, now, event, &[]);
-        self.report_all(scheduler);
-    }
-
-    /// A reloaded configuration has another discovery service.
-    pub fn on_discovery_moved(&mut self, scheduler: &mut Scheduler) {
-        let now = self.now;
-        scheduler.on_discovery_moved(self, now);
-        self.report_all(scheduler);
     }
 }
--- /dev/null
+++ b/crates/platform-host/src/dispatcher/final_responses.rs
@@ -0,0 +1,75 @@
+//! The one final response of each block I/O.
+use super::block_io::ClientSlot;
+use super::scheduler_host::SchedulerHost;
+use crate::clients::{OK, Response};
+use crate::nodes::Success;
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
+use mallowseam_platform::response;
+use mallowseam_scheduler::interface::{BioId, Host};
+
+impl SchedulerHost {
+    /// The client of a block I/O, if it waits for the final response. From now on it counts as answered: the caller
+    /// sends the response.
+    pub(super) fn take_client(&mut self, io: BioId) -> Option<ClientSlot> {
+        let entry = self.driver.in_flight_mut().get_mut(io)?;
+        entry.answer().then_some(entry.data.client)
+    }
+
+    /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
+    pub(super) fn respond_final(&mut self, io: BioId, response: Response) -> bool {
+        let client = self.take_client(io);
+        if let Some(slot) = client {
+            self.clients.respond(slot, response, self.times.now_ms());
+        }
+        client.is_some()
+    }
+
+    /// Responds to a client that may have closed only its sending side.
+    pub(super) fn respond_disconnected(&mut self, slot: ClientSlot) {
+        self.counters.disconnected += 1;
+        let response = Response::empty(response::FAILED_STATUS);
+        self.clients.respond(slot, response, self.times.now_ms());
+    }
+
+    /// Sends the final response of a block I/O ahead of its outcome, if its client still waits; returns whether it does.
+    pub(super) fn respond_early(&mut self, io: BioId) -> bool {
+        let entry = self.driver.in_flight().get(io);
+        let Some(entry) = entry.filter(|entry| !entry.is_answered()) else {
+            return false;
+        };
+        let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts());
+        self.withdraw_unsent(io);
+        if is_harmless {
+            self.shed(io, 0);
+        } else {
+            self.fail(io);
+        }
+        true
+    }
+
+    /// Forwards a node's good response to the client, and completes its attempt.
+    pub(super) fn forward_response(&mut self, success: &Success) {
+        if let Some(slot) = self.take_client(success.completion.io) {
+            self.forward_to(slot, success);
+        }
+        self.nodes.finish(success, self.times.now());
+        self.queue_completion(&success.completion);
+    }
+
+    fn forward_to(&mut self, slot: ClientSlot, success: &Success) {
+        let now = self.times.now_ms();
+        // Clients that do not read their responses may have used up the memory limit.
+        if !self.clients.has_capacity(self.nodes.body(success).len()) {
+            self.counters.failed += 1;
+            let response = Response::empty(response::FAILED_STATUS);
+            return self.clients.respond(slot, response, now);
+        }
+        self.counters.completed += 1;
+        if let Some((buffer, body)) = self.nodes.take_long_body(success) {
+            let response = Response::from_buffer(buffer, body);
+            return self.clients.respond(slot, response, now);
+        }
+        let response = Response::new(OK, self.nodes.body(success));
+        self.clients.respond(slot, response, now);
+    }
+}
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -1,8 +1,8 @@
 //! Clients that disconnect while the poll's last report is old. The test itself decides when the poll reports something.
 use super::*;
-use crate::clients::{RequestStatus, SocketEvent};
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
-use mallowseam_scheduler::interface::{EndpointEvent, Host};
+use mallowseam_scheduler::interface::EndpointEvent;
+use mallowseam_sockets::clock::ticks_to_millis;
 use mio::Poll;
 use mio::net::TcpStream;
 use std::io::Write;
@@ -24,7 +24,6 @@
 struct Fixture {
     _poll: Poll,
     dispatcher: Dispatcher,
-    scheduler: Scheduler,
     node: TcpListener,
     listener: TcpListener,
 }
@@ -39,18 +38,18 @@
         let clients = ClientConnections::new(registry(), 64, 1 << 20);
         let keep_alive = KeepAlivePolicy::new(15_000, ticks_to_millis(now));
         let nodes = NodeConnections::new(registry(), 64, 1 << 20, 2_500, keep_alive);
-        let mut scheduler = Scheduler::new(&settings.scheduler, 7, now);
-        let mut dispatcher = Dispatcher::new(now, settings, clients, nodes);
+        let scheduler = Scheduler::new(&settings.scheduler, 7, now);
+        let host = SchedulerHost::new(now, settings, clients, nodes);
+        let mut dispatcher = Dispatcher::new(Clock::from_zero(), scheduler, host);
         let dial = node.local_addr().expect("bound");
         let list = format!(
             r#"{{"seq":1,"whole":true,"hosts":[{{"host":"s","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}]}}"#
         );
         let update = mallowseam_platform::endpoints::parse(list.as_bytes()).expect("a valid list");
-        dispatcher.on_endpoints(&mut scheduler, EndpointEvent::FullSnapshot, &update);
+        dispatcher.on_endpoints(EndpointEvent::FullSnapshot, &update);
         Fixture {
             _poll: poll,
             dispatcher,
-            scheduler,
             node,
             listener,
         }
@@ -72,13 +71,13 @@
         socket.set_nonblocking(true).expect("a socket");
         let now = self.dispatcher.now_ms();
         self.dispatcher
-            .clients
+            .clients_mut()
             .add(TcpStream::from_std(socket), now);
-        let slot = self.dispatcher.clients.next_queued().expect("queued");
+        let slot = self.dispatcher.clients_mut().next_queued().expect("queued");
         if is_polled {
             assert!(
                 self.dispatcher
-                    .clients
+                    .clients_mut()
                     .on_event(slot, SocketEvent::Readable, now)
                     .is_none()
             );
@@ -89,17 +88,26 @@
     /// Reads the request, and handles it.
     fn handle_request(&mut self, slot: u32) {
         let now = self.dispatcher.now_ms();
-        let read = self.dispatcher.clients.read(slot, &mut [0; 4_096], now);
+        let read = self
+            .dispatcher
+            .clients_mut()
+            .read(slot, &mut [0; 4_096], now);
         assert_eq!(read, RequestStatus::Complete);
-        self.dispatcher.on_request(&mut self.scheduler, slot, true);
+        self.dispatcher.on_request(slot, true);
     }
 
     /// Time passes, until so long after the poll.
     fn advance(&mut self, by: Tick, since_poll: Tick) {
-        self.dispatcher.now += by;
-        self.dispatcher.polled_at = self.dispatcher.now - since_poll;
-        self.dispatcher.set_timer(0);
-        self.dispatcher.run_scheduler_timer(&mut self.scheduler);
+        self.set_time(self.dispatcher.now() + by, since_poll);
+        self.dispatcher.host.set_timer(0);
+        self.dispatcher.fire_timer();
+    }
+
+    /// It is this time now, so long after the poll.
+    fn set_time(&mut self, now: Tick, since_poll: Tick) {
+        let times = &mut self.dispatcher.host.times;
+        times.begin_iteration(now - since_poll);
+        times.advance(now);
     }
 
     /// Whether an attempt was started at the node.
@@ -166,7 +174,7 @@
         fixture.advance(4_000, 0);
         let (client, slot) = fixture.connect_and_request(true);
         fixture.disconnect(client);
-        fixture.dispatcher.polled_at = fixture.dispatcher.now - age;
+        fixture.set_time(fixture.dispatcher.now(), age);
         fixture.handle_request(slot);
         let observed = (fixture.was_attempted(), fixture.dispatcher.in_flight() > 0);
         assert_eq!(
@@ -197,7 +205,7 @@
         );
         assert_eq!(fixture.dispatcher.in_flight() > 0, is_started);
         assert_eq!(
-            fixture.dispatcher.counters.disconnected,
+            fixture.dispatcher.counters().disconnected,
             u64::from(!is_started)
         );
     }
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -1,62 +1,56 @@
 //! The event loop: one thread between clients, nodes, the discovery service and the scheduler.
 //!
 //! - `startup`: opens everything that a host needs to run.
-//! - `admission`: accepts connections of clients.
-//! - `endpoint_watch`: watches the discovery service.
+//! - `admission`: the listener, and the connections that it accepts.
+//! - `endpoint_watch`, `list_version`: watches the discovery service; which of its updates are applied.
+//! - `fleet`: the host's part in the fleet's membership.
 //! - `reload`: reloads the configuration on SIGHUP.
 //! - `shutdown`: shuts down gracefully on SIGTERM and SIGINT.
 //! - `timers`: timeouts and periodic checks.
 //! - `status_log`: writes the periodic log lines.
 mod admission;
 mod endpoint_watch;
+mod fleet;
+mod list_version;
 mod reload;
 mod shutdown;
 mod startup;
 mod status_log;
 mod timers;
 
-use crate::clients::{RequestStatus, SocketEvent};
+use crate::clients::SocketEvent;
 use crate::dispatcher::Dispatcher;
 use crate::error::HostError;
 use crate::signals::SignalPipes;
 use crate::tokens::{self, Connection};
 use admission::Listener;
 use endpoint_watch::EndpointWatch;
-use mallowseam_fleet_udp::UdpMembership;
-use mallowseam_platform::config::HostConfig;
-use mallowseam_scheduler::Scheduler;
-use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
-use mallowseam_sockets::clock::Clock;
+use fleet::Fleet;
 use mio::event::Event;
-use mio::{Events, Poll, Registry};
+use mio::{Events, Poll};
+use reload::ConfigFile;
+use status_log::StatusLog;
 use std::io::ErrorKind;
-use std::path::{Path, PathBuf};
-use timers::PeriodicTimers;
+use std::path::Path;
+use timers::PeriodicCheck;
 
 /// Events handled in one iteration; the rest wait for the next.
 const MAX_EVENTS: usize = 512;
 /// Clients accepted, and clients read, in one iteration, so that nodes and the endpoint list are not delayed.
 const MAX_CLIENTS_PER_ITERATION: usize = 64;
 
-/// A running host.
+/// A running host. Its methods are the steps of an iteration; what each concern knows is in the file of that concern.
 struct EventLoop {
-    config_path: PathBuf,
-    config: HostConfig,
-    clock: Clock,
-    /// The times of polls, from which the arrival time of events is estimated.
-    arrivals: ArrivalEstimator,
-    scheduler: Scheduler,
     dispatcher: Dispatcher,
-    registry: Registry,
     listener: Listener,
     signals: SignalPipes,
     watch: EndpointWatch,
-    /// Fleet membership, if configured, and whether its socket may have more to read.
-    fleet: Option<Box<UdpMembership>>,
-    is_fleet_readable: bool,
+    fleet: Fleet,
+    config_file: ConfigFile,
+    check: PeriodicCheck,
+    status_log: StatusLog,
     /// Buffer for reads from sockets.
     scratch: Vec<u8>,
-    periodic: PeriodicTimers,
 }
 
 /// Runs a host with the configuration file at a path until a signal stops it.
@@ -69,14 +63,14 @@
 pub fn run(config_path: &Path, discovery_call_ms: Option<u64>) -> Result<(), HostError> {
     let config = startup::load_config(config_path, discovery_call_ms)?;
     let mut poll = Poll::new().map_err(HostError::Poll)?;
-    let mut event_loop = EventLoop::open(config_path, config, &poll)?;
+    let mut event_loop = EventLoop::open(config_path, &config, &poll)?;
     let mut events = Events::with_capacity(MAX_EVENTS);
-    event_loop.start();
+    event_loop.start(config.cached_list);
     while !event_loop.is_finished() {
         event_loop.poll(&mut poll, &mut events)?;
         event_loop.handle(&events);
     }
-    event_loop.leave_fleet();
+    event_loop.fleet.announce_left();
     tracing::info!("host stopped");
     Ok(())
 }
@@ -85,12 +79,12 @@
     /// Waits for events, or until a timer is due.
     fn poll(&mut self, poll: &mut Poll, events: &mut Events) -> Result<(), HostError> {
         let timeout = self.poll_timeout();
-        let started_at = self.clock.now();
+        let began = self.dispatcher.clock_time();
         match poll.poll(events, Some(timeout)) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(HostError::Poll(e)),
             _ => {}
         }
-        self.dispatcher.events_arrived_at = self.arrivals.estimate(started_at, self.clock.now());
+        self.dispatcher.on_poll_returned(began);
         Ok(())
     }
 
@@ -98,13 +92,10 @@
     /// before new work of clients; disconnected clients come before the capacity that nodes free; timeouts come last, so
     /// that everything that has arrived in time counts.
     fn handle(&mut self, events: &Events) {
-        self.update_now();
-        self.dispatcher.polled_at = self.dispatcher.now;
+        self.dispatcher.begin_iteration();
         // Fleet timers run first: by them the host notices that it was suspended, before it handles datagrams that were
         // queued meanwhile.
-        if let Some(fleet) = &mut self.fleet {
-            fleet.tick();
-        }
+        self.fleet.tick();
         self.read_watches(events);
         self.handle_control_events(events);
         self.handle_client_events(events, Disconnects::Only);
@@ -112,22 +103,36 @@
         self.handle_client_events(events, Disconnects::Excluded);
         self.read_clients(MAX_CLIENTS_PER_ITERATION);
         // Clients accepted now are read in the next iteration: they may have disconnected by then.
-        if self.listener.is_readable {
-            self.accept_clients();
-        }
-        self.read_fleet();
+        self.accept_clients();
+        self.fleet.read();
         self.run_timers();
     }
 
+    /// Reads the watches on the discovery service that have events.
+    fn read_watches(&mut self, events: &Events) {
+        // A poll that returns the most events it may could have omitted that of a watch.
+        let may_be_truncated = events.iter().count() >= MAX_EVENTS;
+        for (index, token) in tokens::DISCOVERY.into_iter().enumerate() {
+            if may_be_truncated || events.iter().any(|event| event.token() == token) {
+                self.watch.read(
+                    index,
+                    &mut self.dispatcher,
+                    &mut self.fleet,
+                    &mut self.scratch,
+                );
+            }
+        }
+    }
+
     /// Handles signals, the listener and the fleet's socket.
     fn handle_control_events(&mut self, events: &Events) {
         for event in events {
             match event.token() {
-                tokens::FLEET => self.is_fleet_readable = true,
+                tokens::FLEET => self.fleet.on_readable(),
                 tokens::SIGHUP if self.signals.take_sighup() => self.reload(),
                 tokens::SIGTERM if self.signals.take_sigterm() => self.on_sigterm(),
                 tokens::SIGINT if self.signals.take_sigint() => self.on_sigint(),
-                tokens::LISTENER => self.listener.is_readable = true,
+                tokens::LISTENER => self.listener.on_readable(),
                 _ => {}
             }
         }
@@ -143,16 +148,13 @@
             if is_disconnected != (disconnects == Disconnects::Only) {
                 continue;
             }
-            self.update_now();
-            let now = self.dispatcher.now_ms();
+            self.dispatcher.update_now();
             let socket_event = match is_disconnected {
                 true => SocketEvent::Disconnected,
                 false if event.is_readable() => SocketEvent::Readable,
                 false => SocketEvent::Writable,
             };
-            if let Some(io) = self.dispatcher.clients.on_event(slot, socket_event, now) {
-                self.dispatcher.on_disconnected(&mut self.scheduler, io);
-            }
+            self.dispatcher.on_client_event(slot, socket_event);
         }
     }
 
@@ -162,51 +164,24 @@
             let Some(Connection::Node(slot)) = tokens::connection(event.token()) else {
                 continue;
             };
-            self.update_now();
-            self.dispatcher.on_node_event(
-                &mut self.scheduler,
-                slot,
-                is_closed(event),
-                &mut self.scratch,
-            );
+            self.dispatcher.update_now();
+            self.dispatcher
+                .on_node_event(slot, is_closed(event), &mut self.scratch);
         }
     }
 
-    /// Reads clients that may have something to read, up to a number of them.
+    /// Reads clients that may have something to read, up to a number of them. What they enqueue meanwhile waits.
     fn read_clients(&mut self, max: usize) {
-        for _ in 0..self.dispatcher.clients.queue_len().min(max) {
-            let Some(slot) = self.dispatcher.clients.next_queued() else {
+        for _ in 0..self.dispatcher.clients().queue_len().min(max) {
+            let Some(slot) = self.dispatcher.clients_mut().next_queued() else {
                 break;
             };
-            self.update_now();
-            let now = self.dispatcher.now_ms();
-            let read = self.dispatcher.clients.read(slot, &mut self.scratch, now);
-            if read == RequestStatus::Complete {
-                let is_ready = self.watch.has_endpoints();
-                self.dispatcher
-                    .on_request(&mut self.scheduler, slot, is_ready);
-            }
+            self.dispatcher.update_now();
+            let is_ready = self.watch.has_endpoints();
+            self.dispatcher
+                .read_client(slot, &mut self.scratch, is_ready);
         }
     }
-
-    /// Reads the datagrams of fleet membership.
-    fn read_fleet(&mut self) {
-        if let Some(fleet) = self.fleet.as_mut().filter(|_| self.is_fleet_readable) {
-            self.is_fleet_readable = fleet.on_readable();
-        }
-    }
-
-    /// Announces to the fleet that this process ends.
-    fn leave_fleet(&mut self) {
-        if let Some(fleet) = &mut self.fleet {
-            fleet.announce_left();
-        }
-    }
-
-    /// Reads the clock for the next event.
-    fn update_now(&mut self) {
-        self.dispatcher.now = self.clock.now();
-    }
 }
 
 /// Which events of clients to handle.
--- a/crates/platform-host/src/event_loop/admission.rs
+++ b/crates/platform-host/src/event_loop/admission.rs
@@ -4,42 +4,69 @@
 use crate::tokens;
 use mallowseam_sockets::listener;
 use mio::net::{TcpListener, TcpStream};
-use mio::{Interest, Poll, Registry};
+use mio::{Interest, Registry};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
+use std::rc::Rc;
 
 /// The listening socket.
 pub(super) struct Listener {
+    registry: Rc<Registry>,
     /// None once it was closed.
     socket: Option<TcpListener>,
     /// Connections may be waiting.
-    pub(super) is_readable: bool,
+    has_waiting: bool,
 }
 
 impl Listener {
     /// Listens at an address.
-    pub(super) fn open(poll: &Poll, address: SocketAddr) -> Result<Self, HostError> {
+    pub(super) fn open(registry: Rc<Registry>, address: SocketAddr) -> Result<Self, HostError> {
         let listened = listener::listen(address);
         let mut socket = listened.map_err(|source| HostError::Listen { address, source })?;
-        let registered =
-            poll.registry()
-                .register(&mut socket, tokens::LISTENER, Interest::READABLE);
+        let registered = registry.register(&mut socket, tokens::LISTENER, Interest::READABLE);
         registered.map_err(HostError::Poll)?;
         Ok(Listener {
+            registry,
             socket: Some(socket),
-            is_readable: false,
+            has_waiting: false,
         })
     }
 
-    /// The next waiting connection; none once the listener is closed.
+    /// The poll has reported the listener.
+    pub(super) fn on_readable(&mut self) {
+        self.has_waiting = true;
+    }
+
+    /// Whether connections may be waiting.
+    pub(super) fn has_waiting(&self) -> bool {
+        self.has_waiting
+    }
+
+    /// The next connection; none: nothing is waiting, or the next iteration has to try again.
+    fn next_waiting(&mut self) -> Option<TcpStream> {
+        if !self.has_waiting {
+            return None;
+        }
+        match self.accept() {
+            Some(Ok(socket)) => Some(socket),
+            // The connection was reset, or there is no free descriptor: the next iteration tries again.
+            Some(Err(e)) if e.kind() != ErrorKind::WouldBlock => None,
+            None | Some(Err(_)) => {
+                self.has_waiting = false;
+                None
+            }
+        }
+    }
+
+    /// Accepts a connection; none once the listener is closed.
     fn accept(&self) -> Option<io::Result<TcpStream>> {
         let socket = self.socket.as_ref()?;
         Some(socket.accept().map(|(stream, _)| stream))
     }
 
-    fn deregister(&mut self, registry: &Registry) {
+    fn close(&mut self) {
         if let Some(mut socket) = self.socket.take() {
-            let _ = registry.deregister(&mut socket);
+            let _ = self.registry.deregister(&mut socket);
         }
     }
 }
@@ -48,27 +75,20 @@
     /// Accepts waiting connections, up to the limit of one iteration.
     pub(super) fn accept_clients(&mut self) {
         for _ in 0..MAX_CLIENTS_PER_ITERATION {
-            match self.listener.accept() {
-                Some(Ok(socket)) => self.add_client(socket),
-                Some(Err(e)) if e.kind() != ErrorKind::WouldBlock => {
-                    // The connection was reset, or there is no free descriptor: the next iteration tries again.
-                    return;
-                }
-                None | Some(Err(_)) => {
-                    self.listener.is_readable = false;
-                    return;
-                }
-            }
+            let Some(socket) = self.listener.next_waiting() else {
+                return;
+            };
+            self.add_client(socket);
         }
     }
 
     fn add_client(&mut self, socket: TcpStream) {
         // At the limit all queued connections are read before one is evicted: it may have sent a request.
-        if self.dispatcher.clients.is_full() {
-            self.read_clients(usize::MAX);
+        if self.dispatcher.clients().is_full() {
+            self.read_clients(self.dispatcher.clients().queue_len());
         }
         let now = self.dispatcher.now_ms();
-        self.dispatcher.clients.add(socket, now);
+        self.dispatcher.clients_mut().add(socket, now);
     }
 
     /// Accepts everything that is waiting, then closes the listener.
@@ -76,6 +96,6 @@
         while let Some(Ok(socket)) = self.listener.accept() {
             self.add_client(socket);
         }
-        self.listener.deregister(&self.registry);
+        self.listener.close();
     }
 }
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -1,34 +1,37 @@
 //! Watches the discovery service: opens watches, applies their updates, detects failed ones.
-use super::{EventLoop, MAX_EVENTS};
+use super::fleet::Fleet;
+use super::list_version::{ListVersion, UpdateVersion};
 use crate::discovery::{WatchConnection, WatchError, WatchMessage};
+use crate::dispatcher::Dispatcher;
 use crate::tokens;
-use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::watch_slots::WatchSlots;
-use mallowseam_fleet::record::ActiveVersions;
-use mallowseam_platform::endpoints::WatchEvent;
+use mallowseam_platform::endpoints::{Endpoint, WatchEvent};
 use mallowseam_scheduler::interface::EndpointEvent;
-use mio::Events;
+use mio::Registry;
 use std::net::SocketAddr;
+use std::rc::Rc;
 
-/// The watches, and the version of the endpoint list that was received.
+/// The watches on the discovery service.
 pub(super) struct EndpointWatch {
+    registry: Rc<Registry>,
+    /// The discovery service of the current configuration.
+    service: SocketAddr,
     /// The latest watch, and its predecessor, which is read until the latest one is alive.
     connections: [Option<WatchConnection>; 2],
     slots: WatchSlots,
-    /// The last version received, and the service that it belongs to: versions of two services do not compare.
-    version: Option<u64>,
-    version_source: SocketAddr,
+    version: ListVersion,
     has_endpoints: bool,
 }
 
 impl EndpointWatch {
     /// No watch and no list yet.
-    pub(super) fn new(service: SocketAddr) -> Self {
+    pub(super) fn new(registry: Rc<Registry>, service: SocketAddr) -> Self {
         EndpointWatch {
+            registry,
+            service,
             connections: [None, None],
             slots: WatchSlots::default(),
-            version: None,
-            version_source: service,
+            version: ListVersion::new(service),
             has_endpoints: false,
         }
     }
@@ -41,199 +44,179 @@
     /// Starts from the list that the configuration has cached.
     pub(super) fn use_cached(&mut self, cached: &WatchEvent) {
         self.has_endpoints = !cached.endpoints.is_empty();
-        self.version = Some(cached.version);
+        self.version.use_cached(cached.version);
     }
 
-    /// Whether the latest watch is open.
-    fn has_latest(&self) -> bool {
-        let mut indexed = self.connections.iter().enumerate();
-        indexed.any(|(index, connection)| connection.is_some() && self.slots.is_latest(index))
+    /// A reloaded configuration has this service; returns whether it is another one. The watch on the old service stays
+    /// open until the scheduler has requested one on the new service.
+    pub(super) fn set_service(&mut self, service: SocketAddr) -> bool {
+        std::mem::replace(&mut self.service, service) != service
     }
-}
 
-impl EventLoop {
     /// Opens a watch. The previous one, if it is still open, is read until the new one is alive.
-    pub(super) fn open_watch(&mut self) {
-        let has_latest = self.watch.has_latest();
-        let index = self.watch.slots.next_slot(has_latest);
-        self.close_watch(index);
-        let (address, now) = (self.config.discovery, self.dispatcher.now_ms());
-        // Versions of another service do not compare with the one that was received.
-        if address != self.watch.version_source {
-            self.watch.version = None;
-            self.watch.version_source = address;
-        }
-        let since = self.watch.version;
-        match WatchConnection::open(
-            &self.registry,
-            tokens::DISCOVERY[index],
-            address,
-            since,
-            now,
-        ) {
-            Ok(connection) => self.watch.connections[index] = Some(connection),
-            Err(error) => self.on_watch_failed(index, &error),
+    pub(super) fn open(&mut self, dispatcher: &mut Dispatcher) {
+        let slot = self.slots.next_slot(self.has_latest());
+        self.close(slot);
+        let since = self.version.since(self.service);
+        let now = dispatcher.now_ms();
+        let token = tokens::DISCOVERY[slot];
+        match WatchConnection::open(&self.registry, token, self.service, since, now) {
+            Ok(connection) => self.connections[slot] = Some(connection),
+            Err(error) => self.on_failed(slot, &error, dispatcher),
         }
     }
 
-    fn close_watch(&mut self, index: usize) {
-        if let Some(connection) = self.watch.connections[index].take() {
+    /// Whether the latest watch is open.
+    fn has_latest(&self) -> bool {
+        let mut indexed = self.connections.iter().enumerate();
+        indexed.any(|(slot, connection)| connection.is_some() && self.slots.is_latest(slot))
+    }
+
+    fn close(&mut self, slot: usize) {
+        if let Some(connection) = self.connections[slot].take() {
             connection.close(&self.registry);
         }
     }
 
     /// Closes a watch that has failed or was ended by the service.
-    fn on_watch_failed(&mut self, index: usize, error: &WatchError) {
-        tracing::warn!(%error, address = %self.config.discovery, "discovery watch failed");
-        self.close_watch(index);
+    fn on_failed(&mut self, slot: usize, error: &WatchError, dispatcher: &mut Dispatcher) {
+        tracing::warn!(%error, address = %self.service, "discovery watch failed");
+        self.close(slot);
         // A predecessor was reported as silent when its successor was opened.
-        if self.watch.slots.is_latest(index) {
-            self.dispatcher
-                .on_watch_lost(&mut self.scheduler, EndpointEvent::PollFailed);
+        if self.slots.is_latest(slot) {
+            dispatcher.on_watch_lost(EndpointEvent::PollFailed);
         }
     }
 
-    /// Reads the watches that have events.
-    pub(super) fn read_watches(&mut self, events: &Events) {
-        // A poll that returns the most events it may could have omitted that of a watch.
-        let may_be_truncated = events.iter().count() >= MAX_EVENTS;
-        for (index, token) in tokens::DISCOVERY.into_iter().enumerate() {
-            if may_be_truncated || events.iter().any(|event| event.token() == token) {
-                self.read_watch(index);
-            }
-        }
-    }
-
-    fn read_watch(&mut self, index: usize) {
-        let Some(connection) = &mut self.watch.connections[index] else {
+    /// Reads a watch, and handles what it has sent.
+    pub(super) fn read(
+        &mut self,
+        slot: usize,
+        dispatcher: &mut Dispatcher,
+        fleet: &mut Fleet,
+        scratch: &mut [u8],
+    ) {
+        let Some(connection) = &mut self.connections[slot] else {
             return;
         };
-        let mut received = Vec::new();
-        connection.on_event(&mut self.scratch, &mut |message| received.push(message));
-        for message in received {
+        for message in connection.on_event(scratch) {
             // Applying a long list takes time.
-            self.update_now();
+            dispatcher.update_now();
             // The previous message may have closed the watch.
-            if self.watch.connections[index].is_none() {
+            if self.connections[slot].is_none() {
                 return;
             }
-            self.on_watch_message(index, message);
+            self.on_message(slot, message, dispatcher, fleet);
         }
     }
 
-    fn on_watch_message(&mut self, index: usize, message: WatchMessage) {
+    fn on_message(
+        &mut self,
+        slot: usize,
+        message: WatchMessage,
+        dispatcher: &mut Dispatcher,
+        fleet: &mut Fleet,
+    ) {
         match message {
-            WatchMessage::Update(update) => self.on_update(index, &update),
-            WatchMessage::Heartbeat => self.on_watch_alive(index),
+            WatchMessage::Update(update) => self.on_update(slot, &update, dispatcher, fleet),
+            WatchMessage::Heartbeat => self.on_alive(slot, dispatcher),
             WatchMessage::Closings(endpoints) => {
-                let update = WatchEvent {
-                    version: 0,
-                    full_snapshot: false,
-                    endpoints,
-                };
-                self.dispatcher.on_endpoints(
-                    &mut self.scheduler,
-                    EndpointEvent::Incremental,
-                    &update,
-                );
+                dispatcher.on_endpoints(EndpointEvent::Incremental, &changes(endpoints));
             }
-            WatchMessage::Failed(error) => self.on_watch_failed(index, &error),
+            WatchMessage::Failed(error) => self.on_failed(slot, &error, dispatcher),
         }
     }
 
     /// A watch has sent a complete line: it supersedes the one before it.
-    fn on_watch_alive(&mut self, index: usize) {
-        let now = self.dispatcher.now_ms();
-        let is_first = self.watch.connections[index]
-            .as_mut()
-            .is_some_and(|c| c.watch.event_received(now));
-        if let Some(superseded) = self.watch.slots.superseded_by(index) {
-            self.close_watch(superseded);
+    fn on_alive(&mut self, slot: usize, dispatcher: &mut Dispatcher) {
+        let now = dispatcher.now_ms();
+        let connection = self.connections[slot].as_mut();
+        let is_first = connection.is_some_and(|connection| connection.on_line_received(now));
+        if let Some(superseded) = self.slots.superseded_by(slot) {
+            self.close(superseded);
         }
         if is_first {
             // Even without changes the scheduler has to know that the list is current: it matters when the watch is
             // lost.
-            let no_changes = WatchEvent {
-                version: 0,
-                full_snapshot: false,
-                endpoints: Vec::new(),
-            };
-            self.dispatcher.on_endpoints(
-                &mut self.scheduler,
-                EndpointEvent::Incremental,
-                &no_changes,
-            );
+            dispatcher.on_endpoints(EndpointEvent::Incremental, &changes(Vec::new()));
         }
     }
 
-    fn on_update(&mut self, index: usize, update: &WatchEvent) {
-        self.on_watch_alive(index);
-        let Some(connection) = &self.watch.connections[index] else {
+    fn on_update(
+        &mut self,
+        slot: usize,
+        update: &WatchEvent,
+        dispatcher: &mut Dispatcher,
+        fleet: &mut Fleet,
+    ) {
+        self.on_alive(slot, dispatcher);
+        let Some(connection) = &self.connections[slot] else {
             return;
         };
         let (service, since) = (connection.address(), connection.since());
-        if service != self.watch.version_source {
-            // Updates of the previous service are applied as changes, without their version.
-            return self.dispatcher.on_endpoints(
-                &mut self.scheduler,
-                EndpointEvent::Incremental,
-                update,
-            );
-        }
-        if !update.full_snapshot && since.is_some_and(|since| update.version < since) {
-            // The service has restarted with lower versions: the next watch requests a full snapshot.
-            self.watch.version = None;
-            return self.on_watch_failed(index, &WatchError::VersionsRestarted);
-        }
-        // Changes older than the list are ignored. A full snapshot is applied whatever its version: it was requested
-        // after everything that was received before.
-        if !update.full_snapshot
-            && self
-                .watch
-                .version
-                .is_some_and(|version| update.version <= version)
-        {
-            return;
-        }
-        self.watch.version = Some(update.version);
-        self.watch.has_endpoints |= !update.endpoints.is_empty();
-        if let Some(fleet) = &mut self.fleet {
-            fleet.set_active_versions(ActiveVersions {
-                endpoint_list: update.version,
-                plans: 0,
-            });
+        match self.version.on_update(update, service, since) {
+            UpdateVersion::Outdated => {}
+            UpdateVersion::PreviousService => {
+                dispatcher.on_endpoints(EndpointEvent::Incremental, update);
+            }
+            UpdateVersion::Restarted => {
+                self.on_failed(slot, &WatchError::VersionsRestarted, dispatcher);
+            }
+            UpdateVersion::Newer => {
+                self.has_endpoints |= !update.endpoints.is_empty();
+                fleet.publish_list_version(update.version);
+                dispatcher.on_endpoints(endpoint_event(update), update);
+            }
         }
-        let event = if update.full_snapshot {
-            EndpointEvent::FullSnapshot
-        } else {
-            EndpointEvent::Incremental
-        };
-        self.dispatcher
-            .on_endpoints(&mut self.scheduler, event, update);
     }
 
     /// Applies the timeouts of the watches.
-    pub(super) fn check_watches(&mut self, now: Millis) {
-        for index in 0..self.watch.connections.len() {
-            let Some(connection) = &mut self.watch.connections[index] else {
+    pub(super) fn check_timeouts(&mut self, dispatcher: &mut Dispatcher) {
+        let now = dispatcher.now_ms();
+        for slot in 0..self.connections.len() {
+            let Some(connection) = &mut self.connections[slot] else {
                 continue;
             };
-            if !connection.watch.check_failure(now) {
-                continue;
-            }
-            if !connection.is_up() {
-                self.on_watch_failed(index, &WatchError::ConnectTimeout);
+            if !connection.check_failure(now) {
                 continue;
             }
-            tracing::warn!(address = %connection.address(), "discovery watch is silent");
-            // A watch that has sent nothing yet occupies a place in the service's queue; one that has does not.
-            if !connection.watch.is_established() {
-                self.close_watch(index);
-            }
-            if self.watch.slots.is_latest(index) {
-                self.dispatcher
-                    .on_watch_lost(&mut self.scheduler, EndpointEvent::WatchSilent);
+            if connection.is_up() {
+                self.on_silent(slot, dispatcher);
+            } else {
+                self.on_failed(slot, &WatchError::ConnectTimeout, dispatcher);
             }
         }
     }
+
+    /// A watch has sent nothing for too long.
+    fn on_silent(&mut self, slot: usize, dispatcher: &mut Dispatcher) {
+        let Some(connection) = &self.connections[slot] else {
+            return;
+        };
+        tracing::warn!(address = %connection.address(), "discovery watch is silent");
+        // A watch that has sent nothing yet occupies a place in the service's queue; one that has does not.
+        if !connection.is_established() {
+            self.close(slot);
+        }
+        if self.slots.is_latest(slot) {
+            dispatcher.on_watch_lost(EndpointEvent::WatchSilent);
+        }
+    }
+}
+
+fn endpoint_event(update: &WatchEvent) -> EndpointEvent {
+    if update.full_snapshot {
+        EndpointEvent::FullSnapshot
+    } else {
+        EndpointEvent::Incremental
+    }
+}
+
+/// Changes of endpoints that have no version of their own: nobody reads it.
+fn changes(endpoints: Vec<Endpoint>) -> WatchEvent {
+    WatchEvent {
+        version: 0,
+        full_snapshot: false,
+        endpoints,
+    }
 }
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -1,31 +1,17 @@
 //! Graceful shutdown. After SIGTERM the platform kills the process once a grace period is over; after SIGINT an operator
 //! waits for its end.
 use super::EventLoop;
+use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
+use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
 impl EventLoop {
     /// The platform asks the host to stop, and will kill it later.
     pub(super) fn on_sigterm(&mut self) {
-        let settings = &self.dispatcher.settings;
-        let longest_objective = settings
-            .scheduler
-            .classes
-            .iter()
-            .map(|class| class.latency_objective)
-            .max()
-            .unwrap_or(0);
-        let (longest_deadline, longest_objective) = (
-            ticks_to_millis(settings.longest_deadline),
-            ticks_to_millis(longest_objective),
-        );
         let now = self.dispatcher.now_ms();
-        self.begin_shutdown(GracefulShutdown::by_platform(
-            now,
-            longest_deadline,
-            longest_objective,
-        ));
+        self.begin_shutdown(shutdown_by_platform(self.dispatcher.settings(), now));
     }
 
     /// An operator asks the host to stop.
@@ -36,58 +22,57 @@
 
     /// The first signal counts; further ones change nothing.
     fn begin_shutdown(&mut self, shutdown: GracefulShutdown) {
-        let dispatcher = &mut self.dispatcher;
-        if dispatcher.clients.shutdown().is_some() {
+        if self.dispatcher.clients().shutdown().is_some() {
             return;
         }
         tracing::info!(
-            clients = dispatcher.clients.len(),
-            in_flight = dispatcher.in_flight(),
+            clients = self.dispatcher.clients().len(),
+            in_flight = self.dispatcher.in_flight(),
             "graceful shutdown begins"
         );
-        dispatcher.clients.begin_shutdown(shutdown);
-        if let Some(fleet) = &mut self.fleet {
-            fleet.announce_leaving();
-        }
+        self.dispatcher.clients_mut().begin_shutdown(shutdown);
+        self.fleet.announce_leaving();
     }
 
     /// When all final responses are due, after SIGTERM.
     pub(super) fn responses_due(&self) -> Option<Tick> {
-        self.dispatcher
-            .clients
-            .shutdown()
-            .and_then(|shutdown| shutdown.answer_deadline())
-            .map(ticks_from_millis)
+        let shutdown = self.dispatcher.clients().shutdown()?;
+        shutdown.answer_deadline().map(ticks_from_millis)
     }
 
     /// Sends all final responses once they are due.
     pub(super) fn respond_before_kill(&mut self) {
-        let is_due = self
-            .responses_due()
-            .is_some_and(|due| due <= self.dispatcher.now);
+        let now = self.dispatcher.now();
+        let is_due = self.responses_due().is_some_and(|due| due <= now);
         if is_due && self.dispatcher.in_flight() > 0 {
-            self.dispatcher.respond_to_all(&mut self.scheduler);
+            self.dispatcher.respond_to_all();
         }
     }
 
     /// Closes the listener once the host accepts no more clients.
     pub(super) fn stop_accepting(&mut self) {
         let now = self.dispatcher.now_ms();
-        if self
-            .dispatcher
-            .clients
-            .shutdown()
-            .is_some_and(|shutdown| !shutdown.admits_clients(now))
-        {
+        let shutdown = self.dispatcher.clients().shutdown();
+        if shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now)) {
             self.close_listener();
         }
     }
 
     /// Whether the host may stop: it accepts no more clients, and all have disconnected.
     pub(super) fn is_finished(&self) -> bool {
-        let clients = &self.dispatcher.clients;
-        clients
-            .shutdown()
-            .is_some_and(|shutdown| shutdown.is_complete(self.dispatcher.now_ms(), clients.len()))
+        let now = self.dispatcher.now_ms();
+        let clients = self.dispatcher.clients();
+        let shutdown = clients.shutdown();
+        shutdown.is_some_and(|shutdown| shutdown.is_complete(now, clients.len()))
     }
 }
+
+fn shutdown_by_platform(settings: &PlatformSettings, now: Millis) -> GracefulShutdown {
+    let classes = settings.scheduler.classes.iter();
+    let longest_objective = classes.map(|class| class.latency_objective).max();
+    GracefulShutdown::by_platform(
+        now,
+        ticks_to_millis(settings.longest_deadline),
+        ticks_to_millis(longest_objective.unwrap_or(0)),
+    )
+}
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -2,25 +2,27 @@
 use super::EventLoop;
 use super::admission::Listener;
 use super::endpoint_watch::EndpointWatch;
-use super::timers::PeriodicTimers;
+use super::fleet::Fleet;
+use super::reload::ConfigFile;
+use super::status_log::StatusLog;
+use super::timers::PeriodicCheck;
 use crate::clients::ClientConnections;
-use crate::dispatcher::Dispatcher;
+use crate::dispatcher::{Dispatcher, SchedulerHost};
 use crate::error::HostError;
 use crate::nodes::NodeConnections;
 use crate::signals::SignalPipes;
-use crate::tokens;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_connection_policy::resource_budget::ResourceBudget;
-use mallowseam_fleet_udp::UdpMembership;
 use mallowseam_platform::config::{self, HostConfig};
+use mallowseam_platform::endpoints::WatchEvent;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{EndpointEvent, Host, Tick};
-use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
+use mallowseam_scheduler::interface::{EndpointEvent, Tick};
 use mallowseam_sockets::clock::{Clock, ticks_from_millis, ticks_to_millis};
 use mallowseam_sockets::descriptors;
 use mio::{Poll, Registry};
 use std::path::Path;
+use std::rc::Rc;
 
 /// Bytes read from a socket at once.
 const SCRATCH_BYTES: usize = 128 * 1024;
@@ -56,45 +58,41 @@
 
 impl EventLoop {
     /// Opens signal pipes, the listener, fleet membership and the connection tables.
-    pub(super) fn open(path: &Path, config: HostConfig, poll: &Poll) -> Result<Self, HostError> {
+    pub(super) fn open(path: &Path, config: &HostConfig, poll: &Poll) -> Result<Self, HostError> {
         let signals = SignalPipes::open(poll).map_err(HostError::Signals)?;
-        let listener = Listener::open(poll, config.listen)?;
+        let registry = Rc::new(clone_registry(poll.registry())?);
+        let listener = Listener::open(Rc::clone(&registry), config.listen)?;
         let clock = Clock::from_unix_epoch();
         let now = clock.now();
-        let fleet = open_fleet(&config, poll.registry())?;
-        let settings = host_settings(&config);
+        let fleet = Fleet::open(poll.registry(), config.fleet.clone())?;
+        let settings = host_settings(config);
         let budget = ResourceBudget::new(config.max_sockets, config.memory_mb);
-        let (clients, nodes) = connections(&settings, &budget, poll.registry(), now)?;
-        log_start(&config, &budget);
+        let clients = open_clients(&budget, poll.registry())?;
+        let nodes = open_nodes(&settings, &budget, poll.registry(), now)?;
+        log_start(config, &budget);
+        let scheduler = Scheduler::new(&settings.scheduler, config.seed, now);
+        let host = SchedulerHost::new(now, settings, clients, nodes);
         Ok(EventLoop {
-            config_path: path.to_owned(),
-            scheduler: Scheduler::new(&settings.scheduler, config.seed, now),
-            dispatcher: Dispatcher::new(now, settings, clients, nodes),
-            registry: clone_registry(poll.registry())?,
+            dispatcher: Dispatcher::new(clock, scheduler, host),
             listener,
             signals,
-            watch: EndpointWatch::new(config.discovery),
+            watch: EndpointWatch::new(registry, config.discovery),
             fleet,
-            is_fleet_readable: false,
+            config_file: ConfigFile::new(path, config),
+            check: PeriodicCheck::new(now),
+            status_log: StatusLog::new(now),
             scratch: vec![0; SCRATCH_BYTES],
-            periodic: PeriodicTimers::new(now),
-            arrivals: ArrivalEstimator::new(now),
-            clock,
-            config,
         })
     }
 
-    /// Runs once, before the first iteration.
-    pub(super) fn start(&mut self) {
-        self.update_now();
-        // The scheduler's timer fires once before anything else; from then on the scheduler sets its timers itself, and
-        // requests the endpoint list.
-        self.dispatcher.set_timer(0);
-        self.dispatcher.run_scheduler_timer(&mut self.scheduler);
-        if let Some(cached) = self.config.cached_list.take() {
+    /// Runs once, before the first iteration. `cached`: the endpoint list that the configuration has cached.
+    pub(super) fn start(&mut self, cached: Option<WatchEvent>) {
+        self.dispatcher.update_now();
+        // The scheduler runs before anything else.
+        self.dispatcher.start();
+        if let Some(cached) = cached {
             self.watch.use_cached(&cached);
-            self.dispatcher
-                .on_endpoints(&mut self.scheduler, EndpointEvent::Cached, &cached);
+            self.dispatcher.on_endpoints(EndpointEvent::Cached, &cached);
         }
         self.run_timers();
     }
@@ -114,38 +112,31 @@
     registry.try_clone().map_err(HostError::Poll)
 }
 
-fn open_fleet(
-    config: &HostConfig,
+fn open_clients(
+    budget: &ResourceBudget,
     registry: &Registry,
-) -> Result<Option<Box<UdpMembership>>, HostError> {
-    let Some(fleet) = config.fleet.clone() else {
-        return Ok(None);
-    };
-    let fleet = UdpMembership::open(registry, tokens::FLEET, fleet).map_err(HostError::Fleet)?;
-    Ok(Some(Box::new(fleet)))
+) -> Result<ClientConnections, HostError> {
+    Ok(ClientConnections::new(
+        clone_registry(registry)?,
+        budget.client_connections,
+        budget.client_bytes,
+    ))
 }
 
-fn connections(
+fn open_nodes(
     settings: &PlatformSettings,
     budget: &ResourceBudget,
     registry: &Registry,
     now: Tick,
-) -> Result<(ClientConnections, NodeConnections), HostError> {
-    let keep_alive =
-        KeepAlivePolicy::new(ticks_to_millis(settings.idle_timeout), ticks_to_millis(now));
-    let clients = ClientConnections::new(
-        clone_registry(registry)?,
-        budget.client_connections,
-        budget.client_bytes,
-    );
-    let nodes = NodeConnections::new(
+) -> Result<NodeConnections, HostError> {
+    let idle_timeout = ticks_to_millis(settings.idle_timeout);
+    Ok(NodeConnections::new(
         clone_registry(registry)?,
         budget.node_connections,
         budget.node_bytes,
         settings.connect_timeout,
-        keep_alive,
-    );
-    Ok((clients, nodes))
+        KeepAlivePolicy::new(idle_timeout, ticks_to_millis(now)),
+    ))
 }
 
 fn log_start(config: &HostConfig, budget: &ResourceBudget) {
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -6,38 +6,28 @@
 
 /// Ticks between two checks of all connections: fine enough for timeouts of seconds.
 const CHECK_PERIOD: Tick = 500;
-/// Ticks between two status logs.
-const STATUS_PERIOD: Tick = 50_000;
 
-/// The periodic timers.
-pub(super) struct PeriodicTimers {
+/// The periodic check of all connections.
+pub(super) struct PeriodicCheck {
     checked_at: Tick,
-    status_logged_at: Tick,
 }
 
-impl PeriodicTimers {
-    /// Both periods start now.
+impl PeriodicCheck {
+    /// The first period starts now.
     pub(super) fn new(now: Tick) -> Self {
-        PeriodicTimers {
-            checked_at: now,
-            status_logged_at: now,
-        }
+        PeriodicCheck { checked_at: now }
     }
 
-    /// Whether the connections are to be checked; if so, the next period starts.
-    fn take_check(&mut self, now: Tick) -> bool {
-        let is_due = now >= self.checked_at + CHECK_PERIOD;
-        if is_due {
-            self.checked_at = now;
-        }
-        is_due
+    /// When the next check is due.
+    fn next_at(&self) -> Tick {
+        self.checked_at + CHECK_PERIOD
     }
 
-    /// Whether the status is to be logged; if so, the next period starts.
-    fn take_status(&mut self, now: Tick) -> bool {
-        let is_due = now >= self.status_logged_at + STATUS_PERIOD;
+    /// Whether the check is due; if so, the next period starts.
+    fn take_due(&mut self, now: Tick) -> bool {
+        let is_due = now >= self.next_at();
         if is_due {
-            self.status_logged_at = now;
+            self.checked_at = now;
         }
         is_due
     }
@@ -46,51 +36,46 @@
 impl EventLoop {
     /// How long the poll may wait; zero while sockets may have more to read.
     pub(super) fn poll_timeout(&self) -> Duration {
-        let dispatcher = &self.dispatcher;
-        if self.listener.is_readable || self.is_fleet_readable || dispatcher.clients.queue_len() > 0
-        {
+        if self.listener.has_waiting() || self.dispatcher.clients().queue_len() > 0 {
             return Duration::ZERO;
         }
-        let responses_due = self.responses_due().filter(|due| *due > dispatcher.now);
+        let next = self.next_timer();
+        let timeout = ticks_to_duration(next - self.dispatcher.clock_time());
+        self.fleet.limit_timeout(timeout)
+    }
+
+    /// When the next timer is due, those of the fleet left out.
+    fn next_timer(&self) -> Tick {
+        let now = self.dispatcher.now();
         let timers = [
-            dispatcher.timer(),
-            dispatcher.nodes.next_deadline(),
-            responses_due,
+            self.dispatcher.timer_due(),
+            self.dispatcher.nodes().next_deadline(),
+            self.responses_due().filter(|due| *due > now),
         ];
-        let next_check = self.periodic.checked_at + CHECK_PERIOD;
-        let next = timers.into_iter().flatten().fold(next_check, Tick::min);
-        let timeout = ticks_to_duration(next - self.clock.now());
-        match &self.fleet {
-            Some(fleet) => timeout.min(Duration::from_millis(fleet.millis_until_tick())),
-            None => timeout,
-        }
+        let due = timers.into_iter().flatten();
+        due.fold(self.check.next_at(), Tick::min)
     }
 
     /// Runs the timeouts of attempts, the scheduler's timer, and the periodic checks.
     pub(super) fn run_timers(&mut self) {
-        self.update_now();
-        self.dispatcher.expire_attempts(&mut self.scheduler);
-        self.dispatcher.run_scheduler_timer(&mut self.scheduler);
+        self.dispatcher.update_now();
+        self.dispatcher.expire_attempts();
+        self.dispatcher.fire_timer();
         self.respond_before_kill();
         // A new watch begins with everything that was missed, as a full snapshot if needed.
         if self.dispatcher.take_watch_request() {
-            self.open_watch();
+            self.watch.open(&mut self.dispatcher);
         }
-        let now = self.dispatcher.now;
-        if self.periodic.take_check(now) {
+        if self.check.take_due(self.dispatcher.now()) {
             self.check_connections();
         }
     }
 
     /// Applies the timeouts of all connections.
     fn check_connections(&mut self) {
-        let (now, now_ms) = (self.dispatcher.now, self.dispatcher.now_ms());
-        self.dispatcher.clients.check_timeouts(now_ms);
-        self.dispatcher.nodes.close_expired_idle(now);
-        self.check_watches(now_ms);
+        self.dispatcher.check_connections();
+        self.watch.check_timeouts(&mut self.dispatcher);
         self.stop_accepting();
-        if self.periodic.take_status(now) {
-            self.log_status();
-        }
+        self.status_log.log_if_due(&mut self.dispatcher);
     }
 }
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -106,10 +106,12 @@
         self.endpoints.get_mut(node.0 as usize)?.as_mut()
     }
 
-    /// The counters of a node.
-    pub fn counters_mut(&mut self, node: NodeId) -> Option<&mut NodeCounters> {
-        self.endpoint_mut(node)
-            .map(|endpoint| &mut endpoint.counters)
+    /// The counters of a node for a log line; its longest time starts again from none.
+    pub fn take_counters(&mut self, node: NodeId) -> Option<NodeCounters> {
+        let counters = &mut self.endpoint_mut(node)?.counters;
+        let taken = *counters;
+        counters.slowest = 0;
+        Some(taken)
     }
 
     /// The nodes that are known.
