--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -106,10 +106,12 @@
         self.endpoints.get_mut(node.0 as usize)?.as_mut()
     }
 
-    /// The counters of a node.
-    pub fn counters_mut(&mut self, node: NodeId) -> Option<&mut NodeCounters> {
-        self.endpoint_mut(node)
-            .map(|endpoint| &mut endpoint.counters)
+    /// The counters of a node for a log line; its longest time starts again from none.
+    pub fn take_counters(&mut self, node: NodeId) -> Option<NodeCounters> {
+        let counters = &mut self.endpoint_mut(node)?.counters;
+        let taken = *counters;
+        counters.slowest = 0;
+        Some(taken)
     }
 
     /// The nodes that are known.
@@ -145,13 +147,15 @@
     }
 
     /// Withdraws the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
-    pub fn withdraw_unconnected(&mut self, node: NodeId, mut completed: impl FnMut(Completion)) {
+    pub fn withdraw_unconnected(&mut self, node: NodeId) -> Vec<Completion> {
+        let mut withdrawn = Vec::new();
         for slot in 0..self.connections.index_bound() {
             let connection = self.connections.get(slot);
             let is_waiting = connection.is_some_and(|c| c.node == node && !c.is_up);
             if is_waiting && let Some(attempt) = self.close(slot) {
-                completed(attempt.complete(node, AttemptResult::NotSent));
+                withdrawn.push(attempt.complete(node, AttemptResult::NotSent));
             }
         }
+        withdrawn
     }
 }
