--- a/crates/gateway/tests/pinned/command_line.rs
+++ b/crates/gateway/tests/pinned/command_line.rs
@@ -1,5 +1,6 @@
 //! Help texts, configuration checks and exit codes.
-use crate::harness::{assert_pinned, describe, run};
+use crate::harness::{assert_pinned, describe, read_fixture, run};
+use std::collections::BTreeSet;
 
 const SUBCOMMANDS: [&[&str]; 41] = [
     &[],
@@ -65,6 +66,58 @@
     assert_pinned("help.txt", &transcript(&runs));
 }
 
+/// What scripts rely on in a help text: the usage line, subcommands, flags, defaults and possible values.
+fn interface(help: &str) -> BTreeSet<String> {
+    let mut found = BTreeSet::new();
+    let mut is_in_commands = false;
+    for line in help.lines() {
+        is_in_commands = (is_in_commands && !line.is_empty()) || line == "Commands:";
+        let words = || line.split_whitespace();
+        if line.starts_with("Usage: ") {
+            found.insert(line.to_owned());
+        }
+        if is_in_commands && line.starts_with("  ") {
+            found.extend(words().next().map(|name| format!("subcommand {name}")));
+        }
+        let bracketed = |label: &str| {
+            let after = line.split_once(label)?.1;
+            Some(after.split_once(']')?.0.to_owned())
+        };
+        if line.trim_start().starts_with('-') {
+            let specification = line.trim_start().split("  ").next().unwrap_or_default();
+            let aliases = bracketed("[aliases: ").unwrap_or_default();
+            let names = specification.split_whitespace().chain(aliases.split(", "));
+            found.extend(
+                names
+                    .filter(|name| name.starts_with("--"))
+                    .map(str::to_owned),
+            );
+        }
+        for label in ["[default: ", "[possible values: "] {
+            found.extend(bracketed(label).map(|value| format!("{label}{value}]")));
+        }
+    }
+    found
+}
+
+/// The fixture lists what scripts may rely on, a line each, below the command line that it belongs to. Later versions
+/// may add to it and word their help differently, and keep all of it.
+#[test]
+fn subcommands_flags_and_defaults_are_all_still_there() {
+    let pinned = read_fixture("interface.txt");
+    let mut checked = 0;
+    for section in pinned.split("$ mallowseam").skip(1) {
+        let (arguments, expected) = section.split_once('\n').expect("a command line");
+        let output = run(&arguments.split_whitespace().collect::<Vec<_>>());
+        let found = interface(&String::from_utf8(output.stdout).expect("help is text"));
+        for line in expected.lines() {
+            assert!(found.contains(line), "mallowseam{arguments}: lacks {line}");
+        }
+        checked += 1;
+    }
+    assert_eq!(checked, SUBCOMMANDS.len());
+}
+
 #[test]
 fn checks_of_configurations_are_as_they_were() {
     let files = [
