--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,8 +1,9 @@
-//! The command line of `mallowseam`.
+//! The command line of `mallowseam`: its subcommands with their help texts, one module a family.
 mod control;
 mod error;
 mod fleet;
 mod plan;
+mod plan_parameters;
 mod process;
 mod shares;
 mod snapshot;
@@ -16,13 +17,16 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// A storage gateway that orders and paces the block I/O of many volumes over storage nodes
+///
+/// A host (`run`, `host`) serves volumes to clients and forwards their reads and writes to storage nodes. The
+/// plan service (`control`) and the snapshot catalog (`catalog`) are separate processes, one of each for all
+/// hosts. All other subcommands query or change a running process, or check files.
+///
+/// Exit codes: 0 success; 1 the command failed; 2 invalid command line or file; 3 (`shares work-out`) no
+/// placement exists.
 #[derive(Parser)]
-#[command(
-    name = "mallowseam",
-    version,
-    about = "A storage gateway for small sites",
-    max_term_width = 100
-)]
+#[command(name = "mallowseam", version, max_term_width = 100)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -31,104 +35,121 @@
 #[derive(Subcommand)]
 #[allow(clippy::doc_markdown, reason = "the comments are the help texts")]
 enum Command {
-    /// Run this host in the foreground until SIGTERM or SIGINT; a second one ends it at once
+    /// Run a host that serves volumes over iSCSI, in the foreground
+    ///
+    /// SIGTERM or SIGINT starts a graceful shutdown; a second signal stops the host at once.
     Run {
-        /// The configuration file
+        /// The host's configuration file
         file: PathBuf,
         #[command(flatten)]
         log: LogOptions,
     },
-    /// Run a real host of the users' platform in the foreground, by the configuration that GW_CONFIG names;
-    /// SIGHUP reads it anew, SIGTERM ends it once all it took is answered
+    /// Run a host for the users' platform (clients and nodes over HTTP/1.1), in the foreground
+    ///
+    /// The environment variable GW_CONFIG names the configuration file. SIGHUP reloads it; SIGTERM starts a
+    /// graceful shutdown, which ends once all admitted requests have been answered.
     Host {
-        /// Log lines as JSON objects
+        /// Write log lines as JSON objects
         #[arg(long)]
         json: bool,
-        /// Milliseconds that one call takes of the list service, 0 to 10000: all hosts together spread their
-        /// calls so that it can handle them (30 where this is not given)
+        /// Milliseconds that the discovery service needs to answer one poll, 0 to 10000 (30 if not given):
+        /// all hosts together spread their polls so that it keeps up
         #[arg(long, value_name = "MS", value_parser = clap::value_parser!(u16).range(..=10_000))]
         list_turn: Option<u16>,
     },
-    /// Run the catalog of snapshots and clones in the foreground until SIGTERM or SIGINT
+    /// Run the snapshot catalog, in the foreground until SIGTERM or SIGINT
     Catalog {
-        /// The configuration file
+        /// A configuration file with a section `catalog`
         file: PathBuf,
-        /// End without a word at this step, counted from the start: for tests of what a crash leaves
+        /// Abort the process at this crash point, counted from the start: for tests of crash recovery
         #[arg(long, hide = true)]
         die_at: Option<u64>,
         #[command(flatten)]
         log: LogOptions,
     },
-    /// Run the control service of plans in the foreground until SIGTERM or SIGINT
+    /// Run the plan service, in the foreground until SIGTERM or SIGINT
     Control {
         /// A configuration file with a section `tariffs`
         file: PathBuf,
         #[command(flatten)]
         log: LogOptions,
     },
-    /// Plans at the control service: in versions, with who changed what and why
+    /// Show and change plans at the plan service
+    ///
+    /// Each change makes a new version and is recorded with its author and reason.
     Plan {
         #[command(subcommand)]
         command: plan::Command,
     },
-    /// Work out ahead of time which nodes volumes lie on
+    /// Compute on which nodes volumes are best placed
     Shares {
         #[command(subcommand)]
         command: shares::Command,
     },
-    /// With the catalog stopped, walk its store and all nodes and count references
+    /// Check the snapshot catalog's store against all nodes; the catalog must be stopped
+    ///
+    /// Prints contradictions and leaked locations (space that nodes hold and no snapshot, clone or volume
+    /// refers to). The exit code is 1 if there are any that were not reclaimed.
     Verify {
+        /// The snapshot catalog's configuration file
         file: PathBuf,
-        /// Give back what nothing refers to
-        #[arg(long)]
-        mend: bool,
+        /// Reclaim leaked locations
+        #[arg(long, visible_alias = "mend")]
+        reclaim: bool,
     },
-    /// Snapshots and clones of mapped volumes
+    /// Take and manage snapshots and clones of mapped volumes
     Snapshot {
         #[command(subcommand)]
         command: snapshot::Command,
     },
-    /// Read a configuration and name all its problems
-    Check { file: PathBuf },
-    /// Show the view that a running host has of its fleet
+    /// Check a configuration file and print every error in it
+    Check {
+        /// The configuration file
+        file: PathBuf,
+    },
+    /// Show the fleet's members as a running host sees them
     Fleet(fleet::Options),
-    /// Tell what a running host is doing
+    /// Show the state of a running host
     Status {
         #[command(flatten)]
         target: ControlTarget,
-        /// As one JSON object
+        /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Record what clients ask of each volume, over all these hosts, as lines that `shares replay` reads
+    /// Record the demand of each volume, summed over several hosts, for `shares replay`
     Demand {
-        /// The hosts' configuration files
+        /// The configuration files of the hosts
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Seconds of an interval
+        /// Length of an interval in seconds, at least 1
         #[arg(long, default_value_t = 10)]
         every: u64,
-        /// Intervals; 0: until it is ended
+        /// Number of intervals to record; 0 records until interrupted
         #[arg(long, default_value_t = 0)]
         count: u64,
     },
-    /// Have a running host take up the plans of its changed file, and which volume has which; all else must
-    /// be as it was
+    /// Make a running host apply changed plans from its configuration file
+    ///
+    /// Applies new plans, changed parameters of plans and the plan of each volume. If anything else in the file
+    /// has changed, the host says what and applies nothing.
     Reload {
         /// The host's configuration file
         file: PathBuf,
     },
-    /// Close a running host to new logins; what is in hand ends
+    /// Stop admitting logins at a running host and ask its clients to log out
+    ///
+    /// Commands in flight are completed.
     Drain {
         #[command(flatten)]
         target: ControlTarget,
     },
-    /// Open it again
+    /// Admit logins again at a host that was drained
     Undrain {
         #[command(flatten)]
         target: ControlTarget,
     },
-    /// Drain a running host and end it
+    /// Drain a running host, then stop it
     Stop {
         #[command(flatten)]
         target: ControlTarget,
@@ -159,7 +180,7 @@
         Command::Control { file, log } => process::run_plan_service(&file, &log),
         Command::Plan { command } => plan::execute(command).map(print),
         Command::Shares { command } => shares::execute(&command).map(print),
-        Command::Verify { file, mend } => verify::execute(&file, mend),
+        Command::Verify { file, reclaim } => verify::execute(&file, reclaim),
         Command::Snapshot { command } => snapshot::execute(&command).map(print),
         Command::Check { file } => process::check(&file).map(print),
         Command::Fleet(options) => Ok(fleet::execute(&options)?),
--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -5,6 +5,7 @@
 use crate::error::read_configuration;
 use crate::status::Status;
 use mallowseam_settings::GatewayConfig;
+use std::num::NonZeroU64;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -14,7 +15,7 @@
 pub(super) struct ControlTarget {
     /// The host's configuration file, which names its control socket
     file: Option<PathBuf>,
-    /// The control socket itself
+    /// Path of the host's control socket, instead of the configuration file
     #[arg(long)]
     control: Option<PathBuf>,
 }
@@ -107,13 +108,14 @@
     Ok(())
 }
 
-/// `mallowseam demand`
+/// `mallowseam demand`, with intervals of `every` seconds; a `count` of 0 stands for no end.
 pub(super) fn record_demand(files: &[PathBuf], every: u64, count: u64) -> Result<(), CommandError> {
     let sockets = files
         .iter()
         .map(|file| host_socket(file))
         .collect::<Result<Vec<_>, _>>()?;
     let interval = Duration::from_secs(every.max(1));
+    let count = NonZeroU64::new(count);
     demand::record(&sockets, interval, count, &mut |line| println!("{line}"));
     Ok(())
 }
--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -1,6 +1,6 @@
 //! Why a subcommand failed, and the exit code that says so.
 use super::fleet::FleetError;
-use super::plan::FigureError;
+use super::plan_parameters::ParameterError;
 use crate::control_socket::RequestError;
 use crate::error::{Error, FileError};
 use crate::placement::PlacementError;
@@ -30,7 +30,7 @@
     #[error("GW_CONFIG: names no configuration")]
     NoConfiguration,
     #[error("{}", join_lines(.0))]
-    PlanFigures(Vec<FigureError>),
+    PlanParameters(Vec<ParameterError>),
     #[error(transparent)]
     Process(#[from] Error),
     #[error(transparent)]
@@ -78,7 +78,7 @@
             CommandError::File(_)
             | CommandError::NoControlSocket { .. }
             | CommandError::NoConfiguration
-            | CommandError::PlanFigures(_)
+            | CommandError::PlanParameters(_)
             | CommandError::Placement(_) => BAD_INPUT,
             _ => FAILED,
         }
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -2,6 +2,7 @@
 use clap::Args;
 use mallowseam_fleet_udp::{MembershipSnapshot, QueryError, query_membership};
 use std::net::SocketAddr;
+use std::num::NonZeroU64;
 use std::time::Duration;
 
 /// Pause between two polls of a watched host.
@@ -9,22 +10,23 @@
 
 #[derive(Args)]
 pub(super) struct Options {
-    /// Where a host listens for its fleet; with --agree several
+    /// Address on which a host listens for its fleet; several with --agree
     #[arg(required = true)]
     hosts: Vec<SocketAddr>,
-    /// As one JSON object
+    /// Print one JSON object
     #[arg(long, conflicts_with_all = ["watch", "agree"])]
     json: bool,
-    /// Tell changes as they come, until ended
+    /// Keep polling the host and print changes
     #[arg(long, conflicts_with = "agree")]
     watch: bool,
-    /// Ask all these hosts and show where their views differ: exit 1 where they do
+    /// Compare the membership tables of several hosts; the exit code is 1 if they differ
     #[arg(long)]
     agree: bool,
-    /// With --watch: end after so many looks, half a second apart (0: never)
+    /// With --watch: stop after this many polls, half a second apart; 0 polls until interrupted
     #[arg(
-        long = "looks",
-        value_name = "LOOKS",
+        long,
+        visible_alias = "looks",
+        value_name = "POLLS",
         default_value_t = 0,
         requires = "watch"
     )]
@@ -61,16 +63,16 @@
     match (options.json, options.watch) {
         (true, _) => println!("{}", first.to_json()),
         (_, false) => print!("{}", first.to_table()),
-        (_, true) => watch(host, first, options.polls),
+        (_, true) => watch(host, first, NonZeroU64::new(options.polls)),
     }
     Ok(())
 }
 
-/// Prints changes as they are seen; `polls` is 0 for no end.
-fn watch(host: SocketAddr, mut last: MembershipSnapshot, polls: u64) {
+/// Prints changes as they are seen, until `max_polls` are done; without a bound if there is none.
+fn watch(host: SocketAddr, mut last: MembershipSnapshot, max_polls: Option<NonZeroU64>) {
     println!("as {} sees it: {}", last.host, last.state_counts());
     let mut polled = 0;
-    while polls == 0 || polled < polls {
+    while max_polls.is_none_or(|max| polled < max.get()) {
         std::thread::sleep(POLL_INTERVAL);
         polled += 1;
         match query(host) {
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -1,228 +1,253 @@
 //! `mallowseam plan`: requests to the plan service.
 use super::control::{self, Service};
 use super::error::CommandError;
+use super::plan_parameters::{new_plan, set_parameters};
 use crate::plan_service::PlanRequest;
-use clap::Subcommand;
-use mallowseam_plans::state::{Change, Plan, State};
-use std::path::{Path, PathBuf};
-
-/// Figures are sent in thousandths.
-const THOUSANDTHS: f64 = 1000.0;
-/// Weight and price of a new plan, in thousandths.
-const DEFAULT_FACTOR: u64 = 1_000;
-/// Largest figure that the command line takes.
-const MAX_FIGURE: f64 = 1e9;
-
-/// Who changes a plan, and how.
-#[derive(clap::Args)]
+use clap::{Args, Subcommand};
+use mallowseam_plans::state::{Change, State};
+use std::path::PathBuf;
+
+// Without doc comments on these structs: clap would take them for the help of the subcommands.
+
+#[derive(Args)]
+pub(super) struct ServiceFile {
+    /// The plan service's configuration file, which names its control socket
+    #[arg(value_name = "FILE")]
+    path: PathBuf,
+}
+
+// Who changes a plan, and how.
+#[derive(Args)]
 pub(super) struct ChangeOptions {
+    /// Who makes the change; recorded in the change log
     #[arg(long)]
     author: String,
+    /// Why the change is made; recorded in the change log
     #[arg(long)]
     reason: String,
-    /// Tell what would come of it, and change nothing
+    /// Check the change and show its effect, without making it
     #[arg(long)]
     dry_run: bool,
-    /// Wait until it is in force at all hosts, or say what it waits for
+    /// Wait until the new version is in effect at all hosts, or report what blocks it
     #[arg(long)]
     wait: bool,
 }
 
+#[derive(Args)]
+pub(super) struct SetArguments {
+    #[command(flatten)]
+    file: ServiceFile,
+    /// Name of the plan
+    plan: String,
+    /// Parameters as NAME=NUMBER: usual, reserve and limit in units a second, burst in units, weight, price
+    #[arg(required = true)]
+    figures: Vec<String>,
+    /// Make the change only if this is still the newest version
+    #[arg(long)]
+    expected: Option<u64>,
+    #[command(flatten)]
+    options: ChangeOptions,
+}
+
+#[derive(Args)]
+pub(super) struct AssignArguments {
+    #[command(flatten)]
+    file: ServiceFile,
+    /// Name of the volume
+    volume: String,
+    /// Name of the plan
+    plan: String,
+    #[command(flatten)]
+    options: ChangeOptions,
+}
+
+#[derive(Args)]
+pub(super) struct RemoveArguments {
+    #[command(flatten)]
+    file: ServiceFile,
+    /// Name of the plan
+    plan: String,
+    #[command(flatten)]
+    options: ChangeOptions,
+}
+
+#[derive(Args)]
+pub(super) struct UndoArguments {
+    #[command(flatten)]
+    file: ServiceFile,
+    /// The version whose change is reverted
+    version: u64,
+    #[command(flatten)]
+    options: ChangeOptions,
+}
+
+#[derive(Args)]
+pub(super) struct HistoryArguments {
+    #[command(flatten)]
+    file: ServiceFile,
+    /// First version to print
+    #[arg(long, default_value_t = 1)]
+    from: u64,
+    /// Maximum number of entries to print
+    #[arg(long, visible_alias = "most", default_value_t = 1000)]
+    limit: usize,
+}
+
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// Set figures of a plan (a new one starts from nothing); rates such as limit=40
-    Set {
-        file: PathBuf,
-        plan: String,
-        /// usual, reserve, limit, burst, weight or price, as NAME=NUMBER
-        #[arg(required = true)]
-        figures: Vec<String>,
-        /// The version it is made for: refused if another one stands
-        #[arg(long)]
-        expected: Option<u64>,
+    /// Set parameters of a plan; create the plan if there is none of this name
+    ///
+    /// Parameters that are not named keep their values. A new plan has weight 1 and price 1, and 0 for the rest.
+    Set(SetArguments),
+    /// Assign a plan to a volume
+    Of(AssignArguments),
+    /// Remove a plan that no volume is assigned to
+    Drop(RemoveArguments),
+    /// Show all plans and the plan of each volume
+    Show {
         #[command(flatten)]
-        by: ChangeOptions,
+        file: ServiceFile,
+        /// Show them as they were at this version, instead of the newest
+        version: Option<u64>,
     },
-    /// Give a volume another plan
-    Of {
-        file: PathBuf,
-        volume: String,
-        plan: String,
+    /// Print entries of the change log
+    History(HistoryArguments),
+    /// Show the changes between two versions
+    Diff {
         #[command(flatten)]
-        by: ChangeOptions,
+        file: ServiceFile,
+        /// The version to start from
+        one: u64,
+        /// The version to compare it with
+        other: u64,
     },
-    /// Drop a plan that no volume has
-    Drop {
-        file: PathBuf,
-        plan: String,
+    /// Revert the change that a version made, as a new version
+    Undo(UndoArguments),
+    /// Show which version is in effect at all hosts, and what blocks the newest one
+    Hosts {
         #[command(flatten)]
-        by: ChangeOptions,
+        file: ServiceFile,
     },
-    /// Plans and volumes as they stand, or stood at a version
-    Show { file: PathBuf, version: Option<u64> },
-    /// Lines of the trail
-    History {
-        file: PathBuf,
-        #[arg(long, default_value_t = 1)]
-        from: u64,
-        #[arg(long, default_value_t = 1000)]
-        most: usize,
+    /// Declare that a host has stopped for good, so that no version waits for it
+    Gone {
+        #[command(flatten)]
+        file: ServiceFile,
+        /// Name of the host
+        host: String,
     },
-    /// What is different between two versions
-    Diff { file: PathBuf, one: u64, other: u64 },
-    /// Take a version's change back, as a new version
-    Undo {
-        file: PathBuf,
-        version: u64,
+    /// Replay the whole change log and compare the result with the current state
+    Replay {
         #[command(flatten)]
-        by: ChangeOptions,
+        file: ServiceFile,
     },
-    /// Which version is in force at all hosts, and what the newest one waits for
-    Hosts { file: PathBuf },
-    /// A host has stopped for good: no version waits for it any more
-    Gone { file: PathBuf, host: String },
-    /// Replay the whole trail from nothing and hold it against what stands
-    Replay { file: PathBuf },
 }
 
 /// Sends the request to the plan service; its answer.
 pub(super) fn execute(command: Command) -> Result<String, CommandError> {
-    let (file, request) = match command {
-        Command::Set {
-            file,
-            plan,
-            figures,
+    match command {
+        Command::Set(arguments) => arguments.execute(),
+        Command::Of(arguments) => arguments.execute(),
+        Command::Drop(arguments) => arguments.execute(),
+        Command::Show { file, version } => file.send_request(&PlanRequest::Show { version }),
+        Command::History(arguments) => arguments.execute(),
+        Command::Diff { file, one, other } => file.send_request(&PlanRequest::Diff {
+            from: one,
+            to: other,
+        }),
+        Command::Undo(arguments) => arguments.execute(),
+        Command::Hosts { file } => file.send_request(&PlanRequest::Hosts),
+        Command::Gone { file, host } => file.send_request(&PlanRequest::RemoveHost { host }),
+        Command::Replay { file } => file.send_request(&PlanRequest::Replay),
+    }
+}
+
+impl ServiceFile {
+    fn send_request(&self, request: &PlanRequest) -> Result<String, CommandError> {
+        let line = serde_json::to_string(request).expect("requests are plain data");
+        control::send_request(&self.path, Service::Plans, &line)
+    }
+}
+
+impl ChangeOptions {
+    /// The request that makes a change.
+    fn set_request(self, change: Change, expected: Option<u64>) -> PlanRequest {
+        PlanRequest::Set {
+            change,
             expected,
-            by,
-        } => {
-            let (change, version) = change_of_figures(&file, plan, &figures, expected)?;
-            (file, set(change, Some(version), by))
-        }
-        Command::Of {
-            file,
-            volume,
-            plan,
-            by,
-        } => (file, set(Change::AssignPlan { volume, plan }, None, by)),
-        Command::Drop { file, plan, by } => {
-            (file, set(Change::RemovePlan { name: plan }, None, by))
+            author: self.author,
+            reason: self.reason,
+            dry_run: self.dry_run,
+            wait: self.wait,
         }
-        Command::Show { file, version } => (file, PlanRequest::Show { version }),
-        Command::History { file, from, most } => (file, PlanRequest::History { from, limit: most }),
-        Command::Diff { file, one, other } => (
-            file,
-            PlanRequest::Diff {
-                from: one,
-                to: other,
-            },
-        ),
-        Command::Undo { file, version, by } => {
-            let ChangeOptions {
-                author,
-                reason,
-                dry_run,
-                wait,
-            } = by;
-            (
-                file,
-                PlanRequest::Undo {
-                    version,
-                    author,
-                    reason,
-                    dry_run,
-                    wait,
-                },
-            )
+    }
+
+    /// The request that reverts the change of a version.
+    fn undo_request(self, version: u64) -> PlanRequest {
+        PlanRequest::Undo {
+            version,
+            author: self.author,
+            reason: self.reason,
+            dry_run: self.dry_run,
+            wait: self.wait,
         }
-        Command::Hosts { file } => (file, PlanRequest::Hosts),
-        Command::Gone { file, host } => (file, PlanRequest::RemoveHost { host }),
-        Command::Replay { file } => (file, PlanRequest::Replay),
-    };
-    send_request(&file, &request)
-}
-
-fn send_request(file: &Path, request: &PlanRequest) -> Result<String, CommandError> {
-    let line = serde_json::to_string(request).expect("requests are plain data");
-    control::send_request(file, Service::Plans, &line)
-}
-
-fn set(change: Change, expected: Option<u64>, by: ChangeOptions) -> PlanRequest {
-    let ChangeOptions {
-        author,
-        reason,
-        dry_run,
-        wait,
-    } = by;
-    PlanRequest::Set {
-        change,
-        expected,
-        author,
-        reason,
-        dry_run,
-        wait,
     }
 }
 
-/// The change that sets figures of a plan and keeps its others, and the version that it is made for: the one
-/// that the unchanged figures were read from.
-fn change_of_figures(
-    file: &Path,
-    plan: String,
-    figures: &[String],
-    expected: Option<u64>,
-) -> Result<(Change, u64), CommandError> {
-    let answer = send_request(file, &PlanRequest::Show { version: expected })?;
-    let state: State = serde_json::from_str(&answer).map_err(|source| CommandError::Answer {
-        from: "service",
-        source,
-    })?;
-    let mut changed = state.plans.get(&plan).cloned().unwrap_or(Plan {
-        weight: DEFAULT_FACTOR,
-        priority_factor: DEFAULT_FACTOR,
-        ..Plan::default()
-    });
-    let problems: Vec<FigureError> = figures
-        .iter()
-        .filter_map(|text| set_figure(&mut changed, text).err())
-        .collect();
-    if !problems.is_empty() {
-        return Err(CommandError::PlanFigures(problems));
+impl SetArguments {
+    /// Sets the named parameters and keeps the others. The request names the version that the others were read
+    /// from, so that it is refused if another one has become the newest since.
+    fn execute(self) -> Result<String, CommandError> {
+        let version = self.expected;
+        let answer = self.file.send_request(&PlanRequest::Show { version })?;
+        let state: State =
+            serde_json::from_str(&answer).map_err(|source| CommandError::Answer {
+                from: "service",
+                source,
+            })?;
+        let current = state.plans.get(&self.plan).cloned();
+        let mut plan = current.unwrap_or_else(new_plan);
+        set_parameters(&mut plan, &self.figures).map_err(CommandError::PlanParameters)?;
+        let change = Change::SetPlan {
+            name: self.plan,
+            plan,
+        };
+        let expected = self.expected.unwrap_or(state.version);
+        let request = self.options.set_request(change, Some(expected));
+        self.file.send_request(&request)
     }
-    Ok((
-        Change::SetPlan {
-            name: plan,
-            plan: changed,
-        },
-        expected.unwrap_or(state.version),
-    ))
-}
-
-/// Why a figure on the command line cannot be set.
-#[derive(Debug, thiserror::Error)]
-pub(super) enum FigureError {
-    #[error("`{0}`: expected usual, reserve, limit, burst, weight or price, =, and a number")]
-    Malformed(String),
-    #[error("`{0}`: expected a number from 0 to a thousand million")]
-    OutOfRange(String),
-}
-
-/// Sets one figure of a plan from `NAME=NUMBER`.
-fn set_figure(plan: &mut Plan, text: &str) -> Result<(), FigureError> {
-    let malformed = || FigureError::Malformed(text.to_owned());
-    let (name, number) = text.split_once('=').ok_or_else(malformed)?;
-    let number: f64 = number.parse().map_err(|_| malformed())?;
-    if !(0.0..=MAX_FIGURE).contains(&number) {
-        return Err(FigureError::OutOfRange(text.to_owned()));
+}
+
+impl AssignArguments {
+    fn execute(self) -> Result<String, CommandError> {
+        let change = Change::AssignPlan {
+            volume: self.volume,
+            plan: self.plan,
+        };
+        self.file
+            .send_request(&self.options.set_request(change, None))
+    }
+}
+
+impl RemoveArguments {
+    fn execute(self) -> Result<String, CommandError> {
+        let change = Change::RemovePlan { name: self.plan };
+        self.file
+            .send_request(&self.options.set_request(change, None))
+    }
+}
+
+impl UndoArguments {
+    fn execute(self) -> Result<String, CommandError> {
+        self.file
+            .send_request(&self.options.undo_request(self.version))
+    }
+}
+
+impl HistoryArguments {
+    fn execute(self) -> Result<String, CommandError> {
+        self.file.send_request(&PlanRequest::History {
+            from: self.from,
+            limit: self.limit,
+        })
     }
-    let figure = match name {
-        "usual" => &mut plan.usual_rate,
-        "reserve" => &mut plan.reserved_rate,
-        "limit" => &mut plan.rate_limit,
-        "burst" => &mut plan.burst_units,
-        "weight" => &mut plan.weight,
-        "price" => &mut plan.priority_factor,
-        _ => return Err(malformed()),
-    };
-    *figure = (number * THOUSANDTHS).round() as u64;
-    Ok(())
 }
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -18,9 +18,10 @@
 // Without a doc comment: clap would take it for the help of the subcommand.
 #[derive(clap::Args)]
 pub(super) struct LogOptions {
+    /// Least severe level to log
     #[arg(long = "log", value_name = "LOG", value_enum, default_value = "info")]
     level: Level,
-    /// Log lines as JSON objects
+    /// Write log lines as JSON objects
     #[arg(long)]
     json: bool,
 }
--- a/crates/gateway/src/cli/shares.rs
+++ b/crates/gateway/src/cli/shares.rs
@@ -7,48 +7,71 @@
 
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// The best placement, or a good one with a proven gap; code 3 and the contradiction if nothing fits
+    /// Find the best placement, or a good one with a proven bound on how much better another could be
+    ///
+    /// Prints the answer as lines that the other subcommands read. If no placement meets all constraints, prints
+    /// the constraints that contradict each other; the exit code is then 3.
     WorkOut {
-        /// The problem's file
+        /// The problem file: nodes, hosts and volumes
         file: PathBuf,
-        /// Time for a problem too large to be searched through
+        /// Time limit in seconds of the local search, for problems that are too large for an exact search
         #[arg(long, default_value_t = 10)]
         seconds: u64,
+        /// Seed of the local search
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// How full each node is with a placement
-    Explain { file: PathBuf, placement: PathBuf },
-    /// What two placements are worth, side by side
+    /// Show the load of each node under a placement
+    Explain {
+        /// The problem file
+        file: PathBuf,
+        /// The placement: an answer of `work-out`
+        placement: PathBuf,
+    },
+    /// Compare the value of two placements
     Compare {
+        /// The problem file
         file: PathBuf,
+        /// The first placement: an answer of `work-out`
         one: PathBuf,
+        /// The second placement
         other: PathBuf,
     },
-    /// Write the shares of an answer into a host's configuration; without --write, tell what would change
+    /// Apply the reserves and weights of an answer to a host's configuration file
+    ///
+    /// Without --write, only shows what would change. The host applies the changed file on `mallowseam reload`.
     Apply {
+        /// The problem file
         file: PathBuf,
-        /// What `work-out` told
+        /// The answer of `work-out`
         answer: PathBuf,
-        /// The host's configuration
+        /// The host's configuration file
         conf: PathBuf,
+        /// Write the changes to the configuration file
         #[arg(long)]
         write: bool,
     },
-    /// What answers would have earned with the demand that `mallowseam demand` recorded
+    /// Show what answers would have gained with recorded demand
     Replay {
+        /// The problem file
         file: PathBuf,
+        /// A record of `mallowseam demand`
         record: PathBuf,
+        /// The answers of `work-out` to compare
         #[arg(required = true)]
         answers: Vec<PathBuf>,
     },
-    /// The steps from where volumes lie today, in an order that breaks no reserve and no zone wish on the way
+    /// Plan the migration from the current placement to another one
+    ///
+    /// Prints the steps in an order that at no time violates a reserve or zone constraint that is met now.
     Moves {
+        /// The problem file, which states where each volume is now
         file: PathBuf,
+        /// The placement to migrate to: an answer of `work-out`
         placement: PathBuf,
-        /// Data that may be moved at most, in the file's own unit
-        #[arg(long)]
-        data: Option<u64>,
+        /// Maximum amount of data to move, in the unit of the problem file's sizes
+        #[arg(long, visible_alias = "data")]
+        max_data: Option<u64>,
     },
 }
 
@@ -76,8 +99,8 @@
         Command::Moves {
             file,
             placement,
-            data,
-        } => placement::migration_steps(file, placement, *data),
+            max_data,
+        } => placement::migration_steps(file, placement, *max_data),
     };
     Ok(text?)
 }
--- a/crates/gateway/src/cli/snapshot.rs
+++ b/crates/gateway/src/cli/snapshot.rs
@@ -8,46 +8,74 @@
 
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// Take one: VOLUME@NAME holds every write acknowledged before, none begun after
+    /// Take a snapshot, VOLUME@NAME, of a volume or clone
+    ///
+    /// It contains every write that was acknowledged before the request, and none that began after it was granted.
     Take {
+        /// The snapshot catalog's configuration file
         file: PathBuf,
+        /// Name of the volume or clone
         volume: String,
+        /// Name of the snapshot, the part after the @
         name: String,
     },
-    /// Volumes, clones and snapshots, with the LUN of each
-    List { file: PathBuf },
-    /// Runs of blocks in which two of them may differ
+    /// List volumes, clones and snapshots with their LUNs
+    List {
+        /// The snapshot catalog's configuration file
+        file: PathBuf,
+    },
+    /// Print the ranges of blocks in which two volumes, clones or snapshots may differ
     Diff {
+        /// The snapshot catalog's configuration file
         file: PathBuf,
+        /// Name of a volume or clone, or a snapshot as VOLUME@NAME
         one: String,
+        /// Name of the one to compare it with
         other: String,
     },
-    /// Make a writable clone of VOLUME@NAME
+    /// Create a writable clone of a snapshot
     Clone {
+        /// The snapshot catalog's configuration file
         file: PathBuf,
+        /// The snapshot, as VOLUME@NAME
         snapshot: String,
+        /// Name of the new clone
         name: String,
     },
-    /// Show a volume as it stood at VOLUME@NAME; what came later is given up
+    /// Reset a volume or clone to one of its snapshots; later writes are discarded
     Rollback {
+        /// The snapshot catalog's configuration file
         file: PathBuf,
+        /// Name of the volume or clone
         volume: String,
+        /// The snapshot, as VOLUME@NAME
         snapshot: String,
     },
-    /// Write VOLUME@NAME to a file, compressed and checksummed; a broken one is gone on with
+    /// Export a snapshot to a compressed, checksummed file; an interrupted export is resumed
     Export {
+        /// A configuration file that names the host to read through and the snapshot catalog
         file: PathBuf,
+        /// The snapshot, as VOLUME@NAME
         snapshot: String,
+        /// The file to write
         to: PathBuf,
     },
-    /// Write such a file into a volume or clone, which then shows just that
+    /// Import an exported file into a volume or clone, replacing all its contents
     Import {
+        /// A configuration file that names the host to write through and the snapshot catalog
         file: PathBuf,
+        /// The exported file
         from: PathBuf,
+        /// Name of the volume or clone
+        name: String,
+    },
+    /// Delete a snapshot or clone; its space is reclaimed in the background
+    Delete {
+        /// The snapshot catalog's configuration file
+        file: PathBuf,
+        /// Name of the clone, or the snapshot as VOLUME@NAME
         name: String,
     },
-    /// Delete a snapshot or a clone; its space is given back in the background
-    Delete { file: PathBuf, name: String },
 }
 
 /// Carries a subcommand out; the text to print.
@@ -70,20 +98,22 @@
             volume,
             snapshot,
         } => request_of_catalog(file, &format!("rollback {volume} {snapshot}")),
+        Command::Export { file, snapshot, to } => export(file, snapshot, to),
+        Command::Import { file, from, name } => import(file, from, name),
         Command::Delete { file, name } => request_of_catalog(file, &format!("delete {name}")),
-        Command::Export { file, snapshot, to } => Ok(snapshot_archive::export(
-            &read_configuration(file)?,
-            snapshot,
-            to,
-        )?),
-        Command::Import { file, from, name } => Ok(snapshot_archive::import(
-            &read_configuration(file)?,
-            from,
-            name,
-        )?),
     }
 }
 
 fn request_of_catalog(file: &Path, request: &str) -> Result<String, CommandError> {
     send_request(file, Service::SnapshotCatalog, request)
 }
+
+fn export(file: &Path, snapshot: &str, to: &Path) -> Result<String, CommandError> {
+    let config = read_configuration(file)?;
+    Ok(snapshot_archive::export(&config, snapshot, to)?)
+}
+
+fn import(file: &Path, from: &Path, name: &str) -> Result<String, CommandError> {
+    let config = read_configuration(file)?;
+    Ok(snapshot_archive::import(&config, from, name)?)
+}
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -2,8 +2,9 @@
 use crate::control_socket::send_request;
 use crate::error::{FileError, read_text};
 use crate::status::Status;
-use mallowseam_settings::{Arguments, Diagnostics, tokenize};
+use mallowseam_settings::{Arguments, Diagnostics, Token, tokenize};
 use std::collections::BTreeMap;
+use std::num::NonZeroU64;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
@@ -20,11 +21,11 @@
 /// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with
 /// three decimals; `asked` are requested units, `ended` completed ones). [`read`] and scripts read this text
 /// form. A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
-/// Ends after `count` intervals; 0: never.
+/// Ends after `count` intervals, or never if there is no count.
 pub(crate) fn record(
     control_sockets: &[PathBuf],
     every: Duration,
-    count: u64,
+    count: Option<NonZeroU64>,
     write_line: &mut dyn FnMut(&str),
 ) {
     let began = Instant::now();
@@ -39,22 +40,11 @@
             }
             *last = status;
         }
+        // The first poll only states where the counters begin.
         if interval > 0 {
-            for (
-                volume,
-                Rates {
-                    requested,
-                    completed,
-                },
-            ) in &rates
-            {
-                let seconds = began.elapsed().as_secs();
-                write_line(&format!(
-                    "at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"
-                ));
-            }
+            write_rates(&rates, began, write_line);
         }
-        if count > 0 && interval == count {
+        if count.is_some_and(|count| interval == count.get()) {
             return;
         }
         interval += 1;
@@ -63,6 +53,17 @@
     }
 }
 
+/// Writes the rates of an interval that ends now, one line a volume.
+fn write_rates(rates: &BTreeMap<String, Rates>, began: Instant, write_line: &mut dyn FnMut(&str)) {
+    for (volume, rate) in rates {
+        let seconds = began.elapsed().as_secs();
+        write_line(&format!(
+            "at {seconds} {volume} asked {:.3}/s ended {:.3}/s",
+            rate.requested, rate.completed
+        ));
+    }
+}
+
 /// Requests the status of a host. A failure is written as a comment.
 fn poll(socket: &Path, write_line: &mut dyn FnMut(&str)) -> Option<Status> {
     let status = match send_request(socket, "status") {
@@ -95,46 +96,41 @@
 pub(crate) fn read(file: &Path) -> Result<Vec<Interval>, FileError> {
     let text = read_text(file)?;
     let mut problems = Diagnostics::new(&file.display().to_string());
-    let mut intervals: Vec<(u64, Interval)> = Vec::new();
+    let mut record = Record::default();
     for (index, line) in text.lines().enumerate() {
         let tokens = tokenize(index + 1, line, &mut problems);
-        let Some(first) = tokens.first() else {
-            continue;
-        };
-        if first.text != "at" {
-            problems.add(
-                first.position,
-                "at SECONDS VOLUME asked R ended R",
-                format!("`{}`", first.text),
-            );
-            continue;
+        if let Some(line) = read_line(&tokens, &mut problems) {
+            record.add(line);
         }
-        let mut args = Arguments::new(&tokens, &mut problems);
-        let Some(line) = read_line(&mut args) else {
-            continue;
-        };
-        if intervals
-            .last()
-            .is_none_or(|(last, _)| *last != line.seconds)
-        {
-            intervals.push((line.seconds, Interval::new()));
-        }
-        intervals
-            .last_mut()
-            .expect("just pushed")
-            .1
-            .insert(line.volume, line.requested);
     }
     if problems.is_empty() {
-        Ok(intervals
-            .into_iter()
-            .map(|(_, interval)| interval)
-            .collect())
+        Ok(record.intervals)
     } else {
         Err(FileError::Malformed(problems.sorted()))
     }
 }
 
+/// The intervals of a record as they are read.
+#[derive(Default)]
+struct Record {
+    intervals: Vec<Interval>,
+    /// When the last of them ended; none before the first line.
+    last_end: Option<u64>,
+}
+
+impl Record {
+    /// Adds a line, to the last interval if both end at the same time.
+    fn add(&mut self, line: DemandLine) {
+        if self.last_end != Some(line.seconds) {
+            self.intervals.push(Interval::new());
+            self.last_end = Some(line.seconds);
+        }
+        if let Some(interval) = self.intervals.last_mut() {
+            interval.insert(line.volume, line.requested);
+        }
+    }
+}
+
 /// A line of a record.
 struct DemandLine {
     /// Seconds from the start of the record to the end of the interval.
@@ -144,8 +140,19 @@
     requested: f64,
 }
 
-/// Reads a line. All its arguments are checked, also after one is refused.
-fn read_line(args: &mut Arguments) -> Option<DemandLine> {
+/// Reads a line; none if it is empty, a comment or malformed.
+fn read_line(tokens: &[Token], problems: &mut Diagnostics) -> Option<DemandLine> {
+    let first = tokens.first()?;
+    if first.text != "at" {
+        let found = format!("`{}`", first.text);
+        problems.add(first.position, "at SECONDS VOLUME asked R ended R", found);
+        return None;
+    }
+    read_arguments(&mut Arguments::new(tokens, problems))
+}
+
+/// Reads the arguments of a line. All of them are checked, also after one is refused.
+fn read_arguments(args: &mut Arguments) -> Option<DemandLine> {
     let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
     args.value("asked", |text| (text == "asked").then_some(()));
--- a/crates/gateway/tests/pinned/command_line.rs
+++ b/crates/gateway/tests/pinned/command_line.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn help_of_every_subcommand_is_as_it_was() {
+fn help_of_every_subcommand_has_its_text() {
     let runs: Vec<Vec<&str>> = SUBCOMMANDS
         .iter()
         .map(|path| [*path, &["--help"]].concat())
@@ -72,34 +72,42 @@
     let mut is_in_commands = false;
     for line in help.lines() {
         is_in_commands = (is_in_commands && !line.is_empty()) || line == "Commands:";
-        let words = || line.split_whitespace();
         if line.starts_with("Usage: ") {
             found.insert(line.to_owned());
         }
         if is_in_commands && line.starts_with("  ") {
-            found.extend(words().next().map(|name| format!("subcommand {name}")));
-        }
-        let bracketed = |label: &str| {
-            let after = line.split_once(label)?.1;
-            Some(after.split_once(']')?.0.to_owned())
-        };
-        if line.trim_start().starts_with('-') {
-            let specification = line.trim_start().split("  ").next().unwrap_or_default();
-            let aliases = bracketed("[aliases: ").unwrap_or_default();
-            let names = specification.split_whitespace().chain(aliases.split(", "));
-            found.extend(
-                names
-                    .filter(|name| name.starts_with("--"))
-                    .map(str::to_owned),
-            );
+            let name = line.split_whitespace().next().expect("it is not empty");
+            found.insert(format!("subcommand {name}"));
         }
+        found.extend(flags(line));
         for label in ["[default: ", "[possible values: "] {
-            found.extend(bracketed(label).map(|value| format!("{label}{value}]")));
+            found.extend(bracketed(line, label).map(|value| format!("{label}{value}]")));
         }
     }
     found
 }
 
+/// The flags that a line of a help text specifies, their aliases among them.
+fn flags(line: &str) -> Vec<String> {
+    let line = line.trim_start();
+    let is_specification = line.starts_with('-');
+    let specification = line.split("  ").next().filter(|_| is_specification);
+    let alias = bracketed(line, "[alias: ");
+    specification
+        .unwrap_or_default()
+        .split_whitespace()
+        .chain(alias)
+        .filter(|word| word.starts_with("--"))
+        .map(str::to_owned)
+        .collect()
+}
+
+/// What follows a label up to the closing bracket.
+fn bracketed<'a>(line: &'a str, label: &str) -> Option<&'a str> {
+    let (_, after) = line.split_once(label)?;
+    after.split_once(']').map(|(value, _)| value)
+}
+
 /// The fixture lists what scripts may rely on, a line each, below the command line that it belongs to. Later versions
 /// may add to it and word their help differently, and keep all of it.
 #[test]
@@ -118,6 +126,34 @@
     assert_eq!(checked, SUBCOMMANDS.len());
 }
 
+#[test]
+fn renamed_flags_are_accepted_by_their_old_names() {
+    let renamed: [(&[&str], &str, &str); 4] = [
+        (&["verify", "missing.conf"], "--mend", "--reclaim"),
+        (
+            &["plan", "history", "missing.conf"],
+            "--most=3",
+            "--limit=3",
+        ),
+        (
+            &["shares", "moves", "missing.conf", "missing.conf"],
+            "--data=3",
+            "--max-data=3",
+        ),
+        (
+            &["fleet", "127.0.0.1:1", "--watch"],
+            "--looks=3",
+            "--polls=3",
+        ),
+    ];
+    for (arguments, old, new) in renamed {
+        let by_old_name = describe(&run(&[arguments, &[old]].concat()));
+        let by_new_name = describe(&run(&[arguments, &[new]].concat()));
+        assert_eq!(by_old_name, by_new_name);
+        assert!(!by_old_name.contains("Usage"), "{by_old_name}");
+    }
+}
+
 #[test]
 fn checks_of_configurations_are_as_they_were() {
     let files = [
