--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -15,8 +15,6 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Section {
-    /// Before the first section, or in one that is not understood: lines are skipped.
-    Skipped,
     Node,
     Host,
     Volume,
@@ -34,7 +32,6 @@
 
     fn name(self) -> &'static str {
         match self {
-            Section::Skipped => "",
             Section::Node => "node",
             Section::Host => "host",
             Section::Volume => "volume",
@@ -44,7 +41,9 @@
 
 /// What has been read of a problem file so far.
 struct Draft {
-    section: Section,
+    /// The section that lines belong to. None before the first section, and in one that is not understood, of
+    /// whose lines only words behind the directive are reported.
+    section: Option<Section>,
     nodes: Vec<Node>,
     hosts: Vec<Host>,
     volumes: Vec<Volume>,
@@ -57,7 +56,7 @@
 pub(super) fn read(file: &Path) -> Result<Problem, PlacementError> {
     let text = read_text(file)?;
     let mut draft = Draft {
-        section: Section::Skipped,
+        section: None,
         nodes: Vec::new(),
         hosts: Vec::new(),
         volumes: Vec::new(),
@@ -81,41 +80,33 @@
 impl Draft {
     fn open_section(&mut self, words: &[Token]) {
         let first = &words[0];
-        self.section = Section::of(&first.text).unwrap_or(Section::Skipped);
-        if self.section == Section::Skipped {
+        let section = Section::of(&first.text);
+        if section.is_none() {
             let found = format!("`{}`", first.text);
             self.problems
                 .add(first.position, "a section: node, volume or host", found);
         }
+        self.section = None;
         let mut args = Arguments::new(words, &mut self.problems);
         let name = args.name("a name of letters, digits and -_.:");
-        let Some(name) = name.filter(|_| self.section != Section::Skipped) else {
-            self.section = Section::Skipped;
+        let (Some(section), Some(name)) = (section, name) else {
             return;
         };
         args.expect_end();
+        self.section = Some(section);
         self.positions.push((name.text.clone(), first.position));
-        match self.section {
-            Section::Skipped => {}
+        self.add(section, name.text, first.position);
+    }
+
+    fn add(&mut self, section: Section, name: String, position: Position) {
+        match section {
             Section::Node => self.nodes.push(Node {
-                name: name.text,
+                name,
                 ..Node::default()
             }),
-            Section::Host => {
-                if self.hosts.iter().any(|host| host.name == name.text) {
-                    self.problems.add(
-                        first.position,
-                        "one host of this name",
-                        format!("`{}`", name.text),
-                    );
-                }
-                self.hosts.push(Host {
-                    name: name.text,
-                    ..Host::default()
-                });
-            }
+            Section::Host => self.add_host(name, position),
             Section::Volume => self.volumes.push(Volume {
-                name: name.text,
+                name,
                 weight: 1,
                 priority_factor: DEFAULT_PRICE,
                 spread: 1,
@@ -124,36 +115,44 @@
         }
     }
 
+    fn add_host(&mut self, name: String, position: Position) {
+        if self.hosts.iter().any(|host| host.name == name) {
+            self.problems
+                .add(position, "one host of this name", format!("`{name}`"));
+        }
+        self.hosts.push(Host {
+            name,
+            ..Host::default()
+        });
+    }
+
     fn read_directive(&mut self, words: &[Token]) {
         let first = &words[0];
         let mut args = Arguments::new(words, &mut self.problems);
-        let known = match self.section {
-            Section::Skipped => true,
-            Section::Node => read_node(
-                self.nodes.last_mut().expect("a section is open"),
-                &first.text,
-                &mut args,
-            ),
-            Section::Host => read_host(
-                self.hosts.last_mut().expect("a section is open"),
-                &first.text,
-                &mut args,
-            ),
-            Section::Volume => read_volume(
-                self.volumes.last_mut().expect("a section is open"),
-                &first.text,
-                &mut args,
-            ),
+        let Some(section) = self.section else {
+            return args.expect_end();
         };
-        if known {
+        let is_known = match section {
+            Section::Node => read_node(last(&mut self.nodes), &first.text, &mut args),
+            Section::Host => read_host(last(&mut self.hosts), &first.text, &mut args),
+            Section::Volume => read_volume(last(&mut self.volumes), &first.text, &mut args),
+        };
+        if is_known {
             args.expect_end();
         } else {
-            let expected = format!("a directive of section `{}`", self.section.name());
+            let expected = format!("a directive of section `{}`", section.name());
             self.problems
                 .add(first.position, expected, format!("`{}`", first.text));
         }
     }
 
+    /// A volume that a host sends to and no section describes.
+    fn unknown_volume_sent(&self) -> Option<&str> {
+        let is_unknown = |name: &&String| !self.volumes.iter().any(|volume| volume.name == **name);
+        let mut sent = self.hosts.iter().flat_map(|host| host.sends.keys());
+        sent.find(is_unknown).map(String::as_str)
+    }
+
     fn finish(mut self, file: &Path) -> Result<Problem, PlacementError> {
         for volume in &mut self.volumes {
             volume.surge_rate = volume.surge_rate.max(volume.reserved_rate);
@@ -162,15 +161,11 @@
             return Err(PlacementError::malformed(self.problems));
         }
         self.hosts.sort_by(|a, b| a.name.cmp(&b.name));
-        let unknown = |name: &&String| !self.volumes.iter().any(|volume| volume.name == **name);
-        if let Some(volume) = self
-            .hosts
-            .iter()
-            .flat_map(|host| host.sends.keys())
-            .find(unknown)
-        {
-            let (file, volume) = (file.to_owned(), volume.clone());
-            return Err(PlacementError::UnknownVolumeSent { file, volume });
+        if let Some(volume) = self.unknown_volume_sent() {
+            return Err(PlacementError::UnknownVolumeSent {
+                file: file.to_owned(),
+                volume: volume.to_owned(),
+            });
         }
         match Problem::new(self.nodes, self.volumes) {
             Ok(problem) => Ok(Problem {
@@ -193,6 +188,11 @@
     }
 }
 
+/// The node, host or volume that the open section describes: it was added when the section began.
+fn last<T>(described: &mut [T]) -> &mut T {
+    described.last_mut().expect("a section is open")
+}
+
 /// Reads a directive of a node. False: there is none of this name.
 fn read_node(node: &mut Node, directive: &str, args: &mut Arguments) -> bool {
     match directive {
--- a/crates/gateway/src/placement/report.rs
+++ b/crates/gateway/src/placement/report.rs
@@ -57,9 +57,11 @@
         placements.push(placement);
     }
     for (index, volume) in problem.volumes.iter().enumerate() {
-        let (first, second) = (&placements[0][index], &placements[1][index]);
+        let first = &placements[0][index];
+        let second = &placements[1][index];
         if first != second {
-            let (first, second) = (node_names(&problem, first), node_names(&problem, second));
+            let first = node_names(&problem, first);
+            let second = node_names(&problem, second);
             write!(out, "\n{}: {first} | {second}", volume.name).expect("writing to memory");
         }
     }
@@ -120,7 +122,8 @@
     let mut out = String::new();
     for step in &plan.steps {
         let volume = &problem.volumes[step.volume].name;
-        let (from, to) = (node_name(step.from), node_name(step.to));
+        let from = node_name(step.from);
+        let to = node_name(step.to);
         writeln!(out, "move {volume} {from} {to} {}", data_units(step.data))
             .expect("writing to memory");
     }
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -42,8 +42,10 @@
     pub(crate) faults: Vec<String>,
 }
 
-/// Layer and slot of the locations that the tree refers to, by node.
-type References = BTreeMap<u32, BTreeSet<(LayerId, u32)>>;
+/// The locations that the tree refers to, by node.
+type References = BTreeMap<u32, NodeReferences>;
+/// Layer and slot of the locations at one node that the tree refers to.
+type NodeReferences = BTreeSet<(LayerId, u32)>;
 
 /// Walks the store of a stopped catalog and all nodes. With `reclaim`, locations that nothing refers to are
 /// unmapped.
@@ -63,30 +65,13 @@
         ..Findings::default()
     };
     let mut references = collect_references(tree, config.nodes.len(), &mut findings);
+    // Removed layers may have leaked locations as well: every layer that was ever created is checked.
+    let layers = FIRST_LAYER_ID..tree.next_layer_id();
     for (index, node) in config.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
         let mut walk = NodeWalk::open(node, index as u32, settings.extent_blocks)?;
-        // Removed layers may have leaked locations as well: every layer that was ever created is checked.
-        for layer in FIRST_LAYER_ID..tree.next_layer_id() {
-            for slot in walk.held_slots(layer)? {
-                if referred.contains(&(layer, slot)) {
-                    findings.locations_with_data += 1;
-                    continue;
-                }
-                findings.leaked.push((
-                    layer,
-                    Location {
-                        node: walk.index,
-                        slot,
-                    },
-                ));
-                if reclaim && !walk.unmap(layer, slot)? {
-                    // Printed output, whose form is fixed: it calls a slot "place".
-                    findings
-                        .faults
-                        .push(format!("{}: does not give place {slot} back", node.name));
-                }
-            }
+        for layer in layers.clone() {
+            walk.check_layer(layer, &referred, reclaim, &mut findings)?;
         }
     }
     Ok(findings)
@@ -150,6 +135,31 @@
         }
     }
 
+    /// Compares the slots of a layer in which the node holds data with those that the tree refers to. With
+    /// `reclaim`, the others are unmapped.
+    fn check_layer(
+        &mut self,
+        layer: LayerId,
+        referred: &NodeReferences,
+        reclaim: bool,
+        findings: &mut Findings,
+    ) -> Result<(), VerifyError> {
+        for slot in self.held_slots(layer)? {
+            if referred.contains(&(layer, slot)) {
+                findings.locations_with_data += 1;
+                continue;
+            }
+            let node = self.index;
+            findings.leaked.push((layer, Location { node, slot }));
+            if reclaim && !self.unmap(layer, slot)? {
+                // Printed output, whose form is fixed: it calls a slot "place".
+                let fault = format!("{}: does not give place {slot} back", self.name);
+                findings.faults.push(fault);
+            }
+        }
+        Ok(())
+    }
+
     /// Slots of a layer in which the node holds data.
     fn held_slots(&mut self, layer: LayerId) -> Result<BTreeSet<u32>, VerifyError> {
         let mut slots = BTreeSet::new();
@@ -178,7 +188,7 @@
         }
     }
 
-    /// Has the node unmap a slot. False: it refuses to.
+    /// Has the node unmap a slot; whether it did.
     fn unmap(&mut self, layer: LayerId, slot: u32) -> Result<bool, VerifyError> {
         let (cdb, data) = scsi::unmap(&[(
             u64::from(slot) * self.extent_blocks,
