--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -6,7 +6,8 @@
 //! then the least cost, then the least data moved, then the first in order of names. All numbers are integers, so that what
 //! fits and what ties is exact, and the same problem always has the same answer, in whatever order it is written.
 //!
-//! - [`problem`]: nodes, volumes and hosts, checked and put in order; [`constraint`]: what a placement must meet.
+//! - [`problem`]: nodes, volumes and hosts, checked and put in order; [`constraint`]: what a placement must meet;
+//!   `node_sets`: the sets of nodes that a volume may be placed on.
 //! - [`feasibility`]: whether a placement fits; [`objective`]: how good it is.
 //! - [`branch_and_bound`]: the optimal placement of a small problem, proven; [`upper_bound`]: an upper bound of the gain.
 //! - [`local_search`]: good placements of large problems.
@@ -49,6 +50,7 @@
 mod load_table;
 pub mod local_search;
 pub mod migration;
+mod node_sets;
 pub mod objective;
 pub mod problem;
 pub mod tuning;
--- a/crates/placement/src/local_search.rs
+++ b/crates/placement/src/local_search.rs
@@ -1,13 +1,13 @@
 //! Placements of large problems: a first feasible one, then better ones by local search for a given number of steps.
 //! With [`crate::upper_bound`] the gap to the optimum is bounded at any moment. The same seed and steps
 //! always lead to the same placement.
-use crate::constraint::Constraint;
-use crate::feasibility::{FULL_CAPACITY, fits};
-use crate::load_table::LoadTable;
-use crate::objective::{Objective, moved_data, node_gain, objective};
+mod working_placement;
+
+use crate::objective::{Objective, moved_data};
 use crate::problem::Problem;
-use crate::{NodeIndex, Placement, VolumeIndex, assignments};
-use std::cmp::{Ordering, Reverse};
+use crate::{NodeIndex, VolumeIndex};
+use std::cmp::Reverse;
+use working_placement::WorkingPlacement;
 
 /// Node sets that are tried for one volume in the first pass. Each has one more random exchange in the order of nodes by
 /// load than the one before.
@@ -64,11 +64,7 @@
 /// A placement that is built and improved step by step.
 pub struct LocalSearch<'a> {
     problem: &'a Problem,
-    /// Per volume its nodes; empty while it has none.
-    placement: Placement,
-    /// Per node its volumes, in the order in which they were assigned.
-    volumes_at: Vec<Vec<VolumeIndex>>,
-    loads: LoadTable<'a>,
+    working: WorkingPlacement<'a>,
     /// Per node its part of the gain.
     node_gains: Vec<i128>,
     rng: XorShift,
@@ -80,9 +76,7 @@
     pub fn new(problem: &'a Problem, seed: u64) -> Self {
         LocalSearch {
             problem,
-            placement: vec![Vec::new(); problem.volumes.len()],
-            volumes_at: vec![Vec::new(); problem.nodes.len()],
-            loads: LoadTable::new(problem),
+            working: WorkingPlacement::new(problem),
             node_gains: vec![0; problem.nodes.len()],
             rng: XorShift::new(seed),
         }
@@ -121,22 +115,17 @@
             let is_current = |node: &NodeIndex| current.contains(&self.problem.nodes[*node].name);
             let nodes: Vec<NodeIndex> = (0..self.problem.nodes.len()).filter(is_current).collect();
             // A volume without a reserve would be feasible on a lost node, which cannot serve it.
-            let is_on_lost_node = nodes
-                .iter()
-                .any(|node| self.problem.nodes[*node].capacity == 0);
+            let is_on_lost_node = nodes.iter().any(|node| self.problem.nodes[*node].is_lost());
             let is_complete = nodes.len() == self.problem.volumes[volume].spread;
-            if !is_on_lost_node && is_complete && self.is_allowed(volume, &nodes) {
-                self.assign_if_fitting(volume, nodes);
+            if !is_on_lost_node && is_complete && self.working.is_allowed(volume, &nodes) {
+                self.working.assign_if_fitting(volume, nodes);
             }
         }
     }
 
     /// Places the volumes that have no nodes yet. Returns false if some could not be placed.
     pub fn place_missing(&mut self) -> bool {
-        let missing = (0..self.placement.len())
-            .filter(|volume| self.placement[*volume].is_empty())
-            .collect();
-        let unplaced = self.place_each(missing);
+        let unplaced = self.place_each(self.working.unassigned());
         self.update_node_gains();
         unplaced.is_empty()
     }
@@ -154,49 +143,13 @@
     /// The objective of the placement; none while a volume has no nodes.
     #[must_use]
     pub fn objective(&self) -> Option<Objective> {
-        let is_complete = self.placement.iter().all(|nodes| !nodes.is_empty());
-        is_complete.then(|| objective(self.problem, &self.placement))
+        self.working.objective()
     }
 
     /// Whether the placement is feasible, computed from the problem and not from the incremental loads.
     #[must_use]
     pub fn is_feasible(&self) -> bool {
-        fits(
-            self.problem,
-            &assignments(&self.placement),
-            &|_: Constraint| true,
-            FULL_CAPACITY,
-        )
-    }
-
-    fn assign(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) {
-        for node in &nodes {
-            self.volumes_at[*node].push(volume);
-        }
-        self.loads.add(volume, &nodes);
-        self.placement[volume] = nodes;
-    }
-
-    fn unassign(&mut self, volume: VolumeIndex) {
-        let nodes = std::mem::take(&mut self.placement[volume]);
-        self.loads.remove(volume, &nodes);
-        for node in nodes {
-            self.volumes_at[node].retain(|other| *other != volume);
-        }
-    }
-
-    fn reassign(&mut self, volume: VolumeIndex, nodes: &[NodeIndex]) {
-        self.unassign(volume);
-        self.assign(volume, nodes.to_vec());
-    }
-
-    fn assign_if_fitting(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) -> bool {
-        self.assign(volume, nodes);
-        let fits = self.loads.fits_at(&self.placement[volume]);
-        if !fits {
-            self.unassign(volume);
-        }
-        fits
+        self.working.is_feasible()
     }
 
     /// Places volumes one by one. Returns those that did not fit.
@@ -210,7 +163,7 @@
     fn place(&mut self, volume: VolumeIndex) -> bool {
         (0..MAX_TRIES).any(|exchanges| {
             let nodes = self.least_loaded_set(volume, exchanges);
-            nodes.is_some_and(|nodes| self.assign_if_fitting(volume, nodes))
+            nodes.is_some_and(|nodes| self.working.assign_if_fitting(volume, nodes))
         })
     }
 
@@ -218,8 +171,8 @@
     fn evict_others(&mut self, volume: VolumeIndex, unplaced: &mut Vec<VolumeIndex>) {
         for _ in 0..EVICTIONS_PER_REPAIR {
             let other = self.rng.below(self.problem.volumes.len());
-            if other != volume && !self.placement[other].is_empty() {
-                self.unassign(other);
+            if other != volume && !self.working.nodes_of(other).is_empty() {
+                self.working.unassign(other);
                 unplaced.insert(0, other);
             }
         }
@@ -233,7 +186,7 @@
         exchanges: usize,
     ) -> Option<Vec<NodeIndex>> {
         let mut by_load: Vec<NodeIndex> = (0..self.problem.nodes.len()).collect();
-        by_load.sort_by(|a, b| self.compare_load(*a, *b));
+        by_load.sort_by(|a, b| self.working.compare_load(*a, *b));
         for _ in 0..exchanges {
             let first = self.rng.below(by_load.len());
             let second = self.rng.below(by_load.len());
@@ -243,7 +196,7 @@
         let mut nodes: Vec<NodeIndex> = Vec::new();
         for node in by_load {
             if nodes.len() + 1 < spread {
-                if self.is_allowed_with(volume, &nodes, node) {
+                if self.working.is_allowed_with(volume, &nodes, node) {
                     nodes.push(node);
                 }
                 continue;
@@ -251,60 +204,16 @@
             let mut complete = nodes.clone();
             complete.push(node);
             complete.sort_unstable();
-            if self.is_allowed(volume, &complete) {
+            if self.working.is_allowed(volume, &complete) {
                 return Some(complete);
             }
         }
         None
     }
 
-    /// Least load for its capacity first, compared without division; lost nodes last.
-    fn compare_load(&self, a: NodeIndex, b: NodeIndex) -> Ordering {
-        let capacity = |node: NodeIndex| self.problem.nodes[node].capacity;
-        let load_of_a = self.loads.load(a) * i128::from(capacity(b).max(1));
-        let load_of_b = self.loads.load(b) * i128::from(capacity(a).max(1));
-        let is_lost = |node: NodeIndex| capacity(node) == 0;
-        is_lost(a)
-            .cmp(&is_lost(b))
-            .then(load_of_a.cmp(&load_of_b))
-            .then(capacity(b).cmp(&capacity(a)))
-            .then(a.cmp(&b))
-    }
-
-    fn is_in_zone(&self, volume: VolumeIndex, node: NodeIndex) -> bool {
-        let zone = self.problem.volumes[volume].zone.as_ref();
-        zone.is_none_or(|zone| self.problem.nodes[node].zone == *zone)
-    }
-
-    /// Whether a volume's own constraints allow a node beside these, while the set still lacks others. It need not
-    /// yet be in two zones.
-    fn is_allowed_with(&self, volume: VolumeIndex, nodes: &[NodeIndex], node: NodeIndex) -> bool {
-        let zone = self.loads.zone_of(node);
-        let is_new_zone = || nodes.iter().all(|other| self.loads.zone_of(*other) != zone);
-        self.is_in_zone(volume, node)
-            && (!self.problem.volumes[volume].distinct_zones || is_new_zone())
-    }
-
-    /// Whether a volume's own constraints allow a node set.
-    fn is_allowed(&self, volume: VolumeIndex, nodes: &[NodeIndex]) -> bool {
-        let wanted = &self.problem.volumes[volume];
-        let zones: Vec<usize> = nodes.iter().map(|node| self.loads.zone_of(*node)).collect();
-        let outlives_zone = wanted.reserved_rate == 0 || zones.iter().any(|zone| *zone != zones[0]);
-        are_distinct(nodes)
-            && nodes.iter().all(|node| self.is_in_zone(volume, *node))
-            && (!wanted.distinct_zones || are_distinct(&zones))
-            && (!wanted.survives_zone_loss || outlives_zone)
-    }
-
-    fn node_gain(&self, node: NodeIndex) -> i128 {
-        let mut volumes = self.volumes_at[node].clone();
-        volumes.sort_unstable();
-        node_gain(self.problem, &self.placement, node, &volumes)
-    }
-
     fn update_node_gains(&mut self) {
         self.node_gains = (0..self.problem.nodes.len())
-            .map(|node| self.node_gain(node))
+            .map(|node| self.working.node_gain(node))
             .collect();
     }
 
@@ -312,7 +221,7 @@
     /// the opposite way. None if the constraints do not allow it.
     fn random_change(&mut self) -> Option<Vec<Reassignment>> {
         let volume = self.rng.below(self.problem.volumes.len());
-        let before = self.placement[volume].clone();
+        let before = self.working.nodes_of(volume).to_vec();
         if before.is_empty() {
             return None;
         }
@@ -322,11 +231,14 @@
             return None;
         }
         let first = Reassignment::replace(volume, before, source, target);
-        if !self.is_allowed(volume, &first.after) {
+        if !self.working.is_allowed(volume, &first.after) {
             return None;
         }
-        let is_not_at_source = |other: &&VolumeIndex| !self.placement[**other].contains(&source);
-        let partners: Vec<VolumeIndex> = self.volumes_at[target]
+        let is_not_at_source =
+            |other: &&VolumeIndex| !self.working.nodes_of(**other).contains(&source);
+        let partners: Vec<VolumeIndex> = self
+            .working
+            .volumes_at(target)
             .iter()
             .filter(is_not_at_source)
             .copied()
@@ -336,9 +248,10 @@
             return Some(vec![first]);
         }
         let partner = partners[self.rng.below(partners.len())];
-        let second =
-            Reassignment::replace(partner, self.placement[partner].clone(), target, source);
-        self.is_allowed(partner, &second.after)
+        let partner_nodes = self.working.nodes_of(partner).to_vec();
+        let second = Reassignment::replace(partner, partner_nodes, target, source);
+        self.working
+            .is_allowed(partner, &second.after)
             .then(|| vec![first, second])
     }
 
@@ -346,7 +259,7 @@
     /// data moved.
     fn accept_if_better(&mut self, change: &[Reassignment]) {
         for step in change {
-            self.reassign(step.volume, &step.after);
+            self.working.reassign(step.volume, &step.after);
         }
         let mut touched: Vec<NodeIndex> = change
             .iter()
@@ -356,19 +269,22 @@
         touched.sort_unstable();
         touched.dedup();
         let gain_before: i128 = touched.iter().map(|node| self.node_gains[*node]).sum();
-        let gains: Vec<i128> = touched.iter().map(|node| self.node_gain(*node)).collect();
+        let gains: Vec<i128> = touched
+            .iter()
+            .map(|node| self.working.node_gain(*node))
+            .collect();
         let gain_after: i128 = gains.iter().sum();
         let is_better = gain_after
             .cmp(&gain_before)
             .then_with(|| self.saved_data(change).cmp(&0))
             .is_gt();
-        if is_better && self.loads.fits_at(&touched) {
+        if is_better && self.working.fits_at(&touched) {
             for (node, gain) in touched.into_iter().zip(gains) {
                 self.node_gains[node] = gain;
             }
         } else {
             for step in change.iter().rev() {
-                self.reassign(step.volume, &step.before);
+                self.working.reassign(step.volume, &step.before);
             }
         }
     }
@@ -382,7 +298,3 @@
             .sum()
     }
 }
-
-fn are_distinct(items: &[usize]) -> bool {
-    (1..items.len()).all(|index| !items[..index].contains(&items[index]))
-}
--- /dev/null
+++ b/crates/placement/src/local_search/working_placement.rs
@@ -0,0 +1,155 @@
+//! A placement that is built and changed volume by volume, with the loads that it leads to.
+use crate::feasibility::{FULL_CAPACITY, fits};
+use crate::load_table::LoadTable;
+use crate::objective::{Objective, node_gain, objective};
+use crate::problem::Problem;
+use crate::{NodeIndex, Placement, VolumeIndex, assignments};
+use std::cmp::Ordering;
+
+/// The nodes of each volume, and the loads that follow from them.
+pub(super) struct WorkingPlacement<'a> {
+    problem: &'a Problem,
+    /// Per volume its nodes; empty while it has none.
+    placement: Placement,
+    /// Per node its volumes, in the order in which they were assigned.
+    volumes_at: Vec<Vec<VolumeIndex>>,
+    loads: LoadTable<'a>,
+}
+
+impl<'a> WorkingPlacement<'a> {
+    /// A placement in which no volume has nodes yet.
+    pub(super) fn new(problem: &'a Problem) -> Self {
+        WorkingPlacement {
+            problem,
+            placement: vec![Vec::new(); problem.volumes.len()],
+            volumes_at: vec![Vec::new(); problem.nodes.len()],
+            loads: LoadTable::new(problem),
+        }
+    }
+
+    /// The nodes of a volume; empty while it has none.
+    pub(super) fn nodes_of(&self, volume: VolumeIndex) -> &[NodeIndex] {
+        &self.placement[volume]
+    }
+
+    /// The volumes of a node, in the order in which they were assigned.
+    pub(super) fn volumes_at(&self, node: NodeIndex) -> &[VolumeIndex] {
+        &self.volumes_at[node]
+    }
+
+    /// Volumes without nodes, in ascending order.
+    pub(super) fn unassigned(&self) -> Vec<VolumeIndex> {
+        (0..self.placement.len())
+            .filter(|volume| self.placement[*volume].is_empty())
+            .collect()
+    }
+
+    /// The objective; none while a volume has no nodes.
+    pub(super) fn objective(&self) -> Option<Objective> {
+        let is_complete = self.placement.iter().all(|nodes| !nodes.is_empty());
+        is_complete.then(|| objective(self.problem, &self.placement))
+    }
+
+    /// Whether it is feasible, computed from the problem and not from the incremental loads.
+    pub(super) fn is_feasible(&self) -> bool {
+        fits(
+            self.problem,
+            &assignments(&self.placement),
+            &|_| true,
+            FULL_CAPACITY,
+        )
+    }
+
+    /// Whether the loads of these nodes fit, now and in every loss.
+    pub(super) fn fits_at(&self, nodes: &[NodeIndex]) -> bool {
+        self.loads.fits_at(nodes)
+    }
+
+    /// Gives a volume that has none its nodes.
+    pub(super) fn assign(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) {
+        for node in &nodes {
+            self.volumes_at[*node].push(volume);
+        }
+        self.loads.add(volume, &nodes);
+        self.placement[volume] = nodes;
+    }
+
+    /// Takes the nodes of a volume away.
+    pub(super) fn unassign(&mut self, volume: VolumeIndex) {
+        let nodes = std::mem::take(&mut self.placement[volume]);
+        self.loads.remove(volume, &nodes);
+        for node in nodes {
+            self.volumes_at[node].retain(|other| *other != volume);
+        }
+    }
+
+    /// Gives a volume other nodes.
+    pub(super) fn reassign(&mut self, volume: VolumeIndex, nodes: &[NodeIndex]) {
+        self.unassign(volume);
+        self.assign(volume, nodes.to_vec());
+    }
+
+    /// Gives a volume nodes if its reserve fits there; whether it does.
+    pub(super) fn assign_if_fitting(&mut self, volume: VolumeIndex, nodes: Vec<NodeIndex>) -> bool {
+        self.assign(volume, nodes);
+        let fits = self.loads.fits_at(&self.placement[volume]);
+        if !fits {
+            self.unassign(volume);
+        }
+        fits
+    }
+
+    /// Orders nodes: the least load for its capacity first, compared without division; lost nodes last.
+    pub(super) fn compare_load(&self, a: NodeIndex, b: NodeIndex) -> Ordering {
+        let capacity = |node: NodeIndex| self.problem.nodes[node].capacity;
+        let load_of_a = self.loads.load(a) * i128::from(capacity(b).max(1));
+        let load_of_b = self.loads.load(b) * i128::from(capacity(a).max(1));
+        let is_lost = |node: NodeIndex| self.problem.nodes[node].is_lost();
+        is_lost(a)
+            .cmp(&is_lost(b))
+            .then(load_of_a.cmp(&load_of_b))
+            .then(capacity(b).cmp(&capacity(a)))
+            .then(a.cmp(&b))
+    }
+
+    fn is_in_zone(&self, volume: VolumeIndex, node: NodeIndex) -> bool {
+        let zone = self.problem.volumes[volume].zone.as_ref();
+        zone.is_none_or(|zone| self.problem.nodes[node].zone == *zone)
+    }
+
+    /// Whether a volume's own constraints allow a node beside these, while the set still lacks others. It need not
+    /// yet be in two zones.
+    pub(super) fn is_allowed_with(
+        &self,
+        volume: VolumeIndex,
+        nodes: &[NodeIndex],
+        node: NodeIndex,
+    ) -> bool {
+        let zone = self.loads.zone_of(node);
+        let is_new_zone = || nodes.iter().all(|other| self.loads.zone_of(*other) != zone);
+        self.is_in_zone(volume, node)
+            && (!self.problem.volumes[volume].distinct_zones || is_new_zone())
+    }
+
+    /// Whether a volume's own constraints allow a node set.
+    pub(super) fn is_allowed(&self, volume: VolumeIndex, nodes: &[NodeIndex]) -> bool {
+        let wanted = &self.problem.volumes[volume];
+        let zones: Vec<usize> = nodes.iter().map(|node| self.loads.zone_of(*node)).collect();
+        let outlives_zone = wanted.reserved_rate == 0 || zones.iter().any(|zone| *zone != zones[0]);
+        are_distinct(nodes)
+            && nodes.iter().all(|node| self.is_in_zone(volume, *node))
+            && (!wanted.distinct_zones || are_distinct(&zones))
+            && (!wanted.survives_zone_loss || outlives_zone)
+    }
+
+    /// A node's part of the gain.
+    pub(super) fn node_gain(&self, node: NodeIndex) -> i128 {
+        let mut volumes = self.volumes_at[node].clone();
+        volumes.sort_unstable();
+        node_gain(self.problem, &self.placement, node, &volumes)
+    }
+}
+
+fn are_distinct(items: &[usize]) -> bool {
+    (1..items.len()).all(|index| !items[..index].contains(&items[index]))
+}
--- a/crates/placement/src/problem.rs
+++ b/crates/placement/src/problem.rs
@@ -1,7 +1,5 @@
 //! The problem: nodes, volumes and hosts. Rates are integers in thousandths of a unit a second, so that sums
 //! are exact.
-use crate::constraint::{Constraint, ConstraintFilter};
-use crate::{NodeIndex, VolumeIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
@@ -19,12 +17,20 @@
     pub name: String,
     /// The zone that it is in: nodes of one zone can be lost together.
     pub zone: String,
-    /// The rate that it can serve, in thousandths of a unit a second; 0: none, it is lost.
+    /// The rate that it can serve, in thousandths of a unit a second; with 0 the node [is lost](Node::is_lost).
     pub capacity: u64,
     /// Cost of using it at all, in any unit.
     pub cost: u64,
 }
 
+impl Node {
+    /// Whether the node is lost: without capacity, so that nothing may stay on it.
+    #[must_use]
+    pub fn is_lost(&self) -> bool {
+        self.capacity == 0
+    }
+}
+
 /// A volume to be placed; rates in thousandths of a unit a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Volume {
@@ -77,6 +83,15 @@
     pub kind: ProblemErrorKind,
 }
 
+impl ProblemError {
+    fn new(name: &str, kind: ProblemErrorKind) -> Self {
+        ProblemError {
+            name: name.to_owned(),
+            kind,
+        }
+    }
+}
+
 /// An error of a node or volume; the text states what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProblemErrorKind {
@@ -129,33 +144,9 @@
     ) -> Result<Problem, Vec<ProblemError>> {
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
         volumes.sort_by(|a, b| a.name.cmp(&b.name));
-        let mut errors = Vec::new();
-        let mut add = |name: &str, kind| {
-            errors.push(ProblemError {
-                name: name.to_owned(),
-                kind,
-            });
-        };
-        for pair in nodes.windows(2).filter(|pair| pair[0].name == pair[1].name) {
-            add(&pair[0].name, ProblemErrorKind::DuplicateNode);
-        }
-        for pair in volumes
-            .windows(2)
-            .filter(|pair| pair[0].name == pair[1].name)
-        {
-            add(&pair[0].name, ProblemErrorKind::DuplicateVolume);
-        }
-        for node in nodes
-            .iter()
-            .filter(|node| node.capacity.max(node.cost) > MAX_NUMBER)
-        {
-            add(&node.name, ProblemErrorKind::NumberTooLarge);
-        }
-        for volume in &volumes {
-            for kind in volume.check(&nodes) {
-                add(&volume.name, kind);
-            }
-        }
+        let mut errors = check_names(&nodes, &volumes);
+        errors.extend(check_nodes(&nodes));
+        errors.extend(check_volumes(&volumes, &nodes));
         if errors.is_empty() {
             Ok(Problem {
                 nodes,
@@ -166,31 +157,38 @@
             Err(errors)
         }
     }
+}
 
-    /// The node sets that a volume's own constraints allow, in ascending order. Constraints that the filter leaves
-    /// out do not count.
-    #[must_use]
-    pub fn allowed_node_sets(
-        &self,
-        volume: VolumeIndex,
-        is_active: ConstraintFilter,
-    ) -> Vec<Vec<NodeIndex>> {
-        let wanted = &self.volumes[volume];
-        let zone = wanted
-            .zone
-            .as_deref()
-            .filter(|_| is_active(Constraint::Zone(volume)));
-        let distinct_zones = wanted.distinct_zones && is_active(Constraint::DistinctZones(volume));
-        let mut sets = Vec::new();
-        let mut enumeration = NodeSetEnumeration {
-            nodes: &self.nodes,
-            spread: wanted.spread,
-            zone,
-            distinct_zones,
-        };
-        enumeration.extend(0, &mut Vec::new(), &mut sets);
-        sets
-    }
+/// Names that occur twice. Nodes and volumes are in order of their names.
+fn check_names(nodes: &[Node], volumes: &[Volume]) -> Vec<ProblemError> {
+    let node_pairs = nodes.windows(2).filter(|pair| pair[0].name == pair[1].name);
+    let volume_pairs = volumes
+        .windows(2)
+        .filter(|pair| pair[0].name == pair[1].name);
+    let duplicate_nodes =
+        node_pairs.map(|pair| ProblemError::new(&pair[0].name, ProblemErrorKind::DuplicateNode));
+    let duplicate_volumes = volume_pairs
+        .map(|pair| ProblemError::new(&pair[0].name, ProblemErrorKind::DuplicateVolume));
+    duplicate_nodes.chain(duplicate_volumes).collect()
+}
+
+/// What is wrong with each node by itself.
+fn check_nodes(nodes: &[Node]) -> Vec<ProblemError> {
+    nodes
+        .iter()
+        .filter(|node| node.capacity.max(node.cost) > MAX_NUMBER)
+        .map(|node| ProblemError::new(&node.name, ProblemErrorKind::NumberTooLarge))
+        .collect()
+}
+
+/// What is wrong with each volume by itself and with the nodes that it refers to.
+fn check_volumes(volumes: &[Volume], nodes: &[Node]) -> Vec<ProblemError> {
+    let errors_of = |volume: &Volume| {
+        let kinds = volume.check(nodes);
+        let with_name = |kind| ProblemError::new(&volume.name, kind);
+        kinds.into_iter().map(with_name).collect::<Vec<_>>()
+    };
+    volumes.iter().flat_map(errors_of).collect()
 }
 
 impl Volume {
@@ -231,35 +229,3 @@
         kinds
     }
 }
-
-/// Enumerates the node sets of a size, with the zones that they may be in.
-struct NodeSetEnumeration<'a> {
-    nodes: &'a [Node],
-    spread: usize,
-    zone: Option<&'a str>,
-    distinct_zones: bool,
-}
-
-impl NodeSetEnumeration<'_> {
-    /// Adds to `sets` all sets that begin with `set` and go on with nodes from `first` on.
-    fn extend(
-        &mut self,
-        first: NodeIndex,
-        set: &mut Vec<NodeIndex>,
-        sets: &mut Vec<Vec<NodeIndex>>,
-    ) {
-        if set.len() == self.spread {
-            return sets.push(set.clone());
-        }
-        for node in first..self.nodes.len() {
-            let zone = &self.nodes[node].zone;
-            let is_in_zone = self.zone.is_none_or(|wanted| wanted == zone);
-            let is_new_zone = || set.iter().all(|other| self.nodes[*other].zone != *zone);
-            if is_in_zone && (!self.distinct_zones || is_new_zone()) {
-                set.push(node);
-                self.extend(node + 1, set, sets);
-                set.pop();
-            }
-        }
-    }
-}
