--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -1,11 +1,11 @@
 //! The scheduler's host: writes its calls as lines of actions.
 use crate::fields::MICROS_PER_TICK;
-use crate::instance::Names;
+use crate::names::Names;
 use mallowseam_scheduler::interface::{BioId, Host, KeyId, NodeId, Tick, VolumeId};
 use std::fmt;
 use std::io::Write;
 
-/// An absent timeout.
+/// What the simulator reads as no timeout.
 const NO_TIMEOUT: i64 = -1;
 
 /// Writes the actions of one instance.
@@ -39,7 +39,8 @@
 
 impl Host for ActionWriter<'_> {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
-        let (request, node) = (self.request_id(bio), self.names.nodes.resolve(node.0));
+        let request = self.request_id(bio);
+        let node = self.names.nodes.resolve(node.0);
         let timeout = if timeout > 0 {
             timeout * MICROS_PER_TICK
         } else {
@@ -60,7 +61,8 @@
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
-        let (request, retry_after) = (self.request_id(bio), retry_after * MICROS_PER_TICK);
+        let request = self.request_id(bio);
+        let retry_after = retry_after * MICROS_PER_TICK;
         write_line(
             self.output,
             format_args!("bounce {} {request} {retry_after}", self.instance),
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,11 +1,11 @@
-//! One scheduler and its interned names: events become calls on it, its actions lines of output.
+//! One scheduler: events become calls on it, its actions lines of output.
 use crate::action_writer::ActionWriter;
 use crate::error::InputError;
-use crate::fields::Fields;
+use crate::fields::{Fields, MICROS_PER_TICK};
+use crate::names::Names;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use mallowseam_platform::settings::{self, PlatformSettings};
-use mallowseam_scheduler::Interner;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{
     AttemptOutcome, Bio, BioId, EndpointEvent, KeyId, NodeEndpoint, NodeId, NodeState, Tick,
@@ -14,21 +14,10 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The names by the scheduler's indices.
-#[derive(Default)]
-pub struct Names {
-    /// Requests, by the simulator's numbers.
-    pub requests: Interner<u64>,
-    /// Nodes.
-    pub nodes: Interner<String>,
-    /// Ordering keys.
-    pub keys: Interner<String>,
-    /// Volumes.
-    pub volumes: Interner<String>,
-    zones: Interner<String>,
-    classes: Vec<String>,
-    plans: Vec<String>,
-}
+/// Units of a request whose line states none.
+const DEFAULT_UNITS: f64 = 1.0;
+/// Hosts that a volume is attached to, at least: the one that the request came to.
+const MIN_HOSTS: f64 = 1.0;
 
 /// An event for an instance that is open.
 #[derive(Clone, Copy, Debug)]
@@ -49,6 +38,12 @@
     PeerMessage,
 }
 
+/// The end of an attempt of a block I/O that the scheduler knows.
+struct EndedAttempt {
+    bio: BioId,
+    outcome: AttemptOutcome,
+}
+
 /// One scheduler of the simulator.
 pub struct Instance {
     index: u64,
@@ -100,7 +95,7 @@
             zone,
             shard,
             state,
-            started_at: started_at_micros / crate::fields::MICROS_PER_TICK,
+            started_at: started_at_micros / MICROS_PER_TICK,
         })
     }
 
@@ -126,22 +121,39 @@
         output: &mut Vec<u8>,
     ) -> Result<(), InputError> {
         match event {
-            Event::Request => self.request(now, fields, output),
-            Event::AttemptEnded => self.on_attempt_ended(now, fields, output),
-            Event::ClientTimedOut => self.on_client_timeout(now, fields, output),
-            Event::TimerFired => self.on_timer_fired(now, fields, output),
-            Event::ProbeEnded => self.on_probe_ended(fields),
-            Event::PeerMessage => peer_message(fields),
-            Event::FirstByte => first_byte(fields),
+            Event::Request => {
+                let bio = self.request(fields)?;
+                self.call(output, |scheduler, host| {
+                    scheduler.on_arrival(host, now, bio);
+                });
+            }
+            Event::AttemptEnded => {
+                if let Some(ended) = self.ended_attempt(fields)? {
+                    self.call(output, |scheduler, host| {
+                        scheduler.on_attempt_finished(host, now, ended.bio, &ended.outcome);
+                    });
+                }
+            }
+            Event::ClientTimedOut => {
+                if let Some(bio) = self.timed_out_request(fields)? {
+                    self.call(output, |scheduler, host| {
+                        scheduler.on_disconnect(host, now, bio);
+                    });
+                }
+            }
+            Event::TimerFired => {
+                fields.unsigned_integer("mark")?;
+                self.call(output, |scheduler, host| scheduler.on_timer(host, now));
+            }
+            Event::ProbeEnded => self.on_probe_ended(fields)?,
+            Event::PeerMessage => peer_message(fields)?,
+            Event::FirstByte => first_byte(fields)?,
         }
+        Ok(())
     }
 
-    fn request(
-        &mut self,
-        now: Tick,
-        fields: &mut Fields,
-        output: &mut Vec<u8>,
-    ) -> Result<(), InputError> {
+    /// Reads a request. Its fields are read in their order on the line.
+    fn request(&mut self, fields: &mut Fields) -> Result<Bio, InputError> {
         let request = fields.unsigned_integer("xid")?;
         let class = position(&self.names.classes, "tier_class", fields)?;
         let plan = position(&self.names.plans, "contract", fields)?;
@@ -151,40 +163,28 @@
         let deadline = fields.ticks("client_deadline_us")?;
         let volume_name = fields.next_value().unwrap_or_default().to_owned();
         let volume = VolumeId(self.names.volumes.intern(&volume_name));
-        let units = fields
-            .optional_number("weight")?
-            .filter(|units| *units >= 0.0)
-            .unwrap_or(1.0);
-        let shard = fields
-            .optional_number("placement")?
-            .filter(|shard| *shard >= 0.0);
-        let shard = shard.map(|shard| shard as u32);
-        let hosts = fields.optional_number("attached")?.unwrap_or(1.0).max(1.0) as u32;
+        let units = fields.optional_number("weight")?;
+        let shard = fields.optional_number("placement")?;
+        let hosts = fields.optional_number("attached")?;
         fields.optional_number("opts")?;
-        let id = BioId(self.names.requests.intern(&request));
-        let bio = Bio {
-            id,
+        Ok(Bio {
+            id: BioId(self.names.requests.intern(&request)),
             class,
             plan,
             volume,
             key,
             deadline,
-            units,
-            shard,
-            hosts,
-        };
-        self.call(output, |scheduler, host| {
-            scheduler.on_arrival(host, now, bio);
-        });
-        Ok(())
+            units: units.filter(|units| *units >= 0.0).unwrap_or(DEFAULT_UNITS),
+            shard: shard
+                .filter(|shard| *shard >= 0.0)
+                .map(|shard| shard as u32),
+            hosts: hosts.unwrap_or(MIN_HOSTS).max(MIN_HOSTS) as u32,
+        })
     }
 
-    fn on_attempt_ended(
-        &mut self,
-        now: Tick,
-        fields: &mut Fields,
-        output: &mut Vec<u8>,
-    ) -> Result<(), InputError> {
+    /// Reads the end of an attempt. None: the scheduler has released the request, which is finished then and has no
+    /// attempt in flight.
+    fn ended_attempt(&mut self, fields: &mut Fields) -> Result<Option<EndedAttempt>, InputError> {
         let request = fields.unsigned_integer("xid")?;
         let result = fields.attempt_result()?;
         let units_by_other_hosts = fields.optional_number("by_others")?.unwrap_or(0.0);
@@ -194,49 +194,23 @@
         let volume_usage = fields.optional_number("volume_use")?.unwrap_or(0.0);
         fields.optional_number("seq_no")?;
         let load_report = fields.load_report()?;
-        let node = self.known_node(&node_name, fields)?;
-        // A request that the scheduler has released is finished and has no attempt in flight.
-        if let Some(id) = self.names.requests.find(&request) {
-            let outcome = AttemptOutcome {
-                result,
-                node,
-                client_answered,
-                latency,
-                units_by_other_hosts,
-                volume_usage,
-                load_report,
-            };
-            self.call(output, |scheduler, host| {
-                scheduler.on_attempt_finished(host, now, BioId(id), &outcome);
-            });
-        }
-        Ok(())
+        let outcome = AttemptOutcome {
+            result,
+            node: self.known_node(&node_name, fields)?,
+            client_answered,
+            latency,
+            units_by_other_hosts,
+            volume_usage,
+            load_report,
+        };
+        let bio = self.names.requests.find(&request).map(BioId);
+        Ok(bio.map(|bio| EndedAttempt { bio, outcome }))
     }
 
-    fn on_client_timeout(
-        &mut self,
-        now: Tick,
-        fields: &mut Fields,
-        output: &mut Vec<u8>,
-    ) -> Result<(), InputError> {
+    /// Reads which client stopped waiting. None: the scheduler has released the request.
+    fn timed_out_request(&self, fields: &mut Fields) -> Result<Option<BioId>, InputError> {
         let request = fields.unsigned_integer("xid")?;
-        if let Some(id) = self.names.requests.find(&request) {
-            self.call(output, |scheduler, host| {
-                scheduler.on_disconnect(host, now, BioId(id));
-            });
-        }
-        Ok(())
-    }
-
-    fn on_timer_fired(
-        &mut self,
-        now: Tick,
-        fields: &mut Fields,
-        output: &mut Vec<u8>,
-    ) -> Result<(), InputError> {
-        fields.unsigned_integer("mark")?;
-        self.call(output, |scheduler, host| scheduler.on_timer(host, now));
-        Ok(())
+        Ok(self.names.requests.find(&request).map(BioId))
     }
 
     /// The scheduler sends no probes: the outcome of one is validated and ignored.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,7 +4,8 @@
 //! Modules, from the outside in:
 //! - `adapter`: batches of lines, dispatched to instances.
 //! - `fields`: the values of one line.
-//! - `instance`: one scheduler and its interned names; translates events to calls on it.
+//! - `instance`: one scheduler; translates events to calls on it.
+//! - `names`: names of the simulator and the scheduler's indices for them.
 //! - `action_writer`: the scheduler's host; writes its calls as lines.
 //!
 //! Exit status: 0 at the end of the input, 1 if the output cannot be written, 2 if the input is invalid, with the error
@@ -14,6 +15,7 @@
 mod error;
 mod fields;
 mod instance;
+mod names;
 
 use adapter::{Adapter, Progress};
 use error::InputError;
