--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -1,5 +1,6 @@
 //! A scenario: what a run consists of, and the faults of its schedule. `docs/cold-start.md` describes the scripts that
 //! scenarios are read from.
+mod arguments;
 mod faults;
 mod parse;
 
--- a/crates/lab/src/fleet/scenario/faults.rs
+++ b/crates/lab/src/fleet/scenario/faults.rs
@@ -1,8 +1,9 @@
 //! Reads the lines `at TIME …` of a script: faults and when they end.
-use super::parse::DURATION;
-use super::{FaultAction, IndexRange, ScheduledFault};
+use super::arguments::index_range;
+use super::{FaultAction, ScheduledFault};
 use crate::fleet::discovery_queue::ServiceBehavior;
 use crate::fleet::links::{LinkFault, Peer, PeerSet};
+use crate::script::arguments::DURATION;
 use mallowseam_settings::Arguments;
 
 /// A fault as a line describes it: what begins it and what ends it. Without an end it takes no duration.
@@ -201,25 +202,6 @@
     }
 }
 
-/// Indexes such as `3`, `2..5` (without 5) or `all`.
-pub(super) fn index_range(args: &mut Arguments) -> Option<IndexRange> {
-    args.value("a number, a range such as 2..5, or all", |word| {
-        if word == "all" {
-            return Some(IndexRange::ALL);
-        }
-        match word.split_once("..") {
-            Some((start, end)) => Some(IndexRange {
-                start: start.parse().ok()?,
-                end: end.parse().ok()?,
-            }),
-            None => word.parse().ok().map(|n: u32| IndexRange {
-                start: n,
-                end: n.saturating_add(1),
-            }),
-        }
-    })
-}
-
 fn peer_set(word: &str) -> Option<PeerSet> {
     let number = |prefix: &str| {
         word.strip_prefix(prefix)
--- a/crates/lab/src/fleet/scenario/parse.rs
+++ b/crates/lab/src/fleet/scenario/parse.rs
@@ -1,15 +1,13 @@
 //! Reads the head of a script: the directives that describe hosts, nodes, clients and services.
-use super::faults::{index_range, parse_fault};
+use super::arguments::index_range;
+use super::faults::parse_fault;
 use super::{IndexRange, InitialList, MembershipScenario, Scenario, VOLUMES_PER_HOST};
 use crate::fleet::client_load::LoadProfile;
 use crate::fleet::simulated_node::NodeLimits;
 use crate::node::ServiceModel;
-use crate::script;
+use crate::script::arguments::{DURATION, cold_start, node_option};
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
-/// What a diagnostic says is expected where a duration is.
-pub(super) const DURATION: &str = "a duration such as 3s";
-
 /// Reads a script.
 ///
 /// # Errors
@@ -110,7 +108,7 @@
             limits.handshake = args.duration("the work of a new connection").unwrap_or(0);
         }
         "cold" => {
-            script::cold_start(&mut scenario.node_model, args);
+            cold_start(&mut scenario.node_model, args);
             scenario.node_limits.restart_after =
                 args.duration("how long one that fell is down").unwrap_or(0);
         }
@@ -146,7 +144,7 @@
     while args.has_more() {
         if args.accept("start-cold") {
             scenario.nodes_start_cold = true;
-        } else if !script::node_option(&mut scenario.node_model, args) {
+        } else if !node_option(&mut scenario.node_model, args) {
             args.value::<()>("cores, work, queue or start-cold", |_| None);
         }
     }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,10 +1,11 @@
 //! Scenario scripts: a text file with the scenario in its head, one line for each fault, and behind a line `site` the
 //! sections of a configuration that all hosts share (fleet, plans, groups, volumes). `docs/rehearsals.md` lists every
 //! directive.
+pub(crate) mod arguments;
 mod faults;
 mod parse;
 
-pub use parse::{cold_start, node_option, parse};
+pub use parse::parse;
 
 use crate::node::ServiceModel;
 use crate::trace::Micros;
--- a/crates/lab/src/script/faults.rs
+++ b/crates/lab/src/script/faults.rs
@@ -1,5 +1,5 @@
 //! Reads the fault lines of a script: `at TIME KIND … [for DURATION]`.
-use super::parse::DURATION;
+use super::arguments::DURATION;
 use super::{Event, Fault, Selector};
 use crate::trace::Micros;
 use mallowseam_settings::Arguments;
--- a/crates/lab/src/script/parse.rs
+++ b/crates/lab/src/script/parse.rs
@@ -1,10 +1,9 @@
 //! Reads the head of a script.
+use super::arguments::{DURATION, cold_start, node_option};
 use super::{CatalogScenario, Scenario, faults};
 use crate::node::ServiceModel;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
-/// What a script's error message expects where a duration is missing.
-pub(super) const DURATION: &str = "a duration such as 3s";
 const DIRECTIVES: &str =
     "day, hosts, nodes, cold, clients, list-lag, kept-list, digests, catalog, tariffs, at or site";
 
@@ -135,26 +134,3 @@
         _ => None,
     })
 }
-
-/// Reads one of the figures behind `nodes`; false where the next word names none.
-pub fn node_option(model: &mut ServiceModel, args: &mut Arguments) -> bool {
-    if args.accept("cores") {
-        model.cores = args.integer("1 to 64", 1, 64).unwrap_or(1) as usize;
-    } else if args.accept("work") {
-        model.unit_work = args.duration("the work of a unit").unwrap_or(0) as f64;
-    } else if args.accept("queue") {
-        model.queue = args.integer("1 to 4096", 1, 4096).unwrap_or(1) as usize;
-    } else {
-        return false;
-    }
-    true
-}
-
-/// Reads the arguments of `cold`: how a node warms up, and what overloads it meanwhile.
-pub fn cold_start(model: &mut ServiceModel, args: &mut Arguments) {
-    model.initial_speed = args.percent("a percentage").unwrap_or(1.0).max(0.01);
-    model.warm_up = args.duration(DURATION).unwrap_or(0);
-    model.overload_factor = args.number("a multiple from 1 up", 1.0, 1e6).unwrap_or(1.0);
-    model.overload_window = args.duration(DURATION).unwrap_or(0);
-    model.tolerated_units = args.number("units", 0.0, 1e9).unwrap_or(0.0);
-}
