--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,11 +1,17 @@
 //! A stand-in for a storage node: an iSCSI target that keeps real bytes, serves at a set speed, queues and sheds,
 //! warms up after a start and crashes when overloaded meanwhile. Scripts inject its faults.
-mod commands;
+mod block_store;
+mod connections;
+mod deferred;
 mod faults;
 mod model;
 mod queue;
 mod server;
+mod slow_start;
+mod transfer;
+mod write_protection;
 
+pub use faults::NodeFault;
 pub use model::ServiceModel;
 
 use crate::trace::{Micros, Trace};
@@ -20,36 +26,6 @@
 
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
-/// Token of the first connection.
-const FIRST_CONNECTION: usize = 2;
-
-/// A fault, or its end.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NodeFault {
-    /// Answers nothing and starts nothing new, while what has started goes on. Commands that come in meanwhile are
-    /// read off the sockets, so that their time is known, and processed later.
-    Silent(bool),
-    /// The process ends with all that is in flight; it starts again cold.
-    Crash,
-    /// The process starts again after a crash.
-    Start,
-    /// Every connection is closed.
-    Reset,
-    /// Nothing is worked on.
-    Frozen(bool),
-    /// This many times slower.
-    Slow(f64),
-    /// Part of its commands that fail at once.
-    Errors(f64),
-    /// Part of its answers that never go out.
-    LoseAnswers(f64),
-    /// Has no space for blocks that it does not hold yet.
-    Full(bool),
-    /// Accepts no connections, while those it has go on.
-    NotAccepting(bool),
-    /// The stand-in itself ends.
-    Stop,
-}
 
 /// What the endpoint list service would know of a node.
 #[derive(Clone, Copy, Debug, Default)]
@@ -62,6 +38,28 @@
     pub started_at: Micros,
 }
 
+impl Lifecycle {
+    /// Whether the node still runs the process with which the run began, which is in no slow start.
+    fn is_first_process(&self) -> bool {
+        self.incarnation == 0
+    }
+
+    /// Part of its full speed that the node has now.
+    fn speed_fraction(&self, now: Micros, model: &ServiceModel) -> f64 {
+        if self.is_first_process() {
+            1.0
+        } else {
+            model.speed_fraction(now - self.started_at)
+        }
+    }
+
+    fn start_next_process(&mut self, now: Micros) {
+        self.up = true;
+        self.incarnation += 1;
+        self.started_at = now;
+    }
+}
+
 /// A stand-in node on a thread of its own, which ends when this is dropped.
 pub struct Node {
     faults: Sender<NodeFault>,
--- a/crates/lab/src/node/faults.rs
+++ b/crates/lab/src/node/faults.rs
@@ -1,22 +1,43 @@
-//! Faults of a stand-in node, and its crash and restart.
-use super::server::Server;
-use super::{Lifecycle, NodeFault, listen};
-use crate::trace::{Micros, TraceEvent};
-use std::time::Duration;
+//! Faults of a stand-in node.
+use crate::trace::Micros;
 
-/// Tries to bind the address again after a restart, and the pause between them.
-const BIND_ATTEMPTS: u32 = 100;
-const BIND_PAUSE: Duration = Duration::from_millis(10);
+/// A fault, or its end.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum NodeFault {
+    /// Answers nothing and starts nothing new, while what has started goes on. Commands that come in meanwhile are
+    /// read off the sockets, so that their time is known, and processed later.
+    Silent(bool),
+    /// The process ends with all that is in flight; it starts again cold.
+    Crash,
+    /// The process starts again after a crash.
+    Start,
+    /// Every connection is closed.
+    Reset,
+    /// Nothing is worked on.
+    Frozen(bool),
+    /// This many times slower.
+    Slow(f64),
+    /// Part of its commands that fail at once.
+    Errors(f64),
+    /// Part of its answers that never go out.
+    LoseAnswers(f64),
+    /// Has no space for blocks that it does not hold yet.
+    Full(bool),
+    /// Accepts no connections, while those it has go on.
+    NotAccepting(bool),
+    /// The stand-in itself ends.
+    Stop,
+}
 
 /// The faults that are on.
 pub(super) struct ActiveFaults {
-    pub(super) silent: bool,
-    pub(super) frozen_since: Option<Micros>,
-    pub(super) not_accepting: bool,
-    pub(super) full: bool,
-    pub(super) slowdown: f64,
-    pub(super) error_rate: f64,
-    pub(super) loss_rate: f64,
+    silent: bool,
+    frozen_since: Option<Micros>,
+    not_accepting: bool,
+    full: bool,
+    slowdown: f64,
+    error_rate: f64,
+    loss_rate: f64,
 }
 
 impl Default for ActiveFaults {
@@ -33,76 +54,76 @@
     }
 }
 
-impl Server {
-    pub(super) fn apply(&mut self, fault: NodeFault) {
-        match fault {
-            NodeFault::Silent(on) => {
-                self.faults.silent = on;
-                if !on {
-                    self.process_deferred();
-                }
-            }
-            NodeFault::Frozen(true) => {
-                self.faults.frozen_since = self.faults.frozen_since.or(Some(self.trace.now()));
-            }
-            NodeFault::Frozen(false) => self.thaw(),
-            NodeFault::Slow(times) => self.faults.slowdown = times,
-            NodeFault::Errors(part) => self.faults.error_rate = part,
-            NodeFault::LoseAnswers(part) => self.faults.loss_rate = part,
-            NodeFault::NotAccepting(on) => self.faults.not_accepting = on,
-            NodeFault::Full(on) => self.faults.full = on,
-            NodeFault::Reset => self.close_connections(),
-            NodeFault::Crash => self.crash(),
-            NodeFault::Start => self.restart(),
-            NodeFault::Stop => {}
-        }
+impl ActiveFaults {
+    pub(super) fn set_silent(&mut self, on: bool) {
+        self.silent = on;
     }
 
-    /// What was running goes on where it stood.
-    fn thaw(&mut self) {
-        if let Some(since) = self.faults.frozen_since.take() {
-            let pause = self.trace.now() - since;
-            self.running.iter_mut().for_each(|r| r.due += pause);
-        }
+    pub(super) fn freeze(&mut self, now: Micros) {
+        self.frozen_since = self.frozen_since.or(Some(now));
     }
 
-    pub(super) fn crash(&mut self) {
-        if self.listener.take().is_none() {
-            return;
-        }
-        self.close_connections();
-        self.waiting.clear();
-        self.running.clear();
-        self.discard_deferred();
-        self.pending_protects.clear();
-        self.lifecycle().up = false;
-        self.trace.record(TraceEvent::NodeDown { node: self.index });
-    }
-
-    fn restart(&mut self) {
-        if self.listener.is_some() || self.overloaded {
-            return;
-        }
-        // The address may still be held for a moment by the process before.
-        for _ in 0..BIND_ATTEMPTS {
-            if let Ok(listener) = listen(self.address, &self.poll) {
-                self.listener = Some(listener);
-                break;
-            }
-            std::thread::sleep(BIND_PAUSE);
-        }
-        self.faults.silent = false;
-        self.faults.frozen_since = None;
-        self.faults.slowdown = 1.0;
-        self.faults.not_accepting = false;
-        self.received.clear();
-        let started_at = self.trace.now();
-        let incarnation = self.lifecycle().incarnation + 1;
-        *self.lifecycle() = Lifecycle {
-            up: true,
-            incarnation,
-            started_at,
-        };
-        self.trace.record(TraceEvent::NodeUp { node: self.index });
+    /// Ends a freeze. Returns how long it lasted, if there was one.
+    pub(super) fn thaw(&mut self, now: Micros) -> Option<Micros> {
+        self.frozen_since.take().map(|since| now - since)
+    }
+
+    pub(super) fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor;
+    }
+
+    pub(super) fn set_error_rate(&mut self, part: f64) {
+        self.error_rate = part;
+    }
+
+    pub(super) fn set_loss_rate(&mut self, part: f64) {
+        self.loss_rate = part;
+    }
+
+    pub(super) fn set_not_accepting(&mut self, on: bool) {
+        self.not_accepting = on;
+    }
+
+    pub(super) fn set_full(&mut self, on: bool) {
+        self.full = on;
+    }
+
+    /// Ends the faults that belong to a process. Errors, lost answers and a full store outlive it.
+    pub(super) fn on_restart(&mut self) {
+        self.silent = false;
+        self.frozen_since = None;
+        self.slowdown = 1.0;
+        self.not_accepting = false;
+    }
+
+    pub(super) fn is_silent(&self) -> bool {
+        self.silent
+    }
+
+    pub(super) fn is_frozen(&self) -> bool {
+        self.frozen_since.is_some()
+    }
+
+    pub(super) fn accepts_connections(&self) -> bool {
+        !self.not_accepting && !self.silent
+    }
+
+    pub(super) fn is_full(&self) -> bool {
+        self.full
+    }
+
+    /// Multiple of the usual work.
+    pub(super) fn slowdown(&self) -> f64 {
+        self.slowdown
+    }
+
+    /// Part of the commands that fail at once.
+    pub(super) fn error_rate(&self) -> f64 {
+        self.error_rate
+    }
+
+    /// Part of the answers that are never sent.
+    pub(super) fn loss_rate(&self) -> f64 {
+        self.loss_rate
     }
 }
--- a/crates/lab/src/node/queue.rs
+++ b/crates/lab/src/node/queue.rs
@@ -1,21 +1,9 @@
-//! Queue of a stand-in node: commands wait for a core, run for their work, and complete.
-use super::server::{Server, Transfer};
-use crate::block;
-use crate::trace::{Micros, TraceEvent};
-use mallowseam_iscsi::scsi::{Sense, status};
-use rand::RngExt;
-
-/// Work in microseconds below which a command completes at once.
-const MIN_WORK: f64 = 1.0;
-
-/// Where a command came from, and its task tag there.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct TaskRef {
-    pub(super) client: u32,
-    pub(super) connection: u64,
-    pub(super) task: u32,
-}
+//! Queue of a stand-in node: commands wait for a core and run for their work.
+use super::transfer::{TaskRef, Transfer};
+use crate::trace::Micros;
+use std::collections::VecDeque;
 
+/// A read or write that waits or runs.
 pub(super) struct QueuedCommand {
     pub(super) origin: TaskRef,
     pub(super) lun: u32,
@@ -28,147 +16,95 @@
 }
 
 /// A command on a core.
-pub(super) struct Running {
-    pub(super) due: Micros,
-    pub(super) command: QueuedCommand,
+struct Running {
+    due: Micros,
+    command: QueuedCommand,
 }
 
-/// A request for write protection that waits for running writes.
-pub(super) struct PendingProtect {
-    pub(super) origin: TaskRef,
-    pub(super) lun: u32,
+/// Commands that wait for a core, and those that have one.
+pub(super) struct CommandQueue {
+    cores: usize,
+    capacity: usize,
+    waiting: VecDeque<QueuedCommand>,
+    running: Vec<Running>,
 }
 
-impl Server {
-    /// Completes what is due, and starts what has a core.
-    pub(super) fn serve(&mut self) {
-        if self.faults.frozen_since.is_some() {
-            return;
-        }
-        let now = self.trace.now();
-        let mut i = 0;
-        while i < self.running.len() {
-            if self.running[i].due <= now {
-                let done = self.running.swap_remove(i);
-                self.finish(&done.command);
-            } else {
-                i += 1;
-            }
-        }
-        while self.running.len() < self.model.cores {
-            let Some(command) = self.waiting.pop_front() else {
-                break;
-            };
-            self.start(command, now);
+impl CommandQueue {
+    /// `capacity`: commands that may wait.
+    pub(super) fn new(cores: usize, capacity: usize) -> Self {
+        CommandQueue {
+            cores,
+            capacity,
+            waiting: VecDeque::new(),
+            running: Vec::new(),
         }
     }
 
-    fn start(&mut self, command: QueuedCommand, now: Micros) {
-        if command.transfer.write && self.protected.contains(&command.lun) {
-            return self.reject_protected(&command);
-        }
-        let lifecycle = *self.lifecycle();
-        let speed = if lifecycle.incarnation == 0 {
-            1.0
-        } else {
-            self.model.speed_fraction(now - lifecycle.started_at)
-        };
-        let work = command.work * self.faults.slowdown / speed;
-        if work < MIN_WORK {
-            self.finish(&command);
+    pub(super) fn is_full(&self) -> bool {
+        self.waiting.len() >= self.capacity
+    }
+
+    pub(super) fn push(&mut self, command: QueuedCommand) {
+        self.waiting.push_back(command);
+    }
+
+    /// Takes out the next command that waits, if a core is free for it.
+    pub(super) fn next_for_core(&mut self) -> Option<QueuedCommand> {
+        if self.running.len() < self.cores {
+            self.waiting.pop_front()
         } else {
-            self.running.push(Running {
-                due: now + work as Micros,
-                command,
-            });
+            None
         }
     }
 
-    fn reject_protected(&mut self, command: &QueuedCommand) {
-        let TaskRef {
-            client,
-            connection,
-            task,
-        } = command.origin;
-        let open = self
-            .sessions
-            .get(&client)
-            .is_some_and(|s| s.connection == connection);
-        if open && !command.orphan {
-            // It has not run and never will, so that it counts as rejected.
-            let (node, status) = (self.index, status::BUSY);
-            self.trace.record(TraceEvent::NodeAnswered {
-                node,
-                connection,
-                task,
-                status,
-            });
-            self.fail(command.origin, Sense::WRITE_PROTECTED);
-        }
+    /// Runs a command until a time.
+    pub(super) fn run(&mut self, command: QueuedCommand, due: Micros) {
+        self.running.push(Running { due, command });
     }
 
-    fn finish(&mut self, command: &QueuedCommand) {
-        let Transfer {
-            write, lba, blocks, ..
-        } = command.transfer;
-        let mut data = Vec::new();
-        for i in 0..u64::from(blocks) {
-            let offset = i as usize * block::SIZE;
-            let key = (command.lun, lba + i);
-            if write {
-                let stored = self
-                    .blocks
-                    .entry(key)
-                    .or_insert_with(|| Box::new([0; block::SIZE]));
-                stored.copy_from_slice(&command.data[offset..offset + block::SIZE]);
-            } else {
-                match self.blocks.get(&key) {
-                    Some(stored) => data.extend_from_slice(&stored[..]),
-                    None => data.resize(offset + block::SIZE, 0),
-                }
-            }
-        }
-        self.complete_protects();
-        if !command.orphan && self.rng.random::<f64>() >= self.faults.loss_rate {
-            self.answer(command.origin, status::GOOD, &data);
-        }
+    /// Takes out a command whose work is done.
+    pub(super) fn take_due(&mut self, now: Micros) -> Option<QueuedCommand> {
+        let done = self.running.iter().position(|r| r.due <= now)?;
+        Some(self.running.swap_remove(done).command)
     }
 
-    /// Answers requests for write protection whose logical unit has no running writes left.
-    pub(super) fn complete_protects(&mut self) {
-        for pending in std::mem::take(&mut self.pending_protects) {
-            let writes = |r: &Running| r.command.lun == pending.lun && r.command.transfer.write;
-            if self.running.iter().any(writes) {
-                self.pending_protects.push(pending);
-            } else {
-                self.answer(pending.origin, status::GOOD, &[]);
-            }
-        }
+    /// When the first running command is due.
+    pub(super) fn next_due(&self) -> Option<Micros> {
+        self.running.iter().map(|r| r.due).min()
     }
 
-    /// Counts what a warming node receives; true once it has crashed from overload.
-    pub(super) fn overload(&mut self, units: f64) -> bool {
-        let lifecycle = *self.lifecycle();
-        let now = self.trace.now();
-        let age = now - lifecycle.started_at;
-        if lifecycle.incarnation == 0 || age > self.model.warm_up {
-            return false;
-        }
-        self.received.push_back((now, units));
-        while self
-            .received
-            .front()
-            .is_some_and(|(at, _)| at + self.model.overload_window < now)
-        {
-            self.received.pop_front();
-        }
-        let sum: f64 = self.received.iter().map(|(_, units)| units).sum();
-        if sum > self.model.overload_units(age) {
-            self.overloaded = true;
-            self.trace
-                .record(TraceEvent::NodeOverloaded { node: self.index });
-            self.crash();
-        }
-        self.overloaded
+    /// Running commands end this much later.
+    pub(super) fn postpone(&mut self, pause: Micros) {
+        self.running.iter_mut().for_each(|r| r.due += pause);
+    }
+
+    pub(super) fn has_running_write(&self, lun: u32) -> bool {
+        self.running
+            .iter()
+            .any(|r| r.command.lun == lun && r.command.transfer.write)
+    }
+
+    /// Aborts a command: one that waits is dropped, one that runs goes on without an answer.
+    pub(super) fn abort(&mut self, aborted: TaskRef) {
+        self.waiting.retain(|command| command.origin != aborted);
+        self.running
+            .iter_mut()
+            .map(|r| &mut r.command)
+            .filter(|command| command.origin == aborted)
+            .for_each(|command| command.orphan = true);
+    }
+
+    /// A command gets no answer any more, whether it waits or runs, and is executed nevertheless.
+    pub(super) fn orphan(&mut self, aborted: TaskRef) {
+        let running = self.running.iter_mut().map(|r| &mut r.command);
+        running
+            .chain(&mut self.waiting)
+            .filter(|command| command.origin == aborted)
+            .for_each(|command| command.orphan = true);
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.waiting.clear();
+        self.running.clear();
     }
 }
--- a/crates/lab/src/node/commands.rs
+++ b/crates/lab/src/node/server/commands.rs
@@ -1,10 +1,14 @@
-//! SCSI commands of a stand-in node.
-use super::queue::{PendingProtect, QueuedCommand, TaskRef};
-use super::server::{Server, Transfer};
-use crate::trace::TraceEvent;
+//! SCSI commands of a stand-in node: received, executed and answered.
+use super::Server;
+use crate::node::queue::QueuedCommand;
+use crate::node::transfer::{TaskRef, Transfer};
+use crate::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, Sense, status};
 use rand::RngExt;
 
+/// Work in microseconds below which a command completes at once.
+const MIN_WORK: f64 = 1.0;
+
 /// The logical unit that a node presents whatever its number.
 const LOGICAL_UNIT: LogicalUnit<'static> = LogicalUnit {
     blocks: 1 << 40,
@@ -46,17 +50,17 @@
             return;
         }
         let wrong_length = transfer.write && data.len() as u64 != bytes;
-        if wrong_length || self.rng.random::<f64>() < self.faults.error_rate {
+        if wrong_length || self.rng.random::<f64>() < self.faults.error_rate() {
             return self.answer(origin, status::CHECK_CONDITION, &[]);
         }
-        if transfer.write && self.faults.full && !self.blocks.contains_key(&(lun, transfer.lba)) {
+        if transfer.write && self.faults.is_full() && !self.store.holds(lun, transfer.lba) {
             return self.answer(origin, status::CHECK_CONDITION, &[]);
         }
-        if self.waiting.len() >= self.model.queue {
+        if self.queue.is_full() {
             return self.answer(origin, status::TASK_SET_FULL, &[]);
         }
         let work = units * self.model.unit_work * self.rng.random_range(0.8..1.2);
-        self.waiting.push_back(QueuedCommand {
+        self.queue.push(QueuedCommand {
             origin,
             lun,
             transfer,
@@ -77,9 +81,9 @@
         let Some(transfer) = Transfer::parse(cdb) else {
             return;
         };
-        if self.waiting.len() < self.model.queue && data.len() as u64 == transfer.bytes() {
+        if !self.queue.is_full() && data.len() as u64 == transfer.bytes() {
             let work = self.model.unit_work;
-            self.waiting.push_back(QueuedCommand {
+            self.queue.push(QueuedCommand {
                 origin,
                 lun,
                 transfer,
@@ -94,12 +98,11 @@
     fn set_write_protect(&mut self, origin: TaskRef, lun: u32, data: &[u8]) {
         match scsi::parse_write_protect(data) {
             Some(true) => {
-                self.protected.insert(lun);
-                self.pending_protects.push(PendingProtect { origin, lun });
+                self.protection.protect(origin, lun);
                 self.complete_protects();
             }
             Some(false) => {
-                self.protected.remove(&lun);
+                self.protection.unprotect(lun);
                 self.answer(origin, status::GOOD, &[]);
             }
             None => self.fail(origin, Sense::INVALID_FIELD_IN_CDB),
@@ -110,35 +113,18 @@
         let Some(runs) = scsi::parse_unmap(data) else {
             return self.fail(origin, Sense::INVALID_FIELD_IN_CDB);
         };
-        for (lba, blocks) in runs {
-            let unmapped = lba..lba + u64::from(blocks);
-            self.blocks
-                .retain(|(unit, block), _| *unit != lun || !unmapped.contains(block));
-        }
-        if let Some(session) = self.clients.session_mut(origin.client) {
-            session.complete(origin.task, &[]);
+        self.store.unmap(lun, runs);
+        if let Some(connection) = self.connections.connection_mut(origin.client) {
+            connection.complete(origin.task, &[]);
         }
     }
 
     /// Reports the runs of stored blocks from an address on.
     fn report_mapped(&mut self, origin: TaskRef, lun: u32, from: u64, allocation_len: usize) {
-        let mut mapped: Vec<u64> = self
-            .blocks
-            .keys()
-            .filter(|(unit, lba)| *unit == lun && *lba >= from)
-            .map(|(_, lba)| *lba)
-            .collect();
-        mapped.sort_unstable();
-        let mut runs: Vec<(u64, u32)> = Vec::new();
-        for lba in mapped {
-            match runs.last_mut() {
-                Some((first, count)) if *first + u64::from(*count) == lba => *count += 1,
-                _ => runs.push((lba, 1)),
-            }
-        }
+        let runs = self.store.stored_runs(lun, from);
         let data = scsi::lba_status_data(&runs, allocation_len);
-        if let Some(session) = self.clients.session_mut(origin.client) {
-            session.complete(origin.task, &data);
+        if let Some(connection) = self.connections.connection_mut(origin.client) {
+            connection.complete(origin.task, &data);
         }
     }
 
@@ -154,48 +140,115 @@
         let Some(data) = data else {
             return self.fail(origin, Sense::INVALID_OPERATION_CODE);
         };
-        if let Some(session) = self.clients.session_mut(origin.client) {
-            session.complete(origin.task, &data[..data.len().min(read_len)]);
+        if let Some(connection) = self.connections.connection_mut(origin.client) {
+            connection.complete(origin.task, &data[..data.len().min(read_len)]);
         }
     }
 
     /// Fails a command without a record of it.
-    pub(super) fn fail(&mut self, origin: TaskRef, sense: Sense) {
-        if let Some(session) = self.clients.session_mut(origin.client) {
-            session.complete_with_status(origin.task, status::CHECK_CONDITION, Some(sense), 0);
+    fn fail(&mut self, origin: TaskRef, sense: Sense) {
+        if let Some(connection) = self.connections.connection_mut(origin.client) {
+            connection.complete_with_status(origin.task, status::CHECK_CONDITION, Some(sense), 0);
         }
     }
 
     /// Answers a read or write, and records the answer.
-    pub(super) fn answer(&mut self, origin: TaskRef, status: u8, data: &[u8]) {
-        let TaskRef {
-            client,
-            connection,
-            task,
-        } = origin;
+    fn answer(&mut self, origin: TaskRef, status: u8, data: &[u8]) {
         // The client id may belong to another connection by now.
-        if self
-            .sessions
-            .get(&client)
-            .is_none_or(|session| session.connection != connection)
-        {
+        if !self.connections.is_open(origin) {
             return;
         }
-        let Some(session) = self.clients.session_mut(client) else {
+        let Some(connection) = self.connections.connection_mut(origin.client) else {
             return;
         };
         self.trace.record(TraceEvent::NodeAnswered {
             node: self.index,
-            connection,
-            task,
+            connection: origin.connection,
+            task: origin.task,
             status,
         });
         match status {
-            status::GOOD => session.complete(task, data),
+            status::GOOD => connection.complete(origin.task, data),
             status::CHECK_CONDITION => {
-                session.complete_with_status(task, status, Some(Sense::UNRECOVERED_READ_ERROR), 0);
+                let sense = Some(Sense::UNRECOVERED_READ_ERROR);
+                connection.complete_with_status(origin.task, status, sense, 0);
             }
-            _ => session.complete_with_status(task, status, None, 0),
+            _ => connection.complete_with_status(origin.task, status, None, 0),
+        }
+    }
+
+    /// Completes what is due, and starts what has a core.
+    pub(super) fn serve(&mut self) {
+        if self.faults.is_frozen() {
+            return;
+        }
+        let now = self.trace.now();
+        while let Some(done) = self.queue.take_due(now) {
+            self.finish(&done);
+        }
+        while let Some(command) = self.queue.next_for_core() {
+            self.start(command, now);
+        }
+    }
+
+    fn start(&mut self, command: QueuedCommand, now: Micros) {
+        if command.transfer.write && self.protection.is_protected(command.lun) {
+            return self.reject_protected(&command);
+        }
+        let speed = self.lifecycle().speed_fraction(now, &self.model);
+        let work = command.work * self.faults.slowdown() / speed;
+        if work < MIN_WORK {
+            self.finish(&command);
+        } else {
+            self.queue.run(command, now + work as Micros);
+        }
+    }
+
+    fn reject_protected(&mut self, command: &QueuedCommand) {
+        if command.orphan || !self.connections.is_open(command.origin) {
+            return;
+        }
+        // It has not run and never will, so that it counts as rejected.
+        self.trace.record(TraceEvent::NodeAnswered {
+            node: self.index,
+            connection: command.origin.connection,
+            task: command.origin.task,
+            status: status::BUSY,
+        });
+        self.fail(command.origin, Sense::WRITE_PROTECTED);
+    }
+
+    fn finish(&mut self, command: &QueuedCommand) {
+        let mut data = Vec::new();
+        if command.transfer.write {
+            self.store
+                .write(command.lun, &command.transfer, &command.data);
+        } else {
+            data = self.store.read(command.lun, &command.transfer);
+        }
+        self.complete_protects();
+        if !command.orphan && self.rng.random::<f64>() >= self.faults.loss_rate() {
+            self.answer(command.origin, status::GOOD, &data);
+        }
+    }
+
+    /// Answers requests for write protection whose logical unit has no running writes left.
+    fn complete_protects(&mut self) {
+        for origin in self.protection.take_complete(&self.queue) {
+            self.answer(origin, status::GOOD, &[]);
+        }
+    }
+
+    /// Counts what a node in slow start receives; true once it has crashed from overload.
+    fn overload(&mut self, units: f64) -> bool {
+        let lifecycle = *self.lifecycle();
+        let now = self.trace.now();
+        let overloaded = self.slow_start.receive(units, now, lifecycle, &self.model);
+        if overloaded {
+            self.trace
+                .record(TraceEvent::NodeOverloaded { node: self.index });
+            self.crash();
         }
+        overloaded
     }
 }
--- /dev/null
+++ b/crates/lab/src/node/slow_start.rs
@@ -0,0 +1,49 @@
+//! What a stand-in node receives while it is in slow start, and whether it bears that.
+use super::{Lifecycle, ServiceModel};
+use crate::trace::Micros;
+use std::collections::VecDeque;
+
+/// Overload of a node in slow start.
+#[derive(Default)]
+pub(super) struct SlowStart {
+    /// Units received within the window, with their times.
+    received: VecDeque<(Micros, f64)>,
+    overloaded: bool,
+}
+
+impl SlowStart {
+    /// Counts units that a node receives. True if they overload it.
+    pub(super) fn receive(
+        &mut self,
+        units: f64,
+        now: Micros,
+        lifecycle: Lifecycle,
+        model: &ServiceModel,
+    ) -> bool {
+        let age = now - lifecycle.started_at;
+        if lifecycle.is_first_process() || age > model.warm_up {
+            return false;
+        }
+        self.received.push_back((now, units));
+        let expired = |(at, _): &(Micros, f64)| at + model.overload_window < now;
+        while self.received.front().is_some_and(expired) {
+            self.received.pop_front();
+        }
+        let sum: f64 = self.received.iter().map(|(_, units)| units).sum();
+        if sum > model.overload_units(age) {
+            self.overloaded = true;
+            return true;
+        }
+        false
+    }
+
+    /// Whether the node crashed from overload: it stays down.
+    pub(super) fn is_overloaded(&self) -> bool {
+        self.overloaded
+    }
+
+    /// A new process has received nothing.
+    pub(super) fn on_restart(&mut self) {
+        self.received.clear();
+    }
+}
