--- a/crates/lab/tests/fleet/membership.rs
+++ b/crates/lab/tests/fleet/membership.rs
@@ -29,6 +29,12 @@
         .map(|m| m.state)
 }
 
+fn query_membership(testbed: &mut Testbed, hosts: &[u32]) {
+    for host in hosts {
+        testbed.peers.query_membership(*host);
+    }
+}
+
 /// Queries the observers until each has each of the others in this state.
 fn wait_until_all_see(
     testbed: &mut Testbed,
@@ -40,9 +46,7 @@
     // A table that was requested before may be that of an earlier process.
     let from = testbed.peers.now();
     wait_for(testbed, what, |testbed| {
-        observers
-            .iter()
-            .for_each(|h| testbed.peers.query_membership(*h));
+        query_membership(testbed, observers);
         let fresh = |h: &u32| {
             testbed
                 .peers
@@ -58,18 +62,29 @@
     });
 }
 
-fn started(scenario: &Scenario, seed: u64, hosts: &[u32]) -> (Testbed, tempfile::TempDir) {
-    let (mut testbed, dir) = open(scenario, seed);
+fn wait_until_all_alive(testbed: &mut Testbed, what: &str, hosts: &[u32]) {
+    wait_until_all_see(testbed, what, hosts, hosts, MemberState::Alive);
+}
+
+/// Starts hosts, and waits until all of them see each other.
+fn start_and_wait(testbed: &mut Testbed, hosts: &[u32]) {
     for host in hosts {
         testbed.start(*host).expect("a process");
     }
-    wait_until_all_see(
-        &mut testbed,
-        "all see all",
-        hosts,
-        hosts,
-        MemberState::Alive,
-    );
+    wait_until_all_alive(testbed, "all see all", hosts);
+}
+
+fn started(scenario: &Scenario, seed: u64, hosts: &[u32]) -> (Testbed, tempfile::TempDir) {
+    let (mut testbed, dir) = open(scenario, seed);
+    start_and_wait(&mut testbed, hosts);
+    (testbed, dir)
+}
+
+/// A running fleet of five, and a sixth host that has not started and has the name of the fourth.
+fn started_with_a_namesake(seed: u64) -> (Testbed, tempfile::TempDir) {
+    let (mut testbed, dir) = open(&with_membership(6), seed);
+    testbed.peers.name_numbers[5] = 3;
+    start_and_wait(&mut testbed, &FIVE);
     (testbed, dir)
 }
 
@@ -86,13 +101,7 @@
         MemberState::Unreachable,
     );
     testbed.start(3).expect("a process");
-    wait_until_all_see(
-        &mut testbed,
-        "a start",
-        &[0, 1, 2, 3, 4],
-        &[0, 1, 2, 3, 4],
-        MemberState::Alive,
-    );
+    wait_until_all_alive(&mut testbed, "a start", &[0, 1, 2, 3, 4]);
     finish(testbed);
 }
 
@@ -125,9 +134,7 @@
     testbed.terminate(3);
     let from = testbed.peers.now();
     wait_for(&mut testbed, "leaving", |testbed| {
-        [0, 1, 2, 4]
-            .iter()
-            .for_each(|h| testbed.peers.query_membership(*h));
+        query_membership(testbed, &[0, 1, 2, 4]);
         [0, 1, 2, 4].iter().all(|h| {
             matches!(
                 observed_state(testbed, *h, 3),
@@ -143,24 +150,12 @@
 
 #[test]
 fn a_member_that_returns_at_another_address_replaces_its_old_record() {
-    let (mut testbed, _dir) = open(&with_membership(6), 3);
-    testbed.peers.name_numbers[5] = 3;
-    FIVE.iter()
-        .for_each(|h| testbed.start(*h).expect("a process"));
-    wait_until_all_see(
-        &mut testbed,
-        "all see all",
-        &FIVE,
-        &FIVE,
-        MemberState::Alive,
-    );
+    let (mut testbed, _dir) = started_with_a_namesake(3);
     testbed.kill(3);
     testbed.start(5).expect("a process");
     let address = testbed.peers.addresses.membership_advertise(5);
     wait_for(&mut testbed, "at its new address", |testbed| {
-        [0, 1, 2, 4]
-            .iter()
-            .for_each(|h| testbed.peers.query_membership(*h));
+        query_membership(testbed, &[0, 1, 2, 4]);
         let there = |h: &u32| {
             testbed.peers.last_view(*h).is_some_and(|v| {
                 v.table
@@ -178,17 +173,7 @@
 
 #[test]
 fn on_a_name_conflict_the_earlier_process_is_superseded_and_serves_on() {
-    let (mut testbed, dir) = open(&with_membership(6), 4);
-    testbed.peers.name_numbers[5] = 3;
-    FIVE.iter()
-        .for_each(|h| testbed.start(*h).expect("a process"));
-    wait_until_all_see(
-        &mut testbed,
-        "all see all",
-        &FIVE,
-        &FIVE,
-        MemberState::Alive,
-    );
+    let (mut testbed, dir) = started_with_a_namesake(4);
     testbed.peers.set_clients_active(true);
     testbed.start(5).expect("a process");
     wait_for(
@@ -237,13 +222,7 @@
     );
     testbed.set_paused(2, false);
     let mark = testbed.peers.membership.samples.len();
-    wait_until_all_see(
-        &mut testbed,
-        "all see all again",
-        &FIVE,
-        &FIVE,
-        MemberState::Alive,
-    );
+    wait_until_all_alive(&mut testbed, "all see all again", &FIVE);
     let wrong = testbed.peers.membership.samples[mark..]
         .iter()
         .filter(|v| v.host == 2);
@@ -262,15 +241,7 @@
 #[test]
 fn members_stay_connected_without_seeds_and_new_ones_join_by_a_restarted_seed() {
     let (mut testbed, _dir) = open(&with_membership(6), 6);
-    FIVE.iter()
-        .for_each(|h| testbed.start(*h).expect("a process"));
-    wait_until_all_see(
-        &mut testbed,
-        "all see all",
-        &FIVE,
-        &FIVE,
-        MemberState::Alive,
-    );
+    start_and_wait(&mut testbed, &FIVE);
     testbed.kill(0);
     testbed.kill(1);
     wait_until_all_see(
@@ -280,13 +251,7 @@
         &[0, 1],
         MemberState::Unreachable,
     );
-    wait_until_all_see(
-        &mut testbed,
-        "the others are alive",
-        &[2, 3, 4],
-        &[2, 3, 4],
-        MemberState::Alive,
-    );
+    wait_until_all_alive(&mut testbed, "the others are alive", &[2, 3, 4]);
     testbed.start(5).expect("a process");
     wait_for(&mut testbed, "it is its only member", |testbed| {
         testbed.peers.query_membership(5);
@@ -296,13 +261,7 @@
             .is_some_and(|v| v.table.members.len() == 1)
     });
     testbed.start(1).expect("a process");
-    wait_until_all_see(
-        &mut testbed,
-        "all five",
-        &[1, 2, 3, 4, 5],
-        &[1, 2, 3, 4, 5],
-        MemberState::Alive,
-    );
+    wait_until_all_alive(&mut testbed, "all five", &[1, 2, 3, 4, 5]);
     finish(testbed);
 }
 
@@ -321,17 +280,11 @@
                 &others,
                 MemberState::Unreachable,
             );
-            wait_until_all_see(
-                &mut testbed,
-                "its own side is alive",
-                &side_members,
-                &side_members,
-                MemberState::Alive,
-            );
+            wait_until_all_alive(&mut testbed, "its own side is alive", &side_members);
         }
         partition(&mut testbed, 6, |_, _| false);
         let all: Vec<u32> = (0..6).collect();
-        wait_until_all_see(&mut testbed, "healed", &all, &all, MemberState::Alive);
+        wait_until_all_alive(&mut testbed, "healed", &all);
     }
     finish(testbed);
 }
@@ -383,13 +336,7 @@
     testbed
         .peers
         .set_link(PeerSet::Hosts, PeerSet::Hosts, LinkFault::default());
-    wait_until_all_see(
-        &mut testbed,
-        "all see all",
-        &FIVE,
-        &FIVE,
-        MemberState::Alive,
-    );
+    wait_until_all_alive(&mut testbed, "all see all", &FIVE);
     let lost = testbed.peers.membership.lost;
     assert!(lost > 50, "{lost}");
     finish(testbed);
@@ -408,13 +355,7 @@
             testbed.run_once();
         }
     }
-    wait_until_all_see(
-        &mut testbed,
-        "all see all",
-        &FIVE,
-        &FIVE,
-        MemberState::Alive,
-    );
+    wait_until_all_alive(&mut testbed, "all see all", &FIVE);
     let members = testbed.peers.last_view(2).map(|v| v.table.members.len());
     assert_eq!(members, Some(5));
     finish(testbed);
@@ -438,9 +379,9 @@
     }
     partition(&mut testbed, 8, |_, _| false);
     let all: Vec<u32> = (0..8).collect();
-    wait_until_all_see(&mut testbed, "all see all", &all, &all, MemberState::Alive);
+    wait_until_all_alive(&mut testbed, "all see all", &all);
     wait_for(&mut testbed, "one table", |testbed| {
-        all.iter().for_each(|h| testbed.peers.query_membership(*h));
+        query_membership(testbed, &all);
         let digests: Vec<_> = all
             .iter()
             .map(|h| testbed.peers.last_view(*h).map(|v| v.table.digest))
