--- a/crates/lab/src/fleet/audit.rs
+++ b/crates/audit/src/fleet.rs
@@ -1,14 +1,15 @@
-//! Checks what was observed on the sockets against the rules of a run, over all hosts, and summarizes each second.
-//! It knows nothing of the program's internals.
+//! Judges a fleet of hosts on the users' platform by what was observed on the sockets of their peers: seven rules over
+//! all hosts, and a summary of each second.
 mod client_rules;
 mod node_rules;
+pub mod record;
+pub mod terms;
 mod timeline;
 mod trace;
 
-use super::record::Observation;
-use super::scenario::Scenario;
-use crate::audit::{SLACK, broken_rules};
+use crate::evidence::{RULES, SLACK, broken_rules};
 use crate::trace::Micros;
+use record::Observation;
 use std::fmt;
 use trace::RunTrace;
 
@@ -18,8 +19,6 @@
 /// Seconds in a row, and the fraction of the run's last quarter that each must reach, that count as steady service.
 const STEADY_SECONDS: usize = 3;
 const STEADY_FRACTION: f64 = 0.9;
-/// Rules that are checked.
-const RULES: usize = 7;
 
 /// The rules, by their index in [`Verdict::violations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +62,7 @@
 
 impl SecondSummary {
     /// Operations that clients wanted, with or without a host.
-    pub(super) fn offered(&self) -> u32 {
+    pub fn offered(&self) -> u32 {
         self.requests + self.no_host
     }
 }
@@ -72,7 +71,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// A line for each violation, by [`Rule`].
-    pub violations: [Vec<String>; RULES],
+    pub violations: [Vec<String>; RULES.len()],
     /// Requests sent.
     pub requests: u64,
     /// Requests served.
@@ -162,21 +161,33 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "nodes fallen {}; rules kept: {} of {RULES}; unanswered {}, doubled {}",
+            "nodes fallen {}; rules kept: {} of {}; unanswered {}, doubled {}",
             self.collapses,
             self.rules_upheld(),
+            RULES.len(),
             self.unanswered,
             self.duplicated
         )
     }
 }
 
+/// What the audit needs to know of a run beyond the observations.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Run {
+    /// Number of hosts.
+    pub hosts: u32,
+    /// Units of the largest operation.
+    pub max_operation_units: u32,
+    /// The time over which a cold node counts what it receives, in microseconds.
+    pub overload_window: Micros,
+}
+
 /// Audits a run. `machine_lag`: what a busy machine may have added to any time, as the run measured it.
-pub fn check(scenario: &Scenario, observations: &[Observation], machine_lag: Micros) -> Verdict {
+pub fn check(run: Run, observations: &[Observation], machine_lag: Micros) -> Verdict {
     let mut verdict = Verdict::default();
     let trace = RunTrace::collect(observations, &mut verdict);
     let audit = Audit {
-        scenario,
+        run,
         observations,
         trace,
         slack: SLACK + machine_lag,
@@ -194,7 +205,7 @@
 }
 
 struct Audit<'a> {
-    scenario: &'a Scenario,
+    run: Run,
     observations: &'a [Observation],
     trace: RunTrace,
     /// Tolerance of time limits.
--- a/crates/lab/src/fleet/audit/client_rules.rs
+++ b/crates/audit/src/fleet/client_rules.rs
@@ -1,8 +1,8 @@
 //! Rules on what clients are promised: responses, effects, the order of writes, retries and limits.
 use super::trace::{OperationTrace, Response};
 use super::{Audit, MICROS_PER_MS, ORDER_SLACK, Rule, Verdict};
-use crate::audit::seconds;
-use crate::fleet::host_config::{RETRY_BUDGET, VOLUME_LIMIT};
+use crate::evidence::seconds;
+use crate::fleet::terms::{RETRY_BUDGET, VOLUME_LIMIT, has_limit};
 use crate::trace::Micros;
 use std::collections::BTreeMap;
 
@@ -10,8 +10,6 @@
 const LIMIT_TOLERANCE: f64 = 0.1;
 /// Earlier writes of a key that each write is compared with.
 const COMPARED_WRITES: usize = 8;
-/// One volume in so many has a limit, as in the client load.
-const LIMITED_VOLUME_EVERY: u32 = 3;
 
 impl Audit<'_> {
     /// Rule 1: one response before the deadline, produced by a node if it is a success.
@@ -155,7 +153,7 @@
 
     /// Rule 6: each host's retries within its budget.
     pub(super) fn check_retry_budget(&self) -> Vec<String> {
-        (0..self.scenario.hosts)
+        (0..self.run.hosts)
             .filter_map(|host| self.check_retries_of(host))
             .collect()
     }
@@ -190,7 +188,7 @@
             .trace
             .operations
             .values()
-            .filter(|o| o.volume % LIMITED_VOLUME_EVERY == 0)
+            .filter(|o| has_limit(o.volume))
         {
             if let Some(attempt) = operation.attempts.first() {
                 sent.entry(operation.volume)
@@ -206,7 +204,7 @@
     fn check_limit_of(&self, volume: u32, mut sent: Vec<(Micros, f64)>) -> Option<String> {
         let (limit, burst) = (VOLUME_LIMIT.units_per_second, VOLUME_LIMIT.burst);
         let units_per_micro = limit * (1.0 + LIMIT_TOLERANCE) / 1e6;
-        let tolerance = (burst * LIMIT_TOLERANCE).max(f64::from(self.scenario.load.max_units));
+        let tolerance = (burst * LIMIT_TOLERANCE).max(f64::from(self.run.max_operation_units));
         let tolerance = tolerance + limit * (self.slack as f64 / 1e6);
         sent.sort_by_key(|(at, _)| *at);
         let (mut tokens, mut last) = (burst, 0);
--- a/crates/lab/src/fleet/audit/node_rules.rs
+++ b/crates/audit/src/fleet/node_rules.rs
@@ -1,8 +1,8 @@
 //! Rules on what hosts owe to nodes: none to draining ones, little to cold ones.
 use super::{Audit, MICROS_PER_MS};
-use crate::audit::seconds;
-use crate::fleet::host_config::{DRAIN_GRACE_MS, POLL_DEADLINE_MS};
+use crate::evidence::seconds;
 use crate::fleet::record::{Event, Observation};
+use crate::fleet::terms::{DRAIN_GRACE_MS, POLL_DEADLINE_MS};
 use crate::trace::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -178,7 +178,7 @@
                         host,
                         units: f64::from(units),
                     });
-                    let span = self.scenario.node_model.overload_window;
+                    let span = self.run.overload_window;
                     while recent.front().is_some_and(|load| load.at + span < *at) {
                         recent.pop_front();
                     }
--- a/crates/lab/src/fleet/audit/trace.rs
+++ b/crates/audit/src/fleet/trace.rs
@@ -1,8 +1,8 @@
 //! Observations by operation and by host process.
 use super::{Rule, Verdict};
-use crate::audit::seconds;
-use crate::fleet::host_config::{READ_OBJECTIVE_MS, WRITE_OBJECTIVE_MS};
+use crate::evidence::seconds;
 use crate::fleet::record::{Event, Observation, Termination};
+use crate::fleet::terms::{READ_OBJECTIVE_MS, WRITE_OBJECTIVE_MS};
 use crate::trace::Micros;
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/fleet/membership_audit.rs
+++ b/crates/audit/src/membership.rs
@@ -1,11 +1,10 @@
 //! Checks the hosts' membership tables against what was done to the hosts: all tables converge after the last fault,
 //! no running host in reach is held unreachable, no killed host goes undetected, and no member that left comes back.
-//! It knows nothing of the program's internals.
 mod history;
 
-use super::peers::MembershipSample;
-use super::record::{Event, Observation};
-use super::scenario::Scenario;
+pub use history::{HostLinks, LinkCondition, LinksSince, Pause};
+
+use crate::fleet::record::{Event, Observation};
 use crate::trace::Micros;
 use history::FaultHistory;
 use mallowseam_fleet::MemberState;
@@ -30,6 +29,47 @@
 const MAX_DIFFERENCES: usize = 5;
 const MAX_OTHER_EVIDENCE: usize = 10;
 
+/// A member in a sample.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SampledMember {
+    /// The member's index.
+    pub host: u32,
+    /// Its state.
+    pub state: MemberState,
+    /// Its generation.
+    pub generation: u64,
+}
+
+/// Summary of a host's membership table.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MembershipSample {
+    /// When it was requested.
+    pub requested_at: Micros,
+    /// The host that reported it.
+    pub host: u32,
+    /// Digest of the table.
+    pub digest: u64,
+    /// Its members.
+    pub members: Vec<SampledMember>,
+}
+
+/// A run, and what was done to its hosts. Times in microseconds.
+#[derive(Clone, Debug)]
+pub struct Run<L> {
+    /// Number of hosts.
+    pub hosts: u32,
+    /// Duration of the run; then all hosts are terminated.
+    pub duration: Micros,
+    /// Protocol period.
+    pub period: Micros,
+    /// When a fault of any kind began or ended.
+    pub fault_times: Vec<Micros>,
+    /// For how long hosts were stopped by SIGSTOP.
+    pub pauses: Vec<Pause>,
+    /// The links between hosts, from the start of the run on and from each change on, by time.
+    pub links: Vec<LinksSince<L>>,
+}
+
 /// The result of the check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipVerdict {
@@ -103,20 +143,20 @@
 }
 
 /// Checks the samples of all hosts. `observations`: when hosts started and stopped.
-pub fn check(
-    scenario: &Scenario,
+pub fn check<L: HostLinks>(
+    run: &Run<L>,
     observations: &[Observation],
     samples: &[MembershipSample],
 ) -> MembershipVerdict {
     // All hosts are terminated when the run is over.
     let samples: Vec<&MembershipSample> = samples
         .iter()
-        .filter(|s| s.requested_at < scenario.duration)
+        .filter(|s| s.requested_at < run.duration)
         .collect();
     let audit = MembershipAudit {
-        scenario,
-        period: scenario.membership.map_or(1.0, |m| m.period as f64),
-        history: FaultHistory::new(scenario, observations),
+        run,
+        period: run.period as f64,
+        history: FaultHistory::new(observations, &run.pauses, &run.links),
         samples,
     };
     let mut verdict = MembershipVerdict::default();
@@ -127,11 +167,11 @@
     verdict
 }
 
-struct MembershipAudit<'a> {
-    scenario: &'a Scenario,
+struct MembershipAudit<'a, L> {
+    run: &'a Run<L>,
     /// Protocol period in microseconds.
     period: f64,
-    history: FaultHistory,
+    history: FaultHistory<'a, L>,
     samples: Vec<&'a MembershipSample>,
 }
 
@@ -154,7 +194,7 @@
     alive == *running && !sample.members.iter().any(|m| is_transient(m.state))
 }
 
-impl MembershipAudit<'_> {
+impl<L: HostLinks> MembershipAudit<'_, L> {
     fn periods(&self, periods: f64) -> Micros {
         (periods * self.period) as Micros
     }
@@ -169,7 +209,7 @@
     }
 
     fn check_convergence(&self, verdict: &mut MembershipVerdict) {
-        let running = self.history.running_through(self.scenario.duration);
+        let running = self.history.running_through(self.run.duration);
         let mut last: BTreeMap<u32, &MembershipSample> = BTreeMap::new();
         for sample in self.samples.iter().filter(|s| running.contains(&s.host)) {
             last.insert(sample.host, sample);
@@ -180,7 +220,7 @@
         verdict.differences = last
             .values()
             .filter(|s| !converged(s))
-            .map(|s| describe_difference(s, &running, self.scenario.hosts))
+            .map(|s| describe_difference(s, &running, self.run.hosts))
             .collect();
         verdict.converged_hosts = last.values().filter(|s| converged(s)).count();
         verdict.running_hosts = running.len();
@@ -194,14 +234,13 @@
             .max()
             .unwrap_or(0);
         verdict.convergence_seconds = longest as f64 / 1e6;
-        verdict.convergence_bound_seconds =
-            convergence_periods(self.scenario.hosts) * self.period / 1e6;
+        verdict.convergence_bound_seconds = convergence_periods(self.run.hosts) * self.period / 1e6;
     }
 
     fn last_fault_at(&self) -> Micros {
-        let times = self.scenario.faults.iter().map(|fault| fault.at);
+        let times = self.run.fault_times.iter().copied();
         times
-            .filter(|at| *at < self.scenario.duration)
+            .filter(|at| *at < self.run.duration)
             .max()
             .unwrap_or(0)
     }
@@ -232,7 +271,7 @@
     /// Hosts that were killed for longer than their detection takes, and were still held alive by one that ran all the
     /// while.
     fn undetected_kills(&self) -> Vec<String> {
-        let detection = self.periods(detection_periods(self.scenario.hosts));
+        let detection = self.periods(detection_periods(self.run.hosts));
         let mut undetected = Vec::new();
         for killed in self.history.runs.iter().filter(|run| run.killed) {
             let restarted_at = self.history.next_start(killed);
--- a/crates/lab/src/fleet/membership_audit/history.rs
+++ b/crates/audit/src/membership/history.rs
@@ -1,7 +1,5 @@
 //! What was done to hosts and to the links between them, by time.
-use crate::fleet::links::{Links, Peer};
 use crate::fleet::record::{Event, Observation, Termination};
-use crate::fleet::scenario::{FaultAction, Scenario};
 use crate::trace::Micros;
 use std::collections::BTreeSet;
 
@@ -20,30 +18,58 @@
 }
 
 /// A time for which a host was stopped by SIGSTOP.
-struct Pause {
-    host: u32,
-    from: Micros,
-    to: Micros,
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Pause {
+    /// The host.
+    pub host: u32,
+    /// When it was stopped.
+    pub from: Micros,
+    /// When it was resumed; none if it never was.
+    pub to: Option<Micros>,
+}
+
+/// What one direction of a link does to a message that is sent now.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LinkCondition {
+    /// Nothing passes.
+    pub blocked: bool,
+    /// The longest that it takes, in microseconds.
+    pub max_delay: Micros,
+    /// Fraction of datagrams that are lost.
+    pub loss: f64,
+}
+
+/// The links between hosts at some time.
+pub trait HostLinks {
+    /// The condition of the direction from one host to another, by their indexes.
+    fn condition(&self, from: u32, to: u32) -> LinkCondition;
 }
 
-/// The faults of links from a time on.
-struct LinkState {
-    from: Micros,
-    links: Links,
+/// The links between hosts from a time on.
+#[derive(Clone, Debug)]
+pub struct LinksSince<L> {
+    /// When they became so.
+    pub from: Micros,
+    /// The links.
+    pub links: L,
 }
 
-pub(super) struct FaultHistory {
+pub(super) struct FaultHistory<'a, L> {
     pub runs: Vec<HostRun>,
-    pauses: Vec<Pause>,
-    links: Vec<LinkState>,
+    pauses: &'a [Pause],
+    links: &'a [LinksSince<L>],
 }
 
-impl FaultHistory {
-    pub fn new(scenario: &Scenario, observations: &[Observation]) -> Self {
+impl<'a, L: HostLinks> FaultHistory<'a, L> {
+    pub fn new(
+        observations: &[Observation],
+        pauses: &'a [Pause],
+        links: &'a [LinksSince<L>],
+    ) -> Self {
         FaultHistory {
             runs: host_runs(observations),
-            pauses: pauses(scenario),
-            links: link_states(scenario),
+            pauses,
+            links,
         }
     }
 
@@ -75,22 +101,22 @@
             && !self
                 .pauses
                 .iter()
-                .any(|p| p.host == host && p.from < to && p.to > from)
+                .any(|p| p.host == host && p.from < to && p.to.is_none_or(|end| end > from))
     }
 
     /// Whether two hosts reached each other all the time. `period`: the protocol period in microseconds.
     pub fn reached(&self, a: u32, b: u32, from: Micros, to: Micros, period: f64) -> bool {
-        let in_force = |(index, state): &(usize, &LinkState)| {
+        let in_force = |(index, state): &(usize, &LinksSince<L>)| {
             state.from < to
                 && self
                     .links
                     .get(index + 1)
                     .is_none_or(|next| next.from > from)
         };
-        let connected = |links: &Links, from: u32, to: u32| {
-            let fault = links.fault_between(Peer::Host(from), Peer::Host(to));
-            let slow = (fault.latency + fault.jitter) as f64 > MAX_LATENCY_PERIODS * period;
-            !fault.blocks() && fault.loss <= MAX_LOSS && !slow
+        let connected = |links: &L, from: u32, to: u32| {
+            let condition = links.condition(from, to);
+            let slow = condition.max_delay as f64 > MAX_LATENCY_PERIODS * period;
+            !condition.blocked && condition.loss <= MAX_LOSS && !slow
         };
         self.links
             .iter()
@@ -123,46 +149,3 @@
     }
     runs
 }
-
-fn pauses(scenario: &Scenario) -> Vec<Pause> {
-    let mut pauses: Vec<Pause> = Vec::new();
-    for fault in &scenario.faults {
-        match fault.action {
-            FaultAction::PauseHosts(range) => {
-                let pause = |host| Pause {
-                    host,
-                    from: fault.at,
-                    to: Micros::MAX,
-                };
-                pauses.extend((range.start..range.end.min(scenario.hosts)).map(pause));
-            }
-            FaultAction::ResumeHosts(range) => {
-                for host in range.start..range.end.min(scenario.hosts) {
-                    if let Some(pause) = pauses.iter_mut().rev().find(|p| p.host == host) {
-                        pause.to = fault.at;
-                    }
-                }
-            }
-            _ => {}
-        }
-    }
-    pauses
-}
-
-fn link_states(scenario: &Scenario) -> Vec<LinkState> {
-    let mut links = Links::new(scenario.zones);
-    let mut states = vec![LinkState {
-        from: 0,
-        links: links.clone(),
-    }];
-    for scheduled in &scenario.faults {
-        if let FaultAction::SetLink { from, to, fault } = scheduled.action {
-            links.set(from, to, fault);
-            states.push(LinkState {
-                from: scheduled.at,
-                links: links.clone(),
-            });
-        }
-    }
-    states
-}
--- a/crates/lab/src/audit.rs
+++ b/crates/audit/src/rehearsal.rs
@@ -1,5 +1,5 @@
-//! Judges a run by what passed on the sockets of clients, nodes and the endpoint list service: seven rules over all
-//! hosts, and that each block read shows a write that may be the last there. Uses nothing of the program's insides.
+//! Judges hosts behind iSCSI by the trace of a run: seven rules over all hosts, and that each block read shows a write
+//! that may be the last there.
 mod budgets;
 mod commands;
 mod data;
@@ -8,17 +8,14 @@
 mod ordering;
 mod verdict;
 
-pub use verdict::{ClassCount, CommandOutcome, RULES, Verdict};
-pub(crate) use verdict::{broken_rules, seconds};
+pub use verdict::{ClassCount, CommandOutcome, Verdict};
 
-use crate::node::ServiceModel;
+use crate::service_model::ServiceModel;
 use crate::trace::{Micros, TraceEntry};
 use commands::Command;
 use mallowseam_settings::GatewayConfig;
 use std::collections::{BTreeMap, HashMap};
 
-/// What the network and a busy machine may add between two sockets.
-pub(crate) const SLACK: Micros = 250_000;
 /// How long a host may take to act on the news that a node drains.
 const DRAIN_GRACE: Micros = 250_000;
 /// Part by which a limit may be exceeded, or one of the largest block I/Os.
@@ -27,7 +24,7 @@
 const COOLDOWN_SLACK: Micros = 150_000;
 
 /// GROUP NUMBER of extent copies and of what is read back at the end, which no client uses.
-pub(crate) const EXTENT_COPY_GROUP: u8 = 31;
+pub const EXTENT_COPY_GROUP: u8 = 31;
 
 /// A limit and its burst, from the request for it until all hosts apply a later one.
 #[derive(Clone, Copy, Debug)]
--- a/crates/lab/src/audit/budgets.rs
+++ b/crates/audit/src/rehearsal/budgets.rs
@@ -1,7 +1,9 @@
 //! Rules 6 and 7: the retry budget of each host, and the limits of volumes over all hosts.
 use super::commands::Attempt;
-use super::verdict::{Rule, seconds};
-use super::{Audit, EffectiveLimit, LIMIT_SLACK, SLACK};
+use super::verdict::Rule;
+use super::{Audit, EffectiveLimit, LIMIT_SLACK};
+use crate::evidence::SLACK;
+use crate::evidence::seconds;
 use crate::trace::Micros;
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/lab/src/audit/commands.rs
+++ b/crates/audit/src/rehearsal/commands.rs
@@ -1,6 +1,7 @@
 //! Commands put together from the record: what a client sent, its attempts at nodes, and its answer.
-use super::verdict::{Rule, Verdict, seconds};
+use super::verdict::{Rule, Verdict};
 use super::{Audit, EXTENT_COPY_GROUP};
+use crate::evidence::seconds;
 use crate::trace::{Micros, TraceEntry, TraceEvent};
 use mallowseam_iscsi::scsi::status;
 use mallowseam_settings::config::{self, Direction};
--- a/crates/lab/src/audit/data.rs
+++ b/crates/audit/src/rehearsal/data.rs
@@ -1,7 +1,7 @@
 //! What reads and snapshots show: each block one that may be the last write there.
 use super::Audit;
 use super::commands::Command;
-use super::verdict::seconds;
+use crate::evidence::seconds;
 use crate::trace::{Micros, TraceEntry, TraceEvent};
 use mallowseam_settings::config::Idempotency;
 use std::collections::HashMap;
--- a/crates/lab/src/audit/delivery.rs
+++ b/crates/audit/src/rehearsal/delivery.rs
@@ -1,7 +1,9 @@
 //! Rules 1 and 2: one final answer for each command, and no effect twice.
+use super::Audit;
 use super::commands::Command;
-use super::verdict::{Rule, seconds};
-use super::{Audit, SLACK};
+use super::verdict::Rule;
+use crate::evidence::SLACK;
+use crate::evidence::seconds;
 use crate::trace::{Micros, TraceEntry, TraceEvent};
 use mallowseam_settings::config::Idempotency;
 use std::collections::BTreeMap;
--- a/crates/lab/src/audit/nodes.rs
+++ b/crates/audit/src/rehearsal/nodes.rs
@@ -1,6 +1,8 @@
 //! Rules 3 and 4: nothing new for draining nodes, and no warming node overloaded.
-use super::verdict::{Rule, seconds};
-use super::{Audit, DRAIN_GRACE, SLACK};
+use super::verdict::Rule;
+use super::{Audit, DRAIN_GRACE};
+use crate::evidence::SLACK;
+use crate::evidence::seconds;
 use crate::trace::{Micros, TraceEntry, TraceEvent};
 use std::collections::HashMap;
 
--- a/crates/lab/src/audit/ordering.rs
+++ b/crates/audit/src/rehearsal/ordering.rs
@@ -1,7 +1,8 @@
 //! Rule 5: block I/Os of one key run one at a time, in the order in which the host took them.
 use super::commands::{Attempt, Command};
-use super::verdict::{Rule, seconds};
+use super::verdict::Rule;
 use super::{Audit, COOLDOWN_SLACK};
+use crate::evidence::seconds;
 use crate::trace::Micros;
 use std::collections::BTreeMap;
 
--- a/crates/lab/src/audit/verdict.rs
+++ b/crates/audit/src/rehearsal/verdict.rs
@@ -1,21 +1,8 @@
 //! What the audit found: violations of the rules, wrong data, and the counts of a run.
+use crate::evidence::{EVIDENCE_LIMIT, RULES, broken_rules};
 use crate::trace::Micros;
 use std::fmt;
 
-/// Lines of evidence shown for each rule.
-const EVIDENCE_LIMIT: usize = 5;
-
-/// The rules, in the order of [`Verdict::violations`].
-pub const RULES: [&str; 7] = [
-    "one final answer",
-    "no effect twice",
-    "drains kept",
-    "cold nodes not pushed over",
-    "order kept",
-    "budget kept",
-    "limits kept",
-];
-
 /// Index of a rule in [`RULES`] and [`Verdict::violations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rule {
@@ -66,7 +53,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// Evidence against each rule of [`RULES`].
-    pub violations: [Vec<String>; 7],
+    pub violations: [Vec<String>; RULES.len()],
     /// Blocks read that show what was not last written there.
     pub wrong_data: Vec<String>,
     /// Commands that were completed, shed, failed or left unanswered.
@@ -168,24 +155,3 @@
         )
     }
 }
-
-/// A few lines of evidence for each rule that was broken.
-pub(crate) fn broken_rules(violations: &[Vec<String>; 7]) -> Vec<String> {
-    let evidence = |(rule, lines): (&'static str, &Vec<String>)| -> Vec<String> {
-        lines
-            .iter()
-            .take(EVIDENCE_LIMIT)
-            .map(|line| format!("broken: {rule}: {line}"))
-            .collect()
-    };
-    RULES
-        .into_iter()
-        .zip(violations)
-        .flat_map(evidence)
-        .collect()
-}
-
-/// A time in seconds, to the millisecond.
-pub(crate) fn seconds(at: Micros) -> String {
-    format!("{}.{:03} s", at / 1_000_000, at / 1000 % 1000)
-}
--- a/crates/lab/src/node/model.rs
+++ b/crates/audit/src/service_model.rs
@@ -1,4 +1,5 @@
-//! What a stand-in node can do: its speed, its queue, and how it warms up.
+//! What a node of a run can do: its speed, its queue, and how it warms up. Stand-ins follow it, and the audit knows by
+//! it how much a node in slow start bears.
 use crate::trace::Micros;
 
 /// Service model of a node.
--- a/crates/lab/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -182,7 +182,7 @@
     }
 
     /// Whether events are recorded.
-    pub(crate) fn is_recording(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         self.recording
     }
 
--- /dev/null
+++ b/crates/audit/tests/fleet/main.rs
@@ -0,0 +1,3 @@
+//! The audit of a fleet: rules, and the measurements beside them.
+mod rules;
+mod steady_service;
--- a/crates/lab/tests/fleet/audit.rs
+++ b/crates/audit/tests/fleet/rules.rs
@@ -1,9 +1,13 @@
 //! Fabricated observations: a violation of each rule is found, and a clean run has none.
-use crate::support::changed;
-use mallowseam_lab::fleet::audit::{Rule, check};
-use mallowseam_lab::fleet::record::{Event, Observation, Termination};
+use mallowseam_audit::fleet::record::{Event, Observation, Termination};
+use mallowseam_audit::fleet::{Rule, Run, check};
 
 const MS: u64 = 1_000;
+const RUN: Run = Run {
+    hosts: 5,
+    max_operation_units: 4,
+    overload_window: 1_000 * MS,
+};
 const RULES: [Rule; 7] = [
     Rule::Responses,
     Rule::Effects,
@@ -70,7 +74,7 @@
 fn violated(mut record: Vec<Observation>) -> Vec<Rule> {
     record.insert(0, observed(0, Event::HostStarted { host: 0 }));
     record.sort_by_key(|o| o.at);
-    let verdict = check(&changed(&[]), &record, 0);
+    let verdict = check(RUN, &record, 0);
     RULES
         .into_iter()
         .filter(|rule| !verdict.violations[*rule as usize].is_empty())
--- a/crates/lab/tests/fleet_model/audit.rs
+++ b/crates/audit/tests/fleet/steady_service.rs
@@ -1,4 +1,5 @@
-use mallowseam_lab::fleet::audit::{SecondSummary, Verdict};
+//! When service counts as steady again.
+use mallowseam_audit::fleet::{SecondSummary, Verdict};
 
 fn steady_from(within_objective: &[u32]) -> Option<usize> {
     let second = |n: &u32| SecondSummary {
--- a/crates/lab/tests/audit/budgets.rs
+++ b/crates/audit/tests/rehearsal/budgets.rs
@@ -1,9 +1,9 @@
 //! Rules 6 and 7: retry budgets and limits.
 use crate::record::sound_record;
+use mallowseam_audit::rehearsal::EffectiveLimit;
+use mallowseam_audit::rehearsal::Layout;
+use mallowseam_audit::trace::Micros;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::audit::EffectiveLimit;
-use mallowseam_lab::audit::Layout;
-use mallowseam_lab::trace::Micros;
 
 #[test]
 fn retries_beyond_the_budget_are_reported() {
--- a/crates/lab/tests/audit/data.rs
+++ b/crates/audit/tests/rehearsal/data.rs
@@ -1,7 +1,7 @@
 //! What reads and snapshots show.
 use crate::record::sound_record;
+use mallowseam_audit::trace::TraceEvent;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::trace::TraceEvent;
 
 #[test]
 fn read_that_does_not_show_the_last_write_is_reported() {
--- a/crates/lab/tests/audit/delivery.rs
+++ b/crates/audit/tests/rehearsal/delivery.rs
@@ -1,7 +1,7 @@
 //! Rules 1 and 2: one final answer, and no effect twice.
 use crate::record::sound_record;
+use mallowseam_audit::trace::TraceEvent;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::trace::TraceEvent;
 
 #[test]
 fn sound_record_has_no_violation() {
--- a/crates/lab/tests/audit/nodes.rs
+++ b/crates/audit/tests/rehearsal/nodes.rs
@@ -1,6 +1,6 @@
 //! Rules 3 and 4: draining and warming nodes.
 use crate::record::sound_record;
-use mallowseam_lab::trace::TraceEvent;
+use mallowseam_audit::trace::TraceEvent;
 
 #[test]
 fn attempt_at_a_draining_node_is_reported_after_the_grace() {
--- a/crates/lab/tests/audit/ordering.rs
+++ b/crates/audit/tests/rehearsal/ordering.rs
@@ -1,7 +1,7 @@
 //! Rule 5: order of block I/Os of one key.
 use crate::record::sound_record;
+use mallowseam_audit::trace::TraceEvent;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::trace::TraceEvent;
 
 #[test]
 fn overlapping_and_reordered_writes_of_a_key_are_reported() {
--- a/crates/lab/tests/pinned/verdicts.rs
+++ b/crates/audit/tests/rehearsal/pinned_verdicts.rs
@@ -1,63 +1,14 @@
-//! Verdicts of the audit over seeded records.
-use crate::digest::{pinned, service_model};
-use crate::record::record;
-use mallowseam_lab::audit::{EffectiveLimit, Layout, Verdict, judge};
+//! Verdicts of the audit over seeded records, pinned as the code gave them before its names and modules changed.
+use crate::seeded_record::record;
+use crate::site::{service_model, site};
+use mallowseam_audit::rehearsal::{EffectiveLimit, Layout, Verdict, judge};
+use mallowseam_test_support::Digest;
 use std::fmt::Write;
 
-const SITE: &str = "
-host gw0
-    listen 127.0.0.1:1
-    target iqn.t
-    node-list static
-    window 8
-    connections 8
-    longest 1MiB
-fleet
-    hosts 2
-    unit 4KiB
-    mean-units 1
-    largest-units 2
-    submits 3
-    order-rest 200ms
-    cold 25% 4s 2 1s 2
-    further 2 10% 10s
-plan basic
-    limit 4/s burst 6
-plan free
-group lookup
-    effect idempotent
-    goal 200ms
-    hard-limit 1s
-group post
-    effect side-effecting
-    goal 250ms
-    hard-limit 2s
-    ordered
-volume a
-    lun 0
-    plan free
-    blocks 64
-    block-size 512B
-    hosts 2
-    extent 0 64 node0 at 0
-    rule read lookup
-    rule write post key 8
-volume b
-    lun 1
-    plan basic
-    blocks 64
-    block-size 512B
-    hosts 2
-    extent 0 64 node1 at 0
-    rule read lookup
-    rule write post key 8
-node node0
-    address 127.0.0.1:2
-    target iqn.n0
-node node1
-    address 127.0.0.1:3
-    target iqn.n1
-";
+/// Limit of the plan `basic` in the pinned records.
+const PLAN_LIMIT: &str = "limit 4/s burst 6";
+/// The digest of all verdicts at 01f3988.
+const PINNED_DIGEST: u64 = 0xffa9_811d_54fe_8be6;
 
 fn verdict_text(v: &Verdict) -> String {
     // Hosts are checked in no fixed order, so the order of lines is no part of the pin.
@@ -119,7 +70,7 @@
 
 #[test]
 fn verdicts_over_seeded_records() {
-    let site = mallowseam_settings::parse("site", SITE).expect("sound");
+    let site = site(PLAN_LIMIT);
     let window = |from, until, limit, burst| EffectiveLimit {
         from,
         until,
@@ -150,5 +101,13 @@
         broken.iter().all(|n| (20..=2_380).contains(n)),
         "each rule is kept and broken: {broken:?}"
     );
-    pinned("verdicts", &out, 0xffa9_811d_54fe_8be6);
+    let mut digest = Digest::default();
+    digest.add_bytes(out.as_bytes());
+    let found = digest.value();
+    assert_eq!(
+        found,
+        PINNED_DIGEST,
+        "{found:#018x}, text begins\n{}",
+        &out[..out.len().min(600)]
+    );
 }
--- a/crates/lab/tests/audit/record.rs
+++ b/crates/audit/tests/rehearsal/record.rs
@@ -1,70 +1,12 @@
 //! Records of runs, written step by step.
+use crate::site::{service_model, site};
+use mallowseam_audit::rehearsal::{Layout, Verdict, judge};
+use mallowseam_audit::trace::{Micros, TraceEntry, TraceEvent};
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::audit::Layout;
-use mallowseam_lab::audit::Verdict;
-use mallowseam_lab::audit::judge;
-use mallowseam_lab::node::ServiceModel;
-use mallowseam_lab::trace::Micros;
-use mallowseam_lab::trace::TraceEntry;
-use mallowseam_lab::trace::TraceEvent;
-use mallowseam_settings::GatewayConfig;
-
-pub(crate) const SITE: &str = "
-host gw0
-    listen 127.0.0.1:1
-    target iqn.t
-    node-list static
-    window 8
-    connections 8
-    longest 1MiB
-fleet
-    hosts 2
-    unit 4KiB
-    mean-units 1
-    largest-units 2
-    submits 3
-    order-rest 200ms
-    cold 25% 4s 2 1s 2
-    further 2 10% 10s
-plan basic
-    limit 2/s burst 4
-plan free
-group lookup
-    effect idempotent
-    goal 200ms
-    hard-limit 1s
-group post
-    effect side-effecting
-    goal 250ms
-    hard-limit 2s
-    ordered
-volume a
-    lun 0
-    plan free
-    blocks 64
-    block-size 512B
-    hosts 2
-    extent 0 64 node0 at 0
-    rule read lookup
-    rule write post key 8
-volume b
-    lun 1
-    plan basic
-    blocks 64
-    block-size 512B
-    hosts 2
-    extent 0 64 node1 at 0
-    rule read lookup
-    rule write post key 8
-node node0
-    address 127.0.0.1:2
-    target iqn.n0
-node node1
-    address 127.0.0.1:3
-    target iqn.n1
-";
 
 pub(crate) const MS: Micros = 1_000;
+/// Limit of the plan `basic` in these records.
+const PLAN_LIMIT: &str = "limit 2/s burst 4";
 
 /// Builds the record of a run step by step; times are in milliseconds.
 #[derive(Default)]
@@ -193,21 +135,9 @@
     }
 
     pub(crate) fn judge_with(&self, places: &Layout) -> Verdict {
-        let site: GatewayConfig = mallowseam_settings::parse("site", SITE).expect("sound");
-        let model = ServiceModel {
-            cores: 1,
-            unit_work: 100_000.0,
-            unit_bytes: 4096,
-            queue: 8,
-            initial_speed: 0.25,
-            warm_up: 4_000_000,
-            overload_factor: 2.0,
-            overload_window: 1_000_000,
-            tolerated_units: 2.0,
-        };
         let mut seen = self.seen.clone();
         seen.sort_by_key(|s| s.at);
-        judge(&site, &model, &seen, places)
+        judge(&site(PLAN_LIMIT), &service_model(), &seen, places)
     }
 
     /// Numbers of the violated rules; 8 means wrong data.
--- a/crates/lab/tests/pinned/record.rs
+++ b/crates/audit/tests/rehearsal/seeded_record.rs
@@ -1,6 +1,6 @@
 //! Records of runs that a seed draws. The order and the types of the draws are part of the pins.
+use mallowseam_audit::trace::{TraceEntry, TraceEvent};
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::trace::{TraceEntry, TraceEvent};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/lab/src/benchmark/clients.rs
+++ b/crates/lab/src/benchmark/clients.rs
@@ -1,9 +1,9 @@
 //! Clients that keep commands in flight for the seconds of a phase.
 use super::{Options, VOLUME_BLOCKS};
-use crate::block;
 use crate::blocking_client::{BlockingClient, ClientError};
 use crate::error::RunError;
 use hdrhistogram::Histogram;
+use mallowseam_audit::block;
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi::{self, status};
 use rand::{RngExt, SeedableRng};
--- a/crates/lab/src/cli/fleet_rehearsal.rs
+++ b/crates/lab/src/cli/fleet_rehearsal.rs
@@ -1,8 +1,9 @@
 //! `rehearse` of a fleet.
 use super::{CommandResult, Finding, RehearseOptions};
+use mallowseam_audit::membership;
 use mallowseam_lab::fleet::outcome::Outcome;
 use mallowseam_lab::fleet::scenario::{self, IndexRange, Scenario};
-use mallowseam_lab::fleet::{fault_schedule, membership_audit, processes, testbed};
+use mallowseam_lab::fleet::{fault_schedule, processes, testbed};
 use std::error::Error;
 
 /// A script that each seed draws anew, and its usual number of hosts.
@@ -106,8 +107,11 @@
     if name == STORM {
         // Polls are many here as hosts come and go, and are not what is tried.
         let mut evidence = outcome.violations();
-        let membership =
-            membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples);
+        let membership = membership::check(
+            &scenario.membership_run(),
+            &outcome.observations,
+            &outcome.membership_samples,
+        );
         let verdict = &outcome.verdict;
         evidence.extend(membership.evidence());
         println!(
@@ -129,7 +133,11 @@
     {
         println!(
             "{}",
-            membership_audit::check(scenario, &outcome.observations, &outcome.membership_samples)
+            membership::check(
+                &scenario.membership_run(),
+                &outcome.observations,
+                &outcome.membership_samples
+            )
         );
     }
     println!("{}", outcome.summary(scenario));
--- a/crates/lab/src/cli/models.rs
+++ b/crates/lab/src/cli/models.rs
@@ -1,7 +1,7 @@
 //! `model`: fleets in simulated time.
 use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
+use mallowseam_audit::membership::convergence_periods;
 use mallowseam_lab::cold_start_model::{self, ColdStartCase};
-use mallowseam_lab::fleet::membership_audit::convergence_periods;
 use mallowseam_lab::fleet::peers::NOTIFICATION_DEADLINE;
 use mallowseam_lab::membership::measurements::{self, Measurements, Protocol};
 use mallowseam_lab::plots::{self, HorizontalScale};
--- a/crates/lab/src/cli/rehearsal_report.rs
+++ b/crates/lab/src/cli/rehearsal_report.rs
@@ -1,5 +1,5 @@
 //! What is printed of a rehearsal. Scripts read the last lines: their form stays.
-use mallowseam_lab::audit::{ClassCount, Verdict};
+use mallowseam_audit::rehearsal::{ClassCount, Verdict};
 use mallowseam_lab::rehearsal::{ChangeLogReport, Outcome, Rollouts, SnapshotReport};
 
 pub(super) fn print(outcome: &Outcome, quiet: bool) {
--- a/crates/lab/src/cold_start_model.rs
+++ b/crates/lab/src/cold_start_model.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
 use crate::plots::{self, HorizontalScale, WriteError};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{
--- a/crates/lab/src/endpoint_list_service.rs
+++ b/crates/lab/src/endpoint_list_service.rs
@@ -1,5 +1,5 @@
 //! A stand-in for the endpoint list service: knows which nodes run, and notifies hosts of it late.
-use crate::trace::{Micros, Trace, TraceEvent};
+use mallowseam_audit::trace::{Micros, Trace, TraceEvent};
 use mallowseam_endpoint_list::{Endpoint, EndpointState, ListVersion, UpdateKind, write_update};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -6,23 +6,20 @@
 //!   without sockets or clocks. The cold-start model in simulated time uses the same queue.
 //! - [`peers`]: their sockets, on one event loop. [`processes`]: the host processes.
 //! - [`testbed`]: plays a scenario. [`outcome`]: what a run brought, and its report.
-//! - [`record`], [`audit`]: what was observed on the sockets, and the rules that it is checked against.
-//! - [`membership_audit`]: the hosts' membership tables, checked against the faults of the run.
+//! - [`audit_input`]: what `mallowseam-audit` needs to know of a scenario to judge its run.
 #![warn(missing_docs)]
 
 pub mod addresses;
-pub mod audit;
+pub mod audit_input;
 pub mod client_load;
 pub mod discovery_queue;
 pub mod error;
 pub mod fault_schedule;
 pub mod host_config;
 pub mod links;
-pub mod membership_audit;
 pub mod outcome;
 pub mod peers;
 pub mod processes;
-pub mod record;
 pub mod scenario;
 pub mod simulated_node;
 pub mod testbed;
--- /dev/null
+++ b/crates/lab/src/fleet/audit_input.rs
@@ -0,0 +1,94 @@
+//! What the audits need to know of a scenario, in their terms.
+use super::links::{Links, Peer};
+use super::scenario::{FaultAction, IndexRange, Scenario};
+use mallowseam_audit::fleet;
+use mallowseam_audit::membership::{self, HostLinks, LinkCondition, LinksSince, Pause};
+use mallowseam_audit::trace::Micros;
+
+/// Protocol period that counts where hosts keep no membership table.
+const NO_PERIOD: Micros = 1;
+
+impl HostLinks for Links {
+    fn condition(&self, from: u32, to: u32) -> LinkCondition {
+        let fault = self.fault_between(Peer::Host(from), Peer::Host(to));
+        LinkCondition {
+            blocked: fault.blocks(),
+            max_delay: fault.latency + fault.jitter,
+            loss: fault.loss,
+        }
+    }
+}
+
+impl Scenario {
+    /// What the audit of the rules needs to know.
+    pub fn audited_run(&self) -> fleet::Run {
+        fleet::Run {
+            hosts: self.hosts,
+            max_operation_units: self.load.max_units,
+            overload_window: self.node_model.overload_window,
+        }
+    }
+
+    /// What the audit of membership tables needs to know.
+    pub fn membership_run(&self) -> membership::Run<Links> {
+        membership::Run {
+            hosts: self.hosts,
+            duration: self.duration,
+            period: self.membership.map_or(NO_PERIOD, |m| m.period),
+            fault_times: self.faults.iter().map(|fault| fault.at).collect(),
+            pauses: self.pauses(),
+            links: self.link_history(),
+        }
+    }
+
+    fn pauses(&self) -> Vec<Pause> {
+        let mut pauses = Vec::new();
+        for fault in &self.faults {
+            match fault.action {
+                FaultAction::PauseHosts(range) => {
+                    pauses.extend(self.begin_pauses(range, fault.at));
+                }
+                FaultAction::ResumeHosts(range) => {
+                    range
+                        .below(self.hosts)
+                        .for_each(|host| end_pause(&mut pauses, host, fault.at));
+                }
+                _ => {}
+            }
+        }
+        pauses
+    }
+
+    fn begin_pauses(&self, range: IndexRange, from: Micros) -> impl Iterator<Item = Pause> {
+        range.below(self.hosts).map(move |host| Pause {
+            host,
+            from,
+            to: None,
+        })
+    }
+
+    fn link_history(&self) -> Vec<LinksSince<Links>> {
+        let mut links = Links::new(self.zones);
+        let mut history = vec![LinksSince {
+            from: 0,
+            links: links.clone(),
+        }];
+        for scheduled in &self.faults {
+            if let FaultAction::SetLink { from, to, fault } = scheduled.action {
+                links.set(from, to, fault);
+                history.push(LinksSince {
+                    from: scheduled.at,
+                    links: links.clone(),
+                });
+            }
+        }
+        history
+    }
+}
+
+/// Ends the last pause of a host. A later resume moves its end, as the schedule does with a host that runs.
+fn end_pause(pauses: &mut [Pause], host: u32, at: Micros) {
+    if let Some(pause) = pauses.iter_mut().rev().find(|p| p.host == host) {
+        pause.to = Some(at);
+    }
+}
--- a/crates/lab/src/fleet/client_load.rs
+++ b/crates/lab/src/fleet/client_load.rs
@@ -1,6 +1,7 @@
 //! Clients as a model: which volume issues which operation through which host and when, with a skewed distribution,
 //! and how rejected operations are retried.
-use crate::trace::Micros;
+use mallowseam_audit::fleet::terms::has_limit;
+use mallowseam_audit::trace::Micros;
 use rand::{Rng, RngExt};
 
 /// How clients behave. Times in microseconds.
@@ -80,8 +81,6 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 /// Chance that an operation is no larger than the size at hand: small ones are frequent.
 const SMALL_OPERATION_CHANCE: f64 = 0.6;
-/// One volume in so many has a limit.
-const LIMITED_VOLUME_EVERY: u32 = 3;
 
 impl ClientLoad {
     /// Draws the volumes.
@@ -93,7 +92,7 @@
             Volume {
                 hosts: draw_hosts(volume, hosts, rng),
                 cumulative_weight,
-                limited: volume % LIMITED_VOLUME_EVERY == 0,
+                limited: has_limit(volume),
             }
         });
         ClientLoad {
--- a/crates/lab/src/fleet/host_config.rs
+++ b/crates/lab/src/fleet/host_config.rs
@@ -1,48 +1,14 @@
-//! The configuration that a host of a run is started with, in the gateway's form, and the settings that the audit
-//! checks hosts against.
+//! The configuration that a host of a run is started with, in the gateway's form.
 use super::addresses::Addresses;
 use super::scenario::{MembershipScenario, Scenario};
+use mallowseam_audit::fleet::terms::{
+    DRAIN_GRACE_MS, POLL_DEADLINE_MS, READ_OBJECTIVE_MS, RETRY_BUDGET, VOLUME_LIMIT,
+    WRITE_OBJECTIVE_MS,
+};
 use serde_json::{Value, json};
 
-/// Time after which a host must not send to a node that it was notified is draining, in milliseconds.
-pub(crate) const DRAIN_GRACE_MS: u64 = 250;
 /// Pause between two writes of one key, in milliseconds.
 const ORDER_PAUSE_MS: u64 = 200;
-/// Time within which hosts are notified of a node's start, in milliseconds.
-pub(crate) const POLL_DEADLINE_MS: u64 = 10_000;
-/// Latency objective of reads, in milliseconds.
-pub(crate) const READ_OBJECTIVE_MS: u64 = 300;
-/// Latency objective of writes, in milliseconds.
-pub(crate) const WRITE_OBJECTIVE_MS: u64 = 400;
-/// The retry budget of a host.
-pub(crate) const RETRY_BUDGET: RetryBudget = RetryBudget {
-    free_retries: 3.0,
-    retry_ratio: 0.25,
-    window_ms: 5_000,
-};
-/// The limit of each volume on the limited plan.
-pub(crate) const VOLUME_LIMIT: VolumeLimit = VolumeLimit {
-    units_per_second: 12.0,
-    burst: 24.0,
-};
-
-/// How many retries a host may send within a time window.
-pub(crate) struct RetryBudget {
-    /// Retries that are always allowed.
-    pub free_retries: f64,
-    /// Further retries for each admitted operation.
-    pub retry_ratio: f64,
-    /// The window in milliseconds.
-    pub window_ms: u64,
-}
-
-/// A token bucket.
-pub(crate) struct VolumeLimit {
-    /// Refill rate.
-    pub units_per_second: f64,
-    /// Capacity.
-    pub burst: f64,
-}
 
 /// What tells the configuration of one host from that of another.
 pub struct HostConfig<'a> {
--- a/crates/lab/src/fleet/links.rs
+++ b/crates/lab/src/fleet/links.rs
@@ -1,5 +1,5 @@
 //! Faults of the links between peers. Each direction has its own, which may change while bytes are in flight.
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use rand::{Rng, RngExt};
 use std::collections::VecDeque;
 
--- a/crates/lab/src/fleet/outcome.rs
+++ b/crates/lab/src/fleet/outcome.rs
@@ -1,10 +1,10 @@
 //! What a run brought, and its report.
-use super::audit::Verdict;
-use super::peers::MembershipSample;
 use super::processes::ResourceUsage;
-use super::record::{Event, Observation};
 use super::scenario::Scenario;
-use crate::trace::Micros;
+use mallowseam_audit::fleet::Verdict;
+use mallowseam_audit::fleet::record::{Event, Observation};
+use mallowseam_audit::membership::MembershipSample;
+use mallowseam_audit::trace::Micros;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/lab/src/fleet/peers.rs
+++ b/crates/lab/src/fleet/peers.rs
@@ -15,16 +15,16 @@
 use super::discovery_queue::{DiscoveryQueue, ServiceBehavior};
 use super::error::TestbedError;
 use super::links::{LinkFault, Links, Peer, PeerSet};
-use super::record::{Event, Observation};
 use super::scenario::Scenario;
 use super::simulated_node::SimulatedNode;
-use crate::trace::Micros;
 use connections::{Connection, ConnectionId, ConnectionRole};
 use discovery::Undelivered;
 use endpoint_list::EndpointList;
 use event_loop::Timer;
 use hosts::HostState;
 use listeners::PeerListener;
+use mallowseam_audit::fleet::record::{Event, Observation};
+use mallowseam_audit::trace::Micros;
 use mallowseam_http1::Limits;
 use mallowseam_sockets::slab::Slab;
 use membership::MembershipLinks;
@@ -38,7 +38,7 @@
 
 pub use discovery::NOTIFICATION_DEADLINE;
 pub(crate) use endpoint_list::{ListedNode, NodeStatus};
-pub use membership::{MembershipSample, MembershipView, SampledMember};
+pub use membership::MembershipView;
 
 const HTTP_LIMITS: Limits = Limits {
     head: 16 * 1024,
--- a/crates/lab/src/fleet/peers/clients.rs
+++ b/crates/lab/src/fleet/peers/clients.rs
@@ -1,9 +1,9 @@
 //! The clients: which requests they send to which host, and what they do with responses.
 use super::hosts::HostState;
 use super::{ConnectionRole, Event, HTTP_LIMITS, SimulatedPeers, Timer};
-use crate::audit::SLACK;
 use crate::fleet::client_load::Operation;
-use crate::trace::Micros;
+use mallowseam_audit::SLACK;
+use mallowseam_audit::trace::Micros;
 use mallowseam_http1::{ResponseHead, ResponseReader};
 use std::cmp::Reverse;
 
--- a/crates/lab/src/fleet/peers/connections.rs
+++ b/crates/lab/src/fleet/peers/connections.rs
@@ -2,7 +2,7 @@
 use super::{Event, HTTP_LIMITS, SimulatedPeers, Timer};
 use crate::fleet::client_load::Operation;
 use crate::fleet::links::{ConnectOutcome, LinkFault, Peer, Pipe, PipeOutput};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_http1::{RequestReader, ResponseReader};
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::net::TcpStream;
--- a/crates/lab/src/fleet/peers/endpoint_list.rs
+++ b/crates/lab/src/fleet/peers/endpoint_list.rs
@@ -2,7 +2,7 @@
 use super::SimulatedPeers;
 use crate::fleet::host_config::HostConfig;
 use crate::fleet::scenario::InitialList;
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 use std::fmt::Write;
 
--- a/crates/lab/src/fleet/peers/event_loop.rs
+++ b/crates/lab/src/fleet/peers/event_loop.rs
@@ -3,7 +3,7 @@
 use super::{SimulatedPeers, membership};
 use crate::fleet::discovery_queue::DiscoveryQueue;
 use crate::fleet::simulated_node::SimulatedNode;
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mio::{Events, Token};
 use std::cmp::Reverse;
 use std::io;
--- a/crates/lab/src/fleet/peers/hosts.rs
+++ b/crates/lab/src/fleet/peers/hosts.rs
@@ -1,7 +1,7 @@
 //! What the peers know of host processes: whether clients use them.
 use super::{ConnectionRole, Event, SimulatedPeers, Timer};
 use crate::fleet::scenario::InitialList;
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_http1::ResponseReader;
 use std::cmp::Reverse;
 
--- a/crates/lab/src/fleet/peers/membership.rs
+++ b/crates/lab/src/fleet/peers/membership.rs
@@ -4,8 +4,8 @@
 use crate::fleet::addresses::Addresses;
 use crate::fleet::error::TestbedError;
 use crate::fleet::links::{LinkFault, Peer};
-use crate::trace::Micros;
-use mallowseam_fleet::MemberState;
+use mallowseam_audit::membership::{MembershipSample, SampledMember};
+use mallowseam_audit::trace::Micros;
 use mallowseam_fleet::wire::{self, MAX_DATAGRAM_BYTES, MembershipPage, Message};
 use mallowseam_fleet_udp::MembershipSnapshot;
 use mallowseam_sockets::slab::Slab;
@@ -48,30 +48,6 @@
     pub table: MembershipSnapshot,
 }
 
-/// A member in a sample.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SampledMember {
-    /// The member's index.
-    pub host: u32,
-    /// Its state.
-    pub state: MemberState,
-    /// Its generation.
-    pub generation: u64,
-}
-
-/// Summary of a host's membership table.
-#[derive(Clone, Debug, PartialEq)]
-pub struct MembershipSample {
-    /// When it was requested.
-    pub requested_at: Micros,
-    /// The host that reported it.
-    pub host: u32,
-    /// Digest of the table.
-    pub digest: u64,
-    /// Its members.
-    pub members: Vec<SampledMember>,
-}
-
 /// The links between hosts, and their membership tables.
 #[derive(Default)]
 pub struct MembershipLinks {
--- a/crates/lab/src/fleet/peers/nodes.rs
+++ b/crates/lab/src/fleet/peers/nodes.rs
@@ -4,7 +4,7 @@
 use crate::fleet::error::TestbedError;
 use crate::fleet::links::Peer;
 use crate::fleet::simulated_node::{Arrival, NodeRequest, SimulatedNode};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_http1::RequestHead;
 use std::cmp::Reverse;
 
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -8,8 +8,8 @@
 use super::discovery_queue::ServiceBehavior;
 use super::links::{LinkFault, PeerSet};
 use super::simulated_node::NodeLimits;
-use crate::node::ServiceModel;
-use crate::trace::Micros;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Micros;
 
 pub use parse::parse;
 
--- a/crates/lab/src/fleet/scenario/parse.rs
+++ b/crates/lab/src/fleet/scenario/parse.rs
@@ -4,8 +4,8 @@
 use super::{IndexRange, InitialList, MembershipScenario, Scenario, VOLUMES_PER_HOST};
 use crate::fleet::client_load::LoadProfile;
 use crate::fleet::simulated_node::NodeLimits;
-use crate::node::ServiceModel;
 use crate::script::arguments::{DURATION, cold_start, node_option};
+use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
 /// Reads a script.
--- a/crates/lab/src/fleet/simulated_node.rs
+++ b/crates/lab/src/fleet/simulated_node.rs
@@ -1,7 +1,7 @@
 //! A node as a model: it serves at a set speed, charges for new connections and accepts few of them, is cold after a
 //! start, and collapses when the load within a time span exceeds what a cold node sustains.
-use crate::node::ServiceModel;
-use crate::trace::Micros;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 
 /// Limits of a node beside its speed.
--- a/crates/lab/src/fleet/testbed.rs
+++ b/crates/lab/src/fleet/testbed.rs
@@ -1,12 +1,12 @@
 //! Plays a scenario: hosts as processes, their peers simulated, faults by schedule, and the audit in the end.
-use super::audit;
 use super::error::TestbedError;
 use super::outcome::Outcome;
 use super::peers::{ListedNode, NodeStatus, SimulatedPeers};
 use super::processes::{HostProcesses, Program};
-use super::record::{Event, Observation, Termination};
 use super::scenario::{FaultAction, IndexRange, Scenario, ScheduledFault};
-use crate::trace::Micros;
+use mallowseam_audit::fleet as audit;
+use mallowseam_audit::fleet::record::{Event, Observation, Termination};
+use mallowseam_audit::trace::Micros;
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -363,7 +363,7 @@
             0
         };
         Outcome {
-            verdict: audit::check(&self.scenario, &observations, lag),
+            verdict: audit::check(self.scenario.audited_run(), &observations, lag),
             observations,
             usage,
             max_lag: self.max_lag,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,16 +1,14 @@
-//! Testbed of the gateway: stand-ins for nodes, clients and the endpoint list service, scenarios with fault injection,
-//! and the audit that judges a run by what passed on the sockets. Nothing here is part of `mallowseam`.
+//! Testbed of the gateway: stand-ins for nodes, clients and the endpoint list service, and scenarios with fault injection.
+//! Nothing here is part of `mallowseam`.
 //!
 //! - [`script`] describes a scenario; [`rehearsal`] plays it with host processes around which stand-ins run:
-//!   [`node`], [`load`] and [`endpoint_list_service`]. They write a common [`trace`], which [`audit`] judges.
+//!   [`node`], [`load`] and [`endpoint_list_service`]. They write a common trace, which `mallowseam-audit` judges.
 //! - [`fleet`] does the same with many hosts and faults on the links between them.
 //! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
 //! - [`cold_start_model`], [`membership`] and [`search`] simulate and search without processes.
 #![warn(missing_docs)]
 
-pub mod audit;
 pub mod benchmark;
-pub mod block;
 pub mod cold_start_model;
 pub mod endpoint_list_service;
 pub mod error;
@@ -26,6 +24,5 @@
 pub mod script;
 pub mod search;
 pub mod snapshot_benchmark;
-pub mod trace;
 
 pub use mallowseam_gateway::blocking_client;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -6,8 +6,8 @@
 mod requests;
 mod transport;
 
-use crate::trace::{Micros, Trace};
 use generator::Generator;
+use mallowseam_audit::trace::{Micros, Trace};
 use mallowseam_iscsi::params::ProposedParams;
 use mio::{Poll, Token, Waker};
 use std::io;
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -1,6 +1,6 @@
 //! State of one client.
 use super::{ACCOUNT_BLOCKS, LoadConfig};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_iscsi::initiator::InitiatorConnection;
 use mio::net::TcpStream;
 use rand::{RngExt, SeedableRng};
--- a/crates/lab/src/load/commands.rs
+++ b/crates/lab/src/load/commands.rs
@@ -1,7 +1,7 @@
 //! Changes of the clients' behaviour.
 use super::generator::Generator;
 use super::{ACCOUNT_BLOCKS, Behaviour};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_iscsi::frame::SendBuffer;
 use mallowseam_iscsi::initiator::InitiatorConnection;
 use mallowseam_iscsi::pdu::{Bhs, flag, opcode};
--- a/crates/lab/src/load/generator.rs
+++ b/crates/lab/src/load/generator.rs
@@ -1,7 +1,7 @@
 //! Event loop of the load.
 use super::client::Client;
 use super::{Behaviour, FIRST_CLIENT, LoadConfig};
-use crate::trace::Trace;
+use mallowseam_audit::trace::Trace;
 use mio::{Events, Poll};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/load/requests.rs
+++ b/crates/lab/src/load/requests.rs
@@ -2,8 +2,9 @@
 use super::client::{InFlightCommand, Retry};
 use super::generator::Generator;
 use super::{ACCOUNT_BLOCKS, DEADLINE_GRACE};
-use crate::block;
-use crate::trace::{Micros, TraceEvent};
+use mallowseam_audit::block;
+use mallowseam_audit::rehearsal::EXTENT_COPY_GROUP;
+use mallowseam_audit::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::scsi::{self, status};
 use rand::RngExt;
 
@@ -16,7 +17,7 @@
 /// Blocks of a write that does not write a whole account.
 const PART_OF_ACCOUNT: u32 = 2;
 /// Group numbers that clients use in turn; the next one marks extent copies.
-const GROUP_NUMBERS: u8 = crate::audit::EXTENT_COPY_GROUP;
+const GROUP_NUMBERS: u8 = EXTENT_COPY_GROUP;
 /// Pause of a client that logs out before it looks at its timer again.
 const LOGOUT_PAUSE: Micros = 10_000;
 /// Microseconds of one tenth of a second, the unit of a retry hint.
--- a/crates/lab/src/load/transport.rs
+++ b/crates/lab/src/load/transport.rs
@@ -3,7 +3,7 @@
 use super::client::{Client, Link};
 use super::commands::RECONNECT_PAUSE;
 use super::generator::Generator;
-use crate::trace::{Micros, TraceEvent};
+use mallowseam_audit::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
 use mallowseam_iscsi::scsi::status;
 use mio::net::TcpStream;
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -4,7 +4,6 @@
 mod connections;
 mod deferred;
 mod faults;
-mod model;
 mod queue;
 mod server;
 mod slow_start;
@@ -12,9 +11,9 @@
 mod write_protection;
 
 pub use faults::NodeFault;
-pub use model::ServiceModel;
 
-use crate::trace::{Micros, Trace};
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::{Micros, Trace};
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Token, Waker};
 use server::{Server, ServerSetup};
--- a/crates/lab/src/node/block_store.rs
+++ b/crates/lab/src/node/block_store.rs
@@ -1,6 +1,6 @@
 //! The blocks that a stand-in node stores.
 use super::transfer::Transfer;
-use crate::block;
+use mallowseam_audit::block;
 use std::collections::HashMap;
 
 /// Stored blocks by logical unit and address. A block that is not stored reads as zeros.
--- a/crates/lab/src/node/faults.rs
+++ b/crates/lab/src/node/faults.rs
@@ -1,5 +1,5 @@
 //! Faults of a stand-in node.
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 
 /// A fault, or its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/lab/src/node/queue.rs
+++ b/crates/lab/src/node/queue.rs
@@ -1,6 +1,6 @@
 //! Queue of a stand-in node: commands wait for a core and run for their work.
 use super::transfer::{TaskRef, Transfer};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 
 /// A read or write that waits or runs.
--- a/crates/lab/src/node/server/commands.rs
+++ b/crates/lab/src/node/server/commands.rs
@@ -2,7 +2,7 @@
 use super::Server;
 use crate::node::queue::QueuedCommand;
 use crate::node::transfer::{TaskRef, Transfer};
-use crate::trace::{Micros, TraceEvent};
+use mallowseam_audit::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::scsi::{self, Command, LogicalUnit, Sense, status};
 use rand::RngExt;
 
--- a/crates/lab/src/node/server/events.rs
+++ b/crates/lab/src/node/server/events.rs
@@ -1,11 +1,11 @@
 //! What comes in on the connections of a stand-in node: recorded at once, and processed at once or once it is no longer
 //! silent.
 use super::Server;
-use crate::block;
 use crate::node::connections::Session;
 use crate::node::deferred::DeferredEvent;
 use crate::node::transfer::{TaskRef, Transfer};
-use crate::trace::TraceEvent;
+use mallowseam_audit::block;
+use mallowseam_audit::trace::TraceEvent;
 use mallowseam_iscsi::target::TargetEvent;
 
 impl Server {
--- a/crates/lab/src/node/server/lifecycle.rs
+++ b/crates/lab/src/node/server/lifecycle.rs
@@ -3,7 +3,7 @@
 use crate::node::connections::FIRST_CONNECTION;
 use crate::node::faults::NodeFault;
 use crate::node::{Lifecycle, listen};
-use crate::trace::TraceEvent;
+use mallowseam_audit::trace::TraceEvent;
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
--- a/crates/lab/src/node/slow_start.rs
+++ b/crates/lab/src/node/slow_start.rs
@@ -1,6 +1,7 @@
 //! What a stand-in node receives while it is in slow start, and whether it bears that.
-use super::{Lifecycle, ServiceModel};
-use crate::trace::Micros;
+use super::Lifecycle;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Micros;
 use std::collections::VecDeque;
 
 /// Overload of a node in slow start.
--- a/crates/lab/src/node/transfer.rs
+++ b/crates/lab/src/node/transfer.rs
@@ -1,5 +1,5 @@
 //! Reads and writes as a stand-in node's sockets bring them.
-use crate::block;
+use mallowseam_audit::block;
 use mallowseam_iscsi::scsi::{self, Command};
 
 /// Where a command came from, and its task tag there.
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -11,15 +11,15 @@
 pub use config::shared_config;
 pub use plan_changes::plan_changes;
 
-use crate::audit::{self, Layout, Verdict};
 use crate::endpoint_list_service::EndpointListService;
 use crate::error::RunError;
 use crate::load::{self, Behaviour, Load};
 use crate::node::Node;
 use crate::process::{Program, terminate};
 use crate::script::Scenario;
-use crate::trace::{Micros, Trace, TraceEntry};
 use hosts::HostProcess;
+use mallowseam_audit::rehearsal::{self as audit, Layout, Verdict};
+use mallowseam_audit::trace::{Micros, Trace, TraceEntry};
 use mallowseam_settings::GatewayConfig;
 use nix::sys::signal::Signal;
 use plan_changes::RequestedChange;
--- a/crates/lab/src/rehearsal/faults.rs
+++ b/crates/lab/src/rehearsal/faults.rs
@@ -7,7 +7,7 @@
 use crate::node::NodeFault;
 use crate::process::kill_now;
 use crate::script::{Fault, Selector};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_endpoint_list::EndpointState;
 use nix::sys::signal::Signal;
 use std::time::Duration;
--- a/crates/lab/src/rehearsal/hosts.rs
+++ b/crates/lab/src/rehearsal/hosts.rs
@@ -2,7 +2,7 @@
 use super::Rehearsal;
 use crate::error::RunError;
 use crate::process::{kill_now, send_signal};
-use crate::trace::TraceEvent;
+use mallowseam_audit::trace::TraceEvent;
 use nix::sys::signal::Signal;
 use std::fs::OpenOptions;
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/rehearsal/read_back.rs
+++ b/crates/lab/src/rehearsal/read_back.rs
@@ -1,11 +1,11 @@
 //! Reads snapshots and clones back at the end of a rehearsal, writes to the clones, and reads all again.
 use super::snapshots::{CatalogChange, CatalogRefusal, CatalogRequest};
 use super::{Rehearsal, SnapshotReport, TARGET};
-use crate::audit::{EXTENT_COPY_GROUP, Layout};
-use crate::block;
 use crate::blocking_client::{Answer, BlockingClient, ClientError};
 use crate::error::RunError;
-use crate::trace::TraceEvent;
+use mallowseam_audit::block;
+use mallowseam_audit::rehearsal::{EXTENT_COPY_GROUP, Layout};
+use mallowseam_audit::trace::TraceEvent;
 use mallowseam_cow::tree::Tree;
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{read_or_write_16, status};
--- a/crates/lab/src/rehearsal/snapshots.rs
+++ b/crates/lab/src/rehearsal/snapshots.rs
@@ -1,6 +1,6 @@
 //! Requests to the snapshot catalog during a rehearsal.
 use super::Rehearsal;
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use std::sync::{Arc, PoisonError};
 
 /// What is requested of the catalog.
--- a/crates/lab/src/rehearsal/start.rs
+++ b/crates/lab/src/rehearsal/start.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::process::Program;
 use crate::script::Scenario;
-use crate::trace::Trace;
+use mallowseam_audit::trace::Trace;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_settings::GatewayConfig;
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -7,8 +7,8 @@
 
 pub use parse::parse;
 
-use crate::node::ServiceModel;
-use crate::trace::Micros;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Micros;
 
 /// What a script describes.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/script/arguments.rs
+++ b/crates/lab/src/script/arguments.rs
@@ -1,5 +1,5 @@
 //! Arguments that several directives share, also with the scripts of fleets.
-use crate::node::ServiceModel;
+use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_settings::Arguments;
 
 /// What a diagnostic says is expected where a duration is.
--- a/crates/lab/src/script/faults.rs
+++ b/crates/lab/src/script/faults.rs
@@ -1,7 +1,7 @@
 //! Reads the fault lines of a script: `at TIME KIND … [for DURATION]`.
 use super::arguments::DURATION;
 use super::{Event, Fault, Selector};
-use crate::trace::Micros;
+use mallowseam_audit::trace::Micros;
 use mallowseam_settings::Arguments;
 
 const KINDS: &str = "node, host, client, list, surge, load, half-logins, garbage, snapshot, clone, catalog or control";
--- a/crates/lab/src/script/parse.rs
+++ b/crates/lab/src/script/parse.rs
@@ -1,7 +1,7 @@
 //! Reads the head of a script.
 use super::arguments::{DURATION, cold_start, node_option};
 use super::{CatalogScenario, Scenario, faults};
-use crate::node::ServiceModel;
+use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
 const DIRECTIVES: &str =
--- a/crates/lab/src/snapshot_benchmark/sockets.rs
+++ b/crates/lab/src/snapshot_benchmark/sockets.rs
@@ -1,12 +1,13 @@
 //! Writes around cuts, first writes and reads, over sockets.
 use super::Options;
 use crate::benchmark::{address, latency_histogram};
-use crate::block;
 use crate::blocking_client::BlockingClient;
 use crate::error::RunError;
-use crate::node::{Node, ServiceModel};
+use crate::node::Node;
 use crate::process::{KilledOnDrop, Program};
-use crate::trace::Trace;
+use mallowseam_audit::block;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Trace;
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi::{self, status};
--- a/crates/lab/tests/allocations.rs
+++ b/crates/lab/tests/allocations.rs
@@ -1,9 +1,10 @@
 //! The ordinary path allocates nothing beyond data buffers: counted on the host's own thread.
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Trace;
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Node, ServiceModel};
-use mallowseam_lab::trace::Trace;
+use mallowseam_lab::node::Node;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/lab/tests/fleet/main.rs
+++ b/crates/lab/tests/fleet/main.rs
@@ -1,5 +1,4 @@
 //! Several host processes, with faults on the links between them and their peers.
-mod audit;
 mod cold_start;
 mod discovery_outages;
 mod membership;
--- a/crates/lab/tests/fleet/membership.rs
+++ b/crates/lab/tests/fleet/membership.rs
@@ -1,8 +1,8 @@
 //! Membership of host processes with faults between them, as each host's own table shows it.
 use crate::support::{changed, finish, open, wait_for};
+use mallowseam_audit::membership::MembershipSample;
 use mallowseam_fleet::MemberState;
 use mallowseam_lab::fleet::links::{LinkFault, Peer, PeerSet};
-use mallowseam_lab::fleet::peers::MembershipSample;
 use mallowseam_lab::fleet::scenario::Scenario;
 use mallowseam_lab::fleet::testbed::Testbed;
 use std::net::SocketAddr;
--- a/crates/lab/tests/fleet_model/main.rs
+++ b/crates/lab/tests/fleet_model/main.rs
@@ -1,5 +1,4 @@
 //! The parts of the fleet testbed that need no process and no socket.
-mod audit;
 mod cold_start;
 mod digest;
 mod discovery_queue;
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -1,5 +1,6 @@
 //! Pinned behaviour: seeded decisions of the testbed, compared with digests that were recorded once.
 use crate::digest::Digest;
+use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_lab::cold_start_model::{self, ColdStartCase};
 use mallowseam_lab::fleet::addresses::Addresses;
 use mallowseam_lab::fleet::client_load::{ClientLoad, LoadProfile, Operation};
@@ -11,7 +12,6 @@
 };
 use mallowseam_lab::fleet::scenario::{self, FaultAction, IndexRange};
 use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
-use mallowseam_lab::node::ServiceModel;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/lab/tests/fleet_model/simulated_node.rs
+++ b/crates/lab/tests/fleet_model/simulated_node.rs
@@ -1,5 +1,5 @@
+use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
-use mallowseam_lab::node::ServiceModel;
 
 fn node() -> SimulatedNode<u32> {
     let model = ServiceModel {
--- a/crates/lab/tests/host/block_io.rs
+++ b/crates/lab/tests/host/block_io.rs
@@ -1,10 +1,10 @@
 //! Reads and writes through a host.
 use crate::site::{Site, read, write};
+use mallowseam_audit::block;
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::block;
 use mallowseam_lab::node::NodeFault;
 use std::time::Duration;
 use std::time::Instant;
--- a/crates/lab/tests/host/site.rs
+++ b/crates/lab/tests/host/site.rs
@@ -1,13 +1,13 @@
 //! A host process with its nodes.
+use mallowseam_audit::block;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Trace;
 use mallowseam_gateway::Status;
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_lab::node::Node;
-use mallowseam_lab::node::ServiceModel;
-use mallowseam_lab::trace::Trace;
 use std::net::SocketAddr;
 use std::process::Child;
 use std::process::Command;
--- a/crates/lab/tests/pinned/content.rs
+++ b/crates/lab/tests/pinned/content.rs
@@ -1,6 +1,7 @@
 //! Placements by enumeration, and the bytes of a block.
 use crate::digest::{hash, pinned};
-use mallowseam_lab::{block, exhaustive_placement};
+use mallowseam_audit::block;
+use mallowseam_lab::exhaustive_placement;
 use std::fmt::Write;
 
 #[test]
--- a/crates/lab/tests/pinned/digest.rs
+++ b/crates/lab/tests/pinned/digest.rs
@@ -1,5 +1,5 @@
 //! Digests of texts, and texts of values that are pinned in several places.
-use mallowseam_lab::node::ServiceModel;
+use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_test_support::Digest;
 
 /// The digest of bytes alone.
--- a/crates/lab/tests/pinned/main.rs
+++ b/crates/lab/tests/pinned/main.rs
@@ -3,7 +3,5 @@
 mod command_line;
 mod content;
 mod digest;
-mod record;
 mod scripts;
 mod stand_ins;
-mod verdicts;
--- a/crates/lab/tests/pinned/stand_ins.rs
+++ b/crates/lab/tests/pinned/stand_ins.rs
@@ -1,12 +1,13 @@
 //! The stand-in node and the load by their seeds.
 use crate::digest::{model_text, pinned, service_model};
+use mallowseam_audit::block;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::{Trace, TraceEvent};
 use mallowseam_gateway::blocking_client::BlockingClient;
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::read_or_write_16;
-use mallowseam_lab::block;
 use mallowseam_lab::load::{Load, LoadConfig, VolumeTarget};
-use mallowseam_lab::node::{Node, NodeFault, ServiceModel};
-use mallowseam_lab::trace::{Trace, TraceEvent};
+use mallowseam_lab::node::{Node, NodeFault};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
--- a/crates/lab/tests/plan_service.rs
+++ b/crates/lab/tests/plan_service.rs
@@ -1,10 +1,11 @@
 //! Plans in versions through real processes: a control service, two hosts, one stand-in node.
+use mallowseam_audit::block;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Trace;
 use mallowseam_gateway::{Status, send_request};
 use mallowseam_iscsi::scsi;
-use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
-use mallowseam_lab::node::{Node, ServiceModel};
-use mallowseam_lab::trace::Trace;
+use mallowseam_lab::node::Node;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
--- a/crates/lab/tests/snapshots/crash_points.rs
+++ b/crates/lab/tests/snapshots/crash_points.rs
@@ -1,8 +1,8 @@
 //! A catalog that aborts at each step of a day.
 use crate::site::{Site, write};
+use mallowseam_audit::block;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::block;
 use mallowseam_lab::blocking_client::BlockingClient;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
