--- /dev/null
+++ b/crates/gateway/src/host_connections.rs
@@ -0,0 +1,213 @@
+//! The connections of hosts to a service, which carry one JSON object a line.
+use crate::error::Error;
+use crate::json_lines::{Disconnect, LineConnection, LineRead};
+use crate::slab::Slab;
+use crate::startup::listen;
+use mio::net::{TcpListener, TcpStream};
+use mio::{Poll, Registry, Token};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+/// Bytes read from a socket at once.
+const READ_BUFFER: usize = 64 * 1024;
+
+/// Index of a host's connection.
+pub(crate) type HostId = u32;
+
+/// Limits on one host, in bytes.
+pub(crate) struct Limits {
+    /// Longest line that it may send.
+    pub(crate) max_line: usize,
+    /// Most bytes that may wait for it to read them.
+    pub(crate) max_unsent: usize,
+}
+
+/// The connection of one host, with what the service keeps of it in `state`.
+pub(crate) struct HostConnection<T> {
+    connection: LineConnection,
+    /// Lines that were read and not handled yet.
+    received: VecDeque<Vec<u8>>,
+    name: Option<String>,
+    state: T,
+}
+
+impl<T> HostConnection<T> {
+    /// The host's name; none before its hello message.
+    pub(crate) fn name(&self) -> Option<&str> {
+        self.name.as_deref()
+    }
+
+    /// Sets the name of a hello message. An empty one leaves the host unnamed.
+    pub(crate) fn set_name(&mut self, name: &str) {
+        self.name = (!name.is_empty()).then(|| name.to_owned());
+    }
+
+    /// What the service keeps of the host.
+    pub(crate) fn state(&self) -> &T {
+        &self.state
+    }
+
+    /// Replaces what the service keeps of the host.
+    pub(crate) fn set_state(&mut self, state: T) {
+        self.state = state;
+    }
+
+    /// Queues a message; [`HostConnections::flush`] writes it.
+    pub(crate) fn send(&mut self, message: &impl Serialize) {
+        self.connection.send(message);
+    }
+
+    /// Writes what is queued, unless the host has left more than `max_unsent` bytes unread.
+    fn flush(&mut self, max_unsent: usize) -> Result<(), Disconnect> {
+        if self.connection.unsent_bytes() > max_unsent {
+            return Err(Disconnect::NotReading);
+        }
+        self.connection.flush()
+    }
+}
+
+/// The hosts that are connected to a service. One that exceeds a limit is disconnected.
+pub(crate) struct HostConnections<T> {
+    listener: TcpListener,
+    registry: Registry,
+    first_token: usize,
+    limits: Limits,
+    hosts: Slab<HostConnection<T>>,
+    read_buffer: Vec<u8>,
+}
+
+impl<T: Default> HostConnections<T> {
+    /// Listens at an address; connections get tokens from `first_token` on.
+    ///
+    /// # Errors
+    /// The address cannot be had.
+    pub(crate) fn open(
+        address: SocketAddr,
+        poll: &Poll,
+        own: Token,
+        first_token: usize,
+        limits: Limits,
+    ) -> Result<Self, Error> {
+        let (listener, registry) = listen(address, poll, own)?;
+        Ok(HostConnections {
+            listener,
+            registry,
+            first_token,
+            limits,
+            hosts: Slab::default(),
+            read_buffer: vec![0; READ_BUFFER],
+        })
+    }
+
+    /// Accepts all pending connections.
+    pub(crate) fn accept(&mut self) {
+        while let Ok((socket, peer)) = self.listener.accept() {
+            self.add(socket, peer);
+        }
+    }
+
+    fn add(&mut self, socket: TcpStream, peer: SocketAddr) {
+        let token = Token(self.first_token + self.hosts.next_index() as usize);
+        if let Ok(connection) = LineConnection::over(socket, &self.registry, token) {
+            tracing::info!(%peer, "host connected");
+            self.hosts.insert(HostConnection {
+                connection,
+                received: VecDeque::new(),
+                name: None,
+                state: T::default(),
+            });
+        }
+    }
+
+    /// A host that is still connected.
+    pub(crate) fn get_mut(&mut self, id: HostId) -> Option<&mut HostConnection<T>> {
+        self.hosts.get_mut(id)
+    }
+
+    /// All hosts with their ids.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (HostId, &HostConnection<T>)> {
+        self.hosts.iter()
+    }
+
+    /// The ids of all hosts.
+    pub(crate) fn ids(&self) -> Vec<HostId> {
+        self.hosts.indices()
+    }
+
+    /// Queues a message for a host, if it is still connected.
+    pub(crate) fn send(&mut self, id: HostId, message: &impl Serialize) {
+        if let Some(host) = self.hosts.get_mut(id) {
+            host.send(message);
+        }
+    }
+
+    /// Queues a message for every host that `selects` picks.
+    pub(crate) fn broadcast(
+        &mut self,
+        message: &impl Serialize,
+        selects: impl Fn(&HostConnection<T>) -> bool,
+    ) {
+        for id in self.hosts.indices() {
+            if let Some(host) = self.hosts.get_mut(id).filter(|host| selects(host)) {
+                host.send(message);
+            }
+        }
+    }
+
+    /// Closes the connection of a host.
+    pub(crate) fn disconnect(&mut self, id: HostId, reason: &Disconnect) {
+        if let Some(host) = self.hosts.remove(id) {
+            let name = host.name().unwrap_or_default();
+            tracing::info!(host = name, %reason, "host connection closed");
+            host.connection.close(&self.registry);
+        }
+    }
+
+    /// The next message of a host that is ready to be read. None: there is no more for now, or the host is
+    /// disconnected, as it is after a line that is not a message.
+    pub(crate) fn next_message<M: DeserializeOwned>(&mut self, id: HostId) -> Option<M> {
+        loop {
+            if let Some(line) = self.hosts.get_mut(id)?.received.pop_front() {
+                match serde_json::from_slice(&line) {
+                    Ok(message) => return Some(message),
+                    Err(e) => self.disconnect(id, &e.into()),
+                }
+            } else if !self.read(id) {
+                return None;
+            }
+        }
+    }
+
+    /// Reads once from a host. False: there is no more for now, or the host is disconnected.
+    fn read(&mut self, id: HostId) -> bool {
+        let Some(host) = self.hosts.get_mut(id) else {
+            return false;
+        };
+        match host
+            .connection
+            .read(&mut self.read_buffer, self.limits.max_line)
+        {
+            LineRead::Lines(lines) => {
+                host.received.extend(lines);
+                return true;
+            }
+            LineRead::Closed(reason) => self.disconnect(id, &reason),
+            LineRead::WouldBlock => {}
+        }
+        false
+    }
+
+    /// Writes what is queued for all hosts.
+    pub(crate) fn flush(&mut self) {
+        for id in self.hosts.indices() {
+            let Some(host) = self.hosts.get_mut(id) else {
+                continue;
+            };
+            if let Err(reason) = host.flush(self.limits.max_unsent) {
+                self.disconnect(id, &reason);
+            }
+        }
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,9 +10,9 @@
 //! - `endpoint_list`, `catalog_client`, `plan_replication`: clients of the services that a host follows.
 //! - `scheduler_config`, `metrics`, `status`: configuration and figures in the forms that others take.
 //!
-//! The services: `plan_service`, `snapshot_catalog`. Both, and the host, share `control_socket`,
-//! `json_lines`,
-//! `socket_io`, `startup`, `atomic_file` and `error`.
+//! The services: `plan_service`, `snapshot_catalog`. Both are built on `service` (the event loop) and
+//! `host_connections`; they and the host share `control_socket`, `json_lines`, `socket_io`, `startup`,
+//! `atomic_file` and `error`.
 //!
 //! Tools of the command line (`cli`): `demand`, `placement`, `snapshot_archive`, `verify`, `blocking_client`.
 #![warn(missing_docs)]
@@ -28,6 +28,7 @@
 mod endpoint_list;
 mod error;
 mod event_loop;
+mod host_connections;
 mod json_lines;
 mod metrics;
 mod node_connections;
@@ -35,6 +36,7 @@
 mod plan_replication;
 mod plan_service;
 mod scheduler_config;
+mod service;
 mod snapshot_archive;
 mod snapshot_catalog;
 pub mod socket_io;
--- /dev/null
+++ b/crates/gateway/src/plan_service/hosts.rs
@@ -0,0 +1,115 @@
+//! The hosts' side of the plan service: what they say of versions and of quotas.
+use super::PlanService;
+use super::catch_up::missing_messages;
+use super::quotas::LenderId;
+use crate::host_connections::HostId;
+use crate::json_lines::Disconnect;
+use mallowseam_plans::Millis;
+use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeReport};
+use mallowseam_plans::quota_pool::LEASE_DURATION;
+
+impl PlanService {
+    pub(super) fn on_message(&mut self, id: HostId, message: HostMessage) {
+        match message {
+            HostMessage::Hello {
+                host,
+                version,
+                last_hash,
+            } => self.on_hello(id, &host, version, &last_hash),
+            HostMessage::Accepted { version } => self.on_accepted(id, version),
+            HostMessage::Rejected { version, reason } => self.on_rejected(id, version, &reason),
+            HostMessage::QuotaReport {
+                polled_at,
+                sent_at,
+                version: _,
+                volumes,
+            } => self.on_report(id, polled_at, sent_at, volumes),
+        }
+    }
+
+    fn on_hello(&mut self, id: HostId, name: &str, version: u64, last_hash: &str) {
+        let Some(host) = self.sockets.hosts_mut().get_mut(id) else {
+            return;
+        };
+        if !self.rollout.is_member(name)
+            && let Err(e) = self.store.add_member(name)
+        {
+            // The next start would not know the host, and report versions as effective without it.
+            let hosts = self.sockets.hosts_mut();
+            return hosts.disconnect(id, &Disconnect::Store(e));
+        }
+        host.set_state(Some(self.quotas.lender_id(name)));
+        host.set_name(name);
+        self.rollout.on_contact(name, self.now);
+        self.rollout.on_accepted(name, version, self.now);
+        for message in missing_messages(&self.store, version, last_hash) {
+            host.send(&message);
+        }
+    }
+
+    fn on_accepted(&mut self, id: HostId, version: u64) {
+        let Some(lender) = self.lender(id) else {
+            return;
+        };
+        let host = lender.name;
+        tracing::info!(host, version, "version accepted");
+        self.rollout.on_accepted(&host, version, self.now);
+    }
+
+    fn on_rejected(&mut self, id: HostId, version: u64, reason: &str) {
+        let Some(lender) = self.lender(id) else {
+            return;
+        };
+        let host = lender.name;
+        tracing::warn!(host, version, reason, "version rejected");
+        self.rollout.on_rejected(&host, version, reason, self.now);
+    }
+
+    /// A host reports what it lends and wants. Where it can have anything, it is sent leases.
+    fn on_report(
+        &mut self,
+        id: HostId,
+        polled_at: Millis,
+        sent_at: Millis,
+        volumes: Vec<VolumeReport>,
+    ) {
+        let Some(lender) = self.lender(id) else {
+            return;
+        };
+        self.rollout.on_contact(&lender.name, self.now);
+        let plans = &self.store.log().state;
+        let granted = self
+            .quotas
+            .on_report(lender.id, polled_at, volumes, plans, self.now);
+        if granted.is_empty() {
+            return;
+        }
+        let leases = ServiceMessage::QuotaLeases {
+            requested_at: sent_at,
+            duration: LEASE_DURATION,
+            volumes: granted,
+        };
+        self.sockets.hosts_mut().send(id, &leases);
+    }
+
+    /// The host of a connection. One that has not said hello is disconnected.
+    fn lender(&mut self, id: HostId) -> Option<Lender> {
+        let host = self.sockets.hosts_mut().get_mut(id)?;
+        if let (Some(name), Some(lender)) = (host.name(), *host.state()) {
+            return Some(Lender {
+                name: name.to_owned(),
+                id: lender,
+            });
+        }
+        self.sockets
+            .hosts_mut()
+            .disconnect(id, &Disconnect::HelloExpected);
+        None
+    }
+}
+
+/// A host that has said hello.
+struct Lender {
+    name: String,
+    id: LenderId,
+}
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -1,18 +1,17 @@
 //! The operator's side of the plan service: requests on the control socket.
-use super::{PlanRequest, PlanService, RolloutWait, is_known, wall_clock};
+use super::limit_change::lowers_a_limit;
+use super::rollout_text::describe_rollout;
+use super::{PlanRequest, PlanService, is_known, wall_clock};
 use crate::control_socket::ConnectionId;
 use crate::error::Error;
+use crate::service::Answer;
 use mallowseam_change_log::Error as StoreError;
-use mallowseam_plans::Millis;
 use mallowseam_plans::change_log::{ChangeLog, LogEntry};
 use mallowseam_plans::error::ChangeError;
 use mallowseam_plans::messages::ServiceMessage;
-use mallowseam_plans::rollout::RolloutBlocker;
-use mallowseam_plans::state::{Change, Plan, State};
+use mallowseam_plans::state::Change;
 
-/// Longest time, in milliseconds, that an operator waits for a version to be in effect.
-const MAX_ROLLOUT_WAIT: Millis = 12_000;
-/// Lines of history that one answer holds at most.
+/// Most entries of the change log in one answer: some 3 MB.
 const MAX_HISTORY: usize = 10_000;
 
 /// Why a request is refused, or the service cannot go on.
@@ -21,6 +20,8 @@
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     #[error(transparent)]
+    Serialize(serde_json::Error),
+    #[error(transparent)]
     Refused(#[from] ChangeError),
     #[error(transparent)]
     ReadStore(StoreError),
@@ -34,13 +35,8 @@
     WriteStore(StoreError),
 }
 
-/// Answer to a request; none: it follows once a version is in effect.
-type Answer = Option<String>;
-
-/// A change with who makes it and how.
-struct ChangeRequest {
-    change: Change,
-    expected: Option<u64>,
+/// Who makes a change, why, and how it is to be carried out.
+struct ChangeOptions {
     author: String,
     reason: String,
     dry_run: bool,
@@ -55,14 +51,14 @@
         line: &str,
     ) -> Result<Answer, Error> {
         if line == "stop" {
-            self.stopping = true;
-            return Ok(Some("stopping".to_owned()));
+            self.sockets.request_stop();
+            return Ok(Answer::Now("stopping".to_owned()));
         }
         let request = serde_json::from_str(line).map_err(RequestError::from);
         match request.and_then(|request| self.execute(connection, request)) {
             Ok(answer) => Ok(answer),
             Err(RequestError::WriteStore(fault)) => Err(Error::PlanStore(fault)),
-            Err(refusal) => Ok(Some(format!("error: {refusal}"))),
+            Err(refusal) => Ok(Answer::Now(format!("error: {refusal}"))),
         }
     }
 
@@ -79,17 +75,15 @@
                 reason,
                 dry_run,
                 wait,
-            } => self.set(
-                connection,
-                ChangeRequest {
-                    change,
-                    expected,
+            } => {
+                let options = ChangeOptions {
                     author,
                     reason,
                     dry_run,
                     wait,
-                },
-            ),
+                };
+                self.set(connection, &change, expected, options)
+            }
             PlanRequest::Undo {
                 version,
                 author,
@@ -97,55 +91,60 @@
                 dry_run,
                 wait,
             } => {
-                let change = self.reverse_change(version)?;
-                self.set(
-                    connection,
-                    ChangeRequest {
-                        change,
-                        expected: None,
-                        author,
-                        reason,
-                        dry_run,
-                        wait,
-                    },
-                )
-            }
-            PlanRequest::Show { version } => {
-                let state = match version {
-                    Some(version) => self.at_version(version)?.state,
-                    None => self.store.log().state.clone(),
+                let options = ChangeOptions {
+                    author,
+                    reason,
+                    dry_run,
+                    wait,
                 };
-                Ok(Some(to_json(&state)))
-            }
-            PlanRequest::History { from, limit } => {
-                let lines = self
-                    .store
-                    .entries(from, limit.min(MAX_HISTORY))
-                    .map_err(RequestError::ReadStore)?;
-                Ok(Some(lines.join("\n")))
-            }
-            PlanRequest::Diff { from, to } => {
-                let changes = self
-                    .at_version(from)?
-                    .state
-                    .diff(&self.at_version(to)?.state);
-                let lines: Vec<String> = changes.iter().map(to_json).collect();
-                Ok(Some(if lines.is_empty() {
-                    "no difference".to_owned()
-                } else {
-                    lines.join("\n")
-                }))
+                let change = self.reverse_change(version)?;
+                self.set(connection, &change, None, options)
             }
-            PlanRequest::Hosts => Ok(Some(self.describe_hosts())),
-            PlanRequest::RemoveHost { host } => self.remove_host(host).map(Some),
-            PlanRequest::Replay => {
-                let lines = self.store.verify().map_err(RequestError::ReadStore)?;
-                Ok(Some(format!(
-                    "trail replays: {lines} of {}",
-                    self.version()
-                )))
+            PlanRequest::Show { version } => self.show(version).map(Answer::Now),
+            PlanRequest::History { from, limit } => self.history(from, limit).map(Answer::Now),
+            PlanRequest::Diff { from, to } => self.diff(from, to).map(Answer::Now),
+            PlanRequest::Hosts => {
+                let text = describe_rollout(&self.rollout, self.version(), self.now);
+                Ok(Answer::Now(text))
             }
+            PlanRequest::RemoveHost { host } => self.remove_host(host).map(Answer::Now),
+            PlanRequest::Replay => self.replay().map(Answer::Now),
+        }
+    }
+
+    /// The plans at a version; none: at the newest.
+    fn show(&self, version: Option<u64>) -> Result<String, RequestError> {
+        match version {
+            Some(version) => to_json(&self.at_version(version)?.state),
+            None => to_json(&self.store.log().state),
+        }
+    }
+
+    /// Entries of the change log, a line each.
+    fn history(&self, from: u64, limit: usize) -> Result<String, RequestError> {
+        let entries = self
+            .store
+            .entries(from, limit.min(MAX_HISTORY))
+            .map_err(RequestError::ReadStore)?;
+        Ok(entries.join("\n"))
+    }
+
+    /// The changes that lead from one version to another, a line each.
+    fn diff(&self, from: u64, to: u64) -> Result<String, RequestError> {
+        let from = self.at_version(from)?.state;
+        let to = self.at_version(to)?.state;
+        let changes = from.diff(&to);
+        if changes.is_empty() {
+            return Ok("no difference".to_owned());
         }
+        let lines: Vec<String> = changes.iter().map(to_json).collect::<Result<_, _>>()?;
+        Ok(lines.join("\n"))
+    }
+
+    /// Replays the change log from nothing.
+    fn replay(&self) -> Result<String, RequestError> {
+        let entries = self.store.verify().map_err(RequestError::ReadStore)?;
+        Ok(format!("trail replays: {entries} of {}", self.version()))
     }
 
     fn at_version(&self, version: u64) -> Result<ChangeLog, RequestError> {
@@ -157,78 +156,70 @@
     }
 
     /// Makes a change, sends it to the hosts and answers, or has the operator wait for the rollout.
+    /// `expected`: the version that the change was made for; none: whatever is the newest.
     fn set(
         &mut self,
         connection: ConnectionId,
-        request: ChangeRequest,
+        change: &Change,
+        expected: Option<u64>,
+        options: ChangeOptions,
     ) -> Result<Answer, RequestError> {
-        let ChangeRequest {
-            change,
-            expected,
+        let ChangeOptions {
             author,
             reason,
             dry_run,
             wait,
-        } = request;
+        } = options;
         let log = self.store.log();
         let expected = expected.unwrap_or(log.state.version);
-        let text = log
-            .propose(expected, &author, &reason, wall_clock(), change.clone())
-            .map_err(RequestError::Refused)?;
+        let text = log.propose(expected, &author, &reason, wall_clock(), change.clone())?;
         if dry_run {
-            return Ok(Some(format!("would be version {}", expected + 1)));
+            return Ok(Answer::Now(format!("would be version {}", expected + 1)));
+        }
+        let version = self.append(change, text)?;
+        if !wait {
+            return Ok(Answer::Now(format!("version {version}")));
         }
-        let lowers = lowers_a_limit(&log.state, &change);
-        let line = self.store.append(&text).map_err(RequestError::WriteStore)?;
+        self.rollout_waits.add(connection, version, self.now);
+        Ok(Answer::Later)
+    }
+
+    /// Stores the log entry of a change and sends it to the hosts. Its version.
+    fn append(&mut self, change: &Change, text: String) -> Result<u64, RequestError> {
+        let lowers = lowers_a_limit(&self.store.log().state, change);
+        let entry = self.store.append(&text).map_err(RequestError::WriteStore)?;
         tracing::info!(
-            version = line.version,
-            author = line.author,
-            reason = line.reason,
+            version = entry.version,
+            author = entry.author,
+            reason = entry.reason,
             "plans changed"
         );
         if lowers {
-            self.rollout.mark_limit_lowered(line.version);
+            self.rollout.mark_limit_lowered(entry.version);
         }
-        self.peers
+        self.sockets
+            .hosts_mut()
             .broadcast(&ServiceMessage::LogEntry { text }, is_known);
-        if !wait {
-            return Ok(Some(format!("version {}", line.version)));
-        }
-        let deadline = self.now + MAX_ROLLOUT_WAIT;
-        self.rollout_waits.push(RolloutWait {
-            connection,
-            version: line.version,
-            deadline,
-        });
-        Ok(None)
+        Ok(entry.version)
     }
 
-    /// The change that takes back the change of a version.
+    /// The change that reverts the change of a version.
     fn reverse_change(&self, version: u64) -> Result<Change, RequestError> {
-        let line = self
+        let texts = self
             .store
             .entries(version, 1)
-            .map_err(RequestError::ReadStore)?
-            .pop();
-        let line: LogEntry = line
-            .and_then(|text| serde_json::from_str(&text).ok())
+            .map_err(RequestError::ReadStore)?;
+        let entry: LogEntry = texts
+            .first()
+            .and_then(|text| serde_json::from_str(text).ok())
             .ok_or(RequestError::NoSuchVersion(version))?;
-        Ok(self.at_version(version - 1)?.state.revert(&line.change))
-    }
-
-    fn describe_hosts(&self) -> String {
-        let newest = self.version();
-        let count = self.rollout.member_count();
-        let everywhere = self.rollout.effective_version(newest, self.now);
-        let mut text =
-            format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
-        let blockers = self.rollout.blockers(newest, self.now);
-        if !blockers.is_empty() {
-            text += &format!("\nwaits: {}", describe_blockers(&blockers));
-        }
-        text
+        let before = version
+            .checked_sub(1)
+            .ok_or(RequestError::NoSuchVersion(version))?;
+        Ok(self.at_version(before)?.state.revert(&entry.change))
     }
 
+    /// Declares that a host has stopped for good.
     fn remove_host(&mut self, host: String) -> Result<String, RequestError> {
         if !self.rollout.declare_removed(&host, self.now) {
             return Err(RequestError::HostNotRemovable(host));
@@ -238,67 +229,8 @@
             .map_err(RequestError::WriteStore)?;
         Ok(format!("{host} is taken for gone"))
     }
-
-    /// Answers operators whose version is in effect at all hosts, or whose deadline has passed.
-    pub(super) fn answer_rollout_waits(&mut self) {
-        for wait in std::mem::take(&mut self.rollout_waits) {
-            let version = wait.version;
-            let pending = self.rollout.blockers(version, self.now);
-            let text = if pending.is_empty() {
-                format!(
-                    "version {version} in force at all {} hosts",
-                    self.rollout.member_count()
-                )
-            } else if self.now >= wait.deadline {
-                let pending = describe_blockers(&pending);
-                format!(
-                    "error: version {version} stands, and is not in force everywhere: {pending}"
-                )
-            } else {
-                self.rollout_waits.push(wait);
-                continue;
-            };
-            if let Some(control) = &mut self.control {
-                control.answer(wait.connection, &text);
-            }
-        }
-    }
-}
-
-fn to_json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("plans are plain data")
-}
-
-/// Whether a change lowers the limit of any volume. No limit is the highest.
-fn lowers_a_limit(state: &State, change: &Change) -> bool {
-    let mut next = state.clone();
-    if next.apply(change).is_err() {
-        return false;
-    }
-    let limit = |plan: Option<&Plan>| plan.map_or(0, |plan| plan.rate_limit);
-    state.volumes.keys().any(|volume| {
-        let (old, new) = (limit(state.plan_of(volume)), limit(next.plan_of(volume)));
-        new > 0 && (old == 0 || new < old)
-    })
 }
 
-fn describe_blockers(blockers: &[RolloutBlocker]) -> String {
-    let describe = |blocker: &RolloutBlocker| match blocker {
-        RolloutBlocker::Silent {
-            host,
-            accepted_version,
-            ..
-        } => {
-            format!("{host} is silent, acts on {accepted_version}")
-        }
-        RolloutBlocker::Behind {
-            host,
-            accepted_version,
-        } => {
-            format!("{host} acts on {accepted_version}")
-        }
-        RolloutBlocker::Rejected { host, reason } => format!("{host} turned it down: {reason}"),
-        RolloutBlocker::UnexpiredLeases { .. } => "what was lent before lapses".to_owned(),
-    };
-    blockers.iter().map(describe).collect::<Vec<_>>().join("; ")
+fn to_json(value: &impl serde::Serialize) -> Result<String, RequestError> {
+    serde_json::to_string(value).map_err(RequestError::Serialize)
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -11,10 +11,13 @@
 mod operator;
 
 use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
-use crate::control_socket::{self, ConnectionId, ControlSocket};
+use crate::control_socket::ConnectionId;
 use crate::error::Error;
-use crate::json_lines::{Limits, PeerId, Peers};
+use crate::host_connections::{HostId, Limits};
 use crate::node_connections::Nodes;
+use crate::service::{
+    self, FIRST_NODE_TOKEN, ListeningSockets, PeriodicTimer, Service, ServiceSockets, SocketEvent,
+};
 use crate::startup;
 use hosts::Hello;
 use mallowseam_cow::Millis;
@@ -27,22 +30,14 @@
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Volume};
 use mallowseam_snapshot_catalog::Catalog;
-use mio::net::UnixStream;
-use mio::{Events, Poll, Token};
+use mio::Poll;
+use mio::event::Event;
 use node_commands::NodeCommand;
 use operator::PendingOperation;
 use std::collections::BTreeMap;
-use std::io::ErrorKind;
+use std::time::Duration;
 
-const LISTENER: Token = Token(0);
-const CONTROL: Token = Token(1);
-const SIGNALS: Token = Token(2);
-/// First token of connections to the control socket.
-const FIRST_CONTROL_CONNECTION: usize = 3;
-/// First token of connections to nodes; those of hosts follow.
-const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 const READ_BUFFER: usize = 64 * 1024;
-const MAX_EVENTS: usize = 256;
 const LIMITS: Limits = Limits {
     max_line: 64 * 1024,
     max_unsent: 128 << 20,
@@ -66,7 +61,7 @@
 /// What is sent once the changes of this iteration are on disk.
 enum Reply {
     Operator(ConnectionId, String),
-    Host(PeerId, ToHost),
+    Host(HostId, ToHost),
 }
 
 struct CatalogService {
@@ -77,11 +72,8 @@
     leases: HostLeases,
     /// Extents and layers to be reclaimed.
     reclaimer: Reclaimer,
-    hosts: Peers<Subscribed>,
-    first_host_token: usize,
+    sockets: ServiceSockets<Subscribed>,
     nodes: Nodes,
-    control: Option<ControlSocket>,
-    signals: UnixStream,
     /// Commands in flight at nodes, by tag.
     commands: BTreeMap<u32, NodeCommand>,
     last_tag: u32,
@@ -90,14 +82,13 @@
     replies: Vec<Reply>,
     /// Hello messages of this iteration.
     hellos: Vec<Hello>,
-    stopping: bool,
     /// This iteration has put a batch on disk.
     stored: bool,
     /// Crash points passed so far, and the one at which the process aborts.
     crash_points: u64,
     crash_at: Option<u64>,
-    last_check: Tick,
-    last_quiesce: Tick,
+    check_timer: PeriodicTimer<Tick>,
+    quiesce_timer: PeriodicTimer<Tick>,
     read_buffer: Vec<u8>,
 }
 
@@ -112,22 +103,7 @@
     let mut poll = Poll::new().map_err(Error::Poll)?;
     let mut service = CatalogService::open(config, &poll)?;
     service.crash_at = crash_at;
-    let mut events = Events::with_capacity(MAX_EVENTS);
-    while !service.stopping {
-        let timeout =
-            ticks_to_duration((service.last_check + CHECK_PERIOD - service.clock.now()).max(0));
-        if let Err(e) = poll.poll(&mut events, Some(timeout))
-            && e.kind() != ErrorKind::Interrupted
-        {
-            return Err(Error::Poll(e));
-        }
-        service.now = service.clock.now();
-        for event in &events {
-            let readable = event.is_readable() || event.is_error() || event.is_read_closed();
-            service.on_event(event.token(), readable);
-        }
-        service.after_events()?;
-    }
+    service::run(&mut service, &mut poll)?;
     tracing::info!("snapshot catalog stopped");
     Ok(())
 }
@@ -139,13 +115,12 @@
             .clone()
             .ok_or(Error::MissingSection("catalog"))?;
         let address = startup::validated_address(settings.listen);
-        let first_host_token = FIRST_NODE + config.nodes.len();
-        let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
-        let control = startup::control_socket(
+        let listening = ListeningSockets::open(
+            address,
             settings.control_socket.as_deref(),
+            config.nodes.len(),
+            LIMITS,
             poll,
-            CONTROL,
-            FIRST_CONTROL_CONNECTION,
         )?;
         let catalog =
             Catalog::open(&settings.store_path).map_err(|source| Error::OpenCatalogStore {
@@ -159,7 +134,7 @@
             initiator,
             ProposedParams::default(),
             registry,
-            FIRST_NODE,
+            FIRST_NODE_TOKEN,
         );
         let clock = Clock::from_zero();
         let now = clock.now();
@@ -172,23 +147,19 @@
             reclaimer: Reclaimer::from_tree(catalog.tree()),
             catalog,
             leases: HostLeases::new(ticks_to_millis(now), fresh),
-            hosts,
-            first_host_token,
+            sockets: listening.watch_signals(poll)?,
             nodes,
-            control,
-            signals: startup::signals(poll, SIGNALS)?,
             commands: BTreeMap::new(),
             last_tag: 0,
             pending_locations: Vec::new(),
             pending_operations: Vec::new(),
             replies: Vec::new(),
             hellos: Vec::new(),
-            stopping: false,
             stored: false,
             crash_points: 0,
             crash_at: None,
-            last_check: now,
-            last_quiesce: now,
+            check_timer: PeriodicTimer::new(CHECK_PERIOD, now),
+            quiesce_timer: PeriodicTimer::new(QUIESCE_PERIOD, now),
             read_buffer: vec![0; READ_BUFFER],
         };
         service.resume_pending_locations();
@@ -258,59 +229,19 @@
             .map_or(1, |catalog| catalog.extent_blocks)
     }
 
-    fn on_event(&mut self, token: Token, readable: bool) {
-        match token {
-            LISTENER => self.hosts.accept(),
-            CONTROL => {
-                if let Some(control) = &mut self.control {
-                    control.accept();
-                }
-            }
-            SIGNALS => self.stopping |= startup::take_signal(&mut self.signals),
-            Token(token) if token < FIRST_NODE => {
-                let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
-                if let Some(line) = self
-                    .control
-                    .as_mut()
-                    .and_then(|c| c.read_request(connection))
-                {
-                    self.on_request(connection, &line);
-                }
-            }
-            Token(token) if token < self.first_host_token => {
-                let node = token - FIRST_NODE;
-                let mut more = self
-                    .nodes
-                    .on_ready(node, readable, &mut self.read_buffer, self.now);
-                while more {
-                    more = self.nodes.read(node, &mut self.read_buffer, self.now);
-                }
-            }
-            Token(token) => self.read_host((token - self.first_host_token) as PeerId),
-        }
-    }
-
-    /// What is due after the events of one poll.
-    fn after_events(&mut self) -> Result<(), Error> {
-        let now = ticks_to_millis(self.now);
-        self.on_completed_commands();
-        self.make_locations_writable(now);
-        if self.now >= self.last_check + CHECK_PERIOD {
-            self.last_check = self.now;
-            self.on_timer(now);
+    fn read_node(&mut self, node: usize, readable: bool) {
+        let mut more = self
+            .nodes
+            .on_ready(node, readable, &mut self.read_buffer, self.now);
+        while more {
+            more = self.nodes.read(node, &mut self.read_buffer, self.now);
         }
-        self.advance_operations(now);
-        self.store_changes()?;
-        self.nodes.flush();
-        self.send_replies();
-        Ok(())
     }
 
     /// Periodic checks.
     fn on_timer(&mut self, now: Millis) {
         self.leases.remove_expired(now);
-        if self.last_quiesce + QUIESCE_PERIOD <= self.now {
-            self.last_quiesce = self.now;
+        if self.quiesce_timer.take_due(self.now) {
             self.quiesce_hosts(now);
         }
         self.nodes.on_timer(self.now);
@@ -352,8 +283,11 @@
             self.crash_point();
         }
         for (version, change) in (batch.first_version..).zip(batch.changes) {
-            self.hosts
-                .broadcast(&ToHost::TreeChanged { version, change }, |host| host.state);
+            self.sockets
+                .hosts_mut()
+                .broadcast(&ToHost::TreeChanged { version, change }, |host| {
+                    *host.state()
+                });
         }
         self.welcome_hosts();
         Ok(())
@@ -363,21 +297,60 @@
     fn send_replies(&mut self) {
         for reply in std::mem::take(&mut self.replies) {
             match reply {
-                Reply::Host(id, message) => {
-                    if let Some(host) = self.hosts.get_mut(id) {
-                        host.connection.send(&message);
-                    }
-                }
+                Reply::Host(id, message) => self.sockets.hosts_mut().send(id, &message),
                 Reply::Operator(connection, text) => {
-                    if let Some(control) = &mut self.control {
-                        control.answer(connection, &text);
-                    }
+                    self.sockets.operators_mut().answer(connection, &text);
                 }
             }
         }
-        self.hosts.flush();
+        self.sockets.hosts_mut().flush();
         if std::mem::take(&mut self.stored) {
             self.crash_point();
         }
     }
 }
+
+impl Service for CatalogService {
+    fn is_stopping(&self) -> bool {
+        self.sockets.is_stop_requested()
+    }
+
+    fn poll_timeout(&self) -> Duration {
+        ticks_to_duration((self.check_timer.next_due() - self.clock.now()).max(0))
+    }
+
+    fn on_poll_returned(&mut self) {
+        self.now = self.clock.now();
+    }
+
+    fn on_event(&mut self, event: &Event) -> Result<(), Error> {
+        match self.sockets.on_ready(event.token()) {
+            Some(SocketEvent::Request { connection, line }) => self.on_request(connection, &line),
+            Some(SocketEvent::Node(node)) => {
+                let readable = event.is_readable() || event.is_error() || event.is_read_closed();
+                self.read_node(node, readable);
+            }
+            Some(SocketEvent::Host(id)) => {
+                while let Some(message) = self.sockets.hosts_mut().next_message(id) {
+                    self.on_message(id, message);
+                }
+            }
+            None => {}
+        }
+        Ok(())
+    }
+
+    fn after_events(&mut self) -> Result<(), Error> {
+        let now = ticks_to_millis(self.now);
+        self.on_completed_commands();
+        self.make_locations_writable(now);
+        if self.check_timer.take_due(self.now) {
+            self.on_timer(now);
+        }
+        self.advance_operations(now);
+        self.store_changes()?;
+        self.nodes.flush();
+        self.send_replies();
+        Ok(())
+    }
+}
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -1,9 +1,9 @@
 //! The hosts' side of the snapshot catalog: leases, locations of extents, and the tree that a host is sent.
 use super::node_commands::Purpose;
 use super::operator::Operation;
-use super::{CatalogService, PendingLocation, Reply};
+use super::{CatalogService, PendingLocation, Reply, Subscribed};
 use crate::clock::ticks_to_millis;
-use crate::json_lines::PeerId;
+use crate::host_connections::{HostConnection, HostId};
 use mallowseam_cow::consistent_cut::decide_completion;
 use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
 use mallowseam_cow::tree::{Change, LayerId, Location};
@@ -11,48 +11,34 @@
 
 /// A host that has said hello, with the tree that it holds.
 pub(super) struct Hello {
-    host: PeerId,
+    host: HostId,
     known: Option<TreeVersion>,
 }
 
 impl CatalogService {
-    pub(super) fn read_host(&mut self, id: PeerId) {
-        let mut buffer = std::mem::take(&mut self.read_buffer);
-        while let Some(lines) = self.hosts.read(id, &mut buffer) {
-            for line in lines {
-                match serde_json::from_slice(&line) {
-                    Ok(message) => self.on_message(id, message),
-                    Err(e) => self.hosts.disconnect(id, &e.into()),
-                }
-            }
-        }
-        self.read_buffer = buffer;
-    }
-
-    fn on_message(&mut self, id: PeerId, message: ToCatalog) {
+    pub(super) fn on_message(&mut self, id: HostId, message: ToCatalog) {
         let now = ticks_to_millis(self.now);
-        let Some(host) = self.hosts.get_mut(id) else {
+        let Some(host) = self.sockets.hosts_mut().get_mut(id) else {
             return;
         };
         match message {
             ToCatalog::Hello { host: name, known } => {
-                host.name = name;
+                host.set_name(&name);
                 self.hellos.push(Hello { host: id, known });
             }
             ToCatalog::RenewLease {
                 sent_at,
                 seen_version,
             } => {
-                let duration = self.leases.renew(&host.name, seen_version, now);
-                host.connection
-                    .send(&ToHost::LeaseGranted { sent_at, duration });
+                let duration = self.leases.renew(name_of(host), seen_version, now);
+                host.send(&ToHost::LeaseGranted { sent_at, duration });
             }
-            ToCatalog::Acknowledge { version } => self.leases.acknowledge(&host.name, version),
+            ToCatalog::Acknowledge { version } => self.leases.acknowledge(name_of(host), version),
             ToCatalog::AllocateSlots { layer, count } => self.allocate_slots(id, layer, count),
             ToCatalog::Quiesced { layer } => {
                 for pending in &mut self.pending_operations {
                     if let Operation::Cut(cut) = &mut pending.operation {
-                        cut.host_quiesced(layer, &host.name);
+                        cut.host_quiesced(layer, name_of(host));
                     }
                 }
             }
@@ -68,7 +54,7 @@
     }
 
     /// Allocates slots of a layer to a host. The host is notified after the change, once that is on disk.
-    fn allocate_slots(&mut self, host: PeerId, layer: LayerId, count: u32) {
+    fn allocate_slots(&mut self, host: HostId, layer: LayerId, count: u32) {
         let first = self.tree().layers.get(&layer).map_or(0, |l| l.next_slot);
         if self
             .propose(Change::SlotsAllocated {
@@ -91,7 +77,7 @@
 
     /// A host asks to complete a write that has parts in a layer. Where it may, pending cuts of that layer
     /// are restarted behind the write.
-    fn on_completion_request(&mut self, host: PeerId, layer: LayerId) {
+    fn on_completion_request(&mut self, host: HostId, layer: LayerId) {
         let decision = decide_completion(self.tree(), layer);
         let granted = decision
             .as_ref()
@@ -114,7 +100,7 @@
     /// A host has copied an extent. A copy that came second is unmapped again.
     fn on_proposed_location(
         &mut self,
-        host: PeerId,
+        host: HostId,
         layer: LayerId,
         extent: u32,
         location: Location,
@@ -161,25 +147,30 @@
     /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
     pub(super) fn welcome_hosts(&mut self) {
         for hello in std::mem::take(&mut self.hellos) {
-            let Some(host) = self.hosts.get_mut(hello.host) else {
+            let Some(host) = self.sockets.hosts_mut().get_mut(hello.host) else {
                 continue;
             };
-            host.state = true;
+            host.set_state(true);
             let catalog = self.catalog.id();
             let known = hello.known.filter(|known| known.catalog_id == catalog);
             match known.and_then(|known| self.catalog.changes_since(known.version)) {
                 Some(missed) => {
                     for (version, change) in missed {
-                        host.connection.send(&ToHost::TreeChanged {
+                        host.send(&ToHost::TreeChanged {
                             version,
                             change: change.clone(),
                         });
                     }
-                    host.connection.send(&ToHost::CaughtUp);
+                    host.send(&ToHost::CaughtUp);
                 }
                 None => full_tree_messages(catalog, self.catalog.tree())
-                    .for_each(|part| host.connection.send(&part)),
+                    .for_each(|part| host.send(&part)),
             }
         }
     }
 }
+
+/// The name under which a host holds its lease. One that has not said hello holds it under an empty name.
+pub(super) fn name_of(host: &HostConnection<Subscribed>) -> &str {
+    host.name().unwrap_or_default()
+}
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/gateway/src/snapshot_catalog/operator.rs
@@ -1,10 +1,11 @@
 //! The operator's side of the snapshot catalog: requests on the control socket, and operations that take a
 //! while.
+use super::hosts::name_of;
 use super::listing::{block_runs, list};
 use super::{CatalogService, Reply};
 use crate::clock::ticks_to_millis;
 use crate::control_socket::ConnectionId;
-use crate::json_lines::PeerId;
+use crate::host_connections::HostId;
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::{ConsistentCut, CutFailure, CutProgress};
 use mallowseam_cow::messages::ToHost;
@@ -83,7 +84,7 @@
             ["diff", one, other] => self.diff(one, other).map(Some),
             ["tree"] => Ok(Some(serde_json::to_string(self.tree())?)),
             ["stop"] => {
-                self.stopping = true;
+                self.sockets.request_stop();
                 Ok(Some("stopping".to_owned()))
             }
             _ => Err(OperatorError::Unknown(line.to_owned())),
@@ -251,11 +252,12 @@
             }
         }
         for (unquiesced, question) in questions {
-            let is_unquiesced = |name: &String| unquiesced.contains(name);
-            let hosts: Vec<PeerId> = self
-                .hosts
+            let is_unquiesced = |name: &str| unquiesced.contains(name);
+            let hosts: Vec<HostId> = self
+                .sockets
+                .hosts()
                 .iter()
-                .filter(|(_, host)| is_unquiesced(&host.name))
+                .filter(|(_, host)| is_unquiesced(name_of(host)))
                 .map(|(id, _)| id)
                 .collect();
             for host in hosts {
@@ -391,7 +393,7 @@
         {
             return;
         }
-        for host in self.hosts.ids() {
+        for host in self.sockets.hosts().ids() {
             self.replies.push(Reply::Host(
                 host,
                 ToHost::CutFinished {
