--- a/crates/gateway/src/control_socket.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -6,6 +6,7 @@
 use crate::slab::Slab;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
+use std::fmt::Display;
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -21,6 +22,11 @@
 /// Only the user that runs the process may connect.
 const PERMISSIONS: u32 = 0o600;
 
+/// The answer to a request that is refused.
+pub(crate) fn refusal(reason: &impl Display) -> String {
+    format!("{REFUSED}{reason}")
+}
+
 /// Index of a connection to the control socket.
 pub(crate) type ConnectionId = u32;
 
@@ -74,8 +80,8 @@
     pub(crate) fn accept(&mut self) {
         while let Ok((mut socket, _)) = self.listener.accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
-                let _ =
-                    socket.write(format!("{REFUSED}too many callers{END_OF_ANSWER}").as_bytes());
+                let refused = refusal(&"too many callers");
+                let _ = socket.write(format!("{refused}{END_OF_ANSWER}").as_bytes());
                 continue;
             }
             let token = Token(self.first_token + self.connections.next_index() as usize);
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/gateway/src/plan_service/operator.rs
@@ -2,7 +2,7 @@
 use super::limit_change::lowers_a_limit;
 use super::rollout_text::describe_rollout;
 use super::{PlanRequest, PlanService, is_known, wall_clock};
-use crate::control_socket::ConnectionId;
+use crate::control_socket::{self, ConnectionId};
 use crate::error::Error;
 use crate::service::Answer;
 use mallowseam_change_log::Error as StoreError;
@@ -58,7 +58,7 @@
         match request.and_then(|request| self.execute(connection, request)) {
             Ok(answer) => Ok(answer),
             Err(RequestError::WriteStore(fault)) => Err(Error::PlanStore(fault)),
-            Err(refusal) => Ok(Answer::Now(format!("error: {refusal}"))),
+            Err(refusal) => Ok(Answer::Now(control_socket::refusal(&refusal))),
         }
     }
 
--- a/crates/gateway/src/plan_service/rollout_waits.rs
+++ b/crates/gateway/src/plan_service/rollout_waits.rs
@@ -1,6 +1,6 @@
 //! Operators who wait for a version to be in effect at all hosts.
 use super::rollout_text::describe_blockers;
-use crate::control_socket::ConnectionId;
+use crate::control_socket::{self, ConnectionId};
 use mallowseam_plans::Millis;
 use mallowseam_plans::rollout::Rollout;
 
@@ -63,7 +63,9 @@
         }
         (now >= self.deadline).then(|| {
             let blockers = describe_blockers(&blockers);
-            format!("error: version {version} stands, and is not in force everywhere: {blockers}")
+            let reason =
+                format!("version {version} stands, and is not in force everywhere: {blockers}");
+            control_socket::refusal(&reason)
         })
     }
 }
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/gateway/src/snapshot_catalog/hosts.rs
@@ -1,106 +1,111 @@
-//! The hosts' side of the snapshot catalog: leases, locations of extents, and the tree that a host is sent.
+//! The hosts' side of the snapshot catalog: leases, slots and locations of extents, and writes that cuts meet.
+use super::CatalogService;
 use super::node_commands::Purpose;
-use super::operator::Operation;
-use super::{CatalogService, PendingLocation, Reply, Subscribed};
-use crate::clock::ticks_to_millis;
+use super::outbox::Hello;
+use super::pending_locations::PendingLocation;
 use crate::host_connections::{HostConnection, HostId};
+use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::decide_completion;
-use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion, full_tree_messages};
+use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion};
 use mallowseam_cow::tree::{Change, LayerId, Location};
-use mallowseam_iscsi::scsi;
 
-/// A host that has said hello, with the tree that it holds.
-pub(super) struct Hello {
-    host: HostId,
-    known: Option<TreeVersion>,
+/// Whether a host is sent the changes of the tree.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+pub(super) enum Subscription {
+    /// It has not been sent the tree.
+    #[default]
+    None,
+    /// It has said hello and was sent the tree, and is sent every change from then on.
+    Active,
 }
 
+/// A connection of a host.
+pub(super) type Host = HostConnection<Subscription>;
+
 impl CatalogService {
     pub(super) fn on_message(&mut self, id: HostId, message: ToCatalog) {
-        let now = ticks_to_millis(self.now);
-        let Some(host) = self.sockets.hosts_mut().get_mut(id) else {
-            return;
-        };
         match message {
-            ToCatalog::Hello { host: name, known } => {
-                host.set_name(&name);
-                self.hellos.push(Hello { host: id, known });
-            }
+            ToCatalog::Hello { host, known } => self.on_hello(id, &host, known),
             ToCatalog::RenewLease {
                 sent_at,
                 seen_version,
-            } => {
-                let duration = self.leases.renew(name_of(host), seen_version, now);
-                host.send(&ToHost::LeaseGranted { sent_at, duration });
-            }
-            ToCatalog::Acknowledge { version } => self.leases.acknowledge(name_of(host), version),
+            } => self.renew_lease(id, sent_at, seen_version),
+            ToCatalog::Acknowledge { version } => self.on_acknowledged(id, version),
             ToCatalog::AllocateSlots { layer, count } => self.allocate_slots(id, layer, count),
-            ToCatalog::Quiesced { layer } => {
-                for pending in &mut self.pending_operations {
-                    if let Operation::Cut(cut) = &mut pending.operation {
-                        cut.host_quiesced(layer, name_of(host));
-                    }
-                }
-            }
+            ToCatalog::Quiesced { layer } => self.on_quiesced(id, layer),
             ToCatalog::RequestCompletion { layer } => self.on_completion_request(id, layer),
             ToCatalog::ProposeLocation {
                 layer,
                 extent,
                 location,
-            } => {
-                self.on_proposed_location(id, layer, extent, location);
-            }
+            } => self.on_proposed_location(id, layer, extent, location),
+        }
+    }
+
+    fn on_hello(&mut self, id: HostId, name: &str, known: Option<TreeVersion>) {
+        if let Some(host) = self.sockets.hosts_mut().get_mut(id) {
+            host.set_name(name);
+            self.outbox.add_hello(Hello { host: id, known });
+        }
+    }
+
+    fn renew_lease(&mut self, id: HostId, sent_at: Millis, seen_version: u64) {
+        let now = self.now_millis();
+        if let Some(host) = self.sockets.hosts_mut().get_mut(id) {
+            let duration = self.leases.renew(lease_holder(host), seen_version, now);
+            host.send(&ToHost::LeaseGranted { sent_at, duration });
+        }
+    }
+
+    fn on_acknowledged(&mut self, id: HostId, version: u64) {
+        if let Some(host) = self.sockets.hosts_mut().get_mut(id) {
+            self.leases.acknowledge(lease_holder(host), version);
+        }
+    }
+
+    fn on_quiesced(&mut self, id: HostId, layer: LayerId) {
+        if let Some(host) = self.sockets.hosts_mut().get_mut(id) {
+            self.pending_operations
+                .on_host_quiesced(layer, lease_holder(host));
         }
     }
 
     /// Allocates slots of a layer to a host. The host is notified after the change, once that is on disk.
-    fn allocate_slots(&mut self, host: HostId, layer: LayerId, count: u32) {
-        let first = self.tree().layers.get(&layer).map_or(0, |l| l.next_slot);
-        if self
-            .propose(Change::SlotsAllocated {
+    fn allocate_slots(&mut self, id: HostId, layer: LayerId, count: u32) {
+        let Some(first) = self.tree().layers.get(&layer).map(|layer| layer.next_slot) else {
+            return;
+        };
+        let change = Change::SlotsAllocated {
+            layer,
+            first,
+            count,
+        };
+        if self.tree.propose(change).is_ok() {
+            let allocated = ToHost::SlotsAllocated {
                 layer,
                 first,
                 count,
-            })
-            .is_ok()
-        {
-            self.replies.push(Reply::Host(
-                host,
-                ToHost::SlotsAllocated {
-                    layer,
-                    first,
-                    count,
-                },
-            ));
+            };
+            self.outbox.send(id, allocated);
         }
     }
 
     /// A host asks to complete a write that has parts in a layer. Where it may, pending cuts of that layer
     /// are restarted behind the write.
-    fn on_completion_request(&mut self, host: HostId, layer: LayerId) {
-        let decision = decide_completion(self.tree(), layer);
-        let granted = decision
-            .as_ref()
-            .is_some_and(|decision| decision.is_granted);
-        if let Some(decision) = decision.filter(|_| granted) {
-            for pending in &mut self.pending_operations {
-                if let Operation::Cut(cut) = &mut pending.operation
-                    && decision.frozen_layers.contains(&cut.layer)
-                {
-                    cut.mark_stale();
-                }
-            }
+    fn on_completion_request(&mut self, id: HostId, layer: LayerId) {
+        let granted = decide_completion(self.tree(), layer).filter(|decision| decision.is_granted);
+        if let Some(decision) = &granted {
+            self.pending_operations.mark_stale(&decision.frozen_layers);
         }
-        self.replies.push(Reply::Host(
-            host,
-            ToHost::CompletionDecision { layer, granted },
-        ));
+        let granted = granted.is_some();
+        self.outbox
+            .send(id, ToHost::CompletionDecision { layer, granted });
     }
 
     /// A host has copied an extent. A copy that came second is unmapped again.
     fn on_proposed_location(
         &mut self,
-        host: HostId,
+        id: HostId,
         layer: LayerId,
         extent: u32,
         location: Location,
@@ -111,66 +116,51 @@
             location,
         };
         match self.tree().conflicting_location(&change) {
-            Ok(None) => {
-                if let Ok(version) = self.propose(change) {
-                    self.pending_locations.push(PendingLocation {
-                        version,
-                        layer,
-                        extent,
-                    });
-                }
-            }
+            Ok(None) => self.place_extent(change, layer, extent),
             Ok(Some(first)) if first == location => {}
-            _ => {
-                // Nothing has ever referred to it, and nothing will.
-                self.replies.push(Reply::Host(
-                    host,
-                    ToHost::LocationRejected { layer, extent },
-                ));
-                if (location.node as usize) < self.nodes.len() {
-                    let unmap = scsi::unmap(&[self.blocks_of(location)]);
-                    self.send_command(Purpose::UnmapLateCopy, location.node, layer, unmap);
-                }
-            }
+            Ok(Some(_)) | Err(_) => self.reject_location(id, layer, extent, location),
+        }
+    }
+
+    /// Notifies hosts of the location of an extent, which becomes writable once all of them know it.
+    fn place_extent(&mut self, placed: Change, layer: LayerId, extent: u32) {
+        if let Ok(version) = self.tree.propose(placed) {
+            self.pending_locations.add(PendingLocation {
+                version,
+                layer,
+                extent,
+            });
         }
     }
 
-    /// First block and length of a location.
-    pub(super) fn blocks_of(&self, location: Location) -> (u64, u32) {
-        let extent_blocks = self.extent_blocks();
-        (
-            u64::from(location.slot) * extent_blocks,
-            extent_blocks as u32,
-        )
+    /// Rejects the location of a copy. Nothing has ever referred to it, and nothing will: it is unmapped.
+    fn reject_location(&mut self, id: HostId, layer: LayerId, extent: u32, location: Location) {
+        self.outbox
+            .send(id, ToHost::LocationRejected { layer, extent });
+        if self.node_commands.has_node(location.node) {
+            let blocks = self.settings.blocks_of(location);
+            self.node_commands
+                .unmap(Purpose::UnmapLateCopy, layer, location, blocks, self.now);
+        }
     }
 
-    /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
-    pub(super) fn welcome_hosts(&mut self) {
-        for hello in std::mem::take(&mut self.hellos) {
-            let Some(host) = self.sockets.hosts_mut().get_mut(hello.host) else {
-                continue;
-            };
-            host.set_state(true);
-            let catalog = self.catalog.id();
-            let known = hello.known.filter(|known| known.catalog_id == catalog);
-            match known.and_then(|known| self.catalog.changes_since(known.version)) {
-                Some(missed) => {
-                    for (version, change) in missed {
-                        host.send(&ToHost::TreeChanged {
-                            version,
-                            change: change.clone(),
-                        });
-                    }
-                    host.send(&ToHost::CaughtUp);
-                }
-                None => full_tree_messages(catalog, self.catalog.tree())
-                    .for_each(|part| host.send(&part)),
+    /// Asks hosts that pending cuts wait for to quiesce the layer of the cut.
+    pub(super) fn quiesce_hosts(&mut self) {
+        let active_hosts = self.leases.active_hosts(self.now_millis());
+        for request in self.pending_operations.quiesce_requests(&active_hosts) {
+            let hosts = self.sockets.hosts().iter();
+            for (id, _) in hosts.filter(|(_, host)| request.hosts.contains(lease_holder(host))) {
+                let quiesce = ToHost::Quiesce {
+                    layer: request.layer,
+                    branch: request.branch.clone(),
+                };
+                self.outbox.send(id, quiesce);
             }
         }
     }
 }
 
-/// The name under which a host holds its lease. One that has not said hello holds it under an empty name.
-pub(super) fn name_of(host: &HostConnection<Subscribed>) -> &str {
+/// The name under which a host holds its lease. A host that has not said hello holds it under an empty name.
+fn lease_holder(host: &Host) -> &str {
     host.name().unwrap_or_default()
 }
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -1,17 +1,19 @@
-//! Commands of the snapshot catalog at nodes: layers are closed to writes, reclaimed extents are unmapped.
-use super::CatalogService;
-use super::operator::Operation;
-use crate::clock::ticks_to_millis;
-use crate::node_connections::NodeRequest;
-use mallowseam_cow::Millis;
-use mallowseam_cow::tree::{Change, LayerId};
+//! The catalog's commands at nodes: layers are closed to writes, extents are unmapped.
+use crate::node_connections::{NodeRequest, Nodes};
+use crate::service::FIRST_NODE_TOKEN;
+use mallowseam_cow::tree::{LayerId, Location, Tree};
+use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi;
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
+use mallowseam_settings::GatewayConfig;
+use mio::Registry;
+use std::collections::BTreeMap;
 
-/// Ticks that a node has to carry a command out.
+/// Ticks that a node has to carry a command out: two seconds. A cut, which waits for nodes to close layers, fails
+/// after five.
 const COMMAND_TIMEOUT: Tick = 20_000;
-/// Microseconds in a millisecond.
-const MICROS_PER_MILLI: u64 = 1000;
+/// Bytes read from a node's socket at once.
+const READ_BUFFER: usize = 64 * 1024;
 
 /// What a command at a node is for.
 #[derive(Clone, Copy, PartialEq)]
@@ -24,161 +26,182 @@
     UnmapLateCopy,
 }
 
+/// A command that a node has carried out or failed.
+pub(super) struct EndedCommand {
+    pub(super) purpose: Purpose,
+    pub(super) is_done: bool,
+}
+
+/// A command whose node has not answered in time.
+pub(super) struct LateCommand {
+    pub(super) purpose: Purpose,
+    tag: u32,
+}
+
 /// A command in flight.
-pub(super) struct NodeCommand {
+struct NodeCommand {
     purpose: Purpose,
     deadline: Tick,
 }
 
-impl CatalogService {
-    /// Sends a command, a descriptor block and data, to the unit of a layer at a node.
-    pub(super) fn send_command(
+/// A command descriptor block with the data that goes with it.
+struct CommandBlock {
+    cdb: [u8; 16],
+    data: Vec<u8>,
+}
+
+impl From<([u8; 16], Vec<u8>)> for CommandBlock {
+    fn from((cdb, data): ([u8; 16], Vec<u8>)) -> Self {
+        CommandBlock { cdb, data }
+    }
+}
+
+/// The connections to nodes, and the commands in flight there.
+pub(super) struct NodeCommands {
+    nodes: Nodes,
+    /// By tag.
+    in_flight: BTreeMap<u32, NodeCommand>,
+    last_tag: u32,
+    read_buffer: Vec<u8>,
+}
+
+impl NodeCommands {
+    /// Knows the nodes of a configuration; a connection is opened for the first command.
+    pub(super) fn new(config: &GatewayConfig, registry: Registry) -> Self {
+        let initiator = format!("{}:catalog", config.host.target);
+        NodeCommands {
+            nodes: Nodes::new(
+                &config.nodes,
+                initiator,
+                ProposedParams::default(),
+                registry,
+                FIRST_NODE_TOKEN,
+            ),
+            in_flight: BTreeMap::new(),
+            last_tag: 0,
+            read_buffer: vec![0; READ_BUFFER],
+        }
+    }
+
+    /// Whether the configuration has a node of this index. Locations name nodes by index, and come from hosts.
+    pub(super) fn has_node(&self, node: u32) -> bool {
+        (node as usize) < self.nodes.len()
+    }
+
+    /// The name of a node for operators.
+    pub(super) fn node_name(&self, node: u32) -> String {
+        if self.has_node(node) {
+            self.nodes.name(node as usize).to_owned()
+        } else {
+            format!("node {node}")
+        }
+    }
+
+    /// The connection to a node is ready.
+    pub(super) fn on_node_ready(&mut self, node: usize, readable: bool, now: Tick) {
+        let mut more = self
+            .nodes
+            .on_ready(node, readable, &mut self.read_buffer, now);
+        while more {
+            more = self.nodes.read(node, &mut self.read_buffer, now);
+        }
+    }
+
+    /// Closes connections that have timed out.
+    pub(super) fn on_timer(&mut self, now: Tick) {
+        self.nodes.on_timer(now);
+    }
+
+    /// Writes what waits for the nodes.
+    pub(super) fn flush(&mut self) {
+        self.nodes.flush();
+    }
+
+    /// Has every node that holds extents of a frozen layer close it to writes, however often that takes.
+    pub(super) fn close_layers(&mut self, tree: &Tree, now: Tick) {
+        for (layer, node) in tree.pending_closes() {
+            let purpose = Purpose::CloseLayer { layer, node };
+            if !self.is_in_flight(purpose) {
+                let command = scsi::mode_select_write_protect(true);
+                self.send(purpose, node, layer, command.into(), now);
+            }
+        }
+    }
+
+    /// Has a node unmap a location in the unit of a layer. `blocks`: its first block and number of blocks.
+    pub(super) fn unmap(
+        &mut self,
+        purpose: Purpose,
+        layer: LayerId,
+        location: Location,
+        blocks: (u64, u32),
+        now: Tick,
+    ) {
+        let command = scsi::unmap(&[blocks]);
+        self.send(purpose, location.node, layer, command.into(), now);
+    }
+
+    fn is_in_flight(&self, purpose: Purpose) -> bool {
+        self.in_flight
+            .values()
+            .any(|command| command.purpose == purpose)
+    }
+
+    /// Sends a command to the unit of a layer at a node. At a node that the configuration does not have it times
+    /// out.
+    fn send(
         &mut self,
         purpose: Purpose,
         node: u32,
         layer: LayerId,
-        command: ([u8; 16], Vec<u8>),
+        command: CommandBlock,
+        now: Tick,
     ) {
         self.last_tag = self.last_tag.wrapping_add(1);
-        let (cdb, data) = command;
+        let deadline = now + COMMAND_TIMEOUT;
+        self.in_flight
+            .insert(self.last_tag, NodeCommand { purpose, deadline });
+        if !self.has_node(node) {
+            return;
+        }
         let request = NodeRequest {
             tag: self.last_tag,
             lun: Some(layer),
-            cdb,
+            cdb: command.cdb,
             read_len: 0,
-            data: data.into(),
-        };
-        self.commands.insert(
-            self.last_tag,
-            NodeCommand {
-                purpose,
-                deadline: self.now + COMMAND_TIMEOUT,
-            },
-        );
-        self.nodes.submit(node as usize, request, self.now);
-    }
-
-    /// Has every node that holds extents of a frozen layer close it to writes, however often that takes.
-    pub(super) fn close_layers(&mut self) {
-        for (layer, node) in self.tree().pending_closes().collect::<Vec<_>>() {
-            let purpose = Purpose::CloseLayer { layer, node };
-            if !self
-                .commands
-                .values()
-                .any(|command| command.purpose == purpose)
-            {
-                self.send_command(purpose, node, layer, scsi::mode_select_write_protect(true));
-            }
-        }
-    }
-
-    /// Has nodes unmap extents that nothing refers to any more.
-    pub(super) fn reclaim_extents(&mut self, now: Millis) {
-        let deadlines = self
-            .config
-            .io_classes
-            .iter()
-            .map(|class| class.deadline / MICROS_PER_MILLI);
-        let longest_write = deadlines.max().unwrap_or(0);
-        let layer_of_cut = |operation: &Operation| match operation {
-            Operation::Cut(cut) => Some(cut.layer),
-            Operation::Rollout { .. } | Operation::BeginCut { .. } => None,
+            data: command.data.into(),
         };
-        let in_use = self
-            .pending_operations
-            .iter()
-            .filter_map(|pending| layer_of_cut(&pending.operation))
-            .collect();
-        let tree = self.catalog.tree();
-        for (layer, extent) in
-            self.reclaimer
-                .next_batch(tree, &in_use, &self.leases, longest_write, now)
-        {
-            let location = self
-                .tree()
-                .layers
-                .get(&layer)
-                .and_then(|l| l.locations.get(&extent))
-                .copied();
-            let Some(location) = location else { continue };
-            let unmap = scsi::unmap(&[self.blocks_of(location)]);
-            self.send_command(
-                Purpose::UnmapExtent { layer, extent },
-                location.node,
-                layer,
-                unmap,
-            );
-        }
-        for layer in self
-            .reclaimer
-            .removable_layers(self.catalog.tree(), &in_use)
-        {
-            let _ = self.propose(Change::ExtentsReclaimed {
-                layer,
-                extents: Vec::new(),
-            });
-        }
+        self.nodes.submit(node as usize, request, now);
     }
 
-    /// Takes commands that nodes have answered, and gives up those whose time is over.
-    pub(super) fn on_completed_commands(&mut self) {
+    /// The next command that a node has carried out or failed.
+    pub(super) fn next_ended(&mut self) -> Option<EndedCommand> {
         while let Some(finished) = self.nodes.next_finished() {
-            if let Some(command) = self.commands.remove(&finished.tag) {
-                self.on_command_end(command.purpose, finished.result == AttemptResult::Completed);
-            }
-        }
-        let is_late = |command: &NodeCommand| command.deadline <= self.now;
-        let late: Vec<u32> = self
-            .commands
-            .iter()
-            .filter(|(_, command)| is_late(command))
-            .map(|(tag, _)| *tag)
-            .collect();
-        for tag in late {
-            let Some(NodeCommand { purpose, .. }) = self.commands.remove(&tag) else {
-                continue;
-            };
-            if let Some(node) = self.node_of(purpose) {
-                self.nodes.cancel(node as usize, tag, self.now);
+            if let Some(command) = self.in_flight.remove(&finished.tag) {
+                return Some(EndedCommand {
+                    purpose: command.purpose,
+                    is_done: finished.result == AttemptResult::Completed,
+                });
             }
-            self.on_command_end(purpose, false);
         }
+        None
     }
 
-    /// The node of a command, where that is still known.
-    fn node_of(&self, purpose: Purpose) -> Option<u32> {
-        match purpose {
-            Purpose::CloseLayer { node, .. } => Some(node),
-            Purpose::UnmapLateCopy => None,
-            Purpose::UnmapExtent { layer, extent } => {
-                let location = self
-                    .tree()
-                    .layers
-                    .get(&layer)
-                    .and_then(|l| l.locations.get(&extent));
-                location.map(|location| location.node)
-            }
-        }
+    /// Removes the commands whose time is over, in the order in which they were sent.
+    pub(super) fn take_late(&mut self, now: Tick) -> Vec<LateCommand> {
+        self.in_flight
+            .extract_if(.., |_, command| command.deadline <= now)
+            .map(|(tag, command)| LateCommand {
+                purpose: command.purpose,
+                tag,
+            })
+            .collect()
     }
 
-    fn on_command_end(&mut self, purpose: Purpose, done: bool) {
-        self.crash_point();
-        match purpose {
-            Purpose::CloseLayer { layer, node } if done => {
-                let _ = self.propose(Change::LayerClosed { layer, node });
-            }
-            Purpose::UnmapExtent { layer, extent } if done => {
-                self.reclaimer.completed((layer, extent));
-                let _ = self.propose(Change::ExtentsReclaimed {
-                    layer,
-                    extents: vec![extent],
-                });
-            }
-            Purpose::UnmapExtent { layer, extent } => {
-                self.reclaimer
-                    .failed((layer, extent), ticks_to_millis(self.now));
-            }
-            Purpose::CloseLayer { .. } | Purpose::UnmapLateCopy => {}
+    /// Stops waiting for a late command at a node.
+    pub(super) fn cancel(&mut self, node: u32, late: &LateCommand, now: Tick) {
+        if self.has_node(node) {
+            self.nodes.cancel(node as usize, late.tag, now);
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/snapshot_catalog/operations.rs
@@ -0,0 +1,124 @@
+//! The steps of operations whose end an operator waits for.
+use super::CatalogService;
+use super::pending_operations::{Operation, PendingOperation, Rollout, SnapshotRequest};
+use crate::control_socket::ConnectionId;
+use mallowseam_cow::consistent_cut::{ConsistentCut, CutProgress};
+use mallowseam_cow::messages::ToHost;
+use mallowseam_cow::tree::{Change, ChangeError};
+
+impl CatalogService {
+    /// Advances pending operations as far as possible now.
+    pub(super) fn advance_operations(&mut self) {
+        let mut ended_cuts: Vec<String> = Vec::new();
+        for pending in self.pending_operations.take_all() {
+            let PendingOperation {
+                connection,
+                operation,
+            } = pending;
+            match operation {
+                Operation::BeginCut(request) => self.advance_request(connection, request),
+                Operation::Cut(cut) => ended_cuts.extend(self.advance_cut(connection, cut)),
+                Operation::Rollout(rollout) => self.advance_rollout(connection, rollout),
+            }
+        }
+        ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
+    }
+
+    /// Begins a snapshot once all hosts that may act are known.
+    fn advance_request(&mut self, connection: ConnectionId, request: SnapshotRequest) {
+        if !self.leases.all_hosts_known(self.now_millis()) {
+            self.pending_operations
+                .add(connection, Operation::BeginCut(request));
+        } else if let Err(e) = self.begin_cut(connection, &request) {
+            self.outbox.refuse(connection, &e);
+        }
+    }
+
+    /// Answers the operator once a change is effective.
+    fn advance_rollout(&mut self, connection: ConnectionId, rollout: Rollout) {
+        if rollout.is_complete(self.tree(), &self.leases, self.now_millis()) {
+            self.outbox.answer(connection, rollout.answer);
+        } else {
+            self.pending_operations
+                .add(connection, Operation::Rollout(rollout));
+        }
+    }
+
+    /// Takes the next step of a snapshot in progress. Returns its branch if the cut has ended.
+    fn advance_cut(&mut self, connection: ConnectionId, cut: ConsistentCut) -> Option<String> {
+        match cut.progress(self.tree(), self.now_millis()) {
+            CutProgress::Wait => {
+                self.pending_operations.add(connection, Operation::Cut(cut));
+                None
+            }
+            CutProgress::Restart => {
+                self.restart_cut(connection, cut);
+                None
+            }
+            CutProgress::Grant(change) => {
+                self.grant_snapshot(connection, &cut, change);
+                Some(cut.branch)
+            }
+            CutProgress::Fail(failure) => {
+                let reason = self.cut_error(failure);
+                let snapshot = snapshot_name(&cut);
+                tracing::warn!(snapshot, %reason, "snapshot failed");
+                self.outbox.refuse(connection, &reason);
+                Some(cut.branch)
+            }
+        }
+    }
+
+    /// Freezes the present head in place of the layer that was frozen before.
+    fn restart_cut(&mut self, connection: ConnectionId, mut cut: ConsistentCut) {
+        let active_hosts = self.leases.active_hosts(self.now_millis());
+        if let Some(change) = cut.restart(self.tree(), active_hosts) {
+            // If the head cannot be frozen, the cut fails at its timeout.
+            let _ = self.tree.propose(change);
+        }
+        self.pending_operations.add(connection, Operation::Cut(cut));
+        self.close_layers();
+        self.quiesce_hosts();
+    }
+
+    /// Names the frozen layer. The operator is answered once every host knows the snapshot's unit.
+    fn grant_snapshot(&mut self, connection: ConnectionId, cut: &ConsistentCut, change: Change) {
+        let snapshot = snapshot_name(cut);
+        match self.create_snapshot(&snapshot, change) {
+            Ok(rollout) => {
+                tracing::info!(snapshot, "snapshot granted");
+                self.pending_operations
+                    .add(connection, Operation::Rollout(rollout));
+            }
+            Err(refused) => self.outbox.refuse(connection, &refused),
+        }
+    }
+
+    fn create_snapshot(&mut self, snapshot: &str, change: Change) -> Result<Rollout, ChangeError> {
+        let version = self.tree.propose(change)?;
+        let lun = self.tree().snapshot(snapshot)?.lun;
+        Ok(Rollout {
+            version,
+            closing: None,
+            answer: format!("{snapshot} granted, LUN {lun}"),
+        })
+    }
+
+    /// A cut has ended: hosts may begin split writes again, if no other cut of the branch is pending.
+    fn on_cut_end(&mut self, branch: &str) {
+        if self.pending_operations.has_cut_of(branch) {
+            return;
+        }
+        for host in self.sockets.hosts().ids() {
+            let finished = ToHost::CutFinished {
+                branch: branch.to_owned(),
+            };
+            self.outbox.send(host, finished);
+        }
+    }
+}
+
+/// The full name of the snapshot that a cut is for.
+fn snapshot_name(cut: &ConsistentCut) -> String {
+    format!("{}@{}", cut.branch, cut.name)
+}
--- /dev/null
+++ b/crates/gateway/src/snapshot_catalog/pending_locations.rs
@@ -0,0 +1,52 @@
+//! Locations of extents that hosts were notified of and may not write to yet.
+use mallowseam_cow::Millis;
+use mallowseam_cow::leases::HostLeases;
+use mallowseam_cow::tree::{LayerId, Tree};
+
+/// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older
+/// version.
+pub(super) struct PendingLocation {
+    pub(super) version: u64,
+    pub(super) layer: LayerId,
+    pub(super) extent: u32,
+}
+
+/// All locations that are not writable yet.
+pub(super) struct PendingLocations {
+    locations: Vec<PendingLocation>,
+}
+
+impl PendingLocations {
+    /// The locations in a stored tree that were not writable when the catalog stopped.
+    pub(super) fn of_tree(tree: &Tree) -> Self {
+        let version = tree.version;
+        let locations = tree.layers.iter().flat_map(|(layer, content)| {
+            let extents = content.locations.keys();
+            let pending = extents.filter(|extent| !content.writable.contains(extent));
+            pending.map(|extent| PendingLocation {
+                version,
+                layer: *layer,
+                extent: *extent,
+            })
+        });
+        PendingLocations {
+            locations: locations.collect(),
+        }
+    }
+
+    /// Hosts are notified of a location.
+    pub(super) fn add(&mut self, location: PendingLocation) {
+        self.locations.push(location);
+    }
+
+    /// Removes the locations that every host that may act knows.
+    pub(super) fn take_effective(
+        &mut self,
+        leases: &HostLeases,
+        now: Millis,
+    ) -> Vec<PendingLocation> {
+        self.locations
+            .extract_if(.., |location| leases.is_effective(location.version, now))
+            .collect()
+    }
+}
