--- a/crates/gateway/tests/pinned/main.rs
+++ b/crates/gateway/tests/pinned/main.rs
@@ -6,5 +6,6 @@
 mod host;
 mod plan_service;
 mod scsi;
+mod service_setup;
 mod shares;
 mod snapshot_catalog;
--- a/crates/gateway/tests/pinned/plan_service.rs
+++ b/crates/gateway/tests/pinned/plan_service.rs
@@ -1,50 +1,19 @@
 //! The control service of plans: its control socket, and what it says to hosts.
-use crate::harness::{
-    Peer, Process, Question, Transcript, addresses, assert_pinned, mask_times, wait_for,
-    wait_for_control,
-};
-use std::fs;
+use crate::harness::{Peer, Question, Transcript, assert_pinned, mask_times, wait_for};
+use crate::service_setup::ServiceSetup;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
-struct Setup {
-    directory: tempfile::TempDir,
-    address: SocketAddr,
-}
-
-impl Setup {
-    fn new() -> Setup {
-        let address = addresses();
-        let directory = tempfile::tempdir().expect("a directory");
-        let root = directory.path().display();
-        let text = format!(
-            "host gw0\n  listen {}\n  target iqn.t:gateway\n  node-list static\n  window 32\n  connections 40\n  \
-             longest 1MiB\nfleet\n  hosts 2\n  unit 4KiB\n  mean-units 1\n  largest-units 8\n  submits 3\ntariffs\n  \
-             listen {}\n  store \"{root}/plans\"\n  control \"{root}/control.sock\"\nplan basic\n  usual 20/s\n  \
-             limit 40/s burst 8\ngroup all\n  effect idempotent\n  goal 100ms\n  hard-limit 1s\nvolume a\n  lun 0\n  \
-             plan basic\n  blocks 4096\n  block-size 512B\n  hosts 2\n  extent 0 4096 node0 at 0\n  rule any all\n\
-             node node0\n  address {}\n  target iqn.t:node0\n",
-            address(0),
-            address(1),
-            address(2),
-        );
-        fs::write(directory.path().join("conf"), text).expect("a file");
-        Setup {
-            directory,
-            address: address(1),
-        }
-    }
-
-    fn control(&self) -> PathBuf {
-        self.directory.path().join("control.sock")
-    }
-
-    fn start(&self) -> Process {
-        let conf = self.directory.path().join("conf");
-        let process = Process::start(&["control", conf.to_str().expect("text"), "--log", "error"]);
-        wait_for_control(&self.control());
-        process
-    }
+fn setup() -> ServiceSetup {
+    ServiceSetup::new("control", |address, root| {
+        format!(
+            "fleet\n  hosts 2\n  unit 4KiB\n  mean-units 1\n  largest-units 8\n  submits 3\ntariffs\n  \
+             listen {address}\n  store \"{root}/plans\"\n  control \"{root}/control.sock\"\nplan basic\n  \
+             usual 20/s\n  limit 40/s burst 8\ngroup all\n  effect idempotent\n  goal 100ms\n  hard-limit 1s\n\
+             volume a\n  lun 0\n  plan basic\n  blocks 4096\n  block-size 512B\n  hosts 2\n  \
+             extent 0 4096 node0 at 0\n  rule any all\n"
+        )
+    })
 }
 
 /// A host as the service sees it, with what it hears in the transcript.
@@ -98,7 +67,7 @@
 
 #[test]
 fn control_socket_and_messages_are_as_they_were() {
-    let setup = Setup::new();
+    let setup = setup();
     let mut process = setup.start();
     let control = setup.control();
     let mut t = Transcript::default();
--- a/crates/gateway/tests/pinned/snapshot_catalog.rs
+++ b/crates/gateway/tests/pinned/snapshot_catalog.rs
@@ -1,49 +1,16 @@
 //! The snapshot catalog service: its control socket, and what it says to hosts.
-use crate::harness::{
-    Peer, Process, Question, Transcript, addresses, assert_pinned, mask, wait_for_control,
-};
-use std::fs;
-use std::net::SocketAddr;
-use std::path::PathBuf;
+use crate::harness::{Peer, Question, Transcript, assert_pinned, mask};
+use crate::service_setup::ServiceSetup;
 
-struct Setup {
-    directory: tempfile::TempDir,
-    address: SocketAddr,
-}
-
-impl Setup {
-    fn new() -> Setup {
-        let address = addresses();
-        let directory = tempfile::tempdir().expect("a directory");
-        let root = directory.path().display();
-        let text = format!(
-            "host gw0\n  listen {}\n  target iqn.t:gateway\n  node-list static\n  window 32\n  connections 40\n  \
-             longest 1MiB\nfleet\n  hosts 1\n  unit 4KiB\n  mean-units 1\n  largest-units 8\n  submits 3\ncatalog\n  \
-             listen {}\n  store \"{root}/tree\"\n  control \"{root}/control.sock\"\n  extent 64\n  copies all\n\
-             plan basic\ngroup all\n  effect idempotent\n  goal 100ms\n  hard-limit 1s\nvolume a\n  lun 0\n  \
-             plan basic\n  blocks 256\n  block-size 512B\n  hosts 1\n  mapped\n  rule any all\n\
-             node node0\n  address {}\n  target iqn.t:node0\n",
-            address(0),
-            address(1),
-            address(2),
-        );
-        fs::write(directory.path().join("conf"), text).expect("a file");
-        Setup {
-            directory,
-            address: address(1),
-        }
-    }
-
-    fn control(&self) -> PathBuf {
-        self.directory.path().join("control.sock")
-    }
-
-    fn start(&self) -> Process {
-        let conf = self.directory.path().join("conf");
-        let process = Process::start(&["catalog", conf.to_str().expect("text"), "--log", "error"]);
-        wait_for_control(&self.control());
-        process
-    }
+fn setup() -> ServiceSetup {
+    ServiceSetup::new("catalog", |address, root| {
+        format!(
+            "fleet\n  hosts 1\n  unit 4KiB\n  mean-units 1\n  largest-units 8\n  submits 3\ncatalog\n  \
+             listen {address}\n  store \"{root}/tree\"\n  control \"{root}/control.sock\"\n  extent 64\n  \
+             copies all\nplan basic\ngroup all\n  effect idempotent\n  goal 100ms\n  hard-limit 1s\nvolume a\n  \
+             lun 0\n  plan basic\n  blocks 256\n  block-size 512B\n  hosts 1\n  mapped\n  rule any all\n"
+        )
+    })
 }
 
 /// A host as the catalog sees it: it says of each change that it has seen it.
@@ -81,7 +48,7 @@
 
 #[test]
 fn control_socket_and_messages_are_as_they_were() {
-    let setup = Setup::new();
+    let setup = setup();
     let mut process = setup.start();
     let control = setup.control();
     let mut t = Transcript::default();
