--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,48 +1,50 @@
 //! The snapshot catalog service: stores the tree of layers, replicates its changes to hosts, and has nodes
 //! close layers and unmap reclaimed extents.
 //!
-//! - `hosts`: messages of hosts, and what a host that connects is sent.
-//! - `operator`: requests on the control socket, and operations whose end an operator waits for.
-//! - `node_commands`: commands at nodes, which close layers to writes and unmap reclaimed extents.
-//! - `listing`: the tree as text.
+//! What the service does on an event:
+//! - `hosts`: messages of hosts.
+//! - `operator`: requests on the control socket.
+//! - `operations`: the steps of operations whose end an operator waits for.
+//! - `node_events`: ends of commands at nodes.
+//!
+//! What it owns, one type a file: `settings`, `stored_tree`, `node_commands`, `pending_locations`,
+//! `pending_operations`, `outbox`, `crash_points`. `listing` shows the tree as text.
+mod crash_points;
 mod hosts;
 mod listing;
 mod node_commands;
+mod node_events;
+mod operations;
 mod operator;
+mod outbox;
+mod pending_locations;
+mod pending_operations;
+mod settings;
+mod stored_tree;
 
 use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
-use crate::control_socket::{self, ConnectionId, ControlSocket};
 use crate::error::Error;
-use crate::json_lines::{Limits, PeerId, Peers};
-use crate::node_connections::Nodes;
+use crate::host_connections::Limits;
+use crate::service::{self, ListeningSockets, PeriodicTimer, Service, ServiceSockets, SocketEvent};
 use crate::startup;
-use hosts::Hello;
+use crash_points::CrashPoints;
+use hosts::Subscription;
 use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::messages::ToHost;
-use mallowseam_cow::reclaim::Reclaimer;
-use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
-use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_cow::tree::{Change, Tree};
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_settings::GatewayConfig;
-use mallowseam_settings::config::{self, Volume};
-use mallowseam_snapshot_catalog::Catalog;
-use mio::net::UnixStream;
-use mio::{Events, Poll, Token};
-use node_commands::NodeCommand;
-use operator::PendingOperation;
-use std::collections::BTreeMap;
-use std::io::ErrorKind;
+use mio::Poll;
+use mio::event::Event;
+use node_commands::NodeCommands;
+use outbox::Outbox;
+use pending_locations::PendingLocations;
+use pending_operations::PendingOperations;
+use settings::Settings;
+use std::time::Duration;
+use stored_tree::StoredTree;
 
-const LISTENER: Token = Token(0);
-const CONTROL: Token = Token(1);
-const SIGNALS: Token = Token(2);
-/// First token of connections to the control socket.
-const FIRST_CONTROL_CONNECTION: usize = 3;
-/// First token of connections to nodes; those of hosts follow.
-const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
-const READ_BUFFER: usize = 64 * 1024;
-const MAX_EVENTS: usize = 256;
 const LIMITS: Limits = Limits {
     max_line: 64 * 1024,
     max_unsent: 128 << 20,
@@ -52,53 +54,21 @@
 /// Ticks after which hosts that have not quiesced a layer get the request again.
 const QUIESCE_PERIOD: Tick = 2_000;
 
-/// Whether a host has sent its hello message, and is sent every change from then on.
-type Subscribed = bool;
-
-/// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older
-/// version.
-struct PendingLocation {
-    version: u64,
-    layer: LayerId,
-    extent: u32,
-}
-
-/// What is sent once the changes of this iteration are on disk.
-enum Reply {
-    Operator(ConnectionId, String),
-    Host(PeerId, ToHost),
-}
-
 struct CatalogService {
-    config: GatewayConfig,
     clock: Clock,
+    /// When the last poll returned.
     now: Tick,
-    catalog: Catalog,
+    settings: Settings,
+    sockets: ServiceSockets<Subscription>,
+    tree: StoredTree,
     leases: HostLeases,
-    /// Extents and layers to be reclaimed.
-    reclaimer: Reclaimer,
-    hosts: Peers<Subscribed>,
-    first_host_token: usize,
-    nodes: Nodes,
-    control: Option<ControlSocket>,
-    signals: UnixStream,
-    /// Commands in flight at nodes, by tag.
-    commands: BTreeMap<u32, NodeCommand>,
-    last_tag: u32,
-    pending_locations: Vec<PendingLocation>,
-    pending_operations: Vec<PendingOperation>,
-    replies: Vec<Reply>,
-    /// Hello messages of this iteration.
-    hellos: Vec<Hello>,
-    stopping: bool,
-    /// This iteration has put a batch on disk.
-    stored: bool,
-    /// Crash points passed so far, and the one at which the process aborts.
-    crash_points: u64,
-    crash_at: Option<u64>,
-    last_check: Tick,
-    last_quiesce: Tick,
-    read_buffer: Vec<u8>,
+    node_commands: NodeCommands,
+    pending_locations: PendingLocations,
+    pending_operations: PendingOperations,
+    outbox: Outbox,
+    check_timer: PeriodicTimer<Tick>,
+    quiesce_timer: PeriodicTimer<Tick>,
+    crash_points: CrashPoints,
 }
 
 /// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop.
@@ -110,274 +80,179 @@
 /// An address, path or store of the configuration cannot be had, or the store fails later.
 pub(crate) fn run(config: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
-    let mut service = CatalogService::open(config, &poll)?;
-    service.crash_at = crash_at;
-    let mut events = Events::with_capacity(MAX_EVENTS);
-    while !service.stopping {
-        let timeout =
-            ticks_to_duration((service.last_check + CHECK_PERIOD - service.clock.now()).max(0));
-        if let Err(e) = poll.poll(&mut events, Some(timeout))
-            && e.kind() != ErrorKind::Interrupted
-        {
-            return Err(Error::Poll(e));
-        }
-        service.now = service.clock.now();
-        for event in &events {
-            let readable = event.is_readable() || event.is_error() || event.is_read_closed();
-            service.on_event(event.token(), readable);
-        }
-        service.after_events()?;
-    }
+    let mut service = CatalogService::open(&config, crash_at, &poll)?;
+    service::run(&mut service, &mut poll)?;
     tracing::info!("snapshot catalog stopped");
     Ok(())
 }
 
 impl CatalogService {
-    fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let settings = config
+    fn open(config: &GatewayConfig, crash_at: Option<u64>, poll: &Poll) -> Result<Self, Error> {
+        let section = config
             .catalog
-            .clone()
+            .as_ref()
             .ok_or(Error::MissingSection("catalog"))?;
-        let address = startup::validated_address(settings.listen);
-        let first_host_token = FIRST_NODE + config.nodes.len();
-        let hosts = Peers::open(address, poll, LISTENER, first_host_token, LIMITS)?;
-        let control = startup::control_socket(
-            settings.control_socket.as_deref(),
+        let address = startup::validated_address(section.listen);
+        let listening = ListeningSockets::open(
+            address,
+            section.control_socket.as_deref(),
+            config.nodes.len(),
+            LIMITS,
             poll,
-            CONTROL,
-            FIRST_CONTROL_CONNECTION,
         )?;
-        let catalog =
-            Catalog::open(&settings.store_path).map_err(|source| Error::OpenCatalogStore {
-                path: settings.store_path.clone(),
-                source,
-            })?;
-        let initiator = format!("{}:catalog", config.host.target);
-        let registry = startup::registry(poll)?;
-        let nodes = Nodes::new(
-            &config.nodes,
-            initiator,
-            ProposedParams::default(),
-            registry,
-            FIRST_NODE,
-        );
+        let tree = StoredTree::open(&section.store_path)?;
+        let node_commands = NodeCommands::new(config, startup::registry(poll)?);
         let clock = Clock::from_zero();
         let now = clock.now();
-        let fresh = catalog.tree().version == 0;
-        tracing::info!(listen = %address, version = catalog.tree().version, "snapshot catalog started");
+        tracing::info!(listen = %address, version = tree.tree().version, "snapshot catalog started");
         let mut service = CatalogService {
-            config,
             clock,
             now,
-            reclaimer: Reclaimer::from_tree(catalog.tree()),
-            catalog,
-            leases: HostLeases::new(ticks_to_millis(now), fresh),
-            hosts,
-            first_host_token,
-            nodes,
-            control,
-            signals: startup::signals(poll, SIGNALS)?,
-            commands: BTreeMap::new(),
-            last_tag: 0,
-            pending_locations: Vec::new(),
-            pending_operations: Vec::new(),
-            replies: Vec::new(),
-            hellos: Vec::new(),
-            stopping: false,
-            stored: false,
-            crash_points: 0,
-            crash_at: None,
-            last_check: now,
-            last_quiesce: now,
-            read_buffer: vec![0; READ_BUFFER],
+            settings: Settings::new(config, section),
+            sockets: listening.watch_signals(poll)?,
+            leases: HostLeases::new(ticks_to_millis(now), tree.is_new()),
+            node_commands,
+            pending_locations: PendingLocations::of_tree(tree.tree()),
+            pending_operations: PendingOperations::default(),
+            outbox: Outbox::default(),
+            check_timer: PeriodicTimer::new(CHECK_PERIOD, now),
+            quiesce_timer: PeriodicTimer::new(QUIESCE_PERIOD, now),
+            crash_points: CrashPoints::new(crash_at),
+            tree,
         };
-        service.resume_pending_locations();
-        service.create_configured_branches(&settings)?;
+        service.create_configured_branches()?;
         Ok(service)
     }
 
-    /// Locations that hosts were notified of, and that were not writable at the last stop, become so in this
-    /// run.
-    fn resume_pending_locations(&mut self) {
-        let tree = self.catalog.tree();
-        for (id, layer) in &tree.layers {
-            for extent in layer
-                .locations
-                .keys()
-                .filter(|extent| !layer.writable.contains(extent))
-            {
-                let (version, layer, extent) = (tree.version, *id, *extent);
-                self.pending_locations.push(PendingLocation {
-                    version,
-                    layer,
-                    extent,
-                });
-            }
-        }
-    }
-
     /// Creates a branch for each mapped volume that has none yet.
-    fn create_configured_branches(&mut self, settings: &config::Catalog) -> Result<(), Error> {
-        let mapped: Vec<Volume> = self
-            .config
-            .volumes
-            .iter()
-            .filter(|v| v.mapped)
-            .cloned()
-            .collect();
-        for volume in mapped {
-            if !self.tree().branches.contains_key(&volume.name) {
-                let extent_count = (volume.block_count / settings.extent_blocks) as u32;
+    fn create_configured_branches(&mut self) -> Result<(), Error> {
+        for volume in self.settings.mapped_volumes() {
+            if !self.tree.tree().branches.contains_key(&volume.name) {
                 let created = Change::BranchCreated {
-                    branch: volume.name,
-                    extent_count,
+                    branch: volume.name.clone(),
+                    extent_count: volume.extent_count,
                 };
-                self.propose(created).map_err(Error::ConfiguredVolume)?;
+                self.tree
+                    .propose(created)
+                    .map_err(Error::ConfiguredVolume)?;
             }
         }
         Ok(())
     }
 
-    /// Makes a change, which counts once the batch is on disk. Its version.
-    fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
-        let effects = self.catalog.stage(change)?;
-        self.reclaimer.record_change(self.catalog.tree(), &effects);
-        Ok(self.catalog.tree().version)
-    }
-
     /// The tree, with the changes that are not on disk yet.
     fn tree(&self) -> &Tree {
-        self.catalog.tree()
+        self.tree.tree()
     }
 
-    /// Blocks of an extent.
-    fn extent_blocks(&self) -> u64 {
-        self.config
-            .catalog
-            .as_ref()
-            .map_or(1, |catalog| catalog.extent_blocks)
-    }
-
-    fn on_event(&mut self, token: Token, readable: bool) {
-        match token {
-            LISTENER => self.hosts.accept(),
-            CONTROL => {
-                if let Some(control) = &mut self.control {
-                    control.accept();
-                }
-            }
-            SIGNALS => self.stopping |= startup::take_signal(&mut self.signals),
-            Token(token) if token < FIRST_NODE => {
-                let connection = (token - FIRST_CONTROL_CONNECTION) as ConnectionId;
-                if let Some(line) = self
-                    .control
-                    .as_mut()
-                    .and_then(|c| c.read_request(connection))
-                {
-                    self.on_request(connection, &line);
-                }
-            }
-            Token(token) if token < self.first_host_token => {
-                let node = token - FIRST_NODE;
-                let mut more = self
-                    .nodes
-                    .on_ready(node, readable, &mut self.read_buffer, self.now);
-                while more {
-                    more = self.nodes.read(node, &mut self.read_buffer, self.now);
-                }
-            }
-            Token(token) => self.read_host((token - self.first_host_token) as PeerId),
-        }
-    }
-
-    /// What is due after the events of one poll.
-    fn after_events(&mut self) -> Result<(), Error> {
-        let now = ticks_to_millis(self.now);
-        self.on_completed_commands();
-        self.make_locations_writable(now);
-        if self.now >= self.last_check + CHECK_PERIOD {
-            self.last_check = self.now;
-            self.on_timer(now);
-        }
-        self.advance_operations(now);
-        self.store_changes()?;
-        self.nodes.flush();
-        self.send_replies();
-        Ok(())
+    /// When the last poll returned, in milliseconds.
+    fn now_millis(&self) -> Millis {
+        ticks_to_millis(self.now)
     }
 
     /// Periodic checks.
-    fn on_timer(&mut self, now: Millis) {
-        self.leases.remove_expired(now);
-        if self.last_quiesce + QUIESCE_PERIOD <= self.now {
-            self.last_quiesce = self.now;
-            self.quiesce_hosts(now);
+    fn on_timer(&mut self) {
+        self.leases.remove_expired(self.now_millis());
+        if self.quiesce_timer.take_due(self.now) {
+            self.quiesce_hosts();
         }
-        self.nodes.on_timer(self.now);
+        self.node_commands.on_timer(self.now);
         self.close_layers();
-        self.reclaim_extents(now);
+        self.reclaim_extents();
     }
 
     /// Makes locations writable once no host acts on a tree without them.
-    fn make_locations_writable(&mut self, now: Millis) {
-        for pending in std::mem::take(&mut self.pending_locations) {
-            if self.leases.is_effective(pending.version, now) {
-                let _ = self.propose(Change::ExtentWritable {
-                    layer: pending.layer,
-                    extent: pending.extent,
-                });
-            } else {
-                self.pending_locations.push(pending);
-            }
-        }
-    }
-
-    /// A point at which tests have the process crash.
-    fn crash_point(&mut self) {
-        self.crash_points += 1;
-        if self.crash_at == Some(self.crash_points) {
-            std::process::abort();
+    fn make_locations_writable(&mut self) {
+        let now = ticks_to_millis(self.now);
+        for location in self.pending_locations.take_effective(&self.leases, now) {
+            // Refused where the layer is no longer in the tree, which leaves nothing to do.
+            let _ = self.tree.propose(Change::ExtentWritable {
+                layer: location.layer,
+                extent: location.extent,
+            });
         }
     }
 
-    /// Puts the changes of this iteration on disk, then queues them for the hosts.
-    fn store_changes(&mut self) -> Result<(), Error> {
-        self.stored = self.catalog.committed_version() < self.tree().version;
-        if self.stored {
-            self.crash_point();
+    /// Puts the changes of this iteration on disk, then queues them for the hosts. Whether there were any.
+    fn store_changes(&mut self) -> Result<bool, Error> {
+        let has_changes = self.tree.has_uncommitted_changes();
+        if has_changes {
+            self.crash_points.pass();
         }
-        // A store that fails is no store: hosts go on by their leases, and a new process reads what is there.
-        let batch = self.catalog.commit().map_err(Error::CatalogStore)?;
-        if self.stored {
-            self.crash_point();
+        let batch = self.tree.commit()?;
+        if has_changes {
+            self.crash_points.pass();
         }
         for (version, change) in (batch.first_version..).zip(batch.changes) {
-            self.hosts
-                .broadcast(&ToHost::TreeChanged { version, change }, |host| host.state);
+            let changed = ToHost::TreeChanged { version, change };
+            self.sockets
+                .hosts_mut()
+                .broadcast(&changed, |host| *host.state() == Subscription::Active);
         }
         self.welcome_hosts();
-        Ok(())
+        Ok(has_changes)
+    }
+
+    /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
+    fn welcome_hosts(&mut self) {
+        for hello in self.outbox.take_hellos() {
+            if let Some(host) = self.sockets.hosts_mut().get_mut(hello.host) {
+                host.set_state(Subscription::Active);
+                self.tree.send_missing(hello.known, host);
+            }
+        }
     }
 
     /// Sends what waited for the changes to be on disk.
     fn send_replies(&mut self) {
-        for reply in std::mem::take(&mut self.replies) {
-            match reply {
-                Reply::Host(id, message) => {
-                    if let Some(host) = self.hosts.get_mut(id) {
-                        host.connection.send(&message);
-                    }
-                }
-                Reply::Operator(connection, text) => {
-                    if let Some(control) = &mut self.control {
-                        control.answer(connection, &text);
-                    }
+        self.outbox.send_replies(&mut self.sockets);
+        self.sockets.hosts_mut().flush();
+    }
+}
+
+impl Service for CatalogService {
+    fn is_stopping(&self) -> bool {
+        self.sockets.is_stop_requested()
+    }
+
+    fn poll_timeout(&self) -> Duration {
+        ticks_to_duration(self.check_timer.next_due() - self.clock.now())
+    }
+
+    fn on_poll_returned(&mut self) {
+        self.now = self.clock.now();
+    }
+
+    fn on_event(&mut self, event: &Event) -> Result<(), Error> {
+        match self.sockets.on_ready(event.token()) {
+            Some(SocketEvent::Request { connection, line }) => self.on_request(connection, &line),
+            Some(SocketEvent::Node(node)) => {
+                let readable = event.is_readable() || event.is_error() || event.is_read_closed();
+                self.node_commands.on_node_ready(node, readable, self.now);
+            }
+            Some(SocketEvent::Host(id)) => {
+                while let Some(message) = self.sockets.hosts_mut().next_message(id) {
+                    self.on_message(id, message);
                 }
             }
+            None => {}
         }
-        self.hosts.flush();
-        if std::mem::take(&mut self.stored) {
-            self.crash_point();
+        Ok(())
+    }
+
+    fn after_events(&mut self) -> Result<(), Error> {
+        self.on_ended_commands();
+        self.make_locations_writable();
+        if self.check_timer.take_due(self.now) {
+            self.on_timer();
         }
+        self.advance_operations();
+        let has_stored = self.store_changes()?;
+        self.node_commands.flush();
+        self.send_replies();
+        if has_stored {
+            self.crash_points.pass();
+        }
+        Ok(())
     }
 }
