--- a/crates/gateway/tests/pinned/command_line.rs
+++ b/crates/gateway/tests/pinned/command_line.rs
@@ -1,5 +1,6 @@
 //! Help texts, configuration checks and exit codes.
-use crate::harness::{assert_pinned, describe, run};
+use crate::harness::{assert_pinned, describe, read_fixture, run};
+use std::collections::BTreeSet;
 
 const SUBCOMMANDS: [&[&str]; 41] = [
     &[],
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn help_of_every_subcommand_is_as_it_was() {
+fn help_of_every_subcommand_has_its_text() {
     let runs: Vec<Vec<&str>> = SUBCOMMANDS
         .iter()
         .map(|path| [*path, &["--help"]].concat())
@@ -65,6 +66,94 @@
     assert_pinned("help.txt", &transcript(&runs));
 }
 
+/// What scripts rely on in a help text: the usage line, subcommands, flags, defaults and possible values.
+fn interface(help: &str) -> BTreeSet<String> {
+    let mut found = BTreeSet::new();
+    let mut is_in_commands = false;
+    for line in help.lines() {
+        is_in_commands = (is_in_commands && !line.is_empty()) || line == "Commands:";
+        if line.starts_with("Usage: ") {
+            found.insert(line.to_owned());
+        }
+        if is_in_commands && line.starts_with("  ") {
+            let name = line.split_whitespace().next().expect("it is not empty");
+            found.insert(format!("subcommand {name}"));
+        }
+        found.extend(flags(line));
+        for label in ["[default: ", "[possible values: "] {
+            found.extend(bracketed(line, label).map(|value| format!("{label}{value}]")));
+        }
+    }
+    found
+}
+
+/// The flags that a line of a help text specifies, their aliases among them.
+fn flags(line: &str) -> Vec<String> {
+    let line = line.trim_start();
+    let is_specification = line.starts_with('-');
+    let specification = line.split("  ").next().filter(|_| is_specification);
+    let alias = bracketed(line, "[alias: ");
+    specification
+        .unwrap_or_default()
+        .split_whitespace()
+        .chain(alias)
+        .filter(|word| word.starts_with("--"))
+        .map(str::to_owned)
+        .collect()
+}
+
+/// What follows a label up to the closing bracket.
+fn bracketed<'a>(line: &'a str, label: &str) -> Option<&'a str> {
+    let (_, after) = line.split_once(label)?;
+    after.split_once(']').map(|(value, _)| value)
+}
+
+/// The fixture lists what scripts may rely on, a line each, below the command line that it belongs to. Later versions
+/// may add to it and word their help differently, and keep all of it.
+#[test]
+fn subcommands_flags_and_defaults_are_all_still_there() {
+    let pinned = read_fixture("interface.txt");
+    let mut checked = 0;
+    for section in pinned.split("$ mallowseam").skip(1) {
+        let (arguments, expected) = section.split_once('\n').expect("a command line");
+        let output = run(&arguments.split_whitespace().collect::<Vec<_>>());
+        let found = interface(&String::from_utf8(output.stdout).expect("help is text"));
+        for line in expected.lines() {
+            assert!(found.contains(line), "mallowseam{arguments}: lacks {line}");
+        }
+        checked += 1;
+    }
+    assert_eq!(checked, SUBCOMMANDS.len());
+}
+
+#[test]
+fn renamed_flags_are_accepted_by_their_old_names() {
+    let renamed: [(&[&str], &str, &str); 4] = [
+        (&["verify", "missing.conf"], "--mend", "--reclaim"),
+        (
+            &["plan", "history", "missing.conf"],
+            "--most=3",
+            "--limit=3",
+        ),
+        (
+            &["shares", "moves", "missing.conf", "missing.conf"],
+            "--data=3",
+            "--max-data=3",
+        ),
+        (
+            &["fleet", "127.0.0.1:1", "--watch"],
+            "--looks=3",
+            "--polls=3",
+        ),
+    ];
+    for (arguments, old, new) in renamed {
+        let by_old_name = describe(&run(&[arguments, &[old]].concat()));
+        let by_new_name = describe(&run(&[arguments, &[new]].concat()));
+        assert_eq!(by_old_name, by_new_name);
+        assert!(!by_old_name.contains("Usage"), "{by_old_name}");
+    }
+}
+
 #[test]
 fn checks_of_configurations_are_as_they_were() {
     let files = [
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -1,5 +1,6 @@
 //! A scenario: what a run consists of, and the faults of its schedule. `docs/cold-start.md` describes the scripts that
 //! scenarios are read from.
+mod arguments;
 mod faults;
 mod parse;
 
@@ -7,8 +8,8 @@
 use super::discovery_queue::ServiceBehavior;
 use super::links::{LinkFault, PeerSet};
 use super::simulated_node::NodeLimits;
-use crate::node::ServiceModel;
-use crate::trace::Micros;
+use mallowseam_audit::service_model::ServiceModel;
+use mallowseam_audit::trace::Micros;
 
 pub use parse::parse;
 
