--- a/crates/archive/src/format.rs
+++ b/crates/archive/src/format.rs
@@ -69,32 +69,12 @@
 
     /// The fields in these bytes. None: they are no header, or its sizes are out of bounds.
     pub(crate) fn decode(bytes: [u8; FixedHeader::BYTES]) -> Option<FixedHeader> {
-        let [
-            m0,
-            m1,
-            m2,
-            m3,
-            m4,
-            m5,
-            m6,
-            m7,
-            e0,
-            e1,
-            e2,
-            e3,
-            c0,
-            c1,
-            c2,
-            c3,
-            n0,
-            n1,
-        ] = bytes;
         let header = FixedHeader {
-            extent_bytes: u32::from_le_bytes([e0, e1, e2, e3]),
-            extent_count: u32::from_le_bytes([c0, c1, c2, c3]),
-            name_bytes: u16::from_le_bytes([n0, n1]),
+            extent_bytes: u32::from_le_bytes(field_at(&bytes, 8)),
+            extent_count: u32::from_le_bytes(field_at(&bytes, 12)),
+            name_bytes: u16::from_le_bytes(field_at(&bytes, 16)),
         };
-        let is_header = [m0, m1, m2, m3, m4, m5, m6, m7] == MAGIC && header.is_within_bounds();
+        let is_header = field_at(&bytes, 0) == MAGIC && header.is_within_bounds();
         is_header.then_some(header)
     }
 
@@ -104,6 +84,13 @@
     }
 }
 
+/// The bytes of a field. Offset and length are those of the format, which are within the header.
+fn field_at<const N: usize>(header: &[u8; FixedHeader::BYTES], offset: usize) -> [u8; N] {
+    let mut field = [0; N];
+    field.copy_from_slice(&header[offset..offset + N]);
+    field
+}
+
 /// The state of a stream after its last complete record, from which a writer can resume it.
 #[derive(Clone, Debug)]
 pub struct ResumePoint {
