--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -1,4 +1,5 @@
 //! Endpoints and updates of the list of them.
+use std::num::NonZeroU64;
 
 /// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,9 +41,9 @@
     pub name: String,
     /// Whether it takes requests.
     pub state: EndpointState,
-    /// Number of this run of the node's process as it is on the wire: it grows from run to run, and is 0 for one that
-    /// started long ago.
-    pub generation: u64,
+    /// Number of this run of the node's process, which grows from run to run. None, which is 0 on the wire, for a run
+    /// that started long ago; every other run is later.
+    pub generation: Option<NonZeroU64>,
     /// How long this run has been up, in milliseconds, when the service sent it.
     pub uptime_ms: u64,
 }
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -1,6 +1,7 @@
 //! The lines of the protocol, written and parsed.
 use crate::endpoint::{Endpoint, EndpointState, ListVersion, UpdateKind};
 use std::fmt::Write;
+use std::num::NonZeroU64;
 use thiserror::Error;
 
 /// Longest line, in bytes: several times a line with a name of usual length. Bounds what a host buffers of a line.
@@ -90,7 +91,7 @@
     Ok(Endpoint {
         name: name.to_owned(),
         state,
-        generation,
+        generation: NonZeroU64::new(generation),
         uptime_ms,
     })
 }
@@ -122,5 +123,6 @@
         uptime_ms,
     } = endpoint;
     let state = state.as_str();
+    let generation = generation.map_or(0, NonZeroU64::get);
     writeln!(out, "node {name} {state} {generation} {uptime_ms}").expect("writing to memory");
 }
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -6,6 +6,7 @@
 };
 use mallowseam_test_support::{Digest, SeededRng};
 use std::fmt::Write;
+use std::num::NonZeroU64;
 
 const STATES: [EndpointState; 3] = [
     EndpointState::Active,
@@ -24,7 +25,7 @@
     Endpoint {
         name: name.into(),
         state,
-        generation,
+        generation: NonZeroU64::new(generation),
         uptime_ms,
     }
 }
@@ -51,7 +52,7 @@
             " [{} {} {} {}]",
             e.name,
             e.state.as_str(),
-            e.generation,
+            e.generation.map_or(0, NonZeroU64::get),
             e.uptime_ms
         )
         .expect("writing to memory");
--- a/crates/endpoint-list/tests/watcher.rs
+++ b/crates/endpoint-list/tests/watcher.rs
@@ -3,6 +3,7 @@
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
     write_update,
 };
+use std::num::NonZeroU64;
 
 const UPTIME_MS: u64 = 10;
 
@@ -10,7 +11,7 @@
     Endpoint {
         name: name.into(),
         state,
-        generation,
+        generation: NonZeroU64::new(generation),
         uptime_ms: UPTIME_MS,
     }
 }
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -12,6 +12,7 @@
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
+use std::num::NonZeroU64;
 use std::path::PathBuf;
 
 /// Ticks in a millisecond.
@@ -22,9 +23,9 @@
     name: String,
     zone: u32,
     shard: u32,
-    /// Tells one run of the node's process from another; 0 for one long past.
-    generation: u64,
-    /// When that run began, by this host's clock.
+    /// Tells one run of the node's process from another. None: a run that started long ago, or no update yet.
+    generation: Option<NonZeroU64>,
+    /// When that run began, by this host's clock; 0 for long ago.
     up_since: Tick,
 }
 
@@ -68,7 +69,7 @@
             name,
             zone,
             shard: node.shard,
-            generation: 0,
+            generation: None,
             up_since: 0,
         });
     }
@@ -264,13 +265,12 @@
         // Updates take a while to arrive: of one run, the earliest start that was reported is the truest. It
         // never moves up, which would look like a restart.
         let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
-        if entry.generation == 0 {
-            (node.generation, node.up_since) = (0, 0);
-        } else if entry.generation != node.generation {
-            (node.generation, node.up_since) = (entry.generation, began);
-        } else {
-            node.up_since = node.up_since.min(began);
-        }
+        node.up_since = match entry.generation {
+            None => 0,
+            Some(_) if entry.generation != node.generation => began,
+            Some(_) => node.up_since.min(began),
+        };
+        node.generation = entry.generation;
         Some(NodeEndpoint {
             node: NodeId(index as u32),
             zone: node.zone,
--- a/crates/lab/src/endpoint_list_service.rs
+++ b/crates/lab/src/endpoint_list_service.rs
@@ -4,6 +4,7 @@
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::num::NonZeroU64;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::JoinHandle;
 use std::time::Duration;
@@ -274,7 +275,7 @@
             .map(|node| Endpoint {
                 name: node_name(node.node),
                 state: node.state,
-                generation: node.incarnation,
+                generation: NonZeroU64::new(node.incarnation),
                 uptime_ms: (now - node.started_at) / 1000,
             })
             .collect();
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -129,8 +129,9 @@
     registry: &Registry,
     now: Tick,
 ) -> Result<NodeConnections, HostError> {
-    // The settings have 0 where they name no idle timeout of nodes.
-    let idle_timeout = Some(ticks_to_millis(settings.idle_timeout)).filter(|ms| *ms > 0);
+    // A timeout below a millisecond counts as not stated.
+    let idle_timeout = settings.idle_timeout.map(ticks_to_millis);
+    let idle_timeout = idle_timeout.filter(|millis| *millis > 0);
     Ok(NodeConnections::new(
         clone_registry(registry)?,
         budget.node_connections,
@@ -148,7 +149,7 @@
         client_connections = budget.client_connections,
         node_connections = budget.node_connections,
         cores = config.cpu_cores,
-        idle_timeout_ms = ticks_to_millis(config.settings.idle_timeout),
+        idle_timeout_ms = config.settings.idle_timeout.map_or(0, ticks_to_millis),
         connect_timeout_ms = ticks_to_millis(config.settings.connect_timeout),
         memory_mb = config.memory_mb,
         cached_endpoints = config.cached_list.as_ref().map_or(0, |cached| cached.endpoints.len()),
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -26,10 +26,10 @@
     pub zone_names: Vec<String>,
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Tick,
-    /// How long a node keeps an idle connection open; 0: not stated.
-    pub idle_timeout: Tick,
-    /// Block I/Os that a host may have in flight; 0: not stated.
-    pub max_in_flight: usize,
+    /// How long a node keeps an idle connection open, if the settings say so.
+    pub idle_timeout: Option<Tick>,
+    /// Block I/Os that a host may have in flight, if the settings say so.
+    pub max_in_flight: Option<usize>,
     /// The longest deadline of any I/O class; 0: there is no class.
     pub longest_deadline: Tick,
 }
@@ -80,8 +80,9 @@
         plan_names: plans.names,
         zone_names: read_zones(value),
         connect_timeout: ticks_up(reader.positive(&limits, "connect_timeout_us")),
-        idle_timeout: reader.ticks_down(&limits, "idle_close_us"),
-        max_in_flight: reader.number(&limits, "open_cap") as usize,
+        // 0 stands for "not stated", as an absent number does.
+        idle_timeout: Some(reader.ticks_down(&limits, "idle_close_us")).filter(|t| *t > 0),
+        max_in_flight: Some(reader.number(&limits, "open_cap") as usize).filter(|n| *n > 0),
         longest_deadline: classes.longest_deadline,
     };
     let errors = reader.into_errors();
