--- a/crates/connection-policy/src/admission.rs
+++ b/crates/connection-policy/src/admission.rs
@@ -19,6 +19,7 @@
 use connections::Connections;
 use draining::HostState;
 use session::{Session, SessionHandles};
+use std::num::NonZeroU16;
 
 /// Bytes that wait to be written to a client from which on nothing more is read from it: a few of its longest reads.
 /// Its commands in flight are bounded by its command window.
@@ -118,6 +119,20 @@
             Some(_) => self.connections.other_session_of(index, initiator, isid),
             None => None,
         };
+        let handle = self.open_session(index, initiator, isid)?;
+        Ok(AdmittedSession {
+            handle: handle.get(),
+            replaces,
+        })
+    }
+
+    /// Gives a connection a session with a handle of its own.
+    fn open_session(
+        &mut self,
+        index: ConnectionIndex,
+        initiator: &str,
+        isid: [u8; 6],
+    ) -> Result<NonZeroU16, LoginRejection> {
         let handle = self
             .handles
             .next_free(|handle| self.connections.is_handle_in_use(handle))
@@ -132,10 +147,7 @@
             isid,
             handle,
         });
-        Ok(AdmittedSession {
-            handle: handle.get(),
-            replaces,
-        })
+        Ok(handle)
     }
 
     /// Bytes were received on a connection.
--- a/crates/connection-policy/src/resource_budget.rs
+++ b/crates/connection-policy/src/resource_budget.rs
@@ -10,6 +10,7 @@
 const NODE_MEMORY_DIVISOR: u64 = 4;
 /// Fraction of the memory for requests and responses of clients: one in this many.
 const CLIENT_MEMORY_DIVISOR: u64 = 4;
+/// Bytes of a MiB, in which the configuration states memory.
 const MIB: u64 = 1 << 20;
 
 /// The most of each resource that a host uses.
--- a/crates/cow/src/copy_budget.rs
+++ b/crates/cow/src/copy_budget.rs
@@ -23,8 +23,7 @@
     /// When a retry was last admitted with an empty budget. It starts as the zero of the caller's clock: the first one
     /// is admitted once the clock shows [`PROBE_INTERVAL`].
     last_probe: Millis,
-    /// Retries that the budget has rejected so far.
-    pub rejected_retries: u64,
+    rejected_retries: u64,
 }
 
 impl Default for CopyBudget {
@@ -59,6 +58,12 @@
         false
     }
 
+    /// Retries that the budget has rejected so far.
+    #[must_use]
+    pub fn rejected_retries(&self) -> u64 {
+        self.rejected_retries
+    }
+
     /// Records that a copy has succeeded.
     pub fn record_success(&mut self) {
         self.retries_left = (self.retries_left + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
--- a/crates/cow/src/tree/validate.rs
+++ b/crates/cow/src/tree/validate.rs
@@ -69,7 +69,7 @@
     }
 
     fn check_layer_ids_left(&self) -> Result<(), ChangeError> {
-        if FIRST_LAYER_ID + self.layers_created > LAST_LAYER_ID {
+        if FIRST_LAYER_ID.saturating_add(self.layers_created) > LAST_LAYER_ID {
             return Err(ChangeError::LayerIdsExhausted);
         }
         Ok(())
--- a/crates/cow/tests/copy_budget.rs
+++ b/crates/cow/tests/copy_budget.rs
@@ -15,7 +15,7 @@
         .filter(|now| budget.may_start(0, true, 1_000 + now))
         .count();
     assert_eq!(started, MAX_CONCURRENT_COPIES + 4);
-    assert_eq!(budget.rejected_retries, 1_000 - started as u64);
+    assert_eq!(budget.rejected_retries(), 1_000 - started as u64);
     assert!(
         budget.may_start(0, false, 2_000),
         "a first attempt takes nothing from the budget"
--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -270,7 +270,7 @@
             .budget
             .may_start(host.copying.len(), is_retry, self.now);
         self.record
-            .numbers([starts.into(), host.budget.rejected_retries]);
+            .numbers([starts.into(), host.budget.rejected_retries()]);
         if starts && !is_retry {
             host.copying.push(ExtentCopy {
                 layer: into,
@@ -756,7 +756,7 @@
     copies.record_success();
     assert!(copies.may_start(0, true, 1_000));
     assert!(!copies.may_start(0, true, 1_000));
-    assert_eq!(copies.rejected_retries, 990);
+    assert_eq!(copies.rejected_retries(), 990);
 }
 
 /// One call looks at 256 locations and releases 64; those that a pending cut retains go to the back of the queue.
--- a/crates/cow/tests/tree_replica.rs
+++ b/crates/cow/tests/tree_replica.rs
@@ -1,6 +1,6 @@
 //! A host's replica of the tree: lookups, its lease, and the slots that it owns.
 use mallowseam_cow::leases::LEASE_DURATION;
-use mallowseam_cow::tree::{Change, LayerId, Location, Tree};
+use mallowseam_cow::tree::{Change, ChangeError, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::{Lookup, TreeReplica};
 
 const FIRST_HEAD: LayerId = 1024;
@@ -149,3 +149,29 @@
     assert!(replica.renewal_due(half) && !replica.renewal_due(half + 1));
     assert!(replica.renewal_due(half + half / 2));
 }
+
+#[test]
+fn change_to_a_branch_without_its_head_is_rejected() {
+    // A tree as it could come from a damaged catalog: branch `a` refers to a layer that does not exist.
+    let text = serde_json::to_string(&tree()).expect("plain data");
+    let text = text.replace(r#""head":1024"#, r#""head":1030"#);
+    let tree: Tree = serde_json::from_str(&text).expect("a tree");
+    let delete = Change::BranchDeleted { branch: "a".into() };
+    for change in [freeze_head(), delete] {
+        assert_eq!(tree.check(&change), Err(ChangeError::NoSuchLayer(1030)));
+        let mut replica = TreeReplica::default();
+        replica.replace_tree(tree.clone());
+        assert!(!replica.apply_change(tree.version + 1, &change));
+    }
+}
+
+#[test]
+fn slots_that_do_not_exist_are_left_out() {
+    let mut replica = replica();
+    replica.add_slots(FIRST_HEAD, 7, 0);
+    assert_eq!(replica.take_slot(FIRST_HEAD), None);
+    replica.add_slots(FIRST_HEAD, u32::MAX - 1, 5);
+    assert!(replica.needs_slots(FIRST_HEAD));
+    assert_eq!(replica.take_slot(FIRST_HEAD), Some(u32::MAX - 1));
+    assert_eq!(replica.take_slot(FIRST_HEAD), None);
+}
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -21,8 +21,11 @@
 mod reserved_itt {
     /// Set in the tag of an ABORT TASK; the other bits are the tag of the command to abort.
     pub(super) const ABORT_TASK_BIT: u32 = 0x8000_0000;
+    /// A LOGICAL UNIT RESET.
     pub(super) const LOGICAL_UNIT_RESET: u32 = 0xfffe_ffff;
+    /// A logout request.
     pub(super) const LOGOUT: u32 = 0xfffd_ffff;
+    /// A text request.
     pub(super) const TEXT: u32 = 0xfffc_ffff;
 }
 
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -12,9 +12,11 @@
 
 /// Stages of a login, as CSG and NSG name them (section 11.12.3).
 mod stage {
+    /// Negotiation of operational parameters.
     pub(super) const OPERATIONAL: u8 = 1;
     /// A value that the standard reserves.
     pub(super) const RESERVED: u8 = 2;
+    /// Commands can be sent.
     pub(super) const FULL_FEATURE: u8 = 3;
 }
 
--- a/crates/iscsi/src/pdu/codes.rs
+++ b/crates/iscsi/src/pdu/codes.rs
@@ -65,9 +65,13 @@
 
 /// Reasons of a Reject (section 11.17.1).
 pub(crate) mod reject_reason {
+    /// The digest of a data segment does not match.
     pub const DATA_DIGEST_ERROR: u8 = 0x02;
+    /// The PDU violates the protocol.
     pub const PROTOCOL_ERROR: u8 = 0x04;
+    /// The opcode is not supported.
     pub const COMMAND_NOT_SUPPORTED: u8 = 0x05;
+    /// Too many commands for immediate delivery.
     pub const IMMEDIATE_COMMAND_REJECT: u8 = 0x06;
 }
 
@@ -99,7 +103,10 @@
 
 /// Events of an asynchronous message (section 11.9.1).
 pub(crate) mod async_event {
+    /// A SCSI event; its sense data is in the message.
     pub const SCSI: u8 = 0;
+    /// The target asks for a logout.
     pub const LOGOUT_REQUEST: u8 = 1;
+    /// The target asks for a negotiation of parameters.
     pub const NEGOTIATION_REQUEST: u8 = 4;
 }
--- a/crates/iscsi/src/scsi/cdb.rs
+++ b/crates/iscsi/src/scsi/cdb.rs
@@ -132,7 +132,7 @@
     Ten,
 }
 
-/// Parses a command descriptor block. Longer than other functions, as it has one arm for each operation.
+/// Parses a command descriptor block.
 ///
 /// # Errors
 /// The sense data to answer the command with.
--- a/crates/plans/src/quota_pool.rs
+++ b/crates/plans/src/quota_pool.rs
@@ -84,7 +84,8 @@
         );
     }
 
-    /// Leases quota to a host for [`LEASE_DURATION`] from its report on. Returns the amount; 0: nothing.
+    /// Leases quota to a host for [`LEASE_DURATION`] from its report on. Returns the
+    /// amount, which is 0 where nothing can be leased.
     pub fn grant(&mut self, host: HostNumber, now: Millis) -> MilliUnits {
         self.drop_expired(now);
         if now < self.leases_start_at {
--- a/crates/platform/src/config/fleet.rs
+++ b/crates/platform/src/config/fleet.rs
@@ -4,6 +4,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
+/// The fields of the object. Any other is rejected: it would be a misspelt one.
 const FIELDS: [&str; 7] = [
     "name",
     "listen",
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -170,6 +170,7 @@
 
 /// Whether and within which bounds a block I/O may be repeated.
 fn read_idempotency(reader: &mut Reader, class: &Object) -> Idempotency {
+    /// How a block I/O may be repeated, from the least restricted to not at all.
     const REPEAT: [&str; 3] = ["idempotent", "deduplicated", "at_most_once"];
     let scope = match reader.choice(class, "key_scope", &["all", "zone", "cell"]) {
         Some("all") => DeduplicationScope::All,
--- a/crates/snapshot-catalog/src/format_1.rs
+++ b/crates/snapshot-catalog/src/format_1.rs
@@ -3,6 +3,7 @@
 use mallowseam_cow::tree::{Change, Tree};
 use redb::{ReadableTable, TableDefinition, WriteTransaction};
 
+/// Number of the format.
 pub(crate) const FORMAT: u64 = 1;
 /// Changes as JSON, by number.
 const CHANGES: TableDefinition<u64, &[u8]> = TableDefinition::new("changes");
