--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -24,6 +24,8 @@
 mod scheduler;
 mod shed_history;
 mod slow_start;
+#[cfg(test)]
+mod tests;
 mod timers;
 mod usual_rate;
 mod volume;
--- /dev/null
+++ b/crates/scheduler/src/policy/tests/volume.rs
@@ -0,0 +1,81 @@
+use super::super::plan_rates::PlanRates;
+use super::super::volume::Volume;
+use super::assert_close;
+use crate::interface::Plan;
+
+const MAX_IO_UNITS: f64 = 8.0;
+
+/// A plan of 10,000 units a second over all hosts, with a burst of 40 and a reservation of 1,000 units a second.
+fn plan(rate_limit: f64) -> PlanRates {
+    PlanRates::from(&Plan {
+        reserved_rate: 1_000.0,
+        rate_limit,
+        burst_units: 40.0,
+        weight: 0.0,
+        priority_factor: 1.0,
+        ..Plan::default()
+    })
+}
+
+fn volume(quota: Option<f64>) -> Volume {
+    Volume::new(0, 2.0, quota, 0)
+}
+
+#[test]
+fn the_bucket_opens_empty_and_fills_to_this_hosts_part_of_the_burst() {
+    let plan = plan(10_000.0);
+    let mut volume = volume(None);
+    assert!(volume.lacks_tokens(0, 0.1, false));
+    volume.refill(10, &plan, MAX_IO_UNITS);
+    assert!(!volume.lacks_tokens(10, 5.0, false));
+    assert!(volume.lacks_tokens(10, 5.1, false));
+    volume.refill(10_000, &plan, MAX_IO_UNITS);
+    assert!(volume.lacks_tokens(10_000, 20.1, false));
+}
+
+#[test]
+fn a_quota_takes_the_place_of_the_even_share() {
+    let plan = plan(10_000.0);
+    let mut volume = volume(Some(0.9));
+    volume.refill(10, &plan, MAX_IO_UNITS);
+    assert!(!volume.lacks_tokens(10, 9.0, false));
+    assert!(volume.lacks_tokens(10, 9.1, false));
+}
+
+#[test]
+fn tokens_that_ran_short_for_the_top_class_are_kept_for_it() {
+    let plan = plan(10_000.0);
+    let mut volume = volume(None);
+    volume.keep_tokens_for_top_class(0, 4.0);
+    volume.refill(20_000, &plan, MAX_IO_UNITS);
+    assert!(volume.lacks_tokens(29_999, 1.0, true));
+    assert!(!volume.lacks_tokens(29_999, 1.0, false));
+    assert!(!volume.lacks_tokens(30_000, 1.0, true));
+}
+
+#[test]
+fn the_ceiling_is_the_limit_less_what_other_hosts_use_but_at_least_this_hosts_part() {
+    let plan = plan(10_000.0);
+    let mut volume = volume(None);
+    let ceiling = |volume: &Volume| volume.entitlement(&plan).ceiling.expect("a limit");
+    assert_close(ceiling(&volume), 520.0);
+    volume.record_other_hosts_usage(1e9, &plan);
+    volume.end_interval();
+    // A report counts as no more than a burst, in the mean over about a second.
+    assert_close(ceiling(&volume), 1_020.0 - 4.0);
+    assert!(volume.entitlement(&self::plan(0.0)).ceiling.is_none());
+}
+
+#[test]
+fn a_volume_is_forgotten_when_it_is_idle_and_its_tokens_are_full() {
+    let plan = plan(1.0);
+    let mut volume = volume(None);
+    volume.begin_block_io(0, 2.0);
+    volume.refill(200_000, &plan, MAX_IO_UNITS);
+    assert!(!volume.is_forgettable(200_000, &plan), "in use");
+    volume.end_block_io();
+    assert!(!volume.is_forgettable(200_000, &plan), "tokens to fill");
+    volume.refill(500_000, &plan, MAX_IO_UNITS);
+    assert!(volume.is_forgettable(500_000, &plan));
+    assert!(!volume.is_forgettable(100_000, &plan), "used lately");
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/tests/warm_demand.rs
@@ -0,0 +1,28 @@
+use super::super::warm_demand::WarmDemand;
+use super::assert_close;
+
+#[test]
+fn half_of_the_demand_counts_as_accepted_until_more_is_known() {
+    let mut demand = WarmDemand::default();
+    assert_close(demand.accepted_fraction(), 0.5);
+    for _ in 0..4 {
+        demand.record_sent();
+    }
+    assert_close(demand.accepted_fraction(), 0.75);
+    for _ in 0..8 {
+        demand.record_not_sent();
+    }
+    assert_close(demand.accepted_fraction(), 0.375);
+}
+
+#[test]
+fn what_is_known_of_the_demand_fades() {
+    let mut demand = WarmDemand::default();
+    for _ in 0..100 {
+        demand.record_sent();
+    }
+    for _ in 0..2_000 {
+        demand.decay();
+    }
+    assert!((demand.accepted_fraction() - 0.5).abs() < 0.001);
+}
