--- a/crates/scheduler/src/policy/node.rs
+++ b/crates/scheduler/src/policy/node.rs
@@ -162,7 +162,7 @@
 
     /// Whether its process was started again since what is known of it; `started_at` none: long ago.
     pub(super) fn is_restarted(&self, started_at: Option<Tick>) -> bool {
-        started_at > self.slow_start.started_at()
+        self.slow_start.is_before(started_at)
     }
 
     /// Its process was started anew: what was learned of the former one is dropped.
--- a/crates/scheduler/src/policy/scheduler/endpoints.rs
+++ b/crates/scheduler/src/policy/scheduler/endpoints.rs
@@ -37,7 +37,7 @@
         };
         node.set_endpoint(location, endpoint.state == NodeState::Active);
         // At the interface, 0 stands for a start long ago.
-        let started_at = Some(endpoint.started_at).filter(|time| *time > 0);
+        let started_at = Some(endpoint.started_at).filter(|time| *time != 0);
         if !is_new && !node.is_restarted(started_at) {
             return;
         }
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -32,12 +32,16 @@
     initial_rate: f64,
 }
 
+/// The zero of the host's clock, for which an unknown start stands where starts are compared.
+const CLOCK_ZERO: Tick = 0;
+
 /// What this host knows of the slow start of one node.
 #[derive(Default)]
 pub(super) struct SlowStartState {
-    /// Start of the node's process; none: long ago, so that no slow start applies.
+    /// Start of the node's process, which may lie before the zero of the host's clock; none: long ago, so that no slow
+    /// start applies.
     started_at: Option<Tick>,
-    /// Units sent since then.
+    /// Units sent since then; they are counted only for a process that started after the zero of the host's clock.
     sent_units: SlidingSum,
     draw: Option<ShareDraw>,
 }
@@ -72,9 +76,14 @@
 }
 
 impl SlowStartState {
-    /// When the node's process started, if it was not long ago.
-    pub(super) fn started_at(&self) -> Option<Tick> {
-        self.started_at
+    /// Whether a process that started at this time is a later one; none: long ago.
+    pub(super) fn is_before(&self, started_at: Option<Tick>) -> bool {
+        self.started_at.unwrap_or(CLOCK_ZERO) < started_at.unwrap_or(CLOCK_ZERO)
+    }
+
+    /// When the node's process started, if that was after the zero of the host's clock.
+    fn start_on_clock(&self) -> Option<Tick> {
+        self.started_at.filter(|time| *time > CLOCK_ZERO)
     }
 
     /// The node's process was started at this time; none: long ago.
@@ -84,7 +93,7 @@
 
     /// Counts units that were sent.
     pub(super) fn record_sent(&mut self, now: Tick, units: f64) {
-        if self.started_at.is_some() {
+        if self.start_on_clock().is_some() {
             self.sent_units.add(now, units);
         }
     }
@@ -138,7 +147,7 @@
     /// Whether a node is still in its slow start, as shown to operators.
     pub(super) fn is_warming_up(&self, now: Tick, state: &SlowStartState) -> bool {
         state
-            .started_at
+            .start_on_clock()
             .is_some_and(|started_at| now < started_at + self.duration)
     }
 
--- a/crates/scheduler/src/policy/tests/slow_start.rs
+++ b/crates/scheduler/src/policy/tests/slow_start.rs
@@ -16,6 +16,9 @@
     SlowStart::new(&config, 4.0, 8.0)
 }
 
+/// When the node starts, on the host's clock.
+const START: i64 = 100_000;
+
 fn started(time: i64) -> SlowStartState {
     let mut state = SlowStartState::default();
     state.restart(Some(time));
@@ -26,22 +29,22 @@
 fn a_host_may_send_its_even_share_in_each_overload_window() {
     let slow_start = slow_start(1_000);
     let rng = Pcg::new(1);
-    let mut state = started(0);
+    let mut state = started(START);
     let fits = |now, state: &mut SlowStartState, units| {
         let capacity = slow_start.capacity(now, state, 0.0, &rng);
         capacity.expect("a bound").fits(units)
     };
-    assert!(fits(10, &mut state, 100.0));
-    assert!(!fits(10, &mut state, 100.1));
-    state.record_sent(10, 60.0);
-    assert!(!fits(20, &mut state, 40.1));
-    assert!(fits(1_011, &mut state, 40.1), "the window is over");
+    assert!(fits(START + 10, &mut state, 100.0));
+    assert!(!fits(START + 10, &mut state, 100.1));
+    state.record_sent(START + 10, 60.0);
+    assert!(!fits(START + 20, &mut state, 40.1));
+    assert!(fits(START + 1_011, &mut state, 40.1), "the window is over");
 }
 
 #[test]
 fn the_last_part_of_a_share_is_kept_for_the_highest_priority() {
-    let mut state = started(0);
-    let capacity = slow_start(1_000).capacity(10, &mut state, 0.0, &Pcg::new(1));
+    let mut state = started(START);
+    let capacity = slow_start(1_000).capacity(START + 10, &mut state, 0.0, &Pcg::new(1));
     let capacity = capacity.expect("a bound");
     assert!(capacity.admits(100.0, 0.0));
     assert!(capacity.admits(60.0, 0.4));
@@ -59,17 +62,17 @@
     );
     assert!(
         slow_start(0)
-            .capacity(10, &mut started(0), 0.0, &rng)
+            .capacity(START + 10, &mut started(START), 0.0, &rng)
             .is_none()
     );
     assert!(
         slow_start(1_000)
-            .capacity(10_499, &mut started(0), 0.0, &rng)
+            .capacity(START + 10_499, &mut started(START), 0.0, &rng)
             .is_some()
     );
     assert!(
         slow_start(1_000)
-            .capacity(10_500, &mut started(0), 0.0, &rng)
+            .capacity(START + 10_500, &mut started(START), 0.0, &rng)
             .is_none()
     );
 }
@@ -78,6 +81,22 @@
 fn a_node_is_warm_once_it_has_reached_its_full_rate() {
     let slow_start = slow_start(1_000);
     assert!(slow_start.is_warm(0, &SlowStartState::default()));
-    assert!(!slow_start.is_warm(10_000, &started(0)));
-    assert!(slow_start.is_warm(10_001, &started(0)));
+    assert!(!slow_start.is_warm(START + 10_000, &started(START)));
+    assert!(slow_start.is_warm(START + 10_001, &started(START)));
+}
+
+#[test]
+fn a_start_before_the_zero_of_the_clock_begins_a_slow_start_too() {
+    let slow_start = slow_start(1_000);
+    let mut state = started(-500);
+    assert!(!slow_start.is_warm(9_500, &state));
+    assert!(slow_start.is_warm(9_501, &state));
+    let capacity = slow_start.capacity(10, &mut state, 0.0, &Pcg::new(1));
+    assert!(capacity.is_some());
+    assert!(!state.is_before(Some(-700)));
+    assert!(state.is_before(Some(-300)));
+    assert!(
+        state.is_before(None),
+        "long ago counts as the zero of the clock"
+    );
 }
