--- a/crates/fleet-udp/src/event_log.rs
+++ b/crates/fleet-udp/src/event_log.rs
@@ -1,31 +1,22 @@
 //! Log lines of membership events, limited in number whatever happens in the fleet.
+use crate::log_rate_limit::LogRateLimit;
+use mallowseam_fleet::record::Name;
 use mallowseam_fleet::{MemberState, MembershipEvent, Millis};
-use std::collections::BTreeMap;
-
-/// Changes of members that are logged one by one in each window; further ones are counted into one line.
-const MAX_LINES_PER_WINDOW: u32 = 8;
-/// Length of a window, in milliseconds.
-const WINDOW: Millis = 1_000;
+use std::net::SocketAddr;
 
 /// Logs membership events.
 #[derive(Default)]
 pub(crate) struct EventLog {
-    window_start: Millis,
-    lines: u32,
-    /// Changes that were not logged in this window, by the member's new state.
-    suppressed: BTreeMap<&'static str, u32>,
+    /// Of lines about other members; what concerns this host itself is not limited.
+    rate_limit: LogRateLimit,
 }
 
 impl EventLog {
-    /// Logs an event. What concerns this host itself is not limited.
+    /// Logs an event.
     pub fn log(&mut self, event: MembershipEvent, now: Millis) {
         self.renew_window(now);
         match event {
-            MembershipEvent::Superseded { address } => tracing::error!(
-                %address,
-                "name conflict: a process that started later has this host's name; this one leaves the membership \
-                 protocol and continues to serve"
-            ),
+            MembershipEvent::Superseded { address } => log_superseded(address),
             MembershipEvent::IsolationStarted => {
                 tracing::warn!("isolated: nothing received from any other member of the fleet");
             }
@@ -38,40 +29,43 @@
                 previous,
                 current,
                 ..
-            } => {
-                // A new record without a change of state is not logged.
-                if previous != Some(current) && self.admit(current.as_str()) {
-                    let previous = previous.map_or("unknown", MemberState::as_str);
-                    let current = current.as_str();
-                    tracing::info!(member = %name, %address, previous, current, "member state changed");
-                }
-            }
+            } => self.log_state(&name, address, previous, current),
             MembershipEvent::MemberForgotten { name } => {
-                if self.admit("forgotten") {
+                if self.rate_limit.admit("forgotten") {
                     tracing::info!(member = %name, "unreachable member forgotten after its retention time");
                 }
             }
         }
     }
 
-    /// Starts a new window once the last one is over, and logs what was suppressed in it.
+    /// Starts a new window of the limit once the last one is over, and logs what was suppressed in it.
     pub fn renew_window(&mut self, now: Millis) {
-        if now >= self.window_start + WINDOW {
-            (self.window_start, self.lines) = (now, 0);
-            if !self.suppressed.is_empty() {
-                let counts = std::mem::take(&mut self.suppressed);
-                tracing::info!(?counts, "further member state changes");
-            }
+        let counts = self.rate_limit.renew(now);
+        if !counts.is_empty() {
+            tracing::info!(?counts, "further member state changes");
         }
     }
 
-    /// Whether one more line may be logged in this window; if not, it is counted.
-    fn admit(&mut self, state: &'static str) -> bool {
-        self.lines += 1;
-        let admitted = self.lines <= MAX_LINES_PER_WINDOW;
-        if !admitted {
-            *self.suppressed.entry(state).or_default() += 1;
+    /// Logs a member's state if it changed. A new record without a change of state is not logged.
+    fn log_state(
+        &mut self,
+        name: &Name,
+        address: SocketAddr,
+        previous: Option<MemberState>,
+        current: MemberState,
+    ) {
+        if previous != Some(current) && self.rate_limit.admit(current.as_str()) {
+            let previous = previous.map_or("unknown", MemberState::as_str);
+            let current = current.as_str();
+            tracing::info!(member = %name, %address, previous, current, "member state changed");
         }
-        admitted
     }
 }
+
+fn log_superseded(address: SocketAddr) {
+    tracing::error!(
+        %address,
+        "name conflict: a process that started later has this host's name; this one leaves the membership \
+         protocol and continues to serve"
+    );
+}
--- a/crates/fleet-udp/src/lib.rs
+++ b/crates/fleet-udp/src/lib.rs
@@ -6,6 +6,7 @@
 #![warn(missing_docs)]
 
 mod event_log;
+mod log_rate_limit;
 mod query;
 mod snapshot;
 mod udp_membership;
--- a/crates/fleet-udp/src/query.rs
+++ b/crates/fleet-udp/src/query.rs
@@ -60,19 +60,30 @@
     let mut last_error = QueryError::Timeout;
     for _ in 0..ATTEMPTS {
         socket.send(&wire::encode_query(first_id))?;
-        let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        match socket.recv(&mut buffer) {
-            Ok(len) => match wire::decode_any_fleet(&buffer[..len]) {
-                Ok(Message::Page(page)) => return Ok(page),
-                _ => last_error = QueryError::UnreadableAnswer,
-            },
-            Err(error)
-                if matches!(
-                    error.kind(),
-                    io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-                ) => {}
-            Err(error) => last_error = QueryError::Socket(error),
+        match receive_page(socket) {
+            Ok(page) => return Ok(page),
+            // An earlier attempt's error says more.
+            Err(QueryError::Timeout) => {}
+            Err(error) => last_error = error,
         }
     }
     Err(last_error)
 }
+
+fn receive_page(socket: &UdpSocket) -> Result<MembershipPage, QueryError> {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    let len = socket.recv(&mut buffer).map_err(receive_error)?;
+    let datagram = buffer.get(..len).ok_or(QueryError::UnreadableAnswer)?;
+    match wire::decode_any_fleet(datagram) {
+        Ok(Message::Page(page)) => Ok(page),
+        _ => Err(QueryError::UnreadableAnswer),
+    }
+}
+
+/// A socket whose read timeout is over reports one of two kinds, by platform.
+fn receive_error(error: io::Error) -> QueryError {
+    match error.kind() {
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => QueryError::Timeout,
+        _ => QueryError::Socket(error),
+    }
+}
--- a/crates/fleet-udp/src/snapshot.rs
+++ b/crates/fleet-udp/src/snapshot.rs
@@ -1,8 +1,10 @@
 //! A host's membership table as it was at one time, for operators.
+mod json;
+mod table;
+
 use mallowseam_fleet::MemberState;
 use mallowseam_fleet::wire::{MemberStatus, MembershipPage};
-use serde_json::{Value, json};
-use std::fmt::Write;
+use serde_json::Value;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// States in the order in which they are counted.
@@ -15,6 +17,9 @@
     MemberState::Left,
 ];
 
+/// Stands for the state of a member that is not in the table.
+const UNKNOWN: &str = "unknown";
+
 /// A host's membership table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipSnapshot {
@@ -60,49 +65,16 @@
     /// The table for operators: a line for each member by name, and a line of totals.
     #[must_use]
     pub fn to_table(&self) -> String {
-        let now_ms = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_millis() as u64;
-        let mut members: Vec<&MemberStatus> = self.members.iter().collect();
-        members.sort_by(|a, b| a.record.name.cmp(&b.record.name));
-        let mut table = String::new();
-        let _ = writeln!(
-            table,
-            "{:<20}{:<13}{:<10}{:<22}{:>8}{:>8}{:>9}{:>9}",
-            "member", "state", "zone", "address", "list", "plans", "up s", "heard s"
-        );
-        for member in members {
-            write_row(&mut table, member, now_ms);
-        }
-        let isolated = if self.isolated {
-            "; hears from nobody"
-        } else {
-            ""
-        };
-        let superseded = if self.superseded {
-            "; another process has its name"
-        } else {
-            ""
-        };
-        let (host, counts, digest) = (&self.host, self.state_counts(), self.digest);
-        let _ = writeln!(
-            table,
-            "as {host} sees it: {counts}{isolated}{superseded}; view {digest:016x}"
-        );
-        table
+            .unwrap_or_default();
+        table::render(self, unix_time.as_millis() as u64)
     }
 
     /// The table as one JSON object.
     #[must_use]
     pub fn to_json(&self) -> Value {
-        json!({
-            "own": self.host,
-            "alone": self.isolated,
-            "displaced": self.superseded,
-            "view": format!("{:016x}", self.digest),
-            "members": self.members.iter().map(member_json).collect::<Vec<_>>(),
-        })
+        json::render(self)
     }
 
     /// Changes of members' states since an earlier snapshot of the same host, a line each.
@@ -111,12 +83,10 @@
         let mut changes = Vec::new();
         for member in &self.members {
             let name = &member.record.name;
-            let (was, is) = (
-                earlier.find(name).map_or("unknown", |m| m.state.as_str()),
-                member.state.as_str(),
-            );
-            if was != is {
-                changes.push(format!("{name}: {was} -> {is}"));
+            let state_before = earlier.find(name).map_or(UNKNOWN, |m| m.state.as_str());
+            let state_now = member.state.as_str();
+            if state_before != state_now {
+                changes.push(format!("{name}: {state_before} -> {state_now}"));
             }
         }
         let forgotten = earlier
@@ -138,7 +108,8 @@
         names.dedup();
         let mut differences = Vec::new();
         for name in names {
-            let (here, there) = (self.describe(name), other.describe(name));
+            let here = self.describe(name);
+            let there = other.describe(name);
             if here != there {
                 differences.push(format!(
                     "{name}: {} has it {here}, {} has it {there}",
@@ -156,47 +127,14 @@
     }
 
     fn describe(&self, name: &str) -> String {
-        self.find(name).map_or("unknown".to_owned(), |member| {
-            let (state, record) = (member.state.as_str(), &member.record);
-            format!(
-                "{state} (generation {}, word {})",
-                record.generation, record.incarnation
-            )
-        })
+        let Some(member) = self.find(name) else {
+            return UNKNOWN.to_owned();
+        };
+        format!(
+            "{} (generation {}, word {})",
+            member.state.as_str(),
+            member.record.generation,
+            member.record.incarnation
+        )
     }
 }
-
-fn write_row(table: &mut String, member: &MemberStatus, now_ms: u64) {
-    let record = &member.record;
-    let last_contact = member
-        .last_contact_ms
-        .map_or("-".to_owned(), |ms| format!("{:.1}", ms as f64 / 1e3));
-    let _ = writeln!(
-        table,
-        "{:<20}{:<13}{:<10}{:<22}{:>8}{:>8}{:>9}{:>9}",
-        record.name,
-        member.state.as_str(),
-        record.zone,
-        record.address.to_string(),
-        record.versions.endpoint_list,
-        record.versions.plans,
-        now_ms.saturating_sub(record.started_ms) / 1_000,
-        last_contact
-    );
-}
-
-fn member_json(member: &MemberStatus) -> Value {
-    let record = &member.record;
-    json!({
-        "name": record.name.as_str(),
-        "state": member.state.as_str(),
-        "zone": record.zone.as_str(),
-        "address": record.address,
-        "generation": record.generation,
-        "incarnation": record.incarnation,
-        "list": record.versions.endpoint_list,
-        "plans": record.versions.plans,
-        "started": record.started_ms,
-        "heard_ms": member.last_contact_ms,
-    })
-}
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -34,6 +34,13 @@
     }
 }
 
+/// What one call of the state machine needs.
+struct Call<'a> {
+    membership: &'a mut Membership,
+    now: Millis,
+    actions: SocketActions<'a>,
+}
+
 /// A host's member of the protocol, with its socket, clock and log.
 pub struct UdpMembership {
     socket: UdpSocket,
@@ -41,7 +48,6 @@
     membership: Membership,
     start: Instant,
     event_log: EventLog,
-    receive_buffer: [u8; RECEIVE_BUFFER_BYTES],
 }
 
 impl UdpMembership {
@@ -63,17 +69,16 @@
             seeds = config.seeds.len(),
             "membership protocol started"
         );
-        let unix_ms = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_millis() as u64;
+            .unwrap_or_default();
+        let started_ms = unix_time.as_millis() as u64;
         Ok(UdpMembership {
             socket,
             listen,
-            membership: Membership::new(config, rand::random(), 0, unix_ms),
+            membership: Membership::new(config, rand::random(), 0, started_ms),
             start: Instant::now(),
             event_log: EventLog::default(),
-            receive_buffer: [0; RECEIVE_BUFFER_BYTES],
         })
     }
 
@@ -89,20 +94,17 @@
         let now = self.now();
         if now >= self.membership.next_tick() {
             self.event_log.renew_window(now);
-            self.act(|membership, now, sink| membership.tick(now, sink));
+            let mut call = self.call();
+            call.membership.tick(call.now, &mut call.actions);
         }
     }
 
     /// Receives datagrams after the socket became readable. Returns whether more may wait.
     pub fn on_readable(&mut self) -> bool {
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
-            match self.socket.recv_from(&mut self.receive_buffer) {
-                Ok((len, from)) => {
-                    let buffer = self.receive_buffer;
-                    self.act(|membership, now, sink| {
-                        membership.receive(from, &buffer[..len], now, sink);
-                    });
-                }
+            match self.socket.recv_from(&mut buffer) {
+                Ok((len, from)) => self.receive(from, buffer.get(..len).unwrap_or_default()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 // Reported by the network for an earlier datagram, such as an unreachable port.
                 Err(_) => {}
@@ -111,19 +113,30 @@
         true
     }
 
+    fn receive(&mut self, from: SocketAddr, datagram: &[u8]) {
+        let mut call = self.call();
+        call.membership
+            .receive(from, datagram, call.now, &mut call.actions);
+    }
+
     /// Publishes the versions of shared state that this host acts on.
     pub fn set_active_versions(&mut self, versions: ActiveVersions) {
-        self.act(|membership, now, sink| membership.set_active_versions(versions, now, sink));
+        let mut call = self.call();
+        call.membership
+            .set_active_versions(versions, call.now, &mut call.actions);
     }
 
     /// Notifies other members that this host shuts down gracefully and still serves.
     pub fn announce_leaving(&mut self) {
-        self.act(Membership::announce_leaving);
+        let mut call = self.call();
+        call.membership
+            .announce_leaving(call.now, &mut call.actions);
     }
 
     /// Notifies other members that this process ends.
     pub fn announce_left(&mut self) {
-        self.act(Membership::announce_left);
+        let mut call = self.call();
+        call.membership.announce_left(call.now, &mut call.actions);
     }
 
     /// Takes over the seeds of a reloaded configuration. Any other change of it needs a restart.
@@ -147,23 +160,17 @@
         self.start.elapsed().as_millis() as Millis
     }
 
-    /// Calls the state machine and carries out its actions.
-    fn act(&mut self, call: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
+    /// What a call of the state machine needs, at the present time.
+    fn call(&mut self) -> Call<'_> {
         let now = self.now();
-        let UdpMembership {
-            socket,
-            membership,
-            event_log,
-            ..
-        } = self;
-        call(
-            membership,
+        Call {
+            membership: &mut self.membership,
             now,
-            &mut SocketActions {
-                socket,
-                event_log,
+            actions: SocketActions {
+                socket: &self.socket,
+                event_log: &mut self.event_log,
                 now,
             },
-        );
+        }
     }
 }
