--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -88,8 +88,8 @@
         self.membership.next_tick().saturating_sub(self.now())
     }
 
-    /// Runs the timers that are due. Must be called before [`on_readable`](UdpMembership::on_readable) in each iteration of the
-    /// event loop, so that the protocol notices if its process was stopped.
+    /// Runs the timers that are due. Must be called before [`on_readable`](UdpMembership::on_readable) in each iteration
+    /// of the event loop, so that the protocol notices if its process was stopped.
     pub fn tick(&mut self) {
         let now = self.now();
         if now >= self.membership.next_tick() {
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -2,8 +2,10 @@
 //! these files are the steps of one event each:
 //!
 //! - `tick`: what is due by time. `receive`: received datagrams. `answer`: what each kind of message asks for.
+//! - `own_name`: other processes under this host's name.
 //! - `send`: datagrams to be sent, with the gossip that is piggybacked on them.
 mod answer;
+mod own_name;
 mod receive;
 mod send;
 mod tick;
--- a/crates/fleet/src/membership/answer.rs
+++ b/crates/fleet/src/membership/answer.rs
@@ -1,5 +1,4 @@
 //! What each kind of message asks for, once its updates are merged.
-use super::receive::Sender;
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::member::Member;
@@ -14,6 +13,17 @@
 /// Datagrams of records in one answer to a comparison at most.
 const MAX_REPLY_DATAGRAMS: usize = 4;
 
+/// The sender of a message that is being handled.
+pub(super) struct Sender {
+    pub address: SocketAddr,
+    pub id: u64,
+    /// Whether a message was received from the member at this address before. If not, the address may be forged:
+    /// answers are no longer than the datagram, and no other datagram is sent on its account.
+    pub is_known: bool,
+    /// Longest answer, in bytes.
+    pub max_reply_bytes: usize,
+}
+
 /// A member's request that this host pings another one.
 struct PingRequest {
     requester: SocketAddr,
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -1,24 +1,14 @@
 //! Received datagrams.
+use super::answer::Sender;
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
 use crate::member::Member;
 use crate::membership_table::MergeOutcome;
-use crate::record::{GossipUpdate, Lifecycle, MemberRecord, member_id};
-use crate::wire::{self, DecodeError, GossipBody, GossipMessage, MAX_DATAGRAM_BYTES, Message};
+use crate::record::{GossipUpdate, MemberRecord, member_id};
+use crate::wire::{self, DecodeError, GossipMessage, MAX_DATAGRAM_BYTES, Message};
 use std::net::SocketAddr;
 
-/// The sender of a message that is being handled.
-pub(super) struct Sender {
-    pub address: SocketAddr,
-    pub id: u64,
-    /// Whether a message was received from the member at this address before. If not, the address may be forged: answers are no longer
-    /// than the datagram, and no other datagram is sent on its account.
-    pub is_known: bool,
-    /// Longest answer, in bytes.
-    pub max_reply_bytes: usize,
-}
-
 impl Membership {
     /// Handles a datagram that was received from an address.
     pub fn receive(
@@ -97,7 +87,7 @@
         sink: &mut dyn ActionSink,
     ) -> Vec<GossipUpdate> {
         let mut newer = Vec::new();
-        let sender = unsuspected(&message.sender);
+        let sender = GossipUpdate::unsuspected(&message.sender);
         for update in std::iter::once(&sender).chain(&message.updates) {
             if update.record.name == self.local.record().name {
                 self.merge_own_name(update, now, sink);
@@ -138,7 +128,7 @@
     fn newer_than(&self, record: &MemberRecord) -> Option<GossipUpdate> {
         let newest = self.table.newest_record(member_id(&record.name))?;
         let is_newer = newest.precedence() > record.precedence();
-        is_newer.then(|| unsuspected(newest))
+        is_newer.then(|| GossipUpdate::unsuspected(newest))
     }
 
     /// A message was received from a member itself. That ends an isolation, and clears the suspicions raised during it.
@@ -162,103 +152,9 @@
     /// or that a newer record under its name is known.
     fn correction_for(&self, id: u64, sender: &MemberRecord) -> Option<GossipUpdate> {
         let Some(member) = self.table.get(id) else {
-            return self.table.newest_record(id).map(unsuspected);
+            return self.table.newest_record(id).map(GossipUpdate::unsuspected);
         };
         let is_newer = member.record().precedence() > sender.precedence();
         (member.is_accused() || is_newer).then(|| member.to_update())
     }
-
-    /// A message of a sender under this host's own name: another process, or this host's own record reflected.
-    fn receive_own_name(
-        &mut self,
-        from: SocketAddr,
-        message: &GossipMessage,
-        max_reply_bytes: usize,
-        now: Millis,
-        sink: &mut dyn ActionSink,
-    ) {
-        let sender = &message.sender;
-        match message.body {
-            GossipBody::Ack { .. } => self.receive_own_name_ack(sender, sink),
-            // A process with a lower generation checks whether this one is alive.
-            GossipBody::Ping { sequence } if self.is_later_than(sender) => {
-                let ack = GossipBody::Ack { sequence };
-                self.send_gossip(from, ack, &[], max_reply_bytes, sink);
-            }
-            _ => {}
-        }
-        self.merge_own_name(&unsuspected(sender), now, sink);
-    }
-
-    /// The later process under this host's name is alive: this one leaves the protocol.
-    fn receive_own_name_ack(&mut self, sender: &MemberRecord, sink: &mut dyn ActionSink) {
-        if self.name_ownership.on_ack(sender) {
-            let address = sender.address;
-            sink.notify(MembershipEvent::Superseded { address });
-        }
-    }
-
-    /// Whether this process takes part in the protocol and started later than another one of its name.
-    fn is_later_than(&self, other: &MemberRecord) -> bool {
-        other.generation < self.local.record().generation && !self.name_ownership.is_superseded()
-    }
-
-    /// An update about a process under this host's own name: refutes it, or checks whether a later process is alive.
-    fn merge_own_name(&mut self, update: &GossipUpdate, now: Millis, sink: &mut dyn ActionSink) {
-        let own_generation = self.local.record().generation;
-        let generation = update.record.generation;
-        if self.name_ownership.is_superseded() || generation < own_generation {
-            return;
-        }
-        if generation > own_generation {
-            return self.merge_later_generation(update, now, sink);
-        }
-        #[cfg(feature = "mutants")]
-        if self.config.is_mutant(crate::config::Mutant::NoRefutation) {
-            return;
-        }
-        if self.local.refute(update) {
-            self.counters.count_refutation();
-            self.failure_detector.on_refutation();
-            self.publish(now, sink);
-        }
-    }
-
-    fn merge_later_generation(
-        &mut self,
-        update: &GossipUpdate,
-        now: Millis,
-        sink: &mut dyn ActionSink,
-    ) {
-        let record = &update.record;
-        // A record with this address, or of a process that has left or is suspected, is no other live process.
-        let has_ended = record.address == self.local.record().address
-            || record.lifecycle == Lifecycle::Left
-            || update.suspected_by.is_some();
-        if has_ended {
-            self.take_over_name(record.generation, now, sink);
-        } else {
-            self.name_ownership.dispute(record, now);
-        }
-    }
-
-    /// This process is the only one under its name: takes a generation above all known ones.
-    pub(super) fn take_over_name(
-        &mut self,
-        past_generation: u64,
-        now: Millis,
-        sink: &mut dyn ActionSink,
-    ) {
-        self.name_ownership.settle();
-        self.local.raise_generation(past_generation);
-        self.publish(now, sink);
-    }
-}
-
-/// A record that is passed on without a suspicion.
-fn unsuspected(record: &MemberRecord) -> GossipUpdate {
-    GossipUpdate {
-        record: record.clone(),
-        suspected_by: None,
-    }
 }
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Pings a member. The datagram carries the suspicion of it first, if any, so that it can refute that (Lifeguard's buddy system).
+    /// Pings a member. The datagram carries the suspicion of it first, if any, so that it can refute that (Lifeguard's
+    /// buddy system).
     pub(super) fn ping(&mut self, id: u64, sequence: u32, sink: &mut dyn ActionSink) {
         let Some(member) = self.table.get(id) else {
             return;
--- a/crates/fleet/src/membership/tick.rs
+++ b/crates/fleet/src/membership/tick.rs
@@ -6,7 +6,6 @@
 use crate::indirect_pings::{IndirectPing, choose_helpers};
 use crate::member::Member;
 use crate::membership_table::WHOLE_TABLE;
-use crate::name_ownership::ConflictStep;
 use crate::record::Lifecycle;
 use crate::wire::GossipBody;
 
@@ -20,7 +19,8 @@
 const EXTRA_GOSSIP_DATAGRAMS: usize = 3;
 
 impl Membership {
-    /// Runs the timers that are due. A call that is late by more than a period means that this host's process was stopped.
+    /// Runs the timers that are due. A call that is late by more than a period means that this host's process was
+    /// stopped.
     pub fn tick(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let gap = now.saturating_sub(self.last_tick);
         self.last_tick = now;
@@ -105,17 +105,6 @@
         self.send(ping.requester, result, sink);
     }
 
-    /// Pings another process under this host's name, or assumes that it has ended once all pings were unanswered.
-    fn check_name_conflict(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        match self.name_ownership.next_step(now) {
-            Some(ConflictStep::Ping(address)) => self.send_first_ping(address, sink),
-            Some(ConflictStep::Ended(generation)) => {
-                self.take_over_name(generation, now, sink);
-            }
-            None => {}
-        }
-    }
-
     /// The pinged member did not answer in time: other members ping it (SWIM, section 3.1).
     fn request_indirect_pings(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let Some(PingTarget { id, sequence }) = self.failure_detector.unanswered_target(now) else {
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -118,11 +118,7 @@
     /// Replaces this host's own record, which is gossiped in any case and reported where its state changed.
     pub fn replace_local(&mut self, record: &MemberRecord, now: Millis) -> TableChange {
         let previous = self.get(self.local_id).map(Member::state);
-        let update = GossipUpdate {
-            record: record.clone(),
-            suspected_by: None,
-        };
-        let member = Member::new(&update, now);
+        let member = Member::new(&GossipUpdate::unsuspected(record), now);
         let change = if previous == Some(member.state()) {
             TableChange::enqueued(self.local_id)
         } else {
--- a/crates/fleet/src/name_ownership.rs
+++ b/crates/fleet/src/name_ownership.rs
@@ -90,7 +90,10 @@
     /// A process under this host's name sent an ack. Returns whether it is the later one of a conflict, which supersedes
     /// this process.
     pub fn on_ack(&mut self, sender: &MemberRecord) -> bool {
-        let is_later = matches!(&self.standing, Standing::Disputed(known) if known.record.generation <= sender.generation);
+        let is_later = match &self.standing {
+            Standing::Disputed(known) => known.record.generation <= sender.generation,
+            Standing::Undisputed | Standing::Superseded(_) => false,
+        };
         if is_later {
             self.standing = Standing::Superseded(sender.address);
         }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -102,6 +102,16 @@
     pub suspected_by: Option<u32>,
 }
 
+impl GossipUpdate {
+    /// A record that is passed on without a suspicion.
+    pub(crate) fn unsuspected(record: &MemberRecord) -> Self {
+        GossipUpdate {
+            record: record.clone(),
+            suspected_by: None,
+        }
+    }
+}
+
 /// Order of the records of one member: by generation first; within one, `Left` is final; then by incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Precedence {
