--- a/crates/fleet/src/membership/tick.rs
+++ b/crates/fleet/src/membership/tick.rs
@@ -4,7 +4,6 @@
 use crate::event::MembershipEvent;
 use crate::failure_detector::PingTarget;
 use crate::indirect_pings::{IndirectPing, choose_helpers};
-use crate::member::Member;
 use crate::membership_table::WHOLE_TABLE;
 use crate::record::Lifecycle;
 use crate::wire::GossipBody;
@@ -180,20 +179,21 @@
         }
     }
 
-    /// Ends joining in time, and pings the seeds that are due and no reachable members here.
+    /// Ends joining in time, and pings the seeds that are due.
     fn join(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        let member = self.table.random_reachable(&mut self.rng, |_| true);
-        let knows_no_member = member.is_none();
+        // Which one does not matter; the draw is made in every tick and is part of the sequence of random numbers.
+        let any_member = self.table.random_reachable(&mut self.rng, |_| true);
+        let knows_no_member = any_member.is_none();
         if self.local.is_joining() && self.joining.is_timed_out(knows_no_member, now) {
             self.become_alive(now, sink);
         }
+        self.ping_seeds(knows_no_member, now, sink);
+    }
+
+    /// Pings the seeds that are due and no reachable members here.
+    fn ping_seeds(&mut self, knows_no_member: bool, now: Millis, sink: &mut dyn ActionSink) {
         let own_address = self.local.record().address;
-        let is_member = |seed| {
-            let is_at_seed =
-                |member: &Member| member.is_reachable() && member.record().address == seed;
-            self.table.members().any(is_at_seed)
-        };
-        let is_wanted = |seed| seed != own_address && !is_member(seed);
+        let is_wanted = |seed| seed != own_address && !self.table.has_reachable_at(seed);
         let seeds = self
             .joining
             .take_due_seeds(knows_no_member, is_wanted, &mut self.rng, now);
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -95,6 +95,12 @@
             .map(|member| member.record().address)
     }
 
+    /// Whether a reachable member, or this host itself, has an address.
+    pub fn has_reachable_at(&self, address: SocketAddr) -> bool {
+        self.members()
+            .any(|member| member.is_reachable() && member.record().address == address)
+    }
+
     /// Ids of all members, this host included.
     pub fn ids(&self) -> impl Iterator<Item = u64> {
         self.members.keys().copied()
