--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -6,6 +6,7 @@
 //! - [`descriptors`]: the process's limit of descriptors.
 //! - [`signals`]: signals as bytes on a stream.
 //! - [`listener`]: a TCP listener with a long accept queue.
+//! - [`memory_budget`]: a limit on the bytes of many buffers.
 //! - [`nonblocking`]: reads and writes that do not block.
 //! - [`outgoing_message`]: a message that is written piece by piece.
 #![warn(missing_docs)]
@@ -14,6 +15,7 @@
 pub mod clock;
 pub mod descriptors;
 pub mod listener;
+pub mod memory_budget;
 pub mod nonblocking;
 pub mod outgoing_message;
 pub mod signals;
