--- a/crates/platform-host/src/dispatcher/attempts.rs
+++ b/crates/platform-host/src/dispatcher/attempts.rs
@@ -1,11 +1,10 @@
 //! Attempts at nodes: from the scheduler's decision to the report of their completion.
 use super::block_io::waiting_client;
 use super::scheduler_host::SchedulerHost;
-use crate::nodes::{Completion, NodeEvent};
-use mallowseam_platform::request;
+use crate::nodes::{Completion, ForwardedRequest, NodeEvent};
 use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 use mallowseam_scheduler_driver::FinishedAttempt;
-use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
+use mallowseam_sockets::clock::ticks_from_millis;
 
 impl SchedulerHost {
     /// Sends a block I/O to a node, or returns the reason why nothing was sent.
@@ -29,9 +28,8 @@
         let (head, body) = client
             .and_then(|slot| self.clients.request(slot))
             .ok_or(AttemptResult::NotSent)?;
-        let wait_ms = ticks_to_millis(timeout).max(1);
-        let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
-        let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
+        let request = ForwardedRequest { head, body };
+        let started = self.nodes.start_attempt(io, node, now, timeout, &request)?;
         entry.set_attempt(started.slot);
         if let Some(completion) = started.completion {
             self.queue_completion(&completion);
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -1,12 +1,14 @@
 //! Attempts: sent, cancelled, expired.
 use super::NodeConnections;
-use super::connection::{Attempt, Completion, NodeConnection};
+use super::attempt::{Attempt, Completion, ForwardedRequest};
+use super::connection::NodeConnection;
 use super::deadlines::Deadline;
 use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
-use mallowseam_sockets::nonblocking;
 
-/// Deadlines of completed attempts are dropped once there are this many beyond four a connection.
+/// Deadlines of completed attempts are dropped once there are this many beyond `MAX_DEADLINES_PER_CONNECTION`.
 const STALE_DEADLINES: usize = 1_024;
+/// Deadlines that are kept for each connection that there may be: twice as many as its attempt has.
+const MAX_DEADLINES_PER_CONNECTION: usize = 4;
 
 /// An attempt that was started.
 pub struct StartedAttempt {
@@ -27,32 +29,22 @@
         node: NodeId,
         now: Tick,
         timeout: Tick,
-        write_request: impl FnOnce(&mut Vec<u8>),
+        request: &ForwardedRequest,
     ) -> Result<StartedAttempt, AttemptResult> {
-        let slot = self.check_out(node, now)?;
-        self.last_serial += 1;
-        let attempt = Attempt {
-            io,
-            started_at: now,
-            deadline: now + timeout,
-            connect_deadline: now + self.connect_timeout,
-            serial: self.last_serial,
-        };
-        if let Some(endpoint) = self.endpoint_mut(node) {
-            endpoint.counters.attempts += 1;
+        let idle_timeout = self.keep_alive_ms(now);
+        let slot = self.pool.check_out(node, now, idle_timeout)?;
+        let attempt = self.new_attempt(io, now, timeout);
+        if let Some(counters) = self.pool.counters_mut(node) {
+            counters.attempts += 1;
         }
-        let connection = self.connections.get_mut(slot).expect("checked out");
-        write_request(&mut connection.request);
-        connection.attempt = Some(attempt);
-        let is_up = connection.is_up;
+        let connection = self.pool.get_mut(slot).ok_or(AttemptResult::NotSent)?;
+        connection.begin_attempt(attempt, request);
+        let is_up = connection.is_up();
         self.add_deadline(attempt.deadline, slot, attempt.serial);
         self.drop_stale_deadlines();
         if !is_up {
-            self.add_deadline(
-                attempt.connect_deadline.min(attempt.deadline),
-                slot,
-                attempt.serial,
-            );
+            let connected_by = attempt.connect_deadline.min(attempt.deadline);
+            self.add_deadline(connected_by, slot, attempt.serial);
             return Ok(StartedAttempt {
                 slot,
                 completion: None,
@@ -63,6 +55,17 @@
         Ok(StartedAttempt { slot, completion })
     }
 
+    fn new_attempt(&mut self, io: BioId, now: Tick, timeout: Tick) -> Attempt {
+        self.last_serial += 1;
+        Attempt {
+            io,
+            started_at: now,
+            deadline: now + timeout,
+            connect_deadline: now + self.connect_timeout,
+            serial: self.last_serial,
+        }
+    }
+
     fn add_deadline(&mut self, at: Tick, slot: u32, serial: u64) {
         self.deadlines.push(Deadline { at, slot, serial });
     }
@@ -70,13 +73,14 @@
     /// Drops the deadlines of completed attempts once they are the majority: requests with a long timeout would otherwise
     /// leave one deadline each.
     fn drop_stale_deadlines(&mut self) {
-        if self.deadlines.len() <= 4 * self.max_connections + STALE_DEADLINES {
+        let kept = MAX_DEADLINES_PER_CONNECTION * self.pool.max_connections();
+        if self.deadlines.len() <= kept + STALE_DEADLINES {
             return;
         }
-        let connections = &self.connections;
+        let pool = &self.pool;
         self.deadlines.retain(|deadline| {
-            let attempt = connections.get(deadline.slot).and_then(|c| c.attempt);
-            attempt.is_some_and(|a| a.serial == deadline.serial)
+            let attempt = pool.get(deadline.slot).and_then(NodeConnection::attempt);
+            attempt.is_some_and(|attempt| attempt.serial == deadline.serial)
         });
     }
 
@@ -87,29 +91,21 @@
         slot: u32,
         if_unwritten: AttemptResult,
     ) -> Option<Completion> {
-        let connection = self.connections.get_mut(slot)?;
-        let attempt = connection.attempt?;
-        if connection.sent == connection.request.len() {
+        let connection = self.pool.get_mut(slot)?;
+        let attempt = connection.attempt()?;
+        if connection.has_written_all() {
             return None;
         }
-        let node = connection.node;
-        let sent = nonblocking::write(
-            &mut connection.socket,
-            &connection.request[connection.sent..],
-        );
-        let (sent, is_broken) = match sent {
-            Ok(sent) => (sent, false),
-            Err(error) => (error.written, true),
-        };
-        connection.sent += sent;
-        let is_written = connection.sent == connection.request.len();
-        if is_written && let Some(endpoint) = self.endpoint_mut(node) {
-            endpoint.counters.requests_written += 1;
+        let node = connection.node();
+        let is_broken = connection.write_request().is_err();
+        let is_written = connection.has_written_all();
+        if is_written && let Some(counters) = self.pool.counters_mut(node) {
+            counters.requests_written += 1;
         }
         if !is_broken {
             return None;
         }
-        self.close(slot);
+        self.pool.close(slot);
         // Before the last byte is written the node has not executed it; after it, it may have.
         let result = if is_written {
             AttemptResult::ConnectionReset
@@ -121,21 +117,20 @@
 
     /// Whether a connection carries an attempt of this block I/O whose request is not completely written.
     pub fn is_unsent(&self, slot: u32, io: BioId) -> bool {
-        self.connections
-            .get(slot)
-            .is_some_and(|c| c.carries(io) && !c.is_request_written())
+        let connection = self.pool.get(slot);
+        connection.is_some_and(|c| c.carries(io) && !c.is_request_written())
     }
 
     /// Cancels the attempt of a block I/O, if this connection carries it, by closing the connection.
     pub fn cancel(&mut self, slot: u32, io: BioId) -> Option<Completion> {
-        let connection = self.connections.get(slot).filter(|c| c.carries(io))?;
-        let (is_written, node) = (connection.is_request_written(), connection.node);
-        let attempt = self.close(slot)?;
-        let result = if is_written {
+        let connection = self.pool.get(slot).filter(|c| c.carries(io))?;
+        let node = connection.node();
+        let result = if connection.is_request_written() {
             AttemptResult::Cancelled
         } else {
             AttemptResult::NotSent
         };
+        let attempt = self.pool.close(slot)?;
         Some(attempt.complete(node, result))
     }
 
@@ -147,17 +142,18 @@
     /// Completes an attempt that has expired; to be called until there is none.
     pub fn expire_attempt(&mut self, now: Tick) -> Option<Completion> {
         while let Some(deadline) = self.deadlines.pop_passed(now) {
-            let Some(connection) = self.connections.get(deadline.slot) else {
+            let Some(connection) = self.pool.get(deadline.slot) else {
                 continue;
             };
-            let Some(attempt) = connection.attempt.filter(|a| a.serial == deadline.serial) else {
+            let attempt = connection.attempt();
+            let Some(attempt) = attempt.filter(|a| a.serial == deadline.serial) else {
                 continue;
             };
             let Some(result) = expired(connection, attempt, now) else {
                 continue;
             };
-            let node = connection.node;
-            self.close(deadline.slot);
+            let node = connection.node();
+            self.pool.close(deadline.slot);
             return Some(attempt.complete(node, result));
         }
         None
@@ -170,7 +166,7 @@
     if connection.is_request_written() {
         return is_past_deadline.then_some(AttemptResult::TimedOut);
     }
-    if !connection.is_up && now >= attempt.connect_deadline {
+    if !connection.is_up() && now >= attempt.connect_deadline {
         return Some(AttemptResult::ConnectFailed);
     }
     is_past_deadline.then_some(AttemptResult::NotSent)
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -1,149 +1,226 @@
 //! The connection pool: idle connections are reused, new ones are opened up to the limit.
-use super::NodeConnections;
-use super::connection::{Attempt, NodeConnection};
-use crate::buffers::recycle;
+use super::attempt::Attempt;
+use super::connection::NodeConnection;
+use super::endpoint_table::{Endpoint, EndpointTable, NodeCounters};
+use super::response_buffer::BufferRead;
 use crate::tokens;
+use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::keep_alive::{self, Reusability};
-use mallowseam_http1::ResponseReader;
 use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
-use mallowseam_sockets::nonblocking::{self, ReadOutcome};
-use mio::Interest;
-use mio::net::TcpStream;
+use mallowseam_sockets::memory_budget::MemoryBudget;
+use mallowseam_sockets::slab::Slab;
+use mio::{Interest, Registry};
+use std::net::SocketAddr;
 
-impl NodeConnections {
-    /// Closes a connection and returns the attempt that it carried.
-    pub(super) fn close(&mut self, slot: u32) -> Option<Attempt> {
-        let mut connection = self.connections.remove(slot)?;
-        self.bytes -= connection.response.capacity();
-        let _ = self.registry.deregister(&mut connection.socket);
-        if let Some(endpoint) = self.endpoint_mut(connection.node) {
-            endpoint.counters.connections -= 1;
-            endpoint.idle.retain(|idle| *idle != slot);
+/// All connections, and the nodes that they lead to.
+pub struct ConnectionPool {
+    registry: Registry,
+    connections: Slab<NodeConnection>,
+    endpoints: EndpointTable,
+    max_connections: usize,
+    /// Bytes of responses in memory.
+    memory: MemoryBudget,
+}
+
+impl ConnectionPool {
+    /// An empty pool with its limits.
+    pub fn new(registry: Registry, max_connections: usize, max_bytes: usize) -> Self {
+        ConnectionPool {
+            registry,
+            connections: Slab::default(),
+            endpoints: EndpointTable::default(),
+            max_connections,
+            memory: MemoryBudget::new(max_bytes),
+        }
+    }
+
+    /// Connections that are open or being opened.
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The most connections that it may have.
+    pub fn max_connections(&self) -> usize {
+        self.max_connections
+    }
+
+    /// Bytes of responses in memory.
+    pub fn memory(&self) -> &MemoryBudget {
+        &self.memory
+    }
+
+    /// A connection.
+    pub fn get(&self, slot: u32) -> Option<&NodeConnection> {
+        self.connections.get(slot)
+    }
+
+    /// A connection.
+    pub fn get_mut(&mut self, slot: u32) -> Option<&mut NodeConnection> {
+        self.connections.get_mut(slot)
+    }
+
+    /// All slots that were ever used, for loops that close connections as they go.
+    pub fn slots(&self) -> std::ops::Range<u32> {
+        0..self.connections.index_bound()
+    }
+
+    /// The nodes that are known.
+    pub fn nodes(&self) -> impl Iterator<Item = NodeId> {
+        self.endpoints.ids()
+    }
+
+    /// The counters of a node, if it is known.
+    pub fn counters_mut(&mut self, node: NodeId) -> Option<&mut NodeCounters> {
+        let endpoint = self.endpoints.get_mut(node)?;
+        Some(&mut endpoint.counters)
+    }
+
+    /// Sets a node's address from the endpoint list. Idle connections are kept only where new attempts may use them.
+    pub fn update_endpoint(&mut self, node: NodeId, address: SocketAddr, accepts_attempts: bool) {
+        let is_moved = self.endpoints.set_address(node, address);
+        if is_moved || !accepts_attempts {
+            self.close_idle(node);
         }
-        connection.attempt
+    }
+
+    /// Drops a node that was removed.
+    pub fn release(&mut self, node: NodeId) {
+        self.close_idle(node);
+        self.endpoints.remove(node);
     }
 
     /// Closes all idle connections to a node.
-    pub(super) fn close_idle(&mut self, node: NodeId) {
+    fn close_idle(&mut self, node: NodeId) {
         while let Some(slot) = self
-            .endpoint(node)
-            .and_then(|endpoint| endpoint.idle.last().copied())
+            .endpoints
+            .get(node)
+            .and_then(|endpoint| endpoint.idle().last().copied())
         {
             self.close(slot);
         }
     }
 
+    /// Closes a connection and returns the attempt that it carried.
+    pub fn close(&mut self, slot: u32) -> Option<Attempt> {
+        let connection = self.connections.remove(slot)?;
+        self.memory.release(connection.response().capacity());
+        if let Some(endpoint) = self.endpoints.get_mut(connection.node()) {
+            endpoint.counters.connections -= 1;
+            endpoint.remove_idle(slot);
+        }
+        connection.close(&self.registry)
+    }
+
     /// A connection for the next attempt at a node: an idle one that is still open, or a new one.
-    pub(super) fn check_out(&mut self, node: NodeId, now: Tick) -> Result<u32, AttemptResult> {
-        match self.take_idle(node, now) {
+    ///
+    /// # Errors
+    /// The result of an attempt for which there is none.
+    pub fn check_out(
+        &mut self,
+        node: NodeId,
+        now: Tick,
+        idle_timeout: Millis,
+    ) -> Result<u32, AttemptResult> {
+        match self.take_idle(node, now, idle_timeout) {
             Some(slot) => Ok(slot),
             None => self.connect(node, now),
         }
     }
 
     /// An idle connection that may carry an attempt: alive, and without unexpected bytes on it.
-    fn take_idle(&mut self, node: NodeId, now: Tick) -> Option<u32> {
-        let keep_alive = self.keep_alive.idle_timeout(ticks_to_millis(now));
+    fn take_idle(&mut self, node: NodeId, now: Tick, idle_timeout: Millis) -> Option<u32> {
         loop {
-            let endpoint = self.endpoint(node)?;
-            let idle_since = |slot: &u32| self.connections.get(*slot).map_or(now, |c| c.idle_since);
-            let idle_times = endpoint
-                .idle
-                .iter()
-                .map(|slot| ticks_to_millis(now - idle_since(slot)));
-            let chosen = keep_alive::select_idle_connection(idle_times, keep_alive)?;
-            let slot = endpoint.idle[chosen];
-            if self.is_quiet(slot) {
-                self.endpoint_mut(node)?.idle.remove(chosen);
+            let endpoint = self.endpoints.get(node)?;
+            let slot = self.select_idle(endpoint, now, idle_timeout)?;
+            if self.connections.get_mut(slot)?.is_quiet() {
+                self.endpoints.get_mut(node)?.remove_idle(slot);
                 return Some(slot);
             }
             self.close(slot);
         }
     }
 
-    /// Whether a connection is open and has nothing to read.
-    fn is_quiet(&mut self, slot: u32) -> bool {
-        let read = self
-            .connections
-            .get_mut(slot)
-            .map(|c| nonblocking::read(&mut c.socket, &mut [0]));
-        matches!(read, Some(ReadOutcome::WouldBlock))
+    /// The idle connection of a node that carries the next attempt.
+    fn select_idle(&self, endpoint: &Endpoint, now: Tick, idle_timeout: Millis) -> Option<u32> {
+        let idle_times = endpoint.idle().iter().map(|slot| {
+            let connection = self.connections.get(*slot);
+            let idle_since = connection.map_or(now, NodeConnection::idle_since);
+            ticks_to_millis(now - idle_since)
+        });
+        let position = keep_alive::select_idle_connection(idle_times, idle_timeout)?;
+        endpoint.idle().get(position).copied()
     }
 
     /// Opens a connection. At the limit the connection that has been idle longest is closed first.
     fn connect(&mut self, node: NodeId, now: Tick) -> Result<u32, AttemptResult> {
         if self.connections.len() >= self.max_connections {
-            let idle = self
-                .connections
-                .iter()
-                .filter(|(_, c)| c.is_up && c.attempt.is_none());
-            let longest_idle = idle.min_by_key(|(_, c)| c.idle_since).map(|(slot, _)| slot);
             // With none idle, this host lacks capacity, not the node.
-            self.close(longest_idle.ok_or(AttemptResult::NotSent)?);
+            self.close(self.longest_idle().ok_or(AttemptResult::NotSent)?);
         }
-        let address = self
-            .endpoint(node)
-            .and_then(|endpoint| endpoint.address)
-            .ok_or(AttemptResult::NotSent)?;
-        let mut socket = TcpStream::connect(address).map_err(|_| AttemptResult::ConnectFailed)?;
-        let _ = socket.set_nodelay(true);
+        let endpoint = self.endpoints.get_mut(node).ok_or(AttemptResult::NotSent)?;
+        let address = endpoint.address().ok_or(AttemptResult::NotSent)?;
+        let mut connection =
+            NodeConnection::open(node, address, now).map_err(|_| AttemptResult::ConnectFailed)?;
         let slot = self.connections.next_index();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry
-            .register(&mut socket, tokens::node(slot), interest)
+            .register(connection.socket_mut(), tokens::node(slot), interest)
             .map_err(|_| AttemptResult::NotSent)?;
-        self.connections
-            .insert(NodeConnection::new(socket, node, now));
-        if let Some(endpoint) = self.endpoint_mut(node) {
-            endpoint.counters.connections += 1;
-            endpoint.counters.connections_opened += 1;
-        }
+        self.connections.insert(connection);
+        endpoint.counters.connections += 1;
+        endpoint.counters.connections_opened += 1;
         Ok(slot)
     }
 
-    /// Returns a connection to the pool once its attempt has completed, or closes it.
-    pub(super) fn check_in(&mut self, slot: u32, close: bool, now: Tick) {
-        if close {
-            self.close(slot);
-            return;
-        }
+    fn longest_idle(&self) -> Option<u32> {
+        let connections = self.connections.iter();
+        let idle = connections.filter(|(_, connection)| connection.is_idle());
+        let longest = idle.min_by_key(|(_, connection)| connection.idle_since());
+        longest.map(|(slot, _)| slot)
+    }
+
+    /// Returns a connection to the pool once its attempt has completed.
+    pub fn check_in(&mut self, slot: u32, now: Tick) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
-        connection.attempt = None;
-        connection.sent = 0;
-        connection.idle_since = now;
-        connection.is_reused = true;
-        connection.reader = ResponseReader::default();
-        recycle(&mut connection.request);
-        self.bytes -= connection.response.capacity();
-        recycle(&mut connection.response);
-        self.bytes += connection.response.capacity();
-        let node = connection.node;
-        match self.endpoint_mut(node) {
-            Some(endpoint) => endpoint.idle.push(slot),
+        let before = connection.response().capacity();
+        connection.become_idle(now);
+        self.memory.resize(before, connection.response().capacity());
+        match self.endpoints.get_mut(connection.node()) {
+            Some(endpoint) => endpoint.add_idle(slot),
             None => drop(self.close(slot)),
         }
     }
 
-    /// The current idle timeout, in milliseconds.
-    pub fn keep_alive_ms(&mut self, now: Tick) -> u64 {
-        self.keep_alive.idle_timeout(ticks_to_millis(now))
-    }
-
     /// Closes idle connections that have reached the idle timeout, before their nodes do.
-    pub fn close_expired_idle(&mut self, now: Tick) {
-        let keep_alive = self.keep_alive_ms(now);
-        for slot in 0..self.connections.index_bound() {
-            let idle = self.connections.get(slot).filter(|c| c.attempt.is_none());
-            let is_expired = idle.is_some_and(|c| {
-                keep_alive::reusability(ticks_to_millis(now - c.idle_since), keep_alive)
-                    == Reusability::Expired
-            });
-            if is_expired {
+    pub fn close_expired_idle(&mut self, now: Tick, idle_timeout: Millis) {
+        for slot in self.slots() {
+            let connection = self.connections.get(slot);
+            let Some(idle) = connection.filter(|connection| connection.attempt().is_none()) else {
+                continue;
+            };
+            let idle_ms = ticks_to_millis(now - idle.idle_since());
+            if keep_alive::reusability(idle_ms, idle_timeout) == Reusability::Expired {
                 self.close(slot);
             }
         }
     }
+
+    /// Reads once from the response on a connection.
+    pub fn read_response(&mut self, slot: u32, scratch: &mut [u8]) -> Option<BufferRead> {
+        let connection = self.connections.get_mut(slot)?;
+        let before = connection.response().capacity();
+        let read = connection.read_response(scratch);
+        self.memory.resize(before, connection.response().capacity());
+        Some(read)
+    }
+
+    /// Moves out the bytes of a complete response, which are counted elsewhere from now on.
+    pub fn take_response(&mut self, slot: u32) -> Option<Vec<u8>> {
+        let connection = self.connections.get_mut(slot)?;
+        self.memory.release(connection.response().capacity());
+        Some(connection.take_response())
+    }
 }
