--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -1,11 +1,13 @@
 //! Connections of clients: one request at a time on each.
 //!
-//! - `connection`: one connection; reads requests.
-//! - `responses`: writes responses.
+//! - `connection`: one connection.
+//! - `socket`, `request_buffer`: its socket, and what was read from it.
+//! - `responses`: responses, and how they are written.
 mod connection;
+mod request_buffer;
 mod responses;
+mod socket;
 
-use crate::buffers::REQUEST_LIMITS;
 use crate::tokens;
 use connection::{Client, ReadError};
 use mallowseam_connection_policy::Millis;
@@ -14,6 +16,7 @@
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::response;
 use mallowseam_scheduler::interface::BioId;
+use mallowseam_sockets::memory_budget::MemoryBudget;
 use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
@@ -62,9 +65,8 @@
     connections: Slab<Client>,
     registry: Registry,
     max_connections: usize,
-    /// Bytes in memory for all clients, and their limit.
-    bytes: usize,
-    max_bytes: usize,
+    /// Bytes in memory for all clients.
+    memory: MemoryBudget,
     /// Set once the graceful shutdown has begun.
     shutdown: Option<GracefulShutdown>,
     /// Slots of connections that may have something to read.
@@ -79,8 +81,7 @@
             connections: Slab::default(),
             registry,
             max_connections,
-            bytes: 0,
-            max_bytes,
+            memory: MemoryBudget::new(max_bytes),
             shutdown: None,
             read_queue: VecDeque::new(),
             counters: ClientCounters::default(),
@@ -94,7 +95,7 @@
 
     /// Bytes in memory for all clients.
     pub fn bytes(&self) -> usize {
-        self.bytes
+        self.memory.used()
     }
 
     /// The counters for the status log.
@@ -106,7 +107,7 @@
     pub fn count_in_state(&self, state: Phase) -> usize {
         self.connections
             .iter()
-            .filter(|(_, client)| client.state.phase() == state)
+            .filter(|(_, client)| client.state().phase() == state)
             .count()
     }
 
@@ -117,7 +118,7 @@
 
     /// Whether the memory limit of clients allows this many more bytes.
     pub fn has_capacity(&self, bytes: usize) -> bool {
-        self.bytes + bytes <= self.max_bytes
+        self.memory.has_room_for(bytes)
     }
 
     /// The graceful shutdown, once it has begun.
@@ -160,9 +161,9 @@
         let candidates = self
             .connections
             .iter()
-            .filter(|(_, client)| !client.is_queued && !client.is_readable);
+            .filter(|(_, client)| !client.is_queued() && !client.socket().is_readable());
         let Some(slot) = client_connection::eviction_candidate(
-            candidates.map(|(slot, client)| (slot, &client.state)),
+            candidates.map(|(slot, client)| (slot, client.state())),
             now,
         ) else {
             return false;
@@ -180,17 +181,14 @@
     }
 
     fn close(&mut self, slot: u32) {
-        if let Some(mut client) = self.connections.remove(slot) {
-            self.bytes -= client.bytes();
-            let _ = self.registry.deregister(&mut client.socket);
+        if let Some(client) = self.connections.remove(slot) {
+            self.memory.release(client.bytes());
+            client.close(&self.registry);
         }
     }
 
     fn enqueue(&mut self, slot: u32) {
-        if let Some(client) = self.connections.get_mut(slot)
-            && !client.is_queued
-        {
-            client.is_queued = true;
+        if self.connections.get_mut(slot).is_some_and(Client::enqueue) {
             self.read_queue.push_back(slot);
         }
     }
@@ -208,18 +206,15 @@
     /// Handles an event on a connection. Some: the client has disconnected while this block I/O is in flight.
     pub fn on_event(&mut self, slot: u32, event: SocketEvent, now: Millis) -> Option<BioId> {
         let client = self.connections.get_mut(slot)?;
-        client.is_polled = true;
-        client.is_readable |= event != SocketEvent::Writable;
-        client.is_disconnected |= event == SocketEvent::Disconnected;
-        if !client.output.is_empty() {
+        client.on_event(event);
+        if client.has_output() {
             self.flush(slot, now);
         }
-        let client = self.connections.get_mut(slot)?;
-        if client.is_disconnected && client.io.is_some() {
-            return client.io;
+        let disconnected = self.connections.get(slot)?.disconnected_io();
+        if disconnected.is_none() {
+            self.enqueue(slot);
         }
-        self.enqueue(slot);
-        None
+        disconnected
     }
 
     /// Reads a queued connection until a request is complete or the socket is empty.
@@ -227,20 +222,19 @@
         let Some(client) = self.connections.get_mut(slot) else {
             return RequestStatus::Incomplete;
         };
-        client.is_queued = false;
-        if client.state.phase() == Phase::Lingering {
+        client.dequeue();
+        if client.is_lingering() {
             if !client.drain_input(scratch) {
                 self.close(slot);
             }
             return RequestStatus::Incomplete;
         }
-        // While the client is slowed down, or has a request in flight, its bytes stay in the socket.
-        if !client.state.may_read(now) {
+        if !client.may_read(now) {
             return RequestStatus::Incomplete;
         }
         let before = client.bytes();
         let read = client.read_request(scratch, now);
-        self.bytes = self.bytes + client.bytes() - before;
+        self.memory.resize(before, client.bytes());
         match read {
             Ok(RequestStatus::Complete) => return RequestStatus::Complete,
             Err(ReadError::Closed) => self.close(slot),
@@ -249,7 +243,7 @@
                 self.respond_with_error(slot, responses::fault_status(fault), fault.message(), now);
             }
             // All clients share a memory limit: the request that exceeds it is shed.
-            Ok(RequestStatus::Incomplete) if self.bytes > self.max_bytes => {
+            Ok(RequestStatus::Incomplete) if self.memory.is_exceeded() => {
                 self.respond_with_error(slot, response::SHED_STATUS, "no room", now);
             }
             Ok(RequestStatus::Incomplete) => {}
@@ -259,29 +253,20 @@
 
     /// The head and the body of the complete request of a connection, if there is one.
     pub fn request(&self, slot: u32) -> Option<(RequestHead<'_>, &[u8])> {
-        let client = self.connections.get(slot)?;
-        let request = client.request?;
-        let head = RequestHead::parse(&client.input, REQUEST_LIMITS)
-            .ok()
-            .flatten()?;
-        Some((head, &client.input[request.body..request.end]))
+        self.connections.get(slot)?.request()
     }
 
     /// Whether the client of a complete request has disconnected. `is_poll_stale`: the last poll is too old to rely on,
     /// so the socket is checked.
     pub fn is_disconnected(&mut self, slot: u32, is_poll_stale: bool) -> bool {
-        self.connections.get_mut(slot).is_none_or(|client| {
-            client.is_disconnected
-                || (is_poll_stale || !client.is_polled) && client.check_disconnected()
-        })
+        let client = self.connections.get_mut(slot);
+        client.is_none_or(|client| client.check_disconnected(is_poll_stale))
     }
 
     /// The scheduler has admitted the request of a connection as this block I/O.
     pub fn on_admitted(&mut self, slot: u32, io: BioId, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
-            client.io = Some(io);
-            client.state.request_accepted();
-            client.state.enter_phase(Phase::InFlight, now);
+            client.on_admitted(io, now);
         }
     }
 
@@ -289,7 +274,7 @@
     pub fn reject_request(&mut self, slot: u32, status: u16, text: &str, now: Millis) {
         self.counters.invalid += 1;
         if let Some(client) = self.connections.get_mut(slot) {
-            client.state.request_rejected(now);
+            client.on_rejected(now);
         }
         self.respond(slot, Response::new(status, text.as_bytes()), now);
     }
@@ -300,31 +285,20 @@
             let Some(client) = self.connections.get_mut(slot) else {
                 continue;
             };
-            match client.state.check_timeouts(now, self.shutdown) {
+            match client.check_timeouts(now, self.shutdown) {
+                TimeoutAction::Nothing if client.can_read_on(now) => self.enqueue(slot),
+                TimeoutAction::Nothing => {}
                 // The socket is read first: it may contain a complete request.
-                TimeoutAction::Close | TimeoutAction::RejectLateRequest if client.is_queued => {}
-                TimeoutAction::Close | TimeoutAction::RejectLateRequest
-                    if client.has_unread_request() =>
-                {
-                    self.enqueue(slot);
-                }
+                _ if client.is_queued() => {}
+                _ if client.has_unread_request() => self.enqueue(slot),
                 TimeoutAction::Close => self.close(slot),
-                TimeoutAction::RejectLateRequest => {
-                    self.respond_with_error(
-                        slot,
-                        responses::REQUEST_TIMEOUT,
-                        "the request is late",
-                        now,
-                    );
-                }
-                TimeoutAction::Nothing
-                    if client.state.may_read(now)
-                        && (client.is_readable || !client.input.is_empty()) =>
-                {
-                    self.enqueue(slot);
-                }
-                TimeoutAction::Nothing => {}
+                TimeoutAction::RejectLateRequest => self.reject_late_request(slot, now),
             }
         }
     }
+
+    fn reject_late_request(&mut self, slot: u32, now: Millis) {
+        let status = responses::REQUEST_TIMEOUT;
+        self.respond_with_error(slot, status, "the request is late", now);
+    }
 }
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -1,40 +1,34 @@
 //! One connection of a client.
-use super::RequestStatus;
-use crate::buffers::{REQUEST_LIMITS, recycle};
+use super::request_buffer::RequestBuffer;
+use super::responses::Response;
+use super::socket::ClientSocket;
+use super::{RequestStatus, SocketEvent};
+use crate::buffers::recycle;
 use mallowseam_connection_policy::Millis;
-use mallowseam_connection_policy::client_connection::{ClientConnection, Phase};
-use mallowseam_http1::{MessageSpan, ParseError, RequestReader};
+use mallowseam_connection_policy::client_connection::{ClientConnection, Phase, TimeoutAction};
+use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
+use mallowseam_http1::{ParseError, RequestHead};
 use mallowseam_platform::response;
 use mallowseam_scheduler::interface::BioId;
-use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::nonblocking::ReadOutcome;
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
+use mio::Registry;
 use mio::net::TcpStream;
-use std::io::ErrorKind;
 
 /// A client's connection: one request at a time.
 pub struct Client {
-    pub socket: TcpStream,
+    socket: ClientSocket,
     /// State of the connection, with its timeouts.
-    pub state: ClientConnection,
-    /// Bytes read; a request in flight stays at the front.
-    pub input: Vec<u8>,
-    pub reader: RequestReader,
-    /// The complete request at the front of `input`.
-    pub request: Option<MessageSpan>,
-    /// The block I/O that is in flight for it.
-    pub io: Option<BioId>,
+    state: ClientConnection,
+    input: RequestBuffer,
     /// Bytes to be written.
-    pub output: OutgoingMessage,
-    /// The poll has reported the connection at least once.
-    pub is_polled: bool,
-    /// The socket may have more to read.
-    pub is_readable: bool,
-    /// The client has closed its side.
-    pub is_disconnected: bool,
+    output: OutgoingMessage,
+    /// The block I/O that is in flight for the request.
+    io: Option<BioId>,
     /// The response in `output` is the last.
-    pub close_after_response: bool,
+    close_after_response: bool,
     /// The connection is in the read queue.
-    pub is_queued: bool,
+    is_queued: bool,
 }
 
 /// Why reading has stopped.
@@ -45,116 +39,237 @@
     Closed,
 }
 
+/// What has become of the bytes to be written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FlushOutcome {
+    /// Some wait for the socket, or they were no response.
+    Pending,
+    /// The response is written: the connection may be read again.
+    ResponseWritten,
+    /// The connection has failed.
+    Closed,
+}
+
 impl Client {
     /// A new connection.
-    pub fn new(socket: TcpStream, now: Millis) -> Self {
+    pub fn new(stream: TcpStream, now: Millis) -> Self {
         Client {
-            socket,
+            socket: ClientSocket::new(stream),
             state: ClientConnection::new(now),
-            input: Vec::new(),
-            reader: RequestReader::default(),
-            request: None,
-            io: None,
+            input: RequestBuffer::default(),
             output: OutgoingMessage::default(),
-            is_polled: false,
-            is_readable: true,
-            is_disconnected: false,
+            io: None,
             close_after_response: false,
             is_queued: false,
         }
     }
 
+    /// Its socket.
+    pub fn socket(&self) -> &ClientSocket {
+        &self.socket
+    }
+
+    /// State of the connection, with its timeouts.
+    pub fn state(&self) -> &ClientConnection {
+        &self.state
+    }
+
     /// Bytes of its buffers.
     pub fn bytes(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Drops what was read.
-    pub fn discard_input(&mut self) {
-        self.request = None;
-        recycle(&mut self.input);
+    /// Puts it into the read queue; false: it was there.
+    pub fn enqueue(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_queued, true)
+    }
+
+    /// It has left the read queue.
+    pub fn dequeue(&mut self) {
+        self.is_queued = false;
     }
 
-    /// Whether part of a request waits in the socket; peeks at it.
+    /// Whether it is in the read queue.
+    pub fn is_queued(&self) -> bool {
+        self.is_queued
+    }
+
+    /// The poll has reported it.
+    pub fn on_event(&mut self, event: SocketEvent) {
+        self.socket.on_event(event);
+    }
+
+    /// Whether bytes are to be written.
+    pub fn has_output(&self) -> bool {
+        !self.output.is_empty()
+    }
+
+    /// The block I/O in flight of a client that has disconnected.
+    pub fn disconnected_io(&self) -> Option<BioId> {
+        self.io.filter(|_| self.socket.is_disconnected())
+    }
+
+    /// Whether the client has disconnected. `is_poll_stale`: the last poll is too old to rely on.
+    pub fn check_disconnected(&mut self, is_poll_stale: bool) -> bool {
+        self.socket.check_disconnected(is_poll_stale)
+    }
+
+    /// Whether part of a request waits in the socket; looks at it.
     pub fn has_unread_request(&mut self) -> bool {
-        if !matches!(
-            self.state.phase(),
+        let phase = self.state.phase();
+        let is_awaiting = matches!(
+            phase,
             Phase::AwaitingFirstRequest | Phase::ReceivingRequest | Phase::Idle
-        ) {
-            return false;
-        }
-        self.is_readable |= matches!(self.socket.peek(&mut [0]), Ok(count) if count > 0);
-        self.is_readable
+        );
+        is_awaiting && self.socket.check_readable()
+    }
+
+    /// Whether it may be read, and has something to read or to parse.
+    pub fn can_read_on(&self, now: Millis) -> bool {
+        self.may_read(now) && (self.socket.is_readable() || !self.input.is_empty())
+    }
+
+    /// The timeout that has passed, if any.
+    pub fn check_timeouts(
+        &mut self,
+        now: Millis,
+        shutdown: Option<GracefulShutdown>,
+    ) -> TimeoutAction {
+        self.state.check_timeouts(now, shutdown)
     }
 
-    /// Whether the client has disconnected, without waiting for the poll; peeks at the socket, which shows the end of the
-    /// stream once all bytes before it were read.
-    pub fn check_disconnected(&mut self) -> bool {
-        self.is_disconnected |= match self.socket.peek(&mut [0]) {
-            Ok(count) => count == 0,
-            Err(e) => !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
-        };
-        self.is_disconnected
+    /// The head and the body of the complete request, if there is one.
+    pub fn request(&self) -> Option<(RequestHead<'_>, &[u8])> {
+        self.input.request()
+    }
+
+    /// Whether the client's bytes may be read; they stay in the socket while it is slowed down, or has a request in
+    /// flight.
+    pub fn may_read(&self, now: Millis) -> bool {
+        self.state.may_read(now)
     }
 
     /// Reads until a request is complete or the socket is empty.
+    ///
+    /// # Errors
+    /// The message is malformed, or the connection has ended.
     pub fn read_request(
         &mut self,
         scratch: &mut [u8],
         now: Millis,
     ) -> Result<RequestStatus, ReadError> {
         loop {
-            if !self.input.is_empty() && self.advance(now)? == RequestStatus::Complete {
+            if !self.input.is_empty() && self.parse(now)? == RequestStatus::Complete {
                 return Ok(RequestStatus::Complete);
             }
-            if !self.is_readable {
+            if !self.socket.is_readable() {
                 return Ok(RequestStatus::Incomplete);
             }
-            let limit = (REQUEST_LIMITS.buffer_capacity() - self.input.len()).min(scratch.len());
-            match nonblocking::read(&mut self.socket, &mut scratch[..limit]) {
+            let limit = self.input.room().min(scratch.len());
+            match self.socket.read(&mut scratch[..limit]) {
                 ReadOutcome::Read(count) => {
-                    self.input.extend_from_slice(&scratch[..count]);
-                    // A short read has emptied the socket, and the poll reports what arrives later; but the end of
-                    // the stream is reported only once.
-                    self.is_readable = count == limit || self.is_disconnected;
+                    self.input.append(&scratch[..count]);
+                    if count < limit {
+                        self.socket.on_short_read();
+                    }
                 }
-                ReadOutcome::WouldBlock => self.is_readable = false,
+                ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed(_) => return Err(ReadError::Closed),
             }
         }
     }
 
     /// Parses what was read. A client that expects it gets 100 Continue.
-    fn advance(&mut self, now: Millis) -> Result<RequestStatus, ReadError> {
+    fn parse(&mut self, now: Millis) -> Result<RequestStatus, ReadError> {
         if self.state.phase() != Phase::ReceivingRequest {
             self.state.enter_phase(Phase::ReceivingRequest, now);
         }
-        self.request = self
-            .reader
-            .advance(&mut self.input, REQUEST_LIMITS)
-            .map_err(ReadError::Invalid)?;
-        if self.request.is_some() {
+        if self.input.parse().map_err(ReadError::Invalid)? {
             return Ok(RequestStatus::Complete);
         }
-        if self.reader.take_expect_continue() {
+        if self.input.take_expect_continue() {
             self.output.head.extend_from_slice(response::CONTINUE);
-            self.output
-                .write_to(&mut self.socket)
-                .map_err(|_| ReadError::Closed)?;
+            let written = self.output.write_to(self.socket.stream_mut());
+            written.map_err(|_| ReadError::Closed)?;
         }
         Ok(RequestStatus::Incomplete)
     }
 
+    /// Whether it only waits for the client to close, after the last response.
+    pub fn is_lingering(&self) -> bool {
+        self.state.phase() == Phase::Lingering
+    }
+
     /// Reads and drops what a client sends after its last response. False: the connection is to be closed.
     pub fn drain_input(&mut self, scratch: &mut [u8]) -> bool {
-        while self.is_readable {
-            match nonblocking::read(&mut self.socket, scratch) {
+        while self.socket.is_readable() {
+            match self.socket.read(scratch) {
                 ReadOutcome::Read(count) if self.state.bytes_discarded(count) => return false,
-                ReadOutcome::Read(_) => {}
-                ReadOutcome::WouldBlock => self.is_readable = false,
+                ReadOutcome::Read(_) | ReadOutcome::WouldBlock => {}
                 ReadOutcome::Closed(_) => return false,
             }
         }
         true
     }
+
+    /// Its request is in flight as this block I/O.
+    pub fn on_admitted(&mut self, io: BioId, now: Millis) {
+        self.io = Some(io);
+        self.state.request_accepted();
+        self.state.enter_phase(Phase::InFlight, now);
+    }
+
+    /// Its request is rejected: the client is slowed down.
+    pub fn on_rejected(&mut self, now: Millis) {
+        self.state.request_rejected(now);
+    }
+
+    /// Drops what was read.
+    pub fn discard_input(&mut self) {
+        self.input.discard();
+    }
+
+    /// The next response is the last.
+    pub fn close_after_response(&mut self) {
+        self.close_after_response = true;
+    }
+
+    /// Composes the response to its request. `is_ending`: the host accepts no more requests.
+    pub fn compose_response(&mut self, response: Response, is_ending: bool, now: Millis) {
+        self.close_after_response |=
+            is_ending || self.socket.is_disconnected() || self.input.closes_connection();
+        response.write(&mut self.output, self.close_after_response);
+        self.input.finish_request();
+        self.io = None;
+        self.state.enter_phase(Phase::SendingResponse, now);
+    }
+
+    /// Writes as much as the socket takes. After the last byte of a response the connection is idle, or lingers before it
+    /// is closed.
+    pub fn flush(&mut self, now: Millis) -> FlushOutcome {
+        let written = self.output.write_to(self.socket.stream_mut());
+        if self.output.is_empty() {
+            recycle(&mut self.output.head);
+        }
+        if written.is_err() {
+            return FlushOutcome::Closed;
+        }
+        if self.has_output() || self.state.phase() != Phase::SendingResponse {
+            return FlushOutcome::Pending;
+        }
+        if !self.close_after_response {
+            self.state.enter_phase(Phase::Idle, now);
+            return FlushOutcome::ResponseWritten;
+        }
+        if self.socket.shutdown_write().is_err() {
+            return FlushOutcome::Closed;
+        }
+        self.state.enter_phase(Phase::Lingering, now);
+        FlushOutcome::ResponseWritten
+    }
+
+    /// Removes it from the poll, and closes it.
+    pub fn close(mut self, registry: &Registry) {
+        let _ = registry.deregister(self.socket.stream_mut());
+    }
 }
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -1,12 +1,10 @@
 //! Writes responses to clients.
 use super::ClientConnections;
-use crate::buffers::{discard_front, recycle};
+use super::connection::FlushOutcome;
 use mallowseam_connection_policy::Millis;
-use mallowseam_connection_policy::client_connection::Phase;
 use mallowseam_http1::ParseError;
 use mallowseam_platform::response;
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
-use std::net::Shutdown;
 use std::ops::Range;
 
 /// Status of a request that took too long to arrive.
@@ -42,8 +40,8 @@
 pub struct Response<'b> {
     status: u16,
     body: Body<'b>,
-    /// Retry-After in milliseconds; 0: none.
-    retry_after_ms: u64,
+    /// Retry-After in milliseconds.
+    retry_after_ms: Option<u64>,
 }
 
 impl<'b> Response<'b> {
@@ -52,7 +50,7 @@
         Response {
             status,
             body: Body::Copied(body),
-            retry_after_ms: 0,
+            retry_after_ms: None,
         }
     }
 
@@ -66,17 +64,29 @@
         Response {
             status: OK,
             body: Body::Buffer(buffer, body),
-            retry_after_ms: 0,
+            retry_after_ms: None,
         }
     }
 
-    /// Adds Retry-After, in milliseconds; 0: none.
-    pub fn with_retry_after(self, retry_after_ms: u64) -> Self {
+    /// Sets Retry-After, in milliseconds.
+    pub fn with_retry_after(self, retry_after_ms: Option<u64>) -> Self {
         Response {
             retry_after_ms,
             ..self
         }
     }
+
+    /// Writes the response. `close`: it is the last on its connection.
+    pub fn write(self, output: &mut OutgoingMessage, close: bool) {
+        response::write_head(
+            &mut output.head,
+            self.status,
+            self.body.len(),
+            self.retry_after_ms.unwrap_or(0),
+            close,
+        );
+        self.body.append_to(output);
+    }
 }
 
 /// The status for a message that cannot be parsed.
@@ -93,37 +103,21 @@
 impl ClientConnections {
     /// Responds to the request of a connection.
     pub fn respond(&mut self, slot: u32, response: Response, now: Millis) {
-        let is_ending = self
-            .shutdown
-            .is_some_and(|shutdown| !shutdown.admits_clients(now));
+        let shutdown = self.shutdown;
+        let is_ending = shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
         let Some(client) = self.connections.get_mut(slot) else {
             return;
         };
         let before = client.bytes();
-        client.close_after_response |=
-            is_ending || client.is_disconnected || client.reader.closes_connection();
-        response::write_head(
-            &mut client.output.head,
-            response.status,
-            response.body.len(),
-            response.retry_after_ms,
-            client.close_after_response,
-        );
-        response.body.append_to(&mut client.output);
-        if let Some(request) = client.request.take() {
-            discard_front(&mut client.input, request.end);
-        }
-        client.reader.reset();
-        client.io = None;
-        client.state.enter_phase(Phase::SendingResponse, now);
-        self.bytes = self.bytes + client.bytes() - before;
+        client.compose_response(response, is_ending, now);
+        self.memory.resize(before, client.bytes());
         self.flush(slot, now);
     }
 
     /// Responds and closes the connection.
     pub fn respond_and_close(&mut self, slot: u32, response: Response, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
-            client.close_after_response = true;
+            client.close_after_response();
         }
         self.respond(slot, response, now);
     }
@@ -131,38 +125,25 @@
     /// Responds to a message that cannot be parsed or is not accepted, and closes the connection.
     pub(super) fn respond_with_error(&mut self, slot: u32, status: u16, text: &str, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
-            self.bytes -= client.bytes();
+            let before = client.bytes();
             client.discard_input();
-            self.bytes += client.bytes();
+            self.memory.resize(before, client.bytes());
         }
         self.respond_and_close(slot, Response::new(status, text.as_bytes()), now);
     }
 
-    /// Writes the output. After the last byte the connection is read again, or lingers before it is closed.
+    /// Writes what waits to be written. After the last byte of a response the connection is read again.
     pub(super) fn flush(&mut self, slot: u32, now: Millis) {
         let Some(client) = self.connections.get_mut(slot) else {
             return;
         };
         let before = client.bytes();
-        let written = client.output.write_to(&mut client.socket);
-        if client.output.is_empty() {
-            recycle(&mut client.output.head);
-        }
-        self.bytes = self.bytes + client.bytes() - before;
-        if written.is_err() {
-            return self.close(slot);
-        }
-        if !client.output.is_empty() || client.state.phase() != Phase::SendingResponse {
-            return;
-        }
-        if client.close_after_response {
-            if client.socket.shutdown(Shutdown::Write).is_err() {
-                return self.close(slot);
-            }
-            client.state.enter_phase(Phase::Lingering, now);
-        } else {
-            client.state.enter_phase(Phase::Idle, now);
+        let outcome = client.flush(now);
+        self.memory.resize(before, client.bytes());
+        match outcome {
+            FlushOutcome::Pending => {}
+            FlushOutcome::ResponseWritten => self.enqueue(slot),
+            FlushOutcome::Closed => self.close(slot),
         }
-        self.enqueue(slot);
     }
 }
--- a/crates/platform-host/src/clients/tests.rs
+++ b/crates/platform-host/src/clients/tests.rs
@@ -41,7 +41,7 @@
         let client = self.clients.connections.get(slot).expect("accepted");
         let began = Instant::now();
         let len = READINESS_CHECK.len();
-        while !matches!(client.socket.peek(&mut [0; 256]), Ok(count) if count == len) {
+        while !matches!(client.socket().peek(&mut [0; 256]), Ok(count) if count == len) {
             assert!(
                 began.elapsed() < Duration::from_secs(5),
                 "its request did not arrive"
@@ -51,8 +51,8 @@
 
     /// Reads all queued connections; returns those with a complete request.
     fn read_queued(&mut self, now: Millis) -> Vec<u32> {
-        let queued: Vec<u32> = self.clients.read_queue.drain(..).collect();
         let clients = &mut self.clients;
+        let queued: Vec<u32> = std::iter::from_fn(|| clients.next_queued()).collect();
         let has_request =
             |slot: &u32| clients.read(*slot, &mut [0; 4_096], now) == RequestStatus::Complete;
         queued.into_iter().filter(has_request).collect()
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -73,8 +73,9 @@
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
-        let response =
-            Response::empty(response::SHED_STATUS).with_retry_after(ticks_to_millis(retry_after));
+        // The scheduler names no time by 0.
+        let retry_after_ms = Some(ticks_to_millis(retry_after)).filter(|millis| *millis > 0);
+        let response = Response::empty(response::SHED_STATUS).with_retry_after(retry_after_ms);
         self.counters.shed += u64::from(self.respond_final(bio, response));
     }
 
