--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,21 +1,19 @@
 //! A watch on the discovery service: one connection on which it streams changes of the endpoint list.
-use crate::buffers::{REQUEST_LIMITS, recycle};
+//!
+//! - `list_response`: the response, as far as it was read.
+mod list_response;
+
+use list_response::ListResponse;
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::watch_liveness::WatchLiveness;
-use mallowseam_http1::{ChunkedDecoder, Framing, Limits, ParseError, ResponseHead};
-use mallowseam_platform::endpoints::{self, Endpoint, EndpointListError, WatchEvent, WatchFrame};
+use mallowseam_http1::ParseError;
+use mallowseam_platform::endpoints::{self, Endpoint, EndpointListError, WatchEvent};
 use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::io;
 use std::net::SocketAddr;
 
-/// An endpoint list is far longer than a message of clients or nodes.
-const LIST_LIMITS: Limits = Limits {
-    head: REQUEST_LIMITS.head,
-    body: endpoints::MAX_LIST_BYTES,
-};
-
 /// Why a watch is over.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
@@ -57,16 +55,6 @@
     Failed(WatchError),
 }
 
-/// What is read next of the response.
-enum Stage {
-    /// The head.
-    Head,
-    /// A stream of lines.
-    Stream(ChunkedDecoder),
-    /// A single list of this many bytes.
-    Snapshot(usize),
-}
-
 /// A connection to the discovery service.
 pub struct WatchConnection {
     /// Timeouts of the watch.
@@ -75,8 +63,7 @@
     address: SocketAddr,
     since: Option<u64>,
     request: Vec<u8>,
-    response: Vec<u8>,
-    stage: Stage,
+    response: ListResponse,
 }
 
 impl WatchConnection {
@@ -101,8 +88,7 @@
             address,
             since,
             request,
-            response: Vec::new(),
-            stage: Stage::Head,
+            response: ListResponse::default(),
         })
     }
 
@@ -165,62 +151,9 @@
                 ReadOutcome::WouldBlock => return Ok(()),
                 ReadOutcome::Closed(error) => return Err(WatchError::Socket(error)),
             };
-            self.response.extend_from_slice(&scratch[..count]);
-            self.read_head()?;
-            self.read_body(messages)?;
-        }
-    }
-
-    /// Reads the head of the response, past any 1xx before it.
-    fn read_head(&mut self) -> Result<(), WatchError> {
-        while let Stage::Head = self.stage {
-            let head =
-                ResponseHead::parse(&self.response, LIST_LIMITS).map_err(WatchError::Malformed)?;
-            let Some(head) = head else { return Ok(()) };
-            let is_interim = head.is_interim();
-            if !is_interim && head.status != 200 {
-                return Err(WatchError::Status(head.status));
-            }
-            let (len, framing) = (head.len, head.framing);
-            drop(self.response.drain(..len));
-            if !is_interim {
+            self.response.receive(&scratch[..count], messages)?;
+            if self.response.has_started() {
                 self.liveness.response_started();
-                self.stage = match framing {
-                    Framing::Chunked => Stage::Stream(ChunkedDecoder::new(0)),
-                    Framing::Length(len) => Stage::Snapshot(len),
-                    Framing::None => return Err(WatchError::NoList),
-                };
-            }
-        }
-        Ok(())
-    }
-
-    fn read_body(&mut self, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
-        match &mut self.stage {
-            Stage::Head => Ok(()),
-            Stage::Snapshot(len) if self.response.len() < *len => Ok(()),
-            // Such a service sends nothing after the list: a new watch has to request changes.
-            Stage::Snapshot(len) => {
-                read_updates(&self.response[..*len], true, messages)?;
-                Err(WatchError::ListEnded)
-            }
-            Stage::Stream(chunks) => {
-                chunks
-                    .decode(&mut self.response, LIST_LIMITS.body)
-                    .map_err(WatchError::Malformed)?;
-                let is_over = chunks.is_complete();
-                let consumed =
-                    read_updates(&self.response[..chunks.decoded_end()], is_over, messages)?;
-                chunks.discard_front(consumed);
-                drop(self.response.drain(..consumed));
-                if self.response.is_empty() {
-                    recycle(&mut self.response);
-                }
-                if is_over {
-                    Err(WatchError::StreamEnded)
-                } else {
-                    Ok(())
-                }
             }
         }
     }
@@ -230,41 +163,3 @@
         let _ = registry.deregister(&mut self.socket);
     }
 }
-
-/// Passes on the complete updates of a text and returns their length. `is_over`: nothing follows the text.
-///
-/// # Errors
-/// An update is invalid. Endpoints in it that are draining or removed are passed on all the same.
-fn read_updates(
-    text: &[u8],
-    is_over: bool,
-    messages: &mut Vec<WatchMessage>,
-) -> Result<usize, WatchError> {
-    let last_line_end = || {
-        text.iter()
-            .rposition(|b| *b == b'\n')
-            .map_or(0, |index| index + 1)
-    };
-    let end = if is_over { text.len() } else { last_line_end() };
-    let mut consumed = 0;
-    loop {
-        match endpoints::parse_frame(&text[consumed..end]) {
-            WatchFrame::Incomplete if is_over && !text[consumed..].trim_ascii().is_empty() => {
-                return Err(WatchError::Truncated);
-            }
-            WatchFrame::Incomplete => return Ok(consumed),
-            WatchFrame::Heartbeat { len } => {
-                messages.push(WatchMessage::Heartbeat);
-                consumed += len;
-            }
-            WatchFrame::Event { event, len } => {
-                messages.push(WatchMessage::Update(event));
-                consumed += len;
-            }
-            WatchFrame::Corrupt { error, closing } => {
-                messages.push(WatchMessage::Closings(closing));
-                return Err(WatchError::InvalidUpdate(error));
-            }
-        }
-    }
-}
