--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -8,7 +8,7 @@
 /// Indent of a directive in a section that has none yet, in blanks.
 const DEFAULT_INDENT: usize = 4;
 
-/// The computed figures of one volume.
+/// The computed parameters of one volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The volume's name.
@@ -29,7 +29,7 @@
     volumes.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// The text with these figures in the plans of the volumes. A plan whose volumes all get the same figures is changed
+/// The text with these parameters in the plans of the volumes. A plan whose volumes all get the same parameters is changed
 /// in place; else each of them gets a plan of its own, named `PLAN-VOLUME`. `text` is what `config` was parsed from.
 ///
 /// # Errors
@@ -58,13 +58,13 @@
             .map(|volume| shares.iter().find(|s| s.volume == *volume))
             .collect();
         if let Some(share) = common_share(&wanted) {
-            set_figures(&mut lines, &plan.name, share);
+            set_parameters(&mut lines, &plan.name, share);
             continue;
         }
         for share in wanted
             .into_iter()
             .flatten()
-            .filter(|s| !has_figures(plan, s))
+            .filter(|s| !has_parameters(plan, s))
         {
             let name = free_plan_name(config, &format!("{}-{}", plan.name, share.volume));
             added_plans.extend(derived_plan(&lines, &plan.name, &name, share));
@@ -87,17 +87,17 @@
     plans
 }
 
-/// The share of the first volume, if all volumes get the same figures.
+/// The share of the first volume, if all volumes get the same parameters.
 fn common_share<'a>(wanted: &[Option<&'a Share>]) -> Option<&'a Share> {
-    let figures = |s: Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
+    let parameters = |s: Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
     let first = wanted[0]?;
     wanted
         .iter()
-        .all(|w| figures(*w) == figures(wanted[0]))
+        .all(|w| parameters(*w) == parameters(wanted[0]))
         .then_some(first)
 }
 
-fn has_figures(plan: &Plan, share: &Share) -> bool {
+fn has_parameters(plan: &Plan, share: &Share) -> bool {
     plan.reserved_rate * 1000.0 == share.reserved_milliunits as f64
         && plan.weight == share.weight as f64
 }
@@ -176,7 +176,7 @@
 }
 
 /// The directives `reserve` and `weight` of a share, each with its line.
-fn figure_lines(share: &Share, indent: &str) -> [(&'static str, String); 2] {
+fn parameter_lines(share: &Share, indent: &str) -> [(&'static str, String); 2] {
     let (whole, thousandths) = (
         share.reserved_milliunits / 1000,
         share.reserved_milliunits % 1000,
@@ -192,12 +192,12 @@
     ]
 }
 
-/// Sets the figures of a plan in place. A comment behind a figure stays.
-fn set_figures(lines: &mut Vec<String>, plan: &str, share: &Share) {
+/// Sets the parameters of a plan in place. A comment behind a parameter stays.
+fn set_parameters(lines: &mut Vec<String>, plan: &str, share: &Share) {
     let Some(section) = find_section(lines, "plan", plan) else {
         return;
     };
-    for (directive, line) in figure_lines(share, &indent(lines, &section)) {
+    for (directive, line) in parameter_lines(share, &indent(lines, &section)) {
         // The line before may have been inserted: the section has another end now.
         let section = find_section(lines, "plan", plan).expect("just found");
         match find_directive(lines, &section, directive) {
@@ -214,7 +214,7 @@
     }
 }
 
-/// The lines of a plan like another one, with the figures of a share.
+/// The lines of a plan like another one, with the parameters of a share.
 fn derived_plan(lines: &[String], plan: &str, name: &str, share: &Share) -> Vec<String> {
     let Some(section) = find_section(lines, "plan", plan) else {
         return Vec::new();
@@ -224,7 +224,7 @@
         .filter_map(|d| find_directive(lines, &section, d))
         .collect();
     let mut derived = vec![format!("plan {name}")];
-    derived.extend(figure_lines(share, &indent(lines, &section)).map(|(_, line)| line));
+    derived.extend(parameter_lines(share, &indent(lines, &section)).map(|(_, line)| line));
     let copied = (section.first + 1..section.end).filter(|index| !replaced.contains(index));
     let is_directive =
         |line: &&String| !line.trim().is_empty() && line.starts_with(char::is_whitespace);
--- a/crates/settings/src/parser.rs
+++ b/crates/settings/src/parser.rs
@@ -3,8 +3,7 @@
 mod draft;
 
 use crate::arguments::Arguments;
-use crate::config::{Fleet, Host, IoClass, Node, Plan, PlanService, Volume};
-use crate::diagnostics::{Diagnostics, Position};
+use crate::diagnostics::Diagnostics;
 use crate::tokens::{Token, tokenize};
 use std::collections::HashSet;
 
@@ -85,73 +84,10 @@
         kind,
         directives: HashSet::new(),
     });
-    add_section(draft, kind, name, *position);
+    draft.add_section(kind, name, *position);
     Some(kind)
 }
 
-/// Adds a section with its defaults.
-fn add_section(draft: &mut Draft, kind: SectionKind, name: String, position: Position) {
-    match kind {
-        SectionKind::Host => {
-            draft.host = Some(Located {
-                position,
-                value: Host {
-                    name,
-                    ..Host::default()
-                },
-            });
-        }
-        SectionKind::Fleet => {
-            draft.fleet = Some(Located {
-                position,
-                value: Fleet::default(),
-            });
-        }
-        SectionKind::Catalog => draft.catalog = Some(DraftCatalog::default()),
-        SectionKind::PlanService => draft.plan_service = Some(PlanService::default()),
-        SectionKind::Plan => {
-            let value = Plan {
-                name,
-                weight: 1.0,
-                priority_factor: 1.0,
-                ..Plan::default()
-            };
-            draft.plans.push(Located { position, value });
-        }
-        SectionKind::IoClass => {
-            let value = IoClass {
-                name,
-                priority_weight: 1.0,
-                ..IoClass::default()
-            };
-            draft.io_classes.push(Located { position, value });
-        }
-        SectionKind::Volume => {
-            let volume = Volume {
-                name,
-                ..Volume::default()
-            };
-            draft.volumes.push(DraftVolume {
-                position,
-                volume,
-                ..DraftVolume::default()
-            });
-        }
-        SectionKind::Node => {
-            // Without a directive `shard`, a node holds a shard of its own.
-            let shard = draft.nodes.len() as u32;
-            draft.nodes.push(Located {
-                position,
-                value: Node {
-                    name,
-                    shard,
-                    ..Node::default()
-                },
-            });
-        }
-    }
-}
-
 /// Reads a line of the section that was opened last.
 fn read_directive(
     draft: &mut Draft,
--- /dev/null
+++ b/crates/settings/src/parser/directives/fleet.rs
@@ -0,0 +1,86 @@
+//! Directives of section `fleet`: what all hosts have in common.
+use super::values::{A_SPAN, Recognized, host_count, set, small_integer, unknown};
+use crate::arguments::Arguments;
+use crate::config::Fleet;
+
+/// Reads a directive.
+pub(super) fn fleet(fleet: &mut Fleet, name: &str, args: &mut Arguments) -> Recognized {
+    match name {
+        "hosts" => set(&mut fleet.hosts, host_count(args)),
+        "unit" => set(
+            &mut fleet.unit_bytes,
+            args.size("a size such as 4KiB").filter(|n| *n > 0),
+        ),
+        "mean-units" => set(
+            &mut fleet.mean_io_units,
+            args.number("a number above 0", 1e-6, 1e9),
+        ),
+        "largest-units" => set(
+            &mut fleet.max_io_units,
+            args.number("a number above 0", 1e-6, 1e9),
+        ),
+        "share-gain" => set(
+            &mut fleet.share_weight_factor,
+            args.percent("a percentage such as 35%"),
+        ),
+        "spare-gain" => set(
+            &mut fleet.spare_weight_factor,
+            args.percent("a percentage such as 10%"),
+        ),
+        "submits" => set(
+            &mut fleet.max_attempts,
+            small_integer(args, "1 to 16", 1, 16),
+        ),
+        "come-back" => set(&mut fleet.max_retry_after, args.duration(A_SPAN)),
+        "order-rest" => set(&mut fleet.ordering_cooldown, args.duration(A_SPAN)),
+        "cold" => slow_start(fleet, args),
+        "further" => retry_budget(fleet, args),
+        _ => {
+            return unknown(
+                "hosts, unit, mean-units, largest-units, share-gain, spare-gain, submits, come-back, \
+                 order-rest, cold, further",
+            );
+        }
+    }
+    Ok(())
+}
+
+/// `cold PERCENT DURATION MULTIPLE DURATION UNITS`.
+fn slow_start(fleet: &mut Fleet, args: &mut Arguments) {
+    set(
+        &mut fleet.slow_start_initial_rate,
+        args.percent("a percentage: what a cold node can do"),
+    );
+    set(
+        &mut fleet.slow_start_duration,
+        args.duration("a duration: until a node is warm"),
+    );
+    set(
+        &mut fleet.overload_multiple,
+        args.number("a multiple from 1 up", 1.0, 1e6),
+    );
+    set(
+        &mut fleet.overload_window,
+        args.duration("a duration: within which it falls"),
+    );
+    set(
+        &mut fleet.slow_start_capacity,
+        args.number("units that it always bears", 0.0, 1e9),
+    );
+}
+
+/// `further NUMBER PERCENT DURATION`.
+fn retry_budget(fleet: &mut Fleet, args: &mut Arguments) {
+    set(
+        &mut fleet.retry_budget_min,
+        args.number("a number of further submits", 0.0, 1e9),
+    );
+    set(
+        &mut fleet.retry_budget_ratio,
+        args.percent("a percentage of the block I/Os taken"),
+    );
+    set(
+        &mut fleet.retry_budget_window,
+        args.duration("a duration above 0").filter(|n| *n > 0),
+    );
+}
--- a/crates/settings/src/parser/draft.rs
+++ b/crates/settings/src/parser/draft.rs
@@ -46,13 +46,20 @@
 pub(crate) struct DraftRule {
     pub(crate) position: Position,
     pub(crate) direction: Direction,
-    /// First and last block; none: all.
-    pub(crate) range: Option<(u64, u64)>,
+    /// None: all blocks.
+    pub(crate) range: Option<BlockRange>,
     pub(crate) io_class: Token,
     /// 0: no ordering key.
     pub(crate) blocks_per_key: u64,
 }
 
+/// Blocks from the first to the last, both included.
+#[derive(Clone, Copy)]
+pub(crate) struct BlockRange {
+    pub(crate) first: u64,
+    pub(crate) last: u64,
+}
+
 /// A section of the file and the directives in it.
 pub(crate) struct OpenedSection {
     pub(crate) position: Position,
@@ -133,7 +140,35 @@
     }
 }
 
+impl<T> Located<T> {
+    fn new(position: Position, value: T) -> Self {
+        Located { position, value }
+    }
+}
+
 impl Draft {
+    /// Adds a section with its defaults. Sections without a name ignore it.
+    pub(crate) fn add_section(&mut self, kind: SectionKind, name: String, position: Position) {
+        match kind {
+            SectionKind::Host => self.host = Some(Located::new(position, default_host(name))),
+            SectionKind::Fleet => self.fleet = Some(Located::new(position, Fleet::default())),
+            SectionKind::Catalog => self.catalog = Some(DraftCatalog::default()),
+            SectionKind::PlanService => self.plan_service = Some(PlanService::default()),
+            SectionKind::Plan => self.plans.push(Located::new(position, default_plan(name))),
+            SectionKind::IoClass => {
+                let class = default_io_class(name);
+                self.io_classes.push(Located::new(position, class));
+            }
+            SectionKind::Volume => self.volumes.push(default_volume(name, position)),
+            SectionKind::Node => {
+                // Without a directive `shard`, a node holds a shard of its own.
+                let shard = self.nodes.len() as u32;
+                let node = default_node(name, shard);
+                self.nodes.push(Located::new(position, node));
+            }
+        }
+    }
+
     /// Whether the file has a section already of a kind of which it may have only one.
     pub(crate) fn has_single(&self, kind: SectionKind) -> bool {
         match kind {
@@ -147,3 +182,47 @@
         }
     }
 }
+
+fn default_host(name: String) -> Host {
+    Host {
+        name,
+        ..Host::default()
+    }
+}
+
+fn default_plan(name: String) -> Plan {
+    Plan {
+        name,
+        weight: 1.0,
+        priority_factor: 1.0,
+        ..Plan::default()
+    }
+}
+
+fn default_io_class(name: String) -> IoClass {
+    IoClass {
+        name,
+        priority_weight: 1.0,
+        ..IoClass::default()
+    }
+}
+
+fn default_volume(name: String, position: Position) -> DraftVolume {
+    let volume = Volume {
+        name,
+        ..Volume::default()
+    };
+    DraftVolume {
+        position,
+        volume,
+        ..DraftVolume::default()
+    }
+}
+
+fn default_node(name: String, shard: u32) -> Node {
+    Node {
+        name,
+        shard,
+        ..Node::default()
+    }
+}
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -18,12 +18,12 @@
 /// One change that takes effect. `Display` gives the line that operators are shown.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Figures of a plan change.
-    PlanFigures {
+    /// Parameters of a plan change.
+    PlanParameters {
         /// The plan's name.
         plan: String,
-        /// The figures that change.
-        figures: Vec<FigureChange>,
+        /// The parameters that change.
+        parameters: Vec<ParameterChange>,
     },
     /// A plan is added.
     PlanAdded {
@@ -41,9 +41,9 @@
     },
 }
 
-/// A figure of a plan that changes.
+/// A parameter of a plan that changes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FigureChange {
+pub struct ParameterChange {
     /// The directive that sets it.
     pub directive: &'static str,
     /// Its value so far.
@@ -52,7 +52,7 @@
     pub new: f64,
 }
 
-impl fmt::Display for FigureChange {
+impl fmt::Display for ParameterChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {} instead of {}", self.directive, self.new, self.old)
     }
@@ -61,9 +61,9 @@
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Change::PlanFigures { plan, figures } => {
-                let figures: Vec<String> = figures.iter().map(ToString::to_string).collect();
-                write!(f, "plan {plan}: {}", figures.join(", "))
+            Change::PlanParameters { plan, parameters } => {
+                let parameters: Vec<String> = parameters.iter().map(ToString::to_string).collect();
+                write!(f, "plan {plan}: {}", parameters.join(", "))
             }
             Change::PlanAdded { plan } => write!(f, "plan {plan}: new"),
             Change::VolumePlan {
@@ -202,7 +202,7 @@
     config.volumes.iter().find(|v| v.name == name)
 }
 
-/// The running plans with the wanted figures, and the wanted plans that are new behind them.
+/// The running plans with the wanted parameters, and the wanted plans that are new behind them.
 fn merge_plans(
     running: &GatewayConfig,
     wanted: &GatewayConfig,
@@ -213,10 +213,10 @@
         match plans.iter_mut().find(|p| p.name == wanted.name) {
             Some(plan) if plan == wanted => {}
             Some(plan) => {
-                let figures = figure_changes(plan, wanted);
-                changes.push(Change::PlanFigures {
+                let parameters = parameter_changes(plan, wanted);
+                changes.push(Change::PlanParameters {
                     plan: wanted.name.clone(),
-                    figures,
+                    parameters,
                 });
                 plan.clone_from(wanted);
             }
@@ -231,8 +231,8 @@
     plans
 }
 
-fn figure_changes(old: &Plan, new: &Plan) -> Vec<FigureChange> {
-    let figures = [
+fn parameter_changes(old: &Plan, new: &Plan) -> Vec<ParameterChange> {
+    let parameters = [
         ("usual", old.usual_rate, new.usual_rate),
         ("reserve", old.reserved_rate, new.reserved_rate),
         ("limit", old.rate_limit, new.rate_limit),
@@ -240,9 +240,9 @@
         ("weight", old.weight, new.weight),
         ("price", old.priority_factor, new.priority_factor),
     ];
-    let changed = figures.into_iter().filter(|(_, old, new)| old != new);
+    let changed = parameters.into_iter().filter(|(_, old, new)| old != new);
     changed
-        .map(|(directive, old, new)| FigureChange {
+        .map(|(directive, old, new)| ParameterChange {
             directive,
             old,
             new,
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,13 +1,15 @@
 //! From a draft to a valid configuration: what is missing, what refers to nothing, what contradicts.
-use crate::config::{
-    Catalog, Direction, Extent, Fleet, GatewayConfig, Idempotency, IoClass, Plan, Rule, Volume,
-};
-use crate::diagnostics::{Diagnostics, Position};
-use crate::parser::{Draft, DraftCatalog, DraftRule, DraftVolume, Located, OpenedSection};
-use crate::tokens::Token;
+//!
+//! - `references`: names of other sections.
+//! - `volumes`: volumes with their extents and rules.
+mod references;
+mod volumes;
 
-/// Mapped volumes have logical unit numbers below this one; snapshots and clones have those from it on.
-const FIRST_SNAPSHOT_LUN: u16 = 1024;
+use crate::config::{Catalog, Fleet, GatewayConfig, Idempotency, IoClass, Plan};
+use crate::diagnostics::{Diagnostics, Position};
+use crate::parser::{Draft, DraftCatalog, Located, OpenedSection};
+use references::{SectionNames, resolve};
+use volumes::{check_mapping, check_overlaps, resolve_volume};
 
 /// Validates a draft. What is wrong with it is added to the diagnostics; without any, the result is valid.
 pub(crate) fn validate(draft: Draft, diagnostics: &mut Diagnostics) -> GatewayConfig {
@@ -79,57 +81,33 @@
 }
 
 fn check_unique_names(draft: &Draft, diagnostics: &mut Diagnostics) {
-    check_unique(
-        diagnostics,
-        "plan",
-        draft
-            .plans
-            .iter()
-            .map(|p| (p.position, p.value.name.as_str())),
-    );
-    check_unique(
-        diagnostics,
-        "group",
-        draft
-            .io_classes
-            .iter()
-            .map(|c| (c.position, c.value.name.as_str())),
-    );
-    check_unique(
-        diagnostics,
-        "node",
-        draft
-            .nodes
-            .iter()
-            .map(|n| (n.position, n.value.name.as_str())),
-    );
-    check_unique(
-        diagnostics,
-        "volume",
-        draft
-            .volumes
-            .iter()
-            .map(|v| (v.position, v.volume.name.as_str())),
-    );
-    let luns: Vec<String> = draft
-        .volumes
+    check_unique(diagnostics, "plan", names(&draft.plans, |p| &p.name));
+    check_unique(diagnostics, "group", names(&draft.io_classes, |c| &c.name));
+    check_unique(diagnostics, "node", names(&draft.nodes, |n| &n.name));
+    let volumes = draft.volumes.iter();
+    let volume_names = volumes.map(|v| (v.position, v.volume.name.clone()));
+    check_unique(diagnostics, "volume", volume_names);
+    let volumes = draft.volumes.iter();
+    let luns = volumes.map(|v| (v.position, v.volume.lun.to_string()));
+    check_unique(diagnostics, "lun", luns);
+}
+
+/// The names of sections, each with its position.
+fn names<T>(
+    sections: &[Located<T>],
+    name: impl Fn(&T) -> &String,
+) -> impl Iterator<Item = (Position, String)> {
+    sections
         .iter()
-        .map(|v| v.volume.lun.to_string())
-        .collect();
-    let positions = draft.volumes.iter().map(|v| v.position);
-    check_unique(
-        diagnostics,
-        "lun",
-        positions.zip(luns.iter().map(String::as_str)),
-    );
+        .map(move |section| (section.position, name(&section.value).clone()))
 }
 
-fn check_unique<'a>(
+fn check_unique(
     diagnostics: &mut Diagnostics,
     kind: &str,
-    names: impl Iterator<Item = (Position, &'a str)>,
+    names: impl Iterator<Item = (Position, String)>,
 ) {
-    let mut seen: Vec<(&str, Position)> = Vec::new();
+    let mut seen: Vec<(String, Position)> = Vec::new();
     for (position, name) in names {
         if let Some((_, first)) = seen.iter().find(|s| s.0 == name) {
             let expected = format!("a {kind} other than that of line {}", first.line);
@@ -207,211 +185,3 @@
     }
     catalog
 }
-
-/// Checks that a volume is either mapped or has extents, and that it fits the catalog if it is mapped.
-fn check_mapping(draft: &DraftVolume, catalog: Option<&Catalog>, diagnostics: &mut Diagnostics) {
-    let DraftVolume {
-        position,
-        volume,
-        extents,
-        ..
-    } = draft;
-    if volume.mapped != extents.is_empty() {
-        let found = if volume.mapped { "both" } else { "neither" };
-        diagnostics.add(
-            *position,
-            "either `extent` or `mapped` in this section",
-            found,
-        );
-    }
-    if !volume.mapped {
-        return;
-    }
-    match catalog {
-        None => {
-            diagnostics.add(
-                *position,
-                "a section `catalog`, since the volume is mapped",
-                "none",
-            );
-        }
-        Some(c) if c.extent_blocks > 0 && !volume.block_count.is_multiple_of(c.extent_blocks) => {
-            let expected = format!("blocks in extents of {}", c.extent_blocks);
-            diagnostics.add(*position, expected, volume.block_count.to_string());
-        }
-        Some(_) => {}
-    }
-    if volume.lun >= FIRST_SNAPSHOT_LUN {
-        let expected = "a LUN below 1024, since snapshots and clones have those above";
-        diagnostics.add(*position, expected, volume.lun.to_string());
-    }
-}
-
-/// What sections can refer to, in the order of their indices.
-struct SectionNames<'a> {
-    plans: Vec<&'a str>,
-    classes: Vec<&'a IoClass>,
-    nodes: Vec<&'a str>,
-}
-
-/// The index of a name; 0 if there is none, which is reported.
-fn resolve<'a>(
-    kind: &str,
-    token: &Token,
-    mut names: impl Iterator<Item = &'a str>,
-    diagnostics: &mut Diagnostics,
-) -> usize {
-    let index = names.position(|name| name == token.text);
-    if index.is_none() {
-        let found = format!("`{}`", token.text);
-        diagnostics.add(
-            token.position,
-            format!("the name of a {kind} in this file"),
-            found,
-        );
-    }
-    index.unwrap_or(0)
-}
-
-/// Blocks of a node that an extent uses.
-struct ExtentLocation {
-    node: usize,
-    first_block: u64,
-    block_count: u64,
-    position: Position,
-}
-
-fn resolve_volume(
-    draft: DraftVolume,
-    names: &SectionNames,
-    locations: &mut Vec<ExtentLocation>,
-    diagnostics: &mut Diagnostics,
-) -> Volume {
-    let DraftVolume {
-        position,
-        mut volume,
-        plan,
-        extents,
-        rules,
-    } = draft;
-    if let Some(plan) = &plan {
-        volume.plan = resolve("plan", plan, names.plans.iter().copied(), diagnostics);
-    }
-    volume.extents = resolve_extents(extents, names, locations, diagnostics);
-    let end = volume
-        .extents
-        .last()
-        .map_or(0, |e| e.first_block + e.block_count);
-    if volume.block_count > 0 && end != volume.block_count && !volume.extents.is_empty() {
-        let expected = format!("extents of {} blocks in all", volume.block_count);
-        diagnostics.add(position, expected, end.to_string());
-    }
-    for rule in rules {
-        let rule = resolve_rule(rule, volume.block_count, names, diagnostics);
-        volume.rules.push(rule);
-    }
-    check_rule_coverage(&volume, position, diagnostics);
-    volume
-}
-
-/// The extents in the order of their blocks, which have no gap and no overlap.
-fn resolve_extents(
-    mut drafts: Vec<(Extent, Token)>,
-    names: &SectionNames,
-    locations: &mut Vec<ExtentLocation>,
-    diagnostics: &mut Diagnostics,
-) -> Vec<Extent> {
-    drafts.sort_by_key(|(extent, _)| extent.first_block);
-    let mut next_block = 0;
-    for (extent, node) in &mut drafts {
-        extent.node = resolve("node", node, names.nodes.iter().copied(), diagnostics);
-        locations.push(ExtentLocation {
-            node: extent.node,
-            first_block: extent.first_node_block,
-            block_count: extent.block_count,
-            position: node.position,
-        });
-        if extent.first_block != next_block {
-            let expected = format!("an extent from block {next_block} on");
-            diagnostics.add(node.position, expected, extent.first_block.to_string());
-        }
-        next_block = extent.first_block + extent.block_count;
-    }
-    drafts.into_iter().map(|(extent, _)| extent).collect()
-}
-
-/// Two extents on the same blocks of a node would be two addresses of the same data.
-fn check_overlaps(mut locations: Vec<ExtentLocation>, diagnostics: &mut Diagnostics) {
-    locations.sort_by_key(|l| (l.node, l.first_block));
-    for pair in locations.windows(2) {
-        let (one, other) = (&pair[0], &pair[1]);
-        if one.node == other.node && one.first_block + one.block_count > other.first_block {
-            let expected = "blocks of the node that no other extent uses";
-            diagnostics.add(
-                other.position,
-                expected,
-                format!("block {}", other.first_block),
-            );
-        }
-    }
-}
-
-fn resolve_rule(
-    draft: DraftRule,
-    block_count: u64,
-    names: &SectionNames,
-    diagnostics: &mut Diagnostics,
-) -> Rule {
-    let DraftRule {
-        position,
-        direction,
-        range,
-        io_class,
-        blocks_per_key,
-    } = draft;
-    let class_names = names.classes.iter().map(|c| c.name.as_str());
-    let io_class = resolve("group", &io_class, class_names, diagnostics);
-    if names.classes.get(io_class).is_some_and(|c| c.ordered) && blocks_per_key == 0 {
-        diagnostics.add(position, "`key BLOCKS`, since the group is ordered", "none");
-    }
-    let (first_block, last_block) = range.unwrap_or((0, u64::MAX));
-    if range.is_some() && last_block >= block_count && block_count > 0 {
-        diagnostics.add(
-            position,
-            format!("blocks up to {}", block_count - 1),
-            last_block.to_string(),
-        );
-    }
-    Rule {
-        direction,
-        first_block,
-        last_block,
-        io_class,
-        blocks_per_key,
-    }
-}
-
-/// Checks that the rules of a volume leave no read and no write without a class.
-fn check_rule_coverage(volume: &Volume, position: Position, diagnostics: &mut Diagnostics) {
-    if volume.rules.is_empty() {
-        return;
-    }
-    for (direction, word) in [(Direction::Read, "read"), (Direction::Write, "write")] {
-        let covers_all_blocks = |r: &Rule| {
-            r.first_block == 0
-                && (r.last_block == u64::MAX || r.last_block + 1 >= volume.block_count)
-        };
-        let covers_direction = |r: &Rule| r.direction == direction || r.direction == Direction::Any;
-        if !volume
-            .rules
-            .iter()
-            .any(|r| covers_direction(r) && covers_all_blocks(r))
-        {
-            diagnostics.add(
-                position,
-                format!("a rule for every {word}, of all blocks"),
-                "none",
-            );
-        }
-    }
-}
