--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -1,6 +1,6 @@
 //! Answer files: what `work-out` prints, as lines `place`, `share` and `part`.
+use super::error::PlacementError;
 use super::problem_file::RATE;
-use super::{PlacementError, display_name};
 use crate::error::read_text;
 use mallowseam_placement::Placement;
 use mallowseam_placement::problem::{MAX_NUMBER, Problem};
@@ -19,7 +19,7 @@
 /// Reads an answer to a problem. It has to place every volume.
 pub(super) fn read(problem: &Problem, file: &Path) -> Result<Answer, PlacementError> {
     let text = read_text(file)?;
-    let mut problems = Diagnostics::new(&display_name(file));
+    let mut problems = Diagnostics::new(&file.display().to_string());
     let mut answer = Answer {
         placement: vec![Vec::new(); problem.volumes.len()],
         shares: Vec::new(),
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -1,6 +1,7 @@
 //! `shares apply`: writes the shares of an answer into a host's configuration.
 use super::answer_file::Answer;
-use super::{PlacementError, answer_file, display_name, problem_file};
+use super::error::PlacementError;
+use super::{answer_file, problem_file};
 use crate::atomic_file;
 use crate::error::{FileError, read_text};
 use mallowseam_placement::problem::Problem;
@@ -19,7 +20,7 @@
 ) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let answer = answer_file::read(&problem, answer)?;
-    let name = display_name(configuration);
+    let name = configuration.display().to_string();
     let text = read_text(configuration)?;
     let parse = |text: &str| {
         mallowseam_settings::parse(&name, text)
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -1,5 +1,5 @@
 //! Problem files: sections `node NAME`, `host NAME` and `volume NAME`, as `docs/placement.md` lists them.
-use super::{PlacementError, display_name};
+use super::error::PlacementError;
 use crate::error::read_text;
 use mallowseam_placement::problem::{Host, MAX_NUMBER, Node, Problem, Volume};
 use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
@@ -61,7 +61,7 @@
         hosts: Vec::new(),
         volumes: Vec::new(),
         positions: Vec::new(),
-        problems: Diagnostics::new(&display_name(file)),
+        problems: Diagnostics::new(&file.display().to_string()),
     };
     for (index, line) in text.lines().enumerate() {
         let words = tokenize(index + 1, line, &mut draft.problems);
--- a/crates/gateway/src/placement/replay.rs
+++ b/crates/gateway/src/placement/replay.rs
@@ -1,6 +1,8 @@
 //! `shares replay`: what answers would have earned with the demand that was recorded.
 use super::answer_file::Answer;
-use super::{GAIN_SCALE, PlacementError, answer_file, gain_per_second, problem_file};
+use super::error::PlacementError;
+use super::units::{GAIN_SCALE, gain_per_second};
+use super::{answer_file, problem_file};
 use crate::demand::{self, Interval};
 use mallowseam_placement::objective::{VolumeShare, gain_at_demand};
 use mallowseam_placement::problem::{MAX_NUMBER, Problem, Volume};
--- a/crates/gateway/src/placement/report.rs
+++ b/crates/gateway/src/placement/report.rs
@@ -1,6 +1,8 @@
 //! What a placement means: the load of each node, its worth beside another one, and the steps that lead to
 //! it.
-use super::{PlacementError, answer_file, data_units, gain_per_second, problem_file};
+use super::error::PlacementError;
+use super::units::{data_units, gain_per_second};
+use super::{answer_file, problem_file};
 use mallowseam_placement::feasibility::{FULL_CAPACITY, fits};
 use mallowseam_placement::migration::{current_placement, plan_migration};
 use mallowseam_placement::objective::objective;
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -1,5 +1,7 @@
 //! `shares work-out`: the best placement, exactly where the problem is small enough, else by local search.
-use super::{PlacementError, data_units, gain_per_second, problem_file};
+use super::error::PlacementError;
+use super::problem_file;
+use super::units::{data_units, gain_per_second};
 use mallowseam_placement::branch_and_bound::{self, SolveOutcome};
 use mallowseam_placement::infeasibility::explain;
 use mallowseam_placement::limit_split::split_limit;
--- a/crates/gateway/src/snapshot_archive/error.rs
+++ b/crates/gateway/src/snapshot_archive/error.rs
@@ -1,5 +1,4 @@
 //! Why an export or import failed.
-use super::remote_unit::MAX_ATTEMPTS;
 use crate::blocking_client::ClientError;
 use crate::control_socket::RequestError;
 use mallowseam_iscsi::scsi::Sense;
@@ -34,8 +33,8 @@
     Client(#[from] ClientError),
     #[error("block {lba}: {sense:?}")]
     Failed { lba: u64, sense: Option<Sense> },
-    #[error("block {lba}: status {status:#04x} after {MAX_ATTEMPTS} tries")]
-    RetriesExhausted { lba: u64, status: u8 },
+    #[error("block {lba}: status {status:#04x} after {attempts} tries")]
+    RetriesExhausted { lba: u64, status: u8, attempts: u32 },
     #[error("{}: {source}", file.display())]
     File { file: PathBuf, source: io::Error },
     #[error("{}: {source}", file.display())]
--- a/crates/gateway/src/snapshot_archive/export.rs
+++ b/crates/gateway/src/snapshot_archive/export.rs
@@ -1,8 +1,8 @@
 //! `snapshot export`: writes a snapshot to an archive file.
 use super::archive_file::{ArchivePath, Existing};
 use super::error::ArchiveError;
-use super::fetch_tree;
 use super::remote_unit::RemoteUnit;
+use super::tree::fetch_tree;
 use mallowseam_archive::{Header, ResumePoint, Writer};
 use mallowseam_cow::tree::{LayerId, Tree};
 use mallowseam_settings::GatewayConfig;
--- a/crates/gateway/src/snapshot_archive/import.rs
+++ b/crates/gateway/src/snapshot_archive/import.rs
@@ -1,8 +1,8 @@
 //! `snapshot import`: writes an archive file into a volume or clone.
 use super::archive_file::ArchivePath;
 use super::error::ArchiveError;
-use super::fetch_tree;
 use super::remote_unit::RemoteUnit;
+use super::tree::fetch_tree;
 use mallowseam_archive::{Header, Record};
 use mallowseam_settings::GatewayConfig;
 use std::path::Path;
--- a/crates/gateway/src/snapshot_archive/remote_unit.rs
+++ b/crates/gateway/src/snapshot_archive/remote_unit.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// How often a read or write that the host rejects is attempted before the export or import is given up.
-pub(super) const MAX_ATTEMPTS: u32 = 100;
+const MAX_ATTEMPTS: u32 = 100;
 /// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Bytes of one read or write.
@@ -44,6 +44,26 @@
         }
     }
 
+    fn is_write(self) -> bool {
+        matches!(self, Transfer::Write { .. })
+    }
+
+    /// Bytes that the host sends.
+    fn read_len(self) -> usize {
+        match self {
+            Transfer::Read { len } => len as usize,
+            Transfer::Write { .. } => 0,
+        }
+    }
+
+    /// Bytes that the host receives.
+    fn data(&self) -> &[u8] {
+        match self {
+            Transfer::Read { .. } => &[],
+            Transfer::Write { data } => data,
+        }
+    }
+
     /// Whether it may be attempted again: reads after any failure, writes only where the host says that they have
     /// not run.
     fn may_retry(self, status: u8) -> bool {
@@ -120,16 +140,15 @@
     /// Carries out a read or write, with retries; the data that was read.
     fn transfer(&mut self, lba: u64, transfer: Transfer) -> Result<Vec<u8>, ArchiveError> {
         let blocks = (transfer.len() / self.block_size) as u32;
-        let (is_write, read_len, data): (bool, u64, &[u8]) = match transfer {
-            Transfer::Read { len } => (false, len, &[]),
-            Transfer::Write { data } => (true, 0, data),
-        };
-        let cdb = scsi::read_or_write_16(is_write, lba, blocks, 0);
+        let cdb = scsi::read_or_write_16(transfer.is_write(), lba, blocks, 0);
         let mut attempts = 1;
         loop {
-            let answer = self
-                .client
-                .execute(self.lun, &cdb, read_len as usize, data.to_vec())?;
+            let answer = self.client.execute(
+                self.lun,
+                &cdb,
+                transfer.read_len(),
+                transfer.data().to_vec(),
+            )?;
             let status = answer.status;
             if status == status::GOOD {
                 return Ok(answer.data);
@@ -139,7 +158,11 @@
                 return Err(ArchiveError::Failed { lba, sense });
             }
             if attempts == MAX_ATTEMPTS {
-                return Err(ArchiveError::RetriesExhausted { lba, status });
+                return Err(ArchiveError::RetriesExhausted {
+                    lba,
+                    status,
+                    attempts,
+                });
             }
             attempts += 1;
             std::thread::sleep(RETRY_PAUSE);
--- /dev/null
+++ b/crates/gateway/src/snapshot_archive/tree.rs
@@ -0,0 +1,20 @@
+//! The tree of snapshots, queried from the snapshot catalog.
+use super::error::ArchiveError;
+use crate::control_socket;
+use mallowseam_cow::tree::Tree;
+use mallowseam_settings::GatewayConfig;
+
+/// The tree as the snapshot catalog has it now.
+pub(super) fn fetch_tree(config: &GatewayConfig) -> Result<Tree, ArchiveError> {
+    let socket = config
+        .catalog
+        .as_ref()
+        .and_then(|catalog| catalog.control_socket.as_ref())
+        .ok_or(ArchiveError::NoControlSocket)?;
+    let text =
+        control_socket::send_request(socket, "tree").map_err(|source| ArchiveError::Catalog {
+            socket: socket.clone(),
+            source,
+        })?;
+    serde_json::from_str(&text).map_err(ArchiveError::Tree)
+}
