--- a/crates/audit/src/fleet/client_rules.rs
+++ b/crates/audit/src/fleet/client_rules.rs
@@ -2,7 +2,7 @@
 use super::trace::{OperationTrace, Response};
 use super::{Audit, MICROS_PER_MS, ORDER_SLACK, Rule, Verdict};
 use crate::evidence::seconds;
-use crate::fleet::terms::{RETRY_BUDGET, VOLUME_LIMIT, has_limit};
+use crate::fleet::terms::{RETRY_BUDGET, VOLUME_LIMIT, VolumeLimit, has_limit};
 use crate::trace::Micros;
 use std::collections::BTreeMap;
 
@@ -202,12 +202,16 @@
     }
 
     fn check_limit_of(&self, volume: u32, mut sent: Vec<(Micros, f64)>) -> Option<String> {
-        let (limit, burst) = (VOLUME_LIMIT.units_per_second, VOLUME_LIMIT.burst);
+        let VolumeLimit {
+            units_per_second: limit,
+            burst,
+        } = VOLUME_LIMIT;
         let units_per_micro = limit * (1.0 + LIMIT_TOLERANCE) / 1e6;
         let tolerance = (burst * LIMIT_TOLERANCE).max(f64::from(self.run.max_operation_units));
         let tolerance = tolerance + limit * (self.slack as f64 / 1e6);
         sent.sort_by_key(|(at, _)| *at);
-        let (mut tokens, mut last) = (burst, 0);
+        let mut tokens = burst;
+        let mut last = 0;
         for (at, units) in sent {
             tokens = (tokens + (at - last) as f64 * units_per_micro).min(burst) - units;
             last = at;
--- a/crates/audit/src/fleet/node_rules.rs
+++ b/crates/audit/src/fleet/node_rules.rs
@@ -130,15 +130,7 @@
                 .filter_map(|subject| sent.get(&(host, subject)))
                 .flatten();
             let received = messages.any(|m| m.version >= version && m.at <= effective_at);
-            // A process that was started since has it from its configuration.
-            let was_running = self.trace.host_runs.iter().any(|run| {
-                run.host == host
-                    && run.started_at <= *at
-                    && run
-                        .ended
-                        .is_none_or(|(ended_at, _)| ended_at > effective_at)
-            });
-            if was_running && !received {
+            if self.ran(host, *at, effective_at) && !received {
                 let notification = Notification {
                     at: effective_at,
                     accepting,
@@ -151,6 +143,16 @@
         }
     }
 
+    /// Whether one process of a host ran from a time to another. One that was started since has the entry from its
+    /// configuration.
+    fn ran(&self, host: u32, from: Micros, to: Micros) -> bool {
+        self.trace.host_runs.iter().any(|run| {
+            run.host == host
+                && run.started_at <= from
+                && run.ended.is_none_or(|(ended_at, _)| ended_at > to)
+        })
+    }
+
     /// Rule 4: no cold node collapses under hosts that knew of its start, or count as notified.
     pub(super) fn check_cold_nodes(&self) -> Vec<String> {
         let mut recent: VecDeque<NodeLoad> = VecDeque::new();
@@ -172,16 +174,13 @@
                 Event::NodeReceived {
                     node, host, units, ..
                 } => {
-                    recent.push_back(NodeLoad {
+                    let load = NodeLoad {
                         at: *at,
                         node,
                         host,
                         units: f64::from(units),
-                    });
-                    let span = self.run.overload_window;
-                    while recent.front().is_some_and(|load| load.at + span < *at) {
-                        recent.pop_front();
-                    }
+                    };
+                    add_load(&mut recent, load, self.run.overload_window);
                 }
                 Event::NodeCollapsed { node } => {
                     let started_at = started.get(&node).copied().unwrap_or(0);
@@ -197,6 +196,14 @@
     }
 }
 
+/// Adds a load, and drops those that are out of the window by then.
+fn add_load(recent: &mut VecDeque<NodeLoad>, load: NodeLoad, window: Micros) {
+    while recent.front().is_some_and(|l| l.at + window < load.at) {
+        recent.pop_front();
+    }
+    recent.push_back(load);
+}
+
 fn check_collapse<'a>(
     at: Micros,
     node: u32,
--- a/crates/audit/src/fleet/trace.rs
+++ b/crates/audit/src/fleet/trace.rs
@@ -117,6 +117,12 @@
     }
 
     fn add(&mut self, at: Micros, event: &Event, verdict: &mut Verdict) {
+        self.add_of_client(at, event);
+        self.add_of_node(at, event, verdict);
+        self.add_of_host(at, event);
+    }
+
+    fn add_of_client(&mut self, at: Micros, event: &Event) {
         match *event {
             Event::RequestSent {
                 op: id,
@@ -127,7 +133,6 @@
                 units,
                 timeout,
             } => {
-                let new = OperationTrace::default();
                 let sent = OperationTrace {
                     id,
                     host,
@@ -135,48 +140,45 @@
                     extent,
                     write,
                     units,
+                    sent_at: at,
                     timeout,
-                    ..new
+                    ..OperationTrace::default()
                 };
-                self.operations.insert(
-                    id,
-                    OperationTrace {
-                        sent_at: at,
-                        ..sent
-                    },
-                );
+                self.operations.insert(id, sent);
             }
             Event::ResponseReceived {
                 op,
                 status,
                 authentic,
             } => {
-                self.update(op, |o| {
-                    o.responses.push(Response {
-                        at,
-                        status,
-                        authentic,
-                    });
-                });
+                let response = Response {
+                    at,
+                    status,
+                    authentic,
+                };
+                self.update(op, |o| o.responses.push(response));
             }
             Event::ClientTimedOut { op } => self.update(op, |o| o.timed_out = true),
             Event::Excused { op } => self.update(op, |o| o.excused = true),
+            _ => {}
+        }
+    }
+
+    fn add_of_node(&mut self, at: Micros, event: &Event, verdict: &mut Verdict) {
+        match *event {
             Event::NodeReceived { node, host, op, .. } => {
                 if !self.operations.contains_key(&op) {
-                    let violation = format!(
-                        "node{node} got {op}, which no client asked, at {}",
-                        seconds(at)
-                    );
+                    let at = seconds(at);
+                    let violation = format!("node{node} got {op}, which no client asked, at {at}");
                     verdict.violate(Rule::Responses, vec![violation]);
                 }
-                self.update(op, |o| {
-                    o.attempts.push(Attempt {
-                        at,
-                        node,
-                        host,
-                        end: None,
-                    });
-                });
+                let attempt = Attempt {
+                    at,
+                    node,
+                    host,
+                    end: None,
+                };
+                self.update(op, |o| o.attempts.push(attempt));
             }
             Event::NodeResponded { node, op, executed } => {
                 let end = if executed {
@@ -189,13 +191,17 @@
             Event::NodeConnectionLost { node, op } => {
                 self.end_attempt(op, node, AttemptEnd::ConnectionLost(at));
             }
-            Event::HostStarted { host } => {
-                self.host_runs.push(HostRun {
-                    host,
-                    started_at: at,
-                    ended: None,
-                });
-            }
+            _ => {}
+        }
+    }
+
+    fn add_of_host(&mut self, at: Micros, event: &Event) {
+        match *event {
+            Event::HostStarted { host } => self.host_runs.push(HostRun {
+                host,
+                started_at: at,
+                ended: None,
+            }),
             Event::HostStopped { host, by } if by != Termination::Requested => {
                 if let Some(run) = self.host_runs.iter_mut().rev().find(|run| run.host == host) {
                     run.ended = run.ended.or(Some((at, by)));
--- a/crates/audit/src/rehearsal.rs
+++ b/crates/audit/src/rehearsal.rs
@@ -2,8 +2,10 @@
 //! that may be the last there.
 mod budgets;
 mod commands;
+mod counts;
 mod data;
 mod delivery;
+mod gather;
 mod nodes;
 mod ordering;
 mod verdict;
@@ -44,8 +46,15 @@
 pub struct Layout {
     /// Where limits changed: by plan, each limit that was effective.
     pub limits: BTreeMap<String, Vec<EffectiveLimit>>,
-    /// Blocks of an extent of mapped volumes; 0 without any.
-    pub extent: u64,
+    /// The mapped volumes, where there are any.
+    pub mapped: Option<MappedVolumes>,
+}
+
+/// Where the extents of mapped volumes are.
+#[derive(Clone, Debug)]
+pub struct MappedVolumes {
+    /// Blocks of an extent.
+    pub extent_blocks: u64,
     /// Layer, node and slot to volume and extent.
     pub locations: HashMap<(u32, u32, u64), (usize, u64)>,
 }
--- a/crates/audit/src/rehearsal/budgets.rs
+++ b/crates/audit/src/rehearsal/budgets.rs
@@ -57,42 +57,51 @@
 
     /// Rule 7: what all hosts send for a limited volume, each sub-request counted when first sent.
     pub(super) fn check_limits(&mut self) {
-        for (v, volume) in self.config.volumes.iter().enumerate() {
-            let plan = &self.config.plans[volume.plan];
-            let constant = [EffectiveLimit {
-                from: 0,
-                until: Micros::MAX,
-                limit: plan.rate_limit,
-                burst: plan.burst_units,
-            }];
-            let limits = self
-                .layout
-                .limits
-                .get(&plan.name)
-                .map_or(&constant[..], Vec::as_slice);
+        for volume in 0..self.config.volumes.len() {
+            let limits = self.limits_of(volume);
             // Without a limit at some time, nothing can be said of the tokens that were saved up.
-            if limits.iter().any(|l| l.limit <= 0.0) {
-                continue;
+            if limits.iter().all(|l| l.limit > 0.0) {
+                self.check_limits_of(volume, &limits);
             }
-            let burst = limits.iter().map(|l| l.burst).fold(0.0, f64::max);
-            let tolerance = (burst * LIMIT_SLACK).max(self.config.fleet.max_io_units);
-            let (mut tokens, mut last) = (limits[0].burst, 0);
-            for (at, units) in self.first_attempts(v) {
-                // The largest limit that any host may have applied since the block I/O before.
-                let applies = |l: &&EffectiveLimit| l.from <= at && l.until >= last;
-                let largest = |of: fn(&EffectiveLimit) -> f64| {
-                    limits.iter().filter(applies).map(of).fold(0.0, f64::max)
-                };
-                let rate = largest(|l| l.limit) * (1.0 + LIMIT_SLACK) / 1e6;
-                tokens = (tokens + (at - last) as f64 * rate).min(largest(|l| l.burst)) - units;
-                last = at;
-                self.verdict.overshoot = self.verdict.overshoot.max(-tokens / tolerance);
-                if tokens < -tolerance {
-                    let (name, past, by) = (&volume.name, -tokens, seconds(at));
-                    let line = format!("{name} was sent {past:.1} units past its limit by {by}");
-                    self.verdict.violation(Rule::Limits, line);
-                    break;
-                }
+        }
+    }
+
+    /// The limits of a volume's plan, by the time from which they were requested.
+    fn limits_of(&self, volume: usize) -> Vec<EffectiveLimit> {
+        let plan = &self.config.plans[self.config.volumes[volume].plan];
+        let constant = EffectiveLimit {
+            from: 0,
+            until: Micros::MAX,
+            limit: plan.rate_limit,
+            burst: plan.burst_units,
+        };
+        let changed = self.layout.limits.get(&plan.name);
+        changed.cloned().unwrap_or_else(|| vec![constant])
+    }
+
+    fn check_limits_of(&mut self, volume: usize, limits: &[EffectiveLimit]) {
+        let burst = limits.iter().map(|l| l.burst).fold(0.0, f64::max);
+        let tolerance = (burst * LIMIT_SLACK).max(self.config.fleet.max_io_units);
+        let mut tokens = limits[0].burst;
+        let mut last = 0;
+        for (at, units) in self.first_attempts(volume) {
+            // The largest limit that any host may have applied since the block I/O before.
+            let applies = |l: &&EffectiveLimit| l.from <= at && l.until >= last;
+            let largest = |of: fn(&EffectiveLimit) -> f64| {
+                limits.iter().filter(applies).map(of).fold(0.0, f64::max)
+            };
+            let rate = largest(|l| l.limit) * (1.0 + LIMIT_SLACK) / 1e6;
+            tokens = (tokens + (at - last) as f64 * rate).min(largest(|l| l.burst)) - units;
+            last = at;
+            self.verdict.overshoot = self.verdict.overshoot.max(-tokens / tolerance);
+            if tokens < -tolerance {
+                let name = &self.config.volumes[volume].name;
+                let line = format!(
+                    "{name} was sent {:.1} units past its limit by {}",
+                    -tokens,
+                    seconds(at)
+                );
+                return self.verdict.violation(Rule::Limits, line);
             }
         }
     }
--- a/crates/audit/src/rehearsal/data.rs
+++ b/crates/audit/src/rehearsal/data.rs
@@ -56,7 +56,8 @@
                     .get(&(read.volume, lba))
                     .map_or(&[][..], Vec::as_slice);
                 if let Some(why) = self.stale_or_wrong(span, *shown, all) {
-                    let (volume, at) = (&self.config.volumes[read.volume].name, seconds(ended));
+                    let volume = &self.config.volumes[read.volume].name;
+                    let at = seconds(ended);
                     lines.push(format!(
                         "{} of {volume} block {lba} at {at}: {why}",
                         read.id
@@ -154,7 +155,8 @@
         lba: u64,
         writer: &Command,
     ) -> Vec<String> {
-        let extent = self.layout.extent.max(1);
+        let mapped = self.layout.mapped.as_ref();
+        let extent = mapped.map_or(1, |mapped| mapped.extent_blocks);
         let mut lines = Vec::new();
         for other in writer.lba..writer.lba + u64::from(writer.blocks) {
             // Of a write that did not complete, each sub-request counts for itself.
--- a/crates/audit/src/rehearsal/delivery.rs
+++ b/crates/audit/src/rehearsal/delivery.rs
@@ -57,7 +57,8 @@
             .attempts
             .iter()
             .find(|attempt| attempt.at > at + SLACK)?;
-        let (sent_at, at) = (seconds(late.at), seconds(at));
+        let sent_at = seconds(late.at);
+        let at = seconds(at);
         Some(format!(
             "node{} got {} at {sent_at}, answered at {at}",
             late.node, command.id
--- a/crates/audit/src/rehearsal/nodes.rs
+++ b/crates/audit/src/rehearsal/nodes.rs
@@ -32,7 +32,8 @@
                         continue;
                     };
                     if entry.at > since + DRAIN_GRACE + SLACK {
-                        let (at, after) = (seconds(entry.at), (entry.at - since) / 1000);
+                        let at = seconds(entry.at);
+                        let after = (entry.at - since) / 1000;
                         let line = format!(
                             "node{node} got work from gw{host} at {at}, {after} ms after that host was told"
                         );
--- a/crates/lab/src/rehearsal/read_back.rs
+++ b/crates/lab/src/rehearsal/read_back.rs
@@ -4,12 +4,12 @@
 use crate::blocking_client::{Answer, BlockingClient, ClientError};
 use crate::error::RunError;
 use mallowseam_audit::block;
-use mallowseam_audit::rehearsal::{EXTENT_COPY_GROUP, Layout};
+use mallowseam_audit::rehearsal::{EXTENT_COPY_GROUP, Layout, MappedVolumes};
 use mallowseam_audit::trace::TraceEvent;
 use mallowseam_cow::tree::Tree;
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{read_or_write_16, status};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashMap};
 use std::sync::PoisonError;
 use std::time::Duration;
 
@@ -137,11 +137,11 @@
 
     /// Where the extents of mapped volumes are, in their heads and snapshots.
     fn locate_extents(&self, tree: &Tree, layout: &mut Layout) {
-        layout.extent = self
-            .scenario
-            .catalog
-            .as_ref()
-            .map_or(1, |catalog| catalog.extent);
+        let catalog = self.scenario.catalog.as_ref();
+        let mut mapped_volumes = MappedVolumes {
+            extent_blocks: catalog.map_or(1, |catalog| catalog.extent),
+            locations: HashMap::new(),
+        };
         for (volume, mapped) in self
             .config
             .volumes
@@ -159,11 +159,13 @@
                 for (layer_id, layer) in tree.ancestors(root) {
                     for (extent, location) in &layer.locations {
                         let key = (layer_id, location.node, u64::from(location.slot));
-                        layout.locations.insert(key, (volume, u64::from(*extent)));
+                        let place = (volume, u64::from(*extent));
+                        mapped_volumes.locations.insert(key, place);
                     }
                 }
             }
         }
+        layout.mapped = Some(mapped_volumes);
     }
 
     fn take_catalog_requests(&self) -> Vec<CatalogRequest> {
