--- a/crates/lab/src/cli/models.rs
+++ b/crates/lab/src/cli/models.rs
@@ -1,11 +1,10 @@
 //! `model`: fleets in simulated time.
 use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
 use mallowseam_audit::membership::convergence_periods;
-use mallowseam_lab::cold_start_model::{self, ColdStartCase};
 use mallowseam_lab::fleet::peers::NOTIFICATION_DEADLINE;
-use mallowseam_lab::membership::measurements::{self, Measurements, Protocol};
-use mallowseam_lab::plots::{self, HorizontalScale};
-use std::path::Path;
+use mallowseam_models::cold_start::{self as cold_start_model, ColdStartCase};
+use mallowseam_models::membership::files::{self, ProtocolMeasurements};
+use mallowseam_models::membership::measurements::{self, Measurements, Protocol};
 
 /// Simulated time in microseconds after which a case ends.
 const MAX_SIMULATED: u64 = 3_600_000_000;
@@ -104,17 +103,19 @@
         ]
     };
     let mut passed = true;
-    let mut all: Vec<(Protocol, Measurements)> = Vec::new();
+    let mut all: Vec<ProtocolMeasurements> = Vec::new();
     for &hosts in &options.hosts {
         for &protocol in protocols {
             let measured = measurements::measure(protocol, hosts, options.seed);
             passed &= print_membership(protocol, hosts, &measured);
-            all.push((protocol, measured));
+            all.push(ProtocolMeasurements {
+                protocol,
+                measurements: measured,
+            });
         }
     }
     if let Some(dir) = &options.out {
-        write_csv(dir, &all)?;
-        plot_membership(dir, &options.hosts, &all)?;
+        files::write(dir, &all, |hosts| convergence_periods(hosts as u32))?;
     }
     Ok(Finding::from(passed))
 }
@@ -138,67 +139,3 @@
         .all(|seconds| *seconds <= bound);
     protocol != Protocol::Lifeguard || settled && m.bytes_s <= MAX_MEMBERSHIP_BYTES
 }
-
-fn write_csv(
-    dir: &Path,
-    all: &[(Protocol, Measurements)],
-) -> Result<(), Box<dyn std::error::Error>> {
-    let failed = |e: &dyn std::fmt::Display| format!("{}: {e}", dir.display());
-    std::fs::create_dir_all(dir).map_err(|e| failed(&e))?;
-    let mut table = csv::Writer::from_path(dir.join("fleet-view.csv")).map_err(|e| failed(&e))?;
-    for (_, measurements) in all {
-        table.serialize(measurements).map_err(|e| failed(&e))?;
-    }
-    table.flush().map_err(|e| failed(&e))?;
-    Ok(())
-}
-
-fn plot_membership(
-    dir: &Path,
-    hosts: &[usize],
-    all: &[(Protocol, Measurements)],
-) -> Result<(), Box<dyn std::error::Error>> {
-    let line = |protocol: Protocol, of: fn(&Measurements) -> f64| -> plots::Line<'static> {
-        let measured = all.iter().filter(|(p, _)| *p == protocol);
-        (
-            protocol.name(),
-            measured.map(|(_, m)| (m.hosts as f64, of(m))).collect(),
-        )
-    };
-    let bound = hosts
-        .iter()
-        .map(|hosts| (*hosts as f64, convergence_periods(*hosts as u32)))
-        .collect();
-    let mut settle = vec![("T(N)", bound)];
-    let mut bytes = Vec::new();
-    let mut wrong = Vec::new();
-    for protocol in [
-        Protocol::Lifeguard,
-        Protocol::PlainSwim,
-        Protocol::Heartbeats,
-    ] {
-        if protocol != Protocol::Heartbeats {
-            settle.push(line(protocol, |m| m.start_s.max(m.kill_s).max(m.heal_s)));
-        }
-        bytes.push(line(protocol, |m| m.bytes_s));
-        wrong.push(line(protocol, |m| m.false_positive_fraction));
-    }
-    let sheet = [
-        (
-            "seconds until all memberships agree, the longest of three",
-            settle,
-        ),
-        ("bytes a second and host, at rest", bytes),
-        (
-            "part of the time that a running host is held unreachable, under loss and stops",
-            wrong,
-        ),
-    ];
-    plots::write(
-        &dir.join("fleet-view.svg"),
-        "hosts",
-        HorizontalScale::Logarithmic,
-        &sheet,
-    )?;
-    Ok(())
-}
--- a/crates/lab/src/cli/placement.rs
+++ b/crates/lab/src/cli/placement.rs
@@ -1,6 +1,7 @@
 //! `shares-check` and `shares-day`.
 use super::{CommandResult, Finding, program};
-use mallowseam_lab::{exhaustive_placement, placement_day};
+use mallowseam_lab::placement_day;
+use mallowseam_models::exhaustive_placement;
 use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
 use mallowseam_placement::problem::Problem;
 
--- a/crates/lab/src/cli/search.rs
+++ b/crates/lab/src/cli/search.rs
@@ -1,6 +1,6 @@
 //! `search`: exhaustive checks of small state machines.
 use super::Finding;
-use mallowseam_lab::membership::exhaustive;
+use mallowseam_models::membership::exhaustive;
 use std::time::Instant;
 
 pub(super) fn membership(states: u64, ends_every: u64, ticks: u32) -> Finding {
@@ -14,7 +14,7 @@
     let mut passed = true;
     for (name, initial) in exhaustive::initial_states(budget, None) {
         let began = Instant::now();
-        let found = mallowseam_lab::search::search(&initial, states, ends_every);
+        let found = mallowseam_models::search::search(&initial, states, ends_every);
         let seconds = began.elapsed().as_secs_f64();
         match found {
             Ok(report) => {
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -2,8 +2,8 @@
 //!
 //! - [`scenario`]: a script of a run, parsed. [`fault_schedule`]: scripts drawn by a seed.
 //! - [`links`]: what faults do to the bytes and datagrams of one direction of a link.
-//! - [`discovery_queue`], [`simulated_node`], [`client_load`]: the discovery service, a node and the clients as models
-//!   without sockets or clocks. The cold-start model in simulated time uses the same queue.
+//! - [`simulated_node`], [`client_load`]: a node and the clients as models without sockets or clocks; the discovery
+//!   service is the queue that the cold-start model has, too.
 //! - [`peers`]: their sockets, on one event loop. [`processes`]: the host processes.
 //! - [`testbed`]: plays a scenario. [`outcome`]: what a run brought, and its report.
 //! - [`audit_input`]: what `mallowseam-audit` needs to know of a scenario to judge its run.
@@ -12,7 +12,6 @@
 pub mod addresses;
 pub mod audit_input;
 pub mod client_load;
-pub mod discovery_queue;
 pub mod error;
 pub mod fault_schedule;
 pub mod host_config;
--- a/crates/lab/src/fleet/peers.rs
+++ b/crates/lab/src/fleet/peers.rs
@@ -12,7 +12,6 @@
 
 use super::addresses::Addresses;
 use super::client_load::{ClientLoad, Operation};
-use super::discovery_queue::{DiscoveryQueue, ServiceBehavior};
 use super::error::TestbedError;
 use super::links::{LinkFault, Links, Peer, PeerSet};
 use super::scenario::Scenario;
@@ -26,6 +25,7 @@
 use mallowseam_audit::fleet::record::{Event, Observation};
 use mallowseam_audit::trace::Micros;
 use mallowseam_http1::Limits;
+use mallowseam_models::discovery_queue::{DiscoveryQueue, ServiceBehavior};
 use mallowseam_sockets::slab::Slab;
 use membership::MembershipLinks;
 use mio::Poll;
--- a/crates/lab/src/fleet/scenario.rs
+++ b/crates/lab/src/fleet/scenario.rs
@@ -5,11 +5,11 @@
 mod parse;
 
 use super::client_load::LoadProfile;
-use super::discovery_queue::ServiceBehavior;
 use super::links::{LinkFault, PeerSet};
 use super::simulated_node::NodeLimits;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Micros;
+use mallowseam_models::discovery_queue::ServiceBehavior;
 
 pub use parse::parse;
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -5,24 +5,18 @@
 //!   [`node`], [`load`] and [`endpoint_list_service`]. They write a common trace, which `mallowseam-audit` judges.
 //! - [`fleet`] does the same with many hosts and faults on the links between them.
 //! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
-//! - [`cold_start_model`], [`membership`] and [`search`] simulate and search without processes.
 #![warn(missing_docs)]
 
 pub mod benchmark;
-pub mod cold_start_model;
 pub mod endpoint_list_service;
 pub mod error;
-pub mod exhaustive_placement;
 pub mod fleet;
 pub mod load;
-pub mod membership;
 pub mod node;
 pub mod placement_day;
-pub mod plots;
 pub mod process;
 pub mod rehearsal;
 pub mod script;
-pub mod search;
 pub mod snapshot_benchmark;
 
 pub use mallowseam_gateway::blocking_client;
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/lab/tests/fleet_model/pins.rs
@@ -1,10 +1,8 @@
 //! Pinned behaviour: seeded decisions of the testbed, compared with digests that were recorded once.
 use crate::digest::Digest;
 use mallowseam_audit::service_model::ServiceModel;
-use mallowseam_lab::cold_start_model::{self, ColdStartCase};
 use mallowseam_lab::fleet::addresses::Addresses;
 use mallowseam_lab::fleet::client_load::{ClientLoad, LoadProfile, Operation};
-use mallowseam_lab::fleet::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
 use mallowseam_lab::fleet::fault_schedule;
 use mallowseam_lab::fleet::host_config::HostConfig;
 use mallowseam_lab::fleet::links::{
@@ -12,6 +10,7 @@
 };
 use mallowseam_lab::fleet::scenario::{self, FaultAction, IndexRange};
 use mallowseam_lab::fleet::simulated_node::{Arrival, NodeLimits, NodeRequest, SimulatedNode};
+use mallowseam_models::discovery_queue::ServiceBehavior;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -351,55 +350,6 @@
     assert_eq!(format!("{:016x}", digest.value()), "98a5ef2fe7411314");
 }
 
-fn add_outcome(digest: &mut Digest, outcome: PollOutcome) {
-    digest.number(u64::from(outcome == PollOutcome::Served));
-}
-
-const POLLS: u64 = 300;
-
-#[test]
-fn polls_of_the_discovery_service_take_turns_as_recorded() {
-    let mut digest = Digest::new();
-    for seed in 0..30 {
-        let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut queue = DiscoveryQueue::new(900, 20_000);
-        for poll in 0..POLLS {
-            let now = poll * 500;
-            if rng.random_bool(0.03) {
-                let behavior = match rng.random_range(0..4) {
-                    0 => ServiceBehavior::Normal,
-                    1 => ServiceBehavior::Down,
-                    2 => ServiceBehavior::Hung,
-                    _ => ServiceBehavior::Rejecting(0.5),
-                };
-                queue.set_behavior(now, behavior);
-            }
-            if let Some(outcome) = queue.enqueue(now, poll, &mut rng) {
-                add_outcome(&mut digest, outcome);
-            }
-            if rng.random_bool(0.1) {
-                queue.cancel(poll.saturating_sub(3));
-            }
-            while let Some((poll, outcome)) = queue.complete_next(now) {
-                digest.number(poll);
-                add_outcome(&mut digest, outcome);
-            }
-            digest.numbers(&[
-                queue.next_due().map_or(0, |due| due + 1),
-                queue.queued() as u64,
-            ]);
-        }
-        digest.numbers(&[POLLS, queue.rejected, queue.max_queued as u64]);
-    }
-    let mut full = DiscoveryQueue::new(1_000, u64::MAX);
-    let mut rng = Pcg64Mcg::seed_from_u64(1);
-    (0..5_000u32)
-        .filter_map(|poll| full.enqueue(0, poll, &mut rng))
-        .for_each(|outcome| add_outcome(&mut digest, outcome));
-    digest.numbers(&[full.rejected, full.max_queued as u64]);
-    assert_eq!(format!("{:016x}", digest.value()), "bdbd5a2ee34b0321");
-}
-
 fn add_operation(digest: &mut Digest, op: &Operation) {
     digest.numbers(&[
         op.id,
@@ -522,37 +472,3 @@
     }
     assert_eq!(format!("{:016x}", digest.value()), "40c4c261142c5026");
 }
-
-#[test]
-fn the_cold_start_model_plays_as_recorded() {
-    let mut digest = Digest::new();
-    for (hosts, told, down, running) in [
-        (40, Some(25_000), 0, false),
-        (60, None, 4_000_000, true),
-        (60, Some(0), 2_000_000, false),
-    ] {
-        let case = ColdStartCase {
-            hosts,
-            service_time: 25_000,
-            advertised_service_time: told,
-            down_until: down,
-            already_running: running,
-        };
-        let outcome = cold_start_model::run(case, 9, 600_000_000);
-        digest.numbers(&[outcome.polls, outcome.rejected, outcome.max_queued as u64]);
-        digest.numbers(&outcome.list_delays);
-        for second in &outcome.seconds {
-            digest.numbers(&[
-                second.second,
-                second.polls,
-                second.queued as u64,
-                u64::from(second.fresh),
-            ]);
-        }
-        digest.numbers(&[
-            outcome.list_delay_within(0.5).unwrap_or(0),
-            outcome.hosts_with_list_by(3_000_000) as u64,
-        ]);
-    }
-    assert_eq!(format!("{:016x}", digest.value()), "8b12ea733e600aa3");
-}
--- a/crates/lab/src/fleet/discovery_queue.rs
+++ b/crates/models/src/discovery_queue.rs
@@ -1,5 +1,5 @@
 //! The discovery service as a queue: it serves one poll at a time, and rejects polls that have waited for too long.
-use mallowseam_audit::trace::Micros;
+use crate::Micros;
 use rand::{Rng, RngExt};
 use std::collections::VecDeque;
 
--- a/crates/lab/src/membership/measurements.rs
+++ b/crates/models/src/membership/measurements.rs
@@ -44,6 +44,13 @@
 }
 
 impl Protocol {
+    /// All protocols.
+    pub const ALL: [Protocol; 3] = [
+        Protocol::Lifeguard,
+        Protocol::PlainSwim,
+        Protocol::Heartbeats,
+    ];
+
     /// The protocol's name in tables and plots.
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/lab/src/plots.rs
+++ b/crates/models/src/plots.rs
@@ -1,6 +1,4 @@
 //! Sheets of plots, as SVG.
-#![warn(missing_docs)]
-
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::{Path, PathBuf};
--- a/crates/lab/tests/fleet_model/cold_start.rs
+++ b/crates/models/tests/cold_start.rs
@@ -1,4 +1,5 @@
-use mallowseam_lab::cold_start_model::{ColdStartCase, run};
+//! A cold start in simulated time: how long polls wait, and how soon all hosts have a list.
+use mallowseam_models::cold_start::{ColdStartCase, run};
 
 const MAX_DURATION: u64 = 600_000_000;
 
--- a/crates/lab/tests/fleet_model/discovery_queue.rs
+++ b/crates/models/tests/discovery_queue.rs
@@ -1,4 +1,5 @@
-use mallowseam_lab::fleet::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
+//! The discovery service as a queue.
+use mallowseam_models::discovery_queue::{DiscoveryQueue, PollOutcome, ServiceBehavior};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/lab/tests/membership_exhaustive.rs
+++ b/crates/models/tests/membership_exhaustive.rs
@@ -1,7 +1,7 @@
 //! Exhaustive search through the states of three members.
 use mallowseam_fleet::config::Mutant;
-use mallowseam_lab::membership::exhaustive::{Budget, Violation, initial_states};
-use mallowseam_lab::search::search;
+use mallowseam_models::membership::exhaustive::{Budget, Violation, initial_states};
+use mallowseam_models::search::search;
 
 const BUDGET: Budget = Budget {
     ticks: 6,
--- a/crates/lab/tests/membership_simulation.rs
+++ b/crates/models/tests/membership_simulation.rs
@@ -1,6 +1,6 @@
 //! The membership protocol in simulated time: starts, kills, leaves, partitions, stops and name conflicts.
 use mallowseam_fleet::{MemberState, Membership, MembershipEvent};
-use mallowseam_lab::membership::simulation::{Simulation, address, name};
+use mallowseam_models::membership::simulation::{Simulation, address, name};
 
 /// Each story is played with so many seeds.
 const SEEDS: u64 = 20;
--- a/crates/lab/tests/placement_solver.rs
+++ b/crates/models/tests/placement_solver.rs
@@ -1,5 +1,5 @@
 //! The search of shares against a plain enumeration of every placement.
-use mallowseam_lab::exhaustive_placement::{draw, enumerate};
+use mallowseam_models::exhaustive_placement::{draw, enumerate};
 use mallowseam_placement::branch_and_bound::{SolveOutcome, is_feasible, solve};
 use mallowseam_placement::constraint::Constraint;
 use mallowseam_placement::infeasibility::explain;
