--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -1,9 +1,11 @@
 //! An iSCSI client on a blocking socket: for exports, imports and verification, for benchmarks and tests.
+use mallowseam_iscsi::ProtocolError;
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::Sense;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::num::NonZeroU16;
 use std::time::Duration;
 
 /// How long a read from the socket may take.
@@ -25,8 +27,8 @@
     #[error("connection closed")]
     Closed,
     /// What the target sent breaks the protocol, or it refused the login.
-    #[error("{0}")]
-    Protocol(String),
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
     /// The target's command window is closed.
     #[error("the command window is closed")]
     WindowClosed,
@@ -57,8 +59,8 @@
     pub sense: Option<Sense>,
     /// Data of a read.
     pub data: Vec<u8>,
-    /// Time after which to retry, in tenths of a second (RFC 7144); 0 for none.
-    pub retry_after: u16,
+    /// Time after which to retry, in tenths of a second (RFC 7144), where the target gives one.
+    pub retry_after: Option<NonZeroU16>,
 }
 
 impl BlockingClient {
@@ -111,9 +113,8 @@
         if len == 0 {
             return Err(ClientError::Closed);
         }
-        self.conn
-            .receive(&self.read_buffer[..len])
-            .map_err(|fault| ClientError::Protocol(fault.to_string()))
+        self.conn.receive(&self.read_buffer[..len])?;
+        Ok(())
     }
 
     /// Waits for the next event of the session.
@@ -142,13 +143,15 @@
         data: Vec<u8>,
     ) -> Result<Answer, ClientError> {
         self.last_tag += 1;
-        let own_tag = self.last_tag;
-        if !self
-            .conn
-            .send_command(own_tag, lun, cdb, read_len, data.into())
-        {
+        let tag = self.last_tag;
+        if !self.conn.send_command(tag, lun, cdb, read_len, data.into()) {
             return Err(ClientError::WindowClosed);
         }
+        self.await_answer(tag)
+    }
+
+    /// Waits until the command of a tag has ended; other events are dropped.
+    fn await_answer(&mut self, own_tag: u32) -> Result<Answer, ClientError> {
         loop {
             match self.next_event()? {
                 InitiatorEvent::CommandCompleted {
@@ -162,7 +165,7 @@
                         status,
                         sense,
                         data,
-                        retry_after,
+                        retry_after: NonZeroU16::new(retry_after),
                     });
                 }
                 InitiatorEvent::CommandRejected { tag, reason } if tag == own_tag => {
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/gateway/src/control_socket.rs
@@ -4,10 +4,11 @@
 pub use client::{RequestError, send_request};
 
 use crate::slab::Slab;
+use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 use std::fmt::Display;
-use std::io::{self, ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
@@ -30,10 +31,72 @@
 /// Index of a connection to the control socket.
 pub(crate) type ConnectionId = u32;
 
+/// The connection of an operator.
 struct Connection {
     socket: UnixStream,
+    /// The start of a request whose end has not been received yet.
     request: Vec<u8>,
-    answer: Vec<u8>,
+    /// What is left of the answer to be written. None: there is no answer yet.
+    unsent_answer: Option<Vec<u8>>,
+}
+
+/// What reading from a connection came to.
+enum RequestRead {
+    /// The line of a complete request.
+    Complete(String),
+    /// The end of the request has not been received yet.
+    Incomplete,
+    /// The connection has ended, or the request is too long.
+    Closed,
+}
+
+/// What writing an answer came to.
+enum AnswerWrite {
+    /// There is more to write once the socket takes it, or no answer yet.
+    Pending,
+    /// The answer is written, or the connection has failed.
+    Finished,
+}
+
+impl Connection {
+    /// Reads until the request is complete or the socket has no more for now.
+    fn read_request(&mut self) -> RequestRead {
+        let mut buffer = [0; MAX_REQUEST];
+        loop {
+            match nonblocking::read(&mut self.socket, &mut buffer) {
+                ReadOutcome::Read(len) => self.request.extend_from_slice(&buffer[..len]),
+                ReadOutcome::WouldBlock => return RequestRead::Incomplete,
+                ReadOutcome::Closed(_) => return RequestRead::Closed,
+            }
+            if let Some(line) = self.take_line() {
+                return RequestRead::Complete(line);
+            }
+            if self.request.len() > MAX_REQUEST {
+                return RequestRead::Closed;
+            }
+        }
+    }
+
+    /// The first line of what was read, if it is complete. What follows it is dropped.
+    fn take_line(&mut self) -> Option<String> {
+        let end = self.request.iter().position(|byte| *byte == b'\n')?;
+        let line = String::from_utf8_lossy(&self.request[..end])
+            .trim()
+            .to_owned();
+        self.request.clear();
+        Some(line)
+    }
+
+    /// Writes the answer as far as the socket takes it.
+    fn write_answer(&mut self) -> AnswerWrite {
+        let Some(unsent) = &mut self.unsent_answer else {
+            return AnswerWrite::Pending;
+        };
+        match nonblocking::write_buffer(&mut self.socket, unsent) {
+            Ok(()) if !unsent.is_empty() => AnswerWrite::Pending,
+            Ok(()) | Err(_) => AnswerWrite::Finished,
+        }
+    }
 }
 
 /// The listening side of a control socket. The socket file is removed when this is dropped.
@@ -54,16 +117,7 @@
         own: Token,
         first_token: usize,
     ) -> io::Result<Self> {
-        if std::os::unix::net::UnixStream::connect(path).is_ok() {
-            return Err(io::Error::new(
-                ErrorKind::AddrInUse,
-                "another host runs here",
-            ));
-        }
-        match std::fs::remove_file(path) {
-            Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
-            _ => {}
-        }
+        remove_stale_socket(path)?;
         let mut listener = UnixListener::bind(path)?;
         std::fs::set_permissions(path, PermissionsExt::from_mode(PERMISSIONS))?;
         registry.register(&mut listener, own, Interest::READABLE)?;
@@ -90,7 +144,7 @@
                 self.connections.insert(Connection {
                     socket,
                     request: Vec::new(),
-                    answer: Vec::new(),
+                    unsent_answer: None,
                 });
             }
         }
@@ -98,28 +152,11 @@
 
     /// Reads from a connection that is ready. Returns its request once that is complete.
     pub(crate) fn read_request(&mut self, id: ConnectionId) -> Option<String> {
-        let connection = self.connections.get_mut(id)?;
-        let mut buffer = [0; MAX_REQUEST];
-        loop {
-            match connection.socket.read(&mut buffer) {
-                Ok(0) => break self.close(id),
-                Ok(len) => {
-                    connection.request.extend_from_slice(&buffer[..len]);
-                    if let Some(end) = connection.request.iter().position(|b| *b == b'\n') {
-                        let line = String::from_utf8_lossy(&connection.request[..end])
-                            .trim()
-                            .to_owned();
-                        connection.request.clear();
-                        return Some(line);
-                    }
-                    if connection.request.len() > MAX_REQUEST {
-                        break self.close(id);
-                    }
-                }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break self.flush(id),
-                Err(_) => break self.close(id),
-            }
+        match self.connections.get_mut(id)?.read_request() {
+            RequestRead::Complete(line) => return Some(line),
+            // The socket may be ready for the rest of an answer.
+            RequestRead::Incomplete => self.flush(id),
+            RequestRead::Closed => self.close(id),
         }
         None
     }
@@ -127,26 +164,17 @@
     /// Answers a request; the connection is closed once the answer is written.
     pub(crate) fn answer(&mut self, id: ConnectionId, text: &str) {
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.answer = format!("{text}{END_OF_ANSWER}").into_bytes();
+            connection.unsent_answer = Some(format!("{text}{END_OF_ANSWER}").into_bytes());
             self.flush(id);
         }
     }
 
     fn flush(&mut self, id: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(id) else {
-            return;
-        };
-        if connection.answer.is_empty() {
-            return;
-        }
-        while !connection.answer.is_empty() {
-            match connection.socket.write(&connection.answer) {
-                Ok(written) => drop(connection.answer.drain(..written)),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => break,
-            }
+        if let Some(connection) = self.connections.get_mut(id)
+            && let AnswerWrite::Finished = connection.write_answer()
+        {
+            self.close(id);
         }
-        self.close(id);
     }
 
     fn close(&mut self, id: ConnectionId) {
@@ -161,3 +189,20 @@
         let _ = std::fs::remove_file(&self.path);
     }
 }
+
+/// Removes a socket file whose process is gone.
+///
+/// # Errors
+/// A process still answers there, or the file cannot be removed.
+fn remove_stale_socket(path: &Path) -> io::Result<()> {
+    if std::os::unix::net::UnixStream::connect(path).is_ok() {
+        return Err(io::Error::new(
+            ErrorKind::AddrInUse,
+            "another host runs here",
+        ));
+    }
+    match std::fs::remove_file(path) {
+        Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
+        _ => Ok(()),
+    }
+}
--- a/crates/gateway/src/plan_service/rollout_waits.rs
+++ b/crates/gateway/src/plan_service/rollout_waits.rs
@@ -4,8 +4,8 @@
 use mallowseam_plans::Millis;
 use mallowseam_plans::rollout::Rollout;
 
-/// Longest time, in milliseconds, that an operator waits for a version to be in effect: four times what loans and
-/// leases of older versions take to expire, and less than an operator's connection waits for its answer.
+/// Longest time, in milliseconds, that an operator waits for a version to be in effect: less than the fifteen
+/// seconds for which the operator's command waits for its answer.
 const MAX_ROLLOUT_WAIT: Millis = 12_000;
 
 /// An operator who waits.
--- a/crates/gateway/tests/pinned/scsi.rs
+++ b/crates/gateway/tests/pinned/scsi.rs
@@ -3,6 +3,7 @@
 use mallowseam_gateway::blocking_client::BlockingClient;
 use mallowseam_iscsi::scsi::read_or_write_16;
 use std::fs;
+use std::num::NonZeroU16;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -48,7 +49,7 @@
         let text = format!(
             "status {} sense {sense} retry after {} data {}",
             answer.status,
-            answer.retry_after,
+            answer.retry_after.map_or(0, NonZeroU16::get),
             hex(&answer.data)
         );
         t.add(&format!("{what}, LUN {lun}:"), &text);
