--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -1,86 +1,75 @@
-//! The calls that the scheduler makes on its host.
-use super::Dispatcher;
-use crate::clients::Response;
-use crate::nodes::Completion;
-use mallowseam_platform::request;
+//! What the scheduler acts on, and the calls that it makes on its host.
+use super::block_io::{BlockIo, NodeSlot};
+use super::counters::IoCounters;
+use super::event_times::EventTimes;
+use crate::clients::{ClientConnections, Response};
+use crate::nodes::{Completion, NodeConnections};
+use mallowseam_platform::interner::NameInterner;
 use mallowseam_platform::response;
-use mallowseam_scheduler::interface::{AttemptResult, BioId, Host, KeyId, NodeId, Tick, VolumeId};
-use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
+use mallowseam_platform::settings::PlatformSettings;
+use mallowseam_scheduler::interface::{BioId, Host, KeyId, NodeId, Tick, VolumeId};
+use mallowseam_scheduler_driver::{DrivenHost, SchedulerDriver};
+use mallowseam_sockets::clock::ticks_to_millis;
 
-impl Dispatcher {
-    /// Sends a block I/O to a node, or returns the reason why nothing was sent.
-    fn start_attempt(
-        &mut self,
-        io: BioId,
-        node: NodeId,
-        timeout: Tick,
-    ) -> Result<(), AttemptResult> {
-        let now = self.now;
-        // During a shutdown all responses are due before the host is killed, so attempts expire by then.
-        let responses_by = self
-            .clients
-            .shutdown()
-            .and_then(|shutdown| shutdown.answer_deadline());
-        let timeout = responses_by.map_or(timeout, |by| timeout.min(ticks_from_millis(by) - now));
-        self.check_client(io);
-        let max_attempts = self.settings.scheduler.max_attempts;
-        let Some(entry) = self.in_flight.get_mut(io.0) else {
-            return Ok(());
-        };
-        entry.attempts += 1;
-        let is_over = entry.deadline <= now || timeout <= 0;
-        let is_one_too_many = max_attempts > 0 && entry.attempts > max_attempts;
-        let client = entry.client.filter(|_| !is_over && !is_one_too_many);
-        let (head, body) = client
-            .and_then(|slot| self.clients.request(slot))
-            .ok_or(AttemptResult::NotSent)?;
-        let wait_ms = ticks_to_millis(timeout).max(1);
-        let write = |out: &mut Vec<u8>| request::write_forwarded(out, &head, body, wait_ms);
-        let started = self.nodes.start_attempt(io, node, now, timeout, write)?;
-        entry.node_connection = Some(started.slot);
-        self.completions.extend(started.completion);
-        Ok(())
-    }
+/// The block I/Os in flight, with the connections that carry them.
+pub struct SchedulerHost {
+    pub(super) times: EventTimes,
+    pub(super) settings: PlatformSettings,
+    pub(super) clients: ClientConnections,
+    pub(super) nodes: NodeConnections,
+    pub(super) names: NameInterner,
+    pub(super) counters: IoCounters,
+    pub(super) driver: SchedulerDriver<BlockIo, NodeSlot>,
+}
 
-    /// Checks whether the client has disconnected, if the last poll is too old to rely on.
-    fn check_client(&mut self, io: BioId) {
-        let is_poll_stale = self.is_poll_stale();
-        let Some(entry) = self.in_flight.get_mut(io.0) else {
-            return;
-        };
-        let disconnected = entry
-            .client
-            .filter(|slot| is_poll_stale && self.clients.is_disconnected(*slot, true));
-        if let Some(slot) = disconnected {
-            entry.client = None;
-            self.respond_disconnected(slot);
+impl SchedulerHost {
+    /// A host with nothing in flight.
+    pub fn new(
+        now: Tick,
+        settings: PlatformSettings,
+        clients: ClientConnections,
+        nodes: NodeConnections,
+    ) -> Self {
+        SchedulerHost {
+            times: EventTimes::new(now),
+            settings,
+            clients,
+            nodes,
+            names: NameInterner::default(),
+            counters: IoCounters::default(),
+            driver: SchedulerDriver::default(),
         }
     }
 }
 
-impl Host for Dispatcher {
+impl DrivenHost for SchedulerHost {
+    type BlockIo = BlockIo;
+    type Attempt = NodeSlot;
+
+    fn now(&self) -> Tick {
+        self.times.now()
+    }
+
+    fn driver_mut(&mut self) -> &mut SchedulerDriver<BlockIo, NodeSlot> {
+        &mut self.driver
+    }
+}
+
+impl Host for SchedulerHost {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
         if let Err(result) = self.start_attempt(bio, node, timeout) {
             self.counters.unsent_attempts += 1;
-            self.completions
-                .push_back(Completion::unsent(bio, node, result, self.now));
+            self.queue_completion(&Completion::unsent(bio, node, result, self.times.now()));
         }
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
-        let Some(entry) = self
-            .in_flight
-            .get_mut(bio.0)
-            .filter(|entry| attempt + 1 == entry.attempts)
-        else {
-            return;
-        };
-        // An attempt without a connection has completed, and its completion is queued.
-        let cancelled = entry
-            .node_connection
-            .take()
-            .and_then(|slot| self.nodes.cancel(slot, bio));
-        self.completions.extend(cancelled);
+        // An attempt that is not in flight has completed, and its completion is queued.
+        let io = self.driver.in_flight().get(bio);
+        let slot = io.and_then(|io| io.attempt_numbered(attempt).copied());
+        if let Some(completion) = slot.and_then(|slot| self.nodes.cancel(slot, bio)) {
+            self.queue_completion(&completion);
+        }
     }
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
@@ -90,23 +79,22 @@
     }
 
     fn fail(&mut self, bio: BioId) {
-        self.counters.failed +=
-            u64::from(self.respond_final(bio, Response::empty(response::FAILED_STATUS)));
+        let response = Response::empty(response::FAILED_STATUS);
+        self.counters.failed += u64::from(self.respond_final(bio, response));
     }
 
     fn set_timer(&mut self, after: Tick) {
-        let at = self.now + after;
-        self.timer = Some(self.timer.map_or(at, |set| set.min(at)));
+        self.driver.set_timer(self.times.now(), after);
     }
 
     /// A new watch begins with the list, in full where that is needed.
     fn poll_endpoints(&mut self) {
-        self.wants_watch = true;
+        self.driver.request_endpoints();
     }
 
     fn release_bio(&mut self, bio: BioId) {
-        if let Some(entry) = self.in_flight.remove(bio.0) {
-            self.names.release_request(&entry.id);
+        if let Some(released) = self.driver.in_flight_mut().release(bio) {
+            self.names.release_request(&released.data.id);
         }
     }
 
