--- a/crates/gateway/src/plan_service/limit_change.rs
+++ b/crates/gateway/src/plan_service/limit_change.rs
@@ -1,5 +1,9 @@
 //! What a change of plans means for the limits of volumes.
-use mallowseam_plans::state::{Change, State};
+#[cfg(test)]
+mod tests;
+
+use mallowseam_plans::MilliUnits;
+use mallowseam_plans::state::{Change, Plan, State};
 
 /// Whether a change lowers the limit of any volume.
 pub(super) fn lowers_a_limit(state: &State, change: &Change) -> bool {
@@ -13,15 +17,12 @@
         .any(|volume| is_lower(limit_of(&next, volume), limit_of(state, volume)))
 }
 
-/// The limit of a volume. None: its plan has none, which is stored as a limit of 0.
-fn limit_of(state: &State, volume: &str) -> Option<u64> {
-    state
-        .plan_of(volume)
-        .map(|plan| plan.rate_limit)
-        .filter(|limit| *limit > 0)
+/// The limit of a volume, if its plan has one.
+fn limit_of(state: &State, volume: &str) -> Option<MilliUnits> {
+    state.plan_of(volume).and_then(Plan::limit)
 }
 
 /// Whether a limit is lower than the one before. None: unlimited.
-fn is_lower(new: Option<u64>, old: Option<u64>) -> bool {
+fn is_lower(new: Option<MilliUnits>, old: Option<MilliUnits>) -> bool {
     new.is_some_and(|new| old.is_none_or(|old| new < old))
 }
--- a/crates/gateway/src/plan_service/quotas.rs
+++ b/crates/gateway/src/plan_service/quotas.rs
@@ -1,4 +1,7 @@
 //! What hosts lend each other of the limits of all volumes.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_plans::Millis;
 use mallowseam_plans::messages::{VolumeLease, VolumeReport};
 use mallowseam_plans::quota_pool::{HostNumber, QuotaPool};
--- a/crates/gateway/src/plan_service/rollout_waits.rs
+++ b/crates/gateway/src/plan_service/rollout_waits.rs
@@ -1,4 +1,7 @@
 //! Operators who wait for a version to be in effect at all hosts.
+#[cfg(test)]
+mod tests;
+
 use super::rollout_text::describe_blockers;
 use crate::control_socket::{self, ConnectionId};
 use mallowseam_plans::Millis;
--- a/crates/gateway/src/service/periodic_timer.rs
+++ b/crates/gateway/src/service/periodic_timer.rs
@@ -1,4 +1,7 @@
 //! A timer of the event loop that is due again and again.
+#[cfg(test)]
+mod tests;
+
 use std::ops::Add;
 
 /// A timer that is due once a period has passed since it was last due. `T`: the unit of time, ticks or
--- a/crates/gateway/src/snapshot_catalog/listing.rs
+++ b/crates/gateway/src/snapshot_catalog/listing.rs
@@ -1,4 +1,7 @@
 //! The tree as text for operators.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_cow::tree::{Branch, Snapshot, Tree};
 
 /// Volumes and clones, then snapshots, a line each.
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -1,4 +1,7 @@
 //! The catalog's commands at nodes: layers are closed to writes, extents are unmapped.
+#[cfg(test)]
+mod tests;
+
 use crate::node_connections::{NodeRequest, Nodes};
 use crate::service::FIRST_NODE_TOKEN;
 use mallowseam_cow::tree::{LayerId, Location, Tree};
--- a/crates/gateway/src/snapshot_catalog/pending_locations.rs
+++ b/crates/gateway/src/snapshot_catalog/pending_locations.rs
@@ -1,4 +1,7 @@
 //! Locations of extents that hosts were notified of and may not write to yet.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::tree::{LayerId, Tree};
--- a/crates/gateway/src/snapshot_catalog/pending_operations.rs
+++ b/crates/gateway/src/snapshot_catalog/pending_operations.rs
@@ -1,4 +1,7 @@
 //! Operations whose end operators wait for.
+#[cfg(test)]
+mod tests;
+
 use crate::control_socket::ConnectionId;
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::ConsistentCut;
