--- /dev/null
+++ b/crates/catalog-service/src/lib.rs
@@ -0,0 +1,2 @@
+//! The snapshot catalog service.
+#![warn(missing_docs)]
--- /dev/null
+++ b/crates/plan-service/src/lib.rs
@@ -0,0 +1,2 @@
+//! The plan service.
+#![warn(missing_docs)]
--- /dev/null
+++ b/crates/service-loop/src/lib.rs
@@ -0,0 +1,2 @@
+//! What the services have in common.
+#![warn(missing_docs)]
