--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -3,8 +3,8 @@
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
 use mallowseam_cow::messages::{ToCatalog, ToHost};
-use mallowseam_cow::tree::LayerId;
-use mallowseam_cow::tree_replica::{SLOT_BATCH, TreeReplica};
+use mallowseam_cow::tree::{LayerId, Tree};
+use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
 use mio::{Registry, Token};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,13 +39,13 @@
     /// No attempt to connect before this time.
     next_connect: Millis,
     /// The tree as this host knows it, and its lease.
-    pub(crate) replica: TreeReplica,
-    /// Counts up with every message that may let a waiting block I/O go on.
-    pub(crate) revision: u64,
+    replica: TreeReplica,
+    /// Counts up with every message.
+    revision: u64,
     /// Layers that the catalog waits for this host to quiesce.
-    pub(crate) quiesce_requests: Vec<QuiesceRequest>,
+    quiesce_requests: Vec<QuiesceRequest>,
     /// Answers that the dispatcher has not taken yet.
-    pub(crate) completion_decisions: Vec<CompletionDecision>,
+    completion_decisions: Vec<CompletionDecision>,
     /// Branches with a pending cut, and the time until which it delays split writes at most.
     pending_cuts: BTreeMap<String, Millis>,
     /// When slots of a layer were last requested.
@@ -79,6 +79,49 @@
         }
     }
 
+    /// The tree as this host knows it.
+    pub(crate) fn tree(&self) -> Option<&Tree> {
+        self.replica.tree()
+    }
+
+    /// Changes with every message that may let a waiting block I/O go on.
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Where an extent of a branch or snapshot is read or written now.
+    pub(crate) fn look_up(&mut self, name: &str, extent: u32, write: bool, now: Millis) -> Lookup {
+        self.replica.look_up(name, extent, write, now)
+    }
+
+    /// Takes slots of a layer that no attempt has used yet, as many as there are up to `count`.
+    pub(crate) fn take_slots(&mut self, layer: LayerId, count: usize) -> Vec<u32> {
+        std::iter::from_fn(|| self.replica.take_slot(layer))
+            .take(count)
+            .collect()
+    }
+
+    /// The catalog's decisions about split writes, which are taken once.
+    pub(crate) fn take_completion_decisions(&mut self) -> Vec<CompletionDecision> {
+        std::mem::take(&mut self.completion_decisions)
+    }
+
+    /// Whether the catalog waits for this host to quiesce a layer.
+    pub(crate) fn is_quiescing(&self) -> bool {
+        !self.quiesce_requests.is_empty()
+    }
+
+    /// Reports the layers that this host has quiesced: those without a split write.
+    pub(crate) fn report_quiesced(&mut self, has_split_write: impl Fn(&QuiesceRequest) -> bool) {
+        let requests = std::mem::take(&mut self.quiesce_requests);
+        let (pending, quiesced): (Vec<QuiesceRequest>, Vec<QuiesceRequest>) =
+            requests.into_iter().partition(has_split_write);
+        self.quiesce_requests = pending;
+        for QuiesceRequest { layer, .. } in quiesced {
+            self.send(&ToCatalog::Quiesced { layer });
+        }
+    }
+
     /// Whether a cut of a branch is pending.
     pub(crate) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
         self.pending_cuts
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,103 +1,51 @@
-//! The block I/Os in flight: the client of each, and its attempt at a node. Carries out the
-//! scheduler's decisions; their outcomes are queued and passed to the scheduler once its present call has
-//! returned.
+//! The block I/Os in flight, between clients, scheduler and nodes. Carries out the scheduler's decisions;
+//! their outcomes are queued and passed to the scheduler once its present call has returned.
 //!
-//! - `block_io`: commands, block I/Os and attempts, and the tags of attempts.
-//! - `commands`: commands of clients, from their arrival to their answer.
-//! - `attempts`: attempts at nodes, and the scheduler's view of this host.
-//! - `local_commands`: commands that the host answers itself.
-//! - `exported_units`: the units that clients see.
-//! - `mapped_volumes`, `split_writes`, `extent_copies`: block I/Os whose location the snapshot catalog knows.
+//! What is in flight, each type with its own state:
+//! - `block_ios`: block I/Os (`block_io`) and their attempts (`attempt_tags`, `attempt_timeouts`).
+//! - `commands`: commands of clients, whose outcome is that of their parts.
+//! - `exported_units`: the units that clients see, over the `volumes` of the configuration.
+//! - `mapped_volumes`: block I/Os whose location the snapshot catalog knows, with `extent_copies`.
+//! - `scheduler_queue`: what the scheduler is to be told.
+//!
+//! The steps of each event, over several of these types:
+//! - `client_commands`, `local_commands`, `answers`: from a command's arrival to its answer.
+//! - `lookups`, `split_writes`: where block I/Os of mapped volumes go, and when.
+//! - `attempts`, `scheduler_host`: attempts at nodes, and the calls that the scheduler makes.
+mod answers;
+mod attempt_tags;
+mod attempt_timeouts;
 mod attempts;
 mod block_io;
+mod block_ios;
+mod client_commands;
 mod commands;
 mod exported_units;
 mod extent_copies;
+mod io_classes;
 mod local_commands;
+mod lookups;
 mod mapped_volumes;
+mod scheduler_host;
+mod scheduler_queue;
 mod split_writes;
+mod transfer;
+mod volumes;
 
 use crate::catalog_client::CatalogClient;
 use crate::client_connections::{ClientId, Clients};
-use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use crate::metrics::Metrics;
-use crate::node_connections::Nodes;
-use crate::scheduler_config::{mapped_layout, volume_layout};
-use crate::slab::Slab;
-use attempts::AttemptTimeout;
-use block_io::{BlockIo, Command};
-use exported_units::ExportedUnit;
-use extent_copies::ExtentCopy;
-use mallowseam_connection_policy::request_splitting::{SubRequest, VolumeLayout};
-use mallowseam_cow::copy_budget::CopyBudget;
-use mallowseam_cow::tree::LayerExtent;
+use crate::node_connections::{NodeIndex, Nodes};
+use block_ios::BlockIos;
+use client_commands::ClientRequest;
+use commands::Commands;
+use exported_units::ExportedUnits;
 use mallowseam_iscsi::target::TargetEvent;
-use mallowseam_scheduler::Interner;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{AttemptOutcome, BioId, Tick, VolumeId};
+use mallowseam_scheduler::interface::{NodeEndpoint, NodeState, Tick, VolumeId};
 use mallowseam_settings::GatewayConfig;
-use mallowseam_settings::config::{self, Idempotency};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, VecDeque};
-use std::rc::Rc;
-
-/// A volume of the configuration.
-struct Volume {
-    name: String,
-    /// Index of its plan.
-    plan: u16,
-    lun: u32,
-    block_count: u64,
-    /// Bytes of a block.
-    block_size: u32,
-    /// Number of hosts through which it is used.
-    host_count: u32,
-    layout: VolumeLayout,
-    /// Its branch in the snapshot catalog, where that knows the locations of its extents.
-    branch: Option<Rc<str>>,
-}
-
-impl Volume {
-    fn new(config: &GatewayConfig, volume: &config::Volume, extent_blocks: u64) -> Self {
-        let layout = if volume.mapped {
-            mapped_layout(volume, extent_blocks)
-        } else {
-            volume_layout(config, volume)
-        };
-        Volume {
-            name: volume.name.clone(),
-            plan: volume.plan as u16,
-            lun: volume.lun.into(),
-            block_count: volume.block_count,
-            block_size: volume.block_size,
-            host_count: volume.host_count,
-            layout,
-            branch: volume.mapped.then(|| volume.name.as_str().into()),
-        }
-    }
-}
-
-/// An I/O class of the configuration.
-struct IoClassConfig {
-    /// Ticks after which a client gives up.
-    deadline: Tick,
-    /// Ticks within which block I/Os are to complete.
-    latency_objective: Tick,
-    non_idempotent: bool,
-}
-
-impl IoClassConfig {
-    fn new(class: &config::IoClass) -> Self {
-        IoClassConfig {
-            deadline: ticks_from_micros_floor(class.deadline),
-            latency_objective: ticks_from_micros_ceil(class.latency_objective),
-            non_idempotent: class.idempotency == Idempotency::NonIdempotent,
-        }
-    }
-}
-
-/// Index of a block I/O, which is its id for the scheduler as well.
-type BlockIoIndex = u32;
+use mapped_volumes::MappedVolumes;
+use scheduler_queue::{SchedulerEvent, SchedulerQueue};
 
 /// The block I/Os in flight, with the connections that they come from and go to.
 pub(crate) struct Dispatcher {
@@ -106,56 +54,17 @@
     pub(crate) clients: Clients,
     pub(crate) nodes: Nodes,
     pub(crate) metrics: Metrics,
-    /// The client of the snapshot catalog, where the host has mapped volumes.
-    pub(crate) catalog: Option<CatalogClient>,
-    /// When the timer that the scheduler has set is due.
-    pub(crate) timer_due: Option<Tick>,
-    /// The scheduler has requested the endpoint list.
-    pub(crate) endpoint_list_requested: bool,
-    volumes: Vec<Volume>,
-    classes: Vec<IoClassConfig>,
-    /// Bytes of a unit, in which costs are counted.
-    unit_bytes: u64,
-    max_transfer_bytes: u64,
-    max_attempts: u32,
-    /// The shard of each node.
-    shards: Vec<u32>,
-    block_ios: Slab<BlockIo>,
-    commands: Slab<Command>,
-    /// Ordering keys by LUN and number, each with a small index for the scheduler.
-    ordering_keys: Interner<(u32, u64)>,
-    /// How many attempts each block I/O's index has had, for their tags.
-    attempt_counts: Vec<u32>,
-    attempt_timeouts: BinaryHeap<Reverse<AttemptTimeout>>,
-    /// Outcomes of attempts that are not passed to the scheduler yet.
-    outcomes: VecDeque<(BioId, AttemptOutcome)>,
-    /// Block I/Os to be withdrawn from the scheduler: nobody waits for them, or their location is looked up
-    /// again.
-    withdrawn: VecDeque<BioId>,
-    /// Block I/Os of copies that are not passed to the scheduler yet.
-    arrivals: VecDeque<BlockIoIndex>,
-    /// Reused for splitting commands.
-    sub_requests: Vec<SubRequest>,
-    /// The sequence number of the last block I/O.
-    last_sequence: u64,
-    /// Blocks of an extent of mapped volumes.
-    extent_blocks: u64,
-    /// Index of the I/O class of copies.
-    copy_class: usize,
-    /// Snapshots and clones by LUN, of a version of the tree.
-    units: BTreeMap<u32, ExportedUnit>,
-    units_version: Option<u64>,
-    /// Block I/Os whose location is not known yet, in the order in which they arrived.
-    waiting: Vec<BlockIoIndex>,
-    /// The catalog's revision at the last lookup of those, and when the next one is due.
-    lookup_revision: u64,
-    next_lookup: Tick,
-    copy_budget: CopyBudget,
-    copies: BTreeMap<LayerExtent, ExtentCopy>,
+    units: ExportedUnits,
+    commands: Commands,
+    block_ios: BlockIos,
+    /// Where the host has mapped volumes.
+    mapped: Option<MappedVolumes>,
+    queue: SchedulerQueue,
 }
 
 impl Dispatcher {
-    /// Nothing is in flight.
+    /// Nothing is in flight. `catalog`: the client of the snapshot catalog, where the host has mapped
+    /// volumes.
     pub(crate) fn new(
         config: &GatewayConfig,
         clients: Clients,
@@ -163,7 +72,7 @@
         catalog: Option<CatalogClient>,
     ) -> Self {
         let catalog_config = config.catalog.clone().unwrap_or_default();
-        let extent_blocks = catalog_config.extent_blocks;
+        let max_attempts = config.fleet.max_attempts;
         Dispatcher {
             now: 0,
             clients,
@@ -173,53 +82,19 @@
                 config.nodes.len(),
                 config.volumes.len(),
             ),
-            catalog,
-            timer_due: None,
-            endpoint_list_requested: false,
-            volumes: config
-                .volumes
-                .iter()
-                .map(|volume| Volume::new(config, volume, extent_blocks))
-                .collect(),
-            classes: config.io_classes.iter().map(IoClassConfig::new).collect(),
-            unit_bytes: config.fleet.unit_bytes,
-            max_transfer_bytes: config.host.max_transfer_bytes,
-            max_attempts: config.fleet.max_attempts,
-            shards: config.nodes.iter().map(|node| node.shard).collect(),
-            block_ios: Slab::default(),
-            commands: Slab::default(),
-            ordering_keys: Interner::default(),
-            attempt_counts: Vec::new(),
-            attempt_timeouts: BinaryHeap::new(),
-            outcomes: VecDeque::new(),
-            withdrawn: VecDeque::new(),
-            arrivals: VecDeque::new(),
-            sub_requests: Vec::new(),
-            last_sequence: 0,
-            extent_blocks,
-            copy_class: catalog_config.copy_class,
-            units: BTreeMap::new(),
-            units_version: None,
-            waiting: Vec::new(),
-            lookup_revision: 0,
-            next_lookup: 0,
-            copy_budget: CopyBudget::default(),
-            copies: BTreeMap::new(),
+            units: ExportedUnits::new(config),
+            commands: Commands::default(),
+            block_ios: BlockIos::new(config),
+            mapped: catalog
+                .map(|catalog| MappedVolumes::new(catalog, &catalog_config, max_attempts)),
+            queue: SchedulerQueue::default(),
         }
     }
 
     /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan
     /// has changed.
     pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
-        let mut changed = Vec::new();
-        for (index, (volume, plan)) in self.volumes.iter_mut().zip(plans).enumerate() {
-            let plan = *plan as u16;
-            if volume.plan != plan {
-                volume.plan = plan;
-                changed.push((VolumeId(index as u32), plan));
-            }
-        }
-        changed
+        self.units.apply_plans(plans)
     }
 
     /// Block I/Os in flight.
@@ -227,6 +102,46 @@
         self.block_ios.len()
     }
 
+    /// When the dispatcher has something to do without any event, at the earliest: the scheduler's timer, a
+    /// timeout of an attempt, or a lookup.
+    pub(crate) fn next_due(&self) -> Option<Tick> {
+        let lookup = self.mapped.as_ref().and_then(MappedVolumes::next_lookup);
+        let timers = [
+            self.queue.timer_due(),
+            self.block_ios.next_timeout(),
+            lookup,
+        ];
+        timers.into_iter().flatten().min()
+    }
+
+    /// The snapshot catalog's socket is ready. True: there is more to read, in another turn.
+    pub(crate) fn read_catalog(&mut self, readable: bool, buffer: &mut [u8]) -> bool {
+        let now = self.now;
+        self.mapped
+            .as_mut()
+            .is_some_and(|mapped| mapped.read_catalog(readable, buffer, now))
+    }
+
+    /// Connects to the snapshot catalog and renews the lease where that is due, and writes what is queued.
+    pub(crate) fn maintain_catalog(&mut self) {
+        if let Some(mapped) = &mut self.mapped {
+            mapped.on_timer(self.now);
+        }
+    }
+
+    /// Whether the scheduler has requested the endpoint list since the last call.
+    pub(crate) fn take_endpoint_list_request(&mut self) -> bool {
+        self.queue.take_endpoint_list_request()
+    }
+
+    /// The endpoint list names these nodes.
+    pub(crate) fn on_endpoints(&mut self, nodes: &[NodeEndpoint]) {
+        for listed in nodes {
+            let removed = listed.state == NodeState::Removed;
+            self.nodes.set_removed(listed.node.0 as NodeIndex, removed);
+        }
+    }
+
     /// An event of a client's session.
     pub(crate) fn on_client_event(
         &mut self,
@@ -243,7 +158,7 @@
                 read_len,
                 data,
             } => {
-                let request = commands::ClientRequest {
+                let request = ClientRequest {
                     client,
                     task,
                     lun,
@@ -266,9 +181,8 @@
     /// once, would mistake an earlier or later call for the one that it has set, and would wait in vain for
     /// the next.
     pub(crate) fn on_timer(&mut self, scheduler: &mut Scheduler) {
-        if self.timer_due.is_some_and(|time| time <= self.now) {
-            self.timer_due = None;
-            let now = self.now;
+        let now = self.now;
+        if self.queue.take_due_timer(now) {
             scheduler.on_timer(self, now);
             self.process_pending(scheduler);
         }
@@ -276,32 +190,41 @@
 
     /// Passes outcomes, withdrawals and arrivals to the scheduler until none is left.
     pub(crate) fn process_pending(&mut self, scheduler: &mut Scheduler) {
-        let now = self.now;
         loop {
-            while let Some(commands) = self.clients.next_abandoned() {
-                for abandoned in commands {
-                    self.abandon_command(abandoned.command);
-                }
-            }
+            self.abandon_commands_of_closed_connections();
             if let Some(finished) = self.nodes.next_finished() {
                 self.on_finished_attempt(finished);
             }
-            // Withdrawals go first: what is withdrawn behind a write that was rejected must not be sent when
-            // that one frees its place in the window.
-            if let Some(id) = self.withdrawn.pop_front() {
+            match self.queue.next() {
+                Some(event) => self.pass_event(scheduler, event),
+                None if self.nodes.has_finished()
+                    || self.clients.has_abandoned()
+                    || self.retry_lookups(scheduler) => {}
+                None => return,
+            }
+        }
+    }
+
+    fn abandon_commands_of_closed_connections(&mut self) {
+        while let Some(commands) = self.clients.next_abandoned() {
+            for abandoned in commands {
+                self.abandon_command(abandoned.command);
+            }
+        }
+    }
+
+    fn pass_event(&mut self, scheduler: &mut Scheduler, event: SchedulerEvent) {
+        let now = self.now;
+        match event {
+            SchedulerEvent::Withdrawn(id) => {
                 if self.block_ios.get(id.0).is_some() {
                     scheduler.on_disconnect(self, now, id);
                 }
-            } else if let Some((id, outcome)) = self.outcomes.pop_front() {
+            }
+            SchedulerEvent::AttemptFinished(id, outcome) => {
                 scheduler.on_attempt_finished(self, now, id, &outcome);
-            } else if let Some(index) = self.arrivals.pop_front() {
-                self.pass_to_scheduler(scheduler, index);
-            } else if !self.nodes.has_finished()
-                && !self.clients.has_abandoned()
-                && !self.retry_lookups(scheduler)
-            {
-                return;
             }
+            SchedulerEvent::Arrived(index) => self.pass_to_scheduler(scheduler, index),
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/dispatcher/answers.rs
@@ -0,0 +1,67 @@
+//! Answers to commands of clients, as SCSI status and sense.
+use super::commands::Issuer;
+use crate::client_connections::Clients;
+use mallowseam_connection_policy::command_progress::RequestOutcome;
+use mallowseam_iscsi::scsi::{Sense, status};
+use mallowseam_scheduler::interface::Tick;
+
+/// Ticks in the unit of the retry delay in an answer: a tenth of a second (RFC 7144).
+const RETRY_DELAY_UNIT: Tick = 1_000;
+/// The longest retry delay that an answer can hold.
+const MAX_RETRY_DELAY: Tick = 0x3fef;
+/// The retry delay of an answer that names none.
+const NO_RETRY_DELAY: u16 = 0;
+
+/// An answer to a command.
+pub(super) enum Answer<'a> {
+    /// GOOD, with what was read.
+    Good(&'a [u8]),
+    /// CHECK CONDITION.
+    CheckCondition(Sense),
+    /// TASK SET FULL: the command was never admitted, so a retry is harmless.
+    TaskSetFull,
+    /// BUSY: the command was shed. The client may retry after so many ticks.
+    Busy { retry_after: Tick },
+}
+
+impl<'a> Answer<'a> {
+    /// The answer to a command that had this outcome. `data`: what it has read.
+    pub(super) fn of_outcome(outcome: RequestOutcome, data: &'a [u8]) -> Self {
+        match outcome {
+            RequestOutcome::Completed => Answer::Good(data),
+            RequestOutcome::Shed { retry_after } => Answer::Busy { retry_after },
+            RequestOutcome::Failed => Answer::CheckCondition(Sense::COMMUNICATION_TIMEOUT),
+        }
+    }
+}
+
+/// Queues an answer to a command; the next flush writes it.
+pub(super) fn send(clients: &mut Clients, issuer: Issuer, answer: Answer) {
+    let Some(session) = clients.session_mut(issuer.client) else {
+        return;
+    };
+    let task = issuer.task;
+    match answer {
+        Answer::Good(data) => session.complete(task, data),
+        Answer::CheckCondition(sense) => {
+            session.complete_with_status(
+                task,
+                status::CHECK_CONDITION,
+                Some(sense),
+                NO_RETRY_DELAY,
+            );
+        }
+        Answer::TaskSetFull => {
+            session.complete_with_status(task, status::TASK_SET_FULL, None, NO_RETRY_DELAY);
+        }
+        Answer::Busy { retry_after } => {
+            session.complete_with_status(task, status::BUSY, None, retry_delay(retry_after));
+        }
+    }
+}
+
+/// A span in the unit of answers, rounded up.
+fn retry_delay(span: Tick) -> u16 {
+    let delay = (span + RETRY_DELAY_UNIT - 1) / RETRY_DELAY_UNIT;
+    delay.clamp(0, MAX_RETRY_DELAY) as u16
+}
--- /dev/null
+++ b/crates/gateway/src/dispatcher/client_commands.rs
@@ -0,0 +1,259 @@
+//! Commands of clients, from their arrival to their answer.
+use super::Dispatcher;
+use super::answers::{self, Answer};
+use super::block_io::BlockIoIndex;
+use super::commands::{CommandAnswer, CommandIndex, Issuer, NewCommand};
+use super::exported_units::ExportedUnit;
+use super::local_commands;
+use super::transfer::Transfer;
+use crate::client_connections::{ClientId, InFlightCommand};
+use crate::clock::ticks_to_millis;
+use mallowseam_connection_policy::command_progress::RequestOutcome;
+use mallowseam_iscsi::scsi::{self, Sense};
+use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::BioId;
+
+/// A command as it comes from a client.
+pub(super) struct ClientRequest {
+    pub(super) client: ClientId,
+    /// The initiator task tag.
+    pub(super) task: u32,
+    /// None: the LUN cannot be parsed.
+    pub(super) lun: Option<u32>,
+    pub(super) cdb: [u8; 16],
+    /// Expected data-in length (RFC 7143, 11.3.4): bytes that the client takes at most.
+    pub(super) read_len: usize,
+    /// Bytes that it writes.
+    pub(super) data: Vec<u8>,
+}
+
+impl ClientRequest {
+    fn issuer(&self) -> Issuer {
+        Issuer {
+            client: self.client,
+            task: self.task,
+        }
+    }
+
+    /// Whether the client has sent, or takes, as many bytes as it transfers.
+    fn fits(&self, write: bool, bytes: u64) -> bool {
+        if write {
+            self.data.len() as u64 == bytes
+        } else {
+            self.read_len as u64 >= bytes
+        }
+    }
+}
+
+impl Dispatcher {
+    /// Answers a command, or splits it and passes its parts to the scheduler.
+    pub(super) fn on_command(&mut self, scheduler: &mut Scheduler, request: ClientRequest) {
+        let issuer = request.issuer();
+        let parsed = scsi::parse_cdb(&request.cdb);
+        let unit = request.lun.and_then(|lun| self.find_unit(lun));
+        if let Some(transfer) = parsed.as_ref().ok().and_then(Transfer::of_command) {
+            match self.admit_transfer(request, unit, &transfer) {
+                Ok(command) => self.start_command(scheduler, command),
+                Err(answer) => answers::send(&mut self.clients, issuer, answer),
+            }
+            return;
+        }
+        let volume = unit.map(|unit| unit.volume);
+        let tree = self.mapped.as_ref().and_then(|mapped| mapped.tree());
+        let answer = parsed
+            .and_then(|command| local_commands::answer(&mut self.units, tree, volume, command));
+        let answer = match &answer {
+            Ok(data) => Answer::Good(data),
+            Err(sense) => Answer::CheckCondition(*sense),
+        };
+        answers::send(&mut self.clients, issuer, answer);
+    }
+
+    fn find_unit(&mut self, lun: u32) -> Option<ExportedUnit> {
+        let tree = self.mapped.as_ref().and_then(|mapped| mapped.tree());
+        self.units.find(lun, tree)
+    }
+
+    /// Admits a read or write as a command in flight. Error: the answer, where that is decided at once.
+    fn admit_transfer(
+        &mut self,
+        request: ClientRequest,
+        unit: Option<ExportedUnit>,
+        transfer: &Transfer,
+    ) -> Result<CommandIndex, Answer<'static>> {
+        let unit = unit.ok_or(Answer::CheckCondition(Sense::LOGICAL_UNIT_NOT_SUPPORTED))?;
+        self.units
+            .check_transfer(&unit, transfer)
+            .map_err(Answer::CheckCondition)?;
+        let volume = self.units.volume(unit.volume);
+        let block_size = volume.block_size();
+        if !request.fits(transfer.write, volume.bytes(transfer.blocks)) {
+            return Err(Answer::CheckCondition(Sense::INVALID_FIELD_IN_CDB));
+        }
+        if transfer.blocks == 0 {
+            return Err(Answer::Good(&[]));
+        }
+        let parts = self
+            .units
+            .split(&unit, transfer)
+            .map_err(Answer::CheckCondition)?;
+        let now = self.now;
+        let admission = &self.clients.admission;
+        if !admission.admits_commands(ticks_to_millis(now))
+            || !self.block_ios.has_capacity_for(parts.len())
+        {
+            return Err(Answer::TaskSetFull);
+        }
+        self.metrics.commands.admitted += 1;
+        let issuer = request.issuer();
+        let command = self.commands.insert(NewCommand {
+            issuer,
+            transfer: *transfer,
+            block_size,
+            data: request.data,
+            parts: parts.len() as u32,
+        });
+        let ClientRequest { client, task, .. } = request;
+        self.clients
+            .add_command(client, InFlightCommand { task, command });
+        let first = self
+            .block_ios
+            .insert_parts(command, &unit, transfer.write, parts, now);
+        self.commands.set_first_part(command, first);
+        Ok(command)
+    }
+
+    /// Looks up the parts of a new command, or passes them to the scheduler.
+    fn start_command(&mut self, scheduler: &mut Scheduler, command: CommandIndex) {
+        let mut next = self.commands.first_part(command);
+        while let Some(index) = next {
+            let Some(part) = self.block_ios.part(index, command) else {
+                return;
+            };
+            next = part.next();
+            let is_mapped = part.branch().is_some();
+            self.block_ios.assign_sequence(index);
+            if self.commands.is_answered(command) {
+                // An earlier part has decided the answer: this one is not passed to the scheduler.
+                self.release(index);
+            } else if is_mapped {
+                self.look_up(scheduler, index);
+            } else {
+                self.pass_to_scheduler(scheduler, index);
+            }
+        }
+    }
+
+    /// Passes a block I/O to the scheduler.
+    pub(super) fn pass_to_scheduler(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) {
+        let Some(io) = self.block_ios.get(index) else {
+            return;
+        };
+        let is_requested_by_client = io.command().is_some();
+        let volume_index = io.volume();
+        let volume = self.units.volume(volume_index);
+        let Some(bio) = self.block_ios.schedule(index, volume) else {
+            return;
+        };
+        self.metrics.block_io_admitted(bio.class.into());
+        if is_requested_by_client {
+            self.metrics.units_requested(volume_index, bio.units);
+        }
+        let now = self.now;
+        scheduler.on_arrival(self, now, bio);
+    }
+
+    /// The client of a command does not wait for its answer any more.
+    pub(super) fn abandon_command(&mut self, command: CommandIndex) {
+        if self.commands.abandon(command) {
+            self.metrics.commands.abandoned += 1;
+            self.withdraw_parts(command);
+        }
+    }
+
+    /// The parts of a command that is answered are of no more use.
+    fn withdraw_parts(&mut self, command: CommandIndex) {
+        let mut next = self.commands.first_part(command);
+        while let Some(index) = next {
+            let Some(part) = self.block_ios.part_mut(index, command) else {
+                return;
+            };
+            next = part.next();
+            if !part.mark_answered() {
+                continue;
+            }
+            if part.is_scheduled() {
+                self.queue.withdraw(index);
+            }
+            // One that waits for its location is released by the next lookup.
+            if let Some(mapped) = &mut self.mapped {
+                mapped.look_up_soon(self.now);
+            }
+        }
+    }
+
+    /// A block I/O has completed.
+    pub(super) fn on_completed(&mut self, index: BlockIoIndex, data: Vec<u8>) {
+        let Some(io) = self.block_ios.get(index) else {
+            return;
+        };
+        let latency = self.now - io.arrived();
+        let objective = self.block_ios.class(io).latency_objective();
+        self.metrics
+            .block_io_completed(io.class(), latency, objective);
+        let location = io.location();
+        if let Some(extent) = io.copied_extent() {
+            self.on_copy_step_completed(extent, location, data);
+            return;
+        }
+        let units = self.block_ios.units(io, self.units.volume(io.volume()));
+        self.metrics.units_completed(io.volume(), units);
+        let Some(command) = io.command() else { return };
+        let part = *io.request();
+        let answer = self.commands.part_completed(command, &part, location, data);
+        self.send_answer(command, answer);
+    }
+
+    /// Sends the answer to a command, if that is decided now.
+    fn send_answer(&mut self, command: CommandIndex, answer: Option<CommandAnswer>) {
+        let Some(answer) = answer else { return };
+        self.metrics.commands.count(answer.outcome);
+        if let Some(issuer) = answer.issuer {
+            self.clients.remove_command(issuer.client, issuer.task);
+            let answer = Answer::of_outcome(answer.outcome, &answer.data);
+            answers::send(&mut self.clients, issuer, answer);
+        }
+        if answer.outcome != RequestOutcome::Completed {
+            self.withdraw_parts(command);
+        }
+    }
+
+    /// Answers the client of a block I/O that is shed or has failed.
+    pub(super) fn answer_not_completed(&mut self, id: BioId, outcome: RequestOutcome) {
+        let Some(io) = self.block_ios.get_mut(id.0).filter(|io| !io.is_answered()) else {
+            return;
+        };
+        self.metrics.block_io_not_completed(io.class(), outcome);
+        // A step of a copy has no client: its copy is given up when the step is released.
+        let Some(command) = io.command() else { return };
+        io.mark_answered();
+        let answer = self.commands.part_finished(command, outcome, Vec::new());
+        self.send_answer(command, answer);
+    }
+
+    /// Releases a block I/O, and its command with the last one.
+    pub(super) fn release(&mut self, index: BlockIoIndex) {
+        let Some(io) = self.block_ios.remove(index) else {
+            return;
+        };
+        if let Some(extent) = io.copied_extent()
+            && let Some(mapped) = &mut self.mapped
+            && !io.is_answered()
+        {
+            mapped.on_copy_step_given_up(extent, ticks_to_millis(self.now));
+        }
+        if let Some(command) = io.command() {
+            self.commands.release_part(command);
+        }
+    }
+}
--- a/crates/gateway/src/dispatcher/exported_units.rs
+++ b/crates/gateway/src/dispatcher/exported_units.rs
@@ -1,106 +1,186 @@
 //! The units that clients see: volumes of the configuration, and their snapshots and clones.
-use super::{Dispatcher, Volume};
+use super::transfer::Transfer;
+use super::volumes::{Volume, VolumeIndex};
+use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::tree::Tree;
+use mallowseam_iscsi::scsi::{LogicalUnit, Sense};
+use mallowseam_scheduler::interface::VolumeId;
+use mallowseam_settings::GatewayConfig;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// Separates the branch from the snapshot's own name in the name of a snapshot.
+const SNAPSHOT_SEPARATOR: char = '@';
+
 /// A logical unit.
 #[derive(Clone)]
 pub(super) struct ExportedUnit {
-    /// Index of the volume that it is, or that it is a snapshot or clone of.
-    pub(super) volume: usize,
+    /// The volume that it is, or that it is a snapshot or clone of.
+    pub(super) volume: VolumeIndex,
     pub(super) lun: u32,
     /// The branch or snapshot that it shows, where the catalog knows its locations.
     pub(super) branch: Option<Rc<str>>,
     pub(super) writable: bool,
 }
 
-impl Dispatcher {
+/// All logical units of the host.
+pub(super) struct ExportedUnits {
+    volumes: Vec<Volume>,
+    /// Snapshots and clones by LUN.
+    snapshots_and_clones: BTreeMap<u32, ExportedUnit>,
+    /// The version of the tree that these were taken from; none: there was no tree so far.
+    tree_version: Option<u64>,
+    max_transfer_bytes: u64,
+    /// Reused for splitting transfers.
+    sub_requests: Vec<SubRequest>,
+}
+
+impl ExportedUnits {
+    /// The volumes of a configuration, without snapshots and clones.
+    pub(super) fn new(config: &GatewayConfig) -> Self {
+        let catalog = config.catalog.clone().unwrap_or_default();
+        let volumes = config
+            .volumes
+            .iter()
+            .map(|volume| Volume::new(config, volume, catalog.extent_blocks));
+        ExportedUnits {
+            volumes: volumes.collect(),
+            snapshots_and_clones: BTreeMap::new(),
+            tree_version: None,
+            max_transfer_bytes: config.host.max_transfer_bytes,
+            sub_requests: Vec::new(),
+        }
+    }
+
+    /// The volume with an index of the configuration.
+    pub(super) fn volume(&self, index: VolumeIndex) -> &Volume {
+        &self.volumes[index]
+    }
+
+    /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan
+    /// has changed.
+    pub(super) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
+        let mut changed = Vec::new();
+        for (index, (volume, plan)) in self.volumes.iter_mut().zip(plans).enumerate() {
+            let plan = *plan as u16;
+            if volume.change_plan(plan) {
+                changed.push((VolumeId(index as u32), plan));
+            }
+        }
+        changed
+    }
+
     /// The unit of a LUN.
-    pub(super) fn find_unit(&mut self, lun: u32) -> Option<ExportedUnit> {
-        if let Some(volume) = self.volumes.iter().position(|volume| volume.lun == lun) {
-            let branch = self.volumes[volume].branch.clone();
+    pub(super) fn find(&mut self, lun: u32, tree: Option<&Tree>) -> Option<ExportedUnit> {
+        let volumes = self.volumes.iter().enumerate();
+        if let Some((index, volume)) = volumes.into_iter().find(|(_, volume)| volume.lun() == lun) {
             return Some(ExportedUnit {
-                volume,
+                volume: index,
                 lun,
-                branch,
+                branch: volume.branch().cloned(),
                 writable: true,
             });
         }
-        self.update_units();
-        self.units.get(&lun).cloned()
+        self.update(tree);
+        self.snapshots_and_clones.get(&lun).cloned()
+    }
+
+    /// The LUNs of all units.
+    pub(super) fn luns(&mut self, tree: Option<&Tree>) -> impl Iterator<Item = u32> {
+        self.update(tree);
+        let volumes = self.volumes.iter().map(Volume::lun);
+        volumes.chain(self.snapshots_and_clones.keys().copied())
+    }
+
+    /// A volume as a client's initiator sees it.
+    pub(super) fn logical_unit(&self, volume: VolumeIndex) -> LogicalUnit<'_> {
+        self.volumes[volume].logical_unit(self.max_transfer_bytes)
+    }
+
+    /// Whether a transfer is within the unit and the host's limits. Error: the sense to answer with.
+    pub(super) fn check_transfer(
+        &self,
+        unit: &ExportedUnit,
+        transfer: &Transfer,
+    ) -> Result<(), Sense> {
+        let volume = &self.volumes[unit.volume];
+        if transfer.write && !unit.writable {
+            return Err(Sense::WRITE_PROTECTED);
+        }
+        if !volume.contains(transfer.lba, transfer.blocks) {
+            return Err(Sense::LBA_OUT_OF_RANGE);
+        }
+        if volume.bytes(transfer.blocks) > self.max_transfer_bytes {
+            return Err(Sense::INVALID_FIELD_IN_CDB);
+        }
+        Ok(())
+    }
+
+    /// Splits a transfer into block I/Os. Error: the sense to answer with.
+    pub(super) fn split(
+        &mut self,
+        unit: &ExportedUnit,
+        transfer: &Transfer,
+    ) -> Result<&[SubRequest], Sense> {
+        let Transfer {
+            write, lba, blocks, ..
+        } = *transfer;
+        self.volumes[unit.volume]
+            .split(write, lba, blocks, &mut self.sub_requests)
+            .map_err(|_| Sense::LBA_OUT_OF_RANGE)?;
+        Ok(&self.sub_requests)
     }
 
     /// Takes snapshots and clones from the tree, if that has changed.
-    pub(super) fn update_units(&mut self) {
-        let Some(tree) = self
-            .catalog
-            .as_ref()
-            .and_then(|catalog| catalog.replica.tree())
-        else {
-            return;
-        };
-        if self.units_version != Some(tree.version) {
-            self.units_version = Some(tree.version);
-            self.units = snapshots_and_clones(&self.volumes, tree);
+    fn update(&mut self, tree: Option<&Tree>) {
+        let Some(tree) = tree else { return };
+        if self.tree_version != Some(tree.version) {
+            self.tree_version = Some(tree.version);
+            self.snapshots_and_clones = snapshots_and_clones(&self.volumes, tree);
         }
     }
 }
 
 fn snapshots_and_clones(volumes: &[Volume], tree: &Tree) -> BTreeMap<u32, ExportedUnit> {
-    let mut units = BTreeMap::new();
-    for (name, snapshot) in &tree.snapshots {
-        if let Some(volume) = volume_of(volumes, tree, &snapshot.branch) {
-            let (lun, branch) = (snapshot.lun, Some(name.as_str().into()));
-            units.insert(
-                lun,
-                ExportedUnit {
-                    volume,
-                    lun,
-                    branch,
-                    writable: false,
-                },
-            );
-        }
-    }
-    for (name, branch) in tree
+    let snapshots = tree.snapshots.iter().filter_map(|(name, snapshot)| {
+        Some(ExportedUnit {
+            volume: volume_of(volumes, tree, &snapshot.branch)?,
+            lun: snapshot.lun,
+            branch: Some(name.as_str().into()),
+            writable: false,
+        })
+    });
+    let clones = tree
         .branches
         .iter()
         .filter(|(_, branch)| branch.origin.is_some())
-    {
-        if let Some(volume) = volume_of(volumes, tree, name) {
-            let (lun, branch) = (branch.lun, Some(name.as_str().into()));
-            units.insert(
-                lun,
-                ExportedUnit {
-                    volume,
-                    lun,
-                    branch,
-                    writable: true,
-                },
-            );
-        }
-    }
-    units
+        .filter_map(|(name, branch)| {
+            Some(ExportedUnit {
+                volume: volume_of(volumes, tree, name)?,
+                lun: branch.lun,
+                branch: Some(name.as_str().into()),
+                writable: true,
+            })
+        });
+    snapshots
+        .chain(clones)
+        .map(|unit| (unit.lun, unit))
+        .collect()
 }
 
 /// The volume that a branch descends from, directly or through clones of clones.
-fn volume_of(volumes: &[Volume], tree: &Tree, branch: &str) -> Option<usize> {
+fn volume_of(volumes: &[Volume], tree: &Tree, branch: &str) -> Option<VolumeIndex> {
     let mut name = branch;
+    // Each step leads to another branch, so there are at most as many steps as branches.
     for _ in 0..=tree.branches.len() {
-        if let Some(volume) = volumes
+        let volume = volumes
             .iter()
-            .position(|volume| volume.branch.as_deref() == Some(name))
-        {
-            return Some(volume);
+            .position(|volume| volume.branch().map(|branch| &**branch) == Some(name));
+        if volume.is_some() {
+            return volume;
         }
-        name = tree
-            .branches
-            .get(name)?
-            .origin
-            .as_deref()?
-            .split('@')
-            .next()?;
+        let snapshot = tree.branches.get(name)?.origin.as_deref()?;
+        name = snapshot.split(SNAPSHOT_SEPARATOR).next()?;
     }
     None
 }
--- a/crates/gateway/src/dispatcher/extent_copies.rs
+++ b/crates/gateway/src/dispatcher/extent_copies.rs
@@ -1,40 +1,70 @@
 //! Copy-on-write: an extent is copied to a new location before its first write in a layer.
-use super::block_io::BlockIo;
-use super::{BlockIoIndex, Dispatcher};
-use crate::clock::ticks_to_millis;
+use super::block_io::LayerLocation;
+use super::volumes::VolumeIndex;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::Millis;
-use mallowseam_cow::copy_budget::FAILURE_MEMORY;
-use mallowseam_cow::messages::ToCatalog;
-use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
+use mallowseam_cow::copy_budget::{CopyBudget, FAILURE_MEMORY, RETRY_DELAY};
+use mallowseam_cow::tree::{LayerExtent, Location, Tree};
 use mallowseam_cow::tree_replica::RESEND_AFTER;
 use mallowseam_iscsi::initiator::Payload;
+use mallowseam_settings::config;
+use std::collections::BTreeMap;
+
+/// What is to be copied.
+#[derive(Clone, Copy)]
+pub(super) struct CopySource {
+    pub(super) volume: VolumeIndex,
+    /// Bytes of a block of the volume.
+    pub(super) block_size: u32,
+    /// Where the extent is copied from; none: it was never written, and reads as zeros.
+    pub(super) from: Option<LayerLocation>,
+}
+
+/// A block I/O of a copy.
+pub(super) struct CopyStep {
+    pub(super) extent: LayerExtent,
+    pub(super) volume: VolumeIndex,
+    pub(super) write: bool,
+    /// Where it reads. A write gets a location with each of its attempts.
+    pub(super) read_from: Option<LayerLocation>,
+    pub(super) request: SubRequest,
+}
+
+/// What follows when a step has completed.
+pub(super) enum AfterStep {
+    /// What was read is written next.
+    Start(CopyStep),
+    /// The location of the copy is proposed to the catalog.
+    Propose(Location),
+    Nothing,
+}
+
+/// What an attempt to write a copy sends.
+pub(super) struct CopyWrite {
+    /// Where it goes: each attempt has a location of its own, as one that lands late must land where nobody
+    /// reads.
+    pub(super) slot: u32,
+    pub(super) data: Payload,
+}
 
 /// An extent on its way to a new location.
-pub(super) struct ExtentCopy {
-    /// Index of the volume.
-    volume: usize,
-    /// Where it is copied from; none: it was never written, and reads as zeros.
-    from: Option<(LayerId, Location)>,
+struct ExtentCopy {
+    source: CopySource,
     /// What has been read.
-    pub(super) data: Payload,
+    data: Payload,
     /// Slots for the attempts to write it, one each.
-    pub(super) slots: Vec<u32>,
-    pub(super) state: CopyState,
+    slots: Vec<u32>,
+    state: CopyState,
 }
 
 impl ExtentCopy {
-    pub(super) fn is_writing(&self) -> bool {
-        self.state == CopyState::Writing
-    }
-
     fn has_failed(&self) -> bool {
         matches!(self.state, CopyState::Failed { .. })
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum CopyState {
+enum CopyState {
     Reading,
     Writing,
     /// Proposed to the catalog, last at that time.
@@ -48,144 +78,150 @@
     },
 }
 
-impl Dispatcher {
-    /// Whether a step of a copy writes.
-    pub(super) fn writes_copy(&self, io: &BlockIo) -> bool {
-        io.copy
-            .and_then(|extent| self.copies.get(&extent))
-            .is_some_and(ExtentCopy::is_writing)
+/// All copies in progress, and those that failed a short time ago.
+pub(super) struct ExtentCopies {
+    copies: BTreeMap<LayerExtent, ExtentCopy>,
+    budget: CopyBudget,
+    /// Index of the I/O class of copies.
+    class: u16,
+    /// Blocks of an extent.
+    extent_blocks: u64,
+    /// Attempts that a write may have, each with a slot.
+    max_attempts: usize,
+}
+
+impl ExtentCopies {
+    /// No copies.
+    pub(super) fn new(catalog: &config::Catalog, max_attempts: u32) -> Self {
+        ExtentCopies {
+            copies: BTreeMap::new(),
+            budget: CopyBudget::default(),
+            class: catalog.copy_class as u16,
+            extent_blocks: catalog.extent_blocks,
+            max_attempts: max_attempts as usize,
+        }
     }
 
-    /// Starts to copy an extent into a layer, unless a copy is in progress or the budget is used up.
-    pub(super) fn start_copy(
-        &mut self,
-        extent: LayerExtent,
-        volume: usize,
-        from: Option<(LayerId, Location)>,
-    ) {
-        let now = ticks_to_millis(self.now);
-        let Some(catalog) = &mut self.catalog else {
-            return;
-        };
+    /// Slots that a copy needs.
+    pub(super) fn slots_needed(&self) -> usize {
+        self.max_attempts
+    }
+
+    /// Whether a copy of an extent may start: none is in progress, and the budget admits it. The budget then
+    /// counts it.
+    pub(super) fn admits(&mut self, extent: LayerExtent, now: Millis) -> bool {
         let is_retry = match self.copies.get(&extent).map(|copy| copy.state) {
             None => false,
             Some(CopyState::Failed { retry_at }) if now >= retry_at => true,
-            Some(_) => return,
+            Some(_) => return false,
         };
-        let in_flight = self
-            .copies
-            .values()
-            .filter(|copy| !copy.has_failed())
-            .count();
-        if !self.copy_budget.may_start(in_flight, is_retry, now) {
-            return;
-        }
-        let wanted = self.max_attempts as usize;
-        let slots: Vec<u32> = std::iter::from_fn(|| catalog.replica.take_slot(extent.0))
-            .take(wanted)
-            .collect();
-        if slots.len() < wanted {
-            // These slots are lost, which costs nothing; more were requested.
+        let copies = self.copies.values();
+        let in_flight = copies.filter(|copy| !copy.has_failed()).count();
+        self.budget.may_start(in_flight, is_retry, now)
+    }
+
+    /// Starts a copy that was admitted. None: there are too few slots. They are lost, which costs nothing,
+    /// and more were requested.
+    pub(super) fn start(
+        &mut self,
+        extent: LayerExtent,
+        source: CopySource,
+        slots: Vec<u32>,
+    ) -> Option<CopyStep> {
+        if slots.len() < self.max_attempts {
             self.copies.remove(&extent);
-            return;
+            return None;
         }
-        let (state, data) = match from {
+        let (state, data) = match source.from {
             Some(_) => (CopyState::Reading, Vec::new()),
             // One block is enough to have the node know the location: the others read as zeros anyway.
-            None => (
-                CopyState::Writing,
-                vec![0; self.volumes[volume].block_size as usize],
-            ),
+            None => (CopyState::Writing, vec![0; source.block_size as usize]),
         };
-        self.copies.insert(
-            extent,
-            ExtentCopy {
-                volume,
-                from,
-                data: data.into(),
-                slots,
-                state,
-            },
-        );
-        self.start_copy_step(extent);
+        let copy = ExtentCopy {
+            source,
+            data: data.into(),
+            slots,
+            state,
+        };
+        let step = self.step(extent, &copy);
+        self.copies.insert(extent, copy);
+        Some(step)
     }
 
-    /// Queues the block I/O of a copy's present state.
-    fn start_copy_step(&mut self, extent: LayerExtent) {
-        let copy = &self.copies[&extent];
-        let request = SubRequest {
-            offset: 0,
-            blocks: if copy.from.is_some() {
-                self.extent_blocks as u32
-            } else {
-                1
-            },
-            shard: extent.1,
-            node_lba: 0,
-            class: self.copy_class as u16,
-            ordering_key: None,
-        };
-        self.last_sequence += 1;
-        let io = BlockIo {
-            sequence: self.last_sequence,
-            location: if copy.state == CopyState::Reading {
-                copy.from
-            } else {
-                None
+    /// The block I/O of a copy's present state.
+    fn step(&self, (layer, extent): LayerExtent, copy: &ExtentCopy) -> CopyStep {
+        let from = copy.source.from;
+        let write = copy.state == CopyState::Writing;
+        CopyStep {
+            extent: (layer, extent),
+            volume: copy.source.volume,
+            write,
+            read_from: from.filter(|_| !write),
+            request: SubRequest {
+                offset: 0,
+                blocks: from.map_or(1, |_| self.extent_blocks as u32),
+                shard: extent,
+                node_lba: 0,
+                class: self.class,
+                ordering_key: None,
             },
-            copy: Some(extent),
-            ..BlockIo::new(copy.volume, request, self.now)
-        };
-        let index = self.block_ios.insert(io);
-        self.arrivals.push_back(index);
+        }
     }
 
-    /// A step of a copy has completed.
-    pub(super) fn on_copy_step_completed(&mut self, index: BlockIoIndex, data: Vec<u8>) {
-        let io = self.block_ios.get(index).expect("in flight");
-        let (Some(extent), location) = (io.copy, io.location) else {
-            return;
-        };
+    /// What the next attempt to write a copy sends; none: there is no such write.
+    pub(super) fn next_write(&mut self, extent: LayerExtent) -> Option<CopyWrite> {
+        let copy = self.copies.get_mut(&extent)?;
+        let slot = copy.slots.pop()?;
+        Some(CopyWrite {
+            slot,
+            data: copy.data.clone(),
+        })
+    }
+
+    /// A step has completed. `location`: where it read or wrote.
+    pub(super) fn step_completed(
+        &mut self,
+        extent: LayerExtent,
+        location: Option<LayerLocation>,
+        data: Vec<u8>,
+        now: Millis,
+    ) -> AfterStep {
         let Some(copy) = self.copies.get_mut(&extent) else {
-            return;
+            return AfterStep::Nothing;
         };
         match (copy.state, location) {
             (CopyState::Reading, _) => {
                 copy.data = data.into();
                 copy.state = CopyState::Writing;
-                self.start_copy_step(extent);
+                let copy = &self.copies[&extent];
+                AfterStep::Start(self.step(extent, copy))
             }
-            (CopyState::Writing, Some((_, location))) => {
-                let sent_at = ticks_to_millis(self.now);
-                copy.state = CopyState::Proposed { location, sent_at };
-                self.copy_budget.record_success();
-                self.propose_location(extent, location);
+            (CopyState::Writing, Some(LayerLocation { location, .. })) => {
+                copy.state = CopyState::Proposed {
+                    location,
+                    sent_at: now,
+                };
+                self.budget.record_success();
+                AfterStep::Propose(location)
             }
-            _ => {}
+            _ => AfterStep::Nothing,
         }
     }
 
-    fn propose_location(&mut self, (layer, extent): LayerExtent, location: Location) {
-        if let Some(catalog) = &mut self.catalog {
-            catalog.send(&ToCatalog::ProposeLocation {
-                layer,
-                extent,
-                location,
-            });
+    /// A step was given up: the copy has failed.
+    pub(super) fn step_given_up(&mut self, extent: LayerExtent, now: Millis) {
+        if let Some(copy) = self.copies.get_mut(&extent)
+            && matches!(copy.state, CopyState::Reading | CopyState::Writing)
+        {
+            copy.state = CopyState::Failed {
+                retry_at: now + RETRY_DELAY,
+            };
         }
     }
 
-    /// Forgets copies that the tree has settled, and proposes locations again that the catalog has not
-    /// answered.
-    pub(super) fn update_copies(&mut self) {
-        let now = ticks_to_millis(self.now);
-        let Some(tree) = self
-            .catalog
-            .as_ref()
-            .and_then(|catalog| catalog.replica.tree())
-        else {
-            return;
-        };
+    /// Forgets copies that the tree has settled. Returns the locations that are to be proposed again, as the
+    /// catalog has not answered.
+    pub(super) fn update(&mut self, tree: &Tree, now: Millis) -> Vec<(LayerExtent, Location)> {
         let is_settled = |(layer, extent): &LayerExtent| {
             tree.layers
                 .get(layer)
@@ -206,8 +242,6 @@
             }
             CopyState::Reading | CopyState::Writing => true,
         });
-        for (extent, location) in unanswered {
-            self.propose_location(extent, location);
-        }
+        unanswered
     }
 }
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -1,166 +1,231 @@
 //! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree,
 //! and waited for where it is not known.
-use super::{BlockIoIndex, Dispatcher};
+use super::block_io::{BlockIo, BlockIoIndex, LayerLocation};
+use super::extent_copies::{AfterStep, CopySource, CopyStep, CopyWrite, ExtentCopies};
+use crate::catalog_client::{CatalogClient, CompletionDecision, QuiesceRequest};
 use crate::clock::{ticks_from_micros_ceil, ticks_to_millis};
-use mallowseam_connection_policy::command_progress::RequestOutcome;
+use mallowseam_cow::Millis;
 use mallowseam_cow::copy_budget::RETRY_DELAY;
+use mallowseam_cow::messages::ToCatalog;
+use mallowseam_cow::tree::{LayerExtent, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::Lookup;
-use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{AttemptResult, BioId, Tick};
+use mallowseam_scheduler::interface::Tick;
+use mallowseam_settings::config;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-impl Dispatcher {
+/// An extent of a unit.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) struct UnitExtent {
+    lun: Option<u32>,
+    /// Index of the extent in the unit.
+    extent: u32,
+}
+
+impl UnitExtent {
+    /// The extent that a block I/O reads or writes.
+    pub(super) fn of(io: &BlockIo) -> Self {
+        UnitExtent {
+            lun: io.lun(),
+            extent: io.request().shard,
+        }
+    }
+}
+
+/// A block I/O whose location is not known yet.
+#[derive(Clone, Copy)]
+pub(super) struct WaitingIo {
+    pub(super) index: BlockIoIndex,
+    sequence: u64,
+    pub(super) extent: UnitExtent,
+}
+
+impl WaitingIo {
+    pub(super) fn new(index: BlockIoIndex, io: &BlockIo) -> Self {
+        WaitingIo {
+            index,
+            sequence: io.sequence(),
+            extent: UnitExtent::of(io),
+        }
+    }
+}
+
+/// What the host knows of mapped volumes, and the block I/Os that wait for it to know more.
+pub(super) struct MappedVolumes {
+    catalog: CatalogClient,
+    /// Blocks of an extent.
+    extent_blocks: u64,
+    /// Block I/Os whose location is not known yet, in the order in which they arrived.
+    waiting: Vec<WaitingIo>,
+    /// The catalog's revision at the last lookup of those.
+    lookup_revision: u64,
+    /// When the next lookup of those is due, at the latest.
+    next_lookup: Tick,
+    copies: ExtentCopies,
+}
+
+impl MappedVolumes {
+    /// Nothing waits, and nothing is copied. `max_attempts`: attempts that a block I/O may have.
+    pub(super) fn new(
+        catalog: CatalogClient,
+        catalog_config: &config::Catalog,
+        max_attempts: u32,
+    ) -> Self {
+        MappedVolumes {
+            catalog,
+            extent_blocks: catalog_config.extent_blocks,
+            waiting: Vec::new(),
+            lookup_revision: 0,
+            next_lookup: 0,
+            copies: ExtentCopies::new(catalog_config, max_attempts),
+        }
+    }
+
+    /// The tree as the host knows it.
+    pub(super) fn tree(&self) -> Option<&Tree> {
+        self.catalog.tree()
+    }
+
+    /// Reads what the catalog has sent. True: there is more to read, in another turn.
+    pub(super) fn read_catalog(&mut self, readable: bool, buffer: &mut [u8], now: Tick) -> bool {
+        self.catalog
+            .on_ready(readable, buffer, ticks_to_millis(now))
+    }
+
+    /// Connects to the catalog and renews the lease where that is due, and writes what is queued.
+    pub(super) fn on_timer(&mut self, now: Tick) {
+        self.catalog.on_timer(ticks_to_millis(now));
+    }
+
+    /// The first block of a location, counted in the layer's logical unit at the node.
+    pub(super) fn first_block(&self, location: Location) -> u64 {
+        u64::from(location.slot) * self.extent_blocks
+    }
+
     /// When block I/Os that wait for their location are to be looked up again.
-    pub(crate) fn next_lookup(&self) -> Option<Tick> {
-        let quiescing = self
-            .catalog
-            .as_ref()
-            .is_some_and(|catalog| !catalog.quiesce_requests.is_empty());
-        (quiescing || !self.waiting.is_empty()).then_some(self.next_lookup)
+    pub(super) fn next_lookup(&self) -> Option<Tick> {
+        let is_needed = self.catalog.is_quiescing() || !self.waiting.is_empty();
+        is_needed.then_some(self.next_lookup)
+    }
+
+    /// The next lookup is due at once.
+    pub(super) fn look_up_soon(&mut self, now: Tick) {
+        self.next_lookup = now;
+    }
+
+    /// Whether a block I/O that arrived earlier waits for the same extent.
+    pub(super) fn is_behind_another(&self, io: &WaitingIo) -> bool {
+        self.waiting
+            .iter()
+            .any(|other| other.extent == io.extent && other.sequence < io.sequence)
     }
 
     /// Puts a block I/O among those that wait for their location, by the order in which they arrived.
-    pub(super) fn wait_for_location(&mut self, index: BlockIoIndex) {
-        self.insert_waiting(index);
-        self.next_lookup = 0;
-    }
-
-    fn insert_waiting(&mut self, index: BlockIoIndex) {
-        let sequence = self.block_ios.get(index).map_or(0, |io| io.sequence);
-        let block_ios = &self.block_ios;
-        let arrived_before = |other: &BlockIoIndex| {
-            block_ios
-                .get(*other)
-                .is_some_and(|io| io.sequence < sequence)
-        };
-        let position = self.waiting.partition_point(arrived_before);
-        self.waiting.insert(position, index);
-    }
-
-    /// Looks up the location of a block I/O that has just arrived. It waits behind one that waits for the
-    /// same extent.
-    pub(super) fn look_up(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) {
-        let io = self.block_ios.get(index).expect("in flight");
-        let is_ahead = |other: &BlockIoIndex| {
-            self.block_ios.get(*other).is_some_and(|other| {
-                other.lun == io.lun
-                    && other.request.shard == io.request.shard
-                    && other.sequence < io.sequence
-            })
-        };
-        if self.waiting.iter().any(is_ahead) || !self.try_locate(scheduler, index) {
-            self.wait_for_location(index);
-        }
+    pub(super) fn insert_waiting(&mut self, io: WaitingIo) {
+        let position = self
+            .waiting
+            .partition_point(|other| other.sequence < io.sequence);
+        self.waiting.insert(position, io);
     }
 
-    /// Passes a block I/O to the scheduler if its location is known, or finishes it otherwise. False: it has
-    /// to wait.
-    fn try_locate(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) -> bool {
-        let io = self.block_ios.get(index).expect("in flight");
-        let (write, extent, volume) = (self.is_write(io), io.request.shard, io.volume);
-        let Some(catalog) = &mut self.catalog else {
-            return false;
-        };
-        let now = ticks_to_millis(self.now);
-        match catalog
-            .replica
-            .look_up(io.branch.as_deref().unwrap_or_default(), extent, write, now)
-        {
-            Lookup::Found(layer, location) => {
-                if write && !self.may_write_to(index, layer, now) {
-                    // A write that was failed is released; else it waits.
-                    return self.block_ios.get(index).is_none();
-                }
-                self.block_ios.get_mut(index).expect("in flight").location =
-                    Some((layer, location));
-                self.pass_to_scheduler(scheduler, index);
-                true
-            }
-            Lookup::Zeros => {
-                self.complete_with_zeros(index);
-                true
-            }
-            Lookup::CopyFirst { into, from } => {
-                catalog.request_slots(into, now);
-                self.start_copy((into, extent), volume, from);
-                false
-            }
-            Lookup::Blocked | Lookup::NoLease => false,
-            Lookup::UnknownName => {
-                self.answer_not_completed(BioId(index), RequestOutcome::Failed);
-                self.release(index);
-                true
-            }
+    /// Takes all that wait, to be looked up again, when the catalog has sent something or the retry delay
+    /// has passed.
+    pub(super) fn take_waiting_if_due(&mut self, now: Tick) -> Option<Vec<WaitingIo>> {
+        let revision = self.catalog.revision();
+        if self.lookup_revision == revision && now < self.next_lookup {
+            return None;
         }
+        self.lookup_revision = revision;
+        self.next_lookup = now + ticks_from_micros_ceil(RETRY_DELAY * MICROS_PER_MILLI);
+        Some(std::mem::take(&mut self.waiting))
     }
 
-    /// Completes a read of an extent that was never written.
-    fn complete_with_zeros(&mut self, index: BlockIoIndex) {
-        let io = self.block_ios.get_mut(index).expect("in flight");
-        io.answered = true;
-        let bytes = io.request.blocks as usize * self.volumes[io.volume].block_size as usize;
-        self.metrics.classes[io.class()].counts.admitted += 1;
-        self.on_completed(index, vec![0; bytes]);
-        self.release(index);
+    /// Where a block I/O goes now. `name`: the branch or snapshot.
+    pub(super) fn look_up(&mut self, name: &str, extent: u32, write: bool, now: Millis) -> Lookup {
+        self.catalog.look_up(name, extent, write, now)
     }
 
-    /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has
-    /// passed. True if any of them waits no more, or a copy has started.
-    pub(super) fn retry_lookups(&mut self, scheduler: &mut Scheduler) -> bool {
-        let Some(catalog) = &self.catalog else {
-            return false;
-        };
-        if self.lookup_revision == catalog.revision && self.now < self.next_lookup {
-            return false;
+    /// Whether a cut of a branch is pending.
+    pub(super) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
+        self.catalog.has_pending_cut(branch, now)
+    }
+
+    /// Requests the permission to complete a split write with parts in a layer.
+    pub(super) fn request_completion(&mut self, layer: LayerId) {
+        self.catalog.send(&ToCatalog::RequestCompletion { layer });
+    }
+
+    /// The catalog's decisions about split writes, which are taken once.
+    pub(super) fn take_completion_decisions(&mut self) -> Vec<CompletionDecision> {
+        self.catalog.take_completion_decisions()
+    }
+
+    /// Reports the layers that this host has quiesced: those without a split write.
+    pub(super) fn report_quiesced(&mut self, has_split_write: impl Fn(&QuiesceRequest) -> bool) {
+        self.catalog.report_quiesced(has_split_write);
+    }
+
+    /// Starts to copy an extent into a layer, unless a copy is in progress or the budget is used up.
+    pub(super) fn start_copy(
+        &mut self,
+        extent: LayerExtent,
+        source: CopySource,
+        now: Millis,
+    ) -> Option<CopyStep> {
+        let (layer, _) = extent;
+        self.catalog.request_slots(layer, now);
+        if !self.copies.admits(extent, now) {
+            return None;
         }
-        self.lookup_revision = catalog.revision;
-        self.next_lookup = self.now + ticks_from_micros_ceil(RETRY_DELAY * MICROS_PER_MILLI);
-        self.update_copies();
-        self.apply_cut_decisions();
-        let mut blocked: Vec<(Option<u32>, u32)> = Vec::new();
-        let mut moved = false;
-        for index in std::mem::take(&mut self.waiting) {
-            let Some(io) = self.block_ios.get(index) else {
-                continue;
-            };
-            let unit_and_extent = (io.lun, io.request.shard);
-            if io.answered {
-                self.release(index);
-                moved = true;
-            } else if self.now >= io.arrived + self.classes[io.class()].latency_objective {
-                // Past its latency objective it is answered at once. It was not sent, so a retry is harmless.
-                self.answer_not_completed(BioId(index), RequestOutcome::Shed { retry_after: 0 });
-                self.release(index);
-                moved = true;
-            } else if blocked.contains(&unit_and_extent) || !self.try_locate(scheduler, index) {
-                blocked.push(unit_and_extent);
-                self.insert_waiting(index);
-            } else {
-                moved = true;
+        let slots = self.catalog.take_slots(layer, self.copies.slots_needed());
+        self.copies.start(extent, source, slots)
+    }
+
+    /// What the next attempt to write a copy sends.
+    pub(super) fn next_copy_write(&mut self, extent: LayerExtent) -> Option<CopyWrite> {
+        self.copies.next_write(extent)
+    }
+
+    /// A step of a copy has completed. Returns the next one.
+    pub(super) fn on_copy_step_completed(
+        &mut self,
+        extent: LayerExtent,
+        location: Option<LayerLocation>,
+        data: Vec<u8>,
+        now: Millis,
+    ) -> Option<CopyStep> {
+        match self.copies.step_completed(extent, location, data, now) {
+            AfterStep::Start(step) => Some(step),
+            AfterStep::Propose(location) => {
+                self.propose_location(extent, location);
+                None
             }
+            AfterStep::Nothing => None,
         }
-        moved || !self.arrivals.is_empty()
-    }
-
-    /// A node has rejected a write, as its layer is closed: the locations of this write and of those queued
-    /// for the same layer are looked up again.
-    pub(super) fn on_closed_layer(&mut self, index: BlockIoIndex) {
-        let io = self.block_ios.get_mut(index).expect("in flight");
-        io.relocating = true;
-        let layer = io.layer();
-        self.finish_attempt(index, AttemptResult::NotSent);
-        for other in self.block_ios.indices() {
-            let Some(io) = self.block_ios.get(other) else {
-                continue;
-            };
-            let queued =
-                io.layer() == layer && io.scheduled && io.attempt.is_none() && !io.relocating;
-            if queued && !io.answered && io.copy.is_none() && self.is_write(io) {
-                self.block_ios.get_mut(other).expect("just seen").relocating = true;
-                self.withdrawn.push_back(BioId(other));
-            }
+    }
+
+    /// A step of a copy was given up.
+    pub(super) fn on_copy_step_given_up(&mut self, extent: LayerExtent, now: Millis) {
+        self.copies.step_given_up(extent, now);
+    }
+
+    /// Forgets copies that the tree has settled, and proposes locations again that the catalog has not
+    /// answered.
+    pub(super) fn update_copies(&mut self, now: Millis) {
+        let Some(tree) = self.catalog.tree() else {
+            return;
+        };
+        for (extent, location) in self.copies.update(tree, now) {
+            self.propose_location(extent, location);
         }
     }
+
+    fn propose_location(&mut self, (layer, extent): LayerExtent, location: Location) {
+        self.catalog.send(&ToCatalog::ProposeLocation {
+            layer,
+            extent,
+            location,
+        });
+    }
 }
--- /dev/null
+++ b/crates/gateway/src/dispatcher/transfer.rs
@@ -0,0 +1,41 @@
+//! The blocks that a client's command reads or writes.
+use mallowseam_iscsi::scsi::Command;
+
+/// Blocks of a unit that a command reads or writes.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Transfer {
+    pub(super) write: bool,
+    pub(super) lba: u64,
+    pub(super) blocks: u32,
+    /// SCSI group number.
+    pub(super) group_number: u8,
+}
+
+impl Transfer {
+    /// What a command transfers; none: it neither reads nor writes blocks.
+    pub(super) fn of_command(command: &Command) -> Option<Transfer> {
+        match *command {
+            Command::Read {
+                lba,
+                blocks,
+                group_number,
+            } => Some(Transfer {
+                write: false,
+                lba,
+                blocks,
+                group_number,
+            }),
+            Command::Write {
+                lba,
+                blocks,
+                group_number,
+            } => Some(Transfer {
+                write: true,
+                lba,
+                blocks,
+                group_number,
+            }),
+            _ => None,
+        }
+    }
+}
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -7,7 +7,7 @@
 
 use crate::catalog_client::CatalogClient;
 use crate::client_connections::{ClientId, Clients};
-use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
+use crate::clock::{Clock, ticks_to_duration};
 use crate::control_socket::{self, ConnectionId, ControlSocket};
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
@@ -25,7 +25,7 @@
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::replica::HostedVolume;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{Host, NodeState, Tick};
+use mallowseam_scheduler::interface::{Host, Tick};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::Volume;
 use mio::net::{TcpListener, UnixStream};
@@ -299,16 +299,11 @@
         if !self.pending_reads.is_empty() || self.membership_readable {
             return Duration::ZERO;
         }
-        let dispatcher = &self.dispatcher;
-        let timers = [
-            dispatcher.timer_due,
-            dispatcher.next_attempt_timeout(),
-            dispatcher.next_lookup(),
-        ];
-        let due = timers
-            .into_iter()
-            .flatten()
-            .fold(self.last_check + CHECK_PERIOD, Tick::min);
+        let check_due = self.last_check + CHECK_PERIOD;
+        let due = self
+            .dispatcher
+            .next_due()
+            .map_or(check_due, |due| due.min(check_due));
         let due = ticks_to_duration(due - self.clock.now());
         let membership_due = self
             .membership
@@ -385,9 +380,9 @@
     }
 
     fn read_catalog(&mut self, readable: bool) {
-        let now = ticks_to_millis(self.dispatcher.now);
-        if let Some(catalog) = &mut self.dispatcher.catalog
-            && catalog.on_ready(readable, &mut self.read_buffer, now)
+        if self
+            .dispatcher
+            .read_catalog(readable, &mut self.read_buffer)
         {
             self.read_again(PendingRead::Catalog);
         }
@@ -429,9 +424,7 @@
         self.run_timers();
         self.update_quotas();
         self.publish_facts();
-        if let Some(catalog) = &mut self.dispatcher.catalog {
-            catalog.on_timer(ticks_to_millis(self.dispatcher.now));
-        }
+        self.dispatcher.maintain_catalog();
         self.dispatcher.nodes.flush();
         for client in self.dispatcher.clients.flush(self.dispatcher.now) {
             self.read_again(PendingRead::Client(client));
@@ -467,7 +460,7 @@
         self.dispatcher.expire_attempts();
         self.dispatcher.process_pending(&mut self.scheduler);
         self.dispatcher.on_timer(&mut self.scheduler);
-        if std::mem::take(&mut self.dispatcher.endpoint_list_requested) {
+        if self.dispatcher.take_endpoint_list_request() {
             self.endpoint_list.watch(self.dispatcher.now);
             self.apply_endpoint_updates();
         }
@@ -504,12 +497,7 @@
 
     fn apply_endpoint_updates(&mut self) {
         while let Some(update) = self.endpoint_list.next_update() {
-            for listed in &update.nodes {
-                let removed = listed.state == NodeState::Removed;
-                self.dispatcher
-                    .nodes
-                    .set_removed(listed.node.0 as usize, removed);
-            }
+            self.dispatcher.on_endpoints(&update.nodes);
             let now = self.dispatcher.now;
             self.scheduler
                 .on_endpoints(&mut self.dispatcher, now, update.event, &update.nodes);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,12 +1,15 @@
 //! Counters and latencies that a host keeps for its status.
 use hdrhistogram::Histogram;
-use mallowseam_scheduler::interface::AttemptResult;
+use mallowseam_connection_policy::command_progress::RequestOutcome;
+use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
 use serde::{Deserialize, Serialize};
 
 /// Largest latency that a histogram tells apart: an hour in microseconds.
 const MAX_LATENCY: u64 = 3_600_000_000;
 /// Decimal digits that a histogram keeps of a latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
+/// Microseconds in a tick.
+const MICROS_PER_TICK: u64 = 100;
 
 /// Outcomes of commands, or of block I/Os, counted.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
@@ -26,6 +29,17 @@
     pub abandoned: u64,
 }
 
+impl CommandCounts {
+    /// Counts a command, or a block I/O, that has its final answer.
+    pub(crate) fn count(&mut self, outcome: RequestOutcome) {
+        *match outcome {
+            RequestOutcome::Completed => &mut self.completed,
+            RequestOutcome::Shed { .. } => &mut self.shed,
+            RequestOutcome::Failed => &mut self.failed,
+        } += 1;
+    }
+}
+
 /// Counters and latencies of an I/O class.
 pub(crate) struct ClassMetrics {
     pub(crate) counts: CommandCounts,
@@ -62,7 +76,7 @@
 
 impl NodeMetrics {
     /// Counts an attempt that has ended.
-    pub(crate) fn count(&mut self, result: AttemptResult) {
+    fn count(&mut self, result: AttemptResult) {
         *match result {
             AttemptResult::Completed => &mut self.completed,
             AttemptResult::Rejected => &mut self.busy,
@@ -103,4 +117,45 @@
             volumes: vec![VolumeMetrics::default(); volumes],
         }
     }
+
+    /// A block I/O of a class was passed to the scheduler.
+    pub(crate) fn block_io_admitted(&mut self, class: usize) {
+        self.classes[class].counts.admitted += 1;
+    }
+
+    /// A block I/O of a class has completed. `latency`: ticks that it took; `objective`: that it was to take
+    /// at most.
+    pub(crate) fn block_io_completed(&mut self, class: usize, latency: Tick, objective: Tick) {
+        let class = &mut self.classes[class];
+        class.counts.count(RequestOutcome::Completed);
+        class.late += u64::from(latency > objective);
+        class
+            .latencies
+            .saturating_record(latency.max(0) as u64 * MICROS_PER_TICK);
+    }
+
+    /// A block I/O of a class was shed or has failed.
+    pub(crate) fn block_io_not_completed(&mut self, class: usize, outcome: RequestOutcome) {
+        self.classes[class].counts.count(outcome);
+    }
+
+    /// Clients have requested units of a volume.
+    pub(crate) fn units_requested(&mut self, volume: usize, units: f64) {
+        self.volumes[volume].requested += units;
+    }
+
+    /// Units that clients requested of a volume have completed.
+    pub(crate) fn units_completed(&mut self, volume: usize, units: f64) {
+        self.volumes[volume].completed += units;
+    }
+
+    /// An attempt is sent to a node.
+    pub(crate) fn attempt_started(&mut self, node: NodeId) {
+        self.nodes[node.0 as usize].attempts += 1;
+    }
+
+    /// An attempt at a node has ended.
+    pub(crate) fn attempt_ended(&mut self, node: NodeId, result: AttemptResult) {
+        self.nodes[node.0 as usize].count(result);
+    }
 }
