--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -2,11 +2,11 @@
 //! their outcomes are queued and passed to the scheduler once its present call has returned.
 //!
 //! What is in flight, each type with its own state:
-//! - `block_ios`: block I/Os (`block_io`) and their attempts (`attempt_tags`, `attempt_timeouts`).
+//! - `block_ios`: block I/Os (`block_io`), their attempts (`attempt_tags`, `attempt_timeouts`), and what the
+//!   scheduler is to be told of them.
 //! - `commands`: commands of clients, whose outcome is that of their parts.
 //! - `exported_units`: the units that clients see, over the `volumes` of the configuration.
 //! - `mapped_volumes`: block I/Os whose location the snapshot catalog knows, with `extent_copies`.
-//! - `scheduler_queue`: what the scheduler is to be told.
 //!
 //! The steps of each event, over several of these types:
 //! - `client_commands`, `local_commands`, `answers`: from a command's arrival to its answer.
@@ -27,7 +27,6 @@
 mod lookups;
 mod mapped_volumes;
 mod scheduler_host;
-mod scheduler_queue;
 mod split_writes;
 mod transfer;
 mod volumes;
@@ -43,9 +42,9 @@
 use mallowseam_iscsi::target::TargetEvent;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{NodeEndpoint, NodeState, Tick, VolumeId};
+use mallowseam_scheduler_driver::DrivenHost;
 use mallowseam_settings::GatewayConfig;
 use mapped_volumes::MappedVolumes;
-use scheduler_queue::{SchedulerEvent, SchedulerQueue};
 
 /// The block I/Os in flight, with the connections that they come from and go to.
 pub(crate) struct Dispatcher {
@@ -59,7 +58,6 @@
     block_ios: BlockIos,
     /// Where the host has mapped volumes.
     mapped: Option<MappedVolumes>,
-    queue: SchedulerQueue,
 }
 
 impl Dispatcher {
@@ -87,7 +85,6 @@
             block_ios: BlockIos::new(config),
             mapped: catalog
                 .map(|catalog| MappedVolumes::new(catalog, &catalog_config, max_attempts)),
-            queue: SchedulerQueue::default(),
         }
     }
 
@@ -107,7 +104,7 @@
     pub(crate) fn next_due(&self) -> Option<Tick> {
         let lookup = self.mapped.as_ref().and_then(MappedVolumes::next_lookup);
         let timers = [
-            self.queue.timer_due(),
+            self.block_ios.driver().timer_due(),
             self.block_ios.next_timeout(),
             lookup,
         ];
@@ -131,7 +128,7 @@
 
     /// Whether the scheduler has requested the endpoint list since the last call.
     pub(crate) fn take_endpoint_list_request(&mut self) -> bool {
-        self.queue.take_endpoint_list_request()
+        self.block_ios.driver_mut().take_endpoints_request()
     }
 
     /// The endpoint list names these nodes.
@@ -177,30 +174,28 @@
         }
     }
 
-    /// Calls the scheduler's timer once it is due. Nothing else may call it: the scheduler sets each time
-    /// once, would mistake an earlier or later call for the one that it has set, and would wait in vain for
-    /// the next.
+    /// Fires the scheduler's timer once it is due.
     pub(crate) fn on_timer(&mut self, scheduler: &mut Scheduler) {
-        let now = self.now;
-        if self.queue.take_due_timer(now) {
-            scheduler.on_timer(self, now);
+        if self.fire_timer(scheduler) {
             self.process_pending(scheduler);
         }
     }
 
-    /// Passes outcomes, withdrawals and arrivals to the scheduler until none is left.
+    /// Passes to the scheduler what it is to be told, until nothing is left: reports first, then steps of
+    /// copies, then what waits for its location.
     pub(crate) fn process_pending(&mut self, scheduler: &mut Scheduler) {
         loop {
             self.abandon_commands_of_closed_connections();
             if let Some(finished) = self.nodes.next_finished() {
                 self.on_finished_attempt(finished);
             }
-            match self.queue.next() {
-                Some(event) => self.pass_event(scheduler, event),
-                None if self.nodes.has_finished()
-                    || self.clients.has_abandoned()
-                    || self.retry_lookups(scheduler) => {}
-                None => return,
+            let is_any_left = self.report_next(scheduler)
+                || self.start_next_copy_step(scheduler)
+                || self.nodes.has_finished()
+                || self.clients.has_abandoned()
+                || self.retry_lookups(scheduler);
+            if !is_any_left {
+                return;
             }
         }
     }
@@ -213,18 +208,12 @@
         }
     }
 
-    fn pass_event(&mut self, scheduler: &mut Scheduler, event: SchedulerEvent) {
-        let now = self.now;
-        match event {
-            SchedulerEvent::Withdrawn(id) => {
-                if self.block_ios.get(id.0).is_some() {
-                    scheduler.on_disconnect(self, now, id);
-                }
-            }
-            SchedulerEvent::AttemptFinished(id, outcome) => {
-                scheduler.on_attempt_finished(self, now, id, &outcome);
-            }
-            SchedulerEvent::Arrived(index) => self.pass_to_scheduler(scheduler, index),
+    /// Passes the next step of a copy to the scheduler. False: none is queued.
+    fn start_next_copy_step(&mut self, scheduler: &mut Scheduler) -> bool {
+        let step = self.mapped.as_mut().and_then(MappedVolumes::next_copy_step);
+        if let Some(step) = step {
+            self.pass_to_scheduler(scheduler, step);
         }
+        step.is_some()
     }
 }
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -1,11 +1,12 @@
 //! Attempts at nodes: what they send, and how they end.
 use super::Dispatcher;
-use super::block_io::{BlockIo, BlockIoIndex, LayerLocation};
+use super::block_io::{BlockIo, LayerLocation};
 use crate::node_connections::{FinishedAttempt, NodeRequest};
 use mallowseam_cow::tree::{LayerExtent, Location};
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_iscsi::scsi;
-use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
+use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
+use mallowseam_scheduler_driver::InFlight;
 
 /// SCSI group number of copies, which marks them in a trace of the nodes.
 const COPY_GROUP_NUMBER: u8 = 31;
@@ -19,25 +20,25 @@
 
 impl Dispatcher {
     /// Sends a block I/O to a node.
-    pub(super) fn start_attempt(&mut self, index: BlockIoIndex, node: NodeId, timeout: Tick) {
-        let Some(transfer) = self.prepare_transfer(index, node) else {
+    pub(super) fn start_attempt(&mut self, id: BioId, node: NodeId, timeout: Tick) {
+        let Some(transfer) = self.prepare_transfer(id, node) else {
             return;
         };
         let now = self.now;
-        let tag = self.block_ios.begin_attempt(index, node, now, timeout);
-        let Some(io) = self.block_ios.get(index) else {
+        let tag = self.block_ios.begin_attempt(id, node, now, timeout);
+        let Some(io) = self.block_ios.get(id) else {
             return;
         };
-        let request = self.node_request(io, tag, transfer);
+        let request = self.node_request(&io.data, tag, transfer);
         self.metrics.attempt_started(node);
         self.nodes.submit(node.0 as usize, request, now);
     }
 
     /// What the next attempt of a block I/O sends.
-    fn prepare_transfer(&mut self, index: BlockIoIndex, node: NodeId) -> Option<AttemptTransfer> {
-        let io = self.block_ios.get(index)?;
+    fn prepare_transfer(&mut self, id: BioId, node: NodeId) -> Option<AttemptTransfer> {
+        let io = &self.block_ios.get(id)?.data;
         if let Some(extent) = io.copied_extent() {
-            return self.prepare_copy(index, extent, node);
+            return self.prepare_copy(id, extent, node);
         }
         let non_idempotent = self.block_ios.class(io).is_non_idempotent();
         let transfer = self
@@ -52,11 +53,11 @@
     /// What the next attempt at a step of a copy sends. An attempt to write it gets its location here.
     fn prepare_copy(
         &mut self,
-        index: BlockIoIndex,
+        id: BioId,
         extent: LayerExtent,
         node: NodeId,
     ) -> Option<AttemptTransfer> {
-        let io = self.block_ios.get_mut(index)?;
+        let io = &mut self.block_ios.get_mut(id)?.data;
         let mut data = Payload::default();
         if io.is_write() {
             let write = self.mapped.as_mut()?.next_copy_write(extent)?;
@@ -106,48 +107,42 @@
 
     /// Gives up attempts that have timed out.
     pub(crate) fn expire_attempts(&mut self) {
-        while let Some(index) = self.block_ios.next_timed_out(self.now) {
-            self.abort_attempt(index, AttemptResult::ConnectFailed, AttemptResult::TimedOut);
+        while let Some(id) = self.block_ios.next_timed_out(self.now) {
+            self.abort_attempt(id, AttemptResult::ConnectFailed, AttemptResult::TimedOut);
         }
         self.block_ios.remove_ended_timeouts();
     }
 
     /// Stops waiting for the attempt in flight. `unsent`: its result if it was never sent; `sent`: if it may
     /// have run.
-    pub(super) fn abort_attempt(
-        &mut self,
-        index: BlockIoIndex,
-        unsent: AttemptResult,
-        sent: AttemptResult,
-    ) {
-        let Some(attempt) = self.block_ios.get(index).and_then(BlockIo::attempt) else {
+    pub(super) fn abort_attempt(&mut self, id: BioId, unsent: AttemptResult, sent: AttemptResult) {
+        let Some(attempt) = self.block_ios.get(id).and_then(InFlight::attempt) else {
             return;
         };
-        let was_unsent = self
-            .nodes
-            .cancel(attempt.node as usize, attempt.tag, self.now);
-        self.finish_attempt(index, if was_unsent { unsent } else { sent });
+        let node = attempt.node.0 as usize;
+        let was_unsent = self.nodes.cancel(node, attempt.tag, self.now);
+        self.finish_attempt(id, if was_unsent { unsent } else { sent });
     }
 
     /// A node has answered an attempt, or its connection was lost.
     pub(super) fn on_finished_attempt(&mut self, finished: FinishedAttempt) {
-        let Some(index) = self.block_ios.index_in_flight(finished.tag) else {
+        let Some(id) = self.block_ios.in_flight_with_tag(finished.tag) else {
             return;
         };
-        let Some(io) = self.block_ios.get(index) else {
+        let Some(io) = self.block_ios.get(id) else {
             return;
         };
-        if finished.write_protected && io.branch().is_some() {
-            return self.on_closed_layer(index);
+        if finished.write_protected && io.data.branch().is_some() {
+            return self.on_closed_layer(id);
         }
-        let result = self.checked_result(io, &finished);
+        let result = self.checked_result(&io.data, &finished);
         if result == AttemptResult::Completed
-            && let Some(io) = self.block_ios.get_mut(index)
-            && io.mark_answered()
+            && let Some(io) = self.block_ios.get_mut(id)
+            && io.answer()
         {
-            self.on_completed(index, finished.data);
+            self.on_completed(id, finished.data);
         }
-        self.finish_attempt(index, result);
+        self.finish_attempt(id, result);
     }
 
     /// The result of an attempt, with regard to what the block I/O requires.
@@ -167,14 +162,13 @@
     }
 
     /// An attempt is finished: its outcome is queued for the scheduler.
-    pub(super) fn finish_attempt(&mut self, index: BlockIoIndex, result: AttemptResult) {
-        let Some(ended) = self.block_ios.end_attempt(index, result, self.now) else {
+    pub(super) fn finish_attempt(&mut self, id: BioId, result: AttemptResult) {
+        let Some(ended) = self.block_ios.end_attempt(id, result, self.now) else {
             return;
         };
-        self.metrics.attempt_ended(ended.outcome.node, result);
+        self.metrics.attempt_ended(ended.node, result);
         if let Some(command) = ended.command.filter(|_| ended.did_not_run) {
             self.commands.attempt_did_not_run(command);
         }
-        self.queue.attempt_finished(index, ended.outcome);
     }
 }
--- a/crates/gateway/src/dispatcher/block_io.rs
+++ b/crates/gateway/src/dispatcher/block_io.rs
@@ -1,16 +1,13 @@
-//! One block I/O: where it comes from, where it goes, and how far it has got.
+//! One block I/O: where it comes from and where it goes.
 use super::commands::CommandIndex;
 use super::exported_units::ExportedUnit;
 use super::extent_copies::CopyStep;
 use super::volumes::VolumeIndex;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
-use mallowseam_scheduler::interface::Tick;
+use mallowseam_scheduler::interface::{BioId, NodeId, Tick};
 use std::rc::Rc;
 
-/// Index of a block I/O, which is its id for the scheduler as well.
-pub(super) type BlockIoIndex = u32;
-
 /// The location of an extent, and the layer that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LayerLocation {
@@ -24,7 +21,7 @@
     Command {
         command: CommandIndex,
         /// The next block I/O of the command.
-        next: Option<BlockIoIndex>,
+        next: Option<BioId>,
         /// The LUN that the client has named.
         lun: u32,
         /// The branch or snapshot that it reads or writes, where the catalog knows its locations.
@@ -36,26 +33,14 @@
 
 /// An attempt in flight at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Attempt {
-    /// Index of the node.
-    pub(super) node: u32,
+pub(crate) struct Attempt {
+    pub(super) node: NodeId,
     pub(super) tag: u32,
     pub(super) sent: Tick,
 }
 
-/// What the scheduler knows of a block I/O.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Scheduling {
-    /// Nothing: it has just arrived, or waits for its location.
-    NotScheduled,
-    /// It may send the block I/O at any moment, or has done so.
-    Scheduled,
-    /// It was told to withdraw the block I/O, whose location will be looked up again.
-    Relocating,
-}
-
 /// A part of a command, or a step of copying an extent.
-pub(super) struct BlockIo {
+pub(crate) struct BlockIo {
     origin: Origin,
     volume: VolumeIndex,
     write: bool,
@@ -65,13 +50,8 @@
     sequence: u64,
     /// Where it goes, where the catalog knows that.
     location: Option<LayerLocation>,
-    scheduling: Scheduling,
-    /// Attempts so far.
-    attempts: u32,
-    /// The attempt in flight.
-    attempt: Option<Attempt>,
-    /// Nobody waits for it any more.
-    answered: bool,
+    /// The scheduler knows of it.
+    scheduled: bool,
 }
 
 impl BlockIo {
@@ -90,17 +70,14 @@
             arrived: now,
             sequence: 0,
             location: None,
-            scheduling: Scheduling::NotScheduled,
-            attempts: 0,
-            attempt: None,
-            answered: false,
+            scheduled: false,
         }
     }
 
     /// A part of a command that has just arrived. `next`: the part behind it.
     pub(super) fn part(
         command: CommandIndex,
-        next: Option<BlockIoIndex>,
+        next: Option<BioId>,
         unit: &ExportedUnit,
         write: bool,
         request: SubRequest,
@@ -133,7 +110,7 @@
     }
 
     /// The next part of its command.
-    pub(super) fn next(&self) -> Option<BlockIoIndex> {
+    pub(super) fn next(&self) -> Option<BioId> {
         match self.origin {
             Origin::Command { next, .. } => next,
             Origin::Copy(_) => None,
@@ -209,71 +186,19 @@
         self.location = Some(location);
     }
 
-    /// Whether nobody waits for it any more.
-    pub(super) fn is_answered(&self) -> bool {
-        self.answered
-    }
-
-    /// Nobody waits for it from now on. False: that was so before.
-    pub(super) fn mark_answered(&mut self) -> bool {
-        !std::mem::replace(&mut self.answered, true)
-    }
-
     /// Whether the scheduler knows of it.
     pub(super) fn is_scheduled(&self) -> bool {
-        self.scheduling != Scheduling::NotScheduled
+        self.scheduled
     }
 
     /// The scheduler knows of it from now on.
     pub(super) fn mark_scheduled(&mut self) {
-        self.scheduling = Scheduling::Scheduled;
-    }
-
-    /// Whether it may reach its layer: the scheduler may send what it has queued at any moment.
-    pub(super) fn may_be_sent(&self) -> bool {
-        self.is_scheduled() && !self.answered
+        self.scheduled = true;
     }
 
-    /// Whether the scheduler has queued it and was not told to withdraw it.
-    pub(super) fn is_queued(&self) -> bool {
-        self.scheduling == Scheduling::Scheduled && self.attempt.is_none() && !self.answered
-    }
-
-    /// Whether the scheduler was told to withdraw it, to have its location looked up again.
-    pub(super) fn is_relocating(&self) -> bool {
-        self.scheduling == Scheduling::Relocating
-    }
-
-    /// Its location is to be looked up again, once the scheduler has released it.
-    pub(super) fn start_relocation(&mut self) {
-        self.scheduling = Scheduling::Relocating;
-    }
-
-    /// The scheduler has released it: begins anew, without a location.
-    pub(super) fn finish_relocation(&mut self) {
-        self.scheduling = Scheduling::NotScheduled;
+    /// The scheduler has released it: it begins anew, without a location.
+    pub(super) fn mark_unscheduled(&mut self) {
+        self.scheduled = false;
         self.location = None;
-        self.attempts = 0;
-    }
-
-    /// The attempt in flight.
-    pub(super) fn attempt(&self) -> Option<Attempt> {
-        self.attempt
-    }
-
-    /// The attempt in flight, if it is the one of this number, counted from 0.
-    pub(super) fn attempt_numbered(&self, number: u32) -> Option<Attempt> {
-        self.attempt.filter(|_| self.attempts == number + 1)
-    }
-
-    /// An attempt is in flight from now on.
-    pub(super) fn begin_attempt(&mut self, attempt: Attempt) {
-        self.attempts += 1;
-        self.attempt = Some(attempt);
-    }
-
-    /// The attempt in flight has ended.
-    pub(super) fn end_attempt(&mut self) -> Option<Attempt> {
-        self.attempt.take()
     }
 }
--- a/crates/gateway/src/dispatcher/block_ios.rs
+++ b/crates/gateway/src/dispatcher/block_ios.rs
@@ -1,22 +1,23 @@
 //! The block I/Os in flight and their attempts.
-use super::attempt_tags::{AttemptTags, MAX_BLOCK_IOS, index_of_tag};
+use super::attempt_tags::{AttemptTags, MAX_BLOCK_IOS, block_io_of_tag};
 use super::attempt_timeouts::AttemptTimeouts;
-use super::block_io::{Attempt, BlockIo, BlockIoIndex};
+use super::block_io::{Attempt, BlockIo};
 use super::commands::CommandIndex;
 use super::exported_units::ExportedUnit;
 use super::extent_copies::CopyStep;
 use super::io_classes::IoClass;
 use super::volumes::Volume;
-use crate::slab::Slab;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::tree::LayerId;
 use mallowseam_scheduler::Interner;
-use mallowseam_scheduler::interface::{
-    AttemptOutcome, AttemptResult, Bio, BioId, KeyId, LoadReport, NodeId, Tick, VolumeId,
-};
+use mallowseam_scheduler::interface::{AttemptResult, Bio, BioId, KeyId, NodeId, Tick, VolumeId};
+use mallowseam_scheduler_driver::{FinishedAttempt, InFlight, SchedulerDriver};
 use mallowseam_settings::GatewayConfig;
 
-/// An ordering key: that of the unit with this LUN.
+/// A block I/O with its attempt in flight.
+pub(super) type InFlightIo = InFlight<BlockIo, Attempt>;
+
+/// An ordering key of the unit with this LUN.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct OrderingKey {
     /// The LUN that the client has named; none for a step of a copy.
@@ -26,12 +27,11 @@
 
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
+    pub(super) node: NodeId,
     /// The command that its block I/O is a part of.
     pub(super) command: Option<CommandIndex>,
-    /// It may not run twice, and is known not to have run.
+    /// The block I/O may not run twice, and this attempt is known not to have run.
     pub(super) did_not_run: bool,
-    /// What the scheduler is told.
-    pub(super) outcome: AttemptOutcome,
 }
 
 /// The parts of a command that may be sent at any moment, or are at nodes.
@@ -45,7 +45,8 @@
 
 /// All block I/Os in flight.
 pub(super) struct BlockIos {
-    table: Slab<BlockIo>,
+    /// The block I/Os, and what the scheduler is to be told of them.
+    driver: SchedulerDriver<BlockIo, Attempt>,
     /// The sequence number of the last block I/O.
     last_sequence: u64,
     tags: AttemptTags,
@@ -63,7 +64,7 @@
     /// Nothing is in flight.
     pub(super) fn new(config: &GatewayConfig) -> Self {
         BlockIos {
-            table: Slab::default(),
+            driver: SchedulerDriver::default(),
             last_sequence: 0,
             tags: AttemptTags::default(),
             timeouts: AttemptTimeouts::default(),
@@ -74,26 +75,36 @@
         }
     }
 
+    /// What the scheduler is to be told, and what it has requested.
+    pub(super) fn driver(&self) -> &SchedulerDriver<BlockIo, Attempt> {
+        &self.driver
+    }
+
+    /// What the scheduler is to be told, and what it has requested.
+    pub(super) fn driver_mut(&mut self) -> &mut SchedulerDriver<BlockIo, Attempt> {
+        &mut self.driver
+    }
+
     /// How many are in flight.
     pub(super) fn len(&self) -> usize {
-        self.table.len()
+        self.driver.in_flight().len()
     }
 
     /// Whether so many more can be in flight.
     pub(super) fn has_capacity_for(&self, count: usize) -> bool {
-        self.table.len() + count <= MAX_BLOCK_IOS
+        self.len() + count <= MAX_BLOCK_IOS
     }
 
-    pub(super) fn get(&self, index: BlockIoIndex) -> Option<&BlockIo> {
-        self.table.get(index)
+    pub(super) fn get(&self, id: BioId) -> Option<&InFlightIo> {
+        self.driver.in_flight().get(id)
     }
 
-    pub(super) fn get_mut(&mut self, index: BlockIoIndex) -> Option<&mut BlockIo> {
-        self.table.get_mut(index)
+    pub(super) fn get_mut(&mut self, id: BioId) -> Option<&mut InFlightIo> {
+        self.driver.in_flight_mut().get_mut(id)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = &BlockIo> {
-        self.table.iter().map(|(_, io)| io)
+    pub(super) fn iter(&self) -> impl Iterator<Item = &InFlightIo> {
+        self.driver.in_flight().iter().map(|(_, io)| io)
     }
 
     /// Adds the parts of a command, linked in their order. Returns the first.
@@ -104,46 +115,42 @@
         write: bool,
         parts: &[SubRequest],
         now: Tick,
-    ) -> Option<BlockIoIndex> {
+    ) -> Option<BioId> {
+        let table = self.driver.in_flight_mut();
         let mut first = None;
         for part in parts.iter().rev() {
             let io = BlockIo::part(command, first, unit, write, *part, now);
-            first = Some(self.table.insert(io));
+            first = Some(table.insert(io));
         }
         first
     }
 
     /// Adds a step of a copy.
-    pub(super) fn insert_copy_step(&mut self, step: &CopyStep, now: Tick) -> BlockIoIndex {
-        let index = self.table.insert(BlockIo::copy_step(step, now));
-        self.assign_sequence(index);
-        index
+    pub(super) fn insert_copy_step(&mut self, step: &CopyStep, now: Tick) -> BioId {
+        let io = BlockIo::copy_step(step, now);
+        let id = self.driver.in_flight_mut().insert(io);
+        self.assign_sequence(id);
+        id
     }
 
     /// Numbers a block I/O in the order of arrival.
-    pub(super) fn assign_sequence(&mut self, index: BlockIoIndex) {
+    pub(super) fn assign_sequence(&mut self, id: BioId) {
         self.last_sequence += 1;
-        if let Some(io) = self.table.get_mut(index) {
-            io.set_sequence(self.last_sequence);
+        let sequence = self.last_sequence;
+        if let Some(io) = self.get_mut(id) {
+            io.data.set_sequence(sequence);
         }
     }
 
     /// A part of a command; none: it is released.
-    pub(super) fn part(&self, index: BlockIoIndex, command: CommandIndex) -> Option<&BlockIo> {
-        self.table
-            .get(index)
-            .filter(|io| io.command() == Some(command))
+    pub(super) fn part(&self, id: BioId, command: CommandIndex) -> Option<&InFlightIo> {
+        self.get(id).filter(|io| io.data.command() == Some(command))
     }
 
     /// A part of a command; none: it is released.
-    pub(super) fn part_mut(
-        &mut self,
-        index: BlockIoIndex,
-        command: CommandIndex,
-    ) -> Option<&mut BlockIo> {
-        self.table
-            .get_mut(index)
-            .filter(|io| io.command() == Some(command))
+    pub(super) fn part_mut(&mut self, id: BioId, command: CommandIndex) -> Option<&mut InFlightIo> {
+        self.get_mut(id)
+            .filter(|io| io.data.command() == Some(command))
     }
 
     /// Which parts of a command are in flight, from its first up to one that is released. `layer`: what is
@@ -151,31 +158,33 @@
     pub(super) fn parts_in_flight(
         &self,
         command: CommandIndex,
-        first: Option<BlockIoIndex>,
+        first: Option<BioId>,
         layer: LayerId,
     ) -> PartsInFlight {
-        let first = first.and_then(|index| self.part(index, command));
+        let first = first.and_then(|id| self.part(id, command));
         let parts = std::iter::successors(first, |part| {
-            part.next().and_then(|index| self.part(index, command))
+            part.data.next().and_then(|id| self.part(id, command))
         });
-        let mut in_flight = PartsInFlight::default();
-        for part in parts.filter(|part| part.may_be_sent()) {
-            in_flight.any = true;
-            in_flight.in_other_layer |= part.layer().is_some_and(|other| other != layer);
+        // What the scheduler has queued may be sent at any moment.
+        let in_flight = parts.filter(|part| part.data.is_scheduled() && !part.is_answered());
+        let mut found = PartsInFlight::default();
+        for part in in_flight {
+            found.any = true;
+            found.in_other_layer |= part.data.layer().is_some_and(|other| other != layer);
         }
-        in_flight
+        found
     }
 
     /// Removes a block I/O.
-    pub(super) fn remove(&mut self, index: BlockIoIndex) -> Option<BlockIo> {
-        self.table.remove(index)
+    pub(super) fn remove(&mut self, id: BioId) -> Option<InFlightIo> {
+        self.driver.in_flight_mut().release(id)
     }
 
     /// The scheduler knows of a block I/O from now on: its description.
-    pub(super) fn schedule(&mut self, index: BlockIoIndex, volume: &Volume) -> Option<Bio> {
-        let io = self.table.get_mut(index)?;
+    pub(super) fn schedule(&mut self, id: BioId, volume: &Volume) -> Option<Bio> {
+        let io = &mut self.driver.in_flight_mut().get_mut(id)?.data;
         io.mark_scheduled();
-        let request = *io.request();
+        let request = io.request();
         let lun = io.lun();
         let key = request
             .ordering_key
@@ -187,13 +196,13 @@
             (None, None) => Some(request.shard),
         };
         Some(Bio {
-            id: BioId(index),
+            id,
             class: request.class,
             plan: volume.plan(),
             volume: VolumeId(io.volume() as u32),
             key,
             deadline: io.arrived() + self.classes[io.class()].deadline(),
-            units: cost_in_units(volume, request.blocks, self.unit_bytes),
+            units: volume.units(request.blocks, self.unit_bytes),
             shard,
             hosts: volume.host_count(),
         })
@@ -201,7 +210,7 @@
 
     /// What a block I/O costs.
     pub(super) fn units(&self, io: &BlockIo, volume: &Volume) -> f64 {
-        cost_in_units(volume, io.request().blocks, self.unit_bytes)
+        volume.units(io.request().blocks, self.unit_bytes)
     }
 
     /// The scheduler no longer refers to an ordering key.
@@ -222,15 +231,16 @@
     /// An attempt is in flight from now on: its tag.
     pub(super) fn begin_attempt(
         &mut self,
-        index: BlockIoIndex,
+        id: BioId,
         node: NodeId,
         now: Tick,
         timeout: Tick,
     ) -> u32 {
-        let tag = self.tags.next(index);
-        if let Some(io) = self.table.get_mut(index) {
-            io.begin_attempt(Attempt {
-                node: node.0,
+        let tag = self.tags.next(id);
+        if let Some(io) = self.get_mut(id) {
+            io.count_attempt();
+            io.set_attempt(Attempt {
+                node,
                 tag,
                 sent: now,
             });
@@ -240,10 +250,10 @@
     }
 
     /// The block I/O whose attempt in flight has this tag; none: that attempt has ended.
-    pub(super) fn index_in_flight(&self, tag: u32) -> Option<BlockIoIndex> {
-        let index = index_of_tag(tag);
-        let attempt = self.table.get(index)?.attempt()?;
-        (attempt.tag == tag).then_some(index)
+    pub(super) fn in_flight_with_tag(&self, tag: u32) -> Option<BioId> {
+        let id = block_io_of_tag(tag);
+        let attempt = self.get(id)?.attempt()?;
+        (attempt.tag == tag).then_some(id)
     }
 
     /// When the next attempt times out.
@@ -252,11 +262,11 @@
     }
 
     /// The next block I/O whose attempt in flight has timed out.
-    pub(super) fn next_timed_out(&mut self, now: Tick) -> Option<BlockIoIndex> {
+    pub(super) fn next_timed_out(&mut self, now: Tick) -> Option<BioId> {
         while let Some(tag) = self.timeouts.take_due(now) {
-            let index = self.index_in_flight(tag);
-            if index.is_some() {
-                return index;
+            let io = self.in_flight_with_tag(tag);
+            if io.is_some() {
+                return io;
             }
         }
         None
@@ -264,58 +274,51 @@
 
     /// Forgets the timeouts of attempts that have ended, if they are many.
     pub(super) fn remove_ended_timeouts(&mut self) {
-        let table = &self.table;
+        let table = self.driver.in_flight();
         let is_in_flight = |tag: u32| {
-            let attempt = table.get(index_of_tag(tag)).and_then(BlockIo::attempt);
+            let attempt = table.get(block_io_of_tag(tag)).and_then(InFlight::attempt);
             attempt.is_some_and(|attempt| attempt.tag == tag)
         };
         self.timeouts.remove_ended(table.len(), is_in_flight);
     }
 
-    /// The attempt in flight has ended; none: there is none.
+    /// The attempt in flight has ended; none: there is none. Its outcome is queued for the scheduler.
     pub(super) fn end_attempt(
         &mut self,
-        index: BlockIoIndex,
+        id: BioId,
         result: AttemptResult,
         now: Tick,
     ) -> Option<EndedAttempt> {
-        let io = self.table.get_mut(index)?;
-        let attempt = io.end_attempt()?;
+        let io = self.driver.in_flight().get(id)?;
+        let Attempt { node, sent, .. } = *io.attempt()?;
         let did_not_run = matches!(
             result,
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent
         );
-        Some(EndedAttempt {
-            command: io.command(),
-            did_not_run: did_not_run && self.classes[io.class()].is_non_idempotent(),
-            outcome: AttemptOutcome {
-                result,
-                node: NodeId(attempt.node),
-                client_answered: io.is_answered() || io.is_relocating(),
-                latency: now - attempt.sent,
-                units_by_other_hosts: 0.0,
-                volume_usage: 0.0,
-                load_report: LoadReport::default(),
-            },
-        })
+        let ended = EndedAttempt {
+            node,
+            command: io.data.command(),
+            did_not_run: did_not_run && self.class(&io.data).is_non_idempotent(),
+        };
+        let latency = now - sent;
+        self.driver
+            .queue_finished(FinishedAttempt::new(id, node, result, latency));
+        Some(ended)
     }
 
-    /// The writes of clients that are queued for a layer are to be looked up again. Returns them.
-    pub(super) fn relocate_queued_writes(&mut self, layer: Option<LayerId>) -> Vec<BlockIoIndex> {
-        let mut relocated = Vec::new();
-        for index in self.table.indices() {
-            let is_queued_write = |io: &&mut BlockIo| {
-                io.layer() == layer && io.is_queued() && io.command().is_some() && io.is_write()
+    /// The writes of clients that are queued for a layer are to be looked up again: withdraws them.
+    pub(super) fn relocate_queued_writes(&mut self, layer: Option<LayerId>) {
+        for id in self.driver.in_flight().ids() {
+            let is_queued_write = |io: &&mut InFlightIo| {
+                let is_queued = io.data.is_scheduled() && io.attempt().is_none();
+                let is_open = !io.is_withdrawn() && !io.is_answered();
+                let is_clients_write = io.data.is_write() && io.data.command().is_some();
+                io.data.layer() == layer && is_queued && is_open && is_clients_write
             };
-            if let Some(io) = self.table.get_mut(index).filter(is_queued_write) {
-                io.start_relocation();
-                relocated.push(index);
+            if let Some(io) = self.get_mut(id).filter(is_queued_write) {
+                io.withdraw();
+                self.driver.queue_withdrawal(id);
             }
         }
-        relocated
     }
 }
-
-fn cost_in_units(volume: &Volume, blocks: u32, unit_bytes: u64) -> f64 {
-    volume.bytes(blocks).div_ceil(unit_bytes) as f64
-}
--- a/crates/gateway/src/dispatcher/client_commands.rs
+++ b/crates/gateway/src/dispatcher/client_commands.rs
@@ -1,10 +1,10 @@
 //! Commands of clients, from their arrival to their answer.
 use super::Dispatcher;
 use super::answers::{self, Answer};
-use super::block_io::BlockIoIndex;
 use super::commands::{CommandAnswer, CommandIndex, Issuer, NewCommand};
 use super::exported_units::ExportedUnit;
 use super::local_commands;
+use super::mapped_volumes::MappedVolumes;
 use super::transfer::Transfer;
 use crate::client_connections::{ClientId, InFlightCommand};
 use crate::clock::ticks_to_millis;
@@ -12,6 +12,7 @@
 use mallowseam_iscsi::scsi::{self, Sense};
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::BioId;
+use mallowseam_scheduler_driver::InFlight;
 
 /// A command as it comes from a client.
 pub(super) struct ClientRequest {
@@ -59,7 +60,7 @@
             return;
         }
         let volume = unit.map(|unit| unit.volume);
-        let tree = self.mapped.as_ref().and_then(|mapped| mapped.tree());
+        let tree = self.mapped.as_ref().and_then(MappedVolumes::tree);
         let answer = parsed
             .and_then(|command| local_commands::answer(&mut self.units, tree, volume, command));
         let answer = match &answer {
@@ -70,7 +71,7 @@
     }
 
     fn find_unit(&mut self, lun: u32) -> Option<ExportedUnit> {
-        let tree = self.mapped.as_ref().and_then(|mapped| mapped.tree());
+        let tree = self.mapped.as_ref().and_then(MappedVolumes::tree);
         self.units.find(lun, tree)
     }
 
@@ -82,17 +83,7 @@
         transfer: &Transfer,
     ) -> Result<CommandIndex, Answer<'static>> {
         let unit = unit.ok_or(Answer::CheckCondition(Sense::LOGICAL_UNIT_NOT_SUPPORTED))?;
-        self.units
-            .check_transfer(&unit, transfer)
-            .map_err(Answer::CheckCondition)?;
-        let volume = self.units.volume(unit.volume);
-        let block_size = volume.block_size();
-        if !request.fits(transfer.write, volume.bytes(transfer.blocks)) {
-            return Err(Answer::CheckCondition(Sense::INVALID_FIELD_IN_CDB));
-        }
-        if transfer.blocks == 0 {
-            return Err(Answer::Good(&[]));
-        }
+        self.check_transfer(&request, &unit, transfer)?;
         let parts = self
             .units
             .split(&unit, transfer)
@@ -105,15 +96,14 @@
             return Err(Answer::TaskSetFull);
         }
         self.metrics.commands.admitted += 1;
-        let issuer = request.issuer();
+        let ClientRequest { client, task, .. } = request;
         let command = self.commands.insert(NewCommand {
-            issuer,
+            issuer: Issuer { client, task },
             transfer: *transfer,
-            block_size,
+            block_size: unit.block_size,
             data: request.data,
             parts: parts.len() as u32,
         });
-        let ClientRequest { client, task, .. } = request;
         self.clients
             .add_command(client, InFlightCommand { task, command });
         let first = self
@@ -123,36 +113,56 @@
         Ok(command)
     }
 
+    /// Checks a read or write. Error: the answer, where there is nothing to be sent to a node.
+    fn check_transfer(
+        &self,
+        request: &ClientRequest,
+        unit: &ExportedUnit,
+        transfer: &Transfer,
+    ) -> Result<(), Answer<'static>> {
+        let bytes = self
+            .units
+            .check_transfer(unit, transfer)
+            .map_err(Answer::CheckCondition)?;
+        if !request.fits(transfer.write, bytes) {
+            return Err(Answer::CheckCondition(Sense::INVALID_FIELD_IN_CDB));
+        }
+        if transfer.blocks == 0 {
+            return Err(Answer::Good(&[]));
+        }
+        Ok(())
+    }
+
     /// Looks up the parts of a new command, or passes them to the scheduler.
     fn start_command(&mut self, scheduler: &mut Scheduler, command: CommandIndex) {
         let mut next = self.commands.first_part(command);
-        while let Some(index) = next {
-            let Some(part) = self.block_ios.part(index, command) else {
+        while let Some(id) = next {
+            let Some(part) = self.block_ios.part(id, command) else {
                 return;
             };
-            next = part.next();
-            let is_mapped = part.branch().is_some();
-            self.block_ios.assign_sequence(index);
+            next = part.data.next();
+            let is_mapped = part.data.branch().is_some();
+            self.block_ios.assign_sequence(id);
             if self.commands.is_answered(command) {
                 // An earlier part has decided the answer: this one is not passed to the scheduler.
-                self.release(index);
+                self.release(id);
             } else if is_mapped {
-                self.look_up(scheduler, index);
+                self.look_up(scheduler, id);
             } else {
-                self.pass_to_scheduler(scheduler, index);
+                self.pass_to_scheduler(scheduler, id);
             }
         }
     }
 
     /// Passes a block I/O to the scheduler.
-    pub(super) fn pass_to_scheduler(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) {
-        let Some(io) = self.block_ios.get(index) else {
+    pub(super) fn pass_to_scheduler(&mut self, scheduler: &mut Scheduler, id: BioId) {
+        let Some(io) = self.block_ios.get(id) else {
             return;
         };
-        let is_requested_by_client = io.command().is_some();
-        let volume_index = io.volume();
+        let is_requested_by_client = io.data.command().is_some();
+        let volume_index = io.data.volume();
         let volume = self.units.volume(volume_index);
-        let Some(bio) = self.block_ios.schedule(index, volume) else {
+        let Some(bio) = self.block_ios.schedule(id, volume) else {
             return;
         };
         self.metrics.block_io_admitted(bio.class.into());
@@ -174,16 +184,16 @@
     /// The parts of a command that is answered are of no more use.
     fn withdraw_parts(&mut self, command: CommandIndex) {
         let mut next = self.commands.first_part(command);
-        while let Some(index) = next {
-            let Some(part) = self.block_ios.part_mut(index, command) else {
+        while let Some(id) = next {
+            let Some(part) = self.block_ios.part_mut(id, command) else {
                 return;
             };
-            next = part.next();
-            if !part.mark_answered() {
+            next = part.data.next();
+            if !part.answer() {
                 continue;
             }
-            if part.is_scheduled() {
-                self.queue.withdraw(index);
+            if part.data.is_scheduled() {
+                self.block_ios.driver_mut().queue_withdrawal(id);
             }
             // One that waits for its location is released by the next lookup.
             if let Some(mapped) = &mut self.mapped {
@@ -193,8 +203,8 @@
     }
 
     /// A block I/O has completed.
-    pub(super) fn on_completed(&mut self, index: BlockIoIndex, data: Vec<u8>) {
-        let Some(io) = self.block_ios.get(index) else {
+    pub(super) fn on_completed(&mut self, id: BioId, data: Vec<u8>) {
+        let Some(InFlight { data: io, .. }) = self.block_ios.get(id) else {
             return;
         };
         let latency = self.now - io.arrived();
@@ -230,29 +240,32 @@
 
     /// Answers the client of a block I/O that is shed or has failed.
     pub(super) fn answer_not_completed(&mut self, id: BioId, outcome: RequestOutcome) {
-        let Some(io) = self.block_ios.get_mut(id.0).filter(|io| !io.is_answered()) else {
+        let Some(io) = self.block_ios.get_mut(id).filter(|io| !io.is_answered()) else {
             return;
         };
-        self.metrics.block_io_not_completed(io.class(), outcome);
+        self.metrics
+            .block_io_not_completed(io.data.class(), outcome);
         // A step of a copy has no client: its copy is given up when the step is released.
-        let Some(command) = io.command() else { return };
-        io.mark_answered();
+        let Some(command) = io.data.command() else {
+            return;
+        };
+        io.answer();
         let answer = self.commands.part_finished(command, outcome, Vec::new());
         self.send_answer(command, answer);
     }
 
     /// Releases a block I/O, and its command with the last one.
-    pub(super) fn release(&mut self, index: BlockIoIndex) {
-        let Some(io) = self.block_ios.remove(index) else {
+    pub(super) fn release(&mut self, id: BioId) {
+        let Some(io) = self.block_ios.remove(id) else {
             return;
         };
-        if let Some(extent) = io.copied_extent()
+        if let Some(extent) = io.data.copied_extent()
             && let Some(mapped) = &mut self.mapped
             && !io.is_answered()
         {
             mapped.on_copy_step_given_up(extent, ticks_to_millis(self.now));
         }
-        if let Some(command) = io.command() {
+        if let Some(command) = io.data.command() {
             self.commands.release_part(command);
         }
     }
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/gateway/src/dispatcher/commands.rs
@@ -1,5 +1,5 @@
 //! Commands of clients, whose outcome is that of their parts.
-use super::block_io::{BlockIoIndex, LayerLocation};
+use super::block_io::LayerLocation;
 use super::block_ios::PartsInFlight;
 use super::transfer::Transfer;
 use crate::client_connections::ClientId;
@@ -10,6 +10,7 @@
 use mallowseam_cow::split_write::{PartAdmission, SplitWrite};
 use mallowseam_cow::tree::LayerId;
 use mallowseam_iscsi::initiator::Payload;
+use mallowseam_scheduler::interface::BioId;
 
 /// Index of a command.
 pub(super) type CommandIndex = u32;
@@ -38,7 +39,7 @@
     issuer: Option<Issuer>,
     progress: CommandProgress,
     /// The first of its parts, which are linked.
-    first: Option<BlockIoIndex>,
+    first: Option<BioId>,
     /// How many parts it was split into.
     parts: u32,
     /// Its parts that are not released yet.
@@ -112,11 +113,11 @@
     }
 
     /// The first of a command's parts, which are linked.
-    pub(super) fn first_part(&self, index: CommandIndex) -> Option<BlockIoIndex> {
+    pub(super) fn first_part(&self, index: CommandIndex) -> Option<BioId> {
         self.table.get(index)?.first
     }
 
-    pub(super) fn set_first_part(&mut self, index: CommandIndex, first: Option<BlockIoIndex>) {
+    pub(super) fn set_first_part(&mut self, index: CommandIndex, first: Option<BioId>) {
         if let Some(command) = self.table.get_mut(index) {
             command.first = first;
         }
--- a/crates/gateway/src/dispatcher/exported_units.rs
+++ b/crates/gateway/src/dispatcher/exported_units.rs
@@ -18,6 +18,8 @@
     /// The volume that it is, or that it is a snapshot or clone of.
     pub(super) volume: VolumeIndex,
     pub(super) lun: u32,
+    /// Bytes of a block.
+    pub(super) block_size: u32,
     /// The branch or snapshot that it shows, where the catalog knows its locations.
     pub(super) branch: Option<Rc<str>>,
     pub(super) writable: bool,
@@ -72,11 +74,12 @@
 
     /// The unit of a LUN.
     pub(super) fn find(&mut self, lun: u32, tree: Option<&Tree>) -> Option<ExportedUnit> {
-        let volumes = self.volumes.iter().enumerate();
-        if let Some((index, volume)) = volumes.into_iter().find(|(_, volume)| volume.lun() == lun) {
+        let mut volumes = self.volumes.iter().enumerate();
+        if let Some((index, volume)) = volumes.find(|(_, volume)| volume.lun() == lun) {
             return Some(ExportedUnit {
                 volume: index,
                 lun,
+                block_size: volume.block_size(),
                 branch: volume.branch().cloned(),
                 writable: true,
             });
@@ -97,12 +100,13 @@
         self.volumes[volume].logical_unit(self.max_transfer_bytes)
     }
 
-    /// Whether a transfer is within the unit and the host's limits. Error: the sense to answer with.
+    /// Checks that a transfer is within the unit and the host's limits. Returns its bytes; error: the sense to
+    /// answer with.
     pub(super) fn check_transfer(
         &self,
         unit: &ExportedUnit,
         transfer: &Transfer,
-    ) -> Result<(), Sense> {
+    ) -> Result<u64, Sense> {
         let volume = &self.volumes[unit.volume];
         if transfer.write && !unit.writable {
             return Err(Sense::WRITE_PROTECTED);
@@ -110,10 +114,11 @@
         if !volume.contains(transfer.lba, transfer.blocks) {
             return Err(Sense::LBA_OUT_OF_RANGE);
         }
-        if volume.bytes(transfer.blocks) > self.max_transfer_bytes {
+        let bytes = volume.bytes(transfer.blocks);
+        if bytes > self.max_transfer_bytes {
             return Err(Sense::INVALID_FIELD_IN_CDB);
         }
-        Ok(())
+        Ok(bytes)
     }
 
     /// Splits a transfer into block I/Os. Error: the sense to answer with.
@@ -142,26 +147,23 @@
 }
 
 fn snapshots_and_clones(volumes: &[Volume], tree: &Tree) -> BTreeMap<u32, ExportedUnit> {
+    let unit = |volume: VolumeIndex, lun: u32, name: &str, writable: bool| ExportedUnit {
+        volume,
+        lun,
+        block_size: volumes[volume].block_size(),
+        branch: Some(name.into()),
+        writable,
+    };
     let snapshots = tree.snapshots.iter().filter_map(|(name, snapshot)| {
-        Some(ExportedUnit {
-            volume: volume_of(volumes, tree, &snapshot.branch)?,
-            lun: snapshot.lun,
-            branch: Some(name.as_str().into()),
-            writable: false,
-        })
+        let volume = volume_of(volumes, tree, &snapshot.branch)?;
+        Some(unit(volume, snapshot.lun, name, false))
+    });
+    let branches = tree.branches.iter();
+    let clones = branches.filter(|(_, branch)| branch.origin.is_some());
+    let clones = clones.filter_map(|(name, branch)| {
+        let volume = volume_of(volumes, tree, name)?;
+        Some(unit(volume, branch.lun, name, true))
     });
-    let clones = tree
-        .branches
-        .iter()
-        .filter(|(_, branch)| branch.origin.is_some())
-        .filter_map(|(name, branch)| {
-            Some(ExportedUnit {
-                volume: volume_of(volumes, tree, name)?,
-                lun: branch.lun,
-                branch: Some(name.as_str().into()),
-                writable: true,
-            })
-        });
     snapshots
         .chain(clones)
         .map(|unit| (unit.lun, unit))
--- a/crates/gateway/src/dispatcher/lookups.rs
+++ b/crates/gateway/src/dispatcher/lookups.rs
@@ -1,8 +1,8 @@
 //! Looks up where block I/Os of mapped volumes go, when they arrive and whenever the answer may have changed.
 use super::Dispatcher;
-use super::block_io::{BlockIo, BlockIoIndex, LayerLocation};
+use super::block_io::LayerLocation;
 use super::extent_copies::{CopySource, CopyStep};
-use super::mapped_volumes::{UnitExtent, WaitingIo};
+use super::mapped_volumes::{MappedVolumes, UnitExtent, WaitingIo};
 use crate::clock::ticks_to_millis;
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
@@ -13,49 +13,49 @@
 impl Dispatcher {
     /// Looks up the location of a block I/O that has just arrived. It waits behind one that waits for the
     /// same extent.
-    pub(super) fn look_up(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) {
-        let (Some(mapped), Some(io)) = (&self.mapped, self.block_ios.get(index)) else {
+    pub(super) fn look_up(&mut self, scheduler: &mut Scheduler, id: BioId) {
+        let (Some(mapped), Some(io)) = (&self.mapped, self.block_ios.get(id)) else {
             return;
         };
-        let is_behind_another = mapped.is_behind_another(&WaitingIo::new(index, io));
-        if is_behind_another || !self.try_locate(scheduler, index) {
-            self.wait_for_location(index);
+        let is_behind_another = mapped.is_behind_another(&WaitingIo::new(id, &io.data));
+        if is_behind_another || !self.try_locate(scheduler, id) {
+            self.wait_for_location(id);
         }
     }
 
     /// Puts a block I/O among those that wait for their location; the next lookup is due at once.
-    pub(super) fn wait_for_location(&mut self, index: BlockIoIndex) {
-        if let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(index)) {
-            mapped.insert_waiting(WaitingIo::new(index, io));
+    pub(super) fn wait_for_location(&mut self, id: BioId) {
+        if let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(id)) {
+            mapped.insert_waiting(WaitingIo::new(id, &io.data));
             mapped.look_up_soon(self.now);
         }
     }
 
     /// Passes a block I/O to the scheduler if its location is known, or finishes it otherwise. False: it has
     /// to wait.
-    fn try_locate(&mut self, scheduler: &mut Scheduler, index: BlockIoIndex) -> bool {
-        let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(index)) else {
+    fn try_locate(&mut self, scheduler: &mut Scheduler, id: BioId) -> bool {
+        let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(id)) else {
             return false;
         };
         let now = ticks_to_millis(self.now);
-        let extent = io.request().shard;
-        let name = io.branch().unwrap_or_default();
-        match mapped.look_up(name, extent, io.is_write(), now) {
+        let extent = io.data.request().shard;
+        let name = io.data.branch().unwrap_or_default();
+        match mapped.look_up(name, extent, io.data.is_write(), now) {
             Lookup::Found(layer, location) => {
-                self.on_located(scheduler, index, LayerLocation { layer, location })
+                self.on_located(scheduler, id, LayerLocation { layer, location })
             }
             Lookup::Zeros => {
-                self.complete_with_zeros(index);
+                self.complete_with_zeros(id);
                 true
             }
             Lookup::CopyFirst { into, from } => {
-                self.start_copy(index, (into, extent), from);
+                self.start_copy(id, (into, extent), from);
                 false
             }
             Lookup::Blocked | Lookup::NoLease => false,
             Lookup::UnknownName => {
-                self.answer_not_completed(BioId(index), RequestOutcome::Failed);
-                self.release(index);
+                self.answer_not_completed(id, RequestOutcome::Failed);
+                self.release(id);
                 true
             }
         }
@@ -65,34 +65,29 @@
     fn on_located(
         &mut self,
         scheduler: &mut Scheduler,
-        index: BlockIoIndex,
+        id: BioId,
         location: LayerLocation,
     ) -> bool {
-        let is_write = self.block_ios.get(index).is_some_and(BlockIo::is_write);
-        if is_write && !self.may_write_to(index, location.layer) {
+        let is_write = self.block_ios.get(id).is_some_and(|io| io.data.is_write());
+        if is_write && !self.may_write_to(id, location.layer) {
             // A write that was failed is released; else it waits.
-            return self.block_ios.get(index).is_none();
+            return self.block_ios.get(id).is_none();
         }
-        if let Some(io) = self.block_ios.get_mut(index) {
-            io.set_location(location);
+        if let Some(io) = self.block_ios.get_mut(id) {
+            io.data.set_location(location);
         }
-        self.pass_to_scheduler(scheduler, index);
+        self.pass_to_scheduler(scheduler, id);
         true
     }
 
     /// Starts the copy that a write needs first, if one may start now.
-    fn start_copy(
-        &mut self,
-        index: BlockIoIndex,
-        extent: LayerExtent,
-        from: Option<(LayerId, Location)>,
-    ) {
-        let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(index)) else {
+    fn start_copy(&mut self, id: BioId, extent: LayerExtent, from: Option<(LayerId, Location)>) {
+        let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(id)) else {
             return;
         };
         let source = CopySource {
-            volume: io.volume(),
-            block_size: self.units.volume(io.volume()).block_size(),
+            volume: io.data.volume(),
+            block_size: self.units.volume(io.data.volume()).block_size(),
             from: from.map(|(layer, location)| LayerLocation { layer, location }),
         };
         if let Some(step) = mapped.start_copy(extent, source, ticks_to_millis(self.now)) {
@@ -102,8 +97,10 @@
 
     /// Queues a step of a copy for the scheduler.
     fn queue_copy_step(&mut self, step: &CopyStep) {
-        let index = self.block_ios.insert_copy_step(step, self.now);
-        self.queue.arrive(index);
+        if let Some(mapped) = &mut self.mapped {
+            let id = self.block_ios.insert_copy_step(step, self.now);
+            mapped.queue_copy_step(id);
+        }
     }
 
     /// A step of a copy has completed. `location`: where it read or wrote.
@@ -123,16 +120,16 @@
     }
 
     /// Completes a read of an extent that was never written.
-    fn complete_with_zeros(&mut self, index: BlockIoIndex) {
-        let Some(io) = self.block_ios.get_mut(index) else {
+    fn complete_with_zeros(&mut self, id: BioId) {
+        let Some(io) = self.block_ios.get_mut(id) else {
             return;
         };
-        io.mark_answered();
-        let volume = self.units.volume(io.volume());
-        let bytes = volume.bytes(io.request().blocks) as usize;
-        self.metrics.block_io_admitted(io.class());
-        self.on_completed(index, vec![0; bytes]);
-        self.release(index);
+        io.answer();
+        let volume = self.units.volume(io.data.volume());
+        let bytes = volume.bytes(io.data.request().blocks) as usize;
+        self.metrics.block_io_admitted(io.data.class());
+        self.on_completed(id, vec![0; bytes]);
+        self.release(id);
     }
 
     /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has
@@ -150,16 +147,17 @@
         let mut blocked: Vec<UnitExtent> = Vec::new();
         let mut moved = false;
         for io in waiting {
-            if self.end_waiting(io.index) {
+            if self.end_waiting(io.id) {
                 moved = true;
-            } else if blocked.contains(&io.extent) || !self.try_locate(scheduler, io.index) {
+            } else if blocked.contains(&io.extent) || !self.try_locate(scheduler, io.id) {
                 blocked.push(io.extent);
                 self.insert_waiting(io);
             } else {
                 moved = true;
             }
         }
-        moved || self.queue.has_arrivals()
+        let mapped = self.mapped.as_ref();
+        moved || mapped.is_some_and(MappedVolumes::has_queued_copy_steps)
     }
 
     fn insert_waiting(&mut self, io: WaitingIo) {
@@ -170,32 +168,30 @@
 
     /// Releases a block I/O that waits in vain: nobody waits for it any more, or it is past its latency
     /// objective and is answered at once. It was not sent, so a retry is harmless.
-    fn end_waiting(&mut self, index: BlockIoIndex) -> bool {
-        let Some(io) = self.block_ios.get(index) else {
+    fn end_waiting(&mut self, id: BioId) -> bool {
+        let Some(io) = self.block_ios.get(id) else {
             return true;
         };
         let is_answered = io.is_answered();
-        if !is_answered && !self.block_ios.is_past_latency_objective(io, self.now) {
+        if !is_answered && !self.block_ios.is_past_latency_objective(&io.data, self.now) {
             return false;
         }
         if !is_answered {
-            self.answer_not_completed(BioId(index), RequestOutcome::Shed { retry_after: 0 });
+            self.answer_not_completed(id, RequestOutcome::Shed { retry_after: 0 });
         }
-        self.release(index);
+        self.release(id);
         true
     }
 
     /// A node has rejected a write, as its layer is closed: the locations of this write and of those queued
     /// for the same layer are looked up again.
-    pub(super) fn on_closed_layer(&mut self, index: BlockIoIndex) {
-        let Some(io) = self.block_ios.get_mut(index) else {
+    pub(super) fn on_closed_layer(&mut self, id: BioId) {
+        let Some(io) = self.block_ios.get_mut(id) else {
             return;
         };
-        io.start_relocation();
-        let layer = io.layer();
-        self.finish_attempt(index, AttemptResult::NotSent);
-        for relocated in self.block_ios.relocate_queued_writes(layer) {
-            self.queue.withdraw(relocated);
-        }
+        io.withdraw();
+        let layer = io.data.layer();
+        self.finish_attempt(id, AttemptResult::NotSent);
+        self.block_ios.relocate_queued_writes(layer);
     }
 }
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/gateway/src/dispatcher/mapped_volumes.rs
@@ -1,6 +1,6 @@
 //! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree,
 //! and waited for where it is not known.
-use super::block_io::{BlockIo, BlockIoIndex, LayerLocation};
+use super::block_io::{BlockIo, LayerLocation};
 use super::extent_copies::{AfterStep, CopySource, CopyStep, CopyWrite, ExtentCopies};
 use crate::catalog_client::{CatalogClient, CompletionDecision, QuiesceRequest};
 use crate::clock::{ticks_from_micros_ceil, ticks_to_millis};
@@ -9,8 +9,9 @@
 use mallowseam_cow::messages::ToCatalog;
 use mallowseam_cow::tree::{LayerExtent, LayerId, Location, Tree};
 use mallowseam_cow::tree_replica::Lookup;
-use mallowseam_scheduler::interface::Tick;
+use mallowseam_scheduler::interface::{BioId, Tick};
 use mallowseam_settings::config;
+use std::collections::VecDeque;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
@@ -36,15 +37,15 @@
 /// A block I/O whose location is not known yet.
 #[derive(Clone, Copy)]
 pub(super) struct WaitingIo {
-    pub(super) index: BlockIoIndex,
+    pub(super) id: BioId,
     sequence: u64,
     pub(super) extent: UnitExtent,
 }
 
 impl WaitingIo {
-    pub(super) fn new(index: BlockIoIndex, io: &BlockIo) -> Self {
+    pub(super) fn new(id: BioId, io: &BlockIo) -> Self {
         WaitingIo {
-            index,
+            id,
             sequence: io.sequence(),
             extent: UnitExtent::of(io),
         }
@@ -63,6 +64,8 @@
     /// When the next lookup of those is due, at the latest.
     next_lookup: Tick,
     copies: ExtentCopies,
+    /// Steps of copies that were not passed to the scheduler yet.
+    queued_steps: VecDeque<BioId>,
 }
 
 impl MappedVolumes {
@@ -79,6 +82,7 @@
             lookup_revision: 0,
             next_lookup: 0,
             copies: ExtentCopies::new(catalog_config, max_attempts),
+            queued_steps: VecDeque::new(),
         }
     }
 
@@ -182,6 +186,21 @@
         self.copies.start(extent, source, slots)
     }
 
+    /// Queues a step of a copy for the scheduler.
+    pub(super) fn queue_copy_step(&mut self, step: BioId) {
+        self.queued_steps.push_back(step);
+    }
+
+    /// Takes the next step of a copy that is to be passed to the scheduler.
+    pub(super) fn next_copy_step(&mut self) -> Option<BioId> {
+        self.queued_steps.pop_front()
+    }
+
+    /// Whether there is a step of a copy that was not passed to the scheduler yet.
+    pub(super) fn has_queued_copy_steps(&self) -> bool {
+        !self.queued_steps.is_empty()
+    }
+
     /// What the next attempt to write a copy sends.
     pub(super) fn next_copy_write(&mut self, extent: LayerExtent) -> Option<CopyWrite> {
         self.copies.next_write(extent)
--- a/crates/gateway/src/dispatcher/scheduler_host.rs
+++ b/crates/gateway/src/dispatcher/scheduler_host.rs
@@ -1,18 +1,33 @@
 //! The calls that the scheduler makes on its host.
 use super::Dispatcher;
+use super::block_io::{Attempt, BlockIo};
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_scheduler::interface::{AttemptResult, BioId, Host, KeyId, NodeId, Tick, VolumeId};
+use mallowseam_scheduler_driver::{DrivenHost, SchedulerDriver};
+
+impl DrivenHost for Dispatcher {
+    type BlockIo = BlockIo;
+    type Attempt = Attempt;
+
+    fn now(&self) -> Tick {
+        self.now
+    }
+
+    fn driver_mut(&mut self) -> &mut SchedulerDriver<BlockIo, Attempt> {
+        self.block_ios.driver_mut()
+    }
+}
 
 impl Host for Dispatcher {
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick) {
-        self.start_attempt(bio.0, node, timeout);
+        self.start_attempt(bio, node, timeout);
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
-        let io = self.block_ios.get(bio.0);
+        let io = self.block_ios.get(bio);
         let is_in_flight = io.is_some_and(|io| io.attempt_numbered(attempt).is_some());
         if is_in_flight {
-            self.abort_attempt(bio.0, AttemptResult::NotSent, AttemptResult::Cancelled);
+            self.abort_attempt(bio, AttemptResult::NotSent, AttemptResult::Cancelled);
         }
     }
 
@@ -25,21 +40,23 @@
     }
 
     fn set_timer(&mut self, after: Tick) {
-        self.queue.set_timer(self.now + after);
+        let now = self.now;
+        self.block_ios.driver_mut().set_timer(now, after);
     }
 
     fn poll_endpoints(&mut self) {
-        self.queue.request_endpoint_list();
+        self.block_ios.driver_mut().request_endpoints();
     }
 
     fn release_bio(&mut self, bio: BioId) {
-        let io = self.block_ios.get_mut(bio.0);
-        match io.filter(|io| io.is_relocating() && !io.is_answered()) {
+        let io = self.block_ios.get_mut(bio);
+        match io.filter(|io| io.is_withdrawn() && !io.is_answered()) {
             Some(io) => {
-                io.finish_relocation();
-                self.wait_for_location(bio.0);
+                io.reset();
+                io.data.mark_unscheduled();
+                self.wait_for_location(bio);
             }
-            None => self.release(bio.0),
+            None => self.release(bio),
         }
     }
 
--- a/crates/gateway/src/dispatcher/split_writes.rs
+++ b/crates/gateway/src/dispatcher/split_writes.rs
@@ -1,7 +1,6 @@
 //! Writes of several parts and consistent cuts: no snapshot holds one part of a write without the others.
 use super::Dispatcher;
-use super::block_io::{BlockIo, BlockIoIndex};
-use super::block_ios::BlockIos;
+use super::block_ios::{BlockIos, InFlightIo};
 use super::commands::Commands;
 use crate::catalog_client::{CompletionDecision, QuiesceRequest};
 use crate::clock::ticks_to_millis;
@@ -13,8 +12,8 @@
 impl Dispatcher {
     /// Whether a part of a write may be sent into a layer, as far as cuts are concerned. A write that can
     /// never be completed is failed, and its block I/O released.
-    pub(super) fn may_write_to(&mut self, index: BlockIoIndex, layer: LayerId) -> bool {
-        match self.admit_part(index, layer) {
+    pub(super) fn may_write_to(&mut self, id: BioId, layer: LayerId) -> bool {
+        match self.admit_part(id, layer) {
             PartAdmission::Send => true,
             PartAdmission::Wait => false,
             PartAdmission::RequestPermission(older) => {
@@ -24,25 +23,26 @@
                 false
             }
             PartAdmission::Reject => {
-                self.answer_not_completed(BioId(index), RequestOutcome::Failed);
-                self.release(index);
+                self.answer_not_completed(id, RequestOutcome::Failed);
+                self.release(id);
                 false
             }
         }
     }
 
-    fn admit_part(&mut self, index: BlockIoIndex, layer: LayerId) -> PartAdmission {
-        let Some(io) = self.block_ios.get(index) else {
+    fn admit_part(&mut self, id: BioId, layer: LayerId) -> PartAdmission {
+        let Some(io) = self.block_ios.get(id) else {
             return PartAdmission::Wait;
         };
         let Some(command) = io
+            .data
             .command()
             .filter(|command| self.commands.is_split(*command))
         else {
             return PartAdmission::Send;
         };
         let now = ticks_to_millis(self.now);
-        let branch = io.branch().unwrap_or_default();
+        let branch = io.data.branch().unwrap_or_default();
         let cut_pending = self
             .mapped
             .as_ref()
@@ -67,16 +67,17 @@
 
 /// Whether a write of several parts is in flight that has, or may have, a part in the layer.
 fn has_split_write(block_ios: &BlockIos, commands: &Commands, request: &QuiesceRequest) -> bool {
-    let may_be_in_layer = |io: &BlockIo| {
+    let may_be_in_layer = |io: &InFlightIo| {
         let split_write = io
+            .data
             .command()
             .and_then(|command| commands.open_split_write(command));
-        let is_sent_there = io.layer() == Some(request.layer) && !io.is_answered();
+        let is_sent_there = io.data.layer() == Some(request.layer) && !io.is_answered();
         split_write.is_some_and(|split_write| {
             is_sent_there || split_write.started_in_or_before(request.layer)
         })
     };
     block_ios
         .iter()
-        .any(|io| io.branch() == Some(request.branch.as_str()) && may_be_in_layer(io))
+        .any(|io| io.data.branch() == Some(request.branch.as_str()) && may_be_in_layer(io))
 }
--- a/crates/gateway/src/dispatcher/volumes.rs
+++ b/crates/gateway/src/dispatcher/volumes.rs
@@ -83,6 +83,11 @@
         u64::from(blocks) * u64::from(self.block_size)
     }
 
+    /// Units that this many blocks cost. `unit_bytes`: bytes of a unit.
+    pub(super) fn units(&self, blocks: u32, unit_bytes: u64) -> f64 {
+        self.bytes(blocks).div_ceil(unit_bytes) as f64
+    }
+
     /// Whether it has these blocks.
     pub(super) fn contains(&self, lba: u64, blocks: u32) -> bool {
         lba.checked_add(blocks.into())
