--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -162,11 +162,16 @@
     /// A client's socket is ready, to be read if `readable`, and to be written in any case.
     /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
     pub fn on_ready(&mut self, id: ClientId, readable: bool, buffer: &mut [u8], now: Tick) -> bool {
+        self.mark_ready(id, readable);
+        self.read(id, buffer, now)
+    }
+
+    /// As [`on_ready`](Self::on_ready), but leaves it to the caller to read.
+    pub fn mark_ready(&mut self, id: ClientId, readable: bool) {
         if let Some(client) = self.all.get_mut(id) {
             client.readable |= readable;
             self.mark_dirty(id);
         }
-        self.read(id, buffer, now)
     }
 
     /// Reads once, unless the client has to read its answers first. True: there may be more to read.
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -41,18 +41,22 @@
 use exported_units::ExportedUnits;
 use mallowseam_iscsi::target::TargetEvent;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::{NodeEndpoint, NodeState, Tick, VolumeId};
+use mallowseam_scheduler::interface::{
+    EndpointEvent, Host, NodeEndpoint, NodeState, Tick, VolumeId,
+};
 use mallowseam_scheduler_driver::DrivenHost;
 use mallowseam_settings::GatewayConfig;
 use mapped_volumes::MappedVolumes;
+use mio::net::TcpStream;
+use std::net::SocketAddr;
 
 /// The block I/Os in flight, with the connections that they come from and go to.
 pub(crate) struct Dispatcher {
     /// The time of the present iteration of the event loop.
-    pub(crate) now: Tick,
-    pub(crate) clients: Clients,
-    pub(crate) nodes: Nodes,
-    pub(crate) metrics: Metrics,
+    now: Tick,
+    clients: Clients,
+    nodes: Nodes,
+    metrics: Metrics,
     units: ExportedUnits,
     commands: Commands,
     block_ios: BlockIos,
@@ -88,6 +92,31 @@
         }
     }
 
+    /// The time of the present iteration.
+    pub(crate) fn now(&self) -> Tick {
+        self.now
+    }
+
+    /// Sets the time of the present iteration.
+    pub(crate) fn set_now(&mut self, now: Tick) {
+        self.now = now;
+    }
+
+    /// The connections of clients.
+    pub(crate) fn clients(&self) -> &Clients {
+        &self.clients
+    }
+
+    /// The connections to nodes.
+    pub(crate) fn nodes(&self) -> &Nodes {
+        &self.nodes
+    }
+
+    /// The host's counters.
+    pub(crate) fn metrics(&self) -> &Metrics {
+        &self.metrics
+    }
+
     /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan
     /// has changed.
     pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
@@ -111,12 +140,88 @@
         timers.into_iter().flatten().min()
     }
 
-    /// The snapshot catalog's socket is ready. True: there is more to read, in another turn.
-    pub(crate) fn read_catalog(&mut self, readable: bool, buffer: &mut [u8]) -> bool {
+    /// Whether no client is connected and nothing is in flight.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.clients.admission.connection_count() == 0 && self.in_flight() == 0
+    }
+
+    /// Closes the host to new logins and asks every client to log out. False: that was done before.
+    pub(crate) fn drain(&mut self) -> bool {
+        self.clients.drain(self.now)
+    }
+
+    /// Opens the host to logins again.
+    pub(crate) fn stop_draining(&mut self) {
+        self.clients.admission.stop_draining();
+    }
+
+    /// Takes a connection of a client that was accepted.
+    pub(crate) fn accept_client(&mut self, socket: TcpStream, peer: SocketAddr) {
+        self.clients.accept(socket, peer, self.now);
+    }
+
+    /// A client's socket is ready, to be read if `readable`, and to be written in any case.
+    pub(crate) fn mark_client_ready(&mut self, client: ClientId, readable: bool) {
+        self.clients.mark_ready(client, readable);
+    }
+
+    /// Reads from a client once, and handles its commands. True: there may be more to read.
+    pub(crate) fn read_client(
+        &mut self,
+        scheduler: &mut Scheduler,
+        client: ClientId,
+        buffer: &mut [u8],
+    ) -> bool {
+        let has_more = self.clients.read(client, buffer, self.now);
+        while let Some(event) = self.clients.next_event(client) {
+            self.on_client_event(scheduler, client, event);
+        }
+        self.process_pending(scheduler);
+        has_more
+    }
+
+    /// A node's socket is ready, to be read if `readable`, and to be written in any case.
+    pub(crate) fn mark_node_ready(&mut self, node: NodeIndex, readable: bool) {
+        self.nodes.mark_ready(node, readable);
+    }
+
+    /// Reads from a node once, and handles its answers. True: there may be more to read.
+    pub(crate) fn read_node(
+        &mut self,
+        scheduler: &mut Scheduler,
+        node: NodeIndex,
+        buffer: &mut [u8],
+    ) -> bool {
+        let has_more = self.nodes.read(node, buffer, self.now);
+        self.process_pending(scheduler);
+        has_more
+    }
+
+    /// Reads what the snapshot catalog has sent. True: there is more to read, in another turn.
+    pub(crate) fn read_catalog(
+        &mut self,
+        scheduler: &mut Scheduler,
+        readable: bool,
+        buffer: &mut [u8],
+    ) -> bool {
         let now = self.now;
-        self.mapped
-            .as_mut()
-            .is_some_and(|mapped| mapped.read_catalog(readable, buffer, now))
+        let mapped = self.mapped.as_mut();
+        let has_more = mapped.is_some_and(|mapped| mapped.read_catalog(readable, buffer, now));
+        self.process_pending(scheduler);
+        has_more
+    }
+
+    /// Closes connections of clients and to nodes that have timed out.
+    pub(crate) fn check_connections(&mut self) {
+        self.clients.on_timer(self.now);
+        self.nodes.on_timer(self.now);
+    }
+
+    /// Writes what waits for nodes and clients. Returns the clients that have read enough of it to be read
+    /// from again.
+    pub(crate) fn flush(&mut self) -> Vec<ClientId> {
+        self.nodes.flush();
+        self.clients.flush(self.now)
     }
 
     /// Connects to the snapshot catalog and renews the lease where that is due, and writes what is queued.
@@ -131,21 +236,24 @@
         self.block_ios.driver_mut().take_endpoints_request()
     }
 
-    /// The endpoint list names these nodes.
-    pub(crate) fn on_endpoints(&mut self, nodes: &[NodeEndpoint]) {
+    /// What the host has of the endpoint list, or failed to get.
+    pub(crate) fn on_endpoints(
+        &mut self,
+        scheduler: &mut Scheduler,
+        event: EndpointEvent,
+        nodes: &[NodeEndpoint],
+    ) {
         for listed in nodes {
             let removed = listed.state == NodeState::Removed;
             self.nodes.set_removed(listed.node.0 as NodeIndex, removed);
         }
+        let now = self.now;
+        scheduler.on_endpoints(self, now, event, nodes);
+        self.process_pending(scheduler);
     }
 
     /// An event of a client's session.
-    pub(crate) fn on_client_event(
-        &mut self,
-        scheduler: &mut Scheduler,
-        client: ClientId,
-        event: TargetEvent,
-    ) {
+    fn on_client_event(&mut self, scheduler: &mut Scheduler, client: ClientId, event: TargetEvent) {
         match event {
             TargetEvent::LoggedIn(who) => self.clients.on_login(client, who.initiator),
             TargetEvent::Command {
@@ -174,6 +282,12 @@
         }
     }
 
+    /// Fires the scheduler's timer for the first time.
+    pub(crate) fn run_first_timer(&mut self, scheduler: &mut Scheduler) {
+        self.set_timer(0);
+        self.on_timer(scheduler);
+    }
+
     /// Fires the scheduler's timer once it is due.
     pub(crate) fn on_timer(&mut self, scheduler: &mut Scheduler) {
         if self.fire_timer(scheduler) {
--- /dev/null
+++ b/crates/gateway/src/event_loop/membership.rs
@@ -0,0 +1,80 @@
+//! The host's part in the fleet's membership.
+use super::sources::MEMBERSHIP;
+use crate::error::Error;
+use mallowseam_fleet::record::ActiveVersions;
+use mallowseam_fleet_udp::UdpMembership;
+use mallowseam_settings::GatewayConfig;
+use mio::Poll;
+use std::time::Duration;
+
+/// The membership service, where the configuration has one.
+pub(super) struct Membership {
+    service: Option<Box<UdpMembership>>,
+    /// There may be datagrams to read.
+    readable: bool,
+}
+
+impl Membership {
+    pub(super) fn open(config: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
+        let mut service = None;
+        if let Some(settings) = config.host.fleet.clone() {
+            let opened = UdpMembership::open(poll.registry(), MEMBERSHIP, settings);
+            service = Some(Box::new(opened.map_err(Error::Membership)?));
+        }
+        Ok(Membership {
+            service,
+            readable: false,
+        })
+    }
+
+    /// Runs its timers.
+    pub(super) fn tick(&mut self) {
+        if let Some(service) = &mut self.service {
+            service.tick();
+        }
+    }
+
+    /// How long it may wait for its next tick.
+    pub(super) fn time_until_tick(&self) -> Option<Duration> {
+        let service = self.service.as_ref()?;
+        Some(Duration::from_millis(service.millis_until_tick()))
+    }
+
+    /// There may be datagrams to read.
+    pub(super) fn mark_readable(&mut self) {
+        self.readable = true;
+    }
+
+    /// Whether there may be datagrams to read.
+    pub(super) fn is_readable(&self) -> bool {
+        self.readable
+    }
+
+    /// Reads datagrams, if there may be any, for one turn.
+    pub(super) fn read(&mut self) {
+        if let Some(service) = self.service.as_mut().filter(|_| self.readable) {
+            self.readable = service.on_readable();
+        }
+    }
+
+    /// Tells the fleet which versions this host acts on.
+    pub(super) fn publish(&mut self, versions: ActiveVersions) {
+        if let Some(service) = &mut self.service {
+            service.set_active_versions(versions);
+        }
+    }
+
+    /// Tells the fleet that this host is about to leave.
+    pub(super) fn announce_leaving(&mut self) {
+        if let Some(service) = &mut self.service {
+            service.announce_leaving();
+        }
+    }
+
+    /// Tells the fleet that this host has left.
+    pub(super) fn announce_left(&mut self) {
+        if let Some(service) = &mut self.service {
+            service.announce_left();
+        }
+    }
+}
--- a/crates/gateway/src/event_loop/operator.rs
+++ b/crates/gateway/src/event_loop/operator.rs
@@ -1,25 +1,12 @@
-//! Requests of operators on a host's control socket, and the host's status.
-use super::HostProcess;
-use crate::clock::ticks_to_millis;
-use crate::metrics::{ClassMetrics, NodeMetrics};
-use crate::status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
-use mallowseam_scheduler::interface::NodeId;
-use mallowseam_settings::config;
+//! Requests of operators on a host's control socket.
+use super::EventLoop;
 
-const MILLIS_PER_SECOND: f64 = 1000.0;
-const MICROS_PER_MILLI: f64 = 1000.0;
-const TICKS_PER_MILLI: f64 = 10.0;
-/// Quotas are in thousandths of units.
-const THOUSANDTHS: f64 = 1000.0;
-
-impl HostProcess {
+impl EventLoop {
     /// Closes the host to new logins. False: it was closed before. `cause`: for the log.
     pub(super) fn drain(&mut self, cause: &str) -> bool {
-        let drained = self.dispatcher.clients.drain(self.dispatcher.now);
-        if drained && self.stop_requests > 0 {
-            self.membership
-                .iter_mut()
-                .for_each(|membership| membership.announce_leaving());
+        let drained = self.dispatcher.drain();
+        if drained && self.shutdown.is_requested() {
+            self.membership.announce_leaving();
         }
         if drained {
             tracing::info!(cause, "draining: closed to new logins");
@@ -33,20 +20,16 @@
             "status" => {
                 serde_json::to_string(&self.status()).unwrap_or_else(|e| format!("error: {e}"))
             }
-            "drain" => if self.drain("operator") {
-                "draining"
-            } else {
-                "draining already"
-            }
-            .to_owned(),
-            "undrain" if self.stop_requests > 0 => "error: the host is stopping".to_owned(),
+            "drain" if self.drain("operator") => "draining".to_owned(),
+            "drain" => "draining already".to_owned(),
+            "undrain" if self.shutdown.is_requested() => "error: the host is stopping".to_owned(),
             "undrain" => {
-                self.dispatcher.clients.admission.stop_draining();
+                self.dispatcher.stop_draining();
                 tracing::info!("draining ended: open to logins");
                 "open".to_owned()
             }
             "stop" => {
-                self.stop_requests += 1;
+                self.shutdown.request();
                 self.drain("operator");
                 "stopping".to_owned()
             }
@@ -58,93 +41,4 @@
             },
         }
     }
-
-    fn status(&self) -> Status {
-        let (dispatcher, config) = (&self.dispatcher, &self.config);
-        let (admission, metrics) = (&dispatcher.clients.admission, &dispatcher.metrics);
-        let list = self.endpoint_list.version();
-        let classes = config.io_classes.iter().zip(&metrics.classes);
-        let nodes = metrics.nodes.iter().enumerate();
-        Status {
-            host: config.host.name.clone(),
-            up_seconds: ticks_to_millis(dispatcher.now) as f64 / MILLIS_PER_SECOND,
-            draining: admission.is_draining(),
-            connections: admission.connection_count(),
-            in_flight: dispatcher.in_flight(),
-            buffer_bytes: dispatcher.clients.buffered_bytes(),
-            list_epoch: list.epoch,
-            list_version: list.version,
-            commands: metrics.commands,
-            classes: classes
-                .map(|(class, metrics)| class_status(class, metrics))
-                .collect(),
-            nodes: nodes
-                .map(|(index, metrics)| self.node_status(index, metrics))
-                .collect(),
-            plans: config.plans.iter().map(plan_status).collect(),
-            volumes: (0..config.volumes.len())
-                .map(|index| self.volume_status(index))
-                .collect(),
-        }
-    }
-
-    fn node_status(&self, index: usize, metrics: &NodeMetrics) -> NodeStatus {
-        let dispatcher = &self.dispatcher;
-        let status = self
-            .scheduler
-            .node_status(dispatcher.now, NodeId(index as u32))
-            .unwrap_or_default();
-        NodeStatus {
-            name: dispatcher.nodes.name(index).to_owned(),
-            connected: dispatcher.nodes.is_connected(index),
-            open: status.active,
-            warming_up: status.warming_up,
-            in_flight: status.in_flight,
-            queued: status.queued,
-            window: status.concurrency_window,
-            wait_ms: status.mean_latency / TICKS_PER_MILLI,
-            failures: status.consecutive_failures,
-            attempts: metrics.attempts,
-            completed: metrics.completed,
-            busy: metrics.busy,
-            errors: metrics.errors,
-            timed_out: metrics.timed_out,
-            not_connected: metrics.not_connected,
-            reset: metrics.reset,
-            cancelled: metrics.cancelled,
-        }
-    }
-
-    fn volume_status(&self, index: usize) -> VolumeStatus {
-        let metrics = &self.dispatcher.metrics.volumes[index];
-        VolumeStatus {
-            name: self.config.volumes[index].name.clone(),
-            requested_units: metrics.requested,
-            completed_units: metrics.completed,
-            quota: self.quotas[index].map(|thousandths| thousandths as f64 / THOUSANDTHS),
-        }
-    }
-}
-
-fn class_status(class: &config::IoClass, metrics: &ClassMetrics) -> ClassStatus {
-    let quantile_ms = |q: f64| metrics.latencies.value_at_quantile(q) as f64 / MICROS_PER_MILLI;
-    ClassStatus {
-        name: class.name.clone(),
-        admitted: metrics.counts.admitted,
-        completed: metrics.counts.completed,
-        shed: metrics.counts.shed,
-        failed: metrics.counts.failed,
-        past_goal: metrics.late,
-        median_ms: quantile_ms(0.5),
-        p99_ms: quantile_ms(0.99),
-    }
-}
-
-fn plan_status(plan: &config::Plan) -> PlanStatus {
-    PlanStatus {
-        name: plan.name.clone(),
-        reserve: plan.reserved_rate,
-        limit: plan.rate_limit,
-        weight: plan.weight,
-    }
 }
--- /dev/null
+++ b/crates/gateway/src/event_loop/sources.rs
@@ -0,0 +1,66 @@
+//! What the event loop polls, and the token of each source.
+use crate::client_connections::ClientId;
+use crate::control_socket::{self, ConnectionId};
+use crate::node_connections::NodeIndex;
+use mio::Token;
+
+pub(super) const LISTENER: Token = Token(0);
+pub(super) const CONTROL: Token = Token(1);
+pub(super) const ENDPOINT_LIST: Token = Token(2);
+pub(super) const SIGNALS: Token = Token(3);
+pub(super) const CATALOG: Token = Token(4);
+pub(super) const PLANS: Token = Token(5);
+pub(super) const MEMBERSHIP: Token = Token(6);
+/// First token of connections to the control socket.
+pub(super) const FIRST_CONTROL_CONNECTION: usize = 7;
+/// First token of connections to nodes; those of clients follow.
+pub(super) const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
+
+/// First token of connections of clients, for a configuration with so many nodes.
+pub(super) fn first_client(nodes: usize) -> usize {
+    FIRST_NODE + nodes
+}
+
+/// What is ready.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Source {
+    /// A client connects.
+    Listener,
+    /// An operator connects.
+    Control,
+    /// The connection to the endpoint list service.
+    EndpointList,
+    /// SIGTERM or SIGINT has arrived.
+    Signals,
+    /// The connection to the snapshot catalog.
+    Catalog,
+    /// The connection to the plan service.
+    Plans,
+    /// The fleet's membership.
+    Membership,
+    /// An operator's connection.
+    ControlConnection(ConnectionId),
+    Node(NodeIndex),
+    Client(ClientId),
+}
+
+impl Source {
+    /// The source with a token, for a configuration with so many nodes.
+    pub(super) fn of_token(token: Token, nodes: usize) -> Source {
+        let first_client = first_client(nodes);
+        match token {
+            LISTENER => Source::Listener,
+            CONTROL => Source::Control,
+            ENDPOINT_LIST => Source::EndpointList,
+            SIGNALS => Source::Signals,
+            CATALOG => Source::Catalog,
+            PLANS => Source::Plans,
+            MEMBERSHIP => Source::Membership,
+            Token(token) if token < FIRST_NODE => {
+                Source::ControlConnection((token - FIRST_CONTROL_CONNECTION) as ConnectionId)
+            }
+            Token(token) if token < first_client => Source::Node(token - FIRST_NODE),
+            Token(token) => Source::Client((token - first_client) as ClientId),
+        }
+    }
+}
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -281,9 +281,14 @@
         buffer: &mut [u8],
         now: Tick,
     ) -> bool {
+        self.mark_ready(index, readable);
+        self.read(index, buffer, now)
+    }
+
+    /// As [`on_ready`](Self::on_ready), but leaves it to the caller to read.
+    pub(crate) fn mark_ready(&mut self, index: NodeIndex, readable: bool) {
         self.all[index].readable |= readable;
         self.mark_dirty(index);
-        self.read(index, buffer, now)
     }
 
     /// Reads once. True: there may be more to read.
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -22,7 +22,7 @@
     token: Token,
     connection: Option<LineConnection>,
     /// Which version the host acts on, and its quotas.
-    pub(crate) replica: PlanReplica,
+    replica: PlanReplica,
 }
 
 /// What is cached on disk: the plans, and the hash of the last line of the change log behind them.
@@ -55,6 +55,11 @@
         }
     }
 
+    /// Which version the host acts on, and its quotas.
+    pub(crate) fn replica(&self) -> &PlanReplica {
+        &self.replica
+    }
+
     fn send(&mut self, message: &HostMessage) {
         if let Some(connection) = &mut self.connection {
             connection.send(message);
