--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -1,7 +1,12 @@
 //! The connection to the snapshot catalog, and what this host knows of the tree.
+//! `cut_requests`: what it knows of cuts.
+mod cut_requests;
+
+pub(crate) use cut_requests::{CompletionDecision, QuiesceRequest};
+
 use crate::json_lines::{Disconnect, LineConnection, LineRead};
+use cut_requests::CutRequests;
 use mallowseam_cow::Millis;
-use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
 use mallowseam_cow::messages::{ToCatalog, ToHost};
 use mallowseam_cow::tree::{LayerId, Tree};
 use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
@@ -15,18 +20,8 @@
 /// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in
 /// pieces.
 const READS_PER_TURN: usize = 4;
-
-/// The catalog's request to quiesce a layer: to report once no split write is partly completed in it.
-pub(crate) struct QuiesceRequest {
-    pub(crate) layer: LayerId,
-    pub(crate) branch: String,
-}
-
-/// The catalog's answer to whether a write with parts in a layer may be completed.
-pub(crate) struct CompletionDecision {
-    pub(crate) layer: LayerId,
-    pub(crate) granted: bool,
-}
+/// Version of the tree in messages of a host that has none.
+const NO_VERSION: u64 = 0;
 
 /// The connection to the catalog and the cached tree.
 pub(crate) struct CatalogClient {
@@ -42,12 +37,7 @@
     replica: TreeReplica,
     /// Counts up with every message.
     revision: u64,
-    /// Layers that the catalog waits for this host to quiesce.
-    quiesce_requests: Vec<QuiesceRequest>,
-    /// Answers that the dispatcher has not taken yet.
-    completion_decisions: Vec<CompletionDecision>,
-    /// Branches with a pending cut, and the time until which it delays split writes at most.
-    pending_cuts: BTreeMap<String, Millis>,
+    cuts: CutRequests,
     /// When slots of a layer were last requested.
     slots_requested: BTreeMap<LayerId, Millis>,
 }
@@ -65,9 +55,7 @@
             next_connect: 0,
             replica: TreeReplica::default(),
             revision: 0,
-            quiesce_requests: Vec::new(),
-            completion_decisions: Vec::new(),
-            pending_cuts: BTreeMap::new(),
+            cuts: CutRequests::default(),
             slots_requested: BTreeMap::new(),
         }
     }
@@ -103,48 +91,34 @@
 
     /// The catalog's decisions about split writes, which are taken once.
     pub(crate) fn take_completion_decisions(&mut self) -> Vec<CompletionDecision> {
-        std::mem::take(&mut self.completion_decisions)
+        self.cuts.take_decisions()
     }
 
     /// Whether the catalog waits for this host to quiesce a layer.
     pub(crate) fn is_quiescing(&self) -> bool {
-        !self.quiesce_requests.is_empty()
+        self.cuts.is_quiescing()
     }
 
     /// Reports the layers that this host has quiesced: those without a split write.
     pub(crate) fn report_quiesced(&mut self, has_split_write: impl Fn(&QuiesceRequest) -> bool) {
-        let requests = std::mem::take(&mut self.quiesce_requests);
-        let (pending, quiesced): (Vec<QuiesceRequest>, Vec<QuiesceRequest>) =
-            requests.into_iter().partition(has_split_write);
-        self.quiesce_requests = pending;
-        for QuiesceRequest { layer, .. } in quiesced {
+        for QuiesceRequest { layer, .. } in self.cuts.take_quiesced(has_split_write) {
             self.send(&ToCatalog::Quiesced { layer });
         }
     }
 
     /// Whether a cut of a branch is pending.
     pub(crate) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
-        self.pending_cuts
-            .get(branch)
-            .is_some_and(|until| now < *until)
+        self.cuts.has_pending(branch, now)
     }
 
     /// Connects and renews the lease where that is due, and writes what is queued.
     pub(crate) fn on_timer(&mut self, now: Millis) {
         if self.connection.is_none() && now >= self.next_connect {
             self.next_connect = now + TreeReplica::RECONNECT_INTERVAL;
-            match LineConnection::connect(self.address, &self.registry, self.token) {
-                Ok(connection) => {
-                    self.connection = Some(connection);
-                    self.slots_requested.clear();
-                    let (host, known) = (self.host.clone(), self.replica.known());
-                    self.send(&ToCatalog::Hello { host, known });
-                }
-                Err(e) => tracing::debug!(error = %e, "snapshot catalog not reachable"),
-            }
+            self.connect();
         }
         if self.connection.is_some() && self.replica.renewal_due(now) {
-            let seen_version = self.replica.version().unwrap_or(0);
+            let seen_version = self.replica.version().unwrap_or(NO_VERSION);
             self.send(&ToCatalog::RenewLease {
                 sent_at: now,
                 seen_version,
@@ -153,6 +127,21 @@
         self.flush();
     }
 
+    fn connect(&mut self) {
+        match LineConnection::connect(self.address, &self.registry, self.token) {
+            Ok(connection) => {
+                self.connection = Some(connection);
+                self.slots_requested.clear();
+                let hello = ToCatalog::Hello {
+                    host: self.host.clone(),
+                    known: self.replica.known(),
+                };
+                self.send(&hello);
+            }
+            Err(e) => tracing::debug!(error = %e, "snapshot catalog not reachable"),
+        }
+    }
+
     /// Requests place slots of a layer while few are left.
     pub(crate) fn request_slots(&mut self, layer: LayerId, now: Millis) {
         let due = self
@@ -233,17 +222,15 @@
                 self.replica.begin_full_tree(catalog_id, *tree);
             }
             ToHost::Locations { layer, locations } => {
-                if !self.replica.add_locations(layer, &locations) {
-                    self.resynchronize();
-                }
+                let follows = self.replica.add_locations(layer, &locations);
+                self.check_sequence(follows);
             }
             ToHost::FullTreeEnd if !self.replica.finish_full_tree() => self.resynchronize(),
             ToHost::FullTreeEnd | ToHost::CaughtUp => self.on_tree_complete(now),
             ToHost::TreeChanged { version, change } => {
-                if self.replica.apply_change(version, &change) {
+                let follows = self.replica.apply_change(version, &change);
+                if self.check_sequence(follows) {
                     self.send(&ToCatalog::Acknowledge { version });
-                } else {
-                    self.resynchronize();
                 }
             }
             ToHost::LeaseGranted { sent_at, duration } => {
@@ -258,27 +245,26 @@
                 self.replica.add_slots(layer, first, count);
             }
             ToHost::LocationRejected { .. } => {}
-            ToHost::CutFinished { branch } => drop(self.pending_cuts.remove(&branch)),
-            ToHost::Quiesce { layer, branch } => {
-                self.pending_cuts.insert(branch.clone(), now + CUT_TIMEOUT);
-                if !self
-                    .quiesce_requests
-                    .iter()
-                    .any(|request| request.layer == layer)
-                {
-                    self.quiesce_requests.push(QuiesceRequest { layer, branch });
-                }
-            }
+            ToHost::CutFinished { branch } => self.cuts.cut_finished(&branch),
+            ToHost::Quiesce { layer, branch } => self.cuts.quiesce(layer, branch, now),
             ToHost::CompletionDecision { layer, granted } => {
-                self.completion_decisions
-                    .push(CompletionDecision { layer, granted });
+                self.cuts.decided(CompletionDecision { layer, granted });
             }
         }
     }
 
+    /// `follows`: whether a message follows from the known tree. Otherwise a new connection begins with the
+    /// whole tree. Returns `follows`.
+    fn check_sequence(&mut self, follows: bool) -> bool {
+        if !follows {
+            self.resynchronize();
+        }
+        follows
+    }
+
     /// The tree of a new connection is complete: the lease is renewed by it.
     fn on_tree_complete(&mut self, now: Millis) {
-        let version = self.replica.version().unwrap_or(0);
+        let version = self.replica.version().unwrap_or(NO_VERSION);
         tracing::info!(version, "snapshot catalog synchronized");
         self.replica.connection_lost();
         if self.replica.renewal_due(now) {
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/gateway/src/client_connections.rs
@@ -1,11 +1,13 @@
-//! Connections of clients.
+//! Connections of clients. `login`: their logins.
+mod login;
+
 use crate::clock::ticks_to_millis;
 use crate::slab::Slab;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
+use login::LoginAdmission;
 use mallowseam_connection_policy::admission::{
-    AdmissionController, CloseReason, ConnectionState, LoginRejection, TimeoutAction,
+    AdmissionController, CloseReason, ConnectionState, TimeoutAction,
 };
-use mallowseam_iscsi::login::{LoginIdentity, LoginPolicy, LoginStatus};
 use mallowseam_iscsi::target::{TargetConfig, TargetConnection, TargetEvent};
 use mallowseam_scheduler::interface::Tick;
 use mio::net::TcpStream;
@@ -43,8 +45,8 @@
 struct Client {
     socket: TcpStream,
     peer: SocketAddr,
-    /// The initiator's name; empty before the login.
-    name: String,
+    /// The initiator's name; none before the login.
+    name: Option<String>,
     conn: TargetConnection,
     /// It is among those to be flushed.
     dirty: bool,
@@ -68,35 +70,6 @@
     replaced: Vec<ClientId>,
 }
 
-/// Passes a login to the admission controller.
-struct LoginAdmission<'a> {
-    admission: &'a mut AdmissionController,
-    client: ClientId,
-    replaced: &'a mut Vec<ClientId>,
-}
-
-impl LoginPolicy for LoginAdmission<'_> {
-    fn admit(&mut self, who: &LoginIdentity) -> Result<u16, LoginStatus> {
-        let index = self.client as usize;
-        let session = self.admission.login(
-            index,
-            &who.initiator,
-            who.target.as_deref(),
-            who.isid,
-            who.tsih,
-        );
-        let session = session.map_err(|rejection| match rejection {
-            LoginRejection::NoSuchTarget => LoginStatus::NOT_FOUND,
-            LoginRejection::NoSuchSession => LoginStatus::NO_SESSION,
-            LoginRejection::Draining => LoginStatus::UNAVAILABLE,
-            LoginRejection::OutOfResources => LoginStatus::OUT_OF_RESOURCES,
-        })?;
-        self.replaced
-            .extend(session.replaces.map(|index| index as ClientId));
-        Ok(session.handle)
-    }
-}
-
 impl Clients {
     /// No clients; their connections get tokens from `first_token` on.
     #[must_use]
@@ -139,16 +112,14 @@
             self.admission.connection_closed(id as usize);
             return;
         }
-        let name = String::new();
-        let commands = Vec::new();
         self.all.insert(Client {
             socket,
             peer,
-            name,
+            name: None,
             conn,
             dirty: false,
             readable: false,
-            commands,
+            commands: Vec::new(),
         });
         tracing::debug!(%peer, client = id, "connection opened");
     }
@@ -188,11 +159,10 @@
             ReadOutcome::Read(len) => {
                 self.admission
                     .bytes_received(id as usize, ticks_to_millis(now));
-                let (admission, replaced) = (&mut self.admission, &mut self.replaced);
                 let mut login = LoginAdmission {
-                    admission,
+                    admission: &mut self.admission,
                     client: id,
-                    replaced,
+                    replaced: &mut self.replaced,
                 };
                 let received = client.conn.receive(&buffer[..len], &mut login);
                 self.mark_dirty(id);
@@ -217,8 +187,8 @@
     /// A client has logged in. The connection that it has taken over is closed.
     pub fn on_login(&mut self, id: ClientId, name: String) {
         if let Some(client) = self.all.get_mut(id) {
-            client.name = name;
-            tracing::info!(peer = %client.peer, name = client.name, "client logged in");
+            tracing::info!(peer = %client.peer, name, "client logged in");
+            client.name = Some(name);
         }
         self.close_replaced();
     }
@@ -294,7 +264,8 @@
         if let Some(mut client) = self.all.remove(id) {
             let _ = self.registry.deregister(&mut client.socket);
             self.admission.connection_closed(id as usize);
-            tracing::info!(peer = %client.peer, name = client.name, %reason, "client connection closed");
+            let name = client.name.unwrap_or_default();
+            tracing::info!(peer = %client.peer, name, %reason, "client connection closed");
             self.abandoned.push(client.commands);
         }
     }
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -2,7 +2,7 @@
 use crate::control_socket::send_request;
 use crate::error::{FileError, read_text};
 use crate::status::Status;
-use mallowseam_settings::{Arguments, Diagnostics, tokenize};
+use mallowseam_settings::{Arguments, Diagnostics, Token, tokenize};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -27,34 +27,20 @@
     count: u64,
     write_line: &mut dyn FnMut(&str),
 ) {
+    let last_interval = (count > 0).then_some(count);
     let began = Instant::now();
-    let mut last: Vec<Option<Status>> = vec![None; control_sockets.len()];
+    let mut hosts: Vec<PolledHost> = control_sockets.iter().map(PolledHost::new).collect();
     let mut interval = 0;
     loop {
         let mut rates: BTreeMap<String, Rates> = BTreeMap::new();
-        for (socket, last) in control_sockets.iter().zip(&mut last) {
-            let status = poll(socket, write_line);
-            if let (Some(old), Some(new)) = (last.as_ref(), status.as_ref()) {
-                add_rates(&mut rates, old, new, write_line);
-            }
-            *last = status;
+        for host in &mut hosts {
+            host.poll(&mut rates, write_line);
         }
+        // The first poll only begins the first interval.
         if interval > 0 {
-            for (
-                volume,
-                Rates {
-                    requested,
-                    completed,
-                },
-            ) in &rates
-            {
-                let seconds = began.elapsed().as_secs();
-                write_line(&format!(
-                    "at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"
-                ));
-            }
+            write_rates(&rates, began.elapsed().as_secs(), write_line);
         }
-        if count > 0 && interval == count {
+        if last_interval == Some(interval) {
             return;
         }
         interval += 1;
@@ -63,6 +49,41 @@
     }
 }
 
+fn write_rates(rates: &BTreeMap<String, Rates>, seconds: u64, write_line: &mut dyn FnMut(&str)) {
+    for (volume, rates) in rates {
+        let requested = rates.requested;
+        let completed = rates.completed;
+        write_line(&format!(
+            "at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"
+        ));
+    }
+}
+
+/// A host that is polled.
+struct PolledHost<'a> {
+    control_socket: &'a Path,
+    /// Its status at the last poll; none: it did not answer.
+    last: Option<Status>,
+}
+
+impl<'a> PolledHost<'a> {
+    fn new(control_socket: &'a PathBuf) -> Self {
+        PolledHost {
+            control_socket,
+            last: None,
+        }
+    }
+
+    /// Polls the host, and adds its rates since the last poll.
+    fn poll(&mut self, rates: &mut BTreeMap<String, Rates>, write_line: &mut dyn FnMut(&str)) {
+        let status = poll(self.control_socket, write_line);
+        if let (Some(old), Some(new)) = (&self.last, &status) {
+            add_rates(rates, old, new, write_line);
+        }
+        self.last = status;
+    }
+}
+
 /// Requests the status of a host. A failure is written as a comment.
 fn poll(socket: &Path, write_line: &mut dyn FnMut(&str)) -> Option<Status> {
     let status = match send_request(socket, "status") {
@@ -95,44 +116,30 @@
 pub(crate) fn read(file: &Path) -> Result<Vec<Interval>, FileError> {
     let text = read_text(file)?;
     let mut problems = Diagnostics::new(&file.display().to_string());
+    // By the seconds at which they end, which lines of one interval share.
     let mut intervals: Vec<(u64, Interval)> = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let tokens = tokenize(index + 1, line, &mut problems);
-        let Some(first) = tokens.first() else {
-            continue;
-        };
-        if first.text != "at" {
-            problems.add(
-                first.position,
-                "at SECONDS VOLUME asked R ended R",
-                format!("`{}`", first.text),
-            );
-            continue;
-        }
-        let mut args = Arguments::new(&tokens, &mut problems);
-        let Some(line) = read_line(&mut args) else {
+        let Some(line) = read_line(&tokens, &mut problems) else {
             continue;
         };
-        if intervals
-            .last()
-            .is_none_or(|(last, _)| *last != line.seconds)
-        {
-            intervals.push((line.seconds, Interval::new()));
+        match intervals.last_mut() {
+            Some((seconds, interval)) if *seconds == line.seconds => {
+                interval.insert(line.volume, line.requested);
+            }
+            _ => {
+                let interval = Interval::from([(line.volume, line.requested)]);
+                intervals.push((line.seconds, interval));
+            }
         }
-        intervals
-            .last_mut()
-            .expect("just pushed")
-            .1
-            .insert(line.volume, line.requested);
     }
-    if problems.is_empty() {
-        Ok(intervals
-            .into_iter()
-            .map(|(_, interval)| interval)
-            .collect())
-    } else {
-        Err(FileError::Malformed(problems.sorted()))
+    if !problems.is_empty() {
+        return Err(FileError::Malformed(problems.sorted()));
     }
+    Ok(intervals
+        .into_iter()
+        .map(|(_, interval)| interval)
+        .collect())
 }
 
 /// A line of a record.
@@ -144,8 +151,15 @@
     requested: f64,
 }
 
-/// Reads a line. All its arguments are checked, also after one is refused.
-fn read_line(args: &mut Arguments) -> Option<DemandLine> {
+/// Reads a line. All its arguments are checked, also after one is refused. None: it is empty or refused.
+fn read_line(tokens: &[Token], problems: &mut Diagnostics) -> Option<DemandLine> {
+    let first = tokens.first()?;
+    if first.text != "at" {
+        let expected = "at SECONDS VOLUME asked R ended R";
+        problems.add(first.position, expected, format!("`{}`", first.text));
+        return None;
+    }
+    let mut args = Arguments::new(tokens, problems);
     let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
     args.value("asked", |text| (text == "asked").then_some(()));
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -3,7 +3,7 @@
 //!
 //! What is in flight, each type with its own state:
 //! - `block_ios`: block I/Os (`block_io`), their attempts (`attempt_tags`, `attempt_timeouts`), and what the
-//!   scheduler is to be told of them.
+//!   scheduler is told of them (`bio_builder`, and the package `scheduler-driver`).
 //! - `commands`: commands of clients, whose outcome is that of their parts.
 //! - `exported_units`: the units that clients see, over the `volumes` of the configuration.
 //! - `mapped_volumes`: block I/Os whose location the snapshot catalog knows, with `extent_copies`.
@@ -12,14 +12,17 @@
 //! - `client_commands`, `local_commands`, `answers`: from a command's arrival to its answer.
 //! - `lookups`, `split_writes`: where block I/Os of mapped volumes go, and when.
 //! - `attempts`, `scheduler_host`: attempts at nodes, and the calls that the scheduler makes.
+//! - `connections`: connections of clients, to nodes and to the snapshot catalog.
 mod answers;
 mod attempt_tags;
 mod attempt_timeouts;
 mod attempts;
+mod bio_builder;
 mod block_io;
 mod block_ios;
 mod client_commands;
 mod commands;
+mod connections;
 mod exported_units;
 mod extent_copies;
 mod io_classes;
@@ -47,8 +50,6 @@
 use mallowseam_scheduler_driver::DrivenHost;
 use mallowseam_settings::GatewayConfig;
 use mapped_volumes::MappedVolumes;
-use mio::net::TcpStream;
-use std::net::SocketAddr;
 
 /// The block I/Os in flight, with the connections that they come from and go to.
 pub(crate) struct Dispatcher {
@@ -140,97 +141,6 @@
         timers.into_iter().flatten().min()
     }
 
-    /// Whether no client is connected and nothing is in flight.
-    pub(crate) fn is_idle(&self) -> bool {
-        self.clients.admission.connection_count() == 0 && self.in_flight() == 0
-    }
-
-    /// Closes the host to new logins and asks every client to log out. False: that was done before.
-    pub(crate) fn drain(&mut self) -> bool {
-        self.clients.drain(self.now)
-    }
-
-    /// Opens the host to logins again.
-    pub(crate) fn stop_draining(&mut self) {
-        self.clients.admission.stop_draining();
-    }
-
-    /// Takes a connection of a client that was accepted.
-    pub(crate) fn accept_client(&mut self, socket: TcpStream, peer: SocketAddr) {
-        self.clients.accept(socket, peer, self.now);
-    }
-
-    /// A client's socket is ready, to be read if `readable`, and to be written in any case.
-    pub(crate) fn mark_client_ready(&mut self, client: ClientId, readable: bool) {
-        self.clients.mark_ready(client, readable);
-    }
-
-    /// Reads from a client once, and handles its commands. True: there may be more to read.
-    pub(crate) fn read_client(
-        &mut self,
-        scheduler: &mut Scheduler,
-        client: ClientId,
-        buffer: &mut [u8],
-    ) -> bool {
-        let has_more = self.clients.read(client, buffer, self.now);
-        while let Some(event) = self.clients.next_event(client) {
-            self.on_client_event(scheduler, client, event);
-        }
-        self.process_pending(scheduler);
-        has_more
-    }
-
-    /// A node's socket is ready, to be read if `readable`, and to be written in any case.
-    pub(crate) fn mark_node_ready(&mut self, node: NodeIndex, readable: bool) {
-        self.nodes.mark_ready(node, readable);
-    }
-
-    /// Reads from a node once, and handles its answers. True: there may be more to read.
-    pub(crate) fn read_node(
-        &mut self,
-        scheduler: &mut Scheduler,
-        node: NodeIndex,
-        buffer: &mut [u8],
-    ) -> bool {
-        let has_more = self.nodes.read(node, buffer, self.now);
-        self.process_pending(scheduler);
-        has_more
-    }
-
-    /// Reads what the snapshot catalog has sent. True: there is more to read, in another turn.
-    pub(crate) fn read_catalog(
-        &mut self,
-        scheduler: &mut Scheduler,
-        readable: bool,
-        buffer: &mut [u8],
-    ) -> bool {
-        let now = self.now;
-        let mapped = self.mapped.as_mut();
-        let has_more = mapped.is_some_and(|mapped| mapped.read_catalog(readable, buffer, now));
-        self.process_pending(scheduler);
-        has_more
-    }
-
-    /// Closes connections of clients and to nodes that have timed out.
-    pub(crate) fn check_connections(&mut self) {
-        self.clients.on_timer(self.now);
-        self.nodes.on_timer(self.now);
-    }
-
-    /// Writes what waits for nodes and clients. Returns the clients that have read enough of it to be read
-    /// from again.
-    pub(crate) fn flush(&mut self) -> Vec<ClientId> {
-        self.nodes.flush();
-        self.clients.flush(self.now)
-    }
-
-    /// Connects to the snapshot catalog and renews the lease where that is due, and writes what is queued.
-    pub(crate) fn maintain_catalog(&mut self) {
-        if let Some(mapped) = &mut self.mapped {
-            mapped.on_timer(self.now);
-        }
-    }
-
     /// Whether the scheduler has requested the endpoint list since the last call.
     pub(crate) fn take_endpoint_list_request(&mut self) -> bool {
         self.block_ios.driver_mut().take_endpoints_request()
--- a/crates/gateway/src/dispatcher/attempts.rs
+++ b/crates/gateway/src/dispatcher/attempts.rs
@@ -22,7 +22,8 @@
     /// Sends a block I/O to a node.
     pub(super) fn start_attempt(&mut self, id: BioId, node: NodeId, timeout: Tick) {
         let Some(transfer) = self.prepare_transfer(id, node) else {
-            return;
+            // It is not known, or its copy has had all its attempts: the scheduler is not left waiting.
+            return self.block_ios.attempt_not_sent(id, node);
         };
         let now = self.now;
         let tag = self.block_ios.begin_attempt(id, node, now, timeout);
--- a/crates/gateway/src/dispatcher/block_ios.rs
+++ b/crates/gateway/src/dispatcher/block_ios.rs
@@ -1,6 +1,7 @@
 //! The block I/Os in flight and their attempts.
 use super::attempt_tags::{AttemptTags, MAX_BLOCK_IOS, block_io_of_tag};
 use super::attempt_timeouts::AttemptTimeouts;
+use super::bio_builder::BioBuilder;
 use super::block_io::{Attempt, BlockIo};
 use super::commands::CommandIndex;
 use super::exported_units::ExportedUnit;
@@ -9,22 +10,13 @@
 use super::volumes::Volume;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::tree::LayerId;
-use mallowseam_scheduler::Interner;
-use mallowseam_scheduler::interface::{AttemptResult, Bio, BioId, KeyId, NodeId, Tick, VolumeId};
+use mallowseam_scheduler::interface::{AttemptResult, Bio, BioId, KeyId, NodeId, Tick};
 use mallowseam_scheduler_driver::{FinishedAttempt, InFlight, SchedulerDriver};
 use mallowseam_settings::GatewayConfig;
 
 /// A block I/O with its attempt in flight.
 pub(super) type InFlightIo = InFlight<BlockIo, Attempt>;
 
-/// An ordering key of the unit with this LUN.
-#[derive(Clone, PartialEq, Eq, Hash)]
-struct OrderingKey {
-    /// The LUN that the client has named; none for a step of a copy.
-    lun: Option<u32>,
-    key: u64,
-}
-
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub(super) node: NodeId,
@@ -51,13 +43,7 @@
     last_sequence: u64,
     tags: AttemptTags,
     timeouts: AttemptTimeouts,
-    /// Ordering keys, each with a small index for the scheduler.
-    ordering_keys: Interner<OrderingKey>,
-    classes: Vec<IoClass>,
-    /// Bytes of a unit, in which costs are counted.
-    unit_bytes: u64,
-    /// The shard of each node.
-    node_shards: Vec<u32>,
+    bios: BioBuilder,
 }
 
 impl BlockIos {
@@ -68,10 +54,7 @@
             last_sequence: 0,
             tags: AttemptTags::default(),
             timeouts: AttemptTimeouts::default(),
-            ordering_keys: Interner::default(),
-            classes: config.io_classes.iter().map(IoClass::new).collect(),
-            unit_bytes: config.fleet.unit_bytes,
-            node_shards: config.nodes.iter().map(|node| node.shard).collect(),
+            bios: BioBuilder::new(config),
         }
     }
 
@@ -184,43 +167,22 @@
     pub(super) fn schedule(&mut self, id: BioId, volume: &Volume) -> Option<Bio> {
         let io = &mut self.driver.in_flight_mut().get_mut(id)?.data;
         io.mark_scheduled();
-        let request = io.request();
-        let lun = io.lun();
-        let key = request
-            .ordering_key
-            .map(|key| KeyId(self.ordering_keys.intern(&OrderingKey { lun, key })));
-        let shard = match (io.location(), io.copied_extent()) {
-            (Some(to), _) => Some(self.node_shards[to.location.node as usize]),
-            // A new copy may go to any node.
-            (None, Some(_)) => None,
-            (None, None) => Some(request.shard),
-        };
-        Some(Bio {
-            id,
-            class: request.class,
-            plan: volume.plan(),
-            volume: VolumeId(io.volume() as u32),
-            key,
-            deadline: io.arrived() + self.classes[io.class()].deadline(),
-            units: volume.units(request.blocks, self.unit_bytes),
-            shard,
-            hosts: volume.host_count(),
-        })
+        Some(self.bios.build(id, io, volume))
     }
 
-    /// What a block I/O costs.
-    pub(super) fn units(&self, io: &BlockIo, volume: &Volume) -> f64 {
-        volume.units(io.request().blocks, self.unit_bytes)
+    /// How block I/Os are described to the scheduler.
+    pub(super) fn bios(&self) -> &BioBuilder {
+        &self.bios
     }
 
     /// The scheduler no longer refers to an ordering key.
     pub(super) fn release_key(&mut self, key: KeyId) {
-        self.ordering_keys.release(key.0);
+        self.bios.release_key(key);
     }
 
     /// The I/O class of a block I/O.
     pub(super) fn class(&self, io: &BlockIo) -> &IoClass {
-        &self.classes[io.class()]
+        self.bios.class(io)
     }
 
     /// Whether a block I/O has waited for as long as its latency objective.
@@ -249,6 +211,16 @@
         tag
     }
 
+    /// The scheduler has asked for an attempt that cannot be sent: its outcome is queued.
+    pub(super) fn attempt_not_sent(&mut self, id: BioId, node: NodeId) {
+        if let Some(io) = self.get_mut(id) {
+            io.count_attempt();
+        }
+        let latency = 0;
+        let attempt = FinishedAttempt::new(id, node, AttemptResult::NotSent, latency);
+        self.driver.queue_finished(attempt);
+    }
+
     /// The block I/O whose attempt in flight has this tag; none: that attempt has ended.
     pub(super) fn in_flight_with_tag(&self, tag: u32) -> Option<BioId> {
         let id = block_io_of_tag(tag);
--- a/crates/gateway/src/dispatcher/client_commands.rs
+++ b/crates/gateway/src/dispatcher/client_commands.rs
@@ -95,7 +95,7 @@
         {
             return Err(Answer::TaskSetFull);
         }
-        self.metrics.commands.admitted += 1;
+        self.metrics.command_admitted();
         let ClientRequest { client, task, .. } = request;
         let command = self.commands.insert(NewCommand {
             issuer: Issuer { client, task },
@@ -176,7 +176,7 @@
     /// The client of a command does not wait for its answer any more.
     pub(super) fn abandon_command(&mut self, command: CommandIndex) {
         if self.commands.abandon(command) {
-            self.metrics.commands.abandoned += 1;
+            self.metrics.command_abandoned();
             self.withdraw_parts(command);
         }
     }
@@ -216,7 +216,8 @@
             self.on_copy_step_completed(extent, location, data);
             return;
         }
-        let units = self.block_ios.units(io, self.units.volume(io.volume()));
+        let volume = self.units.volume(io.volume());
+        let units = self.block_ios.bios().units(io, volume);
         self.metrics.units_completed(io.volume(), units);
         let Some(command) = io.command() else { return };
         let part = *io.request();
@@ -227,7 +228,7 @@
     /// Sends the answer to a command, if that is decided now.
     fn send_answer(&mut self, command: CommandIndex, answer: Option<CommandAnswer>) {
         let Some(answer) = answer else { return };
-        self.metrics.commands.count(answer.outcome);
+        self.metrics.command_answered(answer.outcome);
         if let Some(issuer) = answer.issuer {
             self.clients.remove_command(issuer.client, issuer.task);
             let answer = Answer::of_outcome(answer.outcome, &answer.data);
--- a/crates/gateway/src/dispatcher/local_commands.rs
+++ b/crates/gateway/src/dispatcher/local_commands.rs
@@ -1,6 +1,6 @@
 //! Commands that the host answers itself, without a node: identification, capacity and mode of a unit.
 use super::exported_units::ExportedUnits;
-use super::volumes::VolumeIndex;
+use super::volumes::{Volume, VolumeIndex};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, Command, Sense};
 
@@ -76,12 +76,8 @@
     let unit = units.logical_unit(volume);
     let data = match command {
         Command::TestUnitReady => Some(Vec::new()),
-        // Writes are answered when a node has them: nothing is cached here.
         Command::SynchronizeCache { lba, blocks } => {
-            if !units.volume(volume).contains(lba, blocks) {
-                return Err(Sense::LBA_OUT_OF_RANGE);
-            }
-            Some(Vec::new())
+            return synchronize_cache(units.volume(volume), lba, blocks);
         }
         Command::Inquiry {
             page,
@@ -110,3 +106,12 @@
     };
     data.ok_or(Sense::INVALID_FIELD_IN_CDB)
 }
+
+/// Writes are answered when a node has them: nothing is cached here.
+fn synchronize_cache(volume: &Volume, lba: u64, blocks: u32) -> Result<Vec<u8>, Sense> {
+    if volume.contains(lba, blocks) {
+        Ok(Vec::new())
+    } else {
+        Err(Sense::LBA_OUT_OF_RANGE)
+    }
+}
--- a/crates/gateway/src/dispatcher/lookups.rs
+++ b/crates/gateway/src/dispatcher/lookups.rs
@@ -40,7 +40,12 @@
         let now = ticks_to_millis(self.now);
         let extent = io.data.request().shard;
         let name = io.data.branch().unwrap_or_default();
-        match mapped.look_up(name, extent, io.data.is_write(), now) {
+        let lookup = mapped.look_up(name, extent, io.data.is_write(), now);
+        if !self.is_location_usable(lookup) {
+            self.fail_unsent(id);
+            return true;
+        }
+        match lookup {
             Lookup::Found(layer, location) => {
                 self.on_located(scheduler, id, LayerLocation { layer, location })
             }
@@ -54,13 +59,40 @@
             }
             Lookup::Blocked | Lookup::NoLease => false,
             Lookup::UnknownName => {
-                self.answer_not_completed(id, RequestOutcome::Failed);
-                self.release(id);
+                self.fail_unsent(id);
                 true
             }
         }
     }
 
+    /// Whether a location that was looked up, if there is one, is at a node of the configuration. The catalog
+    /// could have another configuration.
+    fn is_location_usable(&self, lookup: Lookup) -> bool {
+        let (Lookup::Found(_, location)
+        | Lookup::CopyFirst {
+            from: Some((_, location)),
+            ..
+        }) = lookup
+        else {
+            return true;
+        };
+        let is_known = self.block_ios.bios().shard_of(location).is_some();
+        if !is_known {
+            let node = location.node;
+            tracing::warn!(
+                node,
+                "snapshot catalog names a node that the configuration lacks"
+            );
+        }
+        is_known
+    }
+
+    /// Fails a block I/O that the scheduler does not know of.
+    fn fail_unsent(&mut self, id: BioId) {
+        self.answer_not_completed(id, RequestOutcome::Failed);
+        self.release(id);
+    }
+
     /// The location of a block I/O is known. False: it has to wait, as far as cuts are concerned.
     fn on_located(
         &mut self,
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,12 +1,16 @@
 //! The client of the endpoint list service, and the cached copy of the list for the next start.
+//! `known_nodes`: the nodes that the list is about.
+mod known_nodes;
+
 use crate::atomic_file;
 use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ReadOutcome};
+use known_nodes::KnownNodes;
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
 use mallowseam_endpoint_list::{
-    Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
+    EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
 };
-use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, NodeId, NodeState, Tick};
+use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, Tick};
 use mallowseam_settings::config;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
@@ -14,20 +18,6 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Ticks in a millisecond.
-const TICKS_PER_MILLI: Tick = 10;
-
-/// A node of the configuration, with its present run as this host knows it.
-struct KnownNode {
-    name: String,
-    zone: u32,
-    shard: u32,
-    /// Tells one run of the node's process from another; 0 for one long past.
-    generation: u64,
-    /// When that run began, by this host's clock.
-    up_since: Tick,
-}
-
 /// A list, or the changes since the last one, as the scheduler takes it.
 pub(crate) struct ListUpdate {
     pub(crate) event: EndpointEvent,
@@ -40,7 +30,7 @@
     /// None: the nodes are those of the configuration.
     address: Option<SocketAddr>,
     cache_file: Option<PathBuf>,
-    nodes: Vec<KnownNode>,
+    nodes: KnownNodes,
     registry: Registry,
     token: Token,
     socket: Option<TcpStream>,
@@ -51,30 +41,6 @@
     updates: VecDeque<ListUpdate>,
 }
 
-/// Nodes as the configuration has them, their zones numbered in the order in which they are named.
-fn known_nodes(nodes: &[config::Node]) -> Vec<KnownNode> {
-    let mut zones: Vec<&str> = Vec::new();
-    let mut known = Vec::new();
-    for node in nodes {
-        let zone = zones
-            .iter()
-            .position(|zone| *zone == node.zone)
-            .unwrap_or_else(|| {
-                zones.push(&node.zone);
-                zones.len() - 1
-            });
-        let (name, zone) = (node.name.clone(), zone as u32);
-        known.push(KnownNode {
-            name,
-            zone,
-            shard: node.shard,
-            generation: 0,
-            up_since: 0,
-        });
-    }
-    known
-}
-
 impl EndpointList {
     /// The client of a host; it does not connect yet.
     pub(crate) fn new(
@@ -87,7 +53,7 @@
             host: host.name.clone(),
             address: host.endpoint_service,
             cache_file: host.endpoint_cache_path.clone(),
-            nodes: known_nodes(nodes),
+            nodes: KnownNodes::new(nodes),
             registry,
             token,
             socket: None,
@@ -103,14 +69,7 @@
     /// configuration where there is no service.
     pub(crate) fn start(&mut self, now: Tick) {
         if self.address.is_none() {
-            let listed = |(index, node): (usize, &KnownNode)| NodeEndpoint {
-                node: NodeId(index as u32),
-                zone: node.zone,
-                shard: node.shard,
-                state: NodeState::Active,
-                started_at: 0,
-            };
-            let nodes = self.nodes.iter().enumerate().map(listed).collect();
+            let nodes = self.nodes.all_active();
             self.updates.push_back(ListUpdate {
                 event: EndpointEvent::FullSnapshot,
                 nodes,
@@ -166,7 +125,8 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry.register(&mut socket, self.token, interest)?;
         self.watcher.on_reconnect();
-        (self.socket, self.readable) = (Some(socket), false);
+        self.socket = Some(socket);
+        self.readable = false;
         self.unsent.clear();
         Ok(())
     }
@@ -202,8 +162,8 @@
                     for event in events {
                         self.on_watch_event(event, now);
                     }
-                    if let Err(wrong) = received {
-                        return self.fail(&wrong.to_string());
+                    if let Err(error) = received {
+                        return self.fail(&error.to_string());
                     }
                 }
                 ReadOutcome::Closed(reason) => return self.fail(&reason.to_string()),
@@ -243,8 +203,9 @@
     fn queue(&mut self, event: EndpointEvent, update: &EndpointUpdate, now: Tick) {
         let mut nodes = Vec::new();
         for entry in &update.endpoints {
-            let (node, state) = (&entry.name, entry.state.as_str());
-            if let Some(listed) = self.listed(entry, now) {
+            let node = &entry.name;
+            let state = entry.state.as_str();
+            if let Some(listed) = self.nodes.update(entry, now) {
                 tracing::info!(node, state, age = entry.uptime_ms, "endpoint updated");
                 nodes.push(listed);
             } else {
@@ -257,33 +218,6 @@
         self.updates.push_back(ListUpdate { event, nodes });
     }
 
-    /// An entry of the list as the scheduler takes it; none: the configuration lacks its node.
-    fn listed(&mut self, entry: &Endpoint, now: Tick) -> Option<NodeEndpoint> {
-        let index = self.nodes.iter().position(|node| node.name == entry.name)?;
-        let node = &mut self.nodes[index];
-        // Updates take a while to arrive: of one run, the earliest start that was reported is the truest. It
-        // never moves up, which would look like a restart.
-        let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(1);
-        if entry.generation == 0 {
-            (node.generation, node.up_since) = (0, 0);
-        } else if entry.generation != node.generation {
-            (node.generation, node.up_since) = (entry.generation, began);
-        } else {
-            node.up_since = node.up_since.min(began);
-        }
-        Some(NodeEndpoint {
-            node: NodeId(index as u32),
-            zone: node.zone,
-            shard: node.shard,
-            state: match entry.state {
-                EndpointState::Active => NodeState::Active,
-                EndpointState::Draining => NodeState::Draining,
-                EndpointState::Removed => NodeState::Removed,
-            },
-            started_at: node.up_since,
-        })
-    }
-
     fn write_cache(&self) {
         let Some(path) = &self.cache_file else { return };
         if let Err(e) = atomic_file::replace(path, self.watcher.write_cache().as_bytes()) {
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -277,7 +277,7 @@
 
     fn update_quotas(&mut self) {
         let now = self.dispatcher.now();
-        let volumes = &self.dispatcher.metrics().volumes;
+        let volumes = self.dispatcher.metrics().volumes();
         self.plans.update_quotas(&mut self.scheduler, volumes, now);
     }
 
--- a/crates/gateway/src/event_loop/host_status.rs
+++ b/crates/gateway/src/event_loop/host_status.rs
@@ -18,8 +18,8 @@
         let admission = &dispatcher.clients().admission;
         let metrics = dispatcher.metrics();
         let list = self.endpoint_list.version();
-        let classes = config.io_classes.iter().zip(&metrics.classes);
-        let nodes = metrics.nodes.iter().enumerate();
+        let classes = config.io_classes.iter().zip(metrics.classes());
+        let nodes = metrics.nodes().iter().enumerate();
         Status {
             host: config.host.name.clone(),
             up_seconds: ticks_to_millis(dispatcher.now()) as f64 / MILLIS_PER_SECOND,
@@ -29,7 +29,7 @@
             buffer_bytes: dispatcher.clients().buffered_bytes(),
             list_epoch: list.epoch,
             list_version: list.version,
-            commands: metrics.commands,
+            commands: metrics.commands(),
             classes: classes
                 .map(|(class, metrics)| class_status(class, metrics))
                 .collect(),
@@ -71,7 +71,7 @@
     }
 
     fn volume_status(&self, index: usize) -> VolumeStatus {
-        let metrics = &self.dispatcher.metrics().volumes[index];
+        let metrics = &self.dispatcher.metrics().volumes()[index];
         VolumeStatus {
             name: self.config.volumes[index].name.clone(),
             requested_units: metrics.requested,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -31,7 +31,7 @@
 
 impl CommandCounts {
     /// Counts a command, or a block I/O, that has its final answer.
-    pub(crate) fn count(&mut self, outcome: RequestOutcome) {
+    fn count(&mut self, outcome: RequestOutcome) {
         *match outcome {
             RequestOutcome::Completed => &mut self.completed,
             RequestOutcome::Shed { .. } => &mut self.shed,
@@ -99,10 +99,10 @@
 /// All counters of a host, by the indices of its configuration.
 #[derive(Default)]
 pub(crate) struct Metrics {
-    pub(crate) commands: CommandCounts,
-    pub(crate) classes: Vec<ClassMetrics>,
-    pub(crate) nodes: Vec<NodeMetrics>,
-    pub(crate) volumes: Vec<VolumeMetrics>,
+    commands: CommandCounts,
+    classes: Vec<ClassMetrics>,
+    nodes: Vec<NodeMetrics>,
+    volumes: Vec<VolumeMetrics>,
 }
 
 impl Metrics {
@@ -118,6 +118,41 @@
         }
     }
 
+    /// Outcomes of commands.
+    pub(crate) fn commands(&self) -> CommandCounts {
+        self.commands
+    }
+
+    /// By I/O class.
+    pub(crate) fn classes(&self) -> &[ClassMetrics] {
+        &self.classes
+    }
+
+    /// By node.
+    pub(crate) fn nodes(&self) -> &[NodeMetrics] {
+        &self.nodes
+    }
+
+    /// By volume.
+    pub(crate) fn volumes(&self) -> &[VolumeMetrics] {
+        &self.volumes
+    }
+
+    /// A command was admitted.
+    pub(crate) fn command_admitted(&mut self) {
+        self.commands.admitted += 1;
+    }
+
+    /// A command has its final answer.
+    pub(crate) fn command_answered(&mut self, outcome: RequestOutcome) {
+        self.commands.count(outcome);
+    }
+
+    /// The client of a command does not wait for its answer any more.
+    pub(crate) fn command_abandoned(&mut self) {
+        self.commands.abandoned += 1;
+    }
+
     /// A block I/O of a class was passed to the scheduler.
     pub(crate) fn block_io_admitted(&mut self, class: usize) {
         self.classes[class].counts.admitted += 1;
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/gateway/src/node_connections.rs
@@ -1,22 +1,19 @@
-//! Connections to the storage nodes, one a node. A connection is opened by the first attempt that needs it;
-//! attempts wait for its login in a queue that their own timeouts bound.
+//! Connections to the storage nodes, one a node (`node`). A connection is opened by the first attempt that
+//! needs it; attempts wait for its login in a queue that their own timeouts bound.
+mod node;
+
 use crate::clock::ticks_to_millis;
-use crate::socket_io::{self, ConnectionError, ReadOutcome};
-use crate::startup;
-use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
-use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent, Payload};
+use crate::socket_io::ConnectionError;
+use mallowseam_connection_policy::node_connection::CloseReason;
+use mallowseam_iscsi::initiator::{InitiatorEvent, Payload};
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::{Sense, status};
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::config;
-use mio::net::TcpStream;
-use mio::{Interest, Registry, Token};
+use mio::{Registry, Token};
+use node::{Cancellation, Node, NodeRead, Submission};
 use std::collections::VecDeque;
 use std::io;
-use std::net::SocketAddr;
-
-/// Initiator session id of connections to nodes (RFC 7143, 11.12.5).
-const ISID: [u8; 6] = [0x80, 0, 0, 1, 0, 0];
 
 /// Index of a node in the configuration.
 pub(crate) type NodeIndex = usize;
@@ -70,25 +67,6 @@
     }
 }
 
-struct Link {
-    socket: TcpStream,
-    conn: InitiatorConnection,
-}
-
-struct Node {
-    name: String,
-    address: SocketAddr,
-    target: String,
-    lun: u32,
-    connection: NodeConnection,
-    link: Option<Link>,
-    /// Requests that wait for the login.
-    queue: VecDeque<NodeRequest>,
-    /// It is among those to be flushed.
-    dirty: bool,
-    readable: bool,
-}
-
 /// The connections to all nodes of the configuration.
 pub(crate) struct Nodes {
     all: Vec<Node>,
@@ -111,19 +89,8 @@
         registry: Registry,
         first_token: usize,
     ) -> Self {
-        let node = |node: &config::Node| Node {
-            name: node.name.clone(),
-            address: startup::validated_address(node.address),
-            target: node.target.clone(),
-            lun: node.lun.into(),
-            connection: NodeConnection::default(),
-            link: None,
-            queue: VecDeque::new(),
-            dirty: false,
-            readable: false,
-        };
         Nodes {
-            all: nodes.iter().map(node).collect(),
+            all: nodes.iter().map(Node::new).collect(),
             initiator,
             proposal,
             registry,
@@ -140,17 +107,17 @@
 
     /// The node's name in the configuration.
     pub(crate) fn name(&self, node: NodeIndex) -> &str {
-        &self.all[node].name
+        self.all[node].name()
     }
 
     /// Whether the node's connection is logged in.
     pub(crate) fn is_connected(&self, node: NodeIndex) -> bool {
-        self.all[node].connection.is_ready()
+        self.all[node].is_connected()
     }
 
     /// The endpoint list has removed the node, or has it again.
     pub(crate) fn set_removed(&mut self, node: NodeIndex, removed: bool) {
-        self.all[node].connection.set_node_removed(removed);
+        self.all[node].policy_mut().set_node_removed(removed);
     }
 
     /// The next attempt that has ended by itself.
@@ -171,55 +138,28 @@
     /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be
     /// tried.
     pub(crate) fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
-        let node = &mut self.all[index];
-        if node.connection.is_ready() {
-            let link = node
-                .link
-                .as_mut()
-                .expect("a connection that is ready has a link");
-            let NodeRequest {
-                tag,
-                lun,
-                cdb,
-                read_len,
-                data,
-            } = request;
-            if link
-                .conn
-                .send_command(tag, lun.unwrap_or(node.lun), &cdb, read_len, data)
-            {
-                self.mark_dirty(index);
-            } else {
-                // The node's own command window is closed: it has rejected the command before it was sent.
-                self.end(index, tag, AttemptResult::Rejected);
-            }
-            return;
-        }
-        node.queue.push_back(request);
-        if node.connection.open_if_closed(ticks_to_millis(now))
-            && let Err(e) = self.open(index)
-        {
-            self.disconnect(index, &e.into());
+        let tag = request.tag;
+        match self.all[index].submit(request) {
+            Submission::Sent => self.mark_dirty(index),
+            Submission::Rejected => self.end(index, tag, AttemptResult::Rejected),
+            Submission::Queued => self.open_if_closed(index, now),
         }
     }
 
-    fn open(&mut self, index: NodeIndex) -> io::Result<()> {
+    fn open_if_closed(&mut self, index: NodeIndex, now: Tick) {
         let node = &mut self.all[index];
-        let mut socket = TcpStream::connect(node.address)?;
-        let _ = socket.set_nodelay(true);
-        let interest = Interest::READABLE | Interest::WRITABLE;
-        self.registry
-            .register(&mut socket, Token(self.first_token + index), interest)?;
-        let conn =
-            InitiatorConnection::new(&self.initiator, Some(&node.target), ISID, &self.proposal);
-        node.link = Some(Link { socket, conn });
-        node.readable = false;
-        self.mark_dirty(index);
-        Ok(())
+        if !node.policy_mut().open_if_closed(ticks_to_millis(now)) {
+            return;
+        }
+        let token = Token(self.first_token + index);
+        match node.open(&self.registry, token, &self.initiator, &self.proposal) {
+            Ok(()) => self.mark_dirty(index),
+            Err(e) => self.disconnect(index, &e.into()),
+        }
     }
 
     fn mark_dirty(&mut self, index: NodeIndex) {
-        if !std::mem::replace(&mut self.all[index].dirty, true) {
+        if self.all[index].mark_dirty() {
             self.dirty.push(index);
         }
     }
@@ -227,48 +167,24 @@
     /// Stops waiting for an attempt; one that was sent is aborted. True: it was never sent, so it has not
     /// run.
     pub(crate) fn cancel(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
-        let node = &mut self.all[index];
-        let queued = node.queue.len();
-        node.queue.retain(|request| request.tag != tag);
-        if node.queue.len() < queued {
-            return true;
-        }
-        if let Some(link) = &mut node.link {
-            link.conn.abort_task(tag);
-            node.connection.abort_sent(ticks_to_millis(now));
-            self.mark_dirty(index);
+        match self.all[index].cancel(tag, now) {
+            Cancellation::Unsent => true,
+            Cancellation::Aborted => {
+                self.mark_dirty(index);
+                false
+            }
+            Cancellation::Gone => false,
         }
-        false
     }
 
-    /// Closes a connection: what was sent on it may have run, what was not has not.
     fn close(&mut self, index: NodeIndex) {
-        let node = &mut self.all[index];
-        node.connection.closed();
-        for request in std::mem::take(&mut node.queue) {
-            self.finished.push_back(FinishedAttempt::without_data(
-                index,
-                request.tag,
-                AttemptResult::ConnectFailed,
-            ));
-        }
-        if let Some(mut link) = node.link.take() {
-            let _ = self.registry.deregister(&mut link.socket);
-            for tag in link.conn.in_flight_tags().collect::<Vec<_>>() {
-                let may_have_run = link.conn.has_started_sending(tag);
-                let result = if may_have_run {
-                    AttemptResult::ConnectionReset
-                } else {
-                    AttemptResult::ConnectFailed
-                };
-                self.finished
-                    .push_back(FinishedAttempt::without_data(index, tag, result));
-            }
+        for lost in self.all[index].close(&self.registry) {
+            self.end(index, lost.tag, lost.result);
         }
     }
 
     fn disconnect(&mut self, index: NodeIndex, reason: &Disconnect) {
-        tracing::warn!(node = self.all[index].name, %reason, "node connection lost");
+        tracing::warn!(node = self.all[index].name(), %reason, "node connection lost");
         self.close(index);
     }
 
@@ -287,72 +203,57 @@
 
     /// As [`on_ready`](Self::on_ready), but leaves it to the caller to read.
     pub(crate) fn mark_ready(&mut self, index: NodeIndex, readable: bool) {
-        self.all[index].readable |= readable;
+        self.all[index].mark_readable(readable);
         self.mark_dirty(index);
     }
 
     /// Reads once. True: there may be more to read.
     pub(crate) fn read(&mut self, index: NodeIndex, buffer: &mut [u8], now: Tick) -> bool {
-        let node = &mut self.all[index];
-        let Some(link) = node.link.as_mut().filter(|_| node.readable) else {
-            return false;
-        };
-        match socket_io::read(&mut link.socket, buffer) {
-            ReadOutcome::WouldBlock => node.readable = false,
-            ReadOutcome::Read(len) => {
-                let received = link.conn.receive(&buffer[..len]);
-                self.on_events(index, now);
+        match self.all[index].read(buffer) {
+            NodeRead::Nothing => {}
+            NodeRead::Received(received) => {
+                while let Some(event) = self.all[index].next_event() {
+                    self.on_event(index, event, now);
+                }
                 match received {
                     Ok(()) => return true,
-                    Err(fault) => self.disconnect(index, &Disconnect::Protocol(fault.to_string())),
+                    Err(fault) => self.disconnect(index, &Disconnect::Protocol(fault)),
                 }
             }
-            ReadOutcome::Closed(e) => self.disconnect(index, &e.into()),
+            NodeRead::Closed(e) => self.disconnect(index, &e.into()),
         }
         false
     }
 
-    fn on_events(&mut self, index: NodeIndex, now: Tick) {
-        while let Some(event) = self.all[index]
-            .link
-            .as_mut()
-            .and_then(|link| link.conn.next_event())
-        {
-            match event {
-                InitiatorEvent::LoggedIn => {
-                    tracing::info!(node = self.all[index].name, "node connected");
-                    self.all[index].connection.login_finished();
-                    for request in std::mem::take(&mut self.all[index].queue) {
-                        self.submit(index, request, now);
-                    }
-                }
-                InitiatorEvent::CommandCompleted {
-                    tag,
-                    status,
-                    sense,
-                    data,
-                    ..
-                } => {
-                    self.on_answer(index, tag, status, sense, data);
-                }
-                InitiatorEvent::CommandRejected { tag, reason } => {
-                    tracing::warn!(node = self.all[index].name, reason, "command rejected");
-                    self.end(index, tag, AttemptResult::Error);
-                }
-                InitiatorEvent::CommandAborted { .. } => {
-                    self.all[index]
-                        .connection
-                        .abort_answered(ticks_to_millis(now));
-                }
-                InitiatorEvent::LogoutRequested => {
-                    if let Some(link) = &mut self.all[index].link {
-                        link.conn.send_logout_request();
-                    }
-                    self.mark_dirty(index);
+    fn on_event(&mut self, index: NodeIndex, event: InitiatorEvent, now: Tick) {
+        let node = &mut self.all[index];
+        match event {
+            InitiatorEvent::LoggedIn => {
+                tracing::info!(node = node.name(), "node connected");
+                for request in node.login_finished() {
+                    self.submit(index, request, now);
                 }
-                InitiatorEvent::LoggedOut => return self.close(index),
-                InitiatorEvent::TextResponse(_) => {}
             }
+            InitiatorEvent::CommandCompleted {
+                tag,
+                status,
+                sense,
+                data,
+                ..
+            } => self.on_answer(index, tag, status, sense, data),
+            InitiatorEvent::CommandRejected { tag, reason } => {
+                tracing::warn!(node = node.name(), reason, "command rejected");
+                self.end(index, tag, AttemptResult::Error);
+            }
+            InitiatorEvent::CommandAborted { .. } => {
+                node.policy_mut().abort_answered(ticks_to_millis(now));
+            }
+            InitiatorEvent::LogoutRequested => {
+                node.send_logout_request();
+                self.mark_dirty(index);
+            }
+            InitiatorEvent::LoggedOut => self.close(index),
+            InitiatorEvent::TextResponse(_) => {}
         }
     }
 
@@ -389,10 +290,7 @@
     /// Writes what waits for the nodes.
     pub(crate) fn flush(&mut self) {
         while let Some(index) = self.dirty.pop() {
-            self.all[index].dirty = false;
-            if let Some(link) = &mut self.all[index].link
-                && let Err(e) = socket_io::write(&mut link.socket, link.conn.send_buffer())
-            {
+            if let Err(e) = self.all[index].flush() {
                 self.disconnect(index, &e.into());
             }
         }
@@ -401,12 +299,7 @@
     /// Closes connections that have timed out.
     pub(crate) fn on_timer(&mut self, now: Tick) {
         for index in 0..self.all.len() {
-            let node = &self.all[index];
-            let in_flight = node.link.as_ref().map_or(0, |link| link.conn.in_flight());
-            if let Some(reason) = node
-                .connection
-                .check_timeouts(ticks_to_millis(now), in_flight)
-            {
+            if let Some(reason) = self.all[index].check_timeouts(now) {
                 self.disconnect(index, &Disconnect::Timeout(reason));
             }
         }
