--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/gateway/src/catalog_client.rs
@@ -1,10 +1,15 @@
 //! The connection to the snapshot catalog, and what this host knows of the tree.
+//! `cut_requests`: what it knows of cuts.
+mod cut_requests;
+
+pub(crate) use cut_requests::{CompletionDecision, QuiesceRequest};
+
 use crate::json_lines::{Disconnect, LineConnection, LineRead};
+use cut_requests::CutRequests;
 use mallowseam_cow::Millis;
-use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
 use mallowseam_cow::messages::{ToCatalog, ToHost};
-use mallowseam_cow::tree::LayerId;
-use mallowseam_cow::tree_replica::{SLOT_BATCH, TreeReplica};
+use mallowseam_cow::tree::{LayerId, Tree};
+use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
 use mio::{Registry, Token};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,18 +20,8 @@
 /// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in
 /// pieces.
 const READS_PER_TURN: usize = 4;
-
-/// The catalog's request to quiesce a layer: to report once no split write is partly completed in it.
-pub(crate) struct QuiesceRequest {
-    pub(crate) layer: LayerId,
-    pub(crate) branch: String,
-}
-
-/// The catalog's answer to whether a write with parts in a layer may be completed.
-pub(crate) struct CompletionDecision {
-    pub(crate) layer: LayerId,
-    pub(crate) granted: bool,
-}
+/// Version of the tree in messages of a host that has none.
+const NO_VERSION: u64 = 0;
 
 /// The connection to the catalog and the cached tree.
 pub(crate) struct CatalogClient {
@@ -39,15 +34,10 @@
     /// No attempt to connect before this time.
     next_connect: Millis,
     /// The tree as this host knows it, and its lease.
-    pub(crate) replica: TreeReplica,
-    /// Counts up with every message that may let a waiting block I/O go on.
-    pub(crate) revision: u64,
-    /// Layers that the catalog waits for this host to quiesce.
-    pub(crate) quiesce_requests: Vec<QuiesceRequest>,
-    /// Answers that the dispatcher has not taken yet.
-    pub(crate) completion_decisions: Vec<CompletionDecision>,
-    /// Branches with a pending cut, and the time until which it delays split writes at most.
-    pending_cuts: BTreeMap<String, Millis>,
+    replica: TreeReplica,
+    /// Counts up with every message.
+    revision: u64,
+    cuts: CutRequests,
     /// When slots of a layer were last requested.
     slots_requested: BTreeMap<LayerId, Millis>,
 }
@@ -65,9 +55,7 @@
             next_connect: 0,
             replica: TreeReplica::default(),
             revision: 0,
-            quiesce_requests: Vec::new(),
-            completion_decisions: Vec::new(),
-            pending_cuts: BTreeMap::new(),
+            cuts: CutRequests::default(),
             slots_requested: BTreeMap::new(),
         }
     }
@@ -79,29 +67,58 @@
         }
     }
 
+    /// The tree as this host knows it.
+    pub(crate) fn tree(&self) -> Option<&Tree> {
+        self.replica.tree()
+    }
+
+    /// Changes with every message that may let a waiting block I/O go on.
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Where an extent of a branch or snapshot is read or written now.
+    pub(crate) fn look_up(&mut self, name: &str, extent: u32, write: bool, now: Millis) -> Lookup {
+        self.replica.look_up(name, extent, write, now)
+    }
+
+    /// Takes slots of a layer that no attempt has used yet, as many as there are up to `count`.
+    pub(crate) fn take_slots(&mut self, layer: LayerId, count: usize) -> Vec<u32> {
+        std::iter::from_fn(|| self.replica.take_slot(layer))
+            .take(count)
+            .collect()
+    }
+
+    /// The catalog's decisions about split writes, which are taken once.
+    pub(crate) fn take_completion_decisions(&mut self) -> Vec<CompletionDecision> {
+        self.cuts.take_decisions()
+    }
+
+    /// Whether the catalog waits for this host to quiesce a layer.
+    pub(crate) fn is_quiescing(&self) -> bool {
+        self.cuts.is_quiescing()
+    }
+
+    /// Reports the layers that this host has quiesced: those without a split write.
+    pub(crate) fn report_quiesced(&mut self, has_split_write: impl Fn(&QuiesceRequest) -> bool) {
+        for QuiesceRequest { layer, .. } in self.cuts.take_quiesced(has_split_write) {
+            self.send(&ToCatalog::Quiesced { layer });
+        }
+    }
+
     /// Whether a cut of a branch is pending.
     pub(crate) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
-        self.pending_cuts
-            .get(branch)
-            .is_some_and(|until| now < *until)
+        self.cuts.has_pending(branch, now)
     }
 
     /// Connects and renews the lease where that is due, and writes what is queued.
     pub(crate) fn on_timer(&mut self, now: Millis) {
         if self.connection.is_none() && now >= self.next_connect {
             self.next_connect = now + TreeReplica::RECONNECT_INTERVAL;
-            match LineConnection::connect(self.address, &self.registry, self.token) {
-                Ok(connection) => {
-                    self.connection = Some(connection);
-                    self.slots_requested.clear();
-                    let (host, known) = (self.host.clone(), self.replica.known());
-                    self.send(&ToCatalog::Hello { host, known });
-                }
-                Err(e) => tracing::debug!(error = %e, "snapshot catalog not reachable"),
-            }
+            self.connect();
         }
         if self.connection.is_some() && self.replica.renewal_due(now) {
-            let seen_version = self.replica.version().unwrap_or(0);
+            let seen_version = self.replica.version().unwrap_or(NO_VERSION);
             self.send(&ToCatalog::RenewLease {
                 sent_at: now,
                 seen_version,
@@ -110,6 +127,21 @@
         self.flush();
     }
 
+    fn connect(&mut self) {
+        match LineConnection::connect(self.address, &self.registry, self.token) {
+            Ok(connection) => {
+                self.connection = Some(connection);
+                self.slots_requested.clear();
+                let hello = ToCatalog::Hello {
+                    host: self.host.clone(),
+                    known: self.replica.known(),
+                };
+                self.send(&hello);
+            }
+            Err(e) => tracing::debug!(error = %e, "snapshot catalog not reachable"),
+        }
+    }
+
     /// Requests place slots of a layer while few are left.
     pub(crate) fn request_slots(&mut self, layer: LayerId, now: Millis) {
         let due = self
@@ -190,17 +222,15 @@
                 self.replica.begin_full_tree(catalog_id, *tree);
             }
             ToHost::Locations { layer, locations } => {
-                if !self.replica.add_locations(layer, &locations) {
-                    self.resynchronize();
-                }
+                let follows = self.replica.add_locations(layer, &locations);
+                self.check_sequence(follows);
             }
             ToHost::FullTreeEnd if !self.replica.finish_full_tree() => self.resynchronize(),
             ToHost::FullTreeEnd | ToHost::CaughtUp => self.on_tree_complete(now),
             ToHost::TreeChanged { version, change } => {
-                if self.replica.apply_change(version, &change) {
+                let follows = self.replica.apply_change(version, &change);
+                if self.check_sequence(follows) {
                     self.send(&ToCatalog::Acknowledge { version });
-                } else {
-                    self.resynchronize();
                 }
             }
             ToHost::LeaseGranted { sent_at, duration } => {
@@ -215,27 +245,26 @@
                 self.replica.add_slots(layer, first, count);
             }
             ToHost::LocationRejected { .. } => {}
-            ToHost::CutFinished { branch } => drop(self.pending_cuts.remove(&branch)),
-            ToHost::Quiesce { layer, branch } => {
-                self.pending_cuts.insert(branch.clone(), now + CUT_TIMEOUT);
-                if !self
-                    .quiesce_requests
-                    .iter()
-                    .any(|request| request.layer == layer)
-                {
-                    self.quiesce_requests.push(QuiesceRequest { layer, branch });
-                }
-            }
+            ToHost::CutFinished { branch } => self.cuts.cut_finished(&branch),
+            ToHost::Quiesce { layer, branch } => self.cuts.quiesce(layer, branch, now),
             ToHost::CompletionDecision { layer, granted } => {
-                self.completion_decisions
-                    .push(CompletionDecision { layer, granted });
+                self.cuts.decided(CompletionDecision { layer, granted });
             }
         }
     }
 
+    /// `follows`: whether a message follows from the known tree. Otherwise a new connection begins with the
+    /// whole tree. Returns `follows`.
+    fn check_sequence(&mut self, follows: bool) -> bool {
+        if !follows {
+            self.resynchronize();
+        }
+        follows
+    }
+
     /// The tree of a new connection is complete: the lease is renewed by it.
     fn on_tree_complete(&mut self, now: Millis) {
-        let version = self.replica.version().unwrap_or(0);
+        let version = self.replica.version().unwrap_or(NO_VERSION);
         tracing::info!(version, "snapshot catalog synchronized");
         self.replica.connection_lost();
         if self.replica.renewal_due(now) {
