--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -95,6 +95,12 @@
             .map(|member| member.record().address)
     }
 
+    /// Whether a reachable member, or this host itself, has an address.
+    pub fn has_reachable_at(&self, address: SocketAddr) -> bool {
+        self.members()
+            .any(|member| member.is_reachable() && member.record().address == address)
+    }
+
     /// Ids of all members, this host included.
     pub fn ids(&self) -> impl Iterator<Item = u64> {
         self.members.keys().copied()
@@ -118,11 +124,7 @@
     /// Replaces this host's own record, which is gossiped in any case and reported where its state changed.
     pub fn replace_local(&mut self, record: &MemberRecord, now: Millis) -> TableChange {
         let previous = self.get(self.local_id).map(Member::state);
-        let update = GossipUpdate {
-            record: record.clone(),
-            suspected_by: None,
-        };
-        let member = Member::new(&update, now);
+        let member = Member::new(&GossipUpdate::unsuspected(record), now);
         let change = if previous == Some(member.state()) {
             TableChange::enqueued(self.local_id)
         } else {
