--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -5,6 +5,7 @@
 use mallowseam_http1::ParseError;
 use mallowseam_platform::response;
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
+use std::num::NonZeroU64;
 use std::ops::Range;
 
 /// Status of a request that took too long to arrive.
@@ -82,7 +83,7 @@
             &mut output.head,
             self.status,
             self.body.len(),
-            self.retry_after_ms.unwrap_or(0),
+            self.retry_after_ms.and_then(NonZeroU64::new),
             close,
         );
         self.body.append_to(output);
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -3,6 +3,7 @@
 use mallowseam_http1::ResponseHead;
 use mallowseam_scheduler::interface::{AttemptResult, LoadReport};
 use std::io::Write;
+use std::num::NonZeroU64;
 
 /// Status of a rejected request: the client may safely try again.
 pub const SHED_STATUS: u16 = 503;
@@ -74,8 +75,8 @@
 
 /// Writes the head of a response to a client.
 ///
-/// `body_len`: length of the body in bytes. `retry_after_ms`: the `Retry-After` delay in milliseconds, 0 for none; the
-/// users' protocol has it in decimal seconds. `close`: this is the last response on its connection.
+/// `body_len`: length of the body in bytes. `retry_after_ms`: the `Retry-After` delay in milliseconds, if there is
+/// one; the users' protocol has it in decimal seconds. `close`: this is the last response on its connection.
 ///
 /// # Panics
 ///
@@ -84,7 +85,7 @@
     out: &mut Vec<u8>,
     status: u16,
     body_len: usize,
-    retry_after_ms: u64,
+    retry_after_ms: Option<NonZeroU64>,
     close: bool,
 ) {
     let reason = reason_phrase(status);
@@ -93,9 +94,9 @@
         "HTTP/1.1 {status} {reason}\r\nContent-Length: {body_len}\r\n"
     )
     .expect(INFALLIBLE);
-    if retry_after_ms > 0 {
-        let seconds = retry_after_ms / 1000;
-        let millis = retry_after_ms % 1000;
+    if let Some(delay_ms) = retry_after_ms {
+        let seconds = delay_ms.get() / 1000;
+        let millis = delay_ms.get() % 1000;
         write!(out, "Retry-After: {seconds}.{millis:03}\r\n").expect(INFALLIBLE);
     }
     if close {
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -13,6 +13,7 @@
 use mallowseam_test_support::{Digest, SeededRng};
 use serde_json::{Value, json};
 use std::fmt::Write as _;
+use std::num::NonZeroU64;
 
 const LIMITS: Limits = Limits {
     head: 8192,
@@ -107,13 +108,13 @@
             (9, 61_234, true),
         ] {
             let mut out = Vec::from(&b"ahead "[..]);
-            response::write_head(&mut out, status, body, come_back, close);
+            response::write_head(&mut out, status, body, NonZeroU64::new(come_back), close);
             writeln!(found, "{}", bytes(&out)).expect("memory");
         }
     }
     for come_back in [999, 1_000, 1_001, 3_600_000] {
         let mut out = Vec::new();
-        response::write_head(&mut out, 503, 0, come_back, false);
+        response::write_head(&mut out, 503, 0, NonZeroU64::new(come_back), false);
         writeln!(found, "{}", bytes(&out)).expect("memory");
     }
     pinned("answers_written.txt", &found);
