--- a/crates/connection-policy/src/graceful_shutdown.rs
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -2,13 +2,13 @@
 //! is killed. If it stopped sooner, its clients would have no host until it is restarted.
 use crate::Millis;
 
-/// Milliseconds for which a host stopped by an operator still admits clients. The platform counts what comes
-/// later than 0.7 s as lost by the host if it stays unanswered.
+/// Milliseconds for which a host stopped by an operator still admits clients. A request that arrives later than 0.7 s
+/// and stays unanswered is counted by the platform as lost by the host.
 pub const OPERATOR_GRACE: Millis = 650;
-/// After SIGTERM the platform sends SIGKILL no sooner than the longest deadline, counted as this at most, and
-/// [`KILL_DELAY`]. Milliseconds.
+/// Longest deadline in milliseconds that the platform waits for after SIGTERM. It sends SIGKILL [`KILL_DELAY`] after
+/// the longest deadline of any block I/O or after this one, whichever is shorter.
 const MAX_COUNTED_DEADLINE: Millis = 3_000;
-/// Milliseconds from the end of the longest deadline to SIGKILL.
+/// Milliseconds from the end of the longest deadline, as far as the platform waits for it, to SIGKILL.
 pub const KILL_DELAY: Millis = 700;
 /// Milliseconds before SIGKILL by which the last answer is sent: what a busy machine takes to deliver it.
 const KILL_MARGIN: Millis = 60;
--- a/crates/connection-policy/src/resource_budget.rs
+++ b/crates/connection-policy/src/resource_budget.rs
@@ -3,8 +3,8 @@
 /// Descriptors that are neither clients' nor nodes': standard streams, poll, listener, signals, two watches of
 /// the endpoint list, the configuration's file, and as many again for what system libraries open.
 pub const RESERVED_DESCRIPTORS: u64 = 24;
-/// Tenths of the other descriptors that clients get. More than half of their connections may be idle or silent,
-/// while a request in flight has one attempt in flight at most, and most requests are queued.
+/// Tenths of the other descriptors that clients get; nodes get the rest. Clients need more: over half of their
+/// connections may be idle, and a request has at most one attempt at a node in flight, and none while it is queued.
 const CLIENT_TENTHS: u64 = 7;
 /// Fraction of the memory for responses that come from nodes: one in this many.
 const NODE_MEMORY_DIVISOR: u64 = 4;
--- a/crates/connection-policy/src/watch_liveness.rs
+++ b/crates/connection-policy/src/watch_liveness.rs
@@ -8,8 +8,8 @@
 /// was received.
 pub const FIRST_EVENT_TIMEOUT: Millis = 4_000;
 /// Milliseconds without an event after which a watch has failed. The service sends a heartbeat every 2 s: one
-/// missed, and 1.2 s more for a slow one. The platform counts what a stalled watch misses as received 6 s after
-/// the stall; the rest of that time is for a new request.
+/// missed, and 1.2 s more for a slow one. The platform takes a host to know what a stalled watch has missed 6 s after
+/// the stall; the time that is left until then is for a new request.
 pub const HEARTBEAT_TIMEOUT: Millis = 3_200;
 
 /// Liveness of one watch.
--- a/crates/cow/src/reclaim.rs
+++ b/crates/cow/src/reclaim.rs
@@ -1,6 +1,6 @@
-//! When unreachable locations may be released: once no host acts on a tree in which they are reachable, and every
-//! block I/O that was sent by such a tree is past its deadline. In small batches, so that nodes keep capacity for
-//! clients.
+//! When unreachable locations may be released. Two conditions hold by then: no host acts any more on a tree in which
+//! they are reachable, and every block I/O that a host has sent on the basis of such a tree is past its deadline.
+//! Locations are released in small batches, so that nodes keep capacity for clients.
 use crate::Millis;
 use crate::leases::HostLeases;
 use crate::tree::{ChangeEffects, LayerExtent, LayerId, Tree};
--- a/crates/cow/src/tree_replica/lookup_cache.rs
+++ b/crates/cow/src/tree_replica/lookup_cache.rs
@@ -58,3 +58,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/iscsi/src/initiator/sequence.rs
+++ b/crates/iscsi/src/initiator/sequence.rs
@@ -81,3 +81,6 @@
         _ => true,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/iscsi/src/initiator/transfer.rs
+++ b/crates/iscsi/src/initiator/transfer.rs
@@ -112,3 +112,6 @@
         self.data = Payload::default();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/iscsi/src/target/sequence.rs
+++ b/crates/iscsi/src/target/sequence.rs
@@ -68,3 +68,6 @@
             .with_max_cmd_sn(self.max_cmd_sn)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/iscsi/src/target/sequence/tests.rs
@@ -0,0 +1,57 @@
+//! Which command numbers are accepted, and the window that is announced.
+use super::*;
+use crate::pdu::{flag, opcode};
+
+/// A session that has begun with command number `u32::MAX` and a window of four.
+fn sequence() -> TargetSequence {
+    let mut sequence = TargetSequence::new();
+    sequence.start(u32::MAX, 4);
+    sequence
+}
+
+fn announced(sequence: &TargetSequence) -> [u32; 2] {
+    let bhs = sequence.number(Bhs::new(opcode::NOP_IN, flag::FINAL), 9);
+    assert_eq!(bhs.stat_sn(), 9);
+    [bhs.exp_cmd_sn(), bhs.max_cmd_sn()]
+}
+
+#[test]
+fn numbers_are_accepted_in_order_and_wrap_around() {
+    let mut sequence = sequence();
+    assert_eq!(sequence.accept(u32::MAX), Ok(true));
+    assert_eq!(sequence.accept(0), Ok(true));
+    assert_eq!(announced(&sequence), [1, 2]);
+}
+
+#[test]
+fn numbers_outside_the_window_are_ignored_and_a_gap_inside_is_an_error() {
+    let mut sequence = sequence();
+    assert_eq!(sequence.accept(u32::MAX - 1), Ok(false));
+    assert_eq!(sequence.accept(3), Ok(false));
+    let gap = ProtocolError::CommandSequenceGap {
+        received: 1,
+        expected: u32::MAX,
+    };
+    assert_eq!(sequence.accept(1), Err(gap));
+    assert_eq!(announced(&sequence), [u32::MAX, 2]);
+}
+
+#[test]
+fn the_window_opens_and_never_closes() {
+    let mut sequence = sequence();
+    sequence.open_window(1);
+    assert_eq!(announced(&sequence), [u32::MAX, 2]);
+    sequence.open_window(6);
+    assert_eq!(announced(&sequence), [u32::MAX, 4]);
+}
+
+#[test]
+fn only_a_response_uses_up_a_status_number() {
+    let mut sequence = sequence();
+    let first = sequence.next_stat_sn();
+    assert_eq!(
+        [sequence.next_stat_sn(), sequence.take_stat_sn()],
+        [first; 2]
+    );
+    assert_eq!(sequence.next_stat_sn(), first + 1);
+}
--- a/crates/iscsi/src/target/write_transfer.rs
+++ b/crates/iscsi/src/target/write_transfer.rs
@@ -135,3 +135,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/plans/src/reconnect_backoff.rs
+++ b/crates/plans/src/reconnect_backoff.rs
@@ -38,3 +38,6 @@
         true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/snapshot-catalog/src/recent_changes.rs
+++ b/crates/snapshot-catalog/src/recent_changes.rs
@@ -28,3 +28,6 @@
         Some(self.changes.range(from..))
     }
 }
+
+#[cfg(test)]
+mod tests;
