--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -168,7 +168,7 @@
 }
 
 /// Which connection is evicted for a new one. In this order: one that lingers; one that has been idle for
-/// [`EVICTABLE_AFTER_IDLE`]; one that awaits its first request; one that is idle. Among several, the one that has been
+/// `EVICTABLE_AFTER_IDLE`; one that awaits its first request; one that is idle. Among several, the one that has been
 /// in its phase for the longest time. So clients that send nothing, or stay connected after one request, evict only
 /// each other.
 ///
