--- a/crates/connection-policy/src/command_progress.rs
+++ b/crates/connection-policy/src/command_progress.rs
@@ -11,8 +11,8 @@
     Completed,
     /// It was shed and has not run.
     Shed {
-        /// When the client may retry, in the scheduler's ticks from now.
-        retry_after: i64,
+        /// When the client may retry, in the scheduler's ticks from now, if that is said.
+        retry_after: Option<i64>,
     },
     /// It failed, and may have run.
     Failed,
--- a/crates/connection-policy/tests/command_progress.rs
+++ b/crates/connection-policy/tests/command_progress.rs
@@ -18,7 +18,9 @@
 #[test]
 fn first_sub_request_shed_answers_the_command_and_the_others_only_finish() {
     let mut progress = CommandProgress::new(3);
-    let shed = RequestOutcome::Shed { retry_after: 7 };
+    let shed = RequestOutcome::Shed {
+        retry_after: Some(7),
+    };
     assert_eq!(progress.sub_request_finished(shed), Some(shed));
     assert_eq!(progress.sub_request_finished(RequestOutcome::Failed), None);
     assert!(!progress.is_finished());
@@ -31,7 +33,7 @@
 
 #[test]
 fn command_is_not_shed_once_a_non_idempotent_sub_request_may_have_run() {
-    let shed = RequestOutcome::Shed { retry_after: 0 };
+    let shed = RequestOutcome::Shed { retry_after: None };
     let mut progress = CommandProgress::new(2);
     progress.attempt_sent();
     assert_eq!(
--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -470,7 +470,7 @@
     let code = |outcome: RequestOutcome| match outcome {
         RequestOutcome::Completed => 1,
         RequestOutcome::Failed => 2,
-        RequestOutcome::Shed { retry_after } => 1_000 + retry_after as u64,
+        RequestOutcome::Shed { retry_after } => 1_000 + retry_after.unwrap_or(0) as u64,
     };
     assert_pinned(&ANSWERS, |rng, digest| {
         for _ in 0..EVENTS / 4 {
@@ -485,7 +485,7 @@
                         _ => {}
                     }
                 }
-                let retry_after = rng.below(100) as i64;
+                let retry_after = Some(rng.below(100) as i64);
                 let outcome = rng.pick(&[
                     RequestOutcome::Completed,
                     RequestOutcome::Completed,
--- a/crates/gateway/src/dispatcher/answers.rs
+++ b/crates/gateway/src/dispatcher/answers.rs
@@ -20,8 +20,8 @@
     CheckCondition(Sense),
     /// TASK SET FULL: the command was never admitted, so a retry is harmless.
     TaskSetFull,
-    /// BUSY: the command was shed. The client may retry after so many ticks.
-    Busy { retry_after: Tick },
+    /// BUSY: the command was shed. The client may retry after so many ticks, if that is said.
+    Busy { retry_after: Option<Tick> },
 }
 
 impl<'a> Answer<'a> {
@@ -55,7 +55,12 @@
             session.complete_with_status(task, status::TASK_SET_FULL, None, NO_RETRY_DELAY);
         }
         Answer::Busy { retry_after } => {
-            session.complete_with_status(task, status::BUSY, None, retry_delay(retry_after));
+            session.complete_with_status(
+                task,
+                status::BUSY,
+                None,
+                retry_after.map_or(NO_RETRY_DELAY, retry_delay),
+            );
         }
     }
 }
--- a/crates/gateway/src/dispatcher/lookups.rs
+++ b/crates/gateway/src/dispatcher/lookups.rs
@@ -209,7 +209,7 @@
             return false;
         }
         if !is_answered {
-            self.answer_not_completed(id, RequestOutcome::Shed { retry_after: 0 });
+            self.answer_not_completed(id, RequestOutcome::Shed { retry_after: None });
         }
         self.release(id);
         true
--- a/crates/gateway/src/dispatcher/scheduler_host.rs
+++ b/crates/gateway/src/dispatcher/scheduler_host.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+    fn shed(&mut self, bio: BioId, retry_after: Option<Tick>) {
         self.answer_not_completed(bio, RequestOutcome::Shed { retry_after });
     }
 
--- a/crates/gateway/src/endpoint_list/known_nodes.rs
+++ b/crates/gateway/src/endpoint_list/known_nodes.rs
@@ -7,8 +7,8 @@
 const TICKS_PER_MILLI: Tick = 10;
 /// Generation in an entry of a node that started long ago.
 const NO_GENERATION: u64 = 0;
-/// The scheduler's start time of a node that started long ago.
-const STARTED_LONG_AGO: Tick = 0;
+/// The earliest start that a host's clock can tell.
+const EARLIEST_START: Tick = 1;
 
 /// A run of a node's process.
 #[derive(Clone, Copy)]
@@ -61,7 +61,7 @@
                 zone: node.zone,
                 shard: node.shard,
                 state: NodeState::Active,
-                started_at: STARTED_LONG_AGO,
+                started_at: None,
             })
             .collect()
     }
@@ -81,7 +81,7 @@
                 EndpointState::Draining => NodeState::Draining,
                 EndpointState::Removed => NodeState::Removed,
             },
-            started_at: node.run.map_or(STARTED_LONG_AGO, |run| run.began),
+            started_at: node.run.map(|run| run.began),
         })
     }
 }
@@ -92,7 +92,7 @@
     if generation == NO_GENERATION {
         return None;
     }
-    let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(STARTED_LONG_AGO + 1);
+    let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(EARLIEST_START);
     // Updates take a while to arrive: of one run, the earliest start that was reported is the most accurate.
     // It never moves up, which would look like a restart.
     let same_run = known.filter(|run| run.generation == generation);
--- a/crates/models/src/cold_start.rs
+++ b/crates/models/src/cold_start.rs
@@ -94,7 +94,7 @@
 impl Host for RequestedActions {
     fn forward(&mut self, _: BioId, _: NodeId, _: Tick) {}
     fn cancel(&mut self, _: BioId, _: u32) {}
-    fn shed(&mut self, _: BioId, _: Tick) {}
+    fn shed(&mut self, _: BioId, _: Option<Tick>) {}
     fn fail(&mut self, _: BioId) {}
     fn set_timer(&mut self, after: Tick) {
         self.timer_after = Some(after);
--- a/crates/platform-host/src/dispatcher/final_responses.rs
+++ b/crates/platform-host/src/dispatcher/final_responses.rs
@@ -40,7 +40,7 @@
         let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts());
         self.withdraw_unsent(io);
         if is_harmless {
-            self.shed(io, 0);
+            self.shed(io, None);
         } else {
             self.fail(io);
         }
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -72,9 +72,11 @@
         }
     }
 
-    fn shed(&mut self, bio: BioId, retry_after: Tick) {
-        // The scheduler names no time by 0.
-        let retry_after_ms = Some(ticks_to_millis(retry_after)).filter(|millis| *millis > 0);
+    fn shed(&mut self, bio: BioId, retry_after: Option<Tick>) {
+        // A time under a millisecond is not named.
+        let retry_after_ms = retry_after
+            .map(ticks_to_millis)
+            .filter(|millis| *millis > 0);
         let response = Response::empty(response::SHED_STATUS).with_retry_after(retry_after_ms);
         self.counters.shed += u64::from(self.respond_final(bio, response));
     }
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -140,7 +140,9 @@
                     Health::Draining => NodeState::Draining,
                     Health::Removed => NodeState::Removed,
                 },
-                started_at: endpoint.started_at_ms.max(0) * TICKS_PER_MS,
+                // The list has 0 where a start is not known.
+                started_at: Some(endpoint.started_at_ms.max(0) * TICKS_PER_MS)
+                    .filter(|time| *time > 0),
             });
         }
     }
--- a/crates/platform/tests/interner.rs
+++ b/crates/platform/tests/interner.rs
@@ -54,7 +54,7 @@
     names.intern_endpoints(&event, &settings(), &mut nodes);
     assert_eq!(
         (nodes[0].started_at, nodes[0].state),
-        (50, NodeState::Active)
+        (Some(50), NodeState::Active)
     );
 }
 
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -475,7 +475,9 @@
             writeln!(
                 found,
                 "node {id} zone {} shard {} {state} up {}",
-                l.zone, l.shard, l.started_at
+                l.zone,
+                l.shard,
+                l.started_at.unwrap_or(0)
             )
             .expect("memory");
         }
--- a/crates/scheduler-driver/tests/driver.rs
+++ b/crates/scheduler-driver/tests/driver.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    fn shed(&mut self, bio: BioId, _retry_after: Tick) {
+    fn shed(&mut self, bio: BioId, _retry_after: Option<Tick>) {
         self.answer(bio);
     }
 
@@ -149,7 +149,7 @@
             zone: 0,
             shard: 0,
             state: NodeState::Active,
-            started_at: 0,
+            started_at: None,
         };
         let now = fixture.host.now;
         fixture.scheduler.on_endpoints(
--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -40,7 +40,7 @@
     let endpoint = |(index, shard): (usize, &u32)| NodeEndpoint {
         shard: *shard,
         zone: index as u32 % 2,
-        ..node(index as u32, NodeState::Active, 0)
+        ..node(index as u32, NodeState::Active, None)
     };
     shards.iter().enumerate().map(endpoint).collect()
 }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -32,8 +32,8 @@
     /// Stop waiting for an attempt of a block I/O; attempts are counted from 0.
     fn cancel(&mut self, bio: BioId, attempt: u32);
     /// Answer the client for good: not done, and trying again is harmless. `retry_after` is the
-    /// time after which to retry that the answer names; 0: it names none.
-    fn shed(&mut self, bio: BioId, retry_after: Tick);
+    /// time after which to retry, if the answer names one.
+    fn shed(&mut self, bio: BioId, retry_after: Option<Tick>);
     /// Answer the client for good: failed, and it is not known whether the block I/O took effect.
     fn fail(&mut self, bio: BioId);
     /// Call [`on_timer`](crate::Scheduler::on_timer) after this span.
@@ -276,8 +276,8 @@
     pub shard: u32,
     /// Whether it takes block I/Os.
     pub state: NodeState,
-    /// When its process started; 0: long ago, so that no slow start applies.
-    pub started_at: Tick,
+    /// When its process started; none: long ago, so that no slow start applies.
+    pub started_at: Option<Tick>,
 }
 
 /// What the host has of the endpoint list, or failed to get.
--- a/crates/scheduler/src/policy/scheduler.rs
+++ b/crates/scheduler/src/policy/scheduler.rs
@@ -72,9 +72,11 @@
 
 impl AnswerRules {
     fn new(config: &SchedulerConfig) -> Self {
-        let retry_after = config.max_retry_after.min(ALLOCATION_INTERVAL);
+        // The configuration has 0 where it names no longest time.
+        let max_retry_after = Some(config.max_retry_after).filter(|time| *time > 0);
+        let retry_after = max_retry_after.map(|longest| longest.min(ALLOCATION_INTERVAL));
         AnswerRules {
-            retry_after: config.allow_retry_after.then_some(retry_after),
+            retry_after: retry_after.filter(|_| config.allow_retry_after),
             shed_at_half_deadline: config.shed_at_half_deadline,
             allow_cancel: config.allow_cancel,
         }
--- a/crates/scheduler/src/policy/scheduler/endpoints.rs
+++ b/crates/scheduler/src/policy/scheduler/endpoints.rs
@@ -36,12 +36,10 @@
             zone: endpoint.zone,
         };
         node.set_endpoint(location, endpoint.state == NodeState::Active);
-        // At the interface, 0 stands for a start long ago.
-        let started_at = Some(endpoint.started_at).filter(|time| *time != 0);
-        if !is_new && !node.is_restarted(started_at) {
+        if !is_new && !node.is_restarted(endpoint.started_at) {
             return;
         }
-        node.restart(started_at, limits);
+        node.restart(endpoint.started_at, limits);
         let from_cache = event == EndpointEvent::Cached;
         if !is_new || !from_cache {
             node.pause_until(now + pause);
--- a/crates/scheduler/src/policy/scheduler/final_answers.rs
+++ b/crates/scheduler/src/policy/scheduler/final_answers.rs
@@ -29,9 +29,7 @@
         }
         let harmless = class.idempotency().repeats_are_harmless();
         if request.possible_run().is_none() || harmless {
-            // At the interface, 0 names no time.
-            let retry_after = self.answer_rules.retry_after.unwrap_or(0);
-            host.shed(id, retry_after);
+            host.shed(id, self.answer_rules.retry_after);
         } else {
             host.fail(id);
         }
--- a/crates/scheduler/src/policy/tests/mod.rs
+++ b/crates/scheduler/src/policy/tests/mod.rs
@@ -29,7 +29,7 @@
 impl Host for RecordingHost {
     fn forward(&mut self, _bio: BioId, _node: NodeId, _timeout: Tick) {}
     fn cancel(&mut self, _bio: BioId, _attempt: u32) {}
-    fn shed(&mut self, _bio: BioId, _retry_after: Tick) {}
+    fn shed(&mut self, _bio: BioId, _retry_after: Option<Tick>) {}
     fn fail(&mut self, _bio: BioId) {}
     fn set_timer(&mut self, after: Tick) {
         self.timers.push(after);
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -5,9 +5,9 @@
 use support::{Action, Harness, config, node};
 use test_case::test_case;
 
-#[test_case(EndpointEvent::Incremental, &[node(0, NodeState::Draining, 0)]; "draining")]
-#[test_case(EndpointEvent::Incremental, &[node(0, NodeState::Removed, 0)]; "removed")]
-#[test_case(EndpointEvent::FullSnapshot, &[node(1, NodeState::Active, 0)]; "missing from the full snapshot")]
+#[test_case(EndpointEvent::Incremental, &[node(0, NodeState::Draining, None)]; "draining")]
+#[test_case(EndpointEvent::Incremental, &[node(0, NodeState::Removed, None)]; "removed")]
+#[test_case(EndpointEvent::FullSnapshot, &[node(1, NodeState::Active, None)]; "missing from the full snapshot")]
 fn inactive_node_gets_no_new_block_io(event: EndpointEvent, endpoints: &[NodeEndpoint]) {
     let mut harness = Harness::new(&config());
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
@@ -35,7 +35,7 @@
     });
     harness.on_endpoints(
         EndpointEvent::Incremental,
-        &[node(0, NodeState::Removed, 0)],
+        &[node(0, NodeState::Removed, None)],
     );
     for _ in 0..40 {
         let all = harness.forwarded();
@@ -67,8 +67,8 @@
     harness.on_endpoints(
         EndpointEvent::Incremental,
         &[
-            node(0, NodeState::Removed, 0),
-            node(1, NodeState::Removed, 0),
+            node(0, NodeState::Removed, None),
+            node(1, NodeState::Removed, None),
         ],
     );
     harness.advance(599_000);
@@ -85,7 +85,10 @@
     harness.finish_attempt(0, 0, AttemptResult::TimedOut, 602_000);
     harness.advance(2_000);
     assert_eq!(harness.count(Action::ReleasedNode(0)), 1);
-    harness.on_endpoints(EndpointEvent::Incremental, &[node(0, NodeState::Active, 0)]);
+    harness.on_endpoints(
+        EndpointEvent::Incremental,
+        &[node(0, NodeState::Active, None)],
+    );
     harness.advance(3_000);
     harness.arrive(harness.bio(1));
     assert!(harness.forwarded().contains(&1), "its index serves another");
@@ -97,10 +100,13 @@
     for _ in 0..3 {
         harness.on_endpoints(
             EndpointEvent::Incremental,
-            &[node(1, NodeState::Removed, 0)],
+            &[node(1, NodeState::Removed, None)],
         );
         harness.advance(500_000);
-        harness.on_endpoints(EndpointEvent::Incremental, &[node(1, NodeState::Active, 0)]);
+        harness.on_endpoints(
+            EndpointEvent::Incremental,
+            &[node(1, NodeState::Active, None)],
+        );
         harness.advance(2_000);
     }
     assert_eq!(harness.count(Action::ReleasedNode(1)), 0);
--- a/crates/scheduler/tests/final_answers.rs
+++ b/crates/scheduler/tests/final_answers.rs
@@ -36,7 +36,10 @@
     let mut harness = Harness::new(&config());
     harness.arrive(harness.bio(0));
     harness.advance(OBJECTIVE + 100);
-    harness.on_endpoints(EndpointEvent::Incremental, &[node(1, NodeState::Active, 0)]);
+    harness.on_endpoints(
+        EndpointEvent::Incremental,
+        &[node(1, NodeState::Active, None)],
+    );
     harness.arrive(harness.bio(1));
     harness.finish_attempt(0, 0, AttemptResult::Rejected, 10);
     harness.advance(DEADLINE);
@@ -199,7 +202,7 @@
     harness.advance(900);
     harness.on_endpoints(
         EndpointEvent::Incremental,
-        &[node(0, NodeState::Removed, 0)],
+        &[node(0, NodeState::Removed, None)],
     );
     assert!(!queued.is_empty());
     assert!(
--- a/crates/scheduler/tests/idempotency.rs
+++ b/crates/scheduler/tests/idempotency.rs
@@ -98,7 +98,7 @@
         // The only node of its shard drains while the outcome is on its way.
         harness.on_endpoints(
             EndpointEvent::Incremental,
-            &[node(first, NodeState::Draining, 0)],
+            &[node(first, NodeState::Draining, None)],
         );
         let now = harness.host.now;
         harness.finish_attempt(100, first, AttemptResult::ConnectionReset, 10);
--- a/crates/scheduler/tests/pin/nodes.rs
+++ b/crates/scheduler/tests/pin/nodes.rs
@@ -126,6 +126,6 @@
         zone: node % 2,
         shard,
         state,
-        started_at: 0,
+        started_at: None,
     }
 }
--- a/crates/scheduler/tests/pin/recorder.rs
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -180,7 +180,8 @@
         }
     }
 
-    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+    fn shed(&mut self, bio: BioId, retry_after: Option<Tick>) {
+        let retry_after = retry_after.unwrap_or(0);
         self.record(Action::Shed, [bio.0.into(), retry_after as u64, 0]);
         let current = self
             .current
--- a/crates/scheduler/tests/pin/simulation.rs
+++ b/crates/scheduler/tests/pin/simulation.rs
@@ -307,14 +307,14 @@
                 let endpoint = &mut r.nodes[node].endpoint;
                 match (choice, endpoint.state) {
                     (12..15, NodeState::Active) => {
-                        endpoint.started_at = now - r.random.between(0, 20_000);
+                        endpoint.started_at = Some(now - r.random.between(0, 20_000));
                     }
                     (4, NodeState::Active) => endpoint.state = NodeState::Draining,
                     (_, NodeState::Draining) => endpoint.state = NodeState::Removed,
                     (_, NodeState::Removed) if choice < 7 => {}
                     _ => {
                         endpoint.state = NodeState::Active;
-                        endpoint.started_at = now - r.random.between(0, 20_000);
+                        endpoint.started_at = Some(now - r.random.between(0, 20_000));
                     }
                 }
                 let entry = *endpoint;
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -129,7 +129,7 @@
                 EndpointEvent::FullSnapshot,
                 &[
                     node(0, NodeState::Active, up),
-                    node(1, NodeState::Active, 0),
+                    node(1, NodeState::Active, None),
                 ],
             );
             harness.advance(3_100);
@@ -182,7 +182,7 @@
     );
     harness.on_endpoints(
         EndpointEvent::Incremental,
-        &[node(0, NodeState::Removed, 0)],
+        &[node(0, NodeState::Removed, None)],
     );
     harness.host.actions.clear();
     let mut seen = 0;
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -45,10 +45,9 @@
         self.record(Action::Cancelled(bio.0));
     }
 
-    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+    fn shed(&mut self, bio: BioId, retry_after: Option<Tick>) {
         self.record(Action::Shed(bio.0));
-        self.retry_after
-            .extend(Some(retry_after).filter(|t| *t > 0));
+        self.retry_after.extend(retry_after);
     }
 
     fn fail(&mut self, bio: BioId) {
@@ -144,14 +143,14 @@
     }
 }
 
-/// An endpoint whose shard has the number of the node.
-pub fn node(node: u32, state: NodeState, started_at: Tick) -> NodeEndpoint {
+/// An endpoint whose shard has the number of the node; without a start, the node started long ago.
+pub fn node(node: u32, state: NodeState, started_at: impl Into<Option<Tick>>) -> NodeEndpoint {
     NodeEndpoint {
         node: NodeId(node),
         zone: 0,
         shard: node,
         state,
-        started_at,
+        started_at: started_at.into(),
     }
 }
 
@@ -172,7 +171,10 @@
             scheduler: Scheduler::new(config, 7, host.now),
             host,
         };
-        let both = [node(0, NodeState::Active, 0), node(1, NodeState::Active, 0)];
+        let both = [
+            node(0, NodeState::Active, None),
+            node(1, NodeState::Active, None),
+        ];
         harness.on_endpoints(EndpointEvent::Cached, &both);
         harness.advance(12_000);
         harness.on_endpoints(EndpointEvent::Incremental, &[]);
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -60,9 +60,9 @@
         );
     }
 
-    fn shed(&mut self, bio: BioId, retry_after: Tick) {
+    fn shed(&mut self, bio: BioId, retry_after: Option<Tick>) {
         let request = self.request_id(bio);
-        let retry_after = retry_after * MICROS_PER_TICK;
+        let retry_after = retry_after.unwrap_or(0) * MICROS_PER_TICK;
         write_line(
             self.output,
             format_args!("bounce {} {request} {retry_after}", self.instance),
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -90,12 +90,14 @@
         let state = fields.one_of("condition", &states)?;
         fields.optional_number("scale")?;
         let started_at_micros = fields.optional_number("came_up_us")?.unwrap_or(0.0) as i64;
+        let started_at = started_at_micros / MICROS_PER_TICK;
         Ok(NodeEndpoint {
             node,
             zone,
             shard,
             state,
-            started_at: started_at_micros / MICROS_PER_TICK,
+            // The list has 0 for a start long past.
+            started_at: Some(started_at).filter(|time| *time != 0),
         })
     }
 
