--- a/crates/scheduler/src/policy/io_classes.rs
+++ b/crates/scheduler/src/policy/io_classes.rs
@@ -10,8 +10,8 @@
     idempotency: Idempotency,
     latency_objective: Tick,
     priority_weight: f64,
-    /// 1 - its weight / the highest weight.
-    weight_deficit: f64,
+    /// No other class has a higher priority weight.
+    has_highest_weight: bool,
     ordered: bool,
     max_attempts: u32,
 }
@@ -28,7 +28,7 @@
             idempotency: class.idempotency,
             latency_objective: class.latency_objective,
             priority_weight: class.priority_weight,
-            weight_deficit: 1.0 - class.priority_weight / weights.highest,
+            has_highest_weight: class.priority_weight == weights.highest,
             ordered: class.ordered,
             max_attempts: max_attempts.max(1),
         }
@@ -51,12 +51,7 @@
 
     /// Whether no other class has a higher priority weight.
     pub(super) fn has_highest_weight(&self) -> bool {
-        self.weight_deficit == 0.0
-    }
-
-    /// Whether another class has a higher priority weight.
-    pub(super) fn has_lower_weight(&self) -> bool {
-        self.weight_deficit > 0.0
+        self.has_highest_weight
     }
 
     /// Whether its block I/Os with the same key run one after another.
--- a/crates/scheduler/src/policy/rate_limiter.rs
+++ b/crates/scheduler/src/policy/rate_limiter.rs
@@ -65,9 +65,8 @@
     pub(super) fn is_over_limit(&self, now: Tick, request: &Request, class: &ClassPolicy) -> bool {
         let bio = request.bio();
         let volume = &self.volumes[bio.volume];
-        self.plans[volume.plan()].limit.is_some()
-            && !request.has_tokens()
-            && volume.lacks_tokens(now, bio.units, class.has_lower_weight())
+        let is_limited = self.plans[volume.plan()].limit.is_some() && !request.has_tokens();
+        is_limited && volume.lacks_tokens(now, bio.units, class.has_highest_weight())
     }
 
     /// Takes a block I/O's units from its volume's tokens, with its first attempt.
--- a/crates/scheduler/src/policy/scheduler.rs
+++ b/crates/scheduler/src/policy/scheduler.rs
@@ -1,8 +1,9 @@
 //! The scheduler of one host: what happens at each event.
 //!
 //! Each concern has a type of its own, which decides and owns its state. This file calls them in the order of each
-//! event; the steps that need several of them are in `admission`, `dispatch`, `node_selection`, `outcomes`, `endpoints`
-//! and `intervals`.
+//! event. Steps that need several of them are in the submodules: `node_selection` and `dispatch` on the way to a node,
+//! `outcomes` and `final_answers` on the way back, `endpoints` for the endpoint list, `intervals` for what is due by
+//! time.
 mod dispatch;
 mod endpoints;
 mod final_answers;
--- a/crates/scheduler/src/policy/tests/volume.rs
+++ b/crates/scheduler/src/policy/tests/volume.rs
@@ -25,12 +25,12 @@
 fn the_bucket_opens_empty_and_fills_to_this_hosts_part_of_the_burst() {
     let plan = plan(10_000.0);
     let mut volume = volume(None);
-    assert!(volume.lacks_tokens(0, 0.1, false));
+    assert!(volume.lacks_tokens(0, 0.1, true));
     volume.refill(10, &plan, MAX_IO_UNITS);
-    assert!(!volume.lacks_tokens(10, 5.0, false));
-    assert!(volume.lacks_tokens(10, 5.1, false));
+    assert!(!volume.lacks_tokens(10, 5.0, true));
+    assert!(volume.lacks_tokens(10, 5.1, true));
     volume.refill(10_000, &plan, MAX_IO_UNITS);
-    assert!(volume.lacks_tokens(10_000, 20.1, false));
+    assert!(volume.lacks_tokens(10_000, 20.1, true));
 }
 
 #[test]
@@ -38,8 +38,8 @@
     let plan = plan(10_000.0);
     let mut volume = volume(Some(0.9));
     volume.refill(10, &plan, MAX_IO_UNITS);
-    assert!(!volume.lacks_tokens(10, 9.0, false));
-    assert!(volume.lacks_tokens(10, 9.1, false));
+    assert!(!volume.lacks_tokens(10, 9.0, true));
+    assert!(volume.lacks_tokens(10, 9.1, true));
 }
 
 #[test]
@@ -48,9 +48,9 @@
     let mut volume = volume(None);
     volume.keep_tokens_for_top_class(0, 4.0);
     volume.refill(20_000, &plan, MAX_IO_UNITS);
-    assert!(volume.lacks_tokens(29_999, 1.0, true));
-    assert!(!volume.lacks_tokens(29_999, 1.0, false));
-    assert!(!volume.lacks_tokens(30_000, 1.0, true));
+    assert!(volume.lacks_tokens(29_999, 1.0, false));
+    assert!(!volume.lacks_tokens(29_999, 1.0, true));
+    assert!(!volume.lacks_tokens(30_000, 1.0, false));
 }
 
 #[test]
--- a/crates/scheduler/src/policy/volume.rs
+++ b/crates/scheduler/src/policy/volume.rs
@@ -137,9 +137,9 @@
 
     /// Whether the limit leaves too few tokens for a block I/O. A class of lower weight gets none while they are kept
     /// for the class of the highest weight.
-    pub(super) fn lacks_tokens(&self, now: Tick, units: f64, lower_weight: bool) -> bool {
+    pub(super) fn lacks_tokens(&self, now: Tick, units: f64, highest_weight: bool) -> bool {
         let kept = self.kept_for_top_class_until.is_some_and(|end| now < end);
-        self.buckets.limit < units || lower_weight && kept
+        self.buckets.limit < units || kept && !highest_weight
     }
 
     /// Keeps the tokens for the class of the highest weight, if they were too few for one of its block I/Os.
