--- a/crates/scheduler/src/policy/scheduler.rs
+++ b/crates/scheduler/src/policy/scheduler.rs
@@ -1,8 +1,9 @@
 //! The scheduler of one host: what happens at each event.
 //!
 //! Each concern has a type of its own, which decides and owns its state. This file calls them in the order of each
-//! event; the steps that need several of them are in `admission`, `dispatch`, `node_selection`, `outcomes`, `endpoints`
-//! and `intervals`.
+//! event. Steps that need several of them are in the submodules: `node_selection` and `dispatch` on the way to a node,
+//! `outcomes` and `final_answers` on the way back, `endpoints` for the endpoint list, `intervals` for what is due by
+//! time.
 mod dispatch;
 mod endpoints;
 mod final_answers;
@@ -72,9 +73,11 @@
 
 impl AnswerRules {
     fn new(config: &SchedulerConfig) -> Self {
-        let retry_after = config.max_retry_after.min(ALLOCATION_INTERVAL);
+        // The configuration has 0 where it names no longest time.
+        let max_retry_after = Some(config.max_retry_after).filter(|time| *time > 0);
+        let retry_after = max_retry_after.map(|longest| longest.min(ALLOCATION_INTERVAL));
         AnswerRules {
-            retry_after: config.allow_retry_after.then_some(retry_after),
+            retry_after: retry_after.filter(|_| config.allow_retry_after),
             shed_at_half_deadline: config.shed_at_half_deadline,
             allow_cancel: config.allow_cancel,
         }
