--- a/crates/gateway/src/endpoint_list/known_nodes.rs
+++ b/crates/gateway/src/endpoint_list/known_nodes.rs
@@ -2,11 +2,10 @@
 use mallowseam_endpoint_list::{Endpoint, EndpointState};
 use mallowseam_scheduler::interface::{NodeEndpoint, NodeId, NodeState, Tick};
 use mallowseam_settings::config;
+use std::num::NonZeroU64;
 
 /// Ticks in a millisecond.
 const TICKS_PER_MILLI: Tick = 10;
-/// Generation in an entry of a node that started long ago.
-const NO_GENERATION: u64 = 0;
 /// The earliest start that a host's clock can tell.
 const EARLIEST_START: Tick = 1;
 
@@ -14,7 +13,7 @@
 #[derive(Clone, Copy)]
 struct Run {
     /// Tells one run from another.
-    generation: u64,
+    generation: NonZeroU64,
     /// When it began, by this host's clock.
     began: Tick,
 }
@@ -88,10 +87,7 @@
 
 /// The present run of a node. `known`: its run as known before.
 fn present_run(known: Option<Run>, entry: &Endpoint, now: Tick) -> Option<Run> {
-    let generation = entry.generation;
-    if generation == NO_GENERATION {
-        return None;
-    }
+    let generation = entry.generation?;
     let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(EARLIEST_START);
     // Updates take a while to arrive: of one run, the earliest start that was reported is the most accurate.
     // It never moves up, which would look like a restart.
