--- a/crates/platform-host/src/clients/request_buffer.rs
+++ b/crates/platform-host/src/clients/request_buffer.rs
@@ -2,6 +2,9 @@
 use crate::buffers::{REQUEST_LIMITS, discard_front, recycle};
 use mallowseam_http1::{MessageSpan, ParseError, RequestHead, RequestReader};
 
+#[cfg(test)]
+mod tests;
+
 /// Bytes that were read; a request in flight stays at the front.
 #[derive(Default)]
 pub struct RequestBuffer {
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -26,13 +26,14 @@
 use admission::Listener;
 use endpoint_watch::EndpointWatch;
 use fleet::Fleet;
+use mallowseam_scheduler::interface::Tick;
+use mallowseam_sockets::periodic_timer::PeriodicTimer;
 use mio::event::Event;
 use mio::{Events, Poll};
 use reload::ConfigFile;
 use status_log::StatusLog;
 use std::io::ErrorKind;
 use std::path::Path;
-use timers::PeriodicCheck;
 
 /// Events handled in one iteration; the rest wait for the next.
 const MAX_EVENTS: usize = 512;
@@ -47,7 +48,7 @@
     watch: EndpointWatch,
     fleet: Fleet,
     config_file: ConfigFile,
-    check: PeriodicCheck,
+    connection_check: PeriodicTimer<Tick>,
     status_log: StatusLog,
     /// Buffer for reads from sockets.
     scratch: Vec<u8>,
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -1,11 +1,10 @@
 //! Opens everything that a host needs to run.
-use super::EventLoop;
 use super::admission::Listener;
 use super::endpoint_watch::EndpointWatch;
 use super::fleet::Fleet;
 use super::reload::ConfigFile;
 use super::status_log::StatusLog;
-use super::timers::PeriodicCheck;
+use super::{EventLoop, timers};
 use crate::clients::ClientConnections;
 use crate::dispatcher::{Dispatcher, SchedulerHost};
 use crate::error::HostError;
@@ -79,7 +78,7 @@
             watch: EndpointWatch::new(registry, config.discovery),
             fleet,
             config_file: ConfigFile::new(path, config),
-            check: PeriodicCheck::new(now),
+            connection_check: timers::connection_check(now),
             status_log: StatusLog::new(now),
             scratch: vec![0; SCRATCH_BYTES],
         })
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -3,28 +3,29 @@
 use crate::dispatcher::Dispatcher;
 use mallowseam_connection_policy::client_connection::Phase;
 use mallowseam_scheduler::interface::{NodeId, NodeStatus, Tick};
+use mallowseam_sockets::periodic_timer::PeriodicTimer;
 
 /// Ticks between two status logs: 5 s.
 const STATUS_PERIOD: Tick = 50_000;
 
 /// When the status is logged.
 pub(super) struct StatusLog {
-    logged_at: Tick,
+    timer: PeriodicTimer<Tick>,
 }
 
 impl StatusLog {
     /// The first period starts now.
     pub(super) fn new(now: Tick) -> Self {
-        StatusLog { logged_at: now }
+        StatusLog {
+            timer: PeriodicTimer::new(STATUS_PERIOD, now),
+        }
     }
 
     /// Logs one line for the host and one for each node, if a period is over.
     pub(super) fn log_if_due(&mut self, dispatcher: &mut Dispatcher) {
-        let now = dispatcher.now();
-        if now < self.logged_at + STATUS_PERIOD {
+        if !self.timer.take_due(dispatcher.now()) {
             return;
         }
-        self.logged_at = now;
         log_host(dispatcher);
         let nodes: Vec<NodeId> = dispatcher.nodes().ids().collect();
         for node in nodes {
--- a/crates/platform-host/src/event_loop/timers.rs
+++ b/crates/platform-host/src/event_loop/timers.rs
@@ -2,35 +2,15 @@
 use super::EventLoop;
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_sockets::clock::ticks_to_duration;
+use mallowseam_sockets::periodic_timer::PeriodicTimer;
 use std::time::Duration;
 
 /// Ticks between two checks of all connections: fine enough for timeouts of seconds.
 const CHECK_PERIOD: Tick = 500;
 
-/// The periodic check of all connections.
-pub(super) struct PeriodicCheck {
-    checked_at: Tick,
-}
-
-impl PeriodicCheck {
-    /// The first period starts now.
-    pub(super) fn new(now: Tick) -> Self {
-        PeriodicCheck { checked_at: now }
-    }
-
-    /// When the next check is due.
-    fn next_at(&self) -> Tick {
-        self.checked_at + CHECK_PERIOD
-    }
-
-    /// Whether the check is due; if so, the next period starts.
-    fn take_due(&mut self, now: Tick) -> bool {
-        let is_due = now >= self.next_at();
-        if is_due {
-            self.checked_at = now;
-        }
-        is_due
-    }
+/// The timer of the check of all connections.
+pub(super) fn connection_check(now: Tick) -> PeriodicTimer<Tick> {
+    PeriodicTimer::new(CHECK_PERIOD, now)
 }
 
 impl EventLoop {
@@ -53,7 +33,7 @@
             self.responses_due().filter(|due| *due > now),
         ];
         let due = timers.into_iter().flatten();
-        due.fold(self.check.next_at(), Tick::min)
+        due.fold(self.connection_check.next_due(), Tick::min)
     }
 
     /// Runs the timeouts of attempts, the scheduler's timer, and the periodic checks.
@@ -66,7 +46,7 @@
         if self.dispatcher.take_watch_request() {
             self.watch.open(&mut self.dispatcher);
         }
-        if self.check.take_due(self.dispatcher.now()) {
+        if self.connection_check.take_due(self.dispatcher.now()) {
             self.check_connections();
         }
     }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -8,6 +8,7 @@
 //! - [`listener`]: a TCP listener with a long accept queue.
 //! - [`memory_budget`]: a limit on the bytes of many buffers.
 //! - [`nonblocking`]: reads and writes that do not block.
+//! - [`periodic_timer`]: a timer that is due again and again.
 //! - [`outgoing_message`]: a message that is written piece by piece.
 #![warn(missing_docs)]
 
@@ -18,5 +19,6 @@
 pub mod memory_budget;
 pub mod nonblocking;
 pub mod outgoing_message;
+pub mod periodic_timer;
 pub mod signals;
 pub mod slab;
--- /dev/null
+++ b/crates/sockets/tests/periodic_timer.rs
@@ -0,0 +1,13 @@
+//! A timer that is due again and again.
+use mallowseam_sockets::periodic_timer::PeriodicTimer;
+
+#[test]
+fn a_period_begins_when_the_timer_was_taken() {
+    let mut timer = PeriodicTimer::new(100_i64, 1_000);
+    assert_eq!(timer.next_due(), 1_100);
+    assert!(!timer.take_due(1_099));
+    assert!(timer.take_due(1_130));
+    assert!(!timer.take_due(1_200));
+    assert_eq!(timer.next_due(), 1_230);
+    assert!(timer.take_due(1_230));
+}
