--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -40,7 +40,7 @@
 pub struct Response<'b> {
     status: u16,
     body: Body<'b>,
-    /// Retry-After in milliseconds.
+    /// Retry-After in milliseconds; it is left out where it comes to none.
     retry_after_ms: Option<u64>,
 }
 
--- a/crates/platform-host/src/dispatcher/attempts.rs
+++ b/crates/platform-host/src/dispatcher/attempts.rs
@@ -79,7 +79,8 @@
         is_closed: bool,
         scratch: &mut [u8],
     ) -> Option<NodeEvent> {
-        let (now, arrived_at) = (self.times.now(), self.times.events_arrived_at());
+        let now = self.times.now();
+        let arrived_at = self.times.events_arrived_at();
         self.nodes
             .on_event(slot, is_closed, scratch, now, arrived_at)
     }
--- a/crates/platform-host/src/dispatcher/final_responses.rs
+++ b/crates/platform-host/src/dispatcher/final_responses.rs
@@ -5,7 +5,8 @@
 use crate::nodes::Success;
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
 use mallowseam_platform::response;
-use mallowseam_scheduler::interface::{BioId, Host};
+use mallowseam_scheduler::interface::{BioId, Tick};
+use mallowseam_sockets::clock::ticks_to_millis;
 
 impl SchedulerHost {
     /// The client of a block I/O, if it waits for the final response. From now on it counts as answered: the caller
@@ -16,7 +17,7 @@
     }
 
     /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
-    pub(super) fn respond_final(&mut self, io: BioId, response: Response) -> bool {
+    fn respond_final(&mut self, io: BioId, response: Response) -> bool {
         let client = self.take_client(io);
         if let Some(slot) = client {
             self.clients.respond(slot, response, self.times.now_ms());
@@ -24,6 +25,19 @@
         client.is_some()
     }
 
+    /// Sheds a block I/O; its response may name the time after which to retry.
+    pub(super) fn respond_shed(&mut self, io: BioId, retry_after: Option<Tick>) {
+        let response = Response::empty(response::SHED_STATUS)
+            .with_retry_after(retry_after.map(ticks_to_millis));
+        self.counters.shed += u64::from(self.respond_final(io, response));
+    }
+
+    /// Fails a block I/O.
+    pub(super) fn respond_failed(&mut self, io: BioId) {
+        let response = Response::empty(response::FAILED_STATUS);
+        self.counters.failed += u64::from(self.respond_final(io, response));
+    }
+
     /// Responds to a client that may have closed only its sending side.
     pub(super) fn respond_disconnected(&mut self, slot: ClientSlot) {
         self.counters.disconnected += 1;
@@ -40,9 +54,9 @@
         let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts());
         self.withdraw_unsent(io);
         if is_harmless {
-            self.shed(io, 0);
+            self.respond_shed(io, None);
         } else {
-            self.fail(io);
+            self.respond_failed(io);
         }
         true
     }
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -2,14 +2,12 @@
 use super::block_io::{BlockIo, NodeSlot};
 use super::counters::IoCounters;
 use super::event_times::EventTimes;
-use crate::clients::{ClientConnections, Response};
+use crate::clients::ClientConnections;
 use crate::nodes::{Completion, NodeConnections};
 use mallowseam_platform::interner::NameInterner;
-use mallowseam_platform::response;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::interface::{BioId, Host, KeyId, NodeId, Tick, VolumeId};
 use mallowseam_scheduler_driver::{DrivenHost, SchedulerDriver};
-use mallowseam_sockets::clock::ticks_to_millis;
 
 /// The block I/Os in flight, with the connections that carry them.
 pub struct SchedulerHost {
@@ -74,14 +72,11 @@
 
     fn shed(&mut self, bio: BioId, retry_after: Tick) {
         // The scheduler names no time by 0.
-        let retry_after_ms = Some(ticks_to_millis(retry_after)).filter(|millis| *millis > 0);
-        let response = Response::empty(response::SHED_STATUS).with_retry_after(retry_after_ms);
-        self.counters.shed += u64::from(self.respond_final(bio, response));
+        self.respond_shed(bio, Some(retry_after).filter(|time| *time > 0));
     }
 
     fn fail(&mut self, bio: BioId) {
-        let response = Response::empty(response::FAILED_STATUS);
-        self.counters.failed += u64::from(self.respond_final(bio, response));
+        self.respond_failed(bio);
     }
 
     fn set_timer(&mut self, after: Tick) {
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -153,7 +153,8 @@
         let Some(connection) = &self.connections[slot] else {
             return;
         };
-        let (service, since) = (connection.address(), connection.since());
+        let service = connection.address();
+        let since = connection.since();
         match self.version.on_update(update, service, since) {
             UpdateVersion::Outdated => {}
             UpdateVersion::PreviousService => {
--- a/crates/platform-host/src/lib.rs
+++ b/crates/platform-host/src/lib.rs
@@ -4,8 +4,8 @@
 //! block I/O is the scheduler's; every decision about a connection comes from `mallowseam-connection-policy`. This package
 //! carries them out on sockets.
 //!
-//! - `event_loop`: one iteration; in its own files startup, admission of clients, the endpoint watch, configuration
-//!   reload, graceful shutdown, timers and the status log.
+//! - `event_loop`: one iteration; in its own files startup, admission of clients, the endpoint watch, the fleet's
+//!   membership, configuration reload, graceful shutdown, timers and the status log.
 //! - `dispatcher`: the block I/Os in flight; carries out the scheduler's decisions and reports completions.
 //! - `clients`, `nodes`, `discovery`: the three kinds of connections.
 //! - `signals`, `tokens`, `buffers`, `error`: signal pipes, poll tokens, reused buffers, errors.
