--- a/crates/models/tests/membership_exhaustive.rs
+++ b/crates/models/tests/membership_exhaustive.rs
@@ -10,7 +10,7 @@
     starts: 1,
     partitions: 1,
 };
-/// States checked in a test; `mallowseam-lab search` checks as many as it is told.
+/// States checked in a test; `mallowseam-testbed search` checks as many as it is told.
 const MAX_STATES: u64 = 4_000;
 /// One state in so many is followed until the members converge.
 const LIVENESS_INTERVAL: u64 = 20;
--- a/crates/lab/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -7,8 +7,8 @@
 mod search;
 
 use clap::{Parser, Subcommand};
-use mallowseam_lab::process::Program;
-use mallowseam_lab::{benchmark, snapshot_benchmark};
+use mallowseam_testbed::process::Program;
+use mallowseam_testbed::{benchmark, snapshot_benchmark};
 use std::error::Error;
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -39,7 +39,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "mallowseam-lab",
+    name = "mallowseam-testbed",
     version,
     about = "Stand-ins, load, fault injection and audit for mallowseam"
 )]
@@ -227,7 +227,7 @@
 
 /// This executable file, as a rehearsal starts it for its hosts.
 fn program() -> Program {
-    let path = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("mallowseam-lab"));
+    let path = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("mallowseam-testbed"));
     Program {
         path,
         args: vec!["host".into()],
--- a/crates/lab/src/cli/fleet_rehearsal.rs
+++ b/crates/testbed/src/cli/fleet_rehearsal.rs
@@ -1,9 +1,9 @@
 //! `rehearse` of a fleet.
 use super::{CommandResult, Finding, RehearseOptions};
 use mallowseam_audit::membership;
-use mallowseam_lab::fleet::outcome::Outcome;
-use mallowseam_lab::fleet::scenario::{self, IndexRange, Scenario};
-use mallowseam_lab::fleet::{fault_schedule, processes, testbed};
+use mallowseam_testbed::fleet::outcome::Outcome;
+use mallowseam_testbed::fleet::scenario::{self, IndexRange, Scenario};
+use mallowseam_testbed::fleet::{fault_schedule, processes, testbed};
 use std::error::Error;
 
 /// A script that each seed draws anew, and its usual number of hosts.
--- a/crates/lab/src/cli/models.rs
+++ b/crates/testbed/src/cli/models.rs
@@ -1,10 +1,10 @@
 //! `model`: fleets in simulated time.
 use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
 use mallowseam_audit::membership::convergence_periods;
-use mallowseam_lab::fleet::peers::NOTIFICATION_DEADLINE;
 use mallowseam_models::cold_start::{self as cold_start_model, ColdStartCase};
 use mallowseam_models::membership::files::{self, ProtocolMeasurements};
 use mallowseam_models::membership::measurements::{self, Measurements, Protocol};
+use mallowseam_testbed::fleet::peers::NOTIFICATION_DEADLINE;
 
 /// Simulated time in microseconds after which a case ends.
 const MAX_SIMULATED: u64 = 3_600_000_000;
--- a/crates/lab/src/cli/placement.rs
+++ b/crates/testbed/src/cli/placement.rs
@@ -1,9 +1,9 @@
 //! `shares-check` and `shares-day`.
 use super::{CommandResult, Finding, program};
-use mallowseam_lab::placement_day;
 use mallowseam_models::exhaustive_placement;
 use mallowseam_placement::branch_and_bound::{SolveOutcome, solve};
 use mallowseam_placement::problem::Problem;
+use mallowseam_testbed::placement_day;
 
 /// Compares the solver with the enumeration on problems of some seeds in a row.
 pub(super) fn check(first_seed: u64, count: u64) -> Finding {
--- a/crates/lab/src/cli/rehearsal.rs
+++ b/crates/testbed/src/cli/rehearsal.rs
@@ -1,7 +1,7 @@
 //! `demo`, and `rehearse` of a scenario.
 use super::{CommandResult, Finding, program, rehearsal_report};
-use mallowseam_lab::script::Scenario;
-use mallowseam_lab::{rehearsal, script};
+use mallowseam_testbed::script::Scenario;
+use mallowseam_testbed::{rehearsal, script};
 
 /// Scripts that come with the program.
 const SCRIPTS: [(&str, &str); 5] = [
--- a/crates/lab/src/cli/rehearsal_report.rs
+++ b/crates/testbed/src/cli/rehearsal_report.rs
@@ -1,6 +1,6 @@
 //! What is printed of a rehearsal. Scripts read the last lines: their form stays.
 use mallowseam_audit::rehearsal::{ClassCount, Verdict};
-use mallowseam_lab::rehearsal::{ChangeLogReport, Outcome, Rollouts, SnapshotReport};
+use mallowseam_testbed::rehearsal::{ChangeLogReport, Outcome, Rollouts, SnapshotReport};
 
 pub(super) fn print(outcome: &Outcome, quiet: bool) {
     let verdict = &outcome.verdict;
--- a/crates/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! Testbed of the gateway: stand-ins for nodes, clients and the endpoint list service, and scenarios with fault injection.
-//! Nothing here is part of `mallowseam`.
+//! Testbed of the gateway: plays scenarios with fault injection through host processes. Nothing here is part of
+//! `mallowseam`.
 //!
-//! - [`script`] describes a scenario; [`rehearsal`] plays it with host processes around which stand-ins run:
-//!   [`node`], [`load`] and [`endpoint_list_service`]. They write a common trace, which `mallowseam-audit` judges.
+//! - [`script`] describes a scenario; [`rehearsal`] plays it with host processes between `mallowseam-stand-ins` and
+//!   `mallowseam-load`. These write a common trace, which `mallowseam-audit` judges.
 //! - [`fleet`] does the same with many hosts and faults on the links between them.
 //! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
 #![warn(missing_docs)]
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `mallowseam-lab`: the testbed's command line.
+//! `mallowseam-testbed`: the testbed's command line.
 mod cli;
 
 use std::process::ExitCode;
--- a/crates/lab/tests/allocations.rs
+++ b/crates/testbed/tests/allocations.rs
@@ -3,8 +3,8 @@
 use mallowseam_audit::trace::Trace;
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi::{self, status};
-use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_stand_ins::node::Node;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/lab/tests/fleet/cold_start.rs
+++ b/crates/testbed/tests/fleet/cold_start.rs
@@ -1,7 +1,7 @@
 //! Hosts that start together, and nodes that start cold.
 use crate::support::{assert_clean, changed, finish, open, play, program, wait_for};
-use mallowseam_lab::fleet::testbed::Testbed;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
+use mallowseam_testbed::fleet::testbed::Testbed;
 
 #[test]
 fn hosts_that_start_at_once_poll_once_each_and_serve() {
--- a/crates/lab/tests/fleet/discovery_outages.rs
+++ b/crates/testbed/tests/fleet/discovery_outages.rs
@@ -1,7 +1,7 @@
 //! Twenty hosts and a discovery service that serves ten polls a second, for which the hosts are configured. In every
 //! outage no more polls wait than the service serves in a second, and every host has a list in time.
 use crate::support::{assert_clean, play, program, replaced};
-use mallowseam_lab::fleet::outcome::Outcome;
+use mallowseam_testbed::fleet::outcome::Outcome;
 
 const HEAD: &str = "hosts 20 known now\nzones 2\nnodes 4 cores 2 work 5ms queue 32\nlines 64 1ms\n\
     cold 25% 3s 4 1s 60 3s\nclients rate 60/s posts 30% again 1\nlist takes 100ms patience 1s lag 100ms\n";
--- a/crates/lab/tests/fleet/membership.rs
+++ b/crates/testbed/tests/fleet/membership.rs
@@ -2,9 +2,9 @@
 use crate::support::{changed, finish, open, wait_for};
 use mallowseam_audit::membership::MembershipSample;
 use mallowseam_fleet::MemberState;
-use mallowseam_lab::fleet::scenario::Scenario;
-use mallowseam_lab::fleet::testbed::Testbed;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
+use mallowseam_testbed::fleet::scenario::Scenario;
+use mallowseam_testbed::fleet::testbed::Testbed;
 use std::net::SocketAddr;
 
 /// The small fleet with membership: periods of 100 ms, so that a suspicion lasts half a second to one and a half.
--- a/crates/lab/tests/fleet/readiness.rs
+++ b/crates/testbed/tests/fleet/readiness.rs
@@ -2,7 +2,7 @@
 //! service.
 use crate::support::{play, program};
 use mallowseam_audit::fleet::record::Event;
-use mallowseam_lab::fleet::outcome::Outcome;
+use mallowseam_testbed::fleet::outcome::Outcome;
 
 const HEAD: &str = "day 14s\nhosts 20 known now\nzones 2\nnodes 4 cores 2 work 5ms queue 32\nlines 64 1ms\n\
     cold 25% 3s 4 1s 60 3s\nclients rate 60/s posts 30% again 1\nlist takes 30ms patience 1s lag 100ms\n\
--- a/crates/lab/tests/fleet/support.rs
+++ b/crates/testbed/tests/fleet/support.rs
@@ -1,8 +1,8 @@
 //! A small fleet for the tests: five hosts, three nodes, a discovery service that serves ten polls a second.
-use mallowseam_lab::fleet::outcome::Outcome;
-use mallowseam_lab::fleet::processes::Program;
-use mallowseam_lab::fleet::scenario::{self, Scenario};
-use mallowseam_lab::fleet::testbed::{self, Testbed};
+use mallowseam_testbed::fleet::outcome::Outcome;
+use mallowseam_testbed::fleet::processes::Program;
+use mallowseam_testbed::fleet::scenario::{self, Scenario};
+use mallowseam_testbed::fleet::testbed::{self, Testbed};
 use std::time::Duration;
 use tempfile::TempDir;
 
@@ -33,7 +33,7 @@
 /// The host that was built with these tests.
 pub fn program() -> Program {
     Program {
-        path: env!("CARGO_BIN_EXE_mallowseam-lab").into(),
+        path: env!("CARGO_BIN_EXE_mallowseam-testbed").into(),
         args: vec!["host".into(), "host".into()],
     }
 }
--- a/crates/lab/tests/fleet_model/fault_schedule.rs
+++ b/crates/testbed/tests/fleet_model/fault_schedule.rs
@@ -1,4 +1,4 @@
-use mallowseam_lab::fleet::{fault_schedule, scenario};
+use mallowseam_testbed::fleet::{fault_schedule, scenario};
 
 #[test]
 fn each_seed_draws_a_valid_script_and_every_kind_of_fault_occurs() {
--- a/crates/lab/tests/fleet_model/pins.rs
+++ b/crates/testbed/tests/fleet_model/pins.rs
@@ -1,11 +1,11 @@
 //! Pinned behaviour: seeded decisions of the testbed, compared with digests that were recorded once.
 use crate::digest::Digest;
-use mallowseam_lab::fleet::addresses::Addresses;
-use mallowseam_lab::fleet::fault_schedule;
-use mallowseam_lab::fleet::host_config::HostConfig;
-use mallowseam_lab::fleet::scenario::{self, FaultAction, IndexRange};
 use mallowseam_models::discovery_queue::ServiceBehavior;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
+use mallowseam_testbed::fleet::addresses::Addresses;
+use mallowseam_testbed::fleet::fault_schedule;
+use mallowseam_testbed::fleet::host_config::HostConfig;
+use mallowseam_testbed::fleet::scenario::{self, FaultAction, IndexRange};
 
 fn add_peer(digest: &mut Digest, peer: Peer) {
     let (kind, number) = match peer {
--- a/crates/lab/tests/host/lifecycle.rs
+++ b/crates/testbed/tests/host/lifecycle.rs
@@ -1,11 +1,11 @@
 //! Start, drain, restart, reload and the command line.
-use crate::site::{Site, TARGET, lab, read, start, write};
+use crate::site::{Site, TARGET, mallowseam, read, start, write};
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_stand_ins::node::NodeFault;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use nix::sys::signal::Signal;
 use nix::sys::signal::kill;
 use nix::unistd::Pid;
@@ -115,7 +115,7 @@
     let mut client = site.client(1);
     assert_eq!(write(&mut client, 4, 0, 8), status::GOOD);
     let file = site.dir.path().join("conf").display().to_string();
-    let second = lab(&["run", &file]).output().expect("a run");
+    let second = mallowseam(&["run", &file]).output().expect("a run");
     assert_eq!(second.status.code(), Some(1), "{second:?}");
     site.host.kill().expect("a child");
     site.host.wait().expect("a child");
@@ -129,7 +129,7 @@
     let file = dir.path().join("conf");
     std::fs::write(&file, "host gw0\n  listen nowhere\n  windows 3\n").expect("a file");
     let path = file.display().to_string();
-    let run = |args: &[&str]| -> Output { lab(args).output().expect("a run") };
+    let run = |args: &[&str]| -> Output { mallowseam(args).output().expect("a run") };
     let text = |o: &Output| String::from_utf8_lossy(&o.stderr).into_owned();
     for what in ["check", "run"] {
         let bad = run(&[what, &path]);
@@ -166,7 +166,7 @@
     let file = site.dir.path().join("conf");
     let text = std::fs::read_to_string(&file).expect("there");
     let reload = || {
-        let out = lab(&["reload", &file.display().to_string()])
+        let out = mallowseam(&["reload", &file.display().to_string()])
             .output()
             .expect("a run");
         (
@@ -210,7 +210,7 @@
 fn recorded_demand_is_replayed_against_placements() {
     let site = Site::new(50.0);
     let file = site.dir.path().join("conf").display().to_string();
-    let recorder = lab(&["demand", &file, "--every", "1", "--count", "2"])
+    let recorder = mallowseam(&["demand", &file, "--every", "1", "--count", "2"])
         .stdout(Stdio::piped())
         .spawn();
     let recorder = recorder.expect("a run");
@@ -253,7 +253,7 @@
         put("two", "place a m\nplace b n\n"),
     );
     let record = put("log", &record);
-    let out = lab(&["shares", "replay", &problem, &record, &worse, &better])
+    let out = mallowseam(&["shares", "replay", &problem, &record, &worse, &better])
         .output()
         .expect("a run");
     let output = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
@@ -310,7 +310,7 @@
     assert!(other.wait_for_exit().success());
     sees(1, "gw2", MemberState::Left);
     let shown = |args: &[&str]| {
-        let out = lab(args).output().expect("it runs");
+        let out = mallowseam(args).output().expect("it runs");
         (
             out.status.success(),
             String::from_utf8_lossy(&out.stdout).into_owned(),
--- a/crates/lab/tests/host/protocol.rs
+++ b/crates/testbed/tests/host/protocol.rs
@@ -10,7 +10,7 @@
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::BlockingClient;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::io::Read;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/lab/tests/host/site.rs
+++ b/crates/testbed/tests/host/site.rs
@@ -6,8 +6,8 @@
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_stand_ins::node::Node;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::net::SocketAddr;
 use std::process::Child;
 use std::process::Command;
@@ -28,8 +28,9 @@
     pub(crate) nodes: Vec<Node>,
 }
 
-pub(crate) fn lab(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
+/// The command line of the host that was built with these tests.
+pub(crate) fn mallowseam(args: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
     command.arg("host").args(args).stdin(Stdio::null());
     command
 }
@@ -146,7 +147,7 @@
 
 pub(crate) fn start(dir: &tempfile::TempDir) -> Child {
     let file = dir.path().join("conf").display().to_string();
-    let child = lab(&["run", "--log", "error", &file])
+    let child = mallowseam(&["run", "--log", "error", &file])
         .stderr(Stdio::null())
         .spawn()
         .expect("a host");
--- a/crates/lab/tests/pinned/command_line.rs
+++ b/crates/testbed/tests/pinned/command_line.rs
@@ -5,7 +5,7 @@
 
 /// The form of a help text: usage, subcommands, arguments, options and defaults, without what describes them.
 fn help_form(args: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"))
+    let output = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"))
         .args(args)
         .arg("--help")
         .output()
@@ -13,8 +13,9 @@
     let text = String::from_utf8(output.stdout).expect("text");
     let mut out = String::new();
     for line in text.lines() {
-        if line.starts_with("Usage:") {
-            writeln!(out, "{line}").expect("memory");
+        if let Some(usage) = line.strip_prefix("Usage: mallowseam-testbed") {
+            // The digests were recorded when the program had its earlier name.
+            writeln!(out, "Usage: mallowseam-lab{usage}").expect("memory");
         } else if let Some(entry) = line.strip_prefix("  ") {
             let name = entry.trim_start().split("  ").next().unwrap_or_default();
             let default = entry.split("[default: ").nth(1).unwrap_or_default();
--- a/crates/lab/tests/pinned/scripts.rs
+++ b/crates/testbed/tests/pinned/scripts.rs
@@ -1,7 +1,7 @@
 //! Parsed scripts, their schedules, and the plan changes that a seed draws.
 use crate::digest::{model_text, pinned};
-use mallowseam_lab::rehearsal::{plan_changes, shared_config};
-use mallowseam_lab::script::{Fault, Scenario, parse};
+use mallowseam_testbed::rehearsal::{plan_changes, shared_config};
+use mallowseam_testbed::script::{Fault, Scenario, parse};
 use std::fmt::Write;
 
 const EVERY_FAULT: &str = "day 9s
--- a/crates/lab/tests/placement_cli.rs
+++ b/crates/testbed/tests/placement_cli.rs
@@ -9,7 +9,7 @@
 /// Runs `shares WHAT` on these files' texts; exit code and what was printed.
 fn shares(what: &str, texts: &[&str]) -> (i32, String) {
     let dir = tempfile::tempdir().expect("a directory");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
     command.args(["host", "shares", what]);
     for (i, text) in texts.iter().enumerate() {
         let file = dir.path().join(format!("f{i}"));
--- a/crates/lab/tests/plan_service.rs
+++ b/crates/testbed/tests/plan_service.rs
@@ -4,8 +4,8 @@
 use mallowseam_audit::trace::Trace;
 use mallowseam_gateway::{Status, send_request};
 use mallowseam_iscsi::scsi;
-use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_stand_ins::node::Node;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -82,7 +82,7 @@
     }
 
     fn start(&self, what: &str, conf: usize) -> Child {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         command
             .args(["host", what, "--log", "error"])
             .arg(self.path(&format!("conf{conf}")));
@@ -122,7 +122,7 @@
 
     /// `mallowseam plan …`; whether it succeeded, and what was printed.
     fn plan(&self, what: &[&str], rest: &[&str]) -> (bool, String) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         command
             .args(["host", "plan"])
             .args(what)
--- a/crates/lab/tests/rehearsal.rs
+++ b/crates/testbed/tests/rehearsal.rs
@@ -1,11 +1,11 @@
 //! Scripts of trouble, played through real host processes.
-use mallowseam_lab::process::Program;
-use mallowseam_lab::rehearsal::{ChangeLogReport, Outcome, run};
-use mallowseam_lab::script;
+use mallowseam_testbed::process::Program;
+use mallowseam_testbed::rehearsal::{ChangeLogReport, Outcome, run};
+use mallowseam_testbed::script;
 
 fn play(text: &str, seed: u64) -> Outcome {
     let scenario = script::parse("test", text).expect("a sound script");
-    let path = env!("CARGO_BIN_EXE_mallowseam-lab").into();
+    let path = env!("CARGO_BIN_EXE_mallowseam-testbed").into();
     run(
         &scenario,
         seed,
--- a/crates/lab/tests/snapshots/crash_points.rs
+++ b/crates/testbed/tests/snapshots/crash_points.rs
@@ -3,7 +3,7 @@
 use mallowseam_audit::block;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::BlockingClient;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
--- a/crates/lab/tests/snapshots/isolation.rs
+++ b/crates/testbed/tests/snapshots/isolation.rs
@@ -2,7 +2,7 @@
 use crate::site::{Site, TARGET, read_ids, write, write_good};
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::BlockingClient;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/tests/snapshots/site.rs
+++ b/crates/testbed/tests/snapshots/site.rs
@@ -5,9 +5,9 @@
 use mallowseam_gateway::send_request;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::Answer;
-use mallowseam_lab::blocking_client::BlockingClient;
 use mallowseam_stand_ins::node::Node;
+use mallowseam_testbed::blocking_client::Answer;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Child;
@@ -119,7 +119,7 @@
     }
 
     pub(crate) fn start(&self, what: &[&str], conf: usize, sock: &str, asked: &str) -> Child {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         command
             .arg("host")
             .args(what)
@@ -271,7 +271,7 @@
     /// Runs the program with the first host's configuration; its exit code and what it printed.
     pub(crate) fn run(&self, what: &[&str], rest: &[&str]) -> (i32, String) {
         let conf = self.path("conf0").display().to_string();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam-testbed"));
         let output = command
             .arg("host")
             .args(what)
--- a/crates/lab/tests/snapshots/space.rs
+++ b/crates/testbed/tests/snapshots/space.rs
@@ -2,7 +2,7 @@
 use crate::site::{EXTENT, Site, read_ids, write_good};
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
-use mallowseam_lab::blocking_client::BlockingClient;
+use mallowseam_testbed::blocking_client::BlockingClient;
 use std::time::Duration;
 use std::time::Instant;
 
