--- a/crates/testbed/src/fleet/fault_schedule.rs
+++ b/crates/scenarios/src/fault_schedule.rs
@@ -117,10 +117,8 @@
 
     fn add_link_fault(&mut self, at: u64, kind: u32, span: u64) {
         self.links_free_at = at + span + LINK_RECOVERY_MS;
-        let (zone, offset) = (
-            self.rng.random_range(0..ZONES),
-            self.rng.random_range(1..ZONES),
-        );
+        let zone = self.rng.random_range(0..ZONES);
+        let offset = self.rng.random_range(1..ZONES);
         let other = (zone + offset) % ZONES;
         let fault = match (kind, self.rng.random_bool(0.5)) {
             (5, true) => format!("link zone{zone} zone{other} silent"),
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/scenarios/src/fleet.rs
@@ -1,6 +1,7 @@
 //! A scenario: what a run consists of, and the faults of its schedule. `docs/cold-start.md` describes the scripts that
 //! scenarios are read from.
 mod arguments;
+mod audit_input;
 mod faults;
 mod parse;
 
@@ -104,12 +105,12 @@
     };
 
     /// Whether it contains an index.
-    pub(crate) fn contains(self, index: u32) -> bool {
+    pub fn contains(self, index: u32) -> bool {
         (self.start..self.end).contains(&index)
     }
 
     /// The indexes below `count`.
-    pub(crate) fn below(self, count: u32) -> std::ops::Range<u32> {
+    pub fn below(self, count: u32) -> std::ops::Range<u32> {
         self.start.min(count)..self.end.min(count)
     }
 }
@@ -174,18 +175,19 @@
         let nodes_before = f64::from(self.nodes);
         self.nodes = (hosts / HOSTS_PER_NODE).clamp(MIN_SCALED_NODES, MAX_SCALED_NODES);
         self.load.operations_per_second *= f64::from(self.nodes) / nodes_before;
-        (self.hosts, self.load.volumes) = (hosts, VOLUMES_PER_HOST * hosts);
+        self.hosts = hosts;
+        self.load.volumes = VOLUMES_PER_HOST * hosts;
         self
     }
 
     /// Whether a host takes part in the membership protocol.
-    pub(crate) fn has_membership(&self, host: u32) -> bool {
+    pub fn has_membership(&self, host: u32) -> bool {
         self.membership
             .is_some_and(|m| m.participants.contains(host))
     }
 
     /// How many polls may wait: what the service handles in about a second.
-    pub(crate) fn max_queued_polls(&self) -> u32 {
+    pub fn max_queued_polls(&self) -> u32 {
         (1_000_000 / self.service_time.max(1)).max(1) as u32
     }
 }
--- a/crates/testbed/src/fleet/audit_input.rs
+++ b/crates/scenarios/src/fleet/audit_input.rs
@@ -1,5 +1,5 @@
 //! What the audits need to know of a scenario, in their terms.
-use super::scenario::{FaultAction, IndexRange, Scenario};
+use super::{FaultAction, IndexRange, Scenario};
 use mallowseam_audit::fleet;
 use mallowseam_audit::membership::{self, LinksSince, Pause};
 use mallowseam_audit::trace::Micros;
--- a/crates/testbed/src/fleet/scenario/faults.rs
+++ b/crates/scenarios/src/fleet/faults.rs
@@ -1,7 +1,7 @@
 //! Reads the lines `at TIME …` of a script: faults and when they end.
 use super::arguments::index_range;
 use super::{FaultAction, ScheduledFault};
-use crate::script::arguments::DURATION;
+use crate::arguments::DURATION;
 use mallowseam_models::discovery_queue::ServiceBehavior;
 use mallowseam_settings::Arguments;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
@@ -129,10 +129,8 @@
         }
         _ => {
             let factor = args.number("a multiple", 0.01, 1_000.0)?;
-            let (begin, end) = (
-                FaultAction::SlowDiscovery(factor),
-                FaultAction::SlowDiscovery(1.0),
-            );
+            let begin = FaultAction::SlowDiscovery(factor);
+            let end = FaultAction::SlowDiscovery(1.0);
             return Some(FaultActions::lasting(begin, end));
         }
     };
--- a/crates/testbed/src/fleet/scenario/parse.rs
+++ b/crates/scenarios/src/fleet/parse.rs
@@ -2,7 +2,7 @@
 use super::arguments::index_range;
 use super::faults::parse_fault;
 use super::{IndexRange, InitialList, MembershipScenario, Scenario, VOLUMES_PER_HOST};
-use crate::script::arguments::{DURATION, cold_start, node_option};
+use crate::arguments::{DURATION, cold_start, node_option};
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_load::client_load::LoadProfile;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
@@ -18,7 +18,8 @@
     for (i, line) in text.lines().enumerate() {
         let words = tokenize(i + 1, line, &mut problems);
         let Some(first) = words.first() else { continue };
-        let (position, name) = (first.position, first.text.clone());
+        let position = first.position;
+        let name = first.text.clone();
         let mut args = Arguments::new(&words, &mut problems);
         if directive(&mut scenario, &name, &mut args) {
             args.expect_end();
--- a/crates/testbed/src/script.rs
+++ b/crates/scenarios/src/rehearsal.rs
@@ -1,7 +1,6 @@
 //! Scenario scripts: a text file with the scenario in its head, one line for each fault, and behind a line `site` the
 //! sections of a configuration that all hosts share (fleet, plans, groups, volumes). `docs/rehearsals.md` lists every
 //! directive.
-pub(crate) mod arguments;
 mod faults;
 mod parse;
 
--- a/crates/testbed/src/script/faults.rs
+++ b/crates/scenarios/src/rehearsal/faults.rs
@@ -1,6 +1,6 @@
 //! Reads the fault lines of a script: `at TIME KIND … [for DURATION]`.
-use super::arguments::DURATION;
 use super::{Event, Fault, Selector};
+use crate::arguments::DURATION;
 use mallowseam_audit::trace::Micros;
 use mallowseam_settings::Arguments;
 
--- a/crates/testbed/src/script/parse.rs
+++ b/crates/scenarios/src/rehearsal/parse.rs
@@ -1,6 +1,6 @@
 //! Reads the head of a script.
-use super::arguments::{DURATION, cold_start, node_option};
 use super::{CatalogScenario, Scenario, faults};
+use crate::arguments::{DURATION, cold_start, node_option};
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_settings::{Arguments, Diagnostics, Position, tokenize};
 
--- a/crates/testbed/tests/fleet_model/fault_schedule.rs
+++ b/crates/scenarios/tests/fault_schedule.rs
@@ -1,4 +1,5 @@
-use mallowseam_testbed::fleet::{fault_schedule, scenario};
+//! Scripts that a seed draws.
+use mallowseam_scenarios::{fault_schedule, fleet};
 
 #[test]
 fn each_seed_draws_a_valid_script_and_every_kind_of_fault_occurs() {
@@ -8,7 +9,7 @@
     assert!(
         scripts
             .iter()
-            .all(|text| scenario::parse("storm", text).is_ok()),
+            .all(|text| fleet::parse("storm", text).is_ok()),
         "{}",
         scripts[0]
     );
--- a/crates/testbed/tests/fleet/membership_audit.rs
+++ b/crates/scenarios/tests/membership_audit.rs
@@ -1,9 +1,9 @@
 //! Fabricated membership samples: each kind of fault in them is found, and a converged fleet has none.
-use crate::support::scenario;
 use mallowseam_audit::fleet::record::{Event, Observation, Termination};
 use mallowseam_audit::membership::{MembershipSample, SampledMember};
 use mallowseam_audit::membership::{MembershipVerdict, check};
 use mallowseam_fleet::MemberState;
+use mallowseam_scenarios::fleet;
 
 const SECOND: u64 = 1_000_000;
 /// Periods of 100 ms: rediscovery within 7.5 s, detection of a kill within 3.5 s, convergence within 12 s.
@@ -62,7 +62,8 @@
     let samples: Vec<MembershipSample> = reports
         .map(|(at, host)| sample(at, host, observed(at, host)))
         .collect();
-    let run = scenario(&format!("{HEAD}{script}")).membership_run();
+    let scenario = fleet::parse("story", &format!("{HEAD}{script}")).expect("a sound script");
+    let run = scenario.membership_run();
     check(&run, &record, &samples)
 }
 
--- a/crates/testbed/src/cli/fleet_rehearsal.rs
+++ b/crates/testbed/src/cli/fleet_rehearsal.rs
@@ -1,32 +1,23 @@
 //! `rehearse` of a fleet.
 use super::{CommandResult, Finding, RehearseOptions};
 use mallowseam_audit::membership;
+use mallowseam_scenarios::fleet::{self as scenario, IndexRange, Scenario};
+use mallowseam_scenarios::{builtin, fault_schedule};
 use mallowseam_testbed::fleet::outcome::Outcome;
-use mallowseam_testbed::fleet::scenario::{self, IndexRange, Scenario};
-use mallowseam_testbed::fleet::{fault_schedule, processes, testbed};
+use mallowseam_testbed::fleet::{processes, testbed};
 use std::error::Error;
 
 /// A script that each seed draws anew, and its usual number of hosts.
 const STORM: &str = "fleet-storm";
 const STORM_HOSTS: u32 = 40;
 
-/// Fleet scripts that come with the program.
-const SCRIPTS: [(&str, &str); 3] = [
-    ("cold-start", include_str!("../../scripts/cold-start.fleet")),
-    (
-        "cold-overload",
-        include_str!("../../scripts/cold-overload.fleet"),
-    ),
-    ("cold-sum", include_str!("../../scripts/cold-sum.fleet")),
-];
-
 /// The text of a fleet's script, by its name or from a file; none where the name is of another kind of script.
 pub(super) fn script_text(name: &str) -> Result<Option<String>, Box<dyn Error>> {
     if name == STORM {
         return Ok(Some(String::new()));
     }
-    if let Some((_, text)) = SCRIPTS.iter().find(|(script, _)| *script == name) {
-        return Ok(Some((*text).to_owned()));
+    if let Some(text) = builtin::fleet(name) {
+        return Ok(Some(text.to_owned()));
     }
     if !name.ends_with(".fleet") {
         return Ok(None);
--- a/crates/testbed/src/cli/rehearsal.rs
+++ b/crates/testbed/src/cli/rehearsal.rs
@@ -1,19 +1,9 @@
 //! `demo`, and `rehearse` of a scenario.
 use super::{CommandResult, Finding, program, rehearsal_report};
-use mallowseam_testbed::script::Scenario;
-use mallowseam_testbed::{rehearsal, script};
-
-/// Scripts that come with the program.
-const SCRIPTS: [(&str, &str); 5] = [
-    ("bad-day", include_str!("../../scripts/bad-day.script")),
-    ("month-end", include_str!("../../scripts/month-end.script")),
-    (
-        "tariff-night",
-        include_str!("../../scripts/tariff-night.script"),
-    ),
-    ("demo", include_str!("../../scripts/demo.script")),
-    ("short", include_str!("../../scripts/short.script")),
-];
+use mallowseam_scenarios::builtin;
+use mallowseam_scenarios::rehearsal as script;
+use mallowseam_scenarios::rehearsal::Scenario;
+use mallowseam_testbed::rehearsal;
 
 pub(super) fn demo(seed: u64) -> CommandResult {
     play("demo", seed, 1, false)
@@ -21,8 +11,8 @@
 
 /// Plays a script by its name, or from a file, with some seeds in a row.
 pub(super) fn play(name: &str, first_seed: u64, seeds: u64, quiet: bool) -> CommandResult {
-    let text = match SCRIPTS.iter().find(|(script, _)| *script == name) {
-        Some((_, text)) => (*text).to_owned(),
+    let text = match builtin::rehearsal(name) {
+        Some(text) => text.to_owned(),
         None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
     };
     let scenario = script::parse(name, &text)?;
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,21 +1,14 @@
-//! A multi-process testbed: real host processes, faults on the links between them, and simulated peers.
+//! A multi-process testbed: real host processes, faults on the links between them, and simulated peers. Nodes and
+//! clients are the models of `mallowseam-stand-ins` and `mallowseam-load`; the discovery service is the queue of
+//! `mallowseam-models`.
 //!
-//! - [`scenario`]: a script of a run, parsed. [`fault_schedule`]: scripts drawn by a seed.
-//! - [`links`]: what faults do to the bytes and datagrams of one direction of a link.
-//! - [`simulated_node`], [`client_load`]: a node and the clients as models without sockets or clocks; the discovery
-//!   service is the queue that the cold-start model has, too.
-//! - [`peers`]: their sockets, on one event loop. [`processes`]: the host processes.
-//! - [`testbed`]: plays a scenario. [`outcome`]: what a run brought, and its report.
-//! - [`audit_input`]: what `mallowseam-audit` needs to know of a scenario to judge its run.
-#![warn(missing_docs)]
+//! - [`peers`]: the sockets of all peers, on one event loop. [`processes`]: the host processes.
+//! - [`testbed`]: plays a scenario of `mallowseam-scenarios`. [`outcome`]: what a run brought, and its report.
 
 pub mod addresses;
-pub mod audit_input;
 pub mod error;
-pub mod fault_schedule;
 pub mod host_config;
 pub mod outcome;
 pub mod peers;
 pub mod processes;
-pub mod scenario;
 pub mod testbed;
--- a/crates/testbed/src/fleet/host_config.rs
+++ b/crates/testbed/src/fleet/host_config.rs
@@ -1,10 +1,10 @@
 //! The configuration that a host of a run is started with, in the gateway's form.
 use super::addresses::Addresses;
-use super::scenario::{MembershipScenario, Scenario};
 use mallowseam_audit::fleet::terms::{
     DRAIN_GRACE_MS, POLL_DEADLINE_MS, READ_OBJECTIVE_MS, RETRY_BUDGET, VOLUME_LIMIT,
     WRITE_OBJECTIVE_MS,
 };
+use mallowseam_scenarios::fleet::{MembershipScenario, Scenario};
 use serde_json::{Value, json};
 
 /// Pause between two writes of one key, in milliseconds.
--- a/crates/testbed/src/fleet/outcome.rs
+++ b/crates/testbed/src/fleet/outcome.rs
@@ -1,10 +1,10 @@
 //! What a run brought, and its report.
 use super::processes::ResourceUsage;
-use super::scenario::Scenario;
 use mallowseam_audit::fleet::Verdict;
 use mallowseam_audit::fleet::record::{Event, Observation};
 use mallowseam_audit::membership::MembershipSample;
 use mallowseam_audit::trace::Micros;
+use mallowseam_scenarios::fleet::Scenario;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/testbed/src/fleet/peers.rs
+++ b/crates/testbed/src/fleet/peers.rs
@@ -12,7 +12,6 @@
 
 use super::addresses::Addresses;
 use super::error::TestbedError;
-use super::scenario::Scenario;
 use connections::{Connection, ConnectionId, ConnectionRole};
 use discovery::Undelivered;
 use endpoint_list::EndpointList;
@@ -24,6 +23,7 @@
 use mallowseam_http1::Limits;
 use mallowseam_load::client_load::{ClientLoad, Operation};
 use mallowseam_models::discovery_queue::{DiscoveryQueue, ServiceBehavior};
+use mallowseam_scenarios::fleet::Scenario;
 use mallowseam_sockets::slab::Slab;
 use mallowseam_stand_ins::links::{LinkFault, Links, Peer, PeerSet};
 use mallowseam_stand_ins::simulated_node::SimulatedNode;
--- a/crates/testbed/src/fleet/peers/endpoint_list.rs
+++ b/crates/testbed/src/fleet/peers/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The endpoint list as the discovery service knows it: entries, version, recent changes and updates to come.
 use super::SimulatedPeers;
 use crate::fleet::host_config::HostConfig;
-use crate::fleet::scenario::InitialList;
 use mallowseam_audit::trace::Micros;
+use mallowseam_scenarios::fleet::InitialList;
 use std::collections::VecDeque;
 use std::fmt::Write;
 
--- a/crates/testbed/src/fleet/peers/hosts.rs
+++ b/crates/testbed/src/fleet/peers/hosts.rs
@@ -1,8 +1,8 @@
 //! What the peers know of host processes: whether clients use them.
 use super::{ConnectionRole, Event, SimulatedPeers, Timer};
-use crate::fleet::scenario::InitialList;
 use mallowseam_audit::trace::Micros;
 use mallowseam_http1::ResponseReader;
+use mallowseam_scenarios::fleet::InitialList;
 use std::cmp::Reverse;
 
 /// Pause between two readiness checks of a host.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,7 +1,7 @@
 //! Testbed of the gateway: plays scenarios with fault injection through host processes. Nothing here is part of
 //! `mallowseam`.
 //!
-//! - [`script`] describes a scenario; [`rehearsal`] plays it with host processes between `mallowseam-stand-ins` and
+//! - [`rehearsal`] plays a scenario of `mallowseam-scenarios` with host processes between `mallowseam-stand-ins` and
 //!   `mallowseam-load`. These write a common trace, which `mallowseam-audit` judges.
 //! - [`fleet`] does the same with many hosts and faults on the links between them.
 //! - [`benchmark`] and [`snapshot_benchmark`] measure; [`placement_day`] compares weights over a day.
@@ -13,7 +13,6 @@
 pub mod placement_day;
 pub mod process;
 pub mod rehearsal;
-pub mod script;
 pub mod snapshot_benchmark;
 
 pub use mallowseam_gateway::blocking_client;
--- a/crates/testbed/src/placement_day.rs
+++ b/crates/testbed/src/placement_day.rs
@@ -3,16 +3,17 @@
 use crate::error::RunError;
 use crate::process::Program;
 use crate::rehearsal::{self, Outcome};
-use crate::script::{self, Fault, Scenario};
 use mallowseam_placement::Placement;
 use mallowseam_placement::problem::{Node, Problem, Volume};
 use mallowseam_placement::tuning::tune;
+use mallowseam_scenarios::builtin;
+use mallowseam_scenarios::rehearsal::{self as script, Fault, Scenario};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config;
 use mallowseam_settings::edit::{self, Share};
 use std::collections::{BTreeMap, BTreeSet};
 
-const SCRIPT: &str = include_str!("../scripts/due-date.script");
+const SCRIPT: &str = builtin::DUE_DATE;
 /// Gain of what exceeds a reserve, as a part of the gain within it.
 const BEYOND_RESERVE: f64 = 0.35;
 
--- a/crates/testbed/src/rehearsal.rs
+++ b/crates/testbed/src/rehearsal.rs
@@ -13,11 +13,11 @@
 
 use crate::error::RunError;
 use crate::process::{Program, terminate};
-use crate::script::Scenario;
 use hosts::HostProcess;
 use mallowseam_audit::rehearsal::{self as audit, Layout, Verdict};
 use mallowseam_audit::trace::{Micros, Trace, TraceEntry};
 use mallowseam_load::initiators::{self as load, Behaviour, Load};
+use mallowseam_scenarios::rehearsal::Scenario;
 use mallowseam_settings::GatewayConfig;
 use mallowseam_stand_ins::endpoint_list_service::EndpointListService;
 use mallowseam_stand_ins::node::Node;
--- a/crates/testbed/src/rehearsal/config.rs
+++ b/crates/testbed/src/rehearsal/config.rs
@@ -1,6 +1,6 @@
 //! Loopback addresses and configuration files of a rehearsal.
 use super::TARGET;
-use crate::script::Scenario;
+use mallowseam_scenarios::rehearsal::Scenario;
 use mallowseam_settings::{Diagnostics, GatewayConfig};
 use mallowseam_stand_ins::endpoint_list_service::node_name;
 use std::fmt::{self, Write};
--- a/crates/testbed/src/rehearsal/plan_changes.rs
+++ b/crates/testbed/src/rehearsal/plan_changes.rs
@@ -1,11 +1,11 @@
 //! Changes of plans during a rehearsal, and the change log that the plan service keeps of them.
 use super::{ChangeLogReport, Rehearsal, Rollouts};
-use crate::script::{Event, Fault, Scenario};
 use mallowseam_audit::rehearsal::{EffectiveLimit, Layout};
 use mallowseam_audit::trace::Micros;
 use mallowseam_gateway::{PlanRequest, RequestError, send_request};
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
+use mallowseam_scenarios::rehearsal::{Event, Fault, Scenario};
 use mallowseam_settings::{GatewayConfig, config};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/testbed/src/rehearsal/selection.rs
+++ b/crates/testbed/src/rehearsal/selection.rs
@@ -1,5 +1,5 @@
 //! Resolves a script's selectors to nodes, hosts and clients.
-use crate::script::{Scenario, Selector};
+use mallowseam_scenarios::rehearsal::{Scenario, Selector};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/testbed/tests/fleet/cold_start.rs
+++ b/crates/testbed/tests/fleet/cold_start.rs
@@ -1,5 +1,6 @@
 //! Hosts that start together, and nodes that start cold.
 use crate::support::{assert_clean, changed, finish, open, play, program, wait_for};
+use mallowseam_scenarios::builtin;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
 use mallowseam_testbed::fleet::testbed::Testbed;
 
@@ -132,7 +133,7 @@
 
 #[test]
 fn the_sum_of_24_hosts_does_not_overload_cold_nodes_when_some_are_late_killed_or_uninformed() {
-    let text = include_str!("../../scripts/cold-sum.fleet");
+    let text = builtin::fleet("cold-sum").expect("a script");
     let outcome = play(text, 7, &program());
     assert_clean(&outcome);
     assert_eq!(outcome.verdict.collapses, 0);
--- a/crates/testbed/tests/fleet/main.rs
+++ b/crates/testbed/tests/fleet/main.rs
@@ -2,6 +2,5 @@
 mod cold_start;
 mod discovery_outages;
 mod membership;
-mod membership_audit;
 mod readiness;
 mod support;
--- a/crates/testbed/tests/fleet/membership.rs
+++ b/crates/testbed/tests/fleet/membership.rs
@@ -2,8 +2,8 @@
 use crate::support::{changed, finish, open, wait_for};
 use mallowseam_audit::membership::MembershipSample;
 use mallowseam_fleet::MemberState;
+use mallowseam_scenarios::fleet::Scenario;
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
-use mallowseam_testbed::fleet::scenario::Scenario;
 use mallowseam_testbed::fleet::testbed::Testbed;
 use std::net::SocketAddr;
 
--- a/crates/testbed/tests/fleet/support.rs
+++ b/crates/testbed/tests/fleet/support.rs
@@ -1,7 +1,7 @@
 //! A small fleet for the tests: five hosts, three nodes, a discovery service that serves ten polls a second.
+use mallowseam_scenarios::fleet::{self as scenario, Scenario};
 use mallowseam_testbed::fleet::outcome::Outcome;
 use mallowseam_testbed::fleet::processes::Program;
-use mallowseam_testbed::fleet::scenario::{self, Scenario};
 use mallowseam_testbed::fleet::testbed::{self, Testbed};
 use std::time::Duration;
 use tempfile::TempDir;
--- a/crates/testbed/tests/fleet_model/main.rs
+++ b/crates/testbed/tests/fleet_model/main.rs
@@ -1,4 +1,3 @@
 //! The parts of the fleet testbed that need no process and no socket.
 mod digest;
-mod fault_schedule;
 mod pins;
--- a/crates/testbed/tests/fleet_model/pins.rs
+++ b/crates/testbed/tests/fleet_model/pins.rs
@@ -1,11 +1,11 @@
 //! Pinned behaviour: seeded decisions of the testbed, compared with digests that were recorded once.
 use crate::digest::Digest;
 use mallowseam_models::discovery_queue::ServiceBehavior;
+use mallowseam_scenarios::fleet::{self as scenario, FaultAction, IndexRange};
+use mallowseam_scenarios::{builtin, fault_schedule};
 use mallowseam_stand_ins::links::{LinkFault, Peer, PeerSet};
 use mallowseam_testbed::fleet::addresses::Addresses;
-use mallowseam_testbed::fleet::fault_schedule;
 use mallowseam_testbed::fleet::host_config::HostConfig;
-use mallowseam_testbed::fleet::scenario::{self, FaultAction, IndexRange};
 
 fn add_peer(digest: &mut Digest, peer: Peer) {
     let (kind, number) = match peer {
@@ -189,12 +189,12 @@
 #[test]
 fn scenario_scripts_are_parsed_as_recorded() {
     let mut digest = Digest::new();
-    add_scenario(&mut digest, include_str!("../../scripts/cold-start.fleet"));
+    add_scenario(&mut digest, builtin::fleet("cold-start").expect("a script"));
     add_scenario(
         &mut digest,
-        include_str!("../../scripts/cold-overload.fleet"),
+        builtin::fleet("cold-overload").expect("a script"),
     );
-    add_scenario(&mut digest, include_str!("../../scripts/cold-sum.fleet"));
+    add_scenario(&mut digest, builtin::fleet("cold-sum").expect("a script"));
     add_scenario(&mut digest, EVERY_DIRECTIVE);
     for seed in 0..10 {
         add_scenario(&mut digest, &fault_schedule::random_script(30, seed));
@@ -227,13 +227,3 @@
     );
     assert_eq!(format!("{:016x}", digest.value()), "64a0922afe91b49e");
 }
-
-#[test]
-fn drawn_fault_schedules_are_as_recorded() {
-    let mut digest = Digest::new();
-    for hosts in [3, 10, 40, 300] {
-        (0..20)
-            .for_each(|seed| digest.bytes(fault_schedule::random_script(hosts, seed).as_bytes()));
-    }
-    assert_eq!(format!("{:016x}", digest.value()), "dec4785db152f611");
-}
--- a/crates/testbed/tests/pinned/digest.rs
+++ b/crates/testbed/tests/pinned/digest.rs
@@ -1,16 +1,10 @@
-//! Digests of texts, and texts of values that are pinned in several places.
-use mallowseam_audit::service_model::ServiceModel;
+//! Digests of texts.
 use mallowseam_test_support::Digest;
 
-/// The digest of bytes alone.
-pub(crate) fn hash(bytes: &[u8]) -> u64 {
-    let mut digest = Digest::default();
-    digest.add_bytes(bytes);
-    digest.value()
-}
-
 pub(crate) fn pinned(name: &str, text: &str, expected: u64) {
-    let found = hash(text.as_bytes());
+    let mut digest = Digest::default();
+    digest.add_bytes(text.as_bytes());
+    let found = digest.value();
     assert_eq!(
         found,
         expected,
@@ -18,18 +12,3 @@
         &text[..text.len().min(600)]
     );
 }
-
-pub(crate) fn model_text(model: &ServiceModel) -> String {
-    format!(
-        "{} {} {} {} {} {} {} {} {}",
-        model.cores,
-        model.unit_work,
-        model.unit_bytes,
-        model.queue,
-        model.initial_speed,
-        model.warm_up,
-        model.overload_factor,
-        model.overload_window,
-        model.tolerated_units
-    )
-}
--- a/crates/testbed/tests/rehearsal.rs
+++ b/crates/testbed/tests/rehearsal.rs
@@ -1,7 +1,8 @@
 //! Scripts of trouble, played through real host processes.
+use mallowseam_scenarios::builtin;
+use mallowseam_scenarios::rehearsal as script;
 use mallowseam_testbed::process::Program;
 use mallowseam_testbed::rehearsal::{ChangeLogReport, Outcome, run};
-use mallowseam_testbed::script;
 
 fn play(text: &str, seed: u64) -> Outcome {
     let scenario = script::parse("test", text).expect("a sound script");
@@ -28,11 +29,9 @@
     );
 }
 
-const SHORT: &str = include_str!("../scripts/short.script");
-
 #[test]
 fn short_scenario_with_faults_keeps_all_rules() {
-    let outcome = play(SHORT, 3);
+    let outcome = play(builtin::rehearsal("short").expect("a script"), 3);
     kept(&outcome);
     assert!(
         outcome.verdict.completed > 100 && outcome.verdict.blocks_checked > 500,
@@ -43,7 +42,8 @@
 
 #[test]
 fn scenario_without_faults_completes_nearly_all_and_fails_none() {
-    let quiet: String = SHORT
+    let quiet: String = builtin::rehearsal("short")
+        .expect("a script")
         .lines()
         .filter(|l| !l.starts_with("at "))
         .map(|l| format!("{l}\n"))
@@ -76,7 +76,7 @@
 
 #[test]
 fn changing_limits_are_kept_and_the_change_log_replays() {
-    let night = include_str!("../scripts/tariff-night.script");
+    let night = builtin::rehearsal("tariff-night").expect("a script");
     // A quarter of it: four hosts, and the control service killed once.
     let text = night
         .replace("hosts 16", "hosts 4")
