--- a/crates/gateway/src/snapshot_catalog/crash_points.rs
+++ b/crates/catalog-service/src/crash_points.rs
@@ -1,7 +1,7 @@
 //! Points at which tests have the process crash.
 
 /// Counts the crash points that the process passes.
-pub(super) struct CrashPoints {
+pub(crate) struct CrashPoints {
     passed: u64,
     /// The point at which the process aborts, if it is to.
     crash_at: Option<u64>,
@@ -9,7 +9,7 @@
 
 impl CrashPoints {
     /// Crashes at the crash point of this number; the first is 1.
-    pub(super) fn new(crash_at: Option<u64>) -> Self {
+    pub(crate) fn new(crash_at: Option<u64>) -> Self {
         CrashPoints {
             passed: 0,
             crash_at,
@@ -17,7 +17,7 @@
     }
 
     /// Passes a crash point, or aborts the process there.
-    pub(super) fn pass(&mut self) {
+    pub(crate) fn pass(&mut self) {
         self.passed += 1;
         if self.crash_at == Some(self.passed) {
             std::process::abort();
--- a/crates/gateway/src/snapshot_catalog/hosts.rs
+++ b/crates/catalog-service/src/hosts.rs
@@ -1,17 +1,17 @@
 //! The hosts' side of the snapshot catalog: leases, slots and locations of extents, and writes that cuts meet.
-use super::CatalogService;
-use super::node_commands::Purpose;
-use super::outbox::Hello;
-use super::pending_locations::PendingLocation;
-use crate::host_connections::{HostConnection, HostId};
+use crate::node_commands::Purpose;
+use crate::outbox::Hello;
+use crate::pending_locations::PendingLocation;
+use crate::{CatalogService, NodeConnections};
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::decide_completion;
 use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion};
 use mallowseam_cow::tree::{Change, LayerId, Location};
+use mallowseam_service_loop::{HostConnection, HostId};
 
 /// Whether a host is sent the changes of the tree.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub(super) enum Subscription {
+pub(crate) enum Subscription {
     /// It has not been sent the tree.
     #[default]
     None,
@@ -20,10 +20,10 @@
 }
 
 /// A connection of a host.
-pub(super) type Host = HostConnection<Subscription>;
+pub(crate) type Host = HostConnection<Subscription>;
 
-impl CatalogService {
-    pub(super) fn on_message(&mut self, id: HostId, message: ToCatalog) {
+impl<N: NodeConnections> CatalogService<N> {
+    pub(crate) fn on_message(&mut self, id: HostId, message: ToCatalog) {
         match message {
             ToCatalog::Hello { host, known } => self.on_hello(id, &host, known),
             ToCatalog::RenewLease {
@@ -145,7 +145,7 @@
     }
 
     /// Asks hosts that pending cuts wait for to quiesce the layer of the cut.
-    pub(super) fn quiesce_hosts(&mut self) {
+    pub(crate) fn quiesce_hosts(&mut self) {
         let active_hosts = self.leases.active_hosts(self.now_millis());
         for request in self.pending_operations.quiesce_requests(&active_hosts) {
             let hosts = self.sockets.hosts().iter();
--- a/crates/gateway/src/snapshot_catalog/listing.rs
+++ b/crates/catalog-service/src/listing.rs
@@ -5,7 +5,7 @@
 use mallowseam_cow::tree::{Branch, Snapshot, Tree};
 
 /// Volumes and clones, then snapshots, a line each.
-pub(super) fn list(tree: &Tree) -> String {
+pub(crate) fn list(tree: &Tree) -> String {
     let branches = tree
         .branches
         .iter()
@@ -43,7 +43,7 @@
 }
 
 /// Extents as runs of blocks, first to last, a line each.
-pub(super) fn block_runs(extents: &[u32], extent_blocks: u64) -> String {
+pub(crate) fn block_runs(extents: &[u32], extent_blocks: u64) -> String {
     let mut runs: Vec<BlockRun> = Vec::new();
     for extent in extents {
         let first = u64::from(*extent) * extent_blocks;
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/catalog-service/src/node_commands.rs
@@ -2,25 +2,19 @@
 #[cfg(test)]
 mod tests;
 
-use crate::node_connections::{NodeRequest, Nodes};
-use crate::service::FIRST_NODE_TOKEN;
+use crate::node_connections::{NodeConnections, UnitCommand};
 use mallowseam_cow::tree::{LayerId, Location, Tree};
-use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi;
-use mallowseam_scheduler::interface::{AttemptResult, Tick};
-use mallowseam_settings::GatewayConfig;
-use mio::Registry;
+use mallowseam_scheduler::interface::Tick;
 use std::collections::BTreeMap;
 
 /// Ticks that a node has to carry a command out: two seconds. A cut, which waits for nodes to close layers, fails
 /// after five.
 const COMMAND_TIMEOUT: Tick = 20_000;
-/// Bytes read from a node's socket at once.
-const READ_BUFFER: usize = 64 * 1024;
 
 /// What a command at a node is for.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Purpose {
+pub(crate) enum Purpose {
     /// Close a frozen layer to writes.
     CloseLayer { layer: LayerId, node: u32 },
     /// Unmap an extent that nothing refers to any more.
@@ -30,14 +24,14 @@
 }
 
 /// A command that a node has carried out or failed.
-pub(super) struct EndedCommand {
-    pub(super) purpose: Purpose,
-    pub(super) is_done: bool,
+pub(crate) struct EndedCommand {
+    pub(crate) purpose: Purpose,
+    pub(crate) is_done: bool,
 }
 
 /// A command whose node has not answered in time.
-pub(super) struct LateCommand {
-    pub(super) purpose: Purpose,
+pub(crate) struct LateCommand {
+    pub(crate) purpose: Purpose,
     tag: u32,
 }
 
@@ -60,39 +54,30 @@
 }
 
 /// The connections to nodes, and the commands in flight there.
-pub(super) struct NodeCommands {
-    nodes: Nodes,
+pub(crate) struct NodeCommands<N> {
+    nodes: N,
     /// By tag.
     in_flight: BTreeMap<u32, NodeCommand>,
     last_tag: u32,
-    read_buffer: Vec<u8>,
 }
 
-impl NodeCommands {
-    /// Knows the nodes of a configuration; a connection is opened for the first command.
-    pub(super) fn new(config: &GatewayConfig, registry: Registry) -> Self {
-        let initiator = format!("{}:catalog", config.host.target);
+impl<N: NodeConnections> NodeCommands<N> {
+    /// Sends commands over the connections to the nodes.
+    pub(crate) fn new(nodes: N) -> Self {
         NodeCommands {
-            nodes: Nodes::new(
-                &config.nodes,
-                initiator,
-                ProposedParams::default(),
-                registry,
-                FIRST_NODE_TOKEN,
-            ),
+            nodes,
             in_flight: BTreeMap::new(),
             last_tag: 0,
-            read_buffer: vec![0; READ_BUFFER],
         }
     }
 
     /// Whether the configuration has a node of this index. Locations name nodes by index, and come from hosts.
-    pub(super) fn has_node(&self, node: u32) -> bool {
-        (node as usize) < self.nodes.len()
+    pub(crate) fn has_node(&self, node: u32) -> bool {
+        (node as usize) < self.nodes.count()
     }
 
     /// The name of a node for operators.
-    pub(super) fn node_name(&self, node: u32) -> String {
+    pub(crate) fn node_name(&self, node: u32) -> String {
         if self.has_node(node) {
             self.nodes.name(node as usize).to_owned()
         } else {
@@ -101,27 +86,22 @@
     }
 
     /// The connection to a node is ready.
-    pub(super) fn on_node_ready(&mut self, node: usize, readable: bool, now: Tick) {
-        let mut more = self
-            .nodes
-            .on_ready(node, readable, &mut self.read_buffer, now);
-        while more {
-            more = self.nodes.read(node, &mut self.read_buffer, now);
-        }
+    pub(crate) fn on_node_ready(&mut self, node: usize, readable: bool, now: Tick) {
+        self.nodes.on_ready(node, readable, now);
     }
 
     /// Closes connections that have timed out.
-    pub(super) fn on_timer(&mut self, now: Tick) {
+    pub(crate) fn on_timer(&mut self, now: Tick) {
         self.nodes.on_timer(now);
     }
 
     /// Writes what waits for the nodes.
-    pub(super) fn flush(&mut self) {
+    pub(crate) fn flush(&mut self) {
         self.nodes.flush();
     }
 
     /// Has every node that holds extents of a frozen layer close it to writes, however often that takes.
-    pub(super) fn close_layers(&mut self, tree: &Tree, now: Tick) {
+    pub(crate) fn close_layers(&mut self, tree: &Tree, now: Tick) {
         for (layer, node) in tree.pending_closes() {
             let purpose = Purpose::CloseLayer { layer, node };
             if !self.is_in_flight(purpose) {
@@ -132,7 +112,7 @@
     }
 
     /// Has a node unmap a location in the unit of a layer. `blocks`: its first block and number of blocks.
-    pub(super) fn unmap(
+    pub(crate) fn unmap(
         &mut self,
         purpose: Purpose,
         layer: LayerId,
@@ -167,23 +147,22 @@
         if !self.has_node(node) {
             return;
         }
-        let request = NodeRequest {
+        let command = UnitCommand {
             tag: self.last_tag,
-            lun: Some(layer),
+            lun: layer,
             cdb: command.cdb,
-            read_len: 0,
-            data: command.data.into(),
+            data: command.data,
         };
-        self.nodes.submit(node as usize, request, now);
+        self.nodes.submit(node as usize, command, now);
     }
 
     /// The next command that a node has carried out or failed.
-    pub(super) fn next_ended(&mut self) -> Option<EndedCommand> {
+    pub(crate) fn next_ended(&mut self) -> Option<EndedCommand> {
         while let Some(finished) = self.nodes.next_finished() {
             if let Some(command) = self.in_flight.remove(&finished.tag) {
                 return Some(EndedCommand {
                     purpose: command.purpose,
-                    is_done: finished.result == AttemptResult::Completed,
+                    is_done: finished.is_done,
                 });
             }
         }
@@ -191,7 +170,7 @@
     }
 
     /// Removes the commands whose time is over, in the order in which they were sent.
-    pub(super) fn take_late(&mut self, now: Tick) -> Vec<LateCommand> {
+    pub(crate) fn take_late(&mut self, now: Tick) -> Vec<LateCommand> {
         self.in_flight
             .extract_if(.., |_, command| command.deadline <= now)
             .map(|(tag, command)| LateCommand {
@@ -202,7 +181,7 @@
     }
 
     /// Stops waiting for a late command at a node.
-    pub(super) fn cancel(&mut self, node: u32, late: &LateCommand, now: Tick) {
+    pub(crate) fn cancel(&mut self, node: u32, late: &LateCommand, now: Tick) {
         if self.has_node(node) {
             self.nodes.cancel(node as usize, late.tag, now);
         }
--- a/crates/gateway/src/snapshot_catalog/node_events.rs
+++ b/crates/catalog-service/src/node_events.rs
@@ -1,16 +1,16 @@
 //! The nodes' side of the snapshot catalog: what is sent to them, and ends of commands.
-use super::CatalogService;
-use super::node_commands::Purpose;
+use crate::node_commands::Purpose;
+use crate::{CatalogService, NodeConnections};
 use mallowseam_cow::tree::Change;
 
-impl CatalogService {
+impl<N: NodeConnections> CatalogService<N> {
     /// Has nodes close frozen layers to writes.
-    pub(super) fn close_layers(&mut self) {
+    pub(crate) fn close_layers(&mut self) {
         self.node_commands.close_layers(self.tree.tree(), self.now);
     }
 
     /// Has nodes unmap extents that nothing refers to any more, and removes empty layers.
-    pub(super) fn reclaim_extents(&mut self) {
+    pub(crate) fn reclaim_extents(&mut self) {
         let retained = self.pending_operations.layers_of_cuts();
         let unreachable = self.tree.next_unreachable(
             &retained,
@@ -31,7 +31,7 @@
     }
 
     /// Takes commands that nodes have answered, and gives up those whose time is over.
-    pub(super) fn on_ended_commands(&mut self) {
+    pub(crate) fn on_ended_commands(&mut self) {
         while let Some(ended) = self.node_commands.next_ended() {
             self.crash_points.pass();
             if ended.is_done {
--- a/crates/gateway/src/snapshot_catalog/operations.rs
+++ b/crates/catalog-service/src/operations.rs
@@ -1,14 +1,14 @@
 //! The steps of operations whose end an operator waits for.
-use super::CatalogService;
-use super::pending_operations::{Operation, PendingOperation, Rollout, SnapshotRequest};
-use crate::control_socket::ConnectionId;
+use crate::pending_operations::{Operation, PendingOperation, Rollout, SnapshotRequest};
+use crate::{CatalogService, NodeConnections};
+use mallowseam_control_protocol::control_socket::ConnectionId;
 use mallowseam_cow::consistent_cut::{ConsistentCut, CutProgress};
 use mallowseam_cow::messages::ToHost;
 use mallowseam_cow::tree::{Change, ChangeError};
 
-impl CatalogService {
+impl<N: NodeConnections> CatalogService<N> {
     /// Advances pending operations as far as possible now.
-    pub(super) fn advance_operations(&mut self) {
+    pub(crate) fn advance_operations(&mut self) {
         let mut ended_cuts: Vec<String> = Vec::new();
         for pending in self.pending_operations.take_all() {
             let PendingOperation {
--- a/crates/gateway/src/snapshot_catalog/operator.rs
+++ b/crates/catalog-service/src/operator.rs
@@ -1,15 +1,15 @@
 //! The operator's side of the snapshot catalog: requests on the control socket.
-use super::CatalogService;
-use super::listing::{block_runs, list};
-use super::pending_operations::{Operation, Rollout, SnapshotRequest};
-use crate::control_socket::ConnectionId;
-use crate::service::Answer;
+use crate::listing::{block_runs, list};
+use crate::pending_operations::{Operation, Rollout, SnapshotRequest};
+use crate::{CatalogService, NodeConnections};
+use mallowseam_control_protocol::control_socket::ConnectionId;
 use mallowseam_cow::consistent_cut::{ConsistentCut, CutFailure};
 use mallowseam_cow::tree::{Change, ChangeError, LayerId, Tree};
+use mallowseam_service_loop::Answer;
 
 /// Why a request is refused, or an operation failed.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum OperatorError {
+pub(crate) enum OperatorError {
     #[error(transparent)]
     Refused(#[from] ChangeError),
     /// These hosts have split writes in flight, or have not reported that their writes are quiesced.
@@ -28,9 +28,9 @@
     Unknown(String),
 }
 
-impl CatalogService {
+impl<N: NodeConnections> CatalogService<N> {
     /// Handles a line on the control socket.
-    pub(super) fn on_request(&mut self, connection: ConnectionId, line: &str) {
+    pub(crate) fn on_request(&mut self, connection: ConnectionId, line: &str) {
         match self.execute(connection, line) {
             Ok(Answer::Now(answer)) => self.outbox.answer(connection, answer),
             Ok(Answer::Later) => {}
@@ -76,7 +76,7 @@
     }
 
     /// Freezes the head of a branch; the snapshot is granted once nodes and hosts have answered.
-    pub(super) fn begin_cut(
+    pub(crate) fn begin_cut(
         &mut self,
         connection: ConnectionId,
         request: &SnapshotRequest,
@@ -100,7 +100,7 @@
     }
 
     /// The failure of a cut, with nodes by their names.
-    pub(super) fn cut_error(&self, failure: CutFailure) -> OperatorError {
+    pub(crate) fn cut_error(&self, failure: CutFailure) -> OperatorError {
         match failure {
             CutFailure::Rejected(error) => OperatorError::Refused(error),
             CutFailure::HostsNotQuiesced(hosts) => {
--- a/crates/gateway/src/snapshot_catalog/pending_locations.rs
+++ b/crates/catalog-service/src/pending_locations.rs
@@ -8,20 +8,20 @@
 
 /// The location of an extent that hosts were notified of. It becomes writable once no host acts on an older
 /// version.
-pub(super) struct PendingLocation {
-    pub(super) version: u64,
-    pub(super) layer: LayerId,
-    pub(super) extent: u32,
+pub(crate) struct PendingLocation {
+    pub(crate) version: u64,
+    pub(crate) layer: LayerId,
+    pub(crate) extent: u32,
 }
 
 /// All locations that are not writable yet.
-pub(super) struct PendingLocations {
+pub(crate) struct PendingLocations {
     locations: Vec<PendingLocation>,
 }
 
 impl PendingLocations {
     /// The locations in a stored tree that were not writable when the catalog stopped.
-    pub(super) fn of_tree(tree: &Tree) -> Self {
+    pub(crate) fn of_tree(tree: &Tree) -> Self {
         let version = tree.version;
         let locations = tree.layers.iter().flat_map(|(layer, content)| {
             let extents = content.locations.keys();
@@ -38,12 +38,12 @@
     }
 
     /// Hosts are notified of a location.
-    pub(super) fn add(&mut self, location: PendingLocation) {
+    pub(crate) fn add(&mut self, location: PendingLocation) {
         self.locations.push(location);
     }
 
     /// Removes the locations that every host that may act knows.
-    pub(super) fn take_effective(
+    pub(crate) fn take_effective(
         &mut self,
         leases: &HostLeases,
         now: Millis,
--- a/crates/gateway/src/snapshot_catalog/pending_operations.rs
+++ b/crates/catalog-service/src/pending_operations.rs
@@ -2,7 +2,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::control_socket::ConnectionId;
+use mallowseam_control_protocol::control_socket::ConnectionId;
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::ConsistentCut;
 use mallowseam_cow::leases::HostLeases;
@@ -10,13 +10,13 @@
 use std::collections::BTreeSet;
 
 /// An operation, with the operator who waits for its end.
-pub(super) struct PendingOperation {
-    pub(super) connection: ConnectionId,
-    pub(super) operation: Operation,
+pub(crate) struct PendingOperation {
+    pub(crate) connection: ConnectionId,
+    pub(crate) operation: Operation,
 }
 
 /// What an operator waits for.
-pub(super) enum Operation {
+pub(crate) enum Operation {
     /// A snapshot is begun once all hosts that may act are known.
     BeginCut(SnapshotRequest),
     /// A snapshot is in progress.
@@ -26,23 +26,23 @@
 }
 
 /// A request for a snapshot.
-pub(super) struct SnapshotRequest {
-    pub(super) branch: String,
-    pub(super) name: String,
+pub(crate) struct SnapshotRequest {
+    pub(crate) branch: String,
+    pub(crate) name: String,
 }
 
 /// A change that becomes effective once no host acts on an older version, and nodes have closed a layer.
-pub(super) struct Rollout {
-    pub(super) version: u64,
+pub(crate) struct Rollout {
+    pub(crate) version: u64,
     /// The layer, where one has to be closed.
-    pub(super) closing: Option<LayerId>,
+    pub(crate) closing: Option<LayerId>,
     /// What the operator is told then.
-    pub(super) answer: String,
+    pub(crate) answer: String,
 }
 
 impl Rollout {
     /// Whether the change is effective at all hosts and nodes.
-    pub(super) fn is_complete(&self, tree: &Tree, leases: &HostLeases, now: Millis) -> bool {
+    pub(crate) fn is_complete(&self, tree: &Tree, leases: &HostLeases, now: Millis) -> bool {
         let is_open = |layer| tree.layers.contains_key(&layer) && has_pending_close(tree, layer);
         !self.closing.is_some_and(is_open) && leases.is_effective(self.version, now)
     }
@@ -54,22 +54,22 @@
 }
 
 /// A request to hosts to quiesce the layer of a cut.
-pub(super) struct QuiesceRequest {
-    pub(super) layer: LayerId,
-    pub(super) branch: String,
+pub(crate) struct QuiesceRequest {
+    pub(crate) layer: LayerId,
+    pub(crate) branch: String,
     /// Names of the hosts that have not quiesced it.
-    pub(super) hosts: BTreeSet<String>,
+    pub(crate) hosts: BTreeSet<String>,
 }
 
 /// All operations that are pending, in the order in which they were last advanced.
 #[derive(Default)]
-pub(super) struct PendingOperations {
+pub(crate) struct PendingOperations {
     operations: Vec<PendingOperation>,
 }
 
 impl PendingOperations {
     /// An operator waits for an operation.
-    pub(super) fn add(&mut self, connection: ConnectionId, operation: Operation) {
+    pub(crate) fn add(&mut self, connection: ConnectionId, operation: Operation) {
         self.operations.push(PendingOperation {
             connection,
             operation,
@@ -77,7 +77,7 @@
     }
 
     /// Removes all operations, of which the caller adds those that are not over.
-    pub(super) fn take_all(&mut self) -> Vec<PendingOperation> {
+    pub(crate) fn take_all(&mut self) -> Vec<PendingOperation> {
         std::mem::take(&mut self.operations)
     }
 
@@ -100,24 +100,24 @@
     }
 
     /// The frozen layers of all cuts in progress.
-    pub(super) fn layers_of_cuts(&self) -> BTreeSet<LayerId> {
+    pub(crate) fn layers_of_cuts(&self) -> BTreeSet<LayerId> {
         self.cuts().map(|cut| cut.layer).collect()
     }
 
     /// Whether a cut of a branch is in progress.
-    pub(super) fn has_cut_of(&self, branch: &str) -> bool {
+    pub(crate) fn has_cut_of(&self, branch: &str) -> bool {
         self.cuts().any(|cut| cut.branch == branch)
     }
 
     /// A host has quiesced a layer.
-    pub(super) fn on_host_quiesced(&mut self, layer: LayerId, host: &str) {
+    pub(crate) fn on_host_quiesced(&mut self, layer: LayerId, host: &str) {
         for cut in self.cuts_mut() {
             cut.host_quiesced(layer, host);
         }
     }
 
     /// A write with parts in these frozen layers is completed in a later one: their cuts are restarted behind it.
-    pub(super) fn mark_stale(&mut self, frozen_layers: &BTreeSet<LayerId>) {
+    pub(crate) fn mark_stale(&mut self, frozen_layers: &BTreeSet<LayerId>) {
         for cut in self.cuts_mut() {
             if frozen_layers.contains(&cut.layer) {
                 cut.mark_stale();
@@ -126,7 +126,7 @@
     }
 
     /// What hosts are to quiesce, a request for each cut. `active_hosts`: those that may act.
-    pub(super) fn quiesce_requests(
+    pub(crate) fn quiesce_requests(
         &mut self,
         active_hosts: &BTreeSet<String>,
     ) -> Vec<QuiesceRequest> {
--- a/crates/gateway/src/snapshot_catalog/settings.rs
+++ b/crates/catalog-service/src/settings.rs
@@ -9,13 +9,13 @@
 const MICROS_PER_MILLI: u64 = 1000;
 
 /// A volume of the configuration whose extents the catalog maps.
-pub(super) struct MappedVolume {
-    pub(super) name: String,
-    pub(super) extent_count: u32,
+pub(crate) struct MappedVolume {
+    pub(crate) name: String,
+    pub(crate) extent_count: u32,
 }
 
 /// The settings of a running catalog.
-pub(super) struct Settings {
+pub(crate) struct Settings {
     /// Blocks of an extent.
     extent_blocks: u64,
     mapped_volumes: Vec<MappedVolume>,
@@ -26,7 +26,7 @@
 
 impl Settings {
     /// The settings of a configuration with its section of the catalog.
-    pub(super) fn new(config: &GatewayConfig, section: &Catalog) -> Self {
+    pub(crate) fn new(config: &GatewayConfig, section: &Catalog) -> Self {
         let mapped = |volume: &Volume| MappedVolume {
             name: volume.name.clone(),
             extent_count: (volume.block_count / section.extent_blocks) as u32,
@@ -53,12 +53,12 @@
     }
 
     /// Blocks of an extent.
-    pub(super) fn extent_blocks(&self) -> u64 {
+    pub(crate) fn extent_blocks(&self) -> u64 {
         self.extent_blocks
     }
 
     /// First block and number of blocks of a location.
-    pub(super) fn blocks_of(&self, location: Location) -> (u64, u32) {
+    pub(crate) fn blocks_of(&self, location: Location) -> (u64, u32) {
         (
             u64::from(location.slot) * self.extent_blocks,
             self.extent_blocks as u32,
@@ -66,17 +66,17 @@
     }
 
     /// The volumes whose extents the catalog maps.
-    pub(super) fn mapped_volumes(&self) -> &[MappedVolume] {
+    pub(crate) fn mapped_volumes(&self) -> &[MappedVolume] {
         &self.mapped_volumes
     }
 
     /// Whether the configuration has a volume of this name.
-    pub(super) fn has_volume(&self, name: &str) -> bool {
+    pub(crate) fn has_volume(&self, name: &str) -> bool {
         self.volumes.contains(name)
     }
 
     /// Longest time that a write of a host can take: the longest deadline of all I/O classes.
-    pub(super) fn longest_write(&self) -> Millis {
+    pub(crate) fn longest_write(&self) -> Millis {
         self.longest_write
     }
 }
--- a/crates/gateway/src/snapshot_catalog/stored_tree.rs
+++ b/crates/catalog-service/src/stored_tree.rs
@@ -1,6 +1,6 @@
 //! The tree on disk, with what is to be reclaimed of it.
-use super::hosts::Host;
 use crate::error::Error;
+use crate::hosts::Host;
 use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::messages::{ToHost, TreeVersion, full_tree_messages};
@@ -11,14 +11,14 @@
 use std::path::Path;
 
 /// An extent that nothing refers to any more, with where it is.
-pub(super) struct UnreachableExtent {
-    pub(super) layer: LayerId,
-    pub(super) extent: u32,
-    pub(super) location: Location,
+pub(crate) struct UnreachableExtent {
+    pub(crate) layer: LayerId,
+    pub(crate) extent: u32,
+    pub(crate) location: Location,
 }
 
 /// The tree, its store, and the extents and layers to be reclaimed.
-pub(super) struct StoredTree {
+pub(crate) struct StoredTree {
     catalog: Catalog,
     reclaimer: Reclaimer,
 }
@@ -28,8 +28,8 @@
     ///
     /// # Errors
     /// The store cannot be opened or read, or its contents are damaged.
-    pub(super) fn open(path: &Path) -> Result<Self, Error> {
-        let catalog = Catalog::open(path).map_err(|source| Error::OpenCatalogStore {
+    pub(crate) fn open(path: &Path) -> Result<Self, Error> {
+        let catalog = Catalog::open(path).map_err(|source| Error::OpenStore {
             path: path.to_owned(),
             source,
         })?;
@@ -40,12 +40,12 @@
     }
 
     /// The tree, with the changes that are not on disk yet.
-    pub(super) fn tree(&self) -> &Tree {
+    pub(crate) fn tree(&self) -> &Tree {
         self.catalog.tree()
     }
 
     /// Whether the tree has never been changed.
-    pub(super) fn is_new(&self) -> bool {
+    pub(crate) fn is_new(&self) -> bool {
         self.tree().version == 0
     }
 
@@ -53,14 +53,14 @@
     ///
     /// # Errors
     /// The change does not fit the tree.
-    pub(super) fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
+    pub(crate) fn propose(&mut self, change: Change) -> Result<u64, ChangeError> {
         let effects = self.catalog.stage(change)?;
         self.reclaimer.record_change(self.catalog.tree(), &effects);
         Ok(self.catalog.tree().version)
     }
 
     /// Whether there are changes that are not on disk yet.
-    pub(super) fn has_uncommitted_changes(&self) -> bool {
+    pub(crate) fn has_uncommitted_changes(&self) -> bool {
         self.catalog.committed_version() < self.tree().version
     }
 
@@ -69,13 +69,13 @@
     /// # Errors
     /// The store has failed, and is of no further use: the service ends, hosts go on by their leases, and a new
     /// process reads what is on disk.
-    pub(super) fn commit(&mut self) -> Result<CommittedBatch, Error> {
-        self.catalog.commit().map_err(Error::CatalogStore)
+    pub(crate) fn commit(&mut self) -> Result<CommittedBatch, Error> {
+        self.catalog.commit().map_err(Error::Store)
     }
 
     /// Sends a host what it lacks of the tree that is on disk: the changes since the version that it knows, if
     /// they are retained, else the full tree.
-    pub(super) fn send_missing(&self, known: Option<TreeVersion>, host: &mut Host) {
+    pub(crate) fn send_missing(&self, known: Option<TreeVersion>, host: &mut Host) {
         let catalog_id = self.catalog.id();
         let missing = known
             .filter(|known| known.catalog_id == catalog_id)
@@ -93,7 +93,7 @@
 
     /// The extents that nodes are to unmap now. `retained`: layers of pending cuts. `longest_write`: the longest
     /// time that a write of a host can take.
-    pub(super) fn next_unreachable(
+    pub(crate) fn next_unreachable(
         &mut self,
         retained: &BTreeSet<LayerId>,
         leases: &HostLeases,
@@ -118,23 +118,23 @@
     }
 
     /// Where an extent of a layer is, if the layer has it.
-    pub(super) fn location_of(&self, layer: LayerId, extent: u32) -> Option<Location> {
+    pub(crate) fn location_of(&self, layer: LayerId, extent: u32) -> Option<Location> {
         location_of(self.tree(), layer, extent)
     }
 
     /// A node has unmapped an extent, which leaves the tree.
-    pub(super) fn on_unmapped(&mut self, layer: LayerId, extent: u32) {
+    pub(crate) fn on_unmapped(&mut self, layer: LayerId, extent: u32) {
         self.reclaimer.completed((layer, extent));
         self.remove_extents(layer, vec![extent]);
     }
 
     /// A node has not unmapped an extent: it is retried.
-    pub(super) fn on_unmap_failed(&mut self, layer: LayerId, extent: u32, now: Millis) {
+    pub(crate) fn on_unmap_failed(&mut self, layer: LayerId, extent: u32, now: Millis) {
         self.reclaimer.failed((layer, extent), now);
     }
 
     /// Removes layers without extents that nothing refers to.
-    pub(super) fn remove_empty_layers(&mut self, retained: &BTreeSet<LayerId>) {
+    pub(crate) fn remove_empty_layers(&mut self, retained: &BTreeSet<LayerId>) {
         let removable = self
             .reclaimer
             .removable_layers(self.catalog.tree(), retained);
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/control-protocol/src/control_socket.rs
@@ -3,8 +3,8 @@
 
 pub use client::{RequestError, send_request};
 
-use crate::slab::Slab;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
+use mallowseam_sockets::slab::Slab;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 use std::fmt::Display;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 
 /// Connections at once: an operator and a few scripts.
-pub(crate) const MAX_CONNECTIONS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Longest request in bytes.
 const MAX_REQUEST: usize = 8_192;
 /// Ends every answer, which makes a truncated one recognizable.
@@ -24,12 +24,12 @@
 const PERMISSIONS: u32 = 0o600;
 
 /// The answer to a request that is refused.
-pub(crate) fn refusal(reason: &impl Display) -> String {
+pub fn refusal(reason: &impl Display) -> String {
     format!("{REFUSED}{reason}")
 }
 
 /// Index of a connection to the control socket.
-pub(crate) type ConnectionId = u32;
+pub type ConnectionId = u32;
 
 /// The connection of an operator.
 struct Connection {
@@ -100,7 +100,7 @@
 }
 
 /// The listening side of a control socket. The socket file is removed when this is dropped.
-pub(crate) struct ControlSocket {
+pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
     connections: Slab<Connection>,
@@ -110,7 +110,10 @@
 
 impl ControlSocket {
     /// Listens at a path; connections get tokens from `first_token` on. A socket file whose process is gone
-    /// is replaced; one at which a process still answers is an error.
+    /// is replaced.
+    ///
+    /// # Errors
+    /// A process still answers there, or the socket cannot be created.
     pub(crate) fn open(
         path: &Path,
         registry: Registry,
@@ -131,7 +134,7 @@
     }
 
     /// Accepts all pending connections.
-    pub(crate) fn accept(&mut self) {
+    pub fn accept(&mut self) {
         while let Ok((mut socket, _)) = self.listener.accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
                 let refused = refusal(&"too many callers");
@@ -151,7 +154,7 @@
     }
 
     /// Reads from a connection that is ready. Returns its request once that is complete.
-    pub(crate) fn read_request(&mut self, id: ConnectionId) -> Option<String> {
+    pub fn read_request(&mut self, id: ConnectionId) -> Option<String> {
         match self.connections.get_mut(id)?.read_request() {
             RequestRead::Complete(line) => return Some(line),
             // The socket may be ready for the rest of an answer.
@@ -162,7 +165,7 @@
     }
 
     /// Answers a request; the connection is closed once the answer is written.
-    pub(crate) fn answer(&mut self, id: ConnectionId, text: &str) {
+    pub fn answer(&mut self, id: ConnectionId, text: &str) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.unsent_answer = Some(format!("{text}{END_OF_ANSWER}").into_bytes());
             self.flush(id);
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -2,7 +2,7 @@
 use super::control::{self, Service};
 use super::error::CommandError;
 use super::plan_parameters::{new_plan, set_parameters};
-use crate::plan_service::PlanRequest;
+use crate::PlanRequest;
 use clap::{Args, Subcommand};
 use mallowseam_plans::state::{Change, State};
 use std::path::PathBuf;
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,4 +1,5 @@
 //! Errors that more than one module of the package reports.
+use mallowseam_control_protocol::StartError;
 use mallowseam_settings::{Diagnostics, GatewayConfig};
 use std::io;
 use std::net::SocketAddr;
@@ -15,54 +16,24 @@
         /// What the system says.
         source: io::Error,
     },
-    /// The control socket cannot be created.
-    #[error("control {}: {source}", path.display())]
-    ControlSocket {
-        /// The socket's path in the configuration.
-        path: PathBuf,
-        /// What the system says.
-        source: io::Error,
-    },
+    /// A socket of the configuration cannot be had, or signals cannot be received.
+    #[error(transparent)]
+    Start(#[from] StartError),
     /// Polling for socket events failed.
     #[error("poll: {0}")]
     Poll(#[source] io::Error),
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
-    Signals(#[source] io::Error),
     /// The host cannot take part in the membership of its fleet.
     #[error("fleet membership: {0}")]
     Membership(#[source] io::Error),
     /// The configuration lacks the section of the service that is to run.
     #[error("no section {0}")]
     MissingSection(&'static str),
-    /// The store of the plan service cannot be opened or read.
-    #[error("{}: {source}", path.display())]
-    OpenPlanStore {
-        /// The store's path in the configuration.
-        path: PathBuf,
-        /// What is wrong with it.
-        source: mallowseam_change_log::Error,
-    },
-    /// The plan service could not store a change or a member.
-    #[error(transparent)]
-    PlanStore(mallowseam_change_log::Error),
-    /// The plans of the configuration contradict each other.
-    #[error(transparent)]
-    ConfiguredPlan(mallowseam_plans::error::ChangeError),
-    /// The store of the snapshot catalog cannot be opened or read.
-    #[error("{}: {source}", path.display())]
-    OpenCatalogStore {
-        /// The store's path in the configuration.
-        path: PathBuf,
-        /// What is wrong with it.
-        source: mallowseam_snapshot_catalog::Error,
-    },
-    /// The snapshot catalog could not store a batch of changes.
+    /// The plan service could not start, or could not go on.
     #[error(transparent)]
-    CatalogStore(mallowseam_snapshot_catalog::Error),
-    /// A volume of the configuration does not fit the stored tree.
+    PlanService(#[from] mallowseam_plan_service::Error),
+    /// The snapshot catalog could not start, or could not go on.
     #[error(transparent)]
-    ConfiguredVolume(mallowseam_cow::tree::ChangeError),
+    CatalogService(#[from] mallowseam_catalog_service::Error),
 }
 
 /// Why a text file could not be read.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,8 +10,8 @@
 //! - `endpoint_list`, `catalog_client`, `plan_replication`: clients of the services that a host follows.
 //! - `scheduler_config`, `metrics`, `status`: configuration and figures in the forms that others take.
 //!
-//! The services: `plan_service`, `snapshot_catalog`. Both are built on `service` (the event loop) and
-//! `host_connections`; they and the host share `control_socket`, `json_lines`, `socket_io`, `startup`,
+//! The services are packages of their own; `plan_service` and `snapshot_catalog` run them with the configuration of a
+//! site. Host, services and command line share `mallowseam-control-protocol`; the modules here share `socket_io`,
 //! `atomic_file` and `error`.
 //!
 //! Tools of the command line (`cli`): `demand`, `placement`, `snapshot_archive`, `verify`, `blocking_client`.
@@ -22,34 +22,29 @@
 mod catalog_client;
 pub mod cli;
 pub mod client_connections;
-mod control_socket;
 mod demand;
 mod dispatcher;
 mod endpoint_list;
 mod error;
 mod event_loop;
-mod host_connections;
-mod json_lines;
 mod metrics;
 mod node_connections;
 mod placement;
 mod plan_replication;
 mod plan_service;
 mod scheduler_config;
-mod service;
 mod snapshot_archive;
 mod snapshot_catalog;
 pub mod socket_io;
-mod startup;
 mod status;
 mod verify;
 
+use mallowseam_control_protocol::{control_socket, json_lines, startup};
 pub use mallowseam_sockets::{clock, slab};
 
-pub use control_socket::{RequestError, send_request};
 pub use error::Error;
 pub use event_loop::run;
+pub use mallowseam_control_protocol::{PlanRequest, RequestError, send_request};
 pub use metrics::CommandCounts;
-pub use plan_service::PlanRequest;
 pub use scheduler_config::replicated_plan;
 pub use status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -1,184 +1,32 @@
-//! The plan service: keeps the change log of plans, replicates versions to hosts, and grants borrowed quotas.
-//!
-//! - `hosts`: messages of hosts; `catch_up`: what a host that connects is sent.
-//! - `quotas`: what hosts lend each other of the limits.
-//! - `request`, `operator`: requests of operators on the control socket.
-//! - `rollout_waits`: operators who wait for a version to be in effect.
-//! - `limit_change`, `rollout_text`: what a change means for limits, and rollouts as text.
-//! - `initial_plans`: the store, and its first versions.
-mod catch_up;
-mod hosts;
-mod initial_plans;
-mod limit_change;
-mod operator;
-mod quotas;
-mod request;
-mod rollout_text;
-mod rollout_waits;
-
-pub use request::PlanRequest;
-
-use crate::clock::{Clock, ticks_to_millis};
+//! Runs the plan service with the plans of a configuration.
 use crate::error::Error;
-use crate::host_connections::{HostConnection, Limits};
-use crate::service::{
-    self, Answer, ListeningSockets, PeriodicTimer, Service, ServiceSockets, SocketEvent,
-};
-use crate::startup;
-use initial_plans::OpenedStore;
-use mallowseam_change_log::ChangeLogStore;
-use mallowseam_plans::Millis;
-use mallowseam_plans::messages::ServiceMessage;
-use mallowseam_plans::quota_pool::POLL_INTERVAL;
-use mallowseam_plans::rollout::Rollout;
+use crate::scheduler_config;
+use mallowseam_plans::state::Change;
 use mallowseam_settings::GatewayConfig;
-use mio::Poll;
-use mio::event::Event;
-use quotas::{LenderId, Quotas};
-use rollout_waits::RolloutWaits;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-
-const LIMITS: Limits = Limits {
-    max_line: 1 << 20,
-    max_unsent: 32 << 20,
-};
-/// Longest sleep of the event loop.
-const PERIOD: Duration = Duration::from_millis(50);
-
-/// A connection of a host, which is a lender once it has said hello.
-type Host = HostConnection<Option<LenderId>>;
-
-struct PlanService {
-    clock: Clock,
-    /// When the last poll returned.
-    now: Millis,
-    sockets: ServiceSockets<Option<LenderId>>,
-    store: ChangeLogStore,
-    /// Which host acts on which version.
-    rollout: Rollout,
-    rollout_waits: RolloutWaits,
-    quotas: Quotas,
-    /// When hosts are asked for what they lend and want.
-    quota_poll_timer: PeriodicTimer<Millis>,
-}
+use mallowseam_settings::config::Volume;
 
 /// Runs the plan service of a site until SIGTERM, SIGINT or a request to stop.
 ///
 /// # Errors
-/// An address, path or store of the configuration cannot be had, or the store fails later.
+/// The configuration has no section of the service, or the service cannot start or go on.
 pub(crate) fn run(config: &GatewayConfig) -> Result<(), Error> {
-    let mut poll = Poll::new().map_err(Error::Poll)?;
-    let mut service = PlanService::open(config, &poll)?;
-    service::run(&mut service, &mut poll)?;
-    tracing::info!("plan service stopped");
+    let settings = config
+        .plan_service
+        .as_ref()
+        .ok_or(Error::MissingSection("tariffs"))?;
+    mallowseam_plan_service::run(settings, configured_changes(config))?;
     Ok(())
 }
 
-impl PlanService {
-    fn open(config: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
-        let settings = config
-            .plan_service
-            .as_ref()
-            .ok_or(Error::MissingSection("tariffs"))?;
-        let address = startup::validated_address(settings.listen);
-        let control_socket = settings.control_socket.as_deref();
-        let listening = ListeningSockets::open(address, control_socket, 0, LIMITS, poll)?;
-        let OpenedStore {
-            store,
-            members,
-            is_new,
-        } = initial_plans::open_store(config, &settings.store_path)?;
-        let clock = Clock::from_zero();
-        let now = ticks_to_millis(clock.now());
-        let mut rollout = Rollout::default();
-        members
-            .iter()
-            .for_each(|host| rollout.on_contact(host, now));
-        tracing::info!(listen = %address, version = store.log().state.version, "plan service started");
-        Ok(PlanService {
-            clock,
-            now,
-            sockets: listening.watch_signals(poll)?,
-            store,
-            rollout,
-            rollout_waits: RolloutWaits::default(),
-            quotas: Quotas::new(now, is_new),
-            quota_poll_timer: PeriodicTimer::new(POLL_INTERVAL, now),
-        })
-    }
-
-    /// The newest version.
-    fn version(&self) -> u64 {
-        self.store.log().state.version
-    }
-
-    /// Asks all hosts for what they lend and want.
-    fn poll_quotas(&mut self) {
-        let polled_at = self.now;
-        self.sockets
-            .hosts_mut()
-            .broadcast(&ServiceMessage::QuotaPoll { polled_at }, is_known);
-    }
-
-    /// Answers operators whose wait for a version is over.
-    fn answer_rollout_waits(&mut self) {
-        for ended in self.rollout_waits.take_ended(&self.rollout, self.now) {
-            self.sockets
-                .operators_mut()
-                .answer(ended.connection, &ended.answer);
-        }
-    }
-}
-
-impl Service for PlanService {
-    fn is_stopping(&self) -> bool {
-        self.sockets.is_stop_requested()
-    }
-
-    fn poll_timeout(&self) -> Duration {
-        PERIOD
-    }
-
-    fn on_poll_returned(&mut self) {
-        self.now = ticks_to_millis(self.clock.now());
-    }
-
-    fn on_event(&mut self, event: &Event) -> Result<(), Error> {
-        match self.sockets.on_ready(event.token()) {
-            Some(SocketEvent::Request { connection, line }) => {
-                if let Answer::Now(text) = self.on_request(connection, &line)? {
-                    self.sockets.operators_mut().answer(connection, &text);
-                }
-            }
-            Some(SocketEvent::Host(id)) => {
-                while let Some(message) = self.sockets.hosts_mut().next_message(id) {
-                    self.on_message(id, message);
-                }
-            }
-            // The plan service has no connections to nodes.
-            Some(SocketEvent::Node(_)) | None => {}
-        }
-        Ok(())
-    }
-
-    fn after_events(&mut self) -> Result<(), Error> {
-        if self.quota_poll_timer.take_due(self.now) {
-            self.poll_quotas();
-        }
-        self.answer_rollout_waits();
-        self.sockets.hosts_mut().flush();
-        Ok(())
-    }
-}
-
-/// Whether a host has said hello.
-fn is_known(host: &Host) -> bool {
-    host.name().is_some()
-}
-
-/// Seconds since 1970, for readers of the change log.
-fn wall_clock() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |since| since.as_secs())
+/// The changes that make the plans of a configuration.
+fn configured_changes(config: &GatewayConfig) -> Vec<Change> {
+    let plans = config.plans.iter().map(|plan| Change::SetPlan {
+        name: plan.name.clone(),
+        plan: scheduler_config::replicated_plan(plan),
+    });
+    let plan_of = |volume: &Volume| Change::AssignPlan {
+        volume: volume.name.clone(),
+        plan: config.plans[volume.plan].name.clone(),
+    };
+    plans.chain(config.volumes.iter().map(plan_of)).collect()
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,258 +1,89 @@
-//! The snapshot catalog service: stores the tree of layers, replicates its changes to hosts, and has nodes
-//! close layers and unmap reclaimed extents.
-//!
-//! What the service does on an event:
-//! - `hosts`: messages of hosts.
-//! - `operator`: requests on the control socket.
-//! - `operations`: the steps of operations whose end an operator waits for.
-//! - `node_events`: ends of commands at nodes.
-//!
-//! What it owns, one type a file: `settings`, `stored_tree`, `node_commands`, `pending_locations`,
-//! `pending_operations`, `outbox`, `crash_points`. `listing` shows the tree as text.
-mod crash_points;
-mod hosts;
-mod listing;
-mod node_commands;
-mod node_events;
-mod operations;
-mod operator;
-mod outbox;
-mod pending_locations;
-mod pending_operations;
-mod settings;
-mod stored_tree;
-
-use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
+//! Runs the snapshot catalog service over the iSCSI connections to the nodes of a configuration.
 use crate::error::Error;
-use crate::host_connections::Limits;
-use crate::service::{self, ListeningSockets, PeriodicTimer, Service, ServiceSockets, SocketEvent};
-use crate::startup;
-use crash_points::CrashPoints;
-use hosts::Subscription;
-use mallowseam_cow::Millis;
-use mallowseam_cow::leases::HostLeases;
-use mallowseam_cow::messages::ToHost;
-use mallowseam_cow::tree::{Change, Tree};
-use mallowseam_scheduler::interface::Tick;
+use crate::node_connections::{NodeRequest, Nodes};
+use mallowseam_catalog_service::{FinishedCommand, NodeConnections, UnitCommand};
+use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::GatewayConfig;
-use mio::Poll;
-use mio::event::Event;
-use node_commands::NodeCommands;
-use outbox::Outbox;
-use pending_locations::PendingLocations;
-use pending_operations::PendingOperations;
-use settings::Settings;
-use std::time::Duration;
-use stored_tree::StoredTree;
-
-const LIMITS: Limits = Limits {
-    max_line: 64 * 1024,
-    max_unsent: 128 << 20,
-};
-/// Ticks between two periodic checks of leases, connections and layers.
-const CHECK_PERIOD: Tick = 100;
-/// Ticks after which hosts that have not quiesced a layer get the request again.
-const QUIESCE_PERIOD: Tick = 2_000;
+use mio::Registry;
 
-struct CatalogService {
-    clock: Clock,
-    /// When the last poll returned.
-    now: Tick,
-    settings: Settings,
-    sockets: ServiceSockets<Subscription>,
-    tree: StoredTree,
-    leases: HostLeases,
-    node_commands: NodeCommands,
-    pending_locations: PendingLocations,
-    pending_operations: PendingOperations,
-    outbox: Outbox,
-    check_timer: PeriodicTimer<Tick>,
-    quiesce_timer: PeriodicTimer<Tick>,
-    crash_points: CrashPoints,
-}
+/// Bytes read from a node's socket at once.
+const READ_BUFFER: usize = 64 * 1024;
 
-/// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop.
-///
-/// `crash_at`: aborts at that crash point. Crash points lie before and after the store takes a batch, after
-/// hosts and operators have been notified, and after a node has answered a command.
+/// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop. `crash_at`: aborts at that crash
+/// point.
 ///
 /// # Errors
-/// An address, path or store of the configuration cannot be had, or the store fails later.
+/// The configuration has no section of the catalog, or the service cannot start or go on.
 pub(crate) fn run(config: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
-    let mut poll = Poll::new().map_err(Error::Poll)?;
-    let mut service = CatalogService::open(&config, crash_at, &poll)?;
-    service::run(&mut service, &mut poll)?;
-    tracing::info!("snapshot catalog stopped");
+    let connect_nodes = |registry, first_token| CatalogNodes::new(&config, registry, first_token);
+    mallowseam_catalog_service::run(&config, crash_at, connect_nodes)?;
     Ok(())
 }
 
-impl CatalogService {
-    fn open(config: &GatewayConfig, crash_at: Option<u64>, poll: &Poll) -> Result<Self, Error> {
-        let section = config
-            .catalog
-            .as_ref()
-            .ok_or(Error::MissingSection("catalog"))?;
-        let address = startup::validated_address(section.listen);
-        let listening = ListeningSockets::open(
-            address,
-            section.control_socket.as_deref(),
-            config.nodes.len(),
-            LIMITS,
-            poll,
-        )?;
-        let tree = StoredTree::open(&section.store_path)?;
-        let node_commands = NodeCommands::new(config, startup::registry(poll)?);
-        let clock = Clock::from_zero();
-        let now = clock.now();
-        tracing::info!(listen = %address, version = tree.tree().version, "snapshot catalog started");
-        let mut service = CatalogService {
-            clock,
-            now,
-            settings: Settings::new(config, section),
-            sockets: listening.watch_signals(poll)?,
-            leases: HostLeases::new(ticks_to_millis(now), tree.is_new()),
-            node_commands,
-            pending_locations: PendingLocations::of_tree(tree.tree()),
-            pending_operations: PendingOperations::default(),
-            outbox: Outbox::default(),
-            check_timer: PeriodicTimer::new(CHECK_PERIOD, now),
-            quiesce_timer: PeriodicTimer::new(QUIESCE_PERIOD, now),
-            crash_points: CrashPoints::new(crash_at),
-            tree,
-        };
-        service.create_configured_branches()?;
-        Ok(service)
-    }
-
-    /// Creates a branch for each mapped volume that has none yet.
-    fn create_configured_branches(&mut self) -> Result<(), Error> {
-        for volume in self.settings.mapped_volumes() {
-            if !self.tree.tree().branches.contains_key(&volume.name) {
-                let created = Change::BranchCreated {
-                    branch: volume.name.clone(),
-                    extent_count: volume.extent_count,
-                };
-                self.tree
-                    .propose(created)
-                    .map_err(Error::ConfiguredVolume)?;
-            }
-        }
-        Ok(())
-    }
-
-    /// The tree, with the changes that are not on disk yet.
-    fn tree(&self) -> &Tree {
-        self.tree.tree()
-    }
-
-    /// When the last poll returned, in milliseconds.
-    fn now_millis(&self) -> Millis {
-        ticks_to_millis(self.now)
-    }
+/// The connections of the catalog to the nodes.
+struct CatalogNodes {
+    nodes: Nodes,
+    read_buffer: Vec<u8>,
+}
 
-    /// Periodic checks.
-    fn on_timer(&mut self) {
-        self.leases.remove_expired(self.now_millis());
-        if self.quiesce_timer.take_due(self.now) {
-            self.quiesce_hosts();
+impl CatalogNodes {
+    fn new(config: &GatewayConfig, registry: Registry, first_token: usize) -> Self {
+        let initiator = format!("{}:catalog", config.host.target);
+        let proposal = ProposedParams::default();
+        CatalogNodes {
+            nodes: Nodes::new(&config.nodes, initiator, proposal, registry, first_token),
+            read_buffer: vec![0; READ_BUFFER],
         }
-        self.node_commands.on_timer(self.now);
-        self.close_layers();
-        self.reclaim_extents();
     }
+}
 
-    /// Makes locations writable once no host acts on a tree without them.
-    fn make_locations_writable(&mut self) {
-        let now = ticks_to_millis(self.now);
-        for location in self.pending_locations.take_effective(&self.leases, now) {
-            // Refused where the layer is no longer in the tree, which leaves nothing to do.
-            let _ = self.tree.propose(Change::ExtentWritable {
-                layer: location.layer,
-                extent: location.extent,
-            });
-        }
+impl NodeConnections for CatalogNodes {
+    fn count(&self) -> usize {
+        self.nodes.len()
     }
 
-    /// Puts the changes of this iteration on disk, then queues them for the hosts. Whether there were any.
-    fn store_changes(&mut self) -> Result<bool, Error> {
-        let has_changes = self.tree.has_uncommitted_changes();
-        if has_changes {
-            self.crash_points.pass();
-        }
-        let batch = self.tree.commit()?;
-        if has_changes {
-            self.crash_points.pass();
-        }
-        for (version, change) in (batch.first_version..).zip(batch.changes) {
-            let changed = ToHost::TreeChanged { version, change };
-            self.sockets
-                .hosts_mut()
-                .broadcast(&changed, |host| *host.state() == Subscription::Active);
-        }
-        self.welcome_hosts();
-        Ok(has_changes)
+    fn name(&self, node: usize) -> &str {
+        self.nodes.name(node)
     }
 
-    /// Sends hosts that have said hello what they lack of what is on disk; later changes follow one by one.
-    fn welcome_hosts(&mut self) {
-        for hello in self.outbox.take_hellos() {
-            if let Some(host) = self.sockets.hosts_mut().get_mut(hello.host) {
-                host.set_state(Subscription::Active);
-                self.tree.send_missing(hello.known, host);
-            }
+    fn on_ready(&mut self, node: usize, readable: bool, now: Tick) {
+        let mut more = self
+            .nodes
+            .on_ready(node, readable, &mut self.read_buffer, now);
+        while more {
+            more = self.nodes.read(node, &mut self.read_buffer, now);
         }
     }
 
-    /// Sends what waited for the changes to be on disk.
-    fn send_replies(&mut self) {
-        self.outbox.send_replies(&mut self.sockets);
-        self.sockets.hosts_mut().flush();
-    }
-}
-
-impl Service for CatalogService {
-    fn is_stopping(&self) -> bool {
-        self.sockets.is_stop_requested()
+    fn submit(&mut self, node: usize, command: UnitCommand, now: Tick) {
+        let request = NodeRequest {
+            tag: command.tag,
+            lun: Some(command.lun),
+            cdb: command.cdb,
+            read_len: 0,
+            data: command.data.into(),
+        };
+        self.nodes.submit(node, request, now);
     }
 
-    fn poll_timeout(&self) -> Duration {
-        ticks_to_duration(self.check_timer.next_due() - self.clock.now())
+    fn cancel(&mut self, node: usize, tag: u32, now: Tick) {
+        self.nodes.cancel(node, tag, now);
     }
 
-    fn on_poll_returned(&mut self) {
-        self.now = self.clock.now();
+    fn next_finished(&mut self) -> Option<FinishedCommand> {
+        let finished = self.nodes.next_finished()?;
+        Some(FinishedCommand {
+            tag: finished.tag,
+            is_done: finished.result == AttemptResult::Completed,
+        })
     }
 
-    fn on_event(&mut self, event: &Event) -> Result<(), Error> {
-        match self.sockets.on_ready(event.token()) {
-            Some(SocketEvent::Request { connection, line }) => self.on_request(connection, &line),
-            Some(SocketEvent::Node(node)) => {
-                let readable = event.is_readable() || event.is_error() || event.is_read_closed();
-                self.node_commands.on_node_ready(node, readable, self.now);
-            }
-            Some(SocketEvent::Host(id)) => {
-                while let Some(message) = self.sockets.hosts_mut().next_message(id) {
-                    self.on_message(id, message);
-                }
-            }
-            None => {}
-        }
-        Ok(())
+    fn on_timer(&mut self, now: Tick) {
+        self.nodes.on_timer(now);
     }
 
-    fn after_events(&mut self) -> Result<(), Error> {
-        self.on_ended_commands();
-        self.make_locations_writable();
-        if self.check_timer.take_due(self.now) {
-            self.on_timer();
-        }
-        self.advance_operations();
-        let has_stored = self.store_changes()?;
-        self.node_commands.flush();
-        self.send_replies();
-        if has_stored {
-            self.crash_points.pass();
-        }
-        Ok(())
+    fn flush(&mut self) {
+        self.nodes.flush();
     }
 }
--- a/crates/gateway/src/plan_service/catch_up.rs
+++ b/crates/plan-service/src/catch_up.rs
@@ -8,7 +8,7 @@
 
 /// The messages for a host whose last log entry led to `version` and has the hash `last_hash`: the entries that
 /// it lacks where its last one is in the log of the service, else a full snapshot.
-pub(super) fn missing_messages(
+pub(crate) fn missing_messages(
     store: &ChangeLogStore,
     version: u64,
     last_hash: &str,
--- a/crates/gateway/src/plan_service/hosts.rs
+++ b/crates/plan-service/src/hosts.rs
@@ -1,15 +1,15 @@
 //! The hosts' side of the plan service: what they say of versions and of quotas.
-use super::PlanService;
-use super::catch_up::missing_messages;
-use super::quotas::LenderId;
-use crate::host_connections::HostId;
-use crate::json_lines::Disconnect;
+use crate::PlanService;
+use crate::catch_up::missing_messages;
+use crate::quotas::LenderId;
+use mallowseam_control_protocol::json_lines::Disconnect;
 use mallowseam_plans::Millis;
 use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeReport};
 use mallowseam_plans::quota_pool::LEASE_DURATION;
+use mallowseam_service_loop::HostId;
 
 impl PlanService {
-    pub(super) fn on_message(&mut self, id: HostId, message: HostMessage) {
+    pub(crate) fn on_message(&mut self, id: HostId, message: HostMessage) {
         match message {
             HostMessage::Hello {
                 host,
@@ -36,7 +36,7 @@
         {
             // The next start would not know the host, and report versions as effective without it.
             let hosts = self.sockets.hosts_mut();
-            return hosts.disconnect(id, &Disconnect::Store(e));
+            return hosts.disconnect(id, &Disconnect::Store(e.into()));
         }
         host.set_state(Some(self.quotas.lender_id(name)));
         host.set_name(name);
--- a/crates/gateway/src/plan_service/initial_plans.rs
+++ b/crates/plan-service/src/initial_plans.rs
@@ -1,11 +1,8 @@
 //! The store of the plan service, and the first versions in it, which the configuration makes.
-use super::wall_clock;
 use crate::error::Error;
-use crate::scheduler_config;
+use crate::wall_clock;
 use mallowseam_change_log::{ChangeLogStore, Error as StoreError};
 use mallowseam_plans::state::Change;
-use mallowseam_settings::GatewayConfig;
-use mallowseam_settings::config::Volume;
 use std::path::Path;
 
 /// Author of the first versions.
@@ -14,24 +11,24 @@
 const CONFIGURATION_REASON: &str = "first start";
 
 /// A store that has been opened.
-pub(super) struct OpenedStore {
-    pub(super) store: ChangeLogStore,
+pub(crate) struct OpenedStore {
+    pub(crate) store: ChangeLogStore,
     /// Hosts that replicate the log.
-    pub(super) members: Vec<String>,
+    pub(crate) members: Vec<String>,
     /// No service ran on this store before.
-    pub(super) is_new: bool,
+    pub(crate) is_new: bool,
 }
 
-/// Opens the store. A new one gets the plans of the configuration as its first versions.
+/// Opens the store. A new one gets the changes that make the plans of the configuration as its first versions.
 ///
 /// # Errors
 /// The store cannot be opened, read or written, or the configured plans contradict each other.
-pub(super) fn open_store(config: &GatewayConfig, path: &Path) -> Result<OpenedStore, Error> {
+pub(crate) fn open_store(path: &Path, configured_plans: Vec<Change>) -> Result<OpenedStore, Error> {
     let failed = |source| open_error(path, source);
     let mut store = ChangeLogStore::open(path).map_err(failed)?;
     let is_new = store.log().state.version == 0;
     if is_new {
-        for change in configured_changes(config) {
+        for change in configured_plans {
             append_configured(&mut store, change, path)?;
         }
     }
@@ -60,21 +57,8 @@
 }
 
 fn open_error(path: &Path, source: StoreError) -> Error {
-    Error::OpenPlanStore {
+    Error::OpenStore {
         path: path.to_owned(),
         source,
     }
 }
-
-/// The changes that make the plans of a configuration.
-fn configured_changes(config: &GatewayConfig) -> impl Iterator<Item = Change> {
-    let plans = config.plans.iter().map(|plan| Change::SetPlan {
-        name: plan.name.clone(),
-        plan: scheduler_config::replicated_plan(plan),
-    });
-    let plan_of = |volume: &Volume| Change::AssignPlan {
-        volume: volume.name.clone(),
-        plan: config.plans[volume.plan].name.clone(),
-    };
-    plans.chain(config.volumes.iter().map(plan_of))
-}
--- a/crates/gateway/src/plan_service/limit_change.rs
+++ b/crates/plan-service/src/limit_change.rs
@@ -6,7 +6,7 @@
 use mallowseam_plans::state::{Change, Plan, State};
 
 /// Whether a change lowers the limit of any volume.
-pub(super) fn lowers_a_limit(state: &State, change: &Change) -> bool {
+pub(crate) fn lowers_a_limit(state: &State, change: &Change) -> bool {
     let mut next = state.clone();
     if next.apply(change).is_err() {
         return false;
--- a/crates/gateway/src/plan_service/operator.rs
+++ b/crates/plan-service/src/operator.rs
@@ -1,15 +1,16 @@
 //! The operator's side of the plan service: requests on the control socket.
-use super::limit_change::lowers_a_limit;
-use super::rollout_text::describe_rollout;
-use super::{PlanRequest, PlanService, is_known, wall_clock};
-use crate::control_socket::{self, ConnectionId};
 use crate::error::Error;
-use crate::service::Answer;
+use crate::limit_change::lowers_a_limit;
+use crate::rollout_text::describe_rollout;
+use crate::{PlanService, is_known, wall_clock};
 use mallowseam_change_log::Error as StoreError;
+use mallowseam_control_protocol::PlanRequest;
+use mallowseam_control_protocol::control_socket::{self, ConnectionId};
 use mallowseam_plans::change_log::{ChangeLog, LogEntry};
 use mallowseam_plans::error::ChangeError;
 use mallowseam_plans::messages::ServiceMessage;
 use mallowseam_plans::state::Change;
+use mallowseam_service_loop::Answer;
 
 /// Most entries of the change log in one answer: some 3 MB.
 const MAX_HISTORY: usize = 10_000;
@@ -45,7 +46,7 @@
 
 impl PlanService {
     /// Handles a line on the control socket. Error: the store has failed.
-    pub(super) fn on_request(
+    pub(crate) fn on_request(
         &mut self,
         connection: ConnectionId,
         line: &str,
@@ -57,7 +58,7 @@
         let request = serde_json::from_str(line).map_err(RequestError::from);
         match request.and_then(|request| self.execute(connection, request)) {
             Ok(answer) => Ok(answer),
-            Err(RequestError::WriteStore(fault)) => Err(Error::PlanStore(fault)),
+            Err(RequestError::WriteStore(fault)) => Err(Error::Store(fault)),
             Err(refusal) => Ok(Answer::Now(control_socket::refusal(&refusal))),
         }
     }
--- a/crates/gateway/src/plan_service/quotas.rs
+++ b/crates/plan-service/src/quotas.rs
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 
 /// Number of a host among those that lend and borrow quotas, the same over all its connections.
-pub(super) type LenderId = HostNumber;
+pub(crate) type LenderId = HostNumber;
 
 /// The hosts that lend and borrow, and the quota pool of each volume.
-pub(super) struct Quotas {
+pub(crate) struct Quotas {
     started_at: Millis,
     /// No service ran before this one, so no lease of another one can be in use.
     is_first_start: bool,
@@ -22,7 +22,7 @@
 
 impl Quotas {
     /// The quotas of a service that starts now.
-    pub(super) fn new(now: Millis, is_first_start: bool) -> Self {
+    pub(crate) fn new(now: Millis, is_first_start: bool) -> Self {
         Quotas {
             started_at: now,
             is_first_start,
@@ -32,13 +32,13 @@
     }
 
     /// The number of a host, which is assigned when the host is first seen.
-    pub(super) fn lender_id(&mut self, host: &str) -> LenderId {
+    pub(crate) fn lender_id(&mut self, host: &str) -> LenderId {
         let next = self.lender_ids.len() as LenderId;
         *self.lender_ids.entry(host.to_owned()).or_insert(next)
     }
 
     /// Takes what a host lends and wants of each volume's limit, and grants it what it can have.
-    pub(super) fn on_report(
+    pub(crate) fn on_report(
         &mut self,
         lender: LenderId,
         polled_at: Millis,
--- a/crates/gateway/src/plan_service/rollout_text.rs
+++ b/crates/plan-service/src/rollout_text.rs
@@ -3,7 +3,7 @@
 use mallowseam_plans::rollout::{Rollout, RolloutBlocker};
 
 /// The newest version, the version that is in effect at all hosts, and what blocks the newest one.
-pub(super) fn describe_rollout(rollout: &Rollout, newest: u64, now: Millis) -> String {
+pub(crate) fn describe_rollout(rollout: &Rollout, newest: u64, now: Millis) -> String {
     let count = rollout.member_count();
     let everywhere = rollout.effective_version(newest, now);
     let summary = format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
@@ -15,7 +15,7 @@
 }
 
 /// What blocks the rollout of a version.
-pub(super) fn describe_blockers(blockers: &[RolloutBlocker]) -> String {
+pub(crate) fn describe_blockers(blockers: &[RolloutBlocker]) -> String {
     blockers
         .iter()
         .map(describe_blocker)
--- a/crates/gateway/src/plan_service/rollout_waits.rs
+++ b/crates/plan-service/src/rollout_waits.rs
@@ -2,8 +2,8 @@
 #[cfg(test)]
 mod tests;
 
-use super::rollout_text::describe_blockers;
-use crate::control_socket::{self, ConnectionId};
+use crate::rollout_text::describe_blockers;
+use mallowseam_control_protocol::control_socket::{self, ConnectionId};
 use mallowseam_plans::Millis;
 use mallowseam_plans::rollout::Rollout;
 
@@ -19,20 +19,20 @@
 }
 
 /// A wait that is over.
-pub(super) struct EndedWait {
-    pub(super) connection: ConnectionId,
-    pub(super) answer: String,
+pub(crate) struct EndedWait {
+    pub(crate) connection: ConnectionId,
+    pub(crate) answer: String,
 }
 
 /// All operators who wait.
 #[derive(Default)]
-pub(super) struct RolloutWaits {
+pub(crate) struct RolloutWaits {
     waits: Vec<RolloutWait>,
 }
 
 impl RolloutWaits {
     /// An operator waits for a version from now on.
-    pub(super) fn add(&mut self, connection: ConnectionId, version: u64, now: Millis) {
+    pub(crate) fn add(&mut self, connection: ConnectionId, version: u64, now: Millis) {
         self.waits.push(RolloutWait {
             connection,
             version,
@@ -41,7 +41,7 @@
     }
 
     /// Removes the waits for versions that are in effect at all hosts, and those whose deadline has passed.
-    pub(super) fn take_ended(&mut self, rollout: &Rollout, now: Millis) -> Vec<EndedWait> {
+    pub(crate) fn take_ended(&mut self, rollout: &Rollout, now: Millis) -> Vec<EndedWait> {
         let mut ended = Vec::new();
         self.waits.retain(|wait| match wait.answer(rollout, now) {
             Some(answer) => {
--- a/crates/gateway/src/service.rs
+++ b/crates/service-loop/src/event_loop.rs
@@ -1,24 +1,22 @@
-//! What the services have in common: the event loop, the sockets that it watches, and requests of operators.
-mod operators;
-mod periodic_timer;
-mod sockets;
-mod stop_requests;
-
-pub(crate) use operators::{Answer, Operators};
-pub(crate) use periodic_timer::PeriodicTimer;
-pub(crate) use sockets::{FIRST_NODE_TOKEN, ListeningSockets, ServiceSockets, SocketEvent};
-
-use crate::error::Error;
+//! The event loop of a service.
 use mio::event::Event;
 use mio::{Events, Poll};
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use std::time::Duration;
 
 /// Most events that one poll returns.
 const MAX_EVENTS: usize = 256;
 
+/// Polling for socket events failed.
+#[derive(Debug, thiserror::Error)]
+#[error("poll: {0}")]
+pub struct PollError(#[source] pub io::Error);
+
 /// A process with one event loop that serves hosts and operators until it is asked to stop.
-pub(crate) trait Service {
+pub trait Service {
+    /// Why the service cannot go on.
+    type Error: From<PollError>;
+
     /// Whether the process is to end before the next poll.
     fn is_stopping(&self) -> bool;
 
@@ -32,20 +30,20 @@
     ///
     /// # Errors
     /// The service cannot go on.
-    fn on_event(&mut self, event: &Event) -> Result<(), Error>;
+    fn on_event(&mut self, event: &Event) -> Result<(), Self::Error>;
 
     /// Does what is due after the events of one poll.
     ///
     /// # Errors
     /// The service cannot go on.
-    fn after_events(&mut self) -> Result<(), Error>;
+    fn after_events(&mut self) -> Result<(), Self::Error>;
 }
 
 /// Runs a service until it is asked to stop.
 ///
 /// # Errors
 /// Polling fails, or the service cannot go on.
-pub(crate) fn run(service: &mut impl Service, poll: &mut Poll) -> Result<(), Error> {
+pub fn run<S: Service>(service: &mut S, poll: &mut Poll) -> Result<(), S::Error> {
     let mut events = Events::with_capacity(MAX_EVENTS);
     while !service.is_stopping() {
         wait_for_events(poll, &mut events, service.poll_timeout())?;
@@ -59,9 +57,13 @@
 }
 
 /// Polls once. A poll that a signal interrupts has no events.
-fn wait_for_events(poll: &mut Poll, events: &mut Events, timeout: Duration) -> Result<(), Error> {
+fn wait_for_events(
+    poll: &mut Poll,
+    events: &mut Events,
+    timeout: Duration,
+) -> Result<(), PollError> {
     match poll.poll(events, Some(timeout)) {
-        Err(e) if e.kind() != ErrorKind::Interrupted => Err(Error::Poll(e)),
+        Err(e) if e.kind() != ErrorKind::Interrupted => Err(PollError(e)),
         _ => Ok(()),
     }
 }
--- a/crates/gateway/src/host_connections.rs
+++ b/crates/service-loop/src/host_connections.rs
@@ -1,8 +1,7 @@
 //! The connections of hosts to a service, which carry one JSON object a line.
-use crate::error::Error;
-use crate::json_lines::{Disconnect, LineConnection, LineRead};
-use crate::slab::Slab;
-use crate::startup::listen;
+use mallowseam_control_protocol::json_lines::{Disconnect, LineConnection, LineRead};
+use mallowseam_control_protocol::startup::{StartError, listen};
+use mallowseam_sockets::slab::Slab;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Poll, Registry, Token};
 use serde::Serialize;
@@ -14,18 +13,18 @@
 const READ_BUFFER: usize = 64 * 1024;
 
 /// Index of a host's connection.
-pub(crate) type HostId = u32;
+pub type HostId = u32;
 
 /// Limits on one host, in bytes.
-pub(crate) struct Limits {
+pub struct Limits {
     /// Longest line that it may send.
-    pub(crate) max_line: usize,
+    pub max_line: usize,
     /// Most bytes that may wait for it to read them.
-    pub(crate) max_unsent: usize,
+    pub max_unsent: usize,
 }
 
 /// The connection of one host, with what the service keeps of it in `state`.
-pub(crate) struct HostConnection<T> {
+pub struct HostConnection<T> {
     connection: LineConnection,
     /// Lines that were read and not handled yet.
     received: VecDeque<Vec<u8>>,
@@ -35,27 +34,27 @@
 
 impl<T> HostConnection<T> {
     /// The host's name; none before its hello message.
-    pub(crate) fn name(&self) -> Option<&str> {
+    pub fn name(&self) -> Option<&str> {
         self.name.as_deref()
     }
 
     /// Sets the name of a hello message. An empty one leaves the host unnamed.
-    pub(crate) fn set_name(&mut self, name: &str) {
+    pub fn set_name(&mut self, name: &str) {
         self.name = (!name.is_empty()).then(|| name.to_owned());
     }
 
     /// What the service keeps of the host.
-    pub(crate) fn state(&self) -> &T {
+    pub fn state(&self) -> &T {
         &self.state
     }
 
     /// Replaces what the service keeps of the host.
-    pub(crate) fn set_state(&mut self, state: T) {
+    pub fn set_state(&mut self, state: T) {
         self.state = state;
     }
 
     /// Queues a message; [`HostConnections::flush`] writes it.
-    pub(crate) fn send(&mut self, message: &impl Serialize) {
+    pub fn send(&mut self, message: &impl Serialize) {
         self.connection.send(message);
     }
 
@@ -69,7 +68,7 @@
 }
 
 /// The hosts that are connected to a service. One that exceeds a limit is disconnected.
-pub(crate) struct HostConnections<T> {
+pub struct HostConnections<T> {
     listener: TcpListener,
     registry: Registry,
     first_token: usize,
@@ -89,7 +88,7 @@
         own: Token,
         first_token: usize,
         limits: Limits,
-    ) -> Result<Self, Error> {
+    ) -> Result<Self, StartError> {
         let (listener, registry) = listen(address, poll, own)?;
         Ok(HostConnections {
             listener,
@@ -122,29 +121,29 @@
     }
 
     /// A host that is still connected.
-    pub(crate) fn get_mut(&mut self, id: HostId) -> Option<&mut HostConnection<T>> {
+    pub fn get_mut(&mut self, id: HostId) -> Option<&mut HostConnection<T>> {
         self.hosts.get_mut(id)
     }
 
     /// All hosts with their ids.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (HostId, &HostConnection<T>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (HostId, &HostConnection<T>)> {
         self.hosts.iter()
     }
 
     /// The ids of all hosts.
-    pub(crate) fn ids(&self) -> Vec<HostId> {
+    pub fn ids(&self) -> Vec<HostId> {
         self.hosts.indices()
     }
 
     /// Queues a message for a host, if it is still connected.
-    pub(crate) fn send(&mut self, id: HostId, message: &impl Serialize) {
+    pub fn send(&mut self, id: HostId, message: &impl Serialize) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.send(message);
         }
     }
 
     /// Queues a message for every host that `selects` picks.
-    pub(crate) fn broadcast(
+    pub fn broadcast(
         &mut self,
         message: &impl Serialize,
         selects: impl Fn(&HostConnection<T>) -> bool,
@@ -157,7 +156,7 @@
     }
 
     /// Closes the connection of a host.
-    pub(crate) fn disconnect(&mut self, id: HostId, reason: &Disconnect) {
+    pub fn disconnect(&mut self, id: HostId, reason: &Disconnect) {
         if let Some(host) = self.hosts.remove(id) {
             let name = host.name().unwrap_or_default();
             tracing::info!(host = name, %reason, "host connection closed");
@@ -167,7 +166,7 @@
 
     /// The next message of a host that is ready to be read. None: there is no more for now, or the host is
     /// disconnected, as it is after a line that is not a message.
-    pub(crate) fn next_message<M: DeserializeOwned>(&mut self, id: HostId) -> Option<M> {
+    pub fn next_message<M: DeserializeOwned>(&mut self, id: HostId) -> Option<M> {
         loop {
             if let Some(line) = self.hosts.get_mut(id)?.received.pop_front() {
                 match serde_json::from_slice(&line) {
@@ -200,7 +199,7 @@
     }
 
     /// Writes what is queued for all hosts.
-    pub(crate) fn flush(&mut self) {
+    pub fn flush(&mut self) {
         for id in self.hosts.indices() {
             let Some(host) = self.hosts.get_mut(id) else {
                 continue;
--- a/crates/gateway/src/service/sockets.rs
+++ b/crates/service-loop/src/sockets.rs
@@ -1,10 +1,9 @@
 //! The sockets of a service: the listener and connections of hosts, the control socket, and the signals.
-use super::Operators;
-use super::stop_requests::StopRequests;
-use crate::control_socket::{self, ConnectionId};
-use crate::error::Error;
 use crate::host_connections::{HostConnections, HostId, Limits};
-use crate::startup;
+use crate::operators::Operators;
+use crate::stop_requests::StopRequests;
+use mallowseam_control_protocol::control_socket::{self, ConnectionId};
+use mallowseam_control_protocol::startup::{self, StartError};
 use mio::{Poll, Token};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,11 +14,10 @@
 /// First token of connections to the control socket.
 const FIRST_CONTROL_CONNECTION: usize = 3;
 /// First token of connections to nodes; those of hosts follow.
-pub(crate) const FIRST_NODE_TOKEN: usize =
-    FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
+pub const FIRST_NODE_TOKEN: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 
 /// What a socket that is ready leaves to the service.
-pub(crate) enum SocketEvent {
+pub enum SocketEvent {
     /// An operator has sent a request.
     Request {
         /// Where the answer goes.
@@ -34,7 +32,7 @@
 }
 
 /// The sockets of a service that is being opened: it listens, and signals still end the process.
-pub(crate) struct ListeningSockets<T> {
+pub struct ListeningSockets<T> {
     hosts: HostConnections<T>,
     operators: Operators,
     node_count: usize,
@@ -46,13 +44,13 @@
     ///
     /// # Errors
     /// The address or the control socket cannot be had.
-    pub(crate) fn open(
+    pub fn open(
         address: SocketAddr,
         control_socket: Option<&Path>,
         node_count: usize,
         limits: Limits,
         poll: &Poll,
-    ) -> Result<Self, Error> {
+    ) -> Result<Self, StartError> {
         let first_host = FIRST_NODE_TOKEN + node_count;
         let hosts = HostConnections::open(address, poll, LISTENER, first_host, limits)?;
         let control =
@@ -68,7 +66,7 @@
     ///
     /// # Errors
     /// Signals cannot be received.
-    pub(crate) fn watch_signals(self, poll: &Poll) -> Result<ServiceSockets<T>, Error> {
+    pub fn watch_signals(self, poll: &Poll) -> Result<ServiceSockets<T>, StartError> {
         Ok(ServiceSockets {
             hosts: self.hosts,
             operators: self.operators,
@@ -79,7 +77,7 @@
 }
 
 /// The sockets of a service.
-pub(crate) struct ServiceSockets<T> {
+pub struct ServiceSockets<T> {
     hosts: HostConnections<T>,
     operators: Operators,
     stop_requests: StopRequests,
@@ -90,7 +88,7 @@
 impl<T: Default> ServiceSockets<T> {
     /// The socket of a token is ready. Accepts connections, takes signals and reads requests of operators;
     /// what the service itself has to do is returned.
-    pub(crate) fn on_ready(&mut self, token: Token) -> Option<SocketEvent> {
+    pub fn on_ready(&mut self, token: Token) -> Option<SocketEvent> {
         match token {
             LISTENER => self.hosts.accept(),
             CONTROL => self.operators.accept(),
@@ -109,27 +107,27 @@
     }
 
     /// The connections of hosts.
-    pub(crate) fn hosts(&self) -> &HostConnections<T> {
+    pub fn hosts(&self) -> &HostConnections<T> {
         &self.hosts
     }
 
     /// The connections of hosts.
-    pub(crate) fn hosts_mut(&mut self) -> &mut HostConnections<T> {
+    pub fn hosts_mut(&mut self) -> &mut HostConnections<T> {
         &mut self.hosts
     }
 
     /// The connections of operators.
-    pub(crate) fn operators_mut(&mut self) -> &mut Operators {
+    pub fn operators_mut(&mut self) -> &mut Operators {
         &mut self.operators
     }
 
     /// An operator asks the process to stop.
-    pub(crate) fn request_stop(&mut self) {
+    pub fn request_stop(&mut self) {
         self.stop_requests.request();
     }
 
     /// Whether the process has been asked to stop.
-    pub(crate) fn is_stop_requested(&self) -> bool {
+    pub fn is_stop_requested(&self) -> bool {
         self.stop_requests.is_requested()
     }
 }
--- a/crates/gateway/src/service/stop_requests.rs
+++ b/crates/service-loop/src/stop_requests.rs
@@ -1,11 +1,10 @@
 //! Requests to end the process, by a signal or by an operator.
-use crate::error::Error;
-use crate::startup;
+use mallowseam_control_protocol::startup::{self, StartError};
 use mio::net::UnixStream;
 use mio::{Poll, Token};
 
 /// Whether the process has been asked to stop.
-pub(super) struct StopRequests {
+pub(crate) struct StopRequests {
     signals: UnixStream,
     requested: bool,
 }
@@ -15,7 +14,7 @@
     ///
     /// # Errors
     /// Signals cannot be received.
-    pub(super) fn watch_signals(poll: &Poll, token: Token) -> Result<Self, Error> {
+    pub(crate) fn watch_signals(poll: &Poll, token: Token) -> Result<Self, StartError> {
         Ok(StopRequests {
             signals: startup::signals(poll, token)?,
             requested: false,
@@ -23,17 +22,17 @@
     }
 
     /// The signals' socket is ready.
-    pub(super) fn on_signal_ready(&mut self) {
+    pub(crate) fn on_signal_ready(&mut self) {
         self.requested |= startup::take_signal(&mut self.signals);
     }
 
     /// An operator asks the process to stop.
-    pub(super) fn request(&mut self) {
+    pub(crate) fn request(&mut self) {
         self.requested = true;
     }
 
     /// Whether the process is to end.
-    pub(super) fn is_requested(&self) -> bool {
+    pub(crate) fn is_requested(&self) -> bool {
         self.requested
     }
 }
