--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -54,6 +54,7 @@
 use std::time::Duration;
 use stored_tree::StoredTree;
 
+/// Limits on one host. Messages to the catalog are short, while a full tree may wait to be read.
 const LIMITS: Limits = Limits {
     max_line: 64 * 1024,
     max_unsent: 128 << 20,
@@ -181,7 +182,7 @@
     fn make_locations_writable(&mut self) {
         let now = ticks_to_millis(self.now);
         for location in self.pending_locations.take_effective(&self.leases, now) {
-            // Refused where the layer is no longer in the tree, which leaves nothing to do.
+            // Rejected if the tree has changed in the meantime: then there is nothing left to do.
             let _ = self.tree.propose(Change::ExtentWritable {
                 layer: location.layer,
                 extent: location.extent,
--- a/crates/catalog-service/src/node_commands.rs
+++ b/crates/catalog-service/src/node_commands.rs
@@ -100,7 +100,8 @@
         self.nodes.flush();
     }
 
-    /// Has every node that holds extents of a frozen layer close it to writes, however often that takes.
+    /// Has every node that holds extents of a frozen layer close it to writes. A command that fails is sent again by
+    /// the next call.
     pub(crate) fn close_layers(&mut self, tree: &Tree, now: Tick) {
         for (layer, node) in tree.pending_closes() {
             let purpose = Purpose::CloseLayer { layer, node };
--- a/crates/catalog-service/src/node_events.rs
+++ b/crates/catalog-service/src/node_events.rs
@@ -64,7 +64,7 @@
     fn on_command_done(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::CloseLayer { layer, node } => {
-                // Refused where the layer is no longer in the tree, which leaves nothing to do.
+                // Rejected if the tree has changed in the meantime: then there is nothing left to do.
                 let _ = self.tree.propose(Change::LayerClosed { layer, node });
             }
             Purpose::UnmapExtent { layer, extent } => self.tree.on_unmapped(layer, extent),
--- a/crates/catalog-service/src/operator.rs
+++ b/crates/catalog-service/src/operator.rs
@@ -93,7 +93,7 @@
         .map_err(|failure| self.cut_error(failure))?;
         self.tree.propose(change)?;
         self.pending_operations.add(connection, Operation::Cut(cut));
-        // No time is lost: requests go to nodes and hosts in this iteration.
+        // Without this, nodes and hosts would be asked only at the next periodic check.
         self.close_layers();
         self.quiesce_hosts();
         Ok(())
--- a/crates/catalog-service/src/stored_tree.rs
+++ b/crates/catalog-service/src/stored_tree.rs
@@ -145,7 +145,7 @@
 
     /// Removes extents from a layer, and the layer if it is empty then.
     fn remove_extents(&mut self, layer: LayerId, extents: Vec<u32>) {
-        // Refused where the layer is no longer in the tree, which leaves nothing to do.
+        // Rejected if the tree has changed in the meantime: then there is nothing left to do.
         let _ = self.propose(Change::ExtentsReclaimed { layer, extents });
     }
 }
--- a/crates/control-protocol/src/json_lines.rs
+++ b/crates/control-protocol/src/json_lines.rs
@@ -60,7 +60,7 @@
 
 /// What an attempt to read came to.
 pub enum LineRead {
-    /// There is no more for now.
+    /// Nothing more has arrived for now.
     WouldBlock,
     /// Complete lines, without their ends; there may be more.
     Lines(Vec<Vec<u8>>),
--- a/crates/control-protocol/src/plan_request.rs
+++ b/crates/control-protocol/src/plan_request.rs
@@ -10,7 +10,8 @@
     Set {
         /// The change.
         change: Change,
-        /// The version that it was made for: refused if another one is the newest. None: whatever is.
+        /// The version that it was made for: refused if another one is the newest. None: for the
+        /// newest, whichever that is.
         expected: Option<u64>,
         /// Who makes it.
         author: String,
--- a/crates/control-protocol/src/startup.rs
+++ b/crates/control-protocol/src/startup.rs
@@ -7,6 +7,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+/// Bytes read at once from the socket of signals, on which one arrives for each signal.
+const SIGNAL_BUFFER: usize = 16;
+
 /// Why a process could not open what it needs at its start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
@@ -90,7 +93,7 @@
 
 /// Whether a signal has arrived on the socket of [`signals`].
 pub fn take_signal(signals: &mut UnixStream) -> bool {
-    matches!(signals.read(&mut [0; 16]), Ok(count) if count > 0)
+    matches!(signals.read(&mut [0; SIGNAL_BUFFER]), Ok(count) if count > 0)
 }
 
 /// A socket on which a byte comes for each SIGTERM and SIGINT.
--- a/crates/plan-service/src/lib.rs
+++ b/crates/plan-service/src/lib.rs
@@ -40,6 +40,7 @@
 use rollout_waits::RolloutWaits;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// Limits on one host. The longest line is a report, with up to some hundred bytes for each volume.
 const LIMITS: Limits = Limits {
     max_line: 1 << 20,
     max_unsent: 32 << 20,
--- a/crates/plan-service/src/operator.rs
+++ b/crates/plan-service/src/operator.rs
@@ -30,8 +30,8 @@
     NoSuchVersion(u64),
     #[error("`{0}`: unknown, or heard of in the last seconds")]
     HostNotRemovable(String),
-    /// A change could not be stored. A store that fails is no store: the service ends, and hosts go on with
-    /// what they have.
+    /// A change could not be stored. The service ends, since the store takes no more changes; hosts go on with the
+    /// version that they have.
     #[error(transparent)]
     WriteStore(StoreError),
 }
@@ -157,7 +157,7 @@
     }
 
     /// Makes a change, sends it to the hosts and answers, or has the operator wait for the rollout.
-    /// `expected`: the version that the change was made for; none: whatever is the newest.
+    /// `expected`: the version that the change was made for; none: for the newest.
     fn set(
         &mut self,
         connection: ConnectionId,
--- a/crates/service-loop/src/host_connections.rs
+++ b/crates/service-loop/src/host_connections.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The next message of a host that is ready to be read. None: there is no more for now, or the host is
+    /// The next message of a host that is ready to be read. None: no more has arrived for now, or the host is
     /// disconnected, as it is after a line that is not a message.
     pub fn next_message<M: DeserializeOwned>(&mut self, id: HostId) -> Option<M> {
         loop {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Reads once from a host. False: there is no more for now, or the host is disconnected.
+    /// Reads once from a host. False: no more has arrived for now, or the host is disconnected.
     fn read(&mut self, id: HostId) -> bool {
         let Some(host) = self.hosts.get_mut(id) else {
             return false;
--- a/crates/service-loop/src/sockets.rs
+++ b/crates/service-loop/src/sockets.rs
@@ -8,8 +8,11 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
+/// Token of the listener for hosts.
 const LISTENER: Token = Token(0);
+/// Token of the control socket.
 const CONTROL: Token = Token(1);
+/// Token of the signals' socket.
 const SIGNALS: Token = Token(2);
 /// First token of connections to the control socket.
 const FIRST_CONTROL_CONNECTION: usize = 3;
