--- a/crates/service-loop/tests/sockets.rs
+++ b/crates/service-loop/tests/sockets.rs
@@ -18,7 +18,7 @@
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id() as u8;
     SocketAddr::from((
-        [127, 252, process, NEXT.fetch_add(1, Ordering::Relaxed)],
+        [127, 236, process, NEXT.fetch_add(1, Ordering::Relaxed)],
         3260,
     ))
 }
