--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -165,7 +165,7 @@
                         status,
                         sense,
                         data,
-                        retry_after: NonZeroU16::new(retry_after),
+                        retry_after,
                     });
                 }
                 InitiatorEvent::CommandRejected { tag, reason } if tag == own_tag => {
--- a/crates/gateway/src/dispatcher/answers.rs
+++ b/crates/gateway/src/dispatcher/answers.rs
@@ -4,13 +4,12 @@
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_iscsi::scsi::{Sense, status};
 use mallowseam_scheduler::interface::Tick;
+use std::num::NonZeroU16;
 
 /// Ticks in the unit of the retry delay in an answer: a tenth of a second (RFC 7144).
 const RETRY_DELAY_UNIT: Tick = 1_000;
 /// The longest retry delay that an answer can hold.
 const MAX_RETRY_DELAY: Tick = 0x3fef;
-/// The retry delay of an answer that names none.
-const NO_RETRY_DELAY: u16 = 0;
 
 /// An answer to a command.
 pub(super) enum Answer<'a> {
@@ -44,29 +43,24 @@
     match answer {
         Answer::Good(data) => session.complete(task, data),
         Answer::CheckCondition(sense) => {
-            session.complete_with_status(
-                task,
-                status::CHECK_CONDITION,
-                Some(sense),
-                NO_RETRY_DELAY,
-            );
+            session.complete_with_status(task, status::CHECK_CONDITION, Some(sense), None);
         }
         Answer::TaskSetFull => {
-            session.complete_with_status(task, status::TASK_SET_FULL, None, NO_RETRY_DELAY);
+            session.complete_with_status(task, status::TASK_SET_FULL, None, None);
         }
         Answer::Busy { retry_after } => {
             session.complete_with_status(
                 task,
                 status::BUSY,
                 None,
-                retry_after.map_or(NO_RETRY_DELAY, retry_delay),
+                retry_after.and_then(retry_delay),
             );
         }
     }
 }
 
-/// A span in the unit of answers, rounded up.
-fn retry_delay(span: Tick) -> u16 {
+/// A span in the unit of answers, rounded up; none for no time.
+fn retry_delay(span: Tick) -> Option<NonZeroU16> {
     let delay = (span + RETRY_DELAY_UNIT - 1) / RETRY_DELAY_UNIT;
-    delay.clamp(0, MAX_RETRY_DELAY) as u16
+    NonZeroU16::new(delay.clamp(0, MAX_RETRY_DELAY) as u16)
 }
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -15,6 +15,7 @@
 use command_table::{CommandTable, InFlightCommand};
 use sequence::InitiatorSequence;
 use std::collections::VecDeque;
+use std::num::NonZeroU16;
 use transfer::{ReadTransfer, WriteTransfer};
 
 /// Initiator task tags of requests that are no SCSI commands. A command's tag is below all of them.
@@ -44,8 +45,8 @@
         sense: Option<Sense>,
         /// The data that was read.
         data: Vec<u8>,
-        /// When to retry, in units of 100 ms (RFC 7144, status qualifier); 0 if the target did not say.
-        retry_after: u16,
+        /// When to retry, in units of 100 ms (RFC 7144, status qualifier), if the target said so.
+        retry_after: Option<NonZeroU16>,
     },
     /// The target rejected the PDU of a command and did not run it.
     CommandRejected {
--- a/crates/iscsi/src/initiator/receive.rs
+++ b/crates/iscsi/src/initiator/receive.rs
@@ -3,6 +3,7 @@
 use crate::error::ProtocolError;
 use crate::pdu::{Bhs, MAX_RETRY_AFTER, Pdu, RESERVED_TAG, async_event, flag, opcode};
 use crate::scsi::{Sense, status};
+use std::num::NonZeroU16;
 
 /// The lower 14 bits of the status qualifier; the upper two are its scope (SAM-5, 5.3.2).
 const QUALIFIER_BITS: u16 = 0x3fff;
@@ -82,7 +83,7 @@
             command.read.receive(&bhs, pdu.data)?;
         }
         if has_status {
-            self.complete(bhs.itt(), bhs.status(), None, 0);
+            self.complete(bhs.itt(), bhs.status(), None, None);
         }
         Ok(())
     }
@@ -105,20 +106,22 @@
         self.complete(pdu.bhs.itt(), status, sense, self.retry_after(&pdu.bhs));
     }
 
-    fn retry_after(&self, bhs: &Bhs) -> u16 {
+    fn retry_after(&self, bhs: &Bhs) -> Option<NonZeroU16> {
         if !self.params.has_status_qualifier() {
-            return 0;
-        }
-        let qualifier = bhs.status_qualifier() & QUALIFIER_BITS;
-        if qualifier <= MAX_RETRY_AFTER {
-            qualifier
-        } else {
-            0
+            return None;
         }
+        let qualifier = NonZeroU16::new(bhs.status_qualifier() & QUALIFIER_BITS)?;
+        (qualifier.get() <= MAX_RETRY_AFTER).then_some(qualifier)
     }
 
     /// Reports a command's end. One that is aborted stays until its task management response.
-    fn complete(&mut self, itt: u32, status: u8, sense: Option<Sense>, retry_after: u16) {
+    fn complete(
+        &mut self,
+        itt: u32,
+        status: u8,
+        sense: Option<Sense>,
+        retry_after: Option<NonZeroU16>,
+    ) {
         if self
             .commands
             .get_mut(itt)
--- a/crates/iscsi/src/target/complete.rs
+++ b/crates/iscsi/src/target/complete.rs
@@ -3,6 +3,7 @@
 use super::task_table::Task;
 use crate::pdu::{Bhs, MAX_RETRY_AFTER, RESERVED_TAG, flag, opcode};
 use crate::scsi::{SENSE_LEN, Sense, status};
+use std::num::NonZeroU16;
 
 /// By how much the data differs from what the initiator expected (section 11.4.5).
 struct Residual {
@@ -91,24 +92,21 @@
     }
 
     /// Ends a command with any other status. `retry_after` says of a BUSY or TASK SET FULL when to retry, in
-    /// units of 100 ms; it is sent only where the session has status qualifiers (RFC 7144). Does nothing if
+    /// units of 100 ms, if that is known; it is sent only where the session has status qualifiers (RFC 7144). Does nothing if
     /// the command was aborted.
     pub fn complete_with_status(
         &mut self,
         task: u32,
         status: u8,
         sense: Option<Sense>,
-        retry_after: u16,
+        retry_after: Option<NonZeroU16>,
     ) {
         let Some(task) = self.remove_task(task) else {
             return;
         };
         let residual = Residual::of_no_data(&task);
-        let qualifier = if self.params.has_status_qualifier() {
-            retry_after.min(MAX_RETRY_AFTER)
-        } else {
-            0
-        };
+        let retry_after = retry_after.filter(|_| self.params.has_status_qualifier());
+        let qualifier = retry_after.map_or(0, |time| time.get().min(MAX_RETRY_AFTER));
         let bhs = Bhs::new(opcode::SCSI_RESPONSE, flag::FINAL | residual.flag)
             .with_status(status)
             .with_status_qualifier(qualifier)
--- a/crates/iscsi/tests/pinned_wire/harness.rs
+++ b/crates/iscsi/tests/pinned_wire/harness.rs
@@ -7,6 +7,7 @@
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_iscsi::target::{TargetConfig, TargetConnection, TargetEvent};
 use mallowseam_test_support::{Digest, SeededRng};
+use std::num::NonZeroU16;
 use std::rc::Rc;
 
 /// Admits every initiator to the target `iqn.t`; each session gets the handle 7.
@@ -120,7 +121,10 @@
                 retry_after,
             } => {
                 self.number(b'R', u64::from(*tag));
-                self.number(b'R', u64::from(*status) << 16 | u64::from(*retry_after));
+                self.number(
+                    b'R',
+                    u64::from(*status) << 16 | u64::from(retry_after.map_or(0, NonZeroU16::get)),
+                );
                 self.sense(*sense);
                 self.bytes(b'R', data);
             }
--- a/crates/iscsi/tests/pinned_wire/sessions.rs
+++ b/crates/iscsi/tests/pinned_wire/sessions.rs
@@ -6,6 +6,7 @@
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::{self, Sense, status};
 use mallowseam_iscsi::target::{TargetConnection, TargetEvent};
+use std::num::NonZeroU16;
 
 fn drawn_wishes(rng: &mut Rng) -> ProposedParams {
     ProposedParams {
@@ -187,17 +188,23 @@
         let index = self.rng.below(self.pending.len());
         let (task, room) = self.pending.swap_remove(index);
         match self.rng.below(8) {
-            0 => self
-                .target
-                .complete_with_status(task, status::BUSY, None, self.rng.next() as u16),
-            1 => self
-                .target
-                .complete_with_status(task, status::TASK_SET_FULL, None, 12),
+            0 => self.target.complete_with_status(
+                task,
+                status::BUSY,
+                None,
+                NonZeroU16::new(self.rng.next() as u16),
+            ),
+            1 => self.target.complete_with_status(
+                task,
+                status::TASK_SET_FULL,
+                None,
+                NonZeroU16::new(12),
+            ),
             2 => self.target.complete_with_status(
                 task,
                 status::CHECK_CONDITION,
                 Some(Sense::COMMUNICATION_TIMEOUT),
-                0,
+                None,
             ),
             3 => {
                 let data = vec![0x5a; room / 2];
--- a/crates/iscsi/tests/pinned_wire/tasks.rs
+++ b/crates/iscsi/tests/pinned_wire/tasks.rs
@@ -3,6 +3,7 @@
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::pdu::{Bhs, flag, opcode, task_response};
 use mallowseam_iscsi::scsi::{self, status};
+use std::num::NonZeroU16;
 
 #[test]
 fn task_management() {
@@ -116,7 +117,9 @@
             .receive(&frame(answer.with_status_qualifier(qualifier), &[]))
             .expect("an answer");
         match initiator.next_event() {
-            Some(InitiatorEvent::CommandCompleted { retry_after, .. }) => found.push(retry_after),
+            Some(InitiatorEvent::CommandCompleted { retry_after, .. }) => {
+                found.push(retry_after.map_or(0, NonZeroU16::get));
+            }
             other => panic!("expected an answer, found {other:?}"),
         }
     }
--- a/crates/iscsi/tests/sessions/commands.rs
+++ b/crates/iscsi/tests/sessions/commands.rs
@@ -5,6 +5,7 @@
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi::{self, Command, Sense, status};
 use mallowseam_iscsi::target::TargetEvent;
+use std::num::NonZeroU16;
 
 fn completed(
     tag: u32,
@@ -18,7 +19,7 @@
         status,
         sense,
         data,
-        retry_after,
+        retry_after: NonZeroU16::new(retry_after),
     }
 }
 
@@ -81,9 +82,9 @@
     let (first, second) = (pair.next_command(), pair.next_command());
     let timeout = Some(Sense::COMMUNICATION_TIMEOUT);
     pair.target
-        .complete_with_status(second.task, status::BUSY, None, 12);
+        .complete_with_status(second.task, status::BUSY, None, NonZeroU16::new(12));
     pair.target
-        .complete_with_status(first.task, status::CHECK_CONDITION, timeout, 0);
+        .complete_with_status(first.task, status::CHECK_CONDITION, timeout, None);
     pair.run();
     assert_eq!(
         pair.initiator.next_event(),
--- a/crates/iscsi/tests/sessions/malformed_input.rs
+++ b/crates/iscsi/tests/sessions/malformed_input.rs
@@ -6,6 +6,7 @@
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_iscsi::target::TargetEvent;
 use proptest::prelude::*;
+use std::num::NonZeroU16;
 
 /// Bit of the opcode's byte by which a request takes no `CmdSN`.
 const IMMEDIATE_BIT: u8 = 0x40;
@@ -35,7 +36,7 @@
         }
         while let Some(event) = pair.target.next_event() {
             if let TargetEvent::Command { task, .. } = event {
-                pair.target.complete_with_status(task, status::BUSY, None, 1);
+                pair.target.complete_with_status(task, status::BUSY, None, NonZeroU16::new(1));
             }
         }
         prop_assert!(pair.target.in_flight() <= 12 && pair.target.allocated_bytes() < 1 << 20);
--- a/crates/load/src/initiators/generator/requests.rs
+++ b/crates/load/src/initiators/generator/requests.rs
@@ -6,6 +6,7 @@
 use mallowseam_audit::trace::{Micros, TraceEvent};
 use mallowseam_iscsi::scsi::status;
 use rand::RngExt;
+use std::num::NonZeroU16;
 
 /// Accounts of one client.
 const ACCOUNTS: u64 = 6;
@@ -156,7 +157,7 @@
         tag: u32,
         code: u8,
         data: &[u8],
-        retry_after: u16,
+        retry_after: Option<NonZeroU16>,
     ) {
         let client = &mut self.clients[index];
         let Some(i) = client.in_flight.iter().position(|c| c.tag == tag) else {
@@ -174,7 +175,7 @@
             read,
         });
         if matches!(code, status::BUSY | status::TASK_SET_FULL) && !command.retried {
-            let hint = u64::from(retry_after) * RETRY_HINT_UNIT;
+            let hint = retry_after.map_or(0, |time| u64::from(time.get())) * RETRY_HINT_UNIT;
             let wait = hint + client.rng.random_range(50_000..150_000);
             client.retries.push(Retry {
                 at: self.trace.now() + wait,
--- a/crates/load/src/initiators/generator/transport.rs
+++ b/crates/load/src/initiators/generator/transport.rs
@@ -130,7 +130,7 @@
                     self.on_answer(index, tag, code, &data, retry_after);
                 }
                 InitiatorEvent::CommandRejected { tag, .. } => {
-                    self.on_answer(index, tag, status::CHECK_CONDITION, &[], 0);
+                    self.on_answer(index, tag, status::CHECK_CONDITION, &[], None);
                 }
                 InitiatorEvent::LogoutRequested => self.clients[index].logout_requested = true,
                 InitiatorEvent::LoggedOut => return self.disconnect(index, LOGOUT_RECONNECT_PAUSE),
--- a/crates/stand-ins/src/node/server/commands.rs
+++ b/crates/stand-ins/src/node/server/commands.rs
@@ -148,7 +148,12 @@
     /// Fails a command without a record of it.
     fn fail(&mut self, origin: TaskRef, sense: Sense) {
         if let Some(connection) = self.connections.connection_mut(origin.client) {
-            connection.complete_with_status(origin.task, status::CHECK_CONDITION, Some(sense), 0);
+            connection.complete_with_status(
+                origin.task,
+                status::CHECK_CONDITION,
+                Some(sense),
+                None,
+            );
         }
     }
 
@@ -171,9 +176,9 @@
             status::GOOD => connection.complete(origin.task, data),
             status::CHECK_CONDITION => {
                 let sense = Some(Sense::UNRECOVERED_READ_ERROR);
-                connection.complete_with_status(origin.task, status, sense, 0);
+                connection.complete_with_status(origin.task, status, sense, None);
             }
-            _ => connection.complete_with_status(origin.task, status, None, 0),
+            _ => connection.complete_with_status(origin.task, status, None, None),
         }
     }
 
