--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -38,10 +38,15 @@
     format!("{}\r\n\r\nhello", lines.join("\r\n"))
 }
 
-pub fn parse(text: &str) -> Result<ClientRequest, RequestError> {
-    let head = RequestHead::parse(text.as_bytes(), LIMITS)
+/// The head of a complete request.
+pub fn request_head(bytes: &[u8]) -> RequestHead<'_> {
+    RequestHead::parse(bytes, LIMITS)
         .expect("valid")
-        .expect("complete");
+        .expect("complete")
+}
+
+pub fn parse(text: &str) -> Result<ClientRequest, RequestError> {
+    let head = request_head(text.as_bytes());
     request::parse(&head, text.len() - head.len, &settings())
 }
 
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -1,7 +1,7 @@
 //! Clients' requests: what is accepted, what is rejected and why, and what a node gets.
 mod common;
 
-use common::{LIMITS, block_request, error, settings, write_request_with};
+use common::{LIMITS, block_request, error, request_head, settings, write_request_with};
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::request::{self, RequestError};
 use proptest::prelude::*;
@@ -155,14 +155,10 @@
 #[test]
 fn method_target_body_and_id_are_forwarded_unchanged() {
     let text = write_request_with(|l| Some(l.replace("d655 HTTP", "d655?a=%20b HTTP")));
-    let head = RequestHead::parse(text.as_bytes(), LIMITS)
-        .expect("valid")
-        .expect("complete");
+    let head = request_head(text.as_bytes());
     let mut out = Vec::new();
     request::write_forwarded(&mut out, &head, b"hello", 77);
-    let sent = RequestHead::parse(&out, LIMITS)
-        .expect("valid")
-        .expect("complete");
+    let sent = request_head(&out);
     assert_eq!((sent.method, sent.target), (head.method, head.target));
     assert_eq!(sent.headers.single("X-Request-ID"), Ok(Some("9b1f")));
     assert_eq!(sent.headers.single("X-Timeout-Ms"), Ok(Some("77")));
@@ -179,14 +175,10 @@
     let text = write_request_with(|l| {
         Some(l.replace("Host: ", "Idempotency-Key: cd869d0740eecfe7\r\nHost: "))
     });
-    let head = RequestHead::parse(text.as_bytes(), LIMITS)
-        .expect("valid")
-        .expect("complete");
+    let head = request_head(text.as_bytes());
     let mut out = Vec::new();
     request::write_forwarded(&mut out, &head, b"hello", 77);
-    let sent = RequestHead::parse(&out, LIMITS)
-        .expect("valid")
-        .expect("complete");
+    let sent = request_head(&out);
     assert_eq!(
         sent.headers.single("Idempotency-Key"),
         Ok(Some("cd869d0740eecfe7"))
