--- a/crates/platform-host/src/clients/request_buffer.rs
+++ b/crates/platform-host/src/clients/request_buffer.rs
@@ -27,7 +27,9 @@
 
     /// Bytes that it takes besides those that it holds.
     pub fn room(&self) -> usize {
-        REQUEST_LIMITS.buffer_capacity() - self.bytes.len()
+        REQUEST_LIMITS
+            .buffer_capacity()
+            .saturating_sub(self.bytes.len())
     }
 
     /// Adds bytes that were read.
