--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -4,6 +4,7 @@
 use crate::status::Status;
 use mallowseam_settings::{Arguments, Diagnostics, Token, tokenize};
 use std::collections::BTreeMap;
+use std::num::NonZeroU64;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
@@ -20,27 +21,30 @@
 /// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with
 /// three decimals; `asked` are requested units, `ended` completed ones). [`read`] and scripts read this text
 /// form. A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
-/// Ends after `count` intervals; 0: never.
+/// Ends after `count` intervals, or never if there is no count.
 pub(crate) fn record(
     control_sockets: &[PathBuf],
     every: Duration,
-    count: u64,
+    count: Option<NonZeroU64>,
     write_line: &mut dyn FnMut(&str),
 ) {
-    let last_interval = (count > 0).then_some(count);
     let began = Instant::now();
-    let mut hosts: Vec<PolledHost> = control_sockets.iter().map(PolledHost::new).collect();
+    let mut last: Vec<Option<Status>> = vec![None; control_sockets.len()];
     let mut interval = 0;
     loop {
         let mut rates: BTreeMap<String, Rates> = BTreeMap::new();
-        for host in &mut hosts {
-            host.poll(&mut rates, write_line);
+        for (socket, last) in control_sockets.iter().zip(&mut last) {
+            let status = poll(socket, write_line);
+            if let (Some(old), Some(new)) = (last.as_ref(), status.as_ref()) {
+                add_rates(&mut rates, old, new, write_line);
+            }
+            *last = status;
         }
-        // The first poll only begins the first interval.
+        // The first poll only states where the counters begin.
         if interval > 0 {
-            write_rates(&rates, began.elapsed().as_secs(), write_line);
+            write_rates(&rates, began, write_line);
         }
-        if last_interval == Some(interval) {
+        if count.is_some_and(|count| interval == count.get()) {
             return;
         }
         interval += 1;
@@ -49,41 +53,17 @@
     }
 }
 
-fn write_rates(rates: &BTreeMap<String, Rates>, seconds: u64, write_line: &mut dyn FnMut(&str)) {
-    for (volume, rates) in rates {
-        let requested = rates.requested;
-        let completed = rates.completed;
+/// Writes the rates of an interval that ends now, one line a volume.
+fn write_rates(rates: &BTreeMap<String, Rates>, began: Instant, write_line: &mut dyn FnMut(&str)) {
+    for (volume, rate) in rates {
+        let seconds = began.elapsed().as_secs();
         write_line(&format!(
-            "at {seconds} {volume} asked {requested:.3}/s ended {completed:.3}/s"
+            "at {seconds} {volume} asked {:.3}/s ended {:.3}/s",
+            rate.requested, rate.completed
         ));
     }
 }
 
-/// A host that is polled.
-struct PolledHost<'a> {
-    control_socket: &'a Path,
-    /// Its status at the last poll; none: it did not answer.
-    last: Option<Status>,
-}
-
-impl<'a> PolledHost<'a> {
-    fn new(control_socket: &'a PathBuf) -> Self {
-        PolledHost {
-            control_socket,
-            last: None,
-        }
-    }
-
-    /// Polls the host, and adds its rates since the last poll.
-    fn poll(&mut self, rates: &mut BTreeMap<String, Rates>, write_line: &mut dyn FnMut(&str)) {
-        let status = poll(self.control_socket, write_line);
-        if let (Some(old), Some(new)) = (&self.last, &status) {
-            add_rates(rates, old, new, write_line);
-        }
-        self.last = status;
-    }
-}
-
 /// Requests the status of a host. A failure is written as a comment.
 fn poll(socket: &Path, write_line: &mut dyn FnMut(&str)) -> Option<Status> {
     let status = match send_request(socket, "status") {
@@ -116,30 +96,39 @@
 pub(crate) fn read(file: &Path) -> Result<Vec<Interval>, FileError> {
     let text = read_text(file)?;
     let mut problems = Diagnostics::new(&file.display().to_string());
-    // By the seconds at which they end, which lines of one interval share.
-    let mut intervals: Vec<(u64, Interval)> = Vec::new();
+    let mut record = Record::default();
     for (index, line) in text.lines().enumerate() {
         let tokens = tokenize(index + 1, line, &mut problems);
-        let Some(line) = read_line(&tokens, &mut problems) else {
-            continue;
-        };
-        match intervals.last_mut() {
-            Some((seconds, interval)) if *seconds == line.seconds => {
-                interval.insert(line.volume, line.requested);
-            }
-            _ => {
-                let interval = Interval::from([(line.volume, line.requested)]);
-                intervals.push((line.seconds, interval));
-            }
+        if let Some(line) = read_line(&tokens, &mut problems) {
+            record.add(line);
         }
     }
-    if !problems.is_empty() {
-        return Err(FileError::Malformed(problems.sorted()));
+    if problems.is_empty() {
+        Ok(record.intervals)
+    } else {
+        Err(FileError::Malformed(problems.sorted()))
+    }
+}
+
+/// The intervals of a record as they are read.
+#[derive(Default)]
+struct Record {
+    intervals: Vec<Interval>,
+    /// When the last of them ended; none before the first line.
+    last_end: Option<u64>,
+}
+
+impl Record {
+    /// Adds a line, to the last interval if both end at the same time.
+    fn add(&mut self, line: DemandLine) {
+        if self.last_end != Some(line.seconds) {
+            self.intervals.push(Interval::new());
+            self.last_end = Some(line.seconds);
+        }
+        if let Some(interval) = self.intervals.last_mut() {
+            interval.insert(line.volume, line.requested);
+        }
     }
-    Ok(intervals
-        .into_iter()
-        .map(|(_, interval)| interval)
-        .collect())
 }
 
 /// A line of a record.
@@ -151,15 +140,19 @@
     requested: f64,
 }
 
-/// Reads a line. All its arguments are checked, also after one is refused. None: it is empty or refused.
+/// Reads a line; none if it is empty, a comment or malformed.
 fn read_line(tokens: &[Token], problems: &mut Diagnostics) -> Option<DemandLine> {
     let first = tokens.first()?;
     if first.text != "at" {
-        let expected = "at SECONDS VOLUME asked R ended R";
-        problems.add(first.position, expected, format!("`{}`", first.text));
+        let found = format!("`{}`", first.text);
+        problems.add(first.position, "at SECONDS VOLUME asked R ended R", found);
         return None;
     }
-    let mut args = Arguments::new(tokens, problems);
+    read_arguments(&mut Arguments::new(tokens, problems))
+}
+
+/// Reads the arguments of a line. All of them are checked, also after one is refused.
+fn read_arguments(args: &mut Arguments) -> Option<DemandLine> {
     let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
     args.value("asked", |text| (text == "asked").then_some(()));
