--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -2,7 +2,7 @@
 //!
 //! Opening: `open`. What an iteration handles, each type with its own state:
 //! - `sources`: what is polled.
-//! - `listener`, `pending_reads`, `periodic_check`: connections of clients and to nodes.
+//! - `listener`, `pending_reads`: connections of clients and to nodes.
 //! - `membership`: the fleet's membership.
 //! - `plans`, with `demand_meter`: replicated plans and quotas.
 //! - `shutdown`: requests to stop.
@@ -16,7 +16,6 @@
 mod open;
 mod operator;
 mod pending_reads;
-mod periodic_check;
 mod plans;
 mod shutdown;
 mod sources;
@@ -28,14 +27,15 @@
 use crate::endpoint_list::EndpointList;
 use crate::error::Error;
 use crate::node_connections::NodeIndex;
+use crate::service::PeriodicTimer;
 use listener::ClientListener;
 use mallowseam_fleet::record::ActiveVersions;
 use mallowseam_scheduler::Scheduler;
+use mallowseam_scheduler::interface::Tick;
 use mallowseam_settings::GatewayConfig;
 use membership::Membership;
 use mio::{Events, Poll, Token};
 use pending_reads::{PendingRead, PendingReads};
-use periodic_check::PeriodicCheck;
 use plans::ReplicatedPlans;
 use shutdown::ShutdownRequests;
 use sources::Source;
@@ -44,6 +44,8 @@
 
 /// Events that one poll returns at most.
 const MAX_EVENTS: usize = 1024;
+/// Ticks between two checks of the connections: fine enough for timeouts of seconds.
+const CHECK_PERIOD: Tick = 1_000;
 
 /// A running host.
 struct EventLoop {
@@ -58,7 +60,8 @@
     control: Option<ControlSocket>,
     shutdown: ShutdownRequests,
     pending_reads: PendingReads,
-    check: PeriodicCheck,
+    /// When the connections are checked for timeouts.
+    check: PeriodicTimer<Tick>,
     read_buffer: Vec<u8>,
 }
 
@@ -107,7 +110,7 @@
         if !self.pending_reads.is_empty() || self.membership.is_readable() {
             return Duration::ZERO;
         }
-        let check_due = self.check.due();
+        let check_due = self.check.next_due();
         let due = self
             .dispatcher
             .next_due()
--- a/crates/gateway/src/event_loop/open.rs
+++ b/crates/gateway/src/event_loop/open.rs
@@ -1,15 +1,14 @@
 //! Opens what a host needs: sockets, services that it follows, its scheduler.
-use super::EventLoop;
 use super::listener::ClientListener;
 use super::membership::Membership;
 use super::pending_reads::PendingReads;
-use super::periodic_check::PeriodicCheck;
 use super::plans::ReplicatedPlans;
 use super::shutdown::ShutdownRequests;
 use super::sources::{
     CATALOG, CONTROL, ENDPOINT_LIST, FIRST_CONTROL_CONNECTION, FIRST_NODE, LISTENER, SIGNALS,
     first_client,
 };
+use super::{CHECK_PERIOD, EventLoop};
 use crate::catalog_client::CatalogClient;
 use crate::client_connections::Clients;
 use crate::clock::Clock;
@@ -18,6 +17,7 @@
 use crate::error::Error;
 use crate::node_connections::Nodes;
 use crate::scheduler_config;
+use crate::service::PeriodicTimer;
 use crate::startup;
 use mallowseam_connection_policy::admission::AdmissionController;
 use mallowseam_iscsi::frame::Digests;
@@ -67,7 +67,7 @@
             shutdown,
             pending_reads: PendingReads::default(),
             read_buffer: vec![0; READ_BUFFER],
-            check: PeriodicCheck::default(),
+            check: PeriodicTimer::new(CHECK_PERIOD, 0),
             clock,
             config,
         })
