--- /dev/null
+++ b/crates/iscsi-host/src/lib.rs
@@ -0,0 +1,1 @@
+//! The host behind iSCSI.
--- /dev/null
+++ b/crates/process-io/src/lib.rs
@@ -0,0 +1,1 @@
+//! What each process of the program mallowseam opens.
