--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,34 +1,15 @@
 //! Errors that more than one module of the package reports.
-use mallowseam_settings::{Diagnostics, GatewayConfig};
+pub(crate) use mallowseam_process_io::startup::ProcessError;
+pub(crate) use mallowseam_process_io::text_file::{FileError, read_configuration, read_text};
 use std::io;
-use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 /// Why a host or a service could not start, or could not go on.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The address to listen on cannot be had.
-    #[error("listen {address}: {source}")]
-    Listen {
-        /// The address of the configuration.
-        address: SocketAddr,
-        /// What the system says.
-        source: io::Error,
-    },
-    /// The control socket cannot be created.
-    #[error("control {}: {source}", path.display())]
-    ControlSocket {
-        /// The socket's path in the configuration.
-        path: PathBuf,
-        /// What the system says.
-        source: io::Error,
-    },
-    /// Polling for socket events failed.
-    #[error("poll: {0}")]
-    Poll(#[source] io::Error),
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
-    Signals(#[source] io::Error),
+    /// A socket or the signals cannot be had, or polling failed.
+    #[error(transparent)]
+    Process(#[from] ProcessError),
     /// The host cannot take part in the membership of its fleet.
     #[error("fleet membership: {0}")]
     Membership(#[source] io::Error),
@@ -64,28 +45,3 @@
     #[error(transparent)]
     ConfiguredVolume(mallowseam_cow::tree::ChangeError),
 }
-
-/// Why a text file could not be read.
-#[derive(Debug, thiserror::Error)]
-pub(crate) enum FileError {
-    /// The file cannot be opened or is not text.
-    #[error("{}: {source}", path.display())]
-    Io { path: PathBuf, source: io::Error },
-    /// The text is not what the file must hold: every problem, with its line and column.
-    #[error("{0}")]
-    Malformed(Diagnostics),
-}
-
-/// Reads a text file.
-pub(crate) fn read_text(path: &Path) -> Result<String, FileError> {
-    std::fs::read_to_string(path).map_err(|source| FileError::Io {
-        path: path.to_owned(),
-        source,
-    })
-}
-
-/// Reads and checks a configuration file.
-pub(crate) fn read_configuration(path: &Path) -> Result<GatewayConfig, FileError> {
-    let text = read_text(path)?;
-    mallowseam_settings::parse(&path.display().to_string(), &text).map_err(FileError::Malformed)
-}
--- a/crates/gateway/src/event_loop.rs
+++ b/crates/gateway/src/event_loop.rs
@@ -25,7 +25,7 @@
 use crate::control_socket::{ConnectionId, ControlSocket};
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
-use crate::error::Error;
+use crate::error::{Error, ProcessError};
 use crate::node_connections::NodeIndex;
 use crate::service::PeriodicTimer;
 use listener::ClientListener;
@@ -70,7 +70,7 @@
 /// # Errors
 /// An address or path of the configuration cannot be had.
 pub fn run(config: GatewayConfig) -> Result<(), Error> {
-    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut poll = Poll::new().map_err(ProcessError::Poll)?;
     let mut host = EventLoop::open(config, &poll)?;
     let mut events = Events::with_capacity(MAX_EVENTS);
     host.start();
@@ -79,7 +79,7 @@
         if let Err(e) = poll.poll(&mut events, Some(timeout))
             && e.kind() != ErrorKind::Interrupted
         {
-            return Err(Error::Poll(e));
+            return Err(ProcessError::Poll(e).into());
         }
         host.handle(&events);
     }
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/gateway/src/event_loop/listener.rs
@@ -1,5 +1,5 @@
 //! The listener that clients connect to.
-use crate::error::Error;
+use crate::error::ProcessError;
 use crate::startup;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Poll, Token};
@@ -19,11 +19,11 @@
         address: SocketAddr,
         poll: &Poll,
         token: Token,
-    ) -> Result<(Self, SocketAddr), Error> {
+    ) -> Result<(Self, SocketAddr), ProcessError> {
         let (socket, _) = startup::listen(address, poll, token)?;
         let bound = socket
             .local_addr()
-            .map_err(|source| Error::Listen { address, source })?;
+            .map_err(|source| ProcessError::Listen { address, source })?;
         let listener = ClientListener {
             socket,
             ready: false,
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/gateway/src/event_loop/shutdown.rs
@@ -1,5 +1,5 @@
 //! Signals and operators that request the host to stop.
-use crate::error::Error;
+use crate::error::ProcessError;
 use crate::startup;
 use mio::net::UnixStream;
 use mio::{Poll, Token};
@@ -13,7 +13,7 @@
 }
 
 impl ShutdownRequests {
-    pub(super) fn open(poll: &Poll, token: Token) -> Result<Self, Error> {
+    pub(super) fn open(poll: &Poll, token: Token) -> Result<Self, ProcessError> {
         Ok(ShutdownRequests {
             signals: startup::signals(poll, token)?,
             count: 0,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,25 +11,21 @@
 //! - `scheduler_config`, `metrics`, `status`: configuration and figures in the forms that others take.
 //!
 //! The services: `plan_service`, `snapshot_catalog`. Both are built on `service` (the event loop) and
-//! `host_connections`; they and the host share `control_socket`, `json_lines`, `socket_io`, `startup`,
-//! `atomic_file` and `error`.
+//! `host_connections`; they and the host share `error` and the package `process-io`.
 //!
 //! Tools of the command line (`cli`): `demand`, `placement`, `snapshot_archive`, `verify`, `blocking_client`.
 #![warn(missing_docs)]
 
-mod atomic_file;
 pub mod blocking_client;
 mod catalog_client;
 pub mod cli;
 pub mod client_connections;
-mod control_socket;
 mod demand;
 mod dispatcher;
 mod endpoint_list;
 mod error;
 mod event_loop;
 mod host_connections;
-mod json_lines;
 mod metrics;
 mod node_connections;
 mod placement;
@@ -40,12 +36,13 @@
 mod snapshot_archive;
 mod snapshot_catalog;
 pub mod socket_io;
-mod startup;
 mod status;
 mod verify;
 
 pub use mallowseam_sockets::{clock, slab};
 
+use mallowseam_process_io::{atomic_file, control_socket, json_lines, startup};
+
 pub use control_socket::{RequestError, send_request};
 pub use error::Error;
 pub use event_loop::run;
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/gateway/src/plan_replication.rs
@@ -129,7 +129,9 @@
                 ReplicaAction::None => {}
                 ReplicaAction::ApplyPending => return true,
                 ReplicaAction::Send(message) => self.send(&message),
-                ReplicaAction::Disconnect(error) => self.disconnect(&error.into()),
+                ReplicaAction::Disconnect(error) => {
+                    self.disconnect(&Disconnect::application(error));
+                }
             },
             Err(e) => self.disconnect(&e.into()),
         }
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -19,7 +19,7 @@
 pub use request::PlanRequest;
 
 use crate::clock::{Clock, ticks_to_millis};
-use crate::error::Error;
+use crate::error::{Error, ProcessError};
 use crate::host_connections::{HostConnection, Limits};
 use crate::service::{
     self, Answer, ListeningSockets, PeriodicTimer, Service, ServiceSockets, SocketEvent,
@@ -67,7 +67,7 @@
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
 pub(crate) fn run(config: &GatewayConfig) -> Result<(), Error> {
-    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut poll = Poll::new().map_err(ProcessError::Poll)?;
     let mut service = PlanService::open(config, &poll)?;
     service::run(&mut service, &mut poll)?;
     tracing::info!("plan service stopped");
--- a/crates/gateway/src/plan_service/hosts.rs
+++ b/crates/gateway/src/plan_service/hosts.rs
@@ -36,7 +36,7 @@
         {
             // The next start would not know the host, and report versions as effective without it.
             let hosts = self.sockets.hosts_mut();
-            return hosts.disconnect(id, &Disconnect::Store(e));
+            return hosts.disconnect(id, &Disconnect::application(e));
         }
         host.set_state(Some(self.quotas.lender_id(name)));
         host.set_name(name);
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -1,14 +1,13 @@
 //! What the services have in common: the event loop, the sockets that it watches, and requests of operators.
 mod operators;
-mod periodic_timer;
 mod sockets;
 mod stop_requests;
 
+pub(crate) use mallowseam_process_io::periodic_timer::PeriodicTimer;
 pub(crate) use operators::{Answer, Operators};
-pub(crate) use periodic_timer::PeriodicTimer;
 pub(crate) use sockets::{FIRST_NODE_TOKEN, ListeningSockets, ServiceSockets, SocketEvent};
 
-use crate::error::Error;
+use crate::error::{Error, ProcessError};
 use mio::event::Event;
 use mio::{Events, Poll};
 use std::io::ErrorKind;
@@ -61,7 +60,7 @@
 /// Polls once. A poll that a signal interrupts has no events.
 fn wait_for_events(poll: &mut Poll, events: &mut Events, timeout: Duration) -> Result<(), Error> {
     match poll.poll(events, Some(timeout)) {
-        Err(e) if e.kind() != ErrorKind::Interrupted => Err(Error::Poll(e)),
+        Err(e) if e.kind() != ErrorKind::Interrupted => Err(ProcessError::Poll(e).into()),
         _ => Ok(()),
     }
 }
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -23,7 +23,7 @@
 mod stored_tree;
 
 use crate::clock::{Clock, ticks_to_duration, ticks_to_millis};
-use crate::error::Error;
+use crate::error::{Error, ProcessError};
 use crate::host_connections::Limits;
 use crate::service::{self, ListeningSockets, PeriodicTimer, Service, ServiceSockets, SocketEvent};
 use crate::startup;
@@ -79,7 +79,7 @@
 /// # Errors
 /// An address, path or store of the configuration cannot be had, or the store fails later.
 pub(crate) fn run(config: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
-    let mut poll = Poll::new().map_err(Error::Poll)?;
+    let mut poll = Poll::new().map_err(ProcessError::Poll)?;
     let mut service = CatalogService::open(&config, crash_at, &poll)?;
     service::run(&mut service, &mut poll)?;
     tracing::info!("snapshot catalog stopped");
--- a/crates/gateway/src/atomic_file.rs
+++ b/crates/process-io/src/atomic_file.rs
@@ -6,7 +6,10 @@
 const NEW_FILE_EXTENSION: &str = "new";
 
 /// Replaces a file by a rename: a reader sees either the old contents or the new ones.
-pub(crate) fn replace(path: &Path, contents: &[u8]) -> io::Result<()> {
+///
+/// # Errors
+/// The new file cannot be written, or cannot take the place of the old one.
+pub fn replace(path: &Path, contents: &[u8]) -> io::Result<()> {
     let new_file = path.with_extension(NEW_FILE_EXTENSION);
     std::fs::write(&new_file, contents)?;
     std::fs::rename(&new_file, path)
--- a/crates/gateway/src/control_socket.rs
+++ b/crates/process-io/src/control_socket.rs
@@ -3,7 +3,7 @@
 
 pub use client::{RequestError, send_request};
 
-use crate::slab::Slab;
+use mallowseam_sockets::slab::Slab;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 use std::fmt::Display;
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 
 /// Connections at once: an operator and a few scripts.
-pub(crate) const MAX_CONNECTIONS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Longest request in bytes.
 const MAX_REQUEST: usize = 8_192;
 /// Ends every answer, which makes a truncated one recognizable.
@@ -23,12 +23,12 @@
 const PERMISSIONS: u32 = 0o600;
 
 /// The answer to a request that is refused.
-pub(crate) fn refusal(reason: &impl Display) -> String {
+pub fn refusal(reason: &impl Display) -> String {
     format!("{REFUSED}{reason}")
 }
 
 /// Index of a connection to the control socket.
-pub(crate) type ConnectionId = u32;
+pub type ConnectionId = u32;
 
 struct Connection {
     socket: UnixStream,
@@ -37,7 +37,7 @@
 }
 
 /// The listening side of a control socket. The socket file is removed when this is dropped.
-pub(crate) struct ControlSocket {
+pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
     connections: Slab<Connection>,
@@ -48,7 +48,10 @@
 impl ControlSocket {
     /// Listens at a path; connections get tokens from `first_token` on. A socket file whose process is gone
     /// is replaced; one at which a process still answers is an error.
-    pub(crate) fn open(
+    ///
+    /// # Errors
+    /// The path cannot be had, or a process answers there.
+    pub fn open(
         path: &Path,
         registry: Registry,
         own: Token,
@@ -77,7 +80,7 @@
     }
 
     /// Accepts all pending connections.
-    pub(crate) fn accept(&mut self) {
+    pub fn accept(&mut self) {
         while let Ok((mut socket, _)) = self.listener.accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
                 let refused = refusal(&"too many callers");
@@ -97,7 +100,7 @@
     }
 
     /// Reads from a connection that is ready. Returns its request once that is complete.
-    pub(crate) fn read_request(&mut self, id: ConnectionId) -> Option<String> {
+    pub fn read_request(&mut self, id: ConnectionId) -> Option<String> {
         let connection = self.connections.get_mut(id)?;
         let mut buffer = [0; MAX_REQUEST];
         loop {
@@ -125,7 +128,7 @@
     }
 
     /// Answers a request; the connection is closed once the answer is written.
-    pub(crate) fn answer(&mut self, id: ConnectionId, text: &str) {
+    pub fn answer(&mut self, id: ConnectionId, text: &str) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.answer = format!("{text}{END_OF_ANSWER}").into_bytes();
             self.flush(id);
--- a/crates/gateway/src/json_lines.rs
+++ b/crates/process-io/src/json_lines.rs
@@ -1,9 +1,9 @@
 //! A connection that carries one JSON object a line.
-use crate::socket_io::{self, ConnectionError, ReadOutcome};
-use mallowseam_plans::error::ReplicaError;
+use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use serde::Serialize;
+use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 
 /// Why a connection ended, or is ended by this side.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Disconnect {
+pub enum Disconnect {
     /// The socket failed or was closed by the other side.
     #[error(transparent)]
     Socket(#[from] ConnectionError),
@@ -33,12 +33,16 @@
     /// A message of the snapshot catalog does not follow from the known tree.
     #[error("what the catalog says does not follow what is known")]
     TreeOutOfSequence,
-    /// A message does not follow from the replicated plans.
+    /// What the connection is used for cannot go on, for this reason.
     #[error(transparent)]
-    Plans(#[from] ReplicaError),
-    /// A member could not be stored.
-    #[error(transparent)]
-    Store(mallowseam_change_log::Error),
+    Application(Box<dyn Error + Send + Sync>),
+}
+
+impl Disconnect {
+    /// What the connection is used for cannot go on.
+    pub fn application(reason: impl Error + Send + Sync + 'static) -> Self {
+        Disconnect::Application(Box::new(reason))
+    }
 }
 
 fn line_limit(bytes: usize) -> String {
@@ -49,7 +53,7 @@
 }
 
 /// A connection that carries lines.
-pub(crate) struct LineConnection {
+pub struct LineConnection {
     socket: TcpStream,
     /// The start of a line whose end has not been received yet.
     partial: Vec<u8>,
@@ -58,7 +62,7 @@
 }
 
 /// What an attempt to read came to.
-pub(crate) enum LineRead {
+pub enum LineRead {
     /// There is no more for now.
     WouldBlock,
     /// Complete lines, without their ends; there may be more.
@@ -69,20 +73,18 @@
 
 impl LineConnection {
     /// Begins to connect.
-    pub(crate) fn connect(
-        address: SocketAddr,
-        registry: &Registry,
-        token: Token,
-    ) -> io::Result<Self> {
+    ///
+    /// # Errors
+    /// The system has no socket for it.
+    pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Self> {
         LineConnection::over(TcpStream::connect(address)?, registry, token)
     }
 
     /// Carries lines over a socket, which the event loop watches from now on.
-    pub(crate) fn over(
-        mut socket: TcpStream,
-        registry: &Registry,
-        token: Token,
-    ) -> io::Result<Self> {
+    ///
+    /// # Errors
+    /// The event loop cannot watch the socket.
+    pub fn over(mut socket: TcpStream, registry: &Registry, token: Token) -> io::Result<Self> {
         let _ = socket.set_nodelay(true);
         registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
         Ok(LineConnection {
@@ -93,28 +95,37 @@
     }
 
     /// Queues a message; `flush` writes it.
-    pub(crate) fn send(&mut self, message: &impl Serialize) {
+    ///
+    /// # Panics
+    /// Never for the message types of this project, all of which serialize.
+    pub fn send(&mut self, message: &impl Serialize) {
         serde_json::to_writer(&mut self.unsent, message)
             .expect("every message type serializes, and writing to memory does not fail");
         self.unsent.push(b'\n');
     }
 
     /// Bytes that wait for the socket to take them.
-    pub(crate) fn unsent_bytes(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.unsent.len()
     }
 
     /// Writes what is queued, as far as the socket takes it.
-    pub(crate) fn flush(&mut self) -> Result<(), Disconnect> {
-        Ok(socket_io::write_buffer(&mut self.socket, &mut self.unsent)?)
+    ///
+    /// # Errors
+    /// The connection is of no further use.
+    pub fn flush(&mut self) -> Result<(), Disconnect> {
+        Ok(nonblocking::write_buffer(
+            &mut self.socket,
+            &mut self.unsent,
+        )?)
     }
 
     /// Reads once. `max_line` is how many bytes a line may have.
-    pub(crate) fn read(&mut self, buffer: &mut [u8], max_line: usize) -> LineRead {
+    pub fn read(&mut self, buffer: &mut [u8], max_line: usize) -> LineRead {
         if self.partial.len() > max_line {
             return LineRead::Closed(Disconnect::LineTooLong(max_line));
         }
-        match socket_io::read(&mut self.socket, buffer) {
+        match nonblocking::read(&mut self.socket, buffer) {
             ReadOutcome::WouldBlock => LineRead::WouldBlock,
             ReadOutcome::Closed(reason) => LineRead::Closed(reason.into()),
             ReadOutcome::Read(len) => LineRead::Lines(self.split_lines(&buffer[..len])),
@@ -133,7 +144,7 @@
     }
 
     /// Closes the connection.
-    pub(crate) fn close(mut self, registry: &Registry) {
+    pub fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.socket);
     }
 }
--- a/crates/gateway/src/service/periodic_timer.rs
+++ b/crates/process-io/src/periodic_timer.rs
@@ -3,24 +3,24 @@
 
 /// A timer that is due once a period has passed since it was last due. `T`: the unit of time, ticks or
 /// milliseconds.
-pub(crate) struct PeriodicTimer<T> {
+pub struct PeriodicTimer<T> {
     period: T,
     last: T,
 }
 
 impl<T: Copy + PartialOrd + Add<Output = T>> PeriodicTimer<T> {
     /// A timer that is first due a period from now.
-    pub(crate) fn new(period: T, now: T) -> Self {
+    pub fn new(period: T, now: T) -> Self {
         PeriodicTimer { period, last: now }
     }
 
     /// When it is due next.
-    pub(crate) fn next_due(&self) -> T {
+    pub fn next_due(&self) -> T {
         self.last + self.period
     }
 
     /// Whether it is due now. If so, the next period begins.
-    pub(crate) fn take_due(&mut self, now: T) -> bool {
+    pub fn take_due(&mut self, now: T) -> bool {
         let is_due = now >= self.next_due();
         if is_due {
             self.last = now;
