--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -3,7 +3,7 @@
 use crate::control_socket;
 use crate::demand;
 use crate::error::read_configuration;
-use crate::status::Status;
+use mallowseam_iscsi_host::status::Status;
 use mallowseam_settings::GatewayConfig;
 use std::num::NonZeroU64;
 use std::path::{Path, PathBuf};
--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -32,7 +32,9 @@
     #[error("{}", join_lines(.0))]
     PlanParameters(Vec<ParameterError>),
     #[error(transparent)]
-    Process(#[from] Error),
+    Service(#[from] Error),
+    #[error(transparent)]
+    IscsiHost(#[from] mallowseam_iscsi_host::Error),
     #[error(transparent)]
     PlatformHost(#[from] mallowseam_platform_host::HostError),
     #[error(transparent)]
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,7 +1,7 @@
 //! What clients request of each volume, polled from running hosts and recorded interval by interval.
 use crate::control_socket::send_request;
 use crate::error::{FileError, read_text};
-use crate::status::Status;
+use mallowseam_iscsi_host::status::Status;
 use mallowseam_settings::{Arguments, Diagnostics, Token, tokenize};
 use std::collections::BTreeMap;
 use std::num::NonZeroU64;
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,18 +1,14 @@
 //! Errors that more than one module of the package reports.
 pub(crate) use mallowseam_process_io::startup::ProcessError;
 pub(crate) use mallowseam_process_io::text_file::{FileError, read_configuration, read_text};
-use std::io;
 use std::path::PathBuf;
 
-/// Why a host or a service could not start, or could not go on.
+/// Why a service could not start, or could not go on.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A socket or the signals cannot be had, or polling failed.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The host cannot take part in the membership of its fleet.
-    #[error("fleet membership: {0}")]
-    Membership(#[source] io::Error),
     /// The configuration lacks the section of the service that is to run.
     #[error("no section {0}")]
     MissingSection(&'static str),
--- a/crates/gateway/src/plan_service/initial_plans.rs
+++ b/crates/gateway/src/plan_service/initial_plans.rs
@@ -1,8 +1,8 @@
 //! The store of the plan service, and the first versions in it, which the configuration makes.
 use super::wall_clock;
 use crate::error::Error;
-use crate::scheduler_config;
 use mallowseam_change_log::{ChangeLogStore, Error as StoreError};
+use mallowseam_iscsi_host::replicated_plan;
 use mallowseam_plans::state::Change;
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::Volume;
@@ -70,7 +70,7 @@
 fn configured_changes(config: &GatewayConfig) -> impl Iterator<Item = Change> {
     let plans = config.plans.iter().map(|plan| Change::SetPlan {
         name: plan.name.clone(),
-        plan: scheduler_config::replicated_plan(plan),
+        plan: replicated_plan(plan),
     });
     let plan_of = |volume: &Volume| Change::AssignPlan {
         volume: volume.name.clone(),
--- a/crates/gateway/src/snapshot_catalog/node_commands.rs
+++ b/crates/gateway/src/snapshot_catalog/node_commands.rs
@@ -1,9 +1,9 @@
 //! The catalog's commands at nodes: layers are closed to writes, extents are unmapped.
-use crate::node_connections::{NodeRequest, Nodes};
 use crate::service::FIRST_NODE_TOKEN;
 use mallowseam_cow::tree::{LayerId, Location, Tree};
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::scsi;
+use mallowseam_iscsi_host::node_connections::{NodeRequest, Nodes};
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::GatewayConfig;
 use mio::Registry;
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/iscsi-host/src/catalog_client.rs
@@ -4,12 +4,12 @@
 
 pub(crate) use cut_requests::{CompletionDecision, QuiesceRequest};
 
-use crate::json_lines::{Disconnect, LineConnection, LineRead};
 use cut_requests::CutRequests;
 use mallowseam_cow::Millis;
 use mallowseam_cow::messages::{ToCatalog, ToHost};
 use mallowseam_cow::tree::{LayerId, Tree};
 use mallowseam_cow::tree_replica::{Lookup, SLOT_BATCH, TreeReplica};
+use mallowseam_process_io::json_lines::{Disconnect, LineConnection, LineRead};
 use mio::{Registry, Token};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/gateway/src/client_connections.rs
+++ b/crates/iscsi-host/src/client_connections.rs
@@ -1,8 +1,6 @@
 //! Connections of clients. `login`: their logins.
 mod login;
 
-use crate::clock::ticks_to_millis;
-use crate::slab::Slab;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
 use login::LoginAdmission;
 use mallowseam_connection_policy::admission::{
@@ -10,6 +8,8 @@
 };
 use mallowseam_iscsi::target::{TargetConfig, TargetConnection, TargetEvent};
 use mallowseam_scheduler::interface::Tick;
+use mallowseam_sockets::clock::ticks_to_millis;
+use mallowseam_sockets::slab::Slab;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::net::SocketAddr;
--- a/crates/gateway/src/dispatcher/client_commands.rs
+++ b/crates/iscsi-host/src/dispatcher/client_commands.rs
@@ -7,12 +7,12 @@
 use super::mapped_volumes::MappedVolumes;
 use super::transfer::Transfer;
 use crate::client_connections::{ClientId, InFlightCommand};
-use crate::clock::ticks_to_millis;
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_iscsi::scsi::{self, Sense};
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::BioId;
 use mallowseam_scheduler_driver::InFlight;
+use mallowseam_sockets::clock::ticks_to_millis;
 
 /// A command as it comes from a client.
 pub(super) struct ClientRequest {
--- a/crates/gateway/src/dispatcher/commands.rs
+++ b/crates/iscsi-host/src/dispatcher/commands.rs
@@ -3,7 +3,6 @@
 use super::block_ios::PartsInFlight;
 use super::transfer::Transfer;
 use crate::client_connections::ClientId;
-use crate::slab::Slab;
 use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::Millis;
@@ -11,6 +10,7 @@
 use mallowseam_cow::tree::LayerId;
 use mallowseam_iscsi::initiator::Payload;
 use mallowseam_scheduler::interface::BioId;
+use mallowseam_sockets::slab::Slab;
 
 /// Index of a command.
 pub(super) type CommandIndex = u32;
--- a/crates/gateway/src/dispatcher/io_classes.rs
+++ b/crates/iscsi-host/src/dispatcher/io_classes.rs
@@ -1,7 +1,7 @@
 //! I/O classes of the configuration.
-use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_settings::config::{self, Idempotency};
+use mallowseam_sockets::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 
 /// An I/O class of the configuration.
 pub(super) struct IoClass {
--- a/crates/gateway/src/dispatcher/lookups.rs
+++ b/crates/iscsi-host/src/dispatcher/lookups.rs
@@ -3,12 +3,12 @@
 use super::block_io::LayerLocation;
 use super::extent_copies::{CopySource, CopyStep};
 use super::mapped_volumes::{MappedVolumes, UnitExtent, WaitingIo};
-use crate::clock::ticks_to_millis;
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
 use mallowseam_cow::tree_replica::Lookup;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{AttemptResult, BioId};
+use mallowseam_sockets::clock::ticks_to_millis;
 
 impl Dispatcher {
     /// Looks up the location of a block I/O that has just arrived. It waits behind one that waits for the
--- a/crates/gateway/src/dispatcher/mapped_volumes.rs
+++ b/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
@@ -3,7 +3,6 @@
 use super::block_io::{BlockIo, LayerLocation};
 use super::extent_copies::{AfterStep, CopySource, CopyStep, CopyWrite, ExtentCopies};
 use crate::catalog_client::{CatalogClient, CompletionDecision, QuiesceRequest};
-use crate::clock::{ticks_from_micros_ceil, ticks_to_millis};
 use mallowseam_cow::Millis;
 use mallowseam_cow::copy_budget::RETRY_DELAY;
 use mallowseam_cow::messages::ToCatalog;
@@ -11,6 +10,7 @@
 use mallowseam_cow::tree_replica::Lookup;
 use mallowseam_scheduler::interface::{BioId, Tick};
 use mallowseam_settings::config;
+use mallowseam_sockets::clock::{ticks_from_micros_ceil, ticks_to_millis};
 use std::collections::VecDeque;
 
 /// Microseconds in a millisecond.
--- a/crates/gateway/src/dispatcher/split_writes.rs
+++ b/crates/iscsi-host/src/dispatcher/split_writes.rs
@@ -3,11 +3,11 @@
 use super::block_ios::{BlockIos, InFlightIo};
 use super::commands::Commands;
 use crate::catalog_client::{CompletionDecision, QuiesceRequest};
-use crate::clock::ticks_to_millis;
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_cow::split_write::PartAdmission;
 use mallowseam_cow::tree::LayerId;
 use mallowseam_scheduler::interface::BioId;
+use mallowseam_sockets::clock::ticks_to_millis;
 
 impl Dispatcher {
     /// Whether a part of a write may be sent into a layer, as far as cuts are concerned. A write that can
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/iscsi-host/src/endpoint_list.rs
@@ -2,16 +2,16 @@
 //! `known_nodes`: the nodes that the list is about.
 mod known_nodes;
 
-use crate::atomic_file;
-use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ReadOutcome};
 use known_nodes::KnownNodes;
 use mallowseam_connection_policy::endpoint_list_request::EndpointListRequest;
 use mallowseam_endpoint_list::{
     EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
 };
+use mallowseam_process_io::atomic_file;
 use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, Tick};
 use mallowseam_settings::config;
+use mallowseam_sockets::clock::ticks_to_millis;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
--- a/crates/gateway/src/event_loop/apply_plans.rs
+++ b/crates/iscsi-host/src/event_loop/apply_plans.rs
@@ -1,8 +1,8 @@
 //! Applies plans: replicated ones, cached ones, and those of a configuration that is read anew.
 use super::EventLoop;
-use crate::error::{FileError, read_configuration};
 use crate::scheduler_config;
 use mallowseam_plans::state::State;
+use mallowseam_process_io::text_file::{FileError, read_configuration};
 use mallowseam_settings::reload::{self, ReloadOutcome, RestartRequired};
 use std::path::Path;
 
--- a/crates/gateway/src/event_loop/host_status.rs
+++ b/crates/iscsi-host/src/event_loop/host_status.rs
@@ -1,10 +1,10 @@
 //! The host's status, as operators get it.
 use super::EventLoop;
-use crate::clock::ticks_to_millis;
 use crate::metrics::{ClassMetrics, NodeMetrics};
 use crate::status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
 use mallowseam_scheduler::interface::NodeId;
 use mallowseam_settings::config;
+use mallowseam_sockets::clock::ticks_to_millis;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 const MICROS_PER_MILLI: f64 = 1000.0;
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/iscsi-host/src/event_loop/listener.rs
@@ -1,6 +1,5 @@
 //! The listener that clients connect to.
-use crate::error::ProcessError;
-use crate::startup;
+use mallowseam_process_io::startup::{self, ProcessError};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Poll, Token};
 use std::io::ErrorKind;
--- a/crates/gateway/src/event_loop/plans.rs
+++ b/crates/iscsi-host/src/event_loop/plans.rs
@@ -1,18 +1,18 @@
 //! Replicated plans and quotas of their limits.
 use super::demand_meter::DemandMeter;
 use super::sources::PLANS;
-use crate::clock::ticks_to_millis;
 use crate::error::Error;
 use crate::metrics::VolumeMetrics;
 use crate::plan_replication::PlanReplication;
-use crate::startup;
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::replica::HostedVolume;
 use mallowseam_plans::state::State;
+use mallowseam_process_io::startup;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{Tick, VolumeId};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::Volume;
+use mallowseam_sockets::clock::ticks_to_millis;
 use mio::Poll;
 use rand::Rng;
 
--- a/crates/gateway/src/event_loop/shutdown.rs
+++ b/crates/iscsi-host/src/event_loop/shutdown.rs
@@ -1,6 +1,5 @@
 //! Signals and operators that request the host to stop.
-use crate::error::ProcessError;
-use crate::startup;
+use mallowseam_process_io::startup::{self, ProcessError};
 use mio::net::UnixStream;
 use mio::{Poll, Token};
 use std::io::Read;
--- a/crates/gateway/src/event_loop/sources.rs
+++ b/crates/iscsi-host/src/event_loop/sources.rs
@@ -1,7 +1,7 @@
 //! What the event loop polls, and the token of each source.
 use crate::client_connections::ClientId;
-use crate::control_socket::{self, ConnectionId};
 use crate::node_connections::NodeIndex;
+use mallowseam_process_io::control_socket::{self, ConnectionId};
 use mio::Token;
 
 pub(super) const LISTENER: Token = Token(0);
--- a/crates/gateway/src/node_connections.rs
+++ b/crates/iscsi-host/src/node_connections.rs
@@ -2,7 +2,6 @@
 //! needs it; attempts wait for its login in a queue that their own timeouts bound.
 mod node;
 
-use crate::clock::ticks_to_millis;
 use crate::socket_io::ConnectionError;
 use mallowseam_connection_policy::node_connection::CloseReason;
 use mallowseam_iscsi::initiator::{InitiatorEvent, Payload};
@@ -10,13 +9,14 @@
 use mallowseam_iscsi::scsi::{Sense, status};
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::config;
+use mallowseam_sockets::clock::ticks_to_millis;
 use mio::{Registry, Token};
 use node::{Cancellation, Node, NodeRead, Submission};
 use std::collections::VecDeque;
 use std::io;
 
 /// Index of a node in the configuration.
-pub(crate) type NodeIndex = usize;
+pub type NodeIndex = usize;
 
 /// Why a connection to a node ended.
 #[derive(Debug, thiserror::Error)]
@@ -33,26 +33,31 @@
 
 /// What is sent for one attempt.
 #[derive(Clone)]
-pub(crate) struct NodeRequest {
+pub struct NodeRequest {
     /// Unique among the attempts in flight.
-    pub(crate) tag: u32,
+    pub tag: u32,
     /// None: the unit that the configuration names.
-    pub(crate) lun: Option<u32>,
-    pub(crate) cdb: [u8; 16],
+    pub lun: Option<u32>,
+    /// The SCSI command.
+    pub cdb: [u8; 16],
     /// Expected data-in length (RFC 7143, 11.3.4) in bytes.
-    pub(crate) read_len: usize,
+    pub read_len: usize,
     /// Bytes that are written.
-    pub(crate) data: Payload,
+    pub data: Payload,
 }
 
 /// How an attempt ended, with the data of a read.
-pub(crate) struct FinishedAttempt {
-    pub(crate) node: NodeIndex,
-    pub(crate) tag: u32,
-    pub(crate) result: AttemptResult,
+pub struct FinishedAttempt {
+    /// The node that it went to.
+    pub node: NodeIndex,
+    /// The tag of its request.
+    pub tag: u32,
+    /// How it came out.
+    pub result: AttemptResult,
     /// Rejected, as the unit is closed to writes: it has not run.
-    pub(crate) write_protected: bool,
-    pub(crate) data: Vec<u8>,
+    pub write_protected: bool,
+    /// What was read.
+    pub data: Vec<u8>,
 }
 
 impl FinishedAttempt {
@@ -68,7 +73,7 @@
 }
 
 /// The connections to all nodes of the configuration.
-pub(crate) struct Nodes {
+pub struct Nodes {
     all: Vec<Node>,
     initiator: String,
     proposal: ProposedParams,
@@ -82,7 +87,7 @@
 
 impl Nodes {
     /// Knows the nodes of a configuration; no connection is opened. Their tokens begin with `first_token`.
-    pub(crate) fn new(
+    pub fn new(
         nodes: &[config::Node],
         initiator: String,
         proposal: ProposedParams,
@@ -101,12 +106,17 @@
     }
 
     /// How many nodes the configuration has.
-    pub(crate) fn len(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.all.len()
     }
 
+    /// Whether the configuration has no nodes.
+    pub fn is_empty(&self) -> bool {
+        self.all.is_empty()
+    }
+
     /// The node's name in the configuration.
-    pub(crate) fn name(&self, node: NodeIndex) -> &str {
+    pub fn name(&self, node: NodeIndex) -> &str {
         self.all[node].name()
     }
 
@@ -121,7 +131,7 @@
     }
 
     /// The next attempt that has ended by itself.
-    pub(crate) fn next_finished(&mut self) -> Option<FinishedAttempt> {
+    pub fn next_finished(&mut self) -> Option<FinishedAttempt> {
         self.finished.pop_front()
     }
 
@@ -137,7 +147,7 @@
 
     /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be
     /// tried.
-    pub(crate) fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
+    pub fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
         let tag = request.tag;
         match self.all[index].submit(request) {
             Submission::Sent => self.mark_dirty(index),
@@ -166,7 +176,7 @@
 
     /// Stops waiting for an attempt; one that was sent is aborted. True: it was never sent, so it has not
     /// run.
-    pub(crate) fn cancel(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
+    pub fn cancel(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
         match self.all[index].cancel(tag, now) {
             Cancellation::Unsent => true,
             Cancellation::Aborted => {
@@ -190,7 +200,7 @@
 
     /// The node's socket is ready, to be read if `readable`, and to be written in any case.
     /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
-    pub(crate) fn on_ready(
+    pub fn on_ready(
         &mut self,
         index: NodeIndex,
         readable: bool,
@@ -208,7 +218,7 @@
     }
 
     /// Reads once. True: there may be more to read.
-    pub(crate) fn read(&mut self, index: NodeIndex, buffer: &mut [u8], now: Tick) -> bool {
+    pub fn read(&mut self, index: NodeIndex, buffer: &mut [u8], now: Tick) -> bool {
         match self.all[index].read(buffer) {
             NodeRead::Nothing => {}
             NodeRead::Received(received) => {
@@ -288,7 +298,7 @@
     }
 
     /// Writes what waits for the nodes.
-    pub(crate) fn flush(&mut self) {
+    pub fn flush(&mut self) {
         while let Some(index) = self.dirty.pop() {
             if let Err(e) = self.all[index].flush() {
                 self.disconnect(index, &e.into());
@@ -297,7 +307,7 @@
     }
 
     /// Closes connections that have timed out.
-    pub(crate) fn on_timer(&mut self, now: Tick) {
+    pub fn on_timer(&mut self, now: Tick) {
         for index in 0..self.all.len() {
             if let Some(reason) = self.all[index].check_timeouts(now) {
                 self.disconnect(index, &Disconnect::Timeout(reason));
--- a/crates/gateway/src/node_connections/node.rs
+++ b/crates/iscsi-host/src/node_connections/node.rs
@@ -1,13 +1,13 @@
 //! One storage node and the connection to it.
 use super::NodeRequest;
-use crate::clock::ticks_to_millis;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
-use crate::startup;
 use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
 use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_process_io::startup;
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::config;
+use mallowseam_sockets::clock::ticks_to_millis;
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use std::collections::VecDeque;
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/iscsi-host/src/plan_replication.rs
@@ -1,11 +1,11 @@
 //! The connection to the plan service, and the cached copy of its plans for a start without it.
-use crate::atomic_file;
-use crate::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::messages::HostMessage;
 use mallowseam_plans::replica::{HostedVolume, PlanReplica, ReplicaAction};
 use mallowseam_plans::state::State;
 use mallowseam_plans::{MilliUnits, Millis};
+use mallowseam_process_io::atomic_file;
+use mallowseam_process_io::json_lines::{Disconnect, LineConnection, LineRead};
 use mio::{Registry, Token};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/gateway/src/scheduler_config.rs
+++ b/crates/iscsi-host/src/scheduler_config.rs
@@ -1,10 +1,10 @@
 //! Converts the configuration to the scheduler's, to layouts of volumes and to the replicated form of plans.
-use crate::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_plans::state;
 use mallowseam_scheduler::interface::{Idempotency, IoClass, Plan, SchedulerConfig};
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{self, Direction};
+use mallowseam_sockets::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use std::num::NonZeroU64;
 
 /// Replicated figures are in thousandths.
