--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -29,16 +29,12 @@
     write_line: &mut dyn FnMut(&str),
 ) {
     let began = Instant::now();
-    let mut last: Vec<Option<Status>> = vec![None; control_sockets.len()];
+    let mut hosts: Vec<PolledHost> = control_sockets.iter().map(PolledHost::new).collect();
     let mut interval = 0;
     loop {
         let mut rates: BTreeMap<String, Rates> = BTreeMap::new();
-        for (socket, last) in control_sockets.iter().zip(&mut last) {
-            let status = poll(socket, write_line);
-            if let (Some(old), Some(new)) = (last.as_ref(), status.as_ref()) {
-                add_rates(&mut rates, old, new, write_line);
-            }
-            *last = status;
+        for host in &mut hosts {
+            host.poll(&mut rates, write_line);
         }
         // The first poll only states where the counters begin.
         if interval > 0 {
@@ -64,6 +60,31 @@
     }
 }
 
+/// A host that is polled.
+struct PolledHost<'a> {
+    control_socket: &'a Path,
+    /// Its status at the last poll; none: it did not answer.
+    last: Option<Status>,
+}
+
+impl<'a> PolledHost<'a> {
+    fn new(control_socket: &'a PathBuf) -> Self {
+        PolledHost {
+            control_socket,
+            last: None,
+        }
+    }
+
+    /// Polls the host, and adds its rates since the last poll.
+    fn poll(&mut self, rates: &mut BTreeMap<String, Rates>, write_line: &mut dyn FnMut(&str)) {
+        let status = poll(self.control_socket, write_line);
+        if let (Some(old), Some(new)) = (&self.last, &status) {
+            add_rates(rates, old, new, write_line);
+        }
+        self.last = status;
+    }
+}
+
 /// Requests the status of a host. A failure is written as a comment.
 fn poll(socket: &Path, write_line: &mut dyn FnMut(&str)) -> Option<Status> {
     let status = match send_request(socket, "status") {
