--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -2,10 +2,11 @@
 use super::fleet::FleetError;
 use super::plan_parameters::ParameterError;
 use crate::control_socket::RequestError;
-use crate::error::{Error, FileError};
+use crate::error::Error;
 use crate::placement::PlacementError;
 use crate::snapshot_archive::ArchiveError;
 use crate::verify::VerifyError;
+use mallowseam_files::text_file::FileError;
 use std::fmt::Display;
 use std::io;
 use std::path::PathBuf;
@@ -32,7 +33,9 @@
     #[error("{}", join_lines(.0))]
     PlanParameters(Vec<ParameterError>),
     #[error(transparent)]
-    Process(#[from] Error),
+    Service(#[from] Error),
+    #[error(transparent)]
+    IscsiHost(#[from] mallowseam_iscsi_host::Error),
     #[error(transparent)]
     PlatformHost(#[from] mallowseam_platform_host::HostError),
     #[error(transparent)]
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -1,7 +1,7 @@
 //! Subcommands that run a process in the foreground, and the check of their configuration.
 use super::error::CommandError;
-use crate::error::read_configuration;
 use clap::ValueEnum;
+use mallowseam_files::text_file::read_configuration;
 use std::path::{Path, PathBuf};
 
 /// Environment variable that names the configuration of a host of the users' platform.
--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -1,7 +1,7 @@
 //! Answer files: what `work-out` prints, as lines `place`, `share` and `part`.
 use super::error::PlacementError;
 use super::problem_file::RATE;
-use crate::error::read_text;
+use mallowseam_files::text_file::read_text;
 use mallowseam_placement::Placement;
 use mallowseam_placement::problem::{MAX_NUMBER, Problem};
 use mallowseam_settings::edit::Share;
--- a/crates/gateway/src/placement/error.rs
+++ b/crates/gateway/src/placement/error.rs
@@ -1,5 +1,5 @@
 //! Why a subcommand of `shares` gives no answer.
-use crate::error::FileError;
+use mallowseam_files::text_file::FileError;
 use mallowseam_settings::Diagnostics;
 use std::io;
 use std::path::PathBuf;
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -1,6 +1,6 @@
 //! Runs the plan service with the plans of a configuration.
 use crate::error::Error;
-use crate::scheduler_config;
+use mallowseam_iscsi_host::replicated_plan;
 use mallowseam_plans::state::Change;
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::Volume;
@@ -22,7 +22,7 @@
 fn configured_changes(config: &GatewayConfig) -> Vec<Change> {
     let plans = config.plans.iter().map(|plan| Change::SetPlan {
         name: plan.name.clone(),
-        plan: scheduler_config::replicated_plan(plan),
+        plan: replicated_plan(plan),
     });
     let plan_of = |volume: &Volume| Change::AssignPlan {
         volume: volume.name.clone(),
--- a/crates/gateway/src/catalog_client.rs
+++ b/crates/iscsi-host/src/catalog_client.rs
@@ -4,8 +4,8 @@
 
 pub(crate) use cut_requests::{CompletionDecision, QuiesceRequest};
 
-use crate::json_lines::{Disconnect, LineConnection, LineRead};
 use cut_requests::CutRequests;
+use mallowseam_control_protocol::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_cow::Millis;
 use mallowseam_cow::messages::{ToCatalog, ToHost};
 use mallowseam_cow::tree::{LayerId, Tree};
