--- a/crates/iscsi-host/src/catalog_client/cut_requests.rs
+++ b/crates/iscsi-host/src/catalog_client/cut_requests.rs
@@ -1,4 +1,7 @@
 //! What the catalog has told this host of cuts, and waits for.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
 use mallowseam_cow::tree::LayerId;
--- /dev/null
+++ b/crates/iscsi-host/src/catalog_client/cut_requests/tests.rs
@@ -0,0 +1,30 @@
+//! What the host knows of pending cuts.
+use super::{CutRequests, QuiesceRequest};
+use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
+
+#[test]
+fn a_cut_is_pending_until_it_is_over_or_has_timed_out() {
+    let mut cuts = CutRequests::default();
+    cuts.quiesce(1024, "a".to_owned(), 10);
+    assert!(cuts.has_pending("a", 10 + CUT_TIMEOUT - 1));
+    assert!(!cuts.has_pending("a", 10 + CUT_TIMEOUT));
+    assert!(!cuts.has_pending("b", 10));
+    cuts.cut_finished("a");
+    assert!(!cuts.has_pending("a", 10));
+}
+
+#[test]
+fn layers_are_reported_once_and_only_without_a_split_write() {
+    let mut cuts = CutRequests::default();
+    cuts.quiesce(1024, "a".to_owned(), 0);
+    cuts.quiesce(1025, "b".to_owned(), 0);
+    cuts.quiesce(1024, "a".to_owned(), 0);
+    let layers = |requests: Vec<QuiesceRequest>| -> Vec<u32> {
+        requests.iter().map(|request| request.layer).collect()
+    };
+    let quiesced = cuts.take_quiesced(|request| request.layer == 1025);
+    assert_eq!(layers(quiesced), [1024]);
+    assert!(cuts.is_quiescing());
+    assert_eq!(layers(cuts.take_quiesced(|_| false)), [1025]);
+    assert!(!cuts.is_quiescing());
+}
--- a/crates/iscsi-host/src/dispatcher/attempt_tags.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_tags.rs
@@ -1,4 +1,7 @@
 //! Tags of attempts, by which a late answer is told from that of a later attempt.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_scheduler::interface::BioId;
 
 /// A tag has the block I/O's index in its lower bits and the number of the attempt above them.
--- a/crates/iscsi-host/src/dispatcher/attempt_timeouts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_timeouts.rs
@@ -1,4 +1,7 @@
 //! When attempts time out.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_scheduler::interface::Tick;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/iscsi-host/src/dispatcher/commands.rs
+++ b/crates/iscsi-host/src/dispatcher/commands.rs
@@ -1,4 +1,7 @@
 //! Commands of clients, whose outcome is that of their parts.
+#[cfg(test)]
+mod tests;
+
 use super::block_io::LayerLocation;
 use super::block_ios::PartsInFlight;
 use super::transfer::Transfer;
--- /dev/null
+++ b/crates/iscsi-host/src/dispatcher/commands/tests.rs
@@ -0,0 +1,111 @@
+//! How parts make the outcome of a command.
+use super::{Commands, Issuer, NewCommand};
+use crate::dispatcher::block_ios::PartsInFlight;
+use crate::dispatcher::transfer::Transfer;
+use mallowseam_connection_policy::command_progress::RequestOutcome;
+use mallowseam_connection_policy::request_splitting::SubRequest;
+use mallowseam_cow::split_write::PartAdmission;
+
+const ISSUER: Issuer = Issuer { client: 1, task: 9 };
+const BLOCK_SIZE: u32 = 2;
+const LAYER: u32 = 1024;
+
+/// A command of two blocks.
+fn command(write: bool, parts: u32) -> NewCommand {
+    NewCommand {
+        issuer: ISSUER,
+        transfer: Transfer {
+            write,
+            lba: 0,
+            blocks: 2,
+            group_number: 5,
+        },
+        block_size: BLOCK_SIZE,
+        data: if write { vec![1, 2, 3, 4] } else { Vec::new() },
+        parts,
+    }
+}
+
+/// The part with one of the blocks.
+fn part(offset: u32) -> SubRequest {
+    SubRequest {
+        offset,
+        blocks: 1,
+        shard: 0,
+        node_lba: 0,
+        class: 0,
+        ordering_key: None,
+    }
+}
+
+#[test]
+fn a_read_of_two_parts_is_answered_with_both_in_their_order() {
+    let mut commands = Commands::default();
+    let index = commands.insert(command(false, 2));
+    let first = commands.part_completed(index, &part(1), None, vec![3, 4]);
+    assert!(first.is_none());
+    let answer = commands.part_completed(index, &part(0), None, vec![1, 2]);
+    let answer = answer.expect("complete");
+    assert_eq!(answer.issuer, Some(ISSUER));
+    assert_eq!(answer.outcome, RequestOutcome::Completed);
+    assert_eq!(answer.data, [1, 2, 3, 4]);
+}
+
+#[test]
+fn an_attempt_at_a_part_of_a_write_sends_its_blocks_only() {
+    let mut commands = Commands::default();
+    let index = commands.insert(command(true, 2));
+    let transfer = commands.begin_attempt(index, &part(1), false);
+    let transfer = transfer.expect("known");
+    assert_eq!(transfer.group_number, 5);
+    assert_eq!(transfer.data.bytes(), [3, 4]);
+}
+
+#[test]
+fn a_command_whose_non_idempotent_part_may_have_run_fails_instead_of_being_shed() {
+    let shed = RequestOutcome::Shed {
+        retry_after: Some(1),
+    };
+    let mut commands = Commands::default();
+    let index = commands.insert(command(true, 2));
+    commands.begin_attempt(index, &part(0), true);
+    let answer = commands.part_finished(index, shed, Vec::new());
+    assert_eq!(answer.expect("decided").outcome, RequestOutcome::Failed);
+
+    let index = commands.insert(command(true, 2));
+    commands.begin_attempt(index, &part(0), true);
+    commands.attempt_did_not_run(index);
+    let answer = commands.part_finished(index, shed, Vec::new());
+    assert_eq!(answer.expect("decided").outcome, shed);
+}
+
+#[test]
+fn an_abandoned_command_gets_no_answer_and_ends_with_its_last_part() {
+    let mut commands = Commands::default();
+    let index = commands.insert(command(true, 2));
+    assert!(commands.abandon(index));
+    assert!(!commands.abandon(index), "it is abandoned already");
+    let answer = commands.part_finished(index, RequestOutcome::Failed, Vec::new());
+    assert!(answer.is_none());
+    commands.release_part(index);
+    assert!(commands.is_answered(index));
+    commands.release_part(index);
+    assert!(!commands.is_answered(index), "it is gone");
+    assert_eq!(commands.insert(command(true, 1)), index);
+}
+
+#[test]
+fn no_split_write_begins_while_a_cut_is_pending() {
+    let mut commands = Commands::default();
+    let index = commands.insert(command(true, 2));
+    let none = PartsInFlight::default();
+    let begun = PartsInFlight {
+        any: true,
+        in_other_layer: false,
+    };
+    let cut_pending = true;
+    let mut admit = |parts, cut_pending| commands.admit_part(index, LAYER, parts, cut_pending, 0);
+    assert_eq!(admit(none, cut_pending), PartAdmission::Wait);
+    assert_eq!(admit(begun, cut_pending), PartAdmission::Send);
+    assert_eq!(admit(none, !cut_pending), PartAdmission::Send);
+}
--- a/crates/iscsi-host/src/dispatcher/extent_copies.rs
+++ b/crates/iscsi-host/src/dispatcher/extent_copies.rs
@@ -1,4 +1,7 @@
 //! Copy-on-write: an extent is copied to a new location before its first write in a layer.
+#[cfg(test)]
+mod tests;
+
 use super::block_io::LayerLocation;
 use super::volumes::VolumeIndex;
 use mallowseam_connection_policy::request_splitting::SubRequest;
--- a/crates/iscsi-host/src/endpoint_list/known_nodes.rs
+++ b/crates/iscsi-host/src/endpoint_list/known_nodes.rs
@@ -1,4 +1,7 @@
 //! The nodes of the configuration, and the present run of each as this host knows it.
+#[cfg(test)]
+mod tests;
+
 use mallowseam_endpoint_list::{Endpoint, EndpointState};
 use mallowseam_scheduler::interface::{NodeEndpoint, NodeId, NodeState, Tick};
 use mallowseam_settings::config;
--- a/crates/iscsi-host/src/event_loop/demand_meter.rs
+++ b/crates/iscsi-host/src/event_loop/demand_meter.rs
@@ -1,4 +1,7 @@
 //! What clients request of each volume, measured period by period.
+#[cfg(test)]
+mod tests;
+
 use crate::metrics::VolumeMetrics;
 use mallowseam_plans::MilliUnits;
 use mallowseam_scheduler::interface::Tick;
--- a/crates/iscsi-host/src/event_loop/sources.rs
+++ b/crates/iscsi-host/src/event_loop/sources.rs
@@ -1,4 +1,7 @@
 //! What the event loop polls, and the token of each source.
+#[cfg(test)]
+mod tests;
+
 use crate::client_connections::ClientId;
 use crate::node_connections::NodeIndex;
 use mallowseam_control_protocol::control_socket::{self, ConnectionId};
