--- a/crates/models/src/membership/measurements.rs
+++ b/crates/models/src/membership/measurements.rs
@@ -150,7 +150,8 @@
 fn cost_at_rest(fleet: &mut Simulation) -> (f64, f64) {
     // Until the updates of the start have been sent as often as they are.
     fleet.run_until(fleet.now + REST);
-    let (datagrams, bytes) = (fleet.datagrams, fleet.bytes);
+    let datagrams = fleet.datagrams;
+    let bytes = fleet.bytes;
     fleet.run_until(fleet.now + REST);
     let host_seconds = fleet.len() as f64 * REST as f64 / 1e3;
     (
@@ -255,7 +256,8 @@
     let mut last_heard = vec![vec![0usize; hosts]; hosts];
     let mut unreachable = vec![vec![false; hosts]; hosts];
     let mut stopped_until = vec![0usize; hosts];
-    let (mut positives, mut pair_seconds) = (0, 0);
+    let mut positives = 0;
+    let mut pair_seconds = 0;
     for now in 1..=(FAULTS / PERIOD) as usize {
         for _ in 0..stops_in_a_second(hosts, &mut rng) {
             let until = now + rng.random_range(0..=(MAX_STOP / PERIOD) as usize);
--- a/crates/testbed/src/benchmark.rs
+++ b/crates/testbed/src/benchmark.rs
@@ -5,7 +5,7 @@
 
 use crate::error::RunError;
 use crate::process::{KilledOnDrop, Program};
-pub(crate) use clients::latency_histogram;
+pub(crate) use clients::{BLOCKS, latency_histogram, send_command};
 use clients::{Phase, Target};
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
--- a/crates/testbed/src/benchmark/clients.rs
+++ b/crates/testbed/src/benchmark/clients.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Blocks of one command: 4 KiB.
-const BLOCKS: u32 = 8;
+pub(crate) const BLOCKS: u32 = 8;
 /// Part of the commands that write.
 const WRITE_FRACTION: f64 = 0.3;
 /// Largest latency of the histogram in nanoseconds, and its significant digits.
@@ -83,67 +83,101 @@
     seconds: u64,
     seed: u64,
 ) -> Result<Phase, RunError> {
-    let mut client = target.connect(index)?;
-    let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    // When the command of each tag was sent.
-    let mut sent_at: Vec<Option<Instant>> = vec![None; depth];
-    let mut latencies = latency_histogram();
-    let (mut completed, mut rejected) = (0u64, 0);
+    let mut connection = Connection {
+        client: target.connect(index)?,
+        rng: Pcg64Mcg::seed_from_u64(seed),
+        sent_at: vec![None; depth],
+        latencies: latency_histogram(),
+        completed: 0,
+        rejected: 0,
+    };
     let began = Instant::now();
     let duration = Duration::from_secs(seconds);
-    loop {
-        let over = began.elapsed() >= duration;
-        for (tag, slot) in sent_at.iter_mut().enumerate() {
-            if slot.is_none() && !over && client.conn.can_send() {
-                send_random(&mut client, tag as u32, completed + 1, &mut rng);
-                *slot = Some(Instant::now());
+    while began.elapsed() < duration {
+        connection.fill();
+        connection.exchange()?;
+    }
+    while connection.has_commands_in_flight() {
+        connection.exchange()?;
+    }
+    Ok(Phase {
+        rate: connection.completed as f64 / began.elapsed().as_secs_f64(),
+        latencies: connection.latencies,
+        rejected: connection.rejected,
+    })
+}
+
+/// One connection of a phase, and what was measured on it.
+struct Connection {
+    client: BlockingClient,
+    rng: Pcg64Mcg,
+    /// When the command of each tag was sent; none where none is in flight.
+    sent_at: Vec<Option<Instant>>,
+    latencies: Histogram<u64>,
+    completed: u64,
+    rejected: u64,
+}
+
+impl Connection {
+    fn has_commands_in_flight(&self) -> bool {
+        self.sent_at.iter().any(Option::is_some)
+    }
+
+    /// Sends commands until all tags are in flight, or the host takes no more.
+    fn fill(&mut self) {
+        for tag in 0..self.sent_at.len() {
+            if self.sent_at[tag].is_none() && self.client.conn.can_send() {
+                self.send_random(tag as u32);
+                self.sent_at[tag] = Some(Instant::now());
             }
         }
-        if over && sent_at.iter().all(Option::is_none) {
-            break;
-        }
-        client.exchange()?;
-        while let Some(event) = client.conn.next_event() {
-            let InitiatorEvent::CommandCompleted {
-                tag, status: code, ..
-            } = event
-            else {
-                continue;
-            };
-            let Some(at) = sent_at[tag as usize].take() else {
-                continue;
-            };
-            if code == status::GOOD {
-                latencies.saturating_record(at.elapsed().as_nanos() as u64);
-                completed += 1;
-            } else {
-                rejected += 1;
+    }
+
+    /// Sends a read, or a write of an id, of random blocks.
+    fn send_random(&mut self, tag: u32) {
+        let lba = self.rng.random_range(0..VOLUME_BLOCKS / u64::from(BLOCKS)) * u64::from(BLOCKS);
+        let write = self.rng.random::<f64>() < WRITE_FRACTION;
+        let write_id = write.then_some(self.completed + 1);
+        send_command(&mut self.client, tag, lba, write_id);
+    }
+
+    fn exchange(&mut self) -> Result<(), RunError> {
+        self.client.exchange()?;
+        while let Some(event) = self.client.conn.next_event() {
+            if let InitiatorEvent::CommandCompleted { tag, status, .. } = event {
+                self.on_completed(tag, status);
             }
         }
+        Ok(())
+    }
+
+    fn on_completed(&mut self, tag: u32, code: u8) {
+        let Some(at) = self.sent_at[tag as usize].take() else {
+            return;
+        };
+        if code == status::GOOD {
+            self.latencies
+                .saturating_record(at.elapsed().as_nanos() as u64);
+            self.completed += 1;
+        } else {
+            self.rejected += 1;
+        }
     }
-    Ok(Phase {
-        rate: completed as f64 / began.elapsed().as_secs_f64(),
-        latencies,
-        rejected,
-    })
 }
 
-/// Sends a read, or a write of an id, of random blocks.
-fn send_random(client: &mut BlockingClient, tag: u32, write_id: u64, rng: &mut Pcg64Mcg) {
-    let lba = rng.random_range(0..VOLUME_BLOCKS / u64::from(BLOCKS)) * u64::from(BLOCKS);
-    let write = rng.random::<f64>() < WRITE_FRACTION;
-    let data = if write {
-        block::write(write_id, lba, BLOCKS)
-    } else {
-        Vec::new()
-    };
-    let read_len = if write {
-        0
-    } else {
-        BLOCKS as usize * block::SIZE
-    };
-    let cdb = scsi::read_or_write_16(write, lba, BLOCKS, 0);
-    client
-        .conn
-        .send_command(tag, 0, &cdb, read_len, data.into());
+/// Sends a read, or the write with an id, of [`BLOCKS`] blocks.
+pub(crate) fn send_command(client: &mut BlockingClient, tag: u32, lba: u64, write_id: Option<u64>) {
+    let cdb = scsi::read_or_write_16(write_id.is_some(), lba, BLOCKS, 0);
+    let read_len = BLOCKS as usize * block::SIZE;
+    match write_id {
+        Some(id) => {
+            let data = block::write(id, lba, BLOCKS);
+            client.conn.send_command(tag, 0, &cdb, 0, data.into());
+        }
+        None => {
+            client
+                .conn
+                .send_command(tag, 0, &cdb, read_len, Vec::new().into());
+        }
+    }
 }
--- a/crates/testbed/src/cli/models.rs
+++ b/crates/testbed/src/cli/models.rs
@@ -1,11 +1,13 @@
 //! `model`: fleets in simulated time.
 use super::{ColdStartOptions, CommandResult, Finding, MembershipModelOptions};
 use mallowseam_audit::membership::convergence_periods;
-use mallowseam_models::cold_start::{self as cold_start_model, ColdStartCase};
+use mallowseam_models::cold_start::{self as cold_start_model, ColdStartCase, ColdStartOutcome};
 use mallowseam_models::membership::files::{self, ProtocolMeasurements};
 use mallowseam_models::membership::measurements::{self, Measurements, Protocol};
 use mallowseam_testbed::fleet::peers::NOTIFICATION_DEADLINE;
 
+const MICROS_PER_MS: u64 = 1_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 /// Simulated time in microseconds after which a case ends.
 const MAX_SIMULATED: u64 = 3_600_000_000;
 /// Bytes a second and host that the membership protocol may send at rest.
@@ -14,9 +16,11 @@
 const MAX_QUEUED: u64 = 1_000_000;
 
 pub(super) fn cold_start(options: &ColdStartOptions) -> CommandResult {
-    let (takes, down, seed) = (options.takes, options.down, options.seed);
     println!(
-        "simulated, seed {seed}, {takes} ms a call, down for {down} s; bound: 1.5 * hosts * {takes} ms"
+        "simulated, seed {}, {takes} ms a call, down for {} s; bound: 1.5 * hosts * {takes} ms",
+        options.seed,
+        options.down,
+        takes = options.takes
     );
     println!(
         "{:>7}{:>10}{:>8}{:>14}{:>9}{:>11}{:>11}{:>9}{:>11}",
@@ -41,47 +45,54 @@
     hosts: u32,
     options: &ColdStartOptions,
 ) -> Result<bool, Box<dyn std::error::Error>> {
-    let (takes, down) = (options.takes * 1_000, options.down * 1_000_000);
+    let service_time = options.takes * MICROS_PER_MS;
     let case = ColdStartCase {
         hosts,
-        service_time: takes,
+        service_time,
         advertised_service_time: None,
-        down_until: down,
+        down_until: options.down * MICROS_PER_SECOND,
         already_running: false,
     };
-    let run = |case| cold_start_model::run(case, options.seed, MAX_SIMULATED);
-    let paced = run(ColdStartCase {
-        advertised_service_time: Some(takes),
-        ..case
-    });
-    let untold = run(case);
-    let before = run(ColdStartCase {
-        advertised_service_time: Some(0),
-        ..case
-    });
-    let bound = 1.5 * f64::from(hosts) * takes as f64 / 1e6;
-    for (name, result) in [("told", &paced), ("untold", &untold), ("before", &before)] {
-        let seconds = |part| {
-            result
-                .list_delay_within(part)
-                .map_or(f64::NAN, |at| at as f64 / 1e6)
+    let run = |advertised_service_time| {
+        let case = ColdStartCase {
+            advertised_service_time,
+            ..case
         };
-        println!(
-            "{hosts:>7}{:>10}{:>8.2}{:>14}{:>9}{:>11.2}{:>11.2}{bound:>9.2}{:>11}  {name}",
-            result.polls,
-            result.polls as f64 / f64::from(hosts),
-            result.max_queued,
-            result.rejected,
-            seconds(0.95),
-            seconds(1.0),
-            result.hosts_with_list_by(NOTIFICATION_DEADLINE)
-        );
+        cold_start_model::run(case, options.seed, MAX_SIMULATED)
+    };
+    let paced = run(Some(service_time));
+    let untold = run(None);
+    let before = run(Some(0));
+    for (name, outcome) in [("told", &paced), ("untold", &untold), ("before", &before)] {
+        print_cold_start(name, case, outcome);
     }
     if let Some(out) = &options.out {
         let cases = [("paced", &paced), ("untold", &untold), ("before", &before)];
         cold_start_model::write(out, &format!("cold-start-{hosts}"), &cases)?;
     }
-    Ok(paced.list_delays.len() == hosts as usize && paced.max_queued as u64 * takes <= MAX_QUEUED)
+    let all_have_a_list = paced.list_delays.len() == hosts as usize;
+    Ok(all_have_a_list && paced.max_queued as u64 * service_time <= MAX_QUEUED)
+}
+
+/// Prints one row.
+fn print_cold_start(name: &str, case: ColdStartCase, outcome: &ColdStartOutcome) {
+    let hosts = case.hosts;
+    let bound = 1.5 * f64::from(hosts) * case.service_time as f64 / 1e6;
+    let seconds = |part| {
+        outcome
+            .list_delay_within(part)
+            .map_or(f64::NAN, |at| at as f64 / 1e6)
+    };
+    println!(
+        "{hosts:>7}{:>10}{:>8.2}{:>14}{:>9}{:>11.2}{:>11.2}{bound:>9.2}{:>11}  {name}",
+        outcome.polls,
+        outcome.polls as f64 / f64::from(hosts),
+        outcome.max_queued,
+        outcome.rejected,
+        seconds(0.95),
+        seconds(1.0),
+        outcome.hosts_with_list_by(NOTIFICATION_DEADLINE)
+    );
 }
 
 pub(super) fn membership(options: &MembershipModelOptions) -> CommandResult {
--- a/crates/testbed/src/fleet/peers/clients.rs
+++ b/crates/testbed/src/fleet/peers/clients.rs
@@ -121,13 +121,9 @@
         let Ok(Some(head)) = ResponseHead::parse(response, HTTP_LIMITS) else {
             return self.close(index, true);
         };
-        let retry_after = head
-            .headers
-            .single("Retry-After")
-            .ok()
-            .flatten()
-            .and_then(|t| t.parse::<f64>().ok());
-        let (status, closes) = (head.status, head.close);
+        let retry_after = retry_after(&head);
+        let status = head.status;
+        let closes = head.close;
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
@@ -154,10 +150,7 @@
             idle.push(index);
         }
         if status != 200 {
-            self.schedule_retry(
-                &operation,
-                retry_after.map(|seconds| (seconds * 1e6) as Micros),
-            );
+            self.schedule_retry(&operation, retry_after);
         }
     }
 
@@ -178,3 +171,9 @@
         self.close(index, false);
     }
 }
+
+/// The time that a host names for a retry.
+fn retry_after(head: &ResponseHead) -> Option<Micros> {
+    let seconds: f64 = head.headers.single("Retry-After").ok()??.parse().ok()?;
+    Some((seconds * 1e6) as Micros)
+}
--- a/crates/testbed/src/fleet/peers/connections.rs
+++ b/crates/testbed/src/fleet/peers/connections.rs
@@ -65,6 +65,16 @@
     read_paused: bool,
 }
 
+impl Connection {
+    /// Its identity at this place in the table.
+    pub(super) fn id(&self, index: u32) -> ConnectionId {
+        ConnectionId {
+            index,
+            serial: self.serial,
+        }
+    }
+}
+
 /// Whether a connection went on when its pipes were pumped.
 enum Pumped {
     Moved,
--- a/crates/testbed/src/fleet/peers/discovery.rs
+++ b/crates/testbed/src/fleet/peers/discovery.rs
@@ -46,13 +46,8 @@
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
-        let (id, host) = (
-            ConnectionId {
-                index,
-                serial: connection.serial,
-            },
-            connection.host,
-        );
+        let id = connection.id(index);
+        let host = connection.host;
         let ConnectionRole::Poll { list, is_watch, .. } = &mut connection.role else {
             return;
         };
@@ -98,18 +93,21 @@
             host,
             version: self.endpoints.version,
         });
+        self.send_list(id.index, is_watch, &line);
+    }
+
+    /// Sends a line of the list as a whole response, or as the first chunk of a watch.
+    fn send_list(&mut self, index: u32, is_watch: bool, line: &str) {
         if is_watch {
-            self.send(
-                id.index,
-                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-            );
-            self.send(id.index, http_chunk(&line).as_bytes());
+            let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+            self.send(index, head);
+            self.send(index, http_chunk(line).as_bytes());
         } else {
             let head = format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
                 line.len()
             );
-            self.send(id.index, (head + &line).as_bytes());
+            self.send(index, (head + line).as_bytes());
         }
     }
 
@@ -124,7 +122,8 @@
     }
 
     fn record_endpoint_sent(&mut self, host: u32, node: u32, entry: ListedNode, version: u64) {
-        let (accepting, started_at) = (entry.accepting(), entry.started_at);
+        let accepting = entry.accepting();
+        let started_at = entry.started_at;
         self.record(Event::EndpointSent {
             host,
             node,
@@ -160,7 +159,8 @@
 
     /// An update that was not sent to a host counts as received some time later. `notified`: the watches that got it.
     fn record_undelivered(&mut self, notified: &[u32], node: u32, entry: ListedNode) {
-        let (now, version) = (self.now(), self.endpoints.version);
+        let now = self.now();
+        let version = self.endpoints.version;
         for host in 0..self.scenario.hosts {
             if notified
                 .iter()
@@ -200,7 +200,8 @@
 
     /// Whether a host's poll would reach the service, be served and be answered.
     fn can_reach_discovery(&self, host: u32) -> bool {
-        let (host, list) = (Peer::Host(host), Peer::List(0));
+        let host = Peer::Host(host);
+        let list = Peer::List(0);
         let is_whole = |from, to| {
             let fault = self.links.fault_between(from, to);
             !fault.blocks() && fault.reset_after_bytes == 0
--- a/crates/testbed/src/fleet/peers/nodes.rs
+++ b/crates/testbed/src/fleet/peers/nodes.rs
@@ -1,5 +1,4 @@
 //! The nodes: their starts and stops, hosts' requests to them, and their responses.
-use super::connections::ConnectionId;
 use super::{ConnectionRole, Event, HTTP_LIMITS, ListedNode, NodeStatus, SimulatedPeers, Timer};
 use crate::fleet::error::TestbedError;
 use mallowseam_audit::trace::Micros;
@@ -107,24 +106,15 @@
 
     /// A whole request of a host has arrived at a node.
     pub(super) fn on_node_request(&mut self, index: u32, request: &[u8]) {
-        let Ok(Some(head)) = RequestHead::parse(request, HTTP_LIMITS) else {
+        let Some(Attempt { op, units, write }) = Attempt::parse(request) else {
             return self.close(index, true);
         };
-        let header = |name| head.headers.single(name).ok().flatten().unwrap_or_default();
-        let op = u64::from_str_radix(header("X-Request-ID"), 16).unwrap_or(0);
-        let units = placement_units(header("X-Placement")).unwrap_or(1);
-        let write = head.method == "PUT";
         let now = self.now();
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
-        let (id, host) = (
-            ConnectionId {
-                index,
-                serial: connection.serial,
-            },
-            connection.host,
-        );
+        let id = connection.id(index);
+        let host = connection.host;
         let ConnectionRole::Node {
             node,
             pending,
@@ -189,6 +179,26 @@
     }
 }
 
+/// What a host's request asks of a node.
+struct Attempt {
+    op: u64,
+    units: u32,
+    write: bool,
+}
+
+impl Attempt {
+    /// None where the request is malformed.
+    fn parse(request: &[u8]) -> Option<Attempt> {
+        let head = RequestHead::parse(request, HTTP_LIMITS).ok().flatten()?;
+        let header = |name| head.headers.single(name).ok().flatten().unwrap_or_default();
+        Some(Attempt {
+            op: u64::from_str_radix(header("X-Request-ID"), 16).unwrap_or(0),
+            units: placement_units(header("X-Placement")).unwrap_or(1),
+            write: head.method == "PUT",
+        })
+    }
+}
+
 fn placement_units(placement: &str) -> Option<u32> {
     placement
         .strip_prefix("units=")?
--- a/crates/testbed/src/rehearsal.rs
+++ b/crates/testbed/src/rehearsal.rs
@@ -164,15 +164,7 @@
 
     /// Lets commands in flight complete, terminates the processes, and judges the run.
     fn finish(mut self) -> Outcome {
-        self.load.send(Behaviour::Drain);
-        let longest = self
-            .config
-            .io_classes
-            .iter()
-            .map(|class| class.deadline)
-            .max()
-            .unwrap_or(0);
-        std::thread::sleep(Duration::from_micros(longest + 2 * load::DEADLINE_GRACE));
+        self.drain_load();
         let mut layout = Layout::default();
         let mut snapshots = SnapshotReport::default();
         if self.scenario.catalog.is_some() {
@@ -187,32 +179,30 @@
             self.verify(&mut snapshots);
         }
         let rollouts = self.rollouts();
-        let Rehearsal {
-            trace,
-            load,
-            nodes,
-            list,
-            config,
-            failures,
-            scenario,
-            ..
-        } = self;
-        drop((load, nodes, list));
-        let trace = trace.take();
-        let mut model = scenario.model.clone();
-        model.unit_work *= FASTEST_NODE;
-        let verdict = audit::judge(&config, &model, &trace, &layout);
+        // Stand-ins record until they end.
+        drop(self.load);
+        drop(self.nodes);
+        drop(self.list);
+        let trace = self.trace.take();
         Outcome {
-            verdict,
+            verdict: judge(self.scenario, &self.config, &trace, &layout),
             trace,
-            config,
-            failures,
+            config: self.config,
+            failures: self.failures,
             snapshots,
             change_log,
             rollouts,
         }
     }
 
+    /// No new commands, and time for those in flight to complete.
+    fn drain_load(&self) {
+        self.load.send(Behaviour::Drain);
+        let deadlines = self.config.io_classes.iter().map(|class| class.deadline);
+        let longest = deadlines.max().unwrap_or(0);
+        std::thread::sleep(Duration::from_micros(longest + 2 * load::DEADLINE_GRACE));
+    }
+
     fn terminate_all(&mut self) {
         if !terminate(&mut self.plan_service) {
             self.failures
@@ -229,3 +219,14 @@
         }
     }
 }
+
+fn judge(
+    scenario: &Scenario,
+    config: &GatewayConfig,
+    trace: &[TraceEntry],
+    layout: &Layout,
+) -> Verdict {
+    let mut model = scenario.model.clone();
+    model.unit_work *= FASTEST_NODE;
+    audit::judge(config, &model, trace, layout)
+}
--- a/crates/testbed/src/rehearsal/config.rs
+++ b/crates/testbed/src/rehearsal/config.rs
@@ -1,6 +1,6 @@
 //! Loopback addresses and configuration files of a rehearsal.
 use super::TARGET;
-use mallowseam_scenarios::rehearsal::Scenario;
+use mallowseam_scenarios::rehearsal::{CatalogScenario, Scenario};
 use mallowseam_settings::{Diagnostics, GatewayConfig};
 use mallowseam_stand_ins::endpoint_list_service::node_name;
 use std::fmt::{self, Write};
@@ -65,79 +65,94 @@
     host: u32,
     seed: u64,
 ) -> String {
+    let writer = ConfigWriter {
+        scenario,
+        addresses,
+        dir,
+        host,
+        seed,
+    };
     let mut out = String::new();
-    write_config(&mut out, scenario, addresses, dir, host, seed)
-        .expect("a string can be written to");
+    writer.write(&mut out).expect("a string can be written to");
     out
 }
 
-fn write_config(
-    out: &mut String,
-    scenario: &Scenario,
-    addresses: &Addresses,
-    dir: &Path,
+/// Writes the configuration file of one host.
+struct ConfigWriter<'a> {
+    scenario: &'a Scenario,
+    addresses: &'a Addresses,
+    dir: &'a Path,
     host: u32,
     seed: u64,
-) -> fmt::Result {
-    let dir = dir.display();
-    // The script's own sections first: their lines keep their numbers.
-    writeln!(out, "{}\n", scenario.config_sections)?;
-    if let Some(catalog) = &scenario.catalog {
-        writeln!(
-            out,
-            "catalog\n    listen {}\n    store \"{dir}/store\"",
-            addresses.catalog()
-        )?;
-        writeln!(out, "    control \"{dir}/catalog.sock\"")?;
-        writeln!(
-            out,
-            "    extent {}\n    copies {}",
-            catalog.extent, catalog.copy_class
-        )?;
+}
+
+impl ConfigWriter<'_> {
+    fn write(&self, out: &mut String) -> fmt::Result {
+        // The script's own sections first: their lines keep their numbers.
+        writeln!(out, "{}\n", self.scenario.config_sections)?;
+        if let Some(catalog) = &self.scenario.catalog {
+            self.write_catalog(out, catalog)?;
+        }
+        if self.has_plan_service() {
+            self.write_plan_service(out)?;
+        }
+        self.write_host(out)?;
+        (0..self.scenario.nodes).try_for_each(|node| self.write_node(out, node))
     }
-    if scenario.plan_change_interval.is_some() {
-        writeln!(
-            out,
-            "tariffs\n    listen {}\n    store \"{dir}/plans\"",
-            addresses.plan_service()
-        )?;
-        writeln!(out, "    control \"{dir}/control.sock\"")?;
+
+    fn has_plan_service(&self) -> bool {
+        self.scenario.plan_change_interval.is_some()
     }
-    writeln!(
-        out,
-        "host gw{host}\n    listen {}\n    target {TARGET}",
-        addresses.host(host)
-    )?;
-    writeln!(
-        out,
-        "    control \"{dir}/gw{host}.sock\"\n    node-list {}",
-        addresses.list()
-    )?;
-    if scenario.plan_change_interval.is_some() {
-        let service = addresses.plan_service();
-        writeln!(
-            out,
-            "    follow {service}\n    kept-plans \"{dir}/gw{host}.plans\""
-        )?;
+
+    fn write_catalog(&self, out: &mut String, catalog: &CatalogScenario) -> fmt::Result {
+        let dir = self.dir.display();
+        writeln!(out, "catalog")?;
+        writeln!(out, "    listen {}", self.addresses.catalog())?;
+        writeln!(out, "    store \"{dir}/store\"")?;
+        writeln!(out, "    control \"{dir}/catalog.sock\"")?;
+        writeln!(out, "    extent {}", catalog.extent)?;
+        writeln!(out, "    copies {}", catalog.copy_class)
     }
-    if scenario.cached_list {
-        writeln!(out, "    kept-list \"{dir}/gw{host}.list\"")?;
+
+    fn write_plan_service(&self, out: &mut String) -> fmt::Result {
+        let dir = self.dir.display();
+        writeln!(out, "tariffs")?;
+        writeln!(out, "    listen {}", self.addresses.plan_service())?;
+        writeln!(out, "    store \"{dir}/plans\"")?;
+        writeln!(out, "    control \"{dir}/control.sock\"")
     }
-    writeln!(
-        out,
-        "    window 32\n    connections 256\n    longest 1MiB\n    seed {seed}"
-    )?;
-    if scenario.digests {
-        writeln!(out, "    digests header data")?;
+
+    fn write_host(&self, out: &mut String) -> fmt::Result {
+        let dir = self.dir.display();
+        let host = self.host;
+        writeln!(out, "host gw{host}")?;
+        writeln!(out, "    listen {}", self.addresses.host(host))?;
+        writeln!(out, "    target {TARGET}")?;
+        writeln!(out, "    control \"{dir}/gw{host}.sock\"")?;
+        writeln!(out, "    node-list {}", self.addresses.list())?;
+        if self.has_plan_service() {
+            writeln!(out, "    follow {}", self.addresses.plan_service())?;
+            writeln!(out, "    kept-plans \"{dir}/gw{host}.plans\"")?;
+        }
+        if self.scenario.cached_list {
+            writeln!(out, "    kept-list \"{dir}/gw{host}.list\"")?;
+        }
+        writeln!(out, "    window 32")?;
+        writeln!(out, "    connections 256")?;
+        writeln!(out, "    longest 1MiB")?;
+        writeln!(out, "    seed {}", self.seed)?;
+        if self.scenario.digests {
+            writeln!(out, "    digests header data")?;
+        }
+        Ok(())
     }
-    for n in 0..scenario.nodes {
-        let (name, address) = (node_name(n), addresses.node(n));
-        writeln!(
-            out,
-            "node {name}\n    address {address}\n    target iqn.2026-12.example.lab:{name}"
-        )?;
+
+    fn write_node(&self, out: &mut String, node: u32) -> fmt::Result {
+        let name = node_name(node);
+        writeln!(out, "node {name}")?;
+        writeln!(out, "    address {}", self.addresses.node(node))?;
+        writeln!(out, "    target iqn.2026-12.example.lab:{name}")
     }
-    Ok(())
 }
 
 /// The configuration that a scenario's hosts share.
--- a/crates/testbed/src/rehearsal/plan_changes.rs
+++ b/crates/testbed/src/rehearsal/plan_changes.rs
@@ -125,13 +125,11 @@
     pub(super) fn read_change_log(&mut self, layout: &mut Layout) -> ChangeLogReport {
         self.join_requesters();
         let socket = self.dir.join("control.sock");
-        let history = match request(
-            &socket,
-            &PlanRequest::History {
-                from: 1,
-                limit: MAX_LOG_ENTRIES,
-            },
-        ) {
+        let history = PlanRequest::History {
+            from: 1,
+            limit: MAX_LOG_ENTRIES,
+        };
+        let history = match request(&socket, &history) {
             Ok(text) => text,
             Err(e) => {
                 self.failures.push(format!("the trail: {e}"));
@@ -145,30 +143,31 @@
             .lines()
             .filter_map(|l| serde_json::from_str(l).ok())
             .collect();
+        self.add_limits(&log, layout);
+        let versions = log.len() as u64;
+        let failure = replay_failure(&socket, versions);
+        let replayed = if failure.is_none() { versions } else { 0 };
+        self.failures.extend(failure);
+        ChangeLogReport { versions, replayed }
+    }
+
+    fn add_limits(&self, log: &[LogEntry], layout: &mut Layout) {
         let requested = self
             .requested_changes
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        for (plan, limit) in effective_limits(&log, &requested) {
+        for (plan, limit) in effective_limits(log, &requested) {
             layout.limits.entry(plan).or_default().push(limit);
         }
-        drop(requested);
-        let versions = log.len() as u64;
-        let failure = match request(&socket, &PlanRequest::Replay) {
-            Ok(text) if text == format!("trail replays: {versions} of {versions}") => {
-                return ChangeLogReport {
-                    versions,
-                    replayed: versions,
-                };
-            }
-            Ok(text) => text,
-            Err(e) => format!("the trail: {e}"),
-        };
-        self.failures.push(failure);
-        ChangeLogReport {
-            versions,
-            replayed: 0,
-        }
+    }
+}
+
+/// Has the plan service replay its change log. Returns what it says unless all versions replay.
+fn replay_failure(socket: &Path, versions: u64) -> Option<String> {
+    match request(socket, &PlanRequest::Replay) {
+        Ok(text) if text == format!("trail replays: {versions} of {versions}") => None,
+        Ok(text) => Some(text),
+        Err(e) => Some(format!("the trail: {e}")),
     }
 }
 
--- a/crates/testbed/src/rehearsal/read_back.rs
+++ b/crates/testbed/src/rehearsal/read_back.rs
@@ -234,10 +234,8 @@
         .unwrap_or_default();
     let mut wrong = (clone.shown != expected).then(|| "does not show its snapshot".to_owned());
     for i in 0..CLONE_WRITES {
-        let (id, lba) = (
-            CLONE_WRITE_IDS + number * IDS_PER_CLONE + i,
-            i * CLONE_WRITE_STRIDE,
-        );
+        let id = CLONE_WRITE_IDS + number * IDS_PER_CLONE + i;
+        let lba = i * CLONE_WRITE_STRIDE;
         match write_clone(client, clone.lun, id, lba) {
             Ok(status::GOOD) => {
                 expected[lba as usize..lba as usize + CLONE_WRITE_BLOCKS as usize].fill(Some(id));
--- a/crates/testbed/src/rehearsal/start.rs
+++ b/crates/testbed/src/rehearsal/start.rs
@@ -35,13 +35,7 @@
         let config = mallowseam_settings::parse(&scenario.name, &text)?;
         let trace = Trace::default();
         let nodes = start_nodes(scenario, &config, &addresses, &trace, &mut rng)?;
-        let list = EndpointListService::start(
-            addresses.list(),
-            scenario.nodes,
-            scenario.list_lag,
-            trace.clone(),
-        )
-        .map_err(RunError::io("node list stand-in"))?;
+        let list = start_endpoint_list(scenario, &addresses, &trace)?;
         let hosts = write_host_configs(scenario, &addresses, dir, &mut rng)?;
         let load_config = load_config(scenario, &config, &addresses);
         let load = Load::start(load_config, trace.clone(), rng.random())
@@ -85,6 +79,20 @@
     }
 }
 
+fn start_endpoint_list(
+    scenario: &Scenario,
+    addresses: &Addresses,
+    trace: &Trace,
+) -> Result<EndpointListService, RunError> {
+    EndpointListService::start(
+        addresses.list(),
+        scenario.nodes,
+        scenario.list_lag,
+        trace.clone(),
+    )
+    .map_err(RunError::io("node list stand-in"))
+}
+
 fn start_nodes(
     scenario: &Scenario,
     config: &GatewayConfig,
--- a/crates/testbed/src/snapshot_benchmark/sockets.rs
+++ b/crates/testbed/src/snapshot_benchmark/sockets.rs
@@ -1,6 +1,6 @@
 //! Writes around cuts, first writes and reads, over sockets.
 use super::Options;
-use crate::benchmark::{address, latency_histogram};
+use crate::benchmark::{BLOCKS, address, latency_histogram, send_command};
 use crate::blocking_client::BlockingClient;
 use crate::error::RunError;
 use crate::process::{KilledOnDrop, Program};
@@ -20,8 +20,8 @@
 use std::time::{Duration, Instant};
 
 const TARGET: &str = "iqn.2026-12.example.lab:gateway";
-/// Blocks of one write: 4 KiB.
-const BLOCKS: u32 = 8;
+/// Id of the writes of a phase.
+const WRITE_ID: u64 = 2;
 /// Blocks of one extent: 128 KiB.
 const EXTENT: u64 = 256;
 /// Extents of the volume.
@@ -289,6 +289,13 @@
     }
 }
 
+/// A command in flight.
+#[derive(Clone, Copy)]
+struct InFlight {
+    sent: Duration,
+    extent: u64,
+}
+
 /// Keeps writes, or reads, in flight for the seconds of a phase.
 fn drive(
     client: &mut BlockingClient,
@@ -297,65 +304,57 @@
     rng: &mut Pcg64Mcg,
     began: Instant,
 ) -> Result<Vec<Completed>, RunError> {
-    // When the command of each tag was sent, and to which extent.
-    let mut in_flight: Vec<Option<(Duration, u64)>> = vec![None; options.depth];
+    // By tag.
+    let mut in_flight: Vec<Option<InFlight>> = vec![None; options.depth];
     let mut completed = Vec::new();
     loop {
         let over = began.elapsed() >= Duration::from_secs(options.seconds);
         for (tag, slot) in in_flight.iter_mut().enumerate() {
             if slot.is_none() && !over && client.conn.can_send() {
                 let extent = send_random(client, tag as u32, write, rng);
-                *slot = Some((began.elapsed(), extent));
+                let sent = began.elapsed();
+                *slot = Some(InFlight { sent, extent });
             }
         }
         if over && in_flight.iter().all(Option::is_none) {
             return Ok(completed);
         }
         client.exchange()?;
-        while let Some(event) = client.conn.next_event() {
-            let InitiatorEvent::CommandCompleted {
-                tag,
-                status: code,
-                sense,
-                ..
-            } = event
-            else {
-                continue;
-            };
-            if code != status::GOOD {
-                return Err(RunError::CommandFailed {
-                    status: code,
-                    sense,
-                });
-            }
-            if let Some((sent, extent)) = in_flight[tag as usize].take() {
-                let latency = began.elapsed().saturating_sub(sent);
-                completed.push(Completed {
-                    sent,
-                    latency,
-                    extent,
-                });
-            }
+        completed.extend(take_completed(client, &mut in_flight, began)?);
+    }
+}
+
+/// The commands that have completed well. Any other end is an error.
+fn take_completed(
+    client: &mut BlockingClient,
+    in_flight: &mut [Option<InFlight>],
+    began: Instant,
+) -> Result<Vec<Completed>, RunError> {
+    let mut completed = Vec::new();
+    while let Some(event) = client.conn.next_event() {
+        let InitiatorEvent::CommandCompleted {
+            tag, status, sense, ..
+        } = event
+        else {
+            continue;
+        };
+        if status != status::GOOD {
+            return Err(RunError::CommandFailed { status, sense });
+        }
+        if let Some(InFlight { sent, extent }) = in_flight[tag as usize].take() {
+            completed.push(Completed {
+                sent,
+                latency: began.elapsed().saturating_sub(sent),
+                extent,
+            });
         }
     }
+    Ok(completed)
 }
 
 /// Sends a command to random blocks; the extent that they are in.
 fn send_random(client: &mut BlockingClient, tag: u32, write: bool, rng: &mut Pcg64Mcg) -> u64 {
     let lba = rng.random_range(0..EXTENT * EXTENTS / u64::from(BLOCKS)) * u64::from(BLOCKS);
-    let data = if write {
-        block::write(2, lba, BLOCKS)
-    } else {
-        Vec::new()
-    };
-    let read_len = if write {
-        0
-    } else {
-        BLOCKS as usize * block::SIZE
-    };
-    let cdb = scsi::read_or_write_16(write, lba, BLOCKS, 0);
-    client
-        .conn
-        .send_command(tag, 0, &cdb, read_len, data.into());
+    send_command(client, tag, lba, write.then_some(WRITE_ID));
     lba / EXTENT
 }
