--- a/crates/scenarios/src/fleet/faults.rs
+++ b/crates/scenarios/src/fleet/faults.rs
@@ -187,13 +187,15 @@
         } else if args.accept("spread") {
             fault.jitter = args.duration(DURATION)?;
         } else if args.accept("bytes") {
-            fault.bytes_per_second = args.rate("bytes a second such as 9000/s")?;
+            let rate = args.rate("bytes a second such as 9000/s")?;
+            // A script writes 0 for no limit.
+            fault.bytes_per_second = Some(rate).filter(|rate| *rate > 0.0);
         } else if args.accept("loss") {
             fault.loss = args.percent("a percentage")?;
         } else if args.accept("repeats") {
             fault.duplication = args.percent("a percentage")?;
         } else if args.accept("cut-after") {
-            fault.reset_after_bytes = args.integer("bytes", 1, 1 << 40)?;
+            fault.reset_after_bytes = Some(args.integer("bytes", 1, 1 << 40)?);
         } else {
             return Some(fault);
         }
--- a/crates/stand-ins/src/links.rs
+++ b/crates/stand-ins/src/links.rs
@@ -70,10 +70,10 @@
     pub blackholed: bool,
     /// New connections are refused.
     pub refuses_connections: bool,
-    /// Bandwidth; 0: unlimited.
-    pub bytes_per_second: f64,
-    /// A connection is reset after so many bytes; 0: never.
-    pub reset_after_bytes: u64,
+    /// Bandwidth, where it is limited.
+    pub bytes_per_second: Option<f64>,
+    /// A connection is reset after so many bytes, if it is at all.
+    pub reset_after_bytes: Option<u64>,
     /// Fraction of datagrams that are lost.
     pub loss: f64,
     /// Fraction of datagrams that arrive twice.
@@ -205,11 +205,9 @@
 
     /// The sender has sent these bytes.
     pub fn push(&mut self, now: Micros, bytes: &[u8], fault: &LinkFault, rng: &mut impl Rng) {
-        let transmission = if fault.bytes_per_second > 0.0 {
-            (bytes.len() as f64 / fault.bytes_per_second * 1e6) as Micros
-        } else {
-            0
-        };
+        let transmission = fault
+            .bytes_per_second
+            .map_or(0, |rate| (bytes.len() as f64 / rate * 1e6) as Micros);
         self.buffered_bytes += bytes.len();
         self.enqueue(
             now,
@@ -264,9 +262,13 @@
     /// Delivers bytes up to the count at which the fault resets the connection.
     fn deliver(&mut self, now: Micros, mut bytes: Vec<u8>, fault: &LinkFault) -> PipeOutput {
         self.buffered_bytes -= bytes.len();
-        let remaining = fault.reset_after_bytes.saturating_sub(self.delivered_bytes);
+        let delivered_before = self.delivered_bytes;
         self.delivered_bytes += bytes.len() as u64;
-        if fault.reset_after_bytes == 0 || bytes.len() as u64 <= remaining {
+        let Some(reset_after) = fault.reset_after_bytes else {
+            return PipeOutput::Bytes(bytes);
+        };
+        let remaining = reset_after.saturating_sub(delivered_before);
+        if bytes.len() as u64 <= remaining {
             return PipeOutput::Bytes(bytes);
         }
         bytes.truncate(remaining as usize);
--- a/crates/stand-ins/tests/links.rs
+++ b/crates/stand-ins/tests/links.rs
@@ -59,7 +59,7 @@
     assert_eq!(pipe.poll(9_999, &late), PipeOutput::Closed);
     assert_eq!(pipe.next_due(), None);
     let cut = LinkFault {
-        reset_after_bytes: 3,
+        reset_after_bytes: Some(3),
         ..LinkFault::default()
     };
     let mut pipe = Pipe::default();
@@ -69,7 +69,7 @@
     assert_eq!(pipe.poll(1, &cut), PipeOutput::Bytes(b"c".to_vec()));
     assert_eq!(pipe.poll(1, &cut), PipeOutput::Reset);
     let narrow = LinkFault {
-        bytes_per_second: 1_000.0,
+        bytes_per_second: Some(1_000.0),
         ..LinkFault::default()
     };
     let mut pipe = Pipe::default();
--- a/crates/stand-ins/tests/pinned.rs
+++ b/crates/stand-ins/tests/pinned.rs
@@ -25,8 +25,10 @@
     digest.add(fault.jitter);
     digest.add(u64::from(fault.blackholed));
     digest.add(u64::from(fault.refuses_connections));
-    digest.add(fault.reset_after_bytes);
-    for number in [fault.bytes_per_second, fault.loss, fault.duplication] {
+    // The digests were recorded when 0 stood for no limit.
+    digest.add(fault.reset_after_bytes.unwrap_or(0));
+    let bytes_per_second = fault.bytes_per_second.unwrap_or(0.0);
+    for number in [bytes_per_second, fault.loss, fault.duplication] {
         digest.add(number.to_bits());
     }
 }
@@ -116,8 +118,8 @@
     LinkFault {
         latency,
         jitter,
-        bytes_per_second: rate as f64,
-        reset_after_bytes,
+        bytes_per_second: (rate > 0).then_some(rate as f64),
+        reset_after_bytes: (reset_after_bytes > 0).then_some(reset_after_bytes),
         blackholed: rng.random_bool(0.2),
         refuses_connections: rng.random_bool(0.2),
         loss: 0.0,
--- a/crates/testbed/src/fleet/peers/discovery.rs
+++ b/crates/testbed/src/fleet/peers/discovery.rs
@@ -204,7 +204,7 @@
         let list = Peer::List(0);
         let is_whole = |from, to| {
             let fault = self.links.fault_between(from, to);
-            !fault.blocks() && fault.reset_after_bytes == 0
+            !fault.blocks() && fault.reset_after_bytes.is_none()
         };
         self.discovery[0].behavior() == ServiceBehavior::Normal
             && is_whole(host, list)
--- a/crates/testbed/tests/fleet_model/pins.rs
+++ b/crates/testbed/tests/fleet_model/pins.rs
@@ -39,9 +39,10 @@
         fault.jitter,
         u64::from(fault.blackholed),
         u64::from(fault.refuses_connections),
-        fault.reset_after_bytes,
+        // The digests were recorded when 0 stood for no limit.
+        fault.reset_after_bytes.unwrap_or(0),
     ]);
-    digest.float(fault.bytes_per_second);
+    digest.float(fault.bytes_per_second.unwrap_or(0.0));
     digest.float(fault.loss);
     digest.float(fault.duplication);
 }
