--- a/crates/testbed/src/benchmark/report.rs
+++ b/crates/testbed/src/benchmark/report.rs
@@ -110,7 +110,9 @@
         )?;
         let cpu_us = self.host_cpu_seconds * 1e6 / self.host_commands.max(1.0);
         writeln!(out, "CPU of the host: {cpu_us:.1} us a block I/O")?;
-        let (before, after, idle) = (self.memory_kib, self.memory_with_idle_kib, options.idle);
+        let before = self.memory_kib;
+        let after = self.memory_with_idle_kib;
+        let idle = options.idle;
         let each = after.saturating_sub(before) as f64 / f64::from(idle.max(1));
         writeln!(
             out,
--- a/crates/testbed/src/fleet/addresses.rs
+++ b/crates/testbed/src/fleet/addresses.rs
@@ -27,7 +27,8 @@
 
     /// A port of a host's own IP address.
     pub(super) fn socket_address(self, host: u32, port: u16) -> SocketAddr {
-        let (subnet, number) = (1 + host / HOSTS_PER_SUBNET, 1 + host % HOSTS_PER_SUBNET);
+        let subnet = 1 + host / HOSTS_PER_SUBNET;
+        let number = 1 + host % HOSTS_PER_SUBNET;
         SocketAddr::from((
             Ipv4Addr::new(127, self.network, subnet as u8, number as u8),
             port,
--- a/crates/testbed/src/fleet/host_config.rs
+++ b/crates/testbed/src/fleet/host_config.rs
@@ -59,7 +59,8 @@
     }
 
     fn membership(&self, membership: MembershipScenario) -> Value {
-        let (scenario, host) = (self.scenario, self.host);
+        let scenario = self.scenario;
+        let host = self.host;
         let advertise = |host| self.addresses.membership_advertise(host).to_string();
         let seeds: Vec<String> = (0..membership.seeds.min(scenario.hosts))
             .map(advertise)
@@ -74,7 +75,8 @@
 
 /// The settings that all hosts of a run share.
 fn settings(scenario: &Scenario) -> Value {
-    let (node, load) = (&scenario.node_model, &scenario.load);
+    let node = &scenario.node_model;
+    let load = &scenario.load;
     let zones: Vec<String> = (0..scenario.zones).map(|z| format!("z{z}")).collect();
     json!({
         "balancers": scenario.hosts,
--- a/crates/testbed/src/fleet/outcome.rs
+++ b/crates/testbed/src/fleet/outcome.rs
@@ -144,7 +144,8 @@
             group.hosts += 1;
         }
         let seconds = scenario.duration as f64 / 1e6;
-        let (with, without) = (with.describe(seconds), without.describe(seconds));
+        let with = with.describe(seconds);
+        let without = without.describe(seconds);
         Some(format!(
             "hosts with a view: {with}\nhosts without: {without}"
         ))
--- a/crates/testbed/src/fleet/peers/clients.rs
+++ b/crates/testbed/src/fleet/peers/clients.rs
@@ -63,9 +63,11 @@
 
     /// A host for an operation, and an idle or new connection to it.
     fn connection_for(&mut self, operation: &Operation) -> Option<(u32, u32)> {
-        let (states, rng) = (&self.host_states, &mut self.rng);
+        let states = &self.host_states;
         let is_ready = |host: u32| states[host as usize] == HostState::Ready;
-        let host = self.client_load.choose_host(operation, is_ready, rng)?;
+        let host = self
+            .client_load
+            .choose_host(operation, is_ready, &mut self.rng)?;
         let idle = self.idle_connections.get_mut(&host).and_then(Vec::pop);
         let new_role = || ConnectionRole::Client {
             reader: ResponseReader::default(),
@@ -128,7 +130,7 @@
             return;
         };
         let host = connection.host;
-        connection.timeout_id = 0;
+        connection.timeout_id = None;
         let ConnectionRole::Client { request, .. } = &mut connection.role else {
             return self.on_readiness_response(index, host, status);
         };
@@ -158,7 +160,7 @@
         let Some(connection) = self
             .connections
             .get_mut(index)
-            .filter(|c| c.timeout_id == timeout_id)
+            .filter(|c| c.timeout_id == Some(timeout_id))
         else {
             return;
         };
--- a/crates/testbed/src/fleet/peers/connections.rs
+++ b/crates/testbed/src/fleet/peers/connections.rs
@@ -53,8 +53,8 @@
     pub socket: TcpStream,
     pub role: ConnectionRole,
     pub serial: u64,
-    /// Identifies the timeout that is in force; 0: none.
-    pub timeout_id: u64,
+    /// Identifies the timeout that is in force, if there is one.
+    pub timeout_id: Option<u64>,
     pub to_peer: Pipe,
     pub to_host: Pipe,
     /// Bytes that the peer has received and not processed.
@@ -113,7 +113,7 @@
             socket,
             role,
             serial: self.last_serial,
-            timeout_id: 0,
+            timeout_id: None,
             to_peer: Pipe::default(),
             to_host: Pipe::default(),
             received: Vec::new(),
@@ -134,7 +134,7 @@
         self.last_serial += 1;
         let timeout_id = self.last_serial;
         if let Some(connection) = self.connections.get_mut(index) {
-            connection.timeout_id = timeout_id;
+            connection.timeout_id = Some(timeout_id);
             self.timers.push(Reverse((
                 self.now() + after,
                 Timer::Timeout(index, timeout_id),
--- a/crates/testbed/src/fleet/peers/endpoint_list.rs
+++ b/crates/testbed/src/fleet/peers/endpoint_list.rs
@@ -149,7 +149,8 @@
                 0 => 0,
                 started_at => self.start_unix_ms + (started_at / 1_000) as i64,
             };
-            let (address, zone) = (self.addresses.node(host, *node), node % self.scenario.zones);
+            let address = self.addresses.node(host, *node);
+            let zone = node % self.scenario.zones;
             let comma = if i > 0 { "," } else { "" };
             write!(
                 out,
--- a/crates/testbed/src/fleet/peers/listeners.rs
+++ b/crates/testbed/src/fleet/peers/listeners.rs
@@ -83,7 +83,8 @@
             entry.listener = None;
             return;
         }
-        let (token, registry) = (listener_token(index), self.poll.registry());
+        let token = listener_token(index);
+        let registry = self.poll.registry();
         let mut listener = match entry.listener.take() {
             Some(listener) => listener,
             None => {
@@ -119,7 +120,8 @@
                 return;
             };
             let _ = socket.set_nodelay(true);
-            let (host, peer) = (entry.host, entry.peer);
+            let host = entry.host;
+            let peer = entry.peer;
             self.on_accepted(host, peer, socket);
         }
         // More may wait, which an edge-triggered poll would not report again.
--- a/crates/testbed/src/placement_day.rs
+++ b/crates/testbed/src/placement_day.rs
@@ -252,7 +252,8 @@
 
 /// Of the commands within reserves, second by second, the part that completed in time.
 fn reserve_fraction(config: &GatewayConfig, seconds: &BTreeMap<(usize, u64), Count>) -> f64 {
-    let (mut due, mut completed) = (0.0, 0.0);
+    let mut due = 0.0;
+    let mut completed = 0.0;
     for ((volume, _), count) in seconds {
         let reserved = count
             .sent
--- a/crates/testbed/src/snapshot_benchmark/catalog.rs
+++ b/crates/testbed/src/snapshot_benchmark/catalog.rs
@@ -104,7 +104,8 @@
             .try_for_each(|e| place_extent(&mut catalog, (e * 10 + s % 10) * SPARSE_STRIDE))?;
     }
     catalog.commit()?;
-    let (mut cuts, mut first_writes) = (Vec::new(), Vec::new());
+    let mut cuts = Vec::new();
+    let mut first_writes = Vec::new();
     for s in 0..SAMPLES {
         let began = Instant::now();
         cut(&mut catalog, FIRST_SAMPLE + s)?;
@@ -126,7 +127,8 @@
     let began = Instant::now();
     let _catalog = open(dir.path())?;
     let opened = milliseconds_since(began);
-    let (cut, first_write) = (median(cuts.into_iter()), median(first_writes.into_iter()));
+    let cut = median(cuts.into_iter());
+    let first_write = median(first_writes.into_iter());
     Ok(format!(
         "catalog, 1 TiB sparse, {snapshots} snapshots: {locations} locations, {kib} KiB, opened in {opened:.1} ms; \
          committed: a cut in {cut:.2} ms, a first write in {first_write:.2} ms (medians of {SAMPLES})\n"
