--- a/crates/testbed/src/fleet/peers/clients.rs
+++ b/crates/testbed/src/fleet/peers/clients.rs
@@ -63,9 +63,11 @@
 
     /// A host for an operation, and an idle or new connection to it.
     fn connection_for(&mut self, operation: &Operation) -> Option<(u32, u32)> {
-        let (states, rng) = (&self.host_states, &mut self.rng);
+        let states = &self.host_states;
         let is_ready = |host: u32| states[host as usize] == HostState::Ready;
-        let host = self.client_load.choose_host(operation, is_ready, rng)?;
+        let host = self
+            .client_load
+            .choose_host(operation, is_ready, &mut self.rng)?;
         let idle = self.idle_connections.get_mut(&host).and_then(Vec::pop);
         let new_role = || ConnectionRole::Client {
             reader: ResponseReader::default(),
@@ -121,18 +123,14 @@
         let Ok(Some(head)) = ResponseHead::parse(response, HTTP_LIMITS) else {
             return self.close(index, true);
         };
-        let retry_after = head
-            .headers
-            .single("Retry-After")
-            .ok()
-            .flatten()
-            .and_then(|t| t.parse::<f64>().ok());
-        let (status, closes) = (head.status, head.close);
+        let retry_after = retry_after(&head);
+        let status = head.status;
+        let closes = head.close;
         let Some(connection) = self.connections.get_mut(index) else {
             return;
         };
         let host = connection.host;
-        connection.timeout_id = 0;
+        connection.timeout_id = None;
         let ConnectionRole::Client { request, .. } = &mut connection.role else {
             return self.on_readiness_response(index, host, status);
         };
@@ -154,10 +152,7 @@
             idle.push(index);
         }
         if status != 200 {
-            self.schedule_retry(
-                &operation,
-                retry_after.map(|seconds| (seconds * 1e6) as Micros),
-            );
+            self.schedule_retry(&operation, retry_after);
         }
     }
 
@@ -165,7 +160,7 @@
         let Some(connection) = self
             .connections
             .get_mut(index)
-            .filter(|c| c.timeout_id == timeout_id)
+            .filter(|c| c.timeout_id == Some(timeout_id))
         else {
             return;
         };
@@ -178,3 +173,9 @@
         self.close(index, false);
     }
 }
+
+/// The time that a host names for a retry.
+fn retry_after(head: &ResponseHead) -> Option<Micros> {
+    let seconds: f64 = head.headers.single("Retry-After").ok()??.parse().ok()?;
+    Some((seconds * 1e6) as Micros)
+}
