--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -3,7 +3,10 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{
+    AttemptResult, Bio, DeduplicationScope, EndpointEvent, Idempotency, IoClass, NodeEndpoint,
+    NodeState, SchedulerConfig, Tick, VolumeId,
+};
 use support::{Action, DEADLINE, Harness, OBJECTIVE, config, node, slow_start_config};
 
 /// An attempt that was forwarded.
@@ -258,9 +261,9 @@
     three_nodes_of_one_shard();
     objectives_far_apart(500);
     objectives_far_apart(20_000);
-    [(4, 4), (4, 1), (1, 1)]
-        .into_iter()
-        .for_each(|(first, then)| volume_of_fewer_hosts(first, then));
+    for (first, then) in [(4, 4), (4, 1), (1, 1)] {
+        volume_of_fewer_hosts(first, then);
+    }
     warming_node("as configured", |_| {});
     warming_node("overload_window 0", |settings| settings.overload_window = 0);
     warming_node("slow_start_capacity 0", |settings| {
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -136,6 +136,10 @@
 
 /// What the deployment allows and requires, as known at start.
 #[derive(Clone, Debug, Default, PartialEq)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent switches of a deployment, each set by itself"
+)]
 pub struct SchedulerConfig {
     /// Hosts that share the nodes, this one included.
     pub hosts: u32,
--- a/crates/scheduler/src/policy/node_budget.rs
+++ b/crates/scheduler/src/policy/node_budget.rs
@@ -173,12 +173,12 @@
         }
         let spare = spare.max(0.0);
         for allocation in allocations.iter_mut() {
-            let share = if total_demand > 0.0 {
+            let granted = if total_demand > 0.0 {
                 spare * allocation.demand(all_idle) / total_demand
             } else {
                 0.0
             };
-            allocation.grant_spare(share);
+            allocation.grant_spare(granted);
         }
     }
 
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -13,9 +13,9 @@
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
     let before = harness.forwarded();
     harness.on_endpoints(event, endpoints);
-    before
-        .iter()
-        .for_each(|id| harness.finish_attempt(*id, 0, AttemptResult::Completed, 50));
+    for id in &before {
+        harness.finish_attempt(*id, 0, AttemptResult::Completed, 50);
+    }
     harness.arrive(harness.bio(7));
     assert_eq!(
         (harness.forwarded(), harness.count(Action::Shed(7))),
--- a/crates/scheduler/tests/pin/nodes.rs
+++ b/crates/scheduler/tests/pin/nodes.rs
@@ -1,6 +1,6 @@
 //! Simulated nodes: how they answer, and what the endpoint list says of them at first.
 use super::random::Random;
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{AttemptResult, Bio, NodeEndpoint, NodeId, NodeState, Tick};
 
 pub const NODES: u32 = 7;
 /// This one starts anew so often that it is never warm, and no other has its shard.
--- a/crates/scheduler/tests/pin/recorder.rs
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -1,7 +1,9 @@
 //! The program around the scheduler in a simulation.
 use super::nodes::{Ending, Mode, NODES, SimulatedNode, first_endpoint};
 use super::random::Random;
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{
+    AttemptResult, Bio, BioId, EndpointEvent, Host, KeyId, NodeId, Tick, VolumeId,
+};
 use mallowseam_test_support::Digest;
 use std::collections::BTreeMap;
 
@@ -23,6 +25,7 @@
 pub const ACTION_KINDS: usize = Action::ReleaseNode as usize + 1;
 
 /// An event to come.
+#[derive(Clone, Copy)]
 pub enum Event {
     Arrival,
     /// The outcome of an attempt, by its serial number.
@@ -48,7 +51,8 @@
     pub bio: BioId,
     pub node: NodeId,
     pub sent_at: Tick,
-    pub attempt: u32,
+    /// Number of the attempt among those of its block I/O.
+    pub index: u32,
 }
 
 /// A block I/O that the scheduler has not released.
@@ -116,7 +120,9 @@
             .push(format!("at {}: {action:?} {numbers:?}", self.now));
         self.hash.add(self.now as u64);
         self.hash.add(action as u64);
-        numbers.iter().for_each(|n| self.hash.add(*n));
+        for number in numbers {
+            self.hash.add(number);
+        }
     }
 
     pub fn schedule(&mut self, after: Tick, event: Event) {
@@ -144,7 +150,7 @@
             .current
             .get_mut(&bio)
             .expect("a block I/O that was released is not submitted");
-        let attempt = current.attempts;
+        let index = current.attempts;
         current.attempts += 1;
         let request = current.bio;
         self.next_attempt += 1;
@@ -156,7 +162,7 @@
                 bio,
                 node,
                 sent_at: self.now,
-                attempt,
+                index,
             },
         );
     }
@@ -166,7 +172,7 @@
         let mut attempts = self
             .in_flight
             .iter()
-            .filter(|(_, a)| a.bio == bio && a.attempt == attempt);
+            .filter(|(_, a)| a.bio == bio && a.index == attempt);
         let found = attempts.next().map(|(serial, _)| *serial);
         if let Some(serial) = found {
             let after = self.random.between(1, 40);
--- a/crates/scheduler/tests/pin/settings.rs
+++ b/crates/scheduler/tests/pin/settings.rs
@@ -1,6 +1,8 @@
 //! Deployments that turn each option of the scheduler on and off.
 use super::random::Random;
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{
+    DeduplicationScope, Idempotency, IoClass, Plan, SchedulerConfig, Tick,
+};
 
 pub const PLANS: u64 = 6;
 
--- a/crates/scheduler/tests/pin/simulation.rs
+++ b/crates/scheduler/tests/pin/simulation.rs
@@ -5,7 +5,10 @@
 use super::recorder::{ACTION_KINDS, Current, Event, Recorder};
 use super::settings;
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{
+    AttemptOutcome, AttemptResult, Bio, EndpointEvent, KeyId, LoadReport, NodeEndpoint, NodeId,
+    NodeState, SchedulerConfig, Tick, VolumeId,
+};
 
 /// Arrivals in one run.
 const ARRIVALS: usize = 2_300;
@@ -146,13 +149,13 @@
             hash.add(u64::from(status.active) | u64::from(status.warming_up) << 1);
             hash.add(u64::from(status.in_flight) | u64::from(status.queued) << 32);
             hash.add(u64::from(status.consecutive_failures));
-            [
+            for value in [
                 status.concurrency_window,
                 status.mean_latency,
                 status.cost_multiplier,
-            ]
-            .iter()
-            .for_each(|f| hash.add(f.to_bits()));
+            ] {
+                hash.add(value.to_bits());
+            }
         }
     }
 
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -3,7 +3,7 @@
 mod pin;
 mod support;
 
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{AttemptResult, Bio};
 use pin::{ACTION_KINDS, Checkpoints, Simulation};
 use support::{Harness, config};
 
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -4,7 +4,11 @@
 #![allow(dead_code)]
 
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{
+    AttemptOutcome, AttemptResult, Bio, BioId, DeduplicationScope, EndpointEvent, Host,
+    Idempotency, IoClass, KeyId, LoadReport, NodeEndpoint, NodeId, NodeState, NodeStatus, Plan,
+    SchedulerConfig, Tick, VolumeId,
+};
 use std::ops::Range;
 
 /// An action that the scheduler asked for.
