--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -429,7 +429,8 @@
 fn random_layout(rng: &mut SeededRng) -> VolumeLayout {
     let mut layout = VolumeLayout::default();
     let mut first = 0;
-    for shard in 0..1 + rng.below(6) as u32 {
+    let extents = 1 + rng.below(6) as u32;
+    for shard in 0..extents {
         let blocks = 1 + rng.below(25);
         layout.extents.push(Extent {
             first_block: first,
--- a/crates/fleet-udp/src/snapshot.rs
+++ b/crates/fleet-udp/src/snapshot.rs
@@ -38,7 +38,7 @@
 impl MembershipSnapshot {
     /// Appends the members of a page; all else is as the page has it.
     pub fn append(&mut self, page: MembershipPage) {
-        self.host = page.host.as_str().to_owned();
+        self.host = page.host.to_string();
         self.isolated = page.isolated;
         self.superseded = page.superseded;
         self.digest = page.digest;
--- a/crates/fleet/src/gossip_queue/tests.rs
+++ b/crates/fleet/src/gossip_queue/tests.rs
@@ -4,7 +4,9 @@
 #[test]
 fn the_least_sent_updates_come_first_and_each_leaves_after_its_transmissions() {
     let mut queue = GossipQueue::default();
-    [5, 6, 7].into_iter().for_each(|id| queue.enqueue(id));
+    for id in [5, 6, 7] {
+        queue.enqueue(id);
+    }
     queue.count_transmission(5);
     queue.count_transmission(5);
     queue.count_transmission(6);
--- a/crates/fleet/src/membership/answer.rs
+++ b/crates/fleet/src/membership/answer.rs
@@ -166,7 +166,7 @@
             self.send(to, GossipBody::RangeDigests(comparison.split), sink);
         }
         if !comparison.exchanged.is_empty() {
-            let updates = Vec::from_iter(self.table.updates_in(&comparison.exchanged));
+            let updates: Vec<GossipUpdate> = self.table.updates_in(&comparison.exchanged).collect();
             let body = GossipBody::RangeRecords {
                 ranges: comparison.exchanged,
                 reply_wanted: true,
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -254,7 +254,8 @@
         if self.rng.one_in(80) {
             bytes.truncate(self.rng.below(bytes.len() as u64) as usize);
         }
-        for _ in 0..1 + u64::from(self.rng.one_in(25)) {
+        let copies = if self.rng.one_in(25) { 2 } else { 1 };
+        for _ in 0..copies {
             let wait = if self.rng.one_in(12) {
                 self.rng.below(self.period)
             } else {
@@ -534,11 +535,11 @@
                     digest: self.rng.below(2),
                     count: self.rng.below(20) as u32,
                 });
-                GossipBody::RangeDigests(heapless::Vec::from_iter(digests))
+                GossipBody::RangeDigests(digests.collect())
             }
             7 | 8 => {
                 let count = 1 + self.rng.below(3);
-                let ranges = heapless::Vec::from_iter((0..count).map(|_| range(&mut self.rng)));
+                let ranges = (0..count).map(|_| range(&mut self.rng)).collect();
                 GossipBody::RangeRecords {
                     ranges,
                     reply_wanted: !self.rng.one_in(3),
@@ -556,7 +557,7 @@
             Lifecycle::Left,
         ];
         let count = self.rng.below(4);
-        GossipUpdates::from_iter((0..count).map(|_| {
+        let random_update = |_| {
             let host = 1 + self.rng.below(720);
             let lifecycle = if self.rng.one_in(5) {
                 states[self.rng.below(4) as usize]
@@ -569,7 +570,8 @@
                 record,
                 suspected_by,
             }
-        }))
+        };
+        (0..count).map(random_update).collect()
     }
 
     fn run(mut self, members: u64, steps: u64) -> (u64, u32, u32) {
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -166,7 +166,7 @@
     let message = GossipMessage {
         sender: record(Lifecycle::Joining),
         body: GossipBody::UpdatesOnly,
-        updates: heapless::Vec::from_iter(updates),
+        updates: updates.collect(),
     };
     assert_eq!(
         encoded(&Message::Gossip(message)),
@@ -200,7 +200,7 @@
         isolated: true,
         superseded: false,
         digest: 0x0102_0304_0506_0708,
-        members: heapless::Vec::from_iter(members),
+        members: members.collect(),
         next_id: Some(42),
     };
     assert_eq!(
--- a/crates/scheduler-driver/tests/timer.rs
+++ b/crates/scheduler-driver/tests/timer.rs
@@ -5,7 +5,9 @@
 fn a_timer_that_is_set_twice_fires_once_at_the_earlier_time() {
     for times in [[300, 200], [200, 300]] {
         let mut timer = SchedulerTimer::default();
-        times.into_iter().for_each(|at| timer.set(at));
+        for time in times {
+            timer.set(time);
+        }
         assert_eq!(timer.due(), Some(200));
         assert!(!timer.take_due(199));
         assert!(timer.take_due(200));
