--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -111,14 +111,71 @@
     diagnostics.to_string().lines().map(str::to_owned).collect()
 }
 
+/// Each case: a text of the valid file, its replacement, and how one of the diagnostics then begins.
+fn assert_diagnosed(cases: &[(&str, &str, &str)]) {
+    for (from, to, wanted) in cases {
+        let found = diagnostics(from, to);
+        assert!(
+            found.iter().any(|f| f.starts_with(wanted)),
+            "{to}: {found:#?}"
+        );
+    }
+}
+
 #[test]
-fn diagnostic_has_line_column_and_what_was_expected() {
-    for (from, to, wanted) in [
+fn malformed_argument_is_reported_at_its_column() {
+    assert_diagnosed(&[
         (
             "window 32",
             "window 0",
             "f:8:12: expected 1 to 1024, found `0`",
         ),
+        (
+            "window 32",
+            "window 32 33",
+            "f:8:15: expected the end of the line, found `33`",
+        ),
+        (
+            "window 32",
+            "window",
+            "f:8:11: expected 1 to 1024, found the end of the line",
+        ),
+        (
+            "goal 0.2s",
+            "goal 200",
+            "f:28:10: expected a duration such as 200ms, found `200`",
+        ),
+        (
+            "blocks 0-99",
+            "blocks 9-2",
+            "f:45:23: expected FIRST-LAST, found `9-2`",
+        ),
+        (
+            "limit 40/s burst 16",
+            "limit 40/s",
+            "f:25:15: expected burst UNITS",
+        ),
+        (
+            "\"/run/mallow seam/gw1.sock\"",
+            "\"/run",
+            "f:6:13: expected a closing quote",
+        ),
+        (
+            "digests header data",
+            "digests header full",
+            "f:11:20: expected header, data or none",
+        ),
+        (
+            "unit 4KiB",
+            "unit 0.3B",
+            "f:14:10: expected a size such as 4KiB, found `0.3B`",
+        ),
+    ]);
+}
+
+#[test]
+fn invalid_membership_is_reported_at_its_directive() {
+    assert_diagnosed(&[
         (
             "window 32",
             "window 32\n fleet south seed x",
@@ -134,21 +191,17 @@
             "window 32\n fleet s listen 1.2.3.4:5 period 1ms",
             "f:9:2: expected 50 to 60000 ms",
         ),
+    ]);
+}
+
+#[test]
+fn unknown_missing_or_repeated_directive_is_reported_with_its_section() {
+    assert_diagnosed(&[
         (
             "window 32",
             "windows 32",
             "f:8:5: expected a directive of section `host` (listen",
         ),
-        (
-            "window 32",
-            "window 32 33",
-            "f:8:15: expected the end of the line, found `33`",
-        ),
-        (
-            "window 32",
-            "window",
-            "f:8:11: expected 1 to 1024, found the end of the line",
-        ),
         (
             "    window 32\n",
             "",
@@ -160,10 +213,21 @@
             "f:12:1: expected `hosts` in this section",
         ),
         (
-            "goal 0.2s",
-            "goal 200",
-            "f:28:10: expected a duration such as 200ms, found `200`",
+            "fleet\n",
+            "fleets\n",
+            "f:12:1: expected a section: host, fleet",
+        ),
+        (
+            "    gain 3",
+            "    gain 3\n    gain 4",
+            "f:31:5: expected `gain` once in the section of line 26",
         ),
+    ]);
+}
+
+#[test]
+fn contradiction_within_or_between_sections_is_reported() {
+    assert_diagnosed(&[
         (
             "goal 0.2s",
             "goal 5s",
@@ -199,11 +263,6 @@
             "",
             "f:45:10: expected `key BLOCKS`, since the group is ordered",
         ),
-        (
-            "blocks 0-99",
-            "blocks 9-2",
-            "f:45:23: expected FIRST-LAST, found `9-2`",
-        ),
         (
             "    rule write lookup\n",
             "",
@@ -214,43 +273,7 @@
             "node brick1",
             "f:50:1: expected a node other than that of line 47",
         ),
-        (
-            "fleet\n",
-            "fleets\n",
-            "f:12:1: expected a section: host, fleet",
-        ),
-        (
-            "limit 40/s burst 16",
-            "limit 40/s",
-            "f:25:15: expected burst UNITS",
-        ),
-        (
-            "\"/run/mallow seam/gw1.sock\"",
-            "\"/run",
-            "f:6:13: expected a closing quote",
-        ),
-        (
-            "digests header data",
-            "digests header full",
-            "f:11:20: expected header, data or none",
-        ),
-        (
-            "    gain 3",
-            "    gain 3\n    gain 4",
-            "f:31:5: expected `gain` once in the section of line 26",
-        ),
-        (
-            "unit 4KiB",
-            "unit 0.3B",
-            "f:14:10: expected a size such as 4KiB, found `0.3B`",
-        ),
-    ] {
-        let found = diagnostics(from, to);
-        assert!(
-            found.iter().any(|f| f.starts_with(wanted)),
-            "{to}: {found:#?}"
-        );
-    }
+    ]);
 }
 
 #[test]
--- a/crates/settings/tests/pinned_parsing.rs
+++ b/crates/settings/tests/pinned_parsing.rs
@@ -1,6 +1,8 @@
 //! Pinned results of the parser: every directive as it is read, and every diagnostic word for word. The recorded texts
 //! in `pinned/` name fields in words of their own, so that renaming a field in the code changes nothing here.
-use mallowseam_settings::config::{Direction, GatewayConfig, Idempotency};
+use mallowseam_settings::config::{
+    Direction, Fleet, GatewayConfig, Host, Idempotency, IoClass, Node, Plan, Volume,
+};
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{Arguments, Diagnostics, tokenize};
 use mallowseam_settings::{parse, reload};
@@ -109,170 +111,214 @@
     target iqn.2026-12.example:brick2
 "#;
 
+/// A configuration as text, a section at a time.
 fn shown(site: &GatewayConfig) -> String {
     let mut out = String::new();
-    let h = &site.host;
+    show_host(&mut out, &site.host);
+    show_fleet(&mut out, &site.fleet);
+    show_services(&mut out, site);
+    for plan in &site.plans {
+        show_plan(&mut out, plan);
+    }
+    for class in &site.io_classes {
+        show_io_class(&mut out, class);
+    }
+    for volume in &site.volumes {
+        show_volume(&mut out, volume);
+    }
+    for node in &site.nodes {
+        show_node(&mut out, node);
+    }
+    out
+}
+
+fn show_host(out: &mut String, host: &Host) {
     writeln!(
         out,
         "host {} listen {:?} target {} control {:?}",
-        h.name, h.listen, h.target, h.control_socket
+        host.name, host.listen, host.target, host.control_socket
     )
     .expect("memory");
     writeln!(
         out,
         "  list {:?} kept list {:?} follow {:?}",
-        h.endpoint_service, h.endpoint_cache_path, h.plan_service
+        host.endpoint_service, host.endpoint_cache_path, host.plan_service
     )
     .expect("memory");
     writeln!(
         out,
         "  kept plans {:?} window {} connections {}",
-        h.plan_cache_path, h.command_window, h.max_connections
+        host.plan_cache_path, host.command_window, host.max_connections
     )
     .expect("memory");
     writeln!(
         out,
         "  longest {} digests {} {}",
-        h.max_transfer_bytes, h.header_digest, h.data_digest
+        host.max_transfer_bytes, host.header_digest, host.data_digest
     )
     .expect("memory");
-    writeln!(out, "  seed {:?}", h.seed).expect("memory");
-    match &h.fleet {
+    writeln!(out, "  seed {:?}", host.seed).expect("memory");
+    match &host.fleet {
         None => writeln!(out, "  no place"),
-        Some(p) => writeln!(
+        Some(fleet) => writeln!(
             out,
             "  place {} {} at {} listen {} zone {} seeds {:?} period {} keep {}",
-            p.membership.fleet,
-            p.membership.name,
-            p.membership.address,
-            p.listen,
-            p.membership.zone,
-            p.membership.seeds,
-            p.membership.protocol_period,
-            p.membership.unreachable_retention
+            fleet.membership.fleet,
+            fleet.membership.name,
+            fleet.membership.address,
+            fleet.listen,
+            fleet.membership.zone,
+            fleet.membership.seeds,
+            fleet.membership.protocol_period,
+            fleet.membership.unreachable_retention
         ),
     }
     .expect("memory");
-    let f = &site.fleet;
+}
+
+fn show_fleet(out: &mut String, fleet: &Fleet) {
     writeln!(
         out,
         "fleet hosts {} unit {} mean {} largest {}",
-        f.hosts, f.unit_bytes, f.mean_io_units, f.max_io_units
+        fleet.hosts, fleet.unit_bytes, fleet.mean_io_units, fleet.max_io_units
     )
     .expect("memory");
     writeln!(
         out,
         "  share {} spare {} submits {}",
-        f.share_weight_factor, f.spare_weight_factor, f.max_attempts
+        fleet.share_weight_factor, fleet.spare_weight_factor, fleet.max_attempts
     )
     .expect("memory");
     writeln!(
         out,
         "  come back {} order rest {}",
-        f.max_retry_after, f.ordering_cooldown
+        fleet.max_retry_after, fleet.ordering_cooldown
     )
     .expect("memory");
     writeln!(
         out,
         "  cold {} {} fall {} {} bears {}",
-        f.slow_start_initial_rate,
-        f.slow_start_duration,
-        f.overload_multiple,
-        f.overload_window,
-        f.slow_start_capacity
+        fleet.slow_start_initial_rate,
+        fleet.slow_start_duration,
+        fleet.overload_multiple,
+        fleet.overload_window,
+        fleet.slow_start_capacity
     )
     .expect("memory");
     writeln!(
         out,
         "  further {} {} {}",
-        f.retry_budget_min, f.retry_budget_ratio, f.retry_budget_window
+        fleet.retry_budget_min, fleet.retry_budget_ratio, fleet.retry_budget_window
     )
     .expect("memory");
-    if let Some(c) = &site.catalog {
+}
+
+fn show_services(out: &mut String, site: &GatewayConfig) {
+    if let Some(catalog) = &site.catalog {
         writeln!(
             out,
-            "catalog {:?} {:?} {:?} extent {} copies {}",
-            c.listen, c.store_path, c.control_socket, c.extent_blocks, c.copy_class
+            "catalog {:?} \"{}\" {:?} extent {} copies {}",
+            catalog.listen,
+            catalog.store_path.display(),
+            catalog.control_socket,
+            catalog.extent_blocks,
+            catalog.copy_class
         )
         .expect("memory");
     }
-    if let Some(t) = &site.plan_service {
+    if let Some(plan_service) = &site.plan_service {
         writeln!(
             out,
-            "tariffs {:?} {:?} {:?}",
-            t.listen, t.store_path, t.control_socket
+            "tariffs {:?} \"{}\" {:?}",
+            plan_service.listen,
+            plan_service.store_path.display(),
+            plan_service.control_socket
         )
         .expect("memory");
     }
-    for p in &site.plans {
+}
+
+fn show_plan(out: &mut String, plan: &Plan) {
+    writeln!(
+        out,
+        "plan {} usual {} reserve {} limit {} burst {} weight {} price {}",
+        plan.name,
+        plan.usual_rate,
+        plan.reserved_rate,
+        plan.rate_limit,
+        plan.burst_units,
+        plan.weight,
+        plan.priority_factor
+    )
+    .expect("memory");
+}
+
+fn show_io_class(out: &mut String, class: &IoClass) {
+    let effect = match class.idempotency {
+        Idempotency::Idempotent => "idempotent",
+        Idempotency::NonIdempotent => "side-effecting",
+    };
+    writeln!(
+        out,
+        "group {} {effect} goal {} hard limit {} gain {} late {} ordered {}",
+        class.name,
+        class.latency_objective,
+        class.deadline,
+        class.priority_weight,
+        class.late_weight_ratio,
+        class.ordered
+    )
+    .expect("memory");
+}
+
+fn show_volume(out: &mut String, volume: &Volume) {
+    writeln!(
+        out,
+        "volume {} lun {} plan {} blocks {} of {} hosts {} mapped {}",
+        volume.name,
+        volume.lun,
+        volume.plan,
+        volume.block_count,
+        volume.block_size,
+        volume.host_count,
+        volume.mapped
+    )
+    .expect("memory");
+    for extent in &volume.extents {
         writeln!(
             out,
-            "plan {} usual {} reserve {} limit {} burst {} weight {} price {}",
-            p.name,
-            p.usual_rate,
-            p.reserved_rate,
-            p.rate_limit,
-            p.burst_units,
-            p.weight,
-            p.priority_factor
+            "  extent {} {} node {} at {}",
+            extent.first_block, extent.block_count, extent.node, extent.first_node_block
         )
         .expect("memory");
     }
-    for g in &site.io_classes {
-        let effect = match g.idempotency {
-            Idempotency::Idempotent => "idempotent",
-            Idempotency::NonIdempotent => "side-effecting",
+    for rule in &volume.rules {
+        let direction = match rule.direction {
+            Direction::Read => "read",
+            Direction::Write => "write",
+            Direction::Any => "any",
         };
         writeln!(
             out,
-            "group {} {effect} goal {} hard limit {} gain {} late {} ordered {}",
-            g.name,
-            g.latency_objective,
-            g.deadline,
-            g.priority_weight,
-            g.late_weight_ratio,
-            g.ordered
+            "  rule {direction} {}-{} group {} key {}",
+            rule.first_block, rule.last_block, rule.io_class, rule.blocks_per_key
         )
         .expect("memory");
     }
-    for v in &site.volumes {
-        writeln!(
-            out,
-            "volume {} lun {} plan {} blocks {} of {} hosts {} mapped {}",
-            v.name, v.lun, v.plan, v.block_count, v.block_size, v.host_count, v.mapped
-        )
-        .expect("memory");
-        for e in &v.extents {
-            writeln!(
-                out,
-                "  extent {} {} node {} at {}",
-                e.first_block, e.block_count, e.node, e.first_node_block
-            )
-            .expect("memory");
-        }
-        for r in &v.rules {
-            let direction = match r.direction {
-                Direction::Read => "read",
-                Direction::Write => "write",
-                Direction::Any => "any",
-            };
-            writeln!(
-                out,
-                "  rule {direction} {}-{} group {} key {}",
-                r.first_block, r.last_block, r.io_class, r.blocks_per_key
-            )
-            .expect("memory");
-        }
-    }
-    for n in &site.nodes {
-        writeln!(
-            out,
-            "node {} {:?} target {} lun {} zone {} shard {}",
-            n.name, n.address, n.target, n.lun, n.zone, n.shard
-        )
-        .expect("memory");
-    }
-    out
+}
+
+fn show_node(out: &mut String, node: &Node) {
+    writeln!(
+        out,
+        "node {} {:?} target {} lun {} zone {} shard {}",
+        node.name, node.address, node.target, node.lun, node.zone, node.shard
+    )
+    .expect("memory");
+}
+
+/// The lines, each indented and with its line end.
+fn indented<'a>(lines: impl Iterator<Item = &'a str>) -> String {
+    lines.flat_map(|line| ["  ", line, "\n"]).collect()
 }
 
 /// What parsing a text results in; of a valid one only the lines that differ from those of `EVERY`.
@@ -280,17 +326,9 @@
     match parse("f", text) {
         Ok(site) => {
             let known: Vec<&str> = valid.lines().collect();
-            shown(&site)
-                .lines()
-                .filter(|l| !known.contains(l))
-                .map(|l| format!("  {l}\n"))
-                .collect()
+            indented(shown(&site).lines().filter(|line| !known.contains(line)))
         }
-        Err(diagnostics) => diagnostics
-            .to_string()
-            .lines()
-            .map(|l| format!("  {l}\n"))
-            .collect(),
+        Err(diagnostics) => indented(diagnostics.to_string().lines()),
     }
 }
 
@@ -451,100 +489,116 @@
     pinned("contradictions.txt", &found);
 }
 
+/// Words with and without units, read as a value of each kind.
+const WORDS: [&str; 60] = [
+    "0",
+    "1",
+    "20",
+    "-1",
+    "+1",
+    "1.5",
+    ".5",
+    "5.",
+    "1e3",
+    "nan",
+    "inf",
+    "0us",
+    "1us",
+    "0.5us",
+    "1.5ms",
+    "0.0001ms",
+    "0.001ms",
+    "2s",
+    "3m",
+    "24h",
+    "25h",
+    "1d",
+    "1ms2",
+    "4B",
+    "0.3B",
+    "4KiB",
+    "1.5MiB",
+    "2GiB",
+    "3TiB",
+    "1048577TiB",
+    "4kib",
+    "20/s",
+    "0.125/s",
+    "0.0625/s",
+    "1.2345/s",
+    "/s",
+    "20/m",
+    "-1/s",
+    "1e13/s",
+    "1e12/s",
+    "35%",
+    "100%",
+    "101%",
+    "-1%",
+    "0.5%",
+    "%",
+    "x%",
+    "18446744073709551615",
+    "18446744073709551616",
+    "18446744073709552/s",
+    "1.2.3.4:5",
+    "1.2.3.4",
+    "[::1]:9",
+    "a_b-c.d:e",
+    "a/b",
+    "\"\"",
+    "\"a b\"",
+    "1.1234567891s",
+    "1.123456s",
+    "99999999999999999999s",
+];
+
 #[test]
 fn values_with_units() {
     let mut found = String::new();
-    for word in [
-        "0",
-        "1",
-        "20",
-        "-1",
-        "+1",
-        "1.5",
-        ".5",
-        "5.",
-        "1e3",
-        "nan",
-        "inf",
-        "0us",
-        "1us",
-        "0.5us",
-        "1.5ms",
-        "0.0001ms",
-        "0.001ms",
-        "2s",
-        "3m",
-        "24h",
-        "25h",
-        "1d",
-        "1ms2",
-        "4B",
-        "0.3B",
-        "4KiB",
-        "1.5MiB",
-        "2GiB",
-        "3TiB",
-        "1048577TiB",
-        "4kib",
-        "20/s",
-        "0.125/s",
-        "0.0625/s",
-        "1.2345/s",
-        "/s",
-        "20/m",
-        "-1/s",
-        "1e13/s",
-        "1e12/s",
-        "35%",
-        "100%",
-        "101%",
-        "-1%",
-        "0.5%",
-        "%",
-        "x%",
-        "18446744073709551615",
-        "18446744073709551616",
-        "18446744073709552/s",
-        "1.2.3.4:5",
-        "1.2.3.4",
-        "[::1]:9",
-        "a_b-c.d:e",
-        "a/b",
-        "\"\"",
-        "\"a b\"",
-        "1.1234567891s",
-        "1.123456s",
-        "99999999999999999999s",
-    ] {
-        let mut diagnostics = Diagnostics::new("f");
-        let line = tokenize(3, &format!("  word {word}"), &mut diagnostics);
-        let mut values = String::new();
-        macro_rules! value {
-            ($name:expr, $args:ident, $read:expr) => {{
-                let mut $args = Arguments::new(&line, &mut diagnostics);
-                if let Some(value) = $read {
-                    write!(values, " {}={value:?}", $name).expect("memory");
-                }
-            }};
-        }
-        value!("whole", a, a.integer("w", 0, u64::MAX));
-        value!("number", a, a.number("n", -5.0, 1e6));
-        value!("rate", a, a.rate("r"));
-        value!("exact", a, a.exact_rate("e"));
-        value!("percent", a, a.percent("p"));
-        value!("duration", a, a.duration("d"));
-        value!("size", a, a.size("s"));
-        value!("address", a, a.address("a"));
-        value!(
-            "name",
-            a,
-            a.name("n")
-                .map(|w| (w.text, w.position.line, w.position.column))
-        );
-        value!("word", a, a.text("w"));
-        writeln!(found, "{word}:{values}").expect("memory");
+    for word in WORDS {
+        record_values(&mut found, word);
     }
     let mut diagnostics = Diagnostics::new("g");
+    record_words(&mut found, &mut diagnostics);
+    record_argument_steps(&mut found, &mut diagnostics);
+    writeln!(found, "{}", diagnostics.sorted()).expect("memory");
+    pinned("values.txt", &found);
+}
+
+/// Records what a word is read as, for each kind of value that accepts it.
+fn record_values(found: &mut String, word: &str) {
+    let mut diagnostics = Diagnostics::new("f");
+    let line = tokenize(3, &format!("  word {word}"), &mut diagnostics);
+    let mut values = String::new();
+    macro_rules! value {
+        ($name:expr, $args:ident, $read:expr) => {{
+            let mut $args = Arguments::new(&line, &mut diagnostics);
+            if let Some(value) = $read {
+                write!(values, " {}={value:?}", $name).expect("memory");
+            }
+        }};
+    }
+    value!("whole", a, a.integer("w", 0, u64::MAX));
+    value!("number", a, a.number("n", -5.0, 1e6));
+    value!("rate", a, a.rate("r"));
+    value!("exact", a, a.exact_rate("e"));
+    value!("percent", a, a.percent("p"));
+    value!("duration", a, a.duration("d"));
+    value!("size", a, a.size("s"));
+    value!("address", a, a.address("a"));
+    value!(
+        "name",
+        a,
+        a.name("n")
+            .map(|w| (w.text, w.position.line, w.position.column))
+    );
+    value!("word", a, a.text("w"));
+    writeln!(found, "{word}:{values}").expect("memory");
+}
+
+/// Records the words of some lines, and where they stand.
+fn record_words(found: &mut String, diagnostics: &mut Diagnostics) {
     for text in [
         "a  \"b c\" d#e # f",
         "\u{e9} \"x",
@@ -553,14 +607,18 @@
         " \t a",
         "\"\" b\"c",
     ] {
-        let all: Vec<String> = tokenize(7, text, &mut diagnostics)
+        let all: Vec<String> = tokenize(7, text, diagnostics)
             .iter()
             .map(|w| format!("{}@{}:{}", w.text, w.position.line, w.position.column))
             .collect();
         writeln!(found, "words of {text:?}: {all:?}").expect("memory");
     }
-    let line = tokenize(9, "word 1 two three", &mut diagnostics);
-    let mut args = Arguments::new(&line, &mut diagnostics);
+}
+
+/// Records what the arguments of a line are while it is read, and adds diagnostics of every kind.
+fn record_argument_steps(found: &mut String, diagnostics: &mut Diagnostics) {
+    let line = tokenize(9, "word 1 two three", diagnostics);
+    let mut args = Arguments::new(&line, diagnostics);
     let steps = (
         args.accept("1"),
         args.accept("x"),
@@ -577,7 +635,7 @@
     .expect("memory");
     args.expect_end();
     args.report_conflicts(&["spoiled: expected nothing".to_owned()]);
-    let mut args = Arguments::new(&line, &mut diagnostics);
+    let mut args = Arguments::new(&line, diagnostics);
     args.report_conflicts(&[
         "field: expected a thing".to_owned(),
         "no such form".to_owned(),
@@ -585,8 +643,6 @@
     args.expect_end();
     let end = args.position();
     diagnostics.add(end, "an end", "");
-    writeln!(found, "{}", diagnostics.sorted()).expect("memory");
-    pinned("values.txt", &found);
 }
 
 #[test]
@@ -687,104 +743,102 @@
     pinned("shares.txt", &found);
 }
 
-/// The last value within each bound and the first beyond it.
+/// A line of the file, and what stands in its place: the last value within each bound and the first beyond it.
+const BOUNDS: [(&str, &[&str]); 21] = [
+    (
+        "window 32",
+        &["window 1", "window 0", "window 1024", "window 1025"],
+    ),
+    (
+        "connections 100",
+        &[
+            "connections 1",
+            "connections 0",
+            "connections 65536",
+            "connections 65537",
+        ],
+    ),
+    (
+        "longest 1.5MiB",
+        &["longest 0B", "longest 1048576TiB", "longest 1048577TiB"],
+    ),
+    (
+        "hosts 3\n    unit",
+        &["hosts 65536\n    unit", "hosts 65537\n    unit"],
+    ),
+    ("unit 4KiB", &["unit 1B", "unit 0B"]),
+    (
+        "mean-units 2.19",
+        &[
+            "mean-units 0.000001",
+            "mean-units 0.0000009",
+            "mean-units 1e9",
+            "mean-units 1000000000.1",
+        ],
+    ),
+    (
+        "largest-units 64",
+        &["largest-units 1e9", "largest-units 1000000000.1"],
+    ),
+    (
+        "submits 3",
+        &["submits 1", "submits 0", "submits 16", "submits 17"],
+    ),
+    (
+        "come-back 4s",
+        &["come-back 24h", "come-back 86400000001us"],
+    ),
+    (
+        "cold 23% 18s 2.5 3s 4",
+        &[
+            "cold 0% 0s 1 0s 0",
+            "cold 23% 18s 0.9 3s 4",
+            "cold 23% 18s 1e6 3s 1e9",
+            "cold 23% 18s 1000000.1 3s 4",
+            "cold 23% 18s 2.5 3s 1000000000.1",
+            "cold 23% 18s 2.5 3s -0.1",
+        ],
+    ),
+    (
+        "further 3 10% 10s",
+        &[
+            "further 0 0% 1us",
+            "further 1e9 10% 10s",
+            "further 3 10% 0s",
+            "further 1000000000.1 10% 10s",
+        ],
+    ),
+    (
+        "extent 64",
+        &["extent 1", "extent 0", "extent 65536", "extent 65537"],
+    ),
+    (
+        "burst 16",
+        &["burst 0", "burst 1e12", "burst 1000000000000.1"],
+    ),
+    ("weight 2", &["weight 0", "weight 1e6", "weight 1000000.1"]),
+    ("price 1.5", &["price 0", "price 1e6", "price 1000000.1"]),
+    (
+        "    gain 3",
+        &["    gain 0", "    gain 1e6", "    gain 1000000.1"],
+    ),
+    ("lun 1\n", &["lun 0\n", "lun 16383\n", "lun 16384\n"]),
+    ("lun 2\n", &["lun 1023\n", "lun 1024\n"]),
+    ("lun 7\n", &["lun 16383\n", "lun 16384\n"]),
+    (
+        "hosts 3\n    blocks",
+        &["hosts 65536\n    blocks", "hosts 65537\n    blocks"],
+    ),
+    ("shard 9", &["shard 65535", "shard 65536"]),
+];
+
 #[test]
 fn both_sides_of_every_bound() {
     let mut found = String::new();
     let far = (1u64 << 50).to_string();
     let beyond = ((1u64 << 50) + 1).to_string();
     let (name, long_name) = ("n".repeat(223), "n".repeat(224));
-    for (from, values) in [
-        (
-            "window 32",
-            vec!["window 1", "window 0", "window 1024", "window 1025"],
-        ),
-        (
-            "connections 100",
-            vec![
-                "connections 1",
-                "connections 0",
-                "connections 65536",
-                "connections 65537",
-            ],
-        ),
-        (
-            "longest 1.5MiB",
-            vec!["longest 0B", "longest 1048576TiB", "longest 1048577TiB"],
-        ),
-        (
-            "hosts 3\n    unit",
-            vec!["hosts 65536\n    unit", "hosts 65537\n    unit"],
-        ),
-        ("unit 4KiB", vec!["unit 1B", "unit 0B"]),
-        (
-            "mean-units 2.19",
-            vec![
-                "mean-units 0.000001",
-                "mean-units 0.0000009",
-                "mean-units 1e9",
-                "mean-units 1000000000.1",
-            ],
-        ),
-        (
-            "largest-units 64",
-            vec!["largest-units 1e9", "largest-units 1000000000.1"],
-        ),
-        (
-            "submits 3",
-            vec!["submits 1", "submits 0", "submits 16", "submits 17"],
-        ),
-        (
-            "come-back 4s",
-            vec!["come-back 24h", "come-back 86400000001us"],
-        ),
-        (
-            "cold 23% 18s 2.5 3s 4",
-            vec![
-                "cold 0% 0s 1 0s 0",
-                "cold 23% 18s 0.9 3s 4",
-                "cold 23% 18s 1e6 3s 1e9",
-                "cold 23% 18s 1000000.1 3s 4",
-                "cold 23% 18s 2.5 3s 1000000000.1",
-                "cold 23% 18s 2.5 3s -0.1",
-            ],
-        ),
-        (
-            "further 3 10% 10s",
-            vec![
-                "further 0 0% 1us",
-                "further 1e9 10% 10s",
-                "further 3 10% 0s",
-                "further 1000000000.1 10% 10s",
-            ],
-        ),
-        (
-            "extent 64",
-            vec!["extent 1", "extent 0", "extent 65536", "extent 65537"],
-        ),
-        (
-            "burst 16",
-            vec!["burst 0", "burst 1e12", "burst 1000000000000.1"],
-        ),
-        (
-            "weight 2",
-            vec!["weight 0", "weight 1e6", "weight 1000000.1"],
-        ),
-        ("price 1.5", vec!["price 0", "price 1e6", "price 1000000.1"]),
-        (
-            "    gain 3",
-            vec!["    gain 0", "    gain 1e6", "    gain 1000000.1"],
-        ),
-        ("lun 1\n", vec!["lun 0\n", "lun 16383\n", "lun 16384\n"]),
-        ("lun 2\n", vec!["lun 1023\n", "lun 1024\n"]),
-        ("lun 7\n", vec!["lun 16383\n", "lun 16384\n"]),
-        (
-            "hosts 3\n    blocks",
-            vec!["hosts 65536\n    blocks", "hosts 65537\n    blocks"],
-        ),
-        ("shard 9", vec!["shard 65535", "shard 65536"]),
-    ] {
-        let from: &str = from;
+    for (from, values) in BOUNDS {
         for to in values {
             record(&mut found, from, to);
         }
