--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -77,9 +77,9 @@
         polled += 1;
         match query(host) {
             Ok(view) => {
-                view.changes_since(&last)
-                    .iter()
-                    .for_each(|change| println!("{change}"));
+                for change in view.changes_since(&last) {
+                    println!("{change}");
+                }
                 last = view;
             }
             Err(e) => println!("{e}"),
@@ -97,7 +97,9 @@
     for other in &views[1..] {
         let lines = views[0].differences(other);
         differ += usize::from(!lines.is_empty());
-        lines.iter().for_each(|line| println!("{line}"));
+        for line in lines {
+            println!("{line}");
+        }
     }
     println!(
         "{} hosts asked, {} see what {} sees",
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -40,17 +40,19 @@
     if outcome.changes.is_empty() {
         return Ok("nothing is different".to_owned());
     }
-    let mut text = outcome.summary();
-    if write {
-        atomic_file::replace(configuration, edited.as_bytes()).map_err(|source| {
-            PlacementError::Write {
-                file: configuration.to_owned(),
-                source,
-            }
-        })?;
-        text += &format!("\nwritten; `mallowseam reload {name}` has the host take it up");
+    let summary = outcome.summary();
+    if !write {
+        return Ok(summary);
     }
-    Ok(text)
+    atomic_file::replace(configuration, edited.as_bytes()).map_err(|source| {
+        PlacementError::Write {
+            file: configuration.to_owned(),
+            source,
+        }
+    })?;
+    Ok(format!(
+        "{summary}\nwritten; `mallowseam reload {name}` has the host take it up"
+    ))
 }
 
 /// Volumes whose data lies on other nodes than the answer places them on, a line each. Where blocks of mapped
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -68,9 +68,10 @@
         "nothing fits; these contradict, and without any one of them the rest would do:",
     );
     for constraint in &infeasibility.constraints {
-        text += &format!("\n  {}", problem.describe(*constraint));
+        text.push_str("\n  ");
+        text.push_str(&problem.describe(*constraint));
     }
-    text += &match infeasibility.least_capacity_per_mille {
+    let relaxation = match infeasibility.least_capacity_per_mille {
         Some(thousandths) => format!(
             "\nleast relaxation: all capacities times {}.{:03}",
             thousandths / 1000,
@@ -78,6 +79,7 @@
         ),
         None => "\nno capacity would do".to_owned(),
     };
+    text.push_str(&relaxation);
     PlacementError::Infeasible(text)
 }
 
