--- a/crates/gateway/tests/pinned/host.rs
+++ b/crates/gateway/tests/pinned/host.rs
@@ -143,116 +143,188 @@
     assert_pinned("host-control.txt", t.text());
 }
 
-#[test]
-fn messages_to_services_and_kept_files_are_as_they_were() {
-    let setup = Setup::new();
-    let endpoints = TcpListener::bind(setup.endpoints).expect("an address");
-    let plans = TcpListener::bind(setup.plans).expect("an address");
-    let catalog = TcpListener::bind(setup.catalog).expect("an address");
-    fs::write(setup.path("list"), read_fixture("kept-list-before")).expect("a file");
-    fs::write(setup.path("plans"), read_fixture("kept-plans-before")).expect("a file");
-    let _process = setup.start("conf");
-    let mut t = Transcript::default();
-    let add = |t: &mut Transcript, label: &str, text: &str| t.add(label, &setup.mask(text));
-    let kept = |name: &str| fs::read_to_string(setup.path(name)).expect("a kept file");
+/// A host whose services are played by the test, and what they hear.
+struct PlayedServices {
+    setup: Setup,
+    endpoints: TcpListener,
+    plans: TcpListener,
+    catalog: TcpListener,
+    transcript: Transcript,
+}
 
-    // What was kept counts before any service has answered.
-    t.add("status:", &setup.mask(&control(&setup.control(), "status")));
+impl PlayedServices {
+    fn new(setup: Setup) -> PlayedServices {
+        let listen = |address: SocketAddr| TcpListener::bind(address).expect("an address");
+        PlayedServices {
+            endpoints: listen(setup.endpoints),
+            plans: listen(setup.plans),
+            catalog: listen(setup.catalog),
+            transcript: Transcript::default(),
+            setup,
+        }
+    }
+
+    fn record(&mut self, label: &str, text: &str) {
+        self.transcript.add(label, &self.setup.mask(text));
+    }
+
+    /// Receives a line and records it.
+    fn hear(&mut self, label: &str, service: &mut Peer) -> String {
+        let line = service.line();
+        self.record(label, &line);
+        line
+    }
 
-    let mut service = Peer::accept(&endpoints);
-    add(&mut t, "to the endpoint service:", &service.line());
-    service.send("list 9 3 whole 2\nnode node0 active 5 1000\nnode node1 leaving 6 2000");
-    wait_for("the whole list", || {
-        kept("list") != read_fixture("kept-list-before")
-    });
-    assert_pinned("kept-list-after", &kept("list"));
-    service.send("list 9 5 changes 1\nnode node1 left 6 3000");
-    add(&mut t, "to the endpoint service:", &service.line());
+    fn status(&self) -> String {
+        control(&self.setup.control(), "status")
+    }
 
-    let mut service = Peer::accept(&plans);
-    add(&mut t, "to the plan service:", &service.line());
-    let state = |version: u64, volume: &str| {
-        format!(
-            "{{\"whole\":{{\"state\":{{\"version\":{version},\"plans\":{{\"basic\":{{\"usual\":20000,\"reserve\":0,\
-             \"limit\":60000,\"burst\":8000,\"weight\":1000,\"price\":2000}},\"free\":{{\"usual\":0,\"reserve\":0,\
-             \"limit\":0,\"burst\":0,\"weight\":1000,\"price\":1000}}}},\"volumes\":{{\"{volume}\":\"basic\",\
-             \"b\":\"free\"}}}},\"last\":\"00ff\"}}}}"
-        )
-    };
-    service.send(&state(8, "z"));
-    add(&mut t, "to the plan service:", &service.line());
-    service.send(&state(9, "a"));
-    add(&mut t, "to the plan service:", &service.line());
-    assert_pinned("kept-plans-after", &kept("plans"));
-    service.send("{\"ask\":{\"asked\":77}}");
-    let report = service.line();
-    add(&mut t, "to the plan service:", &report);
-    let sent = report
-        .split("\"sent\":")
-        .nth(1)
-        .and_then(|rest| rest.split(',').next())
-        .expect("a report");
-    service.send(&format!(
-        "{{\"granted\":{{\"sent\":{sent},\"span\":600000,\"volumes\":[[\"a\",9000]]}}}}"
-    ));
-    // A quarter of the even part, which is never lent, and what was granted.
-    wait_for("the granted part", || {
-        control(&setup.control(), "status").contains("\"part\":16.5")
-    });
-    service.send("{\"line\":{\"text\":\"none\"}}");
-    assert_eq!(
-        service.line(),
-        "",
-        "a line that does not follow ends the connection"
-    );
-    let mut service = Peer::accept(&plans);
-    add(&mut t, "to the plan service:", &service.line());
+    fn kept(&self, name: &str) -> String {
+        fs::read_to_string(self.setup.path(name)).expect("a kept file")
+    }
+
+    /// A full endpoint list, which the host keeps, and a change to it. Returns the open connection.
+    fn play_endpoint_service(&mut self) -> Peer {
+        let label = "to the endpoint service:";
+        let mut service = Peer::accept(&self.endpoints);
+        self.hear(label, &mut service);
+        service.send("list 9 3 whole 2\nnode node0 active 5 1000\nnode node1 leaving 6 2000");
+        wait_for("the whole list", || {
+            self.kept("list") != read_fixture("kept-list-before")
+        });
+        assert_pinned("kept-list-after", &self.kept("list"));
+        service.send("list 9 5 changes 1\nnode node1 left 6 3000");
+        self.hear(label, &mut service);
+        service
+    }
+
+    /// Plans that the configuration contradicts, plans that the host keeps, and a granted quota; then a line that does
+    /// not follow. Returns the connection that the host opens after it.
+    fn play_plan_service(&mut self) -> Peer {
+        let label = "to the plan service:";
+        let mut service = Peer::accept(&self.plans);
+        self.hear(label, &mut service);
+        service.send(&full_plans(8, "z"));
+        self.hear(label, &mut service);
+        service.send(&full_plans(9, "a"));
+        self.hear(label, &mut service);
+        assert_pinned("kept-plans-after", &self.kept("plans"));
+        self.grant_quota(&mut service);
+        service.send("{\"line\":{\"text\":\"none\"}}");
+        assert_eq!(
+            service.line(),
+            "",
+            "a line that does not follow ends the connection"
+        );
+        let mut service = Peer::accept(&self.plans);
+        self.hear(label, &mut service);
+        service
+    }
 
-    let mut service = Peer::accept(&catalog);
-    let mut renewed = false;
-    let mut catalog_hears = |t: &mut Transcript, service: &mut Peer| {
+    /// Asks for a report of usage and grants a quota in answer to it.
+    fn grant_quota(&mut self, service: &mut Peer) {
+        service.send("{\"ask\":{\"asked\":77}}");
+        let report = self.hear("to the plan service:", service);
+        let sent = report
+            .split("\"sent\":")
+            .nth(1)
+            .and_then(|rest| rest.split(',').next())
+            .expect("a report");
+        service.send(&format!(
+            "{{\"granted\":{{\"sent\":{sent},\"span\":600000,\"volumes\":[[\"a\",9000]]}}}}"
+        ));
+        // A quarter of the even part, which is never lent, and what was granted.
+        wait_for("the granted part", || {
+            self.status().contains("\"part\":16.5")
+        });
+    }
+
+    /// A full tree, a lease, changes and the end of a cut; then a change that does not follow. Returns the
+    /// connection that the host opens after it.
+    fn play_catalog(&mut self) -> Peer {
+        let mut service = Peer::accept(&self.catalog);
+        let mut renewals = Renewals::default();
+        renewals.hear(self, &mut service);
+        service.send(
+            "{\"whole\":{\"catalog\":11,\"tree\":{\"version\":1,\"layers\":{\"1024\":{\"parent\":null,\"frozen\":false,\
+             \"places\":{},\"opened\":[],\"next_number\":0,\"closed\":[]}},\"branches\":{\"b\":{\"head\":1024,\"unit\":1024,\
+             \"extents\":4,\"origin\":null}},\"snapshots\":{},\"made\":1,\"units\":0}}}",
+        );
+        service.send("\"filled\"");
+        // The lease that is granted lasts to the end of this test, so that it is not renewed again.
+        let renewal = renewals.hear(self, &mut service);
+        let sent = renewal
+            .strip_prefix("{\"renew\":{\"sent\":")
+            .and_then(|rest| rest.split(',').next());
+        renewals.hear(self, &mut service);
+        service.send(&format!(
+            "{{\"lease\":{{\"sent\":{},\"span\":600000}}}}",
+            sent.expect("a renewal")
+        ));
+        service.send(
+            "{\"changed\":{\"version\":2,\"change\":{\"Numbers\":{\"layer\":1024,\"first\":0,\"count\":4}}}}",
+        );
+        renewals.hear(self, &mut service);
+        service.send("{\"ask-clear\":{\"layer\":1024,\"branch\":\"b\"}}");
+        renewals.hear(self, &mut service);
+        service.send("{\"over\":{\"branch\":\"b\"}}");
+        service.send("{\"changed\":{\"version\":9,\"change\":{\"Cut\":{\"branch\":\"b\"}}}}");
+        assert_eq!(
+            service.line(),
+            "",
+            "a change that does not follow ends the connection"
+        );
+        let mut service = Peer::accept(&self.catalog);
+        renewals.hear(self, &mut service);
+        service
+    }
+}
+
+/// What the catalog hears: a renewal that is not granted in time is sent again, and only the first one counts.
+#[derive(Default)]
+struct Renewals {
+    heard: bool,
+}
+
+impl Renewals {
+    fn hear(&mut self, services: &mut PlayedServices, service: &mut Peer) -> String {
         let mut line = service.line();
-        // A renewal that is not granted in time is sent again.
-        while renewed && line.starts_with("{\"renew\"") {
+        while self.heard && line.starts_with("{\"renew\"") {
             line = service.line();
         }
-        renewed |= line.starts_with("{\"renew\"");
-        add(t, "to the catalog:", &line);
+        self.heard |= line.starts_with("{\"renew\"");
+        services.record("to the catalog:", &line);
         line
-    };
-    catalog_hears(&mut t, &mut service);
-    service.send(
-        "{\"whole\":{\"catalog\":11,\"tree\":{\"version\":1,\"layers\":{\"1024\":{\"parent\":null,\"frozen\":false,\
-         \"places\":{},\"opened\":[],\"next_number\":0,\"closed\":[]}},\"branches\":{\"b\":{\"head\":1024,\"unit\":1024,\
-         \"extents\":4,\"origin\":null}},\"snapshots\":{},\"made\":1,\"units\":0}}}",
-    );
-    service.send("\"filled\"");
-    // The lease that is granted lasts to the end of this test, so that it is not renewed again.
-    let renewal = catalog_hears(&mut t, &mut service);
-    let sent = renewal
-        .strip_prefix("{\"renew\":{\"sent\":")
-        .and_then(|rest| rest.split(',').next());
-    catalog_hears(&mut t, &mut service);
-    service.send(&format!(
-        "{{\"lease\":{{\"sent\":{},\"span\":600000}}}}",
-        sent.expect("a renewal")
-    ));
-    service.send(
-        "{\"changed\":{\"version\":2,\"change\":{\"Numbers\":{\"layer\":1024,\"first\":0,\"count\":4}}}}",
-    );
-    catalog_hears(&mut t, &mut service);
-    service.send("{\"ask-clear\":{\"layer\":1024,\"branch\":\"b\"}}");
-    catalog_hears(&mut t, &mut service);
-    service.send("{\"over\":{\"branch\":\"b\"}}");
-    service.send("{\"changed\":{\"version\":9,\"change\":{\"Cut\":{\"branch\":\"b\"}}}}");
-    assert_eq!(
-        service.line(),
-        "",
-        "a change that does not follow ends the connection"
-    );
-    let mut service = Peer::accept(&catalog);
-    catalog_hears(&mut t, &mut service);
-    let status = setup.mask(&control(&setup.control(), "status"));
-    t.add("status:", &mask(&status, "part"));
-    assert_pinned("host-messages.txt", t.text());
+    }
+}
+
+/// The whole state of the plan service, in which a volume of this name is on plan `basic`.
+fn full_plans(version: u64, volume: &str) -> String {
+    format!(
+        "{{\"whole\":{{\"state\":{{\"version\":{version},\"plans\":{{\"basic\":{{\"usual\":20000,\"reserve\":0,\
+         \"limit\":60000,\"burst\":8000,\"weight\":1000,\"price\":2000}},\"free\":{{\"usual\":0,\"reserve\":0,\
+         \"limit\":0,\"burst\":0,\"weight\":1000,\"price\":1000}}}},\"volumes\":{{\"{volume}\":\"basic\",\
+         \"b\":\"free\"}}}},\"last\":\"00ff\"}}}}"
+    )
+}
+
+#[test]
+fn messages_to_services_and_kept_files_are_as_they_were() {
+    let mut services = PlayedServices::new(Setup::new());
+    let setup = &services.setup;
+    fs::write(setup.path("list"), read_fixture("kept-list-before")).expect("a file");
+    fs::write(setup.path("plans"), read_fixture("kept-plans-before")).expect("a file");
+    let _process = setup.start("conf");
+
+    // What was kept counts before any service has answered.
+    services.record("status:", &services.status());
+    // The connections stay open to the end of the test.
+    let _connections = [
+        services.play_endpoint_service(),
+        services.play_plan_service(),
+        services.play_catalog(),
+    ];
+    let status = mask(&services.setup.mask(&services.status()), "part");
+    services.transcript.add("status:", &status);
+    assert_pinned("host-messages.txt", services.transcript.text());
 }
--- a/crates/gateway/tests/pinned/scsi.rs
+++ b/crates/gateway/tests/pinned/scsi.rs
@@ -2,28 +2,79 @@
 use crate::harness::{Process, Transcript, addresses, assert_pinned, wait_for_control};
 use mallowseam_gateway::blocking_client::BlockingClient;
 use mallowseam_iscsi::scsi::read_or_write_16;
+use std::fmt::Write;
 use std::fs;
+use std::net::SocketAddr;
 use std::num::NonZeroU16;
+use std::path::Path;
+
+/// A command, the room for what it reads, and the data that it writes.
+struct Command {
+    name: &'static str,
+    cdb: [u8; 16],
+    room: usize,
+    data: Vec<u8>,
+}
+
+impl Command {
+    /// A command that moves no data, by the first bytes of its CDB; the rest is 0.
+    fn new(name: &'static str, start: &[u8]) -> Command {
+        let mut cdb = [0; 16];
+        cdb[..start.len()].copy_from_slice(start);
+        Command {
+            name,
+            cdb,
+            room: 0,
+            data: Vec::new(),
+        }
+    }
+
+    fn reading(self, room: usize) -> Command {
+        Command { room, ..self }
+    }
+
+    fn writing(self, data: Vec<u8>) -> Command {
+        Command { data, ..self }
+    }
+}
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    let mut text = String::with_capacity(2 * bytes.len());
+    for byte in bytes {
+        write!(text, "{byte:02x}").expect("writing to memory");
+    }
+    text
 }
 
-fn cdb(start: &[u8]) -> [u8; 16] {
-    let mut cdb = [0; 16];
-    cdb[..start.len()].copy_from_slice(start);
-    cdb
+/// A session with the host, and what was asked and answered in it.
+struct Session {
+    client: BlockingClient,
+    transcript: Transcript,
 }
 
-#[test]
-fn answers_to_commands_are_as_they_were() {
-    let address = addresses();
-    let directory = tempfile::tempdir().expect("a directory");
-    let (conf, control) = (
-        directory.path().join("conf"),
-        directory.path().join("control.sock"),
-    );
-    let text = format!(
+impl Session {
+    fn ask(&mut self, lun: u32, command: &Command) {
+        let answer = self
+            .client
+            .execute(lun, &command.cdb, command.room, command.data.clone())
+            .expect("an answer");
+        let sense = answer
+            .sense
+            .map_or("none".to_owned(), |sense| hex(&sense.to_fixed_format()));
+        let text = format!(
+            "status {} sense {sense} retry after {} data {}",
+            answer.status,
+            answer.retry_after.map_or(0, NonZeroU16::get),
+            hex(&answer.data)
+        );
+        self.transcript
+            .add(&format!("{}, LUN {lun}:", command.name), &text);
+    }
+}
+
+/// A volume on a node, and one that the snapshot catalog maps.
+fn configuration(address: impl Fn(u8) -> SocketAddr, control: &Path) -> String {
+    format!(
         "host gw0\n  listen {}\n  target iqn.t:gateway\n  control \"{}\"\n  node-list static\n  window 32\n  \
          connections 40\n  longest 64KiB\n  seed 1\nfleet\n  hosts 1\n  unit 4KiB\n  mean-units 1\n  largest-units 16\n  \
          submits 2\ncatalog\n  listen {}\n  store \"tree\"\n  extent 64\n  copies all\nplan free\ngroup all\n  \
@@ -35,159 +86,98 @@
         control.display(),
         address(1),
         address(2),
+    )
+}
+
+/// Commands that ask what a logical unit is and in which state.
+fn queries() -> Vec<Command> {
+    vec![
+        Command::new("test unit ready", &[0x00]),
+        Command::new("request sense", &[0x03, 0, 0, 0, 18]).reading(18),
+        Command::new("inquiry", &[0x12, 0, 0, 0, 96]).reading(96),
+        Command::new("inquiry page 0", &[0x12, 1, 0, 0, 96]).reading(96),
+        Command::new("inquiry page 83", &[0x12, 1, 0x83, 0, 96]).reading(96),
+        Command::new("inquiry page b0", &[0x12, 1, 0xb0, 0, 96]).reading(96),
+        Command::new("inquiry page ff", &[0x12, 1, 0xff, 0, 96]).reading(96),
+        Command::new("read capacity 10", &[0x25]).reading(8),
+        Command::new(
+            "read capacity 16",
+            &[0x9e, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32],
+        )
+        .reading(32),
+        Command::new("mode sense 6", &[0x1a, 0, 0x3f, 0, 64]).reading(64),
+        Command::new("mode sense 10", &[0x5a, 0, 0x08, 0, 0, 0, 0, 0, 64]).reading(64),
+        Command::new("report luns", &[0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64]).reading(64),
+    ]
+}
+
+/// Commands on the cache and on allocation, and one that does not exist.
+fn other_commands() -> Vec<Command> {
+    vec![
+        Command::new("synchronize cache", &[0x35]),
+        Command::new(
+            "synchronize cache past the end",
+            &[0x35, 0, 0, 0, 1, 1, 0, 0, 1],
+        ),
+        Command::new("unmap", &[0x42, 0, 0, 0, 0, 0, 0, 0, 8])
+            .writing(vec![0, 6, 0, 0, 0, 0, 0, 0]),
+        Command::new(
+            "get lba status",
+            &[0x9e, 0x12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32],
+        )
+        .reading(32),
+        Command::new("unknown", &[0xff]),
+    ]
+}
+
+/// Reads and writes that are answered before any node is asked.
+fn transfers_without_a_node(lun: u32) -> Vec<Command> {
+    vec![
+        Command::new("read of nothing", &read_or_write_16(false, 0, 0, 0)),
+        Command::new("read past the end", &read_or_write_16(false, 255, 2, 0)).reading(8192),
+        Command::new("read without room", &read_or_write_16(false, 0, 2, 0)).reading(512),
+        Command::new(
+            "read that is too long",
+            &read_or_write_16(false, 0, if lun == 0 { 256 } else { 64 }, 0),
+        )
+        .reading(1 << 20),
+        Command::new("write without its data", &read_or_write_16(true, 0, 2, 0))
+            .writing(vec![0; 512]),
+    ]
+}
+
+#[test]
+fn answers_to_commands_are_as_they_were() {
+    let address = addresses();
+    let directory = tempfile::tempdir().expect("a directory");
+    let (conf, control) = (
+        directory.path().join("conf"),
+        directory.path().join("control.sock"),
     );
-    fs::write(&conf, text).expect("a file");
+    fs::write(&conf, configuration(&address, &control)).expect("a file");
     let _process = Process::start(&["run", conf.to_str().expect("text"), "--log", "error"]);
     wait_for_control(&control);
-    let mut client = BlockingClient::open(address(0), Some("iqn.t:gateway"), 1).expect("a login");
-    let mut t = Transcript::default();
-    let mut ask = |what: &str, lun: u32, cdb: [u8; 16], room: usize, data: Vec<u8>| {
-        let answer = client.execute(lun, &cdb, room, data).expect("an answer");
-        let sense = answer
-            .sense
-            .map_or("none".to_owned(), |sense| hex(&sense.to_fixed_format()));
-        let text = format!(
-            "status {} sense {sense} retry after {} data {}",
-            answer.status,
-            answer.retry_after.map_or(0, NonZeroU16::get),
-            hex(&answer.data)
-        );
-        t.add(&format!("{what}, LUN {lun}:"), &text);
+    let mut session = Session {
+        client: BlockingClient::open(address(0), Some("iqn.t:gateway"), 1).expect("a login"),
+        transcript: Transcript::default(),
     };
     for lun in [0, 2, 9] {
-        ask("test unit ready", lun, cdb(&[0x00]), 0, vec![]);
-        ask("request sense", lun, cdb(&[0x03, 0, 0, 0, 18]), 18, vec![]);
-        ask("inquiry", lun, cdb(&[0x12, 0, 0, 0, 96]), 96, vec![]);
-        ask("inquiry page 0", lun, cdb(&[0x12, 1, 0, 0, 96]), 96, vec![]);
-        ask(
-            "inquiry page 83",
-            lun,
-            cdb(&[0x12, 1, 0x83, 0, 96]),
-            96,
-            vec![],
-        );
-        ask(
-            "inquiry page b0",
-            lun,
-            cdb(&[0x12, 1, 0xb0, 0, 96]),
-            96,
-            vec![],
-        );
-        ask(
-            "inquiry page ff",
-            lun,
-            cdb(&[0x12, 1, 0xff, 0, 96]),
-            96,
-            vec![],
-        );
-        ask("read capacity 10", lun, cdb(&[0x25]), 8, vec![]);
-        ask(
-            "read capacity 16",
-            lun,
-            cdb(&[0x9e, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]),
-            32,
-            vec![],
-        );
-        ask(
-            "mode sense 6",
-            lun,
-            cdb(&[0x1a, 0, 0x3f, 0, 64]),
-            64,
-            vec![],
-        );
-        ask(
-            "mode sense 10",
-            lun,
-            cdb(&[0x5a, 0, 0x08, 0, 0, 0, 0, 0, 64]),
-            64,
-            vec![],
-        );
-        ask(
-            "report luns",
-            lun,
-            cdb(&[0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64]),
-            64,
-            vec![],
-        );
-        ask("synchronize cache", lun, cdb(&[0x35]), 0, vec![]);
-        ask(
-            "synchronize cache past the end",
-            lun,
-            cdb(&[0x35, 0, 0, 0, 1, 1, 0, 0, 1]),
-            0,
-            vec![],
-        );
-        ask(
-            "unmap",
-            lun,
-            cdb(&[0x42, 0, 0, 0, 0, 0, 0, 0, 8]),
-            0,
-            vec![0, 6, 0, 0, 0, 0, 0, 0],
-        );
-        ask(
-            "get lba status",
-            lun,
-            cdb(&[0x9e, 0x12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]),
-            32,
-            vec![],
-        );
-        ask("unknown", lun, cdb(&[0xff]), 0, vec![]);
-        ask(
-            "read of nothing",
-            lun,
-            read_or_write_16(false, 0, 0, 0),
-            0,
-            vec![],
-        );
-        ask(
-            "read past the end",
-            lun,
-            read_or_write_16(false, 255, 2, 0),
-            8192,
-            vec![],
-        );
-        ask(
-            "read without room",
-            lun,
-            read_or_write_16(false, 0, 2, 0),
-            512,
-            vec![],
-        );
-        ask(
-            "read that is too long",
-            lun,
-            read_or_write_16(false, 0, if lun == 0 { 256 } else { 64 }, 0),
-            1 << 20,
-            vec![],
-        );
-        ask(
-            "write without its data",
-            lun,
-            read_or_write_16(true, 0, 2, 0),
-            0,
-            vec![0; 512],
-        );
+        let commands = [queries(), other_commands(), transfers_without_a_node(lun)];
+        for command in commands.iter().flatten() {
+            session.ask(lun, command);
+        }
     }
-    ask(
-        "read, node away",
+    session.ask(
         0,
-        read_or_write_16(false, 0, 2, 0),
-        1024,
-        vec![],
+        &Command::new("read, node away", &read_or_write_16(false, 0, 2, 0)).reading(1024),
     );
-    ask(
-        "write, node away",
-        0,
-        read_or_write_16(true, 0, 2, 0),
+    session.ask(
         0,
-        vec![0; 1024],
+        &Command::new("write, node away", &read_or_write_16(true, 0, 2, 0)).writing(vec![0; 1024]),
     );
-    ask(
-        "read, catalog away",
+    session.ask(
         2,
-        read_or_write_16(false, 0, 2, 0),
-        8192,
-        vec![],
+        &Command::new("read, catalog away", &read_or_write_16(false, 0, 2, 0)).reading(8192),
     );
-    assert_pinned("scsi-answers.txt", t.text());
+    assert_pinned("scsi-answers.txt", session.transcript.text());
 }
--- a/crates/gateway/tests/pinned/shares.rs
+++ b/crates/gateway/tests/pinned/shares.rs
@@ -1,5 +1,6 @@
 //! Placements worked out, explained, compared, replayed and written into a configuration.
 use crate::harness::{assert_pinned, describe, fixture, program};
+use std::fmt::Write;
 use std::fs;
 
 const RUNS: [&str; 18] = [
@@ -43,7 +44,12 @@
             .current_dir(directory.path())
             .output()
             .expect("the program runs");
-        transcript += &format!("$ mallowseam shares {line}\n{}\n", describe(&output));
+        writeln!(
+            transcript,
+            "$ mallowseam shares {line}\n{}",
+            describe(&output)
+        )
+        .expect("writing to memory");
     }
     assert_pinned("shares.txt", &transcript);
     let written =
--- a/crates/gateway/tests/platform/endpoint_list.rs
+++ b/crates/gateway/tests/platform/endpoint_list.rs
@@ -384,9 +384,9 @@
     }
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
     host.resume();
-    clients
-        .iter_mut()
-        .for_each(|client| assert_eq!(client.answer().map(|a| a.0), Some(503)));
+    for client in &mut clients {
+        assert_eq!(client.answer().map(|a| a.0), Some(503));
+    }
     assert_eq!(
         host.nodes[0].received().len(),
         before,
--- a/crates/gateway/tests/platform/node_responses.rs
+++ b/crates/gateway/tests/platform/node_responses.rs
@@ -2,7 +2,7 @@
 use crate::support::client::{read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::Behavior;
-use crate::support::wait_until;
+use crate::support::{numbered_body, wait_until};
 use std::time::{Duration, Instant};
 #[test]
 fn reads_and_writes_are_answered_unchanged() {
@@ -108,7 +108,7 @@
 #[test]
 fn long_responses_reach_slow_clients_complete_and_release_their_memory() {
     let host = HostProcess::new(1);
-    let long: String = (0..50_000).map(|n| format!("{n:08}")).collect();
+    let long = numbered_body(50_000);
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
         long.len()
--- a/crates/gateway/tests/platform/races.rs
+++ b/crates/gateway/tests/platform/races.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Deadlines and connect timeouts that last longer than any test.
-fn with_long_timeouts(config: String) -> String {
+fn with_long_timeouts(config: &str) -> String {
     let config = config.replace("\"deadline_us\": 1000000", "\"deadline_us\": 60000000");
     let config = config.replace("\"aim_us\": 300000", "\"aim_us\": 30000000");
     config.replace(
@@ -38,7 +38,7 @@
 fn an_attempt_waiting_for_a_connection_is_withdrawn_when_its_client_disconnects() {
     for cancel in ["\"cancel\": true", "\"cancel\": false"] {
         let change = |config: String, _: &str| {
-            with_long_timeouts(config).replace("\"cancel\": true", cancel)
+            with_long_timeouts(&config).replace("\"cancel\": true", cancel)
         };
         let host = HostProcess::with_nodes(vec![Node::not_accepting().with_full_backlog()], change);
         let node = &host.nodes[0];
@@ -66,7 +66,7 @@
 fn an_attempt_that_waited_for_a_connection_sends_the_remaining_timeout() {
     let host = HostProcess::with_nodes(
         vec![Node::not_accepting().with_full_backlog()],
-        |config, _| with_long_timeouts(config),
+        |config, _| with_long_timeouts(&config),
     );
     let node = &host.nodes[0];
     let mut client = host.client();
@@ -89,7 +89,7 @@
 fn draining_withdraws_an_attempt_waiting_for_a_connection() {
     let host = HostProcess::with_nodes(
         vec![Node::not_accepting().with_full_backlog(), Node::new()],
-        |config, _| with_long_timeouts(config),
+        |config, _| with_long_timeouts(&config),
     );
     let mut client = host.client();
     client.send(&read_text("r", 0, 50_000));
@@ -195,7 +195,7 @@
 
 #[test]
 fn queued_requests_of_disconnected_clients_are_not_forwarded() {
-    let host = HostProcess::with_config(1, |config, _| with_long_timeouts(config));
+    let host = HostProcess::with_config(1, |config, _| with_long_timeouts(&config));
     let node = &host.nodes[0];
     (0..40).for_each(|_| node.behave_next(Behavior::Hold));
     let mut clients: Vec<Client> = (0..20).map(|_| host.client()).collect();
@@ -284,7 +284,7 @@
 fn bytes_from_a_node_before_its_request_are_not_its_response() {
     let host = HostProcess::with_nodes(
         vec![Node::not_accepting().with_full_backlog()],
-        |config, _| with_long_timeouts(config),
+        |config, _| with_long_timeouts(&config),
     );
     let node = &host.nodes[0];
     node.set_greeting("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
@@ -339,7 +339,7 @@
 }
 
 /// Two groups of which one may be repeated within its cell only.
-fn with_keyed_writes(config: String) -> String {
+fn with_keyed_writes(config: &str) -> String {
     let with_keyed_writes = "\"repeat\": \"deduplicated\", \"key_scope\": \"cell\", \"key_ttl_us\": 20000000, \"worth\": 3.0}]";
     config.replace(
         "\"repeat\": \"at_most_once\", \"worth\": 3.0}]",
@@ -357,7 +357,7 @@
         .collect();
     let host = HostProcess::with_nodes(nodes, |config, entry| {
         let config = config.replace("\"aim_us\": 300000", "\"aim_us\": 1500000");
-        with_keyed_writes(config).replace(&format!("[{entry}]"), &format!("[{}]", all.join(",")))
+        with_keyed_writes(&config).replace(&format!("[{entry}]"), &format!("[{}]", all.join(",")))
     });
     let mut client = host.client();
     for n in 0..20 {
--- a/crates/gateway/tests/platform/shutdown.rs
+++ b/crates/gateway/tests/platform/shutdown.rs
@@ -2,7 +2,7 @@
 use crate::support::client::{Client, read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::{Behavior, Node};
-use crate::support::wait_until;
+use crate::support::{numbered_body, wait_until};
 use nix::sys::signal::Signal;
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 const KILL: Duration = Duration::from_millis(3_700);
 
 /// Deadlines and latency objectives far longer than what the platform counts.
-fn with_long_deadlines(config: String) -> String {
+fn with_long_deadlines(config: &str) -> String {
     let config = config.replace("\"deadline_us\": 2000000", "\"deadline_us\": 30000000");
     let config = config.replace("\"deadline_us\": 1000000", "\"deadline_us\": 30000000");
     config.replace("\"aim_us\": 300000", "\"aim_us\": 20000000")
@@ -18,7 +18,7 @@
 
 #[test]
 fn in_flight_and_queued_requests_are_answered_between_sigterm_and_the_kill() {
-    let mut host = HostProcess::with_config(1, |config, _| with_long_deadlines(config));
+    let mut host = HostProcess::with_config(1, |config, _| with_long_deadlines(&config));
     (0..40).for_each(|_| host.nodes[0].behave_next(Behavior::StaySilent));
     let mut out = host.client();
     out.send(&write_text("w", 0, "x", 25_000));
@@ -110,7 +110,7 @@
 #[test]
 fn a_slow_reader_gets_its_response_complete_during_shutdown() {
     let mut host = HostProcess::new(1);
-    let long: String = (0..100_000).map(|n| format!("{n:08}")).collect();
+    let long = numbered_body(100_000);
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
         long.len()
--- a/crates/gateway/tests/platform/support/endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/endpoint_service.rs
@@ -84,7 +84,7 @@
         let version = {
             let mut state = self.state.lock().expect("no panic");
             state.version += 1;
-            state.entries = entries.to_owned();
+            state.entries = String::from(entries);
             state.version
         };
         let line = line(version, false, entries);
--- a/crates/gateway/tests/platform/support/mod.rs
+++ b/crates/gateway/tests/platform/support/mod.rs
@@ -7,6 +7,7 @@
 pub mod socket_table;
 
 use mallowseam_http1::Limits;
+use std::fmt::Write;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -26,3 +27,12 @@
         thread::sleep(Duration::from_millis(5));
     }
 }
+
+/// A long body in which no two parts are the same: numbers of eight digits.
+pub fn numbered_body(numbers: usize) -> String {
+    let mut body = String::with_capacity(8 * numbers);
+    for number in 0..numbers {
+        write!(body, "{number:08}").expect("writing to memory");
+    }
+    body
+}
