--- a/crates/iscsi/src/pdu/lun.rs
+++ b/crates/iscsi/src/pdu/lun.rs
@@ -28,11 +28,14 @@
     if bytes[4..8].iter().any(|byte| *byte != 0) {
         return None;
     }
-    let low = u32::from_be_bytes([0, bytes[1], bytes[2], bytes[3]]);
-    match bytes[0] {
-        EXTENDED_FLAT => Some(low),
-        0 if low & 0xffff == 0 => Some(low >> 16),
-        FLAT_SPACE..=0x7f if low & 0xffff == 0 => Some(u32::from(bytes[0] & 0x3f) << 8 | low >> 16),
+    let [method, second, third, fourth, ..] = bytes;
+    let fits_two_bytes = [third, fourth] == [0, 0];
+    match method {
+        EXTENDED_FLAT => Some(u32::from_be_bytes([0, second, third, fourth])),
+        0 if fits_two_bytes => Some(u32::from(second)),
+        FLAT_SPACE..=0x7f if fits_two_bytes => {
+            Some(u32::from_be_bytes([0, 0, method & !FLAT_SPACE, second]))
+        }
         _ => None,
     }
 }
--- a/crates/iscsi/src/target/sequence.rs
+++ b/crates/iscsi/src/target/sequence.rs
@@ -3,6 +3,7 @@
 use crate::pdu::{Bhs, serial_before};
 
 /// Numbers of commands and of statuses.
+#[expect(clippy::struct_field_names, reason = "the names of RFC 7143")]
 pub(super) struct TargetSequence {
     stat_sn: u32,
     exp_cmd_sn: u32,
--- a/crates/iscsi/tests/pinned_wire/login.rs
+++ b/crates/iscsi/tests/pinned_wire/login.rs
@@ -73,7 +73,8 @@
     let mut version = login_request(0x87, NAMES);
     version.0 = version.0.with_byte(3, 1);
     let (long_key, long_value) = ("k".repeat(64), "v".repeat(256));
-    let many: String = (0..65).map(|n| format!("k{n}=v/")).collect();
+    let keys: Vec<String> = (0..65).map(|n| format!("k{n}=v/")).collect();
+    let many = keys.concat();
     let chunk = "x".repeat(8100);
     let cases: Vec<Vec<Request>> = vec![
         vec![version],
--- a/crates/iscsi/tests/sessions/framing.rs
+++ b/crates/iscsi/tests/sessions/framing.rs
@@ -18,12 +18,12 @@
         bytes[bit / 8] ^= 1 << (bit % 8);
         let mut decoder = PduDecoder::new(1 << 16);
         decoder.set_limits(digests, 1 << 16);
-        let decoded = decoder.decode(&mut &bytes[..]);
+        let result = decoder.decode(&mut &bytes[..]);
         // A length that grew leaves the PDU incomplete; it is never accepted.
-        assert!(!matches!(decoded, Ok(Some(_))), "bit {bit}: {decoded:?}");
+        assert!(!matches!(result, Ok(Some(_))), "bit {bit}: {result:?}");
         if bit >= 52 * 8 {
             assert!(
-                matches!(decoded, Err(FrameError::DataDigest(_))),
+                matches!(result, Err(FrameError::DataDigest(_))),
                 "bit {bit}"
             );
         }
