--- a/crates/cow/tests/pinned_decisions.rs
+++ b/crates/cow/tests/pinned_decisions.rs
@@ -145,7 +145,7 @@
             in_flight: Vec::new(),
             names_created: 0,
         };
-        run.apply(Change::BranchCreated {
+        run.apply(&Change::BranchCreated {
             branch: "a".into(),
             extent_count: EXTENTS,
         });
@@ -154,10 +154,10 @@
     }
 
     /// Applies a change if the tree allows it, and sends it to the hosts. Whether it was applied.
-    fn apply(&mut self, change: Change) -> bool {
+    fn apply(&mut self, change: &Change) -> bool {
         self.record
-            .text(&serde_json::to_string(&change).expect("plain data"));
-        let effects = match self.tree.apply(&change) {
+            .text(&serde_json::to_string(change).expect("plain data"));
+        let effects = match self.tree.apply(change) {
             Ok(effects) => effects,
             Err(error) => {
                 self.record.change_error(&error);
@@ -281,7 +281,7 @@
         if host.replica.needs_slots(into) {
             self.record.number(8);
             let first = self.tree.layers.get(&into).map_or(0, |l| l.next_slot);
-            if self.apply(Change::SlotsAllocated {
+            if self.apply(&Change::SlotsAllocated {
                 layer: into,
                 first,
                 count: SLOT_BATCH,
@@ -320,7 +320,7 @@
         };
         match self.tree.conflicting_location(&change) {
             Ok(None) => {
-                if self.apply(change) {
+                if self.apply(&change) {
                     self.awaiting_writable
                         .push((self.tree.version, layer, extent));
                 }
@@ -333,7 +333,7 @@
     fn make_writable(&mut self) {
         for (version, layer, extent) in std::mem::take(&mut self.awaiting_writable) {
             if self.leases.is_effective(version, self.now) {
-                self.apply(Change::ExtentWritable { layer, extent });
+                self.apply(&Change::ExtentWritable { layer, extent });
             } else {
                 self.awaiting_writable.push((version, layer, extent));
             }
@@ -379,7 +379,7 @@
             .numbers(due.iter().flat_map(|(l, n)| [u64::from(*l), u64::from(*n)]));
         for (layer, node) in due {
             if self.rng.below(3) > 0 {
-                self.apply(Change::LayerClosed { layer, node });
+                self.apply(&Change::LayerClosed { layer, node });
             }
         }
     }
@@ -395,7 +395,7 @@
         match ConsistentCut::begin(&self.tree, &branch, &name, hosts, self.now) {
             Ok((change, cut)) => {
                 self.record.number(cut.layer.into());
-                if self.apply(change) {
+                if self.apply(&change) {
                     self.cuts.push(cut);
                 }
             }
@@ -421,13 +421,13 @@
                 CutProgress::Restart => {
                     self.record.number(2);
                     if let Some(change) = cut.restart(&self.tree, holding) {
-                        self.apply(change);
+                        self.apply(&change);
                     }
                     self.cuts.push(cut);
                 }
                 CutProgress::Grant(change) => {
                     self.record.number(3);
-                    self.apply(change);
+                    self.apply(&change);
                 }
                 CutProgress::Fail(failed) => self.record.failure(&failed),
             }
@@ -491,7 +491,7 @@
         let removable = self.reclaimer.removable_layers(&self.tree, &retained);
         self.record.numbers(removable.iter().map(|l| u64::from(*l)));
         for layer in removable {
-            self.apply(Change::ExtentsReclaimed {
+            self.apply(&Change::ExtentsReclaimed {
                 layer,
                 extents: Vec::new(),
             });
@@ -505,7 +505,7 @@
                 1 => self.reclaimer.failed((layer, extent), self.now),
                 _ => {
                     self.reclaimer.completed((layer, extent));
-                    self.apply(Change::ExtentsReclaimed {
+                    self.apply(&Change::ExtentsReclaimed {
                         layer,
                         extents: vec![extent],
                     });
@@ -539,7 +539,7 @@
             }
             _ => return,
         };
-        self.apply(change);
+        self.apply(&change);
     }
 
     /// A change that need not fit the tree.
--- a/crates/cow/tests/reclaim.rs
+++ b/crates/cow/tests/reclaim.rs
@@ -12,8 +12,8 @@
 }
 
 impl Catalog {
-    fn apply(&mut self, change: Change) {
-        let effects = self.tree.apply(&change).expect("fits");
+    fn apply(&mut self, change: &Change) {
+        let effects = self.tree.apply(change).expect("fits");
         self.reclaimer.record_change(&self.tree, &effects);
     }
 
@@ -59,7 +59,7 @@
             location: location(2),
         },
     ] {
-        catalog.apply(change);
+        catalog.apply(&change);
     }
     catalog
 }
@@ -84,7 +84,7 @@
             location: Location { node: 0, slot: 1 },
         },
     ] {
-        catalog.apply(change);
+        catalog.apply(&change);
     }
     catalog
 }
@@ -100,14 +100,14 @@
 fn location_read_by_a_deleted_snapshot_waits_for_every_host_again() {
     let mut catalog = catalog_after_cut();
     assert_eq!(catalog.next_batch(&[1024], 0, 10), []);
-    catalog.apply(Change::SnapshotCreated {
+    catalog.apply(&Change::SnapshotCreated {
         branch: "a".into(),
         name: "s".into(),
         layer: 1024,
     });
     // A host that has not received the deletion yet may still serve the snapshot.
     catalog.leases.renew("h", catalog.tree.version, 20);
-    catalog.apply(Change::SnapshotDeleted {
+    catalog.apply(&Change::SnapshotDeleted {
         snapshot: "a@s".into(),
     });
     assert_eq!(catalog.next_batch(&[], 0, 30), []);
@@ -119,7 +119,7 @@
 fn nothing_is_released_while_a_host_may_read_it_or_a_read_may_be_in_flight() {
     let mut catalog = catalog();
     catalog.leases.renew("a", 4, 0);
-    catalog.apply(Change::BranchDeleted { branch: "a".into() });
+    catalog.apply(&Change::BranchDeleted { branch: "a".into() });
     assert_eq!(catalog.next_batch(&[], 100, 10), []);
     catalog.leases.acknowledge("a", 5);
     assert_eq!(catalog.next_batch(&[], 100, 20), []);
@@ -140,8 +140,8 @@
 #[test]
 fn empty_layer_is_removed() {
     let mut catalog = catalog();
-    catalog.apply(Change::HeadFrozen { branch: "a".into() });
-    catalog.apply(Change::HeadFrozen { branch: "a".into() });
+    catalog.apply(&Change::HeadFrozen { branch: "a".into() });
+    catalog.apply(&Change::HeadFrozen { branch: "a".into() });
     let Catalog {
         tree, reclaimer, ..
     } = &mut catalog;
@@ -151,7 +151,7 @@
         "a pending cut"
     );
     assert_eq!(reclaimer.removable_layers(tree, &BTreeSet::new()), [1025]);
-    catalog.apply(Change::ExtentsReclaimed {
+    catalog.apply(&Change::ExtentsReclaimed {
         layer: 1025,
         extents: vec![],
     });
--- a/crates/cow/tests/tree_model.rs
+++ b/crates/cow/tests/tree_model.rs
@@ -54,11 +54,11 @@
 }
 
 impl TreeModel {
-    fn apply(&mut self, change: Change) {
+    fn apply(&mut self, change: &Change) {
         let before = self.tree.unreachable_extents();
         let effects = self
             .tree
-            .apply(&change)
+            .apply(change)
             .unwrap_or_else(|r| panic!("{change:?}: {r}"));
         // What a change has made unreachable is found without visiting the whole tree.
         let fresh = |(layer, extent): &(LayerId, u32)| {
@@ -84,12 +84,12 @@
             self.host.replace_tree(Tree::default());
             self.host.lease_granted(0, 1);
         }
-        assert!(self.host.apply_change(self.tree.version, &change));
+        assert!(self.host.apply_change(self.tree.version, change));
     }
 
     fn close_all(&mut self) {
         for (layer, node) in self.tree.pending_closes().collect::<Vec<_>>() {
-            self.apply(Change::LayerClosed { layer, node });
+            self.apply(&Change::LayerClosed { layer, node });
         }
     }
 
@@ -102,15 +102,15 @@
             Some((layer, location)) if layer == head => location,
             from => {
                 let slot = self.tree.layers[&head].next_slot;
-                self.apply(allocated(head, slot, 1));
+                self.apply(&allocated(head, slot, 1));
                 let location = Location {
                     node: self.writes as u32 % 3,
                     slot,
                 };
                 let copied = from.map_or(0, |f| self.stored[&f]);
                 self.stored.insert((head, location), copied);
-                self.apply(placed(head, extent, location));
-                self.apply(Change::ExtentWritable {
+                self.apply(&placed(head, extent, location));
+                self.apply(&Change::ExtentWritable {
                     layer: head,
                     extent,
                 });
@@ -163,18 +163,18 @@
                 let (change, cut) =
                     ConsistentCut::begin(&self.tree, &branch, &name, BTreeSet::default(), 0)
                         .expect("a cut");
-                self.apply(change);
+                self.apply(&change);
                 self.close_all();
                 let CutProgress::Grant(change) = cut.progress(&self.tree, 0) else {
                     panic!("closed everywhere")
                 };
-                self.apply(change);
+                self.apply(&change);
                 self.snapshots
                     .insert(format!("{branch}@{name}"), self.branches[&branch].clone());
             }
             (7, Some(snapshot)) if self.branches.len() < 4 => {
                 let name = format!("c{}", self.tree.version);
-                self.apply(Change::CloneCreated {
+                self.apply(&Change::CloneCreated {
                     snapshot: snapshot.clone(),
                     branch: name.clone(),
                 });
@@ -183,7 +183,7 @@
             }
             (8, Some(snapshot)) => {
                 let branch = self.tree.snapshots[&snapshot].branch.clone();
-                self.apply(Change::BranchRolledBack {
+                self.apply(&Change::BranchRolledBack {
                     branch: branch.clone(),
                     snapshot: snapshot.clone(),
                 });
@@ -192,7 +192,7 @@
                     .insert(branch, self.snapshots[&snapshot].clone());
             }
             (9, Some(snapshot)) => {
-                self.apply(Change::SnapshotDeleted {
+                self.apply(&Change::SnapshotDeleted {
                     snapshot: snapshot.clone(),
                 });
                 self.snapshots.remove(&snapshot);
@@ -203,7 +203,7 @@
                         let location = self.tree.layers[&layer].locations[extent];
                         self.stored.remove(&(layer, location));
                     }
-                    self.apply(Change::ExtentsReclaimed {
+                    self.apply(&Change::ExtentsReclaimed {
                         layer,
                         extents: extents.into_iter().collect(),
                     });
@@ -215,7 +215,7 @@
 
 fn model() -> TreeModel {
     let mut model = TreeModel::default();
-    model.apply(Change::BranchCreated {
+    model.apply(&Change::BranchCreated {
         branch: "a".into(),
         extent_count: EXTENTS,
     });
@@ -227,7 +227,7 @@
 fn model_with_slots(count: u32) -> (TreeModel, LayerId) {
     let mut model = model();
     let layer = model.tree.branches["a"].head;
-    model.apply(allocated(layer, 0, count));
+    model.apply(&allocated(layer, 0, count));
     (model, layer)
 }
 
@@ -279,14 +279,14 @@
     }
     let (change, cut) =
         ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     assert_eq!(
         model.tree.pending_closes().collect::<Vec<_>>(),
         [(1024, 0), (1024, 1), (1024, 2)]
     );
     for node in 0..3 {
         assert_eq!(cut.progress(&model.tree, 200), CutProgress::Wait);
-        model.apply(Change::LayerClosed { layer: 1024, node });
+        model.apply(&Change::LayerClosed { layer: 1024, node });
     }
     assert!(matches!(
         cut.progress(&model.tree, 200),
@@ -300,7 +300,7 @@
     model.write("a", 0);
     let (change, cut) =
         ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 100).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     assert_eq!(
         cut.progress(&model.tree, 100 + CUT_TIMEOUT - 1),
         CutProgress::Wait
@@ -310,13 +310,13 @@
     assert!(model.tree.snapshots.is_empty());
     // Clients continue in the new head, but copy nothing from layers that may still receive late writes.
     let head = model.tree.branches["a"].head;
-    model.apply(allocated(head, 0, 1));
+    model.apply(&allocated(head, 0, 1));
     let placed = placed(head, 0, Location { node: 2, slot: 0 });
     assert_eq!(
         model.tree.check(&placed),
         Err(ChangeError::LayerNotAccepting(1024))
     );
-    model.apply(Change::LayerClosed {
+    model.apply(&Change::LayerClosed {
         layer: 1024,
         node: 1,
     });
@@ -329,10 +329,10 @@
     model.write("a", 0);
     let (change, first) =
         ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     let (change, second) =
         ConsistentCut::begin(&model.tree, "a", "t", BTreeSet::default(), 0).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     assert_eq!(
         (
             first.progress(&model.tree, 0),
@@ -345,7 +345,7 @@
         let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else {
             panic!("closed")
         };
-        model.apply(change);
+        model.apply(&change);
     }
     model.check();
 }
@@ -355,14 +355,14 @@
     let mut model = model();
     let (change, first) =
         ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     let (change, second) = ConsistentCut::begin(&model.tree, "a", "s", BTreeSet::default(), 0)
         .expect("not granted yet");
-    model.apply(change);
+    model.apply(&change);
     let CutProgress::Grant(change) = first.progress(&model.tree, 0) else {
         panic!("nothing to close")
     };
-    model.apply(change);
+    model.apply(&change);
     assert!(matches!(
         second.progress(&model.tree, 0),
         CutProgress::Fail(CutFailure::Rejected(_))
@@ -374,7 +374,7 @@
 fn first_location_of_an_extent_wins() {
     let (mut model, layer) = model_with_slots(9);
     let first = Location { node: 1, slot: 2 };
-    model.apply(placed(layer, 0, first));
+    model.apply(&placed(layer, 0, first));
     let second = placed(layer, 0, Location { node: 2, slot: 7 });
     assert_eq!(
         model.tree.check(&second),
@@ -406,11 +406,11 @@
         Err(ChangeError::StillInUse(_))
     ));
     model.step(step(7, 0, 0));
-    model.apply(Change::SnapshotDeleted {
+    model.apply(&Change::SnapshotDeleted {
         snapshot: snapshot.clone(),
     });
     model.snapshots.remove(&snapshot);
-    model.apply(Change::BranchDeleted { branch: "a".into() });
+    model.apply(&Change::BranchDeleted { branch: "a".into() });
     model.branches.remove("a");
     for _ in 0..3 {
         model.step(step(10, 0, 0));
@@ -423,7 +423,7 @@
     let mut model = model();
     let hosts = || ["g".to_owned(), "h".to_owned()].into();
     let (change, mut cut) = ConsistentCut::begin(&model.tree, "a", "s", hosts(), 0).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     assert_eq!(cut.progress(&model.tree, 0), CutProgress::Wait);
     cut.host_quiesced(1024, "g");
     cut.host_quiesced(1023, "h");
@@ -455,7 +455,7 @@
     let mut model = model();
     let (change, mut cut) =
         ConsistentCut::begin(&model.tree, "a", "s", ["g".to_owned()].into(), 0).expect("a cut");
-    model.apply(change);
+    model.apply(&change);
     assert_eq!(
         decide_completion(&model.tree, 1024),
         decision(true, &[1024])
@@ -475,7 +475,7 @@
     let freeze = cut
         .restart(&model.tree, ["g".to_owned()].into())
         .expect("a branch");
-    model.apply(freeze);
+    model.apply(&freeze);
     assert_eq!(cut.layer, 1025);
     assert_eq!(
         decide_completion(&model.tree, 1024),
@@ -485,7 +485,7 @@
     let CutProgress::Grant(change) = cut.progress(&model.tree, 0) else {
         panic!("clear and closed")
     };
-    model.apply(change);
+    model.apply(&change);
     assert_eq!(
         decide_completion(&model.tree, 1024),
         decision(false, &[1024, 1025])
--- a/crates/http1/tests/pinned_parsing.rs
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -92,9 +92,9 @@
             Ok(None) => return true,
             Ok(Some(whole)) => {
                 self.case("whole");
-                [whole.start, whole.body, whole.end]
-                    .into_iter()
-                    .for_each(|n| self.number(n));
+                for offset in [whole.start, whole.body, whole.end] {
+                    self.number(offset);
+                }
             }
             Err(error) => self.error(error),
         }
@@ -208,11 +208,12 @@
     let mut text = String::new();
     for _ in 0..rng.below(6) {
         let len = [1, 3, 10, 17, 100, 255][rng.below(6)];
-        text += &match rng.below(6) {
+        let size_line = match rng.below(6) {
             0 => format!("{len:X};x=y\r\n"),
             1 => format!("00{len:x} \r\n"),
             _ => format!("{len:x}\r\n"),
         };
+        text += &size_line;
         text += &"abcdefghij".repeat(26)[..len];
         text += if rng.below(30) == 0 { "\n" } else { "\r\n" };
     }
@@ -227,7 +228,8 @@
         "-1\r\n",
     ]);
     if rng.below(30) == 0 {
-        text += &format!("1;{}", "x".repeat(240 + rng.below(30)));
+        text += "1;";
+        text += &"x".repeat(240 + rng.below(30));
     }
     text += rng.one_of(&["", "", "T: 1\r\n", "T: 1\r\nU: 2\r\n", "T\n"]);
     if rng.below(30) == 0 {
--- a/crates/plans/tests/quota_safety.rs
+++ b/crates/plans/tests/quota_safety.rs
@@ -27,7 +27,7 @@
     }
 }
 
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 enum Message {
     Poll {
         polled_at: Millis,
@@ -164,7 +164,7 @@
                     requested,
                 };
                 self.in_transit
-                    .insert((arrival, self.sent), (index, report.clone()));
+                    .insert((arrival, self.sent), (index, report));
                 if self.random.below(10) == 0 {
                     let again = arrival + self.random.below(3_000);
                     self.in_transit
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -937,7 +937,7 @@
     found
         .lines()
         .filter(|l| !valid.contains(l))
-        .map(|l| format!("{l}\n"))
+        .flat_map(|line| [line, "\n"])
         .collect()
 }
 
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -19,31 +19,41 @@
     );
 }
 
+/// The error of the valid write once its lines that begin like this are changed.
+fn error_with(start: &str, change: impl Fn(&str) -> Option<String>) -> Option<RequestError> {
+    error(&write_request_with(|line| {
+        if line.starts_with(start) {
+            change(line)
+        } else {
+            Some(line.to_owned())
+        }
+    }))
+}
+
+/// The error without the lines that begin like this.
+fn error_without(start: &str) -> Option<RequestError> {
+    error_with(start, |_| None)
+}
+
+/// The error with the lines that begin like this doubled.
+fn error_with_doubled(start: &str) -> Option<RequestError> {
+    error_with(start, |line| Some(format!("{line}\r\n{line}")))
+}
+
+/// The error with another line in place of those that begin like this.
+fn error_with_line(start: &str, line: &str) -> Option<RequestError> {
+    error_with(start, |_| Some(line.to_owned()))
+}
+
+fn assert_values_rejected(header: &str, values: &[&str], why: RequestError) {
+    for value in values {
+        let found = error_with_line(header, &format!("{header}: {value}"));
+        assert_eq!(found, Some(why), "{value}");
+    }
+}
+
 #[test]
-fn missing_repeated_or_invalid_field_is_named() {
-    let without = |name: &str| {
-        error(&write_request_with(|l| {
-            (!l.starts_with(name)).then(|| l.to_owned())
-        }))
-    };
-    let doubled = |name: &str| {
-        error(&write_request_with(|l| {
-            Some(if l.starts_with(name) {
-                format!("{l}\r\n{l}")
-            } else {
-                l.to_owned()
-            })
-        }))
-    };
-    let as_is = |name: &str, line: &str| {
-        error(&write_request_with(|l| {
-            Some(if l.starts_with(name) {
-                line.to_owned()
-            } else {
-                l.to_owned()
-            })
-        }))
-    };
+fn missing_repeated_or_empty_field_is_named() {
     for (name, why) in [
         ("X-Request-ID", RequestError::InvalidRequestId),
         ("X-Priority-Class", RequestError::UnknownClass),
@@ -51,20 +61,19 @@
         ("X-Timeout-Ms", RequestError::InvalidTimeout),
         ("X-Placement", RequestError::InvalidPlacement),
     ] {
-        assert_eq!(without(name), Some(why), "without {name}");
-        assert_eq!(doubled(name), Some(why), "{name} twice");
-        assert_eq!(as_is(name, &format!("{name}:")), Some(why), "{name} empty");
+        assert_eq!(error_without(name), Some(why), "without {name}");
+        assert_eq!(error_with_doubled(name), Some(why), "{name} twice");
+        let empty = error_with_line(name, &format!("{name}:"));
+        assert_eq!(empty, Some(why), "{name} empty");
     }
     assert_eq!(
-        without("Content-Length"),
+        error_without("Content-Length"),
         Some(RequestError::LengthRequired)
     );
-    let all_rejected = |start: &str, header: &str, values: &[&str], why: RequestError| {
-        for value in values {
-            let found = as_is(start, &format!("{header}: {value}"));
-            assert_eq!(found, Some(why), "{value}");
-        }
-    };
+}
+
+#[test]
+fn invalid_timeout_is_rejected() {
     let timeouts = [
         "0",
         "-5",
@@ -74,8 +83,11 @@
         "3600001",
         "99999999999999999999999",
     ];
-    let why = RequestError::InvalidTimeout;
-    all_rejected("X-Timeout", "X-Timeout-Ms", &timeouts, why);
+    assert_values_rejected("X-Timeout-Ms", &timeouts, RequestError::InvalidTimeout);
+}
+
+#[test]
+fn invalid_placement_is_rejected() {
     let placements = [
         "units=0,shard=5,hosts=3",
         "units=9,shard=5,hosts=3",
@@ -88,52 +100,54 @@
         "units=NaN,shard=5,hosts=3",
         "units=2,shard=99999999999,hosts=3",
     ];
-    let why = RequestError::InvalidPlacement;
-    all_rejected("X-Place", "X-Placement", &placements, why);
-    let path = |target: &str| as_is("PUT", &format!("PUT {target} HTTP/1.1"));
-    assert_eq!(
-        path("/look/00000003b4d60021/7f3a9c21e0b4d655"),
-        Some(RequestError::UnknownClass)
-    );
-    assert_eq!(
-        path("/nope/00000003b4d60021/7f3a9c21e0b4d655"),
-        Some(RequestError::UnknownClass)
-    );
-    assert_eq!(
-        path("/book/0003b4d60021/7f3a9c21e0b4d655"),
-        Some(RequestError::InvalidAddress)
-    );
-    assert_eq!(
-        path("/book/00000003b4d6002g/7f3a9c21e0b4d655"),
-        Some(RequestError::InvalidAddress)
-    );
-    assert_eq!(
-        path("/book/00000003b4d60021"),
-        Some(RequestError::UnknownPath)
-    );
-    assert_eq!(
-        path("/book/00000003b4d60021/7f3a9c21e0b4d655/x"),
-        Some(RequestError::UnknownPath)
-    );
-    assert_eq!(path("*"), Some(RequestError::UnknownPath));
-    assert_eq!(
-        as_is(
-            "PUT",
-            "GET /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"
+    assert_values_rejected("X-Placement", &placements, RequestError::InvalidPlacement);
+}
+
+#[test]
+fn invalid_path_is_rejected_by_its_first_wrong_part() {
+    for (target, why) in [
+        (
+            "/look/00000003b4d60021/7f3a9c21e0b4d655",
+            RequestError::UnknownClass,
         ),
-        Some(RequestError::MethodNotAllowed)
-    );
-    assert_eq!(
-        as_is(
-            "PUT",
-            "POST /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1"
+        (
+            "/nope/00000003b4d60021/7f3a9c21e0b4d655",
+            RequestError::UnknownClass,
         ),
-        Some(RequestError::MethodNotAllowed)
-    );
-    assert_eq!(
-        as_is("X-Request", &format!("X-Request-ID: {}", "a".repeat(41))),
-        Some(RequestError::InvalidRequestId)
-    );
+        (
+            "/book/0003b4d60021/7f3a9c21e0b4d655",
+            RequestError::InvalidAddress,
+        ),
+        (
+            "/book/00000003b4d6002g/7f3a9c21e0b4d655",
+            RequestError::InvalidAddress,
+        ),
+        ("/book/00000003b4d60021", RequestError::UnknownPath),
+        (
+            "/book/00000003b4d60021/7f3a9c21e0b4d655/x",
+            RequestError::UnknownPath,
+        ),
+        ("*", RequestError::UnknownPath),
+    ] {
+        let found = error_with_line("PUT", &format!("PUT {target} HTTP/1.1"));
+        assert_eq!(found, Some(why), "{target}");
+    }
+}
+
+#[test]
+fn method_that_does_not_fit_the_class_is_rejected() {
+    for method in ["GET", "POST"] {
+        let line = format!("{method} /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1");
+        let found = error_with_line("PUT", &line);
+        assert_eq!(found, Some(RequestError::MethodNotAllowed), "{method}");
+    }
+}
+
+#[test]
+fn request_id_that_is_too_long_is_rejected() {
+    let line = format!("X-Request-ID: {}", "a".repeat(41));
+    let found = error_with_line("X-Request-ID", &line);
+    assert_eq!(found, Some(RequestError::InvalidRequestId));
 }
 
 #[test]
