--- a/crates/audit/src/fleet/node_rules.rs
+++ b/crates/audit/src/fleet/node_rules.rs
@@ -102,9 +102,9 @@
             }
         }
         self.add_undeliverable(&sent, &mut notifications);
-        notifications
-            .values_mut()
-            .for_each(|of_node| of_node.sort_by_key(|n| n.at));
+        for of_node in notifications.values_mut() {
+            of_node.sort_by_key(|n| n.at);
+        }
         notifications
     }
 
--- a/crates/audit/src/rehearsal/data.rs
+++ b/crates/audit/src/rehearsal/data.rs
@@ -137,10 +137,10 @@
                 if let Some(why) = self.stale_or_wrong(span, *shown, all) {
                     lines.push(format!("{name} block {lba}: {why}"));
                 }
-                let Some(writer) = shown.and_then(|id| all.iter().find(|c| c.id == id)) else {
+                let Some(command) = shown.and_then(|id| all.iter().find(|c| c.id == id)) else {
                     continue;
                 };
-                lines.extend(self.torn_writes(name, blocks, lba, writer));
+                lines.extend(self.torn_writes(name, blocks, lba, command));
             }
         }
         self.verdict.snapshots = count;
--- a/crates/load/src/initiators/generator/requests.rs
+++ b/crates/load/src/initiators/generator/requests.rs
@@ -109,7 +109,8 @@
         } else {
             PART_OF_ACCOUNT
         };
-        for _ in 0..1 + usize::from(pair) {
+        let commands = if pair { 2 } else { 1 };
+        for _ in 0..commands {
             self.send_command(index, true, account, blocks, false);
         }
     }
--- a/crates/load/tests/pinned.rs
+++ b/crates/load/tests/pinned.rs
@@ -14,7 +14,9 @@
 use std::time::{Duration, Instant};
 
 fn add_all(digest: &mut Digest, numbers: &[u64]) {
-    numbers.iter().for_each(|number| digest.add(*number));
+    for number in numbers {
+        digest.add(*number);
+    }
 }
 
 /// Last bytes of the nodes' addresses: each test program has its own.
--- a/crates/models/src/exhaustive_placement.rs
+++ b/crates/models/src/exhaustive_placement.rs
@@ -167,10 +167,10 @@
         .iter()
         .map(|v| part(*v, volumes[*v].reserved_rate))
         .sum();
-    let spare = scaled(nodes[n].capacity) - reserved;
+    let unreserved = scaled(nodes[n].capacity) - reserved;
     let weights: i128 = here.iter().map(|v| i128::from(volumes[*v].weight)).sum();
     let mut gain = 0;
-    let mut left = spare;
+    let mut left = unreserved;
     let mut beyond_share = vec![];
     for v in here {
         let factor = i128::from(volumes[v].priority_factor);
@@ -179,7 +179,7 @@
         let share = if weights == 0 {
             0
         } else {
-            spare * 9 * i128::from(volumes[v].weight) / (10 * weights)
+            unreserved * 9 * i128::from(volumes[v].weight) / (10 * weights)
         };
         let within_share = beyond.min(share);
         gain += 100 * factor * reserved + 35 * factor * within_share;
--- a/crates/models/tests/pinned.rs
+++ b/crates/models/tests/pinned.rs
@@ -9,7 +9,9 @@
 use std::fmt::Write;
 
 fn add_all(digest: &mut Digest, numbers: &[u64]) {
-    numbers.iter().for_each(|number| digest.add(*number));
+    for number in numbers {
+        digest.add(*number);
+    }
 }
 
 fn add_outcome(digest: &mut Digest, outcome: PollOutcome) {
--- a/crates/stand-ins/tests/pinned.rs
+++ b/crates/stand-ins/tests/pinned.rs
@@ -17,7 +17,9 @@
 use std::net::SocketAddr;
 
 fn add_all(digest: &mut Digest, numbers: &[u64]) {
-    numbers.iter().for_each(|number| digest.add(*number));
+    for number in numbers {
+        digest.add(*number);
+    }
 }
 
 fn add_link_fault(digest: &mut Digest, fault: &LinkFault) {
