--- a/crates/testbed/src/cli/fleet_rehearsal.rs
+++ b/crates/testbed/src/cli/fleet_rehearsal.rs
@@ -11,6 +11,9 @@
 const STORM: &str = "fleet-storm";
 const STORM_HOSTS: u32 = 40;
 
+/// How the name of a file with a fleet's script ends.
+const SCRIPT_SUFFIX: &str = ".fleet";
+
 /// The text of a fleet's script, by its name or from a file; none where the name is of another kind of script.
 pub(super) fn script_text(name: &str) -> Result<Option<String>, Box<dyn Error>> {
     if name == STORM {
@@ -19,7 +22,7 @@
     if let Some(text) = builtin::fleet(name) {
         return Ok(Some(text.to_owned()));
     }
-    if !name.ends_with(".fleet") {
+    if !name.ends_with(SCRIPT_SUFFIX) {
         return Ok(None);
     }
     let text = std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?;
@@ -83,7 +86,9 @@
     }
     let evidence = report(&options.script, &scenario, &outcome);
     if !evidence.is_empty() {
-        evidence.iter().for_each(|line| println!("{line}"));
+        for line in &evidence {
+            println!("{line}");
+        }
         println!("logs and configurations: {}", dir.keep().display());
     }
     Ok(evidence.is_empty())
@@ -91,10 +96,9 @@
 
 /// Prints what a run came to, and returns the evidence against it.
 fn report(name: &str, scenario: &Scenario, outcome: &Outcome) -> Vec<String> {
-    outcome
-        .compare_membership_groups(scenario)
-        .iter()
-        .for_each(|text| println!("{text}"));
+    if let Some(text) = outcome.compare_membership_groups(scenario) {
+        println!("{text}");
+    }
     if name == STORM {
         // Polls are many here as hosts come and go, and are not what is tried.
         let mut evidence = outcome.violations();
--- a/crates/testbed/src/fleet/peers.rs
+++ b/crates/testbed/src/fleet/peers.rs
@@ -180,9 +180,9 @@
         let impaired = |host: &u32| self.is_impaired(*host);
         let excused = self.request_hosts.iter().filter(|(_, host)| impaired(host));
         let excused: Vec<u64> = excused.map(|(op, _)| *op).collect();
-        excused
-            .into_iter()
-            .for_each(|op| self.record(Event::Excused { op }));
+        for op in excused {
+            self.record(Event::Excused { op });
+        }
     }
 
     /// Whether the link between clients and a host has a fault, or the host is paused.
--- a/crates/testbed/src/fleet/peers/connections.rs
+++ b/crates/testbed/src/fleet/peers/connections.rs
@@ -311,9 +311,9 @@
     pub(super) fn reset_connections(&mut self, matches: impl Fn(&ConnectionRole) -> bool) {
         let matching = self.connections.iter().filter(|(_, c)| matches(&c.role));
         let indexes: Vec<u32> = matching.map(|(index, _)| index).collect();
-        indexes
-            .into_iter()
-            .for_each(|index| self.close(index, true));
+        for index in indexes {
+            self.close(index, true);
+        }
     }
 
     /// Closes a connection, whoever ended it.
--- a/crates/testbed/src/fleet/peers/hosts.rs
+++ b/crates/testbed/src/fleet/peers/hosts.rs
@@ -44,9 +44,9 @@
         self.paused[host as usize] = paused;
         let in_flight = self.request_hosts.iter().filter(|(_, h)| **h == host);
         let in_flight: Vec<u64> = in_flight.map(|(op, _)| *op).collect();
-        in_flight
-            .into_iter()
-            .for_each(|op| self.record(Event::Excused { op }));
+        for op in in_flight {
+            self.record(Event::Excused { op });
+        }
     }
 
     /// Whether a host has reported readiness.
--- a/crates/testbed/src/fleet/peers/listeners.rs
+++ b/crates/testbed/src/fleet/peers/listeners.rs
@@ -84,15 +84,14 @@
             return;
         }
         let (token, registry) = (listener_token(index), self.poll.registry());
-        let mut listener = match entry.listener.take() {
-            Some(listener) => listener,
-            None => {
-                let Ok(mut listener) = TcpListener::bind(entry.address) else {
-                    return;
-                };
-                let _ = registry.register(&mut listener, token, Interest::READABLE);
-                listener
-            }
+        let mut listener = if let Some(listener) = entry.listener.take() {
+            listener
+        } else {
+            let Ok(mut listener) = TcpListener::bind(entry.address) else {
+                return;
+            };
+            let _ = registry.register(&mut listener, token, Interest::READABLE);
+            listener
         };
         if state == ConnectOutcome::Blackholed {
             // One connection that nobody accepts fills a queue of length zero: later ones get no answer.
--- a/crates/testbed/src/fleet/peers/membership.rs
+++ b/crates/testbed/src/fleet/peers/membership.rs
@@ -222,7 +222,7 @@
             return;
         };
         let table = &mut query.table;
-        table.host = page.host.as_str().to_owned();
+        table.host = page.host.to_string();
         (table.isolated, table.superseded, table.digest) =
             (page.isolated, page.superseded, page.digest);
         table.members.extend(page.members);
--- a/crates/testbed/src/fleet/processes.rs
+++ b/crates/testbed/src/fleet/processes.rs
@@ -39,6 +39,7 @@
     }
 
     /// The same program with further arguments.
+    #[must_use]
     pub fn with_arguments(mut self, args: &[&str]) -> Self {
         self.args.extend(args.iter().map(|a| (*a).to_owned()));
         self
--- a/crates/testbed/src/placement_day.rs
+++ b/crates/testbed/src/placement_day.rs
@@ -85,7 +85,8 @@
         .iter()
         .map(|share| format!("{} {}", share.volume, share.weight))
         .collect();
-    table += &format!("weights worked out: {}", tuned.join(", "));
+    table += "weights worked out: ";
+    table += &tuned.join(", ");
     Ok(Report { table, passed })
 }
 
--- a/crates/testbed/src/snapshot_benchmark/sockets.rs
+++ b/crates/testbed/src/snapshot_benchmark/sockets.rs
@@ -14,6 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
+use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -103,11 +104,13 @@
         EXTENT * EXTENTS,
     );
     for i in 0..NODES {
-        text += &format!(
-            "node node{i}\n  address {}\n  target {}\n",
+        writeln!(
+            text,
+            "node node{i}\n  address {}\n  target {}",
             address(1 + i),
             node_target(i)
-        );
+        )
+        .expect("writing to memory");
     }
     text
 }
@@ -160,7 +163,7 @@
     );
     let columns =
         ["commands", "median", "p99", "longest", "cuts"].map(|name| format!("{name:>10}"));
-    out += &format!("{:<28}{}\n", "", columns.concat());
+    writeln!(out, "{:<28}{}", "", columns.concat()).expect("writing to memory");
     let mut taken = 0;
     for wanted in &options.snapshots {
         // Every extent has its location, and between two snapshots one of them is written.
@@ -226,9 +229,9 @@
 
 fn row(name: &str, latencies: &[Duration], cuts: usize) -> String {
     let mut histogram = latency_histogram();
-    latencies
-        .iter()
-        .for_each(|latency| histogram.saturating_record(latency.as_nanos() as u64));
+    for latency in latencies {
+        histogram.saturating_record(latency.as_nanos() as u64);
+    }
     let ms = |ns: u64| ns as f64 / 1e6;
     let [median, p99] = [0.5, 0.99].map(|quantile| ms(histogram.value_at_quantile(quantile)));
     let longest = ms(histogram.max());
--- a/crates/testbed/tests/fleet/discovery_outages.rs
+++ b/crates/testbed/tests/fleet/discovery_outages.rs
@@ -196,11 +196,11 @@
     // Nodes 1 and 3 and the odd hosts: hosts restart two seconds after the nodes, with a list that has their start.
     // A host that is killed in the middle of a response closes the connection behind it; clients do not reuse it.
     let zone = "at 4s node 1 kill for 2s\nat 4s node 3 kill for 2s\n";
-    let hosts: String = (0..10)
+    let hosts: Vec<String> = (0..10)
         .map(|n| format!("at 4s host {} kill for 4s\n", 2 * n + 1))
         .collect();
     let program = program().with_arguments(&["--list-turn", "120"]);
-    let text = format!("{head}day 15s\n{zone}{hosts}");
+    let text = format!("{head}day 15s\n{zone}{}", hosts.concat());
     let outcome = play(&text, 5, &program);
     assert_clean(&outcome);
     assert_eq!(outcome.verdict.collapses, 0);
--- a/crates/testbed/tests/fleet/membership.rs
+++ b/crates/testbed/tests/fleet/membership.rs
@@ -294,10 +294,10 @@
     let (mut testbed, _dir) = started(&with_membership(6), 8, &[0, 1, 2, 3, 4, 5]);
     set_blackholed(&mut testbed, 1, 2, true);
     // Host 5 and the even hosts reach each other; the others are cut off from it in both directions.
-    [1, 3].iter().for_each(|h| {
-        set_blackholed(&mut testbed, 5, *h, true);
-        set_blackholed(&mut testbed, *h, 5, true);
-    });
+    for host in [1, 3] {
+        set_blackholed(&mut testbed, 5, host, true);
+        set_blackholed(&mut testbed, host, 5, true);
+    }
     let from = testbed.peers.now();
     let mark = testbed.peers.membership.samples.len();
     // Forty periods: each pair is pinged some eight times.
@@ -366,16 +366,18 @@
     let (mut testbed, _dir) = started(&with_membership(8), 11, &[0, 1, 2, 3, 4, 5, 6, 7]);
     testbed.peers.set_clients_active(true);
     for pair in [0, 2, 4, 6] {
-        [pair, pair + 1].iter().for_each(|h| testbed.terminate(*h));
+        for host in [pair, pair + 1] {
+            testbed.terminate(host);
+        }
         wait_for(&mut testbed, "both have ended", |testbed| {
             !testbed.processes.running(pair) && !testbed.processes.running(pair + 1)
         });
         if pair == 2 {
             partition(&mut testbed, 8, |a, b| a % 2 != b % 2);
         }
-        [pair, pair + 1]
-            .iter()
-            .for_each(|h| testbed.start(*h).expect("a process"));
+        for host in [pair, pair + 1] {
+            testbed.start(host).expect("a process");
+        }
     }
     partition(&mut testbed, 8, |_, _| false);
     let all: Vec<u32> = (0..8).collect();
--- a/crates/testbed/tests/fleet_model/digest.rs
+++ b/crates/testbed/tests/fleet_model/digest.rs
@@ -25,6 +25,8 @@
     }
 
     pub fn numbers(&mut self, numbers: &[u64]) {
-        numbers.iter().for_each(|n| self.number(*n));
+        for number in numbers {
+            self.number(*number);
+        }
     }
 }
--- a/crates/testbed/tests/host/lifecycle.rs
+++ b/crates/testbed/tests/host/lifecycle.rs
@@ -22,11 +22,12 @@
         let names = (0..2)
             .map(|n| format!("node{n}"))
             .chain((0..4_000).map(|n| format!("other{n}")));
-        let lines: String = names
+        let lines: Vec<String> = names
             .map(|name| format!("node {name} active 0 10\n"))
             .collect();
         let cached_list = dir.join("kept");
-        std::fs::write(&cached_list, format!("kept 4002\n{lines}end\n")).expect("a file");
+        std::fs::write(&cached_list, format!("kept 4002\n{}end\n", lines.concat()))
+            .expect("a file");
         let service = format!(
             "node-list 127.0.0.1:9\n  kept-list \"{}\"",
             cached_list.display()
--- a/crates/testbed/tests/placement_cli.rs
+++ b/crates/testbed/tests/placement_cli.rs
@@ -1,4 +1,5 @@
 //! `mallowseam shares` as an operator uses it.
+use std::fmt::Write;
 use std::process::Command;
 
 const PROBLEM: &str = "node a\n  capacity 10/s\n  zone east\nnode b\n  capacity 10.5/s\n  zone east\nnode c\n  \
@@ -131,17 +132,21 @@
     );
     for (i, volume) in ["gas", "tax"].iter().enumerate() {
         let node = &lies(volume)[0];
-        conf += &format!(
+        writeln!(
+            conf,
             "volume {volume}\n  lun {i}\n  plan free\n  blocks 64\n  block-size 512B\n  hosts 1\n  extent 0 64 {node} at \
-             {}\n  rule any any\n",
+             {}\n  rule any any",
             i * 64
-        );
+        )
+        .expect("writing to memory");
     }
     for (i, n) in ["a", "b", "c"].iter().enumerate() {
-        conf += &format!(
-            "node {n}\n  address 127.0.0.1:{}\n  target iqn.t:{n}\n",
+        writeln!(
+            conf,
+            "node {n}\n  address 127.0.0.1:{}\n  target iqn.t:{n}",
             4000 + i
-        );
+        )
+        .expect("writing to memory");
     }
     // Water is not in this configuration.
     let (code, output) = shares("apply", &[&problem, &answer, &conf]);
--- a/crates/testbed/tests/plan_service.rs
+++ b/crates/testbed/tests/plan_service.rs
@@ -248,7 +248,9 @@
         r.quota(0) > 30.0 && r.quota(1) < 10.0
     });
     stop.store(true, Ordering::Relaxed);
-    first.into_iter().for_each(|t| t.join().expect("no panic"));
+    for thread in first {
+        thread.join().expect("no panic");
+    }
     // The demand moves to the other host, and the quotas follow it.
     let stop = Arc::new(AtomicBool::new(false));
     let second = surge(1, &stop);
@@ -256,7 +258,9 @@
         r.quota(1) > 30.0 && r.quota(0) < 10.0
     });
     stop.store(true, Ordering::Relaxed);
-    second.into_iter().for_each(|t| t.join().expect("no panic"));
+    for thread in second {
+        thread.join().expect("no panic");
+    }
 }
 
 #[test]
--- a/crates/testbed/tests/rehearsal.rs
+++ b/crates/testbed/tests/rehearsal.rs
@@ -46,7 +46,7 @@
         .expect("a script")
         .lines()
         .filter(|l| !l.starts_with("at "))
-        .map(|l| format!("{l}\n"))
+        .flat_map(|line| [line, "\n"])
         .collect();
     let outcome = play(&quiet, 4);
     kept(&outcome);
@@ -85,7 +85,7 @@
     let short: String = text
         .lines()
         .filter(|l| !l.starts_with("at ") || l.starts_with("at 3s") || l.starts_with("at 6s"))
-        .map(|l| format!("{l}\n"))
+        .flat_map(|line| [line, "\n"])
         .collect();
     let outcome = play(&short, 5);
     kept(&outcome);
--- a/crates/testbed/tests/snapshots/site.rs
+++ b/crates/testbed/tests/snapshots/site.rs
@@ -8,6 +8,7 @@
 use mallowseam_stand_ins::node::Node;
 use mallowseam_testbed::blocking_client::Answer;
 use mallowseam_testbed::blocking_client::BlockingClient;
+use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Child;
@@ -78,10 +79,12 @@
                 address(4)
             );
             for n in 0..3 {
-                text += &format!(
-                    "node node{n}\n  address {}\n  target iqn.t:node{n}\n",
+                writeln!(
+                    text,
+                    "node node{n}\n  address {}\n  target iqn.t:node{n}",
                     address(n)
-                );
+                )
+                .expect("writing to memory");
             }
             if crash_at.is_some() {
                 // Space is reclaimed after the longest deadline.
