--- a/crates/catalog-service/src/operations.rs
+++ b/crates/catalog-service/src/operations.rs
@@ -21,7 +21,9 @@
                 Operation::Rollout(rollout) => self.advance_rollout(connection, rollout),
             }
         }
-        ended_cuts.iter().for_each(|branch| self.on_cut_end(branch));
+        for branch in &ended_cuts {
+            self.on_cut_end(branch);
+        }
     }
 
     /// Begins a snapshot once all hosts that may act are known.
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -76,7 +76,7 @@
 ) -> Result<(), CommandError> {
     log.start();
     Ok(crate::snapshot_catalog::run(
-        read_configuration(file)?,
+        &read_configuration(file)?,
         die_at,
     )?)
 }
--- a/crates/gateway/src/dispatcher/answers.rs
+++ b/crates/gateway/src/dispatcher/answers.rs
@@ -13,6 +13,7 @@
 const NO_RETRY_DELAY: u16 = 0;
 
 /// An answer to a command.
+#[derive(Clone, Copy)]
 pub(super) enum Answer<'a> {
     /// GOOD, with what was read.
     Good(&'a [u8]),
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -15,9 +15,9 @@
 ///
 /// # Errors
 /// The configuration has no section of the catalog, or the service cannot start or go on.
-pub(crate) fn run(config: GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
-    let connect_nodes = |registry, first_token| CatalogNodes::new(&config, registry, first_token);
-    mallowseam_catalog_service::run(&config, crash_at, connect_nodes)?;
+pub(crate) fn run(config: &GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
+    let connect_nodes = |registry, first_token| CatalogNodes::new(config, registry, first_token);
+    mallowseam_catalog_service::run(config, crash_at, connect_nodes)?;
     Ok(())
 }
 
--- a/crates/plan-service/src/lib.rs
+++ b/crates/plan-service/src/lib.rs
@@ -97,9 +97,9 @@
         let clock = Clock::from_zero();
         let now = ticks_to_millis(clock.now());
         let mut rollout = Rollout::default();
-        members
-            .iter()
-            .for_each(|host| rollout.on_contact(host, now));
+        for host in &members {
+            rollout.on_contact(host, now);
+        }
         tracing::info!(listen = %address, version = store.log().state.version, "plan service started");
         Ok(PlanService {
             clock,
