--- a/crates/gateway/src/cli/verify.rs
+++ b/crates/gateway/src/cli/verify.rs
@@ -1,7 +1,7 @@
 //! `mallowseam verify`: prints what the walk over the snapshot catalog and the nodes has found.
 use super::error::CommandError;
-use crate::error::read_configuration;
 use crate::verify;
+use mallowseam_files::text_file::read_configuration;
 use std::path::Path;
 
 /// Walks the catalog's store and all nodes; with `reclaim`, unmaps what nothing refers to.
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -2,8 +2,8 @@
 use super::answer_file::Answer;
 use super::error::PlacementError;
 use super::{answer_file, problem_file};
-use crate::atomic_file;
-use crate::error::{FileError, read_text};
+use mallowseam_files::atomic_file;
+use mallowseam_files::text_file::{FileError, read_text};
 use mallowseam_placement::problem::Problem;
 use mallowseam_settings::{GatewayConfig, edit, reload};
 use std::collections::BTreeSet;
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -1,8 +1,8 @@
 //! Runs the snapshot catalog service over the iSCSI connections to the nodes of a configuration.
 use crate::error::Error;
-use crate::node_connections::{NodeRequest, Nodes};
 use mallowseam_catalog_service::{FinishedCommand, NodeConnections, UnitCommand};
 use mallowseam_iscsi::params::ProposedParams;
+use mallowseam_iscsi_host::node_connections::{NodeRequest, Nodes};
 use mallowseam_scheduler::interface::{AttemptResult, Tick};
 use mallowseam_settings::GatewayConfig;
 use mio::Registry;
--- a/crates/gateway/src/event_loop/listener.rs
+++ b/crates/iscsi-host/src/event_loop/listener.rs
@@ -1,6 +1,5 @@
 //! The listener that clients connect to.
-use crate::error::Error;
-use crate::startup;
+use mallowseam_control_protocol::startup::{self, StartError};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Poll, Token};
 use std::io::ErrorKind;
@@ -19,11 +18,11 @@
         address: SocketAddr,
         poll: &Poll,
         token: Token,
-    ) -> Result<(Self, SocketAddr), Error> {
+    ) -> Result<(Self, SocketAddr), StartError> {
         let (socket, _) = startup::listen(address, poll, token)?;
         let bound = socket
             .local_addr()
-            .map_err(|source| Error::Listen { address, source })?;
+            .map_err(|source| StartError::Listen { address, source })?;
         let listener = ClientListener {
             socket,
             ready: false,
--- a/crates/gateway/src/event_loop/open.rs
+++ b/crates/iscsi-host/src/event_loop/open.rs
@@ -1,30 +1,30 @@
 //! Opens what a host needs: sockets, services that it follows, its scheduler.
-use super::EventLoop;
 use super::listener::ClientListener;
 use super::membership::Membership;
 use super::pending_reads::PendingReads;
-use super::periodic_check::PeriodicCheck;
 use super::plans::ReplicatedPlans;
 use super::shutdown::ShutdownRequests;
 use super::sources::{
     CATALOG, CONTROL, ENDPOINT_LIST, FIRST_CONTROL_CONNECTION, FIRST_NODE, LISTENER, SIGNALS,
     first_client,
 };
+use super::{CHECK_PERIOD, EventLoop};
 use crate::catalog_client::CatalogClient;
 use crate::client_connections::Clients;
-use crate::clock::Clock;
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list::EndpointList;
 use crate::error::Error;
 use crate::node_connections::Nodes;
 use crate::scheduler_config;
-use crate::startup;
 use mallowseam_connection_policy::admission::AdmissionController;
+use mallowseam_control_protocol::startup;
 use mallowseam_iscsi::frame::Digests;
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::target::TargetConfig;
 use mallowseam_scheduler::Scheduler;
+use mallowseam_service_loop::PeriodicTimer;
 use mallowseam_settings::GatewayConfig;
+use mallowseam_sockets::clock::Clock;
 use mio::Poll;
 use rand::Rng;
 use std::net::SocketAddr;
@@ -67,7 +67,7 @@
             shutdown,
             pending_reads: PendingReads::default(),
             read_buffer: vec![0; READ_BUFFER],
-            check: PeriodicCheck::default(),
+            check: PeriodicTimer::new(CHECK_PERIOD, 0),
             clock,
             config,
         })
--- a/crates/gateway/src/plan_replication.rs
+++ b/crates/iscsi-host/src/plan_replication.rs
@@ -1,6 +1,6 @@
 //! The connection to the plan service, and the cached copy of its plans for a start without it.
-use crate::atomic_file;
-use crate::json_lines::{Disconnect, LineConnection, LineRead};
+use mallowseam_control_protocol::json_lines::{Disconnect, LineConnection, LineRead};
+use mallowseam_files::atomic_file;
 use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::messages::HostMessage;
 use mallowseam_plans::replica::{HostedVolume, PlanReplica, ReplicaAction};
@@ -129,7 +129,9 @@
                 ReplicaAction::None => {}
                 ReplicaAction::ApplyPending => return true,
                 ReplicaAction::Send(message) => self.send(&message),
-                ReplicaAction::Disconnect(error) => self.disconnect(&error.into()),
+                ReplicaAction::Disconnect(error) => {
+                    self.disconnect(&error.into());
+                }
             },
             Err(e) => self.disconnect(&e.into()),
         }
--- a/crates/iscsi/src/initiator/sequence.rs
+++ b/crates/iscsi/src/initiator/sequence.rs
@@ -82,3 +82,6 @@
         _ => true,
     }
 }
+
+#[cfg(test)]
+mod tests;
