--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -197,7 +197,10 @@
     }
 }
 
-#[allow(clippy::needless_pass_by_value)] // A sink for the text of a finished subcommand.
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "takes the text that a subcommand returns"
+)]
 fn print(text: String) {
     println!("{text}");
 }
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,7 +1,5 @@
 //! A scheduler with a host that carries nothing out, records the actions and plays time forward.
-//!
-//! Each test binary uses only some of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses only some of it")]
 
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{
