--- a/crates/iscsi-host/src/dispatcher/answers.rs
+++ b/crates/iscsi-host/src/dispatcher/answers.rs
@@ -12,6 +12,7 @@
 const MAX_RETRY_DELAY: Tick = 0x3fef;
 
 /// An answer to a command.
+#[derive(Clone, Copy)]
 pub(super) enum Answer<'a> {
     /// GOOD, with what was read.
     Good(&'a [u8]),
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,10 +1,12 @@
 //! A scheduler with a host that carries nothing out, records the actions and plays time forward.
-//!
-//! Each test binary uses only some of it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses only some of it")]
 
 use mallowseam_scheduler::Scheduler;
-use mallowseam_scheduler::interface::*;
+use mallowseam_scheduler::interface::{
+    AttemptOutcome, AttemptResult, Bio, BioId, DeduplicationScope, EndpointEvent, Host,
+    Idempotency, IoClass, KeyId, LoadReport, NodeEndpoint, NodeId, NodeState, NodeStatus, Plan,
+    SchedulerConfig, Tick, VolumeId,
+};
 use std::ops::Range;
 
 /// An action that the scheduler asked for.
