--- a/crates/catalog-service/src/hosts.rs
+++ b/crates/catalog-service/src/hosts.rs
@@ -2,25 +2,13 @@
 use crate::node_commands::Purpose;
 use crate::outbox::Hello;
 use crate::pending_locations::PendingLocation;
+use crate::subscription::Host;
 use crate::{CatalogService, NodeConnections};
 use mallowseam_cow::Millis;
 use mallowseam_cow::consistent_cut::decide_completion;
 use mallowseam_cow::messages::{ToCatalog, ToHost, TreeVersion};
 use mallowseam_cow::tree::{Change, LayerId, Location};
-use mallowseam_service_loop::{HostConnection, HostId};
-
-/// Whether a host is sent the changes of the tree.
-#[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum Subscription {
-    /// It has not been sent the tree.
-    #[default]
-    None,
-    /// It has said hello and was sent the tree, and is sent every change from then on.
-    Active,
-}
-
-/// A connection of a host.
-pub(crate) type Host = HostConnection<Subscription>;
+use mallowseam_service_loop::HostId;
 
 impl<N: NodeConnections> CatalogService<N> {
     pub(crate) fn on_message(&mut self, id: HostId, message: ToCatalog) {
--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -26,12 +26,12 @@
 mod pending_operations;
 mod settings;
 mod stored_tree;
+mod subscription;
 
 pub use error::Error;
 pub use node_connections::{FinishedCommand, NodeConnections, UnitCommand};
 
 use crash_points::CrashPoints;
-use hosts::Subscription;
 use mallowseam_control_protocol::startup;
 use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
@@ -39,11 +39,11 @@
 use mallowseam_cow::tree::{Change, Tree};
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_service_loop::{
-    FIRST_NODE_TOKEN, Limits, ListeningSockets, PeriodicTimer, PollError, Service, ServiceSockets,
-    SocketEvent,
+    FIRST_NODE_TOKEN, Limits, ListeningSockets, PollError, Service, ServiceSockets, SocketEvent,
 };
 use mallowseam_settings::GatewayConfig;
 use mallowseam_sockets::clock::{Clock, ticks_to_duration, ticks_to_millis};
+use mallowseam_sockets::periodic_timer::PeriodicTimer;
 use mio::event::Event;
 use mio::{Poll, Registry};
 use node_commands::NodeCommands;
@@ -53,6 +53,7 @@
 use settings::Settings;
 use std::time::Duration;
 use stored_tree::StoredTree;
+use subscription::Subscription;
 
 /// Limits on one host. Messages to the catalog are short, while a full tree may wait to be read.
 const LIMITS: Limits = Limits {
--- a/crates/catalog-service/src/outbox.rs
+++ b/crates/catalog-service/src/outbox.rs
@@ -1,5 +1,5 @@
 //! What is sent to hosts and operators once the changes of an iteration are on disk.
-use crate::hosts::Subscription;
+use crate::subscription::Subscription;
 use mallowseam_control_protocol::control_socket::{self, ConnectionId};
 use mallowseam_cow::messages::{ToHost, TreeVersion};
 use mallowseam_service_loop::HostId;
--- a/crates/catalog-service/src/stored_tree.rs
+++ b/crates/catalog-service/src/stored_tree.rs
@@ -1,6 +1,6 @@
 //! The tree on disk, with what is to be reclaimed of it.
 use crate::error::Error;
-use crate::hosts::Host;
+use crate::subscription::Host;
 use mallowseam_cow::Millis;
 use mallowseam_cow::leases::HostLeases;
 use mallowseam_cow::messages::{ToHost, TreeVersion, full_tree_messages};
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -2,8 +2,8 @@
 use super::control::{self, Service};
 use super::error::CommandError;
 use super::plan_parameters::{new_plan, set_parameters};
-use crate::PlanRequest;
 use clap::{Args, Subcommand};
+use mallowseam_control_protocol::PlanRequest;
 use mallowseam_plans::state::{Change, State};
 use std::path::PathBuf;
 
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -50,7 +50,7 @@
 /// `mallowseam run`
 pub(super) fn run_host(file: &Path, log: &LogOptions) -> Result<(), CommandError> {
     log.start();
-    Ok(crate::run(read_configuration(file)?)?)
+    Ok(mallowseam_iscsi_host::run(read_configuration(file)?)?)
 }
 
 /// `mallowseam host`
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,12 +20,5 @@
 mod verify;
 
 use mallowseam_control_protocol::{control_socket, startup};
-pub use mallowseam_sockets::{clock, slab};
 
 pub use error::Error;
-pub use mallowseam_control_protocol::{PlanRequest, RequestError, send_request};
-pub use mallowseam_iscsi_host::status::{
-    ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus,
-};
-pub use mallowseam_iscsi_host::{CommandCounts, replicated_plan, run};
-pub use mallowseam_iscsi_host::{client_connections, socket_io};
--- a/crates/iscsi-host/src/dispatcher/attempts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempts.rs
@@ -1,6 +1,7 @@
 //! Attempts at nodes: what they send, and how they end.
 use super::Dispatcher;
-use super::block_io::{BlockIo, LayerLocation};
+use super::block_io::BlockIo;
+use super::layer_location::LayerLocation;
 use crate::node_connections::{FinishedAttempt, NodeRequest};
 use mallowseam_cow::tree::{LayerExtent, Location};
 use mallowseam_iscsi::initiator::Payload;
--- a/crates/iscsi-host/src/dispatcher/block_io.rs
+++ b/crates/iscsi-host/src/dispatcher/block_io.rs
@@ -2,19 +2,13 @@
 use super::commands::CommandIndex;
 use super::exported_units::ExportedUnit;
 use super::extent_copies::CopyStep;
+use super::layer_location::LayerLocation;
 use super::volumes::VolumeIndex;
 use mallowseam_connection_policy::request_splitting::SubRequest;
-use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
+use mallowseam_cow::tree::{LayerExtent, LayerId};
 use mallowseam_scheduler::interface::{BioId, NodeId, Tick};
 use std::rc::Rc;
 
-/// The location of an extent, and the layer that it belongs to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct LayerLocation {
-    pub(super) layer: LayerId,
-    pub(super) location: Location,
-}
-
 /// What a block I/O is a part of.
 enum Origin {
     /// A client's command.
--- a/crates/iscsi-host/src/dispatcher/block_ios.rs
+++ b/crates/iscsi-host/src/dispatcher/block_ios.rs
@@ -7,6 +7,7 @@
 use super::exported_units::ExportedUnit;
 use super::extent_copies::CopyStep;
 use super::io_classes::IoClass;
+use super::parts_in_flight::PartsInFlight;
 use super::volumes::Volume;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::tree::LayerId;
@@ -26,15 +27,6 @@
     pub(super) did_not_run: bool,
 }
 
-/// The parts of a command that may be sent at any moment, or are at nodes.
-#[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PartsInFlight {
-    /// There are such parts.
-    pub(super) any: bool,
-    /// There are such parts that go to another layer.
-    pub(super) in_other_layer: bool,
-}
-
 /// All block I/Os in flight.
 pub(super) struct BlockIos {
     /// The block I/Os, and what the scheduler is to be told of them.
--- a/crates/iscsi-host/src/dispatcher/commands.rs
+++ b/crates/iscsi-host/src/dispatcher/commands.rs
@@ -2,8 +2,8 @@
 #[cfg(test)]
 mod tests;
 
-use super::block_io::LayerLocation;
-use super::block_ios::PartsInFlight;
+use super::layer_location::LayerLocation;
+use super::parts_in_flight::PartsInFlight;
 use super::transfer::Transfer;
 use crate::client_connections::ClientId;
 use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
--- a/crates/iscsi-host/src/dispatcher/commands/tests.rs
+++ b/crates/iscsi-host/src/dispatcher/commands/tests.rs
@@ -1,6 +1,6 @@
 //! How parts make the outcome of a command.
 use super::{Commands, Issuer, NewCommand};
-use crate::dispatcher::block_ios::PartsInFlight;
+use crate::dispatcher::parts_in_flight::PartsInFlight;
 use crate::dispatcher::transfer::Transfer;
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_connection_policy::request_splitting::SubRequest;
--- a/crates/iscsi-host/src/dispatcher/extent_copies.rs
+++ b/crates/iscsi-host/src/dispatcher/extent_copies.rs
@@ -2,7 +2,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::block_io::LayerLocation;
+use super::layer_location::LayerLocation;
 use super::volumes::VolumeIndex;
 use mallowseam_connection_policy::request_splitting::SubRequest;
 use mallowseam_cow::Millis;
--- a/crates/iscsi-host/src/dispatcher/extent_copies/tests.rs
+++ b/crates/iscsi-host/src/dispatcher/extent_copies/tests.rs
@@ -1,6 +1,6 @@
 //! When copies start, and what follows a step.
 use super::{AfterStep, CopySource, ExtentCopies};
-use crate::dispatcher::block_io::LayerLocation;
+use crate::dispatcher::layer_location::LayerLocation;
 use mallowseam_cow::copy_budget::RETRY_DELAY;
 use mallowseam_cow::tree::{Layer, LayerExtent, Location, Tree};
 use mallowseam_cow::tree_replica::RESEND_AFTER;
--- a/crates/iscsi-host/src/dispatcher/lookups.rs
+++ b/crates/iscsi-host/src/dispatcher/lookups.rs
@@ -1,7 +1,7 @@
 //! Looks up where block I/Os of mapped volumes go, when they arrive and whenever the answer may have changed.
 use super::Dispatcher;
-use super::block_io::LayerLocation;
 use super::extent_copies::{CopySource, CopyStep};
+use super::layer_location::LayerLocation;
 use super::mapped_volumes::{MappedVolumes, UnitExtent, WaitingIo};
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_cow::tree::{LayerExtent, LayerId, Location};
--- a/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
+++ b/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
@@ -1,7 +1,8 @@
 //! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree,
 //! and waited for where it is not known.
-use super::block_io::{BlockIo, LayerLocation};
+use super::block_io::BlockIo;
 use super::extent_copies::{AfterStep, CopySource, CopyStep, CopyWrite, ExtentCopies};
+use super::layer_location::LayerLocation;
 use crate::catalog_client::{CatalogClient, CompletionDecision, QuiesceRequest};
 use mallowseam_cow::Millis;
 use mallowseam_cow::copy_budget::RETRY_DELAY;
--- a/crates/plan-service/src/lib.rs
+++ b/crates/plan-service/src/lib.rs
@@ -29,11 +29,12 @@
 use mallowseam_plans::rollout::Rollout;
 use mallowseam_plans::state::Change;
 use mallowseam_service_loop::{
-    Answer, HostConnection, Limits, ListeningSockets, PeriodicTimer, PollError, Service,
-    ServiceSockets, SocketEvent,
+    Answer, HostConnection, Limits, ListeningSockets, PollError, Service, ServiceSockets,
+    SocketEvent,
 };
 use mallowseam_settings::config;
 use mallowseam_sockets::clock::{Clock, ticks_to_millis};
+use mallowseam_sockets::periodic_timer::PeriodicTimer;
 use mio::Poll;
 use mio::event::Event;
 use quotas::{LenderId, Quotas};
--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -4,6 +4,7 @@
 //! - `socket`, `request_buffer`: its socket, and what was read from it.
 //! - `responses`: responses, and how they are written.
 mod connection;
+mod flush_outcome;
 mod request_buffer;
 mod responses;
 mod socket;
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -1,4 +1,5 @@
 //! One connection of a client.
+use super::flush_outcome::FlushOutcome;
 use super::request_buffer::RequestBuffer;
 use super::responses::Response;
 use super::socket::ClientSocket;
@@ -39,17 +40,6 @@
     Closed,
 }
 
-/// What has become of the bytes to be written.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FlushOutcome {
-    /// Some wait for the socket, or they were no response.
-    Pending,
-    /// The response is written: the connection may be read again.
-    ResponseWritten,
-    /// The connection has failed.
-    Closed,
-}
-
 impl Client {
     /// A new connection.
     pub fn new(stream: TcpStream, now: Millis) -> Self {
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -1,6 +1,6 @@
 //! Writes responses to clients.
 use super::ClientConnections;
-use super::connection::FlushOutcome;
+use super::flush_outcome::FlushOutcome;
 use mallowseam_connection_policy::Millis;
 use mallowseam_http1::ParseError;
 use mallowseam_platform::response;
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -4,11 +4,13 @@
 //! - `admission`: the listener, and the connections that it accepts.
 //! - `endpoint_watch`, `list_version`: watches the discovery service; which of its updates are applied.
 //! - `fleet`: the host's part in the fleet's membership.
+//! - `config_file`: the configuration file.
 //! - `reload`: reloads the configuration on SIGHUP.
 //! - `shutdown`: shuts down gracefully on SIGTERM and SIGINT.
 //! - `timers`: timeouts and periodic checks.
 //! - `status_log`: writes the periodic log lines.
 mod admission;
+mod config_file;
 mod endpoint_watch;
 mod fleet;
 mod list_version;
@@ -24,13 +26,13 @@
 use crate::signals::SignalPipes;
 use crate::tokens::{self, Connection};
 use admission::Listener;
+use config_file::ConfigFile;
 use endpoint_watch::EndpointWatch;
 use fleet::Fleet;
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_sockets::periodic_timer::PeriodicTimer;
 use mio::event::Event;
 use mio::{Events, Poll};
-use reload::ConfigFile;
 use status_log::StatusLog;
 use std::io::ErrorKind;
 use std::path::Path;
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -1,47 +1,9 @@
 //! Reloads the configuration on SIGHUP: the discovery service, the plans' figures and the seeds of the fleet are applied,
 //! everything else needs a restart.
-use super::{EventLoop, startup};
+use super::EventLoop;
 use crate::dispatcher::Dispatcher;
-use mallowseam_platform::config::HostConfig;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::interface::SchedulerConfig;
-use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
-
-/// The configuration file, and what of the running configuration a reload cannot change.
-pub(super) struct ConfigFile {
-    path: PathBuf,
-    name: String,
-    listen: SocketAddr,
-}
-
-impl ConfigFile {
-    /// The file from which the running configuration was read.
-    pub(super) fn new(path: &Path, config: &HostConfig) -> Self {
-        ConfigFile {
-            path: path.to_owned(),
-            name: config.name.clone(),
-            listen: config.listen,
-        }
-    }
-
-    /// Reads the file again; none: it is invalid.
-    fn read(&self) -> Option<HostConfig> {
-        match startup::read_config(&self.path) {
-            Ok(config) => Some(config),
-            Err(error) => {
-                tracing::error!(%error, "configuration rejected");
-                None
-            }
-        }
-    }
-
-    fn warn_about_identity(&self, config: &HostConfig) {
-        if config.listen != self.listen || config.name != self.name {
-            tracing::warn!("another name or address to listen on needs a restart");
-        }
-    }
-}
 
 impl EventLoop {
     /// Reads the configuration file again. An invalid one changes nothing.
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -1,8 +1,8 @@
 //! Opens everything that a host needs to run.
 use super::admission::Listener;
+use super::config_file::{ConfigFile, read_config};
 use super::endpoint_watch::EndpointWatch;
 use super::fleet::Fleet;
-use super::reload::ConfigFile;
 use super::status_log::StatusLog;
 use super::{EventLoop, timers};
 use crate::clients::ClientConnections;
@@ -12,7 +12,7 @@
 use crate::signals::SignalPipes;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_connection_policy::resource_budget::ResourceBudget;
-use mallowseam_platform::config::{self, HostConfig};
+use mallowseam_platform::config::HostConfig;
 use mallowseam_platform::endpoints::WatchEvent;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::Scheduler;
@@ -26,16 +26,6 @@
 /// Bytes read from a socket at once.
 const SCRATCH_BYTES: usize = 128 * 1024;
 
-/// Reads and checks the configuration file.
-pub(super) fn read_config(path: &Path) -> Result<HostConfig, HostError> {
-    let path = path.to_owned();
-    let text = match std::fs::read_to_string(&path) {
-        Ok(text) => text,
-        Err(source) => return Err(HostError::ReadConfig { path, source }),
-    };
-    config::parse(&text).map_err(|problems| HostError::InvalidConfig { path, problems })
-}
-
 /// Loads the configuration at startup, and raises the limit of descriptors to what it asks for.
 pub(super) fn load_config(
     path: &Path,
--- a/crates/service-loop/src/lib.rs
+++ b/crates/service-loop/src/lib.rs
@@ -5,18 +5,15 @@
 //! - `host_connections`: the connections of hosts, which carry one JSON object a line.
 //! - `operators`: requests of operators on the control socket.
 //! - `stop_requests`: whether a signal or an operator has asked the process to stop.
-//! - `periodic_timer`: a timer that is due again and again.
 #![warn(missing_docs)]
 
 mod event_loop;
 mod host_connections;
 mod operators;
-mod periodic_timer;
 mod sockets;
 mod stop_requests;
 
 pub use event_loop::{PollError, Service, run};
 pub use host_connections::{HostConnection, HostConnections, HostId, Limits};
 pub use operators::{Answer, Operators};
-pub use periodic_timer::PeriodicTimer;
 pub use sockets::{FIRST_NODE_TOKEN, ListeningSockets, ServiceSockets, SocketEvent};
--- a/crates/sockets/tests/periodic_timer.rs
+++ b/crates/sockets/tests/periodic_timer.rs
@@ -11,3 +11,19 @@
     assert_eq!(timer.next_due(), 1_230);
     assert!(timer.take_due(1_230));
 }
+
+#[test]
+fn a_timer_is_due_once_a_period() {
+    let mut timer = PeriodicTimer::new(10, 100);
+    assert!(!timer.take_due(109));
+    assert!(timer.take_due(110));
+    assert!(!timer.take_due(110));
+}
+
+#[test]
+fn a_late_timer_is_due_a_period_after_it_was_taken() {
+    let mut timer = PeriodicTimer::new(10, 100);
+    assert!(timer.take_due(135));
+    assert_eq!(timer.next_due(), 145);
+    assert!(!timer.take_due(144));
+}
--- a/crates/stand-ins/src/node/connections.rs
+++ b/crates/stand-ins/src/node/connections.rs
@@ -1,9 +1,9 @@
 //! Connections of a stand-in node and the sessions on them.
 use super::transfer::TaskRef;
 use mallowseam_connection_policy::admission::AdmissionController;
-use mallowseam_gateway::client_connections::Clients;
 use mallowseam_iscsi::params::ProposedParams;
 use mallowseam_iscsi::target::{TargetConfig, TargetConnection, TargetEvent};
+use mallowseam_iscsi_host::client_connections::Clients;
 use mio::Registry;
 use mio::net::TcpListener;
 use std::collections::HashMap;
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,5 +1,5 @@
 //! Why a run of the testbed could not go on. What hosts do wrong is no error: the audit reports it.
-use mallowseam_gateway::RequestError;
+use mallowseam_control_protocol::RequestError;
 use mallowseam_gateway::blocking_client::ClientError;
 use mallowseam_iscsi::scsi::Sense;
 use mallowseam_placement::problem::ProblemError;
--- a/crates/testbed/src/rehearsal/faults.rs
+++ b/crates/testbed/src/rehearsal/faults.rs
@@ -124,7 +124,7 @@
 
     fn drain_host(&mut self, n: u32) {
         let control = &self.hosts[n as usize].control_socket;
-        if let Err(e) = mallowseam_gateway::send_request(control, "drain") {
+        if let Err(e) = mallowseam_control_protocol::send_request(control, "drain") {
             self.failures.push(format!("drain: {e}"));
         }
     }
--- a/crates/testbed/src/rehearsal/plan_changes.rs
+++ b/crates/testbed/src/rehearsal/plan_changes.rs
@@ -2,7 +2,7 @@
 use super::{ChangeLogReport, Rehearsal, Rollouts};
 use mallowseam_audit::rehearsal::{EffectiveLimit, Layout};
 use mallowseam_audit::trace::Micros;
-use mallowseam_gateway::{PlanRequest, RequestError, send_request};
+use mallowseam_control_protocol::{PlanRequest, RequestError, send_request};
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::state::{Change, Plan};
 use mallowseam_scenarios::rehearsal::{Event, Fault, Scenario};
@@ -57,7 +57,7 @@
 fn scaled_plan(plan: config::Plan, times: f64) -> Plan {
     let rate_limit = (plan.rate_limit * times).max(plan.reserved_rate);
     let burst_units = plan.burst_units * times;
-    mallowseam_gateway::replicated_plan(&config::Plan {
+    mallowseam_iscsi_host::replicated_plan(&config::Plan {
         rate_limit,
         burst_units,
         ..plan
--- a/crates/testbed/src/rehearsal/snapshots.rs
+++ b/crates/testbed/src/rehearsal/snapshots.rs
@@ -54,7 +54,7 @@
         let socket = self.dir.join("catalog.sock");
         self.requesters.push(std::thread::spawn(move || {
             let requested_at = trace.now();
-            let answer = mallowseam_gateway::send_request(&socket, &change.request_line());
+            let answer = mallowseam_control_protocol::send_request(&socket, &change.request_line());
             let answered_at = trace.now();
             let lun = match answer {
                 Ok(text) => {
--- a/crates/testbed/src/snapshot_benchmark/sockets.rs
+++ b/crates/testbed/src/snapshot_benchmark/sockets.rs
@@ -7,7 +7,7 @@
 use mallowseam_audit::block;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
-use mallowseam_gateway::send_request;
+use mallowseam_control_protocol::send_request;
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_stand_ins::node::Node;
--- a/crates/testbed/tests/allocations.rs
+++ b/crates/testbed/tests/allocations.rs
@@ -1,7 +1,7 @@
 //! The ordinary path allocates nothing beyond data buffers: counted on the host's own thread.
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
-use mallowseam_gateway::send_request;
+use mallowseam_control_protocol::send_request;
 use mallowseam_iscsi::scsi::{self, status};
 use mallowseam_stand_ins::node::Node;
 use mallowseam_testbed::blocking_client::BlockingClient;
@@ -29,7 +29,8 @@
     );
     let site = mallowseam_settings::parse("conf", &text).expect("sound");
     let host = std::thread::spawn(move || {
-        let counted = allocation_counter::measure(|| mallowseam_gateway::run(site).expect("a run"));
+        let counted =
+            allocation_counter::measure(|| mallowseam_iscsi_host::run(site).expect("a run"));
         counted.count_total
     });
     let mut client = loop {
--- a/crates/testbed/tests/host/lifecycle.rs
+++ b/crates/testbed/tests/host/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Start, drain, restart, reload and the command line.
 use crate::site::{Site, TARGET, mallowseam, read, start, write};
-use mallowseam_gateway::send_request;
+use mallowseam_control_protocol::send_request;
 use mallowseam_iscsi::initiator::InitiatorEvent;
 use mallowseam_iscsi::scsi;
 use mallowseam_iscsi::scsi::status;
--- a/crates/testbed/tests/plan_service.rs
+++ b/crates/testbed/tests/plan_service.rs
@@ -2,8 +2,9 @@
 use mallowseam_audit::block;
 use mallowseam_audit::service_model::ServiceModel;
 use mallowseam_audit::trace::Trace;
-use mallowseam_gateway::{Status, send_request};
+use mallowseam_control_protocol::send_request;
 use mallowseam_iscsi::scsi;
+use mallowseam_iscsi_host::status::Status;
 use mallowseam_stand_ins::node::Node;
 use mallowseam_testbed::blocking_client::BlockingClient;
 use std::net::SocketAddr;
