--- a/crates/iscsi-host/src/dispatcher/attempts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempts.rs
@@ -140,7 +140,7 @@
         let result = self.checked_result(&io.data, &finished);
         if result == AttemptResult::Completed
             && let Some(io) = self.block_ios.get_mut(id)
-            && io.answer()
+            && io.mark_answered()
         {
             self.on_completed(id, finished.data);
         }
--- a/crates/iscsi-host/src/dispatcher/block_ios.rs
+++ b/crates/iscsi-host/src/dispatcher/block_ios.rs
@@ -280,7 +280,7 @@
                 io.data.layer() == layer && is_queued && is_open && is_clients_write
             };
             if let Some(io) = self.get_mut(id).filter(is_queued_write) {
-                io.withdraw();
+                io.mark_withdrawn();
                 self.driver.queue_withdrawal(id);
             }
         }
--- a/crates/iscsi-host/src/dispatcher/client_commands.rs
+++ b/crates/iscsi-host/src/dispatcher/client_commands.rs
@@ -189,7 +189,7 @@
                 return;
             };
             next = part.data.next();
-            if !part.answer() {
+            if !part.mark_answered() {
                 continue;
             }
             if part.data.is_scheduled() {
@@ -250,7 +250,7 @@
         let Some(command) = io.data.command() else {
             return;
         };
-        io.answer();
+        io.mark_answered();
         let answer = self.commands.part_finished(command, outcome, Vec::new());
         self.send_answer(command, answer);
     }
--- a/crates/iscsi-host/src/dispatcher/lookups.rs
+++ b/crates/iscsi-host/src/dispatcher/lookups.rs
@@ -156,7 +156,7 @@
         let Some(io) = self.block_ios.get_mut(id) else {
             return;
         };
-        io.answer();
+        io.mark_answered();
         let volume = self.units.volume(io.data.volume());
         let bytes = volume.bytes(io.data.request().blocks) as usize;
         self.metrics.block_io_admitted(io.data.class());
@@ -221,7 +221,7 @@
         let Some(io) = self.block_ios.get_mut(id) else {
             return;
         };
-        io.withdraw();
+        io.mark_withdrawn();
         let layer = io.data.layer();
         self.finish_attempt(id, AttemptResult::NotSent);
         self.block_ios.relocate_queued_writes(layer);
--- a/crates/platform-host/src/dispatcher/final_responses.rs
+++ b/crates/platform-host/src/dispatcher/final_responses.rs
@@ -13,7 +13,7 @@
     /// sends the response.
     pub(super) fn take_client(&mut self, io: BioId) -> Option<ClientSlot> {
         let entry = self.driver.in_flight_mut().get_mut(io)?;
-        entry.answer().then_some(entry.data.client)
+        entry.mark_answered().then_some(entry.data.client)
     }
 
     /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
--- a/crates/scheduler-driver/src/in_flight.rs
+++ b/crates/scheduler-driver/src/in_flight.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records that the client has its final answer, or waits for none any more; false: that was recorded before.
-    pub fn answer(&mut self) -> bool {
+    pub fn mark_answered(&mut self) -> bool {
         !std::mem::replace(&mut self.is_answered, true)
     }
 
@@ -44,7 +44,7 @@
 
     /// Records that the host takes it back from the scheduler although its client still waits: the scheduler gets no
     /// outcome that would make it retry.
-    pub fn withdraw(&mut self) {
+    pub fn mark_withdrawn(&mut self) {
         self.is_withdrawn = true;
     }
 
--- a/crates/scheduler-driver/tests/driver.rs
+++ b/crates/scheduler-driver/tests/driver.rs
@@ -88,7 +88,7 @@
 impl RecordingHost {
     fn answer(&mut self, bio: BioId) {
         let io = self.driver.in_flight_mut().get_mut(bio).expect("in flight");
-        if io.answer() {
+        if io.mark_answered() {
             self.answered.push(bio);
         }
     }
@@ -243,9 +243,9 @@
         let entry = fixture.host.driver.in_flight_mut().get_mut(io);
         let entry = entry.expect("in flight");
         if is_answered {
-            entry.answer();
+            entry.mark_answered();
         } else {
-            entry.withdraw();
+            entry.mark_withdrawn();
         }
         fixture.host.report_all(&mut fixture.scheduler);
         fixture.advance(DEADLINE);
--- a/crates/scheduler-driver/tests/in_flight.rs
+++ b/crates/scheduler-driver/tests/in_flight.rs
@@ -16,8 +16,8 @@
     let mut table = Table::default();
     let io = table.insert("a");
     assert!(!entry(&mut table, io).is_answered());
-    assert!(entry(&mut table, io).answer());
-    assert!(!entry(&mut table, io).answer());
+    assert!(entry(&mut table, io).mark_answered());
+    assert!(!entry(&mut table, io).mark_answered());
     assert!(entry(&mut table, io).is_answered());
 }
 
@@ -45,7 +45,7 @@
     let io = table.insert("a");
     let io = entry(&mut table, io);
     io.count_attempt();
-    io.withdraw();
+    io.mark_withdrawn();
     assert!(io.is_withdrawn() && !io.is_answered());
     io.reset();
     assert!(!io.is_withdrawn() && !io.is_answered());
