--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -1,12 +1,13 @@
-//! The interface between the scheduler and the program that runs it.
+//! The interface between the scheduler and the program that runs it (the host).
 //!
-//! The program calls the `on_*` methods of [`Scheduler`](crate::Scheduler) as events happen. The scheduler
-//! answers through the [`Host`] that it is handed with each call.
+//! The host calls the `on_*` methods of [`Scheduler`](crate::Scheduler) as events occur. The scheduler requests actions
+//! through the [`Host`] trait object passed to each call.
 //!
-//! Small indices stand for names. The program assigns them (see [`Interner`](crate::Interner)), and gets each
-//! back with a `release_*` call once the scheduler no longer refers to it.
+//! Block I/Os, nodes, volumes and ordering keys are identified by small indices. The host assigns the indices (see
+//! [`Interner`](crate::Interner)). The scheduler calls a `release_*` method once it no longer refers to an index, which
+//! may then be reused.
 
-/// A time on the program's monotonic clock, or a span of time; in tenths of a millisecond.
+/// A time on the host's monotonic clock, or a duration, in units of 0.1 ms.
 pub type Tick = i64;
 
 /// Index of a block I/O in progress.
@@ -21,48 +22,49 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VolumeId(pub u32);
 
-/// Index of an ordering key: block I/Os of ordered classes that name the same key run one after another.
+/// Index of an ordering key. Block I/Os of ordered classes that have the same key run one after another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyId(pub u32);
 
-/// The actions that the scheduler requires of the program around it.
+/// The actions that the scheduler requests from the host.
 pub trait Host {
-    /// Forward the block I/O to a node, and end the attempt as timed out after `timeout`.
+    /// Forwards the block I/O to the node, and ends the attempt as timed out after `timeout`.
     fn forward(&mut self, bio: BioId, node: NodeId, timeout: Tick);
-    /// Stop waiting for an attempt of a block I/O; attempts are counted from 0.
+    /// Cancels an attempt of a block I/O. Attempts are numbered from 0.
     fn cancel(&mut self, bio: BioId, attempt: u32);
-    /// Answer the client for good: not done, and trying again is harmless. `retry_after` is the
-    /// time after which to retry, if the answer names one.
+    /// Sends the final answer to the client: the block I/O was shed, and retrying it is safe. `retry_after` is the time
+    /// after which to retry, if the answer states one.
     fn shed(&mut self, bio: BioId, retry_after: Option<Tick>);
-    /// Answer the client for good: failed, and it is not known whether the block I/O took effect.
+    /// Sends the final answer to the client: the block I/O failed, and it may or may not have taken effect.
     fn fail(&mut self, bio: BioId);
-    /// Call [`on_timer`](crate::Scheduler::on_timer) after this span.
+    /// Requests a call of [`on_timer`](crate::Scheduler::on_timer) after this duration.
     fn set_timer(&mut self, after: Tick);
-    /// Ask the discovery service for the endpoint list and for its changes from then on, and pass on what it
-    /// sends with [`on_endpoints`](crate::Scheduler::on_endpoints).
+    /// Requests the endpoint list from the discovery service and a watch of its changes. The host passes what it
+    /// receives to [`on_endpoints`](crate::Scheduler::on_endpoints).
     fn poll_endpoints(&mut self);
-    /// The scheduler no longer refers to this block I/O.
+    /// Releases the index of a block I/O, which the scheduler no longer refers to.
     fn release_bio(&mut self, bio: BioId);
-    /// The scheduler no longer refers to this key.
+    /// Releases the index of an ordering key, which the scheduler no longer refers to.
     fn release_key(&mut self, key: KeyId);
-    /// The scheduler no longer refers to this volume.
+    /// Releases the index of a volume, which the scheduler no longer refers to.
     fn release_volume(&mut self, volume: VolumeId);
-    /// The scheduler has forgotten a node that was removed long ago; should it come back, it is a new one.
+    /// Releases the index of a node that was removed long ago and that the scheduler has forgotten. If the node
+    /// returns, it counts as a new node.
     fn release_node(&mut self, node: NodeId);
 }
 
-/// How an attempt to have a block I/O done by a node came out.
+/// Result of an attempt to run a block I/O on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The node did the block I/O.
+    /// The node completed the block I/O.
     Completed,
-    /// The node answered with a failure; it may have run the block I/O.
+    /// The node answered with an error; it may have run the block I/O.
     Error,
-    /// The node rejected the block I/O for want of capacity, without running it.
+    /// The node rejected the block I/O for lack of capacity, without running it.
     Rejected,
-    /// No answer came within the attempt's timeout.
+    /// The attempt timed out without an answer.
     TimedOut,
-    /// No connection to the node could be made; nothing was sent.
+    /// The host could not connect to the node; nothing was sent.
     ConnectFailed,
     /// The connection broke after the block I/O was sent.
     ConnectionReset,
@@ -72,251 +74,255 @@
     NotSent,
 }
 
-/// Among which nodes repeats of a block I/O with the same idempotency key are recognised and dropped.
+/// The set of nodes that share their seen idempotency keys, and therefore drop duplicates of a block I/O.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Among all nodes.
+    /// All nodes share their keys.
     All,
-    /// Among the nodes of one zone.
+    /// The nodes of one zone share their keys.
     Zone,
-    /// Among the nodes of one shard.
+    /// The nodes of one shard share their keys.
     Shard,
 }
 
-/// Whether a block I/O may be sent again when an earlier attempt may have run.
+/// Whether a block I/O may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated at any node.
+    /// The block I/O may be repeated on any node.
     Idempotent,
-    /// It carries an idempotency key: within the scope and for the window, counted from the first attempt
-    /// that may have run, nodes drop its repeats.
+    /// The block I/O carries an idempotency key. Nodes within the scope drop its duplicates during the window, which
+    /// begins with the first attempt that may have run.
     IdempotentByKey {
-        /// The nodes that share the keys they have seen.
+        /// The set of nodes that share the keys they have seen.
         scope: DeduplicationScope,
-        /// How long they remember a key.
+        /// How long nodes remember a key.
         window: Tick,
     },
-    /// It may not be repeated once an attempt may have run.
+    /// The block I/O may not be repeated once an attempt may have run.
     NonIdempotent,
 }
 
-/// A class of block I/Os that are alike in urgency and effect.
+/// A class of block I/Os with the same urgency and effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IoClass {
-    /// Whether its block I/Os may be repeated.
+    /// Whether block I/Os of the class may be repeated.
     pub idempotency: Idempotency,
-    /// Time from arrival within which an answer earns the whole priority weight.
+    /// Time from arrival within which an answer earns the full priority weight.
     pub latency_objective: Tick,
-    /// Fraction of the priority weight that a later answer still earns. The scheduler does not use it.
+    /// Fraction of the priority weight that an answer after the latency objective still earns. The scheduler does not
+    /// use it.
     pub late_weight_ratio: f64,
-    /// What an answer in time is worth, in any unit that all classes share.
+    /// Value of an answer within the latency objective, in an arbitrary unit common to all classes.
     pub priority_weight: f64,
-    /// Block I/Os with the same key run one after another, in order of arrival.
+    /// Whether block I/Os with the same ordering key run one after another, in order of arrival.
     pub ordered: bool,
-    /// Its block I/Os write. The scheduler does not use it.
+    /// Whether block I/Os of the class write. The scheduler does not use it.
     pub writes: bool,
 }
 
-/// What a volume has bought; rates in units a second.
+/// The service that a volume is entitled to. Rates are in units per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Rate at which the volume is usually used. The scheduler does not use it.
+    /// Usual rate of the volume. The scheduler does not use it.
     pub usual_rate: f64,
-    /// Rate that is reserved for the volume.
+    /// Rate reserved for the volume.
     pub reserved_rate: f64,
-    /// Rate that the volume may not exceed, over all hosts; 0: no limit.
+    /// Maximum rate of the volume over all hosts; 0 means no limit.
     pub rate_limit: f64,
-    /// Units by which the volume may exceed its rate limit at a time.
+    /// Burst size: units by which the volume may exceed its rate limit at once.
     pub burst_units: f64,
-    /// Weight by which spare capacity is divided among volumes; 0 stands for 1.
+    /// Weight by which spare capacity is divided among volumes; 0 is treated as 1.
     pub weight: f64,
-    /// Factor on the priority weight of the volume's block I/Os.
+    /// Factor by which the priority weight of the volume's block I/Os is multiplied.
     pub priority_factor: f64,
 }
 
-/// What the deployment allows and requires, as known at start.
+/// The rules and limits of the deployment, as known when the scheduler starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent switches of a deployment, each set by itself"
 )]
 pub struct SchedulerConfig {
-    /// Hosts that share the nodes, this one included.
+    /// Number of hosts that share the nodes, including this one.
     pub hosts: u32,
-    /// I/O classes, by the index that [`Bio::class`] names.
+    /// I/O classes, indexed by [`Bio::class`].
     pub classes: Vec<IoClass>,
-    /// Plans, by the index that [`Bio::plan`] names.
+    /// Plans, indexed by [`Bio::plan`].
     pub plans: Vec<Plan>,
-    /// Mean units of a block I/O; 0 stands for 1.
+    /// Mean size of a block I/O, in units; 0 is treated as 1.
     pub mean_io_units: f64,
-    /// Units of the largest block I/O.
+    /// Size of the largest block I/O, in units.
     pub max_io_units: f64,
-    /// Fraction of the priority weight earned by units within the volume's share of a node.
+    /// Fraction of the priority weight that units within the volume's share of a node earn.
     pub share_weight_factor: f64,
-    /// Fraction of the priority weight earned by units beyond that share.
+    /// Fraction of the priority weight that units beyond the volume's share of a node earn.
     pub spare_weight_factor: f64,
-    /// Span over which use is metered. The scheduler does not use it.
+    /// Time window over which usage is metered. The scheduler does not use it.
     pub metering_window: Tick,
-    /// Nodes report the units that they served for a volume through other hosts.
+    /// Whether nodes report the units that they served for a volume through other hosts.
     pub other_hosts_usage_reported: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub allow_cancel: bool,
-    /// Nodes may be health-checked. The scheduler does not use it.
+    /// Whether nodes may be health-checked. The scheduler does not use it.
     pub allow_health_checks: bool,
-    /// Hosts may exchange messages. The scheduler does not use it.
+    /// Whether hosts may exchange messages with each other. The scheduler does not use it.
     pub allow_peer_messages: bool,
-    /// A block I/O may be sent to two nodes at a time. The scheduler does not use it.
+    /// Whether a block I/O may be sent to two nodes at once. The scheduler does not use it.
     pub allow_hedging: bool,
-    /// A shed block I/O may name a time after which to retry.
+    /// Whether the answer to a shed block I/O may state a time after which to retry.
     pub allow_retry_after: bool,
-    /// The longest such time.
+    /// Maximum time after which a shed block I/O may be told to retry.
     pub max_retry_after: Tick,
-    /// Attempts that a block I/O may have, the first one included.
+    /// Maximum number of attempts of a block I/O, including the first one.
     pub max_attempts: u32,
-    /// The endpoint list is sent only to hosts that poll it.
+    /// Whether the endpoint list is sent only to hosts that poll it.
     pub endpoints_polled: bool,
-    /// What one poll takes of the discovery service's time, as its operator says; 0 spreads polls over a
-    /// fifth of a second. None: not known.
+    /// Service time that one poll takes at the discovery service, as stated by its operator. 0 spreads polls over 0.2
+    /// s; `None` means unknown.
     pub poll_service_time: Option<Tick>,
-    /// What the discovery service knows counts as known to every host, whether or not the host has a watch.
+    /// Whether everything that the discovery service knows counts as known to every host, even to a host without a
+    /// watch.
     pub endpoints_pushed: bool,
-    /// How long a host without a watch may go on with the list that it has; 0: not limited.
+    /// Maximum time for which a host without a watch may use the endpoint list it has; 0 means no limit.
     pub max_poll_delay: Tick,
-    /// Block I/Os that were never sent are shed before half of their time to the deadline is over.
+    /// Whether block I/Os that were never sent are shed before half of the time to their deadline has elapsed.
     pub shed_at_half_deadline: bool,
-    /// Units that a node bears from all hosts together within `overload_window` just after its start.
+    /// Units that a node sustains from all hosts together within `overload_window` just after its start.
     pub slow_start_capacity: f64,
     /// Fraction of its full rate that a node reaches just after its start.
     pub slow_start_initial_rate: f64,
-    /// Time from its start until a node reaches its full rate.
+    /// Time from the start of a node until it reaches its full rate.
     pub slow_start_duration: Tick,
-    /// Span over which load on a warming node is counted; 0: it bears any load.
+    /// Time window over which the load on a node in slow start is counted; 0 means that it sustains any load.
     pub overload_window: Tick,
-    /// Multiple of its momentary rate at which a warming node fails.
+    /// Multiple of its current rate at which a node in slow start fails.
     pub overload_multiple: f64,
-    /// How long a key stays blocked for other block I/Os after an attempt that may still be running.
+    /// Cooldown of an ordering key after an attempt that may still be running. Other block I/Os of the key wait for its
+    /// end.
     pub ordering_cooldown: Tick,
-    /// Retries allowed in each window, whatever the number of arrivals.
+    /// Number of retries allowed in each window, regardless of arrivals.
     pub retry_budget_min: f64,
-    /// Retries allowed in each window for each block I/O that arrived in it, besides the floor.
+    /// Number of retries allowed in each window per block I/O that arrived in the window, in addition to
+    /// `retry_budget_min`.
     pub retry_budget_ratio: f64,
-    /// The window of the retry budget; 0: no budget.
+    /// Window of the retry budget; 0 means that retries are not limited.
     pub retry_budget_window: Tick,
 }
 
-/// A block I/O as it arrives.
+/// A block I/O, as passed to the scheduler on arrival.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bio {
-    /// Its index; free again once released.
+    /// Index of the block I/O; it may be reused once released.
     pub id: BioId,
-    /// Index of its I/O class.
+    /// Index of the I/O class.
     pub class: u16,
-    /// Index of its volume's plan.
+    /// Index of the volume's plan.
     pub plan: u16,
-    /// Its volume.
+    /// The volume that the block I/O belongs to.
     pub volume: VolumeId,
-    /// Its ordering key.
+    /// The ordering key, if there is one.
     pub key: Option<KeyId>,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub deadline: Tick,
-    /// Its cost in units.
+    /// Cost of the block I/O, in units.
     pub units: f64,
-    /// The shard that holds the data; none for a new object, which any node may take.
+    /// The shard that holds the data; `None` for a new object, which any node may store.
     pub shard: Option<u32>,
     /// Number of hosts through which the volume is used.
     pub hosts: u32,
 }
 
-/// What is known of an attempt once it is over.
+/// The outcome of a finished attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptOutcome {
-    /// How it came out.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// The node that it went to.
+    /// The node that the attempt was sent to.
     pub node: NodeId,
-    /// The host has already given the client its final answer.
+    /// Whether the host has already sent the final answer to the client.
     pub client_answered: bool,
-    /// Time from forwarding to the outcome.
+    /// Time from forwarding the attempt to its outcome.
     pub latency: Tick,
-    /// Units that this node served for the volume through other hosts since its last answer here.
+    /// Units that the node served for the volume through other hosts since its last answer to this host.
     pub units_by_other_hosts: f64,
-    /// 1 + the volume's use over all hosts in per cent of its plan's usual rate; 0: not reported. The
+    /// 1 plus the volume's usage over all hosts, as a percentage of the usual rate of its plan; 0 if not reported. The
     /// scheduler does not use it.
     pub volume_usage: f64,
     /// The node's load report. The scheduler does not use it.
     pub load_report: LoadReport,
 }
 
-/// A node's own account of its load; what it does not report is none.
+/// Load of a node as reported by the node itself. A value that is not reported is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Block I/Os that wait at the node.
+    /// Number of block I/Os queued at the node.
     pub backlog: Option<f64>,
     /// Recent mean service time in milliseconds.
     pub service_time_ms: Option<f64>,
-    /// Fraction of the time in which the node is busy.
+    /// Fraction of time during which the node is busy.
     pub utilization: Option<f64>,
 }
 
-/// A node's state in the endpoint list.
+/// State of a node in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It takes block I/Os.
+    /// The node accepts new block I/Os.
     Active,
-    /// It finishes what it has, and takes nothing new.
+    /// The node finishes the block I/Os it has and accepts no new ones.
     Draining,
-    /// It is no longer in service.
+    /// The node is no longer in service.
     Removed,
 }
 
-/// An entry of the endpoint list, with the node's index in place of its name.
+/// An entry of the endpoint list, which identifies the node by its index.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeEndpoint {
-    /// The node.
+    /// Index of the node.
     pub node: NodeId,
-    /// Index of its zone.
+    /// Index of the node's zone.
     pub zone: u32,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub shard: u32,
-    /// Whether it takes block I/Os.
+    /// Whether the node accepts new block I/Os.
     pub state: NodeState,
-    /// When its process started; none: long ago, so that no slow start applies.
+    /// Time at which the node's process started; `None` means long ago, so that slow start does not apply.
     pub started_at: Option<Tick>,
 }
 
-/// What the host has of the endpoint list, or failed to get.
+/// An update of the endpoint list, or a failure to receive one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
-    /// The watch sent the entries that changed.
+    /// The watch sent the entries that have changed.
     Incremental,
-    /// The watch sent the whole list; a node that is missing was removed.
+    /// The watch sent the full list; a node that is missing from it was removed.
     FullSnapshot,
-    /// The whole list as this host stored it before it last stopped.
+    /// The full list that this host stored before it last stopped.
     Cached,
-    /// A poll failed or the watch broke.
+    /// A poll failed, or the watch was disconnected.
     PollFailed,
-    /// The watch, or a poll that was accepted, has been silent for too long. The service may still count it
-    /// as a watch: what it fails to send counts as known to this host some seconds later.
+    /// The watch, or a poll that the service accepted, has been silent for too long. The service may still count it as
+    /// an open watch; an update that it then fails to send counts as known to this host some seconds later.
     WatchSilent,
 }
 
-/// A node as this host sees it, for monitoring; no decision depends on it.
+/// Status of a node as seen by this host, for monitoring. No decision depends on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeStatus {
-    /// The node takes new block I/Os.
+    /// Whether the node accepts new block I/Os.
     pub active: bool,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    /// Block I/Os queued here for this node.
+    /// Number of block I/Os queued at this host for the node.
     pub queued: u32,
-    /// The most attempts that may be in flight at a time.
+    /// Concurrency window: maximum number of attempts in flight at once.
     pub concurrency_window: f64,
     /// Mean latency in ticks.
     pub mean_latency: f64,
-    /// Multiplier on the cost of block I/Os at this node.
+    /// Factor by which the cost of block I/Os at the node is multiplied.
     pub cost_multiplier: f64,
-    /// Failed attempts since the last that completed.
+    /// Number of failed attempts since the last completed one.
     pub consecutive_failures: u32,
-    /// The node is still in its slow start.
+    /// Whether the node is still in slow start.
     pub warming_up: bool,
 }
--- a/crates/scheduler/src/interner.rs
+++ b/crates/scheduler/src/interner.rs
@@ -1,8 +1,8 @@
-//! Names outside, small indices inside.
+//! A mapping between names and small indices.
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Assigns small indices to names. An index is assigned anew once it has been released.
+/// Assigns small indices to names. An index is reused after its release.
 pub struct Interner<N> {
     names: Vec<Option<N>>,
     indices: HashMap<N, u32>,
@@ -20,13 +20,13 @@
 }
 
 impl<N: Clone + Eq + Hash> Interner<N> {
-    /// The index of a name that has one.
+    /// Returns the index of a name, if it has one.
     #[must_use]
     pub fn find(&self, name: &N) -> Option<u32> {
         self.indices.get(name).copied()
     }
 
-    /// The index of a name, newly assigned if it has none.
+    /// Returns the index of a name, which is newly assigned if the name has none.
     pub fn intern(&mut self, name: &N) -> u32 {
         if let Some(index) = self.find(name) {
             return index;
@@ -40,31 +40,29 @@
         index
     }
 
-    /// The name of an index.
+    /// Returns the name of an index.
     ///
     /// # Panics
     ///
     /// If the index is not assigned.
     #[must_use]
     pub fn resolve(&self, index: u32) -> &N {
-        self.names[index as usize]
-            .as_ref()
-            .expect("an index in use")
+        self.names[index as usize].as_ref().expect("index in use")
     }
 
-    /// Number of names that have an index.
+    /// Returns the number of names that have an index.
     #[must_use]
     pub fn len(&self) -> usize {
         self.indices.len()
     }
 
-    /// Whether no name has an index.
+    /// Returns whether no name has an index.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.indices.is_empty()
     }
 
-    /// Frees an index; nothing happens if it is not assigned.
+    /// Releases an index. Does nothing if the index has already been released.
     ///
     /// # Panics
     ///
--- a/crates/scheduler/src/key_queue.rs
+++ b/crates/scheduler/src/key_queue.rs
@@ -1,8 +1,8 @@
-//! The queue of an ordering key.
+//! The queue of block I/Os of an ordering key.
 use crate::interface::BioId;
 use std::collections::VecDeque;
 
-/// Block I/Os in the order of their arrival. Most keys never have more than one, for which nothing is allocated.
+/// Block I/Os in order of arrival. Most keys never have more than one, for which no memory is allocated.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
     first: Option<BioId>,
@@ -10,7 +10,7 @@
 }
 
 impl KeyQueue {
-    /// Appends a block I/O.
+    /// Appends a block I/O to the queue.
     pub(crate) fn push(&mut self, id: BioId) {
         match self.first {
             None => self.first = Some(id),
@@ -18,12 +18,12 @@
         }
     }
 
-    /// The block I/O at the front.
+    /// Returns the block I/O at the front of the queue.
     pub(crate) fn first(&self) -> Option<BioId> {
         self.first
     }
 
-    /// Takes a block I/O out, wherever it stands; one that is not in the queue changes nothing.
+    /// Removes a block I/O from any position. Does nothing if the block I/O is not in the queue.
     pub(crate) fn remove(&mut self, id: BioId) {
         if self.first == Some(id) {
             self.first = self.rest.pop_front();
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,9 +1,9 @@
-//! The block I/O scheduler of mallowseam: decides which block I/O goes to which storage node, when, and which
-//! is shed.
+//! The block I/O scheduler of mallowseam: decides when each block I/O is sent, to which storage node, and which block
+//! I/Os are shed.
 //!
-//! Make a [`Scheduler`] from a [`SchedulerConfig`](interface::SchedulerConfig), and call its `on_*` methods as
-//! events happen. It performs no input or output and reads no clock: see [`interface`]. The decisions are in
-//! `policy`, one concern a module; `tests/support` has a small host that runs one.
+//! Create a [`Scheduler`] from a [`SchedulerConfig`](interface::SchedulerConfig), and call its `on_*` methods as events
+//! occur. The scheduler performs no input or output and reads no clock; see [`interface`]. The scheduling decisions are
+//! in `policy`, with one module per concern. `tests/support` contains a minimal host that runs a scheduler.
 #![warn(missing_docs)]
 
 pub mod interface;
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,7 +1,8 @@
-//! The decisions. Each concern is a type in the file of its name, with its state, its constants and its decisions;
-//! [`scheduler`] holds them and says what happens at each event.
+//! The scheduling decisions. Each concern has a type in a file of the same name, with its state, its constants and its
+//! decisions. [`scheduler`] owns these types and defines what happens on each event.
 //!
-//! `docs/design.md` tells what is kept of the paper, "Burstable Cloud Block Storage with Data Processing Units".
+//! `docs/design.md` states which parts of the paper "Burstable Cloud Block Storage with Data Processing Units" are
+//! implemented.
 mod backoff;
 mod concurrency_window;
 mod constants;
--- a/crates/scheduler/src/policy/backoff.rs
+++ b/crates/scheduler/src/policy/backoff.rs
@@ -4,7 +4,7 @@
 /// Ticks of pause after the second failure in a row; each further one doubles it.
 const MIN_BACKOFF: Tick = 100;
 /// Failures in a row after which the pause begins.
-const FREE_FAILURES: u32 = 1;
+const FAILURES_WITHOUT_BACKOFF: u32 = 1;
 /// The most times that the pause is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 /// The longest backoff in ticks, to be multiplied by the root of the host count, as all hosts try the node.
@@ -58,10 +58,10 @@
 
     /// A node that fails again and again is tried less and less often, until it answers.
     fn backoff(&self, max_backoff: Tick) -> Tick {
-        if self.consecutive_failures <= FREE_FAILURES {
+        if self.consecutive_failures <= FAILURES_WITHOUT_BACKOFF {
             return 0;
         }
-        let doublings = self.consecutive_failures - FREE_FAILURES - 1;
+        let doublings = self.consecutive_failures - FAILURES_WITHOUT_BACKOFF - 1;
         (MIN_BACKOFF << doublings.min(MAX_DOUBLINGS)).min(max_backoff)
     }
 }
--- a/crates/scheduler/src/policy/concurrency_window.rs
+++ b/crates/scheduler/src/policy/concurrency_window.rs
@@ -73,7 +73,7 @@
     }
 
     /// How long to wait between two attempts, as a multiple of the time that an attempt takes.
-    pub(super) fn idle_times(self) -> f64 {
+    pub(super) fn spacing_factor(self) -> f64 {
         if self.0 < 1.0 {
             1.0 / self.0 - 1.0
         } else {
--- a/crates/scheduler/src/policy/constants.rs
+++ b/crates/scheduler/src/policy/constants.rs
@@ -1,12 +1,12 @@
-//! Constants that several concerns share.
+//! Constants shared by several policy modules.
 use crate::interface::Tick;
 
-/// Ticks in a second.
+/// Number of ticks in a second.
 pub(super) const TICKS_PER_SECOND: f64 = 10_000.0;
 
-/// Ticks between two runs of Algorithm 1 (paper: 0.1 s).
+/// Allocation interval: ticks between two runs of Algorithm 1 (0.1 s, as in the paper).
 pub(super) const ALLOCATION_INTERVAL: Tick = 1_000;
 
-/// Ticks before a deadline at which a block I/O is answered at the latest: a timer may be a tick late, and the answer
-/// needs time to reach the client.
+/// Ticks before its deadline by which a block I/O must be answered. A timer may fire a tick late, and the answer needs
+/// time to reach the client.
 pub(super) const DEADLINE_MARGIN: Tick = 60;
--- a/crates/scheduler/src/policy/endpoint_poller.rs
+++ b/crates/scheduler/src/policy/endpoint_poller.rs
@@ -12,11 +12,11 @@
 /// Ticks: longest backoff between failed polls where hosts are few.
 const MAX_BACKOFF: Tick = 10_000;
 /// Fraction of the longest poll delay allowed that a host waits; the rest is for the poll.
-const DELAY_USED: f64 = 0.8;
+const POLL_DELAY_FRACTION: f64 = 0.8;
 /// Ticks, at most, from a failed poll to the next: of the 6 s, the next poll needs 1.2 s.
 const MAX_INTERVAL: Tick = 46_000;
 /// Ticks of service time for the polls of all hosts: with more, some take over 6 s.
-const SERVED_IN_TIME: Tick = 54_000;
+const MAX_TIMELY_SERVICE: Tick = 54_000;
 /// Ticks, at most, over which polls are spread after a watch went silent: of the 6 s, 3.2 s pass until it is noticed,
 /// and 1.2 s are for the poll.
 const SPREAD_AFTER_SILENCE: Tick = 16_000;
@@ -41,9 +41,11 @@
 impl EndpointPoller {
     /// The schedule of a host that starts now.
     pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &Pcg) -> Self {
-        let all_polls = config.poll_service_time.unwrap_or(SERVICE_TIME) * Tick::from(config.hosts);
-        let max_interval = max_interval(config, all_polls);
-        let spread = max_spread(config).map_or(all_polls, |most| all_polls.min(most));
+        let total_service_time =
+            config.poll_service_time.unwrap_or(SERVICE_TIME) * Tick::from(config.hosts);
+        let max_interval = max_interval(config, total_service_time);
+        let spread =
+            max_spread(config).map_or(total_service_time, |max| total_service_time.min(max));
         let spread = spread.min(max_interval).max(MIN_SPREAD);
         let first_poll = now + rng.below(spread as u64) as Tick;
         EndpointPoller {
@@ -82,7 +84,7 @@
     /// draws a time among theirs; later polls keep it, so that all have polled within a spread of the service's
     /// return.
     pub(super) fn on_failure(&mut self, now: Tick, event: EndpointEvent, rng: &Pcg) {
-        let newly_silent = self.becomes_silent(event);
+        let newly_silent = self.record_silence(event);
         let spread = if newly_silent {
             self.spread.min(SPREAD_AFTER_SILENCE)
         } else {
@@ -93,10 +95,10 @@
             Some(backoff) if !newly_silent => backoff,
             _ => drawn,
         };
-        self.poll_at_the_latest(now + wait);
+        self.poll_no_later_than(now + wait);
         // The service may have returned just after the failed poll began: the time since then is lost.
         if let Some(since) = self.pending_since {
-            self.poll_at_the_latest((since + self.max_interval).max(now + 1));
+            self.poll_no_later_than((since + self.max_interval).max(now + 1));
         }
         let doubled = self.backoff.map_or(self.spread, |backoff| backoff * 2);
         self.backoff = Some(doubled.clamp(self.spread, self.spread.max(MAX_BACKOFF)));
@@ -110,7 +112,7 @@
 
     /// Whether a watch has just gone silent. Only the first silence counts: otherwise a service that accepts polls and
     /// sends nothing would be polled again and again.
-    fn becomes_silent(&mut self, event: EndpointEvent) -> bool {
+    fn record_silence(&mut self, event: EndpointEvent) -> bool {
         if event != EndpointEvent::WatchSilent {
             return false;
         }
@@ -118,7 +120,7 @@
     }
 
     /// A poll that is due sooner, of another service or after silence, is not put off.
-    fn poll_at_the_latest(&mut self, time: Tick) {
+    fn poll_no_later_than(&mut self, time: Tick) {
         let earlier = self.next_poll.map_or(time, |due| due.min(time));
         self.next_poll = Some(earlier);
     }
@@ -126,10 +128,11 @@
 
 /// The most ticks from a failed poll to the next. To poll in a crowd is of use only where the service may be quick:
 /// where it is not known to be too slow for all hosts.
-fn max_interval(config: &SchedulerConfig, all_polls: Tick) -> Tick {
-    let known_too_many = config.poll_service_time.is_some() && all_polls > SERVED_IN_TIME;
-    if known_too_many {
-        all_polls
+fn max_interval(config: &SchedulerConfig, total_service_time: Tick) -> Tick {
+    let known_too_slow =
+        config.poll_service_time.is_some() && total_service_time > MAX_TIMELY_SERVICE;
+    if known_too_slow {
+        total_service_time
     } else {
         MAX_INTERVAL
     }
@@ -141,5 +144,5 @@
         return Some(MIN_SPREAD);
     }
     let delay_is_limited = config.max_poll_delay > 0;
-    delay_is_limited.then_some((DELAY_USED * config.max_poll_delay as f64) as Tick)
+    delay_is_limited.then_some((POLL_DELAY_FRACTION * config.max_poll_delay as f64) as Tick)
 }
--- a/crates/scheduler/src/policy/latency_estimate.rs
+++ b/crates/scheduler/src/policy/latency_estimate.rs
@@ -53,7 +53,7 @@
 
     /// Moves the mean towards the expected latency of a node that got no attempts in an interval. Otherwise a node
     /// that was slow once would stay closed to urgent block I/Os.
-    pub(super) fn drift_to(&mut self, expected: f64) {
+    pub(super) fn decay_toward(&mut self, expected: f64) {
         self.mean = self.mean * IDLE_DECAY + expected * (1.0 - IDLE_DECAY);
     }
 
--- a/crates/scheduler/src/policy/lost_responses.rs
+++ b/crates/scheduler/src/policy/lost_responses.rs
@@ -2,7 +2,7 @@
 use crate::interface::{BioId, Tick};
 
 /// Ticks after a lost response in which the scheduler looks for others.
-const LOSS_WATCH: Tick = 50_000;
+const LOSS_DETECTION_PERIOD: Tick = 50_000;
 
 /// An attempt in flight at a node.
 #[derive(Clone, Copy)]
@@ -85,7 +85,7 @@
 impl LostResponseDetector {
     /// An attempt timed out although a later one was answered.
     pub(super) fn record_loss(&mut self, now: Tick) {
-        self.losing_until = Some(now + LOSS_WATCH);
+        self.losing_until = Some(now + LOSS_DETECTION_PERIOD);
     }
 
     /// Whether a response was lost a short while ago, so that others may be lost too.
--- a/crates/scheduler/src/policy/node.rs
+++ b/crates/scheduler/src/policy/node.rs
@@ -73,7 +73,7 @@
     /// In ticks, as far as this host's counts tell.
     Ticks(f64),
     /// The node is chosen only if there is no other.
-    LastChoice,
+    LastResort,
 }
 
 impl Node {
@@ -170,7 +170,7 @@
         self.slow_start.restart(started_at);
         self.window = limits.initial_window;
         self.cost_multiplier.reset();
-        self.budget.raise_to_least(limits.mean_io_units);
+        self.budget.raise_to_minimum(limits.mean_io_units);
     }
 
     /// Nothing is sent to it before this time.
@@ -199,7 +199,7 @@
     }
 
     /// The end of its pause, if block I/Os wait for it.
-    pub(super) fn awaited_pause_end(&self, now: Tick) -> Option<Tick> {
+    pub(super) fn pause_end_if_queued(&self, now: Tick) -> Option<Tick> {
         if self.queue.is_empty() {
             return None;
         }
@@ -239,12 +239,12 @@
 
     /// By how much its mean latency exceeds the best of late over all nodes, as a fraction of the shortest objective.
     pub(super) fn latency_excess(&self, limits: &NodeLimits, fleet: &FleetLatency) -> f64 {
-        (self.latency.mean() - fleet.best()) / limits.shortest_objective
+        (self.latency.mean() - fleet.lowest_recent_mean()) / limits.shortest_objective
     }
 
     /// How little a high latency here says about load from other hosts: a wide window and many recent answers mean that
     /// the load is this host's own.
-    pub(super) fn own_load(&self) -> f64 {
+    pub(super) fn own_load_weight(&self) -> f64 {
         self.window.size().powi(2) * self.latency.recent_answers().max(1.0)
     }
 
@@ -260,12 +260,12 @@
         let long_pause = (limits.shortest_objective * LONG_PAUSE) as Tick;
         let paused_for_long = self.backoff.pause_end(now + long_pause).is_some();
         if paused_for_long || capacity.is_some_and(|capacity| !capacity.fits(units)) {
-            return ExpectedWait::LastChoice;
+            return ExpectedWait::LastResort;
         }
-        let oldest = self.in_flight.age_of_oldest(now) as f64;
-        let ahead = (self.in_flight.count() as usize + self.queue.len() + 1) as f64;
-        let tries = f64::from(self.backoff.consecutive_failures() + 1);
-        let work = ahead * tries * (self.latency.mean().max(oldest) + 1.0);
+        let oldest_age = self.in_flight.age_of_oldest(now) as f64;
+        let backlog = (self.in_flight.count() as usize + self.queue.len() + 1) as f64;
+        let attempts = f64::from(self.backoff.consecutive_failures() + 1);
+        let work = backlog * attempts * (self.latency.mean().max(oldest_age) + 1.0);
         ExpectedWait::Ticks(work / self.window.size())
     }
 
@@ -316,7 +316,7 @@
     /// other hosts meanwhile.
     pub(super) fn pause_after_attempt(&mut self, now: Tick, limits: &NodeLimits) {
         let time_of_attempt = self.latency.mean().min(limits.shortest_objective);
-        let spacing = (time_of_attempt * self.window.idle_times()) as Tick;
+        let spacing = (time_of_attempt * self.window.spacing_factor()) as Tick;
         self.backoff
             .pause_after_attempt(now, spacing, limits.max_backoff);
     }
@@ -333,13 +333,13 @@
         self.latency.end_interval();
         if self.in_flight.is_empty() {
             let expected = fleet.expected_when_idle(limits.load_by_other_hosts);
-            self.latency.drift_to(expected);
+            self.latency.decay_toward(expected);
             self.window.on_idle_interval();
         }
         let quick = self.latency.mean() < NARROW_ABOVE * limits.shortest_objective;
         let no_failures = self.backoff.consecutive_failures() == 0;
-        let well = quick && no_failures && self.is_warm(now, slow_start);
-        self.usual_rate.end_interval(well, host_age);
+        let healthy = quick && no_failures && self.is_warm(now, slow_start);
+        self.usual_rate.end_interval(healthy, host_age);
     }
 
     /// Starts an allocation interval with what is queued, as volumes and units, and with each volume's entitlement.
@@ -351,9 +351,9 @@
         entitlement: impl Fn(VolumeId) -> Entitlement,
     ) {
         if self.latency.mean() > NARROW_ABOVE * limits.shortest_objective {
-            self.budget.lower(limits.mean_io_units);
+            self.budget.decrease(limits.mean_io_units);
         } else if !self.queue.is_empty() {
-            self.budget.raise(limits.mean_io_units);
+            self.budget.increase(limits.mean_io_units);
         }
         let queued = self.queue.iter().map(units_of);
         self.budget.start_interval(queued, entitlement);
--- a/crates/scheduler/src/policy/node_budget.rs
+++ b/crates/scheduler/src/policy/node_budget.rs
@@ -102,20 +102,20 @@
 
 impl NodeBudget {
     /// Makes sure that a node in service has the least extra budget.
-    pub(super) fn raise_to_least(&mut self, mean_io_units: f64) {
+    pub(super) fn raise_to_minimum(&mut self, mean_io_units: f64) {
         self.extra = self.extra.max(MIN_EXTRA_IOS * mean_io_units);
     }
 
     /// Lowers the extra budget of a node that is too slow.
-    pub(super) fn lower(&mut self, mean_io_units: f64) {
-        let least = MIN_EXTRA_IOS * mean_io_units;
-        self.extra = (self.extra * (1.0 - BUDGET_STEP)).max(least);
+    pub(super) fn decrease(&mut self, mean_io_units: f64) {
+        let minimum = MIN_EXTRA_IOS * mean_io_units;
+        self.extra = (self.extra * (1.0 - BUDGET_STEP)).max(minimum);
     }
 
     /// Raises the extra budget of a node that answers in time while block I/Os are queued for it.
-    pub(super) fn raise(&mut self, mean_io_units: f64) {
-        let most = MAX_EXTRA_IOS * mean_io_units;
-        self.extra = (self.extra * (1.0 + BUDGET_STEP)).min(most);
+    pub(super) fn increase(&mut self, mean_io_units: f64) {
+        let maximum = MAX_EXTRA_IOS * mean_io_units;
+        self.extra = (self.extra * (1.0 + BUDGET_STEP)).min(maximum);
     }
 
     /// Makes an allocation for a volume, if it has none yet; it opens with the volume's base.
@@ -194,9 +194,9 @@
     }
 
     /// What a volume with a block I/O queued here may do in this dispatch pass.
-    pub(super) fn standing(&self, volume: VolumeId) -> Standing {
+    pub(super) fn allocation_status(&self, volume: VolumeId) -> AllocationStatus {
         let allocation = self.allocation(volume);
-        Standing {
+        AllocationStatus {
             refused: allocation.refused_in == Some(self.pass),
             has_balance: allocation.balance > 0.0,
         }
@@ -213,11 +213,11 @@
         node_has_room: bool,
         rng: &Pcg,
     ) -> bool {
-        let own = self.own_position(volume);
+        let own = self.allocation_position(volume);
         let payer = if self.allocations[own].balance > 0.0 {
             Some(own)
         } else {
-            self.bursting_payer(cost, rng)
+            self.select_bursting_payer(cost, rng)
         };
         if let Some(payer) = payer {
             self.allocations[payer].balance -= cost;
@@ -233,7 +233,7 @@
     }
 
     /// The richer of two bursting volumes drawn at random, if it can pay.
-    fn bursting_payer(&self, cost: f64, rng: &Pcg) -> Option<usize> {
+    fn select_bursting_payer(&self, cost: f64, rng: &Pcg) -> Option<usize> {
         let count = self.bursting().count() as u64;
         // Both numbers are drawn in any case: the sequence of random numbers does not depend on what is found.
         let first = rng.below(count);
@@ -263,23 +263,23 @@
     }
 
     /// Position of the allocation of a volume with a block I/O queued here.
-    fn own_position(&self, volume: VolumeId) -> usize {
+    fn allocation_position(&self, volume: VolumeId) -> usize {
         self.position(volume)
             .expect("an allocation is opened when a block I/O is queued")
     }
 
     fn allocation(&self, volume: VolumeId) -> &Allocation {
-        &self.allocations[self.own_position(volume)]
+        &self.allocations[self.allocation_position(volume)]
     }
 
     fn allocation_mut(&mut self, volume: VolumeId) -> &mut Allocation {
-        let position = self.own_position(volume);
+        let position = self.allocation_position(volume);
         &mut self.allocations[position]
     }
 }
 
 /// What a volume may do in a dispatch pass.
-pub(super) struct Standing {
+pub(super) struct AllocationStatus {
     /// It was refused in this pass, and waits for the next one.
     pub(super) refused: bool,
     /// Its own allocation is not used up.
--- a/crates/scheduler/src/policy/ordering_keys.rs
+++ b/crates/scheduler/src/policy/ordering_keys.rs
@@ -62,7 +62,13 @@
 
     /// Whether an ordered block I/O is the first of its key, and the key is not cooling down. A cooldown does not
     /// hold back the retry of the block I/O that caused it.
-    pub(super) fn is_its_turn(&self, now: Tick, key: KeyId, bio: BioId, is_retry: bool) -> bool {
+    pub(super) fn is_first_in_order(
+        &self,
+        now: Tick,
+        key: KeyId,
+        bio: BioId,
+        is_retry: bool,
+    ) -> bool {
         let state = &self.keys[key];
         state.queue.first() == Some(bio) && (is_retry || !state.is_cooling_down(now))
     }
--- a/crates/scheduler/src/policy/priority.rs
+++ b/crates/scheduler/src/policy/priority.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Bio, SchedulerConfig};
 
 /// Fraction of a mean block I/O that the smallest ones count as, where they are compared with the reservation.
-const LEAST_COUNTED_IO: f64 = 1.0 / 8.0;
+const MIN_COUNTED_IO: f64 = 1.0 / 8.0;
 
 /// The figures by which block I/Os are compared.
 pub(super) struct PriorityRules {
@@ -13,7 +13,7 @@
     /// Fraction of the priority weight earned by units beyond that share.
     spare_weight_factor: f64,
     /// Units that a block I/O counts as, at least, where it is compared with the reservation.
-    least_counted_units: f64,
+    min_counted_units: f64,
     /// What a block I/O of mean class and plan earns in full.
     typical: f64,
 }
@@ -26,7 +26,7 @@
         PriorityRules {
             share_weight_factor: config.share_weight_factor,
             spare_weight_factor: config.spare_weight_factor,
-            least_counted_units: mean_io_units * LEAST_COUNTED_IO,
+            min_counted_units: mean_io_units * MIN_COUNTED_IO,
             typical: (mean_weight * mean_factor).max(f64::MIN_POSITIVE),
         }
     }
@@ -45,7 +45,7 @@
         } else {
             self.spare_weight_factor
         };
-        let counted_units = bio.units.max(self.least_counted_units);
+        let counted_units = bio.units.max(self.min_counted_units);
         let inside = (limiter.unused_reservation(bio.volume) / counted_units).min(1.0);
         let factor = inside + (1.0 - inside) * beyond;
         factor * class.priority_weight() * limiter.priority_factor(bio.volume)
--- a/crates/scheduler/src/policy/rate_limiter.rs
+++ b/crates/scheduler/src/policy/rate_limiter.rs
@@ -52,8 +52,8 @@
 
     /// The number of hosts that a block I/O names for its volume: at least one, and no more than there are.
     fn volume_hosts(&self, bio: &Bio) -> f64 {
-        let most = self.host_count.map_or(u32::MAX, NonZeroU32::get);
-        f64::from(bio.hosts.clamp(1, most))
+        let max_hosts = self.host_count.map_or(u32::MAX, NonZeroU32::get);
+        f64::from(bio.hosts.clamp(1, max_hosts))
     }
 
     /// A block I/O of this volume was released.
@@ -78,8 +78,8 @@
 
     /// A block I/O of the class of the highest weight is given up: if tokens were too few for it, they are kept for
     /// that class for a while.
-    pub(super) fn keep_tokens_for_top_class(&mut self, now: Tick, bio: &Bio) {
-        self.volumes[bio.volume].keep_tokens_for_top_class(now, bio.units);
+    pub(super) fn hold_tokens_for_top_class(&mut self, now: Tick, bio: &Bio) {
+        self.volumes[bio.volume].hold_tokens_for_top_class(now, bio.units);
     }
 
     /// Records what a node reported of a volume's use through other hosts.
@@ -116,7 +116,7 @@
         &mut self,
         host: &mut dyn Host,
         now: Tick,
-        mut forgotten: impl FnMut(VolumeId),
+        mut on_forgotten: impl FnMut(VolumeId),
     ) {
         for id in self.volumes.indices() {
             let Some(volume) = self.volumes.get_mut(id) else {
@@ -127,7 +127,7 @@
             volume.end_interval();
             if volume.is_forgettable(now, plan) {
                 self.volumes.remove(id);
-                forgotten(id);
+                on_forgotten(id);
                 host.release_volume(id);
             }
         }
--- a/crates/scheduler/src/policy/request.rs
+++ b/crates/scheduler/src/policy/request.rs
@@ -5,9 +5,9 @@
 /// The first attempt of a block I/O that may have run.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleRun {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub(super) sent_at: Tick,
-    /// The node that it was sent to.
+    /// Node that the attempt was sent to.
     pub(super) node: NodeId,
 }
 
@@ -15,24 +15,24 @@
 #[derive(Clone, Copy)]
 pub(super) struct Request {
     bio: Bio,
-    /// The node that it is queued for or was last sent to.
+    /// Node that the block I/O is queued for or was last sent to.
     node: Option<NodeId>,
-    /// When its latency objective ends.
+    /// End of the latency objective.
     objective_end: Tick,
-    /// When it is shed if it was never sent.
+    /// Time at which the block I/O is shed if it was never sent.
     unsent_until: Tick,
     attempts: u32,
-    /// An attempt is in flight.
+    /// Whether an attempt is in flight.
     in_flight: bool,
-    /// It needs no further attempt: it is answered, or its client disconnected.
+    /// Whether no further attempt is needed, because the block I/O was answered or its client disconnected.
     finished: bool,
-    /// Its units are taken from the volume's tokens.
+    /// Whether the units have been taken from the volume's tokens.
     has_tokens: bool,
     possible_run: Option<PossibleRun>,
 }
 
 impl Request {
-    /// A block I/O that arrives, and when its objective ends.
+    /// Creates the record of a block I/O that arrives at `now` and has an objective ending at `objective_end`.
     pub(super) fn new(
         now: Tick,
         bio: Bio,
@@ -57,53 +57,54 @@
         }
     }
 
-    /// The block I/O as it arrived.
+    /// Returns the block I/O as it arrived.
     pub(super) fn bio(&self) -> &Bio {
         &self.bio
     }
 
-    /// The node that it is queued for or was last sent to.
+    /// Returns the node that the block I/O is queued for or was last sent to.
     pub(super) fn node(&self) -> Option<NodeId> {
         self.node
     }
 
-    /// When its latency objective ends.
+    /// Returns the end of the latency objective.
     pub(super) fn objective_end(&self) -> Tick {
         self.objective_end
     }
 
-    /// Attempts that were sent.
+    /// Returns the number of attempts that were sent.
     pub(super) fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether an attempt was sent before, so that the next one is a retry.
+    /// Returns whether an attempt was sent before, so that the next one is a retry.
     pub(super) fn was_sent(&self) -> bool {
         self.attempts > 0
     }
 
-    /// Number of the attempt in flight, counted from 0.
+    /// Returns the number of the attempt in flight, counted from 0.
     pub(super) fn attempt_in_flight(&self) -> Option<u32> {
         self.in_flight.then(|| self.attempts - 1)
     }
 
-    /// Whether it needs no further attempt.
+    /// Returns whether no further attempt is needed.
     pub(super) fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Whether its units are taken from the volume's tokens.
+    /// Returns whether the units have been taken from the volume's tokens.
     pub(super) fn has_tokens(&self) -> bool {
         self.has_tokens
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub(super) fn possible_run(&self) -> Option<PossibleRun> {
         self.possible_run
     }
 
-    /// Until when it may be queued. A client that is answered in the first half of its time can go elsewhere, if
-    /// nothing was tried; later, it waited in vain. Drawback: costly where capacity comes just in time.
+    /// Returns the time until which the block I/O may be queued. If nothing was sent, an answer in the first half of
+    /// the time to the deadline lets the client go elsewhere; after that, its wait was useless. Drawback: costly where
+    /// capacity becomes available just in time.
     pub(super) fn queued_until(&self) -> Tick {
         if self.was_sent() {
             self.objective_end
@@ -112,34 +113,35 @@
         }
     }
 
-    /// Whether it is queued, and its time in the queue is over.
+    /// Returns whether the block I/O is queued and its time in the queue has elapsed.
     pub(super) fn is_overdue(&self, now: Tick) -> bool {
         !self.finished && !self.in_flight && self.queued_until() <= now
     }
 
-    /// It is queued for a node.
+    /// Records the node that the block I/O is queued for.
     pub(super) fn queue_for(&mut self, node: NodeId) {
         self.node = Some(node);
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub(super) fn begin_attempt(&mut self) {
         self.attempts += 1;
         self.in_flight = true;
         self.has_tokens = true;
     }
 
-    /// The attempt in flight is over.
+    /// Records that the attempt in flight has ended.
     pub(super) fn end_attempt(&mut self) {
         self.in_flight = false;
     }
 
-    /// It needs no further attempt.
+    /// Records that no further attempt is needed.
     pub(super) fn finish(&mut self) {
         self.finished = true;
     }
 
-    /// An attempt may have run. With an idempotency key that nodes remember for this time, the objective ends with it.
+    /// Records an attempt that may have run. If nodes remember the idempotency key for `key_window`, the objective ends
+    /// no later than that window.
     pub(super) fn record_possible_run(&mut self, run: PossibleRun, key_window: Option<Tick>) {
         let first = *self.possible_run.get_or_insert(run);
         if let Some(window) = key_window {
--- a/crates/scheduler/src/policy/scheduler.rs
+++ b/crates/scheduler/src/policy/scheduler.rs
@@ -1,9 +1,9 @@
-//! The scheduler of one host: what happens at each event.
+//! The scheduler of one host: what happens on each event.
 //!
-//! Each concern has a type of its own, which decides and owns its state. This file calls them in the order of each
-//! event. Steps that need several of them are in the submodules: `node_selection` and `dispatch` on the way to a node,
-//! `outcomes` and `final_answers` on the way back, `endpoints` for the endpoint list, `intervals` for what is due by
-//! time.
+//! Each concern has its own type, which makes the decisions and owns the state. This module calls these types in the
+//! order that each event requires. Steps that involve several types are in submodules: `node_selection` and `dispatch`
+//! send block I/Os to nodes, `outcomes` and `final_answers` process the results, `endpoints` applies the endpoint list,
+//! and `intervals` runs the work of an allocation interval.
 mod dispatch;
 mod endpoints;
 mod final_answers;
@@ -35,9 +35,9 @@
 use crate::slab::Slab;
 use crate::timer_queue::TimerQueue;
 
-/// The scheduler of one host: queues, budgets, and what is known of nodes and volumes.
+/// The scheduler of one host: its queues and budgets, and the state of nodes and volumes.
 ///
-/// Call its `on_*` methods as events happen, each with the present time and the [`Host`] that carries the actions out.
+/// Call its `on_*` methods as events occur, each with the current time and the [`Host`] that carries out the actions.
 pub struct Scheduler {
     started_at: Tick,
     rng: Pcg,
@@ -56,24 +56,25 @@
     lost_responses: LostResponseDetector,
     endpoint_poller: EndpointPoller,
     allocation_timer: AllocationTimer,
-    /// Times at which block I/Os may have to be shed, or nodes be free for others.
+    /// Times at which a block I/O may have to be shed, or at which other block I/Os may be sent because an attempt
+    /// counts as lost or a key's cooldown ends.
     request_timers: TimerQueue,
     host_timer: HostTimer,
 }
 
-/// How block I/Os are ended, by the configuration.
+/// Rules from the configuration for ending block I/Os.
 struct AnswerRules {
-    /// The Retry-After of shed block I/Os, if they name one.
+    /// Retry-After of shed block I/Os; `None` if they state none.
     retry_after: Option<Tick>,
-    /// Block I/Os that were never sent are shed before half of their time to the deadline is over.
+    /// Whether block I/Os that were never sent are shed before half of the time to their deadline has elapsed.
     shed_at_half_deadline: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     allow_cancel: bool,
 }
 
 impl AnswerRules {
     fn new(config: &SchedulerConfig) -> Self {
-        // The configuration has 0 where it names no longest time.
+        // In the configuration, 0 means that no maximum is set.
         let max_retry_after = Some(config.max_retry_after).filter(|time| *time > 0);
         let retry_after = max_retry_after.map(|longest| longest.min(ALLOCATION_INTERVAL));
         AnswerRules {
@@ -85,7 +86,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler that starts at `now`, with no node known. The seed decides all that it draws at random.
+    /// Creates a scheduler that starts at `now` and knows no nodes. `seed` determines all random numbers.
     #[must_use]
     pub fn new(config: &SchedulerConfig, seed: u64, now: Tick) -> Self {
         let hosts = f64::from(config.hosts.max(1));
@@ -126,20 +127,21 @@
         }
     }
 
-    /// A block I/O has arrived.
+    /// Handles the arrival of a block I/O.
     pub fn on_arrival(&mut self, host: &mut dyn Host, now: Tick, bio: Bio) {
         self.retry_budget.record_arrival(now);
         self.rate_limiter.begin_block_io(now, &bio);
         let objective_end = self.admit(now, bio);
         if objective_end <= now {
             self.give_up(host, now, bio.id);
-        } else if let Some(node) = self.place(host, now, bio.id) {
+        } else if let Some(node) = self.enqueue_or_give_up(host, now, bio.id) {
             self.dispatch(host, now, node);
         }
         self.arm_timer(host, now);
     }
 
-    /// An attempt is over. Ignored if its block I/O has no attempt in flight, also where the index is reused.
+    /// Handles the end of an attempt. Ignored if the block I/O has no attempt in flight, even if its index has been
+    /// reused.
     pub fn on_attempt_finished(
         &mut self,
         host: &mut dyn Host,
@@ -161,8 +163,8 @@
             self.rate_limiter
                 .record_other_hosts_usage(bio.volume, outcome.units_by_other_hosts);
         }
-        self.cool_key_down(now, &bio, outcome.result);
-        self.watch_for_lost_responses(host, now, outcome);
+        self.start_key_cooldown(now, &bio, outcome.result);
+        self.detect_lost_responses(host, now, outcome);
         if was_finished || outcome.client_answered || completed {
             self.finish(host, now, id);
         } else {
@@ -172,7 +174,7 @@
         self.arm_timer(host, now);
     }
 
-    /// The client has disconnected, or the host has answered it.
+    /// Handles a block I/O whose client has disconnected or has been answered by the host.
     pub fn on_disconnect(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
         let request = self.requests.get(id);
         if request.is_some_and(|request| !request.is_finished()) {
@@ -181,7 +183,7 @@
         self.arm_timer(host, now);
     }
 
-    /// The timer that [`Host::set_timer`] set has fired.
+    /// Handles the expiry of the timer that was set with [`Host::set_timer`].
     pub fn on_timer(&mut self, host: &mut dyn Host, now: Tick) {
         self.host_timer.on_fired(now);
         if self.endpoint_poller.take_due(now) {
@@ -196,7 +198,7 @@
         self.arm_timer(host, now);
     }
 
-    /// The endpoint list was received, or could not be.
+    /// Handles an update of the endpoint list, or a failure to receive one.
     pub fn on_endpoints(
         &mut self,
         host: &mut dyn Host,
@@ -220,41 +222,42 @@
         self.arm_timer(host, now);
     }
 
-    /// Another discovery service serves the endpoint list from now on; all hosts learn it at about one time.
+    /// Handles a move of the endpoint list to another discovery service, which all hosts learn of at about the same
+    /// time.
     pub fn on_discovery_moved(&mut self, host: &mut dyn Host, now: Tick) {
         self.endpoint_poller.on_moved(now, &self.rng);
         self.arm_timer(host, now);
     }
 
-    /// This host's quota of a volume's limit from now on, in units a second; none: an even share.
+    /// Sets this host's quota of a volume's rate limit, in units per second. With `None`, the quota is an even share.
     pub fn on_quota_changed(&mut self, now: Tick, id: VolumeId, quota: Option<f64>) {
         self.rate_limiter.set_quota(now, id, quota);
     }
 
-    /// The plans from now on, and the volumes that change to another one. Bases and ceilings of allocations follow with
-    /// the next interval.
+    /// Replaces the plans, and moves the given volumes to other plans. Bases and ceilings of allocations change with
+    /// the next allocation interval.
     pub fn on_plans_changed(&mut self, now: Tick, plans: &[Plan], moved: &[(VolumeId, u16)]) {
         self.rate_limiter.set_plans(now, plans, moved);
     }
 
-    /// A node as this host sees it, for monitoring.
+    /// Returns the status of a node as seen by this host, for monitoring.
     #[must_use]
     pub fn node_status(&self, now: Tick, id: NodeId) -> Option<NodeStatus> {
         let node = self.nodes.get(id)?;
         Some(node.status(now, &self.slow_start))
     }
 
-    /// The I/O class of a block I/O in progress.
+    /// Returns the I/O class of a block I/O in progress.
     fn class(&self, request: &Request) -> &ClassPolicy {
         self.classes.of(request.bio())
     }
 
-    /// Takes a block I/O in, and says when its latency objective ends. A client's retry keeps the objective of its
-    /// first try.
+    /// Registers a block I/O and returns the end of its latency objective. A client's retry of a shed block I/O keeps
+    /// the objective of the original request.
     fn admit(&mut self, now: Tick, bio: Bio) -> Tick {
         let class = self.classes.of(&bio);
-        let first_try = self.shed_history.objective_end_of_first_try(&bio);
-        let objective_end = first_try.unwrap_or(now + class.latency_objective());
+        let original_end = self.shed_history.objective_end_of_original(&bio);
+        let objective_end = original_end.unwrap_or(now + class.latency_objective());
         let at_half_deadline = self.answer_rules.shed_at_half_deadline;
         let request = Request::new(now, bio, objective_end, at_half_deadline);
         self.requests.get_or_insert_with(bio.id, || request);
@@ -264,10 +267,10 @@
         request.objective_end()
     }
 
-    /// Arms the host's timer for the next thing that is due.
+    /// Arms the host's timer for the earliest time at which something is due.
     fn arm_timer(&mut self, host: &mut dyn Host, now: Tick) {
         let nodes = self.nodes.iter();
-        let pause_end = nodes.filter_map(|(_, node)| node.awaited_pause_end(now));
+        let pause_end = nodes.filter_map(|(_, node)| node.pause_end_if_queued(now));
         let others = [
             self.request_timers.next(),
             self.endpoint_poller.next_poll(),
--- a/crates/scheduler/src/policy/scheduler/dispatch.rs
+++ b/crates/scheduler/src/policy/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which of the queued block I/Os goes to a node next, and when.
+//! Which queued block I/O is sent to a node next, and when.
 use super::super::constants::DEADLINE_MARGIN;
 use super::super::fleet_latency::MAX_THRESHOLD;
 use super::super::node::Node;
@@ -7,41 +7,44 @@
 use super::Scheduler;
 use crate::interface::{BioId, Host, NodeId, Tick};
 
-/// Fraction of the shortest objective: excess over the best mean latency at which the admission threshold begins.
+/// Excess over the lowest recent mean latency at which the admission threshold starts to rise, as a fraction of the
+/// shortest objective.
 const THRESHOLD_FROM: f64 = 0.08;
-/// Fraction of the shortest objective: further excess at which the threshold is 1, for a window of 1.
+/// Further excess at which the admission threshold reaches 1 for a weight of the host's own load of 1, as a fraction of
+/// the shortest objective.
 const THRESHOLD_SPAN: f64 = 0.4;
-/// Ticks before the deadline at which an attempt times out: 2 ms.
+/// Ticks before the deadline at which an attempt times out (2 ms).
 const TIMEOUT_MARGIN: Tick = DEADLINE_MARGIN / 3;
 
 /// A queued block I/O that may be sent.
 struct Candidate {
     priority: f64,
     objective_end: Tick,
-    /// Its position in the node's queue.
+    /// Position in the node's queue.
     position: usize,
 }
 
 impl Candidate {
-    /// The highest priority goes first, and of equal priority the earliest end of objective.
+    /// Returns whether this candidate is sent before the other: the one with the higher priority first, or of equal
+    /// priority the one whose objective ends earlier.
     fn precedes(&self, other: &Candidate) -> bool {
         let earlier = self.objective_end < other.objective_end;
         self.priority > other.priority || self.priority == other.priority && earlier
     }
 }
 
-/// What a node admits at this moment.
+/// The current admission limits of a node.
 struct NodeAdmission {
-    /// What it may still get in its slow start; none if there is no bound.
+    /// Units that the node may still receive in its slow start; `None` if there is no limit.
     slow_start: Option<SlowStartCapacity>,
-    /// The retry budget is not used up.
+    /// Whether the retry budget allows another retry.
     retry_allowed: bool,
-    /// The fraction of the typical priority below which block I/Os have to wait.
+    /// Fraction of the typical priority below which block I/Os wait.
     threshold: f64,
 }
 
 impl NodeAdmission {
-    /// Whether it admits a block I/O whose priority is below the typical one by this fraction.
+    /// Returns whether a block I/O is admitted whose priority is below the typical one by this fraction.
     fn admits(&self, units: f64, priority_deficit: f64) -> bool {
         if 1.0 - priority_deficit < self.threshold {
             return false;
@@ -52,14 +55,15 @@
 }
 
 impl Scheduler {
-    /// Sends to each node all that it has capacity for.
+    /// Sends to each node all block I/Os that it has capacity for.
     pub(super) fn dispatch_all(&mut self, host: &mut dyn Host, now: Tick) {
         for id in self.nodes.indices() {
             self.dispatch(host, now, id);
         }
     }
 
-    /// Sends to a node all that it has capacity for. A volume that is refused waits for the next pass.
+    /// Sends to a node all block I/Os that it has capacity for. A volume that is refused waits for the next dispatch
+    /// pass.
     pub(super) fn dispatch(&mut self, host: &mut dyn Host, now: Tick, id: NodeId) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Position in a node's queue of the block I/O to be sent next; none if none may be sent now.
+    /// Returns the queue position of the block I/O to send to the node next, or `None` if none may be sent now.
     fn next_to_send(&mut self, now: Tick, id: NodeId) -> Option<usize> {
         let node = &mut self.nodes[id];
         let slow_start = node.slow_start_capacity(now, &self.slow_start, &self.rng);
@@ -98,7 +102,7 @@
         self.best_candidate(now, id, &admission)
     }
 
-    /// Position in a node's queue of the block I/O that precedes all others that may be sent.
+    /// Returns the queue position of the first block I/O in sending order among those that may be sent.
     fn best_candidate(&self, now: Tick, id: NodeId, admission: &NodeAdmission) -> Option<usize> {
         let node = &self.nodes[id];
         let mut best: Option<Candidate> = None;
@@ -119,9 +123,9 @@
         best.map(|candidate| candidate.position)
     }
 
-    /// What a unit of a queued block I/O would earn if sent now; none if it may not be sent. One that is expected to be
-    /// late is not sent: where many hosts share a node, it may be slow without attempts from here, and late block I/Os
-    /// would only load it further.
+    /// Returns the priority of a queued block I/O, or `None` if it may not be sent now. A block I/O that is expected to
+    /// finish after its objective is not sent: a node shared by many hosts may be slow even without attempts from this
+    /// host, and late block I/Os would only add to its load.
     fn priority_if_sendable(
         &self,
         now: Tick,
@@ -130,51 +134,54 @@
         admission: &NodeAdmission,
     ) -> Option<f64> {
         let bio = request.bio();
-        let standing = node.budget().standing(bio.volume);
+        let status = node.budget().allocation_status(bio.volume);
         let late = now + node.mean_latency() as Tick > request.objective_end();
         let budget_spent = request.was_sent() && !admission.retry_allowed;
-        if standing.refused || late || budget_spent || !self.may_send(now, request, node) {
+        if status.refused || late || budget_spent || !self.may_send(now, request, node) {
             return None;
         }
         let class = self.class(request);
         let limiter = &self.rate_limiter;
         let rules = &self.priority_rules;
-        let priority = rules.priority(bio, class, limiter, standing.has_balance);
+        let priority = rules.priority(bio, class, limiter, status.has_balance);
         let admitted = admission.admits(bio.units, rules.deficit(priority));
         admitted.then_some(priority)
     }
 
-    /// The fraction of the typical priority below which a crowded node is left to other hosts' block I/Os.
+    /// Returns the fraction of the typical priority below which an overloaded node is left to block I/Os of other
+    /// hosts.
     fn admission_threshold(&self, node: &Node) -> f64 {
         let above_best = node.latency_excess(&self.node_limits, &self.fleet_latency);
         let excess = (above_best - THRESHOLD_FROM) / THRESHOLD_SPAN;
-        let own = (excess / node.own_load()).max(0.0);
+        let own = (excess / node.own_load_weight()).max(0.0);
         let threshold = own + self.fleet_latency.threshold();
         (threshold * self.node_limits.load_by_other_hosts).min(MAX_THRESHOLD)
     }
 
-    /// The rules for one attempt: order, rate limit, idempotency. Slow start and retry budget are the node's admission.
+    /// Returns whether order, rate limit and idempotency allow an attempt. Slow start and the retry budget are checked
+    /// by [`NodeAdmission`] and [`Self::priority_if_sendable`].
     pub(super) fn may_send(&self, now: Tick, request: &Request, node: &Node) -> bool {
         let class = self.class(request);
-        self.is_its_turn(now, request)
+        self.is_first_in_order(now, request)
             && !self.rate_limiter.is_over_limit(now, request, class)
             && self.may_run_at(now, request, node)
     }
 
-    /// Whether the order of its key lets a block I/O be sent.
-    fn is_its_turn(&self, now: Tick, request: &Request) -> bool {
+    /// Returns whether the order of its key allows a block I/O to be sent.
+    fn is_first_in_order(&self, now: Tick, request: &Request) -> bool {
         let bio = request.bio();
         let ordered = self.class(request).is_ordered();
         match bio.key {
             Some(key) if ordered => {
                 self.ordering_keys
-                    .is_its_turn(now, key, bio.id, request.was_sent())
+                    .is_first_in_order(now, key, bio.id, request.was_sent())
             }
             _ => true,
         }
     }
 
-    /// The rule on idempotency: whether a node may get a block I/O that may have run elsewhere.
+    /// Returns whether idempotency allows a block I/O to be sent to this node after an earlier attempt that may have
+    /// run.
     pub(super) fn may_run_at(&self, now: Tick, request: &Request, node: &Node) -> bool {
         let Some(first) = request.possible_run() else {
             return true;
@@ -184,7 +191,7 @@
         idempotency.allows_repeat_at(now, node.location(), first.sent_at, first_location)
     }
 
-    /// Sends an attempt of a block I/O that was taken out of the queue.
+    /// Sends an attempt of a block I/O that has been removed from the queue.
     fn send(&mut self, host: &mut dyn Host, now: Tick, id: BioId, node_id: NodeId) {
         let node = &mut self.nodes[node_id];
         let request = &mut self.requests[id];
--- a/crates/scheduler/src/policy/scheduler/endpoints.rs
+++ b/crates/scheduler/src/policy/scheduler/endpoints.rs
@@ -1,14 +1,14 @@
-//! The endpoint list as it comes in.
+//! Application of endpoint list updates.
 use super::super::idempotency::Location;
 use super::super::node::Node;
 use super::Scheduler;
 use crate::interface::{EndpointEvent, Host, NodeEndpoint, NodeState, Tick};
 
-/// Ticks over which hosts spread their first attempts at a node that is back.
-const RETURN_SPREAD: u64 = 3_000;
+/// Ticks over which hosts spread their first attempts at a node that has started or restarted.
+const RESTART_SPREAD: u64 = 3_000;
 
 impl Scheduler {
-    /// Takes over the entries of the list; after a whole list, a node that is missing is inactive.
+    /// Applies the entries of an update. A node that is missing from a full list becomes inactive.
     pub(super) fn update_nodes(
         &mut self,
         now: Tick,
@@ -24,7 +24,7 @@
     }
 
     fn update_node(&mut self, now: Tick, event: EndpointEvent, endpoint: &NodeEndpoint) {
-        let pause = self.rng.below(RETURN_SPREAD) as Tick;
+        let pause = self.rng.below(RESTART_SPREAD) as Tick;
         let shard_rate = self.usual_rate_of_shard(endpoint.shard);
         let is_new = self.nodes.get(endpoint.node).is_none();
         let limits = &self.node_limits;
@@ -45,12 +45,12 @@
             node.pause_until(now + pause);
         }
         if from_cache {
-            // A host that has itself just started may have spent its share before it was stopped.
+            // A host that has just started may have used its share before it was stopped.
             node.count_share_as_spent(now, &self.slow_start);
         }
     }
 
-    /// The highest rate at which this host usually sends to a node of a shard; 0 without one.
+    /// Returns the highest usual rate at which this host sends to any node of a shard, or 0 if the shard has no node.
     fn usual_rate_of_shard(&self, shard: u32) -> f64 {
         let nodes = self.nodes.iter();
         let of_shard = nodes.filter(|(_, node)| node.location().shard == shard);
@@ -58,7 +58,7 @@
         rates.fold(0.0, f64::max)
     }
 
-    /// Nothing new goes to an inactive node: what was queued for it is queued for another one, or answered.
+    /// Moves the block I/Os that are queued for inactive nodes to other nodes, or answers them if there is none.
     pub(super) fn requeue_from_inactive_nodes(&mut self, host: &mut dyn Host, now: Tick) {
         for id in self.nodes.indices() {
             let node = self.nodes.get_mut(id);
@@ -66,7 +66,7 @@
                 continue;
             };
             for bio in node.queue_mut().take_all() {
-                self.place(host, now, bio);
+                self.enqueue_or_give_up(host, now, bio);
             }
         }
     }
--- a/crates/scheduler/src/policy/scheduler/final_answers.rs
+++ b/crates/scheduler/src/policy/scheduler/final_answers.rs
@@ -1,13 +1,13 @@
-//! The end of a block I/O: its final answer, and what is released with it.
+//! The end of a block I/O: its final answer and the release of its resources.
 use super::super::request::Request;
 use super::Scheduler;
 use crate::interface::{BioId, Host, Tick};
 
 impl Scheduler {
-    /// Gives up block I/Os whose time in the queue is over.
+    /// Gives up block I/Os that have reached the end of their time in the queue.
     pub(super) fn give_up_overdue(&mut self, host: &mut dyn Host, now: Tick) {
         while let Some(id) = self.request_timers.pop_due(now) {
-            // The index may stand for a later block I/O by now, or for one that was sent meanwhile.
+            // The block I/O may have been sent since the timer was set, or its index may have been reused.
             let request = self.requests.get(id);
             if request.is_some_and(|request| request.is_overdue(now)) {
                 self.give_up(host, now, id);
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Gives the final answer to a block I/O that will not be served.
+    /// Sends the final answer for a block I/O that will not be served, and ends the block I/O.
     pub(super) fn give_up(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
         let request = self.requests[id];
         if self.is_unmet_warm_demand(now, &request) {
@@ -25,7 +25,7 @@
         self.shed_history.record(bio, request.objective_end());
         let class = self.classes.of(bio);
         if class.has_highest_weight() && !request.has_tokens() {
-            self.rate_limiter.keep_tokens_for_top_class(now, bio);
+            self.rate_limiter.hold_tokens_for_top_class(now, bio);
         }
         let harmless = class.idempotency().repeats_are_harmless();
         if request.possible_run().is_none() || harmless {
@@ -36,7 +36,7 @@
         self.finish(host, now, id);
     }
 
-    /// Whether a block I/O was never sent for want of capacity at a warm node.
+    /// Returns whether a block I/O was never sent because a warm node had no capacity for it.
     fn is_unmet_warm_demand(&self, now: Tick, request: &Request) -> bool {
         let Some(node) = request.node().filter(|_| !request.was_sent()) else {
             return false;
@@ -45,7 +45,8 @@
         node.is_warm(now, &self.slow_start) && self.may_send(now, request, node)
     }
 
-    /// Ends a block I/O: it leaves its queue, and with no attempt in flight, its key and its index as well.
+    /// Ends a block I/O. If it has no attempt in flight, it is removed from its queues and its index is released;
+    /// otherwise its attempt is cancelled, if the configuration allows it.
     pub(super) fn finish(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
         self.requests[id].finish();
         let request = self.requests[id];
--- a/crates/scheduler/src/policy/scheduler/intervals.rs
+++ b/crates/scheduler/src/policy/scheduler/intervals.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Host, NodeId, Tick};
 
 impl Scheduler {
-    /// Forgets what is of no more use, then grants each node's allocations and sends by them.
+    /// Removes expired state, then grants the allocations of each node and sends block I/Os accordingly.
     pub(super) fn start_allocation_interval(&mut self, host: &mut dyn Host, now: Tick) {
         self.slow_start.warm_demand_mut().decay();
         self.shed_history.forget_expired(now);
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Forgets nodes that have long been inactive.
+    /// Forgets nodes that have been inactive for a long time.
     fn forget_nodes(&mut self, host: &mut dyn Host, now: Tick) {
         for id in self.nodes.indices() {
             let node = self.nodes.get_mut(id);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Forgets volumes that have not been used for long, with their allocations at all nodes.
+    /// Forgets volumes that have not been used for a long time, with their allocations at all nodes.
     fn forget_volumes(&mut self, host: &mut dyn Host, now: Tick) {
         let nodes = &mut self.nodes;
         self.rate_limiter.end_interval(host, now, |volume| {
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Ages what is known of a node, and grants its allocations.
+    /// Ends the previous interval of a node and grants its allocations for the new one.
     fn start_interval_of_node(&mut self, now: Tick, id: NodeId) {
         let host_age = now - self.started_at;
         let limits = &self.node_limits;
--- a/crates/scheduler/src/policy/scheduler/node_selection.rs
+++ b/crates/scheduler/src/policy/scheduler/node_selection.rs
@@ -1,19 +1,25 @@
-//! Which node a block I/O is queued for.
+//! The choice of the node that a block I/O is queued for.
 use super::super::node::ExpectedWait;
 use super::super::request::Request;
 use super::Scheduler;
 use crate::interface::{BioId, Host, NodeId, Tick};
 
-/// Two nodes that may run a block I/O; both are the same if there is only one.
+/// Two nodes that may run a block I/O; both are the same if only one may.
 struct NodePair {
     first: NodeId,
     second: NodeId,
 }
 
 impl Scheduler {
-    /// Queues a block I/O for a node, or answers it if there is none. Of two drawn at random it is the one with the
-    /// shorter wait: a shard has one node, but while a release brings up the next one, both serve.
-    pub(super) fn place(&mut self, host: &mut dyn Host, now: Tick, id: BioId) -> Option<NodeId> {
+    /// Queues a block I/O for a node and returns the node, or answers the block I/O if no node may run it. Of two nodes
+    /// drawn at random, the one with the shorter expected wait is chosen. A shard usually has one node, but two while a
+    /// rolling release starts the replacement.
+    pub(super) fn enqueue_or_give_up(
+        &mut self,
+        host: &mut dyn Host,
+        now: Tick,
+        id: BioId,
+    ) -> Option<NodeId> {
         let request = self.requests[id];
         let Some(pair) = self.draw_nodes(now, &request) else {
             self.give_up(host, now, id);
@@ -30,7 +36,7 @@
         Some(chosen)
     }
 
-    /// Draws two nodes that may run a block I/O.
+    /// Draws two nodes that may run a block I/O, or returns `None` if there is none.
     fn draw_nodes(&self, now: Tick, request: &Request) -> Option<NodePair> {
         let count = self.candidates(now, request).count();
         let others = count.checked_sub(1)?;
@@ -42,7 +48,7 @@
         })
     }
 
-    /// The nodes that may run a block I/O.
+    /// Returns the nodes that may run a block I/O.
     fn candidates(&self, now: Tick, request: &Request) -> impl Iterator<Item = NodeId> {
         let shard = request.bio().shard;
         let nodes = self.nodes.iter();
@@ -51,12 +57,12 @@
         nodes.map(|(id, _)| id)
     }
 
-    /// How long a block I/O is expected to wait at a node. The node that was tried last is avoided.
+    /// Returns how long a block I/O is expected to wait at a node. The node of the latest attempt is avoided.
     fn expected_wait(&mut self, now: Tick, id: NodeId, request: &Request) -> ExpectedWait {
         let node = &mut self.nodes[id];
         let capacity = node.slow_start_capacity(now, &self.slow_start, &self.rng);
         if request.node() == Some(id) {
-            return ExpectedWait::LastChoice;
+            return ExpectedWait::LastResort;
         }
         let units = request.bio().units;
         node.expected_wait(now, capacity.as_ref(), units, &self.node_limits)
--- a/crates/scheduler/src/policy/scheduler/outcomes.rs
+++ b/crates/scheduler/src/policy/scheduler/outcomes.rs
@@ -1,11 +1,11 @@
-//! What the outcome of an attempt tells, and whether another attempt follows.
+//! Processing of the outcome of an attempt, and the decision on another attempt.
 use super::super::idempotency;
 use super::super::request::PossibleRun;
 use super::Scheduler;
 use crate::interface::{AttemptOutcome, AttemptResult, Bio, BioId, Host, Idempotency, Tick};
 
 impl Scheduler {
-    /// Records an outcome in the state of its node, and in the latencies over all nodes.
+    /// Records an outcome in the state of its node and in the latencies over all nodes.
     pub(super) fn record_outcome(&mut self, now: Tick, bio: &Bio, outcome: &AttemptOutcome) {
         let limits = &self.node_limits;
         let node = &mut self.nodes[outcome.node];
@@ -21,7 +21,7 @@
             | AttemptResult::TimedOut
             | AttemptResult::ConnectFailed
             | AttemptResult::ConnectionReset => {
-                let implied = self.fleet_latency.implied_by(outcome);
+                let implied = self.fleet_latency.implied_latency(outcome);
                 node.record_failure(implied);
                 self.fleet_latency.record_failure(implied);
             }
@@ -29,7 +29,7 @@
         node.pause_after_attempt(now, limits);
     }
 
-    /// Records that an attempt may have run.
+    /// Records an attempt that may have run.
     pub(super) fn record_possible_run(&mut self, now: Tick, id: BioId, outcome: &AttemptOutcome) {
         if !idempotency::may_have_run(outcome.result) {
             return;
@@ -43,9 +43,10 @@
         request.record_possible_run(run, key_window);
     }
 
-    /// An attempt that was cut off may still run: the key of an ordered block I/O cools down. The next block I/O of
-    /// the key is sent when the cooldown ends, and not only with the next allocation interval.
-    pub(super) fn cool_key_down(&mut self, now: Tick, bio: &Bio, result: AttemptResult) {
+    /// Starts the cooldown of the key of an ordered block I/O whose attempt was cut off and may still be running. A
+    /// timer at the end of the cooldown allows the next block I/O of the key to be sent before the next allocation
+    /// interval.
+    pub(super) fn start_key_cooldown(&mut self, now: Tick, bio: &Bio, result: AttemptResult) {
         let Some(key) = bio.key.filter(|_| self.classes.of(bio).is_ordered()) else {
             return;
         };
@@ -54,9 +55,9 @@
         }
     }
 
-    /// A time-out after a later attempt was answered shows that responses are lost: further answers then prompt a
-    /// search for other lost ones.
-    pub(super) fn watch_for_lost_responses(
+    /// Detects lost responses. A timeout after a later attempt was answered shows that responses are being lost; each
+    /// answer that follows then triggers a check for other lost attempts.
+    pub(super) fn detect_lost_responses(
         &mut self,
         host: &mut dyn Host,
         now: Tick,
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Cancels attempts far older than the node's latency that an answer to a later one has overtaken, since another
-    /// may still be in time. Drawback: costly where a node serves far out of turn.
+    /// Cancels attempts that are far older than the node's latency and were overtaken by the answer to a later attempt,
+    /// because a retry may still be in time. Drawback: costly at a node that serves attempts far out of order.
     fn cancel_lost_attempts(&self, host: &mut dyn Host, now: Tick, outcome: &AttemptOutcome) {
         if !self.answer_rules.allow_cancel {
             return;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Queues a block I/O whose client still waits for another attempt, if it may have one; otherwise answers it.
+    /// Queues a block I/O for another attempt if one is allowed; otherwise answers it.
     pub(super) fn retry_or_give_up(&mut self, host: &mut dyn Host, now: Tick, id: BioId) {
         let request = &self.requests[id];
         let class = self.class(request);
@@ -102,7 +103,7 @@
         let may_repeat = request.possible_run().is_none() || repeatable;
         let attempt_left = request.attempts() < class.max_attempts();
         if may_repeat && request.objective_end() > now && attempt_left {
-            self.place(host, now, id);
+            self.enqueue_or_give_up(host, now, id);
         } else {
             self.give_up(host, now, id);
         }
--- a/crates/scheduler/src/policy/shed_history.rs
+++ b/crates/scheduler/src/policy/shed_history.rs
@@ -2,7 +2,7 @@
 use crate::interface::{Bio, Tick, VolumeId};
 
 /// Ticks, at most, between the deadlines of a block I/O and its client's retry.
-const SAME_DEADLINE: Tick = 5;
+const DEADLINE_TOLERANCE: Tick = 5;
 
 /// The block I/Os shed here, kept until their deadlines are past.
 #[derive(Default)]
@@ -28,9 +28,10 @@
 
     /// When the objective of the first try ends, if a block I/O is a client's retry. A retry is recognised by the
     /// deadline of its first try. A short time left proves nothing, since some clients give up early.
-    pub(super) fn objective_end_of_first_try(&self, bio: &Bio) -> Option<Tick> {
+    pub(super) fn objective_end_of_original(&self, bio: &Bio) -> Option<Tick> {
         let same = |record: &&ShedRecord| {
-            record.volume == bio.volume && (record.deadline - bio.deadline).abs() <= SAME_DEADLINE
+            record.volume == bio.volume
+                && (record.deadline - bio.deadline).abs() <= DEADLINE_TOLERANCE
         };
         let first = self.records.iter().find(same);
         first.map(|record| record.objective_end)
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -57,7 +57,7 @@
 /// Units that this host may send to a node in its slow start.
 pub(super) struct SlowStartCapacity {
     /// Still to be sent in the present overload window.
-    left: f64,
+    remaining: f64,
     /// Its whole share of that window.
     share: f64,
 }
@@ -65,13 +65,13 @@
 impl SlowStartCapacity {
     /// Whether what is left is enough for a block I/O.
     pub(super) fn fits(&self, units: f64) -> bool {
-        self.left >= units
+        self.remaining >= units
     }
 
     /// Whether a block I/O may be sent whose priority is below the typical one by this fraction. The last part of the
     /// share is kept for the highest priority.
     pub(super) fn admits(&self, units: f64, priority_deficit: f64) -> bool {
-        units + self.share * priority_deficit <= self.left
+        units + self.share * priority_deficit <= self.remaining
     }
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// When the node's process started, if that was after the zero of the host's clock.
-    fn start_on_clock(&self) -> Option<Tick> {
+    fn start_after_clock_zero(&self) -> Option<Tick> {
         self.started_at.filter(|time| *time > CLOCK_ZERO)
     }
 
@@ -93,7 +93,7 @@
 
     /// Counts units that were sent.
     pub(super) fn record_sent(&mut self, now: Tick, units: f64) {
-        if self.start_on_clock().is_some() {
+        if self.start_after_clock_zero().is_some() {
             self.sent_units.add(now, units);
         }
     }
@@ -147,7 +147,7 @@
     /// Whether a node is still in its slow start, as shown to operators.
     pub(super) fn is_warming_up(&self, now: Tick, state: &SlowStartState) -> bool {
         state
-            .start_on_clock()
+            .start_after_clock_zero()
             .is_some_and(|started_at| now < started_at + self.duration)
     }
 
@@ -176,13 +176,13 @@
         let sent = state.sent_units.after(now - overload.window - 1);
         let share = if share < self.max_io_units {
             let draw = state.share_draw(now, overload.window, rng);
-            let flow = overload.flow(growth) * self.used_fraction(usual_rate);
-            self.rounded_share(share, sent, draw, flow)
+            let safe_rate = overload.safe_rate(growth) * self.used_fraction(usual_rate);
+            self.rounded_share(share, sent, draw, safe_rate)
         } else {
             share
         };
         Some(SlowStartCapacity {
-            left: share - sent,
+            remaining: share - sent,
             share,
         })
     }
@@ -199,8 +199,8 @@
 
     /// Rounds a share below the largest block I/O up to a whole one, at random, so that the mean stays. Drawback:
     /// costly where all hosts surge at a node's return.
-    fn rounded_share(&self, share: f64, sent: f64, draw: f64, flow: f64) -> f64 {
-        if draw + f64::from(sent > 0.0) < flow {
+    fn rounded_share(&self, share: f64, sent: f64, draw: f64, safe_rate: f64) -> f64 {
+        if draw + f64::from(sent > 0.0) < safe_rate {
             self.max_io_units
         } else if sent == 0.0 {
             (share / draw).min(self.max_io_units)
@@ -213,12 +213,13 @@
 impl OverloadBound {
     /// The node's rate as a multiple of its first one, by the slowest growth allowed, half a window late.
     fn growth(&self, age: Tick, duration: Tick) -> f64 {
-        let grown = (age - self.window / 2).max(0) as f64 / duration.max(1) as f64;
-        (self.initial_rate + (1.0 - self.initial_rate) * grown.min(1.0)) / self.initial_rate
+        let elapsed_fraction = (age - self.window / 2).max(0) as f64 / duration.max(1) as f64;
+        (self.initial_rate + (1.0 - self.initial_rate) * elapsed_fraction.min(1.0))
+            / self.initial_rate
     }
 
     /// The safe rate of a node of this growth, as a multiple of its usual rate.
-    fn flow(&self, growth: f64) -> f64 {
+    fn safe_rate(&self, growth: f64) -> f64 {
         self.per_usual_rate * growth / self.window as f64
     }
 }
--- a/crates/scheduler/src/policy/tests/concurrency_window.rs
+++ b/crates/scheduler/src/policy/tests/concurrency_window.rs
@@ -31,7 +31,7 @@
     assert!(window.size() < 0.5 && window.size() > 0.4);
     assert!(!window.is_full(0));
     assert!(window.is_full(1));
-    assert_close(window.idle_times(), 1.0 / window.size() - 1.0);
+    assert_close(window.spacing_factor(), 1.0 / window.size() - 1.0);
 }
 
 #[test]
--- a/crates/scheduler/src/policy/tests/fleet_latency.rs
+++ b/crates/scheduler/src/policy/tests/fleet_latency.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_full_queue_implies_the_objective_and_a_time_out_three_means_at_most() {
     let fleet = FleetLatency::new(1_000.0);
-    let implied = |result, latency| fleet.implied_by(&failure(result, latency));
+    let implied = |result, latency| fleet.implied_latency(&failure(result, latency));
     assert_close(implied(AttemptResult::Rejected, 5), 1_000.0);
     assert_close(implied(AttemptResult::TimedOut, 500), 500.0);
     assert_close(implied(AttemptResult::TimedOut, 9_000), 3.0 * 240.0);
--- a/crates/scheduler/src/policy/tests/node_budget.rs
+++ b/crates/scheduler/src/policy/tests/node_budget.rs
@@ -18,7 +18,7 @@
     let mut budget = NodeBudget::default();
     budget.open_allocation(BUSY, 10.0);
     budget.open_allocation(IDLE, 10.0);
-    budget.raise_to_least(5.0);
+    budget.raise_to_minimum(5.0);
     budget.start_interval([(BUSY, 8.0)].into_iter(), |_| entitlement(10.0, ceiling));
     budget
 }
@@ -63,17 +63,17 @@
     let rng = Pcg::new(1);
     assert!(!budget.charge(BUSY, 1.0, false, &rng));
     assert!(budget.charge(BUSY, 1.0, true, &rng));
-    assert!(!budget.standing(BUSY).has_balance);
+    assert!(!budget.allocation_status(BUSY).has_balance);
 }
 
 #[test]
 fn a_volume_is_refused_for_one_dispatch_pass() {
     let mut budget = budget(None);
     budget.begin_pass();
-    assert!(!budget.standing(BUSY).refused);
+    assert!(!budget.allocation_status(BUSY).refused);
     budget.refuse(BUSY);
-    assert!(budget.standing(BUSY).refused);
-    assert!(!budget.standing(IDLE).refused);
+    assert!(budget.allocation_status(BUSY).refused);
+    assert!(!budget.allocation_status(IDLE).refused);
     budget.begin_pass();
-    assert!(!budget.standing(BUSY).refused);
+    assert!(!budget.allocation_status(BUSY).refused);
 }
--- a/crates/scheduler/src/policy/tests/ordering_keys.rs
+++ b/crates/scheduler/src/policy/tests/ordering_keys.rs
@@ -16,10 +16,10 @@
     let mut keys = keys();
     keys.join(KEY, BioId(1), true);
     keys.join(KEY, BioId(2), true);
-    assert!(keys.is_its_turn(0, KEY, BioId(1), false));
-    assert!(!keys.is_its_turn(0, KEY, BioId(2), false));
+    assert!(keys.is_first_in_order(0, KEY, BioId(1), false));
+    assert!(!keys.is_first_in_order(0, KEY, BioId(2), false));
     keys.leave(&mut RecordingHost::default(), 0, KEY, BioId(1));
-    assert!(keys.is_its_turn(0, KEY, BioId(2), false));
+    assert!(keys.is_first_in_order(0, KEY, BioId(2), false));
 }
 
 #[test]
@@ -29,9 +29,9 @@
     assert_eq!(keys.on_attempt_finished(0, KEY, AttemptResult::Error), None);
     let end = keys.on_attempt_finished(0, KEY, AttemptResult::TimedOut);
     assert_eq!(end, Some(501));
-    assert!(keys.is_its_turn(500, KEY, BioId(1), true));
-    assert!(!keys.is_its_turn(500, KEY, BioId(1), false));
-    assert!(keys.is_its_turn(501, KEY, BioId(1), false));
+    assert!(keys.is_first_in_order(500, KEY, BioId(1), true));
+    assert!(!keys.is_first_in_order(500, KEY, BioId(1), false));
+    assert!(keys.is_first_in_order(501, KEY, BioId(1), false));
 }
 
 #[test]
--- a/crates/scheduler/src/policy/tests/shed_history.rs
+++ b/crates/scheduler/src/policy/tests/shed_history.rs
@@ -5,7 +5,7 @@
 fn a_retry_is_known_by_its_volume_and_by_the_deadline_of_its_first_try() {
     let mut history = ShedHistory::default();
     history.record(&bio(1, 1_000), 400);
-    let found = |volume, deadline| history.objective_end_of_first_try(&bio(volume, deadline));
+    let found = |volume, deadline| history.objective_end_of_original(&bio(volume, deadline));
     assert_eq!(found(1, 1_005), Some(400));
     assert_eq!(found(1, 1_006), None);
     assert_eq!(found(2, 1_000), None);
@@ -16,7 +16,7 @@
     let mut history = ShedHistory::default();
     history.record(&bio(1, 1_000), 400);
     history.forget_expired(999);
-    assert!(history.objective_end_of_first_try(&bio(1, 1_000)).is_some());
+    assert!(history.objective_end_of_original(&bio(1, 1_000)).is_some());
     history.forget_expired(1_000);
-    assert!(history.objective_end_of_first_try(&bio(1, 1_000)).is_none());
+    assert!(history.objective_end_of_original(&bio(1, 1_000)).is_none());
 }
--- a/crates/scheduler/src/policy/tests/volume.rs
+++ b/crates/scheduler/src/policy/tests/volume.rs
@@ -46,7 +46,7 @@
 fn tokens_that_ran_short_for_the_top_class_are_kept_for_it() {
     let plan = plan(10_000.0);
     let mut volume = volume(None);
-    volume.keep_tokens_for_top_class(0, 4.0);
+    volume.hold_tokens_for_top_class(0, 4.0);
     volume.refill(20_000, &plan, MAX_IO_UNITS);
     assert!(volume.lacks_tokens(29_999, 1.0, false));
     assert!(!volume.lacks_tokens(29_999, 1.0, true));
--- a/crates/scheduler/src/policy/usual_rate.rs
+++ b/crates/scheduler/src/policy/usual_rate.rs
@@ -32,11 +32,12 @@
 
     /// Ends an allocation interval. Its rate counts only if the node was well; while the host is young, intervals
     /// weigh more.
-    pub(super) fn end_interval(&mut self, node_is_well: bool, host_age: Tick) {
+    pub(super) fn end_interval(&mut self, node_is_healthy: bool, host_age: Tick) {
         let rate = std::mem::take(&mut self.interval_units) / ALLOCATION_INTERVAL as f64;
-        if node_is_well {
-            let young = ALLOCATION_INTERVAL as f64 / host_age.max(ALLOCATION_INTERVAL) as f64;
-            self.mean += (rate - self.mean) * young.max(ALPHA);
+        if node_is_healthy {
+            let early_weight =
+                ALLOCATION_INTERVAL as f64 / host_age.max(ALLOCATION_INTERVAL) as f64;
+            self.mean += (rate - self.mean) * early_weight.max(ALPHA);
         }
     }
 }
--- a/crates/scheduler/src/policy/volume.rs
+++ b/crates/scheduler/src/policy/volume.rs
@@ -5,7 +5,7 @@
 use crate::interface::Tick;
 
 /// Ticks for which tokens that ran short serve only the class of the highest weight.
-const KEPT_FOR_TOP_CLASS: Tick = 30_000;
+const TOP_CLASS_HOLD: Tick = 30_000;
 /// Weight of one allocation interval in the other hosts' mean rate: about a second decides.
 const OTHER_HOSTS_ALPHA: f64 = 0.1;
 /// Ticks without an arrival until a volume with full tokens is forgotten.
@@ -19,7 +19,7 @@
     hosts: f64,
     buckets: TokenBuckets,
     /// Until then its tokens are for the class of the highest weight.
-    kept_for_top_class_until: Option<Tick>,
+    held_for_top_class_until: Option<Tick>,
     /// This host's quota of the limit, in units a tick; none: an even share.
     quota: Option<f64>,
     other_hosts: OtherHostsUsage,
@@ -58,7 +58,7 @@
                 reservation: 0.0,
                 refilled_at: filled_since,
             },
-            kept_for_top_class_until: None,
+            held_for_top_class_until: None,
             quota,
             other_hosts: OtherHostsUsage::default(),
             last_arrival: filled_since,
@@ -116,17 +116,17 @@
 
     /// Refills the tokens of the limit, and those of the reservation up to a second of it and one block I/O.
     pub(super) fn refill(&mut self, now: Tick, plan: &PlanRates, max_io_units: f64) {
-        let most = self.burst_share(plan);
+        let max_tokens = self.burst_share(plan);
         let limit_rate = self.limit_rate(plan);
         let buckets = &mut self.buckets;
         let span = (now - buckets.refilled_at) as f64;
         buckets.refilled_at = now;
         buckets.limit = match limit_rate {
-            Some(rate) => (buckets.limit + span * rate).min(most),
-            None => most,
+            Some(rate) => (buckets.limit + span * rate).min(max_tokens),
+            None => max_tokens,
         };
-        let most_reserved = plan.reserved * TICKS_PER_SECOND + max_io_units;
-        buckets.reservation = (buckets.reservation + span * plan.reserved).min(most_reserved);
+        let max_reserved = plan.reserved * TICKS_PER_SECOND + max_io_units;
+        buckets.reservation = (buckets.reservation + span * plan.reserved).min(max_reserved);
     }
 
     /// Takes the units of a block I/O that is sent for the first time.
@@ -138,14 +138,14 @@
     /// Whether the limit leaves too few tokens for a block I/O. A class of lower weight gets none while they are kept
     /// for the class of the highest weight.
     pub(super) fn lacks_tokens(&self, now: Tick, units: f64, highest_weight: bool) -> bool {
-        let kept = self.kept_for_top_class_until.is_some_and(|end| now < end);
+        let kept = self.held_for_top_class_until.is_some_and(|end| now < end);
         self.buckets.limit < units || kept && !highest_weight
     }
 
     /// Keeps the tokens for the class of the highest weight, if they were too few for one of its block I/Os.
-    pub(super) fn keep_tokens_for_top_class(&mut self, now: Tick, units: f64) {
+    pub(super) fn hold_tokens_for_top_class(&mut self, now: Tick, units: f64) {
         if self.buckets.limit < units {
-            self.kept_for_top_class_until = Some(now + KEPT_FOR_TOP_CLASS);
+            self.held_for_top_class_until = Some(now + TOP_CLASS_HOLD);
         }
     }
 
@@ -167,10 +167,10 @@
 
     /// What it is entitled to at one node in one allocation interval.
     pub(super) fn entitlement(&self, plan: &PlanRates) -> Entitlement {
-        let most = |rate: f64| rate * ALLOCATION_INTERVAL as f64 + self.burst_share(plan);
+        let ceiling = |rate: f64| rate * ALLOCATION_INTERVAL as f64 + self.burst_share(plan);
         Entitlement {
             base: plan.base(self.hosts),
-            ceiling: self.entitled_rate(plan).map(most),
+            ceiling: self.entitled_rate(plan).map(ceiling),
             weight: plan.weight,
         }
     }
--- a/crates/scheduler/src/recent_median.rs
+++ b/crates/scheduler/src/recent_median.rs
@@ -1,6 +1,6 @@
-//! The median of the last few samples.
+//! The median of the most recent samples.
 
-/// The last `N` samples and their median, which is 0 before the first sample.
+/// The most recent `N` samples and their median, which is 0 before the first sample.
 pub(crate) struct RecentMedian<const N: usize> {
     samples: [f64; N],
     count: usize,
@@ -18,7 +18,7 @@
 }
 
 impl<const N: usize> RecentMedian<N> {
-    /// Adds a sample in place of the oldest one.
+    /// Adds a sample, which replaces the oldest one once there are `N`.
     pub(crate) fn add(&mut self, sample: f64) {
         self.samples[self.count % N] = sample;
         self.count += 1;
@@ -29,7 +29,7 @@
             .1;
     }
 
-    /// The median of the samples kept.
+    /// Returns the median of the retained samples.
     pub(crate) fn get(&self) -> f64 {
         self.median
     }
--- a/crates/scheduler/src/sliding_sum.rs
+++ b/crates/scheduler/src/sliding_sum.rs
@@ -1,8 +1,8 @@
-//! A sum over a sliding span of time.
+//! A sum over a sliding time window.
 use crate::interface::Tick;
 use std::collections::VecDeque;
 
-/// Amounts with their times, oldest first, and the sum of those that are kept.
+/// Timestamped amounts, oldest first, and their sum.
 #[derive(Default)]
 pub(crate) struct SlidingSum {
     entries: VecDeque<(Tick, f64)>,
@@ -10,13 +10,13 @@
 }
 
 impl SlidingSum {
-    /// Adds an amount; times never go back.
+    /// Adds an amount. `time` must not be earlier than that of the previous call.
     pub(crate) fn add(&mut self, time: Tick, amount: f64) {
         self.entries.push_back((time, amount));
         self.sum += amount;
     }
 
-    /// The sum of what was added after `start`; older entries are dropped.
+    /// Returns the sum of the amounts added after `start`, and drops older entries.
     pub(crate) fn after(&mut self, start: Tick) -> f64 {
         while let Some(&(time, amount)) = self.entries.front() {
             if time > start {
@@ -26,7 +26,7 @@
             self.sum -= amount;
         }
         if self.entries.is_empty() {
-            // Rounding errors do not outlive the entries.
+            // Discards the rounding error that the subtractions have accumulated.
             self.sum = 0.0;
         }
         self.sum
--- a/crates/scheduler/src/timer_queue.rs
+++ b/crates/scheduler/src/timer_queue.rs
@@ -1,24 +1,24 @@
-//! Times at which to look at block I/Os again.
+//! A queue of the times at which block I/Os are to be checked.
 use crate::interface::{BioId, Tick};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A queue of times, earliest first; of equal times the smallest index.
+/// A queue of timers ordered by time, and by block I/O index where the times are equal.
 #[derive(Default)]
 pub(crate) struct TimerQueue(BinaryHeap<Reverse<(Tick, BioId)>>);
 
 impl TimerQueue {
-    /// Adds a time for a block I/O.
+    /// Adds a timer for a block I/O.
     pub(crate) fn push(&mut self, time: Tick, bio: BioId) {
         self.0.push(Reverse((time, bio)));
     }
 
-    /// The earliest time.
+    /// Returns the time of the earliest timer.
     pub(crate) fn next(&self) -> Option<Tick> {
         self.0.peek().map(|Reverse((time, _))| *time)
     }
 
-    /// Takes out the earliest entry if its time has come.
+    /// Removes the earliest timer if it is due, and returns its block I/O.
     pub(crate) fn pop_due(&mut self, now: Tick) -> Option<BioId> {
         if self.next()? > now {
             return None;
