--- a/crates/scheduler/src/policy/backoff.rs
+++ b/crates/scheduler/src/policy/backoff.rs
@@ -1,62 +1,63 @@
-//! Pauses before further attempts at a node: exponential backoff, and the spacing of a window below one.
+//! Pauses before further attempts at a node: exponential backoff, and the spacing of attempts for a window below one.
 use crate::interface::Tick;
 
-/// Ticks of pause after the second failure in a row; each further one doubles it.
+/// Ticks of backoff after the second consecutive failure. Each further failure doubles it.
 const MIN_BACKOFF: Tick = 100;
-/// Failures in a row after which the pause begins.
+/// Number of consecutive failures without a backoff.
 const FAILURES_WITHOUT_BACKOFF: u32 = 1;
-/// The most times that the pause is doubled.
+/// Maximum number of times that the backoff is doubled.
 const MAX_DOUBLINGS: u32 = 16;
-/// The longest backoff in ticks, to be multiplied by the root of the host count, as all hosts try the node.
+/// Maximum backoff in ticks for one host. It is multiplied by the square root of the number of hosts, because all hosts
+/// retry the node.
 const MAX_BACKOFF: f64 = 3_000.0;
 
-/// Failures in a row at a node, and the pause that follows from them.
+/// The consecutive failures at a node, and the resulting pause.
 #[derive(Default)]
 pub(super) struct Backoff {
     consecutive_failures: u32,
-    /// The end of the latest pause.
+    /// End of the latest pause.
     paused_until: Option<Tick>,
 }
 
-/// The longest pause after failures in a row, for one of so many hosts.
+/// Returns the maximum backoff after consecutive failures, for one of this many hosts.
 pub(super) fn max_backoff(hosts: f64) -> Tick {
     (MAX_BACKOFF * hosts.sqrt()) as Tick
 }
 
 impl Backoff {
-    /// Failed attempts since the last that completed.
+    /// Returns the number of failed attempts since the last completed one.
     pub(super) fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// An attempt completed.
+    /// Records a completed attempt.
     pub(super) fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt.
     pub(super) fn record_failure(&mut self) {
         self.consecutive_failures += 1;
     }
 
-    /// Pauses after an attempt for the spacing of attempts or for the backoff, whichever is longer. A pause that ends
-    /// later stays.
+    /// Pauses after an attempt for the longer of the attempt spacing and the backoff. An existing pause is never
+    /// shortened.
     pub(super) fn pause_after_attempt(&mut self, now: Tick, spacing: Tick, max_backoff: Tick) {
         let end = now + self.backoff(max_backoff).max(spacing);
         self.paused_until = self.paused_until.max(Some(end));
     }
 
-    /// Sets the end of the pause, whatever it was before.
+    /// Sets the end of the pause, replacing any earlier one.
     pub(super) fn pause_until(&mut self, end: Tick) {
         self.paused_until = Some(end);
     }
 
-    /// The end of the pause, if it is still to come.
+    /// Returns the end of the pause, if it is in the future.
     pub(super) fn pause_end(&self, now: Tick) -> Option<Tick> {
         self.paused_until.filter(|end| *end > now)
     }
 
-    /// A node that fails again and again is tried less and less often, until it answers.
+    /// Returns the backoff: a node that fails repeatedly is tried less and less often until it answers.
     fn backoff(&self, max_backoff: Tick) -> Tick {
         if self.consecutive_failures <= FAILURES_WITHOUT_BACKOFF {
             return 0;
--- a/crates/scheduler/src/policy/concurrency_window.rs
+++ b/crates/scheduler/src/policy/concurrency_window.rs
@@ -1,50 +1,52 @@
 //! The concurrency window: how many attempts of this host may be in flight at a node.
 
-/// Attempts in flight at a node, at most.
+/// Maximum window, in attempts.
 pub(super) const MAX: f64 = 32.0;
-/// Attempts at a node crowded by many hosts, at least: one in flight a tenth of the time.
+/// Minimum window, in attempts, at a node overloaded by many hosts: one attempt in flight a tenth of the time.
 const MIN: f64 = 0.1;
-/// Attempts of all hosts together at a node not yet known, beyond one of each host.
-const INITIAL_OF_ALL_HOSTS: f64 = 4.0;
-/// Fraction of the shortest objective: while latencies are below it, the node has capacity left.
+/// Initial attempts of all hosts together at a node, in addition to one attempt per host.
+const INITIAL_EXTRA_OF_ALL_HOSTS: f64 = 4.0;
+/// Latency below which a node has spare capacity, as a fraction of the shortest objective.
 pub(super) const WIDEN_BELOW: f64 = 0.24;
-/// Fraction of the shortest objective: above it, the node is too slow, as the rest of the time is spent queued here.
+/// Latency above which a node is too slow, as a fraction of the shortest objective. The rest of the objective is spent
+/// in the queue of this host.
 pub(super) const NARROW_ABOVE: f64 = 0.32;
-/// Attempts: additive increase of a full window by a round of quick answers.
+/// Additive increase of a full window per round of fast answers, in attempts.
 const WIDEN_STEP: f64 = 0.05;
-/// Fraction: multiplicative decrease by a round of slow answers, or by a failure.
+/// Multiplicative decrease per round of slow answers or per failure, as a fraction of the window.
 const NARROW_STEP: f64 = 0.1;
 /// Factor by which a window below one widens in an allocation interval without attempts.
 const IDLE_GROWTH: f64 = 1.1;
 
-/// The most attempts that may be in flight at a node; below 1, attempts are spaced by pauses.
+/// Maximum number of attempts that may be in flight at a node. Below 1, attempts are spaced by pauses.
 ///
-/// Additive increase, multiplicative decrease.
+/// The window follows additive increase, multiplicative decrease (AIMD).
 #[derive(Clone, Copy)]
 pub(super) struct ConcurrencyWindow(f64);
 
 impl ConcurrencyWindow {
-    /// The window of a node not yet known, for one of so many hosts.
+    /// Creates the initial window of a node, for one of this many hosts.
     pub(super) fn initial(hosts: f64) -> Self {
-        ConcurrencyWindow(1.0 + INITIAL_OF_ALL_HOSTS / hosts)
+        ConcurrencyWindow(1.0 + INITIAL_EXTRA_OF_ALL_HOSTS / hosts)
     }
 
-    /// Its size in attempts.
+    /// Returns the size in attempts.
     pub(super) fn size(self) -> f64 {
         self.0
     }
 
-    /// Whether so many attempts in flight leave no room for another one.
+    /// Returns whether this many attempts in flight leave no room for another one.
     pub(super) fn is_full(self, in_flight: u32) -> bool {
         f64::from(in_flight) + 1.0 > self.0.max(1.0)
     }
 
-    /// Whether so many attempts in flight used all of it, by its exact size.
+    /// Returns whether this many attempts in flight use the window fully, by its exact size.
     pub(super) fn was_used_up(self, in_flight: u32) -> bool {
         f64::from(in_flight) + 1.0 > self.0
     }
 
-    /// An attempt completed; a quick answer widens a window that was full, a slow mean narrows it.
+    /// Adjusts the window after a completed attempt: a fast answer widens a window that was full, and a high mean
+    /// latency narrows it.
     pub(super) fn on_completion(
         &mut self,
         latency: f64,
@@ -62,17 +64,17 @@
         }
     }
 
-    /// An attempt failed. A quick failure narrows the window too: it is not a quick answer.
+    /// Narrows the window after a failed attempt. This includes failures that come fast, which are not fast answers.
     pub(super) fn on_failure(&mut self) {
         self.0 = (self.0 * (1.0 - NARROW_STEP)).max(MIN);
     }
 
-    /// An allocation interval went by without attempts: a window below one recovers.
+    /// Widens a window below one after an allocation interval without attempts.
     pub(super) fn on_idle_interval(&mut self) {
         self.0 = self.0.max((self.0 * IDLE_GROWTH).min(1.0));
     }
 
-    /// How long to wait between two attempts, as a multiple of the time that an attempt takes.
+    /// Returns the wait between two attempts, as a multiple of the duration of an attempt.
     pub(super) fn spacing_factor(self) -> f64 {
         if self.0 < 1.0 {
             1.0 / self.0 - 1.0
--- a/crates/scheduler/src/policy/endpoint_poller.rs
+++ b/crates/scheduler/src/policy/endpoint_poller.rs
@@ -1,45 +1,45 @@
-//! When the endpoint list is polled.
+//! The schedule of endpoint list polls.
 //!
-//! All hosts together poll no more than the discovery service handles, as far as the rule on draining nodes lets them
-//! wait: 6 s after the service could be reached, a host must know all that it had.
+//! All hosts together poll no faster than the discovery service can answer, as far as the rule on draining nodes
+//! permits: 6 s after the service has become reachable, a host must know everything that the service had.
 use crate::interface::{EndpointEvent, SchedulerConfig, Tick};
 use crate::pcg::Pcg;
 
-/// Ticks over which hosts that start together spread their polls, at least.
+/// Minimum number of ticks over which hosts that start together spread their polls.
 const MIN_SPREAD: Tick = 2_000;
-/// Ticks of the service's time that a poll takes, where that is not configured.
+/// Default service time of a poll, in ticks.
 const SERVICE_TIME: Tick = 300;
-/// Ticks: longest backoff between failed polls where hosts are few.
+/// Maximum backoff between failed polls if the number of hosts is small, in ticks.
 const MAX_BACKOFF: Tick = 10_000;
-/// Fraction of the longest poll delay allowed that a host waits; the rest is for the poll.
+/// Fraction of the maximum poll delay for which a host waits; the rest is for the poll itself.
 const POLL_DELAY_FRACTION: f64 = 0.8;
-/// Ticks, at most, from a failed poll to the next: of the 6 s, the next poll needs 1.2 s.
+/// Maximum number of ticks from a failed poll to the next. Of the 6 s allowed, the next poll needs 1.2 s.
 const MAX_INTERVAL: Tick = 46_000;
-/// Ticks of service time for the polls of all hosts: with more, some take over 6 s.
+/// Total service time of one poll by each host, in ticks, above which some polls take more than 6 s.
 const MAX_TIMELY_SERVICE: Tick = 54_000;
-/// Ticks, at most, over which polls are spread after a watch went silent: of the 6 s, 3.2 s pass until it is noticed,
-/// and 1.2 s are for the poll.
+/// Maximum number of ticks over which polls are spread after a watch has become silent. Of the 6 s allowed, 3.2 s pass
+/// until the silence is detected, and 1.2 s are for the poll.
 const SPREAD_AFTER_SILENCE: Tick = 16_000;
-/// Ticks, at most, over which hosts spread their polls of a service that takes the place of another.
+/// Maximum number of ticks over which hosts spread their polls of a discovery service that replaces another.
 const SPREAD_AFTER_MOVE: Tick = 20_000;
 
-/// The schedule on which this host polls the endpoint list.
+/// The schedule by which this host polls the endpoint list.
 pub(super) struct EndpointPoller {
     next_poll: Option<Tick>,
-    /// When the last poll was made, if nothing has been received since.
+    /// Time of the last poll, if nothing has been received since.
     pending_since: Option<Tick>,
-    /// Span over which the hosts' polls are spread.
+    /// Ticks over which the polls of all hosts are spread.
     spread: Tick,
-    /// The most ticks from a failed poll to the next.
+    /// Maximum number of ticks from a failed poll to the next.
     max_interval: Tick,
-    /// Wait after the next failure; none after a success, when it is drawn anew.
+    /// Wait after the next failure, in ticks; `None` after a success, in which case a new wait is drawn.
     backoff: Option<Tick>,
-    /// The watch went silent, and nothing has been received since.
+    /// Whether the watch has become silent and nothing has been received since.
     silent: bool,
 }
 
 impl EndpointPoller {
-    /// The schedule of a host that starts now.
+    /// Creates the schedule of a host that starts at `now`.
     pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &Pcg) -> Self {
         let total_service_time =
             config.poll_service_time.unwrap_or(SERVICE_TIME) * Tick::from(config.hosts);
@@ -58,12 +58,12 @@
         }
     }
 
-    /// When the next poll is due.
+    /// Returns the time of the next poll.
     pub(super) fn next_poll(&self) -> Option<Tick> {
         self.next_poll
     }
 
-    /// Whether a poll is due; it then counts as made.
+    /// Returns whether a poll is due. If so, the poll counts as made.
     pub(super) fn take_due(&mut self, now: Tick) -> bool {
         let due = self.next_poll.is_some_and(|time| now >= time);
         if due {
@@ -73,16 +73,16 @@
         due
     }
 
-    /// The service has sent something.
+    /// Records that the discovery service has sent something.
     pub(super) fn on_success(&mut self) {
         self.pending_since = None;
         self.backoff = None;
         self.silent = false;
     }
 
-    /// A poll failed, or the watch broke or went silent. A host that had a watch lost it together with all others and
-    /// draws a time among theirs; later polls keep it, so that all have polled within a spread of the service's
-    /// return.
+    /// Schedules the next poll after a poll has failed, or after the watch was disconnected or became silent. All hosts
+    /// lose their watches together, so each draws a random time within the spread. Later polls keep this offset, so
+    /// that all hosts have polled within one spread after the service returns.
     pub(super) fn on_failure(&mut self, now: Tick, event: EndpointEvent, rng: &Pcg) {
         let newly_silent = self.record_silence(event);
         let spread = if newly_silent {
@@ -96,7 +96,7 @@
             _ => drawn,
         };
         self.poll_no_later_than(now + wait);
-        // The service may have returned just after the failed poll began: the time since then is lost.
+        // The service may have returned just after the failed poll began, so the interval is counted from its start.
         if let Some(since) = self.pending_since {
             self.poll_no_later_than((since + self.max_interval).max(now + 1));
         }
@@ -104,14 +104,15 @@
         self.backoff = Some(doubled.clamp(self.spread, self.spread.max(MAX_BACKOFF)));
     }
 
-    /// Another discovery service serves the list from now on; all hosts learn it at about one time.
+    /// Schedules a poll of the discovery service that replaces another one. All hosts learn of it at about the same
+    /// time.
     pub(super) fn on_moved(&mut self, now: Tick, rng: &Pcg) {
         let spread = self.spread.min(SPREAD_AFTER_MOVE);
         self.next_poll = Some(now + rng.below(spread as u64) as Tick);
     }
 
-    /// Whether a watch has just gone silent. Only the first silence counts: otherwise a service that accepts polls and
-    /// sends nothing would be polled again and again.
+    /// Records that a watch has become silent. Returns true only for the first silence since something was received;
+    /// otherwise a service that accepts polls and sends nothing would be polled in short succession.
     fn record_silence(&mut self, event: EndpointEvent) -> bool {
         if event != EndpointEvent::WatchSilent {
             return false;
@@ -119,15 +120,16 @@
         !std::mem::replace(&mut self.silent, true)
     }
 
-    /// A poll that is due sooner, of another service or after silence, is not put off.
+    /// Schedules a poll for `time`, unless an earlier one is due, which a move of the service or a silent watch may
+    /// have scheduled.
     fn poll_no_later_than(&mut self, time: Tick) {
         let earlier = self.next_poll.map_or(time, |due| due.min(time));
         self.next_poll = Some(earlier);
     }
 }
 
-/// The most ticks from a failed poll to the next. To poll in a crowd is of use only where the service may be quick:
-/// where it is not known to be too slow for all hosts.
+/// Returns the maximum number of ticks from a failed poll to the next. Polling faster than the assumed service rate
+/// helps only if the service may be faster, that is, if it is not known to be too slow for all hosts.
 fn max_interval(config: &SchedulerConfig, total_service_time: Tick) -> Tick {
     let known_too_slow =
         config.poll_service_time.is_some() && total_service_time > MAX_TIMELY_SERVICE;
@@ -138,7 +140,7 @@
     }
 }
 
-/// The longest span over which polls may be spread, if there is a bound.
+/// Returns the maximum number of ticks over which polls may be spread, or `None` if there is no limit.
 fn max_spread(config: &SchedulerConfig) -> Option<Tick> {
     if config.endpoints_pushed {
         return Some(MIN_SPREAD);
--- a/crates/scheduler/src/policy/fleet_latency.rs
+++ b/crates/scheduler/src/policy/fleet_latency.rs
@@ -4,24 +4,24 @@
 
 /// Weight of one answer in the mean latency.
 const ALPHA: f64 = 0.05;
-/// Factor on the best mean latency by each answer: it rises by a tenth in a minute.
+/// Factor by which each answer raises the lowest recent mean latency: a tenth per minute.
 const LOWEST_MEAN_GROWTH: f64 = 1.0005;
-/// Fraction of the shortest objective: the most that one answer counts as.
+/// Maximum latency that one answer counts as, as a fraction of the shortest objective.
 const MAX_LATENCY: f64 = 0.9;
-/// Mean latencies that a time-out counts as, at most, so that one lost answer does not close a quick node.
+/// Maximum latency that a timeout counts as, in mean latencies, so that one lost answer does not close a fast node.
 const MAX_TIMEOUT_IN_MEANS: f64 = 3.0;
 /// Fraction of the typical priority by which a late answer raises the threshold.
 const THRESHOLD_INCREASE: f64 = 0.1;
-/// Fraction of the typical priority by which an answer in time lowers the threshold: it is steady where one answer in
-/// thirteen is late.
+/// Fraction of the typical priority by which an answer in time lowers the threshold. The threshold is steady if one
+/// answer in thirteen is late.
 const THRESHOLD_DECREASE: f64 = 0.008;
-/// Fraction of the typical priority that no admission threshold exceeds.
+/// Maximum admission threshold, as a fraction of the typical priority.
 pub(super) const MAX_THRESHOLD: f64 = 0.9;
 
-/// Latencies over all nodes, in ticks, as this host has seen them.
+/// Latencies over all nodes as seen by this host, in ticks.
 pub(super) struct FleetLatency {
     mean: f64,
-    /// The least that the mean was of late.
+    /// Lowest recent value of the mean latency.
     lowest_recent_mean: f64,
     /// Admission threshold, as a fraction of the typical priority.
     threshold: f64,
@@ -30,7 +30,7 @@
 }
 
 impl FleetLatency {
-    /// The latencies as they are assumed at the start.
+    /// Creates the initial assumption about latencies.
     pub(super) fn new(shortest_objective: f64) -> Self {
         let initial = WIDEN_BELOW * shortest_objective;
         FleetLatency {
@@ -41,17 +41,17 @@
         }
     }
 
-    /// The least that the mean latency was of late.
+    /// Returns the lowest recent value of the mean latency.
     pub(super) fn lowest_recent_mean(&self) -> f64 {
         self.lowest_recent_mean
     }
 
-    /// The part of the admission threshold that late answers of all nodes have raised.
+    /// Returns the part of the admission threshold that is due to late answers from any node.
     pub(super) fn threshold(&self) -> f64 {
         self.threshold
     }
 
-    /// Records an answer.
+    /// Records the latency of an answer.
     pub(super) fn record_answer(&mut self, latency: f64) {
         let counted = latency.min(MAX_LATENCY * self.shortest_objective);
         self.mean += (counted - self.mean) * ALPHA;
@@ -64,8 +64,8 @@
         self.threshold = (self.threshold + step).clamp(0.0, MAX_THRESHOLD);
     }
 
-    /// The latency that a failure implies: a full queue or no answer means that the latency is high, otherwise a node
-    /// that is jammed would look as quick as it was.
+    /// Returns the latency that a failure implies. A full queue or a missing answer implies a high latency; otherwise
+    /// an overloaded node would still look as fast as before.
     pub(super) fn implied_latency(&self, failure: &AttemptOutcome) -> f64 {
         match failure.result {
             AttemptResult::Rejected => self.shortest_objective,
@@ -81,8 +81,8 @@
         self.mean += (implied * MAX_LATENCY - self.mean).max(0.0) * ALPHA;
     }
 
-    /// The latency to be expected at a node that gets no attempts from here, where this fraction of its load comes from
-    /// other hosts.
+    /// Returns the expected latency of a node that gets no attempts from this host and gets this fraction of its load
+    /// from other hosts.
     pub(super) fn expected_when_idle(&self, load_by_other_hosts: f64) -> f64 {
         self.lowest_recent_mean + (self.mean - self.lowest_recent_mean) * load_by_other_hosts
     }
--- a/crates/scheduler/src/policy/idempotency.rs
+++ b/crates/scheduler/src/policy/idempotency.rs
@@ -1,24 +1,24 @@
-//! Whether a block I/O may be sent again when an earlier attempt may have run.
+//! Whether a block I/O may be sent again after an attempt that may have run.
 use super::constants::DEADLINE_MARGIN;
 use crate::interface::{AttemptResult, DeduplicationScope, Idempotency, Tick};
 
-/// Where a node stands, as far as idempotency keys are shared.
+/// Location of a node, which determines the nodes that it shares idempotency keys with.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Location {
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub(super) shard: u32,
-    /// Index of its zone.
+    /// Index of the node's zone.
     pub(super) zone: u32,
 }
 
-/// Whether an attempt with this result may have run at its node.
+/// Returns whether an attempt with this result may have run on its node.
 pub(super) fn may_have_run(result: AttemptResult) -> bool {
     use AttemptResult::{ConnectFailed, NotSent, Rejected};
     !matches!(result, Rejected | ConnectFailed | NotSent)
 }
 
 impl Idempotency {
-    /// Whether repeats are harmless wherever they run, so that a client may be told to try again.
+    /// Returns whether repeats are harmless on any node, so that a client may be told to retry.
     pub(super) fn repeats_are_harmless(self) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// How long nodes remember the idempotency key, if there is one.
+    /// Returns how long nodes remember the idempotency key, or `None` if there is no key.
     pub(super) fn key_window(self) -> Option<Tick> {
         match self {
             Idempotency::IdempotentByKey { window, .. } => Some(window),
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Whether a node may get a block I/O whose first attempt that may have run was sent at this time. `first` is
-    /// where that one went; none if its node is forgotten.
+    /// Returns whether a block I/O may be sent to `node`, given when the first attempt that may have run was sent, and
+    /// the location `first` that it was sent to. `first` is `None` if that node has been forgotten.
     pub(super) fn allows_repeat_at(
         self,
         now: Tick,
@@ -56,7 +56,7 @@
 }
 
 impl DeduplicationScope {
-    /// Whether two nodes share the keys they have seen.
+    /// Returns whether two nodes share the keys they have seen.
     fn contains_both(self, first: Option<Location>, second: Location) -> bool {
         match self {
             DeduplicationScope::All => true,
--- a/crates/scheduler/src/policy/io_classes.rs
+++ b/crates/scheduler/src/policy/io_classes.rs
@@ -1,16 +1,16 @@
-//! I/O classes, as far as decisions depend on them.
+//! I/O classes, in the form that the decisions use.
 use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{Bio, Idempotency, IoClass, SchedulerConfig, Tick};
 
-/// Attempts that a block I/O of less than the mean priority weight may have, at most: one retry.
+/// Maximum number of attempts of a block I/O whose priority weight is below the mean: one retry.
 const MAX_ATTEMPTS_OF_LOW_WEIGHT: u32 = 2;
 
-/// What the decisions use of one I/O class.
+/// An I/O class, in the form that the decisions use.
 pub(super) struct ClassPolicy {
     idempotency: Idempotency,
     latency_objective: Tick,
     priority_weight: f64,
-    /// No other class has a higher priority weight.
+    /// Whether no other class has a higher priority weight.
     has_highest_weight: bool,
     ordered: bool,
     max_attempts: u32,
@@ -34,38 +34,38 @@
         }
     }
 
-    /// Whether its block I/Os may be repeated.
+    /// Returns whether block I/Os of the class may be repeated.
     pub(super) fn idempotency(&self) -> Idempotency {
         self.idempotency
     }
 
-    /// Time from arrival within which an answer earns the whole priority weight.
+    /// Returns the time from arrival within which an answer earns the full priority weight.
     pub(super) fn latency_objective(&self) -> Tick {
         self.latency_objective
     }
 
-    /// What an answer in time is worth.
+    /// Returns the value of an answer within the latency objective.
     pub(super) fn priority_weight(&self) -> f64 {
         self.priority_weight
     }
 
-    /// Whether no other class has a higher priority weight.
+    /// Returns whether no other class has a higher priority weight.
     pub(super) fn has_highest_weight(&self) -> bool {
         self.has_highest_weight
     }
 
-    /// Whether its block I/Os with the same key run one after another.
+    /// Returns whether block I/Os with the same ordering key run one after another.
     pub(super) fn is_ordered(&self) -> bool {
         self.ordered
     }
 
-    /// Attempts that a block I/O may have, the first one included.
+    /// Returns the maximum number of attempts of a block I/O, including the first one.
     pub(super) fn max_attempts(&self) -> u32 {
         self.max_attempts
     }
 }
 
-/// The priority weights of all classes, summed up.
+/// Mean and maximum of the priority weights of all classes.
 struct ClassWeights {
     mean: f64,
     highest: f64,
@@ -77,7 +77,7 @@
 }
 
 impl IoClasses {
-    /// The classes of a configuration.
+    /// Creates the classes of a configuration.
     pub(super) fn new(config: &SchedulerConfig) -> Self {
         let weights = config.classes.iter().map(|class| class.priority_weight);
         let weights = ClassWeights {
@@ -91,19 +91,19 @@
         }
     }
 
-    /// The class of a block I/O.
+    /// Returns the class of a block I/O.
     pub(super) fn of(&self, bio: &Bio) -> &ClassPolicy {
         &self.classes[usize::from(bio.class)]
     }
 }
 
-/// The shortest latency objective of all classes, in ticks. It is the scale on which latencies are judged.
+/// Returns the shortest latency objective of all classes, in ticks. Latencies are judged relative to it.
 pub(super) fn shortest_objective(classes: &[IoClass]) -> f64 {
     let objectives = classes.iter().map(|class| class.latency_objective);
     objectives.min().unwrap_or(ALLOCATION_INTERVAL).max(1) as f64
 }
 
-/// The arithmetic mean; 0 of no values.
+/// Returns the arithmetic mean, or 0 if there are no values.
 pub(super) fn mean(values: impl ExactSizeIterator<Item = f64>) -> f64 {
     let count = values.len().max(1) as f64;
     values.sum::<f64>() / count
--- a/crates/scheduler/src/policy/lost_responses.rs
+++ b/crates/scheduler/src/policy/lost_responses.rs
@@ -1,15 +1,15 @@
-//! The attempts in flight at a node, and the loss of responses that their order shows.
+//! The attempts in flight at a node, and the detection of lost responses from their order.
 use crate::interface::{BioId, Tick};
 
-/// Ticks after a lost response in which the scheduler looks for others.
+/// Ticks after a lost response during which the scheduler checks for further lost ones (5 s).
 const LOSS_DETECTION_PERIOD: Tick = 50_000;
 
 /// An attempt in flight at a node.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub(super) sent_at: Tick,
-    /// The block I/O that it is for.
+    /// The block I/O that the attempt belongs to.
     pub(super) bio: BioId,
 }
 
@@ -17,17 +17,17 @@
 #[derive(Default)]
 pub(super) struct AttemptsInFlight {
     attempts: Vec<Attempt>,
-    /// The latest sending time of an attempt that completed.
+    /// Latest time at which any attempt that has completed was sent.
     latest_completed_sent_at: Option<Tick>,
 }
 
 impl AttemptsInFlight {
-    /// How many there are.
+    /// Returns the number of attempts in flight.
     pub(super) fn count(&self) -> u32 {
         self.attempts.len() as u32
     }
 
-    /// Whether there are none.
+    /// Returns whether no attempt is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
@@ -42,31 +42,31 @@
         self.attempts.retain(|attempt| attempt.bio != bio);
     }
 
-    /// An attempt that was sent at this time completed.
+    /// Records the completion of an attempt that was sent at this time.
     pub(super) fn record_completion(&mut self, sent_at: Tick) {
         self.latest_completed_sent_at = self.latest_completed_sent_at.max(Some(sent_at));
     }
 
-    /// How long the oldest attempt has been in flight; 0 without one.
+    /// Returns the age of the oldest attempt in flight, or 0 if there is none.
     pub(super) fn age_of_oldest(&self, now: Tick) -> Tick {
         self.attempts
             .first()
             .map_or(0, |oldest| now - oldest.sent_at)
     }
 
-    /// How many were sent within this span: those that may still be answered while responses are lost.
+    /// Returns the number of attempts no older than `span`, which may still be answered while responses are being lost.
     pub(super) fn count_younger_than(&self, now: Tick, span: Tick) -> u32 {
         let younger = |attempt: &&Attempt| now - attempt.sent_at <= span;
         self.attempts.iter().filter(younger).count() as u32
     }
 
-    /// Whether a later attempt than one sent at this time has completed.
+    /// Returns whether an attempt sent after this time has completed.
     pub(super) fn is_overtaken(&self, sent_at: Tick) -> bool {
         self.latest_completed_sent_at
             .is_some_and(|latest| latest > sent_at)
     }
 
-    /// The attempts older than this span that a later one has overtaken.
+    /// Returns the attempts older than `span` that were sent before an attempt that has completed.
     pub(super) fn overtaken(&self, now: Tick, span: Tick) -> impl Iterator<Item = &Attempt> {
         let old = move |attempt: &&Attempt| attempt.sent_at < now - span;
         self.attempts
@@ -76,19 +76,19 @@
     }
 }
 
-/// Tells whether responses are being lost: an attempt timed out that a later response had overtaken.
+/// Detects that responses are being lost: an attempt timed out after a later one was answered.
 #[derive(Default)]
 pub(super) struct LostResponseDetector {
     losing_until: Option<Tick>,
 }
 
 impl LostResponseDetector {
-    /// An attempt timed out although a later one was answered.
+    /// Records that an attempt timed out although a later one was answered.
     pub(super) fn record_loss(&mut self, now: Tick) {
         self.losing_until = Some(now + LOSS_DETECTION_PERIOD);
     }
 
-    /// Whether a response was lost a short while ago, so that others may be lost too.
+    /// Returns whether a response was lost recently, so that others may be lost too.
     pub(super) fn is_losing(&self, now: Tick) -> bool {
         self.losing_until.is_some_and(|end| now < end)
     }
--- a/crates/scheduler/src/policy/node.rs
+++ b/crates/scheduler/src/policy/node.rs
@@ -1,4 +1,4 @@
-//! A storage node, as this host knows it.
+//! A storage node, as seen by this host.
 use super::backoff::Backoff;
 use super::concurrency_window::{ConcurrencyWindow, NARROW_ABOVE, WIDEN_BELOW};
 use super::cost_multiplier::CostMultiplier;
@@ -13,30 +13,31 @@
 use crate::interface::{AttemptOutcome, Bio, BioId, NodeStatus, Tick, VolumeId};
 use crate::pcg::Pcg;
 
-/// Ticks of inactivity after which a node is forgotten: longer than any outage.
+/// Ticks of inactivity after which a node is forgotten (60 s): longer than any outage.
 const FORGET_AFTER: Tick = 600_000;
-/// Fraction of the shortest objective: a node that is paused for longer is chosen last.
+/// Pause above which a node is selected only as a last resort, as a fraction of the shortest objective.
 const LONG_PAUSE: f64 = 0.25;
 
-/// What all nodes have in common, by the configuration.
+/// Configured limits that are the same for all nodes.
 pub(super) struct NodeLimits {
     /// The shortest latency objective of all classes, in ticks.
     pub(super) shortest_objective: f64,
-    /// Mean units of a block I/O.
+    /// Mean size of a block I/O, in units.
     pub(super) mean_io_units: f64,
-    /// The window of a node not yet known.
+    /// Initial concurrency window of a node.
     pub(super) initial_window: ConcurrencyWindow,
-    /// The longest pause after failures in a row, in ticks.
+    /// Maximum pause after consecutive failures, in ticks.
     pub(super) max_backoff: Tick,
-    /// Fraction of a node's load that is assumed to come from the other hosts.
+    /// Fraction of a node's load that is assumed to come from other hosts.
     pub(super) load_by_other_hosts: f64,
 }
 
-/// Whether a node takes new block I/Os.
+/// Whether a node accepts new block I/Os, and since when it has not.
 #[derive(Default)]
 pub(super) struct Availability {
     active: bool,
-    /// The allocation interval in which it was first seen inactive; none if it was active in the last one.
+    /// Time of the allocation interval in which the node was first found inactive; `None` if it was active in the last
+    /// one.
     inactive_since: Option<Tick>,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// A storage node, as this host knows it.
+/// A storage node, as seen by this host.
 pub(super) struct Node {
     location: Location,
     availability: Availability,
@@ -67,17 +68,17 @@
     queue: NodeQueue,
 }
 
-/// How long a block I/O is expected to wait at a node. The variants are in the order in which nodes are preferred.
+/// Expected wait of a block I/O at a node. The variants are in order of preference.
 #[derive(PartialEq, PartialOrd)]
 pub(super) enum ExpectedWait {
-    /// In ticks, as far as this host's counts tell.
+    /// Expected wait in ticks, estimated from this host's own attempts.
     Ticks(f64),
-    /// The node is chosen only if there is no other.
+    /// The node is selected only if there is no other.
     LastResort,
 }
 
 impl Node {
-    /// A node not yet known.
+    /// Creates the state of a node that is not yet known.
     pub(super) fn new(limits: &NodeLimits) -> Self {
         Node {
             location: Location::default(),
@@ -94,78 +95,79 @@
         }
     }
 
-    /// Its shard and zone.
+    /// Returns the shard and the zone of the node.
     pub(super) fn location(&self) -> Location {
         self.location
     }
 
-    /// Whether it takes new block I/Os.
+    /// Returns whether the node accepts new block I/Os.
     pub(super) fn is_active(&self) -> bool {
         self.availability.active
     }
 
-    /// Whether it is active and holds a shard; none: a new object, which any node may take.
+    /// Returns whether the node is active and holds the shard. Any node may store a new object, whose shard is `None`.
     pub(super) fn serves(&self, shard: Option<u32>) -> bool {
         self.is_active() && shard.is_none_or(|shard| self.location.shard == shard)
     }
 
-    /// The attempts in flight.
+    /// Returns the attempts in flight.
     pub(super) fn in_flight(&self) -> &AttemptsInFlight {
         &self.in_flight
     }
 
-    /// The block I/Os that wait here to be sent to it.
+    /// Returns the block I/Os queued for the node.
     pub(super) fn queue(&self) -> &NodeQueue {
         &self.queue
     }
 
-    /// The block I/Os that wait here to be sent to it.
+    /// Returns the block I/Os queued for the node, for modification.
     pub(super) fn queue_mut(&mut self) -> &mut NodeQueue {
         &mut self.queue
     }
 
-    /// The budget, and its allocations to volumes.
+    /// Returns the budget and its allocations to volumes.
     pub(super) fn budget(&self) -> &NodeBudget {
         &self.budget
     }
 
-    /// The budget, and its allocations to volumes.
+    /// Returns the budget and its allocations to volumes, for modification.
     pub(super) fn budget_mut(&mut self) -> &mut NodeBudget {
         &mut self.budget
     }
 
-    /// Mean latency in ticks.
+    /// Returns the mean latency in ticks.
     pub(super) fn mean_latency(&self) -> f64 {
         self.latency.mean()
     }
 
-    /// The rate at which this host usually sends to it.
+    /// Returns the rate at which this host usually sends to the node.
     pub(super) fn usual_rate(&self) -> f64 {
         self.usual_rate.get()
     }
 
-    /// It is listed at this place, and takes new block I/Os or not.
+    /// Records the location of the node and whether it is active, as stated in the endpoint list.
     pub(super) fn set_endpoint(&mut self, location: Location, active: bool) {
         self.location = location;
         self.availability.active = active;
     }
 
-    /// It takes no new block I/Os.
+    /// Marks the node as not accepting new block I/Os.
     pub(super) fn deactivate(&mut self) {
         self.availability.active = false;
     }
 
-    /// This host sent to another node of its shard at this rate.
+    /// Raises the usual rate to the rate at which this host sends to another node of the same shard.
     pub(super) fn raise_usual_rate(&mut self, rate: f64) {
         self.usual_rate.raise_to(rate);
     }
 
-    /// Whether its process was started again since what is known of it; `started_at` none: long ago.
+    /// Returns whether the node's process has restarted since its recorded start. `None` means that it started long
+    /// ago.
     pub(super) fn is_restarted(&self, started_at: Option<Tick>) -> bool {
         self.slow_start.is_before(started_at)
     }
 
-    /// Its process was started anew: what was learned of the former one is dropped.
+    /// Handles a restart of the node's process: discards what was learned of the previous process.
     pub(super) fn restart(&mut self, started_at: Option<Tick>, limits: &NodeLimits) {
         self.slow_start.restart(started_at);
         self.window = limits.initial_window;
@@ -173,22 +175,22 @@
         self.budget.raise_to_minimum(limits.mean_io_units);
     }
 
-    /// Nothing is sent to it before this time.
+    /// Pauses the node, so that nothing is sent to it before `end`.
     pub(super) fn pause_until(&mut self, end: Tick) {
         self.backoff.pause_until(end);
     }
 
-    /// Counts this host's even share of its slow start as spent.
+    /// Counts this host's even share of the node's slow start as used.
     pub(super) fn count_share_as_spent(&mut self, now: Tick, slow_start: &SlowStart) {
         slow_start.count_share_as_spent(now, &mut self.slow_start);
     }
 
-    /// Whether it has long been up, or has reached its full rate.
+    /// Returns whether the node has been up for a long time or has reached its full rate.
     pub(super) fn is_warm(&self, now: Tick, slow_start: &SlowStart) -> bool {
         slow_start.is_warm(now, &self.slow_start)
     }
 
-    /// What this host may still send to it in its slow start; none if there is no bound.
+    /// Returns what this host may still send to the node in its slow start, or `None` if there is no limit.
     pub(super) fn slow_start_capacity(
         &mut self,
         now: Tick,
@@ -198,7 +200,7 @@
         slow_start.capacity(now, &mut self.slow_start, self.usual_rate.get(), rng)
     }
 
-    /// The end of its pause, if block I/Os wait for it.
+    /// Returns the end of the node's pause, if block I/Os are queued for the node.
     pub(super) fn pause_end_if_queued(&self, now: Tick) -> Option<Tick> {
         if self.queue.is_empty() {
             return None;
@@ -206,8 +208,8 @@
         self.backoff.pause_end(now)
     }
 
-    /// Whether an attempt may be sent to it now, by its pause and its concurrency window. While responses are lost,
-    /// attempts that count as lost leave room for others.
+    /// Returns whether the pause and the concurrency window allow an attempt now. While responses are being lost,
+    /// attempts that count as lost do not use up the window.
     pub(super) fn has_room(&self, now: Tick, limits: &NodeLimits, losing_responses: bool) -> bool {
         if self.backoff.pause_end(now).is_some() {
             return false;
@@ -221,35 +223,37 @@
         !self.window.is_full(live)
     }
 
-    /// Whether it has nothing to do, or answers so quickly that more may be sent.
-    pub(super) fn is_idle_or_quick(&self, limits: &NodeLimits) -> bool {
-        let quick = self.latency.mean() < WIDEN_BELOW * limits.shortest_objective;
-        self.in_flight.is_empty() || quick
+    /// Returns whether the node has nothing in flight, or answers so fast that more may be sent.
+    pub(super) fn is_idle_or_fast(&self, limits: &NodeLimits) -> bool {
+        let fast = self.latency.mean() < WIDEN_BELOW * limits.shortest_objective;
+        self.in_flight.is_empty() || fast
     }
 
-    /// How long an attempt may take here before it counts as lost.
+    /// Returns how long an attempt may take at the node before it counts as lost.
     pub(super) fn lost_after(&self, limits: &NodeLimits) -> Tick {
         self.latency.lost_after(limits.shortest_objective)
     }
 
-    /// The cost of a block I/O here.
+    /// Returns the cost of a block I/O at the node.
     pub(super) fn cost(&self, units: f64) -> f64 {
         units * self.cost_multiplier.get()
     }
 
-    /// By how much its mean latency exceeds the best of late over all nodes, as a fraction of the shortest objective.
+    /// Returns the excess of the mean latency over the lowest recent mean of all nodes, as a fraction of the shortest
+    /// objective.
     pub(super) fn latency_excess(&self, limits: &NodeLimits, fleet: &FleetLatency) -> f64 {
         (self.latency.mean() - fleet.lowest_recent_mean()) / limits.shortest_objective
     }
 
-    /// How little a high latency here says about load from other hosts: a wide window and many recent answers mean that
-    /// the load is this host's own.
+    /// Returns the weight of this host's own load in a high latency. A wide window and many recent answers mean that
+    /// this host causes the latency, rather than other hosts.
     pub(super) fn own_load_weight(&self) -> f64 {
         self.window.size().powi(2) * self.latency.recent_answers().max(1.0)
     }
 
-    /// How long a block I/O may wait here, by this host's counts. An unanswered attempt makes the node count as slow
-    /// as the attempt is old. A node without capacity for these units, and one that is paused for long, is avoided.
+    /// Returns the expected wait of a block I/O, estimated from this host's own attempts. The latency is at least the
+    /// age of the oldest attempt in flight. A node is a last resort if it lacks the slow start capacity for these units
+    /// or is paused for a long time.
     pub(super) fn expected_wait(
         &self,
         now: Tick,
@@ -269,21 +273,22 @@
         ExpectedWait::Ticks(work / self.window.size())
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub(super) fn record_sent(&mut self, now: Tick, bio: &Bio) {
         self.in_flight.add(now, bio.id);
         self.usual_rate.record_sent(bio.units);
         self.slow_start.record_sent(now, bio.units);
     }
 
-    /// Removes the attempt of a block I/O that is over. Returns whether the window was used up with it.
+    /// Removes the finished attempt of a block I/O. Returns whether the attempts in flight, including it, used the
+    /// whole window.
     pub(super) fn remove_attempt(&mut self, bio: BioId) -> bool {
         let window_was_full = self.window.was_used_up(self.in_flight.count());
         self.in_flight.remove(bio);
         window_was_full
     }
 
-    /// An attempt completed.
+    /// Records a completed attempt.
     pub(super) fn record_completion(
         &mut self,
         now: Tick,
@@ -305,15 +310,15 @@
         );
     }
 
-    /// An attempt failed, which implies this latency.
+    /// Records a failed attempt, and the latency that the failure implies.
     pub(super) fn record_failure(&mut self, implied_latency: f64) {
         self.latency.record_failure(implied_latency);
         self.window.on_failure();
         self.backoff.record_failure();
     }
 
-    /// Pauses after an attempt. A window below one is kept by a pause after each answer, so that the node works for
-    /// other hosts meanwhile.
+    /// Pauses the node after an attempt. A window below one is implemented as a pause after each answer, during which
+    /// the node serves other hosts.
     pub(super) fn pause_after_attempt(&mut self, now: Tick, limits: &NodeLimits) {
         let time_of_attempt = self.latency.mean().min(limits.shortest_objective);
         let spacing = (time_of_attempt * self.window.spacing_factor()) as Tick;
@@ -321,7 +326,7 @@
             .pause_after_attempt(now, spacing, limits.max_backoff);
     }
 
-    /// Ages by one allocation interval what is known of its latency and its usual rate.
+    /// Ends an allocation interval: updates the latency estimate, the window of an idle node and the usual rate.
     pub(super) fn end_interval(
         &mut self,
         now: Tick,
@@ -336,14 +341,15 @@
             self.latency.decay_toward(expected);
             self.window.on_idle_interval();
         }
-        let quick = self.latency.mean() < NARROW_ABOVE * limits.shortest_objective;
+        let fast = self.latency.mean() < NARROW_ABOVE * limits.shortest_objective;
         let no_failures = self.backoff.consecutive_failures() == 0;
-        let healthy = quick && no_failures && self.is_warm(now, slow_start);
+        let healthy = fast && no_failures && self.is_warm(now, slow_start);
         self.usual_rate.end_interval(healthy, host_age);
     }
 
-    /// Starts an allocation interval with what is queued, as volumes and units, and with each volume's entitlement.
-    /// The budget grows while the node answers in time and the budget is what keeps block I/Os queued.
+    /// Starts an allocation interval, given the volume and the units of each queued block I/O and the entitlement of
+    /// each volume. The budget increases if block I/Os are queued although the node answers in time, which means that
+    /// the budget limits them.
     pub(super) fn start_interval(
         &mut self,
         limits: &NodeLimits,
@@ -359,14 +365,14 @@
         self.budget.start_interval(queued, entitlement);
     }
 
-    /// Ends an allocation interval for its place in the list. Returns whether it may be forgotten: it has long been
-    /// inactive, and nothing refers to it.
+    /// Ends an allocation interval for the node's availability. Returns whether the node may be forgotten: it has been
+    /// inactive for a long time, and no block I/O is queued or in flight.
     pub(super) fn is_forgettable(&mut self, now: Tick) -> bool {
         let long_inactive = self.availability.end_interval(now);
         long_inactive && self.in_flight.is_empty() && self.queue.is_empty()
     }
 
-    /// What is shown to operators; no decision depends on it.
+    /// Returns the status for operators. No decision depends on it.
     pub(super) fn status(&self, now: Tick, slow_start: &SlowStart) -> NodeStatus {
         NodeStatus {
             active: self.is_active(),
--- a/crates/scheduler/src/policy/node_budget.rs
+++ b/crates/scheduler/src/policy/node_budget.rs
@@ -1,71 +1,71 @@
-//! The paper's Algorithm 1 for one node: a budget for each allocation interval, divided among volumes, and which volume
-//! pays for a block I/O.
+//! Algorithm 1 of the paper for one node: a budget for each allocation interval, its division among volumes, and the
+//! choice of the volume that pays for a block I/O.
 use super::concurrency_window;
 use crate::interface::VolumeId;
 use crate::pcg::Pcg;
 
 /// Fraction of its history that an idle volume keeps in each interval (paper).
 const HISTORY_DECAY: f64 = 0.5;
-/// Weight of a queued unit against a used one: more will follow (paper).
+/// Weight of a queued unit relative to a used one: more units are likely to follow (paper).
 const QUEUED_WEIGHT: f64 = 2.0;
-/// Fraction of a node's budget that is kept for volumes that return (paper).
+/// Fraction of a node's budget that is reserved for volumes that become active again (paper).
 const POOL_SHARE: f64 = 0.05;
-/// Mean block I/Os in an interval: the least extra budget (paper).
+/// Minimum extra budget of an interval, in block I/Os of mean size (paper).
 const MIN_EXTRA_IOS: f64 = 4.0;
-/// Mean block I/Os in an interval: the most extra budget.
+/// Maximum extra budget of an interval, in block I/Os of mean size.
 const MAX_EXTRA_IOS: f64 = concurrency_window::MAX;
-/// Fraction by which the extra budget changes in an interval: it doubles in 1.5 s.
+/// Fraction by which the extra budget changes in an interval: it can double in 1.5 s.
 const BUDGET_STEP: f64 = 0.05;
 
 /// What a volume is entitled to at one node in one allocation interval.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Entitlement {
-    /// Cost that its reservation stands for.
+    /// Cost that the volume's reservation covers.
     pub(super) base: f64,
-    /// The most cost that its limit allows.
+    /// Maximum cost that the volume's rate limit allows; `None` if there is no limit.
     pub(super) ceiling: Option<f64>,
     /// Weight by which spare budget is divided.
     pub(super) weight: f64,
 }
 
-/// The allocation of one volume at one node: a share of the budget of this allocation interval.
+/// The allocation of one volume at one node: its share of the budget of the current allocation interval.
 #[derive(Default)]
 struct Allocation {
     volume: VolumeId,
-    /// As of the start of this interval.
+    /// Entitlement at the start of the interval.
     entitlement: Entitlement,
-    /// Cost still to be spent in this interval; a debt below 0.
+    /// Cost that may still be spent in the interval; below 0, a debt.
     balance: f64,
-    /// Cost spent in this interval.
+    /// Cost spent in the interval.
     used: f64,
-    /// Units queued as the interval began.
+    /// Units queued when the interval began.
     queued: f64,
     /// Decaying maximum of the cost spent in an interval.
     history: f64,
-    /// Was granted more than its base for this interval.
+    /// Whether the volume was granted more than its base for the interval.
     bursting: bool,
-    /// The dispatch pass in which it was last refused.
+    /// The last dispatch pass in which the volume was refused.
     refused_in: Option<DispatchPass>,
 }
 
-/// Counts the dispatch passes of a node.
+/// Sequence number of a dispatch pass of a node.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct DispatchPass(u64);
 
 /// The budget of one node, and its allocations to volumes.
 #[derive(Default)]
 pub(super) struct NodeBudget {
-    /// Budget of an interval beyond the bases of all volumes.
+    /// Budget of an interval in excess of the bases of all volumes.
     extra: f64,
-    /// What is left of the interval's pool for volumes without a balance.
+    /// Remainder of the interval's pool for volumes without a balance.
     pool: f64,
-    /// One for each volume that has or had a block I/O here.
+    /// Allocations of the volumes that have or had a block I/O queued for the node.
     allocations: Vec<Allocation>,
     pass: DispatchPass,
 }
 
 impl Allocation {
-    /// What the volume asks for, by which spare budget is divided.
+    /// Returns the volume's demand, by which spare budget is divided.
     fn demand(&self, all_idle: bool) -> f64 {
         if all_idle {
             self.entitlement.weight
@@ -74,8 +74,8 @@
         }
     }
 
-    /// First pass of Algorithm 1: grants the base to a busy volume, to an idle one a part of its history. Returns what
-    /// was granted.
+    /// First pass of Algorithm 1: grants a busy volume its base, and an idle one a part of its history. Returns the
+    /// granted cost.
     fn grant_base(&mut self) -> f64 {
         let debt = self.balance.min(0.0);
         self.history = self.used.max(self.history * HISTORY_DECAY);
@@ -89,7 +89,7 @@
         granted
     }
 
-    /// Second pass of Algorithm 1: adds a share of the spare budget, up to the limit, and starts the interval.
+    /// Second pass of Algorithm 1: adds a share of the spare budget, up to the rate limit, and starts the interval.
     fn grant_spare(&mut self, share: f64) {
         self.balance += share;
         if let Some(ceiling) = self.entitlement.ceiling {
@@ -101,24 +101,24 @@
 }
 
 impl NodeBudget {
-    /// Makes sure that a node in service has the least extra budget.
+    /// Raises the extra budget of a node in service to at least the minimum.
     pub(super) fn raise_to_minimum(&mut self, mean_io_units: f64) {
         self.extra = self.extra.max(MIN_EXTRA_IOS * mean_io_units);
     }
 
-    /// Lowers the extra budget of a node that is too slow.
+    /// Decreases the extra budget of a node that is too slow.
     pub(super) fn decrease(&mut self, mean_io_units: f64) {
         let minimum = MIN_EXTRA_IOS * mean_io_units;
         self.extra = (self.extra * (1.0 - BUDGET_STEP)).max(minimum);
     }
 
-    /// Raises the extra budget of a node that answers in time while block I/Os are queued for it.
+    /// Increases the extra budget of a node that answers in time while block I/Os are queued for it.
     pub(super) fn increase(&mut self, mean_io_units: f64) {
         let maximum = MAX_EXTRA_IOS * mean_io_units;
         self.extra = (self.extra * (1.0 + BUDGET_STEP)).min(maximum);
     }
 
-    /// Makes an allocation for a volume, if it has none yet; it opens with the volume's base.
+    /// Creates an allocation for a volume that has none. Its balance starts at the volume's base.
     pub(super) fn open_allocation(&mut self, volume: VolumeId, base: f64) {
         if self.position(volume).is_none() {
             self.allocations.push(Allocation {
@@ -136,7 +136,8 @@
             .retain(|allocation| allocation.volume != volume);
     }
 
-    /// Starts an allocation interval with what is queued, as volumes and units, and with each volume's entitlement.
+    /// Starts an allocation interval, given the volume and the units of each queued block I/O and the entitlement of
+    /// each volume.
     pub(super) fn start_interval(
         &mut self,
         queued: impl Iterator<Item = (VolumeId, f64)>,
@@ -154,7 +155,7 @@
         self.redistribute();
     }
 
-    /// Both passes of Algorithm 1 (lines 2 to 13).
+    /// Runs both passes of Algorithm 1 (lines 2 to 13).
     fn redistribute(&mut self) {
         let allocations = &mut self.allocations;
         let bases = allocations
@@ -182,18 +183,18 @@
         }
     }
 
-    /// Starts a dispatch pass: no volume has been refused in it.
+    /// Starts a dispatch pass, in which no volume has been refused yet.
     pub(super) fn begin_pass(&mut self) {
         self.pass.0 += 1;
     }
 
-    /// A volume with a block I/O queued here may not send until the next dispatch pass.
+    /// Refuses a volume with a queued block I/O until the next dispatch pass.
     pub(super) fn refuse(&mut self, volume: VolumeId) {
         let pass = self.pass;
         self.allocation_mut(volume).refused_in = Some(pass);
     }
 
-    /// What a volume with a block I/O queued here may do in this dispatch pass.
+    /// Returns what a volume with a queued block I/O may do in the current dispatch pass.
     pub(super) fn allocation_status(&self, volume: VolumeId) -> AllocationStatus {
         let allocation = self.allocation(volume);
         AllocationStatus {
@@ -202,10 +203,10 @@
         }
     }
 
-    /// Takes the cost of a block I/O that is queued here in the paper's order (lines 14 to 25): from the volume's own
-    /// allocation, from the richer of two bursting volumes, from the pool. Returns false if it has to wait. A balance
-    /// above 0 may be overdrawn and is paid back later. A node with room lends the cost, as to wait for the next
-    /// interval would only leave it idle.
+    /// Charges the cost of a queued block I/O in the paper's order (lines 14 to 25): to the volume's own allocation, to
+    /// the richer of two bursting volumes, or to the pool. Returns false if the block I/O has to wait. A balance above
+    /// 0 may be overdrawn; the debt is deducted from the next grant. A node with free capacity lends the cost, because
+    /// it would be idle until the next interval otherwise.
     pub(super) fn charge(
         &mut self,
         volume: VolumeId,
@@ -232,10 +233,10 @@
         true
     }
 
-    /// The richer of two bursting volumes drawn at random, if it can pay.
+    /// Selects the richer of two bursting volumes drawn at random, if its balance covers the cost.
     fn select_bursting_payer(&self, cost: f64, rng: &Pcg) -> Option<usize> {
         let count = self.bursting().count() as u64;
-        // Both numbers are drawn in any case: the sequence of random numbers does not depend on what is found.
+        // Both numbers are always drawn, so that the sequence of random numbers does not depend on the result.
         let first = rng.below(count);
         let second = rng.below(count);
         let first = self.bursting().nth(first as usize)?;
@@ -248,7 +249,7 @@
         (self.allocations[richer].balance >= cost).then_some(richer)
     }
 
-    /// Positions of the allocations that were granted more than their base.
+    /// Returns the positions of the allocations that were granted more than their base.
     fn bursting(&self) -> impl Iterator<Item = usize> {
         let allocations = self.allocations.iter().enumerate();
         allocations
@@ -262,10 +263,10 @@
             .position(|allocation| allocation.volume == volume)
     }
 
-    /// Position of the allocation of a volume with a block I/O queued here.
+    /// Returns the position of the allocation of a volume with a queued block I/O.
     fn allocation_position(&self, volume: VolumeId) -> usize {
         self.position(volume)
-            .expect("an allocation is opened when a block I/O is queued")
+            .expect("a volume with a queued block I/O has an allocation")
     }
 
     fn allocation(&self, volume: VolumeId) -> &Allocation {
@@ -280,8 +281,8 @@
 
 /// What a volume may do in a dispatch pass.
 pub(super) struct AllocationStatus {
-    /// It was refused in this pass, and waits for the next one.
+    /// Whether the volume was refused in this pass and has to wait for the next one.
     pub(super) refused: bool,
-    /// Its own allocation is not used up.
+    /// Whether the volume's own allocation has a positive balance.
     pub(super) has_balance: bool,
 }
--- a/crates/scheduler/src/policy/node_queue.rs
+++ b/crates/scheduler/src/policy/node_queue.rs
@@ -1,47 +1,47 @@
-//! The block I/Os that wait to be sent to one node.
+//! The block I/Os queued for one node.
 use crate::interface::BioId;
 
-/// Block I/Os in no particular order: the next one is chosen by priority.
+/// Queued block I/Os in arbitrary order, since the next one is selected by priority.
 #[derive(Default)]
 pub(super) struct NodeQueue(Vec<BioId>);
 
 impl NodeQueue {
-    /// How many there are.
+    /// Returns the number of queued block I/Os.
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether no block I/O is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds a block I/O.
+    /// Adds a block I/O to the queue.
     pub(super) fn push(&mut self, bio: BioId) {
         self.0.push(bio);
     }
 
-    /// The block I/Os.
+    /// Returns the queued block I/Os.
     pub(super) fn iter(&self) -> impl Iterator<Item = BioId> {
         self.0.iter().copied()
     }
 
-    /// Takes out the block I/O at a position; the last one takes its place.
+    /// Removes and returns the block I/O at a position, which the last block I/O then takes.
     pub(super) fn take(&mut self, position: usize) -> BioId {
         self.0.swap_remove(position)
     }
 
-    /// The block I/O at a position.
+    /// Returns the block I/O at a position.
     pub(super) fn at(&self, position: usize) -> BioId {
         self.0[position]
     }
 
-    /// Takes a block I/O out, if it is queued here.
+    /// Removes a block I/O, if it is queued.
     pub(super) fn remove(&mut self, bio: BioId) {
         self.0.retain(|queued| *queued != bio);
     }
 
-    /// Takes all block I/Os out.
+    /// Removes and returns all block I/Os.
     pub(super) fn take_all(&mut self) -> Vec<BioId> {
         std::mem::take(&mut self.0)
     }
--- a/crates/scheduler/src/policy/ordering_keys.rs
+++ b/crates/scheduler/src/policy/ordering_keys.rs
@@ -1,4 +1,4 @@
-//! Block I/Os of ordered classes that name the same key run one after another.
+//! Ordering keys: block I/Os of ordered classes with the same key run one after another.
 use crate::interface::{AttemptResult, BioId, Host, KeyId, SchedulerConfig, Tick};
 use crate::key_queue::KeyQueue;
 use crate::slab::Slab;
@@ -6,20 +6,20 @@
 /// All ordering keys in use.
 pub(super) struct OrderingKeys {
     keys: Slab<KeyId, OrderingKey>,
-    /// Keys with a cooldown that may have ended.
+    /// Keys whose cooldown may have ended.
     cooling: Vec<KeyId>,
-    /// Ticks for which a key is blocked for other block I/Os after an attempt that may still be running.
+    /// Ticks for which other block I/Os of a key are blocked after an attempt that may still be running.
     cooldown: Tick,
 }
 
 /// An ordering key in use.
 #[derive(Default)]
 struct OrderingKey {
-    /// Its ordered block I/Os; only the first may be sent.
+    /// Ordered block I/Os of the key; only the first one may be sent.
     queue: KeyQueue,
-    /// Block I/Os that name it.
+    /// Number of block I/Os that have the key.
     users: u32,
-    /// Until then no other block I/O of the key starts. None: no attempt was cut off.
+    /// Time before which no other block I/O of the key starts; `None` if no attempt was cut off.
     cooldown_until: Option<Tick>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl OrderingKeys {
-    /// No keys yet, and the cooldown of a configuration.
+    /// Creates an empty set of keys with the configured cooldown.
     pub(super) fn new(config: &SchedulerConfig) -> Self {
         OrderingKeys {
             keys: Slab::default(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Appends a block I/O to the queue of its key, or only counts it as a user of the key.
+    /// Appends an ordered block I/O to the queue of its key. Any other block I/O only counts as a user of the key.
     pub(super) fn join(&mut self, key: KeyId, bio: BioId, ordered: bool) {
         let key = self.keys.get_or_insert_with(key, OrderingKey::default);
         key.users += 1;
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Takes a block I/O that is finished and has no attempt in flight out of its key's queue, and releases a key that
-    /// nothing uses any more.
+    /// Removes a block I/O that is finished and has no attempt in flight from its key, and releases a key that is no
+    /// longer used.
     pub(super) fn leave(&mut self, host: &mut dyn Host, now: Tick, key: KeyId, bio: BioId) {
         let state = &mut self.keys[key];
         state.queue.remove(bio);
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Whether an ordered block I/O is the first of its key, and the key is not cooling down. A cooldown does not
-    /// hold back the retry of the block I/O that caused it.
+    /// Returns whether an ordered block I/O is the first of its key and the key is not in a cooldown. A cooldown does
+    /// not block the retry of the block I/O that caused it.
     pub(super) fn is_first_in_order(
         &self,
         now: Tick,
@@ -73,8 +73,8 @@
         state.queue.first() == Some(bio) && (is_retry || !state.is_cooling_down(now))
     }
 
-    /// An attempt of an ordered block I/O is over. If it was cut off, it may still be running: its key cools down.
-    /// Returns when the cooldown ends.
+    /// Records the end of an attempt of an ordered block I/O. An attempt that was cut off may still be running, so its
+    /// key enters a cooldown, whose end is returned.
     pub(super) fn on_attempt_finished(
         &mut self,
         now: Tick,
@@ -91,7 +91,7 @@
         Some(end)
     }
 
-    /// Ends cooldowns that are over, and releases keys that nothing uses.
+    /// Ends the cooldowns that have elapsed, and releases keys that are no longer used.
     pub(super) fn end_cooldowns(&mut self, host: &mut dyn Host, now: Tick) {
         for position in (0..self.cooling.len()).rev() {
             let key = self.cooling[position];
--- a/crates/scheduler/src/policy/plan_rates.rs
+++ b/crates/scheduler/src/policy/plan_rates.rs
@@ -1,23 +1,23 @@
-//! Plans, as far as decisions depend on them.
+//! Plans, in the form that the decisions use.
 use super::constants::{ALLOCATION_INTERVAL, TICKS_PER_SECOND};
 use crate::interface::Plan;
 
-/// A plan with its rates in units a tick.
+/// A plan with its rates in units per tick.
 pub(super) struct PlanRates {
-    /// What is reserved, for a volume over all hosts.
+    /// Rate reserved for a volume, over all hosts.
     pub(super) reserved: f64,
-    /// The limit over all hosts.
+    /// Rate limit of a volume, over all hosts; `None` if there is no limit.
     pub(super) limit: Option<f64>,
-    /// Units by which the limit may be exceeded at a time, over all hosts.
+    /// Burst size: units by which the limit may be exceeded at once, over all hosts.
     pub(super) burst_units: f64,
     /// Weight by which spare capacity is divided among volumes.
     pub(super) weight: f64,
-    /// Factor on the priority weight of the volume's block I/Os.
+    /// Factor by which the priority weight of the volume's block I/Os is multiplied.
     pub(super) priority_factor: f64,
 }
 
 impl PlanRates {
-    /// Cost that the reservation stands for in an allocation interval, at one of so many hosts.
+    /// Returns the cost that the reservation covers in an allocation interval, at one of this many hosts.
     pub(super) fn base(&self, hosts: f64) -> f64 {
         self.reserved * ALLOCATION_INTERVAL as f64 / hosts
     }
--- a/crates/scheduler/src/policy/priority.rs
+++ b/crates/scheduler/src/policy/priority.rs
@@ -1,25 +1,25 @@
-//! What a unit of a block I/O earns if it is sent now.
+//! The priority of a block I/O: what one of its units earns if it is sent now.
 use super::io_classes::{ClassPolicy, mean};
 use super::rate_limiter::RateLimiter;
 use crate::interface::{Bio, SchedulerConfig};
 
-/// Fraction of a mean block I/O that the smallest ones count as, where they are compared with the reservation.
+/// Minimum size of a block I/O when compared with the reservation, as a fraction of the mean size.
 const MIN_COUNTED_IO: f64 = 1.0 / 8.0;
 
-/// The figures by which block I/Os are compared.
+/// The rules by which the priorities of block I/Os are computed.
 pub(super) struct PriorityRules {
-    /// Fraction of the priority weight earned by units within the volume's share of a node.
+    /// Fraction of the priority weight that units within the volume's share of a node earn.
     share_weight_factor: f64,
-    /// Fraction of the priority weight earned by units beyond that share.
+    /// Fraction of the priority weight that units beyond the volume's share of a node earn.
     spare_weight_factor: f64,
-    /// Units that a block I/O counts as, at least, where it is compared with the reservation.
+    /// Minimum size of a block I/O when compared with the reservation, in units.
     min_counted_units: f64,
-    /// What a block I/O of mean class and plan earns in full.
+    /// Full value of a block I/O of mean class and mean plan.
     typical: f64,
 }
 
 impl PriorityRules {
-    /// The rules of a configuration.
+    /// Creates the configured rules.
     pub(super) fn new(config: &SchedulerConfig, mean_io_units: f64) -> Self {
         let mean_weight = mean(config.classes.iter().map(|class| class.priority_weight));
         let mean_factor = mean(config.plans.iter().map(|plan| plan.priority_factor));
@@ -31,8 +31,8 @@
         }
     }
 
-    /// What a unit earns: all of the weight inside the volume's reservation; beyond it, the share's part while the
-    /// volume's own allocation lasts, then the spare part.
+    /// Returns what a unit earns: the full weight within the volume's reservation, and beyond it the share fraction
+    /// while the volume's own allocation has a balance, or else the spare fraction.
     pub(super) fn priority(
         &self,
         bio: &Bio,
@@ -51,7 +51,7 @@
         factor * class.priority_weight() * limiter.priority_factor(bio.volume)
     }
 
-    /// The fraction by which a priority is below the typical one; 0 if it is not.
+    /// Returns the fraction by which a priority is below the typical one, or 0 if it is not below.
     pub(super) fn deficit(&self, priority: f64) -> f64 {
         (1.0 - priority / self.typical).max(0.0)
     }
--- a/crates/scheduler/src/policy/rate_limiter.rs
+++ b/crates/scheduler/src/policy/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! Rate limits and reservations of all volumes, by their plans and by the quotas of this host.
+//! Rate limits and reservations of all volumes, according to their plans and to the quotas of this host.
 use super::constants::TICKS_PER_SECOND;
 use super::io_classes::ClassPolicy;
 use super::node_budget::Entitlement;
@@ -9,23 +9,23 @@
 use crate::slab::Slab;
 use std::num::NonZeroU32;
 
-/// The plans, and the volumes that are limited by them.
+/// The plans and the volumes that they limit.
 pub(super) struct RateLimiter {
     plans: Vec<PlanRates>,
     volumes: Slab<VolumeId, Volume>,
-    /// Quotas by volume, in units a tick.
+    /// Quotas by volume, in units per tick.
     quotas: Slab<VolumeId, f64>,
-    /// Hosts that share the nodes, this one included; none if not configured.
+    /// Number of hosts that share the nodes, including this one; `None` if not configured.
     host_count: Option<NonZeroU32>,
-    /// Units of the largest block I/O.
+    /// Size of the largest block I/O, in units.
     max_io_units: f64,
-    /// Nodes report the units that they served for a volume through other hosts.
+    /// Whether nodes report the units that they served for a volume through other hosts.
     other_hosts_usage_reported: bool,
     started_at: Tick,
 }
 
 impl RateLimiter {
-    /// The plans of a configuration, and no volume yet.
+    /// Creates a rate limiter with the configured plans and no volumes.
     pub(super) fn new(config: &SchedulerConfig, max_io_units: f64, now: Tick) -> Self {
         RateLimiter {
             plans: config.plans.iter().map(PlanRates::from).collect(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Counts a block I/O among its volume's.
+    /// Records the arrival of a block I/O at its volume.
     pub(super) fn begin_block_io(&mut self, now: Tick, bio: &Bio) {
         let plan = usize::from(bio.plan);
         let hosts = self.volume_hosts(bio);
@@ -50,18 +50,20 @@
         volume.begin_block_io(now, hosts);
     }
 
-    /// The number of hosts that a block I/O names for its volume: at least one, and no more than there are.
+    /// Returns the number of hosts that a block I/O states for its volume, limited to between 1 and the configured
+    /// number.
     fn volume_hosts(&self, bio: &Bio) -> f64 {
         let max_hosts = self.host_count.map_or(u32::MAX, NonZeroU32::get);
         f64::from(bio.hosts.clamp(1, max_hosts))
     }
 
-    /// A block I/O of this volume was released.
+    /// Records the release of a block I/O of the volume.
     pub(super) fn end_block_io(&mut self, id: VolumeId) {
         self.volumes[id].end_block_io();
     }
 
-    /// Whether the volume's limit keeps a block I/O from being sent now. One that was sent before has its tokens.
+    /// Returns whether the volume's rate limit prevents a block I/O from being sent now. A retry already has its
+    /// tokens.
     pub(super) fn is_over_limit(&self, now: Tick, request: &Request, class: &ClassPolicy) -> bool {
         let bio = request.bio();
         let volume = &self.volumes[bio.volume];
@@ -69,20 +71,20 @@
         is_limited && volume.lacks_tokens(now, bio.units, class.has_highest_weight())
     }
 
-    /// Takes a block I/O's units from its volume's tokens, with its first attempt.
+    /// Takes the units of a block I/O from its volume's tokens, on its first attempt.
     pub(super) fn take_tokens(&mut self, now: Tick, bio: &Bio) {
         let volume = &mut self.volumes[bio.volume];
         volume.refill(now, &self.plans[volume.plan()], self.max_io_units);
         volume.take_tokens(bio.units);
     }
 
-    /// A block I/O of the class of the highest weight is given up: if tokens were too few for it, they are kept for
-    /// that class for a while.
+    /// Holds the volume's tokens for the highest-weight class for some time, if there are too few for this block I/O of
+    /// that class, which is given up.
     pub(super) fn hold_tokens_for_top_class(&mut self, now: Tick, bio: &Bio) {
         self.volumes[bio.volume].hold_tokens_for_top_class(now, bio.units);
     }
 
-    /// Records what a node reported of a volume's use through other hosts.
+    /// Records the usage of a volume through other hosts that a node reported.
     pub(super) fn record_other_hosts_usage(&mut self, id: VolumeId, units: f64) {
         if self.other_hosts_usage_reported {
             let volume = &mut self.volumes[id];
@@ -90,28 +92,29 @@
         }
     }
 
-    /// What a volume is entitled to at one node in one allocation interval.
+    /// Returns what a volume is entitled to at one node in one allocation interval.
     pub(super) fn entitlement(&self, id: VolumeId) -> Entitlement {
         let volume = &self.volumes[id];
         volume.entitlement(&self.plans[volume.plan()])
     }
 
-    /// Cost of a block I/O's plan that is reserved at one node in an allocation interval.
+    /// Returns the cost that a block I/O's plan reserves at one node in one allocation interval.
     pub(super) fn base_of_plan(&self, bio: &Bio) -> f64 {
         self.plans[usize::from(bio.plan)].base(self.volumes[bio.volume].hosts())
     }
 
-    /// Units of a volume's reservation that are not used yet.
+    /// Returns the units of a volume's reservation that are unused.
     pub(super) fn unused_reservation(&self, id: VolumeId) -> f64 {
         self.volumes[id].unused_reservation()
     }
 
-    /// Factor on the priority weight of a volume's block I/Os.
+    /// Returns the factor by which the priority weight of a volume's block I/Os is multiplied.
     pub(super) fn priority_factor(&self, id: VolumeId) -> f64 {
         self.plans[self.volumes[id].plan()].priority_factor
     }
 
-    /// Ends an allocation interval, and forgets volumes that have not been used for long. Calls `forgotten` for each.
+    /// Ends an allocation interval and forgets volumes that have not been used for a long time. Calls `on_forgotten`
+    /// for each of them.
     pub(super) fn end_interval(
         &mut self,
         host: &mut dyn Host,
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Sets this host's quota of a volume's limit, in units a second; none: an even share.
+    /// Sets this host's quota of a volume's rate limit, in units per second. With `None`, the quota is an even share.
     pub(super) fn set_quota(&mut self, now: Tick, id: VolumeId, quota: Option<f64>) {
         let quota = quota.map(|rate| rate / TICKS_PER_SECOND);
         self.quotas.set(id, quota);
@@ -143,8 +146,8 @@
         }
     }
 
-    /// Replaces the plans, and moves volumes to other ones. Tokens saved under the old plans stay, cut to the new
-    /// figures at once.
+    /// Replaces the plans and moves volumes to other plans. Tokens accumulated under the old plans are kept, but are
+    /// immediately reduced to the maximum of the new plans.
     pub(super) fn set_plans(&mut self, now: Tick, plans: &[Plan], moved: &[(VolumeId, u16)]) {
         self.refill_all(now);
         self.plans = plans.iter().map(PlanRates::from).collect();
--- a/crates/scheduler/src/policy/retry_budget.rs
+++ b/crates/scheduler/src/policy/retry_budget.rs
@@ -1,14 +1,14 @@
-//! The retry budget: how many retries this host may send, by the block I/Os that arrived.
+//! The retry budget: how many retries this host may send, relative to the block I/Os that arrived.
 use crate::interface::{SchedulerConfig, Tick};
 use crate::sliding_sum::SlidingSum;
 
-/// The retry budget of this host. Without one, retries are not limited and nothing is counted.
+/// The retry budget of this host. `None` means that retries are neither limited nor counted.
 pub(super) struct RetryBudget(Option<CountedBudget>);
 
 struct CountedBudget {
-    /// Retries allowed in a window, whatever the number of arrivals.
+    /// Number of retries allowed in a window, regardless of arrivals.
     min: f64,
-    /// Retries allowed in a window for each block I/O that arrived in it, besides the minimum.
+    /// Number of retries allowed in a window per block I/O that arrived in it, in addition to the minimum.
     ratio: f64,
     window: Tick,
     arrivals: SlidingSum,
@@ -16,7 +16,7 @@
 }
 
 impl RetryBudget {
-    /// The budget of a configuration.
+    /// Creates the configured budget.
     pub(super) fn new(config: &SchedulerConfig) -> Self {
         let budget = CountedBudget {
             min: config.retry_budget_min,
@@ -28,21 +28,21 @@
         RetryBudget((budget.window != 0).then_some(budget))
     }
 
-    /// Counts a block I/O that arrived.
+    /// Records the arrival of a block I/O.
     pub(super) fn record_arrival(&mut self, now: Tick) {
         if let Some(budget) = &mut self.0 {
             budget.arrivals.add(now, 1.0);
         }
     }
 
-    /// Counts a retry that was sent.
+    /// Records a retry that was sent.
     pub(super) fn record_retry(&mut self, now: Tick) {
         if let Some(budget) = &mut self.0 {
             budget.retries.add(now, 1.0);
         }
     }
 
-    /// Whether another retry may be sent now.
+    /// Returns whether another retry may be sent now.
     pub(super) fn allows_retry(&mut self, now: Tick) -> bool {
         self.0
             .as_mut()
@@ -51,8 +51,8 @@
 }
 
 impl CountedBudget {
-    /// Retries are counted for a tick longer than the window and arrivals for a tick less, the stricter reading of
-    /// both bounds. Why is not on record.
+    /// Returns whether another retry may be sent now. Retries are counted over one tick more than the window and
+    /// arrivals over one tick less, which is the stricter reading of both bounds; the reason for it is not known.
     fn allows_retry(&mut self, now: Tick) -> bool {
         let retries = self.retries.after(now - self.window - 1);
         let arrivals = self.arrivals.after(now - self.window + 1);
--- a/crates/scheduler/src/policy/scheduler/dispatch.rs
+++ b/crates/scheduler/src/policy/scheduler/dispatch.rs
@@ -73,7 +73,7 @@
             let node = &mut self.nodes[id];
             let bio = self.requests[node.queue().at(position)].bio();
             let cost = node.cost(bio.units);
-            let has_room = node.is_idle_or_quick(&self.node_limits);
+            let has_room = node.is_idle_or_fast(&self.node_limits);
             let budget = node.budget_mut();
             if budget.charge(bio.volume, cost, has_room, &self.rng) {
                 let bio = node.queue_mut().take(position);
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -4,89 +4,90 @@
 use crate::pcg::Pcg;
 use crate::sliding_sum::SlidingSum;
 
-/// Fraction of the load at which a warming node fails that is used; the rest is for surges.
+/// Fraction used of the load at which a node in slow start fails; the rest is headroom for surges.
 const SAFE_LOAD: f64 = 0.8;
-/// The least and the most that the configured initial rate may be, as a fraction of the full rate.
+/// Bounds of the configured initial rate, as a fraction of the full rate.
 const INITIAL_RATE_BOUNDS: std::ops::RangeInclusive<f64> = 0.01..=1.0;
 
-/// The limits of slow start, and what they depend on besides the node.
+/// Slow start limits that are the same for all nodes.
 pub(super) struct SlowStart {
-    /// Ticks until a node reaches its full rate.
+    /// Ticks from a node's start until it reaches its full rate.
     duration: Tick,
-    /// Units in an overload window that are this host's even share of what a node bears just after its start.
+    /// This host's even share, in units per overload window, of the load that a node sustains just after its start.
     even_share: f64,
-    /// Units of the largest block I/O.
+    /// Size of the largest block I/O, in units.
     max_io_units: f64,
-    /// The bound on the load of a warming node; none if it bears any load.
+    /// Limit on the load of a node in slow start; `None` if it sustains any load.
     overload: Option<OverloadBound>,
     warm_demand: WarmDemand,
 }
 
-/// The bound on the load of a warming node.
+/// Limit on the load of a node in slow start.
 struct OverloadBound {
-    /// Span over which load is counted.
+    /// Time window over which the load is counted.
     window: Tick,
-    /// Units in a window for a usual rate of one unit a tick, just after the start.
+    /// Units per window just after the start, per unit per tick of usual rate.
     per_usual_rate: f64,
     /// Fraction of its full rate at which a node starts.
     initial_rate: f64,
 }
 
-/// The zero of the host's clock, for which an unknown start stands where starts are compared.
+/// Zero of the host's clock. An unknown start counts as this time when starts are compared.
 const CLOCK_ZERO: Tick = 0;
 
-/// What this host knows of the slow start of one node.
+/// Slow start state of one node, as known to this host.
 #[derive(Default)]
 pub(super) struct SlowStartState {
-    /// Start of the node's process, which may lie before the zero of the host's clock; none: long ago, so that no slow
-    /// start applies.
+    /// Start of the node's process, which may precede the zero of the host's clock. `None` means long ago, so that slow
+    /// start does not apply.
     started_at: Option<Tick>,
-    /// Units sent since then; they are counted only for a process that started after the zero of the host's clock.
+    /// Units sent since the start. They are counted only if the process started after the zero of the host's clock.
     sent_units: SlidingSum,
     draw: Option<ShareDraw>,
 }
 
-/// The random number by which a share below the largest block I/O is rounded.
+/// The random number that rounds a share smaller than the largest block I/O.
 #[derive(Clone, Copy)]
 struct ShareDraw {
-    /// Above 0, and up to 1.
+    /// Random number greater than 0 and at most 1.
     value: f64,
     valid_until: Tick,
 }
 
-/// Units that this host may send to a node in its slow start.
+/// Units that this host may send to a node in slow start.
 pub(super) struct SlowStartCapacity {
-    /// Still to be sent in the present overload window.
+    /// Units that may still be sent in the current overload window.
     remaining: f64,
-    /// Its whole share of that window.
+    /// This host's whole share of the overload window, in units.
     share: f64,
 }
 
 impl SlowStartCapacity {
-    /// Whether what is left is enough for a block I/O.
+    /// Returns whether the remaining units are enough for a block I/O.
     pub(super) fn fits(&self, units: f64) -> bool {
         self.remaining >= units
     }
 
-    /// Whether a block I/O may be sent whose priority is below the typical one by this fraction. The last part of the
-    /// share is kept for the highest priority.
+    /// Returns whether a block I/O may be sent whose priority is below the typical one by this fraction. The last part
+    /// of the share is kept for the highest priority.
     pub(super) fn admits(&self, units: f64, priority_deficit: f64) -> bool {
         units + self.share * priority_deficit <= self.remaining
     }
 }
 
 impl SlowStartState {
-    /// Whether a process that started at this time is a later one; none: long ago.
+    /// Returns whether a process that started at `started_at` is a later one than the recorded process. `None` means
+    /// long ago.
     pub(super) fn is_before(&self, started_at: Option<Tick>) -> bool {
         self.started_at.unwrap_or(CLOCK_ZERO) < started_at.unwrap_or(CLOCK_ZERO)
     }
 
-    /// When the node's process started, if that was after the zero of the host's clock.
+    /// Returns the start of the node's process, if it is after the zero of the host's clock.
     fn start_after_clock_zero(&self) -> Option<Tick> {
         self.started_at.filter(|time| *time > CLOCK_ZERO)
     }
 
-    /// The node's process was started at this time; none: long ago.
+    /// Records the start of a new process of the node. `None` means long ago.
     pub(super) fn restart(&mut self, started_at: Option<Tick>) {
         self.started_at = started_at;
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The number drawn for the present overload window.
+    /// Returns the random number for the current overload window.
     fn share_draw(&mut self, now: Tick, window: Tick, rng: &Pcg) -> f64 {
         if let Some(draw) = self.draw.filter(|draw| now < draw.valid_until) {
             return draw.value;
@@ -113,7 +114,7 @@
 }
 
 impl SlowStart {
-    /// The limits of a configuration, for one of so many hosts.
+    /// Creates the configured limits for one of `hosts` hosts.
     pub(super) fn new(config: &SchedulerConfig, hosts: f64, max_io_units: f64) -> Self {
         let safe_multiple = SAFE_LOAD * config.overload_multiple * config.slow_start_initial_rate;
         let overload = OverloadBound {
@@ -132,33 +133,34 @@
         }
     }
 
-    /// The demand for warm nodes, which tells how much of this host's share of a warming node is used.
+    /// Returns the demand for warm nodes, from which the used fraction of this host's slow start shares is estimated.
     pub(super) fn warm_demand_mut(&mut self) -> &mut WarmDemand {
         &mut self.warm_demand
     }
 
-    /// Whether a node has long been up, or started so long ago that it has reached its full rate.
+    /// Returns whether a node has been up for a long time or has reached its full rate.
     pub(super) fn is_warm(&self, now: Tick, state: &SlowStartState) -> bool {
         state
             .started_at
             .is_none_or(|started_at| now > started_at + self.duration)
     }
 
-    /// Whether a node is still in its slow start, as shown to operators.
+    /// Returns whether a node is still in slow start, for the status shown to operators.
     pub(super) fn is_warming_up(&self, now: Tick, state: &SlowStartState) -> bool {
         state
             .start_after_clock_zero()
             .is_some_and(|started_at| now < started_at + self.duration)
     }
 
-    /// Counts this host's even share of a node as spent. A host that has itself just started may have spent it before
-    /// it was stopped.
+    /// Counts this host's even share of a node's slow start as used, because a host that has just started may have used
+    /// it before it was stopped.
     pub(super) fn count_share_as_spent(&self, now: Tick, state: &mut SlowStartState) {
         state.record_sent(now, self.even_share);
     }
 
-    /// Units that this host may still send to a node; none if there is no bound. Its share is even, or goes by what it
-    /// sent to the node while the node was well, since all hosts together sent no more than the node could do.
+    /// Returns the units that this host may still send to a node, or `None` if there is no limit. The share is the even
+    /// share, or if larger, a share derived from the rate at which this host sent to the healthy node: all hosts
+    /// together sent no more than the node could serve.
     pub(super) fn capacity(
         &self,
         now: Tick,
@@ -176,8 +178,8 @@
         let sent = state.sent_units.after(now - overload.window - 1);
         let share = if share < self.max_io_units {
             let draw = state.share_draw(now, overload.window, rng);
-            let safe_rate = overload.safe_rate(growth) * self.used_fraction(usual_rate);
-            self.rounded_share(share, sent, draw, safe_rate)
+            let safe_rate_ratio = overload.safe_rate_ratio(growth) * self.used_fraction(usual_rate);
+            self.rounded_share(share, sent, draw, safe_rate_ratio)
         } else {
             share
         };
@@ -187,8 +189,9 @@
         })
     }
 
-    /// The fraction of its shares that this host is expected to use: all if it usually sends to the node, else what
-    /// warm nodes accept, as even shares also go to hosts that have nothing to send.
+    /// Returns the fraction of its shares that this host is expected to use. It is 1 if the host usually sends to the
+    /// node; otherwise it is the fraction of demand that warm nodes accept, because hosts that have nothing to send
+    /// also get even shares.
     fn used_fraction(&self, usual_rate: f64) -> f64 {
         if usual_rate > 0.0 {
             1.0
@@ -197,10 +200,10 @@
         }
     }
 
-    /// Rounds a share below the largest block I/O up to a whole one, at random, so that the mean stays. Drawback:
-    /// costly where all hosts surge at a node's return.
-    fn rounded_share(&self, share: f64, sent: f64, draw: f64, safe_rate: f64) -> f64 {
-        if draw + f64::from(sent > 0.0) < safe_rate {
+    /// Rounds a share smaller than the largest block I/O up to that size at random, so that the mean is kept. Drawback:
+    /// costly if all hosts surge when a node returns.
+    fn rounded_share(&self, share: f64, sent: f64, draw: f64, safe_rate_ratio: f64) -> f64 {
+        if draw + f64::from(sent > 0.0) < safe_rate_ratio {
             self.max_io_units
         } else if sent == 0.0 {
             (share / draw).min(self.max_io_units)
@@ -211,15 +214,16 @@
 }
 
 impl OverloadBound {
-    /// The node's rate as a multiple of its first one, by the slowest growth allowed, half a window late.
+    /// Returns the node's rate as a multiple of its initial rate, assuming the slowest growth allowed, delayed by half
+    /// a window.
     fn growth(&self, age: Tick, duration: Tick) -> f64 {
         let elapsed_fraction = (age - self.window / 2).max(0) as f64 / duration.max(1) as f64;
         (self.initial_rate + (1.0 - self.initial_rate) * elapsed_fraction.min(1.0))
             / self.initial_rate
     }
 
-    /// The safe rate of a node of this growth, as a multiple of its usual rate.
-    fn safe_rate(&self, growth: f64) -> f64 {
+    /// Returns the safe rate of a node with this growth, as a multiple of its usual rate.
+    fn safe_rate_ratio(&self, growth: f64) -> f64 {
         self.per_usual_rate * growth / self.window as f64
     }
 }
--- a/crates/scheduler/src/policy/timers.rs
+++ b/crates/scheduler/src/policy/timers.rs
@@ -1,23 +1,23 @@
-//! What the scheduler asks its host to be called for.
+//! The timers for which the scheduler asks its host to call it.
 use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::{Host, Tick};
 
 /// The host's timer.
 #[derive(Default)]
 pub(super) struct HostTimer {
-    /// The earliest time for which it is set.
+    /// Earliest time for which the timer is set.
     armed_for: Option<Tick>,
 }
 
 impl HostTimer {
-    /// The timer has fired.
+    /// Records that the timer has fired.
     pub(super) fn on_fired(&mut self, now: Tick) {
         if self.armed_for.is_some_and(|time| now >= time) {
             self.armed_for = None;
         }
     }
 
-    /// Sets the timer for a time, at the earliest for the next tick, unless it is set for an earlier one.
+    /// Sets the timer for `due`, but no earlier than the next tick, unless it is already set for an earlier time.
     pub(super) fn arm(&mut self, host: &mut dyn Host, now: Tick, due: Tick) {
         let due = due.max(now + 1);
         if self.armed_for.is_none_or(|time| due < time) {
@@ -27,25 +27,25 @@
     }
 }
 
-/// When allocation intervals start.
+/// The schedule of allocation intervals.
 pub(super) struct AllocationTimer {
     next: Tick,
 }
 
 impl AllocationTimer {
-    /// The first interval starts one interval from now.
+    /// Creates a schedule whose first interval starts one interval after `now`.
     pub(super) fn new(now: Tick) -> Self {
         AllocationTimer {
             next: now + ALLOCATION_INTERVAL,
         }
     }
 
-    /// When the next interval starts.
+    /// Returns the start of the next interval.
     pub(super) fn next(&self) -> Tick {
         self.next
     }
 
-    /// Whether an interval starts now; the next one then starts an interval later.
+    /// Returns whether an interval is due. If so, the next one starts one interval after `now`.
     pub(super) fn take_due(&mut self, now: Tick) -> bool {
         let due = now >= self.next;
         if due {
--- a/crates/scheduler/src/policy/usual_rate.rs
+++ b/crates/scheduler/src/policy/usual_rate.rs
@@ -2,36 +2,36 @@
 use super::constants::ALLOCATION_INTERVAL;
 use crate::interface::Tick;
 
-/// Weight of one allocation interval in the usual rate: about ten seconds decide.
+/// Weight of one allocation interval in the usual rate: an average over about 10 s.
 const ALPHA: f64 = 0.01;
 
-/// Mean rate at which this host sends to a node while the node is well, in units a tick.
+/// Mean rate at which this host sends to a node while the node is healthy, in units per tick.
 #[derive(Default)]
 pub(super) struct UsualRate {
     mean: f64,
-    /// Units sent in the present allocation interval.
+    /// Units sent in the current allocation interval.
     interval_units: f64,
 }
 
 impl UsualRate {
-    /// The mean rate; 0 if nothing was ever sent.
+    /// Returns the mean rate, or 0 if nothing was ever sent.
     pub(super) fn get(&self) -> f64 {
         self.mean
     }
 
-    /// Counts units that were sent.
+    /// Records units that were sent.
     pub(super) fn record_sent(&mut self, units: f64) {
         self.interval_units += units;
     }
 
-    /// Takes the rate of another node of the same shard where it is higher: a node that replaces another holds its
-    /// shard, and this host goes on sending there.
+    /// Raises the mean to the rate of another node of the same shard. A node that replaces another holds the same
+    /// shard, and this host continues to send to that shard.
     pub(super) fn raise_to(&mut self, rate: f64) {
         self.mean = self.mean.max(rate);
     }
 
-    /// Ends an allocation interval. Its rate counts only if the node was well; while the host is young, intervals
-    /// weigh more.
+    /// Ends an allocation interval. Its rate counts only if the node was healthy. While the host is young, intervals
+    /// have a higher weight.
     pub(super) fn end_interval(&mut self, node_is_healthy: bool, host_age: Tick) {
         let rate = std::mem::take(&mut self.interval_units) / ALLOCATION_INTERVAL as f64;
         if node_is_healthy {
--- a/crates/scheduler/src/policy/warm_demand.rs
+++ b/crates/scheduler/src/policy/warm_demand.rs
@@ -1,13 +1,13 @@
-//! How much of the demand for warm nodes is accepted.
+//! The fraction of the demand for warm nodes that is accepted.
 
-/// Fraction of the demand that counts as accepted before anything is known: demand may be twice what a node does.
+/// Fraction of demand assumed to be accepted initially: demand may be twice what a node can serve.
 const PRIOR_ACCEPTED: f64 = 0.5;
 /// Weight of [`PRIOR_ACCEPTED`], in block I/Os for warm nodes.
 const PRIOR_WEIGHT: f64 = 4.0;
-/// Fraction of the counts that is kept in each allocation interval: the last ten seconds decide.
+/// Fraction of the counts that is kept in each allocation interval: they cover about the last 10 s.
 const DECAY: f64 = 0.99;
 
-/// Decaying counts of the block I/Os for warm nodes, and of those that were sent to them.
+/// Decaying counts of the block I/Os for warm nodes, and of those sent to them.
 #[derive(Default)]
 pub(super) struct WarmDemand {
     sent: f64,
@@ -15,24 +15,24 @@
 }
 
 impl WarmDemand {
-    /// Counts a block I/O that was sent to a warm node.
+    /// Records a block I/O that was sent to a warm node.
     pub(super) fn record_sent(&mut self) {
         self.sent += 1.0;
         self.total += 1.0;
     }
 
-    /// Counts a block I/O that a warm node had no capacity for.
+    /// Records a block I/O that a warm node had no capacity for.
     pub(super) fn record_not_sent(&mut self) {
         self.total += 1.0;
     }
 
-    /// Ages the counts by one allocation interval.
+    /// Decays the counts by one allocation interval.
     pub(super) fn decay(&mut self) {
         self.sent *= DECAY;
         self.total *= DECAY;
     }
 
-    /// The fraction of the demand that was sent.
+    /// Returns the fraction of the demand that was sent.
     pub(super) fn accepted_fraction(&self) -> f64 {
         (self.sent + PRIOR_ACCEPTED * PRIOR_WEIGHT) / (self.total + PRIOR_WEIGHT)
     }
