--- a/crates/scheduler/src/policy/tests/backoff.rs
+++ b/crates/scheduler/src/policy/tests/backoff.rs
@@ -1,7 +1,7 @@
 use super::super::backoff::{Backoff, max_backoff};
 
 #[test]
-fn the_pause_doubles_with_each_failure_after_the_first_up_to_the_longest() {
+fn the_backoff_doubles_with_each_failure_after_the_first_up_to_its_maximum() {
     let mut backoff = Backoff::default();
     let mut pauses = Vec::new();
     for failure in 0..7 {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_longest_pause_grows_with_the_root_of_the_host_count() {
+fn the_maximum_backoff_grows_with_the_square_root_of_the_host_count() {
     assert_eq!(max_backoff(1.0), 3_000);
     assert_eq!(max_backoff(100.0), 30_000);
 }
--- a/crates/scheduler/src/policy/tests/concurrency_window.rs
+++ b/crates/scheduler/src/policy/tests/concurrency_window.rs
@@ -4,7 +4,7 @@
 const OBJECTIVE: f64 = 1_000.0;
 
 #[test]
-fn quick_answers_widen_a_full_window_only() {
+fn fast_answers_widen_only_a_full_window() {
     let mut window = ConcurrencyWindow::initial(4.0);
     assert_close(window.size(), 2.0);
     window.on_completion(100.0, 100.0, false, OBJECTIVE);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_slow_mean_narrows_the_window_and_a_latency_between_the_bounds_keeps_it() {
+fn a_high_mean_latency_narrows_the_window_and_one_between_the_bounds_keeps_it() {
     let mut window = ConcurrencyWindow::initial(4.0);
     window.on_completion(100.0, 300.0, true, OBJECTIVE);
     assert_close(window.size(), 2.0);
--- a/crates/scheduler/src/policy/tests/fleet_latency.rs
+++ b/crates/scheduler/src/policy/tests/fleet_latency.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_full_queue_implies_the_objective_and_a_time_out_three_means_at_most() {
+fn a_rejection_implies_the_objective_and_a_timeout_at_most_three_means() {
     let fleet = FleetLatency::new(1_000.0);
     let implied = |result, latency| fleet.implied_latency(&failure(result, latency));
     assert_close(implied(AttemptResult::Rejected, 5), 1_000.0);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn one_answer_counts_as_no_more_than_most_of_the_objective() {
+fn one_answer_counts_as_at_most_a_fixed_fraction_of_the_objective() {
     let mut late = FleetLatency::new(1_000.0);
     let mut very_late = FleetLatency::new(1_000.0);
     late.record_answer(900.0);
--- a/crates/scheduler/src/policy/tests/idempotency.rs
+++ b/crates/scheduler/src/policy/tests/idempotency.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_attempt_that_the_node_never_took_has_not_run() {
+fn an_attempt_that_was_rejected_or_never_sent_has_not_run() {
     let results = [
         (AttemptResult::Rejected, false),
         (AttemptResult::ConnectFailed, false),
--- a/crates/scheduler/src/policy/tests/lost_responses.rs
+++ b/crates/scheduler/src/policy/tests/lost_responses.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn only_old_attempts_are_taken_for_lost() {
+fn only_old_overtaken_attempts_count_as_lost() {
     let mut in_flight = AttemptsInFlight::default();
     in_flight.add(100, BioId(1));
     in_flight.add(180, BioId(2));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn loss_is_watched_for_during_five_seconds() {
+fn loss_detection_lasts_five_seconds_after_a_lost_response() {
     let mut detector = LostResponseDetector::default();
     assert!(!detector.is_losing(0));
     detector.record_loss(1_000);
--- a/crates/scheduler/src/policy/tests/mod.rs
+++ b/crates/scheduler/src/policy/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of single concerns; `tests/` of the package plays them together.
+//! Unit tests of the policy modules. The integration tests in `tests/` cover their interaction.
 mod backoff;
 mod concurrency_window;
 mod cost_multiplier;
@@ -19,7 +19,7 @@
 
 use crate::interface::{Bio, BioId, Host, KeyId, NodeId, Tick, VolumeId};
 
-/// A host that records the keys released and the timers set.
+/// A host that records the released keys and the timers that are set.
 #[derive(Default)]
 struct RecordingHost {
     released_keys: Vec<KeyId>,
@@ -43,7 +43,7 @@
     fn release_node(&mut self, _node: NodeId) {}
 }
 
-/// A block I/O of a volume with this deadline.
+/// Returns a block I/O of this volume with this deadline.
 fn bio(volume: u32, deadline: Tick) -> Bio {
     Bio {
         volume: VolumeId(volume),
@@ -52,11 +52,11 @@
     }
 }
 
-/// Two figures that are equal but for rounding.
+/// Asserts that two values are equal except for rounding errors.
 #[track_caller]
 fn assert_close(measured: f64, expected: f64) {
     assert!(
         (measured - expected).abs() < 1e-9,
-        "{measured} is not {expected}"
+        "measured {measured}, expected {expected}"
     );
 }
--- a/crates/scheduler/src/policy/tests/node_budget.rs
+++ b/crates/scheduler/src/policy/tests/node_budget.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// A budget with two volumes, of which one has units queued, after the start of an interval.
+/// Returns a budget with two volumes after the start of an interval. One volume has units queued; the other is idle.
 fn budget(ceiling: Option<f64>) -> NodeBudget {
     let mut budget = NodeBudget::default();
     budget.open_allocation(BUSY, 10.0);
@@ -23,7 +23,7 @@
     budget
 }
 
-/// Units that a volume may spend, one at a time, at a node without room to lend.
+/// Returns the units that a volume may spend, one at a time, at a node without free capacity to lend.
 fn spendable(budget: &mut NodeBudget, volume: VolumeId) -> u32 {
     let rng = Pcg::new(1);
     let mut units = 0;
@@ -34,30 +34,40 @@
 }
 
 #[test]
-fn a_busy_volume_gets_its_base_and_what_idle_ones_leave() {
-    // 20 of bases and 20 beyond: 2 go into the pool, an idle volume keeps a quarter of its history of 10.
+fn a_busy_volume_gets_its_base_and_the_unused_budget_of_idle_volumes() {
+    // The budget is 20 for the bases and 20 extra: 2 go into the pool, and the idle volume keeps a quarter of its
+    // history of 10.
     let mut budget = budget(None);
     let own = 40.0 - 2.0 - 2.5;
     assert_eq!(spendable(&mut budget, BUSY), own as u32 + 1 + 2);
 }
 
 #[test]
-fn an_allocation_stops_at_the_ceiling_of_its_limit() {
+fn an_allocation_does_not_exceed_its_ceiling() {
     let mut budget = budget(Some(12.0));
     assert_eq!(spendable(&mut budget, BUSY), 12 + 2);
 }
 
 #[test]
-fn an_idle_volume_that_returns_is_paid_for_by_a_bursting_one() {
+fn a_volume_that_becomes_active_again_is_charged_to_a_bursting_one() {
     let mut budget = budget(None);
     let rng = Pcg::new(1);
-    assert!(budget.charge(IDLE, 3.0, false, &rng), "from its own");
-    assert!(budget.charge(IDLE, 20.0, false, &rng), "from the other's");
-    assert!(!budget.charge(IDLE, 20.0, false, &rng), "none can pay");
+    assert!(
+        budget.charge(IDLE, 3.0, false, &rng),
+        "the volume's own allocation is charged"
+    );
+    assert!(
+        budget.charge(IDLE, 20.0, false, &rng),
+        "the bursting volume's allocation is charged"
+    );
+    assert!(
+        !budget.charge(IDLE, 20.0, false, &rng),
+        "no allocation covers the cost"
+    );
 }
 
 #[test]
-fn a_node_with_room_lends_what_nobody_can_pay() {
+fn a_node_with_free_capacity_lends_a_cost_that_no_allocation_covers() {
     let mut budget = NodeBudget::default();
     budget.open_allocation(BUSY, 0.0);
     let rng = Pcg::new(1);
--- a/crates/scheduler/src/policy/tests/ordering_keys.rs
+++ b/crates/scheduler/src/policy/tests/ordering_keys.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn only_the_first_of_a_key_may_be_sent() {
+fn only_the_first_block_io_of_a_key_may_be_sent() {
     let mut keys = keys();
     keys.join(KEY, BioId(1), true);
     keys.join(KEY, BioId(2), true);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_key_is_released_once_with_its_last_user_or_with_its_cooldown() {
+fn a_key_is_released_once_after_its_last_user_and_its_cooldown() {
     let mut keys = keys();
     let mut host = RecordingHost::default();
     keys.join(KEY, BioId(1), true);
--- a/crates/scheduler/src/policy/tests/request.rs
+++ b/crates/scheduler/src/policy/tests/request.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_was_never_sent_is_queued_for_half_of_its_time_at_most() {
+fn an_unsent_request_is_queued_for_at_most_half_of_the_time_to_its_deadline() {
     let mut request = Request::new(0, bio(0, 1_000), 5_000, true);
     assert_eq!(request.queued_until(), 440);
     request.begin_attempt();
--- a/crates/scheduler/src/policy/tests/retry_budget.rs
+++ b/crates/scheduler/src/policy/tests/retry_budget.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn retries_are_allowed_by_the_minimum_and_by_the_arrivals_of_a_window() {
+fn retries_are_limited_by_the_minimum_and_the_arrivals_in_the_window() {
     let mut budget = budget(1_000);
     budget.record_arrival(10);
     budget.record_arrival(10);
@@ -19,8 +19,14 @@
     assert!(budget.allows_retry(20));
     budget.record_retry(20);
     assert!(!budget.allows_retry(20));
-    assert!(!budget.allows_retry(1_020), "the arrivals count no more");
-    assert!(budget.allows_retry(1_021), "nor do the retries");
+    assert!(
+        !budget.allows_retry(1_020),
+        "the arrivals have left the window"
+    );
+    assert!(
+        budget.allows_retry(1_021),
+        "the retries have left the window"
+    );
 }
 
 #[test]
--- a/crates/scheduler/src/policy/tests/shed_history.rs
+++ b/crates/scheduler/src/policy/tests/shed_history.rs
@@ -2,7 +2,7 @@
 use super::bio;
 
 #[test]
-fn a_retry_is_known_by_its_volume_and_by_the_deadline_of_its_first_try() {
+fn a_retry_is_recognised_by_its_volume_and_the_deadline_of_the_original_request() {
     let mut history = ShedHistory::default();
     history.record(&bio(1, 1_000), 400);
     let found = |volume, deadline| history.objective_end_of_original(&bio(volume, deadline));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_block_io_is_forgotten_with_its_deadline() {
+fn a_shed_block_io_is_forgotten_once_its_deadline_has_passed() {
     let mut history = ShedHistory::default();
     history.record(&bio(1, 1_000), 400);
     history.forget_expired(999);
--- a/crates/scheduler/src/policy/tests/timers.rs
+++ b/crates/scheduler/src/policy/tests/timers.rs
@@ -15,11 +15,15 @@
     assert_eq!(host.timers, [100, 50]);
     timer.on_fired(50);
     timer.arm(&mut host, 50, 40);
-    assert_eq!(host.timers, [100, 50, 1], "what is overdue waits a tick");
+    assert_eq!(
+        host.timers,
+        [100, 50, 1],
+        "an overdue time is set for the next tick"
+    );
 }
 
 #[test]
-fn an_allocation_interval_starts_a_whole_one_after_the_last() {
+fn an_allocation_interval_starts_a_full_interval_after_the_last_start() {
     let mut timer = AllocationTimer::new(0);
     assert!(!timer.take_due(999));
     assert!(timer.take_due(1_300));
--- a/crates/scheduler/src/policy/tests/usual_rate.rs
+++ b/crates/scheduler/src/policy/tests/usual_rate.rs
@@ -2,7 +2,7 @@
 use super::assert_close;
 
 #[test]
-fn an_interval_weighs_by_the_age_of_a_young_host() {
+fn an_interval_weighs_more_while_the_host_is_young() {
     let mut rate = UsualRate::default();
     rate.record_sent(2_000.0);
     rate.end_interval(true, 1_000);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_interval_in_which_the_node_was_not_well_does_not_count() {
+fn an_interval_in_which_the_node_was_unhealthy_does_not_count() {
     let mut rate = UsualRate::default();
     rate.record_sent(2_000.0);
     rate.end_interval(false, 1_000);
--- a/crates/scheduler/src/policy/tests/volume.rs
+++ b/crates/scheduler/src/policy/tests/volume.rs
@@ -5,7 +5,7 @@
 
 const MAX_IO_UNITS: f64 = 8.0;
 
-/// A plan of 10,000 units a second over all hosts, with a burst of 40 and a reservation of 1,000 units a second.
+/// Returns a plan with this rate limit over all hosts, a burst of 40 units and a reservation of 1,000 units per second.
 fn plan(rate_limit: f64) -> PlanRates {
     PlanRates::from(&Plan {
         reserved_rate: 1_000.0,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_bucket_opens_empty_and_fills_to_this_hosts_part_of_the_burst() {
+fn the_bucket_starts_empty_and_fills_to_this_hosts_share_of_the_burst() {
     let plan = plan(10_000.0);
     let mut volume = volume(None);
     assert!(volume.lacks_tokens(0, 0.1, true));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_quota_takes_the_place_of_the_even_share() {
+fn a_quota_replaces_the_even_share() {
     let plan = plan(10_000.0);
     let mut volume = volume(Some(0.9));
     volume.refill(10, &plan, MAX_IO_UNITS);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn tokens_that_ran_short_for_the_top_class_are_kept_for_it() {
+fn tokens_too_few_for_the_highest_weight_class_are_held_for_it() {
     let plan = plan(10_000.0);
     let mut volume = volume(None);
     volume.hold_tokens_for_top_class(0, 4.0);
@@ -54,14 +54,19 @@
 }
 
 #[test]
-fn the_ceiling_is_the_limit_less_what_other_hosts_use_but_at_least_this_hosts_part() {
+fn the_ceiling_is_the_limit_less_usage_by_other_hosts_but_at_least_this_hosts_share() {
     let plan = plan(10_000.0);
     let mut volume = volume(None);
-    let ceiling = |volume: &Volume| volume.entitlement(&plan).ceiling.expect("a limit");
+    let ceiling = |volume: &Volume| {
+        volume
+            .entitlement(&plan)
+            .ceiling
+            .expect("the plan has a rate limit")
+    };
     assert_close(ceiling(&volume), 520.0);
     volume.record_other_hosts_usage(1e9, &plan);
     volume.end_interval();
-    // A report counts as no more than a burst, in the mean over about a second.
+    // A report counts as at most one burst, and enters a mean over about one second.
     assert_close(ceiling(&volume), 1_020.0 - 4.0);
     assert!(volume.entitlement(&self::plan(0.0)).ceiling.is_none());
 }
@@ -72,10 +77,19 @@
     let mut volume = volume(None);
     volume.begin_block_io(0, 2.0);
     volume.refill(200_000, &plan, MAX_IO_UNITS);
-    assert!(!volume.is_forgettable(200_000, &plan), "in use");
+    assert!(
+        !volume.is_forgettable(200_000, &plan),
+        "the volume has a block I/O in progress"
+    );
     volume.end_block_io();
-    assert!(!volume.is_forgettable(200_000, &plan), "tokens to fill");
+    assert!(
+        !volume.is_forgettable(200_000, &plan),
+        "the tokens are not full"
+    );
     volume.refill(500_000, &plan, MAX_IO_UNITS);
     assert!(volume.is_forgettable(500_000, &plan));
-    assert!(!volume.is_forgettable(100_000, &plan), "used lately");
+    assert!(
+        !volume.is_forgettable(100_000, &plan),
+        "the volume was used recently"
+    );
 }
--- a/crates/scheduler/src/policy/tests/warm_demand.rs
+++ b/crates/scheduler/src/policy/tests/warm_demand.rs
@@ -2,7 +2,7 @@
 use super::assert_close;
 
 #[test]
-fn half_of_the_demand_counts_as_accepted_until_more_is_known() {
+fn half_of_the_demand_is_assumed_to_be_accepted_initially() {
     let mut demand = WarmDemand::default();
     assert_close(demand.accepted_fraction(), 0.5);
     for _ in 0..4 {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn what_is_known_of_the_demand_fades() {
+fn the_demand_counts_decay_to_the_initial_assumption() {
     let mut demand = WarmDemand::default();
     for _ in 0..100 {
         demand.record_sent();
