--- a/crates/scheduler/src/policy/tests/ordering_keys.rs
+++ b/crates/scheduler/src/policy/tests/ordering_keys.rs
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn only_the_first_of_a_key_may_be_sent() {
+fn only_the_first_block_io_of_a_key_may_be_sent() {
     let mut keys = keys();
     keys.join(KEY, BioId(1), true);
     keys.join(KEY, BioId(2), true);
-    assert!(keys.is_its_turn(0, KEY, BioId(1), false));
-    assert!(!keys.is_its_turn(0, KEY, BioId(2), false));
+    assert!(keys.is_first_in_order(0, KEY, BioId(1), false));
+    assert!(!keys.is_first_in_order(0, KEY, BioId(2), false));
     keys.leave(&mut RecordingHost::default(), 0, KEY, BioId(1));
-    assert!(keys.is_its_turn(0, KEY, BioId(2), false));
+    assert!(keys.is_first_in_order(0, KEY, BioId(2), false));
 }
 
 #[test]
@@ -29,13 +29,13 @@
     assert_eq!(keys.on_attempt_finished(0, KEY, AttemptResult::Error), None);
     let end = keys.on_attempt_finished(0, KEY, AttemptResult::TimedOut);
     assert_eq!(end, Some(501));
-    assert!(keys.is_its_turn(500, KEY, BioId(1), true));
-    assert!(!keys.is_its_turn(500, KEY, BioId(1), false));
-    assert!(keys.is_its_turn(501, KEY, BioId(1), false));
+    assert!(keys.is_first_in_order(500, KEY, BioId(1), true));
+    assert!(!keys.is_first_in_order(500, KEY, BioId(1), false));
+    assert!(keys.is_first_in_order(501, KEY, BioId(1), false));
 }
 
 #[test]
-fn a_key_is_released_once_with_its_last_user_or_with_its_cooldown() {
+fn a_key_is_released_once_after_its_last_user_and_its_cooldown() {
     let mut keys = keys();
     let mut host = RecordingHost::default();
     keys.join(KEY, BioId(1), true);
