--- a/crates/fleet/src/anti_entropy.rs
+++ b/crates/fleet/src/anti_entropy.rs
@@ -1,48 +1,49 @@
-//! Anti-entropy: when this host compares its table with another member's, and how many comparisons it answers.
+//! Anti-entropy: when this host compares its membership table with another member's, and how many comparisons it
+//! answers.
 #[cfg(test)]
 mod tests;
 
 use crate::Millis;
 use crate::rng::SeededRng;
 
-/// Periods between two comparisons that a host starts.
+/// Protocol periods between two comparisons that a joined host starts.
 const INTERVAL_PERIODS: u64 = 10;
-/// Comparisons that a joining host starts in one period.
+/// Comparisons that a joining host starts in one protocol period.
 const JOINING_COMPARISONS_PER_PERIOD: u64 = 5;
-/// Comparisons answered in one period at most.
+/// Maximum number of comparisons that are answered in one protocol period.
 const MAX_REPLIES_PER_PERIOD: u32 = 16;
 
-/// Limits the comparisons that are answered in a period.
+/// Limit of the number of comparisons that are answered in a protocol period.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ReplyBudget {
-    since: Millis,
+    period_start: Millis,
     replies: u32,
 }
 
 impl ReplyBudget {
     fn new(now: Millis) -> Self {
         ReplyBudget {
-            since: now,
+            period_start: now,
             replies: 0,
         }
     }
 
-    /// Begins a new period once the last one is over.
+    /// Renews the budget if its protocol period is over.
     fn renew(&mut self, now: Millis, period: Millis) {
-        if now >= self.since + period {
+        if now >= self.period_start + period {
             *self = ReplyBudget::new(now);
         }
     }
 
-    /// Takes one reply out of the budget. Returns whether there was one left.
+    /// Spends one reply. Returns whether the budget allowed it.
     fn spend(&mut self) -> bool {
-        let is_left = self.replies < MAX_REPLIES_PER_PERIOD;
-        self.replies += u32::from(is_left);
-        is_left
+        let is_within_budget = self.replies < MAX_REPLIES_PER_PERIOD;
+        self.replies += u32::from(is_within_budget);
+        is_within_budget
     }
 }
 
-/// Schedule of the comparisons that a host starts, and budget of those that it answers.
+/// Schedule of the comparisons that this host starts, and budget of those that it answers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AntiEntropy {
     protocol_period: Millis,
@@ -59,12 +60,12 @@
         }
     }
 
-    /// The next comparison is due at once.
+    /// Makes the next comparison due at once.
     pub fn start_now(&mut self, now: Millis) {
         self.next_comparison = now;
     }
 
-    /// Whether a comparison is due. If so, the next one is due after an interval that is partly random.
+    /// Returns whether a comparison is due. If so, schedules the next one after an interval with random jitter.
     pub fn take_due(&mut self, is_joining: bool, rng: &mut SeededRng, now: Millis) -> bool {
         if now < self.next_comparison {
             return false;
@@ -78,7 +79,8 @@
         true
     }
 
-    /// Whether a comparison is answered. An unknown sender is known by its next comparison, since its record was merged.
+    /// Returns whether a comparison is answered. Those of unknown senders are not; such a sender is known by its next
+    /// comparison, since its record was merged.
     pub fn admit_reply(&mut self, is_known_sender: bool, now: Millis) -> bool {
         self.reply_budget.renew(now, self.protocol_period);
         is_known_sender && self.reply_budget.spend()
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the membership protocol, and the times that follow from them.
+//! Settings of the membership protocol, and the timeouts derived from them.
 mod validation;
 
 use crate::Millis;
@@ -7,36 +7,36 @@
 
 pub use validation::{ConfigProblem, FleetConfig, UncheckedFleetConfig};
 
-/// Members known at most, this host included; further ones are dropped and counted.
+/// Maximum number of members in a host's table, the host included. Further members are dropped and counted.
 pub const MAX_MEMBERS: usize = 16_384;
-/// Seeds at most.
+/// Maximum number of seeds.
 pub const MAX_SEEDS: usize = 32;
-/// Protocol periods that may be set, in milliseconds.
+/// Valid protocol periods, in milliseconds.
 pub const PROTOCOL_PERIOD_RANGE: std::ops::RangeInclusive<Millis> = 50..=60_000;
-/// Shortest retention of unreachable members, in protocol periods: with less, a member would be removed while it is
+/// Minimum retention time of unreachable members, in protocol periods. A shorter one would remove members that are
 /// still suspected.
 pub const MIN_RETENTION_PERIODS: u64 = 100;
 
-/// Protocol period where none is set.
+/// Default protocol period, in milliseconds.
 const DEFAULT_PROTOCOL_PERIOD: Millis = 1_000;
-/// Retention of unreachable members where none is set.
+/// Default retention time of unreachable members, in milliseconds.
 const DEFAULT_RETENTION: Millis = 3_600_000;
-/// Lifeguard's alpha: the shortest suspicion timeout in periods, times the decimal logarithm of the number of members.
-/// Chosen so that a process may be stopped for five seconds.
+/// Lifeguard's alpha: the minimum suspicion timeout, in protocol periods per decimal logarithm of the number of
+/// members. With the default period, a process may be paused for five seconds without becoming unreachable.
 const MIN_SUSPICION_PERIODS: f64 = 5.0;
-/// Lifeguard's beta: the timeout of an unconfirmed suspicion, as a multiple of the shortest one.
+/// Lifeguard's beta: the timeout of an unconfirmed suspicion, as a multiple of the minimum suspicion timeout.
 const MAX_SUSPICION_FACTOR: f64 = 3.0;
-/// Lifeguard's K: independent confirmations with which a suspicion has its shortest timeout.
+/// Lifeguard's K: number of independent confirmations at which a suspicion has the minimum timeout.
 pub(crate) const SUSPICION_CONFIRMATIONS: usize = 3;
-/// Members that the suspicion timeout assumes at least.
+/// Minimum number of members that the suspicion timeout assumes.
 const MIN_SUSPICION_MEMBERS: usize = 10;
-/// SWIM's lambda (section 4.1): transmissions of an update, times the decimal logarithm of the number of members.
+/// SWIM's lambda (section 4.1): transmissions of an update per decimal logarithm of the number of members.
 const RETRANSMIT_FACTOR: u32 = 4;
 
-/// Settings of one member of the protocol.
+/// Settings of one member of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MembershipConfig {
-    /// Name of the fleet. Members of other fleets are ignored.
+    /// Name of the fleet. Datagrams of other fleets are ignored.
     pub fleet: Name,
     /// Name of this host, unique in its fleet.
     pub name: Name,
@@ -44,35 +44,35 @@
     pub zone: Zone,
     /// Address at which other members reach this host.
     pub address: SocketAddr,
-    /// Addresses at which this host looks for its first members.
+    /// Addresses at which this host looks for members when it joins.
     pub seeds: Vec<SocketAddr>,
-    /// SWIM's protocol period: one member is probed in each.
+    /// SWIM's protocol period, in milliseconds. This host pings one member in each period.
     pub protocol_period: Millis,
-    /// How long unreachable members are kept and pinged.
+    /// How long unreachable members are kept and pinged, in milliseconds.
     pub unreachable_retention: Millis,
-    /// Lifeguard's local health multiplier. Turned off by the simulation alone, for comparison.
+    /// Whether Lifeguard's local health multiplier is in use. Only the simulation turns it off, for comparison.
     pub local_health: bool,
-    /// Lifeguard's suspicion timeouts that shorten with confirmations. Turned off by the simulation alone.
+    /// Whether confirmations shorten suspicion timeouts (Lifeguard). Only the simulation turns it off, for comparison.
     pub suspicion_confirmations: bool,
-    /// The protocol rule that is left out; none outside of the exhaustive search's tests.
+    /// Protocol rule that is disabled. `None` except in the tests of the exhaustive search.
     #[cfg(feature = "mutants")]
     pub mutant: Option<Mutant>,
 }
 
-/// A protocol rule that is left out, to show that the exhaustive search finds what the rule guards against.
+/// Protocol rule that is disabled, to show that the exhaustive search finds the fault that the rule prevents.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// A suspected member does not refute the suspicion.
+    /// Suspected members do not refute the suspicion.
     NoRefutation,
-    /// No tombstones are kept of members that were removed.
+    /// Hosts keep no tombstones of removed members.
     NoTombstones,
-    /// An older record replaces a newer one.
+    /// Older records replace newer ones.
     AcceptStaleRecords,
 }
 
 impl MembershipConfig {
-    /// Settings with default times, no zone and no seeds.
+    /// Returns settings with default times, no zone and no seeds.
     #[must_use]
     pub fn new(fleet: Name, name: Name, address: SocketAddr) -> Self {
         MembershipConfig {
@@ -95,25 +95,25 @@
         self.mutant == Some(mutant)
     }
 
-    /// How long a suspicion may stay unrefuted before its member counts as unreachable, in milliseconds.
+    /// Returns how long a suspicion may remain unrefuted before its member counts as unreachable, in milliseconds.
     ///
-    /// Lifeguard's LHA-Suspicion: the timeout falls from its longest value to its shortest one with the logarithm of the
-    /// number of members that `confirmed` the suspicion independently.
+    /// The timeout falls from its maximum to its minimum with the logarithm of the number of independent
+    /// `confirmations` (Lifeguard, LHA-Suspicion).
     #[must_use]
-    pub fn suspicion_timeout(&self, members: usize, confirmed: usize) -> Millis {
+    pub fn suspicion_timeout(&self, members: usize, confirmations: usize) -> Millis {
         let scale = (members.max(MIN_SUSPICION_MEMBERS) as f64).log10();
-        let shortest = MIN_SUSPICION_PERIODS * scale * self.protocol_period as f64;
-        // Neither the suspect nor the member that raised the suspicion confirms it.
-        let wanted = SUSPICION_CONFIRMATIONS.min(members.saturating_sub(2));
-        if wanted == 0 || !self.suspicion_confirmations {
-            return shortest as Millis;
+        let min_timeout = MIN_SUSPICION_PERIODS * scale * self.protocol_period as f64;
+        // Neither the suspected member nor the one that raised the suspicion can confirm it.
+        let max_confirmations = SUSPICION_CONFIRMATIONS.min(members.saturating_sub(2));
+        if max_confirmations == 0 || !self.suspicion_confirmations {
+            return min_timeout as Millis;
         }
-        let progress = ((confirmed + 1) as f64).ln() / ((wanted + 1) as f64).ln();
-        (shortest * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * progress.min(1.0)))
+        let progress = ((confirmations + 1) as f64).ln() / ((max_confirmations + 1) as f64).ln();
+        (min_timeout * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1.0) * progress.min(1.0)))
             as Millis
     }
 
-    /// How often each member forwards an update (SWIM, section 4.1).
+    /// Returns how many times each member transmits an update (SWIM, section 4.1).
     #[must_use]
     pub fn max_transmissions(&self, members: usize) -> u32 {
         RETRANSMIT_FACTOR * ((members + 1) as f64).log10().ceil() as u32
--- a/crates/fleet/src/config/validation.rs
+++ b/crates/fleet/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Fleet configurations as they are read from a file, and their validation.
+//! Fleet configurations as read from a file, and their validation.
 use super::{
     DEFAULT_PROTOCOL_PERIOD, DEFAULT_RETENTION, MAX_SEEDS, MIN_RETENTION_PERIODS, MembershipConfig,
     PROTOCOL_PERIOD_RANGE,
@@ -7,71 +7,74 @@
 use crate::record::{MAX_NAME_BYTES, MAX_ZONE_BYTES, Name, Zone};
 use std::net::SocketAddr;
 
-/// A validated configuration of a host that takes part in its fleet's membership protocol.
+/// Validated configuration of a host that takes part in its fleet's membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Address that the host listens on for datagrams.
+    /// Address on which the host listens for datagrams.
     pub listen: SocketAddr,
-    /// Settings of the protocol.
+    /// Settings of the membership protocol.
     pub membership: MembershipConfig,
 }
 
-/// A fleet configuration as it was read, before validation.
+/// Fleet configuration as read from a file, before validation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UncheckedFleetConfig {
     /// Name of the fleet.
     pub fleet: String,
     /// Name of this host.
     pub host: String,
-    /// Address to listen on; required.
+    /// Address on which this host listens for datagrams. Required.
     pub listen: Option<SocketAddr>,
-    /// Address at which other members reach this host; none: the one it listens on.
+    /// Address at which other members reach this host. `None` if it is the address on which the host listens.
     pub advertise_address: Option<SocketAddr>,
-    /// Zone of this host; empty: none.
+    /// Zone of this host. Empty if the host is in no zone.
     pub zone: String,
     /// Addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// Protocol period; none: the default.
+    /// Protocol period, in milliseconds. `None` for the default.
     pub period: Option<Millis>,
-    /// Retention of unreachable members; none: the default.
+    /// Retention time of unreachable members, in milliseconds. `None` for the default.
     pub unreachable_retention: Option<Millis>,
 }
 
-/// What is wrong with a fleet configuration. The text names the setting and what was expected.
+/// Problem of a fleet configuration. The text names the setting and the expected value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigProblem {
-    /// The fleet's name is empty or too long.
+    /// The name of the fleet is empty or too long.
     #[error("name: expected 1 to {MAX_NAME_BYTES} bytes")]
     FleetName,
-    /// The host's name is empty or too long.
-    #[error("the host's name: expected 1 to {MAX_NAME_BYTES} bytes")]
+    /// The name of the host is empty or too long.
+    #[error("host name: expected 1 to {MAX_NAME_BYTES} bytes")]
     HostName,
-    /// The zone's name is too long.
+    /// The name of the zone is too long.
     #[error("zone: expected up to {MAX_ZONE_BYTES} bytes")]
     Zone,
-    /// The address to listen on is missing.
+    /// The address on which the host listens is missing.
     #[error("listen: expected address:port")]
     Listen,
-    /// Other members can't reach the advertised address, or the one listened on where none is advertised.
-    #[error("reached_at: expected where others reach this host; it listens on every address")]
+    /// Other members cannot reach the advertised address, or the listening address if none is advertised, because it is
+    /// unspecified or has port 0.
+    #[error(
+        "reached_at: expected an address at which other members reach this host; an unspecified address or port 0 is not reachable"
+    )]
     AdvertiseAddress,
-    /// More than [`MAX_SEEDS`] seeds.
-    #[error("seeds: expected {MAX_SEEDS} at most")]
+    /// There are more than [`MAX_SEEDS`] seeds.
+    #[error("seeds: expected at most {MAX_SEEDS} addresses")]
     TooManySeeds,
-    /// The protocol period lies outside [`PROTOCOL_PERIOD_RANGE`].
+    /// The protocol period is outside of [`PROTOCOL_PERIOD_RANGE`].
     #[error("period: expected {} to {} ms", PROTOCOL_PERIOD_RANGE.start(), PROTOCOL_PERIOD_RANGE.end())]
     Period,
-    /// The retention of unreachable members is shorter than [`MIN_RETENTION_PERIODS`] protocol periods.
+    /// The retention time of unreachable members is shorter than [`MIN_RETENTION_PERIODS`] protocol periods.
     #[error("keep: expected {MIN_RETENTION_PERIODS} periods or more")]
     RetentionTooShort,
 }
 
-/// Collects problems, so that all of them are reported at once.
+/// Collects problems, so that validation reports all of them at once.
 #[derive(Default)]
 struct Problems(Vec<ConfigProblem>);
 
 impl Problems {
-    /// The value of a setting; none: it has a problem, which is kept.
+    /// Returns the value of a setting, or `None` if it has a problem, which is collected.
     fn check<T>(&mut self, setting: Result<T, ConfigProblem>) -> Option<T> {
         setting.map_err(|problem| self.0.push(problem)).ok()
     }
@@ -81,7 +84,7 @@
     /// Validates the configuration and fills in defaults.
     ///
     /// # Errors
-    /// Every problem that was found, in the order of the settings.
+    /// All problems of the configuration, in the order of the settings.
     pub fn validate(&self) -> Result<FleetConfig, Vec<ConfigProblem>> {
         let mut problems = Problems::default();
         let fleet = problems.check(parse_name(&self.fleet, ConfigProblem::FleetName));
@@ -113,7 +116,8 @@
         Err(problems.0)
     }
 
-    /// Address at which other members reach this host; none: neither is set.
+    /// Returns the address at which other members reach this host, or `None` if neither an advertised nor a listening
+    /// address is set.
     fn reachable_address(&self) -> Result<Option<SocketAddr>, ConfigProblem> {
         let address = self.advertise_address.or(self.listen);
         if address.is_none_or(is_reachable_address) {
--- a/crates/fleet/src/counters.rs
+++ b/crates/fleet/src/counters.rs
@@ -1,28 +1,29 @@
-//! Counters of datagrams, for operators.
+//! Counters of datagrams and refutations, for operators.
 use crate::wire::DecodeError;
 
-/// Counters of datagrams, since the start.
+/// Counters of datagrams and refutations since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Gossip messages received and decoded.
+    /// Gossip messages that were received and decoded.
     pub received: u64,
-    /// Datagrams sent.
+    /// Datagrams that were sent.
     pub sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Total size of the datagrams that were sent, in bytes.
     pub bytes_sent: u64,
-    /// Datagrams dropped as malformed.
+    /// Datagrams that were dropped as malformed.
     pub malformed: u64,
-    /// Datagrams dropped as another fleet's.
+    /// Datagrams that were dropped because they belong to another fleet.
     pub other_fleet: u64,
-    /// Datagrams dropped for their version of the format.
+    /// Datagrams that were dropped because their format version is not supported.
     pub unsupported_version: u64,
-    /// Members and ping requests dropped for want of capacity.
+    /// Members and ping requests that were dropped because a limit was reached.
     pub capacity_drops: u64,
-    /// Suspicions of this host that it refuted.
+    /// Suspicions and false records of this host that it refuted.
     pub refutations: u64,
 }
 
-/// No decision depends on the counters: two states that differ in them alone are the same for an exhaustive search.
+/// Hashes nothing: no decision depends on the counters, so states that differ in them alone are the same for an
+/// exhaustive search.
 impl std::hash::Hash for Counters {
     fn hash<H: std::hash::Hasher>(&self, _: &mut H) {}
 }
@@ -39,7 +40,7 @@
 
     pub(crate) fn count_undecodable(&mut self, error: DecodeError) {
         match error {
-            DecodeError::Malformed | DecodeError::ImpossibleGeneration => self.malformed += 1,
+            DecodeError::Malformed | DecodeError::GenerationTooHigh => self.malformed += 1,
             DecodeError::OtherFleet => self.other_fleet += 1,
             DecodeError::UnsupportedVersion => self.unsupported_version += 1,
         }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -2,34 +2,35 @@
 use crate::record::{ActiveVersions, MemberState, Name};
 use std::net::SocketAddr;
 
-/// A change of a host's membership table, or of the host's own standing in the fleet.
+/// Change of a host's membership table, or of the host's own participation in the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
     /// A member was added, its record changed, or its state changed.
     MemberUpdated {
         /// Name of the member.
         name: Name,
-        /// Address at which members reach it.
+        /// Address at which other members reach the member.
         address: SocketAddr,
-        /// Versions that it acts on.
+        /// Versions of shared state that the member acts on.
         versions: ActiveVersions,
-        /// State before the change; none: the member was not in the table.
+        /// State before the change. `None` if the member was not in the table.
         previous: Option<MemberState>,
-        /// State after the change; the same as before where only the record changed.
+        /// State after the change. Equal to the previous state if only the record changed.
         current: MemberState,
     },
-    /// A member was unreachable for the whole retention time and was removed from the table.
+    /// A member was removed from the table because it was unreachable for the whole retention time.
     MemberForgotten {
         /// Name of the member.
         name: Name,
     },
-    /// A process that started later runs under this host's name. This one no longer takes part in the protocol.
+    /// Another process under this host's name started later than this one, which no longer takes part in the protocol.
     Superseded {
         /// Address of the later process.
         address: SocketAddr,
     },
-    /// Nothing was received from any other member for some periods: the network of this host itself may have failed.
+    /// Nothing was received from any other member for several protocol periods, so this host's own network may have
+    /// failed.
     IsolationStarted,
-    /// A message of another member was received again.
+    /// A message from another member was received after an isolation.
     IsolationEnded,
 }
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! SWIM's failure detector: which member is pinged in which period, which ping is pending, and Lifeguard's local health
-//! multiplier.
+//! SWIM's failure detector: the member that is pinged in each protocol period, the pending ping, and Lifeguard's local
+//! health multiplier.
 #[cfg(test)]
 mod tests;
 
@@ -7,42 +7,43 @@
 use crate::config::MembershipConfig;
 use crate::rng::SeededRng;
 
-/// Largest local health multiplier (Lifeguard, LHA-Probe): periods are stretched by up to so many further ones.
+/// Maximum of the local health multiplier (Lifeguard, LHA-Probe). At this value, periods are nine times as long.
 const MAX_LOCAL_HEALTH_MULTIPLIER: u32 = 8;
-/// Part of a period for which the answer to a direct ping is awaited, before other members are asked to ping.
+/// Timeout of a direct ping, as a fraction of the protocol period. Other members are then asked to ping the target.
 const DIRECT_PING_TIMEOUT: f64 = 0.4;
 
-/// The member that is pinged in a period, and the ping's sequence number.
+/// Member that is pinged in a protocol period, with the sequence number of the ping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PingTarget {
     pub id: u64,
     pub sequence: u32,
 }
 
-/// A ping that waits for its ack.
+/// Ping whose ack is pending.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingPing {
     target: PingTarget,
-    /// When other members are asked to ping the target; none: they were asked.
+    /// Time at which other members are asked to ping the target. `None` once they were asked.
     indirect_at: Option<Millis>,
-    /// How many members were asked to ping the target.
+    /// Number of members that were asked to ping the target.
     requested: u32,
-    /// How many of them reported a failed ping.
+    /// Number of those members that reported a failed ping.
     failed: u32,
 }
 
-/// Protocol periods of one host, the ping that is pending in the current one, and the local health multiplier.
+/// Protocol periods of this host, the pending ping of the current period, and the local health multiplier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FailureDetector {
     protocol_period: Millis,
     /// Whether the local health multiplier is in use.
     local_health: bool,
-    /// Members still to be pinged in this round, the next one last.
+    /// Members that are still to be pinged in this round, the next one last.
     round: Vec<u64>,
     pending: Option<PendingPing>,
-    /// When the next period begins.
+    /// Time at which the next period begins.
     next_period: Millis,
-    /// Lifeguard's local health multiplier. 0: healthy; each step stretches the periods by one.
+    /// Lifeguard's local health multiplier. 0 if this host is healthy; each step lengthens the periods by one protocol
+    /// period.
     health_multiplier: u32,
 }
 
@@ -58,7 +59,8 @@
         }
     }
 
-    /// The next member to ping. Rounds visit each eligible member once, in a new random order each (SWIM, section 4.3).
+    /// Returns the next member to ping. Each round visits every eligible member once, in a new random order (SWIM,
+    /// section 4.3).
     pub fn next_target(
         &mut self,
         rng: &mut SeededRng,
@@ -78,7 +80,7 @@
         self.round.pop()
     }
 
-    /// A ping was sent: waits for its ack.
+    /// Records a ping that was sent, whose ack is now pending.
     pub fn await_ack(&mut self, target: PingTarget, now: Millis) {
         let timeout =
             (self.protocol_period as f64 * DIRECT_PING_TIMEOUT) as Millis * self.timeout_factor();
@@ -90,14 +92,14 @@
         });
     }
 
-    /// The member that did not answer in time, if others are now to be asked to ping it.
+    /// Returns the member that did not answer in time, if other members are now to be asked to ping it.
     pub fn unanswered_target(&self, now: Millis) -> Option<PingTarget> {
         let ping = self.pending.as_ref()?;
         let is_due = ping.indirect_at.is_some_and(|at| now >= at) && now < self.next_period;
         is_due.then_some(ping.target)
     }
 
-    /// So many members were asked to ping the target: once a period, also if there was none to ask.
+    /// Records how many members were asked to ping the target. They are asked once in a period, also if there are none.
     pub fn indirect_pings_requested(&mut self, members: usize) {
         if let Some(ping) = &mut self.pending {
             ping.requested = members as u32;
@@ -105,15 +107,16 @@
         }
     }
 
-    /// Whether the period is over.
+    /// Returns whether the current period is over.
     pub fn is_period_over(&self, now: Millis) -> bool {
         now >= self.next_period
     }
 
-    /// Begins the next period. Returns the member pinged in the last one if it did not answer: it is to be suspected.
+    /// Begins the next period. Returns the member that was pinged in the last period and did not answer, if any: it is
+    /// to be suspected.
     pub fn begin_period(&mut self, now: Millis) -> Option<u64> {
         let unanswered = self.pending.take();
-        // None of the requested members reported a result: this host itself may be partitioned.
+        // This host itself may be partitioned if none of the members that it asked reported a result.
         if let Some(ping) = &unanswered
             && ping.requested > 0
             && ping.failed == 0
@@ -124,7 +127,7 @@
         unanswered.map(|ping| ping.target.id)
     }
 
-    /// A member answered a ping of this host.
+    /// Handles an ack that a member sent to this host.
     pub fn on_ack(&mut self, sender_id: u64, sequence: u32) {
         let sender = PingTarget {
             id: sender_id,
@@ -135,7 +138,7 @@
         }
     }
 
-    /// A member reported the result of a ping that this host requested.
+    /// Handles the result of a ping that another member sent at this host's request.
     pub fn on_indirect_result(&mut self, sequence: u32, acknowledged: bool) {
         let Some(ping) = self
             .pending
@@ -152,28 +155,29 @@
         }
     }
 
-    /// This host was stopped: the ack of the pending ping could not be read.
-    pub fn on_stop(&mut self) {
+    /// Drops the pending ping after a pause of this process, in which it could not receive the ack.
+    pub fn on_pause(&mut self) {
         self.pending = None;
         self.increase_health_multiplier();
     }
 
-    /// Others suspected this host, and it refutes that.
+    /// Records that this host refutes a suspicion of itself, which indicates that it is slow.
     pub fn on_refutation(&mut self) {
         self.increase_health_multiplier();
     }
 
-    /// Factor by which this host stretches its own timeouts.
+    /// Returns the factor by which this host lengthens its own timeouts.
     fn timeout_factor(&self) -> u64 {
         u64::from(self.health_multiplier) + 1
     }
 
-    /// A ping was answered, so this host itself is healthy: the periods become shorter again.
+    /// Shortens the periods after an answered ping, which indicates that this host itself is healthy.
     fn decrease_health_multiplier(&mut self) {
         self.health_multiplier = self.health_multiplier.saturating_sub(1);
     }
 
-    /// A sign that this host itself is slow, stopped or partitioned: the periods become longer (Lifeguard, LHA-Probe).
+    /// Lengthens the periods after an indication that this host itself is slow, paused or partitioned (Lifeguard,
+    /// LHA-Probe).
     fn increase_health_multiplier(&mut self) {
         if self.local_health {
             self.health_multiplier = (self.health_multiplier + 1).min(MAX_LOCAL_HEALTH_MULTIPLIER);
--- a/crates/fleet/src/failure_detector/tests.rs
+++ b/crates/fleet/src/failure_detector/tests.rs
@@ -97,7 +97,7 @@
 #[test]
 fn a_stop_voids_the_pending_ping_and_stretches_the_period() {
     let mut detector = waiting_detector();
-    detector.on_stop();
+    detector.on_pause();
     assert_eq!(detector.unanswered_target(500), None);
     assert_eq!(period_from(&mut detector, 5 * PERIOD), 2 * PERIOD);
 }
--- a/crates/fleet/src/gossip_datagram.rs
+++ b/crates/fleet/src/gossip_datagram.rs
@@ -1,27 +1,27 @@
-//! A datagram to be sent to another member, and the gossip that is piggybacked on it (SWIM, section 4.1).
+//! Datagrams to other members, with the gossip that is piggybacked on them (SWIM, section 4.1).
 #[cfg(test)]
 mod tests;
 
 use crate::record::{GossipUpdate, MemberRecord};
 use crate::wire::{self, GossipBody, GossipMessage, GossipUpdates, MAX_DATAGRAM_BYTES, Message};
 
-/// Shortest ping, in bytes. A ping is padded to it so that the ack, which is no longer than its ping where the pinged
-/// member does not know the sender, has room for two updates (130 bytes each at most).
+/// Minimum size of a ping, in bytes. Pings are padded to it because an ack to an unknown sender is no longer than the
+/// ping: so the ack has room for two updates of up to 130 bytes each.
 const MIN_PING_BYTES: usize = 288;
-/// Shortest ping to an address where no member is known.
+/// Minimum size of a ping to an address at which no member is known, in bytes.
 const MIN_FIRST_PING_BYTES: usize = 512;
 
-/// Collects the updates that fit into a datagram.
+/// Datagram under construction, with the updates that fit into it.
 pub(crate) struct GossipDatagram {
     message: GossipMessage,
-    /// Length without padding.
+    /// Encoded size without padding, in bytes.
     bytes: usize,
     min_bytes: usize,
     max_bytes: usize,
 }
 
 impl GossipDatagram {
-    /// A message without updates. `None`: it is longer than `max_bytes` even so.
+    /// Creates a datagram without updates. Returns `None` if it would already be longer than `max_bytes`.
     pub fn new(
         fleet: &str,
         sender: &MemberRecord,
@@ -48,7 +48,7 @@
         })
     }
 
-    /// A ping to an address where no member is known.
+    /// Creates a ping to an address at which no member is known.
     pub fn first_ping(fleet: &str, sender: &MemberRecord, sequence: u32) -> Option<Self> {
         let ping = GossipBody::Ping { sequence };
         let datagram = GossipDatagram::new(fleet, sender, ping, MAX_DATAGRAM_BYTES)?;
@@ -58,21 +58,22 @@
         })
     }
 
-    /// Adds an update if it fits in. A second update about the same member is left out, and counts as added.
+    /// Adds an update if it fits. Returns whether it does. A second update about the same member is omitted, but counts
+    /// as added.
     pub fn add(&mut self, update: &GossipUpdate) -> bool {
-        let size = postcard::to_slice(update, &mut [0; MAX_DATAGRAM_BYTES])
+        let update_bytes = postcard::to_slice(update, &mut [0; MAX_DATAGRAM_BYTES])
             .map_or(MAX_DATAGRAM_BYTES, |encoded| encoded.len());
-        if self.bytes + size > self.max_bytes {
+        if self.bytes + update_bytes > self.max_bytes {
             return false;
         }
         if self.has_update_about(&update.record.name) {
             return true;
         }
-        self.bytes += size;
+        self.bytes += update_bytes;
         self.message.updates.push(update.clone()).is_ok()
     }
 
-    /// Encodes the datagram with its padding of zeros.
+    /// Encodes the datagram with its padding of zeros. Returns its length, or `None` if it cannot be encoded.
     pub fn encode(self, fleet: &str, buffer: &mut [u8; MAX_DATAGRAM_BYTES]) -> Option<usize> {
         buffer.fill(0);
         let bytes = wire::encode(fleet, &Message::Gossip(self.message), buffer)?.len();
@@ -81,6 +82,6 @@
 
     fn has_update_about(&self, name: &str) -> bool {
         let mut updates = self.message.updates.iter();
-        updates.any(|other| other.record.name == name)
+        updates.any(|update| update.record.name == name)
     }
 }
--- a/crates/fleet/src/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -1,35 +1,37 @@
-//! Queue of updates that are piggybacked on datagrams to other members (SWIM, section 4.1).
+//! Queue of updates to be piggybacked on datagrams to other members (SWIM, section 4.1).
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeMap;
 
-/// Queued updates from which on further datagrams are sent each period: about two datagrams full.
-const BACKLOG: usize = 16;
+/// Maximum number of queued updates that does not count as a backlog: about as many as two datagrams hold. While there
+/// is a backlog, further datagrams are sent in each protocol period.
+const BACKLOG_THRESHOLD: usize = 16;
 
-/// Members whose update is to be gossiped, and how often it was sent.
+/// Members whose updates are to be gossiped, with the number of transmissions of each update so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct GossipQueue {
     transmissions: BTreeMap<u64, u32>,
 }
 
 impl GossipQueue {
-    /// Queues a member's update; one that is queued already is sent as often again.
+    /// Queues a member's update. If it is queued already, its number of transmissions restarts from zero.
     pub fn enqueue(&mut self, id: u64) {
         self.transmissions.insert(id, 0);
     }
 
-    /// Takes a member's update out of the queue.
+    /// Removes a member's update from the queue.
     pub fn withdraw(&mut self, id: u64) {
         self.transmissions.remove(&id);
     }
 
-    /// Whether more updates are queued than pings and acks carry in time.
+    /// Returns whether more updates are queued than pings and acks can carry in time.
     pub fn has_backlog(&self) -> bool {
-        self.transmissions.len() > BACKLOG
+        self.transmissions.len() > BACKLOG_THRESHOLD
     }
 
-    /// Drops updates that were sent `max_transmissions` times; returns the rest, the least often sent ones first.
+    /// Drops updates that were sent `max_transmissions` times. Returns the members of the others, those with the fewest
+    /// transmissions first.
     pub fn least_sent_first(&mut self, max_transmissions: u32) -> Vec<u64> {
         self.transmissions
             .retain(|_, count| *count < max_transmissions);
@@ -42,7 +44,7 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// A member's update was sent once more.
+    /// Counts a transmission of a member's update.
     pub fn count_transmission(&mut self, id: u64) {
         *self.transmissions.entry(id).or_default() += 1;
     }
--- a/crates/fleet/src/indirect_pings.rs
+++ b/crates/fleet/src/indirect_pings.rs
@@ -1,5 +1,5 @@
-//! Indirect pings (SWIM's ping-req): which members are asked to ping one that does not answer, and the pings that this
-//! host sent because others asked it to.
+//! Indirect pings (SWIM's ping-req): the choice of the members that are asked to ping one that does not answer, and the
+//! pings that this host sent on behalf of other members.
 #[cfg(test)]
 mod tests;
 
@@ -10,26 +10,27 @@
 use crate::rng::SeededRng;
 use std::net::SocketAddr;
 
-/// Members asked to ping a member that does not answer (SWIM's k).
+/// Number of members that are asked to ping a member that does not answer (SWIM's k).
 const INDIRECT_PING_MEMBERS: usize = 3;
-/// Draws by which those members are chosen at most.
+/// Number of random draws by which the members that are asked to ping are chosen.
 const INDIRECT_PING_DRAWS: usize = 2 * INDIRECT_PING_MEMBERS;
-/// Pings on behalf of other members under way at most; further requests are dropped and counted.
+/// Maximum number of pings in flight on behalf of other members. Further requests are dropped and counted.
 const MAX_INDIRECT_PINGS: usize = 64;
 
-/// Chooses the members that are asked to ping another one: one of another zone than this host's where there is one, then
-/// any. The number of draws does not depend on who is chosen.
+/// Chooses the members that are asked to ping `target_id`, and returns their addresses: one in another zone than this
+/// host's if there is one, then any. The number of random draws does not depend on the choice.
 pub(crate) fn choose_helpers(
     table: &MembershipTable,
     rng: &mut SeededRng,
     own_zone: &Zone,
     target_id: u64,
 ) -> Vec<SocketAddr> {
-    let is_other = |member: &Member| member_id(&member.record().name) != target_id;
-    let is_elsewhere = |member: &Member| member.record().zone != *own_zone && is_other(member);
-    let mut chosen = Vec::from_iter(table.random_reachable(rng, is_elsewhere));
+    let is_not_target = |member: &Member| member_id(&member.record().name) != target_id;
+    let is_in_other_zone =
+        |member: &Member| member.record().zone != *own_zone && is_not_target(member);
+    let mut chosen = Vec::from_iter(table.random_reachable(rng, is_in_other_zone));
     for _ in 0..INDIRECT_PING_DRAWS {
-        let candidate = table.random_reachable(rng, is_other);
+        let candidate = table.random_reachable(rng, is_not_target);
         if chosen.len() < INDIRECT_PING_MEMBERS && candidate.is_some_and(|c| !chosen.contains(&c)) {
             chosen.extend(candidate);
         }
@@ -37,38 +38,38 @@
     chosen
 }
 
-/// A ping that this host sent on behalf of another member.
+/// Ping that this host sent on behalf of another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct IndirectPing {
     sequence: u32,
-    /// The member that asked for it.
+    /// Address of the member that requested the ping.
     pub requester: SocketAddr,
     /// Sequence number of the requester's ping request.
     pub request_sequence: u32,
     deadline: Millis,
 }
 
-/// Pings that this host sent on behalf of other members and that were not answered yet.
+/// Pings in flight that this host sent on behalf of other members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct IndirectPings {
     timeout: Millis,
-    under_way: Vec<IndirectPing>,
+    in_flight: Vec<IndirectPing>,
 }
 
 impl IndirectPings {
     pub fn new(protocol_period: Millis) -> Self {
         IndirectPings {
             timeout: protocol_period / 2,
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// Whether there is no room for another one.
+    /// Returns whether the maximum number of pings is in flight.
     pub fn is_full(&self) -> bool {
-        self.under_way.len() >= MAX_INDIRECT_PINGS
+        self.in_flight.len() >= MAX_INDIRECT_PINGS
     }
 
-    /// A ping with this sequence number was sent because of a request.
+    /// Records a ping that this host sent because of a request.
     pub fn add(
         &mut self,
         sequence: u32,
@@ -76,7 +77,7 @@
         request_sequence: u32,
         now: Millis,
     ) {
-        self.under_way.push(IndirectPing {
+        self.in_flight.push(IndirectPing {
             sequence,
             requester,
             request_sequence,
@@ -84,23 +85,23 @@
         });
     }
 
-    /// Takes out the ping that was answered.
+    /// Removes and returns the ping with this sequence number, which was answered.
     pub fn take_answered(&mut self, sequence: u32) -> Option<IndirectPing> {
         self.take_first(|ping| ping.sequence == sequence)
     }
 
-    /// Takes out a ping that was not answered in time.
+    /// Removes and returns a ping that was not answered before its deadline.
     pub fn take_expired(&mut self, now: Millis) -> Option<IndirectPing> {
         self.take_first(|ping| now >= ping.deadline)
     }
 
-    /// This host was stopped: acks could not be read, and the pings say nothing.
+    /// Drops all pings after a pause of this process: it could not receive their acks, so missing ones prove nothing.
     pub fn clear(&mut self) {
-        self.under_way.clear();
+        self.in_flight.clear();
     }
 
-    fn take_first(&mut self, is_wanted: impl Fn(&IndirectPing) -> bool) -> Option<IndirectPing> {
-        let index = self.under_way.iter().position(is_wanted)?;
-        Some(self.under_way.swap_remove(index))
+    fn take_first(&mut self, matches: impl Fn(&IndirectPing) -> bool) -> Option<IndirectPing> {
+        let index = self.in_flight.iter().position(matches)?;
+        Some(self.in_flight.swap_remove(index))
     }
 }
--- a/crates/fleet/src/isolation.rs
+++ b/crates/fleet/src/isolation.rs
@@ -1,19 +1,19 @@
-//! Isolation: a host that receives nothing from any member assumes that its own network has failed, and not that of all
-//! others.
+//! Isolation: a host that receives nothing from any other member assumes that its own network has failed, not that of
+//! all other members.
 #[cfg(test)]
 mod tests;
 
 use crate::Millis;
 
-/// Periods without any message of another member after which this host counts as isolated.
+/// Protocol periods without a message from any other member after which this host counts as isolated.
 const ISOLATION_PERIODS: u64 = 4;
 
-/// When this host last received a message, and whether it counts as isolated.
+/// Time at which this host last received a message, and whether it counts as isolated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Isolation {
-    /// Time without any message after which this host counts as isolated.
+    /// Time without a message from any other member after which this host counts as isolated.
     timeout: Millis,
-    /// When a message of any other member was last received.
+    /// Time at which this host last received a message from any other member.
     last_message: Option<Millis>,
     is_isolated: bool,
 }
@@ -31,14 +31,14 @@
         self.is_isolated
     }
 
-    /// A message of another member was received. Returns whether that ends an isolation.
+    /// Records a message from another member. Returns whether it ends an isolation.
     pub fn on_message(&mut self, now: Millis) -> bool {
         self.last_message = Some(now);
         std::mem::take(&mut self.is_isolated)
     }
 
-    /// Begins an isolation when nothing was received for too long, though there are other members. Returns when the last
-    /// message was received, if an isolation begins.
+    /// Begins an isolation if there are other members and none of them sent a message within the timeout. Returns the
+    /// time of the last message if an isolation begins.
     pub fn begin_if_silent(&mut self, has_others: bool, now: Millis) -> Option<Millis> {
         let last_message = self.last_message?;
         if self.is_isolated || !has_others || now < last_message + self.timeout {
@@ -48,8 +48,8 @@
         Some(last_message)
     }
 
-    /// This host was stopped for `gap`, in which nothing could be received.
-    pub fn on_stop(&mut self, gap: Millis) {
-        self.last_message = self.last_message.map(|last_message| last_message + gap);
+    /// Excludes a pause of this process, in which it could receive nothing, from the time without messages.
+    pub fn on_pause(&mut self, pause: Millis) {
+        self.last_message = self.last_message.map(|last_message| last_message + pause);
     }
 }
--- a/crates/fleet/src/isolation/tests.rs
+++ b/crates/fleet/src/isolation/tests.rs
@@ -23,7 +23,7 @@
 fn the_time_of_a_stop_is_not_silence() {
     let mut isolation = Isolation::new(1_000);
     isolation.on_message(0);
-    isolation.on_stop(5_000);
+    isolation.on_pause(5_000);
     assert_eq!(isolation.begin_if_silent(true, 8_999), None);
     assert_eq!(isolation.begin_if_silent(true, 9_000), Some(5_000));
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,19 @@
-//! Membership of a fleet, kept by its hosts themselves: which members are alive, unreachable, leaving or left, and
-//! which versions each of them acts on.
+//! Membership of a fleet, maintained by its hosts themselves: which members are alive, unreachable, leaving or left,
+//! and which versions of shared state each of them acts on.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala: *SWIM: Scalable Weakly-consistent Infection-style Process Group
 //! Membership Protocol*, DSN 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey: *Lifeguard: Local Health
 //! Awareness for More Accurate Failure Detection*, 2017): the local health multiplier, suspicions that shorten with
-//! independent confirmations, and the buddy system. Anti-entropy by range digests is added to it. `docs/fleet.md` says
-//! what the protocol promises, with bounds.
+//! independent confirmations, and the buddy system. Anti-entropy with range digests complements them. `docs/fleet.md`
+//! states what the protocol guarantees, with bounds.
 //!
-//! The package does no I/O and knows no clock and no thread. A caller passes in datagrams, ticks and the time; datagrams
-//! to send and membership events come out through an [`ActionSink`]. Random numbers come from a seeded generator, so the
-//! same inputs give the same actions. Hosts, the simulation and the exhaustive search run the same code.
+//! The package does no I/O and uses neither a clock nor threads. The caller passes in datagrams, ticks and the time;
+//! the state machine emits datagrams to send and membership events through an [`ActionSink`]. Random numbers come from
+//! a seeded generator, so the same inputs give the same actions. Hosts, the simulation and the exhaustive search run
+//! the same code.
 //!
-//! - [`record`] defines what a member publishes about itself, and which of two records is the newer one.
-//! - [`config`] holds the settings of the protocol, their validation, and the times that follow from them.
+//! - [`record`] defines what a member publishes about itself, and which of two records is newer.
+//! - [`config`] holds the settings of the protocol, their validation, and the timeouts derived from them.
 //! - [`wire`] defines the datagrams.
 //! - [`Membership`] is the state machine of one host.
 #![warn(missing_docs)]
@@ -44,5 +45,5 @@
 pub use membership::{ActionSink, Membership};
 pub use record::MemberState;
 
-/// Milliseconds on the host's monotonic clock, or a span in milliseconds.
+/// Time on the host's monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
--- a/crates/fleet/src/local_member.rs
+++ b/crates/fleet/src/local_member.rs
@@ -1,11 +1,11 @@
-//! This host's own record, which it alone issues.
+//! This host's own record, which only this host issues.
 #[cfg(test)]
 mod tests;
 
 use crate::config::MembershipConfig;
 use crate::record::{ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, member_id};
 
-/// This host as a member: its id and its own record.
+/// This host as a member of the fleet: its id and its own record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LocalMember {
     id: u64,
@@ -13,7 +13,7 @@
 }
 
 impl LocalMember {
-    /// A member that starts to join.
+    /// Creates a member that starts to join.
     pub fn new(config: &MembershipConfig, generation: u64, started_ms: u64) -> Self {
         LocalMember {
             id: member_id(&config.name),
@@ -38,7 +38,7 @@
         &self.record
     }
 
-    /// This host as the accuser of a suspicion: the lower half of its id.
+    /// Returns the lower half of this host's id, which identifies it as the accuser in a suspicion.
     pub fn accuser(&self) -> u32 {
         self.id as u32
     }
@@ -57,20 +57,21 @@
         self.advance_past(self.record.incarnation);
     }
 
-    /// Issues a record with other versions.
+    /// Issues a record with other versions of shared state.
     pub fn set_versions(&mut self, versions: ActiveVersions) {
         self.record.versions = versions;
         self.advance_past(self.record.incarnation);
     }
 
-    /// Issues a record of a generation above another one.
+    /// Issues a record whose generation is above the generation `past`.
     pub fn raise_generation(&mut self, past: u64) {
         let next = past.saturating_add(1);
         self.record.generation = self.record.generation.max(next);
         self.advance_past(self.record.incarnation);
     }
 
-    /// The next record's number is above this one and all earlier ones. Where there is none above, a generation begins.
+    /// Raises the incarnation above `incarnation` and all earlier ones. Starts a new generation if there is no higher
+    /// incarnation.
     fn advance_past(&mut self, incarnation: u32) {
         let highest = self.record.incarnation.max(incarnation);
         if let Some(next) = highest.checked_add(1) {
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Issues a record that refutes an update about this generation, if the update suspects this host or holds a record
-    /// that it did not issue (SWIM, section 4.2). Returns whether it does.
+    /// Refutes an update about this generation if it suspects this host or contains a record that this host did not
+    /// issue (SWIM, section 4.2), by issuing a newer record. Returns whether the update was refuted.
     pub fn refute(&mut self, update: &GossipUpdate) -> bool {
         let claimed = &update.record;
         let is_ahead = claimed.incarnation > self.record.incarnation
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! One member of the table: its newest record, and the verdict of the failure detectors.
+//! One member of the membership table: its newest record, and its reachability.
 #[cfg(test)]
 mod tests;
 
@@ -7,30 +7,30 @@
 use crate::suspicion::Suspicion;
 use std::cmp::Ordering;
 
-/// Pings of a member that is unreachable, by which the two sides of a healed partition find each other again.
+/// Schedule of the pings to an unreachable member, by which the two sides of a healed partition find each other again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnreachablePings {
     next: Millis,
-    /// Doubles with each ping.
+    /// Interval until the next ping after that. Doubles with each ping, up to a maximum.
     interval: Millis,
 }
 
-/// Verdict of the failure detectors on a member.
+/// Reachability of a member, as the failure detectors of this host and other members determined it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Reachability {
     Reachable,
     Suspect(Suspicion),
     Unreachable {
-        /// The member that raised the suspicion from which this was concluded.
+        /// Member that raised the suspicion that timed out.
         accuser: u32,
-        /// Concluded from a local suspicion; not gossiped.
+        /// Whether the suspicion was local to this host. A local suspicion is not gossiped.
         is_local: bool,
         pings: UnreachablePings,
     },
 }
 
 impl Reachability {
-    /// Suspected by a member from `now` on, or reachable where no member suspects it.
+    /// Returns the reachability of a member that `accuser` suspects from `now` on, or that no member suspects.
     fn from_suspicion(accuser: Option<u32>, now: Millis) -> Self {
         match accuser {
             None => Reachability::Reachable,
@@ -39,14 +39,14 @@
     }
 }
 
-/// What an update did to a member.
+/// Effect of an update on a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateOutcome {
-    /// The record was replaced, or a suspicion of it raised or confirmed.
+    /// The update replaced the record, or raised or confirmed a suspicion.
     Applied,
-    /// Nothing that is known changed.
+    /// The update contained nothing new.
     Unchanged,
-    /// A newer record is known.
+    /// The update is stale: a newer record is known.
     Stale,
 }
 
@@ -55,14 +55,14 @@
 pub(crate) struct Member {
     record: MemberRecord,
     reachability: Reachability,
-    /// When this host last received a message from the member itself.
+    /// Time at which this host last received a message with this record from the member itself.
     last_contact: Option<Millis>,
-    /// When the member's state last changed.
+    /// Time at which the member's state last changed.
     state_since: Millis,
 }
 
 impl Member {
-    /// A member that this host learns of, with the suspicion that came with its record.
+    /// Creates a member that was not known before, with the suspicion that came with its record.
     pub fn new(update: &GossipUpdate, now: Millis) -> Self {
         Member {
             record: update.record.clone(),
@@ -72,22 +72,22 @@
         }
     }
 
-    /// The newest record known.
+    /// Returns the newest known record of the member.
     pub fn record(&self) -> &MemberRecord {
         &self.record
     }
 
-    /// The newest record known, of a member that is dropped.
+    /// Consumes a member that was removed from the table, and returns its newest known record.
     pub fn into_record(self) -> MemberRecord {
         self.record
     }
 
-    /// When this host last received a message from the member itself.
+    /// Returns when this host last received a message from the member itself.
     pub fn last_contact(&self) -> Option<Millis> {
         self.last_contact
     }
 
-    /// State of the member as this host sees it.
+    /// Returns the state of the member as this host sees it.
     pub fn state(&self) -> MemberState {
         match (self.record.lifecycle, &self.reachability) {
             (Lifecycle::Left, _) => MemberState::Left,
@@ -99,22 +99,22 @@
         }
     }
 
-    /// Whether it has ended by its own word, or as was concluded of a leaving member.
+    /// Returns whether the member has left: it declared so itself, or was leaving when a suspicion of it timed out.
     pub fn has_left(&self) -> bool {
         self.record.lifecycle == Lifecycle::Left
     }
 
-    /// Whether any failure detector's suspicion of it stands.
+    /// Returns whether the member is suspect or unreachable.
     pub fn is_accused(&self) -> bool {
         self.reachability != Reachability::Reachable
     }
 
-    /// Whether it is up as far as this host knows, and may be sent requests.
+    /// Returns whether the member is up as far as this host knows, and may be sent requests.
     pub fn is_reachable(&self) -> bool {
         !self.is_accused() && !self.has_left()
     }
 
-    /// Whether this host alone suspects it, and does not gossip that.
+    /// Returns whether only this host suspects the member and does not gossip the suspicion.
     pub fn is_locally_suspected(&self) -> bool {
         match &self.reachability {
             Reachability::Reachable => false,
@@ -123,17 +123,22 @@
         }
     }
 
-    /// Whether the member has been in its state for so long that the table drops it. `left_shown`: how long members that
-    /// left are shown; `retention`: how long unreachable ones are kept.
-    pub fn is_expired(&self, left_shown: Millis, retention: Millis, now: Millis) -> bool {
+    /// Returns whether the member has been in its state for so long that the table drops it. `left_retention` is the
+    /// retention time of members that left, `unreachable_retention` that of unreachable ones.
+    pub fn is_expired(
+        &self,
+        left_retention: Millis,
+        unreachable_retention: Millis,
+        now: Millis,
+    ) -> bool {
         match self.state() {
-            MemberState::Left => now >= self.state_since + left_shown,
-            MemberState::Unreachable => now >= self.state_since + retention,
+            MemberState::Left => now >= self.state_since + left_retention,
+            MemberState::Unreachable => now >= self.state_since + unreachable_retention,
             _ => false,
         }
     }
 
-    /// The accuser that gossip about this member names.
+    /// Returns the accuser that gossip about this member names. `None` if no suspicion of the member is gossiped.
     pub fn gossiped_accuser(&self) -> Option<u32> {
         match &self.reachability {
             Reachability::Suspect(suspicion) if !suspicion.is_local() => {
@@ -148,7 +153,7 @@
         }
     }
 
-    /// What is gossiped about the member.
+    /// Returns the update that is gossiped about the member.
     pub fn to_update(&self) -> GossipUpdate {
         GossipUpdate {
             record: self.record.clone(),
@@ -156,15 +161,15 @@
         }
     }
 
-    /// A message with this record was received from the member itself.
+    /// Records the time of a message from the member itself, if the message has the known record.
     pub fn record_contact(&mut self, precedence: Precedence, now: Millis) {
         if self.record.precedence() == precedence {
             self.last_contact = Some(now);
         }
     }
 
-    /// Merges an update about this member: newer records replace older ones and clear their suspicions; a suspicion of
-    /// the very record that is known is raised or confirmed (SWIM, section 4.2).
+    /// Merges an update about this member. A newer record replaces the known one and clears its suspicion; a suspicion
+    /// that came with the known record is raised or confirmed (SWIM, section 4.2).
     pub fn merge(&mut self, update: &GossipUpdate, now: Millis) -> UpdateOutcome {
         let previous = self.state();
         let outcome = match update.record.precedence().cmp(&self.record.precedence()) {
@@ -179,7 +184,7 @@
                 _ => UpdateOutcome::Unchanged,
             },
         };
-        self.note_state_change(previous, now);
+        self.update_state_since(previous, now);
         outcome
     }
 
@@ -201,21 +206,22 @@
         }
     }
 
-    /// The member did not answer this host's pings. `is_local`: this host is isolated and keeps the suspicion to itself.
+    /// Raises a suspicion of the member, which did not answer this host's pings. `is_local`: whether this host is
+    /// isolated and does not gossip the suspicion.
     pub fn suspect(&mut self, accuser: u32, is_local: bool, now: Millis) {
         let previous = self.state();
         self.reachability = Reachability::Suspect(Suspicion::raised_by(accuser, is_local, now));
-        self.note_state_change(previous, now);
+        self.update_state_since(previous, now);
     }
 
-    /// This host was stopped for `gap`: a suspicion lasts longer by that.
-    pub fn extend_suspicion(&mut self, gap: Millis) {
+    /// Extends a pending suspicion by a pause of this process.
+    pub fn extend_suspicion(&mut self, pause: Millis) {
         if let Reachability::Suspect(suspicion) = &mut self.reachability {
-            suspicion.extend(gap);
+            suspicion.extend(pause);
         }
     }
 
-    /// The suspicion of the member that was neither refuted nor concluded yet.
+    /// Returns the pending suspicion of the member: one that was neither refuted nor has timed out.
     pub fn suspicion(&self) -> Option<&Suspicion> {
         match &self.reachability {
             Reachability::Suspect(suspicion) => Some(suspicion),
@@ -223,9 +229,9 @@
         }
     }
 
-    /// A suspicion was not refuted in time: the member is unreachable, or has left if it was leaving. It is pinged
-    /// after `ping_interval`.
-    pub fn conclude_suspicion(&mut self, ping_interval: Millis, now: Millis) {
+    /// Ends a suspicion that was not refuted in time. The member has left if it was leaving and the suspicion is not
+    /// local to this host. Otherwise it becomes unreachable, and is pinged after `ping_interval`.
+    pub fn expire_suspicion(&mut self, ping_interval: Millis, now: Millis) {
         let Reachability::Suspect(suspicion) = &self.reachability else {
             return;
         };
@@ -246,8 +252,8 @@
         self.state_since = now;
     }
 
-    /// This host became isolated: keeps a suspicion to itself that it alone raised since its last contact with any
-    /// member. Returns whether it did.
+    /// Makes a suspicion local to this host, which became isolated, if only this host raised it, after its last contact
+    /// with any member. Returns whether it is such a suspicion.
     pub fn keep_suspicion_local(&mut self, own_accuser: u32, last_contact: Millis) -> bool {
         match &mut self.reachability {
             Reachability::Suspect(suspicion) => suspicion.keep_local(own_accuser, last_contact),
@@ -255,18 +261,18 @@
         }
     }
 
-    /// This host is no longer isolated, and drops what it alone suspected meanwhile.
+    /// Clears a suspicion that only this host raised while it was isolated, once the isolation is over.
     pub fn clear_suspicion(&mut self, now: Millis) {
         self.reachability = Reachability::Reachable;
         self.state_since = now;
     }
 
-    /// Whether the member is unreachable and to be pinged now. If so, the next ping is due after twice the interval, at
-    /// most `longest`.
-    pub fn take_due_ping(&mut self, now: Millis, longest: Millis) -> bool {
+    /// Returns whether the member is unreachable and a ping to it is due. If so, schedules the next ping after twice
+    /// the interval, at most `max_interval`.
+    pub fn take_due_ping(&mut self, now: Millis, max_interval: Millis) -> bool {
         match &mut self.reachability {
             Reachability::Unreachable { pings, .. } if now >= pings.next => {
-                pings.interval = (pings.interval * 2).min(longest);
+                pings.interval = (pings.interval * 2).min(max_interval);
                 pings.next = now + pings.interval;
                 true
             }
@@ -274,7 +280,7 @@
         }
     }
 
-    fn note_state_change(&mut self, previous: MemberState, now: Millis) {
+    fn update_state_since(&mut self, previous: MemberState, now: Millis) {
         if self.state() != previous {
             self.state_since = now;
         }
--- a/crates/fleet/src/member/tests.rs
+++ b/crates/fleet/src/member/tests.rs
@@ -29,7 +29,7 @@
         let mut member = Member::new(&update(lifecycle, None), 0);
         member.suspect(9, false, 10);
         assert_eq!(member.state(), MemberState::Suspect);
-        member.conclude_suspicion(100, 20);
+        member.expire_suspicion(100, 20);
         assert_eq!(member.state(), concluded);
         assert!(!member.is_reachable());
         assert!(!member.is_expired(50, 50, 69));
@@ -41,7 +41,7 @@
 fn an_isolated_host_does_not_conclude_that_a_leaving_member_has_left() {
     let mut member = Member::new(&update(Lifecycle::Leaving, None), 0);
     member.suspect(9, true, 10);
-    member.conclude_suspicion(100, 20);
+    member.expire_suspicion(100, 20);
     assert_eq!(member.state(), MemberState::Unreachable);
     assert_eq!(member.gossiped_accuser(), None);
     member.clear_suspicion(30);
@@ -52,7 +52,7 @@
 fn an_unreachable_member_is_pinged_at_doubled_intervals_up_to_the_longest() {
     let mut member = Member::new(&update(Lifecycle::Alive, Some(9)), 0);
     assert!(!member.take_due_ping(1_000, 300), "only suspected");
-    member.conclude_suspicion(100, 0);
+    member.expire_suspicion(100, 0);
     let pings: Vec<Millis> = (0..1_200)
         .filter(|now| member.take_due_ping(*now, 300))
         .collect();
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,9 +1,9 @@
-//! State machine of one member of the fleet. Each concern has its state in a type of its own; the handlers here and in
-//! these files are the steps of one event each:
+//! State machine of one member of the fleet. Each concern keeps its state in a type of its own. The handlers of events
+//! are in this file and in its submodules:
 //!
-//! - `tick`: what is due by time. `receive`: received datagrams. `answer`: what each kind of message asks for.
-//! - `own_name`: other processes under this host's name.
-//! - `send`: datagrams to be sent, with the gossip that is piggybacked on them.
+//! - `tick` runs timers, `receive` handles received datagrams, and `answer` replies to each kind of message.
+//! - `own_name` handles other processes under this host's name.
+//! - `send` sends datagrams, with the gossip that is piggybacked on them.
 mod answer;
 mod own_name;
 mod receive;
@@ -29,27 +29,27 @@
 use crate::wire::GossipBody;
 use std::net::SocketAddr;
 
-/// Calls of [`Membership::tick`] in a protocol period.
+/// Number of calls of [`Membership::tick`] in a protocol period.
 const TICKS_PER_PERIOD: Millis = 10;
-/// Members that are notified directly that this host leaves.
+/// Maximum number of members that this host notifies directly when it leaves.
 const MAX_LEAVE_DATAGRAMS: usize = 512;
-/// Lowest bits of a generation that are drawn at random, so that of two processes that start within the same millisecond
-/// one is the later.
+/// Number of the lowest bits of a generation that are random, so that the generations of two processes that start
+/// within the same millisecond differ.
 const GENERATION_RANDOM_BITS: u32 = 12;
 
-/// Takes the actions of a [`Membership`].
+/// Receiver of the actions of a [`Membership`].
 pub trait ActionSink {
-    /// Sends a datagram. It may be lost.
+    /// Sends a datagram, which may be lost.
     fn send(&mut self, to: SocketAddr, bytes: &[u8]);
     /// Reports an event.
     fn notify(&mut self, event: MembershipEvent);
 }
 
-/// State machine of one member. Needs [`tick`](Membership::tick) at the time of
-/// [`next_tick`](Membership::next_tick), and [`receive`](Membership::receive) for each datagram.
+/// State machine of one member. The caller calls [`tick`](Membership::tick) at the time that
+/// [`next_tick`](Membership::next_tick) returns, and [`receive`](Membership::receive) for each datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Membership {
-    /// Settings; the seeds are with [`Joining`].
+    /// Settings, without the seeds, which are in `joining`.
     config: MembershipConfig,
     local: LocalMember,
     table: MembershipTable,
@@ -67,7 +67,8 @@
 }
 
 impl Membership {
-    /// A member that starts to join. `started_ms`: Unix time in milliseconds, from which its generation is derived.
+    /// Creates a member that starts to join. `started_ms`: start of the process, as Unix time in milliseconds, from
+    /// which the member's generation is derived.
     #[must_use]
     pub fn new(mut config: MembershipConfig, seed: u64, now: Millis, started_ms: u64) -> Self {
         let period = config.protocol_period;
@@ -97,50 +98,52 @@
         membership
     }
 
-    /// When [`tick`](Membership::tick) is to be called next.
+    /// Returns the time at which [`tick`](Membership::tick) is to be called next.
     #[must_use]
     pub fn next_tick(&self) -> Millis {
         self.last_tick + (self.config.protocol_period / TICKS_PER_PERIOD).max(1)
     }
 
-    /// Counters of datagrams.
+    /// Returns the counters of datagrams and refutations.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Whether nothing was received from any other member for some periods.
+    /// Returns whether this host is isolated: it received nothing from any other member for several protocol periods.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.isolation.is_isolated()
     }
 
-    /// Address of the later process under this host's name; none: this host takes part.
+    /// Returns the address of the later process under this host's name that superseded this one, or `None` if this
+    /// process takes part in the protocol.
     #[must_use]
     pub fn superseded_by(&self) -> Option<SocketAddr> {
         self.name_ownership.superseded_by()
     }
 
-    /// What this host publishes about itself.
+    /// Returns the record that this host publishes about itself.
     #[must_use]
     pub fn own_record(&self) -> &MemberRecord {
         self.local.record()
     }
 
-    /// Members as this host sees them, itself included, by id.
+    /// Returns the records and states of all members as this host sees them, itself included, in the order of their
+    /// ids.
     pub fn members(&self) -> impl Iterator<Item = (&MemberRecord, MemberState)> {
         self.table
             .members()
             .map(|member| (member.record(), member.state()))
     }
 
-    /// Digest of the whole table: the same at hosts whose tables are the same.
+    /// Returns the digest of the whole table, which is the same at hosts whose tables are the same.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.table.range_digest(WHOLE_TABLE).digest
     }
 
-    /// The host acts on other versions than before.
+    /// Publishes the versions of shared state that this host acts on, if they changed.
     pub fn set_active_versions(
         &mut self,
         versions: ActiveVersions,
@@ -153,17 +156,17 @@
         }
     }
 
-    /// Replaces the addresses of the seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.joining.set_seeds(seeds);
     }
 
-    /// This host shuts down gracefully and still serves: notifies other members at once.
+    /// Notifies other members at once that this host is shutting down gracefully and still serves requests.
     pub fn announce_leaving(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         self.leave(Lifecycle::Leaving, now, sink);
     }
 
-    /// This process ends: notifies other members at once. Nothing of this generation follows.
+    /// Notifies other members at once that this process ends. No record of this generation may follow.
     pub fn announce_left(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         self.leave(Lifecycle::Left, now, sink);
     }
@@ -177,7 +180,7 @@
         self.notify_members_directly(sink);
     }
 
-    /// Sends the queued updates to other members at once, from a random one on.
+    /// Sends the queued updates to reachable members at once, starting with a random one.
     fn notify_members_directly(&mut self, sink: &mut dyn ActionSink) {
         let reachable = self.table.others().filter(|member| member.is_reachable());
         let mut addresses: Vec<SocketAddr> =
@@ -190,22 +193,26 @@
         }
     }
 
-    /// Puts a new record of this host into the table, reports and gossips it.
+    /// Stores this host's new record in the table, reports it if its state changed, and gossips it.
     fn publish(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         if let Some(event) = self.store_local_record(now) {
             sink.notify(event);
         }
     }
 
-    /// Puts this host's own record into the table, and queues it for gossip. Returns what is to be reported.
+    /// Stores this host's own record in the table, and queues it for gossip. Returns the event to report, if any.
     fn store_local_record(&mut self, now: Millis) -> Option<MembershipEvent> {
         let change = self.table.replace_local(self.local.record(), now);
         self.queue_gossip(&change);
         change.event
     }
 
-    /// Reports changes of the table, and gossips them.
-    fn apply(&mut self, changes: impl IntoIterator<Item = TableChange>, sink: &mut dyn ActionSink) {
+    /// Reports and gossips changes of the table.
+    fn report_and_gossip(
+        &mut self,
+        changes: impl IntoIterator<Item = TableChange>,
+        sink: &mut dyn ActionSink,
+    ) {
         for change in changes {
             self.queue_gossip(&change);
             if let Some(event) = change.event {
--- a/crates/fleet/src/membership/answer.rs
+++ b/crates/fleet/src/membership/answer.rs
@@ -1,4 +1,4 @@
-//! What each kind of message asks for, once its updates are merged.
+//! Answers to each kind of message, after its updates were merged.
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::member::Member;
@@ -10,21 +10,21 @@
 };
 use std::net::SocketAddr;
 
-/// Datagrams of records in one answer to a comparison at most.
+/// Maximum number of datagrams of records in one reply to a comparison.
 const MAX_REPLY_DATAGRAMS: usize = 4;
 
-/// The sender of a message that is being handled.
+/// Sender of a message that is being handled.
 pub(super) struct Sender {
     pub address: SocketAddr,
     pub id: u64,
-    /// Whether a message was received from the member at this address before. If not, the address may be forged:
-    /// answers are no longer than the datagram, and no other datagram is sent on its account.
+    /// Whether this host has received a message from the member at this address before. If not, the address may be
+    /// forged: an answer is then no longer than the datagram, and the datagram causes no others to be sent.
     pub is_known: bool,
-    /// Longest answer, in bytes.
+    /// Maximum size of an answer, in bytes.
     pub max_reply_bytes: usize,
 }
 
-/// A member's request that this host pings another one.
+/// Request of a member that this host ping another member.
 struct PingRequest {
     requester: SocketAddr,
     sequence: u32,
@@ -33,7 +33,7 @@
 }
 
 impl Membership {
-    /// Does what a message asks for. `corrections`: updates that the sender lacks.
+    /// Answers a message. `corrections`: updates that the sender lacks.
     pub(super) fn answer(
         &mut self,
         sender: &Sender,
@@ -60,17 +60,17 @@
                 self.receive_digests(sender, &digests, now, sink);
             }
             body if sender.is_known => {
-                self.answer_known(sender.address, body, &updates, corrections, now, sink);
+                self.answer_known_sender(sender.address, body, &updates, corrections, now, sink);
             }
-            // The sender's address may be forged.
+            // These messages are ignored from an unknown sender, whose address may be forged.
             GossipBody::PingRequest { .. }
             | GossipBody::RangeRecords { .. }
             | GossipBody::UpdatesOnly => {}
         }
     }
 
-    /// Does what only a known member may ask for.
-    fn answer_known(
+    /// Answers a message that is only answered if its sender is known.
+    fn answer_known_sender(
         &mut self,
         from: SocketAddr,
         body: GossipBody,
@@ -91,7 +91,7 @@
                     target_id,
                     target_address,
                 };
-                self.ping_for(&request, now, sink);
+                self.ping_on_behalf(&request, now, sink);
             }
             GossipBody::RangeRecords {
                 ranges,
@@ -100,7 +100,7 @@
             GossipBody::RangeRecords { .. } | GossipBody::UpdatesOnly => {
                 self.send_corrections(from, corrections, sink);
             }
-            // Answered whoever sends them.
+            // These messages are also answered if their sender is unknown, by the caller.
             GossipBody::Ping { .. }
             | GossipBody::Ack { .. }
             | GossipBody::PingRequestResult { .. }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A member answered: either this host's own ping, or one that it sent for another member.
+    /// Handles an ack of this host's own ping, or of one that it sent on behalf of another member.
     fn receive_ack(&mut self, sender_id: u64, sequence: u32, sink: &mut dyn ActionSink) {
         if let Some(ping) = self.indirect_pings.take_answered(sequence) {
             self.report_indirect_ping(&ping, true, sink);
@@ -117,7 +117,7 @@
     }
 
     /// Pings a member on behalf of another one.
-    fn ping_for(&mut self, request: &PingRequest, now: Millis, sink: &mut dyn ActionSink) {
+    fn ping_on_behalf(&mut self, request: &PingRequest, now: Millis, sink: &mut dyn ActionSink) {
         if self.indirect_pings.is_full() {
             self.counters.count_capacity_drop();
             return;
@@ -125,7 +125,7 @@
         let sequence = self.sequence_numbers.next();
         self.indirect_pings
             .add(sequence, request.requester, request.sequence, now);
-        // Whoever pings a suspected member notifies it of the suspicion.
+        // A suspected member learns of the suspicion from the ping, and can refute it.
         let known = self.table.get(request.target_id).map(Member::to_update);
         let ping = GossipBody::Ping { sequence };
         self.send_gossip(
@@ -137,8 +137,9 @@
         );
     }
 
-    /// Answers another member's digests: with digests of smaller ranges where many members differ, with records where
-    /// few do, and with no digest at all where the tables are equal. None at all end this host's joining.
+    /// Answers another member's digests of ranges that differ: with digests of smaller ranges where a range has many
+    /// members, with records where it has few, and with no digests at all if the tables are equal. Receiving no digests
+    /// at all ends this host's joining.
     fn receive_digests(
         &mut self,
         sender: &Sender,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Sends the records in some ranges that are newer than those of the other member.
+    /// Sends this host's records in `ranges` that are newer than `theirs`, those of the other member.
     fn send_newer_records(
         &mut self,
         to: SocketAddr,
@@ -193,8 +194,8 @@
         }
     }
 
-    /// Sends records in as many datagrams as one answer may take, the first one with `body`. The rest is sent
-    /// after the next comparison.
+    /// Sends records in up to [`MAX_REPLY_DATAGRAMS`] datagrams, the first of which has `body`. Further records are
+    /// sent after the next comparison.
     fn send_records(
         &mut self,
         to: SocketAddr,
@@ -211,7 +212,8 @@
         }
     }
 
-    /// The sender may still have records of members that left, which other members have only as tombstones.
+    /// Sends updates that the sender of a message lacks. It may still have records of members that left, of which other
+    /// members have only tombstones.
     fn send_corrections(
         &mut self,
         to: SocketAddr,
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Answers a query of a program that is no member: with the members from `first_id` on that fit into `max_bytes`, the
-    /// query's own length.
+    /// Answers a query from a program that is no member, with the members from `first_id` on that fit into `max_bytes`,
+    /// the size of the query.
     pub(super) fn send_page(
         &mut self,
         to: SocketAddr,
--- a/crates/fleet/src/membership/own_name.rs
+++ b/crates/fleet/src/membership/own_name.rs
@@ -1,4 +1,4 @@
-//! Other processes under this host's own name: their messages, updates about them, and the pings of a conflict.
+//! Handling of other processes under this host's own name: their messages, updates about them, and name conflicts.
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// A message of a sender under this host's own name: another process, or this host's own record reflected.
+    /// Handles a message whose sender has this host's own name: another process, or this process itself if the message
+    /// was reflected.
     pub(super) fn receive_own_name(
         &mut self,
         from: SocketAddr,
@@ -20,7 +21,7 @@
         let sender = &message.sender;
         match message.body {
             GossipBody::Ack { .. } => self.receive_own_name_ack(sender, sink),
-            // A process with a lower generation checks whether this one is alive.
+            // The sender has a lower generation, and checks whether this process is alive.
             GossipBody::Ping { sequence } if self.is_later_than(sender) => {
                 let ack = GossipBody::Ack { sequence };
                 self.send_gossip(from, ack, &[], max_reply_bytes, sink);
@@ -30,7 +31,8 @@
         self.merge_own_name(&GossipUpdate::unsuspected(sender), now, sink);
     }
 
-    /// The later process under this host's name is alive: this one leaves the protocol.
+    /// Handles an ack from a process under this host's name. If the sender is the later process of a name conflict,
+    /// this process leaves the protocol.
     fn receive_own_name_ack(&mut self, sender: &MemberRecord, sink: &mut dyn ActionSink) {
         if self.name_ownership.on_ack(sender) {
             let address = sender.address;
@@ -38,12 +40,14 @@
         }
     }
 
-    /// Whether this process takes part in the protocol and started later than another one of its name.
+    /// Returns whether this process takes part in the protocol and has a higher generation than another one under its
+    /// name.
     fn is_later_than(&self, other: &MemberRecord) -> bool {
         other.generation < self.local.record().generation && !self.name_ownership.is_superseded()
     }
 
-    /// An update about a process under this host's own name: refutes it, or checks whether a later process is alive.
+    /// Merges an update about a process under this host's own name: refutes it if it is false, or checks whether a
+    /// later process is alive.
     pub(super) fn merge_own_name(
         &mut self,
         update: &GossipUpdate,
@@ -76,7 +80,7 @@
         sink: &mut dyn ActionSink,
     ) {
         let record = &update.record;
-        // A record with this address, or of a process that has left or is suspected, is no other live process.
+        // The other process is not alive if it has left or is suspected, or if its address is now this process's.
         let has_ended = record.address == self.local.record().address
             || record.lifecycle == Lifecycle::Left
             || update.suspected_by.is_some();
@@ -87,7 +91,8 @@
         }
     }
 
-    /// Pings another process under this host's name, or assumes that it has ended once all pings were unanswered.
+    /// Pings the other process of a name conflict if a ping is due, or takes over the name if all pings were
+    /// unanswered.
     pub(super) fn check_name_conflict(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         match self.name_ownership.next_step(now) {
             Some(ConflictStep::Ping(address)) => self.send_first_ping(address, sink),
@@ -98,9 +103,9 @@
         }
     }
 
-    /// This process is the only one under its name: takes a generation above all known ones.
+    /// Makes this process the only one under its name, with a generation above `past_generation`.
     fn take_over_name(&mut self, past_generation: u64, now: Millis, sink: &mut dyn ActionSink) {
-        self.name_ownership.settle();
+        self.name_ownership.resolve();
         self.local.raise_generation(past_generation);
         self.publish(now, sink);
     }
--- a/crates/fleet/src/membership/receive.rs
+++ b/crates/fleet/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams.
+//! Handling of received datagrams.
 use super::answer::Sender;
 use super::{ActionSink, Membership};
 use crate::Millis;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Handles a datagram that was received from an address.
+    /// Handles a datagram that was received from the address `from`.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -39,15 +39,15 @@
         sink: &mut dyn ActionSink,
     ) {
         self.counters.count_received();
-        let max_stranger_bytes = bytes.min(MAX_DATAGRAM_BYTES);
+        let max_unknown_sender_bytes = bytes.min(MAX_DATAGRAM_BYTES);
         if message.sender.name == self.local.record().name {
-            return self.receive_own_name(from, &message, max_stranger_bytes, now, sink);
+            return self.receive_own_name(from, &message, max_unknown_sender_bytes, now, sink);
         }
         if self.name_ownership.is_superseded() {
             self.merge_updates(&message, now, sink);
             return;
         }
-        let sender = self.identify(from, &message.sender, max_stranger_bytes);
+        let sender = self.identify(from, &message.sender, max_unknown_sender_bytes);
         let newer = self.merge_updates(&message, now, sink);
         self.record_contact(sender.id, &message.sender, now, sink);
         let mut corrections = Vec::from_iter(self.correction_for(sender.id, &message.sender));
@@ -55,12 +55,12 @@
         self.answer(&sender, message, &corrections, now, sink);
     }
 
-    /// Finds out whether a message's sender is known at its address, from before that message.
+    /// Identifies the sender of a message, and whether this host had received a message from it at this address before.
     fn identify(
         &self,
         address: SocketAddr,
         record: &MemberRecord,
-        max_stranger_bytes: usize,
+        max_unknown_sender_bytes: usize,
     ) -> Sender {
         let id = member_id(&record.name);
         let is_at_address =
@@ -73,13 +73,13 @@
             max_reply_bytes: if is_known {
                 MAX_DATAGRAM_BYTES
             } else {
-                max_stranger_bytes
+                max_unknown_sender_bytes
             },
         }
     }
 
-    /// Merges the sender's record and all updates. Returns the records of this host that are newer than what the sender
-    /// sent about other members.
+    /// Merges the sender's record and all updates of a message. Returns the records of this host that are newer than
+    /// those that the sender sent about other members.
     fn merge_updates(
         &mut self,
         message: &GossipMessage,
@@ -101,7 +101,7 @@
         newer
     }
 
-    /// Merges an update about another member. Returns whether a newer record is known.
+    /// Merges an update about another member. Returns whether the update is stale.
     fn merge_update(
         &mut self,
         update: &GossipUpdate,
@@ -116,7 +116,7 @@
             self.table.drop_record(member_id(&update.record.name));
         }
         match self.table.merge(update, now) {
-            MergeOutcome::Applied(change) => self.apply([change], sink),
+            MergeOutcome::Applied(change) => self.report_and_gossip([change], sink),
             MergeOutcome::TableFull => self.counters.count_capacity_drop(),
             MergeOutcome::Unchanged => {}
             MergeOutcome::Stale => return true,
@@ -124,14 +124,14 @@
         false
     }
 
-    /// The newest record known of a member, where it is newer than the given one.
+    /// Returns the newest known record of a record's member, if it is newer than that record.
     fn newer_than(&self, record: &MemberRecord) -> Option<GossipUpdate> {
         let newest = self.table.newest_record(member_id(&record.name))?;
         let is_newer = newest.precedence() > record.precedence();
         is_newer.then(|| GossipUpdate::unsuspected(newest))
     }
 
-    /// A message was received from a member itself. That ends an isolation, and clears the suspicions raised during it.
+    /// Records a message from a member itself. It ends an isolation, and clears the suspicions raised during it.
     fn record_contact(
         &mut self,
         id: u64,
@@ -144,12 +144,12 @@
             sink.notify(MembershipEvent::IsolationEnded);
             self.anti_entropy.start_now(now);
             let cleared = self.table.clear_local_suspicions(now);
-            self.apply(cleared, sink);
+            self.report_and_gossip(cleared, sink);
         }
     }
 
-    /// An update about the sender itself that goes first in the answer: that it is suspected (Lifeguard's buddy system),
-    /// or that a newer record under its name is known.
+    /// Returns the update about a message's sender itself that the answer carries first, if there is one: that the
+    /// sender is suspected (Lifeguard's buddy system), or that a newer record under its name is known.
     fn correction_for(&self, id: u64, sender: &MemberRecord) -> Option<GossipUpdate> {
         let Some(member) = self.table.get(id) else {
             return self.table.newest_record(id).map(GossipUpdate::unsuspected);
--- a/crates/fleet/src/membership/send.rs
+++ b/crates/fleet/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! Datagrams to be sent.
+//! Sending of datagrams.
 use super::{ActionSink, Membership};
 use crate::gossip_datagram::GossipDatagram;
 use crate::record::GossipUpdate;
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Sends a message, filled up with queued gossip.
+    /// Sends a message with as many queued updates as fit.
     pub(super) fn send(&mut self, to: SocketAddr, body: GossipBody, sink: &mut dyn ActionSink) {
         self.send_gossip(to, body, &[], MAX_DATAGRAM_BYTES, sink);
     }
 
-    /// Sends a message of at most `max_bytes`, filled up with gossip: the updates of `first`, then the queued ones that
-    /// were sent least often. A message that is longer than that without gossip is not sent.
+    /// Sends a message of at most `max_bytes` with as many updates as fit: those of `first`, then the queued ones with
+    /// the fewest transmissions. Does not send a message that is longer than `max_bytes` without updates.
     pub(super) fn send_gossip(
         &mut self,
         to: SocketAddr,
@@ -33,7 +33,8 @@
         self.send_datagram(to, datagram, sink);
     }
 
-    /// Adds queued updates to a datagram, the least often sent ones first (SWIM, section 4.1), until one does not fit in.
+    /// Adds queued updates to a datagram, those with the fewest transmissions first (SWIM, section 4.1), until one does
+    /// not fit.
     fn add_queued_gossip(&mut self, datagram: &mut GossipDatagram) {
         let max_transmissions = self.config.max_transmissions(self.table.len());
         for id in self.gossip_queue.least_sent_first(max_transmissions) {
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Pings a member. The datagram carries the suspicion of it first, if any, so that it can refute that (Lifeguard's
-    /// buddy system).
+    /// Pings a member. If the member is suspected, the datagram carries that suspicion first, so that the member can
+    /// refute it (Lifeguard's buddy system).
     pub(super) fn ping(&mut self, id: u64, sequence: u32, sink: &mut dyn ActionSink) {
         let Some(member) = self.table.get(id) else {
             return;
@@ -66,7 +67,7 @@
         );
     }
 
-    /// Pings an address where no member is known, without gossip.
+    /// Pings an address at which no member is known. The ping carries no gossip.
     pub(super) fn send_first_ping(&mut self, to: SocketAddr, sink: &mut dyn ActionSink) {
         let sequence = self.sequence_numbers.next();
         let sender = self.local.record();
--- a/crates/fleet/src/membership/tick.rs
+++ b/crates/fleet/src/membership/tick.rs
@@ -1,4 +1,4 @@
-//! Timers: everything that is due at a time.
+//! Timers of the state machine.
 use super::{ActionSink, Membership};
 use crate::Millis;
 use crate::event::MembershipEvent;
@@ -8,30 +8,31 @@
 use crate::record::Lifecycle;
 use crate::wire::GossipBody;
 
-/// Periods for which a member that left stays in the table.
-const LEFT_SHOWN_PERIODS: u64 = 120;
-/// Periods until an unreachable member is first pinged.
+/// Protocol periods for which a member that has left remains in the table.
+const LEFT_RETENTION_PERIODS: u64 = 120;
+/// Protocol periods until an unreachable member is first pinged.
 const UNREACHABLE_PING_FIRST_PERIODS: u64 = 2;
-/// Longest interval between two pings of an unreachable member, in periods.
+/// Maximum interval between two pings of an unreachable member, in protocol periods.
 const UNREACHABLE_PING_MAX_PERIODS: u64 = 60;
-/// Further datagrams that are sent each period while there is a backlog of gossip, each to a random member.
+/// Maximum number of further datagrams that are sent in each protocol period while there is a backlog of gossip, each
+/// to a random member.
 const EXTRA_GOSSIP_DATAGRAMS: usize = 3;
 
 impl Membership {
-    /// Runs the timers that are due. A call that is late by more than a period means that this host's process was
-    /// stopped.
+    /// Runs the timers that are due. More than one protocol period between two calls means that this host's process was
+    /// paused.
     pub fn tick(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        let gap = now.saturating_sub(self.last_tick);
+        let elapsed = now.saturating_sub(self.last_tick);
         self.last_tick = now;
-        if gap > self.config.protocol_period {
-            self.resume_after_stop(gap, now);
+        if elapsed > self.config.protocol_period {
+            self.resume_after_pause(elapsed, now);
         }
         if self.name_ownership.is_superseded() {
             return;
         }
         self.remove_expired(now, sink);
         self.check_isolation(now, sink);
-        self.conclude_suspicions(now, sink);
+        self.expire_suspicions(now, sink);
         self.expire_indirect_pings(now, sink);
         self.check_name_conflict(now, sink);
         self.request_indirect_pings(now, sink);
@@ -41,27 +42,29 @@
         self.start_anti_entropy(now, sink);
     }
 
-    /// Timeouts that passed while this host was stopped say nothing about other members: their acks could not be read.
-    fn resume_after_stop(&mut self, gap: Millis, now: Millis) {
-        self.failure_detector.on_stop();
+    /// Resets or extends the timeouts that elapsed while this process was paused. They indicate nothing about other
+    /// members, whose acks the process could not receive.
+    fn resume_after_pause(&mut self, pause: Millis, now: Millis) {
+        self.failure_detector.on_pause();
         self.indirect_pings.clear();
-        self.table.extend_suspicions(gap);
-        self.isolation.on_stop(gap);
+        self.table.extend_suspicions(pause);
+        self.isolation.on_pause(pause);
         self.anti_entropy.start_now(now);
     }
 
     fn remove_expired(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        let left_shown = self.periods(LEFT_SHOWN_PERIODS);
+        let left_retention = self.periods(LEFT_RETENTION_PERIODS);
         let retention = self.config.unreachable_retention;
-        let removed = self.table.remove_expired(now, left_shown, retention);
-        self.apply(removed, sink);
+        let removed = self.table.remove_expired(now, left_retention, retention);
+        self.report_and_gossip(removed, sink);
         #[cfg(feature = "mutants")]
         if self.config.is_mutant(crate::config::Mutant::NoTombstones) {
             self.table.forget_tombstones();
         }
     }
 
-    /// A host that receives nothing keeps its suspicions to itself.
+    /// Starts an isolation if this host has received nothing for too long: it no longer gossips the suspicions that
+    /// only it raised.
     fn check_isolation(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let has_others = self.table.others().any(|member| !member.has_left());
         let Some(last_message) = self.isolation.begin_if_silent(has_others, now) else {
@@ -70,27 +73,27 @@
         let withdrawn = self
             .table
             .keep_own_suspicions_local(self.local.accuser(), last_message);
-        self.apply(withdrawn, sink);
+        self.report_and_gossip(withdrawn, sink);
         sink.notify(MembershipEvent::IsolationStarted);
     }
 
-    /// Concludes suspicions that were not refuted in time.
-    fn conclude_suspicions(&mut self, now: Millis, sink: &mut dyn ActionSink) {
+    /// Ends suspicions that were not refuted in time.
+    fn expire_suspicions(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let members = self.table.len();
         let timeout = |confirmations| self.config.suspicion_timeout(members, confirmations);
         let first_ping = self.periods(UNREACHABLE_PING_FIRST_PERIODS);
-        let concluded = self.table.conclude_suspicions(timeout, first_ping, now);
-        self.apply(concluded, sink);
+        let expired = self.table.expire_suspicions(timeout, first_ping, now);
+        self.report_and_gossip(expired, sink);
     }
 
-    /// Pings for other members that were not answered in time have failed.
+    /// Reports pings on behalf of other members as failed if they were not answered in time.
     fn expire_indirect_pings(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         while let Some(ping) = self.indirect_pings.take_expired(now) {
             self.report_indirect_ping(&ping, false, sink);
         }
     }
 
-    /// Reports the result of a ping to the member that asked for it.
+    /// Reports the result of a ping to the member that requested it.
     pub(super) fn report_indirect_ping(
         &mut self,
         ping: &IndirectPing,
@@ -104,7 +107,7 @@
         self.send(ping.requester, result, sink);
     }
 
-    /// The pinged member did not answer in time: other members ping it (SWIM, section 3.1).
+    /// Asks other members to ping the target of the pending ping, if it did not answer in time (SWIM, section 3.1).
     fn request_indirect_pings(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let Some(PingTarget { id, sequence }) = self.failure_detector.unanswered_target(now) else {
             return;
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Begins a protocol period when one is due: suspects the member that did not answer in the last one, and pings the
-    /// next.
+    /// Begins a protocol period if one is due: suspects the member that did not answer in the last period, and pings
+    /// the next member.
     fn ping_next_member(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         if !self.failure_detector.is_period_over(now) {
             return;
@@ -153,11 +156,11 @@
         let accuser = self.local.accuser();
         let is_local = self.isolation.is_isolated();
         let change = self.table.suspect(id, accuser, is_local, now);
-        self.apply(change, sink);
+        self.report_and_gossip(change, sink);
     }
 
-    /// Where many members are stopped or lost at once, pings alone carry fewer updates than there are, and refutations
-    /// would come too late: sends further datagrams.
+    /// Sends further datagrams while there is a backlog of gossip. When many members are paused or lost at once, pings
+    /// alone cannot carry all updates, and refutations would arrive too late.
     fn send_gossip_backlog(&mut self, sink: &mut dyn ActionSink) {
         for _ in 0..EXTRA_GOSSIP_DATAGRAMS {
             if !self.gossip_queue.has_backlog() {
@@ -169,19 +172,19 @@
         }
     }
 
-    /// Pings one unreachable member that is due, in intervals that double: so the two sides of a healed partition find
-    /// each other again.
+    /// Pings one unreachable member to which a ping is due. By these pings, whose intervals double, the two sides of a
+    /// healed partition find each other again.
     fn ping_unreachable(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        let longest = self.periods(UNREACHABLE_PING_MAX_PERIODS);
-        if let Some(id) = self.table.take_unreachable_to_ping(now, longest) {
+        let max_interval = self.periods(UNREACHABLE_PING_MAX_PERIODS);
+        if let Some(id) = self.table.take_unreachable_to_ping(now, max_interval) {
             let sequence = self.sequence_numbers.next();
             self.ping(id, sequence, sink);
         }
     }
 
-    /// Ends joining in time, and pings the seeds that are due.
+    /// Ends joining if its timeout has elapsed, and pings the seeds that are due.
     fn join(&mut self, now: Millis, sink: &mut dyn ActionSink) {
-        // Which one does not matter; the draw is made in every tick and is part of the sequence of random numbers.
+        // Only the presence of a member matters here. The draw in every tick is part of the sequence of random numbers.
         let any_member = self.table.random_reachable(&mut self.rng, |_| true);
         let knows_no_member = any_member.is_none();
         if self.local.is_joining() && self.joining.is_timed_out(knows_no_member, now) {
@@ -190,25 +193,25 @@
         self.ping_seeds(knows_no_member, now, sink);
     }
 
-    /// Pings the seeds that are due and no reachable members here.
+    /// Pings the seeds that are due and at whose addresses this host knows no reachable member.
     fn ping_seeds(&mut self, knows_no_member: bool, now: Millis, sink: &mut dyn ActionSink) {
         let own_address = self.local.record().address;
-        let is_wanted = |seed| seed != own_address && !self.table.has_reachable_at(seed);
+        let is_eligible = |seed| seed != own_address && !self.table.has_reachable_at(seed);
         let seeds = self
             .joining
-            .take_due_seeds(knows_no_member, is_wanted, &mut self.rng, now);
+            .take_due_seeds(knows_no_member, is_eligible, &mut self.rng, now);
         for seed in seeds {
             self.send_first_ping(seed, sink);
         }
     }
 
-    /// This host has joined.
+    /// Ends joining: this host is alive from now on.
     pub(super) fn become_alive(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         self.local.set_lifecycle(Lifecycle::Alive);
         self.publish(now, sink);
     }
 
-    /// Starts a comparison of the whole table with a random member when one is due.
+    /// Starts a comparison of the whole table with that of a random member if one is due.
     fn start_anti_entropy(&mut self, now: Millis, sink: &mut dyn ActionSink) {
         let is_joining = self.local.is_joining();
         if !self.anti_entropy.take_due(is_joining, &mut self.rng, now) {
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Milliseconds of a number of protocol periods.
+    /// Returns the duration of a number of protocol periods.
     fn periods(&self, count: u64) -> Millis {
         count * self.config.protocol_period
     }
--- a/crates/fleet/src/membership_page.rs
+++ b/crates/fleet/src/membership_page.rs
@@ -1,9 +1,9 @@
-//! The membership table for operators, page by page.
+//! Pages of the membership table, as operators query them.
 use crate::Millis;
 use crate::member::Member;
 use crate::wire::{self, MAX_DATAGRAM_BYTES, MemberStatus, MembershipPage, Message};
 
-/// Adds members to a page, as many as fit into `max_bytes`.
+/// Adds as many members to a page as fit into `max_bytes`, and the id of the next member if there are more.
 pub(crate) fn fill<'a>(
     mut page: MembershipPage,
     fleet: &str,
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -1,5 +1,5 @@
-//! The membership table of one host: the newest record of each member, suspicions, and tombstones. Changes come out as
-//! [`TableChange`]s, which the host reports and gossips.
+//! Membership table of one host: the newest record of each member, suspicions, and tombstones. Changes of the table are
+//! returned as [`TableChange`]s, which the host reports and gossips.
 mod change;
 mod digests;
 #[cfg(test)]
@@ -18,23 +18,23 @@
 pub(crate) use change::{GossipEffect, TableChange};
 pub(crate) use digests::{IdRanges, RECORDS_PER_DATAGRAM, RangeDigests, WHOLE_TABLE};
 
-/// What an update did to the table.
+/// Effect of an update on the table.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum MergeOutcome {
-    /// The member was added, its record replaced, or a suspicion of it raised or confirmed.
+    /// The update added the member, replaced its record, or raised or confirmed a suspicion of it.
     Applied(TableChange),
-    /// Nothing that is known changed.
+    /// The update contained nothing new.
     Unchanged,
-    /// A newer record is known.
+    /// The update is stale: a newer record is known.
     Stale,
-    /// The table has no room for another member.
+    /// The update was dropped: the table has no room for another member.
     TableFull,
 }
 
-/// Members that a host knows, itself included, and tombstones of those that it removed.
+/// Members that a host knows, itself included, and tombstones of members that it removed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct MembershipTable {
-    /// Id of this host, whose own member is in the table too.
+    /// Id of this host, whose own record is in the table too.
     local_id: u64,
     /// Members by id.
     members: BTreeMap<u64, Member>,
@@ -58,19 +58,19 @@
         self.members.get(&id)
     }
 
-    /// All members, this host included, by id.
+    /// Returns all members, this host included, in the order of their ids.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Members from an id on, with their ids.
+    /// Returns the members from `first_id` on in the order of their ids, with the ids.
     pub fn members_from(&self, first_id: u64) -> impl Iterator<Item = (u64, &Member)> {
         self.members
             .range(first_id..)
             .map(|(id, member)| (*id, member))
     }
 
-    /// All members but this host itself.
+    /// Returns all members except this host.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
@@ -78,16 +78,16 @@
             .map(|(_, member)| member)
     }
 
-    /// A random member other than this host that is reachable and fits the condition. Draws one random number, also
-    /// where no member fits.
+    /// Returns the address of a random member that is reachable and eligible, other than this host. Draws one random
+    /// number, also if there is no such member.
     pub fn random_reachable(
         &self,
         rng: &mut SeededRng,
-        fits: impl Fn(&Member) -> bool,
+        is_eligible: impl Fn(&Member) -> bool,
     ) -> Option<SocketAddr> {
         let candidates = || {
             self.others()
-                .filter(|member| member.is_reachable() && fits(member))
+                .filter(|member| member.is_reachable() && is_eligible(member))
         };
         let index = rng.index(candidates().count());
         candidates()
@@ -95,18 +95,19 @@
             .map(|member| member.record().address)
     }
 
-    /// Whether a reachable member, or this host itself, has an address.
+    /// Returns whether a reachable member, or this host itself, has this address.
     pub fn has_reachable_at(&self, address: SocketAddr) -> bool {
         self.members()
             .any(|member| member.is_reachable() && member.record().address == address)
     }
 
-    /// Ids of all members, this host included.
+    /// Returns the ids of all members, this host included.
     pub fn ids(&self) -> impl Iterator<Item = u64> {
         self.members.keys().copied()
     }
 
-    /// Whether the failure detector pings a member: any other one that has not left and is not unreachable.
+    /// Returns whether the failure detector pings a member: any except this host that has not left and is not
+    /// unreachable.
     pub fn is_ping_target(&self, id: u64) -> bool {
         let is_up = |member: &Member| {
             !matches!(member.state(), MemberState::Left | MemberState::Unreachable)
@@ -114,14 +115,14 @@
         id != self.local_id && self.get(id).is_some_and(is_up)
     }
 
-    /// The newest record known of a member, also of one that is no longer in the table.
+    /// Returns the newest known record of a member, also of one that was removed and has a tombstone.
     pub fn newest_record(&self, id: u64) -> Option<&MemberRecord> {
         self.get(id)
             .map(Member::record)
             .or_else(|| self.tombstones.get(id))
     }
 
-    /// Replaces this host's own record, which is gossiped in any case and reported where its state changed.
+    /// Replaces this host's own record. The record is gossiped in any case, and reported if its state changed.
     pub fn replace_local(&mut self, record: &MemberRecord, now: Millis) -> TableChange {
         let previous = self.get(self.local_id).map(Member::state);
         let member = Member::new(&GossipUpdate::unsuspected(record), now);
@@ -134,7 +135,7 @@
         change
     }
 
-    /// Merges an update.
+    /// Merges an update about a member other than this host.
     pub fn merge(&mut self, update: &GossipUpdate, now: Millis) -> MergeOutcome {
         let id = member_id(&update.record.name);
         let tombstone = self.tombstones.get(id);
@@ -146,14 +147,14 @@
         };
         let previous = member.state();
         match member.merge(update, now) {
-            UpdateOutcome::Applied => MergeOutcome::Applied(applied(id, member, previous)),
+            UpdateOutcome::Applied => MergeOutcome::Applied(applied_change(id, member, previous)),
             UpdateOutcome::Unchanged => MergeOutcome::Unchanged,
             UpdateOutcome::Stale => MergeOutcome::Stale,
         }
     }
 
     fn insert(&mut self, id: u64, update: &GossipUpdate, now: Millis) -> MergeOutcome {
-        // A member that has left is of no use to a host that never knew it, and no older record can follow.
+        // A host that does not know a member need not add it after it has left: no older record can follow.
         if update.record.lifecycle == Lifecycle::Left {
             return MergeOutcome::Unchanged;
         }
@@ -167,14 +168,15 @@
         MergeOutcome::Applied(change)
     }
 
-    /// A message with this record was received from the member itself.
+    /// Records the time of a message from a member itself, if the message has the known record.
     pub fn record_contact(&mut self, id: u64, precedence: Precedence, now: Millis) {
         if let Some(member) = self.members.get_mut(&id) {
             member.record_contact(precedence, now);
         }
     }
 
-    /// A member did not answer this host's pings. `is_local`: this host is isolated and keeps the suspicion to itself.
+    /// Raises a suspicion of a reachable member, which did not answer this host's pings. `is_local`: whether this host
+    /// is isolated and does not gossip the suspicion.
     pub fn suspect(
         &mut self,
         id: u64,
@@ -188,42 +190,42 @@
         }
         let previous = member.state();
         member.suspect(accuser, is_local, now);
-        Some(applied(id, member, previous))
+        Some(applied_change(id, member, previous))
     }
 
-    /// This host was stopped for `gap`: all suspicions last longer by that.
-    pub fn extend_suspicions(&mut self, gap: Millis) {
+    /// Extends all pending suspicions by a pause of this process.
+    pub fn extend_suspicions(&mut self, pause: Millis) {
         for member in self.members.values_mut() {
-            member.extend_suspicion(gap);
+            member.extend_suspicion(pause);
         }
     }
 
-    /// Concludes suspicions that were not refuted in time. That is not gossiped: each host concludes it from the
-    /// gossiped suspicion. `timeout`: of a suspicion, by the number of its confirmations.
-    pub fn conclude_suspicions(
+    /// Ends suspicions that were not refuted in time. The result is not gossiped: each host derives it from the
+    /// gossiped suspicion. `timeout` maps the number of confirmations of a suspicion to its timeout.
+    pub fn expire_suspicions(
         &mut self,
         timeout: impl Fn(usize) -> Millis,
         first_ping: Millis,
         now: Millis,
     ) -> Vec<TableChange> {
-        let is_over = |member: &Member| {
-            member
-                .suspicion()
-                .is_some_and(|s| now >= s.since() + timeout(s.confirmations()))
+        let is_timed_out = |member: &Member| {
+            member.suspicion().is_some_and(|suspicion| {
+                now >= suspicion.since() + timeout(suspicion.confirmations())
+            })
         };
         let mut changes = Vec::new();
         for (id, member) in &mut self.members {
-            if is_over(member) {
+            if is_timed_out(member) {
                 let previous = member.state();
-                member.conclude_suspicion(first_ping, now);
+                member.expire_suspicion(first_ping, now);
                 changes.push(TableChange::reported(*id, member, previous));
             }
         }
         changes
     }
 
-    /// This host became isolated: suspicions that it alone raised since its last contact with any member may be its own
-    /// fault, and are not gossiped any further.
+    /// Makes suspicions local to this host, which became isolated, if only this host raised them, after its last
+    /// contact with any member. Their cause may be a fault of this host itself, so they are no longer gossiped.
     pub fn keep_own_suspicions_local(
         &mut self,
         own_accuser: u32,
@@ -238,7 +240,8 @@
             .collect()
     }
 
-    /// This host is no longer isolated: what it suspected meanwhile was its own fault.
+    /// Clears the suspicions that only this host raised while it was isolated, once the isolation is over: their cause
+    /// was a fault of this host itself.
     pub fn clear_local_suspicions(&mut self, now: Millis) -> Vec<TableChange> {
         let mut changes = Vec::new();
         for (id, member) in &mut self.members {
@@ -251,24 +254,25 @@
         changes
     }
 
-    /// The first unreachable member that is to be pinged now; its next ping is due after twice the interval, at most
-    /// `longest`.
-    pub fn take_unreachable_to_ping(&mut self, now: Millis, longest: Millis) -> Option<u64> {
+    /// Returns the first unreachable member to which a ping is due, if any. Schedules the next ping to it after twice
+    /// the interval, at most `max_interval`.
+    pub fn take_unreachable_to_ping(&mut self, now: Millis, max_interval: Millis) -> Option<u64> {
         self.members
             .iter_mut()
-            .find_map(|(id, member)| member.take_due_ping(now, longest).then_some(*id))
+            .find_map(|(id, member)| member.take_due_ping(now, max_interval).then_some(*id))
     }
 
-    /// Removes members that left `left_shown` ago, and those that were unreachable for the time of `retention`.
+    /// Removes members that have been in the state `Left` for `left_retention`, and those that have been unreachable
+    /// for `unreachable_retention`.
     pub fn remove_expired(
         &mut self,
         now: Millis,
-        left_shown: Millis,
-        retention: Millis,
+        left_retention: Millis,
+        unreachable_retention: Millis,
     ) -> Vec<TableChange> {
         let mut changes = Vec::new();
         let expired = self.members.extract_if(.., |_, member| {
-            member.is_expired(left_shown, retention, now)
+            member.is_expired(left_retention, unreachable_retention, now)
         });
         for (id, member) in expired {
             let record = member.into_record();
@@ -279,7 +283,7 @@
             });
             self.tombstones.insert(id, record, now);
         }
-        self.tombstones.expire(now, 2 * retention);
+        self.tombstones.expire(now, 2 * unreachable_retention);
         changes
     }
 
@@ -294,8 +298,9 @@
     }
 }
 
-/// A member's record or reachability changed. It is gossiped unless only this host suspects the member.
-fn applied(id: u64, member: &Member, previous: MemberState) -> TableChange {
+/// Returns the change of a member whose record or reachability changed. It is gossiped unless only this host suspects
+/// the member.
+fn applied_change(id: u64, member: &Member, previous: MemberState) -> TableChange {
     let gossip = if member.is_locally_suspected() {
         GossipEffect::Withdraw
     } else {
--- a/crates/fleet/src/membership_table/change.rs
+++ b/crates/fleet/src/membership_table/change.rs
@@ -1,32 +1,32 @@
-//! What a change of the table asks of its host.
+//! Changes of the membership table, with the event and the gossip that each of them requires.
 use crate::event::MembershipEvent;
 use crate::member::Member;
 use crate::record::{MemberRecord, MemberState};
 
-/// What becomes of a member's place in the gossip queue.
+/// Effect of a change on a member's entry in the gossip queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GossipEffect {
-    /// The member's update is to be gossiped as if it had not been sent yet.
+    /// The member's update is queued as if it had not been sent yet.
     Enqueue,
-    /// The member's update is gossiped no longer.
+    /// The member's update is removed from the queue.
     Withdraw,
-    /// The queue stays as it is.
+    /// The queue does not change.
     Unchanged,
 }
 
-/// A change of one member of the table, to be reported and gossiped.
+/// Change of one member of the table, to be reported and gossiped.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TableChange {
     /// Id of the member.
     pub id: u64,
-    /// What the host reports; none: nothing that it reports has changed.
+    /// Event to report. `None` if there is nothing to report.
     pub event: Option<MembershipEvent>,
-    /// What becomes of the member's place in the gossip queue.
+    /// Effect on the member's entry in the gossip queue.
     pub gossip: GossipEffect,
 }
 
 impl TableChange {
-    /// A member was added, or its record or reachability changed.
+    /// Creates the change of a member that was added, or whose record or reachability changed.
     pub fn updated(
         id: u64,
         member: &Member,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// A member's state changed, and nothing of that is gossiped.
+    /// Creates the change of a member whose state changed, which is reported and not gossiped.
     pub fn reported(id: u64, member: &Member, previous: MemberState) -> Self {
         TableChange::updated(id, member, Some(previous), GossipEffect::Unchanged)
     }
 
-    /// A member is gossiped anew, and nothing is reported.
+    /// Creates a change by which a member's update is queued, and nothing is reported.
     pub fn enqueued(id: u64) -> Self {
         TableChange {
             id,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A member is gossiped no longer, and nothing is reported.
+    /// Creates a change by which a member's update is no longer gossiped, and nothing is reported.
     pub fn withdrawn(id: u64) -> Self {
         TableChange {
             id,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// An unreachable member was removed.
+    /// Creates the change of an unreachable member that was removed.
     pub fn forgotten(id: u64, record: &MemberRecord) -> Self {
         TableChange {
             id,
--- a/crates/fleet/src/membership_table/digests.rs
+++ b/crates/fleet/src/membership_table/digests.rs
@@ -1,39 +1,41 @@
-//! Digests of ranges of the table, by which two hosts find where their tables differ. Members that have left do not
-//! count: hosts drop them at different times.
+//! Digests of ranges of the membership table, by which two hosts find where their tables differ. Digests exclude
+//! members that have left, since hosts remove those at different times.
 use super::MembershipTable;
 use crate::member::Member;
 use crate::record::GossipUpdate;
 use crate::wire::{GossipUpdates, IdRange, MAX_RANGES, RangeDigest};
 
-/// Bits by which a range is split into its children.
+/// Number of bits by which the prefixes of child ranges are longer than that of the range that is split.
 const BITS_PER_LEVEL: u8 = 4;
-/// Children of a range.
+/// Number of child ranges into which a range is split.
 const CHILD_RANGES: usize = 1 << BITS_PER_LEVEL;
-/// Longest prefix of a range that can still be split.
+/// Maximum length of the prefix of a range that can be split, in bits.
 const MAX_PREFIX_BITS: u8 = 64 - BITS_PER_LEVEL;
-/// Records in one datagram of an answer to a comparison. Ranges with no more members are exchanged rather than split.
+/// Maximum number of records in one datagram of a reply to a comparison. Ranges with no more members are exchanged
+/// instead of split.
 pub(crate) const RECORDS_PER_DATAGRAM: usize = 8;
-/// The range of all members.
+/// Range of all member ids.
 pub(crate) const WHOLE_TABLE: IdRange = IdRange {
     prefix_bits: 0,
     prefix: 0,
 };
 
-/// Digests of one datagram.
+/// Range digests of one datagram.
 pub(crate) type RangeDigests = heapless::Vec<RangeDigest, MAX_RANGES>;
-/// Ranges of one datagram.
+/// Ranges of member ids of one datagram.
 pub(crate) type IdRanges = heapless::Vec<IdRange, MAX_RANGES>;
 
-/// Where the table differs from another member's.
+/// Ranges in which the table differs from another member's.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct Comparison {
-    /// Digests of the children of ranges in which many members differ.
+    /// Digests of the child ranges of ranges that contain many members in both tables.
     pub split: RangeDigests,
-    /// Ranges whose records are to be exchanged.
+    /// Ranges that contain few members in one of the tables, or cannot be split. Their records are to be exchanged.
     pub exchanged: IdRanges,
 }
 
 impl MembershipTable {
+    /// Returns the members in a range, except those that have left.
     pub fn members_in(&self, range: IdRange) -> impl Iterator<Item = &Member> {
         let prefix_bits = u32::from(range.prefix_bits);
         let first = range
@@ -45,6 +47,7 @@
         members.filter(|member| !member.has_left())
     }
 
+    /// Returns the digest of the members in a range, except those that have left.
     pub fn range_digest(&self, range: IdRange) -> RangeDigest {
         let mut total = RangeDigest {
             range,
@@ -58,7 +61,7 @@
         total
     }
 
-    /// Compares the table with another member's digests. Ranges that can't be split are ignored.
+    /// Compares the table with another member's digests. Ignores ranges with a prefix above the maximum length.
     pub fn compare(&self, digests: &RangeDigests) -> Comparison {
         let mut comparison = Comparison::default();
         for theirs in digests
@@ -71,7 +74,7 @@
             }
             let is_small = own.count.min(theirs.count) as usize <= RECORDS_PER_DATAGRAM;
             if is_small || theirs.range.prefix_bits == MAX_PREFIX_BITS {
-                // There are no more ranges here than digests in one datagram, so there is room.
+                // The push cannot fail: there is at most one range for each digest of the datagram.
                 let _ = comparison.exchanged.push(theirs.range);
             } else if comparison.split.len() + CHILD_RANGES <= MAX_RANGES {
                 comparison.split.extend(self.child_digests(theirs.range));
@@ -80,7 +83,7 @@
         comparison
     }
 
-    /// What is gossiped about the members in some ranges.
+    /// Returns the updates that are gossiped about the members in `ranges`.
     pub fn updates_in(&self, ranges: &IdRanges) -> impl Iterator<Item = GossipUpdate> {
         ranges
             .iter()
@@ -88,8 +91,9 @@
             .map(Member::to_update)
     }
 
-    /// What is gossiped about the members in some ranges and another member does not know, by the updates that it sent
-    /// about them. Ranges that can't be split are ignored.
+    /// Returns the updates that are gossiped about the members in `ranges`, except those that another member knows
+    /// according to `theirs`, the updates that it sent about these ranges. Ignores ranges with a prefix above the
+    /// maximum length.
     pub fn updates_unknown_to(
         &self,
         ranges: &IdRanges,
@@ -110,7 +114,7 @@
             .filter(move |update| !is_known_to_them(update))
     }
 
-    /// Digests of the ranges that a range is split into.
+    /// Returns the digests of the child ranges of a range.
     fn child_digests(&self, range: IdRange) -> impl Iterator<Item = RangeDigest> {
         let child = move |index| IdRange {
             prefix_bits: range.prefix_bits + BITS_PER_LEVEL,
--- a/crates/fleet/src/membership_table/tests.rs
+++ b/crates/fleet/src/membership_table/tests.rs
@@ -73,10 +73,10 @@
 fn conclusions_are_reported_and_not_gossiped() {
     let mut table = table();
     table.suspect(member_id("other"), OWN_ACCUSER, false, 5);
-    assert_eq!(table.conclude_suspicions(|_| 10, 100, 14), []);
+    assert_eq!(table.expire_suspicions(|_| 10, 100, 14), []);
     table.extend_suspicions(2);
-    assert_eq!(table.conclude_suspicions(|_| 10, 100, 15), []);
-    let changes = table.conclude_suspicions(|_| 10, 100, 17);
+    assert_eq!(table.expire_suspicions(|_| 10, 100, 15), []);
+    let changes = table.expire_suspicions(|_| 10, 100, 17);
     assert_eq!(changes.len(), 1);
     assert_eq!(changes[0].gossip, GossipEffect::Unchanged);
     let expected = (Some(MemberState::Suspect), MemberState::Unreachable);
@@ -114,7 +114,7 @@
 fn an_unreachable_member_is_reported_as_forgotten_when_it_is_removed() {
     let mut table = table();
     table.suspect(member_id("other"), OWN_ACCUSER, false, 5);
-    table.conclude_suspicions(|_| 10, 100, 15);
+    table.expire_suspicions(|_| 10, 100, 15);
     let removed = table.remove_expired(115, 10, 100);
     let forgotten = MembershipEvent::MemberForgotten {
         name: Name::try_from("other").expect("short"),
--- a/crates/fleet/src/membership_table/tombstones.rs
+++ b/crates/fleet/src/membership_table/tombstones.rs
@@ -1,9 +1,9 @@
-//! Records of members that were removed from the table, kept so that no older record brings them back.
+//! Tombstones: records of members that were removed from the table, kept so that no older record adds them again.
 use crate::Millis;
 use crate::record::MemberRecord;
 use std::collections::BTreeMap;
 
-/// Tombstones at most; the oldest ones are dropped.
+/// Maximum number of tombstones. Beyond it, the oldest ones are dropped.
 const MAX_TOMBSTONES: usize = 4_096;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -18,7 +18,7 @@
 }
 
 impl Tombstones {
-    /// The last record of a removed member.
+    /// Returns the last record of a removed member, if it has a tombstone.
     pub fn get(&self, id: u64) -> Option<&MemberRecord> {
         self.by_id.get(&id).map(|tombstone| &tombstone.record)
     }
@@ -31,7 +31,7 @@
         self.by_id.remove(&id);
     }
 
-    /// Drops tombstones that are older than `retention`, and the oldest ones beyond the bound.
+    /// Drops tombstones that are older than `retention`, and the oldest ones above the maximum number.
     pub fn expire(&mut self, now: Millis, retention: Millis) {
         self.by_id
             .retain(|_, tombstone| now < tombstone.since + retention);
--- a/crates/fleet/src/name_ownership.rs
+++ b/crates/fleet/src/name_ownership.rs
@@ -1,6 +1,7 @@
-//! Several processes under one name: the one with the highest generation remains a member. A process with a lower one
-//! pings it; if it answers, this process leaves the protocol (it is superseded). If it does not, its record was left by
-//! an earlier run of this host, and this host raises its generation above it.
+//! Resolution of name conflicts: of several processes under one name, only the one with the highest generation remains
+//! a member. A process with a lower generation pings it. If it answers, the pinging process is superseded and leaves
+//! the protocol. If it does not, its record is from an earlier run of this host, and this host raises its generation
+//! above that of the record.
 #[cfg(test)]
 mod tests;
 
@@ -8,10 +9,10 @@
 use crate::record::MemberRecord;
 use std::net::SocketAddr;
 
-/// How often the other process is pinged, once a period, before it counts as ended.
+/// Unanswered pings, one in each protocol period, after which the other process counts as ended.
 const NAME_CONFLICT_PINGS: u32 = 3;
 
-/// Another process under this host's name that started later, as far as is known.
+/// Conflict with another process under this host's name that has a higher generation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct NameConflict {
     record: MemberRecord,
@@ -19,62 +20,63 @@
     next_ping: Millis,
 }
 
-/// Whether this process has its name for itself.
+/// State of this process's ownership of its name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Standing {
-    /// No later process is known.
+enum OwnershipState {
+    /// No later process under this name is known.
     Undisputed,
-    /// A later process may be alive.
+    /// A later process under this name may be alive.
     Disputed(NameConflict),
-    /// The later process at this address is alive; this one takes no more part.
+    /// A later process under this name is alive at this address; this process takes no part in the protocol any more.
     Superseded(SocketAddr),
 }
 
-/// What a name conflict asks for next.
+/// Next step to resolve a name conflict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConflictStep {
-    /// The other process is pinged at its address.
+    /// Ping the other process at this address.
     Ping(SocketAddr),
-    /// The other process did not answer: it counts as ended. Holds its generation.
+    /// The other process, of this generation, did not answer and counts as ended.
     Ended(u64),
 }
 
-/// Whether this process has its name for itself, and the conflict with a later process if there is one.
+/// This process's ownership of its name, with the conflict with a later process if there is one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct NameOwnership {
     protocol_period: Millis,
-    standing: Standing,
+    state: OwnershipState,
 }
 
 impl NameOwnership {
     pub fn new(protocol_period: Millis) -> Self {
         NameOwnership {
             protocol_period,
-            standing: Standing::Undisputed,
+            state: OwnershipState::Undisputed,
         }
     }
 
-    /// Address of the process that superseded this one.
+    /// Returns the address of the process that superseded this one, if any.
     pub fn superseded_by(&self) -> Option<SocketAddr> {
-        match self.standing {
-            Standing::Superseded(address) => Some(address),
-            Standing::Undisputed | Standing::Disputed(_) => None,
+        match self.state {
+            OwnershipState::Superseded(address) => Some(address),
+            OwnershipState::Undisputed | OwnershipState::Disputed(_) => None,
         }
     }
 
     pub fn is_superseded(&self) -> bool {
-        matches!(self.standing, Standing::Superseded(_))
+        matches!(self.state, OwnershipState::Superseded(_))
     }
 
-    /// A record of a later process was received that may be alive. Of several, the latest counts.
+    /// Starts a conflict with a later process that may be alive, whose record was received. Of several such processes,
+    /// only the latest counts.
     pub fn dispute(&mut self, record: &MemberRecord, now: Millis) {
-        let is_news = match &self.standing {
-            Standing::Undisputed => true,
-            Standing::Disputed(known) => known.record.generation < record.generation,
-            Standing::Superseded(_) => false,
+        let is_latest = match &self.state {
+            OwnershipState::Undisputed => true,
+            OwnershipState::Disputed(known) => known.record.generation < record.generation,
+            OwnershipState::Superseded(_) => false,
         };
-        if is_news {
-            self.standing = Standing::Disputed(NameConflict {
+        if is_latest {
+            self.state = OwnershipState::Disputed(NameConflict {
                 record: record.clone(),
                 pings_sent: 0,
                 next_ping: now,
@@ -82,27 +84,27 @@
         }
     }
 
-    /// The other process has ended: this one is the only one under its name.
-    pub fn settle(&mut self) {
-        self.standing = Standing::Undisputed;
+    /// Ends the conflict: the other process has ended, so this one is the only one under its name.
+    pub fn resolve(&mut self) {
+        self.state = OwnershipState::Undisputed;
     }
 
-    /// A process under this host's name sent an ack. Returns whether it is the later one of a conflict, which supersedes
-    /// this process.
+    /// Handles an ack from a process under this host's name. Returns whether the sender is the later process of a
+    /// conflict, which supersedes this process.
     pub fn on_ack(&mut self, sender: &MemberRecord) -> bool {
-        let is_later = match &self.standing {
-            Standing::Disputed(known) => known.record.generation <= sender.generation,
-            Standing::Undisputed | Standing::Superseded(_) => false,
+        let is_later = match &self.state {
+            OwnershipState::Disputed(known) => known.record.generation <= sender.generation,
+            OwnershipState::Undisputed | OwnershipState::Superseded(_) => false,
         };
         if is_later {
-            self.standing = Standing::Superseded(sender.address);
+            self.state = OwnershipState::Superseded(sender.address);
         }
         is_later
     }
 
-    /// What a conflict asks for now, if anything.
+    /// Returns the step to take now to resolve a conflict, if one is due.
     pub fn next_step(&mut self, now: Millis) -> Option<ConflictStep> {
-        let Standing::Disputed(conflict) = &mut self.standing else {
+        let OwnershipState::Disputed(conflict) = &mut self.state else {
             return None;
         };
         if now < conflict.next_ping {
--- a/crates/fleet/src/name_ownership/tests.rs
+++ b/crates/fleet/src/name_ownership/tests.rs
@@ -25,7 +25,7 @@
     }
     let ended = Some(ConflictStep::Ended(20));
     assert_eq!(ownership.next_step(3 * PERIOD), ended);
-    ownership.settle();
+    ownership.resolve();
     assert_eq!(ownership.next_step(4 * PERIOD), None);
 }
 
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,56 +1,58 @@
-//! Member records: what a member publishes about itself. Only the member itself issues a new record; other members
-//! forward it, and may attach a suspicion.
+//! Member records: what a member publishes about itself. Only the member itself issues new records; other members
+//! forward them, and may attach a suspicion.
 use serde::{Deserialize, Serialize};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Longest name of a host or fleet, in bytes.
+/// Maximum length of the name of a host or fleet, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
-/// Longest name of a zone, in bytes.
+/// Maximum length of the name of a zone, in bytes.
 pub const MAX_ZONE_BYTES: usize = 24;
 
-/// Highest generation that a record may have. Clocks give far lower ones, so that a host can always outrank another
-/// process under its name.
+/// Highest generation that a record may have. Generations derived from a clock are far lower, so a host can always
+/// issue a record that outranks those of another process under its name.
 pub const MAX_GENERATION: u64 = u64::MAX / 2;
 
 /// Name of a host or of a fleet.
 pub type Name = heapless::String<MAX_NAME_BYTES>;
-/// Name of a zone: a part of the fleet that may fail or be partitioned at once (a failure domain). Empty: none.
+/// Name of a zone (a failure domain): a part of the fleet that may fail or be partitioned as a whole. Empty if the host
+/// is in no zone.
 pub type Zone = heapless::String<MAX_ZONE_BYTES>;
 
 /// Lifecycle state that a member declares for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// Started, and has not yet replicated the membership table of another member.
+    /// The member has started, and has not yet replicated another member's membership table.
     Joining,
-    /// Up.
+    /// The member is up.
     Alive,
-    /// Shuts down gracefully and still serves.
+    /// The member is shutting down gracefully and still serves requests.
     Leaving,
-    /// Has ended. No record of the same generation is newer.
+    /// The member's process has ended. No record of the same generation is newer.
     Left,
 }
 
-/// State of a member as another host sees it: its declared lifecycle state and the failure detector's verdict.
+/// State of a member as another host sees it: its declared lifecycle state, combined with the result of failure
+/// detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Started, and has not yet replicated the membership table of another member.
+    /// The member has started, and has not yet replicated another member's membership table.
     Joining,
-    /// Up.
+    /// The member is up.
     Alive,
-    /// Did not answer this host or another member; it may still refute that.
+    /// The member did not answer this host or another member; it may still refute the suspicion.
     Suspect,
-    /// Did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     Unreachable,
-    /// Shuts down gracefully and still serves.
+    /// The member is shutting down gracefully and still serves requests.
     Leaving,
-    /// Has ended.
+    /// The member's process has ended.
     Left,
 }
 
 impl MemberState {
-    /// The state's name for operators, log lines and JSON.
+    /// Returns the state's name in operators' tables, log lines and JSON.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -64,50 +66,51 @@
     }
 }
 
-/// Versions of shared state that a member acts on; 0: none.
+/// Versions of shared state that a member acts on; a version is 0 if the member has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActiveVersions {
-    /// Version of the endpoint list.
+    /// Version of the endpoint list that the member acts on.
     pub endpoint_list: u64,
-    /// Version of the plans.
+    /// Version of the plans that the member acts on.
     pub plans: u64,
 }
 
-/// What a member publishes about itself.
+/// Record that a member publishes about itself.
 ///
 /// The order of the fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Name of the host: its identity in the fleet.
+    /// Name of the host, which identifies it in the fleet.
     pub name: Name,
-    /// Number of this run of the host's process: derived from the clock at its start, and raised past any other
-    /// generation under the same name that it learns of.
+    /// Number of this run of the host's process: derived from the clock at the start, and raised above every other
+    /// generation under the same name that the process learns of.
     pub generation: u64,
-    /// Number of this record within the generation (SWIM, section 4.2). Raised by the member with each new record.
+    /// Number of this record within the generation (SWIM, section 4.2). The member raises it with each new record.
     pub incarnation: u32,
-    /// The member's declared lifecycle state.
+    /// Lifecycle state that the member declares.
     pub lifecycle: Lifecycle,
-    /// Address at which other members reach it.
+    /// Address at which other members reach this member.
     pub address: SocketAddr,
-    /// Zone that it runs in.
+    /// Zone in which the member runs.
     pub zone: Zone,
-    /// Versions that it acts on.
+    /// Versions of shared state that the member acts on.
     pub versions: ActiveVersions,
-    /// Start of the process: Unix time in milliseconds.
+    /// Start of the member's process, as Unix time in milliseconds.
     pub started_ms: u64,
 }
 
-/// A member record as members pass it on to each other.
+/// Member record as members forward it to each other, with a suspicion if there is one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipUpdate {
-    /// The record.
+    /// Record that is forwarded.
     pub record: MemberRecord,
-    /// The member that suspects this very record's member to have failed: the lower half of its [`member_id`].
+    /// Member that suspects the record's member of having failed since it issued this record: the lower half of the
+    /// suspecting member's [`member_id`]. `None` if no suspicion is gossiped.
     pub suspected_by: Option<u32>,
 }
 
 impl GossipUpdate {
-    /// A record that is passed on without a suspicion.
+    /// Returns an update that forwards a record without a suspicion.
     pub(crate) fn unsuspected(record: &MemberRecord) -> Self {
         GossipUpdate {
             record: record.clone(),
@@ -116,25 +119,27 @@
     }
 }
 
-/// Order of the records of one member: by generation first; within one, `Left` is final; then by incarnation.
+/// Sort key of the records of one member: by generation; within a generation, `Left` is above all other lifecycle
+/// states; then by incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Precedence {
-    /// See [`MemberRecord::generation`].
+    /// Generation of the record; see [`MemberRecord::generation`].
     pub generation: u64,
-    /// Whether the member has left.
+    /// Whether the record declares that the member has left.
     pub left: bool,
-    /// See [`MemberRecord::incarnation`].
+    /// Incarnation of the record; see [`MemberRecord::incarnation`].
     pub incarnation: u32,
 }
 
-/// Hash of a member's name (XXH3, 64 bits): the key of the member at every host.
+/// Returns the id of a member: the 64-bit XXH3 hash of its name, which is the member's key at every host.
 #[must_use]
 pub fn member_id(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
 impl MemberRecord {
-    /// The record's place in the order of all records of its member: the greater one replaces the others.
+    /// Returns the record's precedence among all records of its member. The record with the greatest precedence
+    /// replaces the others.
     #[must_use]
     pub fn precedence(&self) -> Precedence {
         Precedence {
@@ -144,7 +149,7 @@
         }
     }
 
-    /// Hash of the record and of whether it is suspected, for the range digests of anti-entropy.
+    /// Returns a hash of the record and of whether its member is suspected, for the range digests of anti-entropy.
     #[must_use]
     pub fn digest(&self, suspected: bool) -> u64 {
         let mut hash = Xxh3Default::new();
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,16 +1,16 @@
-//! Suspicions: a member did not answer pings, and has not yet refuted that (SWIM, section 4.2).
+//! Suspicion of a member that did not answer pings and has not yet refuted the suspicion (SWIM, section 4.2).
 #[cfg(test)]
 mod tests;
 
 use crate::Millis;
 use crate::config::SUSPICION_CONFIRMATIONS;
 
-/// Members that accuse the same member: the lower halves of their ids.
+/// Members that suspect the same member, as the lower halves of their ids.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Accusers {
-    /// The member that raised the suspicion.
+    /// Member that raised the suspicion.
     first: u32,
-    /// Members that confirmed it, in the order in which this host learned of them.
+    /// Members that confirmed the suspicion, in the order in which this host learned of their confirmations.
     confirming: heapless::Vec<u32, SUSPICION_CONFIRMATIONS>,
 }
 
@@ -19,7 +19,8 @@
         self.first == accuser || self.confirming.contains(&accuser)
     }
 
-    /// Adds a confirmation. Returns whether it counts: each accuser does once, and only so many are kept.
+    /// Adds a confirmation. Returns whether it counts: only one of each accuser does, and only up to
+    /// [`SUSPICION_CONFIRMATIONS`].
     fn add(&mut self, accuser: u32) -> bool {
         !self.contains(accuser) && self.confirming.push(accuser).is_ok()
     }
@@ -29,7 +30,7 @@
     }
 }
 
-/// A suspicion of one member that was neither refuted nor concluded yet.
+/// Pending suspicion of one member: it was neither refuted nor has it timed out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Suspicion {
     since: Millis,
@@ -38,7 +39,8 @@
 }
 
 impl Suspicion {
-    /// A suspicion that a member raises. `is_local`: this host is isolated, and does not gossip the suspicion.
+    /// Creates a suspicion that a member raises. `is_local`: whether this host raised it while isolated and does not
+    /// gossip it.
     pub fn raised_by(accuser: u32, is_local: bool, now: Millis) -> Self {
         Suspicion {
             since: now,
@@ -50,48 +52,50 @@
         }
     }
 
-    /// Another member gossips the suspicion, so it is no longer this host's alone. Returns whether that changed anything.
+    /// Records that another member gossips the suspicion, which is thus no longer local to this host. Returns whether
+    /// anything changed.
     pub fn confirm(&mut self, accuser: u32) -> bool {
         let is_new = self.accusers.add(accuser);
         let was_local = std::mem::take(&mut self.is_local);
         is_new || was_local
     }
 
-    /// This host was stopped for `gap`, in which no refutation could be read.
-    pub fn extend(&mut self, gap: Millis) {
-        self.since += gap;
+    /// Extends the suspicion by a pause of this process, in which it could receive no refutation.
+    pub fn extend(&mut self, pause: Millis) {
+        self.since += pause;
     }
 
-    /// Keeps the suspicion to this host, if this host alone raised it since its last contact with any member. Returns
-    /// whether it did.
+    /// Makes the suspicion local to this host if only this host raised it, after its last contact with any member.
+    /// Returns whether it is such a suspicion.
     pub fn keep_local(&mut self, own_accuser: u32, last_contact: Millis) -> bool {
         let is_only_own = self.accusers.first == own_accuser && self.accusers.confirming.is_empty();
-        let is_kept = is_only_own && self.since >= last_contact;
-        self.is_local |= is_kept;
-        is_kept
+        let is_kept_local = is_only_own && self.since >= last_contact;
+        self.is_local |= is_kept_local;
+        is_kept_local
     }
 
-    /// When it was raised.
+    /// Returns when the suspicion was raised.
     pub fn since(&self) -> Millis {
         self.since
     }
 
-    /// Members that confirmed it, besides the one that raised it.
+    /// Returns the number of members that confirmed the suspicion, without the one that raised it.
     pub fn confirmations(&self) -> usize {
         self.accusers.confirming.len()
     }
 
-    /// Whether this host alone raised it while isolated. Such a suspicion is not gossiped.
+    /// Returns whether the suspicion is local: only this host raised it, while isolated. A local suspicion is not
+    /// gossiped.
     pub fn is_local(&self) -> bool {
         self.is_local
     }
 
-    /// The member that raised it.
+    /// Returns the member that raised the suspicion.
     pub fn first_accuser(&self) -> u32 {
         self.accusers.first
     }
 
-    /// The member that confirmed it last, or the one that raised it.
+    /// Returns the member that confirmed the suspicion last, or the one that raised it if it is unconfirmed.
     pub fn latest_accuser(&self) -> u32 {
         self.accusers.latest()
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,8 +1,8 @@
 //! Datagrams of the membership protocol.
 //!
-//! A datagram is a head of nine bytes, a message in postcard's format, and padding of zeros. Postcard goes by order:
-//! variants and fields may be renamed, never reordered. Datagrams that can't be decoded, that belong to another fleet or
-//! that have another version of the format are dropped and counted by the receiver.
+//! A datagram consists of a header of nine bytes, a message in postcard's format, and padding of zeros. Postcard
+//! encodes variants and fields by their order: they may be renamed, but never reordered. The receiver drops and counts
+//! datagrams that cannot be decoded, belong to another fleet, or have another format version.
 mod codec;
 
 use crate::record::{GossipUpdate, MemberRecord, MemberState, Name};
@@ -11,41 +11,41 @@
 
 pub use codec::{DecodeError, decode, decode_any_fleet, encode, encode_query};
 
-/// Largest datagram, in bytes: fits the smallest MTU of IPv6 (1,280 bytes) with its headers.
+/// Maximum size of a datagram, in bytes. With its headers it fits into the minimum MTU of IPv6, 1,280 bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// First byte of each datagram: the version of this format.
+/// Version of the datagram format, which is the first byte of each datagram.
 pub const FORMAT_VERSION: u8 = 1;
-/// Updates in one datagram at most; its size ends them earlier.
+/// Maximum number of updates in one datagram. The size of the datagram allows fewer.
 const MAX_UPDATES: usize = 32;
-/// Ranges in one datagram at most.
+/// Maximum number of ranges in one datagram.
 pub(crate) const MAX_RANGES: usize = 48;
-/// Members on one page of a membership query at most.
+/// Maximum number of members on one page of a membership table.
 const MAX_PAGE_MEMBERS: usize = 16;
 
 /// Gossip updates of one datagram.
 pub type GossipUpdates = heapless::Vec<GossipUpdate, MAX_UPDATES>;
 
-/// All member ids whose first `prefix_bits` bits are `prefix`.
+/// Range of all member ids whose first `prefix_bits` bits are `prefix`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct IdRange {
-    /// Length of the prefix in bits; 0: all ids.
+    /// Length of the prefix, in bits. 0 for the range of all ids.
     pub prefix_bits: u8,
-    /// The prefix, in the lowest bits.
+    /// Prefix of the ids, in the lowest bits of this value.
     pub prefix: u64,
 }
 
 /// Digest of all members in a range of ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RangeDigest {
-    /// The range.
+    /// Range of member ids that the digest covers.
     pub range: IdRange,
-    /// Exclusive or of the digests of all members in the range.
+    /// Exclusive or of the record digests of all members in the range.
     pub digest: u64,
     /// Number of members in the range.
     pub count: u32,
 }
 
-/// What a gossip message is for, besides the updates that it carries.
+/// Purpose of a gossip message, in addition to the updates that it carries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[expect(
     clippy::large_enum_variant,
@@ -54,69 +54,70 @@
 pub enum GossipBody {
     /// Asks whether the receiver is alive (SWIM, section 3.1).
     Ping {
-        /// Number by which the sender recognizes the answer.
+        /// Sequence number by which the sender recognizes the ack.
         sequence: u32,
     },
     /// Answers a ping.
     Ack {
-        /// The ping's sequence number.
+        /// Sequence number of the ping.
         sequence: u32,
     },
     /// Asks the receiver to ping a third member (SWIM's ping-req).
     PingRequest {
-        /// Number by which the sender recognizes the result.
+        /// Sequence number by which the sender recognizes the result.
         sequence: u32,
         /// Id of the member to ping.
         target_id: u64,
-        /// Address of that member.
+        /// Address of the member to ping.
         target_address: SocketAddr,
     },
-    /// Result of a ping request.
+    /// Reports the result of a ping request.
     PingRequestResult {
-        /// The request's sequence number.
+        /// Sequence number of the ping request.
         sequence: u32,
-        /// Whether the target answered.
+        /// Whether the member to ping answered.
         acknowledged: bool,
     },
-    /// Digests of the sender's table; the receiver sends back where its own differ. None at all: the tables are equal.
+    /// Contains digests of the sender's table. The receiver replies with the ranges in which its own digests differ. No
+    /// digests at all mean that the tables are equal.
     RangeDigests(heapless::Vec<RangeDigest, MAX_RANGES>),
-    /// The updates hold what the sender knows of the members in these ranges.
+    /// States that the updates contain what the sender knows about the members in some ranges.
     RangeRecords {
-        /// The ranges.
+        /// Ranges of member ids that the updates cover.
         ranges: heapless::Vec<IdRange, MAX_RANGES>,
-        /// Whether the receiver sends back its newer records in these ranges.
+        /// Whether the receiver replies with its newer records in these ranges.
         reply_wanted: bool,
     },
-    /// Nothing but the updates.
+    /// Has no purpose except to carry the updates.
     UpdatesOnly,
 }
 
-/// A message between two members.
+/// Message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// The sender's own record.
+    /// Own record of the sender.
     pub sender: MemberRecord,
-    /// What the message is for.
+    /// Purpose of the message.
     pub body: GossipBody,
     /// Updates that are piggybacked on the message (SWIM, section 4.1).
     pub updates: GossipUpdates,
 }
 
-/// A member as a host's membership table shows it to operators.
+/// Member as a host's membership table shows it to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The newest record known.
+    /// Newest record of the member that the host knows.
     pub record: MemberRecord,
     /// State of the member as the host sees it.
     pub state: MemberState,
-    /// Milliseconds since the host last received a message from the member itself; none: never.
+    /// Milliseconds since the host last received a message from the member itself. `None` if it never did.
     pub last_contact_ms: Option<u64>,
 }
 
-/// A page of a host's membership table.
+/// Page of a host's membership table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipPage {
-    /// Name of the host.
+    /// Name of the host whose table this is.
     pub host: Name,
     /// Whether the host receives nothing from any other member.
     pub isolated: bool,
@@ -124,27 +125,27 @@
     pub superseded: bool,
     /// Digest of the whole table.
     pub digest: u64,
-    /// Members on this page, by id.
+    /// Members on this page, in the order of their ids.
     pub members: heapless::Vec<MemberStatus, MAX_PAGE_MEMBERS>,
-    /// First id of the next page; none: this is the last page.
+    /// First id of the next page. `None` if this is the last page.
     pub next_id: Option<u64>,
 }
 
-/// A datagram's content.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(
     clippy::large_enum_variant,
     reason = "lives on the stack for one datagram; a box would allocate for each"
 )]
 pub enum Message {
-    /// A message of another member.
+    /// Message from another member.
     Gossip(GossipMessage),
-    /// A query for the membership table by a program that is no member. The answer is no longer than the query, so that a
-    /// forged sender address amplifies nothing.
+    /// Query for the membership table by a program that is no member. The answer is no longer than the query, so that a
+    /// query with a forged sender address causes no amplification.
     Query {
-        /// Lowest member id of the wanted page.
+        /// Lowest member id of the requested page.
         first_id: u64,
     },
-    /// Answers a query.
+    /// Answer to a query: a page of the membership table.
     Page(MembershipPage),
 }
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -304,11 +304,11 @@
         problems.iter().map(ToString::to_string).collect::<Vec<_>>(),
         vec![
             "name: expected 1 to 48 bytes",
-            "the host's name: expected 1 to 48 bytes",
+            "host name: expected 1 to 48 bytes",
             "zone: expected up to 24 bytes",
             "listen: expected address:port",
-            "reached_at: expected where others reach this host; it listens on every address",
-            "seeds: expected 32 at most",
+            "reached_at: expected an address at which other members reach this host; an unspecified address or port 0 is not reachable",
+            "seeds: expected at most 32 addresses",
             "period: expected 50 to 60000 ms",
             "keep: expected 100 periods or more",
         ]
