--- a/crates/fleet/src/anti_entropy/tests.rs
+++ b/crates/fleet/src/anti_entropy/tests.rs
@@ -1,4 +1,4 @@
-//! When comparisons are started, and how many are answered.
+//! Tests of when comparisons are started, and of how many are answered.
 use super::*;
 
 const PERIOD: Millis = 1_000;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn sixteen_comparisons_are_answered_in_a_period_and_none_of_unknown_senders() {
+fn sixteen_comparisons_are_answered_in_a_period_and_none_from_unknown_senders() {
     let mut anti_entropy = AntiEntropy::new(PERIOD, 0);
     assert!(!anti_entropy.admit_reply(false, 0));
     let admitted = (0..100).filter(|_| anti_entropy.admit_reply(true, PERIOD - 1));
--- a/crates/fleet/src/failure_detector/tests.rs
+++ b/crates/fleet/src/failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! Periods, the pending ping, and the local health multiplier.
+//! Tests of protocol periods, the pending ping, and the local health multiplier.
 use super::*;
 use crate::record::Name;
 
@@ -6,14 +6,14 @@
 const TARGET: PingTarget = PingTarget { id: 7, sequence: 3 };
 
 fn detector() -> FailureDetector {
-    let name = Name::try_from("own").expect("short");
+    let name = Name::try_from("own").expect("name within the length limit");
     let address = ([127, 0, 0, 1], 7_000).into();
     let config = MembershipConfig::new(name.clone(), name, address);
     assert_eq!(config.protocol_period, PERIOD);
     FailureDetector::new(&config, 0)
 }
 
-/// A detector whose pending ping was sent at time 0.
+/// Returns a detector whose pending ping was sent at time 0.
 fn waiting_detector() -> FailureDetector {
     let mut detector = detector();
     assert_eq!(detector.begin_period(0), None);
@@ -21,11 +21,11 @@
     detector
 }
 
-/// Length of the next period, which begins at `now`.
+/// Begins a period at `now`, and returns its length.
 fn period_from(detector: &mut FailureDetector, now: Millis) -> Millis {
     detector.begin_period(now);
     let end = (now..now + 20 * PERIOD).find(|time| detector.is_period_over(*time));
-    end.expect("it ends") - now
+    end.expect("the period ends within 20 protocol periods") - now
 }
 
 #[test]
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn others_are_asked_once_and_only_between_the_timeout_and_the_end_of_the_period() {
+fn other_members_are_asked_to_ping_once_between_the_timeout_and_the_end_of_the_period() {
     let mut detector = waiting_detector();
     assert_eq!(detector.unanswered_target(399), None);
     assert_eq!(detector.unanswered_target(400), Some(TARGET));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_answer_to_this_host_or_to_another_one_ends_the_ping() {
+fn an_ack_to_this_host_or_to_another_one_ends_the_pending_ping() {
     let mut directly = waiting_detector();
     directly.on_ack(TARGET.id, TARGET.sequence);
     assert_eq!(directly.begin_period(PERIOD), None);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn ping_requests_without_any_report_stretch_the_next_period() {
+fn ping_requests_without_any_result_lengthen_the_next_period() {
     let mut unreported = waiting_detector();
     unreported.indirect_pings_requested(3);
     assert_eq!(period_from(&mut unreported, PERIOD), 2 * PERIOD);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn periods_stretch_to_nine_times_at_most_and_shorten_with_each_answer() {
+fn periods_lengthen_up_to_nine_times_and_shorten_with_each_ack() {
     let mut detector = waiting_detector();
     (0..20).for_each(|_| detector.on_refutation());
     assert_eq!(period_from(&mut detector, 0), 9 * PERIOD);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_stop_voids_the_pending_ping_and_stretches_the_period() {
+fn a_pause_drops_the_pending_ping_and_lengthens_the_period() {
     let mut detector = waiting_detector();
     detector.on_pause();
     assert_eq!(detector.unanswered_target(500), None);
--- a/crates/fleet/src/gossip_queue/tests.rs
+++ b/crates/fleet/src/gossip_queue/tests.rs
@@ -1,8 +1,8 @@
-//! Order and end of the transmissions.
+//! Tests of the order of transmissions, of their maximum number, and of the backlog.
 use super::*;
 
 #[test]
-fn the_least_sent_updates_come_first_and_each_leaves_after_its_transmissions() {
+fn updates_with_the_fewest_transmissions_come_first_and_are_dropped_at_the_maximum() {
     let mut queue = GossipQueue::default();
     for id in [5, 6, 7] {
         queue.enqueue(id);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_backlog_begins_with_the_seventeenth_update() {
+fn seventeen_queued_updates_are_a_backlog() {
     let mut queue = GossipQueue::default();
     (0..16).for_each(|id| queue.enqueue(id));
     assert!(!queue.has_backlog());
--- a/crates/fleet/src/indirect_pings/tests.rs
+++ b/crates/fleet/src/indirect_pings/tests.rs
@@ -1,4 +1,4 @@
-//! Bound, answers and timeouts of pings for other members.
+//! Tests of the limit, the answers and the timeouts of pings on behalf of other members.
 use super::*;
 
 fn requester() -> SocketAddr {
@@ -6,21 +6,23 @@
 }
 
 #[test]
-fn a_ping_is_taken_out_once_by_its_answer_or_after_half_a_period() {
+fn a_ping_is_removed_once_by_its_answer_or_after_half_a_period() {
     let mut pings = IndirectPings::new(1_000);
     pings.add(1, requester(), 11, 0);
     pings.add(2, requester(), 12, 100);
-    let answered = pings.take_answered(1).expect("it is under way");
+    let answered = pings.take_answered(1).expect("the ping is in flight");
     assert_eq!(answered.request_sequence, 11);
     assert_eq!(pings.take_answered(1), None);
     assert_eq!(pings.take_expired(599), None);
-    let expired = pings.take_expired(600).expect("its time is over");
+    let expired = pings
+        .take_expired(600)
+        .expect("the deadline of the ping has passed");
     assert_eq!(expired.request_sequence, 12);
     assert_eq!(pings.take_expired(600), None);
 }
 
 #[test]
-fn there_is_room_for_sixty_four_and_a_stop_clears_them() {
+fn up_to_sixty_four_pings_are_in_flight_and_all_can_be_cleared() {
     let mut pings = IndirectPings::new(1_000);
     for sequence in 0..64 {
         assert!(!pings.is_full());
--- a/crates/fleet/src/local_member/tests.rs
+++ b/crates/fleet/src/local_member/tests.rs
@@ -1,9 +1,9 @@
-//! Which updates this host refutes, and what its next record says.
+//! Tests of which updates this host refutes, and of the records that it issues.
 use super::*;
 use crate::record::Name;
 
 fn member() -> LocalMember {
-    let name = Name::try_from("own").expect("short");
+    let name = Name::try_from("own").expect("name within the length limit");
     let address = ([127, 0, 0, 1], 7_000).into();
     let config = MembershipConfig::new(name.clone(), name, address);
     let mut member = LocalMember::new(&config, 100, 5);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_change_is_a_record_of_its_own() {
+fn each_change_issues_a_new_record() {
     let mut member = member();
     assert_eq!(member.record().incarnation, 1);
     member.set_versions(ActiveVersions {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn suspicions_of_its_record_and_records_that_it_did_not_issue_are_refuted() {
+fn suspicions_of_the_current_record_and_records_that_this_host_did_not_issue_are_refuted() {
     let refuted = [
         claim(1, Lifecycle::Alive, Some(9)),
         claim(1, Lifecycle::Left, None),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn its_own_record_and_suspicions_of_older_ones_are_not_refuted() {
+fn the_own_record_and_suspicions_of_older_ones_are_not_refuted() {
     let mut member = member();
     assert!(!member.refute(&claim(1, Lifecycle::Alive, None)));
     assert!(!member.refute(&claim(0, Lifecycle::Joining, Some(9))));
--- a/crates/fleet/src/member/tests.rs
+++ b/crates/fleet/src/member/tests.rs
@@ -1,11 +1,11 @@
-//! Verdicts on one member, and the pings of an unreachable one.
+//! Tests of the states of a member, and of the pings to an unreachable one.
 use super::*;
 use crate::config::MembershipConfig;
 use crate::local_member::LocalMember;
 use crate::record::Name;
 
 fn record(lifecycle: Lifecycle) -> MemberRecord {
-    let name = Name::try_from("other").expect("short");
+    let name = Name::try_from("other").expect("name within the length limit");
     let address = ([127, 0, 0, 1], 7_000).into();
     let config = MembershipConfig::new(name.clone(), name, address);
     let mut member = LocalMember::new(&config, 1, 0);
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn an_unrefuted_suspicion_makes_a_member_unreachable_and_a_leaving_one_left() {
-    for (lifecycle, concluded) in [
+fn a_member_with_an_unrefuted_suspicion_becomes_unreachable_or_has_left_if_it_was_leaving() {
+    for (lifecycle, expected_state) in [
         (Lifecycle::Alive, MemberState::Unreachable),
         (Lifecycle::Leaving, MemberState::Left),
     ] {
@@ -30,7 +30,7 @@
         member.suspect(9, false, 10);
         assert_eq!(member.state(), MemberState::Suspect);
         member.expire_suspicion(100, 20);
-        assert_eq!(member.state(), concluded);
+        assert_eq!(member.state(), expected_state);
         assert!(!member.is_reachable());
         assert!(!member.is_expired(50, 50, 69));
         assert!(member.is_expired(50, 50, 70));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_isolated_host_does_not_conclude_that_a_leaving_member_has_left() {
+fn a_local_suspicion_does_not_make_a_leaving_member_one_that_has_left() {
     let mut member = Member::new(&update(Lifecycle::Leaving, None), 0);
     member.suspect(9, true, 10);
     member.expire_suspicion(100, 20);
@@ -49,9 +49,12 @@
 }
 
 #[test]
-fn an_unreachable_member_is_pinged_at_doubled_intervals_up_to_the_longest() {
+fn an_unreachable_member_is_pinged_at_doubling_intervals_up_to_the_maximum() {
     let mut member = Member::new(&update(Lifecycle::Alive, Some(9)), 0);
-    assert!(!member.take_due_ping(1_000, 300), "only suspected");
+    assert!(
+        !member.take_due_ping(1_000, 300),
+        "a suspected member is not pinged as unreachable"
+    );
     member.expire_suspicion(100, 0);
     let pings: Vec<Millis> = (0..1_200)
         .filter(|now| member.take_due_ping(*now, 300))
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -234,8 +234,8 @@
         self.members
             .iter_mut()
             .filter_map(|(id, member)| {
-                let is_kept = member.keep_suspicion_local(own_accuser, last_contact);
-                is_kept.then(|| TableChange::withdrawn(*id))
+                let is_local = member.keep_suspicion_local(own_accuser, last_contact);
+                is_local.then(|| TableChange::withdrawn(*id))
             })
             .collect()
     }
--- a/crates/fleet/src/membership_table/tests.rs
+++ b/crates/fleet/src/membership_table/tests.rs
@@ -1,4 +1,4 @@
-//! Changes of the table, and what each asks of the host.
+//! Tests of the changes of the membership table, and of the events and gossip that each of them requires.
 use super::*;
 use crate::config::MembershipConfig;
 use crate::event::MembershipEvent;
@@ -8,7 +8,7 @@
 const OWN_ACCUSER: u32 = 1;
 
 fn record(host: &str, lifecycle: Lifecycle) -> MemberRecord {
-    let name = Name::try_from(host).expect("short");
+    let name = Name::try_from(host).expect("name within the length limit");
     let address = ([127, 0, 0, 1], 7_000).into();
     let config = MembershipConfig::new(name.clone(), name, address);
     let mut member = LocalMember::new(&config, 1, 0);
@@ -23,7 +23,7 @@
     }
 }
 
-/// The table of host `own`, which knows `other`.
+/// Returns the table of host `own`, which knows `other`.
 fn table() -> MembershipTable {
     let mut table = MembershipTable::new(member_id("own"));
     table.replace_local(&record("own", Lifecycle::Alive), 0);
@@ -37,12 +37,12 @@
         MembershipEvent::MemberUpdated {
             previous, current, ..
         } => Some((*previous, *current)),
-        other => panic!("{other:?}"),
+        event => panic!("unexpected event {event:?}"),
     }
 }
 
 #[test]
-fn the_own_record_is_gossiped_always_and_reported_where_its_state_changes() {
+fn the_own_record_is_always_gossiped_and_reported_if_its_state_changes() {
     let mut table = table();
     let same = table.replace_local(&record("own", Lifecycle::Alive), 1);
     assert_eq!(same, TableChange::enqueued(member_id("own")));
@@ -60,17 +60,17 @@
     ] {
         let mut table = table();
         let change = table.suspect(member_id("other"), OWN_ACCUSER, is_local, 5);
-        let change = change.expect("it was reachable");
+        let change = change.expect("the member was reachable");
         assert_eq!(change.gossip, gossip);
         let expected = (Some(MemberState::Alive), MemberState::Suspect);
         assert_eq!(states(&change), Some(expected));
         let again = table.suspect(member_id("other"), OWN_ACCUSER, is_local, 6);
-        assert_eq!(again, None, "it is suspected already");
+        assert_eq!(again, None, "the member is suspected already");
     }
 }
 
 #[test]
-fn conclusions_are_reported_and_not_gossiped() {
+fn the_expiry_of_a_suspicion_is_reported_and_not_gossiped() {
     let mut table = table();
     table.suspect(member_id("other"), OWN_ACCUSER, false, 5);
     assert_eq!(table.expire_suspicions(|_| 10, 100, 14), []);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_an_isolated_host_suspected_alone_is_withdrawn_and_cleared_at_its_end() {
+fn suspicions_that_only_an_isolated_host_raised_are_withdrawn_and_later_cleared() {
     let mut table = table();
     table.suspect(member_id("other"), OWN_ACCUSER, false, 5);
     let withdrawn = table.keep_own_suspicions_local(OWN_ACCUSER, 5);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_removed_member_leaves_a_tombstone_that_keeps_older_records_out() {
+fn the_tombstone_of_a_removed_member_rejects_older_records() {
     let mut table = table();
     let left = update("other", Lifecycle::Left, None);
     assert!(matches!(table.merge(&left, 5), MergeOutcome::Applied(_)));
@@ -117,7 +117,7 @@
     table.expire_suspicions(|_| 10, 100, 15);
     let removed = table.remove_expired(115, 10, 100);
     let forgotten = MembershipEvent::MemberForgotten {
-        name: Name::try_from("other").expect("short"),
+        name: Name::try_from("other").expect("name within the length limit"),
     };
     assert_eq!(removed.len(), 1);
     assert_eq!(removed[0].event, Some(forgotten));
@@ -127,15 +127,15 @@
 fn a_random_member_is_never_this_host_and_one_number_is_drawn_in_any_case() {
     let table = table();
     let mut rng = SeededRng::new(1);
-    let mut draws_once = rng.clone();
-    let any = table.random_reachable(&mut rng, |member| member.record().name == "own");
-    assert_eq!(any, None);
-    draws_once.index(0);
-    assert_eq!(rng, draws_once);
+    let mut rng_after_one_draw = rng.clone();
+    let chosen = table.random_reachable(&mut rng, |member| member.record().name == "own");
+    assert_eq!(chosen, None);
+    rng_after_one_draw.index(0);
+    assert_eq!(rng, rng_after_one_draw);
 }
 
 #[test]
-fn equal_tables_have_nothing_to_compare_and_different_ones_exchange_small_ranges() {
+fn equal_tables_exchange_nothing_and_different_ones_exchange_small_ranges() {
     let table = table();
     let digests = RangeDigests::from_iter([table.range_digest(WHOLE_TABLE)]);
     assert_eq!(table.compare(&digests), digests::Comparison::default());
--- a/crates/fleet/src/name_ownership/tests.rs
+++ b/crates/fleet/src/name_ownership/tests.rs
@@ -1,4 +1,4 @@
-//! A conflict's pings and its two ends.
+//! Tests of the pings of a name conflict, and of its two outcomes.
 use super::*;
 use crate::config::MembershipConfig;
 use crate::local_member::LocalMember;
@@ -7,7 +7,7 @@
 const PERIOD: Millis = 1_000;
 
 fn record(generation: u64) -> MemberRecord {
-    let name = Name::try_from("own").expect("short");
+    let name = Name::try_from("own").expect("name within the length limit");
     let address = ([127, 0, 0, 1], generation as u16).into();
     let config = MembershipConfig::new(name.clone(), name, address);
     LocalMember::new(&config, generation, 0).record().clone()
@@ -40,14 +40,20 @@
 }
 
 #[test]
-fn an_answer_of_the_later_process_supersedes_this_one_for_good() {
+fn an_ack_from_the_later_process_supersedes_this_one_permanently() {
     let mut ownership = NameOwnership::new(PERIOD);
-    assert!(!ownership.on_ack(&record(20)), "no conflict");
+    assert!(!ownership.on_ack(&record(20)), "there is no conflict");
     ownership.dispute(&record(20), 0);
-    assert!(!ownership.on_ack(&record(19)), "an earlier process");
+    assert!(
+        !ownership.on_ack(&record(19)),
+        "the sender is an earlier process"
+    );
     assert!(ownership.on_ack(&record(20)));
     assert_eq!(ownership.superseded_by(), Some(record(20).address));
-    assert!(!ownership.on_ack(&record(20)), "superseded already");
+    assert!(
+        !ownership.on_ack(&record(20)),
+        "this process is superseded already"
+    );
     ownership.dispute(&record(40), 0);
     assert!(ownership.is_superseded());
     assert_eq!(ownership.next_step(9 * PERIOD), None);
--- a/crates/fleet/tests/datagrams.rs
+++ b/crates/fleet/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Whatever datagrams come in: no panic, bounded tables and replies, and no member comes back after it left.
+//! Whatever datagrams a member receives, it does not panic, its table and its replies stay bounded, and no member is
+//! added again after it left.
 use mallowseam_fleet::config::{MAX_MEMBERS, MembershipConfig};
 use mallowseam_fleet::record::{
     ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Precedence, Zone,
@@ -12,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Destination and length of each datagram that was sent.
+/// Destinations and lengths of the datagrams that were sent.
 #[derive(Default)]
 struct SentDatagrams(Vec<(SocketAddr, usize)>);
 
@@ -24,7 +25,7 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::try_from(text).expect("short")
+    Name::try_from(text).expect("name within the length limit")
 }
 
 fn address(host: u8) -> SocketAddr {
@@ -40,7 +41,7 @@
     )
 }
 
-/// A record of another member; host 0 has the name of the member under test.
+/// Returns the record of a member. Host 0 has the name of the member under test.
 fn record(host: u8, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
     MemberRecord {
         name: if host == 0 {
@@ -66,7 +67,7 @@
     }
 }
 
-/// The message's datagram; none: it does not fit.
+/// Encodes a message. Returns `None` if it does not fit into a datagram.
 fn encode(message: GossipMessage) -> Option<Vec<u8>> {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     wire::encode("f", &Message::Gossip(message), &mut buffer).map(<[u8]>::to_vec)
@@ -145,13 +146,13 @@
 
     #[test]
     fn malformed_datagrams_neither_panic_nor_fill_the_table(
-        noise in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 1..20),
+        random_inputs in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 1..20),
         truncated_to in 0..200usize,
     ) {
         let (mut member, mut sent) = (new_member(), SentDatagrams::default());
         let ping = GossipBody::Ping { sequence: 1 };
-        let valid = encode(bare_message(record(1, 1, 1, Lifecycle::Alive), ping)).expect("it fits");
-        for bytes in &noise {
+        let valid = encode(bare_message(record(1, 1, 1, Lifecycle::Alive), ping)).expect("the message fits");
+        for bytes in &random_inputs {
             member.receive(address(3), bytes, 1, &mut sent);
             let mut mixed = valid.clone();
             let index = truncated_to % mixed.len();
@@ -159,7 +160,7 @@
             member.receive(address(3), &mixed[..mixed.len().min(MAX_DATAGRAM_BYTES)], 1, &mut sent);
             member.receive(address(3), &valid[..truncated_to.min(valid.len() - 1)], 1, &mut sent);
         }
-        prop_assert!(member.members().count() <= 2 * noise.len() + 1);
+        prop_assert!(member.members().count() <= 2 * random_inputs.len() + 1);
     }
 
     #[test]
@@ -175,12 +176,12 @@
             let Some(datagram) = encode(message) else { continue };
             let before = sent.0.len();
             member.receive(from, &datagram, now, &mut sent);
-            prop_assert!(sent.0[before..].len() <= 16, "bounded replies");
+            prop_assert!(sent.0[before..].len() <= 16, "more than 16 datagrams were sent as replies");
             member.tick(now, &mut sent);
             for (record, state) in member.members() {
                 let precedence = record.precedence();
                 if let Some(known) = newest.insert(record.name.clone(), precedence) {
-                    prop_assert!(precedence >= known, "{} went back", record.name);
+                    prop_assert!(precedence >= known, "the record of {} was replaced by an older one", record.name);
                 }
                 let has_left = matches!(record.lifecycle, Lifecycle::Left | Lifecycle::Leaving);
                 prop_assert!(state != MemberState::Left || has_left);
@@ -192,28 +193,29 @@
     #[test]
     fn a_reply_to_an_unknown_address_is_no_longer_than_the_datagram(message in messages(), others in 0..40u8) {
         let (mut member, mut sent) = (new_member(), SentDatagrams::default());
-        // So that it has plenty to gossip.
+        // Introduces other members, so that there are many updates to gossip.
         for host in 10..10 + others {
             let introduction = bare_message(record(host, 1, 1, Lifecycle::Alive), GossipBody::UpdatesOnly);
-            let datagram = encode(introduction).expect("it fits");
+            let datagram = encode(introduction).expect("the message fits");
             member.receive(address(host), &datagram, 1, &mut sent);
         }
         sent.0.clear();
         let Some(datagram) = encode(message) else { return Ok(()) };
         member.receive(address(250), &datagram, 2, &mut sent);
         let replied: usize = sent.0.iter().filter(|(to, _)| *to == address(250)).map(|(_, bytes)| bytes).sum();
-        prop_assert!(replied <= datagram.len(), "{replied} for {}", datagram.len());
-        prop_assert_eq!(sent.0.len(), usize::from(replied > 0), "nothing is sent to anybody else");
+        prop_assert!(replied <= datagram.len(), "replied with {replied} bytes to a datagram of {} bytes", datagram.len());
+        prop_assert_eq!(sent.0.len(), usize::from(replied > 0), "a datagram was sent to another address");
     }
 }
 
 #[test]
-fn members_beyond_the_bound_are_dropped_and_counted() {
+fn members_beyond_the_maximum_number_are_dropped_and_counted() {
     let (mut member, mut sent) = (new_member(), SentDatagrams::default());
     for n in 0..(MAX_MEMBERS + 50) {
         let mut sender = record(1, 1, 1, Lifecycle::Alive);
         sender.name = name(&format!("x{n}"));
-        let datagram = encode(bare_message(sender, GossipBody::UpdatesOnly)).expect("it fits");
+        let datagram =
+            encode(bare_message(sender, GossipBody::UpdatesOnly)).expect("the message fits");
         member.receive(address(2), &datagram, 1, &mut sent);
     }
     assert_eq!(
@@ -223,7 +225,8 @@
     assert!(sent.0.is_empty());
 }
 
-/// Claims about the member under test at the ends of what a datagram can hold, and next to its own record.
+/// Returns claims about the member under test with the extreme values that a datagram can contain, and with values next
+/// to those of its own record.
 fn extreme_claims(own: &MemberRecord) -> Vec<GossipUpdate> {
     let generations = [
         0,
@@ -254,18 +257,20 @@
     claims
 }
 
-/// A member that has received a claim about itself and had time to ping whoever made it, in vain.
+/// Returns a member that has received a claim about itself, and whose pings to the address in the claim stayed
+/// unanswered.
 fn member_after(claim: &GossipUpdate) -> Membership {
     let (mut member, mut sent) = (new_member(), SentDatagrams::default());
     let sender = record(3, 1, 1, Lifecycle::Alive);
     let mut message = bare_message(sender, GossipBody::UpdatesOnly);
     message.updates = GossipUpdates::from_iter([claim.clone()]);
-    let datagram = encode(message).expect("it fits");
+    let datagram = encode(message).expect("the message fits");
     member.receive(address(3), &datagram, 1, &mut sent);
     (1..100).for_each(|n| member.tick(n * 100, &mut sent));
     member
 }
 
+/// Asserts that the member's own record outranks a claim, or equals one that contains no suspicion.
 fn assert_outranked(claim: &GossipUpdate, member: &Membership) {
     let (own, claimed) = (member.own_record().precedence(), claim.record.precedence());
     assert!(own >= claimed, "{claim:?}: {own:?}");
@@ -284,9 +289,9 @@
         assert_eq!(
             is_dropped,
             claim.record.generation > u64::MAX / 2,
-            "{claim:?}"
+            "only claims with a generation above the maximum are dropped: {claim:?}"
         );
-        // Its claim to have left has a test of its own.
+        // Claims that this process has left are covered by `a_claim_that_this_very_process_has_left_is_outranked`.
         let has_left =
             claim.record.lifecycle == Lifecycle::Left && claim.record.generation == own_generation;
         if !is_dropped && !has_left {
--- a/crates/fleet/tests/pinned_decisions.rs
+++ b/crates/fleet/tests/pinned_decisions.rs
@@ -1,5 +1,6 @@
-//! Pins every decision of the membership state machine: seeded streams of events go in, and the hash of all actions
-//! that come out is compared with the value recorded at 01f3988. A changed constant, order or random draw fails here.
+//! Pins every decision of the membership state machine: each test runs it with a seeded sequence of events, and
+//! compares the hash of all its actions with the value recorded at commit 01f3988. The hash differs if a constant, the
+//! order of actions or a random draw changes.
 use mallowseam_fleet::config::MembershipConfig;
 use mallowseam_fleet::record::{
     ActiveVersions, GossipUpdate, Lifecycle, MemberRecord, Name, Zone, member_id,
@@ -14,11 +15,11 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Hash of all actions, and how many of each kind there were.
+/// Hash of all actions, with the number of datagrams and of events among them.
 struct Recorder {
     hash: Xxh3Default,
     datagrams: u32,
-    changes: u32,
+    events: u32,
 }
 
 impl Recorder {
@@ -26,29 +27,29 @@
         Recorder {
             hash: Xxh3Default::new(),
             datagrams: 0,
-            changes: 0,
+            events: 0,
         }
     }
 
-    fn number(&mut self, number: u64) {
+    fn hash_number(&mut self, number: u64) {
         self.hash.update(&number.to_le_bytes());
     }
 
-    fn text(&mut self, text: &str) {
-        self.number(text.len() as u64);
+    fn hash_text(&mut self, text: &str) {
+        self.hash_number(text.len() as u64);
         self.hash.update(text.as_bytes());
     }
 
-    fn datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
+    fn record_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.datagrams += 1;
-        self.text(&to.to_string());
-        self.number(bytes.len() as u64);
+        self.hash_text(&to.to_string());
+        self.hash_number(bytes.len() as u64);
         self.hash.update(bytes);
     }
 
-    fn change(&mut self, change: &MembershipEvent) {
-        self.changes += 1;
-        match change {
+    fn record_event(&mut self, event: &MembershipEvent) {
+        self.events += 1;
+        match event {
             MembershipEvent::MemberUpdated {
                 name,
                 address,
@@ -56,40 +57,40 @@
                 previous,
                 current,
             } => {
-                self.text("member");
-                self.text(name);
-                self.text(&address.to_string());
-                self.number(versions.endpoint_list);
-                self.number(versions.plans);
-                self.text(previous.map_or("-", |s| s.as_str()));
-                self.text(current.as_str());
+                self.hash_text("member");
+                self.hash_text(name);
+                self.hash_text(&address.to_string());
+                self.hash_number(versions.endpoint_list);
+                self.hash_number(versions.plans);
+                self.hash_text(previous.map_or("-", |state| state.as_str()));
+                self.hash_text(current.as_str());
             }
             MembershipEvent::MemberForgotten { name } => {
-                self.text("forgot");
-                self.text(name);
+                self.hash_text("forgot");
+                self.hash_text(name);
             }
             MembershipEvent::Superseded { address } => {
-                self.text("displaced");
-                self.text(&address.to_string());
+                self.hash_text("displaced");
+                self.hash_text(&address.to_string());
             }
             MembershipEvent::IsolationStarted | MembershipEvent::IsolationEnded => {
-                // The text is part of the recorded hash.
-                self.text("alone");
-                self.number(u64::from(*change == MembershipEvent::IsolationStarted));
+                // The recorded hash includes this text.
+                self.hash_text("alone");
+                self.hash_number(u64::from(*event == MembershipEvent::IsolationStarted));
             }
         }
     }
 
-    fn state(&mut self, fleet: &Membership, now: Millis) {
-        self.number(fleet.next_tick());
-        self.number(fleet.digest());
-        self.number(u64::from(fleet.is_isolated()));
-        self.text(
-            &fleet
+    fn record_state(&mut self, membership: &Membership, now: Millis) {
+        self.hash_number(membership.next_tick());
+        self.hash_number(membership.digest());
+        self.hash_number(u64::from(membership.is_isolated()));
+        self.hash_text(
+            &membership
                 .superseded_by()
-                .map_or("-".to_owned(), |a| a.to_string()),
+                .map_or("-".to_owned(), |address| address.to_string()),
         );
-        let counters = fleet.counters();
+        let counters = membership.counters();
         for count in [
             counters.received,
             counters.sent,
@@ -100,74 +101,78 @@
             counters.capacity_drops,
             counters.refutations,
         ] {
-            self.number(count);
+            self.hash_number(count);
         }
-        self.number(now);
-        let members: Vec<(MemberRecord, &str)> = fleet
+        self.hash_number(now);
+        let members: Vec<(MemberRecord, &str)> = membership
             .members()
-            .map(|(w, s)| (w.clone(), s.as_str()))
+            .map(|(record, state)| (record.clone(), state.as_str()))
             .collect();
         for (record, state) in members {
-            self.text(&record.name);
-            self.text(state);
-            self.number(record.generation);
-            self.number(u64::from(record.incarnation));
+            self.hash_text(&record.name);
+            self.hash_text(state);
+            self.hash_number(record.generation);
+            self.hash_number(u64::from(record.incarnation));
         }
     }
 
     fn result(&self) -> (u64, u32, u32) {
-        (self.hash.digest(), self.datagrams, self.changes)
+        (self.hash.digest(), self.datagrams, self.events)
     }
 }
 
-/// Takes the actions of one call.
-struct Actions<'a> {
+/// Sink that records the actions of one call, and collects its datagrams.
+struct RecordingSink<'a> {
     recorder: &'a mut Recorder,
     sent: Vec<(SocketAddr, Vec<u8>)>,
 }
 
-impl ActionSink for Actions<'_> {
+impl ActionSink for RecordingSink<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        self.recorder.datagram(to, bytes);
+        self.recorder.record_datagram(to, bytes);
         self.sent.push((to, bytes.to_vec()));
     }
 
-    fn notify(&mut self, change: MembershipEvent) {
-        self.recorder.change(&change);
+    fn notify(&mut self, event: MembershipEvent) {
+        self.recorder.record_event(&event);
     }
 }
 
 fn name(text: &str) -> Name {
-    Name::try_from(text).expect("short")
+    Name::try_from(text).expect("name within the length limit")
 }
 
 fn address(host: u64) -> SocketAddr {
     SocketAddr::from(([10, 0, (host >> 8) as u8, host as u8], 7000))
 }
 
+/// Datagram in flight.
 struct Datagram {
-    due: Millis,
+    delivery_time: Millis,
     from: SocketAddr,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
 struct Host {
-    fleet: Option<Membership>,
-    /// Not called before this time: a process that is stopped.
-    stopped_until: Millis,
-    /// The name that it takes at its next start.
-    name: u64,
+    /// Member that runs on the host. `None` while no process runs.
+    membership: Option<Membership>,
+    /// Time until which the process is paused: it neither ticks nor receives datagrams before.
+    paused_until: Millis,
+    /// Number in the name under which the host starts next.
+    name_number: u64,
 }
 
-/// A handful of members, and a network that loses, doubles, delays, reorders and corrupts.
+/// Simulation of a few members on a network that loses, duplicates, delays, reorders and corrupts datagrams.
 struct Simulation {
     rng: SeededRng,
     hosts: Vec<Host>,
-    network: VecDeque<Datagram>,
-    /// Hosts that can't reach the others, as bits.
-    cut: u64,
-    loss: u64,
+    in_flight: VecDeque<Datagram>,
+    /// Side of the partition on which each host is, one bit for each host. Hosts on different sides cannot reach each
+    /// other.
+    partition: u64,
+    /// Datagrams that the network loses, in percent.
+    loss_percent: u64,
     period: Millis,
     now: Millis,
     recorder: Recorder,
@@ -179,18 +184,18 @@
         let count = 3 + rng.below(5);
         let hosts = (0..count)
             .map(|n| Host {
-                fleet: None,
-                stopped_until: 0,
-                name: n,
+                membership: None,
+                paused_until: 0,
+                name_number: n,
             })
             .collect();
         let period = [100, 250, 1_000][rng.below(3) as usize];
         Simulation {
             rng,
             hosts,
-            network: VecDeque::new(),
-            cut: 0,
-            loss: 0,
+            in_flight: VecDeque::new(),
+            partition: 0,
+            loss_percent: 0,
             period,
             now: 0,
             recorder: Recorder::new(),
@@ -198,9 +203,10 @@
     }
 
     fn start(&mut self, host: usize) {
-        let named = name(&format!("host-{}", self.hosts[host].name));
-        let mut config = MembershipConfig::new(name("pins"), named, address(host as u64 + 1));
-        config.zone = Zone::try_from(["a", "b", ""][host % 3]).expect("short");
+        let host_name = name(&format!("host-{}", self.hosts[host].name_number));
+        let mut config = MembershipConfig::new(name("pins"), host_name, address(host as u64 + 1));
+        config.zone =
+            Zone::try_from(["a", "b", ""][host % 3]).expect("name within the length limit");
         config.seeds = (0..3.min(self.hosts.len() as u64))
             .map(|n| address(n + 1))
             .collect();
@@ -212,7 +218,7 @@
         config.local_health = host != 2 || self.period != 250;
         config.suspicion_confirmations = host != 1 || self.period != 250;
         let seed = self.rng.next_u64();
-        self.hosts[host].fleet = Some(Membership::new(
+        self.hosts[host].membership = Some(Membership::new(
             config,
             seed,
             self.now,
@@ -220,31 +226,34 @@
         ));
     }
 
-    fn with(
+    /// Calls the member on a host, records its actions, and transmits its datagrams.
+    fn call(
         &mut self,
         host: usize,
         act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink),
     ) {
         let now = self.now;
-        let Some(fleet) = self.hosts[host].fleet.as_mut() else {
+        let Some(membership) = self.hosts[host].membership.as_mut() else {
             return;
         };
-        self.recorder.number(host as u64);
-        let mut actions = Actions {
+        self.recorder.hash_number(host as u64);
+        let mut sink = RecordingSink {
             recorder: &mut self.recorder,
             sent: Vec::new(),
         };
-        act(fleet, now, &mut actions);
-        for (to, bytes) in actions.sent {
-            self.carry(host, to, bytes);
+        act(membership, now, &mut sink);
+        for (to, bytes) in sink.sent {
+            self.transmit(host, to, bytes);
         }
     }
 
-    fn carry(&mut self, host: usize, to: SocketAddr, mut bytes: Vec<u8>) {
+    /// Loses, corrupts, duplicates or delays a datagram that a host sends, and adds it to those in flight.
+    fn transmit(&mut self, host: usize, to: SocketAddr, mut bytes: Vec<u8>) {
         let from = address(host as u64 + 1);
         let receiver = (0..self.hosts.len()).find(|n| address(*n as u64 + 1) == to);
-        let apart = receiver.is_some_and(|r| (self.cut >> host ^ self.cut >> r) & 1 == 1);
-        if apart || self.rng.below(100) < self.loss {
+        let is_partitioned = receiver
+            .is_some_and(|receiver| (self.partition >> host ^ self.partition >> receiver) & 1 == 1);
+        if is_partitioned || self.rng.below(100) < self.loss_percent {
             return;
         }
         if self.rng.one_in(60) {
@@ -256,14 +265,14 @@
         }
         let copies = if self.rng.one_in(25) { 2 } else { 1 };
         for _ in 0..copies {
-            let wait = if self.rng.one_in(12) {
+            let delay = if self.rng.one_in(12) {
                 self.rng.below(self.period)
             } else {
                 self.rng.below(8)
             };
-            let due = self.now + wait;
-            self.network.push_back(Datagram {
-                due,
+            let delivery_time = self.now + delay;
+            self.in_flight.push_back(Datagram {
+                delivery_time,
                 from,
                 to,
                 bytes: bytes.clone(),
@@ -271,64 +280,66 @@
         }
     }
 
-    fn deliver(&mut self) {
+    /// Delivers the datagrams that are due. Those to a paused process are lost.
+    fn deliver_due(&mut self) {
         let now = self.now;
-        let (due, rest): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.network)
+        let (due, rest): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|d| d.due <= now);
-        self.network = rest;
+            .partition(|datagram| datagram.delivery_time <= now);
+        self.in_flight = rest;
         for datagram in due {
             let receiver = (0..self.hosts.len()).find(|n| address(*n as u64 + 1) == datagram.to);
-            let Some(host) = receiver.filter(|h| self.hosts[*h].stopped_until <= now) else {
+            let Some(host) = receiver.filter(|host| self.hosts[*host].paused_until <= now) else {
                 continue;
             };
-            self.with(host, |f, now, out| {
-                f.receive(datagram.from, &datagram.bytes, now, out);
+            self.call(host, |member, now, sink| {
+                member.receive(datagram.from, &datagram.bytes, now, sink);
             });
         }
     }
 
+    /// Calls the ticks that are due, except those of paused processes.
     fn tick(&mut self) {
         for host in 0..self.hosts.len() {
-            let due = self.hosts[host]
-                .fleet
+            let is_due = self.hosts[host]
+                .membership
                 .as_ref()
-                .is_some_and(|f| f.next_tick() <= self.now);
-            if due && self.hosts[host].stopped_until <= self.now {
-                self.with(host, |f, now, out| f.tick(now, out));
+                .is_some_and(|membership| membership.next_tick() <= self.now);
+            if is_due && self.hosts[host].paused_until <= self.now {
+                self.call(host, |member, now, sink| member.tick(now, sink));
             }
         }
     }
 
-    /// Something that happens to one host or to the network.
+    /// Injects a random fault, or another event, into one host or the network.
     fn inject_fault(&mut self) {
         let host = self.rng.below(self.hosts.len() as u64) as usize;
         match self.rng.below(16) {
-            0 => self.hosts[host].fleet = None,
-            1 => self.with(host, |f, now, out| f.announce_leaving(now, out)),
+            0 => self.hosts[host].membership = None,
+            1 => self.call(host, |member, now, sink| member.announce_leaving(now, sink)),
             2 => {
-                self.with(host, |f, now, out| f.announce_left(now, out));
-                self.hosts[host].fleet = None;
+                self.call(host, |member, now, sink| member.announce_left(now, sink));
+                self.hosts[host].membership = None;
             }
-            3 => self.hosts[host].stopped_until = self.now + self.rng.below(8) * self.period,
-            4 => self.cut = self.rng.next_u64(),
-            5..=7 => self.cut = 0,
-            8 => self.loss = self.rng.below(40),
-            9 => self.loss = 0,
+            3 => self.hosts[host].paused_until = self.now + self.rng.below(8) * self.period,
+            4 => self.partition = self.rng.next_u64(),
+            5..=7 => self.partition = 0,
+            8 => self.loss_percent = self.rng.below(40),
+            9 => self.loss_percent = 0,
             10 => {
-                // A process under another one's name; its own name comes back with the next start.
+                // Starts the host under a random host's name. It has its own name again at its next start.
                 let other = self.rng.below(self.hosts.len() as u64);
-                self.hosts[host].name = other;
+                self.hosts[host].name_number = other;
                 self.start(host);
-                self.hosts[host].name = host as u64;
+                self.hosts[host].name_number = host as u64;
             }
             11 => {
                 let versions = ActiveVersions {
                     endpoint_list: self.rng.below(9),
                     plans: self.rng.below(9),
                 };
-                self.with(host, |f, now, out| {
-                    f.set_active_versions(versions, now, out);
+                self.call(host, |member, now, sink| {
+                    member.set_active_versions(versions, now, sink);
                 });
             }
             12 => {
@@ -336,7 +347,7 @@
                     address(self.rng.below(8) + 1),
                     address(self.rng.below(8) + 1),
                 ];
-                self.with(host, |f, _, _| f.set_seeds(seeds));
+                self.call(host, |member, _, _| member.set_seeds(seeds));
             }
             13 => {
                 let query = wire::encode_query(if self.rng.one_in(2) {
@@ -345,10 +356,10 @@
                     self.rng.next_u64()
                 });
                 let from = address(200);
-                self.with(host, |f, now, out| f.receive(from, &query, now, out));
+                self.call(host, |m, now, sink| m.receive(from, &query, now, sink));
             }
             _ => {
-                if self.hosts[host].fleet.is_none() {
+                if self.hosts[host].membership.is_none() {
                     self.start(host);
                 }
             }
@@ -361,15 +372,15 @@
         }
         for step in 0..steps {
             self.now += 1 + self.rng.below(self.period / 5);
-            self.deliver();
+            self.deliver_due();
             self.tick();
             if self.rng.one_in(25) {
                 self.inject_fault();
             }
             if step % 50 == 0 {
                 for host in &self.hosts {
-                    if let Some(fleet) = &host.fleet {
-                        self.recorder.state(fleet, self.now);
+                    if let Some(membership) = &host.membership {
+                        self.recorder.record_state(membership, self.now);
                     }
                 }
             }
@@ -378,7 +389,7 @@
     }
 }
 
-/// Hash of all actions, datagrams and changes among them, by seed.
+/// Recorded hash of all actions, and number of datagrams and of events among them, for each seed.
 const SMALL_FLEETS: [(u64, u32, u32); 20] = [
     (4657272911163042627, 745, 125),
     (15334711263112893236, 716, 152),
@@ -402,7 +413,7 @@
     (17882834278826279319, 752, 89),
 ];
 
-fn small_fleets(seeds: std::ops::Range<u64>) {
+fn assert_small_fleets_act_as_recorded(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         assert_eq!(
             Simulation::new(seed).run(2_500),
@@ -414,38 +425,40 @@
 
 #[test]
 fn small_fleets_act_as_recorded_under_faults() {
-    small_fleets(0..7);
+    assert_small_fleets_act_as_recorded(0..7);
 }
 
 #[test]
 fn small_fleets_act_as_recorded_under_faults_with_further_seeds() {
-    small_fleets(7..14);
+    assert_small_fleets_act_as_recorded(7..14);
 }
 
 #[test]
 fn small_fleets_act_as_recorded_under_faults_with_the_last_seeds() {
-    small_fleets(14..20);
+    assert_small_fleets_act_as_recorded(14..20);
 }
 
-// One member among many: bounds on answers, pages, indirect pings and gossip.
+// The remaining tests run one member that knows many others: limits on answers, pages, indirect pings and gossip.
 
+/// Member under test, with a generator of messages from the other members of its fleet.
 struct LargeFleet {
     rng: SeededRng,
     member: Membership,
     now: Millis,
     recorder: Recorder,
-    sent: usize,
+    /// Number of datagrams that the member sent in the last call.
+    sent_in_last_call: usize,
 }
 
 fn record(host: u64, generation: u64, incarnation: u32, lifecycle: Lifecycle) -> MemberRecord {
-    let zone = Zone::try_from(["a", "b"][host as usize % 2]).expect("short");
+    let zone = Zone::try_from(["a", "b"][host as usize % 2]).expect("name within the length limit");
     let versions = ActiveVersions {
         endpoint_list: host,
         plans: 0,
     };
-    let named = name(&format!("member-{host}"));
+    let host_name = name(&format!("member-{host}"));
     MemberRecord {
-        name: named,
+        name: host_name,
         generation,
         incarnation,
         lifecycle,
@@ -465,38 +478,42 @@
             member,
             now: 0,
             recorder: Recorder::new(),
-            sent: 0,
+            sent_in_last_call: 0,
         }
     }
 
-    fn with(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
-        let mut actions = Actions {
+    /// Calls the member under test, and records its actions.
+    fn call(&mut self, act: impl FnOnce(&mut Membership, Millis, &mut dyn ActionSink)) {
+        let mut sink = RecordingSink {
             recorder: &mut self.recorder,
             sent: Vec::new(),
         };
-        act(&mut self.member, self.now, &mut actions);
-        self.sent = actions.sent.len();
+        act(&mut self.member, self.now, &mut sink);
+        self.sent_in_last_call = sink.sent.len();
     }
 
-    fn deliver(&mut self, from: MemberRecord, body: GossipBody, updates: GossipUpdates) {
-        let address = from.address;
+    /// Delivers a message from another member, unless it is too long for a datagram.
+    fn deliver(&mut self, sender: MemberRecord, body: GossipBody, updates: GossipUpdates) {
+        let address = sender.address;
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         let message = Message::Gossip(GossipMessage {
-            sender: from,
+            sender,
             body,
             updates,
         });
         let Some(bytes) = wire::encode("pins", &message, &mut buffer) else {
             return;
         };
-        self.with(|f, now, out| f.receive(address, bytes, now, out));
+        self.call(|member, now, sink| member.receive(address, bytes, now, sink));
     }
 
-    fn tick(&mut self, pause: Millis) {
-        self.now += pause;
-        self.with(|f, now, out| f.tick(now, out));
+    /// Advances the time, and ticks the member under test.
+    fn tick(&mut self, elapsed: Millis) {
+        self.now += elapsed;
+        self.call(|member, now, sink| member.tick(now, sink));
     }
 
+    /// Delivers a first message from each of these other members.
     fn introduce(&mut self, hosts: std::ops::Range<u64>) {
         for host in hosts {
             self.deliver(
@@ -509,23 +526,27 @@
 
     fn random_body(&mut self) -> GossipBody {
         let range = |rng: &mut SeededRng| {
-            let depth = [0, 4, 8, 60, 64][rng.below(5) as usize];
+            let bits = [0, 4, 8, 60, 64][rng.below(5) as usize];
             IdRange {
-                prefix_bits: depth,
+                prefix_bits: bits,
                 prefix: rng.below(16),
             }
         };
-        let number = self.rng.below(40) as u32;
+        let random_sequence = self.rng.below(40) as u32;
         match self.rng.below(10) {
-            0 => GossipBody::Ping { sequence: number },
-            1 => GossipBody::Ack { sequence: number },
+            0 => GossipBody::Ping {
+                sequence: random_sequence,
+            },
+            1 => GossipBody::Ack {
+                sequence: random_sequence,
+            },
             2 | 3 => GossipBody::PingRequest {
-                sequence: number,
+                sequence: random_sequence,
                 target_id: self.rng.next_u64(),
                 target_address: address(self.rng.below(700)),
             },
             4 => GossipBody::PingRequestResult {
-                sequence: number,
+                sequence: random_sequence,
                 acknowledged: self.rng.one_in(2),
             },
             5 | 6 => {
@@ -550,7 +571,7 @@
     }
 
     fn random_updates(&mut self) -> GossipUpdates {
-        let states = [
+        let lifecycles = [
             Lifecycle::Joining,
             Lifecycle::Alive,
             Lifecycle::Leaving,
@@ -560,7 +581,7 @@
         let random_update = |_| {
             let host = 1 + self.rng.below(720);
             let lifecycle = if self.rng.one_in(5) {
-                states[self.rng.below(4) as usize]
+                lifecycles[self.rng.below(4) as usize]
             } else {
                 Lifecycle::Alive
             };
@@ -586,21 +607,22 @@
                 updates,
             );
             if self.rng.one_in(6) {
-                let pause = 20 + self.rng.below(300);
-                self.tick(pause);
+                let elapsed = 20 + self.rng.below(300);
+                self.tick(elapsed);
             }
             if step % 100 == 0 {
-                self.recorder.state(&self.member, self.now);
+                self.recorder.record_state(&self.member, self.now);
             }
         }
-        self.with(|f, now, out| f.announce_leaving(now, out));
-        self.with(|f, now, out| f.announce_left(now, out));
-        self.recorder.number(self.sent as u64);
-        self.recorder.state(&self.member, self.now);
+        self.call(|member, now, sink| member.announce_leaving(now, sink));
+        self.call(|member, now, sink| member.announce_left(now, sink));
+        self.recorder.hash_number(self.sent_in_last_call as u64);
+        self.recorder.record_state(&self.member, self.now);
         self.recorder.result()
     }
 }
 
+/// Recorded hash of all actions, and number of datagrams and of events among them, for each size of the fleet.
 const LARGE_FLEETS: [(u64, u32, u32); 4] = [
     (16266972259726152449, 1779, 781),
     (13179883934001200806, 1893, 799),
@@ -623,21 +645,21 @@
     fleet.introduce(1..400);
     let mut sent = Vec::new();
     for round in 0..20 {
-        let root = IdRange {
+        let whole_table = IdRange {
             prefix_bits: 0,
             prefix: 0,
         };
-        let parts = heapless::Vec::from_iter([RangeDigest {
-            range: root,
+        let digests = heapless::Vec::from_iter([RangeDigest {
+            range: whole_table,
             digest: 0,
             count: 3 + round % 12,
         }]);
         fleet.deliver(
             record(1 + u64::from(round), 1, 1, Lifecycle::Alive),
-            GossipBody::RangeDigests(parts),
+            GossipBody::RangeDigests(digests),
             GossipUpdates::new(),
         );
-        sent.push(fleet.sent);
+        sent.push(fleet.sent_in_last_call);
     }
     let ranges = heapless::Vec::from_iter([IdRange {
         prefix_bits: 0,
@@ -651,7 +673,7 @@
         },
         GossipUpdates::new(),
     );
-    sent.push(fleet.sent);
+    sent.push(fleet.sent_in_last_call);
     assert_eq!(
         sent,
         vec![
@@ -670,19 +692,19 @@
             fleet
                 .member
                 .members()
-                .find(|(w, _)| w.name == "member-2")
-                .map(|(_, s)| s.as_str())
-                .expect("a member")
+                .find(|(record, _)| record.name == "member-2")
+                .map(|(_, state)| state.as_str())
+                .expect("member-2 is in the table")
         };
         while state(&fleet) != "suspect" {
-            assert!(fleet.now < 20_000, "not suspected in time");
+            assert!(fleet.now < 20_000, "member-2 was not suspected in time");
             fleet.tick(100);
-            let confirm = GossipUpdate {
+            let confirmation = GossipUpdate {
                 record: record(2, 1, 1, Lifecycle::Alive),
                 suspected_by: Some(5),
             };
-            let suspected = confirmed && state(&fleet) == "suspect";
-            let updates = GossipUpdates::from_iter(suspected.then_some(confirm));
+            let sends_confirmation = confirmed && state(&fleet) == "suspect";
+            let updates = GossipUpdates::from_iter(sends_confirmation.then_some(confirmation));
             fleet.deliver(
                 record(1, 1, 1, Lifecycle::Alive),
                 GossipBody::Ack {
@@ -692,7 +714,10 @@
             );
         }
         while !fleet.member.is_isolated() {
-            assert!(fleet.now < 40_000, "not isolated in time");
+            assert!(
+                fleet.now < 40_000,
+                "the host did not become isolated in time"
+            );
             fleet.tick(100);
         }
         fleet.deliver(
@@ -707,24 +732,24 @@
 #[test]
 fn ranges_with_prefixes_over_sixty_bits_are_ignored() {
     let mut found = Vec::new();
-    for depth in 58..=64u8 {
+    for bits in 58..=64u8 {
         let mut fleet = LargeFleet::new(10);
         fleet.introduce(1..4);
         let range = IdRange {
-            prefix_bits: depth,
-            prefix: member_id("member-2") >> (64 - depth),
+            prefix_bits: bits,
+            prefix: member_id("member-2") >> (64 - bits),
         };
         let digest = RangeDigest {
             range,
             digest: 0,
             count: 0,
         };
-        let parts = GossipBody::RangeDigests(heapless::Vec::from_iter([digest]));
-        let ranges = GossipBody::RangeRecords {
+        let digests = GossipBody::RangeDigests(heapless::Vec::from_iter([digest]));
+        let records = GossipBody::RangeRecords {
             ranges: heapless::Vec::from_iter([range]),
             reply_wanted: true,
         };
-        for body in [parts, ranges] {
+        for body in [digests, records] {
             let before = fleet.recorder.result();
             fleet.deliver(
                 record(1, 1, 1, Lifecycle::Alive),
@@ -732,7 +757,7 @@
                 GossipUpdates::new(),
             );
             found.push((
-                depth,
+                bits,
                 fleet.recorder.result().1 - before.1,
                 fleet.recorder.result().0,
             ));
@@ -760,13 +785,13 @@
 }
 
 #[test]
-fn indirect_pings_end_at_their_bound() {
+fn ping_requests_beyond_the_maximum_number_are_dropped_and_counted() {
     let mut fleet = LargeFleet::new(4);
     fleet.introduce(1..5);
-    let full = fleet.member.counters().capacity_drops;
-    for nr in 0..100 {
+    let drops_before = fleet.member.counters().capacity_drops;
+    for number in 0..100 {
         let body = GossipBody::PingRequest {
-            sequence: nr,
+            sequence: number,
             target_id: 7,
             target_address: address(9),
         };
@@ -776,23 +801,23 @@
             GossipUpdates::new(),
         );
     }
-    assert_eq!(fleet.member.counters().capacity_drops - full, 36);
-    // Without an answer each is reported as failed after half a period.
+    assert_eq!(fleet.member.counters().capacity_drops - drops_before, 36);
+    // Each ping without an answer is reported as failed after half a protocol period.
     fleet.tick(500);
     assert_eq!(fleet.recorder.result(), (2376495787776688446, 129, 4));
 }
 
 #[test]
-fn the_leave_announcement_is_sent_to_as_many_members_as_recorded() {
+fn the_leave_announcement_is_sent_to_512_members() {
     let mut fleet = LargeFleet::new(5);
     fleet.introduce(1..600);
-    fleet.with(|f, now, out| f.announce_leaving(now, out));
-    assert_eq!(fleet.sent, 512);
+    fleet.call(|member, now, sink| member.announce_leaving(now, sink));
+    assert_eq!(fleet.sent_in_last_call, 512);
     assert_eq!(fleet.recorder.result(), (15806635977635704311, 512, 600));
 }
 
 #[test]
-fn records_of_members_that_left_are_kept_up_to_their_bound() {
+fn tombstones_of_members_that_left_are_kept_up_to_their_maximum_number() {
     let mut fleet = LargeFleet::new(6);
     fleet.introduce(1..4_201);
     for host in 1..4_201 {
@@ -807,18 +832,18 @@
     assert_eq!(
         fleet.member.members().count(),
         4_201,
-        "shown for 120 periods"
+        "members that left remain in the table for 120 periods"
     );
     fleet.tick(1);
     assert_eq!(fleet.member.members().count(), 1);
-    // A record older than a tombstone is rejected; one whose tombstone was dropped at the limit is accepted again.
+    // Records older than a tombstone are rejected. Those whose tombstones were dropped at the limit are accepted again.
     fleet.introduce(1..4_201);
     assert_eq!(fleet.member.members().count(), 1 + 104);
     let lowest = fleet
         .member
         .members()
         .next()
-        .expect("one is back")
+        .expect("the table is not empty")
         .0
         .name
         .clone();
@@ -826,29 +851,33 @@
 }
 
 #[test]
-fn an_unreachable_member_is_pinged_at_growing_intervals_and_removed() {
+fn an_unreachable_member_is_pinged_at_doubling_intervals_and_then_removed() {
     let mut fleet = LargeFleet::new(7);
     fleet.introduce(1..2);
-    let mut events = Vec::new();
+    let mut timeline = Vec::new();
     for _ in 0..20_000 {
-        let (datagrams, changes) = (fleet.recorder.datagrams, fleet.recorder.changes);
+        let (datagrams_before, events_before) = (fleet.recorder.datagrams, fleet.recorder.events);
         fleet.tick(250);
-        if fleet.recorder.changes > changes {
-            let states: Vec<&str> = fleet.member.members().map(|(_, s)| s.as_str()).collect();
-            events.push(format!("{} {}", fleet.now, states.join(" ")));
+        if fleet.recorder.events > events_before {
+            let states: Vec<&str> = fleet
+                .member
+                .members()
+                .map(|(_, state)| state.as_str())
+                .collect();
+            timeline.push(format!("{} {}", fleet.now, states.join(" ")));
         }
-        if fleet.recorder.datagrams > datagrams {
-            events.push(fleet.now.to_string());
+        if fleet.recorder.datagrams > datagrams_before {
+            timeline.push(fleet.now.to_string());
         }
     }
     assert_eq!(
-        events.join(", "),
+        timeline.join(", "),
         "250, 500, 750, 1000, 1250, 1500, 1750, 2000 suspect joining, 2000, 3000 suspect alive, 3000, 4000 suspect alive, 4000, 5000, 6000, 7000 unreachable alive, 9000, 13000, 21000, 37000, 69000, 129000, 189000, 249000, 309000, 369000, 429000, 489000, 549000, 609000, 669000, 729000, 789000, 849000, 909000, 969000, 1029000, 1089000, 1149000, 1209000, 1269000, 1329000, 1389000, 1449000, 1509000, 1569000, 1629000, 1689000, 1749000, 1809000, 1869000, 1929000, 1989000, 2049000, 2109000, 2169000, 2229000, 2289000, 2349000, 2409000, 2469000, 2529000, 2589000, 2649000, 2709000, 2769000, 2829000, 2889000, 2949000, 3009000, 3069000, 3129000, 3189000, 3249000, 3309000, 3369000, 3429000, 3489000, 3549000, 3607000 alive"
     );
 }
 
 #[test]
-fn a_host_that_is_stopped_repeatedly_stretches_its_periods_up_to_the_limit() {
+fn a_host_that_is_paused_repeatedly_lengthens_its_periods_up_to_the_maximum() {
     let mut fleet = LargeFleet::new(8);
     fleet.introduce(1..40);
     for _ in 0..12 {
@@ -861,7 +890,7 @@
         if fleet.recorder.datagrams > before {
             pings.push((fleet.now, fleet.recorder.datagrams - before));
         }
-        // Others are in contact, so that it does not count as isolated.
+        // Other members stay in contact, so that this host does not count as isolated.
         let sender = record(1 + fleet.rng.below(39), 1, 1, Lifecycle::Alive);
         fleet.deliver(
             sender,
@@ -893,19 +922,19 @@
 }
 
 #[test]
-fn a_membership_page_has_as_many_members_as_recorded() {
+fn a_membership_page_has_at_most_sixteen_members() {
     let mut fleet = LargeFleet::new(9);
     fleet.introduce(1..40);
-    let mut actions = Actions {
+    let mut sink = RecordingSink {
         recorder: &mut fleet.recorder,
         sent: Vec::new(),
     };
     fleet
         .member
-        .receive(address(200), &wire::encode_query(0), 10, &mut actions);
-    let (_, bytes) = actions.sent.pop().expect("a page");
+        .receive(address(200), &wire::encode_query(0), 10, &mut sink);
+    let (_, bytes) = sink.sent.pop().expect("the query is answered");
     let Ok(Message::Page(page)) = wire::decode("pins", &bytes) else {
-        panic!("a page")
+        panic!("the answer is not a page")
     };
     assert_eq!(
         (page.members.len(), page.next_id),
@@ -914,12 +943,12 @@
 }
 
 #[test]
-fn the_times_of_suspicion_and_the_number_of_retransmissions_are_as_recorded() {
+fn suspicion_timeouts_and_maximum_transmissions_are_as_recorded() {
     let mut config = MembershipConfig::new(name("pins"), name("own"), address(1));
     let mut found = Vec::new();
     for members in [1, 2, 3, 4, 10, 11, 60, 300, 16_384] {
-        for confirmed in 0..5 {
-            found.push(config.suspicion_timeout(members, confirmed));
+        for confirmations in 0..5 {
+            found.push(config.suspicion_timeout(members, confirmations));
         }
         found.push(u64::from(config.max_transmissions(members)));
     }
--- a/crates/fleet/tests/pinned_wire.rs
+++ b/crates/fleet/tests/pinned_wire.rs
@@ -1,4 +1,5 @@
-//! Pins the bytes of each gossip datagram and the texts of a configuration's check, as recorded at 01f3988.
+//! Pins the bytes of each kind of datagram, and the error texts of the validation of a configuration, as recorded at
+//! commit 01f3988.
 use mallowseam_fleet::MemberState;
 use mallowseam_fleet::config::{
     MAX_MEMBERS, MAX_SEEDS, PROTOCOL_PERIOD_RANGE, UncheckedFleetConfig,
@@ -14,15 +15,15 @@
 use std::net::SocketAddr;
 
 fn name(text: &str) -> Name {
-    Name::try_from(text).expect("short")
+    Name::try_from(text).expect("name within the length limit")
 }
 
 fn ipv4() -> SocketAddr {
-    "10.1.2.3:7400".parse().expect("an address")
+    "10.1.2.3:7400".parse().expect("valid address")
 }
 
 fn ipv6() -> SocketAddr {
-    "[2001:db8::7]:7400".parse().expect("an address")
+    "[2001:db8::7]:7400".parse().expect("valid address")
 }
 
 fn record(lifecycle: Lifecycle) -> MemberRecord {
@@ -32,7 +33,7 @@
         incarnation: 300,
         lifecycle,
         address: ipv4(),
-        zone: Zone::try_from("z1").expect("short"),
+        zone: Zone::try_from("z1").expect("name within the length limit"),
         versions: ActiveVersions {
             endpoint_list: 5,
             plans: 700,
@@ -42,37 +43,38 @@
 }
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().fold(String::new(), |mut text, byte| {
-        let _ = write!(text, "{byte:02x}");
-        text
+    bytes.iter().fold(String::new(), |mut digits, byte| {
+        let _ = write!(digits, "{byte:02x}");
+        digits
     })
 }
 
-/// The datagram's bytes, read back to the same message.
+/// Encodes a message, checks that it is decoded to the same message, and returns the datagram in hexadecimal digits.
 fn encoded(message: &Message) -> String {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
-    let bytes = wire::encode("pins", message, &mut buffer).expect("it fits");
+    let bytes = wire::encode("pins", message, &mut buffer).expect("the message fits");
     assert_eq!(wire::decode("pins", bytes).as_ref(), Ok(message));
     assert_eq!(wire::decode_any_fleet(bytes).as_ref(), Ok(message));
     hex(bytes)
 }
 
-fn body(body: GossipBody) -> String {
-    let from = MemberRecord {
+/// Encodes a message without updates, and returns the bytes after the sender's record in hexadecimal digits.
+fn encoded_body(body: GossipBody) -> String {
+    let sender = MemberRecord {
         address: ipv6(),
         ..record(Lifecycle::Alive)
     };
-    let bare = Message::Gossip(GossipMessage {
-        sender: from,
+    let message = Message::Gossip(GossipMessage {
+        sender,
         body,
         updates: heapless::Vec::new(),
     });
-    let bytes = encoded(&bare);
-    // The head and the sender's record are the same in each.
-    let sender = "0183e5c0bb1fcb76ad0006686f73742d61ab939eabb424ac02010120010db8000000000000000000000007e839027a3105bc05fbd095ffbc31";
+    let bytes = encoded(&message);
+    // The header and the sender's record are the same for each body.
+    let prefix = "0183e5c0bb1fcb76ad0006686f73742d61ab939eabb424ac02010120010db8000000000000000000000007e839027a3105bc05fbd095ffbc31";
     bytes
-        .strip_prefix(sender)
-        .expect("the same head")
+        .strip_prefix(prefix)
+        .expect("the same header and sender")
         .to_owned()
 }
 
@@ -99,10 +101,13 @@
         count: 77,
     };
     let digests = heapless::Vec::from_iter([digest, digest]);
-    assert_eq!(body(GossipBody::Ping { sequence: 1 }), "000100");
-    assert_eq!(body(GossipBody::Ack { sequence: 1_000 }), "01e80700");
+    assert_eq!(encoded_body(GossipBody::Ping { sequence: 1 }), "000100");
     assert_eq!(
-        body(GossipBody::PingRequest {
+        encoded_body(GossipBody::Ack { sequence: 1_000 }),
+        "01e80700"
+    );
+    assert_eq!(
+        encoded_body(GossipBody::PingRequest {
             sequence: 2,
             target_id: 0x1122_3344_5566_7788,
             target_address: ipv4()
@@ -110,46 +115,46 @@
         "020288ef99abc5e88c9111000a010203e83900"
     );
     assert_eq!(
-        body(GossipBody::PingRequestResult {
+        encoded_body(GossipBody::PingRequestResult {
             sequence: 3,
             acknowledged: true
         }),
         "03030100"
     );
     assert_eq!(
-        body(GossipBody::PingRequestResult {
+        encoded_body(GossipBody::PingRequestResult {
             sequence: 3,
             acknowledged: false
         }),
         "03030000"
     );
     assert_eq!(
-        body(GossipBody::RangeDigests(digests)),
+        encoded_body(GossipBody::RangeDigests(digests)),
         "040208c80190e4d0b287d3aeeefe014d08c80190e4d0b287d3aeeefe014d00"
     );
     assert_eq!(
-        body(GossipBody::RangeDigests(heapless::Vec::new())),
+        encoded_body(GossipBody::RangeDigests(heapless::Vec::new())),
         "040000"
     );
     assert_eq!(
-        body(GossipBody::RangeRecords {
+        encoded_body(GossipBody::RangeRecords {
             ranges: ranges(),
             reply_wanted: true
         }),
         "050204093c80808080808080020100"
     );
     assert_eq!(
-        body(GossipBody::RangeRecords {
+        encoded_body(GossipBody::RangeRecords {
             ranges: ranges(),
             reply_wanted: false
         }),
         "050204093c80808080808080020000"
     );
-    assert_eq!(body(GossipBody::UpdatesOnly), "0600");
+    assert_eq!(encoded_body(GossipBody::UpdatesOnly), "0600");
 }
 
 #[test]
-fn records_in_each_state_keep_their_bytes() {
+fn records_in_each_lifecycle_state_keep_their_bytes() {
     let states = [
         Lifecycle::Joining,
         Lifecycle::Alive,
@@ -228,7 +233,7 @@
 fn each_decode_error_is_distinguished() {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let bytes = wire::encode("pins", &Message::Query { first_id: 1 }, &mut buffer)
-        .expect("it fits")
+        .expect("the message fits")
         .to_vec();
     assert_eq!(wire::decode("other", &bytes), Err(DecodeError::OtherFleet));
     assert_eq!(
@@ -248,14 +253,14 @@
         Err(DecodeError::UnsupportedVersion)
     );
     assert!(wire::decode("pins", &[&bytes[..], &[0, 0, 0]].concat()).is_ok());
-    // A query for the membership table may omit the fleet's name.
+    // A query for the membership table may omit the hash of the fleet's name.
     let query = wire::encode_query(1);
     assert!(wire::decode("pins", &query).is_ok() && wire::decode("other", &query).is_ok());
     assert_eq!((MAX_DATAGRAM_BYTES, FORMAT_VERSION), (1_200, 1));
 }
 
 #[test]
-fn precedences_digests_and_member_ids_are_as_recorded() {
+fn precedences_digests_and_member_ids_keep_their_values() {
     let leaving = record(Lifecycle::Leaving);
     assert_eq!(
         leaving.precedence(),
@@ -288,18 +293,18 @@
 }
 
 #[test]
-fn a_configuration_is_checked_with_the_same_texts() {
+fn problems_of_a_configuration_keep_their_texts() {
     let unchecked = UncheckedFleetConfig {
         fleet: String::new(),
         host: "x".repeat(49),
         listen: None,
-        advertise_address: Some("0.0.0.0:0".parse().expect("an address")),
+        advertise_address: Some("0.0.0.0:0".parse().expect("valid address")),
         zone: "z".repeat(25),
         seeds: vec![ipv4(); MAX_SEEDS + 1],
         period: Some(49),
         unreachable_retention: Some(1),
     };
-    let problems = unchecked.validate().expect_err("all of it is wrong");
+    let problems = unchecked.validate().expect_err("every setting is invalid");
     assert_eq!(
         problems.iter().map(ToString::to_string).collect::<Vec<_>>(),
         vec![
@@ -320,14 +325,14 @@
 }
 
 #[test]
-fn missing_settings_get_the_same_defaults() {
+fn missing_settings_keep_their_defaults() {
     let unchecked = UncheckedFleetConfig {
         fleet: "f".into(),
         host: "h".into(),
         listen: Some(ipv4()),
         ..UncheckedFleetConfig::default()
     };
-    let config = unchecked.validate().expect("valid");
+    let config = unchecked.validate().expect("valid configuration");
     assert_eq!((config.listen, config.membership.address), (ipv4(), ipv4()));
     assert_eq!(
         (
@@ -338,16 +343,22 @@
     );
     assert!(config.membership.local_health && config.membership.suspicion_confirmations);
     assert!(config.membership.seeds.is_empty() && config.membership.zone.is_empty());
-    let least = UncheckedFleetConfig {
+    let min_retention = UncheckedFleetConfig {
         period: Some(60_000),
         unreachable_retention: Some(6_000_000),
         ..unchecked.clone()
     };
-    assert!(least.validate().is_ok());
-    let short = UncheckedFleetConfig {
+    assert!(min_retention.validate().is_ok());
+    let too_short_retention = UncheckedFleetConfig {
         period: Some(60_000),
         unreachable_retention: Some(5_999_999),
         ..unchecked
     };
-    assert_eq!(short.validate().expect_err("too short").len(), 1);
+    assert_eq!(
+        too_short_retention
+            .validate()
+            .expect_err("the retention time is too short")
+            .len(),
+        1
+    );
 }
