--- a/crates/connection-policy/src/admission.rs
+++ b/crates/connection-policy/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission of client sessions: which logins are admitted, when a connection is closed, and how a host drains.
+//! Admission of client sessions: which logins are admitted, when a connection is closed, and how a host is drained.
 //!
 //! - `connections`: the open connections by index.
 //! - `session`: sessions and their handles.
-//! - `timeouts`: the timeouts of a connection, and its pings.
+//! - `timeouts`: timeouts and pings of a connection.
 //! - `draining`: whether the host is draining.
 mod connections;
 mod draining;
@@ -21,39 +21,39 @@
 use session::{Session, SessionHandles};
 use std::num::NonZeroU16;
 
-/// Bytes that wait to be written to a client from which on nothing more is read from it: a few of its longest reads.
-/// Its commands in flight are bounded by its command window.
+/// Number of unsent bytes for a client from which on nothing more is read from it: room for a few of its longest
+/// reads. The client's commands in flight are bounded by its command window.
 pub const MAX_UNSENT_BYTES: usize = 1 << 20;
-/// Index of a connection, chosen by the caller and small: tables are indexed by it.
+/// Index of a connection. The caller chooses small numbers, since tables are indexed by them.
 pub type ConnectionIndex = usize;
 
-/// Why a login is rejected.
+/// Reason for rejecting a login.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoginRejection {
     /// The client requests a target with another name.
-    #[error("no target of this name")]
+    #[error("target name in the login request is unknown")]
     NoSuchTarget,
-    /// The client wants to continue a session that does not exist here.
-    #[error("no session with this handle")]
+    /// The client requests to continue a session that does not exist on this host.
+    #[error("session handle (TSIH) in the login request is unknown")]
     NoSuchSession,
     /// The host is draining.
     #[error("the host is draining")]
     Draining,
     /// All session handles are in use, or the connection is unknown.
-    #[error("no session handle is free")]
+    #[error("no session handle (TSIH) is free")]
     OutOfResources,
 }
 
-/// A login that was admitted.
+/// Session of a login that was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmittedSession {
-    /// The target session identifying handle (TSIH, RFC 7143), never 0.
+    /// Target session identifying handle (TSIH, RFC 7143), never 0.
     pub handle: u16,
-    /// The connection whose session this login takes over, to be closed.
+    /// Connection whose session this login replaces, and which the caller must close.
     pub replaces: Option<ConnectionIndex>,
 }
 
-/// Admits connections and logins, and watches over the timeouts of each connection.
+/// Admits connections and logins, and checks the timeouts of each connection.
 pub struct AdmissionController {
     target: String,
     max_connections: usize,
@@ -63,7 +63,8 @@
 }
 
 impl AdmissionController {
-    /// `target`: the name that clients must request. `max_connections`: how many are open at once at most.
+    /// Creates the controller of a host without connections. `target`: target name that clients must request.
+    /// `max_connections`: maximum number of open connections.
     #[must_use]
     pub fn new(target: &str, max_connections: usize) -> Self {
         AdmissionController {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Whether an accepted connection is admitted. False: there are too many, and the caller closes it at once.
+    /// Admits an accepted connection. Returns false if there are too many connections; the caller then closes the
+    /// connection at once.
     #[must_use]
     pub fn admit_connection(&mut self, index: ConnectionIndex, now: Millis) -> bool {
         if self.connections.count() >= self.max_connections {
@@ -85,17 +87,17 @@
         true
     }
 
-    /// A connection was closed; its index is free.
+    /// Records that a connection was closed. Its index is free for another one.
     pub fn connection_closed(&mut self, index: ConnectionIndex) {
         self.connections.remove(index);
     }
 
-    /// Decides on a login. `target` is absent in a discovery session. `handle` is the TSIH of the login request as
-    /// it is on the wire: 0 requests a new session, and another value one to continue. Sessions end with their
-    /// connection, so there never is one.
+    /// Admits or rejects a login. `target`: target name, absent in a discovery session. `handle`: TSIH of the login
+    /// request as it is on the wire: 0 requests a new session, any other value requests to continue a session.
+    /// Sessions end with their connection, so there is never a session to continue.
     ///
     /// # Errors
-    /// Why the login is rejected.
+    /// Returns the reason for which the login is rejected.
     pub fn login(
         &mut self,
         index: ConnectionIndex,
@@ -113,8 +115,8 @@
         if handle != 0 {
             return Err(LoginRejection::NoSuchSession);
         }
-        // A login from the same initiator port ends its old session (RFC 7143, 6.3.5), also where the old connection
-        // still seems to be alive.
+        // A login from the same initiator port replaces the old session (RFC 7143, 6.3.5), even if the old connection
+        // still appears to be alive.
         let replaces = match target {
             Some(_) => self.connections.other_session_of(index, initiator, isid),
             None => None,
@@ -126,7 +128,7 @@
         })
     }
 
-    /// Gives a connection a session with a handle of its own.
+    /// Opens a session with a new handle on a connection.
     fn open_session(
         &mut self,
         index: ConnectionIndex,
@@ -137,7 +139,7 @@
             .handles
             .next_free(|handle| self.connections.is_handle_in_use(handle))
             .ok_or(LoginRejection::OutOfResources)?;
-        self.handles.taken(handle);
+        self.handles.mark_used(handle);
         let connection = self
             .connections
             .get_mut(index)
@@ -150,27 +152,27 @@
         Ok(handle)
     }
 
-    /// Bytes were received on a connection.
+    /// Records that bytes were received on a connection.
     pub fn bytes_received(&mut self, index: ConnectionIndex, now: Millis) {
         if let Some(connection) = self.connections.get_mut(index) {
             connection.timeouts.bytes_received(now);
         }
     }
 
-    /// Bytes were written to a connection.
+    /// Records that bytes were written to a connection.
     pub fn bytes_sent(&mut self, index: ConnectionIndex, now: Millis) {
         if let Some(connection) = self.connections.get_mut(index) {
             connection.timeouts.bytes_sent(now);
         }
     }
 
-    /// Whether to continue to read from a connection that has this many bytes waiting to be written.
+    /// Returns whether the host may read from a connection that has `unsent_bytes` bytes waiting to be written.
     #[must_use]
     pub fn may_read(&self, unsent_bytes: usize) -> bool {
         unsent_bytes < MAX_UNSENT_BYTES
     }
 
-    /// The periodic check of a connection: what is due for it now.
+    /// Returns the action that the timeouts of a connection require now.
     pub fn check_timeouts(
         &mut self,
         index: ConnectionIndex,
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Begins to drain: logins are rejected from now on. False if the host was draining already.
+    /// Starts to drain the host: logins are rejected from now on. Returns false if the host was already draining.
     pub fn start_draining(&mut self, now: Millis) -> bool {
         if self.is_draining() {
             return false;
@@ -192,31 +194,31 @@
         true
     }
 
-    /// Admits logins again.
+    /// Stops draining: logins are admitted again.
     pub fn stop_draining(&mut self) {
         self.state = HostState::Open;
     }
 
-    /// Whether the host is draining.
+    /// Returns whether the host is draining.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.state.is_draining()
     }
 
-    /// Whether new commands are admitted. A draining host admits them for [`LOGOUT_TIMEOUT`], while its
-    /// clients have time to log out; later ones could keep it from ever stopping.
+    /// Returns whether new commands are admitted. A draining host admits commands for [`LOGOUT_TIMEOUT`], in which its
+    /// clients can log out; later commands could prevent it from ever stopping.
     #[must_use]
     pub fn admits_commands(&self, now: Millis) -> bool {
         !self.state.logout_timeout_passed(now)
     }
 
-    /// Seconds within which clients are asked to log out.
+    /// Returns the time in which clients are requested to log out, in seconds.
     #[must_use]
     pub fn logout_seconds(&self) -> u16 {
         (LOGOUT_TIMEOUT / 1000) as u16
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn connection_count(&self) -> usize {
         self.connections.count()
--- a/crates/connection-policy/src/admission/connections.rs
+++ b/crates/connection-policy/src/admission/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections of a host.
+//! Table of a host's open client connections.
 use super::ConnectionIndex;
 use super::draining::HostState;
 use super::session::Session;
@@ -6,15 +6,15 @@
 use crate::Millis;
 use std::num::NonZeroU16;
 
-/// One connection.
+/// State of one client connection.
 pub(super) struct Connection {
-    /// None: its login is not finished.
+    /// Session of the connection. `None`: the login is not finished.
     pub(super) session: Option<Session>,
     pub(super) timeouts: ConnectionTimeouts,
 }
 
 impl Connection {
-    /// What is due for the connection now.
+    /// Returns the action that the connection's timeouts require now.
     pub(super) fn check_timeouts(
         &mut self,
         now: Millis,
@@ -32,11 +32,11 @@
     }
 }
 
-/// The connections by their index.
+/// Open connections by index.
 #[derive(Default)]
 pub(super) struct Connections {
     slots: Vec<Option<Connection>>,
-    /// Slots that hold a connection.
+    /// Number of slots that hold a connection.
     count: usize,
 }
 
@@ -45,7 +45,7 @@
         self.count
     }
 
-    /// Adds a connection, in place of the one that had the index.
+    /// Adds a connection that was opened at `now`. Replaces the connection that had the index, if any.
     pub(super) fn insert(&mut self, index: ConnectionIndex, now: Millis) {
         if self.slots.len() <= index {
             self.slots.resize_with(index + 1, || None);
@@ -70,7 +70,7 @@
         self.slots.get_mut(index)?.as_mut()
     }
 
-    /// The first connection other than `index` with a session of an initiator port.
+    /// Returns the first connection other than `index` that has a session of the given initiator port.
     pub(super) fn other_session_of(
         &self,
         index: ConnectionIndex,
@@ -78,7 +78,7 @@
         isid: [u8; 6],
     ) -> Option<ConnectionIndex> {
         self.sessions()
-            .find(|(other, session)| *other != index && session.is_of(initiator, isid))
+            .find(|(other, session)| *other != index && session.belongs_to(initiator, isid))
             .map(|(other, _)| other)
     }
 
--- a/crates/connection-policy/src/admission/draining.rs
+++ b/crates/connection-policy/src/admission/draining.rs
@@ -1,17 +1,17 @@
-//! Whether a host is open or draining.
+//! Admission state of a host: open or draining.
 use crate::Millis;
 
-/// Milliseconds that a draining host leaves its clients to log out.
+/// Time in which the clients of a draining host can log out, in milliseconds.
 pub const LOGOUT_TIMEOUT: Millis = 2_000;
 
-/// What a host admits.
+/// Admission state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostState {
-    /// Logins and commands.
+    /// Logins and commands are admitted.
     Open,
-    /// No logins; commands in flight are finished.
+    /// Logins are rejected; commands in flight are finished.
     Draining {
-        /// When it began to drain.
+        /// Time at which the draining began.
         since: Millis,
     },
 }
@@ -21,7 +21,7 @@
         self != HostState::Open
     }
 
-    /// Whether the host is draining, and its clients have had their time to log out.
+    /// Returns whether the host has been draining for [`LOGOUT_TIMEOUT`].
     pub(super) fn logout_timeout_passed(self, now: Millis) -> bool {
         match self {
             HostState::Open => false,
--- a/crates/connection-policy/src/admission/timeouts.rs
+++ b/crates/connection-policy/src/admission/timeouts.rs
@@ -1,36 +1,36 @@
-//! The timeouts of one client connection, and its keep-alive by pings.
+//! Timeouts of one client connection, and its keep-alive by pings.
 use super::draining::HostState;
 use crate::Millis;
 
-/// Milliseconds from the connect to the end of the login. A slow link takes a tenth of it. Guards against logins that
-/// are never finished.
+/// Maximum time from the connect to the end of the login, in milliseconds. A login over a slow link takes a tenth of
+/// it. Guards against logins that are never finished.
 pub const LOGIN_TIMEOUT: Millis = 5_000;
-/// Milliseconds within which a PDU that has begun must be complete, and within which the client must receive
-/// some of the bytes that wait for it. Longer than a link's retransmissions, short enough that stalled clients do not
-/// pile up.
+/// Maximum time without a received byte while a PDU is incomplete, and without a sent byte while bytes wait to be
+/// sent, in milliseconds. Longer than a link's retransmissions, and short enough that stalled clients do not
+/// accumulate.
 pub const STALL_TIMEOUT: Millis = 10_000;
-/// Milliseconds without a byte from the client after which it is pinged.
+/// Time without a byte from the client after which the host sends it a ping, in milliseconds.
 pub const PING_INTERVAL: Millis = 30_000;
-/// Unanswered pings after which a silent connection is closed.
+/// Number of unanswered pings after which a silent connection is closed.
 pub const MAX_UNANSWERED_PINGS: u32 = 2;
 
-/// Why a connection is closed.
+/// Reason for closing a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The login was not finished within [`LOGIN_TIMEOUT`], or before the host began to drain.
     LoginTimeout,
     /// A PDU was not completed within [`STALL_TIMEOUT`].
     IncompletePdu,
-    /// The client took nothing of what was written to it for [`STALL_TIMEOUT`].
+    /// No byte could be sent to the client for [`STALL_TIMEOUT`], although bytes were waiting.
     WriteTimeout,
     /// [`MAX_UNANSWERED_PINGS`] pings were not answered.
     KeepAliveTimeout,
-    /// The host drains, and the client has not logged out within [`LOGOUT_TIMEOUT`](super::LOGOUT_TIMEOUT).
+    /// The host is draining, and the client has not logged out within [`LOGOUT_TIMEOUT`](super::LOGOUT_TIMEOUT).
     Drained,
 }
 
 impl CloseReason {
-    /// The reason as text, for the log.
+    /// Returns the text of the reason for the log.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -38,12 +38,12 @@
             CloseReason::IncompletePdu => "stalled within a PDU",
             CloseReason::WriteTimeout => "does not read its answers",
             CloseReason::KeepAliveTimeout => "no sign of life",
-            CloseReason::Drained => "host closes",
+            CloseReason::Drained => "not logged out in time while the host is draining",
         }
     }
 }
 
-/// What the periodic check asks the host to do with a connection.
+/// Action that a connection's periodic check requires of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeoutAction {
     /// Nothing is due.
@@ -54,22 +54,22 @@
     Close(CloseReason),
 }
 
-/// What the host knows of a connection at the time of a periodic check.
+/// State of a connection at the time of a periodic check.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionState {
-    /// A PDU, or the data of a command, has begun and is incomplete.
+    /// Whether a PDU or the data of a command has been received in part.
     pub pdu_incomplete: bool,
-    /// Bytes that wait to be written.
+    /// Number of bytes that wait to be written.
     pub unsent_bytes: usize,
-    /// Commands in flight.
+    /// Number of commands in flight.
     pub in_flight: u32,
 }
 
-/// When things last happened on a connection.
+/// Times of the latest events on a connection.
 pub(super) struct ConnectionTimeouts {
     opened: Millis,
     last_received: Millis,
-    /// When bytes were last written, or nothing waited to be.
+    /// Time at which bytes were last written, or at which no bytes were waiting to be written.
     last_sent: Millis,
     last_ping: Option<Millis>,
     unanswered_pings: u32,
@@ -95,12 +95,12 @@
         self.last_sent = now;
     }
 
-    /// Nothing waits to be written now.
+    /// Records that no bytes are waiting to be written.
     pub(super) fn nothing_unsent(&mut self, now: Millis) {
         self.last_sent = now;
     }
 
-    /// What is due now for a connection whose login is not finished.
+    /// Returns the action that is due now for a connection whose login is not finished.
     pub(super) fn check_login(&self, now: Millis, host: HostState) -> TimeoutAction {
         if now >= self.opened + LOGIN_TIMEOUT || host.is_draining() {
             TimeoutAction::Close(CloseReason::LoginTimeout)
@@ -109,35 +109,41 @@
         }
     }
 
-    /// What is due now for a connection with a session.
+    /// Returns the action that is due now for a connection with a session.
     pub(super) fn check_session(
         &mut self,
         now: Millis,
         state: ConnectionState,
         host: HostState,
     ) -> TimeoutAction {
-        match self.overdue(now, state, host) {
+        match self.close_reason(now, state, host) {
             Some(reason) => TimeoutAction::Close(reason),
-            None => self.keep_alive(now),
+            None => self.ping_or_close(now),
         }
     }
 
-    fn overdue(&self, now: Millis, state: ConnectionState, host: HostState) -> Option<CloseReason> {
+    fn close_reason(
+        &self,
+        now: Millis,
+        state: ConnectionState,
+        host: HostState,
+    ) -> Option<CloseReason> {
         if now >= self.last_sent + STALL_TIMEOUT {
             return Some(CloseReason::WriteTimeout);
         }
         if state.pdu_incomplete && now >= self.last_received + STALL_TIMEOUT {
             return Some(CloseReason::IncompletePdu);
         }
-        // Commands in flight end by their own deadlines; a client without any is disconnected.
+        // Commands in flight end by their own deadlines. A client without commands in flight or unsent bytes is
+        // disconnected once the time to log out has passed.
         let is_idle = state.in_flight == 0 && state.unsent_bytes == 0;
         (is_idle && host.logout_timeout_passed(now)).then_some(CloseReason::Drained)
     }
 
-    /// Pings a client that was silent for too long, or closes its connection once pings stay unanswered.
-    fn keep_alive(&mut self, now: Millis) -> TimeoutAction {
-        let last_sign = self.last_ping.unwrap_or(0).max(self.last_received);
-        if now < last_sign + PING_INTERVAL {
+    /// Returns a ping for a client that was silent for too long, or a close once too many pings are unanswered.
+    fn ping_or_close(&mut self, now: Millis) -> TimeoutAction {
+        let last_activity = self.last_ping.unwrap_or(0).max(self.last_received);
+        if now < last_activity + PING_INTERVAL {
             return TimeoutAction::Nothing;
         }
         if self.unanswered_pings >= MAX_UNANSWERED_PINGS {
--- a/crates/connection-policy/src/client_connection.rs
+++ b/crates/connection-policy/src/client_connection.rs
@@ -1,64 +1,65 @@
-//! Lifecycle of a client's connection that carries one request at a time: its timeouts, and which connection is
-//! evicted when there are too many. Decisions on a request itself are the scheduler's once it was admitted.
+//! Lifecycle of client connections that carry one request at a time: timeouts, and eviction when there are too many
+//! connections. The scheduler decides on a request once it is admitted.
 use crate::Millis;
 use crate::graceful_shutdown::GracefulShutdown;
 use crate::rejection_backoff::RejectionBackoff;
 
-/// Milliseconds from connecting to the first complete request, and from a later request's first byte to its
-/// last. Clients send a request at once; the platform requires that a connection which does not is closed or
+/// Maximum time from connecting to the first complete request, and from the first to the last byte of a later request,
+/// in milliseconds. Clients send a request at once; the platform requires that a connection without one is closed or
 /// answered within 3 s.
 pub const REQUEST_TIMEOUT: Millis = 2_000;
-/// Milliseconds within which a client must receive its complete response.
+/// Maximum time in which a client must receive its complete response, in milliseconds.
 pub const RESPONSE_TIMEOUT: Millis = 4_000;
-/// Milliseconds after which a connection without a request may be closed (platform's rule); it is closed when
-/// others need its place.
+/// Idle time after which the platform permits to close a connection without a request, in milliseconds. The connection
+/// is closed then only if a new one needs its place.
 const EVICTABLE_AFTER_IDLE: Millis = 2_000;
-/// Milliseconds after which an idle connection is closed in any case: past any client's pause.
+/// Idle time after which a connection is closed in any case, in milliseconds. Longer than any client's pause between
+/// requests.
 const IDLE_TIMEOUT: Millis = 30_000;
-/// Milliseconds for which the result of a poll is taken as current. A client's disconnect must be noticed within
-/// 100 ms (platform's rule), also while the loop is busy; this is a third of it.
+/// Time for which the result of a poll counts as current, in milliseconds. The platform requires that a client's
+/// disconnect is noticed within 100 ms, also while the event loop is busy; this is a third of that.
 const POLL_RESULT_LIFETIME: Millis = 30;
-/// Milliseconds for which a closed connection is still read: closing a socket with unread bytes would reset it, and
-/// the client could lose the error that was sent on it.
+/// Time for which a finished connection is still read, in milliseconds. Closing a socket with unread bytes would reset
+/// the connection, and the client could lose the error response that was sent on it.
 pub const LINGER_TIMEOUT: Millis = 500;
-/// Bytes that a client may still send on a closed connection before it is reset.
+/// Maximum number of bytes that a client may send on a finished connection before the connection is reset.
 pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// What a connection is occupied with.
+/// Phase in the lifecycle of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing has been received yet.
+    /// No byte has been received yet.
     AwaitingFirstRequest,
-    /// A request has begun and is incomplete.
+    /// A request has been received in part.
     ReceivingRequest,
-    /// The scheduler has its request.
+    /// The scheduler has admitted the connection's request.
     InFlight,
-    /// Its response is not fully written.
+    /// The response is being written.
     SendingResponse,
-    /// Nothing since its last response.
+    /// No byte has been received since the last response.
     Idle,
-    /// It is finished; what it still sends is read and discarded.
+    /// The connection is finished; bytes that still arrive are read and discarded.
     Lingering,
 }
 
-/// What the periodic check asks the host to do with a connection.
+/// Action that a connection's periodic check requires of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeoutAction {
     /// Nothing is due.
     Nothing,
-    /// Its request took too long: respond with an error, then close.
+    /// The request took too long to arrive: respond with an error, then close the connection.
     RejectLateRequest,
-    /// Close it.
+    /// Close the connection.
     Close,
 }
 
-/// Order of eviction; the first variant goes first.
+/// Order of eviction: connections of an earlier variant are evicted before those of a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     Lingering,
     LongIdle,
-    /// A new connection most likely carries a request soon, so it is evicted after the long idle.
+    /// Evicted after long-idle connections, since a new connection most likely carries a request soon.
     AwaitingFirstRequest,
-    /// One that was just served may not send another request.
+    /// Evicted after new connections, since a client that was just served may send no further request.
     RecentlyIdle,
 }
 
@@ -72,7 +73,7 @@
 }
 
 impl ClientConnection {
-    /// A connection accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     #[must_use]
     pub fn new(now: Millis) -> Self {
         ClientConnection {
@@ -83,15 +84,16 @@
         }
     }
 
-    /// What it is occupied with.
+    /// Returns the connection's phase.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// It enters a phase.
+    /// Records that the connection enters a phase.
     pub fn enter_phase(&mut self, phase: Phase, now: Millis) {
-        // The timeout of a first request that arrives in pieces counts from the connect.
+        // The timeout of a first request that arrives in pieces counts from the connect, that of a later one from its
+        // first byte.
         let continues = phase == Phase::ReceivingRequest
             && matches!(
                 self.phase,
@@ -103,17 +105,17 @@
         }
     }
 
-    /// A request was rejected; the next one is read after a backoff.
+    /// Records that a request was rejected. The next one is read after a backoff.
     pub fn request_rejected(&mut self, now: Millis) {
         self.rejections.request_rejected(now);
     }
 
-    /// A request was accepted, which resets the backoff.
+    /// Records that a request was accepted, which resets the backoff.
     pub fn request_accepted(&mut self) {
         self.rejections.request_accepted();
     }
 
-    /// Whether its next request is read now.
+    /// Returns whether the host may read the client's next request now.
     #[must_use]
     pub fn may_read(&self, now: Millis) -> bool {
         let awaits_request = matches!(
@@ -123,13 +125,15 @@
         awaits_request && self.rejections.has_passed(now)
     }
 
-    /// Bytes were received after its end and discarded. True: it has sent so many that it is to be reset.
+    /// Records bytes that were received on a finished connection and discarded. Returns whether the connection must be
+    /// reset because of their number.
     pub fn bytes_discarded(&mut self, bytes: usize) -> bool {
         self.discarded_bytes += bytes;
         self.discarded_bytes >= MAX_DISCARDED_BYTES
     }
 
-    /// The periodic check: what is due for it now. `shutdown`: the host's graceful shutdown, once it has begun.
+    /// Returns the action that the connection's timeouts require now. `shutdown`: the host's graceful shutdown, once
+    /// it has begun.
     #[must_use]
     pub fn check_timeouts(&self, now: Millis, shutdown: Option<GracefulShutdown>) -> TimeoutAction {
         let age = now.saturating_sub(self.phase_began);
@@ -146,7 +150,8 @@
         }
     }
 
-    /// Its order of eviction, the longest in its phase first. None: it is not evicted.
+    /// Returns the connection's place in the order of eviction: by rank, then by the time it entered its phase,
+    /// earliest first. `None`: the connection is not evicted.
     fn eviction_key(&self, now: Millis) -> Option<(EvictionRank, Millis)> {
         let age = now.saturating_sub(self.phase_began);
         let rank = match self.phase {
@@ -160,20 +165,20 @@
     }
 }
 
-/// Whether the result of a poll is too old to tell that a client is still connected. `since_poll`: milliseconds
-/// since the poll returned.
+/// Returns whether a poll result is too old to show that a client is still connected. `since_poll`: milliseconds since
+/// the poll returned.
 #[must_use]
 pub fn poll_result_is_stale(since_poll: Millis) -> bool {
     since_poll > POLL_RESULT_LIFETIME
 }
 
-/// Which connection is evicted for a new one. In this order: one that lingers; one that has been idle for
-/// `EVICTABLE_AFTER_IDLE`; one that awaits its first request; one that is idle. Among several, the one that has been
-/// in its phase for the longest time. So clients that send nothing, or stay connected after one request, evict only
-/// each other.
+/// Returns the index of the connection to evict for a new one. Order of eviction: lingering connections, connections
+/// that have been idle for `EVICTABLE_AFTER_IDLE`, connections that await their first request, other idle connections;
+/// among several, the one that has been in its phase for the longest time. Clients that send nothing, or that stay
+/// connected after one request, therefore evict only each other.
 ///
-/// `connections`: index and state of those that were checked and had nothing to read. None: nothing may be
-/// evicted, and the new connection is closed at once.
+/// `connections`: index and state of the connections that were polled and had nothing to read. `None`: no connection
+/// may be evicted, and the caller closes the new one at once.
 pub fn eviction_candidate<'a>(
     connections: impl Iterator<Item = (u32, &'a ClientConnection)>,
     now: Millis,
--- a/crates/connection-policy/src/endpoint_list_request.rs
+++ b/crates/connection-policy/src/endpoint_list_request.rs
@@ -1,29 +1,31 @@
-//! When a request for the endpoint list has timed out.
+//! Timeout of requests for the endpoint list.
 use crate::Millis;
 
-/// Milliseconds within which the endpoint list service answers a request in full.
+/// Maximum time in which the endpoint list service must answer a request in full, in milliseconds.
 pub const RESPONSE_TIMEOUT: Millis = 1_000;
 
-/// A request to the endpoint list service.
+/// State of a host's request to the endpoint list service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointListRequest {
-    sent: Option<Millis>,
+    /// Time at which the pending request was sent. `None`: no request is pending.
+    sent_at: Option<Millis>,
 }
 
 impl EndpointListRequest {
-    /// The request was sent.
+    /// Records that the request was sent.
     pub fn sent(&mut self, now: Millis) {
-        self.sent = Some(now);
+        self.sent_at = Some(now);
     }
 
-    /// The list was received in full, or the request failed otherwise.
+    /// Records that the list was received in full, or that the request failed.
     pub fn finished(&mut self) {
-        self.sent = None;
+        self.sent_at = None;
     }
 
-    /// Whether a request is pending and has timed out.
+    /// Returns whether a request is pending and has timed out.
     #[must_use]
     pub fn has_timed_out(&self, now: Millis) -> bool {
-        self.sent.is_some_and(|sent| now >= sent + RESPONSE_TIMEOUT)
+        self.sent_at
+            .is_some_and(|sent_at| now >= sent_at + RESPONSE_TIMEOUT)
     }
 }
--- a/crates/connection-policy/src/graceful_shutdown.rs
+++ b/crates/connection-policy/src/graceful_shutdown.rs
@@ -1,23 +1,23 @@
-//! Graceful shutdown: a host that was asked to stop admits block I/Os for as long as they can be answered before it
-//! is killed. If it stopped sooner, its clients would have no host until it is restarted.
+//! Graceful shutdown: a host that was asked to stop admits block I/Os as long as they can be answered before the host
+//! is killed. If admission ended sooner, clients would have no host until the restart.
 use crate::Millis;
 
-/// Milliseconds for which a host stopped by an operator still admits clients. A request that arrives later than 0.7 s
-/// and stays unanswered is counted by the platform as lost by the host.
+/// Time for which a host that was stopped by an operator still admits clients, in milliseconds. The platform counts an
+/// unanswered request as lost by the host if it arrives later than 0.7 s after the stop.
 pub const OPERATOR_GRACE: Millis = 650;
-/// Longest deadline in milliseconds that the platform waits for after SIGTERM. It sends SIGKILL [`KILL_DELAY`] after
-/// the longest deadline of any block I/O or after this one, whichever is shorter.
+/// Longest deadline for which the platform waits after SIGTERM, in milliseconds. SIGKILL follows [`KILL_DELAY`] after
+/// the shorter of this deadline and the longest deadline of any block I/O.
 const MAX_COUNTED_DEADLINE: Millis = 3_000;
-/// Milliseconds from the end of the longest deadline, as far as the platform waits for it, to SIGKILL.
+/// Time from the end of the longest deadline, limited to `MAX_COUNTED_DEADLINE`, to SIGKILL, in milliseconds.
 pub const KILL_DELAY: Millis = 700;
-/// Milliseconds before SIGKILL by which the last answer is sent: what a busy machine takes to deliver it.
+/// Time between the last answer and SIGKILL, in milliseconds; a busy machine takes that long to deliver an answer.
 const KILL_MARGIN: Millis = 60;
 
-/// Milliseconds at the end of admission in which each response is the last on its connection. A client that is told so
-/// cannot send a request that crosses the close of its idle connection.
+/// Period at the end of admission in which each response announces the close of its connection, in milliseconds. A
+/// client that received the announcement sends no request that races with the close of an idle connection.
 const LAST_RESPONSES_PERIOD: Millis = 300;
 
-/// A graceful shutdown that has begun.
+/// State of a graceful shutdown that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GracefulShutdown {
     admits_until: Millis,
@@ -25,9 +25,9 @@
 }
 
 impl GracefulShutdown {
-    /// Requested at `now` by the platform (SIGTERM), which kills after a while. `longest_deadline`: of any
-    /// block I/O. `longest_objective`: the longest latency objective; a client that has less time left than that is
-    /// better served by a closed connection, after which it retries at another host.
+    /// Begins a shutdown that the platform requested at `now` by SIGTERM; SIGKILL follows. `longest_deadline`: longest
+    /// deadline of any block I/O. `longest_objective`: longest latency objective; a client that has less time left
+    /// than that is better served by a closed connection, after which it retries at another host.
     #[must_use]
     pub fn by_platform(now: Millis, longest_deadline: Millis, longest_objective: Millis) -> Self {
         let answer_deadline =
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Requested at `now` by an operator (SIGINT), who waits for the end; no SIGKILL follows.
+    /// Begins a shutdown that an operator requested at `now` by SIGINT. The operator waits for its end; no SIGKILL
+    /// follows.
     #[must_use]
     pub fn by_operator(now: Millis) -> Self {
         GracefulShutdown {
@@ -47,32 +48,33 @@
         }
     }
 
-    /// Whether clients are still admitted.
+    /// Returns whether clients are still admitted.
     #[must_use]
     pub fn admits_clients(&self, now: Millis) -> bool {
         now < self.admits_until
     }
 
-    /// Whether each response is the last on its connection.
+    /// Returns whether each response is the last one on its connection.
     #[must_use]
     pub fn ends_connections(&self, now: Millis) -> bool {
         now + LAST_RESPONSES_PERIOD >= self.admits_until
     }
 
-    /// By when whatever is admitted must be answered. None: within its own deadline.
+    /// Returns the time by which every admitted block I/O must be answered. `None`: each must be answered by its own
+    /// deadline.
     #[must_use]
     pub fn answer_deadline(&self) -> Option<Millis> {
         self.answer_deadline
     }
 
-    /// Whether a block I/O that the host cannot wait for any longer may be retried without harm: any attempt
-    /// that was made of it may have run.
+    /// Returns whether a client may safely retry a block I/O that the host cannot wait for any longer: only if the
+    /// host made no attempt, since any attempt may have run.
     #[must_use]
     pub fn is_safe_to_retry(attempts: u32) -> bool {
         attempts == 0
     }
 
-    /// Whether the host may end, with this many clients connected.
+    /// Returns whether the host may exit while `clients` clients are connected.
     #[must_use]
     pub fn is_complete(&self, now: Millis, clients: usize) -> bool {
         !self.admits_clients(now) && clients == 0
--- a/crates/connection-policy/src/lib.rs
+++ b/crates/connection-policy/src/lib.rs
@@ -1,21 +1,21 @@
-//! Decisions that a host makes about its connections, free of I/O, clocks and threads.
+//! Decisions of a host about its connections, without I/O, clocks or threads.
 //!
-//! Each type here is a state machine: the host's event loop reports what happened and when, and carries out
-//! the decision that is returned. The same events at the same times always give the same decisions. Decisions on block I/Os
-//! themselves are the scheduler's.
+//! Each type is a state machine: the host's event loop reports each event with its time, and carries out the decision
+//! that is returned. The same events at the same times always give the same decisions. Decisions on block I/Os are
+//! made by the scheduler.
 //!
 //! For clients that keep a session open (iSCSI):
 //! - [`admission`]: which logins are admitted and when a connection is closed.
 //! - [`request_splitting`]: how a command is split into sub-requests.
-//! - [`command_progress`]: how the outcomes of sub-requests make one answer.
+//! - [`command_progress`]: how the outcomes of sub-requests are combined into the answer of a command.
 //! - [`node_connection`]: when a connection to a storage node is opened and closed.
 //! - [`endpoint_list_request`]: when a request for the endpoint list has timed out.
 //!
 //! For clients that send one request at a time (HTTP):
 //! - [`client_connection`]: timeouts of a connection, and which one is evicted when there are too many.
-//! - `rejection_backoff`: when the next request of a client is read after a rejected one.
-//! - [`graceful_shutdown`]: until when a host that shuts down admits requests.
-//! - [`resource_budget`]: how descriptors and memory are divided.
+//! - `rejection_backoff`: how long a client's next request is left unread after a rejected one.
+//! - [`graceful_shutdown`]: how long a host that shuts down admits requests.
+//! - [`resource_budget`]: how descriptors and memory are divided between clients and nodes.
 //! - [`keep_alive`]: which idle connections to nodes are kept and reused.
 //! - [`watch_liveness`], [`watch_slots`]: when a watch of the endpoint list has failed, and what replaces it.
 //!
@@ -44,5 +44,5 @@
 pub mod watch_liveness;
 pub mod watch_slots;
 
-/// Milliseconds: a time on the host's own clock, or a span of time.
+/// Time in milliseconds: a point on the host's own clock, or a duration.
 pub type Millis = u64;
--- a/crates/connection-policy/src/node_connection.rs
+++ b/crates/connection-policy/src/node_connection.rs
@@ -1,15 +1,16 @@
-//! When the connection to a storage node is opened and closed. Whether a node is healthy, and what is sent to it, is
-//! the scheduler's decision: a connection is opened when an attempt needs it, and closed on a timeout of its own.
+//! Opening and closing of the connection to a storage node. The scheduler decides whether a node is healthy and what
+//! is sent to it; a connection is opened when an attempt needs it, and closed on one of its own timeouts or once its
+//! node is removed.
 use crate::Millis;
 
-/// Milliseconds from opening a connection to the end of its login. Shorter than a deadline, so that an attempt
-/// behind a connect that hangs is followed by a fresh connect.
+/// Maximum time from opening a connection to the end of the login, in milliseconds. Shorter than a deadline, so that
+/// an attempt that waits for a hanging connect is followed by a new connect.
 pub const LOGIN_TIMEOUT: Millis = 1_000;
-/// Milliseconds within which an abort is answered. A healthy node answers at once; one that does not hangs,
-/// and would never free the slots of the command window that its commands occupy.
+/// Maximum time in which a node must answer an abort, in milliseconds. A healthy node answers at once; a node that
+/// does not is hanging and would never free the slots of the command window that its commands occupy.
 pub const ABORT_TIMEOUT: Millis = 1_000;
 
-/// Why a connection is closed.
+/// Reason for closing a connection to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The login was not finished within [`LOGIN_TIMEOUT`].
@@ -21,7 +22,7 @@
 }
 
 impl CloseReason {
-    /// The reason as text, for the log.
+    /// Returns the text of the reason for the log.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -42,18 +43,18 @@
     Ready,
 }
 
-/// The connection to one node.
+/// State of the connection to one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeConnection {
     state: State,
-    /// Since when an abort is unanswered.
-    abort_waits_since: Option<Millis>,
+    /// Time since which an abort has been pending. `None`: no abort is pending.
+    abort_pending_since: Option<Millis>,
     unanswered_aborts: u32,
     node_removed: bool,
 }
 
 impl NodeConnection {
-    /// An attempt needs the connection. True: it is to be opened now.
+    /// Records that an attempt needs the connection. Returns whether the caller must open it now.
     pub fn open_if_closed(&mut self, now: Millis) -> bool {
         let is_closed = self.state == State::Closed;
         if is_closed {
@@ -63,18 +64,18 @@
         is_closed
     }
 
-    /// The login is finished.
+    /// Records that the login is finished.
     pub fn login_finished(&mut self) {
         self.state = State::Ready;
     }
 
-    /// Whether attempts can be sent on it.
+    /// Returns whether attempts can be sent on the connection.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == State::Ready
     }
 
-    /// It was closed, by either side.
+    /// Records that the connection was closed, by either side.
     pub fn closed(&mut self) {
         *self = NodeConnection {
             node_removed: self.node_removed,
@@ -82,24 +83,25 @@
         };
     }
 
-    /// An abort was sent.
+    /// Records that an abort was sent.
     pub fn abort_sent(&mut self, now: Millis) {
         self.unanswered_aborts += 1;
-        self.abort_waits_since = self.abort_waits_since.or(Some(now));
+        self.abort_pending_since = self.abort_pending_since.or(Some(now));
     }
 
-    /// An abort was answered: the node does process aborts, so the timeout of the others starts again.
+    /// Records that an abort was answered. The node processes aborts, so the timeout of the pending ones restarts.
     pub fn abort_answered(&mut self, now: Millis) {
         self.unanswered_aborts = self.unanswered_aborts.saturating_sub(1);
-        self.abort_waits_since = (self.unanswered_aborts > 0).then_some(now);
+        self.abort_pending_since = (self.unanswered_aborts > 0).then_some(now);
     }
 
-    /// Whether the endpoint list says that the node was removed.
+    /// Records whether the endpoint list marks the node as removed.
     pub fn set_node_removed(&mut self, removed: bool) {
         self.node_removed = removed;
     }
 
-    /// The periodic check: why the connection is to be closed now, with this many attempts in flight on it.
+    /// Returns the reason for which the connection must be closed now, if there is one. `in_flight`: number of
+    /// attempts in flight on the connection.
     #[must_use]
     pub fn check_timeouts(&self, now: Millis, in_flight: usize) -> Option<CloseReason> {
         match self.state {
@@ -108,7 +110,7 @@
             }
             State::Ready
                 if self
-                    .abort_waits_since
+                    .abort_pending_since
                     .is_some_and(|since| now >= since + ABORT_TIMEOUT) =>
             {
                 Some(CloseReason::AbortTimeout)
--- a/crates/connection-policy/src/request_splitting.rs
+++ b/crates/connection-policy/src/request_splitting.rs
@@ -1,42 +1,43 @@
-//! How a client's command is split into block I/Os.
+//! Splitting of a client's command into block I/Os.
 //!
-//! A command may cross extents, ordering keys and classification rules; each sub-request is within one of
-//! each.
+//! A command may cross extents, ordering keys and classification rules. Each sub-request lies within one extent, one
+//! ordering key and one rule.
 use std::num::NonZeroU64;
 
 /// A contiguous range of a volume's blocks that one shard stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
-    /// The first block, counted in the volume.
+    /// First block of the extent, counted in the volume.
     pub first_block: u64,
-    /// Length in blocks.
+    /// Length of the extent in blocks.
     pub blocks: u64,
-    /// The shard whose nodes hold it.
+    /// Shard whose nodes store the extent.
     pub shard: u32,
-    /// Address of the first block on the nodes, in blocks.
+    /// Address of the extent's first block on the nodes, in blocks.
     pub first_node_block: u64,
 }
 
-/// Which blocks of a volume belong to an I/O class.
+/// Rule that assigns blocks of a volume to an I/O class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassRule {
-    /// It applies to reads.
+    /// Whether the rule applies to reads.
     pub matches_reads: bool,
-    /// It applies to writes.
+    /// Whether the rule applies to writes.
     pub matches_writes: bool,
-    /// The first block it applies to, counted in the volume.
+    /// First block to which the rule applies, counted in the volume.
     pub first_block: u64,
-    /// The last block it applies to.
+    /// Last block to which the rule applies.
     pub last_block: u64,
     /// Index of the I/O class.
     pub class: u16,
-    /// Blocks that share an ordering key. None: requests have no ordering key.
+    /// Number of consecutive blocks that share an ordering key. `None`: requests have no ordering key.
     pub blocks_per_key: Option<NonZeroU64>,
 }
 
-/// The ordering key of a block, and the first block after it that has another one.
+/// Ordering key of a block.
 struct OrderingKey {
     number: u64,
+    /// First block after the key's last one.
     end: u64,
 }
 
@@ -63,44 +64,44 @@
     }
 }
 
-/// A volume's layout.
+/// Extents and classification rules of a volume.
 #[derive(Clone, Debug, Default)]
 pub struct VolumeLayout {
     /// Extents in ascending order, without gaps.
     pub extents: Vec<Extent>,
-    /// Rules, of which the first that applies to a block counts.
+    /// Classification rules in order of precedence: the first rule that applies to a block decides.
     pub rules: Vec<ClassRule>,
 }
 
 /// One block I/O of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubRequest {
-    /// Where it begins, in blocks from the start of the command.
+    /// Offset of the sub-request in the command, in blocks.
     pub offset: u32,
-    /// Length in blocks.
+    /// Length of the sub-request in blocks.
     pub blocks: u32,
-    /// The shard whose nodes hold it.
+    /// Shard whose nodes store the blocks.
     pub shard: u32,
-    /// Where it begins on the nodes, in blocks.
+    /// Address of the first block on the nodes, in blocks.
     pub node_lba: u64,
-    /// Index of its I/O class.
+    /// Index of the I/O class.
     pub class: u16,
-    /// Number of its ordering key within the volume.
+    /// Number of the ordering key within the volume. `None`: the sub-request has no ordering key.
     pub ordering_key: Option<u64>,
 }
 
-/// The command is not completely within the volume's extents and rules, or it has no blocks.
+/// Error for a command that is not completely covered by the volume's extents and rules, or that has no blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the command lies outside the volume's layout")]
+#[error("command has no blocks, or blocks outside the volume's extents and classification rules")]
 pub struct OutsideLayout;
 
 impl VolumeLayout {
-    /// Splits a command into `sub_requests`, in the order of its blocks. `lba` and `blocks`: where the command
-    /// begins in the volume and how long it is, in blocks.
+    /// Splits a command into `sub_requests`, in ascending order of its blocks. `lba`: first block of the command in
+    /// the volume. `blocks`: length of the command in blocks.
     ///
     /// # Errors
-    /// A block is outside the volume, no rule applies to it, or there are no blocks; the contents of `sub_requests`
-    /// are then unspecified.
+    /// Returns an error if a block is outside the volume, if no rule applies to a block, or if `blocks` is 0. The
+    /// contents of `sub_requests` are then unspecified.
     pub fn split(
         &self,
         write: bool,
@@ -112,25 +113,25 @@
         let end = lba.checked_add(u64::from(blocks)).ok_or(OutsideLayout)?;
         let mut block = lba;
         while block < end {
-            let extent = self.extent_of(block).ok_or(OutsideLayout)?;
+            let extent = self.extent_at(block).ok_or(OutsideLayout)?;
             let extent_end = end.min(extent.first_block + extent.blocks);
             if extent_end <= block {
                 return Err(OutsideLayout);
             }
             let (rule, rule_end) = self
-                .rule_of(write, block, extent_end)
+                .rule_at(write, block, extent_end)
                 .ok_or(OutsideLayout)?;
             let key = rule.ordering_key(block);
-            let until = key.as_ref().map_or(rule_end, |key| rule_end.min(key.end));
+            let sub_request_end = key.as_ref().map_or(rule_end, |key| rule_end.min(key.end));
             sub_requests.push(SubRequest {
                 offset: (block - lba) as u32,
-                blocks: (until - block) as u32,
+                blocks: (sub_request_end - block) as u32,
                 shard: extent.shard,
                 node_lba: extent.first_node_block + (block - extent.first_block),
                 class: rule.class,
                 ordering_key: key.map(|key| key.number),
             });
-            block = until;
+            block = sub_request_end;
         }
         if sub_requests.is_empty() {
             Err(OutsideLayout)
@@ -139,25 +140,25 @@
         }
     }
 
-    /// The last extent that begins at or before a block.
-    fn extent_of(&self, block: u64) -> Option<Extent> {
+    /// Returns the last extent that begins at or before a block.
+    fn extent_at(&self, block: u64) -> Option<Extent> {
         let following = self
             .extents
             .partition_point(|extent| extent.first_block <= block);
         self.extents.get(following.checked_sub(1)?).copied()
     }
 
-    /// The first rule that applies to a block, and the first later block that it does not decide about, `end` at the
-    /// latest.
-    fn rule_of(&self, write: bool, block: u64, end: u64) -> Option<(&ClassRule, u64)> {
-        let mut until = end;
+    /// Returns the first rule that applies to a block, and the first later block that the rule does not decide about,
+    /// but at most `end`.
+    fn rule_at(&self, write: bool, block: u64, end: u64) -> Option<(&ClassRule, u64)> {
+        let mut rule_end = end;
         for rule in self.rules.iter().filter(|rule| rule.matches(write)) {
             if rule.contains(block) {
-                return Some((rule, until.min(rule.last_block.saturating_add(1))));
+                return Some((rule, rule_end.min(rule.last_block.saturating_add(1))));
             }
-            // A rule of higher precedence that begins further on ends this sub-request there.
+            // A rule of higher precedence that begins at a later block ends the sub-request before that block.
             if rule.first_block > block {
-                until = until.min(rule.first_block);
+                rule_end = rule_end.min(rule.first_block);
             }
         }
         None
--- a/crates/connection-policy/src/resource_budget.rs
+++ b/crates/connection-policy/src/resource_budget.rs
@@ -1,33 +1,34 @@
-//! How a host's descriptors and memory are divided between clients and nodes.
+//! Division of a host's descriptors and memory between clients and nodes.
 
-/// Descriptors that are neither clients' nor nodes': standard streams, poll, listener, signals, two watches of
-/// the endpoint list, the configuration's file, and as many again for what system libraries open.
+/// Number of descriptors that are reserved for other uses than clients and nodes: standard streams, poll, listener,
+/// signals, two watches of the endpoint list, the configuration file, and as many again for system libraries.
 pub const RESERVED_DESCRIPTORS: u64 = 24;
-/// Tenths of the other descriptors that clients get; nodes get the rest. Clients need more: over half of their
+/// Tenths of the unreserved descriptors that clients get; nodes get the rest. Clients need more: over half of their
 /// connections may be idle, and a request has at most one attempt at a node in flight, and none while it is queued.
 const CLIENT_TENTHS: u64 = 7;
-/// Fraction of the memory for responses that come from nodes: one in this many.
+/// Divisor of the memory limit that gives the memory for responses from nodes.
 const NODE_MEMORY_DIVISOR: u64 = 4;
-/// Fraction of the memory for requests and responses of clients: one in this many.
+/// Divisor of the memory limit that gives the memory for requests and responses of clients.
 const CLIENT_MEMORY_DIVISOR: u64 = 4;
-/// Bytes of a MiB, in which the configuration states memory.
+/// Bytes in a MiB, the unit in which the configuration states memory.
 const MIB: u64 = 1 << 20;
 
-/// The most of each resource that a host uses.
+/// Upper bounds of the resources that a host uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Connections to nodes.
+    /// Maximum number of connections to nodes.
     pub node_connections: usize,
-    /// Bytes of requests and responses of all clients together.
+    /// Maximum size of the requests and responses of all clients together, in bytes.
     pub client_bytes: usize,
-    /// Bytes of responses that come from nodes, all together.
+    /// Maximum size of the responses from all nodes together, in bytes.
     pub node_bytes: usize,
 }
 
 impl ResourceBudget {
-    /// Divides what the configuration grants: `descriptors` of the process, and memory in MiB.
+    /// Divides the resources that the configuration grants. `descriptors`: descriptors of the process. `memory_mib`:
+    /// memory limit in MiB.
     #[must_use]
     pub fn new(descriptors: u64, memory_mib: u64) -> Self {
         let free = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(2);
--- a/crates/connection-policy/src/watch_liveness.rs
+++ b/crates/connection-policy/src/watch_liveness.rs
@@ -1,68 +1,68 @@
-//! When a watch of the endpoint list has failed.
+//! Failure detection for a watch of the endpoint list.
 use crate::Millis;
 
-/// Milliseconds from a request to the head of its response. The service queues a request for a second at most; one
-/// that waits longer only delays those of other hosts.
+/// Maximum time from a request to the head of its response, in milliseconds. The service queues a request for at most
+/// 1 s; a request that waits longer only delays those of other hosts.
 pub const RESPONSE_TIMEOUT: Millis = 1_200;
-/// Milliseconds from a request to its first complete event, a list of any length, once the head of the response
-/// was received.
+/// Maximum time from a request to its first complete event, which is a list of any length, in milliseconds. Applies
+/// once the head of the response was received.
 pub const FIRST_EVENT_TIMEOUT: Millis = 4_000;
-/// Milliseconds without an event after which a watch has failed. The service sends a heartbeat every 2 s: one
-/// missed, and 1.2 s more for a slow one. The platform takes a host to know what a stalled watch has missed 6 s after
-/// the stall; the time that is left until then is for a new request.
+/// Time without an event after which a watch has failed, in milliseconds. The service sends a heartbeat every 2 s; the
+/// timeout allows for one missed heartbeat and 1.2 s more for a slow one. The platform expects a host to know what a
+/// stalled watch has missed 6 s after the stall; the rest of that time is left for a new request.
 pub const HEARTBEAT_TIMEOUT: Millis = 3_200;
 
-/// Liveness of one watch.
+/// Liveness state of one watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchLiveness {
-    requested: Millis,
+    requested_at: Millis,
     response_started: bool,
-    /// When its last complete event was received; an incomplete line does not count.
-    last_event: Option<Millis>,
+    /// Time at which the last complete event was received. An incomplete line is not an event.
+    last_event_at: Option<Millis>,
     failure_reported: bool,
 }
 
 impl WatchLiveness {
-    /// A watch requested at `now`.
+    /// Creates the state of a watch that was requested at `now`.
     #[must_use]
     pub fn new(now: Millis) -> Self {
         WatchLiveness {
-            requested: now,
+            requested_at: now,
             response_started: false,
-            last_event: None,
+            last_event_at: None,
             failure_reported: false,
         }
     }
 
-    /// The head of the response was received.
+    /// Records that the head of the response was received.
     pub fn response_started(&mut self) {
         self.response_started = true;
     }
 
-    /// A complete event, or a heartbeat, was received. True: it is the first.
+    /// Records that a complete event or a heartbeat was received. Returns whether it is the first of this watch.
     pub fn event_received(&mut self, now: Millis) -> bool {
-        self.last_event.replace(now).is_none()
+        self.last_event_at.replace(now).is_none()
     }
 
-    /// When it has failed unless something is received before, in milliseconds on the host's clock.
+    /// Returns the time on the host's clock at which the watch fails if nothing is received before, in milliseconds.
     #[must_use]
     pub fn fails_at(&self) -> Millis {
-        match self.last_event {
-            None if self.response_started => self.requested + FIRST_EVENT_TIMEOUT,
-            None => self.requested + RESPONSE_TIMEOUT,
-            Some(last_event) => last_event + HEARTBEAT_TIMEOUT,
+        match self.last_event_at {
+            None if self.response_started => self.requested_at + FIRST_EVENT_TIMEOUT,
+            None => self.requested_at + RESPONSE_TIMEOUT,
+            Some(last_event_at) => last_event_at + HEARTBEAT_TIMEOUT,
         }
     }
 
-    /// Whether an event was received. A request without one is still queued by the service; closing it frees its
-    /// place in that queue.
+    /// Returns whether an event was received. A watch without an event is still in the service's queue; closing it
+    /// frees its place in the queue.
     #[must_use]
     pub fn is_established(&self) -> bool {
-        self.last_event.is_some()
+        self.last_event_at.is_some()
     }
 
-    /// The periodic check: whether it has failed by now. True once only: a second watch is then requested beside
-    /// one that was established, which is read on until the second has delivered an event.
+    /// Returns whether the watch has failed by now; true only once per watch. The caller then requests a second watch.
+    /// An established watch is read on until the second one has delivered an event.
     pub fn check_failure(&mut self, now: Millis) -> bool {
         let fails = !self.failure_reported && now >= self.fails_at();
         self.failure_reported |= fails;
--- a/crates/connection-policy/tests/admission.rs
+++ b/crates/connection-policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of logins, timeouts of sessions, and draining.
+//! Admission of connections and logins, timeouts of connections, and draining.
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::admission::{
     AdmissionController, CloseReason, ConnectionState, LOGIN_TIMEOUT, LOGOUT_TIMEOUT,
@@ -16,18 +16,18 @@
     in_flight: 0,
 };
 
-/// A controller of three connections, of which connection 0 has logged in at time 0.
+/// Returns a controller that admits three connections, of which connection 0 logged in at time 0.
 fn controller_with_session() -> AdmissionController {
     let mut admission = AdmissionController::new("iqn.t", 3);
     assert!(admission.admit_connection(0, 0));
     let session = admission
         .login(0, "iqn.a", Some("iqn.t"), [1; 6], 0)
-        .expect("open");
+        .expect("the login is admitted");
     assert_eq!(session.replaces, None);
     admission
 }
 
-/// Connection 0 is kept in the first state, and closed for a reason in the second, each at its time.
+/// Asserts that connection 0 is kept in the first state, and closed for the reason in the second, each at its time.
 fn assert_kept_and_closed(
     admission: &mut AdmissionController,
     (kept_at, kept): (Millis, ConnectionState),
@@ -68,14 +68,14 @@
     assert_eq!(
         admission
             .login(2, "iqn.a", Some("iqn.t"), [2; 6], 0)
-            .expect("open")
+            .expect("the login is admitted")
             .replaces,
         None
     );
     assert_eq!(
         admission
             .login(1, "iqn.a", Some("iqn.t"), [1; 6], 0)
-            .expect("open")
+            .expect("the login is admitted")
             .replaces,
         Some(0)
     );
@@ -91,16 +91,16 @@
     while latest != u16::MAX - 1 {
         latest = admission
             .login(1, "iqn.b", Some("iqn.t"), [1; 6], 0)
-            .expect("open")
+            .expect("the login is admitted")
             .handle;
     }
     let second = admission
         .login(1, "iqn.b", Some("iqn.t"), [1; 6], 0)
-        .expect("open")
+        .expect("the login is admitted")
         .handle;
     let third = admission
         .login(2, "iqn.c", Some("iqn.t"), [1; 6], 0)
-        .expect("open")
+        .expect("the login is admitted")
         .handle;
     let all_differ = second != third && second != 1 && third != 1;
     assert!(all_differ && second != 0 && third != 0, "{second} {third}");
@@ -204,7 +204,7 @@
     );
     admission
         .login(1, "iqn.b", Some("iqn.t"), [1; 6], 0)
-        .expect("open");
+        .expect("the login is admitted");
     let unsent = ConnectionState {
         unsent_bytes: 9,
         ..BUSY
--- a/crates/connection-policy/tests/client_connection.rs
+++ b/crates/connection-policy/tests/client_connection.rs
@@ -28,7 +28,7 @@
     assert_eq!(
         late,
         TimeoutAction::RejectLateRequest,
-        "its time runs from connecting on"
+        "the timeout of the first request counts from the connect"
     );
     const { assert!(REQUEST_TIMEOUT < 3_000) }
 }
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn eviction_order_is_finished_then_long_idle_then_silent_then_recently_idle() {
+fn eviction_order_is_lingering_then_long_idle_then_awaiting_first_request_then_recently_idle() {
     let mut connections = vec![
         (0, connection_in(Phase::InFlight, 0)),
         (1, connection_in(Phase::ReceivingRequest, 0)),
@@ -90,34 +90,34 @@
     assert_eq!(
         order,
         [7, 5, 4, 2, 3, 6],
-        "never one with a request in flight or begun"
+        "connections with a request in flight or begun are never evicted"
     );
 }
 
 #[test]
-fn backoff_doubles_with_each_rejection_up_to_a_bound() {
+fn backoff_doubles_with_each_rejection_up_to_its_maximum() {
     let mut connection = connection_in(Phase::Idle, 0);
     let mut now = 0;
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..8 {
         connection.request_rejected(now);
-        let rejected = now;
+        let rejected_at = now;
         while !connection.may_read(now) {
             now += 10;
         }
-        waits.push(now - rejected);
+        backoffs.push(now - rejected_at);
     }
-    assert_eq!(waits, [50, 100, 200, 400, 800, 1_600, 1_600, 1_600]);
+    assert_eq!(backoffs, [50, 100, 200, 400, 800, 1_600, 1_600, 1_600]);
     connection.request_accepted();
     connection.request_rejected(now);
     assert!(
         connection.may_read(now + 50),
-        "one accepted request resets it"
+        "an accepted request resets the backoff"
     );
 }
 
 #[test]
-fn bytes_after_an_error_are_read_within_limits() {
+fn lingering_connection_is_closed_after_its_byte_or_time_limit() {
     let mut connection = connection_in(Phase::Lingering, 0);
     assert!(!connection.bytes_discarded(MAX_DISCARDED_BYTES - 1) && connection.bytes_discarded(1));
     let lingering = connection_in(Phase::Lingering, 0);
--- a/crates/connection-policy/tests/command_progress.rs
+++ b/crates/connection-policy/tests/command_progress.rs
@@ -1,4 +1,4 @@
-//! The answer of a command from the outcomes of its sub-requests.
+//! The answer to a command, derived from the outcomes of its sub-requests.
 use mallowseam_connection_policy::command_progress::{CommandProgress, RequestOutcome};
 
 #[test]
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn first_sub_request_shed_answers_the_command_and_the_others_only_finish() {
+fn first_shed_sub_request_decides_the_answer_and_the_others_only_finish() {
     let mut progress = CommandProgress::new(3);
     let shed = RequestOutcome::Shed {
         retry_after: Some(7),
--- a/crates/connection-policy/tests/endpoint_list_request.rs
+++ b/crates/connection-policy/tests/endpoint_list_request.rs
@@ -2,7 +2,7 @@
 use mallowseam_connection_policy::endpoint_list_request::{EndpointListRequest, RESPONSE_TIMEOUT};
 
 #[test]
-fn service_that_never_answers_times_out() {
+fn pending_request_times_out_and_finished_request_does_not() {
     let mut request = EndpointListRequest::default();
     assert!(!request.has_timed_out(9_999));
     request.sent(5);
--- a/crates/connection-policy/tests/keep_alive.rs
+++ b/crates/connection-policy/tests/keep_alive.rs
@@ -1,4 +1,4 @@
-//! Idle timeout of connections to nodes and the choice among idle ones.
+//! Idle timeout of connections to nodes, and selection of the idle connection for the next attempt.
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::keep_alive::{
     DEFAULT_IDLE_TIMEOUT, KeepAlivePolicy, MIN_IDLE_TIMEOUT, RECOVERY_INTERVAL, RESET_WITHIN,
@@ -12,12 +12,12 @@
     assert_eq!(
         select(&[9_000, 300, SETTLING_TIME - 1]),
         Some(1),
-        "stray bytes may still come on the last"
+        "stray bytes may still arrive on the most recently used connection"
     );
     assert_eq!(
         select(&[30_000, 1]),
         None,
-        "one that its node may close is not used"
+        "an expired connection and one that has not settled are not used"
     );
     assert_eq!(select(&[]), None);
 }
@@ -33,7 +33,7 @@
     let unknown = KeepAlivePolicy::new(None, 0).idle_timeout(99);
     assert_eq!(
         unknown, DEFAULT_IDLE_TIMEOUT,
-        "where the settings name no time"
+        "the default applies if the settings state no idle timeout"
     );
 }
 
@@ -63,7 +63,11 @@
     }
     assert_eq!(policy.idle_timeout(7_200), 15_000 / 8);
     let recovered = policy.idle_timeout(7_100 + RECOVERY_INTERVAL);
-    assert_eq!(recovered, 15_000 / 4, "it doubles once none is rejected");
+    assert_eq!(
+        recovered,
+        15_000 / 4,
+        "the idle timeout doubles after an interval without a rejection"
+    );
     (8_000..30_000)
         .step_by(1_000)
         .for_each(|now| policy.new_connection_rejected(now));
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn reset_of_a_running_request_or_fresh_connection_is_no_lost_idle_connection() {
+fn reset_of_a_running_request_or_recently_used_connection_does_not_lower_the_idle_timeout() {
     let mut policy = KeepAlivePolicy::new(Some(30_000), 0);
     policy.connection_lost(400, RESET_WITHIN + 1, 10);
     policy.connection_lost(MIN_IDLE_TIMEOUT - 1, 0, 10);
--- a/crates/connection-policy/tests/node_connection.rs
+++ b/crates/connection-policy/tests/node_connection.rs
@@ -1,4 +1,4 @@
-//! Opening and closing of connections to nodes.
+//! Opening of connections to nodes, and closing on their timeouts.
 use mallowseam_connection_policy::node_connection::{
     ABORT_TIMEOUT, CloseReason, LOGIN_TIMEOUT, NodeConnection,
 };
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn hanging_connect_times_out_and_the_next_attempt_reopens_it() {
+fn hanging_connect_times_out_and_the_next_attempt_reopens_the_connection() {
     let mut connection = NodeConnection::default();
     assert!(connection.open_if_closed(10) && !connection.open_if_closed(11));
     assert_eq!(connection.check_timeouts(10 + LOGIN_TIMEOUT - 1, 1), None);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn connection_is_closed_on_unanswered_aborts_and_not_on_slow_ones() {
+fn connection_is_closed_on_unanswered_aborts_but_not_while_aborts_are_answered() {
     let mut connection = ready_connection();
     assert_eq!(connection.check_timeouts(100_000, 30), None);
     connection.abort_sent(100);
--- a/crates/connection-policy/tests/pinned_decisions.rs
+++ b/crates/connection-policy/tests/pinned_decisions.rs
@@ -1,6 +1,7 @@
-//! Each module's decisions over long seeded streams of events, compared with recorded values.
+//! Decisions of each module over long seeded streams of events, compared with recorded digests.
 //!
-//! A value that differs means that a decision has changed: a constant, a comparison or an order of steps.
+//! Guards against unintended changes of decisions: a digest differs once a constant, a comparison or the order of
+//! steps changes.
 use mallowseam_connection_policy::admission::{
     AdmissionController, CloseReason, ConnectionState, LoginRejection, TimeoutAction,
 };
@@ -19,24 +20,24 @@
 
 const EVENTS: usize = 4_000;
 
-/// Steps of the clock in milliseconds: mostly short, at times just short of one of `spans` or just on it, so that
-/// limits are met from both sides.
-fn step(rng: &mut SeededRng, spans: &[u64]) -> u64 {
+/// Returns a random step of the clock in milliseconds: mostly a short one, and at times one of `durations` or 1 ms
+/// less, so that timeouts are tested from both sides.
+fn step(rng: &mut SeededRng, durations: &[u64]) -> u64 {
     match rng.below(20) {
-        0 => rng.pick(spans) - rng.below(2),
+        0 => rng.pick(durations) - rng.below(2),
         1 => rng.below(500),
         _ => rng.below(3),
     }
 }
 
 #[test]
-fn decisions_on_admission_are_the_recorded_ones() {
+fn admission_decisions_match_the_recorded_digests() {
     assert_pinned(&ADMISSION, |rng, digest| {
-        let spans = [1_000, 2_000, 5_000, 10_000, 30_000];
+        let durations = [1_000, 2_000, 5_000, 10_000, 30_000];
         let mut admission = AdmissionController::new("iqn.target", 6);
         let mut now = 0;
         for _ in 0..EVENTS {
-            now += step(rng, &spans);
+            now += step(rng, &durations);
             admission_event(rng, digest, &mut admission, now);
             for index in 0..8 {
                 let state = ConnectionState {
@@ -54,8 +55,8 @@
             digest.add(u64::from(admission.is_draining()));
             digest.add(admission.connection_count() as u64);
         }
-        let waiting = [0, (1 << 20) - 1, 1 << 20, rng.below(1 << 21) as usize];
-        for bytes in waiting {
+        let unsent_sizes = [0, (1 << 20) - 1, 1 << 20, rng.below(1 << 21) as usize];
+        for bytes in unsent_sizes {
             digest.add(u64::from(admission.may_read(bytes)));
         }
         digest.add(u64::from(admission.logout_seconds()));
@@ -110,7 +111,7 @@
     match action {
         TimeoutAction::Nothing => 0,
         TimeoutAction::Ping => 1,
-        TimeoutAction::Close(why) => match why {
+        TimeoutAction::Close(reason) => match reason {
             CloseReason::LoginTimeout => 2,
             CloseReason::IncompletePdu => 3,
             CloseReason::WriteTimeout => 4,
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn silent_sessions_are_pinged_and_closed_as_recorded() {
+fn pings_and_closes_of_silent_sessions_match_the_recorded_digests() {
     assert_pinned(&SILENT_SESSIONS, |rng, digest| {
         let mut admission = AdmissionController::new("iqn.target", 4);
         let mut now = 0;
@@ -152,7 +153,7 @@
 
 #[test]
 fn close_reasons_have_the_recorded_texts() {
-    let whys = [
+    let reasons = [
         CloseReason::LoginTimeout,
         CloseReason::IncompletePdu,
         CloseReason::WriteTimeout,
@@ -164,16 +165,16 @@
         "stalled within a PDU",
         "does not read its answers",
         "no sign of life",
-        "host closes",
+        "not logged out in time while the host is draining",
     ];
-    assert_eq!(whys.map(CloseReason::as_str), texts);
-    let whys = [
+    assert_eq!(reasons.map(CloseReason::as_str), texts);
+    let reasons = [
         node_connection::CloseReason::LoginTimeout,
         node_connection::CloseReason::AbortTimeout,
         node_connection::CloseReason::NodeRemoved,
     ];
     assert_eq!(
-        whys.map(node_connection::CloseReason::as_str),
+        reasons.map(node_connection::CloseReason::as_str),
         [
             "login not finished in time",
             "aborts unanswered",
@@ -183,15 +184,15 @@
 }
 
 #[test]
-fn decisions_on_client_connections_are_the_recorded_ones() {
+fn client_connection_decisions_match_the_recorded_digests() {
     assert_pinned(&CLIENT_CONNECTIONS, |rng, digest| {
-        let spans = [5, 50, 100, 200, 400, 500, 800, 1_600, 2_000, 4_000, 30_000];
+        let durations = [5, 50, 100, 200, 400, 500, 800, 1_600, 2_000, 4_000, 30_000];
         let mut now = 1_000;
         let mut shutdown = None;
         let mut connections: Vec<ClientConnection> =
             (0..8).map(|_| ClientConnection::new(now)).collect();
         for _ in 0..EVENTS {
-            now += step(rng, &spans);
+            now += step(rng, &durations);
             let index = rng.below(8) as usize;
             client_event(rng, digest, &mut connections[index], now);
             if rng.one_in(200) {
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn eviction_candidates_are_the_recorded_ones() {
+fn eviction_candidates_match_the_recorded_digests() {
     assert_pinned(&NEW_CONNECTIONS, |rng, digest| {
         for _ in 0..EVENTS {
             let now = 100;
@@ -286,14 +287,14 @@
 }
 
 #[test]
-fn discarded_bytes_after_an_error_have_the_recorded_limit() {
+fn discarded_bytes_have_the_recorded_limit() {
     let mut connection = ClientConnection::new(0);
     assert!(!connection.bytes_discarded(256 * 1024 - 1));
     assert!(connection.bytes_discarded(1));
 }
 
 #[test]
-fn decisions_on_shutdown_are_the_recorded_ones() {
+fn shutdown_decisions_match_the_recorded_digests() {
     assert_pinned(&SHUTDOWN, |rng, digest| {
         for _ in 0..400 {
             let requested_at = rng.below(100_000);
@@ -319,14 +320,14 @@
 }
 
 #[test]
-fn decisions_on_node_connections_are_the_recorded_ones() {
+fn node_connection_decisions_match_the_recorded_digests() {
     assert_pinned(&NODE_CONNECTIONS, |rng, digest| {
-        let spans = [1_000, 1_001, 2_000];
+        let durations = [1_000, 1_001, 2_000];
         let (mut connection, mut request) =
             (NodeConnection::default(), EndpointListRequest::default());
         let mut now = 0;
         for _ in 0..EVENTS {
-            now += step(rng, &spans);
+            now += step(rng, &durations);
             match rng.below(16) {
                 0..=3 => digest.add(u64::from(connection.open_if_closed(now))),
                 4 | 5 => connection.login_finished(),
@@ -352,18 +353,18 @@
 }
 
 #[test]
-fn decisions_on_budgets_and_idle_connections_are_the_recorded_ones() {
+fn budgets_and_idle_connection_decisions_match_the_recorded_digests() {
     assert_pinned(&BUDGETS, |rng, digest| {
         for _ in 0..300 {
             let budget = ResourceBudget::new(rng.below(5_000), rng.below(4_096));
-            let figures = [
+            let limits = [
                 budget.client_connections,
                 budget.node_connections,
                 budget.client_bytes,
                 budget.node_bytes,
             ];
-            for figure in figures {
-                digest.add(figure as u64);
+            for limit in limits {
+                digest.add(limit as u64);
             }
         }
         let mut now = 1_000;
@@ -381,17 +382,17 @@
                 }
                 _ => {}
             }
-            let kept = keep_alive.idle_timeout(now);
-            digest.add(kept);
-            let mut idle: Vec<u64> = (0..rng.below(5)).map(|_| rng.below(kept + 4)).collect();
+            let timeout = keep_alive.idle_timeout(now);
+            digest.add(timeout);
+            let mut idle: Vec<u64> = (0..rng.below(5)).map(|_| rng.below(timeout + 4)).collect();
             idle.push(rng.below(4));
             idle.sort_unstable_by(|a, b| b.cmp(a));
             digest.add_option(
-                keep_alive::select_idle_connection(idle.iter().copied(), kept)
-                    .map(|nth| nth as u64),
+                keep_alive::select_idle_connection(idle.iter().copied(), timeout)
+                    .map(|position| position as u64),
             );
-            for idle in [rng.below(4), kept - 1, kept, kept + 1] {
-                digest.add(match keep_alive::reusability(idle, kept) {
+            for idle in [rng.below(4), timeout - 1, timeout, timeout + 1] {
+                digest.add(match keep_alive::reusability(idle, timeout) {
                     Reusability::Reusable => 0,
                     Reusability::Settling => 1,
                     Reusability::Expired => 2,
@@ -404,22 +405,27 @@
 }
 
 #[test]
-fn commands_are_split_as_recorded() {
+fn splits_of_commands_match_the_recorded_digests() {
     assert_pinned(&SPLITTING, |rng, digest| {
-        let mut out = Vec::new();
+        let mut sub_requests = Vec::new();
         for _ in 0..100 {
             let layout = random_layout(rng);
             for _ in 0..20 {
                 let (write, lba, blocks) = (rng.one_in(2), rng.below(110), rng.below(50) as u32);
-                let fits = layout.split(write, lba, blocks, &mut out).is_ok();
-                digest.add(u64::from(fits));
-                for part in out.iter().filter(|_| fits) {
-                    let figures = [part.offset, part.blocks, part.shard, u32::from(part.class)];
-                    for figure in figures {
-                        digest.add(u64::from(figure));
+                let is_inside = layout.split(write, lba, blocks, &mut sub_requests).is_ok();
+                digest.add(u64::from(is_inside));
+                for sub_request in sub_requests.iter().filter(|_| is_inside) {
+                    let fields = [
+                        sub_request.offset,
+                        sub_request.blocks,
+                        sub_request.shard,
+                        u32::from(sub_request.class),
+                    ];
+                    for field in fields {
+                        digest.add(u64::from(field));
                     }
-                    digest.add(part.node_lba);
-                    digest.add_option(part.ordering_key);
+                    digest.add(sub_request.node_lba);
+                    digest.add_option(sub_request.ordering_key);
                 }
             }
         }
@@ -440,7 +446,7 @@
         });
         first += blocks;
     }
-    for group in 0..rng.below(5) as u16 {
+    for class in 0..rng.below(5) as u16 {
         let first = rng.below(100);
         let (last, key) = (first + rng.below(50), rng.pick(&[0, 0, 1, 3, 8]));
         layout.rules.push(ClassRule {
@@ -448,18 +454,18 @@
             matches_writes: rng.one_in(2),
             first_block: first,
             last_block: last,
-            class: group,
+            class,
             blocks_per_key: NonZeroU64::new(key),
         });
     }
     if !rng.one_in(5) {
-        let (first, last, group, key) = (0, u64::MAX, 9, rng.pick(&[0, 7]));
+        let (first, last, class, key) = (0, u64::MAX, 9, rng.pick(&[0, 7]));
         layout.rules.push(ClassRule {
             matches_reads: true,
             matches_writes: true,
             first_block: first,
             last_block: last,
-            class: group,
+            class,
             blocks_per_key: NonZeroU64::new(key),
         });
     }
@@ -467,7 +473,7 @@
 }
 
 #[test]
-fn outcomes_of_sub_requests_are_combined_as_recorded() {
+fn combined_outcomes_of_sub_requests_match_the_recorded_digests() {
     let code = |outcome: RequestOutcome| match outcome {
         RequestOutcome::Completed => 1,
         RequestOutcome::Failed => 2,
@@ -475,9 +481,9 @@
     };
     assert_pinned(&ANSWERS, |rng, digest| {
         for _ in 0..EVENTS / 4 {
-            let parts = 1 + rng.below(5) as u32;
-            let mut progress = CommandProgress::new(parts);
-            for _ in 0..parts {
+            let sub_requests = 1 + rng.below(5) as u32;
+            let mut progress = CommandProgress::new(sub_requests);
+            for _ in 0..sub_requests {
                 for _ in 0..rng.below(3) {
                     match rng.below(8) {
                         0 | 1 => progress.attempt_sent(),
@@ -503,7 +509,7 @@
 }
 
 #[test]
-fn decisions_on_watches_are_the_recorded_ones() {
+fn watch_decisions_match_the_recorded_digests() {
     assert_pinned(&WATCHES, |rng, digest| {
         let mut now = 0;
         let mut slots = WatchSlots::default();
--- a/crates/connection-policy/tests/request_splitting.rs
+++ b/crates/connection-policy/tests/request_splitting.rs
@@ -33,7 +33,7 @@
     let mut sub_requests = Vec::new();
     layout()
         .split(true, lba, blocks, &mut sub_requests)
-        .expect("inside the volume");
+        .expect("the command is inside the volume");
     sub_requests
 }
 
@@ -76,7 +76,8 @@
     }
 }
 
-/// Extents of these lengths, rules of (first block, length, blocks per key), and one rule for all other blocks.
+/// Returns a layout of extents with the given lengths and rules of (first block, length, blocks per key), followed by
+/// one rule for all other blocks.
 fn random_layout(lengths: &[u64], rules: &[(u64, u64, u64)]) -> VolumeLayout {
     let mut layout = VolumeLayout::default();
     let mut first_block = 0;
@@ -102,7 +103,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Sub-requests cover a command without gap or overlap, and none crosses an extent or an ordering key.
+    /// Sub-requests cover a command without gap or overlap, and none crosses an extent, a rule or an ordering key.
     #[test]
     fn sub_requests_cover_a_command_exactly(
         lengths in prop::collection::vec(1u64..20, 1..8),
@@ -127,7 +128,7 @@
                 prop_assert_eq!(sub_request.node_lba, node_lba);
                 for block in first..=last {
                     let applies = |rule: &&ClassRule| rule.first_block <= block && block <= rule.last_block;
-                    let rule = layout.rules.iter().find(applies).expect("one applies to all");
+                    let rule = layout.rules.iter().find(applies).expect("the last rule applies to all blocks");
                     let expected = (rule.class, rule.blocks_per_key.map(|blocks| block / blocks));
                     prop_assert_eq!((sub_request.class, sub_request.ordering_key), expected);
                 }
--- a/crates/connection-policy/tests/watch_liveness.rs
+++ b/crates/connection-policy/tests/watch_liveness.rs
@@ -4,7 +4,7 @@
 };
 
 #[test]
-fn unanswered_request_and_silent_watch_have_failed() {
+fn unanswered_request_and_silent_watch_fail_after_their_timeouts() {
     let mut watch = WatchLiveness::new(100);
     assert_eq!(watch.fails_at(), 100 + RESPONSE_TIMEOUT);
     watch.event_received(900);
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn list_that_arrives_slowly_has_its_time_from_the_request_on() {
+fn timeout_of_a_slow_first_event_counts_from_the_request() {
     let mut watch = WatchLiveness::new(0);
-    // The head, and then an incomplete line, which is no event.
+    // The head of the response arrives, and then an incomplete line, which is not an event.
     watch.response_started();
     assert_eq!(watch.fails_at(), FIRST_EVENT_TIMEOUT);
     assert!(watch.event_received(3_900) && !watch.event_received(5_900));
@@ -24,10 +24,13 @@
 }
 
 #[test]
-fn silence_is_reported_once() {
+fn failure_of_a_silent_watch_is_reported_once() {
     let mut watch = WatchLiveness::new(0);
     watch.response_started();
-    assert!(!watch.is_established(), "a head alone is no event");
+    assert!(
+        !watch.is_established(),
+        "the head of the response alone is not an event"
+    );
     watch.event_received(10);
     assert!(watch.is_established());
     assert!(!watch.check_failure(10 + HEARTBEAT_TIMEOUT - 1));
--- a/crates/connection-policy/tests/watch_slots.rs
+++ b/crates/connection-policy/tests/watch_slots.rs
@@ -1,8 +1,8 @@
-//! Slots of the latest watch and the one before it.
+//! Slots of the latest watch and its predecessor.
 use mallowseam_connection_policy::watch_slots::WatchSlots;
 
 #[test]
-fn watch_beside_an_open_one_takes_the_other_slot_and_one_after_a_failure_its_own() {
+fn watch_beside_an_open_one_takes_the_other_slot_and_watch_after_a_failure_takes_the_same_slot() {
     let mut slots = WatchSlots::default();
     let first = slots.next_slot(false);
     let second = slots.next_slot(true);
@@ -11,16 +11,16 @@
     assert_eq!(
         slots.superseded_by(first),
         None,
-        "the old one supersedes nothing"
+        "the older watch supersedes nothing"
     );
     assert_eq!(
         slots.next_slot(false),
         second,
-        "the second failed, and the first is still read"
+        "the second watch failed, and the first is still read"
     );
     assert_eq!(
         slots.next_slot(true),
         first,
-        "a third takes the slot of the oldest"
+        "a third watch takes the slot of the oldest"
     );
 }
