--- a/crates/gateway/src/blocking_client.rs
+++ b/crates/gateway/src/blocking_client.rs
@@ -1,4 +1,4 @@
-//! An iSCSI client on a blocking socket: for exports, imports and verification, for benchmarks and tests.
+//! An iSCSI client on a blocking socket, for exports, imports, verification, benchmarks and tests.
 use mallowseam_iscsi::ProtocolError;
 use mallowseam_iscsi::initiator::{InitiatorConnection, InitiatorEvent};
 use mallowseam_iscsi::params::ProposedParams;
@@ -8,63 +8,64 @@
 use std::num::NonZeroU16;
 use std::time::Duration;
 
-/// How long a read from the socket may take.
+/// Timeout of a read from the socket.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes read from the socket at once.
+/// Size of the buffer for reads from the socket, in bytes.
 const READ_BUFFER: usize = 128 * 1024;
-/// Initiator session id of every client (RFC 7143, 11.12.5): random format, zero.
+/// Initiator session ID (ISID) of every client (RFC 7143, section 11.12.5): random format, value 0.
 const ISID: [u8; 6] = [0x80, 0, 0, 0, 0, 0];
-/// Lower task tags are for callers that build commands themselves.
+/// First task tag of the client's commands; lower tags are for callers that build commands themselves.
 const FIRST_TAG: u32 = 1 << 20;
 
-/// Why a session cannot be opened or a command gets no answer.
+/// Error that keeps a session from being opened or a command from being answered.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The connection failed, or nothing came within twenty seconds.
+    /// The connection failed, or nothing was received for 20 seconds.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The target closed the connection.
     #[error("connection closed")]
     Closed,
-    /// What the target sent breaks the protocol, or it refused the login.
+    /// The target violated the protocol or refused the login.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
     /// The target's command window is closed.
-    #[error("the command window is closed")]
+    #[error("command not sent: the target's command window is closed")]
     WindowClosed,
     /// The target rejected the command's PDU.
-    #[error("rejected, reason {reason}")]
+    #[error("command rejected by the target, iSCSI reason code {reason}")]
     Rejected {
-        /// Reason code (RFC 7143, 11.17.1).
+        /// Reason code (RFC 7143, section 11.17.1).
         reason: u8,
     },
 }
 
-/// A session of one connection, logged in.
+/// An iSCSI session with one connection, after its login.
 pub struct BlockingClient {
-    /// The connection's socket.
+    /// Socket of the connection.
     pub socket: TcpStream,
-    /// The protocol's state.
+    /// State of the iSCSI protocol.
     pub conn: InitiatorConnection,
     read_buffer: Vec<u8>,
     last_tag: u32,
 }
 
-/// The outcome of a command.
+/// Outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// SCSI status code.
     pub status: u8,
-    /// Sense data that came with CHECK CONDITION.
+    /// Sense data of a CHECK CONDITION status.
     pub sense: Option<Sense>,
     /// Data of a read.
     pub data: Vec<u8>,
-    /// Time after which to retry, in tenths of a second (RFC 7144), where the target gives one.
+    /// Time after which to retry, in tenths of a second (RFC 7144), if the target names one.
     pub retry_after: Option<NonZeroU16>,
 }
 
 impl BlockingClient {
-    /// Connects and logs in; without a target to a discovery session. `index` makes the initiator's name.
+    /// Connects and logs in to a target, or to a discovery session if no target is given. The initiator's name ends with
+    /// `index`.
     ///
     /// # Errors
     /// The connection cannot be opened, or the login is refused.
@@ -92,21 +93,21 @@
         Ok(client)
     }
 
-    /// Writes all that waits to be sent.
+    /// Writes all pending bytes to the socket.
     ///
     /// # Errors
     /// The connection failed.
     pub fn flush(&mut self) -> Result<(), ClientError> {
-        let waiting = self.conn.send_buffer().unsent().len();
+        let pending = self.conn.send_buffer().unsent().len();
         self.socket.write_all(self.conn.send_buffer().unsent())?;
-        self.conn.send_buffer().mark_sent(waiting);
+        self.conn.send_buffer().mark_sent(pending);
         Ok(())
     }
 
-    /// Writes all that waits to be sent, then reads once.
+    /// Writes all pending bytes to the socket, then reads once.
     ///
     /// # Errors
-    /// The connection failed or was closed, or the target breaks the protocol.
+    /// The connection failed or was closed, or the target violated the protocol.
     pub fn exchange(&mut self) -> Result<(), ClientError> {
         self.flush()?;
         let len = self.socket.read(&mut self.read_buffer)?;
@@ -120,7 +121,7 @@
     /// Waits for the next event of the session.
     ///
     /// # Errors
-    /// As `exchange`.
+    /// Those of [`exchange`](Self::exchange).
     pub fn next_event(&mut self) -> Result<InitiatorEvent, ClientError> {
         loop {
             if let Some(event) = self.conn.next_event() {
@@ -130,11 +131,11 @@
         }
     }
 
-    /// Sends one command and waits for its answer. `read_len` is how many bytes it may read, `data` what it
-    /// writes.
+    /// Sends a command and waits for its answer. The command may read up to `read_len` bytes and writes `data`.
     ///
     /// # Errors
-    /// As `exchange`; also where the target rejects the command's PDU or its command window is closed.
+    /// Those of [`exchange`](Self::exchange); also if the target rejects the command's PDU or its command window is
+    /// closed.
     pub fn execute(
         &mut self,
         lun: u32,
@@ -150,7 +151,7 @@
         self.await_answer(tag)
     }
 
-    /// Waits until the command of a tag has ended; other events are dropped.
+    /// Waits until the command with this tag has ended, and drops all other events.
     fn await_answer(&mut self, own_tag: u32) -> Result<Answer, ClientError> {
         loop {
             match self.next_event()? {
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `mallowseam`: its subcommands with their help texts, one module a family.
+//! The command line of `mallowseam`: its subcommands with their help texts, in one module per group of subcommands.
 mod control;
 mod error;
 mod fleet;
@@ -155,8 +155,8 @@
     },
 }
 
-/// Runs the program with these arguments, the first being its name. Prints results to standard output and
-/// errors to standard error.
+/// Runs the program with these arguments, the first of which is the program's name. Prints results to standard output
+/// and errors to standard error.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let arguments = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => arguments,
--- a/crates/gateway/src/cli/control.rs
+++ b/crates/gateway/src/cli/control.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-// Without a doc comment: clap would take it for the help of the subcommand.
+// No doc comment: clap would use it as the help text of the subcommand.
 #[derive(clap::Args)]
 #[group(required = true, multiple = false)]
 pub(super) struct ControlTarget {
@@ -25,7 +25,7 @@
         match (&self.control, &self.file) {
             (Some(socket), _) => Ok(socket.clone()),
             (None, Some(file)) => host_socket(file),
-            (None, None) => unreachable!("clap requires one of them"),
+            (None, None) => unreachable!("clap requires a file or a control socket"),
         }
     }
 
@@ -46,7 +46,7 @@
 }
 
 impl Service {
-    /// The section of the configuration that names the socket.
+    /// Returns the section of the configuration that names the control socket.
     fn section(self) -> &'static str {
         match self {
             Service::Host => "host",
@@ -64,7 +64,7 @@
     }
 }
 
-/// The control socket that a configuration names for a process.
+/// Returns the control socket that a configuration file names for a process.
 fn socket_of(file: &Path, service: Service) -> Result<PathBuf, CommandError> {
     service
         .socket(read_configuration(file)?)
@@ -90,7 +90,7 @@
     )?)
 }
 
-/// `mallowseam status`
+/// `mallowseam status`: prints the state of a host.
 pub(super) fn print_status(target: &ControlTarget, json: bool) -> Result<(), CommandError> {
     let text = target.send_request("status")?;
     if json {
@@ -108,7 +108,7 @@
     Ok(())
 }
 
-/// `mallowseam demand`, with intervals of `every` seconds; a `count` of 0 stands for no end.
+/// `mallowseam demand`: records demand in intervals of `every` seconds, without end if `count` is 0.
 pub(super) fn record_demand(files: &[PathBuf], every: u64, count: u64) -> Result<(), CommandError> {
     let sockets = files
         .iter()
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// `mallowseam reload`
+/// `mallowseam reload`: makes a host apply the plans of its configuration file.
 pub(super) fn reload(file: &Path) -> Result<String, CommandError> {
     let absolute = std::path::absolute(file).map_err(CommandError::CurrentDirectory)?;
     send_request(
--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a subcommand failed, and the exit code that says so.
+//! Errors of subcommands and their exit codes.
 use super::fleet::FleetError;
 use super::plan_parameters::ParameterError;
 use crate::control_socket::RequestError;
@@ -11,24 +11,26 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The command could not be carried out.
+/// Exit code of a command that failed.
 const FAILED: u8 = 1;
-/// A command line (clap's own code) or a file is wrong.
+/// Exit code for an invalid command line, as clap has it, or an invalid file.
 const BAD_INPUT: u8 = 2;
-/// It is proven that no placement fits.
+/// Exit code if no placement meets all constraints.
 const INFEASIBLE: u8 = 3;
 
-/// Why a subcommand failed. Its text is what the operator reads.
+/// Error of a subcommand, whose text is printed to standard error.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CommandError {
     #[error(transparent)]
     File(#[from] FileError),
-    #[error("{}: no `control` in section {section}", file.display())]
+    #[error("{}: no directive `control` in section `{section}`", file.display())]
     NoControlSocket {
         file: PathBuf,
         section: &'static str,
     },
-    #[error("GW_CONFIG: names no configuration")]
+    #[error(
+        "environment variable GW_CONFIG is not set; set it to the path of the configuration file"
+    )]
     NoConfiguration,
     #[error("{}", join_lines(.0))]
     PlanParameters(Vec<ParameterError>),
@@ -45,7 +47,7 @@
         socket: PathBuf,
         source: RequestError,
     },
-    #[error("the {from}'s answer: {source}")]
+    #[error("invalid answer from the {from}: {source}")]
     Answer {
         from: &'static str,
         source: serde_json::Error,
@@ -58,13 +60,13 @@
     Archive(#[from] ArchiveError),
     #[error(transparent)]
     Verify(#[from] VerifyError),
-    #[error("not sound")]
-    Unsound,
+    #[error("verification found contradictions or leaked locations")]
+    VerificationFailed,
     #[error(transparent)]
     Fleet(#[from] FleetError),
 }
 
-/// One problem a line.
+/// Joins problems to a text with one line each.
 fn join_lines(problems: &[impl Display]) -> String {
     problems
         .iter()
@@ -74,7 +76,7 @@
 }
 
 impl CommandError {
-    /// The exit code of the program.
+    /// Returns the exit code of the program.
     pub(super) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Placement(PlacementError::Infeasible(_)) => INFEASIBLE,
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -5,7 +5,7 @@
 use std::num::NonZeroU64;
 use std::time::Duration;
 
-/// Pause between two polls of a watched host.
+/// Interval between two polls of a watched host.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
@@ -33,7 +33,7 @@
     polls: u64,
 }
 
-/// Why the membership could not be shown, or is not the same everywhere.
+/// Error of a membership query, or the difference that a comparison has found.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FleetError {
     #[error("{host}: {source}")]
@@ -41,9 +41,9 @@
         host: SocketAddr,
         source: QueryError,
     },
-    #[error("several hosts are asked with --agree alone")]
+    #[error("several hosts can only be given together with --agree")]
     SeveralHosts,
-    #[error("{differ} of {all} views differ from the first")]
+    #[error("membership tables of {differ} of {all} hosts differ from that of the first host")]
     Disagreement { differ: usize, all: usize },
 }
 
@@ -51,7 +51,7 @@
     query_membership(host).map_err(|source| FleetError::Query { host, source })
 }
 
-/// Prints what the options ask for.
+/// `mallowseam fleet`: prints the membership, its changes or the differences between hosts.
 pub(super) fn execute(options: &Options) -> Result<(), FleetError> {
     if options.agree {
         return compare(&options.hosts);
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Prints changes as they are seen, until `max_polls` are done; without a bound if there is none.
+/// Polls a host and prints the changes of its membership table, `max_polls` times or without end if that is none.
 fn watch(host: SocketAddr, mut last: MembershipSnapshot, max_polls: Option<NonZeroU64>) {
     println!("as {} sees it: {}", last.host, last.state_counts());
     let mut polled = 0;
@@ -87,7 +87,7 @@
     }
 }
 
-/// Prints where the views of hosts differ from that of the first.
+/// Prints the differences between the membership tables of hosts and that of the first host.
 fn compare(hosts: &[SocketAddr]) -> Result<(), FleetError> {
     let views: Vec<MembershipSnapshot> = hosts
         .iter()
--- a/crates/gateway/src/cli/plan.rs
+++ b/crates/gateway/src/cli/plan.rs
@@ -7,7 +7,7 @@
 use mallowseam_plans::state::{Change, State};
 use std::path::PathBuf;
 
-// Without doc comments on these structs: clap would take them for the help of the subcommands.
+// No doc comments on these structs: clap would use them as the help texts of the subcommands.
 
 #[derive(Args)]
 pub(super) struct ServiceFile {
@@ -16,7 +16,7 @@
     path: PathBuf,
 }
 
-// Who changes a plan, and how.
+// Options of all subcommands that change plans.
 #[derive(Args)]
 pub(super) struct ChangeOptions {
     /// Who makes the change; recorded in the change log
@@ -107,7 +107,7 @@
     Show {
         #[command(flatten)]
         file: ServiceFile,
-        /// Show them as they were at this version, instead of the newest
+        /// Show the plans of this version, instead of the newest
         version: Option<u64>,
     },
     /// Print entries of the change log
@@ -118,7 +118,7 @@
         file: ServiceFile,
         /// The version to start from
         one: u64,
-        /// The version to compare it with
+        /// The version to end with
         other: u64,
     },
     /// Revert the change that a version made, as a new version
@@ -142,7 +142,7 @@
     },
 }
 
-/// Sends the request to the plan service; its answer.
+/// Sends the request to the plan service and returns the service's answer.
 pub(super) fn execute(command: Command) -> Result<String, CommandError> {
     match command {
         Command::Set(arguments) => arguments.execute(),
@@ -163,13 +163,13 @@
 
 impl ServiceFile {
     fn send_request(&self, request: &PlanRequest) -> Result<String, CommandError> {
-        let line = serde_json::to_string(request).expect("requests are plain data");
+        let line = serde_json::to_string(request).expect("requests can be serialized");
         control::send_request(&self.path, Service::Plans, &line)
     }
 }
 
 impl ChangeOptions {
-    /// The request that makes a change.
+    /// Returns the request that makes a change.
     fn set_request(self, change: Change, expected: Option<u64>) -> PlanRequest {
         PlanRequest::Set {
             change,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The request that reverts the change of a version.
+    /// Returns the request that reverts the change of a version.
     fn undo_request(self, version: u64) -> PlanRequest {
         PlanRequest::Undo {
             version,
@@ -194,14 +194,14 @@
 }
 
 impl SetArguments {
-    /// Sets the named parameters and keeps the others. The request names the version that the others were read
-    /// from, so that it is refused if another one has become the newest since.
+    /// Sets the given parameters and keeps the others. The request names the version that the others were read
+    /// from, so that the plan service rejects it if there is a newer version by then.
     fn execute(self) -> Result<String, CommandError> {
         let version = self.expected;
         let answer = self.file.send_request(&PlanRequest::Show { version })?;
         let state: State =
             serde_json::from_str(&answer).map_err(|source| CommandError::Answer {
-                from: "service",
+                from: "plan service",
                 source,
             })?;
         let current = state.plans.get(&self.plan).cloned();
--- a/crates/gateway/src/cli/plan_parameters.rs
+++ b/crates/gateway/src/cli/plan_parameters.rs
@@ -1,23 +1,25 @@
-//! Parameters of a plan as the command line states them: `NAME=NUMBER`.
+//! Parameters of a plan on the command line: `NAME=NUMBER`.
 use mallowseam_plans::state::Plan;
 
-/// Plans hold their parameters in thousandths.
+/// Number of thousandths in one; plans store their parameters in thousandths.
 const THOUSANDTHS: f64 = 1000.0;
 /// Weight and priority factor of a new plan, in thousandths.
 const DEFAULT_FACTOR: u64 = 1_000;
-/// Largest number that the command line accepts, so that its thousandths are exact as a float.
+/// Largest number that the command line accepts; its thousandths are still exact as a float.
 const MAX_PARAMETER: f64 = 1e9;
 
-/// Why a parameter on the command line cannot be set.
+/// Error in a parameter on the command line.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ParameterError {
-    #[error("`{0}`: expected usual, reserve, limit, burst, weight or price, =, and a number")]
+    #[error(
+        "invalid parameter `{0}`: expected usual, reserve, limit, burst, weight or price, followed by `=` and a number"
+    )]
     Malformed(String),
-    #[error("`{0}`: expected a number from 0 to a thousand million")]
+    #[error("invalid parameter `{0}`: expected a number from 0 to 1000000000")]
     OutOfRange(String),
 }
 
-/// A plan that does not exist yet: no reserve, no limit, weight and priority factor of one.
+/// Returns the initial parameters of a new plan: no reserve, no limit, weight and priority factor 1.
 pub(super) fn new_plan() -> Plan {
     Plan {
         weight: DEFAULT_FACTOR,
@@ -26,10 +28,10 @@
     }
 }
 
-/// Sets the parameters of a plan, each from its `NAME=NUMBER`.
+/// Sets parameters of a plan, each given as `NAME=NUMBER`.
 ///
 /// # Errors
-/// All that are wrong.
+/// All invalid parameters.
 pub(super) fn set_parameters(plan: &mut Plan, texts: &[String]) -> Result<(), Vec<ParameterError>> {
     let errors: Vec<ParameterError> = texts
         .iter()
--- a/crates/gateway/src/cli/process.rs
+++ b/crates/gateway/src/cli/process.rs
@@ -1,10 +1,10 @@
-//! Subcommands that run a process in the foreground, and the check of their configuration.
+//! Subcommands that run a process in the foreground, and the subcommand that checks a configuration.
 use super::error::CommandError;
 use clap::ValueEnum;
 use mallowseam_files::text_file::read_configuration;
 use std::path::{Path, PathBuf};
 
-/// Environment variable that names the configuration of a host of the users' platform.
+/// Environment variable with the path of the configuration file of a host of the users' platform.
 const PLATFORM_CONFIGURATION: &str = "GW_CONFIG";
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -15,7 +15,7 @@
     Debug,
 }
 
-// Without a doc comment: clap would take it for the help of the subcommand.
+// No doc comment: clap would use it as the help text of the subcommand.
 #[derive(clap::Args)]
 pub(super) struct LogOptions {
     /// Least severe level to log
@@ -27,7 +27,7 @@
 }
 
 impl LogOptions {
-    /// Sends log lines to standard error.
+    /// Starts logging to standard error.
     fn start(&self) {
         let level = match self.level {
             Level::Error => tracing::Level::ERROR,
@@ -47,13 +47,13 @@
     }
 }
 
-/// `mallowseam run`
+/// `mallowseam run`: runs a host that serves volumes over iSCSI.
 pub(super) fn run_host(file: &Path, log: &LogOptions) -> Result<(), CommandError> {
     log.start();
     Ok(mallowseam_iscsi_host::run(read_configuration(file)?)?)
 }
 
-/// `mallowseam host`
+/// `mallowseam host`: runs a host for the users' platform.
 pub(super) fn run_platform_host(
     log: &LogOptions,
     list_turn: Option<u16>,
@@ -67,7 +67,7 @@
     )?)
 }
 
-/// `mallowseam catalog`
+/// `mallowseam catalog`: runs the snapshot catalog.
 pub(super) fn run_catalog(
     file: &Path,
     die_at: Option<u64>,
@@ -80,17 +80,17 @@
     )?)
 }
 
-/// `mallowseam control`
+/// `mallowseam control`: runs the plan service.
 pub(super) fn run_plan_service(file: &Path, log: &LogOptions) -> Result<(), CommandError> {
     log.start();
     Ok(crate::plan_service::run(&read_configuration(file)?)?)
 }
 
-/// `mallowseam check`
+/// `mallowseam check`: checks a configuration file.
 pub(super) fn check(file: &Path) -> Result<String, CommandError> {
     let config = read_configuration(file)?;
     Ok(format!(
-        "{}: sound; host {}, {} volumes on {} nodes, {} plans, {} groups",
+        "{}: valid; host {}, {} volumes on {} nodes, {} plans, {} groups",
         file.display(),
         config.host.name,
         config.volumes.len(),
--- a/crates/gateway/src/cli/shares.rs
+++ b/crates/gateway/src/cli/shares.rs
@@ -1,4 +1,4 @@
-//! `mallowseam shares`: placement of volumes on nodes, worked out ahead of time.
+//! `mallowseam shares`: offline computation of the placement of volumes on nodes.
 use super::error::CommandError;
 use crate::placement;
 use clap::Subcommand;
@@ -75,7 +75,7 @@
     },
 }
 
-/// Carries a subcommand out; the text to print.
+/// Executes a subcommand and returns the text to print.
 pub(super) fn execute(command: &Command) -> Result<String, CommandError> {
     let text = match command {
         Command::WorkOut {
--- a/crates/gateway/src/cli/snapshot.rs
+++ b/crates/gateway/src/cli/snapshot.rs
@@ -10,7 +10,8 @@
 pub(super) enum Command {
     /// Take a snapshot, VOLUME@NAME, of a volume or clone
     ///
-    /// It contains every write that was acknowledged before the request, and none that began after it was granted.
+    /// The snapshot contains every write that was acknowledged before the request, and none that began after the
+    /// snapshot was granted.
     Take {
         /// The snapshot catalog's configuration file
         file: PathBuf,
@@ -30,7 +31,7 @@
         file: PathBuf,
         /// Name of a volume or clone, or a snapshot as VOLUME@NAME
         one: String,
-        /// Name of the one to compare it with
+        /// Name of the volume, clone or snapshot to compare with
         other: String,
     },
     /// Create a writable clone of a snapshot
@@ -78,7 +79,7 @@
     },
 }
 
-/// Carries a subcommand out; the text to print.
+/// Executes a subcommand and returns the text to print.
 pub(super) fn execute(command: &Command) -> Result<String, CommandError> {
     match command {
         Command::Take { file, volume, name } => {
--- a/crates/gateway/src/cli/verify.rs
+++ b/crates/gateway/src/cli/verify.rs
@@ -1,10 +1,11 @@
-//! `mallowseam verify`: prints what the walk over the snapshot catalog and the nodes has found.
+//! `mallowseam verify`: verifies the snapshot catalog against the nodes and prints the findings.
 use super::error::CommandError;
 use crate::verify;
 use mallowseam_files::text_file::read_configuration;
 use std::path::Path;
 
-/// Walks the catalog's store and all nodes; with `reclaim`, unmaps what nothing refers to.
+/// Compares the catalog's store with all nodes and prints the findings; with `reclaim`, has the nodes unmap locations
+/// that nothing refers to.
 pub(super) fn execute(file: &Path, reclaim: bool) -> Result<(), CommandError> {
     let config = read_configuration(file)?;
     let findings = verify::run(&config, reclaim)?;
@@ -24,10 +25,10 @@
         findings.leaked.len(),
         findings.faults.len()
     );
-    let sound = findings.faults.is_empty() && (reclaim || findings.leaked.is_empty());
-    if sound {
+    let is_consistent = findings.faults.is_empty() && (reclaim || findings.leaked.is_empty());
+    if is_consistent {
         Ok(())
     } else {
-        Err(CommandError::Unsound)
+        Err(CommandError::VerificationFailed)
     }
 }
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -1,4 +1,4 @@
-//! What clients request of each volume, polled from running hosts and recorded interval by interval.
+//! Demand of each volume, polled from running hosts and recorded in intervals.
 use crate::control_socket::send_request;
 use mallowseam_files::text_file::{FileError, read_text};
 use mallowseam_iscsi_host::status::Status;
@@ -8,20 +8,20 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Requested units a second of each volume over one interval, over all hosts that were polled.
+/// Requested units per second of each volume in one interval, summed over all polled hosts.
 pub(crate) type Interval = BTreeMap<String, f64>;
 
-/// Units a second of one volume, over all hosts.
+/// Units per second of one volume, summed over all hosts.
 #[derive(Default)]
 struct Rates {
     requested: f64,
     completed: f64,
 }
 
-/// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units a second, with
-/// three decimals; `asked` are requested units, `ended` completed ones). [`read`] and scripts read this text
-/// form. A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
-/// Ends after `count` intervals, or never if there is no count.
+/// Polls hosts and writes each interval as lines `at SECONDS VOLUME asked R ended R` (units per second with
+/// three decimals; `asked` are requested units, `ended` completed ones). [`read`] and scripts parse this
+/// format. A host that does not answer, or has restarted, is skipped in that interval and named in a comment.
+/// Returns after `count` intervals, or never if there is no count.
 pub(crate) fn record(
     control_sockets: &[PathBuf],
     every: Duration,
@@ -36,7 +36,7 @@
         for host in &mut hosts {
             host.poll(&mut rates, write_line);
         }
-        // The first poll only states where the counters begin.
+        // The first poll only reads the initial values of the counters.
         if interval > 0 {
             write_rates(&rates, began, write_line);
         }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes the rates of an interval that ends now, one line a volume.
+/// Writes the rates of an interval that ends now, one line per volume.
 fn write_rates(rates: &BTreeMap<String, Rates>, began: Instant, write_line: &mut dyn FnMut(&str)) {
     for (volume, rate) in rates {
         let seconds = began.elapsed().as_secs();
@@ -63,7 +63,7 @@
 /// A host that is polled.
 struct PolledHost<'a> {
     control_socket: &'a Path,
-    /// Its status at the last poll; none: it did not answer.
+    /// Status of the host at the last poll; none if it did not answer.
     last: Option<Status>,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Polls the host, and adds its rates since the last poll.
+    /// Polls the host and adds its rates since the last poll.
     fn poll(&mut self, rates: &mut BTreeMap<String, Rates>, write_line: &mut dyn FnMut(&str)) {
         let status = poll(self.control_socket, write_line);
         if let (Some(old), Some(new)) = (&self.last, &status) {
@@ -104,7 +104,10 @@
 ) {
     let seconds = new.up_seconds - old.up_seconds;
     if seconds <= 0.0 {
-        return write_line(&format!("# {}: has started anew", new.host));
+        return write_line(&format!(
+            "# host {} has restarted; it is skipped in this interval",
+            new.host
+        ));
     }
     for (before, after) in old.volumes.iter().zip(&new.volumes) {
         let rate = rates.entry(after.name.clone()).or_default();
@@ -113,7 +116,7 @@
     }
 }
 
-/// Reads a record.
+/// Reads a record file.
 pub(crate) fn read(file: &Path) -> Result<Vec<Interval>, FileError> {
     let text = read_text(file)?;
     let mut problems = Diagnostics::new(&file.display().to_string());
@@ -131,16 +134,16 @@
     }
 }
 
-/// The intervals of a record as they are read.
+/// Intervals that have been read from a record file.
 #[derive(Default)]
 struct Record {
     intervals: Vec<Interval>,
-    /// When the last of them ended; none before the first line.
+    /// End of the last interval, in seconds; none before the first line.
     last_end: Option<u64>,
 }
 
 impl Record {
-    /// Adds a line, to the last interval if both end at the same time.
+    /// Adds a line to the last interval if both end at the same time, else to a new one.
     fn add(&mut self, line: DemandLine) {
         if self.last_end != Some(line.seconds) {
             self.intervals.push(Interval::new());
@@ -161,7 +164,7 @@
     requested: f64,
 }
 
-/// Reads a line; none if it is empty, a comment or malformed.
+/// Reads a line; returns none if it is empty, a comment or malformed.
 fn read_line(tokens: &[Token], problems: &mut Diagnostics) -> Option<DemandLine> {
     let first = tokens.first()?;
     if first.text != "at" {
@@ -172,7 +175,7 @@
     read_arguments(&mut Arguments::new(tokens, problems))
 }
 
-/// Reads the arguments of a line. All of them are checked, also after one is refused.
+/// Reads the arguments of a line. All of them are checked, also after an invalid one.
 fn read_arguments(args: &mut Arguments) -> Option<DemandLine> {
     let seconds = args.integer("seconds", 0, u64::MAX);
     let volume = args.name("the name of a volume");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,10 +3,10 @@
 //! The hosts are packages of their own: `mallowseam-iscsi-host` (`mallowseam run`) and
 //! `mallowseam-platform-host` (`mallowseam host`).
 //!
-//! The services are packages of their own; `plan_service` and `snapshot_catalog` run them with the configuration of a
-//! site. Host, services and command line share `mallowseam-control-protocol`.
+//! The services are packages of their own, too; `plan_service` and `snapshot_catalog` start them with the configuration
+//! of a site. Hosts, services and the command line share `mallowseam-control-protocol`.
 //!
-//! Tools of the command line (`cli`): `demand`, `placement`, `snapshot_archive`, `verify`, `blocking_client`.
+//! The command line (`cli`) is built on `demand`, `placement`, `snapshot_archive`, `verify` and `blocking_client`.
 #![warn(missing_docs)]
 
 pub mod blocking_client;
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,11 +1,11 @@
-//! `mallowseam shares`: which nodes volumes are best placed on, worked out ahead of time from a problem file.
+//! `mallowseam shares`: computes offline, from a problem file, on which nodes volumes are best placed.
 //!
-//! - `problem_file`, `answer_file`: reading problems and worked-out answers.
-//! - `solve`: searching for the best placement, and printing it.
-//! - `report`: what a placement means for nodes, against another one, and as migration steps.
-//! - `replay`: what answers would have earned with recorded demand.
-//! - `apply`: writing an answer into a host's configuration.
-//! - `error`, `units`: what they share.
+//! - `problem_file`, `answer_file`: parsers of problem files and of answer files.
+//! - `solve`: searches for the best placement and prints it as an answer.
+//! - `report`: load of each node under a placement, comparison of two placements, and migration steps.
+//! - `replay`: gain of answers with recorded demand.
+//! - `apply`: writes an answer into a host's configuration.
+//! - `error`, `units`: errors and unit conversions of the other modules.
 mod answer_file;
 mod apply;
 mod error;
--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -1,4 +1,4 @@
-//! Answer files: what `work-out` prints, as lines `place`, `share` and `part`.
+//! Answer files: the output of `work-out`, in lines `place`, `share` and `part`.
 use super::error::PlacementError;
 use super::problem_file::RATE;
 use mallowseam_files::text_file::read_text;
@@ -8,15 +8,15 @@
 use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
 use std::path::Path;
 
-/// A worked-out answer.
+/// Placement and shares that an answer file contains.
 pub(super) struct Answer {
-    /// Nodes of each volume, by the problem's order.
+    /// Nodes of each volume, in the problem's order of volumes.
     pub(super) placement: Placement,
-    /// Reserve and weight of the volumes that the answer names one for.
+    /// Reserve and weight of each volume with a line `share`.
     pub(super) shares: Vec<Share>,
 }
 
-/// Reads an answer to a problem. It has to place every volume.
+/// Reads an answer to a problem. The answer has to place every volume.
 pub(super) fn read(problem: &Problem, file: &Path) -> Result<Answer, PlacementError> {
     let text = read_text(file)?;
     let mut problems = Diagnostics::new(&file.display().to_string());
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads the placement of an answer alone.
+/// Reads only the placement of an answer.
 pub(super) fn read_placement(problem: &Problem, file: &Path) -> Result<Placement, PlacementError> {
     read(problem, file).map(|answer| answer.placement)
 }
@@ -59,7 +59,7 @@
     })
 }
 
-/// `place VOLUME NODE …`
+/// Reads a line `place VOLUME NODE …`.
 fn read_place(problem: &Problem, words: &[Token], answer: &mut Answer, problems: &mut Diagnostics) {
     let mut args = Arguments::new(words, problems);
     let volume = read_volume(problem, &mut args);
@@ -83,7 +83,7 @@
     }
 }
 
-/// `share VOLUME reserve RATE weight NUMBER`
+/// Reads a line `share VOLUME reserve RATE weight NUMBER`.
 fn read_share(problem: &Problem, words: &[Token], answer: &mut Answer, problems: &mut Diagnostics) {
     let mut args = Arguments::new(words, problems);
     let volume = read_volume(problem, &mut args);
--- a/crates/gateway/src/placement/apply.rs
+++ b/crates/gateway/src/placement/apply.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Describes what would change in the configuration and, with `write`, changes it; a host then still has to
-/// reload it. An answer that the configuration contradicts is rejected: it names volumes that the
-/// configuration lacks, or places volumes elsewhere than their data is.
+/// Returns a description of the changes to the configuration and, with `write`, writes them; the host applies the
+/// changed file when it reloads it. An answer is rejected if it names volumes that the configuration lacks, or places
+/// volumes on other nodes than those that store their data.
 pub(crate) fn apply(
     file: &Path,
     answer: &Path,
@@ -51,12 +51,12 @@
         }
     })?;
     Ok(format!(
-        "{summary}\nwritten; `mallowseam reload {name}` has the host take it up"
+        "{summary}\nwritten; run `mallowseam reload {name}` to make the host apply the changes"
     ))
 }
 
-/// Volumes whose data lies on other nodes than the answer places them on, a line each. Where blocks of mapped
-/// volumes lie is up to the snapshot catalog.
+/// Returns one line for each volume whose data is on other nodes than the answer places it on. Mapped volumes are left
+/// out, since the snapshot catalog decides where their blocks are stored.
 fn misplaced_volumes(problem: &Problem, answer: &Answer, config: &GatewayConfig) -> Vec<String> {
     let mut misplaced = Vec::new();
     for (volume, nodes) in problem.volumes.iter().zip(&answer.placement) {
@@ -79,7 +79,7 @@
         if present != wanted {
             let names = |set: &BTreeSet<&str>| set.iter().copied().collect::<Vec<_>>().join(" ");
             misplaced.push(format!(
-                "volume {}: lies on {}, and the answer has it on {}; move its data first (`shares moves`)",
+                "volume {}: data is on {}, but the answer places it on {}; move its data first (`shares moves`)",
                 volume.name,
                 names(&present),
                 names(&wanted)
--- a/crates/gateway/src/placement/error.rs
+++ b/crates/gateway/src/placement/error.rs
@@ -1,24 +1,26 @@
-//! Why a subcommand of `shares` gives no answer.
+//! Errors of the subcommands of `shares`.
 use mallowseam_files::text_file::FileError;
 use mallowseam_settings::Diagnostics;
 use std::io;
 use std::path::PathBuf;
 
-/// Why no answer can be given.
+/// Error of a subcommand of `shares`.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PlacementError {
     #[error(transparent)]
     File(#[from] FileError),
     #[error("{}: a host sends to volume {volume}, which the file lacks", file.display())]
     UnknownVolumeSent { file: PathBuf, volume: String },
-    /// Proven that nothing fits; the text names the contradiction.
+    /// No placement meets all constraints; the text names a set of constraints that contradict each other.
     #[error("{0}")]
     Infeasible(String),
-    #[error("nothing fits; the contradiction is too large to be named in time")]
+    #[error(
+        "no placement meets all constraints; the contradicting constraints could not be determined in time"
+    )]
     ContradictionTooLarge,
-    #[error("no placement was found in time, and none was proven impossible")]
+    #[error("no placement was found in time, and it is not proven that there is none")]
     NotFoundInTime,
-    /// What a configuration contradicts, a line each.
+    /// Contradictions between the answer and the configuration, one line each.
     #[error("{}", .0.join("\n"))]
     Contradicted(Vec<String>),
     #[error("{}: {source}", file.display())]
@@ -29,12 +31,12 @@
         volume: String,
         problem: PathBuf,
     },
-    #[error("{}: no intervals", .0.display())]
+    #[error("{}: record contains no intervals", .0.display())]
     NoIntervals(PathBuf),
 }
 
 impl PlacementError {
-    /// A file is not what it must be.
+    /// Returns the error of a file with these problems.
     pub(super) fn malformed(problems: Diagnostics) -> Self {
         PlacementError::File(FileError::Malformed(problems.sorted()))
     }
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -5,12 +5,12 @@
 use mallowseam_settings::{Arguments, Diagnostics, Position, Token, tokenize};
 use std::path::Path;
 
-/// What a rate must look like.
+/// Description of a rate in diagnostics.
 pub(super) const RATE: &str = "units a second such as 20/s or 0.125/s";
-/// Price of a volume whose section names none, in thousandths.
+/// Price of a volume without a directive `price`, in thousandths.
 const DEFAULT_PRICE: u64 = 1000;
 const NUMBER: &str = "a whole number";
-/// Where a problem of the whole file is reported.
+/// Position of diagnostics about the file as a whole.
 const TOP: Position = Position { line: 1, column: 1 };
 
 #[derive(Clone, Copy, PartialEq)]
@@ -39,20 +39,20 @@
     }
 }
 
-/// What has been read of a problem file so far.
+/// Contents of a problem file, as far as it has been read.
 struct Draft {
-    /// The section that lines belong to. None before the first section, and in one that is not understood, of
-    /// whose lines only words behind the directive are reported.
+    /// The section that directives belong to. None before the first section and in an invalid one; of the lines there,
+    /// only words after the directive are reported.
     section: Option<Section>,
     nodes: Vec<Node>,
     hosts: Vec<Host>,
     volumes: Vec<Volume>,
-    /// Where each section begins, by its name.
+    /// Name and position of each section.
     positions: Vec<(String, Position)>,
     problems: Diagnostics,
 }
 
-/// Reads a problem.
+/// Reads a problem file.
 pub(super) fn read(file: &Path) -> Result<Problem, PlacementError> {
     let text = read_text(file)?;
     let mut draft = Draft {
@@ -117,8 +117,11 @@
 
     fn add_host(&mut self, name: String, position: Position) {
         if self.hosts.iter().any(|host| host.name == name) {
-            self.problems
-                .add(position, "one host of this name", format!("`{name}`"));
+            self.problems.add(
+                position,
+                "a host name that is not in use",
+                format!("`{name}`"),
+            );
         }
         self.hosts.push(Host {
             name,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// A volume that a host sends to and no section describes.
+    /// Returns a volume that a host sends to and that has no section.
     fn unknown_volume_sent(&self) -> Option<&str> {
         let is_unknown = |name: &&String| !self.volumes.iter().any(|volume| volume.name == **name);
         let mut sent = self.hosts.iter().flat_map(|host| host.sends.keys());
@@ -188,12 +191,12 @@
     }
 }
 
-/// The node, host or volume that the open section describes: it was added when the section began.
+/// Returns the node, host or volume of the open section, which was added when the section began.
 fn last<T>(described: &mut [T]) -> &mut T {
     described.last_mut().expect("a section is open")
 }
 
-/// Reads a directive of a node. False: there is none of this name.
+/// Reads a directive of a node; returns false if the directive is unknown.
 fn read_node(node: &mut Node, directive: &str, args: &mut Arguments) -> bool {
     match directive {
         "capacity" => node.capacity = args.exact_rate(RATE).unwrap_or(0),
@@ -209,7 +212,7 @@
     true
 }
 
-/// Reads a directive of a host. False: there is none of this name.
+/// Reads a directive of a host; returns false if the directive is unknown.
 fn read_host(host: &mut Host, directive: &str, args: &mut Arguments) -> bool {
     if directive != "sends" {
         return false;
@@ -220,7 +223,7 @@
     true
 }
 
-/// Reads a directive of a volume. False: there is none of this name.
+/// Reads a directive of a volume; returns false if the directive is unknown.
 fn read_volume(volume: &mut Volume, directive: &str, args: &mut Arguments) -> bool {
     match directive {
         "reserve" => volume.reserved_rate = args.exact_rate(RATE).unwrap_or(0),
@@ -230,7 +233,7 @@
         "weight" => volume.weight = args.integer(NUMBER, 0, MAX_NUMBER).unwrap_or(0),
         "price" => {
             volume.priority_factor = args
-                .integer("thousandths, 1000 for the plain price", 0, MAX_NUMBER)
+                .integer("thousandths, 1000 for a price of 1", 0, MAX_NUMBER)
                 .unwrap_or(0);
         }
         "spread" => volume.spread = args.integer("1 to 8 nodes", 1, 8).unwrap_or(1) as usize,
--- a/crates/gateway/src/placement/replay.rs
+++ b/crates/gateway/src/placement/replay.rs
@@ -1,4 +1,4 @@
-//! `shares replay`: what answers would have earned with the demand that was recorded.
+//! `shares replay`: gain that answers would have had with recorded demand.
 use super::answer_file::Answer;
 use super::error::PlacementError;
 use super::units::{GAIN_SCALE, gain_per_second};
@@ -10,7 +10,8 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// For each answer the gain a second over all intervals, in the worst of them, and how many it was best in.
+/// Returns a table with one line per answer: its mean gain per second over all intervals, its gain in the worst
+/// interval, and the number of intervals in which no other answer gains more.
 pub(crate) fn replay(
     file: &Path,
     record: &Path,
@@ -33,7 +34,7 @@
     );
     for (path, own) in answers.iter().zip(&gains) {
         let mean = own.iter().sum::<i128>() as f64 / own.len() as f64 / GAIN_SCALE;
-        let worst = gain_per_second(*own.iter().min().expect("there are intervals"));
+        let worst = gain_per_second(*own.iter().min().expect("the record has intervals"));
         let best = (0..own.len())
             .filter(|i| gains.iter().all(|other| other[*i] <= own[*i]))
             .count();
@@ -42,7 +43,7 @@
     }
     write!(
         out,
-        "\n# {} intervals; gains are the model's",
+        "\n# {} intervals; gains are computed by the placement model",
         intervals.len()
     )
     .expect("writing to memory");
@@ -71,7 +72,7 @@
     }
 }
 
-/// The gain of an answer in each interval.
+/// Returns the gain of an answer in each interval.
 fn gains_of(problem: &Problem, answer: &Answer, intervals: &[Interval]) -> Vec<i128> {
     let share_of = |volume: &Volume| {
         let own = answer
--- a/crates/gateway/src/placement/report.rs
+++ b/crates/gateway/src/placement/report.rs
@@ -1,5 +1,5 @@
-//! What a placement means: the load of each node, its worth beside another one, and the steps that lead to
-//! it.
+//! Reports on placements: the load of each node, the comparison of two placements, and the migration steps that lead
+//! to a placement.
 use super::error::PlacementError;
 use super::units::{data_units, gain_per_second};
 use super::{answer_file, problem_file};
@@ -31,7 +31,7 @@
         .join(" ")
 }
 
-/// `shares compare`: what two placements of one problem are worth, side by side.
+/// `shares compare`: returns a table with the value of two placements of a problem.
 pub(crate) fn compare(file: &Path, one: &Path, other: &Path) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let mut out = format!(
@@ -70,7 +70,7 @@
     Ok(out)
 }
 
-/// `shares explain`: how full each node is with a placement.
+/// `shares explain`: returns a table with the load of each node under a placement.
 pub(crate) fn explain(file: &Path, answer: &Path) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let placement = answer_file::read_placement(&problem, answer)?;
@@ -109,7 +109,8 @@
     Ok(out)
 }
 
-/// `shares moves`: the steps to a placement, one a line: `move VOLUME FROM TO DATA`, `-` where there is none.
+/// `shares moves`: returns the migration steps to a placement, one line `move VOLUME FROM TO DATA` each, with `-` for
+/// a node that a step does not have.
 pub(crate) fn migration_steps(
     file: &Path,
     answer: &Path,
@@ -130,9 +131,12 @@
             .expect("writing to memory");
     }
     for (reason, volumes) in [
-        ("stays, beyond the data that may be moved", &plan.deferred),
         (
-            "no order of steps was found that breaks nothing",
+            "not moved, since the limit of data to move is reached",
+            &plan.deferred,
+        ),
+        (
+            "not moved, since no order of steps was found that keeps all constraints",
             &plan.blocked,
         ),
     ] {
--- a/crates/gateway/src/placement/solve.rs
+++ b/crates/gateway/src/placement/solve.rs
@@ -1,4 +1,4 @@
-//! `shares work-out`: the best placement, exactly where the problem is small enough, else by local search.
+//! `shares work-out`: finds the best placement, by an exact search for small problems and by local search for others.
 use super::error::PlacementError;
 use super::problem_file;
 use super::units::{data_units, gain_per_second};
@@ -14,14 +14,15 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Steps of the exact search after which a large problem is passed to the local search.
+/// Maximum number of steps of the exact search; local search takes over if they do not suffice.
 const EXACT_STEPS: u64 = 300_000;
-/// Moves of the local search between two checks of the time.
+/// Number of moves of the local search between two checks of the elapsed time.
 const MOVES_PER_CHECK: u64 = 2_000;
-/// Thousandths of an even quota that no host's quota goes below: as much as hosts never lend.
+/// Minimum quota of a host, in thousandths of an even quota: hosts never lend that part.
 const MIN_QUOTA_THOUSANDTHS: u64 = 250;
 
-/// Solves the problem of a file within about `within`; the answer as lines that an answer file holds.
+/// Solves the problem of a file and returns the answer as the text of an answer file. Local search ends once `within`
+/// has elapsed.
 pub(crate) fn solve(file: &Path, within: Duration, seed: u64) -> Result<String, PlacementError> {
     let problem = problem_file::read(file)?;
     let began = Instant::now();
@@ -42,8 +43,12 @@
     Ok(describe(&problem, &best, proven))
 }
 
-/// The best placement that local search finds while `goes_on` says so.
-fn search_locally(problem: &Problem, seed: u64, goes_on: impl Fn() -> bool) -> Option<Objective> {
+/// Returns the best placement that local search finds while `may_continue` returns true.
+fn search_locally(
+    problem: &Problem,
+    seed: u64,
+    may_continue: impl Fn() -> bool,
+) -> Option<Objective> {
     let mut search = LocalSearch::new(problem, seed);
     search.start_from_current();
     let mut placed = search.place_missing();
@@ -51,7 +56,7 @@
         search = LocalSearch::new(problem, seed);
         placed = search.place_all();
     }
-    while placed && goes_on() {
+    while placed && may_continue() {
         search.improve(MOVES_PER_CHECK);
     }
     search
@@ -59,13 +64,14 @@
         .filter(|_| placed && search.is_feasible())
 }
 
-/// The demands that cannot be met together, and how much more capacity would do.
+/// Returns the error with the constraints that cannot be met together, and by how much all capacities would have to
+/// grow for a placement to exist.
 fn infeasible(problem: &Problem) -> PlacementError {
     let Some(infeasibility) = explain(problem, EXACT_STEPS) else {
         return PlacementError::ContradictionTooLarge;
     };
     let mut text = String::from(
-        "nothing fits; these contradict, and without any one of them the rest would do:",
+        "no placement meets all constraints; these contradict each other, and without any one of them the rest can be met:",
     );
     for constraint in &infeasibility.constraints {
         text.push_str("\n  ");
@@ -77,7 +83,7 @@
             thousandths / 1000,
             thousandths % 1000
         ),
-        None => "\nno capacity would do".to_owned(),
+        None => "\nno increase of the capacities is sufficient".to_owned(),
     };
     text.push_str(&relaxation);
     PlacementError::Infeasible(text)
@@ -121,7 +127,7 @@
     out
 }
 
-/// Each host's quota of the limits, by what it sends.
+/// Writes each host's quota of the rate limits, computed from the rates that the hosts send.
 fn describe_quotas(problem: &Problem, out: &mut String) {
     if problem.hosts.is_empty() {
         return;
--- a/crates/gateway/src/plan_service.rs
+++ b/crates/gateway/src/plan_service.rs
@@ -8,7 +8,7 @@
 /// Runs the plan service of a site until SIGTERM, SIGINT or a request to stop.
 ///
 /// # Errors
-/// The configuration has no section of the service, or the service cannot start or go on.
+/// The configuration has no section `tariffs`, or the service cannot start or fails while it runs.
 pub(crate) fn run(config: &GatewayConfig) -> Result<(), Error> {
     let settings = config
         .plan_service
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// The changes that make the plans of a configuration.
+/// Returns the changes that create the plans of a configuration and assign them to its volumes.
 fn configured_changes(config: &GatewayConfig) -> Vec<Change> {
     let plans = config.plans.iter().map(|plan| Change::SetPlan {
         name: plan.name.clone(),
--- a/crates/gateway/src/snapshot_archive.rs
+++ b/crates/gateway/src/snapshot_archive.rs
@@ -1,11 +1,11 @@
-//! Exports of snapshots to archive files and imports from them. Volumes are read and written through a host, as any
-//! client does.
+//! Export of snapshots to archive files and import from them. Volumes are read and written through a host, as by any
+//! client.
 //!
 //! - `export`, `import`: the two commands.
-//! - `remote_unit`: a volume, clone or snapshot, read and written an extent at a time.
-//! - `archive_file`: the archive on disk, which an export resumes if it is incomplete.
-//! - `tree`: the tree of snapshots, as the catalog has it.
-//! - `error`: why an export or import failed.
+//! - `remote_unit`: access to a volume, clone or snapshot through a host, one extent at a time.
+//! - `archive_file`: the archive file, whose export is resumed if it is incomplete.
+//! - `tree`: query of the snapshot tree at the snapshot catalog.
+//! - `error`: errors of exports and imports.
 mod archive_file;
 mod error;
 mod export;
--- a/crates/gateway/src/snapshot_archive/archive_file.rs
+++ b/crates/gateway/src/snapshot_archive/archive_file.rs
@@ -5,11 +5,11 @@
 use std::io::{self, BufReader, BufWriter, Seek, SeekFrom};
 use std::path::Path;
 
-/// Path of an archive file, which errors name.
+/// Path of an archive file; errors contain it.
 #[derive(Clone, Copy)]
 pub(super) struct ArchivePath<'a>(pub(super) &'a Path);
 
-/// How much of an export a file already contains.
+/// State of an export that a file already contains.
 pub(super) enum Existing {
     Nothing,
     Complete,
@@ -17,16 +17,16 @@
 }
 
 impl ArchivePath<'_> {
-    /// A reader of the file, past its header.
+    /// Opens the file and reads its header; the reader is positioned at the first record.
     pub(super) fn reader(self) -> Result<Reader<BufReader<File>>, ArchiveError> {
         let file = File::open(self.0).map_err(|e| self.io_error(e))?;
         Reader::new(BufReader::new(file)).map_err(|e| self.archive_error(e))
     }
 
-    /// Reads how much of an export the file already contains.
+    /// Determines how much of an export the file already contains.
     ///
     /// # Errors
-    /// The file contains another export, or cannot be read.
+    /// The file contains an export of another snapshot, or cannot be read.
     pub(super) fn read_existing(self, header: &Header) -> Result<Existing, ArchiveError> {
         let file = match File::open(self.0) {
             Ok(file) if file.metadata().map_err(|e| self.io_error(e))?.len() > 0 => file,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A writer of the whole export, or of what is missing after the resume point.
+    /// Opens the file for writing the whole export, or what follows the resume point if there is one.
     pub(super) fn writer(
         self,
         header: &Header,
@@ -70,7 +70,7 @@
         Ok(Writer::resume(BufWriter::new(file), resume_point))
     }
 
-    /// An error of the archive's contents, with the file's path.
+    /// Returns an error in the archive's contents with the file's path.
     pub(super) fn archive_error(self, source: mallowseam_archive::Error) -> ArchiveError {
         ArchiveError::Archive {
             file: self.0.to_owned(),
--- a/crates/gateway/src/snapshot_archive/error.rs
+++ b/crates/gateway/src/snapshot_archive/error.rs
@@ -1,4 +1,4 @@
-//! Why an export or import failed.
+//! Errors of exports and imports.
 use crate::blocking_client::ClientError;
 use crate::control_socket::RequestError;
 use mallowseam_iscsi::scsi::Sense;
@@ -6,34 +6,36 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why an export or import could not be done.
+/// Error of an export or import.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ArchiveError {
-    #[error("no `control` in section catalog")]
+    #[error("configuration has no section `catalog` with a directive `control`")]
     NoControlSocket,
     #[error("{}: {source}", socket.display())]
     Catalog {
         socket: PathBuf,
         source: RequestError,
     },
-    #[error("the catalog's answer: {0}")]
+    #[error("snapshot catalog sent an invalid tree: {0}")]
     Tree(#[source] serde_json::Error),
     #[error("`{0}`: no such volume, clone or snapshot")]
     NoSuchUnit(String),
-    #[error("no mapped volume")]
+    #[error("configuration has no mapped volume")]
     NoMappedVolume,
     #[error(transparent)]
     NoSuchSnapshot(mallowseam_cow::tree::ChangeError),
-    #[error("{address}: {source}")]
+    #[error("login to the host at {address} failed: {source}")]
     Login {
         address: SocketAddr,
         source: ClientError,
     },
     #[error(transparent)]
     Client(#[from] ClientError),
-    #[error("block {lba}: {sense:?}")]
+    #[error("command at block {lba} failed: {sense:?}")]
     Failed { lba: u64, sense: Option<Sense> },
-    #[error("block {lba}: status {status:#04x} after {attempts} tries")]
+    #[error(
+        "command at block {lba} failed with SCSI status {status:#04x} after {attempts} attempts"
+    )]
     RetriesExhausted { lba: u64, status: u8, attempts: u32 },
     #[error("{}: {source}", file.display())]
     File { file: PathBuf, source: io::Error },
@@ -42,14 +44,14 @@
         file: PathBuf,
         source: mallowseam_archive::Error,
     },
-    #[error("{}: holds `{held}`, not `{wanted}`", file.display())]
+    #[error("{}: archive holds `{held}`, expected `{wanted}`", file.display())]
     AnotherSnapshot {
         file: PathBuf,
         held: String,
         wanted: String,
     },
     #[error(
-        "{}: {extents} extents of {extent_bytes} bytes, `{name}` has {unit_extents} of {unit_extent_bytes}",
+        "{}: archive has {extents} extents of {extent_bytes} bytes, but `{name}` has {unit_extents} of {unit_extent_bytes}",
         file.display()
     )]
     AnotherSize {
--- a/crates/gateway/src/snapshot_archive/export.rs
+++ b/crates/gateway/src/snapshot_archive/export.rs
@@ -9,7 +9,7 @@
 use std::io::Write;
 use std::path::Path;
 
-/// Writes a snapshot to a file. An incomplete export of the same snapshot is resumed. Returns what was done.
+/// Writes a snapshot to a file, and resumes an incomplete export of the same snapshot. Returns a summary.
 pub(crate) fn export(
     config: &GatewayConfig,
     name: &str,
@@ -25,7 +25,7 @@
     };
     let path = ArchivePath(file);
     let resume_point = match path.read_existing(&header)? {
-        Existing::Complete => return Ok(format!("{}: whole already", file.display())),
+        Existing::Complete => return Ok(format!("{}: export is already complete", file.display())),
         Existing::Partial(resume_point) => Some(*resume_point),
         Existing::Nothing => None,
     };
@@ -34,23 +34,23 @@
     let written = write_extents(path, &tree, snapshot.layer, &mut unit, first, &mut writer)?;
     let bytes = writer.finish().map_err(|e| path.archive_error(e))?;
     let resumed = if first > 0 {
-        format!(", gone on from extent {first}")
+        format!(", resumed at extent {first}")
     } else {
         String::new()
     };
     Ok(format!(
-        "{name}: {written} extents written{resumed}; {bytes} bytes in all"
+        "{name}: {written} extents written{resumed}; {bytes} bytes in total"
     ))
 }
 
-/// The first extent that the archive lacks.
+/// Returns the first extent that the archive may still lack.
 fn first_extent(resume_point: Option<&ResumePoint>) -> u32 {
     resume_point
         .and_then(|resume_point| resume_point.last_extent)
         .map_or(0, |last| last + 1)
 }
 
-/// Writes all extents from `first` on that hold data; how many there were.
+/// Writes all extents from `first` on that hold data, and returns their number.
 fn write_extents(
     path: ArchivePath,
     tree: &Tree,
@@ -61,7 +61,7 @@
 ) -> Result<u32, ArchiveError> {
     let mut written = 0;
     for extent in first..unit.extent_count() {
-        // What was never written reads as zeros, here and after an import.
+        // An extent that was never written reads as zeros, and an import leaves zeros there.
         if tree.locate(layer, extent).is_none() {
             continue;
         }
--- a/crates/gateway/src/snapshot_archive/import.rs
+++ b/crates/gateway/src/snapshot_archive/import.rs
@@ -7,8 +7,9 @@
 use mallowseam_settings::GatewayConfig;
 use std::path::Path;
 
-/// Writes a file into a volume or clone, which then reads as the exported snapshot. Extents that read so already are
-/// left alone, so that an import that was interrupted is resumed. Returns what was done.
+/// Writes the contents of an archive file into a volume or clone, which then reads as the exported snapshot. Extents
+/// that already have the contents are not written again, so that a repeated import resumes an interrupted one. Returns
+/// a summary.
 pub(crate) fn import(
     config: &GatewayConfig,
     file: &Path,
@@ -21,12 +22,12 @@
     check_size(&header, &unit, file, name)?;
     let written = Import { unit, written: 0 }.run(path)?;
     Ok(format!(
-        "{name}: shows {}; {written} extents written",
+        "{name}: contents of {} restored; {written} extents written",
         header.name
     ))
 }
 
-/// Reads the archive to its end, so that a damaged one is found before anything is written.
+/// Reads the archive to its end, so that a damaged archive is rejected before anything is written.
 fn read_whole(path: ArchivePath) -> Result<Header, ArchiveError> {
     let mut reader = path.reader()?;
     while reader.next_record().map_err(|e| path.archive_error(e))? != Record::End {}
@@ -53,15 +54,15 @@
     })
 }
 
-/// An import under way.
+/// State of a running import.
 struct Import {
     unit: RemoteUnit,
-    /// Extents that were written, because they read differently.
+    /// Number of extents written because their contents differed.
     written: u32,
 }
 
 impl Import {
-    /// Writes all extents; how many of them read differently before. Extents that the archive lacks are zeros.
+    /// Imports all extents, with zeros for those that the archive lacks, and returns how many had to be written.
     fn run(mut self, path: ArchivePath) -> Result<u32, ArchiveError> {
         let zeros = vec![0; self.unit.extent_bytes() as usize];
         let mut reader = path.reader()?;
@@ -69,21 +70,25 @@
         while let Record::Extent { index, data } =
             reader.next_record().map_err(|e| path.archive_error(e))?
         {
-            self.put_all(next..index, &zeros)?;
-            self.put(index, &data)?;
+            self.write_all_if_different(next..index, &zeros)?;
+            self.write_if_different(index, &data)?;
             next = index + 1;
         }
-        self.put_all(next..self.unit.extent_count(), &zeros)?;
+        self.write_all_if_different(next..self.unit.extent_count(), &zeros)?;
         Ok(self.written)
     }
 
-    fn put_all(&mut self, extents: std::ops::Range<u32>, data: &[u8]) -> Result<(), ArchiveError> {
+    fn write_all_if_different(
+        &mut self,
+        extents: std::ops::Range<u32>,
+        data: &[u8],
+    ) -> Result<(), ArchiveError> {
         extents
             .into_iter()
-            .try_for_each(|extent| self.put(extent, data))
+            .try_for_each(|extent| self.write_if_different(extent, data))
     }
 
-    fn put(&mut self, extent: u32, data: &[u8]) -> Result<(), ArchiveError> {
+    fn write_if_different(&mut self, extent: u32, data: &[u8]) -> Result<(), ArchiveError> {
         if self.unit.read(extent)? != data {
             self.unit.write(extent, data)?;
             self.written += 1;
--- a/crates/gateway/src/snapshot_archive/remote_unit.rs
+++ b/crates/gateway/src/snapshot_archive/remote_unit.rs
@@ -1,4 +1,4 @@
-//! A mapped volume, clone or snapshot, read and written through a host.
+//! Access to a mapped volume, clone or snapshot through a host.
 use super::error::ArchiveError;
 use crate::blocking_client::BlockingClient;
 use crate::startup;
@@ -7,11 +7,11 @@
 use mallowseam_settings::GatewayConfig;
 use std::time::Duration;
 
-/// How often a read or write that the host rejects is attempted before the export or import is given up.
+/// Maximum number of attempts for a read or write, after which the export or import fails.
 const MAX_ATTEMPTS: u32 = 100;
-/// Pause between two attempts.
+/// Pause between two attempts for a read or write.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Bytes of one read or write.
+/// Maximum size of a read or write, in bytes.
 const TRANSFER_LEN: u64 = 64 * 1024;
 
 /// A logical unit of a host, with a session to it.
@@ -23,7 +23,7 @@
     extent_count: u32,
 }
 
-/// Where a unit is found, and its size.
+/// Logical unit number and size of a unit.
 struct UnitLocation {
     lun: u32,
     extent_count: u32,
@@ -48,7 +48,7 @@
         matches!(self, Transfer::Write { .. })
     }
 
-    /// Bytes that the host sends.
+    /// Number of bytes that the host sends.
     fn read_len(self) -> usize {
         match self {
             Transfer::Read { len } => len as usize,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Bytes that the host receives.
+    /// Data that the host receives.
     fn data(&self) -> &[u8] {
         match self {
             Transfer::Read { .. } => &[],
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Whether it may be attempted again: reads after any failure, writes only where the host says that they have
-    /// not run.
+    /// Whether a transfer that ended with this status may be retried: a read after any failure, a write only if the
+    /// status says that it has not run.
     fn may_retry(self, status: u8) -> bool {
         match self {
             Transfer::Read { .. } => true,
@@ -86,7 +86,7 @@
             .as_ref()
             .ok_or(ArchiveError::NoControlSocket)?;
         let location = locate(config, catalog.extent_blocks, tree, name)?;
-        // The first mapped volume's block size stands for that of all of them, clones and snapshots included.
+        // The block size of the first mapped volume is taken as that of all mapped volumes, clones and snapshots.
         let volume = config
             .volumes
             .iter()
@@ -104,12 +104,12 @@
         })
     }
 
-    /// Bytes of an extent.
+    /// Size of an extent, in bytes.
     pub(super) fn extent_bytes(&self) -> u64 {
         self.blocks_per_extent * self.block_size
     }
 
-    /// Extents of the unit.
+    /// Number of extents of the unit.
     pub(super) fn extent_count(&self) -> u32 {
         self.extent_count
     }
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// Carries out a read or write, with retries; the data that was read.
+    /// Executes a read or write with retries, and returns the data that was read.
     fn transfer(&mut self, lba: u64, transfer: Transfer) -> Result<Vec<u8>, ArchiveError> {
         let blocks = (transfer.len() / self.block_size) as u32;
         let cdb = scsi::read_or_write_16(transfer.is_write(), lba, blocks, 0);
@@ -170,7 +170,7 @@
     }
 }
 
-/// Finds a mapped volume of the configuration, else a clone or snapshot of the tree.
+/// Finds a unit by name: a mapped volume of the configuration, or else a clone or snapshot of the tree.
 fn locate(
     config: &GatewayConfig,
     blocks_per_extent: u64,
--- a/crates/gateway/src/snapshot_archive/tree.rs
+++ b/crates/gateway/src/snapshot_archive/tree.rs
@@ -1,10 +1,10 @@
-//! The tree of snapshots, queried from the snapshot catalog.
+//! Query of the snapshot tree at the snapshot catalog.
 use super::error::ArchiveError;
 use crate::control_socket;
 use mallowseam_cow::tree::Tree;
 use mallowseam_settings::GatewayConfig;
 
-/// The tree as the snapshot catalog has it now.
+/// Fetches the current snapshot tree from the snapshot catalog.
 pub(super) fn fetch_tree(config: &GatewayConfig) -> Result<Tree, ArchiveError> {
     let socket = config
         .catalog
--- a/crates/gateway/src/snapshot_catalog.rs
+++ b/crates/gateway/src/snapshot_catalog.rs
@@ -7,21 +7,21 @@
 use mallowseam_settings::GatewayConfig;
 use mio::Registry;
 
-/// Bytes read from a node's socket at once.
+/// Size of the buffer for reads from a node's socket, in bytes.
 const READ_BUFFER: usize = 64 * 1024;
 
-/// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop. `crash_at`: aborts at that crash
-/// point.
+/// Runs the snapshot catalog of a site until SIGTERM, SIGINT or a request to stop. With `crash_at`, the process aborts
+/// at the crash point of that number.
 ///
 /// # Errors
-/// The configuration has no section of the catalog, or the service cannot start or go on.
+/// The configuration has no section `catalog`, or the service cannot start or fails while it runs.
 pub(crate) fn run(config: &GatewayConfig, crash_at: Option<u64>) -> Result<(), Error> {
     let connect_nodes = |registry, first_token| CatalogNodes::new(config, registry, first_token);
     mallowseam_catalog_service::run(config, crash_at, connect_nodes)?;
     Ok(())
 }
 
-/// The connections of the catalog to the nodes.
+/// Connections from the catalog to the nodes.
 struct CatalogNodes {
     nodes: Nodes,
     read_buffer: Vec<u8>,
--- a/crates/gateway/src/verify.rs
+++ b/crates/gateway/src/verify.rs
@@ -1,5 +1,5 @@
-//! Verification of the snapshot catalog against the nodes: every location of the tree, and every block that
-//! nodes hold.
+//! Verification of the snapshot catalog against the nodes: compares all locations of the tree with all blocks in which
+//! nodes hold data.
 use crate::blocking_client::{BlockingClient, ClientError};
 use crate::startup;
 use mallowseam_cow::tree::{FIRST_LAYER_ID, LayerId, Location, Tree};
@@ -10,45 +10,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// Bytes of one answer to GET LBA STATUS: some thousand runs.
+/// Maximum size of an answer to GET LBA STATUS, in bytes: room for some thousand runs.
 const LBA_STATUS_LEN: u32 = 64 * 1024;
 
-/// Why the catalog could not be verified.
+/// Error that keeps the catalog from being verified.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum VerifyError {
-    #[error("no section catalog")]
+    #[error("configuration has no section `catalog`")]
     NoCatalog,
-    #[error("{}: {source}", path.display())]
+    #[error("snapshot catalog store {}: {source}", path.display())]
     Store {
         path: PathBuf,
         source: mallowseam_snapshot_catalog::Error,
     },
-    #[error("{node}: {source}")]
+    #[error("node {node}: {source}")]
     Node { node: String, source: ClientError },
-    #[error("{node}: no sound answer to GET LBA STATUS")]
+    #[error("node {node}: invalid answer to GET LBA STATUS")]
     LbaStatus { node: String },
 }
 
-/// What the walk has found.
+/// Findings of a verification.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
-    /// Locations that the tree refers to.
+    /// Number of locations that the tree refers to.
     pub(crate) locations: usize,
-    /// Those whose node holds data there; the others read as zeros.
+    /// Number of these locations in which the node holds data; the others read as zeros.
     pub(crate) locations_with_data: usize,
     /// Locations that a node holds and nothing refers to.
     pub(crate) leaked: Vec<(LayerId, Location)>,
-    /// Contradictions, a line each.
+    /// Contradictions, one line each.
     pub(crate) faults: Vec<String>,
 }
 
-/// The locations that the tree refers to, by node.
+/// Locations that the tree refers to, by node.
 type References = BTreeMap<u32, NodeReferences>;
 /// Layer and slot of the locations at one node that the tree refers to.
 type NodeReferences = BTreeSet<(LayerId, u32)>;
 
-/// Walks the store of a stopped catalog and all nodes. With `reclaim`, locations that nothing refers to are
-/// unmapped.
+/// Compares the store of a stopped catalog with all nodes. With `reclaim`, nodes unmap locations that nothing refers
+/// to.
 pub(crate) fn run(config: &GatewayConfig, reclaim: bool) -> Result<Findings, VerifyError> {
     let settings = config.catalog.as_ref().ok_or(VerifyError::NoCatalog)?;
     let catalog = Catalog::open(&settings.store_path).map_err(|source| VerifyError::Store {
@@ -65,19 +65,19 @@
         ..Findings::default()
     };
     let mut references = collect_references(tree, config.nodes.len(), &mut findings);
-    // Removed layers may have leaked locations as well: every layer that was ever created is checked.
+    // Removed layers may have leaked locations, too: every layer that was ever created is checked.
     let layers = FIRST_LAYER_ID..tree.next_layer_id();
     for (index, node) in config.nodes.iter().enumerate() {
         let referred = references.remove(&(index as u32)).unwrap_or_default();
-        let mut walk = NodeWalk::open(node, index as u32, settings.extent_blocks)?;
+        let mut verifier = NodeVerifier::open(node, index as u32, settings.extent_blocks)?;
         for layer in layers.clone() {
-            walk.check_layer(layer, &referred, reclaim, &mut findings)?;
+            verifier.check_layer(layer, &referred, reclaim, &mut findings)?;
         }
     }
     Ok(findings)
 }
 
-/// Counts the tree's locations and checks that no two are the same.
+/// Collects and counts the tree's locations, and reports duplicate ones and those on unknown nodes.
 fn collect_references(tree: &Tree, nodes: usize, findings: &mut Findings) -> References {
     let mut references = References::new();
     for (id, layer) in &tree.layers {
@@ -89,13 +89,13 @@
                 .insert((*id, location.slot))
             {
                 findings.faults.push(format!(
-                    "layer {id}: place {} is referred to twice",
+                    "layer {id}: duplicate reference to place {}",
                     location.slot
                 ));
             }
             if location.node as usize >= nodes {
                 findings.faults.push(format!(
-                    "layer {id}: lies on node {}, which is not there",
+                    "layer {id}: reference to node {}, which the configuration lacks",
                     location.node
                 ));
             }
@@ -104,15 +104,15 @@
     references
 }
 
-/// A node as it is walked.
-struct NodeWalk<'a> {
+/// Verification of one node, with a session to it.
+struct NodeVerifier<'a> {
     name: &'a str,
     index: u32,
     client: BlockingClient,
     extent_blocks: u64,
 }
 
-impl<'a> NodeWalk<'a> {
+impl<'a> NodeVerifier<'a> {
     fn open(node: &'a Node, index: u32, extent_blocks: u64) -> Result<Self, VerifyError> {
         let address = startup::validated_address(node.address);
         let client = BlockingClient::open(address, Some(&node.target), std::process::id())
@@ -120,7 +120,7 @@
                 node: node.name.clone(),
                 source,
             })?;
-        Ok(NodeWalk {
+        Ok(NodeVerifier {
             name: &node.name,
             index,
             client,
@@ -152,15 +152,15 @@
             let node = self.index;
             findings.leaked.push((layer, Location { node, slot }));
             if reclaim && !self.unmap(layer, slot)? {
-                // Printed output, whose form is fixed: it calls a slot "place".
-                let fault = format!("{}: does not give place {slot} back", self.name);
+                // The output calls a slot "place"; its format is fixed.
+                let fault = format!("node {}: did not unmap place {slot}", self.name);
                 findings.faults.push(fault);
             }
         }
         Ok(())
     }
 
-    /// Slots of a layer in which the node holds data.
+    /// Returns the slots of a layer in which the node holds data.
     fn held_slots(&mut self, layer: LayerId) -> Result<BTreeSet<u32>, VerifyError> {
         let mut slots = BTreeSet::new();
         let mut from = 0;
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Has the node unmap a slot; whether it did.
+    /// Asks the node to unmap a slot, and returns whether it did.
     fn unmap(&mut self, layer: LayerId, slot: u32) -> Result<bool, VerifyError> {
         let (cdb, data) = scsi::unmap(&[(
             u64::from(slot) * self.extent_blocks,
--- a/crates/testbed/tests/snapshots/archives.rs
+++ b/crates/testbed/tests/snapshots/archives.rs
@@ -16,7 +16,7 @@
     let (code, text) = export("a@march");
     assert!(code == 0 && text.contains("10 extents written"), "{text}");
     let archive = std::fs::read(&to).expect("a file");
-    assert!(export("a@march").1.contains("whole already"));
+    assert!(export("a@march").1.contains("export is already complete"));
     for cut in [archive.len() - 1, archive.len() / 2, 70] {
         std::fs::write(&to, &archive[..cut]).expect("a file");
         let (code, text) = export("a@march");
