--- a/crates/platform-host/src/discovery.rs
+++ b/crates/platform-host/src/discovery.rs
@@ -1,6 +1,6 @@
-//! A watch on the discovery service: one connection on which it streams changes of the endpoint list.
+//! A watch on the discovery service: a connection on which the service streams changes of the endpoint list.
 //!
-//! - `list_response`: the response, as far as it was read.
+//! - `list_response`: reads the response of the service.
 mod list_response;
 
 use list_response::ListResponse;
@@ -14,60 +14,63 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a watch is over.
+/// Error that ends a watch.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    #[error("{0}")]
+    #[error("cannot open a connection to the discovery service: {0}")]
     Open(#[source] io::Error),
-    #[error("{0}")]
+    #[error("cannot connect to the discovery service: {0}")]
     Connect(#[source] io::Error),
-    #[error("{0}")]
+    #[error("connection to the discovery service failed: {0}")]
     Socket(#[source] ConnectionError),
-    #[error("no connection")]
+    #[error("no connection to the discovery service within the timeout")]
     ConnectTimeout,
-    #[error("answered {0}")]
+    #[error("discovery service responded with HTTP status {0}; expected 200")]
     Status(u16),
-    #[error("{0}")]
+    #[error("invalid HTTP response from the discovery service: {0}")]
     Malformed(#[source] ParseError),
-    #[error("a response without a list")]
+    #[error("response from the discovery service carries no endpoint list")]
     NoList,
-    #[error("{0}")]
+    #[error("invalid update of the endpoint list: {0}")]
     InvalidUpdate(#[source] EndpointListError),
-    #[error("a truncated list")]
+    #[error("update of the endpoint list is truncated")]
     Truncated,
-    #[error("the list has ended")]
+    #[error("discovery service sent a single endpoint list; expected a stream of changes")]
     ListEnded,
-    #[error("the watch has ended")]
+    #[error("discovery service ended the watch")]
     StreamEnded,
-    #[error("versions start again from below")]
+    #[error(
+        "endpoint list versions start again from below the requested version; the next watch requests a full snapshot"
+    )]
     VersionsRestarted,
 }
 
-/// A message on a watch.
+/// A message received on a watch.
 pub enum WatchMessage {
-    /// A full snapshot, or changes.
+    /// A full snapshot of the endpoint list, or changes to it.
     Update(WatchEvent),
-    /// An empty line, sent to show that the watch is alive.
+    /// An empty line, which shows that the watch is alive.
     Heartbeat,
-    /// Endpoints that are draining or removed, from an update that is invalid otherwise.
-    Closings(Vec<Endpoint>),
-    /// The watch has ended.
+    /// Endpoints that are draining or removed, taken from an update that is otherwise invalid.
+    ClosingEndpoints(Vec<Endpoint>),
+    /// The watch has failed, or the service has ended it.
     Failed(WatchError),
 }
 
-/// A connection to the discovery service.
+/// A connection to the discovery service that carries one watch.
 pub struct WatchConnection {
     /// Timeouts of the watch.
     liveness: WatchLiveness,
     socket: TcpStream,
     address: SocketAddr,
     since: Option<u64>,
+    /// Bytes of the request that are not yet written.
     request: Vec<u8>,
     response: ListResponse,
 }
 
 impl WatchConnection {
-    /// Asks for changes since a version, or for a full snapshot and then for changes.
+    /// Opens a watch that asks for changes after the version `since`, or for a full snapshot followed by changes.
     pub fn open(
         registry: &Registry,
         token: Token,
@@ -92,38 +95,39 @@
         })
     }
 
-    /// The service that it is connected to.
+    /// Returns the address of the discovery service of this watch.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The version after which it was asked for changes.
+    /// Returns the version after which the watch asked for changes, or `None` if it asked for a full snapshot.
     pub fn since(&self) -> Option<u64> {
         self.since
     }
 
-    /// Whether the request was written: the service may count the watch as open, though it has sent nothing.
+    /// Returns whether the request was written. The service may then count the watch as open, even if it has sent
+    /// nothing.
     pub fn is_up(&self) -> bool {
         self.request.is_empty() && self.socket.peer_addr().is_ok()
     }
 
-    /// A complete line was received; returns whether it is the first.
+    /// Records that a complete line was received, and returns whether it is the first.
     pub fn on_line_received(&mut self, now: Millis) -> bool {
         self.liveness.event_received(now)
     }
 
-    /// Whether the watch has just failed by its timeouts.
+    /// Returns whether the watch has just reached one of its timeouts.
     pub fn check_failure(&mut self, now: Millis) -> bool {
         self.liveness.check_failure(now)
     }
 
-    /// Whether a line was received.
+    /// Returns whether a line was received.
     pub fn is_established(&self) -> bool {
         self.liveness.is_established()
     }
 
-    /// Writes the request and reads the response as far as the socket allows; the messages that were received. `Failed`
-    /// is the last one.
+    /// Writes the request and reads the response as far as the socket allows. Returns the messages received; `Failed`
+    /// can only be the last one.
     pub fn on_event(&mut self, scratch: &mut [u8]) -> Vec<WatchMessage> {
         let mut messages = Vec::new();
         if let Err(error) = self.exchange(scratch, &mut messages) {
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Closes the connection.
+    /// Removes the connection from the poll and closes it.
     pub fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.socket);
     }
--- a/crates/platform-host/src/discovery/list_response.rs
+++ b/crates/platform-host/src/discovery/list_response.rs
@@ -1,4 +1,4 @@
-//! The response of the discovery service to a watch, as far as it was read: a stream of lines, or a single list.
+//! Response of the discovery service to a watch: a stream of lines, or a single list.
 use super::{WatchError, WatchMessage};
 use crate::buffers::{REQUEST_LIMITS, recycle};
 use mallowseam_http1::{ChunkedDecoder, Framing, Limits, ResponseHead};
@@ -7,27 +7,27 @@
 #[cfg(test)]
 mod tests;
 
-/// An endpoint list is far longer than a message of clients or nodes.
+/// Size limits of the response, in bytes. An endpoint list is far longer than a message of a client or node.
 const LIST_LIMITS: Limits = Limits {
     head: REQUEST_LIMITS.head,
     body: endpoints::MAX_LIST_BYTES,
 };
-/// Status of a response that has a list.
+/// HTTP status of a response that carries an endpoint list.
 const OK: u16 = 200;
 
-/// What is read next of the response.
+/// Part of the response that is read next.
 #[derive(Default)]
 enum Stage {
-    /// The head.
+    /// Head of the response.
     #[default]
     Head,
-    /// A stream of lines.
+    /// Body that is a stream of lines, in chunks.
     Stream(ChunkedDecoder),
-    /// A single list of this many bytes.
+    /// Body that is a single list, with its length in bytes.
     Snapshot(usize),
 }
 
-/// A response that arrives cut anywhere.
+/// A response that arrives in pieces, which may be cut at any byte.
 #[derive(Default)]
 pub struct ListResponse {
     bytes: Vec<u8>,
@@ -35,15 +35,16 @@
 }
 
 impl ListResponse {
-    /// Whether the head of the final response was received.
+    /// Returns whether the head of the final response was received.
     pub fn has_started(&self) -> bool {
         !matches!(self.stage, Stage::Head)
     }
 
-    /// Takes in bytes that have arrived, and adds the messages that they complete.
+    /// Appends received bytes to the response, and adds the messages that they complete to `messages`.
     ///
     /// # Errors
-    /// The watch is over: the response is invalid, or has ended. Messages before that are added all the same.
+    /// Returns an error if the response is invalid or has ended, which ends the watch. Earlier messages are added all
+    /// the same.
     pub fn receive(
         &mut self,
         bytes: &[u8],
@@ -54,7 +55,7 @@
         self.read_body(messages)
     }
 
-    /// Reads the head of the response, past any interim (1xx) ones.
+    /// Reads the head of the final response, and skips interim (1xx) responses before it.
     fn read_head(&mut self) -> Result<(), WatchError> {
         while !self.has_started() {
             let head = ResponseHead::parse(&self.bytes, LIST_LIMITS);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Reads a single list once it is complete. A service that sends one sends nothing after it: a new watch has to
-    /// request changes.
+    /// Reads a single list once it is complete. The service sends nothing after it, so a new watch has to request the
+    /// changes.
     fn read_snapshot(
         &mut self,
         len: usize,
@@ -92,21 +93,21 @@
         Err(WatchError::ListEnded)
     }
 
-    /// Reads the complete lines of a stream.
+    /// Reads the complete lines of a stream, and ends the watch with the last chunk.
     fn read_stream(&mut self, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         let Stage::Stream(chunks) = &mut self.stage else {
             return Ok(());
         };
         let decoded = chunks.decode(&mut self.bytes, LIST_LIMITS.body);
         decoded.map_err(WatchError::Malformed)?;
-        let is_over = chunks.is_complete();
-        let consumed = read_updates(&self.bytes[..chunks.decoded_end()], is_over, messages)?;
+        let is_complete = chunks.is_complete();
+        let consumed = read_updates(&self.bytes[..chunks.decoded_end()], is_complete, messages)?;
         chunks.discard_front(consumed);
         drop(self.bytes.drain(..consumed));
         if self.bytes.is_empty() {
             recycle(&mut self.bytes);
         }
-        if is_over {
+        if is_complete {
             Err(WatchError::StreamEnded)
         } else {
             Ok(())
@@ -114,7 +115,7 @@
     }
 }
 
-/// How the body behind the head of a final response is read.
+/// Returns how the body of a final response is read, according to its head.
 fn body_stage(head: &ResponseHead) -> Result<Stage, WatchError> {
     if head.status != OK {
         return Err(WatchError::Status(head.status));
@@ -126,16 +127,18 @@
     }
 }
 
-/// Adds the complete updates of a text to the messages, and returns their length. `is_over`: nothing follows the text.
+/// Adds the complete updates in `text` to `messages`, and returns their length in bytes. `is_complete`: no more bytes
+/// follow `text`.
 ///
 /// # Errors
-/// An update is invalid. Endpoints in it that are draining or removed are passed on all the same.
+/// Returns an error if an update is invalid or truncated. Draining or removed endpoints of an invalid update are added
+/// all the same.
 fn read_updates(
     text: &[u8],
-    is_over: bool,
+    is_complete: bool,
     messages: &mut Vec<WatchMessage>,
 ) -> Result<usize, WatchError> {
-    let end = if is_over {
+    let end = if is_complete {
         text.len()
     } else {
         last_line_end(text)
@@ -143,7 +146,7 @@
     let mut consumed = 0;
     loop {
         match endpoints::parse_frame(&text[consumed..end]) {
-            WatchFrame::Incomplete if is_over && !text[consumed..].trim_ascii().is_empty() => {
+            WatchFrame::Incomplete if is_complete && !text[consumed..].trim_ascii().is_empty() => {
                 return Err(WatchError::Truncated);
             }
             WatchFrame::Incomplete => return Ok(consumed),
@@ -156,14 +159,14 @@
                 consumed += len;
             }
             WatchFrame::Corrupt { error, closing } => {
-                messages.push(WatchMessage::Closings(closing));
+                messages.push(WatchMessage::ClosingEndpoints(closing));
                 return Err(WatchError::InvalidUpdate(error));
             }
         }
     }
 }
 
-/// The offset behind the last line end of a text.
+/// Returns the offset after the last line end in `text`, or 0 if there is none.
 fn last_line_end(text: &[u8]) -> usize {
     let last = text.iter().rposition(|byte| *byte == b'\n');
     last.map_or(0, |index| index + 1)
--- a/crates/platform-host/src/discovery/list_response/tests.rs
+++ b/crates/platform-host/src/discovery/list_response/tests.rs
@@ -1,4 +1,4 @@
-//! Responses of the discovery service that arrive piece by piece.
+//! Responses of the discovery service that arrive in pieces, cut at any byte.
 use super::*;
 
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -9,7 +9,8 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// What a response comes to that arrives in pieces of so many bytes: its messages in short, and how it ended.
+/// Receives a response in pieces of `piece_len` bytes. Returns summaries of its messages, and the result of the last
+/// piece.
 fn receive(bytes: &[u8], piece_len: usize) -> (Vec<String>, Result<(), WatchError>) {
     let mut response = ListResponse::default();
     let mut messages = Vec::new();
@@ -27,13 +28,15 @@
     match message {
         WatchMessage::Update(update) => format!("update {}", update.version),
         WatchMessage::Heartbeat => "heartbeat".to_owned(),
-        WatchMessage::Closings(endpoints) => format!("closings {}", endpoints.len()),
+        WatchMessage::ClosingEndpoints(endpoints) => {
+            format!("closing endpoints {}", endpoints.len())
+        }
         WatchMessage::Failed(error) => format!("failed: {error}"),
     }
 }
 
 #[test]
-fn lines_of_a_stream_are_messages_however_they_are_cut() {
+fn each_line_of_a_stream_is_one_message_wherever_the_bytes_are_cut() {
     let interim: &[u8] = b"HTTP/1.1 103 Early Hints\r\n\r\n";
     let bytes = [
         interim,
@@ -45,15 +48,19 @@
     .concat();
     for piece_len in [1, 7, bytes.len()] {
         let (mut messages, outcome) = receive(&bytes, piece_len);
-        // The line end behind an update counts as a heartbeat too where it arrives on its own.
+        // A line end that arrives separately from its update counts as a heartbeat too.
         messages.dedup();
-        assert_eq!(messages, ["update 1", "heartbeat"], "by {piece_len}");
+        assert_eq!(
+            messages,
+            ["update 1", "heartbeat"],
+            "in pieces of {piece_len} bytes"
+        );
         assert!(outcome.is_ok());
     }
 }
 
 #[test]
-fn a_response_has_started_with_its_final_head() {
+fn a_response_has_started_once_its_final_head_is_received() {
     let mut response = ListResponse::default();
     let mut messages = Vec::new();
     let interim = b"HTTP/1.1 103 Early Hints\r\n\r\n";
@@ -64,7 +71,7 @@
 }
 
 #[test]
-fn a_single_list_is_one_update_and_the_end_of_the_watch() {
+fn a_single_list_is_one_update_and_ends_the_watch() {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LINE.len());
     let (messages, outcome) = receive(&[head.as_bytes(), LINE.as_bytes()].concat(), 50);
     assert_eq!(messages, ["update 1"]);
@@ -79,10 +86,10 @@
 }
 
 #[test]
-fn draining_endpoints_of_an_invalid_line_are_passed_on() {
+fn draining_endpoints_of_an_invalid_line_are_reported() {
     let line = chunk(&format!("{LINE_WITHOUT_ADDRESS}\n"));
     let (messages, outcome) = receive(&[STREAM_HEAD, &line].concat(), 40);
-    assert_eq!(messages, ["closings 1"]);
+    assert_eq!(messages, ["closing endpoints 1"]);
     assert!(matches!(outcome, Err(WatchError::InvalidUpdate(_))));
 }
 
--- a/crates/platform-host/src/error.rs
+++ b/crates/platform-host/src/error.rs
@@ -4,52 +4,55 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a host could not start, or had to stop.
+/// Error that prevents a host from starting, or stops it.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum HostError {
     /// The configuration file could not be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read configuration file {}: {source}", path.display())]
     ReadConfig {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The configuration is invalid; one problem a line.
-    #[error("{}:\n{problems}", path.display())]
+    /// The configuration is invalid; the text has one line for each problem.
+    #[error("invalid configuration file {}:\n{problems}", path.display())]
     InvalidConfig {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// All problems that were found.
+        /// All problems found in the configuration.
         problems: ConfigError,
     },
-    /// The limit of descriptors could not be read.
-    #[error("descriptors: {0}")]
+    /// The process's limit on file descriptors could not be read.
+    #[error("cannot read the limit on file descriptors: {0}")]
     DescriptorLimit(#[source] io::Error),
-    /// The system allows fewer descriptors than the configuration asks for.
-    #[error("limits.sockets: {wanted}, where the system gives {given} descriptors")]
+    /// The system allows fewer file descriptors than the configuration requires.
+    #[error(
+        "limits.sockets: {wanted}, where the system gives {given} descriptors; \
+         lower limits.sockets or raise the hard limit on open files"
+    )]
     TooFewDescriptors {
-        /// `limits.sockets` of the configuration.
+        /// Number of descriptors that `limits.sockets` of the configuration requires.
         wanted: u64,
-        /// The process's limit.
+        /// Number of descriptors that the system allows the process.
         given: u64,
     },
-    /// The poll could not be set up, or failed.
-    #[error("poll: {0}")]
+    /// The event poll could not be set up, or failed.
+    #[error("event poll failed: {0}")]
     Poll(#[source] io::Error),
     /// Signal handlers could not be registered.
-    #[error("signals: {0}")]
+    #[error("cannot register signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The configured address could not be listened on.
-    #[error("listen {address}: {source}")]
+    /// The host could not listen on the configured address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The configured address.
+        /// Configured listening address.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The socket of fleet membership could not be opened.
-    #[error("fleet membership: {0}")]
+    /// The datagram socket for fleet membership could not be opened.
+    #[error("cannot open the socket for fleet membership: {0}")]
     Fleet(#[source] io::Error),
 }
--- a/crates/platform-host/src/event_loop.rs
+++ b/crates/platform-host/src/event_loop.rs
@@ -1,10 +1,10 @@
-//! The event loop: one thread between clients, nodes, the discovery service and the scheduler.
+//! The event loop: one thread that serves clients, nodes, the discovery service and the scheduler.
 //!
 //! - `startup`: opens everything that a host needs to run.
-//! - `admission`: the listener, and the connections that it accepts.
-//! - `endpoint_watch`, `list_version`: watches the discovery service; which of its updates are applied.
-//! - `fleet`: the host's part in the fleet's membership.
-//! - `config_file`: the configuration file.
+//! - `admission`: accepts connections of clients.
+//! - `endpoint_watch`, `list_version`: watches the discovery service, and decides which of its updates are applied.
+//! - `fleet`: takes part in fleet membership.
+//! - `config_file`: reads the configuration file.
 //! - `reload`: reloads the configuration on SIGHUP.
 //! - `shutdown`: shuts down gracefully on SIGTERM and SIGINT.
 //! - `timers`: timeouts and periodic checks.
@@ -37,12 +37,13 @@
 use std::io::ErrorKind;
 use std::path::Path;
 
-/// Events handled in one iteration; the rest wait for the next.
+/// Maximum number of events handled in one iteration; further events wait for the next iteration.
 const MAX_EVENTS: usize = 512;
-/// Clients accepted, and clients read, in one iteration, so that nodes and the endpoint list are not delayed.
+/// Maximum number of clients accepted, and of clients read, in one iteration, so that nodes and the endpoint list are
+/// not delayed.
 const MAX_CLIENTS_PER_ITERATION: usize = 64;
 
-/// A running host. Its methods are the steps of an iteration; what each concern knows is in the file of that concern.
+/// A running host. Its methods are the steps of an iteration; the state of each concern is in that concern's submodule.
 struct EventLoop {
     dispatcher: Dispatcher,
     listener: Listener,
@@ -52,17 +53,17 @@
     config_file: ConfigFile,
     connection_check: PeriodicTimer<Tick>,
     status_log: StatusLog,
-    /// Buffer for reads from sockets.
+    /// Buffer for reads from sockets, reused by all connections.
     scratch: Vec<u8>,
 }
 
-/// Runs a host with the configuration file at a path until a signal stops it.
+/// Runs a host with the configuration file at `config_path` until a signal stops it.
 ///
-/// `discovery_call_ms`: milliseconds that one call takes of the discovery service's time, by which the hosts spread
-/// their calls; none: a built-in value.
+/// `discovery_call_ms`: milliseconds of the discovery service's time that one call takes; the hosts spread their calls
+/// accordingly. `None`: a built-in value.
 ///
 /// # Errors
-/// The host could not start, or its poll failed.
+/// Returns an error if the host could not start, or its event poll failed.
 pub fn run(config_path: &Path, discovery_call_ms: Option<u64>) -> Result<(), HostError> {
     let config = startup::load_config(config_path, discovery_call_ms)?;
     let mut poll = Poll::new().map_err(HostError::Poll)?;
@@ -79,7 +80,7 @@
 }
 
 impl EventLoop {
-    /// Waits for events, or until a timer is due.
+    /// Waits for events, at most until the next timer is due.
     fn poll(&mut self, poll: &mut Poll, events: &mut Events) -> Result<(), HostError> {
         let timeout = self.poll_timeout();
         let began = self.dispatcher.clock_time();
@@ -91,21 +92,22 @@
         Ok(())
     }
 
-    /// One iteration. The order matters (`docs/incidents/2026-12-02-crossings.md`): the endpoint list and nodes come
-    /// before new work of clients; disconnected clients come before the capacity that nodes free; timeouts come last, so
-    /// that everything that has arrived in time counts.
+    /// Runs one iteration. The order matters (`docs/incidents/2026-12-02-crossings.md`): the endpoint list and node
+    /// events are handled before new requests of clients; disconnects of clients before node events, which free
+    /// capacity; timeouts last, so that everything that has arrived in time counts.
     fn handle(&mut self, events: &Events) {
         self.dispatcher.begin_iteration();
-        // Fleet timers run first: by them the host notices that it was suspended, before it handles datagrams that were
-        // queued meanwhile.
+        // Fleet timers run first: they detect that the host was suspended, before it handles datagrams that were queued
+        // meanwhile.
         self.fleet.tick();
         self.read_watches(events);
         self.handle_control_events(events);
-        self.handle_client_events(events, Disconnects::Only);
+        self.handle_client_events(events, DisconnectFilter::Only);
         self.handle_node_events(events);
-        self.handle_client_events(events, Disconnects::Excluded);
+        self.handle_client_events(events, DisconnectFilter::Excluded);
         self.read_clients(MAX_CLIENTS_PER_ITERATION);
-        // Clients accepted now are read in the next iteration: they may have disconnected by then.
+        // Clients accepted now are read in the next iteration, after the poll has reported whether they have
+        // disconnected.
         self.accept_clients();
         self.fleet.read();
         self.run_timers();
@@ -113,7 +115,7 @@
 
     /// Reads the watches on the discovery service that have events.
     fn read_watches(&mut self, events: &Events) {
-        // A poll that returns the most events it may could have omitted that of a watch.
+        // A poll that returns the maximum number of events may have omitted the event of a watch.
         let may_be_truncated = events.iter().count() >= MAX_EVENTS;
         for (index, token) in tokens::DISCOVERY.into_iter().enumerate() {
             if may_be_truncated || events.iter().any(|event| event.token() == token) {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Handles signals, the listener and the fleet's socket.
+    /// Handles events of the signal pipes, the listener and the fleet membership socket.
     fn handle_control_events(&mut self, events: &Events) {
         for event in events {
             match event.token() {
@@ -141,14 +143,14 @@
         }
     }
 
-    /// Handles the events of clients that have disconnected, or those of all others.
-    fn handle_client_events(&mut self, events: &Events, disconnects: Disconnects) {
+    /// Handles the events of clients that have disconnected, or the events of all other clients.
+    fn handle_client_events(&mut self, events: &Events, filter: DisconnectFilter) {
         for event in events {
             let Some(Connection::Client(slot)) = tokens::connection(event.token()) else {
                 continue;
             };
             let is_disconnected = is_closed(event);
-            if is_disconnected != (disconnects == Disconnects::Only) {
+            if is_disconnected != (filter == DisconnectFilter::Only) {
                 continue;
             }
             self.dispatcher.update_now();
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Reads clients that may have something to read, up to a number of them. What they enqueue meanwhile waits.
+    /// Reads at most `max` queued clients. Clients that are queued meanwhile wait for the next iteration.
     fn read_clients(&mut self, max: usize) {
         for _ in 0..self.dispatcher.clients().queue_len().min(max) {
             let Some(slot) = self.dispatcher.clients_mut().next_queued() else {
@@ -187,14 +189,14 @@
     }
 }
 
-/// Which events of clients to handle.
+/// Which events of clients to handle: those of disconnected clients, or all others.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Disconnects {
+enum DisconnectFilter {
     Only,
     Excluded,
 }
 
-/// Whether the other side has closed its side of a connection, or the connection has failed.
+/// Returns whether the peer has closed its side of a connection, or the connection has failed.
 fn is_closed(event: &Event) -> bool {
     event.is_read_closed() || event.is_error()
 }
--- a/crates/platform-host/src/event_loop/admission.rs
+++ b/crates/platform-host/src/event_loop/admission.rs
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The listening socket.
+/// Listening socket for clients.
 pub(super) struct Listener {
     registry: Rc<Registry>,
-    /// None once it was closed.
+    /// `None` once the listener was closed.
     socket: Option<TcpListener>,
-    /// Connections may be waiting.
-    has_waiting: bool,
+    /// Connections may be pending in the accept backlog.
+    may_have_pending: bool,
 }
 
 impl Listener {
-    /// Listens at an address.
+    /// Opens a listening socket at an address, and registers it with the poll.
     pub(super) fn open(registry: Rc<Registry>, address: SocketAddr) -> Result<Self, HostError> {
         let listened = listener::listen(address);
         let mut socket = listened.map_err(|source| HostError::Listen { address, source })?;
@@ -28,37 +28,37 @@
         Ok(Listener {
             registry,
             socket: Some(socket),
-            has_waiting: false,
+            may_have_pending: false,
         })
     }
 
-    /// The poll has reported the listener.
+    /// Records that the poll has reported the listening socket.
     pub(super) fn on_readable(&mut self) {
-        self.has_waiting = true;
+        self.may_have_pending = true;
     }
 
-    /// Whether connections may be waiting.
-    pub(super) fn has_waiting(&self) -> bool {
-        self.has_waiting
+    /// Returns whether connections may be pending in the accept backlog.
+    pub(super) fn may_have_pending(&self) -> bool {
+        self.may_have_pending
     }
 
-    /// The next connection; none: nothing is waiting, or the next iteration has to try again.
-    fn next_waiting(&mut self) -> Option<TcpStream> {
-        if !self.has_waiting {
+    /// Returns the next pending connection, or `None` if there is none or the next iteration has to retry.
+    fn next_pending(&mut self) -> Option<TcpStream> {
+        if !self.may_have_pending {
             return None;
         }
         match self.accept() {
             Some(Ok(socket)) => Some(socket),
-            // The connection was reset, or there is no free descriptor: the next iteration tries again.
+            // The connection was reset, or there is no free descriptor: the next iteration retries.
             Some(Err(e)) if e.kind() != ErrorKind::WouldBlock => None,
             None | Some(Err(_)) => {
-                self.has_waiting = false;
+                self.may_have_pending = false;
                 None
             }
         }
     }
 
-    /// Accepts a connection; none once the listener is closed.
+    /// Accepts a connection. Returns `None` once the listener is closed.
     fn accept(&self) -> Option<io::Result<TcpStream>> {
         let socket = self.socket.as_ref()?;
         Some(socket.accept().map(|(stream, _)| stream))
@@ -72,10 +72,10 @@
 }
 
 impl EventLoop {
-    /// Accepts waiting connections, up to the limit of one iteration.
+    /// Accepts pending connections, up to the limit of one iteration.
     pub(super) fn accept_clients(&mut self) {
         for _ in 0..MAX_CLIENTS_PER_ITERATION {
-            let Some(socket) = self.listener.next_waiting() else {
+            let Some(socket) = self.listener.next_pending() else {
                 return;
             };
             self.add_client(socket);
@@ -83,7 +83,8 @@
     }
 
     fn add_client(&mut self, socket: TcpStream) {
-        // At the limit all queued connections are read before one is evicted: it may have sent a request.
+        // At the connection limit all queued connections are read before one is evicted, since it may have sent a
+        // request.
         if self.dispatcher.clients().is_full() {
             self.read_clients(self.dispatcher.clients().queue_len());
         }
@@ -91,7 +92,7 @@
         self.dispatcher.clients_mut().add(socket, now);
     }
 
-    /// Accepts everything that is waiting, then closes the listener.
+    /// Accepts all pending connections, then closes the listener.
     pub(super) fn close_listener(&mut self) {
         while let Some(Ok(socket)) = self.listener.accept() {
             self.add_client(socket);
--- a/crates/platform-host/src/event_loop/config_file.rs
+++ b/crates/platform-host/src/event_loop/config_file.rs
@@ -1,10 +1,10 @@
-//! The configuration file of the host.
+//! Reads the configuration file of the host.
 use crate::error::HostError;
 use mallowseam_platform::config::{self, HostConfig};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Reads and checks the configuration file.
+/// Reads and validates the configuration file.
 pub(super) fn read_config(path: &Path) -> Result<HostConfig, HostError> {
     let path = path.to_owned();
     let text = match std::fs::read_to_string(&path) {
@@ -14,7 +14,7 @@
     config::parse(&text).map_err(|problems| HostError::InvalidConfig { path, problems })
 }
 
-/// The configuration file, and what of the running configuration a reload cannot change.
+/// The configuration file, and the parts of the running configuration that a reload cannot change.
 pub(super) struct ConfigFile {
     path: PathBuf,
     name: String,
@@ -22,7 +22,7 @@
 }
 
 impl ConfigFile {
-    /// The file from which the running configuration was read.
+    /// Creates the handle of the file from which the running configuration was read.
     pub(super) fn new(path: &Path, config: &HostConfig) -> Self {
         ConfigFile {
             path: path.to_owned(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Reads the file again; none: it is invalid.
+    /// Reads the file again. Returns `None` if it cannot be read or is invalid, after logging the error.
     pub(super) fn read(&self) -> Option<HostConfig> {
         match read_config(&self.path) {
             Ok(config) => Some(config),
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Warns where a new configuration has another name or address, which are not applied.
+    /// Logs a warning if a new configuration changes the host's name or listening address, which a reload does not
+    /// apply.
     pub(super) fn warn_about_identity(&self, config: &HostConfig) {
         if config.listen != self.listen || config.name != self.name {
             tracing::warn!("another name or address to listen on needs a restart");
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the discovery service: opens watches, applies their updates, detects failed ones.
+//! Watches the discovery service: opens watches, applies their updates, and detects failed watches.
 use super::fleet::Fleet;
 use super::list_version::{ListVersion, UpdateVersion};
 use crate::discovery::{WatchConnection, WatchError, WatchMessage};
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The watches on the discovery service.
+/// Watches on the discovery service, and the version of the endpoint list.
 pub(super) struct EndpointWatch {
     registry: Rc<Registry>,
-    /// The discovery service of the current configuration.
+    /// Address of the discovery service in the current configuration.
     service: SocketAddr,
-    /// The latest watch, and its predecessor, which is read until the latest one is alive.
+    /// Connections of the latest watch and of its predecessor, which is read until the latest one has sent a line.
     connections: [Option<WatchConnection>; 2],
     slots: WatchSlots,
     version: ListVersion,
@@ -24,7 +24,7 @@
 }
 
 impl EndpointWatch {
-    /// No watch and no list yet.
+    /// Creates the state of a host without a watch and without an endpoint list.
     pub(super) fn new(registry: Rc<Registry>, service: SocketAddr) -> Self {
         EndpointWatch {
             registry,
@@ -36,24 +36,24 @@
         }
     }
 
-    /// Whether an endpoint is known: the host is ready for clients.
+    /// Returns whether an endpoint is known, which makes the host ready for clients.
     pub(super) fn has_endpoints(&self) -> bool {
         self.has_endpoints
     }
 
-    /// Starts from the list that the configuration has cached.
+    /// Starts from the cached endpoint list of the configuration.
     pub(super) fn use_cached(&mut self, cached: &WatchEvent) {
         self.has_endpoints = !cached.endpoints.is_empty();
         self.version.use_cached(cached.version);
     }
 
-    /// A reloaded configuration has this service; returns whether it is another one. The watch on the old service stays
-    /// open until the scheduler has requested one on the new service.
+    /// Sets the service of a reloaded configuration, and returns whether it has changed. The watch on the previous
+    /// service stays open until the scheduler has requested a watch on the new service.
     pub(super) fn set_service(&mut self, service: SocketAddr) -> bool {
         std::mem::replace(&mut self.service, service) != service
     }
 
-    /// Opens a watch. The previous one, if it is still open, is read until the new one is alive.
+    /// Opens a watch. The previous watch, if it is still open, is read until the new one has sent a line.
     pub(super) fn open(&mut self, dispatcher: &mut Dispatcher) {
         let slot = self.slots.next_slot(self.has_latest());
         self.close(slot);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether the latest watch is open.
+    /// Returns whether the latest watch is open.
     fn has_latest(&self) -> bool {
         let mut indexed = self.connections.iter().enumerate();
         indexed.any(|(slot, connection)| connection.is_some() && self.slots.is_latest(slot))
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Closes a watch that has failed or was ended by the service.
+    /// Closes a watch that has failed or that the service has ended, and reports its loss to the scheduler.
     fn on_failed(&mut self, slot: usize, error: &WatchError, dispatcher: &mut Dispatcher) {
         tracing::warn!(%error, address = %self.service, "discovery watch failed");
         self.close(slot);
-        // A predecessor was reported as silent when its successor was opened.
+        // A predecessor was already reported to the scheduler as silent when its successor was opened.
         if self.slots.is_latest(slot) {
             dispatcher.on_watch_lost(EndpointEvent::PollFailed);
         }
     }
 
-    /// Reads a watch, and handles what it has sent.
+    /// Reads a watch, and handles the messages that it has sent.
     pub(super) fn read(
         &mut self,
         slot: usize,
@@ -100,9 +100,9 @@
             return;
         };
         for message in connection.on_event(scratch) {
-            // Applying a long list takes time.
+            // Applying a long endpoint list takes time, so each message gets a fresh event time.
             dispatcher.update_now();
-            // The previous message may have closed the watch.
+            // Handling the previous message may have closed the watch.
             if self.connections[slot].is_none() {
                 return;
             }
@@ -120,14 +120,14 @@
         match message {
             WatchMessage::Update(update) => self.on_update(slot, &update, dispatcher, fleet),
             WatchMessage::Heartbeat => self.on_alive(slot, dispatcher),
-            WatchMessage::Closings(endpoints) => {
+            WatchMessage::ClosingEndpoints(endpoints) => {
                 dispatcher.on_endpoints(EndpointEvent::Incremental, &changes(endpoints));
             }
             WatchMessage::Failed(error) => self.on_failed(slot, &error, dispatcher),
         }
     }
 
-    /// A watch has sent a complete line: it supersedes the one before it.
+    /// Records that a watch has sent a complete line. It supersedes its predecessor, which is closed.
     fn on_alive(&mut self, slot: usize, dispatcher: &mut Dispatcher) {
         let now = dispatcher.now_ms();
         let connection = self.connections[slot].as_mut();
@@ -136,8 +136,8 @@
             self.close(superseded);
         }
         if is_first {
-            // Even without changes the scheduler has to know that the list is current: it matters when the watch is
-            // lost.
+            // The scheduler has to know that the list is current even if nothing has changed: it relies on that when
+            // the watch is lost.
             dispatcher.on_endpoints(EndpointEvent::Incremental, &changes(Vec::new()));
         }
     }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Applies the timeouts of the watches.
+    /// Closes or reports the watches that have reached a timeout.
     pub(super) fn check_timeouts(&mut self, dispatcher: &mut Dispatcher) {
         let now = dispatcher.now_ms();
         for slot in 0..self.connections.len() {
@@ -189,13 +189,14 @@
         }
     }
 
-    /// A watch has sent nothing for too long.
+    /// Handles a watch that has sent nothing for too long.
     fn on_silent(&mut self, slot: usize, dispatcher: &mut Dispatcher) {
         let Some(connection) = &self.connections[slot] else {
             return;
         };
         tracing::warn!(address = %connection.address(), "discovery watch is silent");
-        // A watch that has sent nothing yet occupies a place in the service's queue; one that has does not.
+        // A watch that has sent nothing yet occupies a place in the service's queue, so it is closed. One that has sent
+        // a line does not, and stays open until its successor is alive.
         if !connection.is_established() {
             self.close(slot);
         }
@@ -213,7 +214,7 @@
     }
 }
 
-/// Changes of endpoints that have no version of their own: nobody reads it.
+/// Creates an incremental update from endpoints that came without a version; its version is not read.
 fn changes(endpoints: Vec<Endpoint>) -> WatchEvent {
     WatchEvent {
         version: 0,
--- a/crates/platform-host/src/event_loop/fleet.rs
+++ b/crates/platform-host/src/event_loop/fleet.rs
@@ -1,4 +1,4 @@
-//! The host's part in the fleet's membership, if its configuration has one.
+//! Fleet membership of the host, if it is configured.
 use crate::error::HostError;
 use crate::tokens;
 use mallowseam_fleet::config::FleetConfig;
@@ -7,15 +7,15 @@
 use mio::Registry;
 use std::time::Duration;
 
-/// Membership of the fleet. Without it nothing happens.
+/// Fleet membership of the host. If it is not configured, all calls do nothing.
 pub(super) struct Fleet {
     membership: Option<Box<UdpMembership>>,
-    /// The socket may have more to read.
+    /// The membership socket may have datagrams to read.
     is_readable: bool,
 }
 
 impl Fleet {
-    /// Opens the socket of membership, if it is configured.
+    /// Opens the membership socket, if membership is configured.
     pub(super) fn open(
         registry: &Registry,
         config: Option<FleetConfig>,
@@ -28,26 +28,26 @@
         })
     }
 
-    /// Runs the timers of membership that are due.
+    /// Runs the membership timers that are due.
     pub(super) fn tick(&mut self) {
         if let Some(membership) = &mut self.membership {
             membership.tick();
         }
     }
 
-    /// The poll has reported the socket.
+    /// Records that the poll has reported the membership socket.
     pub(super) fn on_readable(&mut self) {
         self.is_readable = true;
     }
 
-    /// Reads datagrams, up to a number of them, if there may be any.
+    /// Reads a bounded number of datagrams, if there may be any.
     pub(super) fn read(&mut self) {
         if let Some(membership) = self.membership.as_mut().filter(|_| self.is_readable) {
             self.is_readable = membership.on_readable();
         }
     }
 
-    /// How long the poll may wait, where other timers allow `timeout`.
+    /// Returns how long the poll may wait if all other timers allow `timeout`.
     pub(super) fn limit_timeout(&self, timeout: Duration) -> Duration {
         if self.is_readable {
             return Duration::ZERO;
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Publishes the version of the endpoint list that the host has. It has no plans of a plan service.
+    /// Publishes the version of the host's endpoint list to the fleet. The version of plans is 0, since this host has
+    /// no plan service.
     pub(super) fn publish_list_version(&mut self, version: u64) {
         if let Some(membership) = &mut self.membership {
             membership.set_active_versions(ActiveVersions {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Applies a reloaded configuration.
+    /// Applies the membership section of a reloaded configuration.
     pub(super) fn reload(&mut self, config: Option<FleetConfig>) {
         match (&mut self.membership, config) {
             (None, None) => {}
@@ -77,14 +78,14 @@
         }
     }
 
-    /// Announces that this host shuts down and still serves.
+    /// Announces to the fleet that this host is shutting down and still serves requests.
     pub(super) fn announce_leaving(&mut self) {
         if let Some(membership) = &mut self.membership {
             membership.announce_leaving();
         }
     }
 
-    /// Announces that this process ends.
+    /// Announces to the fleet that this process ends.
     pub(super) fn announce_left(&mut self) {
         if let Some(membership) = &mut self.membership {
             membership.announce_left();
--- a/crates/platform-host/src/event_loop/list_version.rs
+++ b/crates/platform-host/src/event_loop/list_version.rs
@@ -1,34 +1,35 @@
-//! Which updates of the endpoint list are applied, by their versions.
+//! Decides by their versions which updates of the endpoint list are applied.
 use mallowseam_platform::endpoints::WatchEvent;
 use std::net::SocketAddr;
 
 #[cfg(test)]
 mod tests;
 
-/// The last version of the endpoint list that was received, and the service that it belongs to: versions of two services
-/// do not compare.
+/// Last version of the endpoint list received, with the discovery service that assigned it. Versions of different
+/// services cannot be compared.
 #[derive(Debug)]
 pub(super) struct ListVersion {
     received: Option<u64>,
     service: SocketAddr,
 }
 
-/// What an update is by its version.
+/// Class of an update of the endpoint list, according to its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UpdateVersion {
-    /// Newer than what was received, or a full snapshot: it is applied, and its version was recorded.
+    /// The update is newer than the last version received, or a full snapshot. It is applied, and its version was
+    /// recorded.
     Newer,
-    /// Not newer than what was received: it is ignored.
+    /// The update is not newer than the last version received. It is ignored.
     Outdated,
-    /// Of the service that was asked before: it is applied as changes, without its version.
+    /// The update comes from the previously configured service. It is applied as changes, without its version.
     PreviousService,
-    /// Older than what the watch asked for: the service has restarted with lower versions. The next watch requests a
-    /// full snapshot.
+    /// The update is older than the version that the watch asked for: the service has restarted with lower versions.
+    /// The next watch requests a full snapshot.
     Restarted,
 }
 
 impl ListVersion {
-    /// No version of a service yet.
+    /// Creates the state for a service that has sent no version yet.
     pub(super) fn new(service: SocketAddr) -> Self {
         ListVersion {
             received: None,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// The host starts with a cached list of this version.
+    /// Records the version of the cached endpoint list with which the host starts.
     pub(super) fn use_cached(&mut self, version: u64) {
         self.received = Some(version);
     }
 
-    /// The version after which a watch on a service asks for changes; none: it asks for a full snapshot.
+    /// Returns the version after which a watch on `service` asks for changes, or `None` if it asks for a full snapshot.
     pub(super) fn since(&mut self, service: SocketAddr) -> Option<u64> {
         if service != self.service {
             self.service = service;
@@ -50,7 +51,7 @@
         self.received
     }
 
-    /// Classifies an update of a watch on `service` that has asked for changes after the version `since`.
+    /// Classifies an update received on a watch on `service` that has asked for changes after the version `since`.
     pub(super) fn on_update(
         &mut self,
         update: &WatchEvent,
@@ -60,7 +61,7 @@
         if service != self.service {
             return UpdateVersion::PreviousService;
         }
-        // A full snapshot is applied whatever its version: it was requested after everything that was received before.
+        // A full snapshot is applied whatever its version: it was requested after every earlier update was received.
         if !update.full_snapshot {
             if since.is_some_and(|since| update.version < since) {
                 self.received = None;
--- a/crates/platform-host/src/event_loop/list_version/tests.rs
+++ b/crates/platform-host/src/event_loop/list_version/tests.rs
@@ -1,4 +1,4 @@
-//! Versions of the endpoint list, from a service that restarts, repeats itself or is replaced.
+//! Versions of the endpoint list from a discovery service that restarts, repeats an update or is replaced by another.
 use super::*;
 
 const FULL_SNAPSHOT: bool = true;
@@ -17,17 +17,17 @@
 }
 
 #[test]
-fn changes_are_applied_once() {
+fn incremental_updates_are_applied_only_once() {
     let mut version = ListVersion::new(service(1));
     assert_eq!(version.since(service(1)), None);
-    let verdicts = [3, 3, 2, 4].map(|v| version.on_update(&update(v, CHANGES), service(1), None));
+    let classes = [3, 3, 2, 4].map(|v| version.on_update(&update(v, CHANGES), service(1), None));
     let expected = [
         UpdateVersion::Newer,
         UpdateVersion::Outdated,
         UpdateVersion::Outdated,
         UpdateVersion::Newer,
     ];
-    assert_eq!(verdicts, expected);
+    assert_eq!(classes, expected);
     assert_eq!(version.since(service(1)), Some(4));
 }
 
@@ -35,8 +35,8 @@
 fn a_full_snapshot_is_applied_whatever_its_version() {
     let mut version = ListVersion::new(service(1));
     version.use_cached(50);
-    let verdict = version.on_update(&update(7, FULL_SNAPSHOT), service(1), Some(50));
-    assert_eq!(verdict, UpdateVersion::Newer);
+    let class = version.on_update(&update(7, FULL_SNAPSHOT), service(1), Some(50));
+    assert_eq!(class, UpdateVersion::Newer);
     assert_eq!(version.since(service(1)), Some(7));
 }
 
@@ -44,22 +44,22 @@
 fn a_service_that_restarts_with_lower_versions_is_asked_for_a_full_snapshot() {
     let mut version = ListVersion::new(service(1));
     version.use_cached(50);
-    let verdict = version.on_update(&update(49, CHANGES), service(1), Some(50));
-    assert_eq!(verdict, UpdateVersion::Restarted);
+    let class = version.on_update(&update(49, CHANGES), service(1), Some(50));
+    assert_eq!(class, UpdateVersion::Restarted);
     assert_eq!(version.since(service(1)), None);
 }
 
 #[test]
-fn a_service_that_repeats_the_version_it_was_asked_after_has_not_restarted() {
+fn an_update_that_repeats_the_requested_version_is_outdated_and_no_restart() {
     let mut version = ListVersion::new(service(1));
     version.use_cached(50);
-    let verdict = version.on_update(&update(50, CHANGES), service(1), Some(50));
-    assert_eq!(verdict, UpdateVersion::Outdated);
+    let class = version.on_update(&update(50, CHANGES), service(1), Some(50));
+    assert_eq!(class, UpdateVersion::Outdated);
     assert_eq!(version.since(service(1)), Some(50));
 }
 
 #[test]
-fn versions_of_another_service_do_not_compare() {
+fn versions_of_different_services_are_not_compared() {
     let mut version = ListVersion::new(service(1));
     version.use_cached(50);
     assert_eq!(version.since(service(2)), None);
--- a/crates/platform-host/src/event_loop/reload.rs
+++ b/crates/platform-host/src/event_loop/reload.rs
@@ -1,12 +1,12 @@
-//! Reloads the configuration on SIGHUP: the discovery service, the plans' figures and the seeds of the fleet are applied,
-//! everything else needs a restart.
+//! Reloads the configuration on SIGHUP. A reload applies the discovery service, the plans' figures and the seeds of the
+//! fleet; all other changes need a restart.
 use super::EventLoop;
 use crate::dispatcher::Dispatcher;
 use mallowseam_platform::settings::PlatformSettings;
 use mallowseam_scheduler::interface::SchedulerConfig;
 
 impl EventLoop {
-    /// Reads the configuration file again. An invalid one changes nothing.
+    /// Reads the configuration file again and applies it. An invalid file changes nothing.
     pub(super) fn reload(&mut self) {
         let Some(config) = self.config_file.read() else {
             return;
@@ -23,27 +23,27 @@
     }
 }
 
-/// Applies the figures of plans, if the plans are the same.
+/// Applies the plans' figures, if the names of plans and I/O classes are unchanged.
 fn reload_plans(dispatcher: &mut Dispatcher, settings: &PlatformSettings) {
     let current = dispatcher.settings();
-    let has_same_names =
+    let are_names_unchanged =
         settings.class_names == current.class_names && settings.plan_names == current.plan_names;
-    if has_same_names {
+    if are_names_unchanged {
         dispatcher.change_plans(&settings.scheduler.plans);
     } else {
         tracing::warn!("other I/O classes or plans need a restart");
     }
 }
 
-/// Warns about all other settings, which are read only at startup: a host that applied some of them would serve by two
-/// configurations at once.
+/// Logs a warning if settings have changed that are read only at startup. A host that applied some of them would serve
+/// by two configurations at once.
 fn warn_about_settings(current: &PlatformSettings, reloaded: &PlatformSettings) {
     if fixed_settings(reloaded) != fixed_settings(current) {
         tracing::warn!("settings beside the plans' figures have changed, and need a restart");
     }
 }
 
-/// The settings without what a reload applies, and without what the host itself sets.
+/// Returns the settings without those that a reload applies and those that the host itself sets.
 fn fixed_settings(settings: &PlatformSettings) -> PlatformSettings {
     PlatformSettings {
         scheduler: SchedulerConfig {
--- a/crates/platform-host/src/event_loop/shutdown.rs
+++ b/crates/platform-host/src/event_loop/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown. After SIGTERM the platform kills the process once a grace period is over; after SIGINT an operator
-//! waits for its end.
+//! Graceful shutdown. After SIGTERM the platform kills the process at the end of a grace period; after SIGINT no kill
+//! follows, as an operator waits for the process to end.
 use super::EventLoop;
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::graceful_shutdown::GracefulShutdown;
@@ -8,19 +8,19 @@
 use mallowseam_sockets::clock::{ticks_from_millis, ticks_to_millis};
 
 impl EventLoop {
-    /// The platform asks the host to stop, and will kill it later.
+    /// Handles SIGTERM: the platform asks the host to stop, and kills it later.
     pub(super) fn on_sigterm(&mut self) {
         let now = self.dispatcher.now_ms();
         self.begin_shutdown(shutdown_by_platform(self.dispatcher.settings(), now));
     }
 
-    /// An operator asks the host to stop.
+    /// Handles SIGINT: an operator asks the host to stop.
     pub(super) fn on_sigint(&mut self) {
         let now = self.dispatcher.now_ms();
         self.begin_shutdown(GracefulShutdown::by_operator(now));
     }
 
-    /// The first signal counts; further ones change nothing.
+    /// Begins the graceful shutdown on the first signal; further signals change nothing.
     fn begin_shutdown(&mut self, shutdown: GracefulShutdown) {
         if self.dispatcher.clients().shutdown().is_some() {
             return;
@@ -34,13 +34,13 @@
         self.fleet.announce_leaving();
     }
 
-    /// When all final responses are due, after SIGTERM.
+    /// Returns the time by which all final responses are due after SIGTERM, or `None` if there is no such limit.
     pub(super) fn responses_due(&self) -> Option<Tick> {
         let shutdown = self.dispatcher.clients().shutdown()?;
         shutdown.answer_deadline().map(ticks_from_millis)
     }
 
-    /// Sends all final responses once they are due.
+    /// Sends the final responses of all block I/Os in flight once they are due, before the host is killed.
     pub(super) fn respond_before_kill(&mut self) {
         let now = self.dispatcher.now();
         let is_due = self.responses_due().is_some_and(|due| due <= now);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether the host may stop: it accepts no more clients, and all have disconnected.
+    /// Returns whether the host may stop: it accepts no more clients, and all clients have disconnected.
     pub(super) fn is_finished(&self) -> bool {
         let now = self.dispatcher.now_ms();
         let clients = self.dispatcher.clients();
--- a/crates/platform-host/src/event_loop/startup.rs
+++ b/crates/platform-host/src/event_loop/startup.rs
@@ -1,4 +1,4 @@
-//! Opens everything that a host needs to run.
+//! Startup: loads the configuration and opens everything that a host needs to run.
 use super::admission::Listener;
 use super::config_file::{ConfigFile, read_config};
 use super::endpoint_watch::EndpointWatch;
@@ -23,17 +23,18 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Bytes read from a socket at once.
+/// Size of the buffer for reads from sockets, in bytes.
 const SCRATCH_BYTES: usize = 128 * 1024;
 
-/// Loads the configuration at startup, and raises the limit of descriptors to what it asks for.
+/// Loads the configuration at startup, and raises the limit on file descriptors to the number that it requires.
 pub(super) fn load_config(
     path: &Path,
     discovery_call_ms: Option<u64>,
 ) -> Result<HostConfig, HostError> {
     let mut config = read_config(path)?;
     config.settings.scheduler.poll_service_time = discovery_call_ms.map(ticks_from_millis);
-    // With fewer descriptors than budgeted, the host would run out of them at points where it cannot reject anything.
+    // With fewer descriptors than budgeted, the host would run out of them where it cannot reject a connection or
+    // request.
     let granted =
         descriptors::raise_limit(config.max_sockets).map_err(HostError::DescriptorLimit)?;
     if granted < config.max_sockets {
@@ -46,7 +47,7 @@
 }
 
 impl EventLoop {
-    /// Opens signal pipes, the listener, fleet membership and the connection tables.
+    /// Opens signal pipes, the listener, fleet membership and the connection tables, and creates the scheduler.
     pub(super) fn open(path: &Path, config: &HostConfig, poll: &Poll) -> Result<Self, HostError> {
         let signals = SignalPipes::open(poll).map_err(HostError::Signals)?;
         let registry = Rc::new(clone_registry(poll.registry())?);
@@ -74,10 +75,10 @@
         })
     }
 
-    /// Runs once, before the first iteration. `cached`: the endpoint list that the configuration has cached.
+    /// Starts the scheduler before the first iteration. `cached`: the cached endpoint list of the configuration.
     pub(super) fn start(&mut self, cached: Option<WatchEvent>) {
         self.dispatcher.update_now();
-        // The scheduler runs before anything else.
+        // The scheduler has to run before it receives any event.
         self.dispatcher.start();
         if let Some(cached) = cached {
             self.watch.use_cached(&cached);
@@ -87,9 +88,9 @@
     }
 }
 
-/// The settings, with the two rules that always hold on this platform: the endpoint list is requested by the host, and
-/// block I/Os that were never attempted are rejected in the first half of their time (a later rejection costs three
-/// tenths of their weight).
+/// Returns the settings with the two rules that always hold on this platform: the host requests the endpoint list, and
+/// block I/Os that were never attempted are shed in the first half of the time to their deadline, since a later
+/// rejection costs three tenths of their weight.
 fn host_settings(config: &HostConfig) -> PlatformSettings {
     let mut settings = config.settings.clone();
     settings.scheduler.endpoints_polled = true;
@@ -118,7 +119,7 @@
     registry: &Registry,
     now: Tick,
 ) -> Result<NodeConnections, HostError> {
-    // A timeout below a millisecond counts as not stated.
+    // An idle timeout below one millisecond counts as unset.
     let idle_timeout = settings.idle_timeout.map(ticks_to_millis);
     let idle_timeout = idle_timeout.filter(|millis| *millis > 0);
     Ok(NodeConnections::new(
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -1,27 +1,27 @@
-//! Writes the periodic log lines: the counters of the host, and for each node the scheduler's estimates next to the
+//! Writes the periodic log lines: the counters of the host and, for each node, the scheduler's estimates and the
 //! counters of its connections.
 use crate::dispatcher::Dispatcher;
 use mallowseam_connection_policy::client_connection::Phase;
 use mallowseam_scheduler::interface::{NodeId, NodeStatus, Tick};
 use mallowseam_sockets::periodic_timer::PeriodicTimer;
 
-/// Ticks between two status logs: 5 s.
-const STATUS_PERIOD: Tick = 50_000;
+/// Interval between two status logs, in ticks: 5 s.
+const STATUS_INTERVAL: Tick = 50_000;
 
-/// When the status is logged.
+/// Timer of the periodic status log.
 pub(super) struct StatusLog {
     timer: PeriodicTimer<Tick>,
 }
 
 impl StatusLog {
-    /// The first period starts now.
+    /// Creates the timer; the first interval starts at `now`.
     pub(super) fn new(now: Tick) -> Self {
         StatusLog {
-            timer: PeriodicTimer::new(STATUS_PERIOD, now),
+            timer: PeriodicTimer::new(STATUS_INTERVAL, now),
         }
     }
 
-    /// Logs one line for the host and one for each node, if a period is over.
+    /// Logs one line for the host and one for each node, if the interval has elapsed.
     pub(super) fn log_if_due(&mut self, dispatcher: &mut Dispatcher) {
         if !self.timer.take_due(dispatcher.now()) {
             return;
--- a/crates/platform-host/src/nodes.rs
+++ b/crates/platform-host/src/nodes.rs
@@ -1,12 +1,13 @@
-//! Connections to storage nodes: a pool for each node, with one attempt at a time on each connection.
+//! Connections to storage nodes: idle connections are pooled by node, and each connection carries one attempt at a
+//! time.
 //!
-//! - `pool`: checks out idle connections, opens new ones, closes those that have expired.
-//! - `endpoint_table`: the nodes of the endpoint list, with their idle connections and counters.
-//! - `connection`, `request_buffer`, `response_buffer`: one connection, and the two messages on it.
-//! - `attempt`: an attempt on a connection, and its completion.
-//! - `attempts`: sends requests, cancels and expires attempts.
+//! - `pool`: checks out idle connections, opens new ones, closes idle ones that have reached the idle timeout.
+//! - `endpoint_table`: nodes of the endpoint list, with their idle connections and counters.
+//! - `connection`, `request_buffer`, `response_buffer`: one connection, and the request and response on it.
+//! - `attempt`: an attempt carried by a connection, and its completion.
+//! - `attempts`: starts, cancels and expires attempts.
 //! - `responses`: reads responses and classifies them.
-//! - `deadlines`: the times at which attempts expire.
+//! - `deadlines`: times at which attempts expire.
 mod attempt;
 mod attempts;
 mod connection;
@@ -30,18 +31,19 @@
 pub use endpoint_table::NodeCounters;
 pub use responses::{NodeEvent, Success};
 
-/// All connections to nodes, and the attempts that they carry.
+/// All connections to storage nodes, and the attempts that they carry.
 pub struct NodeConnections {
     pool: ConnectionPool,
     keep_alive: KeepAlivePolicy,
     connect_timeout: Tick,
-    /// The serial number of the last attempt.
+    /// Serial number of the last attempt started.
     last_serial: u64,
     deadlines: Deadlines,
 }
 
 impl NodeConnections {
-    /// An empty pool with its limits.
+    /// Creates the table without connections. `max_bytes` limits the responses in memory, `connect_timeout` is in
+    /// ticks.
     pub fn new(
         registry: Registry,
         max_connections: usize,
@@ -58,22 +60,22 @@
         }
     }
 
-    /// Connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn len(&self) -> usize {
         self.pool.len()
     }
 
-    /// Bytes of responses in memory.
+    /// Returns the number of bytes of memory that responses use.
     pub fn bytes(&self) -> usize {
         self.pool.memory().used()
     }
 
-    /// The nodes that are known.
+    /// Returns the ids of all known nodes.
     pub fn ids(&self) -> impl Iterator<Item = NodeId> {
         self.pool.nodes()
     }
 
-    /// The counters of a node for a log line; its longest time starts again from none.
+    /// Returns the counters of a node for the status log, and resets its longest latency.
     pub fn take_counters(&mut self, node: NodeId) -> Option<NodeCounters> {
         let counters = self.pool.counters_mut(node)?;
         let taken = *counters;
@@ -81,17 +83,19 @@
         Some(taken)
     }
 
-    /// Sets a node's address from the endpoint list. Idle connections are kept only where new attempts may use them.
+    /// Sets a node's address from the endpoint list. Closes its idle connections if the address has changed or the node
+    /// accepts no new attempts.
     pub fn update_endpoint(&mut self, node: NodeId, address: SocketAddr, accepts_attempts: bool) {
         self.pool.update_endpoint(node, address, accepts_attempts);
     }
 
-    /// Drops a node that was removed.
+    /// Drops a node that the scheduler has released, and closes its idle connections.
     pub fn release(&mut self, node: NodeId) {
         self.pool.release(node);
     }
 
-    /// Withdraws the attempts that wait for a connection to a node that no longer accepts any: they were never sent.
+    /// Withdraws the attempts that wait for a connection to a node that accepts no more attempts. Their requests were
+    /// never sent.
     pub fn withdraw_unconnected(&mut self, node: NodeId) -> Vec<Completion> {
         let mut withdrawn = Vec::new();
         for slot in self.pool.slots() {
@@ -104,12 +108,12 @@
         withdrawn
     }
 
-    /// The current idle timeout, in milliseconds.
+    /// Returns the current idle timeout of connections to nodes, in milliseconds.
     pub fn keep_alive_ms(&mut self, now: Tick) -> Millis {
         self.keep_alive.idle_timeout(ticks_to_millis(now))
     }
 
-    /// Closes idle connections that have reached the idle timeout, before their nodes do.
+    /// Closes idle connections that have reached the idle timeout, before their nodes close them.
     pub fn close_expired_idle(&mut self, now: Tick) {
         let idle_timeout = self.keep_alive_ms(now);
         self.pool.close_expired_idle(now, idle_timeout);
--- a/crates/platform-host/src/signals.rs
+++ b/crates/platform-host/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as bytes on pipes, polled like every other event source.
+//! Signals, delivered as bytes on pipes so that they are polled like every other event source.
 use crate::tokens;
 use mallowseam_sockets::signals;
 use mio::Poll;
@@ -6,7 +6,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::{self, Read};
 
-/// One pipe for each signal that the host handles.
+/// Pipes of the signals that the host handles, one for each signal.
 pub struct SignalPipes {
     sighup: UnixStream,
     sigterm: UnixStream,
@@ -14,7 +14,7 @@
 }
 
 impl SignalPipes {
-    /// Registers the signal handlers, and the pipes with the poll.
+    /// Registers the signal handlers, and registers their pipes with the poll.
     pub fn open(poll: &Poll) -> io::Result<Self> {
         Ok(SignalPipes {
             sighup: signals::pipe(poll, tokens::SIGHUP, &[SIGHUP])?,
@@ -23,17 +23,17 @@
         })
     }
 
-    /// Whether SIGHUP was received since the last call.
+    /// Returns whether SIGHUP was received since the last call.
     pub fn take_sighup(&mut self) -> bool {
         drain(&mut self.sighup)
     }
 
-    /// Whether SIGTERM was received since the last call.
+    /// Returns whether SIGTERM was received since the last call.
     pub fn take_sigterm(&mut self) -> bool {
         drain(&mut self.sigterm)
     }
 
-    /// Whether SIGINT was received since the last call.
+    /// Returns whether SIGINT was received since the last call.
     pub fn take_sigint(&mut self) -> bool {
         drain(&mut self.sigint)
     }
@@ -41,10 +41,10 @@
 
 /// Reads all bytes of a pipe and returns whether there were any.
 fn drain(pipe: &mut UnixStream) -> bool {
-    let mut any = false;
+    let mut has_received = false;
     let mut bytes = [0; 16];
     while matches!(pipe.read(&mut bytes), Ok(count) if count > 0) {
-        any = true;
+        has_received = true;
     }
-    any
+    has_received
 }
--- a/crates/platform-host/tests/log.rs
+++ b/crates/platform-host/tests/log.rs
@@ -64,7 +64,13 @@
         .expect("open");
     let line = host.log.line("discovery watch failed");
     assert_eq!(line.level, "WARN");
-    let expected = [("error", "answered 404"), ("address", &*service)];
+    let expected = [
+        (
+            "error",
+            "discovery service responded with HTTP status 404; expected 200",
+        ),
+        ("address", &*service),
+    ];
     assert_eq!(
         line.fields,
         expected.map(|(n, v)| (n.to_owned(), v.to_owned()))
