--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -1,9 +1,9 @@
-//! Connections of clients: one request at a time on each.
+//! Connections of clients, each with one request at a time.
 //!
-//! - `connection`: one connection.
-//! - `socket`, `request_buffer`: its socket, and what was read from it.
-//! - `responses`: responses, and how they are written.
-//! - `close_cause`: why connections were closed, counted.
+//! - `connection`: one connection of a client.
+//! - `socket`, `request_buffer`: the socket of a connection, and the bytes read from it.
+//! - `responses`, `flush_outcome`: composes and writes responses.
+//! - `close_cause`: causes for which connections are closed, and their counters.
 mod close_cause;
 mod connection;
 mod flush_outcome;
@@ -32,18 +32,18 @@
 #[cfg(test)]
 mod tests;
 
-/// What the poll has reported of a connection.
+/// Event that the poll has reported for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketEvent {
-    /// It may be written to.
+    /// The socket may be written to.
     Writable,
-    /// It may be read.
+    /// The socket may have bytes to read.
     Readable,
-    /// The client has closed its side, or the connection has failed. There may be bytes to read before that.
+    /// The client has closed its side, or the connection has failed. The socket may have bytes to read before that.
     Disconnected,
 }
 
-/// The result of reading a connection.
+/// Result of reading a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
     /// No request is complete.
@@ -52,16 +52,16 @@
     Complete,
 }
 
-/// Connections and requests of clients, counted for the status log.
+/// Numbers of connections and requests of clients since startup, for the status log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientCounters {
-    /// Connections accepted.
+    /// Connections that were accepted.
     pub accepted: u64,
-    /// Connections closed at once because none could be evicted for them.
+    /// Connections closed at once because the limit was reached and no other connection could be evicted.
     pub rejected: u64,
-    /// Messages that could not be parsed.
+    /// Messages that could not be parsed as HTTP requests.
     pub malformed: u64,
-    /// Requests that were parsed and rejected.
+    /// Requests that were parsed but rejected as invalid.
     pub invalid: u64,
 }
 
@@ -70,18 +70,19 @@
     connections: Slab<Client>,
     registry: Registry,
     max_connections: usize,
-    /// Bytes in memory for all clients.
+    /// Bytes of memory that the buffers of all clients use, with their limit.
     memory: MemoryBudget,
-    /// Set once the graceful shutdown has begun.
+    /// `Some` once the graceful shutdown has begun.
     shutdown: Option<GracefulShutdown>,
-    /// Slots of connections that may have something to read.
+    /// Slots of connections that may have bytes to read.
     read_queue: VecDeque<u32>,
     counters: ClientCounters,
+    /// Connections closed since startup, by cause.
     closed: CloseCounters,
 }
 
 impl ClientConnections {
-    /// No connections, with the limits on them.
+    /// Creates the table without connections. `max_bytes` limits the memory for all clients.
     pub fn new(registry: Registry, max_connections: usize, max_bytes: usize) -> Self {
         ClientConnections {
             connections: Slab::default(),
@@ -95,45 +96,45 @@
         }
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Bytes in memory for all clients.
+    /// Returns the number of bytes of memory that the buffers of all clients use.
     pub fn bytes(&self) -> usize {
         self.memory.used()
     }
 
-    /// The counters for the status log.
+    /// Returns the counters of connections and requests for the status log.
     pub fn counters(&self) -> ClientCounters {
         self.counters
     }
 
-    /// Connections closed since the start, by cause.
+    /// Returns the numbers of connections closed since startup, by cause.
     pub fn closed(&self) -> CloseCounters {
         self.closed
     }
 
-    /// Number of connections in a state, for the status log.
-    pub fn count_in_state(&self, state: Phase) -> usize {
+    /// Returns the number of connections in a phase, for the status log.
+    pub fn count_in_phase(&self, phase: Phase) -> usize {
         self.connections
             .iter()
-            .filter(|(_, client)| client.state().phase() == state)
+            .filter(|(_, client)| client.state().phase() == phase)
             .count()
     }
 
-    /// Whether the next connection needs another one to be evicted.
+    /// Returns whether the connection limit is reached, so that the next connection needs another one to be evicted.
     pub fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
-    /// Whether the memory limit of clients allows this many more bytes.
+    /// Returns whether the memory limit of clients allows `bytes` more bytes.
     pub fn has_capacity(&self, bytes: usize) -> bool {
         self.memory.has_room_for(bytes)
     }
 
-    /// The graceful shutdown, once it has begun.
+    /// Returns the graceful shutdown, or `None` before it has begun.
     pub fn shutdown(&self) -> Option<GracefulShutdown> {
         self.shutdown
     }
@@ -143,7 +144,8 @@
         self.shutdown = Some(shutdown);
     }
 
-    /// Adds an accepted connection. At the limit another one is evicted, or else the new one is closed.
+    /// Adds an accepted connection. At the connection limit another one is evicted; if none can be, the new one is
+    /// closed.
     pub fn add(&mut self, mut socket: TcpStream, now: Millis) {
         self.counters.accepted += 1;
         while self.is_full() {
@@ -166,10 +168,10 @@
         self.enqueue(slot);
     }
 
-    /// Picks a connection to evict and closes it, or queues it to be read if a request has just arrived on it: then
-    /// another is picked next. False: none can be evicted.
+    /// Selects a connection to evict and closes it, or queues it to be read if a request has just arrived on it; the
+    /// next call then selects another one. Returns `false` if none can be evicted.
     fn evict_one(&mut self, now: Millis) -> bool {
-        // A connection with something to read may have a request.
+        // A connection with bytes to read may have a request, so it is no candidate.
         let candidates = self
             .connections
             .iter()
@@ -192,7 +194,8 @@
         true
     }
 
-    /// Closes a connection. One that has had its last response ends for the cause of that.
+    /// Closes a connection and counts its cause. If its last response is already composed, the cause of that one
+    /// counts.
     fn close(&mut self, slot: u32, cause: CloseCause) {
         let Some(client) = self.connections.remove(slot) else {
             return;
@@ -200,7 +203,7 @@
         let cause = client.end_cause().unwrap_or(cause);
         self.closed.count(cause);
         self.memory.release(client.bytes());
-        // What is looked up for the log only is looked up before the close, and written after it.
+        // The state for the log is read before the close, only at debug level, and logged after the close.
         let at_close = tracing::enabled!(tracing::Level::DEBUG).then(|| client.describe());
         client.close(&self.registry);
         if let Some(at_close) = at_close {
@@ -214,17 +217,17 @@
         }
     }
 
-    /// Number of connections that wait to be read.
+    /// Returns the number of connections that wait to be read.
     pub fn queue_len(&self) -> usize {
         self.read_queue.len()
     }
 
-    /// The next connection that waits to be read.
+    /// Removes and returns the next connection that waits to be read.
     pub fn next_queued(&mut self) -> Option<u32> {
         self.read_queue.pop_front()
     }
 
-    /// Handles an event on a connection. Some: the client has disconnected while this block I/O is in flight.
+    /// Handles an event on a connection. Returns the block I/O in flight of a client that has disconnected.
     pub fn on_event(&mut self, slot: u32, event: SocketEvent, now: Millis) -> Option<BioId> {
         let client = self.connections.get_mut(slot)?;
         client.on_event(event);
@@ -238,7 +241,7 @@
         disconnected
     }
 
-    /// Reads a queued connection until a request is complete or the socket is empty.
+    /// Reads a connection taken from the queue until a request is complete or the socket is empty.
     pub fn read(&mut self, slot: u32, scratch: &mut [u8], now: Millis) -> RequestStatus {
         let Some(client) = self.connections.get_mut(slot) else {
             return RequestStatus::Incomplete;
@@ -259,16 +262,16 @@
         match read {
             Ok(RequestStatus::Complete) => return RequestStatus::Complete,
             Err(ReadError::Closed) => self.close(slot, CloseCause::Disconnected),
-            Err(ReadError::Invalid(fault)) => {
+            Err(ReadError::Invalid(parse_error)) => {
                 self.counters.malformed += 1;
                 let error = ErrorResponse {
-                    status: responses::fault_status(fault),
-                    text: fault.message(),
+                    status: responses::parse_error_status(parse_error),
+                    text: parse_error.message(),
                     cause: CloseCause::Malformed,
                 };
                 self.respond_with_error(slot, &error, now);
             }
-            // All clients share a memory limit: the request that exceeds it is shed.
+            // All clients share a memory limit: a request that exceeds it is shed.
             Ok(RequestStatus::Incomplete) if self.memory.is_exceeded() => {
                 let error = ErrorResponse {
                     status: response::SHED_STATUS,
@@ -282,26 +285,27 @@
         RequestStatus::Incomplete
     }
 
-    /// The head and the body of the complete request of a connection, if there is one.
+    /// Returns the head and the body of the complete request of a connection, if there is one.
     pub fn request(&self, slot: u32) -> Option<(RequestHead<'_>, &[u8])> {
         self.connections.get(slot)?.request()
     }
 
-    /// Whether the client of a complete request has disconnected. `is_poll_stale`: the last poll is too old to rely on,
-    /// so the socket is checked.
+    /// Returns whether the client of a complete request has disconnected. `is_poll_stale`: the last poll is too old to
+    /// rely on, so the socket is checked.
     pub fn is_disconnected(&mut self, slot: u32, is_poll_stale: bool) -> bool {
         let client = self.connections.get_mut(slot);
         client.is_none_or(|client| client.check_disconnected(is_poll_stale))
     }
 
-    /// The scheduler has admitted the request of a connection as this block I/O.
+    /// Records that the request of a connection was admitted as the block I/O `io`.
     pub fn on_admitted(&mut self, slot: u32, io: BioId, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
             client.on_admitted(io, now);
         }
     }
 
-    /// Rejects a request. The connection stays open, and the client is slowed down.
+    /// Rejects a request with a status and a text. The connection stays open, and its next request is read after a
+    /// backoff.
     pub fn reject_request(&mut self, slot: u32, status: u16, text: &str, now: Millis) {
         self.counters.invalid += 1;
         if let Some(client) = self.connections.get_mut(slot) {
@@ -317,9 +321,9 @@
                 continue;
             };
             match client.check_timeouts(now, self.shutdown) {
-                TimeoutAction::Nothing if client.can_read_on(now) => self.enqueue(slot),
+                TimeoutAction::Nothing if client.has_readable_input(now) => self.enqueue(slot),
                 TimeoutAction::Nothing => {}
-                // The socket is read first: it may contain a complete request.
+                // The socket is read before the timeout applies: it may contain a complete request.
                 _ if client.is_queued() => {}
                 _ if client.has_unread_request() => self.enqueue(slot),
                 TimeoutAction::Close => {
--- a/crates/platform-host/src/clients/close_cause.rs
+++ b/crates/platform-host/src/clients/close_cause.rs
@@ -1,53 +1,53 @@
-//! Why the host closed the connection of a client, for counters and the log.
+//! Causes for which the host closes connections of clients, for counters and the log.
 
-/// Why a connection was closed.
+/// Cause for which a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// The client has closed it, or it has failed.
+    /// The client has closed the connection, or the connection has failed.
     Disconnected,
-    /// No request came for too long.
+    /// No request arrived within the idle timeout.
     Idle,
-    /// A graceful shutdown admits no more requests.
+    /// A graceful shutdown admits no more requests on the connection.
     Shutdown,
-    /// It gave way to a new one.
+    /// The connection was evicted for a new one at the connection limit.
     Evicted,
-    /// Its last response was sent, as the client or the protocol asked.
+    /// The last response was sent, after which the client or the protocol required the close.
     Finished,
     /// The client did not read its response in time.
     UnreadResponse,
-    /// Its request took too long to arrive.
+    /// The request took too long to arrive.
     LateRequest,
-    /// Its message could not be parsed.
+    /// The client's message could not be parsed.
     Malformed,
-    /// The memory for all clients was in use.
+    /// The memory limit for all clients was exceeded.
     Memory,
 }
 
-/// Connections closed since the start, by cause.
+/// Numbers of connections closed since startup, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CloseCounters {
-    /// See [`CloseCause::Disconnected`].
+    /// Number of connections closed with [`CloseCause::Disconnected`].
     pub disconnected: u64,
-    /// See [`CloseCause::Idle`].
+    /// Number of connections closed with [`CloseCause::Idle`].
     pub idle: u64,
-    /// See [`CloseCause::Shutdown`].
+    /// Number of connections closed with [`CloseCause::Shutdown`].
     pub shutdown: u64,
-    /// See [`CloseCause::Evicted`].
+    /// Number of connections closed with [`CloseCause::Evicted`].
     pub evicted: u64,
-    /// See [`CloseCause::Finished`].
+    /// Number of connections closed with [`CloseCause::Finished`].
     pub finished: u64,
-    /// See [`CloseCause::UnreadResponse`].
+    /// Number of connections closed with [`CloseCause::UnreadResponse`].
     pub unread_response: u64,
-    /// See [`CloseCause::LateRequest`].
+    /// Number of connections closed with [`CloseCause::LateRequest`].
     pub late_request: u64,
-    /// See [`CloseCause::Malformed`].
+    /// Number of connections closed with [`CloseCause::Malformed`].
     pub malformed: u64,
-    /// See [`CloseCause::Memory`].
+    /// Number of connections closed with [`CloseCause::Memory`].
     pub memory: u64,
 }
 
 impl CloseCounters {
-    /// Counts a connection.
+    /// Counts a closed connection under its cause.
     pub fn count(&mut self, cause: CloseCause) {
         let counter = match cause {
             CloseCause::Disconnected => &mut self.disconnected,
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client.
+//! Connection of one client.
 use super::close_cause::CloseCause;
 use super::flush_outcome::FlushOutcome;
 use super::request_buffer::RequestBuffer;
@@ -17,48 +17,49 @@
 use mio::Registry;
 use mio::net::TcpStream;
 
-/// A client's connection: one request at a time.
+/// A client's connection, which carries one request at a time.
 pub struct Client {
     socket: ClientSocket,
-    /// State of the connection, with its timeouts.
+    /// Phase of the connection, with its timeouts.
     state: ClientConnection,
+    /// Bytes read, with the current request at the front.
     input: RequestBuffer,
-    /// Bytes to be written.
+    /// Bytes to be written to the client.
     output: OutgoingMessage,
-    /// The block I/O that is in flight for the request.
+    /// Block I/O in flight for the current request.
     io: Option<BioId>,
-    /// The response in `output` is the last.
+    /// The next response, or the one in `output`, is the last on the connection.
     close_after_response: bool,
-    /// Why the connection ends, once its last response is composed.
+    /// Cause for which the connection ends; set when its last response is composed.
     end_cause: Option<CloseCause>,
     /// The connection is in the read queue.
     is_queued: bool,
 }
 
-/// A connection as it is closed, for the log.
+/// State of a connection at its close, for the log.
 #[derive(Debug)]
 #[expect(dead_code, reason = "read by the derived Debug alone")]
 pub struct AtClose {
     phase: Phase,
-    /// Bytes that were read and belong to no complete request.
+    /// Number of bytes that were read and belong to no complete request.
     unparsed: usize,
-    /// Bytes that wait in the socket, up to the length of the buffer that looks at them.
+    /// Number of unread bytes in the socket, at most `UNREAD_PEEK_BYTES`.
     unread: usize,
 }
 
-/// Length of the buffer that looks at unread bytes.
-const UNREAD_LOOK_BYTES: usize = 1_024;
+/// Maximum number of unread bytes that the log counts at the close of a connection.
+const UNREAD_PEEK_BYTES: usize = 1_024;
 
-/// Why reading has stopped.
+/// Error that ends reading from a connection.
 pub enum ReadError {
     /// The message cannot be parsed.
     Invalid(ParseError),
-    /// The connection has ended.
+    /// The client has closed the connection, or it has failed.
     Closed,
 }
 
 impl Client {
-    /// A new connection.
+    /// Creates the state of a connection accepted at `now`.
     pub fn new(stream: TcpStream, now: Millis) -> Self {
         Client {
             socket: ClientSocket::new(stream),
@@ -72,57 +73,58 @@
         }
     }
 
-    /// Its socket.
+    /// Returns the socket.
     pub fn socket(&self) -> &ClientSocket {
         &self.socket
     }
 
-    /// State of the connection, with its timeouts.
+    /// Returns the phase of the connection, with its timeouts.
     pub fn state(&self) -> &ClientConnection {
         &self.state
     }
 
-    /// Bytes of its buffers.
+    /// Returns the capacity of the connection's buffers, in bytes.
     pub fn bytes(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Puts it into the read queue; false: it was there.
+    /// Marks the connection as queued to be read. Returns `false` if it was already queued.
     pub fn enqueue(&mut self) -> bool {
         !std::mem::replace(&mut self.is_queued, true)
     }
 
-    /// It has left the read queue.
+    /// Marks the connection as no longer queued to be read.
     pub fn dequeue(&mut self) {
         self.is_queued = false;
     }
 
-    /// Whether it is in the read queue.
+    /// Returns whether the connection is queued to be read.
     pub fn is_queued(&self) -> bool {
         self.is_queued
     }
 
-    /// The poll has reported it.
+    /// Records an event that the poll has reported for the connection.
     pub fn on_event(&mut self, event: SocketEvent) {
         self.socket.on_event(event);
     }
 
-    /// Whether bytes are to be written.
+    /// Returns whether bytes wait to be written.
     pub fn has_output(&self) -> bool {
         !self.output.is_empty()
     }
 
-    /// The block I/O in flight of a client that has disconnected.
+    /// Returns the block I/O in flight if the client has disconnected.
     pub fn disconnected_io(&self) -> Option<BioId> {
         self.io.filter(|_| self.socket.is_disconnected())
     }
 
-    /// Whether the client has disconnected. `is_poll_stale`: the last poll is too old to rely on.
+    /// Returns whether the client has disconnected. `is_poll_stale`: the last poll is too old to rely on, so the socket
+    /// is checked.
     pub fn check_disconnected(&mut self, is_poll_stale: bool) -> bool {
         self.socket.check_disconnected(is_poll_stale)
     }
 
-    /// Whether part of a request waits in the socket; looks at it.
+    /// Peeks at the socket and returns whether part of an awaited request may be in it.
     pub fn has_unread_request(&mut self) -> bool {
         let phase = self.state.phase();
         let is_awaiting = matches!(
@@ -132,12 +134,12 @@
         is_awaiting && self.socket.check_readable()
     }
 
-    /// Whether it may be read, and has something to read or to parse.
-    pub fn can_read_on(&self, now: Millis) -> bool {
+    /// Returns whether the connection may be read, and may have bytes to read or to parse.
+    pub fn has_readable_input(&self, now: Millis) -> bool {
         self.may_read(now) && (self.socket.is_readable() || !self.input.is_empty())
     }
 
-    /// The timeout that has passed, if any.
+    /// Returns the action for the timeout that has elapsed, if any.
     pub fn check_timeouts(
         &mut self,
         now: Millis,
@@ -146,13 +148,13 @@
         self.state.check_timeouts(now, shutdown)
     }
 
-    /// The head and the body of the complete request, if there is one.
+    /// Returns the head and the body of the complete request, if there is one.
     pub fn request(&self) -> Option<(RequestHead<'_>, &[u8])> {
         self.input.request()
     }
 
-    /// Whether the client's bytes may be read; they stay in the socket while it is slowed down, or has a request in
-    /// flight.
+    /// Returns whether the client's bytes may be read. They stay in the socket during the backoff after a rejection,
+    /// and while a request is in flight.
     pub fn may_read(&self, now: Millis) -> bool {
         self.state.may_read(now)
     }
@@ -160,7 +162,7 @@
     /// Reads until a request is complete or the socket is empty.
     ///
     /// # Errors
-    /// The message is malformed, or the connection has ended.
+    /// Returns an error if the message is malformed, or the connection has ended.
     pub fn read_request(
         &mut self,
         scratch: &mut [u8],
@@ -173,7 +175,7 @@
             if !self.socket.is_readable() {
                 return Ok(RequestStatus::Incomplete);
             }
-            let limit = self.input.room().min(scratch.len());
+            let limit = self.input.remaining_capacity().min(scratch.len());
             match self.socket.read(&mut scratch[..limit]) {
                 ReadOutcome::Read(count) => {
                     self.input.append(&scratch[..count]);
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Parses what was read. A client that expects it gets 100 Continue.
+    /// Parses the bytes read so far. Sends 100 Continue to a client that expects it.
     fn parse(&mut self, now: Millis) -> Result<RequestStatus, ReadError> {
         if self.state.phase() != Phase::ReceivingRequest {
             self.state.enter_phase(Phase::ReceivingRequest, now);
@@ -203,12 +205,13 @@
         Ok(RequestStatus::Incomplete)
     }
 
-    /// Whether it only waits for the client to close, after the last response.
+    /// Returns whether the last response was sent and the connection only waits for the client to close its side.
     pub fn is_lingering(&self) -> bool {
         self.state.phase() == Phase::Lingering
     }
 
-    /// Reads and drops what a client sends after its last response. False: the connection is to be closed.
+    /// Reads and discards bytes that the client sends after its last response. Returns `false` if the connection has to
+    /// be closed.
     pub fn drain_input(&mut self, scratch: &mut [u8]) -> bool {
         while self.socket.is_readable() {
             match self.socket.read(scratch) {
@@ -220,47 +223,47 @@
         true
     }
 
-    /// Its request is in flight as this block I/O.
+    /// Records that the request is in flight as the block I/O `io`.
     pub fn on_admitted(&mut self, io: BioId, now: Millis) {
         self.io = Some(io);
         self.state.request_accepted();
         self.state.enter_phase(Phase::InFlight, now);
     }
 
-    /// Its request is rejected: the client is slowed down.
+    /// Records that the request was rejected. The next one is read after a backoff.
     pub fn on_rejected(&mut self, now: Millis) {
         self.state.request_rejected(now);
     }
 
-    /// Drops what was read.
+    /// Discards all bytes read, including a complete request.
     pub fn discard_input(&mut self) {
         self.input.discard();
     }
 
-    /// Why it ends, once its last response is composed.
+    /// Returns the cause for which the connection ends, or `None` before its last response is composed.
     pub fn end_cause(&self) -> Option<CloseCause> {
         self.end_cause
     }
 
-    /// Its next response is the last, for this cause.
+    /// Sets the cause for which the connection ends with its next response.
     pub fn set_end_cause(&mut self, cause: CloseCause) {
         self.end_cause = Some(cause);
     }
 
-    /// Why a timeout closes it.
+    /// Returns the cause to count when a timeout closes the connection.
     pub fn timeout_cause(&self, now: Millis, shutdown: Option<GracefulShutdown>) -> CloseCause {
-        let is_ending = shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
+        let is_shutdown = shutdown.is_some_and(|shutdown| !shutdown.admits_clients(now));
         match self.state.phase() {
             Phase::SendingResponse => CloseCause::UnreadResponse,
             Phase::Lingering => CloseCause::Finished,
-            _ if is_ending => CloseCause::Shutdown,
+            _ if is_shutdown => CloseCause::Shutdown,
             _ => CloseCause::Idle,
         }
     }
 
-    /// What the log tells of it at its close.
+    /// Returns the state of the connection at its close, for the log.
     pub fn describe(&self) -> AtClose {
-        let unread = self.socket.peek(&mut [0; UNREAD_LOOK_BYTES]);
+        let unread = self.socket.peek(&mut [0; UNREAD_PEEK_BYTES]);
         AtClose {
             phase: self.state.phase(),
             unparsed: self.input.unparsed(),
@@ -268,17 +271,21 @@
         }
     }
 
-    /// The next response is the last.
+    /// Makes the next response the last on the connection.
     pub fn close_after_response(&mut self) {
         self.close_after_response = true;
     }
 
-    /// Composes the response to its request. `is_ending`: the host's shutdown makes it the last on its connection.
-    pub fn compose_response(&mut self, response: Response, is_ending: bool, now: Millis) {
+    /// Composes the response to the current request. `is_last_by_shutdown`: the host's graceful shutdown makes it the
+    /// last on the connection.
+    pub fn compose_response(&mut self, response: Response, is_last_by_shutdown: bool, now: Millis) {
         self.close_after_response |=
-            is_ending || self.socket.is_disconnected() || self.input.closes_connection();
+            is_last_by_shutdown || self.socket.is_disconnected() || self.input.closes_connection();
         if self.close_after_response && self.end_cause.is_none() {
-            self.end_cause = Some(end_cause(is_ending, self.socket.is_disconnected()));
+            self.end_cause = Some(end_cause(
+                is_last_by_shutdown,
+                self.socket.is_disconnected(),
+            ));
         }
         response.write(&mut self.output, self.close_after_response);
         self.input.finish_request();
@@ -286,8 +293,8 @@
         self.state.enter_phase(Phase::SendingResponse, now);
     }
 
-    /// Writes as much as the socket takes. After the last byte of a response the connection is idle, or lingers before it
-    /// is closed.
+    /// Writes as many bytes as the socket accepts. After the last byte of a response the connection is idle, or lingers
+    /// before it is closed.
     pub fn flush(&mut self, now: Millis) -> FlushOutcome {
         let written = self.output.write_to(self.socket.stream_mut());
         if self.output.is_empty() {
@@ -310,15 +317,15 @@
         FlushOutcome::ResponseWritten
     }
 
-    /// Removes it from the poll, and closes it.
+    /// Removes the connection from the poll, and closes it.
     pub fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(self.socket.stream_mut());
     }
 }
 
-/// Why a connection ends with a response that is no error of its own.
-fn end_cause(is_ending: bool, is_disconnected: bool) -> CloseCause {
-    match (is_disconnected, is_ending) {
+/// Returns the cause for which a connection ends after a last response that is not an error response.
+fn end_cause(is_last_by_shutdown: bool, is_disconnected: bool) -> CloseCause {
+    match (is_disconnected, is_last_by_shutdown) {
         (true, _) => CloseCause::Disconnected,
         (false, true) => CloseCause::Shutdown,
         (false, false) => CloseCause::Finished,
--- a/crates/platform-host/src/clients/flush_outcome.rs
+++ b/crates/platform-host/src/clients/flush_outcome.rs
@@ -1,11 +1,11 @@
-//! How far the bytes for a client have got.
+//! Outcome of writing buffered bytes to a client.
 
-/// What has become of the bytes to be written.
+/// Outcome of writing buffered bytes to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlushOutcome {
-    /// Some wait for the socket, or they were no response.
+    /// Some bytes wait for the socket, or the bytes written were not a response.
     Pending,
-    /// The response is written: the connection may be read again.
+    /// The last byte of the response is written: the connection may be read again.
     ResponseWritten,
     /// The connection has failed.
     Closed,
--- a/crates/platform-host/src/clients/request_buffer/tests.rs
+++ b/crates/platform-host/src/clients/request_buffer/tests.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive piece by piece, one behind the other.
+//! Requests that arrive in pieces, and requests that follow one another on a connection.
 use super::*;
 
 const FIRST: &[u8] = b"PUT /a HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n\r\nhello";
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_request_is_complete_with_its_last_byte() {
+fn a_request_is_complete_only_with_its_last_byte() {
     let mut buffer = RequestBuffer::default();
     for byte in &FIRST[..FIRST.len() - 1] {
         buffer.append(&[*byte]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_next_request_stands_behind_one_that_is_finished() {
+fn the_next_request_is_kept_when_one_is_finished() {
     let mut buffer = RequestBuffer::default();
     buffer.append(&[FIRST, SECOND].concat());
     assert_eq!(buffer.parse(), Ok(true));
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn nothing_is_left_of_discarded_bytes() {
+fn discarding_empties_the_buffer_and_restores_its_capacity() {
     let mut buffer = RequestBuffer::default();
-    let room = buffer.room();
+    let capacity = buffer.remaining_capacity();
     buffer.append(FIRST);
     assert_eq!(buffer.parse(), Ok(true));
-    assert_eq!(buffer.room(), room - FIRST.len());
+    assert_eq!(buffer.remaining_capacity(), capacity - FIRST.len());
     buffer.discard();
     assert!(buffer.request().is_none() && buffer.is_empty());
-    assert_eq!(buffer.room(), room);
+    assert_eq!(buffer.remaining_capacity(), capacity);
 }
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Writes responses to clients.
+//! Composes responses to clients and writes them.
 use super::ClientConnections;
 use super::close_cause::CloseCause;
 use super::flush_outcome::FlushOutcome;
@@ -9,14 +9,14 @@
 use std::num::NonZeroU64;
 use std::ops::Range;
 
-/// Status of a request that took too long to arrive.
+/// HTTP status for a request that took too long to arrive.
 pub const REQUEST_TIMEOUT: u16 = 408;
-/// Status of a request whose id is in flight.
+/// HTTP status for a request whose id is already in flight.
 pub const CONFLICT: u16 = 409;
-/// Status of a good response.
+/// HTTP status of a successful response.
 pub const OK: u16 = 200;
 
-/// A body: copied, or moved with the buffer that contains it.
+/// Body of a response: copied, or moved with the buffer that contains it.
 enum Body<'b> {
     Copied(&'b [u8]),
     Buffer(Vec<u8>, Range<usize>),
@@ -42,12 +42,12 @@
 pub struct Response<'b> {
     status: u16,
     body: Body<'b>,
-    /// Retry-After in milliseconds; it is left out where it comes to none.
+    /// Value of Retry-After in milliseconds; `None` or 0 omits the header.
     retry_after_ms: Option<u64>,
 }
 
 impl<'b> Response<'b> {
-    /// A response whose body is copied.
+    /// Creates a response whose body is copied when it is written.
     pub fn new(status: u16, body: &'b [u8]) -> Self {
         Response {
             status,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// A response without a body.
+    /// Creates a response with an empty body.
     pub fn empty(status: u16) -> Self {
         Response::new(status, b"")
     }
 
-    /// A good response whose body is moved with its buffer.
+    /// Creates a successful response whose body is moved with the buffer that contains it.
     pub fn from_buffer(buffer: Vec<u8>, body: Range<usize>) -> Self {
         Response {
             status: OK,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sets Retry-After, in milliseconds.
+    /// Sets the value of Retry-After, in milliseconds.
     pub fn with_retry_after(self, retry_after_ms: Option<u64>) -> Self {
         Response {
             retry_after_ms,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Writes the response. `close`: it is the last on its connection.
+    /// Writes the response to `output`. `close`: the response is the last on its connection.
     pub fn write(self, output: &mut OutgoingMessage, close: bool) {
         response::write_head(
             &mut output.head,
@@ -91,19 +91,19 @@
     }
 }
 
-/// The last response on a connection whose message is not accepted.
+/// Error response to a message that is not accepted, after which the connection is closed.
 pub struct ErrorResponse {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// The body.
+    /// Body of the response.
     pub text: &'static str,
-    /// Why the connection ends.
+    /// Cause for which the connection ends.
     pub cause: CloseCause,
 }
 
-/// The status for a message that cannot be parsed.
-pub fn fault_status(fault: ParseError) -> u16 {
-    match fault {
+/// Returns the HTTP status for a message that cannot be parsed.
+pub fn parse_error_status(error: ParseError) -> u16 {
+    match error {
         ParseError::Malformed | ParseError::AmbiguousFraming => 400,
         ParseError::HeadTooLarge => 431,
         ParseError::BodyTooLarge => 413,
@@ -113,20 +113,20 @@
 }
 
 impl ClientConnections {
-    /// Responds to the request of a connection.
+    /// Sends the response to the current request of a connection.
     pub fn respond(&mut self, slot: u32, response: Response, now: Millis) {
         let shutdown = self.shutdown;
-        let is_ending = shutdown.is_some_and(|shutdown| shutdown.ends_connections(now));
+        let is_last_by_shutdown = shutdown.is_some_and(|shutdown| shutdown.ends_connections(now));
         let Some(client) = self.connections.get_mut(slot) else {
             return;
         };
         let before = client.bytes();
-        client.compose_response(response, is_ending, now);
+        client.compose_response(response, is_last_by_shutdown, now);
         self.memory.resize(before, client.bytes());
         self.flush(slot, now);
     }
 
-    /// Responds and closes the connection.
+    /// Sends the response to the current request, and closes the connection after it.
     pub fn respond_and_close(&mut self, slot: u32, response: Response, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
             client.close_after_response();
@@ -134,7 +134,8 @@
         self.respond(slot, response, now);
     }
 
-    /// Responds to a message that cannot be parsed or is not accepted, and closes the connection.
+    /// Sends an error response to a message that cannot be parsed or is not accepted, and closes the connection after
+    /// it.
     pub(super) fn respond_with_error(&mut self, slot: u32, error: &ErrorResponse, now: Millis) {
         if let Some(client) = self.connections.get_mut(slot) {
             let before = client.bytes();
@@ -146,7 +147,8 @@
         self.respond_and_close(slot, response, now);
     }
 
-    /// Writes what waits to be written. After the last byte of a response the connection is read again.
+    /// Writes the bytes that wait to be written. After the last byte of a response the connection is queued to be read
+    /// again.
     pub(super) fn flush(&mut self, slot: u32, now: Millis) {
         let Some(client) = self.connections.get_mut(slot) else {
             return;
--- a/crates/platform-host/src/clients/socket.rs
+++ b/crates/platform-host/src/clients/socket.rs
@@ -1,23 +1,23 @@
-//! The socket of a client's connection, and what the poll and reads have told of it.
+//! Socket of a client's connection, and its state as reported by the poll and by reads.
 use super::SocketEvent;
 use mallowseam_sockets::nonblocking::{self, ReadOutcome};
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind};
 use std::net::Shutdown;
 
-/// A client's socket.
+/// Socket of a client's connection.
 pub struct ClientSocket {
     stream: TcpStream,
-    /// The poll has reported it at least once.
+    /// The poll has reported the socket at least once.
     is_polled: bool,
-    /// It may have more to read.
+    /// The socket may have bytes to read.
     is_readable: bool,
-    /// The client has closed its side.
+    /// The client is known to have closed its side.
     is_disconnected: bool,
 }
 
 impl ClientSocket {
-    /// The socket of a connection that was just accepted.
+    /// Creates the state for the socket of a connection that was just accepted.
     pub fn new(stream: TcpStream) -> Self {
         ClientSocket {
             stream,
@@ -27,30 +27,30 @@
         }
     }
 
-    /// The stream, for the poll and for writes.
+    /// Returns the stream, to register it with the poll and to write to it.
     pub fn stream_mut(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// The poll has reported it.
+    /// Records an event that the poll has reported for the socket.
     pub fn on_event(&mut self, event: SocketEvent) {
         self.is_polled = true;
         self.is_readable |= event != SocketEvent::Writable;
         self.is_disconnected |= event == SocketEvent::Disconnected;
     }
 
-    /// Whether it may have more to read.
+    /// Returns whether the socket may have bytes to read.
     pub fn is_readable(&self) -> bool {
         self.is_readable
     }
 
-    /// Whether the client is known to have closed its side.
+    /// Returns whether the client is known to have closed its side.
     pub fn is_disconnected(&self) -> bool {
         self.is_disconnected
     }
 
-    /// Whether the client has closed its side; looks at the socket if the poll has not reported it yet, or the last poll
-    /// is too old to rely on.
+    /// Returns whether the client has closed its side. Peeks at the socket if the poll has not reported it yet, or if
+    /// the last poll is too old to rely on.
     pub fn check_disconnected(&mut self, is_poll_stale: bool) -> bool {
         if !self.is_disconnected && (is_poll_stale || !self.is_polled) {
             self.is_disconnected = self.has_ended();
@@ -58,8 +58,8 @@
         self.is_disconnected
     }
 
-    /// Whether the stream has ended, without waiting for the poll; a look at the socket shows that once all bytes before
-    /// the end were read.
+    /// Peeks at the socket and returns whether the stream has ended. The end shows only once all bytes before it were
+    /// read.
     fn has_ended(&self) -> bool {
         match self.peek(&mut [0]) {
             Ok(count) => count == 0,
@@ -67,18 +67,18 @@
         }
     }
 
-    /// Whether there are bytes to read, without waiting for the poll.
+    /// Peeks at the socket, without waiting for the poll, and returns whether it may have bytes to read.
     pub fn check_readable(&mut self) -> bool {
         self.is_readable |= matches!(self.peek(&mut [0]), Ok(count) if count > 0);
         self.is_readable
     }
 
-    /// Copies bytes that have arrived, and leaves them in the socket.
+    /// Copies received bytes to `buffer`, and leaves them in the socket.
     pub fn peek(&self, buffer: &mut [u8]) -> io::Result<usize> {
         self.stream.peek(buffer)
     }
 
-    /// Reads once.
+    /// Reads once from the socket.
     pub fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
         let outcome = nonblocking::read(&mut self.stream, buffer);
         if matches!(outcome, ReadOutcome::WouldBlock) {
@@ -87,8 +87,8 @@
         outcome
     }
 
-    /// A read has returned fewer bytes than it asked for, which has emptied the socket: the poll reports what arrives
-    /// later. But the end of the stream is reported only once.
+    /// Records that a read returned fewer bytes than requested, which has emptied the socket. The poll reports bytes
+    /// that arrive later, but it reports the end of the stream only once: a disconnected socket stays readable.
     pub fn on_short_read(&mut self) {
         self.is_readable = self.is_disconnected;
     }
@@ -96,7 +96,7 @@
     /// Closes the host's sending side.
     ///
     /// # Errors
-    /// The connection has failed.
+    /// Returns an error if the connection has failed.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
--- a/crates/platform-host/src/dispatcher.rs
+++ b/crates/platform-host/src/dispatcher.rs
@@ -1,11 +1,12 @@
-//! The block I/Os in flight: carries out the scheduler's decisions and reports their results to it.
+//! Dispatcher of the block I/Os in flight: carries out the scheduler's decisions and reports their results to it.
 //!
-//! - `scheduler_host`: what the scheduler acts on, and the calls that it makes on its host.
-//! - `admission`: client requests become block I/Os.
-//! - `attempts`: attempts at nodes, from the scheduler's decision to their report.
-//! - `final_responses`: the one final response of each block I/O.
-//! - `endpoints`: updates of the endpoint list.
-//! - `block_io`, `event_times`, `counters`: a block I/O, the times of an event, the counters for the status log.
+//! - `scheduler_host`: state that the scheduler acts on, and the calls that it makes on its host.
+//! - `admission`: turns client requests into block I/Os.
+//! - `attempts`: attempts at nodes, from the scheduler's decision to the report of their completion.
+//! - `final_responses`: sends the one final response of each block I/O.
+//! - `endpoints`: applies updates of the endpoint list.
+//! - `block_io`, `event_times`, `counters`: a block I/O, the times of the current event, the counters for the status
+//!   log.
 mod admission;
 mod attempts;
 mod block_io;
@@ -30,17 +31,17 @@
 #[cfg(test)]
 mod tests;
 
-/// The scheduler, with the host that carries out what it decides. Each method handles one kind of event.
+/// The scheduler, with the host that carries out its decisions. Each method handles one kind of event.
 pub struct Dispatcher {
     clock: Clock,
     scheduler: Scheduler,
     host: SchedulerHost,
-    /// Reused from one update of the endpoint list to the next.
+    /// Buffer for the nodes of an endpoint list update, reused from one update to the next.
     endpoints: Vec<NodeEndpoint>,
 }
 
 impl Dispatcher {
-    /// A dispatcher for a scheduler and its host, both of which are new.
+    /// Creates a dispatcher for a new scheduler and its new host.
     pub fn new(clock: Clock, scheduler: Scheduler, host: SchedulerHost) -> Self {
         Dispatcher {
             clock,
@@ -50,92 +51,92 @@
         }
     }
 
-    /// The time on the host's clock, which is later than that of the current event.
+    /// Returns the time on the host's clock, which is not earlier than the time of the current event.
     pub fn clock_time(&self) -> Tick {
         self.clock.now()
     }
 
-    /// A poll that began at this time has returned.
+    /// Records that a poll that began at the time `began` has returned.
     pub fn on_poll_returned(&mut self, began: Tick) {
         self.host.times.poll_returned(began, self.clock.now());
     }
 
-    /// The events of the poll that has just returned are handled from now on.
+    /// Begins handling the events of the poll that has just returned.
     pub fn begin_iteration(&mut self) {
         self.host.times.begin_iteration(self.clock.now());
     }
 
-    /// Reads the clock for the next event.
+    /// Sets the time of the current event to the clock's time, for the next event.
     pub fn update_now(&mut self) {
         self.host.times.advance(self.clock.now());
     }
 
-    /// The time of the current event.
+    /// Returns the time of the current event.
     pub fn now(&self) -> Tick {
         self.host.times.now()
     }
 
-    /// The time of the current event in milliseconds.
+    /// Returns the time of the current event, in milliseconds.
     pub fn now_ms(&self) -> Millis {
         self.host.times.now_ms()
     }
 
-    /// Connections of clients.
+    /// Returns the connections of clients.
     pub fn clients(&self) -> &ClientConnections {
         &self.host.clients
     }
 
-    /// Connections of clients.
+    /// Returns the connections of clients, to be changed.
     pub fn clients_mut(&mut self) -> &mut ClientConnections {
         &mut self.host.clients
     }
 
-    /// Connections to nodes.
+    /// Returns the connections to nodes.
     pub fn nodes(&self) -> &NodeConnections {
         &self.host.nodes
     }
 
-    /// Connections to nodes.
+    /// Returns the connections to nodes, to be changed.
     pub fn nodes_mut(&mut self) -> &mut NodeConnections {
         &mut self.host.nodes
     }
 
-    /// The current settings.
+    /// Returns the current settings, with the plans' figures of the last reload.
     pub fn settings(&self) -> &PlatformSettings {
         &self.host.settings
     }
 
-    /// The scheduler's estimates of a node, for the status log.
+    /// Returns the scheduler's estimates of a node, for the status log.
     pub fn node_status(&self, node: NodeId) -> Option<NodeStatus> {
         self.scheduler.node_status(self.now(), node)
     }
 
-    /// Number of block I/Os in flight.
+    /// Returns the number of block I/Os in flight.
     pub fn in_flight(&self) -> usize {
         self.host.driver.in_flight().len()
     }
 
-    /// The counters for the status log.
+    /// Returns the counters of block I/Os for the status log.
     pub fn counters(&self) -> IoCounters {
         self.host.counters
     }
 
-    /// Number of interned nodes, volumes, keys and request ids.
+    /// Returns the numbers of interned nodes, volumes, keys and request ids, in this order.
     pub fn interned(&self) -> [usize; 4] {
         self.host.names.counts()
     }
 
-    /// When the scheduler's timer is due.
+    /// Returns the time at which the scheduler's timer is due, or `None` if it is not set.
     pub fn timer_due(&self) -> Option<Tick> {
         self.host.driver.timer_due()
     }
 
-    /// Whether the scheduler has asked for a watch since the last call.
+    /// Returns whether the scheduler has requested a watch on the endpoint list since the last call.
     pub fn take_watch_request(&mut self) -> bool {
         self.host.driver.take_endpoints_request()
     }
 
-    /// Runs the scheduler for the first time. From then on it sets its timers itself, and requests the endpoint list.
+    /// Runs the scheduler for the first time. From then on it sets its own timers, and requests the endpoint list.
     pub fn start(&mut self) {
         self.host.set_timer(0);
         self.fire_timer();
@@ -147,7 +148,7 @@
         self.host.report_all(&mut self.scheduler);
     }
 
-    /// Plans have these figures from now on.
+    /// Replaces the figures of all plans, in the scheduler and in the settings.
     pub fn change_plans(&mut self, plans: &[Plan]) {
         self.scheduler.on_plans_changed(self.now(), plans, &[]);
         let current = &mut self.host.settings.scheduler.plans;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The client of a block I/O in flight has disconnected.
+    /// Withdraws a block I/O in flight whose client has disconnected.
     fn on_disconnected(&mut self, io: BioId) {
         let Some(client) = self.host.take_client(io) else {
             return;
@@ -175,7 +176,7 @@
         self.host.report_all(&mut self.scheduler);
     }
 
-    /// Reads a client, and handles its request if that is complete. `is_ready`: an endpoint list is known.
+    /// Reads a client, and handles its request if it is complete. `is_ready`: an endpoint is known.
     pub fn read_client(&mut self, slot: u32, scratch: &mut [u8], is_ready: bool) {
         let now = self.now_ms();
         if self.host.clients.read(slot, scratch, now) == RequestStatus::Complete {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Handles a complete request.
+    /// Handles the complete request of a client.
     fn on_request(&mut self, slot: u32, is_ready: bool) {
         let Some(io) = self.host.admit_request(slot, is_ready) else {
             return;
@@ -193,7 +194,8 @@
         self.host.report_all(&mut self.scheduler);
     }
 
-    /// Handles an event on a connection to a node. `is_closed`: the node has closed its side.
+    /// Handles an event on a connection to a node. `is_closed`: the node has closed its side, or the connection has
+    /// failed.
     pub fn on_node_event(&mut self, slot: u32, is_closed: bool, scratch: &mut [u8]) {
         match self.host.on_node_event(slot, is_closed, scratch) {
             None => {}
@@ -203,7 +205,7 @@
         self.host.report_all(&mut self.scheduler);
     }
 
-    /// Completes the attempts that have expired.
+    /// Completes the attempts that have expired, and reports them to the scheduler.
     pub fn expire_attempts(&mut self) {
         let now = self.now();
         while let Some(completion) = self.host.nodes.expire_attempt(now) {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Applies the timeouts of the connections of clients, and of idle ones to nodes.
+    /// Applies the timeouts of client connections, and of idle connections to nodes.
     pub fn check_connections(&mut self) {
         let now_ms = self.now_ms();
         let now = self.now();
@@ -220,7 +222,7 @@
         self.host.nodes.close_expired_idle(now);
     }
 
-    /// Sends the final responses of all block I/Os in flight: the host is about to be killed.
+    /// Sends the final responses of all block I/Os in flight, before the host is killed.
     pub fn respond_to_all(&mut self) {
         for io in self.host.driver.in_flight().ids() {
             if self.host.respond_early(io) {
--- a/crates/platform-host/src/dispatcher/admission.rs
+++ b/crates/platform-host/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! From a client's complete request to a block I/O.
+//! Admission of block I/Os: parses complete requests of clients and registers their block I/Os.
 use super::block_io::{BlockIo, ClientSlot};
 use super::scheduler_host::SchedulerHost;
 use crate::clients::{CONFLICT, OK, Response};
@@ -8,8 +8,8 @@
 use mallowseam_scheduler::interface::Bio;
 
 impl SchedulerHost {
-    /// The block I/O of a complete request, for the scheduler; none: the request has had its response. `is_ready`: an
-    /// endpoint list is known.
+    /// Returns the block I/O of a complete request, for the scheduler, or `None` if the request was already answered.
+    /// `is_ready`: an endpoint is known.
     pub(super) fn admit_request(&mut self, slot: ClientSlot, is_ready: bool) -> Option<Bio> {
         let now = self.times.now_ms();
         let (head, body) = self.clients.request(slot)?;
@@ -25,7 +25,7 @@
                 return None;
             }
         };
-        // Nothing is started for a client that has disconnected.
+        // No block I/O is started for a client that has disconnected.
         let is_poll_stale = self.times.is_poll_stale();
         if self.clients.is_disconnected(slot, is_poll_stale) {
             let response = Response::empty(response::SHED_STATUS);
@@ -35,7 +35,7 @@
         self.admit(slot, &block)
     }
 
-    /// Responds to a readiness check, and closes its connection: it carries no block I/Os.
+    /// Responds to a readiness check, and closes its connection, since such connections carry no block I/Os.
     fn respond_readiness(&mut self, slot: ClientSlot, is_ready: bool) {
         self.counters.readiness_checks += 1;
         let response = if is_ready {
@@ -47,7 +47,8 @@
         self.clients.respond_and_close(slot, response, now);
     }
 
-    /// The block I/O of a valid request, if there is room for it.
+    /// Registers the block I/O of a valid request and returns it, or rejects the request if its names cannot be
+    /// interned.
     fn admit(&mut self, slot: ClientSlot, block: &BlockRequest) -> Option<Bio> {
         let now = self.times.now_ms();
         let id = self.driver.in_flight().next_id();
@@ -73,7 +74,7 @@
     }
 }
 
-/// Status and text for a request whose names cannot be interned.
+/// Returns the HTTP status and body for a request whose names cannot be interned.
 fn intern_rejection(error: InternError) -> (u16, &'static str) {
     match error {
         InternError::DuplicateRequestId => (CONFLICT, "this id is in hand"),
--- a/crates/platform-host/src/dispatcher/attempts.rs
+++ b/crates/platform-host/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at nodes: from the scheduler's decision to the report of their completion.
+//! Attempts at nodes, from the scheduler's decision to the report of their completion.
 use super::block_io::waiting_client;
 use super::scheduler_host::SchedulerHost;
 use crate::nodes::{Completion, ForwardedRequest, NodeEvent};
@@ -7,7 +7,7 @@
 use mallowseam_sockets::clock::ticks_from_millis;
 
 impl SchedulerHost {
-    /// Sends a block I/O to a node, or returns the reason why nothing was sent.
+    /// Starts an attempt of a block I/O at a node, or returns the result of an attempt that was not sent.
     pub(super) fn start_attempt(
         &mut self,
         io: BioId,
@@ -16,15 +16,15 @@
     ) -> Result<(), AttemptResult> {
         let now = self.times.now();
         let timeout = self.limit_timeout(timeout);
-        self.check_client(io);
+        self.respond_if_disconnected(io);
         let max_attempts = self.settings.scheduler.max_attempts;
         let Some(entry) = self.driver.in_flight_mut().get_mut(io) else {
             return Ok(());
         };
         let attempts = entry.count_attempt();
-        let is_over = entry.data.deadline <= now || timeout <= 0;
-        let is_one_too_many = max_attempts > 0 && attempts > max_attempts;
-        let client = waiting_client(entry).filter(|_| !is_over && !is_one_too_many);
+        let is_expired = entry.data.deadline <= now || timeout <= 0;
+        let exceeds_max_attempts = max_attempts > 0 && attempts > max_attempts;
+        let client = waiting_client(entry).filter(|_| !is_expired && !exceeds_max_attempts);
         let (head, body) = client
             .and_then(|slot| self.clients.request(slot))
             .ok_or(AttemptResult::NotSent)?;
@@ -37,8 +37,8 @@
         Ok(())
     }
 
-    /// The timeout of an attempt. During a shutdown all responses are due before the host is killed, so attempts expire
-    /// by then.
+    /// Returns the timeout of an attempt, limited during a shutdown: all responses are due before the host is killed,
+    /// so attempts expire by then.
     fn limit_timeout(&self, timeout: Tick) -> Tick {
         let shutdown = self.clients.shutdown();
         match shutdown.and_then(|shutdown| shutdown.answer_deadline()) {
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Checks whether the client has disconnected, if the last poll is too old to rely on.
-    fn check_client(&mut self, io: BioId) {
+    /// Checks the client's socket if the last poll is too old to rely on, and sends the final response if the client
+    /// has disconnected.
+    fn respond_if_disconnected(&mut self, io: BioId) {
         if !self.times.is_poll_stale() {
             return;
         }
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Withdraws an attempt whose request is not completely written. The settings may forbid to cancel attempts, but
-    /// this one was never executed.
+    /// Withdraws the attempt of a block I/O if its request is not completely written. This is allowed even if the
+    /// settings forbid cancelling attempts, because the node cannot have executed it.
     pub(super) fn withdraw_unsent(&mut self, io: BioId) {
         let entry = self.driver.in_flight().get(io);
         let attempt = entry.and_then(|entry| entry.attempt().copied());
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Handles an event on a connection to a node; none: its attempt is not completed yet.
+    /// Handles an event on a connection to a node. Returns `None` while its attempt is not completed.
     pub(super) fn on_node_event(
         &mut self,
         slot: u32,
@@ -85,7 +86,7 @@
             .on_event(slot, is_closed, scratch, now, arrived_at)
     }
 
-    /// Queues a completed attempt for the scheduler.
+    /// Queues a completed attempt to be reported to the scheduler.
     pub(super) fn queue_completion(&mut self, completion: &Completion) {
         let received_at = completion.received_at.unwrap_or(self.times.now());
         let mut finished = FinishedAttempt::new(
--- a/crates/platform-host/src/dispatcher/endpoints.rs
+++ b/crates/platform-host/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list.
+//! Applies updates of the endpoint list to the connections and the scheduler.
 use super::Dispatcher;
 use super::scheduler_host::SchedulerHost;
 use mallowseam_platform::endpoints::{Health, WatchEvent};
@@ -6,7 +6,7 @@
 use mallowseam_scheduler_driver::DrivenHost;
 
 impl Dispatcher {
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list, and reports it to the scheduler.
     pub fn on_endpoints(&mut self, event: EndpointEvent, update: &WatchEvent) {
         let mut endpoints = std::mem::take(&mut self.endpoints);
         self.host.update_endpoints(update, &mut endpoints);
@@ -19,14 +19,14 @@
         self.host.report_all(&mut self.scheduler);
     }
 
-    /// The watch has failed, or is silent, as `event` says.
+    /// Reports to the scheduler that the watch has failed or is silent, as `event` says.
     pub fn on_watch_lost(&mut self, event: EndpointEvent) {
         let now = self.now();
         self.scheduler.on_endpoints(&mut self.host, now, event, &[]);
         self.host.report_all(&mut self.scheduler);
     }
 
-    /// A reloaded configuration has another discovery service.
+    /// Reports to the scheduler that a reloaded configuration has another discovery service.
     pub fn on_discovery_moved(&mut self) {
         let now = self.now();
         self.scheduler.on_discovery_moved(&mut self.host, now);
@@ -35,7 +35,7 @@
 }
 
 impl SchedulerHost {
-    /// Passes an update on to the connections, and returns it as the scheduler's nodes in `endpoints`.
+    /// Applies an update to the connections, and writes its nodes in the scheduler's form to `endpoints`.
     fn update_endpoints(&mut self, update: &WatchEvent, endpoints: &mut Vec<NodeEndpoint>) {
         self.names
             .intern_endpoints(update, &self.settings, endpoints);
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Withdraws the attempts that still wait for a connection to a node that begins to drain or is removed.
-    /// `is_snapshot`: nodes that are missing were removed.
+    /// Withdraws the attempts that still wait for a connection to a node that is draining or removed. `is_snapshot`:
+    /// nodes missing from `endpoints` were removed.
     fn withdraw_unconnected(&mut self, endpoints: &[NodeEndpoint], is_snapshot: bool) {
         let known: Vec<NodeId> = self.nodes.ids().collect();
         for node in known {
--- a/crates/platform-host/src/dispatcher/event_times.rs
+++ b/crates/platform-host/src/dispatcher/event_times.rs
@@ -1,11 +1,11 @@
-//! The times by which an event is judged.
+//! Times of the current event and of the poll that reported it.
 use mallowseam_connection_policy::Millis;
 use mallowseam_connection_policy::client_connection;
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock::ticks_to_millis;
 
-/// The times of the current event and of its poll.
+/// Times of the current event and of the last poll, in ticks.
 pub struct EventTimes {
     now: Tick,
     polled_at: Tick,
@@ -14,7 +14,7 @@
 }
 
 impl EventTimes {
-    /// Times of a loop that begins at `now`.
+    /// Creates the times of an event loop that begins at `now`.
     pub fn new(now: Tick) -> Self {
         EventTimes {
             now,
@@ -24,38 +24,39 @@
         }
     }
 
-    /// A poll that began at one time has returned events at another.
+    /// Estimates when the events of a poll arrived that began at `began` and returned at `returned`.
     pub fn poll_returned(&mut self, began: Tick, returned: Tick) {
         self.events_arrived_at = self.arrivals.estimate(began, returned);
     }
 
-    /// The events of the poll that has just returned are handled from now on.
+    /// Begins handling the events of the poll that has just returned; `now` counts as the time of that poll.
     pub fn begin_iteration(&mut self, now: Tick) {
         self.now = now;
         self.polled_at = now;
     }
 
-    /// The next event is handled from now on.
+    /// Sets the time of the current event.
     pub fn advance(&mut self, now: Tick) {
         self.now = now;
     }
 
-    /// The time of the current event.
+    /// Returns the time of the current event.
     pub fn now(&self) -> Tick {
         self.now
     }
 
-    /// The time of the current event in milliseconds.
+    /// Returns the time of the current event, in milliseconds.
     pub fn now_ms(&self) -> Millis {
         ticks_to_millis(self.now)
     }
 
-    /// When the events of this iteration arrived at their sockets.
+    /// Returns the estimated time at which the events of this iteration arrived at their sockets.
     pub fn events_arrived_at(&self) -> Tick {
         self.events_arrived_at
     }
 
-    /// Whether the last poll is so old that a client's socket is checked before anything is started for it.
+    /// Returns whether the last poll is so old that a client's socket has to be checked before a block I/O or attempt
+    /// is started for it.
     pub fn is_poll_stale(&self) -> bool {
         client_connection::poll_result_is_stale(ticks_to_millis(self.now - self.polled_at))
     }
--- a/crates/platform-host/src/dispatcher/final_responses.rs
+++ b/crates/platform-host/src/dispatcher/final_responses.rs
@@ -1,4 +1,4 @@
-//! The one final response of each block I/O.
+//! Sends the one final response of each block I/O.
 use super::block_io::ClientSlot;
 use super::scheduler_host::SchedulerHost;
 use crate::clients::{OK, Response};
@@ -9,14 +9,14 @@
 use mallowseam_sockets::clock::ticks_to_millis;
 
 impl SchedulerHost {
-    /// The client of a block I/O, if it waits for the final response. From now on it counts as answered: the caller
-    /// sends the response.
+    /// Returns the client of a block I/O if it waits for the final response, and marks the block I/O as answered. The
+    /// caller has to send the response.
     pub(super) fn take_client(&mut self, io: BioId) -> Option<ClientSlot> {
         let entry = self.driver.in_flight_mut().get_mut(io)?;
         entry.answer().then_some(entry.data.client)
     }
 
-    /// Sends the final response of a block I/O, if its client still waits; returns whether it does.
+    /// Sends the final response of a block I/O if its client still waits for it, and returns whether it did.
     fn respond_final(&mut self, io: BioId, response: Response) -> bool {
         let client = self.take_client(io);
         if let Some(slot) = client {
@@ -25,35 +25,37 @@
         client.is_some()
     }
 
-    /// Sheds a block I/O; its response may name the time after which to retry.
+    /// Sheds a block I/O: it was not executed, and the client may retry it. `retry_after`: ticks after which the client
+    /// may retry; the response states it, if there is one.
     pub(super) fn respond_shed(&mut self, io: BioId, retry_after: Option<Tick>) {
         let response = Response::empty(response::SHED_STATUS)
             .with_retry_after(retry_after.map(ticks_to_millis));
         self.counters.shed += u64::from(self.respond_final(io, response));
     }
 
-    /// Fails a block I/O.
+    /// Fails a block I/O: it may have been executed.
     pub(super) fn respond_failed(&mut self, io: BioId) {
         let response = Response::empty(response::FAILED_STATUS);
         self.counters.failed += u64::from(self.respond_final(io, response));
     }
 
-    /// Responds to a client that may have closed only its sending side.
+    /// Responds to a client that has disconnected, since it may have closed only its sending side.
     pub(super) fn respond_disconnected(&mut self, slot: ClientSlot) {
         self.counters.disconnected += 1;
         let response = Response::empty(response::FAILED_STATUS);
         self.clients.respond(slot, response, self.times.now_ms());
     }
 
-    /// Sends the final response of a block I/O ahead of its outcome, if its client still waits; returns whether it does.
+    /// Sends the final response of a block I/O before its outcome is known, if its client still waits for it. Returns
+    /// whether it did.
     pub(super) fn respond_early(&mut self, io: BioId) -> bool {
         let entry = self.driver.in_flight().get(io);
         let Some(entry) = entry.filter(|entry| !entry.is_answered()) else {
             return false;
         };
-        let is_harmless = GracefulShutdown::is_safe_to_retry(entry.attempts());
+        let may_be_retried = GracefulShutdown::is_safe_to_retry(entry.attempts());
         self.withdraw_unsent(io);
-        if is_harmless {
+        if may_be_retried {
             self.respond_shed(io, None);
         } else {
             self.respond_failed(io);
@@ -61,7 +63,7 @@
         true
     }
 
-    /// Forwards a node's good response to the client, and completes its attempt.
+    /// Forwards a node's successful response to the client, and completes its attempt.
     pub(super) fn forward_response(&mut self, success: &Success) {
         if let Some(slot) = self.take_client(success.completion.io) {
             self.forward_to(slot, success);
@@ -72,7 +74,7 @@
 
     fn forward_to(&mut self, slot: ClientSlot, success: &Success) {
         let now = self.times.now_ms();
-        // Clients that do not read their responses may have used up the memory limit.
+        // Clients that do not read their responses may have exhausted the memory limit.
         if !self.clients.has_capacity(self.nodes.body(success).len()) {
             self.counters.failed += 1;
             let response = Response::empty(response::FAILED_STATUS);
--- a/crates/platform-host/src/dispatcher/scheduler_host.rs
+++ b/crates/platform-host/src/dispatcher/scheduler_host.rs
@@ -1,4 +1,4 @@
-//! What the scheduler acts on, and the calls that it makes on its host.
+//! State that the scheduler acts on, and the calls that it makes on its host.
 use super::block_io::{BlockIo, NodeSlot};
 use super::counters::IoCounters;
 use super::event_times::EventTimes;
@@ -9,7 +9,7 @@
 use mallowseam_scheduler::interface::{BioId, Host, KeyId, NodeId, Tick, VolumeId};
 use mallowseam_scheduler_driver::{DrivenHost, SchedulerDriver};
 
-/// The block I/Os in flight, with the connections that carry them.
+/// Block I/Os in flight, with the connections that carry them.
 pub struct SchedulerHost {
     pub(super) times: EventTimes,
     pub(super) settings: PlatformSettings,
@@ -21,7 +21,7 @@
 }
 
 impl SchedulerHost {
-    /// A host with nothing in flight.
+    /// Creates a host with no block I/Os in flight.
     pub fn new(
         now: Tick,
         settings: PlatformSettings,
@@ -62,7 +62,7 @@
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
-        // An attempt that is not in flight has completed, and its completion is queued.
+        // An attempt that is no longer in flight has completed, and its completion is already queued.
         let io = self.driver.in_flight().get(bio);
         let slot = io.and_then(|io| io.attempt_numbered(attempt).copied());
         if let Some(completion) = slot.and_then(|slot| self.nodes.cancel(slot, bio)) {
@@ -82,7 +82,7 @@
         self.driver.set_timer(self.times.now(), after);
     }
 
-    /// A new watch begins with the list, in full where that is needed.
+    /// Requests a new watch, which begins with the changes that were missed, or with a full snapshot if necessary.
     fn poll_endpoints(&mut self) {
         self.driver.request_endpoints();
     }
--- a/crates/platform-host/src/dispatcher/tests.rs
+++ b/crates/platform-host/src/dispatcher/tests.rs
@@ -1,4 +1,6 @@
-//! Clients that disconnect while the poll's last report is old. The test itself decides when the poll reports something.
+//! Clients that disconnect before the poll has reported it. A busy event loop polls rarely: if it relied on an old poll
+//! result, it would start block I/Os and attempts for clients that are gone. The tests decide when the poll reports
+//! an event, and how old its last result is.
 use super::*;
 use mallowseam_connection_policy::keep_alive::KeepAlivePolicy;
 use mallowseam_scheduler::interface::EndpointEvent;
@@ -17,8 +19,9 @@
              "idle_close_us": 30000000, "connect_timeout_us": 250000},
   "rules": {"drain_grace_us": 250000, "ask_within_us": 10000000}}"#;
 
-/// Ticks after which the poll's report is stale, and before which it is not.
+/// Age of a poll result, in ticks, at which it is stale.
 const STALE: Tick = 400;
+/// Age of a poll result, in ticks, at which it is still fresh.
 const FRESH: Tick = 200;
 
 struct Fixture {
@@ -29,10 +32,14 @@
 }
 
 impl Fixture {
-    /// A host that knows one node, which may get attempts some time within the next 0.3 s.
+    /// Creates a host that knows one new node, which receives its first attempts within the next 0.3 s.
     fn new(now: Tick) -> Self {
-        let poll = Poll::new().expect("a poll");
-        let registry = || poll.registry().try_clone().expect("a poll");
+        let poll = Poll::new().expect("cannot create a poll");
+        let registry = || {
+            poll.registry()
+                .try_clone()
+                .expect("cannot clone the registry")
+        };
         let settings = mallowseam_platform::settings::parse(SETTINGS).expect("valid settings");
         let (node, listener) = (listen(), listen());
         let clients = ClientConnections::new(registry(), 64, 1 << 20);
@@ -45,7 +52,8 @@
         let list = format!(
             r#"{{"seq":1,"whole":true,"hosts":[{{"host":"s","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}]}}"#
         );
-        let update = mallowseam_platform::endpoints::parse(list.as_bytes()).expect("a valid list");
+        let update =
+            mallowseam_platform::endpoints::parse(list.as_bytes()).expect("invalid endpoint list");
         dispatcher.on_endpoints(EndpointEvent::FullSnapshot, &update);
         Fixture {
             _poll: poll,
@@ -55,20 +63,23 @@
         }
     }
 
-    /// A client's connection with a complete request on it, and its slot. `is_polled`: the poll has reported it.
+    /// Connects a client that sends a complete request. Returns its connection and its slot. `is_polled`: the poll has
+    /// reported the connection as readable.
     fn connect_and_request(&mut self, is_polled: bool) -> (std::net::TcpStream, u32) {
         let address = self.listener.local_addr().expect("bound");
         let mut client = std::net::TcpStream::connect(address).expect("it listens");
-        let (socket, _) = self.listener.accept().expect("a client");
+        let (socket, _) = self.listener.accept().expect("cannot accept the client");
         let text = "GET /look/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: a1\r\n\
              X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 8000\r\n\
              X-Placement: units=1,shard=0,hosts=1\r\n\r\n";
         client.write_all(text.as_bytes()).expect("open");
         wait_until(
-            "its request arrives",
+            "the request arrives at the host's socket",
             || matches!(socket.peek(&mut [0; 1_024]), Ok(count) if count == text.len()),
         );
-        socket.set_nonblocking(true).expect("a socket");
+        socket
+            .set_nonblocking(true)
+            .expect("cannot make the socket non-blocking");
         let now = self.dispatcher.now_ms();
         self.dispatcher
             .clients_mut()
@@ -85,7 +96,7 @@
         (client, slot)
     }
 
-    /// Reads the request, and handles it.
+    /// Reads the complete request of a client, and handles it.
     fn handle_request(&mut self, slot: u32) {
         let now = self.dispatcher.now_ms();
         let read = self
@@ -96,42 +107,44 @@
         self.dispatcher.on_request(slot, true);
     }
 
-    /// Time passes, until so long after the poll.
+    /// Advances the time by `by`, to `since_poll` ticks after the last poll, and fires the scheduler's timer.
     fn advance(&mut self, by: Tick, since_poll: Tick) {
         self.set_time(self.dispatcher.now() + by, since_poll);
         self.dispatcher.host.set_timer(0);
         self.dispatcher.fire_timer();
     }
 
-    /// It is this time now, so long after the poll.
+    /// Sets the time of the current event to `now`, which is `since_poll` ticks after the last poll.
     fn set_time(&mut self, now: Tick, since_poll: Tick) {
         let times = &mut self.dispatcher.host.times;
         times.begin_iteration(now - since_poll);
         times.advance(now);
     }
 
-    /// Whether an attempt was started at the node.
+    /// Returns whether the host has opened a connection to the node for an attempt.
     fn was_attempted(&self) -> bool {
-        self.node.set_nonblocking(true).expect("a socket");
+        self.node
+            .set_nonblocking(true)
+            .expect("cannot make the socket non-blocking");
         self.node.accept().is_ok()
     }
 
-    /// The client closes its connection, and the host's side has received that.
+    /// Closes the client's connection, and waits until the host's socket has received the close.
     fn disconnect(&self, client: std::net::TcpStream) {
         let host = self.listener.local_addr().expect("bound");
         let own = client.local_addr().expect("bound");
         drop(client);
-        // The close has arrived where the host's socket waits for the close of its own side (CLOSE_WAIT).
+        // 08 is CLOSE_WAIT: the close has arrived, and the host's socket waits for the close of its own side.
         let closed = format!("{} {} 08", table_address(host), table_address(own));
-        wait_until("the close arrives", || {
+        wait_until("the close arrives at the host's socket", || {
             std::fs::read_to_string("/proc/net/tcp")
-                .expect("a table")
+                .expect("cannot read /proc/net/tcp")
                 .contains(&closed)
         });
     }
 }
 
-/// An address as the system's table of sockets has it.
+/// Returns an address in the format of /proc/net/tcp.
 fn table_address(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else {
         unreachable!("IPv4")
@@ -148,17 +161,17 @@
     while !condition() {
         assert!(
             began.elapsed() < Duration::from_secs(5),
-            "timed out: {what}"
+            "timed out while waiting: {what}"
         );
     }
 }
 
 fn listen() -> TcpListener {
-    TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("an address")
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("cannot listen on a loopback address")
 }
 
 #[test]
-fn nothing_is_started_for_a_client_that_disconnects_before_the_poll_has_reported_it() {
+fn no_io_is_started_for_a_client_that_disconnects_before_the_poll_has_reported_its_connection() {
     let mut fixture = Fixture::new(1_000_000);
     fixture.advance(4_000, 0);
     let (client, slot) = fixture.connect_and_request(false);
@@ -168,7 +181,7 @@
 }
 
 #[test]
-fn nothing_is_started_for_a_client_that_disconnected_unnoticed_once_the_polls_report_is_stale() {
+fn no_io_is_started_for_a_client_whose_disconnect_is_unreported_once_the_poll_result_is_stale() {
     for (age, is_admitted) in [(FRESH, true), (STALE, false)] {
         let mut fixture = Fixture::new(1_000_000);
         fixture.advance(4_000, 0);
@@ -180,13 +193,13 @@
         assert_eq!(
             observed,
             (is_admitted, is_admitted),
-            "{age} ticks after the poll"
+            "poll result {age} ticks old"
         );
     }
 }
 
 #[test]
-fn a_queued_io_is_not_started_for_a_client_that_disconnected_unnoticed_once_the_polls_report_is_stale()
+fn a_queued_io_is_not_attempted_for_a_client_whose_disconnect_is_unreported_once_the_poll_result_is_stale()
  {
     for (age, is_started) in [(FRESH, true), (STALE, false)] {
         let mut fixture = Fixture::new(1_000_000);
@@ -194,14 +207,14 @@
         fixture.handle_request(slot);
         assert!(
             !fixture.was_attempted() && fixture.dispatcher.in_flight() == 1,
-            "queued: the node is new"
+            "the block I/O is queued because the node is new"
         );
         fixture.disconnect(client);
         fixture.advance(4_000, age);
         assert_eq!(
             fixture.was_attempted(),
             is_started,
-            "{age} ticks after the poll"
+            "poll result {age} ticks old"
         );
         assert_eq!(fixture.dispatcher.in_flight() > 0, is_started);
         assert_eq!(
@@ -209,7 +222,7 @@
             u64::from(!is_started)
         );
     }
-    // With its client connected it is started, however old the poll's report is.
+    // With its client still connected, the block I/O is attempted however old the poll result is.
     let mut fixture = Fixture::new(1_000_000);
     let (_client, slot) = fixture.connect_and_request(true);
     fixture.handle_request(slot);
--- a/crates/platform-host/src/event_loop/status_log.rs
+++ b/crates/platform-host/src/event_loop/status_log.rs
@@ -43,8 +43,8 @@
     let nodes = dispatcher.nodes();
     tracing::info!(
         clients = clients.len(),
-        silent = clients.count_in_state(Phase::AwaitingFirstRequest),
-        idle = clients.count_in_state(Phase::Idle),
+        silent = clients.count_in_phase(Phase::AwaitingFirstRequest),
+        idle = clients.count_in_phase(Phase::Idle),
         bytes = clients.bytes() + nodes.bytes(),
         connections = ?clients.counters(),
         closed = ?clients.closed(),
--- a/crates/platform-host/src/nodes/attempt.rs
+++ b/crates/platform-host/src/nodes/attempt.rs
@@ -1,47 +1,48 @@
-//! An attempt on a connection, and its completion.
+//! An attempt of a block I/O that a connection carries, and its completion.
 use mallowseam_http1::RequestHead;
 use mallowseam_platform::request;
 use mallowseam_platform::response::NodeResponse;
 use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 use mallowseam_sockets::clock::ticks_to_millis;
 
-/// A client's request as an attempt forwards it.
+/// A client's request that an attempt forwards to a node.
 pub struct ForwardedRequest<'r> {
-    /// Its head.
+    /// Head of the client's request.
     pub head: RequestHead<'r>,
-    /// Its body.
+    /// Body of the client's request.
     pub body: &'r [u8],
 }
 
 impl ForwardedRequest<'_> {
-    /// Writes the request, with the time that the host will wait.
+    /// Writes the request to `out`, with the attempt's timeout in its timeout header.
     pub fn write(&self, out: &mut Vec<u8>, timeout: Tick) {
-        request::write_forwarded(out, &self.head, self.body, stated_timeout(timeout));
+        request::write_forwarded(out, &self.head, self.body, timeout_header_ms(timeout));
     }
 }
 
-/// The timeout that a request states, in milliseconds: 0 would mean that nobody waits.
-pub fn stated_timeout(timeout: Tick) -> u64 {
+/// Returns the value of the timeout header for an attempt, in milliseconds: at least 1, since 0 would mean that nobody
+/// waits for the response.
+pub fn timeout_header_ms(timeout: Tick) -> u64 {
     ticks_to_millis(timeout).max(1)
 }
 
 /// An attempt that a connection carries.
 #[derive(Clone, Copy)]
 pub struct Attempt {
-    /// Its block I/O.
+    /// Block I/O of the attempt.
     pub io: BioId,
-    /// When the scheduler started it; its latency counts from there.
+    /// Time at which the scheduler started the attempt; its latency counts from there.
     pub started_at: Tick,
-    /// When the attempt expires.
+    /// Time at which the attempt expires.
     pub deadline: Tick,
-    /// When the connect expires.
+    /// Time at which the attempt expires if its connection is not established by then.
     pub connect_deadline: Tick,
-    /// Distinguishes it from other attempts on the same connection.
+    /// Serial number, unique among all attempts, which distinguishes attempts on the same slot.
     pub serial: u64,
 }
 
 impl Attempt {
-    /// Completes the attempt at a node, as of now.
+    /// Returns the completion of the attempt at a node with a result that has arrived now.
     pub fn complete(&self, node: NodeId, result: AttemptResult) -> Completion {
         Completion {
             io: self.io,
@@ -54,25 +55,25 @@
     }
 }
 
-/// A completed attempt.
+/// A completed attempt, with its result.
 #[derive(Clone, Copy)]
 pub struct Completion {
-    /// Its block I/O.
+    /// Block I/O of the attempt.
     pub io: BioId,
-    /// Where it was sent, or would have been.
+    /// Node to which the attempt was sent, or would have been sent.
     pub node: NodeId,
-    /// The result.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// When the scheduler started it.
+    /// Time at which the scheduler started the attempt.
     pub started_at: Tick,
-    /// When the result arrived at the socket; none: now.
+    /// Time at which the result arrived at the socket; `None`: the time of the current event.
     pub received_at: Option<Tick>,
-    /// The node's response, where there was one.
+    /// Response of the node, if there was one.
     pub response: Option<NodeResponse>,
 }
 
 impl Completion {
-    /// The completion of an attempt that was not sent.
+    /// Returns the completion of an attempt that was not sent.
     pub fn unsent(io: BioId, node: NodeId, result: AttemptResult, now: Tick) -> Self {
         Completion {
             io,
--- a/crates/platform-host/src/nodes/attempts.rs
+++ b/crates/platform-host/src/nodes/attempts.rs
@@ -1,28 +1,29 @@
-//! Attempts: sent, cancelled, expired.
+//! Starts, cancels and expires attempts.
 use super::NodeConnections;
 use super::attempt::{Attempt, Completion, ForwardedRequest};
 use super::connection::NodeConnection;
 use super::deadlines::Deadline;
 use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 
-/// Deadlines of completed attempts are dropped once there are this many beyond `MAX_DEADLINES_PER_CONNECTION`.
-const STALE_DEADLINES: usize = 1_024;
-/// Deadlines that are kept for each connection that there may be: twice as many as its attempt has.
+/// Number of deadlines by which the heap may exceed `MAX_DEADLINES_PER_CONNECTION` times the connection limit before
+/// the deadlines of completed attempts are dropped.
+const MAX_EXCESS_DEADLINES: usize = 1_024;
+/// Number of deadlines in the heap for each possible connection: twice as many as an attempt has.
 const MAX_DEADLINES_PER_CONNECTION: usize = 4;
 
-/// An attempt that was started.
+/// An attempt that was started on a connection.
 pub struct StartedAttempt {
-    /// The connection that carries it.
+    /// Slot of the connection that carries the attempt.
     pub slot: u32,
-    /// The completion, if the connection broke at once.
+    /// Completion of the attempt, if its connection failed at once.
     pub completion: Option<Completion>,
 }
 
 impl NodeConnections {
-    /// Sends a block I/O to a node. The attempt owns its connection until it completes.
+    /// Starts an attempt of a block I/O at a node. The attempt owns its connection until it completes.
     ///
     /// # Errors
-    /// The reason why nothing was sent.
+    /// Returns the result of the attempt if nothing was sent.
     pub fn start_attempt(
         &mut self,
         io: BioId,
@@ -50,7 +51,7 @@
                 completion: None,
             });
         }
-        // A pooled connection that breaks before the request is written proves nothing about the node.
+        // The failure of a pooled connection before the request is written proves nothing about the node.
         let completion = self.write_request(slot, AttemptResult::NotSent);
         Ok(StartedAttempt { slot, completion })
     }
@@ -70,11 +71,11 @@
         self.deadlines.push(Deadline { at, slot, serial });
     }
 
-    /// Drops the deadlines of completed attempts once they are the majority: requests with a long timeout would otherwise
-    /// leave one deadline each.
+    /// Drops the deadlines of completed attempts once they are the majority. Otherwise each request with a long timeout
+    /// would leave a deadline until that timeout.
     fn drop_stale_deadlines(&mut self) {
         let kept = MAX_DEADLINES_PER_CONNECTION * self.pool.max_connections();
-        if self.deadlines.len() <= kept + STALE_DEADLINES {
+        if self.deadlines.len() <= kept + MAX_EXCESS_DEADLINES {
             return;
         }
         let pool = &self.pool;
@@ -84,8 +85,8 @@
         });
     }
 
-    /// Writes the rest of the request. A completion: the connection broke, with `if_unwritten` as the result if the last
-    /// byte was not written.
+    /// Writes the rest of the request. Returns a completion if the connection has failed; its result is `if_unwritten`
+    /// if the last byte was not written.
     pub(super) fn write_request(
         &mut self,
         slot: u32,
@@ -97,16 +98,16 @@
             return None;
         }
         let node = connection.node();
-        let is_broken = connection.write_request().is_err();
+        let has_failed = connection.write_request().is_err();
         let is_written = connection.has_written_all();
         if is_written && let Some(counters) = self.pool.counters_mut(node) {
             counters.requests_written += 1;
         }
-        if !is_broken {
+        if !has_failed {
             return None;
         }
         self.pool.close(slot);
-        // Before the last byte is written the node has not executed it; after it, it may have.
+        // A node cannot have executed a request before its last byte is written; after that, it may have.
         let result = if is_written {
             AttemptResult::ConnectionReset
         } else {
@@ -115,13 +116,14 @@
         Some(attempt.complete(node, result))
     }
 
-    /// Whether a connection carries an attempt of this block I/O whose request is not completely written.
+    /// Returns whether a connection carries an attempt of this block I/O whose request is not completely written.
     pub fn is_unsent(&self, slot: u32, io: BioId) -> bool {
         let connection = self.pool.get(slot);
         connection.is_some_and(|c| c.carries(io) && !c.is_request_written())
     }
 
-    /// Cancels the attempt of a block I/O, if this connection carries it, by closing the connection.
+    /// Cancels the attempt of a block I/O by closing its connection. Returns `None` if the connection does not carry
+    /// it.
     pub fn cancel(&mut self, slot: u32, io: BioId) -> Option<Completion> {
         let connection = self.pool.get(slot).filter(|c| c.carries(io))?;
         let node = connection.node();
@@ -134,12 +136,12 @@
         Some(attempt.complete(node, result))
     }
 
-    /// When the next attempt may expire.
+    /// Returns the earliest time at which an attempt may expire.
     pub fn next_deadline(&self) -> Option<Tick> {
         self.deadlines.next_at()
     }
 
-    /// Completes an attempt that has expired; to be called until there is none.
+    /// Completes one attempt that has expired. Has to be called until it returns `None`.
     pub fn expire_attempt(&mut self, now: Tick) -> Option<Completion> {
         while let Some(deadline) = self.deadlines.pop_passed(now) {
             let Some(connection) = self.pool.get(deadline.slot) else {
@@ -149,7 +151,7 @@
             let Some(attempt) = attempt.filter(|a| a.serial == deadline.serial) else {
                 continue;
             };
-            let Some(result) = expired(connection, attempt, now) else {
+            let Some(result) = expiry_result(connection, attempt, now) else {
                 continue;
             };
             let node = connection.node();
@@ -160,8 +162,12 @@
     }
 }
 
-/// The result of an attempt that has expired; none: it has not.
-fn expired(connection: &NodeConnection, attempt: Attempt, now: Tick) -> Option<AttemptResult> {
+/// Returns the result of an attempt if it has expired, or `None` if it has not.
+fn expiry_result(
+    connection: &NodeConnection,
+    attempt: Attempt,
+    now: Tick,
+) -> Option<AttemptResult> {
     let is_past_deadline = now >= attempt.deadline;
     if connection.is_request_written() {
         return is_past_deadline.then_some(AttemptResult::TimedOut);
--- a/crates/platform-host/src/nodes/connection.rs
+++ b/crates/platform-host/src/nodes/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a storage node, and the attempt that it carries.
-use super::attempt::{Attempt, ForwardedRequest, stated_timeout};
+//! Connection to a storage node, and the attempt that it carries.
+use super::attempt::{Attempt, ForwardedRequest, timeout_header_ms};
 use super::request_buffer::RequestBuffer;
 use super::response_buffer::{BufferRead, ResponseBuffer};
 use mallowseam_http1::{MessageSpan, ParseError};
@@ -9,37 +9,38 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// State of a connect in progress.
+/// State of a connection that is being established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connect {
-    /// The connection is up.
+    /// The connection is established.
     Up,
-    /// The node has not answered yet.
+    /// The node has not yet accepted the connection.
     Pending,
-    /// The connection cannot be used.
+    /// The connection has failed or cannot be used.
     Failed,
 }
 
-/// A connection to a node.
+/// A connection to a storage node, which carries one attempt at a time.
 pub struct NodeConnection {
     socket: TcpStream,
     node: NodeId,
-    /// The connect has succeeded.
+    /// The connection was established.
     is_up: bool,
-    /// None while the connection is idle.
+    /// Attempt that the connection carries; `None` while it is idle.
     attempt: Option<Attempt>,
     request: RequestBuffer,
     response: ResponseBuffer,
+    /// Time since which the connection is idle, or was idle before its attempt.
     idle_since: Tick,
-    /// It has carried an attempt before.
+    /// The connection has carried an earlier attempt.
     is_reused: bool,
 }
 
 impl NodeConnection {
-    /// A connection that is being opened to an address.
+    /// Begins to open a connection to an address.
     ///
     /// # Errors
-    /// The system's, for example a refusal by a node on this machine.
+    /// Returns the error of the operating system, for example a refusal by a node on the same machine.
     pub fn open(node: NodeId, address: SocketAddr, now: Tick) -> std::io::Result<Self> {
         let socket = TcpStream::connect(address)?;
         let _ = socket.set_nodelay(true);
@@ -55,65 +56,67 @@
         })
     }
 
-    /// Its socket, for the poll.
+    /// Returns the socket, to register it with the poll.
     pub fn socket_mut(&mut self) -> &mut TcpStream {
         &mut self.socket
     }
 
-    /// Its node.
+    /// Returns the node of the connection.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Whether the connect has succeeded.
+    /// Returns whether the connection was established.
     pub fn is_up(&self) -> bool {
         self.is_up
     }
 
-    /// The attempt that it carries; none while it is idle.
+    /// Returns the attempt that the connection carries, or `None` while it is idle.
     pub fn attempt(&self) -> Option<Attempt> {
         self.attempt
     }
 
-    /// Whether it carries an attempt of this block I/O.
+    /// Returns whether the connection carries an attempt of this block I/O.
     pub fn carries(&self, io: BioId) -> bool {
         self.attempt.is_some_and(|attempt| attempt.io == io)
     }
 
-    /// Whether it has carried an attempt before.
+    /// Returns whether the connection has carried an earlier attempt.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// Since when it has been idle, or was before its attempt.
+    /// Returns the time since which the connection is idle, or was idle before its attempt.
     pub fn idle_since(&self) -> Tick {
         self.idle_since
     }
 
-    /// Whether it is up and carries no attempt.
+    /// Returns whether the connection is established and carries no attempt.
     pub fn is_idle(&self) -> bool {
         self.is_up && self.attempt.is_none()
     }
 
-    /// Whether the last byte of the request was written: from then on the node may have executed it.
+    /// Returns whether the last byte of the request was written. From then on the node may have executed it.
     pub fn is_request_written(&self) -> bool {
         self.is_up && self.request.is_written()
     }
 
-    /// Whether it is open and has nothing to read.
-    pub fn is_quiet(&mut self) -> bool {
+    /// Reads from the socket, and returns whether it is open and has no bytes to read. A byte that was read is lost, so
+    /// the connection cannot be used if this is `false`.
+    pub fn is_open_without_input(&mut self) -> bool {
         let read = nonblocking::read(&mut self.socket, &mut [0]);
         matches!(read, ReadOutcome::WouldBlock)
     }
 
-    /// Carries an attempt from now on: its request is to be written.
+    /// Begins an attempt, and composes its request to be written.
     pub fn begin_attempt(&mut self, attempt: Attempt, request: &ForwardedRequest) {
         let timeout = attempt.deadline - attempt.started_at;
         request.write(self.request.compose(), timeout);
         self.attempt = Some(attempt);
     }
 
-    /// Checks a connect in progress. Whatever a node sends before the request is not a response to it.
+    /// Checks a connection that is being established. It fails if the node has already sent bytes, since they cannot be
+    /// the response to a request that was not yet written.
     pub fn check_connect(&mut self) -> Connect {
         let error = self.socket.take_error();
         if error.map_or(true, |error| error.is_some()) {
@@ -122,55 +125,56 @@
         if self.socket.peer_addr().is_err() {
             return Connect::Pending;
         }
-        if !self.is_quiet() {
+        if !self.is_open_without_input() {
             return Connect::Failed;
         }
         self.is_up = true;
         Connect::Up
     }
 
-    /// Updates the timeout that the request states to the time left.
-    pub fn restate_timeout(&mut self, time_left: Tick) {
-        self.request.restate_timeout(stated_timeout(time_left));
+    /// Updates the timeout header of the request to the remaining time, in ticks.
+    pub fn update_timeout_header(&mut self, remaining: Tick) {
+        self.request
+            .update_timeout_header(timeout_header_ms(remaining));
     }
 
-    /// Writes as much of the request as the socket takes.
+    /// Writes as much of the request as the socket accepts.
     ///
     /// # Errors
-    /// The connection has failed.
+    /// Returns an error if the connection has failed.
     pub fn write_request(&mut self) -> Result<(), ConnectionError> {
         self.request.write_to(&mut self.socket)
     }
 
-    /// Whether every byte of the request was handed to the socket, or there is none.
+    /// Returns whether every byte of the request was written, or there is no request.
     pub fn has_written_all(&self) -> bool {
         self.request.is_written()
     }
 
-    /// What was read of the response.
+    /// Returns the buffer of the bytes read of the response.
     pub fn response(&self) -> &ResponseBuffer {
         &self.response
     }
 
-    /// Reads once from the response.
+    /// Reads once from the socket into the response buffer.
     pub fn read_response(&mut self, scratch: &mut [u8]) -> BufferRead {
         self.response.read_from(&mut self.socket, scratch)
     }
 
-    /// Parses what was read of the response; none: it is incomplete.
+    /// Parses the bytes read of the response. Returns `None` while it is incomplete.
     ///
     /// # Errors
-    /// The response is malformed or exceeds a limit.
+    /// Returns an error if the response is malformed or exceeds a limit.
     pub fn parse_response(&mut self) -> Result<Option<MessageSpan>, ParseError> {
         self.response.parse()
     }
 
-    /// Moves out the bytes of the complete response.
+    /// Takes the bytes of the complete response out of the buffer.
     pub fn take_response(&mut self) -> Vec<u8> {
         self.response.take_bytes()
     }
 
-    /// Is idle from now on: its attempt has completed.
+    /// Makes the connection idle after its attempt has completed.
     pub fn become_idle(&mut self, now: Tick) {
         self.attempt = None;
         self.idle_since = now;
@@ -179,7 +183,7 @@
         self.response.clear();
     }
 
-    /// Removes it from the poll; its attempt.
+    /// Removes the connection from the poll and closes it. Returns the attempt that it carried.
     pub fn close(mut self, registry: &Registry) -> Option<Attempt> {
         let _ = registry.deregister(&mut self.socket);
         self.attempt
--- a/crates/platform-host/src/nodes/deadlines.rs
+++ b/crates/platform-host/src/nodes/deadlines.rs
@@ -1,20 +1,20 @@
-//! Deadlines of attempts, the earliest first.
+//! Deadlines of attempts, ordered by time.
 use mallowseam_scheduler::interface::Tick;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A time at which an attempt may expire.
+/// Time at which an attempt may expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline {
-    /// The time.
+    /// Time of the deadline.
     pub at: Tick,
-    /// The connection that carries the attempt.
+    /// Slot of the connection that carries the attempt.
     pub slot: u32,
-    /// The attempt's serial number.
+    /// Serial number of the attempt.
     pub serial: u64,
 }
 
-/// A heap of deadlines. Those of completed attempts stay until they pass or are dropped.
+/// Heap of deadlines, the earliest first. Deadlines of completed attempts stay until they have passed or are dropped.
 #[derive(Default)]
 pub struct Deadlines(BinaryHeap<Reverse<Deadline>>);
 
@@ -24,12 +24,12 @@
         self.0.push(Reverse(deadline));
     }
 
-    /// The earliest time.
+    /// Returns the time of the earliest deadline.
     pub fn next_at(&self) -> Option<Tick> {
         self.0.peek().map(|Reverse(deadline)| deadline.at)
     }
 
-    /// Removes the earliest deadline, if it has passed.
+    /// Removes and returns the earliest deadline, if it has passed.
     pub fn pop_passed(&mut self, now: Tick) -> Option<Deadline> {
         if self.next_at()? > now {
             return None;
@@ -37,12 +37,12 @@
         self.0.pop().map(|Reverse(deadline)| deadline)
     }
 
-    /// Number of deadlines.
+    /// Returns the number of deadlines, including those of completed attempts.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Drops the deadlines that are not live.
+    /// Drops all deadlines for which `is_live` returns `false`.
     pub fn retain(&mut self, mut is_live: impl FnMut(&Deadline) -> bool) {
         self.0.retain(|Reverse(deadline)| is_live(deadline));
     }
--- a/crates/platform-host/src/nodes/endpoint_table.rs
+++ b/crates/platform-host/src/nodes/endpoint_table.rs
@@ -1,74 +1,74 @@
-//! The nodes of the endpoint list, with their idle connections and counters.
+//! Table of the nodes in the endpoint list, with their idle connections and counters.
 use mallowseam_scheduler::interface::{NodeId, Tick};
 use std::net::SocketAddr;
 
-/// Events on the connections to one node, counted for the status log.
+/// Counters of the connections to one node, for the status log.
 #[derive(Clone, Copy, Default)]
 pub struct NodeCounters {
-    /// Connections that are open or being opened.
+    /// Number of connections that are open or being opened.
     pub connections: usize,
-    /// Attempts started.
+    /// Number of attempts started since the node became known.
     pub attempts: u64,
-    /// Connections opened.
+    /// Number of connections opened since the node became known.
     pub connections_opened: u64,
-    /// Requests written to their last byte.
+    /// Number of requests written to their last byte.
     pub requests_written: u64,
-    /// Responses read.
+    /// Number of responses read.
     pub responses: u64,
-    /// Responses that could not be parsed.
+    /// Number of responses that could not be parsed or exceeded a limit.
     pub corrupt_responses: u64,
-    /// Longest time to a good response since the last log line.
+    /// Longest latency of a successful response since the last status log, in ticks.
     pub slowest: Tick,
 }
 
-/// A node of the endpoint list, with its idle connections.
+/// A node of the endpoint list, with its idle connections and counters.
 #[derive(Default)]
 pub struct Endpoint {
     address: Option<SocketAddr>,
-    /// Slots of idle connections, the latest used last.
+    /// Slots of idle connections, the most recently used last.
     idle: Vec<u32>,
     /// Counters for the status log.
     pub counters: NodeCounters,
 }
 
 impl Endpoint {
-    /// Where it listens, by the latest update.
+    /// Returns the address of the node according to the latest update.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Slots of idle connections, the latest used last.
+    /// Returns the slots of idle connections, the most recently used last.
     pub fn idle(&self) -> &[u32] {
         &self.idle
     }
 
-    /// A connection has become idle.
+    /// Adds a connection that has become idle.
     pub fn add_idle(&mut self, slot: u32) {
         self.idle.push(slot);
     }
 
-    /// A connection is no longer idle, or is closed.
+    /// Removes a connection that is no longer idle or is closed.
     pub fn remove_idle(&mut self, slot: u32) {
         self.idle.retain(|idle| *idle != slot);
     }
 }
 
-/// The nodes that are known, by the scheduler's index.
+/// Known nodes, indexed by the scheduler's node ids.
 #[derive(Default)]
 pub struct EndpointTable(Vec<Option<Endpoint>>);
 
 impl EndpointTable {
-    /// A node, if it is known.
+    /// Returns a node, if it is known.
     pub fn get(&self, node: NodeId) -> Option<&Endpoint> {
         self.0.get(node.0 as usize)?.as_ref()
     }
 
-    /// A node, if it is known.
+    /// Returns a node to be changed, if it is known.
     pub fn get_mut(&mut self, node: NodeId) -> Option<&mut Endpoint> {
         self.0.get_mut(node.0 as usize)?.as_mut()
     }
 
-    /// The nodes that are known.
+    /// Returns the ids of all known nodes.
     pub fn ids(&self) -> impl Iterator<Item = NodeId> {
         let indexed = self.0.iter().enumerate();
         indexed
@@ -76,7 +76,7 @@
             .map(|(index, _)| NodeId(index as u32))
     }
 
-    /// Sets a node's address; returns whether it had another one.
+    /// Sets the address of a node, and adds the node if it is not known. Returns whether its address has changed.
     pub fn set_address(&mut self, node: NodeId, address: SocketAddr) -> bool {
         let index = node.0 as usize;
         if self.0.len() <= index {
@@ -87,7 +87,7 @@
         previous.is_some_and(|previous| previous != address)
     }
 
-    /// Drops a node.
+    /// Removes a node with its counters.
     pub fn remove(&mut self, node: NodeId) {
         if let Some(endpoint) = self.0.get_mut(node.0 as usize) {
             *endpoint = None;
--- a/crates/platform-host/src/nodes/pool.rs
+++ b/crates/platform-host/src/nodes/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: idle connections are reused, new ones are opened up to the limit.
+//! Connection pool: reuses idle connections to nodes, and opens new ones up to the limit.
 use super::attempt::Attempt;
 use super::connection::NodeConnection;
 use super::endpoint_table::{Endpoint, EndpointTable, NodeCounters};
@@ -13,18 +13,18 @@
 use mio::{Interest, Registry};
 use std::net::SocketAddr;
 
-/// All connections, and the nodes that they lead to.
+/// All connections to nodes, and the nodes themselves.
 pub struct ConnectionPool {
     registry: Registry,
     connections: Slab<NodeConnection>,
     endpoints: EndpointTable,
     max_connections: usize,
-    /// Bytes of responses in memory.
+    /// Bytes of memory that responses use, with their limit.
     memory: MemoryBudget,
 }
 
 impl ConnectionPool {
-    /// An empty pool with its limits.
+    /// Creates a pool without connections. `max_bytes` limits the memory for responses.
     pub fn new(registry: Registry, max_connections: usize, max_bytes: usize) -> Self {
         ConnectionPool {
             registry,
@@ -35,48 +35,49 @@
         }
     }
 
-    /// Connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The most connections that it may have.
+    /// Returns the maximum number of connections.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// Bytes of responses in memory.
+    /// Returns the memory that responses use, with its limit.
     pub fn memory(&self) -> &MemoryBudget {
         &self.memory
     }
 
-    /// A connection.
+    /// Returns the connection in a slot.
     pub fn get(&self, slot: u32) -> Option<&NodeConnection> {
         self.connections.get(slot)
     }
 
-    /// A connection.
+    /// Returns the connection in a slot, to be changed.
     pub fn get_mut(&mut self, slot: u32) -> Option<&mut NodeConnection> {
         self.connections.get_mut(slot)
     }
 
-    /// All slots that were ever used, for loops that close connections as they go.
+    /// Returns all slots that were ever used, for loops that close connections while iterating.
     pub fn slots(&self) -> std::ops::Range<u32> {
         0..self.connections.index_bound()
     }
 
-    /// The nodes that are known.
+    /// Returns the ids of all known nodes.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> {
         self.endpoints.ids()
     }
 
-    /// The counters of a node, if it is known.
+    /// Returns the counters of a node to be changed, if the node is known.
     pub fn counters_mut(&mut self, node: NodeId) -> Option<&mut NodeCounters> {
         let endpoint = self.endpoints.get_mut(node)?;
         Some(&mut endpoint.counters)
     }
 
-    /// Sets a node's address from the endpoint list. Idle connections are kept only where new attempts may use them.
+    /// Sets a node's address from the endpoint list. Closes its idle connections if the address has changed or the node
+    /// accepts no new attempts.
     pub fn update_endpoint(&mut self, node: NodeId, address: SocketAddr, accepts_attempts: bool) {
         let is_moved = self.endpoints.set_address(node, address);
         if is_moved || !accepts_attempts {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Drops a node that was removed.
+    /// Removes a node that the scheduler has released, and closes its idle connections.
     pub fn release(&mut self, node: NodeId) {
         self.close_idle(node);
         self.endpoints.remove(node);
@@ -112,10 +113,10 @@
         connection.close(&self.registry)
     }
 
-    /// A connection for the next attempt at a node: an idle one that is still open, or a new one.
+    /// Returns a connection for the next attempt at a node: an idle one that is still open, or a new one.
     ///
     /// # Errors
-    /// The result of an attempt for which there is none.
+    /// Returns the result of the attempt if no connection is available.
     pub fn check_out(
         &mut self,
         node: NodeId,
@@ -128,12 +129,12 @@
         }
     }
 
-    /// An idle connection that may carry an attempt: alive, and without unexpected bytes on it.
+    /// Takes an idle connection that may carry an attempt: still open, and without unexpected bytes.
     fn take_idle(&mut self, node: NodeId, now: Tick, idle_timeout: Millis) -> Option<u32> {
         loop {
             let endpoint = self.endpoints.get(node)?;
             let slot = self.select_idle(endpoint, now, idle_timeout)?;
-            if self.connections.get_mut(slot)?.is_quiet() {
+            if self.connections.get_mut(slot)?.is_open_without_input() {
                 self.endpoints.get_mut(node)?.remove_idle(slot);
                 return Some(slot);
             }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The idle connection of a node that carries the next attempt.
+    /// Selects the idle connection of a node that carries the next attempt.
     fn select_idle(&self, endpoint: &Endpoint, now: Tick, idle_timeout: Millis) -> Option<u32> {
         let idle_times = endpoint.idle().iter().map(|slot| {
             let connection = self.connections.get(*slot);
@@ -155,7 +156,7 @@
     /// Opens a connection. At the limit the connection that has been idle longest is closed first.
     fn connect(&mut self, node: NodeId, now: Tick) -> Result<u32, AttemptResult> {
         if self.connections.len() >= self.max_connections {
-            // With none idle, this host lacks capacity, not the node.
+            // Without an idle connection the host lacks capacity, not the node, so the attempt counts as not sent.
             self.close(self.longest_idle().ok_or(AttemptResult::NotSent)?);
         }
         let endpoint = self.endpoints.get_mut(node).ok_or(AttemptResult::NotSent)?;
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Closes idle connections that have reached the idle timeout, before their nodes do.
+    /// Closes idle connections that have reached the idle timeout, before their nodes close them.
     pub fn close_expired_idle(&mut self, now: Tick, idle_timeout: Millis) {
         for slot in self.slots() {
             let connection = self.connections.get(slot);
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Reads once from the response on a connection.
+    /// Reads once from a connection into its response buffer. Returns `None` if the slot is free.
     pub fn read_response(&mut self, slot: u32, scratch: &mut [u8]) -> Option<BufferRead> {
         let connection = self.connections.get_mut(slot)?;
         let before = connection.response().capacity();
@@ -217,7 +218,8 @@
         Some(read)
     }
 
-    /// Moves out the bytes of a complete response, which are counted elsewhere from now on.
+    /// Takes the bytes of a complete response out of its buffer. The pool's memory no longer counts them; the caller's
+    /// does.
     pub fn take_response(&mut self, slot: u32) -> Option<Vec<u8>> {
         let connection = self.connections.get_mut(slot)?;
         self.memory.release(connection.response().capacity());
--- a/crates/platform-host/src/nodes/request_buffer.rs
+++ b/crates/platform-host/src/nodes/request_buffer.rs
@@ -1,4 +1,4 @@
-//! The request on a connection to a node, as far as it is written.
+//! Request on a connection to a node, and how much of it was written.
 use crate::buffers::recycle;
 use mallowseam_platform::request;
 use mallowseam_sockets::nonblocking::{self, ConnectionError};
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A request, and how many of its bytes were written.
+/// Bytes of a request, and how many of them were written.
 #[derive(Default)]
 pub struct RequestBuffer {
     bytes: Vec<u8>,
@@ -15,25 +15,25 @@
 }
 
 impl RequestBuffer {
-    /// The buffer, to compose the request in.
+    /// Returns the buffer in which the request is composed.
     pub fn compose(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Whether the last byte was written; so it is without a request.
+    /// Returns whether the last byte was written, which also holds without a request.
     pub fn is_written(&self) -> bool {
         self.written == self.bytes.len()
     }
 
-    /// Updates the timeout that the request states, in milliseconds. Nothing of it was written yet.
-    pub fn restate_timeout(&mut self, timeout_ms: u64) {
+    /// Updates the timeout header of the request, in milliseconds. Must be called before any byte is written.
+    pub fn update_timeout_header(&mut self, timeout_ms: u64) {
         request::rewrite_timeout(&mut self.bytes, timeout_ms);
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as many bytes as the socket accepts.
     ///
     /// # Errors
-    /// The connection has failed, perhaps after some bytes, which are counted.
+    /// Returns an error if the connection has failed. Bytes written before the failure are counted.
     pub fn write_to(&mut self, socket: &mut impl Write) -> Result<(), ConnectionError> {
         match nonblocking::write(socket, &self.bytes[self.written..]) {
             Ok(count) => {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Drops the request.
+    /// Removes the request, so that the next one can be composed.
     pub fn clear(&mut self) {
         self.written = 0;
         recycle(&mut self.bytes);
--- a/crates/platform-host/src/nodes/request_buffer/tests.rs
+++ b/crates/platform-host/src/nodes/request_buffer/tests.rs
@@ -1,9 +1,10 @@
-//! A request that its socket takes piece by piece.
+//! A request that is written in pieces, because its socket accepts only part of it at a time.
 use super::*;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 
-/// A socket that takes so many bytes at each write; none: it fails.
+/// A socket that accepts the given number of bytes at each write, or fails for `None`. After these writes it would
+/// block.
 struct SlowSocket {
     accepts: VecDeque<Option<usize>>,
     received: Vec<u8>,
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_request_is_written_once_its_last_byte_was_taken() {
+fn a_request_is_written_once_its_last_byte_is_accepted() {
     let mut request = request(b"abcdef");
     let mut slow = socket(&[Some(2)]);
     request.write_to(&mut slow).expect("open");
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn bytes_that_were_taken_before_a_failure_are_counted() {
+fn a_request_is_not_written_if_the_write_fails_before_its_last_byte() {
     let mut whole = request(b"abc");
     assert!(whole.write_to(&mut socket(&[Some(2), None])).is_err());
     assert!(!whole.is_written());
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_cleared_buffer_is_as_good_as_new() {
+fn a_cleared_buffer_writes_the_next_request_from_its_start() {
     let mut buffer = request(b"abc");
     buffer.write_to(&mut socket(&[Some(3)])).expect("open");
     buffer.clear();
--- a/crates/platform-host/src/nodes/response_buffer/tests.rs
+++ b/crates/platform-host/src/nodes/response_buffer/tests.rs
@@ -1,14 +1,14 @@
-//! A response that arrives piece by piece.
+//! A response that arrives in pieces, and stray bytes after its end.
 use super::*;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-/// A socket on which these pieces arrive; nothing more for now behind them.
-struct Arriving(VecDeque<Vec<u8>>);
+/// A socket on which the given pieces arrive. After them a read would block.
+struct PieceSocket(VecDeque<Vec<u8>>);
 
-impl Read for Arriving {
+impl Read for PieceSocket {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let Some(mut piece) = self.0.pop_front() else {
             return Err(ErrorKind::WouldBlock.into());
@@ -23,14 +23,14 @@
     }
 }
 
-fn arriving(pieces: &[&[u8]]) -> Arriving {
-    Arriving(pieces.iter().map(|piece| piece.to_vec()).collect())
+fn socket_with(pieces: &[&[u8]]) -> PieceSocket {
+    PieceSocket(pieces.iter().map(|piece| piece.to_vec()).collect())
 }
 
 #[test]
-fn a_response_is_complete_with_its_last_byte() {
+fn a_response_is_complete_only_with_its_last_byte() {
     let mut buffer = ResponseBuffer::default();
-    let mut socket = arriving(&[&RESPONSE[..20], &RESPONSE[20..41], &RESPONSE[41..]]);
+    let mut socket = socket_with(&[&RESPONSE[..20], &RESPONSE[20..41], &RESPONSE[41..]]);
     let mut scratch = [0; 1_024];
     assert_eq!(
         buffer.read_from(&mut socket, &mut scratch),
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn bytes_behind_a_response_whose_length_is_known_stay_in_the_socket() {
+fn bytes_after_a_response_of_known_length_stay_in_the_socket() {
     let mut buffer = ResponseBuffer::default();
     let stray = [&RESPONSE[40..], b"HTTP/1.1 200"].concat();
-    let mut socket = arriving(&[&RESPONSE[..40], &stray]);
+    let mut socket = socket_with(&[&RESPONSE[..40], &stray]);
     let mut scratch = [0; 1_024];
     buffer.read_from(&mut socket, &mut scratch);
     assert_eq!(buffer.parse(), Ok(None));
@@ -82,7 +82,7 @@
     let mut buffer = ResponseBuffer::default();
     let mut scratch = [0; 1_024];
     for _ in 0..2 {
-        buffer.read_from(&mut arriving(&[RESPONSE]), &mut scratch);
+        buffer.read_from(&mut socket_with(&[RESPONSE]), &mut scratch);
         let message = buffer.parse().expect("valid").expect("complete");
         assert_eq!((message.start, message.end), (0, RESPONSE.len()));
         buffer.clear();
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -1,5 +1,5 @@
-//! Reads the responses of nodes. A response is complete before any of it is forwarded, so that a corrupt one never
-//! reaches a client.
+//! Reads and classifies the responses of nodes. A response is read completely before any of it is forwarded, so that a
+//! corrupt response never reaches a client.
 use super::NodeConnections;
 use super::attempt::{Attempt, Completion};
 use super::connection::Connect;
@@ -11,35 +11,36 @@
 use mallowseam_sockets::clock::ticks_to_millis;
 use std::ops::Range;
 
-/// Bodies up to this size are copied, so that both connections keep their buffers; longer ones are moved.
-const MAX_COPIED_BODY: usize = 2 * 1024;
+/// Maximum size, in bytes, of a body that is copied to the client's buffer, so that both connections keep their
+/// buffers. Longer bodies are moved with their buffer.
+const MAX_COPIED_BODY_BYTES: usize = 2 * 1024;
 
-/// A complete good response, to be forwarded to the client.
+/// A complete successful response, to be forwarded to the client.
 pub struct Success {
-    /// The completion to report after forwarding.
+    /// Completion to report after the response is forwarded.
     pub completion: Completion,
     slot: u32,
     message: MessageSpan,
     close: bool,
 }
 
-/// The result of an event on a connection.
+/// Result of an event on a connection to a node.
 pub enum NodeEvent {
-    /// A good response.
+    /// The attempt was completed by a successful response.
     Success(Success),
-    /// The attempt completed in another way.
+    /// The attempt was completed in another way.
     Completed(Completion),
 }
 
-/// The attempt on a connection that has an event, and when the event arrived.
+/// An event on a connection that carries an attempt, with the time at which the event arrived.
 #[derive(Clone, Copy)]
-struct Arrival {
+struct AttemptEvent {
     attempt: Attempt,
     node: NodeId,
     received_at: Tick,
 }
 
-impl Arrival {
+impl AttemptEvent {
     fn complete(&self, result: AttemptResult) -> Completion {
         Completion {
             received_at: Some(self.received_at),
@@ -52,18 +53,18 @@
     }
 }
 
-/// How a complete response is used.
-struct Verdict {
+/// A classified response, and whether its connection can be reused.
+struct ClassifiedResponse {
     response: NodeResponse,
-    /// The connection is closed once the response was used.
+    /// The connection has to be closed once the response was used.
     close: bool,
 }
 
 impl NodeConnections {
-    /// Handles an event on a connection; none: the attempt is not completed yet.
+    /// Handles an event on a connection. Returns `None` while its attempt is not completed.
     ///
-    /// `is_closed`: the node has closed its side, which the poll reports once. `arrived_at`: when the event arrived at
-    /// the socket.
+    /// `is_closed`: the node has closed its side, or the connection has failed, which the poll reports only once.
+    /// `arrived_at`: time at which the event arrived at the socket.
     pub fn on_event(
         &mut self,
         slot: u32,
@@ -77,7 +78,7 @@
             self.on_idle_event(slot);
             return None;
         };
-        let arrival = Arrival {
+        let event = AttemptEvent {
             attempt,
             node: connection.node(),
             received_at: arrived_at.max(attempt.started_at),
@@ -87,25 +88,25 @@
             Connect::Pending => return None,
             Connect::Failed => {
                 self.pool.close(slot);
-                return Some(arrival.completed_event(AttemptResult::ConnectFailed));
+                return Some(event.completed_event(AttemptResult::ConnectFailed));
             }
         }
         if let Some(completion) = self.write_request(slot, AttemptResult::ConnectFailed) {
             return Some(NodeEvent::Completed(completion));
         }
-        self.read_response(slot, is_closed, scratch, now, &arrival)
+        self.read_response(slot, is_closed, scratch, now, &event)
     }
 
-    /// Closes an idle connection that has unexpected bytes or was closed by the node.
+    /// Closes an idle connection on which unexpected bytes have arrived or that the node has closed.
     fn on_idle_event(&mut self, slot: u32) {
         let connection = self.pool.get_mut(slot);
-        if connection.is_some_and(|connection| !connection.is_quiet()) {
+        if connection.is_some_and(|connection| !connection.is_open_without_input()) {
             self.pool.close(slot);
         }
     }
 
-    /// Checks a connect in progress. When it has succeeded, the timeout that the request states is updated to the time
-    /// left.
+    /// Checks a connection that is being established. Once it is, the timeout header of the request is updated to the
+    /// remaining time.
     fn finish_connect(&mut self, slot: u32, attempt: Attempt, now: Tick) -> Connect {
         let Some(connection) = self.pool.get_mut(slot) else {
             return Connect::Failed;
@@ -115,7 +116,7 @@
         }
         let connect = connection.check_connect();
         if connect == Connect::Up {
-            connection.restate_timeout(attempt.deadline - now);
+            connection.update_timeout_header(attempt.deadline - now);
         }
         connect
     }
@@ -127,31 +128,36 @@
         is_closed: bool,
         scratch: &mut [u8],
         now: Tick,
-        arrival: &Arrival,
+        event: &AttemptEvent,
     ) -> Option<NodeEvent> {
         loop {
             let read = self.pool.read_response(slot, scratch)?;
             match read {
                 BufferRead::WouldBlock => return None,
-                BufferRead::Closed => return self.on_broken(slot, now, arrival),
+                BufferRead::Closed => return self.on_connection_lost(slot, now, event),
                 BufferRead::Full | BufferRead::Short => {}
             }
             match self.pool.get_mut(slot)?.parse_response() {
-                Ok(Some(message)) => return self.on_response(slot, message, now, arrival),
-                Err(_) => return Some(self.on_corrupt(slot, arrival)),
-                // All responses share a memory limit: the one that exceeds it counts as corrupt.
+                Ok(Some(message)) => return self.on_response(slot, message, now, event),
+                Err(_) => return Some(self.on_corrupt(slot, event)),
+                // All responses share a memory limit: a response that exceeds it counts as corrupt.
                 Ok(None) if self.pool.memory().is_exceeded() => {
-                    return Some(self.on_corrupt(slot, arrival));
+                    return Some(self.on_corrupt(slot, event));
                 }
-                // A short read has emptied the socket; the poll reports what arrives later.
+                // A short read has emptied the socket, and the poll reports bytes that arrive later.
                 Ok(None) if read == BufferRead::Short && !is_closed => return None,
                 Ok(None) => {}
             }
         }
     }
 
-    /// The connection has ended before the response was complete.
-    fn on_broken(&mut self, slot: u32, now: Tick, arrival: &Arrival) -> Option<NodeEvent> {
+    /// Handles the end of a connection before the response was complete.
+    fn on_connection_lost(
+        &mut self,
+        slot: u32,
+        now: Tick,
+        event: &AttemptEvent,
+    ) -> Option<NodeEvent> {
         let connection = self.pool.get(slot)?;
         let result = if connection.is_request_written() {
             AttemptResult::ConnectionReset
@@ -159,7 +165,7 @@
             AttemptResult::ConnectFailed
         };
         if connection.is_reused() && connection.response().is_empty() {
-            let started_at = arrival.attempt.started_at;
+            let started_at = event.attempt.started_at;
             self.keep_alive.connection_lost(
                 ticks_to_millis(started_at - connection.idle_since()),
                 ticks_to_millis(now - started_at),
@@ -167,35 +173,35 @@
             );
         }
         self.pool.close(slot);
-        Some(arrival.completed_event(result))
+        Some(event.completed_event(result))
     }
 
-    /// The response cannot be parsed: the request may have been executed all the same.
-    fn on_corrupt(&mut self, slot: u32, arrival: &Arrival) -> NodeEvent {
+    /// Handles a response that cannot be parsed or exceeds a limit. The request may have been executed all the same.
+    fn on_corrupt(&mut self, slot: u32, event: &AttemptEvent) -> NodeEvent {
         self.pool.close(slot);
-        if let Some(counters) = self.pool.counters_mut(arrival.node) {
+        if let Some(counters) = self.pool.counters_mut(event.node) {
             counters.corrupt_responses += 1;
         }
-        arrival.completed_event(AttemptResult::Error)
+        event.completed_event(AttemptResult::Error)
     }
 
-    /// The response is complete.
+    /// Handles a complete response.
     fn on_response(
         &mut self,
         slot: u32,
         message: MessageSpan,
         now: Tick,
-        arrival: &Arrival,
+        event: &AttemptEvent,
     ) -> Option<NodeEvent> {
         let is_written = self.pool.get(slot)?.is_request_written();
-        let Some(Verdict { response, close }) = self.classify(slot, &message) else {
-            return Some(self.on_corrupt(slot, arrival));
+        let Some(ClassifiedResponse { response, close }) = self.classify(slot, &message) else {
+            return Some(self.on_corrupt(slot, event));
         };
         let is_busy = response.result == AttemptResult::Rejected;
-        // A node executes a request after its last byte: a response before that belongs to another request.
+        // A node executes a request only after its last byte, so a response before that belongs to another request.
         if !is_written && !is_busy {
             self.pool.close(slot);
-            return Some(arrival.completed_event(AttemptResult::ConnectFailed));
+            return Some(event.completed_event(AttemptResult::ConnectFailed));
         }
         let is_new = !self.pool.get(slot)?.is_reused();
         if is_new && !keep_alive::keep_after_response(is_busy) {
@@ -204,7 +210,7 @@
         }
         let completion = Completion {
             response: Some(response),
-            ..arrival.complete(response.result)
+            ..event.complete(response.result)
         };
         self.count_response(&completion, now);
         if response.result == AttemptResult::Completed {
@@ -219,20 +225,21 @@
         Some(NodeEvent::Completed(completion))
     }
 
-    /// What a complete response says, and whether its connection can be used again; none: it cannot be parsed.
-    fn classify(&self, slot: u32, message: &MessageSpan) -> Option<Verdict> {
+    /// Classifies a complete response, and decides whether its connection can be reused. Returns `None` if the response
+    /// cannot be parsed.
+    fn classify(&self, slot: u32, message: &MessageSpan) -> Option<ClassifiedResponse> {
         let connection = self.pool.get(slot)?;
         let head = connection.response().head(message)?;
         let response = response::parse(&head);
         let is_kept = keep_alive::keep_after_response(response.result == AttemptResult::Rejected);
         let is_clean = connection.is_request_written() && !connection.response().has_more(message);
-        Some(Verdict {
+        Some(ClassifiedResponse {
             response,
             close: head.close || !is_kept || !is_clean,
         })
     }
 
-    /// Counts a response for the status log.
+    /// Counts a response, and the latency of a successful one, for the status log.
     fn count_response(&mut self, completion: &Completion, now: Tick) {
         let Some(counters) = self.pool.counters_mut(completion.node) else {
             return;
@@ -244,7 +251,7 @@
         }
     }
 
-    /// The body of a good response.
+    /// Returns the body of a successful response.
     pub fn body(&self, success: &Success) -> &[u8] {
         let connection = self.pool.get(success.slot);
         connection.map_or(&[], |connection| {
@@ -252,21 +259,22 @@
         })
     }
 
-    /// Moves out the buffer of a good response whose body is long, with the position of the body in it.
+    /// Takes the buffer of a successful response out of its connection, with the position of the body in it. Returns
+    /// `None` for a body that is short enough to be copied.
     pub fn take_long_body(&mut self, success: &Success) -> Option<(Vec<u8>, Range<usize>)> {
         let body = success.message.body..success.message.end;
-        if body.len() <= MAX_COPIED_BODY {
+        if body.len() <= MAX_COPIED_BODY_BYTES {
             return None;
         }
         Some((self.pool.take_response(success.slot)?, body))
     }
 
-    /// A good response was forwarded: its connection returns to the pool.
+    /// Releases the connection of a successful response that was forwarded: it returns to the pool or is closed.
     pub fn finish(&mut self, success: &Success, now: Tick) {
         self.return_connection(success.slot, success.close, now);
     }
 
-    /// The attempt on a connection has completed: it is idle from now on, or closed.
+    /// Releases a connection whose attempt has completed: it returns to the pool, or is closed if `close` is set.
     fn return_connection(&mut self, slot: u32, close: bool, now: Tick) {
         if close {
             self.pool.close(slot);
