--- a/crates/platform-host/tests/log.rs
+++ b/crates/platform-host/tests/log.rs
@@ -1,4 +1,5 @@
-//! Log lines of a host's life, with their fields. One test, as signals go to the whole process.
+//! Log lines of a host from its start to its end, with their fields. Operators and scripts rely on these lines. There
+//! is only one test, because signals are sent to the whole process.
 mod support;
 
 use nix::sys::signal::{Signal, raise};
@@ -7,19 +8,22 @@
 use support::{Host, accept, config, host_with_node, listen, read_message, read_request};
 
 #[test]
-fn a_host_logs_its_start_watches_status_reloads_and_end() {
+fn a_host_logs_its_start_failed_watches_status_reloads_and_end() {
     let (host, node, discovery) = host_with_node();
     let service = discovery.local_addr().expect("bound");
     expect_start(&host, service);
 
-    assert!(host.answer(&read_request("r-1")).ends_with("\r\n\r\ndata"));
     assert!(
-        host.answer(&read_request("r-2").replace("gold", "lead"))
+        host.response_to(&read_request("r-1"))
+            .ends_with("\r\n\r\ndata")
+    );
+    assert!(
+        host.response_to(&read_request("r-2").replace("gold", "lead"))
             .ends_with("no such plan")
     );
 
     let _silent = expect_failed_watches(&host, &discovery);
-    // The status is logged every 5 s, which is what this test waits for.
+    // The status is logged every 5 s, so this test takes that long.
     expect_host_status(&host);
     expect_node_status(&host);
     expect_rejected_reload(&host);
@@ -54,7 +58,7 @@
     assert_eq!(logged, expected);
 }
 
-/// One watch is refused by the service, the next is up and stays silent: that one is returned.
+/// The service answers the first watch with 404, and leaves the next one silent. Returns the silent one.
 fn expect_failed_watches(host: &Host, discovery: &TcpListener) -> TcpStream {
     let service = discovery.local_addr().expect("bound").to_string();
     let mut refused = accept(discovery);
@@ -148,7 +152,7 @@
 
 fn expect_rejected_reload(host: &Host) {
     host.write_config("{}");
-    raise(Signal::SIGHUP).expect("a signal");
+    raise(Signal::SIGHUP).expect("cannot raise the signal");
     let line = host.log.line("configuration rejected");
     assert_eq!((&*line.level, line.names()), ("ERROR", vec!["error"]));
     assert!(
@@ -158,15 +162,16 @@
     );
 }
 
-/// The configuration moves to another discovery service, which is returned.
+/// Reloads a configuration with another discovery service, another host name and another plan. Returns the listener of
+/// the new service.
 fn expect_reload(host: &Host) -> TcpListener {
     let discovery = listen();
-    let moved = discovery.local_addr().expect("bound");
-    let text = config(host.address, moved, None)
+    let new_service = discovery.local_addr().expect("bound");
+    let text = config(host.address, new_service, None)
         .replace("\"n0\"", "\"n1\"")
         .replace("gold", "lead");
     host.write_config(&text);
-    raise(Signal::SIGHUP).expect("a signal");
+    raise(Signal::SIGHUP).expect("cannot raise the signal");
     let line = host.log.line("configuration reloaded");
     assert_eq!(
         (&*line.level, line.names()),
@@ -174,7 +179,7 @@
     );
     assert_eq!(
         (line.field("discovery"), line.field("moved")),
-        (&*moved.to_string(), "true")
+        (&*new_service.to_string(), "true")
     );
     let warnings = [
         "another name or address to listen on needs a restart",
@@ -189,15 +194,18 @@
 }
 
 fn expect_end(host: Host) {
-    raise(Signal::SIGINT).expect("a signal");
+    raise(Signal::SIGINT).expect("cannot raise the signal");
     let line = host.log.line("graceful shutdown begins");
     assert_eq!(
         (&*line.level, line.names()),
         ("INFO", vec!["clients", "in_flight"])
     );
     assert_eq!((line.field("clients"), line.field("in_flight")), ("0", "0"));
-    assert_eq!(host.thread.join().expect("no panic"), Ok(()));
-    let last = host.log.lines().pop().expect("some");
+    assert_eq!(
+        host.thread.join().expect("the host's thread panicked"),
+        Ok(())
+    );
+    let last = host.log.lines().pop().expect("the host has logged nothing");
     assert_eq!(
         (&*last.level, &*last.message, last.names()),
         ("INFO", "host stopped", vec![])
--- a/crates/platform-host/tests/support/mod.rs
+++ b/crates/platform-host/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A host on a thread of its own between raw sockets: a storage node, the discovery service and clients that compare
-//! bytes.
+//! Runs a host on its own thread, between raw sockets that stand for a storage node, the discovery service and clients.
+//! The tests compare the bytes on them.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 use std::fmt::Write as _;
 use std::io::{ErrorKind, Read, Write};
@@ -12,10 +12,10 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// Timeout of every wait: far above any time that a test needs.
+/// Timeout of every wait, far longer than any test needs.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Settings as the platform writes them: a read class (`look`) and a write class (`book`).
+/// Settings in the platform's format, with a read class (`look`) and a write class (`book`).
 pub const SETTINGS: &str = r#"{"balancers": 1, "localities": ["a"], "registry_mode": "on_request",
   "profiles": [
     {"name": "look", "aim_us": 300000, "deadline_us": 1000000, "repeat": "idempotent", "worth": 3.0},
@@ -28,13 +28,16 @@
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out while waiting: {what}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A loopback address that no other process of the tests uses.
-fn own_address() -> Ipv4Addr {
+/// Returns a loopback address that no other test process uses.
+fn unique_loopback_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id();
     Ipv4Addr::new(
@@ -46,31 +49,35 @@
 }
 
 pub fn listen() -> TcpListener {
-    TcpListener::bind((own_address(), 0)).expect("a loopback address")
+    TcpListener::bind((unique_loopback_address(), 0)).expect("cannot listen on a loopback address")
 }
 
-/// An address with a free port, for the host to listen on.
+/// Returns an address with a free port, for the host to listen on.
 fn free_address() -> SocketAddr {
     listen().local_addr().expect("bound")
 }
 
 pub fn accept(listener: &TcpListener) -> TcpStream {
-    listener.set_nonblocking(true).expect("a socket");
+    listener
+        .set_nonblocking(true)
+        .expect("cannot make the listener non-blocking");
     let mut accepted = None;
-    wait_until("a connection of the host", || {
+    wait_until("the host opens a connection", || {
         accepted = listener.accept().ok();
         accepted.is_some()
     });
-    let (socket, _) = accepted.expect("waited for");
-    socket.set_nonblocking(false).expect("a socket");
+    let (socket, _) = accepted.expect("wait_until returned without a result");
+    socket
+        .set_nonblocking(false)
+        .expect("cannot make the socket blocking");
     socket
         .set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a timeout");
+        .expect("cannot set the read timeout");
     socket
 }
 
-/// Offset of the body of a message.
-fn head_end(text: &str) -> Option<usize> {
+/// Returns the offset of the body in a message, once its head is complete.
+fn body_offset(text: &str) -> Option<usize> {
     text.find("\r\n\r\n").map(|end| end + 4)
 }
 
@@ -78,16 +85,19 @@
     let value = head
         .lines()
         .find_map(|line| line.strip_prefix("Content-Length: "));
-    value.map_or(0, |value| value.parse().expect("a number"))
+    value.map_or(0, |value| {
+        value.parse().expect("Content-Length is not a number")
+    })
 }
 
-/// Reads one message whose body has a length, or none.
+/// Reads one message: its head, and a body of the length that Content-Length states. Returns what was received if the
+/// connection ends before that.
 pub fn read_message(socket: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut byte = [0; 1];
     loop {
         let text = String::from_utf8_lossy(&bytes);
-        if let Some(end) = head_end(&text)
+        if let Some(end) = body_offset(&text)
             && bytes.len() >= end + content_length(&text[..end])
         {
             return text.into_owned();
@@ -95,12 +105,12 @@
         match socket.read(&mut byte) {
             Ok(0) => return text.into_owned(),
             Ok(_) => bytes.push(byte[0]),
-            Err(e) => panic!("{e} after {text:?}"),
+            Err(e) => panic!("read failed: {e}; received before: {text:?}"),
         }
     }
 }
 
-/// Reads until the other side closes the connection.
+/// Reads until the peer closes or resets the connection, and returns all bytes received.
 pub fn read_to_close(socket: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -109,29 +119,32 @@
             Ok(0) => break,
             Ok(count) => bytes.extend_from_slice(&buffer[..count]),
             Err(e) if e.kind() == ErrorKind::ConnectionReset => break,
-            Err(e) => panic!("{e} after {:?}", String::from_utf8_lossy(&bytes)),
+            Err(e) => panic!(
+                "read failed: {e}; received before: {:?}",
+                String::from_utf8_lossy(&bytes)
+            ),
         }
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A storage node: records every request as received, and sends the queued responses, or a successful one if none is
-/// queued.
+/// A storage node that records every request as received, and sends the responses that were set, or a successful one
+/// if none is set.
 pub struct Node {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
-    answers: Arc<Mutex<Vec<&'static str>>>,
+    next_responses: Arc<Mutex<Vec<&'static str>>>,
 }
 
 impl Node {
     pub fn new() -> Self {
         let listener = listen();
         let address = listener.local_addr().expect("bound");
-        let (requests, answers) = (
+        let (requests, next_responses) = (
             Arc::<Mutex<Vec<String>>>::default(),
             Arc::<Mutex<Vec<&str>>>::default(),
         );
-        let (received, next) = (requests.clone(), answers.clone());
+        let (received, next) = (requests.clone(), next_responses.clone());
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
                 let (received, next) = (received.clone(), next.clone());
@@ -141,25 +154,31 @@
         Node {
             address,
             requests,
-            answers,
+            next_responses,
         }
     }
 
-    pub fn answers_next(&self, answer: &'static str) {
-        self.answers.lock().expect("not poisoned").push(answer);
+    /// Sets the response to the next request. An empty one leaves the request unanswered; if several are set, the
+    /// latest is sent first.
+    pub fn set_next_response(&self, response: &'static str) {
+        self.next_responses
+            .lock()
+            .expect("a test thread panicked")
+            .push(response);
     }
 
-    /// The requests received so far, with the value of `X-Timeout-Ms` in each replaced by `*`.
+    /// Returns the requests received so far, with the value of `X-Timeout-Ms` in each replaced by `*`.
     pub fn requests(&self) -> Vec<String> {
         self.requests
             .lock()
-            .expect("not poisoned")
+            .expect("a test thread panicked")
             .iter()
             .map(|text| without_timeout(text))
             .collect()
     }
 
-    pub fn entry(&self) -> String {
+    /// Returns the node's entry in the endpoint list, in JSON.
+    pub fn endpoint_json(&self) -> String {
         let dial = self.address;
         format!(
             r#"{{"host":"s-0","dial":"{dial}","site":"a","class":"m","block":0,"health":"ready","share":1.0,"born_ms":0}}"#
@@ -167,36 +186,48 @@
     }
 }
 
-/// Replaces the value of `X-Timeout-Ms`, which depends on the time that has passed: between 1 and 900 ms here.
+/// Replaces the value of `X-Timeout-Ms` by `*`, since it depends on the elapsed time. Checks that it is between 1 and
+/// 900 ms, the timeout of the clients' requests.
 fn without_timeout(text: &str) -> String {
     const NAME: &str = "X-Timeout-Ms: ";
-    let from = text.find(NAME).expect("a timeout") + NAME.len();
-    let to = from + text[from..].find("\r\n").expect("its end");
-    let wait: u64 = text[from..to].parse().expect("whole milliseconds");
-    assert!((1..=900).contains(&wait), "{wait} ms");
+    let from = text.find(NAME).expect("the request has no X-Timeout-Ms") + NAME.len();
+    let to = from
+        + text[from..]
+            .find("\r\n")
+            .expect("the X-Timeout-Ms line has no end");
+    let timeout_ms: u64 = text[from..to]
+        .parse()
+        .expect("X-Timeout-Ms is not a whole number");
+    assert!(
+        (1..=900).contains(&timeout_ms),
+        "X-Timeout-Ms is {timeout_ms}, not within 1 to 900"
+    );
     format!("{}*{}", &text[..from], &text[to..])
 }
 
 fn serve(mut socket: TcpStream, received: &Mutex<Vec<String>>, next: &Mutex<Vec<&'static str>>) {
     loop {
         let request = read_message(&mut socket);
-        if head_end(&request).is_none() {
+        if body_offset(&request).is_none() {
             return;
         }
-        received.lock().expect("not poisoned").push(request);
-        let set = next.lock().expect("not poisoned").pop();
-        let answer =
+        received
+            .lock()
+            .expect("a test thread panicked")
+            .push(request);
+        let set = next.lock().expect("a test thread panicked").pop();
+        let response =
             set.unwrap_or("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Iops-Used: 3.5\r\n\r\ndata");
-        if answer.is_empty() {
+        if response.is_empty() {
             continue;
         }
-        if socket.write_all(answer.as_bytes()).is_err() {
+        if socket.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// A log line: its message, and its fields in their order.
+/// A log line, with its level, its message, and its fields in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
     pub level: String,
@@ -207,7 +238,10 @@
 impl LogLine {
     pub fn field(&self, name: &str) -> &str {
         let field = self.fields.iter().find(|(n, _)| n == name);
-        field.map_or_else(|| panic!("no {name} in {self:?}"), |(_, value)| value)
+        field.map_or_else(
+            || panic!("no field {name} in the log line {self:?}"),
+            |(_, value)| value,
+        )
     }
 
     pub fn names(&self) -> Vec<&str> {
@@ -220,10 +254,10 @@
 
 impl Log {
     pub fn lines(&self) -> Vec<LogLine> {
-        self.0.lock().expect("not poisoned").clone()
+        self.0.lock().expect("a test thread panicked").clone()
     }
 
-    /// Waits for a line with this message; the first of them.
+    /// Waits for a log line with this message, and returns the first one.
     pub fn line(&self, message: &str) -> LogLine {
         let mut found = None;
         wait_until(message, || {
@@ -233,16 +267,16 @@
                 .find(|line| line.message == message);
             found.is_some()
         });
-        found.expect("waited for")
+        found.expect("wait_until returned without a result")
     }
 }
 
-struct Fields<'l>(&'l mut LogLine);
+struct FieldVisitor<'l>(&'l mut LogLine);
 
-impl Visit for Fields<'_> {
+impl Visit for FieldVisitor<'_> {
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         let mut text = String::new();
-        write!(text, "{value:?}").expect("writing to memory");
+        write!(text, "{value:?}").expect("writing to a string cannot fail");
         if field.name() == "message" {
             self.0.message = text;
         } else {
@@ -275,8 +309,8 @@
             message: String::new(),
             fields: Vec::new(),
         };
-        event.record(&mut Fields(&mut line));
-        self.0.lock().expect("not poisoned").push(line);
+        event.record(&mut FieldVisitor(&mut line));
+        self.0.lock().expect("a test thread panicked").push(line);
     }
 
     fn enter(&self, _: &Id) {}
@@ -284,7 +318,7 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// A host that runs on a thread of this process, until the process ends or a signal stops the host.
+/// A host that runs on a thread of the test process, until the process ends or a signal stops the host.
 pub struct Host {
     pub address: SocketAddr,
     pub log: Log,
@@ -292,7 +326,7 @@
     directory: tempfile::TempDir,
 }
 
-/// The configuration of a host; `known`: its cached endpoint list at startup.
+/// Returns the configuration of a host. `known`: its cached endpoint list at startup.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: Option<&str>) -> String {
     let known = known.map_or(String::new(), |list| format!(r#""known":{list},"#));
     format!(
@@ -302,16 +336,17 @@
 }
 
 impl Host {
-    /// A host that watches this discovery service, with this cached endpoint list at startup.
+    /// Starts a host that watches the discovery service at `discovery`. `known`: its cached endpoint list at startup.
     pub fn new(discovery: SocketAddr, known: Option<&str>) -> Self {
         let address = free_address();
-        let directory = tempfile::tempdir().expect("a directory");
+        let directory = tempfile::tempdir().expect("cannot create a temporary directory");
         let path = directory.path().join("config.json");
-        std::fs::write(&path, config(address, discovery, known)).expect("a file");
+        std::fs::write(&path, config(address, discovery, known))
+            .expect("cannot write the configuration file");
         let log = Log::default();
-        let own = log.clone();
+        let host_log = log.clone();
         let thread = thread::spawn(move || {
-            tracing::subscriber::with_default(own, || {
+            tracing::subscriber::with_default(host_log, || {
                 mallowseam_platform_host::run(&path, None).map_err(|e| e.to_string())
             })
         });
@@ -325,37 +360,41 @@
     }
 
     pub fn write_config(&self, text: &str) {
-        std::fs::write(self.directory.path().join("config.json"), text).expect("a file");
+        std::fs::write(self.directory.path().join("config.json"), text)
+            .expect("cannot write the configuration file");
     }
 
     pub fn connect(&self) -> TcpStream {
-        let socket = TcpStream::connect(self.address).expect("the host listens");
+        let socket = TcpStream::connect(self.address).expect("cannot connect to the host");
         socket
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a timeout");
-        socket.set_nodelay(true).expect("a socket");
+            .expect("cannot set the read timeout");
+        socket.set_nodelay(true).expect("cannot set TCP_NODELAY");
         socket
     }
 
-    /// The answer to a request on a connection of its own, which the host leaves open.
-    pub fn answer(&self, request: &str) -> String {
+    /// Sends a request on a new connection, and returns the response. The host leaves the connection open.
+    pub fn response_to(&self, request: &str) -> String {
         let mut socket = self.connect();
         socket.write_all(request.as_bytes()).expect("open");
         read_message(&mut socket)
     }
 
-    /// All bytes that the host sends after a request until it closes the connection.
-    pub fn answer_and_close(&self, request: &str) -> String {
+    /// Sends a request on a new connection, and returns all bytes that the host sends until it closes the connection.
+    pub fn response_until_close(&self, request: &str) -> String {
         let mut socket = self.connect();
         socket.write_all(request.as_bytes()).expect("open");
         read_to_close(&mut socket)
     }
 }
 
-/// A host that knows one node, and the node.
+/// Starts a host that knows one node. Returns the host, the node and the listener of the discovery service.
 pub fn host_with_node() -> (Host, Node, TcpListener) {
     let (node, discovery) = (Node::new(), listen());
-    let known = format!(r#"{{"seq":41,"whole":true,"hosts":[{}]}}"#, node.entry());
+    let known = format!(
+        r#"{{"seq":41,"whole":true,"hosts":[{}]}}"#,
+        node.endpoint_json()
+    );
     let host = Host::new(discovery.local_addr().expect("bound"), Some(&known));
     (host, node, discovery)
 }
--- a/crates/platform-host/tests/wire.rs
+++ b/crates/platform-host/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Bytes that a host writes to nodes, to clients and to the discovery service, compared whole.
+//! Bytes that a host writes to nodes, to clients and to the discovery service. Whole messages are compared, so that a
+//! change of a header, of its order or of a body is noticed.
 mod support;
 
 use std::io::Write;
@@ -10,7 +11,7 @@
 const FAILED: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndata";
 
-/// Headers that a client may send, among them ones that nodes do not get.
+/// Returns a write request with all headers that a client may send, among them headers that are not forwarded to nodes.
 fn write_with_all_headers(id: &str) -> String {
     write_request(id).replace(
         "Content-Length: 4",
@@ -80,23 +81,23 @@
 }
 
 #[test]
-fn a_readiness_check_reports_whether_a_list_is_known_and_closes_the_connection() {
+fn a_readiness_check_reports_whether_an_endpoint_is_known_and_closes_the_connection() {
     let request = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
     let (host, _node, _discovery) = host_with_node();
     assert_eq!(
-        host.answer_and_close(request),
+        host.response_until_close(request),
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nready"
     );
     let discovery = listen();
     let host = Host::new(discovery.local_addr().expect("bound"), None);
     assert_eq!(
-        host.answer_and_close(request),
+        host.response_until_close(request),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 11\r\nConnection: close\r\n\r\nno list yet"
     );
 }
 
 #[test]
-fn rejected_requests_are_answered_and_their_connections_stay_open() {
+fn invalid_requests_are_answered_and_their_connections_stay_open() {
     let (host, node, _discovery) = host_with_node();
     let write = write_request("w");
     let put = |from: &str, to: &str| write.replace(from, to);
@@ -159,8 +160,8 @@
     ];
     for (request, status, reason, body) in wrong {
         let len = body.len();
-        let answer = format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {len}\r\n\r\n{body}");
-        assert_eq!(host.answer(&request), answer, "{request}");
+        let response = format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {len}\r\n\r\n{body}");
+        assert_eq!(host.response_to(&request), response, "{request}");
     }
     assert_eq!(node.requests(), [""; 0]);
 }
@@ -199,10 +200,14 @@
     ];
     for (request, status, reason, body) in wrong {
         let len = body.len();
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 {status} {reason}\r\nContent-Length: {len}\r\nConnection: close\r\n\r\n{body}"
         );
-        assert_eq!(host.answer_and_close(&request), answer, "{request:.80}");
+        assert_eq!(
+            host.response_until_close(&request),
+            response,
+            "{request:.80}"
+        );
     }
     assert_eq!(node.requests(), [""; 0]);
 }
@@ -211,7 +216,7 @@
 fn an_incomplete_request_times_out_with_408() {
     let (host, _node, _discovery) = host_with_node();
     assert_eq!(
-        host.answer_and_close("PUT /book/00"),
+        host.response_until_close("PUT /book/00"),
         "HTTP/1.1 408 Request Timeout\r\nContent-Length: 19\r\nConnection: close\r\n\r\nthe request is late"
     );
 }
@@ -236,22 +241,24 @@
     let (host, _node, _discovery) = host_with_node();
     let close = read_request("r-1").replace("Host: s\r\n", "Host: s\r\nConnection: close\r\n");
     let last = GOOD.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-    assert_eq!(host.answer_and_close(&close), last);
+    assert_eq!(host.response_until_close(&close), last);
     let http10 = read_request("r-2").replace("HTTP/1.1", "HTTP/1.0");
-    assert_eq!(host.answer_and_close(&http10), last);
+    assert_eq!(host.response_until_close(&http10), last);
 }
 
 #[test]
 fn a_duplicate_request_id_in_flight_is_rejected() {
     let (host, node, _discovery) = host_with_node();
-    node.answers_next("");
+    node.set_next_response("");
     let mut first = host.connect();
     first
         .write_all(write_request("same").as_bytes())
         .expect("open");
-    support::wait_until("the first is at its node", || node.requests().len() == 1);
+    support::wait_until("the node receives the first request", || {
+        node.requests().len() == 1
+    });
     assert_eq!(
-        host.answer(&write_request("same")),
+        host.response_to(&write_request("same")),
         "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\n\r\nthis id is in hand"
     );
 }
@@ -261,29 +268,29 @@
     let (host, node, _discovery) = host_with_node();
     let elsewhere = write_request("w-1").replace("shard=0", "shard=7");
     assert_eq!(
-        host.answer(&elsewhere),
+        host.response_to(&elsewhere),
         format!("{SHED}Retry-After: 0.100\r\n\r\n")
     );
-    node.answers_next("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(host.answer(&write_request("w-2")), FAILED);
-    node.answers_next("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n");
-    assert_eq!(host.answer(&write_request("w-3")), FAILED);
-    node.answers_next("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
+    node.set_next_response("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(host.response_to(&write_request("w-2")), FAILED);
+    node.set_next_response("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n");
+    assert_eq!(host.response_to(&write_request("w-3")), FAILED);
+    node.set_next_response("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(
-        host.answer(&write_request("w-4")),
+        host.response_to(&write_request("w-4")),
         FAILED,
-        "it does not say that it did not run it"
+        "a 503 without X-Not-Processed is not retried, as the node may have executed the write"
     );
     let sent = node.requests().len();
-    node.answers_next("HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(host.answer(&write_request("w-5")), GOOD);
+    node.set_next_response("HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(host.response_to(&write_request("w-5")), GOOD);
     assert_eq!(node.requests().len(), sent + 2);
 }
 
 #[test]
 fn requests_beyond_the_memory_limit_are_shed() {
     let (host, node, _discovery) = host_with_node();
-    // A quarter of 16 MiB is for clients' bytes: 64 bodies of 64 KiB.
+    // A quarter of the 16 MiB of memory is for clients' buffers, which is 64 bodies of 64 KiB.
     let head = write_request("w").replace(
         "Content-Length: 4\r\n\r\nbody",
         "Content-Length: 65536\r\n\r\n",
@@ -296,21 +303,25 @@
             client
         })
         .collect();
-    let mut answered = Vec::new();
-    support::wait_until("one is turned away", || {
+    let mut responses = Vec::new();
+    support::wait_until("a request is shed", || {
         for client in &mut clients {
-            client.set_nonblocking(true).expect("a socket");
-            let some = client.peek(&mut [0; 1]).is_ok_and(|count| count > 0);
-            client.set_nonblocking(false).expect("a socket");
-            if some {
-                answered.push(read_to_close(client));
+            client
+                .set_nonblocking(true)
+                .expect("cannot change the blocking mode of the socket");
+            let has_response = client.peek(&mut [0; 1]).is_ok_and(|count| count > 0);
+            client
+                .set_nonblocking(false)
+                .expect("cannot change the blocking mode of the socket");
+            if has_response {
+                responses.push(read_to_close(client));
             }
         }
-        !answered.is_empty()
+        !responses.is_empty()
     });
-    for answer in answered {
+    for response in responses {
         assert_eq!(
-            answer,
+            response,
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 7\r\nConnection: close\r\n\r\nno room"
         );
     }
