--- a/crates/scheduler/src/policy/tests/slow_start.rs
+++ b/crates/scheduler/src/policy/tests/slow_start.rs
@@ -2,8 +2,8 @@
 use crate::interface::SchedulerConfig;
 use crate::pcg::Pcg;
 
-/// Returns the slow start limits for nodes that sustain 400 units in a window of 1,000 ticks just after their start, and
-/// reach their full rate, five times the initial one, after 10,000 ticks.
+/// Returns the slow start limits for nodes that sustain 400 units in a window of 1,000 ticks just after their start,
+/// and reach their full rate, five times the initial one, after 10,000 ticks.
 fn slow_start(overload_window: i64) -> SlowStart {
     let config = SchedulerConfig {
         slow_start_capacity: 400.0,
--- a/crates/scheduler/tests/dispatch.rs
+++ b/crates/scheduler/tests/dispatch.rs
@@ -1,4 +1,5 @@
-//! Which queued block I/O goes to a node, and which leaves it to other hosts.
+//! Which queued block I/O is sent to a node next, and which waits so that other hosts can use the node. Low priorities
+//! would delay high ones if they filled a node that is overloaded or answers late.
 mod support;
 
 use mallowseam_scheduler::interface::{AttemptResult, Bio, Plan, SchedulerConfig, VolumeId};
@@ -6,7 +7,7 @@
 use test_case::test_case;
 
 #[test]
-fn highest_priority_goes_first() {
+fn block_io_with_the_highest_priority_is_sent_first() {
     let mut settings = config();
     settings.plans[1] = Plan {
         priority_factor: 0.5,
@@ -29,8 +30,8 @@
 }
 
 #[test_case(4.0, 1; "high priority is sent")]
-#[test_case(0.2, 0; "low priority leaves the node to others")]
-fn crowded_node_is_left_to_the_highest_priority(priority_factor: f64, sends: usize) {
+#[test_case(0.2, 0; "low priority leaves the node to other hosts")]
+fn overloaded_node_is_left_to_the_highest_priority(priority_factor: f64, sends: usize) {
     let mut settings = SchedulerConfig {
         hosts: 9,
         ..config()
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn one_slow_answer_after_a_silence_keeps_low_priority_away() {
+fn one_slow_answer_after_an_idle_period_keeps_low_priority_away() {
     let mut settings = SchedulerConfig {
         hosts: 160,
         ..config()
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn late_answers_at_many_nodes_keep_low_priority_from_all() {
+fn late_answers_from_one_node_keep_low_priority_from_another() {
     let mut settings = SchedulerConfig {
         hosts: 160,
         ..config()
--- a/crates/scheduler/tests/endpoint_polling.rs
+++ b/crates/scheduler/tests/endpoint_polling.rs
@@ -1,4 +1,5 @@
-//! When hosts poll the endpoint list.
+//! When hosts poll the endpoint list. Hosts that start, lose their watches or move to another discovery service
+//! together would overload it if they polled at once; a host that polls too late would send to a draining node.
 mod support;
 
 use mallowseam_scheduler::interface::{EndpointEvent, SchedulerConfig, Tick};
@@ -26,16 +27,17 @@
             .actions
             .iter()
             .find(|d| d.1 == Action::PolledEndpoints)
-            .expect("a poll")
+            .expect("the host polls")
             .0;
         assert!(at - from <= 20_100, "{} after the move", at - from);
     }
 }
 
-/// When each of so many hosts polls a service that fails so often, from its start or from the loss of all watches.
+/// Returns the times at which each host polls a service that fails `failing` times, counted from the start of the
+/// hosts, or if `lost`, from the loss of all watches.
 fn poll_times(hosts: u32, failing: usize, lost: bool) -> Vec<Vec<Tick>> {
     let config = SchedulerConfig { hosts, ..config() };
-    let one = |seed| {
+    let poll_times_of_host = |seed| {
         let mut harness = Harness::starting(&config, u64::from(seed));
         if lost {
             harness.advance(1_000_000);
@@ -43,7 +45,7 @@
             harness.host.actions.clear();
             harness.on_endpoints(EndpointEvent::PollFailed, &[]);
         }
-        let began = harness.host.now;
+        let start = harness.host.now;
         for _ in 0..failing {
             let polls = harness.count(Action::PolledEndpoints);
             while harness.count(Action::PolledEndpoints) == polls {
@@ -56,10 +58,10 @@
             .actions
             .iter()
             .filter(|d| d.1 == Action::PolledEndpoints)
-            .map(|d| d.0 - began)
+            .map(|d| d.0 - start)
             .collect()
     };
-    (0..hosts).map(one).collect()
+    (0..hosts).map(poll_times_of_host).collect()
 }
 
 #[test]
@@ -75,8 +77,8 @@
     for lost in [false, true] {
         let mut all: Vec<Tick> = poll_times(150, 3, lost).into_iter().flatten().collect();
         all.sort_unstable();
-        // At 30 ms a poll the service handles 33 in a second; random turns add some.
-        let most = all
+        // With 30 ms per poll, the service answers 33 polls per second; random times add some.
+        let max_per_second = all
             .iter()
             .map(|at| {
                 all.iter()
@@ -85,8 +87,8 @@
             })
             .max();
         assert!(
-            most.is_some_and(|most| most < 60),
-            "{most:?}, lost at once: {lost}"
+            max_per_second.is_some_and(|max| max < 60),
+            "{max_per_second:?} polls in a second, watches lost: {lost}"
         );
     }
     for at in poll_times(150, 3, true) {
@@ -99,16 +101,17 @@
 
 #[test]
 fn host_whose_poll_failed_polls_again_within_six_seconds_of_the_service_return() {
-    // Counted from the start of a poll that just missed the return: what is left must hold the next one.
-    let left = 60_000 - 12_000;
+    // The 6 s count from the start of a poll that just missed the return. The next poll needs 1.2 s of them.
+    let max_interval = 60_000 - 12_000;
     for hosts in [100, 300, 4_600] {
         for at in poll_times(hosts.min(300), 4, true) {
             assert!(
-                at[0] <= left && at.windows(2).all(|w| w[1] - w[0] <= left),
-                "{hosts}: {at:?}"
+                at[0] <= max_interval && at.windows(2).all(|w| w[1] - w[0] <= max_interval),
+                "{hosts} hosts: polls at {at:?}"
             );
         }
-        // After a failure at 1.2 s without a response head, or at 4 s without its first line, the next is no later.
+        // A poll that fails after 1.2 s without a response head, or after 4 s without the first line, does not delay
+        // the next one.
         for (took, event) in [
             (12_500, EndpointEvent::PollFailed),
             (12_500, EndpointEvent::WatchSilent),
@@ -132,8 +135,8 @@
                 .map(|d| d.0)
                 .collect();
             assert!(
-                at.windows(2).all(|w| w[1] - w[0] <= left),
-                "{hosts}, {took}: {at:?}"
+                at.windows(2).all(|w| w[1] - w[0] <= max_interval),
+                "{hosts} hosts, failure after {took}: polls at {at:?}"
             );
         }
     }
@@ -157,8 +160,8 @@
     assert_eq!(harness.count(Action::PolledEndpoints), 2);
 }
 
-/// When the last of 300 hosts makes its first poll.
-fn last_first_poll(config: &SchedulerConfig, before: impl Fn(&mut Harness)) -> Tick {
+/// Returns the delay after which the last of 300 hosts makes its first poll.
+fn latest_first_poll(config: &SchedulerConfig, before: impl Fn(&mut Harness)) -> Tick {
     let first = |seed| {
         let mut harness = Harness::starting(config, seed);
         before(&mut harness);
@@ -169,7 +172,7 @@
             .actions
             .iter()
             .find(|d| d.1 == Action::PolledEndpoints)
-            .expect("a poll")
+            .expect("the host polls")
             .0
             - from
     };
@@ -182,36 +185,36 @@
         hosts: 300,
         ..config()
     };
-    let last = last_first_poll(&paced, |_| {});
+    let last = latest_first_poll(&paced, |_| {});
     assert!(
         (40_000..=46_000).contains(&last),
-        "what the service has counts as known after 6 s: {last}"
+        "the host must know everything that the service has after 6 s: {last}"
     );
     let known_slow = SchedulerConfig {
         poll_service_time: Some(300),
         ..paced.clone()
     };
-    let last = last_first_poll(&known_slow, |_| {});
+    let last = latest_first_poll(&known_slow, |_| {});
     assert!(
         last > 80_000,
-        "30 ms for each of 300 hosts, where they are known to take it: {last}"
+        "the polls of 300 hosts are known to take 30 ms each: {last}"
     );
     let fewer = SchedulerConfig {
         hosts: 100,
         ..paced.clone()
     };
-    let last = last_first_poll(&fewer, |_| {});
+    let last = latest_first_poll(&fewer, |_| {});
     assert!(
         (27_000..=30_100).contains(&last),
-        "30 ms for each of 100 hosts: {last}"
+        "the polls of 100 hosts are assumed to take 30 ms each: {last}"
     );
     let within = SchedulerConfig {
         max_poll_delay: 50_000,
         ..paced.clone()
     };
     assert!(
-        last_first_poll(&within, |_| {}) <= 40_100,
-        "four fifths of the time that it may go without"
+        latest_first_poll(&within, |_| {}) <= 40_100,
+        "the host polls within four fifths of the maximum poll delay"
     );
     let pushed = SchedulerConfig {
         endpoints_pushed: true,
@@ -219,8 +222,8 @@
         ..paced.clone()
     };
     assert!(
-        last_first_poll(&pushed, |_| {}) <= 2_100,
-        "what the service knows counts as known at once"
+        latest_first_poll(&pushed, |_| {}) <= 2_100,
+        "the host must know everything that the service knows at once"
     );
     let silent = |harness: &mut Harness| {
         harness.advance(100_000);
@@ -228,10 +231,10 @@
         harness.host.actions.clear();
         harness.on_endpoints(EndpointEvent::WatchSilent, &[]);
     };
-    let last = last_first_poll(&paced, silent);
+    let last = latest_first_poll(&paced, silent);
     assert!(
         (10_000..=16_100).contains(&last),
-        "what a silent watch misses counts as known: {last}"
+        "the host must know updates that a silent watch failed to send: {last}"
     );
     let unanswered = |harness: &mut Harness| {
         harness.advance(100_000);
@@ -239,8 +242,8 @@
         harness.on_endpoints(EndpointEvent::WatchSilent, &[]);
     };
     assert!(
-        last_first_poll(&paced, unanswered) <= 16_100,
-        "as does what follows a poll without an answer"
+        latest_first_poll(&paced, unanswered) <= 16_100,
+        "the host must know updates that follow a poll without an answer"
     );
     let again = |harness: &mut Harness| {
         unanswered(harness);
@@ -248,11 +251,12 @@
         harness.host.actions.clear();
         harness.on_endpoints(EndpointEvent::WatchSilent, &[]);
     };
-    let last = last_first_poll(&paced, again);
-    // It polled within 1.6 s, and the service was silent again at 2 s: from that poll on it has 4.6 s.
+    let last = latest_first_poll(&paced, again);
+    // The host polled within 1.6 s, and the service was silent again after 2 s. The next poll is due within 4.6 s of
+    // that poll.
     assert!(
         (26_000..=46_000).contains(&last),
-        "a silent service is not polled for ever: {last}"
+        "a service that stays silent is not polled in short succession: {last}"
     );
 }
 
@@ -276,7 +280,7 @@
                 .actions
                 .iter()
                 .find(|d| d.1 == Action::PolledEndpoints)
-                .expect("a poll")
+                .expect("the host polls")
                 .0;
             at - from
         })
--- a/crates/scheduler/tests/endpoints.rs
+++ b/crates/scheduler/tests/endpoints.rs
@@ -1,4 +1,5 @@
-//! Nodes as the endpoint list has them: draining, removed, forgotten, back.
+//! Nodes whose entry in the endpoint list changes: draining, removed, forgotten and returning nodes. Block I/Os would
+//! be sent to a node that is no longer in service, or an index would be reused while an attempt still refers to it.
 mod support;
 
 use mallowseam_scheduler::interface::{AttemptResult, Bio, EndpointEvent, NodeEndpoint, NodeState};
@@ -20,7 +21,7 @@
     assert_eq!(
         (harness.forwarded(), harness.count(Action::Shed(7))),
         (before, 1),
-        "answered at once, not queued"
+        "the block I/O is answered at once, not queued"
     );
 }
 
@@ -38,15 +39,15 @@
         &[node(0, NodeState::Removed, None)],
     );
     for _ in 0..40 {
-        let all = harness.forwarded();
-        let on_one = harness
+        let forwarded = harness.forwarded();
+        let sent_to_node_1 = harness
             .host
             .actions
             .iter()
             .filter(|d| matches!(d.1, Action::Forwarded(_, 1)))
             .count();
-        assert!(on_one <= all.len());
-        if let Some(id) = all
+        assert!(sent_to_node_1 <= forwarded.len());
+        if let Some(id) = forwarded
             .iter()
             .rev()
             .find(|id| harness.count(Action::ReleasedBio(**id)) == 0)
@@ -91,7 +92,10 @@
     );
     harness.advance(3_000);
     harness.arrive(harness.bio(1));
-    assert!(harness.forwarded().contains(&1), "its index serves another");
+    assert!(
+        harness.forwarded().contains(&1),
+        "the index of the forgotten node is usable again"
+    );
 }
 
 #[test]
--- a/crates/scheduler/tests/final_answers.rs
+++ b/crates/scheduler/tests/final_answers.rs
@@ -1,4 +1,5 @@
-//! Each block I/O gets one final answer, in time.
+//! Each block I/O gets exactly one final answer, in time. An answer could be missing, repeated or late if a block I/O
+//! is queued again, its index is reused or its node is removed while events for it are pending.
 mod support;
 
 use mallowseam_scheduler::interface::{
@@ -27,7 +28,7 @@
         queued
             .iter()
             .all(|id| harness.answered_at(*id) == [start + OBJECTIVE]),
-        "as its objective ends, not near its deadline"
+        "answered when the objective ends, not near the deadline"
     );
 }
 
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn zero_figures_in_config_and_block_ios_are_harmless() {
+fn zero_values_in_the_config_and_in_block_ios_are_tolerated() {
     let classes = config().classes;
     let mut harness = Harness::new(&SchedulerConfig {
         classes,
@@ -130,12 +131,12 @@
         ..config()
     });
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
-    // Time for its objective, and little more.
-    let hasty = Bio {
+    // The deadline is only a little later than the end of the objective.
+    let short_deadline = Bio {
         deadline: harness.host.now + OBJECTIVE + 200,
         ..harness.bio(9)
     };
-    harness.arrive(hasty);
+    harness.arrive(short_deadline);
     assert!(!harness.forwarded().contains(&9));
     harness.advance(OBJECTIVE / 2);
     assert_eq!(harness.count(Action::Shed(9)), 0);
@@ -144,8 +145,8 @@
 }
 
 #[test_case(0, AttemptResult::Rejected; "rejected by the node")]
-#[test_case(0, AttemptResult::ConnectionReset; "cut off")]
-#[test_case(1, AttemptResult::TimedOut; "a non-idempotent one that may have run")]
+#[test_case(0, AttemptResult::ConnectionReset; "connection reset")]
+#[test_case(1, AttemptResult::TimedOut; "non-idempotent and may have run")]
 fn block_io_without_attempts_left_is_answered_as_the_last_one_finishes(
     class: u16,
     result: AttemptResult,
@@ -168,13 +169,13 @@
     assert_eq!(
         harness.answered_at(0),
         [now],
-        "not queued back while its client might retry"
+        "answered at once, not queued again while its client could retry"
     );
     let shed = class == 0;
     assert_eq!(
         harness.host.retry_after,
         if shed { vec![1_000] } else { vec![] },
-        "a Retry-After is named"
+        "a shed block I/O states a Retry-After"
     );
 }
 
@@ -193,7 +194,7 @@
     assert_eq!(
         (harness.answered_at(0), harness.answered_at(1)),
         (vec![start], vec![start]),
-        "no node holds it; no time is left"
+        "no node holds the shard of the first block I/O, and the second one has no time left"
     );
     (2..9).for_each(|id| harness.arrive(harness.bio(id)));
     let queued: Vec<u32> = (2..9)
@@ -209,6 +210,6 @@
         queued
             .iter()
             .all(|id| harness.answered_at(*id) == [start + 900]),
-        "its node is removed"
+        "queued block I/Os are answered when their node is removed"
     );
 }
--- a/crates/scheduler/tests/idempotency.rs
+++ b/crates/scheduler/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Block I/Os that may have run are repeated only where that is harmless.
+//! Block I/Os that may have run are repeated only where that is harmless. A repeat would run twice if the block I/O is
+//! not idempotent, or if the node does not share the idempotency key or has forgotten it.
 mod support;
 
 use mallowseam_scheduler::interface::{
@@ -8,17 +9,20 @@
 use test_case::test_case;
 
 #[test_case(AttemptResult::Rejected, true; "rejected")]
-#[test_case(AttemptResult::ConnectFailed, true; "no connection")]
+#[test_case(AttemptResult::ConnectFailed, true; "connection failed")]
 #[test_case(AttemptResult::TimedOut, false; "timed out")]
 #[test_case(AttemptResult::ConnectionReset, false; "reset")]
 #[test_case(AttemptResult::Error, false; "error")]
-fn non_idempotent_block_io_is_retried_only_if_it_never_ran(result: AttemptResult, again: bool) {
+fn non_idempotent_block_io_is_retried_only_if_it_never_ran(
+    result: AttemptResult,
+    is_retried: bool,
+) {
     let mut harness = Harness::new(&config());
     harness.arrive(with_key(&harness, 0, 1));
     harness.finish_attempt(0, 0, result, 20);
     harness.advance(OBJECTIVE / 2);
-    assert_eq!(harness.forwarded().len(), 1 + usize::from(again));
-    assert_eq!(harness.count(Action::Failed(0)), usize::from(!again));
+    assert_eq!(harness.forwarded().len(), 1 + usize::from(is_retried));
+    assert_eq!(harness.count(Action::Failed(0)), usize::from(!is_retried));
     assert_eq!(harness.count(Action::Shed(0)), 0);
 }
 
@@ -60,7 +64,7 @@
     });
     (1..5).for_each(|id| harness.arrive(harness.bio(id)));
     harness.advance(500);
-    // Its node fails again and again, and is paused for longer than it remembers keys.
+    // The node fails repeatedly, and is paused for longer than it remembers keys.
     (1..5).for_each(|id| harness.finish_attempt(id, 0, AttemptResult::Error, 500));
     harness.finish_attempt(0, 0, AttemptResult::ConnectionReset, 500);
     harness.advance(DEADLINE);
@@ -77,14 +81,14 @@
 
 #[test]
 fn new_object_that_may_have_run_is_retried_in_its_shard_or_answered_at_once() {
-    for seed in 0..20 {
+    for others in 0..20 {
         let mut harness = Harness::new(&config());
         let new = |harness: &Harness, id| Bio {
             class: 3,
             shard: None,
             ..harness.bio(id)
         };
-        (0..seed).for_each(|id| {
+        (0..others).for_each(|id| {
             harness.arrive(Bio {
                 class: 0,
                 ..new(&harness, id)
@@ -95,7 +99,7 @@
         let Some(first) = harness.nodes_of(100).first().copied() else {
             continue;
         };
-        // The only node of its shard drains while the outcome is on its way.
+        // The only node of the shard starts to drain before the outcome arrives.
         harness.on_endpoints(
             EndpointEvent::Incremental,
             &[node(first, NodeState::Draining, None)],
@@ -105,7 +109,7 @@
         assert_eq!(
             (harness.nodes_of(100), harness.answered_at(100)),
             (vec![first], vec![now]),
-            "after {seed}"
+            "after {others} other block I/Os"
         );
     }
 }
--- a/crates/scheduler/tests/node_health.rs
+++ b/crates/scheduler/tests/node_health.rs
@@ -1,4 +1,5 @@
-//! What outcomes tell of nodes.
+//! What the outcomes of attempts imply about nodes. A failing or overloaded node would get more load if its fast
+//! failures, its missing answers or its outdated latency made it look fast.
 mod support;
 
 use mallowseam_scheduler::interface::{AttemptResult, Bio, Plan, SchedulerConfig, VolumeId};
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn quick_failures_do_not_count_as_a_quick_node() {
+fn fast_failures_do_not_make_a_node_count_as_fast() {
     let mut harness = Harness::new(&config());
     for id in 0..100 {
         harness.arrive(harness.bio(id));
@@ -32,13 +33,13 @@
     }
     assert!(
         harness.forwarded().len() < 20,
-        "{} attempts in a second at a dead node",
+        "{} attempts in a second at an unreachable node",
         harness.forwarded().len()
     );
 }
 
 #[test]
-fn node_with_an_unanswered_attempt_gets_no_new_objects() {
+fn new_objects_avoid_a_node_with_an_unanswered_attempt() {
     let mut harness = Harness::new(&config());
     harness.arrive(Bio {
         volume: VolumeId(20),
@@ -60,20 +61,20 @@
             harness.finish_attempt(id, 1, AttemptResult::Completed, 20);
         }
     }
-    let on_one = harness
+    let sent_to_node_1 = harness
         .host
         .actions
         .iter()
         .filter(|d| matches!(d.1, Action::Forwarded(_, 1)))
         .count();
     assert!(
-        on_one >= 10,
-        "{on_one} of 16; all but those that draw the other node twice"
+        sent_to_node_1 >= 10,
+        "node 1 got {sent_to_node_1} of 16 block I/Os; node 0 may get only those that draw it twice"
     );
 }
 
 #[test]
-fn node_that_answers_nothing_in_time_does_not_count_as_quick() {
+fn node_that_answers_nothing_in_time_does_not_count_as_fast() {
     let mut settings = SchedulerConfig {
         hosts: 160,
         max_attempts: 1,
@@ -100,21 +101,24 @@
 }
 
 #[test_case(4, 3..6; "four hosts")]
-#[test_case(160, 0..2; "hundreds")]
-fn backoff_from_a_dead_node_grows_with_the_host_count(hosts: u32, tries: std::ops::Range<usize>) {
+#[test_case(160, 0..2; "hundreds of hosts")]
+fn backoff_from_an_unreachable_node_grows_with_the_host_count(
+    hosts: u32,
+    attempts: std::ops::Range<usize>,
+) {
     let mut harness = Harness::new(&SchedulerConfig { hosts, ..config() });
-    let mut seen = 0;
+    let mut finished = 0;
     for id in 0..400 {
         harness.arrive(harness.bio(id));
         harness.advance(100);
-        for id in harness.forwarded().split_off(seen) {
+        for id in harness.forwarded().split_off(finished) {
             harness.finish_attempt(id, 0, AttemptResult::ConnectFailed, 5);
-            seen += 1;
+            finished += 1;
         }
         if id == 200 {
             harness.host.actions.clear();
-            seen = 0;
+            finished = 0;
         }
     }
-    assert!(tries.contains(&seen), "{seen}");
+    assert!(attempts.contains(&finished), "{finished} attempts");
 }
--- a/crates/scheduler/tests/ordering.rs
+++ b/crates/scheduler/tests/ordering.rs
@@ -1,4 +1,6 @@
-//! Block I/Os of one ordering key run one after another.
+//! Block I/Os with the same ordering key run one after another. Two of them could run at once or out of order if the
+//! second one were sent while an attempt of the first one may still be running: after a timeout, or after the client
+//! has disconnected.
 mod support;
 
 use mallowseam_scheduler::interface::AttemptResult;
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -1,5 +1,5 @@
-//! Every decision of the scheduler, pinned: the hash of all actions over seeded runs, as recorded from the code of
-//! commit 01f3988. A change that keeps the behaviour leaves each value as it is.
+//! Regression test of all scheduler decisions: the hash of all actions in seeded runs must equal the value recorded
+//! from the code of commit 01f3988. A change that preserves the behaviour leaves each value unchanged.
 mod pin;
 mod support;
 
@@ -7,7 +7,7 @@
 use pin::{ACTION_KINDS, Checkpoints, Simulation};
 use support::{Harness, config};
 
-/// One hash a run, by its seed.
+/// Recorded hash of each run, indexed by its seed.
 const RECORDED: [u64; 20] = [
     0x5647_473e_e2ca_511e,
     0xdaf8_cbe9_ba86_1cd4,
@@ -40,7 +40,7 @@
         if let Some(departure) = outcome.departure {
             differing.push(format!("seed {seed} {departure}"));
         } else if outcome.hash != recorded {
-            differing.push(format!("seed {seed} departs after its last checkpoint"));
+            differing.push(format!("seed {seed} differs after its last checkpoint"));
         }
         counts
             .iter_mut()
@@ -49,44 +49,44 @@
     }
     assert!(
         counts[1..].iter().all(|n| *n > 0),
-        "some action was never taken: {counts:?}"
+        "some kind of action was never taken: {counts:?}"
     );
     assert!(
         differing.is_empty(),
-        "other actions than recorded with {} of {} seeds:\n{}",
+        "actions differ from the recorded ones for {} of {} seeds:\n{}",
         differing.len(),
         RECORDED.len(),
         differing.join("\n")
     );
 }
 
-/// The floor of the window, which the seeded runs do not reach.
+/// The minimum of the concurrency window, which the seeded runs do not reach.
 #[test]
 fn the_window_of_a_node_that_times_out_on_everything_ends_at_a_tenth() {
     let mut harness = Harness::new(&config());
-    let patient = |harness: &Harness, id| Bio {
+    let bio_with_late_deadline = |harness: &Harness, id| Bio {
         deadline: harness.host.now + 400_000,
         ..harness.bio(id)
     };
-    // An answer to a later submit shows that the first one's was lost.
-    harness.arrive(patient(&harness, 0));
+    // The answer to a later attempt shows that the answer to the first one was lost.
+    harness.arrive(bio_with_late_deadline(&harness, 0));
     harness.advance(10);
-    harness.arrive(patient(&harness, 1));
+    harness.arrive(bio_with_late_deadline(&harness, 1));
     harness.advance(10);
     harness.finish_attempt(1, 0, AttemptResult::Completed, 10);
     harness.finish_attempt(0, 0, AttemptResult::TimedOut, 20);
-    // Submits long overdue then take no room, and pile up.
+    // Attempts that are long overdue then do not use up the window, so that many are in flight at once.
     for id in 2..62 {
         harness.arrive(Bio {
             class: 3,
-            ..patient(&harness, id)
+            ..bio_with_late_deadline(&harness, id)
         });
         harness.advance(600);
     }
     assert_eq!(
         harness.forwarded().len(),
         63,
-        "each once, and the first one again"
+        "each block I/O is forwarded once, and the first one again"
     );
     (2..62).for_each(|id| harness.finish_attempt(id, 0, AttemptResult::TimedOut, 36_000));
     assert_eq!(
--- a/crates/scheduler/tests/policy_files.rs
+++ b/crates/scheduler/tests/policy_files.rs
@@ -1,4 +1,5 @@
-//! The files that hold decisions (`DEVELOPERS.md`) are all listed for the deployment.
+//! All files with scheduling decisions are listed in the deploy file (see `DEVELOPERS.md`). Without this test, a new
+//! policy module could be missing from the list.
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,14 +8,14 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The paths listed as `policy` in the deploy file.
-fn listed() -> BTreeSet<String> {
-    let deploy =
-        fs::read_to_string(workspace().join("deploy/balancer.toml")).expect("the deploy file");
+/// Returns the paths listed as `policy` in the deploy file.
+fn listed_files() -> BTreeSet<String> {
+    let deploy = fs::read_to_string(workspace().join("deploy/balancer.toml"))
+        .expect("deploy/balancer.toml is readable");
     let line = deploy
         .lines()
         .find(|line| line.starts_with("policy = "))
-        .expect("a list of policy files");
+        .expect("deploy/balancer.toml lists the policy files");
     line.split('"')
         .skip(1)
         .step_by(2)
@@ -22,12 +23,12 @@
         .collect()
 }
 
-/// The files below a folder that hold source text; folders of tests hold no decisions.
-fn source_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder of policy modules");
+/// Returns the source files in a directory and its subdirectories, except `tests`, which contains no decisions.
+fn source_files(directory: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(directory).expect("the directory of policy modules is readable");
     let mut files = Vec::new();
     for entry in entries {
-        let path = entry.expect("an entry").path();
+        let path = entry.expect("the directory entry is readable").path();
         if !path.is_dir() {
             files.push(path);
         } else if path.file_name() != Some("tests".as_ref()) {
@@ -43,8 +44,8 @@
     let relative = files.iter().map(|path| {
         let path = path
             .strip_prefix(workspace())
-            .expect("a path below the root");
-        path.to_str().expect("a name in ASCII").to_owned()
+            .expect("the path is in the workspace");
+        path.to_str().expect("the path is valid UTF-8").to_owned()
     });
-    assert_eq!(listed(), relative.collect());
+    assert_eq!(listed_files(), relative.collect());
 }
--- a/crates/scheduler/tests/rate_limits.rs
+++ b/crates/scheduler/tests/rate_limits.rs
@@ -1,4 +1,5 @@
-//! Limits, quotas and plans.
+//! Rate limits, quotas and plans. A volume would exceed its limit if its hosts together spent more than their shares,
+//! or if a lower limit, a smaller quota or another plan took effect late.
 mod support;
 
 use mallowseam_scheduler::interface::{AttemptResult, Bio, Plan, SchedulerConfig, Tick, VolumeId};
@@ -16,13 +17,13 @@
     assert_eq!(
         harness.forwarded().len(),
         1,
-        "half of the limit has refilled for a second"
+        "half of the limit was refilled for a second"
     );
 }
 
 #[test_case(10.0, 10.0, 1; "unchanged")]
-#[test_case(40.0, 10.0, 1; "lowered, it holds at once")]
-#[test_case(10.0, 40.0, 2; "raised, it refills from then on")]
+#[test_case(40.0, 10.0, 1; "a lowered limit applies at once")]
+#[test_case(10.0, 40.0, 2; "a raised limit refills from then on")]
 fn changed_limit_is_never_exceeded(before: f64, after: f64, sends: usize) {
     let mut settings = config();
     let limit = |rate_limit: f64| Plan {
@@ -35,7 +36,7 @@
         hosts: 2,
         ..settings
     });
-    // Long enough that any token bucket is full by now.
+    // The time is long enough for any token bucket to fill.
     harness.arrive(Bio {
         units: 0.1,
         ..limited(&harness, 0)
@@ -55,8 +56,8 @@
 
 #[test_case(None, 20; "the even share")]
 #[test_case(Some(2.0), 8; "less than the even share")]
-#[test_case(Some(10.0), 40; "all of the limit")]
-fn quota_holds_from_the_moment_it_is_granted(quota: Option<f64>, units: usize) {
+#[test_case(Some(10.0), 40; "the whole limit")]
+fn quota_applies_as_soon_as_it_is_granted(quota: Option<f64>, units: usize) {
     let mut harness = Harness::new(&SchedulerConfig {
         hosts: 2,
         ..config()
@@ -67,29 +68,29 @@
     });
     harness.change_quota(VolumeId(5), quota);
     let before = harness.forwarded().len();
-    let mut ended = 0;
-    // Twenty units a second are in demand, during four seconds.
+    let mut finished = 0;
+    // The demand is 20 units per second for 4 s.
     for id in 10..90 {
         harness.arrive(Bio {
             units: 1.0,
             ..limited(&harness, id)
         });
         harness.advance(500);
-        for sent in harness.forwarded().split_off(ended) {
+        for sent in harness.forwarded().split_off(finished) {
             harness.finish_attempt(sent, 0, AttemptResult::Completed, 200);
-            ended += 1;
+            finished += 1;
         }
     }
-    // Besides what the quota refills, what had been saved: eight units at most.
+    // In addition to what the quota refills, up to 8 units accumulated before.
     let sent = harness.forwarded().len() - before;
     assert!(
         (units.saturating_sub(2)..=units + 9).contains(&sent),
-        "{sent} for {units}"
+        "{sent} block I/Os sent, {units} expected"
     );
 }
 
 #[test]
-fn volume_that_changes_its_plan_is_served_by_it_at_once() {
+fn volume_that_moves_to_another_plan_is_served_by_it_at_once() {
     let mut settings = config();
     settings.plans.push(Plan {
         priority_factor: 0.5,
@@ -115,12 +116,12 @@
     assert_ne!(
         harness.forwarded().get(first),
         Some(&9),
-        "it has less priority than the others now"
+        "the volume has a lower priority than the others now"
     );
 }
 
 #[test]
-fn limit_that_runs_short_serves_the_class_of_the_highest_weight() {
+fn tokens_that_run_short_serve_the_class_of_the_highest_weight() {
     let mut settings = config();
     settings.classes[1].priority_weight = 1.0;
     let mut harness = Harness::new(&settings);
@@ -137,7 +138,7 @@
     assert_eq!(
         (harness.forwarded(), harness.count(Action::Shed(1))),
         (vec![0], 1),
-        "the tokens are too few for the second"
+        "there are too few tokens for the second block I/O"
     );
     harness.finish_attempt(0, 0, AttemptResult::Completed, 100);
     harness.arrive(bio(&harness, 2, 1, 2.0));
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -1,4 +1,6 @@
-//! The retry budget, retries by clients, and lost answers.
+//! The retry budget, retries by clients, and lost answers. Retries would multiply the load on nodes that fail if the
+//! budget were exceeded or if a client's retry started a new objective. A lost answer would occupy a node's window
+//! until its timeout.
 mod support;
 
 use mallowseam_scheduler::interface::{AttemptResult, Bio, SchedulerConfig, Tick, VolumeId};
@@ -39,20 +41,23 @@
     let retries: Vec<usize> = (0..sends.len()).filter(is_retry).collect();
     assert!(!retries.is_empty());
     for i in &retries {
-        let spent = retries
+        let retries_in_window = retries
             .iter()
             .filter(|j| *j <= i && sends[**j].0 > sends[*i].0 - 3_000)
             .count();
-        assert!(spent <= 2, "two block I/Os at most arrive in the window");
+        assert!(
+            retries_in_window <= 2,
+            "at most two block I/Os arrive in the window"
+        );
     }
 }
 
-#[test_case(0, true; "after its objective a retry does not wait for another")]
-#[test_case(-7_000, false; "a client with another deadline is no retry")]
-fn client_retry_keeps_the_objective_of_its_first_try(sooner: Tick, retry: bool) {
+#[test_case(0, true; "a retry after the objective is not given another one")]
+#[test_case(-7_000, false; "a block I/O with another deadline is not a retry")]
+fn client_retry_keeps_the_objective_of_the_original_request(deadline_offset: Tick, is_retry: bool) {
     let mut harness = Harness::new(&config());
     (0..6).for_each(|id| harness.arrive(harness.bio(id)));
-    let deadline = harness.host.now + DEADLINE + sooner;
+    let deadline = harness.host.now + DEADLINE + deadline_offset;
     harness.advance(OBJECTIVE + 10);
     assert_eq!(harness.count(Action::Shed(5)), 1);
     harness.arrive(Bio {
@@ -60,7 +65,7 @@
         ..harness.bio(9)
     });
     harness.advance(600);
-    assert_eq!(harness.count(Action::Shed(9)), usize::from(retry));
+    assert_eq!(harness.count(Action::Shed(9)), usize::from(is_retry));
 }
 
 #[test]
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Load on nodes that have just started.
+//! Load on nodes that have just started. A node in slow start fails if all hosts together send more than it sustains,
+//! and stays unused if hosts keep to even shares that are smaller than a block I/O.
 mod support;
 
 use mallowseam_scheduler::interface::{
@@ -8,7 +9,7 @@
 use support::{Action, Harness, OBJECTIVE, node, slow_start_config};
 
 #[test]
-fn host_keeps_to_its_share_of_the_slow_start_capacity() {
+fn host_does_not_exceed_its_share_of_the_slow_start_capacity() {
     let mut harness = Harness::new(&slow_start_config());
     harness.on_endpoints(
         EndpointEvent::Incremental,
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn host_that_has_just_started_counts_its_share_as_spent() {
+fn host_that_has_just_started_counts_its_share_as_used() {
     let mut harness = Harness::new(&slow_start_config());
     harness.on_endpoints(
         EndpointEvent::Cached,
@@ -61,7 +62,7 @@
     assert_eq!(
         harness.forwarded().len(),
         20,
-        "none waits for the warming node's next share"
+        "every block I/O is sent without waiting for the next share of the node in slow start"
     );
     assert!(
         harness
@@ -72,9 +73,9 @@
     );
 }
 
-/// Units that hosts without a history send to a warming node in its first overload window: so many of 300, each
-/// with a block I/O of two units for it at a time of its own, and again so often.
-fn units_sent_to_warming_node(askers: u64, again: u32, seed: u64) -> f64 {
+/// Returns the units that hosts without a history send to a node in slow start during its first overload window.
+/// `active_hosts` of 300 hosts each send `block_ios` block I/Os of two units, starting at different times.
+fn units_sent_to_warming_node(active_hosts: u64, block_ios: u32, seed: u64) -> f64 {
     let config = SchedulerConfig {
         hosts: 300,
         overload_multiple: 4.0,
@@ -87,7 +88,7 @@
             &[node(0, NodeState::Active, harness.host.now)],
         );
         harness.advance(3_100 + host as Tick % 7 * 300);
-        for id in 0..again {
+        for id in 0..block_ios {
             harness.arrive(harness.bio(id));
             harness.advance(100);
             harness.finish_attempt(id, 0, AttemptResult::Completed, 100);
@@ -95,32 +96,41 @@
         }
         2.0 * harness.forwarded().len() as f64
     };
-    (0..askers).map(one).sum()
+    (0..active_hosts).map(one).sum()
 }
 
 #[test]
-fn new_hosts_use_the_slow_start_capacity_though_most_have_nothing_to_send() {
-    // It bears 24 units; even shares would be 0.08 each. Four hosts have demand; each sends one at a time or none.
+fn new_hosts_use_the_slow_start_capacity_although_most_have_nothing_to_send() {
+    // The node sustains 24 units, so an even share is 0.08 units. Four hosts have demand; each sends one block I/O at a
+    // time, or none.
     let sums: Vec<f64> = (0..40)
         .map(|seed| units_sent_to_warming_node(4, 3, seed))
         .collect();
     let mean = sums.iter().sum::<f64>() / 40.0;
-    assert!(mean > 1.0, "{mean} of 24 in demand");
-    // With demand for all that it does when warm, 30 units in that window: it bears what the draws let through.
-    let most = (0..200)
+    assert!(
+        mean > 1.0,
+        "a mean of {mean} units was sent out of 24 in demand"
+    );
+    // The demand is 30 units in the window, all that the node serves when warm. The random draws must not let through
+    // more than it sustains.
+    let highest = (0..200)
         .map(|seed| units_sent_to_warming_node(15, 1, seed))
         .fold(0.0, f64::max);
-    assert!(most <= 24.0, "{most}");
+    assert!(
+        highest <= 24.0,
+        "{highest} units were sent to a node that sustains 24"
+    );
 }
 
 #[test]
-fn new_host_sends_to_a_warming_node_by_what_warm_nodes_accept() {
+fn new_host_sends_to_a_warming_node_in_proportion_to_what_warm_nodes_accept() {
     let config = SchedulerConfig {
         hosts: 300,
         overload_multiple: 4.0,
         ..slow_start_config()
     };
-    // So many of 400 send their one block I/O to the warming node, after demand for the warm one, which answers or not.
+    // Returns how many of 400 hosts send their one block I/O to the node in slow start, after `demand` block I/Os for
+    // the warm node, which answers them or not.
     let sent = |demand: u32, answers: bool| {
         let one = |seed| {
             let mut harness = Harness::starting(&config, seed);
@@ -150,11 +160,21 @@
         };
         (0..400).filter(|seed| one(*seed)).count()
     };
-    let (unknown, taken, refused) = (sent(0, true), sent(20, true), sent(20, false));
-    // By the whole probability 0.8 * 4 * 0.2, by half of it, and by a tenth.
-    assert!((200..=300).contains(&taken), "{taken}");
-    assert!((90..=165).contains(&unknown), "{unknown}");
-    assert!(refused < 80, "{refused}");
+    let (without_demand, accepted, unanswered) = (sent(0, true), sent(20, true), sent(20, false));
+    // The probability is 0.8 * 4 * 0.2 if warm nodes accept all demand, half of that without any demand, and a tenth of
+    // it if they accept little.
+    assert!(
+        (200..=300).contains(&accepted),
+        "{accepted} of 400 after accepted demand"
+    );
+    assert!(
+        (90..=165).contains(&without_demand),
+        "{without_demand} of 400 without demand"
+    );
+    assert!(
+        unanswered < 80,
+        "{unanswered} of 400 after unanswered demand"
+    );
 }
 
 #[test]
@@ -185,7 +205,7 @@
         &[node(0, NodeState::Removed, None)],
     );
     harness.host.actions.clear();
-    let mut seen = 0;
+    let mut finished = 0;
     for id in 200..300 {
         harness.arrive(Bio {
             volume: VolumeId(id),
@@ -193,10 +213,13 @@
             ..harness.bio(id)
         });
         harness.advance(1_800);
-        for id in harness.forwarded().split_off(seen) {
+        for id in harness.forwarded().split_off(finished) {
             harness.finish_attempt(id, 2, AttemptResult::Completed, 100);
-            seen += 1;
+            finished += 1;
         }
     }
-    assert!((3..=15).contains(&seen), "{seen} of 100 while it warms up");
+    assert!(
+        (3..=15).contains(&finished),
+        "{finished} of 100 block I/Os were sent to the node in slow start"
+    );
 }
