--- a/crates/scheduler/examples/assumptions.rs
+++ b/crates/scheduler/examples/assumptions.rs
@@ -1,5 +1,6 @@
-//! Measures what the scheduler takes for granted about a layout, on the tests' recording host; seed 7, the same
-//! figures every time. The table in `docs/design.md` that quotes them says which line is which.
+//! Measures the effects of the scheduler's assumptions about a deployment, using the recording host of the tests. The
+//! seed is 7, so that every run prints the same figures. `docs/design.md` has a table that quotes them and identifies
+//! each line.
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -9,14 +10,14 @@
 };
 use support::{Action, DEADLINE, Harness, OBJECTIVE, config, node, slow_start_config};
 
-/// An attempt that was forwarded.
+/// A forwarded attempt.
 struct Forwarded {
     time: Tick,
     bio: u32,
     node: u32,
 }
 
-/// The attempts since the last call.
+/// Returns the attempts forwarded since the last call.
 fn take_forwarded(harness: &mut Harness) -> Vec<Forwarded> {
     let actions = std::mem::take(&mut harness.host.actions);
     let forwarded = |(time, action): (Tick, Action)| match action {
@@ -26,7 +27,8 @@
     actions.into_iter().filter_map(forwarded).collect()
 }
 
-/// Completes each attempt since the last call after this latency; the nodes that they went to.
+/// Completes each attempt forwarded since the last call after this latency. Returns the nodes that the attempts were
+/// sent to.
 fn complete_all(harness: &mut Harness, latency: Tick) -> Vec<u32> {
     let attempts = take_forwarded(harness);
     if !attempts.is_empty() {
@@ -38,7 +40,7 @@
     attempts.iter().map(|attempt| attempt.node).collect()
 }
 
-/// Active nodes in two zones, with these shards.
+/// Returns active nodes in two zones that hold these shards.
 fn active(shards: &[u32]) -> Vec<NodeEndpoint> {
     let endpoint = |(index, shard): (usize, &u32)| NodeEndpoint {
         shard: *shard,
@@ -48,8 +50,8 @@
     shards.iter().enumerate().map(endpoint).collect()
 }
 
-/// An attempt is cut off after 5 ms: is the block I/O sent again, and if not, when is its client answered? 200 times,
-/// each with the random numbers one block I/O further on.
+/// Measures how often a block I/O is sent again after its attempt was cut off after 5 ms, and otherwise when its client
+/// is answered. There are 200 runs, each of which starts one block I/O later in the sequence of random numbers.
 fn after_a_reset(what: &str, nodes: &[NodeEndpoint], idempotency: Idempotency, shard: Option<u32>) {
     let (mut retried, mut answered) = (0, Vec::new());
     for before in 0..200 {
@@ -130,7 +132,8 @@
     }
 }
 
-/// Fifty hosts share nodes that answer in 30 ms; all load is of the class with the long objective.
+/// Measures how many block I/Os complete if the classes have very different objectives. Fifty hosts share nodes that
+/// answer in 30 ms; all load is of the class with the long objective.
 fn objectives_far_apart(shortest: Tick) {
     const LATENCY: Tick = 300;
     let mut settings = config();
--- a/crates/scheduler/tests/pin/checkpoints.rs
+++ b/crates/scheduler/tests/pin/checkpoints.rs
@@ -1,43 +1,43 @@
-//! Digests recorded in the course of each run, by which a run that departs is told where it does.
+//! Digests recorded during each run, which show where a run starts to differ from the recorded one.
 use std::fmt;
 
-/// Events between two recorded digests.
+/// Number of events between two recorded digests.
 pub const EVENTS_PER_CHECKPOINT: usize = 8;
-/// Hexadecimal digits that are recorded of each digest: its lowest 16 bits.
+/// Number of hexadecimal digits recorded of each digest (its lowest 16 bits).
 const DIGITS: usize = 4;
 
-/// The recorded digests of one run, in the order of its events.
+/// The recorded digests of one run, in order of its events.
 pub struct Checkpoints(&'static str);
 
 /// The first checkpoint at which a run differs from the recorded one.
 #[derive(Debug)]
-pub struct Departure {
-    /// Events up to this checkpoint.
+pub struct Divergence {
+    /// Number of events up to this checkpoint.
     events: usize,
-    /// The recorded digest; none where the recorded run was over.
+    /// The recorded digest; `None` if the recorded run had ended.
     expected: Option<&'static str>,
     measured: String,
-    /// What the scheduler asked for since the checkpoint before, which was as recorded.
+    /// Actions since the previous checkpoint, which matched the recorded one.
     actions: Vec<String>,
 }
 
 impl Checkpoints {
-    /// The recorded digests of the run with this seed.
+    /// Returns the recorded digests of the run with this seed.
     pub fn of_seed(seed: u64) -> Self {
         let mut lines = include_str!("checkpoints.txt").lines();
         let line = lines.nth(seed as usize);
-        Checkpoints(line.expect("a line for each seed"))
+        Checkpoints(line.expect("checkpoints.txt has a line for each seed"))
     }
 
-    /// The departure, if the digest after so many events is not the recorded one.
-    pub fn compare(&self, events: usize, digest: u64, actions: Vec<String>) -> Option<Departure> {
+    /// Returns the divergence, if the digest after this many events differs from the recorded one.
+    pub fn compare(&self, events: usize, digest: u64, actions: Vec<String>) -> Option<Divergence> {
         let start = (events / EVENTS_PER_CHECKPOINT - 1) * DIGITS;
         let expected = self.0.get(start..start + DIGITS);
         let measured = format!("{:04x}", digest as u16);
         if expected == Some(measured.as_str()) {
             return None;
         }
-        Some(Departure {
+        Some(Divergence {
             events,
             expected,
             measured,
@@ -46,13 +46,13 @@
     }
 }
 
-impl fmt::Display for Departure {
+impl fmt::Display for Divergence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let first = self.events - EVENTS_PER_CHECKPOINT + 1;
-        let expected = self.expected.unwrap_or("the end of the run");
+        let expected = self.expected.unwrap_or("none (end of the recorded run)");
         writeln!(
             f,
-            "departs in events {first} to {}: digest {expected} expected, {} measured; actions there:",
+            "differs in events {first} to {}: expected digest {expected}, measured {}; actions in these events:",
             self.events, self.measured
         )?;
         for action in &self.actions {
--- a/crates/scheduler/tests/pin/nodes.rs
+++ b/crates/scheduler/tests/pin/nodes.rs
@@ -1,26 +1,27 @@
-//! Simulated nodes: how they answer, and what the endpoint list says of them at first.
+//! Simulated nodes: how they answer, and their initial entries in the endpoint list.
 use super::random::Random;
 use mallowseam_scheduler::interface::{AttemptResult, Bio, NodeEndpoint, NodeId, NodeState, Tick};
 
 pub const NODES: u32 = 7;
-/// This one starts anew so often that it is never warm, and no other has its shard.
+/// Index of a node that restarts so often that it is never warm. No other node holds its shard.
 pub const ALWAYS_WARMING_UP: u32 = 6;
 
-/// How a simulated node answers for a while.
+/// How a simulated node answers for some time.
 #[derive(Clone, Copy)]
 pub enum Mode {
-    /// So quick that nothing times out but what is lost: a few idempotent block I/Os, and hardly any others.
-    Prompt,
-    Quick,
-    Middle,
+    /// Answers so fast that attempts time out only if they are lost: a few attempts of the idempotent classes 0 and 1,
+    /// and hardly any others.
+    VeryFast,
+    Fast,
+    Medium,
     Slow,
-    Full,
-    Broken,
+    Overloaded,
+    Faulty,
     Lossy,
 }
 
-/// How an attempt ends.
-pub struct Ending {
+/// How and when an attempt ends.
+pub struct AttemptEnd {
     pub latency: Tick,
     pub result: AttemptResult,
 }
@@ -28,27 +29,33 @@
 impl Mode {
     pub fn draw(random: &mut Random) -> Self {
         match random.below(12) {
-            0..3 => Mode::Quick,
-            3..7 => Mode::Middle,
+            0..3 => Mode::Fast,
+            3..7 => Mode::Medium,
             7..9 => Mode::Slow,
-            9 => Mode::Full,
-            10 => Mode::Broken,
+            9 => Mode::Overloaded,
+            10 => Mode::Faulty,
             _ => Mode::Lossy,
         }
     }
 
-    /// When and how an attempt at a node of this mode ends, with so many others in flight.
-    pub fn draw_ending(self, random: &mut Random, bio: &Bio, load: Tick, timeout: Tick) -> Ending {
-        let (wait, result) = match self {
-            Mode::Prompt if random.below(400) < if bio.class < 2 { 24 } else { 1 } => {
+    /// Draws how and when an attempt at a node of this mode ends, with `load` other attempts in flight.
+    pub fn draw_attempt_end(
+        self,
+        random: &mut Random,
+        bio: &Bio,
+        load: Tick,
+        timeout: Tick,
+    ) -> AttemptEnd {
+        let (delay, result) = match self {
+            Mode::VeryFast if random.below(400) < if bio.class < 2 { 24 } else { 1 } => {
                 (timeout, AttemptResult::TimedOut)
             }
-            Mode::Prompt => (random.between(5, 35), AttemptResult::Completed),
-            Mode::Quick => (
+            Mode::VeryFast => (random.between(5, 35), AttemptResult::Completed),
+            Mode::Fast => (
                 random.between(30, 400) + 10 * load,
                 AttemptResult::Completed,
             ),
-            Mode::Middle => (
+            Mode::Medium => (
                 random.between(400, 640) + 5 * load,
                 AttemptResult::Completed,
             ),
@@ -56,9 +63,11 @@
                 random.between(500, 2_600) + 20 * load,
                 AttemptResult::Completed,
             ),
-            Mode::Full if random.percent(40) => (random.between(5, 30), AttemptResult::Rejected),
-            Mode::Full => (random.between(200, 900), AttemptResult::Completed),
-            Mode::Broken => match random.below(7) {
+            Mode::Overloaded if random.percent(40) => {
+                (random.between(5, 30), AttemptResult::Rejected)
+            }
+            Mode::Overloaded => (random.between(200, 900), AttemptResult::Completed),
+            Mode::Faulty => match random.below(7) {
                 0 => (random.between(5, 40), AttemptResult::Rejected),
                 1 => (random.between(20, 300), AttemptResult::ConnectionReset),
                 2 => (random.between(20, 300), AttemptResult::Error),
@@ -69,28 +78,28 @@
             Mode::Lossy => (random.between(10, 300), AttemptResult::Completed),
         };
         match result {
-            AttemptResult::Completed if random.percent(2) => Ending {
-                latency: wait.min(timeout),
+            AttemptResult::Completed if random.percent(2) => AttemptEnd {
+                latency: delay.min(timeout),
                 result: AttemptResult::Error,
             },
-            _ if wait >= timeout => Ending {
+            _ if delay >= timeout => AttemptEnd {
                 latency: timeout,
                 result: AttemptResult::TimedOut,
             },
-            _ => Ending {
-                latency: wait,
+            _ => AttemptEnd {
+                latency: delay,
                 result,
             },
         }
     }
 }
 
-/// How the nodes' modes follow each other in a run.
+/// How the modes of the nodes change during a run.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Pattern {
-    /// Each node changes on its own.
+    /// Each node changes its mode independently.
     Mixed,
-    /// All nodes are quick, and now and then one loses an attempt whose client waits for long.
+    /// All nodes are fast, and occasionally lose an attempt whose client waits for a long time.
     RareLoss,
 }
 
@@ -109,8 +118,9 @@
     pub mode: Mode,
 }
 
-/// Nodes 0 to 3 hold a shard each; 4 holds the shard of 0 as well, 5 that of 1. Two zones.
-pub fn first_endpoint(node: u32) -> NodeEndpoint {
+/// Returns the initial entry of a node. Nodes 0 to 3 hold one shard each; node 4 holds the shard of node 0 as well, and
+/// node 5 that of node 1. The nodes are in two zones.
+pub fn initial_endpoint(node: u32) -> NodeEndpoint {
     let state = if node < 5 {
         NodeState::Active
     } else {
--- a/crates/scheduler/tests/pin/random.rs
+++ b/crates/scheduler/tests/pin/random.rs
@@ -1,4 +1,4 @@
-//! The simulation's own random numbers, independent of the scheduler's.
+//! The random numbers of the simulation, which are independent of the scheduler's.
 use mallowseam_scheduler::interface::Tick;
 use mallowseam_test_support::SeededRng;
 
@@ -11,22 +11,22 @@
         ))
     }
 
-    /// A number in 0..n.
+    /// Returns a number in `0..n`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.0.below(n)
     }
 
-    /// A number from `least` to `most`, both included.
-    pub fn between(&mut self, least: Tick, most: Tick) -> Tick {
-        least + self.below((most - least + 1) as u64) as Tick
+    /// Returns a number from `min` to `max`, inclusive.
+    pub fn between(&mut self, min: Tick, max: Tick) -> Tick {
+        min + self.below((max - min + 1) as u64) as Tick
     }
 
-    /// A number in [0, 1), in steps of 1/1024.
+    /// Returns a number in [0, 1), in steps of 1/1024.
     pub fn fraction(&mut self) -> f64 {
         self.below(1024) as f64 / 1024.0
     }
 
-    /// True for so many draws in a hundred.
+    /// Returns true with a probability of `percent` in a hundred.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/crates/scheduler/tests/pin/recorder.rs
+++ b/crates/scheduler/tests/pin/recorder.rs
@@ -1,5 +1,5 @@
-//! The program around the scheduler in a simulation.
-use super::nodes::{Ending, Mode, NODES, SimulatedNode, first_endpoint};
+//! The host of a simulated scheduler.
+use super::nodes::{AttemptEnd, Mode, NODES, SimulatedNode, initial_endpoint};
 use super::random::Random;
 use mallowseam_scheduler::interface::{
     AttemptResult, Bio, BioId, EndpointEvent, Host, KeyId, NodeId, Tick, VolumeId,
@@ -7,7 +7,7 @@
 use mallowseam_test_support::Digest;
 use std::collections::BTreeMap;
 
-/// What the scheduler asked for; the numbers go into the hash.
+/// An action that the scheduler requested. Its number is part of the hash.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Forward = 1,
@@ -24,11 +24,11 @@
 
 pub const ACTION_KINDS: usize = Action::ReleaseNode as usize + 1;
 
-/// An event to come.
+/// A future event.
 #[derive(Clone, Copy)]
 pub enum Event {
     Arrival,
-    /// The outcome of an attempt, by its serial number.
+    /// The outcome of the attempt with this serial number.
     AttemptOutcome {
         serial: u64,
         result: AttemptResult,
@@ -51,19 +51,19 @@
     pub bio: BioId,
     pub node: NodeId,
     pub sent_at: Tick,
-    /// Number of the attempt among those of its block I/O.
+    /// Number of the attempt among those of its block I/O, counted from 0.
     pub index: u32,
 }
 
 /// A block I/O that the scheduler has not released.
-pub struct Current {
+pub struct UnreleasedBio {
     pub bio: Bio,
     pub arrival: u64,
     pub answered: bool,
     pub attempts: u32,
 }
 
-/// The program around the scheduler: records each action, and makes the events that follow from it.
+/// The host of a simulated scheduler: records each action and schedules the events that follow from it.
 pub struct Recorder {
     pub now: Tick,
     pub random: Random,
@@ -74,20 +74,20 @@
     pub events: BTreeMap<(Tick, u64), Event>,
     next_event: u64,
     pub nodes: Vec<SimulatedNode>,
-    pub current: BTreeMap<BioId, Current>,
+    pub unreleased: BTreeMap<BioId, UnreleasedBio>,
     pub in_flight: BTreeMap<u64, Attempt>,
     next_attempt: u64,
     free: Vec<u32>,
     next_bio: u32,
-    /// Block I/Os that were shed: their clients may retry with the time left.
+    /// Shed block I/Os, which their clients may retry in the remaining time.
     pub shed: Vec<Bio>,
 }
 
 impl Recorder {
     pub fn new(now: Tick, random: Random) -> Self {
         let node = |index| SimulatedNode {
-            endpoint: first_endpoint(index),
-            mode: Mode::Quick,
+            endpoint: initial_endpoint(index),
+            mode: Mode::Fast,
         };
         Recorder {
             now,
@@ -98,7 +98,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             nodes: (0..NODES).map(node).collect(),
-            current: BTreeMap::new(),
+            unreleased: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             next_attempt: 0,
             free: Vec::new(),
@@ -131,11 +131,12 @@
             .insert((self.now + after, self.next_event), event);
     }
 
-    /// Schedules the end of an attempt.
-    fn schedule_ending(&mut self, serial: u64, bio: &Bio, node: NodeId, timeout: Tick) {
+    /// Draws and schedules the end of an attempt.
+    fn schedule_attempt_end(&mut self, serial: u64, bio: &Bio, node: NodeId, timeout: Tick) {
         let load = self.in_flight.values().filter(|a| a.node == node).count() as Tick;
         let mode = self.nodes[node.0 as usize].mode;
-        let Ending { latency, result } = mode.draw_ending(&mut self.random, bio, load, timeout);
+        let AttemptEnd { latency, result } =
+            mode.draw_attempt_end(&mut self.random, bio, load, timeout);
         self.schedule(latency, Event::AttemptOutcome { serial, result });
     }
 }
@@ -146,16 +147,16 @@
             Action::Forward,
             [bio.0.into(), node.0.into(), timeout as u64],
         );
-        let current = self
-            .current
+        let unreleased = self
+            .unreleased
             .get_mut(&bio)
-            .expect("a block I/O that was released is not submitted");
-        let index = current.attempts;
-        current.attempts += 1;
-        let request = current.bio;
+            .expect("a released block I/O is not forwarded");
+        let index = unreleased.attempts;
+        unreleased.attempts += 1;
+        let request = unreleased.bio;
         self.next_attempt += 1;
         let serial = self.next_attempt;
-        self.schedule_ending(serial, &request, node, timeout);
+        self.schedule_attempt_end(serial, &request, node, timeout);
         self.in_flight.insert(
             serial,
             Attempt {
@@ -189,15 +190,15 @@
     fn shed(&mut self, bio: BioId, retry_after: Option<Tick>) {
         let retry_after = retry_after.unwrap_or(0);
         self.record(Action::Shed, [bio.0.into(), retry_after as u64, 0]);
-        let current = self
-            .current
+        let unreleased = self
+            .unreleased
             .get_mut(&bio)
-            .expect("a block I/O in use is shed");
+            .expect("a released block I/O is not shed");
         assert!(
-            !std::mem::replace(&mut current.answered, true),
-            "answered once"
+            !std::mem::replace(&mut unreleased.answered, true),
+            "a block I/O gets only one final answer"
         );
-        self.shed.push(current.bio);
+        self.shed.push(unreleased.bio);
         if self.shed.len() > 20 {
             self.shed.remove(0);
         }
@@ -205,13 +206,13 @@
 
     fn fail(&mut self, bio: BioId) {
         self.record(Action::Fail, [bio.0.into(), 0, 0]);
-        let current = self
-            .current
+        let unreleased = self
+            .unreleased
             .get_mut(&bio)
-            .expect("a block I/O in use fails");
+            .expect("a released block I/O does not fail");
         assert!(
-            !std::mem::replace(&mut current.answered, true),
-            "answered once"
+            !std::mem::replace(&mut unreleased.answered, true),
+            "a block I/O gets only one final answer"
         );
     }
 
@@ -233,7 +234,10 @@
 
     fn release_bio(&mut self, bio: BioId) {
         self.record(Action::ReleaseBio, [bio.0.into(), 0, 0]);
-        assert!(self.current.remove(&bio).is_some(), "released once");
+        assert!(
+            self.unreleased.remove(&bio).is_some(),
+            "a block I/O is released only once"
+        );
         self.free.push(bio.0);
     }
 
--- a/crates/scheduler/tests/pin/settings.rs
+++ b/crates/scheduler/tests/pin/settings.rs
@@ -1,4 +1,4 @@
-//! Deployments that turn each option of the scheduler on and off.
+//! Configurations that enable and disable each option of the scheduler.
 use super::random::Random;
 use mallowseam_scheduler::interface::{
     DeduplicationScope, Idempotency, IoClass, Plan, SchedulerConfig, Tick,
@@ -6,7 +6,7 @@
 
 pub const PLANS: u64 = 6;
 
-/// Host count and the fields that decide when endpoints are polled.
+/// Host count and the options that determine when endpoints are polled.
 struct Polling {
     hosts: u32,
     poll_service_time: Option<Tick>,
@@ -25,7 +25,7 @@
         0 => row(1, None, 0, false),
         1 => row(3, None, 0, false),
         2 => row(60, None, 0, false),
-        // Just above and just below what the service can answer in time.
+        // Service times just above and just below what the service can answer in time.
         3 => row(300, Some(181), 0, false),
         4 => row(300, Some(179), 0, false),
         5 => row(300, Some(250), 60_000, false),
@@ -88,7 +88,7 @@
         hosts,
         classes: classes(),
         plans: plans(),
-        // Small means make small budgets, so that these decide.
+        // A small mean size leads to small budgets, so that budgets limit what is sent.
         mean_io_units: if one_in(7) {
             0.0
         } else {
--- a/crates/scheduler/tests/pin/simulation.rs
+++ b/crates/scheduler/tests/pin/simulation.rs
@@ -1,8 +1,8 @@
-//! Drives a scheduler through the events of one seeded run.
-use super::checkpoints::{Checkpoints, Departure, EVENTS_PER_CHECKPOINT};
+//! Runs a scheduler through the events of one seeded run.
+use super::checkpoints::{Checkpoints, Divergence, EVENTS_PER_CHECKPOINT};
 use super::nodes::{ALWAYS_WARMING_UP, Mode, NODES, Pattern};
 use super::random::Random;
-use super::recorder::{ACTION_KINDS, Current, Event, Recorder};
+use super::recorder::{ACTION_KINDS, Event, Recorder, UnreleasedBio};
 use super::settings;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{
@@ -10,19 +10,19 @@
     NodeState, SchedulerConfig, Tick, VolumeId,
 };
 
-/// Arrivals in one run.
+/// Number of arrivals in one run.
 const ARRIVALS: usize = 2_300;
 const KEYS: u64 = 4;
 const VOLUMES: u64 = 14;
 
-/// What a run came to.
+/// The result of a run.
 pub struct Outcome {
-    /// The hash of all actions.
+    /// Hash of all actions.
     pub hash: u64,
-    /// How many actions of each kind there were.
+    /// Number of actions of each kind.
     pub counts: [u32; ACTION_KINDS],
-    /// Where the run departed from the recorded one.
-    pub departure: Option<Departure>,
+    /// First difference from the recorded run.
+    pub divergence: Option<Divergence>,
 }
 
 pub struct Simulation {
@@ -59,7 +59,7 @@
     /// Runs all events, and compares the digest with the recorded one every [`EVENTS_PER_CHECKPOINT`] events.
     pub fn run(mut self, recorded: &Checkpoints) -> Outcome {
         self.schedule_first_events();
-        let mut departure = None;
+        let mut divergence = None;
         let mut events = 0;
         while let Some(((at, number), event)) = self.recorder.events.pop_first() {
             self.recorder.now = at;
@@ -71,19 +71,19 @@
             if events % EVENTS_PER_CHECKPOINT == 0 {
                 let actions = std::mem::take(&mut self.recorder.recent);
                 let digest = self.recorder.hash.value();
-                if departure.is_none() {
-                    departure = recorded.compare(events, digest, actions);
+                if divergence.is_none() {
+                    divergence = recorded.compare(events, digest, actions);
                 }
             }
-            // Timers go on for ever: a while after the last arrival is enough.
-            if self.arrivals == ARRIVALS && self.recorder.current.is_empty() {
+            // Timers continue forever, so the run ends once no block I/O is left after the last arrival.
+            if self.arrivals == ARRIVALS && self.recorder.unreleased.is_empty() {
                 break;
             }
         }
         Outcome {
             hash: self.recorder.hash.value(),
             counts: self.recorder.counts,
-            departure,
+            divergence,
         }
     }
 
@@ -107,7 +107,7 @@
             Event::Disconnect { bio, arrival } => {
                 if self
                     .recorder
-                    .current
+                    .unreleased
                     .get(&bio)
                     .is_some_and(|c| c.arrival == arrival)
                 {
@@ -132,14 +132,14 @@
         let mode = if self.pattern == Pattern::Mixed {
             Mode::draw(random)
         } else {
-            Mode::Prompt
+            Mode::VeryFast
         };
         let after = random.between(8_000, 40_000);
         self.recorder.nodes[node as usize].mode = mode;
         self.recorder.schedule(after, Event::NodeMode(node));
     }
 
-    /// Hashes the status of each node.
+    /// Adds the status of each node to the hash.
     fn record_node_status(&mut self) {
         for node in 0..NODES {
             let Some(status) = self.scheduler.node_status(self.recorder.now, NodeId(node)) else {
@@ -163,9 +163,9 @@
         self.arrivals += 1;
         let bio = self.draw_bio();
         let arrival = self.arrivals as u64;
-        self.recorder.current.insert(
+        self.recorder.unreleased.insert(
             bio.id,
-            Current {
+            UnreleasedBio {
                 bio,
                 arrival,
                 answered: false,
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Surges, steady load, and pauses: long enough for idle volumes, sometimes for inactive nodes, to be forgotten.
+    /// Draws the time to the next arrival. The load consists of surges, steady phases and pauses that are long enough
+    /// for idle volumes, and sometimes inactive nodes, to be forgotten.
     fn draw_gap(&mut self) -> Tick {
         let random = &mut self.recorder.random;
         match self.arrivals {
@@ -207,24 +208,24 @@
         let r = &mut self.recorder;
         let id = r.new_id();
         if r.random.percent(20)
-            && let Some(first) = r.shed.pop()
-            && first.deadline > r.now
+            && let Some(original) = r.shed.pop()
+            && original.deadline > r.now
         {
-            let deadline = first.deadline + r.random.between(-7, 7);
+            let deadline = original.deadline + r.random.between(-7, 7);
             return Bio {
                 id,
                 deadline,
-                ..first
+                ..original
             };
         }
         let class = r.random.below(self.config.classes.len() as u64) as u16;
-        // Volumes take turns, so that some are idle for long.
+        // The active volumes rotate, so that some are idle for a long time.
         let active = VOLUMES - 4;
         let turn = self.arrivals as u64 / 400;
         let volume = (r.random.below(active) + turn) % VOLUMES;
         let key = (self.config.classes[usize::from(class)].ordered || r.random.percent(10))
             .then(|| KeyId(r.random.below(KEYS) as u32));
-        let (shards, least, most) = match self.pattern {
+        let (shards, min_deadline, max_deadline) = match self.pattern {
             Pattern::Mixed => (7, 40, 12_000),
             Pattern::RareLoss => (4, 70_000, 100_000),
         };
@@ -234,7 +235,7 @@
             plan: self.volume_plans[volume as usize],
             volume: VolumeId(volume as u32),
             key,
-            deadline: r.now + r.random.between(least, most),
+            deadline: r.now + r.random.between(min_deadline, max_deadline),
             units: r.random.between(1, 32) as f64 / 4.0,
             shard: r
                 .random
@@ -246,7 +247,7 @@
 
     fn finish_attempt(&mut self, serial: u64, result: AttemptResult) {
         let r = &mut self.recorder;
-        // After a cancel there are two events: the first counts.
+        // A cancelled attempt has two outcome events; only the first one counts.
         let Some(attempt) = r.in_flight.remove(&serial) else {
             return;
         };
@@ -267,9 +268,9 @@
         };
         let now = r.now;
         self.scheduler.on_attempt_finished(r, now, id, &outcome);
-        let sent_again = self.recorder.in_flight.values().any(|s| s.bio == id);
-        if self.recorder.random.percent(2) && !sent_again {
-            // A repeated outcome finds no attempt in flight.
+        let has_attempt_in_flight = self.recorder.in_flight.values().any(|s| s.bio == id);
+        if self.recorder.random.percent(2) && !has_attempt_in_flight {
+            // The scheduler must ignore a duplicate outcome, because no attempt is in flight.
             self.scheduler
                 .on_attempt_finished(&mut self.recorder, now, id, &outcome);
         }
--- a/crates/scheduler/tests/pinned_decisions.rs
+++ b/crates/scheduler/tests/pinned_decisions.rs
@@ -37,8 +37,8 @@
     let mut differing = Vec::new();
     for (seed, recorded) in (0..).zip(RECORDED) {
         let outcome = Simulation::new(seed).run(&Checkpoints::of_seed(seed));
-        if let Some(departure) = outcome.departure {
-            differing.push(format!("seed {seed} {departure}"));
+        if let Some(divergence) = outcome.divergence {
+            differing.push(format!("seed {seed} {divergence}"));
         } else if outcome.hash != recorded {
             differing.push(format!("seed {seed} differs after its last checkpoint"));
         }
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler with a host that carries nothing out, records the actions and plays time forward.
+//! A scheduler with a host that records the requested actions without carrying them out, and simulates time.
 #![allow(dead_code, reason = "each test binary uses only some of it")]
 
 use mallowseam_scheduler::Scheduler;
@@ -9,10 +9,10 @@
 };
 use std::ops::Range;
 
-/// An action that the scheduler asked for.
+/// An action that the scheduler requested.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// A block I/O was forwarded to a node.
+    /// A block I/O, by its index, was forwarded to a node.
     Forwarded(u32, u32),
     Cancelled(u32),
     Shed(u32),
@@ -22,12 +22,12 @@
     ReleasedNode(u32),
 }
 
-/// The host: its clock, and the actions asked of it.
+/// A host with a simulated clock that records the requested actions.
 #[derive(Default)]
 pub struct RecordingHost {
     pub now: Tick,
     pub actions: Vec<(Tick, Action)>,
-    /// Each Retry-After that was named.
+    /// The Retry-After of each shed block I/O that stated one.
     pub retry_after: Vec<Tick>,
     timers: Vec<Tick>,
 }
@@ -82,8 +82,9 @@
 /// Time from arrival to deadline, in ticks.
 pub const DEADLINE: Tick = 10_000;
 
-/// Class 0 is idempotent, class 1 non-idempotent and ordered, class 2 idempotent and ordered, class 3 idempotent by
-/// key within a shard. Plan 0 has a reservation, plan 1 none and a limit of 10 units a second.
+/// Returns a configuration. Class 0 is idempotent, class 1 is non-idempotent and ordered, class 2 is idempotent and
+/// ordered, and class 3 is idempotent by key within a shard. Plan 0 has a reservation; plan 1 has none and a rate limit
+/// of 10 units per second.
 pub fn config() -> SchedulerConfig {
     let class = |idempotency, ordered| IoClass {
         idempotency,
@@ -133,7 +134,8 @@
     }
 }
 
-/// Three hosts, and nodes that warm up for 18 s and bear 24 units in the first 2 s.
+/// Returns a configuration with three hosts and nodes that have a slow start of 18 s and sustain 24 units in its first
+/// two seconds.
 pub fn slow_start_config() -> SchedulerConfig {
     SchedulerConfig {
         hosts: 3,
@@ -145,7 +147,7 @@
     }
 }
 
-/// An endpoint whose shard has the number of the node; without a start, the node started long ago.
+/// Returns the entry of a node whose shard has the same number. Without a start time, the node started long ago.
 pub fn node(node: u32, state: NodeState, started_at: impl Into<Option<Tick>>) -> NodeEndpoint {
     NodeEndpoint {
         node: NodeId(node),
@@ -163,7 +165,7 @@
 }
 
 impl Harness {
-    /// A host that started a long second ago and knows two nodes, each with the shard of its own number.
+    /// Creates a host that started 1.2 s ago and knows two nodes, each of which holds the shard of its own number.
     pub fn new(config: &SchedulerConfig) -> Self {
         let host = RecordingHost {
             now: 100_000,
@@ -184,7 +186,7 @@
         harness
     }
 
-    /// A host that starts now with this seed, and knows no node.
+    /// Creates a host that starts now with this seed and knows no nodes.
     pub fn starting(config: &SchedulerConfig, seed: u64) -> Self {
         let host = RecordingHost {
             now: 100_000,
@@ -209,7 +211,7 @@
             .on_endpoints(&mut self.host, now, event, endpoints);
     }
 
-    /// A block I/O of two units for node 0.
+    /// Returns a block I/O of two units for node 0.
     pub fn bio(&self, id: u32) -> Bio {
         Bio {
             id: BioId(id),
@@ -261,10 +263,10 @@
     pub fn node_status(&self, node: u32) -> NodeStatus {
         self.scheduler
             .node_status(self.host.now, NodeId(node))
-            .expect("a node of the list")
+            .expect("the scheduler knows the node")
     }
 
-    /// Lets time go by, with every timer that was set.
+    /// Advances the clock by this duration, and fires every timer that becomes due.
     pub fn advance(&mut self, span: Tick) {
         let end = self.host.now + span;
         while let Some(time) = self
@@ -290,7 +292,7 @@
             .count()
     }
 
-    /// The block I/Os that were forwarded, once for each attempt.
+    /// Returns the forwarded block I/Os, one entry per attempt.
     pub fn forwarded(&self) -> Vec<u32> {
         let id = |(_, action): &(Tick, Action)| match action {
             Action::Forwarded(id, _) => Some(*id),
@@ -299,7 +301,7 @@
         self.host.actions.iter().filter_map(id).collect()
     }
 
-    /// When a block I/O got its final answer.
+    /// Returns the times at which a block I/O got a final answer.
     pub fn answered_at(&self, id: u32) -> Vec<Tick> {
         let answers = [Action::Shed(id), Action::Failed(id)];
         let answered = self
@@ -310,7 +312,7 @@
         answered.map(|(time, _)| *time).collect()
     }
 
-    /// The nodes to which a block I/O was forwarded.
+    /// Returns the nodes that a block I/O was forwarded to, one entry per attempt.
     pub fn nodes_of(&self, id: u32) -> Vec<u32> {
         let node = |(_, action): &(Tick, Action)| match action {
             Action::Forwarded(bio, node) if *bio == id => Some(*node),
@@ -337,7 +339,7 @@
     }
 }
 
-/// A block I/O of this class with ordering key 1.
+/// Returns a block I/O of this class with ordering key 1.
 pub fn with_key(harness: &Harness, id: u32, class: u16) -> Bio {
     Bio {
         class,
@@ -346,7 +348,7 @@
     }
 }
 
-/// A block I/O of a volume with a limit, used through two hosts.
+/// Returns a block I/O of a volume with a rate limit that is used through two hosts.
 pub fn limited(harness: &Harness, id: u32) -> Bio {
     Bio {
         plan: 1,
