--- a/crates/scheduler-driver/src/driver.rs
+++ b/crates/scheduler-driver/src/driver.rs
@@ -1,12 +1,12 @@
-//! A host's side of its scheduler, and the calls of the scheduler that it decides on.
+//! The scheduler-related state of a host, and the scheduler calls that depend on it.
 use crate::in_flight::{InFlight, InFlightTable};
 use crate::reports::{FinishedAttempt, PendingReports, Report};
 use crate::timer::SchedulerTimer;
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{AttemptOutcome, BioId, Host, Tick};
 
-/// What a host keeps for its scheduler. `T`: what the host knows of a block I/O. `A`: what it knows of an attempt in
-/// flight.
+/// The state that a host keeps for its scheduler. `T` is the host's data about a block I/O, and `A` its data about an
+/// attempt in flight.
 pub struct SchedulerDriver<T, A> {
     in_flight: InFlightTable<T, A>,
     reports: PendingReports,
@@ -26,22 +26,23 @@
 }
 
 impl<T, A> SchedulerDriver<T, A> {
-    /// The block I/Os in flight.
+    /// Returns the block I/Os in flight.
     pub fn in_flight(&self) -> &InFlightTable<T, A> {
         &self.in_flight
     }
 
-    /// The block I/Os in flight.
+    /// Returns the block I/Os in flight, for modification.
     pub fn in_flight_mut(&mut self) -> &mut InFlightTable<T, A> {
         &mut self.in_flight
     }
 
-    /// Queues the withdrawal of a block I/O: its client has disconnected, or the host has answered it or takes it back.
+    /// Queues the withdrawal of a block I/O, because its client has disconnected, or because the host has answered it
+    /// or takes it back.
     pub fn queue_withdrawal(&mut self, io: BioId) {
         self.reports.push_withdrawn(io);
     }
 
-    /// Queues an attempt that is over; its block I/O has none in flight any more.
+    /// Queues the report of a finished attempt. Its block I/O then has no attempt in flight.
     pub fn queue_finished(&mut self, attempt: FinishedAttempt) {
         if let Some(io) = self.in_flight.get_mut(attempt.io) {
             io.take_attempt();
@@ -49,27 +50,27 @@
         self.reports.push_finished(attempt);
     }
 
-    /// The scheduler asks for its timer after a span.
+    /// Sets the scheduler's timer to fire after this duration.
     pub fn set_timer(&mut self, now: Tick, after: Tick) {
         self.timer.set(now + after);
     }
 
-    /// When the scheduler's timer is due.
+    /// Returns the time at which the scheduler's timer is due.
     pub fn timer_due(&self) -> Option<Tick> {
         self.timer.due()
     }
 
-    /// The scheduler asks for the endpoint list.
+    /// Records that the scheduler has requested the endpoint list.
     pub fn request_endpoints(&mut self) {
         self.endpoints_requested = true;
     }
 
-    /// Whether the scheduler has asked for the endpoint list since the last call.
+    /// Returns whether the scheduler has requested the endpoint list since the last call.
     pub fn take_endpoints_request(&mut self) -> bool {
         std::mem::take(&mut self.endpoints_requested)
     }
 
-    /// The outcome of a finished attempt; none if its block I/O is gone.
+    /// Returns the outcome of a finished attempt, or `None` if its block I/O is no longer in flight.
     fn outcome(&self, attempt: &FinishedAttempt) -> Option<AttemptOutcome> {
         let io: &InFlight<T, A> = self.in_flight.get(attempt.io)?;
         Some(AttemptOutcome {
@@ -84,22 +85,22 @@
     }
 }
 
-/// A host that keeps a [`SchedulerDriver`].
+/// A host that has a [`SchedulerDriver`].
 pub trait DrivenHost: Host + Sized {
-    /// What the host knows of a block I/O.
+    /// The host's data about a block I/O.
     type BlockIo;
-    /// What the host knows of an attempt in flight.
+    /// The host's data about an attempt in flight.
     type Attempt;
 
-    /// The time of the current event.
+    /// Returns the time of the current event.
     fn now(&self) -> Tick;
 
-    /// The host's driver.
+    /// Returns the host's driver.
     fn driver_mut(&mut self) -> &mut SchedulerDriver<Self::BlockIo, Self::Attempt>;
 
-    /// Fires the scheduler's timer if it is due; returns whether it was. Nothing else may call `on_timer`: the
-    /// scheduler sets each time once, would mistake an earlier call for the one that it has set, and would wait in
-    /// vain for the next.
+    /// Fires the scheduler's timer if it is due, and returns whether it was. Nothing else may call `on_timer`. The
+    /// scheduler sets each time only once; it would take an earlier call for the expiry of that time and wait forever
+    /// for the next one.
     fn fire_timer(&mut self, scheduler: &mut Scheduler) -> bool {
         let now = self.now();
         let is_due = self.driver_mut().timer.take_due(now);
@@ -109,7 +110,8 @@
         is_due
     }
 
-    /// Makes the next report to the scheduler, whose reaction may add others; false: none is left.
+    /// Makes the next report to the scheduler, which may queue further reports in response. Returns false if there was
+    /// none.
     fn report_next(&mut self, scheduler: &mut Scheduler) -> bool {
         let now = self.now();
         let driver = self.driver_mut();
--- a/crates/scheduler-driver/src/reports.rs
+++ b/crates/scheduler-driver/src/reports.rs
@@ -1,28 +1,28 @@
-//! What the scheduler is to be told once its present call has returned.
+//! Reports that are made to the scheduler once its current call has returned.
 use mallowseam_scheduler::interface::{AttemptResult, BioId, LoadReport, NodeId, Tick};
 use std::collections::VecDeque;
 
-/// An attempt that is over, as the scheduler is told of it.
+/// A finished attempt, as reported to the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedAttempt {
-    /// The block I/O.
+    /// The block I/O that the attempt belongs to.
     pub io: BioId,
-    /// How it came out.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// The node that it went to.
+    /// The node that the attempt was sent to.
     pub node: NodeId,
-    /// Time from forwarding to the outcome.
+    /// Time from forwarding the attempt to its outcome.
     pub latency: Tick,
-    /// Units that the node served for the volume through other hosts, as far as it reports them.
+    /// Units that the node served for the volume through other hosts, if it reports them.
     pub units_by_other_hosts: f64,
-    /// The volume's use over all hosts in the encoding of `AttemptOutcome::volume_usage`.
+    /// Usage of the volume over all hosts, encoded as in `AttemptOutcome::volume_usage`.
     pub volume_usage: f64,
-    /// The node's load report.
+    /// Load report of the node.
     pub load_report: LoadReport,
 }
 
 impl FinishedAttempt {
-    /// An attempt about which its node reports nothing else.
+    /// Creates the report of an attempt for which the node has reported no usage and no load.
     pub fn new(io: BioId, node: NodeId, result: AttemptResult, latency: Tick) -> Self {
         FinishedAttempt {
             io,
@@ -39,13 +39,13 @@
 /// A report to the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Report {
-    /// Nobody waits for the block I/O any more, or the host takes it back.
+    /// The client no longer waits for the block I/O, or the host takes the block I/O back.
     Withdrawn(BioId),
-    /// An attempt is over.
+    /// An attempt has finished.
     Finished(FinishedAttempt),
 }
 
-/// The reports that wait, each kind in its order.
+/// The pending reports, each kind in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReports {
     withdrawn: VecDeque<BioId>,
@@ -63,8 +63,8 @@
         self.finished.push_back(attempt);
     }
 
-    /// The next report. Withdrawals go first: what is withdrawn behind an attempt must not be sent when that attempt
-    /// frees its place in the node's window.
+    /// Removes and returns the next report. Withdrawals come first: a block I/O that is queued behind an attempt and
+    /// has been withdrawn must not be sent when that attempt leaves room in the node's window.
     pub(crate) fn pop(&mut self) -> Option<Report> {
         if let Some(io) = self.withdrawn.pop_front() {
             return Some(Report::Withdrawn(io));
--- a/crates/scheduler-driver/tests/driver.rs
+++ b/crates/scheduler-driver/tests/driver.rs
@@ -1,4 +1,6 @@
-//! Reports to a scheduler, and its timer, over a host that carries nothing out.
+//! Reports to a scheduler and its timer, with a host that records requested actions. A report made while a scheduler
+//! call is running would need the borrowed host, a late withdrawal would let an answered block I/O be sent, and a timer
+//! fired early would never be set again.
 use mallowseam_scheduler::Scheduler;
 use mallowseam_scheduler::interface::{
     AttemptResult, Bio, BioId, EndpointEvent, Host, Idempotency, IoClass, KeyId, NodeEndpoint,
@@ -12,13 +14,13 @@
 const ORDERED_CLASS: u16 = 1;
 const NODE: NodeId = NodeId(0);
 
-/// A host that records what the scheduler asks of it.
+/// A host that records the actions that the scheduler requests.
 #[derive(Default)]
 struct RecordingHost {
     now: Tick,
     driver: SchedulerDriver<(), NodeId>,
-    /// Every attempt fails while it is forwarded.
-    refuses_attempts: bool,
+    /// Whether every attempt fails while it is forwarded.
+    fails_attempts: bool,
     forwarded: Vec<BioId>,
     cancelled: Vec<BioId>,
     answered: Vec<BioId>,
@@ -28,16 +30,24 @@
 impl Host for RecordingHost {
     fn forward(&mut self, bio: BioId, node: NodeId, _timeout: Tick) {
         self.forwarded.push(bio);
-        let io = self.driver.in_flight_mut().get_mut(bio).expect("in flight");
+        let io = self
+            .driver
+            .in_flight_mut()
+            .get_mut(bio)
+            .expect("the block I/O is in flight");
         io.count_attempt();
         io.set_attempt(node);
-        if self.refuses_attempts {
+        if self.fails_attempts {
             self.finish(bio, AttemptResult::ConnectFailed);
         }
     }
 
     fn cancel(&mut self, bio: BioId, attempt: u32) {
-        let io = self.driver.in_flight().get(bio).expect("in flight");
+        let io = self
+            .driver
+            .in_flight()
+            .get(bio)
+            .expect("the block I/O is in flight");
         if io.attempt_numbered(attempt).is_some() {
             self.cancelled.push(bio);
             self.finish(bio, AttemptResult::Cancelled);
@@ -87,7 +97,11 @@
 
 impl RecordingHost {
     fn answer(&mut self, bio: BioId) {
-        let io = self.driver.in_flight_mut().get_mut(bio).expect("in flight");
+        let io = self
+            .driver
+            .in_flight_mut()
+            .get_mut(bio)
+            .expect("the block I/O is in flight");
         if io.mark_answered() {
             self.answered.push(bio);
         }
@@ -134,7 +148,7 @@
 }
 
 impl Fixture {
-    /// A host that knows one node, and has run for long enough to use it.
+    /// Creates a host that knows one node and has run long enough to use it.
     fn new() -> Self {
         let host = RecordingHost {
             now: 100_000,
@@ -162,7 +176,7 @@
         fixture
     }
 
-    /// Lets time go by, with every timer that was set.
+    /// Advances the clock by this duration, and fires every timer that becomes due.
     fn advance(&mut self, span: Tick) {
         let end = self.host.now + span;
         while let Some(due) = self.host.driver.timer_due().filter(|due| *due <= end) {
@@ -195,13 +209,20 @@
 #[test]
 fn an_attempt_that_fails_while_it_is_forwarded_is_reported_once_that_call_has_returned() {
     let mut fixture = Fixture::new();
-    fixture.host.refuses_attempts = true;
+    fixture.host.fails_attempts = true;
     let io = fixture.arrive(0);
-    assert_eq!(fixture.host.forwarded, [io], "not reported yet");
+    assert_eq!(
+        fixture.host.forwarded,
+        [io],
+        "the failure is not reported while the block I/O is forwarded"
+    );
     assert!(fixture.host.report_next(&mut fixture.scheduler));
     fixture.host.report_all(&mut fixture.scheduler);
     fixture.advance(DEADLINE);
-    assert!(fixture.host.forwarded.len() > 1, "reported, and retried");
+    assert!(
+        fixture.host.forwarded.len() > 1,
+        "the failure is reported, and the block I/O is retried"
+    );
     assert!(fixture.host.forwarded.len() <= MAX_ATTEMPTS as usize);
     assert_eq!(fixture.host.answered, [io]);
     assert!(fixture.host.driver.in_flight().is_empty());
@@ -219,7 +240,11 @@
     fixture.host.answer(queued);
     fixture.host.driver.queue_withdrawal(queued);
     fixture.host.report_all(&mut fixture.scheduler);
-    assert_eq!(fixture.host.forwarded, [sent], "the other is never sent");
+    assert_eq!(
+        fixture.host.forwarded,
+        [sent],
+        "the withdrawn block I/O is never sent"
+    );
     assert_eq!(fixture.host.released, [queued, sent]);
 }
 
@@ -241,7 +266,7 @@
         let io = fixture.arrive(0);
         fixture.host.finish(io, AttemptResult::ConnectFailed);
         let entry = fixture.host.driver.in_flight_mut().get_mut(io);
-        let entry = entry.expect("in flight");
+        let entry = entry.expect("the block I/O is in flight");
         if is_answered {
             entry.mark_answered();
         } else {
@@ -256,7 +281,7 @@
 }
 
 #[test]
-fn reports_of_block_ios_that_are_gone_are_dropped() {
+fn reports_of_released_block_ios_are_dropped() {
     let mut fixture = Fixture::new();
     let io = fixture.arrive(0);
     fixture.host.answer(io);
@@ -281,7 +306,7 @@
 #[test]
 fn the_timer_fires_only_when_it_is_due() {
     let mut fixture = Fixture::new();
-    let due = fixture.host.driver.timer_due().expect("set");
+    let due = fixture.host.driver.timer_due().expect("the timer is set");
     fixture.host.now = due - 1;
     assert!(!fixture.host.fire_timer(&mut fixture.scheduler));
     assert_eq!(fixture.host.driver.timer_due(), Some(due));
--- a/crates/scheduler-driver/tests/in_flight.rs
+++ b/crates/scheduler-driver/tests/in_flight.rs
@@ -1,4 +1,5 @@
-//! A block I/O in flight, from its arrival until its release.
+//! A block I/O in flight, from its arrival until its release. A client would get two answers, or the outcome of an old
+//! attempt would count for a later one, if the state of the block I/O were wrong.
 use mallowseam_scheduler::interface::BioId;
 use mallowseam_scheduler_driver::{InFlight, InFlightTable};
 
@@ -8,7 +9,7 @@
 type Table = InFlightTable<&'static str, u32>;
 
 fn entry(table: &mut Table, io: BioId) -> &mut InFlight<&'static str, u32> {
-    table.get_mut(io).expect("in flight")
+    table.get_mut(io).expect("the block I/O is in flight")
 }
 
 #[test]
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_withdrawn_block_io_starts_anew_with_its_client_still_waiting() {
+fn a_withdrawn_block_io_can_be_reset_while_its_client_still_waits() {
     let mut table = Table::default();
     let io = table.insert("a");
     let io = entry(&mut table, io);
@@ -58,7 +59,7 @@
     let ids = ["a", "b", "c"].map(|data| table.insert(data));
     assert_eq!(ids, [0, 1, 2].map(BioId));
     table.release(ids[0]);
-    let released = table.release(ids[1]).expect("in flight");
+    let released = table.release(ids[1]).expect("the block I/O is in flight");
     assert_eq!(released.data, "b");
     assert!(table.release(ids[1]).is_none());
     assert_eq!(table.next_id(), ids[1]);
--- a/crates/scheduler-driver/tests/timer.rs
+++ b/crates/scheduler-driver/tests/timer.rs
@@ -1,4 +1,4 @@
-//! The scheduler's timer.
+//! The scheduler's timer. The scheduler would miss a deadline if setting the timer again lost the earlier time.
 use mallowseam_scheduler_driver::timer::SchedulerTimer;
 
 #[test]
