--- a/crates/scheduler/src/policy/endpoint_poller.rs
+++ b/crates/scheduler/src/policy/endpoint_poller.rs
@@ -8,7 +8,7 @@
 /// Minimum number of ticks over which hosts that start together spread their polls.
 const MIN_SPREAD: Tick = 2_000;
 /// Default service time of a poll, in ticks.
-const SERVICE_TIME: Tick = 300;
+const DEFAULT_SERVICE_TIME: Tick = 300;
 /// Maximum backoff between failed polls if the number of hosts is small, in ticks.
 const MAX_BACKOFF: Tick = 10_000;
 /// Fraction of the maximum poll delay for which a host waits; the rest is for the poll itself.
@@ -16,7 +16,7 @@
 /// Maximum number of ticks from a failed poll to the next. Of the 6 s allowed, the next poll needs 1.2 s.
 const MAX_INTERVAL: Tick = 46_000;
 /// Total service time of one poll by each host, in ticks, above which some polls take more than 6 s.
-const MAX_TIMELY_SERVICE: Tick = 54_000;
+const MAX_TOTAL_SERVICE_TIME: Tick = 54_000;
 /// Maximum number of ticks over which polls are spread after a watch has become silent. Of the 6 s allowed, 3.2 s pass
 /// until the silence is detected, and 1.2 s are for the poll.
 const SPREAD_AFTER_SILENCE: Tick = 16_000;
@@ -42,7 +42,7 @@
     /// Creates the schedule of a host that starts at `now`.
     pub(super) fn new(config: &SchedulerConfig, now: Tick, rng: &Pcg) -> Self {
         let total_service_time =
-            config.poll_service_time.unwrap_or(SERVICE_TIME) * Tick::from(config.hosts);
+            config.poll_service_time.unwrap_or(DEFAULT_SERVICE_TIME) * Tick::from(config.hosts);
         let max_interval = max_interval(config, total_service_time);
         let spread =
             max_spread(config).map_or(total_service_time, |max| total_service_time.min(max));
@@ -132,7 +132,7 @@
 /// helps only if the service may be faster, that is, if it is not known to be too slow for all hosts.
 fn max_interval(config: &SchedulerConfig, total_service_time: Tick) -> Tick {
     let known_too_slow =
-        config.poll_service_time.is_some() && total_service_time > MAX_TIMELY_SERVICE;
+        config.poll_service_time.is_some() && total_service_time > MAX_TOTAL_SERVICE_TIME;
     if known_too_slow {
         total_service_time
     } else {
--- a/crates/scheduler/src/policy/node_budget.rs
+++ b/crates/scheduler/src/policy/node_budget.rs
@@ -211,7 +211,7 @@
         &mut self,
         volume: VolumeId,
         cost: f64,
-        node_has_room: bool,
+        node_has_capacity: bool,
         rng: &Pcg,
     ) -> bool {
         let own = self.allocation_position(volume);
@@ -224,7 +224,7 @@
             self.allocations[payer].balance -= cost;
         } else if self.pool >= cost {
             self.pool -= cost;
-        } else if node_has_room {
+        } else if node_has_capacity {
             self.allocations[own].balance -= cost;
         } else {
             return false;
--- a/crates/scheduler/src/policy/scheduler/dispatch.rs
+++ b/crates/scheduler/src/policy/scheduler/dispatch.rs
@@ -9,7 +9,7 @@
 
 /// Excess over the lowest recent mean latency at which the admission threshold starts to rise, as a fraction of the
 /// shortest objective.
-const THRESHOLD_FROM: f64 = 0.08;
+const THRESHOLD_START: f64 = 0.08;
 /// Further excess at which the admission threshold reaches 1 for a weight of the host's own load of 1, as a fraction of
 /// the shortest objective.
 const THRESHOLD_SPAN: f64 = 0.4;
@@ -73,9 +73,9 @@
             let node = &mut self.nodes[id];
             let bio = self.requests[node.queue().at(position)].bio();
             let cost = node.cost(bio.units);
-            let has_room = node.is_idle_or_fast(&self.node_limits);
+            let has_capacity = node.is_idle_or_fast(&self.node_limits);
             let budget = node.budget_mut();
-            if budget.charge(bio.volume, cost, has_room, &self.rng) {
+            if budget.charge(bio.volume, cost, has_capacity, &self.rng) {
                 let bio = node.queue_mut().take(position);
                 self.send(host, now, bio, id);
             } else {
@@ -151,8 +151,8 @@
     /// Returns the fraction of the typical priority below which an overloaded node is left to block I/Os of other
     /// hosts.
     fn admission_threshold(&self, node: &Node) -> f64 {
-        let above_best = node.latency_excess(&self.node_limits, &self.fleet_latency);
-        let excess = (above_best - THRESHOLD_FROM) / THRESHOLD_SPAN;
+        let latency_excess = node.latency_excess(&self.node_limits, &self.fleet_latency);
+        let excess = (latency_excess - THRESHOLD_START) / THRESHOLD_SPAN;
         let own = (excess / node.own_load_weight()).max(0.0);
         let threshold = own + self.fleet_latency.threshold();
         (threshold * self.node_limits.load_by_other_hosts).min(MAX_THRESHOLD)
--- a/crates/scheduler/src/policy/slow_start.rs
+++ b/crates/scheduler/src/policy/slow_start.rs
@@ -18,16 +18,16 @@
     /// Size of the largest block I/O, in units.
     max_io_units: f64,
     /// Limit on the load of a node in slow start; `None` if it sustains any load.
-    overload: Option<OverloadBound>,
+    overload: Option<OverloadLimit>,
     warm_demand: WarmDemand,
 }
 
 /// Limit on the load of a node in slow start.
-struct OverloadBound {
+struct OverloadLimit {
     /// Time window over which the load is counted.
     window: Tick,
     /// Units per window just after the start, per unit per tick of usual rate.
-    per_usual_rate: f64,
+    units_per_usual_rate: f64,
     /// Fraction of its full rate at which a node starts.
     initial_rate: f64,
 }
@@ -117,9 +117,9 @@
     /// Creates the configured limits for one of `hosts` hosts.
     pub(super) fn new(config: &SchedulerConfig, hosts: f64, max_io_units: f64) -> Self {
         let safe_multiple = SAFE_LOAD * config.overload_multiple * config.slow_start_initial_rate;
-        let overload = OverloadBound {
+        let overload = OverloadLimit {
             window: config.overload_window,
-            per_usual_rate: safe_multiple * config.overload_window as f64,
+            units_per_usual_rate: safe_multiple * config.overload_window as f64,
             initial_rate: config
                 .slow_start_initial_rate
                 .clamp(*INITIAL_RATE_BOUNDS.start(), *INITIAL_RATE_BOUNDS.end()),
@@ -174,7 +174,10 @@
             return None;
         }
         let growth = overload.growth(age, self.duration);
-        let share = self.even_share.max(usual_rate * overload.per_usual_rate) * growth;
+        let share = self
+            .even_share
+            .max(usual_rate * overload.units_per_usual_rate)
+            * growth;
         let sent = state.sent_units.after(now - overload.window - 1);
         let share = if share < self.max_io_units {
             let draw = state.share_draw(now, overload.window, rng);
@@ -213,7 +216,7 @@
     }
 }
 
-impl OverloadBound {
+impl OverloadLimit {
     /// Returns the node's rate as a multiple of its initial rate, assuming the slowest growth allowed, delayed by half
     /// a window.
     fn growth(&self, age: Tick, duration: Tick) -> f64 {
@@ -224,6 +227,6 @@
 
     /// Returns the safe rate of a node with this growth, as a multiple of its usual rate.
     fn safe_rate_ratio(&self, growth: f64) -> f64 {
-        self.per_usual_rate * growth / self.window as f64
+        self.units_per_usual_rate * growth / self.window as f64
     }
 }
--- a/crates/scheduler/src/policy/volume.rs
+++ b/crates/scheduler/src/policy/volume.rs
@@ -4,8 +4,7 @@
 use super::plan_rates::PlanRates;
 use crate::interface::Tick;
 
-/// Ticks for which tokens are held for the highest-weight class after too few were left for one of its block I/Os (3
-/// s).
+/// Ticks (3 s) for which tokens are held for the highest-weight class after it has lacked tokens for a block I/O.
 const TOP_CLASS_HOLD: Tick = 30_000;
 /// Weight of one allocation interval in the mean rate of the other hosts: an average over about 1 s.
 const OTHER_HOSTS_ALPHA: f64 = 0.1;
@@ -121,14 +120,14 @@
         let max_tokens = self.burst_share(plan);
         let limit_rate = self.limit_rate(plan);
         let buckets = &mut self.buckets;
-        let span = (now - buckets.refilled_at) as f64;
+        let elapsed = (now - buckets.refilled_at) as f64;
         buckets.refilled_at = now;
         buckets.limit = match limit_rate {
-            Some(rate) => (buckets.limit + span * rate).min(max_tokens),
+            Some(rate) => (buckets.limit + elapsed * rate).min(max_tokens),
             None => max_tokens,
         };
         let max_reserved = plan.reserved * TICKS_PER_SECOND + max_io_units;
-        buckets.reservation = (buckets.reservation + span * plan.reserved).min(max_reserved);
+        buckets.reservation = (buckets.reservation + elapsed * plan.reserved).min(max_reserved);
     }
 
     /// Takes the units of a block I/O that is sent for the first time.
@@ -140,8 +139,8 @@
     /// Returns whether the rate limit leaves too few tokens for a block I/O. While tokens are held for the
     /// highest-weight class, other classes get none.
     pub(super) fn lacks_tokens(&self, now: Tick, units: f64, highest_weight: bool) -> bool {
-        let kept = self.held_for_top_class_until.is_some_and(|end| now < end);
-        self.buckets.limit < units || kept && !highest_weight
+        let held = self.held_for_top_class_until.is_some_and(|end| now < end);
+        self.buckets.limit < units || held && !highest_weight
     }
 
     /// Holds the tokens for the highest-weight class, if there are too few for a block I/O of this size.
