--- a/crates/fleet-udp/src/event_log.rs
+++ b/crates/fleet-udp/src/event_log.rs
@@ -1,18 +1,18 @@
-//! Log lines of membership events, limited in number whatever happens in the fleet.
+//! Log lines for membership events, with a rate limit for those about other members.
 use crate::log_rate_limit::LogRateLimit;
 use mallowseam_fleet::record::Name;
 use mallowseam_fleet::{MemberState, MembershipEvent, Millis};
 use std::net::SocketAddr;
 
-/// Logs membership events.
+/// Logger of membership events.
 #[derive(Default)]
 pub(crate) struct EventLog {
-    /// Of lines about other members; what concerns this host itself is not limited.
+    /// Rate limit of lines about other members. Lines about this host itself are not limited.
     rate_limit: LogRateLimit,
 }
 
 impl EventLog {
-    /// Logs an event.
+    /// Logs a membership event, unless the rate limit suppresses its line.
     pub fn log(&mut self, event: MembershipEvent, now: Millis) {
         self.renew_window(now);
         match event {
@@ -21,7 +21,7 @@
                 tracing::warn!("isolated: nothing received from any other member of the fleet");
             }
             MembershipEvent::IsolationEnded => {
-                tracing::info!("isolation ended: a message of another member was received");
+                tracing::info!("isolation ended: a message from another member was received");
             }
             MembershipEvent::MemberUpdated {
                 name,
@@ -38,15 +38,16 @@
         }
     }
 
-    /// Starts a new window of the limit once the last one is over, and logs what was suppressed in it.
+    /// Starts a new window of the rate limit if the current one is over, and logs how many lines were suppressed in the
+    /// window that ended.
     pub fn renew_window(&mut self, now: Millis) {
-        let counts = self.rate_limit.renew(now);
+        let counts = self.rate_limit.renew_window(now);
         if !counts.is_empty() {
             tracing::info!(?counts, "further member state changes");
         }
     }
 
-    /// Logs a member's state if it changed. A new record without a change of state is not logged.
+    /// Logs the change of a member's state. A new record without a change of state is not logged.
     fn log_state(
         &mut self,
         name: &Name,
@@ -65,7 +66,7 @@
 fn log_superseded(address: SocketAddr) {
     tracing::error!(
         %address,
-        "name conflict: a process that started later has this host's name; this one leaves the membership \
-         protocol and continues to serve"
+        "name conflict: a process that started later has this host's name; this process leaves the membership \
+         protocol and continues to serve; give each host of the fleet a unique name"
     );
 }
--- a/crates/fleet-udp/src/lib.rs
+++ b/crates/fleet-udp/src/lib.rs
@@ -1,8 +1,8 @@
-//! Carries a host's membership protocol over UDP, on the event loop that the host has, and shows its membership table to
-//! operators. Decides nothing: the protocol is `mallowseam-fleet`'s.
+//! Runs a host's membership protocol over UDP on the host's event loop, and renders its membership table for operators.
+//! All decisions of the protocol are made by `mallowseam-fleet`.
 //!
-//! - [`UdpMembership`] is a host's member of the protocol on its socket.
-//! - [`query_membership`] asks a running host for its table; [`MembershipSnapshot`] renders and compares tables.
+//! - [`UdpMembership`] runs the membership protocol of a host on a UDP socket.
+//! - [`query_membership`] queries the table of a running host; [`MembershipSnapshot`] renders and compares tables.
 #![warn(missing_docs)]
 
 mod event_log;
--- a/crates/fleet-udp/src/log_rate_limit.rs
+++ b/crates/fleet-udp/src/log_rate_limit.rs
@@ -1,31 +1,32 @@
-//! Limit of log lines in a window of time.
+//! Rate limit of log lines.
 #[cfg(test)]
 mod tests;
 
 use mallowseam_fleet::Millis;
 use std::collections::BTreeMap;
 
-/// Lines that are admitted in each window; further ones are counted.
+/// Maximum number of lines that are logged in each window. Further lines are suppressed and counted.
 const MAX_LINES_PER_WINDOW: u32 = 8;
 /// Length of a window, in milliseconds.
 const WINDOW: Millis = 1_000;
 
-/// Numbers of suppressed lines, by what they would have said.
+/// Numbers of suppressed lines, by subject.
 pub(crate) type SuppressedLines = BTreeMap<&'static str, u32>;
 
-/// Limits log lines.
+/// Limit of the number of log lines in each window of time.
 #[derive(Default)]
 pub(crate) struct LogRateLimit {
+    /// Start of the current window.
     window_start: Millis,
-    /// Lines admitted in this window.
+    /// Number of lines that were logged in the current window.
     admitted: u32,
-    /// Lines not admitted in this window.
+    /// Lines that were suppressed in the current window.
     suppressed: SuppressedLines,
 }
 
 impl LogRateLimit {
-    /// Starts a new window once the last one is over. Returns what was suppressed in the last one.
-    pub fn renew(&mut self, now: Millis) -> SuppressedLines {
+    /// Starts a new window if the current one is over. Returns the lines that were suppressed in the window that ended.
+    pub fn renew_window(&mut self, now: Millis) -> SuppressedLines {
         if now < self.window_start + WINDOW {
             return SuppressedLines::new();
         }
@@ -34,7 +35,7 @@
         std::mem::take(&mut self.suppressed)
     }
 
-    /// Whether one more line may be logged in this window; if not, it is counted.
+    /// Returns whether a line may be logged in the current window. If not, counts it as suppressed.
     pub fn admit(&mut self, subject: &'static str) -> bool {
         if self.admitted < MAX_LINES_PER_WINDOW {
             self.admitted += 1;
--- a/crates/fleet-udp/src/query.rs
+++ b/crates/fleet-udp/src/query.rs
@@ -1,34 +1,34 @@
-//! Query for the membership table of a running host, page by page.
+//! Query for the membership table of a running host, one page at a time.
 use crate::MembershipSnapshot;
 use mallowseam_fleet::wire::{self, MAX_DATAGRAM_BYTES, MembershipPage, Message};
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Attempts for each page.
+/// Number of attempts to query each page.
 const ATTEMPTS: u32 = 4;
-/// Wait for the answer to one attempt.
+/// Timeout of one attempt.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a host's membership table could not be queried.
+/// Reason why a host's membership table could not be queried.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// The socket failed, for instance because no process listens at the host's address.
     #[error(transparent)]
     Socket(#[from] io::Error),
-    /// The host did not answer.
-    #[error("timed out")]
+    /// The host did not answer any attempt in time.
+    #[error("membership query timed out")]
     Timeout,
-    /// The host answered with something else than a page of this version.
-    #[error("no view of this version of the program")]
+    /// The host answered with something other than a page in this format version.
+    #[error("answer is not a membership page that this version of the program can read")]
     UnreadableAnswer,
 }
 
-/// Queries the membership table of the host that listens for its fleet at this address. Blocks for up to two seconds a
-/// page.
+/// Queries the membership table of the host whose membership protocol listens at this address. Blocks for up to two
+/// seconds for each page.
 ///
 /// # Errors
-/// The host did not answer, its answer can't be decoded, or the socket failed.
+/// The host did not answer, its answer cannot be decoded, or the socket failed.
 pub fn query_membership(host: SocketAddr) -> Result<MembershipSnapshot, QueryError> {
     let socket = UdpSocket::bind(local_address(host))?;
     socket.connect(host)?;
@@ -39,7 +39,7 @@
         let page = query_page(&socket, first_id)?;
         let next_id = page.next_id;
         snapshot.append(page);
-        // Pages go forward, whatever the answer says.
+        // Only ids above the last one are queried next, so that the loop ends whatever the host answers.
         match next_id.filter(|next_id| *next_id > first_id) {
             Some(next_id) => first_id = next_id,
             None => return Ok(snapshot),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Any free port of an address from which the host can be reached.
+/// Returns a local address, with any free port, from which the host can be reached.
 fn local_address(host: SocketAddr) -> SocketAddr {
     match host {
         SocketAddr::V4(address) if address.ip().is_loopback() => (Ipv4Addr::LOCALHOST, 0).into(),
@@ -62,7 +62,7 @@
         socket.send(&wire::encode_query(first_id))?;
         match receive_page(socket) {
             Ok(page) => return Ok(page),
-            // An earlier attempt's error says more.
+            // A timeout does not replace the more specific error of an earlier attempt.
             Err(QueryError::Timeout) => {}
             Err(error) => last_error = error,
         }
@@ -80,7 +80,7 @@
     }
 }
 
-/// A socket whose read timeout is over reports one of two kinds, by platform.
+/// Converts an error of the socket. The platform determines which of two kinds reports a read timeout.
 fn receive_error(error: io::Error) -> QueryError {
     match error.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => QueryError::Timeout,
--- a/crates/fleet-udp/src/snapshot.rs
+++ b/crates/fleet-udp/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A host's membership table as it was at one time, for operators.
+//! Snapshot of a host's membership table, for operators.
 mod json;
 mod table;
 
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// States in the order in which they are counted.
+/// Member states in the order in which operators see their counts.
 const COUNTED_STATES: [MemberState; 6] = [
     MemberState::Alive,
     MemberState::Joining,
@@ -17,26 +17,26 @@
     MemberState::Left,
 ];
 
-/// Stands for the state of a member that is not in the table.
+/// Name of the state of a member that is not in the table.
 const UNKNOWN: &str = "unknown";
 
-/// A host's membership table.
+/// Snapshot of a host's membership table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MembershipSnapshot {
     /// Name of the host.
     pub host: String,
-    /// Whether the host receives nothing from any other member.
+    /// Whether the host is isolated: it receives nothing from any other member.
     pub isolated: bool,
     /// Whether a later process under the host's name superseded it.
     pub superseded: bool,
-    /// Digest of the table: the same at hosts whose tables are the same.
+    /// Digest of the table, which is the same at hosts whose tables are the same.
     pub digest: u64,
-    /// Members by id.
+    /// Members in the order of their ids.
     pub members: Vec<MemberStatus>,
 }
 
 impl MembershipSnapshot {
-    /// Appends the members of a page; all else is as the page has it.
+    /// Appends the members of a page, and replaces all other fields by those of the page.
     pub fn append(&mut self, page: MembershipPage) {
         self.host = page.host.to_string();
         self.isolated = page.isolated;
@@ -45,7 +45,7 @@
         self.members.extend(page.members);
     }
 
-    /// How many members are in each state, for operators: `2 alive, 1 suspect`.
+    /// Returns the number of members in each state, for operators, such as `2 alive, 1 suspect`.
     #[must_use]
     pub fn state_counts(&self) -> String {
         let mut counts = Vec::new();
@@ -62,7 +62,7 @@
         counts.join(", ")
     }
 
-    /// The table for operators: a line for each member by name, and a line of totals.
+    /// Returns the table for operators: a line for each member, in the order of their names, and a line of totals.
     #[must_use]
     pub fn to_table(&self) -> String {
         let unix_time = SystemTime::now()
@@ -71,19 +71,21 @@
         table::render(self, unix_time.as_millis() as u64)
     }
 
-    /// The table as one JSON object.
+    /// Returns the table as one JSON object.
     #[must_use]
     pub fn to_json(&self) -> Value {
         json::render(self)
     }
 
-    /// Changes of members' states since an earlier snapshot of the same host, a line each.
+    /// Returns the changes of members' states since an earlier snapshot of the same host, one line for each change.
     #[must_use]
     pub fn changes_since(&self, earlier: &MembershipSnapshot) -> Vec<String> {
         let mut changes = Vec::new();
         for member in &self.members {
             let name = &member.record.name;
-            let state_before = earlier.find(name).map_or(UNKNOWN, |m| m.state.as_str());
+            let state_before = earlier
+                .find(name)
+                .map_or(UNKNOWN, |member| member.state.as_str());
             let state_now = member.state.as_str();
             if state_before != state_now {
                 changes.push(format!("{name}: {state_before} -> {state_now}"));
@@ -93,13 +95,17 @@
             .members
             .iter()
             .filter(|member| self.find(&member.record.name).is_none());
-        changes.extend(
-            forgotten.map(|m| format!("{}: {} -> forgotten", m.record.name, m.state.as_str())),
-        );
+        changes.extend(forgotten.map(|member| {
+            format!(
+                "{}: {} -> forgotten",
+                member.record.name,
+                member.state.as_str()
+            )
+        }));
         changes
     }
 
-    /// Differences between the tables of two hosts, a line for each member.
+    /// Returns the differences between the tables of two hosts, one line for each member that differs.
     #[must_use]
     pub fn differences(&self, other: &MembershipSnapshot) -> Vec<String> {
         let members = self.members.iter().chain(&other.members);
@@ -108,11 +114,11 @@
         names.dedup();
         let mut differences = Vec::new();
         for name in names {
-            let here = self.describe(name);
-            let there = other.describe(name);
-            if here != there {
+            let own_status = self.describe(name);
+            let other_status = other.describe(name);
+            if own_status != other_status {
                 differences.push(format!(
-                    "{name}: {} has it {here}, {} has it {there}",
+                    "{name}: {own_status} according to {}, {other_status} according to {}",
                     self.host, other.host
                 ));
             }
@@ -131,7 +137,7 @@
             return UNKNOWN.to_owned();
         };
         format!(
-            "{} (generation {}, word {})",
+            "{} (generation {}, incarnation {})",
             member.state.as_str(),
             member.record.generation,
             member.record.incarnation
--- a/crates/fleet-udp/src/snapshot/json.rs
+++ b/crates/fleet-udp/src/snapshot/json.rs
@@ -1,9 +1,9 @@
-//! The table as JSON. Names of fields are an interface.
+//! JSON rendering of the membership table. The names of the fields are an interface for operators' tools.
 use super::MembershipSnapshot;
 use mallowseam_fleet::wire::MemberStatus;
 use serde_json::{Value, json};
 
-/// The table as one JSON object.
+/// Returns the table as one JSON object.
 pub(super) fn render(snapshot: &MembershipSnapshot) -> Value {
     json!({
         "own": snapshot.host,
--- a/crates/fleet-udp/src/snapshot/table.rs
+++ b/crates/fleet-udp/src/snapshot/table.rs
@@ -1,8 +1,9 @@
-//! The table as text, in columns.
+//! Text rendering of the membership table, in columns.
 use super::MembershipSnapshot;
 use mallowseam_fleet::wire::MemberStatus;
 
-/// The table as text. `now_ms`: Unix time in milliseconds, from which the time that a member is up is worked out.
+/// Returns the table as text. `now_ms`: current Unix time in milliseconds, from which the uptime of members is
+/// computed.
 pub(super) fn render(snapshot: &MembershipSnapshot, now_ms: u64) -> String {
     let mut members: Vec<&MemberStatus> = snapshot.members.iter().collect();
     members.sort_by(|a, b| a.record.name.cmp(&b.record.name));
--- a/crates/fleet-udp/src/udp_membership.rs
+++ b/crates/fleet-udp/src/udp_membership.rs
@@ -1,4 +1,4 @@
-//! A host's member of the protocol on a UDP socket of its event loop.
+//! Membership protocol of a host on a UDP socket of its event loop.
 use crate::event_log::EventLog;
 use mallowseam_fleet::config::FleetConfig;
 use mallowseam_fleet::record::ActiveVersions;
@@ -10,13 +10,14 @@
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Datagrams received in one iteration of the event loop. The others wait in the socket's buffer; the kernel drops what
-/// does not fit into it.
+/// Maximum number of datagrams that are received in one iteration of the event loop. Further ones wait in the socket's
+/// buffer; the kernel drops those that do not fit into it.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
-/// One byte more than the largest datagram, so that a longer one is not truncated to a valid one.
+/// Size of the receive buffer, in bytes: one more than the maximum size of a datagram, so that a longer datagram is not
+/// truncated to a valid one.
 const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
-/// Carries out the actions of one call of the state machine.
+/// Sink that executes the actions of one call of the state machine: sends datagrams, and logs events.
 struct SocketActions<'a> {
     socket: &'a UdpSocket,
     event_log: &'a mut EventLog,
@@ -25,7 +26,7 @@
 
 impl ActionSink for SocketActions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        // A datagram that can't be sent counts as lost on the network; the protocol copes with that.
+        // A datagram that cannot be sent counts as lost on the network, which the protocol tolerates.
         let _ = self.socket.send_to(bytes, to);
     }
 
@@ -34,14 +35,14 @@
     }
 }
 
-/// What one call of the state machine needs.
-struct Call<'a> {
+/// Arguments of one call of the state machine.
+struct CallContext<'a> {
     membership: &'a mut Membership,
     now: Millis,
     actions: SocketActions<'a>,
 }
 
-/// A host's member of the protocol, with its socket, clock and log.
+/// Membership protocol of a host, with its socket, clock and log.
 pub struct UdpMembership {
     socket: UdpSocket,
     listen: SocketAddr,
@@ -51,10 +52,10 @@
 }
 
 impl UdpMembership {
-    /// Opens and registers the socket, and starts the protocol.
+    /// Opens and registers the socket, and starts the membership protocol.
     ///
     /// # Errors
-    /// The address can't be listened on, or the socket can't be registered.
+    /// The socket cannot be bound to the listening address, or cannot be registered.
     pub fn open(registry: &Registry, token: Token, config: FleetConfig) -> io::Result<Self> {
         let FleetConfig {
             listen,
@@ -82,31 +83,31 @@
         })
     }
 
-    /// Milliseconds until [`tick`](UdpMembership::tick) is to be called.
+    /// Returns the time until [`tick`](UdpMembership::tick) is to be called, in milliseconds.
     #[must_use]
     pub fn millis_until_tick(&self) -> Millis {
         self.membership.next_tick().saturating_sub(self.now())
     }
 
-    /// Runs the timers that are due. Must be called before [`on_readable`](UdpMembership::on_readable) in each iteration
-    /// of the event loop, so that the protocol notices if its process was stopped.
+    /// Runs the timers that are due. Must be called before [`on_readable`](UdpMembership::on_readable) in each
+    /// iteration of the event loop, so that the protocol detects a pause of its process.
     pub fn tick(&mut self) {
         let now = self.now();
         if now >= self.membership.next_tick() {
             self.event_log.renew_window(now);
-            let mut call = self.call();
+            let mut call = self.call_context();
             call.membership.tick(call.now, &mut call.actions);
         }
     }
 
-    /// Receives datagrams after the socket became readable. Returns whether more may wait.
+    /// Receives datagrams after the socket became readable. Returns whether more datagrams may be pending.
     pub fn on_readable(&mut self) -> bool {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut buffer) {
                 Ok((len, from)) => self.receive(from, buffer.get(..len).unwrap_or_default()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-                // Reported by the network for an earlier datagram, such as an unreachable port.
+                // The network reports such errors for datagrams sent earlier, for example to an unreachable port.
                 Err(_) => {}
             }
         }
@@ -114,32 +115,33 @@
     }
 
     fn receive(&mut self, from: SocketAddr, datagram: &[u8]) {
-        let mut call = self.call();
+        let mut call = self.call_context();
         call.membership
             .receive(from, datagram, call.now, &mut call.actions);
     }
 
     /// Publishes the versions of shared state that this host acts on.
     pub fn set_active_versions(&mut self, versions: ActiveVersions) {
-        let mut call = self.call();
+        let mut call = self.call_context();
         call.membership
             .set_active_versions(versions, call.now, &mut call.actions);
     }
 
-    /// Notifies other members that this host shuts down gracefully and still serves.
+    /// Notifies other members that this host is shutting down gracefully and still serves requests.
     pub fn announce_leaving(&mut self) {
-        let mut call = self.call();
+        let mut call = self.call_context();
         call.membership
             .announce_leaving(call.now, &mut call.actions);
     }
 
     /// Notifies other members that this process ends.
     pub fn announce_left(&mut self) {
-        let mut call = self.call();
+        let mut call = self.call_context();
         call.membership.announce_left(call.now, &mut call.actions);
     }
 
-    /// Takes over the seeds of a reloaded configuration. Any other change of it needs a restart.
+    /// Applies the seeds of a reloaded configuration. Other changes take effect after a restart; a changed listening
+    /// address, or a removed configuration, is logged.
     pub fn reload(&mut self, config: Option<FleetConfig>) {
         match config {
             Some(config) if config.listen == self.listen => {
@@ -149,21 +151,21 @@
         }
     }
 
-    /// The state machine.
+    /// Returns the state machine of the membership protocol.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Milliseconds since the start.
+    /// Returns the current time, in milliseconds since the start of the protocol.
     fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis
     }
 
-    /// What a call of the state machine needs, at the present time.
-    fn call(&mut self) -> Call<'_> {
+    /// Returns the arguments of a call of the state machine at the current time.
+    fn call_context(&mut self) -> CallContext<'_> {
         let now = self.now();
-        Call {
+        CallContext {
             membership: &mut self.membership,
             now,
             actions: SocketActions {
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -10,8 +10,9 @@
 /// Schedule of the pings to an unreachable member, by which the two sides of a healed partition find each other again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnreachablePings {
+    /// Time of the next ping.
     next: Millis,
-    /// Interval until the next ping after that. Doubles with each ping, up to a maximum.
+    /// Interval before the next ping. Doubles with each ping, up to a maximum.
     interval: Millis,
 }
 
@@ -55,7 +56,7 @@
 pub(crate) struct Member {
     record: MemberRecord,
     reachability: Reachability,
-    /// Time at which this host last received a message with this record from the member itself.
+    /// Time at which this host last received a message from the member itself that had the record known at that time.
     last_contact: Option<Millis>,
     /// Time at which the member's state last changed.
     state_since: Millis,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Clears a suspicion that only this host raised while it was isolated, once the isolation is over.
+    /// Clears the local suspicion of the member, once the isolation of this host is over.
     pub fn clear_suspicion(&mut self, now: Millis) {
         self.reachability = Reachability::Reachable;
         self.state_since = now;
--- a/crates/fleet/src/membership_table.rs
+++ b/crates/fleet/src/membership_table.rs
@@ -240,8 +240,8 @@
             .collect()
     }
 
-    /// Clears the suspicions that only this host raised while it was isolated, once the isolation is over: their cause
-    /// was a fault of this host itself.
+    /// Clears the local suspicions, once the isolation of this host is over: their cause was a fault of this host
+    /// itself.
     pub fn clear_local_suspicions(&mut self, now: Millis) -> Vec<TableChange> {
         let mut changes = Vec::new();
         for (id, member) in &mut self.members {
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -84,8 +84,7 @@
         self.accusers.confirming.len()
     }
 
-    /// Returns whether the suspicion is local: only this host raised it, while isolated. A local suspicion is not
-    /// gossiped.
+    /// Returns whether the suspicion is local to this host, which is isolated. A local suspicion is not gossiped.
     pub fn is_local(&self) -> bool {
         self.is_local
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -15,7 +15,7 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Version of the datagram format, which is the first byte of each datagram.
 pub const FORMAT_VERSION: u8 = 1;
-/// Maximum number of updates in one datagram. The size of the datagram allows fewer.
+/// Maximum number of updates in one datagram. The maximum size of a datagram allows fewer.
 const MAX_UPDATES: usize = 32;
 /// Maximum number of ranges in one datagram.
 pub(crate) const MAX_RANGES: usize = 48;
@@ -88,7 +88,7 @@
         /// Whether the receiver replies with its newer records in these ranges.
         reply_wanted: bool,
     },
-    /// Has no purpose except to carry the updates.
+    /// Carries only updates.
     UpdatesOnly,
 }
 
