--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -27,7 +27,7 @@
     indirect_at: Option<Millis>,
     /// Number of members that were asked to ping the target.
     requested: u32,
-    /// Number of those members that reported a failed ping.
+    /// Number of the asked members that reported a failed ping.
     failed: u32,
 }
 
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Drops the pending ping after a pause of this process, in which it could not receive the ack.
+    /// Drops the pending ping after a pause of this process, in which it could not receive the ack, and lengthens the
+    /// periods.
     pub fn on_pause(&mut self) {
         self.pending = None;
         self.increase_health_multiplier();
--- a/crates/fleet/src/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -30,8 +30,8 @@
         self.transmissions.len() > BACKLOG_THRESHOLD
     }
 
-    /// Drops updates that were sent `max_transmissions` times. Returns the members of the others, those with the fewest
-    /// transmissions first.
+    /// Drops updates that were sent `max_transmissions` times. Returns the ids of the members whose updates remain,
+    /// those with the fewest transmissions first.
     pub fn least_sent_first(&mut self, max_transmissions: u32) -> Vec<u64> {
         self.transmissions
             .retain(|_, count| *count < max_transmissions);
--- a/crates/fleet/src/joining.rs
+++ b/crates/fleet/src/joining.rs
@@ -13,7 +13,7 @@
 /// Protocol periods between two pings of a seed that is no member in this host's table. The pings let partitions merge
 /// again after they have removed each other's members.
 const SEED_PERIODS: u64 = 60;
-/// Seeds that are pinged at a time while no member is known, since some of them may be down.
+/// Number of seeds that are pinged at a time while no member is known, since some of them may be down.
 const SEED_GROUP_SIZE: usize = 3;
 
 /// Seeds of this host, and the timeouts of joining.
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -51,7 +51,7 @@
     Stale,
 }
 
-/// A member as this host knows it.
+/// Member of the fleet as this host knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Member {
     record: MemberRecord,
