--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a host (`GW_CONFIG`): a JSON object, read at its start and again on SIGHUP.
+//! Configuration of a host (`GW_CONFIG`): a JSON object that is read at the start and again on SIGHUP.
 mod fleet;
 
 use crate::endpoints::{self, WatchEvent};
@@ -9,40 +9,40 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Stands for the name of a host that has none, so that the rest of `fleet` can be checked: the configuration is rejected
-/// in any case.
+/// Placeholder for a missing host name, with which the rest of `fleet` is checked. The configuration is rejected in
+/// any case.
 const UNNAMED_HOST: &str = "?";
-/// Fewer descriptors than this are not enough for clients and nodes.
+/// Minimum limit of file descriptors. Fewer are not enough for clients and nodes.
 const MIN_SOCKETS: u64 = 64;
-/// Less memory than this is not enough for a host, in MiB.
+/// Minimum memory limit of a host, in MiB.
 const MIN_MEMORY_MB: u64 = 16;
 
-/// The configuration of a host.
+/// Configuration of a host.
 #[derive(Clone, Debug)]
 pub struct HostConfig {
-    /// The host's name, the same after a restart.
+    /// Name of the host, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address to listen on for clients.
     pub listen: SocketAddr,
-    /// The discovery service.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers, new with each start.
+    /// Seed of the random number generator, a new one for each start.
     pub seed: u64,
-    /// Share of a core that the host may use. Logged only; no decision depends on it.
+    /// CPU limit in cores, which may be a fraction. Only logged; no decision depends on it.
     pub cpu_cores: f64,
-    /// Memory limit in MiB; over it the host is killed.
+    /// Memory limit in MiB. A host that exceeds it is killed.
     pub memory_mb: u64,
     /// Limit of file descriptors.
     pub max_sockets: u64,
-    /// The endpoint list as this host last had it; may be old.
+    /// Endpoint list that the host cached last; may be stale.
     pub cached_list: Option<WatchEvent>,
-    /// The deployment's settings.
+    /// Settings of the deployment.
     pub settings: PlatformSettings,
-    /// How the host takes part in the fleet's membership; none: it does not.
+    /// Settings of the membership protocol. `None`: the host does not take part in it.
     pub fleet: Option<FleetConfig>,
 }
 
-/// Why a configuration is rejected. `Display` is what operators are shown.
+/// Reason for rejecting a configuration. `Display` writes the text that operators are shown.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The text is not JSON.
@@ -51,7 +51,7 @@
     /// The JSON value is not an object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// Fields are missing or invalid: all of them, one line each.
+    /// Fields are missing or invalid. Contains the errors of all fields, one line each.
     #[error("{}", field_error::lines(.0))]
     Fields(Vec<FieldError>),
 }
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// The text is not a JSON object, or fields of it are missing or invalid.
+/// Returns an error if the text is not a JSON object, or if fields are missing or invalid.
 pub fn parse(text: &str) -> Result<HostConfig, ConfigError> {
     let mut root: Value = serde_json::from_str(text)?;
     if !root.is_object() {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The fields as they were read. A required field without a value has left an error.
+/// Fields as they were read. Each required field without a value has added an error to the reader.
 struct ConfigFields {
     name: Option<String>,
     listen: Option<SocketAddr>,
@@ -89,7 +89,7 @@
 }
 
 impl ConfigFields {
-    /// Reads the fields in the order in which operators are told of errors.
+    /// Reads the fields in the order in which their errors are reported.
     fn read(reader: &mut Reader, root: &mut Value) -> ConfigFields {
         let name = reader.text(root, "name");
         let fleet_host = name.clone().unwrap_or_else(|| UNNAMED_HOST.to_owned());
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The configuration, if every required field has a value.
+    /// Returns the configuration if every required field has a value.
     fn complete(self) -> Option<HostConfig> {
         Some(HostConfig {
             name: self.name?,
@@ -124,19 +124,19 @@
     }
 }
 
-/// Reads fields and collects what is wrong with them. An invalid field leaves an error and has no value.
+/// Reads fields and collects their errors. An invalid field has no value.
 #[derive(Default)]
 struct Reader {
     errors: Vec<FieldError>,
 }
 
 impl Reader {
-    /// Notes what is wrong with a field.
+    /// Adds an error for a field.
     fn reject(&mut self, field: impl Into<String>, reason: impl Into<String>) {
         self.errors.push(FieldError::new(field, reason));
     }
 
-    /// The value, if there is one; else an error with this reason.
+    /// Returns the value if there is one, and otherwise adds an error with the reason.
     fn require<T>(&mut self, field: &str, value: Option<T>, reason: &str) -> Option<T> {
         if value.is_none() {
             self.reject(field, reason);
@@ -166,7 +166,7 @@
         )
     }
 
-    /// A limit of the machine, cut to a whole number.
+    /// Reads a resource limit, rounded down to a whole number.
     fn limit(&mut self, root: &Value, field: &str, min: u64) -> Option<u64> {
         let limit = root["limits"][field]
             .as_f64()
@@ -179,7 +179,7 @@
         )
     }
 
-    /// The cached list, which may be absent.
+    /// Reads the cached endpoint list, which may be absent.
     fn cached_list(&mut self, value: Value) -> Option<WatchEvent> {
         if value.is_null() {
             return None;
@@ -189,7 +189,7 @@
             .ok()
     }
 
-    /// The settings, which need at least one I/O class and one plan here.
+    /// Reads the settings. A host's configuration needs at least one I/O class and one plan.
     fn settings(&mut self, value: &Value) -> Option<PlatformSettings> {
         let settings = match settings::from_json(value) {
             Ok(settings) => settings,
@@ -207,7 +207,7 @@
         Some(settings)
     }
 
-    /// The host's part in the membership, which may be absent.
+    /// Reads the settings of the membership protocol, which may be absent.
     fn fleet(&mut self, value: &Value, host: &str) -> Option<FleetConfig> {
         if value.is_null() {
             None
--- a/crates/platform/src/config/fleet.rs
+++ b/crates/platform/src/config/fleet.rs
@@ -1,10 +1,10 @@
-//! The object `fleet` of a configuration: how a host takes part in the fleet's membership.
+//! Object `fleet` of a configuration: the host's settings of the membership protocol.
 use crate::field_error::FieldError;
 use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The fields of the object. Any other is rejected: it would be a misspelt one.
+/// Fields of the object. Any other field is rejected, as it is most likely misspelt.
 const FIELDS: [&str; 7] = [
     "name",
     "listen",
@@ -15,7 +15,7 @@
     "keep_s",
 ];
 
-/// Reads the object; what is wrong with it is added to `errors`.
+/// Reads the object and adds its errors to `errors`. `None`: the object is invalid.
 pub(super) fn read(value: &Value, host: &str, errors: &mut Vec<FieldError>) -> Option<FleetConfig> {
     let Some(object) = value.as_object() else {
         errors.push(FieldError::new("fleet", "expected an object"));
@@ -44,7 +44,7 @@
     }
 }
 
-/// What the membership says of a field, as `FIELD: REASON`.
+/// Converts an error of the membership configuration from its text `FIELD: REASON`.
 fn field_error(error: &str) -> FieldError {
     let (field, reason) = error.split_once(": ").unwrap_or((error, ""));
     FieldError::new(format!("fleet.{field}"), reason)
@@ -57,7 +57,7 @@
     ));
 }
 
-/// An address, which may be absent.
+/// Reads an address, which may be absent.
 fn address(field: &str, value: &Value, errors: &mut Vec<FieldError>) -> Option<SocketAddr> {
     let address = value.as_str().and_then(|t| t.parse().ok());
     if address.is_none() && !value.is_null() {
@@ -66,7 +66,7 @@
     address
 }
 
-/// The hosts to join by, which may be absent.
+/// Reads the seeds (addresses of hosts through which to join the fleet), which may be absent.
 fn seeds(value: &Value, errors: &mut Vec<FieldError>) -> Vec<SocketAddr> {
     match value {
         Value::Null => Vec::new(),
@@ -81,7 +81,8 @@
     }
 }
 
-/// A time in milliseconds, which may be absent. `unit_ms`: the milliseconds that 1 stands for in this field.
+/// Reads a duration, which may be absent, and returns it in milliseconds. `unit_ms`: unit of the field in
+/// milliseconds.
 fn duration(
     object: &Value,
     field: &str,
--- a/crates/platform/src/endpoints.rs
+++ b/crates/platform/src/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoint list of the discovery service: full snapshots and watch events, as JSON.
+//! Endpoint list of the discovery service: full snapshots and watch events in JSON.
 //!
 //! `GET /v1/endpoints` returns a full snapshot. With `follow=1` the service keeps a chunked response open (a watch)
-//! and sends one JSON object per event, and an empty line every two seconds while nothing changes.
+//! and sends one JSON object per event, and an empty line as a heartbeat every two seconds while nothing changes.
 //!
 //! ```
 //! use mallowseam_platform::endpoints::{Health, WatchFrame, parse_frame};
@@ -19,22 +19,22 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Upper bound of endpoints in one event: far more than any fleet has, and within a host's memory.
+/// Maximum number of endpoints in one event. Far more than any fleet has, and within a host's memory.
 const MAX_ENDPOINTS: usize = 4_096;
-/// Upper bound of an endpoint's name, in bytes.
+/// Maximum length of an endpoint's name, in bytes.
 const MAX_NAME_LEN: usize = 128;
-/// Upper bound of an event as text, in bytes; follows from the endpoints that it may have.
+/// Maximum length of an event's text, in bytes. Room for the maximum number of endpoints.
 pub const MAX_LIST_BYTES: usize = 1 << 20;
 
-/// The state of a node, as discovery reports it.
+/// State of a node as the discovery service reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// Accepts requests.
+    /// The node accepts requests.
     Ready,
-    /// Finishes the requests that it has, and accepts no new ones.
+    /// The node finishes its requests in flight and accepts no new ones.
     Draining,
-    /// No longer part of the list; only in incremental events.
+    /// The node was removed from the list. Only in incremental events.
     #[serde(rename = "gone")]
     Removed,
 }
@@ -42,50 +42,50 @@
 /// One node of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Endpoint {
-    /// The node's name, the same at every host.
+    /// Name of the node, the same at every host.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where this host reaches it; may differ from host to host.
+    /// Address at which this host reaches the node. May differ between hosts.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone, by name.
+    /// Name of the node's zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// The shard that it holds.
+    /// Shard that the node stores.
     #[serde(rename = "block")]
     pub shard: u32,
-    /// Its state.
+    /// State of the node.
     pub health: Health,
-    /// Its last start, as Unix time in milliseconds; 0: long ago.
+    /// Last start of the node, as Unix time in milliseconds. 0: the node started long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: i64,
 }
 
-/// One event of a watch: a full snapshot of the list, or what has changed since the event before. A host's cached list
+/// One event of a watch: a full snapshot of the list, or the changes since the previous event. A host's cached list
 /// has the same form.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct WatchEvent {
-    /// The version of the list that this event leads to.
+    /// Version of the list after this event.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether `endpoints` is the full list, or only what has changed.
+    /// Whether `endpoints` is the full list. False: it contains only changed endpoints.
     #[serde(rename = "whole")]
     pub full_snapshot: bool,
-    /// The endpoints.
+    /// Endpoints of the full list, or changed endpoints.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Why an endpoint list is rejected. A list is accepted as a whole or not at all.
+/// Reason for rejecting an endpoint list. A list is accepted as a whole or not at all.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// Not JSON, or not in the form of the list.
+    /// The text is not JSON, or the JSON value is not an endpoint list.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// More endpoints than a host can hold.
-    #[error("{0} entries, of {MAX_ENDPOINTS} at most")]
+    /// The list has more endpoints than a host accepts.
+    #[error("endpoint list has {0} entries, expected at most {MAX_ENDPOINTS}")]
     TooManyEndpoints(usize),
-    /// An endpoint without a name, or with one that is too long.
+    /// An endpoint's name is empty or too long.
     #[error("a name that is empty or longer than {MAX_NAME_LEN}")]
     InvalidName,
 }
@@ -108,52 +108,53 @@
     }
 }
 
-/// Parses a list from JSON text.
+/// Parses an endpoint list from JSON text.
 ///
 /// # Errors
 ///
-/// The text is not exactly one list, or the list exceeds a limit.
+/// Returns an error if the text is not exactly one list, or if the list exceeds a limit.
 pub fn parse(text: &[u8]) -> Result<WatchEvent, EndpointListError> {
     serde_json::from_slice::<WatchEvent>(text)?.validated()
 }
 
-/// Reads a list out of JSON that is parsed already.
+/// Reads an endpoint list from a parsed JSON value.
 ///
 /// # Errors
 ///
-/// The value is not a list, or the list exceeds a limit.
+/// Returns an error if the value is not a list, or if the list exceeds a limit.
 pub fn from_json(value: Value) -> Result<WatchEvent, EndpointListError> {
     serde_json::from_value::<WatchEvent>(value)?.validated()
 }
 
-/// What stands at the front of a watch's text. An event may be indented and then takes several lines.
+/// First element of a watch's text. An event may be indented and may then span several lines.
 #[derive(Debug)]
 pub enum WatchFrame {
-    /// Nothing, or the beginning of an event.
+    /// The text is empty, or it ends within an event.
     Incomplete,
-    /// An empty line: the watch is alive.
+    /// An empty line, which shows that the watch is alive.
     Heartbeat {
-        /// Bytes up to and including the line end.
+        /// Number of bytes up to and including the last line end.
         len: usize,
     },
-    /// An event.
+    /// A complete event.
     Event {
-        /// The event.
+        /// Parsed event.
         event: WatchEvent,
-        /// Bytes of its text.
+        /// Length of the event's text in bytes.
         len: usize,
     },
-    /// A JSON value that is not a valid event, or no JSON at all. The watch is of no further use.
+    /// Text that is not JSON, or a JSON value that is not a valid event. The watch must be closed.
     Corrupt {
-        /// Why it is rejected.
+        /// Reason for rejecting the text.
         error: EndpointListError,
-        /// The endpoints in it that are draining or removed, as far as they can be read. These count all the same: the
-        /// rejected event is requested again, and meanwhile no request may go to a node that is about to end.
+        /// Endpoints of the rejected event that are draining or removed, as far as they can be read. They are applied
+        /// nevertheless: until the event has been requested again, no request may be sent to a node that is about to
+        /// stop.
         closing: Vec<Endpoint>,
     },
 }
 
-/// Parses what stands at the front of a watch's text.
+/// Parses the first element of a watch's text.
 #[must_use]
 pub fn parse_frame(text: &[u8]) -> WatchFrame {
     let blanks = text.iter().take_while(|b| b.is_ascii_whitespace()).count();
@@ -183,7 +184,7 @@
     }
 }
 
-/// The endpoints of a rejected event that are draining or removed, each parsed by itself.
+/// Returns the endpoints of a rejected event that are draining or removed; each is parsed separately.
 fn closing_endpoints(event: &Value) -> Vec<Endpoint> {
     let endpoints = event["hosts"]
         .as_array()
@@ -196,12 +197,12 @@
         .collect()
 }
 
-/// Writes the request that opens a watch. `since`: the version of the list that this host has; without one the
-/// watch begins with a full snapshot.
+/// Writes the request that opens a watch. `since`: version of the list that this host has; without it the watch begins
+/// with a full snapshot.
 ///
 /// # Panics
 ///
-/// Never: writing to memory does not fail.
+/// Never panics, since writing to memory does not fail.
 pub fn write_watch_request(out: &mut Vec<u8>, discovery: SocketAddr, since: Option<u64>) {
     let since = since.map_or(String::new(), |version| format!("&since={version}"));
     write!(
--- a/crates/platform/src/field_error.rs
+++ b/crates/platform/src/field_error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with one field of a JSON object.
+//! Error of one field of a JSON object.
 use thiserror::Error;
 
-/// A field that can't be accepted. `Display` gives the line that operators are shown.
+/// Error of a field that is rejected. `Display` writes the line that operators are shown.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct FieldError {
-    /// The path of the field, such as `settings.profiles[0].aim_us`.
+    /// Path of the field, such as `settings.profiles[0].aim_us`.
     pub field: String,
-    /// What was expected there.
+    /// Reason for the rejection, mostly the expected value.
     pub reason: String,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// The errors of an object, one line each.
+/// Returns the errors of an object as text, one line each.
 pub(crate) fn lines(errors: &[FieldError]) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
--- a/crates/platform/src/interner.rs
+++ b/crates/platform/src/interner.rs
@@ -1,4 +1,4 @@
-//! Interns the protocol's names as the scheduler's small indices. A name is dropped once its index is released.
+//! Interning of the protocol's names as the scheduler's small indices. A name is dropped when its index is released.
 use crate::endpoints::{Endpoint, Health, WatchEvent};
 use crate::request::{BlockRequest, RequestId};
 use crate::settings::PlatformSettings;
@@ -9,24 +9,24 @@
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// Ticks in a millisecond.
+/// Number of ticks in a millisecond.
 const TICKS_PER_MS: Tick = 10;
-/// Upper bound of volumes known at a time: far more than any host serves. The scheduler keeps a volume for a while
-/// after its last block I/O, so a client that invents ever new ones has to be stopped here.
+/// Maximum number of volumes that are known at a time; far more than any host serves. The scheduler keeps a volume for
+/// a while after its last block I/O, so clients that name ever new volumes must be limited here.
 const MAX_VOLUMES: usize = 4_096;
 
-/// Why a request is not interned.
+/// Reason for not interning a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InternError {
     /// A request with the same id is in flight.
     #[error("a request with this id is in flight")]
     DuplicateRequestId,
-    /// As many volumes are known as this host can hold.
+    /// The host already knows the maximum number of volumes.
     #[error("too many volumes are known")]
     TooManyVolumes,
 }
 
-/// The piece of data that a request is about.
+/// Key of the data that a request reads or writes.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct DataKey {
     volume: u64,
@@ -42,23 +42,24 @@
     }
 }
 
-/// The names in use and their indices.
+/// Names in use and their indices.
 #[derive(Default)]
 pub struct NameInterner {
     nodes: Interner<String>,
     volumes: Interner<u64>,
     keys: Interner<DataKey>,
-    /// Requests in flight, by their ids.
+    /// Block I/Os in flight by request id.
     in_flight: HashMap<RequestId, BioId>,
 }
 
 impl NameInterner {
-    /// A request as the scheduler's block I/O. Its deadline is the client's timeout, but no longer than the longest
-    /// deadline of any I/O class: later responses are of no use to anyone.
+    /// Returns a request as the scheduler's block I/O. Its deadline is the client's timeout, limited to the longest
+    /// deadline of any I/O class, since nobody can use a later response.
     ///
     /// # Errors
     ///
-    /// The request can't be taken on; nothing has changed.
+    /// Returns an error if a request with the same id is in flight or if there are too many volumes. The interner is
+    /// unchanged.
     pub fn intern_request(
         &mut self,
         id: BioId,
@@ -86,52 +87,52 @@
         })
     }
 
-    /// Forgets a request that has been answered.
+    /// Removes a request that was answered.
     pub fn release_request(&mut self, id: &RequestId) {
         self.in_flight.remove(id);
     }
 
-    /// Forgets a data key.
+    /// Releases the index of a data key.
     pub fn release_key(&mut self, key: KeyId) {
         self.keys.release(key.0);
     }
 
-    /// Forgets a volume.
+    /// Releases the index of a volume.
     pub fn release_volume(&mut self, volume: VolumeId) {
         self.volumes.release(volume.0);
     }
 
-    /// Forgets a node.
+    /// Releases the index of a node.
     pub fn release_node(&mut self, node: NodeId) {
         self.nodes.release(node.0);
     }
 
-    /// The index of a node, a new one if it has none.
+    /// Returns the index of a node, which is a new one for an unknown name.
     pub fn intern_node(&mut self, name: &String) -> NodeId {
         NodeId(self.nodes.intern(name))
     }
 
-    /// The index of a node, if it has one.
+    /// Returns the index of a node, if the name is known.
     #[must_use]
     pub fn find_node(&self, name: &String) -> Option<NodeId> {
         self.nodes.find(name).map(NodeId)
     }
 
-    /// The endpoints of an event as the scheduler's nodes, in `into`, which is cleared first. Removed endpoints that
-    /// were never known are left out.
+    /// Converts the endpoints of an event to the scheduler's nodes in `nodes`, which is cleared first. Removed
+    /// endpoints that were never known are skipped.
     pub fn intern_endpoints(
         &mut self,
         event: &WatchEvent,
         settings: &PlatformSettings,
-        into: &mut Vec<NodeEndpoint>,
+        nodes: &mut Vec<NodeEndpoint>,
     ) {
-        into.clear();
+        nodes.clear();
         for endpoint in &event.endpoints {
             if endpoint.health == Health::Removed && self.find_node(&endpoint.name).is_none() {
                 continue;
             }
             let node = self.intern_node(&endpoint.name);
-            into.push(NodeEndpoint {
+            nodes.push(NodeEndpoint {
                 node,
                 zone: zone_index(endpoint, node, settings),
                 shard: endpoint.shard,
@@ -140,14 +141,14 @@
                     Health::Draining => NodeState::Draining,
                     Health::Removed => NodeState::Removed,
                 },
-                // The list has 0 where a start is not known.
+                // 0 in the list: the start time is unknown.
                 started_at: Some(endpoint.started_at_ms.max(0) * TICKS_PER_MS)
                     .filter(|time| *time > 0),
             });
         }
     }
 
-    /// How many names are in use: nodes, volumes, data keys, requests in flight.
+    /// Returns the numbers of nodes, volumes, data keys and requests in flight, in this order.
     #[must_use]
     pub fn counts(&self) -> [usize; 4] {
         [
@@ -159,7 +160,8 @@
     }
 }
 
-/// The client's timeout in ticks, the longest deadline at most; the settings have 0 where there is none.
+/// Returns the client's timeout in ticks, limited to the longest deadline. The settings have a longest deadline of 0
+/// if there is no I/O class.
 fn timeout(request: &BlockRequest, settings: &PlatformSettings) -> Tick {
     let timeout = request.timeout_ms as Tick * TICKS_PER_MS;
     if settings.longest_deadline > 0 {
@@ -169,13 +171,13 @@
     }
 }
 
-/// The index of an endpoint's zone. An endpoint in a zone that the settings do not name gets a zone of its own: nothing
-/// says that two such endpoints are in the same one.
+/// Returns the index of an endpoint's zone. An endpoint whose zone is not in the settings gets a separate zone, since
+/// it is unknown whether two such endpoints are in the same zone.
 fn zone_index(endpoint: &Endpoint, node: NodeId, settings: &PlatformSettings) -> u32 {
-    let own = settings.zone_names.len() + node.0 as usize;
+    let separate_zone = settings.zone_names.len() + node.0 as usize;
     settings
         .zone_names
         .iter()
         .position(|z| *z == endpoint.zone)
-        .unwrap_or(own) as u32
+        .unwrap_or(separate_zone) as u32
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,12 @@
-//! The users' protocol, free of I/O. Its names stay in this package; what leaves it are the scheduler's types.
+//! The users' HTTP protocol, without I/O. The protocol's names are used only in this package; its interface consists
+//! of the scheduler's types.
 //!
 //! - [`config`]: the configuration that a host reads at its start and again on SIGHUP.
-//! - [`settings`]: the settings object inside it, which the simulator's wire brings as well.
-//! - [`request`]: a client's request, parsed, and the same request as bytes for a node.
-//! - [`response`]: a node's response, parsed, and the responses that a host writes to its clients.
+//! - [`settings`]: the settings object of the configuration, which the simulator's wire protocol carries as well.
+//! - [`request`]: a client's request: parsing, and writing for a node.
+//! - [`response`]: parsing of a node's response, and writing of the host's responses to clients.
 //! - [`endpoints`]: the endpoint list, as a full snapshot and as watch events.
-//! - [`interner`]: names on the wire to small indices in the scheduler.
+//! - [`interner`]: mapping of names on the wire to the scheduler's small indices.
 #![warn(missing_docs)]
 
 pub mod config;
@@ -19,5 +20,5 @@
 
 pub use field_error::FieldError;
 
-/// Why writing to a `Vec` can't fail, for `expect`.
+/// Message of `expect` for writes to a `Vec`, which cannot fail.
 const INFALLIBLE: &str = "writing to memory does not fail";
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,8 +1,8 @@
-//! A client's request: parsed as a block I/O, and written anew for a node.
+//! A client's request: parsing as a block I/O, and writing for a node.
 //!
-//! - `error`: why a request is rejected.
-//! - `placement`: the value of `X-Placement`.
-//! - `forwarded`: the request as a node gets it.
+//! - `error`: reasons for rejecting a request.
+//! - `placement`: value of the header `X-Placement`.
+//! - `forwarded`: request as it is written to a node.
 mod error;
 mod forwarded;
 mod placement;
@@ -15,15 +15,15 @@
 use placement::Placement;
 use std::str::FromStr;
 
-/// Upper bound of a request id, in bytes. Ids are stored inline.
+/// Maximum length of a request id, in bytes. Ids are stored inline.
 const MAX_ID_LEN: usize = 40;
-/// Hex digits of a volume and of an object in the path.
+/// Number of hex digits of a volume and of an object in the path.
 const ADDRESS_DIGITS: usize = 16;
-/// Upper bound of a client's timeout, in milliseconds: an hour, as nothing here lasts minutes. A larger value is taken
-/// for an error of the client.
+/// Maximum timeout of a client, in milliseconds: an hour. No request takes minutes, so a larger value is taken for an
+/// error of the client.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// The id of a request (`X-Request-ID`), the same at clients, hosts and nodes: 1 to 40 visible ASCII characters.
+/// Id of a request (`X-Request-ID`), the same at clients, hosts and nodes: 1 to 40 visible ASCII characters.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestId {
     bytes: [u8; MAX_ID_LEN],
@@ -31,7 +31,7 @@
 }
 
 impl RequestId {
-    /// The id with this text, if it is valid.
+    /// Creates an id from its text. `None`: the text is not a valid id.
     #[must_use]
     pub fn new(text: &str) -> Option<Self> {
         let valid =
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Its text.
+    /// Returns the id's text as bytes.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[..usize::from(self.len)]
@@ -56,40 +56,40 @@
 /// A client's request.
 #[derive(Clone, Copy)]
 pub enum ClientRequest {
-    /// `GET /ready`: whether this host is ready to serve.
+    /// `GET /ready`: asks whether this host is ready to serve.
     Readiness,
-    /// A read or a write.
+    /// A read or write of a volume.
     BlockIo(BlockRequest),
 }
 
-/// A client's block I/O request. Indices are those of [`PlatformSettings`].
+/// A client's block I/O request. Its indices refer to [`PlatformSettings`].
 #[derive(Clone, Copy)]
 pub struct BlockRequest {
-    /// `X-Request-ID`.
+    /// Id of the request (`X-Request-ID`).
     pub id: RequestId,
-    /// Index of its I/O class.
+    /// Index of the I/O class.
     pub io_class: u16,
-    /// Index of its volume's plan.
+    /// Index of the volume's plan.
     pub plan: u16,
-    /// The volume.
+    /// Id of the volume.
     pub volume: u64,
-    /// The object in the volume: the piece of data that it reads or writes.
+    /// Id of the object in the volume that is read or written.
     pub object: u64,
-    /// How long the client waits for the response, in milliseconds.
+    /// Time for which the client waits for the response, in milliseconds.
     pub timeout_ms: u64,
-    /// Its size in units.
+    /// Size of the request in units.
     pub units: f64,
-    /// The shard that holds the data; none for a new object.
+    /// Shard that stores the data. `None`: the object is new.
     pub shard: Option<u32>,
-    /// Through how many hosts the volume is served.
+    /// Number of hosts that serve the volume.
     pub host_count: u32,
 }
 
-/// Parses a client's request. `body_len`: bytes of its body.
+/// Parses a client's request. `body_len`: length of the body in bytes.
 ///
 /// # Errors
 ///
-/// The request is not one of the users' protocol; the first reason found.
+/// Returns the first error found if the request violates the users' protocol.
 pub fn parse(
     head: &RequestHead,
     body_len: usize,
@@ -107,7 +107,7 @@
     }
 }
 
-/// The segments of the path of a block I/O, `CLASS/VOLUME/OBJECT`.
+/// Segments of the path of a block I/O, `CLASS/VOLUME/OBJECT`.
 struct BlockPath<'b> {
     class: &'b str,
     volume: &'b str,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Parses a block I/O. The checks are in the order in which clients are told of them.
+/// Parses a block I/O. The order of the checks decides which error a client receives.
 fn parse_block_io(
     head: &RequestHead,
     path: &str,
@@ -170,7 +170,7 @@
     RequestId::new(text).ok_or(RequestError::InvalidRequestId)
 }
 
-/// The index of the plan that the header names.
+/// Returns the index of the plan that the header names.
 fn parse_plan(head: &RequestHead, settings: &PlatformSettings) -> Result<usize, RequestError> {
     let name = required_header(head, "X-Qos-Policy", RequestError::UnknownPlan)?;
     let mut plans = settings.plan_names.iter();
@@ -184,29 +184,30 @@
     settings: &PlatformSettings,
 ) -> Result<Placement, RequestError> {
     let text = required_header(head, "X-Placement", RequestError::InvalidPlacement)?;
-    // The settings have 0 where they name no bound.
+    // 0 in the settings: there is no maximum.
     let max_units = Some(settings.scheduler.max_io_units).filter(|units| *units > 0.0);
     Placement::parse(text, max_units).ok_or(RequestError::InvalidPlacement)
 }
 
-/// The index of the class that both the path and the header name.
+/// Returns the index of the class that both the path and the header name.
 fn parse_class(
     head: &RequestHead,
-    in_path: &str,
+    class_in_path: &str,
     settings: &PlatformSettings,
 ) -> Result<usize, RequestError> {
     let unknown = RequestError::UnknownClass;
-    if required_header(head, "X-Priority-Class", unknown)? != in_path {
+    if required_header(head, "X-Priority-Class", unknown)? != class_in_path {
         return Err(unknown);
     }
     settings
         .class_names
         .iter()
-        .position(|class| class == in_path)
+        .position(|class| class == class_in_path)
         .ok_or(unknown)
 }
 
-/// Writes of a class that writes are `PUT` with a declared body, all others `GET` without one.
+/// Checks method and body: a class that writes requires `PUT` with a declared body, any other class `GET` without a
+/// body.
 fn check_method(head: &RequestHead, body_len: usize, writes: bool) -> Result<(), RequestError> {
     match head.method {
         "PUT" if writes && !head.declares_body() => Err(RequestError::LengthRequired),
@@ -231,7 +232,7 @@
     valid.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// Digits alone; `FromStr` would accept a sign.
+/// Parses a number that consists of digits only; `FromStr` alone would accept a sign.
 fn parse_integer<N: FromStr>(text: &str) -> Option<N> {
     text.bytes()
         .all(|b| b.is_ascii_digit())
--- a/crates/platform/src/request/error.rs
+++ b/crates/platform/src/request/error.rs
@@ -1,7 +1,7 @@
-//! Why a client's request is rejected.
+//! Errors of clients' requests.
 use thiserror::Error;
 
-/// Why a request is rejected. The client is told, and its connection goes on.
+/// Reason for rejecting a request. The client receives it as a response, and its connection stays open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum RequestError {
@@ -9,26 +9,26 @@
     UnknownPath,
     /// The method does not fit the path or the class.
     MethodNotAllowed,
-    /// The class is not in the settings, or header and path name different ones.
+    /// The class is not in the settings, or header and path name different classes.
     UnknownClass,
     /// The plan is not in the settings.
     UnknownPlan,
-    /// Volume or object is not written in 16 hex digits.
+    /// Volume or object is not written as 16 hex digits.
     InvalidAddress,
     /// The timeout is absent, 0, or too large.
     InvalidTimeout,
     /// The request id is absent, or too long.
     InvalidRequestId,
-    /// The placement is absent or incomplete, or the request too large.
+    /// The placement is absent or invalid, or the request is too large.
     InvalidPlacement,
-    /// A read with a body.
+    /// The request is a read with a body.
     UnexpectedBody,
-    /// A write that does not declare its body.
+    /// The request is a write that does not declare a body.
     LengthRequired,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status code of the response.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -39,7 +39,8 @@
         }
     }
 
-    /// The text of the error, which is the body of the response; same as `Display`, without allocating.
+    /// Returns the text of the error, which is the body of the response. Same text as `Display`, without an
+    /// allocation.
     #[must_use]
     pub fn message(self) -> &'static str {
         match self {
--- a/crates/platform/src/request/forwarded.rs
+++ b/crates/platform/src/request/forwarded.rs
@@ -1,10 +1,10 @@
-//! A client's request as a host writes it to a node.
+//! Writing of a client's request for a node.
 use crate::INFALLIBLE;
 use mallowseam_http1::RequestHead;
 use std::io::Write;
 
-/// Headers that a node gets as the client sent them. `Idempotency-Key` is among them: by it a node recognizes repeated
-/// requests of a class that is idempotent by key, also a client's own retries, which have other request ids.
+/// Headers that are forwarded to a node unchanged. A node recognizes repeated requests of a class that is idempotent
+/// by key by their `Idempotency-Key`, including a client's own retries, which have other request ids.
 const FORWARDED_HEADERS: [&str; 7] = [
     "Host",
     "X-Request-ID",
@@ -14,17 +14,17 @@
     "Content-Type",
     "Idempotency-Key",
 ];
-/// The start of the header line that tells a node how long this host waits, in milliseconds.
+/// Start of the header line that tells a node how long this host waits for the response, in milliseconds.
 const TIMEOUT_LINE: &str = "X-Timeout-Ms: ";
-/// The end of a line (RFC 9112, section 2.2).
+/// Line end (RFC 9112, section 2.2).
 const LINE_END: &[u8] = b"\r\n";
 
-/// Writes a request as a node gets it: method, target, body and the forwarded headers unchanged, the rest anew.
-/// `timeout_ms`: how long this host waits, in milliseconds.
+/// Writes a request for a node. Method, target, body and the forwarded headers are unchanged; other headers of the
+/// client are dropped. `timeout_ms`: time for which this host waits for the response, in milliseconds.
 ///
 /// # Panics
 ///
-/// Never: writing to memory does not fail.
+/// Never panics, since writing to memory does not fail.
 pub fn write_forwarded(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], timeout_ms: u64) {
     write!(out, "{} {} HTTP/1.1\r\n", head.method, head.target).expect(INFALLIBLE);
     write!(out, "{TIMEOUT_LINE}{timeout_ms}\r\n").expect(INFALLIBLE);
@@ -40,10 +40,10 @@
     out.extend_from_slice(body);
 }
 
-/// Replaces the timeout in a request that [`write_forwarded`] wrote and that has not been sent yet, since some of it has
-/// passed by now.
+/// Replaces the timeout in an unsent request that [`write_forwarded`] wrote, after a part of the timeout has elapsed.
+/// Does nothing if the second line is not the timeout.
 pub fn rewrite_timeout(out: &mut Vec<u8>, timeout_ms: u64) {
-    // The timeout stands in the second line.
+    // The timeout is in the second line.
     let Some(start) = line_end(out, 0).map(|end| end + LINE_END.len()) else {
         return;
     };
@@ -56,7 +56,7 @@
     }
 }
 
-/// The offset of the next line end from an offset on, which is within the message.
+/// Returns the offset of the first line end at or after `start`, which must be within the message.
 fn line_end(message: &[u8], start: usize) -> Option<usize> {
     let rest = &message[start..];
     let position = rest.windows(LINE_END.len()).position(|w| w == LINE_END)?;
--- a/crates/platform/src/request/placement.rs
+++ b/crates/platform/src/request/placement.rs
@@ -1,17 +1,17 @@
-//! The value of the header `X-Placement`.
+//! Value of the header `X-Placement`.
 use super::parse_integer;
 
-/// Where the data of a request is, and its size.
+/// Size of a request and location of its data.
 pub(super) struct Placement {
     /// Size of the request in units, 1 or more.
     pub(super) units: f64,
-    /// The shard that holds the data. None: a new object.
+    /// Shard that stores the data. `None`: the object is new.
     pub(super) shard: Option<u32>,
-    /// Through how many hosts the volume is served, 1 or more.
+    /// Number of hosts that serve the volume, 1 or more.
     pub(super) host_count: u32,
 }
 
-/// The fields of the header as far as they have been read.
+/// Fields of the header that have been read so far.
 #[derive(Default)]
 struct Fields {
     units: Option<u32>,
@@ -20,7 +20,7 @@
 }
 
 impl Fields {
-    /// Reads one field. None: it is invalid, or stands for the second time.
+    /// Reads one field. `None`: the field is invalid or repeated.
     fn read(&mut self, field: &str) -> Option<()> {
         let (name, value) = field.trim().split_once('=')?;
         let is_repeated = match name {
@@ -33,12 +33,12 @@
     }
 }
 
-/// What the field `shard` says.
+/// Value of the field `shard`.
 #[derive(Clone, Copy)]
 enum DataLocation {
-    /// -1: the object is new.
+    /// -1: the object is new and not stored on any shard yet.
     Nowhere,
-    /// This shard holds the data.
+    /// The shard with this number stores the data.
     Shard(u32),
 }
 
@@ -60,7 +60,8 @@
 }
 
 impl Placement {
-    /// Each field once, in any order; unknown ones are ignored. `max_units`: of a block I/O, if there is a bound.
+    /// Parses the header's value: each field once, in any order; unknown fields are ignored. `max_units`: maximum size
+    /// of a block I/O in units, if there is one. `None`: the value is invalid.
     pub(super) fn parse(text: &str, max_units: Option<f64>) -> Option<Self> {
         let mut fields = Fields::default();
         for field in text.split(',') {
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -1,32 +1,32 @@
-//! Responses: what a node's response reports, and what a host answers its clients.
+//! Responses: parsing of a node's response, and writing of the host's responses to clients.
 use crate::INFALLIBLE;
 use mallowseam_http1::ResponseHead;
 use mallowseam_scheduler::interface::{AttemptResult, LoadReport};
 use std::io::Write;
 use std::num::NonZeroU64;
 
-/// Status of a rejected request: the client may safely try again.
+/// Status of a rejected request, which the client may safely retry.
 pub const SHED_STATUS: u16 = 503;
-/// Status of a failed request: it may or may not have run.
+/// Status of a failed request, which may or may not have run.
 pub const FAILED_STATUS: u16 = 500;
-/// The interim response for a client that waits before it sends its body (RFC 9110, section 10.1.1).
+/// Interim response to a client that waits before it sends its body (RFC 9110, section 10.1.1).
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What a node's complete response reports.
+/// Contents of a node's complete response.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeResponse {
-    /// How the attempt completed.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// `X-Iops-Used`: 1 plus the volume's use at all nodes, in per cent of its plan's usual rate; 0 if not reported.
+    /// `X-Iops-Used`: 1 plus the volume's usage at all nodes, in per cent of its plan's usual rate. 0: not reported.
     pub volume_usage: f64,
-    /// `X-Rho`: units that the node served for the volume through other hosts since its last response to this one.
+    /// `X-Rho`: units that the node served for the volume through other hosts since its last response to this host.
     pub units_by_other_hosts: f64,
-    /// `X-Server-Load`: the node's load report.
+    /// `X-Server-Load`: load report of the node.
     pub load_report: LoadReport,
 }
 
-/// Reads a node's response off its head. Only `X-Not-Processed: 1` from the node itself proves that the block I/O
-/// never ran. A figure that can't be read counts as absent: the response as such is valid.
+/// Reads a node's response from its head. Only `X-Not-Processed: 1` from the node itself proves that the block I/O
+/// never ran. An unreadable number counts as absent; the response is valid nevertheless.
 #[must_use]
 pub fn parse(head: &ResponseHead) -> NodeResponse {
     let not_processed = head
@@ -40,20 +40,20 @@
     };
     NodeResponse {
         result,
-        volume_usage: figure(head, "X-Iops-Used"),
-        units_by_other_hosts: figure(head, "X-Rho"),
+        volume_usage: header_number(head, "X-Iops-Used"),
+        units_by_other_hosts: header_number(head, "X-Rho"),
         load_report: load_report(head),
     }
 }
 
-fn figure(head: &ResponseHead, name: &str) -> f64 {
+fn header_number(head: &ResponseHead, name: &str) -> f64 {
     let value = head
         .headers
         .single(name)
         .ok()
         .flatten()
         .and_then(|v| v.parse::<f64>().ok());
-    value.filter(|v| is_figure(*v)).unwrap_or(0.0)
+    value.filter(|v| is_valid_number(*v)).unwrap_or(0.0)
 }
 
 fn load_report(head: &ResponseHead) -> LoadReport {
@@ -61,26 +61,27 @@
     let value = text
         .and_then(|t| serde_json::from_str::<serde_json::Value>(t).ok())
         .unwrap_or_default();
-    let figure = |name: &str| value[name].as_f64().filter(|v| is_figure(*v));
+    let number = |name: &str| value[name].as_f64().filter(|v| is_valid_number(*v));
     LoadReport {
-        backlog: figure("backlog"),
-        service_time_ms: figure("recent_ms"),
-        utilization: figure("utilization"),
+        backlog: number("backlog"),
+        service_time_ms: number("recent_ms"),
+        utilization: number("utilization"),
     }
 }
 
-fn is_figure(value: f64) -> bool {
+fn is_valid_number(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
 /// Writes the head of a response to a client.
 ///
-/// `body_len`: length of the body in bytes. `retry_after_ms`: the `Retry-After` delay in milliseconds, if there is
-/// one; the users' protocol has it in decimal seconds. `close`: this is the last response on its connection.
+/// `body_len`: length of the body in bytes. `retry_after_ms`: delay of the `Retry-After` header in milliseconds, if
+/// there is one; the users' protocol has it in decimal seconds. `close`: whether this is the last response on its
+/// connection.
 ///
 /// # Panics
 ///
-/// Never: writing to memory does not fail.
+/// Never panics, since writing to memory does not fail.
 pub fn write_head(
     out: &mut Vec<u8>,
     status: u16,
@@ -105,7 +106,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The reason phrase of a status (RFC 9110, section 15).
+/// Returns the reason phrase of a status code (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings object of a deployment, as the simulator's first message and a host's configuration hold it, resolved
-//! to the scheduler's configuration.
+//! Settings object of a deployment, converted to the scheduler's configuration. The simulator's first message and a
+//! host's configuration contain this object.
 //!
-//! `docs/configuration.md` lists what an absent or unreadable field means. Fields of other names are ignored, as the
-//! users' page asks.
+//! `docs/configuration.md` lists the meaning of absent and unreadable fields. Unknown fields are ignored, as the
+//! users' specification requires.
 mod reader;
 
 use crate::field_error::{self, FieldError};
@@ -13,10 +13,10 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The settings, resolved.
+/// Settings of a deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlatformSettings {
-    /// The scheduler's configuration.
+    /// Configuration of the scheduler.
     pub scheduler: SchedulerConfig,
     /// Names of the I/O classes, in the scheduler's order.
     pub class_names: Vec<String>,
@@ -24,17 +24,17 @@
     pub plan_names: Vec<String>,
     /// Names of the zones.
     pub zone_names: Vec<String>,
-    /// A connection that is not established within this time has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout: Tick,
-    /// How long a node keeps an idle connection open, if the settings say so.
+    /// Time for which a node keeps an idle connection open, if the settings state it.
     pub idle_timeout: Option<Tick>,
-    /// Block I/Os that a host may have in flight, if the settings say so.
+    /// Maximum number of block I/Os that a host may have in flight, if the settings state it.
     pub max_in_flight: Option<usize>,
-    /// The longest deadline of any I/O class; 0: there is no class.
+    /// Longest deadline of any I/O class. 0: there is no class.
     pub longest_deadline: Tick,
 }
 
-/// All that is wrong with a settings object. `Display` gives one line a field.
+/// All errors of a settings object. `Display` writes one line per field.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", field_error::lines(.0))]
 pub struct SettingsError(pub Vec<FieldError>);
@@ -43,18 +43,18 @@
 ///
 /// # Errors
 ///
-/// The text is not a JSON object, or fields of it are missing or invalid.
+/// Returns an error if the text is not a JSON object, or if fields are missing or invalid.
 pub fn parse(text: &str) -> Result<PlatformSettings, SettingsError> {
     let value: Value = serde_json::from_str(text)
         .map_err(|e| not_an_object(&format!("expected a JSON object ({e})")))?;
     from_json(&value)
 }
 
-/// Reads the settings out of JSON that is parsed already.
+/// Reads the settings from a parsed JSON value.
 ///
 /// # Errors
 ///
-/// The value is not an object, or fields of it are missing or invalid.
+/// Returns an error if the value is not an object, or if fields are missing or invalid.
 pub fn from_json(value: &Value) -> Result<PlatformSettings, SettingsError> {
     if !value.is_object() {
         return Err(not_an_object("expected a JSON object"));
@@ -63,8 +63,8 @@
     let mut reader = Reader::default();
     let classes = read_classes(&mut reader, &root);
     let plans = read_plans(&mut reader, &root);
-    // Where the settings do not say how lists arrive, they are taken as pushed. That is the stricter case: what the
-    // service knows counts at once.
+    // If the settings do not state how endpoint lists arrive, they count as pushed. That is the stricter case: a
+    // change applies as soon as the service knows it.
     let endpoints_polled =
         reader.choice(&root, "registry_mode", &["on_request", "pushed"]) == Some("on_request");
     check_rules(&mut reader, &root.object("rules"));
@@ -80,7 +80,7 @@
         plan_names: plans.names,
         zone_names: read_zones(value),
         connect_timeout: ticks_up(reader.positive(&limits, "connect_timeout_us")),
-        // 0 stands for "not stated", as an absent number does.
+        // 0 means "not stated", as does an absent number.
         idle_timeout: Some(reader.ticks_down(&limits, "idle_close_us")).filter(|t| *t > 0),
         max_in_flight: Some(reader.number(&limits, "open_cap") as usize).filter(|n| *n > 0),
         longest_deadline: classes.longest_deadline,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Checks that each rule has all of its figures or none.
+/// Checks that the numbers of each rule are either all present or all absent.
 fn check_rules(reader: &mut Reader, rules: &Object) {
     let slow_start = ["cold_from", "cold_us", "fall_multiple", "fall_us"];
     reader.all_or_none(rules, &slow_start);
@@ -111,12 +111,12 @@
     SettingsError(vec![FieldError::new("settings", reason)])
 }
 
-/// Microseconds as whole ticks, rounded down: for deadlines.
+/// Converts microseconds to whole ticks, rounded down, for deadlines.
 fn ticks_down(micros: f64) -> Tick {
     (micros / 100.0).floor() as Tick
 }
 
-/// Microseconds as whole ticks, rounded up: for times that have to pass.
+/// Converts microseconds to whole ticks, rounded up, for minimum durations.
 fn ticks_up(micros: f64) -> Tick {
     (micros / 100.0).ceil() as Tick
 }
@@ -125,7 +125,7 @@
     value[key].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The I/O classes by index.
+/// I/O classes by index.
 #[derive(Default)]
 struct Classes {
     names: Vec<String>,
@@ -133,7 +133,7 @@
     longest_deadline: Tick,
 }
 
-/// The plans by index.
+/// Plans by index.
 #[derive(Default)]
 struct Plans {
     names: Vec<String>,
@@ -168,14 +168,14 @@
     }
 }
 
-/// Whether and within which bounds a block I/O may be repeated.
+/// Reads whether a block I/O may be repeated, and within which scope and time.
 fn read_idempotency(reader: &mut Reader, class: &Object) -> Idempotency {
-    /// How a block I/O may be repeated, from the least restricted to not at all.
+    /// Values of the field `repeat`, from the least to the most restrictive.
     const REPEAT: [&str; 3] = ["idempotent", "deduplicated", "at_most_once"];
     let scope = match reader.choice(class, "key_scope", &["all", "zone", "cell"]) {
         Some("all") => DeduplicationScope::All,
         Some("zone") => DeduplicationScope::Zone,
-        // Where the settings do not say how far repeats are recognized, the narrowest scope is safe.
+        // If the settings do not state the scope in which duplicates are recognized, the narrowest one is safe.
         _ => DeduplicationScope::Shard,
     };
     let window = reader.ticks_down(class, "key_ttl_us");
@@ -206,7 +206,7 @@
 }
 
 fn read_plan(reader: &mut Reader, plan: &Object) -> Plan {
-    // 0 means no limit: an absent limit must not become that.
+    // 0 means no limit, so an absent limit must not be read as 0.
     if plan.value["limit"].is_null() {
         reader.reject(plan, "limit", "a figure, 0 for none");
     }
@@ -224,7 +224,7 @@
     }
 }
 
-/// The scheduler's configuration without classes and plans, field by field.
+/// Reads the scheduler's configuration without classes and plans.
 fn read_scheduler(reader: &mut Reader, root: &Object, endpoints_polled: bool) -> SchedulerConfig {
     let extra = root.object("extra");
     let limits = root.object("limits");
@@ -256,7 +256,7 @@
         retry_budget_min: reader.number(&rules, "free_resends"),
         retry_budget_ratio: reader.number(&rules, "extra_ratio"),
         retry_budget_window: reader.ticks_up(&rules, "look_back_us"),
-        // The settings say nothing of the rest: whoever runs the host sets it.
+        // The settings do not contain the other fields; the host process sets them.
         ..SchedulerConfig::default()
     }
 }
--- a/crates/platform/src/settings/reader.rs
+++ b/crates/platform/src/settings/reader.rs
@@ -1,10 +1,10 @@
-//! Reads fields out of JSON objects and collects what is wrong with them.
+//! Reader of settings fields in JSON objects, which collects their errors.
 use super::{ticks_down, ticks_up};
 use crate::field_error::FieldError;
 use mallowseam_scheduler::interface::Tick;
 use serde_json::Value;
 
-/// An object of the settings, and the path that its fields have in errors: empty, or ending in a dot.
+/// Object of the settings with the prefix of its fields' paths in errors, which is empty or ends in a dot.
 pub(super) struct Object<'a> {
     pub(super) value: &'a Value,
     pub(super) path: String,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// An object inside this one; empty if it is absent.
+    /// Returns a nested object. An absent object counts as empty.
     pub(super) fn object(&self, key: &str) -> Object<'a> {
         Object {
             value: &self.value[key],
@@ -31,8 +31,8 @@
     }
 }
 
-/// Reads fields, and notes each that is missing or invalid. A number that is absent is 0, where
-/// `docs/configuration.md` says that this stands for none; one that is no number is rejected.
+/// Reads fields and collects an error for each that is missing or invalid. An absent number is 0, which stands for
+/// none where `docs/configuration.md` says so; a value that is not a number is rejected.
 #[derive(Default)]
 pub(super) struct Reader {
     errors: Vec<FieldError>,
@@ -43,7 +43,7 @@
         self.errors
     }
 
-    /// Notes that a field should be something else.
+    /// Adds an error for a field, with the expected value.
     pub(super) fn reject(&mut self, object: &Object, key: &str, expected: &str) {
         self.errors.push(FieldError::new(
             object.field(key),
@@ -51,7 +51,7 @@
         ));
     }
 
-    /// A number of 0 or more.
+    /// Reads a number of 0 or more.
     pub(super) fn number(&mut self, object: &Object, key: &str) -> f64 {
         let value = &object.value[key];
         if value.is_null() {
@@ -64,7 +64,7 @@
         number.unwrap_or(0.0)
     }
 
-    /// A number without which nothing safe can be decided.
+    /// Reads a number above 0, without which no safe decision is possible.
     pub(super) fn positive(&mut self, object: &Object, key: &str) -> f64 {
         let number = self.number(object, key);
         let field = object.field(key);
@@ -74,17 +74,17 @@
         number
     }
 
-    /// Microseconds as ticks, rounded down.
+    /// Reads a number of microseconds as ticks, rounded down.
     pub(super) fn ticks_down(&mut self, object: &Object, key: &str) -> Tick {
         ticks_down(self.number(object, key))
     }
 
-    /// Microseconds as ticks, rounded up.
+    /// Reads a number of microseconds as ticks, rounded up.
     pub(super) fn ticks_up(&mut self, object: &Object, key: &str) -> Tick {
         ticks_up(self.number(object, key))
     }
 
-    /// Something allowed or promised; not, if nothing says so.
+    /// Reads a boolean. An absent one is false, the safe value.
     pub(super) fn flag(&mut self, object: &Object, key: &str) -> bool {
         let value = &object.value[key];
         if !value.is_null() && !value.is_boolean() {
@@ -93,7 +93,7 @@
         value.as_bool().unwrap_or(false)
     }
 
-    /// One of several words, or none.
+    /// Reads one of several words, which may be absent.
     pub(super) fn choice<'a>(
         &mut self,
         object: &Object<'a>,
@@ -108,7 +108,8 @@
         found
     }
 
-    /// A name that no other object of its kind has; it joins them in any case, so that indices agree.
+    /// Reads a name that no other object of its kind has. The name is added to `others` also if it is invalid, so that
+    /// the indices of names and objects agree.
     pub(super) fn unique_name(&mut self, object: &Object, others: &mut Vec<String>) {
         let name = object.value["name"].as_str().unwrap_or_default().to_owned();
         if name.is_empty() || others.contains(&name) {
@@ -117,7 +118,7 @@
         others.push(name);
     }
 
-    /// The figures of one rule: all of them, or none.
+    /// Checks that the numbers of one rule are either all present or all absent.
     pub(super) fn all_or_none(&mut self, object: &Object, keys: &[&str]) {
         if keys.iter().all(|key| object.value[*key].is_null()) {
             return;
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment: its settings, a request, an endpoint, a configuration.
+//! Test data of a small deployment: settings, a request, an endpoint and a configuration.
 #![allow(dead_code, reason = "each test file uses a part")]
 use mallowseam_http1::{Limits, RequestHead};
 use mallowseam_platform::request::{self, BlockRequest, ClientRequest, RequestError};
@@ -9,7 +9,7 @@
     body: 65536,
 };
 
-/// Two I/O classes, one plan.
+/// Settings with two I/O classes and one plan.
 pub const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a"],
   "profiles": [
     {"name": "look", "aim_us": 200000, "deadline_us": 1000000, "repeat": "idempotent", "worth": 3.0},
@@ -19,10 +19,10 @@
   "limits": {"cancel": true, "max_attempts": 3, "idle_close_us": 30000000, "connect_timeout_us": 250000}}"#;
 
 pub fn settings() -> PlatformSettings {
-    settings::parse(SETTINGS).expect("valid")
+    settings::parse(SETTINGS).expect("the settings are valid")
 }
 
-/// A valid write, with lines taken out, put in or replaced.
+/// Returns a valid write whose lines are removed or replaced by `change`.
 pub fn write_request_with(change: impl Fn(&str) -> Option<String>) -> String {
     let lines = [
         "PUT /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1",
@@ -38,11 +38,11 @@
     format!("{}\r\n\r\nhello", lines.join("\r\n"))
 }
 
-/// The head of a complete request.
+/// Parses the head of a complete request.
 pub fn request_head(bytes: &[u8]) -> RequestHead<'_> {
     RequestHead::parse(bytes, LIMITS)
-        .expect("valid")
-        .expect("complete")
+        .expect("input is valid")
+        .expect("message is complete")
 }
 
 pub fn parse(text: &str) -> Result<ClientRequest, RequestError> {
@@ -53,7 +53,7 @@
 pub fn block_request() -> BlockRequest {
     match parse(&write_request_with(|l| Some(l.to_owned()))) {
         Ok(ClientRequest::BlockIo(block)) => block,
-        _ => panic!("a valid write"),
+        _ => panic!("a valid write was not parsed as a block I/O"),
     }
 }
 
@@ -61,7 +61,7 @@
     parse(text).err()
 }
 
-/// An endpoint as discovery sends it.
+/// Endpoint as the discovery service sends it.
 pub const ENDPOINT: &str = r#"{"host":"s-1","dial":"10.1.0.18:8443","site":"a","class":"m","block":3,"health":"ready","share":1.0,"born_ms":5}"#;
 
 pub fn config_text() -> String {
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -1,6 +1,6 @@
-//! Pinned wire formats: the exact bytes that this package writes, and what it reads out of every form that it accepts or
-//! rejects. The recorded texts in `pinned/` name fields in words of their own, so that renaming a field in the code
-//! changes nothing here.
+//! Pinned wire formats: the exact bytes that this package writes, and the values that it reads from every accepted or
+//! rejected form. Guards against unintended changes of the protocol. The recorded texts in `pinned/` have their own
+//! names for fields, so that renaming a field in the code does not change them.
 use mallowseam_http1::{Limits, RequestHead, ResponseHead};
 use mallowseam_platform::endpoints::{Endpoint, Health, WatchEvent, WatchFrame};
 use mallowseam_platform::interner::{InternError, NameInterner};
@@ -20,17 +20,17 @@
     body: 65536,
 };
 
-/// A text without the names of types, which serde puts into its messages.
-fn without_types(text: &str) -> String {
+/// Replaces the names of types, which serde writes into its messages, by neutral ones.
+fn without_type_names(text: &str) -> String {
     text.replace("struct WatchEvent", "struct LIST")
         .replace("struct Endpoint", "struct ENTRY")
 }
 
-/// Compares with the text that was recorded.
-fn pinned(name: &str, found: &str) {
-    let found = &without_types(found);
+/// Asserts that a text equals the recorded one.
+fn assert_recorded(name: &str, found: &str) {
+    let found = &without_type_names(found);
     let path = format!("{}/tests/pinned/{name}", env!("CARGO_MANIFEST_DIR"));
-    let recorded = std::fs::read_to_string(&path).expect("a recorded text");
+    let recorded = std::fs::read_to_string(&path).expect("the recorded text can be read");
     for (line, (a, b)) in recorded.lines().zip(found.lines()).enumerate() {
         assert_eq!(a, b, "{name}, line {}", line + 1);
     }
@@ -42,7 +42,7 @@
     );
 }
 
-/// Seeded random choices by index.
+/// Seeded random number generator for indices.
 struct Rng(SeededRng);
 
 impl Rng {
@@ -55,25 +55,25 @@
     }
 }
 
-/// A digest of all texts that it is handed.
+/// Digest of a sequence of texts.
 #[derive(Default)]
 struct Hash(Digest);
 
 impl Hash {
     fn add(&mut self, text: &str) {
-        self.0.add_bytes(without_types(text).as_bytes());
+        self.0.add_bytes(without_type_names(text).as_bytes());
         self.0.add_bytes(&[0xff]);
     }
 }
 
-fn bytes(bytes: &[u8]) -> String {
+fn escaped(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
 fn request_head(text: &str) -> RequestHead<'_> {
     RequestHead::parse(text.as_bytes(), LIMITS)
-        .expect("valid")
-        .expect("complete")
+        .expect("input is valid")
+        .expect("message is complete")
 }
 
 const SETTINGS: &str = r#"{"balancers": 2, "localities": ["a", "b"],
@@ -85,19 +85,20 @@
   "limits": {"connect_timeout_us": 250000}}"#;
 
 fn small_settings() -> PlatformSettings {
-    settings::parse(SETTINGS).expect("valid")
+    settings::parse(SETTINGS).expect("input is valid")
 }
 
 #[test]
-fn response_bytes() {
+fn written_responses_match_the_recorded_bytes() {
     let mut found = String::new();
     for (name, status) in [
         ("shed", response::SHED_STATUS),
         ("failed", response::FAILED_STATUS),
     ] {
-        writeln!(found, "{name}: {status}").expect("memory");
+        writeln!(found, "{name}: {status}").expect("writing to memory does not fail");
     }
-    writeln!(found, "continue: {}", bytes(response::CONTINUE)).expect("memory");
+    writeln!(found, "continue: {}", escaped(response::CONTINUE))
+        .expect("writing to memory does not fail");
     for status in [
         200, 204, 400, 404, 405, 408, 409, 411, 413, 429, 431, 500, 501, 502, 503, 504,
     ] {
@@ -109,19 +110,19 @@
         ] {
             let mut out = Vec::from(&b"ahead "[..]);
             response::write_head(&mut out, status, body, NonZeroU64::new(come_back), close);
-            writeln!(found, "{}", bytes(&out)).expect("memory");
+            writeln!(found, "{}", escaped(&out)).expect("writing to memory does not fail");
         }
     }
     for come_back in [999, 1_000, 1_001, 3_600_000] {
         let mut out = Vec::new();
         response::write_head(&mut out, 503, 0, NonZeroU64::new(come_back), false);
-        writeln!(found, "{}", bytes(&out)).expect("memory");
+        writeln!(found, "{}", escaped(&out)).expect("writing to memory does not fail");
     }
-    pinned("answers_written.txt", &found);
+    assert_recorded("answers_written.txt", &found);
 }
 
 #[test]
-fn forwarded_request_bytes() {
+fn forwarded_requests_match_the_recorded_bytes() {
     let headers = "Host: service.internal\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Priority-Class: book\r\n\
                    X-Qos-Policy: gold\r\nX-Timeout-Ms: 480\r\n";
     let placement = "X-Placement: units=2,shard=5,hosts=3\r\n";
@@ -149,9 +150,9 @@
         for wait in [0, 77, 3_600_000] {
             let mut out = Vec::new();
             request::write_forwarded(&mut out, &head, body, wait);
-            writeln!(found, "{}", bytes(&out)).expect("memory");
+            writeln!(found, "{}", escaped(&out)).expect("writing to memory does not fail");
             request::rewrite_timeout(&mut out, 12_345);
-            writeln!(found, "then: {}", bytes(&out)).expect("memory");
+            writeln!(found, "then: {}", escaped(&out)).expect("writing to memory does not fail");
         }
     }
     for text in [
@@ -163,22 +164,28 @@
     ] {
         let mut out = text.as_bytes().to_vec();
         request::rewrite_timeout(&mut out, 5);
-        writeln!(found, "wait in {}: {}", bytes(text.as_bytes()), bytes(&out)).expect("memory");
+        writeln!(
+            found,
+            "wait in {}: {}",
+            escaped(text.as_bytes()),
+            escaped(&out)
+        )
+        .expect("writing to memory does not fail");
     }
     for since in [None, Some(0), Some(41), Some(u64::MAX)] {
         let mut out = Vec::new();
         endpoints::write_watch_request(
             &mut out,
-            "127.2.0.1:8500".parse().expect("an address"),
+            "127.2.0.1:8500".parse().expect("address is valid"),
             since,
         );
-        writeln!(found, "{}", bytes(&out)).expect("memory");
+        writeln!(found, "{}", escaped(&out)).expect("writing to memory does not fail");
     }
-    pinned("requests_written.txt", &found);
+    assert_recorded("requests_written.txt", &found);
 }
 
-fn ending(ending: AttemptResult) -> &'static str {
-    match ending {
+fn result_name(result: AttemptResult) -> &'static str {
+    match result {
         AttemptResult::Completed => "done",
         AttemptResult::Error => "error",
         AttemptResult::Rejected => "busy",
@@ -191,13 +198,13 @@
 }
 
 #[test]
-fn parsed_node_responses() {
+fn parsed_node_responses_match_the_recorded_text() {
     let mut found = String::new();
     let mut record = |lines: &str| {
         let text = format!("HTTP/1.1 {lines}\r\nContent-Length: 0\r\n\r\n");
         let head = ResponseHead::parse(text.as_bytes(), LIMITS)
-            .expect("valid")
-            .expect("complete");
+            .expect("input is valid")
+            .expect("message is complete");
         let response = response::parse(&head);
         let LoadReport {
             backlog,
@@ -207,12 +214,12 @@
         writeln!(
             found,
             "{}: {} used {} by others {} waiting {backlog:?} service {service_time_ms:?} busy {utilization:?}",
-            bytes(lines.as_bytes()),
-            ending(response.result),
+            escaped(lines.as_bytes()),
+            result_name(response.result),
             response.volume_usage,
             response.units_by_other_hosts
         )
-        .expect("memory");
+        .expect("writing to memory does not fail");
     };
     for status in [
         100, 200, 201, 204, 304, 400, 404, 409, 429, 500, 502, 503, 504, 505, 599,
@@ -254,7 +261,7 @@
         record(&format!("200 X\r\n{line}"));
         record(&format!("503 X\r\n{line}"));
     }
-    pinned("answers_read.txt", &found);
+    assert_recorded("answers_read.txt", &found);
 }
 
 fn show_endpoint(e: &Endpoint) -> String {
@@ -308,7 +315,7 @@
     };
     let named = |len: usize| of(true, &ENTRY.replace("s-1", &"x".repeat(len)));
     let indented = serde_json::to_string_pretty(
-        &serde_json::from_str::<Value>(&of(true, &all)).expect("valid"),
+        &serde_json::from_str::<Value>(&of(true, &all)).expect("input is valid"),
     );
     let closing = |bad: &str| {
         of(
@@ -320,7 +327,7 @@
         ("full", of(true, &all)),
         ("incremental", of(false, &all)),
         ("empty", of(false, "")),
-        ("indented", indented.expect("valid")),
+        ("indented", indented.expect("input is valid")),
         ("4096 entries", many(4_096)),
         ("4097 entries", many(4_097)),
         ("a name of 128", named(128)),
@@ -365,7 +372,7 @@
     ]
 }
 
-/// The front of a text, so much of it.
+/// Returns a long text shortened to its first 200 bytes and its length.
 fn truncated(text: String) -> String {
     if text.len() <= 600 {
         text
@@ -375,22 +382,24 @@
 }
 
 #[test]
-fn parsed_endpoint_lists() {
+fn parsed_endpoint_lists_match_the_recorded_text() {
     let mut found = String::new();
     for (name, text) in lists() {
         let read = endpoints::parse(text.as_bytes())
             .map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
-        writeln!(found, "{name}, read: {}", truncated(read)).expect("memory");
+        writeln!(found, "{name}, read: {}", truncated(read))
+            .expect("writing to memory does not fail");
         writeln!(
             found,
             "{name}, front: {}",
             truncated(show_frame(text.as_bytes()))
         )
-        .expect("memory");
+        .expect("writing to memory does not fail");
         if let Ok(value) = serde_json::from_str(&text) {
             let of = endpoints::from_json(value)
                 .map_or_else(|why| format!("refused: {why}"), |n| show_event(&n));
-            writeln!(found, "{name}, of: {}", truncated(of)).expect("memory");
+            writeln!(found, "{name}, of: {}", truncated(of))
+                .expect("writing to memory does not fail");
         }
     }
     for text in [
@@ -406,14 +415,16 @@
         b"nulx",
         b"12",
     ] {
-        writeln!(found, "front of {}: {}", bytes(text), show_frame(text)).expect("memory");
+        writeln!(found, "front of {}: {}", escaped(text), show_frame(text))
+            .expect("writing to memory does not fail");
     }
-    writeln!(found, "bytes: {}", endpoints::MAX_LIST_BYTES).expect("memory");
-    pinned("lists_read.txt", &found);
+    writeln!(found, "bytes: {}", endpoints::MAX_LIST_BYTES)
+        .expect("writing to memory does not fail");
+    assert_recorded("lists_read.txt", &found);
 }
 
 #[test]
-fn truncated_and_corrupted_endpoint_lists() {
+fn truncated_and_corrupted_endpoint_lists_match_the_recorded_hash() {
     let mut hash = Hash::default();
     let mut rng = Rng::new(7);
     for (_, text) in lists().into_iter().filter(|l| l.1.len() < 1_000) {
@@ -435,7 +446,7 @@
 }
 
 #[test]
-fn interned_endpoints() {
+fn interned_endpoints_match_the_recorded_text() {
     let settings = small_settings();
     let mut names = NameInterner::default();
     let mut found = String::new();
@@ -462,7 +473,7 @@
     let mut listed = Vec::new();
     for line in &lines {
         names.intern_endpoints(
-            &endpoints::parse(line.as_bytes()).expect("valid"),
+            &endpoints::parse(line.as_bytes()).expect("input is valid"),
             &settings,
             &mut listed,
         );
@@ -480,19 +491,21 @@
                 l.shard,
                 l.started_at.unwrap_or(0)
             )
-            .expect("memory");
+            .expect("writing to memory does not fail");
         }
-        writeln!(found, "sizes {:?}", names.counts()).expect("memory");
+        writeln!(found, "sizes {:?}", names.counts()).expect("writing to memory does not fail");
     }
     let (a, b) = (
         names.find_node(&"s-1".to_owned()),
         names.find_node(&"s-9".to_owned()),
     );
-    writeln!(found, "s-1 {:?} s-9 {:?}", a.map(|n| n.0), b.map(|n| n.0)).expect("memory");
-    pinned("lists_heard.txt", &found);
+    writeln!(found, "s-1 {:?} s-9 {:?}", a.map(|n| n.0), b.map(|n| n.0))
+        .expect("writing to memory does not fail");
+    assert_recorded("lists_heard.txt", &found);
 }
 
-/// A valid write, with one line replaced; `""` takes it out.
+/// Returns the head of a valid write in which lines that begin with `prefix` are replaced; an empty `line` removes
+/// them.
 fn request_with(prefix: &str, line: &str) -> String {
     let lines = [
         "PUT /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1",
@@ -515,17 +528,17 @@
     format!("{}\r\n\r\n", all.join("\r\n"))
 }
 
-fn show_request(text: &str, body: usize, named: &PlatformSettings) -> String {
+fn show_request(text: &str, body: usize, settings: &PlatformSettings) -> String {
     let head = match RequestHead::parse(text.as_bytes(), LIMITS) {
         Ok(Some(head)) => head,
         Ok(None) => return "cut".into(),
-        Err(fault) => return format!("no head: {}", fault.message()),
+        Err(error) => return format!("no head: {}", error.message()),
     };
-    match request::parse(&head, body, named) {
+    match request::parse(&head, body, settings) {
         Ok(ClientRequest::Readiness) => "ready".into(),
         Ok(ClientRequest::BlockIo(b)) => format!(
             "id {} group {} plan {} volume {:x} piece {:x} wait {} units {} shard {:?} hosts {}",
-            bytes(b.id.bytes()),
+            escaped(b.id.bytes()),
             b.io_class,
             b.plan,
             b.volume,
@@ -535,7 +548,7 @@
             b.shard,
             b.host_count
         ),
-        Err(wrong) => format!("{}: {}", wrong.status(), wrong.message()),
+        Err(error) => format!("{}: {}", error.status(), error.message()),
     }
 }
 
@@ -632,20 +645,20 @@
 }
 
 #[test]
-fn parsed_requests_and_their_errors() {
+fn parsed_requests_and_their_errors_match_the_recorded_text() {
     let settings = small_settings();
-    let unbounded =
-        settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0")).expect("valid");
+    let unbounded = settings::parse(&SETTINGS.replace("\"largest\": 8", "\"largest\": 0"))
+        .expect("input is valid");
     let mut found = String::new();
     for (prefix, line) in changed_requests() {
         let text = request_with(prefix, &line);
-        let shown = bytes(line.as_bytes());
+        let shown = escaped(line.as_bytes());
         writeln!(
             found,
             "{prefix} -> {shown}: {}",
             show_request(&text, 5, &settings)
         )
-        .expect("memory");
+        .expect("writing to memory does not fail");
     }
     let read = "GET /look/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: s\r\nX-Request-ID: a\r\n\
                 X-Priority-Class: look\r\nX-Qos-Policy: gold\r\nX-Timeout-Ms: 9\r\n\
@@ -656,22 +669,22 @@
             "a read of 80 units, body {body}: {}",
             show_request(read, body, &unbounded)
         )
-        .expect("memory");
+        .expect("writing to memory does not fail");
         writeln!(
             found,
             "a read of 80 units, body {body}: {}",
             show_request(read, body, &settings)
         )
-        .expect("memory");
+        .expect("writing to memory does not fail");
         let put = read.replace("GET", "PUT").replace("units=80", "units=8");
         writeln!(
             found,
             "a write of a class that reads: {}",
             show_request(&put, body, &settings)
         )
-        .expect("memory");
+        .expect("writing to memory does not fail");
     }
-    for wrong in [
+    for error in [
         RequestError::UnknownPath,
         RequestError::MethodNotAllowed,
         RequestError::UnknownClass,
@@ -683,13 +696,14 @@
         RequestError::UnexpectedBody,
         RequestError::LengthRequired,
     ] {
-        writeln!(found, "{}: {}", wrong.status(), wrong.message()).expect("memory");
+        writeln!(found, "{}: {}", error.status(), error.message())
+            .expect("writing to memory does not fail");
     }
-    pinned("requests_read.txt", &found);
+    assert_recorded("requests_read.txt", &found);
 }
 
 #[test]
-fn corrupted_requests() {
+fn corrupted_requests_match_the_recorded_hash() {
     let (settings, mut hash, mut rng) = (small_settings(), Hash::default(), Rng::new(11));
     let valid = request_with("\0", "");
     for _ in 0..6_000 {
@@ -699,7 +713,7 @@
             text[place] = b"05aX,=-/ :\r\n"[rng.below(12)];
         }
         hash.add(&show_request(
-            &String::from_utf8(text).expect("ASCII"),
+            &String::from_utf8(text).expect("text is ASCII"),
             rng.below(2) * 5,
             &settings,
         ));
@@ -708,7 +722,7 @@
 }
 
 #[test]
-fn interned_requests() {
+fn interned_requests_match_the_recorded_text() {
     let settings = small_settings();
     let mut names = NameInterner::default();
     let mut found = String::new();
@@ -729,7 +743,7 @@
         }
         let head = request_head(&text);
         let Ok(ClientRequest::BlockIo(block)) = request::parse(&head, 5, &settings) else {
-            panic!("a block I/O")
+            panic!("request was not parsed as a block I/O")
         };
         match names.intern_request(BioId(ids), &block, now, &settings) {
             Ok(b) => writeln!(
@@ -748,21 +762,26 @@
             Err(InternError::DuplicateRequestId) => writeln!(found, "in hand"),
             Err(InternError::TooManyVolumes) => writeln!(found, "full"),
         }
-        .expect("memory");
+        .expect("writing to memory does not fail");
     }
-    writeln!(found, "sizes {:?}", names.counts()).expect("memory");
-    let mut took = 0;
+    writeln!(found, "sizes {:?}", names.counts()).expect("writing to memory does not fail");
+    let mut interned = 0;
     for volume in 0..5_000u64 {
         let text = request_with("\0", "").replace("00000003b4d60021", &format!("{volume:016x}"));
         let text = text.replace("9b1f", &format!("v{volume}"));
         let Ok(ClientRequest::BlockIo(block)) = request::parse(&request_head(&text), 5, &settings)
         else {
-            panic!("valid")
+            panic!("valid request was not parsed as a block I/O")
         };
-        took += u32::from(names.intern_request(BioId(9), &block, 0, &settings).is_ok());
+        interned += u32::from(names.intern_request(BioId(9), &block, 0, &settings).is_ok());
     }
-    writeln!(found, "volumes taken {took}, sizes {:?}", names.counts()).expect("memory");
-    let id = |text: &str| RequestId::new(text).map(|id| bytes(id.bytes()));
+    writeln!(
+        found,
+        "volumes taken {interned}, sizes {:?}",
+        names.counts()
+    )
+    .expect("writing to memory does not fail");
+    let id = |text: &str| RequestId::new(text).map(|id| escaped(id.bytes()));
     writeln!(
         found,
         "ids {:?} {:?} {:?} {:?}",
@@ -771,12 +790,12 @@
         id("a b"),
         id(&"x".repeat(41))
     )
-    .expect("memory");
-    pinned("block_ios.txt", &found);
+    .expect("writing to memory does not fail");
+    assert_recorded("block_ios.txt", &found);
 }
 
-fn group(g: &IoClass) -> String {
-    let effect = match g.idempotency {
+fn show_class(class: &IoClass) -> String {
+    let idempotency = match class.idempotency {
         Idempotency::Idempotent => "idempotent".to_owned(),
         Idempotency::NonIdempotent => "side-effecting".to_owned(),
         Idempotency::IdempotentByKey { scope, window } => {
@@ -788,30 +807,40 @@
             format!("by key in {scope} for {window}")
         }
     };
-    let (goal, late, gain) = (g.latency_objective, g.late_weight_ratio, g.priority_weight);
+    let (objective, late_ratio, weight) = (
+        class.latency_objective,
+        class.late_weight_ratio,
+        class.priority_weight,
+    );
     format!(
-        "{effect} goal {goal} late {late} gain {gain} ordered {} writes {}",
-        g.ordered, g.writes
+        "{idempotency} goal {objective} late {late_ratio} gain {weight} ordered {} writes {}",
+        class.ordered, class.writes
     )
 }
 
-fn plan(p: &Plan) -> String {
-    let (usual, reserve, limit, burst) =
-        (p.usual_rate, p.reserved_rate, p.rate_limit, p.burst_units);
+fn show_plan(plan: &Plan) -> String {
+    let (usual, reserve, limit, burst) = (
+        plan.usual_rate,
+        plan.reserved_rate,
+        plan.rate_limit,
+        plan.burst_units,
+    );
     format!(
         "usual {usual} reserve {reserve} limit {limit} burst {burst} weight {} price {}",
-        p.weight, p.priority_factor
+        plan.weight, plan.priority_factor
     )
 }
 
 fn show_settings(n: &PlatformSettings) -> String {
     let t = &n.scheduler;
     let mut out = String::new();
-    for (name, g) in n.class_names.iter().zip(&t.classes) {
-        writeln!(out, "  group {name}: {}", group(g)).expect("memory");
+    for (name, class) in n.class_names.iter().zip(&t.classes) {
+        writeln!(out, "  group {name}: {}", show_class(class))
+            .expect("writing to memory does not fail");
     }
-    for (name, p) in n.plan_names.iter().zip(&t.plans) {
-        writeln!(out, "  plan {name}: {}", plan(p)).expect("memory");
+    for (name, plan) in n.plan_names.iter().zip(&t.plans) {
+        writeln!(out, "  plan {name}: {}", show_plan(plan))
+            .expect("writing to memory does not fail");
     }
     let figures: [(&str, &dyn std::fmt::Debug); 34] = [
         (
@@ -858,12 +887,12 @@
         ("budget span", &t.retry_budget_window),
     ];
     for (name, figure) in &figures {
-        writeln!(out, "  {name}: {figure:?}").expect("memory");
+        writeln!(out, "  {name}: {figure:?}").expect("writing to memory does not fail");
     }
     out
 }
 
-/// Settings with every key that is read, each with a value of its own.
+/// Returns settings with every key that is read, each with a distinct value.
 fn every_setting() -> Value {
     json!({"balancers": 3, "localities": ["a", "b", 7, "c"], "registry_mode": "on_request",
         "profiles": [
@@ -900,7 +929,7 @@
     }
 }
 
-/// Paths of all values in a JSON object.
+/// Adds the paths of all values in a JSON object to `into`.
 fn json_paths(v: &Value, path: &str, into: &mut Vec<String>) {
     let mut visit = |key: String, v: &Value| {
         let path = format!("{path}/{key}");
@@ -917,11 +946,11 @@
     }
 }
 
-/// The object with the value at a path replaced; none: taken out.
+/// Returns the object with the value at a path replaced, or removed for `None`.
 fn with(all: &Value, path: &str, value: Option<Value>) -> Value {
     let mut all = all.clone();
-    let (parent, key) = path.rsplit_once('/').expect("a path");
-    match (all.pointer_mut(parent).expect("there"), value) {
+    let (parent, key) = path.rsplit_once('/').expect("the path has a parent");
+    match (all.pointer_mut(parent).expect("the parent exists"), value) {
         (Value::Object(fields), Some(value)) => drop(fields.insert(key.to_owned(), value)),
         (Value::Object(fields), None) => drop(fields.remove(key)),
         (Value::Array(list), Some(value)) => list[key.parse::<usize>().expect("an index")] = value,
@@ -931,7 +960,7 @@
     all
 }
 
-/// Only the lines that differ from those of the valid text.
+/// Returns the lines that are not in the valid text.
 fn differing(valid: &str, found: &str) -> String {
     let valid: Vec<&str> = valid.lines().collect();
     found
@@ -942,7 +971,7 @@
 }
 
 #[test]
-fn settings_with_each_field_absent_or_replaced() {
+fn settings_with_each_field_absent_or_replaced_match_the_recorded_text() {
     let all = every_setting();
     let valid = read_settings(&all);
     let mut found = format!("all:\n{valid}");
@@ -961,7 +990,8 @@
         for value in &values {
             let shown = value.as_ref().map_or("absent".into(), Value::to_string);
             let read = read_settings(&with(&all, path, value.clone()));
-            write!(found, "{path} {shown}:\n{}", differing(&valid, &read)).expect("memory");
+            write!(found, "{path} {shown}:\n{}", differing(&valid, &read))
+                .expect("writing to memory does not fail");
         }
     }
     for (path, value) in [
@@ -972,28 +1002,29 @@
         ("/service_levels/1/name", "copper"),
     ] {
         let read = read_settings(&with(&all, path, Some(json!(value))));
-        write!(found, "{path} {value}:\n{}", differing(&valid, &read)).expect("memory");
+        write!(found, "{path} {value}:\n{}", differing(&valid, &read))
+            .expect("writing to memory does not fail");
     }
     for text in ["", "{}", "[1]", "3", "{\"balancers\":1"] {
         let read = settings::parse(text).map_or_else(|why| why.to_string(), |n| show_settings(&n));
-        writeln!(found, "text {text}: {read}").expect("memory");
+        writeln!(found, "text {text}: {read}").expect("writing to memory does not fail");
     }
-    pinned("settings.txt", &found);
+    assert_recorded("settings.txt", &found);
 }
 
 fn every_config() -> Value {
     json!({"name": "n3", "listen": "127.0.0.4:8443", "discovery": "127.2.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 0.75, "memory_mb": 32.9, "sockets": 256},
-        "known": {"seq": 41, "whole": true, "hosts": [serde_json::from_str::<Value>(ENTRY).expect("valid")]},
+        "known": {"seq": 41, "whole": true, "hosts": [serde_json::from_str::<Value>(ENTRY).expect("input is valid")]},
         "fleet": {"name": "south", "listen": "127.0.0.4:7000", "reached_at": "10.0.0.4:7001", "zone": "z1",
                   "seeds": ["127.0.0.5:7000", "127.0.0.6:7000"], "period_ms": 500, "keep_s": 7200},
-        "settings": serde_json::from_str::<Value>(SETTINGS).expect("valid")})
+        "settings": serde_json::from_str::<Value>(SETTINGS).expect("input is valid")})
 }
 
 fn read_config(text: &str) -> String {
     let c = match config::parse(text) {
         Ok(c) => c,
-        Err(problems) => return format!("{problems}\n"),
+        Err(error) => return format!("{error}\n"),
     };
     let mut out = String::new();
     writeln!(
@@ -1001,19 +1032,19 @@
         "  name {} listen {} discovery {}",
         c.name, c.listen, c.discovery
     )
-    .expect("memory");
+    .expect("writing to memory does not fail");
     writeln!(
         out,
         "  seed {:x} cores {} memory {} sockets {}",
         c.seed, c.cpu_cores, c.memory_mb, c.max_sockets
     )
-    .expect("memory");
+    .expect("writing to memory does not fail");
     writeln!(
         out,
         "  known {}",
         c.cached_list.as_ref().map_or("none".into(), show_event)
     )
-    .expect("memory");
+    .expect("writing to memory does not fail");
     match &c.fleet {
         None => writeln!(out, "  no place"),
         Some(p) => writeln!(
@@ -1029,16 +1060,16 @@
             p.membership.unreachable_retention
         ),
     }
-    .expect("memory");
+    .expect("writing to memory does not fail");
     let settings = show_settings(&c.settings);
     let mut hash = Hash::default();
     hash.add(&settings);
-    writeln!(out, "  settings {:x}", hash.0.value()).expect("memory");
+    writeln!(out, "  settings {:x}", hash.0.value()).expect("writing to memory does not fail");
     out
 }
 
 #[test]
-fn configurations_with_each_field_absent_or_replaced() {
+fn configurations_with_each_field_absent_or_replaced_match_the_recorded_text() {
     let all = every_config();
     let valid = read_config(&all.to_string());
     let mut found = format!("all:\n{valid}");
@@ -1060,7 +1091,8 @@
         for value in &values {
             let shown = value.as_ref().map_or("absent".into(), Value::to_string);
             let read = read_config(&with(&all, path, value.clone()).to_string());
-            write!(found, "{path} {shown}:\n{}", differing(&valid, &read)).expect("memory");
+            write!(found, "{path} {shown}:\n{}", differing(&valid, &read))
+                .expect("writing to memory does not fail");
         }
     }
     for (path, value) in [
@@ -1076,16 +1108,18 @@
         ("/settings/registry_mode", json!("x")),
     ] {
         let read = read_config(&with(&all, path, Some(value.clone())).to_string());
-        write!(found, "{path} {value}:\n{}", differing(&valid, &read)).expect("memory");
+        write!(found, "{path} {value}:\n{}", differing(&valid, &read))
+            .expect("writing to memory does not fail");
     }
     for text in ["", "{}", "[1]", "3", "{\"name\":\"n3\""] {
-        write!(found, "text {text}: {}", read_config(text)).expect("memory");
+        write!(found, "text {text}: {}", read_config(text))
+            .expect("writing to memory does not fail");
     }
-    pinned("configurations.txt", &found);
+    assert_recorded("configurations.txt", &found);
 }
 
 #[test]
-fn corrupted_configurations() {
+fn corrupted_configurations_match_the_recorded_hash() {
     let (mut hash, mut rng) = (Hash::default(), Rng::new(13));
     let valid = every_config().to_string();
     for _ in 0..3_000 {
@@ -1096,12 +1130,15 @@
             1 => drop(text.remove(place)),
             _ => text.truncate(place),
         }
-        hash.add(&read_config(&String::from_utf8(text).expect("ASCII")));
+        hash.add(&read_config(
+            &String::from_utf8(text).expect("text is ASCII"),
+        ));
     }
     assert_eq!(hash.0.value(), HASHES[2], "{:#x}", hash.0.value());
 }
 
-/// Hashes of what is too long to be written out: lists, requests and configurations, cut and corrupted.
+/// Recorded hashes of results that are too long for a file: truncated and corrupted lists, requests and
+/// configurations, in this order.
 const HASHES: [u64; 3] = [
     0xab7b_744b_2ec9_f362,
     0x14f2_7b91_2242_e283,
--- a/crates/platform/tests/requests.rs
+++ b/crates/platform/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: what is accepted, what is rejected and why, and what a node gets.
+//! Clients' requests: which are accepted, which are rejected with which error, and what is forwarded to a node.
 mod common;
 
 use common::{LIMITS, block_request, error, request_head, settings, write_request_with};
@@ -8,18 +8,29 @@
 
 #[test]
 fn valid_write_becomes_a_block_request() {
-    let b = block_request();
+    let request = block_request();
     assert_eq!(
-        (b.io_class, b.plan, b.volume, b.object),
+        (
+            request.io_class,
+            request.plan,
+            request.volume,
+            request.object
+        ),
         (1, 0, 0x3_b4d6_0021, 0x7f3a_9c21_e0b4_d655)
     );
     assert_eq!(
-        (b.timeout_ms, b.units, b.shard, b.host_count, b.id.bytes()),
+        (
+            request.timeout_ms,
+            request.units,
+            request.shard,
+            request.host_count,
+            request.id.bytes()
+        ),
         (480, 2.0, Some(5), 3, &b"9b1f"[..])
     );
 }
 
-/// The error of the valid write once its lines that begin like this are changed.
+/// Returns the error of the valid write after the lines that begin with `start` are changed.
 fn error_with(start: &str, change: impl Fn(&str) -> Option<String>) -> Option<RequestError> {
     error(&write_request_with(|line| {
         if line.starts_with(start) {
@@ -30,41 +41,41 @@
     }))
 }
 
-/// The error without the lines that begin like this.
+/// Returns the error of the valid write without the lines that begin with `start`.
 fn error_without(start: &str) -> Option<RequestError> {
     error_with(start, |_| None)
 }
 
-/// The error with the lines that begin like this doubled.
-fn error_with_doubled(start: &str) -> Option<RequestError> {
+/// Returns the error of the valid write with the lines that begin with `start` repeated.
+fn error_with_repeated(start: &str) -> Option<RequestError> {
     error_with(start, |line| Some(format!("{line}\r\n{line}")))
 }
 
-/// The error with another line in place of those that begin like this.
+/// Returns the error of the valid write with the lines that begin with `start` replaced by another line.
 fn error_with_line(start: &str, line: &str) -> Option<RequestError> {
     error_with(start, |_| Some(line.to_owned()))
 }
 
-fn assert_values_rejected(header: &str, values: &[&str], why: RequestError) {
+fn assert_values_rejected(header: &str, values: &[&str], expected: RequestError) {
     for value in values {
         let found = error_with_line(header, &format!("{header}: {value}"));
-        assert_eq!(found, Some(why), "{value}");
+        assert_eq!(found, Some(expected), "{value}");
     }
 }
 
 #[test]
-fn missing_repeated_or_empty_field_is_named() {
-    for (name, why) in [
+fn missing_repeated_or_empty_header_is_rejected_with_its_error() {
+    for (name, expected) in [
         ("X-Request-ID", RequestError::InvalidRequestId),
         ("X-Priority-Class", RequestError::UnknownClass),
         ("X-Qos-Policy", RequestError::UnknownPlan),
         ("X-Timeout-Ms", RequestError::InvalidTimeout),
         ("X-Placement", RequestError::InvalidPlacement),
     ] {
-        assert_eq!(error_without(name), Some(why), "without {name}");
-        assert_eq!(error_with_doubled(name), Some(why), "{name} twice");
+        assert_eq!(error_without(name), Some(expected), "without {name}");
+        assert_eq!(error_with_repeated(name), Some(expected), "{name} twice");
         let empty = error_with_line(name, &format!("{name}:"));
-        assert_eq!(empty, Some(why), "{name} empty");
+        assert_eq!(empty, Some(expected), "{name} empty");
     }
     assert_eq!(
         error_without("Content-Length"),
@@ -104,8 +115,8 @@
 }
 
 #[test]
-fn invalid_path_is_rejected_by_its_first_wrong_part() {
-    for (target, why) in [
+fn invalid_path_is_rejected_for_its_first_invalid_segment() {
+    for (target, expected) in [
         (
             "/look/00000003b4d60021/7f3a9c21e0b4d655",
             RequestError::UnknownClass,
@@ -130,12 +141,12 @@
         ("*", RequestError::UnknownPath),
     ] {
         let found = error_with_line("PUT", &format!("PUT {target} HTTP/1.1"));
-        assert_eq!(found, Some(why), "{target}");
+        assert_eq!(found, Some(expected), "{target}");
     }
 }
 
 #[test]
-fn method_that_does_not_fit_the_class_is_rejected() {
+fn method_that_does_not_match_the_class_is_rejected() {
     for method in ["GET", "POST"] {
         let line = format!("{method} /book/00000003b4d60021/7f3a9c21e0b4d655 HTTP/1.1");
         let found = error_with_line("PUT", &line);
@@ -180,7 +191,7 @@
     assert_eq!(
         sent.headers.single("Idempotency-Key"),
         Ok(None),
-        "none is made up"
+        "the host adds no key of its own"
     );
 }
 
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: an unreadable field is rejected by name, an absent one is rejected or takes the strictest value.
+//! Settings: an unreadable field is rejected with its name; an absent field is rejected or takes the strictest value.
 use mallowseam_platform::settings;
 use mallowseam_scheduler::interface::{DeduplicationScope, Idempotency};
 use serde_json::{Value, json};
@@ -16,25 +16,25 @@
                   "fall_us": 2000000, "extra_ratio": 0.25, "look_back_us": 5000000, "free_resends": 3.0}})
 }
 
-/// The settings with the value at a JSON pointer replaced, or removed.
+/// Returns the complete settings with the value at a JSON pointer replaced or removed.
 fn with(path: &str, value: Option<Value>) -> Value {
-    let mut all = complete_settings();
-    let (parent, key) = path.rsplit_once('/').expect("a path");
-    let parent = all
+    let mut settings = complete_settings();
+    let (parent, key) = path.rsplit_once('/').expect("the path has a parent");
+    let parent = settings
         .pointer_mut(parent)
-        .expect("there")
+        .expect("the parent exists")
         .as_object_mut()
-        .expect("an object");
+        .expect("the parent is an object");
     match value {
         Some(value) => drop(parent.insert(key.to_owned(), value)),
-        None => drop(parent.remove(key).expect("it was there")),
+        None => drop(parent.remove(key).expect("the field exists")),
     }
-    all
+    settings
 }
 
 #[test]
 fn valid_settings_are_read() {
-    let settings = settings::from_json(&complete_settings()).expect("valid");
+    let settings = settings::from_json(&complete_settings()).expect("input is valid");
     assert_eq!(
         (settings.class_names, settings.plan_names),
         (
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn absent_field_without_a_strict_default_is_rejected_by_name() {
+fn absent_field_without_a_strict_default_is_rejected_with_its_name() {
     for path in [
         "/balancers",
         "/profiles/0/name",
@@ -64,23 +64,23 @@
         "/rules/fall_us",
         "/rules/look_back_us",
     ] {
-        let why = settings::from_json(&with(path, None))
+        let errors = settings::from_json(&with(path, None))
             .expect_err(path)
             .to_string();
         let field = path[1..]
             .replace("/0/", "[0].")
             .replace("/1/", "[1].")
             .replace('/', ".");
-        assert_eq!(why.lines().count(), 1, "{path}: {why}");
+        assert_eq!(errors.lines().count(), 1, "{path}: {errors}");
         assert!(
-            why.starts_with(&format!("settings.{field}: expected ")),
-            "{path}: {why}"
+            errors.starts_with(&format!("settings.{field}: expected ")),
+            "{path}: {errors}"
         );
     }
 }
 
 #[test]
-fn unreadable_field_is_rejected_by_name() {
+fn unreadable_field_is_rejected_with_its_name() {
     for (path, value) in [
         ("/registry_mode", json!("sometimes")),
         ("/profiles/1/key_scope", json!("planet")),
@@ -93,25 +93,25 @@
         ("/limits/max_attempts", json!(-3)),
         ("/rules/cold_us", json!([])),
     ] {
-        let why = settings::from_json(&with(path, Some(value)))
+        let errors = settings::from_json(&with(path, Some(value)))
             .expect_err(path)
             .to_string();
-        let field = path.rsplit('/').next().expect("a field");
-        assert_eq!(why.lines().count(), 1, "{path}: {why}");
+        let field = path.rsplit('/').next().expect("the path ends in a field");
+        assert_eq!(errors.lines().count(), 1, "{path}: {errors}");
         assert!(
-            why.contains(&format!("{field}: expected ")),
-            "{path}: {why}"
+            errors.contains(&format!("{field}: expected ")),
+            "{path}: {errors}"
         );
     }
 }
 
 #[test]
 fn all_errors_are_reported_at_once() {
-    let mut all = with("/profiles/0/repeat", Some(json!("twice")));
-    all["limits"]["cancel"] = json!(3);
+    let mut settings = with("/profiles/0/repeat", Some(json!("twice")));
+    settings["limits"]["cancel"] = json!(3);
     assert_eq!(
-        settings::from_json(&all)
-            .expect_err("two errors")
+        settings::from_json(&settings)
+            .expect_err("two fields are invalid")
             .to_string()
             .lines()
             .count(),
@@ -121,17 +121,17 @@
 
 #[test]
 fn absent_field_takes_the_strictest_value() {
-    let read = |path: &str| settings::from_json(&with(path, None)).expect("valid");
-    let effect = |path: &str| read(path).scheduler.classes[1].idempotency;
+    let read = |path: &str| settings::from_json(&with(path, None)).expect("input is valid");
+    let idempotency = |path: &str| read(path).scheduler.classes[1].idempotency;
     assert_eq!(
-        effect("/profiles/1/key_scope"),
+        idempotency("/profiles/1/key_scope"),
         Idempotency::IdempotentByKey {
             scope: DeduplicationScope::Shard,
             window: 9_000
         }
     );
     assert_eq!(
-        effect("/profiles/1/key_ttl_us"),
+        idempotency("/profiles/1/key_ttl_us"),
         Idempotency::IdempotentByKey {
             scope: DeduplicationScope::Zone,
             window: 0
@@ -139,7 +139,7 @@
     );
     assert!(
         read("/registry_mode").scheduler.endpoints_pushed,
-        "counts as soon as the service knows"
+        "without registry_mode, endpoint lists count as pushed"
     );
     assert!(!read("/limits/cancel").scheduler.allow_cancel);
     assert_eq!(
