--- a/crates/endpoint-list/src/cache.rs
+++ b/crates/endpoint-list/src/cache.rs
@@ -1,11 +1,11 @@
-//! The known endpoints as text, which a host caches for its next start.
+//! Cache text of the known endpoints, which a host stores for its next start.
 use crate::endpoint::Endpoint;
 use crate::wire::{ProtocolError, parse_endpoint, write_endpoint};
 
-/// The last line. A truncated number would be read as another number: this line shows that nothing is missing.
+/// Last line of a cache. Shows that the text is complete, since a truncated number would be read as another number.
 const END: &str = "end";
 
-/// Writes endpoints as the text of a cache.
+/// Returns the cache text of endpoints.
 pub(crate) fn write<'a>(endpoints: impl ExactSizeIterator<Item = &'a Endpoint>) -> String {
     let mut out = format!("kept {}\n", endpoints.len());
     for endpoint in endpoints {
@@ -16,11 +16,11 @@
     out
 }
 
-/// Reads the text of a cache.
+/// Reads the endpoints from a cache text.
 ///
 /// # Errors
 ///
-/// The text is truncated or otherwise not as it was written.
+/// Returns an error if the text is truncated or otherwise not a text that [`write`] returns.
 pub(crate) fn read(text: &str) -> Result<Vec<Endpoint>, ProtocolError> {
     let mut lines = text.lines();
     let head = lines.next().and_then(|line| line.strip_prefix("kept "));
--- a/crates/endpoint-list/src/endpoint.rs
+++ b/crates/endpoint-list/src/endpoint.rs
@@ -1,19 +1,19 @@
-//! Endpoints and updates of the list of them.
+//! Endpoints, and updates of the endpoint list.
 use std::num::NonZeroU64;
 
-/// Whether an endpoint takes requests.
+/// State of an endpoint: whether it accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The node accepts requests.
     Active,
-    /// It completes its requests in flight and takes no new ones.
+    /// The node completes its requests in flight and accepts no new ones.
     Draining,
-    /// It was removed from the fleet.
+    /// The node was removed from the fleet.
     Removed,
 }
 
 impl EndpointState {
-    /// The state's name on the wire.
+    /// Returns the state's name on the wire.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The state that has this name on the wire.
+    /// Returns the state with this name on the wire.
     pub(crate) fn from_wire(name: &str) -> Option<EndpointState> {
         let states = [
             EndpointState::Active,
@@ -34,43 +34,43 @@
     }
 }
 
-/// A node as the service lists it.
+/// Node as the service lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
     /// Name of the node.
     pub name: String,
-    /// Whether it takes requests.
+    /// Whether the node accepts requests.
     pub state: EndpointState,
-    /// Number of this run of the node's process, which grows from run to run. None, which is 0 on the wire, for a run
-    /// that started long ago; every other run is later.
+    /// Number of the current run of the node's process, which increases from run to run. `None` (0 on the wire): the
+    /// run started long ago, before any numbered run.
     pub generation: Option<NonZeroU64>,
-    /// How long this run has been up, in milliseconds, when the service sent it.
+    /// Time for which the run had been up when the service sent the endpoint, in milliseconds.
     pub uptime_ms: u64,
 }
 
 /// Version of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListVersion {
-    /// Drawn at random by the service at its start.
+    /// Random number that the service draws at its start.
     pub epoch: u64,
-    /// Counts up within the epoch. A host shows 0 while it has received nothing on its connection.
+    /// Number of the version, which increases within the epoch. 0: the host has received no update on its connection.
     pub version: u64,
 }
 
-/// How an update relates to what was known before.
+/// Kind of an update, which decides how it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// All endpoints.
+    /// The update contains all endpoints.
     FullSnapshot,
-    /// Only those that have changed since the version before.
+    /// The update contains only endpoints that have changed since the previous version.
     Incremental,
 }
 
-/// An update that leads to a newer version of the list.
+/// Update to a newer version of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointUpdate {
-    /// Full or incremental.
+    /// Kind of the update.
     pub kind: UpdateKind,
-    /// The endpoints, in the order of the message.
+    /// Endpoints in the order of the message.
     pub endpoints: Vec<Endpoint>,
 }
--- a/crates/endpoint-list/src/known_list.rs
+++ b/crates/endpoint-list/src/known_list.rs
@@ -1,35 +1,37 @@
-//! The list as a host knows it: which updates are newer, and the endpoints that they lead to.
+//! Endpoint list as a host knows it: applies updates that are newer, and drops stale ones.
 use crate::endpoint::{Endpoint, EndpointUpdate, ListVersion, UpdateKind};
 use crate::wire::UpdateHead;
 use std::collections::BTreeMap;
 use std::num::NonZeroU64;
 
-/// What an update leads to.
+/// Outcome of an update.
 pub(crate) enum Outcome {
-    /// It is not newer than what is known.
+    /// The update is not newer than the known list and was dropped.
     Dropped,
-    /// A version was missed before it.
+    /// The update does not follow the known version, so a version was missed.
     VersionMissed,
-    /// It was applied. Endpoints of an older generation than the known ones are left out.
+    /// The update was applied. Contains it without endpoints of an older generation than the known ones.
     Applied(EndpointUpdate),
 }
 
-/// The last version and endpoints that were received.
+/// Latest version and endpoints that were received.
 #[derive(Default)]
 pub(crate) struct KnownList {
     epoch: u64,
-    /// None: nothing was received on this connection, so that a full snapshot of any version is accepted.
+    /// Known version. `None`: no update was received on this connection, so a full snapshot of any version is
+    /// accepted.
     version: Option<NonZeroU64>,
     endpoints: BTreeMap<String, Endpoint>,
 }
 
 impl KnownList {
-    /// A new connection opens with a full snapshot, which needs no version before it. The endpoints stay known.
+    /// Forgets the known version for a new connection, which begins with a full snapshot of any version. The endpoints
+    /// remain known.
     pub(crate) fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// The version as it is shown and sent: 0 for none.
+    /// Returns the known version, with number 0 if there is none.
     pub(crate) fn version(&self) -> ListVersion {
         ListVersion {
             epoch: self.epoch,
@@ -37,19 +39,20 @@
         }
     }
 
-    /// The known endpoints, by name.
+    /// Returns the known endpoints in order of their names.
     pub(crate) fn endpoints(&self) -> impl ExactSizeIterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// Knows these endpoints and no others, of no version.
+    /// Replaces the known endpoints. The known version is unchanged.
     pub(crate) fn restore(&mut self, endpoints: &[Endpoint]) {
         self.endpoints.clear();
         self.insert(endpoints);
     }
 
-    /// Applies a complete update. A version that is not newer than the last one is dropped, and so is an endpoint of
-    /// an older generation than the known one: that process has ended, whatever the version of the update.
+    /// Applies a complete update. An update that is not newer than the known version is dropped. An endpoint of an
+    /// older generation than the known one is also dropped: that process has ended, whatever the version of the
+    /// update.
     pub(crate) fn apply(&mut self, head: &UpdateHead, endpoints: Vec<Endpoint>) -> Outcome {
         let known = self.version.filter(|_| head.version.epoch == self.epoch);
         if known.is_some_and(|known| head.version.version <= known.get()) {
--- a/crates/endpoint-list/src/lib.rs
+++ b/crates/endpoint-list/src/lib.rs
@@ -1,24 +1,26 @@
-//! The protocol of the endpoint list service, free of I/O: which nodes there are, and which of them take requests.
+//! Protocol of the endpoint list service, without I/O. The endpoint list states which nodes exist and which of them
+//! accept requests.
 //!
-//! Lines of text over a stream. A host sends `watch HOST` (a full snapshot, then each change as it happens) or
-//! `all HOST` (one full snapshot), with its own name. The service answers with messages of a head line and COUNT
-//! lines after it:
+//! The protocol consists of lines of text over a stream. A host sends `watch HOST` (a full snapshot, then each change
+//! as it happens) or `all HOST` (one full snapshot), with its own name as HOST. The service answers with messages that
+//! consist of a head line and COUNT lines after it:
 //!
 //! ```text
 //! list EPOCH VERSION whole|changes COUNT
 //! node NAME active|leaving|left GENERATION UPTIME
 //! ```
 //!
-//! EPOCH is drawn by the service at its start, VERSION counts up within it. GENERATION is the number of a
-//! run of a node's process, and 0 for one that started long ago. UPTIME is how long that run has been up, in
-//! milliseconds, by the service's clock when it sends the line. The clocks of host and service are never compared.
+//! EPOCH is a random number that the service draws at its start. VERSION increases within an epoch. GENERATION is the
+//! number of a run of a node's process, or 0 for a run that started long ago. UPTIME is the time for which that run
+//! has been up when the service sends the line, in milliseconds on the service's clock. The clocks of host and service
+//! are never compared.
 //!
-//! - [`endpoint`]: what the service says of a node.
-//! - [`wire`]: the lines, written and parsed.
-//! - [`watcher`]: a host's side.
-//! - `line_buffer`: lines out of bytes that arrive in pieces.
+//! - [`endpoint`]: endpoints and updates of the list.
+//! - [`wire`]: writing and parsing of lines.
+//! - [`watcher`]: a host's side of the protocol.
+//! - `line_buffer`: assembly of lines from bytes that arrive in pieces.
 //! - `known_list`: the list as a host knows it, and which updates are newer.
-//! - `cache`: the known endpoints as text, for the next start.
+//! - `cache`: the known endpoints as text, for the host's next start.
 //!
 //! ```
 //! use mallowseam_endpoint_list::{EndpointState, EndpointWatcher, WatchEvent};
@@ -28,7 +30,7 @@
 //! let bytes = b"list 7 1 whole 1\nnode n1 active 3 60000\nlist 7 3 changes 1\nnode n1 leaving 3 61000\n";
 //! watcher.receive(bytes, |event| events.push(event))?;
 //!
-//! // Version 1 is complete; version 3 does not follow it.
+//! // Version 1 is a complete update. Version 3 does not follow version 1, so a full snapshot is required.
 //! let [WatchEvent::Update(update), WatchEvent::SnapshotRequired] = &events[..] else { panic!("{events:?}") };
 //! assert_eq!(update.endpoints[0].state, EndpointState::Active);
 //! # Ok::<(), mallowseam_endpoint_list::ProtocolError>(())
--- a/crates/endpoint-list/src/line_buffer.rs
+++ b/crates/endpoint-list/src/line_buffer.rs
@@ -1,27 +1,28 @@
-//! Lines out of bytes that arrive in pieces of any size.
+//! Assembly of lines from bytes that arrive in pieces of any size.
 use crate::wire::{MAX_LINE_BYTES, ProtocolError};
 
-/// The line that is arriving on a connection.
+/// Buffer of the incomplete line on a connection.
 #[derive(Default)]
 pub(crate) struct LineBuffer {
     partial: Vec<u8>,
-    /// Complete lines so far.
+    /// Number of complete lines so far.
     completed: u64,
 }
 
 impl LineBuffer {
-    /// Begins anew, for another connection.
+    /// Resets the buffer for a new connection.
     pub(crate) fn reset(&mut self) {
         self.partial.clear();
         self.completed = 0;
     }
 
-    /// Number of the last complete line, counted from 1.
+    /// Returns the number of the last complete line, counted from 1.
     pub(crate) fn number(&self) -> u64 {
         self.completed
     }
 
-    /// Takes a byte. Returns the line that it completes, without its end; [`LineBuffer::recycle`] takes its memory back.
+    /// Appends a byte. Returns the line that the byte completes, without the line end. [`LineBuffer::recycle`] reuses
+    /// the memory of the line.
     pub(crate) fn push(&mut self, byte: u8) -> Result<Option<Vec<u8>>, ProtocolError> {
         if byte == b'\n' {
             self.completed += 1;
@@ -35,7 +36,7 @@
         Ok(None)
     }
 
-    /// Takes back the memory of a line, for the next one.
+    /// Reuses the memory of a processed line for the next one.
     pub(crate) fn recycle(&mut self, mut line: Vec<u8>) {
         line.clear();
         self.partial = line;
--- a/crates/endpoint-list/src/watcher.rs
+++ b/crates/endpoint-list/src/watcher.rs
@@ -1,21 +1,21 @@
-//! A host's side of the protocol. It retains the last version and endpoints that it received, so that old or repeated
-//! updates are recognized, and writes them as a cache for the next start.
+//! A host's side of the protocol. The watcher keeps the latest version and endpoints that it received, so that stale
+//! and duplicate updates are recognized, and writes the endpoints as a cache for the next start.
 use crate::cache;
 use crate::endpoint::{Endpoint, EndpointUpdate, ListVersion, UpdateKind};
 use crate::known_list::{KnownList, Outcome};
 use crate::line_buffer::LineBuffer;
 use crate::wire::{ProtocolError, UpdateHead, parse_endpoint, parse_head};
 
-/// What the service's messages lead to.
+/// Event that results from the service's messages.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// A newer version of the list.
+    /// A newer version of the list was received.
     Update(EndpointUpdate),
-    /// A version was missed: the caller has to ask for a full snapshot.
+    /// A version was missed. The caller must request a full snapshot.
     SnapshotRequired,
 }
 
-/// A message of which not all lines have arrived.
+/// Message whose lines have not all arrived yet.
 struct PartialUpdate {
     head: UpdateHead,
     endpoints: Vec<Endpoint>,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A host's side of the protocol.
+/// Watcher of the endpoint list: a host's side of the protocol.
 #[derive(Default)]
 pub struct EndpointWatcher {
     lines: LineBuffer,
@@ -43,24 +43,25 @@
 }
 
 impl EndpointWatcher {
-    /// A new connection to the service: a partial message of the last one is dropped, known endpoints stay.
+    /// Prepares for a new connection to the service. A partial message of the previous connection is dropped; the
+    /// known endpoints are kept.
     pub fn on_reconnect(&mut self) {
         self.lines.reset();
         self.partial_update = None;
         self.known.forget_version();
     }
 
-    /// Version of the list.
+    /// Returns the version of the known list.
     #[must_use]
     pub fn version(&self) -> ListVersion {
         self.known.version()
     }
 
-    /// Takes bytes as they arrive, in pieces of any size; `notify` gets the events that they lead to.
+    /// Processes received bytes, in pieces of any size, and passes the resulting events to `notify`.
     ///
     /// # Errors
     ///
-    /// A line violates the protocol. The caller closes the connection.
+    /// Returns an error if a line violates the protocol. The caller must close the connection.
     pub fn receive(
         &mut self,
         bytes: &[u8],
@@ -98,18 +99,19 @@
         }
     }
 
-    /// The known endpoints as the text of a cache for [`EndpointWatcher::restore_cache`].
+    /// Returns the known endpoints as a cache text for [`EndpointWatcher::restore_cache`].
     #[must_use]
     pub fn write_cache(&self) -> String {
         cache::write(self.known.endpoints())
     }
 
-    /// Restores the known endpoints from what [`EndpointWatcher::write_cache`] wrote, and returns them. Their
-    /// uptimes are those of the time of writing.
+    /// Restores the known endpoints from a cache text of [`EndpointWatcher::write_cache`], and returns them. Their
+    /// uptimes are those at the time of writing.
     ///
     /// # Errors
     ///
-    /// The text is truncated or otherwise not as it was written; nothing is changed then.
+    /// Returns an error if the text is truncated or otherwise not a valid cache. The known endpoints are then
+    /// unchanged.
     pub fn restore_cache(&mut self, text: &str) -> Result<EndpointUpdate, ProtocolError> {
         let endpoints = cache::read(text)?;
         self.known.restore(&endpoints);
--- a/crates/endpoint-list/src/wire.rs
+++ b/crates/endpoint-list/src/wire.rs
@@ -1,25 +1,26 @@
-//! The lines of the protocol, written and parsed.
+//! Writing and parsing of the protocol's lines.
 use crate::endpoint::{Endpoint, EndpointState, ListVersion, UpdateKind};
 use std::fmt::Write;
 use std::num::NonZeroU64;
 use thiserror::Error;
 
-/// Longest line, in bytes: several times a line with a name of usual length. Bounds what a host buffers of a line.
+/// Maximum length of a line, in bytes. Several times the length of a line with a usual name; bounds a host's line
+/// buffer.
 pub const MAX_LINE_BYTES: usize = 256;
-/// Most endpoints in one message: far more than any fleet has. Bounds what a host buffers of a message.
+/// Maximum number of endpoints in one message. Far more than any fleet has; bounds a host's buffer for a message.
 pub const MAX_ENDPOINTS: usize = 4096;
 
-/// A line that violates the protocol. The rest of the stream cannot be interpreted.
+/// Error of a line that violates the protocol. The rest of the stream cannot be interpreted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("node list, line {line}: expected {expected}")]
 pub struct ProtocolError {
-    /// Number of the line on its connection or in its file, counted from 1.
+    /// Number of the line on the connection or in the cache, counted from 1.
     pub line: u64,
-    /// What the protocol requires in its place.
+    /// Form that the protocol requires.
     pub expected: &'static str,
 }
 
-/// The head line of a message.
+/// Head line of a message.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct UpdateHead {
     pub version: ListVersion,
@@ -34,7 +35,7 @@
     }
 }
 
-/// Parses the head line of a message; `line` is its number.
+/// Parses the head line of a message. `line`: number of the line, for errors.
 pub(crate) fn parse_head(text: &str, line: u64) -> Result<UpdateHead, ProtocolError> {
     let fields: Vec<&str> = text.split(' ').collect();
     let ["list", epoch, version, kind, count] = fields[..] else {
@@ -67,11 +68,12 @@
     })
 }
 
-/// Parses the line of one endpoint; `line` is its number.
+/// Parses the line of one endpoint. `line`: number of the line, for errors.
 pub(crate) fn parse_endpoint(text: &str, line: u64) -> Result<Endpoint, ProtocolError> {
     let fields: Vec<&str> = text.split(' ').collect();
     let ["node", name, state, generation, uptime] = fields[..] else {
-        // The error texts use the names that the first version of the protocol had for generation and uptime.
+        // The error texts use the names that generation and uptime had in the first version of the protocol: BORN (a
+        // start) and AGE.
         return Err(ProtocolError::new(
             line,
             "node NAME active|leaving|left BORN AGE",
@@ -96,7 +98,7 @@
     })
 }
 
-/// Appends a message of the service to a text.
+/// Appends a message of the service to `out`.
 pub fn write_update(
     out: &mut String,
     version: ListVersion,
@@ -109,12 +111,14 @@
         UpdateKind::Incremental => "changes",
     };
     let count = endpoints.len();
-    writeln!(out, "list {epoch} {version} {kind} {count}").expect("writing to memory");
+    writeln!(out, "list {epoch} {version} {kind} {count}")
+        .expect("writing to memory does not fail");
     for endpoint in endpoints {
         write_endpoint(out, endpoint);
     }
 }
 
+/// Appends the line of one endpoint to `out`.
 pub(crate) fn write_endpoint(out: &mut String, endpoint: &Endpoint) {
     let Endpoint {
         name,
@@ -124,5 +128,6 @@
     } = endpoint;
     let state = state.as_str();
     let generation = generation.map_or(0, NonZeroU64::get);
-    writeln!(out, "node {name} {state} {generation} {uptime_ms}").expect("writing to memory");
+    writeln!(out, "node {name} {state} {generation} {uptime_ms}")
+        .expect("writing to memory does not fail");
 }
--- a/crates/endpoint-list/tests/pinned_wire.rs
+++ b/crates/endpoint-list/tests/pinned_wire.rs
@@ -1,5 +1,6 @@
-//! Pins the protocol: every line that is written, and what is read from every form of it, cut at every byte and
-//! with every byte changed, compared with what commit 01f3988 wrote and read.
+//! Pinned protocol: every line that is written, and the values that are read from every form of it, cut at every byte
+//! and with every byte changed, compared with the results of commit 01f3988. Guards against unintended changes of the
+//! protocol.
 use mallowseam_endpoint_list::{
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, MAX_ENDPOINTS,
     MAX_LINE_BYTES, ProtocolError, UpdateKind, WatchEvent, write_update,
@@ -14,14 +15,14 @@
     EndpointState::Removed,
 ];
 
-/// What the host knows after `WHOLE`, as it is cached for the next start.
+/// Cache text of a host that has received `WHOLE`.
 const CACHED: &str =
     "kept 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\nend\n";
 const WHOLE: &str = "list 9 3 whole 3\nnode a1 active 5 10\nnode b-2 leaving 0 18446744073709551615\nnode c left 7 0\n";
 const CHANGES: &str = "list 9 4 changes 1\nnode a1 left 5 20\n";
 const EMPTY: &str = "list 18446744073709551615 0 whole 0\n";
 
-fn entry(name: &str, state: EndpointState, generation: u64, uptime_ms: u64) -> Endpoint {
+fn endpoint(name: &str, state: EndpointState, generation: u64, uptime_ms: u64) -> Endpoint {
     Endpoint {
         name: name.into(),
         state,
@@ -30,11 +31,11 @@
     }
 }
 
-fn entries() -> Vec<Endpoint> {
+fn endpoints() -> Vec<Endpoint> {
     vec![
-        entry("a1", EndpointState::Active, 5, 10),
-        entry("b-2", EndpointState::Draining, 0, u64::MAX),
-        entry("c", EndpointState::Removed, 7, 0),
+        endpoint("a1", EndpointState::Active, 5, 10),
+        endpoint("b-2", EndpointState::Draining, 0, u64::MAX),
+        endpoint("c", EndpointState::Removed, 7, 0),
     ]
 }
 
@@ -46,16 +47,16 @@
             UpdateKind::Incremental => "changes",
         }
     );
-    for e in &update.endpoints {
+    for endpoint in &update.endpoints {
         write!(
             text,
             " [{} {} {} {}]",
-            e.name,
-            e.state.as_str(),
-            e.generation.map_or(0, NonZeroU64::get),
-            e.uptime_ms
+            endpoint.name,
+            endpoint.state.as_str(),
+            endpoint.generation.map_or(0, NonZeroU64::get),
+            endpoint.uptime_ms
         )
-        .expect("writing to memory");
+        .expect("writing to memory does not fail");
     }
     text
 }
@@ -67,15 +68,16 @@
     }
 }
 
-/// What a watcher makes of some bytes: all events, the error if there was one, and what it knows then.
+/// Passes bytes to a watcher and returns a text of all events, the error if there is one, and the known list after
+/// them.
 fn receive(watcher: &mut EndpointWatcher, bytes: &[u8]) -> String {
     let mut text = String::new();
     let result = watcher.receive(bytes, |event| {
         text.push_str(&describe(&event));
         text.push('\n');
     });
-    if let Err(wrong) = result {
-        writeln!(text, "error {} {wrong}", wrong.line).expect("writing to memory");
+    if let Err(error) = result {
+        writeln!(text, "error {} {error}", error.line).expect("writing to memory does not fail");
     }
     let ListVersion { epoch, version } = watcher.version();
     writeln!(
@@ -83,7 +85,7 @@
         "at {epoch} {version} knows {:?}",
         watcher.write_cache()
     )
-    .expect("writing to memory");
+    .expect("writing to memory does not fail");
     text
 }
 
@@ -91,7 +93,7 @@
     let mut watcher = EndpointWatcher::default();
     let result = match watcher.restore_cache(text) {
         Ok(update) => describe_update(&update),
-        Err(wrong) => format!("error {} {wrong}", wrong.line),
+        Err(error) => format!("error {} {error}", error.line),
     };
     let ListVersion { epoch, version } = watcher.version();
     format!(
@@ -111,7 +113,7 @@
             version: 3,
         },
         UpdateKind::FullSnapshot,
-        &entries(),
+        &endpoints(),
     );
     assert_eq!(out, WHOLE);
     out.clear();
@@ -122,7 +124,7 @@
             version: 4,
         },
         UpdateKind::Incremental,
-        &[entry("a1", EndpointState::Removed, 5, 20)],
+        &[endpoint("a1", EndpointState::Removed, 5, 20)],
     );
     assert_eq!(out, CHANGES);
     out.clear();
@@ -146,25 +148,27 @@
 #[test]
 fn the_cached_list_is_written_and_read_as_recorded() {
     let mut watcher = EndpointWatcher::default();
-    watcher.receive(WHOLE.as_bytes(), |_| {}).expect("valid");
+    watcher
+        .receive(WHOLE.as_bytes(), |_| {})
+        .expect("input is valid");
     assert_eq!(watcher.write_cache(), CACHED);
-    let mut back = EndpointWatcher::default();
+    let mut restored = EndpointWatcher::default();
     assert_eq!(
-        back.restore_cache(CACHED),
+        restored.restore_cache(CACHED),
         Ok(EndpointUpdate {
             kind: UpdateKind::FullSnapshot,
-            endpoints: entries()
+            endpoints: endpoints()
         })
     );
     assert_eq!(
-        (back.write_cache().as_str(), back.version()),
+        (restored.write_cache().as_str(), restored.version()),
         (CACHED, ListVersion::default())
     );
     assert_eq!(EndpointWatcher::default().write_cache(), "kept 0\nend\n");
     assert_eq!(restore("kept 0\nend\n"), RESTORED_EMPTY);
 }
 
-/// A cached copy without nodes leads to an empty update.
+/// Text of the empty update that a cache without nodes leads to.
 const RESTORED_EMPTY: &str = r#"news whole at (0, 0) knows "kept 0\nend\n""#;
 
 #[test]
@@ -177,11 +181,11 @@
     for cut in 0..=stream.len() {
         let mut watcher = EndpointWatcher::default();
         record += &receive(&mut watcher, &stream.as_bytes()[..cut]);
-        // A reconnect drops the partial line and the partial list.
+        // A reconnect drops the partial line and the partial message.
         let mut reconnected = EndpointWatcher::default();
         reconnected
             .receive(&stream.as_bytes()[..cut], |_| {})
-            .expect("valid");
+            .expect("input is valid");
         reconnected.on_reconnect();
         record += &receive(&mut reconnected, stream.as_bytes());
         receive(&mut watcher, &stream.as_bytes()[cut..]);
@@ -195,13 +199,17 @@
 fn a_changed_byte_is_read_as_recorded() {
     let stream = [WHOLE, CHANGES].concat();
     let mut record = String::new();
-    for place in 0..stream.len() {
+    for position in 0..stream.len() {
         for other in [b' ', b'\n', b'\r', b'0', b'9', b'x', b'-', 0xff] {
             let mut bytes = stream.clone().into_bytes();
-            bytes[place] = other;
+            bytes[position] = other;
             record += &receive(&mut EndpointWatcher::default(), &bytes);
         }
-        let without = [&stream.as_bytes()[..place], &stream.as_bytes()[place + 1..]].concat();
+        let without = [
+            &stream.as_bytes()[..position],
+            &stream.as_bytes()[position + 1..],
+        ]
+        .concat();
         record += &receive(&mut EndpointWatcher::default(), &without);
     }
     assert_eq!(Digest::of_text(&record), "0f1181697cab83e4");
@@ -210,11 +218,12 @@
 #[test]
 fn a_cached_list_cut_or_changed_at_any_byte_is_read_as_recorded() {
     let mut record = String::new();
-    for place in 0..CACHED.len() {
-        writeln!(record, "{}", restore(&CACHED[..place])).expect("writing to memory");
+    for position in 0..CACHED.len() {
+        writeln!(record, "{}", restore(&CACHED[..position]))
+            .expect("writing to memory does not fail");
         for other in [" ", "\n", "\r", "0", "9", "x"] {
-            let text = [&CACHED[..place], other, &CACHED[place + 1..]].concat();
-            writeln!(record, "{}", restore(&text)).expect("writing to memory");
+            let text = [&CACHED[..position], other, &CACHED[position + 1..]].concat();
+            writeln!(record, "{}", restore(&text)).expect("writing to memory does not fail");
         }
     }
     assert_eq!(Digest::of_text(&record), "7488227ee72a9703");
@@ -266,19 +275,19 @@
             "line 1: expected a line of up to 256 bytes",
         ),
     ];
-    for (text, error) in expected {
-        let wrong = EndpointWatcher::default()
+    for (text, expected_error) in expected {
+        let error = EndpointWatcher::default()
             .receive(text.as_bytes(), |_| {})
             .expect_err(&text);
-        assert_eq!(wrong.to_string(), format!("node list, {error}"));
+        assert_eq!(error.to_string(), format!("node list, {expected_error}"));
     }
     assert_eq!(
         EndpointWatcher::default().receive("x".repeat(256).as_bytes(), |_| {}),
         Ok(())
     );
-    let text = EndpointWatcher::default().receive(b"\xff\n", |_| {});
+    let result = EndpointWatcher::default().receive(b"\xff\n", |_| {});
     assert_eq!(
-        text,
+        result,
         Err(ProtocolError {
             line: 1,
             expected: "text"
@@ -289,21 +298,22 @@
     assert_eq!(
         EndpointWatcher::default()
             .restore_cache("kept x\nend\n")
-            .expect_err("no count")
+            .expect_err("the count is invalid")
             .to_string(),
         "node list, line 1: expected kept COUNT"
     );
     assert_eq!(
         EndpointWatcher::default()
             .restore_cache("kept 1\nend\n")
-            .expect_err("no node")
+            .expect_err("a node is missing")
             .to_string(),
         "node list, line 1: expected as many nodes as the head says, then end"
     );
 }
 
-/// Lists of random epochs, versions and runs, in pieces, with connections that are lost now and then.
-fn play(seed: u64) -> String {
+/// Returns the digest of the events for seeded lists of random epochs, versions and generations, which arrive in
+/// pieces over connections that are lost at times.
+fn digest_of_seed(seed: u64) -> String {
     let (mut rng, mut record) = (SeededRng::new(seed), String::new());
     let mut watcher = EndpointWatcher::default();
     let (mut epoch, mut version) = (1, 1);
@@ -316,16 +326,18 @@
             4 => {
                 let cached = watcher.write_cache();
                 watcher = EndpointWatcher::default();
-                let update = watcher.restore_cache(&cached).expect("as it was written");
+                let update = watcher
+                    .restore_cache(&cached)
+                    .expect("the written cache is valid");
                 record += &describe_update(&update);
             }
             _ => version += 1,
         }
-        let entries: Vec<Endpoint> = (0..rng.below(5))
+        let endpoints: Vec<Endpoint> = (0..rng.below(5))
             .map(|_| {
                 let name = format!("n{}", rng.below(6));
                 let endpoint_state = STATES[rng.below(3) as usize];
-                entry(&name, endpoint_state, rng.below(4), rng.below(1_000))
+                endpoint(&name, endpoint_state, rng.below(4), rng.below(1_000))
             })
             .collect();
         let mut text = String::new();
@@ -334,7 +346,7 @@
         } else {
             UpdateKind::Incremental
         };
-        write_update(&mut text, ListVersion { epoch, version }, kind, &entries);
+        write_update(&mut text, ListVersion { epoch, version }, kind, &endpoints);
         let cut = rng.below(text.len() as u64 + 1) as usize;
         record += &receive(&mut watcher, &text.as_bytes()[..cut]);
         if rng.below(20) == 0 {
@@ -348,7 +360,7 @@
 
 #[test]
 fn every_seed_leads_to_the_recorded_updates() {
-    let digests: Vec<String> = (0..20).map(play).collect();
+    let digests: Vec<String> = (0..20).map(digest_of_seed).collect();
     assert_eq!(
         digests,
         [
--- a/crates/endpoint-list/tests/watcher.rs
+++ b/crates/endpoint-list/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! What a host's watcher makes of the service's messages.
+//! Events of a host's watcher for messages of the service.
 use mallowseam_endpoint_list::{
     Endpoint, EndpointState, EndpointUpdate, EndpointWatcher, ListVersion, UpdateKind, WatchEvent,
     write_update,
@@ -42,11 +42,11 @@
     let mut events = Vec::new();
     watcher
         .receive(text.as_bytes(), |event| events.push(event))
-        .expect("valid");
+        .expect("message is valid");
     events
 }
 
-/// A watcher that has received a message.
+/// Returns a watcher that has received a message.
 fn watcher_after(message: &str) -> EndpointWatcher {
     let mut watcher = EndpointWatcher::default();
     receive(&mut watcher, message);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_update_is_notified_once_however_it_is_split_and_repeated() {
+fn an_update_is_notified_once_even_if_split_and_repeated() {
     let endpoints = [
         endpoint("a", EndpointState::Active, 5),
         endpoint("b", EndpointState::Draining, 0),
@@ -65,7 +65,7 @@
     for byte in text.repeat(2).bytes() {
         watcher
             .receive(&[byte], |event| events.push(event))
-            .expect("valid");
+            .expect("message is valid");
     }
     let update = EndpointUpdate {
         kind: UpdateKind::FullSnapshot,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_older_version_is_dropped_and_a_gap_is_noticed() {
+fn a_stale_version_is_dropped_and_a_gap_requires_a_snapshot() {
     let mut watcher = watcher_after(&snapshot(9, 3, &[endpoint("a", EndpointState::Active, 5)]));
     let removed = [endpoint("a", EndpointState::Removed, 5)];
     assert_eq!(receive(&mut watcher, &increment(9, 2, &removed)), []);
@@ -127,7 +127,7 @@
     let cache = watcher.write_cache();
     let restored = EndpointWatcher::default()
         .restore_cache(&cache)
-        .expect("complete");
+        .expect("cache is complete");
     assert_eq!(restored.endpoints, endpoints);
     for end in 0..cache.len() - 1 {
         assert!(
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_error_has_the_number_of_its_line() {
+fn an_error_contains_the_number_of_its_line() {
     let long = "x".repeat(300);
     for (text, line) in [
         ("hello\n", 1),
