--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -1,45 +1,46 @@
-//! The chunked transfer coding (RFC 9112, section 7.1), decoded in place.
+//! In-place decoder of the chunked transfer coding (RFC 9112, section 7.1).
 use crate::ParseError;
 use httparse::Status;
 
-/// Upper bound of one chunk-size line with its extensions, in bytes.
+/// Maximum length of one chunk-size line with its extensions, in bytes.
 const MAX_SIZE_LINE: usize = 256;
-/// Upper bound of the trailer section, in bytes.
+/// Maximum length of the trailer section, in bytes.
 const MAX_TRAILERS: usize = 2_048;
-/// What the coding can add to a buffer beside the decoded bytes: a chunk-size line, or the trailer section.
+/// Upper bound of the undecoded bytes that the coding needs in a buffer beside the decoded ones: a chunk-size line, or
+/// the trailer section.
 pub(crate) const MAX_CODING_OVERHEAD: usize = MAX_SIZE_LINE + MAX_TRAILERS;
 
-/// What the decoder expects next.
+/// State of the decoder: the element that it expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// A chunk-size line.
+    /// The decoder expects a chunk-size line.
     Size,
-    /// This many more bytes of a chunk's data.
+    /// The decoder expects this number of further bytes of a chunk's data.
     Data(usize),
-    /// The line end behind a chunk's data.
+    /// The decoder expects the line end after a chunk's data.
     DataEnd,
-    /// The trailer section, of which this many bytes are consumed.
+    /// The decoder expects the rest of the trailer section, of which this number of bytes is consumed.
     Trailers(usize),
-    /// Nothing: the body is complete.
+    /// The body is complete.
     Complete,
 }
 
-/// Whether the decoder can take another step with the bytes that it has.
+/// Result of a decoding step: whether another step is possible with the received bytes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Advanced,
     NeedsMore,
 }
 
-/// The buffer of a body while it is decoded.
+/// Buffer of a body while it is decoded.
 struct Input<'a> {
     buffer: &'a mut [u8],
-    /// The offset behind the last byte that was read.
+    /// Offset after the last byte that was read.
     consumed: usize,
 }
 
 impl Input<'_> {
-    /// The bytes that have not been read yet.
+    /// Returns the bytes that have not been read yet.
     fn rest(&self) -> &[u8] {
         self.buffer.get(self.consumed..).unwrap_or_default()
     }
@@ -48,7 +49,7 @@
         self.consumed += count;
     }
 
-    /// Reads bytes and moves them to an offset before them.
+    /// Reads `count` bytes and moves them to a lower offset.
     fn move_to(&mut self, to: usize, count: usize) {
         let end = self.consumed + count;
         self.buffer.copy_within(self.consumed..end, to);
@@ -56,8 +57,8 @@
     }
 }
 
-/// Decodes a chunked body inside its buffer. Decoded bytes end at [`ChunkedDecoder::decoded_end`]; behind it stand
-/// bytes that are not decoded yet or, once the body is complete, those of the next message.
+/// Decodes a chunked body within its buffer. Decoded bytes end at [`ChunkedDecoder::decoded_end`]. They are followed
+/// by bytes that are not decoded yet or, once the body is complete, by those of the next message.
 #[derive(Clone, Copy, Debug)]
 pub struct ChunkedDecoder {
     decoded_end: usize,
@@ -65,7 +66,7 @@
 }
 
 impl ChunkedDecoder {
-    /// A decoder for a body that begins at this offset of its buffer.
+    /// Creates a decoder for a body that begins at offset `start` of its buffer.
     #[must_use]
     pub fn new(start: usize) -> Self {
         ChunkedDecoder {
@@ -74,28 +75,28 @@
         }
     }
 
-    /// The offset behind the last decoded byte.
+    /// Returns the offset after the last decoded byte.
     #[must_use]
     pub fn decoded_end(&self) -> usize {
         self.decoded_end
     }
 
-    /// Whether the last chunk and the trailer section have been read.
+    /// Returns whether the last chunk and the trailer section have been read.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.state == State::Complete
     }
 
-    /// Tells the decoder that the caller has removed this many decoded bytes from the front of the buffer.
+    /// Records that the caller has removed `count` decoded bytes from the front of the buffer.
     pub fn discard_front(&mut self, count: usize) {
         self.decoded_end -= count;
     }
 
-    /// Decodes what has arrived. `max_end`: the largest offset at which decoded bytes may end.
+    /// Decodes the received bytes. `max_end`: largest offset at which decoded bytes may end.
     ///
     /// # Errors
     ///
-    /// The coding is malformed, or the body or its trailer section exceeds a limit.
+    /// Returns an error if the coding is malformed, or if the body or its trailer section exceeds a limit.
     pub fn decode(&mut self, buffer: &mut Vec<u8>, max_end: usize) -> Result<(), ParseError> {
         let mut input = Input {
             buffer,
@@ -107,7 +108,7 @@
         result
     }
 
-    /// Takes steps while there are bytes for them.
+    /// Decodes elements until more bytes are needed or the body is complete.
     fn decode_available(&mut self, input: &mut Input, max_end: usize) -> Result<(), ParseError> {
         loop {
             let progress = match self.state {
@@ -125,7 +126,7 @@
 
     fn read_size(&mut self, input: &mut Input, max_end: usize) -> Result<Progress, ParseError> {
         let rest = input.rest();
-        // httparse accepts blanks ahead of the size; RFC 9112 has the line begin with a digit.
+        // httparse accepts whitespace before the size, but RFC 9112 requires that the line begins with a digit.
         if rest.first().is_some_and(|b| !b.is_ascii_hexdigit()) {
             return Err(ParseError::AmbiguousFraming);
         }
@@ -171,7 +172,8 @@
         }
     }
 
-    /// Reads one line of the trailer section and drops it; the empty line ends the body.
+    /// Reads and drops one line of the trailer section. An empty line ends the body. `before`: number of bytes of the
+    /// section that are consumed already.
     fn read_trailer(&mut self, input: &mut Input, before: usize) -> Result<Progress, ParseError> {
         let rest = input.rest();
         let mut allowed = rest.iter().take(MAX_TRAILERS - before);
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,27 +1,28 @@
-//! Why a message is rejected.
+//! Errors of messages.
 use thiserror::Error;
 
-/// Why a message can't be read. The connection that it came on is of no further use: where the next message would
-/// begin is unknown.
+/// Reason for rejecting a message. The connection that carried it must be closed, since the start of the next message
+/// is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum ParseError {
-    /// Not HTTP/1.1 syntax, or a header that RFC 9110 or RFC 9112 forbids in this form.
+    /// The message violates the HTTP/1.1 syntax, or has a header in a form that RFC 9110 or RFC 9112 forbids.
     Malformed,
     /// The head, or the trailer section of a chunked body, exceeds its limit.
     HeadTooLarge,
     /// The body exceeds its limit.
     BodyTooLarge,
-    /// The end of the body could be read in more than one way, or in none (RFC 9112, section 6.3).
+    /// The end of the body is ambiguous or cannot be determined (RFC 9112, section 6.3).
     AmbiguousFraming,
-    /// A response whose body would end only with the connection.
+    /// The response has a body that would end only with the connection.
     MissingLength,
-    /// A protocol version, status code or transfer coding that is not supported here.
+    /// The message has a protocol version, status code or transfer coding that is not supported.
     Unsupported,
 }
 
 impl ParseError {
-    /// The text of the error. It is sent to clients as the body of a response; same as `Display`, without allocating.
+    /// Returns the text of the error, which clients receive as the body of a response. Same text as `Display`, without
+    /// an allocation.
     #[must_use]
     pub fn message(self) -> &'static str {
         match self {
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,10 +1,10 @@
-//! How the end of a body is found (RFC 9112, section 6.3).
+//! Framing of bodies: how the end of a body is determined (RFC 9112, section 6.3).
 use crate::{Headers, Limits, ParseError};
 
-/// How the body behind a head is delimited.
+/// Framing of the body that follows a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The message has no body.
     None,
     /// The body has this many bytes (`Content-Length`).
     Length(usize),
@@ -13,10 +13,10 @@
 }
 
 impl Framing {
-    /// The framing that the headers declare; `None` if they declare none.
+    /// Returns the framing that the headers declare, or `None` if they declare none.
     ///
-    /// Stricter than RFC 9112, section 6.3, demands: both kinds of framing at once, a repeated or signed length, any
-    /// coding but `chunked` alone, and a transfer coding in HTTP/1.0 are all rejected.
+    /// Stricter than RFC 9112, section 6.3, requires: rejects both kinds of framing at once, a repeated or signed
+    /// length, any transfer coding other than `chunked` alone, and a transfer coding in HTTP/1.0.
     pub(crate) fn declared(
         headers: &Headers<'_>,
         limits: Limits,
@@ -38,12 +38,12 @@
     }
 }
 
-/// The value of `Content-Length`: digits only (RFC 9110, section 8.6).
+/// Parses the value of `Content-Length`, which consists of digits only (RFC 9110, section 8.6).
 fn parse_length(text: &str, limits: Limits) -> Result<usize, ParseError> {
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return Err(ParseError::AmbiguousFraming);
     }
-    // More digits than any integer holds are a well-formed length, which is too large.
+    // A number that exceeds the integer type is a well-formed length that is too large.
     match text.parse() {
         Ok(length) if length <= limits.body => Ok(length),
         _ => Err(ParseError::BodyTooLarge),
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,34 +1,35 @@
-//! The heads of requests and responses (RFC 9112, sections 2 to 5).
+//! Heads of requests and responses (RFC 9112, sections 2 to 5).
 use crate::{Framing, Headers, Limits, ParseError};
 use httparse::Status;
 
-/// 101 Switching Protocols (RFC 9110, section 15.2.2): what follows it is no HTTP/1.1 message.
+/// Status 101 (Switching Protocols, RFC 9110, section 15.2.2). The bytes after it are not an HTTP/1.1 message.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
-/// The head of a request, borrowed from its buffer.
+/// Head of a request, borrowed from its buffer.
 pub struct RequestHead<'b> {
-    /// The method, as sent.
+    /// Method as it was sent.
     pub method: &'b str,
-    /// The request target, as sent: path and query in origin form.
+    /// Request target as it was sent: path and query in origin form.
     pub target: &'b str,
-    /// The header section.
+    /// Header section.
     pub headers: Headers<'b>,
-    /// Whether the client wants the connection closed behind the response.
+    /// Whether the client requests that the connection is closed after the response.
     pub close: bool,
     /// Whether the client waits for 100 (Continue) before it sends the body (RFC 9110, section 10.1.1).
     pub expects_continue: bool,
-    /// How the body is delimited.
+    /// Framing of the body.
     pub framing: Framing,
     /// Length of the head in bytes.
     pub len: usize,
 }
 
 impl<'b> RequestHead<'b> {
-    /// Parses a head off the front of `bytes`; `None` while it is incomplete.
+    /// Parses the head at the front of `bytes`. `None`: the head is incomplete.
     ///
     /// # Errors
     ///
-    /// The head is malformed, ambiguous about the end of its body, unsupported, or exceeds a limit.
+    /// Returns an error if the head is malformed, is ambiguous about the end of its body, is unsupported, or exceeds a
+    /// limit.
     pub fn parse(bytes: &'b [u8], limits: Limits) -> Result<Option<Self>, ParseError> {
         let window = &bytes[..bytes.len().min(limits.head)];
         let mut headers = Headers::empty();
@@ -45,11 +46,11 @@
         let count = request.headers.len();
         headers.set_count(count);
         let framing = Framing::declared(&headers, limits, http_10)?.unwrap_or(Framing::None);
-        // RFC 9112, section 3.2: a request of HTTP/1.1 has exactly one Host header.
+        // RFC 9112, section 3.2: an HTTP/1.1 request has exactly one Host header.
         if !matches!(headers.single("Host"), Ok(host) if host.is_some() || http_10) {
             return Err(ParseError::Malformed);
         }
-        let close = headers.close_connection(http_10);
+        let close = headers.closes_connection(http_10);
         let expects_continue = !http_10 && headers.has_element("Expect", b"100-continue");
         Ok(Some(RequestHead {
             method,
@@ -62,34 +63,34 @@
         }))
     }
 
-    /// Whether the head declares a body, an empty one included (RFC 9112, section 6).
+    /// Returns whether the head declares a body, which may be empty (RFC 9112, section 6).
     #[must_use]
     pub fn declares_body(&self) -> bool {
         self.framing != Framing::None
     }
 }
 
-/// The head of a response, borrowed from its buffer.
+/// Head of a response, borrowed from its buffer.
 pub struct ResponseHead<'b> {
-    /// The status code, 100 to 599.
+    /// Status code, 100 to 599.
     pub status: u16,
-    /// The header section.
+    /// Header section.
     pub headers: Headers<'b>,
-    /// Whether the server closes the connection behind this response.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// How the body is delimited.
+    /// Framing of the body.
     pub framing: Framing,
     /// Length of the head in bytes.
     pub len: usize,
 }
 
 impl<'b> ResponseHead<'b> {
-    /// Parses a head off the front of `bytes`; `None` while it is incomplete.
+    /// Parses the head at the front of `bytes`. `None`: the head is incomplete.
     ///
     /// # Errors
     ///
-    /// As for a request. A response whose body would end only with the connection is
-    /// [`ParseError::MissingLength`]: a broken connection could not be told from the end of the body.
+    /// Returns the same errors as [`RequestHead::parse`], and [`ParseError::MissingLength`] for a response whose body
+    /// would end only with the connection: a failed connection could not be distinguished from the end of the body.
     pub fn parse(bytes: &'b [u8], limits: Limits) -> Result<Option<Self>, ParseError> {
         let window = &bytes[..bytes.len().min(limits.head)];
         let mut headers = Headers::empty();
@@ -114,25 +115,26 @@
         Ok(Some(ResponseHead {
             status,
             headers,
-            close: headers.close_connection(http_10),
+            close: headers.closes_connection(http_10),
             framing,
             len,
         }))
     }
 
-    /// Whether this is an interim (1xx) response: the final one is still to come (RFC 9110, section 15.2).
+    /// Returns whether this is an interim (1xx) response, which a final one follows (RFC 9110, section 15.2).
     #[must_use]
     pub fn is_interim(&self) -> bool {
         self.status < 200
     }
 }
 
-/// Statuses whose responses never have a body (RFC 9112, section 6.3).
+/// Returns whether responses with this status never have a body (RFC 9112, section 6.3).
 fn has_no_body(status: u16) -> bool {
     status < 200 || status == 204 || status == 304
 }
 
-/// The length of a parsed head; `None` while it is incomplete. `received`: bytes in the buffer.
+/// Returns the length of a parsed head, or `None` if the head is incomplete. `received`: number of bytes in the
+/// buffer.
 fn head_length(
     parsed: httparse::Result<usize>,
     received: usize,
--- a/crates/http1/src/headers.rs
+++ b/crates/http1/src/headers.rs
@@ -1,11 +1,11 @@
-//! The header section of a message (RFC 9110, section 5).
+//! Header section of a message (RFC 9110, section 5).
 use crate::ParseError;
 use httparse::{EMPTY_HEADER, Header};
 
-/// Upper bound of header lines in one head; some ten are usual.
+/// Maximum number of header lines in one head; about ten are usual.
 pub(crate) const MAX_HEADERS: usize = 64;
 
-/// The headers of a parsed head, borrowed from its buffer.
+/// Headers of a parsed head, borrowed from its buffer.
 #[derive(Clone, Copy)]
 pub struct Headers<'b> {
     lines: [Header<'b>; MAX_HEADERS],
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The lines that a parser fills. What it has filled counts only after `set_count`.
+    /// Returns the lines for a parser to fill. They become valid with a call of `set_count`.
     pub(crate) fn lines_mut(&mut self) -> &mut [Header<'b>; MAX_HEADERS] {
         &mut self.lines
     }
@@ -29,7 +29,7 @@
         self.count = count;
     }
 
-    /// All headers in the order of the head, names as they were sent.
+    /// Returns names and values of all headers in the order of the head, with names as they were sent.
     pub fn iter(&self) -> impl Iterator<Item = (&'b str, &'b [u8])> {
         let lines = self.lines.iter().take(self.count);
         lines.map(|line| (line.name, line.value))
@@ -41,12 +41,12 @@
             .map(|h| h.1)
     }
 
-    /// The value of a header that may occur once, without blanks around it; `None` if it is absent.
+    /// Returns the value of a header that may occur once, without surrounding spaces, or `None` if it is absent.
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] if the header occurs more than once, or its value has bytes other than visible ASCII
-    /// and blanks.
+    /// Returns [`ParseError::Malformed`] if the header occurs more than once, or if its value has bytes other than
+    /// visible ASCII and spaces.
     pub fn single(&self, name: &str) -> Result<Option<&'b str>, ParseError> {
         let mut values = self.values(name);
         let Some(value) = values.next() else {
@@ -60,18 +60,19 @@
             .map_err(|_| ParseError::Malformed)
     }
 
-    /// Whether a comma-separated header has this element, in any case (RFC 9110, section 5.6.1).
+    /// Returns whether a comma-separated header contains an element, compared without regard to case (RFC 9110,
+    /// section 5.6.1).
     pub(crate) fn has_element(&self, name: &str, element: &[u8]) -> bool {
-        let has = |value: &[u8]| {
+        let has_element = |value: &[u8]| {
             value
                 .split(|b| *b == b',')
                 .any(|part| part.trim_ascii().eq_ignore_ascii_case(element))
         };
-        self.values(name).any(has)
+        self.values(name).any(has_element)
     }
 
-    /// Whether the connection ends behind this message (RFC 9112, section 9.3).
-    pub(crate) fn close_connection(&self, http_10: bool) -> bool {
+    /// Returns whether the connection is closed after this message (RFC 9112, section 9.3).
+    pub(crate) fn closes_connection(&self, http_10: bool) -> bool {
         self.has_element("Connection", b"close")
             || http_10 && !self.has_element("Connection", b"keep-alive")
     }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 messages (RFC 9110 and RFC 9112), free of I/O.
+//! HTTP/1.1 messages (RFC 9110 and RFC 9112), without I/O.
 //!
-//! The caller fills a buffer with bytes as they arrive, cut anywhere; a reader reports a message once it is complete.
-//! Every step has an upper bound. Framing follows the strict reading of RFC 9112: whatever a recipient may reject is
-//! rejected, so that a message never has two possible ends.
+//! The caller appends bytes to a buffer as they arrive, in pieces of any size; a reader reports a message once it is
+//! complete. Every step has an upper bound. Framing follows the strict reading of RFC 9112: whatever a recipient may
+//! reject is rejected, so that the end of a message is never ambiguous.
 //!
-//! - [`RequestReader`] and [`ResponseReader`]: complete messages, head and body.
-//! - [`RequestHead`] and [`ResponseHead`]: one head, its [`Headers`], and the [`Framing`] of the body behind it.
-//! - [`ChunkedDecoder`]: the chunked transfer coding, for bodies that are used before they are complete.
+//! - [`RequestReader`] and [`ResponseReader`]: readers of complete messages, head and body.
+//! - [`RequestHead`] and [`ResponseHead`]: one head, its [`Headers`], and the [`Framing`] of the body after it.
+//! - [`ChunkedDecoder`]: decoder of the chunked transfer coding, for bodies that are used before they are complete.
 //!
 //! ```
 //! use mallowseam_http1::{Limits, RequestHead, RequestReader};
--- a/crates/http1/src/limits.rs
+++ b/crates/http1/src/limits.rs
@@ -1,17 +1,18 @@
 //! Size limits of one message.
 use crate::chunked::MAX_CODING_OVERHEAD;
 
-/// Upper bounds of one message, in bytes.
+/// Maximum sizes of one message, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The head: start line, headers and the empty line behind them.
+    /// Maximum size of the head: start line, headers and the empty line after them.
     pub head: usize,
-    /// The body, decoded.
+    /// Maximum size of the decoded body.
     pub body: usize,
 }
 
 impl Limits {
-    /// The most bytes that a reader ever needs in its buffer: the head, the body, and what the chunked coding adds.
+    /// Returns the maximum number of bytes that a reader needs in its buffer: head, body and the overhead of the
+    /// chunked coding.
     #[must_use]
     pub fn buffer_capacity(&self) -> usize {
         self.head + self.body + MAX_CODING_OVERHEAD
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -1,22 +1,22 @@
-//! Complete requests and responses, read off the front of a buffer that the caller fills.
+//! Readers of complete requests and responses at the front of a buffer that the caller fills.
 use crate::chunked::ChunkedDecoder;
 use crate::{Framing, Limits, ParseError, RequestHead, ResponseHead};
 
-/// Upper bound of interim (1xx) responses ahead of a final one. RFC 9110 names none; more than this serves no purpose.
+/// Maximum number of interim (1xx) responses before a final one. RFC 9110 states no limit; more serve no purpose.
 const MAX_INTERIM_RESPONSES: u32 = 8;
 
-/// Where a complete message stands in its buffer, as offsets. Bytes from `end` on belong to the next message.
+/// Offsets of a complete message in its buffer. Bytes from `end` on belong to the next message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageSpan {
-    /// The first byte of the head.
+    /// Offset of the first byte of the head.
     pub start: usize,
-    /// The first byte of the body, decoded.
+    /// Offset of the first byte of the decoded body.
     pub body: usize,
-    /// The offset behind the last byte of the body.
+    /// Offset after the last byte of the body.
     pub end: usize,
 }
 
-/// How far a message has been read.
+/// State of a reader: the part of the message that is read next.
 #[derive(Clone, Copy, Debug, Default)]
 enum State {
     #[default]
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Returns the number of missing bytes of a body with a known length. `received`: number of bytes in the buffer.
     fn remaining(&self, received: usize) -> Option<usize> {
         match self {
             State::SizedBody { body, len } => Some((body + len).saturating_sub(received)),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Reads on in the body; the message's place once it is complete. `start`: where its head begins.
+    /// Reads more of the body, and returns the message's offsets once it is complete. `start`: offset of the head.
     fn read_body(
         &mut self,
         start: usize,
@@ -80,28 +81,29 @@
     }
 }
 
-/// Decides when an incomplete head is parsed again. A head that arrives byte by byte is parsed only a few times, so that
-/// the total cost stays in proportion to its length.
+/// Limits how often an incomplete head is parsed again. A head that arrives byte by byte is parsed only a few times,
+/// so that the total cost stays proportional to its length.
 #[derive(Clone, Copy, Debug, Default)]
 struct ParseThrottle {
-    /// Bytes that had arrived at the last attempt.
-    parsed: usize,
+    /// Number of bytes that had arrived at the last attempt to parse.
+    parsed_len: usize,
 }
 
 impl ParseThrottle {
-    /// Whether to try now: at a new line end, at twice the bytes of the last attempt, or at the limit.
+    /// Returns whether to parse now: at a new line end, at twice the bytes of the last attempt, or at the limit.
     fn should_parse(&mut self, bytes: &[u8], limits: Limits) -> bool {
-        let new = &bytes[self.parsed.min(bytes.len())..];
-        let due =
-            new.contains(&b'\n') || bytes.len() >= 2 * self.parsed || bytes.len() >= limits.head;
-        if due {
-            self.parsed = bytes.len();
+        let new = &bytes[self.parsed_len.min(bytes.len())..];
+        let is_due = new.contains(&b'\n')
+            || bytes.len() >= 2 * self.parsed_len
+            || bytes.len() >= limits.head;
+        if is_due {
+            self.parsed_len = bytes.len();
         }
-        due && !bytes.is_empty()
+        is_due && !bytes.is_empty()
     }
 }
 
-/// Reads requests off the front of a buffer, one after the other.
+/// Reads requests at the front of a buffer, one after the other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestReader {
     state: State,
@@ -111,23 +113,24 @@
 }
 
 impl RequestReader {
-    /// Whether the client waits for 100 (Continue) before it sends its body. True once per request: the caller is
-    /// expected to answer.
+    /// Returns whether the client waits for 100 (Continue) before it sends the body. True only once per request; the
+    /// caller must then answer.
     pub fn take_expect_continue(&mut self) -> bool {
         std::mem::take(&mut self.expects_continue)
     }
 
-    /// Whether the client wants the connection closed behind the response; known once the head has arrived.
+    /// Returns whether the client requests that the connection is closed after the response. Known once the head has
+    /// arrived.
     #[must_use]
     pub fn closes_connection(&self) -> bool {
         self.close
     }
 
-    /// Reads what has arrived. `None`: the request is incomplete.
+    /// Reads the received bytes. `None`: the request is incomplete.
     ///
     /// # Errors
     ///
-    /// The request can't be read, or exceeds a limit. The connection is of no further use.
+    /// Returns an error if the request is invalid or exceeds a limit. The connection must then be closed.
     pub fn advance(
         &mut self,
         buffer: &mut Vec<u8>,
@@ -147,13 +150,13 @@
         self.state.read_body(0, buffer, limits)
     }
 
-    /// Prepares for the next request. The caller has removed this one from the front of the buffer.
+    /// Prepares for the next request. The caller must have removed the previous one from the front of the buffer.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// Reads the response to one request off the front of a buffer. Interim (1xx) responses ahead of it are skipped.
+/// Reads the response to one request at the front of a buffer. Skips interim (1xx) responses before it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseReader {
     state: State,
@@ -163,17 +166,18 @@
 }
 
 impl ResponseReader {
-    /// Bytes still to come of a response whose length is known. `received`: bytes in the buffer.
+    /// Returns the number of missing bytes of a response whose length is known. `received`: number of bytes in the
+    /// buffer.
     #[must_use]
     pub fn remaining(&self, received: usize) -> Option<usize> {
         self.state.remaining(received)
     }
 
-    /// Reads what has arrived. `None`: the response is incomplete.
+    /// Reads the received bytes. `None`: the response is incomplete.
     ///
     /// # Errors
     ///
-    /// The response can't be read, or exceeds a limit. The connection is of no further use.
+    /// Returns an error if the response is invalid or exceeds a limit. The connection must then be closed.
     pub fn advance(
         &mut self,
         buffer: &mut Vec<u8>,
--- a/crates/http1/tests/pinned_parsing.rs
+++ b/crates/http1/tests/pinned_parsing.rs
@@ -1,6 +1,6 @@
-//! Pinned results of the parser: seeded heads, chunks and bodies, fed at once and segmented at every byte. All results,
-//! step by step, are hashed and compared with a recorded hash. The hashed texts name results in words of their own,
-//! so that renaming a variant changes nothing here.
+//! Pinned results of the parser for seeded heads, chunks and bodies, read at once and segmented at every byte. The
+//! results of all steps are hashed and compared with a recorded hash. Guards against unintended changes of the parser.
+//! The hashed texts have their own names for results, so that renaming a variant does not change the hash.
 use mallowseam_http1::{
     ChunkedDecoder, Framing, Limits, MessageSpan, ParseError, RequestHead, RequestReader,
     ResponseHead, ResponseReader,
@@ -12,7 +12,7 @@
     body: 256,
 };
 
-/// Seeded random choices by index.
+/// Seeded random number generator for indices.
 struct Rng(SeededRng);
 
 impl Rng {
@@ -29,42 +29,42 @@
     }
 }
 
-/// A digest of all that is recorded, and counts of the cases, to show that the input reaches each.
+/// Digest of all recorded results, and a count of each case, which shows that the input reaches all cases.
 #[derive(Default)]
 struct Record {
     digest: Digest,
-    seen: std::collections::BTreeMap<&'static str, u32>,
+    case_counts: std::collections::BTreeMap<&'static str, u32>,
 }
 
 impl Record {
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn add_bytes(&mut self, bytes: &[u8]) {
         self.digest.add_bytes(bytes);
         self.digest.add_bytes(&[0xff]);
     }
 
-    fn number(&mut self, number: usize) {
-        self.bytes(&(number as u64).to_le_bytes());
+    fn add_number(&mut self, number: usize) {
+        self.add_bytes(&(number as u64).to_le_bytes());
     }
 
-    fn case(&mut self, name: &'static str) {
-        *self.seen.entry(name).or_default() += 1;
-        self.bytes(name.as_bytes());
+    fn add_case(&mut self, name: &'static str) {
+        *self.case_counts.entry(name).or_default() += 1;
+        self.add_bytes(name.as_bytes());
     }
 
-    fn closes(&mut self, closes: bool) {
-        self.case(if closes { "closes" } else { "stays" });
+    fn add_closes(&mut self, closes: bool) {
+        self.add_case(if closes { "closes" } else { "stays" });
     }
 
-    /// Each of these cases has occurred, and the digest is the recorded one.
+    /// Asserts that each of the cases has occurred, and that the digest is the recorded one.
     fn check(&self, cases: &[&str], recorded: u64) {
-        let seen = &self.seen;
-        assert!(cases.iter().all(|c| seen.contains_key(c)), "{seen:?}");
+        let counts = &self.case_counts;
+        assert!(cases.iter().all(|c| counts.contains_key(c)), "{counts:?}");
         let digest = self.digest.value();
-        assert_eq!(digest, recorded, "{digest:#x} {seen:?}");
+        assert_eq!(digest, recorded, "{digest:#x} {counts:?}");
     }
 
-    fn error(&mut self, error: ParseError) {
-        self.case(match error {
+    fn add_error(&mut self, error: ParseError) {
+        self.add_case(match error {
             ParseError::Malformed => "malformed",
             ParseError::HeadTooLarge => "head too large",
             ParseError::BodyTooLarge => "body too large",
@@ -74,36 +74,36 @@
         });
     }
 
-    fn framing(&mut self, framing: Framing) {
+    fn add_framing(&mut self, framing: Framing) {
         match framing {
-            Framing::None => self.case("no body"),
-            Framing::Chunked => self.case("chunked"),
+            Framing::None => self.add_case("no body"),
+            Framing::Chunked => self.add_case("chunked"),
             Framing::Length(len) => {
-                self.case("length");
-                self.number(len);
+                self.add_case("length");
+                self.add_number(len);
             }
         }
     }
 
-    /// Records one step; false once the reader is done.
-    fn step(&mut self, step: Result<Option<MessageSpan>, ParseError>, buffer: &[u8]) -> bool {
-        self.bytes(buffer);
+    /// Records the result of one step. Returns false once the message is complete or rejected.
+    fn add_step(&mut self, step: Result<Option<MessageSpan>, ParseError>, buffer: &[u8]) -> bool {
+        self.add_bytes(buffer);
         match step {
             Ok(None) => return true,
-            Ok(Some(whole)) => {
-                self.case("whole");
-                for offset in [whole.start, whole.body, whole.end] {
-                    self.number(offset);
+            Ok(Some(span)) => {
+                self.add_case("whole");
+                for offset in [span.start, span.body, span.end] {
+                    self.add_number(offset);
                 }
             }
-            Err(error) => self.error(error),
+            Err(error) => self.add_error(error),
         }
         false
     }
 }
 
-/// Bytes close to a message: mostly valid lines, some invalid, and a few bytes overwritten at times.
-fn almost_message(rng: &mut Rng, request: bool) -> Vec<u8> {
+/// Returns bytes that resemble a message: mostly valid lines, some invalid ones, and at times a few overwritten bytes.
+fn message_like_bytes(rng: &mut Rng, request: bool) -> Vec<u8> {
     let mut text = String::new();
     if request {
         let methods = 3 + usize::from(rng.below(20) == 0);
@@ -197,8 +197,8 @@
     let mut bytes = text.into_bytes();
     if rng.below(8) == 0 {
         for _ in 0..=rng.below(3) {
-            let place = rng.below(bytes.len());
-            bytes[place] = b"\r\n:; 0a\x00\x7f\xff"[rng.below(10)];
+            let position = rng.below(bytes.len());
+            bytes[position] = b"\r\n:; 0a\x00\x7f\xff"[rng.below(10)];
         }
     }
     bytes
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn request_and_response_heads() {
+fn parsed_heads_match_the_recorded_hash() {
     let (mut rng, mut record) = (Rng::new(1), Record::default());
     let names = [
         "Host",
@@ -251,21 +251,21 @@
         "None",
     ];
     for round in 0..4_000 {
-        let bytes = almost_message(&mut rng, round % 2 == 0);
+        let bytes = message_like_bytes(&mut rng, round % 2 == 0);
         let headers = if round % 2 == 0 {
             match RequestHead::parse(&bytes, LIMITS) {
                 Ok(Some(head)) => {
-                    record.bytes(head.method.as_bytes());
-                    record.bytes(head.target.as_bytes());
-                    record.framing(head.framing);
-                    record.number(head.len);
-                    record.case(if head.close { "closes" } else { "stays" });
-                    record.case(if head.expects_continue {
+                    record.add_bytes(head.method.as_bytes());
+                    record.add_bytes(head.target.as_bytes());
+                    record.add_framing(head.framing);
+                    record.add_number(head.len);
+                    record.add_case(if head.close { "closes" } else { "stays" });
+                    record.add_case(if head.expects_continue {
                         "expects"
                     } else {
                         "expects nothing"
                     });
-                    record.case(if head.declares_body() {
+                    record.add_case(if head.declares_body() {
                         "states a length"
                     } else {
                         "states none"
@@ -278,11 +278,11 @@
         } else {
             match ResponseHead::parse(&bytes, LIMITS) {
                 Ok(Some(head)) => {
-                    record.number(usize::from(head.status));
-                    record.framing(head.framing);
-                    record.number(head.len);
-                    record.case(if head.close { "closes" } else { "stays" });
-                    record.case(if head.is_interim() { "ahead" } else { "final" });
+                    record.add_number(usize::from(head.status));
+                    record.add_framing(head.framing);
+                    record.add_number(head.len);
+                    record.add_case(if head.close { "closes" } else { "stays" });
+                    record.add_case(if head.is_interim() { "ahead" } else { "final" });
                     Ok(head.headers)
                 }
                 Ok(None) => continue,
@@ -292,18 +292,18 @@
         match headers {
             Ok(headers) => {
                 for (name, value) in headers.iter() {
-                    record.bytes(name.as_bytes());
-                    record.bytes(value);
+                    record.add_bytes(name.as_bytes());
+                    record.add_bytes(value);
                 }
                 for name in names {
                     match headers.single(name) {
-                        Ok(Some(value)) => record.bytes(value.as_bytes()),
-                        Ok(None) => record.case("no such header"),
-                        Err(error) => record.error(error),
+                        Ok(Some(value)) => record.add_bytes(value.as_bytes()),
+                        Ok(None) => record.add_case("no such header"),
+                        Err(error) => record.add_error(error),
                     }
                 }
             }
-            Err(error) => record.error(error),
+            Err(error) => record.add_error(error),
         }
     }
     let cases = [
@@ -320,61 +320,62 @@
     record.check(&cases, HEADS);
 }
 
-/// The segments of a message that end at these offsets and at its end.
+/// Returns the segments of a message that end at the given offsets and at its end.
 fn segments<'a>(bytes: &'a [u8], cuts: &'a [usize]) -> impl Iterator<Item = &'a [u8]> {
     let starts = std::iter::once(0).chain(cuts.iter().copied());
     let ends = cuts.iter().copied().chain([bytes.len()]);
     starts.zip(ends).map(|(start, end)| &bytes[start..end])
 }
 
-/// Feeds a message in segments that end at these offsets, and records every step.
-fn feed_requests(bytes: &[u8], cuts: &[usize], record: &mut Record) {
+/// Reads a request in segments that end at the given offsets, and records every step.
+fn record_request(bytes: &[u8], cuts: &[usize], record: &mut Record) {
     let mut reader = RequestReader::default();
     let mut buffer = Vec::new();
     for segment in segments(bytes, cuts) {
         buffer.extend_from_slice(segment);
         let step = reader.advance(&mut buffer, LIMITS);
-        record.closes(reader.closes_connection());
-        record.case(if reader.take_expect_continue() {
+        record.add_closes(reader.closes_connection());
+        record.add_case(if reader.take_expect_continue() {
             "expects"
         } else {
             "expects nothing"
         });
-        if !record.step(step, &buffer) {
+        if !record.add_step(step, &buffer) {
             return;
         }
     }
     reader.reset();
-    record.closes(reader.closes_connection());
+    record.add_closes(reader.closes_connection());
 }
 
-fn feed_responses(bytes: &[u8], cuts: &[usize], record: &mut Record) {
+/// Reads a response in segments that end at the given offsets, and records every step.
+fn record_response(bytes: &[u8], cuts: &[usize], record: &mut Record) {
     let mut reader = ResponseReader::default();
     let mut buffer = Vec::new();
     for segment in segments(bytes, cuts) {
         buffer.extend_from_slice(segment);
         let step = reader.advance(&mut buffer, LIMITS);
-        record.number(reader.remaining(buffer.len()).unwrap_or(usize::MAX));
-        if !record.step(step, &buffer) {
+        record.add_number(reader.remaining(buffer.len()).unwrap_or(usize::MAX));
+        if !record.add_step(step, &buffer) {
             return;
         }
     }
 }
 
 #[test]
-fn messages_segmented_at_every_byte() {
+fn messages_segmented_at_every_byte_match_the_recorded_hash() {
     let (mut rng, mut record) = (Rng::new(2), Record::default());
     for round in 0..160 {
-        let bytes = almost_message(&mut rng, round % 2 == 0);
-        let feed = if round % 2 == 0 {
-            feed_requests
+        let bytes = message_like_bytes(&mut rng, round % 2 == 0);
+        let record_message = if round % 2 == 0 {
+            record_request
         } else {
-            feed_responses
+            record_response
         };
-        feed(&bytes, &[], &mut record);
-        feed(&bytes, &(1..bytes.len()).collect::<Vec<_>>(), &mut record);
+        record_message(&bytes, &[], &mut record);
+        record_message(&bytes, &(1..bytes.len()).collect::<Vec<_>>(), &mut record);
         for cut in 1..bytes.len().min(700) {
-            feed(&bytes, &[cut], &mut record);
+            record_message(&bytes, &[cut], &mut record);
         }
     }
     let cases = [
@@ -390,34 +391,35 @@
 }
 
 #[test]
-fn chunked_bodies_at_an_offset() {
+fn chunked_bodies_at_an_offset_match_the_recorded_hash() {
     let (mut rng, mut record) = (Rng::new(3), Record::default());
     for _ in 0..500 {
         let mut bytes = b"ahead".to_vec();
         bytes.extend(chunks(&mut rng).into_bytes());
-        let (mut body, mut buffer, mut from) = (ChunkedDecoder::new(5), bytes[..5].to_vec(), 5);
+        let (mut decoder, mut buffer, mut received) =
+            (ChunkedDecoder::new(5), bytes[..5].to_vec(), 5);
         let step = 1 + rng.below(60);
-        while from < bytes.len() {
-            let to = (from + step).min(bytes.len());
-            buffer.extend_from_slice(&bytes[from..to]);
-            from = to;
-            let done = body.decode(&mut buffer, 400);
-            record.bytes(&buffer);
-            record.number(body.decoded_end());
-            record.case(if body.is_complete() {
+        while received < bytes.len() {
+            let end = (received + step).min(bytes.len());
+            buffer.extend_from_slice(&bytes[received..end]);
+            received = end;
+            let result = decoder.decode(&mut buffer, 400);
+            record.add_bytes(&buffer);
+            record.add_number(decoder.decoded_end());
+            record.add_case(if decoder.is_complete() {
                 "over"
             } else {
                 "goes on"
             });
-            if let Err(error) = done {
-                record.error(error);
+            if let Err(error) = result {
+                record.add_error(error);
                 break;
             }
-            // Decoded bytes are consumed at times.
+            // At times the test consumes decoded bytes, as a caller does.
             if rng.below(3) == 0 {
-                let count = body.decoded_end().min(3);
+                let count = decoder.decoded_end().min(3);
                 drop(buffer.drain(..count));
-                body.discard_front(count);
+                decoder.discard_front(count);
             }
         }
     }
@@ -432,9 +434,9 @@
 }
 
 #[test]
-fn limits_and_error_messages() {
+fn buffer_capacity_and_error_messages_are_the_recorded_ones() {
     assert_eq!(LIMITS.buffer_capacity(), 512 + 256 + 256 + 2_048);
-    let words = [
+    let messages = [
         ParseError::Malformed,
         ParseError::HeadTooLarge,
         ParseError::BodyTooLarge,
@@ -451,7 +453,7 @@
         "no length",
         "unsupported",
     ];
-    assert_eq!(words, expected);
+    assert_eq!(messages, expected);
 }
 
 const HEADS: u64 = 0x9045_cca2_4603_ba2e;
--- a/crates/http1/tests/readers.rs
+++ b/crates/http1/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Both readers: what they accept, what they reject, and that segmentation changes nothing.
+//! Readers of requests and responses: which messages they accept and reject, and that segmentation has no influence.
 use mallowseam_http1::{
     Limits, MessageSpan, ParseError, RequestHead, RequestReader, ResponseHead, ResponseReader,
 };
@@ -27,18 +27,19 @@
     }
 }
 
-/// Feeds bytes in segments of these sizes, repeated in turn, and keeps the buffer within its capacity.
-fn feed<R: Reader>(bytes: &[u8], cuts: &[usize]) -> Outcome {
+/// Passes bytes to a reader in segments of the given sizes, which are repeated in turn, with a buffer of limited
+/// capacity. Returns head and body of the first message.
+fn read_message<R: Reader>(bytes: &[u8], sizes: &[usize]) -> Outcome {
     let (mut reader, mut buffer, mut rest) = (R::default(), Vec::new(), bytes);
-    for cut in cuts.iter().cycle() {
+    for size in sizes.iter().cycle() {
         if rest.is_empty() {
             break;
         }
         let room = LIMITS.buffer_capacity() - buffer.len();
         assert!(room > 0, "the reader neither consumes bytes nor fails");
-        let piece = rest.len().min((*cut).max(1)).min(room);
-        buffer.extend_from_slice(&rest[..piece]);
-        rest = &rest[piece..];
+        let count = rest.len().min((*size).max(1)).min(room);
+        buffer.extend_from_slice(&rest[..count]);
+        rest = &rest[count..];
         if let Some(span) = reader.advance(&mut buffer)? {
             let head = buffer[span.start..span.body].to_vec();
             return Ok(Some((head, buffer[span.body..span.end].to_vec())));
@@ -48,15 +49,21 @@
 }
 
 fn request(text: &str) -> Outcome {
-    feed::<RequestReader>(text.as_bytes(), &[usize::MAX])
+    read_message::<RequestReader>(text.as_bytes(), &[usize::MAX])
 }
 
 fn response(text: &str) -> Outcome {
-    feed::<ResponseReader>(text.as_bytes(), &[usize::MAX])
+    read_message::<ResponseReader>(text.as_bytes(), &[usize::MAX])
 }
 
 fn body(outcome: Outcome) -> String {
-    String::from_utf8(outcome.expect("valid").expect("complete").1).expect("text")
+    String::from_utf8(
+        outcome
+            .expect("input is valid")
+            .expect("message is complete")
+            .1,
+    )
+    .expect("body is text")
 }
 
 #[test]
@@ -76,8 +83,8 @@
     let (mut reader, mut buffer) = (RequestReader::default(), text.as_bytes().to_vec());
     let span = reader
         .advance(&mut buffer, LIMITS)
-        .expect("valid")
-        .expect("complete");
+        .expect("input is valid")
+        .expect("message is complete");
     assert_eq!(&buffer[span.body..span.end], b"wikipedia");
     assert_eq!(&buffer[span.end..], b"GET /b");
 }
@@ -154,7 +161,7 @@
 }
 
 #[test]
-fn unterminated_head_is_rejected_at_its_limit() {
+fn oversized_or_malformed_head_is_rejected() {
     let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(LIMITS.head));
     assert_eq!(request(&long), Err(ParseError::HeadTooLarge));
     let many = format!("GET / HTTP/1.1\r\n{}", "A: 1\r\n".repeat(70));
@@ -167,17 +174,20 @@
     assert_eq!(
         request("GET / HTTP/1.1\r\n\r\n"),
         Err(ParseError::Malformed),
-        "no host"
+        "the Host header is missing"
     );
 }
 
 #[test]
 fn interim_responses_are_skipped() {
-    let ahead = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
-    let good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
-    assert_eq!(body(response(&format!("{ahead}{good}"))), "body");
-    let noise = format!("{}{good}", "HTTP/1.1 100 Continue\r\n\r\n".repeat(9));
-    assert_eq!(response(&noise), Err(ParseError::HeadTooLarge));
+    let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
+    let response_text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
+    assert_eq!(body(response(&format!("{interim}{response_text}"))), "body");
+    let too_many = format!(
+        "{}{response_text}",
+        "HTTP/1.1 100 Continue\r\n\r\n".repeat(9)
+    );
+    assert_eq!(response(&too_many), Err(ParseError::HeadTooLarge));
     assert_eq!(
         response("HTTP/1.1 101 Switching Protocols\r\n\r\n"),
         Err(ParseError::Unsupported)
@@ -204,7 +214,7 @@
     assert_eq!(
         response("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody"),
         Ok(None),
-        "cut short"
+        "the body is incomplete"
     );
 }
 
@@ -217,8 +227,8 @@
     assert!(reader.take_expect_continue() && !reader.take_expect_continue());
 }
 
-/// Bytes close to messages: parts of valid ones, of invalid ones, and noise.
-fn almost_messages() -> impl Strategy<Value = Vec<u8>> {
+/// Generates bytes that resemble messages: parts of valid and invalid messages, and random bytes.
+fn message_like_bytes() -> impl Strategy<Value = Vec<u8>> {
     let parts = [
         "GET /a HTTP/1.1\r\n",
         "PUT /a HTTP/1.1\r\n",
@@ -246,7 +256,7 @@
         1 => proptest::collection::vec(any::<u8>(), 0..700),
         1 => (any::<u8>(), 0..600usize).prop_map(|(byte, count)| vec![byte; count]),
     ];
-    // At a line end the reader always tries to parse the head.
+    // The final line end makes the reader parse the head, whatever the segmentation.
     proptest::collection::vec(part, 0..14)
         .prop_map(|parts| parts.concat().into_iter().chain([b'\n']).collect())
 }
@@ -256,26 +266,29 @@
 
     #[test]
     fn result_is_independent_of_segmentation(
-        bytes in almost_messages(),
-        cuts in proptest::collection::vec(1..90usize, 1..9),
+        bytes in message_like_bytes(),
+        sizes in proptest::collection::vec(1..90usize, 1..9),
     ) {
         prop_assert_eq!(
-            feed::<RequestReader>(&bytes, &cuts),
-            feed::<RequestReader>(&bytes, &[usize::MAX])
+            read_message::<RequestReader>(&bytes, &sizes),
+            read_message::<RequestReader>(&bytes, &[usize::MAX])
+        );
+        prop_assert_eq!(read_message::<RequestReader>(&bytes, &[1]), read_message::<RequestReader>(&bytes, &sizes));
+        prop_assert_eq!(
+            read_message::<ResponseReader>(&bytes, &sizes),
+            read_message::<ResponseReader>(&bytes, &[usize::MAX])
         );
-        prop_assert_eq!(feed::<RequestReader>(&bytes, &[1]), feed::<RequestReader>(&bytes, &cuts));
-        prop_assert_eq!(feed::<ResponseReader>(&bytes, &cuts), feed::<ResponseReader>(&bytes, &[usize::MAX]));
-        prop_assert_eq!(feed::<ResponseReader>(&bytes, &[1]), feed::<ResponseReader>(&bytes, &cuts));
+        prop_assert_eq!(read_message::<ResponseReader>(&bytes, &[1]), read_message::<ResponseReader>(&bytes, &sizes));
     }
 
     #[test]
-    fn complete_message_has_a_parsable_head(bytes in almost_messages()) {
-        if let Ok(Some((head, body))) = feed::<RequestReader>(&bytes, &[7]) {
-            let head = RequestHead::parse(&head, LIMITS).expect("valid").expect("complete");
+    fn complete_message_has_a_parsable_head(bytes in message_like_bytes()) {
+        if let Ok(Some((head, body))) = read_message::<RequestReader>(&bytes, &[7]) {
+            let head = RequestHead::parse(&head, LIMITS).expect("input is valid").expect("message is complete");
             prop_assert!(body.len() <= LIMITS.body && head.len <= LIMITS.head);
         }
-        if let Ok(Some((head, body))) = feed::<ResponseReader>(&bytes, &[7]) {
-            let head = ResponseHead::parse(&head, LIMITS).expect("valid").expect("complete");
+        if let Ok(Some((head, body))) = read_message::<ResponseReader>(&bytes, &[7]) {
+            let head = ResponseHead::parse(&head, LIMITS).expect("input is valid").expect("message is complete");
             prop_assert!(body.len() <= LIMITS.body && !head.is_interim());
         }
     }
