--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the event loop of every host in this repository needs.
+//! Building blocks of the hosts' event loops: sockets, clock, timers and tables.
 //!
 //! - [`slab`]: a table whose entries have small, reused indices.
-//! - [`clock`]: ticks of a tenth of a millisecond.
-//! - [`arrival_estimator`]: when the events that a poll returns arrived.
-//! - [`descriptors`]: the process's limit of descriptors.
+//! - [`clock`]: a clock in ticks of a tenth of a millisecond.
+//! - [`arrival_estimator`]: estimates of when the events of a poll arrived.
+//! - [`descriptors`]: the process's limit of file descriptors.
 //! - [`signals`]: signals as bytes on a stream.
 //! - [`listener`]: a TCP listener with a long accept queue.
 //! - [`memory_budget`]: a limit on the bytes of many buffers.
 //! - [`nonblocking`]: reads and writes that do not block.
-//! - [`periodic_timer`]: a timer that is due again and again.
-//! - [`outgoing_message`]: a message that is written piece by piece.
+//! - [`periodic_timer`]: a timer that is due once per period.
+//! - [`outgoing_message`]: a message that is written in several steps.
 #![warn(missing_docs)]
 
 pub mod arrival_estimator;
--- a/crates/sockets/src/listener.rs
+++ b/crates/sockets/src/listener.rs
@@ -1,17 +1,19 @@
-//! A TCP listener with a long accept queue.
+//! TCP listener with a long accept queue.
 use mio::net::TcpListener;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
 
-/// Connections that may wait to be accepted; the system limits it to `net.core.somaxconn`. Beyond it a connect is
-/// dropped, and retried by the client's kernel only after a second, which is longer than most latency objectives.
+/// Maximum number of connections that wait to be accepted; the system limits it to `net.core.somaxconn`. A connect
+/// beyond it is dropped, and the client's kernel retries it only after 1 s, which is longer than most latency
+/// objectives.
 const BACKLOG: i32 = 4_096;
 
-/// Listens on an address without blocking. `SO_REUSEADDR` is set, as a process that has just ended may have used it.
+/// Opens a non-blocking listener at an address. `SO_REUSEADDR` is set, since a process that has just ended may have
+/// used the address.
 ///
 /// # Errors
-/// The system's error where the address cannot be bound.
+/// Returns the system's error if the listener cannot be opened.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
--- a/crates/sockets/src/memory_budget.rs
+++ b/crates/sockets/src/memory_budget.rs
@@ -1,7 +1,7 @@
-//! A limit on the bytes that the buffers of many connections hold together.
+//! Limit on the total size of the buffers of many connections.
 
-/// Bytes in use, and their limit. The limit is checked by those who would use more; it is not enforced here, since a
-/// buffer's size is known only once it has grown.
+/// Total size of all counted buffers, and its limit. The limit is not enforced here, since a buffer's size is known
+/// only once it has grown; callers check the limit before they use more.
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryBudget {
     used: usize,
@@ -9,36 +9,36 @@
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes, with none in use.
+    /// Creates a budget of `limit` bytes, none of which are in use.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         MemoryBudget { used: 0, limit }
     }
 
-    /// Bytes in use.
+    /// Returns the number of bytes in use.
     #[must_use]
     pub fn used(&self) -> usize {
         self.used
     }
 
-    /// Whether so many more bytes are within the limit.
+    /// Returns whether `bytes` more bytes are within the limit.
     #[must_use]
     pub fn has_room_for(&self, bytes: usize) -> bool {
         self.used + bytes <= self.limit
     }
 
-    /// Whether more is in use than the limit allows.
+    /// Returns whether more bytes are in use than the limit allows.
     #[must_use]
     pub fn is_exceeded(&self) -> bool {
         self.used > self.limit
     }
 
-    /// A buffer that is counted has another size now.
+    /// Records that the size of a counted buffer has changed from `before` to `after` bytes.
     pub fn resize(&mut self, before: usize, after: usize) {
         self.used = self.used + after - before;
     }
 
-    /// A buffer that is counted is freed, or counted elsewhere from now on.
+    /// Records that a counted buffer of `bytes` bytes was freed, or is counted elsewhere from now on.
     pub fn release(&mut self, bytes: usize) {
         self.used -= bytes;
     }
--- a/crates/sockets/src/nonblocking.rs
+++ b/crates/sockets/src/nonblocking.rs
@@ -1,38 +1,38 @@
-//! Reads and writes on sockets that do not block. Interrupted calls are repeated.
+//! Non-blocking reads and writes on sockets. Interrupted calls are repeated.
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Why a connection has to be closed.
+/// Reason for which a connection must be closed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// The other side closed it.
+    /// The peer closed the connection.
     #[error("closed by the other side")]
     ClosedByPeer,
-    /// The system accepted a write of no bytes.
+    /// The system accepted 0 bytes of a write.
     #[error("takes no bytes")]
     WriteZero,
-    /// The system reports an error.
+    /// The system reported an error.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A write that failed, perhaps after some bytes.
+/// Error of a write that failed, possibly after some bytes were written.
 #[derive(Debug, thiserror::Error)]
 #[error("write failed after {written} bytes")]
 pub struct WriteError {
-    /// Bytes that were written before.
+    /// Number of bytes that were written before the failure.
     pub written: usize,
-    /// Why no more can be.
+    /// Reason for the failure.
     pub source: ConnectionError,
 }
 
-/// Outcome of an attempt to read.
+/// Outcome of a read.
 #[derive(Debug)]
 pub enum ReadOutcome {
-    /// Nothing more has arrived for now.
+    /// No bytes have arrived.
     WouldBlock,
-    /// So many bytes were read; there may be more.
+    /// This number of bytes was read; more may have arrived.
     Read(usize),
-    /// The connection has ended.
+    /// The connection was closed or has failed.
     Closed(ConnectionError),
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// Writes until no bytes are left or the socket would block, and returns how many were written.
+/// Writes until no bytes are left or the socket would block. Returns the number of written bytes.
 ///
 /// # Errors
-/// The connection has failed.
+/// Returns an error if the connection has failed.
 pub fn write(socket: &mut impl Write, bytes: &[u8]) -> Result<usize, WriteError> {
     let mut written = 0;
     while written < bytes.len() {
@@ -65,17 +65,17 @@
     Ok(written)
 }
 
-/// Writes bytes from the front of a buffer, and removes them, until it is empty or the socket would block.
+/// Writes bytes from the front of a buffer, and removes them, until the buffer is empty or the socket would block.
 ///
 /// # Errors
-/// The connection has failed; the buffer is unchanged.
+/// Returns an error if the connection has failed. The buffer is then unchanged.
 pub fn write_buffer(socket: &mut impl Write, buffer: &mut Vec<u8>) -> Result<(), ConnectionError> {
     let written = write(socket, buffer).map_err(|error| error.source)?;
     buffer.drain(..written);
     Ok(())
 }
 
-/// One write: how many bytes it took, or none where it would block.
+/// Writes once and returns the number of written bytes. `None`: the socket would block.
 pub(crate) fn write_once(
     mut write: impl FnMut() -> io::Result<usize>,
 ) -> Result<Option<usize>, ConnectionError> {
--- a/crates/sockets/src/outgoing_message.rs
+++ b/crates/sockets/src/outgoing_message.rs
@@ -1,44 +1,45 @@
-//! A message that is written piece by piece, as its socket takes it.
+//! Message that is written in several steps, as far as its socket accepts bytes.
 use crate::nonblocking::{ConnectionError, write_once};
 use std::io::{IoSlice, Write};
 use std::ops::Range;
 
-/// An outgoing message: a head that is composed for each message, and a body that is forwarded in the buffer it was
-/// read into.
+/// Outgoing message: a head that is composed for each message, and a body that is forwarded in the buffer into which
+/// it was read.
 #[derive(Default)]
 pub struct OutgoingMessage {
-    /// The head. Bytes may be added to it until the message is written in full.
+    /// Head of the message. Bytes may be appended until the message is completely written.
     pub head: Vec<u8>,
     body: Vec<u8>,
-    /// Position of the body in its buffer.
+    /// Range of the body in its buffer.
     body_range: Range<usize>,
-    /// Bytes of head and body that were written.
+    /// Number of bytes of head and body that were written.
     written: usize,
 }
 
 impl OutgoingMessage {
-    /// Sets the body: the bytes of a buffer from `start` up to `end`.
+    /// Sets the body to the bytes of a buffer from `start` up to, but not including, `end`.
     pub fn set_body(&mut self, buffer: Vec<u8>, start: usize, end: usize) {
         self.body = buffer;
         self.body_range = start..end;
     }
 
-    /// Whether nothing is left to be written.
+    /// Returns whether no bytes are left to be written.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.written == self.head.len() + self.body_range.len()
     }
 
-    /// Bytes of memory held.
+    /// Returns the capacity of the message's buffers in bytes.
     #[must_use]
     pub fn capacity(&self) -> usize {
         self.head.capacity() + self.body.capacity()
     }
 
-    /// Writes until the message is complete, after which it can be reused, or until the socket would block.
+    /// Writes until the message is complete or the socket would block. A complete message is cleared and can be
+    /// reused.
     ///
     /// # Errors
-    /// The connection has failed.
+    /// Returns an error if the connection has failed.
     pub fn write_to(&mut self, socket: &mut impl Write) -> Result<(), ConnectionError> {
         while !self.is_empty() {
             let head = &self.head[self.written.min(self.head.len())..];
@@ -54,7 +55,7 @@
         Ok(())
     }
 
-    /// Keeps the head's buffer for the next message and frees that of the body.
+    /// Clears the message. Keeps the head's buffer for the next message and frees the body's.
     fn clear(&mut self) {
         self.head.clear();
         self.body = Vec::new();
--- a/crates/sockets/src/periodic_timer.rs
+++ b/crates/sockets/src/periodic_timer.rs
@@ -1,7 +1,7 @@
-//! A timer that is due again and again.
+//! Timer that is due once per period.
 use std::ops::Add;
 
-/// A timer that is due once a period has passed since it was last due. `T`: the unit of time, ticks or milliseconds.
+/// Timer that is due once its period has passed since it was last taken. `T`: type of times, in ticks or milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PeriodicTimer<T> {
     period: T,
@@ -9,17 +9,17 @@
 }
 
 impl<T: Copy + PartialOrd + Add<Output = T>> PeriodicTimer<T> {
-    /// A timer that is first due a period from now.
+    /// Creates a timer that is first due one period after `now`.
     pub fn new(period: T, now: T) -> Self {
         PeriodicTimer { period, last: now }
     }
 
-    /// When it is due next.
+    /// Returns the time at which the timer is next due.
     pub fn next_due(&self) -> T {
         self.last + self.period
     }
 
-    /// Whether it is due now. If so, the next period begins.
+    /// Returns whether the timer is due now. If it is, the next period begins.
     pub fn take_due(&mut self, now: T) -> bool {
         let is_due = now >= self.next_due();
         if is_due {
--- a/crates/sockets/src/signals.rs
+++ b/crates/sockets/src/signals.rs
@@ -3,10 +3,11 @@
 use mio::{Interest, Poll, Token};
 use std::io;
 
-/// A stream, registered with `poll` under `token`, on which a byte arrives for each of these signals.
+/// Opens a stream on which a byte arrives for each received signal of `signals`. The stream is registered with `poll`
+/// under `token`.
 ///
 /// # Errors
-/// The system's error where the stream or a signal handler cannot be set up.
+/// Returns the system's error if the stream or a signal handler cannot be set up.
 pub fn pipe(poll: &Poll, token: Token, signals: &[i32]) -> io::Result<UnixStream> {
     let (receiver, sender) = std::os::unix::net::UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
--- a/crates/sockets/src/slab.rs
+++ b/crates/sockets/src/slab.rs
@@ -1,6 +1,6 @@
-//! A table whose entries have small indices, which are reused once they are free.
+//! Table whose entries have small indices, which are reused once they are free.
 
-/// A table of values. The index that was freed last is the next to be assigned.
+/// Table of values. The index that was freed last is assigned next.
 pub struct Slab<T> {
     entries: Vec<Option<T>>,
     free: Vec<u32>,
@@ -16,7 +16,7 @@
 }
 
 impl<T> Slab<T> {
-    /// Adds a value; its index.
+    /// Adds a value and returns its index.
     pub fn insert(&mut self, value: T) -> u32 {
         if let Some(index) = self.free.pop() {
             self.entries[index as usize] = Some(value);
@@ -26,7 +26,7 @@
         (self.entries.len() - 1) as u32
     }
 
-    /// The index that the next value will get.
+    /// Returns the index that the next added value will get.
     #[must_use]
     pub fn next_index(&self) -> u32 {
         self.free
@@ -35,18 +35,18 @@
             .unwrap_or(self.entries.len() as u32)
     }
 
-    /// The value at an index, if there is one.
+    /// Returns the value at an index, if there is one.
     #[must_use]
     pub fn get(&self, index: u32) -> Option<&T> {
         self.entries.get(index as usize)?.as_ref()
     }
 
-    /// The value at an index, if there is one.
+    /// Returns the value at an index for changes, if there is one.
     pub fn get_mut(&mut self, index: u32) -> Option<&mut T> {
         self.entries.get_mut(index as usize)?.as_mut()
     }
 
-    /// Removes the value at an index, if there is one, and frees the index.
+    /// Removes and returns the value at an index, if there is one, and frees the index.
     pub fn remove(&mut self, index: u32) -> Option<T> {
         let value = self.entries.get_mut(index as usize)?.take();
         if value.is_some() {
@@ -55,25 +55,25 @@
         value
     }
 
-    /// How many values there are.
+    /// Returns the number of values.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len() - self.free.len()
     }
 
-    /// Whether there is no value.
+    /// Returns whether the table has no values.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All indices ever used are below this: for loops that change the table as they go.
+    /// Returns the exclusive upper bound of all indices that were ever used, for loops that change the table.
     #[must_use]
     pub fn index_bound(&self) -> u32 {
         self.entries.len() as u32
     }
 
-    /// All values with their indices, by index.
+    /// Returns all values with their indices, in ascending order of the index.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
         self.entries
             .iter()
@@ -81,7 +81,7 @@
             .filter_map(|(index, value)| Some((index as u32, value.as_ref()?)))
     }
 
-    /// The indices of all values, in order.
+    /// Returns the indices of all values in ascending order.
     #[must_use]
     pub fn indices(&self) -> Vec<u32> {
         self.iter().map(|(index, _)| index).collect()
--- a/crates/sockets/tests/memory_budget.rs
+++ b/crates/sockets/tests/memory_budget.rs
@@ -1,4 +1,4 @@
-//! The bytes that the buffers of many connections hold together.
+//! Limit on the total size of the buffers of many connections.
 use mallowseam_sockets::memory_budget::MemoryBudget;
 
 #[test]
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_budget_is_exceeded_past_its_limit_until_buffers_shrink_or_are_freed() {
+fn a_budget_is_exceeded_above_its_limit_until_buffers_shrink_or_are_freed() {
     let mut budget = MemoryBudget::new(100);
     budget.resize(0, 100);
     assert!(!budget.is_exceeded());
--- a/crates/sockets/tests/outgoing_message.rs
+++ b/crates/sockets/tests/outgoing_message.rs
@@ -1,8 +1,8 @@
-//! Messages written piece by piece.
+//! Messages that are written in several steps.
 use mallowseam_sockets::outgoing_message::OutgoingMessage;
 use std::io::{ErrorKind, Write};
 
-/// Takes four bytes at a time and blocks on every third call.
+/// Socket that accepts four bytes at a time and would block on every third call.
 #[derive(Default)]
 struct SlowSocket {
     received: Vec<u8>,
@@ -26,13 +26,15 @@
 }
 
 #[test]
-fn message_goes_out_in_order_on_a_slow_socket_and_can_be_reused() {
+fn message_is_written_in_order_on_a_slow_socket_and_can_be_reused() {
     let (mut socket, mut message) = (SlowSocket::default(), OutgoingMessage::default());
     for _ in 0..2 {
         message.head.extend_from_slice(b"head and ");
         message.set_body(b"xxbodyyy".to_vec(), 2, 6);
         while !message.is_empty() {
-            message.write_to(&mut socket).expect("open");
+            message
+                .write_to(&mut socket)
+                .expect("the socket has not failed");
         }
     }
     assert_eq!(socket.received, b"head and bodyhead and body");
--- a/crates/sockets/tests/periodic_timer.rs
+++ b/crates/sockets/tests/periodic_timer.rs
@@ -1,8 +1,8 @@
-//! A timer that is due again and again.
+//! Timer that is due once per period.
 use mallowseam_sockets::periodic_timer::PeriodicTimer;
 
 #[test]
-fn a_period_begins_when_the_timer_was_taken() {
+fn a_period_begins_when_the_timer_is_taken() {
     let mut timer = PeriodicTimer::new(100_i64, 1_000);
     assert_eq!(timer.next_due(), 1_100);
     assert!(!timer.take_due(1_099));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_timer_is_due_once_a_period() {
+fn a_timer_is_due_once_per_period() {
     let mut timer = PeriodicTimer::new(10, 100);
     assert!(!timer.take_due(109));
     assert!(timer.take_due(110));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_late_timer_is_due_a_period_after_it_was_taken() {
+fn a_timer_taken_late_is_due_one_period_later() {
     let mut timer = PeriodicTimer::new(10, 100);
     assert!(timer.take_due(135));
     assert_eq!(timer.next_due(), 145);
--- a/crates/sockets/tests/pinned_decisions.rs
+++ b/crates/sockets/tests/pinned_decisions.rs
@@ -1,4 +1,5 @@
-//! Indices of a slab, conversion of times, and partial reads and writes over seeded streams, compared with recorded values.
+//! Indices of a slab, conversions of times, and partial reads and writes over seeded streams, compared with recorded
+//! digests. Guards against unintended changes of any of them.
 use mallowseam_sockets::arrival_estimator::ArrivalEstimator;
 use mallowseam_sockets::clock;
 use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
@@ -8,7 +9,7 @@
 use std::io::{Error, ErrorKind, IoSlice, Read, Write};
 
 #[test]
-fn indices_are_given_out_in_the_recorded_order() {
+fn assigned_indices_match_the_recorded_digests() {
     assert_pinned(&INDICES, |rng, digest| {
         let mut slab: Slab<u64> = Slab::default();
         for event in 0..4_000 {
@@ -41,59 +42,59 @@
 }
 
 #[test]
-fn times_are_converted_as_recorded() {
+fn converted_times_match_the_recorded_digests() {
     assert_pinned(&TIMES, |rng, digest| {
         for _ in 0..1_000 {
             let bound = rng.pick(&[1_000, 1_000_000, 1 << 40]);
-            let (figure, ticks) = (rng.below(bound), rng.below(bound) as i64 - 300);
-            digest.add(clock::ticks_from_micros_floor(figure) as u64);
-            digest.add(clock::ticks_from_micros_ceil(figure) as u64);
-            digest.add(clock::ticks_from_millis(figure) as u64);
+            let (time, ticks) = (rng.below(bound), rng.below(bound) as i64 - 300);
+            digest.add(clock::ticks_from_micros_floor(time) as u64);
+            digest.add(clock::ticks_from_micros_ceil(time) as u64);
+            digest.add(clock::ticks_from_millis(time) as u64);
             digest.add(clock::ticks_to_millis(ticks));
             digest.add(clock::ticks_to_duration(ticks).as_nanos() as u64);
         }
         let mut now = 1_000;
         let mut estimator = ArrivalEstimator::new(now);
         for _ in 0..1_000 {
-            let asked = now + rng.below(20) as i64;
-            now = asked + rng.pick(&[0, 0, 1, 2, 3, 50]);
-            digest.add(estimator.estimate(asked, now) as u64);
+            let poll_began = now + rng.below(20) as i64;
+            now = poll_began + rng.pick(&[0, 0, 1, 2, 3, 50]);
+            digest.add(estimator.estimate(poll_began, now) as u64);
         }
     });
 }
 
 #[test]
 fn a_clock_counts_ticks_of_a_tenth_of_a_millisecond_from_its_start_or_from_the_epoch() {
-    let (steady, from_epoch) = (clock::Clock::from_zero(), clock::Clock::from_unix_epoch());
-    assert!((0..600_000).contains(&steady.now()));
+    let (from_zero, from_epoch) = (clock::Clock::from_zero(), clock::Clock::from_unix_epoch());
+    assert!((0..600_000).contains(&from_zero.now()));
     let epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
-        .expect("after 1970");
+        .expect("the system time is after 1970");
     assert!((epoch.as_millis() as i64 * 10 - from_epoch.now()).abs() < 600_000);
 }
 
-/// A socket that moves a few bytes at a time, and now and then blocks, is interrupted or fails.
+/// Socket that transfers a few bytes at a time, and at random would block, is interrupted or fails.
 struct ScriptedSocket<'a> {
     rng: &'a mut SeededRng,
-    moved: Vec<u8>,
+    written: Vec<u8>,
 }
 
 impl ScriptedSocket<'_> {
-    fn next(&mut self, most: usize) -> std::io::Result<usize> {
+    fn next_result(&mut self, max_count: usize) -> std::io::Result<usize> {
         match self.rng.below(40) {
             0..=5 => Err(ErrorKind::WouldBlock.into()),
             6..=9 => Err(ErrorKind::Interrupted.into()),
             10 => Err(Error::other("cable pulled")),
             11 => Ok(0),
-            _ => Ok(most.min(1 + self.rng.below(9) as usize)),
+            _ => Ok(max_count.min(1 + self.rng.below(9) as usize)),
         }
     }
 }
 
 impl Write for ScriptedSocket<'_> {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let count = self.next(bytes.len())?;
-        self.moved.extend_from_slice(&bytes[..count]);
+        let count = self.next_result(bytes.len())?;
+        self.written.extend_from_slice(&bytes[..count]);
         Ok(count)
     }
 
@@ -112,15 +113,15 @@
 }
 
 impl Read for ScriptedSocket<'_> {
-    fn read(&mut self, into: &mut [u8]) -> std::io::Result<usize> {
-        let count = self.next(into.len())?;
-        into[..count].fill(7);
+    fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
+        let count = self.next_result(buffer.len())?;
+        buffer[..count].fill(7);
         Ok(count)
     }
 }
 
 #[test]
-fn partial_reads_and_writes_go_as_recorded() {
+fn partial_reads_and_writes_match_the_recorded_digests() {
     assert_pinned(&TRANSFERS, |rng, digest| {
         for _ in 0..400 {
             let bytes: Vec<u8> = (0..rng.below(60)).map(|_| rng.below(256) as u8).collect();
@@ -130,10 +131,10 @@
 }
 
 fn transfer(rng: &mut SeededRng, digest: &mut Digest, bytes: &[u8]) {
-    let (from, small) = (rng.below(20) as usize, rng.below(10) as usize);
+    let (body_start, head_len) = (rng.below(20) as usize, rng.below(10) as usize);
     let mut socket = ScriptedSocket {
         rng,
-        moved: Vec::new(),
+        written: Vec::new(),
     };
 
     match nonblocking::read(&mut socket, &mut [0; 16]) {
@@ -157,18 +158,18 @@
     for _ in 0..2 {
         message
             .head
-            .extend_from_slice(&bytes[..small.min(bytes.len())]);
-        message.set_body(bytes.to_vec(), from.min(bytes.len()), bytes.len());
+            .extend_from_slice(&bytes[..head_len.min(bytes.len())]);
+        message.set_body(bytes.to_vec(), body_start.min(bytes.len()), bytes.len());
         digest.add(u64::from(message.capacity() >= bytes.len()));
-        let mut tries = 0;
-        while !message.is_empty() && tries < 50 {
+        let mut write_count = 0;
+        while !message.is_empty() && write_count < 50 {
             add_error(digest, message.write_to(&mut socket));
-            tries += 1;
+            write_count += 1;
         }
-        digest.add(tries);
+        digest.add(write_count);
         digest.add(u64::from(message.is_empty()));
     }
-    digest.add_bytes(&socket.moved);
+    digest.add_bytes(&socket.written);
 }
 
 fn add_error(digest: &mut Digest, result: Result<(), ConnectionError>) {
