--- a/crates/service-loop/src/event_loop.rs
+++ b/crates/service-loop/src/event_loop.rs
@@ -1,48 +1,48 @@
-//! The event loop of a service.
+//! Event loop of a service.
 use mio::event::Event;
 use mio::{Events, Poll};
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Most events that one poll returns.
+/// Maximum number of events that one poll returns.
 const MAX_EVENTS: usize = 256;
 
-/// Polling for socket events failed.
+/// Error of a failed poll for socket events.
 #[derive(Debug, thiserror::Error)]
-#[error("poll: {0}")]
+#[error("failed to poll for socket events: {0}")]
 pub struct PollError(#[source] pub io::Error);
 
-/// A process with one event loop that serves hosts and operators until it is asked to stop.
+/// Process with one event loop that serves hosts and operators until it is asked to stop.
 pub trait Service {
-    /// Why the service cannot go on.
+    /// Error that ends the service.
     type Error: From<PollError>;
 
-    /// Whether the process is to end before the next poll.
+    /// Returns whether the process must end before the next poll.
     fn is_stopping(&self) -> bool;
 
-    /// Longest time that the next poll may wait for events.
+    /// Returns the maximum time for which the next poll may wait for events.
     fn poll_timeout(&self) -> Duration;
 
-    /// A poll has returned: reads the clock, by which all of this iteration is decided.
+    /// Reads the clock after a poll has returned. All decisions of this iteration use that time.
     fn on_poll_returned(&mut self);
 
-    /// A socket is ready.
+    /// Handles an event of a socket that is ready.
     ///
     /// # Errors
-    /// The service cannot go on.
+    /// Returns an error that ends the service.
     fn on_event(&mut self, event: &Event) -> Result<(), Self::Error>;
 
-    /// Does what is due after the events of one poll.
+    /// Does the work that is due after the events of one poll.
     ///
     /// # Errors
-    /// The service cannot go on.
+    /// Returns an error that ends the service.
     fn after_events(&mut self) -> Result<(), Self::Error>;
 }
 
 /// Runs a service until it is asked to stop.
 ///
 /// # Errors
-/// Polling fails, or the service cannot go on.
+/// Returns an error if a poll fails, or the error that ended the service.
 pub fn run<S: Service>(service: &mut S, poll: &mut Poll) -> Result<(), S::Error> {
     let mut events = Events::with_capacity(MAX_EVENTS);
     while !service.is_stopping() {
@@ -56,7 +56,7 @@
     Ok(())
 }
 
-/// Polls once. A poll that a signal interrupts has no events.
+/// Polls once. A poll that is interrupted by a signal returns no events.
 fn wait_for_events(
     poll: &mut Poll,
     events: &mut Events,
--- a/crates/service-loop/src/host_connections.rs
+++ b/crates/service-loop/src/host_connections.rs
@@ -1,4 +1,4 @@
-//! The connections of hosts to a service, which carry one JSON object a line.
+//! Connections of hosts to a service, which carry one JSON object per line.
 use mallowseam_control_protocol::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_control_protocol::startup::{StartError, listen};
 use mallowseam_sockets::slab::Slab;
@@ -9,56 +9,56 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Bytes read from a socket at once.
+/// Maximum number of bytes that one read from a socket returns.
 const READ_BUFFER: usize = 64 * 1024;
 
 /// Index of a host's connection.
 pub type HostId = u32;
 
-/// Limits on one host, in bytes.
+/// Limits of one host's connection, in bytes.
 pub struct Limits {
-    /// Longest line that it may send.
+    /// Maximum length of a line from the host.
     pub max_line: usize,
-    /// Most bytes that may wait for it to read them.
+    /// Maximum number of unsent bytes for the host.
     pub max_unsent: usize,
 }
 
-/// The connection of one host, with what the service keeps of it in `state`.
+/// Connection of one host, with the state that the service keeps for the host.
 pub struct HostConnection<T> {
     connection: LineConnection,
-    /// Lines that were read and not handled yet.
+    /// Lines that were received and not processed yet.
     received: VecDeque<Vec<u8>>,
     name: Option<String>,
     state: T,
 }
 
 impl<T> HostConnection<T> {
-    /// The host's name; none before its hello message.
+    /// Returns the host's name. `None`: the host has not sent its name yet.
     pub fn name(&self) -> Option<&str> {
         self.name.as_deref()
     }
 
-    /// Sets the name of a hello message. An empty one leaves the host unnamed.
+    /// Sets the name from the host's hello message. An empty name leaves the host unnamed.
     pub fn set_name(&mut self, name: &str) {
         self.name = (!name.is_empty()).then(|| name.to_owned());
     }
 
-    /// What the service keeps of the host.
+    /// Returns the state that the service keeps for the host.
     pub fn state(&self) -> &T {
         &self.state
     }
 
-    /// Replaces what the service keeps of the host.
+    /// Replaces the state that the service keeps for the host.
     pub fn set_state(&mut self, state: T) {
         self.state = state;
     }
 
-    /// Queues a message; [`HostConnections::flush`] writes it.
+    /// Queues a message, which [`HostConnections::flush`] writes.
     pub fn send(&mut self, message: &impl Serialize) {
         self.connection.send(message);
     }
 
-    /// Writes what is queued, unless the host has left more than `max_unsent` bytes unread.
+    /// Writes the queued bytes. Fails without writing if more than `max_unsent` bytes are queued.
     fn flush(&mut self, max_unsent: usize) -> Result<(), Disconnect> {
         if self.connection.unsent_bytes() > max_unsent {
             return Err(Disconnect::NotReading);
@@ -67,7 +67,7 @@
     }
 }
 
-/// The hosts that are connected to a service. One that exceeds a limit is disconnected.
+/// Hosts that are connected to a service. A host that exceeds a limit is disconnected.
 pub struct HostConnections<T> {
     listener: TcpListener,
     registry: Registry,
@@ -78,18 +78,18 @@
 }
 
 impl<T: Default> HostConnections<T> {
-    /// Listens at an address; connections get tokens from `first_token` on.
+    /// Listens at an address. `listener_token`: token of the listener. `first_token`: first token of connections.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// Returns an error if the listener cannot be opened at the address.
     pub(crate) fn open(
         address: SocketAddr,
         poll: &Poll,
-        own: Token,
+        listener_token: Token,
         first_token: usize,
         limits: Limits,
     ) -> Result<Self, StartError> {
-        let (listener, registry) = listen(address, poll, own)?;
+        let (listener, registry) = listen(address, poll, listener_token)?;
         Ok(HostConnections {
             listener,
             registry,
@@ -120,17 +120,17 @@
         }
     }
 
-    /// A host that is still connected.
+    /// Returns a host, if it is still connected.
     pub fn get_mut(&mut self, id: HostId) -> Option<&mut HostConnection<T>> {
         self.hosts.get_mut(id)
     }
 
-    /// All hosts with their ids.
+    /// Returns all hosts with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (HostId, &HostConnection<T>)> {
         self.hosts.iter()
     }
 
-    /// The ids of all hosts.
+    /// Returns the ids of all hosts.
     pub fn ids(&self) -> Vec<HostId> {
         self.hosts.indices()
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Queues a message for every host that `selects` picks.
+    /// Queues a message for every host that matches the predicate `selects`.
     pub fn broadcast(
         &mut self,
         message: &impl Serialize,
@@ -164,8 +164,8 @@
         }
     }
 
-    /// The next message of a host that is ready to be read. None: no more has arrived for now, or the host is
-    /// disconnected, as it is after a line that is not a message.
+    /// Returns the next message of a host whose connection is ready. `None`: no further message has arrived, or the
+    /// host is disconnected. A line that is not a valid message disconnects the host.
     pub fn next_message<M: DeserializeOwned>(&mut self, id: HostId) -> Option<M> {
         loop {
             if let Some(line) = self.hosts.get_mut(id)?.received.pop_front() {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Reads once from a host. False: no more has arrived for now, or the host is disconnected.
+    /// Reads once from a host. Returns false if no bytes have arrived or the host is disconnected.
     fn read(&mut self, id: HostId) -> bool {
         let Some(host) = self.hosts.get_mut(id) else {
             return false;
@@ -198,7 +198,7 @@
         false
     }
 
-    /// Writes what is queued for all hosts.
+    /// Writes the queued messages of all hosts, and disconnects hosts whose connection fails or exceeds its limit.
     pub fn flush(&mut self) {
         for id in self.hosts.indices() {
             let Some(host) = self.hosts.get_mut(id) else {
--- a/crates/service-loop/src/lib.rs
+++ b/crates/service-loop/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the services have in common.
+//! Event loop and connections that all services share.
 //!
 //! - `event_loop`: polls sockets and calls a [`Service`] until it is asked to stop.
-//! - `sockets`: the sockets of a service, and the tokens of their connections.
-//! - `host_connections`: the connections of hosts, which carry one JSON object a line.
+//! - `sockets`: the sockets of a service, and the tokens of its connections.
+//! - `host_connections`: the connections of hosts, which carry one JSON object per line.
 //! - `operators`: requests of operators on the control socket.
 //! - `stop_requests`: whether a signal or an operator has asked the process to stop.
 #![warn(missing_docs)]
--- a/crates/service-loop/src/operators.rs
+++ b/crates/service-loop/src/operators.rs
@@ -1,21 +1,21 @@
-//! The operators of a service: requests on its control socket and their answers.
+//! Operators of a service: requests on the control socket and their answers.
 use mallowseam_control_protocol::control_socket::{ConnectionId, ControlSocket};
 
-/// The answer to a request of an operator.
+/// Answer to a request of an operator.
 pub enum Answer {
-    /// The answer's text.
+    /// The text is the answer.
     Now(String),
-    /// The request has begun an operation, whose end is the answer.
+    /// The request has started an operation, at whose end it is answered.
     Later,
 }
 
-/// The connections of operators. A service without a control socket has none.
+/// Connections of operators. A service without a control socket has none.
 pub struct Operators {
     control_socket: Option<ControlSocket>,
 }
 
 impl Operators {
-    /// The operators at a control socket.
+    /// Creates the connections of operators at a control socket.
     pub(crate) fn new(control_socket: Option<ControlSocket>) -> Self {
         Operators { control_socket }
     }
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Reads from a connection that is ready. Returns its request once that is complete.
+    /// Reads from a connection that is ready. Returns the request once it is complete.
     pub(crate) fn read_request(&mut self, connection: ConnectionId) -> Option<String> {
         self.control_socket.as_mut()?.read_request(connection)
     }
--- a/crates/service-loop/src/sockets.rs
+++ b/crates/service-loop/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a service: the listener and connections of hosts, the control socket, and the signals.
+//! Sockets of a service: the listener and connections of hosts, the control socket, and the signal socket.
 use crate::host_connections::{HostConnections, HostId, Limits};
 use crate::operators::Operators;
 use crate::stop_requests::StopRequests;
@@ -12,29 +12,29 @@
 const LISTENER: Token = Token(0);
 /// Token of the control socket.
 const CONTROL: Token = Token(1);
-/// Token of the signals' socket.
+/// Token of the signal socket.
 const SIGNALS: Token = Token(2);
 /// First token of connections to the control socket.
 const FIRST_CONTROL_CONNECTION: usize = 3;
-/// First token of connections to nodes; those of hosts follow.
+/// First token of connections to nodes. The tokens of host connections follow those of the nodes.
 pub const FIRST_NODE_TOKEN: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 
-/// What a socket that is ready leaves to the service.
+/// Event of a ready socket that the service must handle.
 pub enum SocketEvent {
     /// An operator has sent a request.
     Request {
-        /// Where the answer goes.
+        /// Connection to which the answer is sent.
         connection: ConnectionId,
-        /// The request.
+        /// Line of the request.
         line: String,
     },
-    /// The connection to the storage node of this index is ready.
+    /// The connection to the storage node with this index is ready.
     Node(usize),
-    /// The connection of a host is ready.
+    /// The connection of the host with this id is ready.
     Host(HostId),
 }
 
-/// The sockets of a service that is being opened: it listens, and signals still end the process.
+/// Sockets of a service that is starting: the service listens, and signals still end the process.
 pub struct ListeningSockets<T> {
     hosts: HostConnections<T>,
     operators: Operators,
@@ -42,11 +42,11 @@
 }
 
 impl<T: Default> ListeningSockets<T> {
-    /// Listens for hosts at an address and for operators at a control socket, if there is to be one.
-    /// `node_count`: how many tokens to leave for connections to nodes.
+    /// Listens for hosts at an address and for operators at a control socket, if a path is given. `node_count`: number
+    /// of tokens that are reserved for connections to nodes.
     ///
     /// # Errors
-    /// The address or the control socket cannot be had.
+    /// Returns an error if the listener or the control socket cannot be opened.
     pub fn open(
         address: SocketAddr,
         control_socket: Option<&Path>,
@@ -65,10 +65,10 @@
         })
     }
 
-    /// From now on SIGTERM and SIGINT are requests to stop.
+    /// Makes SIGTERM and SIGINT requests to stop from now on.
     ///
     /// # Errors
-    /// Signals cannot be received.
+    /// Returns an error if the signal handlers cannot be set up.
     pub fn watch_signals(self, poll: &Poll) -> Result<ServiceSockets<T>, StartError> {
         Ok(ServiceSockets {
             hosts: self.hosts,
@@ -79,18 +79,18 @@
     }
 }
 
-/// The sockets of a service.
+/// Sockets of a service.
 pub struct ServiceSockets<T> {
     hosts: HostConnections<T>,
     operators: Operators,
     stop_requests: StopRequests,
-    /// First token of connections of hosts.
+    /// First token of host connections.
     first_host: usize,
 }
 
 impl<T: Default> ServiceSockets<T> {
-    /// The socket of a token is ready. Accepts connections, takes signals and reads requests of operators;
-    /// what the service itself has to do is returned.
+    /// Handles a ready socket: accepts connections, receives signals and reads requests of operators. Returns the
+    /// event that the service must handle, if there is one.
     pub fn on_ready(&mut self, token: Token) -> Option<SocketEvent> {
         match token {
             LISTENER => self.hosts.accept(),
@@ -109,27 +109,27 @@
         None
     }
 
-    /// The connections of hosts.
+    /// Returns the connections of hosts.
     pub fn hosts(&self) -> &HostConnections<T> {
         &self.hosts
     }
 
-    /// The connections of hosts.
+    /// Returns the connections of hosts for changes.
     pub fn hosts_mut(&mut self) -> &mut HostConnections<T> {
         &mut self.hosts
     }
 
-    /// The connections of operators.
+    /// Returns the connections of operators for changes.
     pub fn operators_mut(&mut self) -> &mut Operators {
         &mut self.operators
     }
 
-    /// An operator asks the process to stop.
+    /// Records that an operator has asked the process to stop.
     pub fn request_stop(&mut self) {
         self.stop_requests.request();
     }
 
-    /// Whether the process has been asked to stop.
+    /// Returns whether the process has been asked to stop.
     pub fn is_stop_requested(&self) -> bool {
         self.stop_requests.is_requested()
     }
