--- a/crates/connection-policy/src/request_splitting.rs
+++ b/crates/connection-policy/src/request_splitting.rs
@@ -4,7 +4,7 @@
 //! ordering key and one rule.
 use std::num::NonZeroU64;
 
-/// A contiguous range of a volume's blocks that one shard stores.
+/// Contiguous range of a volume's blocks that one shard stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
     /// First block of the extent, counted in the volume.
--- a/crates/connection-policy/src/watch_liveness.rs
+++ b/crates/connection-policy/src/watch_liveness.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns whether the watch has failed by now; true only once per watch. The caller then requests a second watch.
-    /// An established watch is read on until the second one has delivered an event.
+    /// An established watch is still read until the second one has delivered an event.
     pub fn check_failure(&mut self, now: Millis) -> bool {
         let fails = !self.failure_reported && now >= self.fails_at();
         self.failure_reported |= fails;
--- a/crates/endpoint-list/src/cache.rs
+++ b/crates/endpoint-list/src/cache.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the text is truncated or otherwise not a text that [`write`] returns.
+/// Returns an error if the text is truncated or otherwise not a text that [`write()`] returns.
 pub(crate) fn read(text: &str) -> Result<Vec<Endpoint>, ProtocolError> {
     let mut lines = text.lines();
     let head = lines.next().and_then(|line| line.strip_prefix("kept "));
--- a/crates/endpoint-list/src/known_list.rs
+++ b/crates/endpoint-list/src/known_list.rs
@@ -10,7 +10,7 @@
     Dropped,
     /// The update does not follow the known version, so a version was missed.
     VersionMissed,
-    /// The update was applied. Contains it without endpoints of an older generation than the known ones.
+    /// The update was applied. Contains the update without endpoints of an older generation than the known ones.
     Applied(EndpointUpdate),
 }
 
--- a/crates/platform/src/settings/reader.rs
+++ b/crates/platform/src/settings/reader.rs
@@ -124,7 +124,11 @@
             return;
         }
         for key in keys.iter().filter(|key| object.value[**key].is_null()) {
-            self.reject(object, key, "a figure, as others of its rule are there");
+            self.reject(
+                object,
+                key,
+                "a figure, since other fields of the same rule are set",
+            );
         }
     }
 }
--- a/crates/platform/tests/pinned_wire.rs
+++ b/crates/platform/tests/pinned_wire.rs
@@ -842,7 +842,7 @@
         writeln!(out, "  plan {name}: {}", show_plan(plan))
             .expect("writing to memory does not fail");
     }
-    let figures: [(&str, &dyn std::fmt::Debug); 34] = [
+    let fields: [(&str, &dyn std::fmt::Debug); 34] = [
         (
             "counts",
             &(
@@ -886,8 +886,8 @@
         ("budget share", &t.retry_budget_ratio),
         ("budget span", &t.retry_budget_window),
     ];
-    for (name, figure) in &figures {
-        writeln!(out, "  {name}: {figure:?}").expect("writing to memory does not fail");
+    for (name, value) in &fields {
+        writeln!(out, "  {name}: {value:?}").expect("writing to memory does not fail");
     }
     out
 }
--- a/crates/sockets/src/periodic_timer.rs
+++ b/crates/sockets/src/periodic_timer.rs
@@ -1,7 +1,8 @@
 //! Timer that is due once per period.
 use std::ops::Add;
 
-/// Timer that is due once its period has passed since it was last taken. `T`: type of times, in ticks or milliseconds.
+/// Timer that is due once its period has passed since `take_due` last returned true. `T`: type of times, in ticks or
+/// milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct PeriodicTimer<T> {
     period: T,
