--- a/crates/settings/src/arguments.rs
+++ b/crates/settings/src/arguments.rs
@@ -1,32 +1,32 @@
-//! The values behind a directive.
+//! The arguments of a directive.
 use crate::diagnostics::{Diagnostics, Position};
 use crate::tokens::Token;
 use crate::units;
 use std::net::SocketAddr;
 
-/// Longest name, in bytes: that of an iSCSI name (RFC 7143, section 4.2.7.1).
+/// Maximum length of a name, in bytes: that of an iSCSI name (RFC 7143, section 4.2.7.1).
 const MAX_NAME_LEN: usize = 223;
 
-/// Reads the tokens behind a directive one after the other. `expected` is what the diagnostic asks for where a value is
-/// missing or invalid; such a line gets one diagnostic, and the rest of it is skipped.
+/// Reader of the tokens after a directive. The parameter `expected` of its methods is the text of the diagnostic for a
+/// value that is missing or invalid; a line gets one such diagnostic, and the rest of it is skipped.
 pub struct Arguments<'a> {
     tokens: &'a [Token],
     next: usize,
-    /// Where the line ends.
+    /// Position of the end of the line.
     end: Position,
     failed: bool,
     diagnostics: &'a mut Diagnostics,
 }
 
 impl<'a> Arguments<'a> {
-    /// The arguments of the directive that is the first of these tokens.
+    /// Creates a reader of the arguments of the directive that is the first of these tokens.
     ///
     /// # Panics
     ///
-    /// Without any token.
+    /// If there are no tokens.
     #[must_use]
     pub fn new(tokens: &'a [Token], diagnostics: &'a mut Diagnostics) -> Self {
-        let last = tokens.last().expect("a directive");
+        let last = tokens.last().expect("the line has a directive");
         let Position { line, column } = last.position;
         let end = Position {
             line,
@@ -41,26 +41,26 @@
         }
     }
 
-    /// Where the next token begins, or the line ends.
+    /// Returns the position of the next token, or of the end of the line.
     #[must_use]
     pub fn position(&self) -> Position {
         self.tokens.get(self.next).map_or(self.end, |t| t.position)
     }
 
-    /// Whether another token follows that can be read.
+    /// Whether there is another token to read.
     #[must_use]
     pub fn has_more(&self) -> bool {
         self.next < self.tokens.len() && !self.failed
     }
 
-    /// Takes the next token if it is this keyword.
+    /// Consumes the next token if it is this keyword, and returns whether it was.
     pub fn accept(&mut self, keyword: &str) -> bool {
         let found = self.has_more() && self.tokens[self.next].text == keyword;
         self.next += usize::from(found);
         found
     }
 
-    /// The next token as `parse` reads it.
+    /// Reads the next token with `parse`; adds a diagnostic if the token is missing or `parse` rejects it.
     pub fn value<T>(&mut self, expected: &str, parse: impl FnOnce(&str) -> Option<T>) -> Option<T> {
         if self.failed {
             return None;
@@ -76,17 +76,17 @@
         value
     }
 
-    /// Rejects the next token, or the end of the line.
+    /// Adds a diagnostic about the next token or, after the last token, about the end of the line.
     pub fn reject(&mut self, expected: &str) {
         self.value::<()>(expected, |_| None);
     }
 
-    /// Any text.
+    /// Reads any text.
     pub fn text(&mut self, expected: &str) -> Option<String> {
         self.value(expected, |text| Some(text.to_owned()))
     }
 
-    /// A name: letters, digits and `-_.:`.
+    /// Reads a name of letters, digits and `-_.:`.
     pub fn name(&mut self, expected: &str) -> Option<Token> {
         let position = self.position();
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
@@ -97,51 +97,51 @@
         Some(Token { text, position })
     }
 
-    /// An integer within bounds, both included.
+    /// Reads an integer from `min` to `max`, both included.
     pub fn integer(&mut self, expected: &str, min: u64, max: u64) -> Option<u64> {
         self.value(expected, |text| {
             text.parse().ok().filter(|n| (min..=max).contains(n))
         })
     }
 
-    /// A number within bounds, both included.
+    /// Reads a number from `min` to `max`, both included.
     pub fn number(&mut self, expected: &str, min: f64, max: f64) -> Option<f64> {
         let in_bounds = |n: &f64| n.is_finite() && (min..=max).contains(n);
         self.value(expected, |text| text.parse().ok().filter(in_bounds))
     }
 
-    /// A rate such as `20/s`, in units per second.
+    /// Reads a rate such as `20/s`, in units per second.
     pub fn rate(&mut self, expected: &str) -> Option<f64> {
         self.value(expected, units::parse_rate)
     }
 
-    /// A rate such as `0.125/s`, in thousandths of a unit per second, without rounding.
+    /// Reads a rate such as `0.125/s`, in thousandths of a unit per second, without rounding.
     pub fn exact_rate(&mut self, expected: &str) -> Option<u64> {
         self.value(expected, units::parse_exact_rate)
     }
 
-    /// A percentage such as `35%`, as a ratio from 0 to 1.
+    /// Reads a percentage such as `35%`, as a ratio from 0 to 1.
     pub fn percent(&mut self, expected: &str) -> Option<f64> {
         self.value(expected, units::parse_percent)
     }
 
-    /// A duration such as `200ms`, in microseconds.
+    /// Reads a duration such as `200ms`, in microseconds.
     pub fn duration(&mut self, expected: &str) -> Option<u64> {
         self.value(expected, units::parse_duration)
     }
 
-    /// A size such as `4KiB`, in bytes.
+    /// Reads a size such as `4KiB`, in bytes.
     pub fn size(&mut self, expected: &str) -> Option<u64> {
         self.value(expected, units::parse_size)
     }
 
-    /// An address and port.
+    /// Reads an IP address and port.
     pub fn address(&mut self, expected: &str) -> Option<SocketAddr> {
         self.value(expected, |text| text.parse().ok())
     }
 
-    /// Reports that values of the line do not fit together, at its first token. Each conflict is
-    /// `FIELD: expected …`.
+    /// Adds diagnostics at the first token of the line about values that contradict each other or a bound. Each conflict
+    /// has the form `FIELD: expected …`.
     pub fn report_conflicts(&mut self, conflicts: &[String]) {
         if self.failed {
             return;
@@ -152,11 +152,11 @@
                 .split_once(": expected ")
                 .unwrap_or(("the line", conflict));
             self.diagnostics
-                .add(position, expected, format!("another {field}"));
+                .add(position, expected, format!("another value for {field}"));
         }
     }
 
-    /// Reports whatever follows.
+    /// Adds a diagnostic if there is another token.
     pub fn expect_end(&mut self) {
         if self.has_more() {
             let token = &self.tokens[self.next];
--- a/crates/settings/src/config.rs
+++ b/crates/settings/src/config.rs
@@ -1,4 +1,4 @@
-//! What a valid configuration contains. Durations are in microseconds, sizes in bytes, rates in units per second, and
+//! Contents of a valid configuration. Durations are in microseconds, sizes in bytes, rates in units per second, and
 //! ratios from 0 to 1. Sections refer to each other by index.
 use mallowseam_fleet::config::FleetConfig;
 use std::net::SocketAddr;
@@ -7,247 +7,247 @@
 /// A configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GatewayConfig {
-    /// This host.
+    /// Settings of this host.
     pub host: Host,
-    /// What all hosts have in common.
+    /// Settings that all hosts have in common.
     pub fleet: Fleet,
-    /// The plans that volumes have.
+    /// Plans that volumes are assigned to.
     pub plans: Vec<Plan>,
-    /// The I/O classes that block I/Os belong to.
+    /// I/O classes that block I/Os belong to.
     pub io_classes: Vec<IoClass>,
-    /// The volumes.
+    /// Volumes that the host serves.
     pub volumes: Vec<Volume>,
-    /// The nodes.
+    /// Storage nodes.
     pub nodes: Vec<Node>,
-    /// The catalog of snapshots and clones.
+    /// Settings of the snapshot catalog.
     pub catalog: Option<Catalog>,
-    /// The plan service, for its own process.
+    /// Settings of the plan service, which runs in a process of its own.
     pub plan_service: Option<PlanService>,
 }
 
-/// The control service that hands out plans: section `tariffs`.
+/// The service that distributes plans to hosts: section `tariffs`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanService {
-    /// Where hosts connect.
+    /// Address on which the service listens for hosts.
     pub listen: Option<SocketAddr>,
-    /// The file of its change log.
+    /// Path of the change log.
     pub store_path: PathBuf,
-    /// Its control socket.
+    /// Path of the service's control socket.
     pub control_socket: Option<PathBuf>,
 }
 
 /// The catalog of snapshots and clones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Where hosts connect.
+    /// Address on which the catalog listens for hosts.
     pub listen: Option<SocketAddr>,
-    /// Its file.
+    /// Path of the catalog's store.
     pub store_path: PathBuf,
-    /// Its control socket.
+    /// Path of the catalog's control socket.
     pub control_socket: Option<PathBuf>,
-    /// Blocks of one extent of a mapped volume: what is copied on a first write.
+    /// Size of an extent of a mapped volume, in blocks: the amount of data that is copied on a first write.
     pub extent_blocks: u64,
     /// Index of the I/O class of copies.
     pub copy_class: usize,
 }
 
-/// This host.
+/// Settings of this host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the host listens for clients.
     pub listen: Option<SocketAddr>,
-    /// The iSCSI target name that clients log in to.
+    /// iSCSI target name that clients log in to.
     pub target: String,
-    /// Its control socket.
+    /// Path of the host's control socket.
     pub control_socket: Option<PathBuf>,
-    /// The endpoint list service; none: the nodes of this file, all of them ready.
+    /// Address of the endpoint list service; if none, all nodes of the configuration are used as ready.
     pub endpoint_service: Option<SocketAddr>,
-    /// Where the endpoint list is cached for the next start.
+    /// Path at which the endpoint list is cached for the next start.
     pub endpoint_cache_path: Option<PathBuf>,
-    /// The plan service whose plans count instead of this file's.
+    /// Address of the plan service, whose plans replace those of the configuration.
     pub plan_service: Option<SocketAddr>,
-    /// Where its plans are cached for a start without it.
+    /// Path at which the plans of the plan service are cached, for a start while the service is unreachable.
     pub plan_cache_path: Option<PathBuf>,
-    /// Most commands in flight on one connection.
+    /// Maximum number of commands in flight on one connection.
     pub command_window: u32,
-    /// Most connections of clients.
+    /// Maximum number of client connections.
     pub max_connections: u32,
-    /// Longest read or write of a client, in bytes.
+    /// Maximum size of a client's read or write, in bytes.
     pub max_transfer_bytes: u64,
     /// Whether to ask clients and nodes for CRC32C digests of headers.
     pub header_digest: bool,
-    /// The same for data.
+    /// Whether to ask clients and nodes for CRC32C digests of data.
     pub data_digest: bool,
-    /// Seed of the random numbers; none: from the system.
+    /// Seed of the random numbers; if none, the system provides it.
     pub seed: Option<u64>,
-    /// How it takes part in the fleet's membership; none: it does not.
+    /// Settings of the fleet membership; none if the host is not a member.
     pub fleet: Option<FleetConfig>,
 }
 
-/// What all hosts have in common.
+/// Settings that all hosts have in common.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
-    /// Hosts that share the nodes.
+    /// Number of hosts that share the nodes.
     pub hosts: u32,
-    /// Bytes that count as one unit.
+    /// Size of one unit, in bytes.
     pub unit_bytes: u64,
     /// Mean size of a block I/O, in units.
     pub mean_io_units: f64,
     /// Largest size of a block I/O, in units.
     pub max_io_units: f64,
-    /// Part of its priority weight that a block I/O inside its volume's share earns.
+    /// Fraction of its priority weight that a block I/O within its volume's share has.
     pub share_weight_factor: f64,
-    /// The same beyond the share.
+    /// Fraction of its priority weight that a block I/O beyond its volume's share has.
     pub spare_weight_factor: f64,
-    /// Most attempts for one block I/O.
+    /// Maximum number of attempts for one block I/O.
     pub max_attempts: u32,
-    /// Longest Retry-After that a rejected client is given; 0: none.
+    /// Maximum Retry-After that is sent to a rejected client; 0 if none is sent.
     pub max_retry_after: u64,
-    /// How long an ordering key stays blocked after an attempt that may still be running.
+    /// Time for which an ordering key stays blocked after an attempt that may still be running.
     pub ordering_cooldown: u64,
-    /// Slow start: the part of its full rate that a node reaches just after its start.
+    /// Slow start: fraction of its full rate that a node reaches just after its start.
     pub slow_start_initial_rate: f64,
     /// Slow start: time from its start until a node reaches its full rate.
     pub slow_start_duration: u64,
-    /// A node in slow start fails when it is sent more than this multiple of its momentary rate for `overload_window`.
+    /// Slow start: a node fails if it is sent more than this multiple of its current rate for `overload_window`.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// Slow start: window of `overload_multiple` and `slow_start_capacity`.
     pub overload_window: u64,
-    /// Slow start: units that a node bears from all hosts together within `overload_window`, whatever its rate.
+    /// Slow start: units that a node accepts from all hosts together within `overload_window`, whatever its rate.
     pub slow_start_capacity: f64,
-    /// Retry budget: retries that are always allowed within `retry_budget_window`.
+    /// Retry budget: number of retries that are always allowed within `retry_budget_window`.
     pub retry_budget_min: f64,
-    /// Retry budget: further retries, as a ratio of the block I/Os admitted within the window.
+    /// Retry budget: further retries, as a ratio of the block I/Os admitted within `retry_budget_window`.
     pub retry_budget_ratio: f64,
-    /// Retry budget: its window; 0: no budget.
+    /// Retry budget: length of its window; 0 if there is no budget.
     pub retry_budget_window: u64,
 }
 
-/// What a volume has bought.
+/// A service level that volumes are assigned to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Usual rate.
+    /// Usual rate of a volume.
     pub usual_rate: f64,
-    /// Reserved rate.
+    /// Reserved rate of a volume.
     pub reserved_rate: f64,
-    /// Rate limit over all hosts; 0: none.
+    /// Rate limit of a volume over all hosts; 0 if there is none.
     pub rate_limit: f64,
-    /// Units that the limit lets through at once.
+    /// Burst of the rate limit, in units.
     pub burst_units: f64,
-    /// Weight of its share.
+    /// Weight of a volume's share.
     pub weight: f64,
-    /// Factor of the priority weight of its block I/Os.
+    /// Factor of the priority weight of block I/Os.
     pub priority_factor: f64,
 }
 
-/// Whether a block I/O may be repeated when an earlier attempt may have run.
+/// Whether a block I/O may be retried although an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated.
+    /// The block I/O may be retried.
     #[default]
     Idempotent,
-    /// It may not be repeated.
+    /// The block I/O must not be retried.
     NonIdempotent,
 }
 
 /// An I/O class: section `group`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IoClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Whether its block I/Os may be repeated.
+    /// Whether block I/Os of the class may be retried although an earlier attempt may have run.
     pub idempotency: Idempotency,
     /// Time within which a response is wanted.
     pub latency_objective: u64,
     /// Time after which the client has given up.
     pub deadline: u64,
-    /// What a response within the objective is worth, in any unit that all classes share.
+    /// Value of a response within the latency objective, in any unit that all classes share.
     pub priority_weight: f64,
-    /// The part of it that a later response is worth.
+    /// Fraction of `priority_weight` that a later response is worth.
     pub late_weight_ratio: f64,
     /// Whether block I/Os of one ordering key run one at a time, in order.
     pub ordered: bool,
 }
 
-/// A run of a volume's blocks and where it is stored.
+/// A range of a volume's blocks and its location on a node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Extent {
-    /// Its first block in the volume.
+    /// First block of the extent in the volume.
     pub first_block: u64,
-    /// How many blocks it has.
+    /// Number of blocks in the extent.
     pub block_count: u64,
-    /// Index of the node.
+    /// Index of the node that stores the extent.
     pub node: usize,
-    /// The block of the node that holds its first block.
+    /// Block of the node that stores the extent's first block.
     pub first_node_block: u64,
 }
 
-/// What a rule applies to.
+/// Kind of block I/Os that a rule applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Reads.
     Read,
     /// Writes.
     Write,
-    /// Both.
+    /// Reads and writes.
     Any,
 }
 
-/// Which block I/Os of a volume belong to an I/O class. The first rule that matches counts.
+/// Assigns block I/Os of a volume to an I/O class. The first rule that matches a block I/O applies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Reads, writes or both.
+    /// Whether the rule applies to reads, writes or both.
     pub direction: Direction,
-    /// The first block that it applies to.
+    /// First block that the rule applies to.
     pub first_block: u64,
-    /// The last block that it applies to; `u64::MAX`: no bound.
+    /// Last block that the rule applies to; `u64::MAX` if there is no bound.
     pub last_block: u64,
     /// Index of the I/O class.
     pub io_class: usize,
-    /// How many blocks share an ordering key; 0: none has one.
+    /// Number of blocks that share an ordering key; 0 if block I/Os have no ordering key.
     pub blocks_per_key: u64,
 }
 
 /// A volume.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Volume {
-    /// Its name.
+    /// Name of the volume.
     pub name: String,
-    /// Its logical unit number.
+    /// Logical unit number of the volume.
     pub lun: u16,
-    /// Index of its plan.
+    /// Index of the volume's plan.
     pub plan: usize,
-    /// Its size in blocks.
+    /// Size of the volume, in blocks.
     pub block_count: u64,
-    /// Bytes of a block: 512 or 4096.
+    /// Size of a block, in bytes: 512 or 4096.
     pub block_size: u32,
-    /// Through how many hosts it is served.
+    /// Number of hosts that serve the volume.
     pub host_count: u32,
-    /// Whether the catalog says where its blocks are stored; it then has no extents here.
+    /// Whether the snapshot catalog determines where blocks are stored; if so, `extents` is empty.
     pub mapped: bool,
-    /// In the order of their blocks, without gap or overlap.
+    /// Extents in the order of their blocks, without gap or overlap.
     pub extents: Vec<Extent>,
-    /// Which block I/Os belong to which class.
+    /// Rules that assign block I/Os to I/O classes.
     pub rules: Vec<Rule>,
 }
 
-/// A node.
+/// A storage node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the node listens.
     pub address: Option<SocketAddr>,
-    /// Its iSCSI target name.
+    /// iSCSI target name of the node.
     pub target: String,
-    /// Its logical unit number.
+    /// Logical unit number on the node.
     pub lun: u16,
-    /// Its zone; empty: not stated.
+    /// Zone of the node; empty if not configured.
     pub zone: String,
-    /// The shard that it holds; nodes of one shard hold the same data.
+    /// Shard that the node holds; nodes of one shard hold the same data.
     pub shard: u32,
 }
--- a/crates/settings/src/diagnostics.rs
+++ b/crates/settings/src/diagnostics.rs
@@ -1,39 +1,39 @@
 //! Errors in a file, each with its position.
 use std::fmt;
 
-/// A position in a file. Line and column count from 1; columns are characters.
+/// A position in a file. Lines and columns count from 1; columns count characters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// The line.
+    /// Line number, from 1.
     pub line: usize,
-    /// The column.
+    /// Column number, from 1, in characters.
     pub column: usize,
 }
 
 /// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
-    /// Its line, from 1.
+    /// Line number of the error, from 1.
     pub line: usize,
-    /// Its column, from 1.
+    /// Column number of the error, from 1.
     pub column: usize,
-    /// What was expected there.
+    /// What was expected at the position.
     pub expected: String,
-    /// What was found instead; may be empty.
+    /// What was found at the position; may be empty.
     pub found: String,
 }
 
-/// All errors in a file. `Display` gives one line each: `FILE:LINE:COLUMN: expected …, found …`.
+/// All errors in a file. `Display` writes one line per error: `FILE:LINE:COLUMN: expected …, found …`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostics {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The errors.
+    /// Errors in the order in which they were added.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Diagnostics {
-    /// No errors yet.
+    /// Creates an empty list of errors in a file.
     #[must_use]
     pub fn new(file: &str) -> Self {
         Diagnostics {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether there are none.
+    /// Whether there are no errors.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.diagnostics.is_empty()
@@ -65,7 +65,7 @@
         });
     }
 
-    /// The same in the order of the file, each error once.
+    /// Returns the errors in the order of their positions, without duplicates.
     #[must_use]
     pub fn sorted(mut self) -> Self {
         self.diagnostics.sort();
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -5,36 +5,37 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Indent of a directive in a section that has none yet, in blanks.
+/// Indentation of a directive in a section that has none yet, in spaces.
 const DEFAULT_INDENT: usize = 4;
 
 /// The computed parameters of one volume.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The volume's name.
+    /// Name of the volume.
     pub volume: String,
-    /// Its reserved rate, in thousandths of a unit per second.
+    /// Reserved rate, in thousandths of a unit per second.
     pub reserved_milliunits: u64,
-    /// Its weight.
+    /// Weight of the volume's share.
     pub weight: u64,
 }
 
-/// Shares of volumes that the configuration does not have. `Display` gives one line each.
+/// Error for shares of volumes that the configuration lacks. `Display` writes one line per volume.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", unknown_lines(.0))]
 pub struct UnknownVolumes(pub Vec<String>);
 
 fn unknown_lines(volumes: &[String]) -> String {
-    let line = |name: &String| format!("volume {name}: the configuration has none of this name");
+    let line = |name: &String| format!("volume {name}: not in the configuration");
     volumes.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// The text with these parameters in the plans of the volumes. A plan whose volumes all get the same parameters is changed
-/// in place; else each of them gets a plan of its own, named `PLAN-VOLUME`. `text` is what `config` was parsed from.
+/// Returns the text of a configuration with these shares in the plans of the volumes. A plan whose volumes all get the
+/// same parameters is changed in place; otherwise each of its volumes with a changed share gets a plan of its own, named
+/// `PLAN-VOLUME`. `config` has to be the parsed `text`.
 ///
 /// # Errors
 ///
-/// Some of the volumes are not in the configuration.
+/// The configuration lacks some of the volumes.
 pub fn apply_shares(
     text: &str,
     config: &GatewayConfig,
@@ -78,7 +79,7 @@
     Ok(lines.join("\n") + "\n")
 }
 
-/// The names of the volumes of each plan, by the plan's index.
+/// Returns the names of the volumes of each plan, by the plan's index.
 fn volumes_by_plan(config: &GatewayConfig) -> BTreeMap<usize, Vec<&str>> {
     let mut plans: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
     for volume in &config.volumes {
@@ -87,7 +88,7 @@
     plans
 }
 
-/// The share of the first volume, if all volumes get the same parameters.
+/// Returns the share of the first volume if all volumes get the same parameters.
 fn common_share<'a>(wanted: &[Option<&'a Share>]) -> Option<&'a Share> {
     let parameters = |s: Option<&Share>| s.map(|s| (s.reserved_milliunits, s.weight));
     let first = wanted[0]?;
@@ -102,7 +103,7 @@
         && plan.weight == share.weight as f64
 }
 
-/// This name, or with a number behind it if a plan has it already.
+/// Returns this name if no plan has it, else the name followed by a number.
 fn free_plan_name(config: &GatewayConfig, wanted: &str) -> String {
     let is_taken = |name: &str| config.plans.iter().any(|p| p.name == name);
     let mut name = wanted.to_owned();
@@ -114,17 +115,17 @@
     name
 }
 
-/// A section of the text, by line indices.
+/// A section of the text and its range of lines.
 struct Section {
     keyword: String,
     name: String,
-    /// The line that opens it.
+    /// Index of the line that opens the section.
     first: usize,
-    /// Behind its last line.
+    /// Index of the line after the section.
     end: usize,
 }
 
-/// The tokens of a line that has been parsed before, so that diagnostics are of no interest.
+/// Returns the tokens of a line of a valid configuration, for which there are no diagnostics.
 fn tokens_of(line: &str) -> Vec<Token> {
     tokenize(1, line, &mut Diagnostics::new(""))
 }
@@ -156,7 +157,7 @@
         .find(|s| s.keyword == keyword && s.name == name)
 }
 
-/// The index of the line with a directive in a section.
+/// Returns the index of the line with a directive in a section.
 fn find_directive(lines: &[String], section: &Section, directive: &str) -> Option<usize> {
     let is_directive = |index: &usize| {
         tokens_of(&lines[*index])
@@ -166,16 +167,16 @@
     (section.first + 1..section.end).find(is_directive)
 }
 
-/// The indent of the first directive in a section.
+/// Returns the indentation of the first directive in a section.
 fn indent(lines: &[String], section: &Section) -> String {
     let first = lines[section.first + 1..section.end]
         .iter()
         .find(|l| !l.trim().is_empty());
-    let blanks = first.map_or(DEFAULT_INDENT, |l| l.len() - l.trim_start().len());
-    " ".repeat(blanks)
+    let spaces = first.map_or(DEFAULT_INDENT, |l| l.len() - l.trim_start().len());
+    " ".repeat(spaces)
 }
 
-/// The directives `reserve` and `weight` of a share, each with its line.
+/// Returns the directives `reserve` and `weight` with their lines for a share.
 fn parameter_lines(share: &Share, indent: &str) -> [(&'static str, String); 2] {
     let (whole, thousandths) = (
         share.reserved_milliunits / 1000,
@@ -192,14 +193,14 @@
     ]
 }
 
-/// Sets the parameters of a plan in place. A comment behind a parameter stays.
+/// Sets the parameters of a plan in place. Comments after the parameters are kept.
 fn set_parameters(lines: &mut Vec<String>, plan: &str, share: &Share) {
     let Some(section) = find_section(lines, "plan", plan) else {
         return;
     };
     for (directive, line) in parameter_lines(share, &indent(lines, &section)) {
-        // The line before may have been inserted: the section has another end now.
-        let section = find_section(lines, "plan", plan).expect("just found");
+        // Inserting the previous directive may have moved the end of the section.
+        let section = find_section(lines, "plan", plan).expect("the section was found before");
         match find_directive(lines, &section, directive) {
             Some(index) => {
                 let old = &lines[index];
@@ -214,7 +215,7 @@
     }
 }
 
-/// The lines of a plan like another one, with the parameters of a share.
+/// Returns the lines of a copy of a plan with the parameters of a share.
 fn derived_plan(lines: &[String], plan: &str, name: &str, share: &Share) -> Vec<String> {
     let Some(section) = find_section(lines, "plan", plan) else {
         return Vec::new();
@@ -237,7 +238,7 @@
     derived
 }
 
-/// Gives a volume another plan.
+/// Assigns another plan to a volume.
 fn assign_plan(lines: &mut [String], volume: &str, plan: &str) {
     let Some(section) = find_section(lines, "volume", volume) else {
         return;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,12 +3,12 @@
 //! `docs/configuration.md` lists every directive. A file is read in full: all errors in it are reported together, each
 //! with line, column, what was found and what was expected.
 //!
-//! - [`parse`]: from text to a [`GatewayConfig`]. The parser reads directives into a draft, in which sections
-//!   refer to each other by name; validation resolves the names and checks that sections agree.
-//! - [`config`]: what a valid configuration contains.
-//! - [`reload`]: what a running host can take over from a changed configuration.
+//! - [`parse`]: parses a text to a [`GatewayConfig`]. The parser reads directives into a draft, in which sections
+//!   refer to each other by name; validation resolves the names and checks that sections do not contradict each other.
+//! - [`config`]: the contents of a valid configuration.
+//! - [`reload`]: the changes of a configuration that a running host can apply.
 //! - [`edit`]: writes computed shares into the text of a configuration.
-//! - [`tokenize`], [`Arguments`] and [`Diagnostics`]: the line format itself, for other files of the same form.
+//! - [`tokenize`], [`Arguments`] and [`Diagnostics`]: the line format itself, for other files of the same format.
 //!
 //! ```
 //! let error = mallowseam_settings::parse("gw1.conf", "node brick1\n    address 127.0.0.1\n").unwrap_err();
@@ -34,11 +34,11 @@
 pub use diagnostics::{Diagnostic, Diagnostics, Position};
 pub use tokens::{Token, tokenize};
 
-/// Parses and validates a configuration. `file`: its name in the diagnostics.
+/// Parses and validates a configuration. `file` is the file's name in the diagnostics.
 ///
 /// # Errors
 ///
-/// All that is wrong with the file.
+/// All errors in the file.
 pub fn parse(file: &str, text: &str) -> Result<GatewayConfig, Diagnostics> {
     let mut diagnostics = Diagnostics::new(file);
     let draft = parser::parse(text, &mut diagnostics);
--- a/crates/settings/src/parser.rs
+++ b/crates/settings/src/parser.rs
@@ -1,4 +1,4 @@
-//! From text to a draft: every directive read, references to other sections still by name.
+//! The parser from text to a draft, in which sections still refer to each other by name.
 mod directives;
 mod draft;
 
@@ -13,21 +13,21 @@
 
 /// Directives that a section may have more than once.
 const REPEATABLE: [&str; 2] = ["extent", "rule"];
-/// What is expected where a section should begin.
+/// Text of the diagnostic where the start of a section is expected.
 const A_SECTION: &str = "a section: host, fleet, catalog, tariffs, plan, group, volume or node";
 
-/// Where the parser is in the file.
+/// State of the parser between two lines.
 #[derive(Clone, Copy)]
 enum State {
-    /// Ahead of the first section.
+    /// Before the first section.
     Start,
-    /// In a section that could not be opened: its lines are skipped, one diagnostic is enough.
+    /// In an invalid section, whose lines are skipped because one diagnostic is enough.
     Skipping,
     /// In the section that was opened last.
     Section(SectionKind),
 }
 
-/// Parses a file. What is wrong with it is added to the diagnostics.
+/// Parses a file and adds its errors to the diagnostics.
 pub(crate) fn parse(text: &str, diagnostics: &mut Diagnostics) -> Draft {
     let mut draft = Draft::default();
     let mut state = State::Start;
@@ -50,7 +50,7 @@
     draft
 }
 
-/// Opens a section; none if it can't be opened.
+/// Opens a section and returns its kind, or none if the section is invalid.
 fn open_section(
     draft: &mut Draft,
     tokens: &[Token],
@@ -88,7 +88,7 @@
     Some(kind)
 }
 
-/// Reads a line of the section that was opened last.
+/// Reads a directive of the section that was opened last.
 fn read_directive(
     draft: &mut Draft,
     kind: SectionKind,
--- a/crates/settings/src/parser/directives.rs
+++ b/crates/settings/src/parser/directives.rs
@@ -1,7 +1,7 @@
-//! The directives of each section. `docs/configuration.md` lists them.
+//! The directives of each section, which `docs/configuration.md` lists.
 //!
 //! - `host`, `fleet`, `services`, `plans`, `volumes`: the directives of one or two kinds of sections.
-//! - `values`: what they share.
+//! - `values`: values and diagnostic texts that directives of several sections share.
 mod fleet;
 mod host;
 mod plans;
--- a/crates/settings/src/parser/directives/fleet.rs
+++ b/crates/settings/src/parser/directives/fleet.rs
@@ -1,9 +1,9 @@
-//! Directives of section `fleet`: what all hosts have in common.
-use super::values::{A_SPAN, Recognized, host_count, set, small_integer, unknown};
+//! Directives of section `fleet`, which all hosts have in common.
+use super::values::{A_DURATION, Recognized, host_count, set, small_integer, unknown};
 use crate::arguments::Arguments;
 use crate::config::Fleet;
 
-/// Reads a directive.
+/// Reads a directive of section `fleet`.
 pub(super) fn fleet(fleet: &mut Fleet, name: &str, args: &mut Arguments) -> Recognized {
     match name {
         "hosts" => set(&mut fleet.hosts, host_count(args)),
@@ -31,8 +31,8 @@
             &mut fleet.max_attempts,
             small_integer(args, "1 to 16", 1, 16),
         ),
-        "come-back" => set(&mut fleet.max_retry_after, args.duration(A_SPAN)),
-        "order-rest" => set(&mut fleet.ordering_cooldown, args.duration(A_SPAN)),
+        "come-back" => set(&mut fleet.max_retry_after, args.duration(A_DURATION)),
+        "order-rest" => set(&mut fleet.ordering_cooldown, args.duration(A_DURATION)),
         "cold" => slow_start(fleet, args),
         "further" => retry_budget(fleet, args),
         _ => {
@@ -45,15 +45,15 @@
     Ok(())
 }
 
-/// `cold PERCENT DURATION MULTIPLE DURATION UNITS`.
+/// Reads `cold PERCENT DURATION MULTIPLE DURATION UNITS`.
 fn slow_start(fleet: &mut Fleet, args: &mut Arguments) {
     set(
         &mut fleet.slow_start_initial_rate,
-        args.percent("a percentage: what a cold node can do"),
+        args.percent("a percentage: initial rate of slow start"),
     );
     set(
         &mut fleet.slow_start_duration,
-        args.duration("a duration: until a node is warm"),
+        args.duration("a duration: length of slow start"),
     );
     set(
         &mut fleet.overload_multiple,
@@ -61,23 +61,27 @@
     );
     set(
         &mut fleet.overload_window,
-        args.duration("a duration: within which it falls"),
+        args.duration("a duration: overload window"),
     );
     set(
         &mut fleet.slow_start_capacity,
-        args.number("units that it always bears", 0.0, 1e9),
+        args.number(
+            "a number of units that a node in slow start always accepts",
+            0.0,
+            1e9,
+        ),
     );
 }
 
-/// `further NUMBER PERCENT DURATION`.
+/// Reads `further NUMBER PERCENT DURATION`.
 fn retry_budget(fleet: &mut Fleet, args: &mut Arguments) {
     set(
         &mut fleet.retry_budget_min,
-        args.number("a number of further submits", 0.0, 1e9),
+        args.number("a number of retries", 0.0, 1e9),
     );
     set(
         &mut fleet.retry_budget_ratio,
-        args.percent("a percentage of the block I/Os taken"),
+        args.percent("a percentage of the admitted block I/Os"),
     );
     set(
         &mut fleet.retry_budget_window,
--- a/crates/settings/src/parser/directives/host.rs
+++ b/crates/settings/src/parser/directives/host.rs
@@ -4,7 +4,7 @@
 use crate::config::Host;
 use mallowseam_fleet::config::{FleetConfig, UncheckedFleetConfig};
 
-/// Reads a directive.
+/// Reads a directive of section `host`.
 pub(super) fn host(host: &mut Host, name: &str, args: &mut Arguments) -> Recognized {
     match name {
         "listen" => host.listen = args.address(AN_ADDRESS),
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// `digests header data`, either of them, or `digests none`.
+/// Reads `digests header data`, `digests header`, `digests data` or `digests none`.
 fn digests(host: &mut Host, args: &mut Arguments) {
     if args.accept("none") {
         return;
@@ -59,7 +59,7 @@
     }
 }
 
-/// How a host takes part in the fleet's membership: the fleet's name, then options in any order.
+/// Reads `fleet NAME` and the options of the fleet membership, which may stand in any order.
 fn fleet_membership(host: &str, args: &mut Arguments) -> Option<FleetConfig> {
     let mut config = UncheckedFleetConfig {
         fleet: args.text("the fleet's name")?,
--- a/crates/settings/src/parser/directives/plans.rs
+++ b/crates/settings/src/parser/directives/plans.rs
@@ -1,5 +1,5 @@
 //! Directives of sections `plan` and `group`.
-use super::values::{A_NUMBER, A_RATE, A_SPAN, Recognized, set, unknown};
+use super::values::{A_DURATION, A_NUMBER, A_RATE, Recognized, set, unknown};
 use crate::arguments::Arguments;
 use crate::config::{Idempotency, IoClass, Plan};
 
@@ -11,7 +11,7 @@
         "limit" => {
             set(&mut plan.rate_limit, args.rate(A_RATE));
             let burst = if args.accept("burst") {
-                args.number("units at once", 0.0, 1e12)
+                args.number("a number of units", 0.0, 1e12)
             } else {
                 None
             };
@@ -38,7 +38,7 @@
             });
             set(&mut class.idempotency, effect);
         }
-        "goal" => set(&mut class.latency_objective, args.duration(A_SPAN)),
+        "goal" => set(&mut class.latency_objective, args.duration(A_DURATION)),
         "hard-limit" => set(&mut class.deadline, args.duration("a duration such as 2s")),
         "gain" => set(&mut class.priority_weight, args.number(A_NUMBER, 0.0, 1e6)),
         "late-gain" => set(
--- a/crates/settings/src/parser/directives/volumes.rs
+++ b/crates/settings/src/parser/directives/volumes.rs
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// `extent FIRST BLOCKS NODE at NODE-FIRST`, and the name of the node.
+/// Reads `extent FIRST BLOCKS NODE at NODE-FIRST`, and returns the extent with the name of its node.
 fn extent(args: &mut Arguments) -> Option<(Extent, Token)> {
     let first_block = args.integer(A_BLOCK, 0, MAX_BLOCKS);
     let block_count = args.integer(A_BLOCK_COUNT, 1, MAX_BLOCKS);
@@ -57,7 +57,7 @@
     Some((extent, node?))
 }
 
-/// `rule read|write|any [blocks FIRST-LAST] GROUP [key BLOCKS]`.
+/// Reads `rule read|write|any [blocks FIRST-LAST] GROUP [key BLOCKS]`.
 fn rule(args: &mut Arguments) -> Option<DraftRule> {
     let position = args.position();
     let direction = args.value("read, write or any", |text| match text {
@@ -73,7 +73,7 @@
     };
     let io_class = args.name("the name of a group");
     let blocks_per_key = if args.accept("key") {
-        args.integer("blocks of one key", 1, MAX_BLOCKS)
+        args.integer("a number of blocks per ordering key", 1, MAX_BLOCKS)
     } else {
         Some(0)
     };
--- a/crates/settings/src/parser/draft.rs
+++ b/crates/settings/src/parser/draft.rs
@@ -1,4 +1,4 @@
-//! A configuration whose sections still refer to each other by name.
+//! The draft of a configuration, in which sections still refer to each other by name.
 use crate::config::{
     Catalog, Direction, Extent, Fleet, Host, IoClass, Node, Plan, PlanService, Volume,
 };
@@ -6,7 +6,7 @@
 use crate::tokens::Token;
 use std::collections::HashSet;
 
-/// A section's values and where it opens.
+/// Values of a section, and the position at which it begins.
 #[derive(Default)]
 pub(crate) struct Located<T> {
     pub(crate) position: Position,
@@ -23,7 +23,7 @@
     pub(crate) io_classes: Vec<Located<IoClass>>,
     pub(crate) volumes: Vec<DraftVolume>,
     pub(crate) nodes: Vec<Located<Node>>,
-    /// All sections in the order of the file.
+    /// All valid sections in the order of the file.
     pub(crate) opened: Vec<OpenedSection>,
 }
 
@@ -38,7 +38,7 @@
     pub(crate) position: Position,
     pub(crate) volume: Volume,
     pub(crate) plan: Option<Token>,
-    /// Each with the name of its node.
+    /// Extents, each with the name of its node.
     pub(crate) extents: Vec<(Extent, Token)>,
     pub(crate) rules: Vec<DraftRule>,
 }
@@ -46,28 +46,28 @@
 pub(crate) struct DraftRule {
     pub(crate) position: Position,
     pub(crate) direction: Direction,
-    /// None: all blocks.
+    /// Range of blocks that the rule applies to; none if it applies to all blocks.
     pub(crate) range: Option<BlockRange>,
     pub(crate) io_class: Token,
-    /// 0: no ordering key.
+    /// Number of blocks that share an ordering key; 0 if there is no ordering key.
     pub(crate) blocks_per_key: u64,
 }
 
-/// Blocks from the first to the last, both included.
+/// Range of blocks, with the first and the last block included.
 #[derive(Clone, Copy)]
 pub(crate) struct BlockRange {
     pub(crate) first: u64,
     pub(crate) last: u64,
 }
 
-/// A section of the file and the directives in it.
+/// A section of the file and the names of its directives.
 pub(crate) struct OpenedSection {
     pub(crate) position: Position,
     pub(crate) kind: SectionKind,
     pub(crate) directives: HashSet<String>,
 }
 
-/// The kinds of sections.
+/// Kind of a section.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SectionKind {
     Host,
@@ -96,7 +96,7 @@
         Self::ALL.into_iter().find(|kind| kind.keyword() == keyword)
     }
 
-    /// The word that opens such a section.
+    /// Returns the keyword that opens a section of this kind.
     pub(crate) fn keyword(self) -> &'static str {
         match self {
             SectionKind::Host => "host",
@@ -118,7 +118,7 @@
         )
     }
 
-    /// The directives that such a section needs.
+    /// Returns the directives that a section of this kind must have.
     pub(crate) fn required_directives(self) -> &'static [&'static str] {
         match self {
             SectionKind::Host => &[
@@ -161,7 +161,7 @@
             }
             SectionKind::Volume => self.volumes.push(default_volume(name, position)),
             SectionKind::Node => {
-                // Without a directive `shard`, a node holds a shard of its own.
+                // A node without a directive `shard` holds a shard of its own.
                 let shard = self.nodes.len() as u32;
                 let node = default_node(name, shard);
                 self.nodes.push(Located::new(position, node));
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Whether the file has a section already of a kind of which it may have only one.
+    /// Whether the file already has a section of this kind, and may have only one.
     pub(crate) fn has_single(&self, kind: SectionKind) -> bool {
         match kind {
             SectionKind::Host => self.host.is_some(),
--- a/crates/settings/src/reload.rs
+++ b/crates/settings/src/reload.rs
@@ -1,54 +1,54 @@
-//! What a running host can take over from a changed configuration without a restart: plans, and which volume has which.
+//! Changes of a configuration that a running host can apply without a restart: plans and their assignment to volumes.
 use crate::config::{GatewayConfig, Plan, Volume};
 use std::fmt;
 use thiserror::Error;
 
-/// The plans and volumes to go on with. Running plans keep their indices, also those that no volume has any more:
-/// block I/Os in flight refer to them.
+/// Plans and their assignment after a reload. Existing plans keep their indices, also those without any volume left,
+/// since block I/Os in flight refer to them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReloadOutcome {
-    /// All plans, running ones first.
+    /// All plans, the existing ones first.
     pub plans: Vec<Plan>,
-    /// The index of each volume's plan, in the running order of volumes.
+    /// Index of each volume's plan, in the order of volumes in the running configuration.
     pub volume_plans: Vec<usize>,
-    /// What changes.
+    /// Changes that take effect.
     pub changes: Vec<Change>,
 }
 
-/// One change that takes effect. `Display` gives the line that operators are shown.
+/// A change that takes effect. `Display` writes the line that is shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Parameters of a plan change.
+    /// Parameters of a plan are changed.
     PlanParameters {
-        /// The plan's name.
+        /// Name of the plan.
         plan: String,
-        /// The parameters that change.
+        /// Parameters that are changed.
         parameters: Vec<ParameterChange>,
     },
     /// A plan is added.
     PlanAdded {
-        /// Its name.
+        /// Name of the plan.
         plan: String,
     },
-    /// A volume gets another plan.
+    /// Another plan is assigned to a volume.
     VolumePlan {
-        /// The volume's name.
+        /// Name of the volume.
         volume: String,
-        /// The name of its plan from now on.
+        /// Name of the plan after the change.
         plan: String,
-        /// The name of its plan so far.
+        /// Name of the plan before the change.
         old_plan: String,
     },
 }
 
-/// A parameter of a plan that changes.
+/// A changed parameter of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParameterChange {
-    /// The directive that sets it.
+    /// Directive that sets the parameter.
     pub directive: &'static str,
-    /// Its value so far.
+    /// Value before the change.
     pub old: f64,
-    /// Its value from now on.
+    /// Value after the change.
     pub new: f64,
 }
 
@@ -78,31 +78,31 @@
 }
 
 impl ReloadOutcome {
-    /// The changes, one line each.
+    /// Returns the changes, one line each.
     #[must_use]
     pub fn summary(&self) -> String {
         join_lines(&self.changes)
     }
 }
 
-/// A difference that only a restart can take over.
+/// A change that cannot be applied without a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RestartReason {
-    /// A section other than plans and volumes differs.
-    #[error("{0}: differs from the running one; that needs a new start")]
+    /// A section other than plans and volumes is changed.
+    #[error("{0}: cannot be changed at run time; restart the host")]
     SectionDiffers(&'static str),
-    /// A volume is missing.
-    #[error("volume {0}: is gone; that needs a new start")]
+    /// A volume is removed.
+    #[error("volume {0}: cannot be removed at run time; restart the host")]
     VolumeRemoved(String),
-    /// A volume differs in more than its plan.
-    #[error("volume {0}: differs in more than its plan; that needs a new start")]
+    /// A volume is changed in more than its plan.
+    #[error("volume {0}: only its plan can be changed at run time; restart the host")]
     VolumeDiffers(String),
     /// A volume is added.
-    #[error("volume {0}: is new; that needs a new start")]
+    #[error("volume {0}: cannot be added at run time; restart the host")]
     VolumeAdded(String),
 }
 
-/// The configuration can't be taken over. `Display` gives one line a reason.
+/// Error for a configuration that cannot be applied without a restart. `Display` writes one line per reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", join_lines(.0))]
 pub struct RestartRequired(pub Vec<RestartReason>);
@@ -112,11 +112,11 @@
     lines.join("\n")
 }
 
-/// Works out what a host that runs with one configuration takes over from another.
+/// Determines the changes that a host with the running configuration applies to get to the wanted one.
 ///
 /// # Errors
 ///
-/// All differences that need a restart; then nothing is taken over.
+/// All changes that need a restart; then nothing may be applied.
 ///
 /// # Panics
 ///
@@ -202,7 +202,7 @@
     config.volumes.iter().find(|v| v.name == name)
 }
 
-/// The running plans with the wanted parameters, and the wanted plans that are new behind them.
+/// Returns the running plans with the wanted parameters, followed by the new plans.
 fn merge_plans(
     running: &GatewayConfig,
     wanted: &GatewayConfig,
--- a/crates/settings/src/tokens.rs
+++ b/crates/settings/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Splits a line into tokens.
+//! The tokenizer of lines.
 use crate::diagnostics::{Diagnostics, Position};
 use std::iter::Peekable;
 use std::str::Chars;
@@ -6,14 +6,14 @@
 /// One token of a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Its text, without quotes.
+    /// Text of the token, without quotes.
     pub text: String,
-    /// Where it begins.
+    /// Position of the token's first character.
     pub position: Position,
 }
 
-/// The tokens of a line: separated by blanks; `"…"` keeps blanks; `#` at the start of a token opens a comment. `line`
-/// is the line's number for the diagnostics.
+/// Splits a line into tokens, which are separated by whitespace. A token in `"…"` may contain whitespace; `#` at the
+/// start of a token opens a comment. `line` is the line number for positions and diagnostics.
 pub fn tokenize(line: usize, text: &str, diagnostics: &mut Diagnostics) -> Vec<Token> {
     let mut tokens = Vec::new();
     let mut characters = Characters {
@@ -44,10 +44,10 @@
     tokens
 }
 
-/// The characters of a line.
+/// Iterator over the characters of a line.
 struct Characters<'a> {
     rest: Peekable<Chars<'a>>,
-    /// The column of the last character taken.
+    /// Column of the last character returned.
     column: usize,
 }
 
@@ -57,7 +57,7 @@
         self.rest.next()
     }
 
-    /// The text up to the closing quote, and whether there was one.
+    /// Returns the text up to the closing quote, and whether there is a closing quote.
     fn quoted(&mut self) -> (String, bool) {
         let mut text = String::new();
         while let Some(c) = self.next() {
@@ -69,7 +69,7 @@
         (text, false)
     }
 
-    /// The text up to the next blank.
+    /// Returns the text from `first` to the next whitespace.
     fn unquoted(&mut self, first: char) -> String {
         let mut text = String::from(first);
         while self.rest.peek().is_some_and(|c| !c.is_whitespace()) {
--- a/crates/settings/src/units.rs
+++ b/crates/settings/src/units.rs
@@ -1,6 +1,6 @@
-//! Numbers with units, read exactly.
+//! Parsers of numbers with units, without rounding.
 
-/// A unit's suffix and how many of the smallest unit it is.
+/// Suffix of a unit, and its size in the smallest unit.
 type Unit = (&'static str, u64);
 
 /// Units of durations, in microseconds.
@@ -11,7 +11,7 @@
     ("m", 60_000_000),
     ("h", 3_600_000_000),
 ];
-/// The longest duration: a day, in microseconds.
+/// Maximum duration: a day, in microseconds.
 const MAX_DURATION: u64 = 86_400_000_000;
 /// Units of sizes, in bytes.
 const SIZE_UNITS: [Unit; 5] = [
@@ -21,30 +21,30 @@
     ("GiB", 1 << 30),
     ("TiB", 1 << 40),
 ];
-/// The largest size, in bytes.
+/// Maximum size, in bytes.
 const MAX_SIZE: u64 = 1 << 60;
-/// Digits behind a decimal point.
+/// Maximum number of digits after a decimal point.
 const MAX_DECIMALS: usize = 9;
-/// The highest rate, in units per second.
+/// Maximum rate, in units per second.
 const MAX_RATE: f64 = 1e12;
 
-/// A duration such as `200ms`, in microseconds.
+/// Parses a duration such as `200ms`, in microseconds.
 pub(crate) fn parse_duration(text: &str) -> Option<u64> {
     parse_with_unit(text, &DURATION_UNITS).filter(|n| *n <= MAX_DURATION)
 }
 
-/// A size such as `4KiB`, in bytes.
+/// Parses a size such as `4KiB`, in bytes.
 pub(crate) fn parse_size(text: &str) -> Option<u64> {
     parse_with_unit(text, &SIZE_UNITS).filter(|n| *n <= MAX_SIZE)
 }
 
-/// A rate such as `20/s`, in units per second.
+/// Parses a rate such as `20/s`, in units per second.
 pub(crate) fn parse_rate(text: &str) -> Option<f64> {
     let number: f64 = text.strip_suffix("/s")?.parse().ok()?;
     (number.is_finite() && (0.0..=MAX_RATE).contains(&number)).then_some(number)
 }
 
-/// A rate such as `0.125/s`, in thousandths of a unit per second.
+/// Parses a rate such as `0.125/s`, in thousandths of a unit per second.
 pub(crate) fn parse_exact_rate(text: &str) -> Option<u64> {
     let number = text.strip_suffix("/s")?;
     let (whole, decimals) = number.split_once('.').unwrap_or((number, ""));
@@ -60,14 +60,14 @@
         .checked_add(thousandths)
 }
 
-/// A percentage such as `35%`, as a ratio from 0 to 1.
+/// Parses a percentage such as `35%`, as a ratio from 0 to 1.
 pub(crate) fn parse_percent(text: &str) -> Option<f64> {
     let number: f64 = text.strip_suffix('%')?.parse().ok()?;
     (number.is_finite() && (0.0..=100.0).contains(&number)).then_some(number / 100.0)
 }
 
-/// A whole or decimal number with a unit, in the smallest unit. One that is not a whole number of it is rejected: it
-/// can't be what was meant.
+/// Parses a whole or decimal number with a unit, and returns it in the smallest unit. A number that is not a whole
+/// multiple of the smallest unit is rejected, since it is probably a mistake.
 fn parse_with_unit(text: &str, units: &[Unit]) -> Option<u64> {
     let split = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let (number, suffix) = text.split_at(split);
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,7 +1,7 @@
-//! From a draft to a valid configuration: what is missing, what refers to nothing, what contradicts.
+//! Validation of a draft: missing directives and sections, unknown names, and contradictions.
 //!
-//! - `references`: names of other sections.
-//! - `volumes`: volumes with their extents and rules.
+//! - `references`: resolves references to other sections.
+//! - `volumes`: validates volumes with their extents and rules.
 mod references;
 mod volumes;
 
@@ -11,7 +11,8 @@
 use references::{SectionNames, resolve};
 use volumes::{check_mapping, check_overlaps, resolve_volume};
 
-/// Validates a draft. What is wrong with it is added to the diagnostics; without any, the result is valid.
+/// Validates a draft and adds its errors to the diagnostics. The returned configuration is valid if there are no
+/// diagnostics.
 pub(crate) fn validate(draft: Draft, diagnostics: &mut Diagnostics) -> GatewayConfig {
     check_required_directives(&draft.opened, diagnostics);
     check_required_sections(&draft, diagnostics);
@@ -65,7 +66,7 @@
 }
 
 fn check_required_sections(draft: &Draft, diagnostics: &mut Diagnostics) {
-    for (keyword, is_there) in [
+    for (keyword, is_present) in [
         ("host", draft.host.is_some()),
         ("fleet", draft.fleet.is_some()),
         ("plan", !draft.plans.is_empty()),
@@ -73,7 +74,7 @@
         ("volume", !draft.volumes.is_empty()),
         ("node", !draft.nodes.is_empty()),
     ] {
-        if !is_there {
+        if !is_present {
             let start = Position { line: 1, column: 1 };
             diagnostics.add(start, format!("a section `{keyword}`"), "none in the file");
         }
@@ -92,7 +93,7 @@
     check_unique(diagnostics, "lun", luns);
 }
 
-/// The names of sections, each with its position.
+/// Returns the names of sections with their positions.
 fn names<T>(
     sections: &[Located<T>],
     name: impl Fn(&T) -> &String,
@@ -169,7 +170,7 @@
     if let Some(token) = draft.copy_class {
         let names = classes.iter().map(|c| c.value.name.as_str());
         catalog.copy_class = resolve("group", &token, names, diagnostics);
-        // A copy that is interrupted is repeated, to another place.
+        // An interrupted copy is repeated, to another location.
         let is_repeatable = |c: &IoClass| c.idempotency == Idempotency::Idempotent && !c.ordered;
         if !classes
             .get(catalog.copy_class)
--- a/crates/settings/src/validation/references.rs
+++ b/crates/settings/src/validation/references.rs
@@ -1,16 +1,16 @@
-//! References from one section to another, by name.
+//! References between sections, by name.
 use crate::config::IoClass;
 use crate::diagnostics::Diagnostics;
 use crate::tokens::Token;
 
-/// What sections can refer to, in the order of their indices.
+/// Sections that others can refer to, in the order of their indices.
 pub(super) struct SectionNames<'a> {
     pub(super) plans: Vec<&'a str>,
     pub(super) classes: Vec<&'a IoClass>,
     pub(super) nodes: Vec<&'a str>,
 }
 
-/// The index of a name; 0 if there is none, which is reported.
+/// Returns the index of a name. If there is no such name, adds a diagnostic and returns 0.
 pub(super) fn resolve<'a>(
     kind: &str,
     token: &Token,
--- a/crates/settings/src/validation/volumes.rs
+++ b/crates/settings/src/validation/volumes.rs
@@ -1,11 +1,11 @@
-//! Volumes: their mapping, extents and class rules.
+//! Validation of volumes: their mapping, extents and class rules.
 use super::references::{SectionNames, resolve};
 use crate::config::{Catalog, Direction, Extent, Rule, Volume};
 use crate::diagnostics::{Diagnostics, Position};
 use crate::parser::{DraftRule, DraftVolume};
 use crate::tokens::Token;
 
-/// Mapped volumes have logical unit numbers below this one; snapshots and clones have those from it on.
+/// Lowest logical unit number of snapshots and clones; those of mapped volumes are below it.
 const FIRST_SNAPSHOT_LUN: u16 = 1024;
 
 /// Checks that a volume is either mapped or has extents, and that it fits the catalog if it is mapped.
@@ -40,7 +40,10 @@
             );
         }
         Some(c) if c.extent_blocks > 0 && !volume.block_count.is_multiple_of(c.extent_blocks) => {
-            let expected = format!("blocks in extents of {}", c.extent_blocks);
+            let expected = format!(
+                "a multiple of {} blocks, the catalog's extent",
+                c.extent_blocks
+            );
             diagnostics.add(*position, expected, volume.block_count.to_string());
         }
         Some(_) => {}
@@ -51,7 +54,7 @@
     }
 }
 
-/// Blocks of a node that an extent uses.
+/// Range of blocks of a node that an extent uses.
 pub(super) struct ExtentLocation {
     node: usize,
     first_block: u64,
@@ -59,7 +62,7 @@
     position: Position,
 }
 
-/// Resolves what a volume refers to, and checks its extents and rules. Adds the locations of its extents.
+/// Resolves the references of a volume, and checks its extents and rules. Adds its extents to `locations`.
 pub(super) fn resolve_volume(
     draft: DraftVolume,
     names: &SectionNames,
@@ -93,7 +96,7 @@
     volume
 }
 
-/// The extents in the order of their blocks, which have no gap and no overlap.
+/// Returns the extents in the order of their blocks, and checks that they have no gap and no overlap.
 fn resolve_extents(
     mut drafts: Vec<(Extent, Token)>,
     names: &SectionNames,
@@ -119,7 +122,7 @@
     drafts.into_iter().map(|(extent, _)| extent).collect()
 }
 
-/// Two extents on the same blocks of a node would be two addresses of the same data.
+/// Checks that no two extents use the same blocks of a node, which would give the same data two addresses.
 pub(super) fn check_overlaps(mut locations: Vec<ExtentLocation>, diagnostics: &mut Diagnostics) {
     locations.sort_by_key(|l| (l.node, l.first_block));
     for pair in locations.windows(2) {
@@ -169,7 +172,7 @@
     }
 }
 
-/// Checks that the rules of a volume leave no read and no write without a class.
+/// Checks that the rules of a volume assign a class to every read and every write.
 fn check_rule_coverage(volume: &Volume, position: Position, diagnostics: &mut Diagnostics) {
     if volume.rules.is_empty() {
         return;
--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -184,7 +184,7 @@
         (
             "window 32",
             "window 32\n fleet south",
-            "f:9:2: expected address:port, found another listen",
+            "f:9:2: expected address:port, found another value for listen",
         ),
         (
             "window 32",
--- a/crates/testbed/tests/placement_cli.rs
+++ b/crates/testbed/tests/placement_cli.rs
@@ -151,7 +151,7 @@
     // Water is not in this configuration.
     let (code, output) = shares("apply", &[&problem, &answer, &conf]);
     assert!(
-        code == 2 && output.contains("volume water: the configuration has none of this name"),
+        code == 2 && output.contains("volume water: not in the configuration"),
         "{output}"
     );
     let two = |text: &str| {
