--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -1,26 +1,26 @@
-//! The scheduler's host: writes its calls as lines of actions.
+//! The adapter's implementation of the scheduler's `Host`: writes each call as a line with an action.
 use crate::fields::MICROS_PER_TICK;
 use crate::names::Names;
 use mallowseam_scheduler::interface::{BioId, Host, KeyId, NodeId, Tick, VolumeId};
 use std::fmt;
 use std::io::Write;
 
-/// What the simulator reads as no timeout.
+/// Value of a timeout field that stands for no timeout.
 const NO_TIMEOUT: i64 = -1;
 
-/// Writes the actions of one instance.
+/// Writer of the actions of one instance.
 pub struct ActionWriter<'a> {
     /// Index of the instance.
     pub instance: u64,
-    /// The names by the scheduler's indices.
+    /// Names of the instance by the scheduler's indices.
     pub names: &'a mut Names,
-    /// Receives the lines.
+    /// Buffer that the lines are appended to.
     pub output: &'a mut Vec<u8>,
 }
 
 impl ActionWriter<'_> {
-    /// The scheduler panicked: writes the message of the panic on one line.
-    pub fn panicked(&mut self, text: &str) {
+    /// Writes the message of a panic of the scheduler on one line.
+    pub fn write_panic(&mut self, text: &str) {
         write_line(
             self.output,
             format_args!("broken {} {}", self.instance, text.replace('\n', " ")),
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes one line.
+/// Appends a line to the output.
 pub fn write_line(output: &mut Vec<u8>, line: fmt::Arguments) {
     writeln!(output, "{line}").expect("writing to memory");
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,8 +1,8 @@
-//! Batches of lines, dispatched to instances.
+//! Parsing of batches of lines and dispatch of their messages to instances.
 //!
-//! A batch begins with a `clock` line, which states the time, and ends with `eof_batch`. The response is all actions that
-//! its events lead to, then `next` and the batch's number. A `membership` line states the number of `entry` lines that
-//! follow it.
+//! A batch begins with a `clock` line, which contains the time and the batch's number, and ends with `eof_batch`. The
+//! response consists of all actions that the batch's events lead to, then `next` with the batch's number. A `membership`
+//! line contains the number of `entry` lines that follow it.
 use crate::action_writer::write_line;
 use crate::error::InputError;
 use crate::fields::Fields;
@@ -10,16 +10,16 @@
 use mallowseam_scheduler::interface::{EndpointEvent, NodeEndpoint, Tick};
 use std::collections::BTreeMap;
 
-/// State of a batch after a line.
+/// State of the current batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// More lines follow.
     WithinBatch,
-    /// The batch is complete and is to be answered.
+    /// The batch is complete and has to be answered.
     BatchComplete,
 }
 
-/// An endpoint list of which entries are still to be read.
+/// An endpoint list with entries that have not been read yet.
 struct PartialList {
     instance: u64,
     form: EndpointEvent,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The kinds of lines that are about an instance.
+/// Kind of a line that is addressed to an instance.
 #[derive(Clone, Copy)]
 enum Message {
     OpenInstance,
@@ -74,10 +74,10 @@
     }
 }
 
-/// The state of the protocol between lines.
+/// State of the protocol between two lines.
 #[derive(Default)]
 pub struct Adapter {
-    /// The time of the batch that is open.
+    /// Time of the open batch; none between batches.
     now: Option<Tick>,
     batch_number: String,
     instances: BTreeMap<u64, Instance>,
@@ -86,14 +86,14 @@
 }
 
 impl Adapter {
-    /// The response to the batch that the last line completed.
+    /// Returns the response to the batch that the last line completed.
     pub fn complete_batch(&mut self) -> &[u8] {
         write_line(&mut self.output, format_args!("next {}", self.batch_number));
         &self.output
     }
 
     /// Handles one line, without its line end.
-    pub fn take_line(&mut self, line: &str) -> Result<Progress, InputError> {
+    pub fn handle_line(&mut self, line: &str) -> Result<Progress, InputError> {
         let mut fields = Fields::new(line);
         let message = fields.message();
         if self.partial_list.is_some() && message != "entry" {
@@ -144,7 +144,7 @@
         let Some(message) = Message::from_name(fields.message()) else {
             return Err(InputError::unexpected(
                 fields.message(),
-                "a message of the wire",
+                "a message of the protocol",
             ));
         };
         let index = fields.unsigned_integer("i")?;
@@ -181,20 +181,20 @@
         let instance = self
             .instances
             .get_mut(&list.instance)
-            .expect("open while its list is read");
+            .expect("the instance is open while its list is read");
         list.entries.push(instance.endpoint(fields)?);
         list.entries_left -= 1;
         self.finish_list(now);
         Ok(())
     }
 
-    /// Passes the list to the instance once its last entry was read.
+    /// Passes the list to the instance once the last entry has been read.
     fn finish_list(&mut self, now: Tick) {
         if let Some(list) = self.partial_list.take_if(|list| list.entries_left == 0) {
             let instance = self
                 .instances
                 .get_mut(&list.instance)
-                .expect("open while its list is read");
+                .expect("the instance is open while its list is read");
             instance.on_endpoint_list(now, list.form, &list.entries, &mut self.output);
         }
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of the input.
+//! Errors in the input.
 use mallowseam_platform::settings::SettingsError;
 use std::io;
 
-/// Why a line of the input is rejected. The simulator's users read these texts.
+/// Error in a line of the input. The simulator's users read these texts.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
     /// The input cannot be read, or is not UTF-8.
-    #[error("the input: {0}")]
+    #[error("input cannot be read: {0}")]
     Read(#[from] io::Error),
     /// The message is unknown, or is not expected at this point.
     #[error("{message}: expected {expected}")]
     UnexpectedMessage {
-        /// The message's name as it was read.
+        /// Name of the message as it was read.
         message: String,
         /// What is expected instead.
         expected: &'static str,
@@ -19,9 +19,9 @@
     /// A value of a message is missing or invalid.
     #[error("{message}: {field}: expected {expected}")]
     InvalidField {
-        /// The message's name.
+        /// Name of the message.
         message: String,
-        /// The field's name in the protocol.
+        /// Name of the field in the protocol.
         field: &'static str,
         /// What is expected instead.
         expected: String,
@@ -32,7 +32,7 @@
 }
 
 impl InputError {
-    /// The message is unknown, or is not expected at this point.
+    /// Returns the error for a message that is unknown, or is not expected at this point.
     pub fn unexpected(message: &str, expected: &'static str) -> Self {
         InputError::UnexpectedMessage {
             message: message.to_owned(),
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,9 +1,10 @@
-//! The values of one line: a message's name and its fields in order, separated by one space. `-` is an absent value.
+//! Reader of the fields of one line: a message's name, then its values in order, separated by one space each. `-` stands
+//! for an absent value.
 use crate::error::InputError;
 use mallowseam_scheduler::interface::{AttemptResult, LoadReport, Tick};
 use std::str::FromStr;
 
-/// Microseconds in a tick of the scheduler.
+/// Length of a tick of the scheduler, in microseconds.
 pub const MICROS_PER_TICK: i64 = 100;
 
 const ATTEMPT_RESULTS: [(&str, AttemptResult); 8] = [
@@ -17,14 +18,14 @@
     ("skipped", AttemptResult::NotSent),
 ];
 
-/// A line whose values are read one after the other.
+/// Reader of the values of a line in their order.
 pub struct Fields<'a> {
     message: &'a str,
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a line.
+    /// Creates a reader of the fields of a line.
     pub fn new(line: &'a str) -> Self {
         match line.split_once(' ') {
             Some((message, rest)) => Fields {
@@ -38,17 +39,17 @@
         }
     }
 
-    /// The message's name.
+    /// Returns the message's name.
     pub fn message(&self) -> &'a str {
         self.message
     }
 
-    /// The rest of the line, with its spaces.
+    /// Returns the rest of the line, with its spaces.
     pub fn remainder(&self) -> &'a str {
         self.rest.unwrap_or_default()
     }
 
-    /// The error for a field that is missing or invalid.
+    /// Returns the error for a field that is missing or invalid.
     pub fn invalid(&self, field: &'static str, expected: &str) -> InputError {
         InputError::InvalidField {
             message: self.message.to_owned(),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The next value; none where it is absent.
+    /// Reads the next value; returns none if it is absent.
     pub fn next_value(&mut self) -> Option<&'a str> {
         let rest = self.rest?;
         let (value, rest) = match rest.split_once(' ') {
@@ -68,23 +69,23 @@
         Some(value).filter(|value| *value != "-" && !value.is_empty())
     }
 
-    /// Skips a field that is not used here.
+    /// Skips a field that the adapter does not use.
     pub fn skip(&mut self) {
         self.next_value();
     }
 
-    /// A value that must be present.
+    /// Reads a value that must be present.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, InputError> {
         self.next_value()
             .ok_or_else(|| self.invalid(field, "a value"))
     }
 
-    /// An unsigned integer.
+    /// Reads an unsigned integer.
     pub fn unsigned_integer(&mut self, field: &'static str) -> Result<u64, InputError> {
         self.parsed(field, "a whole number")
     }
 
-    /// A time in microseconds, as ticks rounded down.
+    /// Reads a time in microseconds, and returns it in ticks, rounded down.
     pub fn ticks(&mut self, field: &'static str) -> Result<Tick, InputError> {
         let micros: i64 = self.parsed(field, "a time in microseconds")?;
         Ok(micros.div_euclid(MICROS_PER_TICK))
@@ -95,7 +96,7 @@
         value.ok_or_else(|| self.invalid(field, expected))
     }
 
-    /// A finite number that may be absent.
+    /// Reads a finite number that may be absent.
     pub fn optional_number(&mut self, field: &'static str) -> Result<Option<f64>, InputError> {
         let Some(value) = self.next_value() else {
             return Ok(None);
@@ -106,7 +107,7 @@
             .ok_or_else(|| self.invalid(field, "a number"))
     }
 
-    /// One of some names; returns what it stands for.
+    /// Reads one of these names and returns its meaning.
     pub fn one_of<T: Copy>(
         &mut self,
         field: &'static str,
@@ -120,12 +121,12 @@
         })
     }
 
-    /// Result of an attempt or a probe.
+    /// Reads the result of an attempt or a probe.
     pub fn attempt_result(&mut self) -> Result<AttemptResult, InputError> {
         self.one_of("ending", &ATTEMPT_RESULTS)
     }
 
-    /// A node's load report: name and value pairs, of which unknown ones are skipped.
+    /// Reads a node's load report: pairs of a name and a value, of which unknown ones are skipped.
     pub fn load_report(&mut self) -> Result<LoadReport, InputError> {
         let mut report = LoadReport::default();
         for pair in self
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One scheduler: events become calls on it, its actions lines of output.
+//! An instance runs one scheduler: it translates events to calls on the scheduler, and its actions to lines of output.
 use crate::action_writer::ActionWriter;
 use crate::error::InputError;
 use crate::fields::{Fields, MICROS_PER_TICK};
@@ -14,15 +14,15 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Units of a request whose line states none.
+/// Size of a request whose line has none, in units.
 const DEFAULT_UNITS: f64 = 1.0;
-/// Hosts that a volume is attached to, at least: the one that the request came to.
+/// Minimum number of hosts that a volume is attached to: the host that received the request.
 const MIN_HOSTS: f64 = 1.0;
 
-/// An event for an instance that is open.
+/// An event for an open instance.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A client sends a request.
+    /// A client sent a request.
     Request,
     /// The first byte of a response arrived.
     FirstByte,
@@ -38,13 +38,13 @@
     PeerMessage,
 }
 
-/// The end of an attempt of a block I/O that the scheduler knows.
+/// Outcome of an attempt of a block I/O that the scheduler has not released.
 struct EndedAttempt {
     bio: BioId,
     outcome: AttemptOutcome,
 }
 
-/// One scheduler of the simulator.
+/// An instance of the simulator, with its scheduler.
 pub struct Instance {
     index: u64,
     scheduler: Scheduler,
@@ -96,12 +96,12 @@
             zone,
             shard,
             state,
-            // The list has 0 for a start long past.
+            // A start time of 0 in the list stands for a start long ago.
             started_at: Some(started_at).filter(|time| *time != 0),
         })
     }
 
-    /// An endpoint list was received in full.
+    /// Passes a complete endpoint list to the scheduler.
     pub fn on_endpoint_list(
         &mut self,
         now: Tick,
@@ -154,7 +154,7 @@
         Ok(())
     }
 
-    /// Reads a request. Its fields are read in their order on the line.
+    /// Reads a request, whose fields have to be read in their order on the line.
     fn request(&mut self, fields: &mut Fields) -> Result<Bio, InputError> {
         let request = fields.unsigned_integer("xid")?;
         let class = position(&self.names.classes, "tier_class", fields)?;
@@ -184,8 +184,8 @@
         })
     }
 
-    /// Reads the end of an attempt. None: the scheduler has released the request, which is finished then and has no
-    /// attempt in flight.
+    /// Reads the outcome of an attempt; returns none if the scheduler has released the request, which is then finished
+    /// and has no attempt in flight.
     fn ended_attempt(&mut self, fields: &mut Fields) -> Result<Option<EndedAttempt>, InputError> {
         let request = fields.unsigned_integer("xid")?;
         let result = fields.attempt_result()?;
@@ -209,13 +209,13 @@
         Ok(bio.map(|bio| EndedAttempt { bio, outcome }))
     }
 
-    /// Reads which client stopped waiting. None: the scheduler has released the request.
+    /// Reads the request of a client that stopped waiting; returns none if the scheduler has released the request.
     fn timed_out_request(&self, fields: &mut Fields) -> Result<Option<BioId>, InputError> {
         let request = fields.unsigned_integer("xid")?;
         Ok(self.names.requests.find(&request).map(BioId))
     }
 
-    /// The scheduler sends no probes: the outcome of one is validated and ignored.
+    /// Validates and ignores the outcome of a probe, since the scheduler sends no probes.
     fn on_probe_ended(&self, fields: &mut Fields) -> Result<(), InputError> {
         let node_name = fields.text("brick")?.to_owned();
         fields.attempt_result()?;
@@ -230,7 +230,7 @@
             .ok_or_else(|| fields.invalid("brick", "a node of the list"))
     }
 
-    /// Calls the scheduler. A panic is reported as an action, so that the other instances continue.
+    /// Calls the scheduler. A panic is caught and written as an action, so that other instances continue.
     fn call(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Scheduler, &mut ActionWriter)) {
         let mut host = ActionWriter {
             instance: self.index,
@@ -239,12 +239,12 @@
         };
         let called = catch_unwind(AssertUnwindSafe(|| call(&mut self.scheduler, &mut host)));
         if let Err(panic) = called {
-            host.panicked(panic_text(panic.as_ref()));
+            host.write_panic(panic_text(panic.as_ref()));
         }
     }
 }
 
-/// The scheduler sends nothing to other instances: a message of one is validated and ignored.
+/// Validates and ignores a message of another instance, since the scheduler sends nothing to other instances.
 fn peer_message(fields: &mut Fields) -> Result<(), InputError> {
     fields.unsigned_integer("author")?;
     let bytes = STANDARD.decode(fields.next_value().unwrap_or_default());
@@ -253,12 +253,12 @@
         .map_err(|_| fields.invalid("octets", "base64 with padding"))
 }
 
-/// No I/O class streams its answers: the first byte of one changes nothing.
+/// Validates and ignores the first byte of a response, since no I/O class streams its responses.
 fn first_byte(fields: &mut Fields) -> Result<(), InputError> {
     fields.unsigned_integer("xid").map(|_| ())
 }
 
-/// The index of the next value among the names of the settings.
+/// Reads a name and returns its index among the names in the settings.
 fn position(names: &[String], field: &'static str, fields: &mut Fields) -> Result<u16, InputError> {
     let name = fields.text(field)?;
     let position = names.iter().position(|known| known == name);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,12 +1,12 @@
-//! Runs schedulers behind the text protocol of the users' simulator, which is described by
-//! `deploy/sites/wire.json`: lines of events on standard input, lines of actions on standard output.
+//! Runs schedulers behind the text protocol of the users' simulator, which `deploy/sites/wire.json` describes: lines
+//! with events on standard input, lines with actions on standard output.
 //!
 //! Modules, from the outside in:
-//! - `adapter`: batches of lines, dispatched to instances.
-//! - `fields`: the values of one line.
-//! - `instance`: one scheduler; translates events to calls on it.
-//! - `names`: names of the simulator and the scheduler's indices for them.
-//! - `action_writer`: the scheduler's host; writes its calls as lines.
+//! - `adapter`: parses batches of lines and dispatches their messages to instances.
+//! - `fields`: reads the fields of one line.
+//! - `instance`: runs one scheduler and translates events to calls on it.
+//! - `names`: maps names of the simulator to the scheduler's indices.
+//! - `action_writer`: implements the scheduler's host and writes its calls as lines.
 //!
 //! Exit status: 0 at the end of the input, 1 if the output cannot be written, 2 if the input is invalid, with the error
 //! on standard error.
@@ -22,7 +22,9 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+/// Exit status if the output cannot be written.
 const OUTPUT_CLOSED: u8 = 1;
+/// Exit status if the input is invalid.
 const INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
@@ -50,6 +52,7 @@
     ExitCode::SUCCESS
 }
 
+/// Result of reading a line.
 enum Step {
     EndOfInput,
     Line(Progress),
@@ -65,7 +68,7 @@
         return Ok(Step::EndOfInput);
     }
     adapter
-        .take_line(line.trim_end_matches(['\n', '\r']))
+        .handle_line(line.trim_end_matches(['\n', '\r']))
         .map(Step::Line)
 }
 
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,21 +1,21 @@
-//! Names of the simulator and the scheduler's indices for them.
+//! Mapping between the simulator's names and the scheduler's indices.
 use mallowseam_scheduler::Interner;
 
-/// The names by the scheduler's indices.
+/// Names that an instance's messages use, by the scheduler's indices.
 #[derive(Default)]
 pub struct Names {
-    /// Requests, by the simulator's numbers.
+    /// Request numbers.
     pub requests: Interner<u64>,
-    /// Nodes.
+    /// Node names.
     pub nodes: Interner<String>,
-    /// Ordering keys.
+    /// Names of ordering keys.
     pub keys: Interner<String>,
-    /// Volumes.
+    /// Volume names.
     pub volumes: Interner<String>,
-    /// Zones.
+    /// Zone names.
     pub zones: Interner<String>,
-    /// I/O classes, in the order of the settings.
+    /// Names of I/O classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Plans, in the order of the settings.
+    /// Names of plans, in the order of the settings.
     pub plans: Vec<String>,
 }
--- a/crates/simulator-adapter/tests/pinned_wire.rs
+++ b/crates/simulator-adapter/tests/pinned_wire.rs
@@ -1,13 +1,13 @@
-//! The bytes that the adapter writes, compared with recorded ones.
+//! Compares the adapter's output with recorded output, byte for byte.
 //!
-//! `transcripts/*.in` holds what a simulator sent, `*.out` what the adapter answered: requests under more load
-//! than the plans allow, endings of all kinds, changes of the endpoint list, timers and an instance torn down.
+//! `transcripts/*.in` contains the input from a simulator, `*.out` the adapter's output: requests beyond the rates that
+//! the plans allow, outcomes of all kinds, changes of the endpoint list, timers, and an instance that is torn down.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 const ADAPTER: &str = env!("CARGO_BIN_EXE_mallowseam-simulator-adapter");
 
-/// Runs the adapter on an input until it ends.
+/// Runs the adapter with this input until it exits.
 fn run(input: &[u8]) -> Output {
     let mut command = Command::new(ADAPTER);
     let command = command
@@ -15,21 +15,24 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
     let mut adapter = command.spawn().expect("the adapter starts");
-    let mut stdin = adapter.stdin.take().expect("piped");
+    let mut stdin = adapter.stdin.take().expect("stdin is piped");
     std::thread::scope(|scope| {
-        // An adapter stops reading at an error.
+        // The adapter stops reading at an error, so writing may fail.
         scope.spawn(move || drop(stdin.write_all(input)));
-        adapter.wait_with_output().expect("the adapter ends")
+        adapter.wait_with_output().expect("the adapter exits")
     })
 }
 
 fn assert_transcript(input: &str, expected: &str) {
     let output = run(input.as_bytes());
-    let written = String::from_utf8(output.stdout).expect("text");
+    let written = String::from_utf8(output.stdout).expect("the output is UTF-8");
     for (number, (line, expected)) in written.lines().zip(expected.lines()).enumerate() {
         assert_eq!(line, expected, "line {}", number + 1);
     }
-    assert!(written == expected, "one is longer");
+    assert!(
+        written == expected,
+        "the outputs differ in length or line ends"
+    );
     assert_eq!(
         (output.status.code(), output.stderr.as_slice()),
         (Some(0), &b""[..])
@@ -37,7 +40,7 @@
 }
 
 #[test]
-fn responses_are_the_recorded_ones_with_a_polled_list() {
+fn output_with_a_polled_endpoint_list_matches_the_transcript() {
     assert_transcript(
         include_str!("transcripts/listed_on_request.in"),
         include_str!("transcripts/listed_on_request.out"),
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn responses_are_the_recorded_ones_with_a_pushed_list() {
+fn output_with_a_pushed_endpoint_list_matches_the_transcript() {
     assert_transcript(
         include_str!("transcripts/listed_by_push.in"),
         include_str!("transcripts/listed_by_push.out"),
@@ -78,7 +81,7 @@
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
         output.stderr,
-        b"line 2: the input: stream did not contain valid UTF-8\n"
+        b"line 2: input cannot be read: stream did not contain valid UTF-8\n"
     );
 }
 
@@ -87,19 +90,19 @@
     let full = std::fs::File::options()
         .write(true)
         .open("/dev/full")
-        .expect("a Linux system");
+        .expect("/dev/full can be opened");
     let mut command = Command::new(ADAPTER);
     let command = command
         .stdin(Stdio::piped())
         .stdout(full)
         .stderr(Stdio::piped());
     let mut adapter = command.spawn().expect("the adapter starts");
-    let mut stdin = adapter.stdin.take().expect("piped");
+    let mut stdin = adapter.stdin.take().expect("stdin is piped");
     stdin
         .write_all(b"clock 5 1\neof_batch\n")
         .expect("the adapter reads");
     drop(stdin);
-    let output = adapter.wait_with_output().expect("the adapter ends");
+    let output = adapter.wait_with_output().expect("the adapter exits");
     assert_eq!(
         (output.status.code(), output.stderr.as_slice()),
         (Some(1), &b""[..])
@@ -108,7 +111,7 @@
 
 #[test]
 fn invalid_input_exits_with_the_recorded_error_texts() {
-    for (name, before, lines, expected) in FAULTS {
+    for (name, before, lines, expected) in INVALID_INPUTS {
         let output = run(format!("{}{lines}\n", before.replace("SETTINGS", SETTINGS)).as_bytes());
         assert_eq!(
             String::from_utf8_lossy(&output.stderr),
@@ -145,8 +148,8 @@
     r#""extra_ratio":0.25,"look_back_us":5000000,"free_resends":3.0,"order_pause_us":50000}}"#,
 );
 
-/// What is at fault, what comes before, the lines at fault, and the text on standard error.
-const FAULTS: &[(&str, &str, &str, &str)] = &[
+/// Name of the case, input before the invalid lines, the invalid lines, and the expected text on standard error.
+const INVALID_INPUTS: &[(&str, &str, &str, &str)] = &[
     (
         "message outside a batch",
         NO_BATCH,
@@ -175,7 +178,7 @@
         "unknown message",
         NO_BATCH,
         "clock 5 1\nfrobnicate 1",
-        "line 2: frobnicate: expected a message of the wire",
+        "line 2: frobnicate: expected a message of the protocol",
     ),
     (
         "instance index missing",
@@ -196,7 +199,7 @@
         "line 2: open_instance: init_seed: expected a whole number",
     ),
     (
-        "settings unreadable",
+        "settings malformed",
         NO_BATCH,
         "clock 5 1\nopen_instance 3 9 {",
         "line 2: settings: expected a JSON object (EOF while parsing an object at line 1 column 1)",
@@ -232,7 +235,7 @@
         "line 3: membership: generation: expected a whole number",
     ),
     (
-        "member count unreadable",
+        "member count malformed",
         OPEN_INSTANCE,
         "membership 7 1 diff many",
         "line 3: membership: members_list: expected a number",
@@ -250,13 +253,13 @@
         "line 4: entry: condition: expected active, leaving, left",
     ),
     (
-        "shard unreadable",
+        "shard malformed",
         OPEN_INSTANCE,
         "membership 7 1 snapshot 1\nentry brick_0 a m x active 1.0 -",
         "line 4: entry: cohort: expected a number",
     ),
     (
-        "request id unreadable",
+        "request id malformed",
         WITH_NODE,
         "request 7 x scan copper - 6000000 - 1 - - -",
         "line 5: request: xid: expected a whole number",
@@ -322,7 +325,7 @@
         "line 5: resolved: pressure: expected name:value pairs",
     ),
     (
-        "load report unreadable",
+        "load report malformed",
         WITH_NODE,
         "resolved 7 1 done - brick_0 1 0 - 0 backlog:x",
         "line 5: resolved: pressure: expected name:value pairs",
@@ -334,7 +337,7 @@
         "line 5: sampled: brick: expected a node of the list",
     ),
     (
-        "peer bytes unreadable",
+        "peer bytes malformed",
         WITH_NODE,
         "heard 7 1 %%%",
         "line 5: heard: octets: expected base64 with padding",
