--- a/crates/gateway/tests/pinned/command_line.rs
+++ b/crates/gateway/tests/pinned/command_line.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn help_of_every_subcommand_has_its_text() {
+fn help_of_every_subcommand_matches_the_fixture() {
     let runs: Vec<Vec<&str>> = SUBCOMMANDS
         .iter()
         .map(|path| [*path, &["--help"]].concat())
@@ -66,7 +66,8 @@
     assert_pinned("help.txt", &transcript(&runs));
 }
 
-/// What scripts rely on in a help text: the usage line, subcommands, flags, defaults and possible values.
+/// Returns the parts of a help text that scripts rely on: the usage line, subcommands, flags, defaults and possible
+/// values.
 fn interface(help: &str) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     let mut is_in_commands = false;
@@ -76,7 +77,7 @@
             found.insert(line.to_owned());
         }
         if is_in_commands && line.starts_with("  ") {
-            let name = line.split_whitespace().next().expect("it is not empty");
+            let name = line.split_whitespace().next().expect("the line has a word");
             found.insert(format!("subcommand {name}"));
         }
         found.extend(flags(line));
@@ -87,7 +88,7 @@
     found
 }
 
-/// The flags that a line of a help text specifies, their aliases among them.
+/// Returns the flags, including aliases, that a line of a help text specifies.
 fn flags(line: &str) -> Vec<String> {
     let line = line.trim_start();
     let is_specification = line.starts_with('-');
@@ -102,24 +103,29 @@
         .collect()
 }
 
-/// What follows a label up to the closing bracket.
+/// Returns the text between a label and the closing bracket.
 fn bracketed<'a>(line: &'a str, label: &str) -> Option<&'a str> {
     let (_, after) = line.split_once(label)?;
     after.split_once(']').map(|(value, _)| value)
 }
 
-/// The fixture lists what scripts may rely on, a line each, below the command line that it belongs to. Later versions
-/// may add to it and word their help differently, and keep all of it.
+/// The fixture lists, below each command line, all that scripts may rely on, one item per line. Later versions may add
+/// items and reword their help texts, but must keep all items.
 #[test]
-fn subcommands_flags_and_defaults_are_all_still_there() {
+fn subcommands_flags_and_defaults_are_kept() {
     let pinned = read_fixture("interface.txt");
     let mut checked = 0;
     for section in pinned.split("$ mallowseam").skip(1) {
-        let (arguments, expected) = section.split_once('\n').expect("a command line");
+        let (arguments, expected) = section
+            .split_once('\n')
+            .expect("a command line comes first");
         let output = run(&arguments.split_whitespace().collect::<Vec<_>>());
         let found = interface(&String::from_utf8(output.stdout).expect("help is text"));
         for line in expected.lines() {
-            assert!(found.contains(line), "mallowseam{arguments}: lacks {line}");
+            assert!(
+                found.contains(line),
+                "help text of `mallowseam{arguments}` lacks `{line}`"
+            );
         }
         checked += 1;
     }
@@ -155,7 +161,7 @@
 }
 
 #[test]
-fn checks_of_configurations_are_as_they_were() {
+fn checks_of_configurations_match_the_fixture() {
     let files = [
         "every-directive.conf",
         "refused-values.conf",
@@ -167,7 +173,7 @@
 }
 
 #[test]
-fn refused_command_lines_have_their_texts_and_exit_codes() {
+fn errors_and_exit_codes_of_rejected_command_lines_match_the_fixture() {
     let file = "every-directive.conf";
     let by = ["--author", "a", "--reason", "b"];
     let by = |arguments: &[&'static str]| [arguments, &by].concat();
--- a/crates/gateway/tests/pinned/harness.rs
+++ b/crates/gateway/tests/pinned/harness.rs
@@ -1,4 +1,4 @@
-//! Child processes, sockets and transcripts for the tests of this binary. Every wait has a bound.
+//! Child processes, sockets and transcripts for the tests of this binary. Every wait has a timeout.
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,11 +8,12 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long any single wait lasts at most.
-const BOUND: Duration = Duration::from_secs(10);
-const PAUSE: Duration = Duration::from_millis(5);
+/// Maximum time of a single wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between two checks of a condition that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Addresses on the loopback that no other test binary uses, a block of eight for each caller.
+/// Returns loopback addresses that no other process uses: a block of eight for each caller.
 pub fn addresses() -> impl Fn(u8) -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let block = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -31,7 +32,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Compares with the fixture of this name.
+/// Asserts that a text is equal to the fixture of this name.
 pub fn assert_pinned(name: &str, actual: &str) {
     let expected = read_fixture(name);
     for (index, (line, wanted)) in actual.lines().zip(expected.lines()).enumerate() {
@@ -40,7 +41,7 @@
     assert_eq!(actual, expected, "{name}");
 }
 
-/// The program with these arguments, its working directory that of the fixtures.
+/// Returns the command that runs the program with these arguments in the directory of the fixtures.
 pub fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mallowseam"));
     command
@@ -58,10 +59,13 @@
     program(arguments).output().expect("the program runs")
 }
 
-/// Standard output, standard error and the exit code of a finished run as text.
+/// Returns standard output, standard error and the exit code of a finished run as text.
 pub fn describe(output: &Output) -> String {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    let code = output.status.code().expect("it ended by itself");
+    let code = output
+        .status
+        .code()
+        .expect("the program was not ended by a signal");
     format!(
         "{}{}exit code {code}\n",
         text(&output.stdout),
@@ -79,14 +83,14 @@
         Process(command.spawn().expect("the program starts"))
     }
 
-    /// Waits for the end of the process; its exit code.
+    /// Waits until the process has exited, and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut code = None;
-        wait_for("the end of the process", || {
+        wait_for("the exit of the process", || {
             code = self
                 .0
                 .try_wait()
-                .expect("a child")
+                .expect("the process is a child")
                 .map(|status| status.code());
             code.is_some()
         });
@@ -104,23 +108,26 @@
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < BOUND, "waited in vain for {what}");
-        std::thread::sleep(PAUSE);
+        assert!(
+            began.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {what}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// An open control connection with a line sent.
-pub struct Question(UnixStream);
+/// A request that was sent to a control socket and has not been answered yet.
+pub struct PendingRequest(UnixStream);
 
-impl Question {
-    pub fn ask(path: &Path, line: &str) -> std::io::Result<Question> {
+impl PendingRequest {
+    pub fn send(path: &Path, line: &str) -> std::io::Result<PendingRequest> {
         let mut socket = UnixStream::connect(path)?;
-        socket.set_read_timeout(Some(BOUND))?;
+        socket.set_read_timeout(Some(WAIT_TIMEOUT))?;
         socket.write_all(format!("{line}\n").as_bytes())?;
-        Ok(Question(socket))
+        Ok(PendingRequest(socket))
     }
 
-    /// Everything that the program answers until it closes the connection.
+    /// Returns all bytes that the program sends until it closes the connection.
     pub fn answer(mut self) -> std::io::Result<String> {
         let mut answer = String::new();
         self.0.read_to_string(&mut answer)?;
@@ -128,30 +135,34 @@
     }
 }
 
-/// Asks the control socket at a path and gives the raw answer.
+/// Sends a request to the control socket at a path and returns the raw answer.
 pub fn control(path: &Path, line: &str) -> String {
-    Question::ask(path, line)
-        .and_then(Question::answer)
-        .expect("an answer")
+    PendingRequest::send(path, line)
+        .and_then(PendingRequest::answer)
+        .expect("the control socket answers")
 }
 
-/// Waits until something answers at a control socket.
+/// Waits until a control socket answers requests.
 pub fn wait_for_control(path: &Path) {
     wait_for("the control socket", || {
-        Question::ask(path, "?").and_then(Question::answer).is_ok()
+        PendingRequest::send(path, "?")
+            .and_then(PendingRequest::answer)
+            .is_ok()
     });
 }
 
-/// One end of a connection that speaks lines of text.
+/// One end of a connection over which lines of text are exchanged.
 pub struct Peer(BufReader<TcpStream>);
 
 impl Peer {
     pub fn connect(address: SocketAddr) -> Peer {
-        Peer::over(TcpStream::connect(address).expect("a connection"))
+        Peer::over(TcpStream::connect(address).expect("the connection can be opened"))
     }
 
     pub fn accept(listener: &TcpListener) -> Peer {
-        listener.set_nonblocking(true).expect("a listener");
+        listener
+            .set_nonblocking(true)
+            .expect("the socket option can be set");
         let mut accepted = None;
         wait_for("a connection", || match listener.accept() {
             Ok((socket, _)) => {
@@ -161,14 +172,20 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock => false,
             Err(error) => panic!("accept: {error}"),
         });
-        let socket = accepted.expect("accepted");
-        socket.set_nonblocking(false).expect("a socket");
+        let socket = accepted.expect("a connection was accepted");
+        socket
+            .set_nonblocking(false)
+            .expect("the socket option can be set");
         Peer::over(socket)
     }
 
     fn over(socket: TcpStream) -> Peer {
-        socket.set_read_timeout(Some(BOUND)).expect("a socket");
-        socket.set_nodelay(true).expect("a socket");
+        socket
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("the socket option can be set");
+        socket
+            .set_nodelay(true)
+            .expect("the socket option can be set");
         Peer(BufReader::new(socket))
     }
 
@@ -176,18 +193,20 @@
         self.0
             .get_mut()
             .write_all(format!("{line}\n").as_bytes())
-            .expect("sent");
+            .expect("the line can be sent");
     }
 
-    /// The next line; empty once the other end has closed the connection.
+    /// Receives the next line; returns an empty text if the other end has closed the connection.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
-        self.0.read_line(&mut line).expect("a line in time");
+        self.0
+            .read_line(&mut line)
+            .expect("a line is received before the timeout");
         line.trim_end_matches('\n').to_owned()
     }
 }
 
-/// What went to and fro, a line each.
+/// Record of a test's messages, one line each.
 #[derive(Default)]
 pub struct Transcript(String);
 
@@ -196,15 +215,15 @@
         writeln!(self.0, "{label} {text}").expect("writing to memory");
     }
 
-    /// Asks a control socket and records question and answer; line ends of the answer are shown as `|`.
-    pub fn ask(&mut self, path: &Path, line: &str) -> String {
+    /// Sends a request to a control socket and records request and answer, with `|` for line ends of the answer.
+    pub fn request(&mut self, path: &Path, line: &str) -> String {
         let answer = control(path, line);
         self.add("ask:", line);
-        self.answered(&answer);
+        self.add_answer(&answer);
         answer
     }
 
-    pub fn answered(&mut self, answer: &str) {
+    pub fn add_answer(&mut self, answer: &str) {
         self.add("answer:", &mask_times(answer).replace('\n', "|"));
     }
 
@@ -213,16 +232,16 @@
     }
 }
 
-/// Replaces the value behind a JSON key by `#`, wherever the key stands, also in JSON that is quoted in JSON.
+/// Replaces each value of a JSON key by `#`, also in JSON that is quoted in a JSON string.
 pub fn mask(text: &str, key: &str) -> String {
-    mask_behind(
-        &mask_behind(text, &format!("\"{key}\":"), "\""),
+    mask_after(
+        &mask_after(text, &format!("\"{key}\":"), "\""),
         &format!("\\\"{key}\\\":"),
         "\\\"",
     )
 }
 
-fn mask_behind(text: &str, key: &str, quote: &str) -> String {
+fn mask_after(text: &str, key: &str, quote: &str) -> String {
     let mut parts = text.split(key);
     let mut out = parts.next().unwrap_or_default().to_owned();
     for part in parts {
@@ -235,7 +254,7 @@
     out
 }
 
-/// Masks what depends on the time of the run: wall-clock times of change log lines, and the hashes over them.
+/// Masks values that depend on the time of the run: wall-clock times of change log lines and the hashes over them.
 pub fn mask_times(text: &str) -> String {
     ["at", "after", "last", "asked", "sent"]
         .iter()
--- a/crates/gateway/tests/pinned/host.rs
+++ b/crates/gateway/tests/pinned/host.rs
@@ -1,4 +1,4 @@
-//! A host: its control socket, what it says to services, and the files that it keeps for its next start.
+//! A host's control socket, its messages to services, and the files that it caches for its next start.
 use crate::harness::{
     Peer, Process, Transcript, addresses, assert_pinned, control, mask, mask_times, program,
     read_fixture, wait_for, wait_for_control,
@@ -17,7 +17,7 @@
 impl Setup {
     fn new() -> Setup {
         let address = addresses();
-        let directory = tempfile::tempdir().expect("a directory");
+        let directory = tempfile::tempdir().expect("a temporary directory can be created");
         let root = directory.path().display();
         let host = format!(
             "host gw0\n  listen {}\n  target iqn.t:gateway\n  control \"{root}/control.sock\"\n  window 32\n  \
@@ -45,7 +45,7 @@
         );
         let alone = rest.replace("mapped", "extent 0 256 node1 at 0");
         let write = |name: &str, text: String| {
-            fs::write(directory.path().join(name), text).expect("a file");
+            fs::write(directory.path().join(name), text).expect("the file can be written");
         };
         write("conf", format!("{host}{services}{catalog}{rest}"));
         write("alone", format!("{host}  node-list static\n{alone}"));
@@ -81,29 +81,34 @@
 
     fn start(&self, conf: &str) -> Process {
         let conf = self.path(conf);
-        let process = Process::start(&["run", conf.to_str().expect("text"), "--log", "error"]);
+        let process = Process::start(&[
+            "run",
+            conf.to_str().expect("the path is UTF-8"),
+            "--log",
+            "error",
+        ]);
         wait_for_control(&self.control());
         process
     }
 
-    /// A text without what differs from run to run.
+    /// Masks the parts of a text that differ from run to run.
     fn mask(&self, text: &str) -> String {
         let text = text.replace(&self.directory.path().display().to_string(), "DIR");
         mask(&mask_times(&text), "up_seconds")
     }
 }
 
-/// Replaces the seconds since the start in a status for people.
+/// Masks the uptime in the table that `mallowseam status` prints.
 fn mask_uptime(text: &str) -> String {
     let Some((before, rest)) = text.split_once("  up ") else {
         return text.to_owned();
     };
-    let (_, after) = rest.split_once(" s").expect("a time in seconds");
+    let (_, after) = rest.split_once(" s").expect("the uptime is in seconds");
     format!("{before}  up # s{after}")
 }
 
 #[test]
-fn control_socket_and_status_are_as_they_were() {
+fn control_socket_and_status_match_the_fixture() {
     let setup = Setup::new();
     let mut process = setup.start("alone");
     let socket = setup.control();
@@ -125,26 +130,26 @@
     for line in lines {
         let answer = control(&socket, &line);
         t.add("ask:", &setup.mask(&line));
-        t.answered(&setup.mask(&answer));
+        t.add_answer(&setup.mask(&answer));
     }
-    let socket_text = socket.to_str().expect("text");
+    let socket_text = socket.to_str().expect("the path is UTF-8");
     for arguments in [
         vec!["status", "--control", socket_text],
         vec!["drain", "--control", socket_text],
     ] {
         let output = program(&arguments).output().expect("the program runs");
         t.add("run:", arguments[0]);
-        let text = String::from_utf8(output.stdout).expect("text");
+        let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
         t.add("", &mask_uptime(&text));
     }
-    t.ask(&socket, "stop");
+    t.request(&socket, "stop");
     assert_eq!(process.exit_code(), Some(0));
-    assert!(!socket.exists(), "the socket goes with its host");
+    assert!(!socket.exists(), "the host removes its control socket");
     assert_pinned("host-control.txt", t.text());
 }
 
-/// A host whose services are played by the test, and what they hear.
-struct PlayedServices {
+/// Services of a host whose part the test takes, with a transcript of what they receive.
+struct ScriptedServices {
     setup: Setup,
     endpoints: TcpListener,
     plans: TcpListener,
@@ -152,10 +157,11 @@
     transcript: Transcript,
 }
 
-impl PlayedServices {
-    fn new(setup: Setup) -> PlayedServices {
-        let listen = |address: SocketAddr| TcpListener::bind(address).expect("an address");
-        PlayedServices {
+impl ScriptedServices {
+    fn new(setup: Setup) -> ScriptedServices {
+        let listen =
+            |address: SocketAddr| TcpListener::bind(address).expect("the address can be bound");
+        ScriptedServices {
             endpoints: listen(setup.endpoints),
             plans: listen(setup.plans),
             catalog: listen(setup.catalog),
@@ -169,7 +175,7 @@
     }
 
     /// Receives a line and records it.
-    fn hear(&mut self, label: &str, service: &mut Peer) -> String {
+    fn receive(&mut self, label: &str, service: &mut Peer) -> String {
         let line = service.line();
         self.record(label, &line);
         line
@@ -179,126 +185,127 @@
         control(&self.setup.control(), "status")
     }
 
-    fn kept(&self, name: &str) -> String {
-        fs::read_to_string(self.setup.path(name)).expect("a kept file")
+    fn cached_file(&self, name: &str) -> String {
+        fs::read_to_string(self.setup.path(name)).expect("the host has written the file")
     }
 
-    /// A full endpoint list, which the host keeps, and a change to it. Returns the open connection.
-    fn play_endpoint_service(&mut self) -> Peer {
+    /// Sends a full endpoint list, which the host caches, and a change to it. Returns the open connection.
+    fn run_endpoint_service(&mut self) -> Peer {
         let label = "to the endpoint service:";
         let mut service = Peer::accept(&self.endpoints);
-        self.hear(label, &mut service);
+        self.receive(label, &mut service);
         service.send("list 9 3 whole 2\nnode node0 active 5 1000\nnode node1 leaving 6 2000");
-        wait_for("the whole list", || {
-            self.kept("list") != read_fixture("kept-list-before")
+        wait_for("the full endpoint list", || {
+            self.cached_file("list") != read_fixture("kept-list-before")
         });
-        assert_pinned("kept-list-after", &self.kept("list"));
+        assert_pinned("kept-list-after", &self.cached_file("list"));
         service.send("list 9 5 changes 1\nnode node1 left 6 3000");
-        self.hear(label, &mut service);
+        self.receive(label, &mut service);
         service
     }
 
-    /// Plans that the configuration contradicts, plans that the host keeps, and a granted quota; then a line that does
-    /// not follow. Returns the connection that the host opens after it.
-    fn play_plan_service(&mut self) -> Peer {
+    /// Sends plans that contradict the configuration, plans that the host caches, and a granted quota; then a change log
+    /// line that does not continue the plans. Returns the connection that the host opens after it.
+    fn run_plan_service(&mut self) -> Peer {
         let label = "to the plan service:";
         let mut service = Peer::accept(&self.plans);
-        self.hear(label, &mut service);
+        self.receive(label, &mut service);
         service.send(&full_plans(8, "z"));
-        self.hear(label, &mut service);
+        self.receive(label, &mut service);
         service.send(&full_plans(9, "a"));
-        self.hear(label, &mut service);
-        assert_pinned("kept-plans-after", &self.kept("plans"));
+        self.receive(label, &mut service);
+        assert_pinned("kept-plans-after", &self.cached_file("plans"));
         self.grant_quota(&mut service);
         service.send("{\"line\":{\"text\":\"none\"}}");
         assert_eq!(
             service.line(),
             "",
-            "a line that does not follow ends the connection"
+            "the host closes the connection after a line that does not continue the plans"
         );
         let mut service = Peer::accept(&self.plans);
-        self.hear(label, &mut service);
+        self.receive(label, &mut service);
         service
     }
 
     /// Asks for a report of usage and grants a quota in answer to it.
     fn grant_quota(&mut self, service: &mut Peer) {
         service.send("{\"ask\":{\"asked\":77}}");
-        let report = self.hear("to the plan service:", service);
+        let report = self.receive("to the plan service:", service);
         let sent = report
             .split("\"sent\":")
             .nth(1)
             .and_then(|rest| rest.split(',').next())
-            .expect("a report");
+            .expect("the line is a report");
         service.send(&format!(
             "{{\"granted\":{{\"sent\":{sent},\"span\":600000,\"volumes\":[[\"a\",9000]]}}}}"
         ));
-        // A quarter of the even part, which is never lent, and what was granted.
-        wait_for("the granted part", || {
+        // The host's quota is a quarter of the even quota, which is never lent, and the granted quota.
+        wait_for("the granted quota", || {
             self.status().contains("\"part\":16.5")
         });
     }
 
-    /// A full tree, a lease, changes and the end of a cut; then a change that does not follow. Returns the
-    /// connection that the host opens after it.
-    fn play_catalog(&mut self) -> Peer {
+    /// Sends a full tree, a lease, a change and the steps of a snapshot; then a change that does not continue the tree.
+    /// Returns the connection that the host opens after it.
+    fn run_catalog(&mut self) -> Peer {
         let mut service = Peer::accept(&self.catalog);
         let mut renewals = Renewals::default();
-        renewals.hear(self, &mut service);
+        renewals.receive(self, &mut service);
         service.send(
             "{\"whole\":{\"catalog\":11,\"tree\":{\"version\":1,\"layers\":{\"1024\":{\"parent\":null,\"frozen\":false,\
              \"places\":{},\"opened\":[],\"next_number\":0,\"closed\":[]}},\"branches\":{\"b\":{\"head\":1024,\"unit\":1024,\
              \"extents\":4,\"origin\":null}},\"snapshots\":{},\"made\":1,\"units\":0}}}",
         );
         service.send("\"filled\"");
-        // The lease that is granted lasts to the end of this test, so that it is not renewed again.
-        let renewal = renewals.hear(self, &mut service);
+        // The granted lease lasts until the end of the test, so that the host does not renew it again.
+        let renewal = renewals.receive(self, &mut service);
         let sent = renewal
             .strip_prefix("{\"renew\":{\"sent\":")
             .and_then(|rest| rest.split(',').next());
-        renewals.hear(self, &mut service);
+        renewals.receive(self, &mut service);
         service.send(&format!(
             "{{\"lease\":{{\"sent\":{},\"span\":600000}}}}",
-            sent.expect("a renewal")
+            sent.expect("the line is a renewal")
         ));
         service.send(
             "{\"changed\":{\"version\":2,\"change\":{\"Numbers\":{\"layer\":1024,\"first\":0,\"count\":4}}}}",
         );
-        renewals.hear(self, &mut service);
+        renewals.receive(self, &mut service);
         service.send("{\"ask-clear\":{\"layer\":1024,\"branch\":\"b\"}}");
-        renewals.hear(self, &mut service);
+        renewals.receive(self, &mut service);
         service.send("{\"over\":{\"branch\":\"b\"}}");
         service.send("{\"changed\":{\"version\":9,\"change\":{\"Cut\":{\"branch\":\"b\"}}}}");
         assert_eq!(
             service.line(),
             "",
-            "a change that does not follow ends the connection"
+            "the host closes the connection after a change that does not continue the tree"
         );
         let mut service = Peer::accept(&self.catalog);
-        renewals.hear(self, &mut service);
+        renewals.receive(self, &mut service);
         service
     }
 }
 
-/// What the catalog hears: a renewal that is not granted in time is sent again, and only the first one counts.
+/// Filter of renewals that the catalog receives: the host repeats a renewal that is not granted in time, and only the
+/// first one is recorded.
 #[derive(Default)]
 struct Renewals {
-    heard: bool,
+    was_received: bool,
 }
 
 impl Renewals {
-    fn hear(&mut self, services: &mut PlayedServices, service: &mut Peer) -> String {
+    fn receive(&mut self, services: &mut ScriptedServices, service: &mut Peer) -> String {
         let mut line = service.line();
-        while self.heard && line.starts_with("{\"renew\"") {
+        while self.was_received && line.starts_with("{\"renew\"") {
             line = service.line();
         }
-        self.heard |= line.starts_with("{\"renew\"");
+        self.was_received |= line.starts_with("{\"renew\"");
         services.record("to the catalog:", &line);
         line
     }
 }
 
-/// The whole state of the plan service, in which a volume of this name is on plan `basic`.
+/// Returns the message with the full state of the plan service, which assigns plan `basic` to a volume.
 fn full_plans(version: u64, volume: &str) -> String {
     format!(
         "{{\"whole\":{{\"state\":{{\"version\":{version},\"plans\":{{\"basic\":{{\"usual\":20000,\"reserve\":0,\
@@ -309,20 +316,22 @@
 }
 
 #[test]
-fn messages_to_services_and_kept_files_are_as_they_were() {
-    let mut services = PlayedServices::new(Setup::new());
+fn messages_to_services_and_cached_files_match_the_fixtures() {
+    let mut services = ScriptedServices::new(Setup::new());
     let setup = &services.setup;
-    fs::write(setup.path("list"), read_fixture("kept-list-before")).expect("a file");
-    fs::write(setup.path("plans"), read_fixture("kept-plans-before")).expect("a file");
+    fs::write(setup.path("list"), read_fixture("kept-list-before"))
+        .expect("the file can be written");
+    fs::write(setup.path("plans"), read_fixture("kept-plans-before"))
+        .expect("the file can be written");
     let _process = setup.start("conf");
 
-    // What was kept counts before any service has answered.
+    // The cached files are used before any service has answered.
     services.record("status:", &services.status());
-    // The connections stay open to the end of the test.
+    // The connections stay open until the end of the test.
     let _connections = [
-        services.play_endpoint_service(),
-        services.play_plan_service(),
-        services.play_catalog(),
+        services.run_endpoint_service(),
+        services.run_plan_service(),
+        services.run_catalog(),
     ];
     let status = mask(&services.setup.mask(&services.status()), "part");
     services.transcript.add("status:", &status);
--- a/crates/gateway/tests/pinned/main.rs
+++ b/crates/gateway/tests/pinned/main.rs
@@ -1,6 +1,6 @@
-//! What the program shows to others, byte for byte: its command line, the answers of its control sockets,
-//! what goes between hosts and services, and the files that it keeps. Each test runs the program in a child
-//! process and compares a transcript with a file in `tests/fixtures`.
+//! Compares all output of the program byte for byte with files in `tests/fixtures`: the command line, the answers of
+//! control sockets, the messages between hosts and services, and the files that a host caches. Operators' scripts, and
+//! hosts and services of other versions, depend on them. Each test runs the program in a child process.
 mod command_line;
 mod harness;
 mod host;
--- a/crates/gateway/tests/pinned/plan_service.rs
+++ b/crates/gateway/tests/pinned/plan_service.rs
@@ -1,5 +1,5 @@
-//! The control service of plans: its control socket, and what it says to hosts.
-use crate::harness::{Peer, Question, Transcript, assert_pinned, mask_times, wait_for};
+//! The plan service: its control socket and its messages to hosts.
+use crate::harness::{Peer, PendingRequest, Transcript, assert_pinned, mask_times, wait_for};
 use crate::service_setup::ServiceSetup;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
     })
 }
 
-/// A host as the service sees it, with what it hears in the transcript.
+/// A host that the test simulates; its messages are recorded in the transcript.
 struct Host {
     name: &'static str,
     peer: Peer,
@@ -35,7 +35,7 @@
         self.peer.send(line);
     }
 
-    /// The next line that is not the question that the service repeats on its own clock.
+    /// Receives the next line other than the request for a report, which the service repeats periodically.
     fn receive(&mut self, transcript: &mut Transcript) -> String {
         loop {
             let line = self.peer.line();
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The next question of the service; its time.
-    fn asked(&mut self, transcript: &mut Transcript) -> u64 {
+    /// Receives the next request for a report, and returns its time.
+    fn report_request(&mut self, transcript: &mut Transcript) -> u64 {
         let line = self.peer.line();
         transcript.add(&format!("{} receives:", self.name), &mask_times(&line));
         let number = line
@@ -55,22 +55,22 @@
             .and_then(|rest| rest.strip_suffix("}}"));
         number
             .and_then(|digits| digits.parse().ok())
-            .expect("a question")
+            .expect("the line is a request for a report")
     }
 }
 
-/// What an operator's change does besides being checked.
+/// Way in which an operator's change is requested.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
-    /// It is not made.
+    /// The change is checked, but not made.
     DryRun,
-    /// It is made, and answered at once.
+    /// The change is made and answered at once.
     Apply,
-    /// It is made, and answered once all hosts act on it.
+    /// The change is made and answered once it is in effect at all hosts.
     Wait,
 }
 
-/// An operator's change, if the newest version is the expected one.
+/// Returns the request for a change, on condition that the newest version is the expected one.
 fn set(change: &str, expected: Option<u64>, mode: Mode) -> String {
     let expected = expected.map_or("null".to_owned(), |version| version.to_string());
     let dry = mode == Mode::DryRun;
@@ -81,7 +81,7 @@
     )
 }
 
-/// The change that sets a plan with a limit.
+/// Returns the change that sets a plan with a rate limit.
 fn plan(name: &str, limit: u64) -> String {
     format!(
         "{{\"Plan\":{{\"name\":\"{name}\",\"figures\":{{\"usual\":1,\"reserve\":2,\"limit\":{limit},\"burst\":4,\
@@ -89,14 +89,14 @@
     )
 }
 
-/// A host's report of what it lends and borrows of its quotas, in answer to a question of the service.
+/// Returns a host's report of the quotas that it lends and borrows.
 fn report(asked: u64, sent: u64, volumes: &str) -> String {
     format!(
         "{{\"report\":{{\"asked\":{asked},\"sent\":{sent},\"version\":3,\"volumes\":[{volumes}]}}}}"
     )
 }
 
-/// The control socket of the service, and what was said to it and to its hosts.
+/// The service under test, with the transcript of its control socket and its hosts.
 struct Dialogue {
     control: PathBuf,
     address: SocketAddr,
@@ -104,27 +104,27 @@
 }
 
 impl Dialogue {
-    fn ask(&mut self, line: &str) {
-        self.transcript.ask(&self.control, line);
+    fn request(&mut self, line: &str) {
+        self.transcript.request(&self.control, line);
     }
 
-    fn ask_each(&mut self, lines: &[&str]) {
+    fn request_each(&mut self, lines: &[&str]) {
         for line in lines {
-            self.ask(line);
+            self.request(line);
         }
     }
 
-    /// Asks for the hosts until the answer contains this, and records it then.
-    fn ask_hosts_until(&mut self, expected: &str) {
+    /// Requests the hosts' versions until the answer contains this text, and records that answer.
+    fn request_hosts_until(&mut self, expected: &str) {
         let line = "\"hosts\"";
         wait_for(expected, || {
             crate::harness::control(&self.control, line).contains(expected)
         });
-        self.ask(line);
+        self.request(line);
     }
 
-    /// A host without any version is sent the whole state; also returns the hash that it ends with.
-    fn first_host_joins(&mut self) -> (Host, String) {
+    /// Connects a host without any version, which receives the full state; also returns the hash at the state's end.
+    fn connect_first_host(&mut self) -> (Host, String) {
         let t = &mut self.transcript;
         let mut host = Host::connect("gw0", self.address);
         host.send(
@@ -132,44 +132,45 @@
             "{\"hello\":{\"host\":\"gw0\",\"version\":0,\"last\":\"\"}}",
         );
         let whole = host.receive(t);
-        self.ask_hosts_until("1 hosts");
+        self.request_hosts_until("1 hosts");
         host.send(&mut self.transcript, "{\"acts-on\":{\"version\":2}}");
-        self.ask_hosts_until("all of them: 2");
+        self.request_hosts_until("all of them: 2");
         let last = whole
             .split("\"last\":\"")
             .nth(1)
             .and_then(|rest| rest.split('"').next())
-            .expect("a hash");
+            .expect("the state has a hash");
         (host, last.to_owned())
     }
 
-    /// Changes that are tried, rejected and made; the host rejects the one that is made, then acts on it.
+    /// Requests changes that are only checked, rejected and made; the host first rejects the change that is made, then
+    /// applies it.
     fn change_plans(&mut self, host: &mut Host) {
-        self.ask(&set(&plan("gold", 30), Some(2), Mode::DryRun));
-        self.ask(&set(&plan("gold", 30), Some(1), Mode::Apply));
-        self.ask(&set(&plan("two words", 30), Some(2), Mode::Apply));
+        self.request(&set(&plan("gold", 30), Some(2), Mode::DryRun));
+        self.request(&set(&plan("gold", 30), Some(1), Mode::Apply));
+        self.request(&set(&plan("two words", 30), Some(2), Mode::Apply));
         for change in [
             "{\"PlanGone\":{\"name\":\"basic\"}}",
             "{\"PlanGone\":{\"name\":\"none\"}}",
             "{\"VolumeGone\":{\"name\":\"none\"}}",
             "{\"Volume\":{\"name\":\"a\",\"plan\":\"basic\"}}",
         ] {
-            self.ask(&set(change, None, Mode::Apply));
+            self.request(&set(change, None, Mode::Apply));
         }
-        self.ask(&set(&plan("gold", 30), Some(2), Mode::Apply));
+        self.request(&set(&plan("gold", 30), Some(2), Mode::Apply));
         host.receive(&mut self.transcript);
-        self.ask("\"hosts\"");
+        self.request("\"hosts\"");
         host.send(
             &mut self.transcript,
             "{\"against\":{\"version\":3,\"why\":\"no such node\"}}",
         );
-        self.ask_hosts_until("turned it down");
+        self.request_hosts_until("turned it down");
         host.send(&mut self.transcript, "{\"acts-on\":{\"version\":3}}");
-        self.ask_hosts_until("all of them: 3");
+        self.request_hosts_until("all of them: 3");
     }
 
-    /// A host that holds the first two versions is sent the third alone.
-    fn second_host_joins(&mut self, last: &str) -> Host {
+    /// Connects a host with the first two versions, which receives only the third.
+    fn connect_second_host(&mut self, last: &str) -> Host {
         let mut host = Host::connect("gw1", self.address);
         let t = &mut self.transcript;
         host.send(
@@ -178,26 +179,26 @@
         );
         host.receive(t);
         host.send(t, "{\"acts-on\":{\"version\":3}}");
-        self.ask_hosts_until("2 hosts; in force at all of them: 3");
+        self.request_hosts_until("2 hosts; in force at all of them: 3");
         host
     }
 
-    /// What the first host lends is granted to the second, and what the second may still use of it is not granted to
-    /// the first.
+    /// Lends a quota of the first host to the second. The part that the second may still use is not granted to the first
+    /// again.
     fn lend_quota(&mut self, one: &mut Host, two: &mut Host) {
         let t = &mut self.transcript;
-        let asked = one.asked(t);
+        let asked = one.report_request(t);
         one.send(t, &report(asked, 7, "[\"a\",15000,0],[\"none\",1,1]"));
-        let asked = two.asked(t);
+        let asked = two.report_request(t);
         two.send(t, &report(asked, 8, "[\"a\",0,9000]"));
         let granted = two.receive(t);
         assert!(granted.contains("\"sent\":8,\"span\":1500"), "{granted}");
-        let asked = one.asked(t);
+        let asked = one.report_request(t);
         one.send(t, &report(asked, 9, "[\"a\",0,8000]"));
         one.receive(t);
     }
 
-    /// An operator who waits is answered once both hosts act on the version.
+    /// Requests a change with `wait`, which is answered once the version is in effect at both hosts.
     fn wait_for_rollout(&mut self, one: &mut Host, two: &mut Host) {
         let line = set(
             "{\"Volume\":{\"name\":\"b\",\"plan\":\"gold\"}}",
@@ -206,16 +207,16 @@
         );
         let t = &mut self.transcript;
         t.add("ask:", &line);
-        let waiting = Question::ask(&self.control, &line).expect("a connection");
+        let waiting = PendingRequest::send(&self.control, &line).expect("the request is sent");
         for host in [one, two] {
             host.receive(t);
             host.send(t, "{\"acts-on\":{\"version\":4}}");
         }
-        t.answered(&waiting.answer().expect("an answer"));
+        t.add_answer(&waiting.answer().expect("the program answers"));
     }
 
-    fn undo_and_look_back(&mut self) {
-        self.ask_each(&[
+    fn undo_and_query_history(&mut self) {
+        self.request_each(&[
             "{\"undo\":{\"version\":4,\"author\":\"a\",\"reason\":\"b\",\"dry\":false,\"wait\":false}}",
             "{\"undo\":{\"version\":99,\"author\":\"a\",\"reason\":\"b\",\"dry\":false,\"wait\":false}}",
             "{\"diff\":{\"one\":1,\"other\":5}}",
@@ -229,8 +230,8 @@
         ]);
     }
 
-    /// A connection that does not open with hello, or says nothing that can be read, is closed.
-    fn strangers_are_rejected(&mut self) {
+    /// Checks that a connection whose first line is malformed, or not a hello, is closed.
+    fn check_that_invalid_hosts_are_rejected(&mut self) {
         for line in ["{\"acts-on\":{\"version\":3}}", "hello"] {
             let mut stranger = Host::connect("stranger", self.address);
             stranger.send(&mut self.transcript, line);
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn control_socket_and_messages_are_as_they_were() {
+fn control_socket_and_messages_match_the_fixture() {
     let setup = setup();
     let mut process = setup.start();
     let mut dialogue = Dialogue {
@@ -248,26 +249,26 @@
         address: setup.address,
         transcript: Transcript::default(),
     };
-    dialogue.ask_each(&[
+    dialogue.request_each(&[
         "status",
         "{\"walk\":{}}",
         "{\"show\":{\"version\":null}}",
         "\"hosts\"",
         "\"replay\"",
     ]);
-    let (mut one, last) = dialogue.first_host_joins();
+    let (mut one, last) = dialogue.connect_first_host();
     dialogue.change_plans(&mut one);
-    let mut two = dialogue.second_host_joins(&last);
+    let mut two = dialogue.connect_second_host(&last);
     dialogue.lend_quota(&mut one, &mut two);
     dialogue.wait_for_rollout(&mut one, &mut two);
-    dialogue.undo_and_look_back();
-    dialogue.strangers_are_rejected();
-    dialogue.ask("stop");
+    dialogue.undo_and_query_history();
+    dialogue.check_that_invalid_hosts_are_rejected();
+    dialogue.request("stop");
     assert_eq!(process.exit_code(), Some(0));
 
-    // The store is read back, with the hosts that were known.
+    // The restarted service reads plans and known hosts from its store.
     let mut process = setup.start();
-    dialogue.ask_each(&[
+    dialogue.request_each(&[
         "{\"show\":{\"version\":null}}",
         "\"hosts\"",
         "\"replay\"",
--- a/crates/gateway/tests/pinned/scsi.rs
+++ b/crates/gateway/tests/pinned/scsi.rs
@@ -1,4 +1,4 @@
-//! What a host answers to SCSI commands without asking a node, and while no node can be reached.
+//! A host's answers to SCSI commands that need no node, and to reads and writes while no node is reachable.
 use crate::harness::{Process, Transcript, addresses, assert_pinned, wait_for_control};
 use mallowseam_gateway::blocking_client::BlockingClient;
 use mallowseam_iscsi::scsi::read_or_write_16;
@@ -8,29 +8,29 @@
 use std::num::NonZeroU16;
 use std::path::Path;
 
-/// A command, the room for what it reads, and the data that it writes.
+/// A SCSI command, the maximum length of the data that it reads, and the data that it writes.
 struct Command {
     name: &'static str,
     cdb: [u8; 16],
-    room: usize,
+    read_len: usize,
     data: Vec<u8>,
 }
 
 impl Command {
-    /// A command that moves no data, by the first bytes of its CDB; the rest is 0.
+    /// Creates a command without data from the first bytes of its CDB; the other bytes are 0.
     fn new(name: &'static str, start: &[u8]) -> Command {
         let mut cdb = [0; 16];
         cdb[..start.len()].copy_from_slice(start);
         Command {
             name,
             cdb,
-            room: 0,
+            read_len: 0,
             data: Vec::new(),
         }
     }
 
-    fn reading(self, room: usize) -> Command {
-        Command { room, ..self }
+    fn reading(self, read_len: usize) -> Command {
+        Command { read_len, ..self }
     }
 
     fn writing(self, data: Vec<u8>) -> Command {
@@ -46,18 +46,18 @@
     text
 }
 
-/// A session with the host, and what was asked and answered in it.
+/// A session with the host, and the transcript of its commands.
 struct Session {
     client: BlockingClient,
     transcript: Transcript,
 }
 
 impl Session {
-    fn ask(&mut self, lun: u32, command: &Command) {
+    fn execute(&mut self, lun: u32, command: &Command) {
         let answer = self
             .client
-            .execute(lun, &command.cdb, command.room, command.data.clone())
-            .expect("an answer");
+            .execute(lun, &command.cdb, command.read_len, command.data.clone())
+            .expect("the host answers");
         let sense = answer
             .sense
             .map_or("none".to_owned(), |sense| hex(&sense.to_fixed_format()));
@@ -72,7 +72,7 @@
     }
 }
 
-/// A volume on a node, and one that the snapshot catalog maps.
+/// Returns a configuration with a volume on a node and a mapped volume.
 fn configuration(address: impl Fn(u8) -> SocketAddr, control: &Path) -> String {
     format!(
         "host gw0\n  listen {}\n  target iqn.t:gateway\n  control \"{}\"\n  node-list static\n  window 32\n  \
@@ -89,7 +89,7 @@
     )
 }
 
-/// Commands that ask what a logical unit is and in which state.
+/// Returns commands that query the identity and state of a logical unit.
 fn queries() -> Vec<Command> {
     vec![
         Command::new("test unit ready", &[0x00]),
@@ -111,7 +111,7 @@
     ]
 }
 
-/// Commands on the cache and on allocation, and one that does not exist.
+/// Returns commands for the cache and for allocation, and an unknown command.
 fn other_commands() -> Vec<Command> {
     vec![
         Command::new("synchronize cache", &[0x35]),
@@ -130,7 +130,7 @@
     ]
 }
 
-/// Reads and writes that are answered before any node is asked.
+/// Returns reads and writes that the host answers without a node.
 fn transfers_without_a_node(lun: u32) -> Vec<Command> {
     vec![
         Command::new("read of nothing", &read_or_write_16(false, 0, 0, 0)),
@@ -147,35 +147,41 @@
 }
 
 #[test]
-fn answers_to_commands_are_as_they_were() {
+fn answers_to_commands_match_the_fixture() {
     let address = addresses();
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let (conf, control) = (
         directory.path().join("conf"),
         directory.path().join("control.sock"),
     );
-    fs::write(&conf, configuration(&address, &control)).expect("a file");
-    let _process = Process::start(&["run", conf.to_str().expect("text"), "--log", "error"]);
+    fs::write(&conf, configuration(&address, &control)).expect("the file can be written");
+    let _process = Process::start(&[
+        "run",
+        conf.to_str().expect("the path is UTF-8"),
+        "--log",
+        "error",
+    ]);
     wait_for_control(&control);
     let mut session = Session {
-        client: BlockingClient::open(address(0), Some("iqn.t:gateway"), 1).expect("a login"),
+        client: BlockingClient::open(address(0), Some("iqn.t:gateway"), 1)
+            .expect("the login succeeds"),
         transcript: Transcript::default(),
     };
     for lun in [0, 2, 9] {
         let commands = [queries(), other_commands(), transfers_without_a_node(lun)];
         for command in commands.iter().flatten() {
-            session.ask(lun, command);
+            session.execute(lun, command);
         }
     }
-    session.ask(
+    session.execute(
         0,
         &Command::new("read, node away", &read_or_write_16(false, 0, 2, 0)).reading(1024),
     );
-    session.ask(
+    session.execute(
         0,
         &Command::new("write, node away", &read_or_write_16(true, 0, 2, 0)).writing(vec![0; 1024]),
     );
-    session.ask(
+    session.execute(
         2,
         &Command::new("read, catalog away", &read_or_write_16(false, 0, 2, 0)).reading(8192),
     );
--- a/crates/gateway/tests/pinned/shares.rs
+++ b/crates/gateway/tests/pinned/shares.rs
@@ -1,4 +1,4 @@
-//! Placements worked out, explained, compared, replayed and written into a configuration.
+//! Output of the subcommands of `mallowseam shares`, and the configuration that `apply --write` changes.
 use crate::harness::{assert_pinned, describe, fixture, program};
 use std::fmt::Write;
 use std::fs;
@@ -25,16 +25,16 @@
 ];
 
 #[test]
-fn placements_are_told_as_they_were() {
-    let directory = tempfile::tempdir().expect("a directory");
-    for entry in fs::read_dir(fixture("")).expect("the fixtures") {
-        let path = entry.expect("a fixture").path();
+fn output_and_changed_configuration_match_the_fixtures() {
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
+    for entry in fs::read_dir(fixture("")).expect("the fixtures can be listed") {
+        let path = entry.expect("the fixtures can be listed").path();
         let name = path
             .file_name()
             .and_then(|name| name.to_str())
-            .expect("a name");
+            .expect("the name is UTF-8");
         if name.starts_with("shares-") {
-            fs::copy(&path, directory.path().join(name)).expect("a copy");
+            fs::copy(&path, directory.path().join(name)).expect("the fixture can be copied");
         }
     }
     let mut transcript = String::new();
@@ -52,7 +52,7 @@
         .expect("writing to memory");
     }
     assert_pinned("shares.txt", &transcript);
-    let written =
-        fs::read_to_string(directory.path().join("shares-host-placed.conf")).expect("written");
+    let written = fs::read_to_string(directory.path().join("shares-host-placed.conf"))
+        .expect("the configuration can be read");
     assert_pinned("written-shares-host.conf", &written);
 }
--- a/crates/gateway/tests/pinned/snapshot_catalog.rs
+++ b/crates/gateway/tests/pinned/snapshot_catalog.rs
@@ -1,5 +1,5 @@
-//! The snapshot catalog service: its control socket, and what it says to hosts.
-use crate::harness::{Peer, Question, Transcript, assert_pinned, mask};
+//! The snapshot catalog: its control socket and its messages to hosts.
+use crate::harness::{Peer, PendingRequest, Transcript, assert_pinned, mask};
 use crate::service_setup::ServiceSetup;
 
 fn setup() -> ServiceSetup {
@@ -13,7 +13,7 @@
     })
 }
 
-/// A host as the catalog sees it: it says of each change that it has seen it.
+/// A host that the test simulates; it acknowledges each change.
 struct Host {
     peer: Peer,
     version: u64,
@@ -25,21 +25,24 @@
         self.peer.send(line);
     }
 
-    /// Records what comes until a line begins so, and says of each change that it has been seen.
-    fn receive_until(&mut self, t: &mut Transcript, begin: &str) -> String {
+    /// Receives and records lines until one has this prefix, and acknowledges each change.
+    fn receive_until(&mut self, t: &mut Transcript, prefix: &str) -> String {
         loop {
             let line = self.peer.line();
             t.add("host receives:", &mask(&line, "catalog"));
-            assert!(!line.is_empty(), "closed before {begin}");
+            assert!(
+                !line.is_empty(),
+                "the catalog closed the connection before it sent {prefix}"
+            );
             if let Some(rest) = line.strip_prefix("{\"changed\":{\"version\":") {
                 self.version = rest
                     .split(',')
                     .next()
                     .and_then(|n| n.parse().ok())
-                    .expect("a version");
+                    .expect("the change has a version");
                 self.send(t, &format!("{{\"seen\":{{\"version\":{}}}}}", self.version));
             }
-            if line.starts_with(begin) {
+            if line.starts_with(prefix) {
                 return line;
             }
         }
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn control_socket_and_messages_are_as_they_were() {
+fn control_socket_and_messages_match_the_fixture() {
     let setup = setup();
     let mut process = setup.start();
     let control = setup.control();
@@ -61,7 +64,7 @@
         "delete none",
         "delete a@none",
     ] {
-        t.ask(&control, line);
+        t.request(&control, line);
     }
     for line in [
         "clone a@none c",
@@ -70,7 +73,7 @@
         "snapshot none s",
         "snapshot a s/s",
     ] {
-        t.ask(&control, line);
+        t.request(&control, line);
     }
     let mut host = Host {
         peer: Peer::connect(setup.address),
@@ -81,28 +84,28 @@
     host.send(&mut t, "{\"renew\":{\"sent\":12,\"seen\":1}}");
     host.receive_until(&mut t, "{\"lease\"");
 
-    // A snapshot waits until the host is clear of the layer, and is told once the host has seen it.
+    // A snapshot waits for the host to report the layer clear, and is answered once the host has seen the change.
     t.add("ask:", "snapshot a s");
-    let waiting = Question::ask(&control, "snapshot a s").expect("a connection");
+    let waiting = PendingRequest::send(&control, "snapshot a s").expect("the request is sent");
     host.receive_until(&mut t, "{\"ask-clear\"");
     host.send(&mut t, "{\"clear\":{\"layer\":1024}}");
     host.receive_until(&mut t, "{\"changed\":{\"version\":3,");
-    t.answered(&waiting.answer().expect("an answer"));
+    t.add_answer(&waiting.answer().expect("the program answers"));
     host.receive_until(&mut t, "{\"over\"");
 
     t.add("ask:", "clone a@s c");
-    let waiting = Question::ask(&control, "clone a@s c").expect("a connection");
+    let waiting = PendingRequest::send(&control, "clone a@s c").expect("the request is sent");
     host.receive_until(&mut t, "{\"changed\":{\"version\":4,");
-    t.answered(&waiting.answer().expect("an answer"));
+    t.add_answer(&waiting.answer().expect("the program answers"));
     t.add("ask:", "rollback a a@s");
-    let waiting = Question::ask(&control, "rollback a a@s").expect("a connection");
+    let waiting = PendingRequest::send(&control, "rollback a a@s").expect("the request is sent");
     host.receive_until(&mut t, "{\"changed\":{\"version\":5,");
-    t.answered(&waiting.answer().expect("an answer"));
+    t.add_answer(&waiting.answer().expect("the program answers"));
 
-    // The layer that the rollback gave up is empty, and goes by itself.
+    // The layer that the rollback discarded is empty, and is removed without a request.
     host.receive_until(&mut t, "{\"changed\":{\"version\":6,");
 
-    // Numbers, a first copy of an extent, and one that comes second.
+    // The host reserves slots; the first copy of an extent is accepted, and the second is rejected.
     host.send(&mut t, "{\"numbers\":{\"layer\":1026,\"count\":8}}");
     host.receive_until(&mut t, "{\"numbers\"");
     let place = |number: u32| {
@@ -127,14 +130,14 @@
         "clone a@s a",
         "delete a@s",
     ] {
-        t.ask(&control, line);
+        t.request(&control, line);
     }
-    // The layer of the snapshot is empty, and goes by itself as well.
+    // The layer of the snapshot is empty, and is also removed without a request.
     host.receive_until(&mut t, "{\"changed\":{\"version\":11,");
-    t.ask(&control, "delete c");
+    t.request(&control, "delete c");
     host.receive_until(&mut t, "{\"changed\":{\"version\":12,");
 
-    // The same host comes back with what it holds.
+    // The same host connects again and names the version that it has.
     drop(host);
     let mut host = Host {
         peer: Peer::connect(setup.address),
@@ -147,14 +150,14 @@
     assert_eq!(
         stranger.line(),
         "",
-        "what cannot be read ends the connection"
+        "the catalog closes the connection after a malformed line"
     );
-    t.ask(&control, "stop");
+    t.request(&control, "stop");
     assert_eq!(process.exit_code(), Some(0));
 
     let mut process = setup.start();
     for line in ["list", "tree", "stop"] {
-        t.ask(&control, line);
+        t.request(&control, line);
     }
     assert_eq!(process.exit_code(), Some(0));
     assert_pinned("snapshot-catalog.txt", t.text());
--- a/crates/gateway/tests/platform/descriptor_limits.rs
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -15,7 +15,7 @@
 fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("an address")
+        .expect("the address can be bound")
 }
 
 fn with_min_descriptors(config: &str, endpoint_service: SocketAddr) -> String {
@@ -88,9 +88,13 @@
     let refused = |text: &str, descriptors: Option<u64>| {
         let mut host = run_with_descriptors(text, descriptors);
         let mut log = String::new();
-        std::io::Read::read_to_string(&mut host.stderr.take().expect("piped"), &mut log)
+        std::io::Read::read_to_string(&mut host.stderr.take().expect("stderr is piped"), &mut log)
             .expect("text");
-        assert_eq!(host.wait().expect("a child").code(), Some(1), "{log}");
+        assert_eq!(
+            host.wait().expect("the process is a child").code(),
+            Some(1),
+            "{log}"
+        );
         log
     };
     let few = refused(&config.replace("\"sockets\":64", "\"sockets\":63"), None);
--- a/crates/gateway/tests/platform/races.rs
+++ b/crates/gateway/tests/platform/races.rs
@@ -300,7 +300,7 @@
     });
     node.set_greeting("");
     host.resume();
-    let (status, body) = client.answer().expect("an answer");
+    let (status, body) = client.answer().expect("the program answers");
     assert!(
         status == 200 && body == "made for r" || status == 503,
         "{status} {body}"
@@ -367,7 +367,7 @@
         let start = Instant::now();
         let text = write_text(&format!("w{n}"), 0, "x", 1_900).replace("shard=0", "shard=-1");
         client.send(&text);
-        let (status, _) = client.answer().expect("an answer");
+        let (status, _) = client.answer().expect("the program answers");
         let ran: Vec<usize> = (0..4)
             .flat_map(|at| {
                 let seen = host.nodes[at].received();
--- a/crates/gateway/tests/platform/support/client.rs
+++ b/crates/gateway/tests/platform/support/client.rs
@@ -37,8 +37,12 @@
     /// Connects; none where nobody listens.
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let socket = TcpStream::connect(address).ok()?;
-        socket.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        socket.set_nodelay(true).expect("a socket");
+        socket
+            .set_read_timeout(Some(PATIENCE))
+            .expect("the socket option can be set");
+        socket
+            .set_nodelay(true)
+            .expect("the socket option can be set");
         Some(Client {
             socket,
             buffer: Vec::new(),
@@ -110,6 +114,6 @@
         timeout_ms: u64,
     ) -> (u16, String) {
         self.send(&write_text(id, shard, body, timeout_ms));
-        self.answer().expect("an answer")
+        self.answer().expect("the program answers")
     }
 }
--- a/crates/gateway/tests/platform/support/endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/endpoint_service.rs
@@ -34,8 +34,8 @@
 impl EndpointService {
     /// A service whose list has these entries and this version.
     pub fn new(entries: &str, version: u64) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the address can be bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let state = WatchState {
             entries: entries.to_owned(),
             version,
@@ -47,7 +47,7 @@
         let watched = Arc::downgrade(&state);
         thread::spawn(move || {
             while let Some(state) = watched.upgrade() {
-                state.lock().expect("no panic").send("\n");
+                state.lock().expect("the mutex is not poisoned").send("\n");
                 drop(state);
                 thread::sleep(HEARTBEAT_PERIOD);
             }
@@ -66,7 +66,11 @@
 
     /// Open watches.
     pub fn watchers(&self) -> usize {
-        self.state.lock().expect("no panic").watchers.len()
+        self.state
+            .lock()
+            .expect("the mutex is not poisoned")
+            .watchers
+            .len()
     }
 
     /// Requests answered so far.
@@ -76,13 +80,16 @@
 
     /// Sends text to all watchers.
     pub fn send_raw(&self, text: &str) {
-        self.state.lock().expect("no panic").send(text);
+        self.state
+            .lock()
+            .expect("the mutex is not poisoned")
+            .send(text);
     }
 
     /// Sends changed entries to all watchers as the next version, split into two chunks.
     pub fn publish(&self, entries: &str) {
         let version = {
-            let mut state = self.state.lock().expect("no panic");
+            let mut state = self.state.lock().expect("the mutex is not poisoned");
             state.version += 1;
             state.entries = String::from(entries);
             state.version
@@ -101,7 +108,7 @@
         if !matches!(socket.read(&mut bytes), Ok(n) if n > 0) {
             continue;
         }
-        let mut state = state.lock().expect("no panic");
+        let mut state = state.lock().expect("the mutex is not poisoned");
         let list = line(state.version, true, &state.entries);
         if socket
             .write_all(format!("{HEAD}{}", chunk(&list)).as_bytes())
--- a/crates/gateway/tests/platform/support/host_process.rs
+++ b/crates/gateway/tests/platform/support/host_process.rs
@@ -63,9 +63,9 @@
 
 /// The same with a limit of descriptors.
 pub fn run_with_descriptors(text: &str, descriptors: Option<u64>) -> Child {
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("a temporary directory can be created");
     let path = dir.path().join("config.json");
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("the file can be written");
     let mut host = spawn(&path, descriptors);
     let _ = host.wait();
     host
@@ -90,13 +90,13 @@
 pub fn allocations(count: usize) -> u64 {
     let (address, node) = (next_address(), Node::new());
     let endpoint_service = EndpointService::new(&node.entry("s-0", 0, "ready"), 41);
-    let dir = tempfile::tempdir().expect("a directory");
+    let dir = tempfile::tempdir().expect("a temporary directory can be created");
     let path = dir.path().join("config.json");
     std::fs::write(
         &path,
         config(address, std::slice::from_ref(&node), &endpoint_service),
     )
-    .expect("a file");
+    .expect("the file can be written");
     let host = thread::spawn(move || {
         allocation_counter::measure(|| mallowseam_platform_host::run(&path, None).expect("a run"))
             .count_total
@@ -145,15 +145,15 @@
         let address = next_address();
         let entry = nodes[0].entry("s-0", 0, "ready");
         let endpoint_service = EndpointService::new(&entry, 41);
-        let directory = tempfile::tempdir().expect("a directory");
+        let directory = tempfile::tempdir().expect("a temporary directory can be created");
         let path = directory.path().join("config.json");
         std::fs::write(
             &path,
             change(config(address, &nodes, &endpoint_service), &entry),
         )
-        .expect("a file");
+        .expect("the file can be written");
         let mut child = spawn(&path, descriptors);
-        let mut log = child.stderr.take().expect("piped");
+        let mut log = child.stderr.take().expect("stderr is piped");
         thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         HostProcess {
             directory,
@@ -172,7 +172,8 @@
 
     /// Replaces the configuration file.
     pub fn write_config(&self, text: &str) {
-        std::fs::write(self.directory.path().join("config.json"), text).expect("a file");
+        std::fs::write(self.directory.path().join("config.json"), text)
+            .expect("the file can be written");
     }
 
     /// Where the host listens.
@@ -193,14 +194,14 @@
     /// Descriptors that the host has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("a process")
+            .expect("the process exists")
             .count()
     }
 
     /// Resident memory of the host in kilobytes.
     pub fn memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
-            .expect("a process");
+            .expect("the process exists");
         let line = status
             .lines()
             .find(|l| l.starts_with("VmRSS"))
@@ -216,7 +217,7 @@
         self.signal(Signal::SIGSTOP);
         let path = format!("/proc/{}/stat", self.child.id());
         wait_until("the host is suspended", || {
-            let stat = std::fs::read_to_string(&path).expect("a process");
+            let stat = std::fs::read_to_string(&path).expect("the process exists");
             stat.rsplit(')')
                 .next()
                 .is_some_and(|rest| rest.trim_start().starts_with('T'))
@@ -235,14 +236,14 @@
 
     /// Sends a signal to the host.
     pub fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.child.id() as i32), signal).expect("a process");
+        kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process exists");
     }
 
     /// Waits until the host exits; its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut status = None;
         wait_until("the host exits", || {
-            status = self.child.try_wait().expect("a child");
+            status = self.child.try_wait().expect("the process is a child");
             status.is_some()
         });
         status.and_then(|status| status.code())
--- a/crates/gateway/tests/platform/support/node.rs
+++ b/crates/gateway/tests/platform/support/node.rs
@@ -78,7 +78,7 @@
         listener.bind(&any.into()).expect("an address");
         listener.listen(0).expect("a backlog");
         let listener = TcpListener::from(listener);
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let listener = Mutex::new(Some(listener));
         Node {
             address,
@@ -92,7 +92,10 @@
     pub fn with_full_backlog(self) -> Self {
         while let Ok(socket) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100))
         {
-            self.backlog.lock().expect("no panic").push(socket);
+            self.backlog
+                .lock()
+                .expect("the mutex is not poisoned")
+                .push(socket);
         }
         self
     }
@@ -132,12 +135,18 @@
 
     /// Sends this text on every new connection before anything is read.
     pub fn set_greeting(&self, text: &str) {
-        text.clone_into(&mut self.state.greeting.lock().expect("no panic"));
+        text.clone_into(
+            &mut self
+                .state
+                .greeting
+                .lock()
+                .expect("the mutex is not poisoned"),
+        );
     }
 
     /// Sends bytes on a connection without a request, and waits until they are delivered.
     pub fn push(&self, connection: usize, text: &str) {
-        let open = self.state.open.lock().expect("no panic");
+        let open = self.state.open.lock().expect("the mutex is not poisoned");
         let mut socket = &open[connection];
         socket
             .write_all(text.as_bytes())
@@ -147,18 +156,32 @@
 
     /// Closes all connections.
     pub fn close_connections(&self) {
-        for socket in self.state.open.lock().expect("no panic").drain(..) {
+        for socket in self
+            .state
+            .open
+            .lock()
+            .expect("the mutex is not poisoned")
+            .drain(..)
+        {
             let _ = socket.shutdown(Shutdown::Both);
         }
     }
 
     /// Accepts connections from now on; those that fill the backlog are closed.
     pub fn start_accepting(&self) {
-        let Some(listener) = self.listener.lock().expect("no panic").take() else {
+        let Some(listener) = self
+            .listener
+            .lock()
+            .expect("the mutex is not poisoned")
+            .take()
+        else {
             return;
         };
         SockRef::from(&listener).listen(1_024).expect("a backlog");
-        self.backlog.lock().expect("no panic").clear();
+        self.backlog
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clear();
         let state = self.state.clone();
         thread::spawn(move || accept(&state, &listener));
     }
@@ -173,7 +196,11 @@
 
     /// Answers as usual from now on.
     pub fn clear_behaviors(&self) {
-        self.state.behaviors.lock().expect("no panic").clear();
+        self.state
+            .behaviors
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clear();
     }
 
     /// Queues a behavior for one of the next requests.
@@ -181,13 +208,17 @@
         self.state
             .behaviors
             .lock()
-            .expect("no panic")
+            .expect("the mutex is not poisoned")
             .push_back(behavior);
     }
 
     /// The requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.state.received.lock().expect("no panic").clone()
+        self.state
+            .received
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone()
     }
 
     /// Connections accepted so far.
@@ -207,7 +238,12 @@
 
     /// Sends the held responses, and holds no more.
     pub fn release_held(&self) {
-        *self.state.released.0.lock().expect("no panic") = true;
+        *self
+            .state
+            .released
+            .0
+            .lock()
+            .expect("the mutex is not poisoned") = true;
         self.state.released.1.notify_all();
     }
 
@@ -223,12 +259,16 @@
         if state.stopped.load(Ordering::SeqCst) {
             return;
         }
-        let greeting = state.greeting.lock().expect("no panic").clone();
+        let greeting = state
+            .greeting
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone();
         let _ = socket.write_all(greeting.as_bytes());
-        let closer = socket.try_clone().expect("a descriptor");
+        let closer = socket.try_clone().expect("the socket can be cloned");
         let number = {
-            let mut open = state.open.lock().expect("no panic");
-            open.push(socket.try_clone().expect("a descriptor"));
+            let mut open = state.open.lock().expect("the mutex is not poisoned");
+            open.push(socket.try_clone().expect("the socket can be cloned"));
             open.len() - 1
         };
         state.connections.fetch_add(1, Ordering::SeqCst);
@@ -271,7 +311,10 @@
                 timeout_ms: header("X-Timeout-Ms").parse().expect("milliseconds"),
             };
             let text = format!("made for {}", received.id);
-            self.received.lock().expect("no panic").push(received);
+            self.received
+                .lock()
+                .expect("the mutex is not poisoned")
+                .push(received);
             buffer.drain(..request.end);
             reader.reset();
             let response = format!(
@@ -286,7 +329,11 @@
 
     /// Answers a request as the next behavior says. False: the connection is to be closed.
     fn respond(&self, socket: &mut TcpStream, response: String) -> bool {
-        let behavior = self.behaviors.lock().expect("no panic").pop_front();
+        let behavior = self
+            .behaviors
+            .lock()
+            .expect("the mutex is not poisoned")
+            .pop_front();
         let held = matches!(behavior, Some(Behavior::Hold));
         let bytes = match behavior {
             None => response,
@@ -295,7 +342,7 @@
             Some(Behavior::Close) => return false,
             Some(Behavior::StaySilent) => return true,
             Some(Behavior::Hold) => {
-                let released = self.released.0.lock().expect("no panic");
+                let released = self.released.0.lock().expect("the mutex is not poisoned");
                 drop(
                     self.released
                         .1
--- a/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
@@ -35,8 +35,8 @@
 impl ScriptedEndpointService {
     /// A service that answers nothing by itself.
     pub fn new() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the address can be bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let requests: Arc<Mutex<Vec<Request>>> = Arc::default();
         let received = requests.clone();
         thread::spawn(move || {
@@ -44,7 +44,7 @@
                 let target = read_target(&mut socket);
                 received
                     .lock()
-                    .expect("no panic")
+                    .expect("the mutex is not poisoned")
                     .push(Request { target, socket });
             }
         });
@@ -53,7 +53,10 @@
 
     /// Requests received so far.
     pub fn requests(&self) -> usize {
-        self.requests.lock().expect("no panic").len()
+        self.requests
+            .lock()
+            .expect("the mutex is not poisoned")
+            .len()
     }
 
     /// Waits for a request; its path and query.
@@ -61,7 +64,7 @@
         wait_until("the endpoint service gets a request", || {
             self.requests() > number
         });
-        self.requests.lock().expect("no panic")[number]
+        self.requests.lock().expect("the mutex is not poisoned")[number]
             .target
             .clone()
     }
@@ -69,7 +72,7 @@
     /// Sends text on the connection of a request, and waits until it is delivered.
     pub fn send(&self, number: usize, text: &str) {
         self.wait_for_request(number);
-        let mut requests = self.requests.lock().expect("no panic");
+        let mut requests = self.requests.lock().expect("the mutex is not poisoned");
         let socket = &mut requests[number].socket;
         if socket.write_all(text.as_bytes()).is_ok() && socket.peer_addr().is_ok() {
             wait_until_delivered(socket);
@@ -83,18 +86,22 @@
 
     /// Closes the connection of a request.
     pub fn close(&self, number: usize) {
-        let _ = self.requests.lock().expect("no panic")[number]
+        let _ = self.requests.lock().expect("the mutex is not poisoned")[number]
             .socket
             .shutdown(Shutdown::Both);
     }
 
     /// Requests whose connection neither side has closed.
     pub fn open_requests(&self) -> usize {
-        let requests = self.requests.lock().expect("no panic");
+        let requests = self.requests.lock().expect("the mutex is not poisoned");
         let is_open = |socket: &TcpStream| {
-            socket.set_nonblocking(true).expect("a socket");
+            socket
+                .set_nonblocking(true)
+                .expect("the socket option can be set");
             let peeked = socket.peek(&mut [0]);
-            socket.set_nonblocking(false).expect("a socket");
+            socket
+                .set_nonblocking(false)
+                .expect("the socket option can be set");
             matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
         };
         requests
--- a/crates/gateway/tests/platform/support/socket_table.rs
+++ b/crates/gateway/tests/platform/support/socket_table.rs
@@ -60,8 +60,8 @@
 
 /// Waits until all bytes that were written to a socket are in the other side's socket.
 pub fn wait_until_delivered(socket: &TcpStream) {
-    let local = table_address(socket.local_addr().expect("bound"));
-    let remote = table_address(socket.peer_addr().expect("connected"));
+    let local = table_address(socket.local_addr().expect("the socket is bound"));
+    let remote = table_address(socket.peer_addr().expect("the socket is connected"));
     let is_undelivered =
         |row: &SocketRow| row.local == local && row.remote == remote && row.undelivered;
     wait_until("all bytes are delivered", || {
