--- a/crates/gateway/tests/platform/client_requests.rs
+++ b/crates/gateway/tests/platform/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: malformed, oversized, duplicate, pipelined, and connections that stay silent.
+//! Malformed, oversized, duplicate and pipelined requests of clients, and connections that stay silent.
 use crate::support::client::{Client, read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::Behavior;
@@ -17,12 +17,12 @@
         let mut client = host.client();
         host.nodes[0].behave_next(Behavior::Raw(text.clone()));
         client.send(&read_text(&format!("r{n}"), 0, 900));
-        wait_until("it is at the node", || {
+        wait_until("the request is at the node", || {
             host.nodes[0].received().len() == n + 1
         });
         clients.push(client);
     }
-    wait_until("the host serves on", || {
+    wait_until("the host keeps serving", || {
         host.client()
             .read(&format!("ok{}", host.next_number()), 0)
             .0
@@ -72,7 +72,7 @@
         let status = client.answer().map(|a| a.0);
         assert!(
             status.is_none_or(|s| (400..600).contains(&s)),
-            "{status:?} to {text:.80}"
+            "status {status:?} for {text:.80}"
         );
         assert!(start.elapsed() < Duration::from_secs(3), "{text:.80}");
         assert_eq!(
@@ -124,7 +124,9 @@
     host.nodes[0].behave_next(Behavior::Hold);
     let (mut first, mut second) = (host.client(), host.client());
     first.send(&write_text("same", 0, "x", 900));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     assert_eq!(second.write("same", 0, "x").0, 409);
     host.nodes[0].release_held();
     assert_eq!(first.answer(), Some((200, "made for same".into())));
@@ -171,7 +173,7 @@
         .collect();
     client.send(&all);
     for n in 0..300 {
-        let (status, body) = client.answer().expect("an answer to each");
+        let (status, body) = client.answer().expect("the host responds to each request");
         assert!(
             status == 503 || body == format!("made for p{n}"),
             "{n}: {status}"
--- a/crates/gateway/tests/platform/configuration.rs
+++ b/crates/gateway/tests/platform/configuration.rs
@@ -30,7 +30,7 @@
     let before = host.endpoint_service.requests();
     host.endpoint_service
         .send_raw("{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");
-    wait_until("it requests again", || {
+    wait_until("the host requests the list again", || {
         host.endpoint_service.requests() > before
     });
     assert_eq!(client.read("after", 0).0, 200);
@@ -48,11 +48,11 @@
     host.write_config(&host.config(&other));
     host.signal(nix::sys::signal::Signal::SIGHUP);
     wait_until("the new service has a watch", || other.watchers() > 0);
-    wait_until("its list counts", || {
+    wait_until("the host uses the new service's list", || {
         client.read(&format!("r{}", host.next_number()), 0);
         !host.nodes[1].received().is_empty()
     });
-    // Several in a row, under load, lose nothing.
+    // Repeated reloads under load lose no request.
     for n in 0..10 {
         host.signal(nix::sys::signal::Signal::SIGHUP);
         assert_eq!(client.read(&format!("s{n}"), 0).0, 200);
@@ -66,7 +66,9 @@
         .config(&host.endpoint_service)
         .replace("\"sockets\":256", "\"sockets\":1")
         .replace("at_most_once", "x");
-    let output = run_with_config(&text).wait_with_output().expect("output");
+    let output = run_with_config(&text)
+        .wait_with_output()
+        .expect("the output can be read");
     let log = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
     assert!(
--- a/crates/gateway/tests/platform/descriptor_limits.rs
+++ b/crates/gateway/tests/platform/descriptor_limits.rs
@@ -1,5 +1,5 @@
-//! The smallest limit of descriptors, with idle clients that would take them all: those that the host itself
-//! needs are reserved.
+//! The smallest limit of descriptors, with idle clients that would use all of them: the host has to reserve the
+//! descriptors that it needs for polls, nodes and reloads.
 use crate::support::client::Client;
 use crate::support::host_process::{HostProcess, run_with_descriptors};
 use crate::support::node::Node;
@@ -8,10 +8,10 @@
 use nix::sys::signal::Signal;
 use std::net::{SocketAddr, TcpListener};
 
-/// The smallest limit that a configuration may name.
+/// Smallest limit of descriptors that a configuration may have.
 const MIN_DESCRIPTORS: u64 = 64;
 
-/// An address where nobody listens.
+/// Returns an address on which no process listens.
 fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
@@ -19,14 +19,19 @@
 }
 
 fn with_min_descriptors(config: &str, endpoint_service: SocketAddr) -> String {
-    let from = config.find("\"discovery\":\"").expect("a field") + "\"discovery\":\"".len();
-    let to = from + config[from..].find('"').expect("its end");
+    let from = config
+        .find("\"discovery\":\"")
+        .expect("the configuration has the field")
+        + "\"discovery\":\"".len();
+    let to = from
+        + config[from..]
+            .find('"')
+            .expect("the value has a closing quote");
     let config = format!("{}{endpoint_service}{}", &config[..from], &config[to..]);
     config.replace("\"sockets\":256", &format!("\"sockets\":{MIN_DESCRIPTORS}"))
 }
 
-/// Connects far more clients than there are descriptors: silent ones, and ones that stay idle after a
-/// request.
+/// Connects far more clients than the host has descriptors: silent clients, and clients that are idle after a request.
 fn connect_idle_clients(host: &HostProcess, idle: &mut Vec<Client>) {
     for n in 0..120 {
         let mut client = host.client();
@@ -55,7 +60,7 @@
     });
     connect_idle_clients(&host, &mut idle);
     wait_until_served();
-    // The new configuration names a running service, and idle clients go on connecting.
+    // The new configuration names a running service, while further idle clients connect.
     host.write_config(&with_min_descriptors(
         &host.config(&host.endpoint_service),
         service.address,
@@ -67,7 +72,7 @@
     service.send_line(0, 50, true, &host.nodes[0].entry("s-0", 0, "ready"));
     wait_until_served();
     connect_idle_clients(&host, &mut idle);
-    // The watch ends meanwhile: the next one gets a descriptor, and its drain is obeyed.
+    // The watch ends meanwhile; the next one gets a descriptor, and a drain that it sends is obeyed.
     service.close(0);
     connect_idle_clients(&host, &mut idle);
     service.wait_for_request(1);
@@ -89,7 +94,7 @@
         let mut host = run_with_descriptors(text, descriptors);
         let mut log = String::new();
         std::io::Read::read_to_string(&mut host.stderr.take().expect("stderr is piped"), &mut log)
-            .expect("text");
+            .expect("the log is UTF-8");
         assert_eq!(
             host.wait().expect("the process is a child").code(),
             Some(1),
--- a/crates/gateway/tests/platform/endpoint_list.rs
+++ b/crates/gateway/tests/platform/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The watch of the endpoint list, also where two events race: a scripted service delays one until the other
-//! has happened.
+//! The watch of the endpoint list, also with races between two events: a scripted service delays one event until the
+//! other has happened.
 use crate::support::client::{read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::Node;
@@ -8,7 +8,7 @@
 use nix::sys::signal::Signal;
 use std::time::{Duration, Instant};
 
-/// A host that watches this service; all nodes are in its cached list, each with the shard of its own index.
+/// Starts a host that watches this service. Its cached list contains all nodes, each with the shard of its index.
 fn host(
     service: &ScriptedEndpointService,
     nodes: usize,
@@ -17,12 +17,12 @@
     let nodes: Vec<Node> = (0..nodes).map(|_| Node::new()).collect();
     let all = entries(&nodes, "ready");
     HostProcess::with_nodes(nodes, |config, entry| {
-        change(moved(&config, service).replace(&format!("[{entry}]"), &format!("[{all}]")))
+        change(with_service(&config, service).replace(&format!("[{entry}]"), &format!("[{all}]")))
     })
 }
 
-/// A host and a service with an open watch, which has sent all nodes as version 50.
-fn state(nodes: usize) -> (ScriptedEndpointService, HostProcess) {
+/// Starts a host and a service with an open watch, on which the service has sent all nodes as version 50.
+fn watched_host(nodes: usize) -> (ScriptedEndpointService, HostProcess) {
     let service = ScriptedEndpointService::new();
     let host = host(&service, nodes, |config| config);
     service.send(0, HEAD);
@@ -30,10 +30,16 @@
     (service, host)
 }
 
-/// The configuration with another endpoint list service.
-fn moved(config: &str, service: &ScriptedEndpointService) -> String {
-    let from = config.find("\"discovery\":\"").expect("a field") + "\"discovery\":\"".len();
-    let to = from + config[from..].find('"').expect("its end");
+/// Returns the configuration with another endpoint list service.
+fn with_service(config: &str, service: &ScriptedEndpointService) -> String {
+    let from = config
+        .find("\"discovery\":\"")
+        .expect("the configuration has the field")
+        + "\"discovery\":\"".len();
+    let to = from
+        + config[from..]
+            .find('"')
+            .expect("the value has a closing quote");
     format!("{}{}{}", &config[..from], service.address, &config[to..])
 }
 
@@ -48,8 +54,7 @@
         .join(",")
 }
 
-/// Waits until a node's drain is obeyed: it alone has its shard, so every read of the shard is shed from then
-/// on.
+/// Waits until a node's drain is obeyed. No other node has its shard, so that all reads of the shard are shed then.
 fn assert_drained(host: &HostProcess, at: usize) {
     let mut client = host.client();
     let mut read = || {
@@ -57,31 +62,36 @@
             .read(&format!("d{}", host.next_number()), at as u32)
             .0
     };
-    wait_until("the node is closed", || read() == 503);
+    wait_until("reads of the drained node's shard are shed", || {
+        read() == 503
+    });
     let before = host.nodes[at].received().len();
-    assert!((0..20).all(|_| read() == 503), "and stays so");
+    assert!(
+        (0..20).all(|_| read() == 503),
+        "a read was not shed after the drain"
+    );
     assert_eq!(host.nodes[at].received().len(), before);
 }
 
-/// Answers the request of this number with the drain of a node, and waits until it is obeyed. A request that
-/// replaces it, should this test be slower than the host waits, gets the same answer.
-fn publish_drain(host: &HostProcess, service: &ScriptedEndpointService, call: usize, at: usize) {
-    let mut next = call;
-    service.wait_for_request(call);
-    wait_until("the node is closed", || {
+/// Answers a request with the drain of a node, and waits until the drain is obeyed. If the test is so slow that the host
+/// replaces the request by another one, that one gets the same answer.
+fn publish_drain(host: &HostProcess, service: &ScriptedEndpointService, request: usize, at: usize) {
+    let mut next = request;
+    service.wait_for_request(request);
+    wait_until("reads of the drained node's shard are shed", || {
         while next < service.requests() {
             service.send(next, HEAD);
             service.send_line(next, 51, false, &entry(&host.nodes, at, "draining"));
             next += 1;
         }
-        // Each read comes on a connection of its own: one that is silent for 2 s is closed by the host.
+        // Each read uses a connection of its own, since the host closes a connection that is silent for 2 s.
         let id = format!("t{}", host.next_number());
         host.client().read(&id, at as u32).0 == 503
     });
     assert_drained(host, at);
 }
 
-/// All nodes serve.
+/// Waits until all nodes serve reads.
 fn wait_until_served(host: &HostProcess) {
     let mut client = host.client();
     for at in 0..host.nodes.len() {
@@ -103,8 +113,8 @@
     let host = host(&old, 2, |config| config);
     old.send(0, HEAD);
     old.send_line(0, 50, true, &entries(&host.nodes, "ready"));
-    // The old service's last line races the move; its versions mean nothing to the new service.
-    host.write_config(&moved(&host.config(&host.endpoint_service), &new));
+    // The old service's last line races the reload; its version means nothing to the new service.
+    host.write_config(&with_service(&host.config(&host.endpoint_service), &new));
     host.signal(Signal::SIGHUP);
     old.send_line(0, 51, false, &entry(&host.nodes, 1, "ready"));
     assert!(
@@ -125,7 +135,7 @@
         ScriptedEndpointService::new(),
         ScriptedEndpointService::new(),
     );
-    // Three hundred hosts spread their requests over as long as the rule on drains lets them wait, 4 s here.
+    // With 300 hosts, requests are spread over the time that the rule on drains allows, 4 s here.
     let many = |config: String| {
         let config = config.replace("\"balancers\": 1", "\"balancers\": 300");
         config.replace("\"ask_within_us\": 10000000", "\"ask_within_us\": 5000000")
@@ -137,7 +147,10 @@
         let first = old.requests();
         old.send(first, HEAD);
         old.send_line(first, 50, true, &entries(&host.nodes, "ready"));
-        host.write_config(&many(moved(&host.config(&host.endpoint_service), &new)));
+        host.write_config(&many(with_service(
+            &host.config(&host.endpoint_service),
+            &new,
+        )));
         let before = new.requests();
         host.signal(Signal::SIGHUP);
         let signalled = Instant::now();
@@ -160,16 +173,16 @@
     service.send(0, HEAD);
     service.send_line(0, 50, true, &entries(&host.nodes, "ready"));
     service.close(0);
-    // Busy or away: a host whose request fails just before the service returns must retry early enough.
-    for call in 1..=2 {
+    // The service is busy or unreachable. A host whose request fails just before it returns must retry early enough.
+    for request in 1..=2 {
         let from = Instant::now();
-        service.wait_for_request(call);
+        service.wait_for_request(request);
         assert!(
             from.elapsed() < Duration::from_millis(4_800),
-            "request {call}: {:?}",
+            "request {request}: {:?}",
             from.elapsed()
         );
-        service.send(call, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
+        service.send(request, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
     }
     service.wait_for_request(3);
     publish_drain(&host, &service, 3, 0);
@@ -177,10 +190,10 @@
 
 #[test]
 fn a_service_with_a_lower_version_is_asked_for_a_full_snapshot() {
-    let (service, host) = state(2);
+    let (service, host) = watched_host(2);
     wait_until_served(&host);
     service.close(0);
-    // The service has restarted: it counts from 5, and has nothing newer than 50.
+    // The service has restarted and counts from 5; it has nothing newer than version 50.
     assert!(
         service.wait_for_request(1).contains("since=50"),
         "{}",
@@ -209,7 +222,7 @@
 
 #[test]
 fn a_repeated_old_change_is_ignored() {
-    let (service, host) = state(2);
+    let (service, host) = watched_host(2);
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
     assert_drained(&host, 0);
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "ready"));
@@ -237,8 +250,8 @@
 
 #[test]
 fn an_unterminated_line_does_not_count_as_a_heartbeat() {
-    let (service, host) = state(2);
-    // Bytes keep coming, but never a complete line.
+    let (service, host) = watched_host(2);
+    // The host keeps receiving bytes, but never a complete line.
     wait_until("the watch is reopened", || {
         service.send(0, &chunk(" "));
         service.requests() > 1
@@ -248,31 +261,30 @@
 
 #[test]
 fn a_silent_watch_is_replaced_without_a_gap() {
-    let (service, host) = state(2);
-    // The service accepts requests and answers none. Each request but the first comes while another one is
-    // open.
-    wait_until("there were several requests", || {
+    let (service, host) = watched_host(2);
+    // The service accepts requests and answers none. Each request but the first is sent while another one is open.
+    wait_until("the host has sent several requests", || {
         assert!(
             service.open_requests() > 0,
-            "no open request after {}",
+            "no request is open after {} requests",
             service.requests()
         );
         service.requests() > 3
     });
     assert!(
         service.open_requests() <= 2,
-        "{} requests at once",
+        "{} requests are open at once",
         service.open_requests()
     );
-    // The first answer to the last request makes it the watch.
+    // The last request becomes the watch once it is answered.
     publish_drain(&host, &service, service.requests() - 1, 0);
     wait_until("one request is open", || service.open_requests() == 1);
 }
 
 #[test]
 fn a_silent_watch_counts_until_the_next_one_answers() {
-    let (service, host) = state(2);
-    // After its head, the request has longer for its first line than this test takes.
+    let (service, host) = watched_host(2);
+    // After the head of its response, a request may take longer for its first line than this test lasts.
     service.send(1, HEAD);
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
     assert_drained(&host, 0);
@@ -286,11 +298,11 @@
 
 #[test]
 fn a_drain_in_a_line_with_an_invalid_entry_is_obeyed() {
-    let (service, host) = state(2);
+    let (service, host) = watched_host(2);
     wait_until_served(&host);
     let drain = entry(&host.nodes, 0, "draining");
-    let unread = entry(&host.nodes, 1, "ready").replace("\"block\":1", "\"block\":\"none\"");
-    service.send_line(0, 51, false, &format!("{drain},{unread}"));
+    let invalid = entry(&host.nodes, 1, "ready").replace("\"block\":1", "\"block\":\"none\"");
+    service.send_line(0, 51, false, &format!("{drain},{invalid}"));
     assert_drained(&host, 0);
     // Nothing else of the line is applied: the changes since 50 are requested again.
     assert!(
@@ -324,7 +336,7 @@
 
 #[test]
 fn a_truncated_line_changes_nothing_and_is_requested_again() {
-    let (service, host) = state(2);
+    let (service, host) = watched_host(2);
     let drain = line(51, false, &entry(&host.nodes, 0, "draining"));
     service.send(0, &chunk(&drain[..drain.len() / 2]));
     service.close(0);
@@ -337,7 +349,7 @@
 
 #[test]
 fn a_last_line_read_together_with_the_end_of_its_watch_is_applied() {
-    let (service, host) = state(2);
+    let (service, host) = watched_host(2);
     wait_until_served(&host);
     host.suspend();
     service.send_line(0, 51, false, &entry(&host.nodes, 0, "draining"));
@@ -353,7 +365,7 @@
 
 #[test]
 fn a_drain_missed_between_watches_is_obeyed_with_the_next_one() {
-    let (service, host) = state(2);
+    let (service, host) = watched_host(2);
     wait_until_served(&host);
     service.close(0);
     service.wait_for_request(1);
@@ -369,13 +381,13 @@
     service.send(0, HEAD);
     service.send_line(0, 50, true, &entries(&host.nodes, "ready"));
     wait_until_served(&host);
-    // More than one iteration reads: the line of the list is received last.
-    let come = |n| {
+    // There are more clients than the host reads in one iteration, and the line of the list is received last.
+    let connect = |n| {
         let mut client = host.client();
         assert!(client.try_read(&format!("a{n}"), 1).is_some());
         client
     };
-    let mut clients: Vec<_> = (0..700).map(come).collect();
+    let mut clients: Vec<_> = (0..700).map(connect).collect();
     host.suspend();
     let before = host.nodes[0].received().len();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -389,13 +401,13 @@
     assert_eq!(
         host.nodes[0].received().len(),
         before,
-        "none went to the node that drains"
+        "no request is sent to the draining node"
     );
 }
 
 #[test]
 fn a_node_replaced_at_its_address_is_used_under_its_new_name() {
-    let (service, host) = state(1);
+    let (service, host) = watched_host(1);
     wait_until_served(&host);
     let (gone, new) = (
         entry(&host.nodes, 0, "gone"),
--- a/crates/gateway/tests/platform/main.rs
+++ b/crates/gateway/tests/platform/main.rs
@@ -1,5 +1,5 @@
 //! `mallowseam host` in a process of its own, between clients, nodes and an endpoint list service that the test
-//! controls: what passes on the sockets is compared.
+//! controls. The tests check what the host sends and receives on its sockets.
 mod client_requests;
 mod configuration;
 mod descriptor_limits;
--- a/crates/gateway/tests/platform/node_responses.rs
+++ b/crates/gateway/tests/platform/node_responses.rs
@@ -1,38 +1,38 @@
-//! What a host makes of its nodes' responses: good, corrupt, late or none.
+//! Handling of node responses: valid, corrupt, late and missing ones.
 use crate::support::client::{read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::Behavior;
 use crate::support::{numbered_body, wait_until};
 use std::time::{Duration, Instant};
-/// How long a connection rests after a response before it is used again (2 ms), and what the host's clock rounds off.
-const LONGEST_REST: Duration = Duration::from_micros(2_500);
+/// Maximum time for which a connection is not reused after a response: 2 ms, and the rounding of the host's clock.
+const MAX_REUSE_DELAY: Duration = Duration::from_micros(2_500);
 
-/// Reads and writes of the test: so many that they last for several rests on the quickest machine.
+/// Number of reads, and of writes: enough to last several times `MAX_REUSE_DELAY` on a fast machine.
 const PAIRS: usize = 100;
 
-/// When requests began and ended, one after another.
+/// Start and end times of consecutive requests.
 #[derive(Default)]
-struct Rounds(Vec<(Instant, Instant)>);
+struct RequestTimes(Vec<(Instant, Instant)>);
 
-impl Rounds {
-    fn record<T>(&mut self, round: impl FnOnce() -> T) -> T {
+impl RequestTimes {
+    fn record<T>(&mut self, request: impl FnOnce() -> T) -> T {
         let began = Instant::now();
-        let answer = round();
+        let answer = request();
         self.0.push((began, Instant::now()));
         answer
     }
 
-    /// The most connections that these requests need. When a request begins, only connections whose response came
-    /// within the rest before it are not used again; with them and one more, every request has one.
-    fn most_connections(&self) -> usize {
-        let resting = |began: Instant| {
+    /// Returns the maximum number of connections that these requests need. When a request begins, only connections
+    /// whose response was received within `MAX_REUSE_DELAY` before it cannot be reused; one more connection is enough.
+    fn max_connections(&self) -> usize {
+        let unavailable = |began: Instant| {
             let earlier = self.0.iter().filter(|(_, ended)| *ended <= began);
             earlier
-                .filter(|(_, ended)| began - *ended < LONGEST_REST)
+                .filter(|(_, ended)| began - *ended < MAX_REUSE_DELAY)
                 .count()
         };
-        let most_resting = self.0.iter().map(|(began, _)| resting(*began)).max();
-        most_resting.map_or(0, |resting| resting + 1)
+        let max_unavailable = self.0.iter().map(|(began, _)| unavailable(*began)).max();
+        max_unavailable.map_or(0, |unavailable| unavailable + 1)
     }
 }
 
@@ -40,13 +40,13 @@
 fn reads_and_writes_are_answered_unchanged() {
     let host = HostProcess::new(1);
     let mut client = host.client();
-    let mut rounds = Rounds::default();
+    let mut times = RequestTimes::default();
     for n in 0..PAIRS {
         let id = format!("r{n}");
-        let answer = rounds.record(|| client.read(&id, 0));
+        let answer = times.record(|| client.read(&id, 0));
         assert_eq!(answer, (200, format!("made for {id}")));
         let id = format!("w{n}");
-        let answer = rounds.record(|| client.write(&id, 0, "posted"));
+        let answer = times.record(|| client.write(&id, 0, "posted"));
         assert_eq!(answer, (200, format!("made for {id}")));
     }
     let seen = host.nodes[0].received();
@@ -55,12 +55,12 @@
         seen.iter()
             .all(|s| s.target.starts_with("/look/") || s.body == "posted")
     );
-    // One that has just been used rests; apart from that they are used again.
+    // Connections are reused, except shortly after a response.
     let connections = host.nodes[0].connections();
-    let most = rounds.most_connections();
+    let max = times.max_connections();
     assert!(
-        connections <= most,
-        "{connections} connections where {most} are needed"
+        connections <= max,
+        "{connections} connections, although {max} are enough"
     );
 }
 
@@ -134,7 +134,12 @@
     host.nodes[0].behave_next(Behavior::AnswerBetween(ahead.to_owned(), String::new()));
     assert_eq!(client.read("c", 0), (200, "made for c".into()));
     let seen = host.nodes[0].received();
-    let on = |id: &str| seen.iter().find(|s| s.id == id).expect("seen").connection;
+    let on = |id: &str| {
+        seen.iter()
+            .find(|s| s.id == id)
+            .expect("the node received the request")
+            .connection
+    };
     assert!(on("a0") != on("b0") && on("a1") != on("b1"));
 }
 
@@ -146,12 +151,12 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{long}",
         long.len()
     );
-    // In sum far more than the host may buffer.
+    // The responses add up to far more than the host may buffer.
     for n in 0..60 {
         let mut client = host.client();
         host.nodes[0].behave_next(Behavior::Raw(text.clone()));
         client.send(&read_text(&format!("r{n}"), 0, 900));
-        wait_until("it is at the node", || {
+        wait_until("the request is at the node", || {
             host.nodes[0].received().len() == n + 1
         });
         assert!(client.answer() == Some((200, long.clone())), "answer {n}");
@@ -163,10 +168,10 @@
     let mut host = HostProcess::new(1);
     let mut client = host.client();
     host.nodes[0].behave_next(Behavior::Close);
-    assert_eq!(client.write("w", 0, "x").0, 500, "it may have run");
+    assert_eq!(client.write("w", 0, "x").0, 500, "the write may have run");
     assert_eq!(host.nodes[0].received().len(), 1);
     host.nodes[0].stop();
-    wait_until("refused", || {
+    wait_until("the write is shed", || {
         client.write(&format!("w{}", host.next_number()), 0, "x").0 == 503
     });
 }
@@ -201,9 +206,10 @@
         "{:?}",
         start.elapsed()
     );
-    wait_until("the attempt is given up by closing", || {
-        host.nodes[0].closed_connections() == 1
-    });
+    wait_until(
+        "the host abandons the attempt by closing its connection",
+        || host.nodes[0].closed_connections() == 1,
+    );
 }
 
 #[test]
@@ -224,9 +230,9 @@
     assert_eq!(
         client.write_within("w", 0, "x", 9_000).0,
         500,
-        "it may have run, and may not run again"
+        "the write may have run, and must not run again"
     );
-    // Its latency objective is 300 ms, its deadline 2 s, and its client waits for 9 s.
+    // The write's latency objective is 300 ms and its deadline 2 s; its client waits for 9 s.
     assert!(
         start.elapsed() < Duration::from_secs(1),
         "{:?}",
@@ -241,9 +247,11 @@
     host.nodes[0].behave_next(Behavior::StaySilent);
     let mut client = host.client();
     client.send(&read_text("gone", 0, 900));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     drop(client);
-    wait_until("its connection is closed", || {
+    wait_until("the attempt's connection is closed", || {
         host.nodes[0].closed_connections() == 1
     });
     assert_eq!(host.client().read("next", 0).0, 200);
--- a/crates/gateway/tests/platform/races.rs
+++ b/crates/gateway/tests/platform/races.rs
@@ -1,5 +1,5 @@
-//! Races between events of clients, nodes and connections. Each race is forced: the peer delays one event
-//! until the other has happened, or the host is suspended until both are pending.
+//! Races between events of clients, nodes and connections. Each race is forced: a peer delays one event until the other
+//! has happened, or the host is suspended until both are pending.
 use crate::support::client::{Client, read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::{Behavior, Node};
@@ -8,7 +8,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Deadlines and connect timeouts that last longer than any test.
+/// Returns the configuration with deadlines and connect timeouts that are longer than any test.
 fn with_long_timeouts(config: &str) -> String {
     let config = config.replace("\"deadline_us\": 1000000", "\"deadline_us\": 60000000");
     let config = config.replace("\"aim_us\": 300000", "\"aim_us\": 30000000");
@@ -18,18 +18,21 @@
     )
 }
 
-/// Ways to disconnect.
+/// Ways in which a client disconnects: a close, a half-close, a reset, and a close after an incomplete second request.
 const DISCONNECTS: [fn(Client); 4] = [
     drop,
     |client| {
-        client.socket.shutdown(Shutdown::Write).expect("open");
+        client
+            .socket
+            .shutdown(Shutdown::Write)
+            .expect("the connection is open");
         std::mem::forget(client);
     },
-    // A reset.
+    // Dropping the socket then resets the connection.
     |client| {
         SockRef::from(&client.socket)
             .set_linger(Some(Duration::ZERO))
-            .expect("open");
+            .expect("the socket option can be set");
     },
     |mut client| client.send("GET /behind HTTP/1.1\r\n"),
 ];
@@ -42,13 +45,13 @@
         };
         let host = HostProcess::with_nodes(vec![Node::not_accepting().with_full_backlog()], change);
         let node = &host.nodes[0];
-        for (n, leave) in DISCONNECTS.into_iter().enumerate() {
+        for (n, disconnect) in DISCONNECTS.into_iter().enumerate() {
             let mut client = host.client();
             client.send(&read_text(&format!("gone{n}"), 0, 50_000));
-            wait_until("its attempt waits for a connection", || {
+            wait_until("the attempt waits for a connection", || {
                 node.pending_count() == 1
             });
-            leave(client);
+            disconnect(client);
             wait_until("the attempt is withdrawn", || node.pending_count() == 0);
         }
         node.start_accepting();
@@ -57,7 +60,7 @@
         assert_eq!(next.answer(), Some((200, "made for next".into())));
         assert!(
             node.received().iter().all(|s| s.id == "next"),
-            "nothing of the disconnected clients"
+            "the node received a request of a disconnected client"
         );
     }
 }
@@ -70,18 +73,20 @@
     );
     let node = &host.nodes[0];
     let mut client = host.client();
-    let from = Instant::now();
+    let sent = Instant::now();
     client.send(&read_text("r", 0, 50_000));
-    wait_until("it waits for a connection", || node.pending_count() == 1);
+    wait_until("the attempt waits for a connection", || {
+        node.pending_count() == 1
+    });
     wait_until("some time has passed", || {
-        from.elapsed() > Duration::from_millis(400)
+        sent.elapsed() > Duration::from_millis(400)
     });
     node.start_accepting();
     assert_eq!(client.answer(), Some((200, "made for r".into())));
     let timeout = node.received()[0].timeout_ms;
     assert!(
         timeout <= 50_000 - 400 && timeout > 30_000,
-        "{timeout} ms of 50 s, 0.4 s after the request"
+        "remaining timeout of {timeout} ms, 0.4 s after a request with 50 s"
     );
 }
 
@@ -93,7 +98,7 @@
     );
     let mut client = host.client();
     client.send(&read_text("r", 0, 50_000));
-    wait_until("it waits for a connection", || {
+    wait_until("the attempt waits for a connection", || {
         host.nodes[0].pending_count() == 1
     });
     wait_until("a watch is open", || host.endpoint_service.watchers() > 0);
@@ -115,15 +120,17 @@
     let busy = "HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
     let mut client = host.client();
     client.send(&read_text("r", 0, 900));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     host.suspend();
     drop(client);
     host.nodes[0].push(0, busy);
     host.resume();
     assert_eq!(host.client().read("next", 0).0, 200);
     host.nodes[0].release_held();
-    // Both are found in one iteration, so a retry may have begun; it is cancelled, and none follows.
-    wait_until("its connections are closed", || {
+    // The host finds both events in one iteration, so a retry may have begun. It is cancelled, and no other one follows.
+    wait_until("the attempt's connections are closed", || {
         host.nodes[0].closed_connections() >= 1
     });
     assert!(
@@ -139,7 +146,7 @@
 #[test]
 fn nothing_is_forwarded_for_clients_that_disconnected_before_they_were_read() {
     let host = HostProcess::new(1);
-    // There are idle connections to the node, on which a request would be sent at once.
+    // On idle connections to the node, a request would be sent at once.
     (0..4).for_each(|n| assert_eq!(host.client().read(&format!("ahead{n}"), 0).0, 200));
     host.suspend();
     for n in 0..100 {
@@ -163,7 +170,7 @@
     let clients: Vec<_> = (0..400)
         .map(|_| {
             TcpStream::connect_timeout(&host.address(), Duration::from_millis(900))
-                .expect("it is queued")
+                .expect("the connection is queued in the backlog")
         })
         .collect();
     host.resume();
@@ -171,17 +178,17 @@
     drop(clients);
 }
 
-/// Connects more clients than one iteration reads, all admitted and read well before their timeout; and when
-/// the last one was.
-fn connect_many(host: &HostProcess, says: impl Fn(usize) -> String) -> (Vec<Client>, Instant) {
+/// Connects more clients than the host reads in one iteration, all accepted and read well before their timeout. Returns
+/// them with the time at which the last one was read.
+fn connect_many(host: &HostProcess, text_of: impl Fn(usize) -> String) -> (Vec<Client>, Instant) {
     for _ in 0..20 {
         let start = Instant::now();
         let mut clients: Vec<Client> = (0..120).map(|_| host.client()).collect();
         clients
             .iter_mut()
             .enumerate()
-            .for_each(|(n, client)| client.send(&says(n)));
-        // Clients are read in their order: once the last one is served, all before it were read.
+            .for_each(|(n, client)| client.send(&text_of(n)));
+        // Clients are read in order: once the last one is served, all others have been read.
         let served = host
             .client()
             .try_read(&format!("last{}", host.next_number()), 0)
@@ -190,7 +197,7 @@
             return (clients, Instant::now());
         }
     }
-    panic!("the clients are never admitted in time");
+    panic!("the clients are not accepted in time in 20 attempts");
 }
 
 #[test]
@@ -202,8 +209,10 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&read_text(&format!("r{n}"), 0, 50_000));
     }
-    wait_until("all are admitted", || host.client().read("r19", 0).0 == 409);
-    // They disconnect while the node gets free capacity, and the host finds both in one iteration.
+    wait_until("all requests are admitted", || {
+        host.client().read("r19", 0).0 == 409
+    });
+    // Clients disconnect while capacity of the node is released, and the host finds both events in one iteration.
     wait_until("the host is suspended with no request partly sent", || {
         host.suspend();
         let settled = node.received().len() == node.established();
@@ -215,7 +224,7 @@
     let out: Vec<String> = node.received().iter().map(|s| s.id.clone()).collect();
     assert!(
         !out.is_empty() && out.len() < 20,
-        "some are queued: {out:?}"
+        "some requests are queued, in flight are {out:?}"
     );
     for n in (0..20).rev().filter(|n| !out.contains(&format!("r{n}"))) {
         drop(clients.remove(n));
@@ -237,7 +246,10 @@
         .map(|s| s.id)
         .filter(|id| id != "next")
         .collect();
-    assert_eq!(seen, out, "nothing of the disconnected clients");
+    assert_eq!(
+        seen, out,
+        "the node received a request of a disconnected client"
+    );
 }
 
 #[test]
@@ -250,7 +262,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&read_text(&format!("r{n}"), 0, 5_000));
     }
-    wait_until("their idle timeout has passed", || {
+    wait_until("the idle timeout of the connections has passed", || {
         admitted_at.elapsed() > Duration::from_millis(2_100)
     });
     host.resume();
@@ -271,7 +283,7 @@
         .iter_mut()
         .enumerate()
         .for_each(|(n, client)| client.send(&text(n)[60..]));
-    wait_until("their timeout has passed", || {
+    wait_until("the timeout of the incomplete requests has passed", || {
         admitted_at.elapsed() > Duration::from_millis(2_100)
     });
     host.resume();
@@ -290,17 +302,19 @@
     node.set_greeting("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
     let mut client = host.client();
     client.send(&read_text("r", 0, 50_000));
-    wait_until("it waits for a connection", || node.pending_count() == 1);
+    wait_until("the attempt waits for a connection", || {
+        node.pending_count() == 1
+    });
     let waiter = node.pending_connections().remove(0);
     host.suspend();
     node.start_accepting();
-    // The greeting is in the host's socket before the host reads it.
+    // The greeting has arrived in the host's socket before the host reads it.
     wait_until("the greeting is received", || {
         node.has_unread_bytes_for(&waiter)
     });
     node.set_greeting("");
     host.resume();
-    let (status, body) = client.answer().expect("the program answers");
+    let (status, body) = client.answer().expect("the host responds");
     assert!(
         status == 200 && body == "made for r" || status == 503,
         "{status} {body}"
@@ -314,7 +328,11 @@
     for n in 0..10 {
         assert_eq!(client.read(&format!("a{n}"), 0).0, 200);
         host.suspend();
-        let last = host.nodes[0].received().last().expect("seen").connection;
+        let last = host.nodes[0]
+            .received()
+            .last()
+            .expect("the node received a request")
+            .connection;
         host.nodes[0].push(last, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother");
         client.send(&read_text(&format!("b{n}"), 0, 900));
         host.resume();
@@ -338,7 +356,7 @@
     assert!((0..10).all(|n| seen.iter().filter(|s| s.id == format!("b{n}")).count() == 1));
 }
 
-/// Two groups of which one may be repeated within its cell only.
+/// Returns the configuration with writes that may be retried only within their cell.
 fn with_keyed_writes(config: &str) -> String {
     let with_keyed_writes = "\"repeat\": \"deduplicated\", \"key_scope\": \"cell\", \"key_ttl_us\": 20000000, \"worth\": 3.0}]";
     config.replace(
@@ -367,7 +385,7 @@
         let start = Instant::now();
         let text = write_text(&format!("w{n}"), 0, "x", 1_900).replace("shard=0", "shard=-1");
         client.send(&text);
-        let (status, _) = client.answer().expect("the program answers");
+        let (status, _) = client.answer().expect("the host responds");
         let ran: Vec<usize> = (0..4)
             .flat_map(|at| {
                 let seen = host.nodes[at].received();
@@ -377,7 +395,7 @@
             .collect();
         assert!(
             ran.windows(2).all(|w| w[0] == w[1]),
-            "it ran in cells {ran:?}"
+            "the write ran in several cells: {ran:?}"
         );
         assert!(
             status == 200 || start.elapsed() < Duration::from_millis(700),
--- a/crates/gateway/tests/platform/shutdown.rs
+++ b/crates/gateway/tests/platform/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown of a host by an operator (SIGINT) and by the platform (SIGTERM), also where two events race.
+//! Shutdown of a host by an operator (SIGINT) and by the platform (SIGTERM), also with races between events.
 use crate::support::client::{Client, read_text, write_text};
 use crate::support::host_process::HostProcess;
 use crate::support::node::{Behavior, Node};
@@ -6,10 +6,10 @@
 use nix::sys::signal::Signal;
 use std::time::{Duration, Instant};
 
-/// The platform counts deadlines as 3 s at most: it may kill 3.7 s after SIGTERM.
+/// Earliest time after SIGTERM at which the platform may kill the host, as it counts deadlines as 3 s at most.
 const KILL: Duration = Duration::from_millis(3_700);
 
-/// Deadlines and latency objectives far longer than what the platform counts.
+/// Returns the configuration with deadlines and latency objectives far longer than what the platform counts.
 fn with_long_deadlines(config: &str) -> String {
     let config = config.replace("\"deadline_us\": 2000000", "\"deadline_us\": 30000000");
     let config = config.replace("\"deadline_us\": 1000000", "\"deadline_us\": 30000000");
@@ -22,16 +22,24 @@
     (0..40).for_each(|_| host.nodes[0].behave_next(Behavior::StaySilent));
     let mut out = host.client();
     out.send(&write_text("w", 0, "x", 25_000));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     let mut held: Vec<Client> = (0..12).map(|_| host.client()).collect();
     for (n, client) in held.iter_mut().enumerate() {
         client.send(&read_text(&format!("r{n}"), 0, 25_000));
     }
     // The last of them is admitted once another request with its id is rejected.
-    wait_until("all are admitted", || host.client().read("r11", 0).0 == 409);
+    wait_until("all requests are admitted", || {
+        host.client().read("r11", 0).0 == 409
+    });
     host.signal(Signal::SIGTERM);
     let signalled = Instant::now();
-    assert_eq!(out.answer(), Some((500, String::new())), "it may have run");
+    assert_eq!(
+        out.answer(),
+        Some((500, String::new())),
+        "the write may have run"
+    );
     for client in &mut held {
         assert!(matches!(client.answer(), Some((500 | 503, _))));
     }
@@ -54,8 +62,8 @@
     let signalled = Instant::now();
     assert_eq!(host.client().read("on", 0).0, 200);
     host.suspend();
-    // Past the time for which it lets in, on connections old and new.
-    wait_until("it would close them", || {
+    // Requests are sent on old and new connections after the time for which the host accepts connections.
+    wait_until("the host would close the connections", || {
         signalled.elapsed() > Duration::from_millis(800)
     });
     let mut new: Vec<Client> = (0..100).map(|_| host.client()).collect();
@@ -65,7 +73,10 @@
     host.resume();
     for client in idle.iter_mut().chain(&mut new) {
         assert!(matches!(client.answer(), Some((200 | 503, _))));
-        assert!(client.closes, "and that is the last one");
+        assert!(
+            client.closes,
+            "the response announces the end of the connection"
+        );
     }
     drop((idle, new));
     assert_eq!(host.exit_code(), Some(0));
@@ -77,7 +88,9 @@
     host.nodes[0].behave_next(Behavior::Hold);
     let mut client = host.client();
     client.send(&write_text("w", 0, "x", 1_900));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     host.suspend();
     for signal in [
         Signal::SIGTERM,
@@ -100,7 +113,7 @@
     let mut host = HostProcess::start(vec![Node::new()], |config, entry| {
         config.replace(&format!("[{entry}]"), "[]")
     });
-    wait_until("it listens", || {
+    wait_until("the host listens", || {
         std::net::TcpStream::connect(host.address()).is_ok()
     });
     host.signal(Signal::SIGTERM);
@@ -118,7 +131,9 @@
     host.nodes[0].behave_next(Behavior::Raw(text));
     let mut client = host.client();
     client.send(&read_text("r", 0, 900));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     host.signal(Signal::SIGINT);
     let signalled = Instant::now();
     wait_until("the host has begun to close connections", || {
@@ -138,30 +153,35 @@
     host.nodes[0].behave_next(Behavior::Hold);
     let mut client = host.client();
     client.send(&write_text("w", 0, "x", 1_900));
-    wait_until("it is at the node", || host.nodes[0].received().len() == 1);
+    wait_until("the request is at the node", || {
+        host.nodes[0].received().len() == 1
+    });
     host.signal(nix::sys::signal::Signal::SIGINT);
     let mut late = host.client();
     host.nodes[0].behave_next(Behavior::AnswerBetween(String::new(), String::new()));
     assert_eq!(
         late.read("late", 0),
         (200, "made for late".into()),
-        "new connections are still let in"
+        "new connections are still accepted"
     );
     assert_eq!(late.answer(), None, "idle connections end after a while");
     host.nodes[0].release_held();
     assert_eq!(
         client.answer(),
         Some((200, "made for w".into())),
-        "what was admitted is answered"
+        "an admitted request is answered"
+    );
+    assert!(
+        client.closes,
+        "the response announces the end of the connection"
     );
-    assert!(client.closes, "and that is the last answer");
     drop((client, late));
     assert_eq!(host.exit_code(), Some(0));
 }
 
 #[test]
 fn platform_shutdown_keeps_serving_and_answers_everything_before_the_kill() {
-    // Deadlines of 2 s at most: killed 2.7 s after SIGTERM at the earliest.
+    // With deadlines of 2 s at most, the platform kills the host 2.7 s after SIGTERM at the earliest.
     let mut host = HostProcess::new(2);
     let mut client = host.client();
     assert_eq!(client.read("r", 0).0, 200);
@@ -169,11 +189,11 @@
     host.signal(nix::sys::signal::Signal::SIGTERM);
     let signalled = Instant::now();
     let after = |ms: u64| signalled.elapsed() > Duration::from_millis(ms);
-    wait_until("well past the time of an operator's shutdown", || {
+    wait_until("an operator's shutdown would have ended long ago", || {
         assert_eq!(
             client.read(&format!("r{}", host.next_number()), 0).0,
             200,
-            "it keeps serving"
+            "the host keeps serving"
         );
         after(1_500)
     });
@@ -183,7 +203,7 @@
     assert_eq!(
         long.answer(),
         Some((500, String::new())),
-        "its node is silent past the kill"
+        "the node stays silent until after the kill"
     );
     assert!(!after(2_700), "{:?}", signalled.elapsed());
     wait_until("idle connections end", || {
@@ -198,25 +218,28 @@
 
 #[test]
 fn connections_in_use_end_with_a_response_that_says_so() {
-    // Each client asks every 200 ms: a connection that ends between two requests could cross the next one.
+    // Each client sends a request every 200 ms: the end of a connection between two requests could race the next one.
     let mut host = HostProcess::new(1);
     let mut clients: Vec<Client> = (0..8).map(|_| host.client()).collect();
     host.signal(Signal::SIGTERM);
     let mut served = 0;
     while clients.iter().any(|client| !client.closes) {
         for client in clients.iter_mut().filter(|client| !client.closes) {
-            let asked = Instant::now();
+            let sent = Instant::now();
             assert!(
                 client.try_read(&format!("r{served}"), 0).is_some(),
-                "ended between two requests, after {served} responses"
+                "the connection was closed between two requests, after {served} responses"
             );
             served += 1;
-            wait_until("the next client asks", || {
-                asked.elapsed() > Duration::from_millis(25)
+            wait_until("the next client's request is due", || {
+                sent.elapsed() > Duration::from_millis(25)
             });
         }
     }
-    assert!(served > 40, "{served}: served for most of the grace");
+    assert!(
+        served > 40,
+        "only {served} requests were served before the connections ended"
+    );
     drop(clients);
     assert_eq!(host.exit_code(), Some(0));
 }
--- a/crates/gateway/tests/platform/support/client.rs
+++ b/crates/gateway/tests/platform/support/client.rs
@@ -1,10 +1,10 @@
-//! A client of the host that speaks HTTP/1.1.
-use super::{MESSAGE_LIMITS, PATIENCE};
+//! An HTTP/1.1 client of the host.
+use super::{MESSAGE_LIMITS, WAIT_TIMEOUT};
 use mallowseam_http1::{ResponseHead, ResponseReader};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The text of a read with a timeout in milliseconds.
+/// Returns the text of a read request.
 pub fn read_text(id: &str, shard: u32, timeout_ms: u64) -> String {
     format!(
         "GET /look/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\n\
@@ -13,7 +13,7 @@
     )
 }
 
-/// The text of a write with a timeout in milliseconds.
+/// Returns the text of a write request.
 pub fn write_text(id: &str, shard: u32, body: &str, timeout_ms: u64) -> String {
     format!(
         "PUT /book/00000000000000aa/00000000000000bb HTTP/1.1\r\nHost: s\r\nX-Request-ID: {id}\r\n\
@@ -27,18 +27,18 @@
 pub struct Client {
     pub socket: TcpStream,
     buffer: Vec<u8>,
-    /// The last response has announced that the host closes the connection.
+    /// Whether the last response announced that the host closes the connection.
     pub closes: bool,
     /// Retry-After of the last response, in seconds.
     pub retry_after: Option<f64>,
 }
 
 impl Client {
-    /// Connects; none where nobody listens.
+    /// Connects to an address; returns none if the connection is refused.
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let socket = TcpStream::connect(address).ok()?;
         socket
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("the socket option can be set");
         socket
             .set_nodelay(true)
@@ -51,12 +51,12 @@
         })
     }
 
-    /// Sends text; a connection that the host has closed is no error.
+    /// Sends a text. Errors are ignored, since the host may have closed the connection.
     pub fn send(&mut self, text: &str) {
         let _ = self.socket.write_all(text.as_bytes());
     }
 
-    /// Status and body of the next response; none when the host closes the connection instead.
+    /// Receives the next response and returns its status and body, or none if the host closes the connection instead.
     pub fn answer(&mut self) -> Option<(u16, String)> {
         let mut reader = ResponseReader::default();
         loop {
@@ -65,11 +65,15 @@
                 .expect("the host speaks HTTP")
             {
                 let head = ResponseHead::parse(&self.buffer, MESSAGE_LIMITS)
-                    .expect("valid")
-                    .expect("complete");
+                    .expect("the head is valid")
+                    .expect("the head is complete");
                 self.closes = head.close;
-                let retry_after = head.headers.single("Retry-After").expect("once at most");
-                self.retry_after = retry_after.map(|text| text.parse().expect("seconds"));
+                let retry_after = head
+                    .headers
+                    .single("Retry-After")
+                    .expect("at most one Retry-After");
+                self.retry_after =
+                    retry_after.map(|text| text.parse().expect("Retry-After in seconds"));
                 let answer = (
                     head.status,
                     String::from_utf8_lossy(&self.buffer[response.body..response.end]).into_owned(),
@@ -82,30 +86,30 @@
                 Ok(0) => return None,
                 Ok(n) => self.buffer.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock) => {
-                    panic!("no answer, no close")
+                    panic!("timed out waiting for a response or the end of the connection")
                 }
                 Err(_) => return None,
             }
         }
     }
 
-    /// Sends a read and waits for its response.
+    /// Sends a read and waits for its response; returns none if the host closes the connection instead.
     pub fn try_read(&mut self, id: &str, shard: u32) -> Option<(u16, String)> {
         self.send(&read_text(id, shard, 900));
         self.answer()
     }
 
-    /// The same, where a response is certain.
+    /// Sends a read and waits for its response, which the host must send.
     pub fn read(&mut self, id: &str, shard: u32) -> (u16, String) {
-        self.try_read(id, shard).expect("an answer")
+        self.try_read(id, shard).expect("the host responds")
     }
 
-    /// Sends a write and waits for its response.
+    /// Sends a write with a timeout of 1900 ms and waits for its response.
     pub fn write(&mut self, id: &str, shard: u32, body: &str) -> (u16, String) {
         self.write_within(id, shard, body, 1_900)
     }
 
-    /// The same with a timeout in milliseconds.
+    /// Sends a write with a timeout in milliseconds and waits for its response.
     pub fn write_within(
         &mut self,
         id: &str,
@@ -114,6 +118,6 @@
         timeout_ms: u64,
     ) -> (u16, String) {
         self.send(&write_text(id, shard, body, timeout_ms));
-        self.answer().expect("the program answers")
+        self.answer().expect("the host responds")
     }
 }
--- a/crates/gateway/tests/platform/support/endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/endpoint_service.rs
@@ -1,4 +1,4 @@
-//! An endpoint list service that answers every watch by itself.
+//! An endpoint list service that answers all watches automatically.
 use super::scripted_endpoint_service::{HEAD, chunk, line};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,24 +7,26 @@
 use std::thread;
 use std::time::Duration;
 
+/// Interval between two heartbeats on a watch.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
+/// State that the service's threads share.
 struct WatchState {
-    /// The entries of the list.
+    /// Entries of the list, as JSON.
     entries: String,
     version: u64,
     watchers: Vec<TcpStream>,
 }
 
 impl WatchState {
-    /// Sends text to all watchers; those that have disconnected are forgotten.
+    /// Sends a text to all watchers, and drops those that have disconnected.
     fn send(&mut self, text: &str) {
         self.watchers
             .retain_mut(|watcher| watcher.write_all(chunk(text).as_bytes()).is_ok());
     }
 }
 
-/// The service, with threads that end with the process.
+/// The service, whose threads run until the process exits.
 pub struct EndpointService {
     address: SocketAddr,
     state: Arc<Mutex<WatchState>>,
@@ -32,7 +34,7 @@
 }
 
 impl EndpointService {
-    /// A service whose list has these entries and this version.
+    /// Starts a service whose list has these entries and this version.
     pub fn new(entries: &str, version: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("the address can be bound");
         let address = listener.local_addr().expect("the socket is bound");
@@ -59,12 +61,12 @@
         }
     }
 
-    /// Where it listens.
+    /// Returns the address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Open watches.
+    /// Returns the number of open watches.
     pub fn watchers(&self) -> usize {
         self.state
             .lock()
@@ -73,12 +75,12 @@
             .len()
     }
 
-    /// Requests answered so far.
+    /// Returns the number of requests answered so far.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 
-    /// Sends text to all watchers.
+    /// Sends a text to all watchers as a chunk.
     pub fn send_raw(&self, text: &str) {
         self.state
             .lock()
--- a/crates/gateway/tests/platform/support/host_process.rs
+++ b/crates/gateway/tests/platform/support/host_process.rs
@@ -12,6 +12,7 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use std::thread;
 
+/// Value of `settings` in the configuration.
 const SETTINGS: &str = r#"{"balancers": 1, "localities": ["a"], "registry_mode": "on_request",
   "profiles": [
     {"name": "look", "aim_us": 300000, "deadline_us": 1000000, "repeat": "idempotent", "worth": 3.0},
@@ -21,18 +22,18 @@
   "limits": {"cancel": true, "max_attempts": 3, "retry_after": true, "max_retry_after_us": 1000000, "idle_close_us": 30000000, "connect_timeout_us": 250000},
   "rules": {"drain_grace_us": 250000, "ask_within_us": 10000000}}"#;
 
-/// A host, with the nodes and the endpoint list service of its configuration.
+/// A host process, with the nodes and the endpoint list service of its configuration.
 pub struct HostProcess {
     directory: tempfile::TempDir,
     child: Child,
     address: SocketAddr,
     pub nodes: Vec<Node>,
     pub endpoint_service: EndpointService,
-    /// Numbers given out for request ids.
+    /// Next number for a request ID.
     numbers: AtomicU64,
 }
 
-/// Starts a host; the system limits its descriptors if a limit is given.
+/// Starts a host process, with a system limit of descriptors if one is given.
 fn spawn(path: &Path, descriptors: Option<u64>) -> Child {
     let host = env!("CARGO_BIN_EXE_mallowseam");
     let mut command = match descriptors {
@@ -53,7 +54,7 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
-    command.spawn().expect("a host")
+    command.spawn().expect("the host starts")
 }
 
 /// Runs a host with this configuration until it exits by itself.
@@ -61,7 +62,7 @@
     run_with_descriptors(text, None)
 }
 
-/// The same with a limit of descriptors.
+/// Runs a host with this configuration until it exits by itself, with a system limit of descriptors if one is given.
 pub fn run_with_descriptors(text: &str, descriptors: Option<u64>) -> Child {
     let dir = tempfile::tempdir().expect("a temporary directory can be created");
     let path = dir.path().join("config.json");
@@ -71,7 +72,7 @@
     host
 }
 
-/// The address of the next host: one for each process and host.
+/// Returns the address of the next host, which is different for each process and host.
 fn next_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let (pid, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -85,8 +86,8 @@
     })
 }
 
-/// The allocations of a host while it answers so many reads and so many writes. It runs on a thread of this
-/// process, and ends by a signal to the process.
+/// Returns the number of allocations of a host while it answers `count` reads and `count` writes. The host runs on a
+/// thread of this process, and is stopped by a signal to the process.
 pub fn allocations(count: usize) -> u64 {
     let (address, node) = (next_address(), Node::new());
     let endpoint_service = EndpointService::new(&node.entry("s-0", 0, "ready"), 41);
@@ -108,35 +109,35 @@
         assert_eq!(client.write(&format!("w{n}"), 0, "posted").0, 200);
     }
     drop(client);
-    kill(Pid::this(), Signal::SIGTERM).expect("a signal");
-    host.join().expect("a host")
+    kill(Pid::this(), Signal::SIGTERM).expect("the signal can be sent");
+    host.join().expect("the host's thread does not panic")
 }
 
 impl HostProcess {
-    /// A host with 256 descriptors and 32 MB; all nodes hold shard 0, the first is known at the start.
+    /// Starts a host with 256 descriptors and 32 MB. All nodes hold shard 0; the cached list contains the first node.
     pub fn new(nodes: usize) -> HostProcess {
         HostProcess::with_config(nodes, |config, _| config)
     }
 
-    /// The same with a changed configuration. `change` gets the usual one, and the first node's entry in the
+    /// Starts a host with a configuration that `change` derives from the usual one and the first node's entry in the
     /// list.
     pub fn with_config(nodes: usize, change: impl Fn(String, &str) -> String) -> HostProcess {
         HostProcess::with_nodes((0..nodes).map(|_| Node::new()).collect(), change)
     }
 
-    /// The same with these nodes.
+    /// Starts a host with these nodes and a changed configuration.
     pub fn with_nodes(nodes: Vec<Node>, change: impl Fn(String, &str) -> String) -> HostProcess {
         let host = HostProcess::start(nodes, change);
         wait_until("the host is ready", || is_ready(host.address));
         host
     }
 
-    /// The same without waiting until the host is ready; a host that knows no node never is.
+    /// Starts a host without waiting until it is ready; a host that knows no node never is.
     pub fn start(nodes: Vec<Node>, change: impl Fn(String, &str) -> String) -> HostProcess {
         HostProcess::start_within(nodes, None, change)
     }
 
-    /// The same with a limit of descriptors.
+    /// Starts a host with a system limit of descriptors if one is given, without waiting until it is ready.
     pub fn start_within(
         nodes: Vec<Node>,
         descriptors: Option<u64>,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// The usual configuration with another endpoint list service.
+    /// Returns the usual configuration with another endpoint list service.
     pub fn config(&self, endpoint_service: &EndpointService) -> String {
         config(self.address, &self.nodes, endpoint_service)
     }
@@ -176,43 +177,43 @@
             .expect("the file can be written");
     }
 
-    /// Where the host listens.
+    /// Returns the address on which the host listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A new connection.
+    /// Opens a new connection to the host.
     pub fn client(&self) -> Client {
         Client::connect(self.address).expect("the host listens")
     }
 
-    /// A number that was not given out before.
+    /// Returns a number that was not returned before.
     pub fn next_number(&self) -> u64 {
         self.numbers.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Descriptors that the host has open.
+    /// Returns the number of open descriptors of the host.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("the process exists")
             .count()
     }
 
-    /// Resident memory of the host in kilobytes.
+    /// Returns the resident memory of the host, in kilobytes.
     pub fn memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("the process exists");
         let line = status
             .lines()
             .find(|l| l.starts_with("VmRSS"))
-            .expect("a figure");
+            .expect("the status has a line VmRSS");
         line.split_whitespace()
             .nth(1)
             .and_then(|n| n.parse().ok())
-            .expect("a number")
+            .expect("VmRSS is a number")
     }
 
-    /// Suspends the host: it finds what is received meanwhile in one iteration, once it is resumed.
+    /// Suspends the host. Once it is resumed, it finds everything received meanwhile in one iteration of its event loop.
     pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
         let path = format!("/proc/{}/stat", self.child.id());
@@ -224,7 +225,7 @@
         });
     }
 
-    /// Resumes the host once all that was sent to it is in its sockets.
+    /// Resumes the host once all bytes that were sent to it have arrived in its sockets.
     pub fn resume(&self) {
         let own = table_address(self.address);
         let is_undelivered = |row: &SocketRow| row.remote == own && row.undelivered;
@@ -239,7 +240,7 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process exists");
     }
 
-    /// Waits until the host exits; its exit code.
+    /// Waits until the host exits, and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut status = None;
         wait_until("the host exits", || {
--- a/crates/gateway/tests/platform/support/node.rs
+++ b/crates/gateway/tests/platform/support/node.rs
@@ -13,29 +13,30 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a node does with its next request. Without one it answers 200 with a body that names the request.
+/// Behavior of a node at its next request. By default a node responds with status 200 and a body that contains the
+/// request's ID.
 pub enum Behavior {
     /// Sends these bytes.
     Raw(String),
-    /// Sends the usual response with bytes before and behind it.
+    /// Sends the default response with bytes before and after it.
     AnswerBetween(String, String),
     /// Closes the connection.
     Close,
     /// Sends nothing.
     StaySilent,
-    /// Sends the usual response after `release_held`.
+    /// Sends the default response after `release_held`.
     Hold,
 }
 
-/// A request as the node has received it.
+/// A request that a node has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub id: String,
     pub target: String,
     pub body: String,
-    /// Number of the connection that it came on.
+    /// Number of the connection on which the request was received.
     pub connection: usize,
-    /// The timeout that the host names, in milliseconds.
+    /// Timeout in the request's header, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -48,9 +49,9 @@
     closed_connections: AtomicUsize,
     released: (Mutex<bool>, Condvar),
     stopped: AtomicBool,
-    /// All connections by number.
+    /// All accepted connections by number.
     open: Mutex<Vec<TcpStream>>,
-    /// Sent on every connection before anything is read.
+    /// Text that is sent on every new connection before anything is read.
     greeting: Mutex<String>,
 }
 
@@ -58,25 +59,29 @@
 pub struct Node {
     address: SocketAddr,
     state: Arc<NodeState>,
-    /// Connections that fill the backlog, and the listener, until it starts to accept.
+    /// Connections that fill the backlog until the node starts to accept.
     backlog: Mutex<Vec<TcpStream>>,
+    /// Listener until the node starts to accept.
     listener: Mutex<Option<TcpListener>>,
 }
 
 impl Node {
-    /// A node that accepts connections.
+    /// Starts a node that accepts connections.
     pub fn new() -> Self {
         let node = Node::not_accepting();
         node.start_accepting();
         node
     }
 
-    /// A node that accepts no connections until `start_accepting`.
+    /// Starts a node that accepts no connections until `start_accepting`.
     pub fn not_accepting() -> Self {
-        let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let listener =
+            Socket::new(Domain::IPV4, Type::STREAM, None).expect("the socket can be created");
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        listener.bind(&any.into()).expect("an address");
-        listener.listen(0).expect("a backlog");
+        listener
+            .bind(&any.into())
+            .expect("the address can be bound");
+        listener.listen(0).expect("the socket can listen");
         let listener = TcpListener::from(listener);
         let address = listener.local_addr().expect("the socket is bound");
         let listener = Mutex::new(Some(listener));
@@ -88,7 +93,7 @@
         }
     }
 
-    /// Fills the backlog: from here on a connection to the node stays pending.
+    /// Fills the backlog, so that new connections to the node stay pending.
     pub fn with_full_backlog(self) -> Self {
         while let Ok(socket) = TcpStream::connect_timeout(&self.address, Duration::from_millis(100))
         {
@@ -100,12 +105,12 @@
         self
     }
 
-    /// How many connections to the node are pending.
+    /// Returns the number of pending connections to the node.
     pub fn pending_count(&self) -> usize {
         self.pending_connections().len()
     }
 
-    /// The local addresses of pending connections to the node, in the notation of the socket table.
+    /// Returns the local addresses of pending connections to the node, in the notation of the socket table.
     pub fn pending_connections(&self) -> Vec<String> {
         let own = table_address(self.address);
         let is_pending = |row: &SocketRow| row.remote == own && row.state == SYN_SENT;
@@ -116,7 +121,7 @@
             .collect()
     }
 
-    /// Whether the connection with this local address has received bytes that are not read.
+    /// Whether the connection with this local address has received bytes that have not been read.
     pub fn has_unread_bytes_for(&self, local: &str) -> bool {
         let own = table_address(self.address);
         sockets()
@@ -124,7 +129,7 @@
             .any(|row| row.local == local && row.remote == own && row.unread)
     }
 
-    /// Established connections.
+    /// Returns the number of established connections.
     pub fn established(&self) -> usize {
         let own = table_address(self.address);
         sockets()
@@ -133,7 +138,7 @@
             .count()
     }
 
-    /// Sends this text on every new connection before anything is read.
+    /// Sets the text that is sent on every new connection before anything is read.
     pub fn set_greeting(&self, text: &str) {
         text.clone_into(
             &mut self
@@ -150,7 +155,7 @@
         let mut socket = &open[connection];
         socket
             .write_all(text.as_bytes())
-            .expect("an open connection");
+            .expect("the connection is open");
         wait_until_delivered(socket);
     }
 
@@ -177,7 +182,9 @@
         else {
             return;
         };
-        SockRef::from(&listener).listen(1_024).expect("a backlog");
+        SockRef::from(&listener)
+            .listen(1_024)
+            .expect("the socket can listen");
         self.backlog
             .lock()
             .expect("the mutex is not poisoned")
@@ -186,7 +193,7 @@
         thread::spawn(move || accept(&state, &listener));
     }
 
-    /// The node's entry in the endpoint list.
+    /// Returns the node's entry in the endpoint list, as JSON.
     pub fn entry(&self, name: &str, shard: u32, health: &str) -> String {
         let dial = self.address;
         format!(
@@ -194,7 +201,7 @@
         )
     }
 
-    /// Answers as usual from now on.
+    /// Drops the queued behaviors, so that the node sends default responses.
     pub fn clear_behaviors(&self) {
         self.state
             .behaviors
@@ -212,7 +219,7 @@
             .push_back(behavior);
     }
 
-    /// The requests received so far.
+    /// Returns the requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.state
             .received
@@ -221,22 +228,22 @@
             .clone()
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.state.connections.load(Ordering::SeqCst)
     }
 
-    /// Responses sent so far; held ones are also delivered.
+    /// Returns the number of responses sent so far. Held responses count once they are delivered.
     pub fn responses_sent(&self) -> usize {
         self.state.responses_sent.load(Ordering::SeqCst)
     }
 
-    /// Connections closed so far.
+    /// Returns the number of connections closed so far.
     pub fn closed_connections(&self) -> usize {
         self.state.closed_connections.load(Ordering::SeqCst)
     }
 
-    /// Sends the held responses, and holds no more.
+    /// Sends the held responses, and holds no further ones.
     pub fn release_held(&self) {
         *self
             .state
@@ -247,7 +254,7 @@
         self.state.released.1.notify_all();
     }
 
-    /// From now on connections are refused, and open ones are closed at their next request.
+    /// Stops the node: new connections are refused, and open ones are closed at their next request.
     pub fn stop(&mut self) {
         self.state.stopped.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
@@ -300,15 +307,22 @@
                 return;
             }
             let head = RequestHead::parse(&buffer, MESSAGE_LIMITS)
-                .expect("valid")
-                .expect("complete");
-            let header = |name| head.headers.single(name).expect("valid").expect("present");
+                .expect("the head is valid")
+                .expect("the head is complete");
+            let header = |name| {
+                head.headers
+                    .single(name)
+                    .expect("the header is single")
+                    .expect("the header is present")
+            };
             let received = ReceivedRequest {
                 id: header("X-Request-ID").to_owned(),
                 target: head.target.to_owned(),
                 body: String::from_utf8_lossy(&buffer[request.body..request.end]).into_owned(),
                 connection,
-                timeout_ms: header("X-Timeout-Ms").parse().expect("milliseconds"),
+                timeout_ms: header("X-Timeout-Ms")
+                    .parse()
+                    .expect("the timeout is in milliseconds"),
             };
             let text = format!("made for {}", received.id);
             self.received
@@ -327,7 +341,7 @@
         }
     }
 
-    /// Answers a request as the next behavior says. False: the connection is to be closed.
+    /// Responds to a request according to the next behavior; returns false if the connection has to be closed.
     fn respond(&self, socket: &mut TcpStream, response: String) -> bool {
         let behavior = self
             .behaviors
@@ -338,7 +352,7 @@
         let bytes = match behavior {
             None => response,
             Some(Behavior::Raw(raw)) => raw,
-            Some(Behavior::AnswerBetween(before, behind)) => before + &response + &behind,
+            Some(Behavior::AnswerBetween(before, after)) => before + &response + &after,
             Some(Behavior::Close) => return false,
             Some(Behavior::StaySilent) => return true,
             Some(Behavior::Hold) => {
@@ -347,7 +361,7 @@
                     self.released
                         .1
                         .wait_while(released, |released| !*released)
-                        .expect("no panic"),
+                        .expect("the mutex is not poisoned"),
                 );
                 response
             }
--- a/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/scripted_endpoint_service.rs
@@ -1,5 +1,5 @@
-//! An endpoint list service that a test scripts: a request waits until the test answers it, and its
-//! connection stays open until the test closes it.
+//! An endpoint list service that a test scripts: a request is answered only when the test does so, and its connection
+//! stays open until the test closes it.
 use super::socket_table::wait_until_delivered;
 use super::wait_until;
 use std::io::{ErrorKind, Read, Write};
@@ -7,33 +7,34 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The head of a watch's response.
+/// Head of the response to a watch.
 pub const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A chunk of a watch's response.
+/// Returns a chunk of the response to a watch.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A line of a watch: a full snapshot, or changes.
+/// Returns a line of a watch: a full snapshot of the list, or changes.
 pub fn line(version: u64, full: bool, entries: &str) -> String {
     format!("{{\"seq\":{version},\"whole\":{full},\"hosts\":[{entries}]}}\n")
 }
 
+/// A request whose connection is still held.
 struct Request {
-    /// Path and query.
+    /// Path and query of the request.
     target: String,
     socket: TcpStream,
 }
 
-/// The service; requests are numbered in the order in which they come.
+/// The service, which numbers requests in the order in which they are received.
 pub struct ScriptedEndpointService {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<Request>>>,
 }
 
 impl ScriptedEndpointService {
-    /// A service that answers nothing by itself.
+    /// Starts a service that sends nothing without a call of the test.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("the address can be bound");
         let address = listener.local_addr().expect("the socket is bound");
@@ -51,7 +52,7 @@
         ScriptedEndpointService { address, requests }
     }
 
-    /// Requests received so far.
+    /// Returns the number of requests received so far.
     pub fn requests(&self) -> usize {
         self.requests
             .lock()
@@ -59,7 +60,7 @@
             .len()
     }
 
-    /// Waits for a request; its path and query.
+    /// Waits for a request and returns its path and query.
     pub fn wait_for_request(&self, number: usize) -> String {
         wait_until("the endpoint service gets a request", || {
             self.requests() > number
@@ -69,7 +70,7 @@
             .clone()
     }
 
-    /// Sends text on the connection of a request, and waits until it is delivered.
+    /// Sends a text on the connection of a request, and waits until it is delivered.
     pub fn send(&self, number: usize, text: &str) {
         self.wait_for_request(number);
         let mut requests = self.requests.lock().expect("the mutex is not poisoned");
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Sends a line of a watch.
+    /// Sends a line of a watch as a chunk.
     pub fn send_line(&self, number: usize, version: u64, full: bool, entries: &str) {
         self.send(number, &chunk(&line(version, full, entries)));
     }
@@ -91,7 +92,7 @@
             .shutdown(Shutdown::Both);
     }
 
-    /// Requests whose connection neither side has closed.
+    /// Returns the number of requests whose connection neither side has closed.
     pub fn open_requests(&self) -> usize {
         let requests = self.requests.lock().expect("the mutex is not poisoned");
         let is_open = |socket: &TcpStream| {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Reads the head of a request; its path and query.
+/// Reads the head of a request and returns its path and query.
 fn read_target(socket: &mut TcpStream) -> String {
     let (mut head, mut bytes) = (Vec::new(), [0; 1_024]);
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/gateway/tests/platform/support/socket_table.rs
+++ b/crates/gateway/tests/platform/support/socket_table.rs
@@ -1,12 +1,12 @@
-//! The system's table of TCP sockets: which connections are pending, and which bytes are not delivered or not
-//! read.
+//! The system's table of TCP sockets, which shows pending connections and bytes that are not delivered or not read.
 use super::wait_until;
 use std::net::{SocketAddr, TcpStream};
 
-/// Codes of states in the table.
+/// Code of state ESTABLISHED in the table.
 pub const ESTABLISHED: &str = "01";
+/// Code of state SYN-SENT in the table.
 pub const SYN_SENT: &str = "02";
-/// State and empty queues of a connection that only waits for late segments.
+/// State TIME-WAIT with empty queues, as in a row of a connection that only waits for late segments.
 const TIME_WAIT: &str = " 06 00000000:00000000 ";
 
 /// A row of the table.
@@ -14,16 +14,16 @@
     pub local: String,
     pub remote: String,
     pub state: String,
-    /// Bytes were sent that the other side's socket has not acknowledged.
+    /// Whether bytes were sent that the other side's socket has not acknowledged.
     pub undelivered: bool,
-    /// Bytes were received that the owner has not read.
+    /// Whether bytes were received that the owner has not read.
     pub unread: bool,
 }
 
-/// The rows of all sockets but those in TIME-WAIT, which belong to no process and have no bytes left. Other tests leave
-/// tens of thousands of them behind, and to parse these would take longer than some of the host's timeouts.
+/// Returns the rows of all sockets except those in TIME-WAIT, which belong to no process and have no bytes left. Other
+/// tests leave tens of thousands of those behind, and parsing them would take longer than some of the host's timeouts.
 pub fn sockets() -> Vec<SocketRow> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the table can be read");
     let rows = table.lines().skip(1);
     let of_processes = rows.filter(|row| !row.contains(TIME_WAIT));
     of_processes.filter_map(parse_row).collect()
@@ -46,10 +46,10 @@
     })
 }
 
-/// An address in the notation of the table.
+/// Returns an address in the notation of the table.
 pub fn table_address(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else {
-        panic!("IPv4")
+        panic!("{address} is not an IPv4 address")
     };
     format!(
         "{:08X}:{:04X}",
