--- a/crates/settings/tests/parsing.rs
+++ b/crates/settings/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! A file is parsed in full, and all errors in it are reported together.
+//! Parsing of configurations: a file is parsed in full, and all errors in it are reported together.
 use mallowseam_settings::config::{Direction, Idempotency};
 use mallowseam_settings::edit::{self, Share};
 use mallowseam_settings::{parse, reload};
@@ -61,7 +61,7 @@
 
 #[test]
 fn valid_file_is_parsed() {
-    let site = parse("f", VALID).expect("valid");
+    let site = parse("f", VALID).expect("the file is valid");
     assert_eq!(
         site.host.control_socket.as_deref(),
         Some(std::path::Path::new("/run/mallow seam/gw1.sock"))
@@ -104,14 +104,14 @@
     );
 }
 
-/// The diagnostics of the valid file with one change.
+/// Returns the diagnostics of the valid file with one change.
 fn diagnostics(from: &str, to: &str) -> Vec<String> {
     assert!(VALID.contains(from), "{from}");
     let diagnostics = parse("f", &VALID.replacen(from, to, 1)).expect_err(to);
     diagnostics.to_string().lines().map(str::to_owned).collect()
 }
 
-/// Each case: a text of the valid file, its replacement, and how one of the diagnostics then begins.
+/// Checks cases of a text of the valid file, its replacement, and the start of one of the diagnostics that result.
 fn assert_diagnosed(cases: &[(&str, &str, &str)]) {
     for (from, to, wanted) in cases {
         let found = diagnostics(from, to);
@@ -283,7 +283,7 @@
         .replace("hosts 3\n    unit", "hosts 0\n    unit");
     let text = text.replace("zone b", "zone b c");
     let lines: Vec<usize> = parse("f", &text)
-        .expect_err("three")
+        .expect_err("three values are invalid")
         .diagnostics
         .iter()
         .map(|p| p.line)
@@ -292,14 +292,20 @@
 }
 
 #[test]
-fn empty_file_lacks_every_section() {
-    assert_eq!(parse("f", "").expect_err("empty").diagnostics.len(), 6);
+fn every_missing_section_of_an_empty_file_is_reported() {
+    assert_eq!(
+        parse("f", "")
+            .expect_err("all sections are missing")
+            .diagnostics
+            .len(),
+        6
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A file that is corrupted anywhere is parsed or rejected with positions, and never panics.
+    /// A file that is corrupted at any position is parsed or rejected with positions; the parser never panics.
     #[test]
     fn corrupted_file_is_rejected_or_valid(at in 0..VALID.len(), len in 0usize..30, put in "[ -~\n]{0,12}") {
         let mut text = VALID.as_bytes().to_vec();
@@ -311,8 +317,8 @@
     }
 }
 
-/// A second volume on the plan of the first.
-fn two() -> String {
+/// Returns the valid file with a second volume on the plan of the first.
+fn with_two_volumes() -> String {
     let other = "volume gas   # the other one\n    lun 2\n    plan basic\n    blocks 64\n    block-size 512B\n    hosts 3\n    \
                  extent 0 64 brick1 at 9000\n    rule any lookup\n";
     format!("{VALID}{other}").replace(
@@ -331,15 +337,15 @@
 
 #[test]
 fn shares_are_edited_and_all_other_lines_stay() {
-    let text = two();
-    let site = parse("site", &text).expect("valid");
+    let text = with_two_volumes();
+    let site = parse("site", &text).expect("the file is valid");
     let both = [share("water", 5_500, 7), share("gas", 5_500, 7)];
-    let same = edit::apply_shares(&text, &site, &both).expect("known");
+    let same = edit::apply_shares(&text, &site, &both).expect("the volumes are known");
     assert!(
         same.contains("    weight 7  # as agreed\n") && same.contains("    reserve 5.500/s\n"),
         "{same}"
     );
-    let edited = parse("site", &same).expect("valid");
+    let edited = parse("site", &same).expect("the file is valid");
     assert_eq!(
         (
             edited.plans.len(),
@@ -348,14 +354,15 @@
         ),
         (1, 5.5, 7.0)
     );
-    let own = edit::apply_shares(&text, &site, &[share("gas", 3_000, 9)]).expect("known");
-    let edited = parse("site", &own).expect("valid");
+    let own =
+        edit::apply_shares(&text, &site, &[share("gas", 3_000, 9)]).expect("the volumes are known");
+    let edited = parse("site", &own).expect("the file is valid");
     let plan = |v: &str| {
         &edited.plans[edited
             .volumes
             .iter()
             .find(|w| w.name == v)
-            .expect("there")
+            .expect("the volume is in the file")
             .plan]
     };
     assert_eq!(
@@ -380,23 +387,24 @@
     );
     assert!(
         reload::evaluate(&site, &edited).is_ok(),
-        "a running host can take it over"
+        "a running host can apply the changes"
     );
-    // Once more: the volume has a plan of its own now, which is edited in place.
-    let again = edit::apply_shares(&own, &edited, &[share("gas", 4_000, 9)]).expect("known");
-    let edited = parse("site", &again).expect("valid");
+    // A second edit changes the volume's own plan in place.
+    let again = edit::apply_shares(&own, &edited, &[share("gas", 4_000, 9)])
+        .expect("the volumes are known");
+    let edited = parse("site", &again).expect("the file is valid");
     assert_eq!(
         (edited.plans.len(), edited.plans[1].reserved_rate),
         (2, 4.0)
     );
     assert!(
-        again.starts_with(&text[..text.find("volume gas").expect("there")]),
-        "the rest is as it was"
+        again.starts_with(&text[..text.find("volume gas").expect("the volume is in the file")]),
+        "all other lines are kept"
     );
     let unknown = edit::apply_shares(&text, &site, &[share("oil", 1, 1), share("tax", 1, 1)]);
     assert_eq!(
         unknown
-            .expect_err("neither is there")
+            .expect_err("neither volume is in the file")
             .to_string()
             .lines()
             .count(),
--- a/crates/settings/tests/pinned_parsing.rs
+++ b/crates/settings/tests/pinned_parsing.rs
@@ -1,5 +1,5 @@
-//! Pinned results of the parser: every directive as it is read, and every diagnostic word for word. The recorded texts
-//! in `pinned/` name fields in words of their own, so that renaming a field in the code changes nothing here.
+//! Compares results of the parser with recorded ones: the value of every directive and the text of every diagnostic. The
+//! recorded texts in `pinned/` have their own names of fields, so that renaming a field in the code changes nothing there.
 use mallowseam_settings::config::{
     Direction, Fleet, GatewayConfig, Host, Idempotency, IoClass, Node, Plan, Volume,
 };
@@ -9,10 +9,10 @@
 use mallowseam_test_support::Digest;
 use std::fmt::Write as _;
 
-/// Compares with the text that was recorded.
-fn pinned(name: &str, found: &str) {
+/// Asserts that a text is equal to the recorded text of this name.
+fn assert_pinned(name: &str, found: &str) {
     let path = format!("{}/tests/pinned/{name}", env!("CARGO_MANIFEST_DIR"));
-    let recorded = std::fs::read_to_string(&path).expect("a recorded text");
+    let recorded = std::fs::read_to_string(&path).expect("the recorded text can be read");
     for (line, (a, b)) in recorded.lines().zip(found.lines()).enumerate() {
         assert_eq!(a, b, "{name}, line {}", line + 1);
     }
@@ -24,8 +24,8 @@
     );
 }
 
-/// A file with every directive.
-const EVERY: &str = r#"# every directive
+/// A valid file with every directive.
+const EVERY_DIRECTIVE: &str = r#"# every directive
 host gw1
     listen 127.0.0.1:3260
     target iqn.2026-12.example:ledgers
@@ -111,22 +111,22 @@
     target iqn.2026-12.example:brick2
 "#;
 
-/// A configuration as text, a section at a time.
-fn shown(site: &GatewayConfig) -> String {
+/// Describes a configuration as text, section by section.
+fn describe(config: &GatewayConfig) -> String {
     let mut out = String::new();
-    show_host(&mut out, &site.host);
-    show_fleet(&mut out, &site.fleet);
-    show_services(&mut out, site);
-    for plan in &site.plans {
+    show_host(&mut out, &config.host);
+    show_fleet(&mut out, &config.fleet);
+    show_services(&mut out, config);
+    for plan in &config.plans {
         show_plan(&mut out, plan);
     }
-    for class in &site.io_classes {
+    for class in &config.io_classes {
         show_io_class(&mut out, class);
     }
-    for volume in &site.volumes {
+    for volume in &config.volumes {
         show_volume(&mut out, volume);
     }
-    for node in &site.nodes {
+    for node in &config.nodes {
         show_node(&mut out, node);
     }
     out
@@ -138,26 +138,26 @@
         "host {} listen {:?} target {} control {:?}",
         host.name, host.listen, host.target, host.control_socket
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  list {:?} kept list {:?} follow {:?}",
         host.endpoint_service, host.endpoint_cache_path, host.plan_service
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  kept plans {:?} window {} connections {}",
         host.plan_cache_path, host.command_window, host.max_connections
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  longest {} digests {} {}",
         host.max_transfer_bytes, host.header_digest, host.data_digest
     )
-    .expect("memory");
-    writeln!(out, "  seed {:?}", host.seed).expect("memory");
+    .expect("writing to memory");
+    writeln!(out, "  seed {:?}", host.seed).expect("writing to memory");
     match &host.fleet {
         None => writeln!(out, "  no place"),
         Some(fleet) => writeln!(
@@ -173,7 +173,7 @@
             fleet.membership.unreachable_retention
         ),
     }
-    .expect("memory");
+    .expect("writing to memory");
 }
 
 fn show_fleet(out: &mut String, fleet: &Fleet) {
@@ -182,19 +182,19 @@
         "fleet hosts {} unit {} mean {} largest {}",
         fleet.hosts, fleet.unit_bytes, fleet.mean_io_units, fleet.max_io_units
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  share {} spare {} submits {}",
         fleet.share_weight_factor, fleet.spare_weight_factor, fleet.max_attempts
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  come back {} order rest {}",
         fleet.max_retry_after, fleet.ordering_cooldown
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  cold {} {} fall {} {} bears {}",
@@ -204,17 +204,17 @@
         fleet.overload_window,
         fleet.slow_start_capacity
     )
-    .expect("memory");
+    .expect("writing to memory");
     writeln!(
         out,
         "  further {} {} {}",
         fleet.retry_budget_min, fleet.retry_budget_ratio, fleet.retry_budget_window
     )
-    .expect("memory");
+    .expect("writing to memory");
 }
 
-fn show_services(out: &mut String, site: &GatewayConfig) {
-    if let Some(catalog) = &site.catalog {
+fn show_services(out: &mut String, config: &GatewayConfig) {
+    if let Some(catalog) = &config.catalog {
         writeln!(
             out,
             "catalog {:?} \"{}\" {:?} extent {} copies {}",
@@ -224,9 +224,9 @@
             catalog.extent_blocks,
             catalog.copy_class
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
-    if let Some(plan_service) = &site.plan_service {
+    if let Some(plan_service) = &config.plan_service {
         writeln!(
             out,
             "tariffs {:?} \"{}\" {:?}",
@@ -234,7 +234,7 @@
             plan_service.store_path.display(),
             plan_service.control_socket
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
 }
 
@@ -250,7 +250,7 @@
         plan.weight,
         plan.priority_factor
     )
-    .expect("memory");
+    .expect("writing to memory");
 }
 
 fn show_io_class(out: &mut String, class: &IoClass) {
@@ -268,7 +268,7 @@
         class.late_weight_ratio,
         class.ordered
     )
-    .expect("memory");
+    .expect("writing to memory");
 }
 
 fn show_volume(out: &mut String, volume: &Volume) {
@@ -283,14 +283,14 @@
         volume.host_count,
         volume.mapped
     )
-    .expect("memory");
+    .expect("writing to memory");
     for extent in &volume.extents {
         writeln!(
             out,
             "  extent {} {} node {} at {}",
             extent.first_block, extent.block_count, extent.node, extent.first_node_block
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
     for rule in &volume.rules {
         let direction = match rule.direction {
@@ -303,7 +303,7 @@
             "  rule {direction} {}-{} group {} key {}",
             rule.first_block, rule.last_block, rule.io_class, rule.blocks_per_key
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
 }
 
@@ -313,34 +313,42 @@
         "node {} {:?} target {} lun {} zone {} shard {}",
         node.name, node.address, node.target, node.lun, node.zone, node.shard
     )
-    .expect("memory");
+    .expect("writing to memory");
 }
 
-/// The lines, each indented and with its line end.
+/// Joins lines, each with an indentation and a line end.
 fn indented<'a>(lines: impl Iterator<Item = &'a str>) -> String {
     lines.flat_map(|line| ["  ", line, "\n"]).collect()
 }
 
-/// What parsing a text results in; of a valid one only the lines that differ from those of `EVERY`.
+/// Describes the result of parsing a text: the diagnostics, or the lines that differ from the description `valid` of
+/// `EVERY_DIRECTIVE`.
 fn outcome(text: &str, valid: &str) -> String {
     match parse("f", text) {
-        Ok(site) => {
+        Ok(config) => {
             let known: Vec<&str> = valid.lines().collect();
-            indented(shown(&site).lines().filter(|line| !known.contains(line)))
+            indented(
+                describe(&config)
+                    .lines()
+                    .filter(|line| !known.contains(line)),
+            )
         }
         Err(diagnostics) => indented(diagnostics.to_string().lines()),
     }
 }
 
 #[test]
-fn every_directive() {
-    pinned("every.txt", &shown(&parse("f", EVERY).expect("valid")));
+fn every_directive_is_parsed_as_recorded() {
+    assert_pinned(
+        "every.txt",
+        &describe(&parse("f", EVERY_DIRECTIVE).expect("the file is valid")),
+    );
 }
 
 #[test]
-fn every_line_removed_doubled_or_changed() {
-    let valid = shown(&parse("f", EVERY).expect("valid"));
-    let lines: Vec<&str> = EVERY.lines().collect();
+fn every_removed_repeated_or_changed_line_has_the_recorded_result() {
+    let valid = describe(&parse("f", EVERY_DIRECTIVE).expect("the file is valid"));
+    let lines: Vec<&str> = EVERY_DIRECTIVE.lines().collect();
     let mut found = String::new();
     let attempt = |index: usize, line: Option<&str>| {
         let mut text = lines.clone();
@@ -359,7 +367,8 @@
             ("with more", Some(more.as_str())),
             ("not indented", Some(line.trim_start())),
         ] {
-            write!(found, "{} {what}:\n{}", index + 1, attempt(index, line)).expect("memory");
+            write!(found, "{} {what}:\n{}", index + 1, attempt(index, line))
+                .expect("writing to memory");
         }
         let mut digest = Digest::default();
         let count = line.split_whitespace().count();
@@ -380,7 +389,7 @@
                 all[word] = put;
                 let indent = if line.starts_with(' ') { "    " } else { "" };
                 let changed = format!("{indent}{}", all.join(" "));
-                // Written out, all these would fill hundreds of pages.
+                // The results are recorded as a digest, since their texts would fill hundreds of pages.
                 digest.add_bytes(attempt(index, Some(&changed)).as_bytes());
                 digest.add_bytes(&[0xff]);
             }
@@ -391,14 +400,14 @@
             index + 1,
             digest.value()
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
-    pinned("changed.txt", &found);
+    assert_pinned("changed.txt", &found);
 }
 
 #[test]
-fn contradicting_sections() {
-    let valid = shown(&parse("f", EVERY).expect("valid"));
+fn contradictions_have_the_recorded_diagnostics() {
+    let valid = describe(&parse("f", EVERY_DIRECTIVE).expect("the file is valid"));
     let mut found = String::new();
     for (from, to) in [
         ("goal 0.2s", "goal 2s"),
@@ -445,20 +454,24 @@
         (" reached-at 10.0.0.1:7401", ""),
         ("limit 40/s burst 16", "limit 40/s"),
     ] {
-        assert!(EVERY.contains(from), "{from}");
-        let text = EVERY.replacen(from, to, 1);
-        write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &valid)).expect("memory");
+        assert!(EVERY_DIRECTIVE.contains(from), "{from}");
+        let text = EVERY_DIRECTIVE.replacen(from, to, 1);
+        write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &valid))
+            .expect("writing to memory");
     }
     let without = |section: &str| {
-        let start = EVERY.find(&format!("\n{section}")).expect("a section") + 1;
-        let rest = &EVERY[start..];
-        let len = rest.find('\n').expect("a line") + 1;
+        let start = EVERY_DIRECTIVE
+            .find(&format!("\n{section}"))
+            .expect("the file has the section")
+            + 1;
+        let rest = &EVERY_DIRECTIVE[start..];
+        let len = rest.find('\n').expect("the section has a line") + 1;
         let body = rest[len..]
             .lines()
             .take_while(|l| l.starts_with(' '))
             .map(|l| l.len() + 1)
             .sum::<usize>();
-        format!("{}{}", &EVERY[..start], &rest[len + body..])
+        format!("{}{}", &EVERY_DIRECTIVE[..start], &rest[len + body..])
     };
     for section in [
         "host",
@@ -475,7 +488,7 @@
             "without {section}:\n{}",
             outcome(&without(section), &valid)
         )
-        .expect("memory");
+        .expect("writing to memory");
     }
     for text in [
         "",
@@ -484,12 +497,12 @@
         "fleet\nfleet\n",
         "host \"a b\"\n",
     ] {
-        write!(found, "{text:?}:\n{}", outcome(text, &valid)).expect("memory");
+        write!(found, "{text:?}:\n{}", outcome(text, &valid)).expect("writing to memory");
     }
-    pinned("contradictions.txt", &found);
+    assert_pinned("contradictions.txt", &found);
 }
 
-/// Words with and without units, read as a value of each kind.
+/// Words with and without units, each of which is read as a value of every kind.
 const WORDS: [&str; 60] = [
     "0",
     "1",
@@ -554,7 +567,7 @@
 ];
 
 #[test]
-fn values_with_units() {
+fn values_are_read_as_recorded() {
     let mut found = String::new();
     for word in WORDS {
         record_values(&mut found, word);
@@ -562,11 +575,11 @@
     let mut diagnostics = Diagnostics::new("g");
     record_words(&mut found, &mut diagnostics);
     record_argument_steps(&mut found, &mut diagnostics);
-    writeln!(found, "{}", diagnostics.sorted()).expect("memory");
-    pinned("values.txt", &found);
+    writeln!(found, "{}", diagnostics.sorted()).expect("writing to memory");
+    assert_pinned("values.txt", &found);
 }
 
-/// Records what a word is read as, for each kind of value that accepts it.
+/// Records the value of a word for each kind of value that accepts it.
 fn record_values(found: &mut String, word: &str) {
     let mut diagnostics = Diagnostics::new("f");
     let line = tokenize(3, &format!("  word {word}"), &mut diagnostics);
@@ -575,7 +588,7 @@
         ($name:expr, $args:ident, $read:expr) => {{
             let mut $args = Arguments::new(&line, &mut diagnostics);
             if let Some(value) = $read {
-                write!(values, " {}={value:?}", $name).expect("memory");
+                write!(values, " {}={value:?}", $name).expect("writing to memory");
             }
         }};
     }
@@ -594,10 +607,10 @@
             .map(|w| (w.text, w.position.line, w.position.column))
     );
     value!("word", a, a.text("w"));
-    writeln!(found, "{word}:{values}").expect("memory");
+    writeln!(found, "{word}:{values}").expect("writing to memory");
 }
 
-/// Records the words of some lines, and where they stand.
+/// Records the tokens of some lines with their positions.
 fn record_words(found: &mut String, diagnostics: &mut Diagnostics) {
     for text in [
         "a  \"b c\" d#e # f",
@@ -611,11 +624,11 @@
             .iter()
             .map(|w| format!("{}@{}:{}", w.text, w.position.line, w.position.column))
             .collect();
-        writeln!(found, "words of {text:?}: {all:?}").expect("memory");
+        writeln!(found, "words of {text:?}: {all:?}").expect("writing to memory");
     }
 }
 
-/// Records what the arguments of a line are while it is read, and adds diagnostics of every kind.
+/// Records the arguments of a line while they are read one by one, and adds diagnostics of every kind.
 fn record_argument_steps(found: &mut String, diagnostics: &mut Diagnostics) {
     let line = tokenize(9, "word 1 two three", diagnostics);
     let mut args = Arguments::new(&line, diagnostics);
@@ -632,7 +645,7 @@
         args.has_more(),
         args.text("a word")
     )
-    .expect("memory");
+    .expect("writing to memory");
     args.expect_end();
     args.report_conflicts(&["spoiled: expected nothing".to_owned()]);
     let mut args = Arguments::new(&line, diagnostics);
@@ -646,8 +659,8 @@
 }
 
 #[test]
-fn reload_outcomes() {
-    let running = parse("f", EVERY).expect("valid");
+fn reloads_have_the_recorded_outcomes() {
+    let running = parse("f", EVERY_DIRECTIVE).expect("the file is valid");
     let mut found = String::new();
     for (from, to) in [
         ("weight 2", "weight 3"),
@@ -672,16 +685,17 @@
         ("volume clones", "volume other"),
         ("brick1 at 64", "brick1 at 65"),
     ] {
-        assert!(EVERY.contains(from), "{from}");
-        let wanted = parse("f", &EVERY.replacen(from, to, 1)).expect(to);
+        assert!(EVERY_DIRECTIVE.contains(from), "{from}");
+        let wanted = parse("f", &EVERY_DIRECTIVE.replacen(from, to, 1)).expect(to);
         match reload::evaluate(&running, &wanted) {
-            Ok(t) => {
-                let plans: Vec<&str> = t.plans.iter().map(|p| p.name.as_str()).collect();
-                let changes: Vec<String> = t.changes.iter().map(ToString::to_string).collect();
+            Ok(outcome) => {
+                let plans: Vec<&str> = outcome.plans.iter().map(|p| p.name.as_str()).collect();
+                let changes: Vec<String> =
+                    outcome.changes.iter().map(ToString::to_string).collect();
                 writeln!(
                     found,
                     "{from:?} -> {to:?}: {plans:?} {:?} {changes:?}",
-                    t.volume_plans
+                    outcome.volume_plans
                 )
             }
             Err(error) => {
@@ -689,16 +703,16 @@
                 writeln!(found, "{from:?} -> {to:?}: against {against:?}")
             }
         }
-        .expect("memory");
+        .expect("writing to memory");
     }
-    pinned("taken_up.txt", &found);
+    assert_pinned("taken_up.txt", &found);
 }
 
 #[test]
-fn edited_shares() {
-    let text = EVERY.replace("plan bare\n    hosts", "plan basic  # shared\n    hosts");
+fn edited_shares_have_the_recorded_lines() {
+    let text = EVERY_DIRECTIVE.replace("plan bare\n    hosts", "plan basic  # shared\n    hosts");
     let text = text.replace("    weight 2\n", "    weight 2   # as agreed\n");
-    let site = parse("f", &text).expect("valid");
+    let config = parse("f", &text).expect("the file is valid");
     let share = |volume: &str, reserve, weight| Share {
         volume: volume.into(),
         reserved_milliunits: reserve,
@@ -717,7 +731,7 @@
             .iter()
             .map(|s| format!("{} {} {}", s.volume, s.reserved_milliunits, s.weight))
             .collect();
-        match edit::apply_shares(&text, &site, &shares) {
+        match edit::apply_shares(&text, &config, &shares) {
             Ok(edited) => {
                 let known: Vec<&str> = text.lines().collect();
                 let new: Vec<String> = edited
@@ -738,12 +752,12 @@
                 writeln!(found, "{given:?}: against {against:?}")
             }
         }
-        .expect("memory");
+        .expect("writing to memory");
     }
-    pinned("shares.txt", &found);
+    assert_pinned("shares.txt", &found);
 }
 
-/// A line of the file, and what stands in its place: the last value within each bound and the first beyond it.
+/// A line of the file and its replacements: the last value within each bound and the first beyond it.
 const BOUNDS: [(&str, &[&str]); 21] = [
     (
         "window 32",
@@ -833,7 +847,7 @@
 ];
 
 #[test]
-fn both_sides_of_every_bound() {
+fn values_at_and_beyond_every_bound_have_the_recorded_results() {
     let mut found = String::new();
     let far = (1u64 << 50).to_string();
     let beyond = ((1u64 << 50) + 1).to_string();
@@ -870,13 +884,13 @@
     record(&mut found, "host gw1", &format!("host {name}"));
     record(&mut found, "zone b", &format!("zone {name}"));
     record(&mut found, "zone b", &format!("zone {long_name}"));
-    pinned("bounds.txt", &found);
+    assert_pinned("bounds.txt", &found);
 }
 
-/// Records what the file with one change results in.
+/// Records the result of parsing the file with one change.
 fn record(found: &mut String, from: &str, to: &str) {
-    assert!(EVERY.contains(from), "{from}");
-    let valid = shown(&parse("f", EVERY).expect("valid"));
-    let text = EVERY.replacen(from, to, 1);
-    write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &valid)).expect("memory");
+    assert!(EVERY_DIRECTIVE.contains(from), "{from}");
+    let valid = describe(&parse("f", EVERY_DIRECTIVE).expect("the file is valid"));
+    let text = EVERY_DIRECTIVE.replacen(from, to, 1);
+    write!(found, "{from:?} -> {to:?}:\n{}", outcome(&text, &valid)).expect("writing to memory");
 }
--- a/crates/settings/tests/reload.rs
+++ b/crates/settings/tests/reload.rs
@@ -1,4 +1,4 @@
-//! What a running host takes over from a changed configuration.
+//! Changes of a configuration that a running host applies, and those that need a restart.
 use mallowseam_settings::GatewayConfig;
 use mallowseam_settings::config::{Plan, Volume};
 use mallowseam_settings::reload::evaluate;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn figures_of_plans_and_plans_of_volumes_are_taken_over_and_reported() {
+fn changed_plans_and_assignments_are_applied_and_reported() {
     let (running, mut wanted) = (config(), config());
     wanted.plans.reverse();
     wanted.plans[1].weight = 3.0;
@@ -35,7 +35,7 @@
     });
     wanted.volumes[0].plan = 1;
     wanted.volumes[1].plan = 2;
-    let outcome = evaluate(&running, &wanted).expect("plans only");
+    let outcome = evaluate(&running, &wanted).expect("only plans are changed");
     let names: Vec<&str> = outcome.plans.iter().map(|p| p.name.as_str()).collect();
     assert_eq!(
         (names, &outcome.volume_plans),
@@ -54,24 +54,24 @@
     let (running, mut wanted) = (config(), config());
     wanted.plans.remove(0);
     wanted.volumes.iter_mut().for_each(|v| v.plan = 0);
-    let outcome = evaluate(&running, &wanted).expect("plans only");
+    let outcome = evaluate(&running, &wanted).expect("only plans are changed");
     assert_eq!((outcome.plans.len(), outcome.volume_plans), (2, vec![1, 1]));
 }
 
 #[test]
-fn all_restart_reasons_are_reported_and_nothing_is_taken_over() {
+fn all_restart_reasons_are_reported_and_nothing_is_applied() {
     let (running, mut wanted) = (config(), config());
     wanted.plans[0].weight = 3.0;
     wanted.fleet.hosts = 9;
     wanted.volumes[0].block_count = 16;
     wanted.volumes[1].name = "c".into();
-    let error = evaluate(&running, &wanted).expect_err("more than plans");
+    let error = evaluate(&running, &wanted).expect_err("more than plans is changed");
     let lines: Vec<String> = error.0.iter().map(ToString::to_string).collect();
-    let named = |what: &str| lines.iter().any(|a| a.starts_with(what));
+    let is_named = |prefix: &str| lines.iter().any(|line| line.starts_with(prefix));
     assert!(
         ["section fleet", "volume a", "volume b", "volume c"]
             .into_iter()
-            .all(named),
+            .all(is_named),
         "{lines:?}"
     );
     assert_eq!(lines.len(), 4);
