--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/demand.rs
@@ -160,7 +160,7 @@
     /// Seconds from the start of the record to the end of the interval.
     seconds: u64,
     volume: String,
-    /// Requested units a second.
+    /// Requested units per second.
     requested: f64,
 }
 
--- a/crates/gateway/src/placement/answer_file.rs
+++ b/crates/gateway/src/placement/answer_file.rs
@@ -30,7 +30,7 @@
         match first.text.as_str() {
             "place" => read_place(problem, &words, &mut answer, &mut problems),
             "share" => read_share(problem, &words, &mut answer, &mut problems),
-            // Quotas are printed for the operator; in service hosts lease them (`docs/living-plans.md`).
+            // Quotas are printed only for the operator; running hosts lease theirs (`docs/living-plans.md`).
             "part" => {}
             other => problems.add(first.position, "place, share or part", format!("`{other}`")),
         }
--- a/crates/gateway/src/placement/problem_file.rs
+++ b/crates/gateway/src/placement/problem_file.rs
@@ -176,13 +176,16 @@
                 ..problem
             }),
             Err(contradictions) => {
-                for wrong in contradictions {
-                    let position = self.positions.iter().find(|(name, _)| *name == wrong.name);
+                for contradiction in contradictions {
+                    let position = self
+                        .positions
+                        .iter()
+                        .find(|(name, _)| *name == contradiction.name);
                     let position = position.map_or(TOP, |(_, at)| *at);
                     self.problems.add(
                         position,
-                        wrong.kind.to_string(),
-                        format!("`{}`", wrong.name),
+                        contradiction.kind.to_string(),
+                        format!("`{}`", contradiction.name),
                     );
                 }
                 Err(PlacementError::malformed(self.problems))
--- a/crates/gateway/src/snapshot_archive/remote_unit.rs
+++ b/crates/gateway/src/snapshot_archive/remote_unit.rs
@@ -29,7 +29,7 @@
     extent_count: u32,
 }
 
-/// One read or write.
+/// A read or write of up to `TRANSFER_LEN` bytes.
 #[derive(Clone, Copy)]
 enum Transfer<'a> {
     Read { len: u64 },
