--- a/crates/gateway/tests/platform/support/endpoint_service.rs
+++ b/crates/gateway/tests/platform/support/endpoint_service.rs
@@ -1,4 +1,4 @@
-//! An endpoint list service that answers every watch by itself.
+//! An endpoint list service that answers all watches automatically.
 use super::scripted_endpoint_service::{HEAD, chunk, line};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,24 +7,26 @@
 use std::thread;
 use std::time::Duration;
 
+/// Interval between two heartbeats on a watch.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
+/// State that the service's threads share.
 struct WatchState {
-    /// The entries of the list.
+    /// Entries of the list, as JSON.
     entries: String,
     version: u64,
     watchers: Vec<TcpStream>,
 }
 
 impl WatchState {
-    /// Sends text to all watchers; those that have disconnected are forgotten.
+    /// Sends a text to all watchers, and drops those that have disconnected.
     fn send(&mut self, text: &str) {
         self.watchers
             .retain_mut(|watcher| watcher.write_all(chunk(text).as_bytes()).is_ok());
     }
 }
 
-/// The service, with threads that end with the process.
+/// The service, whose threads run until the process exits.
 pub struct EndpointService {
     address: SocketAddr,
     state: Arc<Mutex<WatchState>>,
@@ -32,10 +34,10 @@
 }
 
 impl EndpointService {
-    /// A service whose list has these entries and this version.
+    /// Starts a service whose list has these entries and this version.
     pub fn new(entries: &str, version: u64) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the address can be bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let state = WatchState {
             entries: entries.to_owned(),
             version,
@@ -47,7 +49,7 @@
         let watched = Arc::downgrade(&state);
         thread::spawn(move || {
             while let Some(state) = watched.upgrade() {
-                state.lock().expect("no panic").send("\n");
+                state.lock().expect("the mutex is not poisoned").send("\n");
                 drop(state);
                 thread::sleep(HEARTBEAT_PERIOD);
             }
@@ -59,30 +61,37 @@
         }
     }
 
-    /// Where it listens.
+    /// Returns the address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Open watches.
+    /// Returns the number of open watches.
     pub fn watchers(&self) -> usize {
-        self.state.lock().expect("no panic").watchers.len()
+        self.state
+            .lock()
+            .expect("the mutex is not poisoned")
+            .watchers
+            .len()
     }
 
-    /// Requests answered so far.
+    /// Returns the number of requests answered so far.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::SeqCst)
     }
 
-    /// Sends text to all watchers.
+    /// Sends a text to all watchers as a chunk.
     pub fn send_raw(&self, text: &str) {
-        self.state.lock().expect("no panic").send(text);
+        self.state
+            .lock()
+            .expect("the mutex is not poisoned")
+            .send(text);
     }
 
     /// Sends changed entries to all watchers as the next version, split into two chunks.
     pub fn publish(&self, entries: &str) {
         let version = {
-            let mut state = self.state.lock().expect("no panic");
+            let mut state = self.state.lock().expect("the mutex is not poisoned");
             state.version += 1;
             state.entries = String::from(entries);
             state.version
@@ -101,7 +110,7 @@
         if !matches!(socket.read(&mut bytes), Ok(n) if n > 0) {
             continue;
         }
-        let mut state = state.lock().expect("no panic");
+        let mut state = state.lock().expect("the mutex is not poisoned");
         let list = line(state.version, true, &state.entries);
         if socket
             .write_all(format!("{HEAD}{}", chunk(&list)).as_bytes())
