--- a/crates/platform-host/src/clients/close_cause.rs
+++ b/crates/platform-host/src/clients/close_cause.rs
@@ -5,7 +5,7 @@
 pub enum CloseCause {
     /// The client has closed the connection, or the connection has failed.
     Disconnected,
-    /// No request arrived within the idle timeout.
+    /// No request arrived before the connection's timeout.
     Idle,
     /// A graceful shutdown admits no more requests on the connection.
     Shutdown,
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -29,7 +29,7 @@
     /// Block I/O in flight for the current request.
     io: Option<BioId>,
     /// The next response, or the one in `output`, is the last on the connection.
-    close_after_response: bool,
+    closes_after_response: bool,
     /// Cause for which the connection ends; set when its last response is composed.
     end_cause: Option<CloseCause>,
     /// The connection is in the read queue.
@@ -67,7 +67,7 @@
             input: RequestBuffer::default(),
             output: OutgoingMessage::default(),
             io: None,
-            close_after_response: false,
+            closes_after_response: false,
             end_cause: None,
             is_queued: false,
         }
@@ -273,21 +273,21 @@
 
     /// Makes the next response the last on the connection.
     pub fn close_after_response(&mut self) {
-        self.close_after_response = true;
+        self.closes_after_response = true;
     }
 
     /// Composes the response to the current request. `is_last_by_shutdown`: the host's graceful shutdown makes it the
     /// last on the connection.
     pub fn compose_response(&mut self, response: Response, is_last_by_shutdown: bool, now: Millis) {
-        self.close_after_response |=
+        self.closes_after_response |=
             is_last_by_shutdown || self.socket.is_disconnected() || self.input.closes_connection();
-        if self.close_after_response && self.end_cause.is_none() {
+        if self.closes_after_response && self.end_cause.is_none() {
             self.end_cause = Some(end_cause(
                 is_last_by_shutdown,
                 self.socket.is_disconnected(),
             ));
         }
-        response.write(&mut self.output, self.close_after_response);
+        response.write(&mut self.output, self.closes_after_response);
         self.input.finish_request();
         self.io = None;
         self.state.enter_phase(Phase::SendingResponse, now);
@@ -306,7 +306,7 @@
         if self.has_output() || self.state.phase() != Phase::SendingResponse {
             return FlushOutcome::Pending;
         }
-        if !self.close_after_response {
+        if !self.closes_after_response {
             self.state.enter_phase(Phase::Idle, now);
             return FlushOutcome::ResponseWritten;
         }
--- a/crates/platform-host/src/clients/responses.rs
+++ b/crates/platform-host/src/clients/responses.rs
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Writes the response to `output`. `close`: the response is the last on its connection.
-    pub fn write(self, output: &mut OutgoingMessage, close: bool) {
+    /// Writes the response to `output`. `is_last`: the response is the last on its connection.
+    pub fn write(self, output: &mut OutgoingMessage, is_last: bool) {
         response::write_head(
             &mut output.head,
             self.status,
             self.body.len(),
             self.retry_after_ms.and_then(NonZeroU64::new),
-            close,
+            is_last,
         );
         self.body.append_to(output);
     }
--- a/crates/platform-host/src/event_loop/endpoint_watch.rs
+++ b/crates/platform-host/src/event_loop/endpoint_watch.rs
@@ -121,7 +121,7 @@
             WatchMessage::Update(update) => self.on_update(slot, &update, dispatcher, fleet),
             WatchMessage::Heartbeat => self.on_alive(slot, dispatcher),
             WatchMessage::ClosingEndpoints(endpoints) => {
-                dispatcher.on_endpoints(EndpointEvent::Incremental, &changes(endpoints));
+                dispatcher.on_endpoints(EndpointEvent::Incremental, &incremental_update(endpoints));
             }
             WatchMessage::Failed(error) => self.on_failed(slot, &error, dispatcher),
         }
@@ -138,7 +138,7 @@
         if is_first {
             // The scheduler has to know that the list is current even if nothing has changed: it relies on that when
             // the watch is lost.
-            dispatcher.on_endpoints(EndpointEvent::Incremental, &changes(Vec::new()));
+            dispatcher.on_endpoints(EndpointEvent::Incremental, &incremental_update(Vec::new()));
         }
     }
 
@@ -215,7 +215,7 @@
 }
 
 /// Creates an incremental update from endpoints that came without a version; its version is not read.
-fn changes(endpoints: Vec<Endpoint>) -> WatchEvent {
+fn incremental_update(endpoints: Vec<Endpoint>) -> WatchEvent {
     WatchEvent {
         version: 0,
         full_snapshot: false,
--- a/crates/platform-host/src/event_loop/list_version/tests.rs
+++ b/crates/platform-host/src/event_loop/list_version/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 const FULL_SNAPSHOT: bool = true;
-const CHANGES: bool = false;
+const INCREMENTAL: bool = false;
 
 fn update(version: u64, full_snapshot: bool) -> WatchEvent {
     WatchEvent {
@@ -20,7 +20,8 @@
 fn incremental_updates_are_applied_only_once() {
     let mut version = ListVersion::new(service(1));
     assert_eq!(version.since(service(1)), None);
-    let classes = [3, 3, 2, 4].map(|v| version.on_update(&update(v, CHANGES), service(1), None));
+    let classes =
+        [3, 3, 2, 4].map(|v| version.on_update(&update(v, INCREMENTAL), service(1), None));
     let expected = [
         UpdateVersion::Newer,
         UpdateVersion::Outdated,
@@ -44,7 +45,7 @@
 fn a_service_that_restarts_with_lower_versions_is_asked_for_a_full_snapshot() {
     let mut version = ListVersion::new(service(1));
     version.use_cached(50);
-    let class = version.on_update(&update(49, CHANGES), service(1), Some(50));
+    let class = version.on_update(&update(49, INCREMENTAL), service(1), Some(50));
     assert_eq!(class, UpdateVersion::Restarted);
     assert_eq!(version.since(service(1)), None);
 }
@@ -53,7 +54,7 @@
 fn an_update_that_repeats_the_requested_version_is_outdated_and_no_restart() {
     let mut version = ListVersion::new(service(1));
     version.use_cached(50);
-    let class = version.on_update(&update(50, CHANGES), service(1), Some(50));
+    let class = version.on_update(&update(50, INCREMENTAL), service(1), Some(50));
     assert_eq!(class, UpdateVersion::Outdated);
     assert_eq!(version.since(service(1)), Some(50));
 }
@@ -66,6 +67,6 @@
     let late = version.on_update(&update(51, FULL_SNAPSHOT), service(1), Some(50));
     assert_eq!(late, UpdateVersion::PreviousService);
     assert_eq!(version.since(service(2)), None);
-    let first = version.on_update(&update(3, CHANGES), service(2), None);
+    let first = version.on_update(&update(3, INCREMENTAL), service(2), None);
     assert_eq!(first, UpdateVersion::Newer);
 }
--- a/crates/platform-host/src/nodes/responses.rs
+++ b/crates/platform-host/src/nodes/responses.rs
@@ -21,7 +21,8 @@
     pub completion: Completion,
     slot: u32,
     message: MessageSpan,
-    close: bool,
+    /// The connection has to be closed after forwarding.
+    should_close: bool,
 }
 
 /// Result of an event on a connection to a node.
@@ -57,7 +58,7 @@
 struct ClassifiedResponse {
     response: NodeResponse,
     /// The connection has to be closed once the response was used.
-    close: bool,
+    should_close: bool,
 }
 
 impl NodeConnections {
@@ -194,7 +195,11 @@
         event: &AttemptEvent,
     ) -> Option<NodeEvent> {
         let is_written = self.pool.get(slot)?.is_request_written();
-        let Some(ClassifiedResponse { response, close }) = self.classify(slot, &message) else {
+        let Some(ClassifiedResponse {
+            response,
+            should_close,
+        }) = self.classify(slot, &message)
+        else {
             return Some(self.on_corrupt(slot, event));
         };
         let is_busy = response.result == AttemptResult::Rejected;
@@ -218,10 +223,10 @@
                 completion,
                 slot,
                 message,
-                close,
+                should_close,
             }));
         }
-        self.return_connection(slot, close, now);
+        self.return_connection(slot, should_close, now);
         Some(NodeEvent::Completed(completion))
     }
 
@@ -235,7 +240,7 @@
         let is_clean = connection.is_request_written() && !connection.response().has_more(message);
         Some(ClassifiedResponse {
             response,
-            close: head.close || !is_kept || !is_clean,
+            should_close: head.close || !is_kept || !is_clean,
         })
     }
 
@@ -271,12 +276,13 @@
 
     /// Releases the connection of a successful response that was forwarded: it returns to the pool or is closed.
     pub fn finish(&mut self, success: &Success, now: Tick) {
-        self.return_connection(success.slot, success.close, now);
+        self.return_connection(success.slot, success.should_close, now);
     }
 
-    /// Releases a connection whose attempt has completed: it returns to the pool, or is closed if `close` is set.
-    fn return_connection(&mut self, slot: u32, close: bool, now: Tick) {
-        if close {
+    /// Releases a connection whose attempt has completed: it returns to the pool, or is closed if `should_close` is
+    /// set.
+    fn return_connection(&mut self, slot: u32, should_close: bool, now: Tick) {
+        if should_close {
             self.pool.close(slot);
         } else {
             self.pool.check_in(slot, now);
