--- a/crates/platform-host/src/clients.rs
+++ b/crates/platform-host/src/clients.rs
@@ -194,8 +194,7 @@
         true
     }
 
-    /// Closes a connection and counts its cause. If its last response is already composed, the cause of that one
-    /// counts.
+    /// Closes a connection. Counts `cause`, or the cause of its last response if that is already composed.
     fn close(&mut self, slot: u32, cause: CloseCause) {
         let Some(client) = self.connections.remove(slot) else {
             return;
--- a/crates/platform-host/src/clients/connection.rs
+++ b/crates/platform-host/src/clients/connection.rs
@@ -30,7 +30,7 @@
     io: Option<BioId>,
     /// The next response, or the one in `output`, is the last on the connection.
     closes_after_response: bool,
-    /// Cause for which the connection ends; set when its last response is composed.
+    /// Cause for which the connection ends; set at the latest when its last response is composed.
     end_cause: Option<CloseCause>,
     /// The connection is in the read queue.
     is_queued: bool,
