--- a/crates/iscsi-host/src/error.rs
+++ b/crates/iscsi-host/src/error.rs
@@ -1,17 +1,17 @@
-//! Why the host could not run.
+//! Errors that end the host.
 use mallowseam_control_protocol::StartError;
 use std::io;
 
-/// Why a host could not start, or could not go on.
+/// Reason for which a host cannot start or cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket of the configuration cannot be had, or signals cannot be received.
+    /// A configured socket cannot be opened, or the signal handlers cannot be installed.
     #[error(transparent)]
     Start(#[from] StartError),
     /// Polling for socket events failed.
-    #[error("poll: {0}")]
+    #[error("cannot poll for socket events: {0}")]
     Poll(#[source] io::Error),
-    /// The host cannot take part in the membership of its fleet.
-    #[error("fleet membership: {0}")]
+    /// The socket for fleet membership cannot be opened.
+    #[error("cannot open the socket for fleet membership: {0}")]
     Membership(#[source] io::Error),
 }
--- a/crates/iscsi-host/src/event_loop.rs
+++ b/crates/iscsi-host/src/event_loop.rs
@@ -1,13 +1,15 @@
-//! The event loop of a host: one thread, every decision the scheduler's or a connection policy's.
+//! The event loop of a host. It runs on one thread and only carries out decisions: those on block I/Os come
+//! from the scheduler, those on connections from the connection policies.
 //!
-//! Opening: `open`. What an iteration handles, each type with its own state:
-//! - `sources`: what is polled.
-//! - `listener`, `pending_reads`: connections of clients and to nodes.
-//! - `membership`: the fleet's membership.
-//! - `plans`, with `demand_meter`: replicated plans and quotas.
-//! - `shutdown`: requests to stop.
+//! `open` creates the loop. Types with their own state, handled in each iteration:
+//! - `sources`: event sources and their tokens.
+//! - `listener`, `pending_reads`: new client connections, and sockets with unread data.
+//! - `membership`: fleet membership.
+//! - `plans`, `demand_meter`: replicated plans, quotas and the demand of clients.
+//! - `shutdown`: requests to stop the host.
 //!
-//! Steps over several of these: `apply_plans`, `operator` (requests on the control socket), `host_status`.
+//! Operations across several of these types: `apply_plans`, `operator` (requests on the control socket) and
+//! `host_status`.
 mod apply_plans;
 mod demand_meter;
 mod host_status;
@@ -42,10 +44,10 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-/// Events that one poll returns at most.
+/// Maximum number of events that one poll returns.
 const MAX_EVENTS: usize = 1024;
-/// Ticks between two checks of the connections: fine enough for timeouts of seconds.
-const CHECK_PERIOD: Tick = 1_000;
+/// Interval between checks of connections for timeouts, in ticks. Fine enough for timeouts of seconds.
+const CONNECTION_CHECK_INTERVAL: Tick = 1_000;
 
 /// A running host.
 struct EventLoop {
@@ -60,15 +62,15 @@
     control: Option<ControlSocket>,
     shutdown: ShutdownRequests,
     pending_reads: PendingReads,
-    /// When the connections are checked for timeouts.
-    check: PeriodicTimer<Tick>,
+    /// Timer for checking connections for timeouts.
+    connection_check: PeriodicTimer<Tick>,
     read_buffer: Vec<u8>,
 }
 
 /// Runs a host until SIGTERM, SIGINT or a request to stop.
 ///
 /// # Errors
-/// An address or path of the configuration cannot be had.
+/// A configured address or path cannot be opened, or polling fails.
 pub fn run(config: GatewayConfig) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(Error::Poll)?;
     let mut host = EventLoop::open(config, &poll)?;
@@ -91,8 +93,8 @@
 impl EventLoop {
     fn start(&mut self) {
         self.dispatcher.set_now(self.clock.now());
-        // The first timer runs before anything else makes the scheduler set one: it requests the endpoint
-        // list, and allocation intervals count from it.
+        // Fires the scheduler's timer before any other call makes the scheduler set one. The scheduler requests
+        // the endpoint list from this first timer and counts allocation intervals from it.
         self.dispatcher.run_first_timer(&mut self.scheduler);
         self.endpoint_list.start(self.dispatcher.now());
         self.apply_endpoint_updates();
@@ -100,17 +102,18 @@
         self.after_events();
     }
 
-    /// Asked to stop with nothing left in flight, or asked twice.
+    /// Returns whether the loop must end: an immediate stop was requested, or a stop was requested while no
+    /// client is connected and no block I/O is in flight.
     fn is_finished(&self) -> bool {
         self.shutdown.is_immediate() || self.shutdown.is_requested() && self.dispatcher.is_idle()
     }
 
-    /// How long the poll may wait for events.
+    /// Returns the maximum duration for which the poll may wait for events.
     fn poll_timeout(&self) -> Duration {
         if !self.pending_reads.is_empty() || self.membership.is_readable() {
             return Duration::ZERO;
         }
-        let check_due = self.check.next_due();
+        let check_due = self.connection_check.next_due();
         let due = self
             .dispatcher
             .next_due()
@@ -121,12 +124,12 @@
             .map_or(timeout, |until_tick| until_tick.min(timeout))
     }
 
-    /// Handles the events of one poll, and what is due after them.
+    /// Handles the events of one poll, then the timers that are due.
     fn handle(&mut self, events: &Events) {
         self.dispatcher.set_now(self.clock.now());
-        // The timer runs before datagrams are read: after the process was suspended (SIGSTOP, a pause of the
-        // virtual machine), the timer extends its timeouts by the gap. Otherwise members whose
-        // acknowledgements are still queued in the socket would be suspected.
+        // The membership timer runs before datagrams are read. After the process was suspended (SIGSTOP, a
+        // paused virtual machine), the timer extends its timeouts by the gap; otherwise the host would suspect
+        // members whose acknowledgements are still queued in the socket.
         self.membership.tick();
         for event in events {
             let readable = event.is_readable() || event.is_error() || event.is_read_closed();
@@ -165,7 +168,8 @@
         }
     }
 
-    /// What is due after the events of one poll.
+    /// Runs the work that follows the events of each poll: accepts clients, resumes reads, runs timers and
+    /// flushes.
     fn after_events(&mut self) {
         self.accept_clients();
         self.resume_reads();
@@ -176,7 +180,7 @@
         self.publish_versions();
         self.dispatcher.maintain_catalog();
         self.flush();
-        // A connection that failed while it was written to has ended attempts.
+        // Attempts end when the flush fails their connection; the scheduler must be told.
         self.dispatcher.process_pending(&mut self.scheduler);
     }
 
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Each socket with more to read has one turn.
+    /// Reads once from each socket that is queued for another read.
     fn resume_reads(&mut self) {
         for _ in 0..self.pending_reads.len() {
             match self.pending_reads.next() {
@@ -208,7 +212,7 @@
             self.endpoint_list.watch(now);
             self.apply_endpoint_updates();
         }
-        if self.check.take_due(now) {
+        if self.connection_check.take_due(now) {
             self.dispatcher.check_connections();
             self.endpoint_list.on_timer(now);
             self.listener.mark_ready();
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Writes what waits for nodes and clients.
+    /// Writes queued bytes to nodes and clients, and queues reads of the clients that may be read from again.
     fn flush(&mut self) {
         for client in self.dispatcher.flush() {
             self.pending_reads.add(PendingRead::Client(client));
@@ -284,7 +288,7 @@
         self.plans.update_quotas(&mut self.scheduler, volumes, now);
     }
 
-    /// Tells the fleet's membership which versions this host acts on.
+    /// Publishes the active versions of the endpoint list and plans through fleet membership.
     fn publish_versions(&mut self) {
         let plans = self.plans.state().map_or(0, |state| state.version);
         self.membership.publish(ActiveVersions {
--- a/crates/iscsi-host/src/event_loop/apply_plans.rs
+++ b/crates/iscsi-host/src/event_loop/apply_plans.rs
@@ -1,4 +1,4 @@
-//! Applies plans: replicated ones, cached ones, and those of a configuration that is read anew.
+//! Applies plans from the plan service, from the cache, or from a reloaded configuration.
 use super::EventLoop;
 use crate::scheduler_config;
 use mallowseam_files::text_file::{FileError, read_configuration};
@@ -6,26 +6,28 @@
 use mallowseam_settings::reload::{self, ReloadOutcome, RestartRequired};
 use std::path::Path;
 
-/// Why plans cannot be applied.
+/// Reason for which plans cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApplyError {
-    #[error("plans come from the control service: see `mallowseam plan`")]
+    /// The configuration cannot change plans that a plan service replicates.
+    #[error("plans are replicated from the plan service; change them with `mallowseam plan`")]
     Replicated,
     #[error(transparent)]
     File(#[from] FileError),
-    /// A replicated state lacks a volume of this host.
+    /// A replicated state assigns no plan to a volume of this host.
     #[error("volume {0} has no plan")]
     NoPlan(String),
-    /// The configuration differs in more than its plans, a line each.
+    /// The configuration differs from the running one in more than its plans; one line per difference.
     #[error(transparent)]
     NeedsRestart(RestartRequired),
-    /// The replicated plans cannot be applied without a restart.
+    /// The replicated plans cannot be applied without a restart; the differences are on one line.
     #[error("{}", .0.to_string().replace('\n', "; "))]
     Rejected(RestartRequired),
 }
 
 impl EventLoop {
-    /// Applies the cached plans, which are in effect until the plan service sends a newer state.
+    /// Applies the cached plans, if there are any. They are in effect until the plan service sends a newer
+    /// state.
     pub(super) fn apply_cached_plans(&mut self) {
         let cached = self.plans.state().filter(|state| state.version > 0);
         match cached.map(|state| self.check_state(state)) {
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Reads what the plan service has sent. A new state is applied or rejected.
+    /// Reads from the plan service and applies or rejects a new state.
     pub(super) fn read_plans(&mut self) {
         let now = self.dispatcher.now();
         if self.plans.read(&mut self.read_buffer, now) {
@@ -57,7 +59,7 @@
         self.update_quotas();
     }
 
-    /// What is to be applied of a replicated state.
+    /// Returns the plan changes that a replicated state makes to the running configuration.
     fn check_state(&self, state: &State) -> Result<ReloadOutcome, ApplyError> {
         let mut wanted = self.config.clone();
         wanted.plans = state
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Applies the plans of a configuration that differs from the running one in nothing else. Returns what
-    /// has changed.
+    /// Reloads a configuration file that may differ from the running configuration in its plans only. Returns
+    /// a summary of the changes.
     pub(super) fn reload(&mut self, file: &str) -> Result<String, ApplyError> {
         if self.plans.is_replicated() {
             return Err(ApplyError::Replicated);
--- a/crates/iscsi-host/src/event_loop/demand_meter.rs
+++ b/crates/iscsi-host/src/event_loop/demand_meter.rs
@@ -1,4 +1,4 @@
-//! What clients request of each volume, measured period by period.
+//! Measures the rate of units that clients request from each volume.
 #[cfg(test)]
 mod tests;
 
@@ -6,49 +6,49 @@
 use mallowseam_plans::MilliUnits;
 use mallowseam_scheduler::interface::Tick;
 
-/// Ticks between two measurements.
+/// Minimum interval between measurements, in ticks.
 const PERIOD: Tick = 2_500;
 const TICKS_PER_SECOND: f64 = 10_000.0;
-/// `MilliUnits` in a unit.
-const THOUSANDTHS: f64 = 1000.0;
+/// Milli-units in a unit.
+const MILLI_UNITS_PER_UNIT: f64 = 1000.0;
 
-/// What clients request of each volume.
+/// Requested rate of each volume over the last measurement period.
 pub(super) struct DemandMeter {
-    /// Thousandths of units a second in the last period.
+    /// Requested rate of each volume in the last period, in milli-units a second.
     rates: Vec<MilliUnits>,
-    /// When the present period began.
-    began: Tick,
-    /// Units that were requested of each volume before it.
+    /// Start of the current period.
+    period_start: Tick,
+    /// Units requested from each volume before the current period.
     requested_before: Vec<f64>,
 }
 
 impl DemandMeter {
-    /// The first period begins with the host.
+    /// Creates a meter for `volumes` volumes, whose first period starts at tick 0, when the host starts.
     pub(super) fn new(volumes: usize) -> Self {
         DemandMeter {
             rates: vec![0; volumes],
-            began: 0,
+            period_start: 0,
             requested_before: vec![0.0; volumes],
         }
     }
 
-    /// Thousandths of units a second in the last period, by volume.
+    /// Returns the requested rate of each volume in the last period, in milli-units a second.
     pub(super) fn rates(&self) -> &[MilliUnits] {
         &self.rates
     }
 
-    /// Ends a period that is over. True: the rates are new.
+    /// Ends the current period if it is over. Returns whether the rates were updated.
     pub(super) fn measure(&mut self, now: Tick, volumes: &[VolumeMetrics]) -> bool {
-        if now < self.began + PERIOD {
+        if now < self.period_start + PERIOD {
             return false;
         }
-        let seconds = (now - self.began) as f64 / TICKS_PER_SECOND;
+        let seconds = (now - self.period_start) as f64 / TICKS_PER_SECOND;
         let before = self.requested_before.iter_mut();
         for ((rate, before), volume) in self.rates.iter_mut().zip(before).zip(volumes) {
-            *rate = ((volume.requested - *before) / seconds * THOUSANDTHS) as MilliUnits;
+            *rate = ((volume.requested - *before) / seconds * MILLI_UNITS_PER_UNIT) as MilliUnits;
             *before = volume.requested;
         }
-        self.began = now;
+        self.period_start = now;
         true
     }
 }
--- a/crates/iscsi-host/src/event_loop/demand_meter/tests.rs
+++ b/crates/iscsi-host/src/event_loop/demand_meter/tests.rs
@@ -1,4 +1,4 @@
-//! Rates of a period.
+//! Tests of the rates that a demand meter reports for a period.
 use super::{DemandMeter, PERIOD};
 use crate::metrics::VolumeMetrics;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_rate_is_what_was_requested_within_the_period() {
+fn a_rate_counts_the_units_requested_within_its_period_only() {
     let mut meter = DemandMeter::new(1);
     assert!(!meter.measure(PERIOD - 1, &requested(5.0)));
     assert_eq!(meter.rates(), [0]);
--- a/crates/iscsi-host/src/event_loop/host_status.rs
+++ b/crates/iscsi-host/src/event_loop/host_status.rs
@@ -1,4 +1,4 @@
-//! The host's status, as operators get it.
+//! Collects the status report of the host for operators.
 use super::EventLoop;
 use crate::metrics::{ClassMetrics, NodeMetrics};
 use crate::status::{ClassStatus, NodeStatus, PlanStatus, Status, VolumeStatus};
@@ -11,7 +11,7 @@
 const TICKS_PER_MILLI: f64 = 10.0;
 
 impl EventLoop {
-    /// State and counters of the host.
+    /// Returns the state and counters of the host.
     pub(super) fn status(&self) -> Status {
         let config = &self.config;
         let dispatcher = &self.dispatcher;
--- a/crates/iscsi-host/src/event_loop/listener.rs
+++ b/crates/iscsi-host/src/event_loop/listener.rs
@@ -1,19 +1,20 @@
-//! The listener that clients connect to.
+//! Listener for client connections.
 use mallowseam_control_protocol::startup::{self, StartError};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Poll, Token};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Accepts connections of clients.
+/// Accepts client connections.
 pub(super) struct ClientListener {
     socket: TcpListener,
-    /// There may be connections to accept.
+    /// Whether there may be connections to accept.
     ready: bool,
 }
 
 impl ClientListener {
-    /// Listens on an address. Also returns the address that it has got, with its port.
+    /// Listens on an address. Also returns the bound address, with the port that the system chose if the
+    /// configured port is 0.
     pub(super) fn open(
         address: SocketAddr,
         poll: &Poll,
@@ -30,12 +31,12 @@
         Ok((listener, bound))
     }
 
-    /// There may be connections to accept.
+    /// Records that there may be connections to accept.
     pub(super) fn mark_ready(&mut self) {
         self.ready = true;
     }
 
-    /// The next connection, if there may be any. None ends the turn.
+    /// Accepts the next connection. Returns `None` when there is none left or accepting fails.
     pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr)> {
         while self.ready {
             match self.socket.accept() {
--- a/crates/iscsi-host/src/event_loop/membership.rs
+++ b/crates/iscsi-host/src/event_loop/membership.rs
@@ -1,4 +1,4 @@
-//! The host's part in the fleet's membership.
+//! Fleet membership of the host.
 use super::sources::MEMBERSHIP;
 use crate::error::Error;
 use mallowseam_fleet::record::ActiveVersions;
@@ -7,10 +7,10 @@
 use mio::Poll;
 use std::time::Duration;
 
-/// The membership service, where the configuration has one.
+/// The membership protocol of the fleet; inactive if the configuration names no fleet.
 pub(super) struct Membership {
     service: Option<Box<UdpMembership>>,
-    /// There may be datagrams to read.
+    /// Whether there may be datagrams to read.
     readable: bool,
 }
 
@@ -27,51 +27,51 @@
         })
     }
 
-    /// Runs its timers.
+    /// Runs the timers of the membership protocol.
     pub(super) fn tick(&mut self) {
         if let Some(service) = &mut self.service {
             service.tick();
         }
     }
 
-    /// How long it may wait for its next tick.
+    /// Returns the time until the next [`tick`](Self::tick) is due.
     pub(super) fn time_until_tick(&self) -> Option<Duration> {
         let service = self.service.as_ref()?;
         Some(Duration::from_millis(service.millis_until_tick()))
     }
 
-    /// There may be datagrams to read.
+    /// Records that there may be datagrams to read.
     pub(super) fn mark_readable(&mut self) {
         self.readable = true;
     }
 
-    /// Whether there may be datagrams to read.
+    /// Returns whether there may be datagrams to read.
     pub(super) fn is_readable(&self) -> bool {
         self.readable
     }
 
-    /// Reads datagrams, if there may be any, for one turn.
+    /// Reads a bounded number of datagrams, if there may be any.
     pub(super) fn read(&mut self) {
         if let Some(service) = self.service.as_mut().filter(|_| self.readable) {
             self.readable = service.on_readable();
         }
     }
 
-    /// Tells the fleet which versions this host acts on.
+    /// Publishes the active versions of this host to the fleet.
     pub(super) fn publish(&mut self, versions: ActiveVersions) {
         if let Some(service) = &mut self.service {
             service.set_active_versions(versions);
         }
     }
 
-    /// Tells the fleet that this host is about to leave.
+    /// Announces to the fleet that this host is leaving.
     pub(super) fn announce_leaving(&mut self) {
         if let Some(service) = &mut self.service {
             service.announce_leaving();
         }
     }
 
-    /// Tells the fleet that this host has left.
+    /// Announces to the fleet that this host has left.
     pub(super) fn announce_left(&mut self) {
         if let Some(service) = &mut self.service {
             service.announce_left();
--- a/crates/iscsi-host/src/event_loop/open.rs
+++ b/crates/iscsi-host/src/event_loop/open.rs
@@ -1,4 +1,4 @@
-//! Opens what a host needs: sockets, services that it follows, its scheduler.
+//! Opens the sockets and service clients of a host, and creates its scheduler.
 use super::listener::ClientListener;
 use super::membership::Membership;
 use super::pending_reads::PendingReads;
@@ -8,7 +8,7 @@
     CATALOG, CONTROL, ENDPOINT_LIST, FIRST_CONTROL_CONNECTION, FIRST_NODE, LISTENER, SIGNALS,
     first_client,
 };
-use super::{CHECK_PERIOD, EventLoop};
+use super::{CONNECTION_CHECK_INTERVAL, EventLoop};
 use crate::catalog_client::CatalogClient;
 use crate::client_connections::Clients;
 use crate::dispatcher::Dispatcher;
@@ -30,11 +30,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Bytes read from a socket in one go; each ready socket has its turn.
-const READ_BUFFER: usize = 128 * 1024;
+/// Size of the read buffer, in bytes. Bounds one read, so that every ready socket is served in turn.
+const READ_BUFFER_BYTES: usize = 128 * 1024;
 
 impl EventLoop {
-    /// Opens a host. It handles nothing before [`start`](EventLoop::start).
+    /// Opens the sockets of a host. No event is handled before [`start`](EventLoop::start).
     pub(super) fn open(config: GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let address = startup::validated_address(config.host.listen);
         let (listener, bound) = ClientListener::open(address, poll, LISTENER)?;
@@ -66,15 +66,15 @@
             control,
             shutdown,
             pending_reads: PendingReads::default(),
-            read_buffer: vec![0; READ_BUFFER],
-            check: PeriodicTimer::new(CHECK_PERIOD, 0),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            connection_check: PeriodicTimer::new(CONNECTION_CHECK_INTERVAL, 0),
             clock,
             config,
         })
     }
 }
 
-/// What every session is negotiated with.
+/// Returns the parameters that the host proposes in every login, to clients and to nodes.
 fn session_proposal(config: &GatewayConfig) -> ProposedParams {
     let digests = Digests {
         header: config.host.header_digest,
@@ -116,7 +116,7 @@
     ))
 }
 
-/// The catalog's client, where the configuration has a catalog and a volume of the host is mapped.
+/// Opens the client of the snapshot catalog if the configuration has a catalog and a mapped volume.
 fn open_catalog_client(
     config: &GatewayConfig,
     poll: &Poll,
--- a/crates/iscsi-host/src/event_loop/operator.rs
+++ b/crates/iscsi-host/src/event_loop/operator.rs
@@ -2,7 +2,7 @@
 use super::EventLoop;
 
 impl EventLoop {
-    /// Closes the host to new logins. False: it was closed before. `cause`: for the log.
+    /// Closes the host to new logins. Returns whether it was open before. `cause` is logged.
     pub(super) fn drain(&mut self, cause: &str) -> bool {
         let drained = self.dispatcher.drain();
         if drained && self.shutdown.is_requested() {
@@ -14,7 +14,7 @@
         drained
     }
 
-    /// Handles a line on the control socket; the answer.
+    /// Handles a line on the control socket and returns the answer.
     pub(super) fn on_request(&mut self, line: &str) -> String {
         match line {
             "status" => {
--- a/crates/iscsi-host/src/event_loop/plans.rs
+++ b/crates/iscsi-host/src/event_loop/plans.rs
@@ -1,4 +1,4 @@
-//! Replicated plans and quotas of their limits.
+//! Replicated plans, and the quotas of this host.
 use super::demand_meter::DemandMeter;
 use super::sources::PLANS;
 use crate::error::Error;
@@ -16,22 +16,23 @@
 use mio::Poll;
 use rand::Rng;
 
-/// `MilliUnits` in a unit.
-const THOUSANDTHS: f64 = 1000.0;
-/// Values that the jitter of a reconnect may have.
+/// Milli-units in a unit.
+const MILLI_UNITS_PER_UNIT: f64 = 1000.0;
+/// Number of different values of the reconnect jitter.
 const JITTER_RANGE: u64 = 1_000;
 
-/// The plans that a plan service replicates to the host, and the host's quotas.
+/// Plans that the plan service replicates to this host, and this host's quotas.
 pub(super) struct ReplicatedPlans {
-    /// None: the plans are those of the configuration.
+    /// `None` if the plans are those of the configuration.
     replication: Option<PlanReplication>,
-    /// The quotas that the scheduler keeps to, by volume.
+    /// Quota of each volume that the scheduler enforces; `None` if the scheduler enforces none.
     quotas: Vec<Option<MilliUnits>>,
     demand: DemandMeter,
 }
 
 impl ReplicatedPlans {
-    /// The replica of the plans, where the configuration names a plan service. It does not connect yet.
+    /// Creates the replica of the plans if the configuration names a plan service. The replica does not connect
+    /// yet.
     pub(super) fn open(config: &GatewayConfig, poll: &Poll) -> Result<Self, Error> {
         let replication = match config.host.plan_service {
             Some(address) => Some(PlanReplication::new(
@@ -52,28 +53,28 @@
         })
     }
 
-    /// Whether a plan service decides the plans.
+    /// Returns whether the plans come from a plan service.
     pub(super) fn is_replicated(&self) -> bool {
         self.replication.is_some()
     }
 
-    /// The state that the host acts on; none: there is no plan service.
+    /// Returns the state that the host acts on, or `None` if there is no plan service.
     pub(super) fn state(&self) -> Option<&State> {
         let replication = self.replication.as_ref()?;
         Some(replication.replica().state())
     }
 
-    /// The state that the host is to act on next.
+    /// Returns the state that the host is to apply next.
     pub(super) fn pending_state(&self) -> Option<&State> {
         self.replication.as_ref()?.replica().pending()
     }
 
-    /// The quota of a volume in units a second; none where its limit is not replicated.
+    /// Returns the quota of a volume, in units a second, or `None` if the volume has no replicated limit.
     pub(super) fn quota(&self, volume: usize) -> Option<f64> {
         self.quotas[volume].map(units_per_second)
     }
 
-    /// Reads what the plan service has sent. True: a new state is to be applied.
+    /// Reads from the plan service. Returns whether there is a new state to apply.
     pub(super) fn read(&mut self, buffer: &mut [u8], now: Tick) -> bool {
         let rates = self.demand.rates();
         self.replication
@@ -81,22 +82,22 @@
             .is_some_and(|replication| replication.on_ready(buffer, rates, ticks_to_millis(now)))
     }
 
-    /// The host acts on the pending state.
+    /// Records that the host has applied the pending state.
     pub(super) fn accept_pending(&mut self, now: Tick) {
         if let Some(replication) = &mut self.replication {
             replication.accept(ticks_to_millis(now));
         }
     }
 
-    /// The host cannot act on the pending state.
+    /// Records that the host cannot apply the pending state.
     pub(super) fn reject_pending(&mut self, reason: &str) {
         if let Some(replication) = &mut self.replication {
             replication.reject(reason);
         }
     }
 
-    /// Measures what clients request, reports it to the plan service, and has the scheduler keep to this
-    /// host's quotas.
+    /// Measures the demand of clients for the reports to the plan service, and passes changed quotas to the
+    /// scheduler.
     pub(super) fn update_quotas(
         &mut self,
         scheduler: &mut Scheduler,
@@ -129,5 +130,5 @@
 }
 
 fn units_per_second(quota: MilliUnits) -> f64 {
-    quota as f64 / THOUSANDTHS
+    quota as f64 / MILLI_UNITS_PER_UNIT
 }
--- a/crates/iscsi-host/src/event_loop/shutdown.rs
+++ b/crates/iscsi-host/src/event_loop/shutdown.rs
@@ -1,13 +1,15 @@
-//! Signals and operators that request the host to stop.
+//! Requests to stop the host, by signals and operators.
 use mallowseam_control_protocol::startup::{self, StartError};
 use mio::net::UnixStream;
 use mio::{Poll, Token};
 use std::io::Read;
 
-/// Requests to stop. The first one ends the host once nothing is in flight, the second at once.
+/// Requests to stop the host. The first request stops the host once no client is connected and nothing is in
+/// flight, a second one immediately.
 pub(super) struct ShutdownRequests {
-    /// A byte comes for each signal.
+    /// Socket that receives one byte for each signal.
     signals: UnixStream,
+    /// Number of requests so far.
     count: usize,
 }
 
@@ -19,7 +21,7 @@
         })
     }
 
-    /// Counts signals that have arrived. False: there are no more.
+    /// Reads and counts signals. Returns whether any were read.
     pub(super) fn read_signals(&mut self) -> bool {
         match self.signals.read(&mut [0; 16]) {
             Ok(count) => {
@@ -30,17 +32,17 @@
         }
     }
 
-    /// An operator requests the host to stop.
+    /// Counts a request by an operator.
     pub(super) fn request(&mut self) {
         self.count += 1;
     }
 
-    /// The host was requested to stop.
+    /// Returns whether a stop was requested.
     pub(super) fn is_requested(&self) -> bool {
         self.count > 0
     }
 
-    /// The host was requested to stop at once.
+    /// Returns whether an immediate stop was requested.
     pub(super) fn is_immediate(&self) -> bool {
         self.count > 1
     }
--- a/crates/iscsi-host/src/event_loop/sources.rs
+++ b/crates/iscsi-host/src/event_loop/sources.rs
@@ -1,4 +1,4 @@
-//! What the event loop polls, and the token of each source.
+//! Event sources that the event loop polls, and their tokens.
 #[cfg(test)]
 mod tests;
 
@@ -14,41 +14,41 @@
 pub(super) const CATALOG: Token = Token(4);
 pub(super) const PLANS: Token = Token(5);
 pub(super) const MEMBERSHIP: Token = Token(6);
-/// First token of connections to the control socket.
+/// First token of connections to the control socket. Their number is bounded.
 pub(super) const FIRST_CONTROL_CONNECTION: usize = 7;
-/// First token of connections to nodes; those of clients follow.
+/// First token of connections to nodes. Tokens of client connections follow.
 pub(super) const FIRST_NODE: usize = FIRST_CONTROL_CONNECTION + control_socket::MAX_CONNECTIONS;
 
-/// First token of connections of clients, for a configuration with so many nodes.
+/// Returns the first token of client connections. `nodes`: number of configured nodes.
 pub(super) fn first_client(nodes: usize) -> usize {
     FIRST_NODE + nodes
 }
 
-/// What is ready.
+/// An event source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// A client connects.
+    /// The listener for clients.
     Listener,
-    /// An operator connects.
+    /// The control socket, to which operators connect.
     Control,
     /// The connection to the endpoint list service.
     EndpointList,
-    /// SIGTERM or SIGINT has arrived.
+    /// The socket that reports SIGTERM and SIGINT.
     Signals,
     /// The connection to the snapshot catalog.
     Catalog,
     /// The connection to the plan service.
     Plans,
-    /// The fleet's membership.
+    /// The datagram socket of fleet membership.
     Membership,
-    /// An operator's connection.
+    /// The connection of an operator to the control socket.
     ControlConnection(ConnectionId),
     Node(NodeIndex),
     Client(ClientId),
 }
 
 impl Source {
-    /// The source with a token, for a configuration with so many nodes.
+    /// Returns the source with a token. `nodes`: number of configured nodes.
     pub(super) fn of_token(token: Token, nodes: usize) -> Source {
         let first_client = first_client(nodes);
         match token {
--- a/crates/iscsi-host/src/event_loop/sources/tests.rs
+++ b/crates/iscsi-host/src/event_loop/sources/tests.rs
@@ -1,9 +1,9 @@
-//! Tokens and sources.
+//! Tests of the mapping from tokens to event sources.
 use super::{FIRST_CONTROL_CONNECTION, FIRST_NODE, LISTENER, MEMBERSHIP, Source, first_client};
 use mio::Token;
 
 #[test]
-fn tokens_of_connections_follow_each_other_without_overlap() {
+fn tokens_of_control_node_and_client_connections_do_not_overlap() {
     let nodes = 3;
     let source = |token: usize| Source::of_token(Token(token), nodes);
     assert_eq!(Source::of_token(LISTENER, nodes), Source::Listener);
--- a/crates/iscsi-host/src/socket_io.rs
+++ b/crates/iscsi-host/src/socket_io.rs
@@ -1,12 +1,13 @@
-//! Reads and writes of connections, without blocking.
+//! Non-blocking reads and writes of connections.
 use mallowseam_iscsi::frame::SendBuffer;
 pub use mallowseam_sockets::nonblocking::{ConnectionError, ReadOutcome, read, write_buffer};
 use std::io::Write;
 
-/// Writes what waits for an iSCSI connection, as far as its socket takes it; how many bytes were written.
+/// Writes the unsent bytes of an iSCSI connection until its socket would block. Returns the number of bytes
+/// written.
 ///
 /// # Errors
-/// The connection is of no further use.
+/// The socket reports an error; the connection must be closed.
 pub fn write(socket: &mut impl Write, out: &mut SendBuffer) -> Result<usize, ConnectionError> {
     let mut total = 0;
     while !out.unsent().is_empty() {
