--- a/crates/iscsi-host/src/client_connections.rs
+++ b/crates/iscsi-host/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients. `login`: their logins.
+//! Connections of clients. `login` passes their logins to the admission controller.
 mod login;
 
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
@@ -15,10 +15,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Index of a client's connection.
+/// Index of a client connection.
 pub type ClientId = u32;
 
-/// A command of a client that was not answered yet.
+/// A command of a client that is not answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightCommand {
     /// The initiator task tag.
@@ -27,14 +27,14 @@
     pub command: u32,
 }
 
-/// Why the connection of a client was closed.
+/// Reason for which the connection of a client was closed.
 #[derive(Debug, thiserror::Error)]
 enum Disconnect {
     #[error(transparent)]
     Socket(#[from] ConnectionError),
     #[error("{0}")]
     Protocol(String),
-    #[error("logged out")]
+    #[error("the client has logged out")]
     LoggedOut,
     #[error("the same client has logged in again")]
     Replaced,
@@ -45,16 +45,17 @@
 struct Client {
     socket: TcpStream,
     peer: SocketAddr,
-    /// The initiator's name; none before the login.
+    /// Name of the initiator; `None` before the login.
     name: Option<String>,
     conn: TargetConnection,
-    /// It is among those to be flushed.
+    /// Whether the client is in `Clients::dirty`.
     dirty: bool,
+    /// Whether the socket may have data to read.
     readable: bool,
     commands: Vec<InFlightCommand>,
 }
 
-/// The connections of all clients.
+/// Connections of all clients.
 pub struct Clients {
     all: Slab<Client>,
     /// Decides who may connect, log in and send commands.
@@ -62,16 +63,16 @@
     target_config: Rc<TargetConfig>,
     registry: Registry,
     first_token: usize,
-    /// Clients with something to write.
+    /// Clients that the next flush writes to.
     dirty: Vec<ClientId>,
-    /// Commands in flight on connections that have closed.
+    /// Commands that were in flight on closed connections, one entry for each connection.
     abandoned: Vec<Vec<InFlightCommand>>,
-    /// Connections that another one has taken over.
+    /// Connections that a new login of the same client has replaced, still to be closed.
     replaced: Vec<ClientId>,
 }
 
 impl Clients {
-    /// No clients; their connections get tokens from `first_token` on.
+    /// Creates an empty table. `first_token`: token of the connection with index 0; the others follow in order.
     #[must_use]
     pub fn new(
         admission: AdmissionController,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes a connection that was accepted, unless there are too many.
+    /// Adds an accepted connection. Closes it instead if there are too many.
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
         let conn = TargetConnection::new(Rc::clone(&self.target_config));
@@ -121,23 +122,23 @@
             readable: false,
             commands: Vec::new(),
         });
-        tracing::debug!(%peer, client = id, "connection opened");
+        tracing::debug!(%peer, client = id, "client connection opened");
     }
 
-    /// Whether a connection is open.
+    /// Returns whether a connection is open.
     #[must_use]
     pub fn is_open(&self, id: ClientId) -> bool {
         self.all.get(id).is_some()
     }
 
-    /// A client's socket is ready, to be read if `readable`, and to be written in any case.
-    /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
+    /// Handles readiness of a client's socket: it may be written to and, if `readable`, read from. Reads once.
+    /// Returns whether there may be more to read, for which the caller calls [`read`](Self::read).
     pub fn on_ready(&mut self, id: ClientId, readable: bool, buffer: &mut [u8], now: Tick) -> bool {
         self.mark_ready(id, readable);
         self.read(id, buffer, now)
     }
 
-    /// As [`on_ready`](Self::on_ready), but leaves it to the caller to read.
+    /// Records readiness of a client's socket like [`on_ready`](Self::on_ready), but does not read.
     pub fn mark_ready(&mut self, id: ClientId, readable: bool) {
         if let Some(client) = self.all.get_mut(id) {
             client.readable |= readable;
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Reads once, unless the client has to read its answers first. True: there may be more to read.
+    /// Reads once from a client, unless too many answers to it are unsent. Returns whether there may be more to
+    /// read.
     pub fn read(&mut self, id: ClientId, buffer: &mut [u8], now: Tick) -> bool {
         let Some(client) = self.all.get_mut(id) else {
             return false;
@@ -168,9 +170,9 @@
                 self.mark_dirty(id);
                 match received {
                     Ok(()) => return true,
-                    Err(fault) => {
+                    Err(error) => {
                         self.flush_client(id, now);
-                        self.close(id, &Disconnect::Protocol(fault.to_string()));
+                        self.close(id, &Disconnect::Protocol(error.to_string()));
                     }
                 }
             }
@@ -179,12 +181,12 @@
         false
     }
 
-    /// The next event of a client's session.
+    /// Takes the next event of a client's session.
     pub fn next_event(&mut self, id: ClientId) -> Option<TargetEvent> {
         self.all.get_mut(id)?.conn.next_event()
     }
 
-    /// A client has logged in. The connection that it has taken over is closed.
+    /// Records that a client has logged in. Closes the connection that the login has replaced, if any.
     pub fn on_login(&mut self, id: ClientId, name: String) {
         if let Some(client) = self.all.get_mut(id) {
             tracing::info!(peer = %client.peer, name, "client logged in");
@@ -193,28 +195,28 @@
         self.close_replaced();
     }
 
-    /// A command of a client is in flight.
+    /// Records a command of a client as in flight.
     pub fn add_command(&mut self, id: ClientId, command: InFlightCommand) {
         if let Some(client) = self.all.get_mut(id) {
             client.commands.push(command);
         }
     }
 
-    /// A command of a client was answered.
+    /// Records that a command of a client was answered.
     pub fn remove_command(&mut self, id: ClientId, task: u32) {
         if let Some(client) = self.all.get_mut(id) {
             client.commands.retain(|command| command.task != task);
         }
     }
 
-    /// A client has aborted a command: takes it off those in flight.
+    /// Removes a command that its client has aborted from the commands in flight, and returns it.
     pub fn abort_command(&mut self, id: ClientId, task: u32) -> Option<InFlightCommand> {
         let commands = &mut self.all.get_mut(id)?.commands;
         let position = commands.iter().position(|command| command.task == task)?;
         Some(commands.swap_remove(position))
     }
 
-    /// The session to answer in; what is put there is written by the next flush.
+    /// Returns the session of a client. The next flush writes the answers that the caller puts into it.
     pub fn session_mut(&mut self, id: ClientId) -> Option<&mut TargetConnection> {
         self.mark_dirty(id);
         self.all.get_mut(id).map(|client| &mut client.conn)
@@ -243,7 +245,8 @@
         }
     }
 
-    /// Writes what waits. Returns the clients that have read enough of it to be read from again.
+    /// Writes the queued bytes to all clients. Returns the clients that may have sent more data and have few
+    /// enough unsent answers to be read from again.
     pub fn flush(&mut self, now: Tick) -> Vec<ClientId> {
         let mut resumed = Vec::new();
         while let Some(id) = self.dirty.pop() {
@@ -270,19 +273,19 @@
         }
     }
 
-    /// Closes connections that a new login has taken over.
+    /// Closes the connections that a new login of the same client has replaced.
     pub fn close_replaced(&mut self) {
         while let Some(id) = self.replaced.pop() {
             self.close(id, &Disconnect::Replaced);
         }
     }
 
-    /// The commands that were in flight on the next connection that has closed.
+    /// Takes the commands that were in flight on a closed connection, one connection at a time.
     pub fn next_abandoned(&mut self) -> Option<Vec<InFlightCommand>> {
         self.abandoned.pop()
     }
 
-    /// Whether there are commands that `next_abandoned` has not returned yet.
+    /// Returns whether `next_abandoned` has commands of another connection to return.
     #[must_use]
     pub fn has_abandoned(&self) -> bool {
         !self.abandoned.is_empty()
@@ -313,26 +316,27 @@
         }
     }
 
-    /// Closes the host to new logins and asks every client to log out. False: that was done before.
+    /// Closes the host to new logins and asks every client to log out. Returns whether the host was open to
+    /// logins before.
     pub fn drain(&mut self, now: Tick) -> bool {
         if !self.admission.start_draining(ticks_to_millis(now)) {
             return false;
         }
-        let within = self.admission.logout_seconds();
+        let logout_seconds = self.admission.logout_seconds();
         for id in self.all.indices() {
             if let Some(client) = self
                 .all
                 .get_mut(id)
                 .filter(|client| client.conn.is_logged_in())
             {
-                client.conn.request_logout(within);
+                client.conn.request_logout(logout_seconds);
                 self.mark_dirty(id);
             }
         }
         true
     }
 
-    /// Bytes buffered for all clients.
+    /// Returns the number of bytes buffered for all clients.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.all
--- a/crates/iscsi-host/src/client_connections/login.rs
+++ b/crates/iscsi-host/src/client_connections/login.rs
@@ -1,25 +1,25 @@
-//! Logins of clients, as the admission controller decides them.
+//! Passes logins of clients to the admission controller.
 use super::ClientId;
 use mallowseam_connection_policy::admission::{AdmissionController, LoginRejection};
 use mallowseam_iscsi::login::{LoginIdentity, LoginPolicy, LoginStatus};
 
-/// Passes a login to the admission controller.
+/// Login policy of one connection, which the admission controller decides.
 pub(super) struct LoginAdmission<'a> {
     pub(super) admission: &'a mut AdmissionController,
     pub(super) client: ClientId,
-    /// Connections that a login has taken over.
+    /// Receives the connections that a login replaces.
     pub(super) replaced: &'a mut Vec<ClientId>,
 }
 
 impl LoginPolicy for LoginAdmission<'_> {
-    fn admit(&mut self, who: &LoginIdentity) -> Result<u16, LoginStatus> {
+    fn admit(&mut self, identity: &LoginIdentity) -> Result<u16, LoginStatus> {
         let index = self.client as usize;
         let session = self.admission.login(
             index,
-            &who.initiator,
-            who.target.as_deref(),
-            who.isid,
-            who.tsih,
+            &identity.initiator,
+            identity.target.as_deref(),
+            identity.isid,
+            identity.tsih,
         );
         let session = session.map_err(|rejection| match rejection {
             LoginRejection::NoSuchTarget => LoginStatus::NOT_FOUND,
--- a/crates/iscsi-host/src/node_connections.rs
+++ b/crates/iscsi-host/src/node_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the storage nodes, one a node (`node`). A connection is opened by the first attempt that
-//! needs it; attempts wait for its login in a queue that their own timeouts bound.
+//! Connections to storage nodes, one for each node (`node`). A connection is opened when an attempt needs it.
+//! Attempts are queued until the login is complete; their own timeouts bound the wait.
 mod node;
 
 use crate::socket_io::ConnectionError;
@@ -18,7 +18,7 @@
 /// Index of a node in the configuration.
 pub type NodeIndex = usize;
 
-/// Why a connection to a node ended.
+/// Reason for which the connection to a node was closed.
 #[derive(Debug, thiserror::Error)]
 enum Disconnect {
     #[error(transparent)]
@@ -31,32 +31,33 @@
     Timeout(CloseReason),
 }
 
-/// What is sent for one attempt.
+/// Request that is sent to a node for one attempt.
 #[derive(Clone)]
 pub struct NodeRequest {
-    /// Unique among the attempts in flight.
+    /// Tag of the attempt, unique among the attempts in flight.
     pub tag: u32,
-    /// None: the unit that the configuration names.
+    /// LUN at the node; `None` for the LUN of the node in the configuration.
     pub lun: Option<u32>,
     /// The SCSI command.
     pub cdb: [u8; 16],
     /// Expected data-in length (RFC 7143, 11.3.4) in bytes.
     pub read_len: usize,
-    /// Bytes that are written.
+    /// Data to write.
     pub data: Payload,
 }
 
-/// How an attempt ended, with the data of a read.
+/// Result of an attempt, with the data of a read.
 pub struct FinishedAttempt {
-    /// The node that it went to.
+    /// The node of the attempt.
     pub node: NodeIndex,
-    /// The tag of its request.
+    /// Tag of the request.
     pub tag: u32,
-    /// How it came out.
+    /// Result for the scheduler.
     pub result: AttemptResult,
-    /// Rejected, as the unit is closed to writes: it has not run.
+    /// Whether the node rejected the command because the logical unit is write-protected. The command has not
+    /// run.
     pub write_protected: bool,
-    /// What was read.
+    /// Data that was read.
     pub data: Vec<u8>,
 }
 
@@ -72,21 +73,22 @@
     }
 }
 
-/// The connections to all nodes of the configuration.
+/// Connections to all nodes of the configuration.
 pub struct Nodes {
     all: Vec<Node>,
     initiator: String,
     proposal: ProposedParams,
     registry: Registry,
     first_token: usize,
-    /// Finished attempts that the owner has not taken yet.
+    /// Finished attempts that [`next_finished`](Self::next_finished) has not returned yet.
     finished: VecDeque<FinishedAttempt>,
-    /// Nodes with something to write.
+    /// Nodes that the next flush writes to.
     dirty: Vec<NodeIndex>,
 }
 
 impl Nodes {
-    /// Knows the nodes of a configuration; no connection is opened. Their tokens begin with `first_token`.
+    /// Creates the table of the configured nodes without opening connections. `first_token`: token of the first
+    /// node's connection; the others follow in order.
     pub fn new(
         nodes: &[config::Node],
         initiator: String,
@@ -105,53 +107,52 @@
         }
     }
 
-    /// How many nodes the configuration has.
+    /// Returns the number of configured nodes.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether the configuration has no nodes.
+    /// Returns whether the configuration has no nodes.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The node's name in the configuration.
+    /// Returns the name of a node in the configuration.
     pub fn name(&self, node: NodeIndex) -> &str {
         self.all[node].name()
     }
 
-    /// Whether the node's connection is logged in.
+    /// Returns whether the connection to a node is logged in.
     pub(crate) fn is_connected(&self, node: NodeIndex) -> bool {
         self.all[node].is_connected()
     }
 
-    /// The endpoint list has removed the node, or has it again.
+    /// Records whether the endpoint list has removed a node.
     pub(crate) fn set_removed(&mut self, node: NodeIndex, removed: bool) {
         self.all[node].policy_mut().set_node_removed(removed);
     }
 
-    /// The next attempt that has ended by itself.
+    /// Takes the next finished attempt. Cancelled attempts are not reported.
     pub fn next_finished(&mut self) -> Option<FinishedAttempt> {
         self.finished.pop_front()
     }
 
-    /// Whether there is a finished attempt that the owner has not taken yet.
+    /// Returns whether [`next_finished`](Self::next_finished) has another attempt to return.
     pub(crate) fn has_finished(&self) -> bool {
         !self.finished.is_empty()
     }
 
-    fn end(&mut self, node: NodeIndex, tag: u32, result: AttemptResult) {
+    fn finish(&mut self, node: NodeIndex, tag: u32, result: AttemptResult) {
         self.finished
             .push_back(FinishedAttempt::without_data(node, tag, result));
     }
 
-    /// Sends a request, or queues it for the login; a connection that is closed is opened if that may be
-    /// tried.
+    /// Sends a request, or queues it until the login is complete. Opens the connection if it is closed.
     pub fn submit(&mut self, index: NodeIndex, request: NodeRequest, now: Tick) {
         let tag = request.tag;
         match self.all[index].submit(request) {
             Submission::Sent => self.mark_dirty(index),
-            Submission::Rejected => self.end(index, tag, AttemptResult::Rejected),
+            Submission::Rejected => self.finish(index, tag, AttemptResult::Rejected),
             Submission::Queued => self.open_if_closed(index, now),
         }
     }
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Stops waiting for an attempt; one that was sent is aborted. True: it was never sent, so it has not
-    /// run.
+    /// Cancels an attempt; if its request was sent, the task is aborted. Returns whether the request was never
+    /// sent, so that it has not run.
     pub fn cancel(&mut self, index: NodeIndex, tag: u32, now: Tick) -> bool {
         match self.all[index].cancel(tag, now) {
             Cancellation::Unsent => true,
@@ -183,13 +184,13 @@
                 self.mark_dirty(index);
                 false
             }
-            Cancellation::Gone => false,
+            Cancellation::NotConnected => false,
         }
     }
 
     fn close(&mut self, index: NodeIndex) {
         for lost in self.all[index].close(&self.registry) {
-            self.end(index, lost.tag, lost.result);
+            self.finish(index, lost.tag, lost.result);
         }
     }
 
@@ -198,8 +199,8 @@
         self.close(index);
     }
 
-    /// The node's socket is ready, to be read if `readable`, and to be written in any case.
-    /// Reads once. True: there may be more to read, for which the caller calls [`read`](Self::read).
+    /// Handles readiness of a node's socket: it may be written to and, if `readable`, read from. Reads once.
+    /// Returns whether there may be more to read, for which the caller calls [`read`](Self::read).
     pub fn on_ready(
         &mut self,
         index: NodeIndex,
@@ -211,13 +212,13 @@
         self.read(index, buffer, now)
     }
 
-    /// As [`on_ready`](Self::on_ready), but leaves it to the caller to read.
+    /// Records readiness of a node's socket like [`on_ready`](Self::on_ready), but does not read.
     pub(crate) fn mark_ready(&mut self, index: NodeIndex, readable: bool) {
         self.all[index].mark_readable(readable);
         self.mark_dirty(index);
     }
 
-    /// Reads once. True: there may be more to read.
+    /// Reads once from a node. Returns whether there may be more to read.
     pub fn read(&mut self, index: NodeIndex, buffer: &mut [u8], now: Tick) -> bool {
         match self.all[index].read(buffer) {
             NodeRead::Nothing => {}
@@ -227,7 +228,7 @@
                 }
                 match received {
                     Ok(()) => return true,
-                    Err(fault) => self.disconnect(index, &Disconnect::Protocol(fault)),
+                    Err(error) => self.disconnect(index, &Disconnect::Protocol(error)),
                 }
             }
             NodeRead::Closed(e) => self.disconnect(index, &e.into()),
@@ -250,10 +251,10 @@
                 sense,
                 data,
                 ..
-            } => self.on_answer(index, tag, status, sense, data),
+            } => self.on_response(index, tag, status, sense, data),
             InitiatorEvent::CommandRejected { tag, reason } => {
                 tracing::warn!(node = node.name(), reason, "command rejected");
-                self.end(index, tag, AttemptResult::Error);
+                self.finish(index, tag, AttemptResult::Error);
             }
             InitiatorEvent::CommandAborted { .. } => {
                 node.policy_mut().abort_answered(ticks_to_millis(now));
@@ -267,7 +268,7 @@
         }
     }
 
-    fn on_answer(
+    fn on_response(
         &mut self,
         node: NodeIndex,
         tag: u32,
@@ -297,7 +298,7 @@
         });
     }
 
-    /// Writes what waits for the nodes.
+    /// Writes the queued bytes to all nodes.
     pub fn flush(&mut self) {
         while let Some(index) = self.dirty.pop() {
             if let Err(e) = self.all[index].flush() {
--- a/crates/iscsi-host/src/node_connections/node.rs
+++ b/crates/iscsi-host/src/node_connections/node.rs
@@ -1,4 +1,4 @@
-//! One storage node and the connection to it.
+//! A storage node and the connection to it.
 use super::NodeRequest;
 use crate::socket_io::{self, ConnectionError, ReadOutcome};
 use mallowseam_connection_policy::node_connection::{CloseReason, NodeConnection};
@@ -22,42 +22,43 @@
     conn: InitiatorConnection,
 }
 
-/// What has become of a request.
+/// Outcome of submitting a request.
 pub(super) enum Submission {
-    /// It is sent by the next flush.
+    /// The request was buffered; the next flush sends it.
     Sent,
-    /// The node's own command window is closed: it has rejected the command before it was sent.
+    /// The command window of the node is closed. The request was not sent.
     Rejected,
-    /// It waits for the login.
+    /// The request waits for the login.
     Queued,
 }
 
-/// What has become of a request that nobody waits for any more.
+/// Outcome of cancelling a request.
 pub(super) enum Cancellation {
-    /// It was never sent, so it has not run.
+    /// The request was never sent, so it has not run.
     Unsent,
-    /// It was sent, and its abort is sent by the next flush.
+    /// The request was sent; the next flush sends its abort.
     Aborted,
-    /// It was sent on a connection that has closed.
-    Gone,
+    /// The request was sent on a connection that is closed now, so there is nothing to abort.
+    NotConnected,
 }
 
-/// What one read from the node has brought.
+/// Outcome of one read from a node.
 pub(super) enum NodeRead {
-    /// Nothing: there is no connection, or no more to read.
+    /// There is no connection, or no data to read.
     Nothing,
-    /// Events, also where the node has then violated the protocol in the way that is described.
+    /// Data was received and may have led to events. The error describes a protocol violation after these
+    /// events.
     Received(Result<(), String>),
     Closed(ConnectionError),
 }
 
-/// An attempt on a connection that was closed.
+/// An attempt that ended because its connection was closed.
 pub(super) struct LostAttempt {
     pub(super) tag: u32,
     pub(super) result: AttemptResult,
 }
 
-/// A node of the configuration.
+/// A configured node and its connection.
 pub(super) struct Node {
     name: String,
     address: SocketAddr,
@@ -65,15 +66,16 @@
     lun: u32,
     policy: NodeConnection,
     link: Option<Link>,
-    /// Requests that wait for the login.
+    /// Requests to send once the login is complete.
     queue: VecDeque<NodeRequest>,
-    /// It is among those to be flushed.
+    /// Whether the node is in `Nodes::dirty`.
     dirty: bool,
+    /// Whether the socket may have data to read.
     readable: bool,
 }
 
 impl Node {
-    /// A node of the configuration, without a connection.
+    /// Creates a configured node without a connection.
     pub(super) fn new(node: &config::Node) -> Self {
         Node {
             name: node.name.clone(),
@@ -88,32 +90,32 @@
         }
     }
 
-    /// Its name in the configuration.
+    /// Returns the name of the node in the configuration.
     pub(super) fn name(&self) -> &str {
         &self.name
     }
 
-    /// What decides on its connection.
+    /// Returns the policy that decides when the connection is opened and closed.
     pub(super) fn policy_mut(&mut self) -> &mut NodeConnection {
         &mut self.policy
     }
 
-    /// Whether its connection is logged in.
+    /// Returns whether the connection is logged in.
     pub(super) fn is_connected(&self) -> bool {
         self.policy.is_ready()
     }
 
-    /// It is among those to be flushed from now on. False: it was before.
+    /// Marks the node for the next flush. Returns whether it was unmarked before.
     pub(super) fn mark_dirty(&mut self) -> bool {
         !std::mem::replace(&mut self.dirty, true)
     }
 
-    /// Its socket may have something to read, if `readable`.
+    /// Records that the socket may have data to read, if `readable`.
     pub(super) fn mark_readable(&mut self, readable: bool) {
         self.readable |= readable;
     }
 
-    /// Sends a request, or queues it for the login.
+    /// Sends a request, or queues it until the login is complete.
     pub(super) fn submit(&mut self, request: NodeRequest) -> Submission {
         let link = self.link.as_mut().filter(|_| self.policy.is_ready());
         let Some(link) = link else {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Opens a connection.
+    /// Starts to connect and log in.
     pub(super) fn open(
         &mut self,
         registry: &Registry,
@@ -153,13 +155,13 @@
         Ok(())
     }
 
-    /// The login is complete. Returns the requests that have waited for it.
+    /// Records that the login is complete. Returns the requests that waited for it.
     pub(super) fn login_finished(&mut self) -> VecDeque<NodeRequest> {
         self.policy.login_finished();
         std::mem::take(&mut self.queue)
     }
 
-    /// Stops waiting for a request; one that was sent is aborted.
+    /// Cancels a request; if it was sent, the task is aborted.
     pub(super) fn cancel(&mut self, tag: u32, now: Tick) -> Cancellation {
         let queued = self.queue.len();
         self.queue.retain(|request| request.tag != tag);
@@ -167,21 +169,22 @@
             return Cancellation::Unsent;
         }
         let Some(link) = &mut self.link else {
-            return Cancellation::Gone;
+            return Cancellation::NotConnected;
         };
         link.conn.abort_task(tag);
         self.policy.abort_sent(ticks_to_millis(now));
         Cancellation::Aborted
     }
 
-    /// The node wants the session to end.
+    /// Queues a logout request, as the node has asked for one.
     pub(super) fn send_logout_request(&mut self) {
         if let Some(link) = &mut self.link {
             link.conn.send_logout_request();
         }
     }
 
-    /// Closes the connection: what was sent on it may have run, what was not has not.
+    /// Closes the connection. Returns the attempts that end with it: an attempt whose sending has started may
+    /// have run, any other has not.
     pub(super) fn close(&mut self, registry: &Registry) -> Vec<LostAttempt> {
         self.policy.closed();
         let queued = std::mem::take(&mut self.queue);
@@ -206,7 +209,7 @@
         lost
     }
 
-    /// Reads once.
+    /// Reads once from the socket.
     pub(super) fn read(&mut self, buffer: &mut [u8]) -> NodeRead {
         let Some(link) = self.link.as_mut().filter(|_| self.readable) else {
             return NodeRead::Nothing;
@@ -218,18 +221,18 @@
             }
             ReadOutcome::Read(len) => {
                 let received = link.conn.receive(&buffer[..len]);
-                NodeRead::Received(received.map_err(|fault| fault.to_string()))
+                NodeRead::Received(received.map_err(|error| error.to_string()))
             }
             ReadOutcome::Closed(e) => NodeRead::Closed(e),
         }
     }
 
-    /// The next event of the session.
+    /// Takes the next event of the session.
     pub(super) fn next_event(&mut self) -> Option<InitiatorEvent> {
         self.link.as_mut()?.conn.next_event()
     }
 
-    /// Writes what waits for the node.
+    /// Writes the queued bytes to the node.
     pub(super) fn flush(&mut self) -> Result<(), ConnectionError> {
         self.dirty = false;
         match &mut self.link {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Why the connection is to be closed, if it has timed out.
+    /// Returns the reason for which the connection must be closed now, if it has timed out.
     pub(super) fn check_timeouts(&self, now: Tick) -> Option<CloseReason> {
         let in_flight = self.link.as_ref().map_or(0, |link| link.conn.in_flight());
         self.policy.check_timeouts(ticks_to_millis(now), in_flight)
