--- a/crates/iscsi-host/src/catalog_client.rs
+++ b/crates/iscsi-host/src/catalog_client.rs
@@ -1,5 +1,5 @@
-//! The connection to the snapshot catalog, and what this host knows of the tree.
-//! `cut_requests`: what it knows of cuts.
+//! Client of the snapshot catalog: the connection, and this host's replica of the tree.
+//! `cut_requests`: pending cuts and requests of the catalog that concern them.
 mod cut_requests;
 
 pub(crate) use cut_requests::{CompletionDecision, QuiesceRequest};
@@ -14,36 +14,37 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Longest line of the catalog in bytes: a whole tree without its locations, of some hundred thousand layers
-/// and names. A longer one ends the connection.
-const MAX_LINE: usize = 32 << 20;
-/// Reads from the catalog between two looks at clients and nodes: a tree of a million extents comes in
-/// pieces.
+/// Maximum length of a line from the catalog, in bytes. Enough for a full tree, without its locations, of
+/// some hundred thousand layers and names. A longer line ends the connection.
+const MAX_LINE_BYTES: usize = 32 << 20;
+/// Maximum number of reads from the catalog in one turn, so that a tree of a million extents does not delay
+/// clients and nodes.
 const READS_PER_TURN: usize = 4;
-/// Version of the tree in messages of a host that has none.
+/// Version of the tree in messages of a host that has no tree.
 const NO_VERSION: u64 = 0;
 
-/// The connection to the catalog and the cached tree.
+/// Connection to the snapshot catalog, and the replica of its tree.
 pub(crate) struct CatalogClient {
     host: String,
     address: SocketAddr,
     registry: Registry,
     token: Token,
     connection: Option<LineConnection>,
+    /// Whether the socket may have data to read.
     readable: bool,
-    /// No attempt to connect before this time.
+    /// Earliest time of the next attempt to connect.
     next_connect: Millis,
-    /// The tree as this host knows it, and its lease.
+    /// Replica of the tree, and the host's lease.
     replica: TreeReplica,
-    /// Counts up with every message.
+    /// Number of messages received, by which a change is detected.
     revision: u64,
     cuts: CutRequests,
-    /// When slots of a layer were last requested.
+    /// Time of the last request for slots of each layer that is not answered yet.
     slots_requested: BTreeMap<LayerId, Millis>,
 }
 
 impl CatalogClient {
-    /// The client of a host; it connects at the first `on_timer`.
+    /// Creates the client of a host. The client connects at the first [`on_timer`](Self::on_timer).
     pub(crate) fn new(host: &str, address: SocketAddr, registry: Registry, token: Token) -> Self {
         CatalogClient {
             host: host.to_owned(),
@@ -60,58 +61,59 @@
         }
     }
 
-    /// Queues a message.
+    /// Queues a message to the catalog. Discards the message if there is no connection.
     pub(crate) fn send(&mut self, message: &ToCatalog) {
         if let Some(connection) = &mut self.connection {
             connection.send(message);
         }
     }
 
-    /// The tree as this host knows it.
+    /// Returns the replica of the tree, if the host has one.
     pub(crate) fn tree(&self) -> Option<&Tree> {
         self.replica.tree()
     }
 
-    /// Changes with every message that may let a waiting block I/O go on.
+    /// Returns a number that changes with every message of the catalog. Any message may let a waiting block I/O
+    /// continue.
     pub(crate) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Where an extent of a branch or snapshot is read or written now.
+    /// Looks up where an extent of a branch or snapshot is read or written now.
     pub(crate) fn look_up(&mut self, name: &str, extent: u32, write: bool, now: Millis) -> Lookup {
         self.replica.look_up(name, extent, write, now)
     }
 
-    /// Takes slots of a layer that no attempt has used yet, as many as there are up to `count`.
+    /// Takes up to `count` unused slots of a layer.
     pub(crate) fn take_slots(&mut self, layer: LayerId, count: usize) -> Vec<u32> {
         std::iter::from_fn(|| self.replica.take_slot(layer))
             .take(count)
             .collect()
     }
 
-    /// The catalog's decisions about split writes, which are taken once.
+    /// Takes the decisions of the catalog about split writes.
     pub(crate) fn take_completion_decisions(&mut self) -> Vec<CompletionDecision> {
         self.cuts.take_decisions()
     }
 
-    /// Whether the catalog waits for this host to quiesce a layer.
+    /// Returns whether the catalog waits for this host to quiesce a layer.
     pub(crate) fn is_quiescing(&self) -> bool {
         self.cuts.is_quiescing()
     }
 
-    /// Reports the layers that this host has quiesced: those without a split write.
+    /// Reports the requested layers without a split write in flight as quiesced.
     pub(crate) fn report_quiesced(&mut self, has_split_write: impl Fn(&QuiesceRequest) -> bool) {
         for QuiesceRequest { layer, .. } in self.cuts.take_quiesced(has_split_write) {
             self.send(&ToCatalog::Quiesced { layer });
         }
     }
 
-    /// Whether a cut of a branch is pending.
+    /// Returns whether a cut of a branch is pending.
     pub(crate) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
         self.cuts.has_pending(branch, now)
     }
 
-    /// Connects and renews the lease where that is due, and writes what is queued.
+    /// Connects and renews the lease if that is due, and writes the queued messages.
     pub(crate) fn on_timer(&mut self, now: Millis) {
         if self.connection.is_none() && now >= self.next_connect {
             self.next_connect = now + TreeReplica::RECONNECT_INTERVAL;
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Requests place slots of a layer while few are left.
+    /// Requests slots of a layer if few are left and no recent request is unanswered.
     pub(crate) fn request_slots(&mut self, layer: LayerId, now: Millis) {
         let due = self
             .slots_requested
@@ -171,8 +173,9 @@
         self.replica.connection_lost();
     }
 
-    /// The catalog's socket is ready: reads up to `READS_PER_TURN` times if `readable`, or if the turn before
-    /// left data unread, and writes. True: there is more to read, in another turn.
+    /// Handles readiness of the catalog's socket. Writes the queued messages, and reads up to `READS_PER_TURN`
+    /// times if `readable` or if earlier data is unread. Returns whether there may be more to read in another
+    /// turn.
     pub(crate) fn on_ready(&mut self, readable: bool, buffer: &mut [u8], now: Millis) -> bool {
         self.readable |= readable;
         self.flush();
@@ -191,12 +194,12 @@
             self.readable = false;
             return;
         };
-        match connection.read(buffer, MAX_LINE) {
+        match connection.read(buffer, MAX_LINE_BYTES) {
             LineRead::WouldBlock => self.readable = false,
             LineRead::Closed(reason) => self.disconnect(&reason),
             LineRead::Lines(lines) => {
                 for line in lines {
-                    // What came on a connection that is given up counts no more.
+                    // Lines that were received on a connection that is closed by now are ignored.
                     if self.connection.is_none() {
                         break;
                     }
@@ -209,7 +212,8 @@
         }
     }
 
-    /// A message does not follow from the known tree: a new connection begins with the whole tree.
+    /// Discards the replica and closes the connection, as a message does not follow from the replica. The next
+    /// connection starts with the full tree.
     fn resynchronize(&mut self) {
         self.replica.invalidate();
         self.disconnect(&Disconnect::TreeOutOfSequence);
@@ -253,8 +257,7 @@
         }
     }
 
-    /// `follows`: whether a message follows from the known tree. Otherwise a new connection begins with the
-    /// whole tree. Returns `follows`.
+    /// Resynchronizes if a message does not follow from the replica of the tree. Returns `follows`.
     fn check_sequence(&mut self, follows: bool) -> bool {
         if !follows {
             self.resynchronize();
@@ -262,7 +265,7 @@
         follows
     }
 
-    /// The tree of a new connection is complete: the lease is renewed by it.
+    /// Renews the lease and acknowledges the tree, as the replica is up to date on a new connection.
     fn on_tree_complete(&mut self, now: Millis) {
         let version = self.replica.version().unwrap_or(NO_VERSION);
         tracing::info!(version, "snapshot catalog synchronized");
--- a/crates/iscsi-host/src/catalog_client/cut_requests.rs
+++ b/crates/iscsi-host/src/catalog_client/cut_requests.rs
@@ -1,4 +1,4 @@
-//! What the catalog has told this host of cuts, and waits for.
+//! Cuts that the snapshot catalog has announced, and its requests to this host that concern them.
 #[cfg(test)]
 mod tests;
 
@@ -7,31 +7,32 @@
 use mallowseam_cow::tree::LayerId;
 use std::collections::BTreeMap;
 
-/// The catalog's request to quiesce a layer: to report once no split write is partly completed in it.
+/// Request of the catalog to quiesce a layer: the host reports the layer once no split write is partly
+/// completed in it.
 pub(crate) struct QuiesceRequest {
     pub(crate) layer: LayerId,
     pub(crate) branch: String,
 }
 
-/// The catalog's answer to whether a write with parts in a layer may be completed.
+/// Answer of the catalog to the question whether a split write with parts in a layer may be completed.
 pub(crate) struct CompletionDecision {
     pub(crate) layer: LayerId,
     pub(crate) granted: bool,
 }
 
-/// Cuts that are pending, as this host knows them.
+/// Pending cuts, requests to quiesce and decisions that the host has received.
 #[derive(Default)]
 pub(super) struct CutRequests {
-    /// Layers that the catalog waits for this host to quiesce.
+    /// Requests to quiesce that the host has not fulfilled yet.
     quiesce: Vec<QuiesceRequest>,
-    /// Answers that the dispatcher has not taken yet.
+    /// Decisions that the dispatcher has not taken yet.
     decisions: Vec<CompletionDecision>,
-    /// Branches with a pending cut, and the time until which it delays split writes at most.
+    /// Branches with a pending cut, and the time from which the cut no longer delays split writes.
     pending: BTreeMap<String, Millis>,
 }
 
 impl CutRequests {
-    /// The catalog waits for this host to quiesce a layer of a branch, whose cut is pending.
+    /// Records a request to quiesce a layer of a branch, whose cut is pending from now on.
     pub(super) fn quiesce(&mut self, layer: LayerId, branch: String, now: Millis) {
         self.pending.insert(branch.clone(), now + CUT_TIMEOUT);
         let is_known = self.quiesce.iter().any(|request| request.layer == layer);
@@ -40,32 +41,32 @@
         }
     }
 
-    /// The cut of a branch is over.
+    /// Records that the cut of a branch is finished.
     pub(super) fn cut_finished(&mut self, branch: &str) {
         self.pending.remove(branch);
     }
 
-    /// The catalog has decided about writes with parts in a layer.
+    /// Records a decision about split writes with parts in a layer.
     pub(super) fn decided(&mut self, decision: CompletionDecision) {
         self.decisions.push(decision);
     }
 
-    /// Takes the decisions that were not taken yet.
+    /// Takes the recorded decisions.
     pub(super) fn take_decisions(&mut self) -> Vec<CompletionDecision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Whether a cut of a branch is pending.
+    /// Returns whether a cut of a branch is pending.
     pub(super) fn has_pending(&self, branch: &str, now: Millis) -> bool {
         self.pending.get(branch).is_some_and(|until| now < *until)
     }
 
-    /// Whether the catalog waits for this host to quiesce a layer.
+    /// Returns whether the catalog waits for this host to quiesce a layer.
     pub(super) fn is_quiescing(&self) -> bool {
         !self.quiesce.is_empty()
     }
 
-    /// Takes the requests for layers without a split write.
+    /// Takes the requests for layers without a split write in flight; the other requests stay pending.
     pub(super) fn take_quiesced(
         &mut self,
         has_split_write: impl Fn(&QuiesceRequest) -> bool,
--- a/crates/iscsi-host/src/catalog_client/cut_requests/tests.rs
+++ b/crates/iscsi-host/src/catalog_client/cut_requests/tests.rs
@@ -1,9 +1,9 @@
-//! What the host knows of pending cuts.
+//! Tests of pending cuts and of requests to quiesce a layer.
 use super::{CutRequests, QuiesceRequest};
 use mallowseam_cow::consistent_cut::CUT_TIMEOUT;
 
 #[test]
-fn a_cut_is_pending_until_it_is_over_or_has_timed_out() {
+fn a_cut_is_pending_until_it_is_finished_or_has_timed_out() {
     let mut cuts = CutRequests::default();
     cuts.quiesce(1024, "a".to_owned(), 10);
     assert!(cuts.has_pending("a", 10 + CUT_TIMEOUT - 1));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn layers_are_reported_once_and_only_without_a_split_write() {
+fn a_layer_is_reported_as_quiesced_once_and_only_without_a_split_write() {
     let mut cuts = CutRequests::default();
     cuts.quiesce(1024, "a".to_owned(), 0);
     cuts.quiesce(1025, "b".to_owned(), 0);
--- a/crates/iscsi-host/src/endpoint_list.rs
+++ b/crates/iscsi-host/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The client of the endpoint list service, and the cached copy of the list for the next start.
-//! `known_nodes`: the nodes that the list is about.
+//! Client of the endpoint list service, and the cached copy of the list for the next start.
+//! `known_nodes` maps entries of the list to configured nodes.
 mod known_nodes;
 
 use crate::socket_io::{self, ReadOutcome};
@@ -18,16 +18,16 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A list, or the changes since the last one, as the scheduler takes it.
+/// A full or incremental update of the endpoint list, in the form that the scheduler takes.
 pub(crate) struct ListUpdate {
     pub(crate) event: EndpointEvent,
     pub(crate) nodes: Vec<NodeEndpoint>,
 }
 
-/// The connection to the endpoint list service, and the list as last received.
+/// Connection to the endpoint list service, and the list as last received.
 pub(crate) struct EndpointList {
     host: String,
-    /// None: the nodes are those of the configuration.
+    /// Address of the service; `None` if the endpoint list is that of the configuration.
     address: Option<SocketAddr>,
     cache_file: Option<PathBuf>,
     nodes: KnownNodes,
@@ -42,7 +42,7 @@
 }
 
 impl EndpointList {
-    /// The client of a host; it does not connect yet.
+    /// Creates the client of a host. The client does not connect yet.
     pub(crate) fn new(
         host: &config::Host,
         nodes: &[config::Node],
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Queues what is known before the service has answered: the cached list, or all nodes of the
-    /// configuration where there is no service.
+    /// Queues the update that is known before the service answers: the cached list, or all configured nodes if
+    /// there is no service.
     pub(crate) fn start(&mut self, now: Tick) {
         if self.address.is_none() {
             let nodes = self.nodes.all_active();
@@ -96,17 +96,17 @@
         }
     }
 
-    /// The next update that the scheduler has not taken yet.
+    /// Takes the next queued update for the scheduler.
     pub(crate) fn next_update(&mut self) -> Option<ListUpdate> {
         self.updates.pop_front()
     }
 
-    /// Version of the list.
+    /// Returns the version of the list as last received.
     pub(crate) fn version(&self) -> ListVersion {
         self.watcher.version()
     }
 
-    /// Requests the list and its changes, on a new connection if there is none.
+    /// Requests the list and its later changes. Connects if there is no connection.
     pub(crate) fn watch(&mut self, now: Tick) {
         let Some(address) = self.address else { return };
         self.request.sent(ticks_to_millis(now));
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Closes the connection; the scheduler hears that its request has failed.
+    /// Closes the connection and queues a failed poll for the scheduler.
     fn fail(&mut self, reason: &str) {
         tracing::warn!(reason, "endpoint list request failed");
         if let Some(mut socket) = self.socket.take() {
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Writes and reads as far as the socket lets it.
+    /// Writes and, if `readable` or earlier data is unread, reads until the socket would block.
     pub(crate) fn on_ready(&mut self, readable: bool, buffer: &mut [u8], now: Tick) {
         self.readable |= readable;
         self.flush();
@@ -225,10 +225,10 @@
         }
     }
 
-    /// Fails a request that the service has not answered in time.
+    /// Closes the connection if a request has timed out.
     pub(crate) fn on_timer(&mut self, now: Tick) {
         if self.request.has_timed_out(ticks_to_millis(now)) {
-            self.fail("no answer in time");
+            self.fail("no answer from the endpoint list service in time");
         }
     }
 }
--- a/crates/iscsi-host/src/endpoint_list/known_nodes.rs
+++ b/crates/iscsi-host/src/endpoint_list/known_nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes of the configuration, and the present run of each as this host knows it.
+//! The configured nodes, and the current run of each node's process as far as this host knows it.
 #[cfg(test)]
 mod tests;
 
@@ -9,32 +9,32 @@
 
 /// Ticks in a millisecond.
 const TICKS_PER_MILLI: Tick = 10;
-/// The earliest start that a host's clock can tell.
+/// Earliest start of a run that the host's clock can express, in ticks.
 const EARLIEST_START: Tick = 1;
 
 /// A run of a node's process.
 #[derive(Clone, Copy)]
 struct Run {
-    /// Tells one run from another.
+    /// Identifies the run among the runs of the node.
     generation: NonZeroU64,
-    /// When it began, by this host's clock.
-    began: Tick,
+    /// Start of the run, by this host's clock.
+    started_at: Tick,
 }
 
-/// A node of the configuration.
+/// A configured node.
 struct KnownNode {
     name: String,
     zone: u32,
     shard: u32,
-    /// Its present run; none: it began long ago.
+    /// Current run; `None` if it started long ago, or no update has named the node yet.
     run: Option<Run>,
 }
 
-/// All nodes of the configuration, by index.
+/// All configured nodes, by index.
 pub(super) struct KnownNodes(Vec<KnownNode>);
 
 impl KnownNodes {
-    /// Nodes as the configuration has them, their zones numbered in the order in which they are named.
+    /// Creates the table of configured nodes. Zones are numbered in the order in which nodes first name them.
     pub(super) fn new(nodes: &[config::Node]) -> Self {
         let mut zones: Vec<&str> = Vec::new();
         let mut known = Vec::new();
@@ -54,7 +54,7 @@
         KnownNodes(known)
     }
 
-    /// All nodes as the scheduler takes them, active since long ago.
+    /// Returns all nodes in the form that the scheduler takes, as active and started long ago.
     pub(super) fn all_active(&self) -> Vec<NodeEndpoint> {
         let nodes = self.0.iter().enumerate();
         nodes
@@ -68,12 +68,12 @@
             .collect()
     }
 
-    /// Updates a node by an entry of the list. Returns it as the scheduler takes it; none: the configuration
-    /// lacks it.
+    /// Updates a node from an entry of the endpoint list. Returns the node in the form that the scheduler
+    /// takes, or `None` if the configuration lacks the node.
     pub(super) fn update(&mut self, entry: &Endpoint, now: Tick) -> Option<NodeEndpoint> {
         let index = self.0.iter().position(|node| node.name == entry.name)?;
         let node = &mut self.0[index];
-        node.run = present_run(node.run, entry, now);
+        node.run = current_run(node.run, entry, now);
         Some(NodeEndpoint {
             node: NodeId(index as u32),
             zone: node.zone,
@@ -83,20 +83,20 @@
                 EndpointState::Draining => NodeState::Draining,
                 EndpointState::Removed => NodeState::Removed,
             },
-            started_at: node.run.map(|run| run.began),
+            started_at: node.run.map(|run| run.started_at),
         })
     }
 }
 
-/// The present run of a node. `known`: its run as known before.
-fn present_run(known: Option<Run>, entry: &Endpoint, now: Tick) -> Option<Run> {
+/// Returns the current run of a node according to an entry. `known`: the run that was known before.
+fn current_run(known: Option<Run>, entry: &Endpoint, now: Tick) -> Option<Run> {
     let generation = entry.generation?;
-    let began = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(EARLIEST_START);
-    // Updates take a while to arrive: of one run, the earliest start that was reported is the most accurate.
-    // It never moves up, which would look like a restart.
+    let started_at = (now - entry.uptime_ms as Tick * TICKS_PER_MILLI).max(EARLIEST_START);
+    // Delayed updates make a run appear to start later, so the earliest reported start is the most accurate.
+    // The start of a run never moves forward, which would look like a restart.
     let same_run = known.filter(|run| run.generation == generation);
     Some(Run {
         generation,
-        began: same_run.map_or(began, |run| run.began.min(began)),
+        started_at: same_run.map_or(started_at, |run| run.started_at.min(started_at)),
     })
 }
--- a/crates/iscsi-host/src/event_loop/host_status.rs
+++ b/crates/iscsi-host/src/event_loop/host_status.rs
@@ -57,7 +57,7 @@
             in_flight: status.in_flight,
             queued: status.queued,
             window: status.concurrency_window,
-            wait_ms: status.mean_latency / TICKS_PER_MILLI,
+            mean_latency_ms: status.mean_latency / TICKS_PER_MILLI,
             failures: status.consecutive_failures,
             attempts: metrics.attempts,
             completed: metrics.completed,
@@ -89,7 +89,7 @@
         completed: metrics.counts.completed,
         shed: metrics.counts.shed,
         failed: metrics.counts.failed,
-        past_goal: metrics.late,
+        late: metrics.late,
         median_ms: quantile_ms(0.5),
         p99_ms: quantile_ms(0.99),
     }
--- a/crates/iscsi-host/src/metrics.rs
+++ b/crates/iscsi-host/src/metrics.rs
@@ -1,36 +1,36 @@
-//! Counters and latencies that a host keeps for its status.
+//! Counters and latencies of a host for its status report.
 use hdrhistogram::Histogram;
 use mallowseam_connection_policy::command_progress::RequestOutcome;
 use mallowseam_scheduler::interface::{AttemptResult, NodeId, Tick};
 use serde::{Deserialize, Serialize};
 
-/// Largest latency that a histogram tells apart: an hour in microseconds.
-const MAX_LATENCY: u64 = 3_600_000_000;
-/// Decimal digits that a histogram keeps of a latency.
+/// Largest latency that a histogram resolves, in microseconds: one hour.
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
+/// Significant decimal digits of a latency in a histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
 /// Microseconds in a tick.
 const MICROS_PER_TICK: u64 = 100;
 
-/// Outcomes of commands, or of block I/Os, counted.
+/// Counts of commands, or of block I/Os, by outcome.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct CommandCounts {
-    /// Admitted.
+    /// Number admitted.
     #[serde(rename = "taken")]
     pub admitted: u64,
-    /// Completed.
+    /// Number completed.
     #[serde(rename = "ended")]
     pub completed: u64,
-    /// Shed for want of capacity.
+    /// Number shed for lack of capacity.
     pub shed: u64,
-    /// Failed, with an unknown outcome at the nodes.
+    /// Number failed, with an unknown outcome at the nodes.
     pub failed: u64,
-    /// The client disconnected or aborted before the answer.
+    /// Number whose client disconnected or aborted the command before the answer.
     #[serde(rename = "left")]
     pub abandoned: u64,
 }
 
 impl CommandCounts {
-    /// Counts a command, or a block I/O, that has its final answer.
+    /// Counts the outcome of a command or block I/O.
     fn count(&mut self, outcome: RequestOutcome) {
         *match outcome {
             RequestOutcome::Completed => &mut self.completed,
@@ -43,16 +43,16 @@
 /// Counters and latencies of an I/O class.
 pub(crate) struct ClassMetrics {
     pub(crate) counts: CommandCounts,
-    /// Completed block I/Os that took longer than the latency objective.
+    /// Number of block I/Os that completed later than the latency objective.
     pub(crate) late: u64,
-    /// Microseconds from admission to completion.
+    /// Latencies from arrival to completion, in microseconds.
     pub(crate) latencies: Histogram<u64>,
 }
 
 impl Default for ClassMetrics {
     fn default() -> Self {
-        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
-            .expect("the bounds are in order");
+        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
+            .expect("histogram bounds are valid");
         ClassMetrics {
             counts: CommandCounts::default(),
             late: 0,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Attempts sent to a storage node, by how they ended.
+/// Counts of the attempts at a storage node, by result.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct NodeMetrics {
     pub(crate) attempts: u64,
@@ -75,7 +75,7 @@
 }
 
 impl NodeMetrics {
-    /// Counts an attempt that has ended.
+    /// Counts the result of an attempt.
     fn count(&mut self, result: AttemptResult) {
         *match result {
             AttemptResult::Completed => &mut self.completed,
@@ -89,14 +89,14 @@
     }
 }
 
-/// Load of a volume in units.
+/// Load of a volume, in units.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct VolumeMetrics {
     pub(crate) requested: f64,
     pub(crate) completed: f64,
 }
 
-/// All counters of a host, by the indices of its configuration.
+/// All counters of a host. Classes, nodes and volumes have the indices of the configuration.
 #[derive(Default)]
 pub(crate) struct Metrics {
     commands: CommandCounts,
@@ -106,7 +106,7 @@
 }
 
 impl Metrics {
-    /// Counters for so many I/O classes, nodes and volumes, all zero.
+    /// Creates the counters for a number of I/O classes, nodes and volumes, all zero.
     pub(crate) fn new(classes: usize, nodes: usize, volumes: usize) -> Self {
         Metrics {
             commands: CommandCounts::default(),
@@ -118,48 +118,48 @@
         }
     }
 
-    /// Outcomes of commands.
+    /// Returns the counts of commands.
     pub(crate) fn commands(&self) -> CommandCounts {
         self.commands
     }
 
-    /// By I/O class.
+    /// Returns the metrics of each I/O class.
     pub(crate) fn classes(&self) -> &[ClassMetrics] {
         &self.classes
     }
 
-    /// By node.
+    /// Returns the metrics of each node.
     pub(crate) fn nodes(&self) -> &[NodeMetrics] {
         &self.nodes
     }
 
-    /// By volume.
+    /// Returns the metrics of each volume.
     pub(crate) fn volumes(&self) -> &[VolumeMetrics] {
         &self.volumes
     }
 
-    /// A command was admitted.
+    /// Counts a command as admitted.
     pub(crate) fn command_admitted(&mut self) {
         self.commands.admitted += 1;
     }
 
-    /// A command has its final answer.
+    /// Counts the outcome of a command that is answered.
     pub(crate) fn command_answered(&mut self, outcome: RequestOutcome) {
         self.commands.count(outcome);
     }
 
-    /// The client of a command does not wait for its answer any more.
+    /// Counts a command that its client has abandoned.
     pub(crate) fn command_abandoned(&mut self) {
         self.commands.abandoned += 1;
     }
 
-    /// A block I/O of a class was passed to the scheduler.
+    /// Counts a block I/O of a class as admitted.
     pub(crate) fn block_io_admitted(&mut self, class: usize) {
         self.classes[class].counts.admitted += 1;
     }
 
-    /// A block I/O of a class has completed. `latency`: ticks that it took; `objective`: that it was to take
-    /// at most.
+    /// Counts a block I/O of a class as completed. `latency`: ticks from arrival to completion; `objective`:
+    /// latency objective of the class in ticks.
     pub(crate) fn block_io_completed(&mut self, class: usize, latency: Tick, objective: Tick) {
         let class = &mut self.classes[class];
         class.counts.count(RequestOutcome::Completed);
@@ -169,27 +169,27 @@
             .saturating_record(latency.max(0) as u64 * MICROS_PER_TICK);
     }
 
-    /// A block I/O of a class was shed or has failed.
+    /// Counts a block I/O of a class that was shed or has failed.
     pub(crate) fn block_io_not_completed(&mut self, class: usize, outcome: RequestOutcome) {
         self.classes[class].counts.count(outcome);
     }
 
-    /// Clients have requested units of a volume.
+    /// Counts units that clients have requested from a volume.
     pub(crate) fn units_requested(&mut self, volume: usize, units: f64) {
         self.volumes[volume].requested += units;
     }
 
-    /// Units that clients requested of a volume have completed.
+    /// Counts units of a volume that have completed.
     pub(crate) fn units_completed(&mut self, volume: usize, units: f64) {
         self.volumes[volume].completed += units;
     }
 
-    /// An attempt is sent to a node.
+    /// Counts an attempt that is sent to a node.
     pub(crate) fn attempt_started(&mut self, node: NodeId) {
         self.nodes[node.0 as usize].attempts += 1;
     }
 
-    /// An attempt at a node has ended.
+    /// Counts the result of an attempt at a node.
     pub(crate) fn attempt_ended(&mut self, node: NodeId, result: AttemptResult) {
         self.nodes[node.0 as usize].count(result);
     }
--- a/crates/iscsi-host/src/plan_replication.rs
+++ b/crates/iscsi-host/src/plan_replication.rs
@@ -1,4 +1,4 @@
-//! The connection to the plan service, and the cached copy of its plans for a start without it.
+//! Client of the plan service, and the cached copy of its plans for a start without the service.
 use mallowseam_control_protocol::json_lines::{Disconnect, LineConnection, LineRead};
 use mallowseam_files::atomic_file;
 use mallowseam_plans::change_log::ChangeLog;
@@ -11,21 +11,22 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Longest line of the service in bytes: a full snapshot of some ten thousand volumes.
-const MAX_LINE: usize = 4 << 20;
+/// Maximum length of a line from the plan service, in bytes. Enough for a full snapshot of some ten thousand
+/// volumes.
+const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// A host's replica of the plans.
+/// Connection to the plan service, and the host's replica of the plans.
 pub(crate) struct PlanReplication {
     address: SocketAddr,
     cache_file: Option<PathBuf>,
     registry: Registry,
     token: Token,
     connection: Option<LineConnection>,
-    /// Which version the host acts on, and its quotas.
+    /// The state that the host acts on, and the host's quotas.
     replica: PlanReplica,
 }
 
-/// What is cached on disk: the plans, and the hash of the last line of the change log behind them.
+/// Content of the cache file: the plans, and the hash of the last line of the change log that led to them.
 #[derive(serde::Serialize, serde::Deserialize)]
 struct CachedPlans {
     state: State,
@@ -33,8 +34,8 @@
 }
 
 impl PlanReplication {
-    /// Starts with the cached plans, if there are any. `volumes`: the host's own, with the number of hosts of
-    /// each. Connects at the first `on_timer`.
+    /// Creates a replica that starts with the cached plans, if there are any. `volumes`: volumes of this host,
+    /// each with the number of hosts that serve it. Connects at the first [`on_timer`](Self::on_timer).
     pub(crate) fn new(
         host: &str,
         address: SocketAddr,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Which version the host acts on, and its quotas.
+    /// Returns the replica: the state that the host acts on, and the host's quotas.
     pub(crate) fn replica(&self) -> &PlanReplica {
         &self.replica
     }
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Connects if that is due, and writes what is queued. `jitter`, below 1000, spreads the hosts'
-    /// reconnects.
+    /// Connects if that is due, and writes the queued messages. `jitter`: a number below 1000 that spreads the
+    /// reconnects of hosts.
     pub(crate) fn on_timer(&mut self, now: Millis, jitter: u64) {
         if self.connection.is_none() && self.replica.should_connect(now, jitter) {
             match LineConnection::connect(self.address, &self.registry, self.token) {
@@ -95,8 +96,8 @@
         }
     }
 
-    /// The plan service's socket is ready: reads until it has no more data. `requested`: units a second that
-    /// clients request of each volume. True: a new state is to be applied.
+    /// Handles readiness of the plan service's socket by reading until it would block. `requested`: rate that
+    /// clients request from each volume. Returns whether there is a new state to apply.
     pub(crate) fn on_ready(
         &mut self,
         buffer: &mut [u8],
@@ -105,12 +106,12 @@
     ) -> bool {
         let mut has_state = false;
         while let Some(connection) = &mut self.connection {
-            match connection.read(buffer, MAX_LINE) {
+            match connection.read(buffer, MAX_LINE_BYTES) {
                 LineRead::WouldBlock => break,
                 LineRead::Closed(reason) => self.disconnect(&reason),
                 LineRead::Lines(lines) => {
                     for line in lines {
-                        // What came on a connection that is given up counts no more.
+                        // Lines that were received on a connection that is closed by now are ignored.
                         if self.connection.is_none() {
                             break;
                         }
@@ -138,8 +139,8 @@
         false
     }
 
-    /// The host acts on the next state. It is cached on disk first, so that a start without the service acts
-    /// on it as well.
+    /// Records that the host acts on the pending state. The state is cached on disk before the plan service is
+    /// told, so that a start without the service acts on it as well.
     pub(crate) fn accept(&mut self, now: Millis) {
         if let Some(message) = self.replica.accept_pending(now) {
             if let Some(path) = &self.cache_file
@@ -152,7 +153,7 @@
         self.flush();
     }
 
-    /// The host cannot act on the next state.
+    /// Records that the host cannot act on the pending state, and tells the plan service.
     pub(crate) fn reject(&mut self, reason: &str) {
         if let Some(message) = self.replica.reject_pending(reason.to_owned()) {
             tracing::warn!(reason, "plans rejected");
--- a/crates/iscsi-host/src/scheduler_config.rs
+++ b/crates/iscsi-host/src/scheduler_config.rs
@@ -1,4 +1,4 @@
-//! Converts the configuration to the scheduler's, to layouts of volumes and to the replicated form of plans.
+//! Converts the configuration to the scheduler's configuration, to layouts of volumes and to replicated plans.
 use mallowseam_connection_policy::request_splitting::{ClassRule, Extent, VolumeLayout};
 use mallowseam_plans::state;
 use mallowseam_scheduler::interface::{Idempotency, IoClass, Plan, SchedulerConfig};
@@ -7,10 +7,10 @@
 use mallowseam_sockets::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 use std::num::NonZeroU64;
 
-/// Replicated figures are in thousandths.
-const THOUSANDTHS: f64 = 1000.0;
+/// Factor between values of configured plans and those of replicated plans, which are in thousandths.
+const REPLICATED_SCALE: f64 = 1000.0;
 
-/// The configuration that the scheduler decides by.
+/// Returns the configuration of the scheduler.
 pub(crate) fn scheduler_config(config: &GatewayConfig) -> SchedulerConfig {
     let fleet = &config.fleet;
     SchedulerConfig {
@@ -21,8 +21,8 @@
         max_io_units: fleet.max_io_units,
         share_weight_factor: fleet.share_weight_factor,
         spare_weight_factor: fleet.spare_weight_factor,
-        // iSCSI has no field in which a node could report the load of other hosts, nor one for messages of
-        // peers.
+        // iSCSI has no field in which a node could report the load of other hosts, nor a field for messages
+        // from peers.
         other_hosts_usage_reported: false,
         allow_cancel: true,
         allow_retry_after: fleet.max_retry_after > 0,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The plans as the scheduler takes them.
+/// Returns the configured plans in the form that the scheduler takes.
 pub(crate) fn scheduler_plans(config: &GatewayConfig) -> Vec<Plan> {
     let plan = |plan: &config::Plan| Plan {
         usual_rate: plan.usual_rate,
@@ -73,7 +73,7 @@
     config.plans.iter().map(plan).collect()
 }
 
-/// Where a volume's blocks lie, and which I/O class they belong to.
+/// Returns the layout of a volume: the node blocks that hold its blocks, and the I/O classes of its blocks.
 pub(crate) fn volume_layout(config: &GatewayConfig, volume: &config::Volume) -> VolumeLayout {
     let extent = |extent: &config::Extent| Extent {
         first_block: extent.first_block,
@@ -87,8 +87,8 @@
     }
 }
 
-/// The layout of a mapped volume: extents of `extent_blocks` blocks, each a shard of its own until it is
-/// looked up.
+/// Returns the layout of a mapped volume: extents of `extent_blocks` blocks. The shard of an extent is its
+/// index until the location of the extent is looked up.
 pub(crate) fn mapped_layout(volume: &config::Volume, extent_blocks: u64) -> VolumeLayout {
     let extent = |index: u64| Extent {
         first_block: index * extent_blocks,
@@ -115,11 +115,11 @@
     volume.rules.iter().map(rule).collect()
 }
 
-/// A plan of a configuration in the form that the plan service keeps: figures in thousandths.
+/// Converts a configured plan to the form that the plan service stores, with values in thousandths.
 #[must_use]
 pub fn replicated_plan(plan: &config::Plan) -> state::Plan {
-    let thousandths = |figure: f64| {
-        (figure * THOUSANDTHS)
+    let thousandths = |value: f64| {
+        (value * REPLICATED_SCALE)
             .round()
             .clamp(0.0, state::MAX_PARAMETER as f64) as u64
     };
@@ -133,9 +133,9 @@
     }
 }
 
-/// A plan of the plan service in the form of a configuration.
+/// Converts a plan of the plan service to a configured plan.
 pub(crate) fn configured_plan(name: &str, plan: &state::Plan) -> config::Plan {
-    let units = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
+    let units = |thousandths: u64| thousandths as f64 / REPLICATED_SCALE;
     config::Plan {
         name: name.to_owned(),
         usual_rate: units(plan.usual_rate),
--- a/crates/iscsi-host/src/status.rs
+++ b/crates/iscsi-host/src/status.rs
@@ -1,9 +1,9 @@
-//! What a host reports about itself on its control socket, as JSON and as a table for people.
+//! Status report of a host: JSON on the control socket, and a table for operators.
 use crate::metrics::CommandCounts;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// State and counters of a running host. Counters count from its start.
+/// State and counters of a running host. Counters start at 0 when the host starts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     /// The host's name in its configuration.
@@ -19,11 +19,11 @@
     pub in_flight: usize,
     /// Bytes buffered for clients.
     pub buffer_bytes: usize,
-    /// Run of the endpoint list service that the host's list comes from; 0 before the first list.
+    /// Epoch of the host's endpoint list, which identifies a run of its service; 0 before the first list.
     pub list_epoch: u64,
-    /// Version of the endpoint list within that run.
+    /// Version of the endpoint list within its epoch.
     pub list_version: u64,
-    /// Client commands over all I/O classes.
+    /// Counts of client commands, over all I/O classes.
     pub commands: CommandCounts,
     /// One entry for each I/O class of the configuration.
     #[serde(rename = "groups")]
@@ -38,7 +38,7 @@
     pub volumes: Vec<VolumeStatus>,
 }
 
-/// Load of a volume, in units since the host's start.
+/// Load of a volume, in units since the start of the host.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VolumeStatus {
     /// The volume's name in the configuration.
@@ -46,24 +46,25 @@
     /// Units that clients have requested.
     #[serde(rename = "asked_units")]
     pub requested_units: f64,
-    /// Units that were completed.
+    /// Units of completed block I/Os.
     #[serde(rename = "ended_units")]
     pub completed_units: f64,
-    /// This host's quota of the volume's limit now, in units a second; none where it is not replicated.
+    /// This host's current quota of the volume's limit, in units a second; `None` if the limit is not
+    /// replicated.
     #[serde(rename = "part", default)]
     pub quota: Option<f64>,
 }
 
-/// A plan as it is in effect: units a second, 0 for no limit.
+/// A plan in effect. Rates are in units a second; 0 means no reservation or no limit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlanStatus {
     /// The plan's name.
     pub name: String,
-    /// Reserved units a second.
+    /// Reserved rate in units a second.
     pub reserve: f64,
     /// Limit in units a second.
     pub limit: f64,
-    /// Weight of the plan beyond its reserve.
+    /// Weight of the plan for capacity beyond its reserved rate.
     pub weight: f64,
 }
 
@@ -72,18 +73,19 @@
 pub struct ClassStatus {
     /// The I/O class's name.
     pub name: String,
-    /// Block I/Os admitted.
+    /// Number of block I/Os admitted.
     #[serde(rename = "taken")]
     pub admitted: u64,
-    /// Block I/Os completed.
+    /// Number of block I/Os completed.
     #[serde(rename = "ended")]
     pub completed: u64,
-    /// Block I/Os shed for want of capacity.
+    /// Number of block I/Os shed for lack of capacity.
     pub shed: u64,
-    /// Block I/Os failed.
+    /// Number of block I/Os failed.
     pub failed: u64,
-    /// Completed block I/Os that took longer than the latency objective.
-    pub past_goal: u64,
+    /// Number of block I/Os that completed later than the latency objective.
+    #[serde(rename = "past_goal")]
+    pub late: u64,
     /// Median latency in milliseconds.
     pub median_ms: f64,
     /// 99th percentile of the latency in milliseconds.
@@ -111,8 +113,9 @@
     /// Concurrency window.
     pub window: f64,
     /// Smoothed latency in milliseconds.
-    pub wait_ms: f64,
-    /// Failures in a row.
+    #[serde(rename = "wait_ms")]
+    pub mean_latency_ms: f64,
+    /// Consecutive failures.
     pub failures: u32,
     /// Attempts sent.
     #[serde(rename = "submits")]
@@ -126,7 +129,7 @@
     pub errors: u64,
     /// Attempts that timed out.
     pub timed_out: u64,
-    /// Attempts that never reached the node, as there was no connection.
+    /// Attempts that were not sent because there was no connection.
     #[serde(rename = "no_connect")]
     pub not_connected: u64,
     /// Attempts whose connection was lost.
@@ -136,7 +139,7 @@
 }
 
 impl Status {
-    /// Parses the answer of a host.
+    /// Parses the JSON answer of a host to a status request.
     ///
     /// # Errors
     /// The text is not the JSON of a status.
@@ -144,7 +147,7 @@
         serde_json::from_str(text)
     }
 
-    // The text form is read by scripts: its words stay, also where the fields have other names.
+    // Scripts read the text form: its labels stay, also where the fields have other names.
     fn write_summary(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let draining = if self.draining { "  draining" } else { "" };
         writeln!(
@@ -166,7 +169,7 @@
     }
 }
 
-// The text form is read by scripts: headers stay, also where the fields have other names.
+// Scripts read the text form: its headers stay, also where the fields have other names.
 const CLASS_HEADER: [&str; 8] = [
     "group",
     "taken",
@@ -192,7 +195,7 @@
             self.completed,
             self.shed,
             self.failed,
-            self.past_goal,
+            self.late,
             self.median_ms,
             self.p99_ms
         )
@@ -200,7 +203,7 @@
 }
 
 impl NodeStatus {
-    /// State in the text form, which is read by scripts: "cold" is a node in slow start.
+    /// Returns the state in the text form, which scripts read. "cold" is a node in slow start.
     fn state(&self) -> &'static str {
         match (self.open, self.warming_up, self.connected) {
             (false, ..) => "closed",
@@ -221,7 +224,7 @@
             self.in_flight,
             self.queued,
             self.window,
-            self.wait_ms,
+            self.mean_latency_ms,
             self.attempts,
             self.completed,
             self.busy,
