--- a/crates/iscsi-host/src/client_connections.rs
+++ b/crates/iscsi-host/src/client_connections.rs
@@ -47,7 +47,7 @@
     peer: SocketAddr,
     /// Name of the initiator; `None` before the login.
     name: Option<String>,
-    conn: TargetConnection,
+    connection: TargetConnection,
     /// Whether the client is in `Clients::dirty`.
     dirty: bool,
     /// Whether the socket may have data to read.
@@ -95,7 +95,7 @@
     /// Adds an accepted connection. Closes it instead if there are too many.
     pub fn accept(&mut self, mut socket: TcpStream, peer: SocketAddr, now: Tick) {
         let _ = socket.set_nodelay(true);
-        let conn = TargetConnection::new(Rc::clone(&self.target_config));
+        let connection = TargetConnection::new(Rc::clone(&self.target_config));
         let id = self.all.next_index();
         if !self
             .admission
@@ -117,7 +117,7 @@
             socket,
             peer,
             name: None,
-            conn,
+            connection,
             dirty: false,
             readable: false,
             commands: Vec::new(),
@@ -152,7 +152,7 @@
         let Some(client) = self.all.get_mut(id) else {
             return false;
         };
-        let unsent = client.conn.send_buffer().unsent().len();
+        let unsent = client.connection.send_buffer().unsent().len();
         if !client.readable || !self.admission.may_read(unsent) {
             return false;
         }
@@ -166,7 +166,7 @@
                     client: id,
                     replaced: &mut self.replaced,
                 };
-                let received = client.conn.receive(&buffer[..len], &mut login);
+                let received = client.connection.receive(&buffer[..len], &mut login);
                 self.mark_dirty(id);
                 match received {
                     Ok(()) => return true,
@@ -183,7 +183,7 @@
 
     /// Takes the next event of a client's session.
     pub fn next_event(&mut self, id: ClientId) -> Option<TargetEvent> {
-        self.all.get_mut(id)?.conn.next_event()
+        self.all.get_mut(id)?.connection.next_event()
     }
 
     /// Records that a client has logged in. Closes the connection that the login has replaced, if any.
@@ -219,7 +219,7 @@
     /// Returns the session of a client. The next flush writes the answers that the caller puts into it.
     pub fn session_mut(&mut self, id: ClientId) -> Option<&mut TargetConnection> {
         self.mark_dirty(id);
-        self.all.get_mut(id).map(|client| &mut client.conn)
+        self.all.get_mut(id).map(|client| &mut client.connection)
     }
 
     fn mark_dirty(&mut self, id: ClientId) {
@@ -235,12 +235,12 @@
             return;
         };
         client.dirty = false;
-        match socket_io::write(&mut client.socket, client.conn.send_buffer()) {
+        match socket_io::write(&mut client.socket, client.connection.send_buffer()) {
             Ok(0) => {}
             Ok(_) => self.admission.bytes_sent(id as usize, ticks_to_millis(now)),
             Err(e) => return self.close(id, &e.into()),
         }
-        if client.conn.is_closing() && client.conn.send_buffer().unsent().is_empty() {
+        if client.connection.is_closing() && client.connection.send_buffer().unsent().is_empty() {
             self.close(id, &Disconnect::LoggedOut);
         }
     }
@@ -255,7 +255,7 @@
                 && client.readable
                 && self
                     .admission
-                    .may_read(client.conn.send_buffer().unsent().len())
+                    .may_read(client.connection.send_buffer().unsent().len())
             {
                 resumed.push(id);
             }
@@ -298,9 +298,9 @@
                 continue;
             };
             let state = ConnectionState {
-                pdu_incomplete: client.conn.has_partial_request(),
-                unsent_bytes: client.conn.send_buffer().unsent().len(),
-                in_flight: client.conn.in_flight(),
+                pdu_incomplete: client.connection.has_partial_request(),
+                unsent_bytes: client.connection.send_buffer().unsent().len(),
+                in_flight: client.connection.in_flight(),
             };
             match self
                 .admission
@@ -308,7 +308,7 @@
             {
                 TimeoutAction::Nothing => {}
                 TimeoutAction::Ping => {
-                    client.conn.send_ping();
+                    client.connection.send_ping();
                     self.mark_dirty(id);
                 }
                 TimeoutAction::Close(reason) => self.close(id, &Disconnect::Timeout(reason)),
@@ -327,9 +327,9 @@
             if let Some(client) = self
                 .all
                 .get_mut(id)
-                .filter(|client| client.conn.is_logged_in())
+                .filter(|client| client.connection.is_logged_in())
             {
-                client.conn.request_logout(logout_seconds);
+                client.connection.request_logout(logout_seconds);
                 self.mark_dirty(id);
             }
         }
@@ -341,7 +341,7 @@
     pub fn buffered_bytes(&self) -> usize {
         self.all
             .iter()
-            .map(|(_, client)| client.conn.allocated_bytes())
+            .map(|(_, client)| client.connection.allocated_bytes())
             .sum()
     }
 }
--- a/crates/iscsi-host/src/dispatcher.rs
+++ b/crates/iscsi-host/src/dispatcher.rs
@@ -1,17 +1,18 @@
-//! The block I/Os in flight, between clients, scheduler and nodes. Carries out the scheduler's decisions;
-//! their outcomes are queued and passed to the scheduler once its present call has returned.
+//! The block I/Os in flight between clients, the scheduler and nodes. The dispatcher carries out the
+//! scheduler's decisions. Outcomes are queued and reported to the scheduler once its current call has
+//! returned.
 //!
-//! What is in flight, each type with its own state:
-//! - `block_ios`: block I/Os (`block_io`), their attempts (`attempt_tags`, `attempt_timeouts`), and what the
-//!   scheduler is told of them (`bio_builder`, and the package `scheduler-driver`).
-//! - `commands`: commands of clients, whose outcome is that of their parts.
-//! - `exported_units`: the units that clients see, over the `volumes` of the configuration.
-//! - `mapped_volumes`: block I/Os whose location the snapshot catalog knows, with `extent_copies`.
+//! Types with their own state:
+//! - `block_ios`: block I/Os (`block_io`), their attempts (`attempt_tags`, `attempt_timeouts`), and the
+//!   reports on them to the scheduler (`bio_builder`, and the package `scheduler-driver`).
+//! - `commands`: commands of clients, whose outcome follows from that of their parts.
+//! - `exported_units`: the logical units that clients see, backed by the `volumes` of the configuration.
+//! - `mapped_volumes`: volumes whose locations are in the snapshot catalog, with `extent_copies`.
 //!
-//! The steps of each event, over several of these types:
-//! - `client_commands`, `local_commands`, `answers`: from a command's arrival to its answer.
-//! - `lookups`, `split_writes`: where block I/Os of mapped volumes go, and when.
-//! - `attempts`, `scheduler_host`: attempts at nodes, and the calls that the scheduler makes.
+//! Event handlers that span several of these types:
+//! - `client_commands`, `local_commands`, `answers`: commands from arrival to answer.
+//! - `lookups`, `split_writes`: locations of block I/Os of mapped volumes, and cuts that delay them.
+//! - `attempts`, `scheduler_host`: attempts at nodes, and calls from the scheduler.
 //! - `connections`: connections of clients, to nodes and to the snapshot catalog.
 mod answers;
 mod attempt_tags;
@@ -53,9 +54,9 @@
 use mallowseam_settings::GatewayConfig;
 use mapped_volumes::MappedVolumes;
 
-/// The block I/Os in flight, with the connections that they come from and go to.
+/// The block I/Os in flight, and the connections of clients and nodes that carry them.
 pub(crate) struct Dispatcher {
-    /// The time of the present iteration of the event loop.
+    /// Time of the current iteration of the event loop.
     now: Tick,
     clients: Clients,
     nodes: Nodes,
@@ -63,13 +64,13 @@
     units: ExportedUnits,
     commands: Commands,
     block_ios: BlockIos,
-    /// Where the host has mapped volumes.
+    /// Mapped volumes; `None` if the host has none.
     mapped: Option<MappedVolumes>,
 }
 
 impl Dispatcher {
-    /// Nothing is in flight. `catalog`: the client of the snapshot catalog, where the host has mapped
-    /// volumes.
+    /// Creates a dispatcher with nothing in flight. `catalog`: client of the snapshot catalog, if the host has
+    /// mapped volumes.
     pub(crate) fn new(
         config: &GatewayConfig,
         clients: Clients,
@@ -95,44 +96,44 @@
         }
     }
 
-    /// The time of the present iteration.
+    /// Returns the time of the current iteration.
     pub(crate) fn now(&self) -> Tick {
         self.now
     }
 
-    /// Sets the time of the present iteration.
+    /// Sets the time of the current iteration.
     pub(crate) fn set_now(&mut self, now: Tick) {
         self.now = now;
     }
 
-    /// The connections of clients.
+    /// Returns the connections of clients.
     pub(crate) fn clients(&self) -> &Clients {
         &self.clients
     }
 
-    /// The connections to nodes.
+    /// Returns the connections to nodes.
     pub(crate) fn nodes(&self) -> &Nodes {
         &self.nodes
     }
 
-    /// The host's counters.
+    /// Returns the counters of the host.
     pub(crate) fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan
-    /// has changed.
+    /// Assigns a plan to each volume. `plans`: indices of the plans, in the order of the configured volumes.
+    /// Returns the volumes whose plan has changed, with the index of the new plan.
     pub(crate) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
         self.units.apply_plans(plans)
     }
 
-    /// Block I/Os in flight.
+    /// Returns the number of block I/Os in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.block_ios.len()
     }
 
-    /// When the dispatcher has something to do without any event, at the earliest: the scheduler's timer, a
-    /// timeout of an attempt, or a lookup.
+    /// Returns the earliest time at which work is due without an event: the scheduler's timer, the timeout of
+    /// an attempt, or a repeated lookup.
     pub(crate) fn next_due(&self) -> Option<Tick> {
         let lookup = self.mapped.as_ref().and_then(MappedVolumes::next_lookup);
         let timers = [
@@ -143,12 +144,12 @@
         timers.into_iter().flatten().min()
     }
 
-    /// Whether the scheduler has requested the endpoint list since the last call.
+    /// Returns whether the scheduler has requested the endpoint list since the last call.
     pub(crate) fn take_endpoint_list_request(&mut self) -> bool {
         self.block_ios.driver_mut().take_endpoints_request()
     }
 
-    /// What the host has of the endpoint list, or failed to get.
+    /// Passes an update of the endpoint list, or a failed request for it, to the scheduler.
     pub(crate) fn on_endpoints(
         &mut self,
         scheduler: &mut Scheduler,
@@ -164,10 +165,10 @@
         self.process_pending(scheduler);
     }
 
-    /// An event of a client's session.
+    /// Handles an event of a client's session.
     fn on_client_event(&mut self, scheduler: &mut Scheduler, client: ClientId, event: TargetEvent) {
         match event {
-            TargetEvent::LoggedIn(who) => self.clients.on_login(client, who.initiator),
+            TargetEvent::LoggedIn(identity) => self.clients.on_login(client, identity.initiator),
             TargetEvent::Command {
                 task,
                 lun,
@@ -207,20 +208,20 @@
         }
     }
 
-    /// Passes to the scheduler what it is to be told, until nothing is left: reports first, then steps of
-    /// copies, then what waits for its location.
+    /// Passes everything that is pending to the scheduler: reports first, then copy steps, then block I/Os that
+    /// wait for their location. Repeats this until nothing is pending.
     pub(crate) fn process_pending(&mut self, scheduler: &mut Scheduler) {
         loop {
             self.abandon_commands_of_closed_connections();
             if let Some(finished) = self.nodes.next_finished() {
                 self.on_finished_attempt(finished);
             }
-            let is_any_left = self.report_next(scheduler)
+            let has_more = self.report_next(scheduler)
                 || self.start_next_copy_step(scheduler)
                 || self.nodes.has_finished()
                 || self.clients.has_abandoned()
                 || self.retry_lookups(scheduler);
-            if !is_any_left {
+            if !has_more {
                 return;
             }
         }
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Passes the next step of a copy to the scheduler. False: none is queued.
+    /// Passes the next queued copy step to the scheduler. Returns whether there was one.
     fn start_next_copy_step(&mut self, scheduler: &mut Scheduler) -> bool {
         let step = self.mapped.as_mut().and_then(MappedVolumes::next_copy_step);
         if let Some(step) = step {
--- a/crates/iscsi-host/src/dispatcher/answers.rs
+++ b/crates/iscsi-host/src/dispatcher/answers.rs
@@ -6,26 +6,26 @@
 use mallowseam_scheduler::interface::Tick;
 use std::num::NonZeroU16;
 
-/// Ticks in the unit of the retry delay in an answer: a tenth of a second (RFC 7144).
+/// Unit of the retry delay in an answer, in ticks: a tenth of a second (RFC 7144).
 const RETRY_DELAY_UNIT: Tick = 1_000;
-/// The longest retry delay that an answer can hold.
+/// Longest retry delay that an answer can express, in tenths of a second.
 const MAX_RETRY_DELAY: Tick = 0x3fef;
 
-/// An answer to a command.
+/// Answer to a command.
 #[derive(Clone, Copy)]
 pub(super) enum Answer<'a> {
-    /// GOOD, with what was read.
+    /// GOOD, with the data that was read.
     Good(&'a [u8]),
     /// CHECK CONDITION.
     CheckCondition(Sense),
-    /// TASK SET FULL: the command was never admitted, so a retry is harmless.
+    /// TASK SET FULL: the command was not admitted, so a retry is harmless.
     TaskSetFull,
-    /// BUSY: the command was shed. The client may retry after so many ticks, if that is said.
+    /// BUSY: the command was shed. The client may retry after `retry_after` ticks, if given.
     Busy { retry_after: Option<Tick> },
 }
 
 impl<'a> Answer<'a> {
-    /// The answer to a command that had this outcome. `data`: what it has read.
+    /// Returns the answer for the outcome of a command. `data`: the data that the command has read.
     pub(super) fn of_outcome(outcome: RequestOutcome, data: &'a [u8]) -> Self {
         match outcome {
             RequestOutcome::Completed => Answer::Good(data),
@@ -60,8 +60,9 @@
     }
 }
 
-/// A span in the unit of answers, rounded up; none for no time.
-fn retry_delay(span: Tick) -> Option<NonZeroU16> {
-    let delay = (span + RETRY_DELAY_UNIT - 1) / RETRY_DELAY_UNIT;
+/// Converts a retry delay from ticks to tenths of a second, rounded up and at most `MAX_RETRY_DELAY`.
+/// Returns `None` for 0 ticks.
+fn retry_delay(ticks: Tick) -> Option<NonZeroU16> {
+    let delay = (ticks + RETRY_DELAY_UNIT - 1) / RETRY_DELAY_UNIT;
     NonZeroU16::new(delay.clamp(0, MAX_RETRY_DELAY) as u16)
 }
--- a/crates/iscsi-host/src/dispatcher/attempt_tags.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_tags.rs
@@ -1,30 +1,30 @@
-//! Tags of attempts, by which a late answer is told from that of a later attempt.
+//! Tags of attempts, which distinguish a late answer to an earlier attempt from the answer to the current one.
 #[cfg(test)]
 mod tests;
 
 use mallowseam_scheduler::interface::BioId;
 
-/// A tag has the block I/O's index in its lower bits and the number of the attempt above them.
+/// Number of low bits of a tag that hold the index of the block I/O. The other bits hold the attempt count.
 const INDEX_BITS: u32 = 20;
-/// Block I/Os that can be in flight.
+/// Maximum number of block I/Os in flight.
 pub(super) const MAX_BLOCK_IOS: usize = 1 << INDEX_BITS;
-/// Largest number of an attempt that fits into a tag; the next one is 0 again.
+/// Largest attempt count that fits into a tag. The count wraps around to 0 after it.
 const MAX_ATTEMPT_COUNT: u32 = (1 << (u32::BITS - INDEX_BITS)) - 1;
 
-/// The block I/O that a tag belongs to.
+/// Returns the block I/O of a tag.
 pub(super) fn block_io_of_tag(tag: u32) -> BioId {
     BioId(tag & (MAX_BLOCK_IOS as u32 - 1))
 }
 
-/// Assigns tags.
+/// Assigns tags to attempts.
 #[derive(Default)]
 pub(super) struct AttemptTags {
-    /// How many attempts each block I/O's index has had.
+    /// Number of attempts so far for each index of a block I/O, modulo `MAX_ATTEMPT_COUNT` + 1.
     counts: Vec<u32>,
 }
 
 impl AttemptTags {
-    /// The tag of the next attempt of a block I/O.
+    /// Returns the tag for the next attempt of a block I/O.
     pub(super) fn next(&mut self, id: BioId) -> u32 {
         let position = id.0 as usize;
         if self.counts.len() <= position {
--- a/crates/iscsi-host/src/dispatcher/attempt_tags/tests.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_tags/tests.rs
@@ -1,9 +1,9 @@
-//! Tags tell attempts apart.
+//! Tests of the tags of attempts: a late answer must not be taken for the answer to a later attempt.
 use super::{AttemptTags, MAX_ATTEMPT_COUNT, MAX_BLOCK_IOS, block_io_of_tag};
 use mallowseam_scheduler::interface::BioId;
 
 #[test]
-fn each_attempt_of_a_block_io_has_another_tag_with_the_same_index() {
+fn attempts_of_a_block_io_have_different_tags_with_the_same_index() {
     let mut tags = AttemptTags::default();
     let last = BioId(MAX_BLOCK_IOS as u32 - 1);
     for id in [BioId(0), BioId(7), last] {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn counts_begin_anew_when_they_no_longer_fit() {
+fn attempt_counts_wrap_around_only_after_the_largest_one() {
     let mut tags = AttemptTags::default();
     let first = tags.next(BioId(3));
     for _ in 0..MAX_ATTEMPT_COUNT {
--- a/crates/iscsi-host/src/dispatcher/attempt_timeouts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_timeouts.rs
@@ -1,4 +1,4 @@
-//! When attempts time out.
+//! Timeouts of attempts.
 #[cfg(test)]
 mod tests;
 
@@ -6,20 +6,19 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Timeouts of ended attempts are cleared out when there are more than this, and than
-/// `MAX_TIMEOUTS_PER_BLOCK_IO` for each block I/O in flight.
-const MIN_TIMEOUTS: usize = 64;
-/// Timeouts for each block I/O in flight, above `MIN_TIMEOUTS`.
-const MAX_TIMEOUTS_PER_BLOCK_IO: usize = 4;
+/// Number of timeouts above which those of ended attempts are removed, if no block I/O is in flight.
+const REMOVAL_THRESHOLD: usize = 64;
+/// Number of timeouts by which each block I/O in flight raises the threshold of removal.
+const REMOVAL_THRESHOLD_PER_BLOCK_IO: usize = 4;
 
-/// When an attempt times out. Ordered by time.
+/// Timeout of an attempt. Timeouts are ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptTimeout {
     at: Tick,
     tag: u32,
 }
 
-/// The timeouts of attempts in flight, and of some that have ended.
+/// Timeouts of the attempts in flight, and of some attempts that have ended.
 #[derive(Default)]
 pub(super) struct AttemptTimeouts {
     heap: BinaryHeap<Reverse<AttemptTimeout>>,
@@ -30,21 +29,21 @@
         self.heap.push(Reverse(AttemptTimeout { at, tag }));
     }
 
-    /// When the next one is due.
+    /// Returns the time of the next timeout.
     pub(super) fn next_due(&self) -> Option<Tick> {
         self.heap.peek().map(|Reverse(timeout)| timeout.at)
     }
 
-    /// The tag of the next attempt whose timeout has passed.
+    /// Removes the next timeout that is due. Returns the tag of its attempt.
     pub(super) fn take_due(&mut self, now: Tick) -> Option<u32> {
         self.next_due().filter(|due| *due <= now)?;
         self.heap.pop().map(|Reverse(timeout)| timeout.tag)
     }
 
-    /// Removes the timeouts of attempts that have ended, once there are many: most attempts end long before
-    /// they time out. `block_ios`: how many block I/Os are in flight.
+    /// Removes the timeouts of attempts that have ended, once there are many. Most attempts end long before
+    /// they time out. `block_ios`: number of block I/Os in flight.
     pub(super) fn remove_ended(&mut self, block_ios: usize, is_in_flight: impl Fn(u32) -> bool) {
-        if self.heap.len() > MIN_TIMEOUTS + MAX_TIMEOUTS_PER_BLOCK_IO * block_ios {
+        if self.heap.len() > REMOVAL_THRESHOLD + REMOVAL_THRESHOLD_PER_BLOCK_IO * block_ios {
             self.heap
                 .retain(|Reverse(timeout)| is_in_flight(timeout.tag));
         }
--- a/crates/iscsi-host/src/dispatcher/attempt_timeouts/tests.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_timeouts/tests.rs
@@ -1,5 +1,5 @@
-//! Which timeouts are due, and which are kept.
-use super::{AttemptTimeouts, MIN_TIMEOUTS};
+//! Tests of the order of timeouts and of the removal of timeouts whose attempt has ended.
+use super::{AttemptTimeouts, REMOVAL_THRESHOLD};
 
 #[test]
 fn timeouts_are_taken_in_order_of_time_once_they_are_due() {
@@ -18,7 +18,7 @@
 #[test]
 fn timeouts_of_ended_attempts_are_removed_only_once_there_are_many() {
     let mut timeouts = AttemptTimeouts::default();
-    let many = MIN_TIMEOUTS as u32;
+    let many = REMOVAL_THRESHOLD as u32;
     for tag in 0..many {
         timeouts.add(i64::from(tag), tag);
     }
@@ -27,7 +27,11 @@
     assert_eq!(timeouts.next_due(), Some(0));
     timeouts.add(i64::from(many), many);
     timeouts.remove_ended(1, is_in_flight);
-    assert_eq!(timeouts.next_due(), Some(0), "there is one more block I/O");
+    assert_eq!(
+        timeouts.next_due(),
+        Some(0),
+        "a block I/O in flight raises the number that is kept"
+    );
     timeouts.remove_ended(0, is_in_flight);
     assert_eq!(timeouts.next_due(), Some(i64::from(many)));
 }
--- a/crates/iscsi-host/src/dispatcher/attempts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at nodes: what they send, and how they end.
+//! Attempts at nodes: their requests and their results.
 use super::Dispatcher;
 use super::block_io::BlockIo;
 use super::layer_location::LayerLocation;
@@ -9,21 +9,22 @@
 use mallowseam_scheduler::interface::{AttemptResult, BioId, NodeId, Tick};
 use mallowseam_scheduler_driver::InFlight;
 
-/// SCSI group number of copies, which marks them in a trace of the nodes.
+/// SCSI group number of copies, by which a trace of a node shows them.
 const COPY_GROUP_NUMBER: u8 = 31;
 
-/// What an attempt sends to a node.
+/// Group number and data of an attempt.
 struct AttemptTransfer {
     group_number: u8,
-    /// Empty for a read.
+    /// Data to write; empty for a read.
     data: Payload,
 }
 
 impl Dispatcher {
-    /// Sends a block I/O to a node.
+    /// Starts an attempt of a block I/O at a node.
     pub(super) fn start_attempt(&mut self, id: BioId, node: NodeId, timeout: Tick) {
         let Some(transfer) = self.prepare_transfer(id, node) else {
-            // It is not known, or its copy has had all its attempts: the scheduler is not left waiting.
+            // The block I/O is unknown, or its copy has no slot left for another attempt. The scheduler still
+            // needs an outcome.
             return self.block_ios.attempt_not_sent(id, node);
         };
         let now = self.now;
@@ -36,7 +37,7 @@
         self.nodes.submit(node.0 as usize, request, now);
     }
 
-    /// What the next attempt of a block I/O sends.
+    /// Returns the group number and data for the next attempt of a block I/O.
     fn prepare_transfer(&mut self, id: BioId, node: NodeId) -> Option<AttemptTransfer> {
         let io = &self.block_ios.get(id)?.data;
         if let Some(extent) = io.copied_extent() {
@@ -52,7 +53,8 @@
         })
     }
 
-    /// What the next attempt at a step of a copy sends. An attempt to write it gets its location here.
+    /// Returns the group number and data for the next attempt of a copy step. An attempt to write is assigned
+    /// its location here.
     fn prepare_copy(
         &mut self,
         id: BioId,
@@ -79,7 +81,7 @@
         })
     }
 
-    /// What is sent to a node for an attempt.
+    /// Builds the request to a node for an attempt.
     fn node_request(&self, io: &BlockIo, tag: u32, transfer: AttemptTransfer) -> NodeRequest {
         let request = io.request();
         let first_block = match (io.location(), &self.mapped) {
@@ -101,13 +103,13 @@
         }
     }
 
-    /// Bytes that a block I/O transfers.
+    /// Returns the number of bytes that a block I/O transfers.
     fn transfer_len(&self, io: &BlockIo) -> usize {
         let volume = self.units.volume(io.volume());
         volume.bytes(io.request().blocks) as usize
     }
 
-    /// Gives up attempts that have timed out.
+    /// Aborts attempts that have timed out.
     pub(crate) fn expire_attempts(&mut self) {
         while let Some(id) = self.block_ios.next_timed_out(self.now) {
             self.abort_attempt(id, AttemptResult::ConnectFailed, AttemptResult::TimedOut);
@@ -115,8 +117,8 @@
         self.block_ios.remove_ended_timeouts();
     }
 
-    /// Stops waiting for the attempt in flight. `unsent`: its result if it was never sent; `sent`: if it may
-    /// have run.
+    /// Aborts the attempt in flight of a block I/O. `unsent`: result if the request was never sent; `sent`:
+    /// result if it may have run.
     pub(super) fn abort_attempt(&mut self, id: BioId, unsent: AttemptResult, sent: AttemptResult) {
         let Some(attempt) = self.block_ios.get(id).and_then(InFlight::attempt) else {
             return;
@@ -126,7 +128,7 @@
         self.finish_attempt(id, if was_unsent { unsent } else { sent });
     }
 
-    /// A node has answered an attempt, or its connection was lost.
+    /// Handles an attempt that its node has answered or that ended because the connection was lost.
     pub(super) fn on_finished_attempt(&mut self, finished: FinishedAttempt) {
         let Some(id) = self.block_ios.in_flight_with_tag(finished.tag) else {
             return;
@@ -147,9 +149,9 @@
         self.finish_attempt(id, result);
     }
 
-    /// The result of an attempt, with regard to what the block I/O requires.
+    /// Returns the result of an attempt. A read that returned too few or too many bytes is an error.
     fn checked_result(&self, io: &BlockIo, finished: &FinishedAttempt) -> AttemptResult {
-        // Only a layer of a mapped volume may be closed to writes.
+        // Only layers of mapped volumes may be write-protected.
         if finished.write_protected {
             return AttemptResult::Error;
         }
@@ -163,7 +165,7 @@
         AttemptResult::Error
     }
 
-    /// An attempt is finished: its outcome is queued for the scheduler.
+    /// Finishes an attempt and queues its outcome for the scheduler.
     pub(super) fn finish_attempt(&mut self, id: BioId, result: AttemptResult) {
         let Some(ended) = self.block_ios.end_attempt(id, result, self.now) else {
             return;
--- a/crates/iscsi-host/src/dispatcher/bio_builder.rs
+++ b/crates/iscsi-host/src/dispatcher/bio_builder.rs
@@ -1,4 +1,4 @@
-//! Describes block I/Os to the scheduler.
+//! Builds the descriptions of block I/Os that the scheduler takes.
 use super::block_io::BlockIo;
 use super::io_classes::IoClass;
 use super::volumes::Volume;
@@ -7,22 +7,22 @@
 use mallowseam_scheduler::interface::{Bio, BioId, KeyId, VolumeId};
 use mallowseam_settings::GatewayConfig;
 
-/// An ordering key of the unit with this LUN.
+/// Ordering key within a logical unit.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct OrderingKey {
-    /// The LUN that the client has named; none for a step of a copy.
+    /// LUN that the client has addressed; `None` for a copy step.
     lun: Option<u32>,
     key: u64,
 }
 
-/// What the descriptions of block I/Os are made with.
+/// Builds descriptions of block I/Os from the configuration.
 pub(super) struct BioBuilder {
-    /// Ordering keys, each with a small index for the scheduler.
+    /// Ordering keys that the scheduler refers to, each with a small index.
     ordering_keys: Interner<OrderingKey>,
     classes: Vec<IoClass>,
-    /// Bytes of a unit, in which costs are counted.
+    /// Size of a unit of cost, in bytes.
     unit_bytes: u64,
-    /// The shard of each node.
+    /// Shard of each node.
     node_shards: Vec<u32>,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The description of a block I/O.
+    /// Builds the description of a block I/O.
     pub(super) fn build(&mut self, id: BioId, io: &BlockIo, volume: &Volume) -> Bio {
         let request = io.request();
         let lun = io.lun();
@@ -45,7 +45,7 @@
             .map(|key| KeyId(self.ordering_keys.intern(&OrderingKey { lun, key })));
         let shard = match (io.location(), io.copied_extent()) {
             (Some(to), _) => self.shard_of(to.location),
-            // A new copy may go to any node.
+            // A new copy may be written to any node.
             (None, Some(_)) => None,
             (None, None) => Some(request.shard),
         };
@@ -62,22 +62,22 @@
         }
     }
 
-    /// The shard of a location's node; none: the configuration lacks the node.
+    /// Returns the shard of a location's node, or `None` if the configuration lacks the node.
     pub(super) fn shard_of(&self, location: Location) -> Option<u32> {
         self.node_shards.get(location.node as usize).copied()
     }
 
-    /// What a block I/O costs.
+    /// Returns the cost of a block I/O in units.
     pub(super) fn units(&self, io: &BlockIo, volume: &Volume) -> f64 {
         volume.units(io.request().blocks, self.unit_bytes)
     }
 
-    /// The scheduler no longer refers to an ordering key.
+    /// Releases an ordering key that the scheduler no longer refers to.
     pub(super) fn release_key(&mut self, key: KeyId) {
         self.ordering_keys.release(key.0);
     }
 
-    /// The I/O class of a block I/O.
+    /// Returns the I/O class of a block I/O.
     pub(super) fn class(&self, io: &BlockIo) -> &IoClass {
         &self.classes[io.class()]
     }
--- a/crates/iscsi-host/src/dispatcher/block_io.rs
+++ b/crates/iscsi-host/src/dispatcher/block_io.rs
@@ -1,4 +1,4 @@
-//! One block I/O: where it comes from and where it goes.
+//! A block I/O: its origin and its location.
 use super::commands::CommandIndex;
 use super::exported_units::ExportedUnit;
 use super::extent_copies::CopyStep;
@@ -9,23 +9,23 @@
 use mallowseam_scheduler::interface::{BioId, NodeId, Tick};
 use std::rc::Rc;
 
-/// What a block I/O is a part of.
+/// Origin of a block I/O.
 enum Origin {
-    /// A client's command.
+    /// The block I/O is a part of a client's command.
     Command {
         command: CommandIndex,
-        /// The next block I/O of the command.
+        /// Next part of the command.
         next: Option<BioId>,
-        /// The LUN that the client has named.
+        /// LUN that the client has addressed.
         lun: u32,
-        /// The branch or snapshot that it reads or writes, where the catalog knows its locations.
+        /// Branch or snapshot of a mapped volume that the command reads or writes; `None` for other volumes.
         branch: Option<Rc<str>>,
     },
-    /// A copy of this extent.
+    /// The block I/O is a step of copying this extent.
     Copy(LayerExtent),
 }
 
-/// An attempt in flight at a node.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Attempt {
     pub(super) node: NodeId,
@@ -33,18 +33,18 @@
     pub(super) sent: Tick,
 }
 
-/// A part of a command, or a step of copying an extent.
+/// A part of a client's command, or a copy step.
 pub(crate) struct BlockIo {
     origin: Origin,
     volume: VolumeIndex,
     write: bool,
     request: SubRequest,
     arrived: Tick,
-    /// Counts block I/Os in the order in which they arrived.
+    /// Number of the block I/O in the order of arrival.
     sequence: u64,
-    /// Where it goes, where the catalog knows that.
+    /// Location, once looked up or assigned; `None` for volumes that are not mapped.
     location: Option<LayerLocation>,
-    /// The scheduler knows of it.
+    /// Whether the block I/O was passed to the scheduler.
     scheduled: bool,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A part of a command that has just arrived. `next`: the part behind it.
+    /// Creates a part of a command that has just arrived. `next`: the following part.
     pub(super) fn part(
         command: CommandIndex,
         next: Option<BioId>,
@@ -86,7 +86,7 @@
         BlockIo::new(origin, unit.volume, write, request, now)
     }
 
-    /// A step of a copy.
+    /// Creates a copy step.
     pub(super) fn copy_step(step: &CopyStep, now: Tick) -> Self {
         let origin = Origin::Copy(step.extent);
         BlockIo {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The command that it is a part of; none for a step of a copy.
+    /// Returns the command of the block I/O, or `None` for a copy step.
     pub(super) fn command(&self) -> Option<CommandIndex> {
         match self.origin {
             Origin::Command { command, .. } => Some(command),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The next part of its command.
+    /// Returns the next part of the same command.
     pub(super) fn next(&self) -> Option<BioId> {
         match self.origin {
             Origin::Command { next, .. } => next,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The LUN that the client has named; none for a step of a copy.
+    /// Returns the LUN that the client has addressed, or `None` for a copy step.
     pub(super) fn lun(&self) -> Option<u32> {
         match self.origin {
             Origin::Command { lun, .. } => Some(lun),
@@ -119,8 +119,8 @@
         }
     }
 
-    /// The branch or snapshot whose tree tells its location; none: its location is that of the
-    /// configuration, or of a copy.
+    /// Returns the branch or snapshot by which the location is looked up, or `None` for a copy step and for
+    /// volumes that are not mapped.
     pub(super) fn branch(&self) -> Option<&str> {
         match &self.origin {
             Origin::Command { branch, .. } => branch.as_deref(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The extent whose copy it is a step of.
+    /// Returns the extent that a copy step copies.
     pub(super) fn copied_extent(&self) -> Option<LayerExtent> {
         match self.origin {
             Origin::Command { .. } => None,
@@ -148,7 +148,7 @@
         &self.request
     }
 
-    /// Index of its I/O class.
+    /// Returns the index of the I/O class.
     pub(super) fn class(&self) -> usize {
         self.request.class.into()
     }
@@ -157,7 +157,7 @@
         self.arrived
     }
 
-    /// Its number in the order of arrival.
+    /// Returns the number of the block I/O in the order of arrival.
     pub(super) fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -166,12 +166,12 @@
         self.sequence = sequence;
     }
 
-    /// Where it goes, where the catalog knows that.
+    /// Returns the location, once looked up or assigned.
     pub(super) fn location(&self) -> Option<LayerLocation> {
         self.location
     }
 
-    /// The layer that it goes to.
+    /// Returns the layer of the location.
     pub(super) fn layer(&self) -> Option<LayerId> {
         self.location.map(|location| location.layer)
     }
@@ -180,17 +180,17 @@
         self.location = Some(location);
     }
 
-    /// Whether the scheduler knows of it.
+    /// Returns whether the block I/O was passed to the scheduler.
     pub(super) fn is_scheduled(&self) -> bool {
         self.scheduled
     }
 
-    /// The scheduler knows of it from now on.
+    /// Records that the block I/O is passed to the scheduler.
     pub(super) fn mark_scheduled(&mut self) {
         self.scheduled = true;
     }
 
-    /// The scheduler has released it: it begins anew, without a location.
+    /// Records that the scheduler has released the block I/O. Clears the location, to be looked up again.
     pub(super) fn mark_unscheduled(&mut self) {
         self.scheduled = false;
         self.location = None;
--- a/crates/iscsi-host/src/dispatcher/block_ios.rs
+++ b/crates/iscsi-host/src/dispatcher/block_ios.rs
@@ -15,57 +15,57 @@
 use mallowseam_scheduler_driver::{FinishedAttempt, InFlight, SchedulerDriver};
 use mallowseam_settings::GatewayConfig;
 
-/// A block I/O with its attempt in flight.
+/// A block I/O with its attempt in flight, if any.
 pub(super) type InFlightIo = InFlight<BlockIo, Attempt>;
 
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub(super) node: NodeId,
-    /// The command that its block I/O is a part of.
+    /// Command of the block I/O; `None` for a copy step.
     pub(super) command: Option<CommandIndex>,
-    /// The block I/O may not run twice, and this attempt is known not to have run.
+    /// Whether the block I/O is not idempotent and the attempt is known not to have run.
     pub(super) did_not_run: bool,
 }
 
-/// All block I/Os in flight.
+/// The block I/Os in flight, and their attempts.
 pub(super) struct BlockIos {
-    /// The block I/Os, and what the scheduler is to be told of them.
+    /// Table of the block I/Os, and the queue of reports to the scheduler.
     driver: SchedulerDriver<BlockIo, Attempt>,
-    /// The sequence number of the last block I/O.
+    /// Sequence number of the last block I/O.
     last_sequence: u64,
     tags: AttemptTags,
     timeouts: AttemptTimeouts,
-    bios: BioBuilder,
+    bio_builder: BioBuilder,
 }
 
 impl BlockIos {
-    /// Nothing is in flight.
+    /// Creates an empty table.
     pub(super) fn new(config: &GatewayConfig) -> Self {
         BlockIos {
             driver: SchedulerDriver::default(),
             last_sequence: 0,
             tags: AttemptTags::default(),
             timeouts: AttemptTimeouts::default(),
-            bios: BioBuilder::new(config),
+            bio_builder: BioBuilder::new(config),
         }
     }
 
-    /// What the scheduler is to be told, and what it has requested.
+    /// Returns the queued reports to the scheduler and its requests.
     pub(super) fn driver(&self) -> &SchedulerDriver<BlockIo, Attempt> {
         &self.driver
     }
 
-    /// What the scheduler is to be told, and what it has requested.
+    /// Returns the queued reports to the scheduler and its requests, for changes.
     pub(super) fn driver_mut(&mut self) -> &mut SchedulerDriver<BlockIo, Attempt> {
         &mut self.driver
     }
 
-    /// How many are in flight.
+    /// Returns the number of block I/Os in flight.
     pub(super) fn len(&self) -> usize {
         self.driver.in_flight().len()
     }
 
-    /// Whether so many more can be in flight.
+    /// Returns whether `count` more block I/Os can be in flight.
     pub(super) fn has_capacity_for(&self, count: usize) -> bool {
         self.len() + count <= MAX_BLOCK_IOS
     }
@@ -82,7 +82,7 @@
         self.driver.in_flight().iter().map(|(_, io)| io)
     }
 
-    /// Adds the parts of a command, linked in their order. Returns the first.
+    /// Adds the parts of a command, linked in order. Returns the first part.
     pub(super) fn insert_parts(
         &mut self,
         command: CommandIndex,
@@ -100,7 +100,7 @@
         first
     }
 
-    /// Adds a step of a copy.
+    /// Adds a copy step.
     pub(super) fn insert_copy_step(&mut self, step: &CopyStep, now: Tick) -> BioId {
         let io = BlockIo::copy_step(step, now);
         let id = self.driver.in_flight_mut().insert(io);
@@ -108,7 +108,7 @@
         id
     }
 
-    /// Numbers a block I/O in the order of arrival.
+    /// Assigns the next sequence number to a block I/O.
     pub(super) fn assign_sequence(&mut self, id: BioId) {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
@@ -117,19 +117,19 @@
         }
     }
 
-    /// A part of a command; none: it is released.
+    /// Returns a part of a command, or `None` if the part is released.
     pub(super) fn part(&self, id: BioId, command: CommandIndex) -> Option<&InFlightIo> {
         self.get(id).filter(|io| io.data.command() == Some(command))
     }
 
-    /// A part of a command; none: it is released.
+    /// Returns a part of a command for changes, or `None` if the part is released.
     pub(super) fn part_mut(&mut self, id: BioId, command: CommandIndex) -> Option<&mut InFlightIo> {
         self.get_mut(id)
             .filter(|io| io.data.command() == Some(command))
     }
 
-    /// Which parts of a command are in flight, from its first up to one that is released. `layer`: what is
-    /// in flight to any other is told apart.
+    /// Returns whether parts of a command are in flight, and whether any of them go to a layer other than
+    /// `layer`. Considers the parts from `first` up to the first one that is released.
     pub(super) fn parts_in_flight(
         &self,
         command: CommandIndex,
@@ -140,7 +140,7 @@
         let parts = std::iter::successors(first, |part| {
             part.data.next().and_then(|id| self.part(id, command))
         });
-        // What the scheduler has queued may be sent at any moment.
+        // The scheduler may send a queued part at any moment.
         let in_flight = parts.filter(|part| part.data.is_scheduled() && !part.is_answered());
         let mut found = PartsInFlight::default();
         for part in in_flight {
@@ -150,39 +150,39 @@
         found
     }
 
-    /// Removes a block I/O.
+    /// Removes a block I/O from the table.
     pub(super) fn remove(&mut self, id: BioId) -> Option<InFlightIo> {
         self.driver.in_flight_mut().release(id)
     }
 
-    /// The scheduler knows of a block I/O from now on: its description.
+    /// Marks a block I/O as passed to the scheduler. Returns its description.
     pub(super) fn schedule(&mut self, id: BioId, volume: &Volume) -> Option<Bio> {
         let io = &mut self.driver.in_flight_mut().get_mut(id)?.data;
         io.mark_scheduled();
-        Some(self.bios.build(id, io, volume))
+        Some(self.bio_builder.build(id, io, volume))
     }
 
-    /// How block I/Os are described to the scheduler.
-    pub(super) fn bios(&self) -> &BioBuilder {
-        &self.bios
+    /// Returns the builder of descriptions for the scheduler.
+    pub(super) fn bio_builder(&self) -> &BioBuilder {
+        &self.bio_builder
     }
 
-    /// The scheduler no longer refers to an ordering key.
+    /// Releases an ordering key that the scheduler no longer refers to.
     pub(super) fn release_key(&mut self, key: KeyId) {
-        self.bios.release_key(key);
+        self.bio_builder.release_key(key);
     }
 
-    /// The I/O class of a block I/O.
+    /// Returns the I/O class of a block I/O.
     pub(super) fn class(&self, io: &BlockIo) -> &IoClass {
-        self.bios.class(io)
+        self.bio_builder.class(io)
     }
 
-    /// Whether a block I/O has waited for as long as its latency objective.
+    /// Returns whether the latency objective of a block I/O has passed since its arrival.
     pub(super) fn is_past_latency_objective(&self, io: &BlockIo, now: Tick) -> bool {
         now >= io.arrived() + self.class(io).latency_objective()
     }
 
-    /// An attempt is in flight from now on: its tag.
+    /// Records an attempt as in flight. Returns its tag.
     pub(super) fn begin_attempt(
         &mut self,
         id: BioId,
@@ -203,7 +203,7 @@
         tag
     }
 
-    /// The scheduler has asked for an attempt that cannot be sent: its outcome is queued.
+    /// Queues the outcome of an attempt that the scheduler has requested but that cannot be sent.
     pub(super) fn attempt_not_sent(&mut self, id: BioId, node: NodeId) {
         if let Some(io) = self.get_mut(id) {
             io.count_attempt();
@@ -213,19 +213,19 @@
         self.driver.queue_finished(attempt);
     }
 
-    /// The block I/O whose attempt in flight has this tag; none: that attempt has ended.
+    /// Returns the block I/O whose attempt in flight has a tag, or `None` if that attempt has ended.
     pub(super) fn in_flight_with_tag(&self, tag: u32) -> Option<BioId> {
         let id = block_io_of_tag(tag);
         let attempt = self.get(id)?.attempt()?;
         (attempt.tag == tag).then_some(id)
     }
 
-    /// When the next attempt times out.
+    /// Returns the time of the next timeout of an attempt.
     pub(super) fn next_timeout(&self) -> Option<Tick> {
         self.timeouts.next_due()
     }
 
-    /// The next block I/O whose attempt in flight has timed out.
+    /// Returns the next block I/O whose attempt in flight has timed out, and removes the timeout.
     pub(super) fn next_timed_out(&mut self, now: Tick) -> Option<BioId> {
         while let Some(tag) = self.timeouts.take_due(now) {
             let io = self.in_flight_with_tag(tag);
@@ -236,7 +236,7 @@
         None
     }
 
-    /// Forgets the timeouts of attempts that have ended, if they are many.
+    /// Removes the timeouts of attempts that have ended, if there are many.
     pub(super) fn remove_ended_timeouts(&mut self) {
         let table = self.driver.in_flight();
         let is_in_flight = |tag: u32| {
@@ -246,7 +246,8 @@
         self.timeouts.remove_ended(table.len(), is_in_flight);
     }
 
-    /// The attempt in flight has ended; none: there is none. Its outcome is queued for the scheduler.
+    /// Ends the attempt in flight of a block I/O and queues its outcome for the scheduler. Returns `None` if no
+    /// attempt is in flight.
     pub(super) fn end_attempt(
         &mut self,
         id: BioId,
@@ -270,14 +271,14 @@
         Some(ended)
     }
 
-    /// The writes of clients that are queued for a layer are to be looked up again: withdraws them.
+    /// Withdraws the client writes that the scheduler has queued for a layer, so that they are looked up again.
     pub(super) fn relocate_queued_writes(&mut self, layer: Option<LayerId>) {
         for id in self.driver.in_flight().ids() {
             let is_queued_write = |io: &&mut InFlightIo| {
                 let is_queued = io.data.is_scheduled() && io.attempt().is_none();
-                let is_open = !io.is_withdrawn() && !io.is_answered();
-                let is_clients_write = io.data.is_write() && io.data.command().is_some();
-                io.data.layer() == layer && is_queued && is_open && is_clients_write
+                let is_pending = !io.is_withdrawn() && !io.is_answered();
+                let is_client_write = io.data.is_write() && io.data.command().is_some();
+                io.data.layer() == layer && is_queued && is_pending && is_client_write
             };
             if let Some(io) = self.get_mut(id).filter(is_queued_write) {
                 io.mark_withdrawn();
--- a/crates/iscsi-host/src/dispatcher/client_commands.rs
+++ b/crates/iscsi-host/src/dispatcher/client_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of clients, from their arrival to their answer.
+//! Commands of clients, from arrival to answer.
 use super::Dispatcher;
 use super::answers::{self, Answer};
 use super::commands::{CommandAnswer, CommandIndex, Issuer, NewCommand};
@@ -14,17 +14,17 @@
 use mallowseam_scheduler_driver::InFlight;
 use mallowseam_sockets::clock::ticks_to_millis;
 
-/// A command as it comes from a client.
+/// A command as received from a client.
 pub(super) struct ClientRequest {
     pub(super) client: ClientId,
     /// The initiator task tag.
     pub(super) task: u32,
-    /// None: the LUN cannot be parsed.
+    /// Addressed LUN; `None` if it cannot be parsed.
     pub(super) lun: Option<u32>,
     pub(super) cdb: [u8; 16],
-    /// Expected data-in length (RFC 7143, 11.3.4): bytes that the client takes at most.
+    /// Expected data-in length (RFC 7143, 11.3.4): maximum number of bytes that the client accepts.
     pub(super) read_len: usize,
-    /// Bytes that it writes.
+    /// Data to write.
     pub(super) data: Vec<u8>,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Whether the client has sent, or takes, as many bytes as it transfers.
-    fn fits(&self, write: bool, bytes: u64) -> bool {
+    /// Returns whether the client has sent exactly `bytes` bytes to write, or accepts at least as many to read.
+    fn matches_length(&self, write: bool, bytes: u64) -> bool {
         if write {
             self.data.len() as u64 == bytes
         } else {
@@ -47,7 +47,7 @@
 }
 
 impl Dispatcher {
-    /// Answers a command, or splits it and passes its parts to the scheduler.
+    /// Handles a command: answers it, or splits it and passes its parts to the scheduler.
     pub(super) fn on_command(&mut self, scheduler: &mut Scheduler, request: ClientRequest) {
         let issuer = request.issuer();
         let parsed = scsi::parse_cdb(&request.cdb);
@@ -75,7 +75,10 @@
         self.units.find(lun, tree)
     }
 
-    /// Admits a read or write as a command in flight. Error: the answer, where that is decided at once.
+    /// Admits a read or write as a command in flight.
+    ///
+    /// # Errors
+    /// The answer, if the command is answered at once.
     fn admit_transfer(
         &mut self,
         request: ClientRequest,
@@ -113,7 +116,10 @@
         Ok(command)
     }
 
-    /// Checks a read or write. Error: the answer, where there is nothing to be sent to a node.
+    /// Checks a read or write.
+    ///
+    /// # Errors
+    /// The answer, if there is nothing to send to a node.
     fn check_transfer(
         &self,
         request: &ClientRequest,
@@ -124,7 +130,7 @@
             .units
             .check_transfer(unit, transfer)
             .map_err(Answer::CheckCondition)?;
-        if !request.fits(transfer.write, bytes) {
+        if !request.matches_length(transfer.write, bytes) {
             return Err(Answer::CheckCondition(Sense::INVALID_FIELD_IN_CDB));
         }
         if transfer.blocks == 0 {
@@ -133,7 +139,7 @@
         Ok(())
     }
 
-    /// Looks up the parts of a new command, or passes them to the scheduler.
+    /// Passes the parts of a new command to the scheduler. Parts of a mapped volume are looked up first.
     fn start_command(&mut self, scheduler: &mut Scheduler, command: CommandIndex) {
         let mut next = self.commands.first_part(command);
         while let Some(id) = next {
@@ -144,7 +150,7 @@
             let is_mapped = part.data.branch().is_some();
             self.block_ios.assign_sequence(id);
             if self.commands.is_answered(command) {
-                // An earlier part has decided the answer: this one is not passed to the scheduler.
+                // An earlier part has decided the answer, so this part is not needed.
                 self.release(id);
             } else if is_mapped {
                 self.look_up(scheduler, id);
@@ -173,7 +179,7 @@
         scheduler.on_arrival(self, now, bio);
     }
 
-    /// The client of a command does not wait for its answer any more.
+    /// Abandons a command whose client no longer waits for the answer.
     pub(super) fn abandon_command(&mut self, command: CommandIndex) {
         if self.commands.abandon(command) {
             self.metrics.command_abandoned();
@@ -181,7 +187,7 @@
         }
     }
 
-    /// The parts of a command that is answered are of no more use.
+    /// Withdraws the parts of a command that is answered or abandoned.
     fn withdraw_parts(&mut self, command: CommandIndex) {
         let mut next = self.commands.first_part(command);
         while let Some(id) = next {
@@ -195,14 +201,14 @@
             if part.data.is_scheduled() {
                 self.block_ios.driver_mut().queue_withdrawal(id);
             }
-            // One that waits for its location is released by the next lookup.
+            // A part that waits for its location is released by the next lookup.
             if let Some(mapped) = &mut self.mapped {
-                mapped.look_up_soon(self.now);
+                mapped.schedule_immediate_lookup(self.now);
             }
         }
     }
 
-    /// A block I/O has completed.
+    /// Handles the completion of a block I/O.
     pub(super) fn on_completed(&mut self, id: BioId, data: Vec<u8>) {
         let Some(InFlight { data: io, .. }) = self.block_ios.get(id) else {
             return;
@@ -217,7 +223,7 @@
             return;
         }
         let volume = self.units.volume(io.volume());
-        let units = self.block_ios.bios().units(io, volume);
+        let units = self.block_ios.bio_builder().units(io, volume);
         self.metrics.units_completed(io.volume(), units);
         let Some(command) = io.command() else { return };
         let part = *io.request();
@@ -225,7 +231,7 @@
         self.send_answer(command, answer);
     }
 
-    /// Sends the answer to a command, if that is decided now.
+    /// Sends the answer to a command, if there is one.
     fn send_answer(&mut self, command: CommandIndex, answer: Option<CommandAnswer>) {
         let Some(answer) = answer else { return };
         self.metrics.command_answered(answer.outcome);
@@ -239,14 +245,14 @@
         }
     }
 
-    /// Answers the client of a block I/O that is shed or has failed.
+    /// Finishes a block I/O that was shed or has failed, and answers its client if that decides the command.
     pub(super) fn answer_not_completed(&mut self, id: BioId, outcome: RequestOutcome) {
         let Some(io) = self.block_ios.get_mut(id).filter(|io| !io.is_answered()) else {
             return;
         };
         self.metrics
             .block_io_not_completed(io.data.class(), outcome);
-        // A step of a copy has no client: its copy is given up when the step is released.
+        // A copy step has no client. Its copy fails when the step is released.
         let Some(command) = io.data.command() else {
             return;
         };
@@ -255,7 +261,7 @@
         self.send_answer(command, answer);
     }
 
-    /// Releases a block I/O, and its command with the last one.
+    /// Releases a block I/O. Releasing the last part of a command also releases the command.
     pub(super) fn release(&mut self, id: BioId) {
         let Some(io) = self.block_ios.remove(id) else {
             return;
--- a/crates/iscsi-host/src/dispatcher/commands.rs
+++ b/crates/iscsi-host/src/dispatcher/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of clients, whose outcome is that of their parts.
+//! Commands of clients, whose outcome follows from that of their parts.
 #[cfg(test)]
 mod tests;
 
@@ -18,7 +18,7 @@
 /// Index of a command.
 pub(super) type CommandIndex = u32;
 
-/// Who has sent a command.
+/// Sender of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Issuer {
     pub(super) client: ClientId,
@@ -26,61 +26,61 @@
     pub(super) task: u32,
 }
 
-/// What a command transfers.
+/// Data of a command.
 enum CommandData {
-    /// What is written.
+    /// The data to write.
     Write(Payload),
-    /// A read of one part: what that reads is the answer.
+    /// A read with a single part, whose data is the answer.
     ReadWhole,
-    /// What has been read so far of several parts.
+    /// A read with several parts, with the data that was read so far.
     ReadParts(Vec<u8>),
 }
 
 /// A command of a client.
 struct Command {
-    /// None once the client has disconnected or aborted it.
+    /// Sender; `None` once the client has disconnected or aborted the command.
     issuer: Option<Issuer>,
     progress: CommandProgress,
-    /// The first of its parts, which are linked.
+    /// First part. Each part refers to the next one.
     first: Option<BioId>,
-    /// How many parts it was split into.
+    /// Number of parts that the command was split into.
     parts: u32,
-    /// Its parts that are not released yet.
+    /// Number of parts that are not released yet.
     unreleased: u32,
-    /// Where its parts lie with respect to cuts.
+    /// State of the parts with respect to cuts, used if the command is a split write.
     split_write: SplitWrite,
-    /// The client's SCSI group number, which is passed on to the nodes.
+    /// SCSI group number from the client, which is passed on to nodes.
     group_number: u8,
-    /// Bytes of a block.
+    /// Block size in bytes.
     block_size: usize,
     data: CommandData,
 }
 
-/// What a new command is.
+/// Parameters of a new command.
 pub(super) struct NewCommand {
     pub(super) issuer: Issuer,
     pub(super) transfer: Transfer,
-    /// Bytes of a block.
+    /// Block size in bytes.
     pub(super) block_size: u32,
-    /// What is written.
+    /// Data to write; empty for a read.
     pub(super) data: Vec<u8>,
-    /// How many parts it was split into.
+    /// Number of parts that the command is split into.
     pub(super) parts: u32,
 }
 
-/// The answer to a command.
+/// Answer to a command.
 pub(super) struct CommandAnswer {
-    /// None: nobody waits for it any more.
+    /// Sender of the command; `None` if the command was abandoned.
     pub(super) issuer: Option<Issuer>,
     pub(super) outcome: RequestOutcome,
-    /// What was read.
+    /// Data that was read.
     pub(super) data: Vec<u8>,
 }
 
-/// What an attempt at a part of a command sends to a node.
+/// Group number and data of an attempt of a part.
 pub(super) struct PartTransfer {
     pub(super) group_number: u8,
-    /// Empty for a read.
+    /// Data to write; empty for a read.
     pub(super) data: Payload,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl Commands {
-    /// Adds a command; its parts are added by [`set_first_part`](Self::set_first_part).
+    /// Adds a command without its parts, which [`set_first_part`](Self::set_first_part) links to it.
     pub(super) fn insert(&mut self, new: NewCommand) -> CommandIndex {
         let block_size = new.block_size as usize;
         let Transfer { write, blocks, .. } = new.transfer;
@@ -115,7 +115,7 @@
         })
     }
 
-    /// The first of a command's parts, which are linked.
+    /// Returns the first part of a command. Each part refers to the next one.
     pub(super) fn first_part(&self, index: CommandIndex) -> Option<BioId> {
         self.table.get(index)?.first
     }
@@ -126,14 +126,15 @@
         }
     }
 
-    /// Whether the answer to a command is decided, or nobody waits for it.
+    /// Returns whether the answer to a command is decided or the command is abandoned.
     pub(super) fn is_answered(&self, index: CommandIndex) -> bool {
         self.table
             .get(index)
             .is_some_and(|command| command.progress.is_answered())
     }
 
-    /// The client of a command does not wait for its answer any more. False: the answer is decided.
+    /// Abandons a command whose client no longer waits for the answer. Returns false if the answer is already
+    /// decided.
     pub(super) fn abandon(&mut self, index: CommandIndex) -> bool {
         let command = self
             .table
@@ -145,8 +146,8 @@
         true
     }
 
-    /// What an attempt at a part sends, which may have run from then on. `non_idempotent`: running it twice
-    /// does harm.
+    /// Records that an attempt of a part is sent, and may run from now on. Returns the group number and data of
+    /// the attempt. `non_idempotent`: whether the part must not run twice.
     pub(super) fn begin_attempt(
         &mut self,
         index: CommandIndex,
@@ -169,15 +170,15 @@
         })
     }
 
-    /// An attempt at a part that may not run twice is known not to have run.
+    /// Records that an attempt of a non-idempotent part is known not to have run.
     pub(super) fn attempt_did_not_run(&mut self, index: CommandIndex) {
         if let Some(command) = self.table.get_mut(index) {
             command.progress.attempt_did_not_run();
         }
     }
 
-    /// A part has completed. `location`: where, if the catalog knows that; `data`: what it has read. The
-    /// command's answer if this decides it.
+    /// Records that a part has completed. `location`: location of the part, for mapped volumes; `data`: data
+    /// that the part has read. Returns the answer to the command if the part decides it.
     pub(super) fn part_completed(
         &mut self,
         index: CommandIndex,
@@ -190,7 +191,7 @@
             command.split_write.part_completed(location.layer);
         }
         let offset = part.offset as usize * command.block_size;
-        let rest = match &mut command.data {
+        let answer_data = match &mut command.data {
             CommandData::ReadParts(read) => {
                 if let Some(range) = read.get_mut(offset..offset + data.len()) {
                     range.copy_from_slice(&data);
@@ -199,10 +200,10 @@
             }
             CommandData::Write(_) | CommandData::ReadWhole => data,
         };
-        self.part_finished(index, RequestOutcome::Completed, rest)
+        self.part_finished(index, RequestOutcome::Completed, answer_data)
     }
 
-    /// A part is finished. The command's answer if this decides it.
+    /// Records the outcome of a part. Returns the answer to the command if the part decides it.
     pub(super) fn part_finished(
         &mut self,
         index: CommandIndex,
@@ -222,7 +223,7 @@
         })
     }
 
-    /// A part is released, and its command with the last one.
+    /// Records that a part is released. Removes the command with its last part.
     pub(super) fn release_part(&mut self, index: CommandIndex) {
         let Some(command) = self.table.get_mut(index) else {
             return;
@@ -233,23 +234,23 @@
         }
     }
 
-    /// Whether a command was split.
+    /// Returns whether a command has several parts.
     pub(super) fn is_split(&self, index: CommandIndex) -> bool {
         self.table
             .get(index)
             .is_some_and(|command| command.parts > 1)
     }
 
-    /// The state of a split write that is not answered.
-    pub(super) fn open_split_write(&self, index: CommandIndex) -> Option<&SplitWrite> {
+    /// Returns the state of a command with respect to cuts, if it is a split write that is not answered.
+    pub(super) fn unanswered_split_write(&self, index: CommandIndex) -> Option<&SplitWrite> {
         let command = self.table.get(index)?;
         let is_write = matches!(command.data, CommandData::Write(_));
-        let is_open = is_write && command.parts > 1 && !command.progress.is_answered();
-        is_open.then_some(&command.split_write)
+        let is_unanswered = is_write && command.parts > 1 && !command.progress.is_answered();
+        is_unanswered.then_some(&command.split_write)
     }
 
-    /// Whether a part of a split write may be sent into a layer, as far as cuts are concerned.
-    /// `cut_pending`: a cut of its branch is pending, so that none may begin.
+    /// Decides whether cuts admit sending a part of a split write to a layer. `cut_pending`: whether a cut of
+    /// the branch is pending, during which no split write may start.
     pub(super) fn admit_part(
         &mut self,
         index: CommandIndex,
@@ -268,7 +269,7 @@
         command.split_write.admit(layer, parts.in_other_layer, now)
     }
 
-    /// The catalog has decided about writes with parts in a layer.
+    /// Applies a decision of the catalog about split writes with parts in a layer.
     pub(super) fn permission_decided(&mut self, layer: LayerId, granted: bool) {
         for index in self.table.indices() {
             if let Some(command) = self.table.get_mut(index) {
--- a/crates/iscsi-host/src/dispatcher/connections.rs
+++ b/crates/iscsi-host/src/dispatcher/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, to nodes and to the snapshot catalog, as the event loop turns to them.
+//! Handlers of the event loop for connections of clients, to nodes and to the snapshot catalog.
 use super::Dispatcher;
 use crate::client_connections::ClientId;
 use crate::node_connections::NodeIndex;
@@ -7,12 +7,13 @@
 use std::net::SocketAddr;
 
 impl Dispatcher {
-    /// Whether no client is connected and nothing is in flight.
+    /// Returns whether no client is connected and no block I/O is in flight.
     pub(crate) fn is_idle(&self) -> bool {
         self.clients.admission.connection_count() == 0 && self.in_flight() == 0
     }
 
-    /// Closes the host to new logins and asks every client to log out. False: that was done before.
+    /// Closes the host to new logins and asks every client to log out. Returns whether the host was open to
+    /// logins before.
     pub(crate) fn drain(&mut self) -> bool {
         self.clients.drain(self.now)
     }
@@ -22,17 +23,17 @@
         self.clients.admission.stop_draining();
     }
 
-    /// Takes a connection of a client that was accepted.
+    /// Adds an accepted connection of a client.
     pub(crate) fn accept_client(&mut self, socket: TcpStream, peer: SocketAddr) {
         self.clients.accept(socket, peer, self.now);
     }
 
-    /// A client's socket is ready, to be read if `readable`, and to be written in any case.
+    /// Records readiness of a client's socket: it may be written to and, if `readable`, read from.
     pub(crate) fn mark_client_ready(&mut self, client: ClientId, readable: bool) {
         self.clients.mark_ready(client, readable);
     }
 
-    /// Reads from a client once, and handles its commands. True: there may be more to read.
+    /// Reads once from a client and handles its commands. Returns whether there may be more to read.
     pub(crate) fn read_client(
         &mut self,
         scheduler: &mut Scheduler,
@@ -47,12 +48,12 @@
         has_more
     }
 
-    /// A node's socket is ready, to be read if `readable`, and to be written in any case.
+    /// Records readiness of a node's socket: it may be written to and, if `readable`, read from.
     pub(crate) fn mark_node_ready(&mut self, node: NodeIndex, readable: bool) {
         self.nodes.mark_ready(node, readable);
     }
 
-    /// Reads from a node once, and handles its answers. True: there may be more to read.
+    /// Reads once from a node and handles its answers. Returns whether there may be more to read.
     pub(crate) fn read_node(
         &mut self,
         scheduler: &mut Scheduler,
@@ -64,7 +65,7 @@
         has_more
     }
 
-    /// Reads what the snapshot catalog has sent. True: there is more to read, in another turn.
+    /// Reads from the snapshot catalog. Returns whether there may be more to read in another turn.
     pub(crate) fn read_catalog(
         &mut self,
         scheduler: &mut Scheduler,
@@ -78,20 +79,20 @@
         has_more
     }
 
-    /// Closes connections of clients and to nodes that have timed out.
+    /// Closes the connections of clients and to nodes that have timed out.
     pub(crate) fn check_connections(&mut self) {
         self.clients.on_timer(self.now);
         self.nodes.on_timer(self.now);
     }
 
-    /// Writes what waits for nodes and clients. Returns the clients that have read enough of it to be read
-    /// from again.
+    /// Writes the queued bytes to all nodes and clients. Returns the clients that may have sent more data and
+    /// have few enough unsent answers to be read from again.
     pub(crate) fn flush(&mut self) -> Vec<ClientId> {
         self.nodes.flush();
         self.clients.flush(self.now)
     }
 
-    /// Connects to the snapshot catalog and renews the lease where that is due, and writes what is queued.
+    /// Connects to the snapshot catalog and renews the lease if that is due, and writes the queued messages.
     pub(crate) fn maintain_catalog(&mut self) {
         if let Some(mapped) = &mut self.mapped {
             mapped.on_timer(self.now);
--- a/crates/iscsi-host/src/dispatcher/exported_units.rs
+++ b/crates/iscsi-host/src/dispatcher/exported_units.rs
@@ -1,4 +1,4 @@
-//! The units that clients see: volumes of the configuration, and their snapshots and clones.
+//! Logical units that clients see: volumes of the configuration, and their snapshots and clones.
 use super::transfer::Transfer;
 use super::volumes::{Volume, VolumeIndex};
 use mallowseam_connection_policy::request_splitting::SubRequest;
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Separates the branch from the snapshot's own name in the name of a snapshot.
+/// Separator between the branch and the snapshot's own name in the full name of a snapshot.
 const SNAPSHOT_SEPARATOR: char = '@';
 
 /// A logical unit.
 #[derive(Clone)]
 pub(super) struct ExportedUnit {
-    /// The volume that it is, or that it is a snapshot or clone of.
+    /// Volume of the unit. A snapshot or clone has the volume that it descends from.
     pub(super) volume: VolumeIndex,
     pub(super) lun: u32,
-    /// Bytes of a block.
+    /// Block size in bytes.
     pub(super) block_size: u32,
-    /// The branch or snapshot that it shows, where the catalog knows its locations.
+    /// Branch or snapshot of the unit in the snapshot catalog; `None` if the volume is not mapped.
     pub(super) branch: Option<Rc<str>>,
     pub(super) writable: bool,
 }
@@ -30,15 +30,15 @@
     volumes: Vec<Volume>,
     /// Snapshots and clones by LUN.
     snapshots_and_clones: BTreeMap<u32, ExportedUnit>,
-    /// The version of the tree that these were taken from; none: there was no tree so far.
+    /// Version of the tree from which `snapshots_and_clones` was derived; `None` if there was no tree yet.
     tree_version: Option<u64>,
     max_transfer_bytes: u64,
-    /// Reused for splitting transfers.
+    /// Buffer for the parts of a transfer, reused to avoid allocations.
     sub_requests: Vec<SubRequest>,
 }
 
 impl ExportedUnits {
-    /// The volumes of a configuration, without snapshots and clones.
+    /// Creates the units of the configured volumes, without snapshots and clones.
     pub(super) fn new(config: &GatewayConfig) -> Self {
         let catalog = config.catalog.clone().unwrap_or_default();
         let volumes = config
@@ -54,13 +54,13 @@
         }
     }
 
-    /// The volume with an index of the configuration.
+    /// Returns a volume by its index in the configuration.
     pub(super) fn volume(&self, index: VolumeIndex) -> &Volume {
         &self.volumes[index]
     }
 
-    /// Volumes have these plans from now on, by index. Returns the scheduler's handles of those whose plan
-    /// has changed.
+    /// Assigns a plan to each volume. `plans`: indices of the plans, in the order of the configured volumes.
+    /// Returns the volumes whose plan has changed, with the index of the new plan.
     pub(super) fn apply_plans(&mut self, plans: &[usize]) -> Vec<(VolumeId, u16)> {
         let mut changed = Vec::new();
         for (index, (volume, plan)) in self.volumes.iter_mut().zip(plans).enumerate() {
@@ -72,7 +72,7 @@
         changed
     }
 
-    /// The unit of a LUN.
+    /// Returns the unit with a LUN.
     pub(super) fn find(&mut self, lun: u32, tree: Option<&Tree>) -> Option<ExportedUnit> {
         let mut volumes = self.volumes.iter().enumerate();
         if let Some((index, volume)) = volumes.find(|(_, volume)| volume.lun() == lun) {
@@ -88,20 +88,23 @@
         self.snapshots_and_clones.get(&lun).cloned()
     }
 
-    /// The LUNs of all units.
+    /// Returns the LUNs of all units.
     pub(super) fn luns(&mut self, tree: Option<&Tree>) -> impl Iterator<Item = u32> {
         self.update(tree);
         let volumes = self.volumes.iter().map(Volume::lun);
         volumes.chain(self.snapshots_and_clones.keys().copied())
     }
 
-    /// A volume as a client's initiator sees it.
+    /// Returns the SCSI properties of a volume.
     pub(super) fn logical_unit(&self, volume: VolumeIndex) -> LogicalUnit<'_> {
         self.volumes[volume].logical_unit(self.max_transfer_bytes)
     }
 
-    /// Checks that a transfer is within the unit and the host's limits. Returns its bytes; error: the sense to
-    /// answer with.
+    /// Checks a transfer against the bounds of the unit and the limits of the host. Returns the length of the
+    /// transfer in bytes.
+    ///
+    /// # Errors
+    /// The sense for the answer.
     pub(super) fn check_transfer(
         &self,
         unit: &ExportedUnit,
@@ -121,7 +124,10 @@
         Ok(bytes)
     }
 
-    /// Splits a transfer into block I/Os. Error: the sense to answer with.
+    /// Splits a transfer into block I/Os.
+    ///
+    /// # Errors
+    /// The sense for the answer.
     pub(super) fn split(
         &mut self,
         unit: &ExportedUnit,
@@ -136,7 +142,7 @@
         Ok(&self.sub_requests)
     }
 
-    /// Takes snapshots and clones from the tree, if that has changed.
+    /// Updates the snapshots and clones, if the tree has changed.
     fn update(&mut self, tree: Option<&Tree>) {
         let Some(tree) = tree else { return };
         if self.tree_version != Some(tree.version) {
@@ -170,10 +176,10 @@
         .collect()
 }
 
-/// The volume that a branch descends from, directly or through clones of clones.
+/// Returns the volume that a branch descends from, directly or through clones of clones.
 fn volume_of(volumes: &[Volume], tree: &Tree, branch: &str) -> Option<VolumeIndex> {
     let mut name = branch;
-    // Each step leads to another branch, so there are at most as many steps as branches.
+    // Each step leads to an ancestor branch, so there are at most as many steps as branches.
     for _ in 0..=tree.branches.len() {
         let volume = volumes
             .iter()
--- a/crates/iscsi-host/src/dispatcher/extent_copies.rs
+++ b/crates/iscsi-host/src/dispatcher/extent_copies.rs
@@ -13,49 +13,49 @@
 use mallowseam_settings::config;
 use std::collections::BTreeMap;
 
-/// What is to be copied.
+/// Source of a copy.
 #[derive(Clone, Copy)]
 pub(super) struct CopySource {
     pub(super) volume: VolumeIndex,
-    /// Bytes of a block of the volume.
+    /// Block size of the volume, in bytes.
     pub(super) block_size: u32,
-    /// Where the extent is copied from; none: it was never written, and reads as zeros.
+    /// Location that the extent is copied from; `None` if the extent was never written and reads as zeros.
     pub(super) from: Option<LayerLocation>,
 }
 
-/// A block I/O of a copy.
+/// Read or write of a copy, which is submitted as a block I/O.
 pub(super) struct CopyStep {
     pub(super) extent: LayerExtent,
     pub(super) volume: VolumeIndex,
     pub(super) write: bool,
-    /// Where it reads. A write gets a location with each of its attempts.
+    /// Location that a read reads from. A write is assigned a location for each of its attempts.
     pub(super) read_from: Option<LayerLocation>,
     pub(super) request: SubRequest,
 }
 
-/// What follows when a step has completed.
+/// Action that follows the completion of a copy step.
 pub(super) enum AfterStep {
-    /// What was read is written next.
+    /// Start the write of the data that was read.
     Start(CopyStep),
-    /// The location of the copy is proposed to the catalog.
+    /// Propose the location of the copy to the catalog.
     Propose(Location),
     Nothing,
 }
 
-/// What an attempt to write a copy sends.
+/// Slot and data of an attempt to write a copy.
 pub(super) struct CopyWrite {
-    /// Where it goes: each attempt has a location of its own, as one that lands late must land where nobody
-    /// reads.
+    /// Slot to write to. Each attempt has its own slot, so that a late write of an earlier attempt changes
+    /// data that nobody reads.
     pub(super) slot: u32,
     pub(super) data: Payload,
 }
 
-/// An extent on its way to a new location.
+/// Copy of an extent to a new location.
 struct ExtentCopy {
     source: CopySource,
-    /// What has been read.
+    /// Data that was read.
     data: Payload,
-    /// Slots for the attempts to write it, one each.
+    /// Unused slots, one for each remaining attempt to write the copy.
     slots: Vec<u32>,
     state: CopyState,
 }
@@ -70,31 +70,31 @@
 enum CopyState {
     Reading,
     Writing,
-    /// Proposed to the catalog, last at that time.
+    /// The location was proposed to the catalog, most recently at `sent_at`.
     Proposed {
         location: Location,
         sent_at: Millis,
     },
-    /// Failed; may be started again from that time on.
+    /// The copy has failed and may be started again from `retry_at` on.
     Failed {
         retry_at: Millis,
     },
 }
 
-/// All copies in progress, and those that failed a short time ago.
+/// Copies in progress, and copies that failed recently.
 pub(super) struct ExtentCopies {
     copies: BTreeMap<LayerExtent, ExtentCopy>,
     budget: CopyBudget,
     /// Index of the I/O class of copies.
     class: u16,
-    /// Blocks of an extent.
+    /// Number of blocks of an extent.
     extent_blocks: u64,
-    /// Attempts that a write may have, each with a slot.
+    /// Maximum number of attempts of a write. Each attempt needs a slot.
     max_attempts: usize,
 }
 
 impl ExtentCopies {
-    /// No copies.
+    /// Creates an empty table.
     pub(super) fn new(catalog: &config::Catalog, max_attempts: u32) -> Self {
         ExtentCopies {
             copies: BTreeMap::new(),
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Slots that a copy needs.
+    /// Returns the number of slots that a copy needs.
     pub(super) fn slots_needed(&self) -> usize {
         self.max_attempts
     }
 
-    /// Whether a copy of an extent may start: none is in progress, and the budget admits it. The budget then
-    /// counts it.
+    /// Returns whether a copy of an extent may start: no copy of it is in progress, and the budget admits one.
+    /// The budget counts an admitted copy.
     pub(super) fn admits(&mut self, extent: LayerExtent, now: Millis) -> bool {
         let is_retry = match self.copies.get(&extent).map(|copy| copy.state) {
             None => false,
@@ -123,8 +123,8 @@
         self.budget.may_start(in_flight, is_retry, now)
     }
 
-    /// Starts a copy that was admitted. None: there are too few slots. They are lost, which costs nothing,
-    /// and more were requested.
+    /// Starts a copy that was admitted. Returns `None` if there are too few slots. These slots are discarded;
+    /// the caller has requested more from the catalog.
     pub(super) fn start(
         &mut self,
         extent: LayerExtent,
@@ -137,7 +137,8 @@
         }
         let (state, data) = match source.from {
             Some(_) => (CopyState::Reading, Vec::new()),
-            // One block is enough to have the node know the location: the others read as zeros anyway.
+            // Writing one block is enough to make the location known to the node. The other blocks read as
+            // zeros anyway.
             None => (CopyState::Writing, vec![0; source.block_size as usize]),
         };
         let copy = ExtentCopy {
@@ -151,7 +152,7 @@
         Some(step)
     }
 
-    /// The block I/O of a copy's present state.
+    /// Returns the read or write that the state of a copy calls for.
     fn step(&self, (layer, extent): LayerExtent, copy: &ExtentCopy) -> CopyStep {
         let from = copy.source.from;
         let write = copy.state == CopyState::Writing;
@@ -171,7 +172,8 @@
         }
     }
 
-    /// What the next attempt to write a copy sends; none: there is no such write.
+    /// Returns the slot and data for the next attempt to write a copy, or `None` if there is no such copy or no
+    /// slot left.
     pub(super) fn next_write(&mut self, extent: LayerExtent) -> Option<CopyWrite> {
         let copy = self.copies.get_mut(&extent)?;
         let slot = copy.slots.pop()?;
@@ -181,7 +183,7 @@
         })
     }
 
-    /// A step has completed. `location`: where it read or wrote.
+    /// Records that a copy step has completed. `location`: location that the step read or wrote.
     pub(super) fn step_completed(
         &mut self,
         extent: LayerExtent,
@@ -211,7 +213,7 @@
         }
     }
 
-    /// A step was given up: the copy has failed.
+    /// Records that a copy step was given up, so that the copy has failed.
     pub(super) fn step_given_up(&mut self, extent: LayerExtent, now: Millis) {
         if let Some(copy) = self.copies.get_mut(&extent)
             && matches!(copy.state, CopyState::Reading | CopyState::Writing)
@@ -222,8 +224,8 @@
         }
     }
 
-    /// Forgets copies that the tree has settled. Returns the locations that are to be proposed again, as the
-    /// catalog has not answered.
+    /// Removes copies whose extent is settled: the tree has a location for it, or its layer is frozen or
+    /// deleted. Returns the locations to propose again, as the catalog has not answered.
     pub(super) fn update(&mut self, tree: &Tree, now: Millis) -> Vec<(LayerExtent, Location)> {
         let is_settled = |(layer, extent): &LayerExtent| {
             tree.layers
--- a/crates/iscsi-host/src/dispatcher/extent_copies/tests.rs
+++ b/crates/iscsi-host/src/dispatcher/extent_copies/tests.rs
@@ -1,4 +1,4 @@
-//! When copies start, and what follows a step.
+//! Tests of when copies start, and of the action that follows a copy step.
 use super::{AfterStep, CopySource, ExtentCopies};
 use crate::dispatcher::layer_location::LayerLocation;
 use mallowseam_cow::copy_budget::RETRY_DELAY;
@@ -35,19 +35,22 @@
 }
 
 #[test]
-fn a_copy_is_read_written_and_proposed() {
+fn a_copy_is_read_then_written_then_proposed() {
     let mut copies = copies();
     assert!(copies.admits(EXTENT, 0));
     let read = copies.start(EXTENT, source(Some(FROM)), vec![20, 21]);
-    let read = read.expect("slots suffice");
+    let read = read.expect("there are enough slots for the copy");
     assert!(!read.write);
     assert_eq!(read.read_from, Some(FROM));
     assert_eq!(read.request.blocks, 16);
-    assert!(!copies.admits(EXTENT, 0), "it is in progress");
+    assert!(
+        !copies.admits(EXTENT, 0),
+        "a copy of the extent is in progress"
+    );
 
     let after = copies.step_completed(EXTENT, Some(FROM), vec![7], 0);
     let AfterStep::Start(write) = after else {
-        panic!("no write");
+        panic!("a completed read must be followed by a write");
     };
     assert!(write.write);
     assert_eq!(write.read_from, None);
@@ -56,12 +59,12 @@
 }
 
 #[test]
-fn each_attempt_to_write_has_a_slot_of_its_own() {
+fn each_attempt_to_write_a_copy_has_its_own_slot() {
     let mut copies = copies();
     let write = copies.start(EXTENT, source(None), vec![20, 21]);
     assert!(
-        write.expect("slots suffice").write,
-        "there is nothing to read"
+        write.expect("there are enough slots for the copy").write,
+        "an extent that was never written is not read"
     );
     let mut next_slot = || copies.next_write(EXTENT).map(|write| write.slot);
     let slots = [next_slot(), next_slot()];
@@ -77,7 +80,7 @@
 }
 
 #[test]
-fn a_copy_that_was_given_up_starts_again_after_the_retry_delay() {
+fn a_failed_copy_may_start_again_after_the_retry_delay() {
     let mut copies = copies();
     copies.start(EXTENT, source(None), vec![20, 21]);
     copies.step_given_up(EXTENT, 100);
@@ -94,8 +97,14 @@
     copies.step_completed(EXTENT, Some(TO), Vec::new(), 0);
     assert!(copies.update(&tree, RESEND_AFTER - 1).is_empty());
     assert_eq!(copies.update(&tree, RESEND_AFTER), [(EXTENT, TO.location)]);
-    assert!(copies.update(&tree, RESEND_AFTER).is_empty(), "just sent");
+    assert!(
+        copies.update(&tree, RESEND_AFTER).is_empty(),
+        "the location was proposed just now"
+    );
     tree.layers.remove(&EXTENT.0);
     assert!(copies.update(&tree, 3 * RESEND_AFTER).is_empty());
-    assert!(copies.admits(EXTENT, 3 * RESEND_AFTER), "it is forgotten");
+    assert!(
+        copies.admits(EXTENT, 3 * RESEND_AFTER),
+        "the settled copy is removed"
+    );
 }
--- a/crates/iscsi-host/src/dispatcher/io_classes.rs
+++ b/crates/iscsi-host/src/dispatcher/io_classes.rs
@@ -3,7 +3,7 @@
 use mallowseam_settings::config::{self, Idempotency};
 use mallowseam_sockets::clock::{ticks_from_micros_ceil, ticks_from_micros_floor};
 
-/// An I/O class of the configuration.
+/// A configured I/O class.
 pub(super) struct IoClass {
     deadline: Tick,
     latency_objective: Tick,
@@ -19,17 +19,17 @@
         }
     }
 
-    /// Ticks after which a client gives up.
+    /// Returns the deadline of block I/Os, in ticks from arrival. Clients give up after it.
     pub(super) fn deadline(&self) -> Tick {
         self.deadline
     }
 
-    /// Ticks within which block I/Os are to complete.
+    /// Returns the latency objective of block I/Os, in ticks from arrival.
     pub(super) fn latency_objective(&self) -> Tick {
         self.latency_objective
     }
 
-    /// Whether running a block I/O twice does harm.
+    /// Returns whether block I/Os must not run twice.
     pub(super) fn is_non_idempotent(&self) -> bool {
         self.idempotency == Idempotency::NonIdempotent
     }
--- a/crates/iscsi-host/src/dispatcher/layer_location.rs
+++ b/crates/iscsi-host/src/dispatcher/layer_location.rs
@@ -1,7 +1,7 @@
-//! Where an extent of a mapped volume is.
+//! Location of an extent of a mapped volume.
 use mallowseam_cow::tree::{LayerId, Location};
 
-/// The location of an extent, and the layer that it belongs to.
+/// Location of an extent, and the layer that the extent belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LayerLocation {
     pub(super) layer: LayerId,
--- a/crates/iscsi-host/src/dispatcher/local_commands.rs
+++ b/crates/iscsi-host/src/dispatcher/local_commands.rs
@@ -1,25 +1,28 @@
-//! Commands that the host answers itself, without a node: identification, capacity and mode of a unit.
+//! Commands that the host answers without a node, such as identification, capacity and mode of a unit.
 use super::exported_units::ExportedUnits;
 use super::volumes::{Volume, VolumeIndex};
 use mallowseam_cow::tree::Tree;
 use mallowseam_iscsi::scsi::{self, Command, Sense};
 
-/// Standard INQUIRY data of a LUN without a unit (SPC-4, 6.4.2): qualifier 3, type 1Fh, version, response
-/// format, additional length; zeros follow.
+/// Start of the standard INQUIRY data of a LUN without a unit (SPC-4, 6.4.2): qualifier 3 and type 1Fh, RMB,
+/// version, response format, additional length. The rest is zeros.
 const NO_UNIT_INQUIRY: [u8; 5] = [0x7f, 0, 6, 2, 31];
-/// Length of standard INQUIRY data.
+/// Length of standard INQUIRY data, in bytes.
 const INQUIRY_LEN: usize = 36;
-/// Nothing to report.
+/// Sense of a unit that has nothing to report.
 const NO_SENSE: Sense = Sense::NO_ADDITIONAL_SENSE;
 
-/// Data-in is truncated to the allocation length of the CDB (SPC-4).
+/// Truncates data-in to the allocation length of the CDB, as SPC-4 requires.
 fn truncated(mut data: Vec<u8>, allocation_len: usize) -> Vec<u8> {
     data.truncate(allocation_len);
     data
 }
 
-/// The data-in of a command that neither reads nor writes blocks. `volume`: that of the unit, if there is
-/// one. Error: the sense to answer with.
+/// Returns the data-in of a command that does not transfer blocks. `volume`: volume of the addressed unit, if
+/// the unit exists.
+///
+/// # Errors
+/// The sense for the answer.
 pub(super) fn answer(
     units: &mut ExportedUnits,
     tree: Option<&Tree>,
@@ -33,7 +36,7 @@
     answer_of_unit(units, volume, command)
 }
 
-/// Commands that are answered also where there is no unit.
+/// Returns the data-in of a command that is answered even if the addressed unit does not exist.
 fn answer_without_unit(
     units: &mut ExportedUnits,
     tree: Option<&Tree>,
@@ -107,7 +110,8 @@
     data.ok_or(Sense::INVALID_FIELD_IN_CDB)
 }
 
-/// Writes are answered when a node has them: nothing is cached here.
+/// Answers SYNCHRONIZE CACHE. There is nothing to write back, as a write is answered only after a node has
+/// completed it.
 fn synchronize_cache(volume: &Volume, lba: u64, blocks: u32) -> Result<Vec<u8>, Sense> {
     if volume.contains(lba, blocks) {
         Ok(Vec::new())
--- a/crates/iscsi-host/src/dispatcher/lookups.rs
+++ b/crates/iscsi-host/src/dispatcher/lookups.rs
@@ -1,4 +1,4 @@
-//! Looks up where block I/Os of mapped volumes go, when they arrive and whenever the answer may have changed.
+//! Looks up the locations of block I/Os of mapped volumes, on arrival and whenever the result may have changed.
 use super::Dispatcher;
 use super::extent_copies::{CopySource, CopyStep};
 use super::layer_location::LayerLocation;
@@ -11,8 +11,8 @@
 use mallowseam_sockets::clock::ticks_to_millis;
 
 impl Dispatcher {
-    /// Looks up the location of a block I/O that has just arrived. It waits behind one that waits for the
-    /// same extent.
+    /// Looks up the location of a block I/O that has just arrived. The block I/O waits if an earlier one waits
+    /// for the same extent.
     pub(super) fn look_up(&mut self, scheduler: &mut Scheduler, id: BioId) {
         let (Some(mapped), Some(io)) = (&self.mapped, self.block_ios.get(id)) else {
             return;
@@ -23,16 +23,16 @@
         }
     }
 
-    /// Puts a block I/O among those that wait for their location; the next lookup is due at once.
+    /// Adds a block I/O to those that wait for their location, and schedules an immediate lookup.
     pub(super) fn wait_for_location(&mut self, id: BioId) {
         if let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(id)) {
             mapped.insert_waiting(WaitingIo::new(id, &io.data));
-            mapped.look_up_soon(self.now);
+            mapped.schedule_immediate_lookup(self.now);
         }
     }
 
-    /// Passes a block I/O to the scheduler if its location is known, or finishes it otherwise. False: it has
-    /// to wait.
+    /// Looks up the location of a block I/O, and passes the block I/O to the scheduler or finishes it. Returns
+    /// false if the block I/O has to wait.
     fn try_locate(&mut self, scheduler: &mut Scheduler, id: BioId) -> bool {
         let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(id)) else {
             return false;
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Whether a location that was looked up, if there is one, is at a node of the configuration. The catalog
-    /// could have another configuration.
+    /// Returns whether the node of the location that a lookup returned, if any, is configured. The catalog may
+    /// have been started with a different configuration.
     fn is_location_usable(&self, lookup: Lookup) -> bool {
         let (Lookup::Found(_, location)
         | Lookup::CopyFirst {
@@ -76,7 +76,7 @@
         else {
             return true;
         };
-        let is_known = self.block_ios.bios().shard_of(location).is_some();
+        let is_known = self.block_ios.bio_builder().shard_of(location).is_some();
         if !is_known {
             let node = location.node;
             tracing::warn!(
@@ -87,13 +87,14 @@
         is_known
     }
 
-    /// Fails a block I/O that the scheduler does not know of.
+    /// Fails a block I/O that was not passed to the scheduler.
     fn fail_unsent(&mut self, id: BioId) {
         self.answer_not_completed(id, RequestOutcome::Failed);
         self.release(id);
     }
 
-    /// The location of a block I/O is known. False: it has to wait, as far as cuts are concerned.
+    /// Passes a block I/O whose location is known to the scheduler. Returns false if the block I/O has to wait
+    /// because of a cut.
     fn on_located(
         &mut self,
         scheduler: &mut Scheduler,
@@ -102,7 +103,7 @@
     ) -> bool {
         let is_write = self.block_ios.get(id).is_some_and(|io| io.data.is_write());
         if is_write && !self.may_write_to(id, location.layer) {
-            // A write that was failed is released; else it waits.
+            // A write that must never be sent is failed and released by now; any other write waits.
             return self.block_ios.get(id).is_none();
         }
         if let Some(io) = self.block_ios.get_mut(id) {
@@ -112,7 +113,7 @@
         true
     }
 
-    /// Starts the copy that a write needs first, if one may start now.
+    /// Starts the copy that a write needs first, if it may start now.
     fn start_copy(&mut self, id: BioId, extent: LayerExtent, from: Option<(LayerId, Location)>) {
         let (Some(mapped), Some(io)) = (&mut self.mapped, self.block_ios.get(id)) else {
             return;
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Queues a step of a copy for the scheduler.
+    /// Queues a copy step for the scheduler.
     fn queue_copy_step(&mut self, step: &CopyStep) {
         if let Some(mapped) = &mut self.mapped {
             let id = self.block_ios.insert_copy_step(step, self.now);
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A step of a copy has completed. `location`: where it read or wrote.
+    /// Handles the completion of a copy step. `location`: location that the step read or wrote.
     pub(super) fn on_copy_step_completed(
         &mut self,
         extent: LayerExtent,
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Completes a read of an extent that was never written.
+    /// Completes a read of an extent that was never written with zeros.
     fn complete_with_zeros(&mut self, id: BioId) {
         let Some(io) = self.block_ios.get_mut(id) else {
             return;
@@ -164,8 +165,8 @@
         self.release(id);
     }
 
-    /// Repeats the lookups of all that wait, when the catalog has sent something or the retry delay has
-    /// passed. True if any of them waits no more, or a copy has started.
+    /// Repeats the lookups of all waiting block I/Os if the catalog has sent a message or the retry delay has
+    /// passed. Returns whether any block I/O has stopped waiting or a copy has started.
     pub(super) fn retry_lookups(&mut self, scheduler: &mut Scheduler) -> bool {
         let now = self.now;
         let Some(mapped) = &mut self.mapped else {
@@ -177,19 +178,19 @@
         mapped.update_copies(ticks_to_millis(now));
         self.apply_cut_decisions();
         let mut blocked: Vec<UnitExtent> = Vec::new();
-        let mut moved = false;
+        let mut has_progressed = false;
         for io in waiting {
             if self.end_waiting(io.id) {
-                moved = true;
+                has_progressed = true;
             } else if blocked.contains(&io.extent) || !self.try_locate(scheduler, io.id) {
                 blocked.push(io.extent);
                 self.insert_waiting(io);
             } else {
-                moved = true;
+                has_progressed = true;
             }
         }
         let mapped = self.mapped.as_ref();
-        moved || mapped.is_some_and(MappedVolumes::has_queued_copy_steps)
+        has_progressed || mapped.is_some_and(MappedVolumes::has_queued_copy_steps)
     }
 
     fn insert_waiting(&mut self, io: WaitingIo) {
@@ -198,8 +199,9 @@
         }
     }
 
-    /// Releases a block I/O that waits in vain: nobody waits for it any more, or it is past its latency
-    /// objective and is answered at once. It was not sent, so a retry is harmless.
+    /// Releases a waiting block I/O whose command is already answered or abandoned, and sheds one that is past
+    /// its latency objective. The block I/O was not sent, so a retry is harmless. Returns whether the block I/O
+    /// was released.
     fn end_waiting(&mut self, id: BioId) -> bool {
         let Some(io) = self.block_ios.get(id) else {
             return true;
@@ -215,8 +217,8 @@
         true
     }
 
-    /// A node has rejected a write, as its layer is closed: the locations of this write and of those queued
-    /// for the same layer are looked up again.
+    /// Handles a write that a node rejected because its layer is closed to writes. The locations of this write
+    /// and of the writes queued for the same layer are looked up again.
     pub(super) fn on_closed_layer(&mut self, id: BioId) {
         let Some(io) = self.block_ios.get_mut(id) else {
             return;
--- a/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
+++ b/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
@@ -1,5 +1,5 @@
-//! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree,
-//! and waited for where it is not known.
+//! Mapped volumes: the location of a block I/O is looked up in the replica of the snapshot catalog's tree. A
+//! block I/O whose location is unknown waits.
 use super::block_io::BlockIo;
 use super::extent_copies::{AfterStep, CopySource, CopyStep, CopyWrite, ExtentCopies};
 use super::layer_location::LayerLocation;
@@ -17,7 +17,7 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1000;
 
-/// An extent of a unit.
+/// An extent of a logical unit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct UnitExtent {
     lun: Option<u32>,
@@ -26,7 +26,7 @@
 }
 
 impl UnitExtent {
-    /// The extent that a block I/O reads or writes.
+    /// Returns the extent that a block I/O reads or writes.
     pub(super) fn of(io: &BlockIo) -> Self {
         UnitExtent {
             lun: io.lun(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A block I/O whose location is not known yet.
+/// A block I/O that waits for its location.
 #[derive(Clone, Copy)]
 pub(super) struct WaitingIo {
     pub(super) id: BioId,
@@ -53,24 +53,25 @@
     }
 }
 
-/// What the host knows of mapped volumes, and the block I/Os that wait for it to know more.
+/// State of the mapped volumes, and the block I/Os that wait for their location.
 pub(super) struct MappedVolumes {
     catalog: CatalogClient,
-    /// Blocks of an extent.
+    /// Number of blocks of an extent.
     extent_blocks: u64,
-    /// Block I/Os whose location is not known yet, in the order in which they arrived.
+    /// Block I/Os that wait for their location, in order of arrival.
     waiting: Vec<WaitingIo>,
-    /// The catalog's revision at the last lookup of those.
+    /// Revision of the catalog client at the last lookup of waiting block I/Os.
     lookup_revision: u64,
-    /// When the next lookup of those is due, at the latest.
+    /// Latest time of the next lookup of waiting block I/Os. A message from the catalog causes an earlier one.
     next_lookup: Tick,
     copies: ExtentCopies,
-    /// Steps of copies that were not passed to the scheduler yet.
+    /// Copy steps that were not passed to the scheduler yet.
     queued_steps: VecDeque<BioId>,
 }
 
 impl MappedVolumes {
-    /// Nothing waits, and nothing is copied. `max_attempts`: attempts that a block I/O may have.
+    /// Creates the state without waiting block I/Os or copies. `max_attempts`: maximum number of attempts of a
+    /// block I/O.
     pub(super) fn new(
         catalog: CatalogClient,
         catalog_config: &config::Catalog,
@@ -87,46 +88,46 @@
         }
     }
 
-    /// The tree as the host knows it.
+    /// Returns the replica of the tree, if the host has one.
     pub(super) fn tree(&self) -> Option<&Tree> {
         self.catalog.tree()
     }
 
-    /// Reads what the catalog has sent. True: there is more to read, in another turn.
+    /// Reads from the catalog. Returns whether there may be more to read in another turn.
     pub(super) fn read_catalog(&mut self, readable: bool, buffer: &mut [u8], now: Tick) -> bool {
         self.catalog
             .on_ready(readable, buffer, ticks_to_millis(now))
     }
 
-    /// Connects to the catalog and renews the lease where that is due, and writes what is queued.
+    /// Connects to the catalog and renews the lease if that is due, and writes the queued messages.
     pub(super) fn on_timer(&mut self, now: Tick) {
         self.catalog.on_timer(ticks_to_millis(now));
     }
 
-    /// The first block of a location, counted in the layer's logical unit at the node.
+    /// Returns the first block of a location, as a block number in the layer's logical unit at the node.
     pub(super) fn first_block(&self, location: Location) -> u64 {
         u64::from(location.slot) * self.extent_blocks
     }
 
-    /// When block I/Os that wait for their location are to be looked up again.
+    /// Returns the time of the next lookup, or `None` if no block I/O waits and no layer is being quiesced.
     pub(super) fn next_lookup(&self) -> Option<Tick> {
         let is_needed = self.catalog.is_quiescing() || !self.waiting.is_empty();
         is_needed.then_some(self.next_lookup)
     }
 
-    /// The next lookup is due at once.
-    pub(super) fn look_up_soon(&mut self, now: Tick) {
+    /// Makes the next lookup due now.
+    pub(super) fn schedule_immediate_lookup(&mut self, now: Tick) {
         self.next_lookup = now;
     }
 
-    /// Whether a block I/O that arrived earlier waits for the same extent.
+    /// Returns whether a block I/O that arrived earlier waits for the same extent.
     pub(super) fn is_behind_another(&self, io: &WaitingIo) -> bool {
         self.waiting
             .iter()
             .any(|other| other.extent == io.extent && other.sequence < io.sequence)
     }
 
-    /// Puts a block I/O among those that wait for their location, by the order in which they arrived.
+    /// Adds a block I/O to those that wait for their location, in order of arrival.
     pub(super) fn insert_waiting(&mut self, io: WaitingIo) {
         let position = self
             .waiting
@@ -134,8 +135,8 @@
         self.waiting.insert(position, io);
     }
 
-    /// Takes all that wait, to be looked up again, when the catalog has sent something or the retry delay
-    /// has passed.
+    /// Takes all waiting block I/Os to repeat their lookups, if the catalog has sent a message or the retry
+    /// delay has passed.
     pub(super) fn take_waiting_if_due(&mut self, now: Tick) -> Option<Vec<WaitingIo>> {
         let revision = self.catalog.revision();
         if self.lookup_revision == revision && now < self.next_lookup {
@@ -146,32 +147,33 @@
         Some(std::mem::take(&mut self.waiting))
     }
 
-    /// Where a block I/O goes now. `name`: the branch or snapshot.
+    /// Looks up where an extent of a branch or snapshot is read or written now. `name`: the branch or snapshot.
     pub(super) fn look_up(&mut self, name: &str, extent: u32, write: bool, now: Millis) -> Lookup {
         self.catalog.look_up(name, extent, write, now)
     }
 
-    /// Whether a cut of a branch is pending.
+    /// Returns whether a cut of a branch is pending.
     pub(super) fn has_pending_cut(&self, branch: &str, now: Millis) -> bool {
         self.catalog.has_pending_cut(branch, now)
     }
 
-    /// Requests the permission to complete a split write with parts in a layer.
+    /// Requests permission to complete a split write with parts in a layer.
     pub(super) fn request_completion(&mut self, layer: LayerId) {
         self.catalog.send(&ToCatalog::RequestCompletion { layer });
     }
 
-    /// The catalog's decisions about split writes, which are taken once.
+    /// Takes the decisions of the catalog about split writes.
     pub(super) fn take_completion_decisions(&mut self) -> Vec<CompletionDecision> {
         self.catalog.take_completion_decisions()
     }
 
-    /// Reports the layers that this host has quiesced: those without a split write.
+    /// Reports the requested layers without a split write in flight as quiesced.
     pub(super) fn report_quiesced(&mut self, has_split_write: impl Fn(&QuiesceRequest) -> bool) {
         self.catalog.report_quiesced(has_split_write);
     }
 
-    /// Starts to copy an extent into a layer, unless a copy is in progress or the budget is used up.
+    /// Starts to copy an extent into a layer. Returns `None` if a copy is in progress, the budget is used up or
+    /// there are too few slots.
     pub(super) fn start_copy(
         &mut self,
         extent: LayerExtent,
@@ -187,27 +189,28 @@
         self.copies.start(extent, source, slots)
     }
 
-    /// Queues a step of a copy for the scheduler.
+    /// Queues a copy step for the scheduler.
     pub(super) fn queue_copy_step(&mut self, step: BioId) {
         self.queued_steps.push_back(step);
     }
 
-    /// Takes the next step of a copy that is to be passed to the scheduler.
+    /// Takes the next copy step to be passed to the scheduler.
     pub(super) fn next_copy_step(&mut self) -> Option<BioId> {
         self.queued_steps.pop_front()
     }
 
-    /// Whether there is a step of a copy that was not passed to the scheduler yet.
+    /// Returns whether there is a copy step that was not passed to the scheduler yet.
     pub(super) fn has_queued_copy_steps(&self) -> bool {
         !self.queued_steps.is_empty()
     }
 
-    /// What the next attempt to write a copy sends.
+    /// Returns the slot and data for the next attempt to write a copy.
     pub(super) fn next_copy_write(&mut self, extent: LayerExtent) -> Option<CopyWrite> {
         self.copies.next_write(extent)
     }
 
-    /// A step of a copy has completed. Returns the next one.
+    /// Records that a copy step has completed. Returns the next step, or proposes the location of the copy to
+    /// the catalog after the last one.
     pub(super) fn on_copy_step_completed(
         &mut self,
         extent: LayerExtent,
@@ -225,13 +228,12 @@
         }
     }
 
-    /// A step of a copy was given up.
+    /// Records that a copy step was given up.
     pub(super) fn on_copy_step_given_up(&mut self, extent: LayerExtent, now: Millis) {
         self.copies.step_given_up(extent, now);
     }
 
-    /// Forgets copies that the tree has settled, and proposes locations again that the catalog has not
-    /// answered.
+    /// Removes settled copies, and proposes again the locations that the catalog has not answered.
     pub(super) fn update_copies(&mut self, now: Millis) {
         let Some(tree) = self.catalog.tree() else {
             return;
--- a/crates/iscsi-host/src/dispatcher/parts_in_flight.rs
+++ b/crates/iscsi-host/src/dispatcher/parts_in_flight.rs
@@ -1,10 +1,10 @@
-//! What is in flight of a command, as far as its parts must not follow into a newer layer.
+//! Parts of a split write in flight. While any are, a further part must not go to a newer layer.
 
-/// The parts of a command that may be sent at any moment, or are at nodes.
+/// Whether parts of a command are at nodes, or are queued in the scheduler and may be sent at any moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PartsInFlight {
-    /// There are such parts.
+    /// Whether any parts are in flight.
     pub(super) any: bool,
-    /// There are such parts that go to another layer.
+    /// Whether any parts in flight go to another layer.
     pub(super) in_other_layer: bool,
 }
--- a/crates/iscsi-host/src/dispatcher/scheduler_host.rs
+++ b/crates/iscsi-host/src/dispatcher/scheduler_host.rs
@@ -1,4 +1,4 @@
-//! The calls that the scheduler makes on its host.
+//! Calls from the scheduler to its host.
 use super::Dispatcher;
 use super::block_io::{Attempt, BlockIo};
 use mallowseam_connection_policy::command_progress::RequestOutcome;
@@ -64,9 +64,9 @@
         self.block_ios.release_key(key);
     }
 
-    /// Volumes keep their index: there are as many as the configuration names.
+    /// Does nothing: volumes are identified by their index in the configuration, which is never reused.
     fn release_volume(&mut self, _volume: VolumeId) {}
 
-    /// Nodes have the indices that the configuration gives them.
+    /// Does nothing: nodes are identified by their index in the configuration, which is never reused.
     fn release_node(&mut self, _node: NodeId) {}
 }
--- a/crates/iscsi-host/src/dispatcher/split_writes.rs
+++ b/crates/iscsi-host/src/dispatcher/split_writes.rs
@@ -1,4 +1,5 @@
-//! Writes of several parts and consistent cuts: no snapshot holds one part of a write without the others.
+//! Split writes, which are writes with several parts, and consistent cuts: no snapshot contains one part of a
+//! write without the others.
 use super::Dispatcher;
 use super::block_ios::{BlockIos, InFlightIo};
 use super::commands::Commands;
@@ -10,8 +11,8 @@
 use mallowseam_sockets::clock::ticks_to_millis;
 
 impl Dispatcher {
-    /// Whether a part of a write may be sent into a layer, as far as cuts are concerned. A write that can
-    /// never be completed is failed, and its block I/O released.
+    /// Returns whether cuts admit sending a part of a write to a layer. A write that can never be completed is
+    /// failed, and its block I/O is released.
     pub(super) fn may_write_to(&mut self, id: BioId, layer: LayerId) -> bool {
         match self.admit_part(id, layer) {
             PartAdmission::Send => true,
@@ -53,7 +54,7 @@
             .admit_part(command, layer, parts, cut_pending, now)
     }
 
-    /// Applies the catalog's decisions about writes, and reports which layers this host has quiesced.
+    /// Applies the catalog's decisions about split writes, and reports the layers that this host has quiesced.
     pub(super) fn apply_cut_decisions(&mut self) {
         let Some(mapped) = &mut self.mapped else {
             return;
@@ -65,16 +66,16 @@
     }
 }
 
-/// Whether a write of several parts is in flight that has, or may have, a part in the layer.
+/// Returns whether a split write is in flight that has, or may have, a part in the requested layer.
 fn has_split_write(block_ios: &BlockIos, commands: &Commands, request: &QuiesceRequest) -> bool {
     let may_be_in_layer = |io: &InFlightIo| {
         let split_write = io
             .data
             .command()
-            .and_then(|command| commands.open_split_write(command));
-        let is_sent_there = io.data.layer() == Some(request.layer) && !io.is_answered();
+            .and_then(|command| commands.unanswered_split_write(command));
+        let is_sent_to_layer = io.data.layer() == Some(request.layer) && !io.is_answered();
         split_write.is_some_and(|split_write| {
-            is_sent_there || split_write.started_in_or_before(request.layer)
+            is_sent_to_layer || split_write.started_in_or_before(request.layer)
         })
     };
     block_ios
--- a/crates/iscsi-host/src/dispatcher/transfer.rs
+++ b/crates/iscsi-host/src/dispatcher/transfer.rs
@@ -1,7 +1,7 @@
-//! The blocks that a client's command reads or writes.
+//! Block range that a command of a client reads or writes.
 use mallowseam_iscsi::scsi::Command;
 
-/// Blocks of a unit that a command reads or writes.
+/// Block range of a unit that a command reads or writes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Transfer {
     pub(super) write: bool,
@@ -12,7 +12,7 @@
 }
 
 impl Transfer {
-    /// What a command transfers; none: it neither reads nor writes blocks.
+    /// Returns the transfer of a command, or `None` if the command neither reads nor writes blocks.
     pub(super) fn of_command(command: &Command) -> Option<Transfer> {
         match *command {
             Command::Read {
--- a/crates/iscsi-host/src/dispatcher/volumes.rs
+++ b/crates/iscsi-host/src/dispatcher/volumes.rs
@@ -1,4 +1,4 @@
-//! Volumes of the configuration.
+//! Configured volumes.
 use crate::scheduler_config::{mapped_layout, volume_layout};
 use mallowseam_connection_policy::request_splitting::{OutsideLayout, SubRequest, VolumeLayout};
 use mallowseam_iscsi::scsi::LogicalUnit;
@@ -9,24 +9,24 @@
 /// Index of a volume in the configuration.
 pub(super) type VolumeIndex = usize;
 
-/// A volume of the configuration.
+/// A configured volume.
 pub(super) struct Volume {
     name: String,
-    /// Index of its plan.
+    /// Index of the volume's plan.
     plan: u16,
     lun: u32,
     block_count: u64,
-    /// Bytes of a block.
+    /// Block size in bytes.
     block_size: u32,
-    /// Number of hosts through which it is used.
+    /// Number of hosts that serve the volume.
     host_count: u32,
     layout: VolumeLayout,
-    /// Its branch in the snapshot catalog, where that knows the locations of its extents.
+    /// Branch of the volume in the snapshot catalog; `None` if the volume is not mapped.
     branch: Option<Rc<str>>,
 }
 
 impl Volume {
-    /// A volume of this configuration. `extent_blocks`: blocks of an extent of mapped volumes.
+    /// Creates a configured volume. `extent_blocks`: number of blocks of an extent of mapped volumes.
     pub(super) fn new(
         config: &GatewayConfig,
         volume: &config::Volume,
@@ -53,48 +53,48 @@
         self.lun
     }
 
-    /// Index of its plan.
+    /// Returns the index of the volume's plan.
     pub(super) fn plan(&self) -> u16 {
         self.plan
     }
 
-    /// Gives it another plan. False: it had this one.
+    /// Assigns a plan. Returns whether the plan has changed.
     pub(super) fn change_plan(&mut self, plan: u16) -> bool {
         std::mem::replace(&mut self.plan, plan) != plan
     }
 
-    /// Number of hosts through which it is used.
+    /// Returns the number of hosts that serve the volume.
     pub(super) fn host_count(&self) -> u32 {
         self.host_count
     }
 
-    /// Its branch in the snapshot catalog; none: its locations are those of the configuration.
+    /// Returns the branch in the snapshot catalog, or `None` if the configuration has the volume's locations.
     pub(super) fn branch(&self) -> Option<&Rc<str>> {
         self.branch.as_ref()
     }
 
-    /// Bytes of a block.
+    /// Returns the block size in bytes.
     pub(super) fn block_size(&self) -> u32 {
         self.block_size
     }
 
-    /// Bytes of this many blocks.
+    /// Returns the length of a number of blocks in bytes.
     pub(super) fn bytes(&self, blocks: u32) -> u64 {
         u64::from(blocks) * u64::from(self.block_size)
     }
 
-    /// Units that this many blocks cost. `unit_bytes`: bytes of a unit.
+    /// Returns the cost of a number of blocks in units. `unit_bytes`: size of a unit in bytes.
     pub(super) fn units(&self, blocks: u32, unit_bytes: u64) -> f64 {
         self.bytes(blocks).div_ceil(unit_bytes) as f64
     }
 
-    /// Whether it has these blocks.
+    /// Returns whether a range of blocks lies within the volume.
     pub(super) fn contains(&self, lba: u64, blocks: u32) -> bool {
         lba.checked_add(blocks.into())
             .is_some_and(|end| end <= self.block_count)
     }
 
-    /// Splits a transfer into block I/Os, in the order of its blocks.
+    /// Splits a transfer into block I/Os in block order.
     pub(super) fn split(
         &self,
         write: bool,
@@ -105,7 +105,7 @@
         self.layout.split(write, lba, blocks, sub_requests)
     }
 
-    /// The volume as a client's initiator sees it.
+    /// Returns the SCSI properties of the volume.
     pub(super) fn logical_unit(&self, max_transfer_bytes: u64) -> LogicalUnit<'_> {
         let max_transfer_blocks = max_transfer_bytes / u64::from(self.block_size);
         LogicalUnit {
--- a/crates/iscsi-host/src/node_connections/node.rs
+++ b/crates/iscsi-host/src/node_connections/node.rs
@@ -19,7 +19,7 @@
 
 struct Link {
     socket: TcpStream,
-    conn: InitiatorConnection,
+    connection: InitiatorConnection,
 }
 
 /// Outcome of submitting a request.
@@ -130,7 +130,7 @@
             data,
             ..
         } = request;
-        if link.conn.send_command(tag, lun, &cdb, read_len, data) {
+        if link.connection.send_command(tag, lun, &cdb, read_len, data) {
             Submission::Sent
         } else {
             Submission::Rejected
@@ -149,8 +149,8 @@
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         registry.register(&mut socket, token, interest)?;
-        let conn = InitiatorConnection::new(initiator, Some(&self.target), ISID, proposal);
-        self.link = Some(Link { socket, conn });
+        let connection = InitiatorConnection::new(initiator, Some(&self.target), ISID, proposal);
+        self.link = Some(Link { socket, connection });
         self.readable = false;
         Ok(())
     }
@@ -171,7 +171,7 @@
         let Some(link) = &mut self.link else {
             return Cancellation::NotConnected;
         };
-        link.conn.abort_task(tag);
+        link.connection.abort_task(tag);
         self.policy.abort_sent(ticks_to_millis(now));
         Cancellation::Aborted
     }
@@ -179,7 +179,7 @@
     /// Queues a logout request, as the node has asked for one.
     pub(super) fn send_logout_request(&mut self) {
         if let Some(link) = &mut self.link {
-            link.conn.send_logout_request();
+            link.connection.send_logout_request();
         }
     }
 
@@ -197,9 +197,9 @@
             .collect();
         if let Some(mut link) = self.link.take() {
             let _ = registry.deregister(&mut link.socket);
-            lost.extend(link.conn.in_flight_tags().map(|tag| LostAttempt {
+            lost.extend(link.connection.in_flight_tags().map(|tag| LostAttempt {
                 tag,
-                result: if link.conn.has_started_sending(tag) {
+                result: if link.connection.has_started_sending(tag) {
                     AttemptResult::ConnectionReset
                 } else {
                     AttemptResult::ConnectFailed
@@ -220,7 +220,7 @@
                 NodeRead::Nothing
             }
             ReadOutcome::Read(len) => {
-                let received = link.conn.receive(&buffer[..len]);
+                let received = link.connection.receive(&buffer[..len]);
                 NodeRead::Received(received.map_err(|error| error.to_string()))
             }
             ReadOutcome::Closed(e) => NodeRead::Closed(e),
@@ -229,7 +229,7 @@
 
     /// Takes the next event of the session.
     pub(super) fn next_event(&mut self) -> Option<InitiatorEvent> {
-        self.link.as_mut()?.conn.next_event()
+        self.link.as_mut()?.connection.next_event()
     }
 
     /// Writes the queued bytes to the node.
@@ -237,7 +237,7 @@
         self.dirty = false;
         match &mut self.link {
             Some(link) => {
-                socket_io::write(&mut link.socket, link.conn.send_buffer()).map(|_written| ())
+                socket_io::write(&mut link.socket, link.connection.send_buffer()).map(|_written| ())
             }
             None => Ok(()),
         }
@@ -245,7 +245,10 @@
 
     /// Returns the reason for which the connection must be closed now, if it has timed out.
     pub(super) fn check_timeouts(&self, now: Tick) -> Option<CloseReason> {
-        let in_flight = self.link.as_ref().map_or(0, |link| link.conn.in_flight());
+        let in_flight = self
+            .link
+            .as_ref()
+            .map_or(0, |link| link.connection.in_flight());
         self.policy.check_timeouts(ticks_to_millis(now), in_flight)
     }
 }
