--- a/crates/iscsi-host/src/dispatcher/attempt_timeouts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_timeouts.rs
@@ -6,9 +6,10 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Number of timeouts above which those of ended attempts are removed, if no block I/O is in flight.
+/// Number of timeouts above which the timeouts of ended attempts are removed.
+/// `REMOVAL_THRESHOLD_PER_BLOCK_IO` is added for each block I/O in flight.
 const REMOVAL_THRESHOLD: usize = 64;
-/// Number of timeouts by which each block I/O in flight raises the threshold of removal.
+/// Increase of `REMOVAL_THRESHOLD` for each block I/O in flight.
 const REMOVAL_THRESHOLD_PER_BLOCK_IO: usize = 4;
 
 /// Timeout of an attempt. Timeouts are ordered by time.
--- a/crates/iscsi-host/src/dispatcher/attempt_timeouts/tests.rs
+++ b/crates/iscsi-host/src/dispatcher/attempt_timeouts/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(
         timeouts.next_due(),
         Some(0),
-        "a block I/O in flight raises the number that is kept"
+        "a block I/O in flight raises the removal threshold"
     );
     timeouts.remove_ended(0, is_in_flight);
     assert_eq!(timeouts.next_due(), Some(i64::from(many)));
--- a/crates/iscsi-host/src/dispatcher/attempts.rs
+++ b/crates/iscsi-host/src/dispatcher/attempts.rs
@@ -149,7 +149,8 @@
         self.finish_attempt(id, result);
     }
 
-    /// Returns the result of an attempt. A read that returned too few or too many bytes is an error.
+    /// Returns the checked result of an attempt. A write-protected unit and a read that returned the wrong
+    /// number of bytes are errors.
     fn checked_result(&self, io: &BlockIo, finished: &FinishedAttempt) -> AttemptResult {
         // Only layers of mapped volumes may be write-protected.
         if finished.write_protected {
--- a/crates/iscsi-host/src/dispatcher/block_io.rs
+++ b/crates/iscsi-host/src/dispatcher/block_io.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the next part of the same command.
+    /// Returns the next part of the same command, if there is one.
     pub(super) fn next(&self) -> Option<BioId> {
         match self.origin {
             Origin::Command { next, .. } => next,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns the extent that a copy step copies.
+    /// Returns the extent that a copy step copies, or `None` for a part of a command.
     pub(super) fn copied_extent(&self) -> Option<LayerExtent> {
         match self.origin {
             Origin::Command { .. } => None,
--- a/crates/iscsi-host/src/dispatcher/lookups.rs
+++ b/crates/iscsi-host/src/dispatcher/lookups.rs
@@ -93,8 +93,8 @@
         self.release(id);
     }
 
-    /// Passes a block I/O whose location is known to the scheduler. Returns false if the block I/O has to wait
-    /// because of a cut.
+    /// Sets the location of a block I/O and passes the block I/O to the scheduler. Returns false if the block
+    /// I/O has to wait because of a cut.
     fn on_located(
         &mut self,
         scheduler: &mut Scheduler,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Completes a read of an extent that was never written with zeros.
+    /// Completes a read of an extent that was never written. The data of the read is zeros.
     fn complete_with_zeros(&mut self, id: BioId) {
         let Some(io) = self.block_ios.get_mut(id) else {
             return;
--- a/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
+++ b/crates/iscsi-host/src/dispatcher/mapped_volumes.rs
@@ -233,7 +233,8 @@
         self.copies.step_given_up(extent, now);
     }
 
-    /// Removes settled copies, and proposes again the locations that the catalog has not answered.
+    /// Removes copies that the tree has settled, and proposes again the locations that the catalog has not
+    /// answered.
     pub(super) fn update_copies(&mut self, now: Millis) {
         let Some(tree) = self.catalog.tree() else {
             return;
