--- a/crates/plans/src/change_log.rs
+++ b/crates/plans/src/change_log.rs
@@ -1,5 +1,5 @@
-//! The change log: one entry for each version, which contains the hash of the entry before it. An entry that was
-//! altered, removed or inserted is found at the first one that does not follow.
+//! The change log: one entry for each version, which contains the hash of the entry before it. The alteration, removal
+//! or insertion of an entry is detected at the first entry that does not follow the one before it.
 //!
 //! ```
 //! use mallowseam_plans::change_log::ChangeLog;
@@ -12,38 +12,38 @@
 //! log.append(&entry)?;
 //! assert_eq!(log.state.version, 1);
 //! assert_eq!(ChangeLog::replay([entry.as_str()].into_iter())?, log);
-//! assert!(log.append(&entry).is_err(), "an entry follows once");
+//! assert!(log.append(&entry).is_err(), "an entry can be appended only once");
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 use crate::error::{ChangeError, LogError, LogErrorKind};
 use crate::state::{Change, State};
 use serde::{Deserialize, Serialize};
 
-/// The previous hash of the first entry.
+/// Previous hash in the first entry.
 pub const GENESIS_HASH: &str = "0000000000000000000000000000000000000000000000000000000000000000";
-/// Stands in messages and in the cached plans of a host for the hash of a log that does not lead to the service's. It is
-/// the hash of no entry, so that the service answers with a full snapshot.
+/// Stands, in messages and in the cached plans of a host, for the hash of a log that has diverged from the service's.
+/// No entry has this hash, so the service answers with a full snapshot.
 pub const UNKNOWN_HASH: &str = "";
-/// Longest author and longest reason, in bytes.
+/// Maximum length of an author and of a reason, in bytes.
 const MAX_TEXT_BYTES: usize = 500;
 
-/// One entry of the change log. It is stored as JSON and hashed over that text: names and order of the JSON
-/// fields are fixed, and `serde(rename)` keeps them.
+/// One entry of the change log. It is stored as JSON, and its hash covers that text: the names and the order of the
+/// JSON fields must not change, and a field that is renamed in the code keeps its JSON name by `serde(rename)`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogEntry {
-    /// The version that the change leads to.
+    /// Version that the change leads to.
     pub version: u64,
-    /// Seconds since 1970 by the service's clock. For readers: nothing is decided by it.
+    /// Seconds since 1970 by the service's clock, for readers of the log: no decision depends on it.
     #[serde(rename = "at")]
     pub unix_seconds: u64,
-    /// Who made the change.
+    /// Author of the change.
     pub author: String,
-    /// Why it was made.
+    /// Reason for the change.
     pub reason: String,
     /// The change.
     pub change: Change,
-    /// BLAKE3 hash of the text of the entry before, in hexadecimal digits; [`GENESIS_HASH`] in the first one.
+    /// BLAKE3 hash of the text of the previous entry, in hexadecimal digits; [`GENESIS_HASH`] in the first entry.
     #[serde(rename = "after")]
     pub previous_hash: String,
 }
@@ -53,7 +53,7 @@
 pub struct ChangeLog {
     /// The state after the last entry.
     pub state: State,
-    /// None: the log has diverged from the service's. No entry follows it.
+    /// Hash of the last entry. None: the log has diverged from the service's, and no entry follows it.
     last_hash: Option<String>,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl ChangeLog {
-    /// The log that ends with this state, which was stored or sent with the hash of its last entry or with
+    /// Returns the log that ends with `state`, which was stored or sent with the hash of its last entry or with
     /// [`UNKNOWN_HASH`].
     #[must_use]
     pub fn from_snapshot(state: State, last_hash: String) -> ChangeLog {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Replays entries from the empty state.
+    /// Returns the log that results from replaying entries from the empty state.
     ///
     /// # Errors
     ///
@@ -90,23 +90,24 @@
         Ok(log)
     }
 
-    /// Hash of the last entry, in hexadecimal digits; [`UNKNOWN_HASH`] if the log has diverged from the service's.
+    /// Returns the hash of the last entry, in hexadecimal digits; [`UNKNOWN_HASH`] if the log has diverged from the
+    /// service's.
     #[must_use]
     pub fn last_hash(&self) -> &str {
         self.last_hash.as_deref().unwrap_or(UNKNOWN_HASH)
     }
 
-    /// The service's next entry does not follow: the log has diverged, and only its state is of use.
-    pub(crate) fn forget_hash(&mut self) {
+    /// Marks the log as diverged, because the service's next entry does not follow it. Only the state remains usable.
+    pub(crate) fn mark_diverged(&mut self) {
         self.last_hash = None;
     }
 
-    /// The text of the next entry for a change, by an author who has read version `expected`. The log is not changed: of
-    /// two entries that were proposed for the same version, the one that is appended first is accepted.
+    /// Returns the text of the next entry for a change by an author who has read version `expected`. The log is not
+    /// changed: of two entries that were proposed for the same version, the one that is appended first is accepted.
     ///
     /// # Errors
     ///
-    /// The log is at another version, author or reason are missing or too long, or the change cannot be made.
+    /// The log is at another version, the author or the reason is missing or too long, or the change cannot be made.
     ///
     /// # Panics
     ///
@@ -139,14 +140,14 @@
             previous_hash: self.last_hash().to_owned(),
         };
         Ok(serde_json::to_string(&entry)
-            .expect("an entry has only string keys, so that it can always be encoded"))
+            .expect("a log entry has only string keys, so encoding it as JSON cannot fail"))
     }
 
-    /// Appends the next entry, as it was written, and makes its change.
+    /// Appends the next entry, given as the text that the service wrote, and applies its change.
     ///
     /// # Errors
     ///
-    /// The entry does not follow the last one; nothing is changed then.
+    /// The entry does not follow the last one; the log is unchanged then.
     pub fn append(&mut self, text: &str) -> Result<LogEntry, LogError> {
         let line = self.state.version + 1;
         self.try_append(text)
@@ -155,7 +156,8 @@
 
     fn try_append(&mut self, text: &str) -> Result<LogEntry, LogErrorKind> {
         let entry: LogEntry = serde_json::from_str(text)?;
-        // The hash covers the text as it was read. Text that the service would encode differently was not written by it.
+        // The hash covers the text as it was read. Text that the service would encode differently was not written by
+        // it.
         if serde_json::to_string(&entry).ok().as_deref() != Some(text) {
             return Err(LogErrorKind::NotCanonical);
         }
--- a/crates/plans/src/error.rs
+++ b/crates/plans/src/error.rs
@@ -1,15 +1,16 @@
-//! Errors of the package. Their texts reach operators on the control socket and hosts as reasons.
+//! Errors of the package. Operators read their texts in answers on the control socket, and hosts receive them as
+//! reasons.
 use thiserror::Error;
 
-/// Why a change cannot be made to the present plans.
+/// Reason why a change cannot be made to the current plans.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
     /// Another change was made first.
     #[error("made for version {expected}, and version {current} stands: look at what came first")]
     VersionConflict {
-        /// The version that the author had seen.
+        /// Version that the author had read.
         expected: u64,
-        /// The present version.
+        /// Current version.
         current: u64,
     },
     /// There is no plan of this name.
@@ -18,15 +19,15 @@
     /// There is no volume of this name.
     #[error("`{0}`: no such volume")]
     UnknownVolume(String),
-    /// A plan cannot be removed while a volume has it.
+    /// A plan cannot be removed while it is assigned to a volume.
     #[error("`{plan}`: volume {volume} has this plan")]
     PlanInUse {
-        /// The plan that was to be removed.
+        /// Plan to be removed.
         plan: String,
-        /// The first volume that has it, by name.
+        /// First volume, by name, that the plan is assigned to.
         volume: String,
     },
-    /// The name of a plan or volume is empty, too long, or has a character that is not allowed.
+    /// The name of a plan or volume is empty or too long, or contains a character that is not allowed.
     #[error("`{0}`: expected 1 to 64 letters, digits and -_.:")]
     InvalidName(String),
     /// A parameter of a plan is out of range.
@@ -34,13 +35,13 @@
     InvalidParameter {
         /// Name of the parameter.
         parameter: &'static str,
-        /// The values that it may have.
+        /// Values that the parameter may have.
         expected: &'static str,
     },
-    /// The change would not change the state.
+    /// The change would leave the state as it is.
     #[error("nothing would be different")]
     NoEffect,
-    /// Author or reason are missing or too long.
+    /// The author or the reason is missing or too long.
     #[error("expected an author and a reason")]
     MissingReason,
 }
@@ -49,9 +50,9 @@
 #[derive(Debug, Error)]
 #[error("trail line {line}: {kind}")]
 pub struct LogError {
-    /// Number of the entry, counted from 1: the version that it should lead to.
+    /// Number of the entry, counted from 1: the version that the entry should lead to.
     pub line: u64,
-    /// What is wrong with it.
+    /// What is wrong with the entry.
     #[source]
     pub kind: LogErrorKind,
 }
@@ -59,21 +60,21 @@
 /// What is wrong with an entry of a change log.
 #[derive(Debug, Error)]
 pub enum LogErrorKind {
-    /// The text is no entry.
+    /// The text is not a log entry.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The text reads as an entry, but is not byte for byte as the service writes it.
+    /// The text parses as an entry, but is not byte for byte as the service writes it.
     #[error("is not as the service writes it")]
     NotCanonical,
-    /// The hash of the entry before is another one.
+    /// The entry contains another hash than that of the entry before it.
     #[error("does not follow the line before")]
     HashMismatch,
-    /// The entry leads to another version than the next one.
-    #[error("version {found} where {expected} is due")]
+    /// The entry leads to another version than the next one in the log.
+    #[error("found version {found}, expected version {expected}")]
     VersionMismatch {
-        /// The version in the entry.
+        /// Version in the entry.
         found: u64,
-        /// The next version.
+        /// Next version of the log.
         expected: u64,
     },
     /// The change of the entry cannot be made to the state before it.
@@ -81,16 +82,16 @@
     InvalidChange(#[from] ChangeError),
 }
 
-/// Why a host closes its connection to the control service. The next connection requests a full snapshot.
+/// Reason why a host closes its connection to the control service. The next connection requests a full snapshot.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
-    /// What was received is no message.
+    /// A received line is not a message.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A snapshot of version 0 has the hash of an entry, which cannot be.
+    /// A snapshot of version 0 has the hash of a log entry, although no entry leads to that version.
     #[error("a state without changes behind a line")]
     InvalidSnapshot,
-    /// A log entry does not follow what the host has.
+    /// A log entry does not follow the host's log.
     #[error(transparent)]
     Log(#[from] LogError),
 }
--- a/crates/plans/src/expiring.rs
+++ b/crates/plans/src/expiring.rs
@@ -1,7 +1,7 @@
-//! Amounts that count until they expire.
+//! Amounts of quota that expire.
 use crate::{MilliUnits, Millis};
 
-/// An amount that counts before `expires_at` and not from that moment on.
+/// An amount that is valid before `expires_at`, and expired from that moment on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ExpiringAmount {
     pub amount: MilliUnits,
@@ -9,13 +9,13 @@
 }
 
 impl ExpiringAmount {
-    pub fn is_alive(&self, now: Millis) -> bool {
+    pub fn is_unexpired(&self, now: Millis) -> bool {
         now < self.expires_at
     }
 }
 
-/// The largest amount that has not expired; 0 if there is none.
-pub(crate) fn largest_alive(amounts: &[ExpiringAmount], now: Millis) -> MilliUnits {
-    let alive = amounts.iter().filter(|a| a.is_alive(now));
-    alive.map(|a| a.amount).max().unwrap_or(0)
+/// Returns the largest amount that has not expired; 0 if there is none.
+pub(crate) fn largest_unexpired(amounts: &[ExpiringAmount], now: Millis) -> MilliUnits {
+    let unexpired = amounts.iter().filter(|a| a.is_unexpired(now));
+    unexpired.map(|a| a.amount).max().unwrap_or(0)
 }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,26 +1,26 @@
 //! Service plans as versioned data, and the distribution of a plan's rate limit over the hosts of a volume.
 //!
-//! The package decides only: it has no I/O, no clock and no threads. Callers pass the time in and carry the
-//! messages. `docs/living-plans.md` describes the design and the alternatives that were considered.
+//! The package makes decisions only: it has no I/O, no clock and no threads. Callers pass in the time and transport
+//! the messages. `docs/living-plans.md` describes the design and the alternatives that were considered.
 //!
 //! Control service side:
 //!
 //! - [`state`]: plans and the volumes that they are assigned to, in numbered versions.
 //! - [`change_log`]: the append-only, hash-chained log of the changes that led to each version.
-//! - [`rollout`]: which version is effective at all hosts, and what a newer one still waits for.
-//! - [`quota_pool`]: the quota that hosts lend, leased to hosts that need more than their own.
+//! - [`rollout`]: the version that is effective at all hosts, and what blocks the rollout of a newer one.
+//! - [`quota_pool`]: the quota that hosts lend, leased to hosts that need more than their nominal quota.
 //!
 //! Host side:
 //!
 //! - [`replica`]: a host's replica of the plans.
 //! - `volume_quotas`: the host's quotas of all volumes that it serves.
 //! - [`host_quota`]: a host's quota of one limit: what it owns, lends and leases.
-//! - `reconnect_backoff`: when the host tries again to connect to the service.
+//! - `reconnect_backoff`: the delays between the host's attempts to connect to the service.
 //!
-//! Both: [`messages`], the protocol between them, and [`error`].
+//! Both sides: [`messages`], the protocol between them, and [`error`].
 //!
-//! Three hosts share a limit of 900 units a second. An idle one lends what it does not need, and a busy one leases
-//! it for a while:
+//! Three hosts share a limit of 900 units a second. An idle host lends the quota that it does not need, and a busy host
+//! leases it for a limited time:
 //!
 //! ```
 //! use mallowseam_plans::host_quota::HostQuota;
@@ -56,7 +56,7 @@
 pub mod state;
 mod volume_quotas;
 
-/// Milliseconds: a moment on the reader's own monotonic clock, or a duration.
+/// A time on the local monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
 
 /// Thousandths of a unit of cost (what one block I/O of `unit` bytes costs, see `docs/configuration.md`), or of
--- a/crates/plans/src/messages.rs
+++ b/crates/plans/src/messages.rs
@@ -1,5 +1,5 @@
-//! The protocol between hosts and the control service: one JSON object a line. The names in the JSON text are
-//! fixed by `serde(rename)`; what a field is called here may change, what it is called there may not.
+//! The protocol between hosts and the control service: one JSON object per line. The names in the JSON text must not
+//! change: a field or variant that is renamed in the code keeps its JSON name by `serde(rename)`.
 use crate::state::State;
 use crate::{MilliUnits, Millis};
 use serde::{Deserialize, Serialize};
@@ -7,36 +7,37 @@
 /// A message from a host to the control service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostMessage {
-    /// Opens a connection.
+    /// First message on a connection.
     #[serde(rename = "hello")]
     Hello {
         /// Name of the host.
         host: String,
-        /// Newest version that the host has.
+        /// Newest version that the host has, accepted or pending.
         version: u64,
-        /// Hash of the log entry that led to this version; [`UNKNOWN_HASH`](crate::change_log::UNKNOWN_HASH) to request a full snapshot.
+        /// Hash of the log entry that led to this version; [`UNKNOWN_HASH`](crate::change_log::UNKNOWN_HASH) to
+        /// request a full snapshot.
         #[serde(rename = "last")]
         last_hash: String,
     },
-    /// The host has accepted a version (ACK) and acts on it from now on.
+    /// Accepts a version (ACK): the host acts on it from now on.
     #[serde(rename = "acts-on")]
     Accepted {
-        /// The version.
+        /// The accepted version.
         version: u64,
     },
-    /// The host has rejected a version (NACK) and continues with the one before.
+    /// Rejects a version (NACK): the host continues to act on the last version that it accepted.
     #[serde(rename = "against")]
     Rejected {
-        /// The version.
+        /// The rejected version.
         version: u64,
-        /// Why the host cannot act on it, for operators.
+        /// Why the host cannot act on the version, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Answers [`ServiceMessage::QuotaPoll`].
+    /// Answers a [`ServiceMessage::QuotaPoll`] with what the host lends and requests.
     #[serde(rename = "report")]
     QuotaReport {
-        /// The poll's own time, by the service's clock.
+        /// When the poll was sent, by the service's clock.
         #[serde(rename = "asked")]
         polled_at: Millis,
         /// When this report was sent, by the host's clock.
@@ -44,12 +45,12 @@
         sent_at: Millis,
         /// The version that the host acts on.
         version: u64,
-        /// The host's volumes that have a limit.
+        /// Reports of the host's volumes that have a limit.
         volumes: Vec<VolumeReport>,
     },
 }
 
-/// What a host reports of one volume. Written as an array: name, lent, requested.
+/// A host's report of one volume. Serialized as an array: name, lent, requested.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "(String, MilliUnits, MilliUnits)",
@@ -58,9 +59,9 @@
 pub struct VolumeReport {
     /// Name of the volume.
     pub volume: String,
-    /// What the host lends of its nominal quota.
+    /// What the host lends of its nominal quota, in thousandths of a unit a second.
     pub lent: MilliUnits,
-    /// What the host needs beyond its nominal quota.
+    /// What the host needs beyond its nominal quota, in thousandths of a unit a second.
     pub requested: MilliUnits,
 }
 
@@ -83,49 +84,49 @@
 /// A message from the control service to a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceMessage {
-    /// A full snapshot, sent where the log that the host has does not lead to the service's.
+    /// A full snapshot, sent if the host cannot continue its own log with entries of the service's log.
     #[serde(rename = "whole")]
     Snapshot {
-        /// The state.
+        /// All plans and volumes.
         state: Box<State>,
-        /// Hash of the log entry that led to it.
+        /// Hash of the log entry that led to the state.
         #[serde(rename = "last")]
         last_hash: String,
     },
     /// The next entry of the change log.
     #[serde(rename = "line")]
     LogEntry {
-        /// The text of the entry, as it is in the log.
+        /// Text of the entry, as it is stored in the log.
         text: String,
     },
-    /// Asks for a [`HostMessage::QuotaReport`].
+    /// Requests a [`HostMessage::QuotaReport`].
     #[serde(rename = "ask")]
     QuotaPoll {
-        /// When it was sent, by the service's clock.
+        /// When the poll was sent, by the service's clock.
         #[serde(rename = "asked")]
         polled_at: Millis,
     },
-    /// Answers a report with what the host may use beyond its nominal quota.
+    /// Answers a [`HostMessage::QuotaReport`] with what the host may use beyond its nominal quota.
     #[serde(rename = "granted")]
     QuotaLeases {
         /// When the report was sent, by the host's clock.
         #[serde(rename = "sent")]
         requested_at: Millis,
-        /// How long the leases last from then on.
+        /// Duration of the leases in milliseconds, counted from `requested_at`.
         #[serde(rename = "span")]
         duration: Millis,
-        /// The volumes for which there is a lease.
+        /// The granted leases, at most one for each volume.
         volumes: Vec<VolumeLease>,
     },
 }
 
-/// A quota lease for one volume. Written as an array: name, amount.
+/// A quota lease for one volume. Serialized as an array: name, amount.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, MilliUnits)", into = "(String, MilliUnits)")]
 pub struct VolumeLease {
     /// Name of the volume.
     pub volume: String,
-    /// What may be used beyond the nominal quota, in thousandths of a unit a second.
+    /// What the host may use beyond its nominal quota, in thousandths of a unit a second.
     pub amount: MilliUnits,
 }
 
--- a/crates/plans/src/reconnect_backoff/tests.rs
+++ b/crates/plans/src/reconnect_backoff/tests.rs
@@ -1,21 +1,21 @@
-//! Delays between connection attempts.
+//! Tests of the delays between connection attempts.
 use super::*;
 
-/// Milliseconds between the attempts that are due within the first minute.
+/// Returns the delays in milliseconds between the attempts that are due within one minute after `from`.
 fn delays(backoff: &mut ReconnectBackoff, from: Millis, jitter: u64) -> Vec<Millis> {
     let attempts: Vec<Millis> = (from..from + 60_000)
-        .filter(|now| backoff.attempt_due(*now, jitter))
+        .filter(|now| backoff.is_attempt_due(*now, jitter))
         .collect();
     attempts.windows(2).map(|pair| pair[1] - pair[0]).collect()
 }
 
 #[test]
 fn first_attempt_is_due_at_once() {
-    assert!(ReconnectBackoff::default().attempt_due(0, 0));
+    assert!(ReconnectBackoff::default().is_attempt_due(0, 0));
 }
 
 #[test]
-fn delays_double_up_to_the_longest_one_and_start_anew_after_a_contact() {
+fn delays_double_up_to_the_maximum_and_start_again_after_a_reset() {
     let mut backoff = ReconnectBackoff::default();
     let first = delays(&mut backoff, 0, FULL_JITTER);
     assert_eq!(
@@ -30,8 +30,8 @@
 
 #[test]
 fn half_of_a_delay_is_jitter() {
-    let without = delays(&mut ReconnectBackoff::default(), 0, 0);
-    assert_eq!(without[..3], [50, 100, 200]);
-    let beyond = delays(&mut ReconnectBackoff::default(), 0, 2 * FULL_JITTER);
-    assert_eq!(beyond[..3], [100, 200, 400]);
+    let without_jitter = delays(&mut ReconnectBackoff::default(), 0, 0);
+    assert_eq!(without_jitter[..3], [50, 100, 200]);
+    let excessive_jitter = delays(&mut ReconnectBackoff::default(), 0, 2 * FULL_JITTER);
+    assert_eq!(excessive_jitter[..3], [100, 200, 400]);
 }
--- a/crates/plans/src/replica.rs
+++ b/crates/plans/src/replica.rs
@@ -1,5 +1,5 @@
-//! A host's replica of the plans: it follows the change log of the control service, and keeps the host's quotas of
-//! the limits in it.
+//! A host's replica of the plans: it follows the change log of the control service, and keeps the host's quotas of the
+//! limits in the plans.
 use crate::change_log::{ChangeLog, GENESIS_HASH};
 use crate::error::{LogError, ReplicaError};
 use crate::messages::{HostMessage, ServiceMessage};
@@ -11,14 +11,14 @@
 pub use crate::reconnect_backoff::MAX_RECONNECT_DELAY;
 pub use crate::volume_quotas::HostedVolume;
 
-/// What the caller has to do after a message.
+/// Action that the caller takes after a message.
 #[derive(Debug)]
 pub enum ReplicaAction {
-    /// Nothing.
+    /// No action.
     None,
     /// Apply the pending state, then call [`PlanReplica::accept_pending`] or [`PlanReplica::reject_pending`].
     ApplyPending,
-    /// Send this message.
+    /// Send this message to the service.
     Send(HostMessage),
     /// Close the connection; the next one requests a full snapshot.
     Disconnect(ReplicaError),
@@ -27,16 +27,16 @@
 /// A host's replica of the plans.
 pub struct PlanReplica {
     host: String,
-    /// What the host acts on.
+    /// Log whose state the host acts on.
     log: ChangeLog,
-    /// What the host has received and neither accepted nor replaced yet.
+    /// Newest log received from the service, unless the host has accepted it.
     pending: Option<ChangeLog>,
     quotas: VolumeQuotas,
     backoff: ReconnectBackoff,
 }
 
 impl PlanReplica {
-    /// A replica that starts with what was stored on disk, if anything.
+    /// Returns a replica that starts with the log stored on disk, if there is one.
     #[must_use]
     pub fn new(
         host: &str,
@@ -56,25 +56,25 @@
         }
     }
 
-    /// The state that the host acts on.
+    /// Returns the state that the host acts on.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.log.state
     }
 
-    /// What is to be stored on disk for the next start: the state that the host acts on, and its hash.
+    /// Returns the log to store on disk for the next start: the state that the host acts on, and its hash.
     #[must_use]
     pub fn log(&self) -> &ChangeLog {
         &self.log
     }
 
-    /// The state that is to be applied next.
+    /// Returns the state to be applied next; none if nothing is pending.
     #[must_use]
     pub fn pending(&self) -> Option<&State> {
         self.pending.as_ref().map(|pending| &pending.state)
     }
 
-    /// The message that opens a connection.
+    /// Returns the message that opens a connection.
     #[must_use]
     pub fn hello(&self) -> HostMessage {
         let newest = self.pending.as_ref().unwrap_or(&self.log);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Takes a message. `demand` is used for a poll only: for each volume, in the order given to
-    /// [`PlanReplica::new`], the thousandths of units a second that clients request, served or not.
+    /// Handles a message from the service. `demand` is used for a poll only: for each volume, in the order given to
+    /// [`PlanReplica::new`], the rate that clients request, served or not, in thousandths of a unit a second.
     pub fn receive(
         &mut self,
         message: ServiceMessage,
@@ -129,12 +129,12 @@
             self.pending = Some(newest);
         } else {
             // The service answers the next hello with a full snapshot.
-            self.log.forget_hash();
+            self.log.mark_diverged();
         }
         appended.map(drop)
     }
 
-    /// Lends what is not needed, and reports it with what is needed beyond the nominal quotas.
+    /// Lends the quota that is not needed. Returns the report of it and of the quota needed beyond the nominal quotas.
     fn quota_report(
         &mut self,
         polled_at: Millis,
@@ -149,7 +149,8 @@
         }
     }
 
-    /// The host acts on the pending state from now on. Returns the message to send; none if nothing is pending.
+    /// Accepts the pending state, which the host acts on from now on. Returns the message to send; none if nothing is
+    /// pending.
     pub fn accept_pending(&mut self, now: Millis) -> Option<HostMessage> {
         self.log = self.pending.take()?;
         self.quotas.set_limits(&self.log.state, now);
@@ -158,22 +159,23 @@
         })
     }
 
-    /// The host cannot act on the pending state, which stays pending: a later log entry may make it acceptable.
-    /// Returns the message to send; none if nothing is pending.
+    /// Rejects the pending state, which the host cannot act on. It stays pending: a later log entry may make it
+    /// acceptable. Returns the message to send; none if nothing is pending.
     pub fn reject_pending(&mut self, reason: String) -> Option<HostMessage> {
         let version = self.pending()?.version;
         Some(HostMessage::Rejected { version, reason })
     }
 
-    /// For each volume, in the order given to [`PlanReplica::new`], what the host may use now, in thousandths of a
-    /// unit a second; none if the volume has no limit.
+    /// Returns the rate that the host may use now for each volume, in the order given to [`PlanReplica::new`], in
+    /// thousandths of a unit a second; none if the volume has no limit.
     pub fn available_quotas(&self, now: Millis) -> impl Iterator<Item = Option<MilliUnits>> {
         self.quotas.available(now)
     }
 
-    /// Whether the caller should try to connect now; if so, the next attempt is due after an exponential backoff.
+    /// Returns whether the caller should try to connect now; if so, the next attempt is due after an exponential
+    /// backoff.
     /// `jitter`, from 0 to 1,000, spreads the attempts of different hosts.
     pub fn should_connect(&mut self, now: Millis, jitter: u64) -> bool {
-        self.backoff.attempt_due(now, jitter)
+        self.backoff.is_attempt_due(now, jitter)
     }
 }
--- a/crates/plans/src/rollout.rs
+++ b/crates/plans/src/rollout.rs
@@ -1,9 +1,9 @@
-//! The rollout of versions to hosts, with an effective version as its result.
+//! The rollout of versions to hosts, and the version that is effective at all of them.
 //!
-//! A version is effective at a host from the moment at which the host has accepted it. It is effective everywhere
-//! once every host has accepted it and, where it lowered a limit, once the loans and leases of the older version
-//! have expired as well. A host that does not answer keeps acting on what it has: its nominal quota is its own and
-//! cannot be given to others, so the host is reported until it answers or an operator who knows that it has
+//! A version is effective at a host from the moment at which the host has accepted it. It is effective at all hosts
+//! once every host has accepted it and, if it lowered a limit, the loans and leases of the older version have expired
+//! as well. A host that does not answer continues to act on the version that it has: its nominal quota is its own and
+//! cannot be given to others. Such a host is reported until it answers, or until an operator who knows that it has
 //! stopped declares it removed.
 use crate::Millis;
 use crate::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
@@ -12,21 +12,22 @@
 /// Milliseconds without contact after which a host counts as silent.
 pub const SILENT_AFTER: Millis = 3_000;
 
-/// A version that a host has rejected.
+/// The rejection of a version by a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Rejection {
     version: u64,
     reason: String,
 }
 
+/// What the control service knows of one host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Host {
-    /// The newest version that the host has accepted.
+    /// Newest version that the host has accepted.
     accepted_version: u64,
-    /// Since when it is known to have accepted it.
+    /// When the service learned that the host had accepted `accepted_version`.
     accepted_at: Millis,
     last_contact: Millis,
-    /// The last version that it has rejected, if it has not accepted that one or a newer one since.
+    /// Last rejection by the host, unless the host has since accepted the same version or a newer one.
     rejection: Option<Rejection>,
     is_removed: bool,
 }
@@ -37,41 +38,41 @@
     }
 }
 
-/// What prevents a version from being effective at all hosts.
+/// A reason why a version is not effective at all hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutBlocker {
     /// A host has not accepted the version and is silent.
     Silent {
         /// Name of the host.
         host: String,
-        /// The newest version that it is known to have accepted.
+        /// Newest version that the host is known to have accepted.
         accepted_version: u64,
-        /// When something was last received from it.
+        /// When something was last received from the host.
         last_contact: Millis,
     },
-    /// A host answers, and has not accepted the version yet.
+    /// A host answers but has not accepted the version yet.
     Behind {
         /// Name of the host.
         host: String,
-        /// The newest version that it has accepted.
+        /// Newest version that the host has accepted.
         accepted_version: u64,
     },
     /// A host has rejected the version or a newer one.
     Rejected {
         /// Name of the host.
         host: String,
-        /// The reason that it gave.
+        /// Reason that the host gave.
         reason: String,
     },
     /// All hosts have accepted the version, which lowered a limit; loans and leases of the older version have not
     /// expired yet.
     UnexpiredLeases {
-        /// When the last of them has expired.
+        /// When the last of these loans and leases expires.
         until: Millis,
     },
 }
 
-/// The versions that the hosts have accepted or rejected, as the control service knows them.
+/// The versions that each host has accepted or rejected, as far as the control service knows.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
     hosts: BTreeMap<String, Host>,
@@ -80,13 +81,13 @@
 }
 
 impl Rollout {
-    /// A host has sent something. A host that is new is a member from now on and has accepted nothing yet; one
-    /// that was declared removed is a member again.
+    /// Records that a host has sent something. A new host becomes a member that has accepted nothing yet; a host that
+    /// was declared removed becomes a member again.
     pub fn on_contact(&mut self, host: &str, now: Millis) {
-        self.contacted(host, now);
+        self.record_contact(host, now);
     }
 
-    fn contacted(&mut self, host: &str, now: Millis) -> &mut Host {
+    fn record_contact(&mut self, host: &str, now: Millis) -> &mut Host {
         let host = self.hosts.entry(host.to_owned()).or_insert(Host {
             accepted_version: 0,
             accepted_at: now,
@@ -99,13 +100,13 @@
         host
     }
 
-    /// Number of members: all hosts but those that were declared removed.
+    /// Returns the number of members: all hosts that have not been declared removed.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.members().count()
     }
 
-    /// Whether a host is known and has not been declared removed.
+    /// Returns whether a host is known and has not been declared removed.
     #[must_use]
     pub fn is_member(&self, host: &str) -> bool {
         self.hosts.get(host).is_some_and(|host| !host.is_removed)
@@ -115,9 +116,10 @@
         self.hosts.iter().filter(|(_, host)| !host.is_removed)
     }
 
-    /// A host has accepted a version (ACK). A repeated or older version changes nothing: a host never goes back.
+    /// Records that a host has accepted a version (ACK). A repeated or older version counts only as a contact: a host
+    /// never returns to an older version.
     pub fn on_accepted(&mut self, host: &str, version: u64, now: Millis) {
-        let host = self.contacted(host, now);
+        let host = self.record_contact(host, now);
         if version > host.accepted_version {
             host.accepted_version = version;
             host.accepted_at = now;
@@ -128,9 +130,9 @@
         }
     }
 
-    /// A host has rejected a version (NACK).
+    /// Records that a host has rejected a version (NACK).
     pub fn on_rejected(&mut self, host: &str, version: u64, reason: &str, now: Millis) {
-        let host = self.contacted(host, now);
+        let host = self.record_contact(host, now);
         if version > host.accepted_version {
             host.rejection = Some(Rejection {
                 version,
@@ -139,8 +141,8 @@
         }
     }
 
-    /// An operator knows that a host has stopped permanently and declares it removed. Returns false, and changes
-    /// nothing, if the host is unknown or not silent.
+    /// Declares a host removed, on behalf of an operator who knows that it has stopped permanently. Returns false, and
+    /// changes nothing, if the host is unknown or not silent.
     pub fn declare_removed(&mut self, host: &str, now: Millis) -> bool {
         match self.hosts.get_mut(host) {
             Some(host) if host.is_silent(now) => {
@@ -151,12 +153,12 @@
         }
     }
 
-    /// Notes that a version lowers some limit.
+    /// Records that a version lowers a limit.
     pub fn mark_limit_lowered(&mut self, version: u64) {
         self.limit_lowering_versions.push(version);
     }
 
-    /// What prevents a version from being effective at all hosts; empty if it is.
+    /// Returns the reasons why a version is not effective at all hosts; empty if it is effective.
     #[must_use]
     pub fn blockers(&self, version: u64, now: Millis) -> Vec<RolloutBlocker> {
         let blockers: Vec<RolloutBlocker> = self
@@ -166,7 +168,7 @@
         if !blockers.is_empty() || !self.limit_lowering_versions.contains(&version) {
             return blockers;
         }
-        // A host that has accepted a later version has had this one for at least as long.
+        // A host that has accepted a later version accepted this one no later than that.
         let all_accepted_at = self
             .members()
             .map(|(_, host)| host.accepted_at)
@@ -180,7 +182,7 @@
         }
     }
 
-    /// The last version up to `newest` that is effective at all hosts.
+    /// Returns the last version up to `newest` that is effective at all hosts.
     #[must_use]
     pub fn effective_version(&self, newest: u64, now: Millis) -> u64 {
         let oldest_accepted = self.members().map(|(_, host)| host.accepted_version).min();
--- a/crates/plans/src/state.rs
+++ b/crates/plans/src/state.rs
@@ -1,30 +1,30 @@
-//! Plans and the volumes that they are assigned to, in numbered versions. The names in the JSON text are stored
-//! data and fixed by `serde(rename)`.
+//! Plans and the volumes that they are assigned to, in numbered versions. The JSON text is stored data: its names must
+//! not change, and a field or variant that is renamed in the code keeps its JSON name by `serde(rename)`.
 use crate::MilliUnits;
 use crate::error::ChangeError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Largest parameter of a plan: sums over thousands of hosts stay far inside 64 bits.
+/// Largest parameter of a plan, in thousandths of a unit: sums over thousands of hosts stay far below 2^64.
 pub const MAX_PARAMETER: MilliUnits = 1_000_000_000_000;
-/// Longest name of a plan or volume, in bytes.
+/// Maximum length of the name of a plan or volume, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// The parameters of a plan; rates in thousandths of a unit a second. They are stored under the names that they
+/// The parameters of a plan; rates are in thousandths of a unit a second. They are stored under the names that they
 /// have in the configuration file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The rate that a volume normally has.
+    /// Normal rate of a volume.
     #[serde(rename = "usual")]
     pub usual_rate: MilliUnits,
-    /// The rate that is reserved for a volume.
+    /// Rate that is reserved for a volume.
     #[serde(rename = "reserve")]
     pub reserved_rate: MilliUnits,
-    /// The rate that a volume may not exceed, as it is stored: 0 stands for no limit. [`Plan::limit`] reads it.
+    /// Rate that a volume may not exceed, as it is stored: 0 means no limit. [`Plan::limit`] decodes it.
     #[serde(rename = "limit")]
     pub rate_limit: MilliUnits,
-    /// Thousandths of units that may be used at once within the limit.
+    /// Amount that the limit admits at once, in thousandths of a unit.
     #[serde(rename = "burst")]
     pub burst_units: MilliUnits,
     /// Weight of the volume's share of a node, in thousandths.
@@ -37,22 +37,22 @@
 /// One change, which leads from a version to the next one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// Gives a plan these parameters; the plan is new if there is none of this name.
+    /// Sets the parameters of a plan, which is created if it does not exist.
     #[serde(rename = "Plan")]
     SetPlan {
         /// Name of the plan.
         name: String,
-        /// Its parameters from now on.
+        /// New parameters of the plan.
         #[serde(rename = "figures")]
         plan: Plan,
     },
-    /// Removes a plan that no volume has.
+    /// Removes a plan that is assigned to no volume.
     #[serde(rename = "PlanGone")]
     RemovePlan {
         /// Name of the plan.
         name: String,
     },
-    /// Assigns a plan to a volume; the volume is new if there is none of this name.
+    /// Assigns a plan to a volume, which is created if it does not exist.
     #[serde(rename = "Volume")]
     AssignPlan {
         /// Name of the volume.
@@ -77,12 +77,12 @@
     pub version: u64,
     /// Plans by name.
     pub plans: BTreeMap<String, Plan>,
-    /// The name of each volume's plan, by name of the volume.
+    /// Name of each volume's plan, by name of the volume.
     pub volumes: BTreeMap<String, String>,
 }
 
 impl Plan {
-    /// The rate that a volume may not exceed, if the plan has a limit.
+    /// Returns the rate that a volume may not exceed; none if the plan has no limit.
     #[must_use]
     pub fn limit(&self) -> Option<MilliUnits> {
         (self.rate_limit > 0).then_some(self.rate_limit)
@@ -109,7 +109,7 @@
         let Some(limit) = self.limit() else {
             return Ok(());
         };
-        // A limit without a burst would let nothing through.
+        // A limit without a burst would admit nothing.
         if self.burst_units == 0 {
             return Err(ChangeError::InvalidParameter {
                 parameter: "burst",
@@ -127,7 +127,7 @@
 }
 
 impl State {
-    /// The plan of a volume; none if the volume is unknown.
+    /// Returns the plan of a volume; none if the volume is unknown.
     #[must_use]
     pub fn plan_of(&self, volume: &str) -> Option<&Plan> {
         self.plans.get(self.volumes.get(volume)?)
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// Why the change cannot be made.
+    /// The reason why the change cannot be made.
     pub fn check(&self, change: &Change) -> Result<(), ChangeError> {
         match change {
             Change::SetPlan { name, plan } => {
@@ -171,11 +171,11 @@
         }
     }
 
-    /// Makes a change, which leads to the next version.
+    /// Applies a change, which leads to the next version.
     ///
     /// # Errors
     ///
-    /// Why the change cannot be made; nothing is changed then.
+    /// The reason why the change cannot be made; the state is unchanged then.
     pub fn apply(&mut self, change: &Change) -> Result<(), ChangeError> {
         self.check(change)?;
         self.version += 1;
@@ -188,8 +188,8 @@
         Ok(())
     }
 
-    /// The change that reverts a change which was made to this state. Changes made since are not reverted; the
-    /// caller checks the result against the present state like any other change.
+    /// Returns the change that reverts `change`, which was made to this state. Changes made since are not reverted; the
+    /// caller checks the result against the current state like any other change.
     #[must_use]
     pub fn revert(&self, change: &Change) -> Change {
         match change {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The changes that lead from this state to another one, in the order in which they can be applied.
+    /// Returns the changes that lead from this state to `target`, in an order in which they can be applied.
     #[must_use]
     pub fn diff(&self, target: &State) -> Vec<Change> {
         let mut changes = Vec::new();
--- a/crates/plans/src/volume_quotas.rs
+++ b/crates/plans/src/volume_quotas.rs
@@ -13,14 +13,14 @@
     pub host_count: u32,
 }
 
-/// A volume with the host's quota of its limit, if its plan has one.
+/// A volume with the host's quota of its limit, if its plan has a limit.
 struct VolumeQuota {
     volume: HostedVolume,
     quota: Option<HostQuota>,
 }
 
 impl VolumeQuota {
-    /// Follows the volume's limit. A quota that is new is restricted until `unknown_loans_until`.
+    /// Sets the volume's limit; none removes the quota. A new quota is restricted until `unknown_loans_until`.
     fn set_limit(&mut self, limit: Option<MilliUnits>, unknown_loans_until: Millis, now: Millis) {
         let Some(limit) = limit else {
             self.quota = None;
@@ -38,15 +38,15 @@
     }
 }
 
-/// The quotas of a host, in the order in which the caller named the volumes.
+/// The quotas of a host, in the order in which the caller passed the volumes.
 pub(crate) struct VolumeQuotas {
     entries: Vec<VolumeQuota>,
-    /// Until then, other hosts may still use what was lent before this start.
+    /// Time until which other hosts may still use quota that this host lent before its start.
     unknown_loans_until: Millis,
 }
 
 impl VolumeQuotas {
-    /// No quotas yet, for a host that starts now.
+    /// Returns the volumes of a host that starts now, without quotas.
     pub fn new(volumes: Vec<HostedVolume>, now: Millis) -> VolumeQuotas {
         let without_quota = |volume| VolumeQuota {
             volume,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Follows the limits of a state that the host acts on from now on.
+    /// Sets the limits of the volumes to those of a state that the host acts on from now on.
     pub fn set_limits(&mut self, state: &State, now: Millis) {
         for entry in &mut self.entries {
             let plan = state.plan_of(&entry.volume.name);
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Lends what is not needed. Returns what is lent of each volume that has a limit, and what is needed beyond the
-    /// nominal quota. `demand`: of each volume, in the caller's order.
+    /// Lends the quota that is not needed. Returns, for each volume that has a limit, the lent amount and the amount
+    /// needed beyond the nominal quota. `demand` has the demand of each volume, in the caller's order.
     pub fn lend(&mut self, demand: &[MilliUnits], now: Millis) -> Vec<VolumeReport> {
         let mut reports = Vec::new();
         for (index, entry) in self.entries.iter_mut().enumerate() {
@@ -85,7 +85,7 @@
         reports
     }
 
-    /// Takes the leases that answer a report which was sent at `requested_at`.
+    /// Adds the leases that answer a report sent at `requested_at`. Leases of volumes without a limit are ignored.
     pub fn add_leases(
         &mut self,
         leases: Vec<VolumeLease>,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What the host may use now of each volume's limit; none where there is no limit.
+    /// Returns what the host may use now of each volume's limit; none for a volume without a limit.
     pub fn available(&self, now: Millis) -> impl Iterator<Item = Option<MilliUnits>> {
         self.entries
             .iter()
--- a/crates/plans/tests/change_log.rs
+++ b/crates/plans/tests/change_log.rs
@@ -1,4 +1,5 @@
-//! The change log and the states that it leads to: replay, alterations, conflicts, and reverted changes.
+//! Tests of the change log and of the states that it leads to: replay, altered entries, conflicting changes, and
+//! reverted changes.
 use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::error::ChangeError;
 use mallowseam_plans::state::{Change, Plan};
@@ -25,7 +26,7 @@
     }
 }
 
-/// A log of some changes, and its entries.
+/// Returns a log of some changes, and its entries.
 fn log_with_entries() -> (ChangeLog, Vec<String>) {
     let mut changes = vec![
         set("basic", plan(40_000)),
@@ -44,15 +45,15 @@
     for (version, change) in (0..).zip(changes) {
         let entry = log
             .propose(version, "board", "tariff night", 1_800_000_000, change)
-            .expect("valid");
-        log.append(&entry).expect("follows");
+            .expect("the change is valid");
+        log.append(&entry).expect("the entry follows the log");
         entries.push(entry);
     }
     (log, entries)
 }
 
 fn replay(entries: &[String]) -> ChangeLog {
-    ChangeLog::replay(entries.iter().map(String::as_str)).expect("unaltered")
+    ChangeLog::replay(entries.iter().map(String::as_str)).expect("the entries are unaltered")
 }
 
 #[test]
@@ -64,14 +65,14 @@
         let mut continued =
             ChangeLog::from_snapshot(start.state.clone(), start.last_hash().to_owned());
         for entry in &entries[version..] {
-            continued.append(entry).expect("follows");
+            continued.append(entry).expect("the entry follows the log");
         }
-        assert_eq!(continued, log, "from version {version}");
+        assert_eq!(continued, log, "continued from version {version}");
     }
 }
 
 #[test]
-fn one_altered_byte_is_found_at_its_entry_or_the_next() {
+fn an_altered_byte_is_detected_at_its_entry_or_the_next() {
     let (_, entries) = log_with_entries();
     for index in 0..entries.len() - 1 {
         for position in 0..entries[index].len() {
@@ -82,21 +83,25 @@
             };
             let mut all: Vec<&str> = entries.iter().map(String::as_str).collect();
             all[index] = &altered;
-            let error = ChangeLog::replay(all.into_iter()).expect_err("altered");
+            let error =
+                ChangeLog::replay(all.into_iter()).expect_err("an altered entry must be rejected");
             assert!(
                 error.line == index as u64 + 1 || error.line == index as u64 + 2,
-                "entry {index}, byte {position}: {error}"
+                "altered byte {position} of entry {index} was detected elsewhere: {error}"
             );
         }
     }
 }
 
 #[test]
-fn a_missing_entry_is_found_at_the_next() {
+fn a_missing_entry_is_detected_at_the_next() {
     let (_, entries) = log_with_entries();
     let without_fourth = entries.iter().enumerate().filter(|(index, _)| *index != 3);
     let replayed = ChangeLog::replay(without_fourth.map(|(_, entry)| entry.as_str()));
-    assert_eq!(replayed.expect_err("one is missing").line, 4);
+    assert_eq!(
+        replayed.expect_err("a missing entry must be detected").line,
+        4
+    );
 }
 
 #[test]
@@ -105,15 +110,15 @@
     let version = log.state.version;
     let first = log
         .propose(version, "a", "x", 0, set("gold", plan(7)))
-        .expect("valid");
+        .expect("the change is valid");
     let second = log
         .propose(version, "b", "y", 0, set("gold", plan(8)))
-        .expect("valid");
-    log.append(&first).expect("first");
+        .expect("the change is valid");
+    log.append(&first).expect("the first entry follows the log");
     assert!(log.append(&second).is_err());
-    let late = log.propose(version, "b", "y", 0, set("gold", plan(8)));
+    let stale = log.propose(version, "b", "y", 0, set("gold", plan(8)));
     assert_eq!(
-        late,
+        stale,
         Err(ChangeError::VersionConflict {
             expected: version,
             current: version + 1
@@ -151,28 +156,36 @@
     let before = log_with_entries().0.state;
     let change = set("tin", plan(3));
     let mut after = before.clone();
-    after.apply(&change).expect("valid");
+    after.apply(&change).expect("the change is valid");
     after
         .check(&before.revert(&change))
-        .expect("nothing depends on it");
-    after.apply(&assign("gas", "tin")).expect("valid");
+        .expect("no later change depends on the plan");
+    after
+        .apply(&assign("gas", "tin"))
+        .expect("the change is valid");
     let revert = before.revert(&change);
     assert!(
         matches!(after.check(&revert), Err(ChangeError::PlanInUse { .. })),
-        "a volume has it by now"
+        "a plan that a volume has by now must not be removable"
     );
 }
 
 #[test]
-fn a_difference_leads_from_one_state_to_the_other_and_back() {
+fn a_diff_leads_from_one_state_to_the_other_and_back() {
     let before = log_with_entries().0.state;
     let mut after = before.clone();
-    after.apply(&set("tin", plan(3))).expect("valid");
-    after.apply(&assign("gas", "tin")).expect("valid");
+    after
+        .apply(&set("tin", plan(3)))
+        .expect("the change is valid");
+    after
+        .apply(&assign("gas", "tin"))
+        .expect("the change is valid");
     for (from, to) in [(&before, &after), (&after, &before)] {
         let mut state = from.clone();
         for change in from.diff(to) {
-            state.apply(&change).expect("valid in this order");
+            state
+                .apply(&change)
+                .expect("the changes can be applied in this order");
         }
         assert_eq!((&state.plans, &state.volumes), (&to.plans, &to.volumes));
     }
--- a/crates/plans/tests/host_quota.rs
+++ b/crates/plans/tests/host_quota.rs
@@ -1,12 +1,12 @@
-//! A host's quota: what it lends, leases and may use.
+//! Tests of a host's quota: what the host lends, leases and may use.
 use mallowseam_plans::host_quota::{CLOCK_SKEW_MARGIN, HostQuota, LOAN_DURATION};
 
 #[test]
-fn a_loan_returns_when_it_expires_and_not_before() {
+fn a_loan_ends_when_it_expires_and_not_before() {
     let mut quota = HostQuota::new(900, 3);
     assert_eq!(quota.lend(200, 1_000), 200);
     assert_eq!(quota.available(1_000), 100);
-    // A smaller loan does not end the first one: others may still use that.
+    // A later, smaller loan does not end the first one: other hosts may still use the first one.
     quota.lend(50, 1_500);
     assert_eq!(
         quota.available(1_000 + LOAN_DURATION + CLOCK_SKEW_MARGIN - 1),
@@ -23,12 +23,16 @@
 }
 
 #[test]
-fn a_lease_counts_from_the_moment_at_which_it_was_requested() {
+fn the_duration_of_a_lease_counts_from_its_request() {
     let mut quota = HostQuota::new(900, 3);
     quota.add_lease(400, 1_000, 1_500, 2_000);
     assert_eq!((quota.available(2_499), quota.available(2_500)), (700, 300));
     quota.add_lease(400, 1_000, 1_500, 2_600);
-    assert_eq!(quota.available(2_600), 300, "it came too late to be of use");
+    assert_eq!(
+        quota.available(2_600),
+        300,
+        "a lease that has expired before its arrival must not count"
+    );
 }
 
 #[test]
@@ -47,12 +51,12 @@
     assert_eq!(
         other.lend(other.lendable(0), 0),
         225,
-        "no more is ever lent"
+        "a host must not lend more than this without demand"
     );
 }
 
 #[test]
-fn a_host_keeps_its_demand_with_headroom_and_a_reserve() {
+fn a_host_keeps_quota_for_its_demand_with_headroom_and_a_reserve() {
     let quota = HostQuota::new(900, 3);
     assert_eq!(quota.lendable(0), 225);
     assert_eq!(quota.lendable(200), 50);
@@ -60,6 +64,6 @@
     assert_eq!(
         HostQuota::new(900, 3).lend(5_000, 0),
         300,
-        "nobody lends what it does not have"
+        "a host must not lend more than its nominal quota"
     );
 }
--- a/crates/plans/tests/pinned_decisions.rs
+++ b/crates/plans/tests/pinned_decisions.rs
@@ -1,6 +1,6 @@
-//! Pins every decision of the package: seeded streams of events are played against the public interface, and a
-//! hash over all actions that they led to is compared with the one recorded at commit 01f3988. A pin that fails
-//! means that a decision, a constant or the arithmetic has changed; the values are never recorded anew.
+//! Pins every decision of the package: seeded sequences of events are applied to the public interface, and a hash over
+//! all resulting actions is compared with the hash recorded at commit 01f3988. A mismatch means that a decision, a
+//! constant, the arithmetic or an error text has changed; the hashes are never recorded again.
 use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::host_quota::{CLOCK_SKEW_MARGIN, HostQuota, LOAN_DURATION};
 use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
@@ -17,13 +17,13 @@
 const VOLUMES: [&str; 3] = ["water", "gas", "light"];
 const PLANS: [&str; 3] = ["basic", "silver", "gold"];
 
-/// One control service and its hosts, with a record of everything that they did.
+/// A control service and its hosts, with a record of all their actions.
 struct Scenario {
     rng: SeededRng,
     now: Millis,
     log: ChangeLog,
-    lines: Vec<String>,
-    hosts: Rollout,
+    entries: Vec<String>,
+    rollout: Rollout,
     pools: Vec<QuotaPool>,
     replicas: Vec<PlanReplica>,
     quotas: Vec<HostQuota>,
@@ -36,8 +36,8 @@
             rng: SeededRng::new(seed),
             now: 10_000,
             log: ChangeLog::default(),
-            lines: Vec::new(),
-            hosts: Rollout::default(),
+            entries: Vec::new(),
+            rollout: Rollout::default(),
             pools: VOLUMES
                 .iter()
                 .map(|_| QuotaPool::new(10_000, true))
@@ -53,12 +53,12 @@
         scenario
     }
 
-    fn note(&mut self, text: &str) {
+    fn append_to_record(&mut self, text: &str) {
         self.record.push_str(text);
         self.record.push('\n');
     }
 
-    fn play(&mut self) {
+    fn run_random_event(&mut self) {
         self.now += match self.rng.below(10) {
             0 => self.rng.below(2_000),
             1..4 => self.rng.below(200),
@@ -67,15 +67,15 @@
         match self.rng.below(12) {
             0 => self.change_plans(),
             1 | 2 => self.replicate(),
-            3 | 4 => self.answer_version(),
-            5..8 => self.lend_and_grant(),
+            3 | 4 => self.accept_or_reject_pending(),
+            5..8 => self.lend_and_lease(),
             8 => self.restart(),
-            9 => self.follow_hosts(),
+            9 => self.update_host_status(),
             10 => self.connect(),
-            _ => self.use_quota(),
+            _ => self.exercise_host_quota(),
         }
         if self.rng.below(3) == 0 {
-            self.note_quotas();
+            self.record_quotas();
         }
     }
 
@@ -97,23 +97,28 @@
             .log
             .propose(expected, author, &reason, seconds, change.clone())
         {
-            Ok(line) => {
-                self.note(&line);
-                let undo = serde_json::to_string(&self.log.state.revert(&change)).expect("plain");
+            Ok(entry) => {
+                self.append_to_record(&entry);
+                let revert = serde_json::to_string(&self.log.state.revert(&change))
+                    .expect("the data can be encoded as JSON");
                 let before = self.log.state.clone();
-                self.log.append(&line).expect("it was proposed");
-                let differs = serde_json::to_string(&before.diff(&self.log.state)).expect("plain");
-                let state = serde_json::to_string(&self.log.state).expect("plain");
-                self.note(&format!(
-                    "undo {undo} diff {differs} state {state} last {}",
+                self.log
+                    .append(&entry)
+                    .expect("the proposed entry follows the log");
+                let diff = serde_json::to_string(&before.diff(&self.log.state))
+                    .expect("the data can be encoded as JSON");
+                let state = serde_json::to_string(&self.log.state)
+                    .expect("the data can be encoded as JSON");
+                self.append_to_record(&format!(
+                    "undo {revert} diff {diff} state {state} last {}",
                     self.log.last_hash()
                 ));
-                self.lines.push(line);
+                self.entries.push(entry);
                 if self.rng.below(2) == 0 {
-                    self.hosts.mark_limit_lowered(self.log.state.version);
+                    self.rollout.mark_limit_lowered(self.log.state.version);
                 }
             }
-            Err(refused) => self.note(&format!("refused {refused}")),
+            Err(error) => self.append_to_record(&format!("refused {error}")),
         }
     }
 
@@ -130,14 +135,14 @@
             2..6 => Change::AssignPlan { volume, plan },
             _ => Change::SetPlan {
                 name: plan,
-                plan: self.random_figures(),
+                plan: self.random_parameters(),
             },
         }
     }
 
-    fn random_figures(&mut self) -> Plan {
-        let limit = self.rng.below(8) * 123_457;
-        let price = if self.rng.below(10) == 0 {
+    fn random_parameters(&mut self) -> Plan {
+        let rate_limit = self.rng.below(8) * 123_457;
+        let priority_factor = if self.rng.below(10) == 0 {
             MAX_PARAMETER + self.rng.below(2)
         } else {
             1_000
@@ -145,32 +150,32 @@
         Plan {
             usual_rate: self.rng.below(1_000),
             reserved_rate: self.rng.below(200_000),
-            rate_limit: limit,
+            rate_limit,
             burst_units: self.rng.below(20) * 500,
             weight: 1_000,
-            priority_factor: price,
+            priority_factor,
         }
     }
 
-    /// A replica receives lines or a whole state.
+    /// Sends log entries or a full snapshot to a replica.
     fn replicate(&mut self) {
         let host = self.rng.below(HOSTS) as usize;
         let HostMessage::Hello { version, .. } = self.replicas[host].hello() else {
             unreachable!()
         };
         let message = if self.rng.below(5) == 0 {
-            let last = if self.rng.below(6) == 0 {
+            let last_hash = if self.rng.below(6) == 0 {
                 "x".to_owned()
             } else {
                 self.log.last_hash().to_owned()
             };
             ServiceMessage::Snapshot {
                 state: Box::new(self.log.state.clone()),
-                last_hash: last,
+                last_hash,
             }
         } else {
             let skipped = self.rng.below(8) / 7;
-            let Some(text) = self.lines.get((version + skipped) as usize) else {
+            let Some(text) = self.entries.get((version + skipped) as usize) else {
                 return;
             };
             let mut text = text.clone();
@@ -180,31 +185,32 @@
             ServiceMessage::LogEntry { text }
         };
         self.send_to_replica(host, message);
-        let hello = serde_json::to_string(&self.replicas[host].hello()).expect("plain");
-        self.note(&hello);
+        let hello = serde_json::to_string(&self.replicas[host].hello())
+            .expect("the data can be encoded as JSON");
+        self.append_to_record(&hello);
     }
 
     fn send_to_replica(&mut self, host: usize, message: ServiceMessage) -> Option<HostMessage> {
-        let wanted: Vec<MilliUnits> = VOLUMES
+        let demand: Vec<MilliUnits> = VOLUMES
             .iter()
             .map(|_| self.rng.below(4) * self.rng.below(90_000))
             .collect();
-        let (text, report) = match self.replicas[host].receive(message, &wanted, self.now) {
+        let (text, report) = match self.replicas[host].receive(message, &demand, self.now) {
             ReplicaAction::None => ("nothing".to_owned(), None),
             ReplicaAction::ApplyPending => ("state".to_owned(), None),
             ReplicaAction::Send(message) => (
-                serde_json::to_string(&message).expect("plain"),
+                serde_json::to_string(&message).expect("the data can be encoded as JSON"),
                 Some(message),
             ),
-            ReplicaAction::Disconnect(why) => (format!("lost {why}"), None),
+            ReplicaAction::Disconnect(error) => (format!("lost {error}"), None),
         };
-        self.note(&format!("{host} at {}: {text}", self.now));
+        self.append_to_record(&format!("{host} at {}: {text}", self.now));
         report
     }
 
-    fn answer_version(&mut self) {
+    fn accept_or_reject_pending(&mut self) {
         let host = self.rng.below(HOSTS) as usize;
-        let next = self.replicas[host].pending().map(|state| state.version);
+        let pending = self.replicas[host].pending().map(|state| state.version);
         let answer = if self.rng.below(5) == 0 {
             self.replicas[host].reject_pending("no such node".to_owned())
         } else {
@@ -212,29 +218,31 @@
         };
         match &answer {
             Some(HostMessage::Accepted { version }) => {
-                self.hosts
+                self.rollout
                     .on_accepted(&host_name(host as u64), *version, self.now);
             }
             Some(HostMessage::Rejected { version, reason }) => {
-                self.hosts
+                self.rollout
                     .on_rejected(&host_name(host as u64), *version, reason, self.now);
             }
             _ => {}
         }
-        let answer = serde_json::to_string(&answer).expect("plain");
+        let answer = serde_json::to_string(&answer).expect("the data can be encoded as JSON");
         let version = self.replicas[host].state().version;
-        self.note(&format!("{host} next {next:?} stands {version}: {answer}"));
-        let everywhere = self
-            .hosts
+        self.append_to_record(&format!(
+            "{host} next {pending:?} stands {version}: {answer}"
+        ));
+        let effective = self
+            .rollout
             .effective_version(self.log.state.version, self.now);
-        self.note(&format!("{everywhere} everywhere"));
+        self.append_to_record(&format!("{effective} everywhere"));
     }
 
-    /// A poll, its report and the lease, each of them late by a random time.
-    fn lend_and_grant(&mut self) {
+    /// A poll, its report and the lease, each with a random delay.
+    fn lend_and_lease(&mut self) {
         let host = self.rng.below(HOSTS) as usize;
-        let latest = if self.rng.below(10) == 0 { 3_200 } else { 200 };
-        let polled_at = self.now - self.rng.below(latest);
+        let max_delay = if self.rng.below(10) == 0 { 3_200 } else { 200 };
+        let polled_at = self.now - self.rng.below(max_delay);
         let report = self.send_to_replica(host, ServiceMessage::QuotaPoll { polled_at });
         let Some(HostMessage::QuotaReport {
             polled_at,
@@ -253,24 +261,24 @@
             requested,
         } in volumes
         {
-            let place = VOLUMES
+            let index = VOLUMES
                 .iter()
                 .position(|name| *name == volume)
-                .expect("own volumes only");
-            let pool = &mut self.pools[place];
+                .expect("the host reports only known volumes");
+            let pool = &mut self.pools[index];
             pool.on_report(host as u32, polled_at, lent, requested, self.now);
             let amount = pool.grant(host as u32, self.now);
             for borrower in [host as u32, (host as u32 + 1) % HOSTS as u32] {
-                for later in [0, 1_499, 1_500, 1_549, 1_550] {
-                    let expected = pool.clone().grant(borrower, self.now + later);
-                    write!(self.record, "{expected} ").expect("writing to memory");
+                for delay in [0, 1_499, 1_500, 1_549, 1_550] {
+                    let expected = pool.clone().grant(borrower, self.now + delay);
+                    write!(self.record, "{expected} ").expect("writing to memory cannot fail");
                 }
             }
             granted.push((volume, amount));
         }
-        self.note(&format!("granted to {host}: {granted:?}"));
+        self.append_to_record(&format!("granted to {host}: {granted:?}"));
         self.now += self.rng.below(100);
-        let span = if self.rng.below(20) == 0 {
+        let duration = if self.rng.below(20) == 0 {
             self.rng.below(50)
         } else {
             1_500
@@ -280,7 +288,7 @@
             host,
             ServiceMessage::QuotaLeases {
                 requested_at: sent_at,
-                duration: span,
+                duration,
                 volumes,
             },
         );
@@ -288,8 +296,8 @@
 
     fn restart(&mut self) {
         if self.rng.below(4) == 0 {
-            let place = self.rng.below(VOLUMES.len() as u64) as usize;
-            self.pools[place] = QuotaPool::new(self.now, self.rng.below(3) == 0);
+            let index = self.rng.below(VOLUMES.len() as u64) as usize;
+            self.pools[index] = QuotaPool::new(self.now, self.rng.below(3) == 0);
             return;
         }
         let host = self.rng.below(HOSTS);
@@ -298,35 +306,39 @@
             PlanReplica::new(&host_name(host), volumes_of(host), stored, self.now);
     }
 
-    fn follow_hosts(&mut self) {
+    fn update_host_status(&mut self) {
         let host = host_name(self.rng.below(HOSTS + 1));
         match self.rng.below(4) {
-            0 => self.hosts.on_contact(&host, self.now),
+            0 => self.rollout.on_contact(&host, self.now),
             1 => {
-                let removed = self.hosts.declare_removed(&host, self.now);
-                self.note(&format!("{host} gone {removed}"));
+                let removed = self.rollout.declare_removed(&host, self.now);
+                self.append_to_record(&format!("{host} gone {removed}"));
             }
             2 => {
-                self.hosts
-                    .on_accepted(&host, self.rng.below(self.log.state.version + 1), self.now);
+                self.rollout.on_accepted(
+                    &host,
+                    self.rng.below(self.log.state.version + 1),
+                    self.now,
+                );
             }
             _ => {
                 let version = self.log.state.version + self.rng.below(2);
-                self.hosts.on_rejected(&host, version, "not now", self.now);
+                self.rollout
+                    .on_rejected(&host, version, "not now", self.now);
             }
         }
-        let (known, count) = (self.hosts.is_member(&host), self.hosts.member_count());
-        self.note(&format!("{host} known {known} of {count}"));
-        self.note_rollout();
+        let (is_member, count) = (self.rollout.is_member(&host), self.rollout.member_count());
+        self.append_to_record(&format!("{host} known {is_member} of {count}"));
+        self.record_rollout();
     }
 
-    fn note_rollout(&mut self) {
+    fn record_rollout(&mut self) {
         let newest = self.log.state.version;
-        for later in [0, 2_999, 3_000, 3_049, 3_050] {
-            let now = self.now + later;
+        for delay in [0, 2_999, 3_000, 3_049, 3_050] {
+            let now = self.now + delay;
             for version in newest.saturating_sub(2)..=newest {
-                for wait in self.hosts.blockers(version, now) {
-                    let text = match wait {
+                for blocker in self.rollout.blockers(version, now) {
+                    let text = match blocker {
                         RolloutBlocker::Silent {
                             host,
                             accepted_version,
@@ -345,11 +357,11 @@
                         }
                         RolloutBlocker::UnexpiredLeases { until } => format!("lapses {until}"),
                     };
-                    self.note(&text);
+                    self.append_to_record(&text);
                 }
             }
-            let everywhere = self.hosts.effective_version(newest, now);
-            self.note(&format!("{everywhere} of {newest} everywhere"));
+            let effective = self.rollout.effective_version(newest, now);
+            self.append_to_record(&format!("{effective} of {newest} everywhere"));
         }
     }
 
@@ -358,20 +370,20 @@
         for step in 0..self.rng.below(300) {
             let jitter = self.rng.below(1_100);
             if self.replicas[host].should_connect(self.now + step * 17, jitter) {
-                self.note(&format!("{host} connects at {}", self.now + step * 17));
+                self.append_to_record(&format!("{host} connects at {}", self.now + step * 17));
             }
         }
     }
 
-    fn use_quota(&mut self) {
+    fn exercise_host_quota(&mut self) {
         let host = self.rng.below(HOSTS) as usize;
         let amount = self.rng.below(200_000);
-        let back = self.rng.below(1_600);
+        let age = self.rng.below(1_600);
         let quota = &mut self.quotas[host];
         let text = match self.rng.below(6) {
             0 => {
-                quota.restrict_until(self.now + back, self.now);
-                format!("started {back}")
+                quota.restrict_until(self.now + age, self.now);
+                format!("started {age}")
             }
             1 => {
                 quota.set_limit(amount * 9, self.rng.below(8) as u32);
@@ -380,30 +392,31 @@
             2 => format!("spare {}", quota.lendable(amount)),
             3 => format!("lent {}", quota.lend(amount, self.now)),
             _ => {
-                quota.add_lease(amount, self.now - back, 1_500, self.now);
+                quota.add_lease(amount, self.now - age, 1_500, self.now);
                 format!("granted {amount}")
             }
         };
-        self.note(&text);
+        self.append_to_record(&text);
     }
 
-    /// What every host may use now, and at each moment at which something may have expired.
-    fn note_quotas(&mut self) {
-        let laters = [0, 500, 1_499, 1_500, 3_049, 3_050];
-        for later in laters {
-            let at = self.now + later;
+    /// Records what every host may use now, and at each time at which a loan or lease may have expired.
+    fn record_quotas(&mut self) {
+        let delays = [0, 500, 1_499, 1_500, 3_049, 3_050];
+        for delay in delays {
+            let at = self.now + delay;
             for replica in &self.replicas {
-                for part in replica.available_quotas(at) {
+                for quota in replica.available_quotas(at) {
                     write!(
                         self.record,
                         "{} ",
-                        part.map_or("-".to_owned(), |p| p.to_string())
+                        quota.map_or("-".to_owned(), |q| q.to_string())
                     )
-                    .expect("memory");
+                    .expect("writing to memory cannot fail");
                 }
             }
             for quota in &self.quotas {
-                write!(self.record, "{} ", quota.available(at)).expect("writing to memory");
+                write!(self.record, "{} ", quota.available(at))
+                    .expect("writing to memory cannot fail");
             }
         }
         self.record.push('\n');
@@ -414,16 +427,16 @@
     format!("host{host}")
 }
 
-/// Volumes of a host, each with the number of hosts that have it.
+/// Returns the volumes of a host, each with the number of hosts that serve it.
 fn volumes_of(host: u64) -> Vec<HostedVolume> {
     let skipped = host as usize % (VOLUMES.len() + 1);
     let own = VOLUMES
         .iter()
         .enumerate()
-        .filter(|(place, _)| *place != skipped);
-    own.map(|(place, name)| HostedVolume {
+        .filter(|(index, _)| *index != skipped);
+    own.map(|(index, name)| HostedVolume {
         name: (*name).to_owned(),
-        host_count: place as u32 + 3,
+        host_count: index as u32 + 3,
     })
     .collect()
 }
@@ -431,7 +444,7 @@
 fn digest(seed: u64) -> String {
     let mut scenario = Scenario::new(seed);
     for _ in 0..EVENTS_PER_SEED {
-        scenario.play();
+        scenario.run_random_event();
     }
     blake3::hash(scenario.record.as_bytes()).to_hex()[..16].to_owned()
 }
@@ -460,26 +473,34 @@
     assert_eq!(MAX_PARAMETER, 1_000_000_000_000);
 }
 
-/// The seeded events seldom fall on the very millisecond at which something expires: these do.
+/// The seeded events rarely occur at the exact millisecond at which a loan, request or lease expires; these events do.
 #[test]
-fn a_pool_counts_to_the_recorded_millisecond() {
+fn amounts_expire_at_the_recorded_millisecond() {
     let mut pool = QuotaPool::new(0, true);
     pool.on_report(0, 0, 300, 0, 10);
-    // A loan of 3,000 ms covers a grant that may be in use for 1,550 ms up to here.
+    // A loan of 3,000 ms backs a lease, which may be in use for 1,550 ms, if it is granted by 1,450 ms.
     for (now, amount) in [(1_450, 300), (1_451, 0)] {
         let mut pool = pool.clone();
         pool.on_report(1, now, 0, 400, now);
-        assert_eq!(pool.grant(1, now), amount, "loan at {now}");
+        assert_eq!(
+            pool.grant(1, now),
+            amount,
+            "loan from 0 ms, request at {now} ms"
+        );
     }
-    // A request counts for 1,500 ms: until then it reduces the share of the other host.
+    // A request counts for 1,500 ms: until then it reduces the fair share of the other host.
     for (later, amount) in [(1_499, 150), (1_500, 300)] {
         let mut pool = QuotaPool::new(0, true);
         pool.on_report(1, 0, 0, 400, 0);
         pool.on_report(0, later, 300, 0, later);
         pool.on_report(2, later, 0, 400, later);
-        assert_eq!(pool.grant(2, later), amount, "wants after {later}");
+        assert_eq!(
+            pool.grant(2, later),
+            amount,
+            "second request {later} ms after the first"
+        );
     }
-    // A grant of 1,500 ms is counted for 1,550 ms.
+    // A lease of 1,500 ms counts as in use for 1,550 ms.
     for (later, amount) in [(1_549, 0), (1_550, 300)] {
         let mut pool = QuotaPool::new(0, true);
         pool.on_report(0, 0, 300, 0, 0);
@@ -487,14 +508,22 @@
         assert_eq!(pool.grant(1, 0), 300);
         pool.on_report(0, later, 300, 0, later);
         pool.on_report(2, later, 0, 400, later);
-        assert_eq!(pool.grant(2, later), amount, "grant after {later}");
+        assert_eq!(
+            pool.grant(2, later),
+            amount,
+            "second request {later} ms after the first lease"
+        );
     }
-    // A service that is not the first one waits as long.
+    // A service that is not started for the first time grants nothing for 1,550 ms.
     for (later, amount) in [(1_549, 0), (1_550, 300)] {
         let mut pool = QuotaPool::new(0, false);
         pool.on_report(0, later, 300, 0, later);
         pool.on_report(1, later, 0, 400, later);
-        assert_eq!(pool.grant(1, later), amount, "start after {later}");
+        assert_eq!(
+            pool.grant(1, later),
+            amount,
+            "request {later} ms after the start"
+        );
     }
 }
 
@@ -516,6 +545,6 @@
             .filter(|now| replica.should_connect(*now, jitter))
             .take(9)
             .collect();
-        assert_eq!(attempts, expected, "chance {jitter}");
+        assert_eq!(attempts, expected, "jitter {jitter}");
     }
 }
--- a/crates/plans/tests/pinned_stored.rs
+++ b/crates/plans/tests/pinned_stored.rs
@@ -1,5 +1,5 @@
-//! Pins every stored and sent byte of the package: a change log that was written at commit 01f3988 is opened, compared,
-//! written to and opened again, and each message and state is compared with its JSON text of that commit.
+//! Pins every stored and sent byte of the package: a change log that was written at commit 01f3988 is replayed,
+//! compared, extended and replayed again, and each message and state is compared with its JSON text of that commit.
 use mallowseam_plans::change_log::{ChangeLog, GENESIS_HASH, LogEntry};
 use mallowseam_plans::error::{ChangeError, LogError, LogErrorKind};
 use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
@@ -7,12 +7,13 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// One line a version, with every variant of a change, every field of a plan, and text that JSON escapes.
-const STORED: &str = include_str!("fixtures/change_log.jsonl");
+/// One entry for each version, with every variant of a change, every field of a plan, and text that JSON escapes.
+const STORED_LOG: &str = include_str!("fixtures/change_log.jsonl");
 const STATE: &str = r#"{"version":8,"plans":{"basic":{"usual":1,"reserve":20,"limit":300,"burst":4000,"weight":50000,"price":600000},"gold_-.:9":{"usual":0,"reserve":0,"limit":0,"burst":0,"weight":0,"price":1000000000000}},"volumes":{"water":"gold_-.:9"}}"#;
-const LAST: &str = "0af0b7f115086a80f22d2b6fff7fdb65cfcb21e8472ba29c90ac9d6de8a0d9a1";
-const LAST_AFTER_NEXT: &str = "69a5ae457e5d44ca9f97af526dcc2acd998db86969c4bb4f9c56aea44ea8c1c0";
-const NEXT: &str = r#"{"version":9,"at":1800000008,"author":"board / ä","reason":"tariff \"night\" \\ é€\n\t\u0001","change":{"Plan":{"name":"basic","figures":{"usual":1,"reserve":20,"limit":0,"burst":4000,"weight":50000,"price":600000}}},"after":"0af0b7f115086a80f22d2b6fff7fdb65cfcb21e8472ba29c90ac9d6de8a0d9a1"}"#;
+const LAST_HASH: &str = "0af0b7f115086a80f22d2b6fff7fdb65cfcb21e8472ba29c90ac9d6de8a0d9a1";
+const LAST_HASH_AFTER_NEXT: &str =
+    "69a5ae457e5d44ca9f97af526dcc2acd998db86969c4bb4f9c56aea44ea8c1c0";
+const NEXT_ENTRY: &str = r#"{"version":9,"at":1800000008,"author":"board / ä","reason":"tariff \"night\" \\ é€\n\t\u0001","change":{"Plan":{"name":"basic","figures":{"usual":1,"reserve":20,"limit":0,"burst":4000,"weight":50000,"price":600000}}},"after":"0af0b7f115086a80f22d2b6fff7fdb65cfcb21e8472ba29c90ac9d6de8a0d9a1"}"#;
 
 fn basic() -> Plan {
     Plan {
@@ -25,7 +26,7 @@
     }
 }
 
-/// The changes of the stored log, in order.
+/// Returns the changes of the stored log, in order.
 fn changes() -> Vec<Change> {
     let gold = "gold_-.:9".to_owned();
     vec![
@@ -67,17 +68,20 @@
     let seconds = 1_800_000_000 + log.state.version;
     let reason = "tariff \"night\" \\ \u{e9}\u{20ac}\n\t\u{1}";
     log.propose(log.state.version, "board / ä", reason, seconds, change)
-        .expect("fits")
+        .expect("the change is valid")
 }
 
 #[test]
-fn a_stored_change_log_opens_with_the_recorded_state_and_is_written_to() {
-    let lines: Vec<&str> = STORED.lines().collect();
-    let mut log = ChangeLog::replay(lines.iter().copied()).expect("the hash chain holds");
-    assert_eq!(serde_json::to_string(&log.state).expect("plain"), STATE);
-    assert_eq!(log.last_hash(), LAST);
+fn a_stored_change_log_replays_to_the_recorded_state_and_can_be_extended() {
+    let lines: Vec<&str> = STORED_LOG.lines().collect();
+    let mut log = ChangeLog::replay(lines.iter().copied()).expect("the hash chain is intact");
     assert_eq!(
-        serde_json::from_str::<State>(STATE).expect("reads back"),
+        serde_json::to_string(&log.state).expect("the data can be encoded as JSON"),
+        STATE
+    );
+    assert_eq!(log.last_hash(), LAST_HASH);
+    assert_eq!(
+        serde_json::from_str::<State>(STATE).expect("the JSON text can be decoded"),
         log.state
     );
 
@@ -91,52 +95,55 @@
             },
         },
     );
-    assert_eq!(next, NEXT);
-    log.append(&next).expect("follows");
-    assert_eq!(log.last_hash(), LAST_AFTER_NEXT);
-    let again =
-        ChangeLog::replay(lines.into_iter().chain([next.as_str()])).expect("the hash chain holds");
-    assert_eq!(again, log);
-    let from_state =
-        serde_json::from_str(&serde_json::to_string(&log.state).expect("plain")).expect("reads");
+    assert_eq!(next, NEXT_ENTRY);
+    log.append(&next).expect("the entry follows the log");
+    assert_eq!(log.last_hash(), LAST_HASH_AFTER_NEXT);
+    let replayed = ChangeLog::replay(lines.into_iter().chain([next.as_str()]))
+        .expect("the hash chain is intact");
+    assert_eq!(replayed, log);
+    let decoded_state = serde_json::from_str(
+        &serde_json::to_string(&log.state).expect("the data can be encoded as JSON"),
+    )
+    .expect("the JSON text can be decoded");
     assert_eq!(
-        ChangeLog::from_snapshot(from_state, log.last_hash().to_owned()),
+        ChangeLog::from_snapshot(decoded_state, log.last_hash().to_owned()),
         log
     );
 }
 
 #[test]
-fn the_same_changes_are_written_as_the_stored_bytes() {
+fn the_same_changes_are_encoded_as_the_stored_bytes() {
     let mut log = ChangeLog::default();
     assert_eq!(log.last_hash(), GENESIS_HASH);
     assert_eq!(GENESIS_HASH, "0".repeat(64));
     let mut written = String::new();
     for change in changes() {
-        let line = propose(&log, change.clone());
-        let taken: LogEntry = log.append(&line).expect("follows");
-        assert_eq!(taken.change, change);
-        written += &line;
+        let text = propose(&log, change.clone());
+        let entry: LogEntry = log.append(&text).expect("the entry follows the log");
+        assert_eq!(entry.change, change);
+        written += &text;
         written.push('\n');
     }
-    assert_eq!(written, STORED);
+    assert_eq!(written, STORED_LOG);
 }
 
 #[test]
-fn one_changed_byte_of_a_stored_line_is_found() {
-    let lines: Vec<&str> = STORED.lines().collect();
-    for line in 0..lines.len() {
-        for place in 0..lines[line].len() {
-            let mut bytes = lines[line].as_bytes().to_vec();
-            bytes[place] ^= 1;
+fn one_changed_byte_of_a_stored_entry_is_detected() {
+    let lines: Vec<&str> = STORED_LOG.lines().collect();
+    for index in 0..lines.len() {
+        for position in 0..lines[index].len() {
+            let mut bytes = lines[index].as_bytes().to_vec();
+            bytes[position] ^= 1;
             let Ok(altered) = String::from_utf8(bytes) else {
                 continue;
             };
             let mut all = lines.clone();
-            all[line] = &altered;
+            all[index] = &altered;
             let replayed = ChangeLog::replay(all.into_iter());
             assert!(
                 replayed.is_err()
-                    || line + 1 == lines.len() && replayed.is_ok_and(|t| t.last_hash() != LAST)
+                    || index + 1 == lines.len()
+                        && replayed.is_ok_and(|log| log.last_hash() != LAST_HASH)
             );
         }
     }
@@ -144,7 +151,10 @@
 
 #[test]
 fn a_field_that_is_missing_or_unknown_is_rejected() {
-    let first = STORED.lines().next().expect("not empty");
+    let first = STORED_LOG
+        .lines()
+        .next()
+        .expect("the stored log is not empty");
     for field in [
         "version", "at", "author", "reason", "change", "after", "name", "figures", "usual", "price",
     ] {
@@ -153,26 +163,32 @@
         let other = first.replacen(&quoted, "\"other\"", 1);
         assert!(serde_json::from_str::<LogEntry>(&other).is_err(), "{field}");
     }
-    let more = first.replacen('{', "{\"more\":1,", 1);
-    assert!(serde_json::from_str::<LogEntry>(&more).is_err());
-    let more = first.replacen("{\"usual\"", "{\"more\":1,\"usual\"", 1);
-    assert!(serde_json::from_str::<LogEntry>(&more).is_err());
+    let with_extra_field = first.replacen('{', "{\"more\":1,", 1);
+    assert!(serde_json::from_str::<LogEntry>(&with_extra_field).is_err());
+    let with_extra_field = first.replacen("{\"usual\"", "{\"more\":1,\"usual\"", 1);
+    assert!(serde_json::from_str::<LogEntry>(&with_extra_field).is_err());
 }
 
-/// The value is written as this text and read from it.
+/// Checks that a value is encoded as `text` and decoded from it.
 fn pin<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(value: &T, text: &str) {
-    assert_eq!(serde_json::to_string(value).expect("plain"), text);
-    assert_eq!(&serde_json::from_str::<T>(text).expect("reads back"), value);
+    assert_eq!(
+        serde_json::to_string(value).expect("the data can be encoded as JSON"),
+        text
+    );
+    assert_eq!(
+        &serde_json::from_str::<T>(text).expect("the JSON text can be decoded"),
+        value
+    );
 }
 
 #[test]
-fn messages_to_the_control_service_are_the_recorded_bytes() {
-    let (host, last) = ("gw1".to_owned(), "ab".to_owned());
+fn messages_to_the_control_service_are_encoded_as_recorded() {
+    let (host, last_hash) = ("gw1".to_owned(), "ab".to_owned());
     pin(
         &HostMessage::Hello {
             host,
             version: 3,
-            last_hash: last,
+            last_hash,
         },
         r#"{"hello":{"host":"gw1","version":3,"last":"ab"}}"#,
     );
@@ -211,8 +227,8 @@
 }
 
 #[test]
-fn messages_to_a_host_are_the_recorded_bytes() {
-    let state: State = serde_json::from_str(STATE).expect("reads");
+fn messages_to_a_host_are_encoded_as_recorded() {
+    let state: State = serde_json::from_str(STATE).expect("the JSON text can be decoded");
     pin(
         &ServiceMessage::Snapshot {
             state: Box::new(state),
@@ -244,7 +260,7 @@
 }
 
 #[test]
-fn changes_are_the_recorded_bytes() {
+fn changes_are_encoded_as_recorded() {
     pin(
         &Change::SetPlan {
             name: "basic".into(),
@@ -313,38 +329,52 @@
             "expected an author and a reason",
         ),
     ];
-    for (refused, text) in texts {
-        assert_eq!(refused.to_string(), text);
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
     }
-    let broken = |text: &str| {
+    let append_error = |text: &str| {
         ChangeLog::default()
             .append(text)
-            .expect_err("broken")
+            .expect_err("the entry must be rejected")
             .to_string()
     };
-    let first = STORED.lines().next().expect("not empty");
+    let first = STORED_LOG
+        .lines()
+        .next()
+        .expect("the stored log is not empty");
     assert_eq!(
-        broken("{"),
+        append_error("{"),
         "trail line 1: EOF while parsing an object at line 1 column 1"
     );
     assert_eq!(
-        broken(&format!(" {first}")),
+        append_error(&format!(" {first}")),
         "trail line 1: is not as the service writes it"
     );
-    let second = STORED.lines().nth(1).expect("two lines");
+    let second = STORED_LOG
+        .lines()
+        .nth(1)
+        .expect("the stored log has two entries");
     assert_eq!(
-        broken(second),
+        append_error(second),
         "trail line 1: does not follow the line before"
     );
     let later = first.replacen("\"version\":1", "\"version\":2", 1);
-    assert_eq!(broken(&later), "trail line 1: version 2 where 1 is due");
+    assert_eq!(
+        append_error(&later),
+        "trail line 1: found version 2, expected version 1"
+    );
     let removal = first.replacen("{\"Plan\":", "{\"PlanGone\":{\"name\":\"q\"}}", 1);
     let removal = format!(
         "{}{}",
-        &removal[..removal.find("}}{").expect("cut") + 2],
-        &first[first.find(",\"after\"").expect("cut")..]
+        &removal[..removal
+            .find("}}{")
+            .expect("the entry has a change and a hash")
+            + 2],
+        &first[first
+            .find(",\"after\"")
+            .expect("the entry has a change and a hash")..]
     );
-    assert_eq!(broken(&removal), "trail line 1: `q`: no such plan");
+    assert_eq!(append_error(&removal), "trail line 1: `q`: no such plan");
     assert_eq!(
         LogError {
             line: 7,
@@ -364,52 +394,52 @@
         };
         State::default()
             .check(&change)
-            .map_err(|refused| refused.to_string())
+            .map_err(|error| error.to_string())
     };
-    let most = "at most a thousand million units";
-    let above = 1_000_000_000_001;
-    for (figures, text) in [
+    let maximum = "at most a thousand million units";
+    let above_maximum = 1_000_000_000_001;
+    for (plan, text) in [
         (
             Plan {
-                usual_rate: above,
+                usual_rate: above_maximum,
                 ..basic()
             },
-            format!("usual: expected {most}"),
+            format!("usual: expected {maximum}"),
         ),
         (
             Plan {
-                reserved_rate: above,
+                reserved_rate: above_maximum,
                 ..basic()
             },
-            format!("reserve: expected {most}"),
+            format!("reserve: expected {maximum}"),
         ),
         (
             Plan {
-                rate_limit: above,
+                rate_limit: above_maximum,
                 ..basic()
             },
-            format!("limit: expected {most}"),
+            format!("limit: expected {maximum}"),
         ),
         (
             Plan {
-                burst_units: above,
+                burst_units: above_maximum,
                 ..basic()
             },
-            format!("burst: expected {most}"),
+            format!("burst: expected {maximum}"),
         ),
         (
             Plan {
-                weight: above,
+                weight: above_maximum,
                 ..basic()
             },
-            format!("weight: expected {most}"),
+            format!("weight: expected {maximum}"),
         ),
         (
             Plan {
-                priority_factor: above,
+                priority_factor: above_maximum,
                 ..basic()
             },
-            format!("price: expected {most}"),
+            format!("price: expected {maximum}"),
         ),
         (
             Plan {
@@ -426,12 +456,12 @@
             "reserve: expected no more than the limit".into(),
         ),
     ] {
-        assert_eq!(check(figures), Err(text));
+        assert_eq!(check(plan), Err(text));
     }
     assert_eq!(
         check(Plan {
             reserved_rate: 300,
-            priority_factor: above - 1,
+            priority_factor: above_maximum - 1,
             ..basic()
         }),
         Ok(())
--- a/crates/plans/tests/quota_pool.rs
+++ b/crates/plans/tests/quota_pool.rs
@@ -1,9 +1,9 @@
-//! The control service's pool: leases of what hosts lend.
+//! Tests of the control service's quota pool: leases of the quota that hosts lend.
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
 use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
 
-/// How long the pool counts a lease.
+/// Milliseconds for which the pool counts a lease as in use.
 const LEASE_DURATION_WITH_MARGIN: u64 = LEASE_DURATION + CLOCK_SKEW_MARGIN;
 
 #[test]
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn no_lease_outlasts_the_loans_behind_it() {
+fn no_lease_outlasts_the_loans_that_back_it() {
     let mut pool = QuotaPool::new(0, true);
     pool.on_report(0, 0, 300, 0, 10);
     pool.on_report(1, 0, 0, 400, LOAN_DURATION - LEASE_DURATION_WITH_MARGIN);
@@ -54,13 +54,17 @@
     pool.on_report(0, 0, 300, 0, 10);
     pool.on_report(1, 0, 0, 900, 10);
     assert_eq!(pool.grant(1, 10), 300);
-    // The first holder is silent now; the second requests all.
+    // The first holder no longer reports; the second one requests the whole lent quota.
     pool.on_report(0, 1_000, 300, 0, 1_010);
     pool.on_report(2, 1_000, 0, 900, 1_010);
     assert_eq!(pool.grant(2, 1_010), 0);
     pool.on_report(0, 1_500, 300, 0, 1_570);
     pool.on_report(2, 1_500, 0, 900, 1_570);
-    assert_eq!(pool.grant(2, 1_570), 300, "the first lease has expired");
+    assert_eq!(
+        pool.grant(2, 1_570),
+        300,
+        "the lent quota must be leased again once the first lease has expired"
+    );
 }
 
 #[test]
@@ -71,9 +75,9 @@
     for round in 0..20 {
         now += POLL_INTERVAL;
         pool.on_report(0, now, 300, 0, now);
-        let (first, second) = if round < 10 { (300, 0) } else { (0, 300) };
-        pool.on_report(1, now, 0, first, now);
-        pool.on_report(2, now, 0, second, now);
+        let (first_request, second_request) = if round < 10 { (300, 0) } else { (0, 300) };
+        pool.on_report(1, now, 0, first_request, now);
+        pool.on_report(2, now, 0, second_request, now);
         let leased = (pool.grant(1, now), pool.grant(2, now));
         rises += u32::from(leased.0 > last.0) + u32::from(leased.1 > last.1);
         last = leased;
@@ -81,6 +85,6 @@
     assert_eq!(last, (0, 300));
     assert!(
         rises <= 4,
-        "{rises} rises: one for each holder, in steps as leases expire"
+        "leased amounts rose {rises} times, expected one rise for each holder, in steps as leases expire"
     );
 }
--- a/crates/plans/tests/quota_safety.rs
+++ b/crates/plans/tests/quota_safety.rs
@@ -1,5 +1,5 @@
-//! The quotas of all hosts never add up to more than the limit: under lost, late and repeated messages, clocks
-//! that disagree, and a control service that dies and forgets.
+//! The quotas of all hosts never add up to more than the limit, with lost, delayed and duplicate messages, clocks with
+//! offset and drift, and a control service that crashes and loses its state.
 use mallowseam_plans::host_quota::HostQuota;
 use mallowseam_plans::quota_pool::{LEASE_DURATION, POLL_INTERVAL, QuotaPool};
 use mallowseam_plans::{MilliUnits, Millis};
@@ -8,10 +8,10 @@
 
 const LIMIT: MilliUnits = 1_000_000;
 const STEP: Millis = 20;
-/// A repeated message is ordered behind all others of its millisecond.
-const REPEATED: u64 = 1_000_000;
+/// Added to the sequence number of a duplicate message, which orders it after all others of its millisecond.
+const DUPLICATE_OFFSET: u64 = 1_000_000;
 
-/// A host with a clock of its own: an offset, and so many thousandths fast or slow.
+/// A host with a clock of its own, which has an offset and drifts by some thousandths.
 struct Host {
     quota: HostQuota,
     clock_offset: Millis,
@@ -23,7 +23,7 @@
         let drift = real as i64 * self.drift_per_mille / 1000;
         (self.clock_offset + real)
             .checked_add_signed(drift)
-            .expect("a clock past its start")
+            .expect("drift does not set the clock before its start")
     }
 }
 
@@ -57,11 +57,11 @@
     }
 }
 
-/// What a simulation led to.
+/// Result of a simulation.
 struct Outcome {
-    /// The largest sum of quotas that was ever available.
+    /// Largest sum of the quotas of all hosts that were available at one time.
     largest_sum: MilliUnits,
-    /// The largest quota of one host.
+    /// Largest quota that one host had.
     largest_quota: MilliUnits,
 }
 
@@ -70,7 +70,7 @@
     hosts: Vec<Host>,
     pool: QuotaPool,
     service_down_until: Millis,
-    /// By arrival time and order.
+    /// Messages in transit with the index of their host, by arrival time and sequence number.
     in_transit: BTreeMap<(Millis, u64), (usize, Message)>,
     sent: u64,
     loss_percent: u64,
@@ -166,9 +166,11 @@
                 self.in_transit
                     .insert((arrival, self.sent), (index, report));
                 if self.random.below(10) == 0 {
-                    let again = arrival + self.random.below(3_000);
-                    self.in_transit
-                        .insert((again, self.sent + REPEATED), (index, report));
+                    let duplicate_arrival = arrival + self.random.below(3_000);
+                    self.in_transit.insert(
+                        (duplicate_arrival, self.sent + DUPLICATE_OFFSET),
+                        (index, report),
+                    );
                 }
             }
             Message::Report {
@@ -198,10 +200,10 @@
         }
     }
 
-    /// One host after the other has a demand of the whole limit.
+    /// Returns the demand of a host. One host after the other demands the whole limit.
     fn demand(&mut self, index: usize, real: Millis) -> MilliUnits {
-        let leader = (real / 4_000) as usize % self.hosts.len();
-        if leader == index {
+        let busiest = (real / 4_000) as usize % self.hosts.len();
+        if busiest == index {
             LIMIT
         } else {
             self.random.below(LIMIT / 40)
@@ -215,7 +217,7 @@
     assert!(outcome.largest_sum <= LIMIT);
     assert!(
         outcome.largest_quota > LIMIT / 2,
-        "{} of {LIMIT}",
+        "largest quota of one host: {} of {LIMIT}",
         outcome.largest_quota
     );
 }
--- a/crates/plans/tests/replica.rs
+++ b/crates/plans/tests/replica.rs
@@ -1,4 +1,4 @@
-//! A host's replica of the plans: versions, quotas, and connection attempts.
+//! Tests of a host's replica of the plans: versions, quotas, and connection attempts.
 use mallowseam_plans::change_log::ChangeLog;
 use mallowseam_plans::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
 use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeLease, VolumeReport};
@@ -6,7 +6,7 @@
 use mallowseam_plans::state::{Change, Plan};
 use mallowseam_plans::{MilliUnits, Millis};
 
-/// Long enough after the start that nothing lent before can be in use.
+/// Time after the start at which quota that the host lent before can no longer be in use.
 const NOW: Millis = LOAN_DURATION + CLOCK_SKEW_MARGIN;
 
 fn change_limit(limit: MilliUnits) -> Change {
@@ -20,16 +20,17 @@
     }
 }
 
-/// Appends a change to the service's log; the message that goes to hosts.
+/// Appends a change to the service's log. Returns the message that is sent to hosts.
 fn append(log: &mut ChangeLog, change: Change) -> ServiceMessage {
     let text = log
         .propose(log.state.version, "a", "b", 0, change)
-        .expect("valid");
-    log.append(&text).expect("follows");
+        .expect("the change is valid");
+    log.append(&text).expect("the entry follows the log");
     ServiceMessage::LogEntry { text }
 }
 
-/// The service's log at version 2, with a limit of 900 for one volume of three hosts, and a host that accepted it.
+/// Returns the service's log at version 2, with a limit of 900 for one volume of three hosts, and the replica of a host
+/// that accepted this version.
 fn service_and_replica() -> (ChangeLog, PlanReplica) {
     let mut log = ChangeLog::default();
     append(&mut log, change_limit(900));
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_version_counts_once_the_host_has_accepted_it() {
+fn a_version_takes_effect_once_the_host_has_accepted_it() {
     let (mut log, mut replica) = service_and_replica();
     assert_eq!(quotas(&replica, NOW), [300]);
     let entry = append(&mut log, change_limit(600));
@@ -110,21 +111,21 @@
     ));
     assert_eq!(quotas(&replica, NOW), [300]);
     let HostMessage::Hello { last_hash, .. } = replica.hello() else {
-        panic!("it opens with hello")
+        panic!("a connection must open with a hello message")
     };
     assert!(last_hash.is_empty());
 }
 
-/// Polls the replica and returns what it reports.
+/// Polls the replica and returns its reports.
 fn poll(replica: &mut PlanReplica, demand: &[MilliUnits], now: Millis) -> Vec<VolumeReport> {
     match replica.receive(ServiceMessage::QuotaPoll { polled_at: 7 }, demand, now) {
         ReplicaAction::Send(HostMessage::QuotaReport { volumes, .. }) => volumes,
-        other => panic!("expected a report, got {other:?}"),
+        other => panic!("expected a quota report, got {other:?}"),
     }
 }
 
 #[test]
-fn lent_quota_is_not_used_from_before_the_report_is_sent() {
+fn lent_quota_is_unavailable_before_the_report_is_sent() {
     let (_, mut replica) = service_and_replica();
     let report = |lent, requested| VolumeReport {
         volume: "water".to_owned(),
--- a/crates/plans/tests/rollout.rs
+++ b/crates/plans/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! When a version is effective everywhere, and what it waits for until then.
+//! Tests of when a version is effective at all hosts, and of what blocks it until then.
 use mallowseam_plans::host_quota::{CLOCK_SKEW_MARGIN, LOAN_DURATION};
 use mallowseam_plans::rollout::{Rollout, RolloutBlocker, SILENT_AFTER};
 
@@ -22,7 +22,7 @@
     assert_eq!(
         rollout.effective_version(4, 30),
         4,
-        "an old message does not take it back"
+        "a stale message must not return a host to an older version"
     );
 }
 
@@ -54,7 +54,7 @@
     rollout.on_accepted("a", 2, 100);
     assert!(
         !rollout.declare_removed("b", 1_000),
-        "it was heard from just now"
+        "a host that has sent something recently must not be removable"
     );
     let silent = RolloutBlocker::Silent {
         host: "b".into(),
@@ -68,7 +68,7 @@
     assert_eq!(
         rollout.blockers(2, SILENT_AFTER + 1).len(),
         1,
-        "it answers, so it was not removed"
+        "a removed host that sends something must be a member again"
     );
 }
 
