--- a/crates/plan-service/src/catch_up.rs
+++ b/crates/plan-service/src/catch_up.rs
@@ -1,14 +1,14 @@
-//! What a host that connects is sent, so that it has the newest version.
+//! The messages that bring a connecting host up to the newest version.
 use mallowseam_change_log::ChangeLogStore;
 use mallowseam_plans::change_log::LogEntry;
 use mallowseam_plans::messages::ServiceMessage;
 
-/// Most log entries that are sent to a host that connects again; one that lacks more gets a full snapshot.
-const MAX_CATCH_UP: u64 = 256;
+/// Maximum number of log entries sent to a reconnecting host; a host that lacks more entries gets a full snapshot.
+const MAX_CATCH_UP_ENTRIES: u64 = 256;
 
-/// The messages for a host whose last log entry led to `version` and has the hash `last_hash`: the entries that
-/// it lacks where its last one is in the log of the service, else a full snapshot.
-pub(crate) fn missing_messages(
+/// Returns the messages for a host whose last log entry led to `version` and has the hash `last_hash`: the entries that
+/// it lacks if its last entry is in the log of the service, otherwise a full snapshot.
+pub(crate) fn catch_up_messages(
     store: &ChangeLogStore,
     version: u64,
     last_hash: &str,
@@ -22,14 +22,17 @@
     }
 }
 
-/// The entries after a version. None: there are too many, they cannot be read, or the host's log is another one.
+/// Returns the entries after a version. None: there are too many, they cannot be read, or the host's log has diverged
+/// from the service's.
 fn missing_entries(store: &ChangeLogStore, version: u64, last_hash: &str) -> Option<Vec<String>> {
     let missing = store.log().state.version.checked_sub(version)?;
-    if missing > MAX_CATCH_UP {
+    if missing > MAX_CATCH_UP_ENTRIES {
         return None;
     }
-    let entries = store.entries(version + 1, MAX_CATCH_UP as usize).ok()?;
-    // Each entry bears the hash of the one before it.
+    let entries = store
+        .entries(version + 1, MAX_CATCH_UP_ENTRIES as usize)
+        .ok()?;
+    // Each entry contains the hash of the entry before it.
     let follows = match entries.first() {
         Some(first) => serde_json::from_str::<LogEntry>(first)
             .is_ok_and(|entry| entry.previous_hash == last_hash),
--- a/crates/plan-service/src/error.rs
+++ b/crates/plan-service/src/error.rs
@@ -4,10 +4,10 @@
 use mallowseam_service_loop::PollError;
 use std::path::PathBuf;
 
-/// Why the plan service could not start, or could not go on.
+/// Reason why the plan service cannot start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address or path of the configuration cannot be had, or signals cannot be received.
+    /// An address or path of the configuration cannot be opened, or signals cannot be received.
     #[error(transparent)]
     Start(#[from] StartError),
     /// Polling for socket events failed.
@@ -16,9 +16,9 @@
     /// The store cannot be opened or read.
     #[error("{}: {source}", path.display())]
     OpenStore {
-        /// The store's path in the configuration.
+        /// Path of the store in the configuration.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the store.
         source: mallowseam_change_log::Error,
     },
     /// A change or a member could not be stored.
--- a/crates/plan-service/src/hosts.rs
+++ b/crates/plan-service/src/hosts.rs
@@ -1,7 +1,7 @@
-//! The hosts' side of the plan service: what they say of versions and of quotas.
+//! Messages from hosts to the plan service: hello, acceptance and rejection of versions, and quota reports.
 use crate::PlanService;
-use crate::catch_up::missing_messages;
-use crate::quotas::LenderId;
+use crate::catch_up::catch_up_messages;
+use crate::quotas::QuotaHostId;
 use mallowseam_control_protocol::json_lines::Disconnect;
 use mallowseam_plans::Millis;
 use mallowseam_plans::messages::{HostMessage, ServiceMessage, VolumeReport};
@@ -34,38 +34,39 @@
         if !self.rollout.is_member(name)
             && let Err(e) = self.store.add_member(name)
         {
-            // The next start would not know the host, and report versions as effective without it.
+            // Without the stored member, the next start would not know the host, and would report versions as
+            // effective without it.
             let hosts = self.sockets.hosts_mut();
             return hosts.disconnect(id, &Disconnect::Store(e.into()));
         }
-        host.set_state(Some(self.quotas.lender_id(name)));
+        host.set_state(Some(self.quotas.host_id(name)));
         host.set_name(name);
         self.rollout.on_contact(name, self.now);
         self.rollout.on_accepted(name, version, self.now);
-        for message in missing_messages(&self.store, version, last_hash) {
+        for message in catch_up_messages(&self.store, version, last_hash) {
             host.send(&message);
         }
     }
 
     fn on_accepted(&mut self, id: HostId, version: u64) {
-        let Some(lender) = self.lender(id) else {
+        let Some(sender) = self.identified_host(id) else {
             return;
         };
-        let host = lender.name;
+        let host = sender.name;
         tracing::info!(host, version, "version accepted");
         self.rollout.on_accepted(&host, version, self.now);
     }
 
     fn on_rejected(&mut self, id: HostId, version: u64, reason: &str) {
-        let Some(lender) = self.lender(id) else {
+        let Some(sender) = self.identified_host(id) else {
             return;
         };
-        let host = lender.name;
+        let host = sender.name;
         tracing::warn!(host, version, reason, "version rejected");
         self.rollout.on_rejected(&host, version, reason, self.now);
     }
 
-    /// A host reports what it lends and wants. Where it can have anything, it is sent leases.
+    /// Handles a host's report of what it lends and requests, and sends it the leases that it is granted, if any.
     fn on_report(
         &mut self,
         id: HostId,
@@ -73,14 +74,14 @@
         sent_at: Millis,
         volumes: Vec<VolumeReport>,
     ) {
-        let Some(lender) = self.lender(id) else {
+        let Some(sender) = self.identified_host(id) else {
             return;
         };
-        self.rollout.on_contact(&lender.name, self.now);
+        self.rollout.on_contact(&sender.name, self.now);
         let plans = &self.store.log().state;
         let granted = self
             .quotas
-            .on_report(lender.id, polled_at, volumes, plans, self.now);
+            .on_report(sender.id, polled_at, volumes, plans, self.now);
         if granted.is_empty() {
             return;
         }
@@ -92,13 +93,13 @@
         self.sockets.hosts_mut().send(id, &leases);
     }
 
-    /// The host of a connection. One that has not said hello is disconnected.
-    fn lender(&mut self, id: HostId) -> Option<Lender> {
+    /// Returns the host of a connection. A host that has not sent its hello message is disconnected.
+    fn identified_host(&mut self, id: HostId) -> Option<IdentifiedHost> {
         let host = self.sockets.hosts_mut().get_mut(id)?;
-        if let (Some(name), Some(lender)) = (host.name(), *host.state()) {
-            return Some(Lender {
+        if let (Some(name), Some(quota_host_id)) = (host.name(), *host.state()) {
+            return Some(IdentifiedHost {
                 name: name.to_owned(),
-                id: lender,
+                id: quota_host_id,
             });
         }
         self.sockets
@@ -108,8 +109,8 @@
     }
 }
 
-/// A host that has said hello.
-struct Lender {
+/// A host that has sent its hello message.
+struct IdentifiedHost {
     name: String,
-    id: LenderId,
+    id: QuotaHostId,
 }
--- a/crates/plan-service/src/initial_plans.rs
+++ b/crates/plan-service/src/initial_plans.rs
@@ -1,31 +1,31 @@
-//! The store of the plan service, and the first versions in it, which the configuration makes.
+//! Opens the store of the plan service. In a new store the configured plans become the first versions.
 use crate::error::Error;
 use crate::wall_clock;
 use mallowseam_change_log::{ChangeLogStore, Error as StoreError};
 use mallowseam_plans::state::Change;
 use std::path::Path;
 
-/// Author of the first versions.
+/// Author of the versions that the configuration makes in a new store.
 const CONFIGURATION_AUTHOR: &str = "configuration";
-/// Reason of the first versions.
+/// Reason for the versions that the configuration makes in a new store.
 const CONFIGURATION_REASON: &str = "first start";
 
-/// A store that has been opened.
+/// An open store, and what was read from it.
 pub(crate) struct OpenedStore {
     pub(crate) store: ChangeLogStore,
-    /// Hosts that replicate the log.
+    /// Names of the hosts that replicate the log.
     pub(crate) members: Vec<String>,
-    /// No service ran on this store before.
+    /// Whether no service has used this store before.
     pub(crate) is_new: bool,
 }
 
-/// Opens the store. A new one gets the changes that make the plans of the configuration as its first versions.
+/// Opens the store. In a new store, the changes that make the configured plans become the first versions.
 ///
 /// # Errors
 /// The store cannot be opened, read or written, or the configured plans contradict each other.
 pub(crate) fn open_store(path: &Path, configured_plans: Vec<Change>) -> Result<OpenedStore, Error> {
-    let failed = |source| open_error(path, source);
-    let mut store = ChangeLogStore::open(path).map_err(failed)?;
+    let to_open_error = |source| open_error(path, source);
+    let mut store = ChangeLogStore::open(path).map_err(to_open_error)?;
     let is_new = store.log().state.version == 0;
     if is_new {
         for change in configured_plans {
@@ -33,7 +33,7 @@
         }
     }
     Ok(OpenedStore {
-        members: store.members().map_err(failed)?,
+        members: store.members().map_err(to_open_error)?,
         store,
         is_new,
     })
--- a/crates/plan-service/src/lib.rs
+++ b/crates/plan-service/src/lib.rs
@@ -1,11 +1,11 @@
-//! The plan service: keeps the change log of plans, replicates versions to hosts, and grants borrowed quotas.
+//! The plan service: keeps the change log of plans, replicates versions to hosts, and leases lent quota to hosts.
 //!
-//! - `hosts`: messages of hosts; `catch_up`: what a host that connects is sent.
-//! - `quotas`: what hosts lend each other of the limits.
+//! - `hosts`: messages from hosts; `catch_up`: messages that bring a connecting host up to the newest version.
+//! - `quotas`: the quotas that hosts lend each other.
 //! - `operator`: requests of operators on the control socket.
-//! - `rollout_waits`: operators who wait for a version to be in effect.
-//! - `limit_change`, `rollout_text`: what a change means for limits, and rollouts as text.
-//! - `initial_plans`: the store, and its first versions.
+//! - `rollout_waits`: operators who wait for a version to be effective at all hosts.
+//! - `limit_change`: whether a change lowers a limit; `rollout_text`: rollouts as text for operators.
+//! - `initial_plans`: opens the store, and makes its first versions.
 #![warn(missing_docs)]
 
 mod catch_up;
@@ -37,42 +37,42 @@
 use mallowseam_sockets::periodic_timer::PeriodicTimer;
 use mio::Poll;
 use mio::event::Event;
-use quotas::{LenderId, Quotas};
+use quotas::{QuotaHostId, Quotas};
 use rollout_waits::RolloutWaits;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Limits on one host. The longest line is a report, with up to some hundred bytes for each volume.
+/// Limits on one host, in bytes. The longest line is a quota report, with up to a few hundred bytes for each volume.
 const LIMITS: Limits = Limits {
     max_line: 1 << 20,
     max_unsent: 32 << 20,
 };
-/// Longest sleep of the event loop.
-const PERIOD: Duration = Duration::from_millis(50);
+/// Longest time that the event loop waits for events.
+const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A connection of a host, which is a lender once it has said hello.
-type Host = HostConnection<Option<LenderId>>;
+/// A connection of a host, with its id in the quota pools once it has sent its hello message.
+type Host = HostConnection<Option<QuotaHostId>>;
 
 struct PlanService {
     clock: Clock,
-    /// When the last poll returned.
+    /// Time at which the last poll for events returned.
     now: Millis,
-    sockets: ServiceSockets<Option<LenderId>>,
+    sockets: ServiceSockets<Option<QuotaHostId>>,
     store: ChangeLogStore,
-    /// Which host acts on which version.
+    /// The versions that each host has accepted or rejected.
     rollout: Rollout,
     rollout_waits: RolloutWaits,
     quotas: Quotas,
-    /// When hosts are asked for what they lend and want.
+    /// Timer of the quota polls.
     quota_poll_timer: PeriodicTimer<Millis>,
 }
 
-/// Runs the plan service of a site until SIGTERM, SIGINT or a request to stop.
+/// Runs the plan service of a site until SIGTERM, SIGINT or a stop request.
 ///
-/// `settings`: the service's section of the configuration. `configured_plans`: the changes that make the plans of the
-/// configuration, which are the first versions of a new store.
+/// `settings`: the service's section of the configuration. `configured_plans`: the changes that make the configured
+/// plans, which become the first versions of a new store.
 ///
 /// # Errors
-/// An address, path or store of the configuration cannot be had, or the store fails later.
+/// An address, path or store of the configuration cannot be opened, or the store fails later.
 pub fn run(settings: &config::PlanService, configured_plans: Vec<Change>) -> Result<(), Error> {
     let mut poll = Poll::new().map_err(PollError)?;
     let mut service = PlanService::open(settings, configured_plans, &poll)?;
@@ -114,20 +114,20 @@
         })
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     fn version(&self) -> u64 {
         self.store.log().state.version
     }
 
-    /// Asks all hosts for what they lend and want.
+    /// Polls all hosts for the quota that they lend and request.
     fn poll_quotas(&mut self) {
         let polled_at = self.now;
         self.sockets
             .hosts_mut()
-            .broadcast(&ServiceMessage::QuotaPoll { polled_at }, is_known);
+            .broadcast(&ServiceMessage::QuotaPoll { polled_at }, is_identified);
     }
 
-    /// Answers operators whose wait for a version is over.
+    /// Answers the operators whose wait for a version has ended.
     fn answer_rollout_waits(&mut self) {
         for ended in self.rollout_waits.take_ended(&self.rollout, self.now) {
             self.sockets
@@ -145,7 +145,7 @@
     }
 
     fn poll_timeout(&self) -> Duration {
-        PERIOD
+        MAX_POLL_TIMEOUT
     }
 
     fn on_poll_returned(&mut self) {
@@ -180,12 +180,12 @@
     }
 }
 
-/// Whether a host has said hello.
-fn is_known(host: &Host) -> bool {
+/// Returns whether a host has sent its hello message.
+fn is_identified(host: &Host) -> bool {
     host.name().is_some()
 }
 
-/// Seconds since 1970, for readers of the change log.
+/// Returns the seconds since 1970, for readers of the change log.
 fn wall_clock() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/plan-service/src/limit_change.rs
+++ b/crates/plan-service/src/limit_change.rs
@@ -1,11 +1,11 @@
-//! What a change of plans means for the limits of volumes.
+//! Whether a change of plans lowers the limit of a volume.
 #[cfg(test)]
 mod tests;
 
 use mallowseam_plans::MilliUnits;
 use mallowseam_plans::state::{Change, Plan, State};
 
-/// Whether a change lowers the limit of any volume.
+/// Returns whether a change lowers the limit of any volume.
 pub(crate) fn lowers_a_limit(state: &State, change: &Change) -> bool {
     let mut next = state.clone();
     if next.apply(change).is_err() {
@@ -17,12 +17,12 @@
         .any(|volume| is_lower(limit_of(&next, volume), limit_of(state, volume)))
 }
 
-/// The limit of a volume, if its plan has one.
+/// Returns the limit of a volume; none if its plan has no limit.
 fn limit_of(state: &State, volume: &str) -> Option<MilliUnits> {
     state.plan_of(volume).and_then(Plan::limit)
 }
 
-/// Whether a limit is lower than the one before. None: unlimited.
+/// Returns whether the new limit is lower than the old one. None: unlimited.
 fn is_lower(new: Option<MilliUnits>, old: Option<MilliUnits>) -> bool {
     new.is_some_and(|new| old.is_none_or(|old| new < old))
 }
--- a/crates/plan-service/src/operator.rs
+++ b/crates/plan-service/src/operator.rs
@@ -1,8 +1,8 @@
-//! The operator's side of the plan service: requests on the control socket.
+//! Requests of operators to the plan service, on its control socket.
 use crate::error::Error;
 use crate::limit_change::lowers_a_limit;
 use crate::rollout_text::describe_rollout;
-use crate::{PlanService, is_known, wall_clock};
+use crate::{PlanService, is_identified, wall_clock};
 use mallowseam_change_log::Error as StoreError;
 use mallowseam_control_protocol::PlanRequest;
 use mallowseam_control_protocol::control_socket::{self, ConnectionId};
@@ -12,10 +12,10 @@
 use mallowseam_plans::state::Change;
 use mallowseam_service_loop::Answer;
 
-/// Most entries of the change log in one answer: some 3 MB.
-const MAX_HISTORY: usize = 10_000;
+/// Maximum number of change log entries in one answer: some 3 MB.
+const MAX_HISTORY_ENTRIES: usize = 10_000;
 
-/// Why a request is refused, or the service cannot go on.
+/// Reason why a request is refused or, after a failed write, the service stops.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     #[error(transparent)]
@@ -28,15 +28,15 @@
     ReadStore(StoreError),
     #[error("no version {0}")]
     NoSuchVersion(u64),
-    #[error("`{0}`: unknown, or heard of in the last seconds")]
+    #[error("host `{0}` is unknown or not silent; only a silent host can be declared gone")]
     HostNotRemovable(String),
-    /// A change could not be stored. The service ends, since the store takes no more changes; hosts go on with the
-    /// version that they have.
+    /// A change could not be stored. The service stops, since the store accepts no more changes; hosts continue with
+    /// the version that they have.
     #[error(transparent)]
     WriteStore(StoreError),
 }
 
-/// Who makes a change, why, and how it is to be carried out.
+/// Author and reason of a change, and how to carry it out.
 struct ChangeOptions {
     author: String,
     reason: String,
@@ -45,7 +45,7 @@
 }
 
 impl PlanService {
-    /// Handles a line on the control socket. Error: the store has failed.
+    /// Handles a request line from the control socket. Returns an error if the store has failed.
     pub(crate) fn on_request(
         &mut self,
         connection: ConnectionId,
@@ -58,8 +58,8 @@
         let request = serde_json::from_str(line).map_err(RequestError::from);
         match request.and_then(|request| self.execute(connection, request)) {
             Ok(answer) => Ok(answer),
-            Err(RequestError::WriteStore(fault)) => Err(Error::Store(fault)),
-            Err(refusal) => Ok(Answer::Now(control_socket::refusal(&refusal))),
+            Err(RequestError::WriteStore(error)) => Err(Error::Store(error)),
+            Err(error) => Ok(Answer::Now(control_socket::refusal(&error))),
         }
     }
 
@@ -98,7 +98,7 @@
                     dry_run,
                     wait,
                 };
-                let change = self.reverse_change(version)?;
+                let change = self.reverting_change(version)?;
                 self.set(connection, &change, None, options)
             }
             PlanRequest::Show { version } => self.show(version).map(Answer::Now),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The plans at a version; none: at the newest.
+    /// Returns the plans at a version; none: at the newest version.
     fn show(&self, version: Option<u64>) -> Result<String, RequestError> {
         match version {
             Some(version) => to_json(&self.at_version(version)?.state),
@@ -121,16 +121,16 @@
         }
     }
 
-    /// Entries of the change log, a line each.
+    /// Returns entries of the change log, one per line.
     fn history(&self, from: u64, limit: usize) -> Result<String, RequestError> {
         let entries = self
             .store
-            .entries(from, limit.min(MAX_HISTORY))
+            .entries(from, limit.min(MAX_HISTORY_ENTRIES))
             .map_err(RequestError::ReadStore)?;
         Ok(entries.join("\n"))
     }
 
-    /// The changes that lead from one version to another, a line each.
+    /// Returns the changes that lead from one version to another, one per line.
     fn diff(&self, from: u64, to: u64) -> Result<String, RequestError> {
         let from = self.at_version(from)?.state;
         let to = self.at_version(to)?.state;
@@ -142,7 +142,7 @@
         Ok(lines.join("\n"))
     }
 
-    /// Replays the change log from nothing.
+    /// Verifies the change log by replaying it from its first entry.
     fn replay(&self) -> Result<String, RequestError> {
         let entries = self.store.verify().map_err(RequestError::ReadStore)?;
         Ok(format!("trail replays: {entries} of {}", self.version()))
@@ -156,8 +156,8 @@
         found.ok_or(RequestError::NoSuchVersion(version))
     }
 
-    /// Makes a change, sends it to the hosts and answers, or has the operator wait for the rollout.
-    /// `expected`: the version that the change was made for; none: for the newest.
+    /// Makes a change and sends it to the hosts. Answers at once or, if the operator waits for the rollout, later.
+    /// `expected`: the version that the change was made for; none: the newest version.
     fn set(
         &mut self,
         connection: ConnectionId,
@@ -185,9 +185,9 @@
         Ok(Answer::Later)
     }
 
-    /// Stores the log entry of a change and sends it to the hosts. Its version.
+    /// Stores the log entry of a change and sends it to the hosts. Returns its version.
     fn append(&mut self, change: &Change, text: String) -> Result<u64, RequestError> {
-        let lowers = lowers_a_limit(&self.store.log().state, change);
+        let lowers_limit = lowers_a_limit(&self.store.log().state, change);
         let entry = self.store.append(&text).map_err(RequestError::WriteStore)?;
         tracing::info!(
             version = entry.version,
@@ -195,17 +195,17 @@
             reason = entry.reason,
             "plans changed"
         );
-        if lowers {
+        if lowers_limit {
             self.rollout.mark_limit_lowered(entry.version);
         }
         self.sockets
             .hosts_mut()
-            .broadcast(&ServiceMessage::LogEntry { text }, is_known);
+            .broadcast(&ServiceMessage::LogEntry { text }, is_identified);
         Ok(entry.version)
     }
 
-    /// The change that reverts the change of a version.
-    fn reverse_change(&self, version: u64) -> Result<Change, RequestError> {
+    /// Returns the change that reverts the change of a version.
+    fn reverting_change(&self, version: u64) -> Result<Change, RequestError> {
         let texts = self
             .store
             .entries(version, 1)
@@ -220,7 +220,7 @@
         Ok(self.at_version(before)?.state.revert(&entry.change))
     }
 
-    /// Declares that a host has stopped for good.
+    /// Declares that a host has stopped permanently.
     fn remove_host(&mut self, host: String) -> Result<String, RequestError> {
         if !self.rollout.declare_removed(&host, self.now) {
             return Err(RequestError::HostNotRemovable(host));
--- a/crates/plan-service/src/quotas.rs
+++ b/crates/plan-service/src/quotas.rs
@@ -1,4 +1,4 @@
-//! What hosts lend each other of the limits of all volumes.
+//! The quotas that hosts lend each other, for the limits of all volumes.
 #[cfg(test)]
 mod tests;
 
@@ -8,56 +8,56 @@
 use mallowseam_plans::state::State;
 use std::collections::BTreeMap;
 
-/// Number of a host among those that lend and borrow quotas, the same over all its connections.
-pub(crate) type LenderId = HostNumber;
+/// Id of a host in the quota pools, the same for all connections of the host.
+pub(crate) type QuotaHostId = HostNumber;
 
-/// The hosts that lend and borrow, and the quota pool of each volume.
+/// The ids of the hosts in the quota pools, and the quota pool of each volume.
 pub(crate) struct Quotas {
     started_at: Millis,
-    /// No service ran before this one, so no lease of another one can be in use.
+    /// Whether no service ran before this one, so that no lease of an earlier one can be in use.
     is_first_start: bool,
-    lender_ids: BTreeMap<String, LenderId>,
+    host_ids: BTreeMap<String, QuotaHostId>,
     pools: BTreeMap<String, QuotaPool>,
 }
 
 impl Quotas {
-    /// The quotas of a service that starts now.
+    /// Returns the quotas of a service that starts now.
     pub(crate) fn new(now: Millis, is_first_start: bool) -> Self {
         Quotas {
             started_at: now,
             is_first_start,
-            lender_ids: BTreeMap::new(),
+            host_ids: BTreeMap::new(),
             pools: BTreeMap::new(),
         }
     }
 
-    /// The number of a host, which is assigned when the host is first seen.
-    pub(crate) fn lender_id(&mut self, host: &str) -> LenderId {
-        let next = self.lender_ids.len() as LenderId;
-        *self.lender_ids.entry(host.to_owned()).or_insert(next)
+    /// Returns the id of a host, which is assigned when the host is first seen.
+    pub(crate) fn host_id(&mut self, host: &str) -> QuotaHostId {
+        let next = self.host_ids.len() as QuotaHostId;
+        *self.host_ids.entry(host.to_owned()).or_insert(next)
     }
 
-    /// Takes what a host lends and wants of each volume's limit, and grants it what it can have.
+    /// Records what a host lends and requests of each volume's limit. Returns the leases that it is granted.
     pub(crate) fn on_report(
         &mut self,
-        lender: LenderId,
+        host_id: QuotaHostId,
         polled_at: Millis,
         volumes: Vec<VolumeReport>,
         plans: &State,
         now: Millis,
     ) -> Vec<VolumeLease> {
-        // Pools only for volumes that exist: a host cannot make this service grow without bound.
+        // Only volumes that exist get a pool: a host cannot make the memory of this service grow without bound.
         volumes
             .into_iter()
             .filter(|report| plans.volumes.contains_key(&report.volume))
-            .filter_map(|report| self.grant(lender, polled_at, report, now))
+            .filter_map(|report| self.grant(host_id, polled_at, report, now))
             .collect()
     }
 
-    /// The lease that answers the report of one volume, if there is one.
+    /// Returns the lease that answers the report of one volume; none if nothing can be leased.
     fn grant(
         &mut self,
-        lender: LenderId,
+        host_id: QuotaHostId,
         polled_at: Millis,
         report: VolumeReport,
         now: Millis,
@@ -71,8 +71,8 @@
             .pools
             .entry(volume.clone())
             .or_insert_with(|| QuotaPool::new(self.started_at, self.is_first_start));
-        pool.on_report(lender, polled_at, lent, requested, now);
-        let amount = pool.grant(lender, now);
+        pool.on_report(host_id, polled_at, lent, requested, now);
+        let amount = pool.grant(host_id, now);
         (amount > 0).then_some(VolumeLease { volume, amount })
     }
 }
--- a/crates/plan-service/src/rollout_text.rs
+++ b/crates/plan-service/src/rollout_text.rs
@@ -2,11 +2,11 @@
 use mallowseam_plans::Millis;
 use mallowseam_plans::rollout::{Rollout, RolloutBlocker};
 
-/// The newest version, the version that is in effect at all hosts, and what blocks the newest one.
+/// Returns the newest version, the version that is effective at all hosts, and what blocks the newest one.
 pub(crate) fn describe_rollout(rollout: &Rollout, newest: u64, now: Millis) -> String {
     let count = rollout.member_count();
-    let everywhere = rollout.effective_version(newest, now);
-    let summary = format!("version {newest}; {count} hosts; in force at all of them: {everywhere}");
+    let effective = rollout.effective_version(newest, now);
+    let summary = format!("version {newest}; {count} hosts; in force at all of them: {effective}");
     let blockers = rollout.blockers(newest, now);
     if blockers.is_empty() {
         return summary;
@@ -14,7 +14,7 @@
     format!("{summary}\nwaits: {}", describe_blockers(&blockers))
 }
 
-/// What blocks the rollout of a version.
+/// Returns what blocks the rollout of a version.
 pub(crate) fn describe_blockers(blockers: &[RolloutBlocker]) -> String {
     blockers
         .iter()
@@ -35,6 +35,8 @@
             accepted_version,
         } => format!("{host} acts on {accepted_version}"),
         RolloutBlocker::Rejected { host, reason } => format!("{host} turned it down: {reason}"),
-        RolloutBlocker::UnexpiredLeases { .. } => "what was lent before lapses".to_owned(),
+        RolloutBlocker::UnexpiredLeases { .. } => {
+            "loans and leases of the older version have not expired".to_owned()
+        }
     }
 }
--- a/crates/plan-service/src/rollout_waits.rs
+++ b/crates/plan-service/src/rollout_waits.rs
@@ -1,4 +1,4 @@
-//! Operators who wait for a version to be in effect at all hosts.
+//! Operators who wait for a version to be effective at all hosts.
 #[cfg(test)]
 mod tests;
 
@@ -7,31 +7,31 @@
 use mallowseam_plans::Millis;
 use mallowseam_plans::rollout::Rollout;
 
-/// Longest time, in milliseconds, that an operator waits for a version to be in effect: less than the fifteen
-/// seconds for which the operator's command waits for its answer.
+/// Longest time, in milliseconds, that an operator waits for a version to be effective: less than the fifteen seconds
+/// for which the operator's command waits for its answer.
 const MAX_ROLLOUT_WAIT: Millis = 12_000;
 
-/// An operator who waits.
+/// An operator's wait for a version.
 struct RolloutWait {
     connection: ConnectionId,
     version: u64,
     deadline: Millis,
 }
 
-/// A wait that is over.
+/// A wait that has ended, with the answer to the operator.
 pub(crate) struct EndedWait {
     pub(crate) connection: ConnectionId,
     pub(crate) answer: String,
 }
 
-/// All operators who wait.
+/// The waits of all operators.
 #[derive(Default)]
 pub(crate) struct RolloutWaits {
     waits: Vec<RolloutWait>,
 }
 
 impl RolloutWaits {
-    /// An operator waits for a version from now on.
+    /// Adds an operator who waits for a version from now on.
     pub(crate) fn add(&mut self, connection: ConnectionId, version: u64, now: Millis) {
         self.waits.push(RolloutWait {
             connection,
@@ -40,7 +40,8 @@
         });
     }
 
-    /// Removes the waits for versions that are in effect at all hosts, and those whose deadline has passed.
+    /// Removes and returns the waits for versions that are effective at all hosts, and the waits whose deadline has
+    /// passed.
     pub(crate) fn take_ended(&mut self, rollout: &Rollout, now: Millis) -> Vec<EndedWait> {
         let mut ended = Vec::new();
         self.waits.retain(|wait| match wait.answer(rollout, now) {
@@ -56,7 +57,7 @@
 }
 
 impl RolloutWait {
-    /// The answer to the operator; none: the wait goes on.
+    /// Returns the answer to the operator; none while the wait continues.
     fn answer(&self, rollout: &Rollout, now: Millis) -> Option<String> {
         let version = self.version;
         let blockers = rollout.blockers(version, now);
@@ -67,7 +68,7 @@
         (now >= self.deadline).then(|| {
             let blockers = describe_blockers(&blockers);
             let reason =
-                format!("version {version} stands, and is not in force everywhere: {blockers}");
+                format!("version {version} is stored but not in force at all hosts: {blockers}");
             control_socket::refusal(&reason)
         })
     }
--- a/crates/plan-service/src/rollout_waits/tests.rs
+++ b/crates/plan-service/src/rollout_waits/tests.rs
@@ -1,9 +1,9 @@
-//! When operators who wait for a version are answered.
+//! Tests of when operators who wait for a version are answered.
 use super::{MAX_ROLLOUT_WAIT, RolloutWaits};
 use mallowseam_plans::rollout::Rollout;
 
 #[test]
-fn operators_are_answered_once_all_hosts_have_accepted() {
+fn operators_are_answered_once_all_hosts_have_accepted_the_version() {
     let mut rollout = Rollout::default();
     rollout.on_accepted("gw0", 1, 0);
     let mut waits = RolloutWaits::default();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_wait_ends_at_its_deadline_with_what_blocks() {
+fn a_wait_that_reaches_its_deadline_is_answered_with_the_blockers() {
     let mut rollout = Rollout::default();
     rollout.on_accepted("gw0", 1, MAX_ROLLOUT_WAIT);
     let mut waits = RolloutWaits::default();
@@ -29,6 +29,6 @@
     let ended = waits.take_ended(&rollout, MAX_ROLLOUT_WAIT);
     assert_eq!(
         ended[0].answer,
-        "error: version 2 stands, and is not in force everywhere: gw0 acts on 1"
+        "error: version 2 is stored but not in force at all hosts: gw0 acts on 1"
     );
 }
