--- a/crates/control-protocol/src/control_socket.rs
+++ b/crates/control-protocol/src/control_socket.rs
@@ -1,4 +1,4 @@
-//! The control socket of a process: a Unix socket on which an operator sends one line and gets one answer.
+//! The control socket of a process: a Unix socket on which an operator sends one request line and gets one answer.
 mod client;
 
 pub use client::{RequestError, send_request};
@@ -12,20 +12,20 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-/// Connections at once: an operator and a few scripts.
+/// Maximum number of concurrent connections: an operator and a few scripts.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Longest request in bytes.
-const MAX_REQUEST: usize = 8_192;
-/// Ends every answer, which makes a truncated one recognizable.
-const END_OF_ANSWER: &str = "\n\n";
-/// Begins the answer to a request that was refused; the reason follows.
-const REFUSED: &str = "error: ";
-/// Only the user that runs the process may connect.
-const PERMISSIONS: u32 = 0o600;
-
-/// The answer to a request that is refused.
+/// Maximum size of a request, in bytes.
+const MAX_REQUEST_BYTES: usize = 8_192;
+/// Terminates every answer, so that a truncated answer can be recognized.
+const ANSWER_TERMINATOR: &str = "\n\n";
+/// Prefix of the answer to a refused request; the reason follows.
+const REFUSAL_PREFIX: &str = "error: ";
+/// Permissions of the socket file: only the user that runs the process may connect.
+const SOCKET_PERMISSIONS: u32 = 0o600;
+
+/// Returns the answer to a refused request.
 pub fn refusal(reason: &impl Display) -> String {
-    format!("{REFUSED}{reason}")
+    format!("{REFUSAL_PREFIX}{reason}")
 }
 
 /// Index of a connection to the control socket.
@@ -34,34 +34,34 @@
 /// The connection of an operator.
 struct Connection {
     socket: UnixStream,
-    /// The start of a request whose end has not been received yet.
+    /// Received part of a request whose end has not been received yet.
     request: Vec<u8>,
-    /// What is left of the answer to be written. None: there is no answer yet.
+    /// Part of the answer that has not been written yet. None: there is no answer yet.
     unsent_answer: Option<Vec<u8>>,
 }
 
-/// What reading from a connection came to.
+/// Result of reading from a connection.
 enum RequestRead {
     /// The line of a complete request.
     Complete(String),
     /// The end of the request has not been received yet.
     Incomplete,
-    /// The connection has ended, or the request is too long.
+    /// The connection has been closed or has failed, or the request is too long.
     Closed,
 }
 
-/// What writing an answer came to.
+/// Result of writing an answer.
 enum AnswerWrite {
-    /// There is more to write once the socket takes it, or no answer yet.
+    /// Part of the answer has to wait until the socket accepts more, or there is no answer yet.
     Pending,
-    /// The answer is written, or the connection has failed.
+    /// The answer is written completely, or the connection has failed.
     Finished,
 }
 
 impl Connection {
-    /// Reads until the request is complete or the socket has no more for now.
+    /// Reads until the request is complete or the socket has no more data for now.
     fn read_request(&mut self) -> RequestRead {
-        let mut buffer = [0; MAX_REQUEST];
+        let mut buffer = [0; MAX_REQUEST_BYTES];
         loop {
             match nonblocking::read(&mut self.socket, &mut buffer) {
                 ReadOutcome::Read(len) => self.request.extend_from_slice(&buffer[..len]),
@@ -71,13 +71,13 @@
             if let Some(line) = self.take_line() {
                 return RequestRead::Complete(line);
             }
-            if self.request.len() > MAX_REQUEST {
+            if self.request.len() > MAX_REQUEST_BYTES {
                 return RequestRead::Closed;
             }
         }
     }
 
-    /// The first line of what was read, if it is complete. What follows it is dropped.
+    /// Returns the first line of the received data, if it is complete. Data after that line is dropped.
     fn take_line(&mut self) -> Option<String> {
         let end = self.request.iter().position(|byte| *byte == b'\n')?;
         let line = String::from_utf8_lossy(&self.request[..end])
@@ -87,7 +87,7 @@
         Some(line)
     }
 
-    /// Writes the answer as far as the socket takes it.
+    /// Writes as much of the answer as the socket accepts.
     fn write_answer(&mut self) -> AnswerWrite {
         let Some(unsent) = &mut self.unsent_answer else {
             return AnswerWrite::Pending;
@@ -99,7 +99,7 @@
     }
 }
 
-/// The listening side of a control socket. The socket file is removed when this is dropped.
+/// The listening side of a control socket, which removes the socket file when it is dropped.
 pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
@@ -109,21 +109,21 @@
 }
 
 impl ControlSocket {
-    /// Listens at a path; connections get tokens from `first_token` on. A socket file whose process is gone
+    /// Listens at a path; connections get tokens from `first_token` on. A stale socket file, whose process has ended,
     /// is replaced.
     ///
     /// # Errors
-    /// A process still answers there, or the socket cannot be created.
+    /// A running process listens at the path, or the socket cannot be created.
     pub(crate) fn open(
         path: &Path,
         registry: Registry,
-        own: Token,
+        listener_token: Token,
         first_token: usize,
     ) -> io::Result<Self> {
         remove_stale_socket(path)?;
         let mut listener = UnixListener::bind(path)?;
-        std::fs::set_permissions(path, PermissionsExt::from_mode(PERMISSIONS))?;
-        registry.register(&mut listener, own, Interest::READABLE)?;
+        std::fs::set_permissions(path, PermissionsExt::from_mode(SOCKET_PERMISSIONS))?;
+        registry.register(&mut listener, listener_token, Interest::READABLE)?;
         Ok(ControlSocket {
             listener,
             path: path.to_owned(),
@@ -137,8 +137,8 @@
     pub fn accept(&mut self) {
         while let Ok((mut socket, _)) = self.listener.accept() {
             if self.connections.len() >= MAX_CONNECTIONS {
-                let refused = refusal(&"too many callers");
-                let _ = socket.write(format!("{refused}{END_OF_ANSWER}").as_bytes());
+                let refused = refusal(&"too many connections to the control socket");
+                let _ = socket.write(format!("{refused}{ANSWER_TERMINATOR}").as_bytes());
                 continue;
             }
             let token = Token(self.first_token + self.connections.next_index() as usize);
@@ -153,11 +153,11 @@
         }
     }
 
-    /// Reads from a connection that is ready. Returns its request once that is complete.
+    /// Reads from a ready connection. Returns the request once it is complete.
     pub fn read_request(&mut self, id: ConnectionId) -> Option<String> {
         match self.connections.get_mut(id)?.read_request() {
             RequestRead::Complete(line) => return Some(line),
-            // The socket may be ready for the rest of an answer.
+            // The connection may be ready because the socket accepts more of an answer.
             RequestRead::Incomplete => self.flush(id),
             RequestRead::Closed => self.close(id),
         }
@@ -167,7 +167,7 @@
     /// Answers a request; the connection is closed once the answer is written.
     pub fn answer(&mut self, id: ConnectionId, text: &str) {
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.unsent_answer = Some(format!("{text}{END_OF_ANSWER}").into_bytes());
+            connection.unsent_answer = Some(format!("{text}{ANSWER_TERMINATOR}").into_bytes());
             self.flush(id);
         }
     }
@@ -193,15 +193,15 @@
     }
 }
 
-/// Removes a socket file whose process is gone.
+/// Removes a stale socket file, whose process has ended.
 ///
 /// # Errors
-/// A process still answers there, or the file cannot be removed.
+/// A running process listens at the path, or the file cannot be removed.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
     if std::os::unix::net::UnixStream::connect(path).is_ok() {
         return Err(io::Error::new(
             ErrorKind::AddrInUse,
-            "another host runs here",
+            "another process already listens on this control socket",
         ));
     }
     match std::fs::remove_file(path) {
--- a/crates/control-protocol/src/json_lines.rs
+++ b/crates/control-protocol/src/json_lines.rs
@@ -1,4 +1,4 @@
-//! A connection that carries one JSON object a line.
+//! A connection that carries one JSON object per line.
 use mallowseam_plans::error::ReplicaError;
 use mallowseam_sockets::nonblocking::{self, ConnectionError, ReadOutcome};
 use mio::net::TcpStream;
@@ -8,36 +8,36 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Bits by which a number of bytes is shifted to a number of KiB.
+/// Right shift that converts bytes to KiB.
 const KIB_SHIFT: u32 = 10;
-/// Bits by which a number of bytes is shifted to a number of MiB.
+/// Right shift that converts bytes to MiB.
 const MIB_SHIFT: u32 = 20;
 
-/// Why a connection ended, or is ended by this side.
+/// Reason why a connection ended, or is closed by this side.
 #[derive(Debug, thiserror::Error)]
 pub enum Disconnect {
-    /// The socket failed or was closed by the other side.
+    /// The socket failed or was closed by the peer.
     #[error(transparent)]
     Socket(#[from] ConnectionError),
-    /// A line is longer than this many bytes.
-    #[error("a line past {}", line_limit(*.0))]
+    /// A line is longer than this limit in bytes.
+    #[error("received line is longer than {}", line_limit(*.0))]
     LineTooLong(usize),
-    /// The other side reads too little of what is sent to it.
-    #[error("takes nothing")]
+    /// The peer reads too little of what is sent to it.
+    #[error("peer does not read what is sent to it")]
     NotReading,
     /// A line is not a message.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// A host's first message is not hello.
-    #[error("expected hello first")]
+    /// The first message of a host is not a hello message.
+    #[error("first message of the host is not a hello message")]
     HelloExpected,
     /// A message of the snapshot catalog does not follow from the known tree.
-    #[error("what the catalog says does not follow what is known")]
+    #[error("message of the snapshot catalog does not follow from the known tree")]
     TreeOutOfSequence,
     /// A message does not follow from the replicated plans.
     #[error(transparent)]
     Plans(#[from] ReplicaError),
-    /// The service could not store that the host is a member.
+    /// The service could not store the host as a member.
     #[error(transparent)]
     Store(Box<dyn Error + Send + Sync>),
 }
@@ -45,39 +45,39 @@
 fn line_limit(bytes: usize) -> String {
     match bytes >> MIB_SHIFT {
         0 => format!("{} KiB", bytes >> KIB_SHIFT),
-        mebi => format!("{mebi} MiB"),
+        mib => format!("{mib} MiB"),
     }
 }
 
-/// A connection that carries lines.
+/// A non-blocking connection that carries lines.
 pub struct LineConnection {
     socket: TcpStream,
-    /// The start of a line whose end has not been received yet.
+    /// Received part of a line whose end has not been received yet.
     partial: Vec<u8>,
-    /// Bytes that wait to be written.
+    /// Bytes that have not been written yet.
     unsent: Vec<u8>,
 }
 
-/// What an attempt to read came to.
+/// Result of a read.
 pub enum LineRead {
-    /// Nothing more has arrived for now.
+    /// The socket has no more data for now.
     WouldBlock,
-    /// Complete lines, without their ends; there may be more.
+    /// Complete lines, without line terminators; there may be more to read.
     Lines(Vec<Vec<u8>>),
-    /// The connection is over.
+    /// The connection has ended.
     Closed(Disconnect),
 }
 
 impl LineConnection {
-    /// Begins to connect.
+    /// Starts to connect to an address.
     ///
     /// # Errors
-    /// The system opens no socket, or the event loop cannot watch it.
+    /// The socket cannot be opened, or the event loop cannot watch it.
     pub fn connect(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Self> {
         LineConnection::over(TcpStream::connect(address)?, registry, token)
     }
 
-    /// Carries lines over a socket, which the event loop watches from now on.
+    /// Returns a connection over a socket, which the event loop watches from now on.
     ///
     /// # Errors
     /// The event loop cannot watch the socket.
@@ -94,19 +94,19 @@
     /// Queues a message; `flush` writes it.
     ///
     /// # Panics
-    /// If the message does not serialize, which no message of this protocol does.
+    /// If the message cannot be serialized, which does not happen with the messages of this protocol.
     pub fn send(&mut self, message: &impl Serialize) {
         serde_json::to_writer(&mut self.unsent, message)
-            .expect("every message type serializes, and writing to memory does not fail");
+            .expect("every message type can be serialized, and writing to memory cannot fail");
         self.unsent.push(b'\n');
     }
 
-    /// Bytes that wait for the socket to take them.
+    /// Returns the number of queued bytes that have not been written yet.
     pub fn unsent_bytes(&self) -> usize {
         self.unsent.len()
     }
 
-    /// Writes what is queued, as far as the socket takes it.
+    /// Writes as many of the queued bytes as the socket accepts.
     ///
     /// # Errors
     /// The connection has failed.
@@ -117,7 +117,7 @@
         )?)
     }
 
-    /// Reads once. `max_line` is how many bytes a line may have.
+    /// Reads once from the socket. `max_line` is the maximum length of a line, in bytes.
     pub fn read(&mut self, buffer: &mut [u8], max_line: usize) -> LineRead {
         if self.partial.len() > max_line {
             return LineRead::Closed(Disconnect::LineTooLong(max_line));
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -1,9 +1,9 @@
-//! What hosts, services and the command line share of the protocols between them.
+//! The protocols between hosts, services and the command line, as far as these share code.
 //!
 //! - [`control_socket`]: a Unix socket on which an operator sends a request line and gets an answer.
 //! - [`PlanRequest`]: requests of operators to the plan service.
-//! - [`json_lines`]: connections between hosts and services, which carry one JSON object a line.
-//! - [`startup`]: what a process opens at its start: listeners, its control socket, signals.
+//! - [`json_lines`]: connections between hosts and services, which carry one JSON object per line.
+//! - [`startup`]: opens what a process needs at its start: listeners, its control socket, signals.
 #![warn(missing_docs)]
 
 pub mod control_socket;
--- a/crates/control-protocol/src/plan_request.rs
+++ b/crates/control-protocol/src/plan_request.rs
@@ -1,4 +1,4 @@
-//! Requests of operators to the plan service: one JSON object on its control socket.
+//! Requests of operators to the plan service, each sent as one JSON object to its control socket.
 use mallowseam_plans::state::Change;
 use serde::{Deserialize, Serialize};
 
@@ -10,63 +10,63 @@
     Set {
         /// The change.
         change: Change,
-        /// The version that it was made for: refused if another one is the newest. None: for the
-        /// newest, whichever that is.
+        /// Version that the change was made for: the request is refused if another version is the newest. None: the
+        /// newest version, whichever that is.
         expected: Option<u64>,
-        /// Who makes it.
+        /// Author of the change.
         author: String,
-        /// Why it is made.
+        /// Reason for the change.
         reason: String,
-        /// Only checks whether it could be made.
+        /// Only checks whether the change could be made.
         #[serde(rename = "dry")]
         dry_run: bool,
-        /// Answers once the version is in effect at all hosts, or with what blocks its rollout.
+        /// Answers once the version is effective at all hosts or, after some seconds, with what blocks its rollout.
         wait: bool,
     },
     /// Reverts the change of a version, as a new version.
     Undo {
         /// The version whose change is reverted.
         version: u64,
-        /// Who reverts it.
+        /// Author of the reverting change.
         author: String,
-        /// Why it is reverted.
+        /// Reason for the reverting change.
         reason: String,
-        /// Only checks whether it could be reverted.
+        /// Only checks whether the change could be reverted.
         #[serde(rename = "dry")]
         dry_run: bool,
-        /// As in `Set`.
+        /// Answers once the new version is effective at all hosts or, after some seconds, with what blocks its rollout.
         wait: bool,
     },
-    /// The plans, and the plan of each volume.
+    /// Returns the plans, and the plan of each volume.
     Show {
-        /// At this version; none: at the newest.
+        /// Version at which the plans are returned. None: the newest version.
         version: Option<u64>,
     },
-    /// Lines of the change log.
+    /// Returns entries of the change log.
     History {
-        /// The version that the first line made.
+        /// Version that the first returned entry led to.
         from: u64,
-        /// How many lines at most.
+        /// Maximum number of returned entries.
         #[serde(rename = "most")]
         limit: usize,
     },
-    /// The changes that lead from one version to another.
+    /// Returns the changes that lead from one version to another.
     Diff {
-        /// The version to start from.
+        /// Version that the changes start from.
         #[serde(rename = "one")]
         from: u64,
-        /// The version to arrive at.
+        /// Version that the changes lead to.
         #[serde(rename = "other")]
         to: u64,
     },
-    /// Which version is in effect at all hosts, and what blocks the rollout of the newest one.
+    /// Returns the version that is effective at all hosts, and what blocks the rollout of the newest version.
     Hosts,
-    /// Declares that a host has stopped for good: no version waits for it any more.
+    /// Declares that a host has stopped permanently, so that it no longer blocks the rollout of a version.
     #[serde(rename = "gone")]
     RemoveHost {
-        /// The host's name.
+        /// Name of the host.
         host: String,
     },
-    /// Replays the whole change log and compares the outcome with the plans in effect.
+    /// Replays the whole change log and compares the result with the current plans.
     Replay,
 }
--- a/crates/control-protocol/src/startup.rs
+++ b/crates/control-protocol/src/startup.rs
@@ -1,4 +1,4 @@
-//! What each process of the program opens at its start: listeners, control sockets, signals.
+//! Opens what a process needs at its start: listeners, its control socket, signals.
 use crate::control_socket::ControlSocket;
 use mio::net::{TcpListener, UnixStream};
 use mio::{Interest, Poll, Registry, Token};
@@ -7,40 +7,40 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Bytes read at once from the socket of signals, on which one arrives for each signal.
-const SIGNAL_BUFFER: usize = 16;
+/// Bytes read at once from the signal socket, on which one byte arrives for each signal.
+const SIGNAL_BUFFER_BYTES: usize = 16;
 
-/// Why a process could not open what it needs at its start.
+/// Reason why a process cannot open what it needs at its start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The address to listen on cannot be had.
-    #[error("listen {address}: {source}")]
+    /// The address to listen on is not available.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// Address in the configuration.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The control socket cannot be created.
-    #[error("control {}: {source}", path.display())]
+    #[error("cannot open control socket {}: {source}", path.display())]
     ControlSocket {
-        /// The socket's path in the configuration.
+        /// Path of the socket in the configuration.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The event loop cannot watch sockets.
-    #[error("poll: {0}")]
+    #[error("cannot watch sockets for events: {0}")]
     Poll(#[source] io::Error),
     /// Signals cannot be received.
-    #[error("signals: {0}")]
+    #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
 }
 
-/// A listener that the event loop watches, and a handle to register its connections.
+/// Returns a listener that the event loop watches, and a handle to register its connections.
 ///
 /// # Errors
-/// The address cannot be had, or the event loop cannot watch the listener.
+/// The address is not available, or the event loop cannot watch the listener.
 pub fn listen(
     address: SocketAddr,
     poll: &Poll,
@@ -55,34 +55,34 @@
     Ok((listener, registry))
 }
 
-/// An address that the checks of the configuration require, such as where a service listens.
+/// Returns an address that the validation of the configuration requires, such as the one on which a service listens.
 ///
 /// # Panics
 /// If there is no address, which means that the configuration was not validated.
 pub fn validated_address(address: Option<SocketAddr>) -> SocketAddr {
-    address.expect("validated configuration has an address")
+    address.expect("a validated configuration has an address")
 }
 
-/// A handle to register sockets with the event loop.
+/// Returns a handle to register sockets with the event loop.
 ///
 /// # Errors
-/// The system has no descriptor left for it.
+/// The system has no file descriptor left for the handle.
 pub fn registry(poll: &Poll) -> Result<Registry, StartError> {
     poll.registry().try_clone().map_err(StartError::Poll)
 }
 
-/// The control socket, where the configuration has one. Its connections get tokens from `first_token` on.
+/// Opens the control socket, if the configuration has one. Its connections get tokens from `first_token` on.
 ///
 /// # Errors
-/// The socket cannot be created, or another process answers at it.
+/// The socket cannot be created, or another process listens on it.
 pub fn control_socket(
     path: Option<&Path>,
     poll: &Poll,
-    own: Token,
+    listener_token: Token,
     first_token: usize,
 ) -> Result<Option<ControlSocket>, StartError> {
     let Some(path) = path else { return Ok(None) };
-    let socket = ControlSocket::open(path, registry(poll)?, own, first_token);
+    let socket = ControlSocket::open(path, registry(poll)?, listener_token, first_token);
     socket
         .map(Some)
         .map_err(|source| StartError::ControlSocket {
@@ -91,12 +91,12 @@
         })
 }
 
-/// Whether a signal has arrived on the socket of [`signals`].
+/// Reads from the socket of [`signals`] and returns whether a signal has arrived.
 pub fn take_signal(signals: &mut UnixStream) -> bool {
-    matches!(signals.read(&mut [0; SIGNAL_BUFFER]), Ok(count) if count > 0)
+    matches!(signals.read(&mut [0; SIGNAL_BUFFER_BYTES]), Ok(count) if count > 0)
 }
 
-/// A socket on which a byte comes for each SIGTERM and SIGINT.
+/// Returns a socket on which one byte arrives for each SIGTERM and SIGINT.
 ///
 /// # Errors
 /// Signals cannot be received.
